--- a/cmd/vetchhaven/main.go
+++ b/cmd/vetchhaven/main.go
@@ -28,7 +28,8 @@
 
 func main() { os.Exit(execute()) }
 
-func execute() int {
+// rootCommand is the program with all its subcommands.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "vetchhaven",
 		Short: "a client-side load balancer: agent and tools",
@@ -43,7 +44,13 @@
 	root.AddCommand(runCommand(), rehearseCommand(), serveCommand(), membersCommand())
 	root.AddCommand(askCommands()...)
 	root.AddCommand(fleetCommand(), policyCommand(), drillCommand())
-	err := root.Execute()
+	return root
+}
+
+func execute() int { return statusFor(rootCommand().Execute()) }
+
+// statusFor says an error, and is the status that the process ends with.
+func statusFor(err error) int {
 	var e exit
 	switch {
 	case err == nil:
--- /dev/null
+++ b/internal/host/ops/golden_test.go
@@ -0,0 +1,15 @@
+package ops
+
+import (
+	"testing"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/testkit/golden"
+)
+
+// The body of GET /metrics, which the platform reads.
+func TestFiguresStayAsThePlatformReadsThem(t *testing.T) {
+	var f core.Figures
+	golden.Fill(&f)
+	golden.Check(t, "figures.json", Encode(f))
+}
--- /dev/null
+++ b/internal/peer/carrier/golden_test.go
@@ -0,0 +1,108 @@
+package carrier
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+
+	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/verdicts"
+	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/testkit/golden"
+)
+
+const goldenFleet = "census"
+
+// A datagram of each form is read and written as earlier builds do.
+func TestDatagramsStayAsEarlierBuildsWriteThem(t *testing.T) {
+	golden.Codec[view.Message]{Name: "view-message.bin",
+		Encode: func(m view.Message) ([]byte, error) { return encode(goldenFleet, &m) },
+		Decode: func(data []byte) (m view.Message, err error) { return m, decode(goldenFleet, data, &m) },
+	}.Check(t)
+	shared := func(name string) golden.Codec[packet] {
+		return golden.Codec[packet]{Name: name,
+			Encode: func(p packet) ([]byte, error) { return enclose(sharedForm, goldenFleet, &p) },
+			Decode: func(data []byte) (p packet, err error) { return p, openAs(sharedForm, goldenFleet, data, &p) },
+		}
+	}
+	shared("shared-packet.bin").Check(t)
+	golden.Codec[policyPacket]{Name: "policy-packet.bin",
+		Encode: func(p policyPacket) ([]byte, error) { return enclose(policyForm, goldenFleet, &p) },
+		Decode: func(data []byte) (p policyPacket, err error) { return p, openAs(policyForm, goldenFleet, data, &p) },
+	}.Check(t)
+}
+
+// Wire writes each kind of message as a member sends it.
+func TestKindsOfMessagesStayAsEarlierBuildsWriteThem(t *testing.T) {
+	wire := Wire{Fleet: goldenFleet}
+	for name, message := range map[string]any{
+		"wire-message.bin":  &view.Message{},
+		"wire-exchange.bin": &view.Exchange{},
+		"wire-outlier.bin":  &verdicts.Message{},
+		"wire-ask.bin":      &limits.Ask{},
+		"wire-grant.bin":    &limits.Grant{},
+	} {
+		golden.Fill(message)
+		data, err := wire.Marshal("host-1", message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, name, data)
+		back, err := wire.Unmarshal(golden.Read(t, name))
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		again, err := wire.Marshal("host-1", back)
+		if err != nil || !bytes.Equal(again, data) {
+			t.Errorf("%s is not read to what it says: %v", name, err)
+		}
+	}
+}
+
+// A message on a stream has its length before it.
+func TestStreamMessagesStayAsEarlierBuildsWriteThem(t *testing.T) {
+	golden.Codec[view.Exchange]{Name: "exchange.bin",
+		Encode: func(x view.Exchange) ([]byte, error) {
+			var out bytes.Buffer
+			err := writeFrame(&out, goldenFleet, &x)
+			return out.Bytes(), err
+		},
+		Decode: func(data []byte) (view.Exchange, error) {
+			x, err := readFrame(bytes.NewReader(data), goldenFleet)
+			if err != nil {
+				return view.Exchange{}, err
+			}
+			return *x, nil
+		},
+	}.Check(t)
+}
+
+// peers.view, with all that a process leaves for its successor: leases and the policy's state as well.
+func TestSavedViewStaysAsEarlierBuildsWriteIt(t *testing.T) {
+	golden.Codec[Saved]{Name: "peers.view",
+		Encode: func(s Saved) ([]byte, error) { return EncodeSaved(&s) },
+		Decode: func(data []byte) (Saved, error) {
+			s, err := DecodeSaved(data)
+			if err != nil {
+				return Saved{}, err
+			}
+			return *s, nil
+		},
+	}.Check(t)
+}
+
+// What the admin endpoint shows of peers, and the lines of the event file.
+func TestShownPeersKeepTheirKeys(t *testing.T) {
+	checkJSON[Shown](t, "shown-view.json")
+	checkJSON[ShownLimits](t, "shown-limits.json")
+	checkJSON[ShownVerdicts](t, "shown-outliers.json")
+	checkJSON[event](t, "event-line.json")
+}
+
+func checkJSON[T any](t *testing.T, name string) {
+	t.Helper()
+	golden.Codec[T]{Name: name,
+		Encode: func(v T) ([]byte, error) { return json.MarshalIndent(v, "", " ") },
+		Decode: func(data []byte) (v T, err error) { return v, json.Unmarshal(data, &v) },
+	}.Check(t)
+}
