--- a/internal/wholefile/wholefile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package wholefile writes files that are there whole or not at all, and tells torn ones.
-package wholefile
+// Package atomicfile writes files that are there whole or not at all, and tells torn ones.
+package atomicfile
 
 import (
 	"errors"
--- a/internal/wholefile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -1,4 +1,4 @@
-package wholefile
+package atomicfile
 
 import (
 	"errors"
--- a/internal/host/fleet/store.go
+++ b/internal/host/fleet/store.go
@@ -11,10 +11,10 @@
 
 	"golang.org/x/sys/unix"
 
+	"vetchhaven/internal/atomicfile"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/laststate"
 	"vetchhaven/internal/source/catalog"
-	"vetchhaven/internal/wholefile"
 )
 
 const (
@@ -79,10 +79,10 @@
 }
 
 // store is where the state is kept. A directory that can't be written never keeps the daemon from serving.
-type store struct{ *wholefile.Writer }
+type store struct{ *atomicfile.Writer }
 
 func newStore(dir string, log *slog.Logger) *store {
-	return &store{wholefile.NewWriter(dir, stateFile, "state", log)}
+	return &store{atomicfile.NewWriter(dir, stateFile, "state", log)}
 }
 
 // read is the saved state, or nil.
--- a/internal/host/upgrade/dir.go
+++ b/internal/host/upgrade/dir.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/wholefile"
+	"vetchhaven/internal/atomicfile"
 )
 
 const (
@@ -222,7 +222,7 @@
 		if err != nil {
 			return err
 		}
-		return wholefile.Replace(d.path, saidName, text)
+		return atomicfile.Replace(d.path, saidName, text)
 	})
 	if err == nil {
 		// Of what another process has kept meanwhile this one still has to hear: the version stays.
--- a/internal/peer/carrier/disk.go
+++ b/internal/peer/carrier/disk.go
@@ -11,10 +11,10 @@
 	"path/filepath"
 	"time"
 
+	"vetchhaven/internal/atomicfile"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/view"
-	"vetchhaven/internal/wholefile"
 )
 
 // Saved is what a member leaves for its next life, or for the process that takes its place.
@@ -74,10 +74,10 @@
 }
 
 // disk is where the last view is kept.
-type disk struct{ *wholefile.Writer }
+type disk struct{ *atomicfile.Writer }
 
 func newDisk(dir string, log *slog.Logger) *disk {
-	return &disk{wholefile.NewWriter(dir, fileName, "view of the fleet", log)}
+	return &disk{atomicfile.NewWriter(dir, fileName, "view of the fleet", log)}
 }
 
 // read is what was saved; nil where there is nothing, or nothing that can be believed, which is said.
