--- a/internal/drill/agree/agree.go
+++ b/internal/drill/agree/agree.go
@@ -17,7 +17,7 @@
 
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
-	"vetchhaven/internal/peer/agenda"
+	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -190,7 +190,7 @@
 	p       *plan.Plan
 	now     time.Duration
 	rng     *mathrand.Rand
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	all     []*member
 	byName  map[string]*member
 	links   map[[2]int]plan.Link
--- a/internal/drill/hollow/few.go
+++ b/internal/drill/hollow/few.go
@@ -7,7 +7,7 @@
 
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/peer/agenda"
+	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/view"
 )
@@ -34,7 +34,7 @@
 	f      *Few
 	rng    *rand.Rand
 	now    time.Duration
-	agenda agenda.Agenda
+	agenda eventqueue.Agenda
 	m      *meter
 	wire   carrier.Wire
 	all    []view.Record
--- a/internal/peer/agenda/agenda.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package agenda is what is to happen in virtual time, in order: what comes at one moment in the order in which it was
+// Package eventqueue is what is to happen in virtual time, in order: what comes at one moment in the order in which it was
 // put down. Harnesses that play peers' modules go by it.
-package agenda
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -35,7 +35,7 @@
 	"internal/peer/limits":       {"decide/rights"},
 	"internal/peer/verdicts":     nil,
 	"internal/peer/policy":       nil,
-	"internal/peer/agenda":       nil,
+	"internal/eventqueue":        nil,
 	"internal/drill/judge":       nil,
 	"internal/drill/soak/check":  nil,
 	"internal/drill/topology":    nil,
--- a/internal/peer/limits/play/play.go
+++ b/internal/peer/limits/play/play.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"vetchhaven/decide/rights"
-	"vetchhaven/internal/peer/agenda"
+	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/peer/limits"
 )
 
@@ -107,7 +107,7 @@
 	s       limits.Settings
 	rng     *rand.Rand
 	now     time.Duration
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	members []*member
 	down    map[[2]int]bool // links, by from and to
 	flight  int
--- a/internal/peer/verdicts/play/play.go
+++ b/internal/peer/verdicts/play/play.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"vetchhaven/internal/peer/agenda"
+	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/peer/verdicts"
 )
 
@@ -104,7 +104,7 @@
 	o      Options
 	rng    *rand.Rand
 	now    time.Duration
-	agenda agenda.Agenda
+	agenda eventqueue.Agenda
 	agents []*agent
 	r      Result
 	began  []time.Duration // by server: it fails since; 0: it does not
--- a/internal/rehearse/chain/chain.go
+++ b/internal/rehearse/chain/chain.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/peer/agenda"
+	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/textbook"
 )
@@ -101,7 +101,7 @@
 type player struct {
 	Config
 	now    time.Duration
-	agenda agenda.Agenda
+	agenda eventqueue.Agenda
 	rng    *rand.Rand
 	tiers  [][]*process // from the clients on
 	calls  int          // so far, of all agents
