--- a/decide/api.go
+++ b/decide/api.go
@@ -13,7 +13,7 @@
 import (
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // Effect says what repeating a request does.
@@ -177,9 +177,9 @@
 	// where Peers is set: those are told once.
 	Fleet struct{ Most, Least int }
 	// Limits are those that the fleet shares, from now on. Nothing that they count is sent without a right.
-	Limits struct{ All []rights.Limit }
+	Limits struct{ All []quota.Limit }
 	// Rights are what this agent may use of them. They are answered by Held; none at all asks for that.
-	Rights struct{ All []rights.Right }
+	Rights struct{ All []quota.Right }
 	// Verdicts are all that the fleet's agents together hold against backends. Each narrows what this agent may do
 	// until a time, and no more than its own list or an operator's word does. They take the place of the last ones.
 	Verdicts struct{ All []Verdict }
@@ -273,7 +273,7 @@
 		Limit   string // of NoRight
 	}
 	// Held tells whoever lends rights how they stand, and what was turned away for want of one.
-	Held struct{ All []rights.Holding }
+	Held struct{ All []quota.Holding }
 	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
 	SetTimer struct {
 		After time.Duration
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // BenchmarkStep plays a request, its outcome and now and then an error and a
@@ -41,19 +41,19 @@
 	}
 	now := time.Hour
 	lb.Step(now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: backends(14)}})
-	var limits []rights.Limit
+	var limits []quota.Limit
 	for i := range 12 {
-		l := limit(fmt.Sprint("l", i), rights.Counts(i%6))
+		l := limit(fmt.Sprint("l", i), quota.Counts(i%6))
 		if i == 0 {
-			l.Each = rights.EachServer
+			l.Each = quota.EachServer
 		}
 		limits = append(limits, l)
 	}
-	var all []rights.Right
+	var all []quota.Right
 	for _, l := range limits {
 		for k := range 3 {
-			one := rights.Right{Limit: l.Name, Keeper: fmt.Sprint("k", k), Number: 1, Amount: 1 << 20, Until: 1000 * time.Hour, Span: time.Second}
-			if l.Each == rights.EachNone {
+			one := quota.Right{Limit: l.Name, Keeper: fmt.Sprint("k", k), Number: 1, Amount: 1 << 20, Until: 1000 * time.Hour, Span: time.Second}
+			if l.Each == quota.EachNone {
 				all = append(all, one)
 				continue
 			}
--- a/decide/rights/rights.go
+++ b/decide/quota/quota.go
@@ -1,9 +1,9 @@
-// Package rights keeps an agent's book of what it may use of limits that hold for a whole fleet: how many of which
+// Package quota keeps an agent's book of what it may use of limits that hold for a whole fleet: how many of which
 // rights it was lent, until when, and what of them is in use. It says whether there is a right; whether a request goes
 // without one, and which goes first, is the decision module's.
 //
 // A Book belongs to one goroutine. Times are durations on the agent's own monotonic clock.
-package rights
+package quota
 
 import (
 	"cmp"
--- a/decide/rights/rights_test.go
+++ b/decide/quota/quota_test.go
@@ -1,4 +1,4 @@
-package rights
+package quota
 
 import (
 	"testing"
--- a/decide/rights_test.go
+++ b/decide/rights_test.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 func lent(name string, amount int, now time.Duration) decide.Rights {
-	return decide.Rights{All: []rights.Right{{Limit: name, Keeper: "k", Number: 1, Amount: amount, Until: now + time.Minute, Span: time.Second}}}
+	return decide.Rights{All: []quota.Right{{Limit: name, Keeper: "k", Number: 1, Amount: amount, Until: now + time.Minute, Span: time.Second}}}
 }
 
-func limit(name string, c rights.Counts) rights.Limit {
-	return rights.Limit{Name: name, Counts: c, Class: -1, Zone: -1, Cell: -1}
+func limit(name string, c quota.Counts) quota.Limit {
+	return quota.Limit{Name: name, Counts: c, Class: -1, Zone: -1, Cell: -1}
 }
 
 func find[T decide.Action](all []decide.Action) (found T, ok bool) {
@@ -29,7 +29,7 @@
 	s := settings()
 	s.RetryAfter, s.MaxRetryAfter = true, time.Minute
 	r := newRig(t, s, 1, backends(4))
-	r.step(decide.Limits{All: []rights.Limit{limit("total", rights.PerSecond)}})
+	r.step(decide.Limits{All: []quota.Limit{limit("total", quota.PerSecond)}})
 	r.step(lent("total", 2, r.now))
 	for _, id := range []string{"a", "b"} {
 		send, ok := find[decide.Send](r.request(id, safe))
@@ -53,7 +53,7 @@
 // What may have run is never answered as if it had not, whatever limit stands in the way of another try.
 func TestLimitOnRetriesPromisesNothing(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
-	r.step(decide.Limits{All: []rights.Limit{limit("again", rights.Retries)}})
+	r.step(decide.Limits{All: []quota.Limit{limit("again", quota.Retries)}})
 	if _, ok := find[decide.Send](r.request("a", safe)); !ok {
 		t.Fatal("a first try is none that is tried again")
 	}
@@ -72,9 +72,9 @@
 
 func TestLimitOfOneServerLeavesTheOthers(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(3))
-	l := limit("one", rights.InFlight)
+	l := limit("one", quota.InFlight)
 	l.Server = backends(3)[0].ID
-	r.step(decide.Limits{All: []rights.Limit{l}})
+	r.step(decide.Limits{All: []quota.Limit{l}})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		send, ok := find[decide.Send](r.request(id, safe))
 		if !ok || send.Backend == l.Server {
@@ -85,7 +85,7 @@
 
 func TestInFlightComesBackWithTheOutcome(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(3))
-	r.step(decide.Limits{All: []rights.Limit{limit("at-once", rights.InFlight)}})
+	r.step(decide.Limits{All: []quota.Limit{limit("at-once", quota.InFlight)}})
 	r.step(lent("at-once", 1, r.now))
 	r.request("a", safe)
 	if _, ok := find[decide.Refuse](r.request("b", safe)); !ok {
@@ -97,7 +97,7 @@
 	}
 	// One that can't be over before the right is, does not begin.
 	r.outcome("c", decide.OK, ms)
-	r.step(decide.Rights{All: []rights.Right{{Limit: "at-once", Keeper: "k", Number: 2, Amount: 1, Until: r.now + ms}}})
+	r.step(decide.Rights{All: []quota.Right{{Limit: "at-once", Keeper: "k", Number: 2, Amount: 1, Until: r.now + ms}}})
 	if _, ok := find[decide.Refuse](r.request("d", safe)); !ok {
 		t.Error("it may outlast its right")
 	}
@@ -105,7 +105,7 @@
 
 func TestWithoutARightToConnectNothingIsOpened(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(3))
-	r.step(decide.Limits{All: []rights.Limit{limit("dials", rights.Dials)}})
+	r.step(decide.Limits{All: []quota.Limit{limit("dials", quota.Dials)}})
 	send, ok := find[decide.Send](r.request("a", safe))
 	if !ok || !send.NoDial {
 		t.Fatalf("%+v", send)
--- a/decide/state.go
+++ b/decide/state.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // The records that the module keeps, and helpers that look things up in them. Nothing is decided here.
@@ -66,7 +66,7 @@
 	gap    float64       // mean time between attempts, ns
 	lastAt time.Duration // of the last one
 
-	book     rights.Book   // rights to use limits that the fleet shares
+	book     quota.Book    // rights to use limits that the fleet shares
 	reported time.Duration // when the daemon was last told how they stand
 }
 
@@ -137,7 +137,7 @@
 	load  bool // counts as work in hand: not while it is uploaded, nor once only its answer's bytes are to come
 	late  bool // found overdue: its delay is already counted
 
-	rights []rights.Taken
+	rights []quota.Taken
 	noDial bool // for want of a right it may open no connection
 }
 
@@ -155,20 +155,20 @@
 	risky    int      // attempts that may have run, those out included
 	anchor   *attempt // the first of these: sets the group and the window
 	retries  int
-	failed   *backend    // the backend that failed it last
-	timer    int64       // the token of its latest timer; earlier ones are void
-	repeat   bool        // a later try of the client: part of its aim has passed
-	passed   bool        // found no backend in this step
-	lack     *rights.Row // the limit that stood in its way, in this step; see lacked
-	lacked   bool        // that was reported
+	failed   *backend   // the backend that failed it last
+	timer    int64      // the token of its latest timer; earlier ones are void
+	repeat   bool       // a later try of the client: part of its aim has passed
+	passed   bool       // found no backend in this step
+	lack     *quota.Row // the limit that stood in its way, in this step; see lacked
+	lacked   bool       // that was reported
 
 	waiting, holding, stream, ended bool // for its backoff; for room; being answered; done with
 	upload, spent                   bool // its last byte is still to come; what was sent can't be sent again
 }
 
 // use is what an attempt of r at t would use rights for.
-func (b *Balancer) use(r *request, t *backend) *rights.Use {
-	return &rights.Use{Class: r.class, Server: t.ID, Zone: t.Zone, Cell: t.Cell, Cold: t.cold,
+func (b *Balancer) use(r *request, t *backend) *quota.Use {
+	return &quota.Use{Class: r.class, Server: t.ID, Zone: t.Zone, Cell: t.Cell, Cold: t.cold,
 		First: len(r.attempts) == 0, Ends: r.deadline, Spare: r.spare}
 }
 
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/source/catalog"
 )
 
@@ -53,7 +53,7 @@
 	AcceptAfterStop <-chan time.Time
 	// Held is told how the agent's rights to limits of the fleet stand. It is called by the agent's loop, and must
 	// not wait.
-	Held func([]rights.Holding)
+	Held func([]quota.Holding)
 	// Seen is told what became of attempts at each server since the last time. It is called by the agent's loop, and
 	// must not wait.
 	Seen    func([]Sight)
@@ -403,8 +403,8 @@
 
 // Right is one that the agent may use until a moment by the process's own clock.
 type Right struct {
-	rights.Right // but for Until
-	Until        time.Time
+	quota.Right // but for Until
+	Until       time.Time
 }
 
 // lent are rights.
@@ -412,7 +412,7 @@
 
 // Limit tells the module which limits the fleet shares, and Lend what it may use of them: see decide.Limits and
 // decide.Rights. Neither waits: false says that the agent has too much to do to hear of it now.
-func (a *Agent) Limit(all []rights.Limit) bool { return a.tell(decide.Limits{All: all}) }
+func (a *Agent) Limit(all []quota.Limit) bool { return a.tell(decide.Limits{All: all}) }
 
 // Lend tells the module of rights.
 func (a *Agent) Lend(all []Right) bool { return a.tell(lent{all}) }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 	"vetchhaven/decide"
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // take books one event and keeps it for the next step. A served request is answered here: the
@@ -161,7 +161,7 @@
 
 // onLent takes what the agent may use of the fleet's limits.
 func (l *Loop) onLent(e lent) {
-	all := make([]rights.Right, len(e.all))
+	all := make([]quota.Right, len(e.all))
 	for i, r := range e.all {
 		all[i] = r.Right
 		all[i].Until = l.clock.at(r.Until)
--- a/internal/drill/hollow/limits.go
+++ b/internal/drill/hollow/limits.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/limits"
@@ -29,7 +29,7 @@
 	keepers := cmp.Or(l.Keepers, 3)
 	m := newMeter(l.Members, l.Marks)
 	wire := carrier.Wire{Fleet: Fleet}
-	o := play.Options{Seed: l.Seed, Holders: l.Members, Keepers: keepers, Figure: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Counts: rights.PerSecond, Soft: true,
+	o := play.Options{Seed: l.Seed, Holders: l.Members, Keepers: keepers, Figure: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Counts: quota.PerSecond, Soft: true,
 		Length: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, Lasts: 100 * time.Millisecond, From: 2 * l.Length, // what is served is not counted: it takes long
 		Size: func(from string, x any) int { return size(wire, from, x) }, Sent: m.sent, Took: m.took, Path: path(l.Layout), Down: l.Down}
 	if r, err = play.Play(o); err != nil {
@@ -42,7 +42,7 @@
 
 // KeeperTime is the processor time that one question costs a keeper of so many holders, its encoding and decoding included.
 func KeeperTime(holders int) (time.Duration, error) {
-	s := limits.Settings{Keepers: []string{"k"}, Longest: time.Second, Limits: []limits.Limit{{Limit: rights.Limit{Name: "l", Counts: rights.PerSecond, Class: -1, Zone: -1, Cell: -1}, Figure: 10 * holders}}}
+	s := limits.Settings{Keepers: []string{"k"}, Longest: time.Second, Limits: []limits.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.PerSecond, Class: -1, Zone: -1, Cell: -1}, Figure: 10 * holders}}}
 	k, err := limits.NewKeeper(s, "k", 1)
 	if err != nil {
 		return 0, err
@@ -102,7 +102,7 @@
 		for _, a := range answers {
 			for _, g := range h[a.to].Granted(now, 0, a.grant) {
 				for _, r := range g.Rights {
-					h[a.to].Held(now, g.Agent, []rights.Holding{{Limit: r.Limit, Keeper: "k", Number: r.Number, Used: 5, Begun: 1}})
+					h[a.to].Held(now, g.Agent, []quota.Holding{{Limit: r.Limit, Keeper: "k", Number: r.Number, Used: 5, Begun: 1}})
 				}
 			}
 		}
--- a/internal/drill/plan/plan.go
+++ b/internal/drill/plan/plan.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/policy"
@@ -70,7 +70,7 @@
 // what was sent: a limit by the second is held to windows that are shorter by it.
 type Limit struct {
 	Name   string
-	Counts rights.Counts
+	Counts quota.Counts
 	Figure int
 	Hard   bool
 	Floor  float64
@@ -84,16 +84,16 @@
 		s.Keepers = append(s.Keepers, Name(k))
 	}
 	for _, l := range p.Limits {
-		s.Limits = append(s.Limits, limits.Limit{Limit: rights.Limit{Name: l.Name, Counts: l.Counts, Each: each(l.Each)}, Figure: l.Figure, Hard: l.Hard, Floor: l.Floor})
+		s.Limits = append(s.Limits, limits.Limit{Limit: quota.Limit{Name: l.Name, Counts: l.Counts, Each: each(l.Each)}, Figure: l.Figure, Hard: l.Hard, Floor: l.Floor})
 	}
 	return s
 }
 
-func each(server bool) rights.Each {
+func each(server bool) quota.Each {
 	if server {
-		return rights.EachServer
+		return quota.EachServer
 	}
-	return rights.EachNone
+	return quota.EachNone
 }
 
 // Ramp is how long a server is cold after its start, as daemons have it.
@@ -514,15 +514,15 @@
 	r.p.Keepers = r.who("keepers", f.Keepers)
 	for i, l := range f.Limit {
 		at := fmt.Sprintf("limit[%d].", i)
-		counts := slices.Index(rights.Names, l.Counts)
+		counts := slices.Index(quota.Names, l.Counts)
 		if l.Each != "" && l.Each != "server" {
 			r.fail(at+"each", "%q: server is allowed, or nothing", l.Each)
 		}
 		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.Keepers) == 0 {
-			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(rights.Names, ", "))
+			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(quota.Names, ", "))
 			return
 		}
-		r.p.Limits = append(r.p.Limits, Limit{l.Name, rights.Counts(counts), l.Figure, l.Kind == "hard", l.Floor, l.Each == "server"})
+		r.p.Limits = append(r.p.Limits, Limit{l.Name, quota.Counts(counts), l.Figure, l.Kind == "hard", l.Floor, l.Each == "server"})
 		r.p.Real = true
 	}
 	if len(f.Limit) > 0 {
--- a/internal/drill/rig/ledger.go
+++ b/internal/drill/rig/ledger.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 )
@@ -97,7 +97,7 @@
 func (r *rig) limited() {
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
-		r.line(judge.Line{What: judge.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.Rate() && l.Counts != rights.Cold,
+		r.line(judge.Line{What: judge.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.Rate() && l.Counts != quota.Cold,
 			Bound: s.Bound(s.Limits[i], len(r.daemons)).Most})
 	}
 	r.wanted()
@@ -128,7 +128,7 @@
 		for _, l := range r.p.Limits {
 			used := flight
 			switch {
-			case l.Counts == rights.Cold:
+			case l.Counts == quota.Cold:
 				used, count = cold, 0
 			case l.Counts.Rate():
 				used = rate
@@ -140,7 +140,7 @@
 
 // ramp is what a daemon's file says of cold servers, where the drill is about them.
 func (r *rig) ramp() string {
-	if !slices.ContainsFunc(r.p.Limits, func(l plan.Limit) bool { return l.Counts == rights.Cold }) {
+	if !slices.ContainsFunc(r.p.Limits, func(l plan.Limit) bool { return l.Counts == quota.Cold }) {
 		return ""
 	}
 	return fmt.Sprintf("ramp_time = \"%v\"\ncold_share = 0.3\nfall_multiple = 2.5\n", plan.Ramp)
--- a/internal/host/fleet/instances.go
+++ b/internal/host/fleet/instances.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/protocol/http1"
@@ -17,11 +17,11 @@
 	spec   Instance
 	agent  *core.Agent
 	end    context.CancelFunc
-	number uint32         // of the running copy, towards the carrier; never used again
-	told   []rights.Limit // what it was last told
-	banned []string       // servers that are out of use by the file or the policy
-	floors int            // and for how many agents its floors are
-	life   int            // copies so far: what an earlier one tells is not this one's end
+	number uint32        // of the running copy, towards the carrier; never used again
+	told   []quota.Limit // what it was last told
+	banned []string      // servers that are out of use by the file or the policy
+	floors int           // and for how many agents its floors are
+	life   int           // copies so far: what an earlier one tells is not this one's end
 	past   core.Totals
 }
 
@@ -60,7 +60,7 @@
 		cfg.Settings.Balancers = count.Most
 	}
 	number := d.numbers.Add(1)
-	held := func(all []rights.Holding) { // called by the agent's loop
+	held := func(all []quota.Holding) { // called by the agent's loop
 		if p := d.sharing.Load(); p != nil {
 			p.carrier.Held(number, all)
 		}
--- a/internal/host/fleet/limits.go
+++ b/internal/host/fleet/limits.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/limits"
@@ -60,11 +60,11 @@
 }
 
 func (c *checker) limit(at string, in *limit, l *Limits, f *file, classes []string) {
-	one := limits.Limit{Limit: rights.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Figure: in.Figure, Floor: in.Floor}
+	one := limits.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Figure: in.Figure, Floor: in.Floor}
 	if in.Name == "" || strings.ContainsAny(in.Name, " \t\r\n\"") || len(in.Name) > 40 || slices.ContainsFunc(l.Limits, func(o limits.Limit) bool { return o.Name == in.Name }) {
 		c.fail(at+"name", "%q: 1 to 40 characters without spaces or quotes, and each once", in.Name)
 	}
-	one.Counts = rights.Counts(c.name(at+"counts", in.Counts, rights.Names))
+	one.Counts = quota.Counts(c.name(at+"counts", in.Counts, quota.Names))
 	one.Hard = c.name(at+"kind", in.Kind, []string{"hard", "soft"}) == 0
 	if in.Figure < 1 || in.Figure > 10_000_000 {
 		c.fail(at+"figure", "%d: 1 to 10000000 are allowed", in.Figure)
@@ -98,7 +98,7 @@
 	}
 	if in.Each != "" {
 		of("each", in.Each)
-		one.Each = rights.Each(1 + c.name(at+"each", in.Each, []string{"server", "zone", "pod"}))
+		one.Each = quota.Each(1 + c.name(at+"each", in.Each, []string{"server", "zone", "pod"}))
 	}
 	one.Scope = strings.Join(scope, ", ")
 	l.Limits = append(l.Limits, one)
@@ -106,8 +106,8 @@
 }
 
 // of are the limits in the terms of an instance's settings. One of a class that it does not take falls on nothing.
-func (l *Limits) of(i *Instance) []rights.Limit {
-	var all []rights.Limit
+func (l *Limits) of(i *Instance) []quota.Limit {
+	var all []quota.Limit
 	for n, one := range l.Limits {
 		r := one.Limit
 		if l.classes[n] != "" {
@@ -125,7 +125,7 @@
 	if p.agent == nil {
 		return true
 	}
-	var all []rights.Limit
+	var all []quota.Limit
 	if d.cfg.Limits != nil {
 		all = d.cfg.Limits.of(&p.spec)
 	}
@@ -153,13 +153,13 @@
 
 // lend passes on what a keeper lent. The carrier's loop calls it; it does not wait: an agent that is too busy to hear goes
 // by what it had, which ends by itself.
-func (d *Daemon) lend(agent uint32, all []rights.Right, base time.Time) {
+func (d *Daemon) lend(agent uint32, all []quota.Right, base time.Time) {
 	if a, ok := d.agents.Load(agent); ok {
 		a.(hosted).agent.Lend(lendable(all, base))
 	}
 }
 
-func lendable(all []rights.Right, base time.Time) []core.Right {
+func lendable(all []quota.Right, base time.Time) []core.Right {
 	out := make([]core.Right, len(all))
 	for i, r := range all {
 		out[i] = core.Right{Right: r, Until: base.Add(r.Until)}
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -27,12 +27,12 @@
 
 // free import nothing of this program but what is named: decisions and judges.
 var free = map[string][]string{
-	"decide":                     {"decide/rights"},
+	"decide":                     {"decide/quota"},
 	"internal/source/membership": nil,
 	"internal/host/supervise":    nil,
 	"internal/peer/view":         nil,
-	"decide/rights":              nil,
-	"internal/peer/limits":       {"decide/rights"},
+	"decide/quota":               nil,
+	"internal/peer/limits":       {"decide/quota"},
 	"internal/peer/verdicts":     nil,
 	"internal/peer/policy":       nil,
 	"internal/eventqueue":        nil,
--- a/internal/peer/carrier/carrier_test.go
+++ b/internal/peer/carrier/carrier_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/view"
 )
@@ -357,7 +357,7 @@
 
 // What a keeper has lent goes to its successor with the view: maps in arrays in maps, ten deep.
 func TestSavedWithWhatIsLentIsReadBack(t *testing.T) {
-	s := limits.Settings{Keepers: []string{"k"}, Limits: []limits.Limit{{Limit: rights.Limit{Name: "l", Counts: rights.Attempts, Class: -1, Zone: -1, Cell: -1}, Figure: 10, Hard: true}}}
+	s := limits.Settings{Keepers: []string{"k"}, Limits: []limits.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Figure: 10, Hard: true}}}
 	k, err := limits.NewKeeper(s, "k", 7)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/carrier/sharing.go
+++ b/internal/peer/carrier/sharing.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/verdicts"
 )
@@ -27,7 +27,7 @@
 	gone   struct{ agent uint32 }
 	held   struct {
 		agent uint32
-		all   []rights.Holding
+		all   []quota.Holding
 	}
 )
 
@@ -181,7 +181,7 @@
 func (c *Carrier) Gone(agent uint32) { c.post(input{shared: gone{agent}}) }
 
 // Held passes on how an agent's rights stand. It does not wait.
-func (c *Carrier) Held(agent uint32, all []rights.Holding) { c.share(held{agent, all}) }
+func (c *Carrier) Held(agent uint32, all []quota.Holding) { c.share(held{agent, all}) }
 
 // ShownLimits is how the limits stand, at this daemon and, of what it keeps, in all.
 type ShownLimits struct {
--- a/internal/peer/limits/holder.go
+++ b/internal/peer/limits/holder.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // Holder asks keepers for rights on behalf of a daemon's agents, and passes on what it gets. The agents count what
-// they use, each in a book of its own (decide/rights), and report.
+// they use, each in a book of its own (decide/quota), and report.
 type Holder struct {
 	s       Settings
 	name    string
@@ -83,7 +83,7 @@
 // Given are rights for one agent.
 type Given struct {
 	Agent  uint32
-	Rights []rights.Right
+	Rights []quota.Right
 }
 
 const (
@@ -142,7 +142,7 @@
 // begin has a row for each limit that has one part.
 func (h *Holder) begin(now time.Duration, id uint32) {
 	for i, l := range h.s.Limits {
-		if l.Each == rights.EachNone {
+		if l.Each == quota.EachNone {
 			h.row(now, id, rowID{i, ""})
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 // usedNow is what may still count of an agent that has ended: of rates, all that it last had.
-func (r *holdRow) usedNow(_ time.Duration, c rights.Counts, k int) int {
+func (r *holdRow) usedNow(_ time.Duration, c quota.Counts, k int) int {
 	if !c.Rate() {
 		return 0
 	}
@@ -206,7 +206,7 @@
 }
 
 // Held takes an agent's report. Where something lacked a right, keepers are asked soon.
-func (h *Holder) Held(now time.Duration, id uint32, all []rights.Holding) {
+func (h *Holder) Held(now time.Duration, id uint32, all []quota.Holding) {
 	if h.agents[id] == nil {
 		if h.ended[id] {
 			return
@@ -258,7 +258,7 @@
 
 // learn reckons what an agent needs: what it uses, and what it would have used besides of what it turned away in the
 // last second. What is in flight goes up and down by chance, and is smoothed on its way down.
-func (r *holdRow) learn(now time.Duration, used int, c rights.Counts) {
+func (r *holdRow) learn(now time.Duration, used int, c quota.Counts) {
 	r.tried = slices.DeleteFunc(r.tried, func(t tried) bool { return now-t.at >= span })
 	begun, turned := 0, 0
 	for _, t := range r.tried {
@@ -428,14 +428,14 @@
 		if len(x.sent) > 64 { // its agent does not hear: what it took is found again by what it takes next
 			x.sent = x.sent[32:]
 		}
-		right := rights.Right{Limit: l.Name, Key: item.Key, Keeper: h.s.Keepers[keeper], Number: h.local, Amount: x.amount, Until: x.until}
+		right := quota.Right{Limit: l.Name, Key: item.Key, Keeper: h.s.Keepers[keeper], Number: h.local, Amount: x.amount, Until: x.until}
 		if l.Counts.Rate() {
 			right.Span, right.Within = h.s.window(l)
 		}
 		if at := slices.IndexFunc(all, func(g Given) bool { return g.Agent == item.Agent }); at >= 0 {
 			all[at].Rights = append(all[at].Rights, right)
 		} else {
-			all = append(all, Given{item.Agent, []rights.Right{right}})
+			all = append(all, Given{item.Agent, []quota.Right{right}})
 		}
 	}
 	return all
--- a/internal/peer/limits/keeper.go
+++ b/internal/peer/limits/keeper.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // Keeper lends its part of each limit.
@@ -136,7 +136,7 @@
 				continue
 			}
 			if r == nil {
-				if len(l.rows) >= rowsMost || l.Each == rights.EachNone && i.Key != "" {
+				if len(l.rows) >= rowsMost || l.Each == quota.EachNone && i.Key != "" {
 					continue
 				}
 				r = &lendRow{holders: map[holderID]*borrower{}}
@@ -196,7 +196,7 @@
 // settle forgets loans that the holder no longer goes by: it has taken a later one. What it had in use at that moment
 // may be so still: in flight until it says otherwise, or until its right would have ended; begun within a second, for
 // a second.
-func (b *borrower) settle(now time.Duration, s Settings, i *AskItem, c rights.Counts) {
+func (b *borrower) settle(now time.Duration, s Settings, i *AskItem, c quota.Counts) {
 	keep := b.loans[:0]
 	last := time.Duration(0)
 	for _, x := range b.loans {
@@ -353,7 +353,7 @@
 			keys = append(keys, key)
 		}
 		slices.Sort(keys)
-		if len(keys) == 0 && l.Each == rights.EachNone {
+		if len(keys) == 0 && l.Each == quota.EachNone {
 			keys = []string{""}
 		}
 		for _, key := range keys {
--- a/internal/peer/limits/limits.go
+++ b/internal/peer/limits/limits.go
@@ -20,16 +20,16 @@
 	"math"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
 // Limit is one of them, as all members' files have it.
 type Limit struct {
-	rights.Limit         // what it counts, in the terms of this daemon's settings
-	Scope        string  // the same in words that all daemons share
-	Figure       int     // at least 1
-	Hard         bool    // else each agent may use its part of Floor besides, whatever becomes of rights
-	Floor        float64 // of a soft limit: the share that is divided by head count besides; default Floor
+	quota.Limit         // what it counts, in the terms of this daemon's settings
+	Scope       string  // the same in words that all daemons share
+	Figure      int     // at least 1
+	Hard        bool    // else each agent may use its part of Floor besides, whatever becomes of rights
+	Floor       float64 // of a soft limit: the share that is divided by head count besides; default Floor
 }
 
 // Settings are fixed for the life of a Keeper or Holder.
@@ -112,7 +112,7 @@
 }
 
 // term is how long a right lasts, from when it was asked for. What counts in flight has to end by then.
-func (s Settings) term(c rights.Counts) time.Duration {
+func (s Settings) term(c quota.Counts) time.Duration {
 	if c.Rate() {
 		return s.Term
 	}
@@ -120,7 +120,7 @@
 }
 
 // lent is how long a right counts as lent at its keeper, from when it answered.
-func (s Settings) lent(c rights.Counts) time.Duration {
+func (s Settings) lent(c quota.Counts) time.Duration {
 	d := s.term(c)
 	if c.Rate() { // what was begun at its end still counts for a second
 		d += span + within
@@ -159,13 +159,13 @@
 
 // Floors are the rights that an agent has of soft limits whatever becomes of keepers, in a fleet of so many agents at
 // the most. They hold until the next ones.
-func (s Settings) Floors(agents int) []rights.Right {
+func (s Settings) Floors(agents int) []quota.Right {
 	s, _ = s.withDefaults()
-	var all []rights.Right
+	var all []quota.Right
 	for i := range s.Limits {
 		if l := &s.Limits[i]; !l.Hard {
 			amount, over := s.floor(l, agents)
-			all = append(all, rights.Right{Limit: l.Name, Amount: amount, Until: forEver, Span: over})
+			all = append(all, quota.Right{Limit: l.Name, Amount: amount, Until: forEver, Span: over})
 		}
 	}
 	return all
--- a/internal/peer/limits/limits_test.go
+++ b/internal/peer/limits/limits_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 )
 
-func settings(figure int, c rights.Counts, keepers ...string) Settings {
-	return Settings{Keepers: keepers, Longest: time.Second, Limits: []Limit{{Limit: rights.Limit{Name: "l", Counts: c, Class: -1, Zone: -1, Cell: -1}, Figure: figure, Hard: true}}}
+func settings(figure int, c quota.Counts, keepers ...string) Settings {
+	return Settings{Keepers: keepers, Longest: time.Second, Limits: []Limit{{Limit: quota.Limit{Name: "l", Counts: c, Class: -1, Zone: -1, Cell: -1}, Figure: figure, Hard: true}}}
 }
 
 // bench is one keeper, past its start, and questions to it.
@@ -53,7 +53,7 @@
 }
 
 func TestSmallerRightCountsUntilItIsTaken(t *testing.T) {
-	b := newBench(t, settings(10, rights.InFlight, "k"))
+	b := newBench(t, settings(10, quota.InFlight, "k"))
 	first, n := b.ask("x", 10, 0, 0)
 	if first != 10 {
 		t.Fatalf("%d of 10", first)
@@ -75,7 +75,7 @@
 }
 
 func TestNothingIsLentTwiceAfterAnOldQuestion(t *testing.T) {
-	b := newBench(t, settings(10, rights.PerSecond, "k"))
+	b := newBench(t, settings(10, quota.PerSecond, "k"))
 	_, n := b.ask("x", 10, 0, 0)
 	late := &Ask{From: "x", Life: 1, Print: b.k.s.Print(), Seq: b.seq, Keeper: 7, Items: []AskItem{{Agent: 1, Print: b.k.limits[0].print, Have: n}}}
 	_, n = b.ask("x", 0, n, 0)
@@ -92,7 +92,7 @@
 }
 
 func TestKeeperLendsNothingUntilOthersHaveLapsed(t *testing.T) {
-	for _, c := range []rights.Counts{rights.InFlight, rights.PerSecond} {
+	for _, c := range []quota.Counts{quota.InFlight, quota.PerSecond} {
 		s := settings(10, c, "k")
 		k, _ := NewKeeper(s, "k", 7)
 		b := &bench{t: t, s: s, k: k, now: time.Hour}
@@ -114,9 +114,9 @@
 }
 
 func TestSilentHoldersRightsComeBack(t *testing.T) {
-	b := newBench(t, settings(10, rights.InFlight, "k"))
+	b := newBench(t, settings(10, quota.InFlight, "k"))
 	b.ask("x", 10, 0, 0)
-	end := b.now + b.k.s.lent(rights.InFlight)
+	end := b.now + b.k.s.lent(quota.InFlight)
 	for ; b.now < end-50*time.Millisecond; b.now += 100 * time.Millisecond {
 		if got, _ := b.ask("y", 10, 0, 0); got != 0 {
 			t.Fatalf("y has %d, %v before x's right is over for certain", got, end-b.now)
@@ -129,7 +129,7 @@
 }
 
 func TestSuccessorsLendNothingTwice(t *testing.T) {
-	b := newBench(t, settings(10, rights.InFlight, "k"))
+	b := newBench(t, settings(10, quota.InFlight, "k"))
 	has, _ := b.ask("x", 8, 0, 0)
 	st := b.k.State(b.now)
 	next, _ := NewKeeper(b.s, "k", 99)
@@ -158,7 +158,7 @@
 		t.Errorf("with other keepers it lends %d at once", got)
 	}
 	// With a shorter term than that for which it lent: not before the longer one is over.
-	long := b.k.s.lent(rights.InFlight)
+	long := b.k.s.lent(quota.InFlight)
 	short := b.s
 	short.Term = Term / 2
 	quick, _ := NewKeeper(short, "k", 7)
@@ -172,7 +172,7 @@
 }
 
 func TestEveryHolderHasATurn(t *testing.T) {
-	b := newBench(t, settings(2, rights.PerSecond, "k"))
+	b := newBench(t, settings(2, quota.PerSecond, "k"))
 	have := map[string]uint64{}
 	had := map[string]int{}
 	for range 400 {
@@ -191,20 +191,20 @@
 }
 
 // holding is a holder with one agent, its book, and keepers that answer by hand.
-func holding(t *testing.T, s Settings) (*Holder, *rights.Book) {
+func holding(t *testing.T, s Settings) (*Holder, *quota.Book) {
 	t.Helper()
 	h, err := NewHolder(s, "x", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.Join(time.Hour, 1)
-	b := &rights.Book{}
-	b.Set([]rights.Limit{s.Limits[0].Limit})
+	b := &quota.Book{}
+	b.Set([]quota.Limit{s.Limits[0].Limit})
 	return h, b
 }
 
 func TestHolderTakesNoAnswerThatIsOldOrDoubled(t *testing.T) {
-	h, b := holding(t, settings(10, rights.PerSecond, "k"))
+	h, b := holding(t, settings(10, quota.PerSecond, "k"))
 	now := time.Hour
 	asks, _ := h.Asks(now)
 	first := asks[0]
@@ -239,7 +239,7 @@
 }
 
 func TestBoundsAreAsTheFormulasSay(t *testing.T) {
-	s := settings(100, rights.PerSecond, "a", "b", "c")
+	s := settings(100, quota.PerSecond, "a", "b", "c")
 	b := s.Bound(s.Limits[0], 10)
 	if b.Most != 100 || b.AloneIs != 0 || !slices.Equal(b.Parts, []int{34, 33, 33}) {
 		t.Errorf("hard: %+v", b)
--- a/internal/peer/limits/play/play.go
+++ b/internal/peer/limits/play/play.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/peer/limits"
 )
@@ -40,7 +40,7 @@
 	Holders int
 	Keepers int // the first holders
 	Figure  int
-	Counts  rights.Counts
+	Counts  quota.Counts
 	Soft    bool
 	Length  time.Duration
 	Demand  func(holder int, now time.Duration) float64 // requests a second wanted
@@ -90,7 +90,7 @@
 	rate    float64
 	offset  time.Duration
 	h       []*limits.Holder // one; of a quorum one for each keeper
-	book    []*rights.Book
+	book    []*quota.Book
 	k       *limits.Keeper
 	life    uint64
 	paused  bool
@@ -120,7 +120,7 @@
 func Play(o Options) (*Result, error) {
 	w := &world{o: o, rng: rand.New(rand.NewPCG(o.Seed, 21)), down: map[[2]int]bool{}}
 	w.s = limits.Settings{Longest: 4 * o.Lasts,
-		Limits: []limits.Limit{{Limit: rights.Limit{Name: "l", Counts: o.Counts, Class: -1, Zone: -1, Cell: -1}, Figure: o.Figure, Hard: !o.Soft}}}
+		Limits: []limits.Limit{{Limit: quota.Limit{Name: "l", Counts: o.Counts, Class: -1, Zone: -1, Cell: -1}, Figure: o.Figure, Hard: !o.Soft}}}
 	switch o.Way {
 	case Leader:
 		w.o.Keepers = 1
@@ -203,8 +203,8 @@
 		if err != nil {
 			return err
 		}
-		b := &rights.Book{}
-		b.Set([]rights.Limit{w.s.Limits[0].Limit})
+		b := &quota.Book{}
+		b.Set([]quota.Limit{w.s.Limits[0].Limit})
 		h.Join(m.clock(w.now), agent)
 		b.Grant(m.clock(w.now), w.settings(k).Floors(w.o.Holders))
 		m.h, m.book = append(m.h, h), append(m.book, b)
@@ -432,7 +432,7 @@
 		w.beg(m)
 		return nil, false
 	}
-	u := &rights.Use{Class: 0, First: true, Ends: now + 4*w.o.Lasts}
+	u := &quota.Use{Class: 0, First: true, Ends: now + 4*w.o.Lasts}
 	if m.short(w, now, u) {
 		for i := range m.h {
 			if m.book[i].Asked() && now >= m.nextAsk {
@@ -444,7 +444,7 @@
 		}
 		return nil, false
 	}
-	var taken [][]rights.Taken
+	var taken [][]quota.Taken
 	for _, b := range m.book {
 		if len(m.book) == 1 || b.Short(now, u, false) == nil {
 			t, _, _, _ := b.Take(now, u)
@@ -462,7 +462,7 @@
 }
 
 // short reports whether there is no right: of a quorum, not two.
-func (m *member) short(w *world, now time.Duration, u *rights.Use) bool {
+func (m *member) short(w *world, now time.Duration, u *quota.Use) bool {
 	have := 0
 	for _, b := range m.book {
 		if b.Short(now, u, true) == nil {
--- a/internal/peer/limits/play/play_test.go
+++ b/internal/peer/limits/play/play_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/decide/rights"
+	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/limits"
 )
 
@@ -22,7 +22,7 @@
 }
 
 func TestHardLimitIsNeverPassed(t *testing.T) {
-	for _, counts := range []rights.Counts{rights.InFlight, rights.PerSecond} {
+	for _, counts := range []quota.Counts{quota.InFlight, quota.PerSecond} {
 		begun, crashes, near := 0, 0, 0
 		for seed := range uint64(8) {
 			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 1 + 2*int(seed%3), Figure: 20 + int(seed), Counts: counts, Length: 60 * time.Second,
@@ -40,7 +40,7 @@
 
 func TestSoftLimitKeepsItsBound(t *testing.T) {
 	over := 0
-	for _, counts := range []rights.Counts{rights.InFlight, rights.PerSecond} {
+	for _, counts := range []quota.Counts{quota.InFlight, quota.PerSecond} {
 		for seed := range uint64(6) {
 			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 3, Figure: 60, Soft: true, Counts: counts, Length: 40 * time.Second,
 				Demand: even(30), Lasts: 200 * time.Millisecond, Faults: true, Rates: limits.Drift})
@@ -59,7 +59,7 @@
 func TestClocksFarOffBreakIt(t *testing.T) {
 	over := 0
 	for seed := range uint64(20) {
-		r := run(t, Options{Seed: seed, Holders: 2, Keepers: 1, Figure: 30, Counts: rights.InFlight, Length: 40 * time.Second,
+		r := run(t, Options{Seed: seed, Holders: 2, Keepers: 1, Figure: 30, Counts: quota.InFlight, Length: 40 * time.Second,
 			Demand: even(300), Lasts: 200 * time.Millisecond, Rates: 0.6, Cut: []int{1}, Cut0: 10 * time.Second, Cut1: time.Hour})
 		over += r.Over
 	}
@@ -86,7 +86,7 @@
 		{"two fifths", even(5), false, 0.97}, {"four fifths", even(10), false, 0.80}, {"all wanted twice", even(24), false, 0.84},
 		{"uneven", uneven, false, 0.82}, {"soft, four fifths", even(10), true, 0.95}, {"soft, uneven", uneven, true, 0.95},
 	} {
-		r := run(t, Options{Seed: 1, Holders: 10, Keepers: 3, Figure: 120, Soft: c.soft, Counts: rights.PerSecond, Length: 60 * time.Second, Demand: c.demand, From: 10 * time.Second})
+		r := run(t, Options{Seed: 1, Holders: 10, Keepers: 3, Figure: 120, Soft: c.soft, Counts: quota.PerSecond, Length: 60 * time.Second, Demand: c.demand, From: 10 * time.Second})
 		t.Logf("%s: served %.3f, most %d of %d, %d messages of %d bytes", c.name, r.Served, r.Most, r.Bound, r.Messages, r.Bytes)
 		if r.Served < c.least {
 			t.Errorf("%s: %.3f of what is wanted or allowed", c.name, r.Served)
@@ -96,7 +96,7 @@
 
 func TestShiftIsFollowed(t *testing.T) {
 	for _, soft := range []bool{false, true} {
-		for _, counts := range []rights.Counts{rights.PerSecond, rights.InFlight} {
+		for _, counts := range []quota.Counts{quota.PerSecond, quota.InFlight} {
 			r := run(t, Options{Seed: 2, Holders: 10, Keepers: 3, Figure: 120, Soft: soft, Counts: counts, Lasts: 100 * time.Millisecond, Length: 40 * time.Second, From: 10 * time.Second,
 				Demand: func(n int, now time.Duration) float64 {
 					if (n == 1) == (now > 20*time.Second) && n < 2 {
@@ -105,7 +105,7 @@
 					return 1
 				}})
 			rate := 120.0
-			if counts == rights.InFlight {
+			if counts == quota.InFlight {
 				rate = 1200
 			}
 			d := r.Follows(1, 20*time.Second, rate, 0.85)
