--- a/internal/drill/hollow/few.go
+++ b/internal/drill/hollow/few.go
@@ -9,7 +9,7 @@
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // Few is a few whole members beside a fleet whose rest is played: who is not whole answers probes as members do, and
@@ -37,9 +37,9 @@
 	agenda eventqueue.Agenda
 	m      *meter
 	wire   carrier.Wire
-	all    []view.Record
+	all    []membership.Record
 	number []uint64 // datagrams of each played member
-	whole  []*view.View
+	whole  []*membership.View
 	wake   []time.Duration
 	byAddr map[string]int
 }
@@ -49,14 +49,14 @@
 	w := &few{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: carrier.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
 		wake: make([]time.Duration, f.Whole), byAddr: map[string]int{}}
 	for n := range f.Members {
-		r := view.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Program: "virtual",
+		r := membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Program: "virtual",
 			Boot: 1_790_000_000, Life: uint64(n)*2654435761 + 1, Instances: 1, Balancers: 1}
 		w.all = append(w.all, r)
 		w.byAddr[r.Addr] = n
 	}
 	for n := range f.Whole {
 		r := w.all[n]
-		v, err := view.New(view.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Program: r.Program, Boot: r.Boot, Life: r.Life, Instances: 1, Balancers: 1,
+		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Program: r.Program, Boot: r.Boot, Life: r.Life, Instances: 1, Balancers: 1,
 			Known: w.all, Parallel: true, Members: f.Members + 1, FileCount: 1}, w.rng.Uint64())
 		if err != nil {
 			return nil, fmt.Errorf("a whole member of %d: %w", f.Members, err)
@@ -85,7 +85,7 @@
 }
 
 // played sends a whole member a datagram of one that is not.
-func (w *few) played(from, to int, after time.Duration, m *view.Message) {
+func (w *few) played(from, to int, after time.Duration, m *membership.Message) {
 	w.after(after, func() {
 		r := &w.all[from]
 		w.number[from]++
@@ -99,16 +99,16 @@
 			panic("hollow: " + err.Error())
 		}
 		w.m.took(w.now, to, len(data))
-		w.step(to, view.Datagram{Message: read.(*view.Message), Size: len(data)})
+		w.step(to, membership.Datagram{Message: read.(*membership.Message), Size: len(data)})
 	})
 }
 
 // probed has a whole member probed as often as each member is: once in Every, in the mean.
 func (w *few) probed(to int) {
-	w.after(time.Duration(w.rng.ExpFloat64()*float64(view.Every)), func() {
+	w.after(time.Duration(w.rng.ExpFloat64()*float64(membership.Every)), func() {
 		from := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
-		if w.all[from].State == view.Alive {
-			w.played(from, to, w.way(from, to), &view.Message{Kind: view.Ping, Seq: w.rng.Uint32(), Target: plan.Name(to), Addr: w.all[from].Addr})
+		if w.all[from].State == membership.Alive {
+			w.played(from, to, w.way(from, to), &membership.Message{Kind: membership.Ping, Seq: w.rng.Uint32(), Target: plan.Name(to), Addr: w.all[from].Addr})
 		}
 		w.probed(to)
 	})
@@ -119,17 +119,17 @@
 	w.after(time.Duration(w.rng.ExpFloat64()/w.f.Events*float64(time.Second)), func() {
 		n := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 		r := &w.all[n]
-		if r.State == view.Alive {
-			r.State, r.By = view.Dead, plan.Name(w.f.Whole)
+		if r.State == membership.Alive {
+			r.State, r.By = membership.Dead, plan.Name(w.f.Whole)
 		} else {
-			r.State, r.By, r.Boot, r.Life = view.Alive, "", r.Boot+1, w.rng.Uint64()|1
+			r.State, r.By, r.Boot, r.Life = membership.Alive, "", r.Boot+1, w.rng.Uint64()|1
 		}
 		told := *r
 		for to := range w.whole {
 			for range int(w.f.Copies + w.rng.Float64()) {
 				from := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
-				if w.all[from].State == view.Alive {
-					w.played(from, to, time.Duration(w.rng.Float64()*float64(w.f.News)), &view.Message{Kind: view.News, Updates: []view.Record{told}})
+				if w.all[from].State == membership.Alive {
+					w.played(from, to, time.Duration(w.rng.Float64()*float64(w.f.News)), &membership.Message{Kind: membership.News, Updates: []membership.Record{told}})
 				}
 			}
 		}
@@ -137,13 +137,13 @@
 	})
 }
 
-func (w *few) step(n int, events ...view.Event) {
+func (w *few) step(n int, events ...membership.Event) {
 	v := w.whole[n]
 	for _, a := range v.Step(w.now, events...) {
 		switch a := a.(type) {
-		case view.Send:
+		case membership.Send:
 			w.sent(n, a)
-		case view.Open: // the other's view is the same
+		case membership.Open: // the other's view is the same
 			w.exchange(n, a)
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 // sent is what a whole member sends: another whole one gets it, a played one answers it.
-func (w *few) sent(from int, a view.Send) {
+func (w *few) sent(from int, a membership.Send) {
 	data, err := w.wire.Marshal(plan.Name(from), a.Message)
 	if err != nil {
 		panic("hollow: " + err.Error()) // a member's own message
@@ -177,44 +177,44 @@
 		}
 		w.after(there, func() {
 			w.m.took(w.now, to, len(data))
-			w.step(to, view.Datagram{Message: read.(*view.Message), Size: len(data)})
+			w.step(to, membership.Datagram{Message: read.(*membership.Message), Size: len(data)})
 		})
 		return
 	}
-	if w.all[to].State != view.Alive {
+	if w.all[to].State != membership.Alive {
 		return
 	}
 	switch m := a.Message; m.Kind {
-	case view.Ping:
-		w.played(to, from, there+w.way(to, from), &view.Message{Kind: view.Ack, Seq: m.Seq, Target: m.Target})
-	case view.PingFor:
-		if t, ok := w.byAddr[m.Addr]; ok && w.all[t].State == view.Alive {
-			w.played(to, from, there+w.way(to, t)+w.way(t, to)+w.way(to, from), &view.Message{Kind: view.Ack, Seq: m.Seq, Target: m.Target})
+	case membership.Ping:
+		w.played(to, from, there+w.way(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
+	case membership.PingFor:
+		if t, ok := w.byAddr[m.Addr]; ok && w.all[t].State == membership.Alive {
+			w.played(to, from, there+w.way(to, t)+w.way(t, to)+w.way(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
 		}
 	}
 }
 
-func (w *few) exchange(from int, a view.Open) {
+func (w *few) exchange(from int, a membership.Open) {
 	data, err := w.wire.Marshal(plan.Name(from), a.Message)
 	if err != nil {
 		panic("hollow: " + err.Error())
 	}
 	w.m.sent(w.now, from, len(data))
 	to, ok := w.byAddr[a.To]
-	if !ok || w.all[to].State != view.Alive {
-		w.after(2*time.Millisecond, func() { w.step(from, view.Failed{ID: a.ID}) })
+	if !ok || w.all[to].State != membership.Alive {
+		w.after(2*time.Millisecond, func() { w.step(from, membership.Failed{ID: a.ID}) })
 		return
 	}
 	r := &w.all[to]
-	x := &view.Exchange{From: r.Name, Boot: r.Boot, Life: r.Life}
-	w.after(2*w.way(from, to)+2*w.way(to, from), func() { w.step(from, view.Answered{ID: a.ID, Message: x}) })
+	x := &membership.Exchange{From: r.Name, Boot: r.Boot, Life: r.Life}
+	w.after(2*w.way(from, to)+2*w.way(to, from), func() { w.step(from, membership.Answered{ID: a.ID, Message: x}) })
 }
 
 // Whole is what a whole view of so many members takes on a stream: what one that has lost its own is sent.
 func Whole(members int) (int, error) {
-	x := &view.Exchange{From: plan.Name(0), Boot: 1, Life: 1}
+	x := &membership.Exchange{From: plan.Name(0), Boot: 1, Life: 1}
 	for n := range members {
-		x.Records = append(x.Records, view.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Program: "virtual",
+		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Program: "virtual",
 			Boot: 1_790_000_000, Life: uint64(n)*0x9e3779b97f4a7c15 + 1, Instances: 1, Balancers: 1, Checked: true})
 	}
 	data, err := carrier.Wire{Fleet: Fleet}.Marshal(x.From, x)
--- a/internal/drill/hollow/sockets.go
+++ b/internal/drill/hollow/sockets.go
@@ -18,8 +18,8 @@
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/peer/carrier"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 )
 
 // Sockets is members on loopback sockets, all in this process: the daemons' own carrier, with no daemon round it. It
@@ -189,7 +189,7 @@
 	m.said = &said{}
 	c, err := carrier.New(carrier.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.said,
 		Verdicts: &verdicts.Settings{}, Judged: func([]verdicts.Verdict, time.Time) {}, // as daemons have them, with no requests to judge by
-		View: view.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
+		View: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
 			Every: p.Every, Direct: p.Direct, Indirect: p.Indirect, SuspectLeast: p.SuspectLeast, Bytes: p.Bytes, FileCount: 1}})
 	if err != nil {
 		return err
--- a/internal/drill/hollow/view.go
+++ b/internal/drill/hollow/view.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // Fleet is the name of the hollow members' fleet, in each message: as long as a real one's may well be.
@@ -32,7 +32,7 @@
 	Peers   plan.Peers
 	Workers int
 	// Each hears of each change, in order.
-	Each func(at time.Duration, member int, a view.Action)
+	Each func(at time.Duration, member int, a membership.Action)
 	// Agreed is the last time from which all members that run had the same view, to the end; below 0: they differ at the end.
 	Agreed time.Duration
 }
@@ -64,7 +64,7 @@
 			}
 		}}
 	if o.Each == nil {
-		o.Each = func(time.Duration, int, view.Action) {}
+		o.Each = func(time.Duration, int, membership.Action) {}
 	}
 	r, err := virtual.Play(p, o)
 	if err != nil {
@@ -139,9 +139,9 @@
 // Memory is what one member of a fleet holds on the heap, by a view that is made of records as they come off the wire.
 func Memory(members int) (bytes uint64, err error) {
 	wire := carrier.Wire{Fleet: Fleet}
-	x := &view.Exchange{From: plan.Name(0)}
+	x := &membership.Exchange{From: plan.Name(0)}
 	for n := range members {
-		x.Records = append(x.Records, view.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: fmt.Sprintf("r%d-z%d", n%5+1, n%3+1), Program: "1.0.0",
+		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: fmt.Sprintf("r%d-z%d", n%5+1, n%3+1), Program: "1.0.0",
 			Boot: 1_790_000_000 + uint64(n), Life: uint64(n)*2654435761 + 1, Instances: 1, Balancers: 1})
 	}
 	data, err := wire.Marshal(plan.Name(0), x)
@@ -154,8 +154,8 @@
 	}
 	before := heap()
 	first := x.Records[0]
-	v, err := view.New(view.Settings{Name: first.Name, Addr: first.Addr, Zone: first.Zone, Program: first.Program, Boot: first.Boot, Life: first.Life,
-		Instances: 1, Balancers: 1, Parallel: true, Known: read.(*view.Exchange).Records, Members: cmp.Or(members, view.Members)}, 1)
+	v, err := membership.New(membership.Settings{Name: first.Name, Addr: first.Addr, Zone: first.Zone, Program: first.Program, Boot: first.Boot, Life: first.Life,
+		Instances: 1, Balancers: 1, Parallel: true, Known: read.(*membership.Exchange).Records, Members: cmp.Or(members, membership.Members)}, 1)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/drill/virtual/befall.go
+++ b/internal/drill/virtual/befall.go
@@ -8,7 +8,7 @@
 
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // line is one by the drill.
@@ -38,21 +38,21 @@
 }
 
 // told is what a daemon writes of an action.
-func told(a view.Action) (judge.Line, bool) {
+func told(a membership.Action) (judge.Line, bool) {
 	switch a := a.(type) {
-	case view.Changed:
+	case membership.Changed:
 		r := &a.Record
 		l := judge.Line{What: judge.Member, Of: r.Name, Addr: r.Addr, Life: life(r.Life), Boot: r.Boot, Inc: r.Inc, State: r.State.String(), Why: a.Why}
 		if !a.New {
 			l.Was = a.Was.String()
 		}
 		return l, true
-	case view.Counted:
+	case membership.Counted:
 		c := a.Count
 		return judge.Line{What: judge.Counted, Most: c.Most, Least: c.Least, Members: c.Members, Live: c.Live, File: c.File}, true
-	case view.Contested:
+	case membership.Contested:
 		return judge.Line{What: judge.Contested, Addr: a.Other.Addr, Life: life(a.Other.Life), StandBack: a.StandBack, Why: a.Why}, true
-	case view.Doubted:
+	case membership.Doubted:
 		return judge.Line{What: judge.Doubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
 	return judge.Line{}, false
@@ -61,7 +61,7 @@
 func life(n uint64) string { return strconv.FormatUint(n, 16) }
 
 // befall does one event of the plan.
-func (w *world) befall(e plan.Event, known []view.Record) {
+func (w *world) befall(e plan.Event, known []membership.Record) {
 	switch e.Do {
 	case "link":
 		w.link(e)
@@ -79,7 +79,7 @@
 	case "forget":
 		for _, n := range e.Who {
 			for _, m := range e.To {
-				w.deliver(w.agents[n], view.Forget{Name: plan.Name(m)})
+				w.deliver(w.agents[n], membership.Forget{Name: plan.Name(m)})
 			}
 		}
 		return
@@ -112,7 +112,7 @@
 			if a.v != nil && !a.leaving {
 				a.leaving = true
 				w.line(judge.Line{By: a.name, PID: a.pid, What: judge.Leaving})
-				w.deliver(a, view.Leave{})
+				w.deliver(a, membership.Leave{})
 			}
 		case "pause":
 			if a.v != nil && !a.paused {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (w *world) deliver(a *agent, ev view.Event) {
+func (w *world) deliver(a *agent, ev membership.Event) {
 	if a.v != nil {
 		a.in.Push(delivery{at: w.now, from: -1, ev: ev})
 		slices.SortFunc(a.in, func(x, y delivery) int { // sorted is a heap
@@ -148,7 +148,7 @@
 	}
 }
 
-func (w *world) start(a *agent, e plan.Event, known []view.Record) {
+func (w *world) start(a *agent, e plan.Event, known []membership.Record) {
 	if a.v != nil {
 		return
 	}
@@ -161,10 +161,10 @@
 	w.pids++
 	a.pid = w.pids
 	a.leaving, a.gone, a.paused = false, false, false
-	boot := view.NextBoot(a.disk.boot, wallBase+int64((w.now+e.Clock)/time.Second))
+	boot := membership.NextBoot(a.disk.boot, wallBase+int64((w.now+e.Clock)/time.Second))
 	a.disk.boot = boot
 	a.life = w.chance.Uint64() | 1
-	s := view.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Program: "virtual", Boot: boot, Life: a.life,
+	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Program: "virtual", Boot: boot, Life: a.life,
 		Instances: w.o.Instances, Balancers: w.o.Instances, Known: a.disk.known, FileCount: max(1, w.o.FileCount), Plain: w.o.Plain,
 		Every: w.p.Peers.Every, Direct: w.p.Peers.Direct, Indirect: w.p.Peers.Indirect, SuspectLeast: w.p.Peers.SuspectLeast, Bytes: w.p.Peers.Bytes, FarBytes: w.p.Peers.FarBytes}
 	if known != nil && w.now == 0 {
@@ -174,7 +174,7 @@
 	for _, n := range w.p.Seeds {
 		s.Seeds = append(s.Seeds, w.agents[n].addr)
 	}
-	v, err := view.New(s, w.o.Seed^a.life)
+	v, err := membership.New(s, w.o.Seed^a.life)
 	if err != nil {
 		panic("virtual: " + err.Error()) // the model's own settings
 	}
--- a/internal/drill/virtual/load.go
+++ b/internal/drill/virtual/load.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // Codec writes messages as members send them, and reads them back. carrier.Wire is the daemons' own.
@@ -66,7 +66,7 @@
 }
 
 // exchanged is written, for a message on a stream.
-func (w *world) exchanged(a *agent, at time.Duration, x *view.Exchange) (int, *view.Exchange) {
+func (w *world) exchanged(a *agent, at time.Duration, x *membership.Exchange) (int, *membership.Exchange) {
 	size, read := w.written(a, at, 100+80*len(x.Records)+9*len(x.Buckets), x)
-	return size, read.(*view.Exchange)
+	return size, read.(*membership.Exchange)
 }
--- a/internal/drill/virtual/virtual.go
+++ b/internal/drill/virtual/virtual.go
@@ -18,17 +18,17 @@
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // Options say how to play.
 type Options struct {
 	Seed    uint64
-	Daemons int        // instead of the plan's; 0: the plan's. Groups keep their members
-	Workers int        // 0: one for each core
-	Plain   view.Plain // for baselines
+	Daemons int              // instead of the plan's; 0: the plan's. Groups keep their members
+	Workers int              // 0: one for each core
+	Plain   membership.Plain // for baselines
 	// Each is called with each daemon's change, from one goroutine, in order of time and daemon. Lines are then not kept.
-	Each func(at time.Duration, daemon int, a view.Action)
+	Each func(at time.Duration, daemon int, a membership.Action)
 	// Warm starts all daemons as if they had known one another for long.
 	Warm bool
 	// Instances that each daemon says it runs; 0: 1.
@@ -53,10 +53,10 @@
 // Result is what happened.
 type Result struct {
 	Lines   []judge.Line
-	Traffic []view.Traffic // by daemon, of those that ran at the end
-	Events  uint64         // deliveries and timers
-	Views   []*view.View   // by daemon; nil: it does not run
-	Loads   [][]Load       // by daemon, and phase (Options.Marks)
+	Traffic []membership.Traffic // by daemon, of those that ran at the end
+	Events  uint64               // deliveries and timers
+	Views   []*membership.View   // by daemon; nil: it does not run
+	Loads   [][]Load             // by daemon, and phase (Options.Marks)
 }
 
 // The model: a datagram takes base to base+spread one way on a whole link. It is a site's, not loopback's: 1 to 3 ms.
@@ -76,7 +76,7 @@
 	at   time.Duration
 	from int
 	seq  uint64
-	ev   view.Event
+	ev   membership.Event
 	life uint64 // only for this life of the receiver; 0: any
 	size int    // on the wire
 }
@@ -105,7 +105,7 @@
 
 type disk struct {
 	boot  uint64
-	known []view.Record
+	known []membership.Record
 }
 
 type outgoing struct {
@@ -118,7 +118,7 @@
 	name    string
 	addr    string
 	rng     *rand.Rand
-	v       *view.View
+	v       *membership.View
 	pid     int
 	life    uint64
 	paused  bool
@@ -132,7 +132,7 @@
 	leaving bool
 	gone    bool
 	twin    bool
-	sent    view.Traffic
+	sent    membership.Traffic
 	far     int // bytes to other regions since they were last told
 	opened  int // whom its last exchange is with
 	events  uint64
@@ -143,7 +143,7 @@
 
 type seenAct struct {
 	at time.Duration
-	a  view.Action
+	a  membership.Action
 }
 
 type rule struct {
@@ -191,10 +191,10 @@
 	for n := range o.Daemons {
 		w.add(n, plan.Name(n), address(n))
 	}
-	var known []view.Record
+	var known []membership.Record
 	if o.Warm {
 		for n := range o.Daemons {
-			known = append(known, view.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, Life: w.lifeOf(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
+			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, Life: w.lifeOf(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
 		}
 	}
 	var starts []plan.Event
@@ -270,7 +270,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // run goes through the time.
-func (w *world) run(known []view.Record) {
+func (w *world) run(known []membership.Record) {
 	nextSent, phase, same := time.Second, 0, false
 	for w.now < w.p.Length {
 		if w.o.Agreed != nil && w.agree() != same {
@@ -340,7 +340,7 @@
 
 // agree reports whether all that run have the same view. It ends at the first that differs.
 func (w *world) agree() bool {
-	var first *view.View
+	var first *membership.View
 	for _, a := range w.agents {
 		switch {
 		case a.v == nil:
@@ -384,7 +384,7 @@
 			a.next = at
 			return
 		}
-		var events []view.Event
+		var events []membership.Event
 		for len(a.in) > 0 && a.in[0].at <= at {
 			d := heap.Pop(&a.in).(delivery)
 			if d.life != 0 && d.life != a.life {
@@ -394,7 +394,7 @@
 			if d.size > 0 {
 				l := w.load(a, at)
 				l.In.Add(at, d.size)
-				if m, ok := d.ev.(view.Datagram); ok {
+				if m, ok := d.ev.(membership.Datagram); ok {
 					l.Told += uint64(len(m.Message.Updates))
 				}
 			}
@@ -446,14 +446,14 @@
 }
 
 // carry does what a view wants done.
-func (w *world) carry(a *agent, at time.Duration, actions []view.Action) {
-	post := func(to int, after time.Duration, ev view.Event, life uint64, size int) {
+func (w *world) carry(a *agent, at time.Duration, actions []membership.Action) {
+	post := func(to int, after time.Duration, ev membership.Event, life uint64, size int) {
 		a.seq++
 		a.out = append(a.out, outgoing{to, delivery{at + max(base, after), a.n, a.seq, ev, life, size}})
 	}
 	for _, x := range actions {
 		switch x := x.(type) {
-		case view.Send:
+		case membership.Send:
 			to, ok := w.byAddr[x.To]
 			if !ok {
 				continue
@@ -465,10 +465,10 @@
 			size, read := w.written(a, at, x.Size, x.Message)
 			for range 1 + b2i(l.Duplicate > 0 && a.rng.Float64() < l.Duplicate) {
 				if d, ok := w.way(a, l, size); ok {
-					post(to, d, view.Datagram{Message: read.(*view.Message), Size: size}, 0, size)
+					post(to, d, membership.Datagram{Message: read.(*membership.Message), Size: size}, 0, size)
 				}
 			}
-		case view.Open:
+		case membership.Open:
 			to, ok := w.byAddr[x.To]
 			there, back := plan.Link{}, plan.Link{}
 			if ok {
@@ -482,35 +482,35 @@
 				if !ok {
 					wait = 2 * base // refused
 				}
-				post(a.n, wait, view.Failed{ID: x.ID}, a.life, 0)
+				post(a.n, wait, membership.Failed{ID: x.ID}, a.life, 0)
 				continue
 			}
 			id := uint64(a.n)<<32 | x.ID
 			a.opened = to
 			size, read := w.exchanged(a, at, x.Message)
-			post(to, w.stream(a, there, back, 3), view.Asked{Stream: id, Message: read}, 0, size)
-			post(a.n, streamWait, view.Failed{ID: x.ID}, a.life, 0) // does nothing if the answer came before
-		case view.Reply:
+			post(to, w.stream(a, there, back, 3), membership.Asked{Stream: id, Message: read}, 0, size)
+			post(a.n, streamWait, membership.Failed{ID: x.ID}, a.life, 0) // does nothing if the answer came before
+		case membership.Reply:
 			to := int(x.Stream >> 32)
 			there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
 			if there.Drop >= 1 || back.Drop >= 1 {
 				continue
 			}
 			if x.Message == nil {
-				post(to, w.stream(a, there, back, 1), view.Failed{ID: x.Stream & (1<<32 - 1)}, 0, 0)
+				post(to, w.stream(a, there, back, 1), membership.Failed{ID: x.Stream & (1<<32 - 1)}, 0, 0)
 				continue
 			}
 			size, read := w.exchanged(a, at, x.Message)
-			post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), view.Answered{ID: x.Stream & (1<<32 - 1), Message: read}, 0, size)
-		case view.Finish:
+			post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.Answered{ID: x.Stream & (1<<32 - 1), Message: read}, 0, size)
+		case membership.Finish:
 			if to := a.opened; x.Message != nil {
 				there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
 				if there.Drop < 1 && back.Drop < 1 && !there.Break && !back.Break {
 					size, read := w.exchanged(a, at, x.Message)
-					post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), view.Closed{Message: read}, 0, size)
+					post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.Closed{Message: read}, 0, size)
 				}
 			}
-		case view.Save:
+		case membership.Save:
 			a.disk.boot = a.v.Own().Boot
 			if !x.Boot && w.starts[a.n] {
 				a.disk.known = a.v.Records()
--- a/internal/drill/virtual/virtual_test.go
+++ b/internal/drill/virtual/virtual_test.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 func shipped(t *testing.T) []*plan.Plan {
@@ -99,8 +99,8 @@
 	l.CutOff(4, 5*time.Second, 25*time.Second)
 	held := map[[2]int]bool{} // who held whom for dead in the cut
 	r, err := Play(&plan.Plan{Name: "regions", Daemons: 15, Seeds: []int{0, 1}, Length: 60 * time.Second}, Options{Seed: 3, Warm: true, Layout: l,
-		Each: func(_ time.Duration, daemon int, a view.Action) {
-			if c, ok := a.(view.Changed); ok && c.Record.State == view.Dead {
+		Each: func(_ time.Duration, daemon int, a membership.Action) {
+			if c, ok := a.(membership.Changed); ok && c.Record.State == membership.Dead {
 				for n := range 15 {
 					if plan.Name(n) == c.Record.Name {
 						held[[2]int{daemon, n}] = true
--- a/internal/host/fleet/daemon.go
+++ b/internal/host/fleet/daemon.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/host/laststate"
 	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/source/catalog"
 )
 
@@ -50,7 +50,7 @@
 	packets  map[string]*net.UDPConn  // for peers, by address; nobody reads from these
 	peering  *peering                 // nil: the daemon stands alone, or this is being started
 	saw      *carrier.Saved           // from the daemon before
-	count    atomic.Pointer[view.Count]
+	count    atomic.Pointer[membership.Count]
 	before   *carrier.Carrier        // while another takes its place in this process
 	sharing  atomic.Pointer[peering] // the peering, for instances' loops
 	agents   sync.Map                // hosted by number, for the carrier's loop
--- a/internal/host/fleet/limits.go
+++ b/internal/host/fleet/limits.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/limits"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // Limits are those that the fleet shares.
@@ -41,7 +41,7 @@
 		c.fail("peers.keepers", "%d keepers: 1 to 16 members are to be named", n)
 	}
 	for i, k := range l.Keepers {
-		if !view.ValidName(k) || slices.Index(l.Keepers, k) != i {
+		if !membership.ValidName(k) || slices.Index(l.Keepers, k) != i {
 			c.fail(fmt.Sprintf("peers.keepers[%d]", i), "%q is no name of a member, or is there twice", k)
 		}
 	}
--- a/internal/host/fleet/peers.go
+++ b/internal/host/fleet/peers.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"vetchhaven/internal/peer/carrier"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 	"vetchhaven/internal/tomlfile"
 )
 
@@ -24,7 +24,7 @@
 	Advertise                 string
 	Seeds                     []string
 	Events                    string // a file; empty: none
-	View                      view.Settings
+	View                      membership.Settings
 	Verdicts                  *verdicts.Settings // nil: what members know of servers is not shared
 }
 
@@ -57,7 +57,7 @@
 	in := f.Peers
 	at := func(field string) string { return "peers." + field }
 	p := &Peers{Fleet: in.Fleet, Name: in.Name, Zone: in.Zone, Region: in.Region, Listen: in.Listen, Advertise: in.Advertise, Seeds: in.Seeds, Events: in.Events}
-	if !view.ValidFleet(p.Fleet) {
+	if !membership.ValidFleet(p.Fleet) {
 		c.fail(at("fleet"), "%q: 1 to 32 printable characters without spaces are allowed", p.Fleet)
 	}
 	if p.Advertise == "" {
@@ -84,12 +84,12 @@
 		}
 		return v
 	}
-	s := view.Settings{Name: p.Name, Addr: p.Advertise, Zone: p.Zone, Region: p.Region, Seeds: p.Seeds, Bytes: in.BytesPerS, FarBytes: in.FarBytesPerS, Members: in.Members,
-		Every:        limit("every", in.Every, 20*time.Millisecond, 10*time.Second, view.Every),
-		Direct:       limit("direct", in.Direct, 5*time.Millisecond, 10*time.Second, view.Direct),
-		Indirect:     limit("indirect", in.Indirect, 5*time.Millisecond, 10*time.Second, view.Indirect),
-		SuspectLeast: limit("suspect_least", in.SuspectLeast, 100*time.Millisecond, 5*time.Minute, view.SuspectLeast),
-		Retry:        limit("retry", in.Retry, time.Minute, 30*24*time.Hour, view.Retry)}
+	s := membership.Settings{Name: p.Name, Addr: p.Advertise, Zone: p.Zone, Region: p.Region, Seeds: p.Seeds, Bytes: in.BytesPerS, FarBytes: in.FarBytesPerS, Members: in.Members,
+		Every:        limit("every", in.Every, 20*time.Millisecond, 10*time.Second, membership.Every),
+		Direct:       limit("direct", in.Direct, 5*time.Millisecond, 10*time.Second, membership.Direct),
+		Indirect:     limit("indirect", in.Indirect, 5*time.Millisecond, 10*time.Second, membership.Indirect),
+		SuspectLeast: limit("suspect_least", in.SuspectLeast, 100*time.Millisecond, 5*time.Minute, membership.SuspectLeast),
+		Retry:        limit("retry", in.Retry, time.Minute, 30*24*time.Hour, membership.Retry)}
 	if in.BytesPerS < 0 || in.BytesPerS > 0 && in.BytesPerS < 4096 {
 		c.fail(at("bytes_per_s"), "%d: at least 4096 are needed", in.BytesPerS)
 	}
@@ -102,7 +102,7 @@
 	if c.err == nil {
 		probe := s
 		probe.Boot, probe.Life = 1, 1
-		if _, err := view.New(probe, 1); err != nil { // a name, a zone
+		if _, err := membership.New(probe, 1); err != nil { // a name, a zone
 			c.fail(at("name"), "%v", err)
 		}
 	}
@@ -209,7 +209,7 @@
 	}
 	p := &peering{spec: spec, ended: make(chan struct{})}
 	o := carrier.Options{Fleet: spec.Fleet, View: spec.View, UDP: udp, TCP: tcp.(*net.TCPListener), Dir: d.cfg.StateDir, Saved: saved, Log: d.log, WallSkew: d.o.ClockOff,
-		Inject: d.o.PeerFault, Changed: func(c view.Count) {
+		Inject: d.o.PeerFault, Changed: func(c membership.Count) {
 			d.count.Store(&c)
 			d.shareSoon()
 		}}
@@ -282,7 +282,7 @@
 		return
 	}
 	if reflect.DeepEqual(was, now) && reflect.DeepEqual(wasLimits, d.cfg.Limits) {
-		p.carrier.Tell(view.Self{Instances: len(d.cfg.Instances), Balancers: len(d.cfg.Instances)})
+		p.carrier.Tell(membership.Self{Instances: len(d.cfg.Instances), Balancers: len(d.cfg.Instances)})
 		return
 	}
 	d.peering = nil
@@ -382,7 +382,7 @@
 	switch was, known := p.carrier.Forget(name); {
 	case !known:
 		return fmt.Errorf("%q is not known", name)
-	case was != view.Dead:
+	case was != membership.Dead:
 		return fmt.Errorf("%q is %v: only one that is dead can be forgotten", name, was)
 	}
 	return nil
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -30,7 +30,7 @@
 	"decide":                     {"decide/quota"},
 	"internal/source/membership": nil,
 	"internal/host/supervise":    nil,
-	"internal/peer/view":         nil,
+	"internal/peer/membership":   nil,
 	"decide/quota":               nil,
 	"internal/peer/limits":       {"decide/quota"},
 	"internal/peer/verdicts":     nil,
--- a/internal/peer/carrier/agreeing.go
+++ b/internal/peer/carrier/agreeing.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/policy"
-	"vetchhaven/internal/peer/view"
 )
 
 // Agreement is a daemon's part in the policy that the fleet agrees on. It outlasts a carrier that another of the same
@@ -116,7 +116,7 @@
 		g.members = now
 		var all []policy.Who
 		for _, r := range g.c.v.Members() {
-			all = append(all, policy.Who{Name: r.Name, Life: r.Life, Left: r.State == view.Left})
+			all = append(all, policy.Who{Name: r.Name, Life: r.Life, Left: r.State == membership.Left})
 		}
 		events = append([]policy.Event{policy.Members{All: all}, policy.Freed{Alone: g.c.v.HasName()}}, events...)
 	}
--- a/internal/peer/carrier/carrier.go
+++ b/internal/peer/carrier/carrier.go
@@ -21,26 +21,26 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 )
 
 // Options are what a member is started with.
 type Options struct {
 	Fleet    string
-	View     view.Settings // but for boot, life and what is known: the carrier sees to these
-	UDP      *net.UDPConn  // both are the carrier's from now on, and closed at its end
+	View     membership.Settings // but for boot, life and what is known: the carrier sees to these
+	UDP      *net.UDPConn        // both are the carrier's from now on, and closed at its end
 	TCP      *net.TCPListener
 	Dir      string // where the last view is kept; empty: nowhere
 	Saved    *Saved // from the process before, which this one replaces; nil: the file is read
 	Log      *slog.Logger
-	Events   io.Writer          // lines of what changed, for drills; nil: none
-	Changed  func(view.Count)   // the head count has changed; must not wait
-	Inject   func()             // a test's: called in each step
-	WallSkew time.Duration      // a drill's: the wall clock is off by so much
-	Limits   *limits.Settings   // shared by the fleet; nil: none
-	Before   *Carrier           // of this process, which has ended: what it held and lent is this one's now; nil: none
-	Verdicts *verdicts.Settings // what members know of servers is shared; but for name and life; nil: it is not
+	Events   io.Writer              // lines of what changed, for drills; nil: none
+	Changed  func(membership.Count) // the head count has changed; must not wait
+	Inject   func()                 // a test's: called in each step
+	WallSkew time.Duration          // a drill's: the wall clock is off by so much
+	Limits   *limits.Settings       // shared by the fleet; nil: none
+	Before   *Carrier               // of this process, which has ended: what it held and lent is this one's now; nil: none
+	Verdicts *verdicts.Settings     // what members know of servers is shared; but for name and life; nil: it is not
 	// Judged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
 	Judged    func(all []verdicts.Verdict, base time.Time)
 	Agree     func(life uint64) *Agreement // on the fleet's policy, for a member's life; nil: there is none
@@ -53,7 +53,7 @@
 type Carrier struct {
 	o      Options
 	log    *slog.Logger
-	v      *view.View
+	v      *membership.View
 	base   time.Time
 	events *events
 	disk   *disk
@@ -63,8 +63,8 @@
 	done     chan struct{}
 	streams  chan struct{} // places
 	next     uint64        // stream
-	replies  map[uint64]chan *view.Exchange
-	opened   map[uint64]chan *view.Exchange
+	replies  map[uint64]chan *membership.Exchange
+	opened   map[uint64]chan *membership.Exchange
 	frozen   atomic.Bool
 	mu       sync.Mutex
 	thaw     chan struct{} // closed when it is no longer frozen; under mu
@@ -73,7 +73,7 @@
 	sharing  *sharing
 	judging  *judging
 	agreeing *agreeing
-	self     view.Self // as it was last told
+	self     membership.Self // as it was last told
 
 	dropped, odd, huge, foreign, damaged, formats atomic.Uint64
 	datagrams, written                            atomic.Uint64 // of the view and of what is shared: how many were written, and their bytes
@@ -81,8 +81,8 @@
 
 // input is an event, and where the answer to an Asked goes.
 type input struct {
-	event  view.Event
-	reply  chan *view.Exchange
+	event  membership.Event
+	reply  chan *membership.Exchange
 	shared any // in place of an event: what concerns limits
 }
 
@@ -96,11 +96,11 @@
 
 // New makes a member ready. Its boot is a new one, on the disk if that can be had soon, unless it replaces a process.
 func New(o Options) (*Carrier, error) {
-	if !view.ValidFleet(o.Fleet) {
+	if !membership.ValidFleet(o.Fleet) {
 		return nil, fmt.Errorf("fleet %q: 1 to 32 printable characters without spaces are allowed", o.Fleet)
 	}
 	c := &Carrier{o: o, log: o.Log, base: time.Now(), inbox: make(chan input, inboxMost), calls: make(chan func(), 16), done: make(chan struct{}),
-		streams: make(chan struct{}, streamsMost), replies: map[uint64]chan *view.Exchange{}, opened: map[uint64]chan *view.Exchange{},
+		streams: make(chan struct{}, streamsMost), replies: map[uint64]chan *membership.Exchange{}, opened: map[uint64]chan *membership.Exchange{},
 		left: make(chan struct{}), thaw: make(chan struct{}), failed: make(chan error, 1)}
 	c.disk = newDisk(o.Dir, o.Log)
 	s := &c.o.View
@@ -116,13 +116,13 @@
 		if saved != nil {
 			was, s.Known = saved.Boot, saved.Records
 		}
-		s.Boot, s.Life = view.NextBoot(was, time.Now().Add(o.WallSkew).Unix()), rand.Uint64()|1
+		s.Boot, s.Life = membership.NextBoot(was, time.Now().Add(o.WallSkew).Unix()), rand.Uint64()|1
 	}
-	v, err := view.New(*s, rand.Uint64())
+	v, err := membership.New(*s, rand.Uint64())
 	if err != nil {
 		return nil, err
 	}
-	c.v, c.self = v, view.Self{Instances: s.Instances, Balancers: s.Balancers}
+	c.v, c.self = v, membership.Self{Instances: s.Instances, Balancers: s.Balancers}
 	if o.Before != nil {
 		c.base = o.Before.base // what it holds is by that clock
 	}
@@ -170,7 +170,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		var batch []view.Event
+		var batch []membership.Event
 		select {
 		case <-ctx.Done():
 			if !c.frozen.Load() { // else the process that follows has the file
@@ -204,7 +204,7 @@
 }
 
 // sort adds an event to those of the next step, or has what is shared taken at once.
-func (c *Carrier) sort(batch []view.Event, i input) []view.Event {
+func (c *Carrier) sort(batch []membership.Event, i input) []membership.Event {
 	if i.shared != nil {
 		if !c.judging.take(c.now(), i.shared) && !c.agreeing.take(c.now(), i.shared) {
 			c.sharing.take(c.now(), i.shared)
@@ -242,16 +242,16 @@
 	c.log.Warn("the disk is slow: this start's number is announced before it is saved")
 }
 
-func (c *Carrier) take(i input) view.Event {
+func (c *Carrier) take(i input) membership.Event {
 	switch e := i.event.(type) {
-	case view.Asked:
+	case membership.Asked:
 		c.next++
 		e.Stream = c.next
 		c.replies[e.Stream] = i.reply
 		return e
-	case view.Failed:
+	case membership.Failed:
 		delete(c.opened, e.ID)
-	case view.Self:
+	case membership.Self:
 		e.Note = c.judging.note
 		c.self, c.judging.untold = e, false
 		return e
@@ -260,36 +260,36 @@
 }
 
 // step steps the view, and does what it wants done.
-func (c *Carrier) step(ctx context.Context, others *sync.WaitGroup, batch ...view.Event) {
+func (c *Carrier) step(ctx context.Context, others *sync.WaitGroup, batch ...membership.Event) {
 	if c.o.Inject != nil {
 		c.o.Inject()
 	}
 	for _, e := range batch {
-		if _, ok := e.(view.Leave); ok { // before the view says so to others: what they write of it is later
+		if _, ok := e.(membership.Leave); ok { // before the view says so to others: what they write of it is later
 			c.events.put(event{What: "leave"})
 		}
 	}
 	for _, a := range c.v.Step(c.now(), batch...) {
 		switch a := a.(type) {
-		case view.Send:
+		case membership.Send:
 			c.send(a)
-		case view.Open:
-			finish := make(chan *view.Exchange, 1)
+		case membership.Open:
+			finish := make(chan *membership.Exchange, 1)
 			c.opened[a.ID] = finish
 			c.beside(others, func() { c.ask(ctx, a, finish) })
-		case view.Reply:
+		case membership.Reply:
 			if r := c.replies[a.Stream]; r != nil {
 				delete(c.replies, a.Stream)
 				r <- a.Message // it has room for one
 			}
-		case view.Finish:
+		case membership.Finish:
 			if f := c.opened[a.ID]; f != nil {
 				delete(c.opened, a.ID)
 				f <- a.Message
 			}
-		case view.Save:
+		case membership.Save:
 			c.save(a.Boot)
-		case view.Counted:
+		case membership.Counted:
 			c.events.did(a)
 			if c.o.Changed != nil {
 				c.o.Changed(a.Count)
@@ -301,7 +301,7 @@
 		}
 	}
 	for _, e := range batch {
-		if e, ok := e.(view.Answered); ok && c.opened[e.ID] != nil { // it came too late, or there is nothing to add
+		if e, ok := e.(membership.Answered); ok && c.opened[e.ID] != nil { // it came too late, or there is nothing to add
 			c.opened[e.ID] <- nil
 			delete(c.opened, e.ID)
 		}
@@ -316,40 +316,40 @@
 }
 
 // say logs what an operator would know: changes, each once.
-func (c *Carrier) say(a view.Action) {
+func (c *Carrier) say(a membership.Action) {
 	switch a := a.(type) {
-	case view.Reached:
+	case membership.Reached:
 		if a.Away {
 			c.log.Warn("fleet: region "+strconv.Quote(a.Region)+" is not reached; nothing of its members is known until it is", "members", a.Members)
 		} else {
 			c.log.Info("fleet: region "+strconv.Quote(a.Region)+" is reached again", "members", a.Members)
 		}
-	case view.Alone:
+	case membership.Alone:
 		if a.Over {
 			c.log.Info("fleet: others are heard again", "members", a.Members)
 		} else {
 			c.log.Warn("fleet: nobody is heard any more; this process serves on, and all others count as silent", "members", a.Members)
 		}
-	case view.Changed:
+	case membership.Changed:
 		r := &a.Record
 		switch {
-		case a.Why == view.WhyAway, a.Why == view.WhyBack: // said in one line for all of them
-		case r.State == view.Suspect, r.State == view.Alive && a.Was == view.Suspect && !a.New:
+		case a.Why == membership.WhyAway, a.Why == membership.WhyBack: // said in one line for all of them
+		case r.State == membership.Suspect, r.State == membership.Alive && a.Was == membership.Suspect && !a.New:
 		default:
 			c.log.Info("fleet: "+r.Name+" is "+r.State.String(), "addr", r.Addr, "zone", r.Zone, "was", a.Was.String(), "by", r.By, "why", a.Why)
 		}
-	case view.Contested:
+	case membership.Contested:
 		if a.StandBack {
 			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Why)
 		} else {
 			c.log.Warn("fleet: another process had this name, and lost it", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Why)
 		}
-	case view.Doubted:
+	case membership.Doubted:
 		c.log.Warn("fleet: this process was paused or starved", "for", a.Pause.Round(time.Millisecond), "health", a.Health)
 	}
 }
 
-func (c *Carrier) send(s view.Send) {
+func (c *Carrier) send(s membership.Send) {
 	to, err := netip.ParseAddrPort(s.To)
 	if err != nil {
 		return
@@ -408,13 +408,13 @@
 			_ = c.heardPolicy(buf[:n])
 			continue
 		}
-		m := &view.Message{}
+		m := &membership.Message{}
 		if err := decode(c.o.Fleet, buf[:n], m); err != nil {
 			c.refuse(err)
 			continue
 		}
 		select {
-		case c.inbox <- input{event: view.Datagram{Message: m, Size: n}}:
+		case c.inbox <- input{event: membership.Datagram{Message: m, Size: n}}:
 		default:
 			c.dropped.Add(1)
 		}
@@ -516,13 +516,13 @@
 	if formOf(data) == policyForm {
 		return c.heardPolicy(data)
 	}
-	asked := &view.Exchange{}
+	asked := &membership.Exchange{}
 	if err := decode(c.o.Fleet, data, asked); err != nil {
 		c.refuse(err)
 		return err
 	}
-	reply := make(chan *view.Exchange, 1)
-	if !c.post(input{event: view.Asked{Message: asked}, reply: reply}) {
+	reply := make(chan *membership.Exchange, 1)
+	if !c.post(input{event: membership.Asked{Message: asked}, reply: reply}) {
 		return nil
 	}
 	t := time.NewTimer(streamTime)
@@ -545,22 +545,22 @@
 	if err != nil {
 		return err
 	}
-	c.post(input{event: view.Closed{Message: last}})
+	c.post(input{event: membership.Closed{Message: last}})
 	return nil
 }
 
 // ask opens an exchange. Whatever becomes of it, the loop hears of it once.
-func (c *Carrier) ask(ctx context.Context, o view.Open, finish chan *view.Exchange) {
+func (c *Carrier) ask(ctx context.Context, o membership.Open, finish chan *membership.Exchange) {
 	answer, conn, err := c.question(ctx, o)
 	if conn != nil {
 		defer conn.Close()
 		defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	}
 	if err != nil {
-		c.post(input{event: view.Failed{ID: o.ID}})
+		c.post(input{event: membership.Failed{ID: o.ID}})
 		return
 	}
-	if !c.post(input{event: view.Answered{ID: o.ID, Message: answer}}) {
+	if !c.post(input{event: membership.Answered{ID: o.ID, Message: answer}}) {
 		return
 	}
 	t := time.NewTimer(streamTime)
@@ -576,7 +576,7 @@
 	}
 }
 
-func (c *Carrier) question(ctx context.Context, o view.Open) (*view.Exchange, net.Conn, error) {
+func (c *Carrier) question(ctx context.Context, o membership.Open) (*membership.Exchange, net.Conn, error) {
 	// From the address that it listens on: its datagrams come from there too.
 	from := *c.o.TCP.Addr().(*net.TCPAddr)
 	from.Port = 0
@@ -622,7 +622,7 @@
 }
 
 // Tell changes what this member says of itself. It does not wait.
-func (c *Carrier) Tell(s view.Self) {
+func (c *Carrier) Tell(s membership.Self) {
 	select {
 	case c.inbox <- input{event: s}:
 	default: // full: what is told next says it again
@@ -635,7 +635,7 @@
 	t := time.NewTimer(within)
 	defer t.Stop()
 	select {
-	case c.inbox <- input{event: view.Leave{}}:
+	case c.inbox <- input{event: membership.Leave{}}:
 	case <-t.C:
 		return
 	case <-c.done:
@@ -650,7 +650,7 @@
 
 // Forget passes on an operator's word that a dead member has gone for good. It reports what that member's state
 // was, and whether it is known.
-func (c *Carrier) Forget(name string) (was view.State, known bool) {
+func (c *Carrier) Forget(name string) (was membership.State, known bool) {
 	c.do(func() {
 		for _, r := range c.v.Members() {
 			if r.Name == name {
@@ -658,8 +658,8 @@
 			}
 		}
 	})
-	if known && was == view.Dead {
-		c.post(input{event: view.Forget{Name: name}})
+	if known && was == membership.Dead {
+		c.post(input{event: membership.Forget{Name: name}})
 	}
 	return was, known
 }
@@ -694,5 +694,5 @@
 			c.mu.Unlock()
 		}
 	})
-	c.post(input{event: view.Resumed{}})
+	c.post(input{event: membership.Resumed{}})
 }
--- a/internal/peer/carrier/carrier_test.go
+++ b/internal/peer/carrier/carrier_test.go
@@ -18,7 +18,7 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/limits"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -28,15 +28,15 @@
 func TestEncodedMessagesStayWithinTheirBound(t *testing.T) {
 	text := rapid.StringMatching("[a-z]{0,20}")
 	rapid.Check(t, func(t *rapid.T) {
-		record := rapid.Custom(func(t *rapid.T) view.Record {
-			return view.Record{Name: text.Draw(t, "name"), Addr: "127.100.100.100:65535", Zone: text.Draw(t, "zone"), Program: text.Draw(t, "p"),
-				Boot: rapid.Uint64().Draw(t, "boot"), Life: rapid.Uint64().Draw(t, "life"), Inc: rapid.Uint32().Draw(t, "inc"), State: view.Suspect,
+		record := rapid.Custom(func(t *rapid.T) membership.Record {
+			return membership.Record{Name: text.Draw(t, "name"), Addr: "127.100.100.100:65535", Zone: text.Draw(t, "zone"), Program: text.Draw(t, "p"),
+				Boot: rapid.Uint64().Draw(t, "boot"), Life: rapid.Uint64().Draw(t, "life"), Inc: rapid.Uint32().Draw(t, "inc"), State: membership.Suspect,
 				By: text.Draw(t, "by"), Instances: rapid.Uint32().Draw(t, "i"), Balancers: rapid.Uint32().Draw(t, "b"), Checked: true,
-				Age: rapid.Uint32().Draw(t, "age"), Note: rapid.SliceOfN(rapid.Byte(), 0, view.NoteMost).Draw(t, "note"),
+				Age: rapid.Uint32().Draw(t, "age"), Note: rapid.SliceOfN(rapid.Byte(), 0, membership.NoteMost).Draw(t, "note"),
 				Region: rapid.StringMatching("[a-z]{0,64}").Draw(t, "region"), Mute: rapid.SliceOfN(rapid.Uint32(), 0, 20).Draw(t, "mute")}
 		})
-		m := &view.Message{From: text.Draw(t, "from"), Boot: rapid.Uint64().Draw(t, "boot"), Life: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "n"),
-			Digest: rapid.Uint64().Draw(t, "d"), Kind: view.IAm, Seq: rapid.Uint32().Draw(t, "seq"), Target: text.Draw(t, "target"), Addr: "127.0.0.1:1",
+		m := &membership.Message{From: text.Draw(t, "from"), Boot: rapid.Uint64().Draw(t, "boot"), Life: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "n"),
+			Digest: rapid.Uint64().Draw(t, "d"), Kind: membership.IAm, Seq: rapid.Uint32().Draw(t, "seq"), Target: text.Draw(t, "target"), Addr: "127.0.0.1:1",
 			Reply: "127.0.0.1:2", Up: rapid.Uint64().Draw(t, "up"), Of: rapid.Uint64().Draw(t, "of"), Updates: rapid.SliceOfN(record, 0, 8).Draw(t, "updates")}
 		fleet := "abcdefghijklmnopqrstuvwxyzabcdef"
 		data, err := encode(fleet, m)
@@ -46,7 +46,7 @@
 		if most := m.Size(); len(data) > most {
 			t.Fatalf("%d bytes, bound %d", len(data), most)
 		}
-		back := &view.Message{}
+		back := &membership.Message{}
 		if err := decode(fleet, data, back); err != nil || back.Number != m.Number || len(back.Updates) != len(m.Updates) {
 			t.Fatal(err, back)
 		}
@@ -59,7 +59,7 @@
 }
 
 func TestWhatIsNotTaken(t *testing.T) {
-	good, err := encode("f", &view.Message{From: "a", Kind: view.News})
+	good, err := encode("f", &membership.Message{From: "a", Kind: membership.News})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,25 +69,25 @@
 		data []byte
 		want error
 	}{"empty": {nil, ErrForeign}, "other": {[]byte("GET / HTTP/1.1\r\n"), ErrForeign}, "format": {later, ErrFormat}, "cut": {good[:9], ErrDamaged},
-		"fleet": {func() []byte { d, _ := encode("g", &view.Message{From: "a"}); return d }(), ErrFleet}} {
-		if err := decode("f", c.data, &view.Message{}); !errors.Is(err, c.want) {
+		"fleet": {func() []byte { d, _ := encode("g", &membership.Message{From: "a"}); return d }(), ErrFleet}} {
+		if err := decode("f", c.data, &membership.Message{}); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	// A later version's key is skipped.
 	type next struct {
-		view.Message
+		membership.Message
 		More string `cbor:"99,keyasint"`
 	}
-	data, err := encode("f", &next{Message: view.Message{From: "a", Kind: view.News}, More: "x"})
-	m := &view.Message{}
+	data, err := encode("f", &next{Message: membership.Message{From: "a", Kind: membership.News}, More: "x"})
+	m := &membership.Message{}
 	if err := errors.Join(err, decode("f", data, m)); err != nil || m.From != "a" {
 		t.Error(err, m)
 	}
 }
 
 func TestSavedViewIsWholeOrNotBelieved(t *testing.T) {
-	s := &Saved{Boot: 7, Records: []view.Record{{Name: "a", Addr: "127.0.0.1:1"}}}
+	s := &Saved{Boot: 7, Records: []membership.Record{{Name: "a", Addr: "127.0.0.1:1"}}}
 	data, err := EncodeSaved(s)
 	if err != nil {
 		t.Fatal(err)
@@ -125,12 +125,12 @@
 	*Carrier
 	addr  string
 	end   func() error
-	count chan view.Count
+	count chan membership.Count
 }
 
 func start(t *testing.T, name, addr, dir string, seeds []string, change func(*Options)) *member {
 	t.Helper()
-	m := &member{count: make(chan view.Count, 100)}
+	m := &member{count: make(chan membership.Count, 100)}
 	udp, tcp, err := open(orAny(addr))
 	if err != nil {
 		t.Fatal(err)
@@ -143,8 +143,8 @@
 			t.Fatal(err)
 		}
 	}
-	o := Options{Fleet: "f", View: view.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, Every: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
-		Dir: dir, Log: slog.New(slog.DiscardHandler), Changed: func(c view.Count) {
+	o := Options{Fleet: "f", View: membership.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, Every: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
+		Dir: dir, Log: slog.New(slog.DiscardHandler), Changed: func(c membership.Count) {
 			select {
 			case m.count <- c:
 			default:
@@ -217,7 +217,7 @@
 			break
 		}
 	}
-	if was, known := a.Forget("c"); !known || was != view.Dead {
+	if was, known := a.Forget("c"); !known || was != membership.Dead {
 		t.Error(was, known)
 	}
 	for n := range a.count {
@@ -235,7 +235,7 @@
 	b := start(t, "b", "", "", []string{a.addr}, func(o *Options) { o.Events = &heard })
 	a.await(t, "b", "alive")
 	b.await(t, "a", "alive")
-	if !a.post(input{event: view.Leave{}}) {
+	if !a.post(input{event: membership.Leave{}}) {
 		t.Fatal("the loop does not take it")
 	}
 	b.await(t, "a", "left")
--- a/internal/peer/carrier/codec.go
+++ b/internal/peer/carrier/codec.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // The envelope of a datagram, and of each message on a stream:
@@ -116,7 +116,7 @@
 }
 
 // writeFrame puts one message on a stream: its length in 4 bytes, big endian, and its envelope.
-func writeFrame(w io.Writer, fleet string, x *view.Exchange) error {
+func writeFrame(w io.Writer, fleet string, x *membership.Exchange) error {
 	data, err := encode(fleet, x)
 	if err != nil {
 		return err
@@ -133,12 +133,12 @@
 	return err
 }
 
-func readFrame(r io.Reader, fleet string) (*view.Exchange, error) {
+func readFrame(r io.Reader, fleet string) (*membership.Exchange, error) {
 	data, err := readRaw(r)
 	if err != nil {
 		return nil, err
 	}
-	x := &view.Exchange{}
+	x := &membership.Exchange{}
 	return x, decode(fleet, data, x)
 }
 
--- a/internal/peer/carrier/disk.go
+++ b/internal/peer/carrier/disk.go
@@ -13,15 +13,15 @@
 
 	"vetchhaven/internal/atomicfile"
 	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/policy"
-	"vetchhaven/internal/peer/view"
 )
 
 // Saved is what a member leaves for its next life, or for the process that takes its place.
 type Saved struct {
-	Boot    uint64        `cbor:"1,keyasint,omitempty"`
-	Records []view.Record `cbor:"2,keyasint,omitempty"`
-	At      int64         `cbor:"3,keyasint,omitempty"` // Unix, ms
+	Boot    uint64              `cbor:"1,keyasint,omitempty"`
+	Records []membership.Record `cbor:"2,keyasint,omitempty"`
+	At      int64               `cbor:"3,keyasint,omitempty"` // Unix, ms
 	// Of a process that another replaces without a gap:
 	Parallel bool   `cbor:"4,keyasint,omitempty"`
 	Life     uint64 `cbor:"5,keyasint,omitempty"`
--- a/internal/peer/carrier/events.go
+++ b/internal/peer/carrier/events.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // event is a line of the file of events, one JSON object each: what changed in this member's view, when by the
@@ -114,21 +114,21 @@
 func hex(n uint64) string { return strconv.FormatUint(n, 16) }
 
 // did writes what a view did, if it is for others to know.
-func (e *events) did(a view.Action) {
+func (e *events) did(a membership.Action) {
 	switch a := a.(type) {
-	case view.Changed:
+	case membership.Changed:
 		r := &a.Record
 		l := event{What: "member", Of: r.Name, Addr: r.Addr, Life: hex(r.Life), Boot: r.Boot, Inc: r.Inc, State: r.State.String(), Why: a.Why}
 		if !a.New {
 			l.Was = a.Was.String()
 		}
 		e.put(l)
-	case view.Counted:
+	case membership.Counted:
 		c := a.Count
 		e.put(event{What: "count", Most: c.Most, Least: c.Least, Members: c.Members, Live: c.Live, File: c.File})
-	case view.Contested:
+	case membership.Contested:
 		e.put(event{What: "contested", Addr: a.Other.Addr, Life: hex(a.Other.Life), StandBack: a.StandBack, Why: a.Why})
-	case view.Doubted:
+	case membership.Doubted:
 		e.put(event{What: "doubt", PauseMS: a.Pause.Milliseconds(), Health: a.Health})
 	}
 }
--- a/internal/peer/carrier/golden_test.go
+++ b/internal/peer/carrier/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 	"vetchhaven/internal/testkit/golden"
 )
 
@@ -15,9 +15,9 @@
 
 // A datagram of each form is read and written as earlier builds do.
 func TestDatagramsStayAsEarlierBuildsWriteThem(t *testing.T) {
-	golden.Codec[view.Message]{Name: "view-message.bin",
-		Encode: func(m view.Message) ([]byte, error) { return encode(goldenFleet, &m) },
-		Decode: func(data []byte) (m view.Message, err error) { return m, decode(goldenFleet, data, &m) },
+	golden.Codec[membership.Message]{Name: "view-message.bin",
+		Encode: func(m membership.Message) ([]byte, error) { return encode(goldenFleet, &m) },
+		Decode: func(data []byte) (m membership.Message, err error) { return m, decode(goldenFleet, data, &m) },
 	}.Check(t)
 	shared := func(name string) golden.Codec[packet] {
 		return golden.Codec[packet]{Name: name,
@@ -36,8 +36,8 @@
 func TestKindsOfMessagesStayAsEarlierBuildsWriteThem(t *testing.T) {
 	wire := Wire{Fleet: goldenFleet}
 	for name, message := range map[string]any{
-		"wire-message.bin":  &view.Message{},
-		"wire-exchange.bin": &view.Exchange{},
+		"wire-message.bin":  &membership.Message{},
+		"wire-exchange.bin": &membership.Exchange{},
 		"wire-outlier.bin":  &verdicts.Message{},
 		"wire-ask.bin":      &limits.Ask{},
 		"wire-grant.bin":    &limits.Grant{},
@@ -61,16 +61,16 @@
 
 // A message on a stream has its length before it.
 func TestStreamMessagesStayAsEarlierBuildsWriteThem(t *testing.T) {
-	golden.Codec[view.Exchange]{Name: "exchange.bin",
-		Encode: func(x view.Exchange) ([]byte, error) {
+	golden.Codec[membership.Exchange]{Name: "exchange.bin",
+		Encode: func(x membership.Exchange) ([]byte, error) {
 			var out bytes.Buffer
 			err := writeFrame(&out, goldenFleet, &x)
 			return out.Bytes(), err
 		},
-		Decode: func(data []byte) (view.Exchange, error) {
+		Decode: func(data []byte) (membership.Exchange, error) {
 			x, err := readFrame(bytes.NewReader(data), goldenFleet)
 			if err != nil {
-				return view.Exchange{}, err
+				return membership.Exchange{}, err
 			}
 			return *x, nil
 		},
--- a/internal/peer/carrier/judging.go
+++ b/internal/peer/carrier/judging.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 )
 
 // judging drives the verdicts about servers. The carrier's loop owns it.
@@ -110,14 +110,14 @@
 const lostFor = time.Hour
 
 // membersOf are those that are alive, as far as is known, with what their records tell.
-func membersOf(all []view.Record) verdicts.Members {
+func membersOf(all []membership.Record) verdicts.Members {
 	var e verdicts.Members
 	for _, r := range all {
 		p := verdicts.Peer{Region: r.Region, Zone: r.Zone, Lists: r.Note}
 		switch {
-		case r.State == view.Alive || r.State == view.Suspect:
+		case r.State == membership.Alive || r.State == membership.Suspect:
 			e.Names, e.Peers = append(e.Names, r.Name), append(e.Peers, p)
-		case r.State == view.Dead && time.Duration(r.Age)*time.Second < lostFor:
+		case r.State == membership.Dead && time.Duration(r.Age)*time.Second < lostFor:
 			e.Lost = append(e.Lost, p)
 		}
 	}
--- a/internal/peer/carrier/judging_test.go
+++ b/internal/peer/carrier/judging_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 )
 
 func judges(o *Options) {
@@ -39,7 +39,7 @@
 	want("a", "main")
 	a.Listed(verdicts.Listed{Source: "other"})
 	want("a", "main", "other")
-	a.Tell(view.Self{Instances: 3, Balancers: 3})
+	a.Tell(membership.Self{Instances: 3, Balancers: 3})
 	for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		instances := uint32(0)
 		b.do(func() {
--- a/internal/peer/carrier/show.go
+++ b/internal/peer/carrier/show.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // Shown is a member's view, for people and programs.
@@ -119,7 +119,7 @@
 	return s, ok
 }
 
-func shownOne(r view.Record, since time.Duration) ShownOne {
+func shownOne(r membership.Record, since time.Duration) ShownOne {
 	return ShownOne{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Region: r.Region, Program: r.Program, State: r.State.String(), SinceS: since.Round(time.Millisecond).Seconds(),
 		By: r.By, Boot: r.Boot, Life: hex(r.Life), Inc: r.Inc, Instances: r.Instances, Balancers: r.Balancers}
 }
--- a/internal/peer/carrier/wire.go
+++ b/internal/peer/carrier/wire.go
@@ -5,8 +5,8 @@
 	"fmt"
 
 	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 )
 
 // Wire is the encoding of one fleet's messages, for harnesses that play members without sockets.
@@ -16,9 +16,9 @@
 // that goes before them on a stream, and packets of what is shared, which bear their sender's name.
 func (w Wire) Marshal(from string, message any) ([]byte, error) {
 	switch m := message.(type) {
-	case *view.Message:
+	case *membership.Message:
 		return encode(w.Fleet, m)
-	case *view.Exchange:
+	case *membership.Exchange:
 		data, err := encode(w.Fleet, m)
 		if err != nil {
 			return nil, err
@@ -55,12 +55,12 @@
 		return nil, ErrBody
 	}
 	if formOf(data) == format {
-		m := &view.Message{}
+		m := &membership.Message{}
 		return m, decode(w.Fleet, data, m)
 	}
 	if len(data) < 4 {
 		return nil, ErrForeign
 	}
-	x := &view.Exchange{}
+	x := &membership.Exchange{}
 	return x, decode(w.Fleet, data[4:], x)
 }
--- a/internal/peer/carrier/wire_test.go
+++ b/internal/peer/carrier/wire_test.go
@@ -6,14 +6,14 @@
 	"testing"
 
 	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/view"
 )
 
 func TestWireIsWhatMembersSendAndReadsItBack(t *testing.T) {
 	w := Wire{Fleet: "f"}
-	ping := &view.Message{From: "a", Boot: 1, Life: 2, Kind: view.Ping, Seq: 3, Addr: "127.0.0.1:1"}
-	exchange := &view.Exchange{From: "a", Records: []view.Record{{Name: "b", Addr: "127.0.0.1:2", Boot: 1, Life: 5}}}
+	ping := &membership.Message{From: "a", Boot: 1, Life: 2, Kind: membership.Ping, Seq: 3, Addr: "127.0.0.1:1"}
+	exchange := &membership.Exchange{From: "a", Records: []membership.Record{{Name: "b", Addr: "127.0.0.1:2", Boot: 1, Life: 5}}}
 	for _, m := range []any{ping, exchange, &verdicts.Message{Ask: 7}, &limits.Ask{From: "a", Seq: 4}, &limits.Grant{From: "b", Seq: 4}} {
 		data, err := w.Marshal("a", m)
 		if err != nil {
--- a/internal/peer/view/view.go
+++ b/internal/peer/membership/membership.go
@@ -1,4 +1,4 @@
-// Package view is what a daemon knows of the other daemons of its fleet, kept by the daemons themselves: who is
+// Package membership is what a daemon knows of the other daemons of its fleet, kept by the daemons themselves: who is
 // there, where, since when, and who has gone. It decides only: datagrams, streams, time and what its own daemon
 // tells come in as events; messages, changes and notes for others go out as actions. It has no clock, socket or
 // goroutine, and takes chance from a seed.
@@ -10,7 +10,7 @@
 // rest exchanges nothing; boot numbers that survive a lost disk; names that belong to one process at a time.
 //
 // All times are durations on the daemon's own monotonic clock; they must not run backwards.
-package view
+package membership
 
 import (
 	"encoding/binary"
--- a/internal/peer/view/region.go
+++ b/internal/peer/membership/region.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"cmp"
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -10,7 +10,7 @@
 	"vetchhaven/decide"
 	"vetchhaven/internal/drill/plan"
 	drill "vetchhaven/internal/drill/virtual"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
@@ -38,8 +38,8 @@
 func followDay(s *emulate.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
 	c := make(counts, s.Agents)
-	_, err := drill.Play(p, drill.Options{Seed: seed, FileCount: file, Each: func(at time.Duration, daemon int, a view.Action) {
-		if n, ok := a.(view.Counted); ok {
+	_, err := drill.Play(p, drill.Options{Seed: seed, FileCount: file, Each: func(at time.Duration, daemon int, a membership.Action) {
+		if n, ok := a.(membership.Counted); ok {
 			c[daemon] = append(c[daemon], counted{at, n.Count.Most, min(n.Count.Least, n.Count.Most)})
 		}
 	}})
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -11,14 +11,14 @@
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/virtual"
-	"vetchhaven/internal/peer/view"
+	"vetchhaven/internal/peer/membership"
 )
 
 // befallen is one thing whose news is followed.
 type befallen struct {
 	at     time.Duration
 	who    int
-	want   view.State
+	want   membership.State
 	knows  []time.Duration
 	knower map[int]bool
 }
@@ -30,20 +30,20 @@
 	dead  map[string]bool
 }
 
-func (f *follow) each(at time.Duration, daemon int, a view.Action) {
-	c, ok := a.(view.Changed)
+func (f *follow) each(at time.Duration, daemon int, a membership.Action) {
+	c, ok := a.(membership.Changed)
 	if !ok {
 		return
 	}
 	r := &c.Record
-	if r.State == view.Dead && !f.dead[r.Name] {
+	if r.State == membership.Dead && !f.dead[r.Name] {
 		f.wrong++
 	}
 	b := f.of[r.Name]
 	if b == nil || at < b.at || b.knower[daemon] {
 		return
 	}
-	if r.State == b.want || b.want == view.Dead && r.State == view.Left {
+	if r.State == b.want || b.want == membership.Dead && r.State == membership.Left {
 		b.knower[daemon] = true
 		b.knows = append(b.knows, at-b.at)
 	}
@@ -60,16 +60,16 @@
 		if n == 2 {
 			who = 1
 		}
-		do, want := "kill", view.Dead
+		do, want := "kill", membership.Dead
 		if i%2 == 1 {
-			do, want = "term", view.Left
+			do, want = "term", membership.Left
 		}
 		t := at + time.Duration(rng.Float64()*float64(time.Second))
 		p.Events = append(p.Events, plan.Event{At: t, Do: do, Who: []int{who}})
 		all = append(all, &befallen{at: t, who: who, want: want, knower: map[int]bool{}})
 		t += gap
 		p.Events = append(p.Events, plan.Event{At: t, Do: "start", Who: []int{who}, State: "kept"})
-		all = append(all, &befallen{at: t, who: who, want: view.Alive, knower: map[int]bool{}})
+		all = append(all, &befallen{at: t, who: who, want: membership.Alive, knower: map[int]bool{}})
 		at += 2*gap + time.Second
 	}
 	p.Length = at + gap
@@ -81,11 +81,11 @@
 	f := &follow{of: map[string]*befallen{}, dead: map[string]bool{}}
 	next := 0
 	o.Warm = true
-	o.Each = func(at time.Duration, daemon int, a view.Action) {
+	o.Each = func(at time.Duration, daemon int, a membership.Action) {
 		for next < len(all) && all[next].at <= at {
 			b := all[next]
 			f.of[plan.Name(b.who)] = b
-			f.dead[plan.Name(b.who)] = b.want != view.Alive || f.dead[plan.Name(b.who)]
+			f.dead[plan.Name(b.who)] = b.want != membership.Alive || f.dead[plan.Name(b.who)]
 			next++
 		}
 		f.each(at, daemon, a)
@@ -97,13 +97,13 @@
 // formula is the time by which a crash is known to all but one in a hundred, by the module's own constants: the first
 // probe, its two stages, the least suspicion, and the news through the fleet. See docs/design/view.md.
 func formula(n int) time.Duration {
-	first := 4.6 * view.Every.Seconds() // a probe by anyone: chance of none in k periods is exp(-k)
+	first := 4.6 * membership.Every.Seconds() // a probe by anyone: chance of none in k periods is exp(-k)
 	if n < 8 {
-		first = float64(n-1) * view.Every.Seconds() // each goes round the others
+		first = float64(n-1) * membership.Every.Seconds() // each goes round the others
 	}
-	suspect := view.SuspectLeast.Seconds() * max(1, math.Log10(float64(n))/2)
+	suspect := membership.SuspectLeast.Seconds() * max(1, math.Log10(float64(n))/2)
 	news := 0.1 * math.Log2(float64(n)) / 2
-	return time.Duration((first + (view.Direct + view.Indirect).Seconds() + suspect + news) * float64(time.Second)).Round(10 * time.Millisecond)
+	return time.Duration((first + (membership.Direct + membership.Indirect).Seconds() + suspect + news) * float64(time.Second)).Round(10 * time.Millisecond)
 }
 
 func virtualSizes(sizes []int, times int, seed uint64) error {
@@ -119,9 +119,9 @@
 		if err != nil {
 			return err
 		}
-		by := map[view.State][]time.Duration{}
+		by := map[membership.State][]time.Duration{}
 		for _, b := range all {
-			if len(b.knows) < n-1 && b.want != view.Alive {
+			if len(b.knows) < n-1 && b.want != membership.Alive {
 				fmt.Printf("%d of %d know that %s of %v is %v\n", len(b.knows), n-1, plan.Name(b.who), b.at, b.want)
 			}
 			if len(b.knows) > 0 {
@@ -134,8 +134,8 @@
 			bytes += t.Bytes
 		}
 		span := p.Length.Seconds() * float64(n)
-		bench.Row(n, count, at(by[view.Dead], 0.5), at(by[view.Dead], 0.99), at(by[view.Dead], 1), formula(n), at(by[view.Left], 0.5), at(by[view.Left], 1),
-			at(by[view.Alive], 0.5), at(by[view.Alive], 1), float64(datagrams)/span, int(float64(bytes)/span), f.wrong, time.Since(began).Round(time.Second))
+		bench.Row(n, count, at(by[membership.Dead], 0.5), at(by[membership.Dead], 0.99), at(by[membership.Dead], 1), formula(n), at(by[membership.Left], 0.5), at(by[membership.Left], 1),
+			at(by[membership.Alive], 0.5), at(by[membership.Alive], 1), float64(datagrams)/span, int(float64(bytes)/span), f.wrong, time.Since(began).Round(time.Second))
 	}
 	return nil
 }
@@ -160,8 +160,8 @@
 				{At: cutAt, Do: "link", Who: left, To: right, Both: true, Link: plan.Link{Drop: 1}},
 				{At: healAt, Do: "heal", Who: left, To: right, Both: true}}}
 			var afterCut, afterHeal time.Duration
-			r, err := virtual.Play(p, virtual.Options{Seed: seed + s, Warm: true, Each: func(at time.Duration, _ int, a view.Action) {
-				if c, ok := a.(view.Changed); ok && c.Record.State != view.Suspect && !(c.Was == view.Suspect && c.Record.State == view.Alive) {
+			r, err := virtual.Play(p, virtual.Options{Seed: seed + s, Warm: true, Each: func(at time.Duration, _ int, a membership.Action) {
+				if c, ok := a.(membership.Changed); ok && c.Record.State != membership.Suspect && !(c.Was == membership.Suspect && c.Record.State == membership.Alive) {
 					if at < healAt {
 						afterCut = at - cutAt
 					} else {
@@ -210,21 +210,21 @@
 			events, windows, who := pauses(n, length, 1500*time.Millisecond, seed)
 			for _, way := range []struct {
 				name  string
-				plain view.Plain
-			}{{"this view", view.Plain{}}, {"SWIM without local health", view.Plain{NoHealth: true}}, {"SWIM without suspicion", view.Plain{NoSuspicion: true, NoHealth: true}}} {
+				plain membership.Plain
+			}{{"this view", membership.Plain{}}, {"SWIM without local health", membership.Plain{NoHealth: true}}, {"SWIM without suspicion", membership.Plain{NoSuspicion: true, NoHealth: true}}} {
 				p := &plan.Plan{Name: "hour", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Length: length, Events: events, Link: plan.Link{Drop: loss}, Peers: plan.Peers{Bytes: bytes}}
 				if way.plain.NoSuspicion {
 					p.Length = min(length, 5*time.Minute) // it is wrong so often that an hour tells no more
 				}
 				wrong, suspicions := 0, 0
 				members := map[string]bool{}
-				r, err := virtual.Play(p, virtual.Options{Seed: seed, Warm: true, Plain: way.plain, Each: func(_ time.Duration, _ int, a view.Action) {
-					if c, ok := a.(view.Changed); ok {
+				r, err := virtual.Play(p, virtual.Options{Seed: seed, Warm: true, Plain: way.plain, Each: func(_ time.Duration, _ int, a membership.Action) {
+					if c, ok := a.(membership.Changed); ok {
 						switch c.Record.State {
-						case view.Dead:
+						case membership.Dead:
 							wrong++
 							members[c.Record.Name] = true
-						case view.Suspect:
+						case membership.Suspect:
 							suspicions++
 						}
 					}
@@ -320,7 +320,7 @@
 				back = t - backAt
 			}
 		}
-		bench.Row(n, k, dead.Round(time.Millisecond), back.Round(time.Millisecond), bytes, 2*view.Bytes, streamed)
+		bench.Row(n, k, dead.Round(time.Millisecond), back.Round(time.Millisecond), bytes, 2*membership.Bytes, streamed)
 	}
 	return nil
 }
