--- a/internal/drill/hollow/verdicts.go
+++ b/internal/drill/hollow/verdicts.go
@@ -7,8 +7,8 @@
 
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/verdicts"
-	"vetchhaven/internal/peer/verdicts/play"
+	"vetchhaven/internal/peer/ejection"
+	"vetchhaven/internal/peer/ejection/play"
 )
 
 // Verdicts says what is played of what members share about servers. Each agent is a server as well, and sends to those
@@ -49,7 +49,7 @@
 	}
 	servers := make([][]int, len(v.Graph.Services)) // shared by the agents of a service
 	o := play.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Length: v.Length, Share: true, Own: true, Error: v.Error, Batch: batch,
-		Sent: m.sent, Took: m.took, Size: func(from string, x *verdicts.Message) int { return size(wire, from, x) },
+		Sent: m.sent, Took: m.took, Size: func(from string, x *ejection.Message) int { return size(wire, from, x) },
 		Calls: func(agent int) []int {
 			k := v.Graph.Of[agent]
 			if servers[k] == nil {
--- a/internal/host/fleet/peers.go
+++ b/internal/host/fleet/peers.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"vetchhaven/internal/peer/carrier"
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/peer/verdicts"
 	"vetchhaven/internal/tomlfile"
 )
 
@@ -25,7 +25,7 @@
 	Seeds                     []string
 	Events                    string // a file; empty: none
 	View                      membership.Settings
-	Verdicts                  *verdicts.Settings // nil: what members know of servers is not shared
+	Verdicts                  *ejection.Settings // nil: what members know of servers is not shared
 }
 
 // peers is [peers] in the file.
@@ -110,9 +110,9 @@
 	if !(in.OutMost >= 0 && in.OutMost <= 1) {
 		c.fail(at("out_most"), "%v: a share from 0 to 1 is allowed", in.OutMost)
 	}
-	age := limit("evidence_age", in.EvidenceAge, 2*time.Second, 10*time.Minute, verdicts.Age)
+	age := limit("evidence_age", in.EvidenceAge, 2*time.Second, 10*time.Minute, ejection.Age)
 	if in.Verdicts == nil || *in.Verdicts {
-		p.Verdicts = &verdicts.Settings{Share: in.OutMost, Age: age}
+		p.Verdicts = &ejection.Settings{Share: in.OutMost, Age: age}
 	}
 	return p
 }
--- a/internal/host/fleet/verdicts.go
+++ b/internal/host/fleet/verdicts.go
@@ -6,7 +6,7 @@
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/verdicts"
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/source/catalog"
 )
 
@@ -43,32 +43,32 @@
 	if m == nil {
 		return
 	}
-	p.carrier.Listed(verdicts.Listed{Source: source, Servers: serversOf(source, m)})
+	p.carrier.Listed(ejection.Listed{Source: source, Servers: serversOf(source, m)})
 }
 
-func serversOf(source string, m *catalog.Members) []verdicts.Server {
-	all := make([]verdicts.Server, 0, len(m.Servers))
+func serversOf(source string, m *catalog.Members) []ejection.Server {
+	all := make([]ejection.Server, 0, len(m.Servers))
 	for _, s := range m.Servers {
-		one := verdicts.Server{ID: fleetID(source, s.ID), Start: s.Started, Zone: s.Zone, Pod: s.Cell}
+		one := ejection.Server{ID: fleetID(source, s.ID), Start: s.Started, Zone: s.Zone, Pod: s.Cell}
 		if s.State != "ready" {
-			one.State = verdicts.Draining
+			one.State = ejection.Draining
 		}
 		all = append(all, one)
 	}
 	return all
 }
 
-func sightsOf(source string, all []core.Sight) []verdicts.Sight {
-	out := make([]verdicts.Sight, 0, len(all))
+func sightsOf(source string, all []core.Sight) []ejection.Sight {
+	out := make([]ejection.Sight, 0, len(all))
 	for _, s := range all {
-		out = append(out, verdicts.Sight{Server: fleetID(source, s.Server), Start: s.Started, OK: s.OK, Bad: s.Bad, Said: s.Said})
+		out = append(out, ejection.Sight{Server: fleetID(source, s.Server), Start: s.Started, OK: s.OK, Bad: s.Bad, Said: s.Said})
 	}
 	return out
 }
 
 // held are the verdicts that hold.
 type held struct {
-	all  []verdicts.Verdict
+	all  []ejection.Verdict
 	base time.Time // of their times
 }
 
@@ -85,7 +85,7 @@
 
 // judged has all instances go by these verdicts. The carrier's loop calls it; it does not wait. An instance that is too
 // busy to hear of them is told again.
-func (d *Daemon) judged(all []verdicts.Verdict, base time.Time) {
+func (d *Daemon) judged(all []ejection.Verdict, base time.Time) {
 	h := &held{all, base}
 	d.verdicts.Store(h)
 	d.judge(h)
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -33,7 +33,7 @@
 	"internal/peer/membership":   nil,
 	"decide/quota":               nil,
 	"internal/peer/limits":       {"decide/quota"},
-	"internal/peer/verdicts":     nil,
+	"internal/peer/ejection":     nil,
 	"internal/peer/policy":       nil,
 	"internal/eventqueue":        nil,
 	"internal/drill/judge":       nil,
--- a/internal/peer/carrier/carrier.go
+++ b/internal/peer/carrier/carrier.go
@@ -20,9 +20,9 @@
 	"time"
 
 	"vetchhaven/decide/quota"
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/peer/verdicts"
 )
 
 // Options are what a member is started with.
@@ -40,9 +40,9 @@
 	WallSkew time.Duration          // a drill's: the wall clock is off by so much
 	Limits   *limits.Settings       // shared by the fleet; nil: none
 	Before   *Carrier               // of this process, which has ended: what it held and lent is this one's now; nil: none
-	Verdicts *verdicts.Settings     // what members know of servers is shared; but for name and life; nil: it is not
+	Verdicts *ejection.Settings     // what members know of servers is shared; but for name and life; nil: it is not
 	// Judged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
-	Judged    func(all []verdicts.Verdict, base time.Time)
+	Judged    func(all []ejection.Verdict, base time.Time)
 	Agree     func(life uint64) *Agreement // on the fleet's policy, for a member's life; nil: there is none
 	Agreement *Agreement                   // it, from the carrier before, if the member goes on with its life; nil: Agree makes one
 	// Lend gives an agent rights, which it may use until what Until says after base. It must not wait.
--- a/internal/peer/carrier/golden_test.go
+++ b/internal/peer/carrier/golden_test.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"testing"
 
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/peer/verdicts"
 	"vetchhaven/internal/testkit/golden"
 )
 
@@ -38,7 +38,7 @@
 	for name, message := range map[string]any{
 		"wire-message.bin":  &membership.Message{},
 		"wire-exchange.bin": &membership.Exchange{},
-		"wire-outlier.bin":  &verdicts.Message{},
+		"wire-outlier.bin":  &ejection.Message{},
 		"wire-ask.bin":      &limits.Ask{},
 		"wire-grant.bin":    &limits.Grant{},
 	} {
--- a/internal/peer/carrier/judging.go
+++ b/internal/peer/carrier/judging.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/peer/verdicts"
 )
 
 // judging drives the verdicts about servers. The carrier's loop owns it.
 type judging struct {
 	c      *Carrier
-	m      *verdicts.Member // nil: nothing is shared
+	m      *ejection.Member // nil: nothing is shared
 	names  time.Duration    // when the members were last told
 	stale  bool             // the view has changed since
 	lists  map[string]bool  // those that are read
@@ -39,7 +39,7 @@
 	s := *c.o.Verdicts
 	s.Name, s.Life = c.o.View.Name, rand.Uint64()|1
 	var err error
-	if j.m, err = verdicts.New(s, rand.Uint64()); err != nil {
+	if j.m, err = ejection.New(s, rand.Uint64()); err != nil {
 		return nil, err
 	}
 	if before := c.o.Before; before != nil && before.judging.m != nil { // lists and evidence go on
@@ -68,8 +68,8 @@
 		if x.Verdicts == nil {
 			return false
 		}
-		j.step(now, verdicts.Heard{From: x.From, Message: x.Verdicts})
-	case verdicts.Event:
+		j.step(now, ejection.Heard{From: x.From, Message: x.Verdicts})
+	case ejection.Event:
 		j.step(now, x)
 	default:
 		return false
@@ -77,30 +77,30 @@
 	return true
 }
 
-func (j *judging) step(now time.Duration, events ...verdicts.Event) {
+func (j *judging) step(now time.Duration, events ...ejection.Event) {
 	if j.m == nil || j.c.frozen.Load() {
 		return
 	}
 	if now-j.names >= namesRest || j.stale && now-j.names >= namesEvery {
 		j.names, j.stale = now, false
-		events = append([]verdicts.Event{membersOf(j.c.v.Members())}, events...)
+		events = append([]ejection.Event{membersOf(j.c.v.Members())}, events...)
 	}
 	for _, e := range events {
-		if l, ok := e.(verdicts.Listed); ok && !j.lists[l.Source] {
+		if l, ok := e.(ejection.Listed); ok && !j.lists[l.Source] {
 			j.lists[l.Source] = true
-			j.note = verdicts.FilterOf(slices.Sorted(maps.Keys(j.lists)))
+			j.note = ejection.FilterOf(slices.Sorted(maps.Keys(j.lists)))
 			j.untold = true
 		}
 	}
 	for _, a := range j.m.Step(now, events...) {
 		switch a := a.(type) {
-		case verdicts.Send:
+		case ejection.Send:
 			j.sent++
 			j.c.sharing.send(a.To, &packet{Verdicts: a.Message})
-		case verdicts.Judged:
+		case ejection.Judged:
 			j.write(a.All)
 			j.c.o.Judged(a.All, j.c.base)
-		case verdicts.Say:
+		case ejection.Say:
 			j.c.log.Info("fleet: " + a.Text)
 		}
 	}
@@ -110,10 +110,10 @@
 const lostFor = time.Hour
 
 // membersOf are those that are alive, as far as is known, with what their records tell.
-func membersOf(all []membership.Record) verdicts.Members {
-	var e verdicts.Members
+func membersOf(all []membership.Record) ejection.Members {
+	var e ejection.Members
 	for _, r := range all {
-		p := verdicts.Peer{Region: r.Region, Zone: r.Zone, Lists: r.Note}
+		p := ejection.Peer{Region: r.Region, Zone: r.Zone, Lists: r.Note}
 		switch {
 		case r.State == membership.Alive || r.State == membership.Suspect:
 			e.Names, e.Peers = append(e.Names, r.Name), append(e.Peers, p)
@@ -125,7 +125,7 @@
 }
 
 // write writes what has changed, for drills.
-func (j *judging) write(all []verdicts.Verdict) {
+func (j *judging) write(all []ejection.Verdict) {
 	now := map[string]string{}
 	for _, v := range all {
 		state := "out"
@@ -148,16 +148,16 @@
 }
 
 // Listed tells what a list says now, and Seen what the daemon's agents saw of servers. Neither waits long.
-func (c *Carrier) Listed(l verdicts.Listed) { c.post(input{shared: l}) }
+func (c *Carrier) Listed(l ejection.Listed) { c.post(input{shared: l}) }
 
 // Seen passes sights on. It does not wait: under a flood some are lost.
-func (c *Carrier) Seen(all []verdicts.Sight) { c.share(verdicts.Seen{All: all}) }
+func (c *Carrier) Seen(all []ejection.Sight) { c.share(ejection.Seen{All: all}) }
 
 // ShownVerdicts is what a member holds of servers.
 type ShownVerdicts struct {
 	Name    string           `json:"name"`
-	Servers []verdicts.Shown `json:"servers"`
-	Counts  verdicts.Counts  `json:"counts"`
+	Servers []ejection.Shown `json:"servers"`
+	Counts  ejection.Counts  `json:"counts"`
 	Packets uint64           `json:"packets"`
 }
 
--- a/internal/peer/carrier/judging_test.go
+++ b/internal/peer/carrier/judging_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/peer/verdicts"
 )
 
 func judges(o *Options) {
-	o.Verdicts, o.Judged = &verdicts.Settings{}, func([]verdicts.Verdict, time.Time) {}
+	o.Verdicts, o.Judged = &ejection.Settings{}, func([]ejection.Verdict, time.Time) {}
 }
 
 // What a daemon tells of its instances later leaves its lists as they are.
@@ -20,7 +20,7 @@
 	a.await(t, "b", "alive")
 	want := func(of string, lists ...string) {
 		t.Helper()
-		var got verdicts.Filter
+		var got ejection.Filter
 		for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 			b.do(func() {
 				for _, p := range b.v.Members() {
@@ -29,15 +29,15 @@
 					}
 				}
 			})
-			if reflect.DeepEqual(got, verdicts.FilterOf(lists)) {
+			if reflect.DeepEqual(got, ejection.FilterOf(lists)) {
 				return
 			}
 		}
-		t.Fatalf("%s tells %x, want %x", of, got, verdicts.FilterOf(lists))
+		t.Fatalf("%s tells %x, want %x", of, got, ejection.FilterOf(lists))
 	}
-	a.Listed(verdicts.Listed{Source: "main", Servers: []verdicts.Server{{ID: "main/s1", Start: 1}}})
+	a.Listed(ejection.Listed{Source: "main", Servers: []ejection.Server{{ID: "main/s1", Start: 1}}})
 	want("a", "main")
-	a.Listed(verdicts.Listed{Source: "other"})
+	a.Listed(ejection.Listed{Source: "other"})
 	want("a", "main", "other")
 	a.Tell(membership.Self{Instances: 3, Balancers: 3})
 	for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
@@ -57,7 +57,7 @@
 		}
 	}
 	want("a", "main", "other")
-	var peers []verdicts.Peer
+	var peers []ejection.Peer
 	b.do(func() { peers = membersOf(b.v.Members()).Peers })
 	if len(peers) != 2 || !peers[0].Lists.Has("other") || peers[0].Lists.Has("none") || !peers[1].Lists.Has("none") {
 		t.Errorf("%+v", peers)
@@ -70,9 +70,9 @@
 	Answer uint64           `cbor:"2,keyasint,omitempty"`
 	Poke   bool             `cbor:"3,keyasint,omitempty"`
 	Items  []firstItem      `cbor:"4,keyasint,omitempty"`
-	Drains []verdicts.Drain `cbor:"5,keyasint,omitempty"`
+	Drains []ejection.Drain `cbor:"5,keyasint,omitempty"`
 	More   int              `cbor:"6,keyasint,omitempty"`
-	About  []verdicts.Life  `cbor:"7,keyasint,omitempty"`
+	About  []ejection.Life  `cbor:"7,keyasint,omitempty"`
 }
 
 type firstItem struct {
@@ -92,8 +92,8 @@
 // Both forms of messages stand in one envelope, and each reads of the other's what it knows.
 func TestFormsOfVerdictsReadOneAnother(t *testing.T) {
 	w := Wire{Fleet: "f"}
-	about := []verdicts.Life{{Server: "main/s1", Start: 3}}
-	data, err := w.Marshal("a", &verdicts.Message{Ask: 5, Poke: true, Own: true, Form: 2, About: about, Items: []verdicts.Item{{Server: "main/s1", Origin: "c", Bad: 2, Chance: 0.4}}})
+	about := []ejection.Life{{Server: "main/s1", Start: 3}}
+	data, err := w.Marshal("a", &ejection.Message{Ask: 5, Poke: true, Own: true, Form: 2, About: about, Items: []ejection.Item{{Server: "main/s1", Origin: "c", Bad: 2, Chance: 0.4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	back, err := w.Unmarshal(data)
-	if want := (&verdicts.Message{Answer: 6, More: 1, Items: []verdicts.Item{{Server: "main/s2", Bad: 1}}}); err != nil || !reflect.DeepEqual(back, want) {
+	if want := (&ejection.Message{Answer: 6, More: 1, Items: []ejection.Item{{Server: "main/s2", Bad: 1}}}); err != nil || !reflect.DeepEqual(back, want) {
 		t.Errorf("of the version before %+v is read, %v", back, err)
 	}
 }
--- a/internal/peer/carrier/sharing.go
+++ b/internal/peer/carrier/sharing.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"vetchhaven/decide/quota"
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/limits"
-	"vetchhaven/internal/peer/verdicts"
 )
 
 // packet is a datagram of what members share, besides the view.
@@ -18,7 +18,7 @@
 	Ask   *limits.Ask   `cbor:"2,keyasint,omitempty"`
 	Grant *limits.Grant `cbor:"3,keyasint,omitempty"`
 
-	Verdicts *verdicts.Message `cbor:"4,keyasint,omitempty"`
+	Verdicts *ejection.Message `cbor:"4,keyasint,omitempty"`
 }
 
 // What the daemon tells of its agents.
--- a/internal/peer/carrier/wire.go
+++ b/internal/peer/carrier/wire.go
@@ -4,9 +4,9 @@
 	"encoding/binary"
 	"fmt"
 
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/limits"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/peer/verdicts"
 )
 
 // Wire is the encoding of one fleet's messages, for harnesses that play members without sockets.
@@ -27,7 +27,7 @@
 			return nil, ErrHuge
 		}
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...), nil
-	case *verdicts.Message:
+	case *ejection.Message:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Verdicts: m})
 	case *limits.Ask:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Ask: m})
--- a/internal/peer/verdicts/verdicts.go
+++ b/internal/peer/ejection/ejection.go
@@ -1,4 +1,4 @@
-// Package verdicts judges servers for a whole fleet: agents tell one another what they themselves saw of servers, and
+// Package ejection judges servers for a whole fleet: agents tell one another what they themselves saw of servers, and
 // each judges by what several saw. It decides only: messages, time, what own agents saw and what lists say come in;
 // messages and verdicts go out. No clock, socket, goroutine, or chance but from a seed.
 //
@@ -16,7 +16,7 @@
 // the same for all, and comes back to more and more of them as it answers.
 //
 // docs/design/shared-verdicts.md weighs the ways and gives the formulas.
-package verdicts
+package ejection
 
 import (
 	"cmp"
--- a/internal/peer/verdicts/verdicts_test.go
+++ b/internal/peer/ejection/ejection_test.go
@@ -1,4 +1,4 @@
-package verdicts
+package ejection
 
 import (
 	"fmt"
--- a/internal/peer/verdicts/play/play.go
+++ b/internal/peer/ejection/play/play.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchhaven/internal/eventqueue"
-	"vetchhaven/internal/peer/verdicts"
+	"vetchhaven/internal/peer/ejection"
 )
 
 // Options say what to play.
@@ -47,7 +47,7 @@
 	// at a time, which is much faster at high rates.
 	Batch time.Duration
 	// Size is what a message takes on the wire; nil: about so much.
-	Size func(from string, m *verdicts.Message) int
+	Size func(from string, m *ejection.Message) int
 	// Sent hears of each message, and Took of each that arrives. nil: nobody.
 	Sent, Took func(now time.Duration, member, bytes int)
 	// Drains are servers whose lists say that they drain: each member's within a second, and that they are gone ten later.
@@ -87,7 +87,7 @@
 
 type agent struct {
 	n     int
-	m     *verdicts.Member
+	m     *ejection.Member
 	wake  time.Duration
 	out   map[string]time.Duration // by verdict, until
 	off   []time.Duration          // by itself, until
@@ -95,9 +95,9 @@
 	begin []time.Duration // when a wrong verdict began, by server; 0: none
 	since []time.Duration // when any did
 	calls []int           // servers; nil: all
-	batch map[int]verdicts.Sight
-	list  []verdicts.Server // its own, once it differs from that of all
-	reads map[string][]verdicts.Server
+	batch map[int]ejection.Sight
+	list  []ejection.Server // its own, once it differs from that of all
+	reads map[string][]ejection.Server
 }
 
 type world struct {
@@ -118,17 +118,17 @@
 // Play plays it to its end.
 func Play(o Options) (*Result, error) {
 	w := &world{o: o, rng: rand.New(rand.NewPCG(o.Seed, 41)), began: make([]time.Duration, o.Servers), well: make([]time.Duration, o.Servers), sent: make([][]time.Duration, o.Servers)}
-	var list []verdicts.Server
-	lists := map[string][]verdicts.Server{}
+	var list []ejection.Server
+	lists := map[string][]ejection.Server{}
 	for s := range o.Servers {
-		one := verdicts.Server{ID: serverID(s), Start: 1, Zone: fmt.Sprint(s % 3), Pod: s % 4}
+		one := ejection.Server{ID: serverID(s), Start: 1, Zone: fmt.Sprint(s % 3), Pod: s % 4}
 		if o.Place != nil {
 			_, one.Zone = o.Place(s)
 		}
 		list = append(list, one)
 		lists[w.listOf(s)] = append(lists[w.listOf(s)], one)
 	}
-	peers := make([]verdicts.Peer, o.Agents)
+	peers := make([]ejection.Peer, o.Agents)
 	for n := range o.Agents {
 		a := &agent{n: n, out: map[string]time.Duration{}, off: make([]time.Duration, o.Servers), times: make([]int, o.Servers), begin: make([]time.Duration, o.Servers), since: make([]time.Duration, o.Servers)}
 		if o.Calls != nil {
@@ -136,7 +136,7 @@
 		}
 		a.reads = lists
 		if o.List != nil && a.calls != nil {
-			a.reads = map[string][]verdicts.Server{}
+			a.reads = map[string][]ejection.Server{}
 			for _, s := range a.calls {
 				a.reads[o.List(s)] = lists[o.List(s)]
 			}
@@ -146,15 +146,15 @@
 		}
 		first := o.First != nil && o.First(n)
 		if !first {
-			peers[n].Lists = verdicts.FilterOf(slices.Sorted(maps.Keys(a.reads)))
+			peers[n].Lists = ejection.FilterOf(slices.Sorted(maps.Keys(a.reads)))
 		}
 		w.agents = append(w.agents, a)
 		if o.Share {
-			s := verdicts.Settings{Name: name(n), Life: 1}
+			s := ejection.Settings{Name: name(n), Life: 1}
 			if first {
 				s.Form = 1
 			}
-			m, err := verdicts.New(s, w.rng.Uint64())
+			m, err := ejection.New(s, w.rng.Uint64())
 			if err != nil {
 				return nil, err
 			}
@@ -164,7 +164,7 @@
 			continue // it calls nobody
 		}
 		if o.Batch > 0 {
-			a.batch = map[int]verdicts.Sight{}
+			a.batch = map[int]ejection.Sight{}
 			w.at(time.Duration(w.rng.Float64()*float64(o.Batch)), func() { w.arriveAll(a) })
 		} else {
 			w.arrive(a)
@@ -173,9 +173,9 @@
 	if o.Share {
 		all := members(peers)
 		for _, a := range w.agents {
-			events := []verdicts.Event{all}
+			events := []ejection.Event{all}
 			for _, l := range slices.Sorted(maps.Keys(a.reads)) {
-				events = append(events, verdicts.Listed{Source: l, Servers: a.reads[l]})
+				events = append(events, ejection.Listed{Source: l, Servers: a.reads[l]})
 			}
 			w.step(a, events...)
 		}
@@ -183,8 +183,8 @@
 	for _, d := range o.Drains {
 		for _, a := range w.agents {
 			at := d.At + time.Duration(w.rng.Float64()*float64(time.Second))
-			w.at(at, func() { w.listed(a, list, d.Server, verdicts.Draining) })
-			w.at(at+10*time.Second, func() { w.listed(a, list, d.Server, verdicts.Gone) })
+			w.at(at, func() { w.listed(a, list, d.Server, ejection.Draining) })
+			w.at(at+10*time.Second, func() { w.listed(a, list, d.Server, ejection.Gone) })
 		}
 	}
 	w.watch()
@@ -211,13 +211,13 @@
 }
 
 // members are all, in the order of their names, as the view tells them.
-func members(peers []verdicts.Peer) verdicts.Members {
+func members(peers []ejection.Peer) ejection.Members {
 	order := make([]int, len(peers))
 	for n := range order {
 		order[n] = n
 	}
 	slices.SortFunc(order, func(a, b int) int { return strings.Compare(name(a), name(b)) })
-	var e verdicts.Members
+	var e ejection.Members
 	for _, n := range order {
 		e.Names, e.Peers = append(e.Names, name(n)), append(e.Peers, peers[n])
 	}
@@ -244,10 +244,10 @@
 }
 
 // step steps a member, and does what it wants done.
-func (w *world) step(a *agent, events ...verdicts.Event) {
+func (w *world) step(a *agent, events ...ejection.Event) {
 	for _, act := range a.m.Step(w.now+time.Hour, events...) {
 		switch act := act.(type) {
-		case verdicts.Send:
+		case ejection.Send:
 			w.r.Messages++
 			size := 40 + 64*len(act.Message.Items) + 32*len(act.Message.Drains)
 			if w.o.Size != nil {
@@ -269,13 +269,13 @@
 				if w.o.Took != nil {
 					w.o.Took(w.now, to, size)
 				}
-				w.step(w.agents[to], verdicts.Heard{From: name(a.n), Message: act.Message})
+				w.step(w.agents[to], ejection.Heard{From: name(a.n), Message: act.Message})
 			})
-		case verdicts.Say:
+		case ejection.Say:
 			if w.o.Say != nil {
 				w.o.Say(w.now, a.n, act.Text)
 			}
-		case verdicts.Judged:
+		case ejection.Judged:
 			w.judged(a, act.All)
 		}
 	}
@@ -290,7 +290,7 @@
 	}
 }
 
-func (w *world) judged(a *agent, all []verdicts.Verdict) {
+func (w *world) judged(a *agent, all []ejection.Verdict) {
 	out := map[string]time.Duration{}
 	for _, v := range all {
 		out[v.Server] = v.Until - time.Hour
@@ -306,7 +306,7 @@
 			if w.began[s] > 0 {
 				w.r.Out = append(w.r.Out, w.now-w.began[s])
 				w.r.OutAt = append(w.r.OutAt, a.n)
-			} else if w.well[s] == 0 || w.now-w.well[s] > verdicts.Age {
+			} else if w.well[s] == 0 || w.now-w.well[s] > ejection.Age {
 				w.r.Wrong++
 				w.r.WrongAt = append(w.r.WrongAt, a.n)
 				if !w.unreached(a.n, s) {
@@ -330,7 +330,7 @@
 
 // unreached reports whether an agent's link to a server loses all, or did lately.
 func (w *world) unreached(agent, server int) bool {
-	for ago := time.Duration(0); ago <= verdicts.Age && ago <= w.now; ago += time.Second {
+	for ago := time.Duration(0); ago <= ejection.Age && ago <= w.now; ago += time.Second {
 		if w.o.Link(agent, server, w.now-ago) >= 1 {
 			return true
 		}
@@ -353,20 +353,20 @@
 		w.take(a)
 	}
 	if len(a.batch) > 0 {
-		all := make([]verdicts.Sight, 0, len(a.batch))
+		all := make([]ejection.Sight, 0, len(a.batch))
 		for _, s := range slices.Sorted(maps.Keys(a.batch)) {
 			all = append(all, a.batch[s])
 		}
 		clear(a.batch)
 		if a.m != nil {
-			w.step(a, verdicts.Seen{All: all})
+			w.step(a, ejection.Seen{All: all})
 		}
 	}
 	w.at(w.now+w.o.Batch, func() { w.arriveAll(a) })
 }
 
 // listed gives a member a list in which one server has another state.
-func (w *world) listed(a *agent, first []verdicts.Server, server int, state verdicts.State) {
+func (w *world) listed(a *agent, first []ejection.Server, server int, state ejection.State) {
 	if a.m == nil {
 		return
 	}
@@ -378,13 +378,13 @@
 	if a.reads[l] == nil {
 		return
 	}
-	var all []verdicts.Server
+	var all []ejection.Server
 	for s, one := range a.list {
 		if w.listOf(s) == l {
 			all = append(all, one)
 		}
 	}
-	w.step(a, verdicts.Listed{Source: l, Servers: all})
+	w.step(a, ejection.Listed{Source: l, Servers: all})
 }
 
 // pick is a server by chance.
@@ -400,7 +400,7 @@
 	s, tries := 0, 0
 	for ; tries < 200; tries++ {
 		s = w.pick(a)
-		if a.list != nil && a.list[s].State != verdicts.Up {
+		if a.list != nil && a.list[s].State != ejection.Up {
 			continue
 		}
 		until, out := a.out[serverID(s)]
@@ -420,7 +420,7 @@
 	if fault {
 		w.r.Spoilt++
 	}
-	x := verdicts.Sight{Server: serverID(s), Start: 1, OK: 1}
+	x := ejection.Sight{Server: serverID(s), Start: 1, OK: 1}
 	if bad {
 		x.OK, x.Bad = 0, 1
 		if fault && !w.o.Mute {
@@ -440,6 +440,6 @@
 		x.OK, x.Bad, x.Said = x.OK+b.OK, x.Bad+b.Bad, x.Said+b.Said
 		a.batch[s] = x
 	} else if a.m != nil {
-		w.step(a, verdicts.Seen{All: []verdicts.Sight{x}})
+		w.step(a, ejection.Seen{All: []ejection.Sight{x}})
 	}
 }
--- a/internal/rehearse/emulate/virtual/share.go
+++ b/internal/rehearse/emulate/virtual/share.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/peer/verdicts"
+	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/rehearse/emulate"
 )
 
@@ -22,11 +22,11 @@
 // sharer is an agent's part in it.
 type sharer struct {
 	a      *agent
-	m      *verdicts.Member
+	m      *ejection.Member
 	wake   time.Duration
 	starts map[string]int64
-	list   map[string]verdicts.Server
-	judged []verdicts.Verdict
+	list   map[string]ejection.Server
+	judged []ejection.Verdict
 }
 
 func memberName(n int) string { return fmt.Sprint("m", n) }
@@ -38,13 +38,13 @@
 		names = append(names, memberName(n))
 	}
 	for n, a := range d.agents {
-		m, err := verdicts.New(verdicts.Settings{Name: memberName(n), Life: 1}, uint64(d.chance.Sub(emulate.Name("verdicts"), uint64(n))))
+		m, err := ejection.New(ejection.Settings{Name: memberName(n), Life: 1}, uint64(d.chance.Sub(emulate.Name("verdicts"), uint64(n))))
 		if err != nil {
 			return err
 		}
-		a.share = &sharer{a: a, m: m, wake: -1, starts: map[string]int64{}, list: map[string]verdicts.Server{}}
+		a.share = &sharer{a: a, m: m, wake: -1, starts: map[string]int64{}, list: map[string]ejection.Server{}}
 		a.share.listed(a.view.entries, true)
-		a.share.step(verdicts.Members{Names: names})
+		a.share.step(ejection.Members{Names: names})
 	}
 	return nil
 }
@@ -55,28 +55,28 @@
 		clear(s.list)
 	}
 	for _, e := range entries {
-		v := verdicts.Server{ID: "main/" + e.Server.Name, Start: e.Started.Milliseconds(), Zone: fmt.Sprint(e.Server.Zone), Pod: e.Server.Pod}
+		v := ejection.Server{ID: "main/" + e.Server.Name, Start: e.Started.Milliseconds(), Zone: fmt.Sprint(e.Server.Zone), Pod: e.Server.Pod}
 		switch e.State {
 		case decide.Gone:
 			delete(s.list, e.Server.Name)
 			continue
 		case decide.Draining:
-			v.State = verdicts.Draining
+			v.State = ejection.Draining
 		}
 		s.list[e.Server.Name], s.starts[e.Server.Name] = v, v.Start
 	}
-	var all []verdicts.Server
+	var all []ejection.Server
 	for _, e := range s.a.view.entries {
 		if v, ok := s.list[e.Server.Name]; ok {
 			all = append(all, v)
 		}
 	}
-	s.step(verdicts.Listed{Source: "main", Servers: all})
+	s.step(ejection.Listed{Source: "main", Servers: all})
 }
 
 // saw passes on the end of an attempt.
 func (s *sharer) saw(t *attempt, r decide.Result) {
-	x := verdicts.Sight{Server: "main/" + t.server, Start: t.process}
+	x := ejection.Sight{Server: "main/" + t.server, Start: t.process}
 	switch r {
 	case decide.OK:
 		x.OK = 1
@@ -87,14 +87,14 @@
 	default:
 		return
 	}
-	s.step(verdicts.Seen{All: []verdicts.Sight{x}})
+	s.step(ejection.Seen{All: []ejection.Sight{x}})
 }
 
-func (s *sharer) step(events ...verdicts.Event) {
+func (s *sharer) step(events ...ejection.Event) {
 	d := s.a.d
 	for _, act := range s.m.Step(d.now+clockOffset, events...) {
 		switch act := act.(type) {
-		case verdicts.Send:
+		case ejection.Send:
 			d.messages++
 			d.bytes += 40 + 64*len(act.Message.Items) + 32*len(act.Message.Drains)
 			var to int
@@ -104,10 +104,10 @@
 			other, from := d.agents[to], memberName(s.a.n)
 			d.at(d.now+d.o.Share.Late, func() {
 				if other.up {
-					other.share.step(verdicts.Heard{From: from, Message: act.Message})
+					other.share.step(ejection.Heard{From: from, Message: act.Message})
 				}
 			})
-		case verdicts.Judged:
+		case ejection.Judged:
 			s.judged = act.All
 			s.tell()
 		}
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/drill/hollow"
+	verdicts "vetchhaven/internal/peer/ejection/play"
 	"vetchhaven/internal/peer/limits/play"
-	verdicts "vetchhaven/internal/peer/verdicts/play"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
 )
--- a/tools/verdicts/found.go
+++ b/tools/verdicts/found.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/peer/verdicts/play"
+	"vetchhaven/internal/peer/ejection/play"
 	"vetchhaven/tools/internal/bench"
 )
 
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/peer/verdicts/play"
+	"vetchhaven/internal/peer/ejection/play"
 	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
