--- a/internal/drill/hollow/limits.go
+++ b/internal/drill/hollow/limits.go
@@ -8,8 +8,8 @@
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/limits"
-	"vetchhaven/internal/peer/limits/play"
+	"vetchhaven/internal/peer/lease"
+	"vetchhaven/internal/peer/lease/play"
 )
 
 // Limits says what is played of the limits that members share.
@@ -42,16 +42,16 @@
 
 // KeeperTime is the processor time that one question costs a keeper of so many holders, its encoding and decoding included.
 func KeeperTime(holders int) (time.Duration, error) {
-	s := limits.Settings{Keepers: []string{"k"}, Longest: time.Second, Limits: []limits.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.PerSecond, Class: -1, Zone: -1, Cell: -1}, Figure: 10 * holders}}}
-	k, err := limits.NewKeeper(s, "k", 1)
+	s := lease.Settings{Keepers: []string{"k"}, Longest: time.Second, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.PerSecond, Class: -1, Zone: -1, Cell: -1}, Figure: 10 * holders}}}
+	k, err := lease.NewKeeper(s, "k", 1)
 	if err != nil {
 		return 0, err
 	}
 	wire := carrier.Wire{Fleet: Fleet}
-	h := make([]*limits.Holder, holders)
+	h := make([]*lease.Holder, holders)
 	now := time.Duration(0)
 	for n := range h {
-		if h[n], err = limits.NewHolder(s, fmt.Sprint("m", n), uint64(n)+1); err != nil {
+		if h[n], err = lease.NewHolder(s, fmt.Sprint("m", n), uint64(n)+1); err != nil {
 			return 0, err
 		}
 		h[n].Join(now, 1)
@@ -62,7 +62,7 @@
 	}
 	type answer struct {
 		to    int
-		grant *limits.Grant
+		grant *lease.Grant
 	}
 	var used time.Duration
 	asked := 0
@@ -88,7 +88,7 @@
 			if err != nil {
 				return 0, err
 			}
-			if g := k.Asked(now, x.(*limits.Ask)); g != nil {
+			if g := k.Asked(now, x.(*lease.Ask)); g != nil {
 				if _, err := wire.Marshal("k", g); err != nil {
 					return 0, err
 				}
--- a/internal/drill/plan/plan.go
+++ b/internal/drill/plan/plan.go
@@ -14,7 +14,7 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/drill/judge"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/tomlfile"
 )
@@ -78,13 +78,13 @@
 }
 
 // Settings are the limits as daemons have them.
-func (p *Plan) Settings() limits.Settings {
-	s := limits.Settings{Term: p.Term, Longest: Deadline}
+func (p *Plan) Settings() lease.Settings {
+	s := lease.Settings{Term: p.Term, Longest: Deadline}
 	for _, k := range p.Keepers {
 		s.Keepers = append(s.Keepers, Name(k))
 	}
 	for _, l := range p.Limits {
-		s.Limits = append(s.Limits, limits.Limit{Limit: quota.Limit{Name: l.Name, Counts: l.Counts, Each: each(l.Each)}, Figure: l.Figure, Hard: l.Hard, Floor: l.Floor})
+		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Counts: l.Counts, Each: each(l.Each)}, Figure: l.Figure, Hard: l.Hard, Floor: l.Floor})
 	}
 	return s
 }
@@ -422,7 +422,7 @@
 	r.share("bounds.served", b.Served)
 	p.Link = r.link("link.", &f.Link)
 	r.regions(f)
-	p.Takes, p.Term = r.span("takes", f.Takes, 5*time.Millisecond), r.span("term", f.Term, limits.Term)
+	p.Takes, p.Term = r.span("takes", f.Takes, 5*time.Millisecond), r.span("term", f.Term, lease.Term)
 	r.limits(f)
 	r.policy(f)
 	if f.Seeds == nil {
@@ -526,7 +526,7 @@
 		r.p.Real = true
 	}
 	if len(f.Limit) > 0 {
-		if _, err := limits.NewHolder(r.p.Settings(), "d1", 1); err != nil {
+		if _, err := lease.NewHolder(r.p.Settings(), "d1", 1); err != nil {
 			r.fail("limit", "%v", err)
 		}
 	}
--- a/internal/host/fleet/limits.go
+++ b/internal/host/fleet/limits.go
@@ -11,13 +11,13 @@
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/peer/carrier"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
 )
 
 // Limits are those that the fleet shares.
 type Limits struct {
-	limits.Settings
+	lease.Settings
 	classes []string // of each limit; empty: all
 }
 
@@ -30,8 +30,8 @@
 		c.fail("limit[0]", "limits that the fleet shares need [peers]")
 		return nil
 	}
-	l := &Limits{Settings: limits.Settings{Keepers: f.Peers.Keepers, Drift: f.Peers.Drift}}
-	if l.Term = c.span("peers.term", f.Peers.Term, limits.Term); l.Term < time.Second || l.Term > time.Minute {
+	l := &Limits{Settings: lease.Settings{Keepers: f.Peers.Keepers, Drift: f.Peers.Drift}}
+	if l.Term = c.span("peers.term", f.Peers.Term, lease.Term); l.Term < time.Second || l.Term > time.Minute {
 		c.fail("peers.term", "%v: 1s to 1m are allowed", l.Term)
 	}
 	if !(l.Drift >= 0 && l.Drift <= 0.2) {
@@ -52,7 +52,7 @@
 		c.limit(fmt.Sprintf("limit[%d].", i), &f.Limit[i], l, f, classes)
 	}
 	if c.err == nil {
-		if _, err := limits.NewHolder(l.Settings, cfg.Peers.Name, 1); err != nil {
+		if _, err := lease.NewHolder(l.Settings, cfg.Peers.Name, 1); err != nil {
 			c.fail("limit", "%v", err)
 		}
 	}
@@ -60,8 +60,8 @@
 }
 
 func (c *checker) limit(at string, in *limit, l *Limits, f *file, classes []string) {
-	one := limits.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Figure: in.Figure, Floor: in.Floor}
-	if in.Name == "" || strings.ContainsAny(in.Name, " \t\r\n\"") || len(in.Name) > 40 || slices.ContainsFunc(l.Limits, func(o limits.Limit) bool { return o.Name == in.Name }) {
+	one := lease.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Figure: in.Figure, Floor: in.Floor}
+	if in.Name == "" || strings.ContainsAny(in.Name, " \t\r\n\"") || len(in.Name) > 40 || slices.ContainsFunc(l.Limits, func(o lease.Limit) bool { return o.Name == in.Name }) {
 		c.fail(at+"name", "%q: 1 to 40 characters without spaces or quotes, and each once", in.Name)
 	}
 	one.Counts = quota.Counts(c.name(at+"counts", in.Counts, quota.Names))
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -32,7 +32,7 @@
 	"internal/host/supervise":    nil,
 	"internal/peer/membership":   nil,
 	"decide/quota":               nil,
-	"internal/peer/limits":       {"decide/quota"},
+	"internal/peer/lease":        {"decide/quota"},
 	"internal/peer/ejection":     nil,
 	"internal/peer/policy":       nil,
 	"internal/eventqueue":        nil,
--- a/internal/peer/carrier/carrier.go
+++ b/internal/peer/carrier/carrier.go
@@ -21,7 +21,7 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/ejection"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
 )
 
@@ -38,7 +38,7 @@
 	Changed  func(membership.Count) // the head count has changed; must not wait
 	Inject   func()                 // a test's: called in each step
 	WallSkew time.Duration          // a drill's: the wall clock is off by so much
-	Limits   *limits.Settings       // shared by the fleet; nil: none
+	Limits   *lease.Settings        // shared by the fleet; nil: none
 	Before   *Carrier               // of this process, which has ended: what it held and lent is this one's now; nil: none
 	Verdicts *ejection.Settings     // what members know of servers is shared; but for name and life; nil: it is not
 	// Judged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
--- a/internal/peer/carrier/carrier_test.go
+++ b/internal/peer/carrier/carrier_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
 )
 
@@ -357,12 +357,12 @@
 
 // What a keeper has lent goes to its successor with the view: maps in arrays in maps, ten deep.
 func TestSavedWithWhatIsLentIsReadBack(t *testing.T) {
-	s := limits.Settings{Keepers: []string{"k"}, Limits: []limits.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Figure: 10, Hard: true}}}
-	k, err := limits.NewKeeper(s, "k", 7)
+	s := lease.Settings{Keepers: []string{"k"}, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Figure: 10, Hard: true}}}
+	k, err := lease.NewKeeper(s, "k", 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := limits.NewHolder(s, "x", 5)
+	h, err := lease.NewHolder(s, "x", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/carrier/golden_test.go
+++ b/internal/peer/carrier/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"vetchhaven/internal/peer/ejection"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/testkit/golden"
 )
@@ -39,8 +39,8 @@
 		"wire-message.bin":  &membership.Message{},
 		"wire-exchange.bin": &membership.Exchange{},
 		"wire-outlier.bin":  &ejection.Message{},
-		"wire-ask.bin":      &limits.Ask{},
-		"wire-grant.bin":    &limits.Grant{},
+		"wire-ask.bin":      &lease.Ask{},
+		"wire-grant.bin":    &lease.Grant{},
 	} {
 		golden.Fill(message)
 		data, err := wire.Marshal("host-1", message)
--- a/internal/peer/carrier/sharing.go
+++ b/internal/peer/carrier/sharing.go
@@ -9,14 +9,14 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/ejection"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 )
 
 // packet is a datagram of what members share, besides the view.
 type packet struct {
-	From  string        `cbor:"1,keyasint,omitempty"`
-	Ask   *limits.Ask   `cbor:"2,keyasint,omitempty"`
-	Grant *limits.Grant `cbor:"3,keyasint,omitempty"`
+	From  string       `cbor:"1,keyasint,omitempty"`
+	Ask   *lease.Ask   `cbor:"2,keyasint,omitempty"`
+	Grant *lease.Grant `cbor:"3,keyasint,omitempty"`
 
 	Verdicts *ejection.Message `cbor:"4,keyasint,omitempty"`
 }
@@ -34,9 +34,9 @@
 // sharing drives the keeper and the holder of limits. The carrier's loop owns it.
 type sharing struct {
 	c      *Carrier
-	s      *limits.Settings
-	holder *limits.Holder
-	keeper *limits.Keeper // nil: this member keeps nothing
+	s      *lease.Settings
+	holder *lease.Holder
+	keeper *lease.Keeper // nil: this member keeps nothing
 	sent   uint64
 	bytes  uint64
 }
@@ -56,11 +56,11 @@
 	var err error
 	if before.holder != nil && before.holder.Follow(*s.s) {
 		s.holder = before.holder
-	} else if s.holder, err = limits.NewHolder(*s.s, c.o.View.Name, rand.Uint64()|1); err != nil {
+	} else if s.holder, err = lease.NewHolder(*s.s, c.o.View.Name, rand.Uint64()|1); err != nil {
 		return nil, err
 	}
 	if slices.Contains(s.s.Keepers, c.o.View.Name) {
-		if s.keeper, err = limits.NewKeeper(*s.s, c.o.View.Name, c.o.View.Life); err != nil {
+		if s.keeper, err = lease.NewKeeper(*s.s, c.o.View.Name, c.o.View.Life); err != nil {
 			return nil, err
 		}
 		switch {
@@ -74,7 +74,7 @@
 }
 
 // state is what a successor has to know of a keeper.
-func (s *sharing) state(now time.Duration) *limits.KeeperState {
+func (s *sharing) state(now time.Duration) *lease.KeeperState {
 	if s.keeper == nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 }
 
 // ask sends questions to keepers.
-func (s *sharing) ask(all []*limits.Ask, to []int) {
+func (s *sharing) ask(all []*lease.Ask, to []int) {
 	for i, a := range all {
 		s.send(s.s.Keepers[to[i]], &packet{Ask: a})
 	}
--- a/internal/peer/carrier/wire.go
+++ b/internal/peer/carrier/wire.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"vetchhaven/internal/peer/ejection"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
 )
 
@@ -29,9 +29,9 @@
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...), nil
 	case *ejection.Message:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Verdicts: m})
-	case *limits.Ask:
+	case *lease.Ask:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Ask: m})
-	case *limits.Grant:
+	case *lease.Grant:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Grant: m})
 	}
 	return nil, fmt.Errorf("marshal: %T is no message of members", message)
--- a/internal/peer/limits/keeper.go
+++ b/internal/peer/lease/keeper.go
@@ -1,4 +1,4 @@
-package limits
+package lease
 
 import (
 	"cmp"
--- a/internal/peer/limits/limits.go
+++ b/internal/peer/lease/lease.go
@@ -1,4 +1,4 @@
-// Package limits shares out limits that hold for a whole fleet: the sum over all agents of what they have in flight,
+// Package lease shares out limits that hold for a whole fleet: the sum over all agents of what they have in flight,
 // or begin in a second, of a class, at a server, in a zone or in all. It decides only: messages, time and what the
 // daemon's agents use come in; messages and rights go out. No clock, socket, goroutine or chance.
 //
@@ -11,7 +11,7 @@
 // lends nothing until all of that has lapsed. Nothing is kept on disk, so that no disk can be lost or restored.
 //
 // docs/design/shared-limits.md weighs this against leases from one leader, escrow, quorums and static shares.
-package limits
+package lease
 
 import (
 	"cmp"
--- a/internal/peer/limits/message.go
+++ b/internal/peer/lease/message.go
@@ -1,4 +1,4 @@
-package limits
+package lease
 
 // Ask is what a holder tells a keeper, and asks of it.
 type Ask struct {
--- a/internal/peer/limits/play/play.go
+++ b/internal/peer/lease/play/play.go
@@ -12,7 +12,7 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/eventqueue"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 )
 
 // Way is how a limit is shared.
@@ -89,9 +89,9 @@
 	n       int
 	rate    float64
 	offset  time.Duration
-	h       []*limits.Holder // one; of a quorum one for each keeper
+	h       []*lease.Holder // one; of a quorum one for each keeper
 	book    []*quota.Book
-	k       *limits.Keeper
+	k       *lease.Keeper
 	life    uint64
 	paused  bool
 	dead    bool // and what comes for it is lost
@@ -104,7 +104,7 @@
 
 type world struct {
 	o       Options
-	s       limits.Settings
+	s       lease.Settings
 	rng     *rand.Rand
 	now     time.Duration
 	agenda  eventqueue.Agenda
@@ -119,8 +119,8 @@
 // Play plays it to its end.
 func Play(o Options) (*Result, error) {
 	w := &world{o: o, rng: rand.New(rand.NewPCG(o.Seed, 21)), down: map[[2]int]bool{}}
-	w.s = limits.Settings{Longest: 4 * o.Lasts,
-		Limits: []limits.Limit{{Limit: quota.Limit{Name: "l", Counts: o.Counts, Class: -1, Zone: -1, Cell: -1}, Figure: o.Figure, Hard: !o.Soft}}}
+	w.s = lease.Settings{Longest: 4 * o.Lasts,
+		Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Counts: o.Counts, Class: -1, Zone: -1, Cell: -1}, Figure: o.Figure, Hard: !o.Soft}}}
 	switch o.Way {
 	case Leader:
 		w.o.Keepers = 1
@@ -132,7 +132,7 @@
 	}
 	w.r.Bound = w.s.Bound(w.s.Limits[0], o.Holders).Most
 	for n := range o.Holders {
-		m := &member{n: n, rate: 1 + o.Rates*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Float64() * float64(time.Hour)), tokens: limits.Part(o.Figure, n, o.Holders)}
+		m := &member{n: n, rate: 1 + o.Rates*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Float64() * float64(time.Hour)), tokens: lease.Part(o.Figure, n, o.Holders)}
 		if o.Way == Gossip {
 			m.heard = make([]int, o.Holders)
 		}
@@ -183,7 +183,7 @@
 }
 
 // settings are those of one holder: of a quorum there is one for each keeper, who has all.
-func (w *world) settings(k int) limits.Settings {
+func (w *world) settings(k int) lease.Settings {
 	s := w.s
 	if w.o.Way == Quorum {
 		s.Keepers = []string{name(k)}
@@ -199,7 +199,7 @@
 		books = w.o.Keepers
 	}
 	for k := range books {
-		h, err := limits.NewHolder(w.settings(k), name(m.n), m.life)
+		h, err := lease.NewHolder(w.settings(k), name(m.n), m.life)
 		if err != nil {
 			return err
 		}
@@ -211,7 +211,7 @@
 	}
 	if m.n < w.o.Keepers {
 		var err error
-		if m.k, err = limits.NewKeeper(w.settings(m.n), name(m.n), m.life); err != nil {
+		if m.k, err = lease.NewKeeper(w.settings(m.n), name(m.n), m.life); err != nil {
 			return err
 		}
 	}
@@ -234,7 +234,7 @@
 		}
 	case Gossip:
 		if now := m.clock(w.now); now >= m.nextAsk {
-			m.nextAsk = now + limits.Renew
+			m.nextAsk = now + lease.Renew
 			used := m.use(w)
 			for to := range w.members {
 				if to != m.n {
@@ -287,7 +287,7 @@
 	}
 }
 
-func (w *world) granted(m *member, i, place int, g *limits.Grant) {
+func (w *world) granted(m *member, i, place int, g *lease.Grant) {
 	now := m.clock(w.now)
 	for _, x := range m.h[i].Granted(now, place, g) {
 		w.r.Grants++
@@ -416,7 +416,7 @@
 	now := m.clock(w.now)
 	switch w.o.Way {
 	case Static:
-		return func() {}, m.use(w) < limits.Part(w.o.Figure, m.n, w.o.Holders)
+		return func() {}, m.use(w) < lease.Part(w.o.Figure, m.n, w.o.Holders)
 	case Gossip:
 		sum := m.use(w)
 		for n, u := range m.heard {
--- a/internal/peer/limits/play/play_test.go
+++ b/internal/peer/lease/play/play_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/peer/limits"
+	"vetchhaven/internal/peer/lease"
 )
 
 func even(rate float64) func(int, time.Duration) float64 {
@@ -26,7 +26,7 @@
 		begun, crashes, near := 0, 0, 0
 		for seed := range uint64(8) {
 			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 1 + 2*int(seed%3), Figure: 20 + int(seed), Counts: counts, Length: 60 * time.Second,
-				Demand: even(60), Lasts: 200 * time.Millisecond, Faults: true, Rates: limits.Drift})
+				Demand: even(60), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.Drift})
 			if r.Over > 0 {
 				t.Errorf("%v, seed %d: %d times over, %d of %d at the most", counts, seed, r.Over, r.Most, 20+int(seed))
 			}
@@ -43,7 +43,7 @@
 	for _, counts := range []quota.Counts{quota.InFlight, quota.PerSecond} {
 		for seed := range uint64(6) {
 			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 3, Figure: 60, Soft: true, Counts: counts, Length: 40 * time.Second,
-				Demand: even(30), Lasts: 200 * time.Millisecond, Faults: true, Rates: limits.Drift})
+				Demand: even(30), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.Drift})
 			if r.Most > r.Bound {
 				t.Errorf("%v, seed %d: %d, where %d is the bound", counts, seed, r.Most, r.Bound)
 			}
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -9,7 +9,7 @@
 
 	"vetchhaven/internal/drill/hollow"
 	verdicts "vetchhaven/internal/peer/ejection/play"
-	"vetchhaven/internal/peer/limits/play"
+	"vetchhaven/internal/peer/lease/play"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
 )
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -24,8 +24,8 @@
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
-	"vetchhaven/internal/peer/limits"
-	"vetchhaven/internal/peer/limits/play"
+	"vetchhaven/internal/peer/lease"
+	"vetchhaven/internal/peer/lease/play"
 	"vetchhaven/tools/internal/bench"
 )
 
@@ -67,7 +67,7 @@
 			}
 			return 26
 		}, Cut: []int{0}, Cut0: 5 * time.Second, Cut1: time.Hour}},
-		{"crashes, pauses, lost and late messages", play.Options{Demand: even(24), Faults: true, Rates: limits.Drift}},
+		{"crashes, pauses, lost and late messages", play.Options{Demand: even(24), Faults: true, Rates: lease.Drift}},
 	}
 	bench.Head("of 120 a second", "way", "used", "most in any second", "over in so many begins")
 	type key struct{ c, w int }
@@ -113,7 +113,7 @@
 	err := bench.Each(n, runtime.NumCPU(), func(i int) error {
 		rng := rand.New(rand.NewPCG(uint64(i), 71))
 		o := play.Options{Seed: uint64(i), Holders: 10 + int(290*rng.Float64()*rng.Float64()), Keepers: 1 + rng.IntN(5), Counts: []quota.Counts{quota.InFlight, quota.PerSecond}[i%2], Soft: i%4 >= 2,
-			Lasts: time.Duration(20+rng.IntN(300)) * time.Millisecond, Length: 40 * time.Second, Faults: true, Rates: limits.Drift, From: 10 * time.Second,
+			Lasts: time.Duration(20+rng.IntN(300)) * time.Millisecond, Length: 40 * time.Second, Faults: true, Rates: lease.Drift, From: 10 * time.Second,
 			Every: []time.Duration{700 * time.Millisecond, 3 * time.Second, 10 * time.Second}[rng.IntN(3)]}
 		o.Figure = 10 + rng.IntN(300)
 		wanted := float64(o.Figure) * (0.7 + 2*rng.Float64())
