--- a/cmd/vetchhaven/members.go
+++ b/cmd/vetchhaven/members.go
@@ -17,7 +17,7 @@
 
 	"vetchhaven/internal/host/fleet"
 	"vetchhaven/internal/source/catalog"
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 )
 
 func membersCommand() *cobra.Command {
@@ -66,7 +66,7 @@
 		if s.List != "" {
 			list = catalog.NewHub(catalog.HubOptions{Addr: s.List, ConnectTimeout: wait, Log: log})
 		}
-		m := fleet.NewMerger(s, hub, nil, log, func([]membership.Member) {
+		m := fleet.NewMerger(s, hub, nil, log, func([]endpoints.Member) {
 			select {
 			case changed <- n:
 			default:
@@ -119,7 +119,7 @@
 	}
 }
 
-func printMembers(out io.Writer, name string, list []membership.Member, whole bool) error {
+func printMembers(out io.Writer, name string, list []endpoints.Member, whole bool) error {
 	note := ""
 	if !whole {
 		note = " (not all of its parts have been heard)"
@@ -130,7 +130,7 @@
 	for _, v := range list {
 		in := "out"
 		switch {
-		case v.In && v.State == membership.Up:
+		case v.In && v.State == endpoints.Up:
 			in = "in"
 		case v.In:
 			in = "drains"
--- a/internal/host/fleet/merge.go
+++ b/internal/host/fleet/merge.go
@@ -8,7 +8,7 @@
 
 	"vetchhaven/internal/source/catalog"
 	"vetchhaven/internal/source/dnssource"
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 )
 
 // Names of a source's parts in what membership says.
@@ -30,54 +30,54 @@
 	source  Source
 	log     *slog.Logger
 	out     *catalog.Hub
-	module  *membership.Module
+	module  *endpoints.Module
 	began   time.Time
-	reports chan membership.Report
+	reports chan endpoints.Report
 
 	mu      sync.Mutex
-	list    []membership.Member
+	list    []endpoints.Member
 	heard   map[string]bool
 	version int64
 	told    map[string]catalog.Member
 	saved   bool
-	needed  []string                  // the parts that speak for themselves
-	changed func([]membership.Member) // may be nil
+	needed  []string                 // the parts that speak for themselves
+	changed func([]endpoints.Member) // may be nil
 }
 
 // NewMerger sets one up. saved is the list of before, and may be nil. Changed, which may be nil, is called
 // with each new list.
-func NewMerger(s Source, out *catalog.Hub, saved *catalog.Members, log *slog.Logger, changed func([]membership.Member)) *Merger {
-	var parts []membership.Source
+func NewMerger(s Source, out *catalog.Hub, saved *catalog.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
+	var parts []endpoints.Source
 	if s.List != "" {
-		parts = append(parts, membership.Source{Name: fromList, Exact: true, Hold: forGood}) // the list's own rule: the last one holds
+		parts = append(parts, endpoints.Source{Name: fromList, Exact: true, Hold: forGood}) // the list's own rule: the last one holds
 	}
 	if len(s.SRV)+len(s.Browse) > 0 {
-		parts = append(parts, membership.Source{Name: fromRecords, Hold: s.Hold})
+		parts = append(parts, endpoints.Source{Name: fromRecords, Hold: s.Hold})
 	}
 	if s.Multicast != "" {
-		parts = append(parts, membership.Source{Name: fromNearby, Hold: s.Hold})
+		parts = append(parts, endpoints.Source{Name: fromNearby, Hold: s.Hold})
 	}
 	var needed []string
 	for _, p := range parts {
 		needed = append(needed, p.Name)
 	}
-	parts = append(parts, membership.Source{Name: fromSaved, Hold: s.Hold})
-	m := &Merger{source: s, log: log, out: out, began: time.Now(), reports: make(chan membership.Report, 16), heard: map[string]bool{}, needed: needed,
+	parts = append(parts, endpoints.Source{Name: fromSaved, Hold: s.Hold})
+	m := &Merger{source: s, log: log, out: out, began: time.Now(), reports: make(chan endpoints.Report, 16), heard: map[string]bool{}, needed: needed,
 		told: map[string]catalog.Member{}, changed: changed,
-		module: membership.New(membership.Settings{Sources: parts, Guard: guardTime, Settle: settleTime})}
+		module: endpoints.New(endpoints.Settings{Sources: parts, Guard: guardTime, Settle: settleTime})}
 	if saved != nil {
 		m.saved = true
-		m.take(membership.View{Source: fromSaved, Servers: servers(saved)})
-		m.take(membership.Failed{Source: fromSaved})
+		m.take(endpoints.View{Source: fromSaved, Servers: servers(saved)})
+		m.take(endpoints.Failed{Source: fromSaved})
 	}
 	return m
 }
 
-func servers(m *catalog.Members) (all []membership.Server) {
+func servers(m *catalog.Members) (all []endpoints.Server) {
 	for _, s := range m.Servers {
-		state, ok := map[string]membership.State{"ready": membership.Up, "draining": membership.Draining, "gone": membership.Gone}[s.State]
+		state, ok := map[string]endpoints.State{"ready": endpoints.Up, "draining": endpoints.Draining, "gone": endpoints.Gone}[s.State]
 		if ok && s.ID != "" {
-			all = append(all, membership.Server{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Pod: s.Cell, Weight: s.Weight, State: state, Started: s.Started})
+			all = append(all, endpoints.Server{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Pod: s.Cell, Weight: s.Weight, State: state, Started: s.Started})
 		}
 	}
 	return all
@@ -87,7 +87,7 @@
 func (m *Merger) Run(ctx context.Context, list *catalog.Hub) {
 	var parts sync.WaitGroup
 	defer parts.Wait()
-	post := func(r membership.Report) {
+	post := func(r endpoints.Report) {
 		select {
 		case m.reports <- r:
 		case <-ctx.Done():
@@ -96,9 +96,9 @@
 	if list != nil {
 		leave := list.Join(func(v *catalog.Members) {
 			if v.Full {
-				post(membership.View{Source: fromList, Servers: servers(v)})
+				post(endpoints.View{Source: fromList, Servers: servers(v)})
 			} else {
-				post(membership.Change{Source: fromList, Servers: servers(v)})
+				post(endpoints.Change{Source: fromList, Servers: servers(v)})
 			}
 		})
 		defer leave()
@@ -127,12 +127,12 @@
 }
 
 // take hands a report to the module, and tells the hub what has changed.
-func (m *Merger) take(r membership.Report) {
+func (m *Merger) take(r endpoints.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Since(m.began)
-	var all []membership.Report
-	if v, whole := r.(membership.View); whole {
+	var all []endpoints.Report
+	if v, whole := r.(endpoints.View); whole {
 		m.heard[v.Source] = true
 	}
 	if r != nil {
@@ -140,7 +140,7 @@
 	}
 	if m.saved && m.whole() { // all speak for themselves
 		m.saved = false
-		all = append(all, membership.Forget{Source: fromSaved})
+		all = append(all, endpoints.Forget{Source: fromSaved})
 	}
 	list, changed := m.module.Step(now, all...)
 	for _, line := range m.module.Logs() {
@@ -156,7 +156,7 @@
 			continue
 		}
 		state := "ready"
-		if v.State == membership.Draining {
+		if v.State == endpoints.Draining {
 			state = "draining"
 		}
 		next[v.ID] = catalog.Member{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Kind: v.Kind, Cell: v.Pod, State: state, Weight: v.Weight, Started: v.Started}
@@ -184,7 +184,7 @@
 }
 
 // Members is the list as it is now, with the reasons, and whether every part has been heard.
-func (m *Merger) Members() (list []membership.Member, whole bool) {
+func (m *Merger) Members() (list []endpoints.Member, whole bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list, m.whole()
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -14,7 +14,7 @@
 // from its own layer or below.
 var layers = [][]string{
 	{"decide"},
-	{"internal/wire", "internal/tomlfile", "internal/atomicfile", "internal/eventqueue", "internal/protocol/ldapmsg", "internal/source/catalog", "internal/source/membership", "internal/testkit", "internal/standin"},
+	{"internal/wire", "internal/tomlfile", "internal/atomicfile", "internal/eventqueue", "internal/protocol/ldapmsg", "internal/source/catalog", "internal/source/endpoints", "internal/testkit", "internal/standin"},
 	{"internal/source"},
 	{"internal/core"},
 	{"internal/protocol"},
@@ -27,20 +27,20 @@
 
 // free import nothing of this program but what is named: decisions and judges.
 var free = map[string][]string{
-	"decide":                     {"decide/quota"},
-	"internal/source/membership": nil,
-	"internal/host/supervise":    nil,
-	"internal/peer/membership":   nil,
-	"decide/quota":               nil,
-	"internal/peer/lease":        {"decide/quota"},
-	"internal/peer/ejection":     nil,
-	"internal/peer/policy":       nil,
-	"internal/eventqueue":        nil,
-	"internal/drill/judge":       nil,
-	"internal/drill/soak/check":  nil,
-	"internal/drill/topology":    nil,
-	"internal/protocol/ldapmsg":  nil,
-	"internal/rehearse/judge":    {"decide"},
+	"decide":                    {"decide/quota"},
+	"internal/source/endpoints": nil,
+	"internal/host/supervise":   nil,
+	"internal/peer/membership":  nil,
+	"decide/quota":              nil,
+	"internal/peer/lease":       {"decide/quota"},
+	"internal/peer/ejection":    nil,
+	"internal/peer/policy":      nil,
+	"internal/eventqueue":       nil,
+	"internal/drill/judge":      nil,
+	"internal/drill/soak/check": nil,
+	"internal/drill/topology":   nil,
+	"internal/protocol/ldapmsg": nil,
+	"internal/rehearse/judge":   {"decide"},
 }
 
 func layerOf(path string) (layer int, ok bool) {
--- a/internal/rehearse/emulate/virtual/agent.go
+++ b/internal/rehearse/emulate/virtual/agent.go
@@ -9,7 +9,7 @@
 	"vetchhaven/decide"
 	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/judge"
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 )
 
 // agent stands in for the real agent: the same loop, table of requests, attempts and pool of
@@ -28,7 +28,7 @@
 	timers   timers
 	requests map[string]*request
 	view     view
-	members  *membership.Module // merges list and records; nil: there are no records
+	members  *endpoints.Module  // merges list and records; nil: there are no records
 	share    *sharer            // nil: it sees servers by itself
 	pools    map[string][]*conn // idle connections by server, the latest used last
 }
@@ -119,11 +119,11 @@
 	}
 	if a.d.s.Records.Every > 0 {
 		a.members = newMembers(a.d.s.Records)
-		var all []membership.Server
+		var all []endpoints.Server
 		for _, e := range a.view.entries {
 			all = append(all, member(e))
 		}
-		a.members.Step(a.d.now, membership.View{Source: fromList, Servers: all})
+		a.members.Step(a.d.now, endpoints.View{Source: fromList, Servers: all})
 	}
 	a.post(decide.List{Kind: decide.ListCached, Backends: backends(a.view.entries)})
 	if a.share != nil {
--- a/internal/rehearse/emulate/virtual/records.go
+++ b/internal/rehearse/emulate/virtual/records.go
@@ -8,7 +8,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 )
 
 // records plays a second source beside the list: one reading for all agents, of what was true a while ago, that
@@ -22,7 +22,7 @@
 
 type published struct {
 	at  time.Duration
-	all []membership.Server
+	all []endpoints.Server
 }
 
 const (
@@ -33,7 +33,7 @@
 // look keeps what is true now, and gives agents what they read of it. It comes again by itself.
 func (r *records) look() {
 	d := r.d
-	var all []membership.Server
+	var all []endpoints.Server
 	for _, p := range d.world.Procs {
 		if p.Dead || p.Draining() || d.world.Find(p.Name) != p {
 			continue
@@ -47,14 +47,14 @@
 	r.drawn++
 	c := d.chance.Sub(emulate.Name("records"), uint64(r.drawn))
 	luck, s := c.Float(), r.spec
-	var report membership.Report = membership.View{Source: fromRecords, Servers: r.past[0].all}
+	var report endpoints.Report = endpoints.View{Source: fromRecords, Servers: r.past[0].all}
 	switch {
 	case luck < s.Fail:
-		report = membership.Failed{Source: fromRecords}
+		report = endpoints.Failed{Source: fromRecords}
 	case luck < s.Fail+s.Cut:
-		report = membership.View{Source: fromRecords, Servers: r.past[0].all[:len(r.past[0].all)/2]}
+		report = endpoints.View{Source: fromRecords, Servers: r.past[0].all[:len(r.past[0].all)/2]}
 	case luck < s.Fail+s.Cut+s.Empty:
-		report = membership.View{Source: fromRecords}
+		report = endpoints.View{Source: fromRecords}
 	}
 	for _, a := range d.agents {
 		if a.up {
@@ -65,24 +65,24 @@
 }
 
 // member is a server as a source tells of it. Places stand for addresses.
-func member(e emulate.Entry) membership.Server {
-	v := membership.Server{ID: e.Server.Name, Addr: "place:" + strconv.Itoa(e.Server.Place), Zone: strconv.Itoa(e.Server.Zone),
+func member(e emulate.Entry) endpoints.Server {
+	v := endpoints.Server{ID: e.Server.Name, Addr: "place:" + strconv.Itoa(e.Server.Place), Zone: strconv.Itoa(e.Server.Zone),
 		Kind: strconv.Itoa(e.Server.Kind), Pod: e.Server.Pod, Weight: 1, Started: e.Started.Milliseconds()}
 	switch e.State {
 	case decide.Draining:
-		v.State = membership.Draining
+		v.State = endpoints.Draining
 	case decide.Gone:
-		v.State = membership.Gone
+		v.State = endpoints.Gone
 	default:
-		v.State = membership.Up
+		v.State = endpoints.Up
 	}
 	return v
 }
 
 // entry is the way back.
-func entry(m membership.Member) (emulate.Entry, error) {
+func entry(m endpoints.Member) (emulate.Entry, error) {
 	e := emulate.Entry{Server: emulate.ServerSpec{Name: m.ID, Pod: m.Pod}, Started: time.Duration(m.Started) * time.Millisecond}
-	if m.State == membership.Draining {
+	if m.State == endpoints.Draining {
 		e.State = decide.Draining
 	}
 	for _, x := range []struct {
@@ -99,22 +99,22 @@
 }
 
 // newMembers is what merges for one agent, which is told the list as it had it last.
-func newMembers(s emulate.RecordsSpec) *membership.Module {
-	return membership.New(membership.Settings{Guard: s.Guard, Settle: s.Settle, Sources: []membership.Source{
+func newMembers(s emulate.RecordsSpec) *endpoints.Module {
+	return endpoints.New(endpoints.Settings{Guard: s.Guard, Settle: s.Settle, Sources: []endpoints.Source{
 		{Name: fromList, Exact: true, Hold: 100 * time.Hour}, {Name: fromRecords, Hold: s.Hold}}})
 }
 
 // merge gives an agent what a source said, and its policy the list that comes of it.
-func (a *agent) merge(report membership.Report) {
-	var list []membership.Member
+func (a *agent) merge(report endpoints.Report) {
+	var list []endpoints.Member
 	changed := false
 	if a.d.o.Believe { // a resolver that believes each answer, and knows of nothing else
-		v, whole := report.(membership.View)
+		v, whole := report.(endpoints.View)
 		if !whole || v.Source != fromRecords {
 			return
 		}
 		for _, s := range v.Servers {
-			list = append(list, membership.Member{Server: s, In: true})
+			list = append(list, endpoints.Member{Server: s, In: true})
 		}
 		changed = true
 	} else {
@@ -144,14 +144,14 @@
 
 // listed passes on what the list told, as a report.
 func (a *agent) listed(t emulate.Tell) {
-	all := make([]membership.Server, 0, len(t.Entries))
+	all := make([]endpoints.Server, 0, len(t.Entries))
 	for _, e := range t.Entries {
 		all = append(all, member(e))
 	}
 	a.view.version = t.Version
 	if t.Full {
-		a.merge(membership.View{Source: fromList, Servers: slices.Clip(all)})
+		a.merge(endpoints.View{Source: fromList, Servers: slices.Clip(all)})
 	} else {
-		a.merge(membership.Change{Source: fromList, Servers: all})
+		a.merge(endpoints.Change{Source: fromList, Servers: all})
 	}
 }
--- a/internal/source/dnssource/dnssource.go
+++ b/internal/source/dnssource/dnssource.go
@@ -17,7 +17,7 @@
 
 	"github.com/miekg/dns"
 
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 )
 
 // Options of a source.
@@ -82,7 +82,7 @@
 // Run reads until ctx ends, and reports each view and each failure. Between two readings lies the least
 // lifetime of what was read, less a random tenth, so that many agents do not ask together; after a
 // failure a wait that doubles. No name is asked for oftener than the floor or the first wait.
-func (s *Source) Run(ctx context.Context, report func(membership.Report)) {
+func (s *Source) Run(ctx context.Context, report func(endpoints.Report)) {
 	for ctx.Err() == nil {
 		servers, ttl, err := s.Read(ctx)
 		var wait time.Duration
@@ -93,7 +93,7 @@
 			if s.fails++; s.fails == 1 || s.fails%20 == 0 {
 				s.o.Log.Warn("names not read", "source", s.o.Name, "error", err, "failures", s.fails)
 			}
-			report(membership.Failed{Source: s.o.Name})
+			report(endpoints.Failed{Source: s.o.Name})
 			ceiling := min(backoffFirst<<min(s.fails-1, 10), backoffMost)
 			wait = ceiling/2 + time.Duration(s.o.Rand()*float64(ceiling)/2)
 		} else {
@@ -101,7 +101,7 @@
 				s.o.Log.Info("names read again", "source", s.o.Name, "failures", s.fails)
 			}
 			s.fails = 0
-			report(membership.View{Source: s.o.Name, Servers: servers})
+			report(endpoints.View{Source: s.o.Name, Servers: servers})
 			ttl = min(max(ttl, s.o.Floor), s.o.Ceiling)
 			wait = max(s.o.Floor, ttl-time.Duration(s.o.Rand()*float64(ttl)/10))
 		}
@@ -114,10 +114,10 @@
 
 // Read asks for everything once. A part that can't be had is a failure of the whole: a smaller fleet is
 // never read out of it.
-func (s *Source) Read(ctx context.Context) (servers []membership.Server, ttl time.Duration, err error) {
+func (s *Source) Read(ctx context.Context) (servers []endpoints.Server, ttl time.Duration, err error) {
 	ttl = s.o.Ceiling
 	seen := map[string]bool{}
-	add := func(all []membership.Server, life time.Duration) {
+	add := func(all []endpoints.Server, life time.Duration) {
 		for _, v := range all {
 			if !seen[v.ID] {
 				seen[v.ID] = true
@@ -166,7 +166,7 @@
 }
 
 // service is the servers of one SRV name, with what a TXT record says of them.
-func (s *Source) service(ctx context.Context, name string, keys []string) (servers []membership.Server, ttl time.Duration, err error) {
+func (s *Source) service(ctx context.Context, name string, keys []string) (servers []endpoints.Server, ttl time.Duration, err error) {
 	found, ttl, extra, err := s.ask(ctx, name, dns.TypeSRV)
 	if errors.Is(err, errNone) {
 		return nil, ttl, nil
@@ -197,11 +197,11 @@
 }
 
 // at are the servers of one SRV record, one for each address of its target, with what a TXT record says.
-func (s *Source) at(v *dns.SRV, addrs, keys []string) (servers []membership.Server) {
+func (s *Source) at(v *dns.SRV, addrs, keys []string) (servers []endpoints.Server) {
 	port := strconv.Itoa(int(v.Port))
 	for i, a := range addrs {
-		server := membership.Server{ID: strings.ToLower(strings.TrimSuffix(v.Target, ".")) + ":" + port, Addr: net.JoinHostPort(a, port),
-			Weight: float64(v.Weight), Priority: int(v.Priority), State: membership.Up}
+		server := endpoints.Server{ID: strings.ToLower(strings.TrimSuffix(v.Target, ".")) + ":" + port, Addr: net.JoinHostPort(a, port),
+			Weight: float64(v.Weight), Priority: int(v.Priority), State: endpoints.Up}
 		if i > 0 {
 			server.ID += "#" + a // a further address of the same name is another server
 		}
@@ -224,7 +224,7 @@
 
 // describe takes the keys of a TXT record (RFC 6763, 6). One that makes no sense is left out, and said
 // once; the others hold.
-func (s *Source) describe(v *membership.Server, name string, keys []string) {
+func (s *Source) describe(v *endpoints.Server, name string, keys []string) {
 	for _, text := range keys {
 		key, value, ok := strings.Cut(text, "=")
 		if !ok || key == "" {
@@ -258,9 +258,9 @@
 			switch value {
 			case "ready":
 			case "draining":
-				v.State = membership.Draining
+				v.State = endpoints.Draining
 			case "gone":
-				v.State = membership.Gone
+				v.State = endpoints.Gone
 			default:
 				err = errors.New("none of ready, draining, gone")
 			}
--- a/internal/source/dnssource/dnssource_test.go
+++ b/internal/source/dnssource/dnssource_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/miekg/dns"
 
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 	standin "vetchhaven/internal/standin/dns"
 )
 
@@ -55,8 +55,8 @@
 	if err != nil || len(all) != 2 || ttl != 30*time.Second {
 		t.Fatalf("%+v, %v, %v", all, ttl, err)
 	}
-	one := membership.Server{ID: "one.example.org:8001", Addr: "10.0.0.1:8001", Weight: 5, State: membership.Up}
-	two := membership.Server{ID: "two.example.org:8002", Addr: "[2001:db8::2]:8002", Weight: 1, Priority: 10, State: membership.Up}
+	one := endpoints.Server{ID: "one.example.org:8001", Addr: "10.0.0.1:8001", Weight: 5, State: endpoints.Up}
+	two := endpoints.Server{ID: "two.example.org:8002", Addr: "[2001:db8::2]:8002", Weight: 1, Priority: 10, State: endpoints.Up}
 	if all[0] != one || all[1] != two {
 		t.Errorf("%+v", all)
 	}
@@ -160,7 +160,7 @@
 	o := New(Options{Name: "r", Browse: []string{service}, Resolvers: []string{s.Addr()}, Timeout: 5 * time.Second, Log: slog.New(slog.NewTextHandler(&log, nil))})
 	for range 2 {
 		all, ttl, err := o.Read(t.Context())
-		want := membership.Server{ID: "formserver-1", Addr: "10.0.0.1:8001", Zone: "a", Kind: "k", Pod: 3, State: membership.Draining, Started: 17}
+		want := endpoints.Server{ID: "formserver-1", Addr: "10.0.0.1:8001", Zone: "a", Kind: "k", Pod: 3, State: endpoints.Draining, Started: 17}
 		if err != nil || len(all) != 1 || all[0] != want || ttl != 40*time.Second {
 			t.Errorf("%+v, %v, %v", all, ttl, err)
 		}
@@ -204,11 +204,11 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			o.Run(ctx, func(r membership.Report) {
+			o.Run(ctx, func(r endpoints.Report) {
 				switch r.(type) {
-				case membership.View:
+				case endpoints.View:
 					views.Add(1)
-				case membership.Failed:
+				case endpoints.Failed:
 					failures.Add(1)
 				}
 			})
--- a/internal/source/dnssource/mdns.go
+++ b/internal/source/dnssource/mdns.go
@@ -9,7 +9,7 @@
 
 	"github.com/miekg/dns"
 
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 )
 
 // Multicast reads services that are announced by DNS-SD over multicast DNS (RFC 6762, RFC 6763). It is off
@@ -19,7 +19,7 @@
 	service string
 	group   string
 	c       cache
-	last    []membership.Server
+	last    []endpoints.Server
 	lost    bool
 	sought  map[dns.Question]time.Duration // when what an instance lacks was last asked for
 }
@@ -36,11 +36,11 @@
 )
 
 // Run listens and asks until ctx ends, and reports each change.
-func (m *Multicast) Run(ctx context.Context, report func(membership.Report)) {
+func (m *Multicast) Run(ctx context.Context, report func(endpoints.Report)) {
 	for ctx.Err() == nil {
 		if err := m.listen(ctx, report); err != nil && ctx.Err() == nil {
 			m.s.o.Log.Warn("multicast DNS", "source", m.s.o.Name, "error", err)
-			report(membership.Failed{Source: m.s.o.Name})
+			report(endpoints.Failed{Source: m.s.o.Name})
 			select {
 			case <-time.After(backoffMost):
 			case <-ctx.Done():
@@ -49,7 +49,7 @@
 	}
 }
 
-func (m *Multicast) listen(ctx context.Context, report func(membership.Report)) error {
+func (m *Multicast) listen(ctx context.Context, report func(endpoints.Report)) error {
 	to, err := net.ResolveUDPAddr("udp", m.group)
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 			}
 			byes := m.c.take(now, &r)
 			if gone := m.gone(byes); len(gone) > 0 {
-				report(membership.Change{Source: m.s.o.Name, Servers: gone})
+				report(endpoints.Change{Source: m.s.o.Name, Servers: gone})
 			}
 			m.tell(report)
 			for _, q := range m.missing() {
@@ -138,7 +138,7 @@
 			if m.c.onlySilence(now) {
 				if !m.lost {
 					m.lost = true
-					report(membership.Failed{Source: m.s.o.Name})
+					report(endpoints.Failed{Source: m.s.o.Name})
 				}
 				m.c.records, wait = nil, time.Second // asked for anew; the last view holds
 				ask.Reset(0)
@@ -186,7 +186,7 @@
 // found is a server of an instance of which all is known.
 type found struct {
 	instance string
-	membership.Server
+	endpoints.Server
 }
 
 func (m *Multicast) servers() (all []found) {
@@ -228,14 +228,14 @@
 }
 
 // gone are the servers that goodbyes took back.
-func (m *Multicast) gone(byes []dns.RR) (all []membership.Server) {
+func (m *Multicast) gone(byes []dns.RR) (all []endpoints.Server) {
 	if len(byes) == 0 {
 		return nil
 	}
 	back := m.takenBack(byes)
 	for _, v := range m.servers() {
 		if back[v.instance] {
-			v.State = membership.Gone
+			v.State = endpoints.Gone
 			all = append(all, v.Server)
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // tell reports the view, if it differs from the last. What was taken back, and has yet to end, is not in it.
-func (m *Multicast) tell(report func(membership.Report)) {
+func (m *Multicast) tell(report func(endpoints.Report)) {
 	var byes []dns.RR
 	for _, k := range m.c.records {
 		if k.bye {
@@ -251,7 +251,7 @@
 		}
 	}
 	back := m.takenBack(byes)
-	live := []membership.Server{}
+	live := []endpoints.Server{}
 	for _, v := range m.servers() {
 		if !back[v.instance] {
 			live = append(live, v.Server)
@@ -261,7 +261,7 @@
 		return
 	}
 	m.lost, m.last = false, live
-	report(membership.View{Source: m.s.o.Name, Servers: live})
+	report(endpoints.View{Source: m.s.o.Name, Servers: live})
 }
 
 // missing are the questions whose answers would complete an instance.
--- a/internal/source/dnssource/mdns_test.go
+++ b/internal/source/dnssource/mdns_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/miekg/dns"
 
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 	standin "vetchhaven/internal/standin/dns"
 	"vetchhaven/internal/testkit"
 )
@@ -119,12 +119,12 @@
 	}
 	announce(false, append(instance(1, 600), instance(2, 600)...)...)
 	m := NewMulticast(Options{Name: "m"}, local, r.Addr())
-	reports := make(chan membership.Report, 1000)
+	reports := make(chan endpoints.Report, 1000)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); m.Run(ctx, func(v membership.Report) { reports <- v }) }()
+	go func() { defer close(done); m.Run(ctx, func(v endpoints.Report) { reports <- v }) }()
 	defer func() { cancel(); <-done }()
-	until := func(what string, ok func(membership.Report) bool) {
+	until := func(what string, ok func(endpoints.Report) bool) {
 		t.Helper()
 		limit := time.After(testkit.Patience)
 		for {
@@ -138,9 +138,9 @@
 			}
 		}
 	}
-	views := func(ids ...string) func(membership.Report) bool {
-		return func(v membership.Report) bool {
-			w, ok := v.(membership.View)
+	views := func(ids ...string) func(endpoints.Report) bool {
+		return func(v endpoints.Report) bool {
+			w, ok := v.(endpoints.View)
 			if !ok || len(w.Servers) != len(ids) {
 				return false
 			}
@@ -152,22 +152,22 @@
 			return true
 		}
 	}
-	until("both", func(v membership.Report) bool {
-		w, ok := v.(membership.View)
+	until("both", func(v endpoints.Report) bool {
+		w, ok := v.(endpoints.View)
 		return ok && len(w.Servers) == 2 && w.Servers[1].Pod == 2 && w.Servers[1].Addr == "10.0.0.2:8002"
 	})
 	r.Say([]byte("this is no message"))
 	announce(false, instance(1, 0)[0])
-	until("goodbye", func(v membership.Report) bool {
-		w, ok := v.(membership.Change)
-		return ok && len(w.Servers) == 1 && w.Servers[0].ID == "h1.local:8001" && w.Servers[0].State == membership.Gone
+	until("goodbye", func(v endpoints.Report) bool {
+		w, ok := v.(endpoints.Change)
+		return ok && len(w.Servers) == 1 && w.Servers[0].ID == "h1.local:8001" && w.Servers[0].State == endpoints.Gone
 	})
 	until("view without it", views("h2.local:8002"))
 	announce(true, instance(1, 600)...)
 	until("view with it", views("h1.local:8001", "h2.local:8002"))
 	announce(true, "h2.local. 600 IN A 10.0.0.22")
-	until("its new address", func(v membership.Report) bool {
-		w, ok := v.(membership.View)
+	until("its new address", func(v endpoints.Report) bool {
+		w, ok := v.(endpoints.View)
 		return ok && len(w.Servers) >= 2 && w.Servers[len(w.Servers)-1].Addr == "10.0.0.22:8002"
 	})
 	if r.Asked("SRV", "i1."+local) == 0 {
@@ -209,7 +209,7 @@
 			}
 			now := time.Duration(i) * time.Second
 			m.gone(m.c.take(now, &r))
-			m.tell(func(membership.Report) {})
+			m.tell(func(endpoints.Report) {})
 			for _, q := range append(m.missing(), m.c.due(now)...) {
 				m.query(q, now)
 			}
--- a/internal/source/membership/membership.go
+++ b/internal/source/endpoints/endpoints.go
@@ -1,7 +1,7 @@
-// Package membership makes one list of servers of what several sources say. It is free of I/O, clock and
+// Package endpoints makes one list of servers of what several sources say. It is free of I/O, clock and
 // randomness: reports and the time go in, the list and the reasons come out. The rule stands as one table
 // in docs/design/membership.md, and as a table test.
-package membership
+package endpoints
 
 import (
 	"cmp"
--- a/internal/source/membership/membership_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpoints
 
 import (
 	"fmt"
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -23,7 +23,7 @@
 
 	"vetchhaven/internal/host/fleet"
 	"vetchhaven/internal/source/catalog"
-	"vetchhaven/internal/source/membership"
+	"vetchhaven/internal/source/endpoints"
 	"vetchhaven/internal/standin/dns"
 	"vetchhaven/tools/measure"
 )
@@ -72,11 +72,11 @@
 	alive   []bool
 	told    []time.Duration // when the list told that it drains or is gone; 0: it did not
 	pods    []int
-	records []membership.Server // as published
+	records []endpoints.Server // as published
 }
 
-func server(i int, w *world) membership.Server {
-	return membership.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: membership.Up, Pod: w.pods[i]}
+func server(i int, w *world) endpoints.Server {
+	return endpoints.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: endpoints.Up, Pod: w.pods[i]}
 }
 
 // tally is how one way of believing went.
@@ -107,9 +107,9 @@
 	for i := range servers {
 		w.alive[i], w.pods[i] = true, 1+i%3
 	}
-	m := membership.New(membership.Settings{Guard: 30 * time.Second, Settle: 12 * time.Second, Sources: []membership.Source{
+	m := endpoints.New(endpoints.Settings{Guard: 30 * time.Second, Settle: 12 * time.Second, Sources: []endpoints.Source{
 		{Name: "list", Exact: true, Hold: 100 * time.Hour}, {Name: "records", Hold: time.Hour}}})
-	truth := func() (all []membership.Server) {
+	truth := func() (all []endpoints.Server) {
 		for i := range servers {
 			if w.alive[i] && w.told[i] == 0 {
 				all = append(all, server(i, w))
@@ -118,11 +118,11 @@
 		return all
 	}
 	w.records = truth()
-	m.Step(0, membership.View{Source: "list", Servers: truth()}, membership.View{Source: "records", Servers: w.records})
+	m.Step(0, endpoints.View{Source: "list", Servers: truth()}, endpoints.View{Source: "records", Servers: w.records})
 	believed := w.records
 	type publish struct {
 		at  time.Duration
-		all []membership.Server
+		all []endpoints.Server
 	}
 	var coming []publish
 	listDown := time.Duration(0)
@@ -133,11 +133,11 @@
 			listDown = w.now + time.Duration(10+w.rng.IntN(60))*time.Second
 		}
 		up := w.now >= listDown
-		var said []membership.Server
+		var said []endpoints.Server
 		if i := w.rng.IntN(servers); up && w.rng.IntN(40) == 0 && w.alive[i] && w.told[i] == 0 { // one drains, and is gone 10 s later
 			w.told[i] = w.now
 			v := server(i, w)
-			v.State = membership.Draining
+			v.State = endpoints.Draining
 			said = append(said, v)
 			dueDead[i] = w.now + 10*time.Second
 			backAt[i] = w.now + time.Duration(60+w.rng.IntN(120))*time.Second
@@ -147,7 +147,7 @@
 			if dueDead[i] > 0 && w.now >= dueDead[i] && up {
 				dueDead[i], w.alive[i] = 0, false
 				v := server(i, w)
-				v.State = membership.Gone
+				v.State = endpoints.Gone
 				said = append(said, v)
 			}
 			if backAt[i] > 0 && w.now >= backAt[i] && up && !w.alive[i] {
@@ -157,7 +157,7 @@
 			}
 		}
 		if len(said) > 0 {
-			m.Step(w.now, membership.Change{Source: "list", Servers: said})
+			m.Step(w.now, endpoints.Change{Source: "list", Servers: said})
 		}
 		for len(coming) > 0 && coming[0].at <= w.now { // records follow late
 			w.records = truth()
@@ -166,23 +166,23 @@
 		if w.now%(20*time.Second) == 0 {
 			switch w.rng.IntN(16) {
 			case 0: // SERVFAIL: a resolver that believes all has no server
-				m.Step(w.now, membership.Failed{Source: "records"})
+				m.Step(w.now, endpoints.Failed{Source: "records"})
 				believed = nil
 			case 1, 2: // cut short: half of them; the resolver knows that it was cut, and fails
-				m.Step(w.now, membership.Failed{Source: "records"})
+				m.Step(w.now, endpoints.Failed{Source: "records"})
 				believed = w.records[:len(w.records)/2]
 			case 3: // a true empty answer
-				m.Step(w.now, membership.View{Source: "records"})
+				m.Step(w.now, endpoints.View{Source: "records"})
 				believed = nil
 			default:
-				m.Step(w.now, membership.View{Source: "records", Servers: w.records})
+				m.Step(w.now, endpoints.View{Source: "records", Servers: w.records})
 				believed = w.records
 			}
 		}
 		list, _ := m.Step(w.now)
-		var in []membership.Server
+		var in []endpoints.Server
 		for _, v := range list {
-			if v.In && v.State == membership.Up {
+			if v.In && v.State == endpoints.Up {
 				in = append(in, v.Server)
 			}
 		}
@@ -192,7 +192,7 @@
 }
 
 // send sends a second's requests to servers at random.
-func (w *world) send(in []membership.Server, t *tally) {
+func (w *world) send(in []endpoints.Server, t *tally) {
 	const rate = 50
 	if len(in) == 0 {
 		t.emptied++
@@ -213,20 +213,20 @@
 }
 
 func merge() error {
-	s := membership.Settings{Guard: 30 * time.Second, Settle: 12 * time.Second, Sources: []membership.Source{
+	s := endpoints.Settings{Guard: 30 * time.Second, Settle: 12 * time.Second, Sources: []endpoints.Source{
 		{Name: "list", Exact: true, Hold: time.Hour}, {Name: "srv", Hold: time.Hour}, {Name: "sd", Hold: time.Hour}}}
-	var all []membership.Server
+	var all []endpoints.Server
 	for i := range 1000 {
-		all = append(all, membership.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), State: membership.Up, Pod: i % 7})
+		all = append(all, endpoints.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), State: endpoints.Up, Pod: i % 7})
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m := membership.New(s)
+	m := endpoints.New(s)
 	const rounds = 100
 	began := time.Now()
 	for n := range rounds {
-		m.Step(time.Duration(n)*time.Second, membership.View{Source: "list", Servers: all}, membership.View{Source: "srv", Servers: all}, membership.View{Source: "sd", Servers: all})
+		m.Step(time.Duration(n)*time.Second, endpoints.View{Source: "list", Servers: all}, endpoints.View{Source: "srv", Servers: all}, endpoints.View{Source: "sd", Servers: all})
 	}
 	took := time.Since(began) / rounds
 	runtime.GC()
@@ -303,10 +303,10 @@
 	lists := make(chan int, 1000)
 	hub := catalog.NewHub(catalog.HubOptions{Log: slog.New(slog.DiscardHandler)})
 	m := fleet.NewMerger(fleet.Source{Name: "s", Multicast: "_form._tcp.local", Group: r.Addr(), Hold: time.Hour}, hub, nil, slog.New(slog.DiscardHandler),
-		func(list []membership.Member) {
+		func(list []endpoints.Member) {
 			in := 0
 			for _, v := range list {
-				if v.In && v.State == membership.Up {
+				if v.In && v.State == endpoints.Up {
 					in++
 				}
 			}
