--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/host/ops"
+	"vetchhaven/internal/host/admin"
 	"vetchhaven/internal/host/upgrade"
 	"vetchhaven/internal/protocol/http1"
 )
@@ -123,8 +123,8 @@
 	case <-limit.C:
 		log.Error("what operators said is not known yet", "waited", keptWait)
 	}
-	door, err := ops.Open(cfg.Admin, a, kept, log)
-	late := make(chan *ops.Door, 1)
+	door, err := admin.Open(cfg.Admin, a, kept, log)
+	late := make(chan *admin.Door, 1)
 	switch {
 	case err == nil:
 		late <- door
@@ -133,7 +133,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				time.Sleep(doorAgain)
-				if door, err := ops.Open(cfg.Admin, a, kept, log); err == nil {
+				if door, err := admin.Open(cfg.Admin, a, kept, log); err == nil {
 					late <- door
 					return
 				}
--- a/internal/host/ops/door.go
+++ b/internal/host/admin/door.go
@@ -1,7 +1,7 @@
-// Package ops is the operators' door of one agent: an HTTP/1.1 listener of its own with one call a
+// Package admin is the operators' door of one agent: an HTTP/1.1 listener of its own with one call a
 // connection, for readiness, figures, servers taken out by hand, and clients sent away. It decides nothing
 // and holds no state of the agent's.
-package ops
+package admin
 
 import (
 	"container/list"
--- a/internal/host/ops/door_test.go
+++ b/internal/host/admin/door_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bufio"
