--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -20,7 +20,7 @@
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/admin"
-	"vetchhaven/internal/host/upgrade"
+	"vetchhaven/internal/host/handoff"
 	"vetchhaven/internal/protocol/http1"
 )
 
@@ -98,12 +98,12 @@
 const keptAgain = time.Second
 
 // place is where what operators say is kept for other processes of the agent, once the disk has answered.
-type place struct{ dir atomic.Pointer[upgrade.Dir] }
+type place struct{ dir atomic.Pointer[handoff.Dir] }
 
 var errNotKept = errors.New("its directory does not answer")
 
 // Say keeps a change.
-func (p *place) Say(c upgrade.Change) error {
+func (p *place) Say(c handoff.Change) error {
 	if dir := p.dir.Load(); dir != nil {
 		return dir.Say(c)
 	}
@@ -165,7 +165,7 @@
 	look := sync.OnceFunc(func() { close(looked) })
 	defer look()
 	path := filepath.Join(os.TempDir(), "vetchhaven-"+url.PathEscape(cfg.Name+"-"+cfg.Listen))
-	dir, err := upgrade.Open(path)
+	dir, err := handoff.Open(path)
 	if err != nil { // it serves all the same
 		log.Error("what operators say holds in this process alone, until its directory can be opened", "error", err)
 		look()
@@ -176,12 +176,12 @@
 			return
 		case <-time.After(keptAgain):
 		}
-		if dir, err = upgrade.Open(path); err == nil {
+		if dir, err = handoff.Open(path); err == nil {
 			log.Info("what operators say is kept", "directory", path)
 		}
 	}
 	kept.dir.Store(dir)
-	apply := func(c upgrade.Change) error {
+	apply := func(c handoff.Change) error {
 		if c.Server == "" {
 			a.Drain(c.On)
 			return nil
--- a/internal/host/admin/door.go
+++ b/internal/host/admin/door.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/handoff"
 	"vetchhaven/internal/host/metrics"
-	"vetchhaven/internal/host/upgrade"
 )
 
 // Agent is what the door opens to.
@@ -55,11 +55,11 @@
 
 // Keeper keeps what operators said for the process that comes after, or is there beside this one. Say
 // returns once the other has heard of it.
-type Keeper interface{ Say(c upgrade.Change) error }
+type Keeper interface{ Say(c handoff.Change) error }
 
 type none struct{}
 
-func (none) Say(upgrade.Change) error { return nil }
+func (none) Say(handoff.Change) error { return nil }
 
 type connKey struct{}
 
@@ -174,17 +174,17 @@
 	case !known:
 		http.Error(w, fmt.Sprintf("no server %q is listed", id), http.StatusNotFound)
 	default:
-		d.kept(w, upgrade.Change{Server: id, On: out})
+		d.kept(w, handoff.Change{Server: id, On: out})
 	}
 }
 
 func (d *Door) drain(w http.ResponseWriter, on bool) {
 	d.agent.Drain(on)
-	d.kept(w, upgrade.Change{On: on})
+	d.kept(w, handoff.Change{On: on})
 }
 
 // kept answers yes once what holds here is kept, or says that another process may not know.
-func (d *Door) kept(w http.ResponseWriter, c upgrade.Change) {
+func (d *Door) kept(w http.ResponseWriter, c handoff.Change) {
 	if err := d.keeper.Say(c); err != nil {
 		d.log.Error("what an operator said holds here, and is not kept for another process", "error", err)
 	}
--- a/internal/host/admin/door_test.go
+++ b/internal/host/admin/door_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/host/upgrade"
+	"vetchhaven/internal/host/handoff"
 	"vetchhaven/internal/testkit"
 )
 
@@ -59,7 +59,7 @@
 // keeper fails.
 type keeper struct{}
 
-func (keeper) Say(upgrade.Change) error { return errors.New("disk full") }
+func (keeper) Say(handoff.Change) error { return errors.New("disk full") }
 
 func open(t *testing.T, a Agent, k Keeper) string {
 	t.Helper()
--- a/internal/host/upgrade/said.go
+++ b/internal/host/handoff/said.go
@@ -1,7 +1,7 @@
-// Package upgrade joins the processes of one agent that run beside each other while one replaces the
+// Package handoff joins the processes of one agent that run beside each other while one replaces the
 // other: what operators said to one holds in all, and each takes its part of what the agent may use.
 // said.go is the decision, free of I/O; dir.go is its carrier, a directory that all of them see.
-package upgrade
+package handoff
 
 import (
 	"encoding/json"
--- a/internal/host/upgrade/said_test.go
+++ b/internal/host/handoff/said_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package handoff
 
 import (
 	"encoding/json"
