--- a/cmd/vetchhaven/ask.go
+++ b/cmd/vetchhaven/ask.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 )
 
 // askCommands talk to a running daemon, at the admin address of its file.
@@ -54,7 +54,7 @@
 
 // askWith calls it with a body.
 func askWith(config, method, path string, with []byte, wait time.Duration) ([]byte, error) {
-	cfg, err := fleet.Load(config)
+	cfg, err := daemon.Load(config)
 	if err != nil {
 		return nil, exit{2, err}
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	var s fleet.Status
+	var s daemon.Status
 	if err := json.Unmarshal(body, &s); err != nil {
 		return exit{1, err}
 	}
--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/peer/carrier"
 )
 
@@ -111,9 +111,9 @@
 	c := &cobra.Command{Use: "limits", Short: "Show the limits that the fleet shares: bounds, use, and where the rights are", Args: cobra.NoArgs,
 		Long: "limits prints what follows from the file for each limit (the most that all agents together ever use, what one may\nuse that is cut off), and, from the running daemon, what it holds and, as a keeper, lends. With --file no daemon is\nasked: it is the file's word alone, for as many agents as are given.",
 		RunE: func(*cobra.Command, []string) error {
-			var s fleet.LimitsNow
+			var s daemon.LimitsNow
 			if file {
-				cfg, err := fleet.Load(config)
+				cfg, err := daemon.Load(config)
 				if err != nil {
 					return exit{1, err}
 				}
@@ -145,7 +145,7 @@
 	return c
 }
 
-func showLimits(s *fleet.LimitsNow, file bool, out io.Writer) error {
+func showLimits(s *daemon.LimitsNow, file bool, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d agents\n", s.Agents)
 	fmt.Fprintln(w, "limit\tcounts\tof\tkind\tfigure\tmost\tcut off alone\tterm\tback after\tkeepers")
--- a/cmd/vetchhaven/members.go
+++ b/cmd/vetchhaven/members.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/source/catalog"
 	"vetchhaven/internal/source/endpoints"
 )
@@ -40,7 +40,7 @@
 }
 
 func members(config, only string, watch bool, wait time.Duration, out io.Writer) error {
-	cfg, err := fleet.Load(config)
+	cfg, err := daemon.Load(config)
 	if err != nil {
 		return exit{2, err}
 	}
@@ -58,7 +58,7 @@
 	defer cancel()
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	changed := make(chan string, 64)
-	mergers := map[string]*fleet.Merger{}
+	mergers := map[string]*daemon.Merger{}
 	for _, n := range names {
 		s := cfg.Sources[n]
 		hub := catalog.NewHub(catalog.HubOptions{Log: log})
@@ -66,7 +66,7 @@
 		if s.List != "" {
 			list = catalog.NewHub(catalog.HubOptions{Addr: s.List, ConnectTimeout: wait, Log: log})
 		}
-		m := fleet.NewMerger(s, hub, nil, log, func([]endpoints.Member) {
+		m := daemon.NewMerger(s, hub, nil, log, func([]endpoints.Member) {
 			select {
 			case changed <- n:
 			default:
--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -22,7 +22,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -43,7 +43,7 @@
 			_, _ = os.Stdout.Write(body)
 			return err
 		}
-		var s fleet.ShownPolicy
+		var s daemon.ShownPolicy
 		if err := json.Unmarshal(body, &s); err != nil {
 			return exit{1, err}
 		}
@@ -57,7 +57,7 @@
 		if err != nil {
 			return exit{2, err}
 		}
-		if err := fleet.CheckPolicy(config, texts, names); err != nil {
+		if err := daemon.CheckPolicy(config, texts, names); err != nil {
 			return exit{2, err}
 		}
 		if now, err := inForce(config); err == nil {
@@ -75,7 +75,7 @@
 			if err != nil {
 				return exit{2, err}
 			}
-			if err := fleet.CheckPolicy(config, texts, names); err != nil {
+			if err := daemon.CheckPolicy(config, texts, names); err != nil {
 				return exit{2, err}
 			}
 			return applyPolicy(config, texts, &f, os.Stdout)
@@ -161,12 +161,12 @@
 	return host
 }
 
-func inForce(config string) (*fleet.ShownPolicy, error) {
+func inForce(config string) (*daemon.ShownPolicy, error) {
 	body, err := ask(config, http.MethodGet, "/policy", 10*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	s := &fleet.ShownPolicy{}
+	s := &daemon.ShownPolicy{}
 	return s, json.Unmarshal(body, s)
 }
 
@@ -228,7 +228,7 @@
 
 // changed prints what texts change, and returns the numbers in force of which they are made. What changes nothing is left out,
 // unless all of it does.
-func changed(config string, now *fleet.ShownPolicy, texts map[string]string, out io.Writer) (differ map[string]string, bases map[string]uint64, err error) {
+func changed(config string, now *daemon.ShownPolicy, texts map[string]string, out io.Writer) (differ map[string]string, bases map[string]uint64, err error) {
 	differ, bases = map[string]string{}, map[string]uint64{}
 	for _, part := range slices.Sorted(maps.Keys(texts)) {
 		was, number := now.Body, now.Force.Number
@@ -283,7 +283,7 @@
 	if len(now.Outside) > 0 {
 		fmt.Fprintf(out, "alive, and not in the roster: %s: the change is not theirs\n", strings.Join(now.Outside, ", "))
 	}
-	data, err := json.Marshal(fleet.PolicyChange{Parts: texts, Bases: bases, Reason: f.reason, Author: who() + " at " + now.Name, Without: f.without})
+	data, err := json.Marshal(daemon.PolicyChange{Parts: texts, Bases: bases, Reason: f.reason, Author: who() + " at " + now.Name, Without: f.without})
 	if err != nil {
 		return exit{2, err}
 	}
@@ -307,7 +307,7 @@
 		if err != nil {
 			return exit{2, fmt.Errorf("what became of change %s is not known: %w; ask again with: vetchhaven policy status %s", id, err, id)}
 		}
-		var f fleet.PolicyFateShown
+		var f daemon.PolicyFateShown
 		if err := json.Unmarshal(body, &f); err != nil {
 			return exit{2, err}
 		}
@@ -345,7 +345,7 @@
 	return ": " + why
 }
 
-func showPolicy(s *fleet.ShownPolicy, part string, out io.Writer) {
+func showPolicy(s *daemon.ShownPolicy, part string, out io.Writer) {
 	f := s.Force
 	if f.Number == 0 {
 		fmt.Fprintf(out, "no policy was agreed on yet: each daemon serves by its own file\n")
--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 )
 
 // clockEnv moves the wall clock by which a member of a fleet numbers its starts: drills set it.
@@ -49,11 +49,11 @@
 	defer cancel()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR2)
-	before, err := fleet.Inherit()
+	before, err := daemon.Inherit()
 	if err != nil {
 		return exit{1, err}
 	}
-	cfg, err := fleet.Load(path)
+	cfg, err := daemon.Load(path)
 	if err != nil {
 		return exit{2, err}
 	}
@@ -66,14 +66,14 @@
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
-	d, err := fleet.New(fleet.Options{Config: cfg, Log: log, Program: version, ClockOff: clockOff, Inherit: before.Sockets, State: before.State,
+	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, ClockOff: clockOff, Inherit: before.Sockets, State: before.State,
 		Ready: func() {
 			log.Info("ready", "instances", len(cfg.Instances), "pid", os.Getpid())
 			if err := before.Ready(); err != nil {
 				log.Warn("the daemon before was not told", "error", err)
 			}
 		},
-		Upgrade: func(ctx context.Context, sockets map[fleet.Address]*os.File, state []byte) error {
+		Upgrade: func(ctx context.Context, sockets map[daemon.Address]*os.File, state []byte) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
@@ -83,7 +83,7 @@
 			defer context.AfterFunc(stop, end)()
 			cmd := exec.Command(self, os.Args[1:]...)
 			cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-			return fleet.Successor(either, cmd, sockets, state, fleet.ReadyWithin)
+			return daemon.Successor(either, cmd, sockets, state, daemon.ReadyWithin)
 		}})
 	if err != nil {
 		return exit{1, err}
@@ -99,7 +99,7 @@
 			}
 		}
 	}()
-	if err := d.Run(stop); err != nil && !errors.Is(err, fleet.ErrHandedOver) {
+	if err := d.Run(stop); err != nil && !errors.Is(err, daemon.ErrHandedOver) {
 		return exit{1, err}
 	}
 	return nil
--- a/cmd/vetchhaven/serve_test.go
+++ b/cmd/vetchhaven/serve_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/standin"
 )
 
@@ -80,7 +80,7 @@
 		os.RemoveAll(dir)
 	})
 	s.start()
-	s.until("ready", func(st fleet.Status) bool { return st.Ready == 1 })
+	s.until("ready", func(st daemon.Status) bool { return st.Ready == 1 })
 	return s
 }
 
@@ -107,7 +107,7 @@
 		}}}
 }
 
-func (s *served) status() (st fleet.Status, ok bool) {
+func (s *served) status() (st daemon.Status, ok bool) {
 	resp, err := s.client("admin").Get("http://x/status")
 	if err != nil {
 		return st, false
@@ -116,7 +116,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-func (s *served) until(what string, f func(fleet.Status) bool) fleet.Status {
+func (s *served) until(what string, f func(daemon.Status) bool) daemon.Status {
 	s.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		if st, ok := s.status(); ok && f(st) {
@@ -190,7 +190,7 @@
 	if code := s.cmd.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("it ended with status %d", code)
 	}
-	st := s.until("the successor serves", func(st fleet.Status) bool { return st.PID != old.PID && st.Ready == 1 })
+	st := s.until("the successor serves", func(st daemon.Status) bool { return st.PID != old.PID && st.Ready == 1 })
 	close(stop)
 	askers.Wait()
 	if status, _, err := s.get(-1); err != nil || status != 200 {
@@ -277,7 +277,7 @@
 			t.Fatal(err)
 		}
 		// On a busy machine it may be over before anybody has asked how it goes.
-		s.until("handing over", func(st fleet.Status) bool { return st.State == "handing over" || st.PID != before.PID })
+		s.until("handing over", func(st daemon.Status) bool { return st.State == "handing over" || st.PID != before.PID })
 		s.term()
 		// Either the successor was ready just before, and serves, or nobody listens any more.
 		if st, ok := s.status(); ok && st.PID == before.PID {
@@ -312,7 +312,7 @@
 	_ = s.cmd.Process.Kill()
 	<-s.gone
 	s.start()
-	s.until("ready", func(st fleet.Status) bool { return st.Ready == 1 })
+	s.until("ready", func(st daemon.Status) bool { return st.Ready == 1 })
 	if status, _, err := s.get(2); err != nil || status != 200 {
 		t.Errorf("%d %v", status, err)
 	}
@@ -389,7 +389,7 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Errorf("a further handover: %d", resp.StatusCode)
 	}
-	s.until("another process", func(st fleet.Status) bool { return st.PID != before.PID && st.Ready == 1 })
+	s.until("another process", func(st daemon.Status) bool { return st.PID != before.PID && st.Ready == 1 })
 }
 
 // children are the processes that a process has started.
@@ -425,13 +425,13 @@
 		t.Fatal(err)
 	}
 	s.start("VETCHHAVEN_TEST_FILE_LIMIT=64") // bytes: less than a state has
-	s.until("ready", func(st fleet.Status) bool { return st.Ready == 1 })
+	s.until("ready", func(st daemon.Status) bool { return st.Ready == 1 })
 	other := f.Member("draining") // a server that drains is saved at once
 	for range 3 {
 		list.Set(other)
 		list.Set(f.Member("ready"))
 	}
-	s.until("a write has failed", func(st fleet.Status) bool { return st.Saving != "" })
+	s.until("a write has failed", func(st daemon.Status) bool { return st.Saving != "" })
 	if now, err := os.ReadFile(state); err != nil || !bytes.Equal(now, whole) {
 		t.Errorf("the last state is now %d bytes, %v", len(now), err)
 	}
--- a/internal/host/fleet/config.go
+++ b/internal/host/daemon/config.go
@@ -1,8 +1,8 @@
-// Package fleet is the daemon: it hosts many agent instances in one process, keeps each going,
+// Package daemon is the daemon: it hosts many agent instances in one process, keeps each going,
 // changes them under load, hands its sockets over to a successor and comes back from its last state.
 // Instances share no decisions: each has its own balancer, bucket, view and limits. They share what
 // is stated: one reading of each list, the process's sockets and memory by fair shares.
-package fleet
+package daemon
 
 import (
 	"fmt"
--- a/internal/host/fleet/merge.go
+++ b/internal/host/daemon/merge.go
@@ -1,4 +1,4 @@
-package fleet
+package daemon
 
 import (
 	"context"
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/tools/capacity/slopes"
@@ -28,8 +28,8 @@
 }
 
 // shownPolicy is what `policy show --json` is told by a voter of n members.
-func shownPolicy(n int) *fleet.ShownPolicy {
-	s := &fleet.ShownPolicy{Shown: policy.Shown{Name: "host-00000", Serving: "by the policy in force", Voters: []string{"host-00000", "host-00001", "host-00002"}, Leader: "host-00001"}, Body: policyOf(100)}
+func shownPolicy(n int) *daemon.ShownPolicy {
+	s := &daemon.ShownPolicy{Shown: policy.Shown{Name: "host-00000", Serving: "by the policy in force", Voters: []string{"host-00000", "host-00001", "host-00002"}, Leader: "host-00001"}, Body: policyOf(100)}
 	for i := range n {
 		s.Roster = append(s.Roster, fmt.Sprintf("host-%05d", i))
 	}
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/rehearse/emulate/sockets"
 	"vetchhaven/internal/source/catalog"
 	"vetchhaven/internal/standin"
@@ -180,7 +180,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	var st fleet.Status
+	var st daemon.Status
 	if json.NewDecoder(resp.Body).Decode(&st) == nil && st.PID > 1 {
 		_ = syscall.Kill(st.PID, syscall.SIGTERM)
 	}
--- a/tools/measure/measure.go
+++ b/tools/measure/measure.go
@@ -9,21 +9,21 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 )
 
 // Daemon runs a fleet of this configuration in this process, its file in dir, and returns once it is ready.
-func Daemon(dir string, config []byte) (d *fleet.Daemon, stop func(), err error) {
+func Daemon(dir string, config []byte) (d *daemon.Daemon, stop func(), err error) {
 	path := filepath.Join(dir, "fleet.toml")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, nil, err
 	}
-	cfg, err := fleet.Load(path)
+	cfg, err := daemon.Load(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	ready := make(chan struct{})
-	d, err = fleet.New(fleet.Options{Config: cfg, Log: slog.New(slog.DiscardHandler), Ready: func() { close(ready) }})
+	d, err = daemon.New(daemon.Options{Config: cfg, Log: slog.New(slog.DiscardHandler), Ready: func() { close(ready) }})
 	if err != nil {
 		return nil, nil, err
 	}
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -21,7 +21,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/host/fleet"
+	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/source/catalog"
 	"vetchhaven/internal/source/endpoints"
 	"vetchhaven/internal/standin/dns"
@@ -302,7 +302,7 @@
 	}
 	lists := make(chan int, 1000)
 	hub := catalog.NewHub(catalog.HubOptions{Log: slog.New(slog.DiscardHandler)})
-	m := fleet.NewMerger(fleet.Source{Name: "s", Multicast: "_form._tcp.local", Group: r.Addr(), Hold: time.Hour}, hub, nil, slog.New(slog.DiscardHandler),
+	m := daemon.NewMerger(daemon.Source{Name: "s", Multicast: "_form._tcp.local", Group: r.Addr(), Hold: time.Hour}, hub, nil, slog.New(slog.DiscardHandler),
 		func(list []endpoints.Member) {
 			in := 0
 			for _, v := range list {
