--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -23,7 +23,7 @@
 	log       *slog.Logger
 	loop      *Loop
 	protocol  Protocol
-	discovery *discovery
+	discovery *listWatcher
 	gate      *Gate
 	hub       *catalog.Hub
 	hubMu     sync.Mutex
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -25,10 +25,10 @@
 	return min(catalog.ReconnectFirst<<min(fails-1, 10), max(catalog.ReconnectFirst, min(drainGrace/4, catalog.ReconnectMost)))
 }
 
-// discovery follows the list of backends. In ask mode the module says when to watch and when to
+// listWatcher follows the list of backends. In ask mode the module says when to watch and when to
 // try again after a failure; where lists are pushed there is nobody to ask, and it reconnects
 // by itself.
-type discovery struct {
+type listWatcher struct {
 	cfg     *Config
 	clock   clock
 	post    func(any)
@@ -43,16 +43,16 @@
 	try     func()        // closes it
 }
 
-func newDiscovery(cfg *Config, ck clock, post func(any), log *slog.Logger) *discovery {
+func newDiscovery(cfg *Config, ck clock, post func(any), log *slog.Logger) *listWatcher {
 	tried := make(chan struct{})
-	return &discovery{cfg: cfg, clock: ck, post: post, ask: make(chan struct{}, 1),
+	return &listWatcher{cfg: cfg, clock: ck, post: post, ask: make(chan struct{}, 1),
 		moved: make(chan string, 1), addr: cfg.Discovery, log: log, silence: catalog.Silence,
 		tried: tried, try: sync.OnceFunc(func() { close(tried) }),
 		client: catalog.NewClient(cfg.Settings.ConnectTimeout)}
 }
 
 // subscribe asks for a watch. While one is being started a further call adds nothing.
-func (d *discovery) subscribe() {
+func (d *listWatcher) subscribe() {
 	select {
 	case d.ask <- struct{}{}:
 	default:
@@ -61,7 +61,7 @@
 
 // move ends the present watch and begins another at addr, at once and unasked: what the list said
 // so far goes on to hold, so that to the module nothing has happened.
-func (d *discovery) move(addr string) {
+func (d *listWatcher) move(addr string) {
 	select {
 	case <-d.moved: // never begun
 	default:
@@ -73,7 +73,7 @@
 }
 
 // run watches until ctx ends.
-func (d *discovery) run(ctx context.Context) {
+func (d *listWatcher) run(ctx context.Context) {
 	fails := 0
 	for {
 		var wait <-chan time.Time
@@ -120,14 +120,14 @@
 
 // settle goes over to an address. Another service need not number its versions like the old one,
 // so its whole list is asked for.
-func (d *discovery) settle(addr string) {
+func (d *listWatcher) settle(addr string) {
 	if d.addr != addr {
 		d.addr, d.version = addr, 0
 	}
 }
 
 // endOnMove ends a watch when discovery moves, until the watch's ctx ends.
-func (d *discovery) endOnMove(ctx context.Context, cancel context.CancelCauseFunc, done chan<- string) {
+func (d *listWatcher) endOnMove(ctx context.Context, cancel context.CancelCauseFunc, done chan<- string) {
 	defer close(done)
 	for {
 		select {
@@ -144,7 +144,7 @@
 }
 
 // watch follows changes until the connection ends. It reports whether any list came.
-func (d *discovery) watch(ctx context.Context) (got bool, err error) {
+func (d *listWatcher) watch(ctx context.Context) (got bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	next := make(chan string, 1)
 	addr := d.addr
@@ -169,7 +169,7 @@
 
 // translate puts a list into the module's terms. An entry that makes no sense is left out and
 // logged: the others still count.
-func (d *discovery) translate(m *catalog.Members, kind decide.ListKind) List {
+func (d *listWatcher) translate(m *catalog.Members, kind decide.ListKind) List {
 	return translate(d.cfg, d.clock, d.log, m, kind)
 }
 
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -15,7 +15,7 @@
 )
 
 // follow runs a discovery client on c and returns what it posts.
-func follow(t *testing.T, cfg *Config, tune func(*discovery)) (*discovery, chan List) {
+func follow(t *testing.T, cfg *Config, tune func(*listWatcher)) (*listWatcher, chan List) {
 	t.Helper()
 	events := make(chan List, 100)
 	d := newDiscovery(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
@@ -96,7 +96,7 @@
 func TestWhatWasAskedDuringAWatchIsVoidAtItsEnd(t *testing.T) {
 	one, two := testkit.NewCatalog(t), testkit.NewCatalog(t)
 	asked := make(chan int, 1)
-	d, events := follow(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *discovery) {
+	d, events := follow(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
 		post := d.post
 		d.post = func(e any) { asked <- len(d.ask); post(e) }
 	})
@@ -170,7 +170,7 @@
 // A discovery that is cut off closes nothing: a watch that misses its empty lines is dead.
 func TestSilentWatchIsDead(t *testing.T) {
 	c := testkit.NewCatalog(t)
-	_, events := follow(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *discovery) { d.silence = 50 * time.Millisecond })
+	_, events := follow(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) { d.silence = 50 * time.Millisecond })
 	testkit.Receive(t, "watch", c.Watch)
 	if e := testkit.Receive(t, "failure", events); e.Kind != decide.ListFailed {
 		t.Errorf("%+v", e)
