--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -20,8 +20,8 @@
 	{"internal/protocol"},
 	{"internal/peer"},
 	{"internal/host"},
-	{"internal/rehearse"},
-	{"internal/drill"},
+	{"internal/rehearse", "internal/simulate"},
+	{"internal/drill", "internal/faulttest"},
 	{"cmd", "tools"},
 }
 
