--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
-	"vetchhaven/internal/peer/carrier"
+	"vetchhaven/internal/peer/transport"
 )
 
 // fleetCommand is what operators ask a daemon about its fleet.
@@ -33,7 +33,7 @@
 				_, _ = os.Stdout.Write(body)
 				return err
 			}
-			var s carrier.Shown
+			var s transport.Shown
 			if err := json.Unmarshal(body, &s); err != nil {
 				return exit{1, err}
 			}
@@ -52,7 +52,7 @@
 	diff := &cobra.Command{Use: "diff A B", Short: "Show where two daemons see different things; A and B are their files", Args: cobra.ExactArgs(2),
 		Long: "diff asks the daemons of two files for their views, and prints the members of which they do not think the same.\nIt ends with status 1 where there are any.",
 		RunE: func(_ *cobra.Command, args []string) error {
-			var two [2]carrier.Shown
+			var two [2]transport.Shown
 			for i, path := range args {
 				body, err := ask(path, http.MethodGet, "/fleet/view", 10*time.Second)
 				if err != nil {
@@ -82,7 +82,7 @@
 				_, _ = os.Stdout.Write(body)
 				return err
 			}
-			var s carrier.ShownVerdicts
+			var s transport.ShownVerdicts
 			if err := json.Unmarshal(body, &s); err != nil {
 				return exit{1, err}
 			}
@@ -187,7 +187,7 @@
 	return w.Flush()
 }
 
-func showView(s *carrier.Shown, out io.Writer) error {
+func showView(s *transport.Shown, out io.Writer) error {
 	fmt.Fprintf(out, "fleet %s, seen by %s (%s, boot %d): %s; digest %s, own health %d; up %v\n", s.Fleet, s.Name, s.Addr, s.Boot, s.State, s.Digest,
 		s.Health, time.Duration(s.UpS)*time.Second)
 	c := s.Count
@@ -235,13 +235,13 @@
 }
 
 // diffViews prints the members that two views do not think the same of, and says how many.
-func diffViews(a, b *carrier.Shown, out io.Writer) int {
+func diffViews(a, b *transport.Shown, out io.Writer) int {
 	if a.Fleet != b.Fleet {
 		fmt.Fprintf(out, "%s is of fleet %s, %s of fleet %s\n", a.Name, a.Fleet, b.Name, b.Fleet)
 		return 1
 	}
-	all := map[string][2]*carrier.ShownOne{}
-	for i, s := range []*carrier.Shown{a, b} {
+	all := map[string][2]*transport.ShownOne{}
+	for i, s := range []*transport.Shown{a, b} {
 		for n := range s.Members {
 			two := all[s.Members[n].Name]
 			two[i] = &s.Members[n]
@@ -261,7 +261,7 @@
 	slices.SortFunc(names, strings.Compare)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "member\tseen by %s\tseen by %s\n", a.Name, b.Name)
-	word := func(m *carrier.ShownOne) string {
+	word := func(m *transport.ShownOne) string {
 		if m == nil {
 			return "unknown"
 		}
--- a/internal/drill/hollow/few.go
+++ b/internal/drill/hollow/few.go
@@ -8,8 +8,8 @@
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/eventqueue"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Few is a few whole members beside a fleet whose rest is played: who is not whole answers probes as members do, and
@@ -36,7 +36,7 @@
 	now    time.Duration
 	agenda eventqueue.Agenda
 	m      *meter
-	wire   carrier.Wire
+	wire   transport.Wire
 	all    []membership.Record
 	number []uint64 // datagrams of each played member
 	whole  []*membership.View
@@ -46,7 +46,7 @@
 
 // Play plays it, and is what it cost a whole member.
 func (f *Few) Play() ([]Phase, error) {
-	w := &few{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: carrier.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
+	w := &few{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: transport.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
 		wake: make([]time.Duration, f.Whole), byAddr: map[string]int{}}
 	for n := range f.Members {
 		r := membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Program: "virtual",
@@ -217,6 +217,6 @@
 		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Program: "virtual",
 			Boot: 1_790_000_000, Life: uint64(n)*0x9e3779b97f4a7c15 + 1, Instances: 1, Balancers: 1, Checked: true})
 	}
-	data, err := carrier.Wire{Fleet: Fleet}.Marshal(x.From, x)
+	data, err := transport.Wire{Fleet: Fleet}.Marshal(x.From, x)
 	return len(data), err
 }
--- a/internal/drill/hollow/held.go
+++ b/internal/drill/hollow/held.go
@@ -13,7 +13,7 @@
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
-	"vetchhaven/internal/peer/carrier"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Held plays the same plan with real daemons, with hollow members on sockets, and in virtual time.
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := virtual.Play(p, virtual.Options{Seed: h.Seed, Codec: carrier.Wire{Fleet: "drill"}, Marks: h.Rest[:], Layout: l})
+	r, err := virtual.Play(p, virtual.Options{Seed: h.Seed, Codec: transport.Wire{Fleet: "drill"}, Marks: h.Rest[:], Layout: l})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/drill/hollow/limits.go
+++ b/internal/drill/hollow/limits.go
@@ -7,9 +7,9 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/lease/play"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Limits says what is played of the limits that members share.
@@ -28,7 +28,7 @@
 func (l *Limits) Play() (holder, keeper []Phase, r *play.Result, err error) {
 	keepers := cmp.Or(l.Keepers, 3)
 	m := newMeter(l.Members, l.Marks)
-	wire := carrier.Wire{Fleet: Fleet}
+	wire := transport.Wire{Fleet: Fleet}
 	o := play.Options{Seed: l.Seed, Holders: l.Members, Keepers: keepers, Figure: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Counts: quota.PerSecond, Soft: true,
 		Length: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, Lasts: 100 * time.Millisecond, From: 2 * l.Length, // what is served is not counted: it takes long
 		Size: func(from string, x any) int { return size(wire, from, x) }, Sent: m.sent, Took: m.took, Path: path(l.Layout), Down: l.Down}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return 0, err
 	}
-	wire := carrier.Wire{Fleet: Fleet}
+	wire := transport.Wire{Fleet: Fleet}
 	h := make([]*lease.Holder, holders)
 	now := time.Duration(0)
 	for n := range h {
--- a/internal/drill/hollow/sockets.go
+++ b/internal/drill/hollow/sockets.go
@@ -17,9 +17,9 @@
 
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Sockets is members on loopback sockets, all in this process: the daemons' own carrier, with no daemon round it. It
@@ -38,7 +38,7 @@
 	tcp     *net.TCPAddr
 	udp     *net.UDPConn
 	ln      *net.TCPListener
-	c       *carrier.Carrier
+	c       *transport.Carrier
 	end     context.CancelFunc
 	ended   chan struct{}
 	pid     int
@@ -168,7 +168,7 @@
 }
 
 func (w *sockets) line(l judge.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, carrier.Clock()), time.Now().UnixMilli(), judge.Drill
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), judge.Drill
 	w.lines = append(w.lines, l)
 }
 
@@ -187,7 +187,7 @@
 	}
 	p := w.s.Plan.Peers
 	m.said = &said{}
-	c, err := carrier.New(carrier.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.said,
+	c, err := transport.New(transport.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.said,
 		Verdicts: &ejection.Settings{}, Judged: func([]ejection.Verdict, time.Time) {}, // as daemons have them, with no requests to judge by
 		View: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
 			Every: p.Every, Direct: p.Direct, Indirect: p.Indirect, SuspectLeast: p.SuspectLeast, Bytes: p.Bytes, FileCount: 1}})
--- a/internal/drill/hollow/verdicts.go
+++ b/internal/drill/hollow/verdicts.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/ejection/play"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Verdicts says what is played of what members share about servers. Each agent is a server as well, and sends to those
@@ -40,7 +40,7 @@
 func (v *Verdicts) Play() ([]Phase, *play.Result, error) {
 	n := len(v.Graph.Of)
 	m := newMeter(n, v.Marks)
-	wire := carrier.Wire{Fleet: cmp.Or(v.Fleet, Fleet)}
+	wire := transport.Wire{Fleet: cmp.Or(v.Fleet, Fleet)}
 	failing := make([][]Failing, n)
 	for _, f := range v.Failing {
 		for _, s := range f.Servers {
@@ -90,7 +90,7 @@
 	}
 }
 
-func size(wire carrier.Wire, from string, x any) int {
+func size(wire transport.Wire, from string, x any) int {
 	data, err := wire.Marshal(from, x)
 	if err != nil {
 		panic(fmt.Sprintf("hollow: %T that cannot be written: %v", x, err)) // members' own messages
--- a/internal/drill/hollow/view.go
+++ b/internal/drill/hollow/view.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Fleet is the name of the hollow members' fleet, in each message: as long as a real one's may well be.
@@ -56,7 +56,7 @@
 	v.Agreed = -1
 	p := &plan.Plan{Name: "hollow", Daemons: v.Members, Zones: 1, Seeds: seeds(v.Layout, v.Members), Length: v.Length, Events: v.Events, Peers: v.Peers}
 	used := []time.Duration{processor()}
-	o := virtual.Options{Seed: v.Seed, Warm: true, Layout: v.Layout, Codec: carrier.Wire{Fleet: Fleet}, Marks: v.Marks, Workers: v.Workers,
+	o := virtual.Options{Seed: v.Seed, Warm: true, Layout: v.Layout, Codec: transport.Wire{Fleet: Fleet}, Marks: v.Marks, Workers: v.Workers,
 		Each: v.Each, Passed: func(int) { used = append(used, processor()) },
 		Agreed: func(at time.Duration, same bool) {
 			if v.Agreed = -1; same {
@@ -138,7 +138,7 @@
 
 // Memory is what one member of a fleet holds on the heap, by a view that is made of records as they come off the wire.
 func Memory(members int) (bytes uint64, err error) {
-	wire := carrier.Wire{Fleet: Fleet}
+	wire := transport.Wire{Fleet: Fleet}
 	x := &membership.Exchange{From: plan.Name(0)}
 	for n := range members {
 		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: fmt.Sprintf("r%d-z%d", n%5+1, n%3+1), Program: "1.0.0",
--- a/internal/drill/rig/policy.go
+++ b/internal/drill/rig/policy.go
@@ -16,8 +16,8 @@
 
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/policy"
+	"vetchhaven/internal/peer/transport"
 )
 
 // policies are the changes that a drill asks for. Each text of a part has one class of its own, a marker, besides those of
@@ -134,7 +134,7 @@
 				order = append(order, k)
 			}
 		}
-		begun := carrier.Clock()
+		begun := transport.Clock()
 		if part != "" { // none of them in two looks, and yet it serves: by its own file, when the first of them began
 			for k := len(markers) - 1; k >= 0; k-- {
 				order = append(order, k)
@@ -143,7 +143,7 @@
 			markers = append(markers, "get")
 		}
 		for _, k := range order {
-			at := carrier.Clock()
+			at := transport.Clock()
 			if markers[k] == "get" {
 				at = begun
 			}
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/laststate"
 	"vetchhaven/internal/host/supervise"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/source/catalog"
 )
 
@@ -49,9 +49,9 @@
 	sockets  map[Address]net.Listener // nobody accepts on these: instances do, on copies
 	packets  map[string]*net.UDPConn  // for peers, by address; nobody reads from these
 	peering  *peering                 // nil: the daemon stands alone, or this is being started
-	saw      *carrier.Saved           // from the daemon before
+	saw      *transport.Saved         // from the daemon before
 	count    atomic.Pointer[membership.Count]
-	before   *carrier.Carrier        // while another takes its place in this process
+	before   *transport.Carrier      // while another takes its place in this process
 	sharing  atomic.Pointer[peering] // the peering, for instances' loops
 	agents   sync.Map                // hosted by number, for the carrier's loop
 	closing  sync.Map                // agents that are being replaced under another policy
@@ -140,11 +140,11 @@
 		s.AfterPause()
 	}
 	if !saved && len(s.Peers) > 0 {
-		if d.saw, err = carrier.DecodeSaved(s.Peers); err != nil {
+		if d.saw, err = transport.DecodeSaved(s.Peers); err != nil {
 			d.log.Warn("the view of the fleet is not taken over", "error", err)
 		} else if d.saw.Policy != nil {
 			h := *d.saw.Policy
-			h.Left -= time.Duration(carrier.Clock() - d.saw.PolicyAt) // since the process before said so
+			h.Left -= time.Duration(transport.Clock() - d.saw.PolicyAt) // since the process before said so
 			d.policy.handed = &h
 		}
 	}
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -16,8 +16,8 @@
 	"go.etcd.io/bbolt"
 
 	"vetchhaven/internal/host/laststate"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/policy"
+	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/testkit/golden"
 )
 
@@ -146,11 +146,11 @@
 	}
 	for _, name := range []string{"peers-voter.view", "peers-member.view"} {
 		data := golden.Read(t, name)
-		s, err := carrier.DecodeSaved(data)
+		s, err := transport.DecodeSaved(data)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		again, err := carrier.EncodeSaved(s)
+		again, err := transport.EncodeSaved(s)
 		if err != nil || !bytes.Equal(again, data) {
 			t.Errorf("%s is not written as it was read: %v", name, err)
 		}
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchhaven/internal/host/laststate"
-	"vetchhaven/internal/peer/carrier"
+	"vetchhaven/internal/peer/transport"
 )
 
 // A successor is the same program with the same arguments. It inherits, from descriptor 3 on: the
@@ -183,7 +183,7 @@
 	var stands []byte
 	if p != nil { // from here on it says nothing; the successor goes on as the same member
 		if saved := p.carrier.Freeze(); saved != nil {
-			stands, err = carrier.EncodeSaved(saved)
+			stands, err = transport.EncodeSaved(saved)
 		}
 		if s := d.policy.store; s != nil {
 			s.close()
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -10,9 +10,9 @@
 	"vetchhaven/decide"
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/transport"
 )
 
 // Limits are those that the fleet shares.
@@ -212,10 +212,10 @@
 
 // LimitsNow is how the limits stand: what the file says, and what is held and lent now.
 type LimitsNow struct {
-	Agents int                 `json:"agents"`
-	Limits []ShownLimit        `json:"limits"`
-	Now    carrier.ShownLimits `json:"now"`
-	Alone  bool                `json:"alone,omitempty"` // the part that talks to peers does not run
+	Agents int                   `json:"agents"`
+	Limits []ShownLimit          `json:"limits"`
+	Now    transport.ShownLimits `json:"now"`
+	Alone  bool                  `json:"alone,omitempty"` // the part that talks to peers does not run
 }
 
 // Limits is how the limits stand; ok is false where the file has none.
--- a/internal/host/daemon/peers.go
+++ b/internal/host/daemon/peers.go
@@ -11,9 +11,9 @@
 	"reflect"
 	"time"
 
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/tomlfile"
 )
 
@@ -120,7 +120,7 @@
 // peering is the daemon's part in its fleet while it runs.
 type peering struct {
 	spec    *Peers
-	carrier *carrier.Carrier
+	carrier *transport.Carrier
 	end     context.CancelFunc
 	ended   chan struct{}
 	events  io.Closer
@@ -136,7 +136,7 @@
 )
 
 // meet starts it, if the file asks for it. Whatever goes wrong is logged and tried again: the daemon serves without.
-func (d *Daemon) meet(saved *carrier.Saved, fails int) {
+func (d *Daemon) meet(saved *transport.Saved, fails int) {
 	if d.cfg.Peers == nil || d.peering != nil || d.handing || d.stop.Err() != nil { // handing: the sockets are another's
 		return
 	}
@@ -190,7 +190,7 @@
 	time.AfterFunc(min(peersMost, peersFirst<<min(fails-1, 10)), func() { d.later(func() { d.meet(nil, fails) }) })
 }
 
-func (d *Daemon) newPeering(saved *carrier.Saved) (*peering, error) {
+func (d *Daemon) newPeering(saved *transport.Saved) (*peering, error) {
 	spec := d.cfg.Peers
 	takesOver := d.before != nil && saved != nil && saved.Parallel
 	if d.cfg.Policy != nil && !takesOver {
@@ -208,7 +208,7 @@
 		return nil, err
 	}
 	p := &peering{spec: spec, ended: make(chan struct{})}
-	o := carrier.Options{Fleet: spec.Fleet, View: spec.View, UDP: udp, TCP: tcp.(*net.TCPListener), Dir: d.cfg.StateDir, Saved: saved, Log: d.log, WallSkew: d.o.ClockOff,
+	o := transport.Options{Fleet: spec.Fleet, View: spec.View, UDP: udp, TCP: tcp.(*net.TCPListener), Dir: d.cfg.StateDir, Saved: saved, Log: d.log, WallSkew: d.o.ClockOff,
 		Inject: d.o.PeerFault, Changed: func(c membership.Count) {
 			d.count.Store(&c)
 			d.shareSoon()
@@ -235,7 +235,7 @@
 			o.Events, p.events = f, f
 		}
 	}
-	if p.carrier, err = carrier.New(o); err != nil {
+	if p.carrier, err = transport.New(o); err != nil {
 		_, _ = tcp.Close(), udp.Close()
 		if p.events != nil {
 			_ = p.events.Close()
@@ -288,7 +288,7 @@
 	d.peering = nil
 	d.sharing.Store(nil)
 	d.others.Go(func() {
-		var saved *carrier.Saved
+		var saved *transport.Saved
 		if now != nil && now.Fleet == was.Fleet && now.Name == was.Name && now.Advertise == was.Advertise {
 			saved = p.carrier.Freeze()
 		} else {
@@ -363,7 +363,7 @@
 }
 
 // View is how the daemon sees its fleet; ok is false where it stands alone, or its view does not answer.
-func (d *Daemon) View() (s carrier.Shown, ok bool) {
+func (d *Daemon) View() (s transport.Shown, ok bool) {
 	var p *peering
 	d.do(func() { p = d.peering })
 	if p == nil {
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -13,8 +13,8 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/policy"
+	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/tomlfile"
 )
 
@@ -151,7 +151,7 @@
 }
 
 // newAgreement is the daemon's part in the policy, for a member's life.
-func (d *Daemon) newAgreement(life uint64) *carrier.Agreement {
+func (d *Daemon) newAgreement(life uint64) *transport.Agreement {
 	p := d.cfg.Policy
 	if p == nil {
 		return nil
@@ -177,9 +177,9 @@
 			return nil
 		}
 	}
-	var a *carrier.Agreement
+	var a *transport.Agreement
 	put := store.writer(func(seq uint64, err error) { a.Persisted(seq, err) })
-	a = carrier.NewAgreement(n, put, d.served)
+	a = transport.NewAgreement(n, put, d.served)
 	return a
 }
 
@@ -463,7 +463,7 @@
 func (d *Daemon) onPolicy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
 	p := d.sharing.Load()
 	if p == nil {
-		return carrier.ErrNoPolicy
+		return transport.ErrNoPolicy
 	}
 	return p.carrier.Policy(f)
 }
--- a/internal/host/daemon/verdicts.go
+++ b/internal/host/daemon/verdicts.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/ejection"
+	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/source/catalog"
 )
 
@@ -109,7 +109,7 @@
 }
 
 // Verdicts are what this daemon holds of servers; ok is false where nothing is shared, or nobody answers.
-func (d *Daemon) Verdicts() (s carrier.ShownVerdicts, ok bool) {
+func (d *Daemon) Verdicts() (s transport.ShownVerdicts, ok bool) {
 	p := d.sharing.Load()
 	if p == nil {
 		return s, false
--- a/internal/peer/carrier/codec.go
+++ b/internal/peer/transport/codec.go
@@ -1,4 +1,4 @@
-package carrier
+package transport
 
 import (
 	"bytes"
--- a/internal/peer/carrier/carrier.go
+++ b/internal/peer/transport/transport.go
@@ -1,7 +1,7 @@
-// Package carrier is the sockets under a daemon's view of its fleet: a UDP socket for datagrams, a TCP listener for
+// Package transport is the sockets under a daemon's view of its fleet: a UDP socket for datagrams, a TCP listener for
 // exchanges, the file of the last view, timers. It believes little of what comes in, decides nothing, and turns each
 // thing that happens into one event. One goroutine owns the view; nothing that serves clients ever waits for it.
-package carrier
+package transport
 
 import (
 	"context"
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -17,8 +17,8 @@
 	"vetchhaven/internal/drill/hollow"
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
-	"vetchhaven/internal/peer/carrier"
 	"vetchhaven/internal/peer/policy"
+	"vetchhaven/internal/peer/transport"
 )
 
 // fleetName stands in each message; one of this length is usual.
@@ -114,7 +114,7 @@
 	o := agree.Options{Seed: c.seed, Witness: true, Take: time.Hour, Viewers: c.voters, Streams: c.streams, Since: c.from,
 		Size: func(from int, m *policy.Message) int {
 			began := threadTime()
-			size := carrier.PolicySize(fleetName, plan.Name(from), m)
+			size := transport.PolicySize(fleetName, plan.Name(from), m)
 			spent[from] += threadTime() - began
 			return size
 		},
