--- a/cmd/vetchhaven/members.go
+++ b/cmd/vetchhaven/members.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/source/endpoints"
 )
 
@@ -61,10 +61,10 @@
 	mergers := map[string]*daemon.Merger{}
 	for _, n := range names {
 		s := cfg.Sources[n]
-		hub := catalog.NewHub(catalog.HubOptions{Log: log})
-		var list *catalog.Hub
+		hub := discovery.NewHub(discovery.HubOptions{Log: log})
+		var list *discovery.Hub
 		if s.List != "" {
-			list = catalog.NewHub(catalog.HubOptions{Addr: s.List, ConnectTimeout: wait, Log: log})
+			list = discovery.NewHub(discovery.HubOptions{Addr: s.List, ConnectTimeout: wait, Log: log})
 		}
 		m := daemon.NewMerger(s, hub, nil, log, func([]endpoints.Member) {
 			select {
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -14,7 +14,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // Agent is one agent, ready to run.
@@ -25,7 +25,7 @@
 	protocol  Protocol
 	discovery *listWatcher
 	gate      *Gate
-	hub       *catalog.Hub
+	hub       *discovery.Hub
 	hubMu     sync.Mutex
 	leave     func()                  // the hub that it follows; nil: none
 	accept    func() <-chan time.Time // ends the time in which a stopping agent takes connections; nil: none
@@ -40,8 +40,8 @@
 
 // Parts are what an agent is given in place of its own; with none it is the platform's agent.
 type Parts struct {
-	Listener net.Listener // TCP or unix, listening already; the agent closes it
-	Hub      *catalog.Hub // the list, read once for many agents
+	Listener net.Listener   // TCP or unix, listening already; the agent closes it
+	Hub      *discovery.Hub // the list, read once for many agents
 	// NoLateConnections ends accepting at once when the agent is to stop: another one has the
 	// listener by then.
 	NoLateConnections bool
@@ -251,7 +251,7 @@
 
 // Follow has a hub's list told to the loop, in place of the one followed so far. The first thing told
 // is the new one's whole list.
-func (a *Agent) Follow(hub *catalog.Hub) {
+func (a *Agent) Follow(hub *discovery.Hub) {
 	a.hubMu.Lock()
 	defer a.hubMu.Unlock()
 	if a.leave != nil {
@@ -262,7 +262,7 @@
 		return
 	}
 	ck := a.loop.clock
-	a.leave = hub.Join(func(m *catalog.Members) {
+	a.leave = hub.Join(func(m *discovery.Members) {
 		kind := decide.ListDelta
 		if m.Full {
 			kind = decide.ListFull
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -56,10 +56,10 @@
 			if row.dead {
 				addr = testkit.DeadAddr(t)
 			}
-			member := func(id, state string) catalog.Member {
-				return catalog.Member{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
+			member := func(id, state string) discovery.Member {
+				return discovery.Member{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
 			}
-			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []catalog.Member{member("one", "ready")}})
+			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Member{member("one", "ready")}})
 			p := &onClient{sent: make(chan string, 1), ended: make(chan struct{})}
 			a, err := New(cfg, testkit.Quiet, Parts{Silence: 2 * testkit.Patience}, func(l *Loop) Protocol { p.loop = l; return p })
 			if err != nil {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/wire"
 )
 
@@ -28,8 +28,8 @@
 	MemoryMB    int
 	Sockets     int // file descriptors that the process may hold
 	PeerListen  string
-	Peers       []string         // addresses by agent number
-	Known       *catalog.Members // the list of backends as last stored; may be absent
+	Peers       []string           // addresses by agent number
+	Known       *discovery.Members // the list of backends as last stored; may be absent
 
 	Settings decide.Settings
 	Site     wire.Site
@@ -85,7 +85,7 @@
 		}
 		PeerListen string `json:"peer_listen"`
 		Peers      []string
-		Known      *catalog.Members
+		Known      *discovery.Members
 		Settings   json.RawMessage
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // reconnectWithin is the ceiling of the wait after so many failures in a row, where lists are pushed: it doubles, and the
@@ -22,7 +22,7 @@
 	if fails == 0 {
 		return 1
 	}
-	return min(catalog.ReconnectFirst<<min(fails-1, 10), max(catalog.ReconnectFirst, min(drainGrace/4, catalog.ReconnectMost)))
+	return min(discovery.ReconnectFirst<<min(fails-1, 10), max(discovery.ReconnectFirst, min(drainGrace/4, discovery.ReconnectMost)))
 }
 
 // listWatcher follows the list of backends. In ask mode the module says when to watch and when to
@@ -46,9 +46,9 @@
 func newDiscovery(cfg *Config, ck clock, post func(any), log *slog.Logger) *listWatcher {
 	tried := make(chan struct{})
 	return &listWatcher{cfg: cfg, clock: ck, post: post, ask: make(chan struct{}, 1),
-		moved: make(chan string, 1), addr: cfg.Discovery, log: log, silence: catalog.Silence,
+		moved: make(chan string, 1), addr: cfg.Discovery, log: log, silence: discovery.Silence,
 		tried: tried, try: sync.OnceFunc(func() { close(tried) }),
-		client: catalog.NewClient(cfg.Settings.ConnectTimeout)}
+		client: discovery.NewClient(cfg.Settings.ConnectTimeout)}
 }
 
 // subscribe asks for a watch. While one is being started a further call adds nothing.
@@ -156,7 +156,7 @@
 			err = errMoving
 		}
 	}()
-	return catalog.Watch(ctx, d.client, addr, d.version, d.silence, func(m *catalog.Members) {
+	return discovery.Watch(ctx, d.client, addr, d.version, d.silence, func(m *discovery.Members) {
 		d.version = m.Version
 		kind := decide.ListDelta
 		if m.Full {
@@ -169,11 +169,11 @@
 
 // translate puts a list into the module's terms. An entry that makes no sense is left out and
 // logged: the others still count.
-func (d *listWatcher) translate(m *catalog.Members, kind decide.ListKind) List {
+func (d *listWatcher) translate(m *discovery.Members, kind decide.ListKind) List {
 	return translate(d.cfg, d.clock, d.log, m, kind)
 }
 
-func translate(cfg *Config, ck clock, log *slog.Logger, m *catalog.Members, kind decide.ListKind) List {
+func translate(cfg *Config, ck clock, log *slog.Logger, m *discovery.Members, kind decide.ListKind) List {
 	e := List{List: decide.List{Kind: kind}, Saved: m.Saved, Addrs: map[string]string{}, Starts: map[string]int64{}}
 	for _, s := range m.Servers {
 		state, ok := map[string]decide.BackendState{
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -183,7 +183,7 @@
 	ck := newClock()
 	d := newDiscovery(cfg, ck, nil, testkit.Quiet)
 	at := time.Now().Add(-3 * time.Second)
-	e := d.translate(&catalog.Members{Servers: []catalog.Member{
+	e := d.translate(&discovery.Members{Servers: []discovery.Member{
 		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Started: at.UnixMilli()},
 		{ID: "old", Addr: "127.0.0.1:9", State: "ready"},
 		{ID: "odd", Addr: "nowhere", State: "ready"},
@@ -245,11 +245,11 @@
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for fails := range 100 {
 			switch wait := reconnectWithin(fails, grace); {
-			case wait <= 0 || wait > catalog.ReconnectMost:
+			case wait <= 0 || wait > discovery.ReconnectMost:
 				t.Errorf("grace %v, %d failures: %v", grace, fails, wait)
-			case wait > max(catalog.ReconnectFirst, grace/4):
+			case wait > max(discovery.ReconnectFirst, grace/4):
 				t.Errorf("grace %v, %d failures: waits %v", grace, fails, wait)
-			case fails > 0 && wait < catalog.ReconnectFirst:
+			case fails > 0 && wait < discovery.ReconnectFirst:
 				t.Errorf("grace %v, %d failures: only %v", grace, fails, wait)
 			}
 		}
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -46,18 +46,18 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				tell := func(kind decide.ListKind, saved bool, members ...catalog.Member) decide.Backend {
+				tell := func(kind decide.ListKind, saved bool, members ...discovery.Member) decide.Backend {
 					l.pending = nil
-					l.take(translate(cfg, l.clock, testkit.Quiet, &catalog.Members{Full: kind == decide.ListFull, Saved: saved, Servers: members}, kind))
+					l.take(translate(cfg, l.clock, testkit.Quiet, &discovery.Members{Full: kind == decide.ListFull, Saved: saved, Servers: members}, kind))
 					list := l.pending[0].(decide.List)
 					return list.Backends[len(list.Backends)-1]
 				}
-				old := catalog.Member{ID: "old", Addr: "127.0.0.1:1", State: "ready"}
+				old := discovery.Member{ID: "old", Addr: "127.0.0.1:1", State: "ready"}
 				if !tt.first {
 					tell(decide.ListFull, tt.saved, old)
 					time.Sleep(between)
 				}
-				m := catalog.Member{ID: "new", Addr: "127.0.0.1:2", State: "ready", Started: tt.started(time.Now()).UnixMilli()}
+				m := discovery.Member{ID: "new", Addr: "127.0.0.1:2", State: "ready", Started: tt.started(time.Now()).UnixMilli()}
 				got := tell(decide.ListFull, false, old, m)
 				age := l.clock.now() - got.Started
 				if age < tt.least-time.Millisecond || age > tt.most+time.Millisecond {
--- a/internal/core/told_test.go
+++ b/internal/core/told_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -294,14 +294,14 @@
 				t.Run(fmt.Sprint(name, "/", mode, "/", askWithin), func(t *testing.T) {
 					most := 0
 					for i := range 6 {
-						cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []catalog.Member{
+						cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []discovery.Member{
 							{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
 						cfg.Seed, cfg.Settings.AskWithin, cfg.Settings.DrainGrace = uint64(i), askWithin, askWithin
 						synctest.Test(t, func(t *testing.T) {
 							has := 13*time.Second + time.Duration(i)*217*time.Millisecond
 							s := &listService{listScript: scripted(has), has: has}
 							at, calls := s.told(t, cfg)
-							if late := at - s.since(); late < 0 || late > catalog.ToldWithin {
+							if late := at - s.since(); late < 0 || late > discovery.ToldWithin {
 								t.Errorf("told %v after", late)
 							}
 							most = max(most, calls)
@@ -325,7 +325,7 @@
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				for i := range 6 {
-					cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []catalog.Member{
+					cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []discovery.Member{
 						{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
 					cfg.Seed, cfg.Settings.AskWithin, cfg.Settings.DrainGrace = uint64(i), time.Hour, time.Hour
 					synctest.Test(t, func(t *testing.T) {
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -24,8 +24,8 @@
 
 // inLoop runs f beside a loop that knows one server, in virtual time.
 func inLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
-	server := catalog.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
-	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []catalog.Member{server}})
+	server := discovery.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Member{server}})
 	synctest.Test(t, func(t *testing.T) {
 		ck := newClock()
 		l, err := newLoop(cfg, ck, &scripted{attempt: attempt}, testkit.Quiet)
--- a/internal/drill/rig/service.go
+++ b/internal/drill/rig/service.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 )
 
@@ -142,7 +142,7 @@
 // newSite gives a daemon its own list of the servers, at addresses of its own.
 func newSite(servers []*standin.Form) (*site, error) {
 	s := &site{}
-	var members []catalog.Member
+	var members []discovery.Member
 	for _, f := range servers {
 		m := f.Member("ready")
 		g, err := newGate(m.Addr)
--- a/internal/drill/soak/list.go
+++ b/internal/drill/soak/list.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"vetchhaven/internal/drill/soak/check"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // ListTrouble is what a list service does with calls.
@@ -42,7 +42,7 @@
 }
 
 type entry struct {
-	catalog.Member
+	discovery.Member
 	process int
 	began   time.Duration // of that process, in the play's time
 }
@@ -65,10 +65,10 @@
 }
 
 // since is what has changed after a version, or the whole list after 0, and what to wait for.
-func (d *directory) since(version int64) (m catalog.Members, entries map[string]entry, bump chan struct{}) {
+func (d *directory) since(version int64) (m discovery.Members, entries map[string]entry, bump chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m = catalog.Members{Version: d.version, Full: version == 0 || version > d.version, Servers: []catalog.Member{}}
+	m = discovery.Members{Version: d.version, Full: version == 0 || version > d.version, Servers: []discovery.Member{}}
 	for id, at := range d.changed {
 		if !m.Full && at <= version {
 			continue
@@ -78,7 +78,7 @@
 			continue
 		}
 		if !there {
-			e = entry{Member: catalog.Member{ID: id, State: check.Gone, Weight: 1}}
+			e = entry{Member: discovery.Member{ID: id, State: check.Gone, Weight: 1}}
 		}
 		m.Servers = append(m.Servers, e.Member)
 	}
@@ -86,7 +86,7 @@
 }
 
 // known is the whole list.
-func (d *directory) known() catalog.Members {
+func (d *directory) known() discovery.Members {
 	m, _, _ := d.since(0)
 	return m
 }
@@ -227,7 +227,7 @@
 }
 
 // told records what was written. What a whole list does not name is gone.
-func (l *list) told(m catalog.Members, entries map[string]entry) {
+func (l *list) told(m discovery.Members, entries map[string]entry) {
 	named := map[string]bool{}
 	for _, s := range m.Servers {
 		named[s.ID] = true
--- a/internal/drill/soak/play.go
+++ b/internal/drill/soak/play.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"vetchhaven/internal/drill/soak/check"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // Of a play's servers and clients.
@@ -173,7 +173,7 @@
 // list tells all agents a server's state.
 func (s *stage) list(x *server, state string) {
 	addr, process, started := x.member()
-	e := entry{Member: catalog.Member{ID: x.id, Addr: addr, Zone: x.zone, Kind: "k", Cell: x.cell, State: state, Weight: 1}, process: process}
+	e := entry{Member: discovery.Member{ID: x.id, Addr: addr, Zone: x.zone, Kind: "k", Cell: x.cell, State: state, Weight: 1}, process: process}
 	if !started.IsZero() {
 		e.Started, e.began = started.UnixMilli(), started.Sub(s.rec.base)
 	} else {
--- a/internal/drill/soak/process.go
+++ b/internal/drill/soak/process.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"vetchhaven/internal/drill/soak/check"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // agentProcess is an agent of `run`, or a daemon of `serve` with one instance, and the processes that it is one after the
@@ -104,7 +104,7 @@
 `
 
 // configure writes its configuration.
-func (a *agentProcess) configure(agents int, known catalog.Members) error {
+func (a *agentProcess) configure(agents int, known discovery.Members) error {
 	if a.serve {
 		return a.configureServe(agents)
 	}
--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -14,24 +14,24 @@
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/metrics"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // Status is how a daemon stands.
 type Status struct {
-	PID       int                `json:"pid"`
-	Up        float64            `json:"up_s"`
-	State     string             `json:"state"` // serving, or handing over
-	Ready     int                `json:"ready"` // instances that know servers
-	Running   int                `json:"running"`
-	Waiting   int                `json:"waiting"` // failed, and start again
-	Down      int                `json:"down"`    // left down
-	Reloads   int                `json:"reloads"`
-	Memory    uint64             `json:"heap_bytes"`
-	Totals    core.Totals        `json:"totals"`
-	Lists     []catalog.HubState `json:"lists"`
-	Instances []InstanceStatus   `json:"instances"`
-	Saving    string             `json:"saving,omitempty"` // why the state is not being saved
+	PID       int                  `json:"pid"`
+	Up        float64              `json:"up_s"`
+	State     string               `json:"state"` // serving, or handing over
+	Ready     int                  `json:"ready"` // instances that know servers
+	Running   int                  `json:"running"`
+	Waiting   int                  `json:"waiting"` // failed, and start again
+	Down      int                  `json:"down"`    // left down
+	Reloads   int                  `json:"reloads"`
+	Memory    uint64               `json:"heap_bytes"`
+	Totals    core.Totals          `json:"totals"`
+	Lists     []discovery.HubState `json:"lists"`
+	Instances []InstanceStatus     `json:"instances"`
+	Saving    string               `json:"saving,omitempty"` // why the state is not being saved
 }
 
 // InstanceStatus is how one instance stands.
@@ -85,7 +85,7 @@
 	for _, h := range d.hubs {
 		s.Lists = append(s.Lists, h.State())
 	}
-	slices.SortFunc(s.Lists, func(a, b catalog.HubState) int { return strings.Compare(a.Addr, b.Addr) })
+	slices.SortFunc(s.Lists, func(a, b discovery.HubState) int { return strings.Compare(a.Addr, b.Addr) })
 	if d.store.Failed() {
 		s.Saving = "the state directory can't be written"
 	}
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // Options are what a daemon is started with.
@@ -69,7 +69,7 @@
 	sup      *supervise.Supervisor
 	store    *store
 	memory   map[string]*core.Memory // from the last state
-	given    map[string]*catalog.Members
+	given    map[string]*discovery.Members
 	running  sync.WaitGroup // instances, draining ones too
 	others   sync.WaitGroup
 	stop     context.Context
@@ -86,7 +86,7 @@
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{o: o, cfg: o.Config, log: o.Log, base: time.Now(), calls: make(chan func(), 64), done: make(chan struct{}),
 		sockets: map[Address]net.Listener{}, packets: map[string]*net.UDPConn{}, counted: make(chan struct{}, 1), policied: make(chan struct{}, 1), hubs: map[string]*hub{}, parts: map[string]*part{},
-		memory: map[string]*core.Memory{}, given: map[string]*catalog.Members{},
+		memory: map[string]*core.Memory{}, given: map[string]*discovery.Members{},
 		seed: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	d.sup = supervise.New(o.Config.Supervise, d.seed.Uint64())
 	d.store = newStore(o.Config.StateDir, o.Log)
--- a/internal/host/daemon/daemon_test.go
+++ b/internal/host/daemon/daemon_test.go
@@ -22,7 +22,7 @@
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/laststate"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 )
 
@@ -56,7 +56,7 @@
 	extra string // more of the configuration's head
 }
 
-func newYard(t *testing.T, servers ...catalog.Member) *yard {
+func newYard(t *testing.T, servers ...discovery.Member) *yard {
 	t.Helper()
 	list, err := standin.NewList("", servers...)
 	if err != nil {
@@ -721,7 +721,7 @@
 }
 
 func TestServerCountJumps(t *testing.T) {
-	var many []catalog.Member
+	var many []discovery.Member
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") })}
 	defer server.Close()
 	for i := range 1000 {
@@ -730,7 +730,7 @@
 			t.Fatal(err)
 		}
 		go func() { _ = server.Serve(ln) }()
-		many = append(many, catalog.Member{ID: fmt.Sprint("s-", i), Addr: ln.Addr().String(), Zone: "a", Kind: "k", State: "ready"})
+		many = append(many, discovery.Member{ID: fmt.Sprint("s-", i), Addr: ln.Addr().String(), Zone: "a", Kind: "k", State: "ready"})
 	}
 	y := newYard(t, many[:10]...)
 	y.config(y.instance("a"))
--- a/internal/host/daemon/lists.go
+++ b/internal/host/daemon/lists.go
@@ -4,12 +4,12 @@
 	"context"
 	"reflect"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // hub is one list that is followed.
 type hub struct {
-	*catalog.Hub
+	*discovery.Hub
 	source Source
 	end    context.CancelFunc
 	leave  func() // peers' part in it; nil: they have none
@@ -24,10 +24,10 @@
 			continue
 		}
 		h := &hub{source: s}
-		options := catalog.HubOptions{Addr: s.List, Spread: s.Spread, First: s.First,
+		options := discovery.HubOptions{Addr: s.List, Spread: s.Spread, First: s.First,
 			ConnectTimeout: cfg.Instances[0].Agent.Settings.ConnectTimeout, Log: d.log,
 			Urgent: func() { go d.later(d.save) }}
-		h.Hub = catalog.NewHub(options)
+		h.Hub = discovery.NewHub(options)
 		saved := d.given[s.Key()]
 		if old != nil {
 			dropped = append(dropped, old)
@@ -45,10 +45,10 @@
 			end()
 		}
 		if s.Records() {
-			var list *catalog.Hub
+			var list *discovery.Hub
 			if s.List != "" {
 				options.Spread, options.Urgent = 0, nil // the merged list is spread, not its parts
-				list = catalog.NewHub(options)
+				list = discovery.NewHub(options)
 			}
 			m := NewMerger(s, h.Hub, saved, d.log, nil)
 			d.others.Go(func() { m.Run(ctx, list) })
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/source/dnssource"
 	"vetchhaven/internal/source/endpoints"
 )
@@ -29,7 +29,7 @@
 type Merger struct {
 	source  Source
 	log     *slog.Logger
-	out     *catalog.Hub
+	out     *discovery.Hub
 	module  *endpoints.Module
 	began   time.Time
 	reports chan endpoints.Report
@@ -38,7 +38,7 @@
 	list    []endpoints.Member
 	heard   map[string]bool
 	version int64
-	told    map[string]catalog.Member
+	told    map[string]discovery.Member
 	saved   bool
 	needed  []string                 // the parts that speak for themselves
 	changed func([]endpoints.Member) // may be nil
@@ -46,7 +46,7 @@
 
 // NewMerger sets one up. saved is the list of before, and may be nil. Changed, which may be nil, is called
 // with each new list.
-func NewMerger(s Source, out *catalog.Hub, saved *catalog.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
+func NewMerger(s Source, out *discovery.Hub, saved *discovery.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
 	var parts []endpoints.Source
 	if s.List != "" {
 		parts = append(parts, endpoints.Source{Name: fromList, Exact: true, Hold: forGood}) // the list's own rule: the last one holds
@@ -63,7 +63,7 @@
 	}
 	parts = append(parts, endpoints.Source{Name: fromSaved, Hold: s.Hold})
 	m := &Merger{source: s, log: log, out: out, began: time.Now(), reports: make(chan endpoints.Report, 16), heard: map[string]bool{}, needed: needed,
-		told: map[string]catalog.Member{}, changed: changed,
+		told: map[string]discovery.Member{}, changed: changed,
 		module: endpoints.New(endpoints.Settings{Sources: parts, Guard: guardTime, Settle: settleTime})}
 	if saved != nil {
 		m.saved = true
@@ -73,7 +73,7 @@
 	return m
 }
 
-func servers(m *catalog.Members) (all []endpoints.Server) {
+func servers(m *discovery.Members) (all []endpoints.Server) {
 	for _, s := range m.Servers {
 		state, ok := map[string]endpoints.State{"ready": endpoints.Up, "draining": endpoints.Draining, "gone": endpoints.Gone}[s.State]
 		if ok && s.ID != "" {
@@ -84,7 +84,7 @@
 }
 
 // Run reads the parts until ctx ends.
-func (m *Merger) Run(ctx context.Context, list *catalog.Hub) {
+func (m *Merger) Run(ctx context.Context, list *discovery.Hub) {
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	post := func(r endpoints.Report) {
@@ -94,7 +94,7 @@
 		}
 	}
 	if list != nil {
-		leave := list.Join(func(v *catalog.Members) {
+		leave := list.Join(func(v *discovery.Members) {
 			if v.Full {
 				post(endpoints.View{Source: fromList, Servers: servers(v)})
 			} else {
@@ -150,7 +150,7 @@
 	if len(m.heard) == 0 || !changed && m.version > 0 {
 		return
 	}
-	next := map[string]catalog.Member{}
+	next := map[string]discovery.Member{}
 	for _, v := range list {
 		if !v.In {
 			continue
@@ -159,9 +159,9 @@
 		if v.State == endpoints.Draining {
 			state = "draining"
 		}
-		next[v.ID] = catalog.Member{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Kind: v.Kind, Cell: v.Pod, State: state, Weight: v.Weight, Started: v.Started}
+		next[v.ID] = discovery.Member{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Kind: v.Kind, Cell: v.Pod, State: state, Weight: v.Weight, Started: v.Started}
 	}
-	out := &catalog.Members{Version: m.version + 1, Full: m.version == 0, Servers: []catalog.Member{}}
+	out := &discovery.Members{Version: m.version + 1, Full: m.version == 0, Servers: []discovery.Member{}}
 	for id, v := range next {
 		if m.told[id] != v {
 			out.Servers = append(out.Servers, v)
--- a/internal/host/daemon/store.go
+++ b/internal/host/daemon/store.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/atomicfile"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/laststate"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 const (
@@ -45,7 +45,7 @@
 // state is what would be saved now.
 func (d *Daemon) state() *laststate.State {
 	at := moment()
-	s := &laststate.State{Saved: at.Wall.UnixMilli(), Boot: at.Boot, SinceBoot: at.SinceBoot.Milliseconds(), Sources: map[string]*catalog.Members{}, Instances: map[string]*core.Memory{}}
+	s := &laststate.State{Saved: at.Wall.UnixMilli(), Boot: at.Boot, SinceBoot: at.SinceBoot.Milliseconds(), Sources: map[string]*discovery.Members{}, Instances: map[string]*core.Memory{}}
 	for _, h := range d.hubs {
 		if m := h.Snapshot(); m != nil {
 			s.Sources[h.source.Key()] = m
--- a/internal/host/daemon/verdicts.go
+++ b/internal/host/daemon/verdicts.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/transport"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // hosted is a running copy of an instance, for the carrier's loop.
@@ -28,7 +28,7 @@
 	}
 	for name, h := range d.hubs {
 		if h.leave == nil {
-			h.leave = h.Join(func(*catalog.Members) { d.listed(name, h) })
+			h.leave = h.Join(func(*discovery.Members) { d.listed(name, h) })
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	p.carrier.Listed(ejection.Listed{Source: source, Servers: serversOf(source, m)})
 }
 
-func serversOf(source string, m *catalog.Members) []ejection.Server {
+func serversOf(source string, m *discovery.Members) []ejection.Server {
 	all := make([]ejection.Server, 0, len(m.Servers))
 	for _, s := range m.Servers {
 		one := ejection.Server{ID: fleetID(source, s.ID), Start: s.Started, Zone: s.Zone, Pod: s.Cell}
--- a/internal/host/laststate/laststate.go
+++ b/internal/host/laststate/laststate.go
@@ -17,16 +17,16 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // State is what is saved.
 type State struct {
-	Saved     int64                       `json:"saved_ms"`          // Unix time
-	Boot      string                      `json:"boot,omitempty"`    // of the machine: names the start that SinceBoot counts from
-	SinceBoot int64                       `json:"boot_ms,omitempty"` // ms, monotonic
-	Sources   map[string]*catalog.Members `json:"sources"`           // by the list's address
-	Instances map[string]*core.Memory     `json:"instances"`         // by name
+	Saved     int64                         `json:"saved_ms"`          // Unix time
+	Boot      string                        `json:"boot,omitempty"`    // of the machine: names the start that SinceBoot counts from
+	SinceBoot int64                         `json:"boot_ms,omitempty"` // ms, monotonic
+	Sources   map[string]*discovery.Members `json:"sources"`           // by the list's address
+	Instances map[string]*core.Memory       `json:"instances"`         // by name
 	// Peers is how the daemon stood in its fleet, for one that takes its place without a gap.
 	Peers []byte `json:"peers,omitempty"`
 }
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -14,7 +14,7 @@
 // from its own layer or below.
 var layers = [][]string{
 	{"decide"},
-	{"internal/wire", "internal/tomlfile", "internal/atomicfile", "internal/eventqueue", "internal/protocol/ldapmsg", "internal/source/catalog", "internal/source/endpoints", "internal/testkit", "internal/standin"},
+	{"internal/wire", "internal/tomlfile", "internal/atomicfile", "internal/eventqueue", "internal/protocol/ldapmsg", "internal/source/discovery", "internal/source/endpoints", "internal/testkit", "internal/standin"},
 	{"internal/source"},
 	{"internal/core"},
 	{"internal/protocol"},
--- a/internal/protocol/http1/crossings_test.go
+++ b/internal/protocol/http1/crossings_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -89,7 +89,7 @@
 func TestDuplicateMayLeaveBeforeItsAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-release; return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	var loop *loopHold
 	a := startParts(t, cfg, core.Parts{}, func(a *core.Agent) { loop = holdable(a) })
 	first := make(chan exchange, 1)
@@ -124,7 +124,7 @@
 				t.Parallel()
 				s := serveRaw(t, func(int) string { return ok200 })
 				var loop *loopHold
-				a := startParts(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}), core.Parts{},
+				a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
 					func(a *core.Agent) { loop = holdable(a) })
 				loop.stop(t, a)
 				before := a.readers()
@@ -152,7 +152,7 @@
 	t.Helper()
 	release = make(chan struct{})
 	s = serveRaw(t, func(int) string { <-release; return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Aim = cfg.Settings.Classes[i].Deadline // what waits, waits long
 	}
@@ -278,7 +278,7 @@
 	t.Cleanup(func() { server.Close() })
 	s := &backend{addr: ln.Addr().String()}
 	var loop *loopHold
-	a := startParts(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}), core.Parts{},
+	a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
 		func(a *core.Agent) { loop = holdable(a) })
 	end, _ := ahead(a)
 	c := a.connect(t)
@@ -311,7 +311,7 @@
 				t.Parallel()
 				release := make(chan struct{})
 				s := serveRaw(t, func(int) string { <-release; return ok200 })
-				a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+				a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 				c := a.connect(t)
 				c.write(headOf("get", "first"))
 				testkit.Receive(t, "request", s.seen)
@@ -359,7 +359,7 @@
 			one, two := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
 			moved := serveRaw(t, func(int) string { return ok200 })
 			list := testkit.NewCatalog(t)
-			a := start(t, testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []catalog.Member{one.member("one")}}))
+			a := start(t, testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Member{one.member("one")}}))
 			w := testkit.Receive(t, "watch", list.Watch)
 			dialled, release := a.heldDial(one.addr)
 			got := make(chan exchange, 1)
@@ -390,7 +390,7 @@
 // Nor to a request whose client has left meanwhile.
 func TestLateConnectionToARequestThatEndedIsNotUsed(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	dialled, release := a.heldDial(s.addr)
 	c := a.connect(t)
 	c.write(headOf("get", "late"))
@@ -421,7 +421,7 @@
 		})
 		other := serveRaw(t, func(int) string { return ok200 })
 		list := testkit.NewCatalog(t)
-		cfg := testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []catalog.Member{failing.member("failing")}})
+		cfg := testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Member{failing.member("failing")}})
 		cfg.Settings.Classes[1].Window, cfg.Settings.Classes[1].Aim, cfg.Settings.ConnectTimeout = window, 200*time.Millisecond, connect
 		a := start(t, cfg)
 		w := testkit.Receive(t, "watch", list.Watch)
@@ -472,7 +472,7 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	s := &backend{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	a.backends.stall = 200 * time.Millisecond
 	x := a.do("GET", "/get/x", "")
 	if x.err == nil || errors.Is(x.err, context.DeadlineExceeded) {
@@ -503,7 +503,7 @@
 				reset(c)
 			}()
 			s := &backend{addr: ln.Addr().String()}
-			a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+			a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 			c := a.connect(t)
 			c.write("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 0\r\n\r\n")
 			if _, err := c.in.Peek(1); err != nil {
@@ -542,8 +542,8 @@
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
-	member := catalog.Member{ID: "s", Addr: server.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{member}}))
+	member := discovery.Member{ID: "s", Addr: server.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{member}}))
 	c := a.connect(t)
 	c.write(headOf("get", "ahead") + headOf("get", "late", "X-Expires-In: 0.05") + headOf("get", "behind", "X-Expires-In: 20"))
 	from := testkit.Receive(t, "request ahead", read)
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -95,7 +95,7 @@
 	t.Helper()
 	l := &leaving{answer: make(chan string), lates: &lateListener{Listener: testkit.Listen(t), late: late, release: make(chan struct{})}}
 	l.server = serveRaw(t, func(int) string { return <-l.answer })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{l.server.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{l.server.member("s")}})
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Aim = cfg.Settings.Classes[i].Deadline // what waits, waits long
 	}
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -33,7 +33,7 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	b := &backend{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1", "Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
 		t.Fatalf("answer %+v", x)
@@ -73,7 +73,7 @@
 func TestHangUp(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := a.request(ctx, "GET", "/get/x", "")
 	if err != nil {
@@ -97,7 +97,7 @@
 // say that another try is harmless.
 func TestBadInput(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	for name, row := range map[string]struct {
 		method, path, body string
 		headers            []string
@@ -153,7 +153,7 @@
 func TestDuplicateID(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	testkit.Receive(t, "first request", s.seen)
@@ -174,7 +174,7 @@
 // are places: usual clients are served all the same, and every one of the others is sent away.
 func TestSilentAndSlowClientsBesideUsualOnes(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Sockets = 64
 	a := start(t, cfg)
 	var bad []*bufio.Reader
@@ -203,7 +203,7 @@
 // Bodies that are kept are bounded in sum: past that a request's body streams, and what was booked comes back.
 func TestBodiesAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	whole := a.front.bodies.Left()
 	a.front.bodies.Take(int(whole) - 1000)
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1001)); x.status != 200 {
@@ -230,7 +230,7 @@
 		return ok200
 	})
 	accept := make(chan time.Time)
-	a := startUntil(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}), accept)
+	a := startUntil(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), accept)
 	idle, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -281,7 +281,7 @@
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	busy := make(chan exchange, 1)
 	go func() { busy <- a.do("GET", "/get/x", "") }()
 	testkit.Receive(t, "request", s.seen)
@@ -312,7 +312,7 @@
 func TestCrowdedFront(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Site.MaxOpen = 1
 	a := start(t, cfg)
 	first := make(chan exchange, 1)
@@ -344,7 +344,7 @@
 // some left to ask on; and those that are kept go once they have been testkit.Quiet for long.
 func TestKeptConnectionsAreFew(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Sockets = 64
 	a := start(t, cfg)
 	most := core.ClientSockets(cfg.Sockets)
@@ -383,7 +383,7 @@
 // further request. Nothing of it reaches a backend, and the connection is closed.
 func TestHiddenRequest(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	hidden := "GET /get/hidden HTTP/1.1\r\nHost: a\r\nX-Trace-Id: hidden\r\n\r\n"
 	chunk := "0\r\n\r\n" + hidden
 	for name, text := range map[string]string{
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -233,8 +233,8 @@
 	return nil, err
 }
 
-func (b *backend) member(id string) catalog.Member {
-	return catalog.Member{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+func (b *backend) member(id string) discovery.Member {
+	return discovery.Member{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -80,7 +80,7 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	b := &backend{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	idle, busy, silent, late := a.connect(t), a.connect(t), a.connect(t), a.connect(t)
 	for _, c := range []*client{idle, late} {
 		c.send("/get/x")
@@ -133,7 +133,7 @@
 // server has it.
 func TestBanWhileDialling(t *testing.T) {
 	b, other := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	dialled, hold := make(chan struct{}, 1), make(chan struct{})
 	plain := a.backends.dialer
 	a.backends.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -187,7 +187,7 @@
 		}
 		return ok200
 	})
-	a := start(t, testConfig(t, testkit.Setup{Servers: []catalog.Member{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	for range 2 {
 		a.do("GET", "/get/x", "")
 	}
@@ -222,7 +222,7 @@
 // Two processes have the descriptors of one: each opens fewer connections while the other is there.
 func TestBesideAnother(t *testing.T) {
 	b := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{b.member("s")}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}})
 	a := start(t, cfg)
 	whole := a.backends.most
 	a.Beside(1)
--- a/internal/protocol/http1/panic_test.go
+++ b/internal/protocol/http1/panic_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -18,7 +18,7 @@
 // an attempt whose connection comes up later.
 func TestNothingIsSentAfterAPanic(t *testing.T) {
 	server := testkit.Listen(t)
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{{ID: "s", Addr: server.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{{ID: "s", Addr: server.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}})
 	a, own, err := newAgent(cfg, testkit.Quiet, core.Parts{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -11,7 +11,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := serveRaw(t, func(int) string { return ok200 })
-			cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{server.member("s")}, Deadline: 31000})
+			cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}, Deadline: 31000})
 			var blow atomic.Bool
 			held := make(chan *testkit.HeldWrite, 1)
 			r := startParts(t, cfg, core.Parts{NoLateConnections: true}, func(a *core.Agent) {
@@ -92,7 +92,7 @@
 			t.Parallel()
 			release := make(chan struct{})
 			server := serveRaw(t, func(int) string { <-release; return ok200 })
-			cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{server.member("s")}})
+			cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}})
 			l := &breakableListener{Listener: testkit.Listen(t), broken: make(chan struct{}), err: err}
 			now := make(chan time.Time)
 			close(now)
@@ -162,7 +162,7 @@
 	silent := make(chan struct{})
 	defer close(silent)
 	server := serveRaw(t, func(int) string { <-silent; return "" })
-	cfg := testConfig(t, testkit.Setup{Servers: []catalog.Member{server.member("s")}, Deadline: 300})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}, Deadline: 300})
 	accept := make(chan time.Time)
 	r := startParts(t, cfg, core.Parts{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, AcceptAfterStop: accept}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -62,7 +62,7 @@
 func TestSpoiltAnswersOfAllLeaveNoneOut(t *testing.T) {
 	var mu sync.Mutex
 	total, spoilt, again := 0, []string{}, 0
-	var servers []catalog.Member
+	var servers []discovery.Member
 	for _, id := range []string{"s", "t", "u", "v"} {
 		b := serveRaw(t, func(int) string {
 			mu.Lock()
@@ -101,7 +101,7 @@
 // dials end as broken says. What is cold does not become warm in a test's time.
 func withBrokenDials(t *testing.T, broken func(context.Context) (net.Conn, error)) (*running, *atomic.Int64) {
 	t.Helper()
-	var servers []catalog.Member
+	var servers []discovery.Member
 	for _, id := range []string{"s", "t", "u"} {
 		b := serveRaw(t, func(int) string { return ok200 })
 		go func() {
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -16,7 +16,7 @@
 	"testing/iotest"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/testkit"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // serveHTTP runs a backend.
-func serveHTTP(t *testing.T, f http.HandlerFunc) catalog.Member {
+func serveHTTP(t *testing.T, f http.HandlerFunc) discovery.Member {
 	t.Helper()
 	ln := testkit.Listen(t)
 	server := &http.Server{Handler: f}
@@ -39,7 +39,7 @@
 }
 
 // serveConns runs a backend whose connections are handled by f alone.
-func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) catalog.Member {
+func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) discovery.Member {
 	t.Helper()
 	ln := testkit.Listen(t)
 	go func() {
@@ -57,7 +57,7 @@
 	return (&backend{addr: ln.Addr().String()}).member("s")
 }
 
-func startWith(t *testing.T, members ...catalog.Member) *running {
+func startWith(t *testing.T, members ...discovery.Member) *running {
 	t.Helper()
 	return start(t, testConfig(t, testkit.Setup{Servers: members}))
 }
@@ -243,7 +243,7 @@
 		time.Sleep(deadline + 200*time.Millisecond)
 		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxWholeAnswer-1))
 	})
-	a := start(t, testConfig(t, testkit.Setup{Deadline: int(deadline / time.Millisecond), Servers: []catalog.Member{s}}))
+	a := start(t, testConfig(t, testkit.Setup{Deadline: int(deadline / time.Millisecond), Servers: []discovery.Member{s}}))
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.err != nil || len(x.body) != 2*maxWholeAnswer {
 		t.Errorf("%d, %d bytes, %v", x.status, len(x.body), x.err)
 	}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -12,7 +12,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin/directory"
 	"vetchhaven/internal/testkit"
 )
@@ -21,7 +21,7 @@
 
 func testConfig(t testing.TB, servers ...*directory.Directory) *core.Config {
 	t.Helper()
-	var members []catalog.Member
+	var members []discovery.Member
 	for _, s := range servers {
 		members = append(members, s.Member("ready"))
 	}
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -11,7 +11,7 @@
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/ldapmsg"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin/directory"
 	"vetchhaven/internal/testkit"
 )
@@ -62,8 +62,8 @@
 	done := make(chan error, 1)
 	go func() { _, err := c.Search(one()); done <- err }()
 	testkit.Receive(t, "dial", going)
-	hub := catalog.NewHub(catalog.HubOptions{Log: testkit.Quiet})
-	hub.Apply(&catalog.Members{Version: 42, Full: true, Servers: []catalog.Member{now.Member("ready")}})
+	hub := discovery.NewHub(discovery.HubOptions{Log: testkit.Quiet})
+	hub.Apply(&discovery.Members{Version: 42, Full: true, Servers: []discovery.Member{now.Member("ready")}})
 	r.Follow(hub)
 	testkit.WaitFor(t, "the list", func() bool {
 		r.p.servers.mu.Lock()
--- a/internal/source/catalog/catalog.go
+++ b/internal/source/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package catalog reads the platform's list of servers: HTTP/1.1, the whole list or a watch that
+// Package discovery reads the platform's list of servers: HTTP/1.1, the whole list or a watch that
 // stays open and brings one JSON object a line.
-package catalog
+package discovery
 
 import (
 	"context"
--- a/internal/source/catalog/hub_test.go
+++ b/internal/source/discovery/hub_test.go
@@ -1,4 +1,4 @@
-package catalog
+package discovery
 
 import (
 	"context"
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -15,7 +15,7 @@
 	ber "github.com/go-asn1-ber/asn1-ber"
 
 	"vetchhaven/internal/protocol/ldapmsg"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // Fault is what a script has the directory do with an operation.
@@ -90,8 +90,8 @@
 }
 
 // Member is its entry on a list.
-func (d *Directory) Member(state string) catalog.Member {
-	return catalog.Member{ID: d.ID, Addr: d.listener.Addr().String(), Zone: "a", Kind: "k", State: state, Weight: 1}
+func (d *Directory) Member(state string) discovery.Member {
+	return discovery.Member{ID: d.ID, Addr: d.listener.Addr().String(), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
 // Addr is where it listens.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 const keepAlive = 2 * time.Second // while nothing changes
@@ -24,7 +24,7 @@
 
 	mu      sync.Mutex
 	version int64
-	servers map[string]catalog.Member
+	servers map[string]discovery.Member
 	changed map[string]int64 // at which version, gone ones too
 	bump    chan struct{}    // closed at each change
 	down    bool
@@ -32,8 +32,8 @@
 }
 
 // NewList starts a list on a free port of loopback, or on the given address.
-func NewList(addr string, servers ...catalog.Member) (*List, error) {
-	l := &List{servers: map[string]catalog.Member{}, changed: map[string]int64{}, bump: make(chan struct{})}
+func NewList(addr string, servers ...discovery.Member) (*List, error) {
+	l := &List{servers: map[string]discovery.Member{}, changed: map[string]int64{}, bump: make(chan struct{})}
 	l.Set(servers...)
 	l.server = httptest.NewUnstartedServer(l)
 	if addr != "" {
@@ -62,7 +62,7 @@
 func (l *List) Calls() int { return int(l.calls.Load()) }
 
 // Set changes entries. One that is gone stays known as gone.
-func (l *List) Set(servers ...catalog.Member) {
+func (l *List) Set(servers ...discovery.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
@@ -83,10 +83,10 @@
 	l.bump = make(chan struct{})
 }
 
-func (l *List) since(version int64) (m catalog.Members, next chan struct{}, down bool) {
+func (l *List) since(version int64) (m discovery.Members, next chan struct{}, down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m = catalog.Members{Version: l.version, Full: version <= 0 || version > l.version, Servers: []catalog.Member{}}
+	m = discovery.Members{Version: l.version, Full: version <= 0 || version > l.version, Servers: []discovery.Member{}}
 	for id, s := range l.servers {
 		if m.Full && s.State != "gone" || !m.Full && l.changed[id] > version {
 			m.Servers = append(m.Servers, s)
@@ -154,8 +154,8 @@
 }
 
 // Member is its entry in a list.
-func (f *Form) Member(state string) catalog.Member {
-	return catalog.Member{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
+func (f *Form) Member(state string) discovery.Member {
+	return discovery.Member{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
 // Got is how many requests came.
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 )
 
 // Patience is how long a test waits for what must come: far more than it takes anywhere.
@@ -39,7 +39,7 @@
 	Mode      string // of discovery; "" is automatic
 	Deadline  int    // of all classes, ms; 0: 60 s
 	Discovery string
-	Servers   []catalog.Member
+	Servers   []discovery.Member
 }
 
 // Config is a platform's configuration file.
@@ -57,7 +57,7 @@
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.Discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    catalog.Members{Version: 41, Full: true, Servers: s.Servers},
+		"known":    discovery.Members{Version: 41, Full: true, Servers: s.Servers},
 		"settings": json.RawMessage(fmt.Sprintf(Settings, s.Mode, s.Deadline)),
 	})
 	if err != nil {
@@ -180,9 +180,9 @@
 }
 
 // ToLine is a change of the list as a watch brings it.
-func ToLine(t testing.TB, version int64, servers ...catalog.Member) string {
+func ToLine(t testing.TB, version int64, servers ...discovery.Member) string {
 	t.Helper()
-	raw, err := json.Marshal(catalog.Members{Version: version, Servers: servers})
+	raw, err := json.Marshal(discovery.Members{Version: version, Servers: servers})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/tools/capacity/slopes"
 )
 
@@ -24,14 +24,14 @@
 )
 
 // served is a server as the list service writes it.
-func served(i int, state string) catalog.Member {
-	return catalog.Member{ID: fmt.Sprintf("s%03d-%05d", i%990, i), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, 20000+i%1000),
+func served(i int, state string) discovery.Member {
+	return discovery.Member{ID: fmt.Sprintf("s%03d-%05d", i%990, i), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, 20000+i%1000),
 		Zone: fmt.Sprintf("zone-%02d", i%15), Kind: "standard", Cell: i % 150, State: state, Weight: 1, Started: 1764633600000 + int64(i)}
 }
 
 // wholeList is the list of n servers as it is on its way.
 func wholeList(n int) ([]byte, error) {
-	m := catalog.Members{Version: 1, Full: true}
+	m := discovery.Members{Version: 1, Full: true}
 	for i := range n {
 		m.Servers = append(m.Servers, served(i, "ready"))
 	}
@@ -42,7 +42,7 @@
 // oneRestart is what all agents are told of one: it drains, it is gone, it is there again.
 func oneRestart() (bytes int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
-		data, err := json.Marshal(&catalog.Members{Version: int64(100000 + i), Servers: []catalog.Member{served(11999, state)}})
+		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{served(11999, state)}})
 		if err != nil {
 			return 0, err
 		}
@@ -64,7 +64,7 @@
 	var r reading
 	var decodes, takes []time.Duration
 	var lb *decide.Balancer
-	var m *catalog.Members
+	var m *discovery.Members
 	heap := func() float64 {
 		runtime.GC()
 		var s runtime.MemStats
@@ -76,7 +76,7 @@
 		lb, m = nil, nil
 		before = heap()
 		began := threadTime()
-		m = &catalog.Members{}
+		m = &discovery.Members{}
 		if err := json.NewDecoder(bytes.NewReader(data)).Decode(m); err != nil {
 			return nil, err
 		}
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -27,7 +27,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/rehearse/emulate/sockets"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
@@ -170,7 +170,7 @@
 	row = pathRow{services: services, servers: servers, direct: newPathLatency(), agent: newPathLatency(),
 		allDirect: newPathLatency(), allAgent: newPathLatency()}
 	body := bytes.Repeat([]byte("x"), pathAnswer)
-	var forms []catalog.Member
+	var forms []discovery.Member
 	for i := range servers {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
 		defer f.Close()
@@ -179,7 +179,7 @@
 	// Services share the servers' processes, not the agent's knowledge of them.
 	var lists []*standin.List
 	for s := range services {
-		var own []catalog.Member
+		var own []discovery.Member
 		for _, m := range forms {
 			m.ID, m.Zone, m.Kind = fmt.Sprintf("v%d-%s", s, m.ID), "a", "k"
 			own = append(own, m)
@@ -381,7 +381,7 @@
 	serial atomic.Int64
 }
 
-func newPathCaller(o pathOptions, forms []catalog.Member, agent []string) *pathCaller {
+func newPathCaller(o pathOptions, forms []discovery.Member, agent []string) *pathCaller {
 	c := &pathCaller{rate: o.rate, rng: rand.New(rand.NewPCG(o.seed, 408)), agent: agent,
 		client: &http.Client{Timeout: pathMost, Transport: &http.Transport{MaxIdleConnsPerHost: 200,
 			DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}}
--- a/tools/capacity/path_test.go
+++ b/tools/capacity/path_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 )
 
@@ -25,7 +25,7 @@
 		_, _ = w.Write(bytes.Repeat([]byte("x"), pathAnswer))
 	})
 	defer form.Close()
-	c := newPathCaller(pathOptions{rate: 100, seed: 1}, []catalog.Member{form.Member("ready")}, []string{strings.TrimPrefix(form.Member("ready").Addr, "http://")})
+	c := newPathCaller(pathOptions{rate: 100, seed: 1}, []discovery.Member{form.Member("ready")}, []string{strings.TrimPrefix(form.Member("ready").Addr, "http://")})
 	transport := c.client.Transport.(*http.Transport)
 	transport.MaxConnsPerHost = 1
 	defer transport.CloseIdleConnections()
--- a/tools/directory/main.go
+++ b/tools/directory/main.go
@@ -24,7 +24,7 @@
 	"time"
 
 	"vetchhaven/internal/protocol/ldapmsg"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/internal/standin/directory"
 	"vetchhaven/tools/measure"
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	s := &site{dir: dir}
-	var members []catalog.Member
+	var members []discovery.Member
 	for i := range n {
 		d, err := directory.New(fmt.Sprint("d-", i), directory.Options{})
 		if err != nil {
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -21,7 +21,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 )
 
@@ -135,7 +135,7 @@
 			s.connections.Add(1)
 		}
 	}, IdleTimeout: 5 * time.Second}
-	var members []catalog.Member
+	var members []discovery.Member
 	for n := range count {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -161,8 +161,8 @@
 	return s, nil
 }
 
-func (s *site) member(n int, started int64) catalog.Member {
-	return catalog.Member{ID: fmt.Sprintf("s-%04d", n), Addr: s.addrs[n], Zone: []string{"a", "b"}[n%2], Kind: "k", Cell: n % 8, State: "ready", Weight: 1, Started: started}
+func (s *site) member(n int, started int64) discovery.Member {
+	return discovery.Member{ID: fmt.Sprintf("s-%04d", n), Addr: s.addrs[n], Zone: []string{"a", "b"}[n%2], Kind: "k", Cell: n % 8, State: "ready", Weight: 1, Started: started}
 }
 
 // churn replaces a part of the servers each second, until ctx ends: each drains, and is back a second later.
@@ -235,7 +235,7 @@
 	}
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": s.listAddr, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    catalog.Members{Version: 1, Full: true, Servers: []catalog.Member{}},
+		"known":    discovery.Members{Version: 1, Full: true, Servers: []discovery.Member{}},
 		"settings": json.RawMessage(fmt.Sprintf(settings, agents))})
 	if err != nil {
 		return f, err
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -19,7 +19,7 @@
 
 	"vetchhaven/internal/host/daemon"
 	"vetchhaven/internal/rehearse/emulate/sockets"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/tools/measure"
 )
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	var servers []catalog.Member
+	var servers []discovery.Member
 	for i := range 8 {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(20 * time.Millisecond) // what a form takes
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -30,7 +30,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/tools/measure"
 )
@@ -100,10 +100,10 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-func members(n int) []catalog.Member {
-	var all []catalog.Member
+func members(n int) []discovery.Member {
+	var all []discovery.Member
 	for i := range n {
-		all = append(all, catalog.Member{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("127.1.%d.%d:5000", i/250, 1+i%250), Zone: "a", Kind: "k", State: "ready", Weight: 1})
+		all = append(all, discovery.Member{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("127.1.%d.%d:5000", i/250, 1+i%250), Zone: "a", Kind: "k", State: "ready", Weight: 1})
 	}
 	return all
 }
@@ -159,7 +159,7 @@
 	}
 	defer os.RemoveAll(dir)
 	body := strings.Repeat("x", 200)
-	var servers []catalog.Member
+	var servers []discovery.Member
 	var urls []string
 	for i := range 8 {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"vetchhaven/internal/host/daemon"
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/source/endpoints"
 	"vetchhaven/internal/standin/dns"
 	"vetchhaven/tools/measure"
@@ -301,7 +301,7 @@
 		}
 	}
 	lists := make(chan int, 1000)
-	hub := catalog.NewHub(catalog.HubOptions{Log: slog.New(slog.DiscardHandler)})
+	hub := discovery.NewHub(discovery.HubOptions{Log: slog.New(slog.DiscardHandler)})
 	m := daemon.NewMerger(daemon.Source{Name: "s", Multicast: "_form._tcp.local", Group: r.Addr(), Hold: time.Hour}, hub, nil, slog.New(slog.DiscardHandler),
 		func(list []endpoints.Member) {
 			in := 0
--- a/tools/members/sockets.go
+++ b/tools/members/sockets.go
@@ -17,7 +17,7 @@
 
 	mdns "github.com/miekg/dns"
 
-	"vetchhaven/internal/source/catalog"
+	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/internal/standin/dns"
 	"vetchhaven/tools/measure"
@@ -116,8 +116,8 @@
 	_, _ = w.Write([]byte("closed\n"))
 }
 
-func (o *office) member(state string) catalog.Member {
-	return catalog.Member{ID: o.id, Addr: o.addr, Zone: "a", Kind: "k", Cell: o.pod, State: state, Weight: 1, Started: o.started}
+func (o *office) member(state string) discovery.Member {
+	return discovery.Member{ID: o.id, Addr: o.addr, Zone: "a", Kind: "k", Cell: o.pod, State: state, Weight: 1, Started: o.started}
 }
 
 const twoSources = `admin = "unix:%[1]s/admin.sock"
@@ -164,7 +164,7 @@
 		defer o.shut()
 		all = append(all, o)
 	}
-	var members []catalog.Member
+	var members []discovery.Member
 	for _, o := range all {
 		members = append(members, o.member("ready"))
 	}
