--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/host/laststate"
+	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
@@ -131,7 +131,7 @@
 			return
 		}
 	}
-	s, err := laststate.Decode(data, moment(), d.cfg.StateMost)
+	s, err := snapshot.Decode(data, moment(), d.cfg.StateMost)
 	if err != nil {
 		d.log.Warn("the last state is not used", "from", from, "error", err)
 		return
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -15,7 +15,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"vetchhaven/internal/host/laststate"
+	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/testkit/golden"
@@ -131,7 +131,7 @@
 		if err := json.Unmarshal(data[bytes.IndexByte(data, '\n')+1:], &head); err != nil {
 			t.Fatal(err)
 		}
-		s, err := laststate.Decode(data, laststate.Moment{Wall: time.UnixMilli(head.Saved)}, time.Minute)
+		s, err := snapshot.Decode(data, snapshot.Moment{Wall: time.UnixMilli(head.Saved)}, time.Minute)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"vetchhaven/internal/host/laststate"
+	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/peer/transport"
 )
 
@@ -217,7 +217,7 @@
 		}
 		s := d.state()
 		s.Peers = stands
-		state, err = laststate.Encode(s)
+		state, err = snapshot.Encode(s)
 	}) {
 		return errors.New("the daemon is stopping")
 	}
--- a/internal/host/daemon/store.go
+++ b/internal/host/daemon/store.go
@@ -13,7 +13,7 @@
 
 	"vetchhaven/internal/atomicfile"
 	"vetchhaven/internal/core"
-	"vetchhaven/internal/host/laststate"
+	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/source/discovery"
 )
 
@@ -28,8 +28,8 @@
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
 // moment is now. On a system that does not tell its boot the wall clock is all there is.
-func moment() laststate.Moment {
-	at := laststate.Moment{Wall: time.Now()}
+func moment() snapshot.Moment {
+	at := snapshot.Moment{Wall: time.Now()}
 	boot, err := os.ReadFile(bootFile)
 	if err != nil {
 		return at
@@ -43,9 +43,9 @@
 }
 
 // state is what would be saved now.
-func (d *Daemon) state() *laststate.State {
+func (d *Daemon) state() *snapshot.State {
 	at := moment()
-	s := &laststate.State{Saved: at.Wall.UnixMilli(), Boot: at.Boot, SinceBoot: at.SinceBoot.Milliseconds(), Sources: map[string]*discovery.Members{}, Instances: map[string]*core.Memory{}}
+	s := &snapshot.State{Saved: at.Wall.UnixMilli(), Boot: at.Boot, SinceBoot: at.SinceBoot.Milliseconds(), Sources: map[string]*discovery.Members{}, Instances: map[string]*core.Memory{}}
 	for _, h := range d.hubs {
 		if m := h.Snapshot(); m != nil {
 			s.Sources[h.source.Key()] = m
@@ -70,7 +70,7 @@
 	if d.store.Dir == "" {
 		return
 	}
-	data, err := laststate.Encode(d.state())
+	data, err := snapshot.Encode(d.state())
 	if err != nil {
 		d.log.Error("state not saved", "error", err)
 		return
--- a/internal/host/laststate/golden_test.go
+++ b/internal/host/snapshot/golden_test.go
@@ -1,4 +1,4 @@
-package laststate
+package snapshot
 
 import (
 	"testing"
--- a/internal/host/laststate/laststate.go
+++ b/internal/host/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package laststate is what a daemon leaves for the one that starts after it, and what that one may
+// Package snapshot is what a daemon leaves for the one that starts after it, and what that one may
 // believe of it. It is free of I/O; the file's form is here, the file is not.
 //
 // What may be restored: the last good list, which holds until the list service is heard, and how
@@ -6,7 +6,7 @@
 // allowed or forbade something at that moment; restored, each could break a rule (a cold budget spent
 // before would be spent again) or keep a healed server out. The limit on what is in flight goes over in a
 // handover, where the same clients are served on at once, and not after a pause of unknown length.
-package laststate
+package snapshot
 
 import (
 	"bytes"
--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -15,7 +15,7 @@
 	"internal/core/clock.go UnixMilli":                    "the hint that starttimes.go bounds",
 	"internal/core/gate.go Unix":                          "LongAgo, a deadline that has passed",
 	"internal/protocol/http1/front.go Unix":               "the Date field",
-	"internal/host/laststate/laststate.go UnixMilli":      "the age of a snapshot of another boot, a hint with a bound",
+	"internal/host/snapshot/snapshot.go UnixMilli":        "the age of a snapshot of another boot, a hint with a bound",
 	"internal/host/daemon/store.go UnixMilli":             "the moment at which a snapshot is saved",
 	"internal/host/daemon/daemon.go UnixMilli":            "a log line",
 	"internal/host/daemon/policy.go UnixMilli":            "when an operator made a change, for people to read",
