--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/agree"
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/policymodel"
 )
 
 type drillFlags struct {
@@ -64,7 +64,7 @@
 	}
 	var lines []judge.Line
 	if f.virtual && p.Policy != nil {
-		r, err := agree.Play(p, agree.Options{Seed: f.seed, Witness: p.Policy.Witness})
+		r, err := policymodel.Play(p, policymodel.Options{Seed: f.seed, Witness: p.Policy.Witness})
 		if err != nil {
 			return exit{2, err}
 		}
--- a/internal/drill/agree/parts_test.go
+++ b/internal/faulttest/policymodel/parts_test.go
@@ -1,4 +1,4 @@
-package agree
+package policymodel
 
 import (
 	"fmt"
--- a/internal/drill/agree/agree.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -1,7 +1,7 @@
-// Package agree plays a fleet that agrees on its policy, in virtual time: the modules that daemons run, and models of the
+// Package policymodel plays a fleet that agrees on its policy, in virtual time: the modules that daemons run, and models of the
 // links between them, their disks, clocks, pauses and ends. Each member takes requests all the time, by what it was last
 // told to serve by, and the judge reads by which policy each was taken. The same seed gives the same lines.
-package agree
+package policymodel
 
 import (
 	"cmp"
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -13,10 +13,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"vetchhaven/internal/drill/agree"
 	"vetchhaven/internal/drill/hollow"
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
 )
@@ -111,7 +111,7 @@
 	}
 	uses := map[textOf]*use{}
 	region := func(n int) int { return n % max(1, c.regions) }
-	o := agree.Options{Seed: c.seed, Witness: true, Take: time.Hour, Viewers: c.voters, Streams: c.streams, Since: c.from,
+	o := policymodel.Options{Seed: c.seed, Witness: true, Take: time.Hour, Viewers: c.voters, Streams: c.streams, Since: c.from,
 		Size: func(from int, m *policy.Message) int {
 			began := threadTime()
 			size := transport.PolicySize(fleetName, plan.Name(from), m)
@@ -159,7 +159,7 @@
 	}
 	runtime.LockOSThread() // its time is what a step costs, whatever else the machine does
 	defer runtime.UnlockOSThread()
-	r, err := agree.Play(p, o)
+	r, err := policymodel.Play(p, o)
 	if err != nil {
 		return nil, err
 	}
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -21,10 +21,10 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/agree"
 	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
+	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/tools/internal/bench"
 )
 
@@ -34,8 +34,8 @@
 	whole := f.Bool("all", false, "of points: all pairs, of the smallest fleet alone")
 	n, pairs, program := f.Int("n", 2000, "schedules"), f.Int("pairs", 2000, "pairs of points, by chance"), f.String("program", "bin/vetchhaven", "for real processes")
 	bench.Main(f,
-		bench.Job{Name: "schedules", Run: func() error { return schedules(*n, agree.Draw) }},
-		bench.Job{Name: "parts", Run: func() error { return schedules(*n, agree.DrawParts) }},
+		bench.Job{Name: "schedules", Run: func() error { return schedules(*n, policymodel.Draw) }},
+		bench.Job{Name: "parts", Run: func() error { return schedules(*n, policymodel.DrawParts) }},
 		bench.Job{Name: "points", Run: func() error { return points(*pairs, *whole) }},
 		bench.Job{Name: "times", Run: times},
 		bench.Job{Name: "real", Run: func() error { return realTimes(*program, *sizes) }},
@@ -87,14 +87,14 @@
 	}
 }
 
-func schedules(n int, draw func(seed uint64, most int) (*plan.Plan, agree.Options)) error {
+func schedules(n int, draw func(seed uint64, most int) (*plan.Plan, policymodel.Options)) error {
 	s := newSums()
 	var taken, changes int
 	told, befell := map[string]int{}, map[string]int{}
 	began := time.Now()
 	err := each(n, func(i int) (played, error) {
 		p, o := draw(uint64(i), 10)
-		r, err := agree.Play(p, o)
+		r, err := policymodel.Play(p, o)
 		if err != nil {
 			return played{}, err
 		}
@@ -180,21 +180,21 @@
 		stops                   bool
 	}{{3, 3, 0, true}, {3, 3, 0, false}, {4, 3, 3, true}, {4, 3, 3, false}, {5, 5, 4, true}} {
 		p := fleet(c.members, c.voters, c.stops, 35*time.Second, apply(asked, c.author))
-		o := agree.Options{Seed: 1, Take: 50 * time.Millisecond, From: asked, Witness: true, Back: 1200 * time.Millisecond}
+		o := policymodel.Options{Seed: 1, Take: 50 * time.Millisecond, From: asked, Witness: true, Back: 1200 * time.Millisecond}
 		var ends int
 		o.Point = func(n int, at time.Duration, _, _ string) {
 			if at < asked+400*time.Millisecond {
 				ends = n
 			}
 		}
-		if _, err := agree.Play(p, o); err != nil {
+		if _, err := policymodel.Play(p, o); err != nil {
 			return err
 		}
 		o.Point = nil
 		play := func(kill, lose []int) (*judge.Report, string, error) {
 			o := o
 			o.Kill, o.Lose = kill, lose
-			r, err := agree.Play(p, o)
+			r, err := policymodel.Play(p, o)
 			if err != nil {
 				return nil, "", err
 			}
@@ -333,7 +333,7 @@
 		}, 0})
 	}
 	type got struct {
-		r *agree.Result
+		r *policymodel.Result
 		p *plan.Plan
 	}
 	results := make([]got, len(rows))
@@ -347,7 +347,7 @@
 		p := fleet(x.members, x.voters, true, 70*time.Second, events...)
 		p.Policy.Lease, p.Policy.Within = 5*time.Second, 10*time.Second
 		p.Link.Drop = x.drop
-		r, err := agree.Play(p, agree.Options{Seed: 1, Witness: true, Take: 20 * time.Millisecond})
+		r, err := policymodel.Play(p, policymodel.Options{Seed: 1, Witness: true, Take: 20 * time.Millisecond})
 		return got{r, p}, err
 	}, func(i int, g got) { results[i] = g })
 	if err != nil {
@@ -458,16 +458,16 @@
 	bench.Head("way", "schedules", "changes asked for", "with two policies in use at once for over 0.5 s", "seconds of that", "schedules in which it was so at the end", "requests turned away of all")
 	for _, w := range []struct {
 		name string
-		way  agree.Way
-	}{{"agreed", agree.Agreed}, {"a reload on each host, one after the other", agree.OneByOne}, {"the newest file told round", agree.Gossip}} {
+		way  policymodel.Way
+	}{{"agreed", policymodel.Agreed}, {"a reload on each host, one after the other", policymodel.OneByOne}, {"the newest file told round", policymodel.Gossip}} {
 		const n = 200
 		var changes, many, taken, refused, ended int
 		var span time.Duration
-		if err := each(n, func(i int) (*agree.Result, error) {
-			p, o := agree.Draw(uint64(i), 10)
+		if err := each(n, func(i int) (*policymodel.Result, error) {
+			p, o := policymodel.Draw(uint64(i), 10)
 			o.Way = w.way
-			return agree.Play(p, o)
-		}, func(i int, r *agree.Result) {
+			return policymodel.Play(p, o)
+		}, func(i int, r *policymodel.Result) {
 			c, m, s, e := atOnce(r.Lines)
 			changes, many, span, taken, refused = changes+c, many+m, span+s, taken+r.Taken, refused+r.Refused
 			if e {
