--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/policymodel"
 )
 
@@ -62,7 +62,7 @@
 	if f.daemons > 0 {
 		p.Daemons = max(f.daemons, p.Daemons)
 	}
-	var lines []judge.Line
+	var lines []checker.Line
 	if f.virtual && p.Policy != nil {
 		r, err := policymodel.Play(p, policymodel.Options{Seed: f.seed, Witness: p.Policy.Witness})
 		if err != nil {
@@ -100,9 +100,9 @@
 			return exit{2, err}
 		}
 	}
-	report := judge.Judge(p.Bounds, lines)
+	report := checker.Judge(p.Bounds, lines)
 	if f.virtual && p.Policy != nil { // nothing else is played there
-		report = judge.Policy(p.Bounds, lines)
+		report = checker.Policy(p.Bounds, lines)
 	}
 	missed := report.Missed(p.Tries)
 	if f.asJSON {
@@ -112,7 +112,7 @@
 			Drill  string   `json:"drill"`
 			Seed   uint64   `json:"seed"`
 			Missed []string `json:"not_tried,omitempty"`
-			*judge.Report
+			*checker.Report
 		}{p.Name, f.seed, missed, report}); err != nil {
 			return exit{2, err}
 		}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func keepLines(dir string, lines []judge.Line) error {
+func keepLines(dir string, lines []checker.Line) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 	return f.Close()
 }
 
-func showReport(p *plan.Plan, r *judge.Report, out io.Writer) {
+func showReport(p *plan.Plan, r *checker.Report, out io.Writer) {
 	fmt.Fprintf(out, "%s: %s\n%d lines", p.Name, p.Why, r.Lines)
 	if r.Gaps > 0 {
 		fmt.Fprintf(out, ", %d more that daemons could not write", r.Gaps)
--- a/cmd/vetchhaven/drill_test.go
+++ b/cmd/vetchhaven/drill_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"vetchhaven/internal/drill/judge"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/transport"
 )
 
@@ -56,8 +56,8 @@
 	if err := playDrill(drillFile(t, oneKilled), &drillFlags{seed: 1, virtual: true, asJSON: true, keep: dir}, &out, io.Discard); err != nil {
 		t.Fatal(err)
 	}
-	var r struct{ Claims []judge.Claim }
-	if err := json.Unmarshal(out.Bytes(), &r); err != nil || len(r.Claims) != len(judge.Names) {
+	var r struct{ Claims []checker.Claim }
+	if err := json.Unmarshal(out.Bytes(), &r); err != nil || len(r.Claims) != len(checker.Names) {
 		t.Error(err, out.String())
 	}
 	f, err := os.Open(filepath.Join(dir, "lines.jsonl"))
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if lines, err := judge.Read(f); err != nil || len(lines) == 0 || lines[len(lines)-1].What != judge.End {
+	if lines, err := checker.Read(f); err != nil || len(lines) == 0 || lines[len(lines)-1].What != checker.End {
 		t.Error(len(lines), err)
 	}
 }
--- a/internal/drill/hollow/held.go
+++ b/internal/drill/hollow/held.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/transport"
 )
 
@@ -116,24 +116,24 @@
 }
 
 // side reads what lines tell. Processor time is of each process that tells it, shared out over all members.
-func (h *Held) side(name string, lines []judge.Line) Side {
+func (h *Held) side(name string, lines []checker.Line) Side {
 	s := Side{Name: name}
 	first := lines[0].T
 	from, to := first+int64(h.Rest[0]), first+int64(h.Rest[1])
 	seconds := 0
-	type used struct{ from, to judge.Line }
+	type used struct{ from, to checker.Line }
 	by := map[string]*used{}
 	for _, l := range lines {
 		if l.T <= from || l.T >= to {
 			continue
 		}
 		switch {
-		case l.What == judge.Doubt:
+		case l.What == checker.Doubt:
 			s.Doubts += 1 / float64(h.Members)
-		case l.What == judge.Member && l.State == "suspect":
+		case l.What == checker.Member && l.State == "suspect":
 			s.Suspicions += 1 / float64(h.Members)
 		}
-		if l.What != judge.Sent {
+		if l.What != checker.Sent {
 			continue
 		}
 		s.Datagrams += float64(l.Datagrams)
@@ -153,7 +153,7 @@
 			s.Processor += float64(u.to.CPUMS-u.from.CPUMS) * 1e6 / float64(span) / float64(h.Members)
 		}
 	}
-	news := judge.Follow(lines, to, lines[len(lines)-1].T)
+	news := checker.Follow(lines, to, lines[len(lines)-1].T)
 	s.Crash, s.Crashes = middle(news.Crash), len(news.Crash)
 	s.Join, s.Joins = middle(news.Join), len(news.Join)
 	s.Unknown = news.Unknown
--- a/internal/drill/hollow/held_test.go
+++ b/internal/drill/hollow/held_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 )
 
 // Probes wait for ten times as long here as they do by default: on a busy machine processes wait for a core, and what real
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := judge.Follow(lines, lines[0].T+int64(4*time.Second), lines[len(lines)-1].T)
+	news := checker.Follow(lines, lines[0].T+int64(4*time.Second), lines[len(lines)-1].T)
 	if len(news.Crash) != 1 || len(news.Join) != 1 || news.Unknown > 0 {
 		t.Errorf("of a crash and a start all learnt %+v", news)
 	}
--- a/internal/drill/hollow/sockets.go
+++ b/internal/drill/hollow/sockets.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
@@ -65,14 +65,14 @@
 type sockets struct {
 	s       *Sockets
 	members []*hollowMember
-	lines   []judge.Line
+	lines   []checker.Line
 	pids    int
 	seeds   []string
 }
 
 // Play plays it to its end, and is what happened, as a drill's lines: each life of a member has a number as its process.
 // CPUMS of Sent lines is this whole process's, of the first member alone.
-func (s *Sockets) Play(ctx context.Context) ([]judge.Line, error) {
+func (s *Sockets) Play(ctx context.Context) ([]checker.Line, error) {
 	if s.Plan.Daemons > socketsMost {
 		return nil, fmt.Errorf("%d members over sockets: up to %d in one process are allowed", s.Plan.Daemons, socketsMost)
 	}
@@ -108,7 +108,7 @@
 	return err
 }
 
-func (w *sockets) play(ctx context.Context) ([]judge.Line, error) {
+func (w *sockets) play(ctx context.Context) ([]checker.Line, error) {
 	p := w.s.Plan
 	chance := rand.New(rand.NewPCG(w.s.Seed, 5))
 	var todo []plan.Event
@@ -167,8 +167,8 @@
 	return nil
 }
 
-func (w *sockets) line(l judge.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), judge.Drill
+func (w *sockets) line(l checker.Line) {
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), checker.Drill
 	w.lines = append(w.lines, l)
 }
 
@@ -196,7 +196,7 @@
 	}
 	w.pids++
 	m.c, m.pid, m.running, m.ended = c, w.pids, true, make(chan struct{})
-	w.line(judge.Line{What: judge.Up, Of: plan.Name(m.n), PID: m.pid, Balancers: 1})
+	w.line(checker.Line{What: checker.Up, Of: plan.Name(m.n), PID: m.pid, Balancers: 1})
 	run, cancel := context.WithCancel(ctx)
 	m.end = cancel
 	go func() {
@@ -211,7 +211,7 @@
 	if !m.running {
 		return
 	}
-	w.line(judge.Line{What: judge.Down, Of: plan.Name(m.n), PID: m.pid, Why: why})
+	w.line(checker.Line{What: checker.Down, Of: plan.Name(m.n), PID: m.pid, Why: why})
 	m.end()
 	<-m.ended
 	d, b := m.c.Sent()
@@ -224,7 +224,7 @@
 func (w *sockets) take(m *hollowMember) {
 	m.said.mu.Lock()
 	defer m.said.mu.Unlock()
-	all, _ := judge.Read(&m.said.buf) // a half line at the end of one that was stopped is not missed
+	all, _ := checker.Read(&m.said.buf) // a half line at the end of one that was stopped is not missed
 	for _, l := range all {
 		l.PID = m.pid
 		w.lines = append(w.lines, l)
@@ -238,7 +238,7 @@
 			d, b := m.c.Sent()
 			now.datagrams, now.bytes = now.datagrams+d, now.bytes+b
 		}
-		l := judge.Line{What: judge.Sent, Of: plan.Name(m.n), PID: m.pid, Datagrams: int(now.datagrams - m.told.datagrams), Bytes: int(now.bytes - m.told.bytes)}
+		l := checker.Line{What: checker.Sent, Of: plan.Name(m.n), PID: m.pid, Datagrams: int(now.datagrams - m.told.datagrams), Bytes: int(now.bytes - m.told.bytes)}
 		if m.n == 0 {
 			l.CPUMS = int(processor().Milliseconds())
 		}
@@ -247,10 +247,10 @@
 	}
 }
 
-func (w *sockets) collect() ([]judge.Line, error) {
+func (w *sockets) collect() ([]checker.Line, error) {
 	w.close()
-	w.line(judge.Line{What: judge.End})
-	slices.SortStableFunc(w.lines, func(a, b judge.Line) int { return cmp.Compare(a.T, b.T) })
+	w.line(checker.Line{What: checker.End})
+	slices.SortStableFunc(w.lines, func(a, b checker.Line) int { return cmp.Compare(a.T, b.T) })
 	return w.lines, nil
 }
 
--- a/internal/drill/plan/plan.go
+++ b/internal/drill/plan/plan.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/judge"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/tomlfile"
@@ -29,7 +29,7 @@
 	Rate     float64 // requests a second for each daemon
 	Spread   time.Duration
 	Peers    Peers
-	Bounds   judge.Bounds
+	Bounds   checker.Bounds
 	Link     Link     // of all links from the start
 	Regions  []string // of daemons by number; nil: there are none
 	Between  Link     // of all links between two regions from the start, in place of Link
@@ -414,7 +414,7 @@
 	p.Peers = Peers{Every: r.span("peers.every", f.Peers.Every, 0), Direct: r.span("peers.direct", f.Peers.Direct, 0),
 		Indirect: r.span("peers.indirect", f.Peers.Indirect, 0), SuspectLeast: r.span("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
 	b := &f.Bounds
-	p.Bounds = judge.Bounds{Crash: r.span("bounds.crash", b.Crash, 8*time.Second), Leave: r.span("bounds.leave", b.Leave, 2*time.Second),
+	p.Bounds = checker.Bounds{Crash: r.span("bounds.crash", b.Crash, 8*time.Second), Leave: r.span("bounds.leave", b.Leave, 2*time.Second),
 		Join: r.span("bounds.join", b.Join, 5*time.Second), Settle: r.span("bounds.settle", b.Settle, 10*time.Second),
 		Pause: r.span("bounds.pause", b.Pause, 1500*time.Millisecond), Served: cmp.Or(b.Served, 0.99),
 		BytesIdle: cmp.Or(b.BytesIdle, 2<<10), BytesMost: cmp.Or(b.BytesMost, 80<<10), BytesFar: cmp.Or(b.BytesFar, 20<<10), Ways: b.Ways, Doubt: r.span("bounds.doubt", b.Doubt, 0), Used: cmp.Or(b.Used, 0.8),
@@ -430,8 +430,8 @@
 	}
 	p.Seeds = r.who("seeds", f.Seeds)
 	for i, c := range f.Tries {
-		if !slices.Contains(judge.Names, c) {
-			r.fail(fmt.Sprintf("tries[%d]", i), "%q is none of %s", c, strings.Join(judge.Names, ", "))
+		if !slices.Contains(checker.Names, c) {
+			r.fail(fmt.Sprintf("tries[%d]", i), "%q is none of %s", c, strings.Join(checker.Names, ", "))
 		}
 	}
 	for name, members := range f.Groups {
--- a/internal/drill/rig/ledger.go
+++ b/internal/drill/rig/ledger.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 )
 
 // late is by how much a request may come to its server later than another that was sent after it, on a busy machine:
@@ -97,7 +97,7 @@
 func (r *rig) limited() {
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
-		r.line(judge.Line{What: judge.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.Rate() && l.Counts != quota.Cold,
+		r.line(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.Rate() && l.Counts != quota.Cold,
 			Bound: s.Bound(s.Limits[i], len(r.daemons)).Most})
 	}
 	r.wanted()
@@ -111,7 +111,7 @@
 			sum += math.Float64frombits(d.clients.rate.Load())
 		}
 	}
-	r.line(judge.Line{What: judge.Wanted, Wanted: int(sum)})
+	r.line(checker.Line{What: checker.Wanted, Wanted: int(sum)})
 }
 
 // eachTenth notes what servers saw in each tenth of a second.
@@ -133,7 +133,7 @@
 			case l.Counts.Rate():
 				used = rate
 			}
-			r.line(judge.Line{What: judge.Used, Limit: l.Name, Used: used, Begun: count})
+			r.line(checker.Line{What: checker.Used, Limit: l.Name, Used: used, Begun: count})
 		}
 	}
 }
--- a/internal/drill/rig/policy.go
+++ b/internal/drill/rig/policy.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
 )
@@ -27,7 +27,7 @@
 	changes int
 	markers map[string][]string          // by part, oldest first; for all from the daemons' own files on
 	numbers map[string]map[string]uint64 // of changes that came into force, by part
-	lines   []judge.Line                 // what was taken; numbers are filled in at the end
+	lines   []checker.Line               // what was taken; numbers are filled in at the end
 }
 
 const (
@@ -93,7 +93,7 @@
 		voters = append(voters, plan.Name(n))
 	}
 	back := policy.Settings{Lease: p.Lease, Drift: policy.Drift}
-	r.line(judge.Line{What: judge.Agreed, Hard: p.Stops, PauseMS: back.Back().Milliseconds() + 1, Why: strings.Join(voters, " ")})
+	r.line(checker.Line{What: checker.Agreed, Hard: p.Stops, PauseMS: back.Back().Milliseconds() + 1, Why: strings.Join(voters, " ")})
 	r.policies = policies{markers: map[string][]string{"": {"p0"}}, numbers: map[string]map[string]uint64{}}
 	for _, d := range slices.Clone(r.daemons) {
 		if r.o.Blind {
@@ -148,12 +148,12 @@
 				at = begun
 			}
 			status, body := c.probe(ctx, fmt.Sprintf("%s/look-%s-%s-%d-%d", markers[k], d.name, part, n, k))
-			l := judge.Line{T: at, By: judge.Drill, What: judge.Took, Of: d.name, PID: pid, Server: markers[k], Part: part}
+			l := checker.Line{T: at, By: checker.Drill, What: checker.Took, Of: d.name, PID: pid, Server: markers[k], Part: part}
 			switch {
 			case status == http.StatusNotFound:
 				continue
 			case status == http.StatusServiceUnavailable && strings.Contains(body, "polic"):
-				l.What, l.Why = judge.Turned, body
+				l.What, l.Why = checker.Turned, body
 			case status == http.StatusOK || status == http.StatusServiceUnavailable || status == http.StatusBadGateway:
 				if now = k; markers[k] == "get" {
 					now = 0
@@ -211,7 +211,7 @@
 	for _, n := range e.To {
 		without = append(without, plan.Name(n))
 	}
-	r.line(judge.Line{What: judge.Proposed, Of: d.name, ID: id, Why: strings.Join(without, " "), Parts: judge.PartsText(parts)})
+	r.line(checker.Line{What: checker.Proposed, Of: d.name, ID: id, Why: strings.Join(without, " "), Parts: checker.PartsText(parts)})
 	if e.Kind != "" {
 		texts = map[string]string{"": e.Kind}
 	}
@@ -222,7 +222,7 @@
 	r.others.Go(func() {
 		err := r.adminWith(ctx, d, http.MethodPost, "/policy/apply", data, nil)
 		if err != nil && strings.Contains(err.Error(), "not asked for") {
-			r.line(judge.Line{What: judge.Told, Of: d.name, ID: id, State: "dropped", Why: err.Error()})
+			r.line(checker.Line{What: checker.Told, Of: d.name, ID: id, State: "dropped", Why: err.Error()})
 			return
 		}
 		r.follow(ctx, d, id, time.Now())
@@ -261,7 +261,7 @@
 				}
 			}
 			r.policies.mu.Unlock()
-			r.line(judge.Line{What: judge.Told, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
+			r.line(checker.Line{What: checker.Told, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
 			return
 		case f.State == "under way":
 			heard = time.Now()
@@ -273,12 +273,12 @@
 }
 
 // taken are the looks, with numbers: by now it is known which change made which policy.
-func (r *rig) taken() []judge.Line {
+func (r *rig) taken() []checker.Line {
 	r.policies.mu.Lock()
 	defer r.policies.mu.Unlock()
-	var all []judge.Line
+	var all []checker.Line
 	for _, l := range r.policies.lines {
-		if l.What == judge.Took {
+		if l.What == checker.Took {
 			id := "c" + strings.TrimPrefix(l.Server, "p")
 			if id == "c0" || l.Server == "get" {
 				id = ""
--- a/internal/drill/rig/rig.go
+++ b/internal/drill/rig/rig.go
@@ -29,8 +29,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/standin"
 )
@@ -75,12 +75,12 @@
 	faults   []*fault // of servers
 	begin    time.Time
 	mu       sync.Mutex
-	lines    []judge.Line
+	lines    []checker.Line
 	others   sync.WaitGroup
 }
 
 // Play plays a plan. The error is of the rig, not of what the daemons did.
-func Play(ctx context.Context, p *plan.Plan, o Options) ([]judge.Line, error) {
+func Play(ctx context.Context, p *plan.Plan, o Options) ([]checker.Line, error) {
 	if p.Modelled {
 		return nil, fmt.Errorf("%s: it has disks that are full or slow, which are there in virtual time only", p.Name)
 	}
@@ -160,12 +160,12 @@
 }
 
 // line notes what the drill does.
-func (r *rig) line(l judge.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), judge.Drill
+func (r *rig) line(l checker.Line) {
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), checker.Drill
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
 	r.mu.Unlock()
-	if r.o.Tell != nil && l.What != judge.Sent && l.What != judge.Service && l.What != judge.Link && l.What != judge.Used && l.What != judge.Got {
+	if r.o.Tell != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.Got {
 		fmt.Fprintf(r.o.Tell, "%7.2f s  %s %s %s\n", time.Since(r.begin).Seconds(), l.What, l.Of, l.Why)
 	}
 }
@@ -308,7 +308,7 @@
 	cancel()
 	r.others.Wait()
 	r.services(first)
-	r.line(judge.Line{What: judge.End})
+	r.line(checker.Line{What: checker.End})
 	return nil
 }
 
@@ -340,11 +340,11 @@
 			total += got[n]
 		}
 		for n := range r.faults {
-			r.line(judge.Line{What: judge.Got, Server: fmt.Sprint("s", n+1), Asked: got[n], Wanted: total, Members: len(r.faults)})
+			r.line(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Asked: got[n], Wanted: total, Members: len(r.faults)})
 		}
 		for n := range r.p.Daemons {
 			s := r.relays.take(n)
-			r.line(judge.Line{What: judge.Sent, Of: r.daemons[n].name, Datagrams: s.datagrams, Bytes: s.bytes, Far: s.far, Streamed: s.streamed, CPUMS: used(r.daemons[n].pidNow())})
+			r.line(checker.Line{What: checker.Sent, Of: r.daemons[n].name, Datagrams: s.datagrams, Bytes: s.bytes, Far: s.far, Streamed: s.streamed, CPUMS: used(r.daemons[n].pidNow())})
 		}
 	}
 }
@@ -376,7 +376,7 @@
 		}
 		for s := range int(r.p.Length / time.Second) {
 			if c := d.clients.of(s); c.asked > 0 {
-				r.line(judge.Line{T: first + int64(time.Duration(s+4)*time.Second), What: judge.Service, Of: d.name,
+				r.line(checker.Line{T: first + int64(time.Duration(s+4)*time.Second), What: checker.Service, Of: d.name,
 					Asked: c.asked, Served: c.served, Refused: c.refused, Failed: c.failed})
 			}
 		}
@@ -400,7 +400,7 @@
 	case "fail":
 		for _, n := range e.Names {
 			r.faults[n].fails.Store(math.Float64bits(e.Fail))
-			r.line(judge.Line{What: judge.Fault, Server: fmt.Sprint("s", n+1), Drop: e.Fail})
+			r.line(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Drop: e.Fail})
 		}
 		return nil
 	case "apply":
@@ -461,7 +461,7 @@
 		case "kill":
 			r.end(d, syscall.SIGKILL)
 		case "term":
-			r.line(judge.Line{What: judge.Ending, Of: d.name, PID: d.pid})
+			r.line(checker.Line{What: checker.Ending, Of: d.name, PID: d.pid})
 			pid, exited := d.pid, d.exited
 			_ = syscall.Kill(pid, syscall.SIGTERM)
 			d.setPID(0)
@@ -469,18 +469,18 @@
 				if !wait(exited, 15*time.Second) {
 					_ = syscall.Kill(pid, syscall.SIGKILL)
 				}
-				r.line(judge.Line{What: judge.Down, Of: d.name, PID: pid, Why: "term"})
+				r.line(checker.Line{What: checker.Down, Of: d.name, PID: pid, Why: "term"})
 			})
 		case "pause", "resume":
 			if d.pid == 0 || d.paused == (e.Do == "pause") {
 				continue
 			}
 			d.paused = e.Do == "pause"
-			sig, what := syscall.SIGSTOP, judge.Pause
+			sig, what := syscall.SIGSTOP, checker.Pause
 			if !d.paused {
-				sig, what = syscall.SIGCONT, judge.Resume
+				sig, what = syscall.SIGCONT, checker.Resume
 			}
-			r.line(judge.Line{What: what, Of: d.name, PID: d.pid})
+			r.line(checker.Line{What: what, Of: d.name, PID: d.pid})
 			_ = syscall.Kill(d.pid, sig)
 		case "rate":
 			d.clients.rate.Store(math.Float64bits(e.Rate))
@@ -501,7 +501,7 @@
 			}
 		case "list":
 			d.site.list.SetDown(e.Link.Drop >= 1)
-			r.line(judge.Line{What: judge.Cut, Of: d.name, Why: "list", Drop: e.Link.Drop})
+			r.line(checker.Line{What: checker.Cut, Of: d.name, Why: "list", Drop: e.Link.Drop})
 		case "servers":
 			for n, g := range d.site.gates {
 				if len(e.Names) > 0 && !slices.Contains(e.Names, n) {
@@ -509,20 +509,20 @@
 				}
 				g.set(e.Link.Drop >= 1)
 				if e.Link.Drop > 0 {
-					r.line(judge.Line{What: judge.Fault, Server: fmt.Sprint("s", n+1), Of: d.name, Drop: e.Link.Drop})
+					r.line(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Of: d.name, Drop: e.Link.Drop})
 				}
 			}
-			r.line(judge.Line{What: judge.Cut, Of: d.name, Why: "servers", Drop: e.Link.Drop})
+			r.line(checker.Line{What: checker.Cut, Of: d.name, Why: "servers", Drop: e.Link.Drop})
 		case "stray":
 			r.relays.stray(n, e.Kind, e.Count)
-			r.line(judge.Line{What: judge.Odd, Of: d.name, Why: e.Kind, Asked: e.Count})
+			r.line(checker.Line{What: checker.Odd, Of: d.name, Why: e.Kind, Asked: e.Count})
 		}
 	}
 	return nil
 }
 
 func (r *rig) tellLink(from, to int, l plan.Link) {
-	r.line(judge.Line{What: judge.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Rough: l.Rough(), WayUS: l.Way()})
+	r.line(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Rough: l.Rough(), WayUS: l.Way()})
 }
 
 // change changes links.
@@ -611,14 +611,14 @@
 	d.setPID(cmd.Process.Pid)
 	exited := d.exited
 	go func() { _ = cmd.Wait(); close(exited) }()
-	what := judge.Up
+	what := checker.Up
 	if d.twin {
-		what = judge.Twin
+		what = checker.Twin
 	}
 	held := r.held(d)
-	r.line(judge.Line{T: at, What: what, Of: d.name, PID: d.pid, Balancers: 1 + len(held), Region: r.p.Region(d.n)})
+	r.line(checker.Line{T: at, What: what, Of: d.name, PID: d.pid, Balancers: 1 + len(held), Region: r.p.Region(d.n)})
 	if len(held) > 0 {
-		r.line(judge.Line{T: at, What: judge.Holds, Of: d.name, PID: d.pid, Parts: judge.PartsText(held)})
+		r.line(checker.Line{T: at, What: checker.Holds, Of: d.name, PID: d.pid, Parts: checker.PartsText(held)})
 	}
 	return nil
 }
@@ -628,7 +628,7 @@
 	if d.pid == 0 {
 		return
 	}
-	r.line(judge.Line{What: judge.Down, Of: d.name, PID: d.pid, Why: "kill"})
+	r.line(checker.Line{What: checker.Down, Of: d.name, PID: d.pid, Why: "kill"})
 	_ = syscall.Kill(d.pid, sig)
 	wait(d.exited, 10*time.Second)
 	d.setPID(0)
@@ -653,7 +653,7 @@
 	}
 	const unit = 100 * time.Millisecond
 	runs := time.Duration(e.Share * float64(unit))
-	r.line(judge.Line{What: judge.Starve, Of: d.name, PID: pid, PauseMS: e.For.Milliseconds()})
+	r.line(checker.Line{What: checker.Starve, Of: d.name, PID: pid, PauseMS: e.For.Milliseconds()})
 	r.others.Go(func() {
 		for end := time.Now().Add(e.For); time.Now().Before(end); {
 			_ = syscall.Kill(pid, syscall.SIGSTOP)
@@ -699,7 +699,7 @@
 	if old == 0 {
 		return errors.New("it does not run")
 	}
-	r.line(judge.Line{What: judge.Handing, Of: d.name, PID: old})
+	r.line(checker.Line{What: checker.Handing, Of: d.name, PID: old})
 	if err := r.admin(ctx, d, http.MethodPost, "/handover", nil); err != nil {
 		return err
 	}
@@ -722,7 +722,7 @@
 		}
 		close(ended)
 	}()
-	r.line(judge.Line{What: judge.Handed, Of: d.name, PID: pid})
+	r.line(checker.Line{What: checker.Handed, Of: d.name, PID: pid})
 	return nil
 }
 
@@ -749,7 +749,7 @@
 }
 
 // collect joins what the daemons wrote to what the drill did, in order of time.
-func (r *rig) collect() ([]judge.Line, error) {
+func (r *rig) collect() ([]checker.Line, error) {
 	all := append(slices.Clone(r.lines), r.taken()...)
 	for _, d := range r.daemons {
 		f, err := os.Open(filepath.Join(d.dir, "events"))
@@ -759,13 +759,13 @@
 		if err != nil {
 			return nil, err
 		}
-		said, err := judge.Read(f)
+		said, err := checker.Read(f)
 		_ = f.Close()
 		if err != nil && len(said) == 0 { // one that was killed may have left half a line
 			return nil, fmt.Errorf("events of %s: %w", d.name, err)
 		}
 		all = append(all, said...)
 	}
-	slices.SortStableFunc(all, func(a, b judge.Line) int { return cmp.Compare(a.T, b.T) })
+	slices.SortStableFunc(all, func(a, b checker.Line) int { return cmp.Compare(a.T, b.T) })
 	return all, nil
 }
--- a/internal/drill/rig/rig_test.go
+++ b/internal/drill/rig/rig_test.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"testing"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 )
 
 // TestRealProcesses plays the short drills with real daemons. Their bounds are wide: what is tight on time is
@@ -36,7 +36,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				report := judge.Judge(p.Bounds, lines)
+				report := checker.Judge(p.Bounds, lines)
 				for _, c := range report.Claims {
 					if c.Broken > 0 {
 						t.Errorf("%s: %d of %d: %v", c.Name, c.Broken, c.Tried, c.Breaks)
--- a/internal/drill/virtual/befall.go
+++ b/internal/drill/virtual/befall.go
@@ -6,17 +6,17 @@
 	"strconv"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/membership"
 )
 
 // line is one by the drill.
-func (w *world) line(l judge.Line) {
+func (w *world) line(l checker.Line) {
 	if w.o.Each != nil {
 		return
 	}
-	l.T, l.By = int64(w.now), cmp.Or(l.By, judge.Drill)
+	l.T, l.By = int64(w.now), cmp.Or(l.By, checker.Drill)
 	w.lines = append(w.lines, l)
 }
 
@@ -34,28 +34,28 @@
 		}
 		a.acts = a.acts[:0]
 	}
-	slices.SortStableFunc(w.lines[first:], func(a, b judge.Line) int { return cmp.Compare(a.T, b.T) })
+	slices.SortStableFunc(w.lines[first:], func(a, b checker.Line) int { return cmp.Compare(a.T, b.T) })
 }
 
 // told is what a daemon writes of an action.
-func told(a membership.Action) (judge.Line, bool) {
+func told(a membership.Action) (checker.Line, bool) {
 	switch a := a.(type) {
 	case membership.Changed:
 		r := &a.Record
-		l := judge.Line{What: judge.Member, Of: r.Name, Addr: r.Addr, Life: life(r.Life), Boot: r.Boot, Inc: r.Inc, State: r.State.String(), Why: a.Why}
+		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, Life: life(r.Life), Boot: r.Boot, Inc: r.Inc, State: r.State.String(), Why: a.Why}
 		if !a.New {
 			l.Was = a.Was.String()
 		}
 		return l, true
 	case membership.Counted:
 		c := a.Count
-		return judge.Line{What: judge.Counted, Most: c.Most, Least: c.Least, Members: c.Members, Live: c.Live, File: c.File}, true
+		return checker.Line{What: checker.Counted, Most: c.Most, Least: c.Least, Members: c.Members, Live: c.Live, File: c.File}, true
 	case membership.Contested:
-		return judge.Line{What: judge.Contested, Addr: a.Other.Addr, Life: life(a.Other.Life), StandBack: a.StandBack, Why: a.Why}, true
+		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, Life: life(a.Other.Life), StandBack: a.StandBack, Why: a.Why}, true
 	case membership.Doubted:
-		return judge.Line{What: judge.Doubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
+		return checker.Line{What: checker.Doubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
-	return judge.Line{}, false
+	return checker.Line{}, false
 }
 
 func life(n uint64) string { return strconv.FormatUint(n, 16) }
@@ -111,18 +111,18 @@
 		case "term":
 			if a.v != nil && !a.leaving {
 				a.leaving = true
-				w.line(judge.Line{By: a.name, PID: a.pid, What: judge.Leaving})
+				w.line(checker.Line{By: a.name, PID: a.pid, What: checker.Leaving})
 				w.deliver(a, membership.Leave{})
 			}
 		case "pause":
 			if a.v != nil && !a.paused {
 				a.paused, a.next = true, never
-				w.line(judge.Line{What: judge.Pause, Of: a.name, PID: a.pid})
+				w.line(checker.Line{What: checker.Pause, Of: a.name, PID: a.pid})
 			}
 		case "resume":
 			if a.v != nil && a.paused {
 				a.paused, a.next = false, w.now
-				w.line(judge.Line{What: judge.Resume, Of: a.name, PID: a.pid})
+				w.line(checker.Line{What: checker.Resume, Of: a.name, PID: a.pid})
 			}
 		case "stop":
 			a.paused, a.next = true, never
@@ -180,16 +180,16 @@
 	}
 	a.v, a.next = v, w.now
 	a.in = a.in[:0]
-	what := judge.Up
+	what := checker.Up
 	if a.twin {
-		what = judge.Twin
+		what = checker.Twin
 	}
-	w.line(judge.Line{What: what, Of: a.name, PID: a.pid, Balancers: w.o.Instances, Region: w.region(a.n)})
-	w.line(judge.Line{By: a.name, PID: a.pid, What: judge.Start, Life: life(a.life), Boot: boot})
+	w.line(checker.Line{What: what, Of: a.name, PID: a.pid, Balancers: w.o.Instances, Region: w.region(a.n)})
+	w.line(checker.Line{By: a.name, PID: a.pid, What: checker.Start, Life: life(a.life), Boot: boot})
 }
 
 func (w *world) down(a *agent, why string) {
-	w.line(judge.Line{What: judge.Down, Of: a.name, PID: a.pid, Why: why})
+	w.line(checker.Line{What: checker.Down, Of: a.name, PID: a.pid, Why: why})
 	a.sent = a.v.Traffic()
 	a.v, a.next, a.paused, a.gone, a.leaving = nil, never, false, false, false
 	a.in = a.in[:0]
@@ -251,7 +251,7 @@
 		if usual {
 			l = w.p.Usual(p[0], p[1])
 		}
-		w.line(judge.Line{What: judge.Link, From: w.agents[p[0]].name, To: w.agents[p[1]].name, Drop: l.Drop, Rough: l.Rough(), WayUS: l.Way()})
+		w.line(checker.Line{What: checker.Link, From: w.agents[p[0]].name, To: w.agents[p[1]].name, Drop: l.Drop, Rough: l.Rough(), WayUS: l.Way()})
 	}
 }
 
@@ -265,7 +265,7 @@
 			continue
 		}
 		t := a.v.Traffic()
-		w.line(judge.Line{What: judge.Sent, Of: a.name, PID: a.pid, Datagrams: int(t.Datagrams - a.sent.Datagrams), Far: a.far,
+		w.line(checker.Line{What: checker.Sent, Of: a.name, PID: a.pid, Datagrams: int(t.Datagrams - a.sent.Datagrams), Far: a.far,
 			Bytes: int(t.Bytes - a.sent.Bytes), Streamed: int(t.ExchangeBytes - a.sent.ExchangeBytes)})
 		a.sent, a.far = t, 0
 	}
--- a/internal/drill/virtual/virtual.go
+++ b/internal/drill/virtual/virtual.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/membership"
 )
 
@@ -52,7 +52,7 @@
 
 // Result is what happened.
 type Result struct {
-	Lines   []judge.Line
+	Lines   []checker.Line
 	Traffic []membership.Traffic // by daemon, of those that ran at the end
 	Events  uint64               // deliveries and timers
 	Views   []*membership.View   // by daemon; nil: it does not run
@@ -160,7 +160,7 @@
 	agents []*agent
 	byAddr map[string]int
 	rules  []rule
-	lines  []judge.Line
+	lines  []checker.Line
 	pids   int
 	chance *rand.Rand
 	clocks map[int]time.Duration
@@ -335,7 +335,7 @@
 			w.tellSent()
 		}
 	}
-	w.line(judge.Line{What: judge.End})
+	w.line(checker.Line{What: checker.End})
 }
 
 // agree reports whether all that run have the same view. It ends at the first that differs.
--- a/internal/drill/virtual/virtual_test.go
+++ b/internal/drill/virtual/virtual_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/membership"
 )
 
@@ -34,7 +34,7 @@
 
 // What drills with real processes try besides: there are no requests here.
 func tries(p *plan.Plan) []string {
-	return slices.DeleteFunc(slices.Clone(p.Tries), func(c string) bool { return c == judge.Serving })
+	return slices.DeleteFunc(slices.Clone(p.Tries), func(c string) bool { return c == checker.Serving })
 }
 
 func TestShippedDrillsKeepEveryClaimTheyTry(t *testing.T) {
@@ -54,7 +54,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				report := judge.Judge(p.Bounds, r.Lines)
+				report := checker.Judge(p.Bounds, r.Lines)
 				for _, c := range report.Claims {
 					if c.Broken > 0 {
 						t.Errorf("seed %d: %s: %d of %d: %v", seed+1, c.Name, c.Broken, c.Tried, c.Breaks)
--- a/internal/drill/judge/judge.go
+++ b/internal/faulttest/checker/checker.go
@@ -1,8 +1,8 @@
-// Package judge holds a fleet of daemons to what is claimed of it. It reads only what happened (Line): what the
+// Package checker holds a fleet of daemons to what is claimed of it. It reads only what happened (Line): what the
 // drill did, which is the truth, and what each process wrote of its own changes. It knows nothing of how the
 // daemons work. For each claim it says how often it was put to the test, the nearest miss and the breaks; one
 // without an occasion was not tried, which is not the same as kept.
-package judge
+package checker
 
 import (
 	"cmp"
--- a/internal/faulttest/policymodel/hard_test.go
+++ b/internal/faulttest/policymodel/hard_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 )
 
 func cut(sec float64, who, to []int, oneWay bool, span float64) []plan.Event {
@@ -89,7 +89,7 @@
 				p.Length, p.Policy.Lease, p.Policy.Within, p.Link.Drop = c.length, 3*time.Second, 5*time.Second, c.drop
 				o := Options{Seed: 3, Witness: true, Take: max(20*time.Millisecond, time.Duration(c.members)*5*time.Millisecond, c.length/3000)}
 				r, rep := play(t, p, o)
-				kept(t, map[bool]string{true: "stops", false: "vetoes"}[stops], rep, judge.PolicyStart, judge.PolicyTold)
+				kept(t, map[bool]string{true: "stops", false: "vetoes"}[stops], rep, checker.PolicyStart, checker.PolicyTold)
 				want := c.least
 				if !stops {
 					want = c.vetoes
@@ -114,10 +114,10 @@
 		}
 		return nil
 	}})
-	kept(t, "one can't", rep, judge.PolicyTold)
-	told := map[string]judge.Line{}
+	kept(t, "one can't", rep, checker.PolicyTold)
+	told := map[string]checker.Line{}
 	for _, l := range r.Lines {
-		if l.What == judge.Told {
+		if l.What == checker.Told {
 			told[l.ID] = l
 		}
 	}
@@ -135,7 +135,7 @@
 		to(at(40, "voters", 4), 3), each(50, 1, 1, "apply", 4), to(at(60, "voters", 4), 4), each(70, 1, 1, "apply", 5), from(at(80, "start", 0), "kept"), each(95, 1, 1, "apply", 5))...)
 	p.Length = 120 * time.Second
 	r, rep := play(t, p, Options{Seed: 2, Witness: true})
-	kept(t, "rescue", rep, judge.PolicyTold)
+	kept(t, "rescue", rep, checker.PolicyTold)
 	s := r.Shown[5]
 	if len(s.Voters) != 3 || s.Epoch != 1 || s.Force.Number < 5 || r.Shown[0].Votes != "" || r.Shown[0].Force.Number != s.Force.Number {
 		t.Errorf("%v vote, policy %d after %d rescues; the one that came back: %q, policy %d", s.Voters, s.Force.Number, s.Epoch, r.Shown[0].Votes, r.Shown[0].Force.Number)
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -53,16 +53,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range judge.Policy(p.Bounds, r.Lines).Of(judge.PolicyAll).Breaks {
+			for _, b := range checker.Policy(p.Bounds, r.Lines).Of(checker.PolicyAll).Breaks {
 				t.Error(b)
 			}
 			// What the case is made of: the member took to the end of its lease, and the change came into force without it.
 			var last, first time.Duration
 			for _, l := range r.Lines {
 				switch at := time.Duration(l.T); {
-				case l.What == judge.Took && l.Of == plan.Name(4) && l.Number == 0:
+				case l.What == checker.Took && l.Of == plan.Name(4) && l.Number == 0:
 					last = at
-				case l.What == judge.Took && l.Number == 1 && first == 0:
+				case l.What == checker.Took && l.Number == 1 && first == 0:
 					first = at
 				}
 			}
@@ -80,9 +80,9 @@
 		p := fleet(5, 3, true, join(cut(6, []int{4}, []int{0, 1, 2, 3}, false, 40), each(7, 1, 1, "apply", 0))...)
 		p.Policy.Lease, p.Policy.Within = lease, 3*time.Second
 		r, rep := play(t, p, Options{Seed: 1, Witness: true})
-		kept(t, lease.String(), rep, judge.PolicyTold)
+		kept(t, lease.String(), rep, checker.PolicyTold)
 		for _, l := range r.Lines {
-			if l.What == judge.Told && l.State != "in force" {
+			if l.What == checker.Told && l.State != "in force" {
 				t.Errorf("lease %v: the change is %s: %s", lease, l.State, l.Why)
 			}
 		}
--- a/internal/faulttest/policymodel/measure_test.go
+++ b/internal/faulttest/policymodel/measure_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -22,7 +22,7 @@
 		}
 	}
 	r, rep := play(t, p, o)
-	kept(t, "forty members", rep, judge.PolicyTold)
+	kept(t, "forty members", rep, checker.PolicyTold)
 	if served != p.Daemons {
 		t.Errorf("%d serve by the change", served)
 	}
--- a/internal/faulttest/policymodel/parts_test.go
+++ b/internal/faulttest/policymodel/parts_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 )
 
 // Schedules by chance of a policy in parts: regions cut, members killed, disks lost, voters moved.
@@ -21,7 +21,7 @@
 			tried[c.Name] += c.Tried
 		}
 	}
-	for name, least := range map[string]int{judge.PolicyOne: 2000, judge.PolicyAll: 150, judge.PolicyStart: 200, judge.PolicyServes: 1000, judge.PolicyKept: 2000, judge.PolicyTold: 1000, judge.PolicyWhole: 300, judge.PolicyApart: 10} {
+	for name, least := range map[string]int{checker.PolicyOne: 2000, checker.PolicyAll: 150, checker.PolicyStart: 200, checker.PolicyServes: 1000, checker.PolicyKept: 2000, checker.PolicyTold: 1000, checker.PolicyWhole: 300, checker.PolicyApart: 10} {
 		if tried[name] < least {
 			t.Errorf("%s was tried %d times", name, tried[name])
 		}
@@ -44,10 +44,10 @@
 	return e
 }
 
-func told(r *Result) map[string]judge.Line {
-	all := map[string]judge.Line{}
+func told(r *Result) map[string]checker.Line {
+	all := map[string]checker.Line{}
 	for _, l := range r.Lines {
-		if l.What == judge.Told {
+		if l.What == checker.Told {
 			all[l.ID] = l
 		}
 	}
@@ -64,7 +64,7 @@
 		p.Length = 70 * time.Second
 		r, rep := play(t, p, Options{Seed: 1, Witness: true})
 		what := map[bool]string{true: "stops", false: "vetoes"}[stops]
-		kept(t, what, rep, judge.PolicyTold, judge.PolicyApart, judge.PolicyWhole)
+		kept(t, what, rep, checker.PolicyTold, checker.PolicyApart, checker.PolicyWhole)
 		all := told(r)
 		for id, want := range map[string]string{"c1": "in force", "c2": "in force", "c3": "in force", "c4": "in force", "c5": "in force", "c7": "in force", "c8": "in force", "c9": "in force"} {
 			if l := all[id]; l.State != want {
@@ -87,7 +87,7 @@
 		[]plan.Event{parts(at(5, "apply", 4), "both"), parts(at(5, "apply", 3), "near"), parts(at(5, "apply", 6), "far"), parts(at(5.05, "apply", 5), "near")},
 		kind(at(20, "disk", 4), "well"), []plan.Event{parts(at(30, "apply", 4), "near", "both", ""), parts(at(30, "apply", 6), "far"), parts(at(30.001, "apply", 5), "both")})...)
 	r, rep := play(t, p, Options{Seed: 1, Witness: true})
-	kept(t, "at once", rep, judge.PolicyTold, judge.PolicyWhole)
+	kept(t, "at once", rep, checker.PolicyTold, checker.PolicyWhole)
 	all := told(r)
 	for id, want := range map[string]string{"c2": "in force", "c3": "in force", "c4": "in force", "c5": "dropped", "c6": "in force", "c7": "in force", "c8": "dropped"} {
 		if l := all[id]; l.State != want {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/eventqueue"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -59,7 +59,7 @@
 
 // Result is what happened.
 type Result struct {
-	Lines    []judge.Line
+	Lines    []checker.Line
 	Points   int // at which somebody wrote to a disk or sent or took a message
 	Messages int
 	Bytes    int
@@ -194,7 +194,7 @@
 	all     []*member
 	byName  map[string]*member
 	links   map[[2]int]plan.Link
-	lines   []judge.Line
+	lines   []checker.Line
 	r       Result
 	pids    int
 	changes int
@@ -244,7 +244,7 @@
 	w.r.Traffic = make([]Traffic, p.Daemons)
 	set := p.Policy
 	back := policy.Settings{Lease: set.Lease, Drift: policy.Drift}
-	w.line(judge.Line{What: judge.Agreed, Hard: set.Stops, PauseMS: back.Back().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.later()})
+	w.line(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.Back().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.later()})
 	for n := range p.Daemons {
 		m := &member{n: n, name: plan.Name(n), disk: &disk{entries: map[uint64][]byte{}}, wake: -1}
 		w.all = append(w.all, m)
@@ -269,7 +269,7 @@
 		}
 	}
 	w.now = p.Length
-	w.line(judge.Line{What: judge.End})
+	w.line(checker.Line{What: checker.End})
 	w.r.Lines = w.lines
 	for _, m := range w.all {
 		w.r.Disks = append(w.r.Disks, m.disk.size())
@@ -313,8 +313,8 @@
 
 func (w *world) at(t time.Duration, do func()) { w.agenda.At(max(t, w.now), do) }
 
-func (w *world) line(l judge.Line) {
-	l.T, l.By = int64(w.now), judge.Drill
+func (w *world) line(l checker.Line) {
+	l.T, l.By = int64(w.now), checker.Drill
 	w.lines = append(w.lines, l)
 }
 
@@ -370,14 +370,14 @@
 	}
 	m.life, m.queue, m.streams, m.serving, m.told = w.rng.Uint64()|1, 0, 0, policy.Serving{Why: "just started"}, m.told+1
 	delete(w.gone, m.name)
-	w.line(judge.Line{What: judge.Up, Of: m.name, PID: m.pid})
+	w.line(checker.Line{What: checker.Up, Of: m.name, PID: m.pid})
 	if w.o.Way != Agreed {
 		w.simpleStart(m)
 		return
 	}
 	set := w.p.Policy
 	if m.parts = set.Of(m.n); len(m.parts) > 0 {
-		w.line(judge.Line{What: judge.Holds, Of: m.name, PID: m.pid, Parts: strings.Join(m.parts, " ")})
+		w.line(checker.Line{What: checker.Holds, Of: m.name, PID: m.pid, Parts: strings.Join(m.parts, " ")})
 	}
 	d := m.disk.load()
 	d.Proved = proved
@@ -430,7 +430,7 @@
 	if m.node == nil && w.o.Way == Agreed || m.pid == 0 {
 		return
 	}
-	w.line(judge.Line{What: judge.Down, Of: m.name, PID: m.pid, Why: why})
+	w.line(checker.Line{What: checker.Down, Of: m.name, PID: m.pid, Why: why})
 	m.node, m.paused, m.held, m.wake = nil, false, nil, -1
 	m.serving = policy.Serving{Why: "down"}
 	m.told++
@@ -507,7 +507,7 @@
 		if f.By != "" {
 			why = f.By + ": " + why
 		}
-		w.line(judge.Line{What: judge.Told, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
+		w.line(checker.Line{What: checker.Told, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
 		return true
 	})
 }
@@ -564,11 +564,11 @@
 		d, held := s.In(part)
 		if s.Why != "" || d == nil || !held || m.own(w.now) >= s.Until {
 			w.r.Refused++
-			w.line(judge.Line{What: judge.Turned, Of: m.name, PID: m.pid, Why: s.Why, Part: part})
+			w.line(checker.Line{What: checker.Turned, Of: m.name, PID: m.pid, Why: s.Why, Part: part})
 			return
 		}
 		w.r.Taken++
-		l := judge.Line{What: judge.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Alone: s.Alone, Part: part}
+		l := checker.Line{What: checker.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Alone: s.Alone, Part: part}
 		if b := s.Doubt(part); b != nil {
 			l.Both = b.ID
 		}
@@ -719,7 +719,7 @@
 
 func (w *world) onDisk(m *member, b *policy.Batch) {
 	for _, id := range policy.OnDisk(b.Member) {
-		w.line(judge.Line{What: judge.OnDisk, Of: m.name, ID: id})
+		w.line(checker.Line{What: checker.OnDisk, Of: m.name, ID: id})
 	}
 }
 
@@ -779,7 +779,7 @@
 		case "term":
 			if m.node != nil {
 				m.left = true
-				w.line(judge.Line{What: judge.Ending, Of: m.name, PID: m.pid})
+				w.line(checker.Line{What: checker.Ending, Of: m.name, PID: m.pid})
 				w.at(w.now+again, func() {
 					w.gone[m.name] = m.life
 					w.down(m, "term")
@@ -790,11 +790,11 @@
 				continue
 			}
 			m.paused = e.Do == "pause"
-			what := judge.Pause
+			what := checker.Pause
 			if !m.paused {
-				what = judge.Resume
+				what = checker.Resume
 			}
-			w.line(judge.Line{What: what, Of: m.name, PID: m.pid})
+			w.line(checker.Line{What: what, Of: m.name, PID: m.pid})
 			if !m.paused {
 				held := m.held
 				m.held = nil
@@ -806,7 +806,7 @@
 		case "keep":
 			m.old = m.disk.clone()
 		case "disk":
-			w.line(judge.Line{What: judge.Disk, Of: m.name, State: e.Kind})
+			w.line(checker.Line{What: checker.Disk, Of: m.name, State: e.Kind})
 			m.full, m.slow = e.Kind == "full", 0
 			if e.Kind == "slow" {
 				m.slow = 500 * time.Millisecond
@@ -840,9 +840,9 @@
 	if len(parts) == 0 {
 		parts = []string{""}
 	}
-	l := judge.Line{What: judge.Proposed, Of: m.name, ID: id, Why: strings.Join(without, " ")}
+	l := checker.Line{What: checker.Proposed, Of: m.name, ID: id, Why: strings.Join(without, " ")}
 	if len(e.Parts) > 0 {
-		l.Parts = judge.PartsText(e.Parts)
+		l.Parts = checker.PartsText(e.Parts)
 	}
 	w.line(l)
 	if w.o.Way != Agreed {
@@ -867,10 +867,10 @@
 				continue
 			}
 			w.links[[2]int{a, b}] = e.Link
-			w.line(judge.Line{What: judge.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Rough: e.Link.Rough()})
+			w.line(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Rough: e.Link.Rough()})
 			if e.Both {
 				w.links[[2]int{b, a}] = e.Link
-				w.line(judge.Line{What: judge.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Rough: e.Link.Rough()})
+				w.line(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Rough: e.Link.Rough()})
 			}
 		}
 	}
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/checker"
 )
 
-var bounds = judge.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 10 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}
+var bounds = checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 10 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}
 
 func fleet(n, voters int, stops bool, events ...plan.Event) *plan.Plan {
 	p := &plan.Plan{Name: "test", Daemons: n, Zones: 1, Length: 60 * time.Second, Bounds: bounds, Events: events,
@@ -24,7 +24,7 @@
 	return plan.Event{At: time.Duration(sec * float64(time.Second)), Do: do, Who: who, State: "kept"}
 }
 
-func play(t *testing.T, p *plan.Plan, o Options) (*Result, *judge.Report) {
+func play(t *testing.T, p *plan.Plan, o Options) (*Result, *checker.Report) {
 	t.Helper()
 	if os.Getenv("SAY") != "" {
 		o.Say = func(at time.Duration, who, text string) { fmt.Printf("%8.3f %s: %s\n", at.Seconds(), who, text) }
@@ -33,11 +33,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, judge.Policy(p.Bounds, r.Lines)
+	return r, checker.Policy(p.Bounds, r.Lines)
 }
 
 // kept fails the test for each claim that was broken, and for those that were to be tried and were not.
-func kept(t *testing.T, what string, rep *judge.Report, tries ...string) {
+func kept(t *testing.T, what string, rep *checker.Report, tries ...string) {
 	t.Helper()
 	for _, c := range rep.Claims {
 		if c.Broken > 0 {
@@ -62,7 +62,7 @@
 			tried[c.Name] += c.Tried
 		}
 	}
-	for name, least := range map[string]int{judge.PolicyOne: 1000, judge.PolicyAll: 60, judge.PolicyStart: 100, judge.PolicyServes: 1000, judge.PolicyKept: 1000, judge.PolicyTold: 250} {
+	for name, least := range map[string]int{checker.PolicyOne: 1000, checker.PolicyAll: 60, checker.PolicyStart: 100, checker.PolicyServes: 1000, checker.PolicyKept: 1000, checker.PolicyTold: 250} {
 		if tried[name] < least {
 			t.Errorf("%s was tried %d times", name, tried[name])
 		}
@@ -99,7 +99,7 @@
 		for k := 1; k <= points; k += 4 {
 			o.Kill = []int{k}
 			_, rep := play(t, p, o)
-			kept(t, fmt.Sprintf("stops %v, point %d", stops, k), rep, judge.PolicyKept)
+			kept(t, fmt.Sprintf("stops %v, point %d", stops, k), rep, checker.PolicyKept)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		for seed := range uint64(6) {
 			p, o := Draw(seed, 8)
 			o.Way = w
-			if _, rep := play(t, p, o); rep.Of(judge.PolicyOne).Broken > 0 {
+			if _, rep := play(t, p, o); rep.Of(checker.PolicyOne).Broken > 0 {
 				broken++
 			}
 		}
--- a/internal/faulttest/policymodel/ways.go
+++ b/internal/faulttest/policymodel/ways.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"vetchhaven/internal/drill/judge"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -48,7 +48,7 @@
 			})
 		}
 	}
-	w.line(judge.Line{What: judge.Told, Of: m.name, ID: id, State: "in force", Number: d.Number})
+	w.line(checker.Line{What: checker.Told, Of: m.name, ID: id, State: "in force", Number: d.Number})
 }
 
 func (w *world) simpleTake(m *member, d *policy.Doc) {
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -21,9 +21,9 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/lease/play"
 	"vetchhaven/tools/internal/bench"
@@ -206,7 +206,7 @@
 		return fmt.Errorf("build: %w\n%s", err, out)
 	}
 	var mu sync.Mutex
-	sums := map[string]*judge.Claim{}
+	sums := map[string]*checker.Claim{}
 	kept, events := 0, 0
 	err := bench.Each(n, at, func(i int) error {
 		p := random(uint64(i))
@@ -214,18 +214,18 @@
 		if err != nil {
 			return err
 		}
-		report := judge.Judge(p.Bounds, lines)
+		report := checker.Judge(p.Bounds, lines)
 		mu.Lock()
 		defer mu.Unlock()
 		events += len(p.Events)
 		whole := true
 		for _, c := range report.Claims {
-			if c.Name != judge.LimitHard && c.Name != judge.LimitSoft && c.Name != judge.LimitUsed {
+			if c.Name != checker.LimitHard && c.Name != checker.LimitSoft && c.Name != checker.LimitUsed {
 				continue
 			}
 			s := sums[c.Name]
 			if s == nil {
-				s = &judge.Claim{Name: c.Name}
+				s = &checker.Claim{Name: c.Name}
 				sums[c.Name] = s
 			}
 			s.Tried += c.Tried
@@ -246,7 +246,7 @@
 	}
 	fmt.Printf("%d drills of 8 processes, %d things that befell them; nothing broken in %d\n\n", n, events, kept)
 	bench.Head("claim", "tried", "broken")
-	for _, name := range []string{judge.LimitHard, judge.LimitSoft, judge.LimitUsed} {
+	for _, name := range []string{checker.LimitHard, checker.LimitSoft, checker.LimitUsed} {
 		if s := sums[name]; s != nil {
 			bench.Row(name, s.Tried, s.Broken)
 		}
@@ -260,7 +260,7 @@
 	p := &plan.Plan{Name: fmt.Sprint("random-", seed), Daemons: 8, Servers: 3, Rate: 20, Zones: 1, Seeds: []int{0, 1}, Length: 40 * time.Second, Takes: 60 * time.Millisecond,
 		Keepers: []int{0, 1, 2}[:1+2*rng.IntN(2)], Term: 2 * time.Second, Real: true,
 		Limits: []plan.Limit{{Name: "at-once", Counts: quota.InFlight, Figure: 6 + rng.IntN(6), Hard: true}, {Name: "all", Counts: quota.PerSecond, Figure: 60 + rng.IntN(60), Hard: rng.IntN(2) == 0}},
-		Bounds: judge.Bounds{Crash: 20 * time.Second, Leave: 20 * time.Second, Join: 20 * time.Second, Settle: 15 * time.Second, Pause: 3 * time.Second, BytesIdle: 1 << 20, BytesMost: 1 << 20, Used: 0.01}}
+		Bounds: checker.Bounds{Crash: 20 * time.Second, Leave: 20 * time.Second, Join: 20 * time.Second, Settle: 15 * time.Second, Pause: 3 * time.Second, BytesIdle: 1 << 20, BytesMost: 1 << 20, Used: 0.01}}
 	at := 8 * time.Second
 	for at < 34*time.Second {
 		who := rng.IntN(8)
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -12,9 +12,9 @@
 	"time"
 	"vetchhaven/tools/internal/bench"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
+	"vetchhaven/internal/faulttest/checker"
 )
 
 // When things befall real daemons. Between two of them all settles.
@@ -102,17 +102,17 @@
 		return nil, err
 	}
 	first := lines[0].T
-	all := judge.Follow(lines, first+int64(realStart), first+int64(cut))
+	all := checker.Follow(lines, first+int64(realStart), first+int64(cut))
 	heal := first + int64(cut+realCut)
 	settled := time.Duration(0)
 	datagrams, bytes, most, seconds := 0, 0, 0, 0
 	for _, l := range lines {
 		switch l.What {
-		case judge.Member:
+		case checker.Member:
 			if l.T > heal && l.State != "suspect" && l.Was != "suspect" {
 				settled = time.Duration(l.T - heal)
 			}
-		case judge.Sent:
+		case checker.Sent:
 			most = max(most, l.Bytes)
 			if t := time.Duration(l.T - first); t > realRest && t < realStart {
 				datagrams, bytes, seconds = datagrams+l.Datagrams, bytes+l.Bytes, seconds+1
@@ -129,12 +129,12 @@
 }
 
 // cpu is what a daemon uses at rest, in % of a core: the mean over all of them.
-func cpu(lines []judge.Line) float64 {
-	type span struct{ from, to judge.Line }
+func cpu(lines []checker.Line) float64 {
+	type span struct{ from, to checker.Line }
 	by := map[string]*span{}
 	first := lines[0].T
 	for _, l := range lines {
-		if t := time.Duration(l.T - first); l.What == judge.Sent && l.CPUMS > 0 && t > realRest && t < realStart {
+		if t := time.Duration(l.T - first); l.What == checker.Sent && l.CPUMS > 0 && t > realRest && t < realStart {
 			s := by[l.Of]
 			if s == nil {
 				s = &span{from: l}
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -8,9 +8,9 @@
 	"time"
 	"vetchhaven/tools/internal/bench"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/peer/membership"
 )
 
@@ -52,7 +52,7 @@
 // timeline is a plan made of things that befall one daemon after another.
 func timeline(n, times int, gap time.Duration, seed uint64) (*plan.Plan, []*befallen) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
-	p := &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Bounds: judge.Bounds{}}
+	p := &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Bounds: checker.Bounds{}}
 	var all []*befallen
 	at := 20 * time.Second
 	for i := range times {
@@ -301,7 +301,7 @@
 			who = append(who, i+2)
 		}
 		dieAt, backAt := 10*time.Second, 60*time.Second
-		p := &plan.Plan{Name: "storm", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Length: 150 * time.Second, Bounds: judge.Bounds{},
+		p := &plan.Plan{Name: "storm", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Length: 150 * time.Second, Bounds: checker.Bounds{},
 			Events: []plan.Event{{At: dieAt, Do: "kill", Who: who}, {At: backAt, Do: "start", Who: who, State: "kept"}}}
 		r, err := virtual.Play(p, virtual.Options{Seed: seed, Warm: true})
 		if err != nil {
@@ -312,11 +312,11 @@
 		for _, l := range r.Lines {
 			t := time.Duration(l.T)
 			switch {
-			case l.What == judge.Sent:
+			case l.What == checker.Sent:
 				bytes, streamed = max(bytes, l.Bytes), max(streamed, l.Streamed)
-			case l.What == judge.Member && l.State == "dead" && t < backAt:
+			case l.What == checker.Member && l.State == "dead" && t < backAt:
 				dead = t - dieAt
-			case l.What == judge.Member && l.State == "alive" && l.Was != "suspect" && t > backAt:
+			case l.What == checker.Member && l.State == "alive" && l.Was != "suspect" && t > backAt:
 				back = t - backAt
 			}
 		}
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -21,9 +21,9 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/judge"
 	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
+	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/tools/internal/bench"
 )
@@ -64,7 +64,7 @@
 
 func newSums() *sums { return &sums{map[string]int{}, map[string]int{}, nil} }
 
-func (s *sums) add(what string, r *judge.Report) {
+func (s *sums) add(what string, r *checker.Report) {
 	for _, c := range r.Claims {
 		s.tried[c.Name] += c.Tried
 		if c.Broken > 0 {
@@ -76,7 +76,7 @@
 
 func (s *sums) show() {
 	bench.Head("claim", "tried", "runs in which it broke")
-	for _, name := range judge.Names {
+	for _, name := range checker.Names {
 		if strings.HasPrefix(name, "policy-") {
 			bench.Row(name, s.tried[name], s.broken[name])
 		}
@@ -98,13 +98,13 @@
 		if err != nil {
 			return played{}, err
 		}
-		c := judge.Policy(p.Bounds, r.Lines)
+		c := checker.Policy(p.Bounds, r.Lines)
 		x := played{r: c, taken: r.Taken, told: map[string]int{}, befell: map[string]int{}}
 		for _, l := range r.Lines {
 			switch l.What {
-			case judge.Proposed:
+			case checker.Proposed:
 				x.changes++
-			case judge.Told:
+			case checker.Told:
 				x.told[kindOf(l)]++
 			}
 		}
@@ -136,13 +136,13 @@
 
 // played is what came of a schedule.
 type played struct {
-	r              *judge.Report
+	r              *checker.Report
 	taken, changes int
 	told, befell   map[string]int
 }
 
 // kindOf is what a change came to, and for what kind of reason.
-func kindOf(l judge.Line) string {
+func kindOf(l checker.Line) string {
 	if l.State != "dropped" {
 		return l.State
 	}
@@ -163,7 +163,7 @@
 
 func fleet(n, voters int, stops bool, length time.Duration, events ...plan.Event) *plan.Plan {
 	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: everyone(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
-		Bounds: judge.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}}
+		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}}
 }
 
 func apply(at time.Duration, who int) plan.Event {
@@ -191,7 +191,7 @@
 			return err
 		}
 		o.Point = nil
-		play := func(kill, lose []int) (*judge.Report, string, error) {
+		play := func(kill, lose []int) (*checker.Report, string, error) {
 			o := o
 			o.Kill, o.Lose = kill, lose
 			r, err := policymodel.Play(p, o)
@@ -200,14 +200,14 @@
 			}
 			told := ""
 			for _, l := range r.Lines {
-				if l.What == judge.Told {
+				if l.What == checker.Told {
 					told = l.State
 				}
 			}
-			return judge.Policy(p.Bounds, r.Lines), told, nil
+			return checker.Policy(p.Bounds, r.Lines), told, nil
 		}
 		type got struct {
-			r    *judge.Report
+			r    *checker.Report
 			told string
 			kill []int
 		}
@@ -269,21 +269,21 @@
 }
 
 // took are how long changes took from the question to the last member that serves by them, and what was turned away.
-func took(p *plan.Plan, lines []judge.Line) (all []time.Duration, dropped int) {
+func took(p *plan.Plan, lines []checker.Line) (all []time.Duration, dropped int) {
 	asked, number := map[string]int64{}, map[string]uint64{}
 	last := map[uint64]int64{}
 	at := map[string]uint64{}
 	for _, l := range lines {
 		switch l.What {
-		case judge.Proposed:
+		case checker.Proposed:
 			asked[l.ID] = l.T
-		case judge.Told:
+		case checker.Told:
 			if l.State == "in force" {
 				number[l.ID] = l.Number
 			} else {
 				dropped++
 			}
-		case judge.Took:
+		case checker.Took:
 			if at[l.Of] != l.Number && !l.Alone {
 				at[l.Of] = l.Number
 				last[l.Number] = l.T
@@ -357,7 +357,7 @@
 		g := results[i]
 		all, dropped := took(g.p, g.r.Lines)
 		var spread []time.Duration
-		for _, d := range judge.Switches(g.r.Lines) {
+		for _, d := range checker.Switches(g.r.Lines) {
 			spread = append(spread, d)
 		}
 		slices.Sort(spread)
@@ -365,9 +365,9 @@
 		began := map[string]bool{}
 		for _, l := range g.r.Lines { // not those of a start
 			switch key := fmt.Sprint(l.Of, l.PID); l.What {
-			case judge.Took:
+			case checker.Took:
 				began[key] = true
-			case judge.Turned:
+			case checker.Turned:
 				if began[key] {
 					turned++
 				} else {
@@ -415,7 +415,7 @@
 			}
 			all, dropped := took(p, lines)
 			var spread []time.Duration
-			for _, d := range judge.Switches(lines) {
+			for _, d := range checker.Switches(lines) {
 				spread = append(spread, d)
 			}
 			slices.Sort(spread)
@@ -423,14 +423,14 @@
 			bytes, seconds, cpu := 0, 0, map[string][2]int{}
 			for _, l := range lines {
 				switch key := fmt.Sprint(l.Of, l.PID); l.What {
-				case judge.Took:
+				case checker.Took:
 					began[key] = true
 					looks++
-				case judge.Turned:
+				case checker.Turned:
 					if began[key] {
 						turned++
 					}
-				case judge.Sent:
+				case checker.Sent:
 					if l.T-lines[0].T > int64(20*time.Second) {
 						bytes += l.Bytes
 						seconds++
@@ -482,15 +482,15 @@
 }
 
 // atOnce says how often, and for how long, requests were taken by an earlier policy after a later one was first used.
-func atOnce(lines []judge.Line) (changes, many int, span time.Duration, end bool) {
+func atOnce(lines []checker.Line) (changes, many int, span time.Duration, end bool) {
 	first, late := map[uint64]int64{}, map[uint64]int64{}
 	var most uint64
 	now := map[string]uint64{}
 	for _, l := range lines {
 		switch l.What {
-		case judge.Proposed:
+		case checker.Proposed:
 			changes++
-		case judge.Took:
+		case checker.Took:
 			if l.Alone {
 				continue
 			}
