--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
 )
 
--- a/internal/drill/hollow/held.go
+++ b/internal/drill/hollow/held.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/transport"
 )
 
--- a/internal/drill/hollow/held_test.go
+++ b/internal/drill/hollow/held_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // Probes wait for ten times as long here as they do by default: on a busy machine processes wait for a core, and what real
--- a/internal/drill/hollow/sockets.go
+++ b/internal/drill/hollow/sockets.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
--- a/internal/drill/hollow/view.go
+++ b/internal/drill/hollow/view.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
 )
--- a/internal/drill/hollow/view_test.go
+++ b/internal/drill/hollow/view_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 func rest(t *testing.T, members int, rtt time.Duration, seed uint64, workers int) []Phase {
--- a/internal/drill/rig/ledger.go
+++ b/internal/drill/rig/ledger.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // late is by how much a request may come to its server later than another that was sent after it, on a busy machine:
--- a/internal/drill/rig/policy.go
+++ b/internal/drill/rig/policy.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
 )
--- a/internal/drill/rig/relay.go
+++ b/internal/drill/rig/relay.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // relays stand between all daemons. A daemon advertises its relay's address, so that all that is sent to it comes
--- a/internal/drill/rig/rig.go
+++ b/internal/drill/rig/rig.go
@@ -29,8 +29,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/standin"
 )
--- a/internal/drill/rig/rig_test.go
+++ b/internal/drill/rig/rig_test.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"testing"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // TestRealProcesses plays the short drills with real daemons. Their bounds are wide: what is tight on time is
--- a/internal/drill/virtual/befall.go
+++ b/internal/drill/virtual/befall.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/membership"
 )
 
--- a/internal/drill/virtual/regions_test.go
+++ b/internal/drill/virtual/regions_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // drawRegions draws a fleet in regions, and what befalls the links between them and some of its daemons.
--- a/internal/faulttest/policymodel/draw.go
+++ b/internal/faulttest/policymodel/draw.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // Draw makes a plan by chance: a fleet, its settings, a change every few seconds, and faults that overlap: links that
--- a/internal/faulttest/policymodel/drawparts.go
+++ b/internal/faulttest/policymodel/drawparts.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // DrawParts makes a plan by chance as Draw does, of a policy in parts: members stand in two or three regions, services are
--- a/internal/faulttest/policymodel/hard_test.go
+++ b/internal/faulttest/policymodel/hard_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 func cut(sec float64, who, to []int, oneWay bool, span float64) []plan.Event {
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/policy"
 )
 
--- a/internal/faulttest/policymodel/parts_test.go
+++ b/internal/faulttest/policymodel/parts_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // Schedules by chance of a policy in parts: regions cut, members killed, disks lost, voters moved.
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/policy"
 )
 
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 var bounds = checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 10 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 
 	"vetchhaven/internal/drill/hollow"
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
--- a/tools/capacity/held.go
+++ b/tools/capacity/held.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/drill/hollow"
-	"vetchhaven/internal/drill/plan"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
 )
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -10,9 +10,9 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/drill/hollow"
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -21,9 +21,9 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/lease/play"
 	"vetchhaven/tools/internal/bench"
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -12,9 +12,9 @@
 	"time"
 	"vetchhaven/tools/internal/bench"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 )
 
 // When things befall real daemons. Between two of them all settles.
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -8,8 +8,8 @@
 	"vetchhaven/tools/internal/bench"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/drill/plan"
 	drill "vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/emulate/virtual"
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -21,9 +21,9 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/plan"
 	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/tools/internal/bench"
 )
