--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
 )
@@ -82,7 +82,7 @@
 		if err != nil {
 			return exit{2, err}
 		}
-		o := rig.Options{Program: self, Seed: f.seed, Tell: errs, Bare: f.alone}
+		o := harness.Options{Program: self, Seed: f.seed, Tell: errs, Bare: f.alone}
 		if f.quiet {
 			o.Tell = nil
 		}
@@ -91,7 +91,7 @@
 				return exit{2, err}
 			}
 		}
-		if lines, err = rig.Play(ctx, p, o); err != nil {
+		if lines, err = harness.Play(ctx, p, o); err != nil {
 			return exit{2, err}
 		}
 	}
--- a/internal/drill/hollow/held.go
+++ b/internal/drill/hollow/held.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/transport"
 )
@@ -69,7 +69,7 @@
 	var wg sync.WaitGroup
 	var errs [2]error
 	wg.Go(func() {
-		lines, err := rig.Play(ctx, p, rig.Options{Program: h.Program, Seed: h.Seed})
+		lines, err := harness.Play(ctx, p, harness.Options{Program: h.Program, Seed: h.Seed})
 		if errs[0] = err; err == nil {
 			sides[0] = h.side("real daemons", lines)
 		}
--- a/internal/drill/rig/rig.go
+++ b/internal/faulttest/harness/harness.go
@@ -1,7 +1,7 @@
-// Package rig plays a drill with real processes: daemons started by exec on loopback addresses of their own, relays
+// Package harness plays a drill with real processes: daemons started by exec on loopback addresses of their own, relays
 // on every link between them, stand-in servers and lists, clients. What the drill does itself is the truth; what
 // the daemons write of their own changes is what they believe. Both come back as lines for the judge.
-package rig
+package harness
 
 import (
 	"bytes"
--- a/internal/drill/rig/service.go
+++ b/internal/faulttest/harness/service.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -21,8 +21,8 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/lease/play"
@@ -210,7 +210,7 @@
 	kept, events := 0, 0
 	err := bench.Each(n, at, func(i int) error {
 		p := random(uint64(i))
-		lines, err := rig.Play(context.Background(), p, rig.Options{Program: bin, Seed: uint64(i)})
+		lines, err := harness.Play(context.Background(), p, harness.Options{Program: bin, Seed: uint64(i)})
 		if err != nil {
 			return err
 		}
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -12,8 +12,8 @@
 	"time"
 	"vetchhaven/tools/internal/bench"
 
-	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 )
 
@@ -97,7 +97,7 @@
 
 func realOne(ctx context.Context, bin string, n, times int, seed uint64) ([]any, error) {
 	p, cut := realPlan(n, times, seed)
-	lines, err := rig.Play(ctx, p, rig.Options{Program: bin, Seed: seed})
+	lines, err := harness.Play(ctx, p, harness.Options{Program: bin, Seed: seed})
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 		}
 	}
 	bare := &plan.Plan{Name: "bare", Daemons: n, Zones: 1, Seeds: []int{0}, Length: realStart}
-	alone, err := rig.Play(ctx, bare, rig.Options{Program: bin, Seed: seed, Bare: true})
+	alone, err := harness.Play(ctx, bare, harness.Options{Program: bin, Seed: seed, Bare: true})
 	if err != nil {
 		return nil, err
 	}
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -21,8 +21,8 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/rig"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/tools/internal/bench"
@@ -409,7 +409,7 @@
 			if state == "at rest, no [policy]" {
 				p.Policy = nil
 			}
-			lines, err := rig.Play(context.Background(), p, rig.Options{Program: program, Seed: 1, Blind: strings.HasPrefix(state, "at rest")})
+			lines, err := harness.Play(context.Background(), p, harness.Options{Program: program, Seed: 1, Blind: strings.HasPrefix(state, "at rest")})
 			if err != nil {
 				return err
 			}
