--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
+	"vetchhaven/internal/faulttest/virtual"
 )
 
 type drillFlags struct {
--- a/internal/drill/hollow/held.go
+++ b/internal/drill/hollow/held.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/transport"
 )
 
--- a/internal/drill/hollow/meter.go
+++ b/internal/drill/hollow/meter.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"vetchhaven/internal/drill/virtual"
+	"vetchhaven/internal/faulttest/virtual"
 )
 
 // meter counts what members send and take, by phases, for plays that call it in order of time.
--- a/internal/drill/hollow/view.go
+++ b/internal/drill/hollow/view.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
 )
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -11,8 +11,8 @@
 
 	"vetchhaven/internal/drill/hollow"
 	"vetchhaven/internal/drill/topology"
-	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -8,8 +8,8 @@
 	"vetchhaven/tools/internal/bench"
 
 	"vetchhaven/decide"
-	drill "vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/plan"
+	drill "vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/emulate/virtual"
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -8,9 +8,9 @@
 	"time"
 	"vetchhaven/tools/internal/bench"
 
-	"vetchhaven/internal/drill/virtual"
 	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
 )
 
