--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -24,7 +24,7 @@
 	"internal/peer/transport/events.go UnixMilli":         "event lines, for people to read",
 	"internal/faulttest/harness/harness.go UnixMilli":     "event lines",
 	"internal/faulttest/harness/service.go UnixMilli":     "a stand-in's list",
-	"internal/drill/hollow/sockets.go UnixMilli":          "event lines",
+	"internal/faulttest/hollow/sockets.go UnixMilli":      "event lines",
 	"internal/drill/soak/play.go UnixMilli":               "a stand-in's list",
 	"internal/rehearse/emulate/sockets/list.go UnixMilli": "a stand-in's list",
 	"cmd/vetchhaven/rehearse.go UnixMilli":                "how often progress is printed",
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"vetchhaven/internal/drill/hollow"
 	"vetchhaven/internal/faulttest/checker"
+	"vetchhaven/internal/faulttest/hollow"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/policymodel"
 	"vetchhaven/internal/peer/policy"
--- a/tools/capacity/entries_test.go
+++ b/tools/capacity/entries_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/hollow"
+	"vetchhaven/internal/faulttest/hollow"
 	"vetchhaven/internal/rehearse/chain"
 	"vetchhaven/tools/capacity/slopes"
 )
--- a/tools/capacity/flags.go
+++ b/tools/capacity/flags.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/hollow"
+	"vetchhaven/internal/faulttest/hollow"
 	"vetchhaven/tools/capacity/slopes"
 )
 
--- a/tools/capacity/held.go
+++ b/tools/capacity/held.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/hollow"
+	"vetchhaven/internal/faulttest/hollow"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/hollow"
+	"vetchhaven/internal/faulttest/hollow"
 	verdicts "vetchhaven/internal/peer/ejection/play"
 	"vetchhaven/internal/peer/lease/play"
 	"vetchhaven/tools/capacity/slopes"
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/hollow"
 	"vetchhaven/internal/drill/topology"
+	"vetchhaven/internal/faulttest/hollow"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
