--- a/internal/drill/soak/client.go
+++ b/internal/faulttest/soak/client.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 )
 
 // ClientTrouble is what clients do besides asking and waiting.
--- a/internal/drill/soak/history.go
+++ b/internal/faulttest/soak/history.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 )
 
 // Recorder keeps a history. Its methods may be called by any goroutine.
--- a/internal/drill/soak/list.go
+++ b/internal/faulttest/soak/list.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 	"vetchhaven/internal/source/discovery"
 )
 
--- a/internal/drill/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 	"vetchhaven/internal/source/discovery"
 )
 
--- a/internal/drill/soak/play_test.go
+++ b/internal/faulttest/soak/play_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchhaven/internal/drill/faultbuild"
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 )
 
 // A few fixed seeds with real processes, one of them with writes that are held up, one with a wall clock that is off.
--- a/internal/drill/soak/process.go
+++ b/internal/faulttest/soak/process.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 	"vetchhaven/internal/source/discovery"
 )
 
--- a/internal/drill/soak/sched.go
+++ b/internal/faulttest/soak/sched.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 )
 
 const (
--- a/internal/drill/soak/server.go
+++ b/internal/faulttest/soak/server.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak/check"
 )
 
 // Misbehaviour is what a server does with the requests that come.
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -27,20 +27,20 @@
 
 // free import nothing of this program but what is named: decisions and judges.
 var free = map[string][]string{
-	"decide":                     {"decide/quota"},
-	"internal/source/endpoints":  nil,
-	"internal/host/supervise":    nil,
-	"internal/peer/membership":   nil,
-	"decide/quota":               nil,
-	"internal/peer/lease":        {"decide/quota"},
-	"internal/peer/ejection":     nil,
-	"internal/peer/policy":       nil,
-	"internal/eventqueue":        nil,
-	"internal/faulttest/checker": nil,
-	"internal/drill/soak/check":  nil,
-	"internal/drill/topology":    nil,
-	"internal/protocol/ldapmsg":  nil,
-	"internal/rehearse/judge":    {"decide"},
+	"decide":                        {"decide/quota"},
+	"internal/source/endpoints":     nil,
+	"internal/host/supervise":       nil,
+	"internal/peer/membership":      nil,
+	"decide/quota":                  nil,
+	"internal/peer/lease":           {"decide/quota"},
+	"internal/peer/ejection":        nil,
+	"internal/peer/policy":          nil,
+	"internal/eventqueue":           nil,
+	"internal/faulttest/checker":    nil,
+	"internal/faulttest/soak/check": nil,
+	"internal/drill/topology":       nil,
+	"internal/protocol/ldapmsg":     nil,
+	"internal/rehearse/judge":       {"decide"},
 }
 
 func layerOf(path string) (layer int, ok bool) {
--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -25,7 +25,7 @@
 	"internal/faulttest/harness/harness.go UnixMilli":     "event lines",
 	"internal/faulttest/harness/service.go UnixMilli":     "a stand-in's list",
 	"internal/faulttest/hollow/sockets.go UnixMilli":      "event lines",
-	"internal/drill/soak/play.go UnixMilli":               "a stand-in's list",
+	"internal/faulttest/soak/play.go UnixMilli":           "a stand-in's list",
 	"internal/rehearse/emulate/sockets/list.go UnixMilli": "a stand-in's list",
 	"cmd/vetchhaven/rehearse.go UnixMilli":                "how often progress is printed",
 	"cmd/vetchhaven/policy.go UnixMilli":                  "printed",
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -19,8 +19,8 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/drill/faultbuild"
-	"vetchhaven/internal/drill/soak"
-	"vetchhaven/internal/drill/soak/check"
+	"vetchhaven/internal/faulttest/soak"
+	"vetchhaven/internal/faulttest/soak/check"
 )
 
 // options are the command's flags.
