--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/eventqueue"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
 )
--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/transport"
 )
--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchhaven/decide/quota"
-	"vetchhaven/internal/drill/topology"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/lease/play"
 	"vetchhaven/internal/peer/transport"
--- a/internal/faulttest/hollow/verdicts.go
+++ b/internal/faulttest/hollow/verdicts.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/peer/ejection"
 	"vetchhaven/internal/peer/ejection/play"
 	"vetchhaven/internal/peer/transport"
--- a/internal/faulttest/hollow/view.go
+++ b/internal/faulttest/hollow/view.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/peer/transport"
--- a/internal/faulttest/hollow/view_test.go
+++ b/internal/faulttest/hollow/view_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 )
 
 func rest(t *testing.T, members int, rtt time.Duration, seed uint64, workers int) []Phase {
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/peer/membership"
 )
 
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/faulttest/checker"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/peer/membership"
 )
 
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -38,7 +38,7 @@
 	"internal/eventqueue":           nil,
 	"internal/faulttest/checker":    nil,
 	"internal/faulttest/soak/check": nil,
-	"internal/drill/topology":       nil,
+	"internal/faulttest/topology":   nil,
 	"internal/protocol/ldapmsg":     nil,
 	"internal/rehearse/judge":       {"decide"},
 }
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/topology"
 	"vetchhaven/internal/faulttest/hollow"
 	"vetchhaven/internal/faulttest/plan"
+	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
 	"vetchhaven/tools/capacity/slopes"
