--- a/internal/faulttest/soak/play_test.go
+++ b/internal/faulttest/soak/play_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/drill/faultbuild"
+	"vetchhaven/internal/faulttest/faultbuild"
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -18,7 +18,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/drill/faultbuild"
+	"vetchhaven/internal/faulttest/faultbuild"
 	"vetchhaven/internal/faulttest/soak"
 	"vetchhaven/internal/faulttest/soak/check"
 )
@@ -53,7 +53,7 @@
 	f.StringVar(&o.buildOnly, "build-only", "", "build the program with faults as this file, and play nothing")
 	f.StringVar(&o.keep, "keep", "", "a directory for plans, histories and logs of plays that fail")
 	f.IntVar(&o.shrink, "shrink", 0, "plays at most that look for a smaller plan that fails too")
-	f.StringArrayVar(&o.faults, "fault", nil, "a fault of all processes, NAME=VALUE as in internal/drill/faultbuild, in place of those that seeds draw")
+	f.StringArrayVar(&o.faults, "fault", nil, "a fault of all processes, NAME=VALUE as in internal/faulttest/faultbuild, in place of those that seeds draw")
 	f.StringVar(&o.plan, "plan", "", "play this plan, as --keep wrote it, in place of seeds")
 	if err := c.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
