--- a/cmd/vetchhaven/herd_test.go
+++ b/cmd/vetchhaven/herd_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"vetchhaven/internal/rehearse/emulate/sockets"
 	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/model/sockets"
 )
 
 const smallHerd = `
--- a/cmd/vetchhaven/rehearse.go
+++ b/cmd/vetchhaven/rehearse.go
@@ -16,12 +16,12 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/report"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/tally"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 // ownPolicy is the name of the project's decision module among policies.
@@ -136,7 +136,7 @@
 }
 
 // playVirtual plays all policies side by side: each is a world of its own.
-func playVirtual(ctx context.Context, s *emulate.Scenario, f rehearseFlags, names []string, errs io.Writer) ([]report.Result, error) {
+func playVirtual(ctx context.Context, s *model.Scenario, f rehearseFlags, names []string, errs io.Writer) ([]report.Result, error) {
 	results := make([]report.Result, len(names))
 	fails := make([]error, len(names))
 	var running sync.WaitGroup
@@ -164,7 +164,7 @@
 }
 
 // progress writes one line over and over, on a terminal only.
-func progress(s *emulate.Scenario, f rehearseFlags, errs io.Writer) func(time.Duration, *tally.Day) {
+func progress(s *model.Scenario, f rehearseFlags, errs io.Writer) func(time.Duration, *tally.Day) {
 	file, ok := errs.(*os.File)
 	if !ok || f.quiet {
 		return nil
--- a/cmd/vetchhaven/rehearse_sockets.go
+++ b/cmd/vetchhaven/rehearse_sockets.go
@@ -8,13 +8,13 @@
 	"os"
 	"os/exec"
 
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/sockets"
 	"vetchhaven/internal/rehearse/report"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/sockets"
 )
 
 // playSockets plays round agents that are this very program.
-func playSockets(ctx context.Context, s *emulate.Scenario, f rehearseFlags, errs io.Writer) ([]report.Result, error) {
+func playSockets(ctx context.Context, s *model.Scenario, f rehearseFlags, errs io.Writer) ([]report.Result, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
--- a/internal/rehearse/chain/chain.go
+++ b/internal/rehearse/chain/chain.go
@@ -10,8 +10,8 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/eventqueue"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model"
 )
 
 // The policies that are played: the agent's own, and least-request with plain retries of three or with none.
@@ -115,7 +115,7 @@
 	p       *player
 	tier, n int
 	id      string
-	server  *emulate.Server
+	server  *model.Server
 	wakeAt  time.Duration
 	jobs    map[string]*attempt
 	policy  policy
@@ -183,23 +183,23 @@
 }
 
 func (p *player) build() error {
-	s := &emulate.Scenario{Agents: p.Processes, Zones: []string{"z"},
-		Kinds:   []emulate.Kind{{Cores: p.Cores, Speed: 1, Slots: p.Cores, Queue: 2000, ThrashAt: 1e9, ColdShare: 1, Connections: 1 << 20}},
-		Classes: []emulate.Class{{Work: p.Work, Class: decide.Class{Aim: p.Aim, Deadline: p.Deadline, Worth: 1}}},
-		Rules: emulate.Rules{MaxAttempts: 3, ConnectTimeout: 250 * time.Millisecond, IdleClose: time.Hour,
+	s := &model.Scenario{Agents: p.Processes, Zones: []string{"z"},
+		Kinds:   []model.Kind{{Cores: p.Cores, Speed: 1, Slots: p.Cores, Queue: 2000, ThrashAt: 1e9, ColdShare: 1, Connections: 1 << 20}},
+		Classes: []model.Class{{Work: p.Work, Class: decide.Class{Aim: p.Aim, Deadline: p.Deadline, Worth: 1}}},
+		Rules: model.Rules{MaxAttempts: 3, ConnectTimeout: 250 * time.Millisecond, IdleClose: time.Hour,
 			DrainGrace: 2 * time.Second, ColdShare: 1}}
 	if p.Policy == None {
 		s.Rules.MaxAttempts = 1
 	}
-	chance := emulate.Chance(p.Seed)
+	chance := model.Chance(p.Seed)
 	for tier := range p.Tiers + 1 {
 		var all []*process
 		for n := range p.Processes {
 			q := &process{p: p, tier: tier, n: n, id: fmt.Sprintf("t%d-%d", tier, n), jobs: map[string]*attempt{}, open: map[string]*call{}}
 			if tier > 0 {
-				q.server = emulate.NewServer(emulate.ServerSpec{Name: q.id}, s, emulate.NewKeys(s.Classes), chance, 0, false)
+				q.server = model.NewServer(model.ServerSpec{Name: q.id}, s, model.NewKeys(s.Classes), chance, 0, false)
 				for from := range p.Processes { // the connections stay
-					q.server.Step(0, emulate.Dial{Conn: from, Agent: from})
+					q.server.Step(0, model.Dial{Conn: from, Agent: from})
 				}
 			}
 			all = append(all, q)
@@ -213,7 +213,7 @@
 		}
 		for n, q := range all {
 			var err error
-			seed := uint64(chance.Sub(emulate.Name("agent"), uint64(tier), uint64(n)))
+			seed := uint64(chance.Sub(model.Name("agent"), uint64(tier), uint64(n)))
 			if q.policy, err = p.newPolicy(s.Settings(n), seed); err != nil {
 				return err
 			}
@@ -235,11 +235,11 @@
 
 func (p *player) incident(errors, slow float64) {
 	for _, q := range p.tiers[p.Tiers] {
-		q.serve(emulate.SetErrors{Rate: errors})
+		q.serve(model.SetErrors{Rate: errors})
 	}
 	if slow > 0 {
 		for _, q := range p.tiers[(p.Tiers+1)/2] {
-			q.serve(emulate.SetSpeed{Factor: slow})
+			q.serve(model.SetSpeed{Factor: slow})
 		}
 	}
 }
@@ -431,7 +431,7 @@
 	id := fmt.Sprintf("%s/%d", a.of.id, a.n)
 	q.jobs[id] = a
 	work := time.Duration((0.5 + p.rng.Float64()) * float64(p.Work))
-	q.serve(emulate.Arrive{Conn: a.of.by.n, Job: emulate.Job{ID: id, Agent: a.of.by.n, Work: work, Luck: p.rng.Float64(), Sent: a.sent}})
+	q.serve(model.Arrive{Conn: a.of.by.n, Job: model.Job{ID: id, Agent: a.of.by.n, Work: work, Luck: p.rng.Float64(), Sent: a.sent}})
 }
 
 // cancel tells an attempt's process that nobody waits for it. What it works on itself it finishes.
@@ -443,7 +443,7 @@
 }
 
 // serve gives a process's server one event, and goes on with what it has done.
-func (q *process) serve(e emulate.ServerEvent) {
+func (q *process) serve(e model.ServerEvent) {
 	p := q.p
 	type did struct {
 		a   *attempt
@@ -451,7 +451,7 @@
 	}
 	var all []did // the server's own slice is good until its next step
 	for _, f := range q.server.Step(p.now, e) {
-		if f.Kind == emulate.Replied {
+		if f.Kind == model.Replied {
 			all = append(all, did{q.jobs[f.Job.ID], f.Result})
 			delete(q.jobs, f.Job.ID)
 		}
@@ -472,7 +472,7 @@
 	p.at(next, func() {
 		if q.wakeAt == next {
 			q.wakeAt = 0
-			q.serve(emulate.Wake{})
+			q.serve(model.Wake{})
 		}
 	})
 }
--- a/internal/rehearse/report/report.go
+++ b/internal/rehearse/report/report.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/model"
 )
 
 // Result is how one policy did.
@@ -25,7 +25,7 @@
 
 // Report is all that was played of a scenario.
 type Report struct {
-	Scenario *emulate.Scenario
+	Scenario *model.Scenario
 	Seed     uint64
 	Driver   string // virtual or sockets
 	Results  []Result
--- a/internal/rehearse/report/report_test.go
+++ b/internal/rehearse/report/report_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 func report(t *testing.T) *Report {
--- a/internal/rehearse/scenario/incident.go
+++ b/internal/rehearse/scenario/incident.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/tomlfile"
 )
 
@@ -60,13 +60,13 @@
 }
 
 // incidents turns them into changes in order of time.
-func (c *checker) incidents(f *file, s *emulate.Scenario) {
-	known := map[string]emulate.ServerSpec{}
+func (c *checker) incidents(f *file, s *model.Scenario) {
+	known := map[string]model.ServerSpec{}
 	places := len(s.Servers)
 	for _, v := range s.Servers {
 		known[v.Name] = v
 	}
-	add := func(at time.Duration, what any) { s.Timeline = append(s.Timeline, emulate.Change{At: at, What: what}) }
+	add := func(at time.Duration, what any) { s.Timeline = append(s.Timeline, model.Change{At: at, What: what}) }
 	order := make([]int, len(f.Incident)) // by time, so that what joins is known to what comes later
 	for i := range order {
 		order[i] = i
@@ -87,10 +87,10 @@
 		case c.own.Has(at("for")) && in.For.D() == 0:
 			c.fail(at("for"), "a time above 0 is needed")
 		}
-		var list []emulate.ServerSpec
+		var list []model.ServerSpec
 		for _, name := range in.Servers {
 			v, ok := known[name]
-			some := []emulate.ServerSpec{v}
+			some := []model.ServerSpec{v}
 			if !ok {
 				some, ok = c.matching(at("servers"), name, known)
 			}
@@ -121,7 +121,7 @@
 		if len(in.Servers) > 0 {
 			label += " " + brief(in.Servers)
 		}
-		each := func(on, off func(v emulate.ServerSpec) any) {
+		each := func(on, off func(v model.ServerSpec) any) {
 			for _, v := range list {
 				add(from, on(v))
 				if in.For.D() > 0 {
@@ -131,41 +131,41 @@
 		}
 		switch in.What {
 		case "fast-errors":
-			each(func(v emulate.ServerSpec) any { return emulate.ServerErrors{Server: v.Name, Rate: in.Share} },
-				func(v emulate.ServerSpec) any { return emulate.ServerErrors{Server: v.Name} })
+			each(func(v model.ServerSpec) any { return model.ServerErrors{Server: v.Name, Rate: in.Share} },
+				func(v model.ServerSpec) any { return model.ServerErrors{Server: v.Name} })
 			label += fmt.Sprintf(", %.0f%%", 100*in.Share)
 		case "slow":
-			each(func(v emulate.ServerSpec) any { return emulate.ServerSpeed{Server: v.Name, Factor: in.Factor} },
-				func(v emulate.ServerSpec) any { return emulate.ServerSpeed{Server: v.Name, Factor: 1} })
+			each(func(v model.ServerSpec) any { return model.ServerSpeed{Server: v.Name, Factor: in.Factor} },
+				func(v model.ServerSpec) any { return model.ServerSpeed{Server: v.Name, Factor: 1} })
 			label += fmt.Sprintf(", speed x%g", in.Factor)
 		case "silent":
-			each(func(v emulate.ServerSpec) any { return emulate.Silence{Server: v.Name, On: true} },
-				func(v emulate.ServerSpec) any { return emulate.Silence{Server: v.Name} })
+			each(func(v model.ServerSpec) any { return model.Silence{Server: v.Name, On: true} },
+				func(v model.ServerSpec) any { return model.Silence{Server: v.Name} })
 		case "heavy":
-			class := c.name(at("class"), in.Class, names(s.Classes, func(k emulate.Class) string { return k.Name }))
-			add(from, emulate.Heavy{Class: class, Share: in.Share, Factor: in.Factor})
-			add(until, emulate.Heavy{Class: class})
+			class := c.name(at("class"), in.Class, names(s.Classes, func(k model.Class) string { return k.Name }))
+			add(from, model.Heavy{Class: class, Share: in.Share, Factor: in.Factor})
+			add(until, model.Heavy{Class: class})
 			label += fmt.Sprintf(" %s, %.2g%% x%g", in.Class, 100*in.Share, in.Factor)
 		case "load":
-			add(from, emulate.Burst{Factor: in.Factor})
-			add(until, emulate.Burst{Factor: 1})
+			add(from, model.Burst{Factor: in.Factor})
+			add(until, model.Burst{Factor: 1})
 			label += fmt.Sprintf(" x%g", in.Factor)
 		case "shift":
 			zone := c.name(at("zone"), in.Zone, s.Zones)
-			add(from, emulate.Shift{Zone: zone, Factor: in.Factor})
-			add(until, emulate.Shift{Zone: zone, Factor: 1})
+			add(from, model.Shift{Zone: zone, Factor: in.Factor})
+			add(until, model.Shift{Zone: zone, Factor: 1})
 			label += fmt.Sprintf(" %s x%g", in.Zone, in.Factor)
 		case "shrink", "drain":
 			for n, v := range list {
 				t := from + in.Over.D()*time.Duration(n)/time.Duration(max(1, len(list)))
-				add(t, emulate.Drain{Server: v.Name})
+				add(t, model.Drain{Server: v.Name})
 				if end := t + in.DrainFor.D(); in.DrainFor.D() > 0 || in.What == "shrink" {
-					add(min(end, s.Length), emulate.Kill{Server: v.Name})
+					add(min(end, s.Length), model.Kill{Server: v.Name})
 					until = max(until, end)
 				}
 			}
 		case "kill":
-			each(func(v emulate.ServerSpec) any { return emulate.Kill{Server: v.Name} }, nil)
+			each(func(v model.ServerSpec) any { return model.Kill{Server: v.Name} }, nil)
 		case "restart", "replace":
 			until = from + in.Over.D() + in.DrainFor.D() + in.After.D()
 			if until > s.Length {
@@ -174,21 +174,21 @@
 			for n, v := range list {
 				from := from + in.Over.D()*time.Duration(n)/time.Duration(len(list))
 				if in.DrainFor.D() > 0 {
-					add(from, emulate.Drain{Server: v.Name})
+					add(from, model.Drain{Server: v.Name})
 					from += in.DrainFor.D()
 				}
-				add(from, emulate.Kill{Server: v.Name})
+				add(from, model.Kill{Server: v.Name})
 				if in.What == "replace" { // under a new id, at the old address
 					v.Name += "-new"
-					for known[v.Name] != (emulate.ServerSpec{}) {
+					for known[v.Name] != (model.ServerSpec{}) {
 						v.Name += "-new"
 					}
 					known[v.Name] = v
 				}
-				add(from+in.After.D(), emulate.Start{Server: v})
+				add(from+in.After.D(), model.Start{Server: v})
 			}
 		case "join":
-			kind := c.name(at("kind"), in.Kind, names(s.Kinds, func(k emulate.Kind) string { return k.Name }))
+			kind := c.name(at("kind"), in.Kind, names(s.Kinds, func(k model.Kind) string { return k.Name }))
 			zone := c.name(at("zone"), cmp.Or(in.Zone, s.Zones[0]), s.Zones)
 			count := cmp.Or(in.Count, 1)
 			if count < 1 || places+count > mostServers {
@@ -196,7 +196,7 @@
 				return
 			}
 			for n := range count {
-				v := emulate.ServerSpec{Name: in.Name, Place: places, Kind: kind, Zone: zone, Pod: in.Pod}
+				v := model.ServerSpec{Name: in.Name, Place: places, Kind: kind, Zone: zone, Pod: in.Pod}
 				if count > 1 {
 					v.Name = fmt.Sprintf("%s-%d", in.Name, n+1)
 				}
@@ -206,24 +206,24 @@
 				}
 				known[v.Name] = v
 				places++
-				add(from+in.Over.D()*time.Duration(n)/time.Duration(count), emulate.Start{Server: v})
+				add(from+in.Over.D()*time.Duration(n)/time.Duration(count), model.Start{Server: v})
 			}
 			label += fmt.Sprintf(" %d x %s", count, in.Kind)
 			until = from + in.Over.D()
 		case "move-pod":
-			each(func(v emulate.ServerSpec) any { return emulate.MovePod{Server: v.Name, Pod: in.Pod} }, nil)
+			each(func(v model.ServerSpec) any { return model.MovePod{Server: v.Name, Pod: in.Pod} }, nil)
 			for _, v := range list {
 				v.Pod = in.Pod
 				known[v.Name] = v
 			}
 			label += fmt.Sprintf(" to pod %d", in.Pod)
 		case "list-late":
-			add(from, emulate.ListLate{By: in.By.D()})
-			add(until, emulate.ListLate{})
+			add(from, model.ListLate{By: in.By.D()})
+			add(until, model.ListLate{})
 			label += " by " + in.By.String()
 		case "list-down":
-			add(from, emulate.ListDown{On: true})
-			add(until, emulate.ListDown{})
+			add(from, model.ListDown{On: true})
+			add(until, model.ListDown{})
 		case "zone-cut":
 			if len(in.Zones) != 2 {
 				c.fail(at("zones"), "two zones are needed, %d are named", len(in.Zones))
@@ -233,20 +233,20 @@
 			if a == b {
 				c.fail(at("zones"), "a zone is not cut from itself")
 			}
-			add(from, emulate.Cut{A: a, B: b, On: true})
-			add(until, emulate.Cut{A: a, B: b})
+			add(from, model.Cut{A: a, B: b, On: true})
+			add(until, model.Cut{A: a, B: b})
 			label += " " + strings.Join(in.Zones, " / ")
 		case "resets":
-			add(from, emulate.Resets{Share: in.Share})
-			add(until, emulate.Resets{})
+			add(from, model.Resets{Share: in.Share})
+			add(until, model.Resets{})
 			label += fmt.Sprintf(" %.0f%%", 100*in.Share)
 		case "lost-answers":
-			add(from, emulate.Lost{Share: in.Share})
-			add(until, emulate.Lost{})
+			add(from, model.Lost{Share: in.Share})
+			add(until, model.Lost{})
 			label += fmt.Sprintf(" %.0f%%", 100*in.Share)
 		case "list-refuse":
-			add(from, emulate.ListRefuse{Share: in.Share})
-			add(until, emulate.ListRefuse{})
+			add(from, model.ListRefuse{Share: in.Share})
+			add(until, model.ListRefuse{})
 			label += fmt.Sprintf(" %.0f%%", 100*in.Share)
 		case "agents-restart":
 			first, end := 0, s.Agents
@@ -265,20 +265,20 @@
 			for n := range steps {
 				at := from + in.Over.D()*time.Duration(n)/time.Duration(steps)
 				a, z := first+(end-first)*n/steps, first+(end-first)*(n+1)/steps
-				add(at, emulate.Agents{From: a, To: z, Drain: in.Drain})
-				add(at+in.After.D(), emulate.Agents{From: a, To: z, Up: true})
+				add(at, model.Agents{From: a, To: z, Drain: in.Drain})
+				add(at+in.After.D(), model.Agents{From: a, To: z, Up: true})
 			}
 			if until = from + in.Over.D() + in.After.D(); until > s.Length {
 				c.fail(at("over"), "it ends at %v, past the %v that the scenario takes", until, s.Length)
 			}
 		}
-		s.Marks = append(s.Marks, emulate.Mark{From: from, To: until, Text: label})
+		s.Marks = append(s.Marks, model.Mark{From: from, To: until, Text: label})
 	}
-	slices.SortStableFunc(s.Timeline, func(a, b emulate.Change) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(s.Timeline, func(a, b model.Change) int { return cmp.Compare(a.At, b.At) })
 }
 
 // matching is the servers whose names match a pattern (path.Match), in order of their names.
-func (c *checker) matching(key, pattern string, known map[string]emulate.ServerSpec) (list []emulate.ServerSpec, ok bool) {
+func (c *checker) matching(key, pattern string, known map[string]model.ServerSpec) (list []model.ServerSpec, ok bool) {
 	for name, v := range known {
 		hit, err := path.Match(pattern, name)
 		if err != nil {
@@ -293,7 +293,7 @@
 		c.fail(key, "%q is not in the fleet at that time", pattern)
 		return nil, false
 	}
-	slices.SortFunc(list, func(a, b emulate.ServerSpec) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b model.ServerSpec) int { return cmp.Compare(a.Name, b.Name) })
 	return list, true
 }
 
--- a/internal/rehearse/scenario/scenario.go
+++ b/internal/rehearse/scenario/scenario.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/tomlfile"
 )
 
@@ -125,7 +125,7 @@
 }
 
 // Load reads the scenario at path, and the site file that it names.
-func Load(path string) (*emulate.Scenario, error) {
+func Load(path string) (*model.Scenario, error) {
 	var f file
 	own, err := tomlfile.Read(path, &f)
 	if err != nil {
@@ -228,8 +228,8 @@
 	mostAgents  = 5000
 )
 
-func (c *checker) scenario(f *file) (*emulate.Scenario, error) {
-	s := &emulate.Scenario{Title: f.Title, Length: c.span("length", f.Length),
+func (c *checker) scenario(f *file) (*model.Scenario, error) {
+	s := &model.Scenario{Title: f.Title, Length: c.span("length", f.Length),
 		Agents: f.Agents.Count, Uneven: f.Agents.Uneven, Vary: f.Agents.Vary, Tick: c.wait("agents.tick", f.Agents.Tick),
 		Rate: f.Load.Rate, ByWork: f.Load.ByWork, Zones: f.Network.Zones}
 	if s.Length > 24*time.Hour {
@@ -263,14 +263,14 @@
 }
 
 // world reads the list, the network, the clients and the rules.
-func (c *checker) world(f *file, s *emulate.Scenario) {
+func (c *checker) world(f *file, s *model.Scenario) {
 	mode := c.name("list.mode", cmp.Or(f.List.Mode, "asked"), []string{"asked", "pushed"})
-	s.List = emulate.ListSpec{Asked: mode == 0, Up: c.wait("list.up", f.List.Up), Drain: c.wait("list.drain", f.List.Drain),
+	s.List = model.ListSpec{Asked: mode == 0, Up: c.wait("list.up", f.List.Up), Drain: c.wait("list.drain", f.List.Drain),
 		Silent: c.wait("list.silent", f.List.Silent), Spread: c.wait("list.spread", f.List.Spread), Calls: f.List.Calls,
 		Timeout: c.wait("list.timeout", f.List.Timeout)}
 	c.notNegative("list.calls", f.List.Calls)
 	r := &f.Records
-	s.Records = emulate.RecordsSpec{Every: c.wait("records.every", r.Every), Late: c.wait("records.late", r.Late),
+	s.Records = model.RecordsSpec{Every: c.wait("records.every", r.Every), Late: c.wait("records.late", r.Late),
 		Fail: r.Fail, Cut: r.Cut, Empty: r.Empty,
 		Hold:   c.span("records.hold", cmp.Or(r.Hold, tomlfile.Of(time.Hour))),
 		Guard:  c.span("records.guard", cmp.Or(r.Guard, tomlfile.Of(30*time.Second))),
@@ -281,12 +281,12 @@
 	if c.own.Has("records") && s.Records.Every == 0 {
 		c.fail("records.every", "a time above 0 is needed where there are records")
 	}
-	s.Network = emulate.NetworkSpec{Within: c.wait("network.within", f.Network.Within),
+	s.Network = model.NetworkSpec{Within: c.wait("network.within", f.Network.Within),
 		Across: c.wait("network.across", f.Network.Across), Jitter: f.Network.Jitter}
 	c.notNegative("network.jitter", f.Network.Jitter)
-	s.Report = emulate.ReportSpec{Answers: f.Report.Answers, Every: c.wait("report.every", f.Report.Every), Noise: f.Report.Noise}
+	s.Report = model.ReportSpec{Answers: f.Report.Answers, Every: c.wait("report.every", f.Report.Every), Noise: f.Report.Noise}
 	c.notNegative("report.noise", f.Report.Noise)
-	s.Clients = emulate.Clients{Tries: cmp.Or(f.Clients.Tries, 1), Wait: c.wait("clients.wait", f.Clients.Wait),
+	s.Clients = model.Clients{Tries: cmp.Or(f.Clients.Tries, 1), Wait: c.wait("clients.wait", f.Clients.Wait),
 		Heed: f.Clients.Heed, Patience: cmp.Or(f.Clients.Patience, 1)}
 	if s.Clients.Tries < 1 || s.Clients.Tries > 10 {
 		c.fail("clients.tries", "%d: 1 to 10 are allowed", s.Clients.Tries)
@@ -296,7 +296,7 @@
 		c.fail("clients.patience", "a share above 0 is needed")
 	}
 	rules := &f.Rules
-	s.Rules = emulate.Rules{MaxAttempts: cmp.Or(rules.MaxAttempts, 3), SecondCopies: rules.SecondCopies,
+	s.Rules = model.Rules{MaxAttempts: cmp.Or(rules.MaxAttempts, 3), SecondCopies: rules.SecondCopies,
 		ConnectTimeout: c.span("rules.connect_timeout", cmp.Or(rules.ConnectTimeout, tomlfile.Of(250*time.Millisecond))),
 		IdleClose:      c.span("rules.idle_close", cmp.Or(rules.IdleClose, tomlfile.Of(5*time.Second))),
 		DrainGrace:     c.span("rules.drain_grace", cmp.Or(rules.DrainGrace, tomlfile.Of(2*time.Second))),
@@ -313,7 +313,7 @@
 	c.notNegative("rules.cross_zone_price", rules.CrossZonePrice)
 }
 
-func (c *checker) classes(f *file, s *emulate.Scenario) {
+func (c *checker) classes(f *file, s *model.Scenario) {
 	if len(f.Class) == 0 {
 		c.fail("class", "at least one [[class]] is needed")
 	}
@@ -322,12 +322,12 @@
 		if k.Name == "" || strings.ContainsAny(k.Name, "/ ?#%") {
 			c.fail(at("name"), "%q is no name for the first part of a path", k.Name)
 		}
-		if slices.ContainsFunc(s.Classes, func(o emulate.Class) bool { return o.Name == k.Name }) {
+		if slices.ContainsFunc(s.Classes, func(o model.Class) bool { return o.Name == k.Name }) {
 			c.fail(at("name"), "%q is named twice", k.Name)
 		}
 		effect := c.name(at("repeats"), cmp.Or(k.Repeats, "safe"), []string{"safe", "keyed", "unsafe"})
 		group := c.name(at("group"), cmp.Or(k.Group, "all"), []string{"all", "zone", "pod"})
-		e := emulate.Class{Name: k.Name, Share: k.Share, Work: c.span(at("work"), k.Work), Vary: k.Vary, Noise: k.Noise, Hint: -1,
+		e := model.Class{Name: k.Name, Share: k.Share, Work: c.span(at("work"), k.Work), Vary: k.Vary, Noise: k.Noise, Hint: -1,
 			Class: decide.Class{Aim: c.span(at("aim"), k.Aim), Deadline: c.span(at("deadline"), k.Deadline), Worth: k.Worth,
 				LateWorth: k.Late, Effect: decide.Effect(effect), Group: decide.Group(group), Window: c.wait(at("window"), k.Window)}}
 		if k.Hint != nil {
@@ -349,16 +349,16 @@
 	}
 }
 
-func (c *checker) kinds(f *file, s *emulate.Scenario) {
+func (c *checker) kinds(f *file, s *model.Scenario) {
 	if len(f.Kind) == 0 {
 		c.fail("kind", "at least one [[kind]] is needed")
 	}
 	for i, k := range f.Kind {
 		at := func(field string) string { return fmt.Sprintf("kind[%d].%s", i, field) }
-		if k.Name == "" || slices.ContainsFunc(s.Kinds, func(o emulate.Kind) bool { return o.Name == k.Name }) {
+		if k.Name == "" || slices.ContainsFunc(s.Kinds, func(o model.Kind) bool { return o.Name == k.Name }) {
 			c.fail(at("name"), "%q is empty or named twice", k.Name)
 		}
-		e := emulate.Kind{Name: k.Name, Cores: k.Cores, Speed: k.Speed, Spread: k.Spread, Slots: cmp.Or(k.Slots, k.Cores),
+		e := model.Kind{Name: k.Name, Cores: k.Cores, Speed: k.Speed, Spread: k.Spread, Slots: cmp.Or(k.Slots, k.Cores),
 			Queue: k.Queue, Thrash: k.Thrash, ThrashAt: k.ThrashAt, ColdShare: cmp.Or(k.ColdShare, 1),
 			ColdFor: c.wait(at("cold_for"), k.ColdFor), PauseEvery: c.wait(at("pause_every"), k.PauseEvery),
 			Pause: c.wait(at("pause"), k.Pause), PauseGrow: k.PauseGrow, ErrorRate: k.ErrorRate,
@@ -394,8 +394,8 @@
 	}
 }
 
-func (c *checker) fleet(f *file, s *emulate.Scenario) {
-	kinds := names(s.Kinds, func(k emulate.Kind) string { return k.Name })
+func (c *checker) fleet(f *file, s *model.Scenario) {
+	kinds := names(s.Kinds, func(k model.Kind) string { return k.Name })
 	number := map[string]int{}
 	for i, g := range f.Servers {
 		at := func(field string) string { return fmt.Sprintf("servers[%d].%s", i, field) }
@@ -414,7 +414,7 @@
 		}
 		for n := range g.Count {
 			number[g.Name]++
-			s.Servers = append(s.Servers, emulate.ServerSpec{Name: fmt.Sprintf("%s-%d", g.Name, number[g.Name]),
+			s.Servers = append(s.Servers, model.ServerSpec{Name: fmt.Sprintf("%s-%d", g.Name, number[g.Name]),
 				Place: len(s.Servers), Kind: kind, Zone: zone, Pod: g.Pod + n%max(1, g.Pods)})
 		}
 	}
--- a/internal/rehearse/scenario/scenario_test.go
+++ b/internal/rehearse/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 const good = `title = "t"
@@ -172,7 +172,7 @@
 	}
 	places := map[string]int{}
 	for _, c := range s.Timeline {
-		if op, ok := c.What.(emulate.Start); ok {
+		if op, ok := c.What.(model.Start); ok {
 			places[op.Server.Name] = op.Server.Place
 		}
 	}
--- a/internal/rehearse/tally/tally.go
+++ b/internal/rehearse/tally/tally.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 // Window is the length of the spans that are counted.
@@ -112,14 +112,14 @@
 	ByClass [][]Counts // by window, then class
 	Servers []*Server
 	Reads   int // of the list
-	s       *emulate.Scenario
+	s       *model.Scenario
 	byName  map[string]*Server
 	viewed  []int                     // samples of InView in each window
 	latency []*hdrhistogram.Histogram // of served requests in microseconds, by class
 }
 
 // New counts nothing yet.
-func New(s *emulate.Scenario) *Day {
+func New(s *model.Scenario) *Day {
 	d := &Day{s: s, byName: map[string]*Server{}, Classes: make([]Counts, len(s.Classes))}
 	for range s.Classes {
 		d.latency = append(d.latency, hdrhistogram.New(1, time.Minute.Microseconds(), 2))
@@ -131,7 +131,7 @@
 }
 
 // Server is the row of a server, which may be new.
-func (d *Day) Server(v emulate.ServerSpec) *Server {
+func (d *Day) Server(v model.ServerSpec) *Server {
 	row := d.byName[v.Name]
 	if row == nil {
 		row = &Server{Name: v.Name, Kind: d.s.Kinds[v.Kind].Name, Zone: d.s.Zones[v.Zone], Pod: v.Pod}
@@ -157,7 +157,7 @@
 }
 
 // Try counts a try of a client; the first one offers its task.
-func (d *Day) Try(now time.Duration, t *emulate.Task, try int) {
+func (d *Day) Try(now time.Duration, t *model.Task, try int) {
 	d.count(now, t.Class, func(c *Counts) {
 		c.Tries++
 		if try == 0 {
@@ -209,24 +209,24 @@
 }
 
 // End counts how a task ended, in the window in which it was first asked.
-func (d *Day) End(now time.Duration, t *emulate.Task, last emulate.Answer) {
-	got, asked := d.s.Worth(t, now, last == emulate.Served)
+func (d *Day) End(now time.Duration, t *model.Task, last model.Answer) {
+	got, asked := d.s.Worth(t, now, last == model.Served)
 	class := &d.s.Classes[t.Class]
 	d.count(t.At, t.Class, func(c *Counts) {
 		c.Asked += asked
 		c.Got += got
 		switch {
-		case last == emulate.Served && now-t.At <= class.Aim:
+		case last == model.Served && now-t.At <= class.Aim:
 			c.InTime++
-		case last == emulate.Served && now-t.At <= class.Deadline:
+		case last == model.Served && now-t.At <= class.Deadline:
 			c.Late++
-		case last == emulate.Refused || last == emulate.Unreachable:
+		case last == model.Refused || last == model.Unreachable:
 			c.Refused++
 		default:
 			c.Failed++
 		}
 	})
-	if last == emulate.Served {
+	if last == model.Served {
 		_ = d.latency[t.Class].RecordValue(min(max(now-t.At, 0), time.Minute).Microseconds()) // within its range
 	}
 }
@@ -237,7 +237,7 @@
 }
 
 // Sample notes what a server holds.
-func (d *Day) Sample(now time.Duration, v emulate.ServerSpec, held int, pressure float64) {
+func (d *Day) Sample(now time.Duration, v model.ServerSpec, held int, pressure float64) {
 	row, i := d.Server(v), int(now/Window)
 	for len(row.sum) <= i {
 		row.sum, row.n = append(row.sum, 0), append(row.n, 0)
--- a/internal/rehearse/textbook/seer.go
+++ b/internal/rehearse/textbook/seer.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 // The two that see how all servers truly are, which no agent can: ceilings to compare with. Both admit by worth
@@ -35,7 +35,7 @@
 
 type eyes struct {
 	late   time.Duration
-	truth  func(late time.Duration) []emulate.Sight
+	truth  func(late time.Duration) []model.Sight
 	ledger *ledger
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Sees gives it the truth.
-func (p *Policy) Sees(truth func(late time.Duration) []emulate.Sight) {
+func (p *Policy) Sees(truth func(late time.Duration) []model.Sight) {
 	if p.eyes != nil {
 		p.eyes.truth = truth
 	}
@@ -113,12 +113,12 @@
 	for _, s := range may {
 		byID[s.ID] = s
 	}
-	sights := slices.DeleteFunc(slices.Clone(e.truth(e.late)), func(t emulate.Sight) bool {
+	sights := slices.DeleteFunc(slices.Clone(e.truth(e.late)), func(t model.Sight) bool {
 		return byID[t.ID] == nil || t.Errors >= 0.2
 	})
 	self := uint64(p.s.Self)
-	slices.SortFunc(sights, func(a, b emulate.Sight) int {
-		return cmp.Compare(emulate.Chance(self).Sub(emulate.Name(a.ID)), emulate.Chance(self).Sub(emulate.Name(b.ID)))
+	slices.SortFunc(sights, func(a, b model.Sight) int {
+		return cmp.Compare(model.Chance(self).Sub(model.Name(a.ID)), model.Chance(self).Sub(model.Name(b.ID)))
 	})
 	best, least, total := may[0], math.Inf(1), 0.0
 	for _, t := range sights[:min(seersView, len(sights))] {
--- a/internal/rehearse/emulate/chance.go
+++ b/internal/simulate/model/chance.go
@@ -1,8 +1,8 @@
-// Package emulate is a model of all that surrounds an agent: form servers, the server list, the
+// Package model is a model of all that surrounds an agent: form servers, the server list, the
 // network between zones, clients and their load, and a script of incidents. It has no I/O, no
 // clock and no chance but that of a seed: things that happen go in with their time, what follows
 // comes out. Two drivers play it: package virtual in simulated time, package sockets on loopback.
-package emulate
+package model
 
 import (
 	"math"
--- a/internal/rehearse/emulate/load.go
+++ b/internal/simulate/model/load.go
@@ -1,4 +1,4 @@
-package emulate
+package model
 
 import (
 	"fmt"
--- a/internal/rehearse/emulate/server.go
+++ b/internal/simulate/model/server.go
@@ -1,4 +1,4 @@
-package emulate
+package model
 
 import (
 	"math/rand/v2"
--- a/internal/rehearse/emulate/sockets/agent.go
+++ b/internal/simulate/model/sockets/agent.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 // agent is a real agent process, its list and its clients.
@@ -64,7 +64,7 @@
 	version, entries := g.world.List.Snapshot()
 	known := g.members(a.n, version, true, entries)
 	g.told(a.n, true, entries)
-	seed := emulate.Chance(g.o.Seed).Sub(emulate.Name("agent"), uint64(a.n), uint64(a.life))
+	seed := model.Chance(g.o.Seed).Sub(model.Name("agent"), uint64(a.n), uint64(a.life))
 	g.mu.Unlock()
 	ms := func(d time.Duration) float64 { return float64(d) / 1e6 }
 	var profiles []map[string]any
--- a/internal/rehearse/emulate/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/judge"
+	"vetchhaven/internal/simulate/model"
 )
 
 // try is what a server needs to know of a request that comes by an id.
 type try struct {
-	task     *emulate.Task
-	chance   emulate.Chance
+	task     *model.Task
+	chance   model.Chance
 	try      int
 	attempts int
 }
@@ -27,7 +27,7 @@
 const keepTries = 20 * time.Second
 
 // client wants one task done, with all its tries.
-func (g *stage) client(ctx context.Context, c *emulate.Client, chance emulate.Chance) {
+func (g *stage) client(ctx context.Context, c *model.Client, chance model.Chance) {
 	for {
 		kind, after := g.ask(ctx, c, chance)
 		if ctx.Err() != nil {
@@ -35,7 +35,7 @@
 		}
 		g.mu.Lock()
 		now := g.now()
-		if kind == emulate.Refused {
+		if kind == model.Refused {
 			g.day.Refusal(now, c.Task.Class)
 		}
 		wait, again := c.Next(now, kind, after)
@@ -54,7 +54,7 @@
 }
 
 // ask is one try.
-func (g *stage) ask(ctx context.Context, c *emulate.Client, chance emulate.Chance) (emulate.Answer, time.Duration) {
+func (g *stage) ask(ctx context.Context, c *model.Client, chance model.Chance) (model.Answer, time.Duration) {
 	a := g.agents[c.Task.Agent]
 	class := &g.s.Classes[c.Task.Class]
 	id := c.ID()
@@ -80,7 +80,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(patience, method, "http://"+a.listen+"/"+class.Name, body)
 	if err != nil {
-		return emulate.Failed, 0
+		return model.Failed, 0
 	}
 	h := req.Header
 	h["X-Trace-Id"] = []string{id}
@@ -105,22 +105,22 @@
 	switch {
 	case a.life != life || a.dying || ctx.Err() != nil: // the agent was killed, or all is being ended
 		g.judge.GaveUp(now, id)
-		return emulate.Failed, 0
+		return model.Failed, 0
 	case errors.Is(err, context.DeadlineExceeded):
-		return emulate.NoAnswer, 0 // the judge finds that nothing came
+		return model.NoAnswer, 0 // the judge finds that nothing came
 	case errors.As(err, &dial) && dial.Op == "dial":
 		g.judge.GaveUp(now, id) // it was never taken
-		return emulate.Unreachable, 0
+		return model.Unreachable, 0
 	case err != nil:
 		g.judge.Lost(now, a.n, id)
-		return emulate.Failed, 0
+		return model.Failed, 0
 	}
-	kind, told := judge.Failed, emulate.Failed
+	kind, told := judge.Failed, model.Failed
 	switch status {
 	case http.StatusOK:
-		kind, told = judge.Served, emulate.Served
+		kind, told = judge.Served, model.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		kind, told = judge.Refused, emulate.Refused
+		kind, told = judge.Refused, model.Refused
 	}
 	g.judge.Answered(now, a.n, id, kind)
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
--- a/internal/rehearse/emulate/sockets/list.go
+++ b/internal/simulate/model/sockets/list.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 // watch is what one agent has been told, and its present call, if there is one.
 type watch struct {
-	names map[int]string    // by place
-	out   chan emulate.Tell // of the present call; nil: none
+	names map[int]string  // by place
+	out   chan model.Tell // of the present call; nil: none
 }
 
 type member struct {
@@ -36,7 +36,7 @@
 
 // members puts entries into the list's own form, with the addresses that are this agent's. The
 // lock is held.
-func (g *stage) members(agent int, version int64, full bool, entries []emulate.Entry) members {
+func (g *stage) members(agent int, version int64, full bool, entries []model.Entry) members {
 	m := members{Version: version, Full: full, Servers: []member{}}
 	for _, e := range entries {
 		s := member{ID: e.Server.Name, Addr: g.places[e.Server.Place].doors[min(agent, g.doors()-1)].addr, Zone: g.s.Zones[e.Server.Zone],
@@ -50,7 +50,7 @@
 }
 
 // told books what an agent is told. The lock is held.
-func (g *stage) told(agent int, full bool, entries []emulate.Entry) {
+func (g *stage) told(agent int, full bool, entries []model.Entry) {
 	now := g.now()
 	w := g.watches[agent]
 	if w == nil {
@@ -91,7 +91,7 @@
 }
 
 // tells passes on what the list tells, each at its time. The lock is held.
-func (g *stage) tells(tells []emulate.Tell) {
+func (g *stage) tells(tells []model.Tell) {
 	for _, t := range tells {
 		w := g.watches[t.Agent]
 		if w == nil || w.out == nil {
@@ -116,7 +116,7 @@
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			if g.quit.Err() == nil {
-				g.tells(g.world.List.Step(g.now(), emulate.Wake{}))
+				g.tells(g.world.List.Step(g.now(), model.Wake{}))
 			}
 		})
 	}
@@ -148,25 +148,25 @@
 		}
 		one.Lock() // a new watch begins when the one before has ended
 		defer one.Unlock()
-		out := make(chan emulate.Tell, 64)
+		out := make(chan model.Tell, 64)
 		g.mu.Lock()
 		if !g.started() { // the model's time stands still, and its waits with it: the first list comes at once
 			version, entries := g.world.List.Snapshot()
-			out <- emulate.Tell{Agent: agent, Version: version, Full: true, Entries: entries}
+			out <- model.Tell{Agent: agent, Version: version, Full: true, Entries: entries}
 			since = version
 		}
 		if g.watches[agent] == nil {
 			g.watches[agent] = &watch{names: map[int]string{}}
 		}
 		g.watches[agent].out = out
-		g.tells(g.world.List.Step(g.now(), emulate.Ask{Agent: agent, Since: since}))
+		g.tells(g.world.List.Step(g.now(), model.Ask{Agent: agent, Since: since}))
 		g.mu.Unlock()
 		defer func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			if x := g.watches[agent]; x.out == out {
 				x.out = nil
-				g.world.List.Step(g.now(), emulate.Leave{Agent: agent})
+				g.world.List.Step(g.now(), model.Leave{Agent: agent})
 			}
 		}()
 		begun := false
--- a/internal/rehearse/emulate/sockets/server.go
+++ b/internal/simulate/model/sockets/server.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 // place is a server's address, or rather one for each agent: by it the way to the server is that
@@ -67,7 +67,7 @@
 }
 
 // silent reports whether nothing passes between a process and an agent. The lock is held.
-func (g *stage) silent(p *emulate.Proc, agent int) bool {
+func (g *stage) silent(p *model.Proc, agent int) bool {
 	return p.Silent || !g.world.Net.Open(g.s.ZoneOf(agent), p.Spec.Zone)
 }
 
@@ -76,7 +76,7 @@
 	g        *stage
 	id       int
 	agent    int
-	proc     *emulate.Proc
+	proc     *model.Proc
 	net      *net.TCPConn
 	accepted bool
 	answers  chan answer
@@ -134,7 +134,7 @@
 	if g.silent(proc, agent) { // it was in the kernel's queue when the silence began
 		c.lost = true
 	} else {
-		g.did(proc, proc.Step(g.now(), emulate.Dial{Conn: c.id, Agent: agent}))
+		g.did(proc, proc.Step(g.now(), model.Dial{Conn: c.id, Agent: agent}))
 		if !c.accepted {
 			_ = tcp.SetLinger(0)
 			delete(g.conns, c.id)
@@ -155,12 +155,12 @@
 	defer g.mu.Unlock()
 	delete(g.conns, c.id)
 	if !c.proc.Dead && !c.lost {
-		g.did(c.proc, c.proc.Step(g.now(), emulate.Hangup{Conn: c.id}))
+		g.did(c.proc, c.proc.Step(g.now(), model.Hangup{Conn: c.id}))
 	}
 }
 
 // way is how long the next message takes. The lock is held.
-func (g *stage) way(p *emulate.Proc, agent int) time.Duration {
+func (g *stage) way(p *model.Proc, agent int) time.Duration {
 	return g.world.Net.Way(g.s.ZoneOf(agent), p.Spec.Zone)
 }
 
@@ -270,7 +270,7 @@
 	work, luck := t.task.Attempt(g.s, t.chance, t.try, t.attempts)
 	t.attempts++
 	g.day.Attempt(now, t.task.Class, named)
-	g.did(c.proc, c.proc.Step(now, emulate.Arrive{Conn: c.id, Job: emulate.Job{ID: id, Agent: from, Class: t.task.Class,
+	g.did(c.proc, c.proc.Step(now, model.Arrive{Conn: c.id, Job: model.Job{ID: id, Agent: from, Class: t.task.Class,
 		Key: req.Header.Get("Idempotency-Key"), Work: work, Luck: luck, Sent: began}}))
 	return !c.proc.Dead
 }
--- a/internal/rehearse/emulate/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 // Bounds on what is played on one machine.
@@ -35,7 +35,7 @@
 
 // Options say what to play.
 type Options struct {
-	Scenario *emulate.Scenario
+	Scenario *model.Scenario
 	Seed     uint64
 	Agent    func() *exec.Cmd // runs one agent, told its configuration by PROXY_CONFIG
 	// Daemon, if set, runs a fleet daemon of one instance in each agent's place, told its file. Naive ones
@@ -66,19 +66,19 @@
 // never waits for anything.
 type stage struct {
 	o     Options
-	s     *emulate.Scenario
+	s     *model.Scenario
 	base  time.Time
 	begun atomic.Int64    // when the scenario's time began, after base; it stands at 0 until then
 	quit  context.Context // everything ends with it
 
 	mu      sync.Mutex
-	world   *emulate.World
+	world   *model.World
 	judge   *judge.Judge
 	day     *tally.Day
 	places  map[int]*place
 	conns   map[int]*conn
 	lastID  int
-	wakes   map[*emulate.Proc]*time.Timer
+	wakes   map[*model.Proc]*time.Timer
 	listAt  *time.Timer
 	tries   map[string]*try // by request id
 	watches map[int]*watch  // by agent
@@ -115,7 +115,7 @@
 		own.List.Calls, own.List.Spread = 0, 0
 		s = &own
 		for _, c := range s.Timeline {
-			if _, ok := c.What.(emulate.Agents); ok {
+			if _, ok := c.What.(model.Agents); ok {
 				return nil, errors.New("agents-restart: agents that run already are not this rehearsal's to restart")
 			}
 		}
@@ -124,12 +124,12 @@
 		return nil, errors.New("records beside the list are played in virtual time only")
 	}
 	for _, c := range s.Timeline {
-		if op, ok := c.What.(emulate.Agents); ok && op.Drain {
+		if op, ok := c.What.(model.Agents); ok && op.Drain {
 			return nil, errors.New("agents-restart with drain is played in virtual time only")
 		}
 	}
 	g := &stage{o: o, s: s, base: time.Now(), judge: judge.New(virtual.JudgeConfig(s, slack)), day: tally.New(s), places: map[int]*place{},
-		conns: map[int]*conn{}, wakes: map[*emulate.Proc]*time.Timer{}, tries: map[string]*try{}, watches: map[int]*watch{}}
+		conns: map[int]*conn{}, wakes: map[*model.Proc]*time.Timer{}, tries: map[string]*try{}, watches: map[int]*watch{}}
 	g.begun.Store(math.MaxInt64 / 2)
 	most := 0
 	for _, v := range g.specs() {
@@ -162,8 +162,8 @@
 	defer g.running.Wait()
 	defer g.close()
 	defer end()
-	chance := emulate.Chance(o.Seed).Sub(emulate.Name("rehearsal")) // the same world as in virtual time
-	g.world = emulate.NewWorld(s, chance)
+	chance := model.Chance(o.Seed).Sub(model.Name("rehearsal")) // the same world as in virtual time
+	g.world = model.NewWorld(s, chance)
 	for _, v := range g.specs() {
 		if err := g.open(v.Place); err != nil {
 			return nil, err
@@ -220,10 +220,10 @@
 }
 
 // specs is every server that ever runs.
-func (g *stage) specs() []emulate.ServerSpec {
+func (g *stage) specs() []model.ServerSpec {
 	all := g.s.Servers
 	for _, c := range g.s.Timeline {
-		if op, ok := c.What.(emulate.Start); ok {
+		if op, ok := c.What.(model.Start); ok {
 			all = append(all[:len(all):len(all)], op.Server)
 		}
 	}
@@ -231,9 +231,9 @@
 }
 
 // play runs the script and the load, then waits for what is open.
-func (g *stage) play(ctx context.Context, chance emulate.Chance) (cut bool) {
+func (g *stage) play(ctx context.Context, chance model.Chance) (cut bool) {
 	var clients sync.WaitGroup
-	load := emulate.NewLoad(g.s, chance)
+	load := model.NewLoad(g.s, chance)
 	task, more := load.Next()
 	script := g.s.Timeline
 	sample := time.Duration(0)
@@ -266,7 +266,7 @@
 			script = script[1:]
 		}
 		for ; more && task.At <= now; task, more = load.Next() {
-			c := emulate.NewClient(g.s, task)
+			c := model.NewClient(g.s, task)
 			c.Task.At = now // asked now: what the driver is late by is not the agent's
 			select {
 			case open <- struct{}{}:
@@ -316,7 +316,7 @@
 
 // apply does one change of the script.
 func (g *stage) apply(what any) {
-	if op, ok := what.(emulate.Agents); ok {
+	if op, ok := what.(model.Agents); ok {
 		for n := op.From; n < op.To; n++ {
 			if a := g.agents[n]; !op.Up {
 				a.kill()
@@ -343,15 +343,15 @@
 }
 
 // did carries out what a server does. The lock is held.
-func (g *stage) did(p *emulate.Proc, effects []emulate.Effect) {
+func (g *stage) did(p *model.Proc, effects []model.Effect) {
 	now := g.now()
 	for _, e := range effects {
 		switch e.Kind {
-		case emulate.Accepted, emulate.Rejected:
+		case model.Accepted, model.Rejected:
 			if c := g.conns[e.Conn]; c != nil {
-				c.accepted = e.Kind == emulate.Accepted
+				c.accepted = e.Kind == model.Accepted
 			}
-		case emulate.Replied:
+		case model.Replied:
 			row := g.day.Server(p.Spec)
 			switch e.Result {
 			case decide.OK:
@@ -365,13 +365,13 @@
 			if c := g.conns[e.Conn]; c != nil {
 				c.reply(answer{e.Result, e.Load, e.Job.ID})
 			}
-		case emulate.Closed:
+		case model.Closed:
 			if c := g.conns[e.Conn]; c != nil {
 				c.idleClose()
 			}
-		case emulate.Ran:
+		case model.Ran:
 			g.judge.Ran(now, e.Job.ID, p.Name)
-		case emulate.Fell:
+		case model.Fell:
 			informed := p.Blame(func(agent int) bool { return g.judge.Knows(agent, p.Name, p.Born()) })
 			row := g.day.Server(p.Spec)
 			row.Fell = true
@@ -387,7 +387,7 @@
 }
 
 // wake sees to it that a process is stepped when something is due. The lock is held.
-func (g *stage) wake(p *emulate.Proc) {
+func (g *stage) wake(p *model.Proc) {
 	next := p.NextWake()
 	if t := g.wakes[p]; t != nil {
 		t.Stop()
@@ -399,13 +399,13 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if !p.Dead && g.quit.Err() == nil {
-			g.did(p, p.Step(g.now(), emulate.Wake{}))
+			g.did(p, p.Step(g.now(), model.Wake{}))
 		}
 	})
 }
 
 // died resets the connections to a process. The lock is held.
-func (g *stage) died(p *emulate.Proc) {
+func (g *stage) died(p *model.Proc) {
 	if t := g.wakes[p]; t != nil {
 		t.Stop()
 		delete(g.wakes, p)
--- a/internal/rehearse/emulate/sockets/sockets_test.go
+++ b/internal/simulate/model/sockets/sockets_test.go
@@ -20,9 +20,9 @@
 
 	real "vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/http1"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/model"
 )
 
 // TestMain lets the test binary stand in for an agent's process.
@@ -104,7 +104,7 @@
 count = 2
 `
 
-func load(t *testing.T, text string) *emulate.Scenario {
+func load(t *testing.T, text string) *model.Scenario {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-func play(t *testing.T, ctx context.Context, s *emulate.Scenario) *Played {
+func play(t *testing.T, ctx context.Context, s *model.Scenario) *Played {
 	t.Helper()
 	p, log := &pids{}, &logs{}
 	played, err := Play(ctx, Options{Scenario: s, Seed: 1, Agent: p.agent, Log: log})
--- a/internal/rehearse/emulate/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/judge"
+	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/source/endpoints"
 )
 
@@ -36,11 +36,11 @@
 // request is one that an agent has taken, until its attempts are in.
 type request struct {
 	id       string
-	task     *emulate.Task
+	task     *model.Task
 	try      int
 	class    int
 	deadline time.Duration
-	answer   func(emulate.Answer, time.Duration)
+	answer   func(model.Answer, time.Duration)
 	done     bool
 	open     int
 	attempts []*attempt
@@ -62,21 +62,21 @@
 // view is the list as the agent has it.
 type view struct {
 	version int64
-	entries []emulate.Entry
+	entries []model.Entry
 	places  map[string]int
 }
 
-func (v *view) set(version int64, entries []emulate.Entry) {
+func (v *view) set(version int64, entries []model.Entry) {
 	v.version, v.entries, v.places = version, slices.Clone(entries), map[string]int{}
 	for _, e := range entries {
 		v.places[e.Server.Name] = e.Server.Place
 	}
 }
 
-func (v *view) change(version int64, entries []emulate.Entry) {
+func (v *view) change(version int64, entries []model.Entry) {
 	v.version = version
 	for _, e := range entries {
-		i := slices.IndexFunc(v.entries, func(o emulate.Entry) bool { return o.Server.Name == e.Server.Name })
+		i := slices.IndexFunc(v.entries, func(o model.Entry) bool { return o.Server.Name == e.Server.Name })
 		switch {
 		case e.State == decide.Gone:
 			if i >= 0 {
@@ -104,7 +104,7 @@
 	a.up, a.life = true, a.life+1
 	a.pending, a.timers, a.requests, a.pools = nil, nil, map[string]*request{}, map[string][]*conn{}
 	a.stepped, a.stepping = now-a.d.s.Tick, -1
-	seed := a.d.chance.Sub(emulate.Name("agent"), uint64(a.n), uint64(a.life))
+	seed := a.d.chance.Sub(model.Name("agent"), uint64(a.n), uint64(a.life))
 	settings := a.d.s.Settings(a.n)
 	settings.Peers = a.d.o.Notes
 	settings.Balancers, a.counted = cmp.Or(a.d.o.Balancers, settings.Balancers), decide.Fleet{}
@@ -165,14 +165,14 @@
 	})
 	for _, r := range held {
 		if r.done = true; r.answer != nil {
-			r.answer(emulate.Failed, 0)
+			r.answer(model.Failed, 0)
 		}
 	}
 	a.requests = nil
-	a.d.list(emulate.Leave{Agent: a.n})
+	a.d.list(model.Leave{Agent: a.n})
 }
 
-func backends(entries []emulate.Entry) []decide.Backend {
+func backends(entries []model.Entry) []decide.Backend {
 	list := make([]decide.Backend, 0, len(entries))
 	for _, e := range entries {
 		b := decide.Backend{ID: e.Server.Name, State: e.State, Zone: e.Server.Zone, Cell: e.Server.Pod, Kind: e.Server.Kind, Weight: 1}
@@ -184,12 +184,12 @@
 	return list
 }
 
-func (a *agent) tell(e emulate.Entry) {
+func (a *agent) tell(e model.Entry) {
 	a.d.judge.Told(a.d.now, a.n, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
 }
 
 // told takes a message of the list.
-func (a *agent) told(t emulate.Tell) {
+func (a *agent) told(t model.Tell) {
 	if t.Failed {
 		a.post(decide.List{Kind: decide.ListFailed})
 		return
@@ -200,7 +200,7 @@
 	if a.members != nil {
 		if t.Full {
 			a.d.judge.Missing(a.d.now, a.n, func(server string) bool {
-				return slices.ContainsFunc(t.Entries, func(e emulate.Entry) bool { return e.Server.Name == server })
+				return slices.ContainsFunc(t.Entries, func(e model.Entry) bool { return e.Server.Name == server })
 			})
 		}
 		a.listed(t)
@@ -284,10 +284,10 @@
 		}
 	case decide.Refuse:
 		a.turnedAway(act.Request, act.Why)
-		a.answer(act.Request, judge.Refused, emulate.Refused, act.RetryAfter)
+		a.answer(act.Request, judge.Refused, model.Refused, act.RetryAfter)
 	case decide.Fail:
 		a.turnedAway(act.Request, act.Why)
-		a.answer(act.Request, judge.Failed, emulate.Failed, 0)
+		a.answer(act.Request, judge.Failed, model.Failed, 0)
 	case decide.TellPeer:
 		if to := act.To; a.d.o.Notes && to >= 0 && to < len(a.d.agents) {
 			a.d.messages++
@@ -302,7 +302,7 @@
 		heap.Push(&a.timers, timer{a.d.now + act.After, act.Token})
 	case decide.Subscribe:
 		a.d.day.Call(a.d.now)
-		a.d.list(emulate.Ask{Agent: a.n, Since: a.view.version})
+		a.d.list(model.Ask{Agent: a.n, Since: a.view.version})
 	}
 }
 
@@ -321,7 +321,7 @@
 		if alive() && r.answer != nil {
 			answer := r.answer
 			r.answer = nil
-			answer(emulate.NoAnswer, 0)
+			answer(model.NoAnswer, 0)
 		}
 	})
 	// The real agent answers in the policy's stead half a slack later. Here the policy has to, or the
@@ -337,7 +337,7 @@
 
 // answer carries a final answer of the policy out. One for a request that has ended is for the
 // judge alone: on a connection there is no room for a second.
-func (a *agent) answer(id string, kind judge.Kind, told emulate.Answer, after time.Duration) {
+func (a *agent) answer(id string, kind judge.Kind, told model.Answer, after time.Duration) {
 	if r := a.requests[id]; r != nil {
 		a.finish(r, kind, told, after)
 	} else {
@@ -346,7 +346,7 @@
 }
 
 // finish gives a final answer. That there is only one is the policy's to see to, and the judge's.
-func (a *agent) finish(r *request, kind judge.Kind, told emulate.Answer, after time.Duration) {
+func (a *agent) finish(r *request, kind judge.Kind, told model.Answer, after time.Duration) {
 	a.d.judge.Answered(a.d.now, a.n, r.id, kind)
 	if !r.done {
 		r.done = true
@@ -430,7 +430,7 @@
 		}
 	}
 	if result == decide.OK && !r.done {
-		a.finish(r, judge.Served, emulate.Served, 0)
+		a.finish(r, judge.Served, model.Served, 0)
 	}
 	a.post(decide.Outcome{Request: r.id, Attempt: t.n, Backend: t.server, Result: result,
 		Latency: a.d.now - t.sent, Done: r.done, Load: load})
@@ -450,7 +450,7 @@
 	id      int
 	agent   *agent
 	server  string // as the agent names it: another may have its address by now
-	proc    *emulate.Proc
+	proc    *model.Proc
 	attempt *attempt
 	ready   bool
 	over    bool
@@ -519,7 +519,7 @@
 	c := &conn{id: d.conn, agent: a, server: t.server, proc: p}
 	d.conns[c.id] = c
 	c.use(t)
-	c.forth(func() { d.step(p, emulate.Dial{Conn: c.id, Agent: a.n}) })
+	c.forth(func() { d.step(p, model.Dial{Conn: c.id, Agent: a.n}) })
 }
 
 func (c *conn) use(t *attempt) { c.attempt, t.conn = t, c }
@@ -572,14 +572,14 @@
 		c.mute = true
 	}
 	work, luck := t.r.task.Attempt(d.s, d.chance, t.r.try, t.n)
-	job := emulate.Job{ID: t.r.id, Agent: c.agent.n, Class: t.r.class, Key: t.r.task.Key, Work: work, Luck: luck, Sent: began}
+	job := model.Job{ID: t.r.id, Agent: c.agent.n, Class: t.r.class, Key: t.r.task.Key, Work: work, Luck: luck, Sent: began}
 	p := c.proc
 	c.forth(func() {
 		d.judge.Arrived(d.now, began, c.agent.n, job.ID, c.server)
 		if p.Name != c.server { // another process has the address: it is that one that runs it
 			d.judge.Moved(job.ID, c.server, p.Name)
 		}
-		d.step(p, emulate.Arrive{Conn: c.id, Job: job})
+		d.step(p, model.Arrive{Conn: c.id, Job: job})
 	})
 }
 
@@ -628,7 +628,7 @@
 			c.agent.pools[c.server] = slices.Delete(list, i, i+1)
 		}
 	}
-	c.forth(func() { c.agent.d.step(c.proc, emulate.Hangup{Conn: c.id}) })
+	c.forth(func() { c.agent.d.step(c.proc, model.Hangup{Conn: c.id}) })
 }
 
 // sorted is all connections, oldest first: a map has no order.
--- a/internal/rehearse/emulate/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/source/endpoints"
 )
 
@@ -15,7 +15,7 @@
 // fails, is cut short or comes empty now and then.
 type records struct {
 	d     *driver
-	spec  emulate.RecordsSpec
+	spec  model.RecordsSpec
 	past  []published
 	drawn int
 }
@@ -38,14 +38,14 @@
 		if p.Dead || p.Draining() || d.world.Find(p.Name) != p {
 			continue
 		}
-		all = append(all, member(emulate.Entry{Server: p.Spec, State: decide.Up, Started: p.Born()}))
+		all = append(all, member(model.Entry{Server: p.Spec, State: decide.Up, Started: p.Born()}))
 	}
 	r.past = append(r.past, published{d.now, all})
 	for len(r.past) > 1 && r.past[1].at <= d.now-r.spec.Late {
 		r.past = r.past[1:]
 	}
 	r.drawn++
-	c := d.chance.Sub(emulate.Name("records"), uint64(r.drawn))
+	c := d.chance.Sub(model.Name("records"), uint64(r.drawn))
 	luck, s := c.Float(), r.spec
 	var report endpoints.Report = endpoints.View{Source: fromRecords, Servers: r.past[0].all}
 	switch {
@@ -65,7 +65,7 @@
 }
 
 // member is a server as a source tells of it. Places stand for addresses.
-func member(e emulate.Entry) endpoints.Server {
+func member(e model.Entry) endpoints.Server {
 	v := endpoints.Server{ID: e.Server.Name, Addr: "place:" + strconv.Itoa(e.Server.Place), Zone: strconv.Itoa(e.Server.Zone),
 		Kind: strconv.Itoa(e.Server.Kind), Pod: e.Server.Pod, Weight: 1, Started: e.Started.Milliseconds()}
 	switch e.State {
@@ -80,8 +80,8 @@
 }
 
 // entry is the way back.
-func entry(m endpoints.Member) (emulate.Entry, error) {
-	e := emulate.Entry{Server: emulate.ServerSpec{Name: m.ID, Pod: m.Pod}, Started: time.Duration(m.Started) * time.Millisecond}
+func entry(m endpoints.Member) (model.Entry, error) {
+	e := model.Entry{Server: model.ServerSpec{Name: m.ID, Pod: m.Pod}, Started: time.Duration(m.Started) * time.Millisecond}
 	if m.State == endpoints.Draining {
 		e.State = decide.Draining
 	}
@@ -99,7 +99,7 @@
 }
 
 // newMembers is what merges for one agent, which is told the list as it had it last.
-func newMembers(s emulate.RecordsSpec) *endpoints.Module {
+func newMembers(s model.RecordsSpec) *endpoints.Module {
 	return endpoints.New(endpoints.Settings{Guard: s.Guard, Settle: s.Settle, Sources: []endpoints.Source{
 		{Name: fromList, Exact: true, Hold: 100 * time.Hour}, {Name: fromRecords, Hold: s.Hold}}})
 }
@@ -123,7 +123,7 @@
 	if !changed {
 		return
 	}
-	var entries []emulate.Entry
+	var entries []model.Entry
 	for _, m := range list {
 		if !m.In {
 			continue
@@ -143,7 +143,7 @@
 }
 
 // listed passes on what the list told, as a report.
-func (a *agent) listed(t emulate.Tell) {
+func (a *agent) listed(t model.Tell) {
 	all := make([]endpoints.Server, 0, len(t.Entries))
 	for _, e := range t.Entries {
 		all = append(all, member(e))
--- a/internal/rehearse/emulate/virtual/share.go
+++ b/internal/simulate/model/virtual/share.go
@@ -7,7 +7,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/peer/ejection"
-	"vetchhaven/internal/rehearse/emulate"
+	"vetchhaven/internal/simulate/model"
 )
 
 // Sharing is how agents tell one another what they see of servers.
@@ -38,7 +38,7 @@
 		names = append(names, memberName(n))
 	}
 	for n, a := range d.agents {
-		m, err := ejection.New(ejection.Settings{Name: memberName(n), Life: 1}, uint64(d.chance.Sub(emulate.Name("verdicts"), uint64(n))))
+		m, err := ejection.New(ejection.Settings{Name: memberName(n), Life: 1}, uint64(d.chance.Sub(model.Name("verdicts"), uint64(n))))
 		if err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 }
 
 // listed takes what the agent's own list says.
-func (s *sharer) listed(entries []emulate.Entry, full bool) {
+func (s *sharer) listed(entries []model.Entry, full bool) {
 	if full {
 		clear(s.list)
 	}
--- a/internal/rehearse/emulate/virtual/virtual.go
+++ b/internal/simulate/model/virtual/virtual.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/model"
 )
 
 // Policy is what decides for one agent; in service a *decide.Balancer.
@@ -21,7 +21,7 @@
 
 // Options say what to play.
 type Options struct {
-	Scenario *emulate.Scenario
+	Scenario *model.Scenario
 	Seed     uint64
 	New      func(s decide.Settings, seed uint64) (Policy, error)
 	Believe  bool                                  // agents believe each reading of records, and nothing else: a plain resolver, to compare with
@@ -66,7 +66,7 @@
 // seer is a policy that is shown how all servers truly are, now or as they were a while ago: no agent can be
 // such a one. It is there to compare with.
 type seer interface {
-	Sees(truth func(late time.Duration) []emulate.Sight)
+	Sees(truth func(late time.Duration) []model.Sight)
 }
 
 const (
@@ -75,7 +75,7 @@
 )
 
 // truth is how all servers were, as shown to seers. The slice stays as it is.
-func (d *driver) truth(late time.Duration) []emulate.Sight {
+func (d *driver) truth(late time.Duration) []model.Sight {
 	if late <= 0 {
 		return d.world.Sights(d.now)
 	}
@@ -94,7 +94,7 @@
 
 type past struct {
 	at    time.Duration
-	sight []emulate.Sight
+	sight []model.Sight
 }
 
 // clockOffset is the policy's time at the scenario's start, so that all starts lie after zero.
@@ -105,18 +105,18 @@
 
 type driver struct {
 	o      Options
-	s      *emulate.Scenario
-	chance emulate.Chance
+	s      *model.Scenario
+	chance model.Chance
 	now    time.Duration
 	queue  eventQueue
-	world  *emulate.World
+	world  *model.World
 	judge  *judge.Judge
 	day    *tally.Day
 	agents []*agent
-	load   *emulate.Load
+	load   *model.Load
 	conns  map[int]*conn
 	conn   int // the last number given
-	wakes  map[*emulate.Proc]time.Duration
+	wakes  map[*model.Proc]time.Duration
 	listAt time.Duration
 	open   int // tasks
 	truths []past
@@ -130,9 +130,9 @@
 // Play plays a scenario to its end, or until Stop says so.
 func Play(o Options) (*Played, error) {
 	s := o.Scenario
-	chance := emulate.Chance(o.Seed).Sub(emulate.Name("rehearsal"))
-	d := &driver{o: o, s: s, chance: chance, world: emulate.NewWorld(s, chance), load: emulate.NewLoad(s, chance),
-		judge: judge.New(JudgeConfig(s, 0)), day: tally.New(s), conns: map[int]*conn{}, wakes: map[*emulate.Proc]time.Duration{},
+	chance := model.Chance(o.Seed).Sub(model.Name("rehearsal"))
+	d := &driver{o: o, s: s, chance: chance, world: model.NewWorld(s, chance), load: model.NewLoad(s, chance),
+		judge: judge.New(JudgeConfig(s, 0)), day: tally.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
 		roll: rand.New(rand.NewPCG(o.Seed, 51))}
 	for i := range s.Agents {
 		a := &agent{d: d, n: i, zone: s.ZoneOf(i)}
@@ -170,7 +170,7 @@
 }
 
 // JudgeConfig is what a scenario's rules say to the judge; times may be off by slack.
-func JudgeConfig(s *emulate.Scenario, slack time.Duration) judge.Config {
+func JudgeConfig(s *model.Scenario, slack time.Duration) judge.Config {
 	c := judge.Config{DrainGrace: s.Rules.DrainGrace, AnswerSlack: s.Rules.AnswerSlack + slack, Slack: slack,
 		MaxAttempts: s.Rules.MaxAttempts}
 	for _, k := range s.Classes {
@@ -235,30 +235,30 @@
 	}
 	d.at(t.At, func() {
 		d.open++
-		c := emulate.NewClient(d.s, t)
+		c := model.NewClient(d.s, t)
 		d.try(&c)
 		d.nextTask()
 	})
 }
 
 // try sends a client's present try to its agent, on the same machine.
-func (d *driver) try(c *emulate.Client) {
+func (d *driver) try(c *model.Client) {
 	d.day.Try(d.now, &c.Task, c.Try)
 	a := d.agents[c.Task.Agent]
 	if !a.up || a.leaving {
-		d.answered(c, emulate.Unreachable, 0)
+		d.answered(c, model.Unreachable, 0)
 		return
 	}
 	left := c.Left(d.now)
 	r := &request{id: c.ID(), task: &c.Task, try: c.Try, class: c.Task.Class, deadline: d.now + left}
-	r.answer = func(kind emulate.Answer, after time.Duration) { d.answered(c, kind, after) }
+	r.answer = func(kind model.Answer, after time.Duration) { d.answered(c, kind, after) }
 	d.judge.Took(d.now, a.n, r.id, r.class, r.deadline)
 	a.take(r)
 }
 
 // answered ends a try: the client is done, or tries again.
-func (d *driver) answered(c *emulate.Client, kind emulate.Answer, after time.Duration) {
-	if kind == emulate.Refused {
+func (d *driver) answered(c *model.Client, kind model.Answer, after time.Duration) {
+	if kind == model.Refused {
 		d.day.Refusal(d.now, c.Task.Class)
 	}
 	wait, again := c.Next(d.now, kind, after)
@@ -273,17 +273,17 @@
 // ---- Servers and the list ----
 
 // step gives a process one event and carries out what it does.
-func (d *driver) step(p *emulate.Proc, e emulate.ServerEvent) {
+func (d *driver) step(p *model.Proc, e model.ServerEvent) {
 	d.did(p, p.Step(d.now, e))
 }
 
-func (d *driver) did(p *emulate.Proc, effects []emulate.Effect) {
+func (d *driver) did(p *model.Proc, effects []model.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
-		case emulate.Accepted, emulate.Rejected:
+		case model.Accepted, model.Rejected:
 			c := d.conns[e.Conn]
-			d.back(c, func() { c.came(e.Kind == emulate.Accepted) })
-		case emulate.Replied:
+			d.back(c, func() { c.came(e.Kind == model.Accepted) })
+		case model.Replied:
 			c := d.conns[e.Conn]
 			if e.Result == decide.Full { // from when it is said: the agent can't know sooner
 				d.judge.TurnedAway(d.now, e.Job.ID, p.Name)
@@ -298,12 +298,12 @@
 				row.Errors++
 			}
 			d.back(c, func() { c.replied(e.Result, e.Load) })
-		case emulate.Closed:
+		case model.Closed:
 			c := d.conns[e.Conn]
 			d.back(c, c.reset)
-		case emulate.Ran:
+		case model.Ran:
 			d.judge.Ran(d.now, e.Job.ID, p.Name)
-		case emulate.Fell:
+		case model.Fell:
 			informed := p.Blame(func(agent int) bool { return d.judge.Knows(agent, p.Name, p.Born()) })
 			row := d.day.Server(p.Spec)
 			row.Fell = true
@@ -318,7 +318,7 @@
 }
 
 // wake sees to it that a process is stepped when something is due.
-func (d *driver) wake(p *emulate.Proc) {
+func (d *driver) wake(p *model.Proc) {
 	next := p.NextWake()
 	if p.Dead || next == 0 || d.wakes[p] > 0 && d.wakes[p] <= next && d.wakes[p] >= d.now {
 		return
@@ -327,7 +327,7 @@
 	d.at(next, func() {
 		if !p.Dead && d.wakes[p] == next {
 			d.wakes[p] = 0
-			d.step(p, emulate.Wake{})
+			d.step(p, model.Wake{})
 		}
 	})
 }
@@ -345,7 +345,7 @@
 }
 
 // died resets all connections to a process.
-func (d *driver) died(p *emulate.Proc) {
+func (d *driver) died(p *model.Proc) {
 	delete(d.wakes, p)
 	for _, c := range d.sorted() {
 		if c.proc == p {
@@ -355,7 +355,7 @@
 }
 
 func (d *driver) apply(what any) {
-	if op, ok := what.(emulate.Agents); ok {
+	if op, ok := what.(model.Agents); ok {
 		for n := op.From; n < op.To; n++ {
 			if !op.Up && op.Drain {
 				d.agents[n].leave()
@@ -378,9 +378,9 @@
 }
 
 // list gives the list one event.
-func (d *driver) list(e emulate.ListEvent) { d.tells(d.world.List.Step(d.now, e)) }
+func (d *driver) list(e model.ListEvent) { d.tells(d.world.List.Step(d.now, e)) }
 
-func (d *driver) tells(tells []emulate.Tell) {
+func (d *driver) tells(tells []model.Tell) {
 	for _, t := range tells {
 		a := d.agents[t.Agent]
 		life := a.life
@@ -398,7 +398,7 @@
 	d.at(next, func() {
 		if d.listAt == next {
 			d.listAt = 0
-			d.list(emulate.Wake{})
+			d.list(model.Wake{})
 		}
 	})
 }
--- a/internal/rehearse/emulate/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
 	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model"
 )
 
 // base is a fleet of four in two pods, with room to spare.
@@ -86,7 +86,7 @@
 count = 2
 `
 
-func load(t testing.TB, text string) *emulate.Scenario {
+func load(t testing.TB, text string) *model.Scenario {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -101,7 +101,7 @@
 
 func incident(lines ...string) string { return "\n[[incident]]\n" + strings.Join(lines, "\n") + "\n" }
 
-func play(t testing.TB, s *emulate.Scenario, seed uint64, make func(decide.Settings, uint64) (Policy, error)) *Played {
+func play(t testing.TB, s *model.Scenario, seed uint64, make func(decide.Settings, uint64) (Policy, error)) *Played {
 	t.Helper()
 	p, err := Play(Options{Scenario: s, Seed: seed, New: make})
 	if err != nil {
@@ -382,22 +382,22 @@
 	one = strings.TrimSuffix(one, "count = 2\n") + "count = 1\n"
 	// The first answer's instant, from a play without the incident.
 	s := load(t, one)
-	w := emulate.NewWorld(s, 1)
+	w := model.NewWorld(s, 1)
 	p := w.Procs[0]
-	p.Step(0, emulate.Dial{Conn: 1})
-	p.Step(0, emulate.Arrive{Conn: 1, Job: emulate.Job{ID: "q", Work: 40 * time.Millisecond, Luck: 0.5}})
+	p.Step(0, model.Dial{Conn: 1})
+	p.Step(0, model.Arrive{Conn: 1, Job: model.Job{ID: "q", Work: 40 * time.Millisecond, Luck: 0.5}})
 	at := p.NextWake()
-	r := w.Apply(at, emulate.Kill{Server: p.Name})
-	if len(r.Died) != 1 || len(r.Did) != 1 || !slices.ContainsFunc(r.Did[0].Effects, func(e emulate.Effect) bool {
-		return e.Kind == emulate.Replied && e.Result == decide.OK
+	r := w.Apply(at, model.Kill{Server: p.Name})
+	if len(r.Died) != 1 || len(r.Did) != 1 || !slices.ContainsFunc(r.Did[0].Effects, func(e model.Effect) bool {
+		return e.Kind == model.Replied && e.Result == decide.OK
 	}) {
 		t.Errorf("killed at the instant of its answer: %+v", r)
 	}
-	w = emulate.NewWorld(s, 1)
+	w = model.NewWorld(s, 1)
 	p = w.Procs[0]
-	p.Step(0, emulate.Dial{Conn: 1})
-	p.Step(0, emulate.Arrive{Conn: 1, Job: emulate.Job{ID: "q", Work: 40 * time.Millisecond, Luck: 0.5}})
-	if r := w.Apply(at-1, emulate.Kill{Server: p.Name}); len(r.Did[0].Effects) > 0 {
+	p.Step(0, model.Dial{Conn: 1})
+	p.Step(0, model.Arrive{Conn: 1, Job: model.Job{ID: "q", Work: 40 * time.Millisecond, Luck: 0.5}})
+	if r := w.Apply(at-1, model.Kill{Server: p.Name}); len(r.Did[0].Effects) > 0 {
 		t.Errorf("killed just before its answer: %+v", r)
 	}
 }
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -26,7 +26,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/rehearse/emulate/sockets"
+	"vetchhaven/internal/simulate/model/sockets"
 	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/tools/capacity/slopes"
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"vetchhaven/internal/host/daemon"
-	"vetchhaven/internal/rehearse/emulate/sockets"
+	"vetchhaven/internal/simulate/model/sockets"
 	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
 	"vetchhaven/tools/measure"
--- a/tools/fleet/herd.go
+++ b/tools/fleet/herd.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/sockets"
 	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/sockets"
 )
 
 // program builds the daemon into dir.
@@ -50,7 +50,7 @@
 	}
 	cold, joins := "", time.Duration(0)
 	for _, c := range s.Timeline {
-		if op, ok := c.What.(emulate.Start); ok {
+		if op, ok := c.What.(model.Start); ok {
 			cold, joins = op.Server.Name, c.At
 		}
 	}
--- a/tools/members/agents.go
+++ b/tools/members/agents.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 // agents plays a scenario with records beside the list: agents that merge both, and agents that believe each
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -11,9 +11,9 @@
 	"vetchhaven/internal/faulttest/plan"
 	drill "vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 // counts are what each agent's view said, by time.
@@ -35,7 +35,7 @@
 
 // followDay plays the fleet's views for a day: all start at its beginning with a wrong figure in their files, and what
 // befalls agents or the links between them befalls them.
-func followDay(s *emulate.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
+func followDay(s *model.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
 	c := make(counts, s.Agents)
 	_, err := drill.Play(p, drill.Options{Seed: seed, FileCount: file, Each: func(at time.Duration, daemon int, a membership.Action) {
--- a/tools/rehearsal/fleet.go
+++ b/tools/rehearsal/fleet.go
@@ -6,9 +6,9 @@
 	"runtime"
 	"time"
 
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 // fleet plays each scenario with the project's policy and with the two that see all servers as they truly are.
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -23,10 +23,10 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/virtual"
 )
 
 func main() {
@@ -85,7 +85,7 @@
 
 // plays plays a scenario with each policy and seed, as many at once as there are cores, and hands on each play, one at a
 // time: the policy by its place, the seed less one, and how long it took.
-func plays(s *emulate.Scenario, policies []string, seeds int, played func(policy, seed int, p *virtual.Played, took time.Duration)) error {
+func plays(s *model.Scenario, policies []string, seeds int, played func(policy, seed int, p *virtual.Played, took time.Duration)) error {
 	slots := make(chan struct{}, runtime.NumCPU())
 	var mu sync.Mutex
 	var all sync.WaitGroup
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -17,10 +17,10 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/peer/ejection/play"
-	"vetchhaven/internal/rehearse/emulate"
-	"vetchhaven/internal/rehearse/emulate/virtual"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/model/virtual"
 	"vetchhaven/tools/internal/bench"
 )
 
@@ -50,14 +50,14 @@
 // fault is what befalls servers.
 type fault struct {
 	name    string
-	hit     func(s *emulate.Scenario) []string
+	hit     func(s *model.Scenario) []string
 	on, off func(server string) any
 }
 
-func one(s *emulate.Scenario) []string { return []string{s.Servers[7].Name} }
+func one(s *model.Scenario) []string { return []string{s.Servers[7].Name} }
 
-func every(n int) func(s *emulate.Scenario) []string {
-	return func(s *emulate.Scenario) (hit []string) {
+func every(n int) func(s *model.Scenario) []string {
+	return func(s *model.Scenario) (hit []string) {
 		for i, v := range s.Servers {
 			if i%n == 0 {
 				hit = append(hit, v.Name)
@@ -67,7 +67,7 @@
 	}
 }
 
-func zone(s *emulate.Scenario) (hit []string) {
+func zone(s *model.Scenario) (hit []string) {
 	for _, v := range s.Servers {
 		if v.Zone == 1 {
 			hit = append(hit, v.Name)
@@ -77,15 +77,15 @@
 }
 
 func errorsOf(rate float64) (on, off func(string) any) {
-	return func(v string) any { return emulate.ServerErrors{Server: v, Rate: rate} }, func(v string) any { return emulate.ServerErrors{Server: v} }
+	return func(v string) any { return model.ServerErrors{Server: v, Rate: rate} }, func(v string) any { return model.ServerErrors{Server: v} }
 }
 
 func silence() (on, off func(string) any) {
-	return func(v string) any { return emulate.Silence{Server: v, On: true} }, func(v string) any { return emulate.Silence{Server: v} }
+	return func(v string) any { return model.Silence{Server: v, On: true} }, func(v string) any { return model.Silence{Server: v} }
 }
 
 func slow() (on, off func(string) any) {
-	return func(v string) any { return emulate.ServerSpeed{Server: v, Factor: 0.02} }, func(v string) any { return emulate.ServerSpeed{Server: v, Factor: 1} }
+	return func(v string) any { return model.ServerSpeed{Server: v, Factor: 0.02} }, func(v string) any { return model.ServerSpeed{Server: v, Factor: 1} }
 }
 
 type outcome struct {
@@ -101,7 +101,7 @@
 		return err
 	}
 	faults := []fault{}
-	add := func(name string, hit func(*emulate.Scenario) []string, on, off func(string) any) {
+	add := func(name string, hit func(*model.Scenario) []string, on, off func(string) any) {
 		faults = append(faults, fault{name, hit, on, off})
 	}
 	on, off := errorsOf(1)
@@ -188,15 +188,15 @@
 	return nil
 }
 
-func day(s emulate.Scenario, f fault, rate float64, way string, agents int, seed uint64) (outcome, error) {
+func day(s model.Scenario, f fault, rate float64, way string, agents int, seed uint64) (outcome, error) {
 	s.Agents, s.Rate, s.Length, s.Vary = agents, rate*float64(agents), dayLength, 0
 	s.Timeline = nil
 	hit := f.hit(&s)
 	for _, v := range hit {
-		s.Timeline = append(s.Timeline, emulate.Change{At: faultAt, What: f.on(v)})
+		s.Timeline = append(s.Timeline, model.Change{At: faultAt, What: f.on(v)})
 	}
 	for _, v := range hit {
-		s.Timeline = append(s.Timeline, emulate.Change{At: faultAt + faultFor, What: f.off(v)})
+		s.Timeline = append(s.Timeline, model.Change{At: faultAt + faultFor, What: f.off(v)})
 	}
 	var out outcome
 	o := virtual.Options{Scenario: &s, Seed: seed, New: virtual.Decide,
