--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -40,7 +40,7 @@
 	"internal/faulttest/soak/check": nil,
 	"internal/faulttest/topology":   nil,
 	"internal/protocol/ldapmsg":     nil,
-	"internal/rehearse/judge":       {"decide"},
+	"internal/simulate/checker":     {"decide"},
 }
 
 func layerOf(path string) (layer int, ok bool) {
--- a/internal/rehearse/report/report.go
+++ b/internal/rehearse/report/report.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 )
 
@@ -19,7 +19,7 @@
 type Result struct {
 	Policy   string
 	Day      *tally.Day
-	Judge    *judge.Judge
+	Judge    *checker.Judge
 	CutShort bool
 }
 
--- a/internal/rehearse/judge/judge.go
+++ b/internal/simulate/checker/checker.go
@@ -1,4 +1,4 @@
-// Package judge holds a balancer to the four rules. It sees only what happened, each thing with
+// Package checker holds a balancer to the four rules. It sees only what happened, each thing with
 // its time, and knows nothing of how the balancer works: what agents took and answered, what
 // reached servers, what the list told whom. It is free of I/O and of any clock.
 //
@@ -6,7 +6,7 @@
 // and nothing is sent for it after that; (2) no effect happens twice, and a refusal says that
 // trying again is harmless; (3) nothing new goes to a server a stated grace after this agent was
 // told that it drains or is gone; (4) no cold server is pushed over.
-package judge
+package checker
 
 import (
 	"fmt"
--- a/internal/rehearse/judge/judge_test.go
+++ b/internal/simulate/checker/checker_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"strings"
--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/judge"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 )
 
@@ -115,12 +115,12 @@
 		g.judge.Lost(now, a.n, id)
 		return model.Failed, 0
 	}
-	kind, told := judge.Failed, model.Failed
+	kind, told := checker.Failed, model.Failed
 	switch status {
 	case http.StatusOK:
-		kind, told = judge.Served, model.Served
+		kind, told = checker.Served, model.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		kind, told = judge.Refused, model.Refused
+		kind, told = checker.Refused, model.Refused
 	}
 	g.judge.Answered(now, a.n, id, kind)
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
--- a/internal/simulate/model/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
 )
@@ -58,7 +58,7 @@
 // Played is how it went.
 type Played struct {
 	Day      *tally.Day
-	Judge    *judge.Judge
+	Judge    *checker.Judge
 	CutShort bool
 }
 
@@ -73,7 +73,7 @@
 
 	mu      sync.Mutex
 	world   *model.World
-	judge   *judge.Judge
+	judge   *checker.Judge
 	day     *tally.Day
 	places  map[int]*place
 	conns   map[int]*conn
@@ -128,7 +128,7 @@
 			return nil, errors.New("agents-restart with drain is played in virtual time only")
 		}
 	}
-	g := &stage{o: o, s: s, base: time.Now(), judge: judge.New(virtual.JudgeConfig(s, slack)), day: tally.New(s), places: map[int]*place{},
+	g := &stage{o: o, s: s, base: time.Now(), judge: checker.New(virtual.JudgeConfig(s, slack)), day: tally.New(s), places: map[int]*place{},
 		conns: map[int]*conn{}, wakes: map[*model.Proc]*time.Timer{}, tries: map[string]*try{}, watches: map[int]*watch{}}
 	g.begun.Store(math.MaxInt64 / 2)
 	most := 0
--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/judge"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/source/endpoints"
 )
@@ -284,10 +284,10 @@
 		}
 	case decide.Refuse:
 		a.turnedAway(act.Request, act.Why)
-		a.answer(act.Request, judge.Refused, model.Refused, act.RetryAfter)
+		a.answer(act.Request, checker.Refused, model.Refused, act.RetryAfter)
 	case decide.Fail:
 		a.turnedAway(act.Request, act.Why)
-		a.answer(act.Request, judge.Failed, model.Failed, 0)
+		a.answer(act.Request, checker.Failed, model.Failed, 0)
 	case decide.TellPeer:
 		if to := act.To; a.d.o.Notes && to >= 0 && to < len(a.d.agents) {
 			a.d.messages++
@@ -337,7 +337,7 @@
 
 // answer carries a final answer of the policy out. One for a request that has ended is for the
 // judge alone: on a connection there is no room for a second.
-func (a *agent) answer(id string, kind judge.Kind, told model.Answer, after time.Duration) {
+func (a *agent) answer(id string, kind checker.Kind, told model.Answer, after time.Duration) {
 	if r := a.requests[id]; r != nil {
 		a.finish(r, kind, told, after)
 	} else {
@@ -346,7 +346,7 @@
 }
 
 // finish gives a final answer. That there is only one is the policy's to see to, and the judge's.
-func (a *agent) finish(r *request, kind judge.Kind, told model.Answer, after time.Duration) {
+func (a *agent) finish(r *request, kind checker.Kind, told model.Answer, after time.Duration) {
 	a.d.judge.Answered(a.d.now, a.n, r.id, kind)
 	if !r.done {
 		r.done = true
@@ -430,7 +430,7 @@
 		}
 	}
 	if result == decide.OK && !r.done {
-		a.finish(r, judge.Served, model.Served, 0)
+		a.finish(r, checker.Served, model.Served, 0)
 	}
 	a.post(decide.Outcome{Request: r.id, Attempt: t.n, Backend: t.server, Result: result,
 		Latency: a.d.now - t.sent, Done: r.done, Load: load})
--- a/internal/simulate/model/virtual/virtual.go
+++ b/internal/simulate/model/virtual/virtual.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 )
 
@@ -56,7 +56,7 @@
 // Played is how it went.
 type Played struct {
 	Day      *tally.Day
-	Judge    *judge.Judge
+	Judge    *checker.Judge
 	CutShort bool
 	Emptied  int // times that an agent was left with no server by what list and records said
 	Messages int // between agents, and their bytes
@@ -110,7 +110,7 @@
 	now    time.Duration
 	queue  eventQueue
 	world  *model.World
-	judge  *judge.Judge
+	judge  *checker.Judge
 	day    *tally.Day
 	agents []*agent
 	load   *model.Load
@@ -132,7 +132,7 @@
 	s := o.Scenario
 	chance := model.Chance(o.Seed).Sub(model.Name("rehearsal"))
 	d := &driver{o: o, s: s, chance: chance, world: model.NewWorld(s, chance), load: model.NewLoad(s, chance),
-		judge: judge.New(JudgeConfig(s, 0)), day: tally.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
+		judge: checker.New(JudgeConfig(s, 0)), day: tally.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
 		roll: rand.New(rand.NewPCG(o.Seed, 51))}
 	for i := range s.Agents {
 		a := &agent{d: d, n: i, zone: s.ZoneOf(i)}
@@ -170,8 +170,8 @@
 }
 
 // JudgeConfig is what a scenario's rules say to the judge; times may be off by slack.
-func JudgeConfig(s *model.Scenario, slack time.Duration) judge.Config {
-	c := judge.Config{DrainGrace: s.Rules.DrainGrace, AnswerSlack: s.Rules.AnswerSlack + slack, Slack: slack,
+func JudgeConfig(s *model.Scenario, slack time.Duration) checker.Config {
+	c := checker.Config{DrainGrace: s.Rules.DrainGrace, AnswerSlack: s.Rules.AnswerSlack + slack, Slack: slack,
 		MaxAttempts: s.Rules.MaxAttempts}
 	for _, k := range s.Classes {
 		c.Classes = append(c.Classes, k.Class)
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 )
 
@@ -282,7 +282,7 @@
 				}
 				return
 			}
-			if p.Judge.Count(tt.rule) == 0 || !slices.ContainsFunc(all, func(b judge.Breach) bool {
+			if p.Judge.Count(tt.rule) == 0 || !slices.ContainsFunc(all, func(b checker.Breach) bool {
 				return b.Rule == tt.rule && strings.Contains(b.Text, tt.want)
 			}) {
 				t.Fatalf("%d breaches, first %v; want rule %d with %q", len(all), all[:min(1, len(all))], tt.rule, tt.want)
--- a/tools/fleet/herd.go
+++ b/tools/fleet/herd.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/rehearse/judge"
 	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/sockets"
 )
@@ -57,7 +57,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
 	ways := []string{"vetchhaven", "naive"}
-	breaches := make([][]judge.Breach, len(ways))
+	breaches := make([][]checker.Breach, len(ways))
 	traces := make([]map[time.Duration]step, len(ways))
 	fmt.Println("| start | asked | in time | late | refused | failed | refusals | service | worst 5 s | rules broken | cold: most held | cold: most load | fell |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
