--- a/cmd/vetchhaven/rehearse.go
+++ b/cmd/vetchhaven/rehearse.go
@@ -19,7 +19,7 @@
 	"vetchhaven/internal/rehearse/report"
 	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/rehearse/tally"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
 )
@@ -53,7 +53,7 @@
 	}
 	c.Flags().BoolVar(&f.sockets, "sockets", false, "play on loopback sockets and in real time")
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "all chance comes from it")
-	c.Flags().StringVar(&f.policy, "policy", ownPolicy, "who decides: "+ownPolicy+", "+strings.Join(textbook.Names, ", "))
+	c.Flags().StringVar(&f.policy, "policy", ownPolicy, "who decides: "+ownPolicy+", "+strings.Join(baseline.Names, ", "))
 	c.Flags().StringSliceVar(&f.against, "against", nil, "policies to play the same arrivals and faults against")
 	c.Flags().StringVar(&f.json, "json", "", "also write the report to this file as JSON")
 	c.Flags().StringVar(&f.html, "html", "", "also write the report to this file as a page with plots")
@@ -68,7 +68,7 @@
 	if name == ownPolicy {
 		return virtual.Decide, nil
 	}
-	make, err := textbook.Maker(name)
+	make, err := baseline.Maker(name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearse/chain/chain.go
+++ b/internal/rehearse/chain/chain.go
@@ -10,7 +10,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/eventqueue"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 )
 
@@ -228,7 +228,7 @@
 	case Agent:
 		return decide.New(s, seed)
 	case Threes, None:
-		return textbook.New("least-request", s, seed)
+		return baseline.New("least-request", s, seed)
 	}
 	return nil, fmt.Errorf("%q is none of %s, %s, %s", p.Policy, Agent, Threes, None)
 }
--- a/internal/rehearse/report/report_test.go
+++ b/internal/rehearse/report/report_test.go
@@ -12,7 +12,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model/virtual"
 )
 
@@ -32,7 +32,7 @@
 		r.Results = append(r.Results, Result{name, p.Day, p.Judge, false})
 	}
 	p, err := virtual.Play(virtual.Options{Scenario: s, Seed: 4, New: func(s decide.Settings, seed uint64) (virtual.Policy, error) {
-		return textbook.New("random", s, seed)
+		return baseline.New("random", s, seed)
 	}, Stop: func() bool { return false }})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearse/textbook/textbook.go
+++ b/internal/simulate/baseline/baseline.go
@@ -1,8 +1,8 @@
-// Package textbook holds small balancers as textbooks describe them, to play beside the decision
+// Package baseline holds small balancers as textbooks describe them, to play beside the decision
 // module: random, round-robin, least-request and p2c (the better of two random choices), each with
 // plain retries: at once, elsewhere, as often as the site allows. They keep the repeat rule, the
 // drains and the deadlines; they know nothing of queues, cold servers, worth or budgets.
-package textbook
+package baseline
 
 import (
 	"fmt"
--- a/internal/rehearse/textbook/seer.go
+++ b/internal/simulate/baseline/seer.go
@@ -1,4 +1,4 @@
-package textbook
+package baseline
 
 import (
 	"cmp"
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -13,7 +13,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 )
@@ -111,7 +111,7 @@
 }
 
 func honest(s decide.Settings, seed uint64) (Policy, error) {
-	return textbook.New("least-request", s, seed)
+	return baseline.New("least-request", s, seed)
 }
 
 // broken is an honest policy whose actions are spoilt.
--- a/tools/rehearsal/fleet.go
+++ b/tools/rehearsal/fleet.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model/virtual"
 )
 
 // fleet plays each scenario with the project's policy and with the two that see all servers as they truly are.
 // It prints service, and what the whole fleet of agents costs servers and list for it, on the mean over seeds.
 func fleet(paths []string, seeds int) error {
-	policies := []string{"vetchhaven", textbook.SeesLate, textbook.SeesNow}
+	policies := []string{"vetchhaven", baseline.SeesLate, baseline.SeesNow}
 	fmt.Printf("%d cores, mean of seeds 1 to %d\n\n", runtime.NumCPU(), seeds)
 	fmt.Println("| scenario | policy | service | worst 5 s | refusals a request | attempts a request | connections opened a request | list calls an agent | servers in view | rules broken | play |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -24,7 +24,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
 )
@@ -76,7 +76,7 @@
 	if name == "vetchhaven" {
 		return virtual.Decide
 	}
-	make, err := textbook.Maker(name)
+	make, err := baseline.Maker(name)
 	if err != nil {
 		panic(err) // the names are textbook's own
 	}
@@ -113,7 +113,7 @@
 
 // table plays every scenario with every policy and seed.
 func table(paths []string, seeds int) error {
-	policies := append([]string{"vetchhaven"}, textbook.Names...)
+	policies := append([]string{"vetchhaven"}, baseline.Names...)
 	fmt.Printf("%d cores, seeds 1 to %d; service in %% of the worth asked for: mean (least to most); in brackets rules broken, over all seeds\n\n",
 		runtime.NumCPU(), seeds)
 	fmt.Println("| scenario | " + strings.Join(policies, " | ") + " |")
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -18,7 +18,7 @@
 	"vetchhaven/decide"
 	"vetchhaven/internal/peer/ejection/play"
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/textbook"
+	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
 	"vetchhaven/tools/internal/bench"
@@ -114,7 +114,7 @@
 	add("a zone is silent", zone, on, off)
 	on, off = slow()
 	add("one is 50 times slower", one, on, off)
-	ways := []string{"each alone", "notes of decide", "verdicts", textbook.SeesNow}
+	ways := []string{"each alone", "notes of decide", "verdicts", baseline.SeesNow}
 	type cell struct {
 		f    fault
 		rate float64
@@ -213,7 +213,7 @@
 		o.Notes = true
 	case "verdicts":
 		o.Share = &virtual.Sharing{Late: time.Millisecond}
-	case textbook.SeesNow:
+	case baseline.SeesNow:
 		var err error
 		if o.New, err = seer(); err != nil {
 			return out, err
@@ -229,7 +229,7 @@
 }
 
 func seer() (func(decide.Settings, uint64) (virtual.Policy, error), error) {
-	make, err := textbook.Maker(textbook.SeesNow)
+	make, err := baseline.Maker(baseline.SeesNow)
 	if err != nil {
 		return nil, err
 	}
