--- a/cmd/vetchhaven/rehearse.go
+++ b/cmd/vetchhaven/rehearse.go
@@ -18,10 +18,10 @@
 	"vetchhaven/decide"
 	"vetchhaven/internal/rehearse/report"
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/tally"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/statistics"
 )
 
 // ownPolicy is the name of the project's decision module among policies.
@@ -164,7 +164,7 @@
 }
 
 // progress writes one line over and over, on a terminal only.
-func progress(s *model.Scenario, f rehearseFlags, errs io.Writer) func(time.Duration, *tally.Day) {
+func progress(s *model.Scenario, f rehearseFlags, errs io.Writer) func(time.Duration, *statistics.Day) {
 	file, ok := errs.(*os.File)
 	if !ok || f.quiet {
 		return nil
@@ -173,7 +173,7 @@
 		return nil
 	}
 	var last atomic.Int64
-	return func(now time.Duration, d *tally.Day) {
+	return func(now time.Duration, d *statistics.Day) {
 		if t := time.Now().UnixMilli(); t-last.Load() < 200 && now < s.Length {
 			return
 		} else {
--- a/internal/rehearse/report/html.go
+++ b/internal/rehearse/report/html.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"vetchhaven/internal/rehearse/tally"
+	"vetchhaven/internal/simulate/statistics"
 )
 
 // HTML writes one page that needs nothing else: tables, and plots as SVG.
@@ -56,7 +56,7 @@
 
 type classRow struct {
 	Name string
-	tally.Counts
+	statistics.Counts
 	Service, P50, P99 string
 }
 
@@ -73,24 +73,24 @@
 func (r *Report) charts() []chart {
 	var service, attempts, refusals, asked, held []line
 	for i, res := range r.Results {
-		l := func(f func(tally.Counts) float64) line {
+		l := func(f func(statistics.Counts) float64) line {
 			out := line{Name: res.Policy, Colour: colour(i), Dash: dash(i)}
 			for w, c := range res.Day.Windows {
-				if at := time.Duration(w) * tally.Window; at < res.Day.Length {
-					out.X = append(out.X, (at + tally.Window/2).Seconds())
+				if at := time.Duration(w) * statistics.Window; at < res.Day.Length {
+					out.X = append(out.X, (at + statistics.Window/2).Seconds())
 					out.Y = append(out.Y, f(c))
 				}
 			}
 			return out
 		}
-		per := func(f func(tally.Counts) int) func(tally.Counts) float64 {
-			return func(c tally.Counts) float64 { return float64(f(c)) / tally.Window.Seconds() }
+		per := func(f func(statistics.Counts) int) func(statistics.Counts) float64 {
+			return func(c statistics.Counts) float64 { return float64(f(c)) / statistics.Window.Seconds() }
 		}
-		service = append(service, l(func(c tally.Counts) float64 { return 100 * c.Service() }))
-		attempts = append(attempts, l(per(func(c tally.Counts) int { return c.Attempts })))
-		refusals = append(refusals, l(per(func(c tally.Counts) int { return c.Refusals })))
+		service = append(service, l(func(c statistics.Counts) float64 { return 100 * c.Service() }))
+		attempts = append(attempts, l(per(func(c statistics.Counts) int { return c.Attempts })))
+		refusals = append(refusals, l(per(func(c statistics.Counts) int { return c.Refusals })))
 		if i == 0 {
-			o := l(per(func(c tally.Counts) int { return c.Offered }))
+			o := l(per(func(c statistics.Counts) int { return c.Offered }))
 			o.Name, o.Colour, o.Dash = "asked for", "#888", "2 3"
 			asked = append(asked, o)
 		}
@@ -102,8 +102,8 @@
 		}
 		l := line{Name: s.Name, Colour: colour(i), Dash: dash(i)}
 		for w, q := range s.Queue {
-			if at := time.Duration(w) * tally.Window; q >= 0 && at < r.Results[0].Day.Length {
-				l.X = append(l.X, (at + tally.Window/2).Seconds())
+			if at := time.Duration(w) * statistics.Window; q >= 0 && at < r.Results[0].Day.Length {
+				l.X = append(l.X, (at + statistics.Window/2).Seconds())
 				l.Y = append(l.Y, q)
 			}
 		}
--- a/internal/rehearse/report/report.go
+++ b/internal/rehearse/report/report.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/tally"
 	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/statistics"
 )
 
 // Result is how one policy did.
 type Result struct {
 	Policy   string
-	Day      *tally.Day
+	Day      *statistics.Day
 	Judge    *checker.Judge
 	CutShort bool
 }
@@ -89,21 +89,21 @@
 	t.Flush()
 }
 
-func windows(w io.Writer, d *tally.Day) {
+func windows(w io.Writer, d *statistics.Day) {
 	t := table(w)
 	fmt.Fprintln(t, "from\toffered\tin time\tlate\trefused\tfailed\ttries\tattempts\tservice\topened\tlist calls\tin view\t")
-	row := func(name string, c tally.Counts) {
+	row := func(name string, c statistics.Counts) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%.1f\t\n", name, c.Offered, c.InTime, c.Late, c.Refused,
 			c.Failed, c.Tries, c.Attempts, percent(c.Service()), c.Dials, c.Calls, c.View)
 	}
 	for i, c := range d.Windows {
-		if at := time.Duration(i) * tally.Window; at < d.Length {
+		if at := time.Duration(i) * statistics.Window; at < d.Length {
 			row(clock(at), c)
 		}
 	}
 	row("all", d.Total)
 	t.Flush()
-	if d.Total.Why == (tally.Reasons{}) {
+	if d.Total.Why == (statistics.Reasons{}) {
 		return
 	}
 	fmt.Fprintln(w, "\nturned away, by tries and reason")
@@ -113,7 +113,7 @@
 		fmt.Fprintf(t, "%v\t", decide.Reason(i))
 	}
 	fmt.Fprintln(t)
-	reasons := func(name string, c tally.Counts) {
+	reasons := func(name string, c statistics.Counts) {
 		fmt.Fprintf(t, "%s\t", name)
 		for _, n := range c.Why {
 			fmt.Fprintf(t, "%d\t", n)
@@ -121,7 +121,7 @@
 		fmt.Fprintln(t)
 	}
 	for i, c := range d.Windows {
-		if at := time.Duration(i) * tally.Window; at < d.Length {
+		if at := time.Duration(i) * statistics.Window; at < d.Length {
 			reasons(clock(at), c)
 		}
 	}
@@ -129,7 +129,7 @@
 	t.Flush()
 }
 
-func (r *Report) classes(w io.Writer, d *tally.Day) {
+func (r *Report) classes(w io.Writer, d *statistics.Day) {
 	t := table(w)
 	fmt.Fprintln(t, "class\toffered\tin time\tlate\trefused\tfailed\ttries\tattempts\tservice\tp50\tp99\t")
 	for i, c := range d.Classes {
@@ -143,7 +143,7 @@
 
 const serversShown = 40
 
-func serversTable(w io.Writer, d *tally.Day) {
+func serversTable(w io.Writer, d *statistics.Day) {
 	t := table(w)
 	fmt.Fprintln(t, "server\tkind\tzone\tpod\tattempts\tshare\tserved\terrors\tfull\tmost held\tcold load\t")
 	for i, s := range d.Servers {
@@ -218,24 +218,24 @@
 }
 
 type jsonResult struct {
-	Policy   string          `json:"policy"`
-	CutShort bool            `json:"cut_short"`
-	Played   float64         `json:"played_s"`
-	Service  float64         `json:"service"`
-	Worst    float64         `json:"service_worst_window"`
-	Total    tally.Counts    `json:"total"`
-	Windows  []tally.Counts  `json:"windows"`
-	Classes  []jsonClass     `json:"classes"`
-	Servers  []*tally.Server `json:"servers"`
-	Reads    int             `json:"list_reads"`
-	Broken   map[string]int  `json:"rules_broken"`
-	Breaches []string        `json:"breaches"`
-	Doubled  int             `json:"effects_doubled"`
+	Policy   string               `json:"policy"`
+	CutShort bool                 `json:"cut_short"`
+	Played   float64              `json:"played_s"`
+	Service  float64              `json:"service"`
+	Worst    float64              `json:"service_worst_window"`
+	Total    statistics.Counts    `json:"total"`
+	Windows  []statistics.Counts  `json:"windows"`
+	Classes  []jsonClass          `json:"classes"`
+	Servers  []*statistics.Server `json:"servers"`
+	Reads    int                  `json:"list_reads"`
+	Broken   map[string]int       `json:"rules_broken"`
+	Breaches []string             `json:"breaches"`
+	Doubled  int                  `json:"effects_doubled"`
 }
 
 type jsonClass struct {
 	Name string `json:"name"`
-	tally.Counts
+	statistics.Counts
 	Service float64 `json:"service"`
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
@@ -244,7 +244,7 @@
 // JSON writes all of the report. It holds no time of the real clock: the same play gives the same bytes.
 func (r *Report) JSON(w io.Writer) error {
 	out := jsonReport{Title: r.Scenario.Title, Driver: r.Driver, Seed: r.Seed, Length: r.Scenario.Length.Seconds(),
-		Window: tally.Window.Seconds(), Incidents: []jsonMark{}}
+		Window: statistics.Window.Seconds(), Incidents: []jsonMark{}}
 	for _, m := range r.Scenario.Marks {
 		out.Incidents = append(out.Incidents, jsonMark{m.From.Seconds(), m.To.Seconds(), m.Text})
 	}
--- a/internal/simulate/model/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/tally"
 	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/statistics"
 )
 
 // Bounds on what is played on one machine.
@@ -49,7 +49,7 @@
 	// of the first one's zone.
 	ListAt   string
 	AgentsAt []string
-	Progress func(now time.Duration, d *tally.Day)
+	Progress func(now time.Duration, d *statistics.Day)
 	// Trace, if set, is told what each server has every 100 ms: what it holds and, while it is cold, its
 	// load as a multiple of what it can do.
 	Trace func(now time.Duration, server string, held int, pressure float64)
@@ -57,7 +57,7 @@
 
 // Played is how it went.
 type Played struct {
-	Day      *tally.Day
+	Day      *statistics.Day
 	Judge    *checker.Judge
 	CutShort bool
 }
@@ -74,7 +74,7 @@
 	mu      sync.Mutex
 	world   *model.World
 	judge   *checker.Judge
-	day     *tally.Day
+	day     *statistics.Day
 	places  map[int]*place
 	conns   map[int]*conn
 	lastID  int
@@ -128,7 +128,7 @@
 			return nil, errors.New("agents-restart with drain is played in virtual time only")
 		}
 	}
-	g := &stage{o: o, s: s, base: time.Now(), judge: checker.New(virtual.JudgeConfig(s, slack)), day: tally.New(s), places: map[int]*place{},
+	g := &stage{o: o, s: s, base: time.Now(), judge: checker.New(virtual.JudgeConfig(s, slack)), day: statistics.New(s), places: map[int]*place{},
 		conns: map[int]*conn{}, wakes: map[*model.Proc]*time.Timer{}, tries: map[string]*try{}, watches: map[int]*watch{}}
 	g.begun.Store(math.MaxInt64 / 2)
 	most := 0
--- a/internal/simulate/model/sockets/sockets_test.go
+++ b/internal/simulate/model/sockets/sockets_test.go
@@ -21,8 +21,8 @@
 	real "vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/http1"
 	"vetchhaven/internal/rehearse/scenario"
-	"vetchhaven/internal/rehearse/tally"
 	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/statistics"
 )
 
 // TestMain lets the test binary stand in for an agent's process.
@@ -213,7 +213,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := load(t, strings.Replace(day, `length = "3s"`, `length = "10m"`, 1))
 	p := &pids{}
-	played, err := Play(ctx, Options{Scenario: s, Seed: 1, Agent: p.agent, Log: io.Discard, Progress: func(_ time.Duration, d *tally.Day) {
+	played, err := Play(ctx, Options{Scenario: s, Seed: 1, Agent: p.agent, Log: io.Discard, Progress: func(_ time.Duration, d *statistics.Day) {
 		if len(d.Windows) > 0 && d.Windows[0].Offered > 5 {
 			cancel()
 		}
--- a/internal/simulate/model/virtual/virtual.go
+++ b/internal/simulate/model/virtual/virtual.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/tally"
 	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/statistics"
 )
 
 // Policy is what decides for one agent; in service a *decide.Balancer.
@@ -24,9 +24,9 @@
 	Scenario *model.Scenario
 	Seed     uint64
 	New      func(s decide.Settings, seed uint64) (Policy, error)
-	Believe  bool                                  // agents believe each reading of records, and nothing else: a plain resolver, to compare with
-	Progress func(now time.Duration, d *tally.Day) // each simulated second; may be nil
-	Stop     func() bool                           // asked now and then; may be nil
+	Believe  bool                                       // agents believe each reading of records, and nothing else: a plain resolver, to compare with
+	Progress func(now time.Duration, d *statistics.Day) // each simulated second; may be nil
+	Stop     func() bool                                // asked now and then; may be nil
 	// Balancers is what agents are told of their number at their start; 0: the truth.
 	Balancers int
 	// Count is what an agent's own view of the fleet says of it from then on; nil: it has none. Asked five times a
@@ -55,7 +55,7 @@
 
 // Played is how it went.
 type Played struct {
-	Day      *tally.Day
+	Day      *statistics.Day
 	Judge    *checker.Judge
 	CutShort bool
 	Emptied  int // times that an agent was left with no server by what list and records said
@@ -111,7 +111,7 @@
 	queue  eventQueue
 	world  *model.World
 	judge  *checker.Judge
-	day    *tally.Day
+	day    *statistics.Day
 	agents []*agent
 	load   *model.Load
 	conns  map[int]*conn
@@ -132,7 +132,7 @@
 	s := o.Scenario
 	chance := model.Chance(o.Seed).Sub(model.Name("rehearsal"))
 	d := &driver{o: o, s: s, chance: chance, world: model.NewWorld(s, chance), load: model.NewLoad(s, chance),
-		judge: checker.New(JudgeConfig(s, 0)), day: tally.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
+		judge: checker.New(JudgeConfig(s, 0)), day: statistics.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
 		roll: rand.New(rand.NewPCG(o.Seed, 51))}
 	for i := range s.Agents {
 		a := &agent{d: d, n: i, zone: s.ZoneOf(i)}
--- a/internal/rehearse/tally/tally.go
+++ b/internal/simulate/statistics/statistics.go
@@ -1,6 +1,6 @@
-// Package tally counts how a rehearsal goes: service as operators count it, by windows of time, by
+// Package statistics counts how a rehearsal goes: service as operators count it, by windows of time, by
 // class and by server. A client's retries belong to its first try.
-package tally
+package statistics
 
 import (
 	"encoding/json"
