--- a/tools/capacity/chain.go
+++ b/tools/capacity/chain.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"vetchhaven/internal/rehearse/chain"
+	"vetchhaven/internal/simulate/chain"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
 )
--- a/tools/capacity/entries_test.go
+++ b/tools/capacity/entries_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchhaven/internal/faulttest/hollow"
-	"vetchhaven/internal/rehearse/chain"
+	"vetchhaven/internal/simulate/chain"
 	"vetchhaven/tools/capacity/slopes"
 )
 
