--- a/cmd/vetchhaven/rehearse_sockets.go
+++ b/cmd/vetchhaven/rehearse_sockets.go
@@ -8,9 +8,9 @@
 	"os"
 	"os/exec"
 
-	"vetchhaven/internal/rehearse/report"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/sockets"
+	"vetchhaven/internal/simulate/report"
 )
 
 // playSockets plays round agents that are this very program.
