--- a/cmd/vetchhaven/herd_test.go
+++ b/cmd/vetchhaven/herd_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/model/sockets"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 const smallHerd = `
--- a/cmd/vetchhaven/rehearse.go
+++ b/cmd/vetchhaven/rehearse.go
@@ -16,11 +16,11 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
 	"vetchhaven/internal/simulate/report"
+	"vetchhaven/internal/simulate/scenario"
 	"vetchhaven/internal/simulate/statistics"
 )
 
--- a/internal/simulate/model/sockets/sockets_test.go
+++ b/internal/simulate/model/sockets/sockets_test.go
@@ -20,8 +20,8 @@
 
 	real "vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/http1"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/scenario"
 	"vetchhaven/internal/simulate/statistics"
 )
 
--- a/internal/simulate/model/virtual/many_test.go
+++ b/internal/simulate/model/virtual/many_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // What is harmless in one agent adds up over a hundred: new connections, servers looked at, cold budgets, delays
--- a/internal/simulate/model/virtual/records_test.go
+++ b/internal/simulate/model/virtual/records_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"vetchhaven/internal/rehearse/scenario"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // Records are published 45 s late, fail, are cut short or come empty, while servers drain, go, come back and move.
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // base is a fleet of four in two pods, with room to spare.
--- a/internal/simulate/report/report_test.go
+++ b/internal/simulate/report/report_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 func report(t *testing.T) *Report {
--- a/tools/fleet/herd.go
+++ b/tools/fleet/herd.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/checker"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/sockets"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // program builds the daemon into dir.
--- a/tools/members/agents.go
+++ b/tools/members/agents.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // agents plays a scenario with records beside the list: agents that merge both, and agents that believe each
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -11,9 +11,9 @@
 	"vetchhaven/internal/faulttest/plan"
 	drill "vetchhaven/internal/faulttest/virtual"
 	"vetchhaven/internal/peer/membership"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // counts are what each agent's view said, by time.
--- a/tools/rehearsal/fleet.go
+++ b/tools/rehearsal/fleet.go
@@ -6,9 +6,9 @@
 	"runtime"
 	"time"
 
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 // fleet plays each scenario with the project's policy and with the two that see all servers as they truly are.
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -23,10 +23,10 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/scenario"
 )
 
 func main() {
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -17,10 +17,10 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/peer/ejection/play"
-	"vetchhaven/internal/rehearse/scenario"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
+	"vetchhaven/internal/simulate/scenario"
 	"vetchhaven/tools/internal/bench"
 )
 
