--- a/internal/peer/ejection/ejection.go
+++ b/internal/peer/ejection/ejection.go
@@ -227,9 +227,14 @@
 
 // Counts are of a member's life.
 type Counts struct {
-	Asked, Answered, Items, Held uint64
-	Convicted, Acquitted, Lapsed uint64
-	Capped                       uint64 // verdicts that the share held back, at some time
+	Asked     uint64 `json:"Asked"`
+	Answered  uint64 `json:"Answered"`
+	Items     uint64 `json:"Items"`
+	Held      uint64 `json:"Held"`
+	Convicted uint64 `json:"Convicted"`
+	Acquitted uint64 `json:"Acquitted"`
+	Lapsed    uint64 `json:"Lapsed"`
+	Capped    uint64 `json:"Capped"` // verdicts that the share held back, at some time
 }
 
 // New returns a member that knows nothing.
--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -61,5 +61,4 @@
 	shown("shown.json", &Shown{})
 	shown("fate.json", &Fate{})
 	shown("past.json", &Past{})
-	shown("proposal.json", &Proposal{})
 }
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -29,7 +29,11 @@
 }
 
 // Stats are of a node's life.
-type Stats struct{ Sent, Asked, Persisted uint64 }
+type Stats struct {
+	Sent      uint64 `json:"Sent"`
+	Asked     uint64 `json:"Asked"`
+	Persisted uint64 `json:"Persisted"`
+}
 
 // New returns a node as its disk has it.
 func New(s Settings, d Disk, seed uint64) (*Node, error) {
--- a/internal/peer/policy/policy.go
+++ b/internal/peer/policy/policy.go
@@ -29,16 +29,16 @@
 
 // Doc is the text of a part, and the change that made it; or a change, with the texts of all its parts.
 type Doc struct {
-	Number uint64 `cbor:"1,keyasint,omitempty"` // of the part's texts that came into force, from 1; 0: what each daemon's own file says
-	ID     string `cbor:"2,keyasint,omitempty"` // of the change
-	Digest string `cbor:"3,keyasint,omitempty"` // see DigestOf
-	Body   []byte `cbor:"4,keyasint,omitempty"` // the file's text
-	Author string `cbor:"5,keyasint,omitempty"` // the member at which it was asked for, and who asked
-	Reason string `cbor:"6,keyasint,omitempty"`
-	At     int64  `cbor:"7,keyasint,omitempty"`  // ms, Unix, by the author's clock: for people
-	Part   string `cbor:"8,keyasint,omitempty"`  // a service's name; empty: what holds for all
-	Order  uint64 `cbor:"9,keyasint,omitempty"`  // among all texts of all parts that came into force
-	More   []Doc  `cbor:"10,keyasint,omitempty"` // the change's other parts: they come into force with it, or not at all
+	Number uint64 `cbor:"1,keyasint,omitempty" json:"Number"` // of the part's texts that came into force, from 1; 0: what each daemon's own file says
+	ID     string `cbor:"2,keyasint,omitempty" json:"ID"`     // of the change
+	Digest string `cbor:"3,keyasint,omitempty" json:"Digest"` // see DigestOf
+	Body   []byte `cbor:"4,keyasint,omitempty" json:"Body"`   // the file's text
+	Author string `cbor:"5,keyasint,omitempty" json:"Author"` // the member at which it was asked for, and who asked
+	Reason string `cbor:"6,keyasint,omitempty" json:"Reason"`
+	At     int64  `cbor:"7,keyasint,omitempty" json:"At"`    // ms, Unix, by the author's clock: for people
+	Part   string `cbor:"8,keyasint,omitempty" json:"Part"`  // a service's name; empty: what holds for all
+	Order  uint64 `cbor:"9,keyasint,omitempty" json:"Order"` // among all texts of all parts that came into force
+	More   []Doc  `cbor:"10,keyasint,omitempty" json:"More"` // the change's other parts: they come into force with it, or not at all
 }
 
 // Texts are a change's parts, one by one. The texts have the change's ID, and no More.
@@ -231,11 +231,11 @@
 	Hold struct{ Parts []string }
 	// Past asks a voter for the last changes, and for the text of the policy of a number; with Told it is the answer.
 	Past struct {
-		Told   bool    `cbor:"1,keyasint,omitempty"`
-		Number uint64  `cbor:"2,keyasint,omitempty"`
-		All    []Ended `cbor:"3,keyasint,omitempty"` // oldest first
-		Doc    *Doc    `cbor:"4,keyasint,omitempty"` // nil: it is not kept any more
-		Part   string  `cbor:"5,keyasint,omitempty"` // whose number it is
+		Told   bool    `cbor:"1,keyasint,omitempty" json:"Told"`
+		Number uint64  `cbor:"2,keyasint,omitempty" json:"Number"`
+		All    []Ended `cbor:"3,keyasint,omitempty" json:"All"`  // oldest first
+		Doc    *Doc    `cbor:"4,keyasint,omitempty" json:"Doc"`  // nil: it is not kept any more
+		Part   string  `cbor:"5,keyasint,omitempty" json:"Part"` // whose number it is
 	}
 	// Freed says that this process has its name for itself.
 	Freed struct{ Alone bool }
--- a/internal/peer/policy/state.go
+++ b/internal/peer/policy/state.go
@@ -47,11 +47,11 @@
 
 // Ended is what became of a change, for ever.
 type Ended struct {
-	Doc     Doc      `cbor:"1,keyasint,omitempty"` // without its text
-	InForce bool     `cbor:"2,keyasint,omitempty"`
-	By      string   `cbor:"3,keyasint,omitempty"` // dropped: by whom
-	Why     string   `cbor:"4,keyasint,omitempty"`
-	Without []string `cbor:"5,keyasint,omitempty"`
+	Doc     Doc      `cbor:"1,keyasint,omitempty" json:"Doc"` // without its text
+	InForce bool     `cbor:"2,keyasint,omitempty" json:"InForce"`
+	By      string   `cbor:"3,keyasint,omitempty" json:"By"` // dropped: by whom
+	Why     string   `cbor:"4,keyasint,omitempty" json:"Why"`
+	Without []string `cbor:"5,keyasint,omitempty" json:"Without"`
 }
 
 const (
