--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -89,11 +89,11 @@
 		if err != nil {
 			return err
 		}
-		if p.Doc == nil {
+		if p.Document == nil {
 			return exit{2, fmt.Errorf("the text of policy %d%s is not kept any more", n, ofPart(part))}
 		}
 		f.reason = cmp.Or(f.reason, fmt.Sprintf("back to policy %d%s", n, ofPart(part)))
-		return applyPolicy(config, map[string]string{part: string(p.Doc.Body)}, &f, os.Stdout)
+		return applyPolicy(config, map[string]string{part: string(p.Document.Body)}, &f, os.Stdout)
 	}})
 	for _, c := range []*cobra.Command{check, apply, back} {
 		c.Flags().StringVar(&part, "part", "", "the service whose part it is; without it the part for all")
@@ -120,7 +120,7 @@
 		showPast(p, os.Stdout)
 		return nil
 	}})
-	var r policy.Replace
+	var r policy.ReplaceVoter
 	voters := add(&cobra.Command{Use: "voters", Short: "Have another member vote in the place of one", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		body, err := ask(config, http.MethodPost, "/policy/voters?add="+url.QueryEscape(r.Add)+"&remove="+url.QueryEscape(r.Remove), 10*time.Second)
 		_, _ = os.Stdout.Write(body)
@@ -171,12 +171,12 @@
 }
 
 // past are the last changes, and a part's text with a number; 0: of a service's part the one in force.
-func past(config, part string, number uint64) (*policy.Past, error) {
+func past(config, part string, number uint64) (*policy.History, error) {
 	body, err := ask(config, http.MethodGet, "/policy/past?number="+strconv.FormatUint(number, 10)+"&part="+url.QueryEscape(part), 10*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	p := &policy.Past{}
+	p := &policy.History{}
 	if err := json.Unmarshal(body, p); err != nil {
 		return nil, exit{1, err}
 	}
@@ -210,7 +210,7 @@
 	}
 	for _, f := range files {
 		name, ok := strings.CutSuffix(f.Name(), ".toml")
-		if !ok || name == "" || f.IsDir() || len(name) > policy.NameMost {
+		if !ok || name == "" || f.IsDir() || len(name) > policy.MaxPartNameBytes {
 			return nil, nil, fmt.Errorf("%s is no part of a policy: a folder of parts has files NAME.toml, one for each service, and %s", filepath.Join(path, f.Name()), allFile)
 		}
 		if f.Name() == allFile {
@@ -231,10 +231,10 @@
 func changed(config string, now *daemon.ShownPolicy, texts map[string]string, out io.Writer) (differ map[string]string, bases map[string]uint64, err error) {
 	differ, bases = map[string]string{}, map[string]uint64{}
 	for _, part := range slices.Sorted(maps.Keys(texts)) {
-		was, number := now.Body, now.Force.Number
-		if part != "" && slices.Contains(now.Holds, part) {
+		was, number := now.Body, now.Active.Number
+		if part != "" && slices.Contains(now.ConfiguredParts, part) {
 			was, number = now.Bodies[part], 0
-			if i := slices.IndexFunc(now.Parts, func(d policy.Doc) bool { return d.Part == part }); i >= 0 {
+			if i := slices.IndexFunc(now.Parts, func(d policy.Document) bool { return d.Part == part }); i >= 0 {
 				number = now.Parts[i].Number
 			}
 		} else if part != "" {
@@ -242,8 +242,8 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			if was, number = "", 0; p.Doc != nil {
-				was, number = string(p.Doc.Body), p.Doc.Number
+			if was, number = "", 0; p.Document != nil {
+				was, number = string(p.Document.Body), p.Document.Number
 			}
 		}
 		if len(texts) > 1 {
@@ -322,12 +322,12 @@
 				}
 				numbers += fmt.Sprint(r.Number, ofPart(r.Part))
 			}
-			fmt.Fprintf(out, "policy %s is in force at all members that it concerns (change %s)%s\n", numbers, id, because(f.Why))
+			fmt.Fprintf(out, "policy %s is in force at all members that it concerns (change %s)%s\n", numbers, id, because(f.Reason))
 			return nil
 		case "dropped":
-			return exit{1, fmt.Errorf("change %s was dropped by %s%s", id, cmp.Or(f.By, "the voters"), because(f.Why))}
+			return exit{1, fmt.Errorf("change %s was dropped by %s%s", id, cmp.Or(f.DroppedBy, "the voters"), because(f.Reason))}
 		case "under way":
-			if line := fmt.Sprintf("%d of %d members have it; missing: %s", f.Have, f.Of, strings.Join(f.Missing, ", ")); line != said {
+			if line := fmt.Sprintf("%d of %d members have it; missing: %s", f.PreparedMembers, f.RequiredMembers, strings.Join(f.Missing, ", ")); line != said {
 				said = line
 				fmt.Fprintln(out, line)
 			}
@@ -346,11 +346,11 @@
 }
 
 func showPolicy(s *daemon.ShownPolicy, part string, out io.Writer) {
-	f := s.Force
+	f := s.Active
 	if f.Number == 0 {
 		fmt.Fprintf(out, "no policy was agreed on yet: each daemon serves by its own file\n")
 	} else {
-		fmt.Fprintf(out, "policy %d, change %s, by %s on %s: %s (digest %s)\n", f.Number, f.ID, f.Author, time.UnixMilli(f.At).Format(time.DateTime), f.Reason, f.Digest)
+		fmt.Fprintf(out, "policy %d, change %s, by %s on %s: %s (digest %s)\n", f.Number, f.ID, f.Author, time.UnixMilli(f.CreatedMS).Format(time.DateTime), f.Reason, f.Digest)
 	}
 	fmt.Fprintf(out, "%s serves %s", s.Name, s.Serving)
 	if s.Until > 0 {
@@ -363,14 +363,14 @@
 	if s.Pending != "" {
 		fmt.Fprintln(out, "has change", s.Pending, "on its disk, which is under way")
 	}
-	if s.Nay != "" {
-		fmt.Fprintf(out, "can't serve by change %s: %s\n", s.Nay, s.Why)
+	if s.RejectedID != "" {
+		fmt.Fprintf(out, "can't serve by change %s: %s\n", s.RejectedID, s.RejectReason)
 	}
 	cut := "serves on, and vetoes changes"
-	if s.Stops {
+	if s.StopsWhenIsolated {
 		cut = "stops"
 	}
-	fmt.Fprintf(out, "voters: %s; %s leads, and answered %v ago; cut off, a member %s\n", strings.Join(s.Voters, ", "), cmp.Or(s.Leader, "nobody known"), s.HeardAgo.Round(time.Millisecond), cut)
+	fmt.Fprintf(out, "voters: %s; %s leads, and answered %v ago; cut off, a member %s\n", strings.Join(s.Voters, ", "), cmp.Or(s.Leader, "nobody known"), s.LastResponseAgo.Round(time.Millisecond), cut)
 	if s.Votes != "" {
 		fmt.Fprintf(out, "votes: %s; roster: %s\n", s.Votes, strings.Join(s.Roster, ", "))
 	}
@@ -381,10 +381,10 @@
 		fmt.Fprintf(out, "rescued %d times\n", s.Epoch)
 	}
 	for _, d := range s.Parts {
-		fmt.Fprintf(out, "%s: policy %d, change %s, by %s on %s: %s (digest %s)\n", d.Part, d.Number, d.ID, d.Author, time.UnixMilli(d.At).Format(time.DateTime), d.Reason, d.Digest)
+		fmt.Fprintf(out, "%s: policy %d, change %s, by %s on %s: %s (digest %s)\n", d.Part, d.Number, d.ID, d.Author, time.UnixMilli(d.CreatedMS).Format(time.DateTime), d.Reason, d.Digest)
 	}
-	if len(s.Unheld) > 0 {
-		fmt.Fprintf(out, "parts that are not known yet, whose requests are turned away: %s\n", strings.Join(s.Unheld, ", "))
+	if len(s.NotYetServed) > 0 {
+		fmt.Fprintf(out, "parts that are not known yet, whose requests are turned away: %s\n", strings.Join(s.NotYetServed, ", "))
 	}
 	body := s.Body
 	if part != "" {
@@ -395,30 +395,30 @@
 	}
 }
 
-func showPast(p *policy.Past, out io.Writer) {
+func showPast(p *policy.History, out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "change\tpolicy\twhen\tby\treason\tbecame\twhy")
-	for _, e := range p.All {
-		number, became := "", "dropped by "+cmp.Or(e.By, "the voters")
-		if e.InForce {
-			number, became = numbersOf(&e.Doc), "in force"
+	for _, e := range p.Changes {
+		number, became := "", "dropped by "+cmp.Or(e.DroppedBy, "the voters")
+		if e.Committed {
+			number, became = numbersOf(&e.Document), "in force"
 			if len(e.Without) > 0 {
 				became += " without " + strings.Join(e.Without, ", ")
 			}
 		}
 		when := ""
-		if e.Doc.At > 0 {
-			when = time.UnixMilli(e.Doc.At).Format(time.DateTime)
+		if e.Document.CreatedMS > 0 {
+			when = time.UnixMilli(e.Document.CreatedMS).Format(time.DateTime)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Doc.ID, number, when, e.Doc.Author, e.Doc.Reason, became, e.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Document.ID, number, when, e.Document.Author, e.Document.Reason, became, e.Reason)
 	}
 	_ = w.Flush()
 }
 
 // numbersOf are a change's numbers, with the parts that they are of.
-func numbersOf(d *policy.Doc) string {
+func numbersOf(d *policy.Document) string {
 	var all []string
-	for _, x := range d.Texts() {
+	for _, x := range d.Documents() {
 		all = append(all, fmt.Sprint(x.Number, ofPart(x.Part)))
 	}
 	return strings.Join(all, ", ")
--- a/cmd/vetchhaven/policy_test.go
+++ b/cmd/vetchhaven/policy_test.go
@@ -83,10 +83,10 @@
 	}
 	s.untilAnswers("new", http.StatusNotFound)
 	p, err := past(s.path, "", 1)
-	if err != nil || p.Doc == nil || string(p.Doc.Body) != aPolicy || len(p.All) != 3 {
+	if err != nil || p.Document == nil || string(p.Document.Body) != aPolicy || len(p.Changes) != 3 {
 		t.Fatalf("%v, %+v", err, p)
 	}
-	if err := applyPolicy(s.path, map[string]string{"": string(p.Doc.Body)}, flags, &out); err != nil {
+	if err := applyPolicy(s.path, map[string]string{"": string(p.Document.Body)}, flags, &out); err != nil {
 		t.Fatal(err)
 	}
 	s.untilAnswers("new", http.StatusOK)
@@ -101,7 +101,7 @@
 		t.Errorf("%v", err)
 	}
 	now, err := inForce(s.path)
-	if err != nil || now.Force.Number != 3 {
+	if err != nil || now.Active.Number != 3 {
 		t.Fatalf("%v, %+v", err, now)
 	}
 	out.Reset()
@@ -150,7 +150,7 @@
 	s.untilAnswers("new", http.StatusOK)
 	s.killed()
 	s.untilAnswers("new", http.StatusOK)
-	if now, err := inForce(s.path); err != nil || now.Force.Number != 1 || now.Applied != 1 {
+	if now, err := inForce(s.path); err != nil || now.Active.Number != 1 || now.Applied != 1 {
 		t.Errorf("%v, %+v", err, now)
 	}
 }
@@ -213,10 +213,10 @@
 		t.Errorf("the same once more: %v\n%s", err, out.String())
 	}
 	p, err := past(s.path, "main", 1)
-	if err != nil || p.Doc == nil || string(p.Doc.Body) != classNamed("new") {
+	if err != nil || p.Document == nil || string(p.Document.Body) != classNamed("new") {
 		t.Fatalf("%v, %+v", err, p)
 	}
-	if p, err := past(s.path, "far", 0); err != nil || p.Doc == nil || p.Doc.Number != 1 { // of a service that this daemon does not have
+	if p, err := past(s.path, "far", 0); err != nil || p.Document == nil || p.Document.Number != 1 { // of a service that this daemon does not have
 		t.Errorf("%v, %+v", err, p)
 	}
 	now, err := inForce(s.path)
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(testkit.Patience); ; time.Sleep(10 * time.Millisecond) {
-		if now, err = inForce(s.path); err == nil && len(now.Parts) == 2 && len(now.Unheld) == 0 && now.Bodies["far"] != "" {
+		if now, err = inForce(s.path); err == nil && len(now.Parts) == 2 && len(now.NotYetServed) == 0 && now.Bodies["far"] != "" {
 			break
 		}
 		if time.Now().After(end) {
@@ -253,7 +253,7 @@
 	s.untilAnswers("newer", http.StatusOK)
 	s.killed()
 	s.untilAnswers("newer", http.StatusOK)
-	if err := applyPolicy(s.path, map[string]string{"main": string(p.Doc.Body)}, flags, &out); err != nil {
+	if err := applyPolicy(s.path, map[string]string{"main": string(p.Document.Body)}, flags, &out); err != nil {
 		t.Fatal(err)
 	}
 	s.untilAnswers("new", http.StatusOK)
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -92,8 +92,8 @@
 	for _, n := range p.Voters {
 		voters = append(voters, plan.Name(n))
 	}
-	back := policy.Settings{Lease: p.Lease, Drift: policy.Drift}
-	r.line(checker.Line{What: checker.Agreed, Hard: p.Stops, PauseMS: back.Back().Milliseconds() + 1, Why: strings.Join(voters, " ")})
+	back := policy.Settings{Lease: p.Lease, ClockDrift: policy.DefaultClockDrift}
+	r.line(checker.Line{What: checker.Agreed, Hard: p.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(voters, " ")})
 	r.policies = policies{markers: map[string][]string{"": {"p0"}}, numbers: map[string]map[string]uint64{}}
 	for _, d := range slices.Clone(r.daemons) {
 		if r.o.Blind {
@@ -245,7 +245,7 @@
 		var f struct {
 			State, By, Why string
 			Number         uint64
-			Parts          []policy.Ref
+			Parts          []policy.DocumentRef
 		}
 		ask, end := context.WithTimeout(ctx, 3*time.Second)
 		err := r.adminWith(ask, at, http.MethodGet, "/policy/fate?id="+url.QueryEscape(id), nil, func(body io.Reader) error { return json.NewDecoder(body).Decode(&f) })
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -487,7 +487,7 @@
 	if in == nil {
 		return
 	}
-	p := &Policy{Voters: r.who("policy.voters", in.Voters), Lease: r.span("policy.lease", in.Lease, policy.Lease), Within: r.span("policy.within", in.Within, policy.Within), Witness: in.Witness}
+	p := &Policy{Voters: r.who("policy.voters", in.Voters), Lease: r.span("policy.lease", in.Lease, policy.DefaultLease), Within: r.span("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
 	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		r.fail("policy.voters", "%d voters: 1, 3 or 5 are allowed", n)
 	}
--- a/internal/faulttest/policymodel/hard_test.go
+++ b/internal/faulttest/policymodel/hard_test.go
@@ -95,8 +95,8 @@
 					want = c.vetoes
 				}
 				for i, s := range r.Shown {
-					if s.Name != "" && (s.Force.Number < want || s.Force.Number != r.Shown[0].Force.Number && r.Shown[0].Name != "") {
-						t.Errorf("stops %v: %s has policy %d in the end, the first %d, and %d is the least", stops, plan.Name(i), s.Force.Number, r.Shown[0].Force.Number, want)
+					if s.Name != "" && (s.Active.Number < want || s.Active.Number != r.Shown[0].Active.Number && r.Shown[0].Name != "") {
+						t.Errorf("stops %v: %s has policy %d in the end, the first %d, and %d is the least", stops, plan.Name(i), s.Active.Number, r.Shown[0].Active.Number, want)
 						break
 					}
 				}
@@ -137,7 +137,7 @@
 	r, rep := play(t, p, Options{Seed: 2, Witness: true})
 	kept(t, "rescue", rep, checker.PolicyTold)
 	s := r.Shown[5]
-	if len(s.Voters) != 3 || s.Epoch != 1 || s.Force.Number < 5 || r.Shown[0].Votes != "" || r.Shown[0].Force.Number != s.Force.Number {
-		t.Errorf("%v vote, policy %d after %d rescues; the one that came back: %q, policy %d", s.Voters, s.Force.Number, s.Epoch, r.Shown[0].Votes, r.Shown[0].Force.Number)
+	if len(s.Voters) != 3 || s.Epoch != 1 || s.Active.Number < 5 || r.Shown[0].Votes != "" || r.Shown[0].Active.Number != s.Active.Number {
+		t.Errorf("%v vote, policy %d after %d rescues; the one that came back: %q, policy %d", s.Voters, s.Active.Number, s.Epoch, r.Shown[0].Votes, r.Shown[0].Active.Number)
 	}
 }
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -16,7 +16,7 @@
 // The same where the leader that renewed it ends at that moment: the next one counts from its election, which the leases
 // here are long enough to outlast. And the other way round nothing happens but a longer wait.
 func TestALeaseIsOverForTheLeaderAfterItIsOverForTheMember(t *testing.T) {
-	const drift = policy.Drift
+	const drift = policy.DefaultClockDrift
 	for name, c := range map[string]struct {
 		lease         time.Duration
 		voters, other float64 // rates of clocks
--- a/internal/faulttest/policymodel/parts_test.go
+++ b/internal/faulttest/policymodel/parts_test.go
@@ -75,8 +75,8 @@
 		if took := time.Duration(both.T) - 13*time.Second; stops && (both.State != "in force" || took < time.Second) || !stops && both.State != "dropped" {
 			t.Errorf("%s: the change that the region shares is %s after %v: %s", what, both.State, took, both.Why)
 		}
-		if s := r.Shown[6]; len(s.Parts) != 2 || s.Parts[0].Part != "both" || len(s.Unheld) > 0 {
-			t.Errorf("%s: d7 has %+v, and does not hold %v yet", what, s.Parts, s.Unheld)
+		if s := r.Shown[6]; len(s.Parts) != 2 || s.Parts[0].Part != "both" || len(s.NotYetServed) > 0 {
+			t.Errorf("%s: d7 has %+v, and does not hold %v yet", what, s.Parts, s.NotYetServed)
 		}
 	}
 }
@@ -133,8 +133,8 @@
 		t.Errorf("far is %s and %s", a, b)
 	}
 	for _, n := range []int{2, 3, 4, 5} {
-		if s := r.Shown[n]; s.Epoch != 1 || s.Serving != "by the policy in force" || len(s.Unheld) > 0 {
-			t.Errorf("%s: %d rescues, serves %s, does not hold %v", s.Name, s.Epoch, s.Serving, s.Unheld)
+		if s := r.Shown[n]; s.Epoch != 1 || s.Serving != "by the policy in force" || len(s.NotYetServed) > 0 {
+			t.Errorf("%s: %d rescues, serves %s, does not hold %v", s.Name, s.Epoch, s.Serving, s.NotYetServed)
 		}
 	}
 	for id, l := range told(r) {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -64,8 +64,8 @@
 	Messages int
 	Bytes    int
 	Persists int
-	Shown    []policy.Shown // in the end, by member
-	Refused  int            // requests turned away for the policy
+	Shown    []policy.Status // in the end, by member
+	Refused  int             // requests turned away for the policy
 	Taken    int
 	Traffic  []Traffic // by member
 	Disks    []int     // bytes on each member's disk in the end
@@ -109,31 +109,31 @@
 	if b.Wipe {
 		d.hard, d.snapshot, d.entries = nil, nil, map[uint64][]byte{}
 	}
-	if b.Hard != nil {
-		d.hard = b.Hard
+	if b.HardState != nil {
+		d.hard = b.HardState
 	}
 	if b.Snapshot != nil {
 		d.snapshot = b.Snapshot
 	}
-	if b.First > 0 {
+	if b.FirstIndex > 0 {
 		for i := range d.entries {
-			if i >= b.First {
+			if i >= b.FirstIndex {
 				delete(d.entries, i)
 			}
 		}
 		for i, e := range b.Entries {
-			d.entries[b.First+uint64(i)] = e
+			d.entries[b.FirstIndex+uint64(i)] = e
 		}
 	}
 	for i := range d.entries {
-		if i < b.Compact {
+		if i < b.CompactBefore {
 			delete(d.entries, i)
 		}
 	}
 	if b.Member != nil {
 		d.member = b.Member
 	}
-	if b.Hard != nil || b.Snapshot != nil || b.First > 0 {
+	if b.HardState != nil || b.Snapshot != nil || b.FirstIndex > 0 {
 		d.epoch = b.Epoch
 	}
 }
@@ -146,8 +146,8 @@
 	return n
 }
 
-func (d *disk) load() policy.Disk {
-	x := policy.Disk{Hard: d.hard, Snapshot: d.snapshot, Member: d.member, Epoch: d.epoch}
+func (d *disk) load() policy.StoredState {
+	x := policy.StoredState{HardState: d.hard, Snapshot: d.snapshot, Member: d.member, Epoch: d.epoch}
 	var all []uint64
 	for i := range d.entries {
 		all = append(all, i)
@@ -243,8 +243,8 @@
 	w := &world{o: o, p: p, rng: mathrand.New(mathrand.NewPCG(o.Seed, 71)), byName: map[string]*member{}, links: map[[2]int]plan.Link{}, kill: slices.Clone(o.Kill), gone: map[string]uint64{}}
 	w.r.Traffic = make([]Traffic, p.Daemons)
 	set := p.Policy
-	back := policy.Settings{Lease: set.Lease, Drift: policy.Drift}
-	w.line(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.Back().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.later()})
+	back := policy.Settings{Lease: set.Lease, ClockDrift: policy.DefaultClockDrift}
+	w.line(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.later()})
 	for n := range p.Daemons {
 		m := &member{n: n, name: plan.Name(n), disk: &disk{entries: map[uint64][]byte{}}, wake: -1}
 		w.all = append(w.all, m)
@@ -273,9 +273,9 @@
 	w.r.Lines = w.lines
 	for _, m := range w.all {
 		w.r.Disks = append(w.r.Disks, m.disk.size())
-		var s policy.Shown
+		var s policy.Status
 		if m.node != nil {
-			s = m.node.Show()
+			s = m.node.Status()
 		}
 		w.r.Shown = append(w.r.Shown, s)
 	}
@@ -368,7 +368,7 @@
 	if w.o.Rate != nil {
 		m.rate = w.o.Rate(m.n)
 	}
-	m.life, m.queue, m.streams, m.serving, m.told = w.rng.Uint64()|1, 0, 0, policy.Serving{Why: "just started"}, m.told+1
+	m.life, m.queue, m.streams, m.serving, m.told = w.rng.Uint64()|1, 0, 0, policy.Serving{Blocked: "just started"}, m.told+1
 	delete(w.gone, m.name)
 	w.line(checker.Line{What: checker.Up, Of: m.name, PID: m.pid})
 	if w.o.Way != Agreed {
@@ -380,10 +380,10 @@
 		w.line(checker.Line{What: checker.Holds, Of: m.name, PID: m.pid, Parts: strings.Join(m.parts, " ")})
 	}
 	d := m.disk.load()
-	d.Proved = proved
-	s := policy.Settings{Name: m.name, Life: m.life, Voters: w.voters(), Stops: set.Stops, Last: set.Last, Lease: set.Lease, Within: set.Within, Parts: m.parts}
+	d.ProvenCurrent = proved
+	s := policy.Settings{Name: m.name, RunID: m.life, Voters: w.voters(), StopWhenIsolated: set.Stops, ServeLastKnown: set.Last, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
 	if w.o.Check != nil {
-		s.Check = func(all []policy.Doc) error {
+		s.Check = func(all []policy.Document) error {
 			for _, d := range all {
 				if err := w.o.Check(m.n, d.Body); err != nil {
 					return err
@@ -404,12 +404,12 @@
 	for _, id := range m.ids {
 		w.at(w.now+again, func() {
 			if m.pid == pid {
-				w.step(m, policy.Watch{ID: id})
+				w.step(m, policy.WatchChange{ID: id})
 			}
 		})
 		w.giveUp(m, pid, id)
 	}
-	w.step(m, policy.Freed{Alone: true})
+	w.step(m, policy.NameOwnership{Exclusive: true})
 	w.takes(m, pid)
 }
 
@@ -419,8 +419,8 @@
 		if m.pid != pid || m.node == nil || !slices.Contains(m.ids, id) {
 			return
 		}
-		if m.node.Fate(id).State == policy.Unknown && !m.paused {
-			w.step(m, policy.Propose{Change: policy.Proposal{Drop: id, Doc: policy.Doc{Author: m.name, Reason: "given up"}}})
+		if m.node.ChangeStatus(id).State == policy.Unknown && !m.paused {
+			w.step(m, policy.Propose{Change: policy.Proposal{Drop: id, Document: policy.Document{Author: m.name, Reason: "given up"}}})
 		}
 		w.giveUp(m, pid, id)
 	})
@@ -432,7 +432,7 @@
 	}
 	w.line(checker.Line{What: checker.Down, Of: m.name, PID: m.pid, Why: why})
 	m.node, m.paused, m.held, m.wake = nil, false, nil, -1
-	m.serving = policy.Serving{Why: "down"}
+	m.serving = policy.Serving{Blocked: "down"}
 	m.told++
 }
 
@@ -467,9 +467,9 @@
 				return
 			}
 			w.persist(m, a)
-		case policy.Serve:
-			w.serve(m, a.By)
-		case policy.Say:
+		case policy.ServingChanged:
+			w.serve(m, a.Serving)
+		case policy.Log:
 			if w.o.Say != nil {
 				w.o.Say(w.now, m.name, a.Text)
 			}
@@ -499,13 +499,13 @@
 // look sees what the operators at a member are told.
 func (w *world) look(m *member) {
 	m.ids = slices.DeleteFunc(m.ids, func(id string) bool {
-		f := m.node.Fate(id)
-		if f.State < policy.InForce {
+		f := m.node.ChangeStatus(id)
+		if f.State < policy.Committed {
 			return false
 		}
-		why := f.Why
-		if f.By != "" {
-			why = f.By + ": " + why
+		why := f.Reason
+		if f.DroppedBy != "" {
+			why = f.DroppedBy + ": " + why
 		}
 		w.line(checker.Line{What: checker.Told, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
 		return true
@@ -515,7 +515,7 @@
 // serve has a member's instances serve by something else, soon; a lease that is longer or over, at once.
 func (w *world) serve(m *member, s policy.Serving) {
 	m.told++
-	if m.serving.Doc != nil && s.Doc.ID == m.serving.Doc.ID && s.Sum() == m.serving.Sum() || s.Why != "" {
+	if m.serving.Document != nil && s.Document.ID == m.serving.Document.ID && s.Fingerprint() == m.serving.Fingerprint() || s.Blocked != "" {
 		w.serves(m, &m.serving, &s)
 		m.serving = s
 		return
@@ -527,21 +527,21 @@
 			m.serving = s
 		}
 	})
-	if m.serving.Doc != nil { // until then by the lease that it has, and by the parts that both words have
+	if m.serving.Document != nil { // until then by the lease that it has, and by the parts that both words have
 		m.serving.Until = min(m.serving.Until, s.Until)
-		m.serving.Held = slices.DeleteFunc(slices.Clone(m.serving.Held), func(p string) bool { return !slices.Contains(s.Held, p) })
+		m.serving.ServedParts = slices.DeleteFunc(slices.Clone(m.serving.ServedParts), func(p string) bool { return !slices.Contains(s.ServedParts, p) })
 	}
 }
 
 // serves tells who measures by which texts a member serves that it did not before.
 func (w *world) serves(m *member, was, now *policy.Serving) {
-	if w.o.Serves == nil || now.Why != "" {
+	if w.o.Serves == nil || now.Blocked != "" {
 		return
 	}
 	for _, part := range append([]string{""}, m.parts...) {
-		d, held := now.In(part)
-		before, had := was.In(part)
-		if held && (was.Why != "" || !had || before == nil || before.Number != d.Number) {
+		d, held := now.Lookup(part)
+		before, had := was.Lookup(part)
+		if held && (was.Blocked != "" || !had || before == nil || before.Number != d.Number) {
 			w.o.Serves(w.now, m.n, part, d.Number)
 		}
 	}
@@ -561,15 +561,15 @@
 		if len(m.parts) > 0 { // a request is one of a service, or goes by what holds for all alone
 			part = append([]string{""}, m.parts...)[w.rng.IntN(1+len(m.parts))]
 		}
-		d, held := s.In(part)
-		if s.Why != "" || d == nil || !held || m.own(w.now) >= s.Until {
+		d, held := s.Lookup(part)
+		if s.Blocked != "" || d == nil || !held || m.own(w.now) >= s.Until {
 			w.r.Refused++
-			w.line(checker.Line{What: checker.Turned, Of: m.name, PID: m.pid, Why: s.Why, Part: part})
+			w.line(checker.Line{What: checker.Turned, Of: m.name, PID: m.pid, Why: s.Blocked, Part: part})
 			return
 		}
 		w.r.Taken++
-		l := checker.Line{What: checker.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Alone: s.Alone, Part: part}
-		if b := s.Doubt(part); b != nil {
+		l := checker.Line{What: checker.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Alone: s.Standalone, Part: part}
+		if b := s.PreparingChange(part); b != nil {
 			l.Both = b.ID
 		}
 		w.line(l)
@@ -585,8 +585,8 @@
 		return
 	}
 	size := 120 + len(s.Message.Raft)
-	if s.Message.Doc != nil {
-		for _, d := range s.Message.Doc.Texts() {
+	if s.Message.Document != nil {
+		for _, d := range s.Message.Document.Documents() {
 			size += len(d.Body)
 		}
 	}
@@ -604,7 +604,7 @@
 			if to.node == nil || to.pid != pid || w.point(to, "take") {
 				return
 			}
-			w.step(to, policy.Heard{From: from, Message: s.Message})
+			w.step(to, policy.Received{From: from, Message: s.Message})
 		})
 	}
 	w.r.Messages++
@@ -718,21 +718,21 @@
 }
 
 func (w *world) onDisk(m *member, b *policy.Batch) {
-	for _, id := range policy.OnDisk(b.Member) {
+	for _, id := range policy.StoredChanges(b.Member) {
 		w.line(checker.Line{What: checker.OnDisk, Of: m.name, ID: id})
 	}
 }
 
 // view tells all who has left.
 func (w *world) view() {
-	var all []policy.Who
+	var all []policy.MemberInfo
 	for _, m := range w.all {
 		life, left := w.gone[m.name]
 		switch {
 		case left:
-			all = append(all, policy.Who{Name: m.name, Life: life, Left: true})
+			all = append(all, policy.MemberInfo{Name: m.name, RunID: life, Left: true})
 		case m.pid > 0:
-			all = append(all, policy.Who{Name: m.name, Life: m.life})
+			all = append(all, policy.MemberInfo{Name: m.name, RunID: m.life})
 		}
 	}
 	viewers := w.all
@@ -745,9 +745,9 @@
 		}
 		seen := all
 		if len(w.links) > 0 { // what it can't hear it does not know
-			seen = slices.DeleteFunc(slices.Clone(all), func(x policy.Who) bool { return w.linkOf(w.byName[x.Name].n, m.n).Drop >= 1 })
+			seen = slices.DeleteFunc(slices.Clone(all), func(x policy.MemberInfo) bool { return w.linkOf(w.byName[x.Name].n, m.n).Drop >= 1 })
 		}
-		w.step(m, policy.Members{All: seen})
+		w.step(m, policy.MembersChanged{All: seen})
 	}
 	w.at(w.now+viewing, w.view)
 }
@@ -815,7 +815,7 @@
 			w.apply(m, e)
 		case "voters":
 			for _, x := range e.To {
-				w.step(m, policy.Replace{Add: plan.Name(x), Remove: e.Remove})
+				w.step(m, policy.ReplaceVoter{Add: plan.Name(x), Remove: e.Remove})
 			}
 		case "rescue":
 			w.step(m, policy.Rescue{})
@@ -850,11 +850,11 @@
 		return
 	}
 	body := []byte(fmt.Sprintf("# %s\n%s", id, e.Kind))
-	p := policy.Proposal{Without: without, Doc: policy.Doc{ID: id, Body: body, Digest: policy.DigestOf(body), Author: m.name, Reason: "drill", Part: parts[0]}, Base: m.node.Text(parts[0]).Number}
+	p := policy.Proposal{Without: without, Document: policy.Document{ID: id, Body: body, Digest: policy.DigestOf(body), Author: m.name, Reason: "drill", Part: parts[0]}, Base: m.node.ActiveDocument(parts[0]).Number}
 	for _, part := range parts[1:] {
 		body := []byte(fmt.Sprintf("# %s %s\n%s", id, part, e.Kind))
-		p.Doc.More = append(p.Doc.More, policy.Doc{Part: part, Body: body, Digest: policy.DigestOf(body)})
-		p.Bases = append(p.Bases, m.node.Text(part).Number)
+		p.Document.OtherParts = append(p.Document.OtherParts, policy.Document{Part: part, Body: body, Digest: policy.DigestOf(body)})
+		p.Bases = append(p.Bases, m.node.ActiveDocument(part).Number)
 	}
 	m.ids = append(m.ids, id)
 	w.step(m, policy.Propose{Change: p})
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -139,8 +139,8 @@
 			t.Errorf("%s: %v", c.Name, c.Breaks)
 		}
 	}
-	if got := r.Shown[6].Voters; !slices.Equal(got, []string{"d4", "d5", "d6"}) || r.Shown[6].Force.Number < 10 {
-		t.Errorf("%v vote, policy %d", got, r.Shown[6].Force.Number)
+	if got := r.Shown[6].Voters; !slices.Equal(got, []string{"d4", "d5", "d6"}) || r.Shown[6].Active.Number < 10 {
+		t.Errorf("%v vote, policy %d", got, r.Shown[6].Active.Number)
 	}
 	if rate := float64(r.Bytes) / p.Length.Seconds() / 7; rate > 3000 {
 		t.Errorf("%.0f bytes a second of each", rate)
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -144,7 +144,7 @@
 			d.log.Warn("the view of the fleet is not taken over", "error", err)
 		} else if d.saw.Policy != nil {
 			h := *d.saw.Policy
-			h.Left -= time.Duration(transport.Clock() - d.saw.PolicyAt) // since the process before said so
+			h.LeaseRemaining -= time.Duration(transport.Clock() - d.saw.PolicyAt) // since the process before said so
 			d.policy.handed = &h
 		}
 	}
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -66,8 +66,8 @@
 // policy and of two services' parts, and one under way.
 func TestPolicyDatabasesOfEarlierBuildsAreRead(t *testing.T) {
 	for name, is := range map[string]policy.Settings{
-		"voter":  {Name: "d1", Life: 7, Voters: []string{"d1", "d2", "d3"}},
-		"member": {Name: "d4", Life: 7, Voters: []string{"d1", "d2", "d3"}, Parts: []string{"both", "near"}},
+		"voter":  {Name: "d1", RunID: 7, Voters: []string{"d1", "d2", "d3"}},
+		"member": {Name: "d4", RunID: 7, Voters: []string{"d1", "d2", "d3"}, Parts: []string{"both", "near"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -77,7 +77,7 @@
 				t.Fatal(err)
 			}
 			s, disk := opened(t, dir, dir)
-			if !disk.Proved {
+			if !disk.ProvenCurrent {
 				t.Error("the witness of an earlier build proves nothing any more")
 			}
 			node, err := policy.New(is, disk, 1)
@@ -85,13 +85,13 @@
 				t.Fatal(err)
 			}
 			node.Step(time.Second)
-			shown, err := json.MarshalIndent(node.Show(), "", " ")
+			shown, err := json.MarshalIndent(node.Status(), "", " ")
 			if err != nil {
 				t.Fatal(err)
 			}
 			golden.Check(t, "policy-"+name+".shown", shown)
 			// What was read is written again as it was.
-			s.now(t, policy.Batch{Hard: disk.Hard, Snapshot: disk.Snapshot, Member: disk.Member, Epoch: disk.Epoch})
+			s.now(t, policy.Batch{HardState: disk.HardState, Snapshot: disk.Snapshot, Member: disk.Member, Epoch: disk.Epoch})
 			s.close()
 			var was, is []string
 			for _, l := range strings.Split(string(golden.Read(t, "policy-"+name+".keys")), "\n") {
@@ -163,7 +163,7 @@
 		"status.json": &Status{}, "reload.json": &ReloadResult{}, "limits.json": &LimitsNow{}, "policy.json": &ShownPolicy{},
 		"policy-change.json": &PolicyChange{}, "policy-fate.json": &PolicyFateShown{}, "handover.json": &[]Address{},
 	} {
-		golden.Fill(v)
+		golden.FillEmbedded(v, map[string]string{"ChangeStatus": "Fate", "Status": "Shown"})
 		data, err := json.MarshalIndent(v, "", " ")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/host/daemon/overlay.go
+++ b/internal/host/daemon/overlay.go
@@ -264,22 +264,22 @@
 		c.fail("policy", "what was agreed on is kept in state_dir, which is missing")
 	}
 	a.Voters = in.Voters
-	a.Stops = c.name("policy.cut_off", in.CutOff, []string{"stops", "vetoes"}) == 0
-	a.Last = in.WhenAlone != "" && c.name("policy.when_alone", in.WhenAlone, []string{"none", "last"}) == 1
-	a.Lease, a.Within, a.Alone = c.span("policy.lease", in.Lease, policy.Lease), c.span("policy.within", in.Within, policy.Within), c.span("policy.alone_after", in.Alone, policy.Alone)
-	if a.Drift = in.Drift; !(a.Drift >= 0 && a.Drift <= 0.2) {
-		c.fail("policy.drift", "%v: 0 to 0.2 are allowed", a.Drift)
+	a.StopWhenIsolated = c.name("policy.cut_off", in.CutOff, []string{"stops", "vetoes"}) == 0
+	a.ServeLastKnown = in.WhenAlone != "" && c.name("policy.when_alone", in.WhenAlone, []string{"none", "last"}) == 1
+	a.Lease, a.PrepareTimeout, a.StandaloneAfter = c.span("policy.lease", in.Lease, policy.DefaultLease), c.span("policy.within", in.Within, policy.DefaultPrepareTimeout), c.span("policy.alone_after", in.Alone, policy.DefaultStandaloneAfter)
+	if a.ClockDrift = in.Drift; !(a.ClockDrift >= 0 && a.ClockDrift <= 0.2) {
+		c.fail("policy.drift", "%v: 0 to 0.2 are allowed", a.ClockDrift)
 	}
-	if n := len(heldBy(cfg)); n > policy.HoldMost {
-		c.fail("instance", "they have %d sources: with [policy] up to %d are allowed", n, policy.HoldMost)
+	if n := len(heldBy(cfg)); n > policy.MaxPartsPerMember {
+		c.fail("instance", "they have %d sources: with [policy] up to %d are allowed", n, policy.MaxPartsPerMember)
 	}
 	if n := len(a.Voters); n != 1 && n != 3 && n != 5 {
 		c.fail("policy.voters", "%d voters: 1, 3 or 5 members are to be named", n)
 	}
 	if c.err == nil {
 		probe := a.Settings
-		probe.Name, probe.Life = f.Peers.Name, 1
-		if _, err := policy.New(probe, policy.Disk{}, 1); err != nil {
+		probe.Name, probe.RunID = f.Peers.Name, 1
+		if _, err := policy.New(probe, policy.StoredState{}, 1); err != nil {
 			c.fail("policy", "%v", err)
 		}
 	}
--- a/internal/host/daemon/overlay_test.go
+++ b/internal/host/daemon/overlay_test.go
@@ -59,11 +59,11 @@
 func under(t *testing.T, text, both string) (*Config, error) {
 	t.Helper()
 	d := &Daemon{}
-	var other []*policy.Doc
+	var other []*policy.Document
 	if both != "" {
-		other = []*policy.Doc{{Number: 2, Body: []byte(both)}}
+		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return d.under(own(t), []policy.Doc{{Number: 1, Body: []byte(text)}}, other)
+	return d.under(own(t), []policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
 func TestAPolicysPartsTakeThePlaceOfTheFiles(t *testing.T) {
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -22,9 +22,9 @@
 // goroutine goes by it (turn).
 type agreed struct {
 	store  *policyStore
-	disk   policy.Disk
+	disk   policy.StoredState
 	opened bool // disk is as it was read, and nobody has used it yet
-	handed *policy.Handed
+	handed *policy.HandoffState
 	// handedSeq is the highest number of a question that a part before may have asked.
 	handedSeq uint64
 	applied   applied
@@ -47,8 +47,8 @@
 
 // holds reports whether requests of a source's instances may be taken, as far as its part goes.
 func (s *serving) holds(source string) bool {
-	_, held := s.In(source)
-	return held || len(source) > policy.NameMost
+	_, held := s.Lookup(source)
+	return held || len(source) > policy.MaxPartNameBytes
 }
 
 const (
@@ -66,7 +66,7 @@
 		return
 	}
 	d.policy.store = newPolicyStore(d.cfg.StateDir, p.Witness, d.cfg.Peers.Name, d.log)
-	first := &serving{Serving: policy.Serving{Why: notKnown}}
+	first := &serving{Serving: policy.Serving{Blocked: notKnown}}
 	d.serving.Store(first)
 	disk, err := d.policy.store.open()
 	if err != nil {
@@ -74,36 +74,36 @@
 		return
 	}
 	d.policy.disk, d.policy.opened = disk, true
-	texts, err := policy.Kept(disk.Member)
+	texts, err := policy.StoredDocuments(disk.Member)
 	if err != nil {
 		d.log.Error("what the fleet agreed on can't be read; no request is taken until others tell it", "error", err)
 		d.policy.disk.Member = nil
 		return
 	}
-	texts = slices.DeleteFunc(texts, func(t policy.Doc) bool { return t.Part != "" && !slices.Contains(heldBy(d.cfg), t.Part) })
-	kept := policy.Serving{Doc: &texts[0], Parts: texts[1:]}
+	texts = slices.DeleteFunc(texts, func(t policy.Document) bool { return t.Part != "" && !slices.Contains(heldBy(d.cfg), t.Part) })
+	kept := policy.Serving{Document: &texts[0], Parts: texts[1:]}
 	cfg, err := d.under(d.cfg, texts, nil)
 	if err != nil {
-		d.log.Error("this daemon can't serve by the last policy that it knows", "policy", kept.Sum(), "error", err)
+		d.log.Error("this daemon can't serve by the last policy that it knows", "policy", kept.Fingerprint(), "error", err)
 		return
 	}
 	d.cfg = cfg
-	d.policy.applied, d.policy.serves = applied{kept.Doc.Number, kept.Sum()}, kept.Sum()
-	if h := d.policy.handed; h != nil && h.Number == kept.Doc.Number { // requests are taken on at once
-		first.Why, first.Doc, first.Parts, first.Until, first.base = "", kept.Doc, kept.Parts, policy.Never, time.Now()
-		first.Held = h.Held(heldBy(d.cfg), func(part string) policy.Doc { t, _ := kept.In(part); return *t })
+	d.policy.applied, d.policy.serves = applied{kept.Document.Number, kept.Fingerprint()}, kept.Fingerprint()
+	if h := d.policy.handed; h != nil && h.Number == kept.Document.Number { // requests are taken on at once
+		first.Blocked, first.Document, first.Parts, first.Until, first.base = "", kept.Document, kept.Parts, policy.Never, time.Now()
+		first.ServedParts = h.ServedParts(heldBy(d.cfg), func(part string) policy.Document { t, _ := kept.Lookup(part); return *t })
 		inForce := func(id string) bool {
-			return slices.ContainsFunc(texts, func(t policy.Doc) bool { return t.ID == id })
+			return slices.ContainsFunc(texts, func(t policy.Document) bool { return t.ID == id })
 		}
-		if p.Stops || slices.ContainsFunc(policy.OnDisk(disk.Member), func(id string) bool { return !inForce(id) }) { // or in doubt
-			first.Until = max(0, h.Left)
+		if p.StopWhenIsolated || slices.ContainsFunc(policy.StoredChanges(disk.Member), func(id string) bool { return !inForce(id) }) { // or in doubt
+			first.Until = max(0, h.LeaseRemaining)
 		}
 	}
 }
 
 // under is the daemon's configuration under the parts' texts, or what these and the changes that may be in force in their
 // place all allow.
-func (d *Daemon) under(cfg *Config, texts []policy.Doc, both []*policy.Doc) (*Config, error) {
+func (d *Daemon) under(cfg *Config, texts []policy.Document, both []*policy.Document) (*Config, error) {
 	over, err := overlayOf(texts)
 	if err == nil && len(both) > 0 {
 		var other *overlay
@@ -121,7 +121,7 @@
 }
 
 // checkPolicy reports whether this daemon could serve by these texts of the parts that it holds. The carrier's loop calls it.
-func (d *Daemon) checkPolicy(texts []policy.Doc) (err error) {
+func (d *Daemon) checkPolicy(texts []policy.Document) (err error) {
 	defer func() { // whatever is wrong with it is a reason not to agree, and no more
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
@@ -160,12 +160,12 @@
 	disk := d.policy.disk
 	d.policy.opened = false
 	s := p.Settings
-	s.Name, s.Life, s.Check, s.Handed, s.Parts = d.cfg.Peers.Name, life, d.checkPolicy, d.policy.handed, heldBy(d.cfg)
-	if s.Handed != nil {
-		d.policy.handedSeq = max(d.policy.handedSeq, s.Handed.Seq)
+	s.Name, s.RunID, s.Check, s.Handoff, s.Parts = d.cfg.Peers.Name, life, d.checkPolicy, d.policy.handed, heldBy(d.cfg)
+	if s.Handoff != nil {
+		d.policy.handedSeq = max(d.policy.handedSeq, s.Handoff.Seq)
 	}
-	if s.Handed != nil { // by this very file: nobody else had it meanwhile
-		disk.Proved = true
+	if s.Handoff != nil { // by this very file: nobody else had it meanwhile
+		disk.ProvenCurrent = true
 	}
 	d.policy.handed = nil
 	n, err := policy.New(s, disk, rand.Uint64())
@@ -191,7 +191,7 @@
 // taken on meanwhile, as long as the last word allows.
 func (d *Daemon) handOn() {
 	s := d.serving.Load()
-	if s == nil || s.Why != "" || s.Doc == nil || s.Alone {
+	if s == nil || s.Blocked != "" || s.Document == nil || s.Standalone {
 		return
 	}
 	left := time.Duration(0)
@@ -199,10 +199,10 @@
 		left = time.Until(s.base.Add(s.Until))
 	}
 	d.policy.handedSeq += handOnStep
-	d.policy.handed = &policy.Handed{Number: s.Doc.Number, Left: max(0, left), Seq: d.policy.handedSeq, Form: policy.Form}
-	for _, part := range s.Held {
-		t, _ := s.In(part)
-		d.policy.handed.Parts = append(d.policy.handed.Parts, policy.Ref{Part: part, Number: t.Number, ID: t.ID})
+	d.policy.handed = &policy.HandoffState{Number: s.Document.Number, LeaseRemaining: max(0, left), Seq: d.policy.handedSeq, Format: policy.FormatVersion}
+	for _, part := range s.ServedParts {
+		t, _ := s.Lookup(part)
+		d.policy.handed.Parts = append(d.policy.handed.Parts, policy.DocumentRef{Part: part, Number: t.Number, ID: t.ID})
 	}
 }
 
@@ -210,7 +210,7 @@
 // over, holds at once; another policy as soon as Run's goroutine comes to it.
 func (d *Daemon) served(s policy.Serving, base time.Time) {
 	next := &serving{Serving: s, base: base}
-	if last := d.serving.Load(); last != nil && last.unfit != "" && last.Doc != nil && s.Doc != nil && last.Sum() == s.Sum() {
+	if last := d.serving.Load(); last != nil && last.unfit != "" && last.Document != nil && s.Document != nil && last.Fingerprint() == s.Fingerprint() {
 		next.unfit = last.unfit
 	}
 	d.serving.Store(next)
@@ -227,7 +227,7 @@
 // knowsPolicy reports whether requests are taken, as far as the policy goes.
 func (d *Daemon) knowsPolicy() bool {
 	s := d.serving.Load()
-	return s == nil || s.Why == "" && s.unfit == ""
+	return s == nil || s.Blocked == "" && s.unfit == ""
 }
 
 // gate tells an instance until when it may take requests. One that serves by another policy than the last word's takes
@@ -240,14 +240,14 @@
 	switch {
 	case s.unfit != "":
 		a.AdmitUntil(time.Time{}, s.unfit)
-	case s.Why != "":
-		a.AdmitUntil(time.Time{}, s.Why)
+	case s.Blocked != "":
+		a.AdmitUntil(time.Time{}, s.Blocked)
 	case !s.holds(h.source):
 		a.AdmitUntil(time.Time{}, "the policy of "+h.source+" is not known yet")
-	case s.Until >= policy.Never && h.serves == s.Sum():
+	case s.Until >= policy.Never && h.serves == s.Fingerprint():
 		a.AdmitAlways()
 	case s.Until >= policy.Never:
-	case h.serves == s.Sum():
+	case h.serves == s.Fingerprint():
 		a.AdmitUntil(s.base.Add(s.Until), d.leaseOver())
 	default:
 		a.ShortenAdmission(s.base.Add(s.Until), d.leaseOver())
@@ -270,23 +270,23 @@
 // they say.
 func (d *Daemon) turn() {
 	s := d.serving.Load()
-	if s == nil || s.Doc == nil || d.cfg.Policy == nil || d.handing {
+	if s == nil || s.Document == nil || d.cfg.Policy == nil || d.handing {
 		return
 	}
-	want := applied{s.Doc.Number, s.Sum()}
+	want := applied{s.Document.Number, s.Fingerprint()}
 	if want == d.policy.applied || s.unfit != "" {
 		return
 	}
-	cfg, err := d.under(d.cfg, textsOf(&s.Serving), s.Both)
+	cfg, err := d.under(d.cfg, textsOf(&s.Serving), s.Preparing)
 	if err == nil {
 		d.policy.serves = want.sum
 		err = d.turnTo(cfg)
 	}
 	if err != nil {
 		d.policy.serves = d.policy.applied.sum
-		what := "this daemon can't serve by policy " + s.Sum()
-		if len(s.Both) > 0 {
-			what = "this daemon does not know whether policy or changes are in force, and can't serve by all: " + s.Sum()
+		what := "this daemon can't serve by policy " + s.Fingerprint()
+		if len(s.Preparing) > 0 {
+			what = "this daemon does not know whether policy or changes are in force, and can't serve by all: " + s.Fingerprint()
 		}
 		d.log.Error(what, "error", err)
 		unfit := *s
@@ -318,10 +318,10 @@
 		for told := false; !told && d.stop.Err() == nil; time.Sleep(50 * time.Millisecond) { // the part that is told may be one that is replaced
 			err := d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
 				want := *d.holds.Load()
-				if told = slices.Equal(n.Show().Holds, want); told {
+				if told = slices.Equal(n.Status().ConfiguredParts, want); told {
 					return nil
 				}
-				return []policy.Event{policy.Hold{Parts: want}}
+				return []policy.Event{policy.SetParts{Parts: want}}
 			})
 			if err != nil { // the next one begins with what the daemon holds then
 				return
@@ -428,7 +428,7 @@
 
 // ShownPolicy is how a daemon stands towards the fleet's policy.
 type ShownPolicy struct {
-	policy.Shown
+	policy.Status
 	Body    string            `json:"body"`
 	Bodies  map[string]string `json:"bodies,omitempty"` // of services' parts that it holds
 	Applied uint64            `json:"instances_serve_by"`
@@ -440,9 +440,9 @@
 // Policy is how the daemon stands towards the fleet's policy.
 func (d *Daemon) Policy() (s ShownPolicy, err error) {
 	err = d.onPolicy(func(n *policy.Node, now time.Duration) []policy.Event {
-		s.Shown, s.Body, s.Bodies = n.Show(), string(n.Force().Body), map[string]string{}
+		s.Status, s.Body, s.Bodies = n.Status(), string(n.ActivePolicy().Body), map[string]string{}
 		for _, t := range s.Parts {
-			s.Bodies[t.Part] = string(n.Text(t.Part).Body)
+			s.Bodies[t.Part] = string(n.ActiveDocument(t.Part).Body)
 		}
 		return nil
 	})
@@ -484,7 +484,7 @@
 	err = d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
 		var p policy.Proposal
 		if p, wrong = c.proposal(n); wrong == nil {
-			if wrong = d.checkChange(n, &p.Doc); wrong != nil {
+			if wrong = d.checkChange(n, &p.Document); wrong != nil {
 				wrong = fmt.Errorf("not asked for: %w", wrong)
 			}
 		}
@@ -498,7 +498,7 @@
 
 // proposal is the change as the fleet is asked for it.
 func (c *PolicyChange) proposal(n *policy.Node) (p policy.Proposal, err error) {
-	holds := n.Show().Holds
+	holds := n.Status().ConfiguredParts
 	p.Without = c.Without
 	for i, part := range slices.Sorted(maps.Keys(c.Parts)) {
 		body := []byte(c.Parts[part])
@@ -507,45 +507,45 @@
 			if part != "" && !slices.Contains(holds, part) {
 				return p, fmt.Errorf("not asked for: this daemon has no instance of %s: say of which number the change is made, or ask at one that has", part)
 			}
-			base = n.Text(part).Number
+			base = n.ActiveDocument(part).Number
 		}
-		if d := (policy.Doc{Part: part, Body: body, Digest: policy.DigestOf(body)}); i == 0 {
-			d.ID, d.Author, d.Reason, d.At = c.ID, c.Author, c.Reason, time.Now().UnixMilli()
-			p.Doc, p.Base = d, base
+		if d := (policy.Document{Part: part, Body: body, Digest: policy.DigestOf(body)}); i == 0 {
+			d.ID, d.Author, d.Reason, d.CreatedMS = c.ID, c.Author, c.Reason, time.Now().UnixMilli()
+			p.Document, p.Base = d, base
 		} else {
-			p.Doc.More, p.Bases = append(p.Doc.More, d), append(p.Bases, base)
+			p.Document.OtherParts, p.Bases = append(p.Document.OtherParts, d), append(p.Bases, base)
 		}
 	}
 	return p, p.Check()
 }
 
 // checkChange reports whether a change makes sense: here by all that is in force, as far as this daemon holds its parts.
-func (d *Daemon) checkChange(n *policy.Node, c *policy.Doc) error {
-	s := n.Show()
-	var held []policy.Doc
-	for _, x := range c.Texts() {
-		if x.Part == "" || slices.Contains(s.Holds, x.Part) {
+func (d *Daemon) checkChange(n *policy.Node, c *policy.Document) error {
+	s := n.Status()
+	var held []policy.Document
+	for _, x := range c.Documents() {
+		if x.Part == "" || slices.Contains(s.ConfiguredParts, x.Part) {
 			held = append(held, x)
 		} else if _, err := readPart(nameOf(&x), x.Part, x.Body); err != nil {
 			return err
 		}
 	}
-	texts := []policy.Doc{n.Force()}
+	texts := []policy.Document{n.ActivePolicy()}
 	for _, t := range s.Parts {
-		texts = append(texts, n.Text(t.Part))
+		texts = append(texts, n.ActiveDocument(t.Part))
 	}
 	for i := range held {
-		held[i].More = nil
-		texts = lay(texts, []*policy.Doc{&held[i]})
+		held[i].OtherParts = nil
+		texts = lay(texts, []*policy.Document{&held[i]})
 	}
 	return d.checkPolicy(texts)
 }
 
 // PolicyFate is what became of a change, as far as this daemon has heard; it goes on asking.
-func (d *Daemon) PolicyFate(id string) (f policy.Fate, err error) {
+func (d *Daemon) PolicyFate(id string) (f policy.ChangeStatus, err error) {
 	err = d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
-		f = n.Fate(id)
-		return []policy.Event{policy.Watch{ID: id}}
+		f = n.ChangeStatus(id)
+		return []policy.Event{policy.WatchChange{ID: id}}
 	})
 	return f, err
 }
@@ -556,21 +556,21 @@
 		return errors.New("no change is named")
 	}
 	return d.onPolicy(func(*policy.Node, time.Duration) []policy.Event {
-		return []policy.Event{policy.Propose{Change: policy.Proposal{Drop: id, Doc: policy.Doc{Author: by, Reason: reason}}}}
+		return []policy.Event{policy.Propose{Change: policy.Proposal{Drop: id, Document: policy.Document{Author: by, Reason: reason}}}}
 	})
 }
 
 // PolicyPast are the last changes, and the text of a part with a number; 0: of a service's part the one in force.
-func (d *Daemon) PolicyPast(part string, number uint64, wait time.Duration) (past *policy.Past, err error) {
+func (d *Daemon) PolicyPast(part string, number uint64, wait time.Duration) (past *policy.History, err error) {
 	ask := func(*policy.Node, time.Duration) []policy.Event {
-		return []policy.Event{policy.Past{Part: part, Number: number}}
+		return []policy.Event{policy.History{Part: part, Number: number}}
 	}
 	if err := d.onPolicy(ask); err != nil {
 		return nil, err
 	}
 	for end, n := time.Now().Add(wait), 1; time.Now().Before(end); n++ {
 		time.Sleep(20 * time.Millisecond)
-		if err := d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event { past = n.Known(); return nil }); err != nil {
+		if err := d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event { past = n.History(); return nil }); err != nil {
 			return nil, err
 		}
 		if past != nil && past.Number == number && past.Part == part {
@@ -584,7 +584,7 @@
 }
 
 // PolicyVoters asks for another voter in the place of one.
-func (d *Daemon) PolicyVoters(r policy.Replace) error {
+func (d *Daemon) PolicyVoters(r policy.ReplaceVoter) error {
 	return d.onPolicy(func(*policy.Node, time.Duration) []policy.Event { return []policy.Event{r} })
 }
 
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -49,7 +49,7 @@
 		t.Fatal("nothing was replaced")
 	}
 	for _, until := range []time.Duration{policy.Never, time.Hour} { // with vetoes, with stops
-		r.served(policy.Serving{Doc: &policy.Doc{Number: 1}, Until: until, Held: []string{"main"}}, time.Now())
+		r.served(policy.Serving{Document: &policy.Document{Number: 1}, Until: until, ServedParts: []string{"main"}}, time.Now())
 		eventually(t, "the replaced copy takes nothing", func() bool { return !old.Admits() })
 		if !now.Admits() {
 			t.Error("the copy in its place takes nothing")
@@ -72,10 +72,10 @@
 	var a *core.Agent
 	r.do(func() { a = r.parts["a"].agent })
 	word := func(number uint64, until time.Duration) {
-		r.served(policy.Serving{Doc: &policy.Doc{Number: number}, Until: until, Held: []string{"main"}}, time.Now())
+		r.served(policy.Serving{Document: &policy.Document{Number: number}, Until: until, ServedParts: []string{"main"}}, time.Now())
 	}
 	r.do(func() {
-		r.policy.serves = (&policy.Serving{Doc: &policy.Doc{Number: 1}}).Sum()
+		r.policy.serves = (&policy.Serving{Document: &policy.Document{Number: 1}}).Fingerprint()
 		r.hostCopy(r.parts["a"])
 	})
 	word(1, time.Hour)
@@ -233,7 +233,7 @@
 		for range 200 { // and while it comes to what it knows
 			y["a"].wantServed("one")
 		}
-		if p, err := r.Policy(); err != nil || p.Force.Number != 1 {
+		if p, err := r.Policy(); err != nil || p.Active.Number != 1 {
 			t.Errorf("%v, %+v", err, p)
 		}
 	}
--- a/internal/host/daemon/policyadmin.go
+++ b/internal/host/daemon/policyadmin.go
@@ -13,7 +13,7 @@
 
 // PolicyFateShown is what became of a change, for programs.
 type PolicyFateShown struct {
-	policy.Fate
+	policy.ChangeStatus
 	State string `json:"state"` // unknown, under way, in force, dropped
 }
 
@@ -32,10 +32,10 @@
 	})
 	mux.HandleFunc("POST /policy/check", func(w http.ResponseWriter, r *http.Request) {
 		var wrong error
-		body, err := io.ReadAll(io.LimitReader(r.Body, policy.BodyMost+1))
+		body, err := io.ReadAll(io.LimitReader(r.Body, policy.MaxBodyBytes+1))
 		if err == nil {
 			err = d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
-				wrong = d.checkChange(n, &policy.Doc{Part: r.FormValue("part"), Body: body})
+				wrong = d.checkChange(n, &policy.Document{Part: r.FormValue("part"), Body: body})
 				return nil
 			})
 		}
@@ -43,7 +43,7 @@
 	})
 	mux.HandleFunc("POST /policy/apply", func(w http.ResponseWriter, r *http.Request) {
 		var c PolicyChange
-		if err := json.NewDecoder(io.LimitReader(r.Body, 8*policy.ChangeMost)).Decode(&c); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, 8*policy.MaxChangeBytes)).Decode(&c); err != nil {
 			fail(w, http.StatusBadRequest, err)
 			return
 		}
@@ -68,7 +68,7 @@
 		done(w, p, err)
 	})
 	mux.HandleFunc("POST /policy/voters", func(w http.ResponseWriter, r *http.Request) {
-		x := policy.Replace{Add: r.FormValue("add"), Remove: r.FormValue("remove")}
+		x := policy.ReplaceVoter{Add: r.FormValue("add"), Remove: r.FormValue("remove")}
 		if x.Add == "" && x.Remove == "" {
 			fail(w, http.StatusBadRequest, errors.New("nobody is named"))
 			return
--- a/internal/host/daemon/policystore.go
+++ b/internal/host/daemon/policystore.go
@@ -69,7 +69,7 @@
 }
 
 // open opens it, and reads what is there. A file that makes no sense is set aside, with a word: its member begins anew.
-func (s *policyStore) open() (d policy.Disk, err error) {
+func (s *policyStore) open() (d policy.StoredState, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.db != nil {
@@ -95,7 +95,7 @@
 		_ = db.Close()
 		return d, err
 	}
-	d.Proved = s.proves(id, writes)
+	d.ProvenCurrent = s.proves(id, writes)
 	s.db = db
 	return d, nil
 }
@@ -151,7 +151,7 @@
 	})
 }
 
-func load(db *bbolt.DB) (d policy.Disk, id string, writes uint64, err error) {
+func load(db *bbolt.DB) (d policy.StoredState, id string, writes uint64, err error) {
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		get := func(key []byte) []byte {
@@ -160,7 +160,7 @@
 			}
 			return nil
 		}
-		d.Hard, d.Snapshot, d.Member, d.Epoch = get(keyHard), get(keySnap), get(keyMember), number(get(keyEpoch))
+		d.HardState, d.Snapshot, d.Member, d.Epoch = get(keyHard), get(keySnap), get(keyMember), number(get(keyEpoch))
 		id, writes = string(get(keyID)), number(get(keyWrites))
 		return tx.Bucket(bucketLog).ForEach(func(_, v []byte) error {
 			d.Entries = append(d.Entries, append([]byte{}, v...))
@@ -207,7 +207,7 @@
 }
 
 // reload reads again what is there, for a member that begins anew in this process.
-func (s *policyStore) reload() (d policy.Disk, err error) {
+func (s *policyStore) reload() (d policy.StoredState, err error) {
 	s.mu.Lock()
 	shut := s.db == nil
 	s.life++
@@ -218,7 +218,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d, _, _, err = load(s.db)
-	d.Proved = err == nil // nobody else has it
+	d.ProvenCurrent = err == nil // nobody else has it
 	return d, err
 }
 
@@ -286,8 +286,8 @@
 			return err
 		}
 		put := map[string][]byte{}
-		if b.Hard != nil {
-			put[string(keyHard)] = b.Hard
+		if b.HardState != nil {
+			put[string(keyHard)] = b.HardState
 		}
 		if b.Snapshot != nil {
 			put[string(keySnap)] = b.Snapshot
@@ -295,7 +295,7 @@
 		if b.Member != nil {
 			put[string(keyMember)] = b.Member
 		}
-		if b.Hard != nil || b.Snapshot != nil || b.First > 0 {
+		if b.HardState != nil || b.Snapshot != nil || b.FirstIndex > 0 {
 			put[string(keyEpoch)] = key(b.Epoch)
 		}
 		writes = number(meta.Get(keyWrites)) + 1
@@ -319,10 +319,10 @@
 }
 
 func putLog(log *bbolt.Bucket, b *policy.Batch) error {
-	if b.First > 0 {
+	if b.FirstIndex > 0 {
 		var gone [][]byte
 		c := log.Cursor()
-		for k, _ := c.Seek(key(b.First)); k != nil; k, _ = c.Next() {
+		for k, _ := c.Seek(key(b.FirstIndex)); k != nil; k, _ = c.Next() {
 			gone = append(gone, append([]byte{}, k...))
 		}
 		for _, k := range gone {
@@ -331,15 +331,15 @@
 			}
 		}
 		for i, e := range b.Entries {
-			if err := log.Put(key(b.First+uint64(i)), e); err != nil {
+			if err := log.Put(key(b.FirstIndex+uint64(i)), e); err != nil {
 				return err
 			}
 		}
 	}
-	if b.Compact > 0 {
+	if b.CompactBefore > 0 {
 		var gone [][]byte
 		c := log.Cursor()
-		for k, _ := c.First(); k != nil && number(k) < b.Compact; k, _ = c.Next() {
+		for k, _ := c.First(); k != nil && number(k) < b.CompactBefore; k, _ = c.Next() {
 			gone = append(gone, append([]byte{}, k...))
 		}
 		for _, k := range gone {
--- a/internal/host/daemon/policystore_test.go
+++ b/internal/host/daemon/policystore_test.go
@@ -13,7 +13,7 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-func opened(t *testing.T, dir, witness string) (*policyStore, policy.Disk) {
+func opened(t *testing.T, dir, witness string) (*policyStore, policy.StoredState) {
 	t.Helper()
 	s := newPolicyStore(dir, witness, "host-1", slog.New(slog.DiscardHandler))
 	d, err := s.open()
@@ -41,20 +41,20 @@
 func TestWhatIsWrittenIsReadBack(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "not", "there", "yet")
 	s, d := opened(t, dir, "")
-	if d.Snapshot != nil || d.Member != nil || d.Proved {
+	if d.Snapshot != nil || d.Member != nil || d.ProvenCurrent {
 		t.Fatalf("%+v", d)
 	}
-	s.now(t, policy.Batch{Hard: []byte("h"), Snapshot: []byte("s"), First: 2, Entries: entries("2", "3", "4"), Epoch: 1})
-	s.now(t, policy.Batch{First: 4, Entries: entries("4b", "5"), Member: []byte("m"), Epoch: 1})
-	s.now(t, policy.Batch{Compact: 3})
+	s.now(t, policy.Batch{HardState: []byte("h"), Snapshot: []byte("s"), FirstIndex: 2, Entries: entries("2", "3", "4"), Epoch: 1})
+	s.now(t, policy.Batch{FirstIndex: 4, Entries: entries("4b", "5"), Member: []byte("m"), Epoch: 1})
+	s.now(t, policy.Batch{CompactBefore: 3})
 	s.close()
 	s, d = opened(t, dir, "")
-	if string(d.Hard) != "h" || string(d.Snapshot) != "s" || string(d.Member) != "m" || d.Epoch != 1 || len(d.Entries) != 3 || string(d.Entries[1]) != "4b" {
+	if string(d.HardState) != "h" || string(d.Snapshot) != "s" || string(d.Member) != "m" || d.Epoch != 1 || len(d.Entries) != 3 || string(d.Entries[1]) != "4b" {
 		t.Fatalf("%+v", d)
 	}
 	s.now(t, policy.Batch{Wipe: true, Snapshot: []byte("t"), Epoch: 2})
 	s.close()
-	if _, d = opened(t, dir, ""); d.Hard != nil || len(d.Entries) != 0 || string(d.Snapshot) != "t" || string(d.Member) != "m" || d.Epoch != 2 {
+	if _, d = opened(t, dir, ""); d.HardState != nil || len(d.Entries) != 0 || string(d.Snapshot) != "t" || string(d.Member) != "m" || d.Epoch != 2 {
 		t.Errorf("%+v", d)
 	}
 }
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	s, d := opened(t, dir, run)
-	if !d.Proved {
+	if !d.ProvenCurrent {
 		t.Error("the file as it was left proves nothing")
 	}
 	s.now(t, policy.Batch{Member: []byte("2")})
@@ -79,14 +79,14 @@
 		t.Fatal(err)
 	}
 	s, d = opened(t, dir, run)
-	if d.Proved || string(d.Member) != "1" {
+	if d.ProvenCurrent || string(d.Member) != "1" {
 		t.Errorf("a file restored from earlier is proved: %q", d.Member)
 	}
 	s.close()
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if _, d = opened(t, dir, run); d.Proved {
+	if _, d = opened(t, dir, run); d.ProvenCurrent {
 		t.Error("a lost file is proved")
 	}
 }
@@ -147,7 +147,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, policyFile)
 	s, _ := opened(t, dir, "")
-	s.now(t, policy.Batch{Hard: []byte("voted for b in term 7"), Epoch: 1})
+	s.now(t, policy.Batch{HardState: []byte("voted for b in term 7"), Epoch: 1})
 	s.close()
 	before, err := os.ReadFile(path)
 	if err != nil {
@@ -167,8 +167,8 @@
 	}
 	s, d := opened(t, dir, "")
 	s.close()
-	if string(d.Hard) != "voted for b in term 7" {
-		t.Errorf("the vote is %q", d.Hard)
+	if string(d.HardState) != "voted for b in term 7" {
+		t.Errorf("the vote is %q", d.HardState)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
 		t.Errorf("opening a sound file wrote to it: on a full disk it could not be opened (%v)", err)
@@ -177,7 +177,7 @@
 	if err := os.WriteFile(path, bytes.Repeat([]byte("x"), len(before)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, d = opened(t, dir, ""); d.Hard != nil {
+	if _, d = opened(t, dir, ""); d.HardState != nil {
 		t.Errorf("%+v", d)
 	}
 	if _, err := os.Stat(path + ".bad"); err != nil {
--- a/internal/host/daemon/servicepart.go
+++ b/internal/host/daemon/servicepart.go
@@ -158,7 +158,7 @@
 // heldBy are the parts that a daemon of a configuration holds: of the sources of its instances.
 func heldBy(cfg *Config) (all []string) {
 	for _, i := range cfg.Instances {
-		if len(i.Source) <= policy.NameMost {
+		if len(i.Source) <= policy.MaxPartNameBytes {
 			all = append(all, i.Source)
 		}
 	}
@@ -167,16 +167,16 @@
 }
 
 // textsOf are the parts' texts by which a word says to serve, that for all first.
-func textsOf(s *policy.Serving) []policy.Doc {
-	return append([]policy.Doc{*s.Doc}, s.Parts...)
+func textsOf(s *policy.Serving) []policy.Document {
+	return append([]policy.Document{*s.Document}, s.Parts...)
 }
 
 // lay puts changes in the place of texts.
-func lay(texts []policy.Doc, changes []*policy.Doc) []policy.Doc {
+func lay(texts []policy.Document, changes []*policy.Document) []policy.Document {
 	all := slices.Clone(texts)
 	for _, c := range changes {
-		for _, x := range c.Texts() {
-			if i := slices.IndexFunc(all, func(d policy.Doc) bool { return d.Part == x.Part }); i >= 0 {
+		for _, x := range c.Documents() {
+			if i := slices.IndexFunc(all, func(d policy.Document) bool { return d.Part == x.Part }); i >= 0 {
 				all[i] = x
 			} else {
 				all = append(all, x)
@@ -187,7 +187,7 @@
 }
 
 // nameOf is what errors call a text.
-func nameOf(d *policy.Doc) string {
+func nameOf(d *policy.Document) string {
 	name := "policy"
 	if d.Number > 0 {
 		name = fmt.Sprintf("policy %d", d.Number)
@@ -199,7 +199,7 @@
 }
 
 // overlayOf reads the parts' texts; nil: none has any.
-func overlayOf(texts []policy.Doc) (*overlay, error) {
+func overlayOf(texts []policy.Document) (*overlay, error) {
 	var o *overlay
 	for i := range texts {
 		d := &texts[i]
--- a/internal/host/daemon/servicepart_test.go
+++ b/internal/host/daemon/servicepart_test.go
@@ -66,13 +66,13 @@
 	if got := strings.Join(heldBy(cfg), " "); got != "beds labs" {
 		t.Fatalf("it holds the parts of %s", got)
 	}
-	var docs []policy.Doc
-	var changes []*policy.Doc
+	var docs []policy.Document
+	var changes []*policy.Document
 	for part, text := range texts {
-		docs = append(docs, policy.Doc{Part: part, Number: 4, Body: []byte(text)})
+		docs = append(docs, policy.Document{Part: part, Number: 4, Body: []byte(text)})
 	}
 	for part, text := range both {
-		changes = append(changes, &policy.Doc{Part: part, Number: 5, Body: []byte(text)})
+		changes = append(changes, &policy.Document{Part: part, Number: 5, Body: []byte(text)})
 	}
 	return (&Daemon{}).under(cfg, docs, changes)
 }
@@ -158,8 +158,8 @@
 
 // One part is not known yet: requests of its instances are turned away, those of others are taken.
 func TestAPartThatIsNotKnownYetStopsItsInstancesAlone(t *testing.T) {
-	s := &serving{Serving: policy.Serving{Doc: &policy.Doc{}, Held: []string{"labs"}, Until: policy.Never}}
-	if s.holds("beds") || !s.holds("labs") || !s.holds("") || !s.holds(strings.Repeat("n", policy.NameMost+1)) {
-		t.Errorf("%v", s.Held)
+	s := &serving{Serving: policy.Serving{Document: &policy.Document{}, ServedParts: []string{"labs"}, Until: policy.Never}}
+	if s.holds("beds") || !s.holds("labs") || !s.holds("") || !s.holds(strings.Repeat("n", policy.MaxPartNameBytes+1)) {
+		t.Errorf("%v", s.ServedParts)
 	}
 }
--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -20,7 +20,7 @@
 	stored[state]("state.cbor").Check(t)
 	stored[command]("command.cbor").Check(t)
 	stored[savedMember]("member.cbor").Check(t)
-	stored[Handed]("handed.cbor").Check(t)
+	stored[HandoffState]("handed.cbor").Check(t)
 	stored[Message]("message.cbor").Check(t)
 }
 
@@ -29,10 +29,10 @@
 	var full state
 	golden.Fill(&full)
 	full.Pending, full.Without = nil, nil
-	full.Commits, full.Force.Order = 0, 0
+	full.Commits, full.Force.CommitIndex = 0, 0
 	plain := full
 	plain.Under = []underWay{full.Under[0]}
-	plain.Under[0].Doc.Part, plain.Under[0].Doc.More = "", nil
+	plain.Under[0].Doc.Part, plain.Under[0].Doc.OtherParts = "", nil
 	plain.Under[0].Since = plain.Version
 	for name, s := range map[string]*state{"state-parts.cbor": &full, "state-form1.cbor": &plain} {
 		golden.Check(t, name, encodeState(s))
@@ -58,7 +58,7 @@
 		}
 		golden.Check(t, name, data)
 	}
-	shown("shown.json", &Shown{})
-	shown("fate.json", &Fate{})
-	shown("past.json", &Past{})
+	shown("shown.json", &Status{})
+	shown("fate.json", &ChangeStatus{})
+	shown("past.json", &History{})
 }
--- a/internal/peer/policy/member.go
+++ b/internal/peer/policy/member.go
@@ -19,23 +19,23 @@
 //   - by a service's part only if the roster has it that this member holds it: else it is not waited for.
 type member struct {
 	n        *Node
-	force    Doc                      // the part ""
-	texts    map[string]Doc           // the others that have a text in force
+	force    Document                 // the part ""
+	texts    map[string]Document      // the others that have a text in force
 	upto     uint64                   // it knows all that came into force up to this Order; 0: nothing
 	want     []string                 // parts that it is to hold, besides "", in order
 	held     []string                 // those that the roster has for it, and whose text in force is here if they have one
 	holds    uint64                   // the sum of those that the roster has for it, by the last answer
 	asks     bool                     // that answer said that the roster has none, and wants them
-	prepared []*Doc                   // changes: on the disk, and this member can serve by them
+	prepared []*Document              // changes: on the disk, and this member can serve by them
 	sure     map[string]time.Duration // since when they are there
 	nays     map[string]string        // changes that it can't serve by, and why
-	need     map[string]Ref           // in force by the last answer, and not here, by part
+	need     map[string]DocumentRef   // in force by the last answer, and not here, by part
 
-	saving  uint64 // number of what is being put on the disk; 0: nothing
-	wanted  []*Doc // the changes that are in it for the first time
-	ready   []*Doc // those that go there next
-	apart   []*Doc // in force, and this member can't serve by them without others that it has not yet
-	dirty   bool   // the disk has another policy in force than this member
+	saving  uint64      // number of what is being put on the disk; 0: nothing
+	wanted  []*Document // the changes that are in it for the first time
+	ready   []*Document // those that go there next
+	apart   []*Document // in force, and this member can't serve by them without others that it has not yet
+	dirty   bool        // the disk has another policy in force than this member
 	dirtyAt time.Duration
 
 	free    bool // the process has its name for itself
@@ -62,13 +62,13 @@
 	about    []watched
 	changes  []*change
 	tries    int // questions since the last answer
-	past     *Past
+	past     *History
 	turn     int
 }
 
 // watched is a change of which somebody would know what becomes of it.
 type watched struct {
-	fate  Fate
+	fate  ChangeStatus
 	until time.Duration
 }
 
@@ -81,23 +81,23 @@
 
 // savedMember is what the disk has of a member.
 type savedMember struct {
-	Force    Doc      `cbor:"1,keyasint,omitempty"`
-	Prepared *Doc     `cbor:"2,keyasint,omitempty"`
-	Voters   []string `cbor:"3,keyasint,omitempty"`
-	Epoch    uint64   `cbor:"4,keyasint,omitempty"`
-	Texts    []Doc    `cbor:"5,keyasint,omitempty"` // from form 2 on, as what follows
-	More     []*Doc   `cbor:"6,keyasint,omitempty"` // prepared besides
-	Upto     uint64   `cbor:"7,keyasint,omitempty"`
-	Form     uint8    `cbor:"8,keyasint,omitempty"`
-	Holds    uint64   `cbor:"9,keyasint,omitempty"` // the sum of the parts of which Upto tells
+	Force    Document    `cbor:"1,keyasint,omitempty"`
+	Prepared *Document   `cbor:"2,keyasint,omitempty"`
+	Voters   []string    `cbor:"3,keyasint,omitempty"`
+	Epoch    uint64      `cbor:"4,keyasint,omitempty"`
+	Texts    []Document  `cbor:"5,keyasint,omitempty"` // from form 2 on, as what follows
+	More     []*Document `cbor:"6,keyasint,omitempty"` // prepared besides
+	Upto     uint64      `cbor:"7,keyasint,omitempty"`
+	Form     uint8       `cbor:"8,keyasint,omitempty"`
+	Holds    uint64      `cbor:"9,keyasint,omitempty"` // the sum of the parts of which Upto tells
 }
 
 // changes are those that are prepared.
-func (s *savedMember) changes() []*Doc {
+func (s *savedMember) changes() []*Document {
 	if s.Prepared == nil {
 		return s.More
 	}
-	return append([]*Doc{s.Prepared}, s.More...)
+	return append([]*Document{s.Prepared}, s.More...)
 }
 
 const (
@@ -124,7 +124,7 @@
 	}
 	for _, c := range m.changes {
 		if n.now >= c.ends && c.p.Drop == "" { // nobody has answered: it is not to come into force at some later time
-			c.p = Proposal{Drop: c.p.Doc.ID, Doc: Doc{Author: n.s.Name, Reason: "it did not reach the voters within " + offerFor.String()}}
+			c.p = Proposal{Drop: c.p.Document.ID, Document: Document{Author: n.s.Name, Reason: "it did not reach the voters within " + offerFor.String()}}
 			c.ends = n.now + watchFor
 		}
 		if n.now >= c.at && n.now < c.ends {
@@ -148,95 +148,95 @@
 	if u := m.told.Until; u > m.n.now {
 		at = min(at, u)
 	}
-	if !m.ever && m.n.s.Last {
+	if !m.ever && m.n.s.ServeLastKnown {
 		at = min(at, m.aloneAt())
 	}
 	return at
 }
 
-func (m *member) aloneAt() time.Duration { return m.began + m.n.s.Alone }
+func (m *member) aloneAt() time.Duration { return m.began + m.n.s.StandaloneAfter }
 
 // serve says what the daemon is to serve by, where that has changed.
 func (m *member) serve() {
 	n := m.n
-	s := Serving{Doc: &m.force}
+	s := Serving{Document: &m.force}
 	switch {
-	case !m.ever && n.s.Last && n.now >= m.aloneAt():
-		s.Until, s.Alone, s.Both, s.Held = Never, true, m.prepared, m.want
+	case !m.ever && n.s.ServeLastKnown && n.now >= m.aloneAt():
+		s.Until, s.Standalone, s.Preparing, s.ServedParts = Never, true, m.prepared, m.want
 	case !m.ever:
-		s.Why = "the policy in force is not known yet: no voter has answered"
+		s.Blocked = "the policy in force is not known yet: no voter has answered"
 		if m.refused != "" {
-			s.Why = m.refused
+			s.Blocked = m.refused
 		}
 	case !m.joined:
-		s.Why = "this process is not in the fleet's roster: the policy in force has changed, or is being changed, without it"
+		s.Blocked = "this process is not in the fleet's roster: the policy in force has changed, or is being changed, without it"
 		if m.refused != "" {
-			s.Why = m.refused
+			s.Blocked = m.refused
 		}
-	case !n.s.Stops && len(m.prepared) == 0:
+	case !n.s.StopWhenIsolated && len(m.prepared) == 0:
 		s.Until = Never
 	case n.now < m.lease:
 		s.Until = m.lease
-	case !n.s.Stops:
-		s.Until, s.Both = Never, m.prepared
+	case !n.s.StopWhenIsolated:
+		s.Until, s.Preparing = Never, m.prepared
 	default:
-		s.Why = "no voter has answered for " + n.s.Lease.String() + ": the policy may change without this member"
+		s.Blocked = "no voter has answered for " + n.s.Lease.String() + ": the policy may change without this member"
 	}
-	if s.Why == "" && !s.Alone {
-		s.Held = m.held
+	if s.Blocked == "" && !s.Standalone {
+		s.ServedParts = m.held
 	}
 	doc := m.force
-	s.Doc, s.Parts, s.Both = &doc, m.inForceParts(), slices.Clone(s.Both)
-	if m.told.Doc != nil && m.told.same(&s) {
+	s.Document, s.Parts, s.Preparing = &doc, m.inForceParts(), slices.Clone(s.Preparing)
+	if m.told.Document != nil && m.told.same(&s) {
 		return
 	}
 	m.told = s
-	n.do(Serve{s})
+	n.do(ServingChanged{s})
 }
 
 // same reports whether two words say the same.
 func (s *Serving) same(o *Serving) bool {
-	same := func(a, b Doc) bool { return a.Part == b.Part && a.Number == b.Number && a.ID == b.ID }
-	return same(*s.Doc, *o.Doc) && slices.EqualFunc(s.Parts, o.Parts, same) && slices.Equal(idsOf(s.Both), idsOf(o.Both)) && slices.Equal(s.Held, o.Held) &&
-		s.Until == o.Until && s.Alone == o.Alone && s.Why == o.Why
+	same := func(a, b Document) bool { return a.Part == b.Part && a.Number == b.Number && a.ID == b.ID }
+	return same(*s.Document, *o.Document) && slices.EqualFunc(s.Parts, o.Parts, same) && slices.Equal(idsOf(s.Preparing), idsOf(o.Preparing)) && slices.Equal(s.ServedParts, o.ServedParts) &&
+		s.Until == o.Until && s.Standalone == o.Standalone && s.Blocked == o.Blocked
 }
 
-// Sum tells by which texts it serves, and by what besides: two that are the same have the same.
-func (s *Serving) Sum() string {
+// Fingerprint tells by which texts it serves, and by what besides: two that are the same have the same.
+func (s *Serving) Fingerprint() string {
 	var b strings.Builder
-	if s.Doc != nil {
-		fmt.Fprintf(&b, "%d %s", s.Doc.Number, s.Doc.ID)
+	if s.Document != nil {
+		fmt.Fprintf(&b, "%d %s", s.Document.Number, s.Document.ID)
 	}
 	for i := range s.Parts {
 		fmt.Fprintf(&b, ", %s %d %s", s.Parts[i].Part, s.Parts[i].Number, s.Parts[i].ID)
 	}
-	for _, d := range s.Both {
+	for _, d := range s.Preparing {
 		fmt.Fprintf(&b, " and %s", d.ID)
 	}
 	return b.String()
 }
 
-// In is the text by which a part is served, and whether it may be.
-func (s *Serving) In(part string) (d *Doc, held bool) {
+// Lookup is the text by which a part is served, and whether it may be.
+func (s *Serving) Lookup(part string) (d *Document, held bool) {
 	if part == "" {
-		return s.Doc, true
+		return s.Document, true
 	}
-	held = slices.Contains(s.Held, part)
-	if i := slices.IndexFunc(s.Parts, func(x Doc) bool { return x.Part == part }); i >= 0 {
+	held = slices.Contains(s.ServedParts, part)
+	if i := slices.IndexFunc(s.Parts, func(x Document) bool { return x.Part == part }); i >= 0 {
 		return &s.Parts[i], held
 	}
-	return &Doc{Part: part}, held
+	return &Document{Part: part}, held
 }
 
-// Doubt is the change that may be in force in place of a part's text; nil: none.
-func (s *Serving) Doubt(part string) *Doc {
-	if i := slices.IndexFunc(s.Both, func(d *Doc) bool { return d.Names(part) }); i >= 0 {
-		return s.Both[i]
+// PreparingChange is the change that may be in force in place of a part's text; nil: none.
+func (s *Serving) PreparingChange(part string) *Document {
+	if i := slices.IndexFunc(s.Preparing, func(d *Document) bool { return d.Includes(part) }); i >= 0 {
+		return s.Preparing[i]
 	}
 	return nil
 }
 
-func idsOf(all []*Doc) []string {
+func idsOf(all []*Document) []string {
 	var ids []string
 	for _, d := range all {
 		ids = append(ids, d.ID)
@@ -245,19 +245,19 @@
 }
 
 // text is a part's text in force here; Number 0: it has none.
-func (m *member) text(part string) Doc {
+func (m *member) text(part string) Document {
 	if part == "" {
 		return m.force
 	}
 	if d, ok := m.texts[part]; ok {
 		return d
 	}
-	return Doc{Part: part}
+	return Document{Part: part}
 }
 
 // inForceParts are the texts in force but that for all, by name.
-func (m *member) inForceParts() []Doc {
-	var all []Doc
+func (m *member) inForceParts() []Document {
+	var all []Document
 	for _, p := range sorted(m.texts) {
 		all = append(all, m.texts[p])
 	}
@@ -312,12 +312,12 @@
 }
 
 func (m *member) isPrepared(id string) bool {
-	return slices.ContainsFunc(m.prepared, func(d *Doc) bool { return d.ID == id })
+	return slices.ContainsFunc(m.prepared, func(d *Document) bool { return d.ID == id })
 }
 
 // needs reports whether it waits for an answer.
 func (m *member) needs() bool {
-	return !m.joined || len(m.prepared) > 0 || len(m.need) > 0 || len(m.fetching) > 0 || m.holds != sumOf(m.want) || m.n.now >= m.lease-m.n.s.Lease/4 && m.n.s.Stops || slices.ContainsFunc(m.about, func(w watched) bool { return w.fate.State <= UnderWay })
+	return !m.joined || len(m.prepared) > 0 || len(m.need) > 0 || len(m.fetching) > 0 || m.holds != sumOf(m.want) || m.n.now >= m.lease-m.n.s.Lease/4 && m.n.s.StopWhenIsolated || slices.ContainsFunc(m.about, func(w watched) bool { return w.fate.State <= Preparing })
 }
 
 // ask asks a voter.
@@ -325,7 +325,7 @@
 	n := m.n
 	// Until it is answered it asks again, the more seldom the longer that takes, unless it needs the answer.
 	wait := max(askSoon, n.s.Lease/3)
-	if m.needs() || n.s.Stops {
+	if m.needs() || n.s.StopWhenIsolated {
 		wait = 5 * askSoon
 	}
 	wait = min(wait, askSoon<<min(m.tries, 6))
@@ -349,25 +349,25 @@
 	m.seq++
 	m.asked[m.seq] = n.now
 	m.askedAt = n.now
-	a := &Ask{Name: n.s.Name, Life: n.s.Life, Seq: m.seq, Force: m.force.Number, Join: m.free && !m.joined, Over: m.joined && n.now >= m.lease, Stops: n.s.Stops, LeaseMS: uint32(n.s.Lease / time.Millisecond),
-		Form: Form, Upto: m.upto, Have: idsOf(m.prepared), Holds: sumOf(m.want)}
-	if i := slices.IndexFunc(m.prepared, func(d *Doc) bool { return d.plain() }); i >= 0 { // for a leader of form 1
+	a := &LeaseRequest{Name: n.s.Name, RunID: n.s.RunID, Seq: m.seq, ActiveNumber: m.force.Number, Join: m.free && !m.joined, LeaseExpired: m.joined && n.now >= m.lease, StopWhenIsolated: n.s.StopWhenIsolated, LeaseMS: uint32(n.s.Lease / time.Millisecond),
+		Format: FormatVersion, KnownUpTo: m.upto, PreparedIDs: idsOf(m.prepared), PartsHash: sumOf(m.want)}
+	if i := slices.IndexFunc(m.prepared, func(d *Document) bool { return d.plain() }); i >= 0 { // for a leader of form 1
 		a.Prepared = m.prepared[i].ID
 	}
 	if ids := sorted(m.nays); len(ids) > 0 { // by turns
-		a.Nay = ids[m.turn%len(ids)]
-		a.Why = m.nays[a.Nay]
+		a.RejectedID = ids[m.turn%len(ids)]
+		a.RejectReason = m.nays[a.RejectedID]
 	}
-	if !m.joined || m.holds != a.Holds || m.asks {
+	if !m.joined || m.holds != a.PartsHash || m.asks {
 		a.Parts = m.want
 	}
 	for i := range m.about { // by turns, where there are many
-		if w := m.about[(m.turn+i)%len(m.about)]; w.fate.State <= UnderWay && len(a.About) < aboutMost {
-			a.About = append(a.About, w.fate.ID)
+		if w := m.about[(m.turn+i)%len(m.about)]; w.fate.State <= Preparing && len(a.StatusOf) < aboutMost {
+			a.StatusOf = append(a.StatusOf, w.fate.ID)
 		}
 	}
 	m.turn++
-	n.send(to, &Message{Ask: a})
+	n.send(to, &Message{LeaseRequest: a})
 	for seq, at := range m.asked {
 		if n.now-at > askLasts {
 			delete(m.asked, seq)
@@ -389,7 +389,7 @@
 }
 
 // answered takes an answer. What it says held after the question was asked.
-func (m *member) answered(from string, a *Answer) {
+func (m *member) answered(from string, a *LeaseResponse) {
 	n := m.n
 	at, ok := m.asked[a.Seq]
 	if !ok || a.Seq <= m.last {
@@ -407,12 +407,12 @@
 		m.avoid = ""
 	}
 	n.learnVoters(a.Voters)
-	for _, f := range a.About {
+	for _, f := range a.Statuses {
 		for i := range m.about {
 			if m.about[i].fate.ID == f.ID {
 				m.about[i].fate = f
 				m.changes = slices.DeleteFunc(m.changes, func(c *change) bool {
-					return c.p.Doc.ID == f.ID && f.State != Unknown || c.p.Drop == f.ID && f.State > UnderWay
+					return c.p.Document.ID == f.ID && f.State != Unknown || c.p.Drop == f.ID && f.State > Preparing
 				})
 			}
 		}
@@ -422,23 +422,23 @@
 			n.say(true, "policy: not taken into the fleet's roster: %s", a.Refused)
 		}
 	}
-	refs, under, holds := a.Changed, a.Under, a.Holds
-	if a.Form == 0 { // a leader of form 1 knows one part, and counts this member for every change
+	refs, under, holds := a.Changed, a.PendingIDs, a.PartsHash
+	if a.Format == 0 { // a leader of form 1 knows one part, and counts this member for every change
 		refs, under, holds = nil, nil, sumOf(m.want)
-		if a.Force != m.force.Number || a.ForceID != m.force.ID {
-			refs = []Ref{{Number: a.Force, ID: a.ForceID}}
+		if a.ActiveNumber != m.force.Number || a.ActiveID != m.force.ID {
+			refs = []DocumentRef{{Number: a.ActiveNumber, ID: a.ActiveID}}
 		}
 		if a.Pending != "" {
 			under = []string{a.Pending}
 		}
 	}
-	m.holds, m.asks = holds, a.Say
-	known := holds == sumOf(m.want) || a.Every // by which parts the answer was made, or all
+	m.holds, m.asks = holds, a.WantsParts
+	known := holds == sumOf(m.want) || a.CountsForAllParts // by which parts the answer was made, or all
 	rescued := n.epochAt > 0 && at > n.epochAt
-	if a.All && known { // what it does not name has no text: a rescue has given that up
+	if a.Complete && known { // what it does not name has no text: a rescue has given that up
 		for _, part := range append([]string{""}, sorted(m.texts)...) {
-			if d := m.text(part); d.Number > 0 && !slices.ContainsFunc(refs, func(r Ref) bool { return r.Part == part }) {
-				refs = append(refs, Ref{Part: part})
+			if d := m.text(part); d.Number > 0 && !slices.ContainsFunc(refs, func(r DocumentRef) bool { return r.Part == part }) {
+				refs = append(refs, DocumentRef{Part: part})
 			}
 		}
 	}
@@ -453,7 +453,7 @@
 			return
 		case r.Number == 0 && d.Number > 0:
 			n.say(true, "policy %d%s is given up: after a rescue none is in force", d.Number, ofPart(r.Part))
-			m.enter(Doc{Part: r.Part})
+			m.enter(Document{Part: r.Part})
 		case r.Number < d.Number || r.ID != d.ID:
 			n.say(true, "policy %d%s is given up: after a rescue %d is in force", d.Number, ofPart(r.Part), r.Number)
 			m.need[r.Part] = r
@@ -472,11 +472,11 @@
 			m.joined = false
 			return
 		}
-	} else if a.Form > 0 && known {
-		m.upto = a.Upto
+	} else if a.Format > 0 && known {
+		m.upto = a.CommittedUpTo
 	}
 	// What is not under way any more, and not in force, was dropped.
-	m.prepared = slices.DeleteFunc(m.prepared, func(d *Doc) bool {
+	m.prepared = slices.DeleteFunc(m.prepared, func(d *Document) bool {
 		gone := !slices.Contains(under, d.ID) && at > m.sure[d.ID]
 		if gone {
 			delete(m.sure, d.ID)
@@ -499,7 +499,7 @@
 			m.fetch(id)
 		}
 	}
-	if m.joined = a.Known; a.Known {
+	if m.joined = a.InRoster; a.InRoster {
 		if m.ever = true; known && len(m.need) == 0 {
 			m.held = m.want
 		}
@@ -533,7 +533,7 @@
 }
 
 // enter has a part's text in force here; Number 0: none.
-func (m *member) enter(d Doc) {
+func (m *member) enter(d Document) {
 	if d.Part == "" {
 		m.force = d
 	} else if d.Number == 0 {
@@ -551,15 +551,15 @@
 
 // arrived has those texts of a change in force here that are needed. It reports whether there were any: then the change is
 // under way no more.
-func (m *member) arrived(d *Doc) (any bool) {
-	for _, x := range d.Texts() {
+func (m *member) arrived(d *Document) (any bool) {
+	for _, x := range d.Documents() {
 		if r, ok := m.need[x.Part]; ok && r.ID == x.ID && r.Number == x.Number {
 			m.enter(x)
 			any = true
 		}
 	}
 	if any {
-		m.prepared = slices.DeleteFunc(m.prepared, func(p *Doc) bool { return p.ID == d.ID })
+		m.prepared = slices.DeleteFunc(m.prepared, func(p *Document) bool { return p.ID == d.ID })
 		delete(m.sure, d.ID)
 		delete(m.nays, d.ID)
 		delete(m.fetching, d.ID)
@@ -571,7 +571,7 @@
 func (m *member) fetch(id string) {
 	n := m.n
 	asked, again := m.fetching[id]
-	has := func(d *Doc) bool { return d.ID == id }
+	has := func(d *Document) bool { return d.ID == id }
 	if id == "" || again && n.now-asked < fetchWait || m.saving > 0 && slices.ContainsFunc(m.wanted, has) || slices.ContainsFunc(m.ready, has) {
 		return
 	}
@@ -610,14 +610,14 @@
 }
 
 // got takes a change's texts.
-func (m *member) got(d *Doc) {
+func (m *member) got(d *Document) {
 	n := m.n
 	if _, ok := m.fetching[d.ID]; !ok {
 		return
 	}
 	size := 0
-	for _, x := range d.Texts() {
-		if size += len(x.Body); x.Digest != DigestOf(x.Body) || len(x.Body) > BodyMost || size > ChangeMost {
+	for _, x := range d.Documents() {
+		if size += len(x.Body); x.Digest != DigestOf(x.Body) || len(x.Body) > MaxBodyBytes || size > MaxChangeBytes {
 			return
 		}
 	}
@@ -626,7 +626,7 @@
 	}
 	delete(m.fetching, d.ID)
 	news := m.needs1(d.ID)
-	for _, x := range d.Texts() {
+	for _, x := range d.Documents() {
 		news = news || x.Number > m.text(x.Part).Number || n.epochAt > 0
 	}
 	if !news || m.isPrepared(d.ID) {
@@ -651,16 +651,16 @@
 }
 
 // gotInForce takes texts that are in force: with those that came before and make sense only with them, or by themselves.
-func (m *member) gotInForce(d *Doc) {
+func (m *member) gotInForce(d *Document) {
 	check := m.n.s.Check
-	all := append(slices.DeleteFunc(m.apart, func(x *Doc) bool { return x.ID == d.ID || !m.needs1(x.ID) }), d)
+	all := append(slices.DeleteFunc(m.apart, func(x *Document) bool { return x.ID == d.ID || !m.needs1(x.ID) }), d)
 	m.apart = nil
 	switch {
 	case check == nil || check(m.laid(all)) == nil:
 		m.ready = append(m.ready, all...)
 	default:
 		m.apart = all
-		err := check(m.laid([]*Doc{d}))
+		err := check(m.laid([]*Document{d}))
 		if err == nil {
 			m.ready, m.apart = append(m.ready, d), all[:len(all)-1]
 		} else if m.nays[d.ID] == "" {
@@ -675,11 +675,11 @@
 
 // check reports whether this member could serve by a change: with what is in force, and with all that is under way besides.
 // What services' parts say does not touch other services, so between these two lies all that can come to be.
-func (m *member) check(d *Doc) error {
+func (m *member) check(d *Document) error {
 	if m.n.s.Check == nil {
 		return nil
 	}
-	if err := m.n.s.Check(m.laid([]*Doc{d})); err != nil {
+	if err := m.n.s.Check(m.laid([]*Document{d})); err != nil {
 		return err
 	}
 	if others := slices.Concat(m.prepared, m.wanted, m.ready); len(others) > 0 {
@@ -691,17 +691,17 @@
 }
 
 // laid are the texts in force with those of changes in their place, that for all first.
-func (m *member) laid(changes []*Doc) []Doc {
-	texts := map[string]Doc{"": m.force}
+func (m *member) laid(changes []*Document) []Document {
+	texts := map[string]Document{"": m.force}
 	for p, d := range m.texts {
 		texts[p] = d
 	}
 	for _, c := range changes {
-		for _, x := range c.Texts() {
+		for _, x := range c.Documents() {
 			texts[x.Part] = x
 		}
 	}
-	var all []Doc
+	var all []Document
 	for _, p := range sorted(texts) {
 		all = append(all, texts[p])
 	}
@@ -710,9 +710,9 @@
 
 // save puts the member's part on the disk, with the changes that it is to have: all that have come meanwhile, at once.
 func (m *member) save() {
-	s := savedMember{Force: m.force, Voters: m.n.voters, Epoch: m.n.epoch, Texts: m.inForceParts(), Upto: m.upto, Form: Form, Holds: sumOf(m.want)}
+	s := savedMember{Force: m.force, Voters: m.n.voters, Epoch: m.n.epoch, Texts: m.inForceParts(), Upto: m.upto, Form: FormatVersion, Holds: sumOf(m.want)}
 	s.More = slices.Concat(m.prepared, m.ready)
-	if i := slices.IndexFunc(s.More, func(d *Doc) bool { return d.plain() }); i >= 0 { // where form 1 has it
+	if i := slices.IndexFunc(s.More, func(d *Document) bool { return d.plain() }); i >= 0 { // where form 1 has it
 		s.Prepared = s.More[i]
 		s.More = slices.Delete(s.More, i, i+1)
 	}
@@ -744,7 +744,7 @@
 			m.soon()
 		case inForce:
 			m.arrived(d)
-		case slices.ContainsFunc(d.Texts(), func(x Doc) bool { return x.Number <= m.text(x.Part).Number }): // it came to nothing meanwhile
+		case slices.ContainsFunc(d.Documents(), func(x Document) bool { return x.Number <= m.text(x.Part).Number }): // it came to nothing meanwhile
 			m.dirty, m.dirtyAt = true, m.n.now
 		default:
 			m.prepared, m.sure[d.ID] = append(m.prepared, d), m.n.now
@@ -762,7 +762,7 @@
 	n := m.n
 	c.at = n.now + offerWait
 	p := c.p
-	n.send(m.leaderOrAny(), &Message{Change: &p})
+	n.send(m.leaderOrAny(), &Message{Proposal: &p})
 	m.soon()
 }
 
@@ -773,8 +773,8 @@
 		m.changes = append(m.changes, &change{p: p, at: m.n.now, ends: m.n.now + offerFor})
 		return
 	}
-	m.watch(p.Doc.ID)
-	if !slices.ContainsFunc(m.changes, func(c *change) bool { return c.p.Doc.ID == p.Doc.ID }) {
+	m.watch(p.Document.ID)
+	if !slices.ContainsFunc(m.changes, func(c *change) bool { return c.p.Document.ID == p.Document.ID }) {
 		m.changes = append(m.changes, &change{p: p, at: m.n.now, ends: m.n.now + offerFor})
 	}
 }
@@ -787,7 +787,7 @@
 		if len(m.about) == watchMost {
 			m.about = slices.Delete(m.about, 0, 1)
 		}
-		m.about = append(m.about, watched{Fate{ID: id}, m.n.now + watchFor})
+		m.about = append(m.about, watched{ChangeStatus{ID: id}, m.n.now + watchFor})
 	}
 	m.soon()
 }
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -14,7 +14,7 @@
 	now     time.Duration
 	actions []Action
 	began   bool
-	disk    *Disk // until the first step
+	disk    *StoredState // until the first step
 
 	m member
 	v *voter
@@ -24,32 +24,32 @@
 	names   map[uint64]string
 	epoch   uint64 // of the voters: grows with each rescue
 	epochAt time.Duration
-	who     map[string]Who
+	who     map[string]MemberInfo
 	stats   Stats
 }
 
 // Stats are of a node's life.
 type Stats struct {
-	Sent      uint64 `json:"Sent"`
-	Asked     uint64 `json:"Asked"`
-	Persisted uint64 `json:"Persisted"`
+	Sent          uint64 `json:"Sent"`
+	LeaseRequests uint64 `json:"Asked"`
+	Persisted     uint64 `json:"Persisted"`
 }
 
 // New returns a node as its disk has it.
-func New(s Settings, d Disk, seed uint64) (*Node, error) {
+func New(s Settings, d StoredState, seed uint64) (*Node, error) {
 	if err := s.fill(); err != nil {
 		return nil, err
 	}
-	n := &Node{s: s, rng: rand.New(rand.NewPCG(seed, s.Life)), disk: &d, names: map[uint64]string{}, who: map[string]Who{}}
-	n.m = member{n: n, asked: map[uint64]time.Duration{}, texts: map[string]Doc{}, sure: map[string]time.Duration{}, nays: map[string]string{}, fetching: map[string]time.Duration{}, need: map[string]Ref{}, want: n.s.Parts}
+	n := &Node{s: s, rng: rand.New(rand.NewPCG(seed, s.RunID)), disk: &d, names: map[uint64]string{}, who: map[string]MemberInfo{}}
+	n.m = member{n: n, asked: map[uint64]time.Duration{}, texts: map[string]Document{}, sure: map[string]time.Duration{}, nays: map[string]string{}, fetching: map[string]time.Duration{}, need: map[string]DocumentRef{}, want: n.s.Parts}
 	n.learnVoters(s.Voters)
 	if d.Member != nil {
 		var saved savedMember
 		if err := decoding.Unmarshal(d.Member, &saved); err != nil {
 			return nil, fmt.Errorf("policy: the member's part on the disk: %w", err)
 		}
-		if saved.Form > Form {
-			return nil, fmt.Errorf("policy: the member's part on the disk has form %d, and this build knows 1 to %d", saved.Form, Form)
+		if saved.Form > FormatVersion {
+			return nil, fmt.Errorf("policy: the member's part on the disk has form %d, and this build knows 1 to %d", saved.Form, FormatVersion)
 		}
 		n.m.force, n.m.prepared, n.epoch, n.m.upto = saved.Force, saved.changes(), saved.Epoch, saved.Upto
 		if saved.Holds != sumOf(n.s.Parts) { // its file has other services now
@@ -83,9 +83,9 @@
 	if n.epoch > 0 && n.m.upto == 0 { // it ended before it knew what a rescue had given up
 		n.epochAt = max(1, n.now)
 	}
-	if h := n.s.Handed; h != nil && h.Number == n.m.force.Number { // its requests go on
-		n.m.joined, n.m.ever, n.m.lease, n.m.seq, n.m.last = true, true, n.now+h.Left, h.Seq+1, h.Seq
-		n.m.held = h.Held(n.m.want, n.m.text)
+	if h := n.s.Handoff; h != nil && h.Number == n.m.force.Number { // its requests go on
+		n.m.joined, n.m.ever, n.m.lease, n.m.seq, n.m.last = true, true, n.now+h.LeaseRemaining, h.Seq+1, h.Seq
+		n.m.held = h.ServedParts(n.m.want, n.m.text)
 	}
 	if d.Snapshot != nil || d.Member == nil && slices.Contains(n.s.Voters, n.s.Name) {
 		v, err := newVoter(n, d, false)
@@ -118,23 +118,23 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Heard:
+		case Received:
 			n.heard(e.From, e.Message)
 		case Persisted:
 			n.m.persisted(e.Seq, e.Err)
 			if n.v != nil {
 				n.v.persisted(e.Seq, e.Err)
 			}
-		case Members:
-			n.who = make(map[string]Who, len(e.All))
+		case MembersChanged:
+			n.who = make(map[string]MemberInfo, len(e.All))
 			for _, w := range e.All {
 				n.who[w.Name] = w
 			}
 		case Propose:
 			n.m.propose(e.Change)
-		case Watch:
+		case WatchChange:
 			n.m.watch(e.ID)
-		case Replace:
+		case ReplaceVoter:
 			n.replace(&e, 0)
 		case Rescue:
 			n.rescue()
@@ -143,16 +143,16 @@
 				n.v.trust = true
 				n.v.heard()
 			}
-		case Refresh:
+		case RenewNow:
 			n.m.askAt = n.now
-		case Hold:
+		case SetParts:
 			n.m.hold(e.Parts)
-		case Past:
+		case History:
 			n.m.past = nil
-			n.send(n.m.voter(), &Message{Past: &e})
-		case Freed:
-			if n.m.free != e.Alone {
-				n.m.free = e.Alone
+			n.send(n.m.voter(), &Message{History: &e})
+		case NameOwnership:
+			if n.m.free != e.Exclusive {
+				n.m.free = e.Exclusive
 				n.m.soon()
 			}
 		}
@@ -167,7 +167,7 @@
 func (n *Node) do(a Action) { n.actions = append(n.actions, a) }
 
 func (n *Node) say(bad bool, format string, args ...any) {
-	n.do(Say{fmt.Sprintf(format, args...), bad})
+	n.do(Log{fmt.Sprintf(format, args...), bad})
 }
 
 func (n *Node) persist(b Batch) uint64 {
@@ -198,7 +198,7 @@
 }
 
 // viewHas reports whether the view knows a member by this life.
-func (n *Node) viewHas(name string, life uint64) bool { return n.who[name].Life == life }
+func (n *Node) viewHas(name string, life uint64) bool { return n.who[name].RunID == life }
 
 // heard takes a message of another.
 func (n *Node) heard(from string, m *Message) {
@@ -207,8 +207,8 @@
 	}
 	switch {
 	case m.Epoch < n.epoch: // it does not know of a rescue
-		if m.Raft != nil || m.Call != nil || m.Answer != nil {
-			n.send(from, &Message{Poke: true})
+		if m.Raft != nil || m.PositionRequest != nil || m.LeaseResponse != nil {
+			n.send(from, &Message{Notify: true})
 			return
 		}
 	case m.Epoch > n.epoch:
@@ -228,79 +228,79 @@
 		if n.v != nil {
 			n.v.step(from, m.Raft)
 		}
-	case m.Ask != nil:
+	case m.LeaseRequest != nil:
 		n.asked(from, m)
-	case m.Answer != nil && m.To != "" && m.To != n.s.Name:
+	case m.LeaseResponse != nil && m.To != "" && m.To != n.s.Name:
 		if m.Hops < 2 {
-			n.send(m.To, &Message{Answer: m.Answer, Hops: m.Hops + 1})
+			n.send(m.To, &Message{LeaseResponse: m.LeaseResponse, Hops: m.Hops + 1})
 		}
-	case m.Answer != nil:
-		n.m.answered(from, m.Answer)
-	case m.Poke:
+	case m.LeaseResponse != nil:
+		n.m.answered(from, m.LeaseResponse)
+	case m.Notify:
 		n.m.soon()
-	case m.Call != nil:
+	case m.PositionRequest != nil:
 		if n.v != nil {
-			n.v.called(from, m.Call)
+			n.v.called(from, m.PositionRequest)
 		}
-	case m.Said != nil:
-		if v := n.v; v != nil && v.rn == nil && m.Said.Number == v.call {
-			v.said[from] = m.Said
+	case m.PositionResponse != nil:
+		if v := n.v; v != nil && v.rn == nil && m.PositionResponse.Number == v.call {
+			v.said[from] = m.PositionResponse
 			v.heard()
 		}
 	case m.Fetch != "":
 		if n.v != nil {
 			if d := n.v.state.doc(m.Fetch, n.v.state.wants(from, m.Parts)); d != nil {
-				n.send(from, &Message{Doc: d})
+				n.send(from, &Message{Document: d})
 			}
 		}
-	case m.Doc != nil:
-		n.m.got(m.Doc)
-	case m.Change != nil:
+	case m.Document != nil:
+		n.m.got(m.Document)
+	case m.Proposal != nil:
 		n.change(m)
-	case m.Voters != nil:
-		n.replace(m.Voters, m.Hops)
-	case m.Past != nil && m.Past.Told:
-		n.m.past = m.Past
-	case m.Past != nil:
+	case m.ReplaceVoter != nil:
+		n.replace(m.ReplaceVoter, m.Hops)
+	case m.History != nil && m.History.IsResponse:
+		n.m.past = m.History
+	case m.History != nil:
 		if n.v != nil {
-			p := n.v.state.past(m.Past.Part, m.Past.Number)
-			n.send(from, &Message{Past: p})
+			p := n.v.state.past(m.History.Part, m.History.Number)
+			n.send(from, &Message{History: p})
 		}
 	}
 }
 
 // asked takes a member's question, or passes it on to the leader.
 func (n *Node) asked(from string, m *Message) {
-	v, a := n.v, m.Ask
+	v, a := n.v, m.LeaseRequest
 	if v == nil || v.rn == nil || a.Name == "" {
 		return
 	}
-	if from != a.Name && from != a.Via {
+	if from != a.Name && from != a.Through {
 		return
 	}
-	n.stats.Asked++
+	n.stats.LeaseRequests++
 	if v.leads() {
 		if v.lead.term > 0 {
 			v.lead.ask(v, question{a, from})
 		}
 		return
 	}
-	if to := v.leader(); to != "" && to != n.s.Name && a.Via == "" {
+	if to := v.leader(); to != "" && to != n.s.Name && a.Through == "" {
 		b := *a
-		b.Via = n.s.Name
-		n.send(to, &Message{Ask: &b})
+		b.Through = n.s.Name
+		n.send(to, &Message{LeaseRequest: &b})
 	}
 }
 
 // change takes a change, or passes it on to the leader.
 func (n *Node) change(m *Message) {
-	v, p := n.v, m.Change
+	v, p := n.v, m.Proposal
 	if v == nil || v.rn == nil || p.Check() != nil {
 		return
 	}
 	if !v.leads() {
 		if to := v.leader(); to != "" && m.Hops == 0 {
-			n.send(to, &Message{Change: p, Hops: 1})
+			n.send(to, &Message{Proposal: p, Hops: 1})
 		}
 		return
 	}
@@ -308,9 +308,9 @@
 		v.lead.drop(v, p)
 		return
 	}
-	if v.state.fate(p.Doc.ID).State == Unknown && !v.waits(p.Doc.ID) {
-		d := p.Doc
-		if !d.plain() && v.state.Form < Form {
+	if v.state.fate(p.Document.ID).State == Unknown && !v.waits(p.Document.ID) {
+		d := p.Document
+		if !d.plain() && v.state.Form < FormatVersion {
 			if v.lead.raise(v) { // its author offers it again
 				return
 			}
@@ -323,7 +323,7 @@
 }
 
 // replace changes the voters, or passes that on to the leader.
-func (n *Node) replace(r *Replace, hops int) {
+func (n *Node) replace(r *ReplaceVoter, hops int) {
 	switch {
 	case n.v != nil && n.v.leads():
 		if err := n.v.replace(r); err != nil {
@@ -333,21 +333,21 @@
 	case hops > 2:
 		return
 	case n.v != nil && n.v.leader() != "":
-		n.send(n.v.leader(), &Message{Voters: r, Hops: hops + 1})
+		n.send(n.v.leader(), &Message{ReplaceVoter: r, Hops: hops + 1})
 	default:
-		n.send(n.m.leaderOrAny(), &Message{Voters: r, Hops: hops + 1})
+		n.send(n.m.leaderOrAny(), &Message{ReplaceVoter: r, Hops: hops + 1})
 	}
 }
 
 // taken makes this member a voter, since the leader sends it the log.
 func (n *Node) taken(from string, data []byte) {
-	v, err := newVoter(n, &Disk{}, true)
+	v, err := newVoter(n, &StoredState{}, true)
 	if err != nil {
 		n.say(true, "%v", err)
 		return
 	}
 	n.v = v
-	n.send(from, &Message{Call: &Call{Number: v.call}}) // should it have voted before, and lost its disk
+	n.send(from, &Message{PositionRequest: &PositionRequest{Number: v.call}}) // should it have voted before, and lost its disk
 	n.say(false, "this member votes from now on: %s has sent it the log", from)
 }
 
--- a/internal/peer/policy/parts_test.go
+++ b/internal/peer/policy/parts_test.go
@@ -14,12 +14,12 @@
 )
 
 // of is a change of a part.
-func of(id string, parts ...string) *Doc {
+func of(id string, parts ...string) *Document {
 	d := doc(id)
 	d.Part = parts[0]
 	for _, p := range parts[1:] {
 		body := []byte("# " + id + " " + p)
-		d.More = append(d.More, Doc{Part: p, Body: body, Digest: DigestOf(body)})
+		d.OtherParts = append(d.OtherParts, Document{Part: p, Body: body, Digest: DigestOf(body)})
 	}
 	return d
 }
@@ -31,29 +31,29 @@
 	b.names = []string{"a", "b", "c", "d", "e"}
 	b.parts = map[string][]string{"a": {"x"}, "b": {"x", "y"}, "d": {"y"}}
 	for i, n := range b.names {
-		b.start(n, uint64(i+1), stops, Disk{})
+		b.start(n, uint64(i+1), stops, StoredState{})
 	}
 	b.wait(6 * time.Second)
 	b.ask("a", of("first", "x"), 0) // the log takes on this form
 	b.wait(3 * time.Second)
 	for _, n := range b.names {
-		if !b.takes(n) || !slices.Equal(b.serve[n].Held, b.parts[n]) {
+		if !b.takes(n) || !slices.Equal(b.serve[n].ServedParts, b.parts[n]) {
 			t.Fatalf("%s: %+v", n, b.serve[n])
 		}
 	}
-	if f := b.nodes["a"].Fate("first"); f.State != InForce {
+	if f := b.nodes["a"].ChangeStatus("first"); f.State != Committed {
 		t.Fatalf("%+v", f)
 	}
 	return b
 }
 
-func (b *bench) ask(at string, d *Doc, bases ...uint64) {
-	b.step(at, Propose{Proposal{Doc: *d, Base: bases[0], Bases: bases[1:]}})
+func (b *bench) ask(at string, d *Document, bases ...uint64) {
+	b.step(at, Propose{Proposal{Document: *d, Base: bases[0], Bases: bases[1:]}})
 }
 
 func (b *bench) number(at, part string) uint64 {
 	s := b.serve[at]
-	d, ok := s.In(part)
+	d, ok := s.Lookup(part)
 	if !ok {
 		return 1 << 32
 	}
@@ -70,8 +70,8 @@
 		if b.number("a", "x") != 2 || b.number("b", "x") != 2 || b.number("b", "y") != 0 {
 			t.Errorf("stops %v: x is %d and %d, y is %d", stops, b.number("a", "x"), b.number("b", "x"), b.number("b", "y"))
 		}
-		if b.wait(20 * time.Second); stops && b.number("b", "y") != 1 || !stops && b.nodes["b"].Fate("two").State != Dropped {
-			t.Errorf("stops %v: y is %d, its change %+v", stops, b.number("b", "y"), b.nodes["b"].Fate("two"))
+		if b.wait(20 * time.Second); stops && b.number("b", "y") != 1 || !stops && b.nodes["b"].ChangeStatus("two").State != Dropped {
+			t.Errorf("stops %v: y is %d, its change %+v", stops, b.number("b", "y"), b.nodes["b"].ChangeStatus("two"))
 		}
 	}
 }
@@ -98,14 +98,14 @@
 func TestTwoChangesOfOnePartAreNotUnderWayAtOnce(t *testing.T) {
 	s := &state{}
 	apply(s, command{Do: doPropose, Doc: of("one", "x", "y"), Bases: []uint64{0}}, command{Do: doPropose, Doc: of("two", "y")}, command{Do: doPropose, Doc: of("three", "z")}, command{Do: doPropose, Doc: of("four", "")})
-	if len(s.Under) != 3 || s.fate("two").State != Dropped || !strings.Contains(s.fate("two").Why, "another change of part y is under way: one") {
+	if len(s.Under) != 3 || s.fate("two").State != Dropped || !strings.Contains(s.fate("two").Reason, "another change of part y is under way: one") {
 		t.Errorf("%+v, %+v", s.Under, s.fate("two"))
 	}
 	apply(s, command{Do: doCommit, ID: "one", Version: s.Version}, command{Do: doPropose, Doc: of("five", "z", "y"), Bases: []uint64{1}}, command{Do: doPropose, Doc: of("six", "w", "y"), Bases: []uint64{0}})
-	if s.fate("six").State != Dropped || !strings.Contains(s.fate("six").Why, "it was made of policy 0 of part y; in force since is 1, one") {
+	if s.fate("six").State != Dropped || !strings.Contains(s.fate("six").Reason, "it was made of policy 0 of part y; in force since is 1, one") {
 		t.Errorf("%+v", s.fate("six"))
 	}
-	if s.part("x").Number != 1 || s.part("y").Number != 1 || s.part("y").Order <= s.part("x").Order {
+	if s.part("x").Number != 1 || s.part("y").Number != 1 || s.part("y").CommitIndex <= s.part("x").CommitIndex {
 		t.Errorf("%+v", s.Parts)
 	}
 }
@@ -113,16 +113,16 @@
 // A commit counts a roster. Who has come since and holds the part may not have the change; who holds others has nothing to do
 // with it.
 func TestWhoComesToHoldAPartVoidsACommitOfIt(t *testing.T) {
-	s := &state{Form: Form}
-	apply(s, command{Do: doJoin, Name: "a", Life: 1, Form: Form, Parts: []string{"x"}}, command{Do: doJoin, Name: "b", Life: 1, Form: Form, Parts: []string{"y"}},
+	s := &state{Form: FormatVersion}
+	apply(s, command{Do: doJoin, Name: "a", Life: 1, Form: FormatVersion, Parts: []string{"x"}}, command{Do: doJoin, Name: "b", Life: 1, Form: FormatVersion, Parts: []string{"y"}},
 		command{Do: doPropose, Doc: of("one", "x")})
 	v := s.Version
-	apply(s, command{Do: doJoin, Name: "b", Life: 1, Form: Form, Parts: []string{"x", "y"}}, command{Do: doCommit, ID: "one", Version: v})
+	apply(s, command{Do: doJoin, Name: "b", Life: 1, Form: FormatVersion, Parts: []string{"x", "y"}}, command{Do: doCommit, ID: "one", Version: v})
 	if s.part("x").Number != 0 {
 		t.Fatal("in force, though one came to hold it who may not have it")
 	}
 	v = s.Version
-	apply(s, command{Do: doJoin, Name: "c", Life: 1, Form: Form, Parts: []string{"y"}}, command{Do: doOut, Name: "a", Life: 1}, command{Do: doCommit, ID: "one", Version: v})
+	apply(s, command{Do: doJoin, Name: "c", Life: 1, Form: FormatVersion, Parts: []string{"y"}}, command{Do: doOut, Name: "a", Life: 1}, command{Do: doCommit, ID: "one", Version: v})
 	if s.part("x").Number != 1 {
 		t.Error("not in force, though nobody came to hold it")
 	}
@@ -140,9 +140,9 @@
 func TestAPartIsServedByOnceTheRosterHasIt(t *testing.T) {
 	b := held(t, false)
 	b.cut["e>a"], b.cut["e>b"], b.cut["e>c"] = true, true, true
-	b.step("e", Hold{Parts: []string{"x", "z"}})
+	b.step("e", SetParts{Parts: []string{"x", "z"}})
 	b.wait(time.Second)
-	if _, ok := func() (*Doc, bool) { s := b.serve["e"]; return s.In("x") }(); ok || !b.takes("e") {
+	if _, ok := func() (*Document, bool) { s := b.serve["e"]; return s.Lookup("x") }(); ok || !b.takes("e") {
 		t.Fatal("it serves by a part of which nobody knows that it holds it, or takes nothing at all")
 	}
 	b.ask("a", of("two", "x"), 1)
@@ -151,7 +151,7 @@
 	if b.wait(2 * time.Second); b.number("e", "x") != 2 || b.number("e", "z") != 0 {
 		t.Errorf("%+v", b.serve["e"])
 	}
-	b.step("e", Hold{Parts: []string{"z"}})
+	b.step("e", SetParts{Parts: []string{"z"}})
 	if b.number("e", "x") != 1<<32 {
 		t.Error("it serves by a part that it holds no more")
 	}
@@ -159,15 +159,15 @@
 	b.isolate("e", true)
 	b.ask("a", of("three", "x"), 2)
 	if b.wait(time.Second); b.number("a", "x") != 3 {
-		t.Errorf("%+v: it waits for one that holds it no more", b.nodes["a"].Fate("three"))
+		t.Errorf("%+v: it waits for one that holds it no more", b.nodes["a"].ChangeStatus("three"))
 	}
 }
 
 // Two changes of different parts, each fine by itself, and not together: the second is dropped while the first is under way.
 func TestAChangeIsCheckedWithWhatIsUnderWay(t *testing.T) {
 	b := held(t, false)
-	b.nodes["b"].s.Check = func(all []Doc) error {
-		if slices.ContainsFunc(all, func(d Doc) bool { return d.ID == "two" }) && slices.ContainsFunc(all, func(d Doc) bool { return d.ID == "three" }) {
+	b.nodes["b"].s.Check = func(all []Document) error {
+		if slices.ContainsFunc(all, func(d Document) bool { return d.ID == "two" }) && slices.ContainsFunc(all, func(d Document) bool { return d.ID == "three" }) {
 			return errors.New("they don't go together")
 		}
 		return nil
@@ -177,10 +177,10 @@
 	b.wait(500 * time.Millisecond)
 	b.ask("d", of("three", "y"), 0)
 	b.wait(time.Second)
-	if f := b.nodes["d"].Fate("three"); f.State != Dropped || f.By != "b" || !strings.Contains(f.Why, "with two, which is under way: they don't go together") {
+	if f := b.nodes["d"].ChangeStatus("three"); f.State != Dropped || f.DroppedBy != "b" || !strings.Contains(f.Reason, "with two, which is under way: they don't go together") {
 		t.Errorf("%+v", f)
 	}
-	if f := b.nodes["e"].Fate("two"); f.State != UnderWay {
+	if f := b.nodes["e"].ChangeStatus("two"); f.State != Preparing {
 		t.Errorf("%+v", f)
 	}
 }
@@ -194,7 +194,7 @@
 	}
 	b.wait(time.Second)
 	for i := range 30 {
-		if f := b.nodes["e"].Fate(fmt.Sprint("n", i)); f.State != InForce {
+		if f := b.nodes["e"].ChangeStatus(fmt.Sprint("n", i)); f.State != Committed {
 			t.Fatalf("%+v", f)
 		}
 	}
@@ -210,9 +210,9 @@
 	b.ask("b", of("two", "y"), 0)
 	b.wait(time.Second)
 	b.isolate("b", true)
-	b.wait(2 * Lease)
+	b.wait(2 * DefaultLease)
 	s := b.serve["b"]
-	if x, y := s.Doubt("x"), s.Doubt("y"); !b.takes("b") || x != nil || y == nil || y.ID != "two" {
+	if x, y := s.PreparingChange("x"), s.PreparingChange("y"); !b.takes("b") || x != nil || y == nil || y.ID != "two" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -260,22 +260,22 @@
 func TestDisksOfFormOneAreUnderstood(t *testing.T) {
 	x, y := doc1{Number: 3, ID: "x", Body: []byte("# x"), Digest: DigestOf([]byte("# x"))}, doc1{Number: 4, ID: "y", Body: []byte("# y"), Digest: DigestOf([]byte("# y"))}
 	s, err := decodeState(encode(&state1{Voters: []string{"a"}, Force: x, Pending: &y, Without: []string{"d"}, Roster: []place1{{"a", 1}, {"b", 2}}, Version: 7, Ended: []ended1{{Doc: x, InForce: true}}, Kept: []doc1{x}}))
-	if err != nil || s.part("").ID != "x" || s.under("y") == nil || !slices.Equal(s.under("y").Without, []string{"d"}) || s.Commits != 3 || s.Force.Order != 3 || !s.holds(&s.Roster[1], "any") {
+	if err != nil || s.part("").ID != "x" || s.under("y") == nil || !slices.Equal(s.under("y").Without, []string{"d"}) || s.Commits != 3 || s.Force.CommitIndex != 3 || !s.holds(&s.Roster[1], "any") {
 		t.Fatalf("%v: %+v", err, s)
 	}
 	apply(s, command{Do: doCommit, ID: "y", Version: 7})
 	if s.Force.ID != "y" || s.Force.Number != 4 || s.Commits != 4 {
 		t.Errorf("%+v", s)
 	}
-	n, err := New(Settings{Name: "d", Life: 1, Voters: []string{"a", "b", "c"}, Parts: []string{"p"}}, Disk{Member: encode(&member1{Force: x, Prepared: &y, Voters: []string{"a", "b", "c"}, Epoch: 0})}, 1)
+	n, err := New(Settings{Name: "d", RunID: 1, Voters: []string{"a", "b", "c"}, Parts: []string{"p"}}, StoredState{Member: encode(&member1{Force: x, Prepared: &y, Voters: []string{"a", "b", "c"}, Epoch: 0})}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.Step(time.Second)
-	if n.Force().ID != "x" || !slices.Equal(idsOf(n.m.prepared), []string{"y"}) || n.m.upto != 0 {
-		t.Errorf("%+v", n.Show())
+	if n.ActivePolicy().ID != "x" || !slices.Equal(idsOf(n.m.prepared), []string{"y"}) || n.m.upto != 0 {
+		t.Errorf("%+v", n.Status())
 	}
-	if _, err := New(Settings{Name: "d", Life: 1, Voters: []string{"a", "b", "c"}}, Disk{Member: encode(&savedMember{Form: Form + 1})}, 1); err == nil || !strings.Contains(err.Error(), "this build knows 1 to 2") {
+	if _, err := New(Settings{Name: "d", RunID: 1, Voters: []string{"a", "b", "c"}}, StoredState{Member: encode(&savedMember{Form: FormatVersion + 1})}, 1); err == nil || !strings.Contains(err.Error(), "this build knows 1 to 2") {
 		t.Errorf("a later form: %v", err)
 	}
 }
@@ -314,26 +314,26 @@
 		b.names, b.form1[old] = []string{"a", "b", "c", "d"}, true
 		b.parts = map[string][]string{"a": {"x"}}
 		for i, n := range b.names {
-			b.start(n, uint64(i+1), false, Disk{})
+			b.start(n, uint64(i+1), false, StoredState{})
 		}
 		b.wait(6 * time.Second)
 		b.propose("a", "one")
 		b.wait(time.Second)
 		for _, n := range b.names {
-			if b.serve[n].Doc.ID != "one" || !b.takes(n) {
+			if b.serve[n].Document.ID != "one" || !b.takes(n) {
 				t.Errorf("%s old: %s serves by %+v", old, n, b.serve[n])
 			}
 		}
 		b.ask("a", of("two", "x"), 0)
 		b.wait(4 * time.Second)
-		if f := b.nodes["a"].Fate("two"); f.State != Dropped || !strings.Contains(f.Why, "parts") {
+		if f := b.nodes["a"].ChangeStatus("two"); f.State != Dropped || !strings.Contains(f.Reason, "parts") {
 			t.Errorf("%s old: %+v", old, f)
 		}
 		b.form1[old] = false // it is upgraded
 		b.wait(3 * time.Second)
 		b.ask("a", of("three", "x"), 0)
 		b.wait(4 * time.Second)
-		if f := b.nodes["a"].Fate("three"); f.State != InForce {
+		if f := b.nodes["a"].ChangeStatus("three"); f.State != Committed {
 			t.Errorf("%s old: %+v", old, f)
 		}
 	}
@@ -350,7 +350,7 @@
 	}
 	less := func() {
 		m := &raftpb.Message{Type: raftpb.MsgAppResp.Enum(), From: new(idOf(from)), To: new(v.id), Term: new(v.lead.term), Index: new(uint64(2)), Reject: new(true), RejectHint: new(uint64(1))}
-		b.nodes[lead].Step(b.now, Heard{from, &Message{Raft: must(proto.Marshal(m))}})
+		b.nodes[lead].Step(b.now, Received{from, &Message{Raft: must(proto.Marshal(m))}})
 	}
 	for range 5 {
 		less()
@@ -369,17 +369,17 @@
 }
 
 func TestProposalsThatMakeNoSense(t *testing.T) {
-	long, big := strings.Repeat("p", NameMost+1), bytes.Repeat([]byte("#"), BodyMost+1)
+	long, big := strings.Repeat("p", MaxPartNameBytes+1), bytes.Repeat([]byte("#"), MaxBodyBytes+1)
 	many := of("many", strings.Split(strings.Repeat("p,", partsMost+1), ",")...)
 	for name, p := range map[string]Proposal{
-		"a long name":         {Doc: *of("x", long)},
-		"a part twice":        {Doc: *of("x", "p", "p"), Bases: []uint64{0}},
-		"bases that are less": {Doc: *of("x", "p", "q")},
-		"too many parts":      {Doc: *many, Bases: make([]uint64, len(many.More))},
-		"a part too large":    {Doc: Doc{ID: "x", Part: "p", Body: big, Digest: DigestOf(big)}},
-		"a digest that differs": {Doc: func() Doc {
+		"a long name":         {Document: *of("x", long)},
+		"a part twice":        {Document: *of("x", "p", "p"), Bases: []uint64{0}},
+		"bases that are less": {Document: *of("x", "p", "q")},
+		"too many parts":      {Document: *many, Bases: make([]uint64, len(many.OtherParts))},
+		"a part too large":    {Document: Document{ID: "x", Part: "p", Body: big, Digest: DigestOf(big)}},
+		"a digest that differs": {Document: func() Document {
 			d := *of("x", "p", "q")
-			d.More[0].Body = []byte("other")
+			d.OtherParts[0].Body = []byte("other")
 			return d
 		}(), Bases: []uint64{0}},
 	} {
@@ -387,7 +387,7 @@
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if err := (&Proposal{Doc: *of("x", "p", "q"), Bases: []uint64{0}}).Check(); err != nil {
+	if err := (&Proposal{Document: *of("x", "p", "q"), Bases: []uint64{0}}).Check(); err != nil {
 		t.Error(err)
 	}
 }
@@ -395,7 +395,7 @@
 // Found by the 873rd schedule: what had come into force before a snapshot was not told to who knew nothing.
 func TestWhatIsInForceIsToldWhole(t *testing.T) {
 	s := &state{}
-	commit := func(d *Doc) {
+	commit := func(d *Document) {
 		apply(s, command{Do: doPropose, Doc: d, Base: s.part(d.Part).Number}, command{Do: doCommit, ID: d.ID, Version: s.Version})
 	}
 	for i := range 200 {
@@ -407,8 +407,8 @@
 		want := 0
 		for _, order := range []uint64{0, s.Commits / 2, s.Commits - 1, s.Commits} {
 			want = 0
-			for _, p := range append([]Doc{s.Force}, s.Parts...) {
-				if p.Order > order {
+			for _, p := range append([]Document{s.Force}, s.Parts...) {
+				if p.CommitIndex > order {
 					want++
 				}
 			}
@@ -430,33 +430,33 @@
 
 // Found by the 348th schedule: a voter waited for ever for an entry of which it had heard from one that lost its disk since.
 func TestAVoterDoesNotWaitForWhatWasLostSinceItHeardOfIt(t *testing.T) {
-	n, err := New(Settings{Name: "a", Life: 1, Voters: []string{"a", "b", "c"}}, Disk{}, 1)
+	n, err := New(Settings{Name: "a", RunID: 1, Voters: []string{"a", "b", "c"}}, StoredState{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.Step(time.Second)
-	said := func(from string, s Said) {
+	said := func(from string, s PositionResponse) {
 		s.Number = n.v.call
-		n.Step(time.Second, Heard{from, &Message{Said: &s}})
+		n.Step(time.Second, Received{from, &Message{PositionResponse: &s}})
 	}
-	said("b", Said{Proved: true, LastTerm: 3, LastIndex: 9, Start: 7})
-	n.Step(time.Second, Heard{"b", &Message{Call: &Call{Number: 7, LastTerm: 3, LastIndex: 9}}}) // the same start
+	said("b", PositionResponse{ProvenCurrent: true, LastTerm: 3, LastIndex: 9, Start: 7})
+	n.Step(time.Second, Received{"b", &Message{PositionRequest: &PositionRequest{Number: 7, LastTerm: 3, LastIndex: 9}}}) // the same start
 	if n.v.said["b"] == nil {
 		t.Fatal("what it said in this start is forgotten")
 	}
-	n.Step(time.Second, Heard{"b", &Message{Call: &Call{Number: 8, LastTerm: 1, LastIndex: 1}}}) // it has begun anew, without its disk
-	said("c", Said{Proved: true, LastTerm: 1, LastIndex: 1, Start: 5})
+	n.Step(time.Second, Received{"b", &Message{PositionRequest: &PositionRequest{Number: 8, LastTerm: 1, LastIndex: 1}}}) // it has begun anew, without its disk
+	said("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
 	if n.v.rn != nil {
 		t.Fatal("it takes part, and has one answer")
 	}
-	if said("b", Said{LastTerm: 1, LastIndex: 1, Start: 8}); n.v.rn == nil || n.v.floor != (position{}) {
+	if said("b", PositionResponse{LastTerm: 1, LastIndex: 1, Start: 8}); n.v.rn == nil || n.v.floor != (position{}) {
 		t.Errorf("it votes for nobody behind %+v, which nobody has", n.v.floor)
 	}
 }
 
 // The same where it takes part already: it asks all again, and lowers what it waits for by no less than all their answers.
 func TestAVoterThatWaitsAsksAgainWhenWhoToldItBeginsAnew(t *testing.T) {
-	n, err := New(Settings{Name: "a", Life: 1, Voters: []string{"a", "b", "c"}}, Disk{}, 1)
+	n, err := New(Settings{Name: "a", RunID: 1, Voters: []string{"a", "b", "c"}}, StoredState{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -467,25 +467,25 @@
 			}
 		}
 	}
-	said := func(from string, s Said) {
+	said := func(from string, s PositionResponse) {
 		s.Number = n.v.call
-		step(Heard{from, &Message{Said: &s}})
+		step(Received{from, &Message{PositionResponse: &s}})
 	}
 	step()
-	said("b", Said{Proved: true, LastTerm: 3, LastIndex: 9, Start: 7})
-	said("c", Said{Proved: true, LastTerm: 1, LastIndex: 1, Start: 5})
+	said("b", PositionResponse{ProvenCurrent: true, LastTerm: 3, LastIndex: 9, Start: 7})
+	said("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
 	if n.v.rn == nil || n.v.floor != (position{3, 9}) {
 		t.Fatalf("floor %+v", n.v.floor)
 	}
-	step(Heard{"b", &Message{Call: &Call{Number: 8, LastTerm: 1, LastIndex: 1}}})
+	step(Received{"b", &Message{PositionRequest: &PositionRequest{Number: 8, LastTerm: 1, LastIndex: 1}}})
 	if n.v.rn != nil {
 		t.Fatal("it takes part still, and what it waits for may be nowhere")
 	}
-	said("c", Said{Proved: true, LastTerm: 1, LastIndex: 1, Start: 5})
+	said("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
 	if n.v.rn != nil {
 		t.Fatal("one answer is not enough: the entry may be confirmed, and on that one's disk that it has not heard")
 	}
-	said("b", Said{LastTerm: 1, LastIndex: 1, Start: 8})
+	said("b", PositionResponse{LastTerm: 1, LastIndex: 1, Start: 8})
 	if n.v.rn == nil || n.v.floor != (position{}) {
 		t.Errorf("floor %+v", n.v.floor)
 	}
@@ -498,9 +498,9 @@
 	for _, o := range []string{"a", "b", "c"} {
 		b.slow[o] = o != lead // nothing more comes into the log
 	}
-	b.step("d", Hold{})
+	b.step("d", SetParts{})
 	b.wait(300 * time.Millisecond)
-	b.step("d", Hold{Parts: []string{"y"}})
+	b.step("d", SetParts{Parts: []string{"y"}})
 	b.wait(500 * time.Millisecond)
 	if b.number("d", "y") != 1<<32 {
 		t.Fatal("it serves by y, and the log is about to have it that it does not hold it")
@@ -517,7 +517,7 @@
 	}
 	b.ask("b", of("two", "y"), 0)
 	if b.wait(3 * time.Second); b.number("b", "y") != 1 || b.number("d", "y") != 1<<32 {
-		t.Errorf("y is %d at b, %d at d: %+v", b.number("b", "y"), b.number("d", "y"), b.nodes["b"].Fate("two"))
+		t.Errorf("y is %d at b, %d at d: %+v", b.number("b", "y"), b.number("d", "y"), b.nodes["b"].ChangeStatus("two"))
 	}
 	b.isolate("d", false)
 	if b.wait(3 * time.Second); b.number("d", "y") != 1 {
@@ -532,18 +532,18 @@
 	b.wait(time.Second)
 	b.ask("b", of("three", "x"), 2)
 	b.wait(time.Second)
-	n, err := New(Settings{Name: "e", Life: 9, Voters: []string{"a", "b", "c"}, Parts: []string{"x"}, Check: func(all []Doc) error {
-		has := func(id string) bool { return slices.ContainsFunc(all, func(d Doc) bool { return d.ID == id }) }
+	n, err := New(Settings{Name: "e", RunID: 9, Voters: []string{"a", "b", "c"}, Parts: []string{"x"}, Check: func(all []Document) error {
+		has := func(id string) bool { return slices.ContainsFunc(all, func(d Document) bool { return d.ID == id }) }
 		if has("two") != has("three") {
 			return errors.New("one without the other")
 		}
 		return nil
-	}}, Disk{}, 9)
+	}}, StoredState{}, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.nodes["e"], b.disks["e"] = n, &Disk{}
-	b.step("e", Freed{Alone: true})
+	b.nodes["e"], b.disks["e"] = n, &StoredState{}
+	b.step("e", NameOwnership{Exclusive: true})
 	if b.wait(3 * time.Second); !b.takes("e") || b.number("e", "") != 1 || b.number("e", "x") != 3 {
 		t.Errorf("%+v", b.serve["e"])
 	}
@@ -556,11 +556,11 @@
 	b.wait(time.Second)
 	m := &b.nodes["d"].m
 	b.isolate("d", true)
-	b.step("d", Refresh{})
+	b.step("d", RenewNow{})
 	seq, upto := m.seq, m.upto
-	b.step("d", Hold{})
-	b.step("d", Hold{Parts: []string{"y"}}) // its text is forgotten, and not known again
-	b.step("d", Heard{"a", &Message{Answer: &Answer{Seq: seq, Leader: "a", Form: Form, Known: true, Upto: upto, Holds: sumOf([]string{"y"})}}})
+	b.step("d", SetParts{})
+	b.step("d", SetParts{Parts: []string{"y"}}) // its text is forgotten, and not known again
+	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: seq, Leader: "a", Format: FormatVersion, InRoster: true, CommittedUpTo: upto, PartsHash: sumOf([]string{"y"})}}})
 	if b.number("d", "y") != 1<<32 {
 		t.Errorf("it serves by y as if it had no text: %+v", b.serve["d"])
 	}
@@ -580,7 +580,7 @@
 	answer := func(asked time.Duration) {
 		m.seq++
 		m.asked[m.seq] = asked
-		b.step("b", Heard{"a", &Message{Answer: &Answer{Seq: m.seq, Leader: "a", Form: Form, Known: true, Upto: m.upto, Holds: sumOf(m.want)}}})
+		b.step("b", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: m.seq, Leader: "a", Format: FormatVersion, InRoster: true, CommittedUpTo: m.upto, PartsHash: sumOf(m.want)}}})
 	}
 	if answer(m.sure["two"] - time.Millisecond); !m.isPrepared("two") {
 		t.Fatal("it is forgotten by a word from before")
@@ -595,15 +595,15 @@
 	b := held(t, false)
 	m := &b.nodes["b"].m
 	b.isolate("b", true)
-	answer := func(r Ref) {
+	answer := func(r DocumentRef) {
 		m.seq++
 		m.asked[m.seq] = b.now
-		b.step("b", Heard{"a", &Message{Answer: &Answer{Seq: m.seq, Leader: "a", Form: Form, Known: true, Upto: m.upto + 1, Holds: sumOf(m.want), Changed: []Ref{r}}}})
+		b.step("b", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: m.seq, Leader: "a", Format: FormatVersion, InRoster: true, CommittedUpTo: m.upto + 1, PartsHash: sumOf(m.want), Changed: []DocumentRef{r}}}})
 	}
-	if answer(Ref{"z", 4, "other"}); !b.takes("b") {
+	if answer(DocumentRef{"z", 4, "other"}); !b.takes("b") {
 		t.Fatal("it stops for a part that it does not hold")
 	}
-	if answer(Ref{"x", 2, "next"}); b.takes("b") {
+	if answer(DocumentRef{"x", 2, "next"}); b.takes("b") {
 		t.Errorf("%+v", b.serve["b"])
 	}
 }
--- a/internal/peer/policy/policy_test.go
+++ b/internal/peer/policy/policy_test.go
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func doc(id string) *Doc {
+func doc(id string) *Document {
 	body := []byte("# " + id)
-	return &Doc{ID: id, Body: body, Digest: DigestOf(body), Author: "a", Reason: "test"}
+	return &Document{ID: id, Body: body, Digest: DigestOf(body), Author: "a", Reason: "test"}
 }
 
 func apply(s *state, all ...command) {
@@ -41,25 +41,25 @@
 	for name, c := range map[string]struct {
 		all  []command
 		id   string
-		want Fate
+		want ChangeStatus
 	}{
-		"asked for twice":             {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doPropose, Doc: doc("x")}}, "x", Fate{ID: "x", State: UnderWay}},
-		"another is under way":        {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doPropose, Doc: doc("y")}}, "y", Fate{ID: "y", State: Dropped, By: "a"}},
-		"made of an earlier one":      {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doPropose, Doc: doc("y"), Base: 0}}, "y", Fate{ID: "y", State: Dropped, By: "a"}},
-		"dropped":                     {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doDrop, ID: "x", By: "b"}, {Do: doCommit, ID: "x"}}, "x", Fate{ID: "x", State: Dropped, By: "b"}},
-		"dropped after it came":       {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doDrop, ID: "x", By: "b"}}, "x", Fate{ID: "x", State: InForce, Number: 1}},
-		"dropped before it was known": {[]command{{Do: doDrop, ID: "x", By: "b"}, {Do: doPropose, Doc: doc("x")}}, "x", Fate{ID: "x", State: Dropped, By: "b"}},
-		"the same text once more": {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doPropose, Base: 1, Doc: func() *Doc {
+		"asked for twice":             {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doPropose, Doc: doc("x")}}, "x", ChangeStatus{ID: "x", State: Preparing}},
+		"another is under way":        {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doPropose, Doc: doc("y")}}, "y", ChangeStatus{ID: "y", State: Dropped, DroppedBy: "a"}},
+		"made of an earlier one":      {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doPropose, Doc: doc("y"), Base: 0}}, "y", ChangeStatus{ID: "y", State: Dropped, DroppedBy: "a"}},
+		"dropped":                     {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doDrop, ID: "x", By: "b"}, {Do: doCommit, ID: "x"}}, "x", ChangeStatus{ID: "x", State: Dropped, DroppedBy: "b"}},
+		"dropped after it came":       {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doDrop, ID: "x", By: "b"}}, "x", ChangeStatus{ID: "x", State: Committed, Number: 1}},
+		"dropped before it was known": {[]command{{Do: doDrop, ID: "x", By: "b"}, {Do: doPropose, Doc: doc("x")}}, "x", ChangeStatus{ID: "x", State: Dropped, DroppedBy: "b"}},
+		"the same text once more": {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doPropose, Base: 1, Doc: func() *Document {
 			d := *doc("x")
 			d.ID = "y"
 			return &d
-		}()}}, "y", Fate{ID: "y", State: InForce, Number: 1}},
+		}()}}, "y", ChangeStatus{ID: "y", State: Committed, Number: 1}},
 	} {
 		s := &state{}
 		apply(s, c.all...)
 		got := s.fate(c.id)
-		got.Why = ""
-		if got.ID != c.want.ID || got.State != c.want.State || got.By != c.want.By || got.Number != c.want.Number {
+		got.Reason = ""
+		if got.ID != c.want.ID || got.State != c.want.State || got.DroppedBy != c.want.DroppedBy || got.Number != c.want.Number {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -70,7 +70,7 @@
 	t     *testing.T
 	now   time.Duration
 	nodes map[string]*Node
-	disks map[string]*Disk
+	disks map[string]*StoredState
 	cut   map[string]bool // "a>b"
 	slow  map[string]bool // whose disk does not answer
 	held  map[string][]Persist
@@ -81,21 +81,21 @@
 }
 
 func newBench(t *testing.T, stops bool, names ...string) *bench {
-	b := &bench{t: t, nodes: map[string]*Node{}, disks: map[string]*Disk{}, cut: map[string]bool{}, slow: map[string]bool{}, held: map[string][]Persist{}, serve: map[string]Serving{}, names: names, parts: map[string][]string{}, form1: map[string]bool{}}
+	b := &bench{t: t, nodes: map[string]*Node{}, disks: map[string]*StoredState{}, cut: map[string]bool{}, slow: map[string]bool{}, held: map[string][]Persist{}, serve: map[string]Serving{}, names: names, parts: map[string][]string{}, form1: map[string]bool{}}
 	for i, n := range names {
-		b.start(n, uint64(i+1), stops, Disk{})
+		b.start(n, uint64(i+1), stops, StoredState{})
 	}
 	return b
 }
 
-func (b *bench) start(name string, life uint64, stops bool, d Disk) {
+func (b *bench) start(name string, life uint64, stops bool, d StoredState) {
 	b.t.Helper()
-	n, err := New(Settings{Name: name, Life: life, Voters: []string{"a", "b", "c"}, Stops: stops, Parts: b.parts[name]}, d, life)
+	n, err := New(Settings{Name: name, RunID: life, Voters: []string{"a", "b", "c"}, StopWhenIsolated: stops, Parts: b.parts[name]}, d, life)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.nodes[name], b.disks[name] = n, &d
-	b.step(name, Freed{Alone: true})
+	b.step(name, NameOwnership{Exclusive: true})
 }
 
 // step steps one, and all that comes of it: messages take no time.
@@ -114,11 +114,11 @@
 		for _, a := range n.Step(b.now, x.events...) {
 			switch a := a.(type) {
 			case Send:
-				if q := a.Message.Ask; q != nil && b.form1[q.Name] {
-					q.Form, q.Upto, q.Have, q.Holds, q.Parts = 0, 0, nil, 0, nil
+				if q := a.Message.LeaseRequest; q != nil && b.form1[q.Name] {
+					q.Format, q.KnownUpTo, q.PreparedIDs, q.PartsHash, q.Parts = 0, 0, nil, 0, nil
 				}
 				if !b.cut[x.name+">"+a.To] {
-					all = append(all, todo{a.To, []Event{Heard{x.name, a.Message}}})
+					all = append(all, todo{a.To, []Event{Received{x.name, a.Message}}})
 				}
 			case Persist:
 				if b.slow[x.name] {
@@ -129,8 +129,8 @@
 					b.disks[x.name].Member = a.Batch.Member
 				}
 				all = append(all, todo{x.name, []Event{Persisted{Seq: a.Seq}}})
-			case Serve:
-				b.serve[x.name] = a.By
+			case ServingChanged:
+				b.serve[x.name] = a.Serving
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 func (b *bench) propose(at, id string) {
-	b.step(at, Propose{Proposal{Base: b.nodes[at].Force().Number, Doc: *doc(id)}})
+	b.step(at, Propose{Proposal{Base: b.nodes[at].ActivePolicy().Number, Document: *doc(id)}})
 }
 
 func (b *bench) isolate(name string, on bool) {
@@ -175,7 +175,7 @@
 
 func (b *bench) takes(name string) bool {
 	s := b.serve[name]
-	return s.Why == "" && b.now < s.Until
+	return s.Blocked == "" && b.now < s.Until
 }
 
 func settled(t *testing.T, stops bool) *bench {
@@ -194,11 +194,11 @@
 	b.propose("d", "x")
 	b.wait(time.Second)
 	for _, n := range b.names {
-		if got := b.serve[n]; got.Doc.Number != 1 || got.Doc.ID != "x" || !b.takes(n) {
+		if got := b.serve[n]; got.Document.Number != 1 || got.Document.ID != "x" || !b.takes(n) {
 			t.Errorf("%s: %+v", n, got)
 		}
 	}
-	if f := b.nodes["d"].Fate("x"); f.State != InForce || f.Number != 1 {
+	if f := b.nodes["d"].ChangeStatus("x"); f.State != Committed || f.Number != 1 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -208,7 +208,7 @@
 	b.slow["d"] = true
 	b.propose("a", "x")
 	b.wait(2 * time.Second)
-	if f := b.nodes["a"].Fate("x"); f.State != UnderWay {
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != Preparing {
 		t.Fatalf("%+v while the disk of d has not taken it", f)
 	}
 	held := b.held["d"]
@@ -216,8 +216,8 @@
 	for _, p := range held {
 		b.step("d", Persisted{Seq: p.Seq})
 	}
-	if b.wait(time.Second); b.nodes["a"].Fate("x").State != InForce {
-		t.Errorf("%+v", b.nodes["a"].Fate("x"))
+	if b.wait(time.Second); b.nodes["a"].ChangeStatus("x").State != Committed {
+		t.Errorf("%+v", b.nodes["a"].ChangeStatus("x"))
 	}
 }
 
@@ -231,22 +231,22 @@
 	}
 	b.slow["d"] = false
 	b.wait(time.Second)
-	if f := b.nodes["a"].Fate("x"); f.State != Dropped || f.By != "d" || !strings.Contains(f.Why, "no space left") {
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != Dropped || f.DroppedBy != "d" || !strings.Contains(f.Reason, "no space left") {
 		t.Errorf("%+v", f)
 	}
 	for _, n := range b.names {
-		if !b.takes(n) || b.serve[n].Doc.Number != 0 || b.nodes[n].Show().Pending != "" {
-			t.Errorf("%s: %+v, in doubt of %q", n, b.serve[n], b.nodes[n].Show().Pending)
+		if !b.takes(n) || b.serve[n].Document.Number != 0 || b.nodes[n].Status().Pending != "" {
+			t.Errorf("%s: %+v, in doubt of %q", n, b.serve[n], b.nodes[n].Status().Pending)
 		}
 	}
 }
 
 func TestWhoCantServeByItDropsTheChange(t *testing.T) {
 	b := settled(t, false)
-	b.nodes["c"].s.Check = func([]Doc) error { return errors.New("zone north is none of this daemon's") }
+	b.nodes["c"].s.Check = func([]Document) error { return errors.New("zone north is none of this daemon's") }
 	b.propose("a", "x")
 	b.wait(2 * time.Second)
-	if f := b.nodes["a"].Fate("x"); f.State != Dropped || f.By != "c" || !strings.Contains(f.Why, "zone north") {
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != Dropped || f.DroppedBy != "c" || !strings.Contains(f.Reason, "zone north") {
 		t.Errorf("%+v", f)
 	}
 }
@@ -256,16 +256,16 @@
 	b.isolate("d", true)
 	began := b.now
 	b.propose("a", "x")
-	for b.nodes["a"].Fate("x").State != InForce {
+	for b.nodes["a"].ChangeStatus("x").State != Committed {
 		if b.wait(50 * time.Millisecond); b.now-began > 20*time.Second {
-			t.Fatalf("%+v", b.nodes["a"].Fate("x"))
+			t.Fatalf("%+v", b.nodes["a"].ChangeStatus("x"))
 		}
-		if b.nodes["a"].Force().Number == 1 && b.takes("d") {
+		if b.nodes["a"].ActivePolicy().Number == 1 && b.takes("d") {
 			t.Fatalf("%v after the cut d takes by policy 0, and 1 is in force", b.now-began)
 		}
 	}
 	b.isolate("d", false)
-	if b.wait(2 * time.Second); !b.takes("d") || b.serve["d"].Doc.Number != 1 {
+	if b.wait(2 * time.Second); !b.takes("d") || b.serve["d"].Document.Number != 1 {
 		t.Errorf("back again: %+v", b.serve["d"])
 	}
 }
@@ -275,10 +275,10 @@
 	b.isolate("d", true)
 	b.propose("a", "x")
 	b.wait(30 * time.Second)
-	if f := b.nodes["a"].Fate("x"); f.State != Dropped || f.By != "d" {
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != Dropped || f.DroppedBy != "d" {
 		t.Errorf("%+v", f)
 	}
-	if !b.takes("d") || len(b.serve["d"].Both) > 0 {
+	if !b.takes("d") || len(b.serve["d"].Preparing) > 0 {
 		t.Errorf("%+v", b.serve["d"])
 	}
 }
@@ -296,15 +296,15 @@
 		b.step("e", Persisted{Seq: p.Seq})
 	}
 	b.wait(time.Second)
-	if b.nodes["a"].Force().Number != 1 {
-		t.Fatalf("all had it on their disks: %+v", b.nodes["a"].Fate("x"))
+	if b.nodes["a"].ActivePolicy().Number != 1 {
+		t.Fatalf("all had it on their disks: %+v", b.nodes["a"].ChangeStatus("x"))
 	}
-	b.wait(Lease)
-	if got := b.serve["d"]; len(got.Both) != 1 || got.Both[0].ID != "x" || got.Doc.Number != 0 || !b.takes("d") {
+	b.wait(DefaultLease)
+	if got := b.serve["d"]; len(got.Preparing) != 1 || got.Preparing[0].ID != "x" || got.Document.Number != 0 || !b.takes("d") {
 		t.Errorf("%v after the cut: %+v", b.now-cut, got)
 	}
 	b.isolate("d", false)
-	if b.wait(2 * time.Second); b.serve["d"].Doc.Number != 1 || len(b.serve["d"].Both) > 0 {
+	if b.wait(2 * time.Second); b.serve["d"].Document.Number != 1 || len(b.serve["d"].Preparing) > 0 {
 		t.Errorf("%+v", b.serve["d"])
 	}
 }
@@ -322,7 +322,7 @@
 	for _, o := range others { // d hears only the old one
 		b.cut[old+">"+o], b.cut[o+">"+old], b.cut["d>"+o], b.cut[o+">d"] = true, true, true, true
 	}
-	b.wait(Lease + 2*time.Second)
+	b.wait(DefaultLease + 2*time.Second)
 	if b.takes("d") || b.takes(old) {
 		t.Errorf("d: %+v, %s: %+v", b.serve["d"], old, b.serve[old])
 	}
@@ -339,7 +339,7 @@
 	v.lead.members["d"].out = true
 	v.lead.joins["d"] = joining{v.lead.members["d"].life, 0, b.now + time.Hour} // and that is under way
 	before := b.serve["d"].Until
-	b.wait(Lease / 2)
+	b.wait(DefaultLease / 2)
 	if b.serve["d"].Until > before {
 		t.Error("its lease goes on")
 	}
@@ -350,14 +350,14 @@
 	m := &b.nodes["d"].m
 	m.asked[900] = b.now - 2*time.Second
 	m.seq, m.lease = 900, 0
-	want := b.now - 2*time.Second + Lease
-	b.step("d", Heard{"a", &Message{Answer: &Answer{Seq: 900, Leader: "a", Known: true}}})
+	want := b.now - 2*time.Second + DefaultLease
+	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: 900, Leader: "a", InRoster: true}}})
 	if m.lease != want {
 		t.Errorf("a lease until %v by an answer to a question of 2 s ago, not %v", m.lease, want)
 	}
 	last := m.lease
-	b.step("d", Heard{"a", &Message{Answer: &Answer{Seq: 900, Leader: "a", Known: true}}}) // doubled
-	b.step("d", Heard{"a", &Message{Answer: &Answer{Seq: 5, Leader: "a", Known: true, Pending: "z"}}})
+	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: 900, Leader: "a", InRoster: true}}}) // doubled
+	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: 5, Leader: "a", InRoster: true, Pending: "z"}}})
 	if m.lease != last || len(m.fetching) > 0 {
 		t.Error("an answer to nothing was taken")
 	}
@@ -375,7 +375,7 @@
 	}
 	b.nodes[lost] = nil
 	b.isolate(lost, true)
-	b.start(lost, 77, true, Disk{})
+	b.start(lost, 77, true, StoredState{})
 	v := b.nodes[lost].v
 	if v.rn != nil {
 		t.Fatal("it takes part before it has asked")
@@ -383,7 +383,7 @@
 	top := b.nodes[lead].v.last()
 	for _, o := range []string{"a", "b", "c"} {
 		if o != lost {
-			b.step(lost, Heard{o, &Message{Said: &Said{Number: v.call, Proved: true, Term: 9, LastTerm: top.term, LastIndex: top.index, Voters: []string{"a", "b", "c"}}}})
+			b.step(lost, Received{o, &Message{PositionResponse: &PositionResponse{Number: v.call, ProvenCurrent: true, Term: 9, LastTerm: top.term, LastIndex: top.index, Voters: []string{"a", "b", "c"}}}})
 		}
 	}
 	if v.rn == nil || v.floor != top {
@@ -392,7 +392,7 @@
 	var got []*raftpb.Message
 	ask := func(term, index uint64) {
 		m := &raftpb.Message{Type: raftpb.MsgVote.Enum(), From: new(idOf(lead)), To: new(v.id), Term: new(uint64(20)), LogTerm: new(term), Index: new(index)}
-		for _, x := range b.nodes[lost].Step(b.now, Heard{lead, &Message{Raft: must(proto.Marshal(m))}}) {
+		for _, x := range b.nodes[lost].Step(b.now, Received{lead, &Message{Raft: must(proto.Marshal(m))}}) {
 			if p, ok := x.(Persist); ok {
 				for _, y := range b.nodes[lost].Step(b.now, Persisted{Seq: p.Seq}) {
 					if s, ok := y.(Send); ok && s.Message.Raft != nil {
@@ -418,14 +418,14 @@
 		proved, unproved int
 		part             bool
 	}{{0, 0, false}, {1, 0, false}, {0, 1, false}, {2, 0, true}, {0, 2, true}, {1, 1, true}} {
-		n, err := New(Settings{Name: "a", Life: 1, Voters: []string{"a", "b", "c"}}, Disk{}, 1)
+		n, err := New(Settings{Name: "a", RunID: 1, Voters: []string{"a", "b", "c"}}, StoredState{}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.Step(time.Second)
 		for i, o := range []string{"b", "c"} {
 			if i < c.proved+c.unproved {
-				n.Step(time.Second, Heard{o, &Message{Said: &Said{Number: n.v.call, Proved: i < c.proved, LastTerm: 1, LastIndex: 1}}})
+				n.Step(time.Second, Received{o, &Message{PositionResponse: &PositionResponse{Number: n.v.call, ProvenCurrent: i < c.proved, LastTerm: 1, LastIndex: 1}}})
 			}
 		}
 		if got := n.v.rn != nil; got != c.part {
@@ -435,13 +435,13 @@
 }
 
 func TestSettingsThatMakeNoSenseAreRefused(t *testing.T) {
-	for _, s := range []Settings{{}, {Name: "a", Life: 1}, {Name: "a", Life: 1, Voters: []string{"a", "b"}}, {Name: "a", Life: 1, Voters: []string{"a", "a", "b"}},
-		{Name: "a", Life: 1, Voters: []string{"a"}, Lease: time.Millisecond}} {
-		if _, err := New(s, Disk{}, 1); err == nil {
+	for _, s := range []Settings{{}, {Name: "a", RunID: 1}, {Name: "a", RunID: 1, Voters: []string{"a", "b"}}, {Name: "a", RunID: 1, Voters: []string{"a", "a", "b"}},
+		{Name: "a", RunID: 1, Voters: []string{"a"}, Lease: time.Millisecond}} {
+		if _, err := New(s, StoredState{}, 1); err == nil {
 			t.Errorf("%+v is taken", s)
 		}
 	}
-	if _, err := New(Settings{Name: "a", Life: 1, Voters: []string{"a"}}, Disk{Member: []byte("?")}, 1); err == nil {
+	if _, err := New(Settings{Name: "a", RunID: 1, Voters: []string{"a"}}, StoredState{Member: []byte("?")}, 1); err == nil {
 		t.Error("a member's part that is none is taken")
 	}
 }
@@ -455,8 +455,8 @@
 	if len(s.Ended) != endedMost || len(s.Kept) != keptMost || s.Force.Number != endedMost+20 {
 		t.Errorf("%d ended, %d kept, number %d", len(s.Ended), len(s.Kept), s.Force.Number)
 	}
-	if p := s.past("", s.Force.Number-3); p.Doc == nil || p.Doc.ID != fmt.Sprint("x", endedMost+16) || slices.ContainsFunc(p.All, func(e Ended) bool { return e.Doc.Body != nil }) {
-		t.Errorf("%+v", p.Doc)
+	if p := s.past("", s.Force.Number-3); p.Document == nil || p.Document.ID != fmt.Sprint("x", endedMost+16) || slices.ContainsFunc(p.Changes, func(e EndedChange) bool { return e.Document.Body != nil }) {
+		t.Errorf("%+v", p.Document)
 	}
 }
 
@@ -467,7 +467,7 @@
 	b.wait(time.Second)
 	b.nodes["d"] = nil
 	b.slow["d"] = true
-	b.start("d", 88, false, Disk{})
+	b.start("d", 88, false, StoredState{})
 	for range 20 {
 		b.wait(100 * time.Millisecond)
 		held := b.held["d"]
@@ -476,7 +476,7 @@
 			b.step("d", Persisted{Seq: p.Seq, Err: errors.New("no space left on device")})
 		}
 	}
-	if s := b.serve["d"]; s.Doc.Number != 1 || !b.takes("d") {
+	if s := b.serve["d"]; s.Document.Number != 1 || !b.takes("d") {
 		t.Errorf("%+v", s)
 	}
 	if asked := b.nodes["d"].m.seq; asked > 100 {
@@ -497,9 +497,9 @@
 	}
 	began := b.now
 	b.propose("e", "x")
-	for b.nodes["e"].Force().Number == 0 {
+	for b.nodes["e"].ActivePolicy().Number == 0 {
 		if b.wait(20 * time.Millisecond); b.now-began > 30*time.Second {
-			t.Fatalf("%+v", b.nodes["e"].Fate("x"))
+			t.Fatalf("%+v", b.nodes["e"].ChangeStatus("x"))
 		}
 	}
 	if b.takes("d") || b.takes(old) {
@@ -514,7 +514,7 @@
 		b.cut[lead+">"+o], b.cut[o+">"+lead] = o != lead, o != lead
 	}
 	before := b.serve["d"].Until
-	b.step("d", Refresh{})
+	b.step("d", RenewNow{})
 	if b.wait(100 * time.Millisecond); b.serve["d"].Until > before {
 		t.Error("a leader that nobody confirms has answered")
 	}
@@ -522,18 +522,18 @@
 
 func TestAloneItTakesNothingUnlessItsFileSaysSo(t *testing.T) {
 	for _, last := range []bool{false, true} {
-		n, err := New(Settings{Name: "d", Life: 1, Voters: []string{"a", "b", "c"}, Last: last}, Disk{Member: encode(&savedMember{Force: *doc("x")})}, 1)
+		n, err := New(Settings{Name: "d", RunID: 1, Voters: []string{"a", "b", "c"}, ServeLastKnown: last}, StoredState{Member: encode(&savedMember{Force: *doc("x")})}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Step(0, Freed{Alone: true})
+		n.Step(0, NameOwnership{Exclusive: true})
 		for now := time.Duration(0); now < 20*time.Second; now = n.Next() {
 			n.Step(now)
-			if took := n.Told().Until > now; took != (last && now >= Alone) {
-				t.Fatalf("last %v, after %v: %+v", last, now, n.Told())
+			if took := n.Serving().Until > now; took != (last && now >= DefaultStandaloneAfter) {
+				t.Fatalf("last %v, after %v: %+v", last, now, n.Serving())
 			}
 		}
-		if s := n.Told(); last && (!s.Alone || s.Doc.ID != "x") {
+		if s := n.Serving(); last && (!s.Standalone || s.Document.ID != "x") {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -546,8 +546,8 @@
 	m := &b.nodes["d"].m
 	m.seq += 100
 	m.asked[m.seq] = b.now
-	b.step("d", Heard{"a", &Message{Answer: &Answer{Seq: m.seq, Leader: "a", Known: true, Force: 0}}})
-	if s := b.serve["d"]; s.Doc.Number != 1 || !b.takes("d") {
+	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: m.seq, Leader: "a", InRoster: true, ActiveNumber: 0}}})
+	if s := b.serve["d"]; s.Document.Number != 1 || !b.takes("d") {
 		t.Errorf("%+v", s)
 	}
 }
@@ -573,8 +573,8 @@
 	}
 	b.wait(time.Second)
 	for name, n := range b.nodes {
-		if n.Force().ID != "x" {
-			t.Errorf("%s goes by %q", name, n.Force().ID)
+		if n.ActivePolicy().ID != "x" {
+			t.Errorf("%s goes by %q", name, n.ActivePolicy().ID)
 		}
 	}
 	if got := lead.lead.looks - looks; got > 15 {
--- a/internal/peer/policy/state.go
+++ b/internal/peer/policy/state.go
@@ -12,19 +12,19 @@
 // state is what the voters' log has made so far. It is the same at each voter that has applied the same entries. While
 // nothing but whole policies is agreed on it is written as form 1 has it: voters of an earlier build may read it.
 type state struct {
-	Voters  []string   `cbor:"1,keyasint,omitempty"`
-	Force   Doc        `cbor:"2,keyasint,omitempty"`  // the part ""
-	Pending *Doc       `cbor:"3,keyasint,omitempty"`  // in form 1 the change under way, else nil: see encodeState
-	Without []string   `cbor:"4,keyasint,omitempty"`  // the same
-	Roster  []place    `cbor:"5,keyasint,omitempty"`  // by name
-	Version uint64     `cbor:"6,keyasint,omitempty"`  // of the roster: grows with each change of it
-	Ended   []Ended    `cbor:"7,keyasint,omitempty"`  // the last changes, oldest first
-	Kept    []Doc      `cbor:"8,keyasint,omitempty"`  // the last that were in force, with their texts, oldest first
-	Parts   []Doc      `cbor:"9,keyasint,omitempty"`  // the other parts that have a text in force, by name
-	Under   []underWay `cbor:"10,keyasint,omitempty"` // changes under way, oldest first
-	Names   []string   `cbor:"11,keyasint,omitempty"` // of all parts that members hold or held: places have them by number
-	Commits uint64     `cbor:"12,keyasint,omitempty"` // texts that came into force
-	Form    uint8      `cbor:"13,keyasint,omitempty"` // of the log: nothing goes into it that voters of this form can't read; 0: the first
+	Voters  []string      `cbor:"1,keyasint,omitempty"`
+	Force   Document      `cbor:"2,keyasint,omitempty"`  // the part ""
+	Pending *Document     `cbor:"3,keyasint,omitempty"`  // in form 1 the change under way, else nil: see encodeState
+	Without []string      `cbor:"4,keyasint,omitempty"`  // the same
+	Roster  []place       `cbor:"5,keyasint,omitempty"`  // by name
+	Version uint64        `cbor:"6,keyasint,omitempty"`  // of the roster: grows with each change of it
+	Ended   []EndedChange `cbor:"7,keyasint,omitempty"`  // the last changes, oldest first
+	Kept    []Document    `cbor:"8,keyasint,omitempty"`  // the last that were in force, with their texts, oldest first
+	Parts   []Document    `cbor:"9,keyasint,omitempty"`  // the other parts that have a text in force, by name
+	Under   []underWay    `cbor:"10,keyasint,omitempty"` // changes under way, oldest first
+	Names   []string      `cbor:"11,keyasint,omitempty"` // of all parts that members hold or held: places have them by number
+	Commits uint64        `cbor:"12,keyasint,omitempty"` // texts that came into force
+	Form    uint8         `cbor:"13,keyasint,omitempty"` // of the log: nothing goes into it that voters of this form can't read; 0: the first
 
 	numbers map[string]uint32 // of Names
 	latest  []string          // parts, in the order in which they came into force; one may be there more than once
@@ -32,7 +32,7 @@
 
 // underWay is a change that is.
 type underWay struct {
-	Doc     Doc      `cbor:"1,keyasint,omitempty"`
+	Doc     Document `cbor:"1,keyasint,omitempty"`
 	Without []string `cbor:"2,keyasint,omitempty"`
 	Since   uint64   `cbor:"3,keyasint,omitempty"` // version of the roster when somebody whom it concerns last came into it
 }
@@ -45,13 +45,13 @@
 	Form  uint8    `cbor:"4,keyasint,omitempty"` // 0: it came in by a command of form 1, and counts for every part
 }
 
-// Ended is what became of a change, for ever.
-type Ended struct {
-	Doc     Doc      `cbor:"1,keyasint,omitempty" json:"Doc"` // without its text
-	InForce bool     `cbor:"2,keyasint,omitempty" json:"InForce"`
-	By      string   `cbor:"3,keyasint,omitempty" json:"By"` // dropped: by whom
-	Why     string   `cbor:"4,keyasint,omitempty" json:"Why"`
-	Without []string `cbor:"5,keyasint,omitempty" json:"Without"`
+// EndedChange is what became of a change, for ever.
+type EndedChange struct {
+	Document  Document `cbor:"1,keyasint,omitempty" json:"Doc"` // without its text
+	Committed bool     `cbor:"2,keyasint,omitempty" json:"InForce"`
+	DroppedBy string   `cbor:"3,keyasint,omitempty" json:"By"` // dropped: by whom
+	Reason    string   `cbor:"4,keyasint,omitempty" json:"Why"`
+	Without   []string `cbor:"5,keyasint,omitempty" json:"Without"`
 }
 
 const (
@@ -80,7 +80,7 @@
 	Do      deed      `cbor:"1,keyasint,omitempty"`
 	Name    string    `cbor:"2,keyasint,omitempty"`
 	Life    uint64    `cbor:"3,keyasint,omitempty"`
-	Doc     *Doc      `cbor:"4,keyasint,omitempty"`
+	Doc     *Document `cbor:"4,keyasint,omitempty"`
 	Base    uint64    `cbor:"5,keyasint,omitempty"`
 	Without []string  `cbor:"6,keyasint,omitempty"`
 	ID      string    `cbor:"7,keyasint,omitempty"`
@@ -126,7 +126,7 @@
 		s.Pending, s.Without = nil, nil
 	}
 	if s.Commits == 0 { // form 1 counted them by the number
-		s.Commits, s.Force.Order = s.Force.Number, s.Force.Number
+		s.Commits, s.Force.CommitIndex = s.Force.Number, s.Force.Number
 	}
 	return s, nil
 }
@@ -180,12 +180,12 @@
 }
 
 // concerns reports whether a change concerns a member.
-func (s *state) concerns(d *Doc, p *place) bool {
-	return s.holds(p, d.Part) || slices.ContainsFunc(d.More, func(x Doc) bool { return s.holds(p, x.Part) })
+func (s *state) concerns(d *Document, p *place) bool {
+	return s.holds(p, d.Part) || slices.ContainsFunc(d.OtherParts, func(x Document) bool { return s.holds(p, x.Part) })
 }
 
 // concerned are the members whom a change concerns.
-func (s *state) concerned(d *Doc) []place {
+func (s *state) concerned(d *Document) []place {
 	all := []place{}
 	for i := range s.Roster {
 		if s.concerns(d, &s.Roster[i]) {
@@ -208,18 +208,18 @@
 }
 
 // part is a part's text in force; Number 0: it has none.
-func (s *state) part(name string) *Doc {
+func (s *state) part(name string) *Document {
 	if name == "" {
 		return &s.Force
 	}
 	if i, ok := s.findPart(name); ok {
 		return &s.Parts[i]
 	}
-	return &Doc{Part: name}
+	return &Document{Part: name}
 }
 
 func (s *state) findPart(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.Parts, name, func(d Doc, n string) int { return strings.Compare(d.Part, n) })
+	return slices.BinarySearchFunc(s.Parts, name, func(d Document, n string) int { return strings.Compare(d.Part, n) })
 }
 
 // under is a change under way; nil: it is not.
@@ -255,7 +255,7 @@
 			s.end(u.Doc, false, c.By, c.Why, nil)
 			s.over(c.ID)
 		} else if c.ID != "" && s.fate(c.ID).State == Unknown { // should it still be on its way, it comes too late
-			s.end(Doc{ID: c.ID}, false, c.By, c.Why, nil)
+			s.end(Document{ID: c.ID}, false, c.By, c.Why, nil)
 		}
 	case doForm:
 		s.Form = max(s.Form, c.Form)
@@ -308,8 +308,8 @@
 		return
 	}
 	p := *d
-	p.More = slices.Clone(d.More)
-	texts := p.Texts()
+	p.OtherParts = slices.Clone(d.OtherParts)
+	texts := p.Documents()
 	same, size := true, 0
 	for i, x := range texts {
 		of := s.part(x.Part)
@@ -320,7 +320,7 @@
 			what = " of part " + x.Part
 		}
 		for j := range s.Under {
-			if u := &s.Under[j].Doc; u.Names(x.Part) {
+			if u := &s.Under[j].Doc; u.Includes(x.Part) {
 				s.end(*d, false, u.Author, fmt.Sprintf("another change%s is under way: %s (%s)", what, u.ID, u.Reason), nil)
 				return
 			}
@@ -339,7 +339,7 @@
 		if i == 0 {
 			p.Number = number
 		} else {
-			p.More[i-1].Number = number
+			p.OtherParts[i-1].Number = number
 		}
 	}
 	all := size
@@ -347,7 +347,7 @@
 		all += len(s.Parts[i].Body)
 	}
 	for i := range s.Under {
-		for _, x := range s.Under[i].Doc.Texts() {
+		for _, x := range s.Under[i].Doc.Documents() {
 			all += len(x.Body)
 		}
 	}
@@ -367,9 +367,9 @@
 // commit brings a change under way into force.
 func (s *state) commit(u *underWay) {
 	doc, without := u.Doc, u.Without
-	for _, x := range doc.Texts() {
+	for _, x := range doc.Documents() {
 		s.Commits++
-		x.Order = s.Commits
+		x.CommitIndex = s.Commits
 		if len(s.latest) > 0 { // else it is made from all when it is needed
 			s.latest = append(s.latest, x.Part)
 		}
@@ -397,8 +397,8 @@
 }
 
 // keep keeps a text that came into force, and of its part the last so many.
-func (s *state) keep(d Doc, most int) {
-	d.Order = 0
+func (s *state) keep(d Document, most int) {
+	d.CommitIndex = 0
 	s.Kept = append(s.Kept, d)
 	n := 0
 	for i := len(s.Kept) - 1; i >= 0; i-- {
@@ -414,48 +414,48 @@
 	s.Under = slices.DeleteFunc(s.Under, func(u underWay) bool { return u.Doc.ID == id })
 }
 
-func (s *state) end(d Doc, inForce bool, by, why string, without []string) {
+func (s *state) end(d Document, inForce bool, by, why string, without []string) {
 	d.Body = nil
-	d.More = slices.Clone(d.More)
-	for i := range d.More {
-		d.More[i].Body = nil
+	d.OtherParts = slices.Clone(d.OtherParts)
+	for i := range d.OtherParts {
+		d.OtherParts[i].Body = nil
 	}
-	s.Ended = append(s.Ended, Ended{Doc: d, InForce: inForce, By: by, Why: why, Without: without})
+	s.Ended = append(s.Ended, EndedChange{Document: d, Committed: inForce, DroppedBy: by, Reason: why, Without: without})
 	if n := len(s.Ended) - endedMost; n > 0 {
 		s.Ended = slices.Delete(s.Ended, 0, n)
 	}
 }
 
 // fate is what became of a change, as far as the log says.
-func (s *state) fate(id string) Fate {
+func (s *state) fate(id string) ChangeStatus {
 	if s.under(id) != nil {
-		return Fate{ID: id, State: UnderWay}
+		return ChangeStatus{ID: id, State: Preparing}
 	}
 	for i := len(s.Ended) - 1; i >= 0; i-- {
-		if e := &s.Ended[i]; e.Doc.ID == id {
-			f := Fate{ID: id, State: Dropped, By: e.By, Why: e.Why}
-			if e.InForce {
-				f.State, f.Number = InForce, e.Doc.Number
-				if !e.Doc.plain() {
-					for _, x := range e.Doc.Texts() {
-						f.Parts = append(f.Parts, Ref{Part: x.Part, Number: x.Number})
+		if e := &s.Ended[i]; e.Document.ID == id {
+			f := ChangeStatus{ID: id, State: Dropped, DroppedBy: e.DroppedBy, Reason: e.Reason}
+			if e.Committed {
+				f.State, f.Number = Committed, e.Document.Number
+				if !e.Document.plain() {
+					for _, x := range e.Document.Documents() {
+						f.Parts = append(f.Parts, DocumentRef{Part: x.Part, Number: x.Number})
 					}
 				}
 			}
 			return f
 		}
 	}
-	return Fate{ID: id}
+	return ChangeStatus{ID: id}
 }
 
 // doc is a change with the texts of its parts, as far as they are known and somebody holds them; nil: there are none.
-func (s *state) doc(id string, holds func(part string) bool) *Doc {
+func (s *state) doc(id string, holds func(part string) bool) *Document {
 	if u := s.under(id); u != nil {
 		return u.Doc.only(holds)
 	}
-	var texts []Doc
-	add := func(d *Doc) {
-		if d.ID == id && holds(d.Part) && !slices.ContainsFunc(texts, func(x Doc) bool { return x.Part == d.Part }) {
+	var texts []Document
+	add := func(d *Document) {
+		if d.ID == id && holds(d.Part) && !slices.ContainsFunc(texts, func(x Document) bool { return x.Part == d.Part }) {
 			texts = append(texts, *d)
 		}
 	}
@@ -482,7 +482,7 @@
 }
 
 // since is what came into force after an Order, of the parts that a member holds.
-func (s *state) since(order uint64, holds func(part string) bool) (all []Ref) {
+func (s *state) since(order uint64, holds func(part string) bool) (all []DocumentRef) {
 	if order >= s.Commits {
 		return nil
 	}
@@ -491,9 +491,9 @@
 			part  string
 			order uint64
 		}
-		in := []one{{"", s.Force.Order}}
+		in := []one{{"", s.Force.CommitIndex}}
 		for i := range s.Parts {
-			in = append(in, one{s.Parts[i].Part, s.Parts[i].Order})
+			in = append(in, one{s.Parts[i].Part, s.Parts[i].CommitIndex})
 		}
 		slices.SortFunc(in, func(a, b one) int { return int(a.order) - int(b.order) })
 		for _, x := range in {
@@ -506,11 +506,11 @@
 		if seen[d.Part] {
 			continue
 		}
-		if d.Order <= order {
+		if d.CommitIndex <= order {
 			break // those before it are older still
 		}
 		if seen[d.Part] = true; holds(d.Part) {
-			all = append(all, Ref{d.Part, d.Number, d.ID})
+			all = append(all, DocumentRef{d.Part, d.Number, d.ID})
 		}
 	}
 	slices.Reverse(all)
@@ -518,15 +518,15 @@
 }
 
 // past is the last changes, and a part's text with its number.
-func (s *state) past(part string, number uint64) *Past {
-	p := &Past{Told: true, Part: part, Number: number, All: s.Ended}
+func (s *state) past(part string, number uint64) *History {
+	p := &History{IsResponse: true, Part: part, Number: number, Changes: s.Ended}
 	if d := *s.part(part); d.Number > 0 && (d.Number == number || number == 0 && part != "") {
-		p.Doc = &d
+		p.Document = &d
 	}
 	for i := range s.Kept {
 		if s.Kept[i].Number == number && s.Kept[i].Part == part {
 			d := s.Kept[i]
-			p.Doc = &d
+			p.Document = &d
 		}
 	}
 	return p
--- a/internal/peer/policy/steward.go
+++ b/internal/peer/policy/steward.go
@@ -59,7 +59,7 @@
 
 // question is a member's, and by whom it came.
 type question struct {
-	ask  *Ask
+	ask  *LeaseRequest
 	from string
 }
 
@@ -173,32 +173,32 @@
 func (l *steward) answer(v *voter, q question) {
 	n, a, s := v.n, q.ask, v.state
 	m := l.members[a.Name]
-	if m == nil || m.life != a.Life {
-		if m != nil && n.now-m.heard < aliveFor && s.has(a.Name, m.life) && !n.viewHas(a.Name, a.Life) {
-			l.reply(v, q, &Answer{Seq: a.Seq, Refused: "another process has this name, and is there"})
+	if m == nil || m.life != a.RunID {
+		if m != nil && n.now-m.heard < aliveFor && s.has(a.Name, m.life) && !n.viewHas(a.Name, a.RunID) {
+			l.reply(v, q, &LeaseResponse{Seq: a.Seq, Refused: "another process has this name, and is there"})
 			return
 		}
-		m = &known{life: a.Life}
+		m = &known{life: a.RunID}
 		l.members[a.Name] = m
 	}
-	m.heard, m.form, m.upto, m.nay, m.why = n.now, a.Form, a.Upto, a.Nay, a.Why
+	m.heard, m.form, m.upto, m.nay, m.why = n.now, a.Format, a.KnownUpTo, a.RejectedID, a.RejectReason
 	had := m.have
-	if m.have = a.Have; a.Form == 0 {
+	if m.have = a.PreparedIDs; a.Format == 0 {
 		if m.have = nil; a.Prepared != "" {
 			m.have = []string{a.Prepared}
 		}
-		if m.upto = 0; a.Force == s.Force.Number {
+		if m.upto = 0; a.ActiveNumber == s.Force.Number {
 			m.upto = s.Commits
 		}
 	}
 	switch {
-	case !a.Over:
+	case !a.LeaseExpired:
 		m.deaf = 0
 	case m.granted > 0 && n.now-m.granted < n.s.Lease:
 		m.deaf++
 	}
 	at, in := s.find(a.Name)
-	in = in && s.Roster[at].Life == a.Life
+	in = in && s.Roster[at].Life == a.RunID
 	var p *place
 	if in {
 		p = &s.Roster[at]
@@ -211,63 +211,63 @@
 			lacks = lacks || in && !m.has(u.Doc.ID)
 		}
 	}
-	if n.s.Stops && m.deaf >= deafAfter && lacks {
+	if n.s.StopWhenIsolated && m.deaf >= deafAfter && lacks {
 		return // it hears no answer: the change goes on without it once what it was told is over
 	}
-	x := &Answer{Seq: a.Seq, Voters: s.Voters, Form: Form, Upto: s.Commits, All: a.Upto == 0}
+	x := &LeaseResponse{Seq: a.Seq, Voters: s.Voters, Format: FormatVersion, CommittedUpTo: s.Commits, Complete: a.KnownUpTo == 0}
 	join := false
 	switch {
-	case a.Stops != n.s.Stops || time.Duration(a.LeaseMS)*time.Millisecond != n.s.Lease:
+	case a.StopWhenIsolated != n.s.StopWhenIsolated || time.Duration(a.LeaseMS)*time.Millisecond != n.s.Lease:
 		x.Refused = fmt.Sprintf("its file's cut_off or lease are not those of %s, which leads (lease %v)", n.s.Name, n.s.Lease)
 	case in:
-		x.Known, x.Every = !m.out, p.Form == 0
-		x.Say = x.Every && s.Form >= Form
+		x.InRoster, x.CountsForAllParts = !m.out, p.Form == 0
+		x.WantsParts = x.CountsForAllParts && s.Form >= FormatVersion
 		// What it holds has changed, or was not known to a leader of an earlier form.
-		join = a.Form > 0 && a.Holds == sumOf(a.Parts) && s.Form >= Form && (x.Every || sumOf(s.names(p)) != a.Holds)
+		join = a.Format > 0 && a.PartsHash == sumOf(a.Parts) && s.Form >= FormatVersion && (x.CountsForAllParts || sumOf(s.names(p)) != a.PartsHash)
 	case a.Join:
 		join = true
 	}
 	// While something about its place is on its way into the log, what the roster has for it may be over at any moment: nothing is
 	// said of it, and what was lost is asked for again.
 	j, pending := l.joins[a.Name]
-	if pending = pending && j.life == a.Life && in && a.Form > 0; pending {
-		x.Every = false
-		join = join || a.Holds == sumOf(a.Parts) && s.Form >= Form && n.now-j.at > sayAgain
-	}
-	if join && (j.life != a.Life || j.holds != a.Holds || n.now-j.at > sayAgain) {
-		l.joins[a.Name] = joining{a.Life, a.Holds, n.now}
-		c := &command{Do: doJoin, Name: a.Name, Life: a.Life}
-		if parts, err := partsOf(a.Parts); a.Form > 0 && s.Form >= Form && err == nil {
-			c.Form, c.Parts = Form, parts
+	if pending = pending && j.life == a.RunID && in && a.Format > 0; pending {
+		x.CountsForAllParts = false
+		join = join || a.PartsHash == sumOf(a.Parts) && s.Form >= FormatVersion && n.now-j.at > sayAgain
+	}
+	if join && (j.life != a.RunID || j.holds != a.PartsHash || n.now-j.at > sayAgain) {
+		l.joins[a.Name] = joining{a.RunID, a.PartsHash, n.now}
+		c := &command{Do: doJoin, Name: a.Name, Life: a.RunID}
+		if parts, err := partsOf(a.Parts); a.Format > 0 && s.Form >= FormatVersion && err == nil {
+			c.Form, c.Parts = FormatVersion, parts
 		}
 		v.propose(c)
 	}
-	if x.Known {
+	if x.InRoster {
 		m.granted = n.now
 	}
-	if a.Form > 0 {
+	if a.Format > 0 {
 		holds := func(part string) bool { return part == "" || slices.Contains(a.Parts, part) }
-		switch x.Holds = sumOf(a.Parts); {
-		case x.Every:
-			holds, x.Holds = func(string) bool { return true }, a.Holds
+		switch x.PartsHash = sumOf(a.Parts); {
+		case x.CountsForAllParts:
+			holds, x.PartsHash = func(string) bool { return true }, a.PartsHash
 		case in:
-			holds, x.Holds = func(part string) bool { return s.holds(p, part) }, sumOf(s.names(p))
+			holds, x.PartsHash = func(part string) bool { return s.holds(p, part) }, sumOf(s.names(p))
 		}
-		if x.Changed = s.since(a.Upto, holds); pending {
-			x.Holds = ^a.Holds
+		if x.Changed = s.since(a.KnownUpTo, holds); pending {
+			x.PartsHash = ^a.PartsHash
 		}
 	}
 	for _, u := range under {
-		x.Under = append(x.Under, u.Doc.ID)
+		x.PendingIDs = append(x.PendingIDs, u.Doc.ID)
 	}
-	if a.Form == 0 { // it knows one part
-		x = &Answer{Seq: x.Seq, Voters: x.Voters, Known: x.Known, Refused: x.Refused, Force: s.Force.Number, ForceID: s.Force.ID}
+	if a.Format == 0 { // it knows one part
+		x = &LeaseResponse{Seq: x.Seq, Voters: x.Voters, InRoster: x.InRoster, Refused: x.Refused, ActiveNumber: s.Force.Number, ActiveID: s.Force.ID}
 		if i := slices.IndexFunc(under, func(u *underWay) bool { return u.Doc.plain() }); i >= 0 {
 			x.Pending = under[i].Doc.ID
 		}
 	}
-	for _, id := range a.About[:min(aboutMost, len(a.About))] {
-		x.About = append(x.About, l.fate(v, id))
+	for _, id := range a.StatusOf[:min(aboutMost, len(a.StatusOf))] {
+		x.Statuses = append(x.Statuses, l.fate(v, id))
 	}
 	l.reply(v, q, x)
 	if !in {
@@ -287,8 +287,8 @@
 }
 
 // offered reports whether a change is one of the parts that a member would hold once it is in the roster.
-func (l *steward) offered(a *Ask, d *Doc) bool {
-	return d.Names("") || slices.ContainsFunc(a.Parts, d.Names)
+func (l *steward) offered(a *LeaseRequest, d *Document) bool {
+	return d.Includes("") || slices.ContainsFunc(a.Parts, d.Includes)
 }
 
 // knows reports whether a member is known to read the log as it is.
@@ -303,12 +303,12 @@
 // raise has the log take on this build's form, for good, at the first change of a service's part: until then an earlier
 // build can be gone back to. It reports whether all voters are known to read it.
 func (l *steward) raise(v *voter) bool {
-	if !l.votersOf(v, Form) {
+	if !l.votersOf(v, FormatVersion) {
 		return false
 	}
 	if v.n.now-l.raised > sayAgain {
 		l.raised = v.n.now
-		v.propose(&command{Do: doForm, Form: Form})
+		v.propose(&command{Do: doForm, Form: FormatVersion})
 	}
 	return true
 }
@@ -323,9 +323,9 @@
 	return true
 }
 
-func (l *steward) reply(v *voter, q question, x *Answer) {
+func (l *steward) reply(v *voter, q question, x *LeaseResponse) {
 	x.Leader = v.n.s.Name
-	m := &Message{Answer: x}
+	m := &Message{LeaseResponse: x}
 	if q.from != q.ask.Name {
 		m.To = q.ask.Name
 	}
@@ -333,16 +333,16 @@
 }
 
 // fate is what became of a change, or how far it is.
-func (l *steward) fate(v *voter, id string) Fate {
+func (l *steward) fate(v *voter, id string) ChangeStatus {
 	f := v.state.fate(id)
 	if u := v.state.under(id); u != nil {
 		missing := l.missing(v, u)
 		for _, p := range l.follow(v, u).concerns {
 			if !slices.Contains(u.Without, p.Name) {
-				f.Of++
+				f.RequiredMembers++
 			}
 		}
-		f.Have = f.Of - len(missing)
+		f.PreparedMembers = f.RequiredMembers - len(missing)
 		f.Missing = missing[:min(namesMost, len(missing))]
 	}
 	return f
@@ -399,9 +399,9 @@
 			break
 		}
 		for i := len(v.state.Ended) - 1; i >= 0 && f != nil; i-- {
-			if e := &v.state.Ended[i]; e.Doc.ID == c.ID {
-				if e.InForce {
-					v.n.say(false, "%s is in force", said(&e.Doc))
+			if e := &v.state.Ended[i]; e.Document.ID == c.ID {
+				if e.Committed {
+					v.n.say(false, "%s is in force", said(&e.Document))
 					l.fresh = append(l.fresh, recent{v.state.Commits, v.n.now, f.concerns})
 				}
 				break
@@ -417,9 +417,9 @@
 }
 
 // said names a change for people.
-func said(d *Doc) string {
+func said(d *Document) string {
 	var parts []string
-	for _, x := range d.Texts() {
+	for _, x := range d.Documents() {
 		if x.Part == "" {
 			parts = append(parts, fmt.Sprintf("policy %d", x.Number))
 		} else {
@@ -432,8 +432,8 @@
 // roster takes out who has left in order.
 func (l *steward) roster(v *voter) {
 	for _, name := range sorted(v.n.who) {
-		if w := v.n.who[name]; w.Left && v.state.has(name, w.Life) {
-			l.takeOut(v, name, w.Life, "it left")
+		if w := v.n.who[name]; w.Left && v.state.has(name, w.RunID) {
+			l.takeOut(v, name, w.RunID, "it left")
 		}
 	}
 	for _, name := range sorted(l.members) { // what was proposed of them may have been lost
@@ -465,7 +465,7 @@
 	if m := l.members[name]; m != nil && m.life == life {
 		from = max(from, m.granted)
 	}
-	return v.n.now > from+v.n.s.Back()+slackOut
+	return v.n.now > from+v.n.s.LeaseExpiry()+slackOut
 }
 
 // changes looks at all changes under way.
@@ -501,7 +501,7 @@
 		case m.nays(id):
 			propose("drop", &command{Do: doDrop, ID: id, By: name, Why: m.why})
 			return
-		case m != nil && m.form < Form && !u.Doc.plain() && n.now-m.heard < aliveFor:
+		case m != nil && m.form < FormatVersion && !u.Doc.plain() && n.now-m.heard < aliveFor:
 			propose("drop", &command{Do: doDrop, ID: id, By: name, Why: "it is of an earlier version, and knows no parts of services"})
 			return
 		}
@@ -510,7 +510,7 @@
 		propose("commit", &command{Do: doCommit, ID: id, Version: f.version})
 		return
 	}
-	if n.s.Stops { // whose lease is over takes nothing: the change goes on without it
+	if n.s.StopWhenIsolated { // whose lease is over takes nothing: the change goes on without it
 		for _, name := range missing {
 			i, _ := v.state.find(name)
 			if life := v.state.Roster[i].Life; l.lapsed(v, name, life) {
@@ -518,12 +518,12 @@
 			}
 		}
 	}
-	late := n.s.Within
-	if n.s.Stops { // a lease may have been given at the last moment
-		late += n.s.Back()
+	late := n.s.PrepareTimeout
+	if n.s.StopWhenIsolated { // a lease may have been given at the last moment
+		late += n.s.LeaseExpiry()
 	}
 	if n.now-f.since > late {
-		why := "not heard, or it has not put the change on its disk within " + n.s.Within.String()
+		why := "not heard, or it has not put the change on its disk within " + n.s.PrepareTimeout.String()
 		propose("drop", &command{Do: doDrop, ID: id, By: some(missing), Why: why})
 	}
 }
@@ -550,7 +550,7 @@
 		u := &s.Under[i]
 		f := l.follow(v, u)
 		for _, p := range f.concerns {
-			if m := l.members[p.Name]; l.lacks(&p, u) && (m == nil || m.life != p.Life || n.now-f.since < n.s.Within) {
+			if m := l.members[p.Name]; l.lacks(&p, u) && (m == nil || m.life != p.Life || n.now-f.since < n.s.PrepareTimeout) {
 				who[p.Name] = true
 			}
 		}
@@ -578,13 +578,13 @@
 		l.pokeAt = n.now + pokeEvery/4
 	}
 	for _, name := range all {
-		n.send(name, &Message{Poke: true})
+		n.send(name, &Message{Notify: true})
 	}
 }
 
 // drop is an operator's word that a change is not to come into force; also one of which no voter has heard yet.
 func (l *steward) drop(v *voter, p *Proposal) {
-	if v.state.fate(p.Drop).State <= UnderWay {
-		v.propose(&command{Do: doDrop, ID: p.Drop, By: p.Doc.Author, Why: cmp.Or(p.Doc.Reason, "an operator dropped it")})
+	if v.state.fate(p.Drop).State <= Preparing {
+		v.propose(&command{Do: doDrop, ID: p.Drop, By: p.Document.Author, Why: cmp.Or(p.Document.Reason, "an operator dropped it")})
 	}
 }
--- a/internal/peer/policy/voter.go
+++ b/internal/peer/policy/voter.go
@@ -49,7 +49,7 @@
 	proved bool
 	call   uint64 // of this start
 	callAt time.Duration
-	said   map[string]*Said
+	said   map[string]*PositionResponse
 	trust  bool
 	floor  position // votes go to nobody behind it
 	blank  bool     // it is being taken in, or its disk was lost: it votes once it has what its leader had
@@ -131,9 +131,9 @@
 }
 
 // newVoter is a voter as its disk has it; blank: it is being taken in, and knows nothing yet.
-func newVoter(n *Node, d *Disk, blank bool) (*voter, error) {
+func newVoter(n *Node, d *StoredState, blank bool) (*voter, error) {
 	v := &voter{n: n, id: idOf(n.s.Name), epoch: d.Epoch, store: raft.NewMemoryStorage(), hard: &raftpb.HardState{}, state: &state{}, conf: &raftpb.ConfState{},
-		proved: d.Proved, said: map[string]*Said{}, short: map[string]shorter{}, snaps: map[uint64]time.Duration{}, call: n.rng.Uint64(), tickAt: n.now + tick, callAt: n.now}
+		proved: d.ProvenCurrent, said: map[string]*PositionResponse{}, short: map[string]shorter{}, snaps: map[uint64]time.Duration{}, call: n.rng.Uint64(), tickAt: n.now + tick, callAt: n.now}
 	switch {
 	case blank:
 		v.epoch, v.blank = n.epoch, true
@@ -152,7 +152,7 @@
 		}
 	}
 	switch {
-	case blank, d.Proved && d.Snapshot != nil:
+	case blank, d.ProvenCurrent && d.Snapshot != nil:
 		return v, v.begin()
 	case len(v.state.Voters) <= 1: // nobody else knows anything
 		return v, v.take()
@@ -161,7 +161,7 @@
 }
 
 // load takes over what the disk has.
-func (v *voter) load(d *Disk) error {
+func (v *voter) load(d *StoredState) error {
 	snap := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(d.Snapshot, snap); err != nil {
 		return fmt.Errorf("policy: the log's snapshot: %w", err)
@@ -182,8 +182,8 @@
 	if err := v.store.Append(all); err != nil {
 		return err
 	}
-	if d.Hard != nil {
-		if err := proto.Unmarshal(d.Hard, v.hard); err != nil {
+	if d.HardState != nil {
+		if err := proto.Unmarshal(d.HardState, v.hard); err != nil {
 			return fmt.Errorf("policy: the log's state: %w", err)
 		}
 	}
@@ -226,7 +226,7 @@
 		return err
 	}
 	rn, err := raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: electionLow + v.n.rng.IntN(electionMore), HeartbeatTick: heartbeat, Storage: v.store, Applied: v.applied,
-		MaxSizePerMsg: 2 * BodyMost, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 64 * BodyMost, CheckQuorum: true, PreVote: true, AsyncStorageWrites: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet{}})
+		MaxSizePerMsg: 2 * MaxBodyBytes, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 64 * MaxBodyBytes, CheckQuorum: true, PreVote: true, AsyncStorageWrites: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet{}})
 	if err != nil {
 		return fmt.Errorf("policy: raft: %w", err)
 	}
@@ -352,8 +352,8 @@
 	v.callAt = n.now + callEvery
 	last := v.last()
 	for _, o := range v.state.Voters {
-		if o != n.s.Name && (v.said[o] == nil || !v.said[o].Proved) {
-			n.send(o, &Message{Call: &Call{v.call, last.term, last.index}})
+		if o != n.s.Name && (v.said[o] == nil || !v.said[o].ProvenCurrent) {
+			n.send(o, &Message{PositionRequest: &PositionRequest{v.call, last.term, last.index}})
 		}
 	}
 	v.heard()
@@ -372,12 +372,12 @@
 		if s == nil || o == v.n.s.Name {
 			continue
 		}
-		if s.Proved && s.Applied > v.applied && !slices.Contains(s.Voters, v.n.s.Name) {
+		if s.ProvenCurrent && s.Applied > v.applied && !slices.Contains(s.Voters, v.n.s.Name) {
 			v.n.retire("the others vote without this one")
 			return
 		}
 		all++
-		if s.Proved {
+		if s.ProvenCurrent {
 			proved++
 		}
 		term = max(term, s.Term)
@@ -412,10 +412,10 @@
 	}
 	v.proved = true
 	snap := must(v.store.Snapshot())
-	b := Batch{Wipe: true, Hard: must(proto.Marshal(v.hard)), Snapshot: must(proto.Marshal(snap)), Epoch: v.epoch}
+	b := Batch{Wipe: true, HardState: must(proto.Marshal(v.hard)), Snapshot: must(proto.Marshal(snap)), Epoch: v.epoch}
 	first := must(v.store.FirstIndex())
 	if l := v.last().index; l >= first {
-		b.First = first
+		b.FirstIndex = first
 		for _, e := range must(v.store.Entries(first, l+1, 1<<40)) {
 			b.Entries = append(b.Entries, must(proto.Marshal(e)))
 		}
@@ -426,8 +426,8 @@
 }
 
 // called answers a voter that has just started. If it has less than it once said, whoever leads forgets how far it was.
-func (v *voter) called(from string, c *Call) {
-	s := &Said{Number: c.Number, Proved: !v.blank && (v.rn != nil || v.proved), Voters: v.state.Voters, Applied: v.applied, Start: v.call}
+func (v *voter) called(from string, c *PositionRequest) {
+	s := &PositionResponse{Number: c.Number, ProvenCurrent: !v.blank && (v.rn != nil || v.proved), Voters: v.state.Voters, Applied: v.applied, Start: v.call}
 	// What it said before it started anew, it may have lost with its disk: a floor that nobody has any more would never be reached.
 	// One that takes part with such a floor asks all again, as at its start: who heard of an entry by one alone may not vote
 	// without it before it knows that others have not confirmed it.
@@ -445,7 +445,7 @@
 	}
 	last := v.last()
 	s.LastTerm, s.LastIndex = last.term, last.index
-	v.n.send(from, &Message{Said: s})
+	v.n.send(from, &Message{PositionResponse: s})
 	if v.match(from) > c.LastIndex {
 		v.lost(from)
 	}
@@ -559,22 +559,22 @@
 		}
 		v.queue, v.doing = v.queue[1:], append(v.doing, m)
 		if h := hardOf(m); h != nil {
-			b.Hard = must(proto.Marshal(h))
+			b.HardState = must(proto.Marshal(h))
 		}
 		if m.Snapshot != nil && !raft.IsEmptySnap(m.Snapshot) {
 			b.Snapshot = must(proto.Marshal(m.Snapshot))
 		}
 		for _, e := range m.GetEntries() {
 			switch i := e.GetIndex(); {
-			case b.First == 0 || i <= b.First:
-				b.First, b.Entries = i, nil
+			case b.FirstIndex == 0 || i <= b.FirstIndex:
+				b.FirstIndex, b.Entries = i, nil
 			default:
-				b.Entries = b.Entries[:i-b.First]
+				b.Entries = b.Entries[:i-b.FirstIndex]
 			}
 			b.Entries = append(b.Entries, must(proto.Marshal(e)))
 		}
 	}
-	if b.Hard == nil && b.Snapshot == nil && b.First == 0 { // nothing that has to be there
+	if b.HardState == nil && b.Snapshot == nil && b.FirstIndex == 0 { // nothing that has to be there
 		v.finish()
 		return
 	}
@@ -680,7 +680,7 @@
 		}
 		v.conf, v.snap = v.rn.ApplyConfChange(cc), true // a new voter takes a snapshot only in which it votes
 		if ctx := cc.GetContext(); len(ctx) > 0 {
-			var r Replace
+			var r ReplaceVoter
 			if decoding.Unmarshal(ctx, &r) == nil {
 				v.state.Voters = slices.DeleteFunc(v.state.Voters, func(o string) bool { return o == r.Remove || o == r.Add })
 				if r.Add != "" {
@@ -721,8 +721,8 @@
 	// The disk first; in memory it may go at once: what is on the disk is more.
 	b := Batch{Snapshot: must(proto.Marshal(snap)), Epoch: v.epoch}
 	if v.applied > first+compactKeep {
-		b.Compact = v.applied - compactKeep
-		_ = v.store.Compact(b.Compact)
+		b.CompactBefore = v.applied - compactKeep
+		_ = v.store.Compact(b.CompactBefore)
 	}
 	v.n.persist(b)
 }
@@ -733,7 +733,7 @@
 	if !v.leads() {
 		return false
 	}
-	if v.state.Form < Form {
+	if v.state.Form < FormatVersion {
 		return v.rn.Propose(encode(c)) == nil
 	}
 	v.group = append(v.group, *c)
@@ -755,9 +755,9 @@
 	v.group, v.groupAt = nil, v.n.now+groupFor
 	for v.leads() && len(all) > 0 {
 		n, size := 0, 0
-		for n < len(all) && n < groupMost && (n == 0 || size < ChangeMost) {
+		for n < len(all) && n < groupMost && (n == 0 || size < MaxChangeBytes) {
 			if d := all[n].Doc; d != nil {
-				for _, x := range d.Texts() {
+				for _, x := range d.Documents() {
 					size += len(x.Body)
 				}
 			}
@@ -775,7 +775,7 @@
 }
 
 // replace changes the voters, if this one leads.
-func (v *voter) replace(r *Replace) error {
+func (v *voter) replace(r *ReplaceVoter) error {
 	switch {
 	case !v.leads():
 		return errors.New("this voter does not lead")
--- a/internal/peer/transport/agreeing.go
+++ b/internal/peer/transport/agreeing.go
@@ -97,7 +97,7 @@
 	switch x := x.(type) {
 	case *policyPacket:
 		if g.a != nil {
-			g.step(now, policy.Heard{From: x.From, Message: x.Message})
+			g.step(now, policy.Received{From: x.From, Message: x.Message})
 		}
 	case agreementDue:
 		g.due(now)
@@ -114,11 +114,11 @@
 	g.began = true
 	if now-g.members >= namesEvery {
 		g.members = now
-		var all []policy.Who
+		var all []policy.MemberInfo
 		for _, r := range g.c.v.Members() {
-			all = append(all, policy.Who{Name: r.Name, Life: r.Life, Left: r.State == membership.Left})
+			all = append(all, policy.MemberInfo{Name: r.Name, RunID: r.Life, Left: r.State == membership.Left})
 		}
-		events = append([]policy.Event{policy.Members{All: all}, policy.Freed{Alone: g.c.v.HasName()}}, events...)
+		events = append([]policy.Event{policy.MembersChanged{All: all}, policy.NameOwnership{Exclusive: g.c.v.HasName()}}, events...)
 	}
 	for _, x := range g.a.node.Step(now, events...) {
 		switch x := x.(type) {
@@ -126,10 +126,10 @@
 			g.send(x)
 		case policy.Persist:
 			g.a.put(x)
-		case policy.Serve:
-			g.note(x.By)
-			g.a.tell(x.By, g.c.base)
-		case policy.Say:
+		case policy.ServingChanged:
+			g.note(x.Serving)
+			g.a.tell(x.Serving, g.c.base)
+		case policy.Log:
 			if x.Error {
 				g.c.log.Error("fleet: " + x.Text)
 			} else {
@@ -140,11 +140,11 @@
 }
 
 // handed is what a process needs that takes this one's place.
-func (g *agreeing) handed() *policy.Handed {
+func (g *agreeing) handed() *policy.HandoffState {
 	if g.a == nil {
 		return nil
 	}
-	return g.a.node.Handed(g.c.now())
+	return g.a.node.HandoffState(g.c.now())
 }
 
 // Agreement is this carrier's, for one that takes its place in this process.
@@ -152,17 +152,17 @@
 
 // note writes what it serves by, for drills.
 func (g *agreeing) note(s policy.Serving) {
-	e := event{What: "policy", State: "serves", Why: s.Why}
+	e := event{What: "policy", State: "serves", Why: s.Blocked}
 	switch {
-	case s.Why != "":
+	case s.Blocked != "":
 		e.State = "holds"
-	case s.Alone:
+	case s.Standalone:
 		e.State = "alone"
-	case len(s.Both) > 0:
+	case len(s.Preparing) > 0:
 		e.State = "both"
 	}
-	if s.Doc != nil {
-		e.Number, e.ID = s.Doc.Number, s.Doc.ID
+	if s.Document != nil {
+		e.Number, e.ID = s.Document.Number, s.Document.ID
 	}
 	g.c.events.put(e)
 }
--- a/internal/peer/transport/disk.go
+++ b/internal/peer/transport/disk.go
@@ -31,8 +31,8 @@
 	// What it has lent as a keeper of limits, and when by CLOCK_MONOTONIC.
 	Lent *lease.KeeperState `cbor:"9,keyasint,omitempty"`
 	// How it stands towards the policy, and when that was so by CLOCK_MONOTONIC.
-	Policy   *policy.Handed `cbor:"10,keyasint,omitempty"`
-	PolicyAt int64          `cbor:"11,keyasint,omitempty"`
+	Policy   *policy.HandoffState `cbor:"10,keyasint,omitempty"`
+	PolicyAt int64                `cbor:"11,keyasint,omitempty"`
 }
 
 const (
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -121,9 +121,18 @@
 
 // Fill sets every exported field below a pointer to a value that follows from the path of encoded names that leads there:
 // a struct's fields may be renamed or reordered as long as their encoded names stay.
-func Fill(pointer any) { fill(reflect.ValueOf(pointer).Elem(), "", map[reflect.Type]int{}) }
+func Fill(pointer any) { FillEmbedded(pointer, nil) }
 
-func fill(v reflect.Value, path string, nesting map[reflect.Type]int) {
+// FillEmbedded is Fill where types that are embedded without a tag had other names when the golden file was written:
+// formerly has the earlier names by today's. An embedded type's name is no key, but part of the path of values below it.
+func FillEmbedded(pointer any, formerly map[string]string) {
+	f := filler{formerly: formerly}
+	f.fill(reflect.ValueOf(pointer).Elem(), "", map[reflect.Type]int{})
+}
+
+type filler struct{ formerly map[string]string }
+
+func (x filler) fill(v reflect.Value, path string, nesting map[reflect.Type]int) {
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
@@ -138,18 +147,18 @@
 	case reflect.Pointer:
 		if nesting[v.Type()] < maxNesting {
 			v.Set(reflect.New(v.Type().Elem()))
-			fill(v.Elem(), path, deeper(nesting, v.Type()))
+			x.fill(v.Elem(), path, deeper(nesting, v.Type()))
 		}
 	case reflect.Slice:
-		fillSlice(v, path, nesting)
+		x.fillSlice(v, path, nesting)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), fmt.Sprintf("%s/%d", path, i), nesting)
+			x.fill(v.Index(i), fmt.Sprintf("%s/%d", path, i), nesting)
 		}
 	case reflect.Map:
-		fillMap(v, path, nesting)
+		x.fillMap(v, path, nesting)
 	case reflect.Struct:
-		fillStruct(v, path, nesting)
+		x.fillStruct(v, path, nesting)
 	}
 }
 
@@ -161,34 +170,38 @@
 	v.SetInt(int64(number(path) >> (64 - v.Type().Bits() + 2)))
 }
 
-func fillSlice(v reflect.Value, path string, nesting map[reflect.Type]int) {
+func (x filler) fillSlice(v reflect.Value, path string, nesting map[reflect.Type]int) {
 	if nesting[v.Type()] >= maxNesting {
 		return
 	}
 	const elements = 2
 	v.Set(reflect.MakeSlice(v.Type(), elements, elements))
 	for i := range elements {
-		fill(v.Index(i), fmt.Sprintf("%s/%d", path, i), deeper(nesting, v.Type()))
+		x.fill(v.Index(i), fmt.Sprintf("%s/%d", path, i), deeper(nesting, v.Type()))
 	}
 }
 
-func fillMap(v reflect.Value, path string, nesting map[reflect.Type]int) {
+func (x filler) fillMap(v reflect.Value, path string, nesting map[reflect.Type]int) {
 	if nesting[v.Type()] >= maxNesting {
 		return
 	}
 	v.Set(reflect.MakeMap(v.Type()))
 	key := reflect.New(v.Type().Key()).Elem()
-	fill(key, path+"/key", nesting)
+	x.fill(key, path+"/key", nesting)
 	value := reflect.New(v.Type().Elem()).Elem()
-	fill(value, path+"/value", deeper(nesting, v.Type()))
+	x.fill(value, path+"/value", deeper(nesting, v.Type()))
 	v.SetMapIndex(key, value)
 }
 
-func fillStruct(v reflect.Value, path string, nesting map[reflect.Type]int) {
+func (x filler) fillStruct(v reflect.Value, path string, nesting map[reflect.Type]int) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		if f.IsExported() && encodedName(f) != "-" {
-			fill(v.Field(i), path+"/"+encodedName(f), nesting)
+			name := encodedName(f)
+			if earlier, renamed := x.formerly[name]; renamed && f.Anonymous {
+				name = earlier
+			}
+			x.fill(v.Field(i), path+"/"+name, nesting)
 		}
 	}
 }
