--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -87,15 +87,15 @@
 				return exit{1, err}
 			}
 			c := s.Counts
-			fmt.Printf("seen by %s: %d out so far, %d of them back, %d lapsed, %d held back since too many were out\n", s.Name, c.Convicted, c.Acquitted, c.Lapsed, c.Capped)
+			fmt.Printf("seen by %s: %d out so far, %d of them back, %d lapsed, %d held back since too many were out\n", s.Name, c.Ejected, c.Readmitted, c.Expired, c.Capped)
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "server\tverdict\tfor\tanswered\tfailed\tused by\tfollowed\twhy\tby")
 			for _, v := range s.Servers {
 				followed := "yes"
-				if !v.Follows {
-					followed = cmp.Or(v.Not, "no")
+				if !v.Followed {
+					followed = cmp.Or(v.NotFollowedReason, "no")
 				}
-				fmt.Fprintf(w, "%s\t%s\t%v\t%.1f\t%.1f\t%.0f%%\t%s\t%s\t%s\n", v.Server, v.Verdict, v.For.Round(100*time.Millisecond), v.OK, v.Bad, 100*v.Part, followed, v.Why, strings.Join(v.By, ", "))
+				fmt.Fprintf(w, "%s\t%s\t%v\t%.1f\t%.1f\t%.0f%%\t%s\t%s\t%s\n", v.Server, v.State, v.Duration.Round(100*time.Millisecond), v.Succeeded, v.Failed, 100*v.AdmittedShare, followed, v.Reason, strings.Join(v.Reporters, ", "))
 			}
 			return w.Flush()
 		}}
--- a/internal/host/daemon/peers.go
+++ b/internal/host/daemon/peers.go
@@ -110,9 +110,9 @@
 	if !(in.OutMost >= 0 && in.OutMost <= 1) {
 		c.fail(at("out_most"), "%v: a share from 0 to 1 is allowed", in.OutMost)
 	}
-	age := limit("evidence_age", in.EvidenceAge, 2*time.Second, 10*time.Minute, ejection.Age)
+	age := limit("evidence_age", in.EvidenceAge, 2*time.Second, 10*time.Minute, ejection.DefaultMaxEvidenceAge)
 	if in.Verdicts == nil || *in.Verdicts {
-		p.Verdicts = &ejection.Settings{Share: in.OutMost, Age: age}
+		p.Verdicts = &ejection.Settings{MaxEjectedShare: in.OutMost, MaxEvidenceAge: age}
 	}
 	return p
 }
--- a/internal/host/daemon/verdicts.go
+++ b/internal/host/daemon/verdicts.go
@@ -43,13 +43,13 @@
 	if m == nil {
 		return
 	}
-	p.carrier.Listed(ejection.Listed{Source: source, Servers: serversOf(source, m)})
+	p.carrier.Listed(ejection.ListUpdated{Source: source, Servers: serversOf(source, m)})
 }
 
 func serversOf(source string, m *discovery.Members) []ejection.Server {
 	all := make([]ejection.Server, 0, len(m.Servers))
 	for _, s := range m.Servers {
-		one := ejection.Server{ID: fleetID(source, s.ID), Start: s.Started, Zone: s.Zone, Pod: s.Cell}
+		one := ejection.Server{ID: fleetID(source, s.ID), StartedMS: s.Started, Zone: s.Zone, Pod: s.Cell}
 		if s.State != "ready" {
 			one.State = ejection.Draining
 		}
@@ -58,17 +58,17 @@
 	return all
 }
 
-func sightsOf(source string, all []core.Sight) []ejection.Sight {
-	out := make([]ejection.Sight, 0, len(all))
+func sightsOf(source string, all []core.Sight) []ejection.OutcomeSample {
+	out := make([]ejection.OutcomeSample, 0, len(all))
 	for _, s := range all {
-		out = append(out, ejection.Sight{Server: fleetID(source, s.Server), Start: s.Started, OK: s.OK, Bad: s.Bad, Said: s.Said})
+		out = append(out, ejection.OutcomeSample{Server: fleetID(source, s.Server), StartedMS: s.Started, Succeeded: s.OK, Failed: s.Bad, ErrorResponses: s.Said})
 	}
 	return out
 }
 
 // held are the verdicts that hold.
 type held struct {
-	all  []ejection.Verdict
+	all  []ejection.Ejection
 	base time.Time // of their times
 }
 
@@ -77,7 +77,7 @@
 	var all []core.Verdict
 	for _, v := range h.all {
 		if id, ok := strings.CutPrefix(v.Server, source+"/"); ok {
-			all = append(all, core.Verdict{Server: id, Started: v.Start, Drain: v.Drain, Until: h.base.Add(v.Until)})
+			all = append(all, core.Verdict{Server: id, Started: v.StartedMS, Drain: v.Draining, Until: h.base.Add(v.Until)})
 		}
 	}
 	return all
@@ -85,7 +85,7 @@
 
 // judged has all instances go by these verdicts. The carrier's loop calls it; it does not wait. An instance that is too
 // busy to hear of them is told again.
-func (d *Daemon) judged(all []ejection.Verdict, base time.Time) {
+func (d *Daemon) judged(all []ejection.Ejection, base time.Time) {
 	h := &held{all, base}
 	d.verdicts.Store(h)
 	d.judge(h)
--- a/internal/peer/ejection/answer.go
+++ b/internal/peer/ejection/answer.go
@@ -14,58 +14,58 @@
 
 // answer is what is known here, as much as fits: what was asked about, then what came last, then the rest by turns.
 func (m *Member) answer(to string, q *Message) *Message {
-	x := &Message{Answer: q.Ask}
+	x := &Message{ResponseTo: q.PollNumber}
 	asker := m.peer(to)
 	about := q.About
 	told := map[*voice]bool{}
 	tell := func(s *server, v *voice) {
-		if len(x.Items) == itemsMost || told[v] || v.start != s.Start || m.now-v.made > m.s.Age || v.made <= s.freed {
+		if len(x.Evidence) == itemsMost || told[v] || v.start != s.StartedMS || m.now-v.made > m.s.MaxEvidenceAge || v.made <= s.freed {
 			return
 		}
 		told[v] = true
-		i := Item{Server: s.ID, Start: v.start, Origin: v.origin, Life: v.life, Number: v.number, OK: float32(v.ok), Bad: float32(v.bad), Said: float32(v.said), ElseOK: float32(v.elseOK), ElseBad: float32(v.elseBad),
-			Run: v.run, Streak: v.streak, Since: v.since, Age: m.age(v.made)}
+		i := Evidence{Server: s.ID, StartedMS: v.start, Origin: v.origin, RunID: v.life, Number: v.number, Succeeded: float32(v.ok), Failed: float32(v.bad), ErrorResponses: float32(v.said), OtherSucceeded: float32(v.elseOK), OtherFailed: float32(v.elseBad),
+			ConsecutiveSuccesses: v.run, ConsecutiveFailures: v.streak, OtherFailuresSince: v.since, AgeMS: m.age(v.made)}
 		if m.holds(s) {
 			if rate, ok := s.base.perSecond(m.now); ok {
-				i.Chance = float32(max(rate, 1e-6)) // known, if it is none
+				i.BaselineFailureRate = float32(max(rate, 1e-6)) // known, if it is none
 			}
 		} else if s.toldBase > 0 && m.now-s.toldBase < baseSpans*baseSpan {
-			i.Chance = float32(s.told)
+			i.BaselineFailureRate = float32(s.told)
 		}
 		for _, p := range []struct {
 			to *uint32
 			at time.Duration
-		}{{&i.LastOK, v.lastOK}, {&i.LastBad, v.lastBad}, {&i.Began, v.began}, {&i.Works, v.works}} {
+		}{{&i.LastSuccessAgeMS, v.lastOK}, {&i.LastFailureAgeMS, v.lastBad}, {&i.FirstFailureAgeMS, v.began}, {&i.OtherSuccessAgeMS, v.works}} {
 			if p.at > 0 {
 				*p.to = m.age(p.at)
 			}
 		}
-		x.Items = append(x.Items, i)
+		x.Evidence = append(x.Evidence, i)
 	}
 	// What may be chance is told to who asks about it; what is more than that, to all. Members of the first form do not
 	// ask: they are told this member's own as they always were.
 	worth := func(s *server, v *voice) bool {
 		own := v.origin == m.s.Name
-		if m.s.Form == 1 {
+		if m.s.FormatVersion == 1 {
 			return s.isHot || own || v.fails() && m.now-v.began < freshFor
 		}
-		return s.isHot || own && (q.Form < form || m.unlikely(s, v.ok, v.bad, v.streak) || !v.fails() && s.accusers(m) > 1) // it speaks for it
+		return s.isHot || own && (q.FormatVersion < form || m.unlikely(s, v.ok, v.bad, v.streak) || !v.fails() && s.accusers(m) > 1) // it speaks for it
 	}
 	for _, l := range about[:min(aboutMost, len(about))] {
-		if s := m.servers[l.Server]; s != nil && s.Start == l.Start {
+		if s := m.servers[l.Server]; s != nil && s.StartedMS == l.StartedMS {
 			m.speak(s)
 			for _, v := range s.voices {
-				if !q.Own || v.origin == m.s.Name {
+				if !q.OwnOnly || v.origin == m.s.Name {
 					tell(s, v)
 				}
 			}
 		}
 	}
-	if q.Own {
-		m.counts.Items += uint64(len(x.Items))
+	if q.OwnOnly {
+		m.counts.EvidenceSent += uint64(len(x.Evidence))
 		return x
 	}
-	for n := len(m.log) - 1; n >= 0 && len(x.Items) < itemsMost/2; n-- {
+	for n := len(m.log) - 1; n >= 0 && len(x.Evidence) < itemsMost/2; n-- {
 		if o := m.log[n]; m.concerned(asker, o.s) && worth(o.s, o.v) && m.servers[o.s.ID] == o.s && slices.Contains(o.s.voices, o.v) {
 			tell(o.s, o.v)
 		}
@@ -77,10 +77,10 @@
 		if !m.concerned(asker, s) {
 			continue
 		}
-		if s.drainAt > 0 && m.now-s.drainAt <= m.s.Drains && len(x.Drains) < itemsMost {
-			x.Drains = append(x.Drains, Drain{s.ID, s.Start, s.drain, m.age(s.drainAt)})
+		if s.drainAt > 0 && m.now-s.drainAt <= m.s.MaxDrainAge && len(x.Drains) < itemsMost {
+			x.Drains = append(x.Drains, Drain{s.ID, s.StartedMS, s.drain, m.age(s.drainAt)})
 		}
-		if len(x.Items) == itemsMost || !s.open(m) {
+		if len(x.Evidence) == itemsMost || !s.open(m) {
 			continue
 		}
 		if s.own.made > s.spoke || m.now-s.spoke > speakEach { // how it fares elsewhere may have changed
@@ -91,17 +91,17 @@
 				tell(s, v)
 			}
 		}
-		if len(x.Items) == itemsMost {
+		if len(x.Evidence) == itemsMost {
 			m.cursor, x.More = at, 1 // from here on the next time
 		}
 	}
-	m.counts.Items += uint64(len(x.Items))
+	m.counts.EvidenceSent += uint64(len(x.Evidence))
 	return x
 }
 
 // age is how long ago something was, in ms: at the most, whatever the rate of this clock. Never 0.
 func (m *Member) age(at time.Duration) uint32 {
-	d := float64(m.now-at) * (1 + m.s.Drift) / (1 - m.s.Drift)
+	d := float64(m.now-at) * (1 + m.s.ClockDrift) / (1 - m.s.ClockDrift)
 	return uint32(min(d/float64(time.Millisecond)+1, math.MaxUint32/2))
 }
 
@@ -117,19 +117,19 @@
 func (m *Member) take(asked time.Duration, x *Message) {
 	when := func(age uint32) time.Duration { return when(asked, age) }
 	news := false
-	for n := range x.Items {
-		i := &x.Items[n]
+	for n := range x.Evidence {
+		i := &x.Evidence[n]
 		s := m.servers[i.Server]
-		if s == nil || i.Start != s.Start || i.Origin == m.s.Name || i.Origin == "" || i.Age == 0 || !(i.OK >= 0 && i.Bad >= 0 && i.Said >= 0 && i.ElseOK >= 0 && i.ElseBad >= 0) {
+		if s == nil || i.StartedMS != s.StartedMS || i.Origin == m.s.Name || i.Origin == "" || i.AgeMS == 0 || !(i.Succeeded >= 0 && i.Failed >= 0 && i.ErrorResponses >= 0 && i.OtherSucceeded >= 0 && i.OtherFailed >= 0) {
 			continue
 		}
-		v := &voice{origin: i.Origin, life: i.Life, number: i.Number, start: i.Start, ok: float64(i.OK), bad: float64(i.Bad), said: float64(i.Said), elseOK: float64(i.ElseOK), elseBad: float64(i.ElseBad), run: i.Run,
-			made: when(i.Age), lastOK: when(i.LastOK), lastBad: when(i.LastBad), began: when(i.Began), streak: i.Streak, works: when(i.Works), since: i.Since, arrived: m.now}
-		if m.now-v.made > m.s.Age {
+		v := &voice{origin: i.Origin, life: i.RunID, number: i.Number, start: i.StartedMS, ok: float64(i.Succeeded), bad: float64(i.Failed), said: float64(i.ErrorResponses), elseOK: float64(i.OtherSucceeded), elseBad: float64(i.OtherFailed), run: i.ConsecutiveSuccesses,
+			made: when(i.AgeMS), lastOK: when(i.LastSuccessAgeMS), lastBad: when(i.LastFailureAgeMS), began: when(i.FirstFailureAgeMS), streak: i.ConsecutiveFailures, works: when(i.OtherSuccessAgeMS), since: i.OtherFailuresSince, arrived: m.now}
+		if m.now-v.made > m.s.MaxEvidenceAge {
 			continue
 		}
-		if i.Chance > 0 && i.Chance < 1e6 && !m.holds(s) {
-			s.told, s.toldBase = float64(i.Chance), m.now
+		if i.BaselineFailureRate > 0 && i.BaselineFailureRate < 1e6 && !m.holds(s) {
+			s.told, s.toldBase = float64(i.BaselineFailureRate), m.now
 		}
 		if n := slices.IndexFunc(s.voices, func(o *voice) bool { return o.origin == v.origin }); v.lastBad > 0 && (n < 0 || s.voices[n].number != v.number && v.lastBad > s.voices[n].lastBad+batchSlack) {
 			m.heardFail(s)
@@ -147,7 +147,7 @@
 	}
 	for _, d := range x.Drains {
 		s := m.servers[d.Server]
-		if at := when(d.Age); s != nil && s.Start == d.Start && d.State > Up && d.State <= Gone && m.now-at <= m.s.Drains && (s.drainAt == 0 || d.State > s.drain) {
+		if at := when(d.AgeMS); s != nil && s.StartedMS == d.StartedMS && d.State > Up && d.State <= Removed && m.now-at <= m.s.MaxDrainAge && (s.drainAt == 0 || d.State > s.drain) {
 			s.drain, news = max(s.drain, d.State), true
 			m.touch(s)
 			if s.drainAt == 0 || at < s.drainAt { // the earliest: it lapses by that
--- a/internal/peer/ejection/chance.go
+++ b/internal/peer/ejection/chance.go
@@ -29,7 +29,7 @@
 )
 
 // saw counts what became of requests to any server of a source.
-func (m *Member) saw(source string, x Sight) {
+func (m *Member) saw(source string, x OutcomeSample) {
 	t := m.background[source]
 	if t == nil {
 		t = &tally{at: m.now}
@@ -37,8 +37,8 @@
 	}
 	t.fade(t.at + (m.now-t.at)/slowFade)
 	t.at = m.now
-	t.ok += float64(x.OK)
-	t.bad += float64(x.Bad)
+	t.ok += float64(x.Succeeded)
+	t.bad += float64(x.Failed)
 }
 
 // byChance is the share of requests to servers of a source that fails by chance.
@@ -189,8 +189,8 @@
 
 // failed tells of a failure of own agents: to the holders, and to any once it is more than chance.
 func (m *Member) failed(s *server) {
-	about := []Life{{s.ID, s.Start}}
-	if m.s.Form == 1 {
+	about := []Incarnation{{s.ID, s.StartedMS}}
+	if m.s.FormatVersion == 1 {
 		if s.own.bad < float64(s.own.last)+0.5 {
 			m.question(m.others(pokes, s.source), about)
 			m.poke(s.source)
@@ -201,7 +201,7 @@
 	if s.lone == 0 || m.now-s.lone >= loneGap {
 		s.lone = m.now
 		for _, to := range m.holdersOf(s) {
-			m.send(to, &Message{Poke: true, About: about})
+			m.send(to, &Message{Notify: true, About: about})
 		}
 	}
 	if (s.wide == 0 || m.now-s.wide >= wideGap) && m.unlikely(s, s.own.ok, s.own.bad, s.own.streak) {
@@ -253,18 +253,18 @@
 }
 
 // onLone hears that a member has had failures: it is asked what it saw, since what comes unasked may be of any age.
-func (m *Member) onLone(from string, about []Life) {
+func (m *Member) onLone(from string, about []Incarnation) {
 	if m.now-m.lonesAt >= time.Second {
 		m.lonesAt, m.lones = m.now, 0
 	}
 	about = about[:min(aboutMost, len(about))]
-	about = slices.DeleteFunc(slices.Clone(about), func(l Life) bool {
+	about = slices.DeleteFunc(slices.Clone(about), func(l Incarnation) bool {
 		s := m.servers[l.Server]
-		return s == nil || s.Start != l.Start || s.out
+		return s == nil || s.StartedMS != l.StartedMS || s.out
 	})
 	if len(about) == 0 || m.lones >= lonesMost {
 		return
 	}
 	m.lones++
-	m.questionOf([]string{from}, &Message{About: about, Own: true})
+	m.questionOf([]string{from}, &Message{About: about, OwnOnly: true})
 }
--- a/internal/peer/ejection/chance_test.go
+++ b/internal/peer/ejection/chance_test.go
@@ -21,16 +21,18 @@
 // used has the bench's agents send so many requests to each server, all answered, over a minute.
 func (b *bench) used(each int) {
 	for range 60 {
-		var all []Sight
+		var all []OutcomeSample
 		for s := range 8 {
-			all = append(all, Sight{Server: fmt.Sprint("s", s), Start: 7, OK: each / 60})
+			all = append(all, OutcomeSample{Server: fmt.Sprint("s", s), StartedMS: 7, Succeeded: each / 60})
 		}
-		b.step(Seen{all})
+		b.step(OutcomesObserved{all})
 		b.now += time.Second
 	}
 }
 
-func failure(said int) Seen { return Seen{[]Sight{{Server: "s0", Start: 7, Bad: 1, Said: said}}} }
+func failure(said int) OutcomesObserved {
+	return OutcomesObserved{[]OutcomeSample{{Server: "s0", StartedMS: 7, Failed: 1, ErrorResponses: said}}}
+}
 
 func TestLoneFailureIsToldToItsHoldersAlone(t *testing.T) {
 	b := newBench(t)
@@ -38,8 +40,8 @@
 	sent := steps(b.m, b.now, failure(1))
 	to := map[string]bool{}
 	for _, s := range sent {
-		if !s.Message.Poke || len(s.Message.About) != 1 || s.Message.About[0].Server != "s0" {
-			if s.Message.Ask > 0 && len(s.Message.About) == 0 {
+		if !s.Message.Notify || len(s.Message.About) != 1 || s.Message.About[0].Server != "s0" {
+			if s.Message.PollNumber > 0 && len(s.Message.About) == 0 {
 				continue // the question of each second
 			}
 			t.Errorf("to %s: %+v", s.To, s.Message)
@@ -54,23 +56,23 @@
 			t.Errorf("%s holds nothing of s0", name)
 		}
 	}
-	var all []Item
-	for _, a := range steps(b.m, b.now+time.Millisecond, Heard{"b", &Message{Ask: 1, Form: form}}) {
-		all = append(all, a.Message.Items...)
+	var all []Evidence
+	for _, a := range steps(b.m, b.now+time.Millisecond, Received{"b", &Message{PollNumber: 1, FormatVersion: form}}) {
+		all = append(all, a.Message.Evidence...)
 	}
 	if len(all) > 0 {
 		t.Errorf("told to who asks in general: %+v", all)
 	}
-	for _, a := range steps(b.m, b.now+time.Millisecond, Heard{"b", &Message{Ask: 2, Form: form, Own: true, About: []Life{{"s0", 7}}}}) {
-		all = append(all, a.Message.Items...)
+	for _, a := range steps(b.m, b.now+time.Millisecond, Received{"b", &Message{PollNumber: 2, FormatVersion: form, OwnOnly: true, About: []Incarnation{{"s0", 7}}}}) {
+		all = append(all, a.Message.Evidence...)
 	}
-	b.hears([]Item{fails("c", 1)})
-	for _, a := range steps(b.m, b.now+2*time.Millisecond, Heard{"b", &Message{Ask: 2, Form: form, Own: true, About: []Life{{"s0", 7}}}}) {
-		if a.Message.Answer == 2 && len(a.Message.Items) != 1 {
-			t.Errorf("asked for its own it tells %d items", len(a.Message.Items))
+	b.hears([]Evidence{fails("c", 1)})
+	for _, a := range steps(b.m, b.now+2*time.Millisecond, Received{"b", &Message{PollNumber: 2, FormatVersion: form, OwnOnly: true, About: []Incarnation{{"s0", 7}}}}) {
+		if a.Message.ResponseTo == 2 && len(a.Message.Evidence) != 1 {
+			t.Errorf("asked for its own it tells %d items", len(a.Message.Evidence))
 		}
 	}
-	if len(all) != 1 || all[0].Server != "s0" || all[0].Origin != "a" || all[0].Streak != 1 {
+	if len(all) != 1 || all[0].Server != "s0" || all[0].Origin != "a" || all[0].ConsecutiveFailures != 1 {
 		t.Errorf("told to who asks about it: %+v", all)
 	}
 }
@@ -82,10 +84,10 @@
 	b.now += 300 * time.Millisecond
 	asked, poked := 0, 0
 	for _, s := range steps(b.m, b.now, failure(1)) {
-		if s.Message.Ask > 0 && len(s.Message.About) == 1 {
+		if s.Message.PollNumber > 0 && len(s.Message.About) == 1 {
 			asked++
 		}
-		if s.Message.Poke && len(s.Message.About) == 0 {
+		if s.Message.Notify && len(s.Message.About) == 0 {
 			poked++
 		}
 	}
@@ -114,19 +116,19 @@
 		n++
 		from := string(rune('b' + n%9))
 		asked := uint64(0)
-		for _, s := range steps(b.m, b.now, Heard{from, &Message{Form: form, Poke: true, About: []Life{{server, 7}}}}) {
-			if s.To == from && s.Message.Own {
-				asked = s.Message.Ask
+		for _, s := range steps(b.m, b.now, Received{from, &Message{FormatVersion: form, Notify: true, About: []Incarnation{{server, 7}}}}) {
+			if s.To == from && s.Message.OwnOnly {
+				asked = s.Message.PollNumber
 			}
 		}
 		if asked == 0 {
 			t.Fatalf("%s was not asked what it saw", from)
 		}
 		i := fails(from, n)
-		i.Server, i.OK, i.ElseOK, i.Chance = server, 9, 90, 0
-		b.step(Heard{from, &Message{Answer: asked, Items: []Item{i}}})
+		i.Server, i.Succeeded, i.OtherSucceeded, i.BaselineFailureRate = server, 9, 90, 0
+		b.step(Received{from, &Message{ResponseTo: asked, Evidence: []Evidence{i}}})
 		b.now += time.Millisecond
-		b.step(Seen{[]Sight{{Server: server, Start: 7, OK: 1}}}) // it answers here
+		b.step(OutcomesObserved{[]OutcomeSample{{Server: server, StartedMS: 7, Succeeded: 1}}}) // it answers here
 	}
 	for range times {
 		lone()
@@ -202,29 +204,29 @@
 
 // Only servers about which something is said are gone through.
 func TestQuietServersAreNotLookedAt(t *testing.T) {
-	m, err := New(Settings{Name: "a", Life: 1}, 1)
+	m, err := New(Settings{Name: "a", RunID: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var list []Server
 	for i := range 3000 {
-		list = append(list, Server{ID: fmt.Sprintf("s%04d", i), Start: 7, Zone: "z"})
+		list = append(list, Server{ID: fmt.Sprintf("s%04d", i), StartedMS: 7, Zone: "z"})
 	}
 	now := time.Hour
-	m.Step(now, Listed{"main", list}, Members{Names: []string{"a", "b", "c", "d"}})
+	m.Step(now, ListUpdated{"main", list}, MembersChanged{Names: []string{"a", "b", "c", "d"}})
 	now += time.Second
-	m.Step(now, Seen{[]Sight{{Server: "s0007", Start: 7, OK: 5}}})
+	m.Step(now, OutcomesObserved{[]OutcomeSample{{Server: "s0007", StartedMS: 7, Succeeded: 5}}})
 	if len(m.live) != 0 {
 		t.Errorf("%d servers at rest", len(m.live))
 	}
-	m.Step(now, Seen{[]Sight{{Server: "s0007", Start: 7, Bad: 1}}})
+	m.Step(now, OutcomesObserved{[]OutcomeSample{{Server: "s0007", StartedMS: 7, Failed: 1}}})
 	if len(m.live) != 1 {
 		t.Errorf("%d servers after one failure", len(m.live))
 	}
-	for end := now + 2*Age; now < end; now = max(now+time.Millisecond, m.Next()) {
+	for end := now + 2*DefaultMaxEvidenceAge; now < end; now = max(now+time.Millisecond, m.Next()) {
 		m.Step(now)
 	}
-	m.Step(now, Seen{[]Sight{{Server: "s0008", Start: 7, Bad: 1}}})
+	m.Step(now, OutcomesObserved{[]OutcomeSample{{Server: "s0008", StartedMS: 7, Failed: 1}}})
 	m.Step(now + judgeGap)
 	if len(m.live) != 1 || m.live[0].ID != "s0008" {
 		t.Errorf("%d servers once the evidence is old", len(m.live))
--- a/internal/peer/ejection/concern.go
+++ b/internal/peer/ejection/concern.go
@@ -12,8 +12,8 @@
 // subscribers of each list, without a message of their own. A member that tells none is taken for a subscriber of all:
 // one of an earlier version.
 
-// Filter tells which lists a member reads: its interest set. nil: all, for what is known.
-type Filter []byte
+// SubscriptionFilter tells which lists a member reads: its interest set. nil: all, for what is known.
+type SubscriptionFilter []byte
 
 // The forms of a filter: its first byte. One of another form is taken for nil.
 const (
@@ -26,21 +26,21 @@
 	bloomTries = 5
 )
 
-// FilterOf is the filter of a member that reads these lists.
-func FilterOf(sources []string) Filter {
+// NewSubscriptionFilter is the filter of a member that reads these lists.
+func NewSubscriptionFilter(sources []string) SubscriptionFilter {
 	if len(sources) <= (filterMost-1)/hashBytes {
 		all := make([][hashBytes]byte, 0, len(sources))
 		for _, s := range sources {
 			all = append(all, short(hashOf(s)))
 		}
 		slices.SortFunc(all, func(a, b [hashBytes]byte) int { return bytes.Compare(a[:], b[:]) })
-		f := Filter{filterHashes}
+		f := SubscriptionFilter{filterHashes}
 		for _, h := range all {
 			f = append(f, h[:]...)
 		}
 		return f
 	}
-	f := make(Filter, filterMost)
+	f := make(SubscriptionFilter, filterMost)
 	f[0] = filterBloom
 	for _, s := range sources {
 		bloom(hashOf(s), func(at byte, bit byte) bool { f[1+at] |= bit; return true })
@@ -48,10 +48,10 @@
 	return f
 }
 
-// Has reports whether the member reads a list, or may.
-func (f Filter) Has(source string) bool { return f.has(hashOf(source)) }
+// MayInclude reports whether the member reads a list, or may.
+func (f SubscriptionFilter) MayInclude(source string) bool { return f.has(hashOf(source)) }
 
-func (f Filter) has(hash uint64) bool {
+func (f SubscriptionFilter) has(hash uint64) bool {
 	switch {
 	case len(f) > 0 && f[0] == filterHashes && len(f)%hashBytes == 1:
 		want := short(hash)
@@ -91,21 +91,21 @@
 
 // Peer is what a member's record tells of it.
 type Peer struct {
-	Region, Zone string
-	Lists        Filter
+	Region, Zone  string
+	Subscriptions SubscriptionFilter
 }
 
 func (p *Peer) equal(o *Peer) bool {
-	return p.Region == o.Region && p.Zone == o.Zone && (p.Lists == nil) == (o.Lists == nil) && bytes.Equal(p.Lists, o.Lists)
+	return p.Region == o.Region && p.Zone == o.Zone && (p.Subscriptions == nil) == (o.Subscriptions == nil) && bytes.Equal(p.Subscriptions, o.Subscriptions)
 }
 
 // onMembers takes who is alive. It reports whether that is news.
-func (m *Member) onMembers(e Members) bool {
+func (m *Member) onMembers(e MembersChanged) bool {
 	same := func(a, b Peer) bool { return a.equal(&b) }
-	if slices.Equal(m.names, e.Names) && slices.EqualFunc(m.peers, e.Peers, same) && slices.EqualFunc(m.lost, e.Lost, same) {
+	if slices.Equal(m.names, e.Names) && slices.EqualFunc(m.peers, e.Peers, same) && slices.EqualFunc(m.lost, e.Unreachable, same) {
 		return false
 	}
-	m.names, m.peers, m.lost = e.Names, e.Peers, e.Lost
+	m.names, m.peers, m.lost = e.Names, e.Peers, e.Unreachable
 	if len(m.peers) != len(m.names) {
 		m.peers = nil
 	}
@@ -146,22 +146,22 @@
 	}
 	c = &subscribers{named: m.named, names: m.names, zones: map[string]map[string]bool{}}
 	if m.peers != nil {
-		if m.s.Form > 1 {
+		if m.s.FormatVersion > 1 {
 			c.names = nil
 		}
 		hash := hashOf(source)
 		for i, n := range m.names {
 			p := &m.peers[i]
-			if n != m.s.Name && m.s.Form > 1 && !p.Lists.has(hash) {
+			if n != m.s.Name && m.s.FormatVersion > 1 && !p.Subscriptions.has(hash) {
 				continue
 			}
-			if m.s.Form > 1 {
+			if m.s.FormatVersion > 1 {
 				c.names = append(c.names, n)
 			}
 			c.place(p)
 		}
 		for i := range m.lost {
-			if p := &m.lost[i]; p.Lists.has(hash) {
+			if p := &m.lost[i]; p.Subscriptions.has(hash) {
 				c.place(p)
 			}
 		}
@@ -233,7 +233,7 @@
 
 // concerned reports whether a member is to hear of a server.
 func (m *Member) concerned(p *Peer, s *server) bool {
-	return p == nil || m.s.Form == 1 || p.Lists.Has(s.source)
+	return p == nil || m.s.FormatVersion == 1 || p.Subscriptions.MayInclude(s.source)
 }
 
 // independent reports whether failures without a word come from enough places that no one lost link explains them: a
--- a/internal/peer/ejection/concern_test.go
+++ b/internal/peer/ejection/concern_test.go
@@ -15,18 +15,18 @@
 		for n := range c.lists {
 			lists = append(lists, fmt.Sprint("list-", n))
 		}
-		f := FilterOf(lists)
+		f := NewSubscriptionFilter(lists)
 		if len(f) > filterMost {
 			t.Errorf("%d lists take %d bytes", c.lists, len(f))
 		}
 		for _, l := range lists {
-			if !f.Has(l) {
+			if !f.MayInclude(l) {
 				t.Errorf("of %d lists %s is not in it", c.lists, l)
 			}
 		}
 		wrong := 0
 		for n := range 2000 {
-			if f.Has(fmt.Sprint("other-", n)) {
+			if f.MayInclude(fmt.Sprint("other-", n)) {
 				wrong++
 			}
 		}
@@ -37,8 +37,8 @@
 }
 
 func TestFilterThatIsNotKnownHasAll(t *testing.T) {
-	for _, f := range []Filter{nil, {}, {9, 1, 2, 3}, {filterHashes, 1, 2}, {filterBloom, 0}} {
-		if !f.Has("main") {
+	for _, f := range []SubscriptionFilter{nil, {}, {9, 1, 2, 3}, {filterHashes, 1, 2}, {filterBloom, 0}} {
+		if !f.MayInclude("main") {
 			t.Errorf("%v has not", f)
 		}
 	}
@@ -47,37 +47,37 @@
 // placed is a bench whose members stand in places and read lists: "a" reads one and two.
 func placed(t *testing.T, peers ...Peer) *bench {
 	t.Helper()
-	m, err := New(Settings{Name: "a", Life: 1}, 1)
+	m, err := New(Settings{Name: "a", RunID: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bench{t: t, m: m, now: time.Hour}
 	var one, two []Server
 	for i := range 8 {
-		one = append(one, Server{ID: fmt.Sprint("s", i), Start: 7, Zone: "z", Pod: i % 2})
-		two = append(two, Server{ID: fmt.Sprint("t", i), Start: 7, Zone: "z", Pod: i % 2})
+		one = append(one, Server{ID: fmt.Sprint("s", i), StartedMS: 7, Zone: "z", Pod: i % 2})
+		two = append(two, Server{ID: fmt.Sprint("t", i), StartedMS: 7, Zone: "z", Pod: i % 2})
 	}
 	var names []string
 	for n := range peers {
 		names = append(names, string(rune('a'+n)))
 	}
-	b.step(Listed{"one", one}, Listed{"two", two}, Members{Names: names, Peers: peers})
+	b.step(ListUpdated{"one", one}, ListUpdated{"two", two}, MembersChanged{Names: names, Peers: peers})
 	return b
 }
 
 var (
-	readsOne, readsTwo, readsBoth = FilterOf([]string{"one"}), FilterOf([]string{"two"}), FilterOf([]string{"one", "two"})
+	readsOne, readsTwo, readsBoth = NewSubscriptionFilter([]string{"one"}), NewSubscriptionFilter([]string{"two"}), NewSubscriptionFilter([]string{"one", "two"})
 )
 
 func TestOnlySubscribersHear(t *testing.T) {
 	var peers []Peer
 	for n := range 20 {
-		p := Peer{Lists: readsTwo}
+		p := Peer{Subscriptions: readsTwo}
 		if n%4 == 0 {
-			p.Lists = readsBoth
+			p.Subscriptions = readsBoth
 		}
 		if n%4 == 1 {
-			p.Lists = FilterOf([]string{"three"})
+			p.Subscriptions = NewSubscriptionFilter([]string{"three"})
 		}
 		peers = append(peers, p)
 	}
@@ -87,7 +87,7 @@
 		b.now += 100 * time.Millisecond
 		for _, s := range steps(b.m, b.now, failure(1)) {
 			n := int(s.To[0] - 'a')
-			about := s.Message.Poke || len(s.Message.About) > 0
+			about := s.Message.Notify || len(s.Message.About) > 0
 			if n%4 == 1 || about && n%4 != 0 {
 				t.Fatalf("to %s, which reads other lists: %+v", s.To, s.Message)
 			}
@@ -99,9 +99,9 @@
 	}
 	// Who asks hears of what it reads alone.
 	for from, want := range map[string]int{"c": 0, "e": 1} {
-		for _, s := range steps(b.m, b.now, Heard{from, &Message{Ask: 1, Form: form}}) {
-			if s.Message.Answer == 1 && len(s.Message.Items) != want {
-				t.Errorf("%s hears %d items, want %d", from, len(s.Message.Items), want)
+		for _, s := range steps(b.m, b.now, Received{from, &Message{PollNumber: 1, FormatVersion: form}}) {
+			if s.Message.ResponseTo == 1 && len(s.Message.Evidence) != want {
+				t.Errorf("%s hears %d items, want %d", from, len(s.Message.Evidence), want)
 			}
 		}
 	}
@@ -110,9 +110,9 @@
 func TestQuorumIsOfSubscribers(t *testing.T) {
 	var peers []Peer
 	for n := range 20 { // four read one
-		p := Peer{Lists: readsTwo}
+		p := Peer{Subscriptions: readsTwo}
 		if n < 4 {
-			p.Lists = readsOne
+			p.Subscriptions = readsOne
 		}
 		peers = append(peers, p)
 	}
@@ -127,11 +127,11 @@
 }
 
 // muteBy is those members' word that s0 says nothing to them.
-func muteBy(names string) []Item {
-	var all []Item
+func muteBy(names string) []Evidence {
+	var all []Evidence
 	for _, n := range names {
 		i := fails(string(n), 1)
-		i.Said = 0
+		i.ErrorResponses = 0
 		all = append(all, i)
 	}
 	return all
@@ -140,10 +140,10 @@
 func TestVoicesOfOnePlaceAreOne(t *testing.T) {
 	// a to l in zone x, m to x in zones y and z; or a to l in region x with three zones, and the others in two more regions.
 	zones := func(n int) Peer {
-		return Peer{Zone: []string{"x", "y", "z"}[max(0, (n-6)/6)], Lists: readsBoth}
+		return Peer{Zone: []string{"x", "y", "z"}[max(0, (n-6)/6)], Subscriptions: readsBoth}
 	}
 	regions := func(n int) Peer {
-		return Peer{Region: []string{"x", "y", "z"}[max(0, (n-6)/6)], Zone: fmt.Sprint(n % 3), Lists: readsBoth}
+		return Peer{Region: []string{"x", "y", "z"}[max(0, (n-6)/6)], Zone: fmt.Sprint(n % 3), Subscriptions: readsBoth}
 	}
 	for _, c := range []struct {
 		name  string
@@ -182,7 +182,7 @@
 	if b.wait(7 * time.Second); b.out("s0") {
 		t.Error("out by a region that is cut off")
 	}
-	b.hears([]Item{fails("m", 1), fails("n", 1), fails("o", 1)})
+	b.hears([]Evidence{fails("m", 1), fails("n", 1), fails("o", 1)})
 	if b.wait(7 * time.Second); !b.out("s0") {
 		t.Error("not out by its own word to three")
 	}
@@ -193,7 +193,7 @@
 	var names []string
 	var peers, lost []Peer
 	for n := range 9 {
-		p := Peer{Region: fmt.Sprint("r", n/3), Zone: "z", Lists: readsBoth}
+		p := Peer{Region: fmt.Sprint("r", n/3), Zone: "z", Subscriptions: readsBoth}
 		if n < 3 {
 			names, peers = append(names, string(rune('a'+n))), append(peers, p)
 		} else {
@@ -205,7 +205,7 @@
 		out  bool
 	}{{lost, false}, {nil, true}} {
 		b := placed(t, peers...)
-		b.step(Members{Names: names, Peers: peers, Lost: c.lost})
+		b.step(MembersChanged{Names: names, Peers: peers, Unreachable: c.lost})
 		b.hears(muteBy("bc"))
 		if b.wait(7 * time.Second); b.out("s0") != c.out {
 			t.Errorf("%d others known: out is %v", len(c.lost), !c.out)
@@ -216,7 +216,7 @@
 // A member of the first form asks in general and passes over what it does not know: it is told this member's own, and
 // what it pokes of is asked for; it is counted among those that read all lists.
 func TestMembersOfTheFirstFormHearAsBefore(t *testing.T) {
-	b := placed(t, Peer{Lists: readsOne}, Peer{Lists: readsOne}, Peer{Lists: readsOne}, Peer{Lists: readsTwo}, Peer{})
+	b := placed(t, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsTwo}, Peer{})
 	s := b.m.servers["s0"]
 	if n := len(b.m.callers(s)); n != 4 { // a, b, c, and e of the first form
 		t.Errorf("%d are taken to read it", n)
@@ -224,29 +224,29 @@
 	steps(b.m, b.now, failure(1))
 	b.now += time.Millisecond
 	for f, want := range map[uint8]int{0: 1, form: 0} {
-		for _, s := range steps(b.m, b.now, Heard{"e", &Message{Ask: 3, Form: f}}) {
-			if s.Message.Answer == 3 && len(s.Message.Items) != want {
-				t.Errorf("who speaks form %d hears %d items, want %d", f, len(s.Message.Items), want)
+		for _, s := range steps(b.m, b.now, Received{"e", &Message{PollNumber: 3, FormatVersion: f}}) {
+			if s.Message.ResponseTo == 3 && len(s.Message.Evidence) != want {
+				t.Errorf("who speaks form %d hears %d items, want %d", f, len(s.Message.Evidence), want)
 			}
 		}
 	}
 	b.now += time.Second
 	asked := false
-	for _, s := range steps(b.m, b.now, Heard{"e", &Message{Poke: true}}) {
-		asked = asked || s.To == "e" && s.Message.Ask > 0
+	for _, s := range steps(b.m, b.now, Received{"e", &Message{Notify: true}}) {
+		asked = asked || s.To == "e" && s.Message.PollNumber > 0
 	}
 	if !asked {
 		t.Error("its news is not asked for")
 	}
 	// And one of the first form asks who pokes it about a server, as it asks any.
-	old, err := New(Settings{Name: "e", Life: 1, Form: 1}, 1)
+	old, err := New(Settings{Name: "e", RunID: 1, FormatVersion: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	steps(old, time.Hour, Members{Names: []string{"a", "e"}}, Listed{"one", []Server{{ID: "s0", Start: 7}}})
+	steps(old, time.Hour, MembersChanged{Names: []string{"a", "e"}}, ListUpdated{"one", []Server{{ID: "s0", StartedMS: 7}}})
 	asked = false
-	for _, s := range steps(old, time.Hour+time.Second, Heard{"a", &Message{Form: form, Poke: true, About: []Life{{"s0", 7}}}}) {
-		asked = asked || s.To == "a" && s.Message.Ask > 0 && s.Message.Form == 0 && !s.Message.Own
+	for _, s := range steps(old, time.Hour+time.Second, Received{"a", &Message{FormatVersion: form, Notify: true, About: []Incarnation{{"s0", 7}}}}) {
+		asked = asked || s.To == "a" && s.Message.PollNumber > 0 && s.Message.FormatVersion == 0 && !s.Message.OwnOnly
 	}
 	if !asked {
 		t.Error("one of the first form does not ask")
--- a/internal/peer/ejection/court.go
+++ b/internal/peer/ejection/court.go
@@ -73,7 +73,7 @@
 		}
 	}
 	held := m.capOf()
-	var all []Verdict
+	var all []Ejection
 	rest := m.live[:0]
 	for _, s := range m.live {
 		if s.quiet(m) {
@@ -84,9 +84,9 @@
 		if s.next > 0 { // others were looked at meanwhile
 			m.look(s.next)
 		}
-		if at := s.drainAt; at > 0 && s.State == Up && m.now-at <= m.s.Drains {
-			all = append(all, Verdict{s.ID, s.Start, true, at + m.s.Drains})
-			m.look(at + m.s.Drains + 1)
+		if at := s.drainAt; at > 0 && s.State == Up && m.now-at <= m.s.MaxDrainAge {
+			all = append(all, Ejection{s.ID, s.StartedMS, true, at + m.s.MaxDrainAge})
+			m.look(at + m.s.MaxDrainAge + 1)
 		}
 		was := s.capped
 		s.capped = s.out && held[s.ID]
@@ -94,25 +94,25 @@
 			m.counts.Capped++
 		}
 		if s.out && !s.capped && !m.mayUse(s) {
-			all = append(all, Verdict{s.ID, s.Start, false, s.until(m)})
+			all = append(all, Ejection{s.ID, s.StartedMS, false, s.until(m)})
 		}
 	}
 	clear(m.live[len(rest):])
 	m.live = rest
-	if !slices.EqualFunc(all, m.told, func(a, b Verdict) bool {
-		return a.Server == b.Server && a.Start == b.Start && a.Drain == b.Drain && a.Until-b.Until < time.Second && b.Until-a.Until < time.Second
+	if !slices.EqualFunc(all, m.told, func(a, b Ejection) bool {
+		return a.Server == b.Server && a.StartedMS == b.StartedMS && a.Draining == b.Draining && a.Until-b.Until < time.Second && b.Until-a.Until < time.Second
 	}) {
 		m.told = all
-		m.do(Judged{all})
+		m.do(EjectionsChanged{all})
 	}
 }
 
 // quiet reports whether nothing is said about a server any more; what was is dropped.
 func (s *server) quiet(m *Member) bool {
-	if s.dirty || s.next > 0 || s.out || s.drainAt > 0 && m.now-s.drainAt <= m.s.Drains {
+	if s.dirty || s.next > 0 || s.out || s.drainAt > 0 && m.now-s.drainAt <= m.s.MaxDrainAge {
 		return false
 	}
-	if slices.ContainsFunc(s.voices, func(v *voice) bool { return m.now-v.made <= m.s.Age }) {
+	if slices.ContainsFunc(s.voices, func(v *voice) bool { return m.now-v.made <= m.s.MaxEvidenceAge }) {
 		return false
 	}
 	s.voices = nil
@@ -130,18 +130,18 @@
 func (s *server) until(m *Member) time.Duration {
 	newest := time.Duration(0)
 	for _, v := range s.voices {
-		if v.start == s.Start {
+		if v.start == s.StartedMS {
 			newest = max(newest, v.lastBad)
 		}
 	}
-	return newest + m.s.Age
+	return newest + m.s.MaxEvidenceAge
 }
 
 // heard are the voices that count.
 func (s *server) heard(m *Member) []*voice {
 	var all []*voice
 	for _, v := range s.voices {
-		if v.start == s.Start && m.now-v.made <= m.s.Age && v.ok+v.bad > 0 && v.made > s.freed {
+		if v.start == s.StartedMS && m.now-v.made <= m.s.MaxEvidenceAge && v.ok+v.bad > 0 && v.made > s.freed {
 			all = append(all, v)
 		}
 	}
@@ -179,7 +179,7 @@
 
 // try looks at one server.
 func (m *Member) try(s *server) {
-	if s.State == Gone || len(s.voices) == 0 && !s.out {
+	if s.State == Removed || len(s.voices) == 0 && !s.out {
 		s.court = court{freed: s.freed, place: s.place, placed: s.placed}
 		return
 	}
@@ -205,7 +205,7 @@
 		if s.silent {
 			n = witnessesMute
 		}
-		m.questionOf(m.witnesses(n, s.source), &Message{About: []Life{{s.ID, s.Start}}, Own: s.silent})
+		m.questionOf(m.witnesses(n, s.source), &Message{About: []Incarnation{{s.ID, s.StartedMS}}, OwnOnly: s.silent})
 	}
 	if at := s.suspected + wait + rounds*m.way; m.now < at { // who is asked has to be heard
 		s.again(m, at)
@@ -218,7 +218,7 @@
 	if len(s.answered) < few && m.now < s.suspected+answersWait {
 		if m.now-s.askedAt >= askAgain { // answers were lost, or are late
 			s.askedAt = m.now
-			m.questionOf(m.witnesses(witnesses, s.source), &Message{About: []Life{{s.ID, s.Start}}, Own: s.silent})
+			m.questionOf(m.witnesses(witnesses, s.source), &Message{About: []Incarnation{{s.ID, s.StartedMS}}, OwnOnly: s.silent})
 		}
 		s.again(m, m.now)
 		return
@@ -228,8 +228,8 @@
 	s.times++
 	s.lastOut = m.now
 	s.base.strike(m.now)
-	m.counts.Convicted++
-	m.do(Say{fmt.Sprintf("server %s is out: %s, by %s", s.ID, why, strings.Join(by, ", "))})
+	m.counts.Ejected++
+	m.do(Log{fmt.Sprintf("server %s is out: %s, by %s", s.ID, why, strings.Join(by, ", "))})
 	m.news()
 	s.again(m, m.now+stageEvery/4)
 }
@@ -369,8 +369,8 @@
 // second, and begins anew with a failure. Without any evidence left it is free.
 func (m *Member) retry(s *server, voices []*voice) {
 	if s.until(m) <= m.now {
-		m.counts.Lapsed++
-		m.do(Say{fmt.Sprintf("server %s is free again: nobody has seen it fail for %v", s.ID, m.s.Age)})
+		m.counts.Expired++
+		m.do(Log{fmt.Sprintf("server %s is free again: nobody has seen it fail for %v", s.ID, m.s.MaxEvidenceAge)})
 		s.clear(m.now)
 		return
 	}
@@ -392,11 +392,11 @@
 		s.lastOut = m.now
 	case s.goodSince == 0 && runs >= need:
 		s.goodSince = m.now
-		m.do(Say{fmt.Sprintf("server %s answers again: it comes back by and by", s.ID)})
+		m.do(Log{fmt.Sprintf("server %s answers again: it comes back by and by", s.ID)})
 	}
 	if s.goodSince > 0 && m.part(s) >= 1 {
-		m.counts.Acquitted++
-		m.do(Say{fmt.Sprintf("server %s is back", s.ID)})
+		m.counts.Readmitted++
+		m.do(Log{fmt.Sprintf("server %s is back", s.ID)})
 		s.clear(m.now)
 	}
 }
@@ -451,7 +451,7 @@
 	taken := make([]int, len(m.ups))
 	for _, s := range outs {
 		for _, g := range s.groups {
-			most := int(m.s.Share * float64(m.ups[g]))
+			most := int(m.s.MaxEjectedShare * float64(m.ups[g]))
 			if most == 0 && m.ups[g] > 1 {
 				most = 1
 			}
@@ -468,46 +468,46 @@
 	return held
 }
 
-// Shown is how a server stands, for operators.
-type Shown struct {
-	Server  string        `json:"server"`
-	Verdict string        `json:"verdict"` // out, accused, drains, gone
-	Why     string        `json:"why,omitempty"`
-	By      []string      `json:"by,omitempty"` // whose evidence
-	For     time.Duration `json:"for_ns"`
-	Part    float64       `json:"used_by"` // share of members that may use it now
-	Follows bool          `json:"followed"`
-	Not     string        `json:"not_followed_for,omitempty"`
-	OK      float64       `json:"answered"` // by all voices known here, faded
-	Bad     float64       `json:"failed"`
+// ServerStatus is how a server stands, for operators.
+type ServerStatus struct {
+	Server            string        `json:"server"`
+	State             string        `json:"verdict"` // out, accused, drains, gone
+	Reason            string        `json:"why,omitempty"`
+	Reporters         []string      `json:"by,omitempty"` // whose evidence
+	Duration          time.Duration `json:"for_ns"`
+	AdmittedShare     float64       `json:"used_by"` // share of members that may use it now
+	Followed          bool          `json:"followed"`
+	NotFollowedReason string        `json:"not_followed_for,omitempty"`
+	Succeeded         float64       `json:"answered"` // by all voices known here, faded
+	Failed            float64       `json:"failed"`
 }
 
-// Show is all servers about which something is said.
-func (m *Member) Show() []Shown {
-	var all []Shown
+// Status is all servers about which something is said.
+func (m *Member) Status() []ServerStatus {
+	var all []ServerStatus
 	for _, s := range m.live {
 		if !s.open(m) {
 			continue
 		}
-		one := Shown{Server: s.ID, Verdict: "accused", Part: 1, Why: s.why, By: s.by}
+		one := ServerStatus{Server: s.ID, State: "accused", AdmittedShare: 1, Reason: s.why, Reporters: s.by}
 		for _, v := range s.heard(m) {
-			one.OK, one.Bad = one.OK+v.ok, one.Bad+v.bad
+			one.Succeeded, one.Failed = one.Succeeded+v.ok, one.Failed+v.bad
 			if !s.out && (v.accuses() || v.partly()) {
-				one.By = append(one.By, v.origin)
+				one.Reporters = append(one.Reporters, v.origin)
 			}
 		}
 		switch {
 		case s.out:
-			one.Verdict, one.For, one.Part, one.Follows = "out", m.now-s.since, min(1, m.part(s)), true
+			one.State, one.Duration, one.AdmittedShare, one.Followed = "out", m.now-s.since, min(1, m.part(s)), true
 			if s.capped {
-				one.Follows, one.Not = false, "too many of its zone or pod are out"
+				one.Followed, one.NotFollowedReason = false, "too many of its zone or pod are out"
 			} else if m.mayUse(s) {
-				one.Follows, one.Not = false, "this member tries it for the fleet"
+				one.Followed, one.NotFollowedReason = false, "this member tries it for the fleet"
 			}
-		case s.drainAt > 0 && m.now-s.drainAt <= m.s.Drains:
-			one.Verdict, one.For, one.Follows = [...]string{"", "drains", "gone"}[s.drain], m.now-s.drainAt, s.State == Up
+		case s.drainAt > 0 && m.now-s.drainAt <= m.s.MaxDrainAge:
+			one.State, one.Duration, one.Followed = [...]string{"", "drains", "gone"}[s.drain], m.now-s.drainAt, s.State == Up
 			if s.State != Up {
-				one.Not = "its own list says so"
+				one.NotFollowedReason = "its own list says so"
 			}
 		}
 		all = append(all, one)
--- a/internal/peer/ejection/ejection.go
+++ b/internal/peer/ejection/ejection.go
@@ -28,27 +28,27 @@
 
 // Settings are fixed for the life of a Member.
 type Settings struct {
-	Name   string
-	Life   uint64
-	Alert  time.Duration // between two questions while something is amiss; default Alert
-	Rest   time.Duration // and else; default Rest
-	Age    time.Duration // past which evidence acts nowhere; default Age
-	Drains time.Duration // past which a drain that one's own list does not know acts nowhere; default Drains
-	Share  float64       // of a zone's or pod's servers that may be out by verdict; default Share
-	Drift  float64       // by which rates of clocks may differ; default Drift
-	Bytes  int           // a second, sent to others; default Bytes
-	Form   uint8         // of its messages; default 2. 1 is how versions spoke that told all to all: for trials of mixed fleets
+	Name            string
+	RunID           uint64
+	AlertInterval   time.Duration // between two questions while something is amiss; default Alert
+	IdleInterval    time.Duration // and else; default Rest
+	MaxEvidenceAge  time.Duration // past which evidence acts nowhere; default Age
+	MaxDrainAge     time.Duration // past which a drain that one's own list does not know acts nowhere; default Drains
+	MaxEjectedShare float64       // of a zone's or pod's servers that may be out by verdict; default Share
+	ClockDrift      float64       // by which rates of clocks may differ; default Drift
+	BytesPerSecond  int           // a second, sent to others; default Bytes
+	FormatVersion   uint8         // of its messages; default 2. 1 is how versions spoke that told all to all: for trials of mixed fleets
 }
 
 // Defaults, each with where it comes from.
 const (
-	Alert  = 200 * time.Millisecond // as often as the view probes
-	Rest   = time.Second
-	Age    = 20 * time.Second // ten agents at a request in ten seconds each see a server of twenty once in it
-	Drains = 10 * time.Second // lists are told of within it, or the drain was never one
-	Share  = 0.5              // a bad release on half of the servers
-	Drift  = 0.01
-	Bytes  = 24 << 10
+	DefaultAlertInterval   = 200 * time.Millisecond // as often as the view probes
+	DefaultIdleInterval    = time.Second
+	DefaultMaxEvidenceAge  = 20 * time.Second // ten agents at a request in ten seconds each see a server of twenty once in it
+	DefaultMaxDrainAge     = 10 * time.Second // lists are told of within it, or the drain was never one
+	DefaultMaxEjectedShare = 0.5              // a bad release on half of the servers
+	DefaultClockDrift      = 0.01
+	DefaultBytesPerSecond  = 24 << 10
 
 	fan           = 2                     // members asked at a time
 	pokes         = 3                     // members told that there is news
@@ -76,58 +76,58 @@
 
 // Server is one of a list's.
 type Server struct {
-	ID    string // unique in the fleet
-	Start int64  // of its process, ms, Unix; 0: long ago
-	Zone  string
-	Pod   int
-	State State
+	ID        string // unique in the fleet
+	StartedMS int64  // of its process, ms, Unix; 0: long ago
+	Zone      string
+	Pod       int
+	State     ListedState
 }
 
-// State is what a list says.
-type State uint8
+// ListedState is what a list says.
+type ListedState uint8
 
 const (
-	Up State = iota
+	Up ListedState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Sight is what own agents saw of a server's process since the last one.
-type Sight struct {
-	Server  string
-	Start   int64
-	OK, Bad int
-	Said    int // of Bad, those that the server said itself; the rest may be the link's fault
+// OutcomeSample is what own agents saw of a server's process since the last one.
+type OutcomeSample struct {
+	Server            string
+	StartedMS         int64
+	Succeeded, Failed int
+	ErrorResponses    int // of Bad, those that the server said itself; the rest may be the link's fault
 }
 
 // Event is something that happened.
 type Event interface{ event() }
 
 type (
-	// Listed is what one list says now: all of its servers.
-	Listed struct {
+	// ListUpdated is what one list says now: all of its servers.
+	ListUpdated struct {
 		Source  string
 		Servers []Server
 	}
-	// Seen are sights.
-	Seen struct{ All []Sight }
-	// Members are the names of those alive, this one included, in order.
-	Members struct {
-		Names []string
-		Peers []Peer // of each name, in the same order; empty: nothing is known of any
-		Lost  []Peer // those that are not heard any more, since not long ago: their places count, as a cut may be what took them
+	// OutcomesObserved are sights.
+	OutcomesObserved struct{ Samples []OutcomeSample }
+	// MembersChanged are the names of those alive, this one included, in order.
+	MembersChanged struct {
+		Names       []string
+		Peers       []Peer // of each name, in the same order; empty: nothing is known of any
+		Unreachable []Peer // those that are not heard any more, since not long ago: their places count, as a cut may be what took them
 	}
-	// Heard is a message of another member.
-	Heard struct {
+	// Received is a message of another member.
+	Received struct {
 		From    string
 		Message *Message
 	}
 )
 
-func (Listed) event()  {}
-func (Seen) event()    {}
-func (Members) event() {}
-func (Heard) event()   {}
+func (ListUpdated) event()      {}
+func (OutcomesObserved) event() {}
+func (MembersChanged) event()   {}
+func (Received) event()         {}
 
 // Action is something to be done.
 type Action interface{ action() }
@@ -138,47 +138,47 @@
 		To      string
 		Message *Message
 	}
-	// Judged are all verdicts that own agents are to go by from now on.
-	Judged struct{ All []Verdict }
-	// Say is a line for people.
-	Say struct{ Text string }
+	// EjectionsChanged are all verdicts that own agents are to go by from now on.
+	EjectionsChanged struct{ Ejections []Ejection }
+	// Log is a line for people.
+	Log struct{ Text string }
 )
 
-func (Send) action()   {}
-func (Judged) action() {}
-func (Say) action()    {}
+func (Send) action()             {}
+func (EjectionsChanged) action() {}
+func (Log) action()              {}
 
-// Verdict is what own agents are to go by.
-type Verdict struct {
-	Server string
-	Start  int64
-	Drain  bool          // it drains or is gone; else it is out
-	Until  time.Duration // by this member's clock
+// Ejection is what own agents are to go by.
+type Ejection struct {
+	Server    string
+	StartedMS int64
+	Draining  bool          // it drains or is gone; else it is out
+	Until     time.Duration // by this member's clock
 }
 
 // Message is what members tell one another.
 type Message struct {
-	Ask    uint64  `cbor:"1,keyasint,omitempty"` // a question's number
-	Answer uint64  `cbor:"2,keyasint,omitempty"` // the number of the question that this answers
-	Poke   bool    `cbor:"3,keyasint,omitempty"` // there is news here: ask
-	Items  []Item  `cbor:"4,keyasint,omitempty"`
-	Drains []Drain `cbor:"5,keyasint,omitempty"`
-	More   int     `cbor:"6,keyasint,omitempty"` // 1: there is more than fits
-	About  []Life  `cbor:"7,keyasint,omitempty"` // of a question: what you saw of these yourself, whatever it is; of a poke: what it is about
-	Form   uint8   `cbor:"8,keyasint,omitempty"` // of the sender's messages; 0: the first
-	Own    bool    `cbor:"9,keyasint,omitempty"` // of a question: no other member's evidence is wanted
+	PollNumber    uint64        `cbor:"1,keyasint,omitempty"` // a question's number
+	ResponseTo    uint64        `cbor:"2,keyasint,omitempty"` // the number of the question that this answers
+	Notify        bool          `cbor:"3,keyasint,omitempty"` // there is news here: ask
+	Evidence      []Evidence    `cbor:"4,keyasint,omitempty"`
+	Drains        []Drain       `cbor:"5,keyasint,omitempty"`
+	More          int           `cbor:"6,keyasint,omitempty"` // 1: there is more than fits
+	About         []Incarnation `cbor:"7,keyasint,omitempty"` // of a question: what you saw of these yourself, whatever it is; of a poke: what it is about
+	FormatVersion uint8         `cbor:"8,keyasint,omitempty"` // of the sender's messages; 0: the first
+	OwnOnly       bool          `cbor:"9,keyasint,omitempty"` // of a question: no other member's evidence is wanted
 }
 
-// Life is one process of a server.
-type Life struct {
-	Server string `cbor:"1,keyasint,omitempty"`
-	Start  int64  `cbor:"2,keyasint,omitempty"`
+// Incarnation is one process of a server.
+type Incarnation struct {
+	Server    string `cbor:"1,keyasint,omitempty"`
+	StartedMS int64  `cbor:"2,keyasint,omitempty"`
 }
 
 // question is one that was asked, and not answered yet.
 type question struct {
 	at    time.Duration
-	about []Life
+	about []Incarnation
 }
 
 // Member is one member's part. One goroutine owns it.
@@ -207,7 +207,7 @@
 	pokeAt            time.Duration // 0: none is due
 	poked             time.Duration
 	cursor            int
-	told              []Verdict
+	told              []Ejection
 	began             bool
 	changed           bool // verdicts are to be looked at
 	lookAt            time.Duration
@@ -219,31 +219,31 @@
 	budget            float64
 	pokeWait, askWait easing
 	spentAt           time.Duration
-	counts            Counts
+	counts            Counters
 	ups               []int         // servers up, by number of their zone or pod
 	lones             int           // asked about lone failures ...
 	lonesAt           time.Duration // ... since then
 }
 
-// Counts are of a member's life.
-type Counts struct {
-	Asked     uint64 `json:"Asked"`
-	Answered  uint64 `json:"Answered"`
-	Items     uint64 `json:"Items"`
-	Held      uint64 `json:"Held"`
-	Convicted uint64 `json:"Convicted"`
-	Acquitted uint64 `json:"Acquitted"`
-	Lapsed    uint64 `json:"Lapsed"`
-	Capped    uint64 `json:"Capped"` // verdicts that the share held back, at some time
+// Counters are of a member's life.
+type Counters struct {
+	Polls        uint64 `json:"Asked"`
+	Responses    uint64 `json:"Answered"`
+	EvidenceSent uint64 `json:"Items"`
+	Withheld     uint64 `json:"Held"`
+	Ejected      uint64 `json:"Convicted"`
+	Readmitted   uint64 `json:"Acquitted"`
+	Expired      uint64 `json:"Lapsed"`
+	Capped       uint64 `json:"Capped"` // verdicts that the share held back, at some time
 }
 
 // New returns a member that knows nothing.
 func New(s Settings, seed uint64) (*Member, error) {
-	s.Alert, s.Rest, s.Age, s.Drains = cmp.Or(s.Alert, Alert), cmp.Or(s.Rest, Rest), cmp.Or(s.Age, Age), cmp.Or(s.Drains, Drains)
-	s.Form = cmp.Or(s.Form, form)
-	s.Share, s.Drift, s.Bytes = cmp.Or(s.Share, Share), cmp.Or(s.Drift, Drift), cmp.Or(s.Bytes, Bytes)
-	if s.Name == "" || s.Alert <= 0 || s.Rest < s.Alert || s.Age < 4*s.Alert || s.Share < 0 || s.Share > 1 || s.Drift < 0 || s.Drift > 0.5 || s.Bytes < 4096 || s.Form > form {
-		return nil, fmt.Errorf("verdicts: name %q, alert %v, rest %v, age %v, share %v, drift %v, bytes %d, form %d make no sense", s.Name, s.Alert, s.Rest, s.Age, s.Share, s.Drift, s.Bytes, s.Form)
+	s.AlertInterval, s.IdleInterval, s.MaxEvidenceAge, s.MaxDrainAge = cmp.Or(s.AlertInterval, DefaultAlertInterval), cmp.Or(s.IdleInterval, DefaultIdleInterval), cmp.Or(s.MaxEvidenceAge, DefaultMaxEvidenceAge), cmp.Or(s.MaxDrainAge, DefaultMaxDrainAge)
+	s.FormatVersion = cmp.Or(s.FormatVersion, form)
+	s.MaxEjectedShare, s.ClockDrift, s.BytesPerSecond = cmp.Or(s.MaxEjectedShare, DefaultMaxEjectedShare), cmp.Or(s.ClockDrift, DefaultClockDrift), cmp.Or(s.BytesPerSecond, DefaultBytesPerSecond)
+	if s.Name == "" || s.AlertInterval <= 0 || s.IdleInterval < s.AlertInterval || s.MaxEvidenceAge < 4*s.AlertInterval || s.MaxEjectedShare < 0 || s.MaxEjectedShare > 1 || s.ClockDrift < 0 || s.ClockDrift > 0.5 || s.BytesPerSecond < 4096 || s.FormatVersion > form {
+		return nil, fmt.Errorf("verdicts: name %q, alert %v, rest %v, age %v, share %v, drift %v, bytes %d, form %d make no sense", s.Name, s.AlertInterval, s.IdleInterval, s.MaxEvidenceAge, s.MaxEjectedShare, s.ClockDrift, s.BytesPerSecond, s.FormatVersion)
 	}
 	return &Member{s: s, rng: rand.New(rand.NewPCG(seed, 31)), servers: map[string]*server{}, background: map[string]*tally{}, subs: map[string]*subscribers{}, sources: map[string][]string{}, asked: map[uint64]question{}, names: []string{s.Name}, named: 1}, nil
 }
@@ -264,23 +264,23 @@
 func (m *Member) Step(now time.Duration, events ...Event) []Action {
 	m.now, m.actions = max(now, m.now), nil
 	if !m.began {
-		m.began, m.askAt, m.spentAt, m.budget = true, m.now, m.now, float64(m.s.Bytes)
+		m.began, m.askAt, m.spentAt, m.budget = true, m.now, m.now, float64(m.s.BytesPerSecond)
 	}
-	m.budget = min(float64(m.s.Bytes), m.budget+float64(m.s.Bytes)*(m.now-m.spentAt).Seconds())
+	m.budget = min(float64(m.s.BytesPerSecond), m.budget+float64(m.s.BytesPerSecond)*(m.now-m.spentAt).Seconds())
 	m.spentAt = m.now
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
+		case ListUpdated:
 			m.onListed(e)
-		case Seen:
+		case OutcomesObserved:
 			m.onSeen(e)
-		case Members:
+		case MembersChanged:
 			if m.onMembers(e) {
 				for _, s := range m.live {
 					m.touch(s)
 				}
 			}
-		case Heard:
+		case Received:
 			m.onHeard(e)
 		}
 	}
@@ -319,12 +319,12 @@
 
 // send sends a message of about so many bytes, unless too much was sent lately.
 func (m *Member) send(to string, x *Message) {
-	if m.s.Form > 1 {
-		x.Form = m.s.Form
+	if m.s.FormatVersion > 1 {
+		x.FormatVersion = m.s.FormatVersion
 	}
-	size := float64(40 + 64*len(x.Items) + 32*len(x.Drains) + 24*len(x.About))
+	size := float64(40 + 64*len(x.Evidence) + 32*len(x.Drains) + 24*len(x.About))
 	if m.budget < size {
-		m.counts.Held++
+		m.counts.Withheld++
 		return
 	}
 	m.budget -= size
@@ -336,9 +336,9 @@
 
 // ask asks a few members what they know: more often, and more of them, while something is amiss.
 func (m *Member) ask() {
-	n, wait := 1, m.s.Rest
+	n, wait := 1, m.s.IdleInterval
 	if m.alert() {
-		n, wait = fan, m.s.Alert
+		n, wait = fan, m.s.AlertInterval
 	}
 	m.askAt = m.now + time.Duration((0.75+0.5*m.rng.Float64())*float64(wait))
 	of := m.subject()
@@ -351,31 +351,33 @@
 }
 
 // suspects are servers of a list of which evidence is wanted.
-func (m *Member) suspects(source string) []Life {
-	var all []Life
+func (m *Member) suspects(source string) []Incarnation {
+	var all []Incarnation
 	for _, s := range m.live {
-		if s.suspected > 0 && (s.source == source || m.s.Form == 1) && len(all) < aboutMost {
-			all = append(all, Life{s.ID, s.Start})
+		if s.suspected > 0 && (s.source == source || m.s.FormatVersion == 1) && len(all) < aboutMost {
+			all = append(all, Incarnation{s.ID, s.StartedMS})
 		}
 	}
 	return all
 }
 
-func (m *Member) question(who []string, about []Life) { m.questionOf(who, &Message{About: about}) }
+func (m *Member) question(who []string, about []Incarnation) {
+	m.questionOf(who, &Message{About: about})
+}
 
 func (m *Member) questionOf(who []string, x *Message) {
 	for _, to := range who {
 		m.seq++
 		m.asked[m.seq] = question{m.now, x.About}
 		m.lastAsk = m.now
-		m.counts.Asked++
-		m.send(to, &Message{Ask: m.seq, About: x.About, Own: x.Own})
+		m.counts.Polls++
+		m.send(to, &Message{PollNumber: m.seq, About: x.About, OwnOnly: x.OwnOnly})
 	}
 }
 
 // news has others told that there is some, soon. They ask, since what is sent unasked may be of any age.
 func (m *Member) news() {
-	m.newsAt, m.askAt = m.now, min(m.askAt, m.now+m.s.Alert)
+	m.newsAt, m.askAt = m.now, min(m.askAt, m.now+m.s.AlertInterval)
 	if m.pokeAt == 0 {
 		m.pokeAt = max(m.now, m.poked+m.pokeWait.next(m.now, pokeGap))
 	}
@@ -385,7 +387,7 @@
 func (m *Member) poke(source string) {
 	m.pokeAt, m.poked = 0, m.now
 	for _, to := range m.others(pokes, source) {
-		m.send(to, &Message{Poke: true})
+		m.send(to, &Message{Notify: true})
 	}
 }
 
@@ -407,24 +409,24 @@
 	return w
 }
 
-func (m *Member) onHeard(e Heard) {
+func (m *Member) onHeard(e Received) {
 	x := e.Message
 	if x == nil || e.From == m.s.Name {
 		return
 	}
 	switch {
-	case x.Poke && len(x.About) > 0 && m.s.Form > 1:
+	case x.Notify && len(x.About) > 0 && m.s.FormatVersion > 1:
 		m.onLone(e.From, x.About)
-	case x.Poke && m.now-m.lastAsk >= m.askWait.of(m.now, askGap):
+	case x.Notify && m.now-m.lastAsk >= m.askWait.of(m.now, askGap):
 		m.askWait.next(m.now, askGap)
 		m.question([]string{e.From}, nil)
 	}
-	if x.Ask > 0 {
-		m.counts.Answered++
+	if x.PollNumber > 0 {
+		m.counts.Responses++
 		m.send(e.From, m.answer(e.From, x))
 	}
-	if q, ok := m.asked[x.Answer]; ok && x.Answer > 0 {
-		delete(m.asked, x.Answer)
+	if q, ok := m.asked[x.ResponseTo]; ok && x.ResponseTo > 0 {
+		delete(m.asked, x.ResponseTo)
 		m.way = max(m.now-q.at, m.way-m.way/16) // the longest lately
 		m.take(q.at, x)
 		for _, l := range q.about {
@@ -432,9 +434,9 @@
 			if s != nil && s.suspected > 0 && !s.silent && !slices.Contains(s.answered, e.From) {
 				s.answered = append(s.answered, e.From) // whatever it says is heard with the rest
 			}
-			for n := range x.Items {
-				if i := &x.Items[n]; s != nil && s.suspected > 0 && s.silent && i.Server == s.ID && i.Start == s.Start && i.Origin == e.From && i.Age > 0 {
-					s.heardWitness(e.From, when(q.at, i.Age), when(q.at, i.LastOK))
+			for n := range x.Evidence {
+				if i := &x.Evidence[n]; s != nil && s.suspected > 0 && s.silent && i.Server == s.ID && i.StartedMS == s.StartedMS && i.Origin == e.From && i.AgeMS > 0 {
+					s.heardWitness(e.From, when(q.at, i.AgeMS), when(q.at, i.LastSuccessAgeMS))
 				}
 			}
 		}
@@ -444,5 +446,5 @@
 	}
 }
 
-// Counts are what happened so far.
-func (m *Member) Counts() Counts { return m.counts }
+// Counters are what happened so far.
+func (m *Member) Counters() Counters { return m.counts }
--- a/internal/peer/ejection/ejection_test.go
+++ b/internal/peer/ejection/ejection_test.go
@@ -11,32 +11,32 @@
 	t      *testing.T
 	m      *Member
 	now    time.Duration
-	judged []Verdict
+	judged []Ejection
 	asked  []Send
 }
 
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	m, err := New(Settings{Name: "a", Life: 1}, 1)
+	m, err := New(Settings{Name: "a", RunID: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bench{t: t, m: m, now: time.Hour}
 	var list []Server
 	for i := range 8 {
-		list = append(list, Server{ID: fmt.Sprint("s", i), Start: 7, Zone: "z", Pod: i % 2})
+		list = append(list, Server{ID: fmt.Sprint("s", i), StartedMS: 7, Zone: "z", Pod: i % 2})
 	}
-	b.step(Listed{"main", list}, Members{Names: []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}})
+	b.step(ListUpdated{"main", list}, MembersChanged{Names: []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}})
 	return b
 }
 
 func (b *bench) step(events ...Event) {
 	for _, a := range b.m.Step(b.now, events...) {
 		switch a := a.(type) {
-		case Judged:
-			b.judged = a.All
+		case EjectionsChanged:
+			b.judged = a.Ejections
 		case Send:
-			if a.Message.Ask > 0 {
+			if a.Message.PollNumber > 0 {
 				b.asked = append(b.asked, a)
 			}
 		}
@@ -52,28 +52,28 @@
 }
 
 // hears has it ask, and be answered at once, by whom it asked.
-func (b *bench) hears(items []Item, drains ...Drain) {
+func (b *bench) hears(items []Evidence, drains ...Drain) {
 	b.t.Helper()
 	b.asked = nil
 	for len(b.asked) == 0 {
 		b.wait(100 * time.Millisecond)
 	}
 	q := b.asked[len(b.asked)-1]
-	b.step(Heard{q.To, &Message{Answer: q.Message.Ask, Items: items, Drains: drains}})
+	b.step(Received{q.To, &Message{ResponseTo: q.Message.PollNumber, Evidence: items, Drains: drains}})
 }
 
 // fails is a member's word that s0 fails for it, and others answer.
-func fails(origin string, number uint32) Item {
-	return Item{Server: "s0", Start: 7, Origin: origin, Life: 1, Number: number, Bad: 1, Said: 1, ElseOK: 20, Age: 1, LastBad: 1, Began: 1, Streak: 1, Works: 1}
+func fails(origin string, number uint32) Evidence {
+	return Evidence{Server: "s0", StartedMS: 7, Origin: origin, RunID: 1, Number: number, Failed: 1, ErrorResponses: 1, OtherSucceeded: 20, AgeMS: 1, LastFailureAgeMS: 1, FirstFailureAgeMS: 1, ConsecutiveFailures: 1, OtherSuccessAgeMS: 1}
 }
 
-func answers(origin string, number uint32) Item {
-	return Item{Server: "s0", Start: 7, Origin: origin, Life: 1, Number: number, OK: 3, ElseOK: 20, Age: 1, LastOK: 1, Run: 3, Works: 1}
+func answers(origin string, number uint32) Evidence {
+	return Evidence{Server: "s0", StartedMS: 7, Origin: origin, RunID: 1, Number: number, Succeeded: 3, OtherSucceeded: 20, AgeMS: 1, LastSuccessAgeMS: 1, ConsecutiveSuccesses: 3, OtherSuccessAgeMS: 1}
 }
 
 func (b *bench) out(server string) bool {
 	for _, v := range b.judged {
-		if v.Server == server && !v.Drain {
+		if v.Server == server && !v.Draining {
 			return true
 		}
 	}
@@ -83,17 +83,17 @@
 func TestOneVoiceHeardOftenIsOneVoice(t *testing.T) {
 	b := newBench(t)
 	for n := range 20 {
-		b.hears([]Item{fails("b", uint32(n+1))})
+		b.hears([]Evidence{fails("b", uint32(n+1))})
 	}
 	if b.wait(7 * time.Second); b.out("s0") {
 		t.Error("out by one member's word")
 	}
-	b.hears([]Item{fails("c", 1)})
-	b.hears([]Item{fails("b", 90), fails("c", 2)})
+	b.hears([]Evidence{fails("c", 1)})
+	b.hears([]Evidence{fails("b", 90), fails("c", 2)})
 	if b.wait(7 * time.Second); b.out("s0") {
 		t.Error("out by two members' word")
 	}
-	b.hears([]Item{fails("b", 91), fails("c", 3), fails("d", 1)})
+	b.hears([]Evidence{fails("b", 91), fails("c", 3), fails("d", 1)})
 	if b.wait(7 * time.Second); !b.out("s0") {
 		t.Error("not out by three members' word")
 	}
@@ -101,11 +101,11 @@
 
 // What comes without a word from the server may be the links' fault: with half of them cut, three voices are chance.
 func TestFailuresWithoutAWordNeedMoreVoices(t *testing.T) {
-	mute := func(n int) []Item {
-		var all []Item
+	mute := func(n int) []Evidence {
+		var all []Evidence
 		for i := range n {
 			f := fails(string(rune('b'+i)), 1)
-			f.Said = 0
+			f.ErrorResponses = 0
 			all = append(all, f)
 		}
 		return all
@@ -122,7 +122,7 @@
 	}
 	b = newBench(t)
 	all := mute(6)
-	all[0].Said, all[2].Said, all[4].Said = 1, 1, 1
+	all[0].ErrorResponses, all[2].ErrorResponses, all[4].ErrorResponses = 1, 1, 1
 	b.hears(all)
 	if b.wait(7 * time.Second); !b.out("s0") {
 		t.Error("not out though it failed three by its own word")
@@ -131,10 +131,10 @@
 
 // A share that is lost without a word convicts nobody, however many lose it.
 func TestFailsInPartOnlyByItsOwnWord(t *testing.T) {
-	part := func(said float32) []Item {
-		var all []Item
+	part := func(said float32) []Evidence {
+		var all []Evidence
 		for i := range 8 {
-			all = append(all, Item{Server: "s0", Start: 7, Origin: string(rune('b' + i)), Life: 1, Number: 1, OK: 6, Bad: 3, Said: said, ElseOK: 50, Age: 1, LastOK: 1, LastBad: 2, Began: 2, Run: 1, Works: 1})
+			all = append(all, Evidence{Server: "s0", StartedMS: 7, Origin: string(rune('b' + i)), RunID: 1, Number: 1, Succeeded: 6, Failed: 3, ErrorResponses: said, OtherSucceeded: 50, AgeMS: 1, LastSuccessAgeMS: 1, LastFailureAgeMS: 2, FirstFailureAgeMS: 2, ConsecutiveSuccesses: 1, OtherSuccessAgeMS: 1})
 		}
 		return all
 	}
@@ -151,14 +151,16 @@
 }
 
 func TestWhoseLinkIsBrokenAccusesNobody(t *testing.T) {
-	for name, change := range map[string]func(*Item){
-		"no answer elsewhere since": func(i *Item) { i.Works, i.Began, i.Age, i.LastBad = 9000, 1, 1, 1 },
-		"never an answer elsewhere": func(i *Item) { i.Works, i.ElseOK, i.ElseBad = 0, 0, 20 },
-		"fails elsewhere since":     func(i *Item) { i.Since = 2 },
-		"fails nearly always":       func(i *Item) { i.ElseOK, i.ElseBad = 1, 10 },
+	for name, change := range map[string]func(*Evidence){
+		"no answer elsewhere since": func(i *Evidence) {
+			i.OtherSuccessAgeMS, i.FirstFailureAgeMS, i.AgeMS, i.LastFailureAgeMS = 9000, 1, 1, 1
+		},
+		"never an answer elsewhere": func(i *Evidence) { i.OtherSuccessAgeMS, i.OtherSucceeded, i.OtherFailed = 0, 0, 20 },
+		"fails elsewhere since":     func(i *Evidence) { i.OtherFailuresSince = 2 },
+		"fails nearly always":       func(i *Evidence) { i.OtherSucceeded, i.OtherFailed = 1, 10 },
 	} {
 		b := newBench(t)
-		var all []Item
+		var all []Evidence
 		for _, o := range []string{"b", "c", "d", "e", "f"} {
 			i := fails(o, 1)
 			change(&i)
@@ -173,9 +175,9 @@
 
 func TestThoseWhomItAnswersSpeakForIt(t *testing.T) {
 	b := newBench(t)
-	b.hears([]Item{fails("b", 1), fails("c", 1), fails("d", 1)})
+	b.hears([]Evidence{fails("b", 1), fails("c", 1), fails("d", 1)})
 	b.now += 50 * time.Millisecond
-	b.hears([]Item{answers("e", 1), answers("f", 1)})
+	b.hears([]Evidence{answers("e", 1), answers("f", 1)})
 	if b.wait(7 * time.Second); b.out("s0") {
 		t.Error("out though it answers others since")
 	}
@@ -189,18 +191,18 @@
 	}
 	q := b.asked[0]
 	// The answer is on its way for longer than evidence lasts: not taken, whatever age it says.
-	b.wait(Age + time.Second)
-	b.step(Heard{q.To, &Message{Answer: q.Message.Ask, Items: []Item{fails("b", 1), fails("c", 1), fails("d", 1)}}})
+	b.wait(DefaultMaxEvidenceAge + time.Second)
+	b.step(Received{q.To, &Message{ResponseTo: q.Message.PollNumber, Evidence: []Evidence{fails("b", 1), fails("c", 1), fails("d", 1)}}})
 	if b.wait(7 * time.Second); b.out("s0") {
 		t.Error("out by an answer that was a minute late")
 	}
-	b.step(Heard{"b", &Message{Answer: 9999, Items: []Item{fails("b", 1), fails("c", 1), fails("d", 1)}}})
+	b.step(Received{"b", &Message{ResponseTo: 9999, Evidence: []Evidence{fails("b", 1), fails("c", 1), fails("d", 1)}}})
 	if b.wait(7 * time.Second); b.out("s0") {
 		t.Error("out by an answer to nothing")
 	}
-	old := []Item{fails("b", 1), fails("c", 1), fails("d", 1)}
+	old := []Evidence{fails("b", 1), fails("c", 1), fails("d", 1)}
 	for i := range old {
-		old[i].Start = 6
+		old[i].StartedMS = 6
 	}
 	b.hears(old)
 	if b.wait(7 * time.Second); b.out("s0") {
@@ -210,26 +212,26 @@
 
 func TestVerdictLapsesWithItsEvidence(t *testing.T) {
 	b := newBench(t)
-	b.hears([]Item{fails("b", 1), fails("c", 1), fails("d", 1)})
+	b.hears([]Evidence{fails("b", 1), fails("c", 1), fails("d", 1)})
 	b.wait(7 * time.Second)
 	if !b.out("s0") {
 		t.Fatal("not out")
 	}
-	if until := b.judged[0].Until; until > b.now+Age {
+	if until := b.judged[0].Until; until > b.now+DefaultMaxEvidenceAge {
 		t.Errorf("it holds until %v after now", until-b.now)
 	}
-	b.wait(Age)
+	b.wait(DefaultMaxEvidenceAge)
 	if b.out("s0") {
 		t.Error("out for ever")
 	}
-	if b.hears([]Item{fails("b", 1), fails("c", 1)}); b.out("s0") {
+	if b.hears([]Evidence{fails("b", 1), fails("c", 1)}); b.out("s0") {
 		t.Error("out by what it was acquitted of")
 	}
 }
 
 func TestNoMoreThanItsShareOfAZoneIsOut(t *testing.T) {
 	b := newBench(t)
-	var items []Item
+	var items []Evidence
 	for s := range 6 {
 		for _, o := range []string{"b", "c", "d"} {
 			i := fails(o, 1)
@@ -253,31 +255,31 @@
 
 func TestDrainsAreToldOnAndLapse(t *testing.T) {
 	b := newBench(t)
-	b.hears(nil, Drain{Server: "s1", Start: 7, State: Draining, Age: 100}, Drain{Server: "s2", Start: 6, State: Gone, Age: 100}, Drain{Server: "s3", Start: 7, State: Draining, Age: uint32((Drains + time.Second).Milliseconds())})
-	if len(b.judged) != 1 || !b.judged[0].Drain || b.judged[0].Server != "s1" || b.judged[0].Until > b.now+Drains {
+	b.hears(nil, Drain{Server: "s1", StartedMS: 7, State: Draining, AgeMS: 100}, Drain{Server: "s2", StartedMS: 6, State: Removed, AgeMS: 100}, Drain{Server: "s3", StartedMS: 7, State: Draining, AgeMS: uint32((DefaultMaxDrainAge + time.Second).Milliseconds())})
+	if len(b.judged) != 1 || !b.judged[0].Draining || b.judged[0].Server != "s1" || b.judged[0].Until > b.now+DefaultMaxDrainAge {
 		t.Fatalf("%+v", b.judged)
 	}
-	if b.wait(Drains + time.Second); len(b.judged) != 0 {
+	if b.wait(DefaultMaxDrainAge + time.Second); len(b.judged) != 0 {
 		t.Errorf("a drain that no list confirms: %+v", b.judged)
 	}
 	// What the own list says goes to others, with its age; and nothing brings it back here.
 	var list []Server
 	for i := range 8 {
-		list = append(list, Server{ID: fmt.Sprint("s", i), Start: 7, Zone: "z", Pod: i % 2})
+		list = append(list, Server{ID: fmt.Sprint("s", i), StartedMS: 7, Zone: "z", Pod: i % 2})
 	}
 	list[4].State = Draining
-	b.step(Listed{"main", list})
+	b.step(ListUpdated{"main", list})
 	b.now += time.Second
 	var told *Message
-	for _, a := range b.m.Step(b.now, Heard{"b", &Message{Ask: 5}}) {
-		if s, ok := a.(Send); ok && s.Message.Answer == 5 {
+	for _, a := range b.m.Step(b.now, Received{"b", &Message{PollNumber: 5}}) {
+		if s, ok := a.(Send); ok && s.Message.ResponseTo == 5 {
 			told = s.Message
 		}
 	}
-	if told == nil || len(told.Drains) != 1 || told.Drains[0].Server != "s4" || told.Drains[0].Age < 1000 {
+	if told == nil || len(told.Drains) != 1 || told.Drains[0].Server != "s4" || told.Drains[0].AgeMS < 1000 {
 		t.Errorf("%+v", told)
 	}
-	b.hears([]Item{{Server: "s4", Start: 7, Origin: "b", Life: 1, Number: 1, OK: 50, Age: 1, LastOK: 1, Run: 50}})
+	b.hears([]Evidence{{Server: "s4", StartedMS: 7, Origin: "b", RunID: 1, Number: 1, Succeeded: 50, AgeMS: 1, LastSuccessAgeMS: 1, ConsecutiveSuccesses: 50}})
 	if b.m.servers["s4"].State != Draining {
 		t.Error("evidence has brought back what the list took out")
 	}
@@ -291,7 +293,7 @@
 	}
 	use := 0
 	for _, n := range names {
-		m, err := New(Settings{Name: n, Life: 1}, 1)
+		m, err := New(Settings{Name: n, RunID: 1}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/peer/ejection/evidence.go
+++ b/internal/peer/ejection/evidence.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// Item is one member's own evidence about one process of a server. Ages are in ms, as the answer was made: how long
+// Evidence is one member's own evidence about one process of a server. Ages are in ms, as the answer was made: how long
 // ago something was, at the most.
-type Item struct {
-	Server  string  `cbor:"1,keyasint,omitempty"`
-	Start   int64   `cbor:"2,keyasint,omitempty"`
-	Origin  string  `cbor:"3,keyasint,omitempty"`
-	Life    uint64  `cbor:"4,keyasint,omitempty"`
-	Number  uint32  `cbor:"5,keyasint,omitempty"` // grows with each change at the origin
-	OK      float32 `cbor:"6,keyasint,omitempty"` // faded counts
-	Bad     float32 `cbor:"7,keyasint,omitempty"`
-	ElseOK  float32 `cbor:"8,keyasint,omitempty"` // of all other servers
-	ElseBad float32 `cbor:"9,keyasint,omitempty"`
-	Run     int     `cbor:"10,keyasint,omitempty"` // answers since the last failure
-	Age     uint32  `cbor:"11,keyasint,omitempty"` // of the newest sight in it
-	LastOK  uint32  `cbor:"12,keyasint,omitempty"` // 0: none
-	LastBad uint32  `cbor:"13,keyasint,omitempty"`
-	Began   uint32  `cbor:"14,keyasint,omitempty"` // the first failure since the last answer
-	Streak  int     `cbor:"15,keyasint,omitempty"` // failures since the last answer
-	Works   uint32  `cbor:"16,keyasint,omitempty"` // the last answer of any other server; 0: none
-	Since   int     `cbor:"17,keyasint,omitempty"` // failures at other servers since then
-	Said    float32 `cbor:"18,keyasint,omitempty"` // of Bad, those that the server said itself
-	Chance  float32 `cbor:"19,keyasint,omitempty"` // failures a second at the server that are chance, by a holder's count; the teller's word, not the origin's
+type Evidence struct {
+	Server               string  `cbor:"1,keyasint,omitempty"`
+	StartedMS            int64   `cbor:"2,keyasint,omitempty"`
+	Origin               string  `cbor:"3,keyasint,omitempty"`
+	RunID                uint64  `cbor:"4,keyasint,omitempty"`
+	Number               uint32  `cbor:"5,keyasint,omitempty"` // grows with each change at the origin
+	Succeeded            float32 `cbor:"6,keyasint,omitempty"` // faded counts
+	Failed               float32 `cbor:"7,keyasint,omitempty"`
+	OtherSucceeded       float32 `cbor:"8,keyasint,omitempty"` // of all other servers
+	OtherFailed          float32 `cbor:"9,keyasint,omitempty"`
+	ConsecutiveSuccesses int     `cbor:"10,keyasint,omitempty"` // answers since the last failure
+	AgeMS                uint32  `cbor:"11,keyasint,omitempty"` // of the newest sight in it
+	LastSuccessAgeMS     uint32  `cbor:"12,keyasint,omitempty"` // 0: none
+	LastFailureAgeMS     uint32  `cbor:"13,keyasint,omitempty"`
+	FirstFailureAgeMS    uint32  `cbor:"14,keyasint,omitempty"` // the first failure since the last answer
+	ConsecutiveFailures  int     `cbor:"15,keyasint,omitempty"` // failures since the last answer
+	OtherSuccessAgeMS    uint32  `cbor:"16,keyasint,omitempty"` // the last answer of any other server; 0: none
+	OtherFailuresSince   int     `cbor:"17,keyasint,omitempty"` // failures at other servers since then
+	ErrorResponses       float32 `cbor:"18,keyasint,omitempty"` // of Bad, those that the server said itself
+	BaselineFailureRate  float32 `cbor:"19,keyasint,omitempty"` // failures a second at the server that are chance, by a holder's count; the teller's word, not the origin's
 }
 
 // Drain is a list's word that a server drains or is gone, as one member heard it.
 type Drain struct {
-	Server string `cbor:"1,keyasint,omitempty"`
-	Start  int64  `cbor:"2,keyasint,omitempty"`
-	State  State  `cbor:"3,keyasint,omitempty"`
-	Age    uint32 `cbor:"4,keyasint,omitempty"` // ms since then, at the most
+	Server    string      `cbor:"1,keyasint,omitempty"`
+	StartedMS int64       `cbor:"2,keyasint,omitempty"`
+	State     ListedState `cbor:"3,keyasint,omitempty"`
+	AgeMS     uint32      `cbor:"4,keyasint,omitempty"` // ms since then, at the most
 }
 
 // tally is faded counts.
@@ -99,12 +99,12 @@
 	isHot    bool          // see hot, when it was last looked at
 	spoke    time.Duration // this member's own voice was last made
 	groups   [2]int        // its zone's and its pod's number
-	drain    State         // told by others or by the own list, ahead of another's
+	drain    ListedState   // told by others or by the own list, ahead of another's
 	drainAt  time.Duration // when it was first heard by anyone, at the earliest; 0: never
 }
 
 // onListed takes a list. A server of which it says something else than before, in a running process, is news.
-func (m *Member) onListed(e Listed) {
+func (m *Member) onListed(e ListUpdated) {
 	seen := map[string]bool{}
 	_, again := m.sources[e.Source]
 	var ids []string
@@ -123,24 +123,24 @@
 			continue
 		}
 		was := s.Server
-		if l.Start != was.Start { // another process: what was known of the last one is nothing to it
+		if l.StartedMS != was.StartedMS { // another process: what was known of the last one is nothing to it
 			*s = server{Server: l, source: e.Source, live: s.live}
 		}
 		s.Server, s.source = l, e.Source
-		if l.Start == was.Start && was.State == Up && l.State != Up && again {
+		if l.StartedMS == was.StartedMS && was.State == Up && l.State != Up && again {
 			m.drained(s, l.State)
 		}
 	}
 	for _, id := range m.sources[e.Source] {
 		if s := m.servers[id]; s != nil && !seen[id] {
 			if s.State == Up {
-				m.drained(s, Gone)
+				m.drained(s, Removed)
 			}
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 	for id, s := range m.servers { // what is gone is kept while others may need to hear of it
-		if s.State == Gone && !seen[id] && (s.drainAt == 0 || m.now-s.drainAt > m.s.Drains) {
+		if s.State == Removed && !seen[id] && (s.drainAt == 0 || m.now-s.drainAt > m.s.MaxDrainAge) {
 			delete(m.servers, id)
 			if at, ok := slices.BinarySearch(m.order, id); ok {
 				m.order = slices.Delete(m.order, at, at+1)
@@ -180,7 +180,7 @@
 }
 
 // drained notes that the own list says that a server drains or is gone.
-func (m *Member) drained(s *server, to State) {
+func (m *Member) drained(s *server, to ListedState) {
 	if s.drainAt == 0 {
 		s.drainAt = m.now
 	}
@@ -190,42 +190,42 @@
 }
 
 // onSeen counts what own agents saw.
-func (m *Member) onSeen(e Seen) {
-	for _, x := range e.All {
+func (m *Member) onSeen(e OutcomesObserved) {
+	for _, x := range e.Samples {
 		s := m.servers[x.Server]
-		if s == nil || s.Start != x.Start || x.OK+x.Bad <= 0 {
+		if s == nil || s.StartedMS != x.StartedMS || x.Succeeded+x.Failed <= 0 {
 			continue
 		}
 		m.total.fade(m.now)
-		m.total.ok += float64(x.OK)
-		m.total.bad += float64(x.Bad)
+		m.total.ok += float64(x.Succeeded)
+		m.total.bad += float64(x.Failed)
 		o := &s.own
 		o.fade(m.now)
-		o.ok += float64(x.OK)
-		o.bad += float64(x.Bad)
-		o.said += float64(min(x.Said, x.Bad))
-		o.made, o.last = m.now, x.Bad
+		o.ok += float64(x.Succeeded)
+		o.bad += float64(x.Failed)
+		o.said += float64(min(x.ErrorResponses, x.Failed))
+		o.made, o.last = m.now, x.Failed
 		m.note(s.ID, x)
 		m.saw(s.source, x)
-		if x.OK > 0 {
-			o.lastOK, o.run, o.streak = m.now, o.run+x.OK, 0
+		if x.Succeeded > 0 {
+			o.lastOK, o.run, o.streak = m.now, o.run+x.Succeeded, 0
 		}
-		if x.Bad > 0 {
+		if x.Failed > 0 {
 			if o.began <= o.lastOK || o.began == 0 {
 				o.began = m.now
 			}
-			o.lastBad, o.run, o.streak = m.now, 0, o.streak+x.Bad
-			if x.OK > 0 {
+			o.lastBad, o.run, o.streak = m.now, 0, o.streak+x.Failed
+			if x.Succeeded > 0 {
 				o.began = m.now
 			}
 		}
-		if x.Bad > 0 || s.open(m) {
+		if x.Failed > 0 || s.open(m) {
 			m.speak(s)
 			m.touch(s)
 			switch {
-			case s.out && (x.OK > 0) == (s.goodSince == 0):
+			case s.out && (x.Succeeded > 0) == (s.goodSince == 0):
 				m.news()
-			case !s.out && x.Bad > 0:
+			case !s.out && x.Failed > 0:
 				m.failed(s)
 			}
 		}
@@ -240,11 +240,11 @@
 }
 
 // note keeps the last few ends.
-func (m *Member) note(server string, x Sight) {
-	for range min(x.OK, endsKept/2) {
+func (m *Member) note(server string, x OutcomeSample) {
+	for range min(x.Succeeded, endsKept/2) {
 		m.ends = append(m.ends, ended{server, true, m.now})
 	}
-	for range min(x.Bad, endsKept/2) {
+	for range min(x.Failed, endsKept/2) {
 		m.ends = append(m.ends, ended{server, false, m.now})
 	}
 	if n := len(m.ends); n > 2*endsKept {
@@ -277,7 +277,7 @@
 	o.fade(m.now)
 	m.total.fade(m.now)
 	m.number++ // it may have been asked elsewhere since
-	v := &voice{origin: m.s.Name, life: m.s.Life, number: m.number, start: s.Start, ok: o.ok, bad: o.bad, said: o.said, run: o.run, made: o.made, lastOK: o.lastOK, lastBad: o.lastBad, began: o.began, streak: o.streak,
+	v := &voice{origin: m.s.Name, life: m.s.RunID, number: m.number, start: s.StartedMS, ok: o.ok, bad: o.bad, said: o.said, run: o.run, made: o.made, lastOK: o.lastOK, lastBad: o.lastBad, began: o.began, streak: o.streak,
 		elseOK: max(0, m.total.ok-o.ok), elseBad: max(0, m.total.bad-o.bad), arrived: m.now}
 	v.works, v.since = m.elsewhere(s.ID)
 	m.hear(s, v)
@@ -285,15 +285,15 @@
 
 // open reports whether something is said against a server, or was lately.
 func (s *server) open(m *Member) bool {
-	if s.out || s.drainAt > 0 && m.now-s.drainAt <= m.s.Drains {
+	if s.out || s.drainAt > 0 && m.now-s.drainAt <= m.s.MaxDrainAge {
 		return true
 	}
-	return slices.ContainsFunc(s.voices, func(v *voice) bool { return (v.fails() || v.partly()) && m.now-v.made <= m.s.Age })
+	return slices.ContainsFunc(s.voices, func(v *voice) bool { return (v.fails() || v.partly()) && m.now-v.made <= m.s.MaxEvidenceAge })
 }
 
 // hot reports whether what is said against a server is more than chance, as far as is known here.
 func (s *server) hot(m *Member) bool {
-	if m.s.Form == 1 {
+	if m.s.FormatVersion == 1 {
 		dead, _ := s.dead(m, s.heard(m), 2, 2)
 		return s.out || len(dead) > 0
 	}
@@ -303,7 +303,7 @@
 // accusers is how many others accuse a server.
 func (s *server) accusers(m *Member) (n int) {
 	for _, v := range s.voices {
-		if v.origin != m.s.Name && v.accuses() && m.now-v.made <= m.s.Age {
+		if v.origin != m.s.Name && v.accuses() && m.now-v.made <= m.s.MaxEvidenceAge {
 			n++
 		}
 	}
@@ -338,7 +338,7 @@
 func (s *server) prune(m *Member) {
 	var bad, good []time.Duration
 	for _, o := range s.voices {
-		if m.now-o.made > m.s.Age {
+		if m.now-o.made > m.s.MaxEvidenceAge {
 			continue
 		}
 		if o.fails() {
@@ -360,7 +360,7 @@
 		switch {
 		case o.origin == m.s.Name:
 			return false
-		case m.now-o.made > m.s.Age:
+		case m.now-o.made > m.s.MaxEvidenceAge:
 			return true
 		case o.fails():
 			return o.began < from
--- a/internal/peer/ejection/play/play.go
+++ b/internal/peer/ejection/play/play.go
@@ -95,7 +95,7 @@
 	begin []time.Duration // when a wrong verdict began, by server; 0: none
 	since []time.Duration // when any did
 	calls []int           // servers; nil: all
-	batch map[int]ejection.Sight
+	batch map[int]ejection.OutcomeSample
 	list  []ejection.Server // its own, once it differs from that of all
 	reads map[string][]ejection.Server
 }
@@ -121,7 +121,7 @@
 	var list []ejection.Server
 	lists := map[string][]ejection.Server{}
 	for s := range o.Servers {
-		one := ejection.Server{ID: serverID(s), Start: 1, Zone: fmt.Sprint(s % 3), Pod: s % 4}
+		one := ejection.Server{ID: serverID(s), StartedMS: 1, Zone: fmt.Sprint(s % 3), Pod: s % 4}
 		if o.Place != nil {
 			_, one.Zone = o.Place(s)
 		}
@@ -146,13 +146,13 @@
 		}
 		first := o.First != nil && o.First(n)
 		if !first {
-			peers[n].Lists = ejection.FilterOf(slices.Sorted(maps.Keys(a.reads)))
+			peers[n].Subscriptions = ejection.NewSubscriptionFilter(slices.Sorted(maps.Keys(a.reads)))
 		}
 		w.agents = append(w.agents, a)
 		if o.Share {
-			s := ejection.Settings{Name: name(n), Life: 1}
+			s := ejection.Settings{Name: name(n), RunID: 1}
 			if first {
-				s.Form = 1
+				s.FormatVersion = 1
 			}
 			m, err := ejection.New(s, w.rng.Uint64())
 			if err != nil {
@@ -164,7 +164,7 @@
 			continue // it calls nobody
 		}
 		if o.Batch > 0 {
-			a.batch = map[int]ejection.Sight{}
+			a.batch = map[int]ejection.OutcomeSample{}
 			w.at(time.Duration(w.rng.Float64()*float64(o.Batch)), func() { w.arriveAll(a) })
 		} else {
 			w.arrive(a)
@@ -175,7 +175,7 @@
 		for _, a := range w.agents {
 			events := []ejection.Event{all}
 			for _, l := range slices.Sorted(maps.Keys(a.reads)) {
-				events = append(events, ejection.Listed{Source: l, Servers: a.reads[l]})
+				events = append(events, ejection.ListUpdated{Source: l, Servers: a.reads[l]})
 			}
 			w.step(a, events...)
 		}
@@ -184,7 +184,7 @@
 		for _, a := range w.agents {
 			at := d.At + time.Duration(w.rng.Float64()*float64(time.Second))
 			w.at(at, func() { w.listed(a, list, d.Server, ejection.Draining) })
-			w.at(at+10*time.Second, func() { w.listed(a, list, d.Server, ejection.Gone) })
+			w.at(at+10*time.Second, func() { w.listed(a, list, d.Server, ejection.Removed) })
 		}
 	}
 	w.watch()
@@ -211,13 +211,13 @@
 }
 
 // members are all, in the order of their names, as the view tells them.
-func members(peers []ejection.Peer) ejection.Members {
+func members(peers []ejection.Peer) ejection.MembersChanged {
 	order := make([]int, len(peers))
 	for n := range order {
 		order[n] = n
 	}
 	slices.SortFunc(order, func(a, b int) int { return strings.Compare(name(a), name(b)) })
-	var e ejection.Members
+	var e ejection.MembersChanged
 	for _, n := range order {
 		e.Names, e.Peers = append(e.Names, name(n)), append(e.Peers, peers[n])
 	}
@@ -249,7 +249,7 @@
 		switch act := act.(type) {
 		case ejection.Send:
 			w.r.Messages++
-			size := 40 + 64*len(act.Message.Items) + 32*len(act.Message.Drains)
+			size := 40 + 64*len(act.Message.Evidence) + 32*len(act.Message.Drains)
 			if w.o.Size != nil {
 				size = w.o.Size(name(a.n), act.Message)
 			}
@@ -269,14 +269,14 @@
 				if w.o.Took != nil {
 					w.o.Took(w.now, to, size)
 				}
-				w.step(w.agents[to], ejection.Heard{From: name(a.n), Message: act.Message})
+				w.step(w.agents[to], ejection.Received{From: name(a.n), Message: act.Message})
 			})
-		case ejection.Say:
+		case ejection.Log:
 			if w.o.Say != nil {
 				w.o.Say(w.now, a.n, act.Text)
 			}
-		case ejection.Judged:
-			w.judged(a, act.All)
+		case ejection.EjectionsChanged:
+			w.judged(a, act.Ejections)
 		}
 	}
 	if next := a.m.Next() - time.Hour; next != a.wake {
@@ -290,7 +290,7 @@
 	}
 }
 
-func (w *world) judged(a *agent, all []ejection.Verdict) {
+func (w *world) judged(a *agent, all []ejection.Ejection) {
 	out := map[string]time.Duration{}
 	for _, v := range all {
 		out[v.Server] = v.Until - time.Hour
@@ -306,7 +306,7 @@
 			if w.began[s] > 0 {
 				w.r.Out = append(w.r.Out, w.now-w.began[s])
 				w.r.OutAt = append(w.r.OutAt, a.n)
-			} else if w.well[s] == 0 || w.now-w.well[s] > ejection.Age {
+			} else if w.well[s] == 0 || w.now-w.well[s] > ejection.DefaultMaxEvidenceAge {
 				w.r.Wrong++
 				w.r.WrongAt = append(w.r.WrongAt, a.n)
 				if !w.unreached(a.n, s) {
@@ -330,7 +330,7 @@
 
 // unreached reports whether an agent's link to a server loses all, or did lately.
 func (w *world) unreached(agent, server int) bool {
-	for ago := time.Duration(0); ago <= ejection.Age && ago <= w.now; ago += time.Second {
+	for ago := time.Duration(0); ago <= ejection.DefaultMaxEvidenceAge && ago <= w.now; ago += time.Second {
 		if w.o.Link(agent, server, w.now-ago) >= 1 {
 			return true
 		}
@@ -353,20 +353,20 @@
 		w.take(a)
 	}
 	if len(a.batch) > 0 {
-		all := make([]ejection.Sight, 0, len(a.batch))
+		all := make([]ejection.OutcomeSample, 0, len(a.batch))
 		for _, s := range slices.Sorted(maps.Keys(a.batch)) {
 			all = append(all, a.batch[s])
 		}
 		clear(a.batch)
 		if a.m != nil {
-			w.step(a, ejection.Seen{All: all})
+			w.step(a, ejection.OutcomesObserved{Samples: all})
 		}
 	}
 	w.at(w.now+w.o.Batch, func() { w.arriveAll(a) })
 }
 
 // listed gives a member a list in which one server has another state.
-func (w *world) listed(a *agent, first []ejection.Server, server int, state ejection.State) {
+func (w *world) listed(a *agent, first []ejection.Server, server int, state ejection.ListedState) {
 	if a.m == nil {
 		return
 	}
@@ -384,7 +384,7 @@
 			all = append(all, one)
 		}
 	}
-	w.step(a, ejection.Listed{Source: l, Servers: all})
+	w.step(a, ejection.ListUpdated{Source: l, Servers: all})
 }
 
 // pick is a server by chance.
@@ -420,11 +420,11 @@
 	if fault {
 		w.r.Spoilt++
 	}
-	x := ejection.Sight{Server: serverID(s), Start: 1, OK: 1}
+	x := ejection.OutcomeSample{Server: serverID(s), StartedMS: 1, Succeeded: 1}
 	if bad {
-		x.OK, x.Bad = 0, 1
+		x.Succeeded, x.Failed = 0, 1
 		if fault && !w.o.Mute {
-			x.Said = 1
+			x.ErrorResponses = 1
 		}
 	}
 	if w.o.Own {
@@ -437,9 +437,9 @@
 	}
 	if a.batch != nil {
 		b := a.batch[s]
-		x.OK, x.Bad, x.Said = x.OK+b.OK, x.Bad+b.Bad, x.Said+b.Said
+		x.Succeeded, x.Failed, x.ErrorResponses = x.Succeeded+b.Succeeded, x.Failed+b.Failed, x.ErrorResponses+b.ErrorResponses
 		a.batch[s] = x
 	} else if a.m != nil {
-		w.step(a, ejection.Seen{All: []ejection.Sight{x}})
+		w.step(a, ejection.OutcomesObserved{Samples: []ejection.OutcomeSample{x}})
 	}
 }
--- a/internal/peer/transport/judging.go
+++ b/internal/peer/transport/judging.go
@@ -37,7 +37,7 @@
 		return j, nil
 	}
 	s := *c.o.Verdicts
-	s.Name, s.Life = c.o.View.Name, rand.Uint64()|1
+	s.Name, s.RunID = c.o.View.Name, rand.Uint64()|1
 	var err error
 	if j.m, err = ejection.New(s, rand.Uint64()); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 		if x.Verdicts == nil {
 			return false
 		}
-		j.step(now, ejection.Heard{From: x.From, Message: x.Verdicts})
+		j.step(now, ejection.Received{From: x.From, Message: x.Verdicts})
 	case ejection.Event:
 		j.step(now, x)
 	default:
@@ -86,9 +86,9 @@
 		events = append([]ejection.Event{membersOf(j.c.v.Members())}, events...)
 	}
 	for _, e := range events {
-		if l, ok := e.(ejection.Listed); ok && !j.lists[l.Source] {
+		if l, ok := e.(ejection.ListUpdated); ok && !j.lists[l.Source] {
 			j.lists[l.Source] = true
-			j.note = ejection.FilterOf(slices.Sorted(maps.Keys(j.lists)))
+			j.note = ejection.NewSubscriptionFilter(slices.Sorted(maps.Keys(j.lists)))
 			j.untold = true
 		}
 	}
@@ -97,10 +97,10 @@
 		case ejection.Send:
 			j.sent++
 			j.c.sharing.send(a.To, &packet{Verdicts: a.Message})
-		case ejection.Judged:
-			j.write(a.All)
-			j.c.o.Judged(a.All, j.c.base)
-		case ejection.Say:
+		case ejection.EjectionsChanged:
+			j.write(a.Ejections)
+			j.c.o.Judged(a.Ejections, j.c.base)
+		case ejection.Log:
 			j.c.log.Info("fleet: " + a.Text)
 		}
 	}
@@ -110,26 +110,26 @@
 const lostFor = time.Hour
 
 // membersOf are those that are alive, as far as is known, with what their records tell.
-func membersOf(all []membership.Record) ejection.Members {
-	var e ejection.Members
+func membersOf(all []membership.Record) ejection.MembersChanged {
+	var e ejection.MembersChanged
 	for _, r := range all {
-		p := ejection.Peer{Region: r.Region, Zone: r.Zone, Lists: r.Note}
+		p := ejection.Peer{Region: r.Region, Zone: r.Zone, Subscriptions: r.Note}
 		switch {
 		case r.State == membership.Alive || r.State == membership.Suspect:
 			e.Names, e.Peers = append(e.Names, r.Name), append(e.Peers, p)
 		case r.State == membership.Dead && time.Duration(r.Age)*time.Second < lostFor:
-			e.Lost = append(e.Lost, p)
+			e.Unreachable = append(e.Unreachable, p)
 		}
 	}
 	return e
 }
 
 // write writes what has changed, for drills.
-func (j *judging) write(all []ejection.Verdict) {
+func (j *judging) write(all []ejection.Ejection) {
 	now := map[string]string{}
 	for _, v := range all {
 		state := "out"
-		if v.Drain {
+		if v.Draining {
 			state = "drain"
 		}
 		now[v.Server] = state
@@ -148,17 +148,19 @@
 }
 
 // Listed tells what a list says now, and Seen what the daemon's agents saw of servers. Neither waits long.
-func (c *Carrier) Listed(l ejection.Listed) { c.post(input{shared: l}) }
+func (c *Carrier) Listed(l ejection.ListUpdated) { c.post(input{shared: l}) }
 
 // Seen passes sights on. It does not wait: under a flood some are lost.
-func (c *Carrier) Seen(all []ejection.Sight) { c.share(ejection.Seen{All: all}) }
+func (c *Carrier) Seen(all []ejection.OutcomeSample) {
+	c.share(ejection.OutcomesObserved{Samples: all})
+}
 
 // ShownVerdicts is what a member holds of servers.
 type ShownVerdicts struct {
-	Name    string           `json:"name"`
-	Servers []ejection.Shown `json:"servers"`
-	Counts  ejection.Counts  `json:"counts"`
-	Packets uint64           `json:"packets"`
+	Name    string                  `json:"name"`
+	Servers []ejection.ServerStatus `json:"servers"`
+	Counts  ejection.Counters       `json:"counts"`
+	Packets uint64                  `json:"packets"`
 }
 
 // ShowVerdicts is what this member holds of servers. ok is false where nothing is shared, or the loop does not answer.
@@ -167,7 +169,7 @@
 		return s, false
 	}
 	ok = c.do(func() {
-		s = ShownVerdicts{Name: c.o.View.Name, Servers: c.judging.m.Show(), Counts: c.judging.m.Counts(), Packets: c.judging.sent}
+		s = ShownVerdicts{Name: c.o.View.Name, Servers: c.judging.m.Status(), Counts: c.judging.m.Counters(), Packets: c.judging.sent}
 	})
 	return s, ok
 }
--- a/internal/peer/transport/judging_test.go
+++ b/internal/peer/transport/judging_test.go
@@ -10,7 +10,7 @@
 )
 
 func judges(o *Options) {
-	o.Verdicts, o.Judged = &ejection.Settings{}, func([]ejection.Verdict, time.Time) {}
+	o.Verdicts, o.Judged = &ejection.Settings{}, func([]ejection.Ejection, time.Time) {}
 }
 
 // What a daemon tells of its instances later leaves its lists as they are.
@@ -20,7 +20,7 @@
 	a.await(t, "b", "alive")
 	want := func(of string, lists ...string) {
 		t.Helper()
-		var got ejection.Filter
+		var got ejection.SubscriptionFilter
 		for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 			b.do(func() {
 				for _, p := range b.v.Members() {
@@ -29,15 +29,15 @@
 					}
 				}
 			})
-			if reflect.DeepEqual(got, ejection.FilterOf(lists)) {
+			if reflect.DeepEqual(got, ejection.NewSubscriptionFilter(lists)) {
 				return
 			}
 		}
-		t.Fatalf("%s tells %x, want %x", of, got, ejection.FilterOf(lists))
+		t.Fatalf("%s tells %x, want %x", of, got, ejection.NewSubscriptionFilter(lists))
 	}
-	a.Listed(ejection.Listed{Source: "main", Servers: []ejection.Server{{ID: "main/s1", Start: 1}}})
+	a.Listed(ejection.ListUpdated{Source: "main", Servers: []ejection.Server{{ID: "main/s1", StartedMS: 1}}})
 	want("a", "main")
-	a.Listed(ejection.Listed{Source: "other"})
+	a.Listed(ejection.ListUpdated{Source: "other"})
 	want("a", "main", "other")
 	a.Tell(membership.Self{Instances: 3, Balancers: 3})
 	for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
@@ -59,20 +59,20 @@
 	want("a", "main", "other")
 	var peers []ejection.Peer
 	b.do(func() { peers = membersOf(b.v.Members()).Peers })
-	if len(peers) != 2 || !peers[0].Lists.Has("other") || peers[0].Lists.Has("none") || !peers[1].Lists.Has("none") {
+	if len(peers) != 2 || !peers[0].Subscriptions.MayInclude("other") || peers[0].Subscriptions.MayInclude("none") || !peers[1].Subscriptions.MayInclude("none") {
 		t.Errorf("%+v", peers)
 	}
 }
 
 // firstMessage is a message as the version before knew it.
 type firstMessage struct {
-	Ask    uint64           `cbor:"1,keyasint,omitempty"`
-	Answer uint64           `cbor:"2,keyasint,omitempty"`
-	Poke   bool             `cbor:"3,keyasint,omitempty"`
-	Items  []firstItem      `cbor:"4,keyasint,omitempty"`
-	Drains []ejection.Drain `cbor:"5,keyasint,omitempty"`
-	More   int              `cbor:"6,keyasint,omitempty"`
-	About  []ejection.Life  `cbor:"7,keyasint,omitempty"`
+	Ask    uint64                 `cbor:"1,keyasint,omitempty"`
+	Answer uint64                 `cbor:"2,keyasint,omitempty"`
+	Poke   bool                   `cbor:"3,keyasint,omitempty"`
+	Items  []firstItem            `cbor:"4,keyasint,omitempty"`
+	Drains []ejection.Drain       `cbor:"5,keyasint,omitempty"`
+	More   int                    `cbor:"6,keyasint,omitempty"`
+	About  []ejection.Incarnation `cbor:"7,keyasint,omitempty"`
 }
 
 type firstItem struct {
@@ -92,8 +92,8 @@
 // Both forms of messages stand in one envelope, and each reads of the other's what it knows.
 func TestFormsOfVerdictsReadOneAnother(t *testing.T) {
 	w := Wire{Fleet: "f"}
-	about := []ejection.Life{{Server: "main/s1", Start: 3}}
-	data, err := w.Marshal("a", &ejection.Message{Ask: 5, Poke: true, Own: true, Form: 2, About: about, Items: []ejection.Item{{Server: "main/s1", Origin: "c", Bad: 2, Chance: 0.4}}})
+	about := []ejection.Incarnation{{Server: "main/s1", StartedMS: 3}}
+	data, err := w.Marshal("a", &ejection.Message{PollNumber: 5, Notify: true, OwnOnly: true, FormatVersion: 2, About: about, Evidence: []ejection.Evidence{{Server: "main/s1", Origin: "c", Failed: 2, BaselineFailureRate: 0.4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	back, err := w.Unmarshal(data)
-	if want := (&ejection.Message{Answer: 6, More: 1, Items: []ejection.Item{{Server: "main/s2", Bad: 1}}}); err != nil || !reflect.DeepEqual(back, want) {
+	if want := (&ejection.Message{ResponseTo: 6, More: 1, Evidence: []ejection.Evidence{{Server: "main/s2", Failed: 1}}}); err != nil || !reflect.DeepEqual(back, want) {
 		t.Errorf("of the version before %+v is read, %v", back, err)
 	}
 }
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -42,7 +42,7 @@
 	Before   *Carrier               // of this process, which has ended: what it held and lent is this one's now; nil: none
 	Verdicts *ejection.Settings     // what members know of servers is shared; but for name and life; nil: it is not
 	// Judged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
-	Judged    func(all []ejection.Verdict, base time.Time)
+	Judged    func(all []ejection.Ejection, base time.Time)
 	Agree     func(life uint64) *Agreement // on the fleet's policy, for a member's life; nil: there is none
 	Agreement *Agreement                   // it, from the carrier before, if the member goes on with its life; nil: Agree makes one
 	// Lend gives an agent rights, which it may use until what Until says after base. It must not wait.
--- a/internal/simulate/model/virtual/share.go
+++ b/internal/simulate/model/virtual/share.go
@@ -26,7 +26,7 @@
 	wake   time.Duration
 	starts map[string]int64
 	list   map[string]ejection.Server
-	judged []ejection.Verdict
+	judged []ejection.Ejection
 }
 
 func memberName(n int) string { return fmt.Sprint("m", n) }
@@ -38,13 +38,13 @@
 		names = append(names, memberName(n))
 	}
 	for n, a := range d.agents {
-		m, err := ejection.New(ejection.Settings{Name: memberName(n), Life: 1}, uint64(d.chance.Sub(model.Name("verdicts"), uint64(n))))
+		m, err := ejection.New(ejection.Settings{Name: memberName(n), RunID: 1}, uint64(d.chance.Sub(model.Name("verdicts"), uint64(n))))
 		if err != nil {
 			return err
 		}
 		a.share = &sharer{a: a, m: m, wake: -1, starts: map[string]int64{}, list: map[string]ejection.Server{}}
 		a.share.listed(a.view.entries, true)
-		a.share.step(ejection.Members{Names: names})
+		a.share.step(ejection.MembersChanged{Names: names})
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 		clear(s.list)
 	}
 	for _, e := range entries {
-		v := ejection.Server{ID: "main/" + e.Server.Name, Start: e.Started.Milliseconds(), Zone: fmt.Sprint(e.Server.Zone), Pod: e.Server.Pod}
+		v := ejection.Server{ID: "main/" + e.Server.Name, StartedMS: e.Started.Milliseconds(), Zone: fmt.Sprint(e.Server.Zone), Pod: e.Server.Pod}
 		switch e.State {
 		case decide.Gone:
 			delete(s.list, e.Server.Name)
@@ -63,7 +63,7 @@
 		case decide.Draining:
 			v.State = ejection.Draining
 		}
-		s.list[e.Server.Name], s.starts[e.Server.Name] = v, v.Start
+		s.list[e.Server.Name], s.starts[e.Server.Name] = v, v.StartedMS
 	}
 	var all []ejection.Server
 	for _, e := range s.a.view.entries {
@@ -71,23 +71,23 @@
 			all = append(all, v)
 		}
 	}
-	s.step(ejection.Listed{Source: "main", Servers: all})
+	s.step(ejection.ListUpdated{Source: "main", Servers: all})
 }
 
 // saw passes on the end of an attempt.
 func (s *sharer) saw(t *attempt, r decide.Result) {
-	x := ejection.Sight{Server: "main/" + t.server, Start: t.process}
+	x := ejection.OutcomeSample{Server: "main/" + t.server, StartedMS: t.process}
 	switch r {
 	case decide.OK:
-		x.OK = 1
+		x.Succeeded = 1
 	case decide.Errored:
-		x.Bad, x.Said = 1, 1
+		x.Failed, x.ErrorResponses = 1, 1
 	case decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Broke:
-		x.Bad = 1
+		x.Failed = 1
 	default:
 		return
 	}
-	s.step(ejection.Seen{All: []ejection.Sight{x}})
+	s.step(ejection.OutcomesObserved{Samples: []ejection.OutcomeSample{x}})
 }
 
 func (s *sharer) step(events ...ejection.Event) {
@@ -96,7 +96,7 @@
 		switch act := act.(type) {
 		case ejection.Send:
 			d.messages++
-			d.bytes += 40 + 64*len(act.Message.Items) + 32*len(act.Message.Drains)
+			d.bytes += 40 + 64*len(act.Message.Evidence) + 32*len(act.Message.Drains)
 			var to int
 			if _, err := fmt.Sscanf(act.To, "m%d", &to); err != nil || d.roll.Float64() < d.o.Share.Lost {
 				continue
@@ -104,11 +104,11 @@
 			other, from := d.agents[to], memberName(s.a.n)
 			d.at(d.now+d.o.Share.Late, func() {
 				if other.up {
-					other.share.step(ejection.Heard{From: from, Message: act.Message})
+					other.share.step(ejection.Received{From: from, Message: act.Message})
 				}
 			})
-		case ejection.Judged:
-			s.judged = act.All
+		case ejection.EjectionsChanged:
+			s.judged = act.Ejections
 			s.tell()
 		}
 	}
@@ -131,7 +131,7 @@
 	var all []decide.Verdict
 	for _, v := range s.judged {
 		name := strings.TrimPrefix(v.Server, "main/")
-		x := decide.Verdict{Backend: name, Drain: v.Drain, Until: v.Until}
+		x := decide.Verdict{Backend: name, Drain: v.Draining, Until: v.Until}
 		for _, e := range s.a.view.entries {
 			if e.Server.Name == name && e.Started > 0 {
 				x.Started = e.Started + clockOffset
