--- a/decide/api.go
+++ b/decide/api.go
@@ -179,7 +179,7 @@
 	// Limits are those that the fleet shares, from now on. Nothing that they count is sent without a right.
 	Limits struct{ All []quota.Limit }
 	// Rights are what this agent may use of them. They are answered by Held; none at all asks for that.
-	Rights struct{ All []quota.Right }
+	Rights struct{ All []quota.Lease }
 	// Verdicts are all that the fleet's agents together hold against backends. Each narrows what this agent may do
 	// until a time, and no more than its own list or an operator's word does. They take the place of the last ones.
 	Verdicts struct{ All []Verdict }
@@ -273,7 +273,7 @@
 		Limit   string // of NoRight
 	}
 	// Held tells whoever lends rights how they stand, and what was turned away for want of one.
-	Held struct{ All []quota.Holding }
+	Held struct{ All []quota.Usage }
 	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
 	SetTimer struct {
 		After time.Duration
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -99,9 +99,9 @@
 			b.onVerdicts(e)
 			b.measure()
 		case Limits:
-			b.book.Set(e.All)
+			b.book.SetLimits(e.All)
 		case Rights:
-			b.book.Grant(b.now, e.All)
+			b.book.SetLeases(b.now, e.All)
 			b.reported = 0
 		case PeerMessage:
 			b.onPeer(e)
@@ -116,9 +116,9 @@
 		}
 	}
 	b.releaseHeld()
-	if !b.book.Empty() && (b.reported == 0 || b.book.Asked() && b.now-b.reported >= reportEvery) {
+	if !b.book.Empty() && (b.reported == 0 || b.book.Active() && b.now-b.reported >= reportEvery) {
 		b.reported = b.now
-		b.actions = append(b.actions, Held{b.book.Holdings(b.now)})
+		b.actions = append(b.actions, Held{b.book.Usages(b.now)})
 	}
 	return b.actions
 }
@@ -219,7 +219,7 @@
 	}
 	streamed := r.stream && !a.load // its success was counted when its answer began
 	a.open, r.spent = false, r.spent || e.Spent
-	b.book.Give(b.now, a.rights, e.Dialed)
+	b.book.Release(b.now, a.rights, e.Dialed)
 	r.open--
 	b.putDown(a)
 	if e.Result.NeverRan() {
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -43,17 +43,17 @@
 	lb.Step(now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: backends(14)}})
 	var limits []quota.Limit
 	for i := range 12 {
-		l := limit(fmt.Sprint("l", i), quota.Counts(i%6))
+		l := limit(fmt.Sprint("l", i), quota.Kind(i%6))
 		if i == 0 {
-			l.Each = quota.EachServer
+			l.Partition = quota.PerServer
 		}
 		limits = append(limits, l)
 	}
-	var all []quota.Right
+	var all []quota.Lease
 	for _, l := range limits {
 		for k := range 3 {
-			one := quota.Right{Limit: l.Name, Keeper: fmt.Sprint("k", k), Number: 1, Amount: 1 << 20, Until: 1000 * time.Hour, Span: time.Second}
-			if l.Each == quota.EachNone {
+			one := quota.Lease{Limit: l.Name, Grantor: fmt.Sprint("k", k), Number: 1, Amount: 1 << 20, Expires: 1000 * time.Hour, Span: time.Second}
+			if l.Partition == quota.NotPartitioned {
 				all = append(all, one)
 				continue
 			}
--- a/decide/finish.go
+++ b/decide/finish.go
@@ -15,7 +15,7 @@
 	a := &attempt{b: t, list: b.lists, zone: t.Zone, cell: t.Cell, kind: t.Kind, sent: b.now,
 		cost: max(b.expected(r), 1), open: true}
 	a.units = a.cost / b.classes[0].latency
-	taken, until, dial, ok := b.book.Take(b.now, b.use(r, t))
+	taken, until, dial, ok := b.book.Reserve(b.now, b.use(r, t))
 	if !ok {
 		b.finish(r, NoRight)
 		return
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -68,7 +68,7 @@
 			why = NoRight
 		}
 		r.passed = false
-		if r.repeat || give <= b.now || why == NoRight && !r.lack.Cold() { // no wait brings a right
+		if r.repeat || give <= b.now || why == NoRight && !r.lack.SlowStart() { // no wait brings a right
 			b.unhold(r)
 			b.finish(r, why)
 		} else if r.timer == 0 {
@@ -205,7 +205,7 @@
 	if b.book.Empty() {
 		return true
 	}
-	lack := b.book.Short(b.now, b.use(r, t), !r.lacked)
+	lack := b.book.RefusedBy(b.now, b.use(r, t), !r.lacked)
 	if lack != nil {
 		r.lack, r.lacked = lack, true
 	}
--- a/decide/quota/quota.go
+++ b/decide/quota/quota.go
@@ -14,112 +14,112 @@
 	"time"
 )
 
-// Counts says what a limit counts.
-type Counts uint8
+// Kind says what a limit counts.
+type Kind uint8
 
 const (
-	InFlight  Counts = iota // attempts that are out at once
-	PerSecond               // requests whose first attempt begins, in any second
-	Attempts                // attempts that begin in any second
-	Retries                 // of these, those after a request's first
-	Dials                   // attempts that open a connection, in any second
-	Cold                    // attempts that begin on a cold server, in any second
+	InFlight       Kind = iota // attempts that are out at once
+	Requests                   // requests whose first attempt begins, in any second
+	Attempts                   // attempts that begin in any second
+	Retries                    // of these, those after a request's first
+	NewConnections             // attempts that open a connection, in any second
+	SlowStart                  // attempts that begin on a cold server, in any second
 	countsEnd
 )
 
-// Names of what is counted, as in files.
-var Names = []string{"in-flight", "requests", "attempts", "retries", "connections", "cold"}
+// KindNames of what is counted, as in files.
+var KindNames = []string{"in-flight", "requests", "attempts", "retries", "connections", "cold"}
 
-func (c Counts) String() string {
+func (c Kind) String() string {
 	if c < countsEnd {
-		return Names[c]
+		return KindNames[c]
 	}
 	return fmt.Sprintf("counts %d", uint8(c))
 }
 
-// Rate reports whether it counts what begins in a second, not what is out at once.
-func (c Counts) Rate() bool { return c != InFlight }
+// IsRate reports whether it counts what begins in a second, not what is out at once.
+func (c Kind) IsRate() bool { return c != InFlight }
 
-// Each says whether a limit is one, or one for each of something.
-type Each uint8
+// Partition says whether a limit is one, or one for each of something.
+type Partition uint8
 
 const (
-	EachNone Each = iota
-	EachServer
-	EachZone
-	EachCell
+	NotPartitioned Partition = iota
+	PerServer
+	PerZone
+	PerCell
 )
 
 // Limit is one of them, in the terms of the agent's settings.
 type Limit struct {
 	Name              string
-	Counts            Counts
+	Kind              Kind
 	Class, Zone, Cell int    // -1: all
 	Server            string // empty: all
-	Each              Each
+	Partition         Partition
 }
 
-// Use is what an attempt would use rights for.
-type Use struct {
-	Class  int
-	Server string
-	Zone   int
-	Cell   int
-	Cold   bool
-	First  bool          // its request's first attempt
-	Ends   time.Duration // by then it is over
-	Spare  float64       // share of what is asked for by what is worth more: so much of a right's root stays for it
+// Demand is what an attempt would use rights for.
+type Demand struct {
+	Class         int
+	Server        string
+	Zone          int
+	Cell          int
+	SlowStart     bool
+	FirstAttempt  bool          // its request's first attempt
+	EndsBy        time.Duration // by then it is over
+	ReservedShare float64       // share of what is asked for by what is worth more: so much of a right's root stays for it
 }
 
 // key is which of a limit's parts a use falls under; ok is false where it falls under none.
-func (l *Limit) key(u *Use) (key string, ok bool) {
+func (l *Limit) key(u *Demand) (key string, ok bool) {
 	if l.Class >= 0 && l.Class != u.Class || l.Zone >= 0 && l.Zone != u.Zone || l.Cell >= 0 && l.Cell != u.Cell || l.Server != "" && l.Server != u.Server {
 		return "", false
 	}
 	switch {
-	case l.Counts == PerSecond && !u.First, l.Counts == Retries && u.First, l.Counts == Cold && !u.Cold:
+	case l.Kind == Requests && !u.FirstAttempt, l.Kind == Retries && u.FirstAttempt, l.Kind == SlowStart && !u.SlowStart:
 		return "", false
 	}
-	switch l.Each {
-	case EachServer:
+	switch l.Partition {
+	case PerServer:
 		return u.Server, true
-	case EachZone:
+	case PerZone:
 		return strconv.Itoa(u.Zone), true
-	case EachCell:
+	case PerCell:
 		return strconv.Itoa(u.Cell), true
 	}
 	return "", true
 }
 
-// Right is what an agent may use of a limit by one keeper's loan. A later one of the same keeper takes its place.
-type Right struct {
-	Limit  string
-	Key    string // of which part, where there is one for each
-	Keeper string // who lent it; empty: the floor of a soft limit, which counts what is used by all rights
-	Number uint64 // of the loan
-	Amount int
-	Until  time.Duration // what counts in flight has to end by then, what counts by the second to begin
-	Span   time.Duration // over which Amount counts, where it counts by the second
-	Within time.Duration // what is taken has to go out within it: Span allows for that; 0: any time
+// Lease is what an agent may use of a limit by one keeper's loan. A later one of the same keeper takes its place.
+type Lease struct {
+	Limit       string
+	Key         string // of which part, where there is one for each
+	Grantor     string // who lent it; empty: the floor of a soft limit, which counts what is used by all rights
+	Number      uint64 // of the loan
+	Amount      int
+	Expires     time.Duration // what counts in flight has to end by then, what counts by the second to begin
+	Span        time.Duration // over which Amount counts, where it counts by the second
+	StartWithin time.Duration // what is taken has to go out within it: Span allows for that; 0: any time
 }
 
-// Holding is how a right stands.
-type Holding struct {
-	Limit  string
-	Key    string
-	Keeper string // empty: the floor, or what was turned away without any right
-	Number uint64 // of the last loan that was taken over
-	Used   int    // in flight, or begun within the span
-	Turned int    // uses since the last report that found no right; told once for a limit and key
-	Begun  int    // uses since the last report that found one; told once as well
+// Usage is how a right stands.
+type Usage struct {
+	Limit    string
+	Key      string
+	Grantor  string // empty: the floor, or what was turned away without any right
+	Number   uint64 // of the last loan that was taken over
+	Used     int    // in flight, or begun within the span
+	Rejected int    // uses since the last report that found no right; told once for a limit and key
+	Started  int    // uses since the last report that found one; told once as well
 }
 
-// Book is an agent's rights. The zero value limits nothing.
-type Book struct {
+// Ledger is an agent's rights. The zero value limits nothing.
+type Ledger struct {
 	limits []Limit
 	rows   map[rowKey]*Row
 	order  []*Row           // in the order in which they came up
-	floors map[string]Right // by limit: of each of its parts
+	floors map[string]Lease // by limit: of each of its parts
 	asked  bool             // something was turned away, or little is left, since the last report
 }
 
@@ -138,8 +138,8 @@
 // Name is the limit's, for people.
 func (r *Row) Name() string { return r.limit.Name }
 
-// Cold reports whether it is about cold servers: others may serve instead.
-func (r *Row) Cold() bool { return r.limit.Counts == Cold }
+// SlowStart reports whether it is about cold servers: others may serve instead.
+func (r *Row) SlowStart() bool { return r.limit.Kind == SlowStart }
 
 type loan struct {
 	keeper string
@@ -152,20 +152,20 @@
 	recent []time.Duration // when what counts by the second began
 }
 
-// Taken is what an attempt has of a right.
-type Taken struct {
+// Reservation is what an attempt has of a right.
+type Reservation struct {
 	loan *loan
 	row  *Row
 	at   time.Duration
 }
 
-// Set gives the limits that hold from now on. Rights of those that are as they were go on; what is in use of the
+// SetLimits gives the limits that hold from now on. Rights of those that are as they were go on; what is in use of the
 // others counts no more.
-func (b *Book) Set(limits []Limit) {
+func (b *Ledger) SetLimits(limits []Limit) {
 	was := b.limits
 	b.limits = slices.Clone(limits)
 	if b.rows == nil {
-		b.rows, b.floors = map[rowKey]*Row{}, map[string]Right{}
+		b.rows, b.floors = map[rowKey]*Row{}, map[string]Lease{}
 	}
 	gone := func(r *Row) bool { return !slices.Contains(was, r.limit) || !slices.Contains(b.limits, r.limit) }
 	b.order = slices.DeleteFunc(b.order, func(r *Row) bool {
@@ -178,9 +178,9 @@
 }
 
 // Empty reports whether nothing is limited.
-func (b *Book) Empty() bool { return len(b.limits) == 0 }
+func (b *Ledger) Empty() bool { return len(b.limits) == 0 }
 
-func (b *Book) row(l *Limit, key string, now time.Duration) *Row {
+func (b *Ledger) row(l *Limit, key string, now time.Duration) *Row {
 	k := rowKey{l.Name, key}
 	r := b.rows[k]
 	if r == nil {
@@ -194,24 +194,24 @@
 	return r
 }
 
-func (r *Row) grant(x *Right, now time.Duration) {
-	n := slices.IndexFunc(r.loans, func(l *loan) bool { return l.keeper == x.Keeper })
+func (r *Row) grant(x *Lease, now time.Duration) {
+	n := slices.IndexFunc(r.loans, func(l *loan) bool { return l.keeper == x.Grantor })
 	if n < 0 {
 		n = len(r.loans)
-		r.loans = append(r.loans, &loan{keeper: x.Keeper})
+		r.loans = append(r.loans, &loan{keeper: x.Grantor})
 	}
 	l := r.loans[n]
-	l.number, l.amount, l.until, l.span, l.within, r.moved = x.Number, max(0, x.Amount), x.Until, max(x.Span, time.Second), x.Within, now
+	l.number, l.amount, l.until, l.span, l.within, r.moved = x.Number, max(0, x.Amount), x.Expires, max(x.Span, time.Second), x.StartWithin, now
 }
 
-// Grant takes rights over. One for a limit that the book does not have is left out.
-func (b *Book) Grant(now time.Duration, all []Right) {
+// SetLeases takes rights over. One for a limit that the book does not have is left out.
+func (b *Ledger) SetLeases(now time.Duration, all []Lease) {
 	for _, x := range all {
 		at := slices.IndexFunc(b.limits, func(l Limit) bool { return l.Name == x.Limit })
 		if at < 0 {
 			continue
 		}
-		if x.Keeper == "" { // a floor is for each part
+		if x.Grantor == "" { // a floor is for each part
 			b.floors[x.Limit] = x
 			for _, r := range b.order {
 				if r.limit.Name == x.Limit {
@@ -224,13 +224,13 @@
 	}
 }
 
-// Short is the limit that stands in the way of a use now; nil: none does. What falls under no row yet has no right.
+// RefusedBy is the limit that stands in the way of a use now; nil: none does. What falls under no row yet has no right.
 // With count set it is noted as turned away.
-func (b *Book) Short(now time.Duration, u *Use, count bool) *Row {
+func (b *Ledger) RefusedBy(now time.Duration, u *Demand, count bool) *Row {
 	for i := range b.limits {
 		l := &b.limits[i]
 		key, ok := l.key(u)
-		if !ok || l.Counts == Dials { // that one is taken or not: see Take
+		if !ok || l.Kind == NewConnections { // that one is taken or not: see Take
 			continue
 		}
 		r := b.row(l, key, now)
@@ -251,19 +251,19 @@
 }
 
 // best is the loan with the most left, or nil.
-func (r *Row) best(now time.Duration, u *Use) *loan {
+func (r *Row) best(now time.Duration, u *Demand) *loan {
 	var best *loan
 	room, all, used := 0, 0, 0
 	for _, l := range r.loans {
-		used += l.inUse(now, r.limit.Counts)
+		used += l.inUse(now, r.limit.Kind)
 	}
 	for _, l := range r.loans {
-		if now >= l.until || !r.limit.Counts.Rate() && u.Ends > l.until {
+		if now >= l.until || !r.limit.Kind.IsRate() && u.EndsBy > l.until {
 			continue
 		}
-		free := l.amount - l.inUse(now, r.limit.Counts)
+		free := l.amount - l.inUse(now, r.limit.Kind)
 		if l.keeper == "" { // the floor: whatever is in use counts
-			free = l.amount - max(used, l.inUse(now, r.limit.Counts))
+			free = l.amount - max(used, l.inUse(now, r.limit.Kind))
 		} else {
 			all += l.amount
 		}
@@ -272,14 +272,14 @@
 		}
 	}
 	// What is worth less leaves a little for what is worth more, where both may come under one limit.
-	if best != nil && r.limit.Class < 0 && u.Spare > 0 && float64(all-used) <= u.Spare*math.Sqrt(float64(all)) && best.keeper != "" {
+	if best != nil && r.limit.Class < 0 && u.ReservedShare > 0 && float64(all-used) <= u.ReservedShare*math.Sqrt(float64(all)) && best.keeper != "" {
 		return nil
 	}
 	return best
 }
 
-func (l *loan) inUse(now time.Duration, c Counts) int {
-	if !c.Rate() {
+func (l *loan) inUse(now time.Duration, c Kind) int {
+	if !c.IsRate() {
 		return l.used
 	}
 	n := 0
@@ -290,9 +290,9 @@
 	return len(l.recent)
 }
 
-// Take uses a right of each limit that a use falls under, and says until when it may begin: after that the rights are
+// Reserve uses a right of each limit that a use falls under, and says until when it may begin: after that the rights are
 // another's. ok is false where one is missing: then none is taken. dial is false where it may not open a connection.
-func (b *Book) Take(now time.Duration, u *Use) (all []Taken, until time.Duration, dial, ok bool) {
+func (b *Ledger) Reserve(now time.Duration, u *Demand) (all []Reservation, until time.Duration, dial, ok bool) {
 	until, dial = math.MaxInt64, true
 	for i := range b.limits {
 		l := &b.limits[i]
@@ -302,7 +302,7 @@
 		}
 		r := b.row(l, key, now)
 		x := r.best(now, u)
-		if x == nil && l.Counts == Dials {
+		if x == nil && l.Kind == NewConnections {
 			dial = false
 			continue
 		}
@@ -313,12 +313,12 @@
 			return nil, 0, false, false
 		}
 		r.moved = now
-		if r.begun++; l.Counts.Rate() {
+		if r.begun++; l.Kind.IsRate() {
 			x.recent = append(x.recent, now)
 		} else {
 			x.used++
 		}
-		all, until = append(all, Taken{x, r, now}), min(until, x.until)
+		all, until = append(all, Reservation{x, r, now}), min(until, x.until)
 		if x.within > 0 {
 			until = min(until, now+x.within)
 		}
@@ -334,34 +334,34 @@
 		if l.keeper != "" && now < l.until {
 			all += l.amount
 		}
-		used += l.inUse(now, r.limit.Counts)
+		used += l.inUse(now, r.limit.Kind)
 	}
 	return all-used <= 1+int(math.Sqrt(float64(used))/2)
 }
 
 // undo takes back what was never used.
-func (b *Book) undo(t Taken) {
-	if !t.row.limit.Counts.Rate() {
+func (b *Ledger) undo(t Reservation) {
+	if !t.row.limit.Kind.IsRate() {
 		t.loan.used--
 	} else if n := slices.Index(t.loan.recent, t.at); n >= 0 {
 		t.loan.recent = slices.Delete(t.loan.recent, n, n+1)
 	}
 }
 
-// Give gives back what an attempt had in flight, now that it is over. dialed is false where it opened no connection:
+// Release gives back what an attempt had in flight, now that it is over. dialed is false where it opened no connection:
 // then its right to do so was not used. noDial counts one that found none to use, and went nowhere for it.
-func (b *Book) Give(now time.Duration, all []Taken, dialed bool) {
+func (b *Ledger) Release(now time.Duration, all []Reservation, dialed bool) {
 	for _, t := range all {
-		if !t.row.limit.Counts.Rate() || t.row.limit.Counts == Dials && !dialed {
+		if !t.row.limit.Kind.IsRate() || t.row.limit.Kind == NewConnections && !dialed {
 			b.undo(t)
 		}
 	}
 }
 
-// NoDial is the limit for want of which an attempt with this use could open no connection; nil: none has one.
-func (b *Book) NoDial(now time.Duration, u *Use) *Row {
+// ConnectionRefusedBy is the limit for want of which an attempt with this use could open no connection; nil: none has one.
+func (b *Ledger) ConnectionRefusedBy(now time.Duration, u *Demand) *Row {
 	for i := range b.limits {
-		if key, ok := b.limits[i].key(u); ok && b.limits[i].Counts == Dials {
+		if key, ok := b.limits[i].key(u); ok && b.limits[i].Kind == NewConnections {
 			r := b.row(&b.limits[i], key, now)
 			r.turn(now)
 			b.asked = true
@@ -371,34 +371,34 @@
 	return nil
 }
 
-// Asked reports whether, since the last report, something was turned away, or little was left.
-func (b *Book) Asked() bool { return b.asked }
+// Active reports whether, since the last report, something was turned away, or little was left.
+func (b *Ledger) Active() bool { return b.asked }
 
 // rowAge is how long a row is kept that nobody uses.
 const rowAge = time.Minute
 
-// Holdings is how all rights stand. What was turned away is told once.
-func (b *Book) Holdings(now time.Duration) []Holding {
+// Usages is how all rights stand. What was turned away is told once.
+func (b *Ledger) Usages(now time.Duration) []Usage {
 	b.asked = false
 	b.order = slices.DeleteFunc(b.order, func(r *Row) bool {
-		old := now-r.moved > rowAge && r.key != "" && !slices.ContainsFunc(r.loans, func(l *loan) bool { return l.inUse(now, r.limit.Counts) > 0 || now < l.until && l.amount > 0 })
+		old := now-r.moved > rowAge && r.key != "" && !slices.ContainsFunc(r.loans, func(l *loan) bool { return l.inUse(now, r.limit.Kind) > 0 || now < l.until && l.amount > 0 })
 		if old {
 			delete(b.rows, rowKey{r.limit.Name, r.key})
 		}
 		return old
 	})
-	var all []Holding
+	var all []Usage
 	for _, r := range b.order {
 		turned, begun := r.turned, r.begun
 		r.turned, r.begun = 0, 0
 		for _, l := range r.loans {
-			all = append(all, Holding{r.limit.Name, r.key, l.keeper, l.number, l.inUse(now, r.limit.Counts), turned, begun})
+			all = append(all, Usage{r.limit.Name, r.key, l.keeper, l.number, l.inUse(now, r.limit.Kind), turned, begun})
 			turned, begun = 0, 0
 		}
 		if turned > 0 {
-			all = append(all, Holding{Limit: r.limit.Name, Key: r.key, Turned: turned})
+			all = append(all, Usage{Limit: r.limit.Name, Key: r.key, Rejected: turned})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Holding) int { return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Key, b.Key)) })
+	slices.SortStableFunc(all, func(a, b Usage) int { return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Key, b.Key)) })
 	return all
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -18,7 +18,7 @@
 	last := r.attempts[len(r.attempts)-1]
 	switch {
 	case res == NotSent && last.noDial:
-		r.lack = b.book.NoDial(b.now, b.use(r, last.b))
+		r.lack = b.book.ConnectionRefusedBy(b.now, b.use(r, last.b))
 		b.finish(r, NoRight)
 	case len(r.attempts) >= b.s.MaxAttempts, r.spent, res == NotSent:
 		b.finish(r, NoAttempt)
--- a/decide/rights_test.go
+++ b/decide/rights_test.go
@@ -9,11 +9,11 @@
 )
 
 func lent(name string, amount int, now time.Duration) decide.Rights {
-	return decide.Rights{All: []quota.Right{{Limit: name, Keeper: "k", Number: 1, Amount: amount, Until: now + time.Minute, Span: time.Second}}}
+	return decide.Rights{All: []quota.Lease{{Limit: name, Grantor: "k", Number: 1, Amount: amount, Expires: now + time.Minute, Span: time.Second}}}
 }
 
-func limit(name string, c quota.Counts) quota.Limit {
-	return quota.Limit{Name: name, Counts: c, Class: -1, Zone: -1, Cell: -1}
+func limit(name string, c quota.Kind) quota.Limit {
+	return quota.Limit{Name: name, Kind: c, Class: -1, Zone: -1, Cell: -1}
 }
 
 func find[T decide.Action](all []decide.Action) (found T, ok bool) {
@@ -29,7 +29,7 @@
 	s := settings()
 	s.RetryAfter, s.MaxRetryAfter = true, time.Minute
 	r := newRig(t, s, 1, backends(4))
-	r.step(decide.Limits{All: []quota.Limit{limit("total", quota.PerSecond)}})
+	r.step(decide.Limits{All: []quota.Limit{limit("total", quota.Requests)}})
 	r.step(lent("total", 2, r.now))
 	for _, id := range []string{"a", "b"} {
 		send, ok := find[decide.Send](r.request(id, safe))
@@ -41,7 +41,7 @@
 	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "total" || no.Why != decide.NoRight || no.RetryAfter < time.Second {
 		t.Errorf("%+v", all)
 	}
-	if held, ok := find[decide.Held](all); ok && held.All[0].Turned != 1 {
+	if held, ok := find[decide.Held](all); ok && held.All[0].Rejected != 1 {
 		t.Errorf("%+v", held)
 	}
 	r.advance(1100 * ms)
@@ -97,7 +97,7 @@
 	}
 	// One that can't be over before the right is, does not begin.
 	r.outcome("c", decide.OK, ms)
-	r.step(decide.Rights{All: []quota.Right{{Limit: "at-once", Keeper: "k", Number: 2, Amount: 1, Until: r.now + ms}}})
+	r.step(decide.Rights{All: []quota.Lease{{Limit: "at-once", Grantor: "k", Number: 2, Amount: 1, Expires: r.now + ms}}})
 	if _, ok := find[decide.Refuse](r.request("d", safe)); !ok {
 		t.Error("it may outlast its right")
 	}
@@ -105,7 +105,7 @@
 
 func TestWithoutARightToConnectNothingIsOpened(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(3))
-	r.step(decide.Limits{All: []quota.Limit{limit("dials", quota.Dials)}})
+	r.step(decide.Limits{All: []quota.Limit{limit("dials", quota.NewConnections)}})
 	send, ok := find[decide.Send](r.request("a", safe))
 	if !ok || !send.NoDial {
 		t.Fatalf("%+v", send)
--- a/decide/state.go
+++ b/decide/state.go
@@ -66,7 +66,7 @@
 	gap    float64       // mean time between attempts, ns
 	lastAt time.Duration // of the last one
 
-	book     quota.Book    // rights to use limits that the fleet shares
+	book     quota.Ledger  // rights to use limits that the fleet shares
 	reported time.Duration // when the daemon was last told how they stand
 }
 
@@ -137,7 +137,7 @@
 	load  bool // counts as work in hand: not while it is uploaded, nor once only its answer's bytes are to come
 	late  bool // found overdue: its delay is already counted
 
-	rights []quota.Taken
+	rights []quota.Reservation
 	noDial bool // for want of a right it may open no connection
 }
 
@@ -167,9 +167,9 @@
 }
 
 // use is what an attempt of r at t would use rights for.
-func (b *Balancer) use(r *request, t *backend) *quota.Use {
-	return &quota.Use{Class: r.class, Server: t.ID, Zone: t.Zone, Cell: t.Cell, Cold: t.cold,
-		First: len(r.attempts) == 0, Ends: r.deadline, Spare: r.spare}
+func (b *Balancer) use(r *request, t *backend) *quota.Demand {
+	return &quota.Demand{Class: r.class, Server: t.ID, Zone: t.Zone, Cell: t.Cell, SlowStart: t.cold,
+		FirstAttempt: len(r.attempts) == 0, EndsBy: r.deadline, ReservedShare: r.spare}
 }
 
 // kind finds the record of a backend's kind; nil: that of all.
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -53,7 +53,7 @@
 	AcceptAfterStop <-chan time.Time
 	// Held is told how the agent's rights to limits of the fleet stand. It is called by the agent's loop, and must
 	// not wait.
-	Held func([]quota.Holding)
+	Held func([]quota.Usage)
 	// Seen is told what became of attempts at each server since the last time. It is called by the agent's loop, and
 	// must not wait.
 	Seen    func([]Sight)
@@ -403,7 +403,7 @@
 
 // Right is one that the agent may use until a moment by the process's own clock.
 type Right struct {
-	quota.Right // but for Until
+	quota.Lease // but for Until
 	Until       time.Time
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -46,7 +46,7 @@
 	summing   bool                            // a summary is due
 	inject    func()                          // a test's; else nil
 	guard     func(func())                    // runs a goroutine's work and keeps its panic to this agent
-	held      func([]quota.Holding)           // told how rights stand; must not wait; nil: nobody
+	held      func([]quota.Usage)             // told how rights stand; must not wait; nil: nobody
 	shedBy    map[string]int                  // by a limit of the fleet, or the policy, since the last summary
 	counters  counters
 	sights    sights
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -161,10 +161,10 @@
 
 // onLent takes what the agent may use of the fleet's limits.
 func (l *Loop) onLent(e lent) {
-	all := make([]quota.Right, len(e.all))
+	all := make([]quota.Lease, len(e.all))
 	for i, r := range e.all {
-		all[i] = r.Right
-		all[i].Until = l.clock.at(r.Until)
+		all[i] = r.Lease
+		all[i].Expires = l.clock.at(r.Until)
 	}
 	l.pending = append(l.pending, decide.Rights{All: all})
 }
--- a/internal/faulttest/harness/ledger.go
+++ b/internal/faulttest/harness/ledger.go
@@ -97,8 +97,8 @@
 func (r *rig) limited() {
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
-		r.line(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.Rate() && l.Counts != quota.Cold,
-			Bound: s.Bound(s.Limits[i], len(r.daemons)).Most})
+		r.line(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
+			Bound: s.Bounds(s.Limits[i], len(r.daemons)).Max})
 	}
 	r.wanted()
 }
@@ -128,9 +128,9 @@
 		for _, l := range r.p.Limits {
 			used := flight
 			switch {
-			case l.Counts == quota.Cold:
+			case l.Counts == quota.SlowStart:
 				used, count = cold, 0
-			case l.Counts.Rate():
+			case l.Counts.IsRate():
 				used = rate
 			}
 			r.line(checker.Line{What: checker.Used, Limit: l.Name, Used: used, Begun: count})
@@ -140,7 +140,7 @@
 
 // ramp is what a daemon's file says of cold servers, where the drill is about them.
 func (r *rig) ramp() string {
-	if !slices.ContainsFunc(r.p.Limits, func(l plan.Limit) bool { return l.Counts == quota.Cold }) {
+	if !slices.ContainsFunc(r.p.Limits, func(l plan.Limit) bool { return l.Counts == quota.SlowStart }) {
 		return ""
 	}
 	return fmt.Sprintf("ramp_time = \"%v\"\ncold_share = 0.3\nfall_multiple = 2.5\n", plan.Ramp)
@@ -153,7 +153,7 @@
 	}
 	s := r.p.Settings()
 	var names []string
-	for _, k := range s.Keepers {
+	for _, k := range s.Servers {
 		names = append(names, fmt.Sprintf("%q", k))
 	}
 	fmt.Fprintf(b, "keepers = [%s]\nterm = \"%v\"\n", strings.Join(names, ", "), s.Term)
--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -29,7 +29,7 @@
 	keepers := cmp.Or(l.Keepers, 3)
 	m := newMeter(l.Members, l.Marks)
 	wire := transport.Wire{Fleet: Fleet}
-	o := play.Options{Seed: l.Seed, Holders: l.Members, Keepers: keepers, Figure: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Counts: quota.PerSecond, Soft: true,
+	o := play.Options{Seed: l.Seed, Holders: l.Members, Keepers: keepers, Figure: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Counts: quota.Requests, Soft: true,
 		Length: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, Lasts: 100 * time.Millisecond, From: 2 * l.Length, // what is served is not counted: it takes long
 		Size: func(from string, x any) int { return size(wire, from, x) }, Sent: m.sent, Took: m.took, Path: path(l.Layout), Down: l.Down}
 	if r, err = play.Play(o); err != nil {
@@ -42,19 +42,19 @@
 
 // KeeperTime is the processor time that one question costs a keeper of so many holders, its encoding and decoding included.
 func KeeperTime(holders int) (time.Duration, error) {
-	s := lease.Settings{Keepers: []string{"k"}, Longest: time.Second, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.PerSecond, Class: -1, Zone: -1, Cell: -1}, Figure: 10 * holders}}}
-	k, err := lease.NewKeeper(s, "k", 1)
+	s := lease.Settings{Servers: []string{"k"}, MaxAttemptTime: time.Second, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Kind: quota.Requests, Class: -1, Zone: -1, Cell: -1}, Total: 10 * holders}}}
+	k, err := lease.NewServer(s, "k", 1)
 	if err != nil {
 		return 0, err
 	}
 	wire := transport.Wire{Fleet: Fleet}
-	h := make([]*lease.Holder, holders)
+	h := make([]*lease.Client, holders)
 	now := time.Duration(0)
 	for n := range h {
-		if h[n], err = lease.NewHolder(s, fmt.Sprint("m", n), uint64(n)+1); err != nil {
+		if h[n], err = lease.NewClient(s, fmt.Sprint("m", n), uint64(n)+1); err != nil {
 			return 0, err
 		}
-		h[n].Join(now, 1)
+		h[n].AddAgent(now, 1)
 	}
 	type question struct {
 		from int
@@ -72,7 +72,7 @@
 		k.Tick(now)
 		var questions []question
 		for n := range h {
-			asks, _ := h[n].Asks(now)
+			asks, _ := h[n].Requests(now)
 			for _, a := range asks {
 				data, err := wire.Marshal(a.From, a)
 				if err != nil {
@@ -88,7 +88,7 @@
 			if err != nil {
 				return 0, err
 			}
-			if g := k.Asked(now, x.(*lease.Ask)); g != nil {
+			if g := k.HandleRequest(now, x.(*lease.Request)); g != nil {
 				if _, err := wire.Marshal("k", g); err != nil {
 					return 0, err
 				}
@@ -100,9 +100,9 @@
 			asked += len(questions)
 		}
 		for _, a := range answers {
-			for _, g := range h[a.to].Granted(now, 0, a.grant) {
-				for _, r := range g.Rights {
-					h[a.to].Held(now, g.Agent, []quota.Holding{{Limit: r.Limit, Keeper: "k", Number: r.Number, Used: 5, Begun: 1}})
+			for _, g := range h[a.to].HandleGrant(now, 0, a.grant) {
+				for _, r := range g.Leases {
+					h[a.to].ReportUsage(now, g.Agent, []quota.Usage{{Limit: r.Limit, Grantor: "k", Number: r.Number, Used: 5, Started: 1}})
 				}
 			}
 		}
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -70,7 +70,7 @@
 // what was sent: a limit by the second is held to windows that are shorter by it.
 type Limit struct {
 	Name   string
-	Counts quota.Counts
+	Counts quota.Kind
 	Figure int
 	Hard   bool
 	Floor  float64
@@ -79,21 +79,21 @@
 
 // Settings are the limits as daemons have them.
 func (p *Plan) Settings() lease.Settings {
-	s := lease.Settings{Term: p.Term, Longest: Deadline}
+	s := lease.Settings{Term: p.Term, MaxAttemptTime: Deadline}
 	for _, k := range p.Keepers {
-		s.Keepers = append(s.Keepers, Name(k))
+		s.Servers = append(s.Servers, Name(k))
 	}
 	for _, l := range p.Limits {
-		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Counts: l.Counts, Each: each(l.Each)}, Figure: l.Figure, Hard: l.Hard, Floor: l.Floor})
+		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: each(l.Each)}, Total: l.Figure, Hard: l.Hard, FloorShare: l.Floor})
 	}
 	return s
 }
 
-func each(server bool) quota.Each {
+func each(server bool) quota.Partition {
 	if server {
-		return quota.EachServer
+		return quota.PerServer
 	}
-	return quota.EachNone
+	return quota.NotPartitioned
 }
 
 // Ramp is how long a server is cold after its start, as daemons have it.
@@ -422,7 +422,7 @@
 	r.share("bounds.served", b.Served)
 	p.Link = r.link("link.", &f.Link)
 	r.regions(f)
-	p.Takes, p.Term = r.span("takes", f.Takes, 5*time.Millisecond), r.span("term", f.Term, lease.Term)
+	p.Takes, p.Term = r.span("takes", f.Takes, 5*time.Millisecond), r.span("term", f.Term, lease.DefaultTerm)
 	r.limits(f)
 	r.policy(f)
 	if f.Seeds == nil {
@@ -514,19 +514,19 @@
 	r.p.Keepers = r.who("keepers", f.Keepers)
 	for i, l := range f.Limit {
 		at := fmt.Sprintf("limit[%d].", i)
-		counts := slices.Index(quota.Names, l.Counts)
+		counts := slices.Index(quota.KindNames, l.Counts)
 		if l.Each != "" && l.Each != "server" {
 			r.fail(at+"each", "%q: server is allowed, or nothing", l.Each)
 		}
 		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.Keepers) == 0 {
-			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(quota.Names, ", "))
+			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(quota.KindNames, ", "))
 			return
 		}
-		r.p.Limits = append(r.p.Limits, Limit{l.Name, quota.Counts(counts), l.Figure, l.Kind == "hard", l.Floor, l.Each == "server"})
+		r.p.Limits = append(r.p.Limits, Limit{l.Name, quota.Kind(counts), l.Figure, l.Kind == "hard", l.Floor, l.Each == "server"})
 		r.p.Real = true
 	}
 	if len(f.Limit) > 0 {
-		if _, err := lease.NewHolder(r.p.Settings(), "d1", 1); err != nil {
+		if _, err := lease.NewClient(r.p.Settings(), "d1", 1); err != nil {
 			r.fail("limit", "%v", err)
 		}
 	}
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -60,7 +60,7 @@
 		cfg.Settings.Balancers = count.Most
 	}
 	number := d.numbers.Add(1)
-	held := func(all []quota.Holding) { // called by the agent's loop
+	held := func(all []quota.Usage) { // called by the agent's loop
 		if p := d.sharing.Load(); p != nil {
 			p.carrier.Held(number, all)
 		}
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -30,29 +30,29 @@
 		c.fail("limit[0]", "limits that the fleet shares need [peers]")
 		return nil
 	}
-	l := &Limits{Settings: lease.Settings{Keepers: f.Peers.Keepers, Drift: f.Peers.Drift}}
-	if l.Term = c.span("peers.term", f.Peers.Term, lease.Term); l.Term < time.Second || l.Term > time.Minute {
+	l := &Limits{Settings: lease.Settings{Servers: f.Peers.Keepers, ClockDrift: f.Peers.Drift}}
+	if l.Term = c.span("peers.term", f.Peers.Term, lease.DefaultTerm); l.Term < time.Second || l.Term > time.Minute {
 		c.fail("peers.term", "%v: 1s to 1m are allowed", l.Term)
 	}
-	if !(l.Drift >= 0 && l.Drift <= 0.2) {
-		c.fail("peers.drift", "%v: 0 to 0.2 are allowed", l.Drift)
+	if !(l.ClockDrift >= 0 && l.ClockDrift <= 0.2) {
+		c.fail("peers.drift", "%v: 0 to 0.2 are allowed", l.ClockDrift)
 	}
-	if n := len(l.Keepers); n == 0 || n > 16 {
+	if n := len(l.Servers); n == 0 || n > 16 {
 		c.fail("peers.keepers", "%d keepers: 1 to 16 members are to be named", n)
 	}
-	for i, k := range l.Keepers {
-		if !membership.ValidName(k) || slices.Index(l.Keepers, k) != i {
+	for i, k := range l.Servers {
+		if !membership.ValidName(k) || slices.Index(l.Servers, k) != i {
 			c.fail(fmt.Sprintf("peers.keepers[%d]", i), "%q is no name of a member, or is there twice", k)
 		}
 	}
 	for _, class := range s.Classes {
-		l.Longest = max(l.Longest, class.Deadline)
+		l.MaxAttemptTime = max(l.MaxAttemptTime, class.Deadline)
 	}
 	for i := range f.Limit {
 		c.limit(fmt.Sprintf("limit[%d].", i), &f.Limit[i], l, f, classes)
 	}
 	if c.err == nil {
-		if _, err := lease.NewHolder(l.Settings, cfg.Peers.Name, 1); err != nil {
+		if _, err := lease.NewClient(l.Settings, cfg.Peers.Name, 1); err != nil {
 			c.fail("limit", "%v", err)
 		}
 	}
@@ -60,11 +60,11 @@
 }
 
 func (c *checker) limit(at string, in *limit, l *Limits, f *file, classes []string) {
-	one := lease.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Figure: in.Figure, Floor: in.Floor}
+	one := lease.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Total: in.Figure, FloorShare: in.Floor}
 	if in.Name == "" || strings.ContainsAny(in.Name, " \t\r\n\"") || len(in.Name) > 40 || slices.ContainsFunc(l.Limits, func(o lease.Limit) bool { return o.Name == in.Name }) {
 		c.fail(at+"name", "%q: 1 to 40 characters without spaces or quotes, and each once", in.Name)
 	}
-	one.Counts = quota.Counts(c.name(at+"counts", in.Counts, quota.Names))
+	one.Kind = quota.Kind(c.name(at+"counts", in.Counts, quota.KindNames))
 	one.Hard = c.name(at+"kind", in.Kind, []string{"hard", "soft"}) == 0
 	if in.Figure < 1 || in.Figure > 10_000_000 {
 		c.fail(at+"figure", "%d: 1 to 10000000 are allowed", in.Figure)
@@ -98,7 +98,7 @@
 	}
 	if in.Each != "" {
 		of("each", in.Each)
-		one.Each = quota.Each(1 + c.name(at+"each", in.Each, []string{"server", "zone", "pod"}))
+		one.Partition = quota.Partition(1 + c.name(at+"each", in.Each, []string{"server", "zone", "pod"}))
 	}
 	one.Scope = strings.Join(scope, ", ")
 	l.Limits = append(l.Limits, one)
@@ -153,16 +153,16 @@
 
 // lend passes on what a keeper lent. The carrier's loop calls it; it does not wait: an agent that is too busy to hear goes
 // by what it had, which ends by itself.
-func (d *Daemon) lend(agent uint32, all []quota.Right, base time.Time) {
+func (d *Daemon) lend(agent uint32, all []quota.Lease, base time.Time) {
 	if a, ok := d.agents.Load(agent); ok {
 		a.(hosted).agent.Lend(lendable(all, base))
 	}
 }
 
-func lendable(all []quota.Right, base time.Time) []core.Right {
+func lendable(all []quota.Lease, base time.Time) []core.Right {
 	out := make([]core.Right, len(all))
 	for i, r := range all {
-		out[i] = core.Right{Right: r, Until: base.Add(r.Until)}
+		out[i] = core.Right{Lease: r, Until: base.Add(r.Expires)}
 	}
 	return out
 }
@@ -187,9 +187,9 @@
 func (l *Limits) Show(agents int) []ShownLimit {
 	var all []ShownLimit
 	for _, one := range l.Limits {
-		b := l.Bound(one, agents)
-		s := ShownLimit{Name: one.Name, Counts: one.Counts.String(), Scope: one.Scope, Kind: "soft", Figure: one.Figure, Most: b.Most, MostLent: b.Lent, MostFloor: b.Floors,
-			Alone: "nothing", TermS: b.Term.Seconds(), BackS: b.Back.Seconds()}
+		b := l.Bounds(one, agents)
+		s := ShownLimit{Name: one.Name, Counts: one.Kind.String(), Scope: one.Scope, Kind: "soft", Figure: one.Total, Most: b.Max, MostLent: b.MaxLeased, MostFloor: b.MaxFloors,
+			Alone: "nothing", TermS: b.Term.Seconds(), BackS: b.Reclaim.Seconds()}
 		if one.Scope == "" {
 			s.Scope = "all"
 		}
@@ -197,13 +197,13 @@
 			s.Kind = "hard"
 		}
 		switch {
-		case b.AloneIs > 0 && !one.Counts.Rate():
-			s.Alone = fmt.Sprint(b.AloneIs)
-		case b.AloneIs > 0:
-			s.Alone = fmt.Sprintf("%d in %v", b.AloneIs, b.AloneFor.Round(10*time.Millisecond))
+		case b.IsolatedAmount > 0 && !one.Kind.IsRate():
+			s.Alone = fmt.Sprint(b.IsolatedAmount)
+		case b.IsolatedAmount > 0:
+			s.Alone = fmt.Sprintf("%d in %v", b.IsolatedAmount, b.IsolatedSpan.Round(10*time.Millisecond))
 		}
-		for k, part := range b.Parts {
-			s.Keepers = append(s.Keepers, fmt.Sprintf("%s %d", l.Settings.Keepers[k], part))
+		for k, part := range b.Shares {
+			s.Keepers = append(s.Keepers, fmt.Sprintf("%s %d", l.Settings.Servers[k], part))
 		}
 		all = append(all, s)
 	}
--- a/internal/host/daemon/listed.go
+++ b/internal/host/daemon/listed.go
@@ -29,8 +29,8 @@
 	x.list, c.placed = c.over.laid.classes(name)
 	x.settings, x.classes = c.settings(f, x.list)
 	for i, k := range x.settings.Classes {
-		if cfg.Limits != nil && k.Deadline > cfg.Limits.Longest {
-			c.fail(fmt.Sprintf("class[%d].deadline", i), "%v is past the longest of the classes for all, %v: limits that the fleet shares are lent for so long", k.Deadline, cfg.Limits.Longest)
+		if cfg.Limits != nil && k.Deadline > cfg.Limits.MaxAttemptTime {
+			c.fail(fmt.Sprintf("class[%d].deadline", i), "%v is past the longest of the classes for all, %v: limits that the fleet shares are lent for so long", k.Deadline, cfg.Limits.MaxAttemptTime)
 		}
 	}
 	c.placed = nil
--- a/internal/host/daemon/overlay_test.go
+++ b/internal/host/daemon/overlay_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	s := cfg.Instances[0].Agent.Settings
-	if k := s.Classes[0]; k.Window != 6*time.Second || k.Group != decide.Group(2) || s.MaxAttempts != 2 || !s.SecondCopies || len(cfg.Bans) != 2 || cfg.Limits.Settings.Limits[0].Figure != 5 {
+	if k := s.Classes[0]; k.Window != 6*time.Second || k.Group != decide.Group(2) || s.MaxAttempts != 2 || !s.SecondCopies || len(cfg.Bans) != 2 || cfg.Limits.Settings.Limits[0].Total != 5 {
 		t.Errorf("%+v, attempts %d, bans %v", k, s.MaxAttempts, cfg.Bans)
 	}
 	if cfg, err = under(t, class("safe", ""), class("keyed", "window = \"6s\"\n")); err != nil || cfg.Instances[0].Agent.Settings.Classes[0].Effect != decide.Unsafe {
--- a/internal/peer/lease/holder.go
+++ b/internal/peer/lease/holder.go
@@ -9,9 +9,9 @@
 	"vetchhaven/decide/quota"
 )
 
-// Holder asks keepers for rights on behalf of a daemon's agents, and passes on what it gets. The agents count what
+// Client asks keepers for rights on behalf of a daemon's agents, and passes on what it gets. The agents count what
 // they use, each in a book of its own (decide/quota), and report.
-type Holder struct {
+type Client struct {
 	s       Settings
 	name    string
 	life    uint64
@@ -80,10 +80,10 @@
 	local, life, number uint64
 }
 
-// Given are rights for one agent.
-type Given struct {
+// AgentLeases are rights for one agent.
+type AgentLeases struct {
 	Agent  uint32
-	Rights []quota.Right
+	Leases []quota.Lease
 }
 
 const (
@@ -93,13 +93,13 @@
 	rowIdle   = 30 * time.Second // after which a part that nobody uses is not asked for
 )
 
-// NewHolder returns one that has no rights yet.
-func NewHolder(s Settings, name string, life uint64) (*Holder, error) {
+// NewClient returns one that has no rights yet.
+func NewClient(s Settings, name string, life uint64) (*Client, error) {
 	s, err := s.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	h := &Holder{s: s, name: name, life: life, print: s.Print(), agents: map[uint32]*agent{}, keepers: make([]keeperSeen, len(s.Keepers)),
+	h := &Client{s: s, name: name, life: life, print: s.Fingerprint(), agents: map[uint32]*agent{}, keepers: make([]keeperSeen, len(s.Servers)),
 		asks: map[uint64]sentAsk{}, ended: map[uint32]bool{}}
 	for i := range s.Limits {
 		h.prints = append(h.prints, s.Limits[i].print())
@@ -107,11 +107,11 @@
 	return h, nil
 }
 
-// Follow has it go on with other limits. What it has of those that are as they were it keeps. It reports false, and
+// ApplySettings has it go on with other limits. What it has of those that are as they were it keeps. It reports false, and
 // nothing has changed, where keepers or terms differ: then another holder has to begin.
-func (h *Holder) Follow(s Settings) bool {
+func (h *Client) ApplySettings(s Settings) bool {
 	s, err := s.withDefaults()
-	if err != nil || s.Print() != h.print {
+	if err != nil || s.Fingerprint() != h.print {
 		return false
 	}
 	was := h.prints
@@ -140,16 +140,16 @@
 }
 
 // begin has a row for each limit that has one part.
-func (h *Holder) begin(now time.Duration, id uint32) {
+func (h *Client) begin(now time.Duration, id uint32) {
 	for i, l := range h.s.Limits {
-		if l.Each == quota.EachNone {
+		if l.Partition == quota.NotPartitioned {
 			h.row(now, id, rowID{i, ""})
 		}
 	}
 }
 
-// Join has it ask for an agent too. An agent's number is not used again in a holder's life.
-func (h *Holder) Join(now time.Duration, id uint32) {
+// AddAgent has it ask for an agent too. An agent's number is not used again in a holder's life.
+func (h *Client) AddAgent(now time.Duration, id uint32) {
 	if h.agents[id] != nil {
 		return
 	}
@@ -161,34 +161,34 @@
 	}
 }
 
-func (h *Holder) row(now time.Duration, id uint32, at rowID) *holdRow {
+func (h *Client) row(now time.Duration, id uint32, at rowID) *holdRow {
 	a := h.agents[id]
 	r := a.rows[at]
 	if r == nil {
-		r = &holdRow{loans: make([]holdLoan, len(h.s.Keepers)), at: now}
+		r = &holdRow{loans: make([]holdLoan, len(h.s.Servers)), at: now}
 		a.rows[at] = r
 		a.order = append(a.order, at)
 	}
 	return r
 }
 
-// Gone forgets an agent that has ended with nothing in flight, and is what to tell each keeper, so that its rights
+// RemoveAgent forgets an agent that has ended with nothing in flight, and is what to tell each keeper, so that its rights
 // are lent to others at once. What is lost of that lapses.
-func (h *Holder) Gone(now time.Duration, id uint32) (all []*Ask, to []int) {
+func (h *Client) RemoveAgent(now time.Duration, id uint32) (all []*Request, to []int) {
 	a := h.agents[id]
 	if a == nil {
 		return nil, nil
 	}
 	for k := range h.keepers {
-		var items []AskItem
+		var items []RequestItem
 		for _, at := range a.order {
 			if x := a.rows[at].loans[k]; x.number > 0 {
-				items = append(items, AskItem{Agent: id, Print: h.prints[at.limit], Key: at.key, Have: over, Used: a.rows[at].usedNow(now, h.s.Limits[at.limit].Counts, k)})
+				items = append(items, RequestItem{Agent: id, Fingerprint: h.prints[at.limit], Key: at.key, LastGrant: over, Used: a.rows[at].usedNow(now, h.s.Limits[at.limit].Kind, k)})
 			}
 		}
-		for part := range slices.Chunk(items, ItemsMost) {
+		for part := range slices.Chunk(items, MaxItems) {
 			h.seq++
-			all, to = append(all, &Ask{From: h.name, Life: h.life, Print: h.print, Seq: h.seq, Keeper: h.keepers[k].life, Items: part}), append(to, k)
+			all, to = append(all, &Request{From: h.name, RunID: h.life, Fingerprint: h.print, Seq: h.seq, ServerRunID: h.keepers[k].life, Items: part}), append(to, k)
 		}
 	}
 	delete(h.agents, id)
@@ -198,20 +198,20 @@
 }
 
 // usedNow is what may still count of an agent that has ended: of rates, all that it last had.
-func (r *holdRow) usedNow(_ time.Duration, c quota.Counts, k int) int {
-	if !c.Rate() {
+func (r *holdRow) usedNow(_ time.Duration, c quota.Kind, k int) int {
+	if !c.IsRate() {
 		return 0
 	}
 	return max(r.loans[k].used, r.loans[k].amount)
 }
 
-// Held takes an agent's report. Where something lacked a right, keepers are asked soon.
-func (h *Holder) Held(now time.Duration, id uint32, all []quota.Holding) {
+// ReportUsage takes an agent's report. Where something lacked a right, keepers are asked soon.
+func (h *Client) ReportUsage(now time.Duration, id uint32, all []quota.Usage) {
 	if h.agents[id] == nil {
 		if h.ended[id] {
 			return
 		}
-		h.Join(now, id) // that it came was lost on the way
+		h.AddAgent(now, id) // that it came was lost on the way
 	}
 	short, less := false, make([]bool, len(h.keepers))
 	used := map[rowID]int{}
@@ -223,11 +223,11 @@
 		at := rowID{n, x.Key}
 		r := h.row(now, id, at)
 		used[at] += x.Used
-		if x.Turned > 0 || x.Begun > 0 {
-			r.tried = append(r.tried, tried{now, x.Begun, x.Turned})
-			short = short || x.Turned > 0
+		if x.Rejected > 0 || x.Started > 0 {
+			r.tried = append(r.tried, tried{now, x.Started, x.Rejected})
+			short = short || x.Rejected > 0
 		}
-		k := slices.Index(h.s.Keepers, x.Keeper)
+		k := slices.Index(h.s.Servers, x.Grantor)
 		if k < 0 {
 			continue
 		}
@@ -246,7 +246,7 @@
 	}
 	for at, n := range used {
 		r := h.agents[id].rows[at]
-		r.learn(now, n, h.s.Limits[at.limit].Counts)
+		r.learn(now, n, h.s.Limits[at.limit].Kind)
 		short = short || n > 0 && r.low(now)
 	}
 	for k := range h.keepers {
@@ -258,7 +258,7 @@
 
 // learn reckons what an agent needs: what it uses, and what it would have used besides of what it turned away in the
 // last second. What is in flight goes up and down by chance, and is smoothed on its way down.
-func (r *holdRow) learn(now time.Duration, used int, c quota.Counts) {
+func (r *holdRow) learn(now time.Duration, used int, c quota.Kind) {
 	r.tried = slices.DeleteFunc(r.tried, func(t tried) bool { return now-t.at >= span })
 	begun, turned := 0, 0
 	for _, t := range r.tried {
@@ -266,14 +266,14 @@
 	}
 	need := float64(used)
 	switch {
-	case c.Rate():
+	case c.IsRate():
 		need += float64(turned)
 	case begun > 0:
 		need *= 1 + float64(turned)/float64(begun)
 	default:
 		need += math.Sqrt(float64(turned))
 	}
-	if !c.Rate() && need < r.need {
+	if !c.IsRate() && need < r.need {
 		w := math.Exp(-float64(now-r.learnt) / float64(smoothed))
 		need = w*r.need + (1-w)*need
 	}
@@ -296,13 +296,13 @@
 }
 
 // hurry has a keeper asked soon.
-func (h *Holder) hurry(k int, now time.Duration) {
+func (h *Client) hurry(k int, now time.Duration) {
 	s := &h.keepers[k]
 	s.nextAt = min(s.nextAt, max(now, s.sent+max(soonest, s.gap)))
 }
 
 // Next is when Asks is to be called at the latest.
-func (h *Holder) Next() time.Duration {
+func (h *Client) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, k := range h.keepers {
 		next = min(next, k.nextAt)
@@ -310,8 +310,8 @@
 	return next
 }
 
-// Asks are what is to be sent now: to the keeper of the place that each has.
-func (h *Holder) Asks(now time.Duration) (all []*Ask, to []int) {
+// Requests are what is to be sent now: to the keeper of the place that each has.
+func (h *Client) Requests(now time.Duration) (all []*Request, to []int) {
 	var answering []int
 	for k, s := range h.keepers {
 		if s.heard && now-s.at < h.s.Term/2 {
@@ -327,12 +327,12 @@
 		s := &h.keepers[k]
 		if now < s.nextAt || len(h.agents) == 0 {
 			if len(h.agents) == 0 {
-				s.nextAt = now + idleRenew*h.s.Renew
+				s.nextAt = now + idleRenew*h.s.RenewInterval
 			}
 			continue
 		}
 		busy := false
-		var items []AskItem
+		var items []RequestItem
 		for _, id := range h.order {
 			a := h.agents[id]
 			for n, at := range a.order {
@@ -345,19 +345,19 @@
 			}
 			a.tidy(now)
 		}
-		s.sent, s.nextAt = now, now+h.s.Renew
+		s.sent, s.nextAt = now, now+h.s.RenewInterval
 		if !busy {
-			s.nextAt = now + idleRenew*h.s.Renew
+			s.nextAt = now + idleRenew*h.s.RenewInterval
 		}
-		for part := range slices.Chunk(items, ItemsMost) {
+		for part := range slices.Chunk(items, MaxItems) {
 			h.seq++
 			h.asks[h.seq] = sentAsk{k, now}
-			all, to = append(all, &Ask{From: h.name, Life: h.life, Print: h.print, Seq: h.seq, Keeper: s.life, Items: part}), append(to, k)
+			all, to = append(all, &Request{From: h.name, RunID: h.life, Fingerprint: h.print, Seq: h.seq, ServerRunID: s.life, Items: part}), append(to, k)
 		}
 	}
 	if len(all) > 0 {
 		for seq, a := range h.asks {
-			if now-a.at > h.s.Longest+h.s.Term {
+			if now-a.at > h.s.MaxAttemptTime+h.s.Term {
 				delete(h.asks, seq)
 			}
 		}
@@ -377,7 +377,7 @@
 }
 
 // item is what is asked of one keeper for one row: an even part of what is needed, of those that answer.
-func (h *Holder) item(id uint32, n int, at rowID, r *holdRow, k int, answering []int) AskItem {
+func (h *Client) item(id uint32, n int, at rowID, r *holdRow, k int, answering []int) RequestItem {
 	need := int(math.Ceil(r.need))
 	want := need + 1 + int(2*math.Sqrt(r.need))
 	place, of := slices.Index(answering, k), len(answering)
@@ -386,16 +386,16 @@
 	}
 	place = (place + int(id) + n) % of // what does not divide is asked of another by each
 	x := &r.loans[k]
-	item := AskItem{Agent: id, Print: h.prints[at.limit], Key: at.key, Need: Part(need, place, of), Want: Part(want, place, of)}
+	item := RequestItem{Agent: id, Fingerprint: h.prints[at.limit], Key: at.key, Need: GrantorShare(need, place, of), Desired: GrantorShare(want, place, of)}
 	if x.haveOf == h.keepers[k].life {
-		item.Have, item.Used = x.have, x.used
+		item.LastGrant, item.Used = x.have, x.used
 	}
 	return item
 }
 
-// Granted takes a keeper's answer, and is what its agents may use from now on. An answer to no question that is out is
+// HandleGrant takes a keeper's answer, and is what its agents may use from now on. An answer to no question that is out is
 // not taken: it may be late by any time, or doubled; nor is an item that is older than one that was taken.
-func (h *Holder) Granted(now time.Duration, keeper int, g *Grant) []Given {
+func (h *Client) HandleGrant(now time.Duration, keeper int, g *Grant) []AgentLeases {
 	if g == nil || keeper < 0 || keeper >= len(h.keepers) {
 		return nil
 	}
@@ -405,16 +405,16 @@
 	}
 	delete(h.asks, g.Seq)
 	s := &h.keepers[keeper]
-	s.life, s.heard, s.at = g.Life, true, now
-	s.gap = min(2*max(s.gap, soonest), h.s.Renew)
-	var all []Given
+	s.life, s.heard, s.at = g.RunID, true, now
+	s.gap = min(2*max(s.gap, soonest), h.s.RenewInterval)
+	var all []AgentLeases
 	for _, item := range g.Items {
-		n := slices.Index(h.prints, item.Print)
+		n := slices.Index(h.prints, item.Fingerprint)
 		if n < 0 || h.agents[item.Agent] == nil || h.agents[item.Agent].rows[rowID{n, item.Key}] == nil {
 			continue
 		}
 		x := &h.agents[item.Agent].rows[rowID{n, item.Key}].loans[keeper]
-		if x.life == g.Life && item.Number <= x.number {
+		if x.life == g.RunID && item.Number <= x.number {
 			continue
 		}
 		l := &h.s.Limits[n]
@@ -422,46 +422,46 @@
 			s.gap = soonest
 		}
 		// From the moment at which it was asked for: the keeper counts from a later one.
-		x.amount, x.until, x.number, x.life = max(0, item.Amount), ask.at+h.s.term(l.Counts), item.Number, g.Life
+		x.amount, x.until, x.number, x.life = max(0, item.Amount), ask.at+h.s.term(l.Kind), item.Number, g.RunID
 		h.local++
-		x.sent = append(x.sent, sentRight{h.local, g.Life, item.Number})
+		x.sent = append(x.sent, sentRight{h.local, g.RunID, item.Number})
 		if len(x.sent) > 64 { // its agent does not hear: what it took is found again by what it takes next
 			x.sent = x.sent[32:]
 		}
-		right := quota.Right{Limit: l.Name, Key: item.Key, Keeper: h.s.Keepers[keeper], Number: h.local, Amount: x.amount, Until: x.until}
-		if l.Counts.Rate() {
-			right.Span, right.Within = h.s.window(l)
+		right := quota.Lease{Limit: l.Name, Key: item.Key, Grantor: h.s.Servers[keeper], Number: h.local, Amount: x.amount, Expires: x.until}
+		if l.Kind.IsRate() {
+			right.Span, right.StartWithin = h.s.window(l)
 		}
-		if at := slices.IndexFunc(all, func(g Given) bool { return g.Agent == item.Agent }); at >= 0 {
-			all[at].Rights = append(all[at].Rights, right)
+		if at := slices.IndexFunc(all, func(g AgentLeases) bool { return g.Agent == item.Agent }); at >= 0 {
+			all[at].Leases = append(all[at].Leases, right)
 		} else {
-			all = append(all, Given{item.Agent, []quota.Right{right}})
+			all = append(all, AgentLeases{item.Agent, []quota.Lease{right}})
 		}
 	}
 	return all
 }
 
 // Agents are those that it asks for.
-func (h *Holder) Agents() []uint32 { return h.order }
+func (h *Client) Agents() []uint32 { return h.order }
 
-// Standing is how one limit, or part of one, stands at this daemon, for operators.
-type Standing struct {
+// ClientLimitStatus is how one limit, or part of one, stands at this daemon, for operators.
+type ClientLimitStatus struct {
 	Limit, Key string
 	Used       int // in flight, or begun in the last second, as agents last reported
-	Turned     int // in the last second
-	Rights     []StandingRight
+	Rejected   int // in the last second
+	Leases     []ClientLeaseStatus
 }
 
-// StandingRight is what one keeper has lent.
-type StandingRight struct {
-	Keeper string
-	Amount int
-	Left   time.Duration // until the first of them lapses
+// ClientLeaseStatus is what one keeper has lent.
+type ClientLeaseStatus struct {
+	Server    string
+	Amount    int
+	Remaining time.Duration // until the first of them lapses
 }
 
-// Standings are of all limits, in their order.
-func (h *Holder) Standings(now time.Duration) []Standing {
-	sums := map[rowID]*Standing{}
+// Status are of all limits, in their order.
+func (h *Client) Status(now time.Duration) []ClientLimitStatus {
+	sums := map[rowID]*ClientLimitStatus{}
 	var order []rowID
 	for _, id := range h.order {
 		a := h.agents[id]
@@ -469,9 +469,9 @@
 			r := a.rows[at]
 			s := sums[at]
 			if s == nil {
-				s = &Standing{Limit: h.s.Limits[at.limit].Name, Key: at.key, Rights: make([]StandingRight, len(h.keepers))}
+				s = &ClientLimitStatus{Limit: h.s.Limits[at.limit].Name, Key: at.key, Leases: make([]ClientLeaseStatus, len(h.keepers))}
 				for k := range h.keepers {
-					s.Rights[k].Keeper = h.s.Keepers[k]
+					s.Leases[k].Server = h.s.Servers[k]
 				}
 				sums[at] = s
 				order = append(order, at)
@@ -479,21 +479,21 @@
 			s.Used += r.used
 			for _, t := range r.tried {
 				if now-t.at < span {
-					s.Turned += t.turned
+					s.Rejected += t.turned
 				}
 			}
 			for k, x := range r.loans {
 				if left := x.until - now; left > 0 && x.amount > 0 {
-					s.Rights[k].Amount += x.amount
-					if s.Rights[k].Left == 0 || left < s.Rights[k].Left {
-						s.Rights[k].Left = left
+					s.Leases[k].Amount += x.amount
+					if s.Leases[k].Remaining == 0 || left < s.Leases[k].Remaining {
+						s.Leases[k].Remaining = left
 					}
 				}
 			}
 		}
 	}
 	slices.SortFunc(order, func(a, b rowID) int { return cmp.Or(cmp.Compare(a.limit, b.limit), cmp.Compare(a.key, b.key)) })
-	var all []Standing
+	var all []ClientLimitStatus
 	for _, at := range order {
 		all = append(all, *sums[at])
 	}
--- a/internal/peer/lease/keeper.go
+++ b/internal/peer/lease/keeper.go
@@ -9,8 +9,8 @@
 	"vetchhaven/decide/quota"
 )
 
-// Keeper lends its part of each limit.
-type Keeper struct {
+// Server lends its part of each limit.
+type Server struct {
 	s      Settings
 	name   string
 	life   uint64
@@ -75,83 +75,83 @@
 	forgetAfter = 10 * time.Second       // of a holder that has nothing and asks no more
 )
 
-// NewKeeper returns one that has lent nothing in this life.
-func NewKeeper(s Settings, name string, life uint64) (*Keeper, error) {
+// NewServer returns one that has lent nothing in this life.
+func NewServer(s Settings, name string, life uint64) (*Server, error) {
 	s, err := s.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{s: s, name: name, life: life, place: slices.Index(s.Keepers, name)}
+	k := &Server{s: s, name: name, life: life, place: slices.Index(s.Servers, name)}
 	if k.place < 0 {
 		return nil, fmt.Errorf("limits: %q is no keeper", name)
 	}
 	for _, l := range s.Limits {
-		k.limits = append(k.limits, &kept{Limit: l, print: l.print(), part: Part(l.Figure, k.place, len(s.Keepers)), rows: map[string]*lendRow{}})
+		k.limits = append(k.limits, &kept{Limit: l, print: l.print(), part: GrantorShare(l.Total, k.place, len(s.Servers)), rows: map[string]*lendRow{}})
 	}
 	return k, nil
 }
 
 // Tick is to be called now and then: a keeper that did not run for long finds out by it. Another process may have
 // been started in its place meanwhile, and lends: then it goes on as one that has just started.
-func (k *Keeper) Tick(now time.Duration) {
+func (k *Server) Tick(now time.Duration) {
 	if !k.began || now-k.last > k.s.Term/2 {
 		for _, l := range k.limits {
-			l.from = max(l.from, now+k.s.lent(l.Counts))
+			l.from = max(l.from, now+k.s.lent(l.Kind))
 		}
 	}
 	k.began, k.last = true, max(now, k.last)
 }
 
-// Follow has it go on for the keeper whose settings have changed: what that one lent is lent.
-func (k *Keeper) Follow(old *Keeper) {
+// TakeOver has it go on for the keeper whose settings have changed: what that one lent is lent.
+func (k *Server) TakeOver(old *Server) {
 	k.began, k.last, k.life, k.count = old.began, old.last, old.life, old.count
 	for _, l := range k.limits {
 		// One that was not there, or was lent for another term: all of that has to lapse.
-		l.from = k.last + max(k.s.lent(l.Counts), old.s.lent(l.Counts))
+		l.from = k.last + max(k.s.lent(l.Kind), old.s.lent(l.Kind))
 		for _, o := range old.limits {
-			if o.print == l.print && old.s.Print() == k.s.Print() {
+			if o.print == l.print && old.s.Fingerprint() == k.s.Fingerprint() {
 				l.rows, l.from = o.rows, o.from
 			}
 		}
 	}
 }
 
-// Asked takes what a holder asks, and is the answer; nil: none.
-func (k *Keeper) Asked(now time.Duration, a *Ask) *Grant {
+// HandleRequest takes what a holder asks, and is the answer; nil: none.
+func (k *Server) HandleRequest(now time.Duration, a *Request) *Grant {
 	k.Tick(now)
-	if a == nil || a.From == "" || a.Print != k.s.Print() || len(a.Items) > 4*ItemsMost {
+	if a == nil || a.From == "" || a.Fingerprint != k.s.Fingerprint() || len(a.Items) > 4*MaxItems {
 		return nil
 	}
-	g := &Grant{From: k.name, Life: k.life, Seq: a.Seq}
+	g := &Grant{From: k.name, RunID: k.life, Seq: a.Seq}
 	for _, i := range a.Items {
-		if a.Keeper != k.life && i.Have != over { // of an earlier life, all of whose grants have lapsed
-			i.Have, i.Used = 0, 0
+		if a.ServerRunID != k.life && i.LastGrant != over { // of an earlier life, all of whose grants have lapsed
+			i.LastGrant, i.Used = 0, 0
 		}
 		for _, l := range k.limits {
-			if l.print != i.Print {
+			if l.print != i.Fingerprint {
 				continue
 			}
 			r := l.rows[i.Key]
-			if r != nil && r.holders[holderID{a.From, a.Life, i.Agent}].later(a.Seq) {
+			if r != nil && r.holders[holderID{a.From, a.RunID, i.Agent}].later(a.Seq) {
 				continue
 			}
 			if r == nil {
-				if len(l.rows) >= rowsMost || l.Each == quota.EachNone && i.Key != "" {
+				if len(l.rows) >= rowsMost || l.Partition == quota.NotPartitioned && i.Key != "" {
 					continue
 				}
 				r = &lendRow{holders: map[holderID]*borrower{}}
 				l.rows[i.Key] = r
 			}
 			k.count++
-			amount := r.lend(now, k.s, k.place, l, holderID{a.From, a.Life, i.Agent}, &i, a.Seq, k.count)
-			g.Items = append(g.Items, GrantItem{i.Agent, i.Print, i.Key, k.count, amount})
+			amount := r.lend(now, k.s, k.place, l, holderID{a.From, a.RunID, i.Agent}, &i, a.Seq, k.count)
+			g.Items = append(g.Items, GrantItem{i.Agent, i.Fingerprint, i.Key, k.count, amount})
 		}
 	}
 	return g
 }
 
 // lend books what a holder has now, and grants it what it may have from now on.
-func (r *lendRow) lend(now time.Duration, s Settings, place int, l *kept, id holderID, i *AskItem, seq, number uint64) int {
+func (r *lendRow) lend(now time.Duration, s Settings, place int, l *kept, id holderID, i *RequestItem, seq, number uint64) int {
 	b := r.holders[id]
 	if b == nil {
 		b = &borrower{}
@@ -159,18 +159,18 @@
 		at, _ := slices.BinarySearchFunc(r.order, id, compareID)
 		r.order = slices.Insert(r.order, at, id)
 	}
-	b.need, b.want, b.seq, b.asked = max(0, i.Need), max(0, i.Need, i.Want), seq, now
+	b.need, b.want, b.seq, b.asked = max(0, i.Need), max(0, i.Need, i.Desired), seq, now
 	b.used = i.Used
-	b.settle(now, s, i, l.Counts)
+	b.settle(now, s, i, l.Kind)
 	if len(r.order) <= refreshFew || now-r.at >= refreshEach || r.at == 0 {
 		r.refresh(now, s, place, l)
 	}
 	amount := 0
-	if now >= l.from && i.Have != over {
+	if now >= l.from && i.LastGrant != over {
 		amount = max(0, min(b.steady(), l.part+l.slack(l.part)-(r.out-b.out)))
 	}
 	b.last = amount
-	b.loans = append(b.loans, loan{number, amount, now + s.lent(l.Counts)})
+	b.loans = append(b.loans, loan{number, amount, now + s.lent(l.Kind)})
 	was := b.out
 	b.out = b.most(now)
 	r.out += b.out - was
@@ -196,24 +196,24 @@
 // settle forgets loans that the holder no longer goes by: it has taken a later one. What it had in use at that moment
 // may be so still: in flight until it says otherwise, or until its right would have ended; begun within a second, for
 // a second.
-func (b *borrower) settle(now time.Duration, s Settings, i *AskItem, c quota.Counts) {
+func (b *borrower) settle(now time.Duration, s Settings, i *RequestItem, c quota.Kind) {
 	keep := b.loans[:0]
 	last := time.Duration(0)
 	for _, x := range b.loans {
 		switch {
 		case now >= x.Until:
-		case x.Number >= i.Have && i.Have != over:
+		case x.Number >= i.LastGrant && i.LastGrant != over:
 			keep = append(keep, x)
 		default:
 			last = max(last, x.Until)
 		}
 	}
-	if i.Used > 0 && i.Have > 0 {
+	if i.Used > 0 && i.LastGrant > 0 {
 		// Where nothing of it was left here, it may be in flight for longer than any right: an upload, while it says so.
 		used := loan{Amount: i.Used, Until: now + s.lent(c)}
-		if c.Rate() {
+		if c.IsRate() {
 			used.Until = now + s.surely(span+within)
-		} else if i.Have == over {
+		} else if i.LastGrant == over {
 			used.Until = last
 		}
 		if now < used.Until {
@@ -256,7 +256,7 @@
 func (r *lendRow) reckon(now time.Duration, s Settings, place int, l *kept) {
 	var all []*borrower
 	// Where there are fewer rights than holders, each keeper goes on by as many as it has rights, and begins elsewhere.
-	turn := (int(now/(turns*s.Term))*len(s.Keepers) + place) * max(1, l.part) % max(1, len(r.order))
+	turn := (int(now/(turns*s.Term))*len(s.Servers) + place) * max(1, l.part) % max(1, len(r.order))
 	used := 0
 	for n := range r.order {
 		b := r.holders[r.order[(n+turn)%len(r.order)]]
@@ -288,7 +288,7 @@
 		return
 	}
 	r.steered = now
-	r.slack = min(Slack, max(0, r.slack+steerBy*float64(l.part-used)/float64(max(1, l.part))))
+	r.slack = min(MaxOvercommit, max(0, r.slack+steerBy*float64(l.part-used)/float64(max(1, l.part))))
 }
 
 // spread adds to each share what its holder wants of a total, or an even share of that where it is too little: at least
@@ -335,33 +335,33 @@
 	return given
 }
 
-// Lent is how much of a limit's part is lent, for operators.
-type Lent struct {
-	Limit, Key string
-	Part       int
-	Out        int
-	Waits      time.Duration // nothing is lent for so long yet
-	Holders    map[string]int
+// LimitStatus is how much of a limit's part is lent, for operators.
+type LimitStatus struct {
+	Limit, Key    string
+	Share         int
+	Leased        int
+	WaitRemaining time.Duration // nothing is lent for so long yet
+	Holders       map[string]int
 }
 
-// Lents are of all limits, in their order.
-func (k *Keeper) Lents(now time.Duration) []Lent {
-	var all []Lent
+// Status are of all limits, in their order.
+func (k *Server) Status(now time.Duration) []LimitStatus {
+	var all []LimitStatus
 	for _, l := range k.limits {
 		var keys []string
 		for key := range l.rows {
 			keys = append(keys, key)
 		}
 		slices.Sort(keys)
-		if len(keys) == 0 && l.Each == quota.EachNone {
+		if len(keys) == 0 && l.Partition == quota.NotPartitioned {
 			keys = []string{""}
 		}
 		for _, key := range keys {
-			one := Lent{Limit: l.Name, Key: key, Part: l.part, Waits: max(0, l.from-now), Holders: map[string]int{}}
+			one := LimitStatus{Limit: l.Name, Key: key, Share: l.part, WaitRemaining: max(0, l.from-now), Holders: map[string]int{}}
 			if r := l.rows[key]; r != nil {
 				for _, id := range r.order {
 					if n := r.holders[id].most(now); n > 0 {
-						one.Out += n
+						one.Leased += n
 						one.Holders[id.name] += n
 					}
 				}
@@ -372,50 +372,50 @@
 	return all
 }
 
-// KeeperState is what a process that takes a keeper's place without a gap has to know.
-type KeeperState struct {
-	Life   uint64      `cbor:"1,keyasint,omitempty"`
-	Count  uint64      `cbor:"2,keyasint,omitempty"`
-	Print  uint64      `cbor:"3,keyasint,omitempty"`
-	Limits []KeptState `cbor:"4,keyasint,omitempty"`
+// ServerState is what a process that takes a keeper's place without a gap has to know.
+type ServerState struct {
+	RunID       uint64       `cbor:"1,keyasint,omitempty"`
+	Count       uint64       `cbor:"2,keyasint,omitempty"`
+	Fingerprint uint64       `cbor:"3,keyasint,omitempty"`
+	Limits      []LimitState `cbor:"4,keyasint,omitempty"`
 }
 
-// KeptState is one limit's.
-type KeptState struct {
-	Print uint64        `cbor:"1,keyasint,omitempty"`
-	Waits time.Duration `cbor:"2,keyasint,omitempty"`
-	Rows  []RowState    `cbor:"3,keyasint,omitempty"`
+// LimitState is one limit's.
+type LimitState struct {
+	Fingerprint   uint64        `cbor:"1,keyasint,omitempty"`
+	WaitRemaining time.Duration `cbor:"2,keyasint,omitempty"`
+	Rows          []RowState    `cbor:"3,keyasint,omitempty"`
 }
 
 // RowState is one part's.
 type RowState struct {
-	Key     string          `cbor:"1,keyasint,omitempty"`
-	Holders []BorrowerState `cbor:"2,keyasint,omitempty"`
+	Key     string        `cbor:"1,keyasint,omitempty"`
+	Holders []HolderState `cbor:"2,keyasint,omitempty"`
 }
 
-// BorrowerState is one holder's. Times are what is left: the successor counts them from when it starts, which is later.
-type BorrowerState struct {
-	Name  string `cbor:"1,keyasint,omitempty"`
-	Life  uint64 `cbor:"2,keyasint,omitempty"`
-	Agent uint32 `cbor:"3,keyasint,omitempty"`
-	Loans []loan `cbor:"4,keyasint,omitempty"`
+// HolderState is one holder's. Times are what is left: the successor counts them from when it starts, which is later.
+type HolderState struct {
+	Name   string `cbor:"1,keyasint,omitempty"`
+	RunID  uint64 `cbor:"2,keyasint,omitempty"`
+	Agent  uint32 `cbor:"3,keyasint,omitempty"`
+	Leases []loan `cbor:"4,keyasint,omitempty"`
 }
 
 // State is the keeper's, for the process that takes its place. This one lends nothing any more.
-func (k *Keeper) State(now time.Duration) *KeeperState {
-	st := &KeeperState{Life: k.life, Count: k.count, Print: k.s.Print()}
+func (k *Server) State(now time.Duration) *ServerState {
+	st := &ServerState{RunID: k.life, Count: k.count, Fingerprint: k.s.Fingerprint()}
 	for _, l := range k.limits {
-		ks := KeptState{Print: l.print, Waits: max(0, l.from-now)}
+		ks := LimitState{Fingerprint: l.print, WaitRemaining: max(0, l.from-now)}
 		if !k.began {
-			ks.Waits = k.s.lent(l.Counts)
+			ks.WaitRemaining = k.s.lent(l.Kind)
 		}
 		for key, r := range l.rows {
 			rs := RowState{Key: key}
 			for _, id := range r.order {
-				bs := BorrowerState{Name: id.name, Life: id.life, Agent: id.agent}
+				bs := HolderState{Name: id.name, RunID: id.life, Agent: id.agent}
 				for _, x := range r.holders[id].loans {
 					if x.Until > now {
-						bs.Loans = append(bs.Loans, loan{x.Number, x.Amount, x.Until - now})
+						bs.Leases = append(bs.Leases, loan{x.Number, x.Amount, x.Until - now})
 					}
 				}
 				rs.Holders = append(rs.Holders, bs)
@@ -428,24 +428,24 @@
 }
 
 // Resume takes over what another process had lent. It reports whether that fits: else this one starts anew.
-func (k *Keeper) Resume(now time.Duration, st *KeeperState) bool {
-	if st == nil || st.Print != k.s.Print() || k.began {
+func (k *Server) Resume(now time.Duration, st *ServerState) bool {
+	if st == nil || st.Fingerprint != k.s.Fingerprint() || k.began {
 		return false
 	}
-	k.life, k.count, k.began, k.last = st.Life, st.Count, true, now
+	k.life, k.count, k.began, k.last = st.RunID, st.Count, true, now
 	for _, l := range k.limits {
-		l.from = now + k.s.lent(l.Counts)
+		l.from = now + k.s.lent(l.Kind)
 		for _, ks := range st.Limits {
-			if ks.Print != l.print {
+			if ks.Fingerprint != l.print {
 				continue
 			}
-			l.from = now + ks.Waits
+			l.from = now + ks.WaitRemaining
 			for _, rs := range ks.Rows {
 				r := &lendRow{holders: map[holderID]*borrower{}}
 				for _, bs := range rs.Holders {
-					id := holderID{bs.Name, bs.Life, bs.Agent}
+					id := holderID{bs.Name, bs.RunID, bs.Agent}
 					b := &borrower{asked: now}
-					for _, x := range bs.Loans {
+					for _, x := range bs.Leases {
 						b.loans = append(b.loans, loan{x.Number, x.Amount, now + x.Until})
 					}
 					r.holders[id] = b
--- a/internal/peer/lease/lease_test.go
+++ b/internal/peer/lease/lease_test.go
@@ -8,22 +8,22 @@
 	"vetchhaven/decide/quota"
 )
 
-func settings(figure int, c quota.Counts, keepers ...string) Settings {
-	return Settings{Keepers: keepers, Longest: time.Second, Limits: []Limit{{Limit: quota.Limit{Name: "l", Counts: c, Class: -1, Zone: -1, Cell: -1}, Figure: figure, Hard: true}}}
+func settings(figure int, c quota.Kind, keepers ...string) Settings {
+	return Settings{Servers: keepers, MaxAttemptTime: time.Second, Limits: []Limit{{Limit: quota.Limit{Name: "l", Kind: c, Class: -1, Zone: -1, Cell: -1}, Total: figure, Hard: true}}}
 }
 
 // bench is one keeper, past its start, and questions to it.
 type bench struct {
 	t   *testing.T
 	s   Settings
-	k   *Keeper
+	k   *Server
 	now time.Duration
 	seq uint64
 }
 
 func newBench(t *testing.T, s Settings) *bench {
 	t.Helper()
-	k, err := NewKeeper(s, "k", 7)
+	k, err := NewServer(s, "k", 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,12 +40,12 @@
 func (b *bench) ask(from string, need int, have uint64, used int) (amount int, number uint64) {
 	b.t.Helper()
 	b.seq++
-	return b.asked(&Ask{From: from, Life: 1, Print: b.k.s.Print(), Seq: b.seq, Keeper: b.k.life,
-		Items: []AskItem{{Agent: 1, Print: b.k.limits[0].print, Need: need, Want: need, Have: have, Used: used}}})
+	return b.asked(&Request{From: from, RunID: 1, Fingerprint: b.k.s.Fingerprint(), Seq: b.seq, ServerRunID: b.k.life,
+		Items: []RequestItem{{Agent: 1, Fingerprint: b.k.limits[0].print, Need: need, Desired: need, LastGrant: have, Used: used}}})
 }
 
-func (b *bench) asked(a *Ask) (amount int, number uint64) {
-	g := b.k.Asked(b.now, a)
+func (b *bench) asked(a *Request) (amount int, number uint64) {
+	g := b.k.HandleRequest(b.now, a)
 	if g == nil || len(g.Items) == 0 {
 		return 0, 0
 	}
@@ -75,9 +75,9 @@
 }
 
 func TestNothingIsLentTwiceAfterAnOldQuestion(t *testing.T) {
-	b := newBench(t, settings(10, quota.PerSecond, "k"))
+	b := newBench(t, settings(10, quota.Requests, "k"))
 	_, n := b.ask("x", 10, 0, 0)
-	late := &Ask{From: "x", Life: 1, Print: b.k.s.Print(), Seq: b.seq, Keeper: 7, Items: []AskItem{{Agent: 1, Print: b.k.limits[0].print, Have: n}}}
+	late := &Request{From: "x", RunID: 1, Fingerprint: b.k.s.Fingerprint(), Seq: b.seq, ServerRunID: 7, Items: []RequestItem{{Agent: 1, Fingerprint: b.k.limits[0].print, LastGrant: n}}}
 	_, n = b.ask("x", 0, n, 0)
 	b.ask("x", 0, n, 10) // ten have begun, and it goes by none any more
 	b.asked(late)        // from before they began, and on its way until now
@@ -92,9 +92,9 @@
 }
 
 func TestKeeperLendsNothingUntilOthersHaveLapsed(t *testing.T) {
-	for _, c := range []quota.Counts{quota.InFlight, quota.PerSecond} {
+	for _, c := range []quota.Kind{quota.InFlight, quota.Requests} {
 		s := settings(10, c, "k")
-		k, _ := NewKeeper(s, "k", 7)
+		k, _ := NewServer(s, "k", 7)
 		b := &bench{t: t, s: s, k: k, now: time.Hour}
 		lent := k.s.lent(c)
 		k.Tick(b.now)
@@ -132,7 +132,7 @@
 	b := newBench(t, settings(10, quota.InFlight, "k"))
 	has, _ := b.ask("x", 8, 0, 0)
 	st := b.k.State(b.now)
-	next, _ := NewKeeper(b.s, "k", 99)
+	next, _ := NewServer(b.s, "k", 99)
 	if !next.Resume(5*time.Second, st) || next.life != 7 {
 		t.Fatal("not taken over")
 	}
@@ -142,17 +142,17 @@
 	}
 	lower := b.s
 	lower.Limits = slices.Clone(b.s.Limits)
-	lower.Limits[0].Figure = 5
-	changed, _ := NewKeeper(lower, "k", 7)
-	changed.Follow(b.k)
+	lower.Limits[0].Total = 5
+	changed, _ := NewServer(lower, "k", 7)
+	changed.TakeOver(b.k)
 	c := &bench{t: t, s: lower, k: changed, now: b.now, seq: 100}
 	if got, _ := c.ask("y", 10, 0, 0); got != 0 {
 		t.Errorf("of a figure lowered to 5 it lends %d beside 8", got)
 	}
 	other := b.s
-	other.Keepers = []string{"k", "m"}
-	moved, _ := NewKeeper(other, "k", 7)
-	moved.Follow(b.k)
+	other.Servers = []string{"k", "m"}
+	moved, _ := NewServer(other, "k", 7)
+	moved.TakeOver(b.k)
 	m := &bench{t: t, s: other, k: moved, now: b.now, seq: 100}
 	if got, _ := m.ask("y", 10, 0, 0); got != 0 {
 		t.Errorf("with other keepers it lends %d at once", got)
@@ -160,9 +160,9 @@
 	// With a shorter term than that for which it lent: not before the longer one is over.
 	long := b.k.s.lent(quota.InFlight)
 	short := b.s
-	short.Term = Term / 2
-	quick, _ := NewKeeper(short, "k", 7)
-	quick.Follow(b.k)
+	short.Term = DefaultTerm / 2
+	quick, _ := NewServer(short, "k", 7)
+	quick.TakeOver(b.k)
 	q := &bench{t: t, s: short, k: quick, now: b.now, seq: 100}
 	for end := b.now + long; q.now < end; q.now += 100 * time.Millisecond {
 		if got, _ := q.ask("y", 10, 0, 0); got != 0 {
@@ -172,7 +172,7 @@
 }
 
 func TestEveryHolderHasATurn(t *testing.T) {
-	b := newBench(t, settings(2, quota.PerSecond, "k"))
+	b := newBench(t, settings(2, quota.Requests, "k"))
 	have := map[string]uint64{}
 	had := map[string]int{}
 	for range 400 {
@@ -191,71 +191,71 @@
 }
 
 // holding is a holder with one agent, its book, and keepers that answer by hand.
-func holding(t *testing.T, s Settings) (*Holder, *quota.Book) {
+func holding(t *testing.T, s Settings) (*Client, *quota.Ledger) {
 	t.Helper()
-	h, err := NewHolder(s, "x", 5)
+	h, err := NewClient(s, "x", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Join(time.Hour, 1)
-	b := &quota.Book{}
-	b.Set([]quota.Limit{s.Limits[0].Limit})
+	h.AddAgent(time.Hour, 1)
+	b := &quota.Ledger{}
+	b.SetLimits([]quota.Limit{s.Limits[0].Limit})
 	return h, b
 }
 
 func TestHolderTakesNoAnswerThatIsOldOrDoubled(t *testing.T) {
-	h, b := holding(t, settings(10, quota.PerSecond, "k"))
+	h, b := holding(t, settings(10, quota.Requests, "k"))
 	now := time.Hour
-	asks, _ := h.Asks(now)
+	asks, _ := h.Requests(now)
 	first := asks[0]
 	grant := func(seq, number uint64, amount int) *Grant {
-		return &Grant{From: "k", Life: 7, Seq: seq, Items: []GrantItem{{Agent: 1, Print: first.Items[0].Print, Number: number, Amount: amount}}}
+		return &Grant{From: "k", RunID: 7, Seq: seq, Items: []GrantItem{{Agent: 1, Fingerprint: first.Items[0].Fingerprint, Number: number, Amount: amount}}}
 	}
 	now += 2 * time.Second
-	asks, _ = h.Asks(now)
-	given := h.Granted(now, 0, grant(asks[0].Seq, 2, 3))
-	if len(given) != 1 || given[0].Rights[0].Amount != 3 || given[0].Rights[0].Until != now+Term {
+	asks, _ = h.Requests(now)
+	given := h.HandleGrant(now, 0, grant(asks[0].Seq, 2, 3))
+	if len(given) != 1 || given[0].Leases[0].Amount != 3 || given[0].Leases[0].Expires != now+DefaultTerm {
 		t.Fatalf("%+v", given)
 	}
-	b.Grant(now, given[0].Rights)
-	h.Held(now, 1, b.Holdings(now))
+	b.SetLeases(now, given[0].Leases)
+	h.ReportUsage(now, 1, b.Usages(now))
 	for name, g := range map[string]*Grant{"older": grant(first.Seq, 1, 9), "doubled": grant(asks[0].Seq, 3, 9), "to nothing": grant(77, 4, 9)} {
-		if got := h.Granted(now, 0, g); len(got) > 0 {
+		if got := h.HandleGrant(now, 0, g); len(got) > 0 {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 	now += 2 * time.Second
-	asks, _ = h.Asks(now)
-	if i := asks[0].Items[0]; i.Have != 2 {
-		t.Errorf("it says that it goes by %d", i.Have)
+	asks, _ = h.Requests(now)
+	if i := asks[0].Items[0]; i.LastGrant != 2 {
+		t.Errorf("it says that it goes by %d", i.LastGrant)
 	}
-	if asks, _ := h.Gone(now, 1); len(asks) != 1 || asks[0].Items[0].Have != over {
+	if asks, _ := h.RemoveAgent(now, 1); len(asks) != 1 || asks[0].Items[0].LastGrant != over {
 		t.Errorf("%+v", asks)
 	}
-	h.Held(now, 1, nil)
+	h.ReportUsage(now, 1, nil)
 	if len(h.Agents()) > 0 {
 		t.Error("an agent that has ended is asked for again")
 	}
 }
 
 func TestBoundsAreAsTheFormulasSay(t *testing.T) {
-	s := settings(100, quota.PerSecond, "a", "b", "c")
-	b := s.Bound(s.Limits[0], 10)
-	if b.Most != 100 || b.AloneIs != 0 || !slices.Equal(b.Parts, []int{34, 33, 33}) {
+	s := settings(100, quota.Requests, "a", "b", "c")
+	b := s.Bounds(s.Limits[0], 10)
+	if b.Max != 100 || b.IsolatedAmount != 0 || !slices.Equal(b.Shares, []int{34, 33, 33}) {
 		t.Errorf("hard: %+v", b)
 	}
 	s.Limits[0].Hard = false
-	b = s.Bound(s.Limits[0], 10)
+	b = s.Bounds(s.Limits[0], 10)
 	// Lent: 34 + 8, 33 + 8, 33 + 8; floors: 100 x 0.25 / 10 = 2 each.
-	if b.Lent != 124 || b.AloneIs != 2 || b.Most != 144 {
+	if b.MaxLeased != 124 || b.IsolatedAmount != 2 || b.Max != 144 {
 		t.Errorf("soft: %+v", b)
 	}
-	b = s.Bound(s.Limits[0], 100) // a quarter of one a second each
-	if b.AloneIs != 1 || b.AloneFor < 4*time.Second {
+	b = s.Bounds(s.Limits[0], 100) // a quarter of one a second each
+	if b.IsolatedAmount != 1 || b.IsolatedSpan < 4*time.Second {
 		t.Errorf("soft, many: %+v", b)
 	}
-	for _, bad := range []Settings{{}, {Keepers: []string{"a"}, Term: time.Millisecond}, settings(0, 0, "a"), {Keepers: []string{"a"}, Drift: 0.9}} {
-		if _, err := NewHolder(bad, "x", 1); err == nil {
+	for _, bad := range []Settings{{}, {Servers: []string{"a"}, Term: time.Millisecond}, settings(0, 0, "a"), {Servers: []string{"a"}, ClockDrift: 0.9}} {
+		if _, err := NewClient(bad, "x", 1); err == nil {
 			t.Errorf("%+v is taken", bad)
 		}
 	}
--- a/internal/peer/lease/play/play.go
+++ b/internal/peer/lease/play/play.go
@@ -40,7 +40,7 @@
 	Holders int
 	Keepers int // the first holders
 	Figure  int
-	Counts  quota.Counts
+	Counts  quota.Kind
 	Soft    bool
 	Length  time.Duration
 	Demand  func(holder int, now time.Duration) float64 // requests a second wanted
@@ -89,9 +89,9 @@
 	n       int
 	rate    float64
 	offset  time.Duration
-	h       []*lease.Holder // one; of a quorum one for each keeper
-	book    []*quota.Book
-	k       *lease.Keeper
+	h       []*lease.Client // one; of a quorum one for each keeper
+	book    []*quota.Ledger
+	k       *lease.Server
 	life    uint64
 	paused  bool
 	dead    bool // and what comes for it is lost
@@ -119,8 +119,8 @@
 // Play plays it to its end.
 func Play(o Options) (*Result, error) {
 	w := &world{o: o, rng: rand.New(rand.NewPCG(o.Seed, 21)), down: map[[2]int]bool{}}
-	w.s = lease.Settings{Longest: 4 * o.Lasts,
-		Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Counts: o.Counts, Class: -1, Zone: -1, Cell: -1}, Figure: o.Figure, Hard: !o.Soft}}}
+	w.s = lease.Settings{MaxAttemptTime: 4 * o.Lasts,
+		Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Kind: o.Counts, Class: -1, Zone: -1, Cell: -1}, Total: o.Figure, Hard: !o.Soft}}}
 	switch o.Way {
 	case Leader:
 		w.o.Keepers = 1
@@ -128,11 +128,11 @@
 		w.o.Keepers = 3
 	}
 	for k := range w.o.Keepers {
-		w.s.Keepers = append(w.s.Keepers, name(k))
+		w.s.Servers = append(w.s.Servers, name(k))
 	}
-	w.r.Bound = w.s.Bound(w.s.Limits[0], o.Holders).Most
+	w.r.Bound = w.s.Bounds(w.s.Limits[0], o.Holders).Max
 	for n := range o.Holders {
-		m := &member{n: n, rate: 1 + o.Rates*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Float64() * float64(time.Hour)), tokens: lease.Part(o.Figure, n, o.Holders)}
+		m := &member{n: n, rate: 1 + o.Rates*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Float64() * float64(time.Hour)), tokens: lease.GrantorShare(o.Figure, n, o.Holders)}
 		if o.Way == Gossip {
 			m.heard = make([]int, o.Holders)
 		}
@@ -186,7 +186,7 @@
 func (w *world) settings(k int) lease.Settings {
 	s := w.s
 	if w.o.Way == Quorum {
-		s.Keepers = []string{name(k)}
+		s.Servers = []string{name(k)}
 	}
 	return s
 }
@@ -199,19 +199,19 @@
 		books = w.o.Keepers
 	}
 	for k := range books {
-		h, err := lease.NewHolder(w.settings(k), name(m.n), m.life)
+		h, err := lease.NewClient(w.settings(k), name(m.n), m.life)
 		if err != nil {
 			return err
 		}
-		b := &quota.Book{}
-		b.Set([]quota.Limit{w.s.Limits[0].Limit})
-		h.Join(m.clock(w.now), agent)
-		b.Grant(m.clock(w.now), w.settings(k).Floors(w.o.Holders))
+		b := &quota.Ledger{}
+		b.SetLimits([]quota.Limit{w.s.Limits[0].Limit})
+		h.AddAgent(m.clock(w.now), agent)
+		b.SetLeases(m.clock(w.now), w.settings(k).Floors(w.o.Holders))
 		m.h, m.book = append(m.h, h), append(m.book, b)
 	}
 	if m.n < w.o.Keepers {
 		var err error
-		if m.k, err = lease.NewKeeper(w.settings(m.n), name(m.n), m.life); err != nil {
+		if m.k, err = lease.NewServer(w.settings(m.n), name(m.n), m.life); err != nil {
 			return err
 		}
 	}
@@ -234,7 +234,7 @@
 		}
 	case Gossip:
 		if now := m.clock(w.now); now >= m.nextAsk {
-			m.nextAsk = now + lease.Renew
+			m.nextAsk = now + lease.DefaultRenewInterval
 			used := m.use(w)
 			for to := range w.members {
 				if to != m.n {
@@ -247,7 +247,7 @@
 
 // use is what a member has in use by its own count.
 func (m *member) use(w *world) int {
-	if !w.o.Counts.Rate() {
+	if !w.o.Counts.IsRate() {
 		return m.running
 	}
 	for len(m.recent) > 0 && w.now-m.recent[0] >= time.Second {
@@ -257,7 +257,7 @@
 }
 
 func (w *world) ask(m *member, i int) {
-	asks, to := m.h[i].Asks(m.clock(w.now))
+	asks, to := m.h[i].Requests(m.clock(w.now))
 	for n, a := range asks {
 		at := to[n]
 		if w.o.Way == Quorum {
@@ -269,7 +269,7 @@
 		}
 		w.send(m.n, at, size, func() {
 			k := w.members[at]
-			g := k.k.Asked(k.clock(w.now), a)
+			g := k.k.HandleRequest(k.clock(w.now), a)
 			if g == nil {
 				return
 			}
@@ -289,10 +289,10 @@
 
 func (w *world) granted(m *member, i, place int, g *lease.Grant) {
 	now := m.clock(w.now)
-	for _, x := range m.h[i].Granted(now, place, g) {
+	for _, x := range m.h[i].HandleGrant(now, place, g) {
 		w.r.Grants++
-		m.book[i].Grant(now, x.Rights)
-		m.h[i].Held(now, agent, m.book[i].Holdings(now))
+		m.book[i].SetLeases(now, x.Leases)
+		m.h[i].ReportUsage(now, agent, m.book[i].Usages(now))
 	}
 }
 
@@ -389,7 +389,7 @@
 	}
 	w.r.Each[m.n][w.now/(100*time.Millisecond)]++
 	m.recent = append(m.recent, w.now)
-	if w.o.Counts.Rate() {
+	if w.o.Counts.IsRate() {
 		for len(w.begun) > 0 && w.now-w.begun[0] >= time.Second {
 			w.begun = w.begun[1:]
 		}
@@ -416,7 +416,7 @@
 	now := m.clock(w.now)
 	switch w.o.Way {
 	case Static:
-		return func() {}, m.use(w) < lease.Part(w.o.Figure, m.n, w.o.Holders)
+		return func() {}, m.use(w) < lease.GrantorShare(w.o.Figure, m.n, w.o.Holders)
 	case Gossip:
 		sum := m.use(w)
 		for n, u := range m.heard {
@@ -432,11 +432,11 @@
 		w.beg(m)
 		return nil, false
 	}
-	u := &quota.Use{Class: 0, First: true, Ends: now + 4*w.o.Lasts}
+	u := &quota.Demand{Class: 0, FirstAttempt: true, EndsBy: now + 4*w.o.Lasts}
 	if m.short(w, now, u) {
 		for i := range m.h {
-			if m.book[i].Asked() && now >= m.nextAsk {
-				m.h[i].Held(now, agent, m.book[i].Holdings(now))
+			if m.book[i].Active() && now >= m.nextAsk {
+				m.h[i].ReportUsage(now, agent, m.book[i].Usages(now))
 			}
 		}
 		if now >= m.nextAsk {
@@ -444,10 +444,10 @@
 		}
 		return nil, false
 	}
-	var taken [][]quota.Taken
+	var taken [][]quota.Reservation
 	for _, b := range m.book {
-		if len(m.book) == 1 || b.Short(now, u, false) == nil {
-			t, _, _, _ := b.Take(now, u)
+		if len(m.book) == 1 || b.RefusedBy(now, u, false) == nil {
+			t, _, _, _ := b.Reserve(now, u)
 			taken = append(taken, t)
 		} else {
 			taken = append(taken, nil)
@@ -456,16 +456,16 @@
 	books := m.book
 	return func() {
 		for i, t := range taken {
-			books[i].Give(m.clock(w.now), t, true)
+			books[i].Release(m.clock(w.now), t, true)
 		}
 	}, true
 }
 
 // short reports whether there is no right: of a quorum, not two.
-func (m *member) short(w *world, now time.Duration, u *quota.Use) bool {
+func (m *member) short(w *world, now time.Duration, u *quota.Demand) bool {
 	have := 0
 	for _, b := range m.book {
-		if b.Short(now, u, true) == nil {
+		if b.RefusedBy(now, u, true) == nil {
 			have++
 		}
 	}
@@ -506,7 +506,7 @@
 		total += w.o.Demand(n, w.now)
 	}
 	most := float64(w.o.Figure)
-	if !w.o.Counts.Rate() {
+	if !w.o.Counts.IsRate() {
 		most /= w.o.Lasts.Seconds()
 	}
 	w.allowed += min(1, most/total)
--- a/internal/peer/lease/play/play_test.go
+++ b/internal/peer/lease/play/play_test.go
@@ -22,11 +22,11 @@
 }
 
 func TestHardLimitIsNeverPassed(t *testing.T) {
-	for _, counts := range []quota.Counts{quota.InFlight, quota.PerSecond} {
+	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests} {
 		begun, crashes, near := 0, 0, 0
 		for seed := range uint64(8) {
 			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 1 + 2*int(seed%3), Figure: 20 + int(seed), Counts: counts, Length: 60 * time.Second,
-				Demand: even(60), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.Drift})
+				Demand: even(60), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.DefaultClockDrift})
 			if r.Over > 0 {
 				t.Errorf("%v, seed %d: %d times over, %d of %d at the most", counts, seed, r.Over, r.Most, 20+int(seed))
 			}
@@ -40,10 +40,10 @@
 
 func TestSoftLimitKeepsItsBound(t *testing.T) {
 	over := 0
-	for _, counts := range []quota.Counts{quota.InFlight, quota.PerSecond} {
+	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests} {
 		for seed := range uint64(6) {
 			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 3, Figure: 60, Soft: true, Counts: counts, Length: 40 * time.Second,
-				Demand: even(30), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.Drift})
+				Demand: even(30), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.DefaultClockDrift})
 			if r.Most > r.Bound {
 				t.Errorf("%v, seed %d: %d, where %d is the bound", counts, seed, r.Most, r.Bound)
 			}
@@ -86,7 +86,7 @@
 		{"two fifths", even(5), false, 0.97}, {"four fifths", even(10), false, 0.80}, {"all wanted twice", even(24), false, 0.84},
 		{"uneven", uneven, false, 0.82}, {"soft, four fifths", even(10), true, 0.95}, {"soft, uneven", uneven, true, 0.95},
 	} {
-		r := run(t, Options{Seed: 1, Holders: 10, Keepers: 3, Figure: 120, Soft: c.soft, Counts: quota.PerSecond, Length: 60 * time.Second, Demand: c.demand, From: 10 * time.Second})
+		r := run(t, Options{Seed: 1, Holders: 10, Keepers: 3, Figure: 120, Soft: c.soft, Counts: quota.Requests, Length: 60 * time.Second, Demand: c.demand, From: 10 * time.Second})
 		t.Logf("%s: served %.3f, most %d of %d, %d messages of %d bytes", c.name, r.Served, r.Most, r.Bound, r.Messages, r.Bytes)
 		if r.Served < c.least {
 			t.Errorf("%s: %.3f of what is wanted or allowed", c.name, r.Served)
@@ -96,7 +96,7 @@
 
 func TestShiftIsFollowed(t *testing.T) {
 	for _, soft := range []bool{false, true} {
-		for _, counts := range []quota.Counts{quota.PerSecond, quota.InFlight} {
+		for _, counts := range []quota.Kind{quota.Requests, quota.InFlight} {
 			r := run(t, Options{Seed: 2, Holders: 10, Keepers: 3, Figure: 120, Soft: soft, Counts: counts, Lasts: 100 * time.Millisecond, Length: 40 * time.Second, From: 10 * time.Second,
 				Demand: func(n int, now time.Duration) float64 {
 					if (n == 1) == (now > 20*time.Second) && n < 2 {
--- a/internal/peer/transport/disk.go
+++ b/internal/peer/transport/disk.go
@@ -29,7 +29,7 @@
 	Number   uint64 `cbor:"7,keyasint,omitempty"`
 	UpMS     int64  `cbor:"8,keyasint,omitempty"`
 	// What it has lent as a keeper of limits, and when by CLOCK_MONOTONIC.
-	Lent *lease.KeeperState `cbor:"9,keyasint,omitempty"`
+	Lent *lease.ServerState `cbor:"9,keyasint,omitempty"`
 	// How it stands towards the policy, and when that was so by CLOCK_MONOTONIC.
 	Policy   *policy.HandoffState `cbor:"10,keyasint,omitempty"`
 	PolicyAt int64                `cbor:"11,keyasint,omitempty"`
--- a/internal/peer/transport/golden_test.go
+++ b/internal/peer/transport/golden_test.go
@@ -39,7 +39,7 @@
 		"wire-message.bin":  &membership.Message{},
 		"wire-exchange.bin": &membership.Exchange{},
 		"wire-outlier.bin":  &ejection.Message{},
-		"wire-ask.bin":      &lease.Ask{},
+		"wire-ask.bin":      &lease.Request{},
 		"wire-grant.bin":    &lease.Grant{},
 	} {
 		golden.Fill(message)
--- a/internal/peer/transport/sharing.go
+++ b/internal/peer/transport/sharing.go
@@ -14,9 +14,9 @@
 
 // packet is a datagram of what members share, besides the view.
 type packet struct {
-	From  string       `cbor:"1,keyasint,omitempty"`
-	Ask   *lease.Ask   `cbor:"2,keyasint,omitempty"`
-	Grant *lease.Grant `cbor:"3,keyasint,omitempty"`
+	From  string         `cbor:"1,keyasint,omitempty"`
+	Ask   *lease.Request `cbor:"2,keyasint,omitempty"`
+	Grant *lease.Grant   `cbor:"3,keyasint,omitempty"`
 
 	Verdicts *ejection.Message `cbor:"4,keyasint,omitempty"`
 }
@@ -27,7 +27,7 @@
 	gone   struct{ agent uint32 }
 	held   struct {
 		agent uint32
-		all   []quota.Holding
+		all   []quota.Usage
 	}
 )
 
@@ -35,8 +35,8 @@
 type sharing struct {
 	c      *Carrier
 	s      *lease.Settings
-	holder *lease.Holder
-	keeper *lease.Keeper // nil: this member keeps nothing
+	holder *lease.Client
+	keeper *lease.Server // nil: this member keeps nothing
 	sent   uint64
 	bytes  uint64
 }
@@ -54,18 +54,18 @@
 		before = c.o.Before.sharing
 	}
 	var err error
-	if before.holder != nil && before.holder.Follow(*s.s) {
+	if before.holder != nil && before.holder.ApplySettings(*s.s) {
 		s.holder = before.holder
-	} else if s.holder, err = lease.NewHolder(*s.s, c.o.View.Name, rand.Uint64()|1); err != nil {
+	} else if s.holder, err = lease.NewClient(*s.s, c.o.View.Name, rand.Uint64()|1); err != nil {
 		return nil, err
 	}
-	if slices.Contains(s.s.Keepers, c.o.View.Name) {
-		if s.keeper, err = lease.NewKeeper(*s.s, c.o.View.Name, c.o.View.Life); err != nil {
+	if slices.Contains(s.s.Servers, c.o.View.Name) {
+		if s.keeper, err = lease.NewServer(*s.s, c.o.View.Name, c.o.View.Life); err != nil {
 			return nil, err
 		}
 		switch {
 		case before.keeper != nil:
-			s.keeper.Follow(before.keeper)
+			s.keeper.TakeOver(before.keeper)
 		case saved != nil && saved.Parallel && !s.keeper.Resume(c.now(), saved.Lent):
 			c.log.Info("fleet: limits: what the process before had lent is not known; nothing is lent until it has lapsed")
 		}
@@ -74,7 +74,7 @@
 }
 
 // state is what a successor has to know of a keeper.
-func (s *sharing) state(now time.Duration) *lease.KeeperState {
+func (s *sharing) state(now time.Duration) *lease.ServerState {
 	if s.keeper == nil {
 		return nil
 	}
@@ -98,14 +98,14 @@
 		s.keeper.Tick(now)
 	}
 	if s.holder != nil && now >= s.holder.Next() {
-		s.ask(s.holder.Asks(now))
+		s.ask(s.holder.Requests(now))
 	}
 }
 
 // ask sends questions to keepers.
-func (s *sharing) ask(all []*lease.Ask, to []int) {
+func (s *sharing) ask(all []*lease.Request, to []int) {
 	for i, a := range all {
-		s.send(s.s.Keepers[to[i]], &packet{Ask: a})
+		s.send(s.s.Servers[to[i]], &packet{Ask: a})
 	}
 }
 
@@ -140,11 +140,11 @@
 	case *packet:
 		s.took(now, x)
 	case joined:
-		s.holder.Join(now, x.agent)
+		s.holder.AddAgent(now, x.agent)
 	case held:
-		s.holder.Held(now, x.agent, x.all)
+		s.holder.ReportUsage(now, x.agent, x.all)
 	case gone: // also while another process has the sockets: what this one had is free for it
-		s.ask(s.holder.Gone(now, x.agent))
+		s.ask(s.holder.RemoveAgent(now, x.agent))
 	}
 }
 
@@ -153,13 +153,13 @@
 		return // the process that follows has what was lent
 	}
 	if p.Ask != nil && s.keeper != nil && !s.c.v.StandsBack() && p.Ask.From == p.From {
-		if g := s.keeper.Asked(now, p.Ask); g != nil {
+		if g := s.keeper.HandleRequest(now, p.Ask); g != nil {
 			s.send(p.From, &packet{Grant: g})
 		}
 	}
 	if p.Grant != nil && p.Grant.From == p.From {
-		for _, g := range s.holder.Granted(now, slices.Index(s.s.Keepers, p.From), p.Grant) {
-			s.c.o.Lend(g.Agent, g.Rights, s.c.base)
+		for _, g := range s.holder.HandleGrant(now, slices.Index(s.s.Servers, p.From), p.Grant) {
+			s.c.o.Lend(g.Agent, g.Leases, s.c.base)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 func (c *Carrier) Gone(agent uint32) { c.post(input{shared: gone{agent}}) }
 
 // Held passes on how an agent's rights stand. It does not wait.
-func (c *Carrier) Held(agent uint32, all []quota.Holding) { c.share(held{agent, all}) }
+func (c *Carrier) Held(agent uint32, all []quota.Usage) { c.share(held{agent, all}) }
 
 // ShownLimits is how the limits stand, at this daemon and, of what it keeps, in all.
 type ShownLimits struct {
@@ -229,16 +229,16 @@
 		now := c.now()
 		h := c.sharing
 		s = ShownLimits{Name: c.o.View.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), Most: c.v.Count().Most}
-		for _, x := range h.holder.Standings(now) {
-			one := ShownHeld{Limit: x.Limit, Key: x.Key, Used: x.Used, Turned: x.Turned}
-			for _, r := range x.Rights {
-				one.Rights = append(one.Rights, ShownRight{r.Keeper, r.Amount, r.Left.Round(time.Millisecond).Seconds()})
+		for _, x := range h.holder.Status(now) {
+			one := ShownHeld{Limit: x.Limit, Key: x.Key, Used: x.Used, Turned: x.Rejected}
+			for _, r := range x.Leases {
+				one.Rights = append(one.Rights, ShownRight{r.Server, r.Amount, r.Remaining.Round(time.Millisecond).Seconds()})
 			}
 			s.Held = append(s.Held, one)
 		}
 		if h.keeper != nil {
-			for _, x := range h.keeper.Lents(now) {
-				s.Kept = append(s.Kept, ShownKept{x.Limit, x.Key, x.Part, x.Out, x.Waits.Round(time.Millisecond).Seconds(), x.Holders})
+			for _, x := range h.keeper.Status(now) {
+				s.Kept = append(s.Kept, ShownKept{x.Limit, x.Key, x.Share, x.Leased, x.WaitRemaining.Round(time.Millisecond).Seconds(), x.Holders})
 			}
 		}
 	})
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -46,7 +46,7 @@
 	Agree     func(life uint64) *Agreement // on the fleet's policy, for a member's life; nil: there is none
 	Agreement *Agreement                   // it, from the carrier before, if the member goes on with its life; nil: Agree makes one
 	// Lend gives an agent rights, which it may use until what Until says after base. It must not wait.
-	Lend func(agent uint32, all []quota.Right, base time.Time)
+	Lend func(agent uint32, all []quota.Lease, base time.Time)
 }
 
 // Carrier is one member of a fleet, on its sockets.
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -357,27 +357,27 @@
 
 // What a keeper has lent goes to its successor with the view: maps in arrays in maps, ten deep.
 func TestSavedWithWhatIsLentIsReadBack(t *testing.T) {
-	s := lease.Settings{Keepers: []string{"k"}, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Counts: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Figure: 10, Hard: true}}}
-	k, err := lease.NewKeeper(s, "k", 7)
+	s := lease.Settings{Servers: []string{"k"}, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Kind: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Total: 10, Hard: true}}}
+	k, err := lease.NewServer(s, "k", 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := lease.NewHolder(s, "x", 5)
+	h, err := lease.NewClient(s, "x", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	k.Tick(0)
-	h.Join(0, 1)
-	asks, _ := h.Asks(0)
+	h.AddAgent(0, 1)
+	asks, _ := h.Requests(0)
 	for _, a := range asks {
-		k.Asked(time.Second, a)
+		k.HandleRequest(time.Second, a)
 	}
 	data, err := EncodeSaved(&Saved{Boot: 1, Parallel: true, Lent: k.State(time.Second)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := DecodeSaved(data)
-	if err != nil || got.Lent == nil || len(got.Lent.Limits) != 1 || len(got.Lent.Limits[0].Rows) != 1 || len(got.Lent.Limits[0].Rows[0].Holders[0].Loans) != 1 {
+	if err != nil || got.Lent == nil || len(got.Lent.Limits) != 1 || len(got.Lent.Limits[0].Rows) != 1 || len(got.Lent.Limits[0].Rows[0].Holders[0].Leases) != 1 {
 		t.Errorf("%+v: %v", got, err)
 	}
 }
--- a/internal/peer/transport/wire.go
+++ b/internal/peer/transport/wire.go
@@ -29,7 +29,7 @@
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...), nil
 	case *ejection.Message:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Verdicts: m})
-	case *lease.Ask:
+	case *lease.Request:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Ask: m})
 	case *lease.Grant:
 		return enclose(sharedForm, w.Fleet, &packet{From: from, Grant: m})
--- a/internal/protocol/ldap/shared_test.go
+++ b/internal/protocol/ldap/shared_test.go
@@ -17,11 +17,11 @@
 )
 
 // limited starts an agent of which a kind of use is limited, and nothing lent yet.
-func limited(t *testing.T, counts quota.Counts) (*running, *client.Conn, *directory.Directory) {
+func limited(t *testing.T, counts quota.Kind) (*running, *client.Conn, *directory.Directory) {
 	t.Helper()
 	d := dir(t, "one", directory.Options{})
 	r := start(t, testConfig(t, d), Options{})
-	if !r.Limit([]quota.Limit{{Name: "shared", Counts: counts, Class: -1, Zone: -1, Cell: -1}}) {
+	if !r.Limit([]quota.Limit{{Name: "shared", Kind: counts, Class: -1, Zone: -1, Cell: -1}}) {
 		t.Fatal("the agent has not heard of its limit")
 	}
 	return r, r.dial(t), d
@@ -29,13 +29,13 @@
 
 func lend(t *testing.T, r *running, amount int) {
 	t.Helper()
-	if !r.Lend([]core.Right{{Right: quota.Right{Limit: "shared", Keeper: "k", Number: 1, Amount: amount, Span: time.Minute}, Until: time.Now().Add(time.Hour)}}) {
+	if !r.Lend([]core.Right{{Lease: quota.Lease{Limit: "shared", Grantor: "k", Number: 1, Amount: amount, Span: time.Minute}, Until: time.Now().Add(time.Hour)}}) {
 		t.Fatal("the agent has not heard of its right")
 	}
 }
 
 func TestWithoutARightAnOperationIsRefusedByItsLimit(t *testing.T) {
-	for _, counts := range []quota.Counts{quota.InFlight, quota.PerSecond, quota.Attempts} {
+	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests, quota.Attempts} {
 		r, c, d := limited(t, counts)
 		_, err := c.Search(one())
 		var e *client.Error
@@ -53,7 +53,7 @@
 }
 
 func TestWithoutARightToConnectNoneIsOpened(t *testing.T) {
-	r, c, d := limited(t, quota.Dials)
+	r, c, d := limited(t, quota.NewConnections)
 	if _, err := c.Search(one()); err == nil {
 		t.Fatal("a search was served with no connection and no right to open one")
 	}
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -67,7 +67,7 @@
 			}
 			return 26
 		}, Cut: []int{0}, Cut0: 5 * time.Second, Cut1: time.Hour}},
-		{"crashes, pauses, lost and late messages", play.Options{Demand: even(24), Faults: true, Rates: lease.Drift}},
+		{"crashes, pauses, lost and late messages", play.Options{Demand: even(24), Faults: true, Rates: lease.DefaultClockDrift}},
 	}
 	bench.Head("of 120 a second", "way", "used", "most in any second", "over in so many begins")
 	type key struct{ c, w int }
@@ -76,7 +76,7 @@
 	err := bench.Each(len(cases)*(int(play.Ways)+1), runtime.NumCPU(), func(i int) error {
 		c, w := i/(int(play.Ways)+1), i%(int(play.Ways)+1)
 		o := cases[c].o
-		o.Seed, o.Holders, o.Keepers, o.Figure, o.Counts, o.Length, o.From = 1, 10, 3, 120, quota.PerSecond, 60*time.Second, 20*time.Second
+		o.Seed, o.Holders, o.Keepers, o.Figure, o.Counts, o.Length, o.From = 1, 10, 3, 120, quota.Requests, 60*time.Second, 20*time.Second
 		if o.Way = play.Way(w); w == int(play.Ways) {
 			o.Way, o.Soft = play.Keepers, true
 		}
@@ -112,12 +112,12 @@
 	var mu sync.Mutex
 	err := bench.Each(n, runtime.NumCPU(), func(i int) error {
 		rng := rand.New(rand.NewPCG(uint64(i), 71))
-		o := play.Options{Seed: uint64(i), Holders: 10 + int(290*rng.Float64()*rng.Float64()), Keepers: 1 + rng.IntN(5), Counts: []quota.Counts{quota.InFlight, quota.PerSecond}[i%2], Soft: i%4 >= 2,
-			Lasts: time.Duration(20+rng.IntN(300)) * time.Millisecond, Length: 40 * time.Second, Faults: true, Rates: lease.Drift, From: 10 * time.Second,
+		o := play.Options{Seed: uint64(i), Holders: 10 + int(290*rng.Float64()*rng.Float64()), Keepers: 1 + rng.IntN(5), Counts: []quota.Kind{quota.InFlight, quota.Requests}[i%2], Soft: i%4 >= 2,
+			Lasts: time.Duration(20+rng.IntN(300)) * time.Millisecond, Length: 40 * time.Second, Faults: true, Rates: lease.DefaultClockDrift, From: 10 * time.Second,
 			Every: []time.Duration{700 * time.Millisecond, 3 * time.Second, 10 * time.Second}[rng.IntN(3)]}
 		o.Figure = 10 + rng.IntN(300)
 		wanted := float64(o.Figure) * (0.7 + 2*rng.Float64())
-		if !o.Counts.Rate() {
+		if !o.Counts.IsRate() {
 			wanted /= o.Lasts.Seconds()
 		}
 		wanted = min(wanted, 3000)
@@ -187,7 +187,7 @@
 			figure := 10 * n
 			begin := time.Now()
 			length := 20 * time.Second
-			r, err := play.Play(play.Options{Seed: 1, Holders: n, Keepers: 3, Figure: figure, Counts: quota.PerSecond, Length: length, Demand: even(10 * of)})
+			r, err := play.Play(play.Options{Seed: 1, Holders: n, Keepers: 3, Figure: figure, Counts: quota.Requests, Length: length, Demand: even(10 * of)})
 			if err != nil {
 				return err
 			}
@@ -259,7 +259,7 @@
 	rng := rand.New(rand.NewPCG(seed, 81))
 	p := &plan.Plan{Name: fmt.Sprint("random-", seed), Daemons: 8, Servers: 3, Rate: 20, Zones: 1, Seeds: []int{0, 1}, Length: 40 * time.Second, Takes: 60 * time.Millisecond,
 		Keepers: []int{0, 1, 2}[:1+2*rng.IntN(2)], Term: 2 * time.Second, Real: true,
-		Limits: []plan.Limit{{Name: "at-once", Counts: quota.InFlight, Figure: 6 + rng.IntN(6), Hard: true}, {Name: "all", Counts: quota.PerSecond, Figure: 60 + rng.IntN(60), Hard: rng.IntN(2) == 0}},
+		Limits: []plan.Limit{{Name: "at-once", Counts: quota.InFlight, Figure: 6 + rng.IntN(6), Hard: true}, {Name: "all", Counts: quota.Requests, Figure: 60 + rng.IntN(60), Hard: rng.IntN(2) == 0}},
 		Bounds: checker.Bounds{Crash: 20 * time.Second, Leave: 20 * time.Second, Join: 20 * time.Second, Settle: 15 * time.Second, Pause: 3 * time.Second, BytesIdle: 1 << 20, BytesMost: 1 << 20, Used: 0.01}}
 	at := 8 * time.Second
 	for at < 34*time.Second {
