--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -50,14 +50,14 @@
 		wake: make([]time.Duration, f.Whole), byAddr: map[string]int{}}
 	for n := range f.Members {
 		r := membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Program: "virtual",
-			Boot: 1_790_000_000, Life: uint64(n)*2654435761 + 1, Instances: 1, Balancers: 1}
+			Boot: 1_790_000_000, RunID: uint64(n)*2654435761 + 1, Instances: 1, Balancers: 1}
 		w.all = append(w.all, r)
 		w.byAddr[r.Addr] = n
 	}
 	for n := range f.Whole {
 		r := w.all[n]
-		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Program: r.Program, Boot: r.Boot, Life: r.Life, Instances: 1, Balancers: 1,
-			Known: w.all, Parallel: true, Members: f.Members + 1, FileCount: 1}, w.rng.Uint64())
+		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Program: r.Program, Boot: r.Boot, RunID: r.RunID, Instances: 1, Balancers: 1,
+			Known: w.all, TakesOver: true, MaxMembers: f.Members + 1, ConfiguredBalancers: 1}, w.rng.Uint64())
 		if err != nil {
 			return nil, fmt.Errorf("a whole member of %d: %w", f.Members, err)
 		}
@@ -89,7 +89,7 @@
 	w.after(after, func() {
 		r := &w.all[from]
 		w.number[from]++
-		m.From, m.Boot, m.Life, m.Number, m.Digest = r.Name, r.Boot, r.Life, w.number[from], w.whole[to].Digest()
+		m.From, m.Boot, m.RunID, m.Number, m.Digest = r.Name, r.Boot, r.RunID, w.number[from], w.whole[to].Digest()
 		data, err := w.wire.Marshal(m.From, m)
 		if err != nil {
 			panic("hollow: " + err.Error()) // the model's own message
@@ -99,13 +99,13 @@
 			panic("hollow: " + err.Error())
 		}
 		w.m.took(w.now, to, len(data))
-		w.step(to, membership.Datagram{Message: read.(*membership.Message), Size: len(data)})
+		w.step(to, membership.DatagramReceived{Message: read.(*membership.Message), Size: len(data)})
 	})
 }
 
 // probed has a whole member probed as often as each member is: once in Every, in the mean.
 func (w *few) probed(to int) {
-	w.after(time.Duration(w.rng.ExpFloat64()*float64(membership.Every)), func() {
+	w.after(time.Duration(w.rng.ExpFloat64()*float64(membership.DefaultProbeInterval)), func() {
 		from := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 		if w.all[from].State == membership.Alive {
 			w.played(from, to, w.way(from, to), &membership.Message{Kind: membership.Ping, Seq: w.rng.Uint32(), Target: plan.Name(to), Addr: w.all[from].Addr})
@@ -120,16 +120,16 @@
 		n := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 		r := &w.all[n]
 		if r.State == membership.Alive {
-			r.State, r.By = membership.Dead, plan.Name(w.f.Whole)
+			r.State, r.Reporter = membership.Dead, plan.Name(w.f.Whole)
 		} else {
-			r.State, r.By, r.Boot, r.Life = membership.Alive, "", r.Boot+1, w.rng.Uint64()|1
+			r.State, r.Reporter, r.Boot, r.RunID = membership.Alive, "", r.Boot+1, w.rng.Uint64()|1
 		}
 		told := *r
 		for to := range w.whole {
 			for range int(w.f.Copies + w.rng.Float64()) {
 				from := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 				if w.all[from].State == membership.Alive {
-					w.played(from, to, time.Duration(w.rng.Float64()*float64(w.f.News)), &membership.Message{Kind: membership.News, Updates: []membership.Record{told}})
+					w.played(from, to, time.Duration(w.rng.Float64()*float64(w.f.News)), &membership.Message{Kind: membership.Gossip, Updates: []membership.Record{told}})
 				}
 			}
 		}
@@ -143,7 +143,7 @@
 		switch a := a.(type) {
 		case membership.Send:
 			w.sent(n, a)
-		case membership.Open: // the other's view is the same
+		case membership.OpenExchange: // the other's view is the same
 			w.exchange(n, a)
 		}
 	}
@@ -177,7 +177,7 @@
 		}
 		w.after(there, func() {
 			w.m.took(w.now, to, len(data))
-			w.step(to, membership.Datagram{Message: read.(*membership.Message), Size: len(data)})
+			w.step(to, membership.DatagramReceived{Message: read.(*membership.Message), Size: len(data)})
 		})
 		return
 	}
@@ -187,14 +187,14 @@
 	switch m := a.Message; m.Kind {
 	case membership.Ping:
 		w.played(to, from, there+w.way(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
-	case membership.PingFor:
+	case membership.IndirectPing:
 		if t, ok := w.byAddr[m.Addr]; ok && w.all[t].State == membership.Alive {
 			w.played(to, from, there+w.way(to, t)+w.way(t, to)+w.way(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
 		}
 	}
 }
 
-func (w *few) exchange(from int, a membership.Open) {
+func (w *few) exchange(from int, a membership.OpenExchange) {
 	data, err := w.wire.Marshal(plan.Name(from), a.Message)
 	if err != nil {
 		panic("hollow: " + err.Error())
@@ -202,20 +202,20 @@
 	w.m.sent(w.now, from, len(data))
 	to, ok := w.byAddr[a.To]
 	if !ok || w.all[to].State != membership.Alive {
-		w.after(2*time.Millisecond, func() { w.step(from, membership.Failed{ID: a.ID}) })
+		w.after(2*time.Millisecond, func() { w.step(from, membership.ExchangeFailed{ID: a.ID}) })
 		return
 	}
 	r := &w.all[to]
-	x := &membership.Exchange{From: r.Name, Boot: r.Boot, Life: r.Life}
-	w.after(2*w.way(from, to)+2*w.way(to, from), func() { w.step(from, membership.Answered{ID: a.ID, Message: x}) })
+	x := &membership.Exchange{From: r.Name, Boot: r.Boot, RunID: r.RunID}
+	w.after(2*w.way(from, to)+2*w.way(to, from), func() { w.step(from, membership.ExchangeResponse{ID: a.ID, Message: x}) })
 }
 
 // Whole is what a whole view of so many members takes on a stream: what one that has lost its own is sent.
 func Whole(members int) (int, error) {
-	x := &membership.Exchange{From: plan.Name(0), Boot: 1, Life: 1}
+	x := &membership.Exchange{From: plan.Name(0), Boot: 1, RunID: 1}
 	for n := range members {
 		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Program: "virtual",
-			Boot: 1_790_000_000, Life: uint64(n)*0x9e3779b97f4a7c15 + 1, Instances: 1, Balancers: 1, Checked: true})
+			Boot: 1_790_000_000, RunID: uint64(n)*0x9e3779b97f4a7c15 + 1, Instances: 1, Balancers: 1, NameVerified: true})
 	}
 	data, err := transport.Wire{Fleet: Fleet}.Marshal(x.From, x)
 	return len(data), err
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -190,7 +190,7 @@
 	c, err := transport.New(transport.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.said,
 		Verdicts: &ejection.Settings{}, Judged: func([]ejection.Ejection, time.Time) {}, // as daemons have them, with no requests to judge by
 		View: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
-			Every: p.Every, Direct: p.Direct, Indirect: p.Indirect, SuspectLeast: p.SuspectLeast, Bytes: p.Bytes, FileCount: 1}})
+			ProbeInterval: p.Every, ProbeTimeout: p.Direct, IndirectTimeout: p.Indirect, MinSuspicion: p.SuspectLeast, BytesPerSecond: p.Bytes, ConfiguredBalancers: 1}})
 	if err != nil {
 		return err
 	}
--- a/internal/faulttest/virtual/befall.go
+++ b/internal/faulttest/virtual/befall.go
@@ -40,19 +40,19 @@
 // told is what a daemon writes of an action.
 func told(a membership.Action) (checker.Line, bool) {
 	switch a := a.(type) {
-	case membership.Changed:
+	case membership.MemberChanged:
 		r := &a.Record
-		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, Life: life(r.Life), Boot: r.Boot, Inc: r.Inc, State: r.State.String(), Why: a.Why}
+		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, Life: life(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
 		if !a.New {
-			l.Was = a.Was.String()
+			l.Was = a.Previous.String()
 		}
 		return l, true
-	case membership.Counted:
-		c := a.Count
-		return checker.Line{What: checker.Counted, Most: c.Most, Least: c.Least, Members: c.Members, Live: c.Live, File: c.File}, true
-	case membership.Contested:
-		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, Life: life(a.Other.Life), StandBack: a.StandBack, Why: a.Why}, true
-	case membership.Doubted:
+	case membership.SizeChanged:
+		c := a.Size
+		return checker.Line{What: checker.Counted, Most: c.MaxBalancers, Least: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile}, true
+	case membership.NameConflict:
+		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, Life: life(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
+	case membership.SelfSuspected:
 		return checker.Line{What: checker.Doubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
 	return checker.Line{}, false
@@ -79,7 +79,7 @@
 	case "forget":
 		for _, n := range e.Who {
 			for _, m := range e.To {
-				w.deliver(w.agents[n], membership.Forget{Name: plan.Name(m)})
+				w.deliver(w.agents[n], membership.ForgetMember{Name: plan.Name(m)})
 			}
 		}
 		return
@@ -161,15 +161,15 @@
 	w.pids++
 	a.pid = w.pids
 	a.leaving, a.gone, a.paused = false, false, false
-	boot := membership.NextBoot(a.disk.boot, wallBase+int64((w.now+e.Clock)/time.Second))
+	boot := membership.NextBootNumber(a.disk.boot, wallBase+int64((w.now+e.Clock)/time.Second))
 	a.disk.boot = boot
 	a.life = w.chance.Uint64() | 1
-	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Program: "virtual", Boot: boot, Life: a.life,
-		Instances: w.o.Instances, Balancers: w.o.Instances, Known: a.disk.known, FileCount: max(1, w.o.FileCount), Plain: w.o.Plain,
-		Every: w.p.Peers.Every, Direct: w.p.Peers.Direct, Indirect: w.p.Peers.Indirect, SuspectLeast: w.p.Peers.SuspectLeast, Bytes: w.p.Peers.Bytes, FarBytes: w.p.Peers.FarBytes}
+	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Program: "virtual", Boot: boot, RunID: a.life,
+		Instances: w.o.Instances, Balancers: w.o.Instances, Known: a.disk.known, ConfiguredBalancers: max(1, w.o.FileCount), Baseline: w.o.Plain,
+		ProbeInterval: w.p.Peers.Every, ProbeTimeout: w.p.Peers.Direct, IndirectTimeout: w.p.Peers.Indirect, MinSuspicion: w.p.Peers.SuspectLeast, BytesPerSecond: w.p.Peers.Bytes, RemoteBytesPerSecond: w.p.Peers.FarBytes}
 	if known != nil && w.now == 0 {
 		a.life = w.lifeOf(a.n)
-		s.Boot, s.Life, s.Known, s.Parallel = wallBase, a.life, known, true
+		s.Boot, s.RunID, s.Known, s.TakesOver = wallBase, a.life, known, true
 	}
 	for _, n := range w.p.Seeds {
 		s.Seeds = append(s.Seeds, w.agents[n].addr)
--- a/internal/faulttest/virtual/load.go
+++ b/internal/faulttest/virtual/load.go
@@ -67,6 +67,6 @@
 
 // exchanged is written, for a message on a stream.
 func (w *world) exchanged(a *agent, at time.Duration, x *membership.Exchange) (int, *membership.Exchange) {
-	size, read := w.written(a, at, 100+80*len(x.Records)+9*len(x.Buckets), x)
+	size, read := w.written(a, at, 100+80*len(x.Records)+9*len(x.BucketDigests), x)
 	return size, read.(*membership.Exchange)
 }
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -24,9 +24,9 @@
 // Options say how to play.
 type Options struct {
 	Seed    uint64
-	Daemons int              // instead of the plan's; 0: the plan's. Groups keep their members
-	Workers int              // 0: one for each core
-	Plain   membership.Plain // for baselines
+	Daemons int                     // instead of the plan's; 0: the plan's. Groups keep their members
+	Workers int                     // 0: one for each core
+	Plain   membership.BaselineMode // for baselines
 	// Each is called with each daemon's change, from one goroutine, in order of time and daemon. Lines are then not kept.
 	Each func(at time.Duration, daemon int, a membership.Action)
 	// Warm starts all daemons as if they had known one another for long.
@@ -194,7 +194,7 @@
 	var known []membership.Record
 	if o.Warm {
 		for n := range o.Daemons {
-			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, Life: w.lifeOf(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
+			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, RunID: w.lifeOf(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
 		}
 	}
 	var starts []plan.Event
@@ -394,14 +394,14 @@
 			if d.size > 0 {
 				l := w.load(a, at)
 				l.In.Add(at, d.size)
-				if m, ok := d.ev.(membership.Datagram); ok {
+				if m, ok := d.ev.(membership.DatagramReceived); ok {
 					l.Told += uint64(len(m.Message.Updates))
 				}
 			}
 		}
 		a.events += uint64(max(1, len(events)))
 		w.carry(a, at, a.v.Step(at, events...))
-		if a.leaving && a.v.Gone() {
+		if a.leaving && a.v.HasLeft() {
 			a.gone = true
 		}
 	}
@@ -465,10 +465,10 @@
 			size, read := w.written(a, at, x.Size, x.Message)
 			for range 1 + b2i(l.Duplicate > 0 && a.rng.Float64() < l.Duplicate) {
 				if d, ok := w.way(a, l, size); ok {
-					post(to, d, membership.Datagram{Message: read.(*membership.Message), Size: size}, 0, size)
+					post(to, d, membership.DatagramReceived{Message: read.(*membership.Message), Size: size}, 0, size)
 				}
 			}
-		case membership.Open:
+		case membership.OpenExchange:
 			to, ok := w.byAddr[x.To]
 			there, back := plan.Link{}, plan.Link{}
 			if ok {
@@ -482,37 +482,37 @@
 				if !ok {
 					wait = 2 * base // refused
 				}
-				post(a.n, wait, membership.Failed{ID: x.ID}, a.life, 0)
+				post(a.n, wait, membership.ExchangeFailed{ID: x.ID}, a.life, 0)
 				continue
 			}
 			id := uint64(a.n)<<32 | x.ID
 			a.opened = to
 			size, read := w.exchanged(a, at, x.Message)
-			post(to, w.stream(a, there, back, 3), membership.Asked{Stream: id, Message: read}, 0, size)
-			post(a.n, streamWait, membership.Failed{ID: x.ID}, a.life, 0) // does nothing if the answer came before
-		case membership.Reply:
+			post(to, w.stream(a, there, back, 3), membership.ExchangeRequest{Stream: id, Message: read}, 0, size)
+			post(a.n, streamWait, membership.ExchangeFailed{ID: x.ID}, a.life, 0) // does nothing if the answer came before
+		case membership.ExchangeReply:
 			to := int(x.Stream >> 32)
 			there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
 			if there.Drop >= 1 || back.Drop >= 1 {
 				continue
 			}
 			if x.Message == nil {
-				post(to, w.stream(a, there, back, 1), membership.Failed{ID: x.Stream & (1<<32 - 1)}, 0, 0)
+				post(to, w.stream(a, there, back, 1), membership.ExchangeFailed{ID: x.Stream & (1<<32 - 1)}, 0, 0)
 				continue
 			}
 			size, read := w.exchanged(a, at, x.Message)
-			post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.Answered{ID: x.Stream & (1<<32 - 1), Message: read}, 0, size)
-		case membership.Finish:
+			post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.ExchangeResponse{ID: x.Stream & (1<<32 - 1), Message: read}, 0, size)
+		case membership.FinishExchange:
 			if to := a.opened; x.Message != nil {
 				there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
 				if there.Drop < 1 && back.Drop < 1 && !there.Break && !back.Break {
 					size, read := w.exchanged(a, at, x.Message)
-					post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.Closed{Message: read}, 0, size)
+					post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.ExchangeClosed{Message: read}, 0, size)
 				}
 			}
-		case membership.Save:
-			a.disk.boot = a.v.Own().Boot
-			if !x.Boot && w.starts[a.n] {
+		case membership.SaveView:
+			a.disk.boot = a.v.Local().Boot
+			if !x.BootOnly && w.starts[a.n] {
 				a.disk.known = a.v.Records()
 			}
 		default:
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -100,7 +100,7 @@
 	held := map[[2]int]bool{} // who held whom for dead in the cut
 	r, err := Play(&plan.Plan{Name: "regions", Daemons: 15, Seeds: []int{0, 1}, Length: 60 * time.Second}, Options{Seed: 3, Warm: true, Layout: l,
 		Each: func(_ time.Duration, daemon int, a membership.Action) {
-			if c, ok := a.(membership.Changed); ok && c.Record.State == membership.Dead {
+			if c, ok := a.(membership.MemberChanged); ok && c.Record.State == membership.Dead {
 				for n := range 15 {
 					if plan.Name(n) == c.Record.Name {
 						held[[2]int{daemon, n}] = true
@@ -117,8 +117,8 @@
 				t.Errorf("%d holds %d for dead: %v, cut apart: %v", a, b, held[[2]int{a, b}], apart)
 			}
 		}
-		if r.Views[a].Digest() != r.Views[0].Digest() || r.Views[a].Own().Zone != l.ZoneName(a) {
-			t.Errorf("%d sees another fleet at the end, or has zone %s", a, r.Views[a].Own().Zone)
+		if r.Views[a].Digest() != r.Views[0].Digest() || r.Views[a].Local().Zone != l.ZoneName(a) {
+			t.Errorf("%d sees another fleet at the end, or has zone %s", a, r.Views[a].Local().Zone)
 		}
 	}
 }
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -50,7 +50,7 @@
 	packets  map[string]*net.UDPConn  // for peers, by address; nobody reads from these
 	peering  *peering                 // nil: the daemon stands alone, or this is being started
 	saw      *transport.Saved         // from the daemon before
-	count    atomic.Pointer[membership.Count]
+	count    atomic.Pointer[membership.Size]
 	before   *transport.Carrier      // while another takes its place in this process
 	sharing  atomic.Pointer[peering] // the peering, for instances' loops
 	agents   sync.Map                // hosted by number, for the carrier's loop
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -57,7 +57,7 @@
 	cfg.Memory = d.memory[p.spec.Name]
 	count := d.count.Load()
 	if count != nil && d.cfg.Peers != nil {
-		cfg.Settings.Balancers = count.Most
+		cfg.Settings.Balancers = count.MaxBalancers
 	}
 	number := d.numbers.Add(1)
 	held := func(all []quota.Usage) { // called by the agent's loop
@@ -91,7 +91,7 @@
 		}
 	}
 	if count != nil && d.cfg.Peers != nil {
-		a.Share(count.Most, min(count.Least, count.Most))
+		a.Share(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
 	}
 	ctx, end := context.WithCancel(context.Background())
 	p.agent, p.end = a, end
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -140,7 +140,7 @@
 	}
 	agents := max(1, d.cfg.Balancers)
 	if c := d.count.Load(); c != nil {
-		agents = c.Most
+		agents = c.MaxBalancers
 	}
 	if agents != p.floors {
 		if !p.agent.Lend(lendable(d.cfg.Limits.Floors(agents), time.Now())) {
@@ -228,7 +228,7 @@
 	}
 	now.Agents = max(1, d.cfg.Balancers)
 	if c := d.count.Load(); c != nil {
-		now.Agents = c.Most
+		now.Agents = c.MaxBalancers
 	}
 	now.Limits, now.Alone = l.Show(now.Agents), true
 	if p != nil {
--- a/internal/host/daemon/peers.go
+++ b/internal/host/daemon/peers.go
@@ -84,12 +84,12 @@
 		}
 		return v
 	}
-	s := membership.Settings{Name: p.Name, Addr: p.Advertise, Zone: p.Zone, Region: p.Region, Seeds: p.Seeds, Bytes: in.BytesPerS, FarBytes: in.FarBytesPerS, Members: in.Members,
-		Every:        limit("every", in.Every, 20*time.Millisecond, 10*time.Second, membership.Every),
-		Direct:       limit("direct", in.Direct, 5*time.Millisecond, 10*time.Second, membership.Direct),
-		Indirect:     limit("indirect", in.Indirect, 5*time.Millisecond, 10*time.Second, membership.Indirect),
-		SuspectLeast: limit("suspect_least", in.SuspectLeast, 100*time.Millisecond, 5*time.Minute, membership.SuspectLeast),
-		Retry:        limit("retry", in.Retry, time.Minute, 30*24*time.Hour, membership.Retry)}
+	s := membership.Settings{Name: p.Name, Addr: p.Advertise, Zone: p.Zone, Region: p.Region, Seeds: p.Seeds, BytesPerSecond: in.BytesPerS, RemoteBytesPerSecond: in.FarBytesPerS, MaxMembers: in.Members,
+		ProbeInterval:   limit("every", in.Every, 20*time.Millisecond, 10*time.Second, membership.DefaultProbeInterval),
+		ProbeTimeout:    limit("direct", in.Direct, 5*time.Millisecond, 10*time.Second, membership.DefaultProbeTimeout),
+		IndirectTimeout: limit("indirect", in.Indirect, 5*time.Millisecond, 10*time.Second, membership.DefaultIndirectTimeout),
+		MinSuspicion:    limit("suspect_least", in.SuspectLeast, 100*time.Millisecond, 5*time.Minute, membership.DefaultMinSuspicion),
+		ReconnectFor:    limit("retry", in.Retry, time.Minute, 30*24*time.Hour, membership.DefaultReconnectFor)}
 	if in.BytesPerS < 0 || in.BytesPerS > 0 && in.BytesPerS < 4096 {
 		c.fail(at("bytes_per_s"), "%d: at least 4096 are needed", in.BytesPerS)
 	}
@@ -101,7 +101,7 @@
 	}
 	if c.err == nil {
 		probe := s
-		probe.Boot, probe.Life = 1, 1
+		probe.Boot, probe.RunID = 1, 1
 		if _, err := membership.New(probe, 1); err != nil { // a name, a zone
 			c.fail(at("name"), "%v", err)
 		}
@@ -209,12 +209,12 @@
 	}
 	p := &peering{spec: spec, ended: make(chan struct{})}
 	o := transport.Options{Fleet: spec.Fleet, View: spec.View, UDP: udp, TCP: tcp.(*net.TCPListener), Dir: d.cfg.StateDir, Saved: saved, Log: d.log, WallSkew: d.o.ClockOff,
-		Inject: d.o.PeerFault, Changed: func(c membership.Count) {
+		Inject: d.o.PeerFault, Changed: func(c membership.Size) {
 			d.count.Store(&c)
 			d.shareSoon()
 		}}
 	o.View.Instances, o.View.Balancers = len(d.cfg.Instances), len(d.cfg.Instances)
-	o.View.FileCount, o.View.Program = d.cfg.Balancers, d.o.Program
+	o.View.ConfiguredBalancers, o.View.Program = d.cfg.Balancers, d.o.Program
 	if spec.Verdicts != nil {
 		o.Verdicts, o.Judged, o.Before = spec.Verdicts, d.judged, d.before
 	}
@@ -263,7 +263,7 @@
 		if c == nil || d.cfg.Peers == nil {
 			continue
 		}
-		if p.agent != nil && !p.agent.Share(c.Most, min(c.Least, c.Most)) {
+		if p.agent != nil && !p.agent.Share(c.MaxBalancers, min(c.MinBalancers, c.MaxBalancers)) {
 			again = true
 		}
 		again = !d.limit(p) || again
@@ -282,7 +282,7 @@
 		return
 	}
 	if reflect.DeepEqual(was, now) && reflect.DeepEqual(wasLimits, d.cfg.Limits) {
-		p.carrier.Tell(membership.Self{Instances: len(d.cfg.Instances), Balancers: len(d.cfg.Instances)})
+		p.carrier.Tell(membership.LocalInfo{Instances: len(d.cfg.Instances), Balancers: len(d.cfg.Instances)})
 		return
 	}
 	d.peering = nil
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -52,7 +52,7 @@
 func TestRegionAndItsBytesReachTheView(t *testing.T) {
 	y := newYard(t)
 	cfg, err := Load(y.config(y.instance("one") + "[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"west\"\nfar_bytes_per_s = 5000\n"))
-	if err != nil || cfg.Peers.View.Region != "west" || cfg.Peers.View.FarBytes != 5000 {
+	if err != nil || cfg.Peers.View.Region != "west" || cfg.Peers.View.RemoteBytesPerSecond != 5000 {
 		t.Errorf("%v: %+v", err, cfg)
 	}
 }
@@ -100,7 +100,7 @@
 	sees := func(r *running, most, least int) func() bool {
 		return func() bool {
 			c := r.count.Load()
-			return c != nil && c.Most == most && c.Least == least && !c.File
+			return c != nil && c.MaxBalancers == most && c.MinBalancers == least && !c.FromFile
 		}
 	}
 	eventually(t, "three balancers", sees(a, 3, 3))
--- a/internal/peer/membership/count.go
+++ b/internal/peer/membership/count.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Count is how many balancers share the servers, said in two ways since neither is certain.
+// Size is how many balancers share the servers, said in two ways since neither is certain.
 //
 // Being unheard is not being gone: an agent beyond a broken link goes on sending. So Most, by which shares and
 // limits are divided, takes in the silent, and falls only when a member leaves in order, when an operator says that
 // one is gone, or when a process follows another under its name. Silence alone proves nothing after any time: no
 // lease makes an agent stop serving, nor should one. Least, by which it may be told that few share the servers,
 // takes in only those that are alive.
-type Count struct {
-	Most, Least   int
-	Members, Live int  // daemons: all but those that left, and those alive, this one included
-	File          bool // Most is the operator's figure still: the view has not settled yet
+type Size struct {
+	MaxBalancers, MinBalancers int
+	Members, Live              int  // daemons: all but those that left, and those alive, this one included
+	FromFile                   bool // Most is the operator's figure still: the view has not settled yet
 }
 
 // counter keeps the sums, and tells them without a step where they allow more.
@@ -20,7 +20,7 @@
 	file        int
 	most, least int
 	hidden      int // members alive or suspect that can't be reached
-	told        Count
+	told        Size
 	at          time.Duration // the next part of a change is due; 0: none is
 	began       bool
 }
@@ -47,7 +47,7 @@
 func (c *counter) start(v *View) {
 	known := int(v.self.Balancers)
 	for _, r := range v.s.Known {
-		if r.State < Left && r.Name != v.s.Name && !v.s.Parallel {
+		if r.State < Left && r.Name != v.s.Name && !v.s.TakesOver {
 			known += int(r.Balancers)
 		}
 	}
@@ -62,37 +62,37 @@
 	if !c.began {
 		return
 	}
-	want := Count{Most: max(c.most, 1), Least: max(c.least, 1), Members: len(v.live) + len(v.silent) + 1, Live: len(v.live) + 1 - c.hidden}
-	if !v.settled && c.file > want.Most {
-		want.Most, want.File = c.file, true
+	want := Size{MaxBalancers: max(c.most, 1), MinBalancers: max(c.least, 1), Members: len(v.live) + len(v.silent) + 1, Live: len(v.live) + 1 - c.hidden}
+	if !v.settled && c.file > want.MaxBalancers {
+		want.MaxBalancers, want.FromFile = c.file, true
 	}
 	next := want
 	now := c.at > 0 && v.now >= c.at
-	if was := c.told; was.Most > 0 {
-		if want.Most < was.Most {
-			next.Most = was.Most
+	if was := c.told; was.MaxBalancers > 0 {
+		if want.MaxBalancers < was.MaxBalancers {
+			next.MaxBalancers = was.MaxBalancers
 			switch {
-			case was.File && !want.File && v.now-v.self.since < countStart: // nothing rests on the file's figure yet
-				next.Most = want.Most
+			case was.FromFile && !want.FromFile && v.now-v.self.since < countStart: // nothing rests on the file's figure yet
+				next.MaxBalancers = want.MaxBalancers
 			case now:
-				next.Most = max(want.Most, was.Most-max(1, was.Most/easeParts))
+				next.MaxBalancers = max(want.MaxBalancers, was.MaxBalancers-max(1, was.MaxBalancers/easeParts))
 			}
 		}
-		if want.Least > was.Least {
-			next.Least = was.Least
+		if want.MinBalancers > was.MinBalancers {
+			next.MinBalancers = was.MinBalancers
 			if now {
-				next.Least = min(want.Least, was.Least+max(1, was.Least/easeParts))
+				next.MinBalancers = min(want.MinBalancers, was.MinBalancers+max(1, was.MinBalancers/easeParts))
 			}
 		}
 	}
 	switch {
-	case next.Most == want.Most && next.Least == want.Least:
+	case next.MaxBalancers == want.MaxBalancers && next.MinBalancers == want.MinBalancers:
 		c.at = 0
 	case now || c.at == 0:
 		c.at = v.now + countEase
 	}
 	if next != c.told {
 		c.told = next
-		v.do(Counted{next})
+		v.do(SizeChanged{next})
 	}
 }
--- a/internal/peer/membership/cutoff.go
+++ b/internal/peer/membership/cutoff.go
@@ -32,23 +32,23 @@
 	}
 	if v.cutOff() {
 		v.cutUntil = v.now + cutFor
-		v.probeAt = min(v.probeAt, v.now+v.s.Every) // it was put off by doubts
+		v.probeAt = min(v.probeAt, v.now+v.s.ProbeInterval) // it was put off by doubts
 	}
 }
 
 // cutOff reports whether most seem to be beyond a cut, and it is not this process that is slow.
 func (v *View) cutOff() bool {
-	return bits.OnesCount8(v.last) >= lastMost && v.now-v.lateAt >= calmFor && !v.s.Plain.NoHealth
+	return bits.OnesCount8(v.last) >= lastMost && v.now-v.lateAt >= calmFor && !v.s.Baseline.NoLifeguard
 }
 
 // loneAfter is how long nobody may be heard.
 func (v *View) loneAfter() time.Duration {
-	return max(2*v.least()+v.s.Direct+v.s.Indirect, loneEvery*v.s.Every)
+	return max(2*v.least()+v.s.ProbeTimeout+v.s.IndirectTimeout, loneEvery*v.s.ProbeInterval)
 }
 
 // mayBeLone reports whether it matters that nobody is heard.
 func (v *View) mayBeLone() bool {
-	return !v.lone && len(v.live) > 0 && (v.joined || v.met) && !v.s.Plain.NoHealth
+	return !v.lone && len(v.live) > 0 && (v.joined || v.met) && !v.s.Baseline.NoLifeguard
 }
 
 // loneDue finds that nobody is heard any more.
@@ -57,14 +57,14 @@
 		return
 	}
 	v.lone, v.loneAt = true, v.now
-	v.do(Alone{Members: len(v.live)})
+	v.do(Isolated{Members: len(v.live)})
 	// What it accused others of on the way here rests on its own silence, and is not told on when it is back.
 	for _, m := range slices.Clone(v.suspects) {
 		r := m.Record
-		r.State, r.By = Alive, ""
+		r.State, r.Reporter = Alive, ""
 		v.set(m, r, "this member is cut off")
 	}
-	v.show(v.live, WhyAway)
+	v.show(v.live, ReasonRegionUnreachable)
 }
 
 // hearAny takes note that a member is heard, whichever.
@@ -74,8 +74,8 @@
 		return
 	}
 	v.lone = false
-	v.do(Alone{Over: true, Members: len(v.live)})
-	v.show(v.live, WhyBack)
+	v.do(Isolated{Over: true, Members: len(v.live)})
+	v.show(v.live, ReasonRegionReachable)
 	v.last = 0
 	v.exchange.with(v, addr)
 }
--- a/internal/peer/membership/distance.go
+++ b/internal/peer/membership/distance.go
@@ -73,15 +73,15 @@
 	if seen {
 		return min(own.wait(), waitMost)
 	}
-	return max(firstWait, v.s.Direct)
+	return max(firstWait, v.s.ProbeTimeout)
 }
 
 // direct is how long a probe of a member waits for its own answer.
-func (v *View) direct(m *member) time.Duration { return max(v.s.Direct, v.wayBack(m)) }
+func (v *View) direct(m *member) time.Duration { return max(v.s.ProbeTimeout, v.wayBack(m)) }
 
 // indirect is how long it then waits for a helper's: the helper waits itself, and its word has its own way.
 func (v *View) indirect(m *member, helpers []*member) time.Duration {
-	wait := v.s.Indirect
+	wait := v.s.IndirectTimeout
 	for _, h := range helpers {
 		way := v.wayBack(h)
 		wait = max(wait, max(v.direct(m), way)+way)
--- a/internal/peer/membership/distance_test.go
+++ b/internal/peer/membership/distance_test.go
@@ -12,7 +12,7 @@
 func answers(v *View, way func(name string) time.Duration, until time.Duration) (accused, probes int) {
 	type answer struct {
 		at time.Duration
-		d  Datagram
+		d  DatagramReceived
 	}
 	var due []answer
 	numbers := map[string]uint64{}
@@ -42,13 +42,13 @@
 					}
 					due = append(due[:at], append([]answer{{v.now + w, d}}, due[at:]...)...)
 				}
-			case Changed:
-				if a.Record.State == Suspect && a.Record.By == v.s.Name { // it refutes
+			case MemberChanged:
+				if a.Record.State == Suspect && a.Record.Reporter == v.s.Name { // it refutes
 					accused++
 					r := a.Record
-					r.State, r.By, r.Inc = Alive, "", r.Inc+1
+					r.State, r.Reporter, r.Incarnation = Alive, "", r.Incarnation+1
 					numbers[r.Name]++
-					due = append(due, answer{v.now + 2*way(r.Name), from(r, numbers[r.Name], Message{Kind: News, Updates: []Record{r}})})
+					due = append(due, answer{v.now + 2*way(r.Name), from(r, numbers[r.Name], Message{Kind: Gossip, Updates: []Record{r}})})
 					slices.SortStableFunc(due, func(a, b answer) int { return cmp.Compare(a.at, b.at) })
 				}
 			}
@@ -65,7 +65,7 @@
 		if accused > 0 || probes < 250 || probes > 310 {
 			t.Errorf("%v there and back: %d accusations, %d probes", way, accused, probes)
 		}
-		if got := v.direct(v.members["m1"]); got < max(Direct, way) || got > max(Direct, way*5/4) {
+		if got := v.direct(v.members["m1"]); got < max(DefaultProbeTimeout, way) || got > max(DefaultProbeTimeout, way*5/4) {
 			t.Errorf("%v there and back: a probe waits %v", way, got)
 		}
 	}
@@ -79,7 +79,7 @@
 		t.Errorf("nothing known: %v", got)
 	}
 	v.measured(m, 10*time.Microsecond)
-	if got := v.direct(m); got != Direct {
+	if got := v.direct(m); got != DefaultProbeTimeout {
 		t.Errorf("very near: %v", got)
 	}
 	for range 50 {
@@ -95,18 +95,18 @@
 
 func TestNewcomerHasTheDistanceOfItsZone(t *testing.T) {
 	v := alone(t)
-	x := &Exchange{From: "m0", Boot: 5, Life: 100}
+	x := &Exchange{From: "m0", Boot: 5, RunID: 100}
 	for i := range 4 {
 		r := other(i)
 		r.Zone = []string{"near", "far"}[i%2]
 		x.Records = append(x.Records, r)
 	}
-	v.Step(0, Closed{x})
+	v.Step(0, ExchangeClosed{x})
 	for range 60 {
 		v.measured(v.members["m0"], 2*ms)
 		v.measured(v.members["m1"], 160*ms)
 	}
-	if near, far := v.direct(v.members["m2"]), v.direct(v.members["m3"]); near != Direct || far < 160*ms || far > 200*ms {
+	if near, far := v.direct(v.members["m2"]), v.direct(v.members["m3"]); near != DefaultProbeTimeout || far < 160*ms || far > 200*ms {
 		t.Errorf("near %v, far %v", near, far)
 	}
 }
@@ -168,7 +168,7 @@
 	for range 50 {
 		v.measured(v.members["m1"], 200*ms)
 	}
-	v.Step(v.now+ms, from(other(0), 1, Message{Kind: PingFor, Seq: 9, Target: "m1", Addr: other(1).Addr, Reply: other(0).Addr}))
+	v.Step(v.now+ms, from(other(0), 1, Message{Kind: IndirectPing, Seq: 9, Target: "m1", Addr: other(1).Addr, Reply: other(0).Addr}))
 	if e := v.errands[0]; e.until-e.at < 200*ms || e.until-e.at > 260*ms {
 		t.Errorf("%v", e.until-e.at)
 	}
--- a/internal/peer/membership/exchange.go
+++ b/internal/peer/membership/exchange.go
@@ -112,7 +112,7 @@
 		if v.now < x.until {
 			return
 		}
-		v.onFailed(Failed{x.id})
+		v.onFailed(ExchangeFailed{x.id})
 	}
 	if v.now < x.rest || (x.at == 0 || v.now < x.at) && v.now < x.quietAt {
 		return
@@ -142,7 +142,7 @@
 func (v *View) open(to string) {
 	x := &v.exchange
 	x.parts = v.parts()
-	m := &Exchange{From: v.s.Name, Boot: v.self.Boot, Life: v.self.Life, Buckets: v.digests(x.parts), Records: []Record{v.told(v.self)}}
+	m := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID, BucketDigests: v.digests(x.parts), Records: []Record{v.told(v.self)}}
 	x.id++
 	x.busy, x.to, x.until, x.rest = true, to, v.now+exchangeWait, v.now+v.restFor()
 	if !v.joined { // half of the doors may be behind a cut: the next one is tried soon
@@ -150,7 +150,7 @@
 	}
 	v.sent.Exchanges++
 	v.streamed(m, v.farAt[to] != nil)
-	v.do(Open{ID: x.id, To: to, Message: m})
+	v.do(OpenExchange{ID: x.id, To: to, Message: m})
 }
 
 // nextDoor is the next address to join by: the operator's seeds and whoever was known in the last life, by turns.
@@ -173,7 +173,7 @@
 	return x.ask[x.next-1]
 }
 
-func (v *View) onFailed(e Failed) {
+func (v *View) onFailed(e ExchangeFailed) {
 	x := &v.exchange
 	if !x.busy || x.id != e.ID {
 		return
@@ -193,14 +193,14 @@
 	v.sent.ExchangeBytes += uint64(size)
 	if far {
 		v.farStreams.level -= float64(size)
-		v.sent.FarExchangeBytes += uint64(size)
+		v.sent.RemoteExchangeBytes += uint64(size)
 	}
 }
 
 // onAsked answers another's opening, if not too many have come already: it is told when to come back.
-func (v *View) onAsked(e Asked) {
-	if v.leaveState || v.standby || e.Message == nil || len(e.Message.Buckets) == 0 || len(e.Message.Buckets) > 1024 {
-		v.do(Reply{Stream: e.Stream})
+func (v *View) onAsked(e ExchangeRequest) {
+	if v.leaveState || v.standby || e.Message == nil || len(e.Message.BucketDigests) == 0 || len(e.Message.BucketDigests) > 1024 {
+		v.do(ExchangeReply{Stream: e.Stream})
 		return
 	}
 	v.streams.fill(v.now)
@@ -213,23 +213,23 @@
 	}
 	if v.streams.level < 0 || far && v.farStreams.level < 0 {
 		// Others may have time: whoever asks is told of some, so that where hundreds join, all that are in help.
-		busy := &Exchange{From: v.s.Name, Boot: v.self.Boot, Life: v.self.Life, Busy: uint32(200 + v.rng.IntN(800))}
+		busy := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID, RetryAfterMS: uint32(200 + v.rng.IntN(800))}
 		for _, m := range v.some(list, referred, func(m *member) bool { return m.State == Alive }) {
 			busy.Records = append(busy.Records, v.told(m))
 		}
 		v.streamed(busy, far)
-		v.do(Reply{Stream: e.Stream, Message: busy})
+		v.do(ExchangeReply{Stream: e.Stream, Message: busy})
 		return
 	}
 	x := e.Message
 	v.takeAll(x, "exchange")
-	parts := len(x.Buckets)
+	parts := len(x.BucketDigests)
 	own := v.digests(parts)
-	answer := &Exchange{From: v.s.Name, Boot: v.self.Boot, Life: v.self.Life}
+	answer := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID}
 	differ := make([]bool, parts)
 	for i := range own {
-		if differ[i] = own[i] != x.Buckets[i]; differ[i] {
-			answer.Want = append(answer.Want, uint16(i))
+		if differ[i] = own[i] != x.BucketDigests[i]; differ[i] {
+			answer.WantedBuckets = append(answer.WantedBuckets, uint16(i))
 		}
 	}
 	for _, n := range v.order {
@@ -238,19 +238,19 @@
 		}
 	}
 	v.streamed(answer, far)
-	v.do(Reply{Stream: e.Stream, Message: answer})
+	v.do(ExchangeReply{Stream: e.Stream, Message: answer})
 	v.met = true
 }
 
 // onAnswered takes the answer, and sends back what the other would have and does not know.
-func (v *View) onAnswered(e Answered) {
+func (v *View) onAnswered(e ExchangeResponse) {
 	x := &v.exchange
 	if !x.busy || x.id != e.ID || e.Message == nil || v.leaveState || v.standby {
 		return
 	}
 	x.busy = false
-	if e.Message.Busy > 0 {
-		x.rest = v.now + time.Duration(min(e.Message.Busy, 10000))*time.Millisecond
+	if e.Message.RetryAfterMS > 0 {
+		x.rest = v.now + time.Duration(min(e.Message.RetryAfterMS, 10000))*time.Millisecond
 		if !v.joined { // another may have time
 			for i := range e.Message.Records {
 				if r := &e.Message.Records[i]; r.check() == nil && r.Addr != v.s.Addr && !slices.Contains(x.ask, r.Addr) && len(x.ask) < doorsMost {
@@ -265,7 +265,7 @@
 	parts := x.parts
 	if !v.joined {
 		v.joined = true
-		v.do(Save{})
+		v.do(SaveView{})
 	}
 	theirs := make(map[string]*Record, len(e.Message.Records))
 	for i := range e.Message.Records {
@@ -273,12 +273,12 @@
 	}
 	v.takeAll(e.Message, "exchange")
 	want := make([]bool, parts)
-	for _, p := range e.Message.Want {
+	for _, p := range e.Message.WantedBuckets {
 		if int(p) < parts {
 			want[p] = true
 		}
 	}
-	last := &Exchange{From: v.s.Name, Boot: v.self.Boot, Life: v.self.Life}
+	last := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID}
 	for _, n := range v.order {
 		m := v.members[n]
 		if t := theirs[n]; want[partOf(n, parts)] && (t == nil || m.newer(t)) {
@@ -287,9 +287,9 @@
 	}
 	if len(last.Records) > 0 {
 		v.streamed(last, v.farAt[x.to] != nil)
-		v.do(Finish{ID: e.ID, Message: last})
+		v.do(FinishExchange{ID: e.ID, Message: last})
 	} else {
-		v.do(Finish{ID: e.ID})
+		v.do(FinishExchange{ID: e.ID})
 	}
 }
 
@@ -300,8 +300,8 @@
 	for _, r := range x.Records {
 		// What the other holds for dead may be alive on this side of a link that was broken: it is accused, so
 		// that it can refute.
-		if m := v.members[r.Name]; m != nil && r.State == Dead && m.State <= Suspect && r.Life == m.Life && !v.isFar(m) {
-			r.State, r.By, r.Age = Suspect, x.From, 0
+		if m := v.members[r.Name]; m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isFar(m) {
+			r.State, r.Reporter, r.AgeSeconds = Suspect, x.From, 0
 		}
 		v.merge(r, why)
 	}
@@ -315,7 +315,7 @@
 		if rate > 0 {
 			v.tryAt = v.now + time.Duration((0.5+v.rng.Float64())/rate*float64(time.Second))
 			m := v.home.silent[v.rng.IntN(len(v.home.silent))]
-			if age := v.now - m.since; age < v.s.Retry && (age < 10*time.Minute || v.rng.IntN(5) == 0) {
+			if age := v.now - m.since; age < v.s.ReconnectFor && (age < 10*time.Minute || v.rng.IntN(5) == 0) {
 				v.send(m.Addr, &Message{Kind: Ping, Seq: v.nextSeq(), Target: m.Name}, forNews, m)
 			}
 		} else {
--- a/internal/peer/membership/membership.go
+++ b/internal/peer/membership/membership.go
@@ -47,72 +47,72 @@
 
 // Record is what members tell one another of one of them.
 type Record struct {
-	Name      string `cbor:"1,keyasint,omitempty"`
-	Addr      string `cbor:"2,keyasint,omitempty"` // host:port where its datagrams and streams go
-	Zone      string `cbor:"3,keyasint,omitempty"`
-	Program   string `cbor:"4,keyasint,omitempty"` // its version
-	Boot      uint64 `cbor:"5,keyasint,omitempty"` // grows with each start of the process
-	Life      uint64 `cbor:"6,keyasint,omitempty"` // a number by chance for each process: two with one boot are told apart
-	Inc       uint32 `cbor:"7,keyasint,omitempty"` // incarnation: grows each time it refutes or changes what it says of itself
-	State     State  `cbor:"8,keyasint,omitempty"`
-	By        string `cbor:"9,keyasint,omitempty"`  // who accuses it, or declared it dead or gone
-	Instances uint32 `cbor:"10,keyasint,omitempty"` // that it runs
-	Balancers uint32 `cbor:"11,keyasint,omitempty"` // of these, those that share servers with the fleet's others
-	Checked   bool   `cbor:"12,keyasint,omitempty"` // it has made sure that no other process has its name
-	Age       uint32 `cbor:"13,keyasint,omitempty"` // seconds since it died or left, as the teller knows
-	Note      []byte `cbor:"14,keyasint,omitempty"` // up to NoteMost bytes for what else agents tell of themselves
+	Name         string `cbor:"1,keyasint,omitempty"`
+	Addr         string `cbor:"2,keyasint,omitempty"` // host:port where its datagrams and streams go
+	Zone         string `cbor:"3,keyasint,omitempty"`
+	Program      string `cbor:"4,keyasint,omitempty"` // its version
+	Boot         uint64 `cbor:"5,keyasint,omitempty"` // grows with each start of the process
+	RunID        uint64 `cbor:"6,keyasint,omitempty"` // a number by chance for each process: two with one boot are told apart
+	Incarnation  uint32 `cbor:"7,keyasint,omitempty"` // incarnation: grows each time it refutes or changes what it says of itself
+	State        State  `cbor:"8,keyasint,omitempty"`
+	Reporter     string `cbor:"9,keyasint,omitempty"`  // who accuses it, or declared it dead or gone
+	Instances    uint32 `cbor:"10,keyasint,omitempty"` // that it runs
+	Balancers    uint32 `cbor:"11,keyasint,omitempty"` // of these, those that share servers with the fleet's others
+	NameVerified bool   `cbor:"12,keyasint,omitempty"` // it has made sure that no other process has its name
+	AgeSeconds   uint32 `cbor:"13,keyasint,omitempty"` // seconds since it died or left, as the teller knows
+	Metadata     []byte `cbor:"14,keyasint,omitempty"` // up to MaxMetadataBytes bytes for what else agents tell of themselves
 	// Since regions are known; who does not know them passes a record on without.
-	Region string   `cbor:"15,keyasint,omitempty"`
-	Mute   []uint32 `cbor:"16,keyasint,omitempty"` // regions, by hash, that it watches and does not reach
+	Region             string   `cbor:"15,keyasint,omitempty"`
+	UnreachableRegions []uint32 `cbor:"16,keyasint,omitempty"` // regions, by hash, that it watches and does not reach
 }
 
-// NoteMost is the most that a note holds, in bytes.
-const NoteMost = 128
+// MaxMetadataBytes is the most that a note holds, in bytes.
+const MaxMetadataBytes = 128
 
 // Settings are fixed for the life of a View.
 type Settings struct {
 	Name, Addr, Zone, Program string
 	Region                    string // empty: the one that all without one stand in
-	Boot, Life                uint64
+	Boot, RunID               uint64
 	Instances, Balancers      int
 	Seeds                     []string // addresses; its own among them does no harm
 	Known                     []Record // from the last run: asked first, believed last
 	// Parallel: Known is of the process that this one replaces without a gap, with its life, and believed. Inc,
 	// Number and Up go on where that one was.
-	Parallel bool
-	Inc      uint32
-	Number   uint64
-	Up       time.Duration
-
-	Every        time.Duration // between two probes; default Every
-	Direct       time.Duration // a probe waits so long for its answer before it asks others; default Direct
-	Indirect     time.Duration // and then so long again; default Indirect
-	SuspectLeast time.Duration // a suspect has at least so long to refute, in fleets up to 100; default SuspectLeast
-	Retry        time.Duration // silent members are tried again for so long; default Retry
-	Bytes        int           // a second, the most that is sent; default Bytes
-	FarBytes     int           // of these, to other regions; default: a quarter
-	Members      int           // that are known at the most; default Members
-	FileCount    int           // balancers of the whole fleet as the operator's file has it; held until the view has settled
-
-	// Plain switches protections off, for the baselines in docs/measure/view.md. Nothing else sets it.
-	Plain Plain
-}
-
-// Plain are weaker protocols to measure against.
-type Plain struct {
+	TakesOver      bool
+	Incarnation    uint32
+	DatagramNumber uint64
+	Uptime         time.Duration
+
+	ProbeInterval        time.Duration // between two probes; default Every
+	ProbeTimeout         time.Duration // a probe waits so long for its answer before it asks others; default Direct
+	IndirectTimeout      time.Duration // and then so long again; default Indirect
+	MinSuspicion         time.Duration // a suspect has at least so long to refute, in fleets up to 100; default SuspectLeast
+	ReconnectFor         time.Duration // silent members are tried again for so long; default Retry
+	BytesPerSecond       int           // a second, the most that is sent; default Bytes
+	RemoteBytesPerSecond int           // of these, to other regions; default: a quarter
+	MaxMembers           int           // that are known at the most; default Members
+	ConfiguredBalancers  int           // balancers of the whole fleet as the operator's file has it; held until the view has settled
+
+	// Baseline switches protections off, for the baselines in docs/measure/view.md. Nothing else sets it.
+	Baseline BaselineMode
+}
+
+// BaselineMode are weaker protocols to measure against.
+type BaselineMode struct {
 	NoSuspicion bool // a failed probe is death at once (SWIM's first form)
-	NoHealth    bool // no local health, no doubt after a pause, no accusers counted (SWIM with suspicion)
+	NoLifeguard bool // no local health, no doubt after a pause, no accusers counted (SWIM with suspicion)
 }
 
 // Defaults, each with where it comes from.
 const (
-	Every        = 200 * time.Millisecond  // ten datagrams a second, and a crash is probed within 0.92 s at p99 (4.6 periods)
-	Direct       = 100 * time.Millisecond  // five times a round trip between the site's centres (20 ms)
-	Indirect     = 150 * time.Millisecond  // twice that round trip, and what a busy host adds
-	SuspectLeast = 1700 * time.Millisecond // a pause of 1.5 s, less the 0.25 s before it is suspected, and 0.45 s to refute
-	Retry        = 24 * time.Hour          // a partition over a night heals by itself
-	Bytes        = 32 << 10                // in storms; at rest about 1 KB a second
-	Members      = 16384                   // the fleet of two years (12,000) and a third; 0.5 KB each, so 8 MB of an agent's 64
+	DefaultProbeInterval   = 200 * time.Millisecond  // ten datagrams a second, and a crash is probed within 0.92 s at p99 (4.6 periods)
+	DefaultProbeTimeout    = 100 * time.Millisecond  // five times a round trip between the site's centres (20 ms)
+	DefaultIndirectTimeout = 150 * time.Millisecond  // twice that round trip, and what a busy host adds
+	DefaultMinSuspicion    = 1700 * time.Millisecond // a pause of 1.5 s, less the 0.25 s before it is suspected, and 0.45 s to refute
+	DefaultReconnectFor    = 24 * time.Hour          // a partition over a night heals by itself
+	DefaultBytesPerSecond  = 32 << 10                // in storms; at rest about 1 KB a second
+	DefaultMaxMembers      = 16384                   // the fleet of two years (12,000) and a third; 0.5 KB each, so 8 MB of an agent's 64
 )
 
 const (
@@ -153,47 +153,47 @@
 type Event interface{ event() }
 
 type (
-	// Datagram came in. Size is what it took on the wire, in bytes.
-	Datagram struct {
+	// DatagramReceived came in. Size is what it took on the wire, in bytes.
+	DatagramReceived struct {
 		Message *Message
 		Size    int
 	}
-	// Asked is another's opening of an exchange. The answer is a Reply with the same Stream.
-	Asked struct {
+	// ExchangeRequest is another's opening of an exchange. The answer is a Reply with the same Stream.
+	ExchangeRequest struct {
 		Stream  uint64
 		Message *Exchange
 	}
-	// Answered is the answer to this member's Open with the same ID.
-	Answered struct {
+	// ExchangeResponse is the answer to this member's Open with the same ID.
+	ExchangeResponse struct {
 		ID      uint64
 		Message *Exchange
 	}
-	// Closed is what ends an exchange that the other opened: what it was asked for.
-	Closed struct{ Message *Exchange }
-	// Failed says that an Open came to nothing.
-	Failed struct{ ID uint64 }
-	// Self changes what this member says of itself.
-	Self struct {
+	// ExchangeClosed is what ends an exchange that the other opened: what it was asked for.
+	ExchangeClosed struct{ Message *Exchange }
+	// ExchangeFailed says that an Open came to nothing.
+	ExchangeFailed struct{ ID uint64 }
+	// LocalInfo changes what this member says of itself.
+	LocalInfo struct {
 		Instances, Balancers int
-		Note                 []byte
+		Metadata             []byte
 	}
 	// Leave has it say that it goes.
 	Leave struct{}
-	// Forget is an operator's word: a silent member has gone for good.
-	Forget struct{ Name string }
-	// Resumed says that the process that was to take this one's place did not: it goes on.
-	Resumed struct{}
+	// ForgetMember is an operator's word: a silent member has gone for good.
+	ForgetMember struct{ Name string }
+	// TookOver says that the process that was to take this one's place did not: it goes on.
+	TookOver struct{}
 )
 
-func (Datagram) event() {}
-func (Asked) event()    {}
-func (Answered) event() {}
-func (Closed) event()   {}
-func (Failed) event()   {}
-func (Self) event()     {}
-func (Leave) event()    {}
-func (Forget) event()   {}
-func (Resumed) event()  {}
+func (DatagramReceived) event() {}
+func (ExchangeRequest) event()  {}
+func (ExchangeResponse) event() {}
+func (ExchangeClosed) event()   {}
+func (ExchangeFailed) event()   {}
+func (LocalInfo) event()        {}
+func (Leave) event()            {}
+func (ForgetMember) event()     {}
+func (TookOver) event()         {}
 
 // Action is something to be done now, in the order given.
 type Action interface{ action() }
@@ -205,68 +205,68 @@
 		Message *Message
 		Size    int
 	}
-	// Open begins an exchange: a stream to an address, this message, and the answer as Answered, or Failed.
-	Open struct {
+	// OpenExchange begins an exchange: a stream to an address, this message, and the answer as Answered, or Failed.
+	OpenExchange struct {
 		ID      uint64
 		To      string
 		Message *Exchange
 	}
-	// Reply answers an Asked.
-	Reply struct {
+	// ExchangeReply answers an Asked.
+	ExchangeReply struct {
 		Stream  uint64
 		Message *Exchange
 	}
-	// Finish ends an exchange that this member opened, with what the other asked for; nil: nothing.
-	Finish struct {
+	// FinishExchange ends an exchange that this member opened, with what the other asked for; nil: nothing.
+	FinishExchange struct {
 		ID      uint64
 		Message *Exchange
 	}
-	// Changed says that a member's state, life or address has changed here.
-	Changed struct {
-		Record Record
-		Was    State
-		New    bool // it was not known
-		Why    string
-	}
-	// Counted says how many balancers share the servers, from now on: see Count.
-	Counted struct{ Count Count }
-	// Contested says that another process has this member's name, and which of the two stands back.
-	Contested struct {
-		Other     Record
-		StandBack bool
-		Why       string
-	}
-	// Doubted says that this process was paused or starved for so long, or that it failed to hear others.
-	Doubted struct {
+	// MemberChanged says that a member's state, life or address has changed here.
+	MemberChanged struct {
+		Record   Record
+		Previous State
+		New      bool // it was not known
+		Reason   string
+	}
+	// SizeChanged says how many balancers share the servers, from now on: see Count.
+	SizeChanged struct{ Size Size }
+	// NameConflict says that another process has this member's name, and which of the two stands back.
+	NameConflict struct {
+		Other  Record
+		Yield  bool
+		Reason string
+	}
+	// SelfSuspected says that this process was paused or starved for so long, or that it failed to hear others.
+	SelfSuspected struct {
 		Pause  time.Duration
 		Health int
 	}
-	// Reached says that a region is not reached any more, or again.
-	Reached struct {
-		Region  string
-		Away    bool
-		Members int
+	// RegionReachability says that a region is not reached any more, or again.
+	RegionReachability struct {
+		Region      string
+		Unreachable bool
+		Members     int
 	}
-	// Alone says that nobody is heard any more, or that others are again.
-	Alone struct {
+	// Isolated says that nobody is heard any more, or that others are again.
+	Isolated struct {
 		Over    bool
 		Members int
 	}
-	// Save says that the view, or the boot, should go to disk.
-	Save struct{ Boot bool }
+	// SaveView says that the view, or the boot, should go to disk.
+	SaveView struct{ BootOnly bool }
 )
 
-func (Send) action()      {}
-func (Open) action()      {}
-func (Reply) action()     {}
-func (Finish) action()    {}
-func (Changed) action()   {}
-func (Counted) action()   {}
-func (Contested) action() {}
-func (Doubted) action()   {}
-func (Save) action()      {}
-func (Reached) action()   {}
-func (Alone) action()     {}
+func (Send) action()               {}
+func (OpenExchange) action()       {}
+func (ExchangeReply) action()      {}
+func (FinishExchange) action()     {}
+func (MemberChanged) action()      {}
+func (SizeChanged) action()        {}
+func (NameConflict) action()       {}
+func (SelfSuspected) action()      {}
+func (SaveView) action()           {}
+func (RegionReachability) action() {}
+func (Isolated) action()           {}
 
 // member is what is kept of another, or of this one.
 type member struct {
@@ -369,36 +369,36 @@
 
 // Traffic is what was sent and heard, in all.
 type Traffic struct {
-	Datagrams, Bytes, Exchanges, ExchangeBytes, Heard, Stale, Held uint64
-	FarBytes, FarExchangeBytes                                     uint64 // of these, to other regions
+	Datagrams, Bytes, Exchanges, ExchangeBytes, Received, Stale, Withheld uint64
+	RemoteBytes, RemoteExchangeBytes                                      uint64 // of these, to other regions
 }
 
 // New returns a view that knows itself, and, if it takes over without a gap, all that the process before knew.
 func New(s Settings, seed uint64) (*View, error) {
-	s.Every, s.Direct, s.Indirect = orIf(s.Every, Every), orIf(s.Direct, Direct), orIf(s.Indirect, Indirect)
-	s.SuspectLeast, s.Retry = orIf(s.SuspectLeast, SuspectLeast), orIf(s.Retry, Retry)
-	s.Bytes, s.Members = orIf(s.Bytes, Bytes), orIf(s.Members, Members)
-	s.FarBytes = orIf(s.FarBytes, max(s.Bytes/farShare, 2*datagramMost))
-	own := Record{Name: s.Name, Addr: s.Addr, Zone: s.Zone, Region: s.Region, Program: s.Program, Boot: s.Boot, Life: s.Life, Inc: s.Inc,
+	s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout = orIf(s.ProbeInterval, DefaultProbeInterval), orIf(s.ProbeTimeout, DefaultProbeTimeout), orIf(s.IndirectTimeout, DefaultIndirectTimeout)
+	s.MinSuspicion, s.ReconnectFor = orIf(s.MinSuspicion, DefaultMinSuspicion), orIf(s.ReconnectFor, DefaultReconnectFor)
+	s.BytesPerSecond, s.MaxMembers = orIf(s.BytesPerSecond, DefaultBytesPerSecond), orIf(s.MaxMembers, DefaultMaxMembers)
+	s.RemoteBytesPerSecond = orIf(s.RemoteBytesPerSecond, max(s.BytesPerSecond/farShare, 2*datagramMost))
+	own := Record{Name: s.Name, Addr: s.Addr, Zone: s.Zone, Region: s.Region, Program: s.Program, Boot: s.Boot, RunID: s.RunID, Incarnation: s.Incarnation,
 		Instances: uint32(s.Instances), Balancers: uint32(s.Balancers)}
 	if err := own.check(); err != nil {
 		return nil, fmt.Errorf("view: %w", err)
 	}
-	if s.Every <= 0 || s.Direct <= 0 || s.Indirect <= 0 || s.SuspectLeast <= 0 || min(s.Bytes, s.FarBytes) < 2*datagramMost || s.Members < 1 {
+	if s.ProbeInterval <= 0 || s.ProbeTimeout <= 0 || s.IndirectTimeout <= 0 || s.MinSuspicion <= 0 || min(s.BytesPerSecond, s.RemoteBytesPerSecond) < 2*datagramMost || s.MaxMembers < 1 {
 		return nil, fmt.Errorf("view: every %v, direct %v, indirect %v, suspect_least %v, bytes %d, %d of them far, members %d: all are above 0, and bytes at least %d",
-			s.Every, s.Direct, s.Indirect, s.SuspectLeast, s.Bytes, s.FarBytes, s.Members, 2*datagramMost)
+			s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout, s.MinSuspicion, s.BytesPerSecond, s.RemoteBytesPerSecond, s.MaxMembers, 2*datagramMost)
 	}
-	v := &View{s: s, rng: rand.New(rand.NewPCG(seed, s.Life)), members: map[string]*member{}, places: map[place]*distance{}, judgeAt: never,
+	v := &View{s: s, rng: rand.New(rand.NewPCG(seed, s.RunID)), members: map[string]*member{}, places: map[place]*distance{}, judgeAt: never,
 		regions: map[string]*region{}, farAt: map[string]*region{}, surveyAt: never}
 	v.home = v.regionOf(s.Region)
 	v.self = &member{Record: own, region: v.home, nameHash: nameHash(s.Name)}
 	v.members[s.Name], v.order = v.self, []string{s.Name}
 	v.mark(v.self)
-	v.budget = budget{rate: float64(s.Bytes), most: float64(s.Bytes)}
+	v.budget = budget{rate: float64(s.BytesPerSecond), most: float64(s.BytesPerSecond)}
 	v.streams = v.budget
-	v.farBudget = budget{rate: float64(s.FarBytes), most: float64(s.FarBytes)}
+	v.farBudget = budget{rate: float64(s.RemoteBytesPerSecond), most: float64(s.RemoteBytesPerSecond)}
 	v.farStreams = v.farBudget
-	v.counts.file, v.number = s.FileCount, s.Number
+	v.counts.file, v.number = s.ConfiguredBalancers, s.DatagramNumber
 	return v, nil
 }
 
@@ -410,14 +410,14 @@
 	v.farBudget.start(v.now)
 	v.farStreams.start(v.now)
 	v.self.since, v.heardAny, v.lateAt = v.now, v.now, v.now-calmFor
-	v.probeAt = v.now + v.random(v.s.Every)
+	v.probeAt = v.now + v.random(v.s.ProbeInterval)
 	v.newsAt, v.tryAt, v.seedAt = v.now, v.now+v.random(time.Second), v.now
 	v.tidyAt = v.now + 10*time.Second
 	v.streams.start(v.now)
 	v.exchange.quietAt = v.now + exchangeQuiet/2 + v.random(exchangeQuiet)
 	v.counts.start(v)
 	v.doors()
-	if v.s.Parallel {
+	if v.s.TakesOver {
 		v.joined, v.settled = true, true
 		for _, r := range v.s.Known {
 			if r.Name != v.s.Name {
@@ -479,24 +479,24 @@
 	v.farBudget.fill(v.now)
 	for _, e := range events {
 		switch e := e.(type) {
-		case Datagram:
+		case DatagramReceived:
 			v.onDatagram(e)
-		case Asked:
+		case ExchangeRequest:
 			v.onAsked(e)
-		case Answered:
+		case ExchangeResponse:
 			v.onAnswered(e)
-		case Closed:
+		case ExchangeClosed:
 			v.takeAll(e.Message, "exchange")
-		case Failed:
+		case ExchangeFailed:
 			v.onFailed(e)
-		case Self:
+		case LocalInfo:
 			v.onSelf(e)
 		case Leave:
 			v.leave()
-		case Forget:
+		case ForgetMember:
 			v.forget(e.Name)
-		case Resumed:
-			v.self.Inc++
+		case TookOver:
+			v.self.Incarnation++
 			v.tell(v.self)
 		}
 	}
@@ -528,7 +528,7 @@
 	v.counts.due(v)
 	if v.saveAt > 0 && v.now >= v.saveAt {
 		v.saveAt = 0
-		v.do(Save{})
+		v.do(SaveView{})
 	}
 }
 
@@ -590,11 +590,11 @@
 // was about to conclude rests on answers that it did not read in time. So no probe of that time counts, no
 // suspicion ends sooner than if the time had not passed, and what it meant to accuse others of is not told.
 func (v *View) paused(late time.Duration) {
-	if v.s.Plain.NoHealth {
+	if v.s.Baseline.NoLifeguard {
 		return
 	}
 	v.probes = nil
-	v.probeAt = v.now + v.random(v.s.Every)
+	v.probeAt = v.now + v.random(v.s.ProbeInterval)
 	for _, r := range v.areas {
 		r.missed, r.ackAt = 0, v.now
 	}
@@ -607,7 +607,7 @@
 	v.judgeAt = 0
 	v.worsen(1 + int(late/time.Second))
 	if late >= time.Second {
-		v.do(Doubted{Pause: late, Health: v.health})
+		v.do(SelfSuspected{Pause: late, Health: v.health})
 		v.exchange.soon(v, 0)
 	}
 	if late >= time.Second {
@@ -617,7 +617,7 @@
 
 // worsen takes note of a sign that this member itself is slow or badly connected.
 func (v *View) worsen(n int) {
-	if !v.s.Plain.NoHealth {
+	if !v.s.Baseline.NoLifeguard {
 		v.health = min(healthMost, v.health+n)
 	}
 }
@@ -669,12 +669,12 @@
 	return 0
 }
 
-// Number is how many datagrams this life has sent; Up how long it has run. A process that follows goes on from both.
-func (v *View) Number() uint64    { return v.number }
-func (v *View) Up() time.Duration { return v.up() }
+// DatagramNumber is how many datagrams this life has sent; Up how long it has run. A process that follows goes on from both.
+func (v *View) DatagramNumber() uint64 { return v.number }
+func (v *View) Uptime() time.Duration  { return v.up() }
 
-// Own is this member's record.
-func (v *View) Own() Record { return v.self.Record }
+// Local is this member's record.
+func (v *View) Local() Record { return v.self.Record }
 
 // Digest is of the view: two members with the same one know the same.
 func (v *View) Digest() uint64 { return v.digest }
@@ -682,12 +682,12 @@
 // Health is 0 where this member hears all that it should, and more where it is slow or badly connected.
 func (v *View) Health() int { return v.health }
 
-// StandsBack reports whether another process has this one's name, and it says nothing therefore.
-func (v *View) StandsBack() bool { return v.standby }
+// Yields reports whether another process has this one's name, and it says nothing therefore.
+func (v *View) Yields() bool { return v.standby }
 
-// HasName reports whether it has its name for itself, as far as it can know: it has met the fleet, or looked for it in vain
+// OwnsName reports whether it has its name for itself, as far as it can know: it has met the fleet, or looked for it in vain
 // for a while, and nobody else is known by the name.
-func (v *View) HasName() bool {
+func (v *View) OwnsName() bool {
 	return !v.standby && v.claim.at == 0 && (v.joined || v.met || v.now-v.self.since > standLook)
 }
 
@@ -697,14 +697,14 @@
 // Traffic is what was sent and heard so far.
 func (v *View) Traffic() Traffic { return v.sent }
 
-// Count is of the balancers that share the servers.
-func (v *View) Count() Count { return v.counts.told }
+// Size is of the balancers that share the servers.
+func (v *View) Size() Size { return v.counts.told }
 
 // told is a member's record as it is told to others.
 func (v *View) told(m *member) Record {
 	r := m.Record
 	if r.State >= Dead {
-		r.Age = uint32(max(0, v.now-m.dieAt) / time.Second)
+		r.AgeSeconds = uint32(max(0, v.now-m.dieAt) / time.Second)
 	}
 	return r
 }
@@ -712,20 +712,20 @@
 // check says what is wrong with a record that came from elsewhere.
 func (r *Record) check() error {
 	switch {
-	case r.Name == "" || len(r.Name) > NameMost || strings.ContainsAny(r.Name, " \t\r\n\"") || !printable(r.Name):
-		return fmt.Errorf("%q is no name: 1 to %d printable characters without spaces are allowed", r.Name, NameMost)
-	case len(r.Zone) > NameMost || !printable(r.Zone):
-		return fmt.Errorf("zone %q: up to %d printable characters are allowed", r.Zone, NameMost)
-	case len(r.Region) > NameMost || !printable(r.Region):
-		return fmt.Errorf("region %q: up to %d printable characters are allowed", r.Region, NameMost)
-	case len(r.Mute) > regionsMost:
-		return fmt.Errorf("%d regions that are not reached: up to %d are allowed", len(r.Mute), regionsMost)
-	case len(r.Program) > NameMost || !printable(r.Program):
-		return fmt.Errorf("version %q: up to %d printable characters are allowed", r.Program, NameMost)
-	case len(r.By) > NameMost || !printable(r.By):
-		return fmt.Errorf("by %q: up to %d printable characters are allowed", r.By, NameMost)
-	case len(r.Note) > NoteMost:
-		return fmt.Errorf("a note of %d bytes: up to %d are allowed", len(r.Note), NoteMost)
+	case r.Name == "" || len(r.Name) > MaxNameBytes || strings.ContainsAny(r.Name, " \t\r\n\"") || !printable(r.Name):
+		return fmt.Errorf("%q is no name: 1 to %d printable characters without spaces are allowed", r.Name, MaxNameBytes)
+	case len(r.Zone) > MaxNameBytes || !printable(r.Zone):
+		return fmt.Errorf("zone %q: up to %d printable characters are allowed", r.Zone, MaxNameBytes)
+	case len(r.Region) > MaxNameBytes || !printable(r.Region):
+		return fmt.Errorf("region %q: up to %d printable characters are allowed", r.Region, MaxNameBytes)
+	case len(r.UnreachableRegions) > regionsMost:
+		return fmt.Errorf("%d regions that are not reached: up to %d are allowed", len(r.UnreachableRegions), regionsMost)
+	case len(r.Program) > MaxNameBytes || !printable(r.Program):
+		return fmt.Errorf("version %q: up to %d printable characters are allowed", r.Program, MaxNameBytes)
+	case len(r.Reporter) > MaxNameBytes || !printable(r.Reporter):
+		return fmt.Errorf("by %q: up to %d printable characters are allowed", r.Reporter, MaxNameBytes)
+	case len(r.Metadata) > MaxMetadataBytes:
+		return fmt.Errorf("a note of %d bytes: up to %d are allowed", len(r.Metadata), MaxMetadataBytes)
 	case r.State > Left:
 		return fmt.Errorf("%v is unknown", r.State)
 	case r.Instances > 1<<20 || r.Balancers > 1<<20:
@@ -737,8 +737,8 @@
 	return nil
 }
 
-// NameMost is the longest name, zone or version, in bytes.
-const NameMost = 64
+// MaxNameBytes is the longest name, zone or version, in bytes.
+const MaxNameBytes = 64
 
 func printable(s string) bool {
 	return !strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f || c == '\uFFFD' })
@@ -749,10 +749,10 @@
 	switch {
 	case r.Boot != than.Boot:
 		return r.Boot > than.Boot
-	case r.Life != than.Life:
-		return r.Life > than.Life
-	case r.Inc != than.Inc:
-		return r.Inc > than.Inc
+	case r.RunID != than.RunID:
+		return r.RunID > than.RunID
+	case r.Incarnation != than.Incarnation:
+		return r.Incarnation > than.Incarnation
 	}
 	return r.State > than.State
 }
@@ -786,7 +786,7 @@
 		state = Alive
 	}
 	var numbers []byte
-	for _, n := range [...]uint64{r.Boot, r.Life, uint64(r.Inc), uint64(state)} {
+	for _, n := range [...]uint64{r.Boot, r.RunID, uint64(r.Incarnation), uint64(state)} {
 		numbers = binary.LittleEndian.AppendUint64(numbers, n)
 	}
 	_, _ = f.Write(numbers)
@@ -854,9 +854,9 @@
 	*list = all[:len(all)-1]
 }
 
-// NextBoot is the boot number of a process that starts: above the last one saved, and, where the disk is lost, above
+// NextBootNumber is the boot number of a process that starts: above the last one saved, and, where the disk is lost, above
 // it all the same as long as the clock has not been set back by more than it ran; what even that leaves, others
 // tell, and it is outbid. wall is in seconds, Unix.
-func NextBoot(saved uint64, wall int64) uint64 {
+func NextBootNumber(saved uint64, wall int64) uint64 {
 	return max(saved+1, uint64(max(0, wall)))
 }
--- a/internal/peer/membership/membership_test.go
+++ b/internal/peer/membership/membership_test.go
@@ -12,7 +12,7 @@
 
 func alone(t testing.TB, seeds ...string) *View {
 	t.Helper()
-	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, Life: 7, Instances: 1, Balancers: 1, Seeds: seeds}, 1)
+	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Instances: 1, Balancers: 1, Seeds: seeds}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,21 +20,21 @@
 }
 
 func other(n int) Record {
-	return Record{Name: fmt.Sprint("m", n), Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Boot: 5, Life: uint64(n + 100), Balancers: 1}
+	return Record{Name: fmt.Sprint("m", n), Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Boot: 5, RunID: uint64(n + 100), Balancers: 1}
 }
 
 // meet has a view know so many others, by an exchange.
 func meet(v *View, n int) {
-	x := &Exchange{From: "m0", Boot: 5, Life: 100}
+	x := &Exchange{From: "m0", Boot: 5, RunID: 100}
 	for i := range n {
 		x.Records = append(x.Records, other(i))
 	}
-	v.Step(0, Closed{x})
+	v.Step(0, ExchangeClosed{x})
 }
 
-func from(r Record, number uint64, m Message) Datagram {
-	m.From, m.Boot, m.Life, m.Number = r.Name, r.Boot, r.Life, number
-	return Datagram{Message: &m}
+func from(r Record, number uint64, m Message) DatagramReceived {
+	m.From, m.Boot, m.RunID, m.Number = r.Name, r.Boot, r.RunID, number
+	return DatagramReceived{Message: &m}
 }
 
 func sent(actions []Action, kind Kind) (all []Send) {
@@ -60,19 +60,19 @@
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			r := other(rapid.IntRange(0, 3).Draw(t, "name"))
 			r.Boot = uint64(rapid.IntRange(1, 3).Draw(t, "boot"))
-			r.Life = r.Life*10 + r.Boot
-			r.Inc = uint32(rapid.IntRange(0, 2).Draw(t, "inc"))
+			r.RunID = r.RunID*10 + r.Boot
+			r.Incarnation = uint32(rapid.IntRange(0, 2).Draw(t, "inc"))
 			r.State = State(rapid.IntRange(0, 3).Draw(t, "state"))
-			r.By = "x"
+			r.Reporter = "x"
 			all = append(all, r)
 		}
 		digests := map[uint64]bool{}
 		for range 3 {
-			v, _ := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, Life: 7}, 1)
+			v, _ := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7}, 1)
 			v.Step(0)
 			for _, r := range rapid.Permutation(all).Draw(t, "order") {
-				m := &Message{Kind: News, From: "stranger", Boot: 1, Life: 1, Number: 1, Updates: []Record{r}}
-				v.Step(v.now, Datagram{Message: m})
+				m := &Message{Kind: Gossip, From: "stranger", Boot: 1, RunID: 1, Number: 1, Updates: []Record{r}}
+				v.Step(v.now, DatagramReceived{Message: m})
 			}
 			digests[v.Digest()] = true
 		}
@@ -85,38 +85,38 @@
 func TestNothingThatComesInBreaksAView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.SampledFrom([]string{"", "r1", "r2"})
-		v, _ := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, Life: 7, Balancers: 1, Region: regions.Draw(t, "own region"), Seeds: []string{"127.0.0.2:1"}}, 1)
+		v, _ := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Balancers: 1, Region: regions.Draw(t, "own region"), Seeds: []string{"127.0.0.2:1"}}, 1)
 		names := rapid.SampledFrom([]string{"me", "m0", "m1", "m2", "", "a b", "\x00"})
 		record := rapid.Custom(func(t *rapid.T) Record {
 			return Record{Name: names.Draw(t, "n"), Addr: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.2:2", "x", ""}).Draw(t, "a"),
-				Boot: uint64(rapid.IntRange(0, 12).Draw(t, "b")), Life: uint64(rapid.IntRange(0, 9).Draw(t, "l")), Inc: uint32(rapid.IntRange(0, 3).Draw(t, "i")),
-				State: State(rapid.IntRange(0, 5).Draw(t, "s")), By: names.Draw(t, "by"), Checked: rapid.Bool().Draw(t, "c"), Balancers: 1,
-				Region: regions.Draw(t, "region"), Mute: rapid.SliceOfN(rapid.SampledFrom([]uint32{v.regionOf("r1").hash, v.regionOf("").hash}), 0, 2).Draw(t, "mute")}
+				Boot: uint64(rapid.IntRange(0, 12).Draw(t, "b")), RunID: uint64(rapid.IntRange(0, 9).Draw(t, "l")), Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "i")),
+				State: State(rapid.IntRange(0, 5).Draw(t, "s")), Reporter: names.Draw(t, "by"), NameVerified: rapid.Bool().Draw(t, "c"), Balancers: 1,
+				Region: regions.Draw(t, "region"), UnreachableRegions: rapid.SliceOfN(rapid.SampledFrom([]uint32{v.regionOf("r1").hash, v.regionOf("").hash}), 0, 2).Draw(t, "mute")}
 		})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms
-			x := &Exchange{From: names.Draw(t, "f"), Records: rapid.SliceOfN(record, 0, 5).Draw(t, "r"), Buckets: make([]uint64, rapid.IntRange(0, 4).Draw(t, "k")),
-				Want: []uint16{0, 3, 600}, Busy: uint32(rapid.IntRange(0, 1).Draw(t, "busy"))}
-			var e Event = Datagram{Message: &Message{Kind: Kind(rapid.IntRange(0, 10).Draw(t, "kind")), From: names.Draw(t, "from"), Boot: uint64(rapid.IntRange(0, 12).Draw(t, "boot")),
-				Life: uint64(rapid.IntRange(0, 9).Draw(t, "life")), Number: uint64(rapid.IntRange(0, 9000).Draw(t, "number")), Seq: uint32(rapid.IntRange(0, 20).Draw(t, "seq")),
-				Target: names.Draw(t, "target"), Addr: "127.0.0.2:1", Reply: "127.0.0.2:2", Of: 3, Up: 5, Updates: x.Records}}
+			x := &Exchange{From: names.Draw(t, "f"), Records: rapid.SliceOfN(record, 0, 5).Draw(t, "r"), BucketDigests: make([]uint64, rapid.IntRange(0, 4).Draw(t, "k")),
+				WantedBuckets: []uint16{0, 3, 600}, RetryAfterMS: uint32(rapid.IntRange(0, 1).Draw(t, "busy"))}
+			var e Event = DatagramReceived{Message: &Message{Kind: Kind(rapid.IntRange(0, 10).Draw(t, "kind")), From: names.Draw(t, "from"), Boot: uint64(rapid.IntRange(0, 12).Draw(t, "boot")),
+				RunID: uint64(rapid.IntRange(0, 9).Draw(t, "life")), Number: uint64(rapid.IntRange(0, 9000).Draw(t, "number")), Seq: uint32(rapid.IntRange(0, 20).Draw(t, "seq")),
+				Target: names.Draw(t, "target"), Addr: "127.0.0.2:1", Reply: "127.0.0.2:2", SubjectRunID: 3, UptimeMS: 5, Updates: x.Records}}
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0:
-				e = Asked{Stream: 1, Message: x}
+				e = ExchangeRequest{Stream: 1, Message: x}
 			case 1:
-				e = Answered{ID: uint64(rapid.IntRange(0, 3).Draw(t, "id")), Message: x}
+				e = ExchangeResponse{ID: uint64(rapid.IntRange(0, 3).Draw(t, "id")), Message: x}
 			case 2:
-				e = Closed{x}
+				e = ExchangeClosed{x}
 			case 3:
-				e = Forget{names.Draw(t, "forget")}
+				e = ForgetMember{names.Draw(t, "forget")}
 			}
 			for _, a := range v.Step(now, e) {
 				if s, ok := a.(Send); ok && s.Size > datagramMost+recordSize*4+400 {
 					t.Errorf("a datagram of %d bytes", s.Size)
 				}
 			}
-			own := v.Own()
+			own := v.Local()
 			if own.State != Alive || own.Name != "me" {
 				t.Fatalf("it holds itself for %v", own)
 			}
@@ -178,10 +178,10 @@
 	v := alone(t)
 	meet(v, 1)
 	for _, state := range []State{Suspect, Dead, Left} {
-		said := v.Own()
-		said.State, said.By = state, "m0"
-		v.Step(v.now+ms, from(other(0), 1, Message{Kind: News, Updates: []Record{said}}))
-		if own := v.Own(); own.State != Alive || own.Inc != said.Inc+1 {
+		said := v.Local()
+		said.State, said.Reporter = state, "m0"
+		v.Step(v.now+ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{said}}))
+		if own := v.Local(); own.State != Alive || own.Incarnation != said.Incarnation+1 {
 			t.Errorf("told that it is %v: %+v", state, own)
 		}
 	}
@@ -193,11 +193,11 @@
 	meet(v, 2)
 	dead := other(1)
 	dead.State = Dead
-	v.Step(ms, from(other(0), 10_000, Message{Kind: News}))
-	v.Step(2*ms, from(other(0), 10, Message{Kind: News, Updates: []Record{dead}}))
+	v.Step(ms, from(other(0), 10_000, Message{Kind: Gossip}))
+	v.Step(2*ms, from(other(0), 10, Message{Kind: Gossip, Updates: []Record{dead}}))
 	earlier := other(0)
 	earlier.Boot = 4
-	v.Step(3*ms, from(earlier, 20_000, Message{Kind: News, Updates: []Record{dead}}))
+	v.Step(3*ms, from(earlier, 20_000, Message{Kind: Gossip, Updates: []Record{dead}}))
 	if len(v.live) != 2 || v.Traffic().Stale != 2 {
 		t.Errorf("%d alive, %d stale", len(v.live), v.Traffic().Stale)
 	}
@@ -211,8 +211,8 @@
 		t.Fatal("it suspects nobody")
 	}
 	for _, a := range v.Step(v.Next() + 10*time.Second) {
-		if c, ok := a.(Changed); ok && c.Record.State == Dead {
-			t.Errorf("%s is dead to it: %s", c.Record.Name, c.Why)
+		if c, ok := a.(MemberChanged); ok && c.Record.State == Dead {
+			t.Errorf("%s is dead to it: %s", c.Record.Name, c.Reason)
 		}
 	}
 	if v.Health() == 0 {
@@ -226,21 +226,21 @@
 	meet(v, 20)
 	v.settled = true
 	run(v, 60*time.Second)
-	if v.Count().Live != 1 || v.Count().Most != 21 || v.Count().Least != 1 {
-		t.Fatalf("count %+v", v.Count())
+	if v.Size().Live != 1 || v.Size().MaxBalancers != 21 || v.Size().MinBalancers != 1 {
+		t.Fatalf("count %+v", v.Size())
 	}
-	was := v.Count().Most
+	was := v.Size().MaxBalancers
 	for n := range 20 {
-		v.Step(v.now+ms, Forget{Name: other(n).Name})
+		v.Step(v.now+ms, ForgetMember{Name: other(n).Name})
 	}
-	for i := 0; v.Count().Most > 1; i++ {
+	for i := 0; v.Size().MaxBalancers > 1; i++ {
 		if v.Step(v.Next()); i > 5000 {
-			t.Fatalf("it stays at %d", v.Count().Most)
+			t.Fatalf("it stays at %d", v.Size().MaxBalancers)
 		}
-		if now := v.Count().Most; was-now > max(1, was/easeParts) {
+		if now := v.Size().MaxBalancers; was-now > max(1, was/easeParts) {
 			t.Fatalf("from %d to %d at once", was, now)
 		}
-		was = v.Count().Most
+		was = v.Size().MaxBalancers
 	}
 }
 
@@ -258,10 +258,10 @@
 		}
 	}
 	span := (v.now - start).Seconds()
-	if most := float64(Bytes) * (span + 1); float64(sentBytes) > most {
+	if most := float64(DefaultBytesPerSecond) * (span + 1); float64(sentBytes) > most {
 		t.Errorf("%d bytes in %.1f s: at most %.0f", sentBytes, span, most)
 	}
-	if sentBytes < Bytes {
+	if sentBytes < DefaultBytesPerSecond {
 		t.Errorf("%d bytes in %.1f s: this is no storm", sentBytes, span)
 	}
 }
@@ -272,16 +272,16 @@
 		wall  int64
 		want  uint64
 	}{{0, 100, 100}, {100, 100, 101}, {200, 100, 201}, {50, -5, 51}, {0, -5, 1}} {
-		if got := NextBoot(c.saved, c.wall); got != c.want {
+		if got := NextBootNumber(c.saved, c.wall); got != c.want {
 			t.Errorf("%d saved at %d: %d, not %d", c.saved, c.wall, got, c.want)
 		}
 	}
 	v := alone(t) // what even that leaves, others tell
 	meet(v, 1)
-	earlier := v.Own()
-	earlier.Boot, earlier.Life = 900, 3
-	v.Step(ms, Closed{&Exchange{From: "m0", Records: []Record{earlier}}})
-	if v.Own().Boot <= 900 {
-		t.Errorf("boot %d", v.Own().Boot)
+	earlier := v.Local()
+	earlier.Boot, earlier.RunID = 900, 3
+	v.Step(ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{earlier}}})
+	if v.Local().Boot <= 900 {
+		t.Errorf("boot %d", v.Local().Boot)
 	}
 }
--- a/internal/peer/membership/mends_test.go
+++ b/internal/peer/membership/mends_test.go
@@ -12,8 +12,8 @@
 // suspectOf has m0 tell that another is suspect.
 func suspectOf(v *View, n int, inc uint32) {
 	r := other(n)
-	r.State, r.By, r.Inc = Suspect, "m0", inc
-	v.Step(v.now+ms, from(other(0), uint64(v.now), Message{Kind: News, Updates: []Record{r}}))
+	r.State, r.Reporter, r.Incarnation = Suspect, "m0", inc
+	v.Step(v.now+ms, from(other(0), uint64(v.now), Message{Kind: Gossip, Updates: []Record{r}}))
 }
 
 func TestWhatAnotherHoldsForDeadIsAccusedNotBuried(t *testing.T) {
@@ -21,7 +21,7 @@
 	meet(v, 3)
 	r := other(1)
 	r.State = Dead
-	v.Step(ms, Closed{&Exchange{From: "m0", Records: []Record{r}}})
+	v.Step(ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
 	if got := state(v, "m1"); got != Suspect {
 		t.Errorf("%v", got)
 	}
@@ -31,14 +31,14 @@
 	for _, c := range []struct {
 		ago  time.Duration
 		want State
-	}{{SuspectLeast / 2, Suspect}, {2 * SuspectLeast, Dead}} {
+	}{{DefaultMinSuspicion / 2, Suspect}, {2 * DefaultMinSuspicion, Dead}} {
 		v := alone(t)
 		meet(v, 3)
-		v.Step(ms, from(other(1), 1, Message{Kind: News}))
+		v.Step(ms, from(other(1), 1, Message{Kind: Gossip}))
 		v.now += c.ago
 		r := other(1)
 		r.State = Dead
-		v.Step(v.now, from(other(0), 1, Message{Kind: News, Updates: []Record{r}}))
+		v.Step(v.now, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
 		if got := state(v, "m1"); got != c.want {
 			t.Errorf("heard %v ago: %v", c.ago, got)
 		}
@@ -94,8 +94,8 @@
 	meet(v, 4)
 	v.accuse(v.members["m1"])
 	r := other(1)
-	r.Inc = 1
-	v.Step(v.now+ms, from(other(0), 1, Message{Kind: News, Updates: []Record{r}}))
+	r.Incarnation = 1
+	v.Step(v.now+ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
 	m := v.members["m1"]
 	v.missed(&probe{target: "m1"})
 	if m.State != Alive {
@@ -112,26 +112,26 @@
 	v := alone(t)
 	meet(v, 3)
 	r := other(1)
-	r.Inc = 5
-	v.Step(ms, from(other(2), 1, Message{Kind: News, Updates: []Record{r}}))
+	r.Incarnation = 5
+	v.Step(ms, from(other(2), 1, Message{Kind: Gossip, Updates: []Record{r}}))
 	v.news = news{}
-	r.Inc, r.State, r.By = 4, Suspect, "m0"
-	got := sent(v.Step(2*ms, from(other(0), 1, Message{Kind: News, Updates: []Record{r}})), News)
-	if len(got) == 0 || got[0].To != other(0).Addr || got[0].Message.Updates[0].Inc != 5 {
+	r.Incarnation, r.State, r.Reporter = 4, Suspect, "m0"
+	got := sent(v.Step(2*ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{r}})), Gossip)
+	if len(got) == 0 || got[0].To != other(0).Addr || got[0].Message.Updates[0].Incarnation != 5 {
 		t.Errorf("%+v", got)
 	}
-	own := v.Own() // and of itself
-	own.State, own.By = Suspect, "m0"
-	v.Step(3*ms, from(other(0), 2, Message{Kind: News, Updates: []Record{own}}))
+	own := v.Local() // and of itself
+	own.State, own.Reporter = Suspect, "m0"
+	v.Step(3*ms, from(other(0), 2, Message{Kind: Gossip, Updates: []Record{own}}))
 	v.news = news{}
-	if got := sent(v.Step(4*ms, from(other(0), 3, Message{Kind: News, Updates: []Record{own}})), News); len(got) == 0 {
+	if got := sent(v.Step(4*ms, from(other(0), 3, Message{Kind: Gossip, Updates: []Record{own}})), Gossip); len(got) == 0 {
 		t.Error("nothing of itself")
 	}
 }
 
-func opens(actions []Action) (all []Open) {
+func opens(actions []Action) (all []OpenExchange) {
 	for _, a := range actions {
-		if o, ok := a.(Open); ok {
+		if o, ok := a.(OpenExchange); ok {
 			all = append(all, o)
 		}
 	}
@@ -142,10 +142,10 @@
 	v := alone(t)
 	meet(v, 2)
 	v.exchange = exchange{quietAt: time.Hour}
-	var got []Open
+	var got []OpenExchange
 	for i := uint64(1); len(got) == 0 && v.now < 5*time.Second; i++ {
 		v.news = news{}
-		got = opens(v.Step(v.now+100*ms, from(other(0), i, Message{Kind: News, Digest: 99})))
+		got = opens(v.Step(v.now+100*ms, from(other(0), i, Message{Kind: Gossip, Digest: 99})))
 	}
 	if len(got) == 0 || got[0].To != other(0).Addr {
 		t.Errorf("%v by %v", got, v.now)
@@ -160,9 +160,9 @@
 		for _, o := range opens(v.Step(max(v.Next(), v.now))) {
 			tried[o.To]++
 			if o.To == door {
-				v.Step(v.now+ms, Failed{o.ID})
+				v.Step(v.now+ms, ExchangeFailed{o.ID})
 			} else { // m0 is there, and the search has succeeded
-				v.Step(v.now+ms, Answered{o.ID, &Exchange{From: "m0", Boot: 5, Life: 100, Records: []Record{other(0)}}})
+				v.Step(v.now+ms, ExchangeResponse{o.ID, &Exchange{From: "m0", Boot: 5, RunID: 100, Records: []Record{other(0)}}})
 			}
 		}
 	}
@@ -173,12 +173,12 @@
 
 func TestBeingAskedDoesNotEndTheSearch(t *testing.T) {
 	v := alone(t, "127.0.0.2:1")
-	v.Step(0, Asked{1, &Exchange{From: "m3", Buckets: []uint64{0}, Records: []Record{other(3)}}})
+	v.Step(0, ExchangeRequest{1, &Exchange{From: "m3", BucketDigests: []uint64{0}, Records: []Record{other(3)}}})
 	tries := 0 // the first may have been on its way
 	for i := 0; i < 100 && tries < 2; i++ {
 		for _, o := range opens(v.Step(v.Next())) {
 			tries++
-			v.Step(v.now+ms, Failed{o.ID})
+			v.Step(v.now+ms, ExchangeFailed{o.ID})
 		}
 	}
 	if tries < 2 {
@@ -188,14 +188,14 @@
 
 func TestLateFailureEndsNoOtherExchange(t *testing.T) {
 	v := alone(t, "127.0.0.2:1")
-	var first Open
+	var first OpenExchange
 	for i := 0; first.ID == 0 && i < 100; i++ {
 		for _, o := range opens(v.Step(v.Next())) {
 			first = o
 		}
 	}
-	v.Step(v.now+ms, Failed{first.ID + 7})
-	v.Step(v.now+ms, Answered{first.ID, &Exchange{From: "m0", Boot: 5, Life: 100, Records: []Record{other(0)}}})
+	v.Step(v.now+ms, ExchangeFailed{first.ID + 7})
+	v.Step(v.now+ms, ExchangeResponse{first.ID, &Exchange{From: "m0", Boot: 5, RunID: 100, Records: []Record{other(0)}}})
 	if !v.Joined() {
 		t.Error("the answer was not taken")
 	}
@@ -212,7 +212,7 @@
 	}
 	for _, by := range []string{"m2", "m3", "m4"} {
 		r := m.Record
-		r.By = by
+		r.Reporter = by
 		v.merge(r, "news")
 		if now := v.lasts(m); now >= was {
 			t.Errorf("after %s: %v, before %v", by, now, was)
@@ -231,7 +231,7 @@
 	meet(v, 6)
 	v.accuse(v.members["m1"])
 	for range 100 { // it answers, though its refutation never comes
-		v.Step(v.now+100*ms, from(other(1), uint64(v.now), Message{Kind: News}))
+		v.Step(v.now+100*ms, from(other(1), uint64(v.now), Message{Kind: Gossip}))
 	}
 	if got := state(v, "m1"); got == Dead {
 		t.Error("dead, though it was heard all the time")
@@ -246,18 +246,18 @@
 		v := alone(t)
 		meet(v, 2)
 		v.now += 10 * time.Second
-		twin := v.Own()
-		twin.Addr, twin.Life, twin.Boot = "127.0.0.3:1", 99, 50
-		asked := sent(v.Step(v.now, Closed{&Exchange{From: "m0", Records: []Record{twin}}}), WhoIs)
+		twin := v.Local()
+		twin.Addr, twin.RunID, twin.Boot = "127.0.0.3:1", 99, 50
+		asked := sent(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{twin}}}), IdentityRequest)
 		if len(asked) != 1 || asked[0].To != twin.Addr {
 			t.Fatalf("%+v", asked)
 		}
-		v.Step(v.now+ms, Datagram{Message: &Message{Kind: IAm, From: "me", Life: 99, Of: 99, Seq: asked[0].Message.Seq, Up: c.up}})
-		if v.StandsBack() != c.stand {
-			t.Errorf("the other has run for %d ms: stands back: %v", c.up, v.StandsBack())
+		v.Step(v.now+ms, DatagramReceived{Message: &Message{Kind: IdentityResponse, From: "me", RunID: 99, SubjectRunID: 99, Seq: asked[0].Message.Seq, UptimeMS: c.up}})
+		if v.Yields() != c.stand {
+			t.Errorf("the other has run for %d ms: stands back: %v", c.up, v.Yields())
 		}
-		if !c.stand && (v.Own().Boot <= 50 || !v.Own().Checked) {
-			t.Errorf("it keeps the name, and does not say so: %+v", v.Own())
+		if !c.stand && (v.Local().Boot <= 50 || !v.Local().NameVerified) {
+			t.Errorf("it keeps the name, and does not say so: %+v", v.Local())
 		}
 	}
 }
@@ -266,14 +266,14 @@
 	v := alone(t)
 	meet(v, 2)
 	r := other(1)
-	r.Addr, r.Life, r.Boot = "127.0.0.3:1", 77, 50
-	v.Step(ms, Closed{&Exchange{From: "m0", Records: []Record{r}}})
-	if v.members["m1"].Life == 77 {
+	r.Addr, r.RunID, r.Boot = "127.0.0.3:1", 77, 50
+	v.Step(ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
+	if v.members["m1"].RunID == 77 {
 		t.Error("taken over unchecked")
 	}
-	r.Checked = true
-	v.Step(2*ms, Closed{&Exchange{From: "m0", Records: []Record{r}}})
-	if v.members["m1"].Life != 77 {
+	r.NameVerified = true
+	v.Step(2*ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
+	if v.members["m1"].RunID != 77 {
 		t.Error("not taken over though checked")
 	}
 }
@@ -281,7 +281,7 @@
 func TestAliveMemberIsNotForgotten(t *testing.T) {
 	v := alone(t)
 	meet(v, 2)
-	v.Step(ms, Forget{"m1"})
+	v.Step(ms, ForgetMember{"m1"})
 	if got := state(v, "m1"); got != Alive {
 		t.Error(got)
 	}
@@ -291,7 +291,7 @@
 	v := alone(t)
 	meet(v, 3)
 	v.news = news{}
-	v.Step(ms, Asked{1, &Exchange{From: "m9", Buckets: []uint64{0}, Records: []Record{other(9)}}})
+	v.Step(ms, ExchangeRequest{1, &Exchange{From: "m9", BucketDigests: []uint64{0}, Records: []Record{other(9)}}})
 	told := false
 	for _, a := range run(v, 500*ms) {
 		if s, ok := a.(Send); ok {
@@ -306,27 +306,27 @@
 }
 
 func TestLastLifesMembersAreAskedNotBelieved(t *testing.T) {
-	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, Life: 7, Balancers: 1, Known: []Record{other(0), other(1)}}, 1)
+	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Balancers: 1, Known: []Record{other(0), other(1)}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := opens(run(v, time.Second)); len(v.live) != 0 || len(got) == 0 {
 		t.Errorf("%d are alive, %d asked", len(v.live), len(got))
 	}
-	if v.Count().Most != 3 { // they may be sending all the same
-		t.Errorf("%+v", v.Count())
+	if v.Size().MaxBalancers != 3 { // they may be sending all the same
+		t.Errorf("%+v", v.Size())
 	}
 }
 
 // The fleet of two years is known without a setting, and what comes past the bound is not.
 func TestAFleetOfTwelveThousandIsKnownByDefault(t *testing.T) {
 	var all []Record
-	for n := range Members + 10 {
+	for n := range DefaultMaxMembers + 10 {
 		all = append(all, other(n))
 	}
-	for _, c := range []struct{ told, known int }{{11_999, 12_000}, {len(all), Members}} {
+	for _, c := range []struct{ told, known int }{{11_999, 12_000}, {len(all), DefaultMaxMembers}} {
 		v := alone(t)
-		v.Step(v.now+ms, Closed{Message: &Exchange{From: all[0].Name, Boot: all[0].Boot, Life: all[0].Life, Records: all[:c.told]}})
+		v.Step(v.now+ms, ExchangeClosed{Message: &Exchange{From: all[0].Name, Boot: all[0].Boot, RunID: all[0].RunID, Records: all[:c.told]}})
 		if got := len(v.Members()); got != c.known {
 			t.Errorf("told of %d it knows %d with itself, want %d", c.told, got, c.known)
 		}
@@ -337,10 +337,10 @@
 	v := alone(t)
 	meet(v, 50)
 	v.news = news{}
-	own := v.Own()
-	own.State, own.By = Suspect, "m7"
-	for _, s := range sent(v.Step(ms, from(other(0), 1, Message{Kind: News, Updates: []Record{own}})), News) {
-		if s.To == other(7).Addr && len(s.Message.Updates) > 0 && s.Message.Updates[0].Inc == own.Inc+1 {
+	own := v.Local()
+	own.State, own.Reporter = Suspect, "m7"
+	for _, s := range sent(v.Step(ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{own}})), Gossip) {
+		if s.To == other(7).Addr && len(s.Message.Updates) > 0 && s.Message.Updates[0].Incarnation == own.Incarnation+1 {
 			return
 		}
 	}
@@ -351,22 +351,22 @@
 	v := alone(t)
 	v.counts.file = 600
 	meet(v, 299)
-	if c := v.Count(); c.Most != 600 || !c.File {
+	if c := v.Size(); c.MaxBalancers != 600 || !c.FromFile {
 		t.Fatalf("%+v", c)
 	}
 	v.settled = true
 	v.Step(v.now + ms)
-	if c := v.Count(); c.Most != 300 || c.File { // at the start of its life: nothing rests on the file's figure
+	if c := v.Size(); c.MaxBalancers != 300 || c.FromFile { // at the start of its life: nothing rests on the file's figure
 		t.Errorf("%+v", c)
 	}
 	r := other(1) // later a leave is told a part at a time
 	r.State, r.Balancers = Left, 1
-	v.Step(v.now+ms, Closed{&Exchange{From: "m0", Records: []Record{r}}})
-	if c := v.Count(); c.Most != 300 {
+	v.Step(v.now+ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
+	if c := v.Size(); c.MaxBalancers != 300 {
 		t.Errorf("at once: %+v", c)
 	}
 	run(v, v.now+3*countEase)
-	if c := v.Count(); c.Most != 299 {
+	if c := v.Size(); c.MaxBalancers != 299 {
 		t.Errorf("never: %+v", c)
 	}
 }
@@ -375,9 +375,9 @@
 	v := alone(t)
 	meet(v, 2)
 	v.now = 5 * time.Hour
-	for _, s := range sent(v.Step(v.now, Leave{}), News) {
+	for _, s := range sent(v.Step(v.now, Leave{}), Gossip) {
 		for _, u := range s.Message.Updates {
-			if u.Name == "me" && (u.State != Left || u.Age != 0) {
+			if u.Name == "me" && (u.State != Left || u.AgeSeconds != 0) {
 				t.Errorf("%+v", u)
 			}
 		}
--- a/internal/peer/membership/merge.go
+++ b/internal/peer/membership/merge.go
@@ -14,11 +14,11 @@
 		return
 	}
 	m := v.members[r.Name]
-	if m != nil && r.Life == m.Life && r.Region == "" { // passed on by one that knows no regions
+	if m != nil && r.RunID == m.RunID && r.Region == "" { // passed on by one that knows no regions
 		r.Region = m.Region
 	}
 	if r = v.normal(r); m == nil {
-		if r.State == Left && time.Duration(r.Age)*time.Second >= leftKept || len(v.members) >= v.s.Members {
+		if r.State == Left && time.Duration(r.AgeSeconds)*time.Second >= leftKept || len(v.members) >= v.s.MaxMembers {
 			return
 		}
 		m = &member{since: v.now, heardAt: -never, ackAt: -never, nameHash: nameHash(r.Name)}
@@ -28,26 +28,26 @@
 		return
 	}
 	switch {
-	case r.Boot == m.Boot && r.Life == m.Life && r.Inc == m.Inc && r.State == m.State:
+	case r.Boot == m.Boot && r.RunID == m.RunID && r.Incarnation == m.Incarnation && r.State == m.State:
 		if r.State == Suspect && m.suspect != nil {
-			v.charge(m, r.By)
+			v.charge(m, r.Reporter)
 		}
-		if len(r.Region)+len(r.Mute) > len(m.Region)+len(m.Mute) { // what one that knows no regions has left out
-			r.By, r.Age = m.By, m.Age
+		if len(r.Region)+len(r.UnreachableRegions) > len(m.Region)+len(m.UnreachableRegions) { // what one that knows no regions has left out
+			r.Reporter, r.AgeSeconds = m.Reporter, m.AgeSeconds
 			v.replace(m, r, why, false)
 		}
-	case r.State == Dead && v.far(r.Region) && m.State <= Suspect && r.Life == m.Life && v.now-m.lately() < v.s.SuspectLeast:
+	case r.State == Dead && v.far(r.Region) && m.State <= Suspect && r.RunID == m.RunID && v.now-m.lately() < v.s.MinSuspicion:
 		// Those near it don't hear it, this member does: it is told, and refutes.
-		v.send(m.Addr, &Message{Kind: News, Updates: []Record{r}}, forNews)
-	case r.State == Dead && m.State <= Suspect && r.Life == m.Life && v.now-m.lately() < v.s.SuspectLeast:
+		v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, forNews)
+	case r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && v.now-m.lately() < v.s.MinSuspicion:
 		// This member has just heard it itself.
-		r.State, r.Age = Suspect, 0
+		r.State, r.AgeSeconds = Suspect, 0
 		v.merge(r, why)
 	case !r.newer(&m.Record):
-	case m.State <= Suspect && r.State <= Suspect && r.Life != m.Life && r.Addr != m.Addr && !r.Checked:
+	case m.State <= Suspect && r.State <= Suspect && r.RunID != m.RunID && r.Addr != m.Addr && !r.NameVerified:
 		if v.now >= m.stranger { // its holder is told, and settles it
 			m.stranger = v.now + time.Second
-			v.send(m.Addr, &Message{Kind: News, Updates: []Record{r}}, forNews)
+			v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, forNews)
 		}
 	default:
 		v.take(m, r, why, false)
@@ -57,19 +57,19 @@
 // take replaces what is known of a member, and passes it on.
 func (v *View) take(m *member, r Record, why string, fresh bool) {
 	if r.State < Dead {
-		r.Age = 0
+		r.AgeSeconds = 0
 	}
-	if r.Life != m.Life || r.Boot != m.Boot {
+	if r.RunID != m.RunID || r.Boot != m.Boot {
 		m.number, m.mutes, m.muted, m.via, m.heardAt, m.ackAt, m.deaf, m.distance = 0, 0, 0, "", -never, -never, false, distance{}
 	}
 	v.replace(m, r, why, fresh)
-	if r.State == Suspect && m.suspect != nil && r.By != "" && r.By != m.Name {
-		m.suspect.accusers = append(m.suspect.accusers[:0], r.By)
+	if r.State == Suspect && m.suspect != nil && r.Reporter != "" && r.Reporter != m.Name {
+		m.suspect.accusers = append(m.suspect.accusers[:0], r.Reporter)
 		v.judgeAt = min(v.judgeAt, m.suspect.from+v.lasts(m))
 	}
 	by := ""
 	if r.State == Suspect {
-		by = r.By
+		by = r.Reporter
 	}
 	v.spread(m, by)
 }
@@ -93,13 +93,13 @@
 	v.standsAt(m, was.Addr)
 	m.hidden = v.hides(m)
 	v.counts.add(m, 1)
-	if changed := fresh || was.State != r.State || was.Boot != r.Boot || was.Life != r.Life; changed {
+	if changed := fresh || was.State != r.State || was.Boot != r.Boot || was.RunID != r.RunID; changed {
 		m.since = v.now
 		if r.State >= Dead {
-			m.dieAt = v.now - time.Duration(r.Age)*time.Second
+			m.dieAt = v.now - time.Duration(r.AgeSeconds)*time.Second
 		}
 	}
-	if s := m.suspect; s != nil && (r.State != Suspect || r.Inc != was.Inc || r.Life != was.Life) {
+	if s := m.suspect; s != nil && (r.State != Suspect || r.Incarnation != was.Incarnation || r.RunID != was.RunID) {
 		m.suspect = nil
 		v.suspects = without(v.suspects, m)
 		if r.State == Alive {
@@ -114,8 +114,8 @@
 	if !fresh && was.State == Dead && r.State <= Suspect && (!v.isFar(m) || m.region.watch) {
 		v.exchange.with(v, m.Addr) // a link is back: there will be more to tell
 	}
-	if fresh || wasShown != m.shown() || was.Life != r.Life || was.Boot != r.Boot || was.Addr != r.Addr {
-		v.do(Changed{Record: v.seen(m), Was: wasShown, New: fresh, Why: why})
+	if fresh || wasShown != m.shown() || was.RunID != r.RunID || was.Boot != r.Boot || was.Addr != r.Addr {
+		v.do(MemberChanged{Record: v.seen(m), Previous: wasShown, New: fresh, Reason: why})
 	}
 	v.saveSoon()
 }
@@ -144,16 +144,16 @@
 }
 
 // onSelf takes what the daemon tells of itself.
-func (v *View) onSelf(e Self) {
-	if len(e.Note) > NoteMost || e.Instances < 0 || e.Balancers < 0 {
+func (v *View) onSelf(e LocalInfo) {
+	if len(e.Metadata) > MaxMetadataBytes || e.Instances < 0 || e.Balancers < 0 {
 		return
 	}
-	if int(v.self.Instances) == e.Instances && int(v.self.Balancers) == e.Balancers && string(v.self.Note) == string(e.Note) {
+	if int(v.self.Instances) == e.Instances && int(v.self.Balancers) == e.Balancers && string(v.self.Metadata) == string(e.Metadata) {
 		return
 	}
 	v.counts.add(v.self, -1)
-	v.self.Instances, v.self.Balancers, v.self.Note = uint32(e.Instances), uint32(e.Balancers), e.Note
-	v.self.Inc++
+	v.self.Instances, v.self.Balancers, v.self.Metadata = uint32(e.Instances), uint32(e.Balancers), e.Metadata
+	v.self.Incarnation++
 	v.counts.add(v.self, 1)
 	v.tell(v.self)
 }
@@ -164,13 +164,13 @@
 		return
 	}
 	v.leaveState, v.leaving, v.leaveAt = true, leaveTimes, v.now
-	v.self.State, v.self.By, v.self.dieAt = Left, v.s.Name, v.now
+	v.self.State, v.self.Reporter, v.self.dieAt = Left, v.s.Name, v.now
 	if v.standby { // nobody knows of it
 		v.leaving = 0
 	}
 	v.mark(v.self)
 	v.spread(v.self, "")
-	v.do(Save{})
+	v.do(SaveView{})
 }
 
 const (
@@ -186,25 +186,25 @@
 	v.leaving--
 	v.leaveAt = v.now + leaveEvery
 	for _, m := range v.some(v.home.live, leaveTold, func(*member) bool { return true }) {
-		v.send(m.Addr, &Message{Kind: News}, forAnswers, v.self)
+		v.send(m.Addr, &Message{Kind: Gossip}, forAnswers, v.self)
 	}
 	for _, r := range v.areas { // those that are left of its region tell them too, if any are
 		if r != v.home && (r.watch || len(v.home.live) == 0) {
 			for _, m := range v.some(r.live, 1, func(*member) bool { return true }) {
-				v.send(m.Addr, &Message{Kind: News}, forAnswers, v.self)
+				v.send(m.Addr, &Message{Kind: Gossip}, forAnswers, v.self)
 			}
 		}
 	}
 }
 
-// Gone reports whether all is said that a member says when it leaves.
-func (v *View) Gone() bool { return v.leaveState && v.leaving == 0 }
+// HasLeft reports whether all is said that a member says when it leaves.
+func (v *View) HasLeft() bool { return v.leaveState && v.leaving == 0 }
 
 // forget is an operator's word that a dead member will not come back. If it does, it refutes that as any death.
 func (v *View) forget(name string) {
 	if m := v.members[name]; m != nil && m.shown() == Dead {
 		r := m.Record
-		r.State, r.By, r.Age = Left, v.s.Name, 0
+		r.State, r.Reporter, r.AgeSeconds = Left, v.s.Name, 0
 		v.set(m, r, "an operator said that it is gone")
 		v.spread(m, "")
 	}
--- a/internal/peer/membership/message.go
+++ b/internal/peer/membership/message.go
@@ -9,48 +9,48 @@
 type Kind uint8
 
 const (
-	Ping     Kind = iota + 1 // are you Target? Answered by Ack
-	Ack                      // Target is alive: this is its own word, or a helper's of its word
-	PingFor                  // probe Target at Addr for the sender
-	Nack                     // a helper's word: Target did not answer it, but the helper is there
-	News                     // nothing but updates
-	WhoIs                    // whichever process you are: answered by IAm. Does not need a view
-	IAm                      // Life and Up are the answer
-	WhoIsFor                 // ask WhoIs at Addr for the sender
+	Ping                    Kind = iota + 1 // are you Target? Answered by Ack
+	Ack                                     // Target is alive: this is its own word, or a helper's of its word
+	IndirectPing                            // probe Target at Addr for the sender
+	Nack                                    // a helper's word: Target did not answer it, but the helper is there
+	Gossip                                  // nothing but updates
+	IdentityRequest                         // whichever process you are: answered by IAm. Does not need a view
+	IdentityResponse                        // Life and Up are the answer
+	IndirectIdentityRequest                 // ask WhoIs at Addr for the sender
 	kinds
 )
 
 // Message is a datagram.
 type Message struct {
-	From    string   `cbor:"1,keyasint,omitempty"` // the sender's name
-	Boot    uint64   `cbor:"2,keyasint,omitempty"` // and its life, as in its Record
-	Life    uint64   `cbor:"3,keyasint,omitempty"`
-	Number  uint64   `cbor:"4,keyasint,omitempty"` // of all datagrams of this life, from 1
-	Digest  uint64   `cbor:"5,keyasint,omitempty"` // of the sender's view
-	Kind    Kind     `cbor:"6,keyasint,omitempty"`
-	Seq     uint32   `cbor:"7,keyasint,omitempty"` // an answer bears that of the question
-	Target  string   `cbor:"8,keyasint,omitempty"`
-	Addr    string   `cbor:"9,keyasint,omitempty"`  // PingFor, WhoIsFor: the target's; else the sender's own, where answers go
-	Reply   string   `cbor:"10,keyasint,omitempty"` // PingFor, WhoIsFor: the sender's own
-	Up      uint64   `cbor:"11,keyasint,omitempty"` // IAm: milliseconds that the process has run
-	Of      uint64   `cbor:"12,keyasint,omitempty"` // IAm: whose Life answers
-	Updates []Record `cbor:"13,keyasint,omitempty"`
+	From         string   `cbor:"1,keyasint,omitempty"` // the sender's name
+	Boot         uint64   `cbor:"2,keyasint,omitempty"` // and its life, as in its Record
+	RunID        uint64   `cbor:"3,keyasint,omitempty"`
+	Number       uint64   `cbor:"4,keyasint,omitempty"` // of all datagrams of this life, from 1
+	Digest       uint64   `cbor:"5,keyasint,omitempty"` // of the sender's view
+	Kind         Kind     `cbor:"6,keyasint,omitempty"`
+	Seq          uint32   `cbor:"7,keyasint,omitempty"` // an answer bears that of the question
+	Target       string   `cbor:"8,keyasint,omitempty"`
+	Addr         string   `cbor:"9,keyasint,omitempty"`  // PingFor, WhoIsFor: the target's; else the sender's own, where answers go
+	Reply        string   `cbor:"10,keyasint,omitempty"` // PingFor, WhoIsFor: the sender's own
+	UptimeMS     uint64   `cbor:"11,keyasint,omitempty"` // IAm: milliseconds that the process has run
+	SubjectRunID uint64   `cbor:"12,keyasint,omitempty"` // IAm: whose Life answers
+	Updates      []Record `cbor:"13,keyasint,omitempty"`
 }
 
 // Exchange is a message on a stream: what one member knows, by parts (buckets of names by their hash).
 type Exchange struct {
-	From    string   `cbor:"1,keyasint,omitempty"`
-	Boot    uint64   `cbor:"2,keyasint,omitempty"`
-	Life    uint64   `cbor:"3,keyasint,omitempty"`
-	Buckets []uint64 `cbor:"4,keyasint,omitempty"` // the opener's digest of each part
-	Want    []uint16 `cbor:"5,keyasint,omitempty"` // parts that the sender would have in turn
-	Records []Record `cbor:"6,keyasint,omitempty"`
-	Busy    uint32   `cbor:"7,keyasint,omitempty"` // ask again in so many milliseconds
+	From          string   `cbor:"1,keyasint,omitempty"`
+	Boot          uint64   `cbor:"2,keyasint,omitempty"`
+	RunID         uint64   `cbor:"3,keyasint,omitempty"`
+	BucketDigests []uint64 `cbor:"4,keyasint,omitempty"` // the opener's digest of each part
+	WantedBuckets []uint16 `cbor:"5,keyasint,omitempty"` // parts that the sender would have in turn
+	Records       []Record `cbor:"6,keyasint,omitempty"`
+	RetryAfterMS  uint32   `cbor:"7,keyasint,omitempty"` // ask again in so many milliseconds
 }
 
 // check says whether a message that came from elsewhere makes sense; what doesn't is not taken.
 func (m *Message) ok() bool {
-	return m != nil && m.Kind >= Ping && m.Kind < kinds && m.From != "" && len(m.From) <= NameMost && len(m.Target) <= NameMost &&
+	return m != nil && m.Kind >= Ping && m.Kind < kinds && m.From != "" && len(m.From) <= MaxNameBytes && len(m.Target) <= MaxNameBytes &&
 		len(m.Addr) <= addrMost && len(m.Reply) <= addrMost && printable(m.From) && printable(m.Target)
 }
 
@@ -71,22 +71,22 @@
 	return n
 }
 
-// Size bounds what it takes on the wire in a fleet with the longest name.
-func (m *Message) Size() int { return m.size(fleetMost) }
+// MaxEncodedSize bounds what it takes on the wire in a fleet with the longest name.
+func (m *Message) MaxEncodedSize() int { return m.size(fleetMost) }
 
 func (r *Record) size() int {
-	n := recordSize + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Program) + len(r.By) + len(r.Note)
+	n := recordSize + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Program) + len(r.Reporter) + len(r.Metadata)
 	if r.Region != "" {
 		n += 3 + len(r.Region)
 	}
-	if len(r.Mute) > 0 {
-		n += 3 + 5*len(r.Mute)
+	if len(r.UnreachableRegions) > 0 {
+		n += 3 + 5*len(r.UnreachableRegions)
 	}
 	return n
 }
 
 func (x *Exchange) size() int {
-	n := headSize + len(x.From) + 9*len(x.Buckets) + 3*len(x.Want)
+	n := headSize + len(x.From) + 9*len(x.BucketDigests) + 3*len(x.WantedBuckets)
 	for i := range x.Records {
 		n += x.Records[i].size()
 	}
@@ -130,7 +130,7 @@
 	if to == "" || to == v.s.Addr {
 		return false
 	}
-	m.From, m.Boot, m.Life, m.Digest = v.s.Name, v.self.Boot, v.self.Life, v.digest
+	m.From, m.Boot, m.RunID, m.Digest = v.s.Name, v.self.Boot, v.self.RunID, v.digest
 	if m.Kind == Ping && m.Addr == "" {
 		m.Addr = v.s.Addr
 	}
@@ -140,7 +140,7 @@
 		return v.budget.may(size, leave) && (far == nil || v.farBudget.may(size, leave))
 	}
 	if !may(leave) {
-		v.sent.Held++
+		v.sent.Withheld++
 		return false
 	}
 	for _, a := range about { // what the other must know before all: that it is held for dead, say
@@ -149,7 +149,7 @@
 			size += m.Updates[len(m.Updates)-1].size()
 		}
 	}
-	if !v.standby && !v.bare && m.Kind != WhoIs && m.Kind != IAm && m.Kind != WhoIsFor && may(forProbes) {
+	if !v.standby && !v.bare && m.Kind != IdentityRequest && m.Kind != IdentityResponse && m.Kind != IndirectIdentityRequest && may(forProbes) {
 		switch {
 		case far == nil:
 			size = v.news.fill(v, m, size, counts, v.times())
@@ -159,7 +159,7 @@
 	}
 	if far != nil {
 		v.farBudget.level -= float64(size)
-		v.sent.FarBytes += uint64(size)
+		v.sent.RemoteBytes += uint64(size)
 	}
 	v.number++
 	m.Number = v.number
@@ -174,7 +174,7 @@
 
 // ValidName reports whether a member may have this name.
 func ValidName(name string) bool {
-	r := Record{Name: name, Addr: "127.0.0.1:1", Boot: 1, Life: 1}
+	r := Record{Name: name, Addr: "127.0.0.1:1", Boot: 1, RunID: 1}
 	return r.check() == nil
 }
 
--- a/internal/peer/membership/name.go
+++ b/internal/peer/membership/name.go
@@ -30,7 +30,7 @@
 )
 
 // up is how long this process has run.
-func (v *View) up() time.Duration { return v.now - v.self.since + v.s.Up }
+func (v *View) up() time.Duration { return v.now - v.self.since + v.s.Uptime }
 
 // ownName takes in what is told of this member's own name.
 func (v *View) ownName(r Record) {
@@ -38,17 +38,17 @@
 	if v.leaveState {
 		return
 	}
-	if r.Life == own.Life {
+	if r.RunID == own.RunID {
 		if !r.newer(own) {
 			return
 		}
 		if r.State == Suspect || r.State == Dead {
 			v.worsen(1)
 		}
-		own.Boot, own.Inc = r.Boot, r.Inc+1
+		own.Boot, own.Incarnation = r.Boot, r.Incarnation+1
 		v.tell(v.self)
-		if by := v.members[r.By]; by != nil && by.listed == inLive { // whose patience ends first
-			v.sendTo(by, &Message{Kind: News}, forAnswers, v.self)
+		if by := v.members[r.Reporter]; by != nil && by.listed == inLive { // whose patience ends first
+			v.sendTo(by, &Message{Kind: Gossip}, forAnswers, v.self)
 		}
 		return
 	}
@@ -58,7 +58,7 @@
 		if r.newer(&v.claim.rec) {
 			v.claim.rec = r
 		}
-	case elsewhere && r.Life != v.claim.cleared:
+	case elsewhere && r.RunID != v.claim.cleared:
 		if v.claim.at == 0 || r.newer(&v.claim.rec) {
 			wait := time.Duration(0)
 			if v.claim.rests > 0 {
@@ -75,13 +75,13 @@
 func (v *View) outbid(r *Record, checked bool) {
 	own := &v.self.Record
 	if r.newer(own) {
-		own.Boot, own.Inc = r.Boot+1, 0
+		own.Boot, own.Incarnation = r.Boot+1, 0
 	} else {
-		own.Inc++
+		own.Incarnation++
 	}
-	own.Checked = own.Checked || checked
+	own.NameVerified = own.NameVerified || checked
 	v.tell(v.self)
-	v.do(Save{Boot: true})
+	v.do(SaveView{BootOnly: true})
 }
 
 // claimDue asks, and concludes from silence.
@@ -120,9 +120,9 @@
 		c.seq = v.nextSeq()
 	}
 	c.asked++
-	v.send(c.rec.Addr, &Message{Kind: WhoIs, Seq: c.seq, Addr: v.s.Addr}, forAnswers)
+	v.send(c.rec.Addr, &Message{Kind: IdentityRequest, Seq: c.seq, Addr: v.s.Addr}, forAnswers)
 	for _, h := range v.some(v.live, 2, func(m *member) bool { return m.State == Alive }) {
-		v.send(h.Addr, &Message{Kind: WhoIsFor, Seq: c.seq, Target: v.s.Name, Addr: c.rec.Addr, Reply: v.s.Addr}, forAnswers)
+		v.send(h.Addr, &Message{Kind: IndirectIdentityRequest, Seq: c.seq, Target: v.s.Name, Addr: c.rec.Addr, Reply: v.s.Addr}, forAnswers)
 	}
 }
 
@@ -130,8 +130,8 @@
 func (v *View) free(why string) {
 	c := &v.claim
 	rec := c.rec
-	v.claim = claim{rests: c.rests + 1, cleared: rec.Life}
-	v.do(Contested{Other: rec, Why: why})
+	v.claim = claim{rests: c.rests + 1, cleared: rec.RunID}
+	v.do(NameConflict{Other: rec, Reason: why})
 	v.outbid(&rec, true)
 }
 
@@ -140,7 +140,7 @@
 		if e.who && e.seq == m.Seq {
 			v.errands = append(v.errands[:i], v.errands[i+1:]...)
 			// The answer is passed on as it is: it is signed by whose life it names, not by who sends it.
-			v.send(e.reply, &Message{Kind: IAm, Seq: e.theirs, Of: m.Of, Up: m.Up, Target: orIf(m.Target, m.From)}, forAnswers)
+			v.send(e.reply, &Message{Kind: IdentityResponse, Seq: e.theirs, SubjectRunID: m.SubjectRunID, UptimeMS: m.UptimeMS, Target: orIf(m.Target, m.From)}, forAnswers)
 			return
 		}
 	}
@@ -149,7 +149,7 @@
 		return
 	}
 	name := orIf(m.Target, m.From)
-	if name != v.s.Name || m.Of == v.self.Life { // the address is another's by now, or this one's own
+	if name != v.s.Name || m.SubjectRunID == v.self.RunID { // the address is another's by now, or this one's own
 		if !v.standby {
 			v.free("its address has another owner")
 		}
@@ -159,13 +159,13 @@
 	switch {
 	case v.standby:
 		c.misses, c.asked = 0, 0
-	case own > m.Up || own == m.Up && v.self.Life < m.Of:
+	case own > m.UptimeMS || own == m.UptimeMS && v.self.RunID < m.SubjectRunID:
 		v.free("it has run for less time and stands back")
 	default:
 		v.standby = true
 		v.probes, v.news = nil, news{}
 		rec := c.rec
 		*c = claim{rec: rec, at: v.now + standLook, rests: c.rests}
-		v.do(Contested{Other: rec, StandBack: true, Why: "it has run longer and keeps the name"})
+		v.do(NameConflict{Other: rec, Yield: true, Reason: "it has run longer and keeps the name"})
 	}
 }
--- a/internal/peer/membership/news.go
+++ b/internal/peer/membership/news.go
@@ -34,7 +34,7 @@
 	if old := n.index[k]; old != nil {
 		old.gone = true
 	}
-	i := &item{m: m, by: by, boot: m.Boot, life: m.Life, inc: m.Inc, st: m.State}
+	i := &item{m: m, by: by, boot: m.Boot, life: m.RunID, inc: m.Incarnation, st: m.State}
 	n.index[k] = i
 	n.at(0, i)
 }
@@ -48,7 +48,7 @@
 
 // void reports whether an item has been overtaken.
 func (i *item) void() bool {
-	return i.gone || i.m.Boot != i.boot || i.m.Life != i.life || i.m.Inc != i.inc || i.m.State != i.st
+	return i.gone || i.m.Boot != i.boot || i.m.RunID != i.life || i.m.Incarnation != i.inc || i.m.State != i.st
 }
 
 func (n *news) forget(i *item) {
@@ -110,7 +110,7 @@
 			}
 			r := v.told(i.m)
 			if i.by != "" {
-				r.By = i.by
+				r.Reporter = i.by
 			}
 			m.Updates = append(m.Updates, r)
 			in[i.m.Name] = true
@@ -151,7 +151,7 @@
 	tell := func(m *member) {
 		if m != nil && m.listed == inLive && !told[m.Name] && len(told) < fan && !v.news.empty() {
 			told[m.Name] = true
-			v.sendTo(m, &Message{Kind: News}, forNews, suspected(m))
+			v.sendTo(m, &Message{Kind: Gossip}, forNews, suspected(m))
 		}
 	}
 	for _, i := range v.rng.Perm(len(v.heard)) {
--- a/internal/peer/membership/probe.go
+++ b/internal/peer/membership/probe.go
@@ -52,7 +52,7 @@
 		return
 	}
 	// Never two at once for a slow clock: what was missed is not made up for.
-	v.probeAt = max(v.probeAt+v.patience(v.s.Every), v.now+v.patience(v.s.Every)/2)
+	v.probeAt = max(v.probeAt+v.patience(v.s.ProbeInterval), v.now+v.patience(v.s.ProbeInterval)/2)
 	if m := v.nextTarget(); m != nil {
 		v.ask(m, 0)
 	}
@@ -171,7 +171,7 @@
 			return
 		}
 		asked[h] = true
-		if v.send(h.Addr, &Message{Kind: PingFor, Seq: p.seq, Target: m.Name, Addr: m.Addr, Reply: v.s.Addr}, forProbes, suspected(m)) {
+		if v.send(h.Addr, &Message{Kind: IndirectPing, Seq: p.seq, Target: m.Name, Addr: m.Addr, Reply: v.s.Addr}, forProbes, suspected(m)) {
 			p.helpers = append(p.helpers, h)
 		}
 	}
@@ -259,7 +259,7 @@
 		}
 	}
 	switch {
-	case v.s.Plain.NoSuspicion:
+	case v.s.Baseline.NoSuspicion:
 		v.declare(m, "a probe failed")
 	case v.lone, v.now < m.muted && m.State == Alive:
 	default:
@@ -267,20 +267,20 @@
 	}
 }
 
-func (v *View) onDatagram(e Datagram) {
+func (v *View) onDatagram(e DatagramReceived) {
 	m := e.Message
 	if !m.ok() || v.leaveState {
 		return
 	}
-	v.sent.Heard++
+	v.sent.Received++
 	switch m.Kind {
-	case WhoIs:
-		v.send(m.Addr, &Message{Kind: IAm, Seq: m.Seq, Of: v.self.Life, Up: uint64(v.up() / time.Millisecond)}, forAnswers)
+	case IdentityRequest:
+		v.send(m.Addr, &Message{Kind: IdentityResponse, Seq: m.Seq, SubjectRunID: v.self.RunID, UptimeMS: uint64(v.up() / time.Millisecond)}, forAnswers)
 		return
-	case IAm:
+	case IdentityResponse:
 		v.onIAm(m)
 		return
-	case WhoIsFor:
+	case IndirectIdentityRequest:
 		v.runErrand(m, true)
 		return
 	}
@@ -288,23 +288,23 @@
 		return
 	}
 	if m.From == v.s.Name {
-		if m.Life != v.self.Life && m.Kind == Ping { // another process with this name: it should know of this one
-			v.send(m.Addr, &Message{Kind: News}, forNews, v.self)
+		if m.RunID != v.self.RunID && m.Kind == Ping { // another process with this name: it should know of this one
+			v.send(m.Addr, &Message{Kind: Gossip}, forNews, v.self)
 		}
 		return
 	}
 	from := v.members[m.From]
 	back := m.Addr // where an answer goes
-	if m.Kind == PingFor {
+	if m.Kind == IndirectPing {
 		back = m.Reply
 	}
 	switch {
-	case from == nil || m.Boot > from.Boot || m.Boot == from.Boot && m.Life > from.Life:
+	case from == nil || m.Boot > from.Boot || m.Boot == from.Boot && m.RunID > from.RunID:
 		v.exchange.with(v, back) // a process that is not known here
-	case m.Boot != from.Boot || m.Life != from.Life:
+	case m.Boot != from.Boot || m.RunID != from.RunID:
 		v.sent.Stale++ // of an earlier one, or of one that lost its disk: it is told what is known
 		if m.Kind == Ping {
-			v.send(back, &Message{Kind: News}, forNews, from)
+			v.send(back, &Message{Kind: Gossip}, forNews, from)
 		}
 		return
 	case m.Number+replayWindow < from.number:
@@ -321,19 +321,19 @@
 	for i := range m.Updates {
 		r := &m.Updates[i]
 		v.merge(*r, "news")
-		if t := v.members[r.Name]; t != nil && r.State >= Suspect && r.Life == t.Life && t.State == Alive && t.newer(r) && len(wrong) < correctMost {
+		if t := v.members[r.Name]; t != nil && r.State >= Suspect && r.RunID == t.RunID && t.State == Alive && t.newer(r) && len(wrong) < correctMost {
 			wrong = append(wrong, t)
 		}
 	}
 	if len(wrong) > 0 && from != nil { // it accuses who has refuted that, and has not heard so
-		v.sendTo(from, &Message{Kind: News}, forNews, wrong...)
+		v.sendTo(from, &Message{Kind: Gossip}, forNews, wrong...)
 	}
 	switch m.Kind {
 	case Ping:
 		if m.Target == v.s.Name { // else the address had another owner
 			v.send(back, &Message{Kind: Ack, Seq: m.Seq, Target: v.s.Name}, forAnswers, suspected(from))
 		}
-	case PingFor:
+	case IndirectPing:
 		v.runErrand(m, false)
 	case Ack:
 		v.onAck(m)
@@ -401,14 +401,14 @@
 	if len(v.errands) >= errandsMost || m.Reply == "" || m.Addr == "" || m.Target == v.s.Name && !who {
 		return
 	}
-	wait := v.s.Direct
+	wait := v.s.ProbeTimeout
 	if t := v.members[m.Target]; t != nil {
 		wait = v.direct(t)
 	}
 	e := &errand{seq: v.nextSeq(), theirs: m.Seq, target: m.Target, reply: m.Reply, at: v.now, until: v.now + wait, who: who}
 	ask := &Message{Kind: Ping, Seq: e.seq, Target: m.Target}
 	if who {
-		ask = &Message{Kind: WhoIs, Seq: e.seq, Addr: v.s.Addr}
+		ask = &Message{Kind: IdentityRequest, Seq: e.seq, Addr: v.s.Addr}
 	}
 	about := suspected(v.members[m.Target])
 	for _, r := range m.Updates { // from afar it is not for this member to suspect; the suspect must know all the same
--- a/internal/peer/membership/region.go
+++ b/internal/peer/membership/region.go
@@ -58,8 +58,8 @@
 
 // Why members are shown otherwise though their records are the same.
 const (
-	WhyAway = "it is not reached, and nobody near it either"
-	WhyBack = "it may be reached again"
+	ReasonRegionUnreachable = "it is not reached, and nobody near it either"
+	ReasonRegionReachable   = "it may be reached again"
 )
 
 // regionOf finds a region by its name, or begins it.
@@ -99,7 +99,7 @@
 func (v *View) seen(m *member) Record {
 	r := v.told(m)
 	if m.shown() != m.State {
-		r.State, r.By, r.Age = Dead, "", uint32(max(0, v.now-v.hiddenSince(m))/time.Second)
+		r.State, r.Reporter, r.AgeSeconds = Dead, "", uint32(max(0, v.now-v.hiddenSince(m))/time.Second)
 	}
 	return r
 }
@@ -119,7 +119,7 @@
 		m.hidden = v.hides(m)
 		v.counts.add(m, 1)
 		if m.shown() != was {
-			v.do(Changed{Record: v.seen(m), Was: was, Why: why})
+			v.do(MemberChanged{Record: v.seen(m), Previous: was, Reason: why})
 		}
 	}
 }
@@ -130,7 +130,7 @@
 }
 
 // muted reports whether a member says that it does not reach a region.
-func muted(m *member, r *region) bool { return slices.Contains(m.Mute, r.hash) }
+func muted(m *member, r *region) bool { return slices.Contains(m.UnreachableRegions, r.hash) }
 
 // survey finds who watches each region, and which ones are not reached any more.
 func (v *View) survey() {
@@ -166,10 +166,10 @@
 		}
 		if away != r.away {
 			r.away, r.since = away, v.now
-			v.do(Reached{Region: r.name, Away: away, Members: len(r.live)})
-			why := WhyBack
+			v.do(RegionReachability{Region: r.name, Unreachable: away, Members: len(r.live)})
+			why := ReasonRegionReachable
 			if away {
-				why = WhyAway
+				why = ReasonRegionUnreachable
 			}
 			v.show(r.live, why)
 		}
@@ -224,13 +224,13 @@
 		return
 	}
 	r.mute = mute
-	v.self.Mute = nil
+	v.self.UnreachableRegions = nil
 	for _, o := range v.areas {
 		if o.mute {
-			v.self.Mute = append(v.self.Mute, o.hash)
+			v.self.UnreachableRegions = append(v.self.UnreachableRegions, o.hash)
 		}
 	}
-	v.self.Inc++
+	v.self.Incarnation++
 	v.tell(v.self)
 	v.surveyAt = v.now
 	if r.missed = 0; mute {
@@ -247,7 +247,7 @@
 		if !r.news.empty() && v.now >= r.newsAt {
 			r.newsAt = v.now + newsEvery
 			for _, m := range v.some(r.live, 1, func(m *member) bool { return true }) {
-				v.sendTo(m, &Message{Kind: News}, forNews)
+				v.sendTo(m, &Message{Kind: Gossip}, forNews)
 			}
 		}
 		if v.now < r.probeAt {
@@ -304,7 +304,7 @@
 	if !r.watch {
 		return
 	}
-	if r.missed++; r.missed >= farMisses && v.now-r.ackAt >= v.least()+v.s.Direct+v.s.Indirect && !r.mute {
+	if r.missed++; r.missed >= farMisses && v.now-r.ackAt >= v.least()+v.s.ProbeTimeout+v.s.IndirectTimeout && !r.mute {
 		v.say(r, true)
 	}
 }
@@ -343,7 +343,7 @@
 // near is a record as those take it that stand elsewhere: a suspicion is for those that are near.
 func (v *View) normal(r Record) Record {
 	if r.State == Suspect && v.far(r.Region) {
-		r.State, r.By = Alive, ""
+		r.State, r.Reporter = Alive, ""
 	}
 	return r
 }
@@ -356,33 +356,33 @@
 	return v.regionOf(name) != v.home
 }
 
-// RegionSeen is how a region stands as seen from here.
-type RegionSeen struct {
-	Name            string
-	Members, Silent int // by their records
-	Own, Away       bool
-	Since           time.Duration // so long it has not been reached
-	Watchers        []string
-	Way             time.Duration // there and back, in the mean; 0: it is not known
+// RegionStatus is how a region stands as seen from here.
+type RegionStatus struct {
+	Name               string
+	Members, Dead      int // by their records
+	Local, Unreachable bool
+	UnreachableFor     time.Duration // so long it has not been reached
+	Watchers           []string
+	RoundTrip          time.Duration // there and back, in the mean; 0: it is not known
 }
 
 // Regions are all that are known, by name; nil where there is one alone.
-func (v *View) Regions() (all []RegionSeen) {
+func (v *View) Regions() (all []RegionStatus) {
 	for _, r := range v.areas {
-		s := RegionSeen{Name: r.name, Members: len(r.live), Silent: len(r.silent), Own: r == v.home, Away: r.away}
-		if s.Own {
+		s := RegionStatus{Name: r.name, Members: len(r.live), Dead: len(r.silent), Local: r == v.home, Unreachable: r.away}
+		if s.Local {
 			s.Members++
-		} else if s.Members+s.Silent == 0 {
+		} else if s.Members+s.Dead == 0 {
 			continue
 		}
 		if r.away {
-			s.Since = v.now - r.since
+			s.UnreachableFor = v.now - r.since
 		}
 		for _, w := range r.top {
 			s.Watchers = append(s.Watchers, w.m.Name)
 		}
 		if d := v.places[place{r.name, ""}]; d != nil {
-			s.Way = time.Duration(float64(d.mean) * float64(time.Second))
+			s.RoundTrip = time.Duration(float64(d.mean) * float64(time.Second))
 		}
 		all = append(all, s)
 	}
@@ -392,5 +392,5 @@
 	return all
 }
 
-// Alone reports whether nobody is heard.
-func (v *View) Alone() bool { return v.lone }
+// Isolated reports whether nobody is heard.
+func (v *View) Isolated() bool { return v.lone }
--- a/internal/peer/membership/region_test.go
+++ b/internal/peer/membership/region_test.go
@@ -11,29 +11,29 @@
 // inRegions is the view of one of region a, which knows so many others of a, b and c: a0, a1, ... b0, ...
 func inRegions(t testing.TB, a, b, c int) *View {
 	t.Helper()
-	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, Life: 7, Balancers: 1, Region: "a"}, 1)
+	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Balancers: 1, Region: "a"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &Exchange{From: "a0", Boot: 5, Life: 100}
+	x := &Exchange{From: "a0", Boot: 5, RunID: 100}
 	for i, n := range []int{a, b, c} {
 		for k := range n {
 			x.Records = append(x.Records, of(i, k))
 		}
 	}
-	v.Step(0, Closed{x})
+	v.Step(0, ExchangeClosed{x})
 	v.joined, v.news = true, news{}
 	return v
 }
 
 func of(region, n int) Record {
 	name := string(rune('a' + region))
-	return Record{Name: fmt.Sprint(name, n), Addr: fmt.Sprintf("127.0.%d.1:%d", region+2, n+1), Boot: 5, Life: uint64(1000*region + n + 100), Balancers: 1, Region: name}
+	return Record{Name: fmt.Sprint(name, n), Addr: fmt.Sprintf("127.0.%d.1:%d", region+2, n+1), Boot: 5, RunID: uint64(1000*region + n + 100), Balancers: 1, Region: name}
 }
 
 // told has a member tell of others.
 func tells(v *View, r Record, all ...Record) []Action {
-	return v.Step(v.now+ms, from(r, uint64(v.now), Message{Kind: News, Updates: all}))
+	return v.Step(v.now+ms, from(r, uint64(v.now), Message{Kind: Gossip, Updates: all}))
 }
 
 // watching makes this member one of the watchers of b, and the others of its region whoever they are.
@@ -50,7 +50,7 @@
 // answered has the view run until a time: pings are answered by those of which it says so.
 func livesOn(v *View, until time.Duration, answers func(name string) bool) (all []Action) {
 	numbers := map[string]uint64{}
-	var due []Datagram
+	var due []DatagramReceived
 	for v.now < until {
 		at := v.Next()
 		var events []Event
@@ -79,13 +79,13 @@
 func TestSuspicionOfAFarMemberIsForThoseNearIt(t *testing.T) {
 	v := inRegions(t, 4, 4, 0)
 	r := of(1, 0)
-	r.State, r.By = Suspect, "b1"
+	r.State, r.Reporter = Suspect, "b1"
 	tells(v, of(1, 1), r)
 	if state(v, "b0") != Alive || len(v.suspects) != 0 || !v.news.empty() {
 		t.Errorf("%v, %d suspects", state(v, "b0"), len(v.suspects))
 	}
 	n := of(0, 0)
-	n.State, n.By = Suspect, "a1"
+	n.State, n.Reporter = Suspect, "a1"
 	tells(v, of(0, 1), n)
 	if state(v, "a0") != Suspect {
 		t.Error("one that is near is not suspected")
@@ -97,7 +97,7 @@
 	dead.State = Dead
 	for name, tell := range map[string]func(v *View){
 		"news":     func(v *View) { tells(v, of(0, 0), dead) },
-		"exchange": func(v *View) { v.Step(v.now+ms, Closed{&Exchange{From: "b1", Records: []Record{dead}}}) },
+		"exchange": func(v *View) { v.Step(v.now+ms, ExchangeClosed{&Exchange{From: "b1", Records: []Record{dead}}}) },
 	} {
 		v := inRegions(t, 4, 4, 0)
 		if tell(v); state(v, "b0") != Dead {
@@ -107,7 +107,7 @@
 	v := inRegions(t, 4, 4, 0) // but one that this member hears is told
 	tells(v, of(1, 0))
 	acts := tells(v, of(0, 0), dead)
-	if got := sent(acts, News); state(v, "b0") != Alive || len(got) == 0 || got[0].To != dead.Addr || got[0].Message.Updates[0].State != Dead {
+	if got := sent(acts, Gossip); state(v, "b0") != Alive || len(got) == 0 || got[0].To != dead.Addr || got[0].Message.Updates[0].State != Dead {
 		t.Errorf("heard, and %v: %+v", state(v, "b0"), got)
 	}
 }
@@ -116,7 +116,7 @@
 	v := inRegions(t, 9, 9, 9)
 	for i := range 9 { // three of its own zone, three of another, and three that are alone in theirs
 		r := of(0, i)
-		r.Inc, r.Zone = 1, []string{"z1", "z2", fmt.Sprint("alone", i)}[i%3]
+		r.Incarnation, r.Zone = 1, []string{"z1", "z2", fmt.Sprint("alone", i)}[i%3]
 		tells(v, of(0, 8), r)
 	}
 	v.self.Zone, v.zoneTurn = "z1", nil
@@ -190,12 +190,12 @@
 	if len(first) != watchersMost {
 		t.Fatal(first)
 	}
-	other, _ := New(Settings{Name: "a0", Addr: of(0, 0).Addr, Boot: 5, Life: 100, Region: "a"}, 2)
-	x := &Exchange{From: "me", Records: []Record{v.Own(), of(1, 0)}}
+	other, _ := New(Settings{Name: "a0", Addr: of(0, 0).Addr, Boot: 5, RunID: 100, Region: "a"}, 2)
+	x := &Exchange{From: "me", Records: []Record{v.Local(), of(1, 0)}}
 	for i := 8; i > 0; i-- {
 		x.Records = append(x.Records, of(0, i))
 	}
-	other.Step(0, Closed{x})
+	other.Step(0, ExchangeClosed{x})
 	if got := names(other); !slices.Equal(first, got) {
 		t.Errorf("one finds %v, another %v", first, got)
 	}
@@ -214,7 +214,7 @@
 		v := inRegions(t, c.near, 5, 0)
 		r := watching(t, v, c.want > 0)
 		dead, suspect := of(0, 0), of(0, 1)
-		dead.State, suspect.State, suspect.By = Dead, Suspect, "a2"
+		dead.State, suspect.State, suspect.Reporter = Dead, Suspect, "a2"
 		acts := append(tells(v, of(0, 1), dead), tells(v, of(0, 0), suspect)...)
 		crossed, others := 0, 0
 		for _, a := range append(acts, livesOn(v, v.now+2*farEvery, everybody)...) {
@@ -246,10 +246,10 @@
 // muteAll has the watchers of its region say that they don't reach another one, or that they do.
 func says(v *View, r *region, name string, mute bool) {
 	m := v.members[name].Record
-	if m.Inc++; mute {
-		m.Mute = []uint32{r.hash}
+	if m.Incarnation++; mute {
+		m.UnreachableRegions = []uint32{r.hash}
 	} else {
-		m.Mute = nil
+		m.UnreachableRegions = nil
 	}
 	tells(v, m, m)
 }
@@ -259,7 +259,7 @@
 	r := watching(t, v, true)
 	v.settled = true
 	livesOn(v, v.now+15*time.Second, everybody)
-	before, digest, health := v.Count(), v.Digest(), v.Health()
+	before, digest, health := v.Size(), v.Digest(), v.Health()
 	says(v, r, "a0", true)
 	says(v, r, "a1", true)
 	if r.away {
@@ -270,17 +270,17 @@
 	if !r.away || !muted(v.self, r) {
 		t.Fatal("not away")
 	}
-	if took := r.since - cut; took < SuspectLeast-farEvery*3/2 || took > 8*time.Second {
+	if took := r.since - cut; took < DefaultMinSuspicion-farEvery*3/2 || took > 8*time.Second {
 		t.Errorf("after %v", took)
 	}
 	shown := 0
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Changed:
-			if a.Record.Name[0] == 'b' && a.Record.State == Dead && a.Why == WhyAway {
+		case MemberChanged:
+			if a.Record.Name[0] == 'b' && a.Record.State == Dead && a.Reason == ReasonRegionUnreachable {
 				shown++
 			} else if a.Record.State != Alive {
-				t.Errorf("%s is %v: %s", a.Record.Name, a.Record.State, a.Why)
+				t.Errorf("%s is %v: %s", a.Record.Name, a.Record.State, a.Reason)
 			}
 		case Send:
 			for _, u := range a.Message.Updates {
@@ -291,13 +291,13 @@
 		}
 	}
 	livesOn(v, v.now+10*time.Second, onlyNear) // the count eases
-	after := v.Count()
-	if shown != 5 || after.Most != before.Most || after.Least != before.Least-5 || after.Live != before.Live-5 || v.Health() != health {
+	after := v.Size()
+	if shown != 5 || after.MaxBalancers != before.MaxBalancers || after.MinBalancers != before.MinBalancers-5 || after.Live != before.Live-5 || v.Health() != health {
 		t.Errorf("%d shown, count %+v, before %+v, health %d", shown, after, before, v.Health())
 	}
 	for _, m := range v.Members() {
-		if m.Region == "b" && (m.State != Dead || m.Age == 0) {
-			t.Errorf("%s: %v for %d s", m.Name, m.State, m.Age)
+		if m.Region == "b" && (m.State != Dead || m.AgeSeconds == 0) {
+			t.Errorf("%s: %v for %d s", m.Name, m.State, m.AgeSeconds)
 		}
 	}
 	for _, m := range v.Records() {
@@ -305,14 +305,14 @@
 			t.Errorf("%s is recorded as %v", m.Name, m.State)
 		}
 	}
-	mute := v.self.Inc
+	mute := v.self.Incarnation
 	acts = livesOn(v, v.now+4*time.Second, everybody) // the first answer ends it
-	if r.away || muted(v.self, r) || v.self.Inc != mute+1 {
+	if r.away || muted(v.self, r) || v.self.Incarnation != mute+1 {
 		t.Fatal("still away")
 	}
 	back := 0
 	for _, a := range acts {
-		if c, ok := a.(Changed); ok && c.Record.State == Alive && c.Why == WhyBack {
+		if c, ok := a.(MemberChanged); ok && c.Record.State == Alive && c.Reason == ReasonRegionReachable {
 			back++
 		}
 	}
@@ -383,7 +383,7 @@
 	p := &probe{target: "b0", seq: v.nextSeq(), far: r, at: v.now}
 	v.probes = []*probe{p}
 	v.askOthers(p)
-	for _, s := range sent(v.actions, PingFor) {
+	for _, s := range sent(v.actions, IndirectPing) {
 		if v.farAt[s.To] != v.regions["c"] {
 			t.Errorf("%s is asked", s.To)
 		}
@@ -399,11 +399,11 @@
 
 func TestBytesToOtherRegionsHaveTheirOwnBound(t *testing.T) {
 	v := inRegions(t, 2, 5, 0)
-	v.s.FarBytes, v.farBudget = 4096, budget{rate: 4096, most: 4096}
+	v.s.RemoteBytesPerSecond, v.farBudget = 4096, budget{rate: 4096, most: 4096}
 	r := watching(t, v, true)
 	for i := range 3000 {
 		m := of(0, 0)
-		m.Inc = uint32(i + 1)
+		m.Incarnation = uint32(i + 1)
 		x := v.members["a0"]
 		x.Record = m
 		r.news.put(x, "")
@@ -414,8 +414,8 @@
 			v.Step(v.now, from(of(1, i%5), uint64(3*i)+n+1, Message{Kind: Ping, Seq: 1, Target: "me"}))
 		}
 	}
-	if most := 4096*(v.now.Seconds()+1) + datagramMost; float64(v.Traffic().FarBytes) > most || float64(v.Traffic().FarBytes) < most/2 {
-		t.Errorf("%d bytes, %v are allowed", v.Traffic().FarBytes, most)
+	if most := 4096*(v.now.Seconds()+1) + datagramMost; float64(v.Traffic().RemoteBytes) > most || float64(v.Traffic().RemoteBytes) < most/2 {
+		t.Errorf("%d bytes, %v are allowed", v.Traffic().RemoteBytes, most)
 	}
 }
 
@@ -427,7 +427,7 @@
 		began, opened := v.now, time.Duration(0)
 		for i := uint64(1); opened == 0 && v.now < began+6*time.Second; i++ {
 			v.news, r.news = news{}, news{}
-			if len(opens(v.Step(v.now+100*ms, from(of(1, 0), i, Message{Kind: News, Digest: 99})))) > 0 {
+			if len(opens(v.Step(v.now+100*ms, from(of(1, 0), i, Message{Kind: Gossip, Digest: 99})))) > 0 {
 				opened = v.now - began
 			}
 		}
@@ -442,9 +442,9 @@
 	v := inRegions(t, 3, 3, 0)
 	bare := of(1, 0)
 	bare.Region = ""
-	bare.Inc = 1
+	bare.Incarnation = 1
 	tells(v, of(0, 0), bare)
-	if m := v.members["b0"]; m.Region != "b" || m.region != v.regions["b"] || m.Inc != 1 {
+	if m := v.members["b0"]; m.Region != "b" || m.region != v.regions["b"] || m.Incarnation != 1 {
 		t.Errorf("region %q, %+v", m.Region, m.Record)
 	}
 	stranger := of(1, 9) // learned without, then with
@@ -461,13 +461,13 @@
 
 func TestOperatorForgetsOneOfALostRegion(t *testing.T) {
 	v := inRegions(t, 2, 2, 0)
-	v.Step(v.now+ms, Forget{"b0"})
+	v.Step(v.now+ms, ForgetMember{"b0"})
 	if state(v, "b0") != Alive {
 		t.Fatal("one that is reached was forgotten")
 	}
 	v.regions["b"].away = true
-	v.show(v.regions["b"].live, WhyAway)
-	v.Step(v.now+ms, Forget{"b0"})
+	v.show(v.regions["b"].live, ReasonRegionUnreachable)
+	v.Step(v.now+ms, ForgetMember{"b0"})
 	if state(v, "b0") != Left {
 		t.Errorf("%v", state(v, "b0"))
 	}
@@ -482,11 +482,11 @@
 		cut := v.now
 		nobody := func(string) bool { return false }
 		livesOn(v, cut+v.loneAfter()+200*ms, nobody)
-		if !v.Alone() || v.Count().Live != 1 || v.Count().Most != n+1 || v.loneAfter() > 7*time.Second {
-			t.Fatalf("%d others: alone %v after %v, %+v", n, v.Alone(), v.loneAfter(), v.Count())
+		if !v.Isolated() || v.Size().Live != 1 || v.Size().MaxBalancers != n+1 || v.loneAfter() > 7*time.Second {
+			t.Fatalf("%d others: alone %v after %v, %+v", n, v.Isolated(), v.loneAfter(), v.Size())
 		}
 		recorded := 0
-		for _, s := range sent(livesOn(v, v.now+60*time.Second, nobody), News) {
+		for _, s := range sent(livesOn(v, v.now+60*time.Second, nobody), Gossip) {
 			for _, u := range s.Message.Updates {
 				if u.State == Suspect || u.State == Dead {
 					recorded++
@@ -496,9 +496,9 @@
 		if len(v.suspects) > 0 || recorded > 0 {
 			t.Errorf("%d others: %d are suspect, %d accusations told", n, len(v.suspects), recorded)
 		}
-		acts := v.Step(v.now+ms, from(other(n-1), 1<<40, Message{Kind: News}))
-		if v.Alone() || len(v.live) == 0 || v.Count().Live != len(v.live)+1 || len(opens(append(acts, run(v, v.now+1500*ms)...))) == 0 {
-			t.Errorf("%d others: alone %v, %d alive", n, v.Alone(), v.Count().Live)
+		acts := v.Step(v.now+ms, from(other(n-1), 1<<40, Message{Kind: Gossip}))
+		if v.Isolated() || len(v.live) == 0 || v.Size().Live != len(v.live)+1 || len(opens(append(acts, run(v, v.now+1500*ms)...))) == 0 {
+			t.Errorf("%d others: alone %v, %d alive", n, v.Isolated(), v.Size().Live)
 		}
 		if n > 3 && len(v.live) < n*9/10 {
 			t.Errorf("%d others: %d alive by their records", n, len(v.live))
@@ -513,7 +513,7 @@
 	livesOn(v, 5*time.Second, everybody)
 	v.Step(v.Next() + 20*time.Second)
 	livesOn(v, v.now+2*time.Second, everybody)
-	if v.Alone() {
+	if v.Isolated() {
 		t.Error("it was paused, and holds all for silent")
 	}
 }
@@ -560,7 +560,7 @@
 	if r.mute {
 		t.Fatal("silent at once")
 	}
-	v.now += SuspectLeast + Direct + Indirect
+	v.now += DefaultMinSuspicion + DefaultProbeTimeout + DefaultIndirectTimeout
 	if v.missedFar(r); !r.mute {
 		t.Error("not silent")
 	}
@@ -658,8 +658,8 @@
 	// The far helper does not suspect; the suspect hears of it all the same.
 	v := inRegions(t, 2, 2, 0)
 	accused := of(1, 0)
-	accused.State, accused.By = Suspect, "b1"
-	acts := v.Step(v.now+ms, from(of(1, 1), 9, Message{Kind: PingFor, Seq: 3, Target: "b0", Addr: accused.Addr, Reply: of(1, 1).Addr, Updates: []Record{accused}}))
+	accused.State, accused.Reporter = Suspect, "b1"
+	acts := v.Step(v.now+ms, from(of(1, 1), 9, Message{Kind: IndirectPing, Seq: 3, Target: "b0", Addr: accused.Addr, Reply: of(1, 1).Addr, Updates: []Record{accused}}))
 	if got := sent(acts, Ping); len(got) == 0 || len(got[0].Message.Updates) == 0 || got[0].Message.Updates[0].State != Suspect {
 		t.Errorf("%+v", got)
 	}
@@ -672,11 +672,11 @@
 	if v.missed(&probe{target: "m1"}); state(v, "m1") != Alive {
 		t.Error("it accuses")
 	}
-	v.s.Every = 20 * ms
-	if got := v.loneAfter(); got < 2*SuspectLeast {
+	v.s.ProbeInterval = 20 * ms
+	if got := v.loneAfter(); got < 2*DefaultMinSuspicion {
 		t.Errorf("%v at 20 ms", got)
 	}
-	v.s.Every = time.Second
+	v.s.ProbeInterval = time.Second
 	if got := v.loneAfter(); got < 20*time.Second {
 		t.Errorf("%v at 1 s", got)
 	}
@@ -690,7 +690,7 @@
 		r.State = Dead
 		tells(v, of(0, 0), r)
 		v.exchange = exchange{quietAt: time.Hour}
-		r.State, r.Inc = Alive, 1
+		r.State, r.Incarnation = Alive, 1
 		if tells(v, of(0, 0), r); (v.exchange.whom == r.Addr || v.exchange.busy && v.exchange.to == r.Addr) != want {
 			t.Errorf("watcher %v: exchange with %q", want, v.exchange.whom)
 		}
@@ -703,17 +703,17 @@
 	v.farStreams.fill(v.now)
 	v.farStreams.level = -5000
 	ask := func(r Record) *Exchange {
-		for _, a := range v.Step(v.now+ms, Asked{Stream: 1, Message: &Exchange{From: r.Name, Buckets: []uint64{1}, Records: []Record{r}}}) {
-			if a, ok := a.(Reply); ok {
+		for _, a := range v.Step(v.now+ms, ExchangeRequest{Stream: 1, Message: &Exchange{From: r.Name, BucketDigests: []uint64{1}, Records: []Record{r}}}) {
+			if a, ok := a.(ExchangeReply); ok {
 				return a.Message
 			}
 		}
 		return nil
 	}
-	if x := ask(of(1, 0)); x == nil || x.Busy == 0 || x.Records[0].Region != "b" {
+	if x := ask(of(1, 0)); x == nil || x.RetryAfterMS == 0 || x.Records[0].Region != "b" {
 		t.Errorf("to one of another region: %+v", x)
 	}
-	if x := ask(of(0, 0)); x == nil || x.Busy != 0 {
+	if x := ask(of(0, 0)); x == nil || x.RetryAfterMS != 0 {
 		t.Errorf("to one that is near: %+v", x)
 	}
 	v.farStreams.level = -1e6
@@ -736,8 +736,8 @@
 		v.joined, v.met = false, false
 		steps++
 	}
-	if steps > 5000 || v.Alone() {
-		t.Errorf("%d steps in 30 s, alone %v", steps, v.Alone())
+	if steps > 5000 || v.Isolated() {
+		t.Errorf("%d steps in 30 s, alone %v", steps, v.Isolated())
 	}
 }
 
@@ -748,7 +748,7 @@
 	v.claim = claim{at: v.now + 30*time.Second, misses: standTries, rec: other(9)}
 	v.now = v.claim.at
 	v.due = v.now
-	if v.Step(v.now); v.standby || v.Alone() {
-		t.Errorf("standby %v, alone %v", v.standby, v.Alone())
+	if v.Step(v.now); v.standby || v.Isolated() {
+		t.Errorf("standby %v, alone %v", v.standby, v.Isolated())
 	}
 }
--- a/internal/peer/membership/suspect.go
+++ b/internal/peer/membership/suspect.go
@@ -17,7 +17,7 @@
 // round.
 func (v *View) least() time.Duration {
 	n := float64(len(v.home.live) + 1)
-	return time.Duration(float64(v.s.SuspectLeast) * max(1, math.Log10(n)/2))
+	return time.Duration(float64(v.s.MinSuspicion) * max(1, math.Log10(n)/2))
 }
 
 // lasts is how long a suspicion lasts: three times the least with one accuser, down to the least with as many
@@ -27,7 +27,7 @@
 	least, way := v.least(), v.wayBack(m)
 	most := suspectMost * least
 	further := min(accusersMost, len(v.home.live)-1)
-	if further <= 0 || v.s.Plain.NoHealth {
+	if further <= 0 || v.s.Baseline.NoLifeguard {
 		return least + way
 	}
 	part := math.Log(float64(len(m.suspect.accusers))) / math.Log(float64(further+1))
@@ -38,7 +38,7 @@
 func (v *View) accuse(m *member) {
 	if m.State == Alive {
 		r := m.Record
-		r.State, r.By = Suspect, v.s.Name
+		r.State, r.Reporter = Suspect, v.s.Name
 		v.set(m, r, "a probe failed")
 	}
 	if s := m.suspect; s != nil {
@@ -66,7 +66,7 @@
 	v.judgeAt = never
 	for i := 0; i < len(v.suspects); {
 		m := v.suspects[i]
-		if !v.s.Plain.NoHealth { // one that has answered since is there, though its refutation is still on its way
+		if !v.s.Baseline.NoLifeguard { // one that has answered since is there, though its refutation is still on its way
 			m.suspect.from = max(m.suspect.from, m.lately())
 		}
 		end := m.suspect.from + v.lasts(m)
@@ -81,7 +81,7 @@
 
 func (v *View) declare(m *member, why string) {
 	r := m.Record
-	r.State, r.By, r.Age = Dead, v.s.Name, 0
+	r.State, r.Reporter, r.AgeSeconds = Dead, v.s.Name, 0
 	v.set(m, r, why)
 	v.spread(m, "")
 }
--- a/internal/peer/transport/events.go
+++ b/internal/peer/transport/events.go
@@ -116,19 +116,19 @@
 // did writes what a view did, if it is for others to know.
 func (e *events) did(a membership.Action) {
 	switch a := a.(type) {
-	case membership.Changed:
+	case membership.MemberChanged:
 		r := &a.Record
-		l := event{What: "member", Of: r.Name, Addr: r.Addr, Life: hex(r.Life), Boot: r.Boot, Inc: r.Inc, State: r.State.String(), Why: a.Why}
+		l := event{What: "member", Of: r.Name, Addr: r.Addr, Life: hex(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
 		if !a.New {
-			l.Was = a.Was.String()
+			l.Was = a.Previous.String()
 		}
 		e.put(l)
-	case membership.Counted:
-		c := a.Count
-		e.put(event{What: "count", Most: c.Most, Least: c.Least, Members: c.Members, Live: c.Live, File: c.File})
-	case membership.Contested:
-		e.put(event{What: "contested", Addr: a.Other.Addr, Life: hex(a.Other.Life), StandBack: a.StandBack, Why: a.Why})
-	case membership.Doubted:
+	case membership.SizeChanged:
+		c := a.Size
+		e.put(event{What: "count", Most: c.MaxBalancers, Least: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile})
+	case membership.NameConflict:
+		e.put(event{What: "contested", Addr: a.Other.Addr, Life: hex(a.Other.RunID), StandBack: a.Yield, Why: a.Reason})
+	case membership.SelfSuspected:
 		e.put(event{What: "doubt", PauseMS: a.Pause.Milliseconds(), Health: a.Health})
 	}
 }
--- a/internal/peer/transport/judging.go
+++ b/internal/peer/transport/judging.go
@@ -113,11 +113,11 @@
 func membersOf(all []membership.Record) ejection.MembersChanged {
 	var e ejection.MembersChanged
 	for _, r := range all {
-		p := ejection.Peer{Region: r.Region, Zone: r.Zone, Subscriptions: r.Note}
+		p := ejection.Peer{Region: r.Region, Zone: r.Zone, Subscriptions: r.Metadata}
 		switch {
 		case r.State == membership.Alive || r.State == membership.Suspect:
 			e.Names, e.Peers = append(e.Names, r.Name), append(e.Peers, p)
-		case r.State == membership.Dead && time.Duration(r.Age)*time.Second < lostFor:
+		case r.State == membership.Dead && time.Duration(r.AgeSeconds)*time.Second < lostFor:
 			e.Unreachable = append(e.Unreachable, p)
 		}
 	}
--- a/internal/peer/transport/judging_test.go
+++ b/internal/peer/transport/judging_test.go
@@ -25,7 +25,7 @@
 			b.do(func() {
 				for _, p := range b.v.Members() {
 					if p.Name == of {
-						got = p.Note
+						got = p.Metadata
 					}
 				}
 			})
@@ -39,7 +39,7 @@
 	want("a", "main")
 	a.Listed(ejection.ListUpdated{Source: "other"})
 	want("a", "main", "other")
-	a.Tell(membership.Self{Instances: 3, Balancers: 3})
+	a.Tell(membership.LocalInfo{Instances: 3, Balancers: 3})
 	for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		instances := uint32(0)
 		b.do(func() {
--- a/internal/peer/transport/sharing.go
+++ b/internal/peer/transport/sharing.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if slices.Contains(s.s.Servers, c.o.View.Name) {
-		if s.keeper, err = lease.NewServer(*s.s, c.o.View.Name, c.o.View.Life); err != nil {
+		if s.keeper, err = lease.NewServer(*s.s, c.o.View.Name, c.o.View.RunID); err != nil {
 			return nil, err
 		}
 		switch {
@@ -94,7 +94,7 @@
 }
 
 func (s *sharing) due(now time.Duration) {
-	if s.keeper != nil && !s.c.v.StandsBack() {
+	if s.keeper != nil && !s.c.v.Yields() {
 		s.keeper.Tick(now)
 	}
 	if s.holder != nil && now >= s.holder.Next() {
@@ -152,7 +152,7 @@
 	if s.c.frozen.Load() {
 		return // the process that follows has what was lent
 	}
-	if p.Ask != nil && s.keeper != nil && !s.c.v.StandsBack() && p.Ask.From == p.From {
+	if p.Ask != nil && s.keeper != nil && !s.c.v.Yields() && p.Ask.From == p.From {
 		if g := s.keeper.HandleRequest(now, p.Ask); g != nil {
 			s.send(p.From, &packet{Grant: g})
 		}
@@ -228,7 +228,7 @@
 	ok = c.do(func() {
 		now := c.now()
 		h := c.sharing
-		s = ShownLimits{Name: c.o.View.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), Most: c.v.Count().Most}
+		s = ShownLimits{Name: c.o.View.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), Most: c.v.Size().MaxBalancers}
 		for _, x := range h.holder.Status(now) {
 			one := ShownHeld{Limit: x.Limit, Key: x.Key, Used: x.Used, Turned: x.Rejected}
 			for _, r := range x.Leases {
--- a/internal/peer/transport/show.go
+++ b/internal/peer/transport/show.go
@@ -92,25 +92,25 @@
 func (c *Carrier) Show() (s Shown, ok bool) {
 	ok = c.do(func() {
 		v := c.v
-		own, t, up := v.Own(), v.Traffic(), max(v.Up().Seconds(), 1e-3)
-		s = Shown{Fleet: c.o.Fleet, Name: own.Name, Addr: own.Addr, Boot: own.Boot, Life: hex(own.Life), State: "in", Digest: hex(v.Digest()), Health: v.Health(), UpS: up}
+		own, t, up := v.Local(), v.Traffic(), max(v.Uptime().Seconds(), 1e-3)
+		s = Shown{Fleet: c.o.Fleet, Name: own.Name, Addr: own.Addr, Boot: own.Boot, Life: hex(own.RunID), State: "in", Digest: hex(v.Digest()), Health: v.Health(), UpS: up}
 		switch {
-		case v.StandsBack():
+		case v.Yields():
 			s.State = "standing back"
 		case !v.Joined():
 			s.State = "looking"
 		}
-		n := v.Count()
-		s.Count = ShownCount{n.Most, n.Least, n.Members, n.Live, n.File}
+		n := v.Size()
+		s.Count = ShownCount{n.MaxBalancers, n.MinBalancers, n.Members, n.Live, n.FromFile}
 		s.Traffic = ShownTraffic{Datagrams: t.Datagrams, Bytes: t.Bytes, DatagramsRate: float64(t.Datagrams) / up, BytesRate: float64(t.Bytes) / up,
-			Exchanges: t.Exchanges, ExchangeBytes: t.ExchangeBytes, Heard: t.Heard, FarBytes: t.FarBytes + t.FarExchangeBytes, FarRate: float64(t.FarBytes+t.FarExchangeBytes) / up, Held: t.Held, Stale: t.Stale, Dropped: c.dropped.Load(),
+			Exchanges: t.Exchanges, ExchangeBytes: t.ExchangeBytes, Heard: t.Received, FarBytes: t.RemoteBytes + t.RemoteExchangeBytes, FarRate: float64(t.RemoteBytes+t.RemoteExchangeBytes) / up, Held: t.Withheld, Stale: t.Stale, Dropped: c.dropped.Load(),
 			Damaged: c.damaged.Load(), Foreign: c.foreign.Load(), OtherFormat: c.formats.Load(), Huge: c.huge.Load(), Odd: c.odd.Load(),
 			PolicyMessages: c.agreeing.sent, PolicyBytes: c.agreeing.bytes, PolicyUnsent: c.agreeing.lost}
 		for _, r := range v.Regions() {
-			s.Regions = append(s.Regions, ShownRegion{r.Name, r.Members, r.Silent, r.Own, r.Away, r.Since.Round(time.Millisecond).Seconds(), r.Watchers,
-				float64(r.Way.Microseconds()) / 1000})
+			s.Regions = append(s.Regions, ShownRegion{r.Name, r.Members, r.Dead, r.Local, r.Unreachable, r.UnreachableFor.Round(time.Millisecond).Seconds(), r.Watchers,
+				float64(r.RoundTrip.Microseconds()) / 1000})
 		}
-		s.Alone = v.Alone()
+		s.Alone = v.Isolated()
 		for _, r := range v.Members() {
 			s.Members = append(s.Members, shownOne(r, c.now()-v.Since(r.Name)))
 		}
@@ -121,5 +121,5 @@
 
 func shownOne(r membership.Record, since time.Duration) ShownOne {
 	return ShownOne{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Region: r.Region, Program: r.Program, State: r.State.String(), SinceS: since.Round(time.Millisecond).Seconds(),
-		By: r.By, Boot: r.Boot, Life: hex(r.Life), Inc: r.Inc, Instances: r.Instances, Balancers: r.Balancers}
+		By: r.Reporter, Boot: r.Boot, Life: hex(r.RunID), Inc: r.Incarnation, Instances: r.Instances, Balancers: r.Balancers}
 }
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -34,13 +34,13 @@
 	Dir      string // where the last view is kept; empty: nowhere
 	Saved    *Saved // from the process before, which this one replaces; nil: the file is read
 	Log      *slog.Logger
-	Events   io.Writer              // lines of what changed, for drills; nil: none
-	Changed  func(membership.Count) // the head count has changed; must not wait
-	Inject   func()                 // a test's: called in each step
-	WallSkew time.Duration          // a drill's: the wall clock is off by so much
-	Limits   *lease.Settings        // shared by the fleet; nil: none
-	Before   *Carrier               // of this process, which has ended: what it held and lent is this one's now; nil: none
-	Verdicts *ejection.Settings     // what members know of servers is shared; but for name and life; nil: it is not
+	Events   io.Writer             // lines of what changed, for drills; nil: none
+	Changed  func(membership.Size) // the head count has changed; must not wait
+	Inject   func()                // a test's: called in each step
+	WallSkew time.Duration         // a drill's: the wall clock is off by so much
+	Limits   *lease.Settings       // shared by the fleet; nil: none
+	Before   *Carrier              // of this process, which has ended: what it held and lent is this one's now; nil: none
+	Verdicts *ejection.Settings    // what members know of servers is shared; but for name and life; nil: it is not
 	// Judged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
 	Judged    func(all []ejection.Ejection, base time.Time)
 	Agree     func(life uint64) *Agreement // on the fleet's policy, for a member's life; nil: there is none
@@ -73,7 +73,7 @@
 	sharing  *sharing
 	judging  *judging
 	agreeing *agreeing
-	self     membership.Self // as it was last told
+	self     membership.LocalInfo // as it was last told
 
 	dropped, odd, huge, foreign, damaged, formats atomic.Uint64
 	datagrams, written                            atomic.Uint64 // of the view and of what is shared: how many were written, and their bytes
@@ -106,7 +106,7 @@
 	s := &c.o.View
 	saved := o.Saved
 	if saved != nil && saved.Parallel {
-		s.Parallel, s.Boot, s.Life, s.Inc, s.Number, s.Up = true, saved.Boot, saved.Life, saved.Inc+1, saved.Number, time.Duration(saved.UpMS)*time.Millisecond
+		s.TakesOver, s.Boot, s.RunID, s.Incarnation, s.DatagramNumber, s.Uptime = true, saved.Boot, saved.Life, saved.Inc+1, saved.Number, time.Duration(saved.UpMS)*time.Millisecond
 		s.Known = saved.Records
 	} else {
 		if saved == nil {
@@ -116,13 +116,13 @@
 		if saved != nil {
 			was, s.Known = saved.Boot, saved.Records
 		}
-		s.Boot, s.Life = membership.NextBoot(was, time.Now().Add(o.WallSkew).Unix()), rand.Uint64()|1
+		s.Boot, s.RunID = membership.NextBootNumber(was, time.Now().Add(o.WallSkew).Unix()), rand.Uint64()|1
 	}
 	v, err := membership.New(*s, rand.Uint64())
 	if err != nil {
 		return nil, err
 	}
-	c.v, c.self = v, membership.Self{Instances: s.Instances, Balancers: s.Balancers}
+	c.v, c.self = v, membership.LocalInfo{Instances: s.Instances, Balancers: s.Balancers}
 	if o.Before != nil {
 		c.base = o.Before.base // what it holds is by that clock
 	}
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	if c.o.Agreement == nil && o.Agree != nil {
-		c.o.Agreement = o.Agree(s.Life)
+		c.o.Agreement = o.Agree(s.RunID)
 	}
 	c.agreeing = newAgreeing(c)
 	c.events = newEvents(o.Events, s.Name, os.Getpid())
@@ -163,8 +163,8 @@
 	others.Go(func() { c.disk.Run(stopped) })
 	c.save(true)
 	c.awaitBoot()
-	own := c.v.Own()
-	c.events.put(event{What: "start", Life: hex(own.Life), Boot: own.Boot, Inc: own.Inc})
+	own := c.v.Local()
+	c.events.put(event{What: "start", Life: hex(own.RunID), Boot: own.Boot, Inc: own.Incarnation})
 	c.beside(&others, func() { c.hear(stop) })
 	c.beside(&others, func() { c.accept(stop, &others) })
 	timer := time.NewTimer(0)
@@ -231,7 +231,7 @@
 
 // awaitBoot waits a little for the boot to be on the disk.
 func (c *Carrier) awaitBoot() {
-	if c.o.Dir == "" || c.o.View.Parallel {
+	if c.o.Dir == "" || c.o.View.TakesOver {
 		return
 	}
 	for limit := time.Now().Add(bootWithin); time.Now().Before(limit); time.Sleep(2 * time.Millisecond) {
@@ -244,15 +244,15 @@
 
 func (c *Carrier) take(i input) membership.Event {
 	switch e := i.event.(type) {
-	case membership.Asked:
+	case membership.ExchangeRequest:
 		c.next++
 		e.Stream = c.next
 		c.replies[e.Stream] = i.reply
 		return e
-	case membership.Failed:
+	case membership.ExchangeFailed:
 		delete(c.opened, e.ID)
-	case membership.Self:
-		e.Note = c.judging.note
+	case membership.LocalInfo:
+		e.Metadata = c.judging.note
 		c.self, c.judging.untold = e, false
 		return e
 	}
@@ -273,26 +273,26 @@
 		switch a := a.(type) {
 		case membership.Send:
 			c.send(a)
-		case membership.Open:
+		case membership.OpenExchange:
 			finish := make(chan *membership.Exchange, 1)
 			c.opened[a.ID] = finish
 			c.beside(others, func() { c.ask(ctx, a, finish) })
-		case membership.Reply:
+		case membership.ExchangeReply:
 			if r := c.replies[a.Stream]; r != nil {
 				delete(c.replies, a.Stream)
 				r <- a.Message // it has room for one
 			}
-		case membership.Finish:
+		case membership.FinishExchange:
 			if f := c.opened[a.ID]; f != nil {
 				delete(c.opened, a.ID)
 				f <- a.Message
 			}
-		case membership.Save:
-			c.save(a.Boot)
-		case membership.Counted:
+		case membership.SaveView:
+			c.save(a.BootOnly)
+		case membership.SizeChanged:
 			c.events.did(a)
 			if c.o.Changed != nil {
-				c.o.Changed(a.Count)
+				c.o.Changed(a.Size)
 			}
 		default:
 			c.judging.stale = true
@@ -301,12 +301,12 @@
 		}
 	}
 	for _, e := range batch {
-		if e, ok := e.(membership.Answered); ok && c.opened[e.ID] != nil { // it came too late, or there is nothing to add
+		if e, ok := e.(membership.ExchangeResponse); ok && c.opened[e.ID] != nil { // it came too late, or there is nothing to add
 			c.opened[e.ID] <- nil
 			delete(c.opened, e.ID)
 		}
 	}
-	if c.v.Gone() {
+	if c.v.HasLeft() {
 		select {
 		case <-c.left:
 		default:
@@ -318,33 +318,33 @@
 // say logs what an operator would know: changes, each once.
 func (c *Carrier) say(a membership.Action) {
 	switch a := a.(type) {
-	case membership.Reached:
-		if a.Away {
+	case membership.RegionReachability:
+		if a.Unreachable {
 			c.log.Warn("fleet: region "+strconv.Quote(a.Region)+" is not reached; nothing of its members is known until it is", "members", a.Members)
 		} else {
 			c.log.Info("fleet: region "+strconv.Quote(a.Region)+" is reached again", "members", a.Members)
 		}
-	case membership.Alone:
+	case membership.Isolated:
 		if a.Over {
 			c.log.Info("fleet: others are heard again", "members", a.Members)
 		} else {
 			c.log.Warn("fleet: nobody is heard any more; this process serves on, and all others count as silent", "members", a.Members)
 		}
-	case membership.Changed:
+	case membership.MemberChanged:
 		r := &a.Record
 		switch {
-		case a.Why == membership.WhyAway, a.Why == membership.WhyBack: // said in one line for all of them
-		case r.State == membership.Suspect, r.State == membership.Alive && a.Was == membership.Suspect && !a.New:
+		case a.Reason == membership.ReasonRegionUnreachable, a.Reason == membership.ReasonRegionReachable: // said in one line for all of them
+		case r.State == membership.Suspect, r.State == membership.Alive && a.Previous == membership.Suspect && !a.New:
 		default:
-			c.log.Info("fleet: "+r.Name+" is "+r.State.String(), "addr", r.Addr, "zone", r.Zone, "was", a.Was.String(), "by", r.By, "why", a.Why)
+			c.log.Info("fleet: "+r.Name+" is "+r.State.String(), "addr", r.Addr, "zone", r.Zone, "was", a.Previous.String(), "by", r.Reporter, "why", a.Reason)
 		}
-	case membership.Contested:
-		if a.StandBack {
-			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Why)
+	case membership.NameConflict:
+		if a.Yield {
+			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Reason)
 		} else {
-			c.log.Warn("fleet: another process had this name, and lost it", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Why)
+			c.log.Warn("fleet: another process had this name, and lost it", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Reason)
 		}
-	case membership.Doubted:
+	case membership.SelfSuspected:
 		c.log.Warn("fleet: this process was paused or starved", "for", a.Pause.Round(time.Millisecond), "health", a.Health)
 	}
 }
@@ -369,14 +369,14 @@
 // save hands what is known to the disk. The boot alone goes with what was known when the process started.
 func (c *Carrier) save(boot bool) {
 	s := c.saved()
-	if boot && !c.o.View.Parallel && len(s.Records) <= 1 {
+	if boot && !c.o.View.TakesOver && len(s.Records) <= 1 {
 		s.Records = append(s.Records, c.o.View.Known...)
 	}
 	c.disk.put(s)
 }
 
 func (c *Carrier) saved() *Saved {
-	return &Saved{Boot: c.v.Own().Boot, Records: c.v.Records(), At: time.Now().UnixMilli()}
+	return &Saved{Boot: c.v.Local().Boot, Records: c.v.Records(), At: time.Now().UnixMilli()}
 }
 
 // hear reads datagrams until the socket is closed.
@@ -414,7 +414,7 @@
 			continue
 		}
 		select {
-		case c.inbox <- input{event: membership.Datagram{Message: m, Size: n}}:
+		case c.inbox <- input{event: membership.DatagramReceived{Message: m, Size: n}}:
 		default:
 			c.dropped.Add(1)
 		}
@@ -522,7 +522,7 @@
 		return err
 	}
 	reply := make(chan *membership.Exchange, 1)
-	if !c.post(input{event: membership.Asked{Message: asked}, reply: reply}) {
+	if !c.post(input{event: membership.ExchangeRequest{Message: asked}, reply: reply}) {
 		return nil
 	}
 	t := time.NewTimer(streamTime)
@@ -545,22 +545,22 @@
 	if err != nil {
 		return err
 	}
-	c.post(input{event: membership.Closed{Message: last}})
+	c.post(input{event: membership.ExchangeClosed{Message: last}})
 	return nil
 }
 
 // ask opens an exchange. Whatever becomes of it, the loop hears of it once.
-func (c *Carrier) ask(ctx context.Context, o membership.Open, finish chan *membership.Exchange) {
+func (c *Carrier) ask(ctx context.Context, o membership.OpenExchange, finish chan *membership.Exchange) {
 	answer, conn, err := c.question(ctx, o)
 	if conn != nil {
 		defer conn.Close()
 		defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	}
 	if err != nil {
-		c.post(input{event: membership.Failed{ID: o.ID}})
+		c.post(input{event: membership.ExchangeFailed{ID: o.ID}})
 		return
 	}
-	if !c.post(input{event: membership.Answered{ID: o.ID, Message: answer}}) {
+	if !c.post(input{event: membership.ExchangeResponse{ID: o.ID, Message: answer}}) {
 		return
 	}
 	t := time.NewTimer(streamTime)
@@ -576,7 +576,7 @@
 	}
 }
 
-func (c *Carrier) question(ctx context.Context, o membership.Open) (*membership.Exchange, net.Conn, error) {
+func (c *Carrier) question(ctx context.Context, o membership.OpenExchange) (*membership.Exchange, net.Conn, error) {
 	// From the address that it listens on: its datagrams come from there too.
 	from := *c.o.TCP.Addr().(*net.TCPAddr)
 	from.Port = 0
@@ -622,7 +622,7 @@
 }
 
 // Tell changes what this member says of itself. It does not wait.
-func (c *Carrier) Tell(s membership.Self) {
+func (c *Carrier) Tell(s membership.LocalInfo) {
 	select {
 	case c.inbox <- input{event: s}:
 	default: // full: what is told next says it again
@@ -659,7 +659,7 @@
 		}
 	})
 	if known && was == membership.Dead {
-		c.post(input{event: membership.Forget{Name: name}})
+		c.post(input{event: membership.ForgetMember{Name: name}})
 	}
 	return was, known
 }
@@ -674,8 +674,8 @@
 		_ = c.o.UDP.SetReadDeadline(past)
 		_ = c.o.TCP.SetDeadline(past)
 		s = c.saved()
-		own := c.v.Own()
-		s.Parallel, s.Life, s.Inc, s.Number, s.UpMS = true, own.Life, own.Inc, c.v.Number(), c.v.Up().Milliseconds()
+		own := c.v.Local()
+		s.Parallel, s.Life, s.Inc, s.Number, s.UpMS = true, own.RunID, own.Incarnation, c.v.DatagramNumber(), c.v.Uptime().Milliseconds()
 		s.Lent = c.sharing.state(c.now())
 		s.Policy, s.PolicyAt = c.agreeing.handed(), Clock()
 	})
@@ -694,5 +694,5 @@
 			c.mu.Unlock()
 		}
 	})
-	c.post(input{event: membership.Resumed{}})
+	c.post(input{event: membership.TookOver{}})
 }
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -30,20 +30,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		record := rapid.Custom(func(t *rapid.T) membership.Record {
 			return membership.Record{Name: text.Draw(t, "name"), Addr: "127.100.100.100:65535", Zone: text.Draw(t, "zone"), Program: text.Draw(t, "p"),
-				Boot: rapid.Uint64().Draw(t, "boot"), Life: rapid.Uint64().Draw(t, "life"), Inc: rapid.Uint32().Draw(t, "inc"), State: membership.Suspect,
-				By: text.Draw(t, "by"), Instances: rapid.Uint32().Draw(t, "i"), Balancers: rapid.Uint32().Draw(t, "b"), Checked: true,
-				Age: rapid.Uint32().Draw(t, "age"), Note: rapid.SliceOfN(rapid.Byte(), 0, membership.NoteMost).Draw(t, "note"),
-				Region: rapid.StringMatching("[a-z]{0,64}").Draw(t, "region"), Mute: rapid.SliceOfN(rapid.Uint32(), 0, 20).Draw(t, "mute")}
+				Boot: rapid.Uint64().Draw(t, "boot"), RunID: rapid.Uint64().Draw(t, "life"), Incarnation: rapid.Uint32().Draw(t, "inc"), State: membership.Suspect,
+				Reporter: text.Draw(t, "by"), Instances: rapid.Uint32().Draw(t, "i"), Balancers: rapid.Uint32().Draw(t, "b"), NameVerified: true,
+				AgeSeconds: rapid.Uint32().Draw(t, "age"), Metadata: rapid.SliceOfN(rapid.Byte(), 0, membership.MaxMetadataBytes).Draw(t, "note"),
+				Region: rapid.StringMatching("[a-z]{0,64}").Draw(t, "region"), UnreachableRegions: rapid.SliceOfN(rapid.Uint32(), 0, 20).Draw(t, "mute")}
 		})
-		m := &membership.Message{From: text.Draw(t, "from"), Boot: rapid.Uint64().Draw(t, "boot"), Life: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "n"),
-			Digest: rapid.Uint64().Draw(t, "d"), Kind: membership.IAm, Seq: rapid.Uint32().Draw(t, "seq"), Target: text.Draw(t, "target"), Addr: "127.0.0.1:1",
-			Reply: "127.0.0.1:2", Up: rapid.Uint64().Draw(t, "up"), Of: rapid.Uint64().Draw(t, "of"), Updates: rapid.SliceOfN(record, 0, 8).Draw(t, "updates")}
+		m := &membership.Message{From: text.Draw(t, "from"), Boot: rapid.Uint64().Draw(t, "boot"), RunID: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "n"),
+			Digest: rapid.Uint64().Draw(t, "d"), Kind: membership.IdentityResponse, Seq: rapid.Uint32().Draw(t, "seq"), Target: text.Draw(t, "target"), Addr: "127.0.0.1:1",
+			Reply: "127.0.0.1:2", UptimeMS: rapid.Uint64().Draw(t, "up"), SubjectRunID: rapid.Uint64().Draw(t, "of"), Updates: rapid.SliceOfN(record, 0, 8).Draw(t, "updates")}
 		fleet := "abcdefghijklmnopqrstuvwxyzabcdef"
 		data, err := encode(fleet, m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if most := m.Size(); len(data) > most {
+		if most := m.MaxEncodedSize(); len(data) > most {
 			t.Fatalf("%d bytes, bound %d", len(data), most)
 		}
 		back := &membership.Message{}
@@ -59,7 +59,7 @@
 }
 
 func TestWhatIsNotTaken(t *testing.T) {
-	good, err := encode("f", &membership.Message{From: "a", Kind: membership.News})
+	good, err := encode("f", &membership.Message{From: "a", Kind: membership.Gossip})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 		membership.Message
 		More string `cbor:"99,keyasint"`
 	}
-	data, err := encode("f", &next{Message: membership.Message{From: "a", Kind: membership.News}, More: "x"})
+	data, err := encode("f", &next{Message: membership.Message{From: "a", Kind: membership.Gossip}, More: "x"})
 	m := &membership.Message{}
 	if err := errors.Join(err, decode("f", data, m)); err != nil || m.From != "a" {
 		t.Error(err, m)
@@ -125,12 +125,12 @@
 	*Carrier
 	addr  string
 	end   func() error
-	count chan membership.Count
+	count chan membership.Size
 }
 
 func start(t *testing.T, name, addr, dir string, seeds []string, change func(*Options)) *member {
 	t.Helper()
-	m := &member{count: make(chan membership.Count, 100)}
+	m := &member{count: make(chan membership.Size, 100)}
 	udp, tcp, err := open(orAny(addr))
 	if err != nil {
 		t.Fatal(err)
@@ -143,8 +143,8 @@
 			t.Fatal(err)
 		}
 	}
-	o := Options{Fleet: "f", View: membership.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, Every: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
-		Dir: dir, Log: slog.New(slog.DiscardHandler), Changed: func(c membership.Count) {
+	o := Options{Fleet: "f", View: membership.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, ProbeInterval: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
+		Dir: dir, Log: slog.New(slog.DiscardHandler), Changed: func(c membership.Size) {
 			select {
 			case m.count <- c:
 			default:
@@ -213,7 +213,7 @@
 	_ = c.end() // without a word
 	a.await(t, "c", "dead")
 	for n := range a.count {
-		if n.Most == 2 && n.Least == 1 { // the one that left is not counted, the silent one is
+		if n.MaxBalancers == 2 && n.MinBalancers == 1 { // the one that left is not counted, the silent one is
 			break
 		}
 	}
@@ -221,7 +221,7 @@
 		t.Error(was, known)
 	}
 	for n := range a.count {
-		if n.Most == 1 {
+		if n.MaxBalancers == 1 {
 			break
 		}
 	}
--- a/internal/peer/transport/wire_test.go
+++ b/internal/peer/transport/wire_test.go
@@ -12,8 +12,8 @@
 
 func TestWireIsWhatMembersSendAndReadsItBack(t *testing.T) {
 	w := Wire{Fleet: "f"}
-	ping := &membership.Message{From: "a", Boot: 1, Life: 2, Kind: membership.Ping, Seq: 3, Addr: "127.0.0.1:1"}
-	exchange := &membership.Exchange{From: "a", Records: []membership.Record{{Name: "b", Addr: "127.0.0.1:2", Boot: 1, Life: 5}}}
+	ping := &membership.Message{From: "a", Boot: 1, RunID: 2, Kind: membership.Ping, Seq: 3, Addr: "127.0.0.1:1"}
+	exchange := &membership.Exchange{From: "a", Records: []membership.Record{{Name: "b", Addr: "127.0.0.1:2", Boot: 1, RunID: 5}}}
 	for _, m := range []any{ping, exchange, &ejection.Message{PollNumber: 7}, &lease.Request{From: "a", Seq: 4}, &lease.Grant{From: "b", Seq: 4}} {
 		data, err := w.Marshal("a", m)
 		if err != nil {
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -222,7 +222,7 @@
 // bytes-most). Past it a fleet takes longer.
 func ceiling() (float64, error) {
 	whole, err := hollow.Whole(dayAgents)
-	return 2*membership.Bytes + (2*membership.Bytes+float64(whole))/after.Seconds(), err
+	return 2*membership.DefaultBytesPerSecond + (2*membership.DefaultBytesPerSecond+float64(whole))/after.Seconds(), err
 }
 
 // viewWorst is a zone of fifteen that is lost and comes back at once, and a region that comes back after five minutes.
@@ -368,7 +368,7 @@
 		points = append(points, [2]float64{float64(n), figures(float64(bytes))})
 	}
 	return []slopes.Slope{f.entry(slopes.Slope{Name: "view.memory.rest", Role: "agent", Load: "rest", Quantity: "memory", Unit: "B", Mechanism: "view", Variable: "agents",
-		Form: "linear", Points: points, Note: fmt.Sprintf("heap of one whole view of so many members, whose records came off the wire; the default most is %d members", membership.Members)}, "view --part memory"),
+		Form: "linear", Points: points, Note: fmt.Sprintf("heap of one whole view of so many members, whose records came off the wire; the default most is %d members", membership.DefaultMaxMembers)}, "view --part memory"),
 		f.entry(slopes.Slope{Name: "view.state.join", Role: "agent", Load: "worst", Quantity: "state", Unit: "B", Mechanism: "view", Variable: "agents", Form: "linear", Points: streams,
 			Note: "a whole view on a stream: what a member that starts without one is sent by one other, whose streams are held to bytes_per_s (32 KB) in the mean"}, "view --part memory")}, nil
 }
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -39,8 +39,8 @@
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
 	c := make(counts, s.Agents)
 	_, err := drill.Play(p, drill.Options{Seed: seed, FileCount: file, Each: func(at time.Duration, daemon int, a membership.Action) {
-		if n, ok := a.(membership.Counted); ok {
-			c[daemon] = append(c[daemon], counted{at, n.Count.Most, min(n.Count.Least, n.Count.Most)})
+		if n, ok := a.(membership.SizeChanged); ok {
+			c[daemon] = append(c[daemon], counted{at, n.Size.MaxBalancers, min(n.Size.MinBalancers, n.Size.MaxBalancers)})
 		}
 	}})
 	return c, err
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -31,7 +31,7 @@
 }
 
 func (f *follow) each(at time.Duration, daemon int, a membership.Action) {
-	c, ok := a.(membership.Changed)
+	c, ok := a.(membership.MemberChanged)
 	if !ok {
 		return
 	}
@@ -97,13 +97,13 @@
 // formula is the time by which a crash is known to all but one in a hundred, by the module's own constants: the first
 // probe, its two stages, the least suspicion, and the news through the fleet. See docs/design/view.md.
 func formula(n int) time.Duration {
-	first := 4.6 * membership.Every.Seconds() // a probe by anyone: chance of none in k periods is exp(-k)
+	first := 4.6 * membership.DefaultProbeInterval.Seconds() // a probe by anyone: chance of none in k periods is exp(-k)
 	if n < 8 {
-		first = float64(n-1) * membership.Every.Seconds() // each goes round the others
+		first = float64(n-1) * membership.DefaultProbeInterval.Seconds() // each goes round the others
 	}
-	suspect := membership.SuspectLeast.Seconds() * max(1, math.Log10(float64(n))/2)
+	suspect := membership.DefaultMinSuspicion.Seconds() * max(1, math.Log10(float64(n))/2)
 	news := 0.1 * math.Log2(float64(n)) / 2
-	return time.Duration((first + (membership.Direct + membership.Indirect).Seconds() + suspect + news) * float64(time.Second)).Round(10 * time.Millisecond)
+	return time.Duration((first + (membership.DefaultProbeTimeout + membership.DefaultIndirectTimeout).Seconds() + suspect + news) * float64(time.Second)).Round(10 * time.Millisecond)
 }
 
 func virtualSizes(sizes []int, times int, seed uint64) error {
@@ -161,7 +161,7 @@
 				{At: healAt, Do: "heal", Who: left, To: right, Both: true}}}
 			var afterCut, afterHeal time.Duration
 			r, err := virtual.Play(p, virtual.Options{Seed: seed + s, Warm: true, Each: func(at time.Duration, _ int, a membership.Action) {
-				if c, ok := a.(membership.Changed); ok && c.Record.State != membership.Suspect && !(c.Was == membership.Suspect && c.Record.State == membership.Alive) {
+				if c, ok := a.(membership.MemberChanged); ok && c.Record.State != membership.Suspect && !(c.Previous == membership.Suspect && c.Record.State == membership.Alive) {
 					if at < healAt {
 						afterCut = at - cutAt
 					} else {
@@ -210,8 +210,8 @@
 			events, windows, who := pauses(n, length, 1500*time.Millisecond, seed)
 			for _, way := range []struct {
 				name  string
-				plain membership.Plain
-			}{{"this view", membership.Plain{}}, {"SWIM without local health", membership.Plain{NoHealth: true}}, {"SWIM without suspicion", membership.Plain{NoSuspicion: true, NoHealth: true}}} {
+				plain membership.BaselineMode
+			}{{"this view", membership.BaselineMode{}}, {"SWIM without local health", membership.BaselineMode{NoLifeguard: true}}, {"SWIM without suspicion", membership.BaselineMode{NoSuspicion: true, NoLifeguard: true}}} {
 				p := &plan.Plan{Name: "hour", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Length: length, Events: events, Link: plan.Link{Drop: loss}, Peers: plan.Peers{Bytes: bytes}}
 				if way.plain.NoSuspicion {
 					p.Length = min(length, 5*time.Minute) // it is wrong so often that an hour tells no more
@@ -219,7 +219,7 @@
 				wrong, suspicions := 0, 0
 				members := map[string]bool{}
 				r, err := virtual.Play(p, virtual.Options{Seed: seed, Warm: true, Plain: way.plain, Each: func(_ time.Duration, _ int, a membership.Action) {
-					if c, ok := a.(membership.Changed); ok {
+					if c, ok := a.(membership.MemberChanged); ok {
 						switch c.Record.State {
 						case membership.Dead:
 							wrong++
@@ -320,7 +320,7 @@
 				back = t - backAt
 			}
 		}
-		bench.Row(n, k, dead.Round(time.Millisecond), back.Round(time.Millisecond), bytes, 2*membership.Bytes, streamed)
+		bench.Row(n, k, dead.Round(time.Millisecond), back.Round(time.Millisecond), bytes, 2*membership.DefaultBytesPerSecond, streamed)
 	}
 	return nil
 }
