--- a/cmd/vetchhaven/drill_test.go
+++ b/cmd/vetchhaven/drill_test.go
@@ -71,11 +71,11 @@
 }
 
 func TestDiffNamesWhereTwoViewsDiffer(t *testing.T) {
-	member := func(name, state string) transport.ShownOne {
-		return transport.ShownOne{Name: name, State: state, Life: "1", Addr: "127.0.0.1:1"}
+	member := func(name, state string) transport.MemberStatus {
+		return transport.MemberStatus{Name: name, State: state, RunID: "1", Addr: "127.0.0.1:1"}
 	}
-	a := transport.Shown{Fleet: "f", Name: "a", Members: []transport.ShownOne{member("a", "alive"), member("b", "alive"), member("c", "dead")}}
-	b := transport.Shown{Fleet: "f", Name: "b", Members: []transport.ShownOne{member("a", "alive"), member("b", "suspect")}}
+	a := transport.MembershipStatus{Fleet: "f", Name: "a", Members: []transport.MemberStatus{member("a", "alive"), member("b", "alive"), member("c", "dead")}}
+	b := transport.MembershipStatus{Fleet: "f", Name: "b", Members: []transport.MemberStatus{member("a", "alive"), member("b", "suspect")}}
 	var out bytes.Buffer
 	if n := diffViews(&a, &b, &out); n != 2 || !strings.Contains(out.String(), "unknown") || strings.Contains(out.String(), "\na ") {
 		t.Errorf("%d\n%s", n, out.String())
--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -33,7 +33,7 @@
 				_, _ = os.Stdout.Write(body)
 				return err
 			}
-			var s transport.Shown
+			var s transport.MembershipStatus
 			if err := json.Unmarshal(body, &s); err != nil {
 				return exit{1, err}
 			}
@@ -52,7 +52,7 @@
 	diff := &cobra.Command{Use: "diff A B", Short: "Show where two daemons see different things; A and B are their files", Args: cobra.ExactArgs(2),
 		Long: "diff asks the daemons of two files for their views, and prints the members of which they do not think the same.\nIt ends with status 1 where there are any.",
 		RunE: func(_ *cobra.Command, args []string) error {
-			var two [2]transport.Shown
+			var two [2]transport.MembershipStatus
 			for i, path := range args {
 				body, err := ask(path, http.MethodGet, "/fleet/view", 10*time.Second)
 				if err != nil {
@@ -82,7 +82,7 @@
 				_, _ = os.Stdout.Write(body)
 				return err
 			}
-			var s transport.ShownVerdicts
+			var s transport.EjectionStatus
 			if err := json.Unmarshal(body, &s); err != nil {
 				return exit{1, err}
 			}
@@ -161,51 +161,51 @@
 	}
 	fmt.Fprintf(out, "\nheld by %s\n", s.Now.Name)
 	fmt.Fprintln(w, "limit\tpart\tused\tturned away in a second\trights")
-	for _, h := range s.Now.Held {
+	for _, h := range s.Now.Leased {
 		var have []string
-		for _, r := range h.Rights {
-			have = append(have, fmt.Sprintf("%s %d for %.1fs", r.Keeper, r.Amount, r.LeftS))
+		for _, r := range h.Leases {
+			have = append(have, fmt.Sprintf("%s %d for %.1fs", r.Server, r.Amount, r.RemainingS))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", h.Limit, h.Key, h.Used, h.Turned, strings.Join(have, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", h.Limit, h.Key, h.Used, h.Rejected, strings.Join(have, ", "))
 	}
-	if err := w.Flush(); err != nil || len(s.Now.Kept) == 0 {
+	if err := w.Flush(); err != nil || len(s.Now.Granted) == 0 {
 		return err
 	}
 	fmt.Fprintf(out, "\nlent by %s\n", s.Now.Name)
 	fmt.Fprintln(w, "limit\tpart\tits part\tlent\tlends from\tto")
-	for _, k := range s.Now.Kept {
+	for _, k := range s.Now.Granted {
 		var to []string
 		for _, n := range slices.Sorted(maps.Keys(k.Holders)) {
 			to = append(to, fmt.Sprintf("%s %d", n, k.Holders[n]))
 		}
 		when := "now"
-		if k.WaitsS > 0 {
-			when = fmt.Sprintf("%.1fs", k.WaitsS)
+		if k.WaitRemainingS > 0 {
+			when = fmt.Sprintf("%.1fs", k.WaitRemainingS)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\n", k.Limit, k.Key, k.Part, k.Lent, when, strings.Join(to, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\n", k.Limit, k.Key, k.Share, k.Leased, when, strings.Join(to, ", "))
 	}
 	return w.Flush()
 }
 
-func showView(s *transport.Shown, out io.Writer) error {
+func showView(s *transport.MembershipStatus, out io.Writer) error {
 	fmt.Fprintf(out, "fleet %s, seen by %s (%s, boot %d): %s; digest %s, own health %d; up %v\n", s.Fleet, s.Name, s.Addr, s.Boot, s.State, s.Digest,
 		s.Health, time.Duration(s.UpS)*time.Second)
-	c := s.Count
+	c := s.Size
 	from := ""
-	if c.File {
+	if c.FromFile {
 		from = ", from the file until the fleet is met"
 	}
-	fmt.Fprintf(out, "balancers: at most %d, at least %d%s; %d members, %d alive\n", c.Most, c.Least, from, c.Members, c.Live)
+	fmt.Fprintf(out, "balancers: at most %d, at least %d%s; %d members, %d alive\n", c.MaxBalancers, c.MinBalancers, from, c.Members, c.Live)
 	t := s.Traffic
 	fmt.Fprintf(out, "sent: %.1f datagrams and %.0f bytes a second, %d exchanges (%d bytes); not taken: %d damaged, %d of another fleet, %d of another format\n",
-		t.DatagramsRate, t.BytesRate, t.Exchanges, t.ExchangeBytes, t.Damaged, t.Foreign, t.OtherFormat)
+		t.DatagramsRate, t.BytesRate, t.Exchanges, t.ExchangeBytes, t.Damaged, t.OtherFleet, t.OtherFormat)
 	if t.PolicyMessages+t.PolicyUnsent > 0 {
 		fmt.Fprintf(out, "about the policy, since the start: %d messages, %d bytes; %d not sent\n", t.PolicyMessages, t.PolicyBytes, t.PolicyUnsent)
 	}
 	if s.SaveFails {
 		fmt.Fprintln(out, "the view can't be saved: see the log")
 	}
-	if s.Alone {
+	if s.Isolated {
 		fmt.Fprintln(out, "nobody is heard: all others are shown as dead, whatever their records say")
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -214,12 +214,12 @@
 		for _, r := range s.Regions {
 			reached := "yes"
 			switch {
-			case r.Own:
+			case r.Local:
 				reached = "own"
-			case r.Away:
-				reached = fmt.Sprintf("not for %v", time.Duration(r.SinceS*float64(time.Second)).Round(100*time.Millisecond))
+			case r.Unreachable:
+				reached = fmt.Sprintf("not for %v", time.Duration(r.UnreachableForS*float64(time.Second)).Round(100*time.Millisecond))
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.1f ms\t%s\n", r.Name, r.Members, r.Silent, reached, r.WayMS, strings.Join(r.Watchers, ", "))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.1f ms\t%s\n", r.Name, r.Members, r.Dead, reached, r.RoundTripMS, strings.Join(r.Watchers, ", "))
 		}
 		if err := w.Flush(); err != nil {
 			return err
@@ -229,19 +229,19 @@
 	fmt.Fprintln(w, "member\taddr\tregion\tzone\tstate\tfor\tby\tboot\tinc\tinstances\tversion")
 	for _, m := range s.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%d\t%d\t%d\t%s\n", m.Name, m.Addr, m.Region, m.Zone, m.State, time.Duration(m.SinceS*float64(time.Second)).Round(100*time.Millisecond),
-			m.By, m.Boot, m.Inc, m.Instances, m.Program)
+			m.Reporter, m.Boot, m.Incarnation, m.Instances, m.Program)
 	}
 	return w.Flush()
 }
 
 // diffViews prints the members that two views do not think the same of, and says how many.
-func diffViews(a, b *transport.Shown, out io.Writer) int {
+func diffViews(a, b *transport.MembershipStatus, out io.Writer) int {
 	if a.Fleet != b.Fleet {
 		fmt.Fprintf(out, "%s is of fleet %s, %s of fleet %s\n", a.Name, a.Fleet, b.Name, b.Fleet)
 		return 1
 	}
-	all := map[string][2]*transport.ShownOne{}
-	for i, s := range []*transport.Shown{a, b} {
+	all := map[string][2]*transport.MemberStatus{}
+	for i, s := range []*transport.MembershipStatus{a, b} {
 		for n := range s.Members {
 			two := all[s.Members[n].Name]
 			two[i] = &s.Members[n]
@@ -250,7 +250,7 @@
 	}
 	var names []string
 	for n, two := range all {
-		if x, y := two[0], two[1]; x == nil || y == nil || x.State != y.State || x.Life != y.Life || x.Inc != y.Inc || x.Addr != y.Addr {
+		if x, y := two[0], two[1]; x == nil || y == nil || x.State != y.State || x.RunID != y.RunID || x.Incarnation != y.Incarnation || x.Addr != y.Addr {
 			names = append(names, n)
 		}
 	}
@@ -261,11 +261,11 @@
 	slices.SortFunc(names, strings.Compare)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "member\tseen by %s\tseen by %s\n", a.Name, b.Name)
-	word := func(m *transport.ShownOne) string {
+	word := func(m *transport.MemberStatus) string {
 		if m == nil {
 			return "unknown"
 		}
-		return fmt.Sprintf("%s for %v, boot %d, inc %d, at %s", m.State, time.Duration(m.SinceS*float64(time.Second)).Round(100*time.Millisecond), m.Boot, m.Inc, m.Addr)
+		return fmt.Sprintf("%s for %v, boot %d, inc %d, at %s", m.State, time.Duration(m.SinceS*float64(time.Second)).Round(100*time.Millisecond), m.Boot, m.Incarnation, m.Addr)
 	}
 	for _, n := range names {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", n, word(all[n][0]), word(all[n][1]))
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -161,7 +161,7 @@
 
 // line notes what the drill does.
 func (r *rig) line(l checker.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), checker.Drill
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.Drill
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
 	r.mu.Unlock()
@@ -278,7 +278,7 @@
 	}
 	todo = append(todo, r.p.Events...)
 	slices.SortStableFunc(todo, func(a, b plan.Event) int { return cmp.Compare(a.At, b.At) })
-	first := transport.Clock()
+	first := transport.MonotonicNanos()
 	if r.p.Rate > 0 {
 		for _, d := range slices.Clone(r.daemons) {
 			d.clients = newClients(filepath.Join(d.dir, "client"))
@@ -603,7 +603,7 @@
 	if e.Clock != 0 {
 		cmd.Env = append(cmd.Env, "VETCHHAVEN_CLOCK_OFF="+e.Clock.String())
 	}
-	at := transport.Clock()
+	at := transport.MonotonicNanos()
 	if err := cmd.Start(); err != nil {
 		return err
 	}
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -134,7 +134,7 @@
 				order = append(order, k)
 			}
 		}
-		begun := transport.Clock()
+		begun := transport.MonotonicNanos()
 		if part != "" { // none of them in two looks, and yet it serves: by its own file, when the first of them began
 			for k := len(markers) - 1; k >= 0; k-- {
 				order = append(order, k)
@@ -143,7 +143,7 @@
 			markers = append(markers, "get")
 		}
 		for _, k := range order {
-			at := transport.Clock()
+			at := transport.MonotonicNanos()
 			if markers[k] == "get" {
 				at = begun
 			}
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -38,7 +38,7 @@
 	tcp     *net.TCPAddr
 	udp     *net.UDPConn
 	ln      *net.TCPListener
-	c       *transport.Carrier
+	c       *transport.Transport
 	end     context.CancelFunc
 	ended   chan struct{}
 	pid     int
@@ -168,7 +168,7 @@
 }
 
 func (w *sockets) line(l checker.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, transport.Clock()), time.Now().UnixMilli(), checker.Drill
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.Drill
 	w.lines = append(w.lines, l)
 }
 
@@ -188,8 +188,8 @@
 	p := w.s.Plan.Peers
 	m.said = &said{}
 	c, err := transport.New(transport.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.said,
-		Verdicts: &ejection.Settings{}, Judged: func([]ejection.Ejection, time.Time) {}, // as daemons have them, with no requests to judge by
-		View: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
+		Ejection: &ejection.Settings{}, EjectionsChanged: func([]ejection.Ejection, time.Time) {}, // as daemons have them, with no requests to judge by
+		Membership: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
 			ProbeInterval: p.Every, ProbeTimeout: p.Direct, IndirectTimeout: p.Indirect, MinSuspicion: p.SuspectLeast, BytesPerSecond: p.Bytes, ConfiguredBalancers: 1}})
 	if err != nil {
 		return err
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -51,7 +51,7 @@
 	peering  *peering                 // nil: the daemon stands alone, or this is being started
 	saw      *transport.Saved         // from the daemon before
 	count    atomic.Pointer[membership.Size]
-	before   *transport.Carrier      // while another takes its place in this process
+	before   *transport.Transport    // while another takes its place in this process
 	sharing  atomic.Pointer[peering] // the peering, for instances' loops
 	agents   sync.Map                // hosted by number, for the carrier's loop
 	closing  sync.Map                // agents that are being replaced under another policy
@@ -144,7 +144,7 @@
 			d.log.Warn("the view of the fleet is not taken over", "error", err)
 		} else if d.saw.Policy != nil {
 			h := *d.saw.Policy
-			h.LeaseRemaining -= time.Duration(transport.Clock() - d.saw.PolicyAt) // since the process before said so
+			h.LeaseRemaining -= time.Duration(transport.MonotonicNanos() - d.saw.PolicyNanos) // since the process before said so
 			d.policy.handed = &h
 		}
 	}
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -62,13 +62,13 @@
 	number := d.numbers.Add(1)
 	held := func(all []quota.Usage) { // called by the agent's loop
 		if p := d.sharing.Load(); p != nil {
-			p.carrier.Held(number, all)
+			p.carrier.ReportUsage(number, all)
 		}
 	}
 	source := p.spec.Source
 	seen := func(all []core.Sight) {
 		if p := d.sharing.Load(); p != nil && p.spec.Verdicts != nil {
-			p.carrier.Seen(sightsOf(source, all))
+			p.carrier.OutcomesObserved(sightsOf(source, all))
 		}
 	}
 	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyWait, Held: held}
@@ -108,7 +108,7 @@
 	d.gate(h)
 	d.limit(p) // before it serves: nothing that is limited goes without a right
 	if at := d.sharing.Load(); at != nil && d.cfg.Limits != nil {
-		at.carrier.Join(number)
+		at.carrier.AddAgent(number)
 	}
 	p.life++
 	life, name := p.life, p.spec.Name
@@ -120,7 +120,7 @@
 		d.closing.Delete(a)
 		d.later(func() { d.ended(name, life, a, err, ended) })
 		if p := d.sharing.Load(); p != nil && err == nil { // nothing of it is in flight
-			p.carrier.Gone(number)
+			p.carrier.RemoveAgent(number)
 		}
 	})
 	return nil
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -212,10 +212,10 @@
 
 // LimitsNow is how the limits stand: what the file says, and what is held and lent now.
 type LimitsNow struct {
-	Agents int                   `json:"agents"`
-	Limits []ShownLimit          `json:"limits"`
-	Now    transport.ShownLimits `json:"now"`
-	Alone  bool                  `json:"alone,omitempty"` // the part that talks to peers does not run
+	Agents int                    `json:"agents"`
+	Limits []ShownLimit           `json:"limits"`
+	Now    transport.LimitsStatus `json:"now"`
+	Alone  bool                   `json:"alone,omitempty"` // the part that talks to peers does not run
 }
 
 // Limits is how the limits stand; ok is false where the file has none.
@@ -233,7 +233,7 @@
 	now.Limits, now.Alone = l.Show(now.Agents), true
 	if p != nil {
 		var answered bool
-		now.Now, answered = p.carrier.ShowLimits()
+		now.Now, answered = p.carrier.LimitsStatus()
 		now.Alone = !answered
 	}
 	return now, true
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("a class that is not limited: %d %v", status, err)
 	}
 	now, ok := r.Limits()
-	if !ok || now.Limits[0].Most != 2 || len(now.Now.Kept) != 1 || now.Now.Kept[0].Lent > 2 || now.Now.Held[0].Turned == 0 {
+	if !ok || now.Limits[0].Most != 2 || len(now.Now.Granted) != 1 || now.Now.Granted[0].Leased > 2 || now.Now.Leased[0].Rejected == 0 {
 		t.Errorf("%+v", now)
 	}
 
--- a/internal/host/daemon/peers.go
+++ b/internal/host/daemon/peers.go
@@ -120,7 +120,7 @@
 // peering is the daemon's part in its fleet while it runs.
 type peering struct {
 	spec    *Peers
-	carrier *transport.Carrier
+	carrier *transport.Transport
 	end     context.CancelFunc
 	ended   chan struct{}
 	events  io.Closer
@@ -151,7 +151,7 @@
 	d.sharing.Store(p)
 	for _, part := range d.parts {
 		if part.agent != nil {
-			p.carrier.Join(part.number)
+			p.carrier.AddAgent(part.number)
 		}
 	}
 	d.watchLists()
@@ -192,7 +192,7 @@
 
 func (d *Daemon) newPeering(saved *transport.Saved) (*peering, error) {
 	spec := d.cfg.Peers
-	takesOver := d.before != nil && saved != nil && saved.Parallel
+	takesOver := d.before != nil && saved != nil && saved.TakesOver
 	if d.cfg.Policy != nil && !takesOver {
 		if err := d.readPolicy(); err != nil {
 			return nil, err
@@ -208,23 +208,23 @@
 		return nil, err
 	}
 	p := &peering{spec: spec, ended: make(chan struct{})}
-	o := transport.Options{Fleet: spec.Fleet, View: spec.View, UDP: udp, TCP: tcp.(*net.TCPListener), Dir: d.cfg.StateDir, Saved: saved, Log: d.log, WallSkew: d.o.ClockOff,
-		Inject: d.o.PeerFault, Changed: func(c membership.Size) {
+	o := transport.Options{Fleet: spec.Fleet, Membership: spec.View, UDP: udp, TCP: tcp.(*net.TCPListener), Dir: d.cfg.StateDir, Saved: saved, Log: d.log, WallSkew: d.o.ClockOff,
+		Inject: d.o.PeerFault, SizeChanged: func(c membership.Size) {
 			d.count.Store(&c)
 			d.shareSoon()
 		}}
-	o.View.Instances, o.View.Balancers = len(d.cfg.Instances), len(d.cfg.Instances)
-	o.View.ConfiguredBalancers, o.View.Program = d.cfg.Balancers, d.o.Program
+	o.Membership.Instances, o.Membership.Balancers = len(d.cfg.Instances), len(d.cfg.Instances)
+	o.Membership.ConfiguredBalancers, o.Membership.Program = d.cfg.Balancers, d.o.Program
 	if spec.Verdicts != nil {
-		o.Verdicts, o.Judged, o.Before = spec.Verdicts, d.judged, d.before
+		o.Ejection, o.EjectionsChanged, o.Previous = spec.Verdicts, d.judged, d.before
 	}
 	if l := d.cfg.Limits; l != nil {
-		o.Limits, o.Lend, o.Before = &l.Settings, d.lend, d.before
+		o.Leases, o.LeasesGranted, o.Previous = &l.Settings, d.lend, d.before
 	}
 	if d.cfg.Policy != nil {
-		o.Agree = d.newAgreement
+		o.NewPolicyDriver = d.newAgreement
 		if takesOver {
-			o.Agreement, o.Before = d.before.Agreement(), d.before // its times go on by the same clock
+			o.PolicyDriver, o.Previous = d.before.PolicyDriver(), d.before // its times go on by the same clock
 		}
 	}
 	if spec.Events != "" {
@@ -282,7 +282,7 @@
 		return
 	}
 	if reflect.DeepEqual(was, now) && reflect.DeepEqual(wasLimits, d.cfg.Limits) {
-		p.carrier.Tell(membership.LocalInfo{Instances: len(d.cfg.Instances), Balancers: len(d.cfg.Instances)})
+		p.carrier.SetLocalInfo(membership.LocalInfo{Instances: len(d.cfg.Instances), Balancers: len(d.cfg.Instances)})
 		return
 	}
 	d.peering = nil
@@ -363,13 +363,13 @@
 }
 
 // View is how the daemon sees its fleet; ok is false where it stands alone, or its view does not answer.
-func (d *Daemon) View() (s transport.Shown, ok bool) {
+func (d *Daemon) View() (s transport.MembershipStatus, ok bool) {
 	var p *peering
 	d.do(func() { p = d.peering })
 	if p == nil {
 		return s, false
 	}
-	return p.carrier.Show()
+	return p.carrier.MembershipStatus()
 }
 
 // Forget passes on an operator's word that a dead member has gone for good.
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -160,7 +160,7 @@
 	}
 	eventually(t, "the same member goes on", func() bool {
 		now, ok := a.View()
-		return ok && now.Life == was.Life && len(now.Members) == 2
+		return ok && now.RunID == was.RunID && len(now.Members) == 2
 	})
 	y.config(y.instance("one"))
 	if _, err := a.Reload(); err != nil {
@@ -188,7 +188,7 @@
 		if !ok || len(s.Members) != 1 {
 			t.Fatalf("%+v", s)
 		}
-		return s.Members[0].Inc
+		return s.Members[0].Incarnation
 	}
 	eventually(t, "a view", func() bool { _, ok := r.View(); return ok })
 	first := make(chan error, 1)
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -151,7 +151,7 @@
 }
 
 // newAgreement is the daemon's part in the policy, for a member's life.
-func (d *Daemon) newAgreement(life uint64) *transport.Agreement {
+func (d *Daemon) newAgreement(life uint64) *transport.PolicyDriver {
 	p := d.cfg.Policy
 	if p == nil {
 		return nil
@@ -177,9 +177,9 @@
 			return nil
 		}
 	}
-	var a *transport.Agreement
+	var a *transport.PolicyDriver
 	put := store.writer(func(seq uint64, err error) { a.Persisted(seq, err) })
-	a = transport.NewAgreement(n, put, d.served)
+	a = transport.NewPolicyDriver(n, put, d.served)
 	return a
 }
 
--- a/internal/host/daemon/verdicts.go
+++ b/internal/host/daemon/verdicts.go
@@ -43,7 +43,7 @@
 	if m == nil {
 		return
 	}
-	p.carrier.Listed(ejection.ListUpdated{Source: source, Servers: serversOf(source, m)})
+	p.carrier.ListUpdated(ejection.ListUpdated{Source: source, Servers: serversOf(source, m)})
 }
 
 func serversOf(source string, m *discovery.Members) []ejection.Server {
@@ -109,10 +109,10 @@
 }
 
 // Verdicts are what this daemon holds of servers; ok is false where nothing is shared, or nobody answers.
-func (d *Daemon) Verdicts() (s transport.ShownVerdicts, ok bool) {
+func (d *Daemon) Verdicts() (s transport.EjectionStatus, ok bool) {
 	p := d.sharing.Load()
 	if p == nil {
 		return s, false
 	}
-	return p.carrier.ShowVerdicts()
+	return p.carrier.EjectionStatus()
 }
--- a/internal/peer/transport/agreeing.go
+++ b/internal/peer/transport/agreeing.go
@@ -13,26 +13,26 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// Agreement is a daemon's part in the policy that the fleet agrees on. It outlasts a carrier that another of the same
+// PolicyDriver is a daemon's part in the policy that the fleet agrees on. It outlasts a carrier that another of the same
 // process replaces.
-type Agreement struct {
+type PolicyDriver struct {
 	node *policy.Node
 	put  func(policy.Persist) // has something put on the disk; must not wait; Persisted tells
 	tell func(s policy.Serving, base time.Time)
 
 	mu   sync.Mutex
 	done []policy.Event // that the disk has told, and nobody has taken
-	at   atomic.Pointer[Carrier]
+	at   atomic.Pointer[Transport]
 }
 
-// NewAgreement returns one round a node. Put is called in order; tell with each word on what to serve by, whose times are
+// NewPolicyDriver returns one round a node. Put is called in order; tell with each word on what to serve by, whose times are
 // after base. Neither may wait.
-func NewAgreement(n *policy.Node, put func(policy.Persist), tell func(s policy.Serving, base time.Time)) *Agreement {
-	return &Agreement{node: n, put: put, tell: tell}
+func NewPolicyDriver(n *policy.Node, put func(policy.Persist), tell func(s policy.Serving, base time.Time)) *PolicyDriver {
+	return &PolicyDriver{node: n, put: put, tell: tell}
 }
 
 // Persisted is the disk's word on what was put.
-func (a *Agreement) Persisted(seq uint64, err error) {
+func (a *PolicyDriver) Persisted(seq uint64, err error) {
 	a.mu.Lock()
 	a.done = append(a.done, policy.Persisted{Seq: seq, Err: err})
 	a.mu.Unlock()
@@ -51,8 +51,8 @@
 
 // agreeing drives an agreement. The carrier's loop owns it.
 type agreeing struct {
-	c       *Carrier
-	a       *Agreement // nil: none is agreed on
+	c       *Transport
+	a       *PolicyDriver // nil: none is agreed on
 	members time.Duration
 	sent    uint64
 	bytes   uint64
@@ -61,11 +61,11 @@
 	began   bool
 }
 
-// PolicyStreams are open at a time, towards others.
-const PolicyStreams = 16
+// MaxPolicyStreams are open at a time, towards others.
+const MaxPolicyStreams = 16
 
-func newAgreeing(c *Carrier) *agreeing {
-	g := &agreeing{c: c, a: c.o.Agreement, members: -time.Hour, streams: make(chan struct{}, PolicyStreams)}
+func newAgreeing(c *Transport) *agreeing {
+	g := &agreeing{c: c, a: c.o.PolicyDriver, members: -time.Hour, streams: make(chan struct{}, MaxPolicyStreams)}
 	if g.a != nil {
 		g.a.at.Store(c)
 	}
@@ -147,8 +147,8 @@
 	return g.a.node.HandoffState(g.c.now())
 }
 
-// Agreement is this carrier's, for one that takes its place in this process.
-func (c *Carrier) Agreement() *Agreement { return c.o.Agreement }
+// PolicyDriver is this carrier's, for one that takes its place in this process.
+func (c *Transport) PolicyDriver() *PolicyDriver { return c.o.PolicyDriver }
 
 // note writes what it serves by, for drills.
 func (g *agreeing) note(s policy.Serving) {
@@ -179,7 +179,7 @@
 // send sends a message where the view last knew its member to be: what is small as a datagram, the rest on a stream of
 // its own. What is lost comes again.
 func (g *agreeing) send(s policy.Send) {
-	p := &policyPacket{From: g.c.o.View.Name, Message: s.Message}
+	p := &policyPacket{From: g.c.o.Membership.Name, Message: s.Message}
 	if s.To == p.From { // it comes back as anybody's would
 		g.c.share(p)
 		return
@@ -215,7 +215,7 @@
 }
 
 // deliver puts one message on a stream, and waits until the other has taken it.
-func (c *Carrier) deliver(to string, data []byte) error {
+func (c *Transport) deliver(to string, data []byte) error {
 	from := *c.o.TCP.Addr().(*net.TCPAddr)
 	from.Port = 0
 	d := net.Dialer{Timeout: streamTime, LocalAddr: &from, KeepAlive: -1}
@@ -237,14 +237,14 @@
 }
 
 // heardPolicy takes a message about the policy from a stream or a datagram.
-func (c *Carrier) heardPolicy(data []byte) error {
+func (c *Transport) heardPolicy(data []byte) error {
 	p := &policyPacket{}
 	if err := openAs(policyForm, c.o.Fleet, data, p); err != nil {
 		c.refuse(err)
 		return err
 	}
-	if p.From == "" || p.Message == nil || p.From == c.o.View.Name {
-		return ErrBody
+	if p.From == "" || p.Message == nil || p.From == c.o.Membership.Name {
+		return ErrMalformed
 	}
 	c.share(p)
 	return nil
@@ -254,8 +254,8 @@
 var ErrNoPolicy = errors.New("this daemon agrees on no policy with others ([policy] is not in its file), or does not answer")
 
 // Policy has f run with the node on the loop, and does what comes of events that f returns.
-func (c *Carrier) Policy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
-	if c.o.Agreement == nil {
+func (c *Transport) Policy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
+	if c.o.PolicyDriver == nil {
 		return ErrNoPolicy
 	}
 	if !c.do(func() {
--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -36,12 +36,12 @@
 
 // Why a message was not taken.
 var (
-	ErrForeign = errors.New("not a message of vetchhaven's")
-	ErrFormat  = errors.New("of a format that this version does not know")
-	ErrFleet   = errors.New("of another fleet")
-	ErrDamaged = errors.New("damaged: its checksum does not fit")
-	ErrHuge    = errors.New("too large")
-	ErrBody    = errors.New("a body that makes no sense")
+	ErrNotOurs       = errors.New("not a message of vetchhaven's")
+	ErrUnknownFormat = errors.New("of a format that this version does not know")
+	ErrOtherFleet    = errors.New("of another fleet")
+	ErrDamaged       = errors.New("damaged: its checksum does not fit")
+	ErrTooLarge      = errors.New("too large")
+	ErrMalformed     = errors.New("a body that makes no sense")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -94,9 +94,9 @@
 func openAs(form byte, fleet string, data []byte, into any) error {
 	switch {
 	case len(data) < envelope || string(data[:2]) != magic:
-		return ErrForeign
+		return ErrNotOurs
 	case data[2] != form:
-		return fmt.Errorf("%w: %d, known are %d to %d", ErrFormat, data[2], format, policyForm)
+		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[2], format, policyForm)
 	}
 	head := 4 + int(data[3])
 	if len(data) < head+4 {
@@ -107,10 +107,10 @@
 	case sum != binary.BigEndian.Uint32(data[head:]):
 		return ErrDamaged
 	case string(data[4:head]) != fleet:
-		return fmt.Errorf("%w: %q", ErrFleet, data[4:head])
+		return fmt.Errorf("%w: %q", ErrOtherFleet, data[4:head])
 	}
 	if err := decoding.Unmarshal(data[head+4:], into); err != nil {
-		return fmt.Errorf("%w: %w", ErrBody, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 		return err
 	}
 	if len(data) > streamMost {
-		return ErrHuge
+		return ErrTooLarge
 	}
 	return writeRaw(w, data)
 }
@@ -150,7 +150,7 @@
 	}
 	n := binary.BigEndian.Uint32(length[:])
 	if n > streamMost {
-		return nil, ErrHuge
+		return nil, ErrTooLarge
 	}
 	var data bytes.Buffer // grows with what comes, not with what is promised
 	if _, err := io.CopyN(&data, r, int64(n)); err != nil {
--- a/internal/peer/transport/disk.go
+++ b/internal/peer/transport/disk.go
@@ -21,18 +21,18 @@
 type Saved struct {
 	Boot    uint64              `cbor:"1,keyasint,omitempty"`
 	Records []membership.Record `cbor:"2,keyasint,omitempty"`
-	At      int64               `cbor:"3,keyasint,omitempty"` // Unix, ms
+	SavedMS int64               `cbor:"3,keyasint,omitempty"` // Unix, ms
 	// Of a process that another replaces without a gap:
-	Parallel bool   `cbor:"4,keyasint,omitempty"`
-	Life     uint64 `cbor:"5,keyasint,omitempty"`
-	Inc      uint32 `cbor:"6,keyasint,omitempty"`
-	Number   uint64 `cbor:"7,keyasint,omitempty"`
-	UpMS     int64  `cbor:"8,keyasint,omitempty"`
+	TakesOver      bool   `cbor:"4,keyasint,omitempty"`
+	RunID          uint64 `cbor:"5,keyasint,omitempty"`
+	Incarnation    uint32 `cbor:"6,keyasint,omitempty"`
+	DatagramNumber uint64 `cbor:"7,keyasint,omitempty"`
+	UptimeMS       int64  `cbor:"8,keyasint,omitempty"`
 	// What it has lent as a keeper of limits, and when by CLOCK_MONOTONIC.
-	Lent *lease.ServerState `cbor:"9,keyasint,omitempty"`
+	Leases *lease.ServerState `cbor:"9,keyasint,omitempty"`
 	// How it stands towards the policy, and when that was so by CLOCK_MONOTONIC.
-	Policy   *policy.HandoffState `cbor:"10,keyasint,omitempty"`
-	PolicyAt int64                `cbor:"11,keyasint,omitempty"`
+	Policy      *policy.HandoffState `cbor:"10,keyasint,omitempty"`
+	PolicyNanos int64                `cbor:"11,keyasint,omitempty"`
 }
 
 const (
--- a/internal/peer/transport/events.go
+++ b/internal/peer/transport/events.go
@@ -77,8 +77,8 @@
 	return e
 }
 
-// Clock is CLOCK_MONOTONIC, in ns: the same for all processes of a machine.
-func Clock() int64 {
+// MonotonicNanos is CLOCK_MONOTONIC, in ns: the same for all processes of a machine.
+func MonotonicNanos() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return t.Nano()
@@ -88,7 +88,7 @@
 	if e == nil {
 		return
 	}
-	l.T, l.Wall, l.By, l.PID = Clock(), time.Now().UnixMilli(), e.by, e.pid
+	l.T, l.Wall, l.By, l.PID = MonotonicNanos(), time.Now().UnixMilli(), e.by, e.pid
 	if e.lost > 0 {
 		gap := event{T: l.T, Wall: l.Wall, By: l.By, PID: l.PID, What: "gap", Asked: e.lost}
 		select {
--- a/internal/peer/transport/golden_test.go
+++ b/internal/peer/transport/golden_test.go
@@ -93,9 +93,9 @@
 
 // What the admin endpoint shows of peers, and the lines of the event file.
 func TestShownPeersKeepTheirKeys(t *testing.T) {
-	checkJSON[Shown](t, "shown-view.json")
-	checkJSON[ShownLimits](t, "shown-limits.json")
-	checkJSON[ShownVerdicts](t, "shown-outliers.json")
+	checkJSON[MembershipStatus](t, "shown-view.json")
+	checkJSON[LimitsStatus](t, "shown-limits.json")
+	checkJSON[EjectionStatus](t, "shown-outliers.json")
 	checkJSON[event](t, "event-line.json")
 }
 
--- a/internal/peer/transport/judging.go
+++ b/internal/peer/transport/judging.go
@@ -13,7 +13,7 @@
 
 // judging drives the verdicts about servers. The carrier's loop owns it.
 type judging struct {
-	c      *Carrier
+	c      *Transport
 	m      *ejection.Member // nil: nothing is shared
 	names  time.Duration    // when the members were last told
 	stale  bool             // the view has changed since
@@ -31,18 +31,18 @@
 	namesRest  = 5 * time.Second
 )
 
-func newJudging(c *Carrier) (*judging, error) {
+func newJudging(c *Transport) (*judging, error) {
 	j := &judging{c: c, names: -time.Hour, lists: map[string]bool{}}
-	if c.o.Verdicts == nil {
+	if c.o.Ejection == nil {
 		return j, nil
 	}
-	s := *c.o.Verdicts
-	s.Name, s.RunID = c.o.View.Name, rand.Uint64()|1
+	s := *c.o.Ejection
+	s.Name, s.RunID = c.o.Membership.Name, rand.Uint64()|1
 	var err error
 	if j.m, err = ejection.New(s, rand.Uint64()); err != nil {
 		return nil, err
 	}
-	if before := c.o.Before; before != nil && before.judging.m != nil { // lists and evidence go on
+	if before := c.o.Previous; before != nil && before.judging.m != nil { // lists and evidence go on
 		j.m, j.lists, j.note, j.untold = before.judging.m, before.judging.lists, before.judging.note, true
 	}
 	return j, nil
@@ -99,7 +99,7 @@
 			j.c.sharing.send(a.To, &packet{Verdicts: a.Message})
 		case ejection.EjectionsChanged:
 			j.write(a.Ejections)
-			j.c.o.Judged(a.Ejections, j.c.base)
+			j.c.o.EjectionsChanged(a.Ejections, j.c.base)
 		case ejection.Log:
 			j.c.log.Info("fleet: " + a.Text)
 		}
@@ -147,29 +147,29 @@
 	j.told = now
 }
 
-// Listed tells what a list says now, and Seen what the daemon's agents saw of servers. Neither waits long.
-func (c *Carrier) Listed(l ejection.ListUpdated) { c.post(input{shared: l}) }
+// ListUpdated tells what a list says now, and Seen what the daemon's agents saw of servers. Neither waits long.
+func (c *Transport) ListUpdated(l ejection.ListUpdated) { c.post(input{shared: l}) }
 
-// Seen passes sights on. It does not wait: under a flood some are lost.
-func (c *Carrier) Seen(all []ejection.OutcomeSample) {
+// OutcomesObserved passes sights on. It does not wait: under a flood some are lost.
+func (c *Transport) OutcomesObserved(all []ejection.OutcomeSample) {
 	c.share(ejection.OutcomesObserved{Samples: all})
 }
 
-// ShownVerdicts is what a member holds of servers.
-type ShownVerdicts struct {
+// EjectionStatus is what a member holds of servers.
+type EjectionStatus struct {
 	Name    string                  `json:"name"`
 	Servers []ejection.ServerStatus `json:"servers"`
 	Counts  ejection.Counters       `json:"counts"`
 	Packets uint64                  `json:"packets"`
 }
 
-// ShowVerdicts is what this member holds of servers. ok is false where nothing is shared, or the loop does not answer.
-func (c *Carrier) ShowVerdicts() (s ShownVerdicts, ok bool) {
-	if c.o.Verdicts == nil {
+// EjectionStatus is what this member holds of servers. ok is false where nothing is shared, or the loop does not answer.
+func (c *Transport) EjectionStatus() (s EjectionStatus, ok bool) {
+	if c.o.Ejection == nil {
 		return s, false
 	}
 	ok = c.do(func() {
-		s = ShownVerdicts{Name: c.o.View.Name, Servers: c.judging.m.Status(), Counts: c.judging.m.Counters(), Packets: c.judging.sent}
+		s = EjectionStatus{Name: c.o.Membership.Name, Servers: c.judging.m.Status(), Counts: c.judging.m.Counters(), Packets: c.judging.sent}
 	})
 	return s, ok
 }
--- a/internal/peer/transport/judging_test.go
+++ b/internal/peer/transport/judging_test.go
@@ -10,7 +10,7 @@
 )
 
 func judges(o *Options) {
-	o.Verdicts, o.Judged = &ejection.Settings{}, func([]ejection.Ejection, time.Time) {}
+	o.Ejection, o.EjectionsChanged = &ejection.Settings{}, func([]ejection.Ejection, time.Time) {}
 }
 
 // What a daemon tells of its instances later leaves its lists as they are.
@@ -35,11 +35,11 @@
 		}
 		t.Fatalf("%s tells %x, want %x", of, got, ejection.NewSubscriptionFilter(lists))
 	}
-	a.Listed(ejection.ListUpdated{Source: "main", Servers: []ejection.Server{{ID: "main/s1", StartedMS: 1}}})
+	a.ListUpdated(ejection.ListUpdated{Source: "main", Servers: []ejection.Server{{ID: "main/s1", StartedMS: 1}}})
 	want("a", "main")
-	a.Listed(ejection.ListUpdated{Source: "other"})
+	a.ListUpdated(ejection.ListUpdated{Source: "other"})
 	want("a", "main", "other")
-	a.Tell(membership.LocalInfo{Instances: 3, Balancers: 3})
+	a.SetLocalInfo(membership.LocalInfo{Instances: 3, Balancers: 3})
 	for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		instances := uint32(0)
 		b.do(func() {
--- a/internal/peer/transport/sharing.go
+++ b/internal/peer/transport/sharing.go
@@ -33,7 +33,7 @@
 
 // sharing drives the keeper and the holder of limits. The carrier's loop owns it.
 type sharing struct {
-	c      *Carrier
+	c      *Transport
 	s      *lease.Settings
 	holder *lease.Client
 	keeper *lease.Server // nil: this member keeps nothing
@@ -44,29 +44,29 @@
 // keeperTick is how often a keeper's clock is looked at: one that was stopped finds out before it lends.
 const keeperTick = 250 * time.Millisecond
 
-func newSharing(c *Carrier, saved *Saved) (*sharing, error) {
-	s := &sharing{c: c, s: c.o.Limits}
+func newSharing(c *Transport, saved *Saved) (*sharing, error) {
+	s := &sharing{c: c, s: c.o.Leases}
 	if s.s == nil {
 		return s, nil
 	}
 	before := &sharing{}
-	if c.o.Before != nil {
-		before = c.o.Before.sharing
+	if c.o.Previous != nil {
+		before = c.o.Previous.sharing
 	}
 	var err error
 	if before.holder != nil && before.holder.ApplySettings(*s.s) {
 		s.holder = before.holder
-	} else if s.holder, err = lease.NewClient(*s.s, c.o.View.Name, rand.Uint64()|1); err != nil {
+	} else if s.holder, err = lease.NewClient(*s.s, c.o.Membership.Name, rand.Uint64()|1); err != nil {
 		return nil, err
 	}
-	if slices.Contains(s.s.Servers, c.o.View.Name) {
-		if s.keeper, err = lease.NewServer(*s.s, c.o.View.Name, c.o.View.RunID); err != nil {
+	if slices.Contains(s.s.Servers, c.o.Membership.Name) {
+		if s.keeper, err = lease.NewServer(*s.s, c.o.Membership.Name, c.o.Membership.RunID); err != nil {
 			return nil, err
 		}
 		switch {
 		case before.keeper != nil:
 			s.keeper.TakeOver(before.keeper)
-		case saved != nil && saved.Parallel && !s.keeper.Resume(c.now(), saved.Lent):
+		case saved != nil && saved.TakesOver && !s.keeper.Resume(c.now(), saved.Leases):
 			c.log.Info("fleet: limits: what the process before had lent is not known; nothing is lent until it has lapsed")
 		}
 	}
@@ -111,7 +111,7 @@
 
 // send sends a packet to a member, wherever the view last knew it to be.
 func (s *sharing) send(to string, p *packet) {
-	p.From = s.c.o.View.Name
+	p.From = s.c.o.Membership.Name
 	if to == p.From && !s.c.frozen.Load() {
 		s.took(s.c.now(), p)
 		return
@@ -159,13 +159,13 @@
 	}
 	if p.Grant != nil && p.Grant.From == p.From {
 		for _, g := range s.holder.HandleGrant(now, slices.Index(s.s.Servers, p.From), p.Grant) {
-			s.c.o.Lend(g.Agent, g.Leases, s.c.base)
+			s.c.o.LeasesGranted(g.Agent, g.Leases, s.c.base)
 		}
 	}
 }
 
 // share hands a packet to the loop, without waiting.
-func (c *Carrier) share(x any) {
+func (c *Transport) share(x any) {
 	select {
 	case c.inbox <- input{shared: x}:
 	default:
@@ -173,72 +173,72 @@
 	}
 }
 
-// Join has rights asked for on behalf of an agent, from now on. An agent's number is not used again. It does not wait:
+// AddAgent has rights asked for on behalf of an agent, from now on. An agent's number is not used again. It does not wait:
 // what is lost is made good by what the agent reports.
-func (c *Carrier) Join(agent uint32) { c.share(joined{agent}) }
-
-// Gone says that an agent has ended with nothing in flight: its rights are others' from now on. It may wait a little.
-func (c *Carrier) Gone(agent uint32) { c.post(input{shared: gone{agent}}) }
-
-// Held passes on how an agent's rights stand. It does not wait.
-func (c *Carrier) Held(agent uint32, all []quota.Usage) { c.share(held{agent, all}) }
-
-// ShownLimits is how the limits stand, at this daemon and, of what it keeps, in all.
-type ShownLimits struct {
-	Name    string      `json:"name"`
-	Held    []ShownHeld `json:"held"`
-	Kept    []ShownKept `json:"kept,omitempty"`
-	Bytes   uint64      `json:"bytes"`
-	Packets uint64      `json:"packets"`
-	Agents  int         `json:"agents"`
-	Most    int         `json:"balancers_most"`
-}
-
-// ShownHeld is what this daemon's agents have of a limit.
-type ShownHeld struct {
-	Limit  string       `json:"limit"`
-	Key    string       `json:"key,omitempty"`
-	Used   int          `json:"used"`
-	Turned int          `json:"turned_away_s"`
-	Rights []ShownRight `json:"rights"`
-}
-
-// ShownRight is what a keeper has lent this daemon.
-type ShownRight struct {
-	Keeper string  `json:"keeper"`
-	Amount int     `json:"amount"`
-	LeftS  float64 `json:"left_s"`
-}
-
-// ShownKept is what this daemon lends as a keeper.
-type ShownKept struct {
-	Limit   string         `json:"limit"`
-	Key     string         `json:"key,omitempty"`
-	Part    int            `json:"part"`
-	Lent    int            `json:"lent"`
-	WaitsS  float64        `json:"lends_nothing_for_s,omitempty"`
-	Holders map[string]int `json:"holders"`
-}
-
-// ShowLimits is how the limits stand. ok is false where there are none, or the loop does not answer.
-func (c *Carrier) ShowLimits() (s ShownLimits, ok bool) {
-	if c.o.Limits == nil {
+func (c *Transport) AddAgent(agent uint32) { c.share(joined{agent}) }
+
+// RemoveAgent says that an agent has ended with nothing in flight: its rights are others' from now on. It may wait a little.
+func (c *Transport) RemoveAgent(agent uint32) { c.post(input{shared: gone{agent}}) }
+
+// ReportUsage passes on how an agent's rights stand. It does not wait.
+func (c *Transport) ReportUsage(agent uint32, all []quota.Usage) { c.share(held{agent, all}) }
+
+// LimitsStatus is how the limits stand, at this daemon and, of what it keeps, in all.
+type LimitsStatus struct {
+	Name         string               `json:"name"`
+	Leased       []LeasedLimitStatus  `json:"held"`
+	Granted      []GrantedLimitStatus `json:"kept,omitempty"`
+	Bytes        uint64               `json:"bytes"`
+	Packets      uint64               `json:"packets"`
+	Agents       int                  `json:"agents"`
+	MaxBalancers int                  `json:"balancers_most"`
+}
+
+// LeasedLimitStatus is what this daemon's agents have of a limit.
+type LeasedLimitStatus struct {
+	Limit    string        `json:"limit"`
+	Key      string        `json:"key,omitempty"`
+	Used     int           `json:"used"`
+	Rejected int           `json:"turned_away_s"`
+	Leases   []LeaseStatus `json:"rights"`
+}
+
+// LeaseStatus is what a keeper has lent this daemon.
+type LeaseStatus struct {
+	Server     string  `json:"keeper"`
+	Amount     int     `json:"amount"`
+	RemainingS float64 `json:"left_s"`
+}
+
+// GrantedLimitStatus is what this daemon lends as a keeper.
+type GrantedLimitStatus struct {
+	Limit          string         `json:"limit"`
+	Key            string         `json:"key,omitempty"`
+	Share          int            `json:"part"`
+	Leased         int            `json:"lent"`
+	WaitRemainingS float64        `json:"lends_nothing_for_s,omitempty"`
+	Holders        map[string]int `json:"holders"`
+}
+
+// LimitsStatus is how the limits stand. ok is false where there are none, or the loop does not answer.
+func (c *Transport) LimitsStatus() (s LimitsStatus, ok bool) {
+	if c.o.Leases == nil {
 		return s, false
 	}
 	ok = c.do(func() {
 		now := c.now()
 		h := c.sharing
-		s = ShownLimits{Name: c.o.View.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), Most: c.v.Size().MaxBalancers}
+		s = LimitsStatus{Name: c.o.Membership.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), MaxBalancers: c.v.Size().MaxBalancers}
 		for _, x := range h.holder.Status(now) {
-			one := ShownHeld{Limit: x.Limit, Key: x.Key, Used: x.Used, Turned: x.Rejected}
+			one := LeasedLimitStatus{Limit: x.Limit, Key: x.Key, Used: x.Used, Rejected: x.Rejected}
 			for _, r := range x.Leases {
-				one.Rights = append(one.Rights, ShownRight{r.Server, r.Amount, r.Remaining.Round(time.Millisecond).Seconds()})
+				one.Leases = append(one.Leases, LeaseStatus{r.Server, r.Amount, r.Remaining.Round(time.Millisecond).Seconds()})
 			}
-			s.Held = append(s.Held, one)
+			s.Leased = append(s.Leased, one)
 		}
 		if h.keeper != nil {
 			for _, x := range h.keeper.Status(now) {
-				s.Kept = append(s.Kept, ShownKept{x.Limit, x.Key, x.Share, x.Leased, x.WaitRemaining.Round(time.Millisecond).Seconds(), x.Holders})
+				s.Granted = append(s.Granted, GrantedLimitStatus{x.Limit, x.Key, x.Share, x.Leased, x.WaitRemaining.Round(time.Millisecond).Seconds(), x.Holders})
 			}
 		}
 	})
--- a/internal/peer/transport/show.go
+++ b/internal/peer/transport/show.go
@@ -6,94 +6,94 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Shown is a member's view, for people and programs.
-type Shown struct {
-	Fleet     string        `json:"fleet"`
-	Name      string        `json:"name"`
-	Addr      string        `json:"addr"`
-	Boot      uint64        `json:"boot"`
-	Life      string        `json:"life"`
-	State     string        `json:"state"` // in, looking (for the fleet), or standing back
-	Digest    string        `json:"digest"`
-	Health    int           `json:"health"` // 0: it hears all that it should
-	UpS       float64       `json:"up_s"`
-	Count     ShownCount    `json:"count"`
-	Traffic   ShownTraffic  `json:"traffic"`
-	Regions   []ShownRegion `json:"regions,omitempty"` // where there are several
-	Alone     bool          `json:"alone,omitempty"`   // nobody is heard
-	Members   []ShownOne    `json:"members"`
-	SaveFails bool          `json:"save_fails,omitempty"`
+// MembershipStatus is a member's view, for people and programs.
+type MembershipStatus struct {
+	Fleet     string         `json:"fleet"`
+	Name      string         `json:"name"`
+	Addr      string         `json:"addr"`
+	Boot      uint64         `json:"boot"`
+	RunID     string         `json:"life"`
+	State     string         `json:"state"` // in, looking (for the fleet), or standing back
+	Digest    string         `json:"digest"`
+	Health    int            `json:"health"` // 0: it hears all that it should
+	UpS       float64        `json:"up_s"`
+	Size      SizeStatus     `json:"count"`
+	Traffic   TrafficStatus  `json:"traffic"`
+	Regions   []RegionStatus `json:"regions,omitempty"` // where there are several
+	Isolated  bool           `json:"alone,omitempty"`   // nobody is heard
+	Members   []MemberStatus `json:"members"`
+	SaveFails bool           `json:"save_fails,omitempty"`
 }
 
-// ShownCount is what the daemon's instances are told of the fleet's size.
-type ShownCount struct {
-	Most    int  `json:"balancers_most"`
-	Least   int  `json:"balancers_least"`
-	Members int  `json:"members"`
-	Live    int  `json:"live"`
-	File    bool `json:"from_file"`
+// SizeStatus is what the daemon's instances are told of the fleet's size.
+type SizeStatus struct {
+	MaxBalancers int  `json:"balancers_most"`
+	MinBalancers int  `json:"balancers_least"`
+	Members      int  `json:"members"`
+	Live         int  `json:"live"`
+	FromFile     bool `json:"from_file"`
 }
 
-// ShownTraffic is of this life; rates are means over it.
-type ShownTraffic struct {
-	Datagrams     uint64  `json:"datagrams"`
-	Bytes         uint64  `json:"bytes"`
-	DatagramsRate float64 `json:"datagrams_s"`
-	BytesRate     float64 `json:"bytes_s"`
-	Exchanges     uint64  `json:"exchanges"`
-	ExchangeBytes uint64  `json:"exchange_bytes"`
-	Heard         uint64  `json:"heard"`
-	FarBytes      uint64  `json:"far_bytes"` // of all bytes, to other regions
-	FarRate       float64 `json:"far_bytes_s"`
-	Held          uint64  `json:"held_back"` // for the budget
-	Stale         uint64  `json:"stale"`
-	Dropped       uint64  `json:"dropped"` // since this process did not keep up
-	Damaged       uint64  `json:"damaged"`
-	Foreign       uint64  `json:"other_fleet"`
-	OtherFormat   uint64  `json:"other_format"`
-	Huge          uint64  `json:"huge"`
-	Odd           uint64  `json:"odd"`
+// TrafficStatus is of this life; rates are means over it.
+type TrafficStatus struct {
+	Datagrams       uint64  `json:"datagrams"`
+	Bytes           uint64  `json:"bytes"`
+	DatagramsRate   float64 `json:"datagrams_s"`
+	BytesRate       float64 `json:"bytes_s"`
+	Exchanges       uint64  `json:"exchanges"`
+	ExchangeBytes   uint64  `json:"exchange_bytes"`
+	Received        uint64  `json:"heard"`
+	RemoteBytes     uint64  `json:"far_bytes"` // of all bytes, to other regions
+	RemoteBytesRate float64 `json:"far_bytes_s"`
+	Withheld        uint64  `json:"held_back"` // for the budget
+	Stale           uint64  `json:"stale"`
+	Dropped         uint64  `json:"dropped"` // since this process did not keep up
+	Damaged         uint64  `json:"damaged"`
+	OtherFleet      uint64  `json:"other_fleet"`
+	OtherFormat     uint64  `json:"other_format"`
+	TooLarge        uint64  `json:"huge"`
+	Malformed       uint64  `json:"odd"`
 	// About the policy, apart from the above: messages and bytes sent, and messages not sent, for want of a stream or an address.
 	PolicyMessages uint64 `json:"policy_messages"`
 	PolicyBytes    uint64 `json:"policy_bytes"`
 	PolicyUnsent   uint64 `json:"policy_unsent"`
 }
 
-// ShownRegion is a region as it is seen from here.
-type ShownRegion struct {
-	Name     string   `json:"name"`
-	Members  int      `json:"members"` // alive or suspect by their records
-	Silent   int      `json:"silent"`  // dead by them
-	Own      bool     `json:"own,omitempty"`
-	Away     bool     `json:"not_reached,omitempty"` // by none of the watchers
-	SinceS   float64  `json:"since_s,omitempty"`     // seconds of that
-	Watchers []string `json:"watchers,omitempty"`
-	WayMS    float64  `json:"way_ms,omitempty"` // there and back, as this member has measured it
+// RegionStatus is a region as it is seen from here.
+type RegionStatus struct {
+	Name            string   `json:"name"`
+	Members         int      `json:"members"` // alive or suspect by their records
+	Dead            int      `json:"silent"`  // dead by them
+	Local           bool     `json:"own,omitempty"`
+	Unreachable     bool     `json:"not_reached,omitempty"` // by none of the watchers
+	UnreachableForS float64  `json:"since_s,omitempty"`     // seconds of that
+	Watchers        []string `json:"watchers,omitempty"`
+	RoundTripMS     float64  `json:"way_ms,omitempty"` // there and back, as this member has measured it
 }
 
-// ShownOne is one member.
-type ShownOne struct {
-	Name      string  `json:"name"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone,omitempty"`
-	Region    string  `json:"region,omitempty"`
-	Program   string  `json:"program,omitempty"`
-	State     string  `json:"state"`
-	SinceS    float64 `json:"since_s"` // seconds in that state, as seen here
-	By        string  `json:"by,omitempty"`
-	Boot      uint64  `json:"boot"`
-	Life      string  `json:"life"`
-	Inc       uint32  `json:"incarnation"`
-	Instances uint32  `json:"instances"`
-	Balancers uint32  `json:"balancers"`
+// MemberStatus is one member.
+type MemberStatus struct {
+	Name        string  `json:"name"`
+	Addr        string  `json:"addr"`
+	Zone        string  `json:"zone,omitempty"`
+	Region      string  `json:"region,omitempty"`
+	Program     string  `json:"program,omitempty"`
+	State       string  `json:"state"`
+	SinceS      float64 `json:"since_s"` // seconds in that state, as seen here
+	Reporter    string  `json:"by,omitempty"`
+	Boot        uint64  `json:"boot"`
+	RunID       string  `json:"life"`
+	Incarnation uint32  `json:"incarnation"`
+	Instances   uint32  `json:"instances"`
+	Balancers   uint32  `json:"balancers"`
 }
 
-// Show is how the view stands. ok is false where the loop does not answer.
-func (c *Carrier) Show() (s Shown, ok bool) {
+// MembershipStatus is how the view stands. ok is false where the loop does not answer.
+func (c *Transport) MembershipStatus() (s MembershipStatus, ok bool) {
 	ok = c.do(func() {
 		v := c.v
 		own, t, up := v.Local(), v.Traffic(), max(v.Uptime().Seconds(), 1e-3)
-		s = Shown{Fleet: c.o.Fleet, Name: own.Name, Addr: own.Addr, Boot: own.Boot, Life: hex(own.RunID), State: "in", Digest: hex(v.Digest()), Health: v.Health(), UpS: up}
+		s = MembershipStatus{Fleet: c.o.Fleet, Name: own.Name, Addr: own.Addr, Boot: own.Boot, RunID: hex(own.RunID), State: "in", Digest: hex(v.Digest()), Health: v.Health(), UpS: up}
 		switch {
 		case v.Yields():
 			s.State = "standing back"
@@ -101,16 +101,16 @@
 			s.State = "looking"
 		}
 		n := v.Size()
-		s.Count = ShownCount{n.MaxBalancers, n.MinBalancers, n.Members, n.Live, n.FromFile}
-		s.Traffic = ShownTraffic{Datagrams: t.Datagrams, Bytes: t.Bytes, DatagramsRate: float64(t.Datagrams) / up, BytesRate: float64(t.Bytes) / up,
-			Exchanges: t.Exchanges, ExchangeBytes: t.ExchangeBytes, Heard: t.Received, FarBytes: t.RemoteBytes + t.RemoteExchangeBytes, FarRate: float64(t.RemoteBytes+t.RemoteExchangeBytes) / up, Held: t.Withheld, Stale: t.Stale, Dropped: c.dropped.Load(),
-			Damaged: c.damaged.Load(), Foreign: c.foreign.Load(), OtherFormat: c.formats.Load(), Huge: c.huge.Load(), Odd: c.odd.Load(),
+		s.Size = SizeStatus{n.MaxBalancers, n.MinBalancers, n.Members, n.Live, n.FromFile}
+		s.Traffic = TrafficStatus{Datagrams: t.Datagrams, Bytes: t.Bytes, DatagramsRate: float64(t.Datagrams) / up, BytesRate: float64(t.Bytes) / up,
+			Exchanges: t.Exchanges, ExchangeBytes: t.ExchangeBytes, Received: t.Received, RemoteBytes: t.RemoteBytes + t.RemoteExchangeBytes, RemoteBytesRate: float64(t.RemoteBytes+t.RemoteExchangeBytes) / up, Withheld: t.Withheld, Stale: t.Stale, Dropped: c.dropped.Load(),
+			Damaged: c.damaged.Load(), OtherFleet: c.foreign.Load(), OtherFormat: c.formats.Load(), TooLarge: c.huge.Load(), Malformed: c.odd.Load(),
 			PolicyMessages: c.agreeing.sent, PolicyBytes: c.agreeing.bytes, PolicyUnsent: c.agreeing.lost}
 		for _, r := range v.Regions() {
-			s.Regions = append(s.Regions, ShownRegion{r.Name, r.Members, r.Dead, r.Local, r.Unreachable, r.UnreachableFor.Round(time.Millisecond).Seconds(), r.Watchers,
+			s.Regions = append(s.Regions, RegionStatus{r.Name, r.Members, r.Dead, r.Local, r.Unreachable, r.UnreachableFor.Round(time.Millisecond).Seconds(), r.Watchers,
 				float64(r.RoundTrip.Microseconds()) / 1000})
 		}
-		s.Alone = v.Isolated()
+		s.Isolated = v.Isolated()
 		for _, r := range v.Members() {
 			s.Members = append(s.Members, shownOne(r, c.now()-v.Since(r.Name)))
 		}
@@ -119,7 +119,7 @@
 	return s, ok
 }
 
-func shownOne(r membership.Record, since time.Duration) ShownOne {
-	return ShownOne{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Region: r.Region, Program: r.Program, State: r.State.String(), SinceS: since.Round(time.Millisecond).Seconds(),
-		By: r.Reporter, Boot: r.Boot, Life: hex(r.RunID), Inc: r.Incarnation, Instances: r.Instances, Balancers: r.Balancers}
+func shownOne(r membership.Record, since time.Duration) MemberStatus {
+	return MemberStatus{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Region: r.Region, Program: r.Program, State: r.State.String(), SinceS: since.Round(time.Millisecond).Seconds(),
+		Reporter: r.Reporter, Boot: r.Boot, RunID: hex(r.RunID), Incarnation: r.Incarnation, Instances: r.Instances, Balancers: r.Balancers}
 }
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -27,30 +27,30 @@
 
 // Options are what a member is started with.
 type Options struct {
-	Fleet    string
-	View     membership.Settings // but for boot, life and what is known: the carrier sees to these
-	UDP      *net.UDPConn        // both are the carrier's from now on, and closed at its end
-	TCP      *net.TCPListener
-	Dir      string // where the last view is kept; empty: nowhere
-	Saved    *Saved // from the process before, which this one replaces; nil: the file is read
-	Log      *slog.Logger
-	Events   io.Writer             // lines of what changed, for drills; nil: none
-	Changed  func(membership.Size) // the head count has changed; must not wait
-	Inject   func()                // a test's: called in each step
-	WallSkew time.Duration         // a drill's: the wall clock is off by so much
-	Limits   *lease.Settings       // shared by the fleet; nil: none
-	Before   *Carrier              // of this process, which has ended: what it held and lent is this one's now; nil: none
-	Verdicts *ejection.Settings    // what members know of servers is shared; but for name and life; nil: it is not
-	// Judged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
-	Judged    func(all []ejection.Ejection, base time.Time)
-	Agree     func(life uint64) *Agreement // on the fleet's policy, for a member's life; nil: there is none
-	Agreement *Agreement                   // it, from the carrier before, if the member goes on with its life; nil: Agree makes one
-	// Lend gives an agent rights, which it may use until what Until says after base. It must not wait.
-	Lend func(agent uint32, all []quota.Lease, base time.Time)
+	Fleet       string
+	Membership  membership.Settings // but for boot, life and what is known: the carrier sees to these
+	UDP         *net.UDPConn        // both are the carrier's from now on, and closed at its end
+	TCP         *net.TCPListener
+	Dir         string // where the last view is kept; empty: nowhere
+	Saved       *Saved // from the process before, which this one replaces; nil: the file is read
+	Log         *slog.Logger
+	Events      io.Writer             // lines of what changed, for drills; nil: none
+	SizeChanged func(membership.Size) // the head count has changed; must not wait
+	Inject      func()                // a test's: called in each step
+	WallSkew    time.Duration         // a drill's: the wall clock is off by so much
+	Leases      *lease.Settings       // shared by the fleet; nil: none
+	Previous    *Transport            // of this process, which has ended: what it held and lent is this one's now; nil: none
+	Ejection    *ejection.Settings    // what members know of servers is shared; but for name and life; nil: it is not
+	// EjectionsChanged gives the verdicts that hold from now on, in place of the last ones. It must not wait.
+	EjectionsChanged func(all []ejection.Ejection, base time.Time)
+	NewPolicyDriver  func(life uint64) *PolicyDriver // on the fleet's policy, for a member's life; nil: there is none
+	PolicyDriver     *PolicyDriver                   // it, from the carrier before, if the member goes on with its life; nil: Agree makes one
+	// LeasesGranted gives an agent rights, which it may use until what Until says after base. It must not wait.
+	LeasesGranted func(agent uint32, all []quota.Lease, base time.Time)
 }
 
-// Carrier is one member of a fleet, on its sockets.
-type Carrier struct {
+// Transport is one member of a fleet, on its sockets.
+type Transport struct {
 	o      Options
 	log    *slog.Logger
 	v      *membership.View
@@ -95,18 +95,18 @@
 )
 
 // New makes a member ready. Its boot is a new one, on the disk if that can be had soon, unless it replaces a process.
-func New(o Options) (*Carrier, error) {
+func New(o Options) (*Transport, error) {
 	if !membership.ValidFleet(o.Fleet) {
 		return nil, fmt.Errorf("fleet %q: 1 to 32 printable characters without spaces are allowed", o.Fleet)
 	}
-	c := &Carrier{o: o, log: o.Log, base: time.Now(), inbox: make(chan input, inboxMost), calls: make(chan func(), 16), done: make(chan struct{}),
+	c := &Transport{o: o, log: o.Log, base: time.Now(), inbox: make(chan input, inboxMost), calls: make(chan func(), 16), done: make(chan struct{}),
 		streams: make(chan struct{}, streamsMost), replies: map[uint64]chan *membership.Exchange{}, opened: map[uint64]chan *membership.Exchange{},
 		left: make(chan struct{}), thaw: make(chan struct{}), failed: make(chan error, 1)}
 	c.disk = newDisk(o.Dir, o.Log)
-	s := &c.o.View
+	s := &c.o.Membership
 	saved := o.Saved
-	if saved != nil && saved.Parallel {
-		s.TakesOver, s.Boot, s.RunID, s.Incarnation, s.DatagramNumber, s.Uptime = true, saved.Boot, saved.Life, saved.Inc+1, saved.Number, time.Duration(saved.UpMS)*time.Millisecond
+	if saved != nil && saved.TakesOver {
+		s.TakesOver, s.Boot, s.RunID, s.Incarnation, s.DatagramNumber, s.Uptime = true, saved.Boot, saved.RunID, saved.Incarnation+1, saved.DatagramNumber, time.Duration(saved.UptimeMS)*time.Millisecond
 		s.Known = saved.Records
 	} else {
 		if saved == nil {
@@ -123,8 +123,8 @@
 		return nil, err
 	}
 	c.v, c.self = v, membership.LocalInfo{Instances: s.Instances, Balancers: s.Balancers}
-	if o.Before != nil {
-		c.base = o.Before.base // what it holds is by that clock
+	if o.Previous != nil {
+		c.base = o.Previous.base // what it holds is by that clock
 	}
 	if c.sharing, err = newSharing(c, saved); err != nil {
 		return nil, err
@@ -132,19 +132,19 @@
 	if c.judging, err = newJudging(c); err != nil {
 		return nil, err
 	}
-	if c.o.Agreement == nil && o.Agree != nil {
-		c.o.Agreement = o.Agree(s.RunID)
+	if c.o.PolicyDriver == nil && o.NewPolicyDriver != nil {
+		c.o.PolicyDriver = o.NewPolicyDriver(s.RunID)
 	}
 	c.agreeing = newAgreeing(c)
 	c.events = newEvents(o.Events, s.Name, os.Getpid())
 	return c, nil
 }
 
-func (c *Carrier) now() time.Duration { return time.Since(c.base) }
+func (c *Transport) now() time.Duration { return time.Since(c.base) }
 
 // Run is a member until ctx ends; it returns then, or with what went wrong. A panic in it is an error here and
 // nobody else's.
-func (c *Carrier) Run(ctx context.Context) (err error) {
+func (c *Transport) Run(ctx context.Context) (err error) {
 	stop, cancel := context.WithCancel(ctx)
 	var others sync.WaitGroup
 	stopped := make(chan struct{})
@@ -204,7 +204,7 @@
 }
 
 // sort adds an event to those of the next step, or has what is shared taken at once.
-func (c *Carrier) sort(batch []membership.Event, i input) []membership.Event {
+func (c *Transport) sort(batch []membership.Event, i input) []membership.Event {
 	if i.shared != nil {
 		if !c.judging.take(c.now(), i.shared) && !c.agreeing.take(c.now(), i.shared) {
 			c.sharing.take(c.now(), i.shared)
@@ -215,7 +215,7 @@
 }
 
 // beside runs f in a goroutine that Run waits for. A panic in it ends the member, and nothing else.
-func (c *Carrier) beside(others *sync.WaitGroup, f func()) {
+func (c *Transport) beside(others *sync.WaitGroup, f func()) {
 	others.Go(func() {
 		defer func() {
 			if p := recover(); p != nil {
@@ -230,8 +230,8 @@
 }
 
 // awaitBoot waits a little for the boot to be on the disk.
-func (c *Carrier) awaitBoot() {
-	if c.o.Dir == "" || c.o.View.TakesOver {
+func (c *Transport) awaitBoot() {
+	if c.o.Dir == "" || c.o.Membership.TakesOver {
 		return
 	}
 	for limit := time.Now().Add(bootWithin); time.Now().Before(limit); time.Sleep(2 * time.Millisecond) {
@@ -242,7 +242,7 @@
 	c.log.Warn("the disk is slow: this start's number is announced before it is saved")
 }
 
-func (c *Carrier) take(i input) membership.Event {
+func (c *Transport) take(i input) membership.Event {
 	switch e := i.event.(type) {
 	case membership.ExchangeRequest:
 		c.next++
@@ -260,7 +260,7 @@
 }
 
 // step steps the view, and does what it wants done.
-func (c *Carrier) step(ctx context.Context, others *sync.WaitGroup, batch ...membership.Event) {
+func (c *Transport) step(ctx context.Context, others *sync.WaitGroup, batch ...membership.Event) {
 	if c.o.Inject != nil {
 		c.o.Inject()
 	}
@@ -291,8 +291,8 @@
 			c.save(a.BootOnly)
 		case membership.SizeChanged:
 			c.events.did(a)
-			if c.o.Changed != nil {
-				c.o.Changed(a.Size)
+			if c.o.SizeChanged != nil {
+				c.o.SizeChanged(a.Size)
 			}
 		default:
 			c.judging.stale = true
@@ -316,7 +316,7 @@
 }
 
 // say logs what an operator would know: changes, each once.
-func (c *Carrier) say(a membership.Action) {
+func (c *Transport) say(a membership.Action) {
 	switch a := a.(type) {
 	case membership.RegionReachability:
 		if a.Unreachable {
@@ -340,16 +340,16 @@
 		}
 	case membership.NameConflict:
 		if a.Yield {
-			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Reason)
+			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.o.Membership.Name, "other", a.Other.Addr, "why", a.Reason)
 		} else {
-			c.log.Warn("fleet: another process had this name, and lost it", "name", c.o.View.Name, "other", a.Other.Addr, "why", a.Reason)
+			c.log.Warn("fleet: another process had this name, and lost it", "name", c.o.Membership.Name, "other", a.Other.Addr, "why", a.Reason)
 		}
 	case membership.SelfSuspected:
 		c.log.Warn("fleet: this process was paused or starved", "for", a.Pause.Round(time.Millisecond), "health", a.Health)
 	}
 }
 
-func (c *Carrier) send(s membership.Send) {
+func (c *Transport) send(s membership.Send) {
 	to, err := netip.ParseAddrPort(s.To)
 	if err != nil {
 		return
@@ -364,23 +364,23 @@
 }
 
 // Sent is how many datagrams of the view, limits and verdicts this member has written, and their bytes.
-func (c *Carrier) Sent() (datagrams, bytes uint64) { return c.datagrams.Load(), c.written.Load() }
+func (c *Transport) Sent() (datagrams, bytes uint64) { return c.datagrams.Load(), c.written.Load() }
 
 // save hands what is known to the disk. The boot alone goes with what was known when the process started.
-func (c *Carrier) save(boot bool) {
+func (c *Transport) save(boot bool) {
 	s := c.saved()
-	if boot && !c.o.View.TakesOver && len(s.Records) <= 1 {
-		s.Records = append(s.Records, c.o.View.Known...)
+	if boot && !c.o.Membership.TakesOver && len(s.Records) <= 1 {
+		s.Records = append(s.Records, c.o.Membership.Known...)
 	}
 	c.disk.put(s)
 }
 
-func (c *Carrier) saved() *Saved {
-	return &Saved{Boot: c.v.Local().Boot, Records: c.v.Records(), At: time.Now().UnixMilli()}
+func (c *Transport) saved() *Saved {
+	return &Saved{Boot: c.v.Local().Boot, Records: c.v.Records(), SavedMS: time.Now().UnixMilli()}
 }
 
 // hear reads datagrams until the socket is closed.
-func (c *Carrier) hear(ctx context.Context) {
+func (c *Transport) hear(ctx context.Context) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, _, err := c.o.UDP.ReadFromUDPAddrPort(buf)
@@ -392,7 +392,7 @@
 			continue
 		}
 		if n > datagram {
-			c.refuse(ErrHuge)
+			c.refuse(ErrTooLarge)
 			continue
 		}
 		if formOf(buf[:n]) == sharedForm {
@@ -422,7 +422,7 @@
 }
 
 // wait waits a little after an error, or, while another process has the sockets, until this one has them again.
-func (c *Carrier) wait(ctx context.Context, d time.Duration) {
+func (c *Transport) wait(ctx context.Context, d time.Duration) {
 	if c.frozen.Load() {
 		c.mu.Lock()
 		thaw := c.thaw
@@ -442,12 +442,12 @@
 }
 
 // refuse counts what was not taken, and says it once a minute for each reason.
-func (c *Carrier) refuse(err error) {
+func (c *Transport) refuse(err error) {
 	count := &c.odd
 	for _, k := range []struct {
 		err error
 		n   *atomic.Uint64
-	}{{ErrHuge, &c.huge}, {ErrFleet, &c.foreign}, {ErrDamaged, &c.damaged}, {ErrFormat, &c.formats}} {
+	}{{ErrTooLarge, &c.huge}, {ErrOtherFleet, &c.foreign}, {ErrDamaged, &c.damaged}, {ErrUnknownFormat, &c.formats}} {
 		if errors.Is(err, k.err) {
 			count = k.n
 		}
@@ -458,7 +458,7 @@
 }
 
 // post hands an event to the loop, without waiting long.
-func (c *Carrier) post(i input) bool {
+func (c *Transport) post(i input) bool {
 	t := time.NewTimer(streamTime)
 	defer t.Stop()
 	select {
@@ -471,7 +471,7 @@
 }
 
 // place takes one of the places for streams.
-func (c *Carrier) place() bool {
+func (c *Transport) place() bool {
 	select {
 	case c.streams <- struct{}{}:
 		return true
@@ -481,7 +481,7 @@
 }
 
 // accept answers exchanges that others open.
-func (c *Carrier) accept(ctx context.Context, others *sync.WaitGroup) {
+func (c *Transport) accept(ctx context.Context, others *sync.WaitGroup) {
 	for {
 		conn, err := c.o.TCP.AcceptTCP()
 		if err != nil {
@@ -506,7 +506,7 @@
 	}
 }
 
-func (c *Carrier) answer(conn *net.TCPConn) error {
+func (c *Transport) answer(conn *net.TCPConn) error {
 	_ = conn.SetDeadline(time.Now().Add(streamTime))
 	data, err := readRaw(conn)
 	if err != nil {
@@ -550,7 +550,7 @@
 }
 
 // ask opens an exchange. Whatever becomes of it, the loop hears of it once.
-func (c *Carrier) ask(ctx context.Context, o membership.OpenExchange, finish chan *membership.Exchange) {
+func (c *Transport) ask(ctx context.Context, o membership.OpenExchange, finish chan *membership.Exchange) {
 	answer, conn, err := c.question(ctx, o)
 	if conn != nil {
 		defer conn.Close()
@@ -576,7 +576,7 @@
 	}
 }
 
-func (c *Carrier) question(ctx context.Context, o membership.OpenExchange) (*membership.Exchange, net.Conn, error) {
+func (c *Transport) question(ctx context.Context, o membership.OpenExchange) (*membership.Exchange, net.Conn, error) {
 	// From the address that it listens on: its datagrams come from there too.
 	from := *c.o.TCP.Addr().(*net.TCPAddr)
 	from.Port = 0
@@ -593,14 +593,14 @@
 		return nil, conn, err
 	}
 	x, err := readFrame(conn, c.o.Fleet)
-	if err != nil && (errors.Is(err, ErrFleet) || errors.Is(err, ErrFormat)) {
+	if err != nil && (errors.Is(err, ErrOtherFleet) || errors.Is(err, ErrUnknownFormat)) {
 		c.refuse(err)
 	}
 	return x, conn, err
 }
 
 // do has f run on the loop, and waits, but not for long. It reports false where it did not run.
-func (c *Carrier) do(f func()) bool {
+func (c *Transport) do(f func()) bool {
 	ran := make(chan struct{})
 	t := time.NewTimer(callWithin)
 	defer t.Stop()
@@ -621,8 +621,8 @@
 	}
 }
 
-// Tell changes what this member says of itself. It does not wait.
-func (c *Carrier) Tell(s membership.LocalInfo) {
+// SetLocalInfo changes what this member says of itself. It does not wait.
+func (c *Transport) SetLocalInfo(s membership.LocalInfo) {
 	select {
 	case c.inbox <- input{event: s}:
 	default: // full: what is told next says it again
@@ -631,7 +631,7 @@
 }
 
 // Leave says to the others that this member goes, and waits a moment for that.
-func (c *Carrier) Leave(within time.Duration) {
+func (c *Transport) Leave(within time.Duration) {
 	t := time.NewTimer(within)
 	defer t.Stop()
 	select {
@@ -650,7 +650,7 @@
 
 // Forget passes on an operator's word that a dead member has gone for good. It reports what that member's state
 // was, and whether it is known.
-func (c *Carrier) Forget(name string) (was membership.State, known bool) {
+func (c *Transport) Forget(name string) (was membership.State, known bool) {
 	c.do(func() {
 		for _, r := range c.v.Members() {
 			if r.Name == name {
@@ -666,7 +666,7 @@
 
 // Freeze has it do nothing more, since a process is about to take its place, and is what that one goes on from; nil
 // where it can't be had.
-func (c *Carrier) Freeze() *Saved {
+func (c *Transport) Freeze() *Saved {
 	var s *Saved
 	c.do(func() {
 		c.frozen.Store(true)
@@ -675,15 +675,15 @@
 		_ = c.o.TCP.SetDeadline(past)
 		s = c.saved()
 		own := c.v.Local()
-		s.Parallel, s.Life, s.Inc, s.Number, s.UpMS = true, own.RunID, own.Incarnation, c.v.DatagramNumber(), c.v.Uptime().Milliseconds()
-		s.Lent = c.sharing.state(c.now())
-		s.Policy, s.PolicyAt = c.agreeing.handed(), Clock()
+		s.TakesOver, s.RunID, s.Incarnation, s.DatagramNumber, s.UptimeMS = true, own.RunID, own.Incarnation, c.v.DatagramNumber(), c.v.Uptime().Milliseconds()
+		s.Leases = c.sharing.state(c.now())
+		s.Policy, s.PolicyNanos = c.agreeing.handed(), MonotonicNanos()
 	})
 	return s
 }
 
 // Thaw has it go on: that process did not come up.
-func (c *Carrier) Thaw() {
+func (c *Transport) Thaw() {
 	c.do(func() {
 		if c.frozen.Swap(false) {
 			_ = c.o.UDP.SetReadDeadline(time.Time{})
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -68,8 +68,8 @@
 	for name, c := range map[string]struct {
 		data []byte
 		want error
-	}{"empty": {nil, ErrForeign}, "other": {[]byte("GET / HTTP/1.1\r\n"), ErrForeign}, "format": {later, ErrFormat}, "cut": {good[:9], ErrDamaged},
-		"fleet": {func() []byte { d, _ := encode("g", &membership.Message{From: "a"}); return d }(), ErrFleet}} {
+	}{"empty": {nil, ErrNotOurs}, "other": {[]byte("GET / HTTP/1.1\r\n"), ErrNotOurs}, "format": {later, ErrUnknownFormat}, "cut": {good[:9], ErrDamaged},
+		"fleet": {func() []byte { d, _ := encode("g", &membership.Message{From: "a"}); return d }(), ErrOtherFleet}} {
 		if err := decode("f", c.data, &membership.Message{}); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -122,7 +122,7 @@
 
 // member is one on real sockets.
 type member struct {
-	*Carrier
+	*Transport
 	addr  string
 	end   func() error
 	count chan membership.Size
@@ -143,8 +143,8 @@
 			t.Fatal(err)
 		}
 	}
-	o := Options{Fleet: "f", View: membership.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, ProbeInterval: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
-		Dir: dir, Log: slog.New(slog.DiscardHandler), Changed: func(c membership.Size) {
+	o := Options{Fleet: "f", Membership: membership.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, ProbeInterval: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
+		Dir: dir, Log: slog.New(slog.DiscardHandler), SizeChanged: func(c membership.Size) {
 			select {
 			case m.count <- c:
 			default:
@@ -153,7 +153,7 @@
 	if change != nil {
 		change(&o)
 	}
-	if m.Carrier, err = New(o); err != nil {
+	if m.Transport, err = New(o); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -181,10 +181,10 @@
 }
 
 // await waits until a member sees another in a state.
-func (m *member) await(t *testing.T, other, state string) ShownOne {
+func (m *member) await(t *testing.T, other, state string) MemberStatus {
 	t.Helper()
 	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
-		if s, ok := m.Show(); ok {
+		if s, ok := m.MembershipStatus(); ok {
 			for _, o := range s.Members {
 				if o.Name == other && o.State == state {
 					return o
@@ -192,9 +192,9 @@
 			}
 		}
 	}
-	s, _ := m.Show()
+	s, _ := m.MembershipStatus()
 	t.Fatalf("%s never sees %s %s: %+v", m.addr, other, state, s.Members)
-	return ShownOne{}
+	return MemberStatus{}
 }
 
 func TestMembersMeetLeaveAndDie(t *testing.T) {
@@ -272,7 +272,7 @@
 		}
 		a = start(t, "a", addr, dir, []string{b.addr}, func(o *Options) { o.WallSkew = -time.Hour })
 		for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-			if now := b.await(t, "a", "alive"); now.Life != was.Life {
+			if now := b.await(t, "a", "alive"); now.RunID != was.RunID {
 				if now.Boot <= was.Boot {
 					t.Errorf("boot %d after %d (disk lost: %v)", now.Boot, was.Boot, lost)
 				}
@@ -303,7 +303,7 @@
 	a := start(t, "a", "", filepath.Join(file, "dir"), nil, nil)
 	a.await(t, "a", "alive")
 	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if s, _ := a.Show(); s.SaveFails {
+		if s, _ := a.MembershipStatus(); s.SaveFails {
 			break
 		}
 		if time.Now().After(limit) {
@@ -318,7 +318,7 @@
 	if err := a.end(); err == nil {
 		t.Error("no error")
 	}
-	if _, ok := a.Show(); ok {
+	if _, ok := a.MembershipStatus(); ok {
 		t.Error("it answers")
 	}
 }
@@ -335,8 +335,8 @@
 	next := start(t, "a", a.addr, "", nil, func(o *Options) { o.Saved = saved })
 	next.await(t, "b", "alive")
 	for {
-		if now := b.await(t, "a", "alive"); now.Inc > was.Inc {
-			if now.Life != was.Life || now.Boot != was.Boot {
+		if now := b.await(t, "a", "alive"); now.Incarnation > was.Incarnation {
+			if now.RunID != was.RunID || now.Boot != was.Boot {
 				t.Errorf("another member: %+v after %+v", now, was)
 			}
 			return
@@ -372,12 +372,12 @@
 	for _, a := range asks {
 		k.HandleRequest(time.Second, a)
 	}
-	data, err := EncodeSaved(&Saved{Boot: 1, Parallel: true, Lent: k.State(time.Second)})
+	data, err := EncodeSaved(&Saved{Boot: 1, TakesOver: true, Leases: k.State(time.Second)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := DecodeSaved(data)
-	if err != nil || got.Lent == nil || len(got.Lent.Limits) != 1 || len(got.Lent.Limits[0].Rows) != 1 || len(got.Lent.Limits[0].Rows[0].Holders[0].Leases) != 1 {
+	if err != nil || got.Leases == nil || len(got.Leases.Limits) != 1 || len(got.Leases.Limits[0].Rows) != 1 || len(got.Leases.Limits[0].Rows[0].Holders[0].Leases) != 1 {
 		t.Errorf("%+v: %v", got, err)
 	}
 }
--- a/internal/peer/transport/wire.go
+++ b/internal/peer/transport/wire.go
@@ -24,7 +24,7 @@
 			return nil, err
 		}
 		if len(data) > streamMost {
-			return nil, ErrHuge
+			return nil, ErrTooLarge
 		}
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...), nil
 	case *ejection.Message:
@@ -52,14 +52,14 @@
 		case p.Verdicts != nil:
 			return p.Verdicts, nil
 		}
-		return nil, ErrBody
+		return nil, ErrMalformed
 	}
 	if formOf(data) == format {
 		m := &membership.Message{}
 		return m, decode(w.Fleet, data, m)
 	}
 	if len(data) < 4 {
-		return nil, ErrForeign
+		return nil, ErrNotOurs
 	}
 	x := &membership.Exchange{}
 	return x, decode(w.Fleet, data[4:], x)
--- a/tools/capacity/changes.go
+++ b/tools/capacity/changes.go
@@ -139,7 +139,7 @@
 }
 
 func (m *measuring) run(c changing, label string) (*changed, error) {
-	c.seed, c.streams = m.seed, cmp.Or(c.streams, transport.PolicyStreams)
+	c.seed, c.streams = m.seed, cmp.Or(c.streams, transport.MaxPolicyStreams)
 	c.voters = cmp.Or(c.voters, 3)
 	c.from = cmp.Or(c.from, 6*time.Second)
 	c.length = cmp.Or(c.length, 70*time.Second)
@@ -213,7 +213,7 @@
 
 // even is a change each 2 s, as tools/policy times has it.
 func (m *measuring) even(string) error {
-	for _, streams := range []int{-1, transport.PolicyStreams} {
+	for _, streams := range []int{-1, transport.MaxPolicyStreams} {
 		for _, n := range m.sizes {
 			label := "a change each 2 s"
 			if streams < 0 {
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -17,12 +17,12 @@
 )
 
 // shownView is what `fleet view --json` is told by a daemon that knows n members.
-func shownView(n int) *transport.Shown {
-	s := &transport.Shown{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, Life: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UpS: 86400.123,
-		Count: transport.ShownCount{Most: n, Least: n, Members: n, Live: n}}
+func shownView(n int) *transport.MembershipStatus {
+	s := &transport.MembershipStatus{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, RunID: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UpS: 86400.123,
+		Size: transport.SizeStatus{MaxBalancers: n, MinBalancers: n, Members: n, Live: n}}
 	for i := range n {
-		s.Members = append(s.Members, transport.ShownOne{Name: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16&255, i>>8&255, i&255), Zone: fmt.Sprintf("zone-%02d", i%15),
-			Program: "0.8.0", State: "alive", SinceS: 86400.123, Boot: 1764633600, Life: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Inc: 1, Instances: 1, Balancers: 1})
+		s.Members = append(s.Members, transport.MemberStatus{Name: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16&255, i>>8&255, i&255), Zone: fmt.Sprintf("zone-%02d", i%15),
+			Program: "0.8.0", State: "alive", SinceS: 86400.123, Boot: 1764633600, RunID: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Incarnation: 1, Instances: 1, Balancers: 1})
 	}
 	return s
 }
