--- a/internal/peer/ejection/concern_test.go
+++ b/internal/peer/ejection/concern_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestFilterHasAllItsListsAndFewOthers(t *testing.T) {
+func TestFilterIncludesItsListsAndFewOthers(t *testing.T) {
 	for _, c := range []struct {
 		lists  int
 		others float64 // share of other lists that it takes in by mistake, at the most
@@ -16,7 +16,7 @@
 			lists = append(lists, fmt.Sprint("list-", n))
 		}
 		f := NewSubscriptionFilter(lists)
-		if len(f) > filterMost {
+		if len(f) > maxFilterBytes {
 			t.Errorf("%d lists take %d bytes", c.lists, len(f))
 		}
 		for _, l := range lists {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestFilterThatIsNotKnownHasAll(t *testing.T) {
+func TestUnknownFilterIncludesEveryList(t *testing.T) {
 	for _, f := range []SubscriptionFilter{nil, {}, {9, 1, 2, 3}, {filterHashes, 1, 2}, {filterBloom, 0}} {
 		if !f.MayInclude("main") {
 			t.Errorf("%v has not", f)
@@ -44,14 +44,14 @@
 	}
 }
 
-// placed is a bench whose members stand in places and read lists: "a" reads one and two.
-func placed(t *testing.T, peers ...Peer) *bench {
+// newHarnessWithPeers is a bench whose members stand in places and read lists: "a" reads one and two.
+func newHarnessWithPeers(t *testing.T, peers ...Peer) *harness {
 	t.Helper()
 	m, err := New(Settings{Name: "a", RunID: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, m: m, now: time.Hour}
+	b := &harness{t: t, m: m, now: time.Hour}
 	var one, two []Server
 	for i := range 8 {
 		one = append(one, Server{ID: fmt.Sprint("s", i), StartedMS: 7, Zone: "z", Pod: i % 2})
@@ -69,7 +69,7 @@
 	readsOne, readsTwo, readsBoth = NewSubscriptionFilter([]string{"one"}), NewSubscriptionFilter([]string{"two"}), NewSubscriptionFilter([]string{"one", "two"})
 )
 
-func TestOnlySubscribersHear(t *testing.T) {
+func TestOnlySubscribersAreNotified(t *testing.T) {
 	var peers []Peer
 	for n := range 20 {
 		p := Peer{Subscriptions: readsTwo}
@@ -81,11 +81,11 @@
 		}
 		peers = append(peers, p)
 	}
-	b := placed(t, peers...)
+	b := newHarnessWithPeers(t, peers...)
 	heard := 0
 	for range 200 {
 		b.now += 100 * time.Millisecond
-		for _, s := range steps(b.m, b.now, failure(1)) {
+		for _, s := range stepAndCollectSends(b.m, b.now, oneFailure(1)) {
 			n := int(s.To[0] - 'a')
 			about := s.Message.Notify || len(s.Message.About) > 0
 			if n%4 == 1 || about && n%4 != 0 {
@@ -99,7 +99,7 @@
 	}
 	// Who asks hears of what it reads alone.
 	for from, want := range map[string]int{"c": 0, "e": 1} {
-		for _, s := range steps(b.m, b.now, Received{from, &Message{PollNumber: 1, FormatVersion: form}}) {
+		for _, s := range stepAndCollectSends(b.m, b.now, Received{from, &Message{PollNumber: 1, FormatVersion: currentFormat}}) {
 			if s.Message.ResponseTo == 1 && len(s.Message.Evidence) != want {
 				t.Errorf("%s hears %d items, want %d", from, len(s.Message.Evidence), want)
 			}
@@ -116,28 +116,28 @@
 		}
 		peers = append(peers, p)
 	}
-	b := placed(t, peers...)
+	b := newHarnessWithPeers(t, peers...)
 	s := b.m.servers["s0"]
-	if n := len(b.m.callers(s)); n != 4 {
+	if n := len(b.m.subscriberNames(s)); n != 4 {
 		t.Fatalf("%d read it", n)
 	}
-	if need, mute := b.m.need(s), b.m.mute(s); need != 3 || mute != 3 {
+	if need, mute := b.m.requiredReporters(s), b.m.requiredUnresponsiveReporters(s); need != 3 || mute != 3 {
 		t.Errorf("%d voices, %d without a word", need, mute)
 	}
 }
 
-// muteBy is those members' word that s0 says nothing to them.
-func muteBy(names string) []Evidence {
+// unresponsiveReports is those members' word that s0 says nothing to them.
+func unresponsiveReports(names string) []Evidence {
 	var all []Evidence
 	for _, n := range names {
-		i := fails(string(n), 1)
+		i := failureReport(string(n), 1)
 		i.ErrorResponses = 0
 		all = append(all, i)
 	}
 	return all
 }
 
-func TestVoicesOfOnePlaceAreOne(t *testing.T) {
+func TestReportersOfOneFailureDomainCountOnce(t *testing.T) {
 	// a to l in zone x, m to x in zones y and z; or a to l in region x with three zones, and the others in two more regions.
 	zones := func(n int) Peer {
 		return Peer{Zone: []string{"x", "y", "z"}[max(0, (n-6)/6)], Subscriptions: readsBoth}
@@ -162,9 +162,9 @@
 		for n := range 24 {
 			peers = append(peers, c.place(n))
 		}
-		b := placed(t, peers...)
-		b.hears(muteBy(c.who))
-		if b.wait(7 * time.Second); b.out("s0") != c.out {
+		b := newHarnessWithPeers(t, peers...)
+		b.receives(unresponsiveReports(c.who))
+		if b.wait(7 * time.Second); b.ejected("s0") != c.out {
 			t.Errorf("%s: out is %v", c.name, !c.out)
 		}
 	}
@@ -177,19 +177,19 @@
 		}
 		peers = append(peers, p)
 	}
-	b := placed(t, peers...)
-	b.hears(muteBy("bcdefghijkl"))
-	if b.wait(7 * time.Second); b.out("s0") {
+	b := newHarnessWithPeers(t, peers...)
+	b.receives(unresponsiveReports("bcdefghijkl"))
+	if b.wait(7 * time.Second); b.ejected("s0") {
 		t.Error("out by a region that is cut off")
 	}
-	b.hears([]Evidence{fails("m", 1), fails("n", 1), fails("o", 1)})
-	if b.wait(7 * time.Second); !b.out("s0") {
+	b.receives([]Evidence{failureReport("m", 1), failureReport("n", 1), failureReport("o", 1)})
+	if b.wait(7 * time.Second); !b.ejected("s0") {
 		t.Error("not out by its own word to three")
 	}
 }
 
 // A region that is cut off hears nobody else, and is not a fleet of its own for that: it knows that there are others.
-func TestPlacesThatAreNotHeardAnyMoreCount(t *testing.T) {
+func TestLocalitiesOfUnreachableMembersCount(t *testing.T) {
 	var names []string
 	var peers, lost []Peer
 	for n := range 9 {
@@ -204,10 +204,10 @@
 		lost []Peer
 		out  bool
 	}{{lost, false}, {nil, true}} {
-		b := placed(t, peers...)
+		b := newHarnessWithPeers(t, peers...)
 		b.step(MembersChanged{Names: names, Peers: peers, Unreachable: c.lost})
-		b.hears(muteBy("bc"))
-		if b.wait(7 * time.Second); b.out("s0") != c.out {
+		b.receives(unresponsiveReports("bc"))
+		if b.wait(7 * time.Second); b.ejected("s0") != c.out {
 			t.Errorf("%d others known: out is %v", len(c.lost), !c.out)
 		}
 	}
@@ -215,16 +215,16 @@
 
 // A member of the first form asks in general and passes over what it does not know: it is told this member's own, and
 // what it pokes of is asked for; it is counted among those that read all lists.
-func TestMembersOfTheFirstFormHearAsBefore(t *testing.T) {
-	b := placed(t, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsTwo}, Peer{})
+func TestFirstFormatMembersAreServedAsBefore(t *testing.T) {
+	b := newHarnessWithPeers(t, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsTwo}, Peer{})
 	s := b.m.servers["s0"]
-	if n := len(b.m.callers(s)); n != 4 { // a, b, c, and e of the first form
+	if n := len(b.m.subscriberNames(s)); n != 4 { // a, b, c, and e of the first form
 		t.Errorf("%d are taken to read it", n)
 	}
-	steps(b.m, b.now, failure(1))
+	stepAndCollectSends(b.m, b.now, oneFailure(1))
 	b.now += time.Millisecond
-	for f, want := range map[uint8]int{0: 1, form: 0} {
-		for _, s := range steps(b.m, b.now, Received{"e", &Message{PollNumber: 3, FormatVersion: f}}) {
+	for f, want := range map[uint8]int{0: 1, currentFormat: 0} {
+		for _, s := range stepAndCollectSends(b.m, b.now, Received{"e", &Message{PollNumber: 3, FormatVersion: f}}) {
 			if s.Message.ResponseTo == 3 && len(s.Message.Evidence) != want {
 				t.Errorf("who speaks form %d hears %d items, want %d", f, len(s.Message.Evidence), want)
 			}
@@ -232,7 +232,7 @@
 	}
 	b.now += time.Second
 	asked := false
-	for _, s := range steps(b.m, b.now, Received{"e", &Message{Notify: true}}) {
+	for _, s := range stepAndCollectSends(b.m, b.now, Received{"e", &Message{Notify: true}}) {
 		asked = asked || s.To == "e" && s.Message.PollNumber > 0
 	}
 	if !asked {
@@ -243,9 +243,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	steps(old, time.Hour, MembersChanged{Names: []string{"a", "e"}}, ListUpdated{"one", []Server{{ID: "s0", StartedMS: 7}}})
+	stepAndCollectSends(old, time.Hour, MembersChanged{Names: []string{"a", "e"}}, ListUpdated{"one", []Server{{ID: "s0", StartedMS: 7}}})
 	asked = false
-	for _, s := range steps(old, time.Hour+time.Second, Received{"a", &Message{FormatVersion: form, Notify: true, About: []Incarnation{{"s0", 7}}}}) {
+	for _, s := range stepAndCollectSends(old, time.Hour+time.Second, Received{"a", &Message{FormatVersion: currentFormat, Notify: true, About: []Incarnation{{"s0", 7}}}}) {
 		asked = asked || s.To == "a" && s.Message.PollNumber > 0 && s.Message.FormatVersion == 0 && !s.Message.OwnOnly
 	}
 	if !asked {
--- a/internal/peer/ejection/ejection.go
+++ b/internal/peer/ejection/ejection.go
@@ -50,28 +50,28 @@
 	DefaultClockDrift      = 0.01
 	DefaultBytesPerSecond  = 24 << 10
 
-	fan           = 2                     // members asked at a time
-	pokes         = 3                     // members told that there is news
-	pokeGap       = 50 * time.Millisecond // between two such
-	alertLasts    = time.Second
-	askGap        = 20 * time.Millisecond  // between two questions that were hurried
-	freshFor      = 3 * time.Second        // one member's bad luck is passed on for so long, by members of the first form
-	aboutMost     = 8                      // servers that a question is about
-	witnesses     = 8                      // members asked about one that is suspected
-	witnessesMute = 16                     // and where the server said nothing to those that accuse it
-	endsKept      = 16                     // ends of own requests, by which it is known whether the link works
-	speakEach     = 500 * time.Millisecond // between two looks at what this member itself would say
-	logMost       = 64                     // voices that came last are kept, to be told on first
-	itemsMost     = 16                     // in an answer: with names of 64 bytes it fits a datagram of 2,000
-	voicesMost    = 12                     // kept against a server, and as many for it
-	serverMost    = 4096                   // of which evidence is kept
-	fades         = 10 * time.Second       // evidence counts for so long, about
-	moreGap       = 100 * time.Millisecond // before who had more to say is asked again
-	easeMost      = 400 * time.Millisecond // while there is always news: between two pokes, or two questions for them
-	easeOver      = 2 * time.Second
-	form          = 2                     // of messages; the first form asked about each failure
-	judgeGap      = 20 * time.Millisecond // between two looks at all that has changed
-	askLasts      = 3 * time.Second       // an answer later than that is not waited for
+	pollFanout                    = 2                     // members asked at a time
+	notifyFanout                  = 3                     // members told that there is news
+	minNotifyInterval             = 50 * time.Millisecond // between two such
+	alertDuration                 = time.Second
+	minPromptedPollInterval       = 20 * time.Millisecond  // between two questions that were hurried
+	firstFormatFreshness          = 3 * time.Second        // one member's bad luck is passed on for so long, by members of the first form
+	maxPollSubjects               = 8                      // servers that a question is about
+	confirmationPolls             = 8                      // members asked about one that is suspected
+	confirmationPollsUnresponsive = 16                     // and where the server said nothing to those that accuse it
+	maxRecentOutcomes             = 16                     // ends of own requests, by which it is known whether the link works
+	ownReportInterval             = 500 * time.Millisecond // between two looks at what this member itself would say
+	maxRecentReports              = 64                     // voices that came last are kept, to be told on first
+	maxEvidencePerMessage         = 16                     // in an answer: with names of 64 bytes it fits a datagram of 2,000
+	maxReportsPerServer           = 12                     // kept against a server, and as many for it
+	maxServers                    = 4096                   // of which evidence is kept
+	decayTime                     = 10 * time.Second       // evidence counts for so long, about
+	minContinuationInterval       = 100 * time.Millisecond // before who had more to say is asked again
+	maxBackoff                    = 400 * time.Millisecond // while there is always news: between two pokes, or two questions for them
+	backoffReset                  = 2 * time.Second
+	currentFormat                 = 2                     // of messages; the first form asked about each failure
+	minEvaluationInterval         = 20 * time.Millisecond // between two looks at all that has changed
+	pollTimeout                   = 3 * time.Second       // an answer later than that is not waited for
 )
 
 // Server is one of a list's.
@@ -175,54 +175,54 @@
 	StartedMS int64  `cbor:"2,keyasint,omitempty"`
 }
 
-// question is one that was asked, and not answered yet.
-type question struct {
-	at    time.Duration
-	about []Incarnation
+// pendingPoll is one that was asked, and not answered yet.
+type pendingPoll struct {
+	sentAt time.Duration
+	about  []Incarnation
 }
 
 // Member is one member's part. One goroutine owns it.
 type Member struct {
-	s                 Settings
-	rng               *rand.Rand
-	now               time.Duration
-	actions           []Action
-	servers           map[string]*server
-	order             []string          // of servers
-	live              []*server         // those about which something is said, or that are to be looked at, by ID
-	background        map[string]*tally // by source: what own agents saw of all its servers, faded slowly
-	sources           map[string][]string
-	names             []string // members alive
-	lost              []Peer
-	peers             []Peer                  // of each; nil: nothing is known
-	subs              map[string]*subscribers // by list
-	reads             []string                // lists, in order
-	named             int                     // grows with each change of them
-	asked             map[uint64]question
-	way               time.Duration // a question and its answer take so long
-	seq               uint64
-	number            uint32
-	askAt             time.Duration
-	lastAsk           time.Duration
-	pokeAt            time.Duration // 0: none is due
-	poked             time.Duration
-	cursor            int
-	told              []Ejection
-	began             bool
-	changed           bool // verdicts are to be looked at
-	lookAt            time.Duration
-	judged            time.Duration // when it last looked
-	total             tally
-	ends              []ended       // the last few
-	log               []heardOf     // what came last
-	newsAt            time.Duration // there was news last
-	budget            float64
-	pokeWait, askWait easing
-	spentAt           time.Duration
-	counts            Counters
-	ups               []int         // servers up, by number of their zone or pod
-	lones             int           // asked about lone failures ...
-	lonesAt           time.Duration // ... since then
+	settings                           Settings
+	rng                                *rand.Rand
+	now                                time.Duration
+	actions                            []Action
+	servers                            map[string]*server
+	order                              []string                  // of servers
+	active                             []*server                 // those about which something is said, or that are to be looked at, by ID
+	background                         map[string]*decayedCounts // by source: what own agents saw of all its servers, faded slowly
+	sources                            map[string][]string
+	names                              []string // members alive
+	unreachable                        []Peer
+	peers                              []Peer                  // of each; nil: nothing is known
+	subscribersOf                      map[string]*subscribers // by list
+	sourceNames                        []string                // lists, in order
+	membershipEpoch                    int                     // grows with each change of them
+	pendingPolls                       map[uint64]pendingPoll
+	roundTrip                          time.Duration // a question and its answer take so long
+	pollNumber                         uint64
+	reportNumber                       uint32
+	nextPoll                           time.Duration
+	lastPoll                           time.Duration
+	notifyAt                           time.Duration // 0: none is due
+	lastNotify                         time.Duration
+	responseCursor                     int
+	announced                          []Ejection
+	started                            bool
+	evaluationDue                      bool // verdicts are to be looked at
+	evaluateAt                         time.Duration
+	lastEvaluation                     time.Duration // when it last looked
+	total                              decayedCounts
+	recentOutcomes                     []recentOutcome  // the last few
+	recentReports                      []receivedReport // what came last
+	lastUpdate                         time.Duration    // there was news last
+	budget                             float64
+	notifyBackoff, promptedPollBackoff backoff
+	budgetAt                           time.Duration
+	counts                             Counters
+	upServers                          []int         // servers up, by number of their zone or pod
+	noticePolls                        int           // asked about lone failures ...
+	noticePollsSince                   time.Duration // ... since then
 }
 
 // Counters are of a member's life.
@@ -240,22 +240,22 @@
 // New returns a member that knows nothing.
 func New(s Settings, seed uint64) (*Member, error) {
 	s.AlertInterval, s.IdleInterval, s.MaxEvidenceAge, s.MaxDrainAge = cmp.Or(s.AlertInterval, DefaultAlertInterval), cmp.Or(s.IdleInterval, DefaultIdleInterval), cmp.Or(s.MaxEvidenceAge, DefaultMaxEvidenceAge), cmp.Or(s.MaxDrainAge, DefaultMaxDrainAge)
-	s.FormatVersion = cmp.Or(s.FormatVersion, form)
+	s.FormatVersion = cmp.Or(s.FormatVersion, currentFormat)
 	s.MaxEjectedShare, s.ClockDrift, s.BytesPerSecond = cmp.Or(s.MaxEjectedShare, DefaultMaxEjectedShare), cmp.Or(s.ClockDrift, DefaultClockDrift), cmp.Or(s.BytesPerSecond, DefaultBytesPerSecond)
-	if s.Name == "" || s.AlertInterval <= 0 || s.IdleInterval < s.AlertInterval || s.MaxEvidenceAge < 4*s.AlertInterval || s.MaxEjectedShare < 0 || s.MaxEjectedShare > 1 || s.ClockDrift < 0 || s.ClockDrift > 0.5 || s.BytesPerSecond < 4096 || s.FormatVersion > form {
+	if s.Name == "" || s.AlertInterval <= 0 || s.IdleInterval < s.AlertInterval || s.MaxEvidenceAge < 4*s.AlertInterval || s.MaxEjectedShare < 0 || s.MaxEjectedShare > 1 || s.ClockDrift < 0 || s.ClockDrift > 0.5 || s.BytesPerSecond < 4096 || s.FormatVersion > currentFormat {
 		return nil, fmt.Errorf("verdicts: name %q, alert %v, rest %v, age %v, share %v, drift %v, bytes %d, form %d make no sense", s.Name, s.AlertInterval, s.IdleInterval, s.MaxEvidenceAge, s.MaxEjectedShare, s.ClockDrift, s.BytesPerSecond, s.FormatVersion)
 	}
-	return &Member{s: s, rng: rand.New(rand.NewPCG(seed, 31)), servers: map[string]*server{}, background: map[string]*tally{}, subs: map[string]*subscribers{}, sources: map[string][]string{}, asked: map[uint64]question{}, names: []string{s.Name}, named: 1}, nil
+	return &Member{settings: s, rng: rand.New(rand.NewPCG(seed, 31)), servers: map[string]*server{}, background: map[string]*decayedCounts{}, subscribersOf: map[string]*subscribers{}, sources: map[string][]string{}, pendingPolls: map[uint64]pendingPoll{}, names: []string{s.Name}, membershipEpoch: 1}, nil
 }
 
 // Next is when Step is to be called at the latest.
 func (m *Member) Next() time.Duration {
-	next := m.askAt
-	if m.pokeAt > 0 {
-		next = min(next, m.pokeAt)
+	next := m.nextPoll
+	if m.notifyAt > 0 {
+		next = min(next, m.notifyAt)
 	}
-	if m.lookAt > 0 {
-		next = min(next, m.lookAt)
+	if m.evaluateAt > 0 {
+		next = min(next, m.evaluateAt)
 	}
 	return next
 }
@@ -263,64 +263,64 @@
 // Step takes what has happened by now, in order, and returns what to do.
 func (m *Member) Step(now time.Duration, events ...Event) []Action {
 	m.now, m.actions = max(now, m.now), nil
-	if !m.began {
-		m.began, m.askAt, m.spentAt, m.budget = true, m.now, m.now, float64(m.s.BytesPerSecond)
+	if !m.started {
+		m.started, m.nextPoll, m.budgetAt, m.budget = true, m.now, m.now, float64(m.settings.BytesPerSecond)
 	}
-	m.budget = min(float64(m.s.BytesPerSecond), m.budget+float64(m.s.BytesPerSecond)*(m.now-m.spentAt).Seconds())
-	m.spentAt = m.now
+	m.budget = min(float64(m.settings.BytesPerSecond), m.budget+float64(m.settings.BytesPerSecond)*(m.now-m.budgetAt).Seconds())
+	m.budgetAt = m.now
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListUpdated:
-			m.onListed(e)
+			m.onListUpdated(e)
 		case OutcomesObserved:
-			m.onSeen(e)
+			m.onOutcomesObserved(e)
 		case MembersChanged:
-			if m.onMembers(e) {
-				for _, s := range m.live {
-					m.touch(s)
+			if m.onMembersChanged(e) {
+				for _, s := range m.active {
+					m.requestEvaluation(s)
 				}
 			}
 		case Received:
-			m.onHeard(e)
+			m.onReceived(e)
 		}
 	}
-	if m.changed { // what comes at once is looked at once
-		m.look(m.judged + judgeGap)
+	if m.evaluationDue { // what comes at once is looked at once
+		m.evaluateBy(m.lastEvaluation + minEvaluationInterval)
 	}
-	if m.lookAt > 0 && m.now >= m.lookAt {
-		m.judge()
+	if m.evaluateAt > 0 && m.now >= m.evaluateAt {
+		m.evaluate()
 	}
-	if m.pokeAt > 0 && m.now >= m.pokeAt {
-		m.poke(m.subject())
+	if m.notifyAt > 0 && m.now >= m.notifyAt {
+		m.notify(m.pollSource())
 	}
-	if m.now >= m.askAt {
-		m.ask()
+	if m.now >= m.nextPoll {
+		m.poll()
 	}
 	return m.actions
 }
 
-func (m *Member) do(a Action) { m.actions = append(m.actions, a) }
+func (m *Member) emit(a Action) { m.actions = append(m.actions, a) }
 
-// touch has a server looked at.
-func (m *Member) touch(s *server) {
-	m.changed, s.dirty = true, true
-	m.enliven(s)
+// requestEvaluation has a server looked at.
+func (m *Member) requestEvaluation(s *server) {
+	m.evaluationDue, s.needsEvaluation = true, true
+	m.activate(s)
 }
 
-// enliven puts a server among those that are gone through. judge takes it from there.
-func (m *Member) enliven(s *server) {
-	if s.live {
+// activate puts a server among those that are gone through. judge takes it from there.
+func (m *Member) activate(s *server) {
+	if s.active {
 		return
 	}
-	s.live = true
-	at, _ := slices.BinarySearchFunc(m.live, s.ID, func(o *server, id string) int { return cmp.Compare(o.ID, id) })
-	m.live = slices.Insert(m.live, at, s)
+	s.active = true
+	at, _ := slices.BinarySearchFunc(m.active, s.ID, func(o *server, id string) int { return cmp.Compare(o.ID, id) })
+	m.active = slices.Insert(m.active, at, s)
 }
 
 // send sends a message of about so many bytes, unless too much was sent lately.
 func (m *Member) send(to string, x *Message) {
-	if m.s.FormatVersion > 1 {
-		x.FormatVersion = m.s.FormatVersion
+	if m.settings.FormatVersion > 1 {
+		x.FormatVersion = m.settings.FormatVersion
 	}
 	size := float64(40 + 64*len(x.Evidence) + 32*len(x.Drains) + 24*len(x.About))
 	if m.budget < size {
@@ -328,24 +328,24 @@
 		return
 	}
 	m.budget -= size
-	m.do(Send{to, x})
+	m.emit(Send{to, x})
 }
 
-// alert reports whether there may be something new to be known.
-func (m *Member) alert() bool { return m.newsAt > 0 && m.now-m.newsAt < alertLasts }
+// alerted reports whether there may be something new to be known.
+func (m *Member) alerted() bool { return m.lastUpdate > 0 && m.now-m.lastUpdate < alertDuration }
 
-// ask asks a few members what they know: more often, and more of them, while something is amiss.
-func (m *Member) ask() {
-	n, wait := 1, m.s.IdleInterval
-	if m.alert() {
-		n, wait = fan, m.s.AlertInterval
+// poll asks a few members what they know: more often, and more of them, while something is amiss.
+func (m *Member) poll() {
+	n, wait := 1, m.settings.IdleInterval
+	if m.alerted() {
+		n, wait = pollFanout, m.settings.AlertInterval
 	}
-	m.askAt = m.now + time.Duration((0.75+0.5*m.rng.Float64())*float64(wait))
-	of := m.subject()
-	m.question(m.others(n, of), m.suspects(of))
-	for seq, q := range m.asked {
-		if m.now-q.at > askLasts {
-			delete(m.asked, seq)
+	m.nextPoll = m.now + time.Duration((0.75+0.5*m.rng.Float64())*float64(wait))
+	of := m.pollSource()
+	m.pollAbout(m.randomSubscribers(n, of), m.suspects(of))
+	for seq, q := range m.pendingPolls {
+		if m.now-q.sentAt > pollTimeout {
+			delete(m.pendingPolls, seq)
 		}
 	}
 }
@@ -353,95 +353,95 @@
 // suspects are servers of a list of which evidence is wanted.
 func (m *Member) suspects(source string) []Incarnation {
 	var all []Incarnation
-	for _, s := range m.live {
-		if s.suspected > 0 && (s.source == source || m.s.FormatVersion == 1) && len(all) < aboutMost {
+	for _, s := range m.active {
+		if s.suspectedAt > 0 && (s.source == source || m.settings.FormatVersion == 1) && len(all) < maxPollSubjects {
 			all = append(all, Incarnation{s.ID, s.StartedMS})
 		}
 	}
 	return all
 }
 
-func (m *Member) question(who []string, about []Incarnation) {
-	m.questionOf(who, &Message{About: about})
+func (m *Member) pollAbout(who []string, about []Incarnation) {
+	m.sendPolls(who, &Message{About: about})
 }
 
-func (m *Member) questionOf(who []string, x *Message) {
+func (m *Member) sendPolls(who []string, x *Message) {
 	for _, to := range who {
-		m.seq++
-		m.asked[m.seq] = question{m.now, x.About}
-		m.lastAsk = m.now
+		m.pollNumber++
+		m.pendingPolls[m.pollNumber] = pendingPoll{m.now, x.About}
+		m.lastPoll = m.now
 		m.counts.Polls++
-		m.send(to, &Message{PollNumber: m.seq, About: x.About, OwnOnly: x.OwnOnly})
+		m.send(to, &Message{PollNumber: m.pollNumber, About: x.About, OwnOnly: x.OwnOnly})
 	}
 }
 
-// news has others told that there is some, soon. They ask, since what is sent unasked may be of any age.
-func (m *Member) news() {
-	m.newsAt, m.askAt = m.now, min(m.askAt, m.now+m.s.AlertInterval)
-	if m.pokeAt == 0 {
-		m.pokeAt = max(m.now, m.poked+m.pokeWait.next(m.now, pokeGap))
+// noteUpdate has others told that there is some, soon. They ask, since what is sent unasked may be of any age.
+func (m *Member) noteUpdate() {
+	m.lastUpdate, m.nextPoll = m.now, min(m.nextPoll, m.now+m.settings.AlertInterval)
+	if m.notifyAt == 0 {
+		m.notifyAt = max(m.now, m.lastNotify+m.notifyBackoff.next(m.now, minNotifyInterval))
 	}
 }
 
-// poke tells some of those that read a list.
-func (m *Member) poke(source string) {
-	m.pokeAt, m.poked = 0, m.now
-	for _, to := range m.others(pokes, source) {
+// notify tells some of those that read a list.
+func (m *Member) notify(source string) {
+	m.notifyAt, m.lastNotify = 0, m.now
+	for _, to := range m.randomSubscribers(notifyFanout, source) {
 		m.send(to, &Message{Notify: true})
 	}
 }
 
-// easing is a wait that doubles while something goes on, and begins anew once it is over.
-type easing struct{ wait, at time.Duration }
+// backoff is a wait that doubles while something goes on, and begins anew once it is over.
+type backoff struct{ wait, lastUse time.Duration }
 
-// of is the wait now.
-func (e *easing) of(now, first time.Duration) time.Duration {
-	if e.wait == 0 || now-e.at > easeOver {
+// current is the wait now.
+func (e *backoff) current(now, first time.Duration) time.Duration {
+	if e.wait == 0 || now-e.lastUse > backoffReset {
 		return first
 	}
 	return e.wait
 }
 
 // next is the wait now, and makes the next one longer.
-func (e *easing) next(now, first time.Duration) time.Duration {
-	w := e.of(now, first)
-	e.wait, e.at = min(2*w, easeMost), now
+func (e *backoff) next(now, first time.Duration) time.Duration {
+	w := e.current(now, first)
+	e.wait, e.lastUse = min(2*w, maxBackoff), now
 	return w
 }
 
-func (m *Member) onHeard(e Received) {
+func (m *Member) onReceived(e Received) {
 	x := e.Message
-	if x == nil || e.From == m.s.Name {
+	if x == nil || e.From == m.settings.Name {
 		return
 	}
 	switch {
-	case x.Notify && len(x.About) > 0 && m.s.FormatVersion > 1:
-		m.onLone(e.From, x.About)
-	case x.Notify && m.now-m.lastAsk >= m.askWait.of(m.now, askGap):
-		m.askWait.next(m.now, askGap)
-		m.question([]string{e.From}, nil)
+	case x.Notify && len(x.About) > 0 && m.settings.FormatVersion > 1:
+		m.onFailureNotice(e.From, x.About)
+	case x.Notify && m.now-m.lastPoll >= m.promptedPollBackoff.current(m.now, minPromptedPollInterval):
+		m.promptedPollBackoff.next(m.now, minPromptedPollInterval)
+		m.pollAbout([]string{e.From}, nil)
 	}
 	if x.PollNumber > 0 {
 		m.counts.Responses++
-		m.send(e.From, m.answer(e.From, x))
+		m.send(e.From, m.buildResponse(e.From, x))
 	}
-	if q, ok := m.asked[x.ResponseTo]; ok && x.ResponseTo > 0 {
-		delete(m.asked, x.ResponseTo)
-		m.way = max(m.now-q.at, m.way-m.way/16) // the longest lately
-		m.take(q.at, x)
+	if q, ok := m.pendingPolls[x.ResponseTo]; ok && x.ResponseTo > 0 {
+		delete(m.pendingPolls, x.ResponseTo)
+		m.roundTrip = max(m.now-q.sentAt, m.roundTrip-m.roundTrip/16) // the longest lately
+		m.applyResponse(q.sentAt, x)
 		for _, l := range q.about {
 			s := m.servers[l.Server]
-			if s != nil && s.suspected > 0 && !s.silent && !slices.Contains(s.answered, e.From) {
-				s.answered = append(s.answered, e.From) // whatever it says is heard with the rest
+			if s != nil && s.suspectedAt > 0 && !s.unresponsive && !slices.Contains(s.responders, e.From) {
+				s.responders = append(s.responders, e.From) // whatever it says is heard with the rest
 			}
 			for n := range x.Evidence {
-				if i := &x.Evidence[n]; s != nil && s.suspected > 0 && s.silent && i.Server == s.ID && i.StartedMS == s.StartedMS && i.Origin == e.From && i.AgeMS > 0 {
-					s.heardWitness(e.From, when(q.at, i.AgeMS), when(q.at, i.LastSuccessAgeMS))
+				if i := &x.Evidence[n]; s != nil && s.suspectedAt > 0 && s.unresponsive && i.Server == s.ID && i.StartedMS == s.StartedMS && i.Origin == e.From && i.AgeMS > 0 {
+					s.recordCorroboration(e.From, timeOfAge(q.sentAt, i.AgeMS), timeOfAge(q.sentAt, i.LastSuccessAgeMS))
 				}
 			}
 		}
-		if x.More > 0 && m.now-m.lastAsk >= moreGap {
-			m.question([]string{e.From}, nil)
+		if x.More > 0 && m.now-m.lastPoll >= minContinuationInterval {
+			m.pollAbout([]string{e.From}, nil)
 		}
 	}
 }
--- a/internal/peer/ejection/evidence.go
+++ b/internal/peer/ejection/evidence.go
@@ -41,34 +41,34 @@
 	AgeMS     uint32      `cbor:"4,keyasint,omitempty"` // ms since then, at the most
 }
 
-// tally is faded counts.
-type tally struct {
-	ok, bad, said float64
-	at            time.Duration
+// decayedCounts is faded counts.
+type decayedCounts struct {
+	successes, failures, errorResponses float64
+	at                                  time.Duration
 }
 
-func (t *tally) fade(now time.Duration) {
-	w := math.Exp(-float64(now-t.at) / float64(fades))
-	t.ok, t.bad, t.said, t.at = t.ok*w, t.bad*w, t.said*w, now
+func (t *decayedCounts) decay(now time.Duration) {
+	w := math.Exp(-float64(now-t.at) / float64(decayTime))
+	t.successes, t.failures, t.errorResponses, t.at = t.successes*w, t.failures*w, t.errorResponses*w, now
 }
 
-// voice is a member's evidence as it is known here. Times are by this member's clock, and no later than true.
-type voice struct {
-	origin          string
-	life            uint64
-	number          uint32
-	start           int64
-	ok, bad, said   float64
-	elseOK, elseBad float64
-	run             int
-	made            time.Duration // the newest sight in it
-	lastOK, lastBad time.Duration // 0: none
-	began           time.Duration
-	streak          int
-	works           time.Duration
-	since           int
-	arrived         time.Duration // here
-	rank            uint64
+// report is a member's evidence as it is known here. Times are by this member's clock, and no later than true.
+type report struct {
+	origin                              string
+	runID                               uint64
+	number                              uint32
+	startedMS                           int64
+	successes, failures, errorResponses float64
+	otherSuccesses, otherFailures       float64
+	successRun                          int
+	observedAt                          time.Duration // the newest sight in it
+	lastSuccess, lastFailure            time.Duration // 0: none
+	failingSince                        time.Duration
+	consecutiveFailures                 int
+	otherSuccessAt                      time.Duration
+	otherFailuresSince                  int
+	arrived                             time.Duration // here
+	rank                                uint64
 }
 
 // server is one that is listed.
@@ -76,35 +76,35 @@
 	Server
 	source string
 	own    struct {
-		tally
+		decayedCounts
 		run, streak     int
 		lastOK, lastBad time.Duration
 		began           time.Duration
 		made            time.Duration
 		last            int // failures in the last sight
 	}
-	voices []*voice // of others, and of this member where it has something to say
-	court
-	dirty    bool          // to be looked at
-	live     bool          // among those that are gone through
-	wide     time.Duration // this member last told any others of its failures there ...
-	lone     time.Duration // ... or the holders
-	heldBy   []string      // who else holds it ...
-	holds    bool          // ... and whether this member does ...
-	heldAs   int           // ... by the members of that number
-	base     base          // as a holder
-	told     float64       // failures a second that are chance, by a holder's word
-	toldBase time.Duration
-	next     time.Duration // and by then at the latest; 0: no need
-	isHot    bool          // see hot, when it was last looked at
-	spoke    time.Duration // this member's own voice was last made
-	groups   [2]int        // its zone's and its pod's number
-	drain    ListedState   // told by others or by the own list, ahead of another's
-	drainAt  time.Duration // when it was first heard by anyone, at the earliest; 0: never
+	reports []*report // of others, and of this member where it has something to say
+	ejectionState
+	needsEvaluation     bool            // to be looked at
+	active              bool            // among those that are gone through
+	lastBroadcast       time.Duration   // this member last told any others of its failures there ...
+	lastCollectorNotice time.Duration   // ... or the holders
+	collectors          []string        // who else holds it ...
+	isCollector         bool            // ... and whether this member does ...
+	collectorsEpoch     int             // ... by the members of that number
+	baseline            baselineCounter // as a holder
+	receivedBaseline    float64         // failures a second that are chance, by a holder's word
+	receivedBaselineAt  time.Duration
+	evaluateAt          time.Duration // and by then at the latest; 0: no need
+	anomalous           bool          // see hot, when it was last looked at
+	ownReportAt         time.Duration // this member's own voice was last made
+	failureDomains      [2]int        // its zone's and its pod's number
+	drainState          ListedState   // told by others or by the own list, ahead of another's
+	drainedAt           time.Duration // when it was first heard by anyone, at the earliest; 0: never
 }
 
-// onListed takes a list. A server of which it says something else than before, in a running process, is news.
-func (m *Member) onListed(e ListUpdated) {
+// onListUpdated takes a list. A server of which it says something else than before, in a running process, is news.
+func (m *Member) onListUpdated(e ListUpdated) {
 	seen := map[string]bool{}
 	_, again := m.sources[e.Source]
 	var ids []string
@@ -113,7 +113,7 @@
 		ids = append(ids, l.ID)
 		s := m.servers[l.ID]
 		if s == nil {
-			if len(m.servers) >= serverMost {
+			if len(m.servers) >= maxServers {
 				continue
 			}
 			s = &server{Server: l, source: e.Source}
@@ -124,23 +124,23 @@
 		}
 		was := s.Server
 		if l.StartedMS != was.StartedMS { // another process: what was known of the last one is nothing to it
-			*s = server{Server: l, source: e.Source, live: s.live}
+			*s = server{Server: l, source: e.Source, active: s.active}
 		}
 		s.Server, s.source = l, e.Source
 		if l.StartedMS == was.StartedMS && was.State == Up && l.State != Up && again {
-			m.drained(s, l.State)
+			m.noteDrain(s, l.State)
 		}
 	}
 	for _, id := range m.sources[e.Source] {
 		if s := m.servers[id]; s != nil && !seen[id] {
 			if s.State == Up {
-				m.drained(s, Removed)
+				m.noteDrain(s, Removed)
 			}
 			s.State = Removed
 		}
 	}
 	for id, s := range m.servers { // what is gone is kept while others may need to hear of it
-		if s.State == Removed && !seen[id] && (s.drainAt == 0 || m.now-s.drainAt > m.s.MaxDrainAge) {
+		if s.State == Removed && !seen[id] && (s.drainedAt == 0 || m.now-s.drainedAt > m.settings.MaxDrainAge) {
 			delete(m.servers, id)
 			if at, ok := slices.BinarySearch(m.order, id); ok {
 				m.order = slices.Delete(m.order, at, at+1)
@@ -148,65 +148,65 @@
 		}
 	}
 	if !again {
-		at, _ := slices.BinarySearch(m.reads, e.Source)
-		m.reads = slices.Insert(m.reads, at, e.Source)
+		at, _ := slices.BinarySearch(m.sourceNames, e.Source)
+		m.sourceNames = slices.Insert(m.sourceNames, at, e.Source)
 	}
 	m.sources[e.Source] = ids
-	m.group()
+	m.assignFailureDomains()
 }
 
-// group numbers zones and pods, and counts what is up in each.
-func (m *Member) group() {
+// assignFailureDomains numbers zones and pods, and counts what is up in each.
+func (m *Member) assignFailureDomains() {
 	numbers := map[string]int{}
-	m.ups = m.ups[:0]
-	m.live = m.live[:0]
+	m.upServers = m.upServers[:0]
+	m.active = m.active[:0]
 	for _, id := range m.order {
 		s := m.servers[id]
-		s.live = false
-		m.touch(s)
+		s.active = false
+		m.requestEvaluation(s)
 		for n, name := range []string{fmt.Sprint("zone ", s.source, "/", s.Zone), fmt.Sprint("pod ", s.source, "/", s.Pod)} {
 			g, ok := numbers[name]
 			if !ok {
 				g = len(numbers)
 				numbers[name] = g
-				m.ups = append(m.ups, 0)
+				m.upServers = append(m.upServers, 0)
 			}
-			s.groups[n] = g
+			s.failureDomains[n] = g
 			if s.State == Up {
-				m.ups[g]++
+				m.upServers[g]++
 			}
 		}
 	}
 }
 
-// drained notes that the own list says that a server drains or is gone.
-func (m *Member) drained(s *server, to ListedState) {
-	if s.drainAt == 0 {
-		s.drainAt = m.now
+// noteDrain notes that the own list says that a server drains or is gone.
+func (m *Member) noteDrain(s *server, to ListedState) {
+	if s.drainedAt == 0 {
+		s.drainedAt = m.now
 	}
-	s.drain = max(s.drain, to)
-	m.enliven(s)
-	m.news()
+	s.drainState = max(s.drainState, to)
+	m.activate(s)
+	m.noteUpdate()
 }
 
-// onSeen counts what own agents saw.
-func (m *Member) onSeen(e OutcomesObserved) {
+// onOutcomesObserved counts what own agents saw.
+func (m *Member) onOutcomesObserved(e OutcomesObserved) {
 	for _, x := range e.Samples {
 		s := m.servers[x.Server]
 		if s == nil || s.StartedMS != x.StartedMS || x.Succeeded+x.Failed <= 0 {
 			continue
 		}
-		m.total.fade(m.now)
-		m.total.ok += float64(x.Succeeded)
-		m.total.bad += float64(x.Failed)
+		m.total.decay(m.now)
+		m.total.successes += float64(x.Succeeded)
+		m.total.failures += float64(x.Failed)
 		o := &s.own
-		o.fade(m.now)
-		o.ok += float64(x.Succeeded)
-		o.bad += float64(x.Failed)
-		o.said += float64(min(x.ErrorResponses, x.Failed))
+		o.decay(m.now)
+		o.successes += float64(x.Succeeded)
+		o.failures += float64(x.Failed)
+		o.errorResponses += float64(min(x.ErrorResponses, x.Failed))
 		o.made, o.last = m.now, x.Failed
-		m.note(s.ID, x)
-		m.saw(s.source, x)
+		m.recordOutcomes(s.ID, x)
+		m.countBackground(s.source, x)
 		if x.Succeeded > 0 {
 			o.lastOK, o.run, o.streak = m.now, o.run+x.Succeeded, 0
 		}
@@ -219,46 +219,46 @@
 				o.began = m.now
 			}
 		}
-		if x.Failed > 0 || s.open(m) {
-			m.speak(s)
-			m.touch(s)
+		if x.Failed > 0 || s.hasOpenReports(m) {
+			m.refreshOwnReport(s)
+			m.requestEvaluation(s)
 			switch {
-			case s.out && (x.Succeeded > 0) == (s.goodSince == 0):
-				m.news()
+			case s.out && (x.Succeeded > 0) == (s.readmittingSince == 0):
+				m.noteUpdate()
 			case !s.out && x.Failed > 0:
-				m.failed(s)
+				m.reportFailure(s)
 			}
 		}
 	}
 }
 
-// ended is how a request ended.
-type ended struct {
-	server string
-	ok     bool
-	at     time.Duration
+// recentOutcome is how a request ended.
+type recentOutcome struct {
+	server    string
+	succeeded bool
+	at        time.Duration
 }
 
-// note keeps the last few ends.
-func (m *Member) note(server string, x OutcomeSample) {
-	for range min(x.Succeeded, endsKept/2) {
-		m.ends = append(m.ends, ended{server, true, m.now})
+// recordOutcomes keeps the last few ends.
+func (m *Member) recordOutcomes(server string, x OutcomeSample) {
+	for range min(x.Succeeded, maxRecentOutcomes/2) {
+		m.recentOutcomes = append(m.recentOutcomes, recentOutcome{server, true, m.now})
 	}
-	for range min(x.Failed, endsKept/2) {
-		m.ends = append(m.ends, ended{server, false, m.now})
+	for range min(x.Failed, maxRecentOutcomes/2) {
+		m.recentOutcomes = append(m.recentOutcomes, recentOutcome{server, false, m.now})
 	}
-	if n := len(m.ends); n > 2*endsKept {
-		m.ends = append(m.ends[:0], m.ends[n-endsKept:]...)
+	if n := len(m.recentOutcomes); n > 2*maxRecentOutcomes {
+		m.recentOutcomes = append(m.recentOutcomes[:0], m.recentOutcomes[n-maxRecentOutcomes:]...)
 	}
 }
 
-// elsewhere is when any other server last answered, and how many requests to others have failed since.
-func (m *Member) elsewhere(server string) (works time.Duration, since int) {
-	for i := len(m.ends) - 1; i >= 0; i-- {
-		e := m.ends[i]
+// otherServers is when any other server last answered, and how many requests to others have failed since.
+func (m *Member) otherServers(server string) (works time.Duration, since int) {
+	for i := len(m.recentOutcomes) - 1; i >= 0; i-- {
+		e := m.recentOutcomes[i]
 		switch {
 		case e.server == server:
-		case e.ok:
+		case e.succeeded:
 			return e.at, since
 		default:
 			since++
@@ -267,84 +267,86 @@
 	return 0, since
 }
 
-// speak makes this member's own voice what it has seen.
-func (m *Member) speak(s *server) {
+// refreshOwnReport makes this member's own voice what it has seen.
+func (m *Member) refreshOwnReport(s *server) {
 	o := &s.own
 	if o.made == 0 {
 		return
 	}
-	s.spoke = m.now
-	o.fade(m.now)
-	m.total.fade(m.now)
-	m.number++ // it may have been asked elsewhere since
-	v := &voice{origin: m.s.Name, life: m.s.RunID, number: m.number, start: s.StartedMS, ok: o.ok, bad: o.bad, said: o.said, run: o.run, made: o.made, lastOK: o.lastOK, lastBad: o.lastBad, began: o.began, streak: o.streak,
-		elseOK: max(0, m.total.ok-o.ok), elseBad: max(0, m.total.bad-o.bad), arrived: m.now}
-	v.works, v.since = m.elsewhere(s.ID)
-	m.hear(s, v)
+	s.ownReportAt = m.now
+	o.decay(m.now)
+	m.total.decay(m.now)
+	m.reportNumber++ // it may have been asked elsewhere since
+	v := &report{origin: m.settings.Name, runID: m.settings.RunID, number: m.reportNumber, startedMS: s.StartedMS, successes: o.successes, failures: o.failures, errorResponses: o.errorResponses, successRun: o.run, observedAt: o.made, lastSuccess: o.lastOK, lastFailure: o.lastBad, failingSince: o.began, consecutiveFailures: o.streak,
+		otherSuccesses: max(0, m.total.successes-o.successes), otherFailures: max(0, m.total.failures-o.failures), arrived: m.now}
+	v.otherSuccessAt, v.otherFailuresSince = m.otherServers(s.ID)
+	m.recordReport(s, v)
 }
 
-// open reports whether something is said against a server, or was lately.
-func (s *server) open(m *Member) bool {
-	if s.out || s.drainAt > 0 && m.now-s.drainAt <= m.s.MaxDrainAge {
+// hasOpenReports reports whether something is said against a server, or was lately.
+func (s *server) hasOpenReports(m *Member) bool {
+	if s.out || s.drainedAt > 0 && m.now-s.drainedAt <= m.settings.MaxDrainAge {
 		return true
 	}
-	return slices.ContainsFunc(s.voices, func(v *voice) bool { return (v.fails() || v.partly()) && m.now-v.made <= m.s.MaxEvidenceAge })
+	return slices.ContainsFunc(s.reports, func(v *report) bool {
+		return (v.failing() || v.failsPartly()) && m.now-v.observedAt <= m.settings.MaxEvidenceAge
+	})
 }
 
-// hot reports whether what is said against a server is more than chance, as far as is known here.
-func (s *server) hot(m *Member) bool {
-	if m.s.FormatVersion == 1 {
-		dead, _ := s.dead(m, s.heard(m), 2, 2)
+// isAnomalous reports whether what is said against a server is more than chance, as far as is known here.
+func (s *server) isAnomalous(m *Member) bool {
+	if m.settings.FormatVersion == 1 {
+		dead, _ := s.outrightReporters(m, s.currentReports(m), 2, 2)
 		return s.out || len(dead) > 0
 	}
-	return s.out || m.standsOut(s)
+	return s.out || m.pooledFailuresStandOut(s)
 }
 
-// accusers is how many others accuse a server.
-func (s *server) accusers(m *Member) (n int) {
-	for _, v := range s.voices {
-		if v.origin != m.s.Name && v.accuses() && m.now-v.made <= m.s.MaxEvidenceAge {
+// otherReporters is how many others accuse a server.
+func (s *server) otherReporters(m *Member) (n int) {
+	for _, v := range s.reports {
+		if v.origin != m.settings.Name && v.reportsOutage() && m.now-v.observedAt <= m.settings.MaxEvidenceAge {
 			n++
 		}
 	}
 	return n
 }
 
-// hear books a voice: the newest of each member, and of many members the newest, as prune says. It reports whether the
+// recordReport books a voice: the newest of each member, and of many members the newest, as prune says. It reports whether the
 // voice was news.
-func (m *Member) hear(s *server, v *voice) bool {
-	v.rank = rankOf(v.origin, s.ID)
+func (m *Member) recordReport(s *server, v *report) bool {
+	v.rank = rendezvousRank(v.origin, s.ID)
 	news := true
-	if n := slices.IndexFunc(s.voices, func(o *voice) bool { return o.origin == v.origin }); n >= 0 {
-		o := s.voices[n]
-		if o.life == v.life && v.number <= o.number || o.life != v.life && v.made <= o.made {
+	if n := slices.IndexFunc(s.reports, func(o *report) bool { return o.origin == v.origin }); n >= 0 {
+		o := s.reports[n]
+		if o.runID == v.runID && v.number <= o.number || o.runID != v.runID && v.observedAt <= o.observedAt {
 			return false
 		}
-		news = o.accuses() != v.accuses() || (o.run == 0) != (v.run == 0)
-		s.voices = slices.Delete(s.voices, n, n+1)
+		news = o.reportsOutage() != v.reportsOutage() || (o.successRun == 0) != (v.successRun == 0)
+		s.reports = slices.Delete(s.reports, n, n+1)
 	}
 	// In one order everywhere: members then tell on the same ones first.
-	at, _ := slices.BinarySearchFunc(s.voices, v.rank, func(o *voice, r uint64) int { return cmp.Compare(o.rank, r) })
-	s.voices = slices.Insert(s.voices, at, v)
-	s.prune(m)
-	m.enliven(s)
-	if m.log = append(m.log, heardOf{s, v}); len(m.log) > 2*logMost {
-		m.log = append(m.log[:0], m.log[logMost:]...)
+	at, _ := slices.BinarySearchFunc(s.reports, v.rank, func(o *report, r uint64) int { return cmp.Compare(o.rank, r) })
+	s.reports = slices.Insert(s.reports, at, v)
+	s.pruneReports(m)
+	m.activate(s)
+	if m.recentReports = append(m.recentReports, receivedReport{s, v}); len(m.recentReports) > 2*maxRecentReports {
+		m.recentReports = append(m.recentReports[:0], m.recentReports[maxRecentReports:]...)
 	}
-	return news && slices.Contains(s.voices, v)
+	return news && slices.Contains(s.reports, v)
 }
 
-// prune keeps the newest voices against a server, and the newest for it that speak of a time since any of these.
-func (s *server) prune(m *Member) {
+// pruneReports keeps the newest voices against a server, and the newest for it that speak of a time since any of these.
+func (s *server) pruneReports(m *Member) {
 	var bad, good []time.Duration
-	for _, o := range s.voices {
-		if m.now-o.made > m.s.MaxEvidenceAge {
+	for _, o := range s.reports {
+		if m.now-o.observedAt > m.settings.MaxEvidenceAge {
 			continue
 		}
-		if o.fails() {
-			bad = append(bad, o.began)
+		if o.failing() {
+			bad = append(bad, o.failingSince)
 		} else {
-			good = append(good, o.lastOK)
+			good = append(good, o.lastSuccess)
 		}
 	}
 	least := func(all []time.Duration) time.Duration { // of those kept
@@ -352,34 +354,34 @@
 		if len(all) == 0 {
 			return 0
 		}
-		return all[min(voicesMost, len(all))-1]
+		return all[min(maxReportsPerServer, len(all))-1]
 	}
 	from := least(bad)
 	since := max(from, least(good))
-	s.voices = slices.DeleteFunc(s.voices, func(o *voice) bool {
+	s.reports = slices.DeleteFunc(s.reports, func(o *report) bool {
 		switch {
-		case o.origin == m.s.Name:
+		case o.origin == m.settings.Name:
 			return false
-		case m.now-o.made > m.s.MaxEvidenceAge:
+		case m.now-o.observedAt > m.settings.MaxEvidenceAge:
 			return true
-		case o.fails():
-			return o.began < from
+		case o.failing():
+			return o.failingSince < from
 		}
-		return o.lastOK < since
+		return o.lastSuccess < since
 	})
 }
 
-// rankOf orders members for a server, each server in another order.
-func rankOf(member, server string) uint64 {
+// rendezvousRank orders members for a server, each server in another order.
+func rendezvousRank(member, server string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(member))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(server))
-	return mix(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
-// mix spreads over all bits in what the last bytes of names differ.
-func mix(x uint64) uint64 {
+// mixBits spreads over all bits in what the last bytes of names differ.
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
