--- a/cmd/vetchhaven/ask.go
+++ b/cmd/vetchhaven/ask.go
@@ -25,7 +25,7 @@
 		c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
 		return c
 	}
-	print := func(method, path string, wait time.Duration) func(string) error {
+	printResponse := func(method, path string, wait time.Duration) func(string) error {
 		return func(config string) error {
 			body, err := ask(config, method, path, wait)
 			if err == nil {
@@ -37,14 +37,14 @@
 	var asJSON bool
 	status := command("status", "Show how a running daemon and its instances stand", func(config string) error {
 		if asJSON {
-			return print(http.MethodGet, "/status", 10*time.Second)(config)
+			return printResponse(http.MethodGet, "/status", 10*time.Second)(config)
 		}
 		return status(config, os.Stdout)
 	})
 	status.Flags().BoolVar(&asJSON, "json", false, "all of it, as JSON")
 	return []*cobra.Command{status,
-		command("reload", "Have a running daemon apply its changed file", print(http.MethodPost, "/reload", time.Minute)),
-		command("handover", "Have a running daemon replaced by a fresh process without a gap", print(http.MethodPost, "/handover", time.Minute))}
+		command("reload", "Have a running daemon apply its changed file", printResponse(http.MethodPost, "/reload", time.Minute)),
+		command("handover", "Have a running daemon replaced by a fresh process without a gap", printResponse(http.MethodPost, "/handover", time.Minute))}
 }
 
 // ask calls a running daemon. An answer that is no success ends with status 1 and its words.
--- a/cmd/vetchhaven/rehearse.go
+++ b/cmd/vetchhaven/rehearse.go
@@ -68,11 +68,11 @@
 	if name == ownPolicy {
 		return virtual.Decide, nil
 	}
-	make, err := baseline.Maker(name)
+	newPolicy, err := baseline.Maker(name)
 	if err != nil {
 		return nil, err
 	}
-	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return make(s, seed) }, nil
+	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }, nil
 }
 
 func rehearse(path string, f rehearseFlags, out, errs io.Writer) error {
@@ -142,12 +142,12 @@
 	var running sync.WaitGroup
 	for i, name := range names {
 		running.Go(func() {
-			make, err := policyMaker(name)
+			newPolicy, err := policyMaker(name)
 			if err != nil {
 				fails[i] = err
 				return
 			}
-			o := virtual.Options{Scenario: s, Seed: f.seed, New: make, Stop: func() bool { return ctx.Err() != nil }}
+			o := virtual.Options{Scenario: s, Seed: f.seed, New: newPolicy, Stop: func() bool { return ctx.Err() != nil }}
 			if i == 0 {
 				o.Progress = progress(s, f, errs)
 			}
@@ -174,11 +174,11 @@
 	}
 	var last atomic.Int64
 	return func(now time.Duration, d *statistics.Day) {
-		if t := time.Now().UnixMilli(); t-last.Load() < 200 && now < s.Length {
+		t := time.Now().UnixMilli()
+		if t-last.Load() < 200 && now < s.Length {
 			return
-		} else {
-			last.Store(t)
 		}
+		last.Store(t)
 		if len(d.Windows) > 0 {
 			w := d.Windows[max(0, len(d.Windows)-2)]
 			fmt.Fprintf(errs, "\r%v of %v, %d asked in 5 s, %d in time \033[K", now, s.Length, w.Offered, w.InTime)
--- a/decide/api.go
+++ b/decide/api.go
@@ -19,6 +19,7 @@
 // Effect says what repeating a request does.
 type Effect uint8
 
+// The effects of repeating a request.
 const (
 	Safe   Effect = iota // may be repeated and refused at will
 	Keyed                // backends of one group drop a repeat within a window
@@ -28,6 +29,7 @@
 // Group says which backends drop repeats of a keyed request.
 type Group uint8
 
+// The deduplication scopes of a keyed request.
 const (
 	GroupAll  Group = iota // every backend
 	GroupZone              // the backends of one zone
@@ -83,6 +85,7 @@
 // BackendState is what the list says of a backend.
 type BackendState uint8
 
+// The states of an endpoint in its list.
 const (
 	Up       BackendState = iota
 	Draining              // finishing its work
@@ -106,6 +109,7 @@
 // ListKind says how a List is to be read.
 type ListKind uint8
 
+// The kinds of list updates.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // all entries; a backend that is missing is gone
@@ -210,6 +214,7 @@
 // Result says how an attempt or a probe ended.
 type Result uint8
 
+// The results of attempts and probes.
 const (
 	OK            Result = iota // served
 	Errored                     // the backend returned an error; may have run
@@ -228,6 +233,7 @@
 // Reason is the limit or rule by which a request got a final answer that is not a success.
 type Reason uint8
 
+// The reasons of final answers that are not successes.
 const (
 	NoRoom    Reason = iota // no more may be in flight, or a thin agent has no credit
 	NoServer                // none may get it: down, ejected, cold and spent, or outside what the repeat rule allows
--- a/internal/faulttest/hollow/held_test.go
+++ b/internal/faulttest/hollow/held_test.go
@@ -25,13 +25,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	real := sides[0]
+	daemons := sides[0]
 	for _, s := range sides {
-		if r := s.Datagrams / real.Datagrams; !(r > 0.6 && r < 1.7) { // a member that waits for a core probes less
-			t.Errorf("%s: %.1f datagrams a second, real daemons send %.1f", s.Name, s.Datagrams, real.Datagrams)
+		if r := s.Datagrams / daemons.Datagrams; !(r > 0.6 && r < 1.7) { // a member that waits for a core probes less
+			t.Errorf("%s: %.1f datagrams a second, real daemons send %.1f", s.Name, s.Datagrams, daemons.Datagrams)
 		}
-		if r := s.EachBytes / real.EachBytes; r < 0.85 || r > 1.15 {
-			t.Errorf("%s: %.1f bytes a datagram, real daemons' have %.1f", s.Name, s.EachBytes, real.EachBytes)
+		if r := s.EachBytes / daemons.EachBytes; r < 0.85 || r > 1.15 {
+			t.Errorf("%s: %.1f bytes a datagram, real daemons' have %.1f", s.Name, s.EachBytes, daemons.EachBytes)
 		}
 	}
 }
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -51,8 +51,9 @@
 // Way is by which means a change is brought to all.
 type Way uint8
 
+// The ways that are compared.
 const (
-	Agreed   Way = iota
+	Agreed   Way = iota // the policy's own protocol: everywhere or nowhere
 	OneByOne     // a file on each host, reloaded one after the other
 	Gossip       // the newest that anyone has, told round
 )
--- a/internal/faulttest/topology/topology.go
+++ b/internal/faulttest/topology/topology.go
@@ -109,24 +109,32 @@
 
 var mixed = [...][4]int{{}, {20}, {80, 80}, {120, 120, 160}, {160, 160, 250, 250}} // ms there and back, below the diagonal
 
-// Regions and Zones are how many there are, in all.
+// Regions is the number of regions.
 func (l *Layout) Regions() int { return l.regions }
+
+// Zones is the number of zones of all regions.
 func (l *Layout) Zones() int   { return l.regions * l.zones }
 
-// Region and Zone are where a member stands. One past the last stands where the first do.
+// Region is a member's region. Members past the last one begin anew with the first.
 func (l *Layout) Region(n int) int { return l.Zone(n) / l.zones }
+
+// Zone is a member's zone, counted over all regions. Members past the last one begin anew with the first.
 func (l *Layout) Zone(n int) int   { return l.zone[n%len(l.zone)] }
 
-// RegionName and ZoneName are a member's, such as r2 and r2-z1.
+// RegionName is the name of a member's region, such as r2.
 func (l *Layout) RegionName(n int) string { return "r" + strconv.Itoa(l.Region(n)+1) }
+
+// ZoneName is the name of a member's zone, such as r2-z1.
 func (l *Layout) ZoneName(n int) string {
 	return l.RegionName(n) + "-z" + strconv.Itoa(l.Zone(n)%l.zones+1)
 }
 
-// InRegion and InZone are the members there, ascending.
+// InRegion lists the members of a region, ascending.
 func (l *Layout) InRegion(region int) []int {
 	return l.where(func(zone int) bool { return zone/l.zones == region })
 }
+
+// InZone lists the members of a zone, ascending.
 func (l *Layout) InZone(zone int) []int { return l.where(func(z int) bool { return z == zone }) }
 
 func (l *Layout) where(is func(zone int) bool) (all []int) {
--- a/internal/host/admin/door_test.go
+++ b/internal/host/admin/door_test.go
@@ -121,15 +121,17 @@
 func TestFigures(t *testing.T) {
 	status, text := call(t, "GET", open(t, &agent{}, nil)+"/metrics")
 	var got struct {
-		Transactions                             map[string]map[string]int64
-		Current, Cluster_size, Cluster_unhealthy int64
+		Transactions     map[string]map[string]int64
+		Current          int64
+		ClusterSize      int64 `json:"cluster_size"`
+		ClusterUnhealthy int64 `json:"cluster_unhealthy"`
 	}
 	if err := json.Unmarshal([]byte(text), &got); err != nil || status != 200 {
 		t.Fatalf("%d %v: %s", status, err, text)
 	}
 	g := got.Transactions["get"]
 	if g["answered"] != 5 || g["deferred"] != 4 || g["errored"] != 3 || g["sends"] != 6 || got.Transactions["put"]["sends"] != 1 ||
-		got.Current != 2 || got.Cluster_size != 9 || got.Cluster_unhealthy != 1 {
+		got.Current != 2 || got.ClusterSize != 9 || got.ClusterUnhealthy != 1 {
 		t.Errorf("%s", text)
 	}
 }
--- a/internal/host/handoff/said_test.go
+++ b/internal/host/handoff/said_test.go
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if new := last[c.Server] != c.On; new != (next.Version == now.Version+1) {
+			if isNew := last[c.Server] != c.On; isNew != (next.Version == now.Version+1) {
 				t.Fatalf("%v after %+v: version %d", c, now, next.Version)
 			}
 			now, last[c.Server] = next, c.On
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -135,12 +135,12 @@
 	text, booked = make([]byte, 0, size), size
 	for {
 		if len(text) == cap(text) && b.length < 0 {
-			if more := cap(text); booked+more <= maxWhole && room.Take(more) {
-				booked += more
-				text = append(make([]byte, 0, booked), text...)
-			} else {
+			more := cap(text)
+			if booked+more > maxWhole || !room.Take(more) {
 				return text, booked, false, nil
 			}
+			booked += more
+			text = append(make([]byte, 0, booked), text...)
 		}
 		if int64(len(text)) == b.length {
 			return text, booked, true, nil
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -34,7 +34,7 @@
 }
 
 // attemptAt makes one attempt at a backend, with no agent around it.
-func attemptAt(t *testing.T, b *backends, ctx context.Context, body string) (decide.Result, *answer, decide.Load) {
+func attemptAt(t *testing.T, ctx context.Context, b *backends, body string) (decide.Result, *answer, decide.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
@@ -116,7 +116,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 			defer cancel()
 			b := poolFor(t, s.addr)
-			result, a, _ := attemptAt(t, b, ctx, "body")
+			result, a, _ := attemptAt(t, ctx, b, "body")
 			if result != row.want || (a != nil) != (row.want == decide.OK) {
 				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
 			}
@@ -135,7 +135,7 @@
 
 func TestOutcomeConnectionRefused(t *testing.T) {
 	b := poolFor(t, testkit.DeadAddr(t))
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.ConnectFailed {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 {
@@ -150,17 +150,17 @@
 	ln := resetting(t)
 	b := poolFor(t, ln.Addr().String())
 	b.dialer = dialUntilReset
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Broke {
 		t.Errorf("reset: result %v", result)
 	}
 	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(core.ErrTimedOut)
-	if result, _, _ := attemptAt(t, b, ctx, ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Broke {
 		t.Errorf("out of time: result %v", result)
 	}
 	b.cfg.Settings.ConnectTimeout = time.Millisecond // not up in time: it may be late, or cut off
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Broke {
 		t.Errorf("not up in time: result %v", result)
 	}
 	testkit.WaitFor(t, "the end of the dial that went on", func() bool {
@@ -171,7 +171,7 @@
 	b.cfg.Settings.ConnectTimeout = testkit.Patience
 	b.dialer = new(net.Dialer).DialContext // refused: nobody is there
 	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.ConnectFailed {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("refused: result %v", result)
 	}
 	if b.open != 0 {
@@ -196,7 +196,7 @@
 		b.dialer = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 		}
-		if result, _, _ := attemptAt(t, b, context.Background(), ""); result != want {
+		if result, _, _ := attemptAt(t, context.Background(), b, ""); result != want {
 			t.Errorf("%v: result %v, want %v", err, result, want)
 		}
 		if b.open != 0 {
@@ -214,7 +214,7 @@
 	b := poolFor(t, s.addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(core.ErrTimedOut) }()
-	if result, _, _ := attemptAt(t, b, ctx, ""); result != decide.TimedOut {
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.TimedOut {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 || len(b.idle["s"]) != 0 {
@@ -228,7 +228,7 @@
 	s := serveRaw(t, func(int) string { <-hold; return "" })
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(core.ErrCancelled) }()
-	if result, _, _ := attemptAt(t, poolFor(t, s.addr), ctx, ""); result != decide.Cancelled {
+	if result, _, _ := attemptAt(t, ctx, poolFor(t, s.addr), ""); result != decide.Cancelled {
 		t.Errorf("result %v", result)
 	}
 }
@@ -272,7 +272,7 @@
 			}
 			return c, err
 		}
-		if result, _, _ := attemptAt(t, b, context.Background(), strings.Repeat("x", 20000)); result != decide.Broke {
+		if result, _, _ := attemptAt(t, context.Background(), b, strings.Repeat("x", 20000)); result != decide.Broke {
 			t.Errorf("broken after %d bytes: result %v", room, result)
 		}
 	}
@@ -285,14 +285,14 @@
 func TestNothingIsResentOnAStaleConnection(t *testing.T) {
 	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	b := poolFor(t, s.addr)
-	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != decide.OK {
+	if result, _, _ := attemptAt(t, context.Background(), b, "one"); result != decide.OK {
 		t.Fatalf("first: %v", result)
 	}
 	if len(b.idle["s"]) != 1 {
 		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
 	}
 	rested(b)
-	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != decide.Reset {
+	if result, _, _ := attemptAt(t, context.Background(), b, "two"); result != decide.Reset {
 		t.Fatalf("second: %v", result)
 	}
 	if n := len(s.seen); n != 2 {
@@ -305,10 +305,10 @@
 func TestIdleConnectionIsDropped(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	old := b.idle["s"][0]
 	old.since = time.Now().Add(-b.keepIdle)
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	if b.idle["s"][0] == old || b.open != 1 {
 		t.Error("the old connection was used")
 	}
@@ -327,7 +327,7 @@
 	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": other.addr}})
 	b.most = 1
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	done := make(chan decide.Result)
 	go func() {
 		r, _, _ := b.attempt(context.Background(), probing{}, "t", newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil))
@@ -337,7 +337,7 @@
 	if len(b.idle["s"]) != 0 {
 		t.Error("no idle connection made room")
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), ""); r != decide.NotSent {
+	if r, _, _ := attemptAt(t, context.Background(), b, ""); r != decide.NotSent {
 		t.Errorf("past the limit: %v", r)
 	}
 	close(hold)
@@ -351,13 +351,13 @@
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, one.addr)
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.open != 0 {
 		t.Errorf("%d connections to the old address are open", b.open)
 	}
-	if attemptAt(t, b, context.Background(), ""); len(one.seen) != 1 || len(two.seen) != 1 {
+	if attemptAt(t, context.Background(), b, ""); len(one.seen) != 1 || len(two.seen) != 1 {
 		t.Errorf("%d requests to the old address, %d to the new", len(one.seen), len(two.seen))
 	}
 }
@@ -385,7 +385,7 @@
 	s := serveRaw(t, func(int) string {
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, inflight=7, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
 	})
-	_, _, load := attemptAt(t, poolFor(t, s.addr), context.Background(), "")
+	_, _, load := attemptAt(t, context.Background(), poolFor(t, s.addr), "")
 	if want := wire.Load(map[string]float64{"backlog": 2, "outstanding": 7, "errors_per_s": 0.5}); load != want {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
@@ -549,7 +549,7 @@
 	s := serveRaw(t, func(int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello" })
 	b := poolFor(t, s.addr)
 	b.cfg.Settings.ConnectTimeout = time.Second // which is also the longest gap
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.Errored {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Errored {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 {
@@ -571,12 +571,12 @@
 		t.Errorf("%d addresses, %d owners, %d lists of connections", ids, owners, len(b.idle))
 	}
 	at := func(id string) string { addr, _ := b.addrs.Of(id); return addr }
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
 	if at("s") != "" || at("new") != s.addr || b.open != 0 {
 		t.Errorf("addresses %v, %d connections", b.addrs, b.open)
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.ConnectFailed || len(s.seen) != 1 {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the new one", result, len(s.seen))
 	}
 	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "s", State: decide.Gone}}}})
@@ -658,7 +658,7 @@
 	ctx, cancel := context.WithTimeoutCause(context.Background(), testkit.Patience, core.ErrTimedOut)
 	defer cancel()
 	for range 2 {
-		if result, _, _ := attemptAt(t, b, ctx, ""); result != decide.Broke || ctx.Err() != nil {
+		if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Broke || ctx.Err() != nil {
 			t.Fatalf("result %v while no connection comes up, %v", result, ctx.Err())
 		}
 	}
@@ -666,7 +666,7 @@
 	close(up)
 	testkit.WaitFor(t, "the first one's connection", standing(1, 1))
 	rested(b)
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.OK || len(dials) != 2 {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.OK || len(dials) != 2 {
 		t.Errorf("result %v after %d dials: what came up late was not used", result, len(dials))
 	}
 }
@@ -685,7 +685,7 @@
 			return nil, ctx.Err()
 		}
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.OK {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.OK {
 		t.Errorf("result %v", result)
 	}
 	for range 32 {
@@ -703,7 +703,7 @@
 	b := poolFor(t, "127.0.0.1:9")
 	b.trip = time.Millisecond
 	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	b.shut()
 	testkit.WaitFor(t, "the end of the dial", func() bool {
 		b.mu.Lock()
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -101,9 +101,9 @@
 
 func incident(lines ...string) string { return "\n[[incident]]\n" + strings.Join(lines, "\n") + "\n" }
 
-func play(t testing.TB, s *model.Scenario, seed uint64, make func(decide.Settings, uint64) (Policy, error)) *Played {
+func play(t testing.TB, s *model.Scenario, seed uint64, newPolicy func(decide.Settings, uint64) (Policy, error)) *Played {
 	t.Helper()
-	p, err := Play(Options{Scenario: s, Seed: seed, New: make})
+	p, err := Play(Options{Scenario: s, Seed: seed, New: newPolicy})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 		incident(`what = "restart"`, `at = "6s"`, `servers = ["s-3"]`, `after = "1s"`) +
 		incident(`what = "agents-restart"`, `at = "9s"`, `after = "500ms"`) +
 		incident(`what = "zone-cut"`, `at = "12s"`, `for = "3s"`, `zones = ["a", "b"]`)
-	print := func(seed uint64) string {
+	described := func(seed uint64) string {
 		p := play(t, load(t, day), seed, Decide)
 		var text bytes.Buffer
 		fmt.Fprintf(&text, "%+v %+v %v", p.Day.Total, p.Day.Windows, p.Judge.Breaches())
@@ -313,14 +313,14 @@
 		return text.String()
 	}
 	old := runtime.GOMAXPROCS(1)
-	one := print(5)
+	one := described(5)
 	runtime.GOMAXPROCS(4)
-	four := print(5)
+	four := described(5)
 	runtime.GOMAXPROCS(old)
 	if one != four {
 		t.Error("1 and 4 cores give two days")
 	}
-	if print(6) == one {
+	if described(6) == one {
 		t.Error("two seeds give the same day")
 	}
 }
--- a/internal/simulate/report/report.go
+++ b/internal/simulate/report/report.go
@@ -1,4 +1,4 @@
-// Package rehearsal puts what a scenario's play gave into words, tables, JSON and a page with plots.
+// Package report renders the result of a simulated scenario as text, tables, JSON and an HTML page with plots.
 package report
 
 import (
--- a/internal/source/discovery/discovery.go
+++ b/internal/source/discovery/discovery.go
@@ -48,8 +48,10 @@
 	// arrived. A watch that hangs from just before that moment is found within Silence, and the next one begins within
 	// ReconnectMost: the 0.7 s that are left are for its connection and its first object.
 	ToldWithin = 6 * time.Second
-	// ReconnectFirst and ReconnectMost are the first and the highest ceiling of the waits between watches.
-	ReconnectFirst, ReconnectMost = 100 * time.Millisecond, 800 * time.Millisecond
+	// ReconnectFirst is the ceiling of the first wait between two watches; it doubles with each failure.
+	ReconnectFirst = 100 * time.Millisecond
+	// ReconnectMost is the highest ceiling of the waits between watches.
+	ReconnectMost = 800 * time.Millisecond
 	// An object longer than this, in bytes, is no list.
 	maxObject = 4 << 20
 )
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -164,11 +164,26 @@
 	return d.served[kind]
 }
 
-// Binds, Abandoned and Conns are how many binds came, how many operations were abandoned, and how many
-// connections are open.
-func (d *Directory) Binds() int     { d.mu.Lock(); defer d.mu.Unlock(); return d.binds }
-func (d *Directory) Abandoned() int { d.mu.Lock(); defer d.mu.Unlock(); return d.abandoned }
-func (d *Directory) Conns() int     { d.mu.Lock(); defer d.mu.Unlock(); return len(d.conns) }
+// Binds is the number of bind requests received.
+func (d *Directory) Binds() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.binds
+}
+
+// Abandoned is the number of operations that clients abandoned (RFC 4511, section 4.11).
+func (d *Directory) Abandoned() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.abandoned
+}
+
+// Conns is the number of open connections.
+func (d *Directory) Conns() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.conns)
+}
 
 func (d *Directory) accept() {
 	for {
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -40,15 +40,15 @@
 }
 
 // oneRestart is what all agents are told of one: it drains, it is gone, it is there again.
-func oneRestart() (bytes int, err error) {
+func oneRestart() (size int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
 		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{served(11999, state)}})
 		if err != nil {
 			return 0, err
 		}
-		bytes += len(data) + 1
+		size += len(data) + 1
 	}
-	return bytes, nil
+	return size, nil
 }
 
 // reading is what a whole list costs the agent that reads it.
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -35,7 +35,7 @@
 	bench.Main(f,
 		bench.Job{Name: "ways", Run: ways},
 		bench.Job{Name: "schedules", Run: func() error { return schedules(cmp.Or(*n, 1000)) }},
-		bench.Job{Name: "real", Run: func() error { return real(cmp.Or(*n, 50), *at) }},
+		bench.Job{Name: "real", Run: func() error { return playRealProcesses(cmp.Or(*n, 50), *at) }},
 		bench.Job{Name: "cost", Run: cost})
 }
 
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// real plays random drills with 8 real processes each.
-func real(n, at int) error {
+// playRealProcesses plays random drills with 8 real processes each.
+func playRealProcesses(n, at int) error {
 	bin := filepath.Join(os.TempDir(), fmt.Sprint("limits-", os.Getpid()))
 	defer os.Remove(bin)
 	if out, err := exec.Command("go", "build", "-o", bin, "./cmd/vetchhaven").CombinedOutput(); err != nil {
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -76,11 +76,11 @@
 	if name == "vetchhaven" {
 		return virtual.Decide
 	}
-	make, err := baseline.Maker(name)
+	newPolicy, err := baseline.Maker(name)
 	if err != nil {
 		panic(err) // the names are textbook's own
 	}
-	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return make(s, seed) }
+	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }
 }
 
 // plays plays a scenario with each policy and seed, as many at once as there are cores, and hands on each play, one at a
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -229,11 +229,11 @@
 }
 
 func seer() (func(decide.Settings, uint64) (virtual.Policy, error), error) {
-	make, err := baseline.Maker(baseline.SeesNow)
+	newPolicy, err := baseline.Maker(baseline.SeesNow)
 	if err != nil {
 		return nil, err
 	}
-	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return make(s, seed) }, nil
+	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }, nil
 }
 
 // why is told of each verdict, where set.
