--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -54,8 +54,8 @@
 // The ways that are compared.
 const (
 	Agreed   Way = iota // the policy's own protocol: everywhere or nowhere
-	OneByOne     // a file on each host, reloaded one after the other
-	Gossip       // the newest that anyone has, told round
+	OneByOne            // a file on each host, reloaded one after the other
+	Gossip              // the newest that anyone has, told round
 )
 
 // Result is what happened.
--- a/internal/faulttest/topology/topology.go
+++ b/internal/faulttest/topology/topology.go
@@ -113,13 +113,13 @@
 func (l *Layout) Regions() int { return l.regions }
 
 // Zones is the number of zones of all regions.
-func (l *Layout) Zones() int   { return l.regions * l.zones }
+func (l *Layout) Zones() int { return l.regions * l.zones }
 
 // Region is a member's region. Members past the last one begin anew with the first.
 func (l *Layout) Region(n int) int { return l.Zone(n) / l.zones }
 
 // Zone is a member's zone, counted over all regions. Members past the last one begin anew with the first.
-func (l *Layout) Zone(n int) int   { return l.zone[n%len(l.zone)] }
+func (l *Layout) Zone(n int) int { return l.zone[n%len(l.zone)] }
 
 // RegionName is the name of a member's region, such as r2.
 func (l *Layout) RegionName(n int) string { return "r" + strconv.Itoa(l.Region(n)+1) }
