--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -97,15 +97,15 @@
 // keptAgain is how often it is tried to open the directory of what operators say.
 const keptAgain = time.Second
 
-// place is where what operators say is kept for other processes of the agent, once the disk has answered.
-type place struct{ dir atomic.Pointer[handoff.Dir] }
+// operatorChanges is where what operators say is kept for other processes of the agent, once the disk has answered.
+type operatorChanges struct{ dir atomic.Pointer[handoff.Dir] }
 
 var errNotKept = errors.New("its directory does not answer")
 
-// Say keeps a change.
-func (p *place) Say(c handoff.Change) error {
+// Publish keeps a change.
+func (p *operatorChanges) Publish(c handoff.Change) error {
 	if dir := p.dir.Load(); dir != nil {
-		return dir.Say(c)
+		return dir.Publish(c)
 	}
 	return errNotKept
 }
@@ -113,7 +113,7 @@
 // openDoor opens the operators' door. What they say there holds in a process that replaces this one too.
 func openDoor(cfg *core.Config, a *core.Agent, log *slog.Logger) (leave func(), err error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	kept := &place{}
+	kept := &operatorChanges{}
 	looked := make(chan struct{})
 	go follow(ctx, cfg, a, kept, looked, log)
 	limit := time.NewTimer(keptWait)
@@ -123,8 +123,8 @@
 	case <-limit.C:
 		log.Error("what operators said is not known yet", "waited", keptWait)
 	}
-	door, err := admin.Open(cfg.Admin, a, kept, log)
-	late := make(chan *admin.Door, 1)
+	door, err := admin.Listen(cfg.Admin, a, kept, log)
+	late := make(chan *admin.Server, 1)
 	switch {
 	case err == nil:
 		late <- door
@@ -133,7 +133,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				time.Sleep(doorAgain)
-				if door, err := admin.Open(cfg.Admin, a, kept, log); err == nil {
+				if door, err := admin.Listen(cfg.Admin, a, kept, log); err == nil {
 					late <- door
 					return
 				}
@@ -161,7 +161,7 @@
 
 // follow takes over what operators say to other processes of the agent, until ctx ends. It closes looked once it has looked
 // for the first time, or can't.
-func follow(ctx context.Context, cfg *core.Config, a *core.Agent, kept *place, looked chan<- struct{}, log *slog.Logger) {
+func follow(ctx context.Context, cfg *core.Config, a *core.Agent, kept *operatorChanges, looked chan<- struct{}, log *slog.Logger) {
 	look := sync.OnceFunc(func() { close(looked) })
 	defer look()
 	path := filepath.Join(os.TempDir(), "vetchhaven-"+url.PathEscape(cfg.Name+"-"+cfg.Listen))
@@ -191,7 +191,7 @@
 		_, err := a.Ban(limit, c.Server, c.On, true)
 		return err
 	}
-	n, err := dir.Look(apply)
+	n, err := dir.Sync(apply)
 	if err != nil {
 		log.Error("what operators said is not known", "error", err)
 	}
--- /dev/null
+++ b/internal/host/admin/figures.go
@@ -0,0 +1,43 @@
+package admin
+
+import (
+	"encoding/json"
+
+	"vetchhaven/internal/core"
+)
+
+// classFigures is one class of requests in the body of GET /metrics.
+type classFigures struct {
+	Answered int64 `json:"answered"`
+	Deferred int64 `json:"deferred"`
+	Errored  int64 `json:"errored"`
+	Sends    int64 `json:"sends"`
+}
+
+// figures is the body of GET /metrics, by the names of the platform's protocol page.
+type figures struct {
+	Transactions map[string]classFigures `json:"transactions"` // by the class's name
+	Sends        int64                   `json:"sends"`        // of all classes
+	Current      int64                   `json:"current"`
+	Listed       int                     `json:"cluster_size"`
+	Avoided      int                     `json:"cluster_unhealthy"`
+}
+
+// EncodeFigures is the body of GET /metrics: JSON and a line feed.
+func EncodeFigures(f core.Figures) []byte {
+	out := figures{
+		Transactions: map[string]classFigures{},
+		Current:      f.Open,
+		Listed:       f.Listed,
+		Avoided:      f.Avoided,
+	}
+	for _, c := range f.Classes {
+		out.Transactions[c.Name] = classFigures{Answered: c.Answered, Deferred: c.Deferred, Errored: c.Errored, Sends: c.Sends}
+		out.Sends += c.Sends
+	}
+	text, err := json.Marshal(out)
+	if err != nil { // it holds numbers and names alone
+		panic(err)
+	}
+	return append(text, '\n')
+}
--- a/internal/host/admin/golden_test.go
+++ b/internal/host/admin/golden_test.go
@@ -11,5 +11,5 @@
 func TestFiguresStayAsThePlatformReadsThem(t *testing.T) {
 	var f core.Figures
 	golden.Fill(&f)
-	golden.Check(t, "figures.json", Encode(f))
+	golden.Check(t, "figures.json", EncodeFigures(f))
 }
--- /dev/null
+++ b/internal/host/admin/server.go
@@ -0,0 +1,230 @@
+// Package admin is the admin endpoint of one agent: an HTTP/1.1 listener of its own for readiness, figures, endpoints disabled by
+// hand, and draining of clients. A connection serves one call.
+//
+// It decides nothing and holds none of the agent's state: each call is passed to the agent, and what an operator changed to a
+// Publisher, which makes it hold in the agent's other processes too. Handlers run in goroutines of net/http.
+package admin
+
+import (
+	"container/list"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/handoff"
+	"vetchhaven/internal/host/metrics"
+)
+
+// Agent is the agent that the endpoint serves. Its methods are called from several goroutines at once.
+type Agent interface {
+	// Accepting reports whether the agent takes clients.
+	Accepting() bool
+	// Figures returns what the agent counts, after at most wait.
+	Figures(wait time.Duration) core.Figures
+	// Ban disables an endpoint (out) or enables it. known is false where no list names it, unless force is set.
+	Ban(ctx context.Context, server string, out, force bool) (known bool, err error)
+	// Drain has clients sent to other agents, or taken again.
+	Drain(on bool)
+}
+
+// Publisher makes an operator's change hold in the agent's other processes, and in the one that replaces this one. Publish
+// returns once the others have applied the change.
+type Publisher interface{ Publish(c handoff.Change) error }
+
+const (
+	// callTimeout bounds reading a call; writing its response may take twice as long.
+	callTimeout = time.Second
+	// agentTimeout bounds the agent's part of a call, so that a caller learns of a busy agent before it gives up itself.
+	agentTimeout = 700 * time.Millisecond
+	// figuresTimeout bounds counting the endpoints; after it the figures are those of an earlier moment.
+	figuresTimeout = 200 * time.Millisecond
+	// maxIdleConns bounds the connections that have not sent a complete call. Past it the oldest is closed, so that idle
+	// connections never keep a call out.
+	maxIdleConns = 24
+	// maxHeaderBytes bounds the header of a call.
+	maxHeaderBytes = 8 << 10
+)
+
+// Server is a running admin endpoint.
+type Server struct {
+	agent     Agent
+	publisher Publisher
+	log       *slog.Logger
+	ln        net.Listener
+	server    *http.Server
+
+	mu           sync.Mutex
+	idle         *list.List // of net.Conn that have not sent a complete call, the oldest first
+	idleElements map[net.Conn]*list.Element
+}
+
+// noPublisher is for an agent that has no other processes.
+type noPublisher struct{}
+
+func (noPublisher) Publish(handoff.Change) error { return nil }
+
+// connKey is the key of a call's connection in its context.
+type connKey struct{}
+
+// Listen listens at addr and serves calls until Close. publisher may be nil.
+func Listen(addr string, agent Agent, publisher Publisher, log *slog.Logger) (*Server, error) {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("admin_addr: %w", err)
+	}
+	if publisher == nil {
+		publisher = noPublisher{}
+	}
+	s := &Server{
+		agent:        agent,
+		publisher:    publisher,
+		log:          log,
+		ln:           ln,
+		idle:         list.New(),
+		idleElements: map[net.Conn]*list.Element{},
+	}
+	s.server = &http.Server{
+		Handler:        s.handler(),
+		ReadTimeout:    callTimeout,
+		WriteTimeout:   2 * callTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug),
+		ConnState:      s.trackConn,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
+	}
+	s.server.SetKeepAlivesEnabled(false)
+	go s.serve()
+	return s, nil
+}
+
+// serve runs until the listener is closed.
+func (s *Server) serve() {
+	if err := s.server.Serve(core.NewSteadyListener(s.ln)); !errors.Is(err, net.ErrClosed) {
+		s.log.Error("admin", "error", err)
+	}
+}
+
+// Addr is the address at which it listens.
+func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+
+// Close stops listening. Calls that are being served are completed.
+func (s *Server) Close() error { return s.ln.Close() }
+
+// trackConn notes which connections have not sent a complete call yet, and closes the oldest past maxIdleConns.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch state {
+	case http.StateNew:
+		s.idleElements[c] = s.idle.PushBack(c)
+		if s.idle.Len() > maxIdleConns {
+			oldest := s.idle.Front().Value.(net.Conn)
+			_ = oldest.Close() // what it still has to say is not wanted
+			s.untrackConn(oldest)
+		}
+	case http.StateClosed, http.StateHijacked:
+		s.untrackConn(c)
+	}
+}
+
+// untrackConn forgets a connection. s.mu is held.
+func (s *Server) untrackConn(c net.Conn) {
+	if e := s.idleElements[c]; e != nil {
+		s.idle.Remove(e)
+		delete(s.idleElements, c)
+	}
+}
+
+// Counted is an Agent that has counters for GET /metrics?format=prometheus.
+type Counted interface {
+	Name() string
+	Totals() core.Totals
+	Counters() core.Counters
+}
+
+// metricsHandler shows the agent's counters; nil: it has none.
+func (s *Server) metricsHandler() http.Handler {
+	a, counts := s.agent.(Counted)
+	if !counts {
+		return nil
+	}
+	return metrics.Handler(func() []metrics.Agent {
+		return []metrics.Agent{{Name: a.Name(), Totals: a.Totals(), Counters: a.Counters()}}
+	})
+}
+
+func (s *Server) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /ready", s.ready)
+	mux.HandleFunc("GET /metrics", s.metrics(s.metricsHandler()))
+	mux.HandleFunc("PUT /backends/disable/{id}", func(w http.ResponseWriter, r *http.Request) { s.setDisabled(w, r, true) })
+	mux.HandleFunc("PUT /backends/enable/{id}", func(w http.ResponseWriter, r *http.Request) { s.setDisabled(w, r, false) })
+	mux.HandleFunc("PUT /drain", func(w http.ResponseWriter, _ *http.Request) { s.setDraining(w, true) })
+	mux.HandleFunc("PUT /undrain", func(w http.ResponseWriter, _ *http.Request) { s.setDraining(w, false) })
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if c, ok := r.Context().Value(connKey{}).(net.Conn); ok { // its call is complete
+			s.mu.Lock()
+			s.untrackConn(c)
+			s.mu.Unlock()
+		}
+		mux.ServeHTTP(w, r)
+	})
+}
+
+// ready answers 200 while the agent takes clients.
+func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+	if !s.agent.Accepting() {
+		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
+	}
+}
+
+// metrics answers with the platform's figures as JSON, or, where that is asked for, with counters for Prometheus (nil: none).
+func (s *Server) metrics(prometheus http.Handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if prometheus != nil && r.URL.Query().Get("format") == "prometheus" {
+			prometheus.ServeHTTP(w, r)
+			return
+		}
+		w.Header().Set("Content-Type", "application/json")
+		_, _ = w.Write(EncodeFigures(s.agent.Figures(figuresTimeout)))
+	}
+}
+
+// setDisabled disables or enables the endpoint that the call names.
+func (s *Server) setDisabled(w http.ResponseWriter, r *http.Request, disabled bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), agentTimeout)
+	defer cancel()
+	id := r.PathValue("id")
+	known, err := s.agent.Ban(ctx, id, disabled, false)
+	switch {
+	case err != nil:
+		http.Error(w, "the agent does not answer: "+err.Error(), http.StatusServiceUnavailable)
+	case !known:
+		http.Error(w, fmt.Sprintf("no server %q is listed", id), http.StatusNotFound)
+	default:
+		s.publish(w, handoff.Change{Server: id, On: disabled})
+	}
+}
+
+// setDraining has the agent drain, or take clients again.
+func (s *Server) setDraining(w http.ResponseWriter, on bool) {
+	s.agent.Drain(on)
+	s.publish(w, handoff.Change{On: on})
+}
+
+// publish passes on a change that is in effect here, and answers 200. Where another process may not know of it, that is logged:
+// the operator's change holds in this one all the same.
+func (s *Server) publish(w http.ResponseWriter, c handoff.Change) {
+	if err := s.publisher.Publish(c); err != nil {
+		s.log.Error("what an operator said holds here, and is not kept for another process", "error", err)
+	}
+	w.WriteHeader(http.StatusOK)
+}
--- a/internal/host/admin/door_test.go
+++ b/internal/host/admin/server_test.go
@@ -19,56 +19,56 @@
 	"vetchhaven/internal/testkit"
 )
 
-// agent is one that does as it is told.
-type agent struct {
+// fakeAgent records the calls that reach it.
+type fakeAgent struct {
 	mu        sync.Mutex
 	accepting bool
 	stuck     bool
 	known     map[string]bool
-	said      []string
+	calls     []string
 }
 
-func (a *agent) Accepting() bool {
+func (a *fakeAgent) Accepting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.accepting
 }
 
-func (a *agent) Figures(time.Duration) core.Figures {
+func (a *fakeAgent) Figures(time.Duration) core.Figures {
 	return core.Figures{Classes: []core.ClassFigures{{Name: "get", Answered: 5, Deferred: 4, Errored: 3, Sends: 6},
 		{Name: "put", Sends: 1}}, Open: 2, Listed: 9, Avoided: 1}
 }
 
-func (a *agent) Ban(ctx context.Context, id string, out, _ bool) (bool, error) {
+func (a *fakeAgent) Ban(ctx context.Context, id string, out, _ bool) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.stuck {
 		<-ctx.Done()
 		return false, ctx.Err()
 	}
-	a.said = append(a.said, fmt.Sprint(id, out))
+	a.calls = append(a.calls, fmt.Sprint(id, out))
 	return a.known[id], nil
 }
 
-func (a *agent) Drain(on bool) {
+func (a *fakeAgent) Drain(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.said = append(a.said, fmt.Sprint("drain", on))
+	a.calls = append(a.calls, fmt.Sprint("drain", on))
 }
 
-// keeper fails.
-type keeper struct{}
+// failingPublisher can publish nothing.
+type failingPublisher struct{}
 
-func (keeper) Say(handoff.Change) error { return errors.New("disk full") }
+func (failingPublisher) Publish(handoff.Change) error { return errors.New("disk full") }
 
-func open(t *testing.T, a Agent, k Keeper) string {
+func startServer(t *testing.T, agent Agent, publisher Publisher) string {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", a, k, testkit.Quiet)
+	server, err := Listen("127.0.0.1:0", agent, publisher, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	return "http://" + d.Addr().String()
+	t.Cleanup(func() { server.Close() })
+	return "http://" + server.Addr().String()
 }
 
 func call(t *testing.T, method, url string) (int, string) {
@@ -89,9 +89,9 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestCalls(t *testing.T) {
-	a := &agent{known: map[string]bool{"s-1": true, "a/b": true}}
-	base := open(t, a, keeper{}) // what is not kept holds all the same
+func TestEachCallReachesTheAgent(t *testing.T) {
+	a := &fakeAgent{known: map[string]bool{"s-1": true, "a/b": true}}
+	base := startServer(t, a, failingPublisher{}) // a change that can't be published holds all the same
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -107,8 +107,8 @@
 		}
 	}
 	want := "s-1true s-1true s-1false a/btrue nobodytrue nobodyfalse draintrue drainfalse"
-	if got := strings.Join(a.said, " "); got != want {
-		t.Errorf("the agent heard %q, want %q", got, want)
+	if got := strings.Join(a.calls, " "); got != want {
+		t.Errorf("the agent received %q, want %q", got, want)
 	}
 	a.mu.Lock()
 	a.accepting = true
@@ -118,8 +118,8 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
-	status, text := call(t, "GET", open(t, &agent{}, nil)+"/metrics")
+func TestFiguresAreShownByClass(t *testing.T) {
+	status, text := call(t, "GET", startServer(t, &fakeAgent{}, nil)+"/metrics")
 	var got struct {
 		Transactions     map[string]map[string]int64
 		Current          int64
@@ -136,10 +136,10 @@
 	}
 }
 
-// Callers that connect and say nothing, or half of a call, don't keep others waiting, however many they are.
-func TestSilentCallers(t *testing.T) {
-	base := open(t, &agent{accepting: true}, nil)
-	for i := range 4 * mostSilent {
+// Connections with no call, or half of one, keep no call waiting, however many they are.
+func TestIdleConnectionsAreEvictedForACall(t *testing.T) {
+	base := startServer(t, &fakeAgent{accepting: true}, nil)
+	for i := range 4 * maxIdleConns {
 		c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -150,15 +150,15 @@
 		}
 		if i%8 == 0 {
 			if status, _ := call(t, "GET", base+"/ready"); status != 200 {
-				t.Fatalf("ready beside %d silent callers: %d", i+1, status)
+				t.Fatalf("ready beside %d idle connections: %d", i+1, status)
 			}
 		}
 	}
 }
 
-// A silent caller is closed on by itself.
-func TestSilentCallerEnds(t *testing.T) {
-	base := open(t, &agent{accepting: true}, nil)
+// A connection without a call is closed after callTimeout.
+func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
+	base := startServer(t, &fakeAgent{accepting: true}, nil)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -172,9 +172,9 @@
 	}
 }
 
-// A loop that does not answer leaves the caller with a no in time, not with nothing.
-func TestBusyAgent(t *testing.T) {
-	if status, text := call(t, "PUT", open(t, &agent{stuck: true}, nil)+"/backends/disable/x"); status != 503 {
+// An agent that does not answer is reported as unavailable, before the caller gives up.
+func TestBusyAgentIsReportedInTime(t *testing.T) {
+	if status, text := call(t, "PUT", startServer(t, &fakeAgent{stuck: true}, nil)+"/backends/disable/x"); status != 503 {
 		t.Errorf("%d %q", status, text)
 	}
 }
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -137,7 +137,7 @@
 		return
 	}
 	if saved {
-		s.AfterPause()
+		s.DropTransient()
 	}
 	if !saved && len(s.Peers) > 0 {
 		if d.saw, err = transport.DecodeSaved(s.Peers); err != nil {
@@ -157,7 +157,7 @@
 		}
 	}
 	d.log.Info("last state", "from", from, "lists", len(s.Sources), "instances", len(s.Instances),
-		"saved", time.UnixMilli(s.Saved).Format(time.RFC3339))
+		"saved", time.UnixMilli(s.SavedMS).Format(time.RFC3339))
 }
 
 // now is the daemon's monotonic time.
--- a/internal/host/daemon/daemon_test.go
+++ b/internal/host/daemon/daemon_test.go
@@ -618,11 +618,11 @@
 func TestBadStatesDoNoHarm(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
-	good, err := snapshot.Encode(&snapshot.State{Saved: time.Now().UnixMilli()})
+	good, err := snapshot.Encode(&snapshot.State{SavedMS: time.Now().UnixMilli()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := snapshot.Encode(&snapshot.State{Saved: time.Now().Add(-100 * time.Hour).UnixMilli()})
+	old, err := snapshot.Encode(&snapshot.State{SavedMS: time.Now().Add(-100 * time.Hour).UnixMilli()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/daemon/store.go
+++ b/internal/host/daemon/store.go
@@ -38,14 +38,14 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &since); err != nil {
 		return at
 	}
-	at.Boot, at.SinceBoot = strings.TrimSpace(string(boot)), time.Duration(since.Nano())
+	at.BootID, at.SinceBoot = strings.TrimSpace(string(boot)), time.Duration(since.Nano())
 	return at
 }
 
 // state is what would be saved now.
 func (d *Daemon) state() *snapshot.State {
 	at := moment()
-	s := &snapshot.State{Saved: at.Wall.UnixMilli(), Boot: at.Boot, SinceBoot: at.SinceBoot.Milliseconds(), Sources: map[string]*discovery.Members{}, Instances: map[string]*core.Memory{}}
+	s := &snapshot.State{SavedMS: at.Wall.UnixMilli(), BootID: at.BootID, SinceBootMS: at.SinceBoot.Milliseconds(), Sources: map[string]*discovery.Members{}, Instances: map[string]*core.Memory{}}
 	for _, h := range d.hubs {
 		if m := h.Snapshot(); m != nil {
 			s.Sources[h.source.Key()] = m
--- a/internal/host/handoff/dir.go
+++ b/internal/host/handoff/dir.go
@@ -9,6 +9,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -18,54 +19,56 @@
 )
 
 const (
-	// lookBeside is how often a process looks while another is alive, and lookAlone else. A caller waits for the
-	// other process to have looked; alone, only a new one's arrival can go unseen for a while.
-	lookBeside = 25 * time.Millisecond
-	lookAlone  = 250 * time.Millisecond
-	// HeardWithin is how long Say waits for the others: a caller at the door has 1 s.
-	HeardWithin = 400 * time.Millisecond
+	// sharedSyncInterval is the time between two looks at the state file while another process is alive: an operator's call
+	// waits for the other process to have looked.
+	sharedSyncInterval = 25 * time.Millisecond
+	// aloneSyncInterval is the same while no other process is alive. All that can be seen late is a new process's arrival.
+	aloneSyncInterval = 250 * time.Millisecond
+	// AckTimeout is how long Publish waits for the other processes. The caller of the admin endpoint waits 1 s.
+	AckTimeout = 400 * time.Millisecond
 
-	saidName, lockName, liveEnding = "said.json", "lock", ".live"
-	mostBytes                      = 4 << 20 // of what is read
+	stateFileName  = "said.json"
+	lockFileName   = "lock"
+	liveFileSuffix = ".live"
+	// maxFileBytes bounds what is read of the state file: ten times what maxDisabled endpoints take.
+	maxFileBytes = 4 << 20
 )
 
-// Dir is one process's place in the directory that all processes of an agent see.
+var errNotAcknowledged = errors.New("another process has not heard of it yet")
+
+// Dir is one process's part in the directory that all processes of an agent share. Its methods may be called from any
+// goroutine.
 type Dir struct {
-	path   string
-	within time.Duration // HeardWithin, but for tests
-	live   *os.File      // locked while this process is alive; holds the version that it has carried out
+	path       string
+	ackTimeout time.Duration // AckTimeout, but for tests
+	liveFile   *os.File      // locked while this process is alive; holds the version of the state that it has applied
 
-	mu    sync.Mutex
-	known Said  // carried out here
-	noted int64 // the version of it that the others see
+	mu               sync.Mutex
+	applied          OperatorState // in effect in this process
+	publishedVersion int64         // the version of it that liveFile holds
 }
 
-// Open takes a place in the directory. What was said before holds where another process is alive; else it
-// is of an earlier run, and forgotten.
+// Open joins the directory at path, which it makes if it is missing. The state in it holds where another process is alive; else
+// it is left over from an earlier run, and removed. An error says that the directory can't be used, or is another user's.
 func Open(path string) (d *Dir, err error) {
 	if err := os.Mkdir(path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
 	}
-	// In a place that others write to, a name that somebody else has taken is not believed.
-	info, err := os.Lstat(path)
-	if err != nil {
+	if err := checkPrivate(path); err != nil {
 		return nil, err
 	}
-	if st, ok := info.Sys().(*syscall.Stat_t); !info.IsDir() || info.Mode().Perm()&0o077 != 0 || ok && int(st.Uid) != os.Geteuid() {
-		return nil, fmt.Errorf("%s: is not a directory of this user's alone", path)
-	}
-	d = &Dir{path: path, within: HeardWithin}
-	err = d.locked(func() error {
-		others, err := d.others()
+	d = &Dir{path: path, ackTimeout: AckTimeout}
+	err = d.withLock(func() error {
+		versions, err := d.otherVersions()
 		if err != nil {
 			return err
 		}
-		if len(others) == 0 {
-			if err := os.Remove(d.file(saidName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if len(versions) == 0 {
+			if err := os.Remove(d.file(stateFileName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
-		return d.enter()
+		return d.createLiveFile()
 	})
 	if err != nil {
 		return nil, err
@@ -73,37 +76,51 @@
 	return d, nil
 }
 
+// checkPrivate refuses a directory that another user may have made: its parent may be writable by all.
+func checkPrivate(path string) error {
+	info, err := os.Lstat(path)
+	if err != nil {
+		return err
+	}
+	stat, ok := info.Sys().(*syscall.Stat_t)
+	ownedByOther := ok && int(stat.Uid) != os.Geteuid()
+	if !info.IsDir() || info.Mode().Perm()&0o077 != 0 || ownedByOther {
+		return fmt.Errorf("%s: is not a directory of this user's alone", path)
+	}
+	return nil
+}
+
 func (d *Dir) file(name string) string { return filepath.Join(d.path, name) }
 
-// enter makes the file that says that this process is alive. It is locked before it has the name by which
-// others look for it.
-func (d *Dir) enter() error {
+// createLiveFile makes the file whose lock says that this process is alive. It is locked before it gets the name by which other
+// processes look for it.
+func (d *Dir) createLiveFile() error {
 	f, err := os.CreateTemp(d.path, "new")
 	if err != nil {
 		return err
 	}
 	err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if err == nil {
-		err = os.Rename(f.Name(), f.Name()+liveEnding)
+		err = os.Rename(f.Name(), f.Name()+liveFileSuffix)
 	}
 	if err != nil {
 		f.Close()
 		_ = os.Remove(f.Name())
 		return err
 	}
-	d.live = f
+	d.liveFile = f
 	return nil
 }
 
-// Close leaves the directory.
+// Close leaves the directory: other processes wait for this one no more.
 func (d *Dir) Close() error {
-	_ = os.Remove(d.live.Name() + liveEnding)
-	return d.live.Close()
+	_ = os.Remove(d.liveFile.Name() + liveFileSuffix)
+	return d.liveFile.Close()
 }
 
-// locked runs f while no other process does.
-func (d *Dir) locked(f func() error) error {
-	lock, err := os.OpenFile(d.file(lockName), os.O_CREATE|os.O_RDWR, 0o600)
+// withLock runs f while no other process runs one.
+func (d *Dir) withLock(f func() error) error {
+	lock, err := os.OpenFile(d.file(lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
@@ -120,32 +137,34 @@
 	return f()
 }
 
-// others are the versions that the other live processes have carried out. Files of ended ones go.
-func (d *Dir) others() (versions []int64, err error) {
+// otherVersions lists the versions that the other live processes have applied. The files of ended ones are removed.
+func (d *Dir) otherVersions() (versions []int64, err error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range entries {
 		name := d.file(e.Name())
-		if !strings.HasSuffix(name, liveEnding) || d.live != nil && name == d.live.Name()+liveEnding {
+		own := d.liveFile != nil && name == d.liveFile.Name()+liveFileSuffix
+		if own || !strings.HasSuffix(name, liveFileSuffix) {
 			continue
 		}
-		if v, alive := version(name); alive {
+		if v, alive := readVersion(name); alive {
 			versions = append(versions, v)
 		}
 	}
 	return versions, nil
 }
 
-// version is what a process has carried out, if it is alive.
-func version(name string) (v int64, alive bool) {
+// readVersion is the version that the process of a live file has applied; alive is false, and the file removed, once that
+// process has ended.
+func readVersion(name string) (v int64, alive bool) {
 	f, err := os.OpenFile(name, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
-		return 0, false // it has just left
+		return 0, false // it has just ended
 	}
 	if err != nil {
-		return 0, true // this process can't look at it now, for want of a descriptor perhaps
+		return 0, true // it can't be read now, for want of a descriptor perhaps: the process counts as alive
 	}
 	defer f.Close()
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); err == nil {
@@ -154,160 +173,177 @@
 	}
 	var text [8]byte
 	if _, err := f.ReadAt(text[:], 0); err != nil {
-		return 0, true // nothing so far
+		return 0, true // it has applied nothing yet
 	}
 	return int64(binary.BigEndian.Uint64(text[:])), true
 }
 
-// read is what holds now.
-func (d *Dir) read() (Said, error) {
-	info, err := os.Stat(d.file(saidName))
+// read is the state in the file; the zero state where there is none.
+func (d *Dir) read() (OperatorState, error) {
+	text, err := readBounded(d.file(stateFileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return Said{}, nil
-	}
-	if err == nil && info.Size() > mostBytes {
-		err = fmt.Errorf("%d bytes are too many", info.Size())
+		return OperatorState{}, nil
 	}
-	var text []byte
+	var state OperatorState
 	if err == nil {
-		text, err = os.ReadFile(d.file(saidName))
+		state, err = parse(text)
 	}
-	var s Said
-	if err == nil {
-		s, err = parse(text)
+	if err != nil {
+		return OperatorState{}, fmt.Errorf("%s: %w", d.file(stateFileName), err)
 	}
+	return state, nil
+}
+
+// readBounded reads a file of up to maxFileBytes.
+func readBounded(path string) ([]byte, error) {
+	info, err := os.Stat(path)
 	if err != nil {
-		return Said{}, fmt.Errorf("%s: %w", d.file(saidName), err)
+		return nil, err
+	}
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%d bytes are too many", info.Size())
 	}
-	return s, nil
+	return os.ReadFile(path)
 }
 
-// Say keeps a change that this process has carried out, and returns once every other live process has too, or
-// after HeardWithin.
-func (d *Dir) Say(c Change) error {
-	now, err := d.keep(c)
+// Publish stores a change that this process has applied, and returns once every other live process has applied it too. After
+// AckTimeout it returns an error: the change is stored, and another process may apply it later.
+func (d *Dir) Publish(change Change) error {
+	stored, err := d.store(change)
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(d.within); ; time.Sleep(lookBeside / 2) {
-		others, err := d.others()
+	for deadline := time.Now().Add(d.ackTimeout); ; time.Sleep(sharedSyncInterval / 2) {
+		versions, err := d.otherVersions()
 		if err != nil {
 			return err
 		}
-		heard := true
-		for _, v := range others {
-			heard = heard && v >= now.Version
-		}
-		if heard {
+		pending := slices.ContainsFunc(versions, func(v int64) bool { return v < stored.Version })
+		if !pending {
 			return nil
 		}
-		if time.Now().After(end) {
-			return errors.New("another process has not heard of it yet")
+		if time.Now().After(deadline) {
+			return errNotAcknowledged
 		}
 	}
 }
 
-func (d *Dir) keep(c Change) (now Said, err error) {
+// store writes the state after a change to the file, and returns it.
+func (d *Dir) store(change Change) (stored OperatorState, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	err = d.locked(func() error {
+	err = d.withLock(func() error {
 		before, err := d.read()
 		if err != nil {
 			return err
 		}
-		if now, err = before.With(c); err != nil || now.Version == before.Version {
+		stored, err = before.Apply(change)
+		if err != nil || stored.Version == before.Version {
 			return err
 		}
-		text, err := json.Marshal(now)
+		text, err := json.Marshal(stored)
 		if err != nil {
 			return err
 		}
-		return atomicfile.Replace(d.path, saidName, text)
+		return atomicfile.Replace(d.path, stateFileName, text)
 	})
 	if err == nil {
-		// Of what another process has kept meanwhile this one still has to hear: the version stays.
-		err = d.carried(c)
+		err = d.recordApplied(change)
 	}
-	return now, err
+	return stored, err
 }
 
-// carried notes that a change holds here. The lock is held.
-func (d *Dir) carried(c Change) error {
-	after, err := d.known.With(c)
+// recordApplied notes that this process has applied a change. The version stays: what another process has stored meanwhile is
+// still to be applied. d.mu is held.
+func (d *Dir) recordApplied(change Change) error {
+	after, err := d.applied.Apply(change)
 	if err != nil {
 		return err
 	}
-	after.Version = d.known.Version
-	d.known = after
+	after.Version = d.applied.Version
+	d.applied = after
 	return nil
 }
 
-// Look carries out what is new, and tells how many other processes are alive. apply returns once a change
-// holds here.
-func (d *Dir) Look(apply func(Change) error) (beside int, err error) {
-	if err := d.hear(apply); err != nil {
+// Sync applies the changes that other processes have stored, and returns how many other processes are alive. apply returns once
+// a change is in effect in this process.
+func (d *Dir) Sync(apply func(Change) error) (otherProcesses int, err error) {
+	if err := d.applyNew(apply); err != nil {
 		return 0, err
 	}
-	others, err := d.others()
-	return len(others), err
+	versions, err := d.otherVersions()
+	return len(versions), err
 }
 
-func (d *Dir) hear(apply func(Change) error) error {
-	d.mu.Lock() // nothing that is said here comes between reading and carrying out: it would be undone
+func (d *Dir) applyNew(apply func(Change) error) error {
+	d.mu.Lock() // a change of this process between reading and applying would be undone
 	defer d.mu.Unlock()
-	now, err := d.read()
+	stored, err := d.read()
 	if err != nil {
 		return err
 	}
-	for _, c := range now.Since(d.known) {
-		if err := apply(c); err != nil {
+	for _, change := range stored.ChangesSince(d.applied) {
+		if err := apply(change); err != nil {
 			return err
 		}
-		if err := d.carried(c); err != nil {
+		if err := d.recordApplied(change); err != nil {
 			return err
 		}
 	}
-	d.known = now
-	return d.note()
+	d.applied = stored
+	return d.publishVersion()
 }
 
-// note has the others see which version holds here. The lock is held. What fails is tried again at the next look.
-func (d *Dir) note() error {
-	if d.noted == d.known.Version {
+// publishVersion writes the applied version into the live file, where the other processes see it. A write that fails is retried
+// at the next sync. d.mu is held.
+func (d *Dir) publishVersion() error {
+	if d.publishedVersion == d.applied.Version {
 		return nil
 	}
 	var text [8]byte
-	binary.BigEndian.PutUint64(text[:], uint64(d.known.Version))
-	if _, err := d.live.WriteAt(text[:], 0); err != nil {
+	binary.BigEndian.PutUint64(text[:], uint64(d.applied.Version))
+	if _, err := d.liveFile.WriteAt(text[:], 0); err != nil {
 		return err
 	}
-	d.noted = d.known.Version
+	d.publishedVersion = d.applied.Version
 	return nil
 }
 
-// Follow looks until ctx ends, and tells whenever the number of processes beside this one has changed from
-// last. Errors are told once for each row of them.
-func (d *Dir) Follow(ctx context.Context, last int, apply func(Change) error, beside func(int), fail func(error)) {
+// Follow syncs until ctx ends. It calls changed whenever the number of other processes differs from the last one, which is
+// otherProcesses at first, and report with the first error of each row of errors.
+func (d *Dir) Follow(ctx context.Context, otherProcesses int, apply func(Change) error, changed func(int), report func(error)) {
 	failed := false
 	for {
-		n, err := d.Look(apply)
-		if err != nil && !failed {
-			fail(err)
-		}
-		if failed = err != nil; !failed && n != last {
-			last = n
-			beside(n)
+		n, err := d.Sync(apply)
+		switch {
+		case err == nil:
+			failed = false
+			if n != otherProcesses {
+				otherProcesses = n
+				changed(n)
+			}
+		case !failed:
+			failed = true
+			report(err)
 		}
-		wait := lookAlone
-		if last > 0 {
-			wait = lookBeside
+		interval := aloneSyncInterval
+		if otherProcesses > 0 {
+			interval = sharedSyncInterval
 		}
-		timer := time.NewTimer(wait)
-		select {
-		case <-ctx.Done():
-			timer.Stop()
+		if !sleep(ctx, interval) {
 			return
-		case <-timer.C:
 		}
 	}
 }
+
+// sleep waits for a while; false: ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- a/internal/host/handoff/dir_test.go
+++ b/internal/host/handoff/dir_test.go
@@ -15,15 +15,15 @@
 	"vetchhaven/internal/testkit"
 )
 
-// process is one of an agent's, as far as the directory knows.
+// process stands for one process of an agent that shares the directory.
 type process struct {
 	*Dir
-	mu      sync.Mutex
-	heard   []string
-	beside  chan int
-	failed  chan error
-	leave   func()
-	refuses bool
+	mu             sync.Mutex
+	received       []string
+	otherProcesses chan int
+	failed         chan error
+	leave          func()
+	refuses        bool
 }
 
 func join(t *testing.T, path string) *process {
@@ -32,16 +32,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.within = testkit.Patience
-	p := &process{Dir: d, beside: make(chan int, 100), failed: make(chan error, 100)}
-	n, err := d.Look(p.apply)
+	d.ackTimeout = testkit.Patience
+	p := &process{Dir: d, otherProcesses: make(chan int, 100), failed: make(chan error, 100)}
+	n, err := d.Sync(p.apply)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		d.Follow(ctx, n, p.apply, func(n int) { p.beside <- n }, func(err error) { p.failed <- err })
+		d.Follow(ctx, n, p.apply, func(n int) { p.otherProcesses <- n }, func(err error) { p.failed <- err })
 		close(done)
 	}()
 	p.leave = sync.OnceFunc(func() {
@@ -59,61 +59,61 @@
 	if p.refuses {
 		return errors.New("stuck")
 	}
-	p.heard = append(p.heard, fmt.Sprint(c.Server, c.On))
+	p.received = append(p.received, fmt.Sprint(c.Server, c.On))
 	return nil
 }
 
-func (p *process) told() string {
+func (p *process) describeState() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.heard, " ")
+	return strings.Join(p.received, " ")
 }
 
-// What is said to one holds in the other once Say has returned, both ways; the one who said it does not hear of it
-// again; and one that comes later knows it from the start.
-func TestSaidToOneHoldsInAll(t *testing.T) {
+// A change is in effect in the other process once Publish has returned, both ways; it is not applied again by the process that
+// published it; and a process that joins later has it from the start.
+func TestChangeOfOneProcessIsAppliedByAll(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	old := join(t, path)
-	if err := old.Say(Change{"a", true}); err != nil {
+	if err := old.Publish(Change{"a", true}); err != nil {
 		t.Fatal(err)
 	}
 	young := join(t, path)
-	if got := young.told(); got != "atrue" {
+	if got := young.describeState(); got != "atrue" {
 		t.Errorf("the new one knows %q", got)
 	}
-	testkit.Receive(t, "word of the other", old.beside)
-	if err := young.Say(Change{"b", true}); err != nil {
+	testkit.Receive(t, "word of the other", old.otherProcesses)
+	if err := young.Publish(Change{"b", true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := young.Say(Change{"a", false}); err != nil {
+	if err := young.Publish(Change{"a", false}); err != nil {
 		t.Fatal(err)
 	}
-	if err := old.Say(Change{"", true}); err != nil {
+	if err := old.Publish(Change{"", true}); err != nil {
 		t.Fatal(err)
 	}
-	if o, y := old.told(), young.told(); o != "btrue afalse" || y != "atrue true" {
-		t.Errorf("old heard %q, new heard %q", o, y)
+	if o, y := old.describeState(), young.describeState(); o != "btrue afalse" || y != "atrue true" {
+		t.Errorf("old received %q, new received %q", o, y)
 	}
 	old.leave()
-	if n := testkit.Receive(t, "word that it is alone", young.beside); n != 0 {
+	if n := testkit.Receive(t, "word that it is alone", young.otherProcesses); n != 0 {
 		t.Errorf("%d beside", n)
 	}
 	third := join(t, path)
-	if got := third.told(); got != "true btrue" {
+	if got := third.describeState(); got != "true btrue" {
 		t.Errorf("the third knows %q", got)
 	}
 }
 
 // Two that speak at once: both words hold in both.
-func TestBothSayAtOnce(t *testing.T) {
+func TestConcurrentChangesAreBothApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	one, two := join(t, path), join(t, path)
-	testkit.Receive(t, "word of the other", one.beside)
+	testkit.Receive(t, "word of the other", one.otherProcesses)
 	var both sync.WaitGroup
 	for _, p := range []*process{one, two} {
 		both.Go(func() {
 			for i := range 20 {
-				if err := p.keepOnly(Change{fmt.Sprintf("%p-%d", p, i), true}); err != nil {
+				if err := p.storeOnly(Change{fmt.Sprintf("%p-%d", p, i), true}); err != nil {
 					t.Error(err)
 				}
 			}
@@ -121,89 +121,89 @@
 	}
 	both.Wait()
 	for _, p := range []*process{one, two} {
-		testkit.WaitFor(t, "the other's words", func() bool { return len(strings.Fields(p.told())) == 20 })
+		testkit.WaitFor(t, "the other's words", func() bool { return len(strings.Fields(p.describeState())) == 20 })
 	}
-	if s, err := one.read(); err != nil || len(s.Out) != 40 || s.Version != 40 {
-		t.Errorf("%d kept, version %d, %v", len(s.Out), s.Version, err)
+	if s, err := one.read(); err != nil || len(s.Disabled) != 40 || s.Version != 40 {
+		t.Errorf("%d kept, version %d, %v", len(s.Disabled), s.Version, err)
 	}
 }
 
-func (d *Dir) keepOnly(c Change) error {
-	_, err := d.keep(c)
+func (d *Dir) storeOnly(c Change) error {
+	_, err := d.store(c)
 	return err
 }
 
-// One that is alone forgets what an earlier run was told.
-func TestAnEarlierRunIsForgotten(t *testing.T) {
+// A process that is alone discards the state of an earlier run.
+func TestStateOfEarlierRunIsDiscarded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	first := join(t, path)
-	if err := first.Say(Change{"a", true}); err != nil {
+	if err := first.Publish(Change{"a", true}); err != nil {
 		t.Fatal(err)
 	}
 	first.leave()
-	if got := join(t, path).told(); got != "" {
+	if got := join(t, path).describeState(); got != "" {
 		t.Errorf("it knows %q", got)
 	}
 }
 
-// One that was killed leaves its file, and is not waited for.
-func TestAKilledProcessIsNotWaitedFor(t *testing.T) {
+// A killed process leaves its live file, unlocked: Publish does not wait for it.
+func TestPublishDoesNotWaitForKilledProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	killed, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	alive := join(t, path)
-	killed.live.Close() // as the kernel does at its end; its file stays
-	if err := alive.Say(Change{"a", true}); err != nil {
+	killed.liveFile.Close() // as the kernel does at its end; its file stays
+	if err := alive.Publish(Change{"a", true}); err != nil {
 		t.Error(err)
 	}
-	if n, err := alive.Look(alive.apply); n != 0 || err != nil {
+	if n, err := alive.Sync(alive.apply); n != 0 || err != nil {
 		t.Errorf("%d beside, %v", n, err)
 	}
 }
 
-// One that does not carry out what it hears is not said to have: the caller learns it in time.
-func TestAStuckProcessIsTold(t *testing.T) {
+// Publish fails in time while another process does not apply the change; once that process can, it does.
+func TestPublishReportsProcessThatDoesNotAck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	stuck, other := join(t, path), join(t, path)
-	other.within = HeardWithin
+	other.ackTimeout = AckTimeout
 	stuck.mu.Lock()
 	stuck.refuses = true
 	stuck.mu.Unlock()
-	if err := other.Say(Change{"a", true}); err == nil {
-		t.Error("said to hold in both")
+	if err := other.Publish(Change{"a", true}); err == nil {
+		t.Error("published, though one process has not applied it")
 	}
 	testkit.Receive(t, "error", stuck.failed)
 	stuck.mu.Lock()
 	stuck.refuses = false
 	stuck.mu.Unlock()
-	testkit.WaitFor(t, "the change to hold", func() bool { return stuck.told() == "atrue" })
+	testkit.WaitFor(t, "the change to hold", func() bool { return stuck.describeState() == "atrue" })
 }
 
-// What can't be read changes nothing and is said.
-func TestSpoiltFile(t *testing.T) {
+// A state file that can't be read is reported, and changes nothing.
+func TestCorruptStateFileIsReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	p, _ := join(t, path), join(t, path)
-	if err := p.Say(Change{"a", true}); err != nil {
+	if err := p.Publish(Change{"a", true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.file(saidName), []byte(`{"version":9,"out":["`), 0o600); err != nil {
+	if err := os.WriteFile(p.file(stateFileName), []byte(`{"version":9,"out":["`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := testkit.Receive(t, "error", p.failed); !strings.Contains(err.Error(), saidName) {
+	if err := testkit.Receive(t, "error", p.failed); !strings.Contains(err.Error(), stateFileName) {
 		t.Errorf("%v does not name the file", err)
 	}
-	if err := p.Say(Change{"b", true}); err == nil {
+	if err := p.Publish(Change{"b", true}); err == nil {
 		t.Error("kept over a file that can't be read")
 	}
-	if p.told() != "" {
-		t.Errorf("it heard %q", p.told())
+	if p.describeState() != "" {
+		t.Errorf("it received %q", p.describeState())
 	}
 }
 
-// A directory that others can write to, or that is none, is not believed.
-func TestForeignDirectory(t *testing.T) {
+// A directory that other users can write to, or a path that is none, is refused.
+func TestDirectoryOfAnotherUserIsRejected(t *testing.T) {
 	open := filepath.Join(t.TempDir(), "open")
 	if err := os.Mkdir(open, 0o700); err != nil {
 		t.Fatal(err)
@@ -223,9 +223,9 @@
 	}
 }
 
-// A change that holds here, and could not be noted for others in a moment of trouble, is noted at the next look: whoever
-// said it waits for that.
-func TestANoteThatFailedIsWrittenAtTheNextLook(t *testing.T) {
+// A version that could not be written to the live file is written at the next sync: the process that published the change
+// waits for it.
+func TestFailedVersionWriteIsRetriedAtNextSync(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	one, err := Open(path)
 	if err != nil {
@@ -237,36 +237,36 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	if _, err := one.keep(Change{Server: "s", On: true}); err != nil {
+	if _, err := one.store(Change{Server: "s", On: true}); err != nil {
 		t.Fatal(err)
 	}
 	apply := func(Change) error { return nil }
-	live := other.live
-	if other.live, err = os.Open(live.Name() + liveEnding); err != nil { // for reading: a write fails
+	live := other.liveFile
+	if other.liveFile, err = os.Open(live.Name() + liveFileSuffix); err != nil { // for reading: a write fails
 		t.Fatal(err)
 	}
-	if _, err := other.Look(apply); err == nil {
-		t.Error("a note that could not be written is no error")
+	if _, err := other.Sync(apply); err == nil {
+		t.Error("a version that could not be written is no error")
 	}
-	other.live.Close()
-	other.live = live
-	if _, err := other.Look(apply); err != nil {
+	other.liveFile.Close()
+	other.liveFile = live
+	if _, err := other.Sync(apply); err != nil {
 		t.Fatal(err)
 	}
-	versions, err := one.others()
+	versions, err := one.otherVersions()
 	if err != nil || len(versions) != 1 || versions[0] != 1 {
-		t.Errorf("the others have noted %v, %v", versions, err)
+		t.Errorf("the other processes have published %v, %v", versions, err)
 	}
 }
 
-// A process that can't be looked at for want of a descriptor is not one that has ended.
-func TestAProcessThatCannotBeLookedAtIsAlive(t *testing.T) {
+// A process whose live file can't be opened for want of a descriptor is not taken for ended.
+func TestProcessWhoseLiveFileCannotBeOpenedCountsAsAlive(t *testing.T) {
 	d, err := Open(filepath.Join(t.TempDir(), "kept"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	name := d.live.Name() + liveEnding
+	name := d.liveFile.Name() + liveFileSuffix
 	var was unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
 		t.Fatal(err)
@@ -279,14 +279,14 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(next), Max: was.Max}); err != nil {
 		t.Fatal(err)
 	}
-	_, alive := version(name)
+	_, alive := readVersion(name)
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
 		t.Fatal(err)
 	}
 	if !alive {
 		t.Error("it counts as ended: this one would take its descriptors and its memory")
 	}
-	if _, alive := version(name + "not"); alive {
+	if _, alive := readVersion(name + "not"); alive {
 		t.Error("one without a file counts as alive")
 	}
 }
--- a/internal/host/handoff/golden_test.go
+++ b/internal/host/handoff/golden_test.go
@@ -8,11 +8,11 @@
 )
 
 // The file that the processes of an agent share.
-func TestSaidFileStaysAsEarlierBuildsWriteIt(t *testing.T) {
-	var s Said
+func TestStateFileStaysAsEarlierBuildsWriteIt(t *testing.T) {
+	var s OperatorState
 	golden.Fill(&s)
-	golden.Codec[Said]{Name: "said.json",
-		Encode: func(s Said) ([]byte, error) { return json.Marshal(s) },
+	golden.Codec[OperatorState]{Name: "said.json",
+		Encode: func(s OperatorState) ([]byte, error) { return json.Marshal(s) },
 		Decode: parse,
 	}.Check(t)
 }
--- a/internal/host/handoff/said_test.go
+++ b/internal/host/handoff/state_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever was said, in whatever order: what holds is the last word on each server and on the drain, a
-// process that carries out the difference comes to the same, and so does one that reads it from a file.
-func TestSaidIsTheLastWord(t *testing.T) {
+// After any changes the state has the last one for each endpoint and for draining; a process that applies the difference from an
+// earlier state comes to the same, and so does one that reads the state from a file.
+func TestLastChangeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		change := rapid.Custom(func(t *rapid.T) Change {
 			return Change{rapid.SampledFrom([]string{"", "a", "b", "c", "d/e"}).Draw(t, "server"), rapid.Bool().Draw(t, "on")}
 		})
 		changes := rapid.SliceOf(change).Draw(t, "changes")
 		behind := rapid.IntRange(0, len(changes)).Draw(t, "behind")
-		var now, late Said
+		var now, late OperatorState
 		last := map[string]bool{}
 		for i, c := range changes {
 			if i == behind {
 				late = now
 			}
-			next, err := now.With(c)
+			next, err := now.Apply(c)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -37,20 +37,20 @@
 			late = now
 		}
 		for _, id := range []string{"a", "b", "c", "d/e"} {
-			if slices.Contains(now.Out, id) != last[id] {
-				t.Fatalf("%s: %+v, said %v", id, now, changes)
+			if slices.Contains(now.Disabled, id) != last[id] {
+				t.Fatalf("%s: %+v after %v", id, now, changes)
 			}
 		}
-		if now.Drained != last[""] {
-			t.Fatalf("%+v, said %v", now, changes)
+		if now.Draining != last[""] {
+			t.Fatalf("%+v after %v", now, changes)
 		}
-		for _, c := range now.Since(late) {
+		for _, c := range now.ChangesSince(late) {
 			var err error
-			if late, err = late.With(c); err != nil {
+			if late, err = late.Apply(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if late.Drained != now.Drained || !slices.Equal(late.Out, now.Out) {
+		if late.Draining != now.Draining || !slices.Equal(late.Disabled, now.Disabled) {
 			t.Fatalf("%+v after the difference, not %+v", late, now)
 		}
 		text, err := json.Marshal(now)
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		read, err := parse(text)
-		if err != nil || read.Version != now.Version || read.Drained != now.Drained || !slices.Equal(read.Out, now.Out) {
+		if err != nil || read.Version != now.Version || read.Draining != now.Draining || !slices.Equal(read.Disabled, now.Disabled) {
 			t.Fatalf("read %+v, %v, wrote %+v", read, err, now)
 		}
 	})
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if same, err := parse(again); err != nil || !reflect.DeepEqual(s, same) && len(s.Out) > 0 {
+		if same, err := parse(again); err != nil || !reflect.DeepEqual(s, same) && len(s.Disabled) > 0 {
 			t.Errorf("%+v is read back as %+v, %v", s, same, err)
 		}
 	})
--- a/internal/host/snapshot/golden_test.go
+++ b/internal/host/snapshot/golden_test.go
@@ -11,7 +11,7 @@
 	golden.Codec[State]{Name: "last.state", Encode: func(s State) ([]byte, error) { return Encode(&s) }}.Check(t)
 	var want State
 	golden.Fill(&want)
-	got, err := Decode(golden.Read(t, "last.state"), Moment{Boot: want.Boot}, 1<<62)
+	got, err := Decode(golden.Read(t, "last.state"), Moment{BootID: want.BootID}, 1<<62)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -22,17 +22,17 @@
 
 // State is what is saved.
 type State struct {
-	Saved     int64                         `json:"saved_ms"`          // Unix time
-	Boot      string                        `json:"boot,omitempty"`    // of the machine: names the start that SinceBoot counts from
-	SinceBoot int64                         `json:"boot_ms,omitempty"` // ms, monotonic
-	Sources   map[string]*discovery.Members `json:"sources"`           // by the list's address
-	Instances map[string]*core.Memory       `json:"instances"`         // by name
+	SavedMS     int64                         `json:"saved_ms"`          // Unix time
+	BootID      string                        `json:"boot,omitempty"`    // of the machine: names the start that SinceBoot counts from
+	SinceBootMS int64                         `json:"boot_ms,omitempty"` // ms, monotonic
+	Sources     map[string]*discovery.Members `json:"sources"`           // by the list's address
+	Instances   map[string]*core.Memory       `json:"instances"`         // by name
 	// Peers is how the daemon stood in its fleet, for one that takes its place without a gap.
 	Peers []byte `json:"peers,omitempty"`
 }
 
-// AfterPause leaves out what holds only for a daemon that goes on at once where the last one stopped.
-func (s *State) AfterPause() {
+// DropTransient leaves out what holds only for a daemon that goes on at once where the last one stopped.
+func (s *State) DropTransient() {
 	for _, m := range s.Instances {
 		if m != nil {
 			m.Limit = 0
@@ -42,10 +42,10 @@
 
 // Why a saved state is not believed.
 var (
-	ErrForeign = errors.New("not a state of vetchhaven")
-	ErrVersion = errors.New("of a version that this program does not know")
-	ErrTorn    = errors.New("torn: its checksum does not fit")
-	ErrOld     = errors.New("too old")
+	ErrNotSnapshot = errors.New("not a state of vetchhaven")
+	ErrVersion     = errors.New("of a version that this program does not know")
+	ErrCorrupt     = errors.New("torn: its checksum does not fit")
+	ErrTooOld      = errors.New("too old")
 )
 
 const (
@@ -56,26 +56,26 @@
 // age is how long ago the state was saved. Within one boot of the machine it is exact. Of another boot, or where that is
 // not known, it is what the wall clock says, which may have been stepped by any span, and no less than this boot's.
 func (s *State) age(now Moment) time.Duration {
-	if now.Boot != "" && now.Boot == s.Boot {
-		return now.SinceBoot - time.Duration(s.SinceBoot)*time.Millisecond
+	if now.BootID != "" && now.BootID == s.BootID {
+		return now.SinceBoot - time.Duration(s.SinceBootMS)*time.Millisecond
 	}
-	age := now.Wall.Sub(time.UnixMilli(s.Saved))
-	if now.Boot != "" && s.Boot != "" {
+	age := now.Wall.Sub(time.UnixMilli(s.SavedMS))
+	if now.BootID != "" && s.BootID != "" {
 		age = max(age, now.SinceBoot)
 	}
 	return age
 }
 
-var table = crc64.MakeTable(crc64.ECMA)
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
 // Encode is the file's text: a line with name, version, checksum and length, then JSON.
-func Encode(s *State) ([]byte, error) {
-	body, err := json.Marshal(s)
+func Encode(state *State) ([]byte, error) {
+	body, err := json.Marshal(state)
 	if err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
-	fmt.Fprintf(&out, "%s %d %016x %d\n", magic, version, crc64.Checksum(body, table), len(body))
+	fmt.Fprintf(&out, "%s %d %016x %d\n", magic, version, crc64.Checksum(body, crcTable), len(body))
 	out.Write(body)
 	return out.Bytes(), nil
 }
@@ -83,44 +83,44 @@
 // Moment is a time as a machine has it.
 type Moment struct {
 	Wall      time.Time     // may be stepped
-	Boot      string        // names the machine's start; empty: it is not known
+	BootID    string        // names the machine's start; empty: it is not known
 	SinceBoot time.Duration // monotonic, suspended time included
 }
 
 // Decode reads what Encode wrote. It believes nothing that was saved more than most ago, or that
 // lies in the future by more than that.
-func Decode(data []byte, now Moment, most time.Duration) (*State, error) {
+func Decode(data []byte, now Moment, maxAge time.Duration) (*State, error) {
 	head, body, found := bytes.Cut(data, []byte{'\n'})
 	if !bytes.HasPrefix(head, []byte(magic+" ")) {
 		if len(data) < len(magic)+1 && bytes.HasPrefix([]byte(magic+" "), data) {
-			return nil, ErrTorn
+			return nil, ErrCorrupt
 		}
-		return nil, ErrForeign
+		return nil, ErrNotSnapshot
 	}
-	var v, length int
+	var fileVersion, length int
 	var sum uint64
-	n, err := fmt.Sscanf(string(head[len(magic):]), " %d %x %d", &v, &sum, &length)
+	n, err := fmt.Sscanf(string(head[len(magic):]), " %d %x %d", &fileVersion, &sum, &length)
 	switch {
-	case n >= 1 && v != version && (found || n > 1):
-		return nil, fmt.Errorf("%w: %d, known is %d", ErrVersion, v, version)
-	case err != nil || !found || length != len(body) || sum != crc64.Checksum(body, table):
-		return nil, ErrTorn
+	case n >= 1 && fileVersion != version && (found || n > 1):
+		return nil, fmt.Errorf("%w: %d, known is %d", ErrVersion, fileVersion, version)
+	case err != nil || !found || length != len(body) || sum != crc64.Checksum(body, crcTable):
+		return nil, ErrCorrupt
 	}
-	s := &State{}
-	if err := json.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrTorn, err)
+	state := &State{}
+	if err := json.Unmarshal(body, state); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if age := s.age(now); age > most || age < -most {
-		return nil, fmt.Errorf("%w: saved %v ago, at most %v are believed", ErrOld, age.Round(time.Second), most)
+	if age := state.age(now); age > maxAge || age < -maxAge {
+		return nil, fmt.Errorf("%w: saved %v ago, at most %v are believed", ErrTooOld, age.Round(time.Second), maxAge)
 	}
-	for addr, m := range s.Sources {
+	for addr, m := range state.Sources {
 		if m == nil {
-			delete(s.Sources, addr)
+			delete(state.Sources, addr)
 			continue
 		}
 		// It holds until the list itself is heard. Its version is another's to count from: the whole
 		// list is asked for.
 		m.Full, m.Version = true, 0
 	}
-	return s, nil
+	return state, nil
 }
--- a/internal/host/snapshot/snapshot_test.go
+++ b/internal/host/snapshot/snapshot_test.go
@@ -13,7 +13,7 @@
 var now = time.UnixMilli(1_800_000_000_000)
 
 func sample() *State {
-	return &State{Saved: now.UnixMilli(),
+	return &State{SavedMS: now.UnixMilli(),
 		Sources:   map[string]*discovery.Members{"127.0.0.1:8500": {Version: 41, Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:5000", State: "draining"}}}},
 		Instances: map[string]*core.Memory{"a": {Classes: map[string]core.ClassMemory{"get": {Latency: 1e6}}}}}
 }
@@ -54,7 +54,7 @@
 			t.Fatalf("byte %d changed: believed", n)
 		}
 	}
-	if _, err := Decode(append(bytes.Clone(whole), 'x'), Moment{Wall: now}, time.Hour); !errors.Is(err, ErrTorn) {
+	if _, err := Decode(append(bytes.Clone(whole), 'x'), Moment{Wall: now}, time.Hour); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("with more behind: %v", err)
 	}
 }
@@ -67,12 +67,12 @@
 		at   time.Time
 		want error
 	}{
-		{"empty", nil, now, ErrTorn},
-		{"foreign", []byte("{\"version\":1}\n"), now, ErrForeign},
+		{"empty", nil, now, ErrCorrupt},
+		{"foreign", []byte("{\"version\":1}\n"), now, ErrNotSnapshot},
 		{"another version", bytes.Replace(whole, []byte(" 1 "), []byte(" 2 "), 1), now, ErrVersion},
-		{"cut short", whole[:len(whole)/2], now, ErrTorn},
-		{"old", whole, now.Add(time.Hour + time.Second), ErrOld},
-		{"from the future", whole, now.Add(-time.Hour - time.Second), ErrOld},
+		{"cut short", whole[:len(whole)/2], now, ErrCorrupt},
+		{"old", whole, now.Add(time.Hour + time.Second), ErrTooOld},
+		{"from the future", whole, now.Add(-time.Hour - time.Second), ErrTooOld},
 		{"just not old", whole, now.Add(time.Hour), nil},
 	} {
 		if _, err := Decode(tt.data, Moment{Wall: tt.at}, time.Hour); !errors.Is(err, tt.want) {
@@ -96,7 +96,7 @@
 // makes an old one fresh. That of another boot is a hint, and no less than the time since this boot.
 func TestASnapshotsAgeOutlastsAClockStep(t *testing.T) {
 	s := sample()
-	s.Boot, s.SinceBoot = "boot-1", (10 * time.Hour).Milliseconds()
+	s.BootID, s.SinceBootMS = "boot-1", (10 * time.Hour).Milliseconds()
 	data, err := Encode(s)
 	if err != nil {
 		t.Fatal(err)
@@ -108,10 +108,10 @@
 	}{
 		"a minute later, clock a day ahead":            {Moment{now.Add(24 * time.Hour), "boot-1", 10*time.Hour + time.Minute}, nil},
 		"a minute later, clock a day behind":           {Moment{now.Add(-24 * time.Hour), "boot-1", 10*time.Hour + time.Minute}, nil},
-		"two hours later, clock stepped back as much":  {Moment{now, "boot-1", 12 * time.Hour}, ErrOld},
+		"two hours later, clock stepped back as much":  {Moment{now, "boot-1", 12 * time.Hour}, ErrTooOld},
 		"another boot, a minute ago by the clock":      {Moment{now.Add(time.Minute), "boot-2", time.Minute}, nil},
-		"another boot, up for longer than is believed": {Moment{now, "boot-2", 2 * time.Hour}, ErrOld},
-		"another boot, a day ago by the clock":         {Moment{now.Add(24 * time.Hour), "boot-2", time.Minute}, ErrOld},
+		"another boot, up for longer than is believed": {Moment{now, "boot-2", 2 * time.Hour}, ErrTooOld},
+		"another boot, a day ago by the clock":         {Moment{now.Add(24 * time.Hour), "boot-2", time.Minute}, ErrTooOld},
 		"the boot is not known, a minute ago":          {Moment{Wall: now.Add(time.Minute)}, nil},
 	} {
 		if _, err := Decode(data, tt.at, most); !errors.Is(err, tt.want) {
