--- a/internal/host/metrics/metrics.go
+++ b/internal/host/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics shows what agents count, in the text format of Prometheus.
+// Package metrics exposes the counters of agents in the text format of Prometheus. It keeps no state: each scrape asks the agents.
 package metrics
 
 import (
@@ -10,24 +10,24 @@
 	"vetchhaven/internal/core"
 )
 
-// Agent is what is shown of one agent.
+// Agent is one agent's counters at the moment of a scrape.
 type Agent struct {
 	Name     string
 	Totals   core.Totals
 	Counters core.Counters
 }
 
-// collector asks for agents at each scrape.
+// collector is a prometheus.Collector that asks for the agents at each scrape.
 type collector struct{ agents func() []Agent }
 
-// Handler shows what agents returns. That is called at each scrape, by any goroutine.
+// Handler serves the counters of the agents that the function returns. It is called at each scrape, from any goroutine.
 func Handler(agents func() []Agent) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{agents})
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Describe tells nothing: which cases there are, the agents say.
+// Describe sends nothing: which labels there are is known at a scrape only, so the collector is an unchecked one.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 func counter(name, help string, labels ...string) *prometheus.Desc {
@@ -35,20 +35,20 @@
 }
 
 var (
-	requests     = counter("requests_total", "Requests that clients gave to the agent.")
+	requests     = counter("requests_total", "Requests admitted to the agent's loop.")
 	answers      = counter("answers_total", "Final answers, and requests whose clients disconnected.", "kind")
-	late         = counter("late_answers_total", "Requests that the loop answered at the deadline, as the module had not.")
-	attempts     = counter("attempts_total", "Attempts that were begun.")
-	retries      = counter("retries_total", "Attempts after a request's first.")
-	results      = counter("attempt_results_total", "Ends of attempts.", "result")
-	endings      = counter("unserved_total", "Requests refused or failed by the module, by its reason.", "reason")
-	sendRefusals = counter("send_refusals_total", "Writes to servers that a send guard did not admit.", "reason")
-	closes       = counter("client_closes_total", "Clients' connections that were asked to end.", "reason")
-	violations   = counter("invariant_violations_total", "Violations of invariants. Each is a fault of the program.", "invariant")
-	open         = prometheus.NewDesc("vetchhaven_open_requests", "Requests that have no final answer yet.", []string{"agent"}, nil)
+	late         = counter("late_answers_total", "Requests that the loop answered at their deadline, since the decision module had not.")
+	attempts     = counter("attempts_total", "Attempts started.")
+	retries      = counter("retries_total", "Attempts after a request's first one.")
+	results      = counter("attempt_results_total", "Attempts ended, by result.", "result")
+	endings      = counter("unserved_total", "Requests that the decision module shed or failed, by reason.", "reason")
+	sendRefusals = counter("send_refusals_total", "Writes to endpoints that the send guard refused, by reason.", "reason")
+	closes       = counter("client_closes_total", "Client connections asked to close, by reason.", "reason")
+	violations   = counter("invariant_violations_total", "Violations of invariants, each a fault of the program.", "invariant")
+	open         = prometheus.NewDesc("vetchhaven_open_requests", "Requests without a final answer so far.", []string{"agent"}, nil)
 )
 
-// Collect tells what all agents have counted.
+// Collect sends the counters of all agents.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	for _, a := range c.agents() {
 		put := func(d *prometheus.Desc, n int64, labels ...string) {
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -1,11 +1,11 @@
-// Package snapshot is what a daemon leaves for the one that starts after it, and what that one may
-// believe of it. It is free of I/O; the file's form is here, the file is not.
+// Package snapshot encodes the state that a daemon saves for the one that starts after it (the file last.state), and decides what
+// of it that one may use. It does no I/O: internal/host/daemon reads and writes the file.
 //
-// What may be restored: the last good list, which holds until the list service is heard, and how
-// long things take. What must not: retry tokens, budgets for cold servers, strikes and ejections. They
-// allowed or forbade something at that moment; restored, each could break a rule (a cold budget spent
-// before would be spent again) or keep a healed server out. The limit on what is in flight goes over in a
-// handover, where the same clients are served on at once, and not after a pause of unknown length.
+// Restored are the last good endpoint lists, which hold until the list service has been read, and the measured durations. Not
+// saved are retry tokens, slow-start budgets, failure counts and ejections: they allowed or forbade something at a moment that is
+// over, and each could break a rule when restored (a slow-start budget that was spent would be spent again) or keep a recovered
+// endpoint out. The limit on requests in flight passes only to a successor that serves the same clients at once, see
+// State.DropTransient.
 package snapshot
 
 import (
@@ -20,18 +20,18 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// State is what is saved.
+// State is the content of the file.
 type State struct {
 	SavedMS     int64                         `json:"saved_ms"`          // Unix time
-	BootID      string                        `json:"boot,omitempty"`    // of the machine: names the start that SinceBoot counts from
+	BootID      string                        `json:"boot,omitempty"`    // of the machine: the boot that SinceBootMS counts from
 	SinceBootMS int64                         `json:"boot_ms,omitempty"` // ms, monotonic
 	Sources     map[string]*discovery.Members `json:"sources"`           // by the list's address
 	Instances   map[string]*core.Memory       `json:"instances"`         // by name
-	// Peers is how the daemon stood in its fleet, for one that takes its place without a gap.
+	// Peers is the daemon's membership state (transport.EncodeSaved), for a successor that takes over without a gap.
 	Peers []byte `json:"peers,omitempty"`
 }
 
-// DropTransient leaves out what holds only for a daemon that goes on at once where the last one stopped.
+// DropTransient removes what holds only for a successor that takes over without a pause: the limits on requests in flight.
 func (s *State) DropTransient() {
 	for _, m := range s.Instances {
 		if m != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Why a saved state is not believed.
+// Reasons for which Decode rejects a file.
 var (
 	ErrNotSnapshot = errors.New("not a state of vetchhaven")
 	ErrVersion     = errors.New("of a version that this program does not know")
@@ -53,8 +53,8 @@
 	version = 1
 )
 
-// age is how long ago the state was saved. Within one boot of the machine it is exact. Of another boot, or where that is
-// not known, it is what the wall clock says, which may have been stepped by any span, and no less than this boot's.
+// age is the time since the state was saved. Within one boot of the machine it is exact. Across boots, or where the boot is not
+// known, it is taken from the wall clock, which may have been stepped by any span, and is at least the time since this boot.
 func (s *State) age(now Moment) time.Duration {
 	if now.BootID != "" && now.BootID == s.BootID {
 		return now.SinceBoot - time.Duration(s.SinceBootMS)*time.Millisecond
@@ -68,7 +68,7 @@
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// Encode is the file's text: a line with name, version, checksum and length, then JSON.
+// Encode returns the file's content: a line with name, version, CRC-64 and length of the body, then the body as JSON.
 func Encode(state *State) ([]byte, error) {
 	body, err := json.Marshal(state)
 	if err != nil {
@@ -80,20 +80,48 @@
 	return out.Bytes(), nil
 }
 
-// Moment is a time as a machine has it.
+// Moment is the present time as the machine has it.
 type Moment struct {
 	Wall      time.Time     // may be stepped
 	BootID    string        // names the machine's start; empty: it is not known
 	SinceBoot time.Duration // monotonic, suspended time included
 }
 
-// Decode reads what Encode wrote. It believes nothing that was saved more than most ago, or that
-// lies in the future by more than that.
+// Decode reads a file, and refuses one whose age is over maxAge, or that lies further than maxAge in the future. The error wraps
+// ErrNotSnapshot, ErrVersion, ErrCorrupt or ErrTooOld.
 func Decode(data []byte, now Moment, maxAge time.Duration) (*State, error) {
+	body, err := openEnvelope(data)
+	if err != nil {
+		return nil, err
+	}
+	state := &State{}
+	if err := json.Unmarshal(body, state); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+	}
+	if age := state.age(now); age > maxAge || age < -maxAge {
+		return nil, fmt.Errorf("%w: saved %v ago, at most %v are believed", ErrTooOld, age.Round(time.Second), maxAge)
+	}
+	state.restoreLists()
+	return state, nil
+}
+
+// restoreLists makes the saved lists hold until each list itself is read: version 0 has the complete list asked for.
+func (s *State) restoreLists() {
+	for addr, list := range s.Sources {
+		if list == nil {
+			delete(s.Sources, addr)
+			continue
+		}
+		list.Full, list.Version = true, 0
+	}
+}
+
+// openEnvelope checks the first line of a file, and returns its body.
+func openEnvelope(data []byte) ([]byte, error) {
 	head, body, found := bytes.Cut(data, []byte{'\n'})
 	if !bytes.HasPrefix(head, []byte(magic+" ")) {
-		if len(data) < len(magic)+1 && bytes.HasPrefix([]byte(magic+" "), data) {
-			return nil, ErrCorrupt
+		if len(data) <= len(magic) && bytes.HasPrefix([]byte(magic+" "), data) {
+			return nil, ErrCorrupt // cut off within the name
 		}
 		return nil, ErrNotSnapshot
 	}
@@ -106,21 +134,5 @@
 	case err != nil || !found || length != len(body) || sum != crc64.Checksum(body, crcTable):
 		return nil, ErrCorrupt
 	}
-	state := &State{}
-	if err := json.Unmarshal(body, state); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
-	}
-	if age := state.age(now); age > maxAge || age < -maxAge {
-		return nil, fmt.Errorf("%w: saved %v ago, at most %v are believed", ErrTooOld, age.Round(time.Second), maxAge)
-	}
-	for addr, m := range state.Sources {
-		if m == nil {
-			delete(state.Sources, addr)
-			continue
-		}
-		// It holds until the list itself is heard. Its version is another's to count from: the whole
-		// list is asked for.
-		m.Full, m.Version = true, 0
-	}
-	return state, nil
+	return body, nil
 }
