--- /dev/null
+++ b/decide/golden_test.go
@@ -0,0 +1,25 @@
+package decide
+
+import (
+	"testing"
+	"time"
+
+	"vetchhaven/internal/testkit/golden"
+)
+
+// A message to peers is written and read as earlier builds do.
+func TestPeerMessageStaysAsEarlierBuildsWriteIt(t *testing.T) {
+	const now, unit = time.Hour, time.Second
+	m := tidings{demand: 12.5, delay: 0.25}
+	for i := range 60 {
+		m.notes = append(m.notes, note{keyOf("10.18.74.7:" + string(rune('0'+i))), byte(i * 4), now - time.Duration(60-i)*30*time.Millisecond})
+	}
+	m.notes = append(m.notes, note{keyOf("failed"), noteFailed, now - unit}, note{keyOf("late"), noteLate, now - unit/2})
+	data := m.encode(now, unit)
+	golden.Check(t, "message.bin", data)
+	read, ok := decode(data, now, unit)
+	if !ok {
+		t.Fatal("it is not read")
+	}
+	golden.Check(t, "message.values", golden.Values(read))
+}
