--- a/internal/faulttest/hollow/verdicts.go
+++ b/internal/faulttest/hollow/verdicts.go
@@ -7,7 +7,7 @@
 
 	"vetchhaven/internal/faulttest/topology"
 	"vetchhaven/internal/peer/ejection"
-	"vetchhaven/internal/peer/ejection/play"
+	"vetchhaven/internal/peer/ejection/ejectionsim"
 	"vetchhaven/internal/peer/transport"
 )
 
@@ -23,7 +23,7 @@
 	Marks   []time.Duration
 	Length  time.Duration
 	Failing []Failing
-	Drains  []play.Drain
+	Drains  []ejectionsim.Drain
 }
 
 // Failing is servers that fail a share of their requests for a while.
@@ -37,7 +37,7 @@
 const batch = 50 * time.Millisecond
 
 // Play plays it.
-func (v *Verdicts) Play() ([]Phase, *play.Result, error) {
+func (v *Verdicts) Play() ([]Phase, *ejectionsim.Result, error) {
 	n := len(v.Graph.Of)
 	m := newMeter(n, v.Marks)
 	wire := transport.Wire{Fleet: cmp.Or(v.Fleet, Fleet)}
@@ -48,7 +48,7 @@
 		}
 	}
 	servers := make([][]int, len(v.Graph.Services)) // shared by the agents of a service
-	o := play.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Length: v.Length, Share: true, Own: true, Error: v.Error, Batch: batch,
+	o := ejectionsim.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Length: v.Length, Share: true, Own: true, Error: v.Error, Batch: batch,
 		Sent: m.sent, Took: m.took, Size: func(from string, x *ejection.Message) int { return size(wire, from, x) },
 		Calls: func(agent int) []int {
 			k := v.Graph.Of[agent]
@@ -72,7 +72,7 @@
 	if l := v.Layout; l != nil {
 		o.Place = func(n int) (string, string) { return l.RegionName(n), l.ZoneName(n) }
 	}
-	r, err := play.Play(o)
+	r, err := ejectionsim.Play(o)
 	if err != nil {
 		return nil, nil, fmt.Errorf("play the verdicts of %d members: %w", n, err)
 	}
--- a/internal/peer/ejection/play/play.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim.go
@@ -1,7 +1,7 @@
-// Package play plays members that share evidence about servers, in virtual time: servers that fail, agents whose links
+// Package ejectionsim plays members that share evidence about servers, in virtual time: servers that fail, agents whose links
 // to servers or to one another are broken, and lists that are late. Each agent picks among the servers that it does not
 // keep off by itself or by verdict. The truth is known, so that what was spoilt, and who was wrongly out, is counted.
-package play
+package ejectionsim
 
 import (
 	"fmt"
--- a/internal/peer/ejection/play/play_test.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim_test.go
@@ -1,4 +1,4 @@
-package play
+package ejectionsim
 
 import (
 	"slices"
--- a/internal/peer/lease/play/play.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -1,8 +1,8 @@
-// Package play plays keepers and holders of shared limits in virtual time, among links that break, delay and double,
+// Package leasesim plays keepers and holders of shared limits in virtual time, among links that break, delay and double,
 // processes that pause, crash and start again without memory, and clocks that go at different rates; and beside them
 // other ways of sharing a limit, for comparison. The truth is counted outside of all of them: what is in flight, and
 // what has begun within a second, by true time.
-package play
+package leasesim
 
 import (
 	"cmp"
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/faulttest/hollow"
-	verdicts "vetchhaven/internal/peer/ejection/play"
-	"vetchhaven/internal/peer/lease/play"
+	verdicts "vetchhaven/internal/peer/ejection/ejectionsim"
+	"vetchhaven/internal/peer/lease/leasesim"
 	"vetchhaven/tools/capacity/slopes"
 	"vetchhaven/tools/internal/bench"
 )
@@ -238,7 +238,7 @@
 
 func limitsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	return limitsTable(sizes, f, "worst", "zone_back", "a zone of 15 starts at once; the 6 s from then", "limits --part worst", func(l *hollow.Limits) {
-		l.Down = []play.Down{{Members: l.Layout.InZone(zones), Start: 3 * time.Second, End: 8 * time.Second}}
+		l.Down = []leasesim.Down{{Members: l.Layout.InZone(zones), Start: 3 * time.Second, End: 8 * time.Second}}
 	})
 }
 
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -25,7 +25,7 @@
 	"vetchhaven/internal/faulttest/harness"
 	"vetchhaven/internal/faulttest/plan"
 	"vetchhaven/internal/peer/lease"
-	"vetchhaven/internal/peer/lease/play"
+	"vetchhaven/internal/peer/lease/leasesim"
 	"vetchhaven/tools/internal/bench"
 )
 
@@ -54,33 +54,33 @@
 func ways() error {
 	cases := []struct {
 		name string
-		o    play.Options
+		o    leasesim.Options
 	}{
-		{"whole, twice the figure wanted", play.Options{Demand: even(24)}},
-		{"whole, four fifths wanted", play.Options{Demand: even(9.6)}},
-		{"whole, one wants ten times the rest", play.Options{Demand: uneven}},
-		{"one agent cut off", play.Options{Demand: even(24), Cut: []int{9}, Cut0: 15 * time.Second, Cut1: time.Hour}},
-		{"halves", play.Options{Demand: even(24), Cut: []int{5, 6, 7, 8, 9}, Cut0: 15 * time.Second, Cut1: time.Hour}},
-		{"the first member dead", play.Options{Demand: func(n int, _ time.Duration) float64 {
+		{"whole, twice the figure wanted", leasesim.Options{Demand: even(24)}},
+		{"whole, four fifths wanted", leasesim.Options{Demand: even(9.6)}},
+		{"whole, one wants ten times the rest", leasesim.Options{Demand: uneven}},
+		{"one agent cut off", leasesim.Options{Demand: even(24), Cut: []int{9}, Cut0: 15 * time.Second, Cut1: time.Hour}},
+		{"halves", leasesim.Options{Demand: even(24), Cut: []int{5, 6, 7, 8, 9}, Cut0: 15 * time.Second, Cut1: time.Hour}},
+		{"the first member dead", leasesim.Options{Demand: func(n int, _ time.Duration) float64 {
 			if n == 0 {
 				return 0
 			}
 			return 26
 		}, Cut: []int{0}, Cut0: 5 * time.Second, Cut1: time.Hour}},
-		{"crashes, pauses, lost and late messages", play.Options{Demand: even(24), Faults: true, Rates: lease.DefaultClockDrift}},
+		{"crashes, pauses, lost and late messages", leasesim.Options{Demand: even(24), Faults: true, Rates: lease.DefaultClockDrift}},
 	}
 	bench.Head("of 120 a second", "way", "used", "most in any second", "over in so many begins")
 	type key struct{ c, w int }
-	got := map[key]*play.Result{}
+	got := map[key]*leasesim.Result{}
 	var mu sync.Mutex
-	err := bench.Each(len(cases)*(int(play.Ways)+1), runtime.NumCPU(), func(i int) error {
-		c, w := i/(int(play.Ways)+1), i%(int(play.Ways)+1)
+	err := bench.Each(len(cases)*(int(leasesim.Ways)+1), runtime.NumCPU(), func(i int) error {
+		c, w := i/(int(leasesim.Ways)+1), i%(int(leasesim.Ways)+1)
 		o := cases[c].o
 		o.Seed, o.Holders, o.Keepers, o.Figure, o.Counts, o.Length, o.From = 1, 10, 3, 120, quota.Requests, 60*time.Second, 20*time.Second
-		if o.Way = play.Way(w); w == int(play.Ways) {
-			o.Way, o.Soft = play.Keepers, true
+		if o.Way = leasesim.Way(w); w == int(leasesim.Ways) {
+			o.Way, o.Soft = leasesim.Keepers, true
 		}
-		r, err := play.Play(o)
+		r, err := leasesim.Play(o)
 		mu.Lock()
 		got[key{c, w}] = r
 		mu.Unlock()
@@ -90,9 +90,9 @@
 		return err
 	}
 	for c := range cases {
-		for w := range int(play.Ways) + 1 {
-			r, name := got[key{c, w}], play.Way(min(w, int(play.Ways)-1)).String()
-			if w == int(play.Ways) {
+		for w := range int(leasesim.Ways) + 1 {
+			r, name := got[key{c, w}], leasesim.Way(min(w, int(leasesim.Ways)-1)).String()
+			if w == int(leasesim.Ways) {
 				name = fmt.Sprintf("keepers, soft (bound %d)", r.Bound)
 			}
 			bench.Row(cases[c].name, name, fmt.Sprintf("%.2f", r.Served), r.Most, r.Over)
@@ -112,7 +112,7 @@
 	var mu sync.Mutex
 	err := bench.Each(n, runtime.NumCPU(), func(i int) error {
 		rng := rand.New(rand.NewPCG(uint64(i), 71))
-		o := play.Options{Seed: uint64(i), Holders: 10 + int(290*rng.Float64()*rng.Float64()), Keepers: 1 + rng.IntN(5), Counts: []quota.Kind{quota.InFlight, quota.Requests}[i%2], Soft: i%4 >= 2,
+		o := leasesim.Options{Seed: uint64(i), Holders: 10 + int(290*rng.Float64()*rng.Float64()), Keepers: 1 + rng.IntN(5), Counts: []quota.Kind{quota.InFlight, quota.Requests}[i%2], Soft: i%4 >= 2,
 			Lasts: time.Duration(20+rng.IntN(300)) * time.Millisecond, Length: 40 * time.Second, Faults: true, Rates: lease.DefaultClockDrift, From: 10 * time.Second,
 			Every: []time.Duration{700 * time.Millisecond, 3 * time.Second, 10 * time.Second}[rng.IntN(3)]}
 		o.Figure = 10 + rng.IntN(300)
@@ -137,7 +137,7 @@
 			o.Cut0 = time.Duration(10+rng.IntN(10)) * time.Second
 			o.Cut1 = o.Cut0 + time.Duration(rng.IntN(20))*time.Second
 		}
-		r, err := play.Play(o)
+		r, err := leasesim.Play(o)
 		if err != nil {
 			return err
 		}
@@ -187,7 +187,7 @@
 			figure := 10 * n
 			begin := time.Now()
 			length := 20 * time.Second
-			r, err := play.Play(play.Options{Seed: 1, Holders: n, Keepers: 3, Figure: figure, Counts: quota.Requests, Length: length, Demand: even(10 * of)})
+			r, err := leasesim.Play(leasesim.Options{Seed: 1, Holders: n, Keepers: 3, Figure: figure, Counts: quota.Requests, Length: length, Demand: even(10 * of)})
 			if err != nil {
 				return err
 			}
--- a/tools/verdicts/found.go
+++ b/tools/verdicts/found.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"vetchhaven/internal/peer/ejection/play"
+	"vetchhaven/internal/peer/ejection/ejectionsim"
 	"vetchhaven/tools/internal/bench"
 )
 
@@ -26,7 +26,7 @@
 			if c.lost > 0 {
 				late = 20 * time.Millisecond
 			}
-			r, err := play.Play(play.Options{Seed: 100 + uint64(seed), Agents: agents, Servers: servers, Rate: 10, Error: 0.005, Own: true, Share: true, Length: length, Mute: c.mute,
+			r, err := ejectionsim.Play(ejectionsim.Options{Seed: 100 + uint64(seed), Agents: agents, Servers: servers, Rate: 10, Error: 0.005, Own: true, Share: true, Length: length, Mute: c.mute,
 				Fails: func(s int, now time.Duration) float64 {
 					if s == 3 && now >= begins && now < ends {
 						return c.share
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/peer/ejection/play"
+	"vetchhaven/internal/peer/ejection/ejectionsim"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
@@ -242,20 +242,20 @@
 // links plays days in which links break and no server fails: any verdict is a wrong one.
 func links(days int) error {
 	type got struct {
-		r    *play.Result
+		r    *ejectionsim.Result
 		name string
 	}
 	var jobs []func() (got, error)
 	for d := range days {
 		jobs = append(jobs, func() (got, error) {
-			o := play.BrokenLinks(uint64(d))
+			o := ejectionsim.BrokenLinks(uint64(d))
 			o.Say = func(now time.Duration, a int, text string) {
 				if why != nil && strings.Contains(text, " is out: ") {
 					lost, late := o.Peers(0, a, now)
 					why(fmt.Sprintf("day %d, %v, member %d of %d: %s (%.0f%% lost, %v late)", d, now.Round(time.Millisecond), a, o.Agents, text, 100*lost, late))
 				}
 			}
-			r, err := play.Play(o)
+			r, err := ejectionsim.Play(o)
 			return got{r, fmt.Sprintf("%v a second", o.Rate)}, err
 		})
 	}
@@ -292,7 +292,7 @@
 		for _, failing := range []bool{false, true} {
 			length := 30 * time.Second
 			begin := time.Now()
-			o := play.Options{Seed: 1, Agents: agents, Servers: 50, Rate: 1, Length: length, Share: true, Own: true, Error: 0.001,
+			o := ejectionsim.Options{Seed: 1, Agents: agents, Servers: 50, Rate: 1, Length: length, Share: true, Own: true, Error: 0.001,
 				Fails: func(s int, now time.Duration) float64 {
 					if failing && s == 3 && now > 5*time.Second {
 						return 1
@@ -301,7 +301,7 @@
 				},
 				Link:  func(int, int, time.Duration) float64 { return 0 },
 				Peers: func(int, int, time.Duration) (float64, time.Duration) { return 0, time.Millisecond }}
-			r, err := play.Play(o)
+			r, err := ejectionsim.Play(o)
 			if err != nil {
 				return err
 			}
