--- a/internal/faulttest/hollow/verdicts.go
+++ b/internal/faulttest/hollow/verdicts.go
@@ -48,17 +48,17 @@
 		}
 	}
 	servers := make([][]int, len(v.Graph.Services)) // shared by the agents of a service
-	o := ejectionsim.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Length: v.Length, Share: true, Own: true, Error: v.Error, Batch: batch,
-		Sent: m.sent, Took: m.took, Size: func(from string, x *ejection.Message) int { return size(wire, from, x) },
-		Calls: func(agent int) []int {
+	o := ejectionsim.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Duration: v.Length, ShareEvidence: true, LocalEjection: true, ErrorRate: v.Error, SampleInterval: batch,
+		OnSent: m.sent, OnReceived: m.took, MessageSize: func(from string, x *ejection.Message) int { return size(wire, from, x) },
+		ServersOf: func(agent int) []int {
 			k := v.Graph.Of[agent]
 			if servers[k] == nil {
 				servers[k] = append([]int{}, v.Graph.Servers(agent)...)
 			}
 			return servers[k]
 		},
-		List: func(server int) string { return fmt.Sprint("svc", v.Graph.Of[server]) },
-		Fails: func(server int, now time.Duration) float64 {
+		ListOf: func(server int) string { return fmt.Sprint("svc", v.Graph.Of[server]) },
+		FailureShare: func(server int, now time.Duration) float64 {
 			for _, f := range failing[server] {
 				if now >= f.Start && now < f.End {
 					return f.Share
@@ -66,13 +66,13 @@
 			}
 			return 0
 		},
-		Link:   func(int, int, time.Duration) float64 { return 0 },
-		Peers:  path(v.Layout),
-		Drains: v.Drains}
+		LinkLoss: func(int, int, time.Duration) float64 { return 0 },
+		PeerPath: path(v.Layout),
+		Drains:   v.Drains}
 	if l := v.Layout; l != nil {
-		o.Place = func(n int) (string, string) { return l.RegionName(n), l.ZoneName(n) }
+		o.LocalityOf = func(n int) (string, string) { return l.RegionName(n), l.ZoneName(n) }
 	}
-	r, err := ejectionsim.Play(o)
+	r, err := ejectionsim.Run(o)
 	if err != nil {
 		return nil, nil, fmt.Errorf("play the verdicts of %d members: %w", n, err)
 	}
--- a/internal/peer/ejection/ejectionsim/ejectionsim.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim.go
@@ -1,6 +1,10 @@
-// Package ejectionsim plays members that share evidence about servers, in virtual time: servers that fail, agents whose links
-// to servers or to one another are broken, and lists that are late. Each agent picks among the servers that it does not
-// keep off by itself or by verdict. The truth is known, so that what was spoilt, and who was wrongly out, is counted.
+// Package ejectionsim simulates members that agree on outlier ejection, in virtual time: servers that fail, links between
+// agents and servers or among members that lose messages, and endpoint lists that arrive late. Each agent sends its
+// requests to the servers that neither it nor its member has ejected. The simulation knows the truth, and counts requests
+// that a faulty server failed and ejections of servers that were well.
+//
+// Run is a function of its Options: the same seed gives the same result. Simulations share nothing, and may run in
+// parallel. Tests, tools/verdicts, tools/capacity and the simulation of lightweight members use it.
 package ejectionsim
 
 import (
@@ -8,7 +12,6 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"strconv"
 	"strings"
 	"time"
 
@@ -16,430 +19,281 @@
 	"vetchhaven/internal/peer/ejection"
 )
 
-// Options say what to play.
+// Options configure a simulation. Functions are called with virtual time since its start.
 type Options struct {
-	Seed    uint64
-	Agents  int
-	Servers int
-	Rate    float64 // requests a second of each agent
-	Length  time.Duration
-	Share   bool // members share evidence; else each is alone
-	Error   float64
-	// Fails is the share of an agent's requests that a server fails at a time, by its own fault.
-	Fails func(server int, now time.Duration) float64
-	// Link is the share that the link between them loses, which is nobody else's.
-	Link func(agent, server int, now time.Duration) float64
-	// Peers is the share of messages between two members that is lost, and how late the rest is.
-	Peers func(from, to int, now time.Duration) (lost float64, late time.Duration)
-	Say   func(now time.Duration, agent int, text string) // nil: nobody
-	Mute  bool                                            // servers that fail say nothing
-	Own   bool                                            // each keeps off by itself what failed lately
-	// Calls are the servers that an agent sends to; nil: all, empty: it sends nothing.
-	Calls func(agent int) []int
-	// List is in which list a server stands; an agent reads those of the servers that it sends to. nil: one list, which
-	// all read.
-	List func(server int) string
-	// Place is where an agent, and the server of its number, stands. nil: all in one place, with servers in three zones.
-	Place func(n int) (region, zone string)
-	// First reports whether an agent's version speaks the first form of messages, and tells nothing of its lists. nil: none.
-	First func(agent int) bool
-	// Batch is how often an agent tells its member what it saw; 0: each request by itself. With it requests are drawn so many
-	// at a time, which is much faster at high rates.
-	Batch time.Duration
-	// Size is what a message takes on the wire; nil: about so much.
-	Size func(from string, m *ejection.Message) int
-	// Sent hears of each message, and Took of each that arrives. nil: nobody.
-	Sent, Took func(now time.Duration, member, bytes int)
-	// Drains are servers whose lists say that they drain: each member's within a second, and that they are gone ten later.
+	Seed     uint64
+	Agents   int
+	Servers  int
+	Rate     float64 // requests a second of each agent
+	Duration time.Duration
+	// ErrorRate is the share of all requests that fails by chance, at any server.
+	ErrorRate float64
+	// ShareEvidence has members exchange evidence; else each agent is by itself.
+	ShareEvidence bool
+	// LocalEjection has each agent eject by itself a server that failed it, for longer each time, as package decide does.
+	LocalEjection bool
+
+	// FailureShare is the share of requests that a server fails, by its own fault.
+	FailureShare func(server int, now time.Duration) float64
+	// Unresponsive has servers fail without a response.
+	Unresponsive bool
+	// LinkLoss is the share of requests that the link between an agent and a server loses.
+	LinkLoss func(agent, server int, now time.Duration) float64
+	// PeerPath is the share of messages between two members that is lost, and the delay of the others.
+	PeerPath func(from, to int, now time.Duration) (lost float64, delay time.Duration)
+	// Drains are servers that drain.
 	Drains []Drain
+
+	// ServersOf are the servers that an agent sends to. nil: all; an empty result: none.
+	ServersOf func(agent int) []int
+	// ListOf is the endpoint list of a server. An agent reads the lists of the servers that it sends to. nil: one list,
+	// which all read.
+	ListOf func(server int) string
+	// LocalityOf is the locality of the agent, and of the server, of that number. nil: all agents in one zone, and servers
+	// in three.
+	LocalityOf func(number int) (region, zone string)
+	// UsesFirstFormat reports whether an agent's member sends messages of format 1, and announces no subscriptions. nil:
+	// none does.
+	UsesFirstFormat func(agent int) bool
+	// SampleInterval is how often agents report outcomes to their members; requests are then drawn so many at a time, which
+	// is much faster at high rates. 0: each request is reported by itself.
+	SampleInterval time.Duration
+
+	// MessageSize returns the bytes of a message on the wire. nil: an estimate.
+	MessageSize func(from string, m *ejection.Message) int
+	// OnSent and OnReceived are called with each message sent, and each that arrives. nil: not called.
+	OnSent, OnReceived func(now time.Duration, member, bytes int)
+	// OnLog is called with each log line. nil: not called.
+	OnLog func(now time.Duration, agent int, text string)
 }
 
-// Drain is a server that drains from a time on.
+// Drain is a server that drains from a time on. Each member's list announces it within a second, and its removal ten
+// seconds later.
 type Drain struct {
 	Server int
 	At     time.Duration
 }
 
-// Result is what came of it.
+// Result is what happened, by the truth that the simulation knows.
 type Result struct {
-	Asked, Spoilt  int             // requests, and those that failed by the server's own fault while it failed
-	Wrong          int             // verdicts of members about servers that did not fail
-	WrongFor       time.Duration   // how long, in sum
-	WrongAt        []int           // the members that had them
-	WrongElsewhere int             // of the wrong ones, those at members whose own link reaches the server, and has for as long as evidence lasts
-	OutAt          []int           // the members that had a failing server out, as Out
-	Out            []time.Duration // when each member had a failing server out, from when it began to fail
-	Back           []time.Duration // when each could use it again, from when it was well
-	Tries          int             // requests to failing servers by members that had been told
-	Bytes          int
-	Messages       int
-	Verdicts       int
-	Stale          int    // verdicts acted on past their bound
-	Left           []Left // verdicts that ended
-	MostBackPerSec int    // requests in a second to a server that has just come back
+	Requests       int
+	FailedByServer int // requests that a server failed by its own fault
+
+	Ejections         int             // at all members
+	EjectingMembers   []int           // the members that ejected a failing server, in the order of EjectionDelays
+	EjectionDelays    []time.Duration // from when a server began to fail until a member ejected it
+	ReadmissionDelays []time.Duration // from when a server was well until a member readmitted it
+	EndedEjections    []EndedEjection
+	WrongEjections    int           // of servers that did not fail
+	WrongDuration     time.Duration // sum over members
+	WrongMembers      []int         // the members that had them
+	WrongReachable    int           // those at members whose link to the server was not broken while evidence lasts
+	MaxReadmittedRate int           // requests in any second to a server that was well for less than 30 s
+
+	Messages int
+	Bytes    int
 }
 
-// Left is a verdict that ended at a member.
-type Left struct {
-	Agent   int
-	At, For time.Duration
+// EndedEjection is an ejection that ended at a member.
+type EndedEjection struct {
+	Agent    int
+	At       time.Duration
+	Duration time.Duration
 }
 
+const (
+	// clockOffset is added to virtual time for members: to them 0 stands for never.
+	clockOffset = time.Hour
+	// rngStream separates these random numbers from those of others with the same seed.
+	rngStream = 41
+	// defaultList is the list of all servers where Options.ListOf is nil.
+	defaultList = "main"
+	// drainAnnouncement is the time within which each member's list announces a drain, and removalDelay when it announces
+	// the removal after that.
+	drainAnnouncement = time.Second
+	removalDelay      = 10 * time.Second
+	// startedMS is the start of all servers' processes, which never restart.
+	startedMS = 1
+)
+
+// agent is an agent with its member.
 type agent struct {
-	n     int
-	m     *ejection.Member
-	wake  time.Duration
-	out   map[string]time.Duration // by verdict, until
-	off   []time.Duration          // by itself, until
-	times []int
-	begin []time.Duration // when a wrong verdict began, by server; 0: none
-	since []time.Duration // when any did
-	calls []int           // servers; nil: all
-	batch map[int]ejection.OutcomeSample
-	list  []ejection.Server // its own, once it differs from that of all
-	reads map[string][]ejection.Server
+	number  int
+	member  *ejection.Member               // nil: it shares no evidence
+	wakeAt  time.Duration                  // the member's next step without events
+	servers []int                          // that it sends to; nil: all
+	samples map[int]ejection.OutcomeSample // not reported yet, by server; nil: each request is reported by itself
+	lists   map[string][]ejection.Server   // that it reads, by name
+	changed []ejection.Server              // all servers by its lists, once these differ from the others'
+
+	ejectedUntil   map[string]time.Duration // by its member
+	ejectedSince   []time.Duration          // by server
+	wronglySince   []time.Duration          // the server is ejected wrongly since then; 0: it is not
+	localUntil     []time.Duration          // ejected by the agent itself
+	localEjections []int                    // local ejections without a success between
 }
 
+// world is one simulation.
 type world struct {
-	o      Options
-	rng    *rand.Rand
-	now    time.Duration
-	agenda eventqueue.Agenda
-	agents []*agent
-	r      Result
-	began  []time.Duration // by server: it fails since; 0: it does not
-	well   []time.Duration
-	sent   [][]time.Duration
+	options      Options
+	rng          *rand.Rand
+	now          time.Duration
+	queue        eventqueue.Agenda
+	agents       []*agent
+	result       Result
+	failingSince []time.Duration   // by server; 0: it does not fail
+	wellSince    []time.Duration   // after it failed; 0: it fails, or never did
+	recent       [][]time.Duration // requests of the last second to a server that is well again
 }
 
-func name(n int) string     { return fmt.Sprint("m", n) }
-func serverID(n int) string { return fmt.Sprint("main/s", n) }
+func memberName(number int) string { return fmt.Sprint("m", number) }
+func serverID(number int) string   { return fmt.Sprint("main/s", number) }
 
-// Play plays it to its end.
-func Play(o Options) (*Result, error) {
-	w := &world{o: o, rng: rand.New(rand.NewPCG(o.Seed, 41)), began: make([]time.Duration, o.Servers), well: make([]time.Duration, o.Servers), sent: make([][]time.Duration, o.Servers)}
-	var list []ejection.Server
-	lists := map[string][]ejection.Server{}
-	for s := range o.Servers {
-		one := ejection.Server{ID: serverID(s), StartedMS: 1, Zone: fmt.Sprint(s % 3), Pod: s % 4}
-		if o.Place != nil {
-			_, one.Zone = o.Place(s)
-		}
-		list = append(list, one)
-		lists[w.listOf(s)] = append(lists[w.listOf(s)], one)
+// Run simulates until Options.Duration. It returns an error if the members' settings are refused.
+func Run(o Options) (*Result, error) {
+	w := &world{
+		options:      o,
+		rng:          rand.New(rand.NewPCG(o.Seed, rngStream)),
+		failingSince: make([]time.Duration, o.Servers),
+		wellSince:    make([]time.Duration, o.Servers),
+		recent:       make([][]time.Duration, o.Servers),
 	}
+	servers, lists := w.listServers()
 	peers := make([]ejection.Peer, o.Agents)
 	for n := range o.Agents {
-		a := &agent{n: n, out: map[string]time.Duration{}, off: make([]time.Duration, o.Servers), times: make([]int, o.Servers), begin: make([]time.Duration, o.Servers), since: make([]time.Duration, o.Servers)}
-		if o.Calls != nil {
-			a.calls = o.Calls(n)
-		}
-		a.reads = lists
-		if o.List != nil && a.calls != nil {
-			a.reads = map[string][]ejection.Server{}
-			for _, s := range a.calls {
-				a.reads[o.List(s)] = lists[o.List(s)]
-			}
-		}
-		if o.Place != nil {
-			peers[n].Region, peers[n].Zone = o.Place(n)
-		}
-		first := o.First != nil && o.First(n)
-		if !first {
-			peers[n].Subscriptions = ejection.NewSubscriptionFilter(slices.Sorted(maps.Keys(a.reads)))
-		}
-		w.agents = append(w.agents, a)
-		if o.Share {
-			s := ejection.Settings{Name: name(n), RunID: 1}
-			if first {
-				s.FormatVersion = 1
-			}
-			m, err := ejection.New(s, w.rng.Uint64())
-			if err != nil {
-				return nil, err
-			}
-			a.m = m
-		}
-		if a.calls != nil && len(a.calls) == 0 {
-			continue // it calls nobody
-		}
-		if o.Batch > 0 {
-			a.batch = map[int]ejection.OutcomeSample{}
-			w.at(time.Duration(w.rng.Float64()*float64(o.Batch)), func() { w.arriveAll(a) })
-		} else {
-			w.arrive(a)
+		if err := w.startAgent(n, lists, &peers[n]); err != nil {
+			return nil, err
 		}
 	}
-	if o.Share {
-		all := members(peers)
-		for _, a := range w.agents {
-			events := []ejection.Event{all}
-			for _, l := range slices.Sorted(maps.Keys(a.reads)) {
-				events = append(events, ejection.ListUpdated{Source: l, Servers: a.reads[l]})
-			}
-			w.step(a, events...)
-		}
+	if o.ShareEvidence {
+		w.startMembers(membersChanged(peers))
 	}
-	for _, d := range o.Drains {
-		for _, a := range w.agents {
-			at := d.At + time.Duration(w.rng.Float64()*float64(time.Second))
-			w.at(at, func() { w.listed(a, list, d.Server, ejection.Draining) })
-			w.at(at+10*time.Second, func() { w.listed(a, list, d.Server, ejection.Removed) })
-		}
-	}
-	w.watch()
-	for at, do, ok := w.agenda.Next(o.Length); ok; at, do, ok = w.agenda.Next(o.Length) {
+	w.scheduleDrains(servers)
+	w.observeServers()
+	for at, do, ok := w.queue.Next(o.Duration); ok; at, do, ok = w.queue.Next(o.Duration) {
 		w.now = at
 		do()
 	}
-	for _, a := range w.agents {
-		for _, at := range a.begin {
-			if at > 0 {
-				w.r.WrongFor += w.now - at
-			}
-		}
-	}
-	return &w.r, nil
-}
-
-// listOf is in which list a server stands.
-func (w *world) listOf(server int) string {
-	if w.o.List == nil {
-		return "main"
-	}
-	return w.o.List(server)
-}
-
-// members are all, in the order of their names, as the view tells them.
-func members(peers []ejection.Peer) ejection.MembersChanged {
-	order := make([]int, len(peers))
-	for n := range order {
-		order[n] = n
-	}
-	slices.SortFunc(order, func(a, b int) int { return strings.Compare(name(a), name(b)) })
-	var e ejection.MembersChanged
-	for _, n := range order {
-		e.Names, e.Peers = append(e.Names, name(n)), append(e.Peers, peers[n])
-	}
-	return e
+	w.addOpenWrongEjections()
+	return &w.result, nil
 }
 
+// at schedules an event.
 func (w *world) at(t time.Duration, do func()) {
-	w.agenda.At(max(t, w.now), do)
+	w.queue.At(max(t, w.now), do)
 }
 
-// watch notes when servers begin to fail and are well again, and who keeps off them.
-
-func (w *world) watch() {
-	for s := range w.o.Servers {
-		fails := w.o.Fails(s, w.now) >= 0.2
-		switch {
-		case fails && w.began[s] == 0:
-			w.began[s], w.well[s] = max(w.now, 1), 0
-		case !fails && w.began[s] > 0:
-			w.began[s], w.well[s] = 0, w.now
+// listServers returns all servers, and the same by list.
+func (w *world) listServers() (all []ejection.Server, lists map[string][]ejection.Server) {
+	lists = map[string][]ejection.Server{}
+	for n := range w.options.Servers {
+		s := ejection.Server{ID: serverID(n), StartedMS: startedMS, Zone: fmt.Sprint(n % 3), Pod: n % 4}
+		if w.options.LocalityOf != nil {
+			_, s.Zone = w.options.LocalityOf(n)
 		}
+		all = append(all, s)
+		list := w.listOf(n)
+		lists[list] = append(lists[list], s)
 	}
-	w.at(w.now+10*time.Millisecond, w.watch)
+	return all, lists
 }
 
-// step steps a member, and does what it wants done.
-func (w *world) step(a *agent, events ...ejection.Event) {
-	for _, act := range a.m.Step(w.now+time.Hour, events...) {
-		switch act := act.(type) {
-		case ejection.Send:
-			w.r.Messages++
-			size := 40 + 64*len(act.Message.Evidence) + 32*len(act.Message.Drains)
-			if w.o.Size != nil {
-				size = w.o.Size(name(a.n), act.Message)
-			}
-			w.r.Bytes += size
-			if w.o.Sent != nil {
-				w.o.Sent(w.now, a.n, size)
-			}
-			to, err := strconv.Atoi(strings.TrimPrefix(act.To, "m"))
-			if err != nil {
-				panic("play: a message to " + act.To) // the model's own name
-			}
-			lost, late := w.o.Peers(a.n, to, w.now)
-			if w.rng.Float64() < lost {
-				continue
-			}
-			w.at(w.now+time.Millisecond+late, func() {
-				if w.o.Took != nil {
-					w.o.Took(w.now, to, size)
-				}
-				w.step(w.agents[to], ejection.Received{From: name(a.n), Message: act.Message})
-			})
-		case ejection.Log:
-			if w.o.Say != nil {
-				w.o.Say(w.now, a.n, act.Text)
-			}
-		case ejection.EjectionsChanged:
-			w.judged(a, act.Ejections)
-		}
-	}
-	if next := a.m.Next() - time.Hour; next != a.wake {
-		a.wake = next
-		w.at(next, func() {
-			if a.wake == next {
-				a.wake = 0
-				w.step(a)
-			}
-		})
+// listOf returns the list of a server.
+func (w *world) listOf(server int) string {
+	if w.options.ListOf == nil {
+		return defaultList
 	}
+	return w.options.ListOf(server)
 }
 
-func (w *world) judged(a *agent, all []ejection.Ejection) {
-	out := map[string]time.Duration{}
-	for _, v := range all {
-		out[v.Server] = v.Until - time.Hour
+// startAgent creates an agent and its member, and begins its requests.
+func (w *world) startAgent(number int, lists map[string][]ejection.Server, peer *ejection.Peer) error {
+	o := &w.options
+	a := w.newAgent(number, lists)
+	if o.LocalityOf != nil {
+		peer.Region, peer.Zone = o.LocalityOf(number)
 	}
-	for s := range w.o.Servers {
-		id := serverID(s)
-		_, was := a.out[id]
-		_, is := out[id]
-		switch {
-		case is && !was:
-			w.r.Verdicts++
-			a.since[s] = w.now
-			if w.began[s] > 0 {
-				w.r.Out = append(w.r.Out, w.now-w.began[s])
-				w.r.OutAt = append(w.r.OutAt, a.n)
-			} else if w.well[s] == 0 || w.now-w.well[s] > ejection.DefaultMaxEvidenceAge {
-				w.r.Wrong++
-				w.r.WrongAt = append(w.r.WrongAt, a.n)
-				if !w.unreached(a.n, s) {
-					w.r.WrongElsewhere++
-				}
-				a.begin[s] = w.now
-			}
-		case was && !is:
-			w.r.Left = append(w.r.Left, Left{a.n, w.now, w.now - a.since[s]})
-			if w.well[s] > 0 {
-				w.r.Back = append(w.r.Back, w.now-w.well[s])
-			}
-			if a.begin[s] > 0 {
-				w.r.WrongFor += w.now - a.begin[s]
-				a.begin[s] = 0
-			}
-		}
+	settings := ejection.Settings{Name: memberName(number), RunID: 1}
+	if o.UsesFirstFormat != nil && o.UsesFirstFormat(number) {
+		settings.FormatVersion = 1
+	} else {
+		peer.Subscriptions = ejection.NewSubscriptionFilter(slices.Sorted(maps.Keys(a.lists)))
 	}
-	a.out = out
-}
-
-// unreached reports whether an agent's link to a server loses all, or did lately.
-func (w *world) unreached(agent, server int) bool {
-	for ago := time.Duration(0); ago <= ejection.DefaultMaxEvidenceAge && ago <= w.now; ago += time.Second {
-		if w.o.Link(agent, server, w.now-ago) >= 1 {
-			return true
+	w.agents = append(w.agents, a)
+	if o.ShareEvidence {
+		member, err := ejection.New(settings, w.rng.Uint64())
+		if err != nil {
+			return err
 		}
+		a.member = member
 	}
-	return false
-}
-
-// arrive brings an agent its requests.
-func (w *world) arrive(a *agent) {
-	w.at(w.now+time.Duration(w.rng.ExpFloat64()/w.o.Rate*float64(time.Second)), func() {
-		w.take(a)
-		w.arrive(a)
-	})
-}
-
-// arriveAll brings an agent the requests of one batch, and its member what became of them.
-func (w *world) arriveAll(a *agent) {
-	mean := w.o.Rate * w.o.Batch.Seconds()
-	for at := w.rng.ExpFloat64(); at < mean; at += w.rng.ExpFloat64() {
-		w.take(a)
+	if a.servers != nil && len(a.servers) == 0 {
+		return nil
 	}
-	if len(a.batch) > 0 {
-		all := make([]ejection.OutcomeSample, 0, len(a.batch))
-		for _, s := range slices.Sorted(maps.Keys(a.batch)) {
-			all = append(all, a.batch[s])
-		}
-		clear(a.batch)
-		if a.m != nil {
-			w.step(a, ejection.OutcomesObserved{Samples: all})
-		}
+	if o.SampleInterval > 0 {
+		a.samples = map[int]ejection.OutcomeSample{}
+		w.at(time.Duration(w.rng.Float64()*float64(o.SampleInterval)), func() { w.sendBatch(a) })
+		return nil
 	}
-	w.at(w.now+w.o.Batch, func() { w.arriveAll(a) })
+	w.scheduleRequest(a)
+	return nil
 }
 
-// listed gives a member a list in which one server has another state.
-func (w *world) listed(a *agent, first []ejection.Server, server int, state ejection.ListedState) {
-	if a.m == nil {
-		return
+func (w *world) newAgent(number int, lists map[string][]ejection.Server) *agent {
+	o := &w.options
+	a := &agent{
+		number:         number,
+		lists:          lists,
+		ejectedUntil:   map[string]time.Duration{},
+		ejectedSince:   make([]time.Duration, o.Servers),
+		wronglySince:   make([]time.Duration, o.Servers),
+		localUntil:     make([]time.Duration, o.Servers),
+		localEjections: make([]int, o.Servers),
 	}
-	if a.list == nil {
-		a.list = slices.Clone(first)
+	if o.ServersOf != nil {
+		a.servers = o.ServersOf(number)
 	}
-	a.list[server].State = state
-	l := w.listOf(server)
-	if a.reads[l] == nil {
-		return
-	}
-	var all []ejection.Server
-	for s, one := range a.list {
-		if w.listOf(s) == l {
-			all = append(all, one)
+	if o.ListOf != nil && a.servers != nil {
+		a.lists = map[string][]ejection.Server{}
+		for _, s := range a.servers {
+			a.lists[o.ListOf(s)] = lists[o.ListOf(s)]
 		}
 	}
-	w.step(a, ejection.ListUpdated{Source: l, Servers: all})
+	return a
 }
 
-// pick is a server by chance.
-func (w *world) pick(a *agent) int {
-	if a.calls != nil {
-		return a.calls[w.rng.IntN(len(a.calls))]
+// startMembers gives each member the membership and its lists.
+func (w *world) startMembers(members ejection.MembersChanged) {
+	for _, a := range w.agents {
+		events := []ejection.Event{members}
+		for _, list := range slices.Sorted(maps.Keys(a.lists)) {
+			events = append(events, ejection.ListUpdated{Source: list, Servers: a.lists[list]})
+		}
+		w.step(a, events...)
 	}
-	return w.rng.IntN(w.o.Servers)
 }
 
-func (w *world) take(a *agent) {
-	w.r.Asked++
-	s, tries := 0, 0
-	for ; tries < 200; tries++ {
-		s = w.pick(a)
-		if a.list != nil && a.list[s].State != ejection.Up {
-			continue
-		}
-		until, out := a.out[serverID(s)]
-		if (!out || w.now >= until) && w.now >= a.off[s] {
-			break
-		}
-	}
-	if w.well[s] > 0 && w.now-w.well[s] < 30*time.Second {
-		w.sent[s] = append(w.sent[s], w.now)
-		for w.now-w.sent[s][0] > time.Second {
-			w.sent[s] = w.sent[s][1:]
-		}
-		w.r.MostBackPerSec = max(w.r.MostBackPerSec, len(w.sent[s]))
-	}
-	fault := w.rng.Float64() < w.o.Fails(s, w.now)
-	bad := fault || w.rng.Float64() < w.o.Error || w.rng.Float64() < w.o.Link(a.n, s, w.now)
-	if fault {
-		w.r.Spoilt++
+// membersChanged returns the membership, ascending by name.
+func membersChanged(peers []ejection.Peer) ejection.MembersChanged {
+	order := make([]int, len(peers))
+	for n := range order {
+		order[n] = n
 	}
-	x := ejection.OutcomeSample{Server: serverID(s), StartedMS: 1, Succeeded: 1}
-	if bad {
-		x.Succeeded, x.Failed = 0, 1
-		if fault && !w.o.Mute {
-			x.ErrorResponses = 1
-		}
+	slices.SortFunc(order, func(a, b int) int { return strings.Compare(memberName(a), memberName(b)) })
+	var e ejection.MembersChanged
+	for _, n := range order {
+		e.Names = append(e.Names, memberName(n))
+		e.Peers = append(e.Peers, peers[n])
 	}
-	if w.o.Own {
-		if bad { // as decide: out for an aim or so, twice as long each time
-			a.times[s] = min(a.times[s]+1, 5)
-			a.off[s] = w.now + time.Duration(1<<(a.times[s]-1))*time.Second
-		} else {
-			a.times[s] = 0
+	return e
+}
+
+func (w *world) scheduleDrains(servers []ejection.Server) {
+	for _, d := range w.options.Drains {
+		for _, a := range w.agents {
+			at := d.At + time.Duration(w.rng.Float64()*float64(drainAnnouncement))
+			w.at(at, func() { w.updateList(a, servers, d.Server, ejection.Draining) })
+			w.at(at+removalDelay, func() { w.updateList(a, servers, d.Server, ejection.Removed) })
 		}
 	}
-	if a.batch != nil {
-		b := a.batch[s]
-		x.Succeeded, x.Failed, x.ErrorResponses = x.Succeeded+b.Succeeded, x.Failed+b.Failed, x.ErrorResponses+b.ErrorResponses
-		a.batch[s] = x
-	} else if a.m != nil {
-		w.step(a, ejection.OutcomesObserved{Samples: []ejection.OutcomeSample{x}})
-	}
 }
--- a/internal/peer/ejection/ejectionsim/ejectionsim_test.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim_test.go
@@ -1,164 +1,182 @@
 package ejectionsim
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
 )
 
-func none(int, int, time.Duration) float64 { return 0 }
-
-func whole(int, int, time.Duration) (float64, time.Duration) { return 0, 0 }
-
+// The faults of all tests last from faultStart to faultEnd.
 const (
-	begins = 10 * time.Second
-	ends   = 22 * time.Second
+	faultStart = 10 * time.Second
+	faultEnd   = 22 * time.Second
 )
 
-// from has a server fail a share of its requests for a while.
-func from(server int, share float64) func(int, time.Duration) float64 {
+func noLoss(int, int, time.Duration) float64 { return 0 }
+
+func noPathFaults(int, int, time.Duration) (float64, time.Duration) { return 0, 0 }
+
+// duringFault returns a loss function that applies while the fault lasts.
+func duringFault(loss func(agent, server int) float64) func(int, int, time.Duration) float64 {
+	return func(agent, server int, now time.Duration) float64 {
+		if now < faultStart || now >= faultEnd {
+			return 0
+		}
+		return loss(agent, server)
+	}
+}
+
+// failingDuringFault has one server fail a share of its requests.
+func failingDuringFault(server int, share float64) func(int, time.Duration) float64 {
 	return func(s int, now time.Duration) float64 {
-		if s == server && now >= begins && now < ends {
+		if s == server && now >= faultStart && now < faultEnd {
 			return share
 		}
 		return 0
 	}
 }
 
-// played plays options in which what is not given is whole: no server fails, no link breaks.
-func played(t *testing.T, o Options) *Result {
+// runDefaults runs options in which no server fails and no message is lost unless they say so.
+func runDefaults(t *testing.T, o Options) *Result {
 	t.Helper()
-	if o.Fails == nil {
-		o.Fails = from(-1, 0)
+	if o.FailureShare == nil {
+		o.FailureShare = failingDuringFault(-1, 0)
 	}
-	if o.Link == nil {
-		o.Link = none
+	if o.LinkLoss == nil {
+		o.LinkLoss = noLoss
 	}
-	if o.Peers == nil {
-		o.Peers = whole
+	if o.PeerPath == nil {
+		o.PeerPath = noPathFaults
 	}
-	r, err := Play(o)
+	r, err := Run(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func run(t *testing.T, o Options) *Result {
+// runFleet runs 24 agents and 8 servers for 40 s. Delays are sorted.
+func runFleet(t *testing.T, o Options) *Result {
 	t.Helper()
-	o.Agents, o.Servers, o.Error, o.Own, o.Share, o.Length = 24, 8, 0.005, true, true, 40*time.Second
-	r := played(t, o)
-	slices.Sort(r.Out)
-	slices.Sort(r.Back)
+	o.Agents = 24
+	o.Servers = 8
+	o.ErrorRate = 0.005
+	o.LocalEjection = true
+	o.ShareEvidence = true
+	o.Duration = 40 * time.Second
+	r := runDefaults(t, o)
+	slices.Sort(r.EjectionDelays)
+	slices.Sort(r.ReadmissionDelays)
 	return r
 }
 
-func TestFailingServerIsOutForAllAndComesBack(t *testing.T) {
-	for name, c := range map[string]struct {
-		rate, share float64
-		peers       func(int, int, time.Duration) (float64, time.Duration)
-		within      time.Duration
+func TestFailingServerIsEjectedByAllAndReadmitted(t *testing.T) {
+	halfLost := func(int, int, time.Duration) (float64, time.Duration) { return 0.5, 20 * time.Millisecond }
+	for _, c := range []struct {
+		name     string
+		share    float64
+		path     func(int, int, time.Duration) (float64, time.Duration)
+		maxDelay time.Duration
 	}{
-		"outright":             {10, 1, whole, 2 * time.Second},
-		"a third":              {10, 0.33, whole, 12 * time.Second},
-		"half of news is lost": {10, 1, func(int, int, time.Duration) (float64, time.Duration) { return 0.5, 20 * time.Millisecond }, 8 * time.Second},
+		{"all requests", 1, noPathFaults, 2 * time.Second},
+		{"a third of the requests", 0.33, noPathFaults, 12 * time.Second},
+		{"all requests, half of the messages lost", 1, halfLost, 8 * time.Second},
 	} {
-		r := run(t, Options{Seed: 3, Rate: c.rate, Fails: from(3, c.share), Peers: c.peers})
-		if len(r.Out) < 18 || r.Out[16] > c.within {
-			t.Errorf("%s: out at %d members, %v", name, len(r.Out), r.Out)
-		}
-		if len(r.Back) < 5 {
-			t.Errorf("%s: back at %d members, %v", name, len(r.Back), r.Back)
-		}
-		if r.Wrong > 0 {
-			t.Errorf("%s: %d wrongly out", name, r.Wrong)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r := runFleet(t, Options{Seed: 3, Rate: 10, FailureShare: failingDuringFault(3, c.share), PeerPath: c.path})
+			if len(r.EjectionDelays) < 18 || r.EjectionDelays[16] > c.maxDelay {
+				t.Errorf("ejected by %d members after %v", len(r.EjectionDelays), r.EjectionDelays)
+			}
+			if len(r.ReadmissionDelays) < 5 {
+				t.Errorf("readmitted by %d members after %v", len(r.ReadmissionDelays), r.ReadmissionDelays)
+			}
+			if r.WrongEjections > 0 {
+				t.Errorf("%d wrong ejections", r.WrongEjections)
+			}
+		})
 	}
 }
 
-func TestBrokenLinksConvictNobody(t *testing.T) {
-	during := func(broken func(agent, server int) float64) func(int, int, time.Duration) float64 {
-		return func(a, s int, now time.Duration) float64 {
-			if now >= begins && now < ends {
-				return broken(a, s)
+func TestBrokenLinksEjectNoServer(t *testing.T) {
+	lossOf := func(loss float64, broken func(agent, server int) bool) func(int, int, time.Duration) float64 {
+		return duringFault(func(agent, server int) float64 {
+			if broken(agent, server) {
+				return loss
 			}
 			return 0
-		}
+		})
 	}
-	for name, link := range map[string]func(int, int, time.Duration) float64{
-		"one member's": during(func(a, _ int) float64 {
-			if a == 5 {
-				return 1
-			}
-			return 0
-		}),
-		"three of ten members'": during(func(a, _ int) float64 {
-			if a%10 < 3 {
-				return 1
-			}
-			return 0
-		}),
-		"half of three of ten": during(func(a, _ int) float64 {
-			if a%10 < 3 {
-				return 0.5
-			}
-			return 0
-		}),
-		"of half the members to one server": during(func(a, s int) float64 {
-			if a%2 == 0 && s == 3 {
-				return 1
-			}
-			return 0
-		}),
+	for _, c := range []struct {
+		name string
+		loss func(int, int, time.Duration) float64
+	}{
+		{"one member", lossOf(1, func(agent, _ int) bool { return agent == 5 })},
+		{"three of ten members", lossOf(1, func(agent, _ int) bool { return agent%10 < 3 })},
+		{"half of the requests of three of ten members", lossOf(0.5, func(agent, _ int) bool { return agent%10 < 3 })},
+		{"half of the members to one server", lossOf(1, func(agent, server int) bool { return agent%2 == 0 && server == 3 })},
 	} {
-		if r := run(t, Options{Seed: 4, Rate: 10, Link: link}); r.Wrong > 0 {
-			t.Errorf("%s: %d verdicts, %v in all", name, r.Wrong, r.WrongFor)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r := runFleet(t, Options{Seed: 4, Rate: 10, LinkLoss: c.loss})
+			if r.WrongEjections > 0 {
+				t.Errorf("%d wrong ejections for %v in all", r.WrongEjections, r.WrongDuration)
+			}
+		})
 	}
 }
 
-// News that is older than evidence lasts acts nowhere: each goes by its own.
-func TestLateNewsActsNowhere(t *testing.T) {
-	r := run(t, Options{Seed: 5, Rate: 10, Fails: from(3, 1), Peers: func(int, int, time.Duration) (float64, time.Duration) { return 0, 21 * time.Second }})
-	if r.Verdicts > 0 {
-		t.Errorf("%d verdicts", r.Verdicts)
+// Evidence that arrives when it is older than MaxEvidenceAge is ignored: each member is by itself.
+func TestLateEvidenceIsIgnored(t *testing.T) {
+	late := func(int, int, time.Duration) (float64, time.Duration) { return 0, 21 * time.Second }
+	r := runFleet(t, Options{Seed: 5, Rate: 10, FailureShare: failingDuringFault(3, 1), PeerPath: late})
+	if r.Ejections > 0 {
+		t.Errorf("%d ejections", r.Ejections)
 	}
 }
 
-func TestCutOffMembersGoByTheirOwnEvidence(t *testing.T) {
-	cut := func(f, to int, now time.Duration) (float64, time.Duration) {
-		if (f < 2) != (to < 2) && now >= begins+4*time.Second {
+func TestPartitionedMembersUseTheirOwnEvidence(t *testing.T) {
+	const (
+		partitionStart = faultStart + 4*time.Second
+		maxEvidence    = 21 * time.Second
+	)
+	path := func(from, to int, now time.Duration) (float64, time.Duration) {
+		if (from < 2) != (to < 2) && now >= partitionStart {
 			return 1, 0
 		}
 		return 0, 0
 	}
-	r := run(t, Options{Seed: 6, Rate: 10, Fails: from(3, 1), Peers: cut})
-	n := 0
-	for _, l := range r.Left {
-		if l.Agent < 2 && l.At > begins+4*time.Second {
-			if n++; l.At > begins+4*time.Second+21*time.Second {
-				t.Errorf("a verdict stood until %v with nobody to hear", l.At)
-			}
+	r := runFleet(t, Options{Seed: 6, Rate: 10, FailureShare: failingDuringFault(3, 1), PeerPath: path})
+	ended := 0
+	for _, e := range r.EndedEjections {
+		if e.Agent >= 2 || e.At <= partitionStart {
+			continue
+		}
+		ended++
+		if e.At > partitionStart+maxEvidence {
+			t.Errorf("member %d: an ejection held until %v without evidence", e.Agent, e.At)
 		}
 	}
-	if n == 0 {
-		t.Error("nobody who is cut off had one")
+	if ended == 0 {
+		t.Error("no partitioned member had ejected the server")
 	}
 }
 
-// Whichever voices come first: a server that fails a third is out for most, with each seed.
-func TestFailingInPartIsFoundInAnyOrder(t *testing.T) {
+// The order of reports varies with the seed: most members eject a server that fails a third of its requests with each.
+func TestPartialFailureIsFoundInAnyOrder(t *testing.T) {
 	for seed := range uint64(4) {
-		if r := run(t, Options{Seed: 10 + seed, Rate: 10, Fails: from(3, 0.33)}); len(r.Out) < 18 || r.Wrong > 0 {
-			t.Errorf("seed %d: out at %d of 24 members, %d wrongly out", seed, len(r.Out), r.Wrong)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			r := runFleet(t, Options{Seed: 10 + seed, Rate: 10, FailureShare: failingDuringFault(3, 0.33)})
+			if len(r.EjectionDelays) < 18 || r.WrongEjections > 0 {
+				t.Errorf("ejected by %d of 24 members, %d wrong ejections", len(r.EjectionDelays), r.WrongEjections)
+			}
+		})
 	}
 }
 
-// A server that says nothing at all is found as well, by more of them.
-func TestSilentServerIsOutForAll(t *testing.T) {
-	r := run(t, Options{Seed: 7, Rate: 10, Fails: from(3, 1), Mute: true})
-	if len(r.Out) < 18 || r.Out[16] > 4*time.Second || r.Wrong > 0 {
-		t.Errorf("out at %d members, %d wrongly: %v", len(r.Out), r.Wrong, r.Out)
+// A server that does not respond at all is ejected too, by more reports.
+func TestUnresponsiveServerIsEjectedByAll(t *testing.T) {
+	r := runFleet(t, Options{Seed: 7, Rate: 10, FailureShare: failingDuringFault(3, 1), Unresponsive: true})
+	if len(r.EjectionDelays) < 18 || r.EjectionDelays[16] > 4*time.Second || r.WrongEjections > 0 {
+		t.Errorf("ejected by %d members after %v, %d wrong ejections", len(r.EjectionDelays), r.EjectionDelays, r.WrongEjections)
 	}
 }
--- a/internal/peer/ejection/ejectionsim/links.go
+++ b/internal/peer/ejection/ejectionsim/links.go
@@ -5,40 +5,64 @@
 	"time"
 )
 
-// BrokenLinks is a day of its number in which members lose servers, what is told among them is lost and late, and no server
-// fails: any verdict is a wrong one. 10 to 99 members, 5 to 49 servers; days take turns in their requests a second.
+// brokenLinksStream separates these random numbers from those of others with the same seed.
+const brokenLinksStream = 61
+
+// linkFault is a group of agents that loses a share of its requests to a group of servers for a while.
+type linkFault struct {
+	agents, servers map[int]bool
+	start, end      time.Duration
+	share           float64
+}
+
+// BrokenLinks returns the options of a simulation in which members lose their links to servers, messages among members are
+// lost and delayed, and no server fails: any ejection is a wrong one. Of 10 to 99 members and 5 to 49 servers; the request
+// rates take turns from day to day.
 func BrokenLinks(day uint64) Options {
-	rng := rand.New(rand.NewPCG(day, 61))
-	agents, servers := 10+rng.IntN(90), 5+rng.IntN(45)
-	type broken struct {
-		agents, servers map[int]bool
-		from, to        time.Duration
-		share           float64
-	}
-	var all []broken
+	rng := rand.New(rand.NewPCG(day, brokenLinksStream))
+	agents := 10 + rng.IntN(90)
+	servers := 5 + rng.IntN(45)
+	var faults []linkFault
 	for range 3 + rng.IntN(4) {
-		b := broken{map[int]bool{}, map[int]bool{}, time.Duration(rng.Float64() * float64(50*time.Second)), 0, 0.2 + 0.8*rng.Float64()}
-		b.to = b.from + time.Duration(1+rng.IntN(20))*time.Second
-		part, some := []float64{0.02, 0.1, 0.3, 0.5}[rng.IntN(4)], []float64{0.05, 0.3, 1}[rng.IntN(3)]
-		for a := range agents {
-			b.agents[a] = rng.Float64() < part
-		}
-		for s := range servers {
-			b.servers[s] = rng.Float64() < some
-		}
-		all = append(all, b)
+		faults = append(faults, randomLinkFault(rng, agents, servers))
 	}
-	lost, late := 0.4*rng.Float64(), time.Duration(rng.IntN(200))*time.Millisecond
-	return Options{Seed: day, Agents: agents, Servers: servers, Rate: []float64{10, 1, 0.1}[day%3], Length: time.Minute, Share: true, Own: true, Error: 0.003,
-		Fails: func(int, time.Duration) float64 { return 0 },
-		Link: func(a, s int, now time.Duration) float64 {
-			p := 0.0
-			for i := range all {
-				if b := &all[i]; now >= b.from && now < b.to && b.agents[a] && b.servers[s] {
-					p = max(p, b.share)
+	lost := 0.4 * rng.Float64()
+	delay := time.Duration(rng.IntN(200)) * time.Millisecond
+	return Options{
+		Seed:          day,
+		Agents:        agents,
+		Servers:       servers,
+		Rate:          []float64{10, 1, 0.1}[day%3],
+		Duration:      time.Minute,
+		ErrorRate:     0.003,
+		ShareEvidence: true,
+		LocalEjection: true,
+		FailureShare:  func(int, time.Duration) float64 { return 0 },
+		LinkLoss: func(agent, server int, now time.Duration) float64 {
+			loss := 0.0
+			for i := range faults {
+				if f := &faults[i]; now >= f.start && now < f.end && f.agents[agent] && f.servers[server] {
+					loss = max(loss, f.share)
 				}
 			}
-			return p
+			return loss
 		},
-		Peers: func(int, int, time.Duration) (float64, time.Duration) { return lost, late }}
+		PeerPath: func(int, int, time.Duration) (float64, time.Duration) { return lost, delay },
+	}
+}
+
+func randomLinkFault(rng *rand.Rand, agents, servers int) linkFault {
+	f := linkFault{agents: map[int]bool{}, servers: map[int]bool{}}
+	f.start = time.Duration(rng.Float64() * float64(50*time.Second))
+	f.share = 0.2 + 0.8*rng.Float64()
+	f.end = f.start + time.Duration(1+rng.IntN(20))*time.Second
+	agentShare := []float64{0.02, 0.1, 0.3, 0.5}[rng.IntN(4)]
+	serverShare := []float64{0.05, 0.3, 1}[rng.IntN(3)]
+	for a := range agents {
+		f.agents[a] = rng.Float64() < agentShare
+	}
+	for s := range servers {
+		f.servers[s] = rng.Float64() < serverShare
+	}
+	return f
 }
--- a/internal/peer/ejection/ejectionsim/links_test.go
+++ b/internal/peer/ejection/ejectionsim/links_test.go
@@ -1,30 +1,40 @@
 package ejectionsim
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
-// Days of tools/verdicts links, as far as they had a wrong verdict in builds that heard too few who are not cut off:
-// half of the members lose a server, and much of what is told is lost as well.
-func TestWitnessesOfASilentServerAreNotAllCutOff(t *testing.T) {
-	for day, length := range map[uint64]time.Duration{0: 7 * time.Second, 45: 20 * time.Second} {
-		o, tried := BrokenLinks(day), 0
-		o.Length = length
-		link := o.Link
-		o.Link = func(a, s int, now time.Duration) float64 {
-			p := link(a, s, now)
-			if p > 0 {
-				tried++
+// These days of tools/verdicts links had wrong ejections in builds that polled too few members outside the partition:
+// half of the members lose a server, and many messages are lost as well.
+func TestResponsesAboutAnUnresponsiveServerAreNotAllPartitioned(t *testing.T) {
+	for _, c := range []struct {
+		day      uint64
+		duration time.Duration
+	}{
+		{0, 7 * time.Second},
+		{45, 20 * time.Second},
+	} {
+		t.Run(fmt.Sprint("day ", c.day), func(t *testing.T) {
+			o := BrokenLinks(c.day)
+			o.Duration = c.duration
+			linkLoss := o.LinkLoss
+			overBrokenLinks := 0
+			o.LinkLoss = func(agent, server int, now time.Duration) float64 {
+				loss := linkLoss(agent, server, now)
+				if loss > 0 {
+					overBrokenLinks++
+				}
+				return loss
 			}
-			return p
-		}
-		r, err := Play(o)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if r.Wrong > 0 || tried == 0 {
-			t.Errorf("day %d: %d wrong verdicts, %d requests over broken links", day, r.Wrong, tried)
-		}
+			r, err := Run(o)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if r.WrongEjections > 0 || overBrokenLinks == 0 {
+				t.Errorf("%d wrong ejections, %d requests over broken links", r.WrongEjections, overBrokenLinks)
+			}
+		})
 	}
 }
--- a/tools/verdicts/found.go
+++ b/tools/verdicts/found.go
@@ -26,22 +26,22 @@
 			if c.lost > 0 {
 				late = 20 * time.Millisecond
 			}
-			r, err := ejectionsim.Play(ejectionsim.Options{Seed: 100 + uint64(seed), Agents: agents, Servers: servers, Rate: 10, Error: 0.005, Own: true, Share: true, Length: length, Mute: c.mute,
-				Fails: func(s int, now time.Duration) float64 {
+			r, err := ejectionsim.Run(ejectionsim.Options{Seed: 100 + uint64(seed), Agents: agents, Servers: servers, Rate: 10, ErrorRate: 0.005, LocalEjection: true, ShareEvidence: true, Duration: length, Unresponsive: c.mute,
+				FailureShare: func(s int, now time.Duration) float64 {
 					if s == 3 && now >= begins && now < ends {
 						return c.share
 					}
 					return 0
 				},
-				Link:  func(int, int, time.Duration) float64 { return 0 },
-				Peers: func(int, int, time.Duration) (float64, time.Duration) { return c.lost, late }})
+				LinkLoss: func(int, int, time.Duration) float64 { return 0 },
+				PeerPath: func(int, int, time.Duration) (float64, time.Duration) { return c.lost, late }})
 			if err != nil {
 				return err
 			}
-			slices.Sort(r.Out)
-			n, wrong, spoilt, bytes = n+len(r.Out), wrong+r.Wrong, spoilt+r.Spoilt, bytes+r.Bytes
-			if len(r.Out) > 16 {
-				first, middle, worst = first+r.Out[0], middle+r.Out[12], max(worst, r.Out[16])
+			slices.Sort(r.EjectionDelays)
+			n, wrong, spoilt, bytes = n+len(r.EjectionDelays), wrong+r.WrongEjections, spoilt+r.FailedByServer, bytes+r.Bytes
+			if len(r.EjectionDelays) > 16 {
+				first, middle, worst = first+r.EjectionDelays[0], middle+r.EjectionDelays[12], max(worst, r.EjectionDelays[16])
 			} else {
 				worst = length
 			}
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -249,13 +249,13 @@
 	for d := range days {
 		jobs = append(jobs, func() (got, error) {
 			o := ejectionsim.BrokenLinks(uint64(d))
-			o.Say = func(now time.Duration, a int, text string) {
-				if why != nil && strings.Contains(text, " is out: ") {
-					lost, late := o.Peers(0, a, now)
+			o.OnLog = func(now time.Duration, a int, text string) {
+				if why != nil && strings.Contains(text, " is ejected: ") {
+					lost, late := o.PeerPath(0, a, now)
 					why(fmt.Sprintf("day %d, %v, member %d of %d: %s (%.0f%% lost, %v late)", d, now.Round(time.Millisecond), a, o.Agents, text, 100*lost, late))
 				}
 			}
-			r, err := ejectionsim.Play(o)
+			r, err := ejectionsim.Run(o)
 			return got{r, fmt.Sprintf("%v a second", o.Rate)}, err
 		})
 	}
@@ -272,11 +272,11 @@
 				continue
 			}
 			n++
-			asked += g.r.Asked
-			wrong += g.r.Wrong
-			span += g.r.WrongFor
+			asked += g.r.Requests
+			wrong += g.r.WrongEjections
+			span += g.r.WrongDuration
 			messages += g.r.Messages
-			if g.r.Wrong > 0 {
+			if g.r.WrongEjections > 0 {
 				with++
 			}
 		}
@@ -292,16 +292,16 @@
 		for _, failing := range []bool{false, true} {
 			length := 30 * time.Second
 			begin := time.Now()
-			o := ejectionsim.Options{Seed: 1, Agents: agents, Servers: 50, Rate: 1, Length: length, Share: true, Own: true, Error: 0.001,
-				Fails: func(s int, now time.Duration) float64 {
+			o := ejectionsim.Options{Seed: 1, Agents: agents, Servers: 50, Rate: 1, Duration: length, ShareEvidence: true, LocalEjection: true, ErrorRate: 0.001,
+				FailureShare: func(s int, now time.Duration) float64 {
 					if failing && s == 3 && now > 5*time.Second {
 						return 1
 					}
 					return 0
 				},
-				Link:  func(int, int, time.Duration) float64 { return 0 },
-				Peers: func(int, int, time.Duration) (float64, time.Duration) { return 0, time.Millisecond }}
-			r, err := ejectionsim.Play(o)
+				LinkLoss: func(int, int, time.Duration) float64 { return 0 },
+				PeerPath: func(int, int, time.Duration) (float64, time.Duration) { return 0, time.Millisecond }}
+			r, err := ejectionsim.Run(o)
 			if err != nil {
 				return err
 			}
