--- a/internal/peer/ejection/report.go
+++ b/internal/peer/ejection/report.go
@@ -176,8 +176,8 @@
 			lastSuccess = append(lastSuccess, r.lastSuccess)
 		}
 	}
-	oldestFailing := oldestKept(failingSince)
-	oldestOther := max(oldestFailing, oldestKept(lastSuccess))
+	oldestFailing := oldestRetained(failingSince)
+	oldestSuccess := max(oldestFailing, oldestRetained(lastSuccess))
 	s.reports = slices.DeleteFunc(s.reports, func(r *report) bool {
 		switch {
 		case r.origin == m.settings.Name:
@@ -187,12 +187,12 @@
 		case r.failing():
 			return r.failingSince < oldestFailing
 		}
-		return r.lastSuccess < oldestOther
+		return r.lastSuccess < oldestSuccess
 	})
 }
 
-// oldestKept returns the oldest of the newest maxReportsPerServer times, 0 if there is none.
-func oldestKept(times []time.Duration) time.Duration {
+// oldestRetained returns the oldest of the newest maxReportsPerServer times, 0 if there is none.
+func oldestRetained(times []time.Duration) time.Duration {
 	slices.SortFunc(times, func(a, b time.Duration) int { return cmp.Compare(b, a) })
 	if len(times) == 0 {
 		return 0
@@ -233,8 +233,8 @@
 	return slices.ContainsFunc(s.reports, func(r *report) bool { return (r.failing() || r.failsPartly()) && !m.isExpired(r) })
 }
 
-// otherReporters returns how many other members report an outage.
-func (s *server) otherReporters(m *Member) int {
+// remoteReporters returns how many other members report an outage.
+func (s *server) remoteReporters(m *Member) int {
 	count := 0
 	for _, r := range s.reports {
 		if r.origin != m.settings.Name && r.reportsOutage() && !m.isExpired(r) {
--- a/internal/peer/ejection/response.go
+++ b/internal/peer/ejection/response.go
@@ -75,7 +75,7 @@
 	for n := len(m.recentReports) - 1; n >= 0 && len(b.response.Evidence) < maxEvidencePerMessage/2; n-- {
 		s, r := m.recentReports[n].server, m.recentReports[n].report
 		current := m.servers[s.ID] == s && slices.Contains(s.reports, r)
-		if m.mayConcern(b.poller, s) && b.isRelevant(s, r) && current {
+		if m.maySubscribe(b.poller, s) && b.isRelevant(s, r) && current {
 			b.add(s, r)
 		}
 	}
@@ -88,7 +88,7 @@
 	for n := range active {
 		at := (m.responseCursor + n) % len(active)
 		s := active[at]
-		if !m.mayConcern(b.poller, s) {
+		if !m.maySubscribe(b.poller, s) {
 			continue
 		}
 		if s.isDraining(m) && len(b.response.Drains) < maxEvidencePerMessage {
@@ -133,7 +133,7 @@
 	}
 	return b.poll.FormatVersion < currentFormat ||
 		m.ownFailuresStandOut(s, r.successes, r.failures, r.consecutiveFailures) ||
-		!r.failing() && s.otherReporters(m) > 1 // it contradicts them
+		!r.failing() && s.remoteReporters(m) > 1 // it contradicts them
 }
 
 // add adds a report, unless it is there, does not count any more, or does not fit.
@@ -257,11 +257,11 @@
 	}
 	m.requestEvaluation(s)
 	s.anomalous = s.isAnomalous(m)
-	worthNotifying := s.isEjected() && !r.failing() || r.reportsOutage() && !s.isEjected() && s.anomalous
+	shouldNotify := s.isEjected() && !r.failing() || r.reportsOutage() && !s.isEjected() && s.anomalous
 	if !hadOpenReports {
 		m.refreshOwnReport(s) // others need to know how the server fares here
 	}
-	return worthNotifying
+	return shouldNotify
 }
 
 // report returns evidence from a response to a poll of that time as a report.
--- a/internal/peer/ejection/subscribers.go
+++ b/internal/peer/ejection/subscribers.go
@@ -116,8 +116,8 @@
 // subscriberNames returns the live subscribers of a server's list, this member included.
 func (m *Member) subscriberNames(s *server) []string { return m.subscribers(s.source).names }
 
-// mayConcern reports whether reports about a server concern a member, or may. nil: nothing is known of it.
-func (m *Member) mayConcern(p *Peer, s *server) bool {
+// maySubscribe reports whether a member reads a server's list, or may. nil: nothing is known of it.
+func (m *Member) maySubscribe(p *Peer, s *server) bool {
 	return p == nil || m.settings.FormatVersion == 1 || p.Subscriptions.MayInclude(s.source)
 }
 
--- a/internal/peer/ejection/subscription.go
+++ b/internal/peer/ejection/subscription.go
@@ -75,9 +75,9 @@
 	return true
 }
 
-func (f SubscriptionFilter) containsShortHash(want [hashBytes]byte) bool {
+func (f SubscriptionFilter) containsShortHash(hash [hashBytes]byte) bool {
 	for at := 1; at < len(f); at += hashBytes {
-		if [hashBytes]byte(f[at:]) == want {
+		if [hashBytes]byte(f[at:]) == hash {
 			return true
 		}
 	}
--- a/internal/peer/ejection/subscription_test.go
+++ b/internal/peer/ejection/subscription_test.go
@@ -6,249 +6,254 @@
 	"time"
 )
 
+var (
+	readsOne  = NewSubscriptionFilter([]string{"one"})
+	readsTwo  = NewSubscriptionFilter([]string{"two"})
+	readsBoth = NewSubscriptionFilter([]string{"one", "two"})
+)
+
+// newHarnessWithPeers returns a member whose peers have localities and subscriptions. It reads the lists one and two.
+func newHarnessWithPeers(t *testing.T, peers ...Peer) *harness {
+	t.Helper()
+	h := &harness{t: t, m: newMember(t, Settings{Name: "a"}), now: testStart}
+	var names []string
+	for n := range peers {
+		names = append(names, memberName(n))
+	}
+	h.step(ListUpdated{"one", testServers("s")}, ListUpdated{"two", testServers("t")}, MembersChanged{Names: names, Peers: peers})
+	return h
+}
+
+// memberName is the name of the nth member: a, b, c ...
+func memberName(n int) string { return string(rune('a' + n)) }
+
+// peersOf returns as many peers.
+func peersOf(count int, peer func(n int) Peer) []Peer {
+	var all []Peer
+	for n := range count {
+		all = append(all, peer(n))
+	}
+	return all
+}
+
 func TestFilterIncludesItsListsAndFewOthers(t *testing.T) {
+	const otherLists = 2000
 	for _, c := range []struct {
-		lists  int
-		others float64 // share of other lists that it takes in by mistake, at the most
+		lists             int
+		maxFalsePositives float64 // share of other lists
 	}{{0, 0}, {1, 0}, {12, 0}, {42, 0}, {43, 0.01}, {150, 0.08}, {1000, 1}} {
-		var lists []string
-		for n := range c.lists {
-			lists = append(lists, fmt.Sprint("list-", n))
-		}
-		f := NewSubscriptionFilter(lists)
-		if len(f) > maxFilterBytes {
-			t.Errorf("%d lists take %d bytes", c.lists, len(f))
-		}
-		for _, l := range lists {
-			if !f.MayInclude(l) {
-				t.Errorf("of %d lists %s is not in it", c.lists, l)
+		t.Run(fmt.Sprint(c.lists, " lists"), func(t *testing.T) {
+			var lists []string
+			for n := range c.lists {
+				lists = append(lists, fmt.Sprint("list-", n))
 			}
-		}
-		wrong := 0
-		for n := range 2000 {
-			if f.MayInclude(fmt.Sprint("other-", n)) {
-				wrong++
+			filter := NewSubscriptionFilter(lists)
+			if len(filter) > maxFilterBytes {
+				t.Errorf("it takes %d bytes", len(filter))
 			}
-		}
-		if float64(wrong)/2000 > c.others {
-			t.Errorf("of %d lists: %d of 2000 others are in it", c.lists, wrong)
-		}
+			for _, l := range lists {
+				if !filter.MayInclude(l) {
+					t.Errorf("%s is not included", l)
+				}
+			}
+			falsePositives := 0
+			for n := range otherLists {
+				if filter.MayInclude(fmt.Sprint("other-", n)) {
+					falsePositives++
+				}
+			}
+			if float64(falsePositives)/otherLists > c.maxFalsePositives {
+				t.Errorf("%d of %d other lists are included", falsePositives, otherLists)
+			}
+		})
 	}
 }
 
 func TestUnknownFilterIncludesEveryList(t *testing.T) {
-	for _, f := range []SubscriptionFilter{nil, {}, {9, 1, 2, 3}, {filterHashes, 1, 2}, {filterBloom, 0}} {
-		if !f.MayInclude("main") {
-			t.Errorf("%v has not", f)
-		}
-	}
-}
-
-// newHarnessWithPeers is a bench whose members stand in places and read lists: "a" reads one and two.
-func newHarnessWithPeers(t *testing.T, peers ...Peer) *harness {
-	t.Helper()
-	m, err := New(Settings{Name: "a", RunID: 1}, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &harness{t: t, m: m, now: time.Hour}
-	var one, two []Server
-	for i := range 8 {
-		one = append(one, Server{ID: fmt.Sprint("s", i), StartedMS: 7, Zone: "z", Pod: i % 2})
-		two = append(two, Server{ID: fmt.Sprint("t", i), StartedMS: 7, Zone: "z", Pod: i % 2})
-	}
-	var names []string
-	for n := range peers {
-		names = append(names, string(rune('a'+n)))
+	for _, c := range []struct {
+		name   string
+		filter SubscriptionFilter
+	}{
+		{"none", nil},
+		{"empty", SubscriptionFilter{}},
+		{"unknown encoding", SubscriptionFilter{9, 1, 2, 3}},
+		{"hashes of a wrong length", SubscriptionFilter{filterHashes, 1, 2}},
+		{"Bloom filter of a wrong length", SubscriptionFilter{filterBloom, 0}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if !c.filter.MayInclude("main") {
+				t.Error("main is not included")
+			}
+		})
 	}
-	b.step(ListUpdated{"one", one}, ListUpdated{"two", two}, MembersChanged{Names: names, Peers: peers})
-	return b
 }
 
-var (
-	readsOne, readsTwo, readsBoth = NewSubscriptionFilter([]string{"one"}), NewSubscriptionFilter([]string{"two"}), NewSubscriptionFilter([]string{"one", "two"})
-)
-
 func TestOnlySubscribersAreNotified(t *testing.T) {
-	var peers []Peer
-	for n := range 20 {
-		p := Peer{Subscriptions: readsTwo}
-		if n%4 == 0 {
-			p.Subscriptions = readsBoth
+	const (
+		subscriberOfBoth = 0
+		subscriberOfNone = 1
+		period           = 4
+	)
+	peers := peersOf(20, func(n int) Peer {
+		switch n % period {
+		case subscriberOfBoth:
+			return Peer{Subscriptions: readsBoth}
+		case subscriberOfNone:
+			return Peer{Subscriptions: NewSubscriptionFilter([]string{"three"})}
 		}
-		if n%4 == 1 {
-			p.Subscriptions = NewSubscriptionFilter([]string{"three"})
-		}
-		peers = append(peers, p)
-	}
-	b := newHarnessWithPeers(t, peers...)
-	heard := 0
+		return Peer{Subscriptions: readsTwo}
+	})
+	h := newHarnessWithPeers(t, peers...)
+	messages := 0
 	for range 200 {
-		b.now += 100 * time.Millisecond
-		for _, s := range stepAndCollectSends(b.m, b.now, oneFailure(1)) {
-			n := int(s.To[0] - 'a')
-			about := s.Message.Notify || len(s.Message.About) > 0
-			if n%4 == 1 || about && n%4 != 0 {
+		h.now += 100 * time.Millisecond
+		for _, s := range stepAndCollectSends(h.m, h.now, oneFailure(1)) {
+			to := int(s.To[0]-'a') % period
+			aboutListOne := s.Message.Notify || len(s.Message.About) > 0
+			if to == subscriberOfNone || aboutListOne && to != subscriberOfBoth {
 				t.Fatalf("to %s, which reads other lists: %+v", s.To, s.Message)
 			}
-			heard++
+			messages++
 		}
 	}
-	if heard < 20 {
-		t.Errorf("%d messages in 20 s of failures", heard)
+	if messages < 20 {
+		t.Errorf("%d messages in 20 s of failures", messages)
 	}
-	// Who asks hears of what it reads alone.
-	for from, want := range map[string]int{"c": 0, "e": 1} {
-		for _, s := range stepAndCollectSends(b.m, b.now, Received{from, &Message{PollNumber: 1, FormatVersion: currentFormat}}) {
+	for poller, want := range map[string]int{"c": 0, "e": 1} { // c reads the other list
+		for _, s := range stepAndCollectSends(h.m, h.now, Received{poller, &Message{PollNumber: 1, FormatVersion: currentFormat}}) {
 			if s.Message.ResponseTo == 1 && len(s.Message.Evidence) != want {
-				t.Errorf("%s hears %d items, want %d", from, len(s.Message.Evidence), want)
+				t.Errorf("%s receives %d reports, want %d", poller, len(s.Message.Evidence), want)
 			}
 		}
 	}
 }
 
 func TestQuorumIsOfSubscribers(t *testing.T) {
-	var peers []Peer
-	for n := range 20 { // four read one
-		p := Peer{Subscriptions: readsTwo}
+	h := newHarnessWithPeers(t, peersOf(20, func(n int) Peer {
 		if n < 4 {
-			p.Subscriptions = readsOne
+			return Peer{Subscriptions: readsOne}
 		}
-		peers = append(peers, p)
+		return Peer{Subscriptions: readsTwo}
+	})...)
+	s := h.m.servers["s0"]
+	if n := len(h.m.subscriberNames(s)); n != 4 {
+		t.Fatalf("%d subscribers, want 4", n)
 	}
-	b := newHarnessWithPeers(t, peers...)
-	s := b.m.servers["s0"]
-	if n := len(b.m.subscriberNames(s)); n != 4 {
-		t.Fatalf("%d read it", n)
-	}
-	if need, mute := b.m.requiredReporters(s), b.m.requiredUnresponsiveReporters(s); need != 3 || mute != 3 {
-		t.Errorf("%d voices, %d without a word", need, mute)
+	if required, unresponsive := h.m.requiredReporters(s), h.m.requiredUnresponsiveReporters(s); required != 3 || unresponsive != 3 {
+		t.Errorf("%d reporters required, %d of an unresponsive server, want 3 and 3", required, unresponsive)
 	}
 }
 
-// unresponsiveReports is those members' word that s0 says nothing to them.
-func unresponsiveReports(names string) []Evidence {
-	var all []Evidence
-	for _, n := range names {
-		i := failureReport(string(n), 1)
-		i.ErrorResponses = 0
-		all = append(all, i)
-	}
-	return all
+// Members a to l are in zone x, and the others in y and z: zones of one region, or regions of three zones each.
+func zonesOfOneRegion(n int) Peer {
+	return Peer{Zone: []string{"x", "y", "z"}[max(0, (n-6)/6)], Subscriptions: readsBoth}
+}
+
+func threeRegions(n int) Peer {
+	return Peer{Region: []string{"x", "y", "z"}[max(0, (n-6)/6)], Zone: fmt.Sprint(n % 3), Subscriptions: readsBoth}
 }
 
 func TestReportersOfOneFailureDomainCountOnce(t *testing.T) {
-	// a to l in zone x, m to x in zones y and z; or a to l in region x with three zones, and the others in two more regions.
-	zones := func(n int) Peer {
-		return Peer{Zone: []string{"x", "y", "z"}[max(0, (n-6)/6)], Subscriptions: readsBoth}
-	}
-	regions := func(n int) Peer {
-		return Peer{Region: []string{"x", "y", "z"}[max(0, (n-6)/6)], Zone: fmt.Sprint(n % 3), Subscriptions: readsBoth}
-	}
 	for _, c := range []struct {
-		name  string
-		place func(int) Peer
-		who   string
-		out   bool
+		name      string
+		locality  func(int) Peer
+		reporters string
+		want      bool
 	}{
-		{"all of one zone", zones, "bcdefghijkl", false},
-		{"of two zones of three", zones, "bcdefghmnopq", true},
-		{"all of the own region, cut off", regions, "bcdefghijkl", true},
-		{"of one zone of it", regions, "bdehkn", false},
-		{"of another region, cut off", regions, "mnopqr", false},
-		{"of two regions of three", regions, "cfimnopqrnb", true},
+		{"all of one zone", zonesOfOneRegion, "bcdefghijkl", false},
+		{"two zones of three", zonesOfOneRegion, "bcdefghmnopq", true},
+		{"all of the own region, partitioned", threeRegions, "bcdefghijkl", true},
+		{"one zone of the own region", threeRegions, "bdehkn", false},
+		{"another region, partitioned", threeRegions, "mnopqr", false},
+		{"two regions of three", threeRegions, "cfimnopqrnb", true},
 	} {
-		var peers []Peer
-		for n := range 24 {
-			peers = append(peers, c.place(n))
-		}
-		b := newHarnessWithPeers(t, peers...)
-		b.receives(unresponsiveReports(c.who))
-		if b.wait(7 * time.Second); b.ejected("s0") != c.out {
-			t.Errorf("%s: out is %v", c.name, !c.out)
-		}
-	}
-	// A judge in another region is not moved by eleven of one that is cut off.
-	var peers []Peer
-	for n := range 24 {
-		p := regions(n)
-		if n == 0 {
-			p.Region = "z"
-		}
-		peers = append(peers, p)
-	}
-	b := newHarnessWithPeers(t, peers...)
-	b.receives(unresponsiveReports("bcdefghijkl"))
-	if b.wait(7 * time.Second); b.ejected("s0") {
-		t.Error("out by a region that is cut off")
-	}
-	b.receives([]Evidence{failureReport("m", 1), failureReport("n", 1), failureReport("o", 1)})
-	if b.wait(7 * time.Second); !b.ejected("s0") {
-		t.Error("not out by its own word to three")
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarnessWithPeers(t, peersOf(24, c.locality)...)
+			h.receives(unresponsiveReports(c.reporters))
+			h.expectEjected(c.want, c.name)
+		})
 	}
+	t.Run("a member of another region", func(t *testing.T) {
+		peers := peersOf(24, threeRegions)
+		peers[0].Region = "z"
+		h := newHarnessWithPeers(t, peers...)
+		h.receives(unresponsiveReports("bcdefghijkl"))
+		h.expectEjected(false, "the reporters' region is partitioned")
+		h.receives(failureReports("mno", 1))
+		h.expectEjected(true, "three reporters had error responses")
+	})
 }
 
-// A region that is cut off hears nobody else, and is not a fleet of its own for that: it knows that there are others.
+// A region that is partitioned reaches no other members, but knows that there are some: it is not a fleet of its own.
 func TestLocalitiesOfUnreachableMembersCount(t *testing.T) {
+	const reachable = 3
+	peers := peersOf(9, func(n int) Peer {
+		return Peer{Region: fmt.Sprint("r", n/reachable), Zone: "z", Subscriptions: readsBoth}
+	})
 	var names []string
-	var peers, lost []Peer
-	for n := range 9 {
-		p := Peer{Region: fmt.Sprint("r", n/3), Zone: "z", Subscriptions: readsBoth}
-		if n < 3 {
-			names, peers = append(names, string(rune('a'+n))), append(peers, p)
-		} else {
-			lost = append(lost, p)
-		}
+	for n := range reachable {
+		names = append(names, memberName(n))
 	}
 	for _, c := range []struct {
-		lost []Peer
-		out  bool
-	}{{lost, false}, {nil, true}} {
-		b := newHarnessWithPeers(t, peers...)
-		b.step(MembersChanged{Names: names, Peers: peers, Unreachable: c.lost})
-		b.receives(unresponsiveReports("bc"))
-		if b.wait(7 * time.Second); b.ejected("s0") != c.out {
-			t.Errorf("%d others known: out is %v", len(c.lost), !c.out)
-		}
+		name        string
+		unreachable []Peer
+		want        bool
+	}{
+		{"unreachable members are known", peers[reachable:], false},
+		{"no other members are known", nil, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarnessWithPeers(t, peers[:reachable]...)
+			h.step(MembersChanged{Names: names, Peers: peers[:reachable], Unreachable: c.unreachable})
+			h.receives(unresponsiveReports("bc"))
+			h.expectEjected(c.want, c.name)
+		})
 	}
 }
 
-// A member of the first form asks in general and passes over what it does not know: it is told this member's own, and
-// what it pokes of is asked for; it is counted among those that read all lists.
+// A member of format 1 polls in general and ignores what it does not know: it receives this member's own evidence, its
+// notifications prompt a poll, and it counts as a subscriber of all lists.
 func TestFirstFormatMembersAreServedAsBefore(t *testing.T) {
-	b := newHarnessWithPeers(t, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsOne}, Peer{Subscriptions: readsTwo}, Peer{})
-	s := b.m.servers["s0"]
-	if n := len(b.m.subscriberNames(s)); n != 4 { // a, b, c, and e of the first form
-		t.Errorf("%d are taken to read it", n)
-	}
-	stepAndCollectSends(b.m, b.now, oneFailure(1))
-	b.now += time.Millisecond
-	for f, want := range map[uint8]int{0: 1, currentFormat: 0} {
-		for _, s := range stepAndCollectSends(b.m, b.now, Received{"e", &Message{PollNumber: 3, FormatVersion: f}}) {
+	h := newHarnessWithPeers(t,
+		Peer{Subscriptions: readsOne},
+		Peer{Subscriptions: readsOne},
+		Peer{Subscriptions: readsOne},
+		Peer{Subscriptions: readsTwo},
+		Peer{}) // e, of format 1
+	s := h.m.servers["s0"]
+	if n := len(h.m.subscriberNames(s)); n != 4 {
+		t.Errorf("%d subscribers, want a, b, c and e", n)
+	}
+	stepAndCollectSends(h.m, h.now, oneFailure(1))
+	h.now += time.Millisecond
+	for format, want := range map[uint8]int{0: 1, currentFormat: 0} {
+		for _, s := range stepAndCollectSends(h.m, h.now, Received{"e", &Message{PollNumber: 3, FormatVersion: format}}) {
 			if s.Message.ResponseTo == 3 && len(s.Message.Evidence) != want {
-				t.Errorf("who speaks form %d hears %d items, want %d", f, len(s.Message.Evidence), want)
+				t.Errorf("a member of format %d receives %d reports, want %d", format, len(s.Message.Evidence), want)
 			}
 		}
 	}
-	b.now += time.Second
-	asked := false
-	for _, s := range stepAndCollectSends(b.m, b.now, Received{"e", &Message{Notify: true}}) {
-		asked = asked || s.To == "e" && s.Message.PollNumber > 0
+	h.now += time.Second
+	polled := false
+	for _, s := range stepAndCollectSends(h.m, h.now, Received{"e", &Message{Notify: true}}) {
+		polled = polled || s.To == "e" && s.Message.PollNumber > 0
 	}
-	if !asked {
-		t.Error("its news is not asked for")
+	if !polled {
+		t.Error("its notification prompts no poll")
 	}
-	// And one of the first form asks who pokes it about a server, as it asks any.
-	old, err := New(Settings{Name: "e", RunID: 1, FormatVersion: 1}, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	stepAndCollectSends(old, time.Hour, MembersChanged{Names: []string{"a", "e"}}, ListUpdated{"one", []Server{{ID: "s0", StartedMS: 7}}})
-	asked = false
-	for _, s := range stepAndCollectSends(old, time.Hour+time.Second, Received{"a", &Message{FormatVersion: currentFormat, Notify: true, About: []Incarnation{{"s0", 7}}}}) {
-		asked = asked || s.To == "a" && s.Message.PollNumber > 0 && s.Message.FormatVersion == 0 && !s.Message.OwnOnly
+}
+
+// A member of format 1 takes a notice about a server for a notification, and polls in general.
+func TestFirstFormatMemberPollsAfterANotice(t *testing.T) {
+	m := newMember(t, Settings{Name: "e", FormatVersion: 1})
+	list := ListUpdated{"one", []Server{{ID: "s0", StartedMS: testStartedMS}}}
+	stepAndCollectSends(m, testStart, MembersChanged{Names: []string{"a", "e"}}, list)
+	notice := &Message{FormatVersion: currentFormat, Notify: true, About: []Incarnation{{"s0", testStartedMS}}}
+	polled := false
+	for _, s := range stepAndCollectSends(m, testStart+time.Second, Received{"a", notice}) {
+		polled = polled || s.To == "a" && s.Message.PollNumber > 0 && s.Message.FormatVersion == 0 && !s.Message.OwnOnly
 	}
-	if !asked {
-		t.Error("one of the first form does not ask")
+	if !polled {
+		t.Error("it does not poll")
 	}
 }
