--- a/decide/api.go
+++ b/decide/api.go
@@ -21,30 +21,30 @@
 
 // The effects of repeating a request.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // backends of one group drop a repeat within a window
-	Unsafe               // may be repeated only when no attempt can have run
+	Idempotent    Effect = iota // may be repeated and refused at will
+	Keyed                       // backends of one group drop a repeat within a window
+	NonIdempotent               // may be repeated only when no attempt can have run
 )
 
-// Group says which backends drop repeats of a keyed request.
-type Group uint8
+// DedupScope says which backends drop repeats of a keyed request.
+type DedupScope uint8
 
 // The deduplication scopes of a keyed request.
 const (
-	GroupAll  Group = iota // every backend
-	GroupZone              // the backends of one zone
-	GroupCell              // the backends of one cell
+	ScopeAll  DedupScope = iota // every backend
+	ScopeZone                   // the backends of one zone
+	ScopeCell                   // the backends of one cell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Aim       time.Duration // an answer within this time earns the full worth
-	Deadline  time.Duration // the time a client waits, over all its tries
-	Worth     float64       // worth of a request (or of a unit of work, see Settings.ByWork)
-	LateWorth float64       // share of the worth earned between aim and deadline
-	Effect    Effect
-	Group     Group         // for Keyed
-	Window    time.Duration // for Keyed: how long a repeat is dropped after the first send
+	Objective   time.Duration // an answer within this time earns the full worth
+	Deadline    time.Duration // the time a client waits, over all its tries
+	Value       float64       // worth of a request (or of a unit of work, see Settings.ByWork)
+	LateValue   float64       // share of the worth earned between aim and deadline
+	Effect      Effect
+	Scope       DedupScope    // for Keyed
+	DedupWindow time.Duration // for Keyed: how long a repeat is dropped after the first send
 }
 
 // Settings are fixed for the life of a Balancer. The zero value of a field that
@@ -62,7 +62,7 @@
 	Tick      time.Duration // shortest gap between two steps; 0: none
 
 	MaxAttempts    int           // attempts one request may get; 0: 1
-	SecondCopies   bool          // two attempts of one request may be out together
+	Hedging        bool          // two attempts of one request may be out together
 	MayProbe       bool          // Probe actions are allowed
 	MayCancel      bool          // Cancel actions are allowed
 	Peers          bool          // TellPeer actions are allowed
@@ -70,13 +70,13 @@
 	MaxRetryAfter  time.Duration // the longest wait that a client heeds
 	ConnectTimeout time.Duration // a connection not made in this time fails
 
-	DrainGrace   time.Duration // how long sends to a draining backend are still tolerated
-	AnswerGrace  time.Duration // how long after its deadline a final answer still counts
-	AskWithin    time.Duration // Subscribe: ask at least this often while not subscribed
-	ColdShare    float64       // a backend starts at this share of its capacity or more; 0: 1
-	RampTime     time.Duration // and is warm no later than this after its start
-	FallMultiple float64       // a cold backend sent more than this multiple of its capacity ...
-	FallWindow   time.Duration // ... over this span falls over
+	DrainGrace       time.Duration // how long sends to a draining backend are still tolerated
+	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
+	SubscribeWithin  time.Duration // Subscribe: ask at least this often while not subscribed
+	SlowStartShare   float64       // a backend starts at this share of its capacity or more; 0: 1
+	SlowStartTime    time.Duration // and is warm no later than this after its start
+	OverloadMultiple float64       // a cold backend sent more than this multiple of its capacity ...
+	OverloadWindow   time.Duration // ... over this span falls over
 
 	GoalWhole, GoalWindow, GoalClass float64 // what the operator weighs: all, worst span, worst class
 	CrossZonePrice                   float64 // what crossing zones costs, as a share of the result
@@ -89,7 +89,7 @@
 const (
 	Up       BackendState = iota
 	Draining              // finishing its work
-	Gone                  // removed
+	Removed               // removed
 )
 
 // Backend is one entry of the list.
@@ -118,49 +118,49 @@
 )
 
 type (
-	// List carries the backends or the failure to get them.
-	List struct {
+	// ListUpdate carries the backends or the failure to get them.
+	ListUpdate struct {
 		Kind     ListKind
 		Backends []Backend
 	}
 	// Request is a client's request. The balancer owes it one final answer.
 	Request struct {
-		ID     string
-		Class  int
-		Left   time.Duration // until this client stops waiting
-		Work   time.Duration // expected work; 0: unknown
-		Repeat bool          // the client says that it tries again
-		Only   string        // the one backend that may get it; empty: any
-		Upload bool          // its last byte is still to come, and Left counts from then: see Uploaded
+		ID          string
+		Class       int
+		Remaining   time.Duration // until this client stops waiting
+		Work        time.Duration // expected work; 0: unknown
+		ClientRetry bool          // the client says that it tries again
+		OnlyBackend string        // the one backend that may get it; empty: any
+		Upload      bool          // its last byte is still to come, and Left counts from then: see Uploaded
 	}
-	// Uploaded says that the last byte of an upload has gone out with an attempt. Only now does its time
+	// UploadCompleted says that the last byte of an upload has gone out with an attempt. Only now does its time
 	// run, and only now has its backend work with it.
-	Uploaded struct {
-		Request string
-		Attempt int
-		Left    time.Duration
+	UploadCompleted struct {
+		Request   string
+		Attempt   int
+		Remaining time.Duration
 	}
 	// Outcome ends one attempt. The agent passes on exactly one for each Send.
 	Outcome struct {
-		Request string
-		Attempt int // attempts of a request count from 0 in the order of their Send
-		Backend string
-		Result  Result
-		Latency time.Duration // since it was sent; of an upload: since its last byte was
-		Done    bool          // the request has its final answer, by this outcome or before
-		Load    Load
-		Spent   bool // what was sent can't be sent again
-		Dialed  bool // it opened a connection
+		Request       string
+		Attempt       int // attempts of a request count from 0 in the order of their Send
+		Backend       string
+		Result        Result
+		Latency       time.Duration // since it was sent; of an upload: since its last byte was
+		Answered      bool          // the request has its final answer, by this outcome or before
+		Load          Load
+		NotReplayable bool // what was sent can't be sent again
+		Dialed        bool // it opened a connection
 	}
-	// StreamStarted says that the answer of an attempt has begun to reach the client.
-	StreamStarted struct {
-		Request string
-		Attempt int
-		Worked  bool          // the backend is done with it, but for bytes that are on their way
-		Latency time.Duration // of Worked, since it was sent
+	// ResponseStarted says that the answer of an attempt has begun to reach the client.
+	ResponseStarted struct {
+		Request   string
+		Attempt   int
+		Completed bool          // the backend is done with it, but for bytes that are on their way
+		Latency   time.Duration // of Worked, since it was sent
 	}
-	// Abandoned says that the client left; nothing is owed any longer.
-	Abandoned struct{ Request string }
+	// RequestCancelled says that the client left; nothing is owed any longer.
+	RequestCancelled struct{ Request string }
 	// ProbeResult answers a Probe.
 	ProbeResult struct {
 		Backend string
@@ -170,30 +170,30 @@
 	}
 	// TimerFired says that a SetTimer has come due.
 	TimerFired struct{ Token int64 }
-	// Ban is an operator's word: a backend gets nothing more (Out), or may serve again, whatever the
+	// BackendDisabled is an operator's word: a backend gets nothing more (Out), or may serve again, whatever the
 	// list says of it meanwhile. One that comes back counts as just started.
-	Ban struct {
-		Backend string
-		Out     bool
+	BackendDisabled struct {
+		Backend  string
+		Disabled bool
 	}
-	// Fleet says how many agents share these backends from now on, this one included: no more than Most, as far as
+	// FleetSize says how many agents share these backends from now on, this one included: no more than Most, as far as
 	// anyone can know, and no fewer than Least. It is for agents that keep a view of one another, and without effect
 	// where Peers is set: those are told once.
-	Fleet struct{ Most, Least int }
-	// Limits are those that the fleet shares, from now on. Nothing that they count is sent without a right.
-	Limits struct{ All []quota.Limit }
-	// Rights are what this agent may use of them. They are answered by Held; none at all asks for that.
-	Rights struct{ All []quota.Lease }
-	// Verdicts are all that the fleet's agents together hold against backends. Each narrows what this agent may do
+	FleetSize struct{ Max, Min int }
+	// SharedLimits are those that the fleet shares, from now on. Nothing that they count is sent without a right.
+	SharedLimits struct{ Limits []quota.Limit }
+	// LeasesGranted are what this agent may use of them. They are answered by Held; none at all asks for that.
+	LeasesGranted struct{ Leases []quota.Lease }
+	// Ejections are all that the fleet's agents together hold against backends. Each narrows what this agent may do
 	// until a time, and no more than its own list or an operator's word does. They take the place of the last ones.
-	Verdicts struct{ All []Verdict }
-	// Verdict is about one process of a backend: it is out as if this agent had ejected it, or, with Drain, gets
+	Ejections struct{ Ejections []Ejection }
+	// Ejection is about one process of a backend: it is out as if this agent had ejected it, or, with Drain, gets
 	// nothing, as if the list had said so.
-	Verdict struct {
-		Backend string
-		Started time.Duration // as the list has it: a later process is not meant
-		Drain   bool
-		Until   time.Duration
+	Ejection struct {
+		Backend  string
+		Started  time.Duration // as the list has it: a later process is not meant
+		Draining bool
+		Until    time.Duration
 	}
 	// PeerMessage carries bytes from another agent.
 	PeerMessage struct {
@@ -218,30 +218,32 @@
 const (
 	OK            Result = iota // served
 	Errored                     // the backend returned an error; may have run
-	Full                        // turned away unseen; never ran
+	Rejected                    // turned away unseen; never ran
 	TimedOut                    // no answer in time; may have run or be running
 	ConnectFailed               // no connection; never ran
 	Reset                       // the connection broke; may have run
 	Cancelled                   // withdrawn; may have run
 	NotSent                     // never sent
-	Broke                       // a connection broke, or the attempt's time was up, before the request was whole; never ran
+	Incomplete                  // a connection broke, or the attempt's time was up, before the request was whole; never ran
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
-func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == NotSent || r == Broke }
+func (r Result) NeverRan() bool {
+	return r == Rejected || r == ConnectFailed || r == NotSent || r == Incomplete
+}
 
 // Reason is the limit or rule by which a request got a final answer that is not a success.
 type Reason uint8
 
 // The reasons of final answers that are not successes.
 const (
-	NoRoom    Reason = iota // no more may be in flight, or a thin agent has no credit
-	NoServer                // none may get it: down, ejected, cold and spent, or outside what the repeat rule allows
-	NoToken                 // the retry bucket is too low
-	NoTime                  // a further attempt would come too late
-	NoAttempt               // all attempts are used up, or what was sent can't be sent again
-	NoRight                 // a limit that the fleet shares: this agent has no right to more of it now
-	Reasons                 // how many there are
+	NoCapacity       Reason = iota // no more may be in flight, or a thin agent has no credit
+	NoBackend                      // none may get it: down, ejected, cold and spent, or outside what the repeat rule allows
+	NoRetryToken                   // the retry bucket is too low
+	DeadlineTooClose               // a further attempt would come too late
+	NoAttemptLeft                  // all attempts are used up, or what was sent can't be sent again
+	NoLease                        // a limit that the fleet shares: this agent has no right to more of it now
+	ReasonCount                    // how many there are
 )
 
 func (r Reason) String() string {
@@ -257,8 +259,8 @@
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
-		Until            time.Duration // it must not begin later, and ends as NotSent then; 0: any time
-		NoDial           bool          // only on a connection that is open; without one it ends as NotSent
+		StartBy          time.Duration // it must not begin later, and ends as NotSent then; 0: any time
+		ReuseOnly        bool          // only on a connection that is open; without one it ends as NotSent
 	}
 	// Cancel withdraws an attempt; its Outcome still comes.
 	Cancel struct {
@@ -269,17 +271,17 @@
 	Refuse struct {
 		Request    string
 		RetryAfter time.Duration // 0: no advice
-		Why        Reason
+		Reason     Reason
 		Limit      string // of NoRight
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct {
 		Request string
-		Why     Reason
+		Reason  Reason
 		Limit   string // of NoRight
 	}
-	// Held tells whoever lends rights how they stand, and what was turned away for want of one.
-	Held struct{ All []quota.Usage }
+	// LeaseUsage tells whoever lends rights how they stand, and what was turned away for want of one.
+	LeaseUsage struct{ Usages []quota.Usage }
 	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
 	SetTimer struct {
 		After time.Duration
@@ -287,8 +289,8 @@
 	}
 	// Probe examines a backend outside any request.
 	Probe struct{ Backend string }
-	// TellPeer sends a few bytes to another agent. They may come late or not at all.
-	TellPeer struct {
+	// SendToPeer sends a few bytes to another agent. They may come late or not at all.
+	SendToPeer struct {
 		To   int // that agent's number
 		Data []byte
 	}
@@ -296,27 +298,27 @@
 	Subscribe struct{}
 )
 
-func (List) event()          {}
-func (Request) event()       {}
-func (Outcome) event()       {}
-func (Uploaded) event()      {}
-func (StreamStarted) event() {}
-func (Abandoned) event()     {}
-func (ProbeResult) event()   {}
-func (TimerFired) event()    {}
-func (PeerMessage) event()   {}
-func (Ban) event()           {}
-func (Fleet) event()         {}
-func (Limits) event()        {}
-func (Rights) event()        {}
-func (Verdicts) event()      {}
+func (ListUpdate) event()       {}
+func (Request) event()          {}
+func (Outcome) event()          {}
+func (UploadCompleted) event()  {}
+func (ResponseStarted) event()  {}
+func (RequestCancelled) event() {}
+func (ProbeResult) event()      {}
+func (TimerFired) event()       {}
+func (PeerMessage) event()      {}
+func (BackendDisabled) event()  {}
+func (FleetSize) event()        {}
+func (SharedLimits) event()     {}
+func (LeasesGranted) event()    {}
+func (Ejections) event()        {}
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (TellPeer) action()  {}
-func (Subscribe) action() {}
-func (Held) action()      {}
+func (Send) action()       {}
+func (Cancel) action()     {}
+func (Refuse) action()     {}
+func (Fail) action()       {}
+func (SetTimer) action()   {}
+func (Probe) action()      {}
+func (SendToPeer) action() {}
+func (Subscribe) action()  {}
+func (LeaseUsage) action() {}
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -87,29 +87,29 @@
 			b.onOutcome(e)
 		case TimerFired:
 			b.onTimer(e.Token)
-		case List:
+		case ListUpdate:
 			b.onList(e)
 			b.measure()
-		case Ban:
+		case BackendDisabled:
 			b.onBan(e)
 			b.measure()
-		case Fleet:
+		case FleetSize:
 			b.onFleet(e)
-		case Verdicts:
+		case Ejections:
 			b.onVerdicts(e)
 			b.measure()
-		case Limits:
-			b.book.SetLimits(e.All)
-		case Rights:
-			b.book.SetLeases(b.now, e.All)
+		case SharedLimits:
+			b.book.SetLimits(e.Limits)
+		case LeasesGranted:
+			b.book.SetLeases(b.now, e.Leases)
 			b.reported = 0
 		case PeerMessage:
 			b.onPeer(e)
-		case Uploaded:
+		case UploadCompleted:
 			b.onUploaded(e)
-		case StreamStarted:
+		case ResponseStarted:
 			b.onStream(e)
-		case Abandoned:
+		case RequestCancelled:
 			if r := b.requests[e.Request]; r != nil {
 				b.close(r)
 			}
@@ -118,7 +118,7 @@
 	b.releaseHeld()
 	if !b.book.Empty() && (b.reported == 0 || b.book.Active() && b.now-b.reported >= reportEvery) {
 		b.reported = b.now
-		b.actions = append(b.actions, Held{b.book.Usages(b.now)})
+		b.actions = append(b.actions, LeaseUsage{b.book.Usages(b.now)})
 	}
 	return b.actions
 }
@@ -128,10 +128,18 @@
 		return
 	}
 	c := &b.classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, aim: b.now + min(c.Aim, e.Left), half: b.now + e.Left/2,
-		deadline: b.now + e.Left, repeat: e.Repeat, only: e.Only, upload: e.Upload}
+	r := &request{
+		id:       e.ID,
+		class:    e.Class,
+		aim:      b.now + min(c.Objective, e.Remaining),
+		half:     b.now + e.Remaining/2,
+		deadline: b.now + e.Remaining,
+		repeat:   e.ClientRetry,
+		only:     e.OnlyBackend,
+		upload:   e.Upload,
+	}
 	if b.lateTry(c, e) {
-		r.repeat, r.aim = true, r.aim-max(0, c.Deadline-e.Left)
+		r.repeat, r.aim = true, r.aim-max(0, c.Deadline-e.Remaining)
 	}
 	if r.work = float64(e.Work); r.work > 0 {
 		c.work = blend(c.work, r.work)
@@ -148,7 +156,7 @@
 		b.earn(r)
 	}
 	if t := b.byID[r.only]; r.only != "" && (t == nil || t.State != Up) {
-		b.finish(r, NoServer) // no other may have it, and waiting brings nothing
+		b.finish(r, NoBackend) // no other may have it, and waiting brings nothing
 		return
 	}
 	b.hold(r)
@@ -161,14 +169,14 @@
 // length at least, so those weigh double; one near it, as clients seldom tell, begins the vote anew. It
 // could hurt where first tries come in two lengths far apart.
 func (b *Balancer) lateTry(c *classState, e Request) bool {
-	jitter, off := max(b.s.Tick, time.Duration(leftJitter*float64(c.Aim)), 1), e.Left-c.usual
+	jitter, off := max(b.s.Tick, time.Duration(leftJitter*float64(c.Objective)), 1), e.Remaining-c.usual
 	apart := max(off, -off) / (2 * jitter)
 	switch {
-	case e.Repeat: // marked as one: no evidence of what first tries come with
+	case e.ClientRetry: // marked as one: no evidence of what first tries come with
 	case apart == 0:
 		c.votes, c.usual = min(c.votes+2, 2*leftSure), c.usual+off/8
 	case c.votes == 0 || apart < leftApart:
-		c.votes, c.usual = 2, e.Left
+		c.votes, c.usual = 2, e.Remaining
 	default:
 		c.votes--
 	}
@@ -184,20 +192,23 @@
 	return r, r.attempts[n]
 }
 
-func (b *Balancer) onUploaded(e Uploaded) {
+func (b *Balancer) onUploaded(e UploadCompleted) {
 	if r, a := b.out(e.Request, e.Attempt); r != nil && r.upload {
 		c := &b.classes[r.class]
-		r.upload, r.aim, r.deadline, r.half = false, b.now+min(c.Aim, e.Left), b.now+e.Left, b.now+e.Left/2
+		r.upload = false
+		r.aim = b.now + min(c.Objective, e.Remaining)
+		r.deadline = b.now + e.Remaining
+		r.half = b.now + e.Remaining/2
 		b.takeUp(r, a)
 	}
 }
 
-func (b *Balancer) onStream(e StreamStarted) {
+func (b *Balancer) onStream(e ResponseStarted) {
 	r, a := b.out(e.Request, e.Attempt)
 	if r == nil || r.ended {
 		return
 	}
-	if r.stream = true; e.Worked && a.load {
+	if r.stream = true; e.Completed && a.load {
 		b.served(r, a, Outcome{Result: OK, Latency: e.Latency})
 		b.putDown(a)
 	}
@@ -218,7 +229,7 @@
 		return
 	}
 	streamed := r.stream && !a.load // its success was counted when its answer began
-	a.open, r.spent = false, r.spent || e.Spent
+	a.open, r.spent = false, r.spent || e.NotReplayable
 	b.book.Release(b.now, a.rights, e.Dialed)
 	r.open--
 	b.putDown(a)
@@ -237,7 +248,7 @@
 	if b.outcomes++; b.notesOn() && b.outcomes%passEvery == 0 {
 		b.message(b.notes, 1+b.rng.IntN(b.s.Balancers-1))
 	}
-	if e.Done || e.Result == OK || r.ended {
+	if e.Answered || e.Result == OK || r.ended {
 		b.close(r)
 		return
 	}
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -24,17 +24,17 @@
 )
 
 func settings() decide.Settings {
-	class := func(e decide.Effect, g decide.Group) decide.Class {
-		return decide.Class{Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: e, Group: g, Window: 300 * ms}
+	class := func(e decide.Effect, g decide.DedupScope) decide.Class {
+		return decide.Class{Objective: 400 * ms, Deadline: 2000 * ms, Value: 1, Effect: e, Scope: g, DedupWindow: 300 * ms}
 	}
 	return decide.Settings{
 		Balancers: 1, MaxAttempts: 4, Tick: 5 * ms,
 		Classes: []decide.Class{
-			class(decide.Safe, 0), class(decide.Unsafe, 0), class(decide.Keyed, decide.GroupAll),
-			class(decide.Keyed, decide.GroupZone), class(decide.Keyed, decide.GroupCell),
+			class(decide.Idempotent, 0), class(decide.NonIdempotent, 0), class(decide.Keyed, decide.ScopeAll),
+			class(decide.Keyed, decide.ScopeZone), class(decide.Keyed, decide.ScopeCell),
 		},
-		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, ColdShare: 0.2, RampTime: 10 * time.Second,
-		FallMultiple: 2.5, FallWindow: time.Second, AskWithin: 10 * time.Second,
+		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
+		OverloadMultiple: 2.5, OverloadWindow: time.Second, SubscribeWithin: 10 * time.Second,
 		GoalWhole: 0.6, GoalWindow: 0.2, GoalClass: 0.2,
 	}
 }
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-	r.step(decide.List{Kind: decide.ListCached, Backends: list})
+	r.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 	return r
 }
 
@@ -109,7 +109,7 @@
 }
 
 func (r *rig) request(id string, class int) []decide.Action {
-	return r.step(decide.Request{ID: id, Class: class, Left: 2000 * ms})
+	return r.step(decide.Request{ID: id, Class: class, Remaining: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
@@ -120,7 +120,7 @@
 		r.t.Fatalf("%s: nothing was sent", id)
 	}
 	return r.step(decide.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
-		Latency: latency, Done: res == decide.OK})
+		Latency: latency, Answered: res == decide.OK})
 }
 
 // serve sends n requests one after the other and answers each at once.
@@ -167,11 +167,11 @@
 		{"negative number", func(s *decide.Settings) { s.Self = -1 }, "Self: -1"},
 		{"attempt limit below zero", func(s *decide.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
 		{"drain grace below zero", func(s *decide.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
-		{"cold share above one", func(s *decide.Settings) { s.ColdShare = 1.5 }, "ColdShare: 1.5"},
+		{"cold share above one", func(s *decide.Settings) { s.SlowStartShare = 1.5 }, "SlowStartShare: 1.5"},
 		{"unknown effect", func(s *decide.Settings) { s.Classes[2].Effect = 9 }, "Classes[2].Effect: 9"},
-		{"unknown group", func(s *decide.Settings) { s.Classes[1].Group = 7 }, "Classes[1].Group: 7"},
-		{"no aim", func(s *decide.Settings) { s.Classes[0].Aim = 0 }, "Classes[0].Aim: 0s"},
-		{"window below zero", func(s *decide.Settings) { s.Classes[3].Window = -ms }, "Classes[3].Window: -1ms"},
+		{"unknown group", func(s *decide.Settings) { s.Classes[1].Scope = 7 }, "Classes[1].Scope: 7"},
+		{"no aim", func(s *decide.Settings) { s.Classes[0].Objective = 0 }, "Classes[0].Objective: 0s"},
+		{"window below zero", func(s *decide.Settings) { s.Classes[3].DedupWindow = -ms }, "Classes[3].DedupWindow: -1ms"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -195,18 +195,18 @@
 		{safe, decide.Errored, retry},
 		{safe, decide.TimedOut, retry},
 		{safe, decide.Reset, retry},
-		{safe, decide.Full, retry},
+		{safe, decide.Rejected, retry},
 		{safe, decide.ConnectFailed, retry},
 		{safe, decide.NotSent, "refuse"},
 		{unsafe, decide.Errored, "fail"},
 		{unsafe, decide.TimedOut, "fail"},
 		{unsafe, decide.Reset, "fail"},
 		{unsafe, decide.Cancelled, "fail"},
-		{unsafe, decide.Full, retry},
+		{unsafe, decide.Rejected, retry},
 		{unsafe, decide.ConnectFailed, retry},
 		{unsafe, decide.NotSent, "refuse"},
 		{keyedAll, decide.Errored, retry},
-		{keyedAll, decide.Full, retry},
+		{keyedAll, decide.Rejected, retry},
 		{keyedZone, decide.Errored, retry},
 		{keyedZone, decide.ConnectFailed, retry},
 		{keyedCell, decide.TimedOut, retry},
@@ -347,14 +347,14 @@
 func TestBackoff(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
-	unit := s.Classes[safe].Aim / 32
+	unit := s.Classes[safe].Objective / 32
 	longest := make([]time.Duration, 6)
 	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
 	for seed := uint64(0); seed < 300; seed++ {
 		r := newRig(t, s, seed, backends(8))
 		r.request("q", safe)
 		for n := range 6 {
-			r.outcome("q", decide.Full, 0)
+			r.outcome("q", decide.Rejected, 0)
 			failed := r.now
 			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
 				r.advance(ms / 4)
@@ -431,7 +431,7 @@
 		for i := range 8 {
 			r.request(fmt.Sprint("q", i), safe)
 		}
-		r.step(decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "new"}}})
+		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "new"}}})
 		rush := 0
 		for i := range 4 {
 			id := fmt.Sprint("n", i)
@@ -448,7 +448,7 @@
 		s := settings()
 		s.CrossZonePrice = 0.02
 		r := newRig(t, s, 2, backends(4))
-		r.now += s.RampTime + 1 // nothing has been crowded for long
+		r.now += s.SlowStartTime + 1 // nothing has been crowded for long
 		counts := r.serve(400, safe, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
 			t.Errorf("own zone got %d of 400, want most but not all", own)
@@ -563,9 +563,9 @@
 }
 
 func TestDrainAndGone(t *testing.T) {
-	for _, state := range []decide.BackendState{decide.Draining, decide.Gone} {
+	for _, state := range []decide.BackendState{decide.Draining, decide.Removed} {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(decide.List{Kind: decide.ListDelta,
+		r.step(decide.ListUpdate{Kind: decide.ListDelta,
 			Backends: []decide.Backend{{ID: "a", State: state}}})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("state %d: %d requests went there", state, n)
@@ -573,7 +573,7 @@
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(decide.List{Kind: decide.ListFull, Backends: backends(3)[1:]})
+		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(3)[1:]})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("%d requests went there", n)
 		}
@@ -585,7 +585,7 @@
 			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
 			r.now += ms
 			r.outcome("q", decide.Errored, ms)
-			r.step(decide.List{Kind: decide.ListDelta,
+			r.step(decide.ListUpdate{Kind: decide.ListDelta,
 				Backends: []decide.Backend{{ID: other, State: decide.Draining}}})
 			r.advance(time.Second)
 			for _, b := range r.sent["q"][1:] {
@@ -598,9 +598,9 @@
 	t.Run("back with the same id", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(2))
 		r.serve(50, safe, 20*ms)
-		r.step(decide.List{Kind: decide.ListDelta,
-			Backends: []decide.Backend{{ID: "a", State: decide.Gone}}})
-		r.step(decide.List{Kind: decide.ListDelta,
+		r.step(decide.ListUpdate{Kind: decide.ListDelta,
+			Backends: []decide.Backend{{ID: "a", State: decide.Removed}}})
+		r.step(decide.ListUpdate{Kind: decide.ListDelta,
 			Backends: []decide.Backend{{ID: "a", Started: r.now}}})
 		r.serve(400, safe, 20*ms)
 		r.advance(10 * time.Second)
@@ -672,7 +672,7 @@
 	}
 	drive(400)
 	list[0].Started = r.now
-	r.step(decide.List{Kind: decide.ListDelta, Backends: list[:1]})
+	r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: list[:1]})
 	clear(counts)
 	drive(400) // two seconds: warmth 0.2 to 0.36, 0.28 in the mean
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
@@ -687,14 +687,14 @@
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(decide.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
+		r.step(decide.Request{ID: id, Class: safe, Remaining: 2000 * ms, Work: work})
 		r.now += 20 * ms
 		r.outcome(id, decide.OK, 20*ms)
 	}
 	for i := range 100 {
 		send(fmt.Sprint("w", i), 20*ms)
 	}
-	r.step(decide.List{Kind: decide.ListDelta,
+	r.step(decide.ListUpdate{Kind: decide.ListDelta,
 		Backends: []decide.Backend{{ID: "cold", Started: r.now}}})
 	got := 0
 	for i := range 100 {
@@ -757,7 +757,7 @@
 		r := newRig(t, settings(), 1, nil)
 		r.request("q", safe)
 		r.now += 50 * ms
-		r.step(decide.List{Kind: decide.ListFull, Backends: backends(2)})
+		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(2)})
 		if len(r.sent["q"]) != 1 {
 			t.Error("the waiting request was not sent")
 		}
@@ -786,7 +786,7 @@
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := r.step(decide.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
+	repeat := r.step(decide.Request{ID: "again", Class: safe, Remaining: 2000 * ms, ClientRetry: true})
 	if final("again", repeat) != "refuse" {
 		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
 	}
@@ -820,7 +820,7 @@
 // Incident ia38185: the limit follows the list down.
 func TestLimitFollowsTheList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
-	r.step(decide.List{Kind: decide.ListFull, Backends: backends(2)})
+	r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(2)})
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
@@ -949,7 +949,7 @@
 	for i := 4; i < 20; i++ {
 		grown[i].Started = r.now
 	}
-	r.step(decide.List{Kind: decide.ListFull, Backends: grown})
+	r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: grown})
 	warm := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
@@ -1027,7 +1027,7 @@
 			for range 30 {
 				r.serve(1, safe, 20*ms)
 				for _, a := range r.advance(20 * ms) {
-					if _, ok := a.(decide.TellPeer); ok {
+					if _, ok := a.(decide.SendToPeer); ok {
 						told++
 					}
 				}
@@ -1065,7 +1065,7 @@
 		total := 0
 		count := func(acts []decide.Action) {
 			for _, a := range acts {
-				if a, ok := a.(decide.TellPeer); ok {
+				if a, ok := a.(decide.SendToPeer); ok {
 					told[a.To]++
 					total++
 				}
@@ -1075,7 +1075,7 @@
 			id := fmt.Sprint("q", i)
 			count(r.request(id, safe))
 			count(r.outcome(id, decide.OK, 20*ms))
-			count(r.advance(s.Classes[0].Aim / 10))
+			count(r.advance(s.Classes[0].Objective / 10))
 		}
 		if most := 11 * min(n-1, 8); total > most || n > 1 && total < 10 {
 			t.Errorf("%d agents: %d messages in ten periods, want up to %d", n, total, most)
@@ -1098,7 +1098,7 @@
 				n++
 				defer r.outcome(id, decide.OK, 20*ms)
 			} else {
-				r.step(decide.Abandoned{Request: id})
+				r.step(decide.RequestCancelled{Request: id})
 			}
 		}
 		return n
@@ -1155,7 +1155,7 @@
 func TestRemainingTimeTellsLateTries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []decide.Action {
-		return r.step(decide.Request{ID: id, Class: safe, Left: left})
+		return r.step(decide.Request{ID: id, Class: safe, Remaining: left})
 	}
 	for i := range 20 { // the usual remaining time, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -1183,16 +1183,16 @@
 	for seed := uint64(0); seed < 10; seed++ {
 		r := newRig(t, s, seed, backends(2))
 		delays[r.due[0]-r.now] = true
-		if n := asks(r.advance(s.AskWithin / 10)); n != 1 {
+		if n := asks(r.advance(s.SubscribeWithin / 10)); n != 1 {
 			t.Fatalf("asked %d times at the start, want once", n)
 		}
 		for range 8 { // every failure is followed by one more try, in time
-			r.step(decide.List{Kind: decide.ListFailed})
-			if n := asks(r.advance(s.AskWithin / 2)); n != 1 {
+			r.step(decide.ListUpdate{Kind: decide.ListFailed})
+			if n := asks(r.advance(s.SubscribeWithin / 2)); n != 1 {
 				t.Fatalf("asked %d times after a failure, want once", n)
 			}
 		}
-		r.step(decide.List{Kind: decide.ListFull, Backends: backends(2)})
+		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(2)})
 		if n := asks(r.advance(time.Minute)); n != 0 {
 			t.Errorf("asked %d times while subscribed", n)
 		}
@@ -1201,7 +1201,7 @@
 		t.Errorf("10 agents ask after only %d different waits", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	if n := asks(append(r.step(decide.List{Kind: decide.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+	if n := asks(append(r.step(decide.ListUpdate{Kind: decide.ListFailed}), r.advance(time.Minute)...)); n != 0 {
 		t.Error("asked although the list comes unasked")
 	}
 }
@@ -1219,13 +1219,13 @@
 		decide.Outcome{Request: "open", Attempt: 7, Result: decide.Errored},
 		decide.Outcome{Request: "open", Attempt: -1, Result: decide.Errored},
 		decide.TimerFired{Token: 99}, decide.TimerFired{Token: 0}, decide.TimerFired{Token: -5},
-		decide.Abandoned{Request: "never"}, decide.Abandoned{Request: "done"},
-		decide.StreamStarted{Request: "never"},
+		decide.RequestCancelled{Request: "never"}, decide.RequestCancelled{Request: "done"},
+		decide.ResponseStarted{Request: "never"},
 		decide.ProbeResult{Backend: "zz"},
 		decide.PeerMessage{From: 44, Data: []byte{1}},
-		decide.Request{ID: "bad", Class: 17, Left: time.Second},
-		decide.Request{ID: "bad", Class: -1, Left: time.Second},
-		decide.Request{ID: "open", Class: safe, Left: time.Second},
+		decide.Request{ID: "bad", Class: 17, Remaining: time.Second},
+		decide.Request{ID: "bad", Class: -1, Remaining: time.Second},
+		decide.Request{ID: "open", Class: safe, Remaining: time.Second},
 	}
 	for _, e := range stray {
 		if acts := r.step(e); len(acts) != 0 {
@@ -1245,7 +1245,7 @@
 func TestAbandoned(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
-	r.step(decide.Abandoned{Request: "q"})
+	r.step(decide.RequestCancelled{Request: "q"})
 	r.now += 10 * ms
 	acts := r.outcome("q", decide.Errored, 10*ms)
 	acts = append(acts, r.advance(3*time.Second)...)
@@ -1258,9 +1258,9 @@
 func TestStream(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
-	r.step(decide.StreamStarted{Request: "q"})
+	r.step(decide.ResponseStarted{Request: "q"})
 	r.now += 10 * ms
-	acts := r.step(decide.Outcome{Request: "q", Backend: r.sent["q"][0], Result: decide.Reset, Done: true})
+	acts := r.step(decide.Outcome{Request: "q", Backend: r.sent["q"][0], Result: decide.Reset, Answered: true})
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 || len(r.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", acts)
@@ -1374,7 +1374,7 @@
 			acts = append(acts, teller.outcome(id, decide.OK, 20*ms)...)
 		}
 		for _, a := range acts {
-			if a, ok := a.(decide.TellPeer); ok {
+			if a, ok := a.(decide.SendToPeer); ok {
 				data = append(data, a.Data)
 			}
 		}
@@ -1437,7 +1437,7 @@
 	for seed := range uint64(200) {
 		r := newRig(t, settings(), seed, backends(2))
 		r.serve(40, safe, 20*ms)
-		r.step(decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{
+		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{
 			{ID: "a", Started: r.now}, {ID: "b", State: decide.Draining}}})
 		r.now += 5 * ms
 		r.request("q", safe)
@@ -1475,7 +1475,7 @@
 			firsts[id]++
 		}
 		for id := range used { // all of these die
-			r.step(decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, State: decide.Gone}}})
+			r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, State: decide.Removed}}})
 		}
 		r.request("next", safe)
 		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
@@ -1528,7 +1528,7 @@
 		r.serve(20, safe, 20*ms)
 		r.request("q", safe)
 		full := r.sent["q"][0]
-		r.outcome("q", decide.Full, ms)
+		r.outcome("q", decide.Rejected, ms)
 		r.advance(2 * time.Second)
 		r.request("next", safe)
 		if r.sent["next"][0] == full {
@@ -1551,7 +1551,7 @@
 		id := fmt.Sprint("q", i)
 		r.request(id, safe)
 		if len(r.sent[id]) > 0 {
-			r.outcome(id, decide.Full, ms)
+			r.outcome(id, decide.Rejected, ms)
 		}
 		r.advance(400 * ms)
 		if i >= 60 {
@@ -1596,7 +1596,7 @@
 	until := func(acts []decide.Action) (all []time.Duration) {
 		for _, a := range acts {
 			if s, ok := a.(decide.Send); ok {
-				all = append(all, s.Until)
+				all = append(all, s.StartBy)
 			}
 		}
 		return all
@@ -1605,7 +1605,7 @@
 		class  int
 		result decide.Result
 		bound  bool
-	}{{keyedAll, decide.Errored, true}, {keyedAll, decide.Full, false}, {safe, decide.Errored, false}, {unsafe, decide.Broke, false}} {
+	}{{keyedAll, decide.Errored, true}, {keyedAll, decide.Rejected, false}, {safe, decide.Errored, false}, {unsafe, decide.Incomplete, false}} {
 		r := newRig(t, settings(), 1, backends(4))
 		sent := r.now
 		if u := until(r.request("x", row.class)); len(u) != 1 || u[0] != 0 {
--- a/decide/ban_test.go
+++ b/decide/ban_test.go
@@ -10,12 +10,12 @@
 
 // What an operator takes out gets nothing until it is put back, whatever the list says in between.
 func TestBanHolds(t *testing.T) {
-	out, back := decide.Ban{Backend: "a", Out: true}, decide.Ban{Backend: "a"}
+	out, back := decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}
 	told := func(state decide.BackendState, started time.Duration) decide.Event {
-		return decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: state, Started: started}}}
+		return decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: state, Started: started}}}
 	}
-	full := decide.List{Kind: decide.ListFull, Backends: backends(2)}
-	others := decide.List{Kind: decide.ListFull, Backends: backends(2)[1:]}
+	full := decide.ListUpdate{Kind: decide.ListFull, Backends: backends(2)}
+	others := decide.ListUpdate{Kind: decide.ListFull, Backends: backends(2)[1:]}
 	restarted := told(decide.Up, time.Hour+ms)
 	for _, tt := range []struct {
 		name   string
@@ -57,7 +57,7 @@
 		r.request("q", safe)
 		first := r.sent["q"][0]
 		r.outcome("q", decide.Reset, ms)
-		r.step(decide.Ban{Backend: "a", Out: true}, decide.Ban{Backend: "b", Out: true})
+		r.step(decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "b", Disabled: true})
 		actions := r.advance(3 * time.Second)
 		if len(r.sent["q"]) != 1 || final("q", actions) == "" {
 			t.Errorf("seed %d: sent %v after %s failed, answer %q", seed, r.sent["q"], first, final("q", actions))
@@ -68,12 +68,12 @@
 // Out by hand a backend is restarted: back in it counts as cold, though the list has not told of a start.
 func TestBackByHandIsCold(t *testing.T) {
 	s := settings()
-	s.ColdShare, s.RampTime, s.FallMultiple, s.FallWindow = 0.3, 8*time.Second, 2.5, time.Second
+	s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple, s.OverloadWindow = 0.3, 8*time.Second, 2.5, time.Second
 	r := newRig(t, s, 3, backends(4))
 	r.serve(400, safe, 10*ms)
-	r.step(decide.Ban{Backend: "a", Out: true})
+	r.step(decide.BackendDisabled{Backend: "a", Disabled: true})
 	r.serve(100, safe, 10*ms)
-	r.step(decide.Ban{Backend: "a"})
+	r.step(decide.BackendDisabled{Backend: "a"})
 	counts := r.serve(100, safe, 10*ms) // one second
 	if counts["a"] == 0 || counts["a"] > 20 {
 		t.Errorf("in its first second back a got %d of 100, warm ones got %v", counts["a"], counts)
@@ -85,7 +85,7 @@
 func TestBusyFleetTriesAColdOne(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := settings()
-		s.ColdShare, s.RampTime, s.FallMultiple, s.FallWindow = 0.3, 8*time.Second, 2.5, time.Second
+		s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple, s.OverloadWindow = 0.3, 8*time.Second, 2.5, time.Second
 		r := newRig(t, s, seed, backends(3))
 		until := map[string]time.Duration{} // of open requests, in time
 		n, used := 0, 0
@@ -113,9 +113,9 @@
 			}
 		}
 		run(3 * time.Second)
-		r.step(decide.Ban{Backend: "a", Out: true})
+		r.step(decide.BackendDisabled{Backend: "a", Disabled: true})
 		run(time.Second)
-		r.step(decide.Ban{Backend: "a"})
+		r.step(decide.BackendDisabled{Backend: "a"})
 		used = 0
 		run(2 * time.Second)
 		if used == 0 {
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -18,7 +18,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: backends(14)}})
+	lb.Step(now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: backends(14)}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -40,7 +40,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: backends(14)}})
+	lb.Step(now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: backends(14)}})
 	var limits []quota.Limit
 	for i := range 12 {
 		l := limit(fmt.Sprint("l", i), quota.Kind(i%6))
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	lb.Step(now, []decide.Event{decide.Limits{All: limits}, decide.Rights{All: all}})
+	lb.Step(now, []decide.Event{decide.SharedLimits{Limits: limits}, decide.LeasesGranted{Leases: all}})
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		playOne(lb, &now, i)
@@ -73,7 +73,7 @@
 // playOne plays request i to its end.
 func playOne(lb *decide.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []decide.Event{decide.Request{ID: id, Class: safe, Left: time.Second}}
+	events := []decide.Event{decide.Request{ID: id, Class: safe, Remaining: time.Second}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
@@ -81,9 +81,9 @@
 			switch a := a.(type) {
 			case decide.Send:
 				*now += 2 * ms
-				o := decide.Outcome{Request: id, Attempt: n, Backend: a.Backend, Latency: 2 * ms, Done: true}
+				o := decide.Outcome{Request: id, Attempt: n, Backend: a.Backend, Latency: 2 * ms, Answered: true}
 				if n == 0 && i%50 == 0 {
-					o.Result, o.Done = decide.Errored, false
+					o.Result, o.Answered = decide.Errored, false
 				}
 				n++
 				events = append(events, o)
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: backends(14)}})
+	lb.Step(now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: backends(14)}})
 	heap := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
 			playOne(lb, &now, i)
--- a/decide/cold.go
+++ b/decide/cold.go
@@ -15,10 +15,10 @@
 // warmth is the share of its full capacity that a backend surely has by now.
 func (b *Balancer) warmth(t *backend) float64 {
 	age := b.now - t.warmFrom
-	if t.cold = t.cold && age < b.s.RampTime; !t.cold {
+	if t.cold = t.cold && age < b.s.SlowStartTime; !t.cold {
 		return 1
 	}
-	return b.s.ColdShare + (1-b.s.ColdShare)*max(0, float64(age)/float64(b.s.RampTime))
+	return b.s.SlowStartShare + (1-b.s.SlowStartShare)*max(0, float64(age)/float64(b.s.SlowStartTime))
 }
 
 // measure sums up what the backends that are up, and not ejected or down, can do. Those that are up, warm
@@ -95,7 +95,7 @@
 	if !t.cold {
 		return true
 	}
-	multiple := max(1, b.s.FallMultiple)
+	multiple := max(1, b.s.OverloadMultiple)
 	if b.fewest <= b.up {
 		multiple = math.Sqrt(multiple)
 	}
@@ -111,16 +111,16 @@
 // agent, in mean requests of the first class a nanosecond: over about one ramp, since in the crush after the
 // loss of many they serve less, and cold ones would be spared just then. A new agent goes by what it has.
 func (b *Balancer) warmRate(t *backend) float64 {
-	span, k := float64(b.s.RampTime+1), b.kind(t)
+	span, k := float64(b.s.SlowStartTime+1), b.kind(t)
 	if k.warm == 0 {
 		k = b.kind(nil)
 	}
-	seen := max(1-math.Exp(-float64(b.now-b.firstAt)/span), float64(b.s.FallWindow)/span, 1e-9)
+	seen := max(1-math.Exp(-float64(b.now-b.firstAt)/span), float64(b.s.OverloadWindow)/span, 1e-9)
 	return b.decayed(k) / span / seen
 }
 
 // decayed is that work. Each answer counts over those warm then: what many served is not for few that stay.
 func (b *Balancer) decayed(k *kindState) float64 {
-	k.done, k.doneAt = k.done*math.Exp(-float64(b.now-k.doneAt)/float64(b.s.RampTime+1)), b.now
+	k.done, k.doneAt = k.done*math.Exp(-float64(b.now-k.doneAt)/float64(b.s.SlowStartTime+1)), b.now
 	return k.done
 }
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -117,7 +117,7 @@
 type coldClass struct {
 	share, workMs, aimMs, deadlineMs, cv float64
 	effect                               decide.Effect
-	group                                decide.Group
+	group                                decide.DedupScope
 }
 
 type coldKind struct {
@@ -132,14 +132,14 @@
 	rack := []coldKind{{0.37, 2, 1.5, 2.1, 0.31, 0.6, 3.7, 7.3}, {0.63, 2, 0.77, 1, 0.32, 0.56, 3.5, 6.7}}
 	s := time.Second
 	return []coldSite{
-		{"ktm-census", 2.5, s, 8600 * ms, 0.31, 3, true, []coldClass{{0.47, 125, 600, 3000, 0.5, decide.Safe, 0},
-			{0.34, 107, 600, 2500, 0.5, decide.Keyed, decide.GroupAll}, {0.19, 200, 1200, 2500, 0.5, decide.Keyed, decide.GroupCell}}, tall},
-		{"liga-glowna", 4, 1500 * ms, 7300 * ms, 0.31, 5, true, []coldClass{{0.55, 75, 500, 1000, 0.5, decide.Safe, 0},
-			{0.26, 46, 250, 750, 0.5, decide.Keyed, decide.GroupCell}, {0.19, 92, 600, 1500, 0.5, decide.Keyed, decide.GroupZone}}, rack},
-		{"sagar-pension", 2.5, s, 8600 * ms, 0.31, 4, false, []coldClass{{0.48, 100, 500, 1800, 0.5, decide.Safe, 0},
-			{0.26, 107, 700, 2200, 0.5, decide.Unsafe, 0}, {0.26, 150, 900, 2000, 0.5, decide.Keyed, decide.GroupZone}}, tall},
-		{"tide-tolls", 4, 1500 * ms, 7300 * ms, 0.31, 2, true, []coldClass{{0.55, 75, 500, 1000, 0.5, decide.Safe, 0},
-			{0.26, 46, 250, 600, 0.5, decide.Keyed, decide.GroupCell}, {0.19, 92, 600, 1500, 0.5, decide.Keyed, decide.GroupZone}}, rack},
+		{"ktm-census", 2.5, s, 8600 * ms, 0.31, 3, true, []coldClass{{0.47, 125, 600, 3000, 0.5, decide.Idempotent, 0},
+			{0.34, 107, 600, 2500, 0.5, decide.Keyed, decide.ScopeAll}, {0.19, 200, 1200, 2500, 0.5, decide.Keyed, decide.ScopeCell}}, tall},
+		{"liga-glowna", 4, 1500 * ms, 7300 * ms, 0.31, 5, true, []coldClass{{0.55, 75, 500, 1000, 0.5, decide.Idempotent, 0},
+			{0.26, 46, 250, 750, 0.5, decide.Keyed, decide.ScopeCell}, {0.19, 92, 600, 1500, 0.5, decide.Keyed, decide.ScopeZone}}, rack},
+		{"sagar-pension", 2.5, s, 8600 * ms, 0.31, 4, false, []coldClass{{0.48, 100, 500, 1800, 0.5, decide.Idempotent, 0},
+			{0.26, 107, 700, 2200, 0.5, decide.NonIdempotent, 0}, {0.26, 150, 900, 2000, 0.5, decide.Keyed, decide.ScopeZone}}, tall},
+		{"tide-tolls", 4, 1500 * ms, 7300 * ms, 0.31, 2, true, []coldClass{{0.55, 75, 500, 1000, 0.5, decide.Idempotent, 0},
+			{0.26, 46, 250, 600, 0.5, decide.Keyed, decide.ScopeCell}, {0.19, 92, 600, 1500, 0.5, decide.Keyed, decide.ScopeZone}}, rack},
 	}
 }
 
@@ -323,12 +323,12 @@
 func (w *coldWorld) open(i int) {
 	d, s := w.d, w.d.site
 	set := decide.Settings{Balancers: max(1, int(math.Round(d.counted*float64(d.agents)))), Self: i, Tick: 5 * ms,
-		MaxAttempts: s.attempts, SecondCopies: s.copies, RetryAfter: true, MaxRetryAfter: 1500 * ms, ConnectTimeout: 700 * ms,
-		DrainGrace: time.Second, AnswerGrace: 20 * ms, AskWithin: 4 * time.Second, ColdShare: s.share, RampTime: s.ramp,
-		FallMultiple: s.multiple, FallWindow: s.window, GoalWhole: 0.5, GoalWindow: 0.25, GoalClass: 0.25}
+		MaxAttempts: s.attempts, Hedging: s.copies, RetryAfter: true, MaxRetryAfter: 1500 * ms, ConnectTimeout: 700 * ms,
+		DrainGrace: time.Second, AnswerGrace: 20 * ms, SubscribeWithin: 4 * time.Second, SlowStartShare: s.share, SlowStartTime: s.ramp,
+		OverloadMultiple: s.multiple, OverloadWindow: s.window, GoalWhole: 0.5, GoalWindow: 0.25, GoalClass: 0.25}
 	for _, c := range s.classes {
-		set.Classes = append(set.Classes, decide.Class{Aim: w.span(c.aimMs), Deadline: w.span(c.deadlineMs), Worth: 1, LateWorth: 0.3,
-			Effect: c.effect, Group: c.group, Window: time.Second})
+		set.Classes = append(set.Classes, decide.Class{Objective: w.span(c.aimMs), Deadline: w.span(c.deadlineMs), Value: 1, LateValue: 0.3,
+			Effect: c.effect, Scope: c.group, DedupWindow: time.Second})
 	}
 	b, err := decide.New(set, w.d.seed<<8+uint64(i))
 	if err != nil {
@@ -336,9 +336,9 @@
 	}
 	a := w.agents[i]
 	a.b = b
-	w.step(a, decide.List{Kind: decide.ListCached, Backends: w.list(w.now >= a.told)})
+	w.step(a, decide.ListUpdate{Kind: decide.ListCached, Backends: w.list(w.now >= a.told)})
 	if w.now < a.told {
-		w.at(a.told, func() { w.step(a, decide.List{Kind: decide.ListFull, Backends: w.list(true)}) })
+		w.at(a.told, func() { w.step(a, decide.ListUpdate{Kind: decide.ListFull, Backends: w.list(true)}) })
 	}
 }
 
@@ -381,7 +381,7 @@
 		deadline: w.now + w.span(c.deadlineMs)}
 	id := fmt.Sprint("r", w.ids)
 	a.tries[id] = r
-	w.step(a, decide.Request{ID: id, Class: class, Left: r.deadline - w.now})
+	w.step(a, decide.Request{ID: id, Class: class, Remaining: r.deadline - w.now})
 }
 
 // step gives a balancer what has happened, and does what it says.
@@ -410,7 +410,7 @@
 	outcome := func(after time.Duration, res decide.Result) {
 		w.at(w.now+max(after, 0), func() {
 			w.step(a, decide.Outcome{Request: send.Request, Attempt: n, Backend: send.Backend, Result: res, Latency: w.now - sent,
-				Done: r.ended || res == decide.OK || w.now >= r.deadline})
+				Answered: r.ended || res == decide.OK || w.now >= r.deadline})
 		})
 	}
 	if !s.up {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -14,7 +14,7 @@
 		Balancers:   1,
 		MaxAttempts: 3,
 		Classes: []decide.Class{
-			{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: decide.Safe},
+			{Objective: 200 * time.Millisecond, Deadline: time.Second, Value: 1, Effect: decide.Idempotent},
 		},
 	}, 42)
 	if err != nil {
@@ -40,8 +40,8 @@
 			}
 		}
 	}
-	step(decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
-	step(decide.Request{ID: "r1", Class: 0, Left: time.Second})
+	step(decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
+	step(decide.Request{ID: "r1", Class: 0, Remaining: time.Second})
 
 	first := backend
 	now += 3 * time.Millisecond
@@ -52,7 +52,7 @@
 	fmt.Println("on another backend:", backend != first)
 
 	now += 20 * time.Millisecond
-	step(decide.Outcome{Request: "r1", Attempt: 1, Backend: backend, Latency: 20 * time.Millisecond, Done: true})
+	step(decide.Outcome{Request: "r1", Attempt: 1, Backend: backend, Latency: 20 * time.Millisecond, Answered: true})
 	// Output:
 	// send r1
 	// set a timer
--- a/decide/finish.go
+++ b/decide/finish.go
@@ -9,7 +9,7 @@
 // send starts an attempt. Nothing else does; the rules are checked here last.
 func (b *Balancer) send(r *request, t *backend) {
 	if t.State != Up || b.now < t.leaves || !b.mayRepeat(r, t) || b.now >= r.deadline {
-		b.finish(r, NoTime)
+		b.finish(r, DeadlineTooClose)
 		return
 	}
 	a := &attempt{b: t, list: b.lists, zone: t.Zone, cell: t.Cell, kind: t.Kind, sent: b.now,
@@ -17,7 +17,7 @@
 	a.units = a.cost / b.classes[0].latency
 	taken, until, dial, ok := b.book.Reserve(b.now, b.use(r, t))
 	if !ok {
-		b.finish(r, NoRight)
+		b.finish(r, NoLease)
 		return
 	}
 	a.rights, a.noDial = taken, !dial
@@ -26,7 +26,7 @@
 	if r.risky++; r.anchor == nil {
 		r.anchor = a
 	} else if c := &b.classes[r.class]; c.Effect == Keyed {
-		until = min(until, r.anchor.sent+c.Window-holdUp)
+		until = min(until, r.anchor.sent+c.DedupWindow-holdUp)
 	}
 	b.credit = max(b.credit-a.cost, -a.cost) // what goes out on no credit adds to no debt
 	// Attempts, not requests: an agent that refuses would see its traffic grow by those that come
@@ -39,9 +39,9 @@
 		b.takeUp(r, a)
 	}
 	t.budget -= a.units // of use while it is cold
-	s := Send{Request: r.id, Backend: t.ID, NoDial: a.noDial}
+	s := Send{Request: r.id, Backend: t.ID, ReuseOnly: a.noDial}
 	if until < 1<<63-1 { // the latest there is: nothing bounds it
-		s.Until = until
+		s.StartBy = until
 	}
 	b.actions = append(b.actions, s)
 }
@@ -52,7 +52,7 @@
 	a.b.out = append(a.b.out, a)
 	b.inFlight++
 	if b.thin() {
-		aim := float64(b.classes[r.class].Aim)
+		aim := float64(b.classes[r.class].Objective)
 		b.watched[b.alarm(time.Duration(min(aim, max(overdueAt*aim, overdueCost*a.cost))))] = a
 	}
 }
@@ -86,7 +86,7 @@
 	if !b.s.RetryAfter {
 		return 0
 	}
-	if why == NoRight {
+	if why == NoLease {
 		return min(time.Duration((1+b.rng.Float64())*float64(returnWithin)), b.s.MaxRetryAfter)
 	}
 	ahead := max(1, float64(b.inFlight+len(b.held))/b.limit())
--- a/decide/health.go
+++ b/decide/health.go
@@ -32,13 +32,14 @@
 			fit := b.fit(a.kind, r.class)
 			*fit += smooth * (min(lat/a.cost, slowBound) - *fit)
 			b.learnSpeed(t, lat/a.cost / *fit)
-			share := min(lat, mean) / max(1, t.slow) / float64(c.Aim) // a slow one says little of the others
+			// A slow backend says little of the others.
+			share := min(lat, mean) / max(1, t.slow) / float64(c.Objective)
 			if e.Load.Valid && e.Load.InFlight >= 0 && e.Load.InFlight < alone {
 				c.rest = blend(c.rest, share)
 			}
 			b.pace(share)
 		}
-	case Full:
+	case Rejected:
 		b.learnSpeed(t, lateSlow) // its queue is longer than those that took what came
 		t.fullTill = b.now + time.Duration(b.rng.Float64()*c.latency)
 		b.pace(1)
@@ -51,11 +52,11 @@
 		if (t.silent >= silentNotes || !b.notesOn()) && t.lastOK < a.sent {
 			b.strike(t, a, c)
 		} else if !a.late {
-			b.pace(max(1, lat/float64(c.Aim)))
+			b.pace(max(1, lat/float64(c.Objective)))
 			b.learnSpeed(t, lat/a.cost) // at least so slow
 			b.write(note{t.key, noteLate, b.now})
 		}
-	case Errored, ConnectFailed, Reset, Broke:
+	case Errored, ConnectFailed, Reset, Incomplete:
 		// Connections break by themselves too; a process that has ended takes no new ones.
 		if e.Result == ConnectFailed {
 			t.down, b.partitioned = true, false
@@ -98,7 +99,7 @@
 	chance := others + errsApart*math.Sqrt(smooth/2*others)
 	if a.sent >= t.struckAt && (t.down || t.errs >= chance) { // nothing listens there: that is no chance
 		b.write(note{t.key, noteFailed, b.now})
-		b.eject(t, c.Aim)
+		b.eject(t, c.Objective)
 	}
 }
 
@@ -125,7 +126,7 @@
 // at a time until healed, of unsafe requests only where no others came for as long again.
 func (b *Balancer) healthy(t *backend, r *request) bool {
 	return !b.avoids(t) && (t.strikes == 0 ||
-		len(t.out) == 0 && (b.classes[r.class].Effect != Unsafe || b.now >= 2*t.ejected-t.struckAt))
+		len(t.out) == 0 && (b.classes[r.class].Effect != NonIdempotent || b.now >= 2*t.ejected-t.struckAt))
 }
 
 // pace moves the limit on attempts in flight by the latency seen, as a share of the aim: down
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -9,8 +9,8 @@
 // Backends come under ever new ids. What is gone, with nothing out, leaves nothing behind, and one
 // that still has an attempt out is kept until that is in; loops run over all that are kept.
 func TestGoneBackendsAreForgotten(t *testing.T) {
-	b, err := New(Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, ColdShare: 1,
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1)
+	b, err := New(Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, SlowStartShare: 1,
+		Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,20 +19,20 @@
 		now += time.Millisecond
 		return b.Step(now, events)
 	}
-	entry := func(id string, s BackendState) List { return List{Backends: []Backend{{ID: id, State: s}}} }
-	step(List{Kind: ListFull, Backends: []Backend{{ID: "first"}}})
-	step(Request{ID: "r", Left: time.Hour})
+	entry := func(id string, s BackendState) ListUpdate { return ListUpdate{Backends: []Backend{{ID: id, State: s}}} }
+	step(ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "first"}}})
+	step(Request{ID: "r", Remaining: time.Hour})
 	for n := range 5000 {
 		id := fmt.Sprint("b", n)
 		step(entry(id, Up))
-		step(entry(id, Gone))
+		step(entry(id, Removed))
 	}
-	step(entry("first", Gone))
+	step(entry("first", Removed))
 	if len(b.backends) != 1 || len(b.byID) != 1 || len(b.byKey) != 1 {
 		t.Errorf("%d backends, %d ids, %d keys; only the one with an attempt out is left", len(b.backends), len(b.byID), len(b.byKey))
 	}
 	step(Outcome{Request: "r", Backend: "first", Result: OK})
-	step(List{Kind: ListFull, Backends: []Backend{{ID: "last"}}})
+	step(ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "last"}}})
 	if len(b.backends) != 1 || b.byID["last"] == nil || len(b.byKey) != 1 || len(b.requests) != 0 {
 		t.Errorf("%d backends, %d keys, %d requests", len(b.backends), len(b.byKey), len(b.requests))
 	}
@@ -42,8 +42,8 @@
 // fails and the others do not, its first error is enough.
 func TestErrorsThatAllHaveEjectNone(t *testing.T) {
 	for _, all := range []bool{true, false} {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, ColdShare: 1,
-			Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1)
+		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 1,
+			Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,12 +52,12 @@
 		for i := range 6 {
 			list = append(list, Backend{ID: fmt.Sprint("b", i)})
 		}
-		b.Step(now, []Event{List{Kind: ListFull, Backends: list}})
+		b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: list}})
 		struck := 0
 		for n := range 1500 {
 			id := fmt.Sprint(n)
 			now += 20 * time.Millisecond
-			for _, a := range b.Step(now, []Event{Request{ID: id, Left: 2 * time.Second}}) {
+			for _, a := range b.Step(now, []Event{Request{ID: id, Remaining: 2 * time.Second}}) {
 				s, ok := a.(Send)
 				if !ok {
 					continue
@@ -99,8 +99,8 @@
 		least  int // of such results until it is struck
 		most   int
 	}{{Errored, false, 1, 1}, {Errored, true, 2, 4}, {Reset, true, 2, 4}, {ConnectFailed, true, 1, 1}} {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, ColdShare: 1,
-			Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1)
+		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 1,
+			Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,12 +109,12 @@
 		for i := range 4 {
 			list = append(list, Backend{ID: fmt.Sprint("b", i)})
 		}
-		b.Step(now, []Event{List{Kind: ListFull, Backends: list}})
+		b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: list}})
 		bad, failed := 0, !row.others
 		for n := 0; n < 1000 && b.byID["b0"].strikes == 0; n++ {
 			id := fmt.Sprint(n)
 			now += 20 * time.Millisecond
-			for _, a := range b.Step(now, []Event{Request{ID: id, Left: 2 * time.Second}}) {
+			for _, a := range b.Step(now, []Event{Request{ID: id, Remaining: 2 * time.Second}}) {
 				if s, ok := a.(Send); ok {
 					res := OK
 					if s.Backend == "b1" && !failed && n > 40 {
@@ -136,18 +136,18 @@
 // A connection that breaks is no process that has ended: where many break by themselves, backends
 // were taken for just started, and held to a cold one's part, over and over.
 func TestBrokenConnectionIsNoRestart(t *testing.T) {
-	for res, cold := range map[Result]bool{Reset: false, Broke: false, ConnectFailed: true} {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, ColdShare: 0.3, RampTime: time.Minute,
-			Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1)
+	for res, cold := range map[Result]bool{Reset: false, Incomplete: false, ConnectFailed: true} {
+		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: time.Minute,
+			Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		b.Step(now, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "b"}}}})
+		b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "b"}}}})
 		for n, r := range []Result{OK, res, res, OK} {
 			now += 10 * time.Second
 			id := fmt.Sprint(n)
-			b.Step(now, []Event{Request{ID: id, Left: 2 * time.Second}})
+			b.Step(now, []Event{Request{ID: id, Remaining: 2 * time.Second}})
 			now += 10 * time.Millisecond
 			b.Step(now, []Event{Outcome{Request: id, Backend: "b", Result: r, Latency: 10 * time.Millisecond}})
 		}
@@ -160,15 +160,15 @@
 // Where every backend is cold there are no warm ones to measure by. Each gets some work all the
 // same, within what a cold one can surely do, and more as it warms up.
 func TestAllColdStillServes(t *testing.T) {
-	b, err := New(Settings{Balancers: 2, MaxAttempts: 1, Tick: time.Millisecond, ColdShare: 0.3, RampTime: 10 * time.Second,
-		FallMultiple: 2.5, FallWindow: time.Second,
-		Classes: []Class{{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, 1)
+	b, err := New(Settings{Balancers: 2, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: 10 * time.Second,
+		OverloadMultiple: 2.5, OverloadWindow: time.Second,
+		Classes: []Class{{Objective: 200 * time.Millisecond, Deadline: time.Second, Value: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := time.Hour
 	now := start
-	b.Step(now, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "a", Started: now}, {ID: "b", Started: now}, {ID: "c", Started: now}}}})
+	b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "a", Started: now}, {ID: "b", Started: now}, {ID: "c", Started: now}}}})
 	const latency = 40 * time.Millisecond
 	type out struct {
 		Send
@@ -181,7 +181,7 @@
 	}
 	for n := 0; now < start+9900*time.Millisecond; n++ {
 		now += 2 * time.Millisecond // 500 a second, 20 at once: more than all three can do
-		events := []Event{Request{ID: fmt.Sprint(n), Left: time.Second}}
+		events := []Event{Request{ID: fmt.Sprint(n), Remaining: time.Second}}
 		for len(pending) > 0 && now >= pending[0].at+latency {
 			events = append(events, Outcome{Request: pending[0].Request, Backend: pending[0].Backend, Result: OK, Latency: latency})
 			pending = pending[1:]
--- a/decide/learnt_limit_test.go
+++ b/decide/learnt_limit_test.go
@@ -20,9 +20,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Restore(decide.Learnt{Limit: limit})
+			b.Restore(decide.Learned{Limit: limit})
 			r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-			r.step(decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
+			r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
 			for i := range 200 {
 				r.request(fmt.Sprint(i), safe)
 			}
--- a/decide/learnt_test.go
+++ b/decide/learnt_test.go
@@ -24,8 +24,8 @@
 		a.now += wait
 		a.outcome(id, decide.OK, wait)
 	}
-	learnt := a.b.Learnt()
-	shareOfSlow := func(l *decide.Learnt, list []decide.Backend) int {
+	learnt := a.b.Learned()
+	shareOfSlow := func(l *decide.Learned, list []decide.Backend) int {
 		b, err := decide.New(s, 2)
 		if err != nil {
 			t.Fatal(err)
@@ -37,14 +37,14 @@
 		// The first choice of each of many balancers would be the same with one seed: ask one often,
 		// with no answers in between to learn from.
 		r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-		r.step(decide.List{Kind: decide.ListCached, Backends: list})
+		r.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 		for i := range 100 {
 			id := time.Duration(i).String()
 			r.request(id, safe)
 			if r.sent[id][0] == "slow" {
 				n++
 			}
-			r.step(decide.Outcome{Request: id, Backend: r.sent[id][0], Result: decide.Cancelled, Latency: ms, Done: true})
+			r.step(decide.Outcome{Request: id, Backend: r.sent[id][0], Result: decide.Cancelled, Latency: ms, Answered: true})
 		}
 		return n
 	}
@@ -55,8 +55,8 @@
 	if n := shareOfSlow(&learnt, restarted); n < 15 {
 		t.Errorf("another process of that name gets %d of 100 by what the last one showed", n)
 	}
-	silly := decide.Learnt{Classes: []decide.LearntClass{{Latency: math.NaN()}, {Latency: -1}, {Latency: 1e300}, {Latency: 5, Work: math.Inf(-1)},
-		{Latency: 5}, {Latency: 5}, {Latency: 5}}, Backends: []decide.LearntBackend{{ID: "slow", Slow: math.NaN()}, {ID: "fast", Slow: -3}, {ID: "x", Slow: 1e9}}}
+	silly := decide.Learned{Classes: []decide.LearnedClass{{Latency: math.NaN()}, {Latency: -1}, {Latency: 1e300}, {Latency: 5, Work: math.Inf(-1)},
+		{Latency: 5}, {Latency: 5}, {Latency: 5}}, Backends: []decide.LearnedBackend{{ID: "slow", Slowness: math.NaN()}, {ID: "fast", Slowness: -3}, {ID: "x", Slowness: 1e9}}}
 	if n := shareOfSlow(&silly, list); n < 15 {
 		t.Errorf("by figures that make no sense the slow one gets %d of 100", n)
 	}
@@ -73,10 +73,10 @@
 			t.Fatal(err)
 		}
 		if restore {
-			b.Restore(decide.Learnt{Limit: 50, Classes: []decide.LearntClass{{Latency: 1e6}}, Backends: []decide.LearntBackend{{ID: "c", Started: now - 100*ms, Slow: 0.01}}})
+			b.Restore(decide.Learned{Limit: 50, Classes: []decide.LearnedClass{{Latency: 1e6}}, Backends: []decide.LearnedBackend{{ID: "c", Started: now - 100*ms, Slowness: 0.01}}})
 		}
 		r := &rig{t: t, b: b, now: now, sent: map[string][]string{}}
-		r.step(decide.List{Kind: decide.ListCached, Backends: list})
+		r.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 		cold := 0
 		for i := range 20 {
 			id := time.Duration(i).String()
--- a/decide/list.go
+++ b/decide/list.go
@@ -12,12 +12,12 @@
 // it could be reached. A call that hangs from before that takes up to 4.5 s of it, and the next its own time.
 const askMost = 800 * time.Millisecond
 
-func (b *Balancer) onList(e List) {
+func (b *Balancer) onList(e ListUpdate) {
 	switch {
 	case !b.s.Subscribe:
 	case e.Kind == ListCached || e.Kind == ListFailed:
 		// Exponential and fully jittered: all agents may start, or find discovery back, at once.
-		most := min(b.s.AskWithin/64<<min(b.askFails, 4), askMost)
+		most := min(b.s.SubscribeWithin/64<<min(b.askFails, 4), askMost)
 		b.askToken = b.alarm(time.Duration(b.rng.Float64() * float64(most)))
 		b.askFails++
 	default:
@@ -59,9 +59,9 @@
 	slices.SortStableFunc(b.backends, func(x, y *backend) int { return cmp.Compare(x.rank, y.rank) })
 	b.backends = slices.DeleteFunc(b.backends, func(t *backend) bool {
 		if e.Kind != ListDelta && !listed[t.ID] {
-			t.State, t.listed = Gone, Gone
+			t.State, t.listed = Removed, Removed
 		}
-		if t.State != Gone || len(t.out) > 0 { // the next list finds it, once all its attempts are in
+		if t.State != Removed || len(t.out) > 0 { // the next list finds it, once all its attempts are in
 			return false
 		}
 		if delete(b.byID, t.ID); b.byKey[t.key] == t {
@@ -90,21 +90,21 @@
 
 // onBan takes a backend out by hand, or back in. Out by hand it was most likely restarted, and the list
 // tells of that late or never: it comes back as a cold one.
-func (b *Balancer) onBan(e Ban) {
-	warm := func(_ string, at time.Duration) bool { return at != outByHand && b.now-at >= b.s.RampTime }
+func (b *Balancer) onBan(e BackendDisabled) {
+	warm := func(_ string, at time.Duration) bool { return at != outByHand && b.now-at >= b.s.SlowStartTime }
 	maps.DeleteFunc(b.byHand, warm)
 	t, was := b.byID[e.Backend], b.byHand[e.Backend] == outByHand
 	b.partitioned = false
 	switch {
-	case e.Out:
+	case e.Disabled:
 		b.byHand[e.Backend] = outByHand
 	case was:
 		b.byHand[e.Backend] = b.now
 	}
-	if t == nil || was == e.Out {
+	if t == nil || was == e.Disabled {
 		return
 	}
-	if b.settle(t); !e.Out {
+	if b.settle(t); !e.Disabled {
 		b.lists++ // outcomes of what was sent before it was out tell of another process
 		b.restart(t, b.now)
 	}
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -14,7 +14,7 @@
 func TestRepeatKeepsToTheGroupAsItWas(t *testing.T) {
 	zone := func(n int) func(*decide.Backend) { return func(b *decide.Backend) { b.Zone = n } }
 	cell := func(n int) func(*decide.Backend) { return func(b *decide.Backend) { b.Cell = n } }
-	gone := func(b *decide.Backend) { b.State = decide.Gone }
+	gone := func(b *decide.Backend) { b.State = decide.Removed }
 	type change struct {
 		who  string // "first": the backend of the first attempt; else one of the others by place
 		what func(*decide.Backend)
@@ -50,7 +50,7 @@
 			for seed := uint64(1); seed <= 50; seed++ {
 				s := settings()
 				for i := range s.Classes {
-					s.Classes[i].Window = 12 * time.Second
+					s.Classes[i].DedupWindow = 12 * time.Second
 				}
 				list := backends(4)
 				r := newRig(t, s, seed, list)
@@ -60,10 +60,10 @@
 							i := slices.IndexFunc(list, func(b decide.Backend) bool { return b.ID == who })
 							was := list[i].State
 							c.what(&list[i])
-							if was == decide.Gone {
+							if was == decide.Removed {
 								list[i].State = decide.Up
 							}
-							r.step(decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{list[i]}})
+							r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{list[i]}})
 						}
 					}
 				}
@@ -106,20 +106,20 @@
 // start, its failures strike nobody and its answers make the new process neither known nor warm.
 func TestOutcomesOfAnEndedProcessSayNothingOfTheNext(t *testing.T) {
 	restart := func(r *rig) {
-		r.step(decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: r.now}}})
+		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: r.now}}})
 	}
 	play := func(res decide.Result, before bool) int {
 		s := settings()
-		s.RampTime = 0 // how a cold one is spared is not the matter here
+		s.SlowStartTime = 0 // how a cold one is spared is not the matter here
 		r := newRig(t, s, 1, backends(1))
 		for _, id := range []string{"p1", "p2", "p3"} {
 			r.request(id, safe)
 		}
-		r.step(decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "b"}, {ID: "c"}}})
+		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "b"}, {ID: "c"}}})
 		fail := func() {
 			for _, id := range []string{"p1", "p2", "p3"} {
 				r.step(decide.Outcome{Request: id, Backend: "a", Result: res, Latency: ms})
-				r.step(decide.Abandoned{Request: id})
+				r.step(decide.RequestCancelled{Request: id})
 			}
 		}
 		r.now += ms
--- a/decide/only_test.go
+++ b/decide/only_test.go
@@ -16,7 +16,7 @@
 	}
 	now := time.Hour
 	step := func(e ...decide.Event) []decide.Action { return b.Step(now, e) }
-	step(decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "old", State: decide.Draining}}})
+	step(decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "old", State: decide.Draining}}})
 	sent := func(all []decide.Action) (n int) {
 		for _, a := range all {
 			if s, ok := a.(decide.Send); ok {
@@ -29,14 +29,14 @@
 	}
 	for i := range 20 {
 		id := string(rune('A' + i))
-		all := step(decide.Request{ID: id, Class: safe, Left: 5 * time.Second, Only: "b"})
+		all := step(decide.Request{ID: id, Class: safe, Remaining: 5 * time.Second, OnlyBackend: "b"})
 		if sent(all) != 1 {
 			t.Fatalf("%+v", all)
 		}
 		now += ms
 		if i%4 == 0 { // it goes out once more, to the same one
 			var timer decide.SetTimer
-			for _, a := range step(decide.Outcome{Request: id, Backend: "b", Result: decide.Full, Latency: ms}) {
+			for _, a := range step(decide.Outcome{Request: id, Backend: "b", Result: decide.Rejected, Latency: ms}) {
 				if s, ok := a.(decide.SetTimer); ok {
 					timer = s
 				}
@@ -45,13 +45,13 @@
 			if n := sent(step(decide.TimerFired{Token: timer.Token})); n != 1 {
 				t.Errorf("after a refusal by the one backend it went out %d times", n)
 			}
-			step(decide.Outcome{Request: id, Attempt: 1, Backend: "b", Result: decide.OK, Latency: ms, Done: true})
+			step(decide.Outcome{Request: id, Attempt: 1, Backend: "b", Result: decide.OK, Latency: ms, Answered: true})
 			continue
 		}
-		step(decide.Outcome{Request: id, Backend: "b", Result: decide.OK, Latency: ms, Done: true})
+		step(decide.Outcome{Request: id, Backend: "b", Result: decide.OK, Latency: ms, Answered: true})
 	}
 	for _, only := range []string{"old", "unknown"} {
-		all := step(decide.Request{ID: only, Class: safe, Left: 5 * time.Second, Only: only})
+		all := step(decide.Request{ID: only, Class: safe, Remaining: 5 * time.Second, OnlyBackend: only})
 		refused := false
 		for _, a := range all {
 			_, ok := a.(decide.Refuse)
@@ -69,8 +69,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(time.Hour, []decide.Event{decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a", Kind: -1, Zone: -1}}}})
-	for _, a := range b.Step(time.Hour, []decide.Event{decide.Request{ID: "1", Class: safe, Left: 5 * time.Second}}) {
+	b.Step(time.Hour, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a", Kind: -1, Zone: -1}}}})
+	for _, a := range b.Step(time.Hour, []decide.Event{decide.Request{ID: "1", Class: safe, Remaining: 5 * time.Second}}) {
 		if s, ok := a.(decide.Send); ok && s.Backend == "a" {
 			return
 		}
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -65,7 +65,7 @@
 	switch e := e.(type) {
 	case decide.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Left, upload: e.Upload}
+			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Remaining, upload: e.Upload}
 		}
 	case decide.Outcome:
 		r := a.requests[e.Request]
@@ -73,30 +73,30 @@
 			return
 		}
 		r.sends[e.Attempt].out = false
-		r.spent = r.spent || e.Spent
+		r.spent = r.spent || e.NotReplayable
 		r.sends[e.Attempt].risky = !e.Result.NeverRan()
-		r.ended = r.ended || e.Done
-	case decide.Uploaded:
+		r.ended = r.ended || e.Answered
+	case decide.UploadCompleted:
 		if r := a.requests[e.Request]; r != nil && r.upload && e.Attempt < len(r.sends) && r.sends[e.Attempt].out {
-			r.upload, r.deadline, r.sends[e.Attempt].at = false, a.now+e.Left, a.now
+			r.upload, r.deadline, r.sends[e.Attempt].at = false, a.now+e.Remaining, a.now
 		}
-	case decide.StreamStarted:
+	case decide.ResponseStarted:
 		if r := a.requests[e.Request]; r != nil {
 			r.stream = true
 		}
-	case decide.Abandoned:
+	case decide.RequestCancelled:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
 			r.ended, r.left = true, a.now
 		}
-	case decide.Ban:
-		if a.banned[e.Backend] && !e.Out {
+	case decide.BackendDisabled:
+		if a.banned[e.Backend] && !e.Disabled {
 			a.lifted[e.Backend] = a.now
 			if b := a.backends[e.Backend]; b != nil {
 				b.started, b.sends = a.now, nil
 			}
 		}
-		a.banned[e.Backend] = e.Out
-	case decide.List:
+		a.banned[e.Backend] = e.Disabled
+	case decide.ListUpdate:
 		if e.Kind == decide.ListFailed {
 			return
 		}
@@ -129,7 +129,7 @@
 			for id, b := range a.backends {
 				if !listed[id] && b.offAt == 0 {
 					b.offAt = a.now
-					b.State = decide.Gone
+					b.State = decide.Removed
 				}
 			}
 		}
@@ -146,8 +146,8 @@
 			return
 		}
 		for _, s := range r.sends {
-			free := r.class.Effect == decide.Safe ||
-				r.class.Effect == decide.Keyed && r.class.Group == decide.GroupAll
+			free := r.class.Effect == decide.Idempotent ||
+				r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeAll
 			if (s.risky || s.out) && !free {
 				a.fault("%s refused though an attempt may have run", act.Request)
 			}
@@ -158,7 +158,7 @@
 		if act.After < 0 {
 			a.fault("a timer in the past: %v", act.After)
 		}
-	case decide.TellPeer:
+	case decide.SendToPeer:
 		if !a.s.Peers || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
 			a.fault("%d bytes to peer %d", len(act.Data), act.To)
 		}
@@ -204,7 +204,7 @@
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !a.s.SecondCopies {
+		if s.out && !a.s.Hedging {
 			a.fault("%s has two attempts out", act.Request)
 		}
 		if anchor == nil && (s.out || s.risky) {
@@ -214,15 +214,15 @@
 	if anchor != nil {
 		from := anchor.told // a later list may have moved it, and others
 		switch {
-		case r.class.Effect == decide.Unsafe:
+		case r.class.Effect == decide.NonIdempotent:
 			a.fault("%s is unsafe and may have run, sent again", act.Request)
-		case r.class.Effect == decide.Keyed && a.now-anchor.at > r.class.Window:
+		case r.class.Effect == decide.Keyed && a.now-anchor.at > r.class.DedupWindow:
 			a.fault("%s sent again after its window", act.Request)
-		case r.class.Effect == decide.Keyed && r.class.Group == decide.GroupZone && from.Zone != b.Zone,
-			r.class.Effect == decide.Keyed && r.class.Group == decide.GroupCell && from.Cell != b.Cell:
+		case r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeZone && from.Zone != b.Zone,
+			r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeCell && from.Cell != b.Cell:
 			a.fault("%s sent again outside its group", act.Request)
-		case r.class.Effect == decide.Keyed && r.class.Group == decide.GroupZone && b.zoned > anchor.order,
-			r.class.Effect == decide.Keyed && r.class.Group == decide.GroupCell && b.celled > anchor.order:
+		case r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeZone && b.zoned > anchor.order,
+			r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeCell && b.celled > anchor.order:
 			a.fault("%s sent again to %s, which has come to the group since", act.Request, act.Backend)
 		}
 	}
@@ -236,10 +236,10 @@
 // a balancer may hold to be its own measure, and the stated multiple of the
 // cold share of that, with the slack of a few light requests, bounds the cold one.
 func (a *auditor) cold(b *auditedBackend) {
-	if b.started == 0 || a.now-b.started >= a.s.RampTime || a.s.RampTime == 0 {
+	if b.started == 0 || a.now-b.started >= a.s.SlowStartTime || a.s.SlowStartTime == 0 {
 		return
 	}
-	span := max(a.s.FallWindow, 1)
+	span := max(a.s.OverloadWindow, 1)
 	count := func(b *auditedBackend, span time.Duration) (n int) {
 		for _, at := range b.sends {
 			if a.now-at < span {
@@ -250,7 +250,7 @@
 	}
 	most, up := 0, false
 	for _, o := range a.backends {
-		if o != b && (o.started == 0 || a.now-o.started >= a.s.RampTime) {
+		if o != b && (o.started == 0 || a.now-o.started >= a.s.SlowStartTime) {
 			most = max(most, count(o, 3*span))
 			up = up || o.offAt == 0 && !a.banned[o.ID]
 		}
@@ -261,8 +261,8 @@
 	if !up { // by all agents together, for a mean latency each
 		most = max(most, int(4*span/(100*ms))/a.s.Balancers)
 	}
-	warmth := a.s.ColdShare + (1-a.s.ColdShare)*max(0, float64(a.now-b.started)/float64(a.s.RampTime))
-	if got := count(b, span); float64(got) > a.s.FallMultiple*warmth*float64(most)+3 {
+	warmth := a.s.SlowStartShare + (1-a.s.SlowStartShare)*max(0, float64(a.now-b.started)/float64(a.s.SlowStartTime))
+	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth*float64(most)+3 {
 		a.fault("%s is cold (%v) and got %d sends in %v, the busiest warm one %d in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
@@ -286,16 +286,16 @@
 	s.Balancers = 1 + rng.IntN(30)
 	s.Self = rng.IntN(s.Balancers)
 	s.Subscribe = rng.IntN(2) == 0
-	s.SecondCopies = rng.IntN(2) == 0
+	s.Hedging = rng.IntN(2) == 0
 	s.Peers = rng.IntN(2) == 0
 	s.MaxAttempts = rng.IntN(6)
 	s.CrossZonePrice = float64(rng.IntN(2)) * 0.02
 	if rng.IntN(4) == 0 {
-		s.RampTime, s.FallWindow, s.AskWithin, s.Tick = 0, 0, 0, 0
+		s.SlowStartTime, s.OverloadWindow, s.SubscribeWithin, s.Tick = 0, 0, 0, 0
 	}
 	s.Classes = s.Classes[:1+rng.IntN(len(s.Classes))]
 	for i := range s.Classes {
-		s.Classes[i].Window = time.Duration(rng.IntN(100)) * ms
+		s.Classes[i].DedupWindow = time.Duration(rng.IntN(100)) * ms
 	}
 	b, err := decide.New(s, seed)
 	if err != nil {
@@ -326,15 +326,15 @@
 		timers = keep
 		if rng.IntN(40) == 0 {
 			least := 1 + rng.IntN(40)
-			events = append(events, decide.Fleet{Most: least + rng.IntN(40), Least: least})
+			events = append(events, decide.FleetSize{Max: least + rng.IntN(40), Min: least})
 		}
 		for range rng.IntN(3) {
 			next++
 			id := fmt.Sprint("q", next)
 			left := time.Duration(1+rng.IntN(1500)) * ms
 			due[id] = a.now + left
-			events = append(events, decide.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
-				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0, Upload: rng.IntN(5) == 0})
+			events = append(events, decide.Request{ID: id, Class: rng.IntN(len(s.Classes)), Remaining: left,
+				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0, Upload: rng.IntN(5) == 0})
 		}
 		// Every attempt ends by its request's time; some early, with any result.
 		rest := open[:0]
@@ -344,14 +344,14 @@
 			case r.upload && rng.IntN(6) == 0:
 				left := time.Duration(1+rng.IntN(1500)) * ms
 				due[o.Request] = a.now + left
-				events = append(events, decide.Uploaded{Request: o.Request, Attempt: o.Attempt, Left: left})
+				events = append(events, decide.UploadCompleted{Request: o.Request, Attempt: o.Attempt, Remaining: left})
 				rest = append(rest, o)
 				continue
 			case r.upload && rng.IntN(6) > 0, r.stream && rng.IntN(6) > 0:
 				rest = append(rest, o) // it takes its time
 				continue
 			case !r.upload && !r.stream && !r.ended && rng.IntN(20) == 0:
-				events = append(events, decide.StreamStarted{Request: o.Request, Attempt: o.Attempt, Worked: rng.IntN(2) == 0, Latency: 50 * ms})
+				events = append(events, decide.ResponseStarted{Request: o.Request, Attempt: o.Attempt, Completed: rng.IntN(2) == 0, Latency: 50 * ms})
 				rest = append(rest, o)
 				continue
 			case due[o.Request] <= a.now:
@@ -362,11 +362,11 @@
 				rest = append(rest, o)
 				continue
 			}
-			if o.Spent = r.upload && rng.IntN(2) == 0; r.upload { // its last byte is not out
-				o.Result = []decide.Result{decide.Full, decide.ConnectFailed, decide.NotSent, decide.Broke}[rng.IntN(4)]
+			if o.NotReplayable = r.upload && rng.IntN(2) == 0; r.upload { // its last byte is not out
+				o.Result = []decide.Result{decide.Rejected, decide.ConnectFailed, decide.NotSent, decide.Incomplete}[rng.IntN(4)]
 			}
 			o.Latency = time.Duration(rng.IntN(900)) * ms
-			o.Done = o.Result == decide.OK || a.requests[o.Request].ended
+			o.Answered = o.Result == decide.OK || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
 				events = append(events, o) // told twice
@@ -383,26 +383,26 @@
 			if rng.IntN(2) == 0 {
 				n.Zone, n.Cell = rng.IntN(4), rng.IntN(4)
 			}
-			events = append(events, decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{*n}})
+			events = append(events, decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{*n}})
 		case 1:
 			var full []decide.Backend // up to none at all
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = decide.Up
 				full = append(full, n)
 			}
-			events = append(events, decide.List{Kind: decide.ListKind(1 + rng.IntN(2)), Backends: full})
+			events = append(events, decide.ListUpdate{Kind: decide.ListKind(1 + rng.IntN(2)), Backends: full})
 		case 2:
-			events = append(events, decide.List{Kind: decide.ListFailed})
+			events = append(events, decide.ListUpdate{Kind: decide.ListFailed})
 		case 3:
 			if next > 0 {
-				events = append(events, decide.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
+				events = append(events, decide.RequestCancelled{Request: fmt.Sprint("q", 1+rng.IntN(next))})
 			}
 		case 4:
 			events = append(events, decide.TimerFired{Token: rng.Int64N(1 << 20)},
 				decide.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
 				decide.ProbeResult{Backend: "x"}, decide.PeerMessage{From: 70})
 		case 6, 7:
-			events = append(events, decide.Ban{Backend: pool[rng.IntN(len(pool))].ID, Out: rng.IntN(2) == 0})
+			events = append(events, decide.BackendDisabled{Backend: pool[rng.IntN(len(pool))].ID, Disabled: rng.IntN(2) == 0})
 		case 5:
 			events = append(events, decide.PeerMessage{From: rng.IntN(12) - 1,
 				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
@@ -452,15 +452,15 @@
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) decide.Action { return decide.Send{Request: "q", Backend: b} }
 	ended := func(n int, res decide.Result) decide.Event {
-		return decide.Outcome{Request: "q", Attempt: n, Result: res, Done: res == decide.OK}
+		return decide.Outcome{Request: "q", Attempt: n, Result: res, Answered: res == decide.OK}
 	}
 	refuse, fail := decide.Refuse{Request: "q"}, decide.Fail{Request: "q"}
-	off := decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: decide.Draining}}}
+	off := decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: decide.Draining}}}
 	moved := func(id string, cell int) decide.Event {
-		return decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, Cell: cell}}}
+		return decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, Cell: cell}}}
 	}
-	empty := decide.List{Kind: decide.ListFull}
-	cold := decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: time.Hour}}}
+	empty := decide.ListUpdate{Kind: decide.ListFull}
+	cold := decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
@@ -489,21 +489,21 @@
 		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, decide.Errored), send("b")}, "after its window"},
 		{"drained", safe, []any{off, 501 * ms, send("a")}, "drain or be gone"},
 		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
-		{"out by hand", safe, []any{decide.Ban{Backend: "a", Out: true}, send("a")}, "out by hand"},
-		{"back by hand is cold", safe, []any{decide.Ban{Backend: "a", Out: true}, decide.Ban{Backend: "a"}, send("a"),
-			ended(0, decide.Full), send("a"), ended(1, decide.Full), send("a"), ended(2, decide.Full), send("a"), send("a"),
+		{"out by hand", safe, []any{decide.BackendDisabled{Backend: "a", Disabled: true}, send("a")}, "out by hand"},
+		{"back by hand is cold", safe, []any{decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}, send("a"),
+			ended(0, decide.Rejected), send("a"), ended(1, decide.Rejected), send("a"), ended(2, decide.Rejected), send("a"), send("a"),
 			send("a")}, "is cold"},
-		{"cold", safe, []any{cold, send("a"), ended(0, decide.Full), send("a"), ended(1, decide.Full),
-			send("a"), ended(2, decide.Full), send("a"), send("a"), send("a")}, "is cold"},
-		{"message where none is allowed", safe, []any{decide.TellPeer{To: 1, Data: []byte{1}}}, "bytes to peer"},
+		{"cold", safe, []any{cold, send("a"), ended(0, decide.Rejected), send("a"), ended(1, decide.Rejected),
+			send("a"), ended(2, decide.Rejected), send("a"), send("a"), send("a")}, "is cold"},
+		{"message where none is allowed", safe, []any{decide.SendToPeer{To: 1, Data: []byte{1}}}, "bytes to peer"},
 		{"timer in the past", safe, []any{decide.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := newAuditor(settings())
 			a.now = time.Hour
-			a.event(decide.List{Kind: decide.ListFull, Backends: backends(4)})
-			a.event(decide.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
+			a.event(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(4)})
+			a.event(decide.Request{ID: "q", Class: tt.class, Remaining: 2000 * ms})
 			for _, p := range tt.play {
 				switch p := p.(type) {
 				case time.Duration:
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -61,9 +61,9 @@
 
 // onFleet takes what the agents' own view says of their number. Each use goes by the figure that is
 // safe: shares and limits by the most that may be sending, the multiple for cold backends by the fewest.
-func (b *Balancer) onFleet(e Fleet) {
-	if was := b.thin(); !b.s.Peers && e.Least >= 1 && e.Most >= e.Least {
-		b.s.Balancers, b.fewest, b.share = e.Most, e.Least, 1/float64(e.Most)
+func (b *Balancer) onFleet(e FleetSize) {
+	if was := b.thin(); !b.s.Peers && e.Min >= 1 && e.Max >= e.Min {
+		b.s.Balancers, b.fewest, b.share = e.Max, e.Min, 1/float64(e.Max)
 		if b.thin() != was { // what was sent while it did not count is not owed now
 			b.credit = max(b.credit, 0)
 		}
@@ -73,12 +73,12 @@
 // onVerdicts takes what all agents together hold against backends. Departure: an agent finds out by itself at
 // the price of its own requests, each of many. It only narrows: nothing comes back by a verdict, and all of
 // it lapses by itself. It could hurt where what several see is not so for this one: it tries others first.
-func (b *Balancer) onVerdicts(e Verdicts) {
+func (b *Balancer) onVerdicts(e Ejections) {
 	for _, t := range b.backends {
 		t.judged, t.leaves = 0, 0
 	}
-	for _, v := range e.All {
-		if t := b.byID[v.Backend]; t != nil && t.Started == v.Started && v.Drain {
+	for _, v := range e.Ejections {
+		if t := b.byID[v.Backend]; t != nil && t.Started == v.Started && v.Draining {
 			t.leaves = v.Until
 		} else if t != nil && t.Started == v.Started {
 			t.judged = v.Until
@@ -89,7 +89,7 @@
 
 func (b *Balancer) message(notes []note, step int) {
 	data := tidings{b.demand, b.delay, notes}.encode(b.now, b.period)
-	b.actions = append(b.actions, TellPeer{To: (b.s.Self + step) % b.s.Balancers, Data: data})
+	b.actions = append(b.actions, SendToPeer{To: (b.s.Self + step) % b.s.Balancers, Data: data})
 }
 
 // tell tells peers this agent's demand, and reckons its share anew. Where there are more peers
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -38,7 +38,7 @@
 				v *= repeatValue
 			}
 			if r.aim-b.now < time.Duration(b.expected(r)/2) {
-				v *= b.classes[r.class].LateWorth
+				v *= b.classes[r.class].LateValue
 			}
 			if best < 0 || v >= value {
 				best, value = i, v
@@ -58,17 +58,17 @@
 	}
 	for i := len(b.held) - 1; i >= 0; i-- {
 		r := b.held[i]
-		need := min(holdMargin*b.expected(r), holdAtMost*float64(b.classes[r.class].Aim))
+		need := min(holdMargin*b.expected(r), holdAtMost*float64(b.classes[r.class].Objective))
 		give := min(r.aim-time.Duration(need), r.half-b.s.Tick) // refused later, it costs more
-		why := NoRoom
+		why := NoCapacity
 		if r.passed {
-			why = NoServer
+			why = NoBackend
 		}
 		if r.passed && r.lack != nil {
-			why = NoRight
+			why = NoLease
 		}
 		r.passed = false
-		if r.repeat || give <= b.now || why == NoRight && !r.lack.SlowStart() { // no wait brings a right
+		if r.repeat || give <= b.now || why == NoLease && !r.lack.SlowStart() { // no wait brings a right
 			b.unhold(r)
 			b.finish(r, why)
 		} else if r.timer == 0 {
@@ -127,7 +127,7 @@
 	}
 	told, all := 0.0, 0.0
 	for _, c := range b.classes {
-		told += c.arrived * cmp.Or(c.work/float64(c.Aim), c.rest)
+		told += c.arrived * cmp.Or(c.work/float64(c.Objective), c.rest)
 		all += c.arrived
 	}
 	return max(aimedThin, min(aimedStretch*told/max(all, 1e-9), aimedMost))
@@ -138,13 +138,13 @@
 	total, worst, low := 0.0, -1, math.Inf(1)
 	for i := range b.classes {
 		c := &b.classes[i]
-		total += c.arrived * c.Worth * b.unit(c)
+		total += c.arrived * c.Value * b.unit(c)
 		if share := (c.answered + 1) / (c.arrived + 1); share < low {
 			worst, low = i, share
 		}
 	}
 	c := &b.classes[class]
-	v := (b.s.GoalWhole + b.s.GoalWindow) * c.Worth * b.unit(c) / c.latency / max(total, 1e-9)
+	v := (b.s.GoalWhole + b.s.GoalWindow) * c.Value * b.unit(c) / c.latency / max(total, 1e-9)
 	if class == worst {
 		v += b.s.GoalClass / (max(c.arrived, 1) * c.latency)
 	}
@@ -224,7 +224,7 @@
 	if t.strikes > 0 && b.thin() {
 		w *= strikesBias // all agents together must not try it at once
 	}
-	if t.Zone != b.s.Zone && b.s.CrossZonePrice > 0 && b.now-b.cutAt > b.s.RampTime {
+	if t.Zone != b.s.Zone && b.s.CrossZonePrice > 0 && b.now-b.cutAt > b.s.SlowStartTime {
 		w *= crossBias // while nothing is crowded
 	}
 	return w
--- a/decide/probe_test.go
+++ b/decide/probe_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 		for ; next <= r.now; n++ {
-			q := decide.Request{ID: fmt.Sprint("q", n), Class: safe, Left: 2000 * ms}
+			q := decide.Request{ID: fmt.Sprint("q", n), Class: safe, Remaining: 2000 * ms}
 			change(r.now-start, &q)
 			note(r.step(q))
 			next += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
@@ -61,7 +61,7 @@
 // was a client's further try: all others told another patience, were taken for further tries, and these bring no credit.
 // Without its attempts it would never have heard that its servers were idle.
 func TestAnAgentNeverRejectsAllForLong(t *testing.T) {
-	aim := thinSettings().Classes[safe].Aim
+	aim := thinSettings().Classes[safe].Objective
 	soon := func(time.Duration) (decide.Result, time.Duration) { return decide.OK, aim / 10 }
 	late := func(time.Duration) (decide.Result, time.Duration) { return decide.OK, 2 * aim }
 	usual := func(time.Duration, *decide.Request) {}
@@ -77,10 +77,10 @@
 			}
 			return decide.OK, aim / 10
 		}, usual},
-		"clients mark all as further tries": {soon, func(at time.Duration, q *decide.Request) { q.Repeat = at > 2*time.Second }},
+		"clients mark all as further tries": {soon, func(at time.Duration, q *decide.Request) { q.ClientRetry = at > 2*time.Second }},
 		"the first had less time": {soon, func(at time.Duration, q *decide.Request) {
 			if at == 0 {
-				q.Left = 900 * ms
+				q.Remaining = 900 * ms
 			}
 		}},
 	}
--- a/decide/remaining_test.go
+++ b/decide/remaining_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	g := &remainingRig{t: t, b: b, now: time.Hour}
-	g.b.Step(g.now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}}})
+	g.b.Step(g.now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}}})
 	for range 50 { // of more than one length: they teach nothing
 		g.refused(1300*ms + time.Duration(g.next%2)*300*ms)
 	}
@@ -39,7 +39,7 @@
 	g.next++
 	id := fmt.Sprint("q", g.next)
 	refused := false
-	for _, a := range g.b.Step(g.now, []decide.Event{decide.Request{ID: id, Class: safe, Left: left}}) {
+	for _, a := range g.b.Step(g.now, []decide.Event{decide.Request{ID: id, Class: safe, Remaining: left}}) {
 		if r, ok := a.(decide.Refuse); ok && r.Request == id {
 			refused = true
 		}
--- a/decide/sample_test.go
+++ b/decide/sample_test.go
@@ -12,7 +12,7 @@
 func crowd(t *testing.T, n int) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CrossZonePrice: 0.03, Classes: []Class{
-		{Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}}}, 1)
+		{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 	for i := range n {
 		list = append(list, Backend{ID: fmt.Sprint("s-", i), Zone: i % 2, Kind: i % 3})
 	}
-	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: list}})
+	b.Step(time.Hour, []Event{ListUpdate{Kind: ListFull, Backends: list}})
 	for i, s := range b.backends {
 		s.seen, s.slow = true, 0.5+float64(i%7)/4
 		switch {
@@ -70,12 +70,12 @@
 // What the last measure found holds only while nothing has changed: each of these must be seen.
 func TestMeasureSeesEachChange(t *testing.T) {
 	plain := func() (*Balancer, *backend) {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, RampTime: time.Minute, ColdShare: 0.5, Classes: []Class{
-			{Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}}}, 1)
+		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: time.Minute, SlowStartShare: 0.5, Classes: []Class{
+			{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "a"}, {ID: "b"}}}})
+		b.Step(time.Hour, []Event{ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "a"}, {ID: "b"}}}})
 		b.Step(time.Hour+1, nil)
 		if !b.partitioned || len(b.unsettled) > 0 || b.capacity != 2 {
 			t.Fatalf("unsettled %v, capacity %v", b.unsettled, b.capacity)
@@ -83,7 +83,7 @@
 		return b, b.byID["a"]
 	}
 	for name, change := range map[string]func(b *Balancer, s *backend){
-		"a drain":     func(b *Balancer, _ *backend) { b.onList(List{Backends: []Backend{{ID: "a", State: Draining}}}) },
+		"a drain":     func(b *Balancer, _ *backend) { b.onList(ListUpdate{Backends: []Backend{{ID: "a", State: Draining}}}) },
 		"a new start": func(b *Balancer, s *backend) { b.start(s, b.now) },
 		"an ejection": func(b *Balancer, s *backend) { b.eject(s, time.Minute) },
 		"a refused connection": func(b *Balancer, s *backend) {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -20,10 +20,10 @@
 		timers:   map[int64]*request{}, watched: map[int64]*attempt{}}
 	b.fits = make([][]float64, len(s.Classes))
 	b.s.MaxAttempts = max(1, s.MaxAttempts)
-	b.s.ColdShare = cmp.Or(s.ColdShare, 1)
+	b.s.SlowStartShare = cmp.Or(s.SlowStartShare, 1)
 	for _, c := range s.Classes {
-		b.period = max(b.period, c.Aim)
-		b.classes = append(b.classes, classState{Class: c, latency: float64(c.Aim) / 4})
+		b.period = max(b.period, c.Objective)
+		b.classes = append(b.classes, classState{Class: c, latency: float64(c.Objective) / 4})
 	}
 	return b, nil
 }
@@ -42,10 +42,10 @@
 		return bad("Self", s.Self)
 	case s.MaxAttempts < 0:
 		return bad("MaxAttempts", s.MaxAttempts)
-	case !(s.ColdShare >= 0 && s.ColdShare <= 1):
-		return bad("ColdShare", s.ColdShare)
-	case !(s.FallMultiple >= 0):
-		return bad("FallMultiple", s.FallMultiple)
+	case !(s.SlowStartShare >= 0 && s.SlowStartShare <= 1):
+		return bad("SlowStartShare", s.SlowStartShare)
+	case !(s.OverloadMultiple >= 0):
+		return bad("OverloadMultiple", s.OverloadMultiple)
 	case !(s.GoalWhole >= 0 && s.GoalWindow >= 0 && s.GoalClass >= 0):
 		return bad("Goal", []float64{s.GoalWhole, s.GoalWindow, s.GoalClass})
 	}
@@ -53,8 +53,8 @@
 		name string
 		d    time.Duration
 	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.AskWithin},
-		{"RampTime", s.RampTime}, {"FallWindow", s.FallWindow}} {
+		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"SubscribeWithin", s.SubscribeWithin},
+		{"SlowStartTime", s.SlowStartTime}, {"OverloadWindow", s.OverloadWindow}} {
 		if f.d < 0 {
 			return bad(f.name, f.d)
 		}
@@ -62,18 +62,18 @@
 	for i, c := range s.Classes {
 		at := func(field string) string { return fmt.Sprintf("Classes[%d].%s", i, field) }
 		switch {
-		case c.Aim <= 0:
-			return bad(at("Aim"), c.Aim)
+		case c.Objective <= 0:
+			return bad(at("Objective"), c.Objective)
 		case c.Deadline <= 0:
 			return bad(at("Deadline"), c.Deadline)
-		case !(c.Worth >= 0):
-			return bad(at("Worth"), c.Worth)
-		case c.Effect > Unsafe:
+		case !(c.Value >= 0):
+			return bad(at("Value"), c.Value)
+		case c.Effect > NonIdempotent:
 			return bad(at("Effect"), c.Effect)
-		case c.Group > GroupCell:
-			return bad(at("Group"), c.Group)
-		case c.Window < 0:
-			return bad(at("Window"), c.Window)
+		case c.Scope > ScopeCell:
+			return bad(at("Scope"), c.Scope)
+		case c.DedupWindow < 0:
+			return bad(at("DedupWindow"), c.DedupWindow)
 		}
 	}
 	return nil
--- a/decide/state.go
+++ b/decide/state.go
@@ -19,9 +19,9 @@
 
 	backends []*backend // in the order in which they were first listed
 	byID     map[string]*backend
-	lists    int                      // lists taken, and bans lifted
-	byHand   map[string]time.Duration // when an operator put it back, while it is cold; or outByHand
-	restored map[string]LearntBackend // by id, until first listed
+	lists    int                       // lists taken, and bans lifted
+	byHand   map[string]time.Duration  // when an operator put it back, while it is cold; or outByHand
+	restored map[string]LearnedBackend // by id, until first listed
 	requests map[string]*request
 	held     []*request // waiting for room, oldest first
 	timers   map[int64]*request
@@ -186,7 +186,7 @@
 
 // name is the limit for want of which r got its final answer; empty: none.
 func (r *request) name(why Reason) string {
-	if why != NoRight || r.lack == nil {
+	if why != NoLease || r.lack == nil {
 		return ""
 	}
 	return r.lack.Name()
@@ -210,14 +210,14 @@
 	return mean + smooth*(sample-mean)
 }
 
-// Known reports whether the list names a backend, or an operator has taken it out.
-func (b *Balancer) Known(id string) bool { return b.byID[id] != nil || b.byHand[id] == outByHand }
+// Knows reports whether the list names a backend, or an operator has taken it out.
+func (b *Balancer) Knows(id string) bool { return b.byID[id] != nil || b.byHand[id] == outByHand }
 
-// Standing counts the backends that the list has, and those of them that get no ordinary traffic now:
+// BackendCounts counts the backends that the list has, and those of them that get no ordinary traffic now:
 // they drain, are taken out by hand, refuse connections, or were ejected for their failures.
-func (b *Balancer) Standing() (listed, avoided int) {
+func (b *Balancer) BackendCounts() (listed, avoided int) {
 	for _, t := range b.backends {
-		if t.listed == Gone {
+		if t.listed == Removed {
 			continue
 		}
 		listed++
--- a/decide/thin_test.go
+++ b/decide/thin_test.go
@@ -23,10 +23,10 @@
 	r := newRig(t, s, 1, backends(20))
 	for i := range 400 {
 		id := fmt.Sprint("q", i)
-		r.step(decide.Request{ID: id, Class: safe, Left: s.Classes[safe].Deadline, Work: work})
+		r.step(decide.Request{ID: id, Class: safe, Remaining: s.Classes[safe].Deadline, Work: work})
 		if len(r.sent[id]) > 0 {
 			r.advance(latency)
-			r.step(decide.Outcome{Request: id, Backend: r.sent[id][0], Latency: latency, Done: true, Load: load})
+			r.step(decide.Outcome{Request: id, Backend: r.sent[id][0], Latency: latency, Answered: true, Load: load})
 		}
 		r.advance(200 * ms)
 		if i >= 200 {
@@ -40,7 +40,7 @@
 // still let in most of what it was asked, servers held so many that they worked at a part of their speed,
 // and every second attempt timed out. The same agents were to refuse at 0.6 of the aim.
 func TestThinAgentShedsWhileServersOnlyBeginToFill(t *testing.T) {
-	aim := thinSettings().Classes[safe].Aim
+	aim := thinSettings().Classes[safe].Objective
 	if sent := serveAt(t, aim*45/100, 0); sent > 100 || sent < 40 {
 		t.Errorf("%d of 200 went out at a delay of 0.45 of the aim, want about a third", sent)
 	}
@@ -51,7 +51,7 @@
 
 // Where the work itself takes nearly half of the aim, a delay of as much is that of empty servers.
 func TestThinAgentDoesNotTakeLongWorkForCrowding(t *testing.T) {
-	aim := thinSettings().Classes[safe].Aim
+	aim := thinSettings().Classes[safe].Objective
 	if sent := serveAt(t, aim*45/100, aim*40/100); sent < 195 {
 		t.Errorf("%d of 200 went out though no server is crowded", sent)
 	}
@@ -61,7 +61,7 @@
 // that agents refused half of what came while servers held one to three requests each. What a server takes that
 // reports nothing else in hand is what the work takes; what one takes that holds many, or does not say, is not.
 func TestThinAgentLearnsFromIdleServersHowLongWorkTakes(t *testing.T) {
-	latency := thinSettings().Classes[safe].Aim * 45 / 100
+	latency := thinSettings().Classes[safe].Objective * 45 / 100
 	for _, c := range []struct {
 		name        string
 		load        decide.Load
@@ -108,9 +108,9 @@
 	}
 	var gone []decide.Backend
 	for id := range first {
-		gone = append(gone, decide.Backend{ID: id, State: decide.Gone})
+		gone = append(gone, decide.Backend{ID: id, State: decide.Removed})
 	}
-	r.step(decide.List{Kind: decide.ListDelta, Backends: gone})
+	r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: gone})
 	second, sum := used(120, 220), 0
 	for id, n := range second {
 		if sum += n; first[id] > 0 {
--- a/decide/tickless_test.go
+++ b/decide/tickless_test.go
@@ -26,10 +26,10 @@
 				}
 			}
 		}
-		step(decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}})
+		step(decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}})
 		for i := range 100 { // far more than may be in flight at once, all within 2 ms
 			now += 20 * time.Microsecond
-			step(decide.Request{ID: fmt.Sprint(i), Class: safe, Left: s.Classes[safe].Deadline - time.Duration(i*37%200)*time.Microsecond})
+			step(decide.Request{ID: fmt.Sprint(i), Class: safe, Remaining: s.Classes[safe].Deadline - time.Duration(i*37%200)*time.Microsecond})
 		}
 		if refused > 0 {
 			t.Errorf("tick %v: %d of 100 first tries were refused at once", tick, refused)
--- a/decide/upload_test.go
+++ b/decide/upload_test.go
@@ -9,7 +9,7 @@
 )
 
 func (r *rig) upload(id string, class int) []decide.Action {
-	return r.step(decide.Request{ID: id, Class: class, Left: 2000 * ms, Upload: true})
+	return r.step(decide.Request{ID: id, Class: class, Remaining: 2000 * ms, Upload: true})
 }
 
 // While their clients still send, uploads are no load: neither on their servers, nor on what may be in flight, and
@@ -40,12 +40,12 @@
 	r.serve(40, safe, 10*ms)
 	r.upload("up", safe)
 	r.advance(time.Minute)
-	r.step(decide.Uploaded{Request: "up", Left: 2000 * ms})
-	r.step(decide.Uploaded{Request: "up", Left: 2000 * ms}) // told twice
+	r.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms})
+	r.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // told twice
 	r.advance(10 * ms)
 	// It failed: there is time for another attempt, which was not so by the time when it came.
 	r.outcome("up", decide.Errored, 10*ms)
-	if actions := r.advance(s.Classes[safe].Aim); len(r.sent["up"]) != 2 {
+	if actions := r.advance(s.Classes[safe].Objective); len(r.sent["up"]) != 2 {
 		t.Errorf("sent %v, %v", r.sent["up"], actions)
 	}
 	r.outcome("up", decide.OK, 10*ms)
@@ -61,12 +61,12 @@
 		result decide.Result
 		want   string
 	}{
-		{safe, decide.Broke, "refuse"}, {keyedAll, decide.Broke, "refuse"}, {unsafe, decide.Broke, "refuse"}, {unsafe, decide.Full, "refuse"},
+		{safe, decide.Incomplete, "refuse"}, {keyedAll, decide.Incomplete, "refuse"}, {unsafe, decide.Incomplete, "refuse"}, {unsafe, decide.Rejected, "refuse"},
 		{safe, decide.Errored, "fail"}, {keyedAll, decide.Reset, "fail"}, {unsafe, decide.Reset, "fail"},
 	} {
 		r := newRig(t, settings(), 1, backends(3))
 		r.upload("up", tt.class)
-		actions := r.step(decide.Outcome{Request: "up", Backend: r.sent["up"][0], Result: tt.result, Spent: true})
+		actions := r.step(decide.Outcome{Request: "up", Backend: r.sent["up"][0], Result: tt.result, NotReplayable: true})
 		actions = append(actions, r.advance(time.Minute)...)
 		if got := final("up", actions); got != tt.want || len(r.sent["up"]) != 1 {
 			t.Errorf("class %d, %v: %q, sent %v", tt.class, tt.result, got, r.sent["up"])
@@ -97,12 +97,12 @@
 		r.request("q", safe)
 		to := r.sent["q"][0]
 		r.advance(10 * ms)
-		r.step(decide.StreamStarted{Request: "q", Worked: true, Latency: 10 * ms})
+		r.step(decide.ResponseStarted{Request: "q", Completed: true, Latency: 10 * ms})
 		r.advance(time.Minute) // a slow client
 		if got := r.serve(100, safe, 10*ms); got[to] < 30 {
 			t.Errorf("beside a streaming answer %s got %d of 100", to, got[to])
 		}
-		actions := r.step(decide.Outcome{Request: "q", Backend: to, Result: tt.result, Latency: time.Minute, Done: tt.done})
+		actions := r.step(decide.Outcome{Request: "q", Backend: to, Result: tt.result, Latency: time.Minute, Answered: tt.done})
 		actions = append(actions, r.advance(time.Minute)...)
 		if got := final("q", actions); got != tt.want || len(r.sent["q"]) != 1 {
 			t.Errorf("%v: %q, sent %v", tt.result, got, r.sent["q"])
--- a/decide/verdicts_test.go
+++ b/decide/verdicts_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide"
 )
 
-func verdictOn(id string, started time.Duration, drain bool, until time.Duration) decide.Verdicts {
-	return decide.Verdicts{All: []decide.Verdict{{Backend: id, Started: started, Drain: drain, Until: until}}}
+func verdictOn(id string, started time.Duration, drain bool, until time.Duration) decide.Ejections {
+	return decide.Ejections{Ejections: []decide.Ejection{{Backend: id, Started: started, Draining: drain, Until: until}}}
 }
 
 // sentTo serves n requests, and counts those that went to a backend.
@@ -20,7 +20,7 @@
 	if n := sentTo(r, "a", 100); n != 0 {
 		t.Errorf("%d of 100 to one that is out", n)
 	}
-	r.step(decide.Verdicts{}) // acquitted
+	r.step(decide.Ejections{}) // acquitted
 	if n := sentTo(r, "a", 100); n == 0 {
 		t.Error("none to one that was acquitted")
 	}
@@ -38,7 +38,7 @@
 // Where all are out, a first try still goes out: a verdict takes nothing away that an agent had.
 func TestVerdictsOnAllLeaveWhatThereIs(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
-	r.step(decide.Verdicts{All: []decide.Verdict{{Backend: "a", Until: r.now + time.Minute}, {Backend: "b", Until: r.now + time.Minute}}})
+	r.step(decide.Ejections{Ejections: []decide.Ejection{{Backend: "a", Until: r.now + time.Minute}, {Backend: "b", Until: r.now + time.Minute}}})
 	if _, ok := find[decide.Send](r.request("x", safe)); !ok {
 		t.Error("nothing is sent")
 	}
@@ -56,13 +56,13 @@
 		t.Error("a drain that no list confirms holds for ever")
 	}
 	list[0].State = decide.Draining
-	r.step(decide.List{Kind: decide.ListFull, Backends: list})
-	r.step(decide.Verdicts{})
+	r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: list})
+	r.step(decide.Ejections{})
 	if n := sentTo(r, "a", 100); n != 0 {
 		t.Errorf("%d of 100 to one that the list drains", n)
 	}
 	// The only ones left are told to drain: nothing goes to them, and it is said at once.
-	r.step(decide.Verdicts{All: []decide.Verdict{{Backend: "b", Drain: true, Until: r.now + 10*time.Second}, {Backend: "c", Drain: true, Until: r.now + 10*time.Second}}})
+	r.step(decide.Ejections{Ejections: []decide.Ejection{{Backend: "b", Draining: true, Until: r.now + 10*time.Second}, {Backend: "c", Draining: true, Until: r.now + 10*time.Second}}})
 	if s, ok := find[decide.Send](r.request("y", safe)); ok {
 		t.Errorf("%+v", s)
 	}
@@ -80,7 +80,7 @@
 		}
 		fresh := backends(3)
 		fresh[0].Started = r.now
-		r.step(decide.List{Kind: decide.ListFull, Backends: fresh})
+		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: fresh})
 		r.advance(20 * time.Second) // it is warm
 		if n := sentTo(r, "a", 100); n == 0 {
 			t.Errorf("drain %v: nothing to the process that came after", drain)
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -17,16 +17,16 @@
 		}
 	case decide.Refuse:
 		if r := l.requests[a.Request]; r != nil && !r.done {
-			l.requestEnded(r, "refused", a.Why)
+			l.requestEnded(r, "refused", a.Reason)
 			l.counts.refused++
 			l.totals.refused.Add(1)
 			l.limited(a.Limit)
-			l.finish(r, Answer{Refused: true, RetryAfter: a.RetryAfter, Limit: a.Limit, Verdict: l.keptFrom(a.Why, now)})
+			l.finish(r, Answer{Refused: true, RetryAfter: a.RetryAfter, Limit: a.Limit, Verdict: l.keptFrom(a.Reason, now)})
 			l.forget(r)
 		}
 	case decide.Fail:
 		if r := l.requests[a.Request]; r != nil && !r.done {
-			l.requestEnded(r, "failed", a.Why)
+			l.requestEnded(r, "failed", a.Reason)
 			l.counts.failed++
 			l.totals.failed.Add(1)
 			l.limited(a.Limit)
@@ -40,15 +40,15 @@
 			l.probing[a.Backend] = true
 			go l.guard(func() { l.post(l.protocol.Probe(a.Backend)) })
 		}
-	case decide.TellPeer:
+	case decide.SendToPeer:
 		if l.peers != nil {
 			l.peers.tell(a.To, a.Data)
 		}
 	case decide.Subscribe:
 		l.watch()
-	case decide.Held:
+	case decide.LeaseUsage:
 		if l.held != nil {
-			l.held(a.All)
+			l.held(a.Usages)
 		}
 	default:
 		l.log.Error("unknown action", "action", a)
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -139,7 +139,7 @@
 		a.discovery.version = a.cfg.Known.Version
 		a.loop.take(a.discovery.translate(a.cfg.Known, decide.ListCached))
 	} else {
-		a.loop.take(List{List: decide.List{Kind: decide.ListCached}}) // the module asks after it
+		a.loop.take(List{ListUpdate: decide.ListUpdate{Kind: decide.ListCached}}) // the module asks after it
 	}
 	known := 0
 	if a.cfg.Known != nil {
@@ -340,7 +340,7 @@
 		m.Classes[a.cfg.Site.Classes[i]] = ClassMemory{c.Latency, c.Work}
 	}
 	for _, b := range l.Backends {
-		s := ServerMemory{ID: b.ID, Slow: b.Slow}
+		s := ServerMemory{ID: b.ID, Slow: b.Slowness}
 		if b.Started > 0 {
 			s.Started = l.starts[b.ID]
 		}
@@ -350,14 +350,14 @@
 }
 
 // learnt puts a memory into the module's terms.
-func (m *Memory) learnt(cfg *Config, ck clock, starts *startTimes) decide.Learnt {
-	l := decide.Learnt{Limit: m.Limit}
+func (m *Memory) learnt(cfg *Config, ck clock, starts *startTimes) decide.Learned {
+	l := decide.Learned{Limit: m.Limit}
 	for _, name := range cfg.Site.Classes {
 		c := m.Classes[name]
-		l.Classes = append(l.Classes, decide.LearntClass{Latency: c.Latency, Work: c.Work})
+		l.Classes = append(l.Classes, decide.LearnedClass{Latency: c.Latency, Work: c.Work})
 	}
 	for _, s := range m.Servers {
-		b := decide.LearntBackend{ID: s.ID, Slow: s.Slow}
+		b := decide.LearnedBackend{ID: s.ID, Slowness: s.Slow}
 		if s.Started > 0 {
 			b.Started = starts.restore(s.ID, s.Started, ck.hint(s.Started), ck.now())
 		}
@@ -399,7 +399,7 @@
 
 // Share tells the module how many agents share the servers from now on: no more than most, and no fewer than least.
 // It does not wait: false says that the agent has too much to do to hear of it now.
-func (a *Agent) Share(most, least int) bool { return a.tell(decide.Fleet{Most: most, Least: least}) }
+func (a *Agent) Share(most, least int) bool { return a.tell(decide.FleetSize{Max: most, Min: least}) }
 
 // Right is one that the agent may use until a moment by the process's own clock.
 type Right struct {
@@ -412,7 +412,7 @@
 
 // Limit tells the module which limits the fleet shares, and Lend what it may use of them: see decide.Limits and
 // decide.Rights. Neither waits: false says that the agent has too much to do to hear of it now.
-func (a *Agent) Limit(all []quota.Limit) bool { return a.tell(decide.Limits{All: all}) }
+func (a *Agent) Limit(all []quota.Limit) bool { return a.tell(decide.SharedLimits{Limits: all}) }
 
 // Lend tells the module of rights.
 func (a *Agent) Lend(all []Right) bool { return a.tell(lent{all}) }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -30,13 +30,13 @@
 func (l *Loop) send(a decide.Send) {
 	r := l.requests[a.Request]
 	if r != nil && !r.done && (l.narrowed(r) || !l.mayStart(r, a.Backend)) {
-		l.pending = append(l.pending, decide.Outcome{Request: a.Request, Attempt: len(r.attempts), Backend: a.Backend, Result: decide.NotSent, Done: r.done})
+		l.pending = append(l.pending, decide.Outcome{Request: a.Request, Attempt: len(r.attempts), Backend: a.Backend, Result: decide.NotSent, Answered: r.done})
 		r.attempts = append(r.attempts, &Attempt{Request: r, N: len(r.attempts), Server: a.Backend, cancel: func(error) {}, ended: true, result: decide.NotSent})
 		return
 	}
 	if r == nil || r.done { // after a final answer nothing more is sent
 		l.pending = append(l.pending, decide.Outcome{Request: a.Request, Backend: a.Backend,
-			Result: decide.NotSent, Done: true})
+			Result: decide.NotSent, Answered: true})
 		return
 	}
 	start := time.Now()
@@ -47,9 +47,9 @@
 	if a.Timeout > 0 && start.Add(a.Timeout).Before(until) {
 		until = start.Add(a.Timeout)
 	}
-	t := &Attempt{Request: r, N: len(r.attempts), Server: a.Backend, loop: l, start: start, noDial: a.NoDial, process: l.sights.starts[a.Backend]}
-	if a.Until > 0 {
-		t.until = l.clock.wall(a.Until)
+	t := &Attempt{Request: r, N: len(r.attempts), Server: a.Backend, loop: l, start: start, noDial: a.ReuseOnly, process: l.sights.starts[a.Backend]}
+	if a.StartBy > 0 {
+		t.until = l.clock.wall(a.StartBy)
 	}
 	ctx, cancel := context.WithCancelCause(l.base)
 	t.Context, t.cancel = attemptContext{ctx, until}, cancel
@@ -67,7 +67,7 @@
 		// Whatever becomes of it, its outcome is told: the module waits for it.
 		e := attemptEnded{t, decide.Outcome{Request: r.ID, Attempt: t.N, Backend: a.Backend, Result: decide.Errored}, nil}
 		defer func() {
-			e.outcome.Latency, e.outcome.Spent, e.outcome.Dialed = time.Since(t.start), t.spent, t.dialed
+			e.outcome.Latency, e.outcome.NotReplayable, e.outcome.Dialed = time.Since(t.start), t.spent, t.dialed
 			l.post(e)
 		}()
 		l.guard(func() { e.outcome.Result, e.answer, e.outcome.Load = l.protocol.Attempt(t) })
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -109,7 +109,7 @@
 		case <-d.ask: // during a watch that a move had begun: the module asks anew now that it hears of its end
 		default:
 		}
-		d.post(List{List: decide.List{Kind: decide.ListFailed}})
+		d.post(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFailed}})
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			d.try()
 		}
@@ -174,15 +174,15 @@
 }
 
 func translate(cfg *Config, ck clock, log *slog.Logger, m *discovery.Members, kind decide.ListKind) List {
-	e := List{List: decide.List{Kind: kind}, Saved: m.Saved, Addrs: map[string]string{}, Starts: map[string]int64{}}
+	e := List{ListUpdate: decide.ListUpdate{Kind: kind}, Saved: m.Saved, Addrs: map[string]string{}, Starts: map[string]int64{}}
 	for _, s := range m.Servers {
 		state, ok := map[string]decide.BackendState{
-			"ready": decide.Up, "draining": decide.Draining, "gone": decide.Gone}[s.State]
+			"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}[s.State]
 		if !ok || s.ID == "" {
 			log.Warn("list entry left out", "id", s.ID, "state", s.State)
 			continue
 		}
-		if state != decide.Gone {
+		if state != decide.Removed {
 			if err := checkAddr("addr", s.Addr); err != nil {
 				log.Warn("list entry left out", "id", s.ID, "error", err)
 				continue
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -54,7 +54,7 @@
 		t.Errorf("%+v", e)
 	}
 	w.Lines <- line(44, false, "gone")
-	if e := testkit.Receive(t, "change", events); e.Backends[0].State != decide.Gone || len(e.Addrs) != 0 {
+	if e := testkit.Receive(t, "change", events); e.Backends[0].State != decide.Removed || len(e.Addrs) != 0 {
 		t.Errorf("%+v", e)
 	}
 	close(w.Lines)
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -40,12 +40,12 @@
 
 // learnt is that, with the starts of the servers' processes as the list has them, ms, Unix.
 type learnt struct {
-	decide.Learnt
+	decide.Learned
 	starts map[string]int64
 }
 
 func (l *Loop) learnt() learnt {
-	now := learnt{l.balancer.Learnt(), map[string]int64{}}
+	now := learnt{l.balancer.Learned(), map[string]int64{}}
 	for _, b := range now.Backends {
 		now.starts[b.ID] = l.starts.told(b.ID)
 	}
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -36,8 +36,8 @@
 type counters struct {
 	sendRefusals [sendRefusals]atomic.Int64
 	violations   [invariants]atomic.Int64
-	endings      [decide.Reasons]atomic.Int64 // of requests that were refused or failed, by the module's reason
-	results      [decide.Broke + 1]atomic.Int64
+	endings      [decide.ReasonCount]atomic.Int64 // of requests that were refused or failed, by the module's reason
+	results      [decide.Incomplete + 1]atomic.Int64
 	retries      atomic.Int64
 }
 
@@ -98,13 +98,13 @@
 	}
 	for _, t := range r.attempts {
 		switch {
-		case !t.ended && (class.Effect == decide.Unsafe || !s.SecondCopies):
+		case !t.ended && (class.Effect == decide.NonIdempotent || !s.Hedging):
 			return refuse(OneAttemptOut, fmt.Sprintf("attempt %d at %s is still out", t.N, t.Server))
-		case t.ended && t.result.NeverRan(), class.Effect == decide.Safe:
-		case class.Effect == decide.Unsafe:
+		case t.ended && t.result.NeverRan(), class.Effect == decide.Idempotent:
+		case class.Effect == decide.NonIdempotent:
 			return refuse(EffectOnce, fmt.Sprintf("attempt %d at %s may have run: %s", t.N, t.Server, resultNames[t.result]))
-		case time.Since(t.start) > class.Window:
-			return refuse(KeyedWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered", t.N, t.Server, time.Since(t.start), class.Window))
+		case time.Since(t.start) > class.DedupWindow:
+			return refuse(KeyedWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered", t.N, t.Server, time.Since(t.start), class.DedupWindow))
 		}
 	}
 	return true
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -67,8 +67,8 @@
 // Whatever the module decides, no attempt begins against the rules on repeats: it is refused, counted, and the module hears
 // that it was not sent.
 func TestNoAttemptBeginsAgainstTheRules(t *testing.T) {
-	noCopies := func(s *decide.Settings) { s.SecondCopies = false }
-	shortWindow := func(s *decide.Settings) { s.Classes[classPut].Window = time.Nanosecond }
+	noCopies := func(s *decide.Settings) { s.Hedging = false }
+	shortWindow := func(s *decide.Settings) { s.Classes[classPut].DedupWindow = time.Nanosecond }
 	for name, row := range map[string]struct {
 		class  int
 		change func(*decide.Settings)
@@ -77,8 +77,8 @@
 		want   Invariant
 		kept   bool
 	}{
-		"not idempotent, never ran":          {class: classPay, first: []decide.Result{decide.Broke}, kept: true},
-		"not idempotent, turned away":        {class: classPay, first: []decide.Result{decide.Full}, kept: true},
+		"not idempotent, never ran":          {class: classPay, first: []decide.Result{decide.Incomplete}, kept: true},
+		"not idempotent, turned away":        {class: classPay, first: []decide.Result{decide.Rejected}, kept: true},
 		"not idempotent, may have run":       {class: classPay, first: []decide.Result{decide.Reset}, want: EffectOnce},
 		"not idempotent, timed out":          {class: classPay, first: []decide.Result{decide.TimedOut}, want: EffectOnce},
 		"not idempotent, one before may":     {class: classPay, first: []decide.Result{decide.Errored}, want: EffectOnce},
@@ -218,15 +218,17 @@
 		"answered":               {func(l *Loop, a *Attempt, _, _ net.Conn) { l.finish(a.Request, Answer{}) }, RequestAnswered, decide.NotSent},
 		"another answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.stream(1) }, RequestAnswered, decide.NotSent},
 		"its own answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.stream(0) }, SendAllowed, 0},
-		"timed out":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrTimedOut) }, AttemptEnded, decide.Broke},
+		"timed out":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrTimedOut) }, AttemptEnded, decide.Incomplete},
 		"cancelled":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrCancelled) }, AttemptEnded, decide.Cancelled},
 		"drains by the list": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.tell(List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s", State: decide.Draining}}}})
-		}, ServerWithdrawn, decide.Broke},
-		"is missing in a whole list": {func(l *Loop, _ *Attempt, _, _ net.Conn) { l.tell(List{List: decide.List{Kind: decide.ListFull}}) }, ServerWithdrawn, decide.Broke},
+			l.tell(List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s", State: decide.Draining}}}})
+		}, ServerWithdrawn, decide.Incomplete},
+		"is missing in a whole list": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
+			l.tell(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull}})
+		}, ServerWithdrawn, decide.Incomplete},
 		"taken out by hand": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
 			l.barred.Store(&map[string]bool{"s": true})
-		}, ServerWithdrawn, decide.Broke},
+		}, ServerWithdrawn, decide.Incomplete},
 		"window closed":     {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.until = time.Now() }, WindowClosed, decide.NotSent},
 		"window still open": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.until = time.Now().Add(time.Minute) }, SendAllowed, 0},
 		"client left":       {func(_ *Loop, _ *Attempt, client, _ net.Conn) { testkit.HalfClose(t, client); client.Close() }, ClientDisconnected, decide.NotSent},
@@ -234,7 +236,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSendingLoop(t, classGet, nil)
 			defer close(s.results)
-			s.tell(List{List: decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", State: decide.Up}}}})
+			s.tell(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", State: decide.Up}}}})
 			ln := testkit.Listen(t)
 			client, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -198,7 +198,7 @@
 		for i, e := range events {
 			// Its time has run on since it came in. It may be gone already: its client may be.
 			if e, ok := e.(decide.Request); ok && l.requests[e.ID] != nil {
-				e.Left = l.clock.at(l.requests[e.ID].Deadline) - l.margin - now
+				e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.margin - now
 				events[i] = e
 			}
 		}
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -30,7 +30,7 @@
 	if len(l.requests) != 0 || len(r.reply) != 0 {
 		t.Errorf("%d requests, %d more answers", len(l.requests), len(r.reply))
 	}
-	if want := (decide.Abandoned{Request: "1"}); !slices.Contains(l.pending, decide.Event(want)) {
+	if want := (decide.RequestCancelled{Request: "1"}); !slices.Contains(l.pending, decide.Event(want)) {
 		t.Error("the module was not told")
 	}
 }
@@ -96,7 +96,7 @@
 	if l.requests["1"] != first.Request || first.done || len(l.requests) != 1 {
 		t.Error("the first request is not open any more, or others are")
 	}
-	if slices.ContainsFunc(l.pending, func(e decide.Event) bool { _, abandoned := e.(decide.Abandoned); return abandoned }) {
+	if slices.ContainsFunc(l.pending, func(e decide.Event) bool { _, abandoned := e.(decide.RequestCancelled); return abandoned }) {
 		t.Error("the module was told that a request ended that it knows of another client")
 	}
 }
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -74,7 +74,7 @@
 type standing struct{ listed, avoided atomic.Int64 }
 
 func (l *Loop) stand() {
-	listed, avoided := l.balancer.Standing()
+	listed, avoided := l.balancer.BackendCounts()
 	l.standing.listed.Store(int64(listed))
 	l.standing.avoided.Store(int64(avoided))
 }
@@ -130,7 +130,7 @@
 
 // ban is what the loop does with one.
 func (l *Loop) ban(e banned) {
-	known := l.balancer.Known(e.server)
+	known := l.balancer.Knows(e.server)
 	if known || len(e.known) > 0 {
 		barred := map[string]bool{}
 		if old := l.barred.Load(); old != nil {
@@ -140,7 +140,7 @@
 			barred[e.server] = true
 		}
 		l.barred.Store(&barred) // at once: attempts that have not been written see it
-		l.pending = append(l.pending, decide.Ban{Backend: e.server, Out: e.out})
+		l.pending = append(l.pending, decide.BackendDisabled{Backend: e.server, Disabled: e.out})
 		l.log.Info("server taken out or back by hand", "server", e.server, "out", e.out)
 	}
 	select {
--- a/internal/core/protocol.go
+++ b/internal/core/protocol.go
@@ -48,7 +48,7 @@
 
 // List is a list of servers, or a change of it, in the module's terms, with the addresses that go with it.
 type List struct {
-	decide.List
+	decide.ListUpdate
 	Addrs  map[string]string // by id; servers that are gone have none
 	Starts map[string]int64  // of their processes, by id, ms, Unix; 0: long ago
 	Saved  bool              // read from a disk: how old it is, is not known
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -31,7 +31,7 @@
 		l.judge(e)
 	case sightsDue:
 		l.sight()
-	case decide.Fleet, decide.Limits:
+	case decide.FleetSize, decide.SharedLimits:
 		l.pending = append(l.pending, e.(decide.Event))
 	case lent:
 		l.onLent(e)
@@ -69,12 +69,12 @@
 	l.counts.requests++
 	l.totals.requests.Add(1)
 	l.requests[r.ID] = r
-	l.pending = append(l.pending, decide.Request{ID: r.ID, Class: r.Class, Work: r.Work, Repeat: r.Repeat, Only: r.Only, Upload: r.Upload})
+	l.pending = append(l.pending, decide.Request{ID: r.ID, Class: r.Class, Work: r.Work, ClientRetry: r.Repeat, OnlyBackend: r.Only, Upload: r.Upload})
 }
 
 // onAnswerBegan ends the other attempts of a request: nothing can come of them any more.
 func (l *Loop) onAnswerBegan(e answerBegan) {
-	l.pending = append(l.pending, decide.StreamStarted{Request: e.ID, Attempt: e.N, Worked: e.worked, Latency: e.latency})
+	l.pending = append(l.pending, decide.ResponseStarted{Request: e.ID, Attempt: e.N, Completed: e.worked, Latency: e.latency})
 	for _, o := range e.attempts {
 		if o != e.Attempt {
 			o.cancel(ErrCancelled)
@@ -89,7 +89,7 @@
 	}
 	e.Deadline = l.before(e.at.Add(e.Left))
 	l.limit(e.Request)
-	l.pending = append(l.pending, decide.Uploaded{Request: e.ID, Attempt: e.N, Left: time.Until(e.Deadline) - l.margin})
+	l.pending = append(l.pending, decide.UploadCompleted{Request: e.ID, Attempt: e.N, Remaining: time.Until(e.Deadline) - l.margin})
 }
 
 // onAttemptEnded books an attempt's outcome. A served request has its final answer by it, unless another attempt's answer is
@@ -109,7 +109,7 @@
 			l.totals.served.Add(1)
 		}
 	}
-	e.outcome.Done = e.done
+	e.outcome.Answered = e.done
 	l.pending = append(l.pending, e.outcome)
 	l.saw(e.Attempt, e.outcome.Result)
 	l.forget(e.Request)
@@ -124,7 +124,7 @@
 	l.totals.gone.Add(1)
 	// It may have ended its sending alone, and read on. What was never sent may be tried again.
 	l.finish(r, Answer{Gone: true, Refused: len(r.attempts) == 0})
-	l.pending = append(l.pending, decide.Abandoned{Request: r.ID})
+	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
 
@@ -143,7 +143,7 @@
 		return
 	}
 	l.finish(r, a)
-	l.pending = append(l.pending, decide.Abandoned{Request: r.ID})
+	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
 
@@ -153,7 +153,7 @@
 	l.started(e)
 	l.tell(e)
 	l.protocol.Update(e)
-	l.pending = append(l.pending, e.List)
+	l.pending = append(l.pending, e.ListUpdate)
 	if len(e.Backends) > 0 && !l.ready.Swap(true) {
 		close(l.listed)
 	}
@@ -166,7 +166,7 @@
 		all[i] = r.Lease
 		all[i].Expires = l.clock.at(r.Until)
 	}
-	l.pending = append(l.pending, decide.Rights{All: all})
+	l.pending = append(l.pending, decide.LeasesGranted{Leases: all})
 }
 
 // finish gives a request its final answer, once.
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -34,7 +34,7 @@
 	case s == AttemptEnded && errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
 	case s == AttemptEnded, s == ServerWithdrawn:
-		return decide.Broke // another server may have it
+		return decide.Incomplete // another server may have it
 	}
 	return decide.NotSent
 }
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -88,5 +88,5 @@
 	// it may be late, and a machine that is cut off, or that nothing leads to, comes back as it was. Servers that
 	// all others reach are ejected for it all the same; one that vanished, and starts anew before the list says so,
 	// counts as warm until it does.
-	return decide.Broke
+	return decide.Incomplete
 }
--- a/internal/core/sights.go
+++ b/internal/core/sights.go
@@ -65,7 +65,7 @@
 		ok = 1
 	case decide.Errored:
 		bad, said = 1, 1
-	case decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Broke:
+	case decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Incomplete:
 		bad = 1
 	default:
 		return
@@ -127,7 +127,7 @@
 
 // keptFrom names them where a request is refused for want of a server.
 func (l *Loop) keptFrom(why decide.Reason, now time.Duration) string {
-	if why != decide.NoServer || now >= l.kept.until {
+	if why != decide.NoBackend || now >= l.kept.until {
 		return ""
 	}
 	l.kept.refused++
@@ -135,11 +135,11 @@
 }
 
 func (l *Loop) judge(e judged) {
-	var all []decide.Verdict
+	var all []decide.Ejection
 	var names []string
 	l.kept.until, l.kept.names = 0, ""
 	for _, v := range e.all {
-		x := decide.Verdict{Backend: v.Server, Drain: v.Drain, Until: l.clock.at(v.Until)}
+		x := decide.Ejection{Backend: v.Server, Draining: v.Drain, Until: l.clock.at(v.Until)}
 		if v.Started > 0 {
 			var known bool
 			if x.Started, known = l.starts.of(v.Server, v.Started); !known {
@@ -158,5 +158,5 @@
 		names = append(names[:namedMost], fmt.Sprintf("%d more", more))
 	}
 	l.kept.names = strings.Join(names, ", ")
-	l.pending = append(l.pending, decide.Verdicts{All: all})
+	l.pending = append(l.pending, decide.Ejections{Ejections: all})
 }
--- a/internal/core/sights_test.go
+++ b/internal/core/sights_test.go
@@ -15,7 +15,7 @@
 	l.sights.tell = func(all []Sight) { got = append(got, all...) }
 	first, second := time.Now().Add(-100*time.Hour).UnixMilli(), time.Now().UnixMilli()
 	list := func(started int64) List {
-		return List{List: decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", Started: l.clock.hint(started)}}}, Starts: map[string]int64{"s": started}}
+		return List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", Started: l.clock.hint(started)}}}, Starts: map[string]int64{"s": started}}
 	}
 	l.started(list(first))
 	a := &Attempt{Server: "s", process: l.sights.starts["s"]}
@@ -23,7 +23,7 @@
 	b := &Attempt{Server: "s", process: l.sights.starts["s"]}
 	l.saw(a, decide.ConnectFailed) // told at once: none was lately
 	l.saw(b, decide.OK)
-	l.saw(b, decide.Full) // says nothing of it
+	l.saw(b, decide.Rejected) // says nothing of it
 	l.saw(b, decide.OK)
 	l.saw(b, decide.Errored)
 	if len(got) != 1 || got[0] != (Sight{"s", first, 0, 1, 0}) {
@@ -44,22 +44,22 @@
 	refused := func(why decide.Reason) Answer {
 		var got Answer
 		l.requests["r"] = NewRequest("r", 0, func(a Answer) { got = a })
-		l.execute(decide.Refuse{Request: "r", Why: why}, l.clock.now())
+		l.execute(decide.Refuse{Request: "r", Reason: why}, l.clock.now())
 		return got
 	}
-	if a := refused(decide.NoServer); a.Verdict != "" {
+	if a := refused(decide.NoBackend); a.Verdict != "" {
 		t.Errorf("%+v", a)
 	}
 	until := time.Now().Add(time.Minute)
 	l.judge(judged{[]Verdict{{Server: "s3", Until: until}, {Server: "s5", Drain: true, Until: until}}})
-	if a := refused(decide.NoServer); a.Verdict != "s3 (out), s5 (drains)" {
+	if a := refused(decide.NoBackend); a.Verdict != "s3 (out), s5 (drains)" {
 		t.Errorf("%+v", a)
 	}
-	if a := refused(decide.NoRoom); a.Verdict != "" {
+	if a := refused(decide.NoCapacity); a.Verdict != "" {
 		t.Errorf("%+v", a)
 	}
 	l.judge(judged{[]Verdict{{Server: "s3", Until: time.Now().Add(-time.Second)}}})
-	if a := refused(decide.NoServer); a.Verdict != "" {
+	if a := refused(decide.NoBackend); a.Verdict != "" {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -48,7 +48,7 @@
 	}
 	for i := range l.Backends {
 		b := &l.Backends[i]
-		if b.State == decide.Gone {
+		if b.State == decide.Removed {
 			s.leave(b.ID, now)
 			continue
 		}
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -49,7 +49,7 @@
 				tell := func(kind decide.ListKind, saved bool, members ...discovery.Member) decide.Backend {
 					l.pending = nil
 					l.take(translate(cfg, l.clock, testkit.Quiet, &discovery.Members{Full: kind == decide.ListFull, Saved: saved, Servers: members}, kind))
-					list := l.pending[0].(decide.List)
+					list := l.pending[0].(decide.ListUpdate)
 					return list.Backends[len(list.Backends)-1]
 				}
 				old := discovery.Member{ID: "old", Addr: "127.0.0.1:1", State: "ready"}
--- a/internal/core/told_test.go
+++ b/internal/core/told_test.go
@@ -296,7 +296,7 @@
 					for i := range 6 {
 						cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []discovery.Member{
 							{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
-						cfg.Seed, cfg.Settings.AskWithin, cfg.Settings.DrainGrace = uint64(i), askWithin, askWithin
+						cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), askWithin, askWithin
 						synctest.Test(t, func(t *testing.T) {
 							has := 13*time.Second + time.Duration(i)*217*time.Millisecond
 							s := &listService{listScript: scripted(has), has: has}
@@ -327,7 +327,7 @@
 				for i := range 6 {
 					cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []discovery.Member{
 						{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
-					cfg.Seed, cfg.Settings.AskWithin, cfg.Settings.DrainGrace = uint64(i), time.Hour, time.Hour
+					cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), time.Hour, time.Hour
 					synctest.Test(t, func(t *testing.T) {
 						has := 13*time.Second + time.Duration(i)*217*time.Millisecond
 						s := &listService{has: has, listScript: listScript{moves: true, call: func(at time.Duration) callFate {
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -95,7 +95,7 @@
 	attempt := func(a *Attempt) (decide.Result, any) {
 		n++
 		a.Spent()
-		return decide.Broke, nil
+		return decide.Incomplete, nil
 	}
 	inLoop(t, 60000, attempt, func(l *Loop) {
 		r := uploadOf(time.Minute)
--- a/internal/host/daemon/overlay_test.go
+++ b/internal/host/daemon/overlay_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	c := cfg.Instances[0].Agent.Settings
-	if c.Classes[0].Window != 6*time.Second || c.MaxAttempts != 3 || len(cfg.Bans) != 1 || cfg.Limits == nil || cfg.Instances[0].Listen.Addr != "127.0.0.1:7001" {
+	if c.Classes[0].DedupWindow != 6*time.Second || c.MaxAttempts != 3 || len(cfg.Bans) != 1 || cfg.Limits == nil || cfg.Instances[0].Listen.Addr != "127.0.0.1:7001" {
 		t.Errorf("%+v, bans %v, limits %v", c, cfg.Bans, cfg.Limits)
 	}
 }
@@ -105,10 +105,10 @@
 		t.Fatal(err)
 	}
 	s := cfg.Instances[0].Agent.Settings
-	if k := s.Classes[0]; k.Window != 6*time.Second || k.Group != decide.Group(2) || s.MaxAttempts != 2 || !s.SecondCopies || len(cfg.Bans) != 2 || cfg.Limits.Settings.Limits[0].Total != 5 {
+	if k := s.Classes[0]; k.DedupWindow != 6*time.Second || k.Scope != decide.DedupScope(2) || s.MaxAttempts != 2 || !s.Hedging || len(cfg.Bans) != 2 || cfg.Limits.Settings.Limits[0].Total != 5 {
 		t.Errorf("%+v, attempts %d, bans %v", k, s.MaxAttempts, cfg.Bans)
 	}
-	if cfg, err = under(t, class("safe", ""), class("keyed", "window = \"6s\"\n")); err != nil || cfg.Instances[0].Agent.Settings.Classes[0].Effect != decide.Unsafe {
+	if cfg, err = under(t, class("safe", ""), class("keyed", "window = \"6s\"\n")); err != nil || cfg.Instances[0].Agent.Settings.Classes[0].Effect != decide.NonIdempotent {
 		t.Errorf("%v", err)
 	}
 	for _, other := range []string{"[rules]\nramp_time = \"9s\"\n", "[site]\nzones = [\"south\"]\n", strings.Replace(class("safe", ""), "close", "other", 1)} {
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -373,10 +373,10 @@
 		}
 		n := slices.Index(now.Site.Classes, was.Site.Classes[i])
 		switch {
-		case n < 0 || now.Settings.Classes[n].Effect == decide.Unsafe:
+		case n < 0 || now.Settings.Classes[n].Effect == decide.NonIdempotent:
 			all[i] = 1 // not at all
-		case now.Settings.Classes[n].Effect == decide.Keyed && now.Settings.Classes[n].Window < c.Window:
-			all[i] = now.Settings.Classes[n].Window
+		case now.Settings.Classes[n].Effect == decide.Keyed && now.Settings.Classes[n].DedupWindow < c.DedupWindow:
+			all[i] = now.Settings.Classes[n].DedupWindow
 		}
 	}
 	return all
--- a/internal/host/daemon/rules.go
+++ b/internal/host/daemon/rules.go
@@ -13,13 +13,13 @@
 // settings are what all instances are told alike.
 func (c *checker) settings(f *file, own []class) (decide.Settings, []string) {
 	r := &f.Rules
-	s := decide.Settings{Balancers: cmp.Or(r.Balancers, 1), ByWork: f.Site.ByWork, MaxAttempts: cmp.Or(r.MaxAttempts, 3), SecondCopies: r.SecondCopies,
+	s := decide.Settings{Balancers: cmp.Or(r.Balancers, 1), ByWork: f.Site.ByWork, MaxAttempts: cmp.Or(r.MaxAttempts, 3), Hedging: r.SecondCopies,
 		MayCancel: true, RetryAfter: r.MaxRetryAfter.D() > 0, MaxRetryAfter: c.wait("rules.max_retry_after", r.MaxRetryAfter, 0),
 		ConnectTimeout: c.span("rules.connect_timeout", r.ConnectTimeout, 250*time.Millisecond),
 		DrainGrace:     c.span("rules.drain_grace", r.DrainGrace, 2*time.Second),
 		AnswerGrace:    c.wait("rules.answer_slack", r.AnswerSlack, 20*time.Millisecond),
-		ColdShare:      r.ColdShare, RampTime: c.wait("rules.ramp_time", r.RampTime, 0), FallMultiple: r.FallMultiple,
-		FallWindow: c.wait("rules.fall_window", r.FallWindow, time.Second), GoalWhole: 0.45, GoalWindow: 0.35, GoalClass: 0.2,
+		SlowStartShare: r.ColdShare, SlowStartTime: c.wait("rules.ramp_time", r.RampTime, 0), OverloadMultiple: r.FallMultiple,
+		OverloadWindow: c.wait("rules.fall_window", r.FallWindow, time.Second), GoalWhole: 0.45, GoalWindow: 0.35, GoalClass: 0.2,
 		CrossZonePrice: r.CrossZonePrice}
 	if s.Balancers < 1 {
 		c.fail("rules.balancers", "%d: at least 1 is needed", s.Balancers)
@@ -45,13 +45,13 @@
 		names = append(names, k.Name)
 		effect := c.name(at("repeats"), cmp.Or(k.Repeats, "unsafe"), []string{"safe", "keyed", "unsafe"})
 		group := c.name(at("group"), cmp.Or(k.Group, "all"), []string{"all", "zone", "pod"})
-		d := decide.Class{Aim: c.span(at("aim"), k.Aim, 0), Deadline: c.span(at("deadline"), k.Deadline, 0), Worth: k.Worth, LateWorth: k.Late,
-			Effect: decide.Effect(effect), Group: decide.Group(group), Window: c.wait(at("window"), k.Window, 0)}
-		if d.Aim > d.Deadline {
-			c.fail(at("aim"), "%v is past the deadline of %v", d.Aim, d.Deadline)
+		d := decide.Class{Objective: c.span(at("aim"), k.Aim, 0), Deadline: c.span(at("deadline"), k.Deadline, 0), Value: k.Worth, LateValue: k.Late,
+			Effect: decide.Effect(effect), Scope: decide.DedupScope(group), DedupWindow: c.wait(at("window"), k.Window, 0)}
+		if d.Objective > d.Deadline {
+			c.fail(at("aim"), "%v is past the deadline of %v", d.Objective, d.Deadline)
 		}
-		if (d.Effect == decide.Keyed) != (d.Window > 0) {
-			c.fail(at("window"), "%v: a keyed class has a window, and no other has", d.Window)
+		if (d.Effect == decide.Keyed) != (d.DedupWindow > 0) {
+			c.fail(at("window"), "%v: a keyed class has a window, and no other has", d.DedupWindow)
 		}
 		if !(k.Worth >= 0) || !(k.Late >= 0 && k.Late <= 1) {
 			c.fail(at("worth"), "worth is not negative, and late is a share")
--- a/internal/host/daemon/servicepart_test.go
+++ b/internal/host/daemon/servicepart_test.go
@@ -94,10 +94,10 @@
 		t.Fatal(err)
 	}
 	beds, labs := cfg.one("beds").Agent, cfg.one("labs").Agent
-	if got := strings.Join(beds.Site.Classes, " "); got != "close look move" || beds.Settings.Classes[0].Window != 6*time.Second || beds.Settings.Classes[2].Deadline != 2*time.Second {
+	if got := strings.Join(beds.Site.Classes, " "); got != "close look move" || beds.Settings.Classes[0].DedupWindow != 6*time.Second || beds.Settings.Classes[2].Deadline != 2*time.Second {
 		t.Errorf("beds has %s: %+v", got, beds.Settings.Classes)
 	}
-	if got := strings.Join(labs.Site.Classes, " "); got != "close look" || labs.Settings.Classes[0].Window != 12*time.Second {
+	if got := strings.Join(labs.Site.Classes, " "); got != "close look" || labs.Settings.Classes[0].DedupWindow != 12*time.Second {
 		t.Errorf("labs has %s: %+v", got, labs.Settings.Classes)
 	}
 	if cfg.Sources["beds"].List != "127.0.0.1:9999" || cfg.Sources["labs"].List != "127.0.0.1:8501" || len(cfg.Bans) != 2 || cfg.Bans[0] != (Ban{"s3", "beds", ""}) || cfg.Bans[1].Source != "labs" {
@@ -144,11 +144,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := cfg.one("beds").Agent.Settings.Classes[0]; k.Window != 6*time.Second || len(cfg.Bans) != 3 {
+	if k := cfg.one("beds").Agent.Settings.Classes[0]; k.DedupWindow != 6*time.Second || len(cfg.Bans) != 3 {
 		t.Errorf("%+v, bans %v", k, cfg.Bans)
 	}
 	// The part comes to be: by the file, and by it.
-	if cfg, err = underParts(t, nil, map[string]string{"beds": class("safe", "")}); err != nil || cfg.one("beds").Agent.Settings.Classes[0].Effect != decide.Unsafe || cfg.one("labs").Agent.Settings.Classes[0].Effect != decide.Keyed {
+	if cfg, err = underParts(t, nil, map[string]string{"beds": class("safe", "")}); err != nil || cfg.one("beds").Agent.Settings.Classes[0].Effect != decide.NonIdempotent || cfg.one("labs").Agent.Settings.Classes[0].Effect != decide.Keyed {
 		t.Errorf("%v", err)
 	}
 	if _, err := underParts(t, nil, map[string]string{"beds": "[[source]]\nlist = \"127.0.0.1:9\"\n"}); err == nil || !strings.Contains(err.Error(), "differ in [source]") {
--- a/internal/protocol/http1/attempt.go
+++ b/internal/protocol/http1/attempt.go
@@ -81,7 +81,7 @@
 	}
 	if !b.at(id, c.addr) {
 		b.give(id, c, true)
-		return decide.Broke, nil, none // never ran, and another backend may have it
+		return decide.Incomplete, nil, none // never ran, and another backend may have it
 	}
 	a, whole, err := b.exchange(ctx, by, c, m)
 	var refused *refusedError
@@ -104,7 +104,7 @@
 		return decide.OK, a, load
 	case (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout) &&
 		a.neverRan:
-		return decide.Full, nil, load
+		return decide.Rejected, nil, load
 	}
 	return decide.Errored, nil, load
 }
@@ -124,7 +124,7 @@
 	case cause != nil:
 		return decide.TimedOut
 	case !whole: // the rest can't follow: the connection is closed
-		return decide.Broke
+		return decide.Incomplete
 	case errors.Is(err, errBroke):
 		return decide.Reset
 	}
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -589,7 +589,7 @@
 	}
 	settings := &f.cfg.Settings.Classes[class]
 	method := http.MethodPost
-	if settings.Effect == decide.Safe {
+	if settings.Effect == decide.Idempotent {
 		method = http.MethodGet
 	}
 	if string(h.method) != method {
--- a/internal/protocol/http1/crossings_test.go
+++ b/internal/protocol/http1/crossings_test.go
@@ -154,7 +154,7 @@
 	s = serveRaw(t, func(int) string { <-release; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = cfg.Settings.Classes[i].Deadline // what waits, waits long
+		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
 	}
 	a = start(t, cfg)
 	answers = make(chan exchange, 100)
@@ -422,7 +422,7 @@
 		other := serveRaw(t, func(int) string { return ok200 })
 		list := testkit.NewCatalog(t)
 		cfg := testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Member{failing.member("failing")}})
-		cfg.Settings.Classes[1].Window, cfg.Settings.Classes[1].Aim, cfg.Settings.ConnectTimeout = window, 200*time.Millisecond, connect
+		cfg.Settings.Classes[1].DedupWindow, cfg.Settings.Classes[1].Objective, cfg.Settings.ConnectTimeout = window, 200*time.Millisecond, connect
 		a := start(t, cfg)
 		w := testkit.Receive(t, "watch", list.Watch)
 		dialled, release := a.heldDial(other.addr)
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -97,7 +97,7 @@
 	l.server = serveRaw(t, func(int) string { return <-l.answer })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{l.server.member("s")}})
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = cfg.Settings.Classes[i].Deadline // what waits, waits long
+		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
 	}
 	if change != nil {
 		change(cfg)
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -208,7 +208,7 @@
 func (b *backends) failed(id string, c *conn, r decide.Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r == decide.Broke || r == decide.Reset && c.wasDead(time.Since(c.wrote)) {
+	if r == decide.Incomplete || r == decide.Reset && c.wasDead(time.Since(c.wrote)) {
 		b.learnIdle(c.stood, false)
 	}
 	b.put(id, c, false)
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -58,7 +58,7 @@
 func poolFor(t *testing.T, addr string) *backends {
 	t.Helper()
 	b := newBackends(testConfig(t, testkit.Setup{}), testkit.Quiet)
-	b.update(core.List{List: decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
@@ -73,8 +73,8 @@
 		"served":               {ok200, decide.OK},
 		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", decide.OK},
 		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
-		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
+		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
+		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
 		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
 		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", decide.Errored},
 		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Errored},
@@ -150,17 +150,17 @@
 	ln := resetting(t)
 	b := poolFor(t, ln.Addr().String())
 	b.dialer = dialUntilReset
-	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
 		t.Errorf("reset: result %v", result)
 	}
 	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(core.ErrTimedOut)
-	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete {
 		t.Errorf("out of time: result %v", result)
 	}
 	b.cfg.Settings.ConnectTimeout = time.Millisecond // not up in time: it may be late, or cut off
-	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
 		t.Errorf("not up in time: result %v", result)
 	}
 	testkit.WaitFor(t, "the end of the dial that went on", func() bool {
@@ -170,7 +170,7 @@
 	})
 	b.cfg.Settings.ConnectTimeout = testkit.Patience
 	b.dialer = new(net.Dialer).DialContext // refused: nobody is there
-	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("refused: result %v", result)
 	}
@@ -186,11 +186,11 @@
 		syscall.ECONNREFUSED: decide.ConnectFailed,
 		syscall.EMFILE:       decide.NotSent, syscall.ENFILE: decide.NotSent, syscall.ENOBUFS: decide.NotSent,
 		syscall.ENOMEM: decide.NotSent, syscall.EADDRNOTAVAIL: decide.NotSent,
-		syscall.EHOSTUNREACH: decide.Broke, syscall.ENETUNREACH: decide.Broke, syscall.ETIMEDOUT: decide.Broke,
-		syscall.ECONNRESET: decide.Broke, syscall.ECONNABORTED: decide.Broke,
+		syscall.EHOSTUNREACH: decide.Incomplete, syscall.ENETUNREACH: decide.Incomplete, syscall.ETIMEDOUT: decide.Incomplete,
+		syscall.ECONNRESET: decide.Incomplete, syscall.ECONNABORTED: decide.Incomplete,
 		// None of these says that a process has ended: only a refusal does.
-		syscall.ENETDOWN: decide.Broke, syscall.EPERM: decide.Broke, syscall.EACCES: decide.Broke, syscall.EIO: decide.Broke,
-		syscall.EHOSTDOWN: decide.Broke, syscall.EINVAL: decide.Broke,
+		syscall.ENETDOWN: decide.Incomplete, syscall.EPERM: decide.Incomplete, syscall.EACCES: decide.Incomplete, syscall.EIO: decide.Incomplete,
+		syscall.EHOSTDOWN: decide.Incomplete, syscall.EINVAL: decide.Incomplete,
 	} {
 		b := poolFor(t, testkit.DeadAddr(t))
 		b.dialer = func(context.Context, string, string) (net.Conn, error) {
@@ -272,7 +272,7 @@
 			}
 			return c, err
 		}
-		if result, _, _ := attemptAt(t, context.Background(), b, strings.Repeat("x", 20000)); result != decide.Broke {
+		if result, _, _ := attemptAt(t, context.Background(), b, strings.Repeat("x", 20000)); result != decide.Incomplete {
 			t.Errorf("broken after %d bytes: result %v", room, result)
 		}
 	}
@@ -324,7 +324,7 @@
 	s := serveRaw(t, func(int) string { return ok200 })
 	other := serveRaw(t, func(int) string { <-hold; return ok200 })
 	b := poolFor(t, s.addr)
-	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "t"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": other.addr}})
 	b.most = 1
 	attemptAt(t, context.Background(), b, "")
@@ -352,7 +352,7 @@
 	two := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, one.addr)
 	attemptAt(t, context.Background(), b, "")
-	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.open != 0 {
 		t.Errorf("%d connections to the old address are open", b.open)
@@ -373,7 +373,7 @@
 		done <- r
 	}()
 	testkit.Receive(t, "request", one.seen)
-	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
 	close(hold)
 	if r := testkit.Receive(t, "result", done); r != decide.OK || b.open != 0 {
@@ -564,22 +564,22 @@
 	b := poolFor(t, s.addr)
 	for n := range 3000 {
 		id, addr := fmt.Sprint("b", n), fmt.Sprintf("127.0.0.1:%d", 1+n%50)
-		b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: id}}}, Addrs: map[string]string{id: addr}})
-		b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: id, State: decide.Gone}}}})
+		b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: id}}}, Addrs: map[string]string{id: addr}})
+		b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: id, State: decide.Removed}}}})
 	}
 	if ids, owners := b.addrs.Len(); ids != 1 || owners != 1 || len(b.idle) != 0 {
 		t.Errorf("%d addresses, %d owners, %d lists of connections", ids, owners, len(b.idle))
 	}
 	at := func(id string) string { addr, _ := b.addrs.Of(id); return addr }
 	attemptAt(t, context.Background(), b, "")
-	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
 	if at("s") != "" || at("new") != s.addr || b.open != 0 {
 		t.Errorf("addresses %v, %d connections", b.addrs, b.open)
 	}
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the new one", result, len(s.seen))
 	}
-	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "s", State: decide.Gone}}}})
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s", State: decide.Removed}}}})
 	if at("new") != s.addr || b.addrs.At(s.addr) != "new" {
 		t.Error("the old one's end took the new one's address")
 	}
@@ -617,7 +617,7 @@
 	}{
 		"reset after a trip":           {time.Second, time.Second, decide.Reset, true},
 		"reset under a request":        {time.Second, time.Millisecond, decide.Reset, false},
-		"broke while it was written":   {time.Second, time.Millisecond, decide.Broke, true},
+		"broke while it was written":   {time.Second, time.Millisecond, decide.Incomplete, true},
 		"an answer amiss says nothing": {0, time.Second, decide.Errored, false},
 	} {
 		b := poolFor(t, "127.0.0.1:9")
@@ -658,7 +658,7 @@
 	ctx, cancel := context.WithTimeoutCause(context.Background(), testkit.Patience, core.ErrTimedOut)
 	defer cancel()
 	for range 2 {
-		if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Broke || ctx.Err() != nil {
+		if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete || ctx.Err() != nil {
 			t.Fatalf("result %v while no connection comes up, %v", result, ctx.Err())
 		}
 	}
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -83,7 +83,7 @@
 		servers = append(servers, b.member(id))
 	}
 	cfg := testConfig(t, testkit.Setup{Servers: servers})
-	cfg.Settings.Classes[2].Aim = time.Hour // about for so long a backend is left out
+	cfg.Settings.Classes[2].Objective = time.Hour // about for so long a backend is left out
 	a := start(t, cfg)
 	for range 400 {
 		a.do("POST", "/pay/x", "") // which is not tried again
@@ -111,7 +111,7 @@
 		servers = append(servers, b.member(id))
 	}
 	cfg := testConfig(t, testkit.Setup{Servers: servers})
-	cfg.Settings.RampTime, cfg.Settings.ColdShare = time.Hour, 0.1
+	cfg.Settings.SlowStartTime, cfg.Settings.SlowStartShare = time.Hour, 0.1
 	a := start(t, cfg)
 	left, dial := new(atomic.Int64), a.backends.dialer
 	a.backends.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -33,7 +33,7 @@
 		if errors.Is(context.Cause(a.Context), core.ErrCancelled) {
 			return decide.Cancelled, nil
 		}
-		return decide.Broke, nil
+		return decide.Incomplete, nil
 	}
 	o.put(c, k.id)
 	defer o.put(nil, 0)
@@ -134,7 +134,7 @@
 	if !s.begun {
 		switch code {
 		case ldapmsg.Busy: // too busy to service it: it was not begun
-			return decide.Full, nil
+			return decide.Rejected, nil
 		case ldapmsg.Unavailable: // a part that is needed to complete it is away: it may have been begun
 			return decide.Errored, nil
 		}
@@ -201,10 +201,10 @@
 			v.log.Warn("attempt not sent", "error", err, "server", a.Server)
 		}
 		if errors.Is(err, errMovedMeanwhile) {
-			return nil, decide.Broke // never ran, and another server may have it
+			return nil, decide.Incomplete // never ran, and another server may have it
 		}
 		if errors.Is(err, errSecure) && !errors.Is(context.Cause(a.Context), core.ErrCancelled) {
-			return nil, decide.Broke // somebody was there
+			return nil, decide.Incomplete // somebody was there
 		}
 		return nil, core.NotConnected(a.Context, err)
 	}
@@ -243,7 +243,7 @@
 	defer clear(text)
 	m, err := ldapmsg.Parse(text)
 	if err != nil {
-		return decide.Broke
+		return decide.Incomplete
 	}
 	k, err := c.start(a.Context, a, m.Op, m.Rest)
 	var refused *refusedError
@@ -251,7 +251,7 @@
 		return refused.why.Result(a.Context)
 	}
 	if err != nil {
-		return decide.Broke
+		return decide.Incomplete
 	}
 	defer close(k.left)
 	select {
@@ -265,13 +265,13 @@
 			who.rejected.Store(true)
 			v.log.Warn("a server does not take a bind that another took", "server", c.server)
 		}
-		return decide.Full // turned away, unseen
+		return decide.Rejected // turned away, unseen
 	case <-k.lost:
-		return decide.Broke
+		return decide.Incomplete
 	case <-a.Context.Done():
 		if errors.Is(context.Cause(a.Context), core.ErrCancelled) {
 			return decide.Cancelled
 		}
-		return decide.Broke
+		return decide.Incomplete
 	}
 }
--- a/internal/protocol/ldap/disconnect_test.go
+++ b/internal/protocol/ldap/disconnect_test.go
@@ -34,7 +34,7 @@
 			})
 			cfg := testConfig(t, d)
 			for i := range cfg.Settings.Classes {
-				cfg.Settings.Classes[i].Aim = cfg.Settings.Classes[i].Deadline // what waits, waits long
+				cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
 			}
 			a := start(t, cfg, Options{})
 			others := make(chan error, most)
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	cfg.Settings.Tick, cfg.Margin = 0, 5*time.Millisecond
-	cfg.Settings.MayProbe, cfg.Settings.SecondCopies = false, false
+	cfg.Settings.MayProbe, cfg.Settings.Hedging = false, false
 	cfg.Site.Classes = []string{"search", "modify"}
 	cfg.Settings.Classes = []decide.Class{
-		{Aim: aim, Deadline: deadline, Worth: 1, Effect: decide.Safe},
-		{Aim: aim, Deadline: deadline, Worth: 1, Effect: decide.Unsafe},
+		{Objective: aim, Deadline: deadline, Value: 1, Effect: decide.Idempotent},
+		{Objective: aim, Deadline: deadline, Value: 1, Effect: decide.NonIdempotent},
 	}
 	return cfg
 }
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -859,7 +859,7 @@
 		t.Fatal(err)
 	}
 	v := a.p.servers
-	v.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
+	v.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
 	if c, _, err := v.take("one", "", false); !errors.Is(err, core.ErrMoved) {
 		t.Errorf("the old one has %+v, %v", c, err)
 	}
--- a/internal/protocol/ldap/property_test.go
+++ b/internal/protocol/ldap/property_test.go
@@ -69,7 +69,7 @@
 		}
 		cfg := testConfig(t, all...)
 		for i := range cfg.Settings.Classes {
-			cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 500*time.Millisecond
+			cfg.Settings.Classes[i].Objective, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 500*time.Millisecond
 		}
 		// The loop answers in the module's place half of this after a deadline. On a busy machine a timer of the module's is
 		// later than the 10 ms that are usual; what it answers when is held to, event by event, in decide.
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -21,7 +21,7 @@
 	const heldFor = 400 * time.Millisecond
 	cfg := testConfig(t, dir(t, "one", directory.Options{}))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 100*time.Millisecond
+		cfg.Settings.Classes[i].Objective, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 100*time.Millisecond
 	}
 	r := start(t, cfg, Options{})
 	held := make(chan *testkit.HeldWrite, 1)
--- a/internal/simulate/baseline/baseline.go
+++ b/internal/simulate/baseline/baseline.go
@@ -92,10 +92,10 @@
 	p.actions = nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case decide.List:
+		case decide.ListUpdate:
 			p.list(e)
 		case decide.Request:
-			r := &request{Request: e, deadline: now + e.Left}
+			r := &request{Request: e, deadline: now + e.Remaining}
 			p.requests[e.ID] = r
 			if p.eyes != nil && !p.admits(r) {
 				delete(p.requests, r.ID)
@@ -105,7 +105,7 @@
 			p.send(now, r, nil)
 		case decide.Outcome:
 			p.outcome(now, e)
-		case decide.Abandoned:
+		case decide.RequestCancelled:
 			delete(p.requests, e.Request)
 		case decide.TimerFired:
 			if p.due[e.Token] {
@@ -117,7 +117,7 @@
 	return p.actions
 }
 
-func (p *Policy) list(e decide.List) {
+func (p *Policy) list(e decide.ListUpdate) {
 	switch e.Kind {
 	case decide.ListFailed:
 		if p.s.Subscribe {
@@ -141,7 +141,7 @@
 	p.servers = slices.DeleteFunc(p.servers, func(s *server) bool {
 		listed := e.Kind == decide.ListDelta ||
 			slices.ContainsFunc(e.Backends, func(b decide.Backend) bool { return b.ID == s.ID })
-		return s.State == decide.Gone || !listed
+		return s.State == decide.Removed || !listed
 	})
 }
 
@@ -159,7 +159,7 @@
 			r.first = nil
 		}
 	}
-	if e.Done || e.Result == decide.OK {
+	if e.Answered || e.Result == decide.OK {
 		delete(p.requests, e.Request)
 		return
 	}
@@ -228,12 +228,12 @@
 
 func (p *Policy) mayRepeat(now time.Duration, r *request, s *server) bool {
 	c := p.s.Classes[r.Class]
-	if r.risky == 0 || c.Effect == decide.Safe {
+	if r.risky == 0 || c.Effect == decide.Idempotent {
 		return true
 	}
-	if c.Effect == decide.Unsafe || now+p.s.ConnectTimeout-r.first.at >= c.Window {
+	if c.Effect == decide.NonIdempotent || now+p.s.ConnectTimeout-r.first.at >= c.DedupWindow {
 		return false
 	}
-	return c.Group == decide.GroupAll || c.Group == decide.GroupZone && s.Zone == r.first.to.Zone ||
-		c.Group == decide.GroupCell && s.Cell == r.first.to.Cell
+	return c.Scope == decide.ScopeAll || c.Scope == decide.ScopeZone && s.Zone == r.first.to.Zone ||
+		c.Scope == decide.ScopeCell && s.Cell == r.first.to.Cell
 }
--- a/internal/simulate/baseline/baseline_test.go
+++ b/internal/simulate/baseline/baseline_test.go
@@ -9,8 +9,8 @@
 
 func settings() decide.Settings {
 	return decide.Settings{Balancers: 1, MaxAttempts: 3, Subscribe: true, ConnectTimeout: 250 * time.Millisecond, Classes: []decide.Class{
-		{Aim: time.Second, Deadline: 3 * time.Second, Effect: decide.Safe},
-		{Aim: time.Second, Deadline: 3 * time.Second, Effect: decide.Unsafe}}}
+		{Objective: time.Second, Deadline: 3 * time.Second, Effect: decide.Idempotent},
+		{Objective: time.Second, Deadline: 3 * time.Second, Effect: decide.NonIdempotent}}}
 }
 
 func start(t *testing.T, name string) *Policy {
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Step(0, []decide.Event{decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c", State: decide.Draining}}}})
+	p.Step(0, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c", State: decide.Draining}}}})
 	return p
 }
 
@@ -40,7 +40,7 @@
 		got := map[string]int{}
 		for i := range 100 {
 			id := time.Duration(i).String()
-			got[sendOf(t, p.Step(0, []decide.Event{decide.Request{ID: id, Left: time.Second}}))]++
+			got[sendOf(t, p.Step(0, []decide.Event{decide.Request{ID: id, Remaining: time.Second}}))]++
 		}
 		if got["c"] > 0 || got["a"]+got["b"] != 100 {
 			t.Errorf("%s: %v", name, got)
@@ -56,19 +56,19 @@
 
 func TestPlainRetriesKeepTheRepeatRule(t *testing.T) {
 	p := start(t, "random")
-	first := sendOf(t, p.Step(0, []decide.Event{decide.Request{ID: "q", Left: time.Second}}))
+	first := sendOf(t, p.Step(0, []decide.Event{decide.Request{ID: "q", Remaining: time.Second}}))
 	if second := sendOf(t, p.Step(1, []decide.Event{decide.Outcome{Request: "q", Backend: first, Result: decide.Errored}})); second == first {
 		t.Error("again at the one that failed")
 	}
-	first = sendOf(t, p.Step(2, []decide.Event{decide.Request{ID: "u", Class: 1, Left: time.Second}}))
+	first = sendOf(t, p.Step(2, []decide.Event{decide.Request{ID: "u", Class: 1, Remaining: time.Second}}))
 	acts := p.Step(3, []decide.Event{decide.Outcome{Request: "u", Backend: first, Result: decide.Reset}})
 	if len(acts) != 1 || acts[0] != (decide.Fail{Request: "u"}) {
 		t.Errorf("an unsafe one that may have run: %v", acts)
 	}
-	sendOf(t, p.Step(4, []decide.Event{decide.Request{ID: "v", Class: 1, Left: time.Second}}))
-	sendOf(t, p.Step(5, []decide.Event{decide.Outcome{Request: "v", Result: decide.Full}}))
-	sendOf(t, p.Step(6, []decide.Event{decide.Outcome{Request: "v", Attempt: 1, Result: decide.Full}}))
-	acts = p.Step(7, []decide.Event{decide.Outcome{Request: "v", Attempt: 2, Result: decide.Full}})
+	sendOf(t, p.Step(4, []decide.Event{decide.Request{ID: "v", Class: 1, Remaining: time.Second}}))
+	sendOf(t, p.Step(5, []decide.Event{decide.Outcome{Request: "v", Result: decide.Rejected}}))
+	sendOf(t, p.Step(6, []decide.Event{decide.Outcome{Request: "v", Attempt: 1, Result: decide.Rejected}}))
+	acts = p.Step(7, []decide.Event{decide.Outcome{Request: "v", Attempt: 2, Result: decide.Rejected}})
 	if len(acts) != 1 || acts[0] != (decide.Refuse{Request: "v"}) {
 		t.Errorf("after its last attempt: %v", acts)
 	}
@@ -76,10 +76,10 @@
 
 func TestAsksTheList(t *testing.T) {
 	p, _ := New("p2c", settings(), 1)
-	if acts := p.Step(0, []decide.Event{decide.List{Kind: decide.ListCached}}); len(acts) != 1 || acts[0] != (decide.Subscribe{}) {
+	if acts := p.Step(0, []decide.Event{decide.ListUpdate{Kind: decide.ListCached}}); len(acts) != 1 || acts[0] != (decide.Subscribe{}) {
 		t.Error(acts)
 	}
-	acts := p.Step(0, []decide.Event{decide.List{Kind: decide.ListFailed}})
+	acts := p.Step(0, []decide.Event{decide.ListUpdate{Kind: decide.ListFailed}})
 	timer, ok := acts[0].(decide.SetTimer)
 	if !ok || timer.After != askAgain {
 		t.Fatal(acts)
--- a/internal/simulate/baseline/seer.go
+++ b/internal/simulate/baseline/seer.go
@@ -72,7 +72,7 @@
 	if r.Work > 0 {
 		return float64(r.Work)
 	}
-	return float64(p.s.Classes[r.Class].Aim) / 5
+	return float64(p.s.Classes[r.Class].Objective) / 5
 }
 
 // admits reports whether the fleet's mean wait leaves room for a request of this worth.
@@ -93,12 +93,12 @@
 	rank, classes := 0, 0
 	mine := p.s.Classes[r.Class]
 	for _, c := range p.s.Classes {
-		if classes++; c.Worth/float64(c.Aim) < mine.Worth/float64(mine.Aim) {
+		if classes++; c.Value/float64(c.Objective) < mine.Value/float64(mine.Objective) {
 			rank++
 		}
 	}
 	part := admitLeast + (admitMost-admitLeast)*float64(rank)/float64(max(1, classes-1))
-	return wait/rate < part*float64(mine.Aim)
+	return wait/rate < part*float64(mine.Objective)
 }
 
 // see chooses among those that may get a request.
@@ -107,7 +107,7 @@
 	if e.truth == nil {
 		return p.pick(may)
 	}
-	work, aim := p.expects(r), float64(p.s.Classes[r.Class].Aim)
+	work, aim := p.expects(r), float64(p.s.Classes[r.Class].Objective)
 	since := now - max(onTheWay, e.late)
 	byID := make(map[string]*server, len(may))
 	for _, s := range may {
--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -185,7 +185,7 @@
 func (p *player) build() error {
 	s := &model.Scenario{Agents: p.Processes, Zones: []string{"z"},
 		Kinds:   []model.Kind{{Cores: p.Cores, Speed: 1, Slots: p.Cores, Queue: 2000, ThrashAt: 1e9, ColdShare: 1, Connections: 1 << 20}},
-		Classes: []model.Class{{Work: p.Work, Class: decide.Class{Aim: p.Aim, Deadline: p.Deadline, Worth: 1}}},
+		Classes: []model.Class{{Work: p.Work, Class: decide.Class{Objective: p.Aim, Deadline: p.Deadline, Value: 1}}},
 		Rules: model.Rules{MaxAttempts: 3, ConnectTimeout: 250 * time.Millisecond, IdleClose: time.Hour,
 			DrainGrace: 2 * time.Second, ColdShare: 1}}
 	if p.Policy == None {
@@ -217,7 +217,7 @@
 			if q.policy, err = p.newPolicy(s.Settings(n), seed); err != nil {
 				return err
 			}
-			q.step(decide.List{Kind: decide.ListFull, Backends: list})
+			q.step(decide.ListUpdate{Kind: decide.ListFull, Backends: list})
 		}
 	}
 	return nil
@@ -315,7 +315,7 @@
 			q.abandon(r)
 		}
 	})
-	q.step(decide.Request{ID: r.id, Left: deadline - p.Margin - p.now})
+	q.step(decide.Request{ID: r.id, Remaining: deadline - p.Margin - p.now})
 	return r
 }
 
@@ -342,7 +342,7 @@
 	p, r := q.p, q.open[s.Request]
 	if r == nil {
 		p.at(p.now, func() {
-			q.step(decide.Outcome{Request: s.Request, Backend: s.Backend, Result: decide.NotSent, Done: true})
+			q.step(decide.Outcome{Request: s.Request, Backend: s.Backend, Result: decide.NotSent, Answered: true})
 		})
 		return
 	}
@@ -385,7 +385,7 @@
 		return
 	}
 	r.done = true
-	q.step(decide.Abandoned{Request: r.id})
+	q.step(decide.RequestCancelled{Request: r.id})
 	if q.p.Cancels {
 		for _, a := range r.attempts {
 			a.end(decide.Cancelled)
@@ -417,7 +417,7 @@
 	if result == decide.OK {
 		q.finish(r, decide.OK)
 	}
-	q.step(decide.Outcome{Request: r.id, Attempt: a.n, Backend: a.to.id, Result: result, Latency: p.now - a.sent, Done: r.done})
+	q.step(decide.Outcome{Request: r.id, Attempt: a.n, Backend: a.to.id, Result: result, Latency: p.now - a.sent, Answered: r.done})
 	if r.done {
 		q.forget(r)
 	}
--- a/internal/simulate/checker/checker.go
+++ b/internal/simulate/checker/checker.go
@@ -137,7 +137,7 @@
 		j.c.Guilt = 2.0 / 3
 	}
 	for _, k := range c.Classes {
-		j.retain = max(j.retain, 2*k.Deadline, k.Deadline+k.Window)
+		j.retain = max(j.retain, 2*k.Deadline, k.Deadline+k.DedupWindow)
 	}
 	return j
 }
@@ -214,7 +214,7 @@
 		}
 	}
 	c := j.c.Classes[r.class]
-	if first == nil || c.Effect == decide.Safe {
+	if first == nil || c.Effect == decide.Idempotent {
 		return
 	}
 	servers := []string{first.server, a.server}
@@ -226,13 +226,13 @@
 	// One that was told to have come to the group after the first attempt was sent need not know it.
 	came := func(at time.Duration) bool { return at > first.began+j.c.Slack && at+j.c.Slack < a.began }
 	switch {
-	case c.Effect == decide.Unsafe:
+	case c.Effect == decide.NonIdempotent:
 		fault("though it may have run and is unsafe to repeat")
-	case gap > c.Window+j.c.Slack:
-		fault(fmt.Sprintf("past the window of %s in which its repeat is dropped", c.Window))
-	case c.Group == decide.GroupZone && (a.zone != first.zone || came(t.zoned)):
+	case gap > c.DedupWindow+j.c.Slack:
+		fault(fmt.Sprintf("past the window of %s in which its repeat is dropped", c.DedupWindow))
+	case c.Scope == decide.ScopeZone && (a.zone != first.zone || came(t.zoned)):
 		fault(fmt.Sprintf("from zone %d to zone %d, which does not drop its repeat", first.zone, a.zone))
-	case c.Group == decide.GroupCell && (a.pod != first.pod || came(t.celled)):
+	case c.Scope == decide.ScopeCell && (a.pod != first.pod || came(t.celled)):
 		fault(fmt.Sprintf("from pod %d to pod %d, which does not drop its repeat", first.pod, a.pod))
 	}
 }
@@ -274,7 +274,7 @@
 // Such come of what a late list can't tell in time, as of a server that moved to another pod.
 func (j *Judge) Ran(now time.Duration, id, server string) {
 	r := j.requests[id]
-	if r == nil || j.c.Classes[r.class].Effect == decide.Safe {
+	if r == nil || j.c.Classes[r.class].Effect == decide.Idempotent {
 		return
 	}
 	before := slices.IndexFunc(r.arrivals, func(a arrival) bool { return a.ran })
@@ -321,7 +321,7 @@
 	switch i := slices.IndexFunc(r.arrivals, open); {
 	case kind == Served && i < 0:
 		j.breach(Breach{1, now, agent, id, nil, "was served, and no server has run it"})
-	case kind == Refused && i >= 0 && c.Effect != decide.Safe && (c.Effect == decide.Unsafe || c.Group != decide.GroupAll):
+	case kind == Refused && i >= 0 && c.Effect != decide.Idempotent && (c.Effect == decide.NonIdempotent || c.Scope != decide.ScopeAll):
 		j.breach(Breach{2, now, agent, id, []string{r.arrivals[i].server},
 			fmt.Sprintf("(%s) was refused, which says that a new try does no harm, though it may have run", j.name(r.class))})
 	}
@@ -389,7 +389,7 @@
 func (j *Judge) Missing(now time.Duration, agent int, listed func(server string) bool) {
 	for key, t := range j.told {
 		if key.agent == agent && t.offAt < 0 && !listed(key.server) {
-			t.offAt, t.state = now, decide.Gone
+			t.offAt, t.state = now, decide.Removed
 		}
 	}
 }
--- a/internal/simulate/checker/checker_test.go
+++ b/internal/simulate/checker/checker_test.go
@@ -20,13 +20,13 @@
 )
 
 func config() Config {
-	class := func(e decide.Effect, g decide.Group, w time.Duration) decide.Class {
-		return decide.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: e, Group: g, Window: w}
+	class := func(e decide.Effect, g decide.DedupScope, w time.Duration) decide.Class {
+		return decide.Class{Objective: time.Second, Deadline: 3 * time.Second, Value: 1, Effect: e, Scope: g, DedupWindow: w}
 	}
 	return Config{Names: []string{"fetch", "submit", "close", "once", "zoned"}, DrainGrace: 2 * time.Second, AnswerSlack: 20 * ms,
-		MaxAttempts: 3, Classes: []decide.Class{class(decide.Safe, 0, 0), class(decide.Keyed, decide.GroupAll, 1500*ms),
-			class(decide.Keyed, decide.GroupCell, 12*time.Second), class(decide.Unsafe, 0, 0),
-			class(decide.Keyed, decide.GroupZone, 12*time.Second)}}
+		MaxAttempts: 3, Classes: []decide.Class{class(decide.Idempotent, 0, 0), class(decide.Keyed, decide.ScopeAll, 1500*ms),
+			class(decide.Keyed, decide.ScopeCell, 12*time.Second), class(decide.NonIdempotent, 0, 0),
+			class(decide.Keyed, decide.ScopeZone, 12*time.Second)}}
 }
 
 // play is a story about one request "q" of agent 0, told in order.
@@ -104,11 +104,11 @@
 
 		{"1.9 s after it was told to drain", fetch, []deed{say("a", decide.Draining, 1), after(1900 * ms), sent("a"), answer(Failed)}, 0, ""},
 		{"2.1 s after it was told to drain", fetch, []deed{say("a", decide.Draining, 1), after(2100 * ms), sent("a"), answer(Failed)}, 3, "told that it drains"},
-		{"2.1 s after it was told to be gone", fetch, []deed{say("a", decide.Gone, 1), after(2100 * ms), sent("a"), answer(Failed)}, 3, "told that it is gone"},
+		{"2.1 s after it was told to be gone", fetch, []deed{say("a", decide.Removed, 1), after(2100 * ms), sent("a"), answer(Failed)}, 3, "told that it is gone"},
 		{"2.1 s after a list without it", fetch, []deed{missing, after(2100 * ms), sent("a"), answer(Failed)}, 3, "told that it is gone"},
-		{"draining, then gone: the first counts", fetch, []deed{say("a", decide.Draining, 1), after(1900 * ms), say("a", decide.Gone, 1),
+		{"draining, then gone: the first counts", fetch, []deed{say("a", decide.Draining, 1), after(1900 * ms), say("a", decide.Removed, 1),
 			after(200 * ms), sent("a"), answer(Failed)}, 3, "2.1s after"},
-		{"it came back", fetch, []deed{say("a", decide.Gone, 1), after(time.Second), say("a", decide.Up, 1), after(2 * time.Second), sent("a"),
+		{"it came back", fetch, []deed{say("a", decide.Removed, 1), after(time.Second), say("a", decide.Up, 1), after(2 * time.Second), sent("a"),
 			answer(Failed)}, 0, ""},
 		{"never told of", fetch, []deed{sent("x"), answer(Failed)}, 3, "never told of"},
 		{"cold, by agents that knew", fetch, []deed{func(p *play) { p.j.Fell(p.now, "a", 0.67) }, answer(Failed)}, 4, "pushed over"},
--- a/internal/simulate/model/list.go
+++ b/internal/simulate/model/list.go
@@ -123,7 +123,7 @@
 func (l *List) Snapshot() (int64, []Entry) {
 	var all []Entry
 	for _, e := range l.entries {
-		if e.State != decide.Gone {
+		if e.State != decide.Removed {
 			all = append(all, e)
 		}
 	}
--- a/internal/simulate/model/list_test.go
+++ b/internal/simulate/model/list_test.go
@@ -69,7 +69,7 @@
 	b.want(t, "7000 to 0 v2 s-1:draining", "7000 to 1 v2 s-1:draining", "8000 to 0 v3 s-2:draining", "8000 to 1 v3 s-2:draining")
 	// At its end, what is due by then comes at once.
 	b.seen = nil
-	b.truth("s-3", decide.Gone, time.Second)
+	b.truth("s-3", decide.Removed, time.Second)
 	b.until(23 * time.Second)
 	b.step(SetLate{})
 	if len(b.seen) != 2 {
@@ -79,14 +79,14 @@
 
 func TestListTellsOneServersStoryInOrder(t *testing.T) {
 	b := newListBench(ListSpec{}, 1)
-	b.truth("s-1", decide.Gone, 5*time.Second)
+	b.truth("s-1", decide.Removed, 5*time.Second)
 	b.now = time.Second
 	b.truth("s-1", decide.Up, time.Second) // it is back before the list has missed it
 	b.until(time.Minute)
 	b.want(t, "5000 to 0 v2 s-1:gone", "5000 to 0 v3 s-1:up")
 
 	b = newListBench(ListSpec{}, 1)
-	b.truth("s-1", decide.Gone, 5*time.Second)
+	b.truth("s-1", decide.Removed, 5*time.Second)
 	b.now = time.Second
 	b.step(Truth{Entry: Entry{Server: ServerSpec{Name: "s-1"}, State: decide.Up}, After: time.Second, Instead: true})
 	b.until(time.Minute)
@@ -105,7 +105,7 @@
 	}
 	// What changed since is told to one that asks again; nobody else hears it twice.
 	b.seen = nil
-	b.truth("s-4", decide.Gone, 0)
+	b.truth("s-4", decide.Removed, 0)
 	b.step(Ask{Agent: 2, Since: 1})
 	b.until(2 * time.Minute)
 	b.want(t, "60000 to 0 v2 s-4:gone", "60000 to 1 v2 s-4:gone", "60500 to 2 v2 s-4:gone")
@@ -119,7 +119,7 @@
 	b.now = time.Second
 	b.step(SetDown{true})
 	b.step(Ask{Agent: 0})
-	b.truth("s-1", decide.Gone, 0)
+	b.truth("s-1", decide.Removed, 0)
 	b.until(10 * time.Second)
 	b.want(t, "1000 to 0 failed", "1000 to 1 failed", "1000 to 0 failed")
 	b.seen = nil
@@ -128,7 +128,7 @@
 	b.want(t, "10000 to 0 v2 s-1:gone")
 	b.seen = nil
 	b.step(Leave{0})
-	b.truth("s-2", decide.Gone, 0)
+	b.truth("s-2", decide.Removed, 0)
 	b.want(t)
 }
 
--- a/internal/simulate/model/load.go
+++ b/internal/simulate/model/load.go
@@ -175,8 +175,8 @@
 // the next try if so.
 func (c *Client) Next(now time.Duration, a Answer, retryAfter time.Duration) (wait time.Duration, again bool) {
 	class := &c.s.Classes[c.Task.Class]
-	harmless := a == Refused || a == Unreachable || class.Effect == decide.Safe ||
-		class.Effect == decide.Keyed && class.Group == decide.GroupAll && now-c.Task.At < class.Window
+	harmless := a == Refused || a == Unreachable || class.Effect == decide.Idempotent ||
+		class.Effect == decide.Keyed && class.Scope == decide.ScopeAll && now-c.Task.At < class.DedupWindow
 	if a == Served || c.Try+1 >= c.s.Clients.Tries || !harmless {
 		return 0, false
 	}
@@ -195,17 +195,17 @@
 // Worth is what a task earns that was served at a time, and what it was worth.
 func (s *Scenario) Worth(t *Task, servedAt time.Duration, served bool) (got, asked float64) {
 	c := &s.Classes[t.Class]
-	asked = c.Worth
+	asked = c.Value
 	if s.ByWork {
 		asked *= float64(t.Work) / float64(time.Second)
 	}
 	switch late := servedAt - t.At; {
 	case !served || late > c.Deadline:
 		return 0, asked
-	case late <= c.Aim:
+	case late <= c.Objective:
 		return asked, asked
 	}
-	return asked * c.LateWorth, asked
+	return asked * c.LateValue, asked
 }
 
 // Peak is the highest rate of first tries that the script asks for, a second.
--- a/internal/simulate/model/server.go
+++ b/internal/simulate/model/server.go
@@ -351,7 +351,7 @@
 	r := &run{conn: e.Conn, job: e.Job, left: work}
 	switch {
 	case v.draining || v.Queue() >= v.kind.Queue && len(v.running) >= v.kind.Slots:
-		v.reply(now+quickReply, e.Conn, e.Job, decide.Full)
+		v.reply(now+quickReply, e.Conn, e.Job, decide.Rejected)
 		return
 	case e.Job.Luck < v.errors:
 		v.reply(now+max(quickReply, time.Duration(quickWork*work/v.speed)), e.Conn, e.Job, decide.Errored)
@@ -557,7 +557,7 @@
 func NewKeys(classes []Class) *Keys {
 	k := &Keys{seen: map[keyOf]time.Duration{}}
 	for _, c := range classes {
-		k.most = max(k.most, c.Window)
+		k.most = max(k.most, c.DedupWindow)
 	}
 	return k
 }
@@ -569,13 +569,13 @@
 		return false
 	}
 	id := keyOf{class: j.Class, key: j.Key}
-	switch c.Group {
-	case decide.GroupZone:
+	switch c.Scope {
+	case decide.ScopeZone:
 		id.group = s.Zone
-	case decide.GroupCell:
+	case decide.ScopeCell:
 		id.group = s.Pod
 	}
-	if at, ok := k.seen[id]; ok && now-at < c.Window {
+	if at, ok := k.seen[id]; ok && now-at < c.DedupWindow {
 		return true
 	}
 	k.seen[id] = now
--- a/internal/simulate/model/server_test.go
+++ b/internal/simulate/model/server_test.go
@@ -13,15 +13,15 @@
 
 // small is a scenario of one kind of server, with nothing left to chance.
 func small() *Scenario {
-	class := func(name string, e decide.Effect, g decide.Group, window time.Duration) Class {
-		return Class{Name: name, Share: 1, Work: 100 * ms, Hint: -1, Class: decide.Class{Aim: 600 * ms, Deadline: 3 * time.Second,
-			Worth: 1, LateWorth: 0.2, Effect: e, Group: g, Window: window}}
+	class := func(name string, e decide.Effect, g decide.DedupScope, window time.Duration) Class {
+		return Class{Name: name, Share: 1, Work: 100 * ms, Hint: -1, Class: decide.Class{Objective: 600 * ms, Deadline: 3 * time.Second,
+			Value: 1, LateValue: 0.2, Effect: e, Scope: g, DedupWindow: window}}
 	}
 	s := &Scenario{Title: "small", Length: 10 * time.Second, Agents: 1, Tick: 5 * ms, Rate: 10, Zones: []string{"a", "b"},
 		Kinds: []Kind{{Name: "k", Cores: 2, Speed: 1, Slots: 2, Queue: 3, ThrashAt: 1000, ColdShare: 0.5, ColdFor: 10 * time.Second,
 			Connections: 100}},
-		Classes: []Class{class("fetch", decide.Safe, 0, 0), class("submit", decide.Keyed, decide.GroupAll, 1500*ms),
-			class("close", decide.Keyed, decide.GroupCell, 12*time.Second)},
+		Classes: []Class{class("fetch", decide.Idempotent, 0, 0), class("submit", decide.Keyed, decide.ScopeAll, 1500*ms),
+			class("close", decide.Keyed, decide.ScopeCell, 12*time.Second)},
 		Rules: Rules{MaxAttempts: 3, ConnectTimeout: 250 * ms, IdleClose: 5 * time.Second, DrainGrace: 2 * time.Second,
 			AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, ColdShare: 0.31, RampTime: 8600 * ms, FallMultiple: 2.5, FallWindow: time.Second},
 		Clients: Clients{Tries: 1, Patience: 1},
@@ -56,7 +56,7 @@
 		switch f.Kind {
 		case Replied:
 			b.seen = append(b.seen, fmt.Sprintf("%d %s %v", at, f.Job.ID, map[decide.Result]string{
-				decide.OK: "ok", decide.Errored: "error", decide.Full: "full"}[f.Result]))
+				decide.OK: "ok", decide.Errored: "error", decide.Rejected: "full"}[f.Result]))
 		case Ran, Dropped:
 			b.seen = append(b.seen, fmt.Sprintf("%d %s %s", at, f.Job.ID, map[EffectKind]string{Ran: "ran", Dropped: "dropped"}[f.Kind]))
 		case Fell:
--- a/internal/simulate/model/sockets/agent.go
+++ b/internal/simulate/model/sockets/agent.go
@@ -69,9 +69,9 @@
 	ms := func(d time.Duration) float64 { return float64(d) / 1e6 }
 	var profiles []map[string]any
 	for _, c := range s.Classes {
-		profiles = append(profiles, map[string]any{"Name": c.Name, "AimMs": ms(c.Aim), "DeadlineMs": ms(c.Deadline), "Worth": c.Worth,
-			"LateValue": c.LateWorth, "Semantics": [...]string{"repeatable", "by_key", "once"}[c.Effect],
-			"Group": [...]string{"all", "zone", "cell"}[c.Group], "WindowMs": ms(c.Window)})
+		profiles = append(profiles, map[string]any{"Name": c.Name, "AimMs": ms(c.Objective), "DeadlineMs": ms(c.Deadline), "Worth": c.Value,
+			"LateValue": c.LateValue, "Semantics": [...]string{"repeatable", "by_key", "once"}[c.Effect],
+			"Group": [...]string{"all", "zone", "cell"}[c.Scope], "WindowMs": ms(c.DedupWindow)})
 	}
 	var kinds []string
 	for _, k := range s.Kinds {
@@ -85,10 +85,10 @@
 	settings := map[string]any{
 		"Balancers": d.Balancers, "Me": a.n, "Zone": d.Zone, "CountedBy": map[bool]string{true: "work", false: "request"}[s.ByWork],
 		"Profiles": profiles, "MembershipMode": map[bool]string{true: "subscribe", false: "automatic"}[s.List.Asked], "TickMs": ms(s.Tick),
-		"PolicyLimits": map[string]any{"TryLimit": d.MaxAttempts, "SecondCopies": d.SecondCopies, "Cancel": d.MayCancel, "RetryAfter": d.RetryAfter,
+		"PolicyLimits": map[string]any{"TryLimit": d.MaxAttempts, "SecondCopies": d.Hedging, "Cancel": d.MayCancel, "RetryAfter": d.RetryAfter,
 			"MaxRetryAfterMs": ms(d.MaxRetryAfter), "ConnectTimeoutMs": ms(d.ConnectTimeout), "IdleCloseMs": ms(s.Rules.IdleClose)},
-		"Contract": map[string]any{"DrainGraceMs": ms(d.DrainGrace), "GraceToAnswerMs": ms(d.AnswerGrace), "AskWithinMs": ms(d.AskWithin),
-			"ColdFrom": d.ColdShare, "RampTimeMs": ms(d.RampTime), "FallMultiple": d.FallMultiple, "FallMs": ms(d.FallWindow)},
+		"Contract": map[string]any{"DrainGraceMs": ms(d.DrainGrace), "GraceToAnswerMs": ms(d.AnswerGrace), "AskWithinMs": ms(d.SubscribeWithin),
+			"ColdFrom": d.SlowStartShare, "RampTimeMs": ms(d.SlowStartTime), "FallMultiple": d.OverloadMultiple, "FallMs": ms(d.OverloadWindow)},
 		"Goal":   map[string]any{"Whole": d.GoalWhole, "WorstWindow": d.GoalWindow, "WorstClass": d.GoalClass},
 		"Prices": map[string]any{"CrossZone": d.CrossZonePrice}, "Dcs": s.Zones, "Kinds": kinds, "Report": map[string]any{"Source": report},
 	}
--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -59,7 +59,7 @@
 	class := &g.s.Classes[c.Task.Class]
 	id := c.ID()
 	method, body := http.MethodGet, io.Reader(nil)
-	if class.Effect != decide.Safe {
+	if class.Effect != decide.Idempotent {
 		method, body = http.MethodPost, strings.NewReader("form "+id)
 	}
 	g.mu.Lock()
--- a/internal/simulate/model/sockets/daemon.go
+++ b/internal/simulate/model/sockets/daemon.go
@@ -15,7 +15,7 @@
 func (a *agent) serveFile(naive bool) (path string, err error) {
 	s := a.g.s
 	d := s.Settings(a.n)
-	spread, first, ramp := 400*time.Millisecond, 500*time.Millisecond, d.RampTime
+	spread, first, ramp := 400*time.Millisecond, 500*time.Millisecond, d.SlowStartTime
 	if naive {
 		spread, first, ramp = 0, 0, 0
 	}
@@ -32,14 +32,14 @@
 	}
 	fmt.Fprintf(&t, "[site]\nzones = %s\nkinds = %s\nby_work = %t\n", list(s.Zones), list(kinds), s.ByWork)
 	fmt.Fprintf(&t, "[rules]\nbalancers = %d\nmax_attempts = %d\nsecond_copies = %t\nconnect_timeout = %q\nidle_close = %q\ndrain_grace = %q\n",
-		d.Balancers, d.MaxAttempts, d.SecondCopies, d.ConnectTimeout, s.Rules.IdleClose, d.DrainGrace)
+		d.Balancers, d.MaxAttempts, d.Hedging, d.ConnectTimeout, s.Rules.IdleClose, d.DrainGrace)
 	fmt.Fprintf(&t, "cold_share = %g\nramp_time = %q\nfall_multiple = %g\nfall_window = %q\ncross_zone_price = %g\nmax_retry_after = %q\n",
-		d.ColdShare, ramp, d.FallMultiple, d.FallWindow, d.CrossZonePrice, d.MaxRetryAfter)
+		d.SlowStartShare, ramp, d.OverloadMultiple, d.OverloadWindow, d.CrossZonePrice, d.MaxRetryAfter)
 	for _, c := range s.Classes {
 		fmt.Fprintf(&t, "[[class]]\nname = %q\nrepeats = %q\naim = %q\ndeadline = %q\nworth = %g\nlate = %g\n",
-			c.Name, [...]string{"safe", "keyed", "unsafe"}[c.Effect], c.Aim, c.Deadline, c.Worth, c.LateWorth)
-		if c.Window > 0 {
-			fmt.Fprintf(&t, "group = %q\nwindow = %q\n", [...]string{"all", "zone", "pod"}[c.Group], c.Window)
+			c.Name, [...]string{"safe", "keyed", "unsafe"}[c.Effect], c.Objective, c.Deadline, c.Value, c.LateValue)
+		if c.DedupWindow > 0 {
+			fmt.Fprintf(&t, "group = %q\nwindow = %q\n", [...]string{"all", "zone", "pod"}[c.Scope], c.DedupWindow)
 		}
 	}
 	fmt.Fprintf(&t, "[[instance]]\nname = \"n%d\"\nlisten = %q\nzone = %q\n", a.n, a.listen, s.Zones[s.ZoneOf(a.n)])
--- a/internal/simulate/model/sockets/list.go
+++ b/internal/simulate/model/sockets/list.go
@@ -63,7 +63,7 @@
 		for _, a := range g.hearers(agent) {
 			g.judge.Told(now, a, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
 		}
-		if e.State == decide.Gone {
+		if e.State == decide.Removed {
 			if w.names[e.Server.Place] == e.Server.Name {
 				delete(w.names, e.Server.Place)
 			}
--- a/internal/simulate/model/sockets/server.go
+++ b/internal/simulate/model/sockets/server.go
@@ -293,7 +293,7 @@
 	switch a.result {
 	case decide.Errored:
 		status = "500 Internal Server Error"
-	case decide.Full:
+	case decide.Rejected:
 		status, head = "503 Service Unavailable", "X-Never-Ran: 1\r\n"
 	}
 	if a.load.Valid {
--- a/internal/simulate/model/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -356,7 +356,7 @@
 			switch e.Result {
 			case decide.OK:
 				row.Served++
-			case decide.Full:
+			case decide.Rejected:
 				row.Full++
 				g.judge.TurnedAway(now, e.Job.ID, p.Name)
 			default:
--- a/internal/simulate/model/spec.go
+++ b/internal/simulate/model/spec.go
@@ -138,11 +138,11 @@
 func (s *Scenario) Settings(agent int) decide.Settings {
 	d := decide.Settings{
 		Balancers: s.Agents, Self: agent, Zone: s.ZoneOf(agent), ByWork: s.ByWork, Subscribe: s.List.Asked, Tick: s.Tick,
-		MaxAttempts: s.Rules.MaxAttempts, SecondCopies: s.Rules.SecondCopies, MayCancel: true,
+		MaxAttempts: s.Rules.MaxAttempts, Hedging: s.Rules.SecondCopies, MayCancel: true,
 		RetryAfter: s.Rules.MaxRetryAfter > 0, MaxRetryAfter: s.Rules.MaxRetryAfter,
 		ConnectTimeout: s.Rules.ConnectTimeout, DrainGrace: s.Rules.DrainGrace, AnswerGrace: s.Rules.AnswerSlack,
-		AskWithin: s.Rules.AskWithin, ColdShare: s.Rules.ColdShare, RampTime: s.Rules.RampTime,
-		FallMultiple: s.Rules.FallMultiple, FallWindow: s.Rules.FallWindow,
+		SubscribeWithin: s.Rules.AskWithin, SlowStartShare: s.Rules.ColdShare, SlowStartTime: s.Rules.RampTime,
+		OverloadMultiple: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallWindow,
 		GoalWhole: 0.45, GoalWindow: 0.35, GoalClass: 0.2, CrossZonePrice: s.Rules.CrossZonePrice,
 	}
 	for _, c := range s.Classes {
--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -15,7 +15,7 @@
 // agent stands in for the real agent: the same loop, table of requests, attempts and pool of
 // connections as in package agent, on the driver's clock.
 type agent struct {
-	counted  decide.Fleet // what it was last told of the fleet's size
+	counted  decide.FleetSize // what it was last told of the fleet's size
 	d        *driver
 	n, zone  int
 	up       bool
@@ -78,7 +78,7 @@
 	for _, e := range entries {
 		i := slices.IndexFunc(v.entries, func(o model.Entry) bool { return o.Server.Name == e.Server.Name })
 		switch {
-		case e.State == decide.Gone:
+		case e.State == decide.Removed:
 			if i >= 0 {
 				v.entries = slices.Delete(v.entries, i, i+1)
 			}
@@ -107,7 +107,7 @@
 	seed := a.d.chance.Sub(model.Name("agent"), uint64(a.n), uint64(a.life))
 	settings := a.d.s.Settings(a.n)
 	settings.Peers = a.d.o.Notes
-	settings.Balancers, a.counted = cmp.Or(a.d.o.Balancers, settings.Balancers), decide.Fleet{}
+	settings.Balancers, a.counted = cmp.Or(a.d.o.Balancers, settings.Balancers), decide.FleetSize{}
 	if a.policy, err = a.d.o.New(settings, uint64(seed)); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 		}
 		a.members.Step(a.d.now, endpoints.View{Source: fromList, Servers: all})
 	}
-	a.post(decide.List{Kind: decide.ListCached, Backends: backends(a.view.entries)})
+	a.post(decide.ListUpdate{Kind: decide.ListCached, Backends: backends(a.view.entries)})
 	if a.share != nil {
 		a.share.tell()
 	}
@@ -191,7 +191,7 @@
 // told takes a message of the list.
 func (a *agent) told(t model.Tell) {
 	if t.Failed {
-		a.post(decide.List{Kind: decide.ListFailed})
+		a.post(decide.ListUpdate{Kind: decide.ListFailed})
 		return
 	}
 	for _, e := range t.Entries {
@@ -214,7 +214,7 @@
 	} else {
 		a.view.change(t.Version, t.Entries)
 	}
-	a.post(decide.List{Kind: kind, Backends: backends(t.Entries)})
+	a.post(decide.ListUpdate{Kind: kind, Backends: backends(t.Entries)})
 	if a.share != nil {
 		a.share.listed(t.Entries, t.Full)
 	}
@@ -254,7 +254,7 @@
 		a.pending = nil
 		for i, e := range events {
 			if e, ok := e.(decide.Request); ok && a.requests[e.ID] != nil {
-				e.Left = a.requests[e.ID].deadline - a.margin() - now
+				e.Remaining = a.requests[e.ID].deadline - a.margin() - now
 				events[i] = e
 			}
 		}
@@ -283,12 +283,12 @@
 			r.attempts[act.Attempt].end(decide.Cancelled, decide.Load{})
 		}
 	case decide.Refuse:
-		a.turnedAway(act.Request, act.Why)
+		a.turnedAway(act.Request, act.Reason)
 		a.answer(act.Request, checker.Refused, model.Refused, act.RetryAfter)
 	case decide.Fail:
-		a.turnedAway(act.Request, act.Why)
+		a.turnedAway(act.Request, act.Reason)
 		a.answer(act.Request, checker.Failed, model.Failed, 0)
-	case decide.TellPeer:
+	case decide.SendToPeer:
 		if to := act.To; a.d.o.Notes && to >= 0 && to < len(a.d.agents) {
 			a.d.messages++
 			a.d.bytes += len(act.Data)
@@ -329,7 +329,7 @@
 	a.d.at(r.deadline+a.d.s.Rules.AnswerSlack, func() {
 		if alive() {
 			r.done = true
-			a.post(decide.Abandoned{Request: r.id})
+			a.post(decide.RequestCancelled{Request: r.id})
 			a.forget(r)
 		}
 	})
@@ -377,7 +377,7 @@
 func (a *agent) send(s decide.Send) {
 	r := a.requests[s.Request]
 	if r == nil {
-		a.post(decide.Outcome{Request: s.Request, Backend: s.Backend, Result: decide.NotSent, Done: true})
+		a.post(decide.Outcome{Request: s.Request, Backend: s.Backend, Result: decide.NotSent, Answered: true})
 		return
 	}
 	now := a.d.now
@@ -396,7 +396,7 @@
 		if t.written {
 			t.end(decide.TimedOut, decide.Load{})
 		} else {
-			t.end(decide.Broke, decide.Load{})
+			t.end(decide.Incomplete, decide.Load{})
 		}
 	})
 	place, ok := a.view.places[s.Backend]
@@ -423,7 +423,7 @@
 	r.open--
 	if c := t.conn; c != nil {
 		t.conn, c.attempt = nil, nil
-		if result == decide.OK || result == decide.Errored || result == decide.Full {
+		if result == decide.OK || result == decide.Errored || result == decide.Rejected {
 			c.rest()
 		} else {
 			c.close()
@@ -433,7 +433,7 @@
 		a.finish(r, checker.Served, model.Served, 0)
 	}
 	a.post(decide.Outcome{Request: r.id, Attempt: t.n, Backend: t.server, Result: result,
-		Latency: a.d.now - t.sent, Done: r.done, Load: load})
+		Latency: a.d.now - t.sent, Answered: r.done, Load: load})
 	if a.share != nil {
 		a.share.saw(t, result)
 	}
@@ -601,7 +601,7 @@
 	case t.written:
 		t.end(decide.Reset, decide.Load{})
 	default:
-		t.end(decide.Broke, decide.Load{})
+		t.end(decide.Incomplete, decide.Load{})
 	}
 }
 
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -71,7 +71,7 @@
 	switch e.State {
 	case decide.Draining:
 		v.State = endpoints.Draining
-	case decide.Gone:
+	case decide.Removed:
 		v.State = endpoints.Gone
 	default:
 		v.State = endpoints.Up
@@ -139,7 +139,7 @@
 		a.d.emptied++
 	}
 	a.view.set(a.view.version, entries)
-	a.post(decide.List{Kind: decide.ListFull, Backends: backends(entries)})
+	a.post(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(entries)})
 }
 
 // listed passes on what the list told, as a report.
--- a/internal/simulate/model/virtual/share.go
+++ b/internal/simulate/model/virtual/share.go
@@ -57,7 +57,7 @@
 	for _, e := range entries {
 		v := ejection.Server{ID: "main/" + e.Server.Name, StartedMS: e.Started.Milliseconds(), Zone: fmt.Sprint(e.Server.Zone), Pod: e.Server.Pod}
 		switch e.State {
-		case decide.Gone:
+		case decide.Removed:
 			delete(s.list, e.Server.Name)
 			continue
 		case decide.Draining:
@@ -82,7 +82,7 @@
 		x.Succeeded = 1
 	case decide.Errored:
 		x.Failed, x.ErrorResponses = 1, 1
-	case decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Broke:
+	case decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Incomplete:
 		x.Failed = 1
 	default:
 		return
@@ -128,10 +128,10 @@
 	if !s.a.up {
 		return
 	}
-	var all []decide.Verdict
+	var all []decide.Ejection
 	for _, v := range s.judged {
 		name := strings.TrimPrefix(v.Server, "main/")
-		x := decide.Verdict{Backend: name, Drain: v.Draining, Until: v.Until}
+		x := decide.Ejection{Backend: name, Draining: v.Draining, Until: v.Until}
 		for _, e := range s.a.view.entries {
 			if e.Server.Name == name && e.Started > 0 {
 				x.Started = e.Started + clockOffset
@@ -139,5 +139,5 @@
 		}
 		all = append(all, x)
 	}
-	s.a.post(decide.Verdicts{All: all})
+	s.a.post(decide.Ejections{Ejections: all})
 }
