--- a/internal/simulate/model/virtual/virtual.go
+++ b/internal/simulate/model/virtual/virtual.go
@@ -43,7 +43,7 @@
 func (d *driver) count() {
 	for _, a := range d.agents {
 		most, least := d.o.Count(a.n, d.now)
-		if now := (decide.Fleet{Most: most, Least: least}); a.up && most > 0 && now != a.counted {
+		if now := (decide.FleetSize{Max: most, Min: least}); a.up && most > 0 && now != a.counted {
 			a.counted = now
 			a.post(now)
 		}
@@ -285,14 +285,14 @@
 			d.back(c, func() { c.came(e.Kind == model.Accepted) })
 		case model.Replied:
 			c := d.conns[e.Conn]
-			if e.Result == decide.Full { // from when it is said: the agent can't know sooner
+			if e.Result == decide.Rejected { // from when it is said: the agent can't know sooner
 				d.judge.TurnedAway(d.now, e.Job.ID, p.Name)
 			}
 			row := d.day.Server(p.Spec)
 			switch e.Result {
 			case decide.OK:
 				row.Served++
-			case decide.Full:
+			case decide.Rejected:
 				row.Full++
 			default:
 				row.Errors++
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -144,7 +144,7 @@
 		switch e := e.(type) {
 		case decide.Request:
 			b.class[e.ID] = e.Class
-		case decide.List:
+		case decide.ListUpdate:
 			for _, n := range e.Backends {
 				if n.State != decide.Up && b.off[n.ID] == 0 {
 					b.off[n.ID] = now
--- a/internal/simulate/model/world.go
+++ b/internal/simulate/model/world.go
@@ -184,7 +184,7 @@
 		do(p, Wake{}) // an answer that is due at this very instant goes out first
 		p.Dead = true
 		r.Died = append(r.Died, p)
-		truth(p, decide.Gone, w.S.List.Drain)
+		truth(p, decide.Removed, w.S.List.Drain)
 	}
 	switch op := what.(type) {
 	case ServerErrors:
@@ -196,7 +196,7 @@
 			do(p, Wake{})
 			p.Silent = op.On
 			if op.On {
-				truth(p, decide.Gone, w.S.List.Silent)
+				truth(p, decide.Removed, w.S.List.Silent)
 			} else {
 				e := Entry{Server: p.Spec, State: decide.Up, Started: p.born}
 				r.Tells = append(r.Tells, w.List.Step(now, Truth{Entry: e, After: w.S.List.Up, Instead: true})...)
@@ -241,7 +241,7 @@
 // Fallen is what follows from a server that was pushed over: its process ends for good.
 func (w *World) Fallen(now time.Duration, p *Proc) []Tell {
 	p.Dead = true
-	e := Entry{Server: p.Spec, State: decide.Gone, Started: p.born}
+	e := Entry{Server: p.Spec, State: decide.Removed, Started: p.born}
 	return w.List.Step(now, Truth{Entry: e, After: w.S.List.Drain})
 }
 
--- a/internal/simulate/scenario/scenario.go
+++ b/internal/simulate/scenario/scenario.go
@@ -328,8 +328,8 @@
 		effect := c.name(at("repeats"), cmp.Or(k.Repeats, "safe"), []string{"safe", "keyed", "unsafe"})
 		group := c.name(at("group"), cmp.Or(k.Group, "all"), []string{"all", "zone", "pod"})
 		e := model.Class{Name: k.Name, Share: k.Share, Work: c.span(at("work"), k.Work), Vary: k.Vary, Noise: k.Noise, Hint: -1,
-			Class: decide.Class{Aim: c.span(at("aim"), k.Aim), Deadline: c.span(at("deadline"), k.Deadline), Worth: k.Worth,
-				LateWorth: k.Late, Effect: decide.Effect(effect), Group: decide.Group(group), Window: c.wait(at("window"), k.Window)}}
+			Class: decide.Class{Objective: c.span(at("aim"), k.Aim), Deadline: c.span(at("deadline"), k.Deadline), Value: k.Worth,
+				LateValue: k.Late, Effect: decide.Effect(effect), Scope: decide.DedupScope(group), DedupWindow: c.wait(at("window"), k.Window)}}
 		if k.Hint != nil {
 			e.Hint = *k.Hint
 			c.notNegative(at("hint"), e.Hint)
@@ -339,11 +339,11 @@
 		c.notNegative(at("noise"), k.Noise)
 		c.notNegative(at("worth"), k.Worth)
 		c.share(at("late"), k.Late)
-		if e.Aim > e.Deadline {
-			c.fail(at("aim"), "%v is past the deadline of %v", e.Aim, e.Deadline)
+		if e.Objective > e.Deadline {
+			c.fail(at("aim"), "%v is past the deadline of %v", e.Objective, e.Deadline)
 		}
-		if (e.Effect == decide.Keyed) != (e.Window > 0) {
-			c.fail(at("window"), "%v: a keyed class has a window, and no other has", e.Window)
+		if (e.Effect == decide.Keyed) != (e.DedupWindow > 0) {
+			c.fail(at("window"), "%v: a keyed class has a window, and no other has", e.DedupWindow)
 		}
 		s.Classes = append(s.Classes, e)
 	}
--- a/internal/simulate/statistics/statistics.go
+++ b/internal/simulate/statistics/statistics.go
@@ -35,7 +35,7 @@
 }
 
 // Reasons counts by decide.Reason.
-type Reasons [decide.Reasons]int
+type Reasons [decide.ReasonCount]int
 
 // MarshalJSON gives counts by the names of reasons.
 func (r Reasons) MarshalJSON() ([]byte, error) {
@@ -176,7 +176,7 @@
 
 // TurnedAway counts a final answer of the policy that is not a success.
 func (d *Day) TurnedAway(now time.Duration, class int, why decide.Reason) {
-	if why < decide.Reasons {
+	if why < decide.ReasonCount {
 		d.count(now, class, func(c *Counts) { c.Why[why]++ })
 	}
 }
@@ -216,7 +216,7 @@
 		c.Asked += asked
 		c.Got += got
 		switch {
-		case last == model.Served && now-t.At <= class.Aim:
+		case last == model.Served && now-t.At <= class.Objective:
 			c.InTime++
 		case last == model.Served && now-t.At <= class.Deadline:
 			c.Late++
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -71,37 +71,37 @@
 
 func (f *facts) settings() (decide.Settings, error) {
 	s := decide.Settings{
-		Balancers:      f.Balancers,
-		Self:           f.Me,
-		Zone:           f.Zone,
-		ByWork:         f.CountedBy == "work",
-		Subscribe:      f.MembershipMode == "subscribe",
-		Tick:           duration(f.TickMs),
-		MaxAttempts:    f.PolicyLimits.TryLimit,
-		SecondCopies:   f.PolicyLimits.SecondCopies,
-		MayProbe:       f.PolicyLimits.MayProbe,
-		MayCancel:      f.PolicyLimits.Cancel,
-		RetryAfter:     f.PolicyLimits.RetryAfter,
-		Peers:          f.PolicyLimits.Peers,
-		MaxRetryAfter:  duration(f.PolicyLimits.MaxRetryAfterMs),
-		ConnectTimeout: duration(f.PolicyLimits.ConnectTimeoutMs),
-		DrainGrace:     duration(f.Contract.DrainGraceMs),
-		AnswerGrace:    duration(f.Contract.GraceToAnswerMs),
-		AskWithin:      duration(f.Contract.AskWithinMs),
-		ColdShare:      f.Contract.ColdFrom,
-		RampTime:       duration(f.Contract.RampTimeMs),
-		FallMultiple:   f.Contract.FallMultiple,
-		FallWindow:     duration(f.Contract.FallMs),
-		GoalWhole:      f.Goal.Whole,
-		GoalWindow:     f.Goal.WorstWindow,
-		GoalClass:      f.Goal.WorstClass,
-		CrossZonePrice: f.Prices.CrossZone,
+		Balancers:        f.Balancers,
+		Self:             f.Me,
+		Zone:             f.Zone,
+		ByWork:           f.CountedBy == "work",
+		Subscribe:        f.MembershipMode == "subscribe",
+		Tick:             duration(f.TickMs),
+		MaxAttempts:      f.PolicyLimits.TryLimit,
+		Hedging:          f.PolicyLimits.SecondCopies,
+		MayProbe:         f.PolicyLimits.MayProbe,
+		MayCancel:        f.PolicyLimits.Cancel,
+		RetryAfter:       f.PolicyLimits.RetryAfter,
+		Peers:            f.PolicyLimits.Peers,
+		MaxRetryAfter:    duration(f.PolicyLimits.MaxRetryAfterMs),
+		ConnectTimeout:   duration(f.PolicyLimits.ConnectTimeoutMs),
+		DrainGrace:       duration(f.Contract.DrainGraceMs),
+		AnswerGrace:      duration(f.Contract.GraceToAnswerMs),
+		SubscribeWithin:  duration(f.Contract.AskWithinMs),
+		SlowStartShare:   f.Contract.ColdFrom,
+		SlowStartTime:    duration(f.Contract.RampTimeMs),
+		OverloadMultiple: f.Contract.FallMultiple,
+		OverloadWindow:   duration(f.Contract.FallMs),
+		GoalWhole:        f.Goal.Whole,
+		GoalWindow:       f.Goal.WorstWindow,
+		GoalClass:        f.Goal.WorstClass,
+		CrossZonePrice:   f.Prices.CrossZone,
 	}
 	effects := map[string]decide.Effect{
-		"repeatable": decide.Safe, "by_key": decide.Keyed, "once": decide.Unsafe}
-	groups := map[string]decide.Group{
-		"": decide.GroupAll, "all": decide.GroupAll,
-		"zone": decide.GroupZone, "cell": decide.GroupCell}
+		"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.NonIdempotent}
+	groups := map[string]decide.DedupScope{
+		"": decide.ScopeAll, "all": decide.ScopeAll,
+		"zone": decide.ScopeZone, "cell": decide.ScopeCell}
 	for i, p := range f.Profiles {
 		effect, ok := effects[p.Semantics]
 		if !ok {
@@ -112,9 +112,9 @@
 			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
 		}
 		s.Classes = append(s.Classes, decide.Class{
-			Aim: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
-			Worth: p.Worth, LateWorth: p.LateValue,
-			Effect: effect, Group: group, Window: duration(p.WindowMs),
+			Objective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
+			Value: p.Worth, LateValue: p.LateValue,
+			Effect: effect, Scope: group, DedupWindow: duration(p.WindowMs),
 		})
 	}
 	return s, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -102,7 +102,7 @@
 )
 
 var results = map[string]decide.Result{
-	"pass": decide.OK, "fault": decide.Errored, "no_room": decide.Full,
+	"pass": decide.OK, "fault": decide.Errored, "no_room": decide.Rejected,
 	"too_slow": decide.TimedOut, "no_route": decide.ConnectFailed, "cut": decide.Reset,
 	"undone": decide.Cancelled, "stale_send": decide.NotSent,
 }
@@ -113,7 +113,7 @@
 }
 
 var states = map[string]decide.BackendState{
-	"on": decide.Up, "fading": decide.Draining, "off": decide.Gone,
+	"on": decide.Up, "fading": decide.Draining, "off": decide.Removed,
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between batches.
@@ -189,8 +189,8 @@
 		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
-		q := decide.Request{ID: *m.Job, Class: *m.TierClass, Left: duration(*m.GraceMs),
-			Repeat: m.StateBits&bitRepeat != 0}
+		q := decide.Request{ID: *m.Job, Class: *m.TierClass, Remaining: duration(*m.GraceMs),
+			ClientRetry: m.StateBits&bitRepeat != 0}
 		if m.StateBits&bitHintValid != 0 {
 			q.Work = duration(m.WorkHintMs)
 		}
@@ -204,7 +204,7 @@
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
 		e.Event = decide.Outcome{Request: *m.Job, Attempt: *m.SendNo, Backend: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), Done: m.Ended, Load: Load(m.Usage)}
+			Latency: duration(*m.WaitTimeMs), Answered: m.Ended, Load: Load(m.Usage)}
 	case "ProbeDone":
 		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
 			return errors.New("missing Backend, Outcome or WaitTimeMs")
@@ -219,12 +219,12 @@
 		if m.Job == nil || m.SendNo == nil {
 			return errors.New("missing Job or SendNo")
 		}
-		e.Event = decide.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}
+		e.Event = decide.ResponseStarted{Request: *m.Job, Attempt: *m.SendNo}
 	case "Expired":
 		if m.Job == nil {
 			return errors.New("missing Job")
 		}
-		e.Event = decide.Abandoned{Request: *m.Job}
+		e.Event = decide.RequestCancelled{Request: *m.Job}
 	case "Reminder":
 		if m.Cookie == nil {
 			return errors.New("missing Cookie")
@@ -291,7 +291,7 @@
 		return nil, fmt.Errorf("unknown How %q", *m.How)
 	}
 	if kind == decide.ListFailed {
-		return decide.List{Kind: kind}, nil
+		return decide.ListUpdate{Kind: kind}, nil
 	}
 	if m.Sheet == nil {
 		return nil, errors.New("missing Sheet")
@@ -300,7 +300,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s %d was never defined", keySheet, *m.Sheet)
 	}
-	return decide.List{Kind: kind, Backends: list}, nil
+	return decide.ListUpdate{Kind: kind, Backends: list}, nil
 }
 
 // Load translates a load report. What it does not hold is marked as not reported.
@@ -355,7 +355,7 @@
 			w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
 		case decide.Probe:
 			w.begin("Test", agent).str("Backend", a.Backend)
-		case decide.TellPeer:
+		case decide.SendToPeer:
 			w.begin("WritePeer", agent).num("Whom", int64(a.To)).str("Msg", hex.EncodeToString(a.Data))
 		case decide.Subscribe:
 			w.begin("KeepInformed", agent)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -25,31 +25,31 @@
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
 	entries := []decide.Backend{
 		{ID: "10.0.0.1:80", Weight: 1.5, Cell: 2, Started: 900 * ms, Kind: 1, Zone: 1},
-		{ID: "10.0.0.2:80", State: decide.Draining}, {ID: "10.0.0.3:80", State: decide.Gone}}
+		{ID: "10.0.0.2:80", State: decide.Draining}, {ID: "10.0.0.3:80", State: decide.Removed}}
 	tests := []struct {
 		line string
 		want decide.Event
 	}{
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":3}`,
-			decide.Request{ID: "d0", Class: 1, Left: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true}},
+			decide.Request{ID: "d0", Class: 1, Remaining: 240500 * time.Microsecond, Work: 12 * ms, ClientRetry: true}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
-			decide.Request{ID: "d0", Left: 240 * ms}},
+			decide.Request{ID: "d0", Remaining: 240 * ms}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"outstanding":6,"recent_ms":7,"errors_per_s":0.5}}`,
-			decide.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
+			decide.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Answered: true,
 				Load: decide.Load{Valid: true, Queue: 4, InFlight: 6, Service: 7 * ms, ErrorsPerSec: 0.5}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
 			decide.Outcome{Request: "d0", Backend: "b", Result: decide.NotSent, Load: Load(nil)}},
-		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, decide.Abandoned{Request: "d0"}},
+		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, decide.RequestCancelled{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, decide.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
-			decide.StreamStarted{Request: "d0", Attempt: 1}},
+			decide.ResponseStarted{Request: "d0", Attempt: 1}},
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
 			decide.PeerMessage{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
 			decide.ProbeResult{Backend: "b", Result: decide.ConnectFailed, Latency: 2 * ms, Load: Load(nil)}},
-		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, decide.List{Kind: decide.ListFailed}},
+		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, decide.ListUpdate{Kind: decide.ListFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
-			decide.List{Kind: decide.ListDelta, Backends: entries}},
+			decide.ListUpdate{Kind: decide.ListDelta, Backends: entries}},
 	}
 	for _, tt := range tests {
 		b, err := NewReader(strings.NewReader(frame(tt.line))).Next()
@@ -81,11 +81,11 @@
 	}
 	want := decide.Settings{
 		Balancers: 3, Self: 1, Zone: 2, ByWork: true, Subscribe: true, Tick: 5 * ms,
-		Classes: []decide.Class{{Aim: 400 * ms, Deadline: 1500 * ms, Worth: 3, LateWorth: 0.25,
-			Effect: decide.Keyed, Group: decide.GroupCell, Window: 3 * time.Second}},
-		MaxAttempts: 4, SecondCopies: true, Peers: true, MaxRetryAfter: 1500 * ms,
-		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, AskWithin: 10 * time.Second, ColdShare: 0.16,
-		RampTime: 20 * time.Second, FallMultiple: 2.5, FallWindow: time.Second,
+		Classes: []decide.Class{{Objective: 400 * ms, Deadline: 1500 * ms, Value: 3, LateValue: 0.25,
+			Effect: decide.Keyed, Scope: decide.ScopeCell, DedupWindow: 3 * time.Second}},
+		MaxAttempts: 4, Hedging: true, Peers: true, MaxRetryAfter: 1500 * ms,
+		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, SubscribeWithin: 10 * time.Second, SlowStartShare: 0.16,
+		SlowStartTime: 20 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second,
 		GoalWhole: 0.55, GoalWindow: 0.15, GoalClass: 0.3, CrossZonePrice: 0.02,
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 77 || !reflect.DeepEqual(o.Settings, want) {
@@ -132,7 +132,7 @@
 		{decide.Fail{Request: `q"\`}, `{"msg":"DropRequest","Agent":4,"Job":"q\"\\"}`},
 		{decide.SetTimer{After: ms / 4, Token: 9}, `{"msg":"SetTimer","Agent":4,"SpanMs":0.25,"Cookie":9}`},
 		{decide.Probe{Backend: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
-		{decide.TellPeer{To: 2, Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
+		{decide.SendToPeer{To: 2, Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
 		{decide.Subscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":true}`},
 	}
 	for _, tt := range tests {
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -81,13 +81,13 @@
 			return nil, err
 		}
 		decodes = append(decodes, threadTime()-began)
-		list := decide.List{Kind: decide.ListFull}
+		list := decide.ListUpdate{Kind: decide.ListFull}
 		for _, s := range m.Servers {
 			list.Backends = append(list.Backends, decide.Backend{ID: s.ID, Zone: s.Cell % 15, Cell: s.Cell})
 		}
 		var err error
-		lb, err = decide.New(decide.Settings{Balancers: 1, MaxAttempts: 3, RampTime: 8600 * time.Millisecond, ColdShare: 0.31, FallMultiple: 2.5,
-			FallWindow: time.Second, GoalWhole: 1, Classes: []decide.Class{{Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}}}, 1)
+		lb, err = decide.New(decide.Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: 8600 * time.Millisecond, SlowStartShare: 0.31, OverloadMultiple: 2.5,
+			OverloadWindow: time.Second, GoalWhole: 1, Classes: []decide.Class{{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			return nil, err
 		}
@@ -100,10 +100,10 @@
 	now := time.Hour
 	play := func(i int) {
 		id := fmt.Sprint("q", i)
-		for _, a := range lb.Step(now, []decide.Event{decide.Request{ID: id, Left: 3 * time.Second}}) {
+		for _, a := range lb.Step(now, []decide.Event{decide.Request{ID: id, Remaining: 3 * time.Second}}) {
 			if s, ok := a.(decide.Send); ok {
 				now += 2 * time.Millisecond
-				lb.Step(now, []decide.Event{decide.Outcome{Request: id, Backend: s.Backend, Latency: 2 * time.Millisecond, Done: true}})
+				lb.Step(now, []decide.Event{decide.Outcome{Request: id, Backend: s.Backend, Latency: 2 * time.Millisecond, Answered: true}})
 			}
 		}
 	}
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -310,8 +310,8 @@
 func steps() error {
 	fmt.Println("| servers | a request and its outcome |\n| --- | --- |")
 	for _, n := range []int{12, 100, 1000, 5000} {
-		b, err := decide.New(decide.Settings{Balancers: 1, MaxAttempts: 3, RampTime: 8600 * time.Millisecond, ColdShare: 0.31, FallMultiple: 2.5,
-			FallWindow: time.Second, GoalWhole: 1, Classes: []decide.Class{{Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}}}, 1)
+		b, err := decide.New(decide.Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: 8600 * time.Millisecond, SlowStartShare: 0.31, OverloadMultiple: 2.5,
+			OverloadWindow: time.Second, GoalWhole: 1, Classes: []decide.Class{{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			return err
 		}
@@ -320,13 +320,13 @@
 			list = append(list, decide.Backend{ID: fmt.Sprint("s-", i)})
 		}
 		now := time.Hour
-		b.Step(now, []decide.Event{decide.List{Kind: decide.ListFull, Backends: list}})
+		b.Step(now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: list}})
 		play := func(i int) {
 			id := fmt.Sprint("q", i)
-			for _, a := range b.Step(now, []decide.Event{decide.Request{ID: id, Left: 3 * time.Second}}) {
+			for _, a := range b.Step(now, []decide.Event{decide.Request{ID: id, Remaining: 3 * time.Second}}) {
 				if s, ok := a.(decide.Send); ok {
 					now += 2 * time.Millisecond
-					b.Step(now, []decide.Event{decide.Outcome{Request: id, Backend: s.Backend, Latency: 2 * time.Millisecond, Done: true}})
+					b.Step(now, []decide.Event{decide.Outcome{Request: id, Backend: s.Backend, Latency: 2 * time.Millisecond, Answered: true}})
 				}
 			}
 		}
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -201,7 +201,7 @@
 	var out outcome
 	o := virtual.Options{Scenario: &s, Seed: seed, New: virtual.Decide,
 		Ended: func(now time.Duration, _ int, server string, r decide.Result) {
-			if now >= faultAt && now < faultAt+faultFor+2*time.Second && r != decide.OK && r != decide.Full && r != decide.Cancelled && r != decide.NotSent && slices.Contains(hit, server) {
+			if now >= faultAt && now < faultAt+faultFor+2*time.Second && r != decide.OK && r != decide.Rejected && r != decide.Cancelled && r != decide.NotSent && slices.Contains(hit, server) {
 				out.spoilt++
 				if now > faultAt+5*time.Second {
 					out.after5++
