--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -72,9 +72,8 @@
 		k.Tick(now)
 		var questions []question
 		for n := range h {
-			asks, _ := h[n].Requests(now)
-			for _, a := range asks {
-				data, err := wire.Marshal(a.From, a)
+			for _, a := range h[n].Requests(now) {
+				data, err := wire.Marshal(a.Request.From, a.Request)
 				if err != nil {
 					return 0, err
 				}
--- a/internal/peer/lease/client.go
+++ b/internal/peer/lease/client.go
@@ -1,7 +1,6 @@
 package lease
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -9,493 +8,455 @@
 	"vetchhaven/decide/quota"
 )
 
-// Client asks keepers for rights on behalf of a daemon's agents, and passes on what it gets. The agents count what
-// they use, each in a book of its own (decide/quota), and report.
+// Client requests leases from servers for a daemon's agents, and passes on what they grant. Each agent counts what it
+// uses in a ledger of its own (decide/quota), and reports. One goroutine owns a Client.
 type Client struct {
-	s       Settings
-	name    string
-	life    uint64
-	print   uint64
-	prints  []uint64
-	agents  map[uint32]*agent
-	order   []uint32
-	keepers []keeperSeen
-	seq     uint64
-	local   uint64 // numbers rights towards agents: keepers' own begin anew with each of their lives
-	asks    map[uint64]sentAsk
-	ended   map[uint32]bool // agents
+	settings          Settings
+	name              string
+	runID             uint64
+	fingerprint       uint64
+	limitFingerprints []uint64
+	agents            map[uint32]*agent
+	agentIDs          []uint32        // in the order in which they were added
+	removed           map[uint32]bool // agents that have ended
+	servers           []serverSession // by position in Settings.Servers
+	seq               uint64          // of the last request
+	leaseNumber       uint64          // of the last lease passed on: servers' numbers start anew with each of their runs
+	pending           map[uint64]pendingRequest
 }
 
-// keeperSeen is what a holder knows of a keeper.
-type keeperSeen struct {
-	life             uint64
-	heard            bool
-	at, sent, nextAt time.Duration // it last answered, was last asked, is asked next
-	gap              time.Duration // between two questions that something hurried: longer while it has no more to lend
+// serverSession is what a client knows of a server.
+type serverSession struct {
+	runID          uint64
+	hasResponded   bool
+	lastResponse   time.Duration
+	lastRequest    time.Duration
+	nextRequest    time.Duration
+	promptInterval time.Duration // between two requests that a need prompted: longer while the server has no more to grant
 }
 
-type sentAsk struct {
-	keeper int
-	at     time.Duration
+// pendingRequest is a request without a response yet.
+type pendingRequest struct {
+	server int
+	sentAt time.Duration
 }
 
+// agent holds the rows of one agent.
 type agent struct {
-	rows  map[rowID]*holdRow
+	rows  map[rowID]*clientRow
 	order []rowID
 }
 
+// rowID identifies a limit, or one part of a partitioned limit.
 type rowID struct {
 	limit int
 	key   string
 }
 
-// holdRow is one limit, or its part for one of something, at one agent.
-type holdRow struct {
-	loans  []holdLoan // by keeper
-	need   float64
-	tried  []tried       // in the last second
-	at     time.Duration // it last needed something
-	learnt time.Duration
-	used   int
+// clientRow is one limit, or one part of it, at one agent.
+type clientRow struct {
+	leases      []clientLease // by server
+	need        float64       // what it uses or would use, smoothed
+	used        int           // as last reported
+	attempts    []attempts    // within the last rateWindow
+	lastNeed    time.Duration // it last needed anything
+	estimatedAt time.Duration
 }
 
-type tried struct {
-	at            time.Duration
-	begun, turned int
+// attempts counts what an agent reported at once.
+type attempts struct {
+	at                time.Duration
+	started, rejected int
 }
 
-// holdLoan is what a keeper lent, as its agent knows it or is about to.
-type holdLoan struct {
-	amount int
-	until  time.Duration
-	life   uint64
-	number uint64
-	have   uint64 // the agent goes by this one, or a later one
-	haveOf uint64 // the keeper's life that it is of
-	used   int    // as the agent took it
-	sent   []sentRight
+// clientLease is what a server granted, and what of it the agent has adopted.
+type clientLease struct {
+	amount      int
+	expires     time.Duration
+	serverRunID uint64
+	number      uint64 // of the last grant
+
+	adoptedNumber uint64 // the agent goes by this grant, or a later one
+	adoptedRunID  uint64 // the server's run that it is of
+	used          int    // when the agent adopted it
+	issued        []issuedLease
 }
 
-type sentRight struct {
-	local, life, number uint64
+// issuedLease maps the number of a lease, as the agent knows it, to the server's.
+type issuedLease struct {
+	leaseNumber uint64
+	serverRunID uint64
+	grantNumber uint64
 }
 
-// AgentLeases are rights for one agent.
+// AgentLeases are leases for one agent.
 type AgentLeases struct {
 	Agent  uint32
 	Leases []quota.Lease
 }
 
+// OutgoingRequest is a request to the server of a position in Settings.Servers.
+type OutgoingRequest struct {
+	Server  int
+	Request *Request
+}
+
 const (
-	idleRenew = 4                     // renewals that a holder waits whose agents use nothing
-	soonest   = 50 * time.Millisecond // between two questions that something hurried
-	smoothed  = 200 * time.Millisecond
-	rowIdle   = 30 * time.Second // after which a part that nobody uses is not asked for
+	// idleRenewals is how many renew intervals a client waits whose agents use nothing.
+	idleRenewals = 4
+	// minPromptInterval is the time between two requests to a server that a need prompted. Smaller follows a burst faster
+	// and costs messages.
+	minPromptInterval = 50 * time.Millisecond
+	// needSmoothing is the time constant with which the need of a limit in flight decreases, which varies by chance. Larger
+	// keeps leases for longer that are not needed any more.
+	needSmoothing = 200 * time.Millisecond
+	// rowIdleTimeout is the time after which no lease is requested for a part that nobody uses. It is forgotten after
+	// twice that.
+	rowIdleTimeout = 30 * time.Second
+	// maxIssued is how many issued leases are remembered of an agent that adopts none, and keptIssued how many of these
+	// remain then: the agent adopts a later one.
+	maxIssued  = 64
+	keptIssued = 32
+	// minNeed is the need below which an agent counts as needing nothing.
+	minNeed = 0.5
 )
 
-// NewClient returns one that has no rights yet.
-func NewClient(s Settings, name string, life uint64) (*Client, error) {
+// NewClient returns a client without leases, or an error if a setting is out of its range.
+func NewClient(s Settings, name string, runID uint64) (*Client, error) {
 	s, err := s.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	h := &Client{s: s, name: name, life: life, print: s.Fingerprint(), agents: map[uint32]*agent{}, keepers: make([]keeperSeen, len(s.Servers)),
-		asks: map[uint64]sentAsk{}, ended: map[uint32]bool{}}
-	for i := range s.Limits {
-		h.prints = append(h.prints, s.Limits[i].print())
-	}
-	return h, nil
+	return &Client{
+		settings:          s,
+		name:              name,
+		runID:             runID,
+		fingerprint:       s.Fingerprint(),
+		limitFingerprints: s.limitFingerprints(),
+		agents:            map[uint32]*agent{},
+		removed:           map[uint32]bool{},
+		servers:           make([]serverSession, len(s.Servers)),
+		pending:           map[uint64]pendingRequest{},
+	}, nil
 }
 
-// ApplySettings has it go on with other limits. What it has of those that are as they were it keeps. It reports false, and
-// nothing has changed, where keepers or terms differ: then another holder has to begin.
-func (h *Client) ApplySettings(s Settings) bool {
+// ApplySettings continues with other limits, and keeps the leases of those that are unchanged. It reports false, and
+// changes nothing, if servers or terms differ: that takes another client.
+func (c *Client) ApplySettings(s Settings) bool {
 	s, err := s.withDefaults()
-	if err != nil || s.Fingerprint() != h.print {
+	if err != nil || s.Fingerprint() != c.fingerprint {
 		return false
 	}
-	was := h.prints
-	h.s, h.prints = s, nil
-	for i := range s.Limits {
-		h.prints = append(h.prints, s.Limits[i].print())
-	}
-	for _, a := range h.agents {
-		old := a.rows
-		a.rows = map[rowID]*holdRow{}
-		a.order = slices.DeleteFunc(a.order, func(at rowID) bool {
-			n := slices.Index(h.prints, was[at.limit])
-			if n >= 0 {
-				a.rows[rowID{n, at.key}] = old[at]
-			}
-			return n < 0
-		})
-		for i, at := range a.order {
-			a.order[i].limit = slices.Index(h.prints, was[at.limit])
-		}
+	previous := c.limitFingerprints
+	c.settings = s
+	c.limitFingerprints = s.limitFingerprints()
+	newIndex := func(limit int) int { return slices.Index(c.limitFingerprints, previous[limit]) }
+	for _, a := range c.agents {
+		a.renumberLimits(newIndex)
 	}
-	for _, id := range h.order {
-		h.begin(0, id)
+	for _, id := range c.agentIDs {
+		c.addUnpartitionedRows(0, id)
 	}
 	return true
 }
 
-// begin has a row for each limit that has one part.
-func (h *Client) begin(now time.Duration, id uint32) {
-	for i, l := range h.s.Limits {
-		if l.Partition == quota.NotPartitioned {
-			h.row(now, id, rowID{i, ""})
+// renumberLimits moves rows to their limits' new indexes, and drops those of limits that have none.
+func (a *agent) renumberLimits(newIndex func(limit int) int) {
+	rows := map[rowID]*clientRow{}
+	var order []rowID
+	for _, id := range a.order {
+		limit := newIndex(id.limit)
+		if limit < 0 {
+			continue
 		}
+		renumbered := rowID{limit, id.key}
+		rows[renumbered] = a.rows[id]
+		order = append(order, renumbered)
 	}
+	a.rows = rows
+	a.order = order
 }
 
-// AddAgent has it ask for an agent too. An agent's number is not used again in a holder's life.
-func (h *Client) AddAgent(now time.Duration, id uint32) {
-	if h.agents[id] != nil {
+// AddAgent requests leases for an agent too. An agent's number is not used again in a client's run.
+func (c *Client) AddAgent(now time.Duration, id uint32) {
+	if c.agents[id] != nil {
 		return
 	}
-	h.agents[id] = &agent{rows: map[rowID]*holdRow{}}
-	h.order = append(h.order, id)
-	h.begin(now, id)
-	for k := range h.keepers {
-		h.hurry(k, now)
+	c.agents[id] = &agent{rows: map[rowID]*clientRow{}}
+	c.agentIDs = append(c.agentIDs, id)
+	c.addUnpartitionedRows(now, id)
+	for server := range c.servers {
+		c.promptRequest(server, now)
+	}
+}
+
+// addUnpartitionedRows adds a row for each limit that is not partitioned: leases for these are requested before any use.
+func (c *Client) addUnpartitionedRows(now time.Duration, id uint32) {
+	for i, l := range c.settings.Limits {
+		if l.Partition == quota.NotPartitioned {
+			c.row(now, id, rowID{i, ""})
+		}
 	}
 }
 
-func (h *Client) row(now time.Duration, id uint32, at rowID) *holdRow {
-	a := h.agents[id]
-	r := a.rows[at]
+func (c *Client) row(now time.Duration, agentID uint32, id rowID) *clientRow {
+	a := c.agents[agentID]
+	r := a.rows[id]
 	if r == nil {
-		r = &holdRow{loans: make([]holdLoan, len(h.s.Servers)), at: now}
-		a.rows[at] = r
-		a.order = append(a.order, at)
+		r = &clientRow{leases: make([]clientLease, len(c.settings.Servers)), lastNeed: now}
+		a.rows[id] = r
+		a.order = append(a.order, id)
 	}
 	return r
 }
 
-// RemoveAgent forgets an agent that has ended with nothing in flight, and is what to tell each keeper, so that its rights
-// are lent to others at once. What is lost of that lapses.
-func (h *Client) RemoveAgent(now time.Duration, id uint32) (all []*Request, to []int) {
-	a := h.agents[id]
+// RemoveAgent forgets an agent that has ended with nothing in flight. It returns requests that release its leases to
+// others at once; where these are lost, the leases expire.
+func (c *Client) RemoveAgent(_ time.Duration, id uint32) []OutgoingRequest {
+	a := c.agents[id]
 	if a == nil {
-		return nil, nil
+		return nil
 	}
-	for k := range h.keepers {
+	var all []OutgoingRequest
+	for server := range c.servers {
 		var items []RequestItem
-		for _, at := range a.order {
-			if x := a.rows[at].loans[k]; x.number > 0 {
-				items = append(items, RequestItem{Agent: id, Fingerprint: h.prints[at.limit], Key: at.key, LastGrant: over, Used: a.rows[at].usedNow(now, h.s.Limits[at.limit].Kind, k)})
+		for _, row := range a.order {
+			lease := &a.rows[row].leases[server]
+			if lease.number == 0 {
+				continue
 			}
+			items = append(items, RequestItem{
+				Agent:       id,
+				Fingerprint: c.limitFingerprints[row.limit],
+				Key:         row.key,
+				LastGrant:   releasedGrants,
+				Used:        lease.usedAtEnd(c.settings.Limits[row.limit].Kind),
+			})
 		}
-		for part := range slices.Chunk(items, MaxItems) {
-			h.seq++
-			all, to = append(all, &Request{From: h.name, RunID: h.life, Fingerprint: h.print, Seq: h.seq, ServerRunID: h.keepers[k].life, Items: part}), append(to, k)
-		}
+		all = append(all, c.newRequests(server, items)...)
 	}
-	delete(h.agents, id)
-	h.ended[id] = true
-	h.order = slices.DeleteFunc(h.order, func(o uint32) bool { return o == id })
-	return all, to
+	delete(c.agents, id)
+	c.removed[id] = true
+	c.agentIDs = slices.DeleteFunc(c.agentIDs, func(o uint32) bool { return o == id })
+	return all
 }
 
-// usedNow is what may still count of an agent that has ended: of rates, all that it last had.
-func (r *holdRow) usedNow(_ time.Duration, c quota.Kind, k int) int {
-	if !c.IsRate() {
+// usedAtEnd is what may still count of an agent that has ended: of rates, all that it last had.
+func (l *clientLease) usedAtEnd(kind quota.Kind) int {
+	if !kind.IsRate() {
 		return 0
 	}
-	return max(r.loans[k].used, r.loans[k].amount)
+	return max(l.used, l.amount)
 }
 
-// ReportUsage takes an agent's report. Where something lacked a right, keepers are asked soon.
-func (h *Client) ReportUsage(now time.Duration, id uint32, all []quota.Usage) {
-	if h.agents[id] == nil {
-		if h.ended[id] {
-			return
-		}
-		h.AddAgent(now, id) // that it came was lost on the way
+// newRequests returns requests with items, as many as these need.
+func (c *Client) newRequests(server int, items []RequestItem) []OutgoingRequest {
+	var all []OutgoingRequest
+	for part := range slices.Chunk(items, MaxItems) {
+		c.seq++
+		all = append(all, OutgoingRequest{server, &Request{
+			From:        c.name,
+			RunID:       c.runID,
+			Fingerprint: c.fingerprint,
+			Seq:         c.seq,
+			ServerRunID: c.servers[server].runID,
+			Items:       part,
+		}})
+	}
+	return all
+}
+
+// Next returns the time by which Requests has to be called.
+func (c *Client) Next() time.Duration {
+	next := time.Duration(math.MaxInt64)
+	for _, s := range c.servers {
+		next = min(next, s.nextRequest)
 	}
-	short, less := false, make([]bool, len(h.keepers))
-	used := map[rowID]int{}
-	for _, x := range all {
-		n := slices.IndexFunc(h.s.Limits, func(l Limit) bool { return l.Name == x.Limit })
-		if n < 0 {
+	return next
+}
+
+// promptRequest has a server asked for leases soon.
+func (c *Client) promptRequest(server int, now time.Duration) {
+	s := &c.servers[server]
+	s.nextRequest = min(s.nextRequest, max(now, s.lastRequest+max(minPromptInterval, s.promptInterval)))
+}
+
+// Requests returns what is to be sent now.
+func (c *Client) Requests(now time.Duration) []OutgoingRequest {
+	responding := c.respondingServers(now)
+	var all []OutgoingRequest
+	for server := range c.servers {
+		s := &c.servers[server]
+		if len(c.agents) == 0 {
+			s.nextRequest = now + idleRenewals*c.settings.RenewInterval
 			continue
 		}
-		at := rowID{n, x.Key}
-		r := h.row(now, id, at)
-		used[at] += x.Used
-		if x.Rejected > 0 || x.Started > 0 {
-			r.tried = append(r.tried, tried{now, x.Started, x.Rejected})
-			short = short || x.Rejected > 0
-		}
-		k := slices.Index(h.s.Servers, x.Grantor)
-		if k < 0 {
+		if now < s.nextRequest {
 			continue
 		}
-		l := &r.loans[k]
-		for s := len(l.sent) - 1; s >= 0; s-- { // what it goes by, in the keeper's own terms
-			if l.sent[s].local != x.Number {
-				continue
-			}
-			if l.have != l.sent[s].number || l.haveOf != l.sent[s].life {
-				less[k] = less[k] || x.Used < l.amount && l.used > l.amount
-			}
-			l.have, l.haveOf, l.used = l.sent[s].number, l.sent[s].life, x.Used
-			l.sent = l.sent[s:]
-			break
+		items, busy := c.requestItems(now, server, responding)
+		s.lastRequest = now
+		s.nextRequest = now + c.settings.RenewInterval
+		if !busy {
+			s.nextRequest = now + idleRenewals*c.settings.RenewInterval
 		}
-	}
-	for at, n := range used {
-		r := h.agents[id].rows[at]
-		r.learn(now, n, h.s.Limits[at.limit].Kind)
-		short = short || n > 0 && r.low(now)
-	}
-	for k := range h.keepers {
-		if short || less[k] {
-			h.hurry(k, now)
+		for _, r := range c.newRequests(server, items) {
+			c.pending[r.Request.Seq] = pendingRequest{server, now}
+			all = append(all, r)
 		}
 	}
-}
-
-// learn reckons what an agent needs: what it uses, and what it would have used besides of what it turned away in the
-// last second. What is in flight goes up and down by chance, and is smoothed on its way down.
-func (r *holdRow) learn(now time.Duration, used int, c quota.Kind) {
-	r.tried = slices.DeleteFunc(r.tried, func(t tried) bool { return now-t.at >= span })
-	begun, turned := 0, 0
-	for _, t := range r.tried {
-		begun, turned = begun+t.begun, turned+t.turned
-	}
-	need := float64(used)
-	switch {
-	case c.IsRate():
-		need += float64(turned)
-	case begun > 0:
-		need *= 1 + float64(turned)/float64(begun)
-	default:
-		need += math.Sqrt(float64(turned))
-	}
-	if !c.IsRate() && need < r.need {
-		w := math.Exp(-float64(now-r.learnt) / float64(smoothed))
-		need = w*r.need + (1-w)*need
-	}
-	if r.need, r.used, r.learnt = need, used, now; need > 0.5 {
-		r.at = now
-	} else {
-		r.need = 0
+	if len(all) > 0 {
+		c.dropOldPending(now)
 	}
+	return all
 }
 
-// low reports whether so little is left that the next few uses may find none: keepers may have more by now.
-func (r *holdRow) low(now time.Duration) bool {
-	all := 0
-	for _, x := range r.loans {
-		if now < x.until {
-			all += x.amount
+// respondingServers returns the servers that responded lately, or all if none did.
+func (c *Client) respondingServers(now time.Duration) []int {
+	var responding, all []int
+	for server, s := range c.servers {
+		all = append(all, server)
+		if s.hasResponded && now-s.lastResponse < c.settings.Term/2 {
+			responding = append(responding, server)
 		}
 	}
-	return all-r.used <= 1+int(math.Sqrt(r.need)/2)
-}
-
-// hurry has a keeper asked soon.
-func (h *Client) hurry(k int, now time.Duration) {
-	s := &h.keepers[k]
-	s.nextAt = min(s.nextAt, max(now, s.sent+max(soonest, s.gap)))
-}
-
-// Next is when Asks is to be called at the latest.
-func (h *Client) Next() time.Duration {
-	next := time.Duration(math.MaxInt64)
-	for _, k := range h.keepers {
-		next = min(next, k.nextAt)
+	if len(responding) == 0 {
+		return all
 	}
-	return next
+	return responding
 }
 
-// Requests are what is to be sent now: to the keeper of the place that each has.
-func (h *Client) Requests(now time.Duration) (all []*Request, to []int) {
-	var answering []int
-	for k, s := range h.keepers {
-		if s.heard && now-s.at < h.s.Term/2 {
-			answering = append(answering, k)
+// dropOldPending forgets requests whose response would grant nothing any more.
+func (c *Client) dropOldPending(now time.Duration) {
+	for seq, p := range c.pending {
+		if now-p.sentAt > c.settings.MaxAttemptTime+c.settings.Term {
+			delete(c.pending, seq)
 		}
 	}
-	if len(answering) == 0 {
-		for k := range h.keepers {
-			answering = append(answering, k)
-		}
-	}
-	for k := range h.keepers {
-		s := &h.keepers[k]
-		if now < s.nextAt || len(h.agents) == 0 {
-			if len(h.agents) == 0 {
-				s.nextAt = now + idleRenew*h.s.RenewInterval
-			}
-			continue
-		}
-		busy := false
-		var items []RequestItem
-		for _, id := range h.order {
-			a := h.agents[id]
-			for n, at := range a.order {
-				r := a.rows[at]
-				if at.key != "" && now-r.at > rowIdle {
-					continue
-				}
-				busy = busy || r.used > 0 || len(r.tried) > 0
-				items = append(items, h.item(id, n, at, r, k, answering))
+}
+
+// requestItems returns what is requested of a server for all agents, and whether any of these uses anything.
+func (c *Client) requestItems(now time.Duration, server int, responding []int) (items []RequestItem, busy bool) {
+	for _, agentID := range c.agentIDs {
+		a := c.agents[agentID]
+		for index, id := range a.order {
+			r := a.rows[id]
+			if id.key != "" && now-r.lastNeed > rowIdleTimeout {
+				continue
 			}
-			a.tidy(now)
-		}
-		s.sent, s.nextAt = now, now+h.s.RenewInterval
-		if !busy {
-			s.nextAt = now + idleRenew*h.s.RenewInterval
-		}
-		for part := range slices.Chunk(items, MaxItems) {
-			h.seq++
-			h.asks[h.seq] = sentAsk{k, now}
-			all, to = append(all, &Request{From: h.name, RunID: h.life, Fingerprint: h.print, Seq: h.seq, ServerRunID: s.life, Items: part}), append(to, k)
+			busy = busy || r.used > 0 || len(r.attempts) > 0
+			item := RequestItem{Agent: agentID, Fingerprint: c.limitFingerprints[id.limit], Key: id.key}
+			// What does not divide evenly is requested of another server by each agent and row.
+			c.fillItem(&item, r, server, responding, int(agentID)+index)
+			items = append(items, item)
 		}
+		a.dropIdleRows(now)
 	}
-	if len(all) > 0 {
-		for seq, a := range h.asks {
-			if now-a.at > h.s.MaxAttemptTime+h.s.Term {
-				delete(h.asks, seq)
-			}
-		}
+	return items, busy
+}
+
+// fillItem requests an even part of what is needed, of the servers that respond.
+func (c *Client) fillItem(item *RequestItem, r *clientRow, server int, responding []int, rotation int) {
+	need := int(math.Ceil(r.need))
+	desired := need + 1 + int(2*math.Sqrt(r.need))
+	position := slices.Index(responding, server)
+	servers := len(responding)
+	if position < 0 { // it may respond again at any time
+		position = server
+		servers = len(c.servers)
+	}
+	position = (position + rotation) % servers
+	item.Need = GrantorShare(need, position, servers)
+	item.Desired = GrantorShare(desired, position, servers)
+	if lease := &r.leases[server]; lease.adoptedRunID == c.servers[server].runID {
+		item.LastGrant = lease.adoptedNumber
+		item.Used = lease.used
 	}
-	return all, to
 }
 
-// tidy forgets parts that nobody used for long.
-func (a *agent) tidy(now time.Duration) {
-	a.order = slices.DeleteFunc(a.order, func(at rowID) bool {
-		old := at.key != "" && now-a.rows[at].at > 2*rowIdle
-		if old {
-			delete(a.rows, at)
+// dropIdleRows forgets parts that nobody used for long.
+func (a *agent) dropIdleRows(now time.Duration) {
+	a.order = slices.DeleteFunc(a.order, func(id rowID) bool {
+		idle := id.key != "" && now-a.rows[id].lastNeed > 2*rowIdleTimeout
+		if idle {
+			delete(a.rows, id)
 		}
-		return old
+		return idle
 	})
 }
 
-// item is what is asked of one keeper for one row: an even part of what is needed, of those that answer.
-func (h *Client) item(id uint32, n int, at rowID, r *holdRow, k int, answering []int) RequestItem {
-	need := int(math.Ceil(r.need))
-	want := need + 1 + int(2*math.Sqrt(r.need))
-	place, of := slices.Index(answering, k), len(answering)
-	if place < 0 { // it may come back at any time
-		place, of = k, len(h.keepers)
-	}
-	place = (place + int(id) + n) % of // what does not divide is asked of another by each
-	x := &r.loans[k]
-	item := RequestItem{Agent: id, Fingerprint: h.prints[at.limit], Key: at.key, Need: GrantorShare(need, place, of), Desired: GrantorShare(want, place, of)}
-	if x.haveOf == h.keepers[k].life {
-		item.LastGrant, item.Used = x.have, x.used
-	}
-	return item
-}
-
-// HandleGrant takes a keeper's answer, and is what its agents may use from now on. An answer to no question that is out is
-// not taken: it may be late by any time, or doubled; nor is an item that is older than one that was taken.
-func (h *Client) HandleGrant(now time.Duration, keeper int, g *Grant) []AgentLeases {
-	if g == nil || keeper < 0 || keeper >= len(h.keepers) {
+// HandleGrant takes a server's response, and returns what its agents may use from now on. A response to no pending
+// request is ignored: it may be of any age, or a duplicate. So is an item that is older than one that was taken.
+func (c *Client) HandleGrant(now time.Duration, server int, g *Grant) []AgentLeases {
+	if g == nil || server < 0 || server >= len(c.servers) {
 		return nil
 	}
-	ask, ok := h.asks[g.Seq]
-	if !ok || ask.keeper != keeper {
+	request, ok := c.pending[g.Seq]
+	if !ok || request.server != server {
 		return nil
 	}
-	delete(h.asks, g.Seq)
-	s := &h.keepers[keeper]
-	s.life, s.heard, s.at = g.RunID, true, now
-	s.gap = min(2*max(s.gap, soonest), h.s.RenewInterval)
+	delete(c.pending, g.Seq)
+	s := &c.servers[server]
+	s.runID = g.RunID
+	s.hasResponded = true
+	s.lastResponse = now
+	s.promptInterval = min(2*max(s.promptInterval, minPromptInterval), c.settings.RenewInterval)
 	var all []AgentLeases
 	for _, item := range g.Items {
-		n := slices.Index(h.prints, item.Fingerprint)
-		if n < 0 || h.agents[item.Agent] == nil || h.agents[item.Agent].rows[rowID{n, item.Key}] == nil {
+		lease, ok := c.applyGrant(request, g.RunID, item)
+		if !ok {
 			continue
 		}
-		x := &h.agents[item.Agent].rows[rowID{n, item.Key}].loans[keeper]
-		if x.life == g.RunID && item.Number <= x.number {
-			continue
-		}
-		l := &h.s.Limits[n]
-		if item.Amount > x.amount {
-			s.gap = soonest
-		}
-		// From the moment at which it was asked for: the keeper counts from a later one.
-		x.amount, x.until, x.number, x.life = max(0, item.Amount), ask.at+h.s.term(l.Kind), item.Number, g.RunID
-		h.local++
-		x.sent = append(x.sent, sentRight{h.local, g.RunID, item.Number})
-		if len(x.sent) > 64 { // its agent does not hear: what it took is found again by what it takes next
-			x.sent = x.sent[32:]
-		}
-		right := quota.Lease{Limit: l.Name, Key: item.Key, Grantor: h.s.Servers[keeper], Number: h.local, Amount: x.amount, Expires: x.until}
-		if l.Kind.IsRate() {
-			right.Span, right.StartWithin = h.s.window(l)
-		}
-		if at := slices.IndexFunc(all, func(g AgentLeases) bool { return g.Agent == item.Agent }); at >= 0 {
-			all[at].Leases = append(all[at].Leases, right)
+		if at := slices.IndexFunc(all, func(l AgentLeases) bool { return l.Agent == item.Agent }); at >= 0 {
+			all[at].Leases = append(all[at].Leases, lease)
 		} else {
-			all = append(all, AgentLeases{item.Agent, []quota.Lease{right}})
+			all = append(all, AgentLeases{item.Agent, []quota.Lease{lease}})
 		}
 	}
 	return all
 }
 
-// Agents are those that it asks for.
-func (h *Client) Agents() []uint32 { return h.order }
-
-// ClientLimitStatus is how one limit, or part of one, stands at this daemon, for operators.
-type ClientLimitStatus struct {
-	Limit, Key string
-	Used       int // in flight, or begun in the last second, as agents last reported
-	Rejected   int // in the last second
-	Leases     []ClientLeaseStatus
-}
-
-// ClientLeaseStatus is what one keeper has lent.
-type ClientLeaseStatus struct {
-	Server    string
-	Amount    int
-	Remaining time.Duration // until the first of them lapses
+// applyGrant records one item of a response, and returns the agent's lease. It reports false for an item that is ignored.
+func (c *Client) applyGrant(request pendingRequest, serverRunID uint64, item GrantItem) (quota.Lease, bool) {
+	limit := slices.Index(c.limitFingerprints, item.Fingerprint)
+	if limit < 0 || c.agents[item.Agent] == nil || c.agents[item.Agent].rows[rowID{limit, item.Key}] == nil {
+		return quota.Lease{}, false
+	}
+	granted := &c.agents[item.Agent].rows[rowID{limit, item.Key}].leases[request.server]
+	if granted.serverRunID == serverRunID && item.Number <= granted.number {
+		return quota.Lease{}, false
+	}
+	if item.Amount > granted.amount {
+		c.servers[request.server].promptInterval = minPromptInterval
+	}
+	l := &c.settings.Limits[limit]
+	granted.amount = max(0, item.Amount)
+	granted.expires = request.sentAt + c.settings.clientTerm(l.Kind) // the server counts from a later moment
+	granted.number = item.Number
+	granted.serverRunID = serverRunID
+	c.leaseNumber++
+	granted.issue(issuedLease{c.leaseNumber, serverRunID, item.Number})
+	lease := quota.Lease{
+		Limit:   l.Name,
+		Key:     item.Key,
+		Grantor: c.settings.Servers[request.server],
+		Number:  c.leaseNumber,
+		Amount:  granted.amount,
+		Expires: granted.expires,
+	}
+	if l.Kind.IsRate() {
+		lease.Span, lease.StartWithin = c.settings.rateSpan(l)
+	}
+	return lease, true
 }
 
-// Status are of all limits, in their order.
-func (h *Client) Status(now time.Duration) []ClientLimitStatus {
-	sums := map[rowID]*ClientLimitStatus{}
-	var order []rowID
-	for _, id := range h.order {
-		a := h.agents[id]
-		for _, at := range a.order {
-			r := a.rows[at]
-			s := sums[at]
-			if s == nil {
-				s = &ClientLimitStatus{Limit: h.s.Limits[at.limit].Name, Key: at.key, Leases: make([]ClientLeaseStatus, len(h.keepers))}
-				for k := range h.keepers {
-					s.Leases[k].Server = h.s.Servers[k]
-				}
-				sums[at] = s
-				order = append(order, at)
-			}
-			s.Used += r.used
-			for _, t := range r.tried {
-				if now-t.at < span {
-					s.Rejected += t.turned
-				}
-			}
-			for k, x := range r.loans {
-				if left := x.until - now; left > 0 && x.amount > 0 {
-					s.Leases[k].Amount += x.amount
-					if s.Leases[k].Remaining == 0 || left < s.Leases[k].Remaining {
-						s.Leases[k].Remaining = left
-					}
-				}
-			}
-		}
-	}
-	slices.SortFunc(order, func(a, b rowID) int { return cmp.Or(cmp.Compare(a.limit, b.limit), cmp.Compare(a.key, b.key)) })
-	var all []ClientLimitStatus
-	for _, at := range order {
-		all = append(all, *sums[at])
+// issue remembers a lease that is passed on.
+func (l *clientLease) issue(issued issuedLease) {
+	l.issued = append(l.issued, issued)
+	if len(l.issued) > maxIssued {
+		l.issued = l.issued[keptIssued:]
 	}
-	return all
 }
+
+// Agents returns the agents that leases are requested for, in the order in which they were added.
+func (c *Client) Agents() []uint32 { return c.agentIDs }
--- /dev/null
+++ b/internal/peer/lease/handover.go
@@ -0,0 +1,127 @@
+package lease
+
+import (
+	"slices"
+	"time"
+)
+
+// ServerState is what a process that takes a server's place without a gap has to know.
+type ServerState struct {
+	RunID       uint64       `cbor:"1,keyasint,omitempty"`
+	Count       uint64       `cbor:"2,keyasint,omitempty"` // of grants
+	Fingerprint uint64       `cbor:"3,keyasint,omitempty"` // of the settings
+	Limits      []LimitState `cbor:"4,keyasint,omitempty"`
+}
+
+// LimitState is one limit's.
+type LimitState struct {
+	Fingerprint   uint64        `cbor:"1,keyasint,omitempty"`
+	WaitRemaining time.Duration `cbor:"2,keyasint,omitempty"` // nothing is granted for so long yet
+	Rows          []RowState    `cbor:"3,keyasint,omitempty"`
+}
+
+// RowState is that of one part of a limit.
+type RowState struct {
+	Key     string        `cbor:"1,keyasint,omitempty"`
+	Holders []HolderState `cbor:"2,keyasint,omitempty"`
+}
+
+// HolderState is one holder's. Times are what remains: the successor counts them from its own start, which is later.
+type HolderState struct {
+	Name   string         `cbor:"1,keyasint,omitempty"`
+	RunID  uint64         `cbor:"2,keyasint,omitempty"`
+	Agent  uint32         `cbor:"3,keyasint,omitempty"`
+	Leases []grantedLease `cbor:"4,keyasint,omitempty"`
+}
+
+// TakeOver continues for a server of this process whose settings have changed: what that one has leased is leased.
+func (s *Server) TakeOver(old *Server) {
+	s.started = old.started
+	s.lastTick = old.lastTick
+	s.runID = old.runID
+	s.grants = old.grants
+	sameSettings := old.settings.Fingerprint() == s.settings.Fingerprint()
+	for _, l := range s.limits {
+		// What is leased of a limit that was not there, or for another term, has to expire first.
+		l.grantsFrom = s.lastTick + max(s.settings.serverTerm(l.Kind), old.settings.serverTerm(l.Kind))
+		for _, o := range old.limits {
+			if o.fingerprint == l.fingerprint && sameSettings {
+				l.rows = o.rows
+				l.grantsFrom = o.grantsFrom
+			}
+		}
+	}
+}
+
+// State returns what the process that takes this one's place has to know. This server must not grant anything after that.
+func (s *Server) State(now time.Duration) *ServerState {
+	state := &ServerState{RunID: s.runID, Count: s.grants, Fingerprint: s.settings.Fingerprint()}
+	for _, l := range s.limits {
+		limit := l.state(now)
+		if !s.started {
+			limit.WaitRemaining = s.settings.serverTerm(l.Kind)
+		}
+		state.Limits = append(state.Limits, limit)
+	}
+	return state
+}
+
+func (l *serverLimit) state(now time.Duration) LimitState {
+	state := LimitState{Fingerprint: l.fingerprint, WaitRemaining: max(0, l.grantsFrom-now)}
+	for key, r := range l.rows {
+		row := RowState{Key: key}
+		for _, id := range r.order {
+			row.Holders = append(row.Holders, r.holders[id].state(now, id))
+		}
+		state.Rows = append(state.Rows, row)
+	}
+	return state
+}
+
+func (h *holder) state(now time.Duration, id holderID) HolderState {
+	state := HolderState{Name: id.name, RunID: id.runID, Agent: id.agent}
+	for _, g := range h.grants {
+		if g.Expires > now {
+			state.Leases = append(state.Leases, grantedLease{g.Number, g.Amount, g.Expires - now})
+		}
+	}
+	return state
+}
+
+// Resume takes over what another process has leased. It reports whether the state fits: if not, this server starts anew.
+func (s *Server) Resume(now time.Duration, state *ServerState) bool {
+	if state == nil || state.Fingerprint != s.settings.Fingerprint() || s.started {
+		return false
+	}
+	s.runID = state.RunID
+	s.grants = state.Count
+	s.started = true
+	s.lastTick = now
+	for _, l := range s.limits {
+		l.grantsFrom = now + s.settings.serverTerm(l.Kind)
+		for i := range state.Limits {
+			if state.Limits[i].Fingerprint == l.fingerprint {
+				l.resume(now, &state.Limits[i])
+			}
+		}
+	}
+	return true
+}
+
+func (l *serverLimit) resume(now time.Duration, state *LimitState) {
+	l.grantsFrom = now + state.WaitRemaining
+	for _, row := range state.Rows {
+		r := &serverRow{holders: map[holderID]*holder{}}
+		for _, hs := range row.Holders {
+			id := holderID{hs.Name, hs.RunID, hs.Agent}
+			h := &holder{requestedAt: now}
+			for _, g := range hs.Leases {
+				h.grants = append(h.grants, grantedLease{g.Number, g.Amount, now + g.Expires})
+			}
+			r.holders[id] = h
+			r.order = append(r.order, id)
+		}
+		slices.SortFunc(r.order, compareHolders)
+		l.rows[row.Key] = r
+	}
+}
--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -257,9 +257,8 @@
 }
 
 func (w *world) ask(m *member, i int) {
-	asks, to := m.h[i].Requests(m.clock(w.now))
-	for n, a := range asks {
-		at := to[n]
+	for _, r := range m.h[i].Requests(m.clock(w.now)) {
+		a, at := r.Request, r.Server
 		if w.o.Way == Quorum {
 			at = i
 		}
@@ -280,7 +279,7 @@
 			}
 			w.send(at, m.n, size, func() {
 				if m.life == life {
-					w.granted(m, i, to[n], g)
+					w.granted(m, i, r.Server, g)
 				}
 			})
 		})
--- a/internal/peer/transport/sharing.go
+++ b/internal/peer/transport/sharing.go
@@ -103,9 +103,9 @@
 }
 
 // ask sends questions to keepers.
-func (s *sharing) ask(all []*lease.Request, to []int) {
-	for i, a := range all {
-		s.send(s.s.Servers[to[i]], &packet{Ask: a})
+func (s *sharing) ask(all []lease.OutgoingRequest) {
+	for _, r := range all {
+		s.send(s.s.Servers[r.Server], &packet{Ask: r.Request})
 	}
 }
 
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -368,9 +368,8 @@
 	}
 	k.Tick(0)
 	h.AddAgent(0, 1)
-	asks, _ := h.Requests(0)
-	for _, a := range asks {
-		k.HandleRequest(time.Second, a)
+	for _, r := range h.Requests(0) {
+		k.HandleRequest(time.Second, r.Request)
 	}
 	data, err := EncodeSaved(&Saved{Boot: 1, TakesOver: true, Leases: k.State(time.Second)})
 	if err != nil {
