--- /dev/null
+++ b/decide/attempt.go
@@ -0,0 +1,124 @@
+package decide
+
+import (
+	"math"
+	"time"
+)
+
+// startAttempt sends a request to a backend. Nothing else starts an attempt; the rules are checked here last.
+func (b *Balancer) startAttempt(request *openRequest, backend *endpoint) {
+	mayStart := backend.State == Up && b.now >= backend.drainedUntil && b.mayAttempt(request, backend)
+	if !mayStart || b.now >= request.deadline {
+		b.finish(request, DeadlineTooClose)
+		return
+	}
+	attempt := &openAttempt{
+		backend:         backend,
+		listVersion:     b.listVersion,
+		zone:            backend.Zone,
+		cell:            backend.Cell,
+		kind:            backend.Kind,
+		sentAt:          b.now,
+		expectedLatency: max(b.expectedLatency(request), 1),
+		open:            true,
+	}
+	attempt.workUnits = attempt.expectedLatency / b.classes[0].meanLatency
+	reservations, startBy, mayDial, ok := b.ledger.Reserve(b.now, b.demandOf(request, backend))
+	if !ok {
+		b.finish(request, NoLease)
+		return
+	}
+	attempt.reservations = reservations
+	attempt.reuseOnly = !mayDial
+	startBy = b.addAttempt(request, attempt, startBy)
+	b.chargeCredit(attempt)
+	if !request.uploading {
+		b.beginWork(request, attempt)
+	}
+	backend.slowStartBudget -= attempt.workUnits // of use while it is in slow start
+	send := Send{Request: request.id, Backend: backend.ID, ReuseOnly: attempt.reuseOnly}
+	if startBy < math.MaxInt64 { // else nothing bounds it
+		send.StartBy = startBy
+	}
+	b.actions = append(b.actions, send)
+}
+
+// addAttempt adds an attempt to its request, and returns the time by which it has to start: not past the
+// deduplication window of the first attempt that may have run.
+func (b *Balancer) addAttempt(
+	request *openRequest, attempt *openAttempt, startBy time.Duration,
+) time.Duration {
+	request.attempts = append(request.attempts, attempt)
+	request.openCount++
+	request.mayHaveRun++
+	if request.firstMayHaveRun == nil {
+		request.firstMayHaveRun = attempt
+		return startBy
+	}
+	class := &b.classes[request.class]
+	if class.Effect == Keyed {
+		startBy = min(startBy, request.firstMayHaveRun.sentAt+class.DedupWindow-maxPause)
+	}
+	return startBy
+}
+
+// chargeCredit takes an attempt off the credit, and counts the gap since the last one. What starts without
+// credit adds no debt. Attempts are counted, not requests: an agent that refuses would see its traffic grow
+// by the clients' retries, widen its subset, connect to more backends and find their tables full, as all
+// others do.
+func (b *Balancer) chargeCredit(attempt *openAttempt) {
+	b.admissionCredit = max(b.admissionCredit-attempt.expectedLatency, -attempt.expectedLatency)
+	if b.lastAttemptAt > 0 {
+		b.meanAttemptGap = updateMean(b.meanAttemptGap, float64(b.now-b.lastAttemptAt))
+	}
+	b.lastAttemptAt = b.now
+}
+
+// findOpenAttempt finds an attempt that has not ended, with its request; nil: there is none.
+func (b *Balancer) findOpenAttempt(id string, n int) (*openRequest, *openAttempt) {
+	request := b.requests[id]
+	if request == nil || n < 0 || n >= len(request.attempts) || !request.attempts[n].open {
+		return nil, nil
+	}
+	return request, request.attempts[n]
+}
+
+// closeAttempt ends an attempt.
+func (b *Balancer) closeAttempt(request *openRequest, attempt *openAttempt, e Outcome) {
+	attempt.open = false
+	request.notReplayable = request.notReplayable || e.NotReplayable
+	b.ledger.Release(b.now, attempt.reservations, e.Dialed)
+	request.openCount--
+	b.endWork(attempt)
+	if !e.Result.NeverRan() {
+		return
+	}
+	request.mayHaveRun--
+	if request.mayHaveRun == 0 {
+		request.firstMayHaveRun = nil
+	}
+}
+
+// beginWork counts an attempt as in flight, from when its backend has all of the request.
+func (b *Balancer) beginWork(request *openRequest, attempt *openAttempt) {
+	attempt.countsInFlight = true
+	attempt.sentAt = b.now
+	attempt.backend.inFlight = append(attempt.backend.inFlight, attempt)
+	b.inFlight++
+	if b.admitsByCredit() {
+		objective := float64(b.classes[request.class].Objective)
+		overdueAfter := max(overdueObjective*objective, overdueLatencies*attempt.expectedLatency)
+		overdueAfter = min(objective, overdueAfter)
+		b.overdueTimers[b.setTimer(time.Duration(overdueAfter))] = attempt
+	}
+}
+
+// endWork counts an attempt as in flight no more.
+func (b *Balancer) endWork(attempt *openAttempt) {
+	if !attempt.countsInFlight {
+		return
+	}
+	attempt.countsInFlight = false
+	b.inFlight--
+	attempt.backend.inFlight = removeFirst(attempt.backend.inFlight, attempt)
+}
--- /dev/null
+++ b/decide/endpoints.go
@@ -0,0 +1,177 @@
+package decide
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// stillDisabled is the value in disabledByHand of a backend that an operator has disabled and not enabled
+// again.
+const stillDisabled = time.Duration(-1)
+
+// onListUpdate takes a list of backends, or the failure to get one.
+func (b *Balancer) onListUpdate(e ListUpdate) {
+	if b.settings.Subscribe {
+		b.scheduleSubscribe(e.Kind)
+	}
+	if e.Kind == ListFailed {
+		return
+	}
+	b.listVersion++
+	b.partitionValid = false
+	listed := map[string]bool{}
+	for _, entry := range e.Backends {
+		listed[entry.ID] = true
+		backend := b.byID[entry.ID]
+		if backend == nil {
+			b.addBackend(entry)
+		} else {
+			b.updateBackend(backend, entry)
+		}
+	}
+	slices.SortStableFunc(b.backends, func(x, y *endpoint) int { return cmp.Compare(x.rank, y.rank) })
+	complete := e.Kind != ListDelta
+	b.backends = slices.DeleteFunc(b.backends, func(backend *endpoint) bool {
+		if complete && !listed[backend.ID] {
+			backend.State = Removed
+			backend.listed = Removed
+		}
+		return b.forget(backend)
+	})
+}
+
+// scheduleSubscribe asks for the list again after a failure, with exponential backoff and full jitter: all
+// agents may start, or find discovery back, at once.
+func (b *Balancer) scheduleSubscribe(kind ListKind) {
+	if kind != ListCached && kind != ListFailed {
+		b.subscribeFailures = 1
+		return
+	}
+	ceiling := min(b.settings.SubscribeWithin/64<<min(b.subscribeFailures, 4), maxSubscribeBackoff)
+	b.subscribeToken = b.setTimer(time.Duration(b.rng.Float64() * float64(ceiling)))
+	b.subscribeFailures++
+}
+
+// addBackend takes in a backend that is listed for the first time.
+func (b *Balancer) addBackend(entry Backend) {
+	backend := &endpoint{
+		Backend:      entry,
+		listed:       entry.State,
+		slowness:     1,
+		hash:         hashID(entry.ID),
+		rank:         hashID(fmt.Sprint(entry.ID, b.settings.Self)),
+		zoneSetAt:    b.listVersion,
+		cellSetAt:    b.listVersion,
+		processSetAt: b.listVersion,
+	}
+	b.byID[entry.ID] = backend
+	b.byHash[backend.hash] = backend
+	b.backends = append(b.backends, backend)
+	if started := max(entry.Started, b.disabledByHand[entry.ID]); started > 0 {
+		b.beginSlowStart(backend, started)
+	}
+	b.restoreSlowness(backend)
+	b.applyState(backend)
+}
+
+// updateBackend takes what the list says now of a backend that is known.
+func (b *Balancer) updateBackend(backend *endpoint, entry Backend) {
+	if entry.Started > backend.Started {
+		b.resetProcess(backend, max(entry.Started, backend.slowStartFrom))
+	}
+	if entry.Zone != backend.Zone {
+		backend.zoneSetAt = b.listVersion
+	}
+	if entry.Cell != backend.Cell {
+		backend.cellSetAt = b.listVersion
+	}
+	backend.Backend = entry
+	backend.listed = entry.State
+	b.applyState(backend)
+}
+
+// forget drops a removed backend once its attempts have ended; until then the next list finds it again.
+func (b *Balancer) forget(backend *endpoint) bool {
+	if backend.State != Removed || len(backend.inFlight) > 0 {
+		return false
+	}
+	delete(b.byID, backend.ID)
+	if b.byHash[backend.hash] == backend {
+		delete(b.byHash, backend.hash)
+	}
+	return true
+}
+
+// applyState gives a backend the state that holds for it: one that an operator has disabled gets nothing, as
+// if it drained, whatever the list says.
+func (b *Balancer) applyState(backend *endpoint) {
+	backend.State = backend.listed
+	if b.disabledByHand[backend.ID] == stillDisabled {
+		backend.State = max(backend.listed, Draining)
+	}
+}
+
+// resetProcess puts a new process in a backend's place: what the last one did is forgotten.
+func (b *Balancer) resetProcess(backend *endpoint, startedAt time.Duration) {
+	b.beginSlowStart(backend, startedAt)
+	backend.failureScore = 0
+	backend.ejectedUntil = 0
+	backend.fleetEjectedUntil = 0
+	backend.drainedUntil = 0
+	backend.unreachable = false
+	backend.consecutiveTimeouts = 0
+	backend.processSetAt = b.listVersion
+}
+
+// onBackendDisabled disables a backend by an operator's word, or enables it. While it was disabled it was
+// most likely restarted, and the list says so late or never: it comes back in slow start.
+func (b *Balancer) onBackendDisabled(e BackendDisabled) {
+	b.forgetEnabled()
+	backend := b.byID[e.Backend]
+	wasDisabled := b.disabledByHand[e.Backend] == stillDisabled
+	b.partitionValid = false
+	switch {
+	case e.Disabled:
+		b.disabledByHand[e.Backend] = stillDisabled
+	case wasDisabled:
+		b.disabledByHand[e.Backend] = b.now
+	}
+	if backend == nil || wasDisabled == e.Disabled {
+		return
+	}
+	b.applyState(backend)
+	if !e.Disabled {
+		b.listVersion++ // outcomes of what was sent before it was disabled tell of another process
+		b.resetProcess(backend, b.now)
+	}
+}
+
+// forgetEnabled drops the backends that were enabled again and whose slow start is over.
+func (b *Balancer) forgetEnabled() {
+	maps.DeleteFunc(b.disabledByHand, func(_ string, enabledAt time.Duration) bool {
+		return enabledAt != stillDisabled && b.now-enabledAt >= b.settings.SlowStartTime
+	})
+}
+
+// Knows reports whether the list names a backend, or an operator has disabled it.
+func (b *Balancer) Knows(id string) bool {
+	return b.byID[id] != nil || b.disabledByHand[id] == stillDisabled
+}
+
+// BackendCounts counts the backends that the list has, and those of them that get no ordinary traffic now:
+// they drain, are disabled by hand, refuse connections, or are ejected.
+func (b *Balancer) BackendCounts() (listed, avoided int) {
+	for _, backend := range b.backends {
+		if backend.listed == Removed {
+			continue
+		}
+		listed++
+		if backend.State != Up || backend.unreachable || b.isEjected(backend) {
+			avoided++
+		}
+	}
+	return listed, avoided
+}
--- a/decide/export_test.go
+++ b/decide/export_test.go
@@ -12,16 +12,16 @@
 		warm             [8]int
 	}
 	take := func() (s sums) {
-		s.up, s.sound, s.stuck = b.up, b.sound, b.stuck
+		s.up, s.sound, s.stuck = b.upCount, b.healthyCount, b.inFlightUncounted
 		for i, k := range b.kinds {
-			s.warm[i%len(s.warm)] += k.warm
+			s.warm[i%len(s.warm)] += k.warmCount
 		}
 		return s
 	}
-	b.measure()
+	b.updateCapacity()
 	kept, capacity := take(), b.capacity
-	b.partitioned = false
-	b.measure()
+	b.partitionValid = false
+	b.updateCapacity()
 	if whole := take(); whole != kept || math.Abs(b.capacity-capacity) > 1e-9 {
 		return fmt.Errorf("%+v and capacity %v, counted whole %+v and %v", kept, capacity, whole, b.capacity)
 	}
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -10,11 +10,11 @@
 // A message to peers is written and read as earlier builds do.
 func TestPeerMessageStaysAsEarlierBuildsWriteIt(t *testing.T) {
 	const now, unit = time.Hour, time.Second
-	m := tidings{demand: 12.5, delay: 0.25}
+	m := peerMessage{demand: 12.5, delay: 0.25}
 	for i := range 60 {
-		m.notes = append(m.notes, note{keyOf("10.18.74.7:" + string(rune('0'+i))), byte(i * 4), now - time.Duration(60-i)*30*time.Millisecond})
+		m.observations = append(m.observations, observation{hashID("10.18.74.7:" + string(rune('0'+i))), byte(i * 4), now - time.Duration(60-i)*30*time.Millisecond})
 	}
-	m.notes = append(m.notes, note{keyOf("failed"), noteFailed, now - unit}, note{keyOf("late"), noteLate, now - unit/2})
+	m.observations = append(m.observations, observation{hashID("failed"), observedFailure, now - unit}, observation{hashID("late"), observedOverdue, now - unit/2})
 	data := m.encode(now, unit)
 	golden.Check(t, "message.bin", data)
 	read, ok := decode(data, now, unit)
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -28,13 +28,13 @@
 		step(entry(id, Removed))
 	}
 	step(entry("first", Removed))
-	if len(b.backends) != 1 || len(b.byID) != 1 || len(b.byKey) != 1 {
-		t.Errorf("%d backends, %d ids, %d keys; only the one with an attempt out is left", len(b.backends), len(b.byID), len(b.byKey))
+	if len(b.backends) != 1 || len(b.byID) != 1 || len(b.byHash) != 1 {
+		t.Errorf("%d backends, %d ids, %d keys; only the one with an attempt out is left", len(b.backends), len(b.byID), len(b.byHash))
 	}
 	step(Outcome{Request: "r", Backend: "first", Result: OK})
 	step(ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "last"}}})
-	if len(b.backends) != 1 || b.byID["last"] == nil || len(b.byKey) != 1 || len(b.requests) != 0 {
-		t.Errorf("%d backends, %d keys, %d requests", len(b.backends), len(b.byKey), len(b.requests))
+	if len(b.backends) != 1 || b.byID["last"] == nil || len(b.byHash) != 1 || len(b.requests) != 0 {
+		t.Errorf("%d backends, %d keys, %d requests", len(b.backends), len(b.byHash), len(b.requests))
 	}
 }
 
@@ -68,14 +68,14 @@
 				}
 				now += 10 * time.Millisecond
 				b.Step(now, []Event{Outcome{Request: id, Backend: s.Backend, Result: res, Latency: 10 * time.Millisecond}})
-				if b.byID["b0"].strikes > 0 && n > 1000 {
+				if b.byID["b0"].failureScore > 0 && n > 1000 {
 					struck++
 				}
 			}
 			if all && n > 200 && n <= 1000 {
 				out := 0
 				for _, t := range b.backends {
-					if now < t.ejected {
+					if now < t.ejectedUntil {
 						out++
 					}
 				}
@@ -111,7 +111,7 @@
 		}
 		b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: list}})
 		bad, failed := 0, !row.others
-		for n := 0; n < 1000 && b.byID["b0"].strikes == 0; n++ {
+		for n := 0; n < 1000 && b.byID["b0"].failureScore == 0; n++ {
 			id := fmt.Sprint(n)
 			now += 20 * time.Millisecond
 			for _, a := range b.Step(now, []Event{Request{ID: id, Remaining: 2 * time.Second}}) {
@@ -151,8 +151,8 @@
 			now += 10 * time.Millisecond
 			b.Step(now, []Event{Outcome{Request: id, Backend: "b", Result: r, Latency: 10 * time.Millisecond}})
 		}
-		if b.byID["b"].cold != cold {
-			t.Errorf("after outcome %v and an answer: cold %v", res, b.byID["b"].cold)
+		if b.byID["b"].inSlowStart != cold {
+			t.Errorf("after outcome %v and an answer: cold %v", res, b.byID["b"].inSlowStart)
 		}
 	}
 }
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	undecided := map[string]bool{"api.go": true, "settings.go": true, "state.go": true, "message.go": true}
+	undecided := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true, "result.go": true, "state.go": true, "message.go": true}
 	files, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -5,114 +5,125 @@
 	"time"
 )
 
-// onPeer takes what another agent tells: the work that its clients ask for, the delay it
-// sees, and notes. Departure: by head count a busy agent would refuse at a limit that quiet
-// ones do not use. Acts where agents may exchange messages and their traffic differs.
-func (b *Balancer) onPeer(e PeerMessage) {
-	m, ok := decode(e.Data, b.now, b.period)
-	if !ok || e.From < 0 || e.From >= len(b.peers) || e.From == b.s.Self {
+// onPeerMessage takes what another agent reports: the work that its clients ask for, the delay it sees, and
+// observations.
+//
+// Departure from the design page: shared out by head count, the limit would have a busy agent refuse what
+// quiet ones leave unused. Acts where agents may exchange messages and their traffic differs.
+func (b *Balancer) onPeerMessage(e PeerMessage) {
+	m, ok := decode(e.Data, b.now, b.peerInterval)
+	if !ok || e.From < 0 || e.From >= len(b.peers) || e.From == b.settings.Self {
 		return
 	}
-	b.peers[e.From] = peer{demand: m.demand, until: b.now + time.Duration(tellMissed*float64(b.period))}
-	if b.notesOn() {
-		b.delay = blend(b.delay, min(m.delay, 1)) // what a quiet agent sees itself comes too late
-		for _, n := range m.notes {
-			b.read(n)
-		}
+	validFor := time.Duration(peerTimeoutIntervals * float64(b.peerInterval))
+	b.peers[e.From] = peerState{demand: m.demand, validUntil: b.now + validFor}
+	if !b.sharesObservations() {
+		return
+	}
+	b.meanDelay = updateMean(b.meanDelay, min(m.delay, 1)) // what a quiet agent sees itself comes too late
+	for _, o := range m.observations {
+		b.mergeObservation(o)
 	}
 }
 
-// write keeps a note for peers. Departure: a thin agent meets each backend too seldom to know
-// its speed or its death by itself. Where agents may exchange messages it passes on what it saw
-// and what it was told, for a few aims: one message to one of them for every few outcomes.
-func (b *Balancer) write(n note) {
-	if t := b.byKey[n.key]; t != nil {
-		t.notedAt = n.at
+// recordObservation keeps an observation for peers.
+//
+// Departure from the design page: an agent that admits by credit uses each backend too seldom to know its
+// speed or its failure by itself. Where agents may exchange messages it passes on what it saw and what it was
+// told, for a few objectives: one message to one of them for every few outcomes.
+func (b *Balancer) recordObservation(o observation) {
+	if backend := b.byHash[o.hash]; backend != nil {
+		backend.observedAt = o.at
 	}
-	if b.notes = append(b.notes, n); len(b.notes) > notesKept {
-		b.notes = append(b.notes[:0], b.notes[1:]...)
+	b.observations = append(b.observations, o)
+	if len(b.observations) > maxObservations {
+		b.observations = append(b.observations[:0], b.observations[1:]...)
 	}
 }
 
-// read takes in a peer's note unless something newer is known: the same one comes by many
-// ways, and to learn it each time would make every server look slow.
-func (b *Balancer) read(n note) {
-	t := b.byKey[n.key]
-	if t == nil || t.State != Up || n.at <= t.warmFrom || n.at <= t.notedAt {
+// mergeObservation takes in a peer's observation unless something newer is known: the same one comes by many
+// ways, and to learn it each time would make every backend look slow.
+func (b *Balancer) mergeObservation(o observation) {
+	backend := b.byHash[o.hash]
+	if backend == nil || backend.State != Up || o.at <= backend.slowStartFrom || o.at <= backend.observedAt {
 		return
 	}
-	switch {
-	case n.value == noteFailed:
-		if n.at > t.lastOK && n.at > t.struckAt {
-			b.eject(t, b.period)
+	switch o.value {
+	case observedFailure:
+		if o.at > backend.lastSuccessAt && o.at > backend.lastEjectedAt {
+			b.eject(backend, b.peerInterval)
 		}
-	case n.value == noteLate:
-		t.silent++
-		b.learnSpeed(t, lateSlow)
+	case observedOverdue:
+		backend.consecutiveTimeouts++
+		b.updateSlowness(backend, overdueSlowness)
 	default:
-		b.learnSpeed(t, float64(n.value)/noteStep)
-		t.lastOK, t.silent = max(t.lastOK, n.at), 0
-		if n.at > t.struckAt {
-			t.strikes = max(0, t.strikes-strikeHeal)
+		b.updateSlowness(backend, float64(o.value)/slownessSteps)
+		backend.lastSuccessAt = max(backend.lastSuccessAt, o.at)
+		backend.consecutiveTimeouts = 0
+		if o.at > backend.lastEjectedAt {
+			backend.failureScore = max(0, backend.failureScore-failureScoreRecovery)
 		}
 	}
-	b.write(n)
+	b.recordObservation(o)
 }
 
-// onFleet takes what the agents' own view says of their number. Each use goes by the figure that is
-// safe: shares and limits by the most that may be sending, the multiple for cold backends by the fewest.
-func (b *Balancer) onFleet(e FleetSize) {
-	if was := b.thin(); !b.s.Peers && e.Min >= 1 && e.Max >= e.Min {
-		b.s.Balancers, b.fewest, b.share = e.Max, e.Min, 1/float64(e.Max)
-		if b.thin() != was { // what was sent while it did not count is not owed now
-			b.credit = max(b.credit, 0)
-		}
-	}
-}
-
-// onVerdicts takes what all agents together hold against backends. Departure: an agent finds out by itself at
-// the price of its own requests, each of many. It only narrows: nothing comes back by a verdict, and all of
-// it lapses by itself. It could hurt where what several see is not so for this one: it tries others first.
-func (b *Balancer) onVerdicts(e Ejections) {
-	for _, t := range b.backends {
-		t.judged, t.leaves = 0, 0
+// onFleetSize takes what the agents' own membership says of their number. Each use goes by the figure that is
+// safe: shares and limits by the most that may be sending, the multiple for backends in slow start by the
+// fewest.
+func (b *Balancer) onFleetSize(e FleetSize) {
+	if b.settings.Peers || e.Min < 1 || e.Max < e.Min {
+		return
 	}
-	for _, v := range e.Ejections {
-		if t := b.byID[v.Backend]; t != nil && t.Started == v.Started && v.Draining {
-			t.leaves = v.Until
-		} else if t != nil && t.Started == v.Started {
-			t.judged = v.Until
-		}
+	before := b.admitsByCredit()
+	b.settings.Balancers = e.Max
+	b.minBalancers = e.Min
+	b.ownShare = 1 / float64(e.Max)
+	if b.admitsByCredit() != before { // what started while credit did not count is not owed now
+		b.admissionCredit = max(b.admissionCredit, 0)
 	}
-	b.partitioned = false
 }
 
-func (b *Balancer) message(notes []note, step int) {
-	data := tidings{b.demand, b.delay, notes}.encode(b.now, b.period)
-	b.actions = append(b.actions, SendToPeer{To: (b.s.Self + step) % b.s.Balancers, Data: data})
+// sendPeerMessage reports to the peer so many numbers after this agent's.
+func (b *Balancer) sendPeerMessage(observations []observation, offset int) {
+	m := peerMessage{demand: b.demand, delay: b.meanDelay, observations: observations}
+	to := (b.settings.Self + offset) % b.settings.Balancers
+	b.actions = append(b.actions, SendToPeer{To: to, Data: m.encode(b.now, b.peerInterval)})
 }
 
-// tell tells peers this agent's demand, and reckons its share anew. Where there are more peers
-// than tellFan, a sample of them is told, and those heard lately stand for the rest: telling
-// all costs messages with the square of the number of agents.
-func (b *Balancer) tell() {
-	b.demand, b.demandAt = b.demand*math.Exp(-float64(b.now-b.demandAt)/(tellMissed*float64(b.period))), b.now
-	b.tellToken = b.alarm(b.period)
-	sampled := b.s.Balancers-1 > tellFan
-	from, others := b.rng.IntN(b.s.Balancers), b.s.Balancers-1
-	for i := 1; i <= min(tellFan, others) && !b.notesOn(); i++ {
-		b.message(nil, 1+(from+i)%others)
+// reportToPeers reports this agent's demand, and computes its share anew. Where there are more peers than
+// peerFanout, a sample of them gets the report, and those heard from lately stand for the rest: reports to
+// all would cost messages with the square of the number of agents.
+func (b *Balancer) reportToPeers() {
+	elapsed := float64(b.now - b.demandUpdatedAt)
+	b.demand *= math.Exp(-elapsed / (peerTimeoutIntervals * float64(b.peerInterval)))
+	b.demandUpdatedAt = b.now
+	b.peerReportToken = b.setTimer(b.peerInterval)
+	peerCount := b.settings.Balancers - 1
+	from := b.rng.IntN(b.settings.Balancers)
+	for i := 1; i <= min(peerFanout, peerCount) && !b.sharesObservations(); i++ {
+		b.sendPeerMessage(nil, 1+(from+i)%peerCount)
 	}
-	total, heard, n := b.demand, 1.0, float64(b.s.Balancers)
+	b.updateOwnShare(peerCount > peerFanout)
+}
+
+// updateOwnShare divides the in-flight limit, in part by head count and in part by demand. sampled: peers not
+// heard from count as mean ones; else they have stopped, and their clients go elsewhere.
+func (b *Balancer) updateOwnShare(sampled bool) {
+	total := b.demand
+	reporting := 1.0
+	balancers := float64(b.settings.Balancers)
 	for _, p := range b.peers {
-		if b.now < p.until {
+		switch {
+		case b.now < p.validUntil:
 			total += p.demand
-			heard++
-		} else if p.until > 0 && !sampled {
-			n-- // it has stopped, and its clients go elsewhere
+			reporting++
+		case p.validUntil > 0 && !sampled:
+			balancers--
 		}
 	}
-	if b.share = 1 / n; total > 0 {
-		b.share = (headShare + (1-headShare)*b.demand/total*heard) / n
+	b.ownShare = 1 / balancers
+	if total > 0 {
+		byDemand := (1 - headCountShare) * b.demand / total * reporting
+		b.ownShare = (headCountShare + byDemand) / balancers
 	}
 }
--- /dev/null
+++ b/decide/queue.go
@@ -0,0 +1,104 @@
+package decide
+
+import "time"
+
+// enqueue has a request wait for capacity. One that finds some leaves the queue in the same step.
+func (b *Balancer) enqueue(request *openRequest) {
+	request.queued = true
+	b.queue = append(b.queue, request)
+}
+
+func (b *Balancer) dequeue(request *openRequest) {
+	request.queued = false
+	b.queue = removeFirst(b.queue, request)
+}
+
+// dispatchQueue starts queued requests while there is capacity, and sheds those that can't be answered within
+// their objective any more. Waiting here costs the backends nothing.
+func (b *Balancer) dispatchQueue() {
+	if len(b.queue) == 0 {
+		return
+	}
+	for i := range b.classes {
+		b.classes[i].unitValue = b.valueOfWork(i)
+	}
+	b.startQueued()
+	for i := len(b.queue) - 1; i >= 0; i-- {
+		b.shedOrWait(b.queue[i])
+	}
+}
+
+// startQueued starts the most valuable requests for which there are capacity and a backend.
+func (b *Balancer) startQueued() {
+	for {
+		request := b.nextQueued()
+		if request == nil || !b.hasCapacity(request) {
+			return
+		}
+		request.lackingLimit = nil
+		request.higherValueShare = b.higherValueShare(request)
+		backend := b.pick(request)
+		if backend == nil {
+			request.noBackend = true
+			continue
+		}
+		b.dequeue(request)
+		b.startAttempt(request, backend)
+	}
+}
+
+// nextQueued is the queued request to start next: first tries before clients' retries, the most valuable
+// class first, within it the newest. Those that found no backend in this step are left out. nil: there is
+// none.
+func (b *Balancer) nextQueued() *openRequest {
+	var best *openRequest
+	bestValue := 0.0
+	for _, request := range b.queue {
+		if request.noBackend {
+			continue
+		}
+		class := &b.classes[request.class]
+		value := class.unitValue
+		if request.clientRetry {
+			value *= clientRetryValue
+		}
+		if request.objectiveAt-b.now < time.Duration(b.expectedLatency(request)/2) {
+			value *= class.LateValue
+		}
+		if best == nil || value >= bestValue {
+			best = request
+			bestValue = value
+		}
+	}
+	return best
+}
+
+// shedOrWait refuses a request that has found no capacity or no backend in this step and can wait no longer,
+// or has it looked at again when that is so. No wait brings a lease, and a client's retry does not wait.
+func (b *Balancer) shedOrWait(request *openRequest) {
+	reason := NoCapacity
+	switch {
+	case request.noBackend && request.lackingLimit != nil:
+		reason = NoLease
+	case request.noBackend:
+		reason = NoBackend
+	}
+	request.noBackend = false
+	lacksLease := reason == NoLease && !request.lackingLimit.SlowStart()
+	shedAt := b.shedAt(request)
+	switch {
+	case request.clientRetry || shedAt <= b.now || lacksLease:
+		b.dequeue(request)
+		b.finish(request, reason)
+	case request.timerToken == 0:
+		b.setRequestTimer(request, shedAt)
+	}
+}
+
+// shedAt is when a queued request is shed: while its answer is still within reach of the objective, and
+// before half of the client's time is over, since a later refusal costs the client more.
+func (b *Balancer) shedAt(request *openRequest) time.Duration {
+	objective := float64(b.classes[request.class].Objective)
+	margin := min(queueMargin*b.expectedLatency(request), maxQueueMargin*objective)
+	return min(request.objectiveAt-time.Duration(margin), request.halfTimeAt-b.settings.Tick)
+}
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -6,53 +6,89 @@
 	"time"
 )
 
-// retry ends a failed attempt's request or schedules the next attempt.
-func (b *Balancer) retry(r *request, res Result) {
+// retry schedules the next attempt of a request after a failed one, with exponential backoff and full jitter,
+// or ends it: without enough tokens in the retry bucket, attempts or time, the request ends with its failure.
+func (b *Balancer) retry(request *openRequest, result Result) {
 	cost := retryCost
-	if res == TimedOut {
-		cost = timeoutCost
+	if result == TimedOut {
+		cost = retryCostAfterTimeout
 	}
-	unit := backoffUnit * float64(b.classes[r.class].Objective)
-	at := b.now + time.Duration(b.rng.Float64()*min(math.Exp2(float64(r.retries)), backoffCeiling)*unit)
-	possible := func(t *backend) bool { return t.State == Up && b.mayRepeat(r, t) }
-	last := r.attempts[len(r.attempts)-1]
+	retryAt := b.now + b.backoff(request)
+	last := request.attempts[len(request.attempts)-1]
 	switch {
-	case res == NotSent && last.noDial:
-		r.lack = b.book.ConnectionRefusedBy(b.now, b.use(r, last.b))
-		b.finish(r, NoLease)
-	case len(r.attempts) >= b.s.MaxAttempts, r.spent, res == NotSent:
-		b.finish(r, NoAttemptLeft)
-	case !slices.ContainsFunc(b.backends, possible):
-		b.finish(r, NoBackend)
-	case b.tokens < cost:
-		b.finish(r, NoRetryToken)
-	case at >= r.deadline:
-		b.finish(r, DeadlineTooClose)
+	case result == NotSent && last.reuseOnly:
+		request.lackingLimit = b.ledger.ConnectionRefusedBy(b.now, b.demandOf(request, last.backend))
+		b.finish(request, NoLease)
+	case len(request.attempts) >= b.settings.MaxAttempts, request.notReplayable, result == NotSent:
+		b.finish(request, NoAttemptLeft)
+	case !b.anyMayRetry(request):
+		b.finish(request, NoBackend)
+	case b.retryTokens < cost:
+		b.finish(request, NoRetryToken)
+	case retryAt >= request.deadline:
+		b.finish(request, DeadlineTooClose)
 	default:
-		b.tokens -= cost
-		r.retries++
-		r.waiting = true
-		b.timer(r, at)
+		b.retryTokens -= cost
+		request.retries++
+		request.backingOff = true
+		b.setRequestTimer(request, retryAt)
 	}
 }
 
-// mayRepeat is the repeat rule: whether a (further) attempt of r may go to t.
-func (b *Balancer) mayRepeat(r *request, t *backend) bool {
-	if r.ended || r.stream || r.spent || r.only != "" && t.ID != r.only ||
-		len(r.attempts) >= b.s.MaxAttempts || r.open > 0 && !b.s.Hedging {
+// backoff is the wait before a request's next attempt.
+func (b *Balancer) backoff(request *openRequest) time.Duration {
+	unit := backoffUnit * float64(b.classes[request.class].Objective)
+	ceiling := min(math.Exp2(float64(request.retries)), backoffCeiling)
+	return time.Duration(b.rng.Float64() * ceiling * unit)
+}
+
+// anyMayRetry reports whether any backend that is up may get a further attempt of a request.
+func (b *Balancer) anyMayRetry(request *openRequest) bool {
+	return slices.ContainsFunc(b.backends, func(backend *endpoint) bool {
+		return backend.State == Up && b.mayAttempt(request, backend)
+	})
+}
+
+// mayAttempt is the guard of the second rule, no effect twice: whether an attempt of a request may go to a
+// backend, the first one or a further one.
+func (b *Balancer) mayAttempt(request *openRequest, backend *endpoint) bool {
+	if request.ended || request.responseStarted || request.notReplayable {
+		return false
+	}
+	if request.onlyBackend != "" && backend.ID != request.onlyBackend {
+		return false
+	}
+	if len(request.attempts) >= b.settings.MaxAttempts || request.openCount > 0 && !b.settings.Hedging {
 		return false
 	}
-	c := &b.classes[r.class]
-	if c.Effect == Idempotent || r.risky == 0 {
+	class := &b.classes[request.class]
+	if class.Effect == Idempotent || request.mayHaveRun == 0 {
 		return true
 	}
-	// A repeat may reach its backend a connect time-out after it is sent: the window must hold then.
-	if c.Effect == NonIdempotent || b.now+b.s.ConnectTimeout-r.anchor.sent >= c.DedupWindow {
+	if class.Effect == NonIdempotent {
 		return false
 	}
-	// The group is that of the first attempt's backend as it was then. One that has come to the group
-	// since, whether it moved or is new, need not know the key.
-	from := r.anchor
-	return c.Scope == ScopeAll || c.Scope == ScopeZone && t.Zone == from.zone && t.zoned <= from.list ||
-		c.Scope == ScopeCell && t.Cell == from.cell && t.celled <= from.list
+	return b.inDedupWindow(request, class) && inDedupScope(request, class, backend)
+}
+
+// inDedupWindow reports whether a repeat that starts now is still dropped. It may reach its backend a connect
+// time-out after it is sent: the window must hold then.
+func (b *Balancer) inDedupWindow(request *openRequest, class *classState) bool {
+	return b.now+b.settings.ConnectTimeout-request.firstMayHaveRun.sentAt < class.DedupWindow
+}
+
+// inDedupScope reports whether a backend drops repeats of a keyed request. The scope is that of the first
+// attempt's backend as it was then: a backend that has come to the scope since, whether it moved or is new,
+// need not know the key.
+func inDedupScope(request *openRequest, class *classState, backend *endpoint) bool {
+	first := request.firstMayHaveRun
+	switch class.Scope {
+	case ScopeAll:
+		return true
+	case ScopeZone:
+		return backend.Zone == first.zone && backend.zoneSetAt <= first.listVersion
+	case ScopeCell:
+		return backend.Cell == first.cell && backend.cellSetAt <= first.listVersion
+	}
+	return false
 }
--- a/decide/sample_test.go
+++ b/decide/sample_test.go
@@ -22,20 +22,20 @@
 	}
 	b.Step(time.Hour, []Event{ListUpdate{Kind: ListFull, Backends: list}})
 	for i, s := range b.backends {
-		s.seen, s.slow = true, 0.5+float64(i%7)/4
+		s.hasAnswered, s.slowness = true, 0.5+float64(i%7)/4
 		switch {
 		case i%11 == 0:
-			s.out = append(s.out, &attempt{b: s, sent: b.now, cost: 1, open: true})
+			s.inFlight = append(s.inFlight, &openAttempt{backend: s, sentAt: b.now, expectedLatency: 1, open: true})
 		case i%13 == 0:
-			s.strikes, s.ejected = 1, b.now+time.Hour
+			s.failureScore, s.ejectedUntil = 1, b.now+time.Hour
 		case i%17 == 0:
 			s.State = Draining
 		case i%19 == 0:
-			s.fullTill = b.now + time.Hour
+			s.rejectingUntil = b.now + time.Hour
 		}
 	}
-	b.partitioned = false
-	b.measure()
+	b.partitionValid = false
+	b.updateCapacity()
 	return b
 }
 
@@ -43,12 +43,12 @@
 func TestSampleChoosesAsScanDoes(t *testing.T) {
 	const n, draws = 200, 100_000
 	b := crowd(t, n)
-	r := &request{class: 0, deadline: b.now + time.Second}
+	r := &openRequest{class: 0, deadline: b.now + time.Second}
 	scanned, sampled := map[string]float64{}, map[string]float64{}
 	none := 0
 	for range draws {
-		scanned[b.scan(r).ID]++
-		if s := b.sample(r, b.backends); s != nil {
+		scanned[b.scanAll(r).ID]++
+		if s := b.sampleIdle(r, b.backends); s != nil {
 			sampled[s.ID]++
 		} else {
 			none++
@@ -69,7 +69,7 @@
 
 // What the last measure found holds only while nothing has changed: each of these must be seen.
 func TestMeasureSeesEachChange(t *testing.T) {
-	plain := func() (*Balancer, *backend) {
+	plain := func() (*Balancer, *endpoint) {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: time.Minute, SlowStartShare: 0.5, Classes: []Class{
 			{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
 		if err != nil {
@@ -77,19 +77,21 @@
 		}
 		b.Step(time.Hour, []Event{ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "a"}, {ID: "b"}}}})
 		b.Step(time.Hour+1, nil)
-		if !b.partitioned || len(b.unsettled) > 0 || b.capacity != 2 {
+		if !b.partitionValid || len(b.unsettled) > 0 || b.capacity != 2 {
 			t.Fatalf("unsettled %v, capacity %v", b.unsettled, b.capacity)
 		}
 		return b, b.byID["a"]
 	}
-	for name, change := range map[string]func(b *Balancer, s *backend){
-		"a drain":     func(b *Balancer, _ *backend) { b.onList(ListUpdate{Backends: []Backend{{ID: "a", State: Draining}}}) },
-		"a new start": func(b *Balancer, s *backend) { b.start(s, b.now) },
-		"an ejection": func(b *Balancer, s *backend) { b.eject(s, time.Minute) },
-		"a refused connection": func(b *Balancer, s *backend) {
-			r := &request{id: "q", deadline: b.now + time.Second}
+	for name, change := range map[string]func(b *Balancer, s *endpoint){
+		"a drain": func(b *Balancer, _ *endpoint) {
+			b.onListUpdate(ListUpdate{Backends: []Backend{{ID: "a", State: Draining}}})
+		},
+		"a new start": func(b *Balancer, s *endpoint) { b.beginSlowStart(s, b.now) },
+		"an ejection": func(b *Balancer, s *endpoint) { b.eject(s, time.Minute) },
+		"a refused connection": func(b *Balancer, s *endpoint) {
+			r := &openRequest{id: "q", deadline: b.now + time.Second}
 			b.requests["q"] = r
-			b.send(r, s)
+			b.startAttempt(r, s)
 			b.onOutcome(Outcome{Request: "q", Backend: "a", Result: ConnectFailed})
 		},
 	} {
