--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -21,7 +21,7 @@
 	Rate    float64 // requests a second of each agent, all of which count towards the one limit
 	Marks   []time.Duration
 	Length  time.Duration
-	Down    []leasesim.Down
+	Down    []leasesim.Outage
 }
 
 // Play plays it, and is what it cost a holder, and what a keeper.
@@ -29,10 +29,10 @@
 	keepers := cmp.Or(l.Keepers, 3)
 	m := newMeter(l.Members, l.Marks)
 	wire := transport.Wire{Fleet: Fleet}
-	o := leasesim.Options{Seed: l.Seed, Holders: l.Members, Keepers: keepers, Figure: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Counts: quota.Requests, Soft: true,
-		Length: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, Lasts: 100 * time.Millisecond, From: 2 * l.Length, // what is served is not counted: it takes long
-		Size: func(from string, x any) int { return size(wire, from, x) }, Sent: m.sent, Took: m.took, Path: path(l.Layout), Down: l.Down}
-	if r, err = leasesim.Play(o); err != nil {
+	o := leasesim.Options{Seed: l.Seed, Clients: l.Members, Servers: keepers, Total: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Kind: quota.Requests, Soft: true,
+		Duration: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, MeanAttemptTime: 100 * time.Millisecond, CountFrom: 2 * l.Length, // what is served is not counted: it takes long
+		MessageSize: func(from string, x any) int { return size(wire, from, x) }, OnSent: m.sent, OnReceived: m.took, PeerPath: path(l.Layout), Outages: l.Down}
+	if r, err = leasesim.Run(o); err != nil {
 		return nil, nil, nil, fmt.Errorf("play the limits of %d members: %w", l.Members, err)
 	}
 	holder = m.phases(l.Length, func(n int) bool { return n >= keepers })
--- a/internal/peer/lease/allocation.go
+++ b/internal/peer/lease/allocation.go
@@ -18,16 +18,16 @@
 func (r *serverRow) divide(now time.Duration, l *serverLimit) {
 	active, used := r.activeHolders(now, l)
 	r.adjustOvercommit(now, l, used)
-	left := l.share + int(r.overcommit*float64(l.share))
-	left -= spread(left, active, func(h *holder) int { return h.need })
-	left -= spread(left, active, func(h *holder) int { return h.desired - h.need })
+	remaining := l.share + int(r.overcommit*float64(l.share))
+	remaining -= spread(remaining, active, func(h *holder) int { return h.need })
+	remaining -= spread(remaining, active, func(h *holder) int { return h.desired - h.need })
 	desired := 0
 	for _, h := range active {
 		desired += h.desired
 	}
 	for _, h := range active {
-		if left > 0 {
-			h.share += int(float64(left) / 2 * float64(h.desired) / float64(desired))
+		if remaining > 0 {
+			h.share += int(float64(remaining) / 2 * float64(h.desired) / float64(desired))
 		}
 	}
 }
@@ -86,27 +86,27 @@
 // divideProportionally divides a total that is smaller than the sum of what holders want.
 func divideProportionally(total int, holders []*holder, wanted func(*holder) int) []int {
 	amounts := make([]int, len(holders))
-	left := total
+	remaining := total
 	wantedBesides := 0
 	for n, h := range holders { // one each
-		if wanted(h) > 0 && left > 0 {
+		if wanted(h) > 0 && remaining > 0 {
 			amounts[n] = 1
-			left--
+			remaining--
 		}
 		wantedBesides += max(0, wanted(h)-1)
 	}
 	if wantedBesides > 0 {
-		proportional := left
+		proportional := remaining
 		for n, h := range holders {
 			more := int(float64(proportional) * float64(max(0, wanted(h)-1)) / float64(wantedBesides))
 			amounts[n] += more
-			left -= more
+			remaining -= more
 		}
 	}
 	for n, h := range holders {
-		if left > 0 && amounts[n] < wanted(h) {
+		if remaining > 0 && amounts[n] < wanted(h) {
 			amounts[n]++
-			left--
+			remaining--
 		}
 	}
 	return amounts
--- a/internal/peer/lease/client.go
+++ b/internal/peer/lease/client.go
@@ -115,8 +115,8 @@
 	rowIdleTimeout = 30 * time.Second
 	// maxIssued is how many issued leases are remembered of an agent that adopts none, and keptIssued how many of these
 	// remain then: the agent adopts a later one.
-	maxIssued  = 64
-	keptIssued = 32
+	maxIssued      = 64
+	retainedIssued = 32
 	// minNeed is the need below which an agent counts as needing nothing.
 	minNeed = 0.5
 )
@@ -454,7 +454,7 @@
 func (l *clientLease) issue(issued issuedLease) {
 	l.issued = append(l.issued, issued)
 	if len(l.issued) > maxIssued {
-		l.issued = l.issued[keptIssued:]
+		l.issued = l.issued[retainedIssued:]
 	}
 }
 
--- a/internal/peer/lease/leasesim/leasesim_test.go
+++ b/internal/peer/lease/leasesim/leasesim_test.go
@@ -1,6 +1,7 @@
 package leasesim
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -8,111 +9,185 @@
 	"vetchhaven/internal/peer/lease"
 )
 
-func even(rate float64) func(int, time.Duration) float64 {
+var bothKinds = []quota.Kind{quota.InFlight, quota.Requests}
+
+// evenDemand has all clients have the same demand, in requests a second.
+func evenDemand(rate float64) func(int, time.Duration) float64 {
 	return func(int, time.Duration) float64 { return rate }
 }
 
-func run(t *testing.T, o Options) *Result {
+// unevenDemand has one client have ten times the demand of each other. Of ten, all together want twice a total of 120.
+func unevenDemand(client int, _ time.Duration) float64 {
+	if client == 0 {
+		return 120
+	}
+	return 12
+}
+
+func runSim(t *testing.T, o Options) *Result {
 	t.Helper()
-	r, err := Play(o)
+	r, err := Run(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func TestHardLimitIsNeverPassed(t *testing.T) {
-	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests} {
-		begun, crashes, near := 0, 0, 0
-		for seed := range uint64(8) {
-			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 1 + 2*int(seed%3), Figure: 20 + int(seed), Counts: counts, Length: 60 * time.Second,
-				Demand: even(60), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.DefaultClockDrift})
-			if r.Over > 0 {
-				t.Errorf("%v, seed %d: %d times over, %d of %d at the most", counts, seed, r.Over, r.Most, 20+int(seed))
+// withFaults returns options of a fleet among random faults, of a size that depends on the seed.
+func withFaults(seed uint64, kind quota.Kind) Options {
+	return Options{
+		Seed:            seed,
+		Clients:         5 + int(seed%20),
+		Kind:            kind,
+		MeanAttemptTime: 200 * time.Millisecond,
+		Faults:          true,
+		ClockDrift:      lease.DefaultClockDrift,
+	}
+}
+
+func TestHardLimitIsNeverExceeded(t *testing.T) {
+	for _, kind := range bothKinds {
+		t.Run(kind.String(), func(t *testing.T) {
+			started, crashes, nearTotal := 0, 0, 0
+			for seed := range uint64(8) {
+				o := withFaults(seed, kind)
+				o.Servers = 1 + 2*int(seed%3)
+				o.Total = 20 + int(seed)
+				o.Duration = 60 * time.Second
+				o.Demand = evenDemand(60)
+				r := runSim(t, o)
+				if r.Exceeded > 0 {
+					t.Errorf("seed %d: exceeded %d times, by up to %d of %d", seed, r.Exceeded, r.MaxUsed, o.Total)
+				}
+				started += r.Started
+				crashes += r.Crashes
+				nearTotal += r.NearTotal
 			}
-			begun, crashes, near = begun+r.Begun, crashes+r.Crashes, near+r.Near
-		}
-		if begun < 1500 || crashes < 60 || near < 50 {
-			t.Errorf("%v: %d begun, %d near the figure, among %d crashes: this tries nothing", counts, begun, near, crashes)
-		}
+			if started < 1500 || crashes < 60 || nearTotal < 50 {
+				t.Errorf("not exercised: %d started, %d near the total, %d crashes", started, nearTotal, crashes)
+			}
+		})
 	}
 }
 
-func TestSoftLimitKeepsItsBound(t *testing.T) {
-	over := 0
-	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests} {
+func TestSoftLimitStaysWithinItsBound(t *testing.T) {
+	exceeded := 0
+	for _, kind := range bothKinds {
 		for seed := range uint64(6) {
-			r := run(t, Options{Seed: seed, Holders: 5 + int(seed%20), Keepers: 3, Figure: 60, Soft: true, Counts: counts, Length: 40 * time.Second,
-				Demand: even(30), Lasts: 200 * time.Millisecond, Faults: true, Rates: lease.DefaultClockDrift})
-			if r.Most > r.Bound {
-				t.Errorf("%v, seed %d: %d, where %d is the bound", counts, seed, r.Most, r.Bound)
-			}
-			over += r.Over
+			t.Run(fmt.Sprintf("%v, seed %d", kind, seed), func(t *testing.T) {
+				o := withFaults(seed, kind)
+				o.Servers = 3
+				o.Total = 60
+				o.Soft = true
+				o.Duration = 40 * time.Second
+				o.Demand = evenDemand(30)
+				r := runSim(t, o)
+				if r.MaxUsed > r.Bound {
+					t.Errorf("%d in use, the bound is %d", r.MaxUsed, r.Bound)
+				}
+				exceeded += r.Exceeded
+			})
 		}
 	}
-	if over == 0 {
-		t.Error("the figure was never passed: the bound was not tried")
+	if exceeded == 0 {
+		t.Error("the total was never exceeded: the bound was not exercised")
 	}
 }
 
-// The one assumption: where clocks differ by far more than is stated, the limit is passed. So the harness sees it.
-func TestClocksFarOffBreakIt(t *testing.T) {
-	over := 0
+// Where clocks differ by far more than is assumed, the limit is exceeded, and the simulation notices.
+func TestClocksBeyondTheAssumedDriftExceedTheLimit(t *testing.T) {
+	exceeded := 0
 	for seed := range uint64(20) {
-		r := run(t, Options{Seed: seed, Holders: 2, Keepers: 1, Figure: 30, Counts: quota.InFlight, Length: 40 * time.Second,
-			Demand: even(300), Lasts: 200 * time.Millisecond, Rates: 0.6, Cut: []int{1}, Cut0: 10 * time.Second, Cut1: time.Hour})
-		over += r.Over
-	}
-	if over == 0 {
-		t.Error("never over: the harness would not see it")
+		r := runSim(t, Options{
+			Seed:            seed,
+			Clients:         2,
+			Servers:         1,
+			Total:           30,
+			Kind:            quota.InFlight,
+			Duration:        40 * time.Second,
+			Demand:          evenDemand(300),
+			MeanAttemptTime: 200 * time.Millisecond,
+			ClockDrift:      0.6,
+			Partitioned:     []int{1},
+			PartitionStart:  10 * time.Second,
+			PartitionEnd:    time.Hour,
+		})
+		exceeded += r.Exceeded
 	}
-}
-
-// One agent has ten times the traffic of each of the rest, and all together want twice the figure.
-func uneven(n int, _ time.Duration) float64 {
-	if n == 0 {
-		return 120
+	if exceeded == 0 {
+		t.Error("never exceeded")
 	}
-	return 12
 }
 
-func TestWholeLinksUseWhatIsWanted(t *testing.T) {
+func TestLimitIsUsedWithoutFaults(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		demand func(int, time.Duration) float64
-		soft   bool
-		least  float64
+		name         string
+		demand       func(int, time.Duration) float64
+		soft         bool
+		minUsedShare float64
 	}{
-		{"two fifths", even(5), false, 0.97}, {"four fifths", even(10), false, 0.80}, {"all wanted twice", even(24), false, 0.84},
-		{"uneven", uneven, false, 0.82}, {"soft, four fifths", even(10), true, 0.95}, {"soft, uneven", uneven, true, 0.95},
+		{"two fifths of the total wanted", evenDemand(5), false, 0.97},
+		{"four fifths wanted", evenDemand(10), false, 0.80},
+		{"twice the total wanted", evenDemand(24), false, 0.84},
+		{"uneven demand", unevenDemand, false, 0.82},
+		{"soft, four fifths wanted", evenDemand(10), true, 0.95},
+		{"soft, uneven demand", unevenDemand, true, 0.95},
 	} {
-		r := run(t, Options{Seed: 1, Holders: 10, Keepers: 3, Figure: 120, Soft: c.soft, Counts: quota.Requests, Length: 60 * time.Second, Demand: c.demand, From: 10 * time.Second})
-		t.Logf("%s: served %.3f, most %d of %d, %d messages of %d bytes", c.name, r.Served, r.Most, r.Bound, r.Messages, r.Bytes)
-		if r.Served < c.least {
-			t.Errorf("%s: %.3f of what is wanted or allowed", c.name, r.Served)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r := runSim(t, Options{
+				Seed:      1,
+				Clients:   10,
+				Servers:   3,
+				Total:     120,
+				Soft:      c.soft,
+				Kind:      quota.Requests,
+				Duration:  60 * time.Second,
+				Demand:    c.demand,
+				CountFrom: 10 * time.Second,
+			})
+			t.Logf("used %.3f, at most %d of %d, %d messages of %d bytes", r.UsedShare, r.MaxUsed, r.Bound, r.Messages, r.Bytes)
+			if r.UsedShare < c.minUsedShare {
+				t.Errorf("%.3f of what is wanted or allowed", r.UsedShare)
+			}
+		})
 	}
 }
 
-func TestShiftIsFollowed(t *testing.T) {
+func TestShiftOfDemandIsFollowed(t *testing.T) {
+	const shift = 20 * time.Second
+	fromFirstToSecond := func(client int, now time.Duration) float64 {
+		if client < 2 && (client == 1) == (now > shift) {
+			return 2000
+		}
+		return 1
+	}
 	for _, soft := range []bool{false, true} {
-		for _, counts := range []quota.Kind{quota.Requests, quota.InFlight} {
-			r := run(t, Options{Seed: 2, Holders: 10, Keepers: 3, Figure: 120, Soft: soft, Counts: counts, Lasts: 100 * time.Millisecond, Length: 40 * time.Second, From: 10 * time.Second,
-				Demand: func(n int, now time.Duration) float64 {
-					if (n == 1) == (now > 20*time.Second) && n < 2 {
-						return 2000
-					}
-					return 1
-				}})
-			rate := 120.0
-			if counts == quota.InFlight {
-				rate = 1200
-			}
-			d := r.Follows(1, 20*time.Second, rate, 0.85)
-			t.Logf("%v soft %v: %v", counts, soft, d)
-			if d == 0 || d > 2*time.Second {
-				t.Errorf("%v, soft %v: followed after %v", counts, soft, d)
-			}
+		for _, c := range []struct {
+			kind quota.Kind
+			rate float64 // requests a second that the total allows
+		}{
+			{quota.Requests, 120},
+			{quota.InFlight, 1200},
+		} {
+			t.Run(fmt.Sprintf("%v, soft %v", c.kind, soft), func(t *testing.T) {
+				r := runSim(t, Options{
+					Seed:            2,
+					Clients:         10,
+					Servers:         3,
+					Total:           120,
+					Soft:            soft,
+					Kind:            c.kind,
+					MeanAttemptTime: 100 * time.Millisecond,
+					Duration:        40 * time.Second,
+					CountFrom:       10 * time.Second,
+					Demand:          fromFirstToSecond,
+				})
+				after := r.AdaptationTime(1, shift, c.rate, 0.85)
+				t.Logf("followed after %v", after)
+				if after == 0 || after > 2*time.Second {
+					t.Errorf("followed after %v", after)
+				}
+			})
 		}
 	}
 }
--- a/internal/peer/lease/server.go
+++ b/internal/peer/lease/server.go
@@ -226,13 +226,13 @@
 // moment may still be in use: in flight until it reports otherwise or its lease would have ended; begun within a second,
 // for a second.
 func (h *holder) settle(now time.Duration, l *serverLimit, item *RequestItem) {
-	kept := h.grants[:0]
+	retained := h.grants[:0]
 	lastDropped := time.Duration(0)
 	for _, g := range h.grants {
 		switch {
 		case now >= g.Expires:
 		case g.Number >= item.LastGrant && item.LastGrant != releasedGrants:
-			kept = append(kept, g)
+			retained = append(retained, g)
 		default:
 			lastDropped = max(lastDropped, g.Expires)
 		}
@@ -240,10 +240,10 @@
 	if item.Used > 0 && item.LastGrant > 0 {
 		used := grantedLease{Amount: item.Used, Expires: l.usedUntil(now, item, lastDropped)}
 		if now < used.Expires {
-			kept = append([]grantedLease{used}, kept...)
+			retained = append([]grantedLease{used}, retained...)
 		}
 	}
-	h.grants = kept
+	h.grants = retained
 }
 
 // usedUntil returns until when what a holder reports as used counts as leased.
@@ -260,13 +260,13 @@
 
 // maxInUse returns the most that a holder may have in use.
 func (h *holder) maxInUse(now time.Duration) int {
-	most := 0
+	highest := 0
 	for _, g := range h.grants {
 		if now < g.Expires {
-			most = max(most, g.Amount)
+			highest = max(highest, g.Amount)
 		}
 	}
-	return most
+	return highest
 }
 
 // refresh sums up what is leased, forgets idle holders, and divides the server's share anew.
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -238,7 +238,7 @@
 
 func limitsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	return limitsTable(sizes, f, "worst", "zone_back", "a zone of 15 starts at once; the 6 s from then", "limits --part worst", func(l *hollow.Limits) {
-		l.Down = []leasesim.Down{{Members: l.Layout.InZone(zones), Start: 3 * time.Second, End: 8 * time.Second}}
+		l.Down = []leasesim.Outage{{Members: l.Layout.InZone(zones), Start: 3 * time.Second, End: 8 * time.Second}}
 	})
 }
 
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -59,28 +59,28 @@
 		{"whole, twice the figure wanted", leasesim.Options{Demand: even(24)}},
 		{"whole, four fifths wanted", leasesim.Options{Demand: even(9.6)}},
 		{"whole, one wants ten times the rest", leasesim.Options{Demand: uneven}},
-		{"one agent cut off", leasesim.Options{Demand: even(24), Cut: []int{9}, Cut0: 15 * time.Second, Cut1: time.Hour}},
-		{"halves", leasesim.Options{Demand: even(24), Cut: []int{5, 6, 7, 8, 9}, Cut0: 15 * time.Second, Cut1: time.Hour}},
+		{"one agent cut off", leasesim.Options{Demand: even(24), Partitioned: []int{9}, PartitionStart: 15 * time.Second, PartitionEnd: time.Hour}},
+		{"halves", leasesim.Options{Demand: even(24), Partitioned: []int{5, 6, 7, 8, 9}, PartitionStart: 15 * time.Second, PartitionEnd: time.Hour}},
 		{"the first member dead", leasesim.Options{Demand: func(n int, _ time.Duration) float64 {
 			if n == 0 {
 				return 0
 			}
 			return 26
-		}, Cut: []int{0}, Cut0: 5 * time.Second, Cut1: time.Hour}},
-		{"crashes, pauses, lost and late messages", leasesim.Options{Demand: even(24), Faults: true, Rates: lease.DefaultClockDrift}},
+		}, Partitioned: []int{0}, PartitionStart: 5 * time.Second, PartitionEnd: time.Hour}},
+		{"crashes, pauses, lost and late messages", leasesim.Options{Demand: even(24), Faults: true, ClockDrift: lease.DefaultClockDrift}},
 	}
 	bench.Head("of 120 a second", "way", "used", "most in any second", "over in so many begins")
 	type key struct{ c, w int }
 	got := map[key]*leasesim.Result{}
 	var mu sync.Mutex
-	err := bench.Each(len(cases)*(int(leasesim.Ways)+1), runtime.NumCPU(), func(i int) error {
-		c, w := i/(int(leasesim.Ways)+1), i%(int(leasesim.Ways)+1)
+	err := bench.Each(len(cases)*(int(leasesim.StrategyCount)+1), runtime.NumCPU(), func(i int) error {
+		c, w := i/(int(leasesim.StrategyCount)+1), i%(int(leasesim.StrategyCount)+1)
 		o := cases[c].o
-		o.Seed, o.Holders, o.Keepers, o.Figure, o.Counts, o.Length, o.From = 1, 10, 3, 120, quota.Requests, 60*time.Second, 20*time.Second
-		if o.Way = leasesim.Way(w); w == int(leasesim.Ways) {
-			o.Way, o.Soft = leasesim.Keepers, true
+		o.Seed, o.Clients, o.Servers, o.Total, o.Kind, o.Duration, o.CountFrom = 1, 10, 3, 120, quota.Requests, 60*time.Second, 20*time.Second
+		if o.Strategy = leasesim.Strategy(w); w == int(leasesim.StrategyCount) {
+			o.Strategy, o.Soft = leasesim.PartitionedServers, true
 		}
-		r, err := leasesim.Play(o)
+		r, err := leasesim.Run(o)
 		mu.Lock()
 		got[key{c, w}] = r
 		mu.Unlock()
@@ -90,12 +90,12 @@
 		return err
 	}
 	for c := range cases {
-		for w := range int(leasesim.Ways) + 1 {
-			r, name := got[key{c, w}], leasesim.Way(min(w, int(leasesim.Ways)-1)).String()
-			if w == int(leasesim.Ways) {
+		for w := range int(leasesim.StrategyCount) + 1 {
+			r, name := got[key{c, w}], leasesim.Strategy(min(w, int(leasesim.StrategyCount)-1)).String()
+			if w == int(leasesim.StrategyCount) {
 				name = fmt.Sprintf("keepers, soft (bound %d)", r.Bound)
 			}
-			bench.Row(cases[c].name, name, fmt.Sprintf("%.2f", r.Served), r.Most, r.Over)
+			bench.Row(cases[c].name, name, fmt.Sprintf("%.2f", r.UsedShare), r.MaxUsed, r.Exceeded)
 		}
 	}
 	return nil
@@ -112,13 +112,13 @@
 	var mu sync.Mutex
 	err := bench.Each(n, runtime.NumCPU(), func(i int) error {
 		rng := rand.New(rand.NewPCG(uint64(i), 71))
-		o := leasesim.Options{Seed: uint64(i), Holders: 10 + int(290*rng.Float64()*rng.Float64()), Keepers: 1 + rng.IntN(5), Counts: []quota.Kind{quota.InFlight, quota.Requests}[i%2], Soft: i%4 >= 2,
-			Lasts: time.Duration(20+rng.IntN(300)) * time.Millisecond, Length: 40 * time.Second, Faults: true, Rates: lease.DefaultClockDrift, From: 10 * time.Second,
-			Every: []time.Duration{700 * time.Millisecond, 3 * time.Second, 10 * time.Second}[rng.IntN(3)]}
-		o.Figure = 10 + rng.IntN(300)
-		wanted := float64(o.Figure) * (0.7 + 2*rng.Float64())
-		if !o.Counts.IsRate() {
-			wanted /= o.Lasts.Seconds()
+		o := leasesim.Options{Seed: uint64(i), Clients: 10 + int(290*rng.Float64()*rng.Float64()), Servers: 1 + rng.IntN(5), Kind: []quota.Kind{quota.InFlight, quota.Requests}[i%2], Soft: i%4 >= 2,
+			MeanAttemptTime: time.Duration(20+rng.IntN(300)) * time.Millisecond, Duration: 40 * time.Second, Faults: true, ClockDrift: lease.DefaultClockDrift, CountFrom: 10 * time.Second,
+			FaultInterval: []time.Duration{700 * time.Millisecond, 3 * time.Second, 10 * time.Second}[rng.IntN(3)]}
+		o.Total = 10 + rng.IntN(300)
+		wanted := float64(o.Total) * (0.7 + 2*rng.Float64())
+		if !o.Kind.IsRate() {
+			wanted /= o.MeanAttemptTime.Seconds()
 		}
 		wanted = min(wanted, 3000)
 		// Who has the traffic changes every few seconds.
@@ -127,43 +127,43 @@
 			weight[j] = rng.ExpFloat64() * rng.ExpFloat64()
 		}
 		o.Demand = func(n int, now time.Duration) float64 {
-			return wanted / float64(o.Holders) * weight[(n*7+int(now/(4*time.Second))*13)%64]
+			return wanted / float64(o.Clients) * weight[(n*7+int(now/(4*time.Second))*13)%64]
 		}
 		if rng.IntN(3) == 0 {
-			part := 1 + rng.IntN(o.Holders/2)
+			part := 1 + rng.IntN(o.Clients/2)
 			for h := range part {
-				o.Cut = append(o.Cut, h)
+				o.Partitioned = append(o.Partitioned, h)
 			}
-			o.Cut0 = time.Duration(10+rng.IntN(10)) * time.Second
-			o.Cut1 = o.Cut0 + time.Duration(rng.IntN(20))*time.Second
+			o.PartitionStart = time.Duration(10+rng.IntN(10)) * time.Second
+			o.PartitionEnd = o.PartitionStart + time.Duration(rng.IntN(20))*time.Second
 		}
-		r, err := leasesim.Play(o)
+		r, err := leasesim.Run(o)
 		if err != nil {
 			return err
 		}
 		bound := r.Bound
 		kind := "soft"
 		if !o.Soft {
-			kind, bound = "hard", o.Figure
+			kind, bound = "hard", o.Total
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		k := kind + ", " + o.Counts.String()
+		k := kind + ", " + o.Kind.String()
 		s := sums[k]
 		if s == nil {
 			s = &sum{}
 			sums[k] = s
 		}
 		s.n++
-		s.begun += r.Begun
-		s.near += r.Near
+		s.begun += r.Started
+		s.near += r.NearTotal
 		s.crashes += r.Crashes
 		s.pauses += r.Pauses
-		if r.Most > bound {
+		if r.MaxUsed > bound {
 			s.over++
 		}
-		s.ratio = max(s.ratio, float64(r.Most)/float64(bound))
-		s.served = append(s.served, r.Served)
+		s.ratio = max(s.ratio, float64(r.MaxUsed)/float64(bound))
+		s.served = append(s.served, r.UsedShare)
 		return nil
 	})
 	if err != nil {
@@ -187,7 +187,7 @@
 			figure := 10 * n
 			begin := time.Now()
 			length := 20 * time.Second
-			r, err := leasesim.Play(leasesim.Options{Seed: 1, Holders: n, Keepers: 3, Figure: figure, Counts: quota.Requests, Length: length, Demand: even(10 * of)})
+			r, err := leasesim.Run(leasesim.Options{Seed: 1, Clients: n, Servers: 3, Total: figure, Kind: quota.Requests, Duration: length, Demand: even(10 * of)})
 			if err != nil {
 				return err
 			}
