--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is what is to happen in virtual time, in order: what comes at one moment in the order in which it was
-// put down. Harnesses that play peers' modules go by it.
+// Package eventqueue is the event queue of a discrete-event simulation: functions that are to run at points of virtual time. Those of
+// one point run in the order in which they were added. The simulations of the peers' protocols are built on it.
 package eventqueue
 
 import (
@@ -7,44 +7,52 @@
 	"time"
 )
 
-// Agenda is a queue of things to do. The zero value is empty.
-type Agenda struct {
-	queue queue
-	seq   int
+// Queue is a queue of events. The zero value is empty. It belongs to one goroutine.
+type Queue struct {
+	events   eventHeap
+	sequence int // of the event added last
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type queue []event
+// eventHeap is a heap.Interface, by time and then by sequence.
+type eventHeap []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (h eventHeap) Len() int { return len(h) }
+
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].sequence < h[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	old := *q
-	x := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return x
+
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+func (h *eventHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
 
-// At puts something down.
-func (a *Agenda) At(t time.Duration, do func()) {
-	a.seq++
-	heap.Push(&a.queue, event{t, a.seq, do})
+// At has a function run at a point of virtual time.
+func (q *Queue) At(at time.Duration, run func()) {
+	q.sequence++
+	heap.Push(&q.events, event{at: at, sequence: q.sequence, run: run})
 }
 
-// Next takes the next thing that is due before end; ok is false where there is none.
-func (a *Agenda) Next(end time.Duration) (at time.Duration, do func(), ok bool) {
-	if len(a.queue) == 0 || a.queue[0].at >= end {
+// Next removes the first event before end, and returns its time and function; ok is false where there is none.
+func (q *Queue) Next(end time.Duration) (at time.Duration, run func(), ok bool) {
+	if len(q.events) == 0 || q.events[0].at >= end {
 		return 0, nil, false
 	}
-	e := heap.Pop(&a.queue).(event)
-	return e.at, e.do, true
+	e := heap.Pop(&q.events).(event)
+	return e.at, e.run, true
 }
--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -34,7 +34,7 @@
 	f      *Few
 	rng    *rand.Rand
 	now    time.Duration
-	agenda eventqueue.Agenda
+	agenda eventqueue.Queue
 	m      *meter
 	wire   transport.Wire
 	all    []membership.Record
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -191,7 +191,7 @@
 	p       *plan.Plan
 	now     time.Duration
 	rng     *mathrand.Rand
-	agenda  eventqueue.Agenda
+	agenda  eventqueue.Queue
 	all     []*member
 	byName  map[string]*member
 	links   map[[2]int]plan.Link
--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -14,6 +14,7 @@
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/metrics"
+	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/source/discovery"
 )
 
@@ -61,9 +62,9 @@
 	for name, p := range d.parts {
 		i := InstanceStatus{Name: name, Listen: p.spec.Listen.String(), Totals: p.past}
 		st := d.sup.State(name)
-		i.Failures, i.Reason = st.Total, st.Reason
+		i.Failures, i.Reason = st.TotalFailures, st.LastReason
 		switch {
-		case st.Down:
+		case st.Phase == supervise.Down:
 			i.State = "down"
 			s.Down++
 		case p.agent == nil:
--- a/internal/host/daemon/config.go
+++ b/internal/host/daemon/config.go
@@ -127,8 +127,8 @@
 	cfg.StateMost = c.span("state_max_age", f.StateMost, time.Hour)
 	cfg.Drain = c.wait("drain", f.Drain, 0)
 	cfg.Admin = c.address("admin", f.Admin)
-	cfg.Supervise = supervise.Settings{First: c.wait("restart.first", f.Restart.First, 0), Most: c.wait("restart.most", f.Restart.Most, 0),
-		Healthy: c.wait("restart.healthy", f.Restart.Healthy, 0), GiveUp: f.Restart.GiveUp}
+	cfg.Supervise = supervise.Settings{FirstWait: c.wait("restart.first", f.Restart.First, 0), MaxWait: c.wait("restart.most", f.Restart.Most, 0),
+		HealthyAfter: c.wait("restart.healthy", f.Restart.Healthy, 0), MaxFailures: f.Restart.GiveUp}
 	if f.Restart.GiveUp < 0 {
 		c.fail("restart.give_up", "%d is negative", f.Restart.GiveUp)
 	}
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -148,14 +148,14 @@
 
 func (d *Daemon) execute(actions []supervise.Action) {
 	for _, a := range actions {
-		switch {
-		case a.LeaveDown:
+		switch a := a.(type) {
+		case supervise.LeaveDown:
 			d.log.Error("instance left down: it keeps failing", "instance", a.Name, "error", a.Reason)
 			// Clients are refused a connection rather than kept waiting for one.
 			if p := d.parts[a.Name]; p != nil && d.sockets[p.spec.Listen] != nil {
 				d.closeSocket(p.spec.Listen)
 			}
-		case a.Start:
+		case supervise.Start:
 			d.start(a.Name)
 		}
 	}
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -87,7 +87,7 @@
 			}))
 			p.spec = spec
 			switch st := d.sup.State(spec.Name); {
-			case st.Down:
+			case st.Phase == supervise.Down:
 				r.Revived++
 				d.execute(d.sup.Step(d.now(), supervise.Revived{Name: spec.Name}))
 			case moved:
--- a/internal/host/supervise/supervise.go
+++ b/internal/host/supervise/supervise.go
@@ -1,6 +1,6 @@
-// Package supervise decides when a part that ended by itself starts again: after an exponential,
-// jittered wait, and not at all once it keeps failing. It is free of I/O and of any clock: what
-// happened goes in with its time, what to do comes out.
+// Package supervise decides when a part that ended by itself starts again: after an exponential backoff with jitter, and not at all
+// once it keeps failing. It does no I/O and reads no clock: the daemon's goroutine passes in what happened with its time, and
+// executes the actions that come back.
 package supervise
 
 import (
@@ -10,26 +10,49 @@
 	"time"
 )
 
+// Defaults of Settings.
+const (
+	defaultFirstWait    = 200 * time.Millisecond // a restart of a moment's fault is hardly noticed
+	defaultMaxWait      = 30 * time.Second       // an operator sees a repaired part come back soon
+	defaultHealthyAfter = time.Minute            // longer than any wait: a part that fails at once is never taken for healthy
+	defaultMaxFailures  = 8                      // about a minute of failures
+)
+
 // Settings are the supervisor's; the zero value of each field is replaced by its default.
 type Settings struct {
-	First   time.Duration // the ceiling of the first wait; 200 ms
-	Most    time.Duration // the highest ceiling; 30 s
-	Healthy time.Duration // up for so long, it starts afresh; 60 s
-	GiveUp  int           // failures in a row after which it is left down; 8
+	FirstWait    time.Duration // ceiling of the wait after the first failure; it doubles with each further one
+	MaxWait      time.Duration // the highest ceiling
+	HealthyAfter time.Duration // a part that ran for so long has no failures in a row any more
+	MaxFailures  int           // failures in a row after which a part is left down
+}
+
+func (s Settings) withDefaults() Settings {
+	if s.FirstWait <= 0 {
+		s.FirstWait = defaultFirstWait
+	}
+	if s.MaxWait <= 0 {
+		s.MaxWait = defaultMaxWait
+	}
+	if s.HealthyAfter <= 0 {
+		s.HealthyAfter = defaultHealthyAfter
+	}
+	if s.MaxFailures <= 0 {
+		s.MaxFailures = defaultMaxFailures
+	}
+	return s
 }
 
 // Event is something that happened to a part.
 type Event interface{ event() }
 
-// What happens.
 type (
 	// Started says that a part runs.
 	Started struct{ Name string }
-	// Failed says that it ended by itself, or could not start.
+	// Failed says that a part ended by itself, or could not start.
 	Failed struct{ Name, Reason string }
-	// Removed says that it is not wanted any more.
+	// Removed says that a part is not wanted any more.
 	Removed struct{ Name string }
-	// Revived says that an operator wants one that was left down to be tried again.
+	// Revived says that an operator wants a part that was left down to be tried again.
 	Revived struct{ Name string }
 )
 
@@ -38,127 +61,145 @@
 func (Removed) event() {}
 func (Revived) event() {}
 
-// Action is something to do: start a part now, or leave it down and say so.
-type Action struct {
-	Name      string
-	Start     bool
-	LeaveDown bool
-	Reason    string // of LeaveDown: why it failed last
-}
+// Action is something to do.
+type Action interface{ action() }
+
+type (
+	// Start is to start a part now; Started or Failed follows.
+	Start struct{ Name string }
+	// LeaveDown is to report that a part is not started any more, and why it failed last.
+	LeaveDown struct{ Name, Reason string }
+)
+
+func (Start) action()     {}
+func (LeaveDown) action() {}
+
+// Phase is where a part is in its life.
+type Phase uint8
+
+// The phases of a part. Started leads to Running, Failed from there to Waiting or, after too many failures, to Down; Revived leads
+// from Down to Waiting.
+const (
+	Waiting Phase = iota // until NextStartAt
+	Running
+	Down // not started any more until an operator revives it
+)
 
 // State is how a part stands.
 type State struct {
-	Up       bool
-	Down     bool          // left down
-	Failures int           // in a row
-	Total    int           // since it was first started
-	NextAt   time.Duration // of the next start, where it is neither up nor left down
-	Reason   string        // of the last failure
-	since    time.Duration
+	Phase               Phase
+	ConsecutiveFailures int
+	TotalFailures       int           // since it was first started
+	NextStartAt         time.Duration // while Waiting
+	LastReason          string        // of the last failure
+	startedAt           time.Duration
 }
 
-// Supervisor holds all parts.
+// Supervisor keeps the states of all parts. It belongs to one goroutine.
 type Supervisor struct {
-	s     Settings
-	rng   *rand.Rand
-	parts map[string]*State
+	settings Settings
+	rng      *rand.Rand
+	parts    map[string]*State
 }
 
-// New is a supervisor without parts. Its jitter comes from seed.
+// New returns a supervisor without parts. Its jitter comes from seed.
 func New(s Settings, seed uint64) *Supervisor {
-	if s.First <= 0 {
-		s.First = 200 * time.Millisecond
-	}
-	if s.Most <= 0 {
-		s.Most = 30 * time.Second
-	}
-	if s.Healthy <= 0 {
-		s.Healthy = time.Minute
-	}
-	if s.GiveUp <= 0 {
-		s.GiveUp = 8
-	}
-	return &Supervisor{s: s, rng: rand.New(rand.NewPCG(seed, 3)), parts: map[string]*State{}}
+	return &Supervisor{settings: s.withDefaults(), rng: rand.New(rand.NewPCG(seed, 3)), parts: map[string]*State{}}
 }
 
-// Step takes what happened by now, and returns what to do now, parts in order of their names.
-func (v *Supervisor) Step(now time.Duration, events ...Event) []Action {
+// Step takes what happened by now, and returns what to do now, starts in order of the parts' names.
+func (s *Supervisor) Step(now time.Duration, events ...Event) []Action {
 	var actions []Action
 	for _, e := range events {
 		switch e := e.(type) {
 		case Started:
-			p := v.part(e.Name)
-			p.Up, p.Down, p.since = true, false, now
+			part := s.part(e.Name)
+			part.Phase = Running
+			part.startedAt = now
 		case Failed:
-			if a, ok := v.failed(now, e); ok {
-				actions = append(actions, a)
+			if s.fail(now, e) {
+				actions = append(actions, LeaveDown(e))
 			}
 		case Removed:
-			delete(v.parts, e.Name)
+			delete(s.parts, e.Name)
 		case Revived:
-			if p := v.parts[e.Name]; p != nil && p.Down {
-				p.Down, p.Failures, p.NextAt = false, 0, now
+			if part := s.parts[e.Name]; part != nil && part.Phase == Down {
+				part.Phase = Waiting
+				part.ConsecutiveFailures = 0
+				part.NextStartAt = now
 			}
 		}
 	}
+	return append(actions, s.startDue(now)...)
+}
+
+// startDue starts the parts whose wait is over.
+func (s *Supervisor) startDue(now time.Duration) (actions []Action) {
 	var due []string
-	for name, p := range v.parts {
-		if !p.Up && !p.Down && p.NextAt <= now {
+	for name, part := range s.parts {
+		if part.Phase == Waiting && part.NextStartAt <= now {
 			due = append(due, name)
 		}
 	}
 	slices.Sort(due)
 	for _, name := range due {
-		v.parts[name].NextAt = math.MaxInt64 // until it is told to run or to have failed
-		actions = append(actions, Action{Name: name, Start: true})
+		s.parts[name].NextStartAt = math.MaxInt64 // until Started or Failed comes
+		actions = append(actions, Start{Name: name})
 	}
 	return actions
 }
 
-func (v *Supervisor) failed(now time.Duration, e Failed) (Action, bool) {
-	p := v.part(e.Name)
-	if p.Down {
-		return Action{}, false
+// fail notes a failure, and reports whether the part is left down by it.
+func (s *Supervisor) fail(now time.Duration, e Failed) (leftDown bool) {
+	part := s.part(e.Name)
+	if part.Phase == Down {
+		return false
 	}
-	if p.Up && now-p.since >= v.s.Healthy {
-		p.Failures = 0
+	if part.Phase == Running && now-part.startedAt >= s.settings.HealthyAfter {
+		part.ConsecutiveFailures = 0
 	}
-	p.Up = false
-	p.Failures++
-	p.Total++
-	p.Reason = e.Reason
-	if p.Failures >= v.s.GiveUp {
-		p.Down = true
-		return Action{Name: e.Name, LeaveDown: true, Reason: e.Reason}, true
+	part.Phase = Waiting
+	part.ConsecutiveFailures++
+	part.TotalFailures++
+	part.LastReason = e.Reason
+	if part.ConsecutiveFailures >= s.settings.MaxFailures {
+		part.Phase = Down
+		return true
 	}
-	ceiling := min(float64(v.s.First)*math.Exp2(float64(p.Failures-1)), float64(v.s.Most))
-	// At least half of it: a part that fails at once must not spin on lucky draws.
-	p.NextAt = now + time.Duration(ceiling*(0.5+0.5*v.rng.Float64()))
-	return Action{}, false
+	part.NextStartAt = now + s.wait(part.ConsecutiveFailures)
+	return false
+}
+
+// wait is drawn from the upper half of the ceiling: a part that fails at once must not be started in a busy loop by low draws.
+func (s *Supervisor) wait(failures int) time.Duration {
+	ceiling := float64(s.settings.FirstWait) * math.Exp2(float64(failures-1))
+	ceiling = min(ceiling, float64(s.settings.MaxWait))
+	return time.Duration(ceiling * (0.5 + 0.5*s.rng.Float64()))
 }
 
-func (v *Supervisor) part(name string) *State {
-	if v.parts[name] == nil {
-		v.parts[name] = &State{}
+func (s *Supervisor) part(name string) *State {
+	if s.parts[name] == nil {
+		s.parts[name] = &State{}
 	}
-	return v.parts[name]
+	return s.parts[name]
 }
 
-// State tells how a part stands.
-func (v *Supervisor) State(name string) State {
-	if p := v.parts[name]; p != nil {
-		return *p
+// State returns how a part stands; the zero State where it is not known.
+func (s *Supervisor) State(name string) State {
+	if part := s.parts[name]; part != nil {
+		return *part
 	}
 	return State{}
 }
 
-// NextAt is when Step is to be called again at the latest, and false where nothing waits.
-func (v *Supervisor) NextAt() (time.Duration, bool) {
-	next, any := time.Duration(math.MaxInt64), false
-	for _, p := range v.parts {
-		if !p.Up && !p.Down && p.NextAt < next {
-			next, any = p.NextAt, true
+// NextAt is when Step is to be called again at the latest; waiting is false where no part waits.
+func (s *Supervisor) NextAt() (at time.Duration, waiting bool) {
+	at = math.MaxInt64
+	for _, part := range s.parts {
+		if part.Phase == Waiting && part.NextStartAt < at {
+			at = part.NextStartAt
+			waiting = true
 		}
 	}
-	return next, any
+	return at, waiting
 }
--- a/internal/host/supervise/supervise_test.go
+++ b/internal/host/supervise/supervise_test.go
@@ -9,8 +9,8 @@
 
 const sec = time.Second
 
-func TestWaitsGrowAndStartOver(t *testing.T) {
-	v := New(Settings{First: sec, Most: 8 * sec, Healthy: 60 * sec, GiveUp: 100}, 1)
+func TestWaitsGrowAndResetOnceHealthy(t *testing.T) {
+	v := New(Settings{FirstWait: sec, MaxWait: 8 * sec, HealthyAfter: 60 * sec, MaxFailures: 100}, 1)
 	now := time.Duration(0)
 	fail := func() time.Duration {
 		v.Step(now, Failed{"a", "boom"})
@@ -21,7 +21,7 @@
 		if acts := v.Step(at - 1); len(acts) > 0 {
 			t.Fatalf("started too early: %v", acts)
 		}
-		if acts := v.Step(at); len(acts) != 1 || !acts[0].Start || acts[0].Name != "a" {
+		if acts := v.Step(at); len(acts) != 1 || acts[0] != (Start{"a"}) {
 			t.Fatalf("%v at its time", acts)
 		}
 		if acts := v.Step(at + time.Hour); len(acts) > 0 {
@@ -44,46 +44,46 @@
 	}
 }
 
-func TestLeftDownAndRevived(t *testing.T) {
-	v := New(Settings{GiveUp: 3}, 1)
+func TestPartIsLeftDownAfterMaxFailuresAndRevived(t *testing.T) {
+	v := New(Settings{MaxFailures: 3}, 1)
 	for i := range 3 {
 		acts := v.Step(0, Failed{"a", "boom"})
-		if left := len(acts) == 1 && acts[0].LeaveDown && acts[0].Reason == "boom"; left != (i == 2) {
+		if left := len(acts) == 1 && acts[0] == (LeaveDown{"a", "boom"}); left != (i == 2) {
 			t.Fatalf("failure %d: %v", i+1, acts)
 		}
 	}
-	if _, waits := v.NextAt(); waits || !v.State("a").Down {
+	if _, waits := v.NextAt(); waits || v.State("a").Phase != Down {
 		t.Error("it is to be left down")
 	}
 	if acts := v.Step(time.Hour, Failed{"a", "again"}); len(acts) > 0 {
 		t.Error(acts)
 	}
-	if acts := v.Step(time.Hour, Revived{"a"}); len(acts) != 1 || !acts[0].Start {
+	if acts := v.Step(time.Hour, Revived{"a"}); len(acts) != 1 || acts[0] != (Start{"a"}) {
 		t.Errorf("revived: %v", acts)
 	}
 	v.Step(time.Hour, Removed{"a"})
-	if s := v.State("a"); s.Total != 0 {
+	if s := v.State("a"); s.TotalFailures != 0 {
 		t.Errorf("removed: %+v", s)
 	}
 }
 
 // Whatever happens in whatever order: nothing that is up or left down is started, one part's
 // failures change nothing for another, and what failed is either left down or starts again.
-func TestAnyOrder(t *testing.T) {
+func TestPartsAreIndependentInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := New(Settings{First: sec, Most: 10 * sec, Healthy: 20 * sec, GiveUp: 4}, rapid.Uint64().Draw(t, "seed"))
+		v := New(Settings{FirstWait: sec, MaxWait: 10 * sec, HealthyAfter: 20 * sec, MaxFailures: 4}, rapid.Uint64().Draw(t, "seed"))
 		up, down := map[string]bool{}, map[string]bool{}
 		now := time.Duration(0)
 		take := func(acts []Action) {
 			for _, a := range acts {
-				if a.Start {
+				switch a := a.(type) {
+				case Start:
 					if up[a.Name] || down[a.Name] {
 						t.Fatalf("%s started while up %v, down %v", a.Name, up[a.Name], down[a.Name])
 					}
 					v.Step(now, Started{a.Name})
 					up[a.Name] = true
-				}
-				if a.LeaveDown {
+				case LeaveDown:
 					down[a.Name] = true
 				}
 			}
@@ -101,8 +101,8 @@
 			}
 			take(v.Step(now))
 			for _, n := range []string{"a", "b"} {
-				if s := v.State(n); !s.Up && !s.Down && s.NextAt > now+10*sec {
-					t.Fatalf("%s waits until %v at %v", n, s.NextAt, now)
+				if s := v.State(n); s.Phase == Waiting && s.NextStartAt > now+10*sec {
+					t.Fatalf("%s waits until %v at %v", n, s.NextStartAt, now)
 				}
 			}
 		}
--- a/internal/peer/ejection/ejectionsim/ejectionsim.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim.go
@@ -138,7 +138,7 @@
 	options      Options
 	rng          *rand.Rand
 	now          time.Duration
-	queue        eventqueue.Agenda
+	queue        eventqueue.Queue
 	agents       []*agent
 	result       Result
 	failingSince []time.Duration   // by server; 0: it does not fail
--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -107,7 +107,7 @@
 	s       lease.Settings
 	rng     *rand.Rand
 	now     time.Duration
-	agenda  eventqueue.Agenda
+	agenda  eventqueue.Queue
 	members []*member
 	down    map[[2]int]bool // links, by from and to
 	flight  int
--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -101,7 +101,7 @@
 type player struct {
 	Config
 	now    time.Duration
-	agenda eventqueue.Agenda
+	agenda eventqueue.Queue
 	rng    *rand.Rand
 	tiers  [][]*process // from the clients on
 	calls  int          // so far, of all agents
