--- a/internal/faulttest/virtual/befall.go
+++ b/internal/faulttest/virtual/befall.go
@@ -43,7 +43,7 @@
 	case membership.MemberChanged:
 		r := &a.Record
 		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, Life: life(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
-		if !a.New {
+		if !a.FirstSeen {
 			l.Was = a.Previous.String()
 		}
 		return l, true
@@ -165,11 +165,11 @@
 	a.disk.boot = boot
 	a.life = w.chance.Uint64() | 1
 	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Program: "virtual", Boot: boot, RunID: a.life,
-		Instances: w.o.Instances, Balancers: w.o.Instances, Known: a.disk.known, ConfiguredBalancers: max(1, w.o.FileCount), Baseline: w.o.Plain,
+		Instances: w.o.Instances, Balancers: w.o.Instances, KnownMembers: a.disk.known, ConfiguredBalancers: max(1, w.o.FileCount), Baseline: w.o.Plain,
 		ProbeInterval: w.p.Peers.Every, ProbeTimeout: w.p.Peers.Direct, IndirectTimeout: w.p.Peers.Indirect, MinSuspicion: w.p.Peers.SuspectLeast, BytesPerSecond: w.p.Peers.Bytes, RemoteBytesPerSecond: w.p.Peers.FarBytes}
 	if known != nil && w.now == 0 {
 		a.life = w.lifeOf(a.n)
-		s.Boot, s.RunID, s.Known, s.TakesOver = wallBase, a.life, known, true
+		s.Boot, s.RunID, s.KnownMembers, s.TakesOver = wallBase, a.life, known, true
 	}
 	for _, n := range w.p.Seeds {
 		s.Seeds = append(s.Seeds, w.agents[n].addr)
--- a/internal/peer/membership/count.go
+++ b/internal/peer/membership/count.go
@@ -15,84 +15,84 @@
 	FromFile                   bool // Most is the operator's figure still: the view has not settled yet
 }
 
-// counter keeps the sums, and tells them without a step where they allow more.
-type counter struct {
-	file        int
-	most, least int
-	hidden      int // members alive or suspect that can't be reached
-	told        Size
-	at          time.Duration // the next part of a change is due; 0: none is
-	began       bool
+// sizeTracker keeps the sums, and tells them without a step where they allow more.
+type sizeTracker struct {
+	configured                 int
+	maxBalancers, minBalancers int
+	unreachable                int // members alive or suspect that can't be reached
+	reported                   Size
+	nextStepAt                 time.Duration // the next part of a change is due; 0: none is
+	started                    bool
 }
 
 const (
-	countEase  = time.Second      // between two parts of a change that allows more
-	easeParts  = 10               // a tenth at a time, or one
-	countStart = 10 * time.Second // of a life: by then it has met the fleet, and serves little yet
+	sizeStepInterval = time.Second      // between two parts of a change that allows more
+	sizeSteps        = 10               // a tenth at a time, or one
+	sizeStartPeriod  = 10 * time.Second // of a life: by then it has met the fleet, and serves little yet
 )
 
 // add books a member's record, with sign 1, or takes it off, with -1.
-func (c *counter) add(m *member, sign int) {
+func (c *sizeTracker) add(m *member, sign int) {
 	if m.State < Left {
-		c.most += sign * int(m.Balancers)
+		c.maxBalancers += sign * int(m.Balancers)
 	}
-	if m.shown() == Alive {
-		c.least += sign * int(m.Balancers)
+	if m.effectiveState() == Alive {
+		c.minBalancers += sign * int(m.Balancers)
 	}
-	if m.shown() != m.State {
-		c.hidden += sign
+	if m.effectiveState() != m.State {
+		c.unreachable += sign
 	}
 }
 
-func (c *counter) start(v *View) {
+func (c *sizeTracker) start(v *View) {
 	known := int(v.self.Balancers)
-	for _, r := range v.s.Known {
-		if r.State < Left && r.Name != v.s.Name && !v.s.TakesOver {
+	for _, r := range v.settings.KnownMembers {
+		if r.State < Left && r.Name != v.settings.Name && !v.settings.TakesOver {
 			known += int(r.Balancers)
 		}
 	}
-	c.file = max(c.file, known)
-	c.began = true
+	c.configured = max(c.configured, known)
+	c.started = true
 	c.add(v.self, 1)
-	c.due(v)
+	c.publish(v)
 }
 
-// due tells what has changed: at once what allows less, a part at a time what allows more.
-func (c *counter) due(v *View) {
-	if !c.began {
+// publish tells what has changed: at once what allows less, a part at a time what allows more.
+func (c *sizeTracker) publish(v *View) {
+	if !c.started {
 		return
 	}
-	want := Size{MaxBalancers: max(c.most, 1), MinBalancers: max(c.least, 1), Members: len(v.live) + len(v.silent) + 1, Live: len(v.live) + 1 - c.hidden}
-	if !v.settled && c.file > want.MaxBalancers {
-		want.MaxBalancers, want.FromFile = c.file, true
+	want := Size{MaxBalancers: max(c.maxBalancers, 1), MinBalancers: max(c.minBalancers, 1), Members: len(v.live) + len(v.dead) + 1, Live: len(v.live) + 1 - c.unreachable}
+	if !v.settled && c.configured > want.MaxBalancers {
+		want.MaxBalancers, want.FromFile = c.configured, true
 	}
 	next := want
-	now := c.at > 0 && v.now >= c.at
-	if was := c.told; was.MaxBalancers > 0 {
+	now := c.nextStepAt > 0 && v.now >= c.nextStepAt
+	if was := c.reported; was.MaxBalancers > 0 {
 		if want.MaxBalancers < was.MaxBalancers {
 			next.MaxBalancers = was.MaxBalancers
 			switch {
-			case was.FromFile && !want.FromFile && v.now-v.self.since < countStart: // nothing rests on the file's figure yet
+			case was.FromFile && !want.FromFile && v.now-v.self.stateSince < sizeStartPeriod: // nothing rests on the file's figure yet
 				next.MaxBalancers = want.MaxBalancers
 			case now:
-				next.MaxBalancers = max(want.MaxBalancers, was.MaxBalancers-max(1, was.MaxBalancers/easeParts))
+				next.MaxBalancers = max(want.MaxBalancers, was.MaxBalancers-max(1, was.MaxBalancers/sizeSteps))
 			}
 		}
 		if want.MinBalancers > was.MinBalancers {
 			next.MinBalancers = was.MinBalancers
 			if now {
-				next.MinBalancers = min(want.MinBalancers, was.MinBalancers+max(1, was.MinBalancers/easeParts))
+				next.MinBalancers = min(want.MinBalancers, was.MinBalancers+max(1, was.MinBalancers/sizeSteps))
 			}
 		}
 	}
 	switch {
 	case next.MaxBalancers == want.MaxBalancers && next.MinBalancers == want.MinBalancers:
-		c.at = 0
-	case now || c.at == 0:
-		c.at = v.now + countEase
+		c.nextStepAt = 0
+	case now || c.nextStepAt == 0:
+		c.nextStepAt = v.now + sizeStepInterval
 	}
-	if next != c.told {
-		c.told = next
-		v.do(SizeChanged{next})
+	if next != c.reported {
+		c.reported = next
+		v.emit(SizeChanged{next})
 	}
 }
--- a/internal/peer/membership/membership.go
+++ b/internal/peer/membership/membership.go
@@ -76,7 +76,7 @@
 	Boot, RunID               uint64
 	Instances, Balancers      int
 	Seeds                     []string // addresses; its own among them does no harm
-	Known                     []Record // from the last run: asked first, believed last
+	KnownMembers              []Record // from the last run: asked first, believed last
 	// Parallel: Known is of the process that this one replaces without a gap, with its life, and believed. Inc,
 	// Number and Up go on where that one was.
 	TakesOver      bool
@@ -116,32 +116,32 @@
 )
 
 const (
-	suspectMost   = 3    // times SuspectLeast, without a second accuser
-	accusersMost  = 3    // further ones that bring it down to the least
-	helpers       = 3    // asked for an indirect probe
-	spreadFactor  = 3    // each news is sent so many times the binary digits of the fleet's size
-	fan           = 3    // members that news goes to at a time, besides probes
-	datagramMost  = 1200 // bytes of a datagram: it fits one packet everywhere
-	healthMost    = 8
-	replayWindow  = 4096 // datagrams of one sender that may come so late
-	newsEvery     = 100 * time.Millisecond
-	pauseLeast    = 150 * time.Millisecond // late by more, this process was starved or paused
-	exchangeRest  = time.Second            // between two exchanges that this member begins, at the least
-	exchangeQuiet = 30 * time.Second       // one is made even if all digests agree
-	doorWait      = time.Second            // one that looks for the fleet waits so long at each door
-	exchangeWait  = 5 * time.Second        // an exchange that has not ended by then has failed
-	tryMost       = 2.0                    // silent addresses that one member tries in a second at most
-	leftKept      = time.Hour              // so long a name that left is remembered: old news must not bring it back
-	correctMost   = 4                      // members of which one that accuses them wrongly is told at once
-	heardKept     = 8
-	lostMost      = 3               // news goes so many times as often to those that do not seem to hear
-	heardLately   = 3 * time.Second // by then one that can be heard is, in fleets up to 15: it probes, or answers a probe
-	referred      = 8               // members named to one that is told to come back
-	againEvery    = time.Second     // between two tries of doors at which nobody is known yet
-	doorsMost     = 64              // addresses by which the fleet is looked for
+	maxSuspicionFactor       = 3    // times SuspectLeast, without a second accuser
+	maxExtraReporters        = 3    // further ones that bring it down to the least
+	indirectHelpers          = 3    // asked for an indirect probe
+	retransmitFactor         = 3    // each news is sent so many times the binary digits of the fleet's size
+	gossipFanout             = 3    // members that news goes to at a time, besides probes
+	maxDatagramBytes         = 1200 // bytes of a datagram: it fits one packet everywhere
+	maxLocalHealth           = 8
+	replayWindow             = 4096 // datagrams of one sender that may come so late
+	gossipInterval           = 100 * time.Millisecond
+	minPause                 = 150 * time.Millisecond // late by more, this process was starved or paused
+	minExchangeInterval      = time.Second            // between two exchanges that this member begins, at the least
+	periodicExchangeInterval = 30 * time.Second       // one is made even if all digests agree
+	joinTimeout              = time.Second            // one that looks for the fleet waits so long at each door
+	exchangeTimeout          = 5 * time.Second        // an exchange that has not ended by then has failed
+	maxReconnectsPerSecond   = 2.0                    // silent addresses that one member tries in a second at most
+	leftRetention            = time.Hour              // so long a name that left is remembered: old news must not bring it back
+	maxCorrections           = 4                      // members of which one that accuses them wrongly is told at once
+	maxRecentSenders         = 8
+	lostTransmissionFactor   = 3               // news goes so many times as often to those that do not seem to hear
+	recentSenderAge          = 3 * time.Second // by then one that can be heard is, in fleets up to 15: it probes, or answers a probe
+	maxReferrals             = 8               // members named to one that is told to come back
+	joinRetryInterval        = time.Second     // between two tries of doors at which nobody is known yet
+	maxJoinAddrs             = 64              // addresses by which the fleet is looked for
 )
 
-func orIf[T comparable](v, instead T) T {
+func valueOr[T comparable](v, instead T) T {
 	var zero T
 	if v == zero {
 		return instead
@@ -223,10 +223,10 @@
 	}
 	// MemberChanged says that a member's state, life or address has changed here.
 	MemberChanged struct {
-		Record   Record
-		Previous State
-		New      bool // it was not known
-		Reason   string
+		Record    Record
+		Previous  State
+		FirstSeen bool // it was not known
+		Reason    string
 	}
 	// SizeChanged says how many balancers share the servers, from now on: see Count.
 	SizeChanged struct{ Size Size }
@@ -249,7 +249,7 @@
 	}
 	// Isolated says that nobody is heard any more, or that others are again.
 	Isolated struct {
-		Over    bool
+		Ended   bool
 		Members int
 	}
 	// SaveView says that the view, or the boot, should go to disk.
@@ -271,100 +271,100 @@
 // member is what is kept of another, or of this one.
 type member struct {
 	Record
-	since    time.Duration // of its state, or its life
-	dieAt    time.Duration // when it died or left: Age is told from it
-	number   uint64        // the highest of its datagrams in this life
-	suspect  *suspicion
-	muted    time.Duration // no suspicion of this member's own before this: it refuted the last ones
-	mutes    int
-	via      string // the helper through which it was last reached
-	place    int    // in live or silent
-	listed   uint8  // which of the two
-	region   *region
-	spot     int           // in its region's list
-	hidden   bool          // it can't be reached, whatever its record says
-	nameHash uint64        // of its rank as a watcher
-	hash     uint64        // its part in the digest
-	stranger time.Duration // when its holder may be told again of another process with its name
-	heardAt  time.Duration // a datagram of its present life came
-	deaf     bool          // it has not answered directly since it was last heard
-	ackAt    time.Duration // it answered this member, or a helper of it
-	distance distance      // as this life's answers have shown it
+	stateSince         time.Duration // of its state, or its life
+	diedAt             time.Duration // when it died or left: Age is told from it
+	highestNumber      uint64        // the highest of its datagrams in this life
+	suspicion          *suspicion
+	noSuspicionBefore  time.Duration // no suspicion of this member's own before this: it refuted the last ones
+	refutedSuspicions  int
+	lastHelper         string // the helper through which it was last reached
+	listIndex          int    // in live or silent
+	list               uint8  // which of the two
+	region             *region
+	regionIndex        int           // in its region's list
+	unreachable        bool          // it can't be reached, whatever its record says
+	nameHash           uint64        // of its rank as a watcher
+	digest             uint64        // its part in the digest
+	nextConflictNotice time.Duration // when its holder may be told again of another process with its name
+	receivedAt         time.Duration // a datagram of its present life came
+	unresponsive       bool          // it has not answered directly since it was last heard
+	ackAt              time.Duration // it answered this member, or a helper of it
+	roundTrip          roundTrip     // as this life's answers have shown it
 }
 
 const (
-	inNone = iota
-	inLive
-	inSilent
+	listNone = iota
+	listLive
+	listDead
 )
 
 // View is one member's. It belongs to one goroutine.
 type View struct {
-	s       Settings
-	rng     *rand.Rand
-	now     time.Duration
-	due     time.Duration // of the earliest timer when the last step ended
-	actions []Action
-
-	self    *member
-	members map[string]*member
-	order   []string  // all names, sorted: chance must not depend on a map
-	live    []*member // alive or suspect, without this one
-	silent  []*member // dead
-	regions map[string]*region
-	areas   []*region // the same, in the order of their names
-	home    *region   // this member's
-	digest  uint64
-
-	turn     []string // to be probed next, shuffled
-	zoneTurn []string // the same, of its own zone
-	zoneNext bool
-	probeAt  time.Duration
-	probes   []*probe
-	errands  []*errand
-	seq      uint32
-	number   uint64
-	health   int
-	suspects []*member
-	judgeAt  time.Duration // the earliest end of a suspicion; may be earlier than it is
-	heard    []string      // who was heard directly, latest first
-	via      string        // the helper through which anyone was last reached
-	places   map[place]*distance
-	lates    []late
-	surveyAt time.Duration // regions and their watchers are looked at
-	last     uint8         // bits of the last probes: missed
-	lateAt   time.Duration // a step was late
-	cutUntil time.Duration // most seemed beyond a cut not long ago
-	heardAny time.Duration
-	lone     bool // nobody is heard
-	loneAt   time.Duration
-	swept    []string
-	bare     bool // no news goes with what is sent
-
-	news      news
-	newsAt    time.Duration
-	budget    budget
-	farBudget budget             // of what goes to other regions
-	farAt     map[string]*region // by address, of members of other regions
-
-	exchange   exchange
-	streams    budget
-	farStreams budget
-	tryAt      time.Duration
-	seedAt     time.Duration
-	began      bool
-	joined     bool // an exchange that it opened has succeeded in this life
-	met        bool // one that another opened has
-	settled    bool
-	tidyAt     time.Duration
-	standby    bool
-	claim      claim
-	leaving    int // times that it was still to be told
-	leaveAt    time.Duration
-	leaveState bool
-	counts     counter
-	saveAt     time.Duration // a save is due; 0: none
-	sent       Traffic
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration
+	wakeAt   time.Duration // of the earliest timer when the last step ended
+	actions  []Action
+
+	self          *member
+	members       map[string]*member
+	sortedNames   []string  // all names, sorted: chance must not depend on a map
+	live          []*member // alive or suspect, without this one
+	dead          []*member // dead
+	regions       map[string]*region
+	sortedRegions []*region // the same, in the order of their names
+	localRegion   *region   // this member's
+	digest        uint64
+
+	probeOrder       []string // to be probed next, shuffled
+	zoneProbeOrder   []string // the same, of its own zone
+	lastProbeInZone  bool
+	probeAt          time.Duration
+	probes           []*probe
+	relayed          []*relayedRequest
+	lastSeq          uint32
+	datagramNumber   uint64
+	localHealth      int
+	suspects         []*member
+	suspicionsAt     time.Duration // the earliest end of a suspicion; may be earlier than it is
+	recentSenders    []string      // who was heard directly, latest first
+	lastHelper       string        // the helper through which anyone was last reached
+	localities       map[locality]*roundTrip
+	timedOut         []timedOutProbe
+	regionsCheckAt   time.Duration // regions and their watchers are looked at
+	recentMisses     uint8         // bits of the last probes: missed
+	lateStepAt       time.Duration // a step was late
+	partitionedUntil time.Duration // most seemed beyond a cut not long ago
+	lastReceivedAt   time.Duration
+	isolated         bool // nobody is heard
+	isolatedAt       time.Duration
+	sweepOrder       []string
+	withoutUpdates   bool // no news goes with what is sent
+
+	updates      updateQueue
+	gossipAt     time.Duration
+	budget       tokenBucket
+	remoteBudget tokenBucket        // of what goes to other regions
+	remoteAddrs  map[string]*region // by address, of members of other regions
+
+	exchange           exchangeState
+	streamBudget       tokenBucket
+	remoteStreamBudget tokenBucket
+	reconnectAt        time.Duration
+	seedRetryAt        time.Duration
+	started            bool
+	joined             bool // an exchange that it opened has succeeded in this life
+	contacted          bool // one that another opened has
+	settled            bool
+	cleanupAt          time.Duration
+	yielding           bool
+	claim              nameClaim
+	leaveRounds        int // times that it was still to be told
+	leaveRoundAt       time.Duration
+	isLeaving          bool
+	sizes              sizeTracker
+	saveAt             time.Duration // a save is due; 0: none
+	traffic            Traffic
 }
 
 // Traffic is what was sent and heard, in all.
@@ -375,30 +375,30 @@
 
 // New returns a view that knows itself, and, if it takes over without a gap, all that the process before knew.
 func New(s Settings, seed uint64) (*View, error) {
-	s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout = orIf(s.ProbeInterval, DefaultProbeInterval), orIf(s.ProbeTimeout, DefaultProbeTimeout), orIf(s.IndirectTimeout, DefaultIndirectTimeout)
-	s.MinSuspicion, s.ReconnectFor = orIf(s.MinSuspicion, DefaultMinSuspicion), orIf(s.ReconnectFor, DefaultReconnectFor)
-	s.BytesPerSecond, s.MaxMembers = orIf(s.BytesPerSecond, DefaultBytesPerSecond), orIf(s.MaxMembers, DefaultMaxMembers)
-	s.RemoteBytesPerSecond = orIf(s.RemoteBytesPerSecond, max(s.BytesPerSecond/farShare, 2*datagramMost))
+	s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout = valueOr(s.ProbeInterval, DefaultProbeInterval), valueOr(s.ProbeTimeout, DefaultProbeTimeout), valueOr(s.IndirectTimeout, DefaultIndirectTimeout)
+	s.MinSuspicion, s.ReconnectFor = valueOr(s.MinSuspicion, DefaultMinSuspicion), valueOr(s.ReconnectFor, DefaultReconnectFor)
+	s.BytesPerSecond, s.MaxMembers = valueOr(s.BytesPerSecond, DefaultBytesPerSecond), valueOr(s.MaxMembers, DefaultMaxMembers)
+	s.RemoteBytesPerSecond = valueOr(s.RemoteBytesPerSecond, max(s.BytesPerSecond/remoteBudgetDivisor, 2*maxDatagramBytes))
 	own := Record{Name: s.Name, Addr: s.Addr, Zone: s.Zone, Region: s.Region, Program: s.Program, Boot: s.Boot, RunID: s.RunID, Incarnation: s.Incarnation,
 		Instances: uint32(s.Instances), Balancers: uint32(s.Balancers)}
 	if err := own.check(); err != nil {
 		return nil, fmt.Errorf("view: %w", err)
 	}
-	if s.ProbeInterval <= 0 || s.ProbeTimeout <= 0 || s.IndirectTimeout <= 0 || s.MinSuspicion <= 0 || min(s.BytesPerSecond, s.RemoteBytesPerSecond) < 2*datagramMost || s.MaxMembers < 1 {
+	if s.ProbeInterval <= 0 || s.ProbeTimeout <= 0 || s.IndirectTimeout <= 0 || s.MinSuspicion <= 0 || min(s.BytesPerSecond, s.RemoteBytesPerSecond) < 2*maxDatagramBytes || s.MaxMembers < 1 {
 		return nil, fmt.Errorf("view: every %v, direct %v, indirect %v, suspect_least %v, bytes %d, %d of them far, members %d: all are above 0, and bytes at least %d",
-			s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout, s.MinSuspicion, s.BytesPerSecond, s.RemoteBytesPerSecond, s.MaxMembers, 2*datagramMost)
-	}
-	v := &View{s: s, rng: rand.New(rand.NewPCG(seed, s.RunID)), members: map[string]*member{}, places: map[place]*distance{}, judgeAt: never,
-		regions: map[string]*region{}, farAt: map[string]*region{}, surveyAt: never}
-	v.home = v.regionOf(s.Region)
-	v.self = &member{Record: own, region: v.home, nameHash: nameHash(s.Name)}
-	v.members[s.Name], v.order = v.self, []string{s.Name}
-	v.mark(v.self)
-	v.budget = budget{rate: float64(s.BytesPerSecond), most: float64(s.BytesPerSecond)}
-	v.streams = v.budget
-	v.farBudget = budget{rate: float64(s.RemoteBytesPerSecond), most: float64(s.RemoteBytesPerSecond)}
-	v.farStreams = v.farBudget
-	v.counts.file, v.number = s.ConfiguredBalancers, s.DatagramNumber
+			s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout, s.MinSuspicion, s.BytesPerSecond, s.RemoteBytesPerSecond, s.MaxMembers, 2*maxDatagramBytes)
+	}
+	v := &View{settings: s, rng: rand.New(rand.NewPCG(seed, s.RunID)), members: map[string]*member{}, localities: map[locality]*roundTrip{}, suspicionsAt: never,
+		regions: map[string]*region{}, remoteAddrs: map[string]*region{}, regionsCheckAt: never}
+	v.localRegion = v.regionOf(s.Region)
+	v.self = &member{Record: own, region: v.localRegion, nameHash: nameHash(s.Name)}
+	v.members[s.Name], v.sortedNames = v.self, []string{s.Name}
+	v.updateDigest(v.self)
+	v.budget = tokenBucket{rate: float64(s.BytesPerSecond), capacity: float64(s.BytesPerSecond)}
+	v.streamBudget = v.budget
+	v.remoteBudget = tokenBucket{rate: float64(s.RemoteBytesPerSecond), capacity: float64(s.RemoteBytesPerSecond)}
+	v.remoteStreamBudget = v.remoteBudget
+	v.sizes.configured, v.datagramNumber = s.ConfiguredBalancers, s.DatagramNumber
 	return v, nil
 }
 
@@ -407,128 +407,128 @@
 // start is the first step.
 func (v *View) start() {
 	v.budget.start(v.now)
-	v.farBudget.start(v.now)
-	v.farStreams.start(v.now)
-	v.self.since, v.heardAny, v.lateAt = v.now, v.now, v.now-calmFor
-	v.probeAt = v.now + v.random(v.s.ProbeInterval)
-	v.newsAt, v.tryAt, v.seedAt = v.now, v.now+v.random(time.Second), v.now
-	v.tidyAt = v.now + 10*time.Second
-	v.streams.start(v.now)
-	v.exchange.quietAt = v.now + exchangeQuiet/2 + v.random(exchangeQuiet)
-	v.counts.start(v)
-	v.doors()
-	if v.s.TakesOver {
+	v.remoteBudget.start(v.now)
+	v.remoteStreamBudget.start(v.now)
+	v.self.stateSince, v.lastReceivedAt, v.lateStepAt = v.now, v.now, v.now-minOnTimePeriod
+	v.probeAt = v.now + v.randomUpTo(v.settings.ProbeInterval)
+	v.gossipAt, v.reconnectAt, v.seedRetryAt = v.now, v.now+v.randomUpTo(time.Second), v.now
+	v.cleanupAt = v.now + 10*time.Second
+	v.streamBudget.start(v.now)
+	v.exchange.periodicAt = v.now + periodicExchangeInterval/2 + v.randomUpTo(periodicExchangeInterval)
+	v.sizes.start(v)
+	v.collectJoinAddrs()
+	if v.settings.TakesOver {
 		v.joined, v.settled = true, true
-		for _, r := range v.s.Known {
-			if r.Name != v.s.Name {
+		for _, r := range v.settings.KnownMembers {
+			if r.Name != v.settings.Name {
 				v.merge(r, "taken over")
 			}
 		}
-		v.news = news{} // others know all that
+		v.updates = updateQueue{} // others know all that
 	}
-	v.tell(v.self)
+	v.announce(v.self)
 }
 
-// doors collects the addresses by which the fleet may be met: seeds, and whoever was known in the last life. They
+// collectJoinAddrs collects the addresses by which the fleet may be met: seeds, and whoever was known in the last life. They
 // may have left or moved since; that they were there is all that counts.
-func (v *View) doors() {
+func (v *View) collectJoinAddrs() {
 	x := &v.exchange
-	x.ask, x.next, x.rounds = nil, 0, 0
+	x.joinAddrs, x.nextJoinAddr, x.joinRounds = nil, 0, 0
 	add := func(addr string) {
-		if addr != v.s.Addr && !slices.Contains(x.ask, addr) && len(x.ask) < doorsMost {
-			x.ask = append(x.ask, addr)
+		if addr != v.settings.Addr && !slices.Contains(x.joinAddrs, addr) && len(x.joinAddrs) < maxJoinAddrs {
+			x.joinAddrs = append(x.joinAddrs, addr)
 		}
 	}
-	for _, s := range v.s.Seeds {
+	for _, s := range v.settings.Seeds {
 		add(s)
 	}
-	for _, i := range v.rng.Perm(len(v.s.Known)) {
-		if r := &v.s.Known[i]; r.Name != v.s.Name && r.State != Left && r.check() == nil {
+	for _, i := range v.rng.Perm(len(v.settings.KnownMembers)) {
+		if r := &v.settings.KnownMembers[i]; r.Name != v.settings.Name && r.State != Left && r.check() == nil {
 			add(r.Addr)
 		}
 	}
-	v.rng.Shuffle(len(x.ask), func(i, j int) { x.ask[i], x.ask[j] = x.ask[j], x.ask[i] })
-	v.joined = len(x.ask) == 0
-	x.again = append(slices.Clone(x.ask), x.ask...)
-	x.soon(v, 0)
+	v.rng.Shuffle(len(x.joinAddrs), func(i, j int) { x.joinAddrs[i], x.joinAddrs[j] = x.joinAddrs[j], x.joinAddrs[i] })
+	v.joined = len(x.joinAddrs) == 0
+	x.retryAddrs = append(slices.Clone(x.joinAddrs), x.joinAddrs...)
+	x.scheduleIn(v, 0)
 }
 
-// random is a time from 0 to most.
-func (v *View) random(most time.Duration) time.Duration {
+// randomUpTo is a time from 0 to most.
+func (v *View) randomUpTo(most time.Duration) time.Duration {
 	return time.Duration(v.rng.Float64() * float64(most))
 }
 
 // Next is when the view must be stepped again at the latest, if nothing happens before.
-func (v *View) Next() time.Duration { return v.due }
+func (v *View) Next() time.Duration { return v.wakeAt }
 
 // Step takes what has happened by now, in order, and returns what to do.
 func (v *View) Step(now time.Duration, events ...Event) []Action {
-	first := !v.began
-	v.began = true
+	first := !v.started
+	v.started = true
 	v.now, v.actions = max(now, v.now), nil
 	if first {
 		v.start()
-	} else if late := v.now - v.due; late > lateLeast {
-		v.lateAt = v.now
-		v.heardAny += late // what it would have heard meanwhile
-		if late > pauseLeast {
-			v.paused(late)
+	} else if late := v.now - v.wakeAt; late > lateStepThreshold {
+		v.lateStepAt = v.now
+		v.lastReceivedAt += late // what it would have heard meanwhile
+		if late > minPause {
+			v.resumeAfterPause(late)
 		}
 	}
 	v.budget.fill(v.now)
-	v.farBudget.fill(v.now)
+	v.remoteBudget.fill(v.now)
 	for _, e := range events {
 		switch e := e.(type) {
 		case DatagramReceived:
 			v.onDatagram(e)
 		case ExchangeRequest:
-			v.onAsked(e)
+			v.onExchangeRequest(e)
 		case ExchangeResponse:
-			v.onAnswered(e)
+			v.onExchangeResponse(e)
 		case ExchangeClosed:
-			v.takeAll(e.Message, "exchange")
+			v.mergeAll(e.Message, "exchange")
 		case ExchangeFailed:
-			v.onFailed(e)
+			v.onExchangeFailed(e)
 		case LocalInfo:
-			v.onSelf(e)
+			v.onLocalInfo(e)
 		case Leave:
 			v.leave()
 		case ForgetMember:
-			v.forget(e.Name)
+			v.forgetMember(e.Name)
 		case TookOver:
 			v.self.Incarnation++
-			v.tell(v.self)
+			v.announce(v.self)
 		}
 	}
-	v.timers()
+	v.runTimers()
 	v.schedule()
 	return v.actions
 }
 
-// timers does what is due.
-func (v *View) timers() {
-	if v.leaveState {
-		v.goOn()
+// runTimers does what is due.
+func (v *View) runTimers() {
+	if v.isLeaving {
+		v.leaveDue()
 		return
 	}
-	v.claimDue()
-	v.errandsDue()
-	if v.standby {
+	v.nameClaimDue()
+	v.relayedDue()
+	if v.yielding {
 		return
 	}
-	v.survey()
-	v.loneDue()
+	v.regionsDue()
+	v.isolationDue()
 	v.probesDue()
-	v.watchDue()
+	v.watchedRegionsDue()
 	v.suspicionsDue()
-	v.newsDue()
+	v.gossipDue()
 	v.exchangeDue()
-	v.tryDue()
-	v.tidy()
-	v.counts.due(v)
+	v.reconnectDue()
+	v.cleanupDue()
+	v.sizes.publish(v)
 	if v.saveAt > 0 && v.now >= v.saveAt {
 		v.saveAt = 0
-		v.do(SaveView{})
+		v.emit(SaveView{})
 	}
 }
 
@@ -540,108 +540,108 @@
 			due = min(due, t)
 		}
 	}
-	if v.leaveState {
+	if v.isLeaving {
 		due = v.now + time.Hour
-		if v.leaving > 0 {
-			due = v.leaveAt
+		if v.leaveRounds > 0 {
+			due = v.leaveRoundAt
 		}
-		v.due = due
+		v.wakeAt = due
 		return
 	}
-	at(v.claim.at)
-	for _, e := range v.errands {
+	at(v.claim.dueAt)
+	for _, e := range v.relayed {
 		at(e.until)
 	}
-	if !v.standby {
+	if !v.yielding {
 		at(v.probeAt)
 		for _, p := range v.probes {
 			at(p.until)
 		}
 		if len(v.suspects) > 0 {
-			at(v.judgeAt)
+			at(v.suspicionsAt)
 		}
-		if !v.news.empty() {
-			at(v.newsAt)
+		if !v.updates.empty() {
+			at(v.gossipAt)
 		}
-		v.watchNext(at)
-		at(v.surveyAt)
-		if v.mayBeLone() {
-			at(v.heardAny + v.loneAfter())
+		v.watchedRegionTimers(at)
+		at(v.regionsCheckAt)
+		if v.canBeIsolated() {
+			at(v.lastReceivedAt + v.isolationTimeout())
 		}
-		at(v.exchange.due(v))
-		at(v.tryAt)
-		at(v.tidyAt)
-		at(v.counts.at)
+		at(v.exchange.nextAt(v))
+		at(v.reconnectAt)
+		at(v.cleanupAt)
+		at(v.sizes.nextStepAt)
 		at(v.saveAt)
 	}
-	v.due = max(due, v.now+time.Millisecond)
+	v.wakeAt = max(due, v.now+time.Millisecond)
 }
 
-func (v *View) do(a Action) { v.actions = append(v.actions, a) }
+func (v *View) emit(a Action) { v.actions = append(v.actions, a) }
 
 // saveSoon has the view saved within a few seconds.
 func (v *View) saveSoon() {
 	if v.saveAt == 0 {
-		v.saveAt = v.now + 2*time.Second + v.random(time.Second)
+		v.saveAt = v.now + 2*time.Second + v.randomUpTo(time.Second)
 	}
 }
 
-// paused takes note that this process did nothing for a while: it was stopped, starved, or its host slept. What it
+// resumeAfterPause takes note that this process did nothing for a while: it was stopped, starved, or its host slept. What it
 // was about to conclude rests on answers that it did not read in time. So no probe of that time counts, no
 // suspicion ends sooner than if the time had not passed, and what it meant to accuse others of is not told.
-func (v *View) paused(late time.Duration) {
-	if v.s.Baseline.NoLifeguard {
+func (v *View) resumeAfterPause(late time.Duration) {
+	if v.settings.Baseline.NoLifeguard {
 		return
 	}
 	v.probes = nil
-	v.probeAt = v.now + v.random(v.s.ProbeInterval)
-	for _, r := range v.areas {
-		r.missed, r.ackAt = 0, v.now
+	v.probeAt = v.now + v.randomUpTo(v.settings.ProbeInterval)
+	for _, r := range v.sortedRegions {
+		r.missedProbes, r.lastAckAt = 0, v.now
 	}
 	for _, m := range v.suspects {
-		m.suspect.from += late
-		if m.suspect.mine {
-			m.suspect.from = v.now
+		m.suspicion.startedAt += late
+		if m.suspicion.reportedHere {
+			m.suspicion.startedAt = v.now
 		}
 	}
-	v.judgeAt = 0
-	v.worsen(1 + int(late/time.Second))
+	v.suspicionsAt = 0
+	v.degradeHealth(1 + int(late/time.Second))
 	if late >= time.Second {
-		v.do(SelfSuspected{Pause: late, Health: v.health})
-		v.exchange.soon(v, 0)
+		v.emit(SelfSuspected{Pause: late, Health: v.localHealth})
+		v.exchange.scheduleIn(v, 0)
 	}
 	if late >= time.Second {
-		v.news.drop(func(m *member) bool { return m.State == Suspect || m.State == Dead })
+		v.updates.removeAbout(func(m *member) bool { return m.State == Suspect || m.State == Dead })
 	}
 }
 
-// worsen takes note of a sign that this member itself is slow or badly connected.
-func (v *View) worsen(n int) {
-	if !v.s.Baseline.NoLifeguard {
-		v.health = min(healthMost, v.health+n)
+// degradeHealth takes note of a sign that this member itself is slow or badly connected.
+func (v *View) degradeHealth(n int) {
+	if !v.settings.Baseline.NoLifeguard {
+		v.localHealth = min(maxLocalHealth, v.localHealth+n)
 	}
 }
 
-func (v *View) better() { v.health = max(0, v.health-1) }
+func (v *View) improveHealth() { v.localHealth = max(0, v.localHealth-1) }
 
-// patience is a time, longer while this member doubts itself, unless it knows better.
-func (v *View) patience(d time.Duration) time.Duration {
-	if v.cutOff() {
+// scaledByHealth is a time, longer while this member doubts itself, unless it knows better.
+func (v *View) scaledByHealth(d time.Duration) time.Duration {
+	if v.isPartitioned() {
 		return d
 	}
-	return d * time.Duration(1+v.health)
+	return d * time.Duration(1+v.localHealth)
 }
 
 // Members are all that are known, this one included, in the order of their names. Ages are as of the last step. Who
 // can't be reached, since its region is not or nobody is, is dead here.
-func (v *View) Members() []Record { return v.all(v.seen) }
+func (v *View) Members() []Record { return v.all(v.effectiveRecord) }
 
 // Records are the same by their records alone, which is what another process goes on from.
-func (v *View) Records() []Record { return v.all(v.told) }
+func (v *View) Records() []Record { return v.all(v.outgoingRecord) }
 
 func (v *View) all(as func(*member) Record) []Record {
-	all := make([]Record, 0, len(v.order))
-	for _, n := range v.order {
+	all := make([]Record, 0, len(v.sortedNames))
+	for _, n := range v.sortedNames {
 		all = append(all, as(v.members[n]))
 	}
 	return all
@@ -661,17 +661,17 @@
 // Since is when a member's present state began here; 0: it is not known.
 func (v *View) Since(name string) time.Duration {
 	if m := v.members[name]; m != nil {
-		if m.shown() != m.State {
-			return v.hiddenSince(m)
+		if m.effectiveState() != m.State {
+			return v.unreachableSince(m)
 		}
-		return m.since
+		return m.stateSince
 	}
 	return 0
 }
 
 // DatagramNumber is how many datagrams this life has sent; Up how long it has run. A process that follows goes on from both.
-func (v *View) DatagramNumber() uint64 { return v.number }
-func (v *View) Uptime() time.Duration  { return v.up() }
+func (v *View) DatagramNumber() uint64 { return v.datagramNumber }
+func (v *View) Uptime() time.Duration  { return v.uptime() }
 
 // Local is this member's record.
 func (v *View) Local() Record { return v.self.Record }
@@ -680,31 +680,31 @@
 func (v *View) Digest() uint64 { return v.digest }
 
 // Health is 0 where this member hears all that it should, and more where it is slow or badly connected.
-func (v *View) Health() int { return v.health }
+func (v *View) Health() int { return v.localHealth }
 
 // Yields reports whether another process has this one's name, and it says nothing therefore.
-func (v *View) Yields() bool { return v.standby }
+func (v *View) Yields() bool { return v.yielding }
 
 // OwnsName reports whether it has its name for itself, as far as it can know: it has met the fleet, or looked for it in vain
 // for a while, and nobody else is known by the name.
 func (v *View) OwnsName() bool {
-	return !v.standby && v.claim.at == 0 && (v.joined || v.met || v.now-v.self.since > standLook)
+	return !v.yielding && v.claim.dueAt == 0 && (v.joined || v.contacted || v.now-v.self.stateSince > yieldCheckInterval)
 }
 
 // Joined reports whether it has met the fleet in this life, or knows that there is nobody to meet.
 func (v *View) Joined() bool { return v.joined }
 
 // Traffic is what was sent and heard so far.
-func (v *View) Traffic() Traffic { return v.sent }
+func (v *View) Traffic() Traffic { return v.traffic }
 
 // Size is of the balancers that share the servers.
-func (v *View) Size() Size { return v.counts.told }
+func (v *View) Size() Size { return v.sizes.reported }
 
-// told is a member's record as it is told to others.
-func (v *View) told(m *member) Record {
+// outgoingRecord is a member's record as it is told to others.
+func (v *View) outgoingRecord(m *member) Record {
 	r := m.Record
 	if r.State >= Dead {
-		r.AgeSeconds = uint32(max(0, v.now-m.dieAt) / time.Second)
+		r.AgeSeconds = uint32(max(0, v.now-m.diedAt) / time.Second)
 	}
 	return r
 }
@@ -718,8 +718,8 @@
 		return fmt.Errorf("zone %q: up to %d printable characters are allowed", r.Zone, MaxNameBytes)
 	case len(r.Region) > MaxNameBytes || !printable(r.Region):
 		return fmt.Errorf("region %q: up to %d printable characters are allowed", r.Region, MaxNameBytes)
-	case len(r.UnreachableRegions) > regionsMost:
-		return fmt.Errorf("%d regions that are not reached: up to %d are allowed", len(r.UnreachableRegions), regionsMost)
+	case len(r.UnreachableRegions) > maxRegions:
+		return fmt.Errorf("%d regions that are not reached: up to %d are allowed", len(r.UnreachableRegions), maxRegions)
 	case len(r.Program) > MaxNameBytes || !printable(r.Program):
 		return fmt.Errorf("version %q: up to %d printable characters are allowed", r.Program, MaxNameBytes)
 	case len(r.Reporter) > MaxNameBytes || !printable(r.Reporter):
@@ -757,28 +757,28 @@
 	return r.State > than.State
 }
 
-// insert keeps the names in order.
-func (v *View) insert(name string) {
-	i, _ := slices.BinarySearch(v.order, name)
-	v.order = slices.Insert(v.order, i, name)
+// insertName keeps the names in order.
+func (v *View) insertName(name string) {
+	i, _ := slices.BinarySearch(v.sortedNames, name)
+	v.sortedNames = slices.Insert(v.sortedNames, i, name)
 }
 
-func (v *View) remove(name string) {
-	if i, ok := slices.BinarySearch(v.order, name); ok {
-		v.order = slices.Delete(v.order, i, i+1)
+func (v *View) removeName(name string) {
+	if i, ok := slices.BinarySearch(v.sortedNames, name); ok {
+		v.sortedNames = slices.Delete(v.sortedNames, i, i+1)
 	}
 }
 
-// mark brings the digest up to what is now known of a member.
-func (v *View) mark(m *member) {
-	v.digest ^= m.hash
-	m.hash = hashOf(&m.Record)
-	v.digest ^= m.hash
+// updateDigest brings the digest up to what is now known of a member.
+func (v *View) updateDigest(m *member) {
+	v.digest ^= m.digest
+	m.digest = recordDigest(&m.Record)
+	v.digest ^= m.digest
 }
 
-// hashOf is a member's part in the digest (FNV-1a over what orders records, and then mixed, since parts are summed
+// recordDigest is a member's part in the digest (FNV-1a over what orders records, and then mixed, since parts are summed
 // by exclusive or). A suspicion is not in it: it comes and goes.
-func hashOf(r *Record) uint64 {
+func recordDigest(r *Record) uint64 {
 	f := fnv.New64a()
 	_, _ = io.WriteString(f, r.Name) // a hash takes all
 	state := r.State
@@ -808,45 +808,45 @@
 	return f.Sum64()
 }
 
-// sort puts a member into the list in which its state belongs.
-func (v *View) sort(m *member) {
-	want := uint8(inNone)
+// updateLists puts a member into the list in which its state belongs.
+func (v *View) updateLists(m *member) {
+	want := uint8(listNone)
 	switch {
 	case m == v.self:
 	case m.State <= Suspect:
-		want = inLive
+		want = listLive
 	case m.State == Dead:
-		want = inSilent
+		want = listDead
 	}
-	region := v.home
+	region := v.localRegion
 	if m != v.self {
 		region = v.regionOf(m.Region)
 	}
-	if m.listed == want && m.region == region {
+	if m.list == want && m.region == region {
 		return
 	}
-	v.surveyAt = v.now
-	switch m.listed {
-	case inLive:
-		drop(&v.live, m.place, func(o *member, i int) { o.place = i })
-		drop(&m.region.live, m.spot, func(o *member, i int) { o.spot = i })
-	case inSilent:
-		drop(&v.silent, m.place, func(o *member, i int) { o.place = i })
-		drop(&m.region.silent, m.spot, func(o *member, i int) { o.spot = i })
+	v.regionsCheckAt = v.now
+	switch m.list {
+	case listLive:
+		swapRemoveAt(&v.live, m.listIndex, func(o *member, i int) { o.listIndex = i })
+		swapRemoveAt(&m.region.live, m.regionIndex, func(o *member, i int) { o.regionIndex = i })
+	case listDead:
+		swapRemoveAt(&v.dead, m.listIndex, func(o *member, i int) { o.listIndex = i })
+		swapRemoveAt(&m.region.dead, m.regionIndex, func(o *member, i int) { o.regionIndex = i })
 	}
-	m.listed, m.region = want, region
+	m.list, m.region = want, region
 	switch want {
-	case inLive:
-		m.place, v.live = len(v.live), append(v.live, m)
-		m.spot, region.live = len(region.live), append(region.live, m)
-	case inSilent:
-		m.place, v.silent = len(v.silent), append(v.silent, m)
-		m.spot, region.silent = len(region.silent), append(region.silent, m)
+	case listLive:
+		m.listIndex, v.live = len(v.live), append(v.live, m)
+		m.regionIndex, region.live = len(region.live), append(region.live, m)
+	case listDead:
+		m.listIndex, v.dead = len(v.dead), append(v.dead, m)
+		m.regionIndex, region.dead = len(region.dead), append(region.dead, m)
 	}
 }
 
-// drop takes one out of a list, and puts the last one into its place.
-func drop(list *[]*member, at int, put func(m *member, at int)) {
+// swapRemoveAt takes one out of a list, and puts the last one into its place.
+func swapRemoveAt(list *[]*member, at int, put func(m *member, at int)) {
 	all := *list
 	last := all[len(all)-1]
 	all[at] = last
--- a/internal/peer/membership/membership_test.go
+++ b/internal/peer/membership/membership_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func alone(t testing.TB, seeds ...string) *View {
+func newTestView(t testing.TB, seeds ...string) *View {
 	t.Helper()
 	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Instances: 1, Balancers: 1, Seeds: seeds}, 1)
 	if err != nil {
@@ -19,25 +19,25 @@
 	return v
 }
 
-func other(n int) Record {
+func testRecord(n int) Record {
 	return Record{Name: fmt.Sprint("m", n), Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Boot: 5, RunID: uint64(n + 100), Balancers: 1}
 }
 
-// meet has a view know so many others, by an exchange.
-func meet(v *View, n int) {
+// learnMembers has a view know so many others, by an exchange.
+func learnMembers(v *View, n int) {
 	x := &Exchange{From: "m0", Boot: 5, RunID: 100}
 	for i := range n {
-		x.Records = append(x.Records, other(i))
+		x.Records = append(x.Records, testRecord(i))
 	}
 	v.Step(0, ExchangeClosed{x})
 }
 
-func from(r Record, number uint64, m Message) DatagramReceived {
+func datagramFrom(r Record, number uint64, m Message) DatagramReceived {
 	m.From, m.Boot, m.RunID, m.Number = r.Name, r.Boot, r.RunID, number
 	return DatagramReceived{Message: &m}
 }
 
-func sent(actions []Action, kind Kind) (all []Send) {
+func sentOfKind(actions []Action, kind Kind) (all []Send) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok && s.Message.Kind == kind {
 			all = append(all, s)
@@ -46,8 +46,8 @@
 	return all
 }
 
-// run steps a view whenever it wants to be, until a time.
-func run(v *View, until time.Duration) (all []Action) {
+// runUntil steps a view whenever it wants to be, until a time.
+func runUntil(v *View, until time.Duration) (all []Action) {
 	for v.Next() <= until {
 		all = append(all, v.Step(v.Next())...)
 	}
@@ -58,7 +58,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
-			r := other(rapid.IntRange(0, 3).Draw(t, "name"))
+			r := testRecord(rapid.IntRange(0, 3).Draw(t, "name"))
 			r.Boot = uint64(rapid.IntRange(1, 3).Draw(t, "boot"))
 			r.RunID = r.RunID*10 + r.Boot
 			r.Incarnation = uint32(rapid.IntRange(0, 2).Draw(t, "inc"))
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestNothingThatComesInBreaksAView(t *testing.T) {
+func TestViewStaysConsistentUnderArbitraryInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.SampledFrom([]string{"", "r1", "r2"})
 		v, _ := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Balancers: 1, Region: regions.Draw(t, "own region"), Seeds: []string{"127.0.0.2:1"}}, 1)
@@ -112,7 +112,7 @@
 				e = ForgetMember{names.Draw(t, "forget")}
 			}
 			for _, a := range v.Step(now, e) {
-				if s, ok := a.(Send); ok && s.Size > datagramMost+recordSize*4+400 {
+				if s, ok := a.(Send); ok && s.Size > maxDatagramBytes+maxRecordOverhead*4+400 {
 					t.Errorf("a datagram of %d bytes", s.Size)
 				}
 			}
@@ -135,8 +135,8 @@
 					most += int(r.Balancers)
 				}
 			}
-			if live != len(v.live) || silent != len(v.silent) || most != v.counts.most {
-				t.Fatalf("lists hold %d and %d, counts %d: %d, %d and %d are there", len(v.live), len(v.silent), v.counts.most, live, silent, most)
+			if live != len(v.live) || silent != len(v.dead) || most != v.sizes.maxBalancers {
+				t.Fatalf("lists hold %d and %d, counts %d: %d, %d and %d are there", len(v.live), len(v.dead), v.sizes.maxBalancers, live, silent, most)
 			}
 			least, hidden := 0, 0
 			for _, r := range v.Members() { // as others are to see it
@@ -147,40 +147,40 @@
 					hidden++
 				}
 			}
-			for _, r := range v.areas {
+			for _, r := range v.sortedRegions {
 				for _, m := range r.live {
-					if m.region != r || m.Region != r.name || r.live[m.spot] != m {
+					if m.region != r || m.Region != r.name || r.live[m.regionIndex] != m {
 						t.Fatalf("%s of %q is in the list of %q", m.Name, m.Region, r.name)
 					}
 				}
 				live -= len(r.live)
-				silent -= len(r.silent)
+				silent -= len(r.dead)
 			}
-			if least != v.counts.least || hidden != v.counts.hidden || live != 0 || silent != 0 {
-				t.Fatalf("least %d, %d hidden, counts %d and %d; regions' lists miss %d and %d", least, hidden, v.counts.least, v.counts.hidden, live, silent)
+			if least != v.sizes.minBalancers || hidden != v.sizes.unreachable || live != 0 || silent != 0 {
+				t.Fatalf("least %d, %d hidden, counts %d and %d; regions' lists miss %d and %d", least, hidden, v.sizes.minBalancers, v.sizes.unreachable, live, silent)
 			}
 		}
 	})
 }
 
-func TestAnswersProbesUnderItsOwnNameAlone(t *testing.T) {
-	v := alone(t)
-	meet(v, 1)
-	if got := sent(v.Step(ms, from(other(0), 1, Message{Kind: Ping, Seq: 9, Target: "me", Addr: "127.0.0.2:1"})), Ack); len(got) != 1 || got[0].Message.Seq != 9 {
+func TestAcksOnlyProbesForOwnName(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 1)
+	if got := sentOfKind(v.Step(ms, datagramFrom(testRecord(0), 1, Message{Kind: Ping, Seq: 9, Target: "me", Addr: "127.0.0.2:1"})), Ack); len(got) != 1 || got[0].Message.Seq != 9 {
 		t.Error(got)
 	}
-	if got := sent(v.Step(2*ms, from(other(0), 2, Message{Kind: Ping, Seq: 9, Target: "you"})), Ack); len(got) != 0 {
+	if got := sentOfKind(v.Step(2*ms, datagramFrom(testRecord(0), 2, Message{Kind: Ping, Seq: 9, Target: "you"})), Ack); len(got) != 0 {
 		t.Error("it answered for another")
 	}
 }
 
-func TestRefutesWhatIsSaidOfItself(t *testing.T) {
-	v := alone(t)
-	meet(v, 1)
+func TestRefutesSuspicionDeathAndLeaveOfItself(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 1)
 	for _, state := range []State{Suspect, Dead, Left} {
 		said := v.Local()
 		said.State, said.Reporter = state, "m0"
-		v.Step(v.now+ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{said}}))
+		v.Step(v.now+ms, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{said}}))
 		if own := v.Local(); own.State != Alive || own.Incarnation != said.Incarnation+1 {
 			t.Errorf("told that it is %v: %+v", state, own)
 		}
@@ -188,25 +188,25 @@
 }
 
 // An old datagram, of an earlier life or far behind, changes nothing.
-func TestOldNewsIsNotTaken(t *testing.T) {
-	v := alone(t)
-	meet(v, 2)
-	dead := other(1)
+func TestStaleDatagramsChangeNothing(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 2)
+	dead := testRecord(1)
 	dead.State = Dead
-	v.Step(ms, from(other(0), 10_000, Message{Kind: Gossip}))
-	v.Step(2*ms, from(other(0), 10, Message{Kind: Gossip, Updates: []Record{dead}}))
-	earlier := other(0)
+	v.Step(ms, datagramFrom(testRecord(0), 10_000, Message{Kind: Gossip}))
+	v.Step(2*ms, datagramFrom(testRecord(0), 10, Message{Kind: Gossip, Updates: []Record{dead}}))
+	earlier := testRecord(0)
 	earlier.Boot = 4
-	v.Step(3*ms, from(earlier, 20_000, Message{Kind: Gossip, Updates: []Record{dead}}))
+	v.Step(3*ms, datagramFrom(earlier, 20_000, Message{Kind: Gossip, Updates: []Record{dead}}))
 	if len(v.live) != 2 || v.Traffic().Stale != 2 {
 		t.Errorf("%d alive, %d stale", len(v.live), v.Traffic().Stale)
 	}
 }
 
-func TestPausedMemberHoldsNobodyForDead(t *testing.T) {
-	v := alone(t)
-	meet(v, 5)
-	run(v, 1200*ms) // nobody answers: it suspects some. Of none it knows how far away they are
+func TestPausedMemberDeclaresNobodyDead(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 5)
+	runUntil(v, 1200*ms) // nobody answers: it suspects some. Of none it knows how far away they are
 	if len(v.suspects) == 0 {
 		t.Fatal("it suspects nobody")
 	}
@@ -221,32 +221,32 @@
 }
 
 // Silence never lets a share grow; an orderly leave and an operator's word do, by parts.
-func TestCountFallsByWordAlone(t *testing.T) {
-	v := alone(t)
-	meet(v, 20)
+func TestMaxBalancersFallsOnlyByLeaveOrForget(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 20)
 	v.settled = true
-	run(v, 60*time.Second)
+	runUntil(v, 60*time.Second)
 	if v.Size().Live != 1 || v.Size().MaxBalancers != 21 || v.Size().MinBalancers != 1 {
 		t.Fatalf("count %+v", v.Size())
 	}
 	was := v.Size().MaxBalancers
 	for n := range 20 {
-		v.Step(v.now+ms, ForgetMember{Name: other(n).Name})
+		v.Step(v.now+ms, ForgetMember{Name: testRecord(n).Name})
 	}
 	for i := 0; v.Size().MaxBalancers > 1; i++ {
 		if v.Step(v.Next()); i > 5000 {
 			t.Fatalf("it stays at %d", v.Size().MaxBalancers)
 		}
-		if now := v.Size().MaxBalancers; was-now > max(1, was/easeParts) {
+		if now := v.Size().MaxBalancers; was-now > max(1, was/sizeSteps) {
 			t.Fatalf("from %d to %d at once", was, now)
 		}
 		was = v.Size().MaxBalancers
 	}
 }
 
-func TestBytesStayUnderTheBudgetInAStorm(t *testing.T) {
-	v := alone(t)
-	meet(v, 400)
+func TestSentBytesStayWithinBudgetInAStorm(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 400)
 	sentBytes := 0
 	start := v.now
 	for range 3000 { // all die, and are news
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestBootGrowsWithoutDiskOrClock(t *testing.T) {
+func TestBootNumberGrowsWithoutDiskOrClock(t *testing.T) {
 	for _, c := range []struct {
 		saved uint64
 		wall  int64
@@ -276,8 +276,8 @@
 			t.Errorf("%d saved at %d: %d, not %d", c.saved, c.wall, got, c.want)
 		}
 	}
-	v := alone(t) // what even that leaves, others tell
-	meet(v, 1)
+	v := newTestView(t) // what even that leaves, others tell
+	learnMembers(v, 1)
 	earlier := v.Local()
 	earlier.Boot, earlier.RunID = 900, 3
 	v.Step(ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{earlier}}})
--- a/internal/peer/membership/mends_test.go
+++ b/internal/peer/membership/mends_test.go
@@ -7,49 +7,49 @@
 
 // Each of these is a fault that drills found, told as a table of events.
 
-func state(v *View, name string) State { return v.members[name].State }
+func stateOf(v *View, name string) State { return v.members[name].State }
 
-// suspectOf has m0 tell that another is suspect.
-func suspectOf(v *View, n int, inc uint32) {
-	r := other(n)
+// receiveSuspicion has m0 tell that another is suspect.
+func receiveSuspicion(v *View, n int, inc uint32) {
+	r := testRecord(n)
 	r.State, r.Reporter, r.Incarnation = Suspect, "m0", inc
-	v.Step(v.now+ms, from(other(0), uint64(v.now), Message{Kind: Gossip, Updates: []Record{r}}))
+	v.Step(v.now+ms, datagramFrom(testRecord(0), uint64(v.now), Message{Kind: Gossip, Updates: []Record{r}}))
 }
 
-func TestWhatAnotherHoldsForDeadIsAccusedNotBuried(t *testing.T) {
-	v := alone(t)
-	meet(v, 3)
-	r := other(1)
+func TestDeathFromAnExchangeBecomesASuspicion(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 3)
+	r := testRecord(1)
 	r.State = Dead
 	v.Step(ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
-	if got := state(v, "m1"); got != Suspect {
+	if got := stateOf(v, "m1"); got != Suspect {
 		t.Errorf("%v", got)
 	}
 }
 
-func TestWhoWasJustHeardIsNotBuriedByNews(t *testing.T) {
+func TestGossipedDeathOfARecentSenderBecomesASuspicion(t *testing.T) {
 	for _, c := range []struct {
 		ago  time.Duration
 		want State
 	}{{DefaultMinSuspicion / 2, Suspect}, {2 * DefaultMinSuspicion, Dead}} {
-		v := alone(t)
-		meet(v, 3)
-		v.Step(ms, from(other(1), 1, Message{Kind: Gossip}))
+		v := newTestView(t)
+		learnMembers(v, 3)
+		v.Step(ms, datagramFrom(testRecord(1), 1, Message{Kind: Gossip}))
 		v.now += c.ago
-		r := other(1)
+		r := testRecord(1)
 		r.State = Dead
-		v.Step(v.now, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
-		if got := state(v, "m1"); got != c.want {
+		v.Step(v.now, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
+		if got := stateOf(v, "m1"); got != c.want {
 			t.Errorf("heard %v ago: %v", c.ago, got)
 		}
 	}
 }
 
-// probed runs until the view has probed a member, and is the probe.
-func probed(t *testing.T, v *View, name string) Send {
+// runUntilProbed runs until the view has probed a member, and is the probe.
+func runUntilProbed(t *testing.T, v *View, name string) Send {
 	t.Helper()
 	for range 200 {
-		for _, s := range sent(v.Step(v.Next()), Ping) {
+		for _, s := range sentOfKind(v.Step(v.Next()), Ping) {
 			if s.Message.Target == name {
 				return s
 			}
@@ -59,77 +59,77 @@
 	return Send{}
 }
 
-func TestHelpersAreAskedAndTheOneThatHelpedBeforeFirst(t *testing.T) {
-	v := alone(t)
-	meet(v, 8)
+func TestIndirectProbeAsksTheLastSuccessfulHelperFirst(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 8)
 	for round := range 5 {
 		p := &probe{target: "m1", seq: v.nextSeq()}
 		v.probes, v.actions = []*probe{p}, nil
-		if !v.askOthers(p) || len(p.helpers) < helpers {
+		if !v.probeIndirectly(p) || len(p.helpers) < indirectHelpers {
 			t.Fatalf("%d helpers", len(p.helpers))
 		}
 		if round > 0 && p.helpers[0].Name != "m5" {
 			t.Errorf("round %d: %s is asked first", round, p.helpers[0].Name)
 		}
-		v.Step(v.now+ms, from(other(5), uint64(round+1), Message{Kind: Ack, Seq: p.seq, Target: "m1"}))
-		if got := state(v, "m1"); got != Alive || len(v.probes) > 0 && v.probes[0] == p {
+		v.Step(v.now+ms, datagramFrom(testRecord(5), uint64(round+1), Message{Kind: Ack, Seq: p.seq, Target: "m1"}))
+		if got := stateOf(v, "m1"); got != Alive || len(v.probes) > 0 && v.probes[0] == p {
 			t.Fatalf("reached through another, and %v", got)
 		}
 	}
 }
 
-func TestSuspectIsToldSoWithItsProbe(t *testing.T) {
-	v := alone(t)
-	meet(v, 3)
-	suspectOf(v, 1, 0)
-	v.news = news{}
-	p := probed(t, v, "m1")
+func TestProbeOfASuspectCarriesTheSuspicion(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 3)
+	receiveSuspicion(v, 1, 0)
+	v.updates = updateQueue{}
+	p := runUntilProbed(t, v, "m1")
 	if len(p.Message.Updates) == 0 || p.Message.Updates[0].Name != "m1" || p.Message.Updates[0].State != Suspect {
 		t.Errorf("%+v", p.Message.Updates)
 	}
 }
 
-func TestWhoRefutedIsNotAccusedAgainAtOnce(t *testing.T) {
-	v := alone(t)
-	meet(v, 4)
-	v.accuse(v.members["m1"])
-	r := other(1)
+func TestRefutedMemberIsNotSuspectedAgainAtOnce(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 4)
+	v.suspect(v.members["m1"])
+	r := testRecord(1)
 	r.Incarnation = 1
-	v.Step(v.now+ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
+	v.Step(v.now+ms, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
 	m := v.members["m1"]
-	v.missed(&probe{target: "m1"})
+	v.probeFailed(&probe{target: "m1"})
 	if m.State != Alive {
 		t.Errorf("accused again at once")
 	}
-	v.now = m.muted + ms
-	v.missed(&probe{target: "m1"})
+	v.now = m.noSuspicionBefore + ms
+	v.probeFailed(&probe{target: "m1"})
 	if m.State != Suspect {
 		t.Errorf("never accused again")
 	}
 }
 
-func TestWhoSpreadsARefutedAccusationIsTold(t *testing.T) {
-	v := alone(t)
-	meet(v, 3)
-	r := other(1)
+func TestSenderOfARefutedSuspicionIsCorrected(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 3)
+	r := testRecord(1)
 	r.Incarnation = 5
-	v.Step(ms, from(other(2), 1, Message{Kind: Gossip, Updates: []Record{r}}))
-	v.news = news{}
+	v.Step(ms, datagramFrom(testRecord(2), 1, Message{Kind: Gossip, Updates: []Record{r}}))
+	v.updates = updateQueue{}
 	r.Incarnation, r.State, r.Reporter = 4, Suspect, "m0"
-	got := sent(v.Step(2*ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{r}})), Gossip)
-	if len(got) == 0 || got[0].To != other(0).Addr || got[0].Message.Updates[0].Incarnation != 5 {
+	got := sentOfKind(v.Step(2*ms, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{r}})), Gossip)
+	if len(got) == 0 || got[0].To != testRecord(0).Addr || got[0].Message.Updates[0].Incarnation != 5 {
 		t.Errorf("%+v", got)
 	}
 	own := v.Local() // and of itself
 	own.State, own.Reporter = Suspect, "m0"
-	v.Step(3*ms, from(other(0), 2, Message{Kind: Gossip, Updates: []Record{own}}))
-	v.news = news{}
-	if got := sent(v.Step(4*ms, from(other(0), 3, Message{Kind: Gossip, Updates: []Record{own}})), Gossip); len(got) == 0 {
+	v.Step(3*ms, datagramFrom(testRecord(0), 2, Message{Kind: Gossip, Updates: []Record{own}}))
+	v.updates = updateQueue{}
+	if got := sentOfKind(v.Step(4*ms, datagramFrom(testRecord(0), 3, Message{Kind: Gossip, Updates: []Record{own}})), Gossip); len(got) == 0 {
 		t.Error("nothing of itself")
 	}
 }
 
-func opens(actions []Action) (all []OpenExchange) {
+func openedExchanges(actions []Action) (all []OpenExchange) {
 	for _, a := range actions {
 		if o, ok := a.(OpenExchange); ok {
 			all = append(all, o)
@@ -138,31 +138,31 @@
 	return all
 }
 
-func TestDigestsThatGoOnToDifferLeadToAnExchange(t *testing.T) {
-	v := alone(t)
-	meet(v, 2)
-	v.exchange = exchange{quietAt: time.Hour}
+func TestPersistentDigestMismatchLeadsToAnExchange(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 2)
+	v.exchange = exchangeState{periodicAt: time.Hour}
 	var got []OpenExchange
 	for i := uint64(1); len(got) == 0 && v.now < 5*time.Second; i++ {
-		v.news = news{}
-		got = opens(v.Step(v.now+100*ms, from(other(0), i, Message{Kind: Gossip, Digest: 99})))
+		v.updates = updateQueue{}
+		got = openedExchanges(v.Step(v.now+100*ms, datagramFrom(testRecord(0), i, Message{Kind: Gossip, Digest: 99})))
 	}
-	if len(got) == 0 || got[0].To != other(0).Addr {
+	if len(got) == 0 || got[0].To != testRecord(0).Addr {
 		t.Errorf("%v by %v", got, v.now)
 	}
 }
 
-func TestDoorsAtWhichNobodyIsKnownAreTriedAgain(t *testing.T) {
+func TestSeedsWithoutAKnownMemberAreRetried(t *testing.T) {
 	door := "127.0.0.9:9"
-	v := alone(t, "127.0.0.2:1", door)
+	v := newTestView(t, "127.0.0.2:1", door)
 	tried := map[string]int{}
 	for i := 0; v.now < 8*time.Second && i < 5000; i++ {
-		for _, o := range opens(v.Step(max(v.Next(), v.now))) {
+		for _, o := range openedExchanges(v.Step(max(v.Next(), v.now))) {
 			tried[o.To]++
 			if o.To == door {
 				v.Step(v.now+ms, ExchangeFailed{o.ID})
 			} else { // m0 is there, and the search has succeeded
-				v.Step(v.now+ms, ExchangeResponse{o.ID, &Exchange{From: "m0", Boot: 5, RunID: 100, Records: []Record{other(0)}}})
+				v.Step(v.now+ms, ExchangeResponse{o.ID, &Exchange{From: "m0", Boot: 5, RunID: 100, Records: []Record{testRecord(0)}}})
 			}
 		}
 	}
@@ -171,12 +171,12 @@
 	}
 }
 
-func TestBeingAskedDoesNotEndTheSearch(t *testing.T) {
-	v := alone(t, "127.0.0.2:1")
-	v.Step(0, ExchangeRequest{1, &Exchange{From: "m3", BucketDigests: []uint64{0}, Records: []Record{other(3)}}})
+func TestIncomingExchangeDoesNotEndTheJoin(t *testing.T) {
+	v := newTestView(t, "127.0.0.2:1")
+	v.Step(0, ExchangeRequest{1, &Exchange{From: "m3", BucketDigests: []uint64{0}, Records: []Record{testRecord(3)}}})
 	tries := 0 // the first may have been on its way
 	for i := 0; i < 100 && tries < 2; i++ {
-		for _, o := range opens(v.Step(v.Next())) {
+		for _, o := range openedExchanges(v.Step(v.Next())) {
 			tries++
 			v.Step(v.now+ms, ExchangeFailed{o.ID})
 		}
@@ -186,69 +186,69 @@
 	}
 }
 
-func TestLateFailureEndsNoOtherExchange(t *testing.T) {
-	v := alone(t, "127.0.0.2:1")
+func TestStaleFailureDoesNotEndAnotherExchange(t *testing.T) {
+	v := newTestView(t, "127.0.0.2:1")
 	var first OpenExchange
 	for i := 0; first.ID == 0 && i < 100; i++ {
-		for _, o := range opens(v.Step(v.Next())) {
+		for _, o := range openedExchanges(v.Step(v.Next())) {
 			first = o
 		}
 	}
 	v.Step(v.now+ms, ExchangeFailed{first.ID + 7})
-	v.Step(v.now+ms, ExchangeResponse{first.ID, &Exchange{From: "m0", Boot: 5, RunID: 100, Records: []Record{other(0)}}})
+	v.Step(v.now+ms, ExchangeResponse{first.ID, &Exchange{From: "m0", Boot: 5, RunID: 100, Records: []Record{testRecord(0)}}})
 	if !v.Joined() {
 		t.Error("the answer was not taken")
 	}
 }
 
-func TestAccusersShortenASuspicion(t *testing.T) {
-	v := alone(t)
-	meet(v, 6)
-	suspectOf(v, 1, 0)
+func TestIndependentReportersShortenASuspicion(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 6)
+	receiveSuspicion(v, 1, 0)
 	m := v.members["m1"]
-	was := v.lasts(m)
-	if least := v.least(); was != suspectMost*least+firstWait {
+	was := v.suspicionTimeout(m)
+	if least := v.minSuspicion(); was != maxSuspicionFactor*least+unknownRoundTripTimeout {
 		t.Fatalf("one accuser: %v", was)
 	}
 	for _, by := range []string{"m2", "m3", "m4"} {
 		r := m.Record
 		r.Reporter = by
 		v.merge(r, "news")
-		if now := v.lasts(m); now >= was {
+		if now := v.suspicionTimeout(m); now >= was {
 			t.Errorf("after %s: %v, before %v", by, now, was)
 		} else {
 			was = now
 		}
 		v.merge(r, "news") // said twice is said once
 	}
-	if was != v.least()+firstWait || len(m.suspect.accusers) != 4 {
-		t.Errorf("%v with %v", was, m.suspect.accusers)
+	if was != v.minSuspicion()+unknownRoundTripTimeout || len(m.suspicion.reporters) != 4 {
+		t.Errorf("%v with %v", was, m.suspicion.reporters)
 	}
 }
 
-func TestAnAnswerPutsOffTheEndOfASuspicion(t *testing.T) {
-	v := alone(t)
-	meet(v, 6)
-	v.accuse(v.members["m1"])
+func TestDatagramFromASuspectExtendsItsSuspicion(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 6)
+	v.suspect(v.members["m1"])
 	for range 100 { // it answers, though its refutation never comes
-		v.Step(v.now+100*ms, from(other(1), uint64(v.now), Message{Kind: Gossip}))
+		v.Step(v.now+100*ms, datagramFrom(testRecord(1), uint64(v.now), Message{Kind: Gossip}))
 	}
-	if got := state(v, "m1"); got == Dead {
+	if got := stateOf(v, "m1"); got == Dead {
 		t.Error("dead, though it was heard all the time")
 	}
 }
 
-func TestTheOlderOfTwoWithOneNameKeepsIt(t *testing.T) {
+func TestProcessWithLongerUptimeKeepsTheName(t *testing.T) {
 	for _, c := range []struct {
 		up    uint64 // of the other, in ms
 		stand bool
 	}{{100_000, true}, {1, false}} {
-		v := alone(t)
-		meet(v, 2)
+		v := newTestView(t)
+		learnMembers(v, 2)
 		v.now += 10 * time.Second
 		twin := v.Local()
 		twin.Addr, twin.RunID, twin.Boot = "127.0.0.3:1", 99, 50
-		asked := sent(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{twin}}}), IdentityRequest)
+		asked := sentOfKind(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{twin}}}), IdentityRequest)
 		if len(asked) != 1 || asked[0].To != twin.Addr {
 			t.Fatalf("%+v", asked)
 		}
@@ -262,10 +262,10 @@
 	}
 }
 
-func TestNameOfALivingHolderIsNotGivenAway(t *testing.T) {
-	v := alone(t)
-	meet(v, 2)
-	r := other(1)
+func TestNameOfALiveMemberNeedsVerificationToChangeHands(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 2)
+	r := testRecord(1)
 	r.Addr, r.RunID, r.Boot = "127.0.0.3:1", 77, 50
 	v.Step(ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
 	if v.members["m1"].RunID == 77 {
@@ -278,22 +278,22 @@
 	}
 }
 
-func TestAliveMemberIsNotForgotten(t *testing.T) {
-	v := alone(t)
-	meet(v, 2)
+func TestForgetIgnoresALiveMember(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 2)
 	v.Step(ms, ForgetMember{"m1"})
-	if got := state(v, "m1"); got != Alive {
+	if got := stateOf(v, "m1"); got != Alive {
 		t.Error(got)
 	}
 }
 
-func TestNewsOfAJoinIsPassedOn(t *testing.T) {
-	v := alone(t)
-	meet(v, 3)
-	v.news = news{}
-	v.Step(ms, ExchangeRequest{1, &Exchange{From: "m9", BucketDigests: []uint64{0}, Records: []Record{other(9)}}})
+func TestJoinIsGossiped(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 3)
+	v.updates = updateQueue{}
+	v.Step(ms, ExchangeRequest{1, &Exchange{From: "m9", BucketDigests: []uint64{0}, Records: []Record{testRecord(9)}}})
 	told := false
-	for _, a := range run(v, 500*ms) {
+	for _, a := range runUntil(v, 500*ms) {
 		if s, ok := a.(Send); ok {
 			for _, u := range s.Message.Updates {
 				told = told || u.Name == "m9"
@@ -305,12 +305,12 @@
 	}
 }
 
-func TestLastLifesMembersAreAskedNotBelieved(t *testing.T) {
-	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Balancers: 1, Known: []Record{other(0), other(1)}}, 1)
+func TestSavedMembersAreContactedButNotTrusted(t *testing.T) {
+	v, err := New(Settings{Name: "me", Addr: "127.0.0.1:1", Boot: 10, RunID: 7, Balancers: 1, KnownMembers: []Record{testRecord(0), testRecord(1)}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := opens(run(v, time.Second)); len(v.live) != 0 || len(got) == 0 {
+	if got := openedExchanges(runUntil(v, time.Second)); len(v.live) != 0 || len(got) == 0 {
 		t.Errorf("%d are alive, %d asked", len(v.live), len(got))
 	}
 	if v.Size().MaxBalancers != 3 { // they may be sending all the same
@@ -319,13 +319,13 @@
 }
 
 // The fleet of two years is known without a setting, and what comes past the bound is not.
-func TestAFleetOfTwelveThousandIsKnownByDefault(t *testing.T) {
+func TestDefaultMaxMembersHoldsTwelveThousand(t *testing.T) {
 	var all []Record
 	for n := range DefaultMaxMembers + 10 {
-		all = append(all, other(n))
+		all = append(all, testRecord(n))
 	}
 	for _, c := range []struct{ told, known int }{{11_999, 12_000}, {len(all), DefaultMaxMembers}} {
-		v := alone(t)
+		v := newTestView(t)
 		v.Step(v.now+ms, ExchangeClosed{Message: &Exchange{From: all[0].Name, Boot: all[0].Boot, RunID: all[0].RunID, Records: all[:c.told]}})
 		if got := len(v.Members()); got != c.known {
 			t.Errorf("told of %d it knows %d with itself, want %d", c.told, got, c.known)
@@ -333,24 +333,24 @@
 	}
 }
 
-func TestWhoAccusesIsAnsweredDirectly(t *testing.T) {
-	v := alone(t)
-	meet(v, 50)
-	v.news = news{}
+func TestReporterReceivesTheRefutationDirectly(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 50)
+	v.updates = updateQueue{}
 	own := v.Local()
 	own.State, own.Reporter = Suspect, "m7"
-	for _, s := range sent(v.Step(ms, from(other(0), 1, Message{Kind: Gossip, Updates: []Record{own}})), Gossip) {
-		if s.To == other(7).Addr && len(s.Message.Updates) > 0 && s.Message.Updates[0].Incarnation == own.Incarnation+1 {
+	for _, s := range sentOfKind(v.Step(ms, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{own}})), Gossip) {
+		if s.To == testRecord(7).Addr && len(s.Message.Updates) > 0 && s.Message.Updates[0].Incarnation == own.Incarnation+1 {
 			return
 		}
 	}
 	t.Error("its accuser is not told")
 }
 
-func TestCountsEase(t *testing.T) {
-	v := alone(t)
-	v.counts.file = 600
-	meet(v, 299)
+func TestSizeChangesInSteps(t *testing.T) {
+	v := newTestView(t)
+	v.sizes.configured = 600
+	learnMembers(v, 299)
 	if c := v.Size(); c.MaxBalancers != 600 || !c.FromFile {
 		t.Fatalf("%+v", c)
 	}
@@ -359,23 +359,23 @@
 	if c := v.Size(); c.MaxBalancers != 300 || c.FromFile { // at the start of its life: nothing rests on the file's figure
 		t.Errorf("%+v", c)
 	}
-	r := other(1) // later a leave is told a part at a time
+	r := testRecord(1) // later a leave is told a part at a time
 	r.State, r.Balancers = Left, 1
 	v.Step(v.now+ms, ExchangeClosed{&Exchange{From: "m0", Records: []Record{r}}})
 	if c := v.Size(); c.MaxBalancers != 300 {
 		t.Errorf("at once: %+v", c)
 	}
-	run(v, v.now+3*countEase)
+	runUntil(v, v.now+3*sizeStepInterval)
 	if c := v.Size(); c.MaxBalancers != 299 {
 		t.Errorf("never: %+v", c)
 	}
 }
 
-func TestALeaveIsAsOldAsItself(t *testing.T) {
-	v := alone(t)
-	meet(v, 2)
+func TestLeaveIsGossipedWithAgeZero(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 2)
 	v.now = 5 * time.Hour
-	for _, s := range sent(v.Step(v.now, Leave{}), Gossip) {
+	for _, s := range sentOfKind(v.Step(v.now, Leave{}), Gossip) {
 		for _, u := range s.Message.Updates {
 			if u.Name == "me" && (u.State != Left || u.AgeSeconds != 0) {
 				t.Errorf("%+v", u)
@@ -384,15 +384,15 @@
 	}
 }
 
-func TestASilentDoorIsLeftForTheNext(t *testing.T) {
-	v := alone(t, "127.0.0.8:1", "127.0.0.9:1")
+func TestJoinMovesOnFromASilentSeed(t *testing.T) {
+	v := newTestView(t, "127.0.0.8:1", "127.0.0.9:1")
 	tried := map[string]time.Duration{}
 	for i := 0; i < 500 && len(tried) < 2; i++ {
-		for _, o := range opens(v.Step(v.Next())) { // nobody answers, and nothing fails
+		for _, o := range openedExchanges(v.Step(v.Next())) { // nobody answers, and nothing fails
 			tried[o.To] = v.now
 		}
 	}
-	if len(tried) < 2 || v.now > 2*doorWait {
+	if len(tried) < 2 || v.now > 2*joinTimeout {
 		t.Errorf("%v by %v", tried, v.now)
 	}
 }
--- a/internal/peer/membership/merge.go
+++ b/internal/peer/membership/merge.go
@@ -9,131 +9,131 @@
 	if r.check() != nil {
 		return
 	}
-	if r.Name == v.s.Name {
-		v.ownName(r)
+	if r.Name == v.settings.Name {
+		v.onOwnRecord(r)
 		return
 	}
 	m := v.members[r.Name]
 	if m != nil && r.RunID == m.RunID && r.Region == "" { // passed on by one that knows no regions
 		r.Region = m.Region
 	}
-	if r = v.normal(r); m == nil {
-		if r.State == Left && time.Duration(r.AgeSeconds)*time.Second >= leftKept || len(v.members) >= v.s.MaxMembers {
+	if r = v.normalize(r); m == nil {
+		if r.State == Left && time.Duration(r.AgeSeconds)*time.Second >= leftRetention || len(v.members) >= v.settings.MaxMembers {
 			return
 		}
-		m = &member{since: v.now, heardAt: -never, ackAt: -never, nameHash: nameHash(r.Name)}
+		m = &member{stateSince: v.now, receivedAt: -never, ackAt: -never, nameHash: nameHash(r.Name)}
 		v.members[r.Name] = m
-		v.insert(r.Name)
-		v.take(m, r, why, true)
+		v.insertName(r.Name)
+		v.accept(m, r, why, true)
 		return
 	}
 	switch {
 	case r.Boot == m.Boot && r.RunID == m.RunID && r.Incarnation == m.Incarnation && r.State == m.State:
-		if r.State == Suspect && m.suspect != nil {
-			v.charge(m, r.Reporter)
+		if r.State == Suspect && m.suspicion != nil {
+			v.addReporter(m, r.Reporter)
 		}
 		if len(r.Region)+len(r.UnreachableRegions) > len(m.Region)+len(m.UnreachableRegions) { // what one that knows no regions has left out
 			r.Reporter, r.AgeSeconds = m.Reporter, m.AgeSeconds
-			v.replace(m, r, why, false)
+			v.setRecord(m, r, why, false)
 		}
-	case r.State == Dead && v.far(r.Region) && m.State <= Suspect && r.RunID == m.RunID && v.now-m.lately() < v.s.MinSuspicion:
+	case r.State == Dead && v.isRemoteRegion(r.Region) && m.State <= Suspect && r.RunID == m.RunID && v.now-m.lastConfirmed() < v.settings.MinSuspicion:
 		// Those near it don't hear it, this member does: it is told, and refutes.
-		v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, forNews)
-	case r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && v.now-m.lately() < v.s.MinSuspicion:
+		v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, reserveForProbes)
+	case r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && v.now-m.lastConfirmed() < v.settings.MinSuspicion:
 		// This member has just heard it itself.
 		r.State, r.AgeSeconds = Suspect, 0
 		v.merge(r, why)
 	case !r.newer(&m.Record):
 	case m.State <= Suspect && r.State <= Suspect && r.RunID != m.RunID && r.Addr != m.Addr && !r.NameVerified:
-		if v.now >= m.stranger { // its holder is told, and settles it
-			m.stranger = v.now + time.Second
-			v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, forNews)
+		if v.now >= m.nextConflictNotice { // its holder is told, and settles it
+			m.nextConflictNotice = v.now + time.Second
+			v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, reserveForProbes)
 		}
 	default:
-		v.take(m, r, why, false)
+		v.accept(m, r, why, false)
 	}
 }
 
-// take replaces what is known of a member, and passes it on.
-func (v *View) take(m *member, r Record, why string, fresh bool) {
+// accept replaces what is known of a member, and passes it on.
+func (v *View) accept(m *member, r Record, why string, fresh bool) {
 	if r.State < Dead {
 		r.AgeSeconds = 0
 	}
 	if r.RunID != m.RunID || r.Boot != m.Boot {
-		m.number, m.mutes, m.muted, m.via, m.heardAt, m.ackAt, m.deaf, m.distance = 0, 0, 0, "", -never, -never, false, distance{}
+		m.highestNumber, m.refutedSuspicions, m.noSuspicionBefore, m.lastHelper, m.receivedAt, m.ackAt, m.unresponsive, m.roundTrip = 0, 0, 0, "", -never, -never, false, roundTrip{}
 	}
-	v.replace(m, r, why, fresh)
-	if r.State == Suspect && m.suspect != nil && r.Reporter != "" && r.Reporter != m.Name {
-		m.suspect.accusers = append(m.suspect.accusers[:0], r.Reporter)
-		v.judgeAt = min(v.judgeAt, m.suspect.from+v.lasts(m))
+	v.setRecord(m, r, why, fresh)
+	if r.State == Suspect && m.suspicion != nil && r.Reporter != "" && r.Reporter != m.Name {
+		m.suspicion.reporters = append(m.suspicion.reporters[:0], r.Reporter)
+		v.suspicionsAt = min(v.suspicionsAt, m.suspicion.startedAt+v.suspicionTimeout(m))
 	}
 	by := ""
 	if r.State == Suspect {
 		by = r.Reporter
 	}
-	v.spread(m, by)
+	v.queueUpdate(m, by)
 }
 
-// lately is when a member of this life was last known to be there by more than hearsay. never is half of what a
+// lastConfirmed is when a member of this life was last known to be there by more than hearsay. never is half of what a
 // Duration holds, so that differences fit.
-func (m *member) lately() time.Duration { return max(m.heardAt, m.ackAt) }
+func (m *member) lastConfirmed() time.Duration { return max(m.receivedAt, m.ackAt) }
 
-// set changes a member's state by this member's own word.
-func (v *View) set(m *member, r Record, why string) { v.replace(m, r, why, false) }
+// changeState changes a member's state by this member's own word.
+func (v *View) changeState(m *member, r Record, why string) { v.setRecord(m, r, why, false) }
 
-// replace is where a member's record changes, and nowhere else but for this one's own.
-func (v *View) replace(m *member, r Record, why string, fresh bool) {
-	was, wasShown := m.Record, m.shown()
+// setRecord is where a member's record changes, and nowhere else but for this one's own.
+func (v *View) setRecord(m *member, r Record, why string, fresh bool) {
+	was, wasShown := m.Record, m.effectiveState()
 	if !fresh {
-		v.counts.add(m, -1)
+		v.sizes.add(m, -1)
 	}
 	m.Record = r
-	v.mark(m)
-	v.sort(m)
-	v.standsAt(m, was.Addr)
-	m.hidden = v.hides(m)
-	v.counts.add(m, 1)
+	v.updateDigest(m)
+	v.updateLists(m)
+	v.indexAddr(m, was.Addr)
+	m.unreachable = v.isUnreachable(m)
+	v.sizes.add(m, 1)
 	if changed := fresh || was.State != r.State || was.Boot != r.Boot || was.RunID != r.RunID; changed {
-		m.since = v.now
+		m.stateSince = v.now
 		if r.State >= Dead {
-			m.dieAt = v.now - time.Duration(r.AgeSeconds)*time.Second
+			m.diedAt = v.now - time.Duration(r.AgeSeconds)*time.Second
 		}
 	}
-	if s := m.suspect; s != nil && (r.State != Suspect || r.Incarnation != was.Incarnation || r.RunID != was.RunID) {
-		m.suspect = nil
-		v.suspects = without(v.suspects, m)
+	if s := m.suspicion; s != nil && (r.State != Suspect || r.Incarnation != was.Incarnation || r.RunID != was.RunID) {
+		m.suspicion = nil
+		v.suspects = swapRemove(v.suspects, m)
 		if r.State == Alive {
-			v.acquitted(m, s)
+			v.suspicionRefuted(m, s)
 		}
 	}
-	if r.State == Suspect && m.suspect == nil {
-		m.suspect = &suspicion{from: v.now}
+	if r.State == Suspect && m.suspicion == nil {
+		m.suspicion = &suspicion{startedAt: v.now}
 		v.suspects = append(v.suspects, m)
-		v.judgeAt = min(v.judgeAt, v.now+v.least())
+		v.suspicionsAt = min(v.suspicionsAt, v.now+v.minSuspicion())
 	}
-	if !fresh && was.State == Dead && r.State <= Suspect && (!v.isFar(m) || m.region.watch) {
-		v.exchange.with(v, m.Addr) // a link is back: there will be more to tell
+	if !fresh && was.State == Dead && r.State <= Suspect && (!v.isRemote(m) || m.region.watched) {
+		v.exchange.requestWith(v, m.Addr) // a link is back: there will be more to tell
 	}
-	if fresh || wasShown != m.shown() || was.RunID != r.RunID || was.Boot != r.Boot || was.Addr != r.Addr {
-		v.do(MemberChanged{Record: v.seen(m), Previous: wasShown, New: fresh, Reason: why})
+	if fresh || wasShown != m.effectiveState() || was.RunID != r.RunID || was.Boot != r.Boot || was.Addr != r.Addr {
+		v.emit(MemberChanged{Record: v.effectiveRecord(m), Previous: wasShown, FirstSeen: fresh, Reason: why})
 	}
 	v.saveSoon()
 }
 
-// standsAt keeps which addresses are far, and has watchers found anew where what they say has changed.
-func (v *View) standsAt(m *member, was string) {
+// indexAddr keeps which addresses are far, and has watchers found anew where what they say has changed.
+func (v *View) indexAddr(m *member, was string) {
 	if was != m.Addr {
-		delete(v.farAt, was)
+		delete(v.remoteAddrs, was)
 	}
-	if v.isFar(m) {
-		v.farAt[m.Addr] = m.region
+	if v.isRemote(m) {
+		v.remoteAddrs[m.Addr] = m.region
 	} else {
-		delete(v.farAt, m.Addr)
-		v.surveyAt = v.now
+		delete(v.remoteAddrs, m.Addr)
+		v.regionsCheckAt = v.now
 	}
 }
 
-func without(all []*member, m *member) []*member {
+func swapRemove(all []*member, m *member) []*member {
 	for i, o := range all {
 		if o == m {
 			all[i] = all[len(all)-1]
@@ -143,87 +143,87 @@
 	return all
 }
 
-// onSelf takes what the daemon tells of itself.
-func (v *View) onSelf(e LocalInfo) {
+// onLocalInfo takes what the daemon tells of itself.
+func (v *View) onLocalInfo(e LocalInfo) {
 	if len(e.Metadata) > MaxMetadataBytes || e.Instances < 0 || e.Balancers < 0 {
 		return
 	}
 	if int(v.self.Instances) == e.Instances && int(v.self.Balancers) == e.Balancers && string(v.self.Metadata) == string(e.Metadata) {
 		return
 	}
-	v.counts.add(v.self, -1)
+	v.sizes.add(v.self, -1)
 	v.self.Instances, v.self.Balancers, v.self.Metadata = uint32(e.Instances), uint32(e.Balancers), e.Metadata
 	v.self.Incarnation++
-	v.counts.add(v.self, 1)
-	v.tell(v.self)
+	v.sizes.add(v.self, 1)
+	v.announce(v.self)
 }
 
 // leave says to all that can be reached, a few times, that this member goes.
 func (v *View) leave() {
-	if v.leaveState {
+	if v.isLeaving {
 		return
 	}
-	v.leaveState, v.leaving, v.leaveAt = true, leaveTimes, v.now
-	v.self.State, v.self.Reporter, v.self.dieAt = Left, v.s.Name, v.now
-	if v.standby { // nobody knows of it
-		v.leaving = 0
+	v.isLeaving, v.leaveRounds, v.leaveRoundAt = true, leaveRounds, v.now
+	v.self.State, v.self.Reporter, v.self.diedAt = Left, v.settings.Name, v.now
+	if v.yielding { // nobody knows of it
+		v.leaveRounds = 0
 	}
-	v.mark(v.self)
-	v.spread(v.self, "")
-	v.do(SaveView{})
+	v.updateDigest(v.self)
+	v.queueUpdate(v.self, "")
+	v.emit(SaveView{})
 }
 
 const (
-	leaveTimes = 3
-	leaveTold  = 32 // members each time
-	leaveEvery = 60 * time.Millisecond
+	leaveRounds   = 3
+	leaveFanout   = 32 // members each time
+	leaveInterval = 60 * time.Millisecond
 )
 
-func (v *View) goOn() {
-	if v.leaving == 0 || v.now < v.leaveAt {
+func (v *View) leaveDue() {
+	if v.leaveRounds == 0 || v.now < v.leaveRoundAt {
 		return
 	}
-	v.leaving--
-	v.leaveAt = v.now + leaveEvery
-	for _, m := range v.some(v.home.live, leaveTold, func(*member) bool { return true }) {
-		v.send(m.Addr, &Message{Kind: Gossip}, forAnswers, v.self)
+	v.leaveRounds--
+	v.leaveRoundAt = v.now + leaveInterval
+	for _, m := range v.sample(v.localRegion.live, leaveFanout, func(*member) bool { return true }) {
+		v.send(m.Addr, &Message{Kind: Gossip}, reserveNone, v.self)
 	}
-	for _, r := range v.areas { // those that are left of its region tell them too, if any are
-		if r != v.home && (r.watch || len(v.home.live) == 0) {
-			for _, m := range v.some(r.live, 1, func(*member) bool { return true }) {
-				v.send(m.Addr, &Message{Kind: Gossip}, forAnswers, v.self)
+	for _, r := range v.sortedRegions { // those that are left of its region tell them too, if any are
+		if r != v.localRegion && (r.watched || len(v.localRegion.live) == 0) {
+			for _, m := range v.sample(r.live, 1, func(*member) bool { return true }) {
+				v.send(m.Addr, &Message{Kind: Gossip}, reserveNone, v.self)
 			}
 		}
 	}
 }
 
 // HasLeft reports whether all is said that a member says when it leaves.
-func (v *View) HasLeft() bool { return v.leaveState && v.leaving == 0 }
+func (v *View) HasLeft() bool { return v.isLeaving && v.leaveRounds == 0 }
 
-// forget is an operator's word that a dead member will not come back. If it does, it refutes that as any death.
-func (v *View) forget(name string) {
-	if m := v.members[name]; m != nil && m.shown() == Dead {
+// forgetMember is an operator's word that a dead member will not come back. If it does, it refutes that as any death.
+func (v *View) forgetMember(name string) {
+	if m := v.members[name]; m != nil && m.effectiveState() == Dead {
 		r := m.Record
-		r.State, r.Reporter, r.AgeSeconds = Left, v.s.Name, 0
-		v.set(m, r, "an operator said that it is gone")
-		v.spread(m, "")
+		r.State, r.Reporter, r.AgeSeconds = Left, v.settings.Name, 0
+		v.changeState(m, r, "an operator said that it is gone")
+		v.queueUpdate(m, "")
 	}
 }
 
-// tidy forgets who left long ago. The dead stay: silent is not gone, and what is shared among all rests on it.
-func (v *View) tidy() {
-	if v.now < v.tidyAt {
+// cleanupDue forgets who left long ago. The dead stay: silent is not gone, and what is shared among all rests on it.
+func (v *View) cleanupDue() {
+	if v.now < v.cleanupAt {
 		return
 	}
-	v.tidyAt = v.now + 10*time.Second
-	for i := 0; i < len(v.order); i++ {
-		if m := v.members[v.order[i]]; m.State == Left && m != v.self && v.now-m.dieAt >= leftKept {
-			v.digest ^= m.hash
-			m.hash = 0
-			v.news.drop(func(o *member) bool { return o == m })
+	v.cleanupAt = v.now + 10*time.Second
+	for i := 0; i < len(v.sortedNames); i++ {
+		if m := v.members[v.sortedNames[i]]; m.State == Left && m != v.self && v.now-m.diedAt >= leftRetention {
+			v.digest ^= m.digest
+			m.digest = 0
+			v.updates.removeAbout(func(o *member) bool { return o == m })
 			delete(v.members, m.Name)
-			delete(v.farAt, m.Addr)
-			v.remove(m.Name)
+			delete(v.remoteAddrs, m.Addr)
+			v.removeName(m.Name)
 			i--
 			v.saveSoon()
 		}
--- a/internal/peer/membership/message.go
+++ b/internal/peer/membership/message.go
@@ -17,7 +17,7 @@
 	IdentityRequest                         // whichever process you are: answered by IAm. Does not need a view
 	IdentityResponse                        // Life and Up are the answer
 	IndirectIdentityRequest                 // ask WhoIs at Addr for the sender
-	kinds
+	kindCount
 )
 
 // Message is a datagram.
@@ -50,21 +50,21 @@
 
 // check says whether a message that came from elsewhere makes sense; what doesn't is not taken.
 func (m *Message) ok() bool {
-	return m != nil && m.Kind >= Ping && m.Kind < kinds && m.From != "" && len(m.From) <= MaxNameBytes && len(m.Target) <= MaxNameBytes &&
-		len(m.Addr) <= addrMost && len(m.Reply) <= addrMost && printable(m.From) && printable(m.Target)
+	return m != nil && m.Kind >= Ping && m.Kind < kindCount && m.From != "" && len(m.From) <= MaxNameBytes && len(m.Target) <= MaxNameBytes &&
+		len(m.Addr) <= maxAddrBytes && len(m.Reply) <= maxAddrBytes && printable(m.From) && printable(m.Target)
 }
 
-const addrMost = 64
+const maxAddrBytes = 64
 
 // Sizes bound what a message takes on the wire in the carrier's encoding (CBOR with small integer keys, RFC 8949:
 // a head of 1 to 9 bytes for each item, and one byte for each key); the carrier's tests hold it to that.
 const (
-	headSize   = 100 // envelope, fleet, kinds and numbers
-	recordSize = 58  // keys, numbers and heads of a record
+	maxHeaderBytes    = 100 // envelope, fleet, kinds and numbers
+	maxRecordOverhead = 58  // keys, numbers and heads of a record
 )
 
 func (m *Message) size(fleet int) int {
-	n := headSize + fleet + len(m.From) + len(m.Target) + len(m.Addr) + len(m.Reply)
+	n := maxHeaderBytes + fleet + len(m.From) + len(m.Target) + len(m.Addr) + len(m.Reply)
 	for i := range m.Updates {
 		n += m.Updates[i].size()
 	}
@@ -72,10 +72,10 @@
 }
 
 // MaxEncodedSize bounds what it takes on the wire in a fleet with the longest name.
-func (m *Message) MaxEncodedSize() int { return m.size(fleetMost) }
+func (m *Message) MaxEncodedSize() int { return m.size(maxFleetNameBytes) }
 
 func (r *Record) size() int {
-	n := recordSize + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Program) + len(r.Reporter) + len(r.Metadata)
+	n := maxRecordOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Program) + len(r.Reporter) + len(r.Metadata)
 	if r.Region != "" {
 		n += 3 + len(r.Region)
 	}
@@ -86,91 +86,93 @@
 }
 
 func (x *Exchange) size() int {
-	n := headSize + len(x.From) + 9*len(x.BucketDigests) + 3*len(x.WantedBuckets)
+	n := maxHeaderBytes + len(x.From) + 9*len(x.BucketDigests) + 3*len(x.WantedBuckets)
 	for i := range x.Records {
 		n += x.Records[i].size()
 	}
 	return n
 }
 
-// budget bounds what is sent: a token bucket of bytes that holds one second's worth. What answers others goes
+// tokenBucket bounds what is sent: a token bucket of bytes that holds one second's worth. What answers others goes
 // first, then probes, then news: each kind leaves a part for those before it.
-type budget struct {
-	rate, most, level float64
-	at                time.Duration
+type tokenBucket struct {
+	rate, capacity, level float64
+	filledAt              time.Duration
 }
 
-func (b *budget) start(now time.Duration) { b.level, b.at = b.most, now }
+func (b *tokenBucket) start(now time.Duration) { b.level, b.filledAt = b.capacity, now }
 
-func (b *budget) fill(now time.Duration) {
-	b.level = min(b.most, b.level+b.rate*(now-b.at).Seconds())
-	b.at = now
+func (b *tokenBucket) fill(now time.Duration) {
+	b.level = min(b.capacity, b.level+b.rate*(now-b.filledAt).Seconds())
+	b.filledAt = now
 }
 
 // Parts of the budget that must be left over by what may wait.
 const (
-	forAnswers = 0.0
-	forProbes  = 0.1
-	forNews    = 0.35
+	reserveNone         = 0.0
+	reserveForResponses = 0.1
+	reserveForProbes    = 0.35
 )
 
-func (b *budget) may(size int, leave float64) bool { return b.level-float64(size) >= leave*b.most }
+func (b *tokenBucket) allows(size int, leave float64) bool {
+	return b.level-float64(size) >= leave*b.capacity
+}
 
 // send hands out a datagram, filled with as much news as fits, if the budget has it.
 func (v *View) send(to string, m *Message, leave float64, about ...*member) bool {
-	return v.post(to, m, leave, true, about)
+	return v.sendDatagram(to, m, leave, true, about)
 }
 
-// sendTo is the same for a member. What it is told does not count as told where it does not seem to hear.
-func (v *View) sendTo(to *member, m *Message, leave float64, about ...*member) bool {
-	return v.post(to.Addr, m, leave, !to.deaf, about)
+// sendToMember is the same for a member. What it is told does not count as told where it does not seem to hear.
+func (v *View) sendToMember(to *member, m *Message, leave float64, about ...*member) bool {
+	return v.sendDatagram(to.Addr, m, leave, !to.unresponsive, about)
 }
 
-func (v *View) post(to string, m *Message, leave float64, counts bool, about []*member) bool {
-	if to == "" || to == v.s.Addr {
+func (v *View) sendDatagram(to string, m *Message, leave float64, counts bool, about []*member) bool {
+	if to == "" || to == v.settings.Addr {
 		return false
 	}
-	m.From, m.Boot, m.RunID, m.Digest = v.s.Name, v.self.Boot, v.self.RunID, v.digest
+	m.From, m.Boot, m.RunID, m.Digest = v.settings.Name, v.self.Boot, v.self.RunID, v.digest
 	if m.Kind == Ping && m.Addr == "" {
-		m.Addr = v.s.Addr
+		m.Addr = v.settings.Addr
 	}
-	size := m.size(fleetMost)
-	far := v.farAt[to]
+	size := m.size(maxFleetNameBytes)
+	far := v.remoteAddrs[to]
 	may := func(leave float64) bool {
-		return v.budget.may(size, leave) && (far == nil || v.farBudget.may(size, leave))
+		return v.budget.allows(size, leave) && (far == nil || v.remoteBudget.allows(size, leave))
 	}
 	if !may(leave) {
-		v.sent.Withheld++
+		v.traffic.Withheld++
 		return false
 	}
 	for _, a := range about { // what the other must know before all: that it is held for dead, say
 		if a != nil {
-			m.Updates = append(m.Updates, v.told(a))
+			m.Updates = append(m.Updates, v.outgoingRecord(a))
 			size += m.Updates[len(m.Updates)-1].size()
 		}
 	}
-	if !v.standby && !v.bare && m.Kind != IdentityRequest && m.Kind != IdentityResponse && m.Kind != IndirectIdentityRequest && may(forProbes) {
+	if !v.yielding && !v.withoutUpdates && m.Kind != IdentityRequest && m.Kind != IdentityResponse && m.Kind != IndirectIdentityRequest && may(reserveForResponses) {
 		switch {
 		case far == nil:
-			size = v.news.fill(v, m, size, counts, v.times())
-		case far.watch:
-			size = far.news.fill(v, m, size, counts, farTimes)
+			size = v.updates.fill(v, m, size, counts, v.maxTransmissions())
+		case far.watched:
+			size = far.updates.fill(v, m, size, counts, remoteTransmissions)
 		}
 	}
 	if far != nil {
-		v.farBudget.level -= float64(size)
-		v.sent.RemoteBytes += uint64(size)
+		v.remoteBudget.level -= float64(size)
+		v.traffic.RemoteBytes += uint64(size)
 	}
-	v.number++
-	m.Number = v.number
+	v.datagramNumber++
+	m.Number = v.datagramNumber
 	v.budget.level -= float64(size)
-	v.sent.Datagrams++
-	v.sent.Bytes += uint64(size)
-	v.do(Send{To: to, Message: m, Size: size})
+	v.traffic.Datagrams++
+	v.traffic.Bytes += uint64(size)
+	v.emit(Send{To: to, Message: m, Size: size})
 	return true
 }
 
-const fleetMost = 32 // bytes of the fleet's name
+const maxFleetNameBytes = 32 // bytes of the fleet's name
 
 // ValidName reports whether a member may have this name.
 func ValidName(name string) bool {
@@ -180,5 +182,5 @@
 
 // ValidFleet reports whether a fleet may have this name.
 func ValidFleet(name string) bool {
-	return name != "" && len(name) <= fleetMost && printable(name) && !strings.ContainsAny(name, " \t\"")
+	return name != "" && len(name) <= maxFleetNameBytes && printable(name) && !strings.ContainsAny(name, " \t\"")
 }
--- a/internal/peer/membership/name.go
+++ b/internal/peer/membership/name.go
@@ -13,29 +13,29 @@
 //
 // So it never goes to and fro: a name changes hands only from one that stands back or does not answer, and each
 // further attempt waits twice as long.
-type claim struct {
-	at      time.Duration // when its next step is due; 0: there is none
-	seq     uint32
-	rec     Record // the other one
-	asked   int
-	rests   int
-	cleared uint64 // the life that did not answer, or stood back
-	misses  int    // while standing back
+type nameClaim struct {
+	dueAt        time.Duration // when its next step is due; 0: there is none
+	seq          uint32
+	other        Record // the other one
+	requests     int
+	attempts     int
+	clearedRunID uint64 // the life that did not answer, or stood back
+	unanswered   int    // while standing back
 }
 
 const (
-	claimWait  = 500 * time.Millisecond // for an answer, twice
-	standLook  = 3 * time.Second        // between two looks of one that stands back
-	standTries = 3                      // looks in vain before it takes the name
+	identityTimeout     = 500 * time.Millisecond // for an answer, twice
+	yieldCheckInterval  = 3 * time.Second        // between two looks of one that stands back
+	maxUnansweredChecks = 3                      // looks in vain before it takes the name
 )
 
-// up is how long this process has run.
-func (v *View) up() time.Duration { return v.now - v.self.since + v.s.Uptime }
+// uptime is how long this process has run.
+func (v *View) uptime() time.Duration { return v.now - v.self.stateSince + v.settings.Uptime }
 
-// ownName takes in what is told of this member's own name.
-func (v *View) ownName(r Record) {
+// onOwnRecord takes in what is told of this member's own name.
+func (v *View) onOwnRecord(r Record) {
 	own := &v.self.Record
-	if v.leaveState {
+	if v.isLeaving {
 		return
 	}
 	if r.RunID == own.RunID {
@@ -43,28 +43,28 @@
 			return
 		}
 		if r.State == Suspect || r.State == Dead {
-			v.worsen(1)
+			v.degradeHealth(1)
 		}
 		own.Boot, own.Incarnation = r.Boot, r.Incarnation+1
-		v.tell(v.self)
-		if by := v.members[r.Reporter]; by != nil && by.listed == inLive { // whose patience ends first
-			v.sendTo(by, &Message{Kind: Gossip}, forAnswers, v.self)
+		v.announce(v.self)
+		if by := v.members[r.Reporter]; by != nil && by.list == listLive { // whose patience ends first
+			v.sendToMember(by, &Message{Kind: Gossip}, reserveNone, v.self)
 		}
 		return
 	}
 	elsewhere := r.State <= Suspect && r.Addr != own.Addr
 	switch {
-	case v.standby:
-		if r.newer(&v.claim.rec) {
-			v.claim.rec = r
+	case v.yielding:
+		if r.newer(&v.claim.other) {
+			v.claim.other = r
 		}
-	case elsewhere && r.RunID != v.claim.cleared:
-		if v.claim.at == 0 || r.newer(&v.claim.rec) {
+	case elsewhere && r.RunID != v.claim.clearedRunID:
+		if v.claim.dueAt == 0 || r.newer(&v.claim.other) {
 			wait := time.Duration(0)
-			if v.claim.rests > 0 {
-				wait = min(time.Minute, time.Second<<min(v.claim.rests, 6))
+			if v.claim.attempts > 0 {
+				wait = min(time.Minute, time.Second<<min(v.claim.attempts, 6))
 			}
-			v.claim = claim{at: v.now + wait, rec: r, rests: v.claim.rests, cleared: v.claim.cleared}
+			v.claim = nameClaim{dueAt: v.now + wait, other: r, attempts: v.claim.attempts, clearedRunID: v.claim.clearedRunID}
 		}
 	case r.newer(own):
 		v.outbid(&r, false)
@@ -80,92 +80,92 @@
 		own.Incarnation++
 	}
 	own.NameVerified = own.NameVerified || checked
-	v.tell(v.self)
-	v.do(SaveView{BootOnly: true})
+	v.announce(v.self)
+	v.emit(SaveView{BootOnly: true})
 }
 
-// claimDue asks, and concludes from silence.
-func (v *View) claimDue() {
+// nameClaimDue asks, and concludes from silence.
+func (v *View) nameClaimDue() {
 	c := &v.claim
-	if c.at == 0 || v.now < c.at {
+	if c.dueAt == 0 || v.now < c.dueAt {
 		return
 	}
-	if v.standby {
-		if c.asked > 0 {
-			c.misses++
+	if v.yielding {
+		if c.requests > 0 {
+			c.unanswered++
 		}
-		if c.misses < standTries {
-			v.whoIs()
-			c.at = v.now + standLook + v.random(standLook)
+		if c.unanswered < maxUnansweredChecks {
+			v.requestIdentity()
+			c.dueAt = v.now + yieldCheckInterval + v.randomUpTo(yieldCheckInterval)
 			return
 		}
-		v.standby, v.self.since, v.probeAt, v.turn, v.heardAny = false, v.now, v.now, nil, v.now
-		v.exchange = exchange{quietAt: v.now + exchangeQuiet}
-		v.doors()
-		v.free("its holder no longer answers")
+		v.yielding, v.self.stateSince, v.probeAt, v.probeOrder, v.lastReceivedAt = false, v.now, v.now, nil, v.now
+		v.exchange = exchangeState{periodicAt: v.now + periodicExchangeInterval}
+		v.collectJoinAddrs()
+		v.claimName("its holder no longer answers")
 		return
 	}
-	if c.asked < 2 {
-		v.whoIs()
-		c.at = v.now + claimWait
+	if c.requests < 2 {
+		v.requestIdentity()
+		c.dueAt = v.now + identityTimeout
 		return
 	}
-	v.free("it does not answer")
+	v.claimName("it does not answer")
 }
 
-// whoIs asks the other one, directly and through two others: that this member can't hear it proves nothing.
-func (v *View) whoIs() {
+// requestIdentity asks the other one, directly and through two others: that this member can't hear it proves nothing.
+func (v *View) requestIdentity() {
 	c := &v.claim
 	if c.seq == 0 {
 		c.seq = v.nextSeq()
 	}
-	c.asked++
-	v.send(c.rec.Addr, &Message{Kind: IdentityRequest, Seq: c.seq, Addr: v.s.Addr}, forAnswers)
-	for _, h := range v.some(v.live, 2, func(m *member) bool { return m.State == Alive }) {
-		v.send(h.Addr, &Message{Kind: IndirectIdentityRequest, Seq: c.seq, Target: v.s.Name, Addr: c.rec.Addr, Reply: v.s.Addr}, forAnswers)
+	c.requests++
+	v.send(c.other.Addr, &Message{Kind: IdentityRequest, Seq: c.seq, Addr: v.settings.Addr}, reserveNone)
+	for _, h := range v.sample(v.live, 2, func(m *member) bool { return m.State == Alive }) {
+		v.send(h.Addr, &Message{Kind: IndirectIdentityRequest, Seq: c.seq, Target: v.settings.Name, Addr: c.other.Addr, Reply: v.settings.Addr}, reserveNone)
 	}
 }
 
-// free takes the name: nobody else has it.
-func (v *View) free(why string) {
+// claimName takes the name: nobody else has it.
+func (v *View) claimName(why string) {
 	c := &v.claim
-	rec := c.rec
-	v.claim = claim{rests: c.rests + 1, cleared: rec.RunID}
-	v.do(NameConflict{Other: rec, Reason: why})
+	rec := c.other
+	v.claim = nameClaim{attempts: c.attempts + 1, clearedRunID: rec.RunID}
+	v.emit(NameConflict{Other: rec, Reason: why})
 	v.outbid(&rec, true)
 }
 
-func (v *View) onIAm(m *Message) {
-	for i, e := range v.errands {
-		if e.who && e.seq == m.Seq {
-			v.errands = append(v.errands[:i], v.errands[i+1:]...)
+func (v *View) onIdentityResponse(m *Message) {
+	for i, e := range v.relayed {
+		if e.identity && e.seq == m.Seq {
+			v.relayed = append(v.relayed[:i], v.relayed[i+1:]...)
 			// The answer is passed on as it is: it is signed by whose life it names, not by who sends it.
-			v.send(e.reply, &Message{Kind: IdentityResponse, Seq: e.theirs, SubjectRunID: m.SubjectRunID, UptimeMS: m.UptimeMS, Target: orIf(m.Target, m.From)}, forAnswers)
+			v.send(e.replyTo, &Message{Kind: IdentityResponse, Seq: e.requesterSeq, SubjectRunID: m.SubjectRunID, UptimeMS: m.UptimeMS, Target: valueOr(m.Target, m.From)}, reserveNone)
 			return
 		}
 	}
 	c := &v.claim
-	if c.at == 0 || m.Seq != c.seq || c.asked == 0 {
+	if c.dueAt == 0 || m.Seq != c.seq || c.requests == 0 {
 		return
 	}
-	name := orIf(m.Target, m.From)
-	if name != v.s.Name || m.SubjectRunID == v.self.RunID { // the address is another's by now, or this one's own
-		if !v.standby {
-			v.free("its address has another owner")
+	name := valueOr(m.Target, m.From)
+	if name != v.settings.Name || m.SubjectRunID == v.self.RunID { // the address is another's by now, or this one's own
+		if !v.yielding {
+			v.claimName("its address has another owner")
 		}
 		return
 	}
-	own := uint64(v.up() / time.Millisecond)
+	own := uint64(v.uptime() / time.Millisecond)
 	switch {
-	case v.standby:
-		c.misses, c.asked = 0, 0
+	case v.yielding:
+		c.unanswered, c.requests = 0, 0
 	case own > m.UptimeMS || own == m.UptimeMS && v.self.RunID < m.SubjectRunID:
-		v.free("it has run for less time and stands back")
+		v.claimName("it has run for less time and stands back")
 	default:
-		v.standby = true
-		v.probes, v.news = nil, news{}
-		rec := c.rec
-		*c = claim{rec: rec, at: v.now + standLook, rests: c.rests}
-		v.do(NameConflict{Other: rec, Yield: true, Reason: "it has run longer and keeps the name"})
+		v.yielding = true
+		v.probes, v.updates = nil, updateQueue{}
+		rec := c.other
+		*c = nameClaim{other: rec, dueAt: v.now + yieldCheckInterval, attempts: c.attempts}
+		v.emit(NameConflict{Other: rec, Yield: true, Reason: "it has run longer and keeps the name"})
 	}
 }
--- a/internal/peer/membership/news.go
+++ b/internal/peer/membership/news.go
@@ -2,81 +2,81 @@
 
 import "math"
 
-// news is what is told on with other messages, what was told least often first, each a number of times that grows
+// updateQueue is what is told on with other messages, what was told least often first, each a number of times that grows
 // with the logarithm of the fleet's size (SWIM, 4.1).
-type news struct {
-	levels [][]*item
-	index  map[newsKey]*item
+type updateQueue struct {
+	levels [][]*queuedUpdate
+	index  map[updateKey]*queuedUpdate
 }
 
-type newsKey struct{ name, by string }
+type updateKey struct{ name, reporter string }
 
-type item struct {
-	m    *member
-	by   string // the accuser, of a suspicion
-	boot uint64
-	life uint64
-	inc  uint32
-	st   State
-	sent int
-	lost int // sent where it was most likely not heard
-	gone bool
+type queuedUpdate struct {
+	member      *member
+	reporter    string // the accuser, of a suspicion
+	boot        uint64
+	runID       uint64
+	incarnation uint32
+	state       State
+	sent        int
+	lost        int // sent where it was most likely not heard
+	removed     bool
 }
 
-func (n *news) empty() bool { return len(n.index) == 0 }
+func (n *updateQueue) empty() bool { return len(n.index) == 0 }
 
 // put has a member's present state told. by names one of several accusers.
-func (n *news) put(m *member, by string) {
+func (n *updateQueue) put(m *member, by string) {
 	if n.index == nil {
-		n.index = map[newsKey]*item{}
+		n.index = map[updateKey]*queuedUpdate{}
 	}
-	k := newsKey{m.Name, by}
+	k := updateKey{m.Name, by}
 	if old := n.index[k]; old != nil {
-		old.gone = true
+		old.removed = true
 	}
-	i := &item{m: m, by: by, boot: m.Boot, life: m.RunID, inc: m.Incarnation, st: m.State}
+	i := &queuedUpdate{member: m, reporter: by, boot: m.Boot, runID: m.RunID, incarnation: m.Incarnation, state: m.State}
 	n.index[k] = i
-	n.at(0, i)
+	n.appendTo(0, i)
 }
 
-func (n *news) at(level int, i *item) {
+func (n *updateQueue) appendTo(level int, i *queuedUpdate) {
 	for len(n.levels) <= level {
 		n.levels = append(n.levels, nil)
 	}
 	n.levels[level] = append(n.levels[level], i)
 }
 
-// void reports whether an item has been overtaken.
-func (i *item) void() bool {
-	return i.gone || i.m.Boot != i.boot || i.m.RunID != i.life || i.m.Incarnation != i.inc || i.m.State != i.st
+// isStale reports whether an item has been overtaken.
+func (i *queuedUpdate) isStale() bool {
+	return i.removed || i.member.Boot != i.boot || i.member.RunID != i.runID || i.member.Incarnation != i.incarnation || i.member.State != i.state
 }
 
-func (n *news) forget(i *item) {
-	k := newsKey{i.m.Name, i.by}
+func (n *updateQueue) remove(i *queuedUpdate) {
+	k := updateKey{i.member.Name, i.reporter}
 	if n.index[k] == i {
 		delete(n.index, k)
 	}
-	i.gone = true
+	i.removed = true
 }
 
-// drop forgets what is said of some members.
-func (n *news) drop(of func(*member) bool) {
+// removeAbout forgets what is said of some members.
+func (n *updateQueue) removeAbout(of func(*member) bool) {
 	for _, level := range n.levels {
 		for _, i := range level {
-			if of(i.m) {
-				n.forget(i)
+			if of(i.member) {
+				n.remove(i)
 			}
 		}
 	}
 }
 
-// times is how often each news is told.
-func (v *View) times() int {
-	return spreadFactor * int(math.Ceil(math.Log2(float64(len(v.home.live)+2))))
+// maxTransmissions is how often each news is told.
+func (v *View) maxTransmissions() int {
+	return retransmitFactor * int(math.Ceil(math.Log2(float64(len(v.localRegion.live)+2))))
 }
 
 // fill adds news to a datagram as long as there is room, and returns its new size.
-func (n *news) fill(v *View, m *Message, size int, counts bool, most int) int {
+func (n *updateQueue) fill(v *View, m *Message, size int, counts bool, most int) int {
 	if n.empty() {
 		return size
 	}
@@ -84,7 +84,7 @@
 	for i := range m.Updates {
 		in[m.Updates[i].Name] = true
 	}
-	var later []*item
+	var later []*queuedUpdate
 	full := false
 	for l := range n.levels {
 		level := n.levels[l]
@@ -94,26 +94,26 @@
 				keep = append(keep, level[at:]...)
 				break
 			}
-			if i.void() {
-				n.forget(i)
+			if i.isStale() {
+				n.remove(i)
 				continue
 			}
-			need := i.m.size() + len(i.by)
-			if in[i.m.Name] {
+			need := i.member.size() + len(i.reporter)
+			if in[i.member.Name] {
 				keep = append(keep, i)
 				continue
 			}
-			if size+need > datagramMost {
+			if size+need > maxDatagramBytes {
 				full = true
 				keep = append(keep, i)
 				continue
 			}
-			r := v.told(i.m)
-			if i.by != "" {
-				r.Reporter = i.by
+			r := v.outgoingRecord(i.member)
+			if i.reporter != "" {
+				r.Reporter = i.reporter
 			}
 			m.Updates = append(m.Updates, r)
-			in[i.m.Name] = true
+			in[i.member.Name] = true
 			size += need
 			if counts {
 				i.sent++
@@ -121,8 +121,8 @@
 				i.lost++
 			}
 			switch {
-			case i.sent >= most || i.lost >= lostMost*most:
-				n.forget(i)
+			case i.sent >= most || i.lost >= lostTransmissionFactor*most:
+				n.remove(i)
 			case counts:
 				later = append(later, i)
 			default:
@@ -136,40 +136,40 @@
 		}
 	}
 	for _, i := range later {
-		n.at(i.sent, i)
+		n.appendTo(i.sent, i)
 	}
 	return size
 }
 
-// newsDue passes news on to a few members by itself, besides what probes carry.
-func (v *View) newsDue() {
-	if v.news.empty() || v.now < v.newsAt {
+// gossipDue passes news on to a few members by itself, besides what probes carry.
+func (v *View) gossipDue() {
+	if v.updates.empty() || v.now < v.gossipAt {
 		return
 	}
-	v.newsAt = v.now + newsEvery
+	v.gossipAt = v.now + gossipInterval
 	told := map[string]bool{}
 	tell := func(m *member) {
-		if m != nil && m.listed == inLive && !told[m.Name] && len(told) < fan && !v.news.empty() {
+		if m != nil && m.list == listLive && !told[m.Name] && len(told) < gossipFanout && !v.updates.empty() {
 			told[m.Name] = true
-			v.sendTo(m, &Message{Kind: Gossip}, forNews, suspected(m))
+			v.sendToMember(m, &Message{Kind: Gossip}, reserveForProbes, unlessAlive(m))
 		}
 	}
-	for _, i := range v.rng.Perm(len(v.heard)) {
-		if m := v.members[v.heard[i]]; len(told) < fan-1 && m != nil && !m.deaf && v.now-m.heardAt < heardLately {
+	for _, i := range v.rng.Perm(len(v.recentSenders)) {
+		if m := v.members[v.recentSenders[i]]; len(told) < gossipFanout-1 && m != nil && !m.unresponsive && v.now-m.receivedAt < recentSenderAge {
 			tell(m)
 		}
 	}
-	for _, m := range v.some(v.home.live, fan, func(m *member) bool { return !m.deaf }) {
+	for _, m := range v.sample(v.localRegion.live, gossipFanout, func(m *member) bool { return !m.unresponsive }) {
 		tell(m)
 	}
-	for _, m := range v.some(v.home.live, 1, func(m *member) bool { return m.deaf }) { // it may be this member that does not hear
+	for _, m := range v.sample(v.localRegion.live, 1, func(m *member) bool { return m.unresponsive }) { // it may be this member that does not hear
 		tell(m)
 	}
 }
 
-// tell has something about a member told on.
-func (v *View) tell(m *member) {
-	v.mark(m)
-	v.spread(m, "")
+// announce has something about a member told on.
+func (v *View) announce(m *member) {
+	v.updateDigest(m)
+	v.queueUpdate(m, "")
 	v.saveSoon()
 }
--- a/internal/peer/membership/probe.go
+++ b/internal/peer/membership/probe.go
@@ -4,34 +4,34 @@
 
 // probe is a question whether a member is there.
 type probe struct {
-	target   string
-	seq      uint32
-	at       time.Duration // it was sent
-	again    uint32        // the second question, once others were asked too: its answer is told from the first's
-	againAt  time.Duration
-	until    time.Duration // of the present stage
-	indirect bool          // others were asked too
-	helpers  []*member
-	few      int             // helpers of chance; 0: as many as ever
-	far      *region         // it is of a watcher, for another region
-	nacks    map[string]bool // which of them said that they are there
+	target       string
+	seq          uint32
+	sentAt       time.Duration // it was sent
+	retrySeq     uint32        // the second question, once others were asked too: its answer is told from the first's
+	retrySentAt  time.Duration
+	until        time.Duration // of the present stage
+	indirect     bool          // others were asked too
+	helpers      []*member
+	maxHelpers   int             // helpers of chance; 0: as many as ever
+	remoteRegion *region         // it is of a watcher, for another region
+	nacks        map[string]bool // which of them said that they are there
 }
 
-// errand is a question that another has this member ask.
-type errand struct {
-	seq, theirs uint32
-	target      string
-	reply       string
-	at          time.Duration // it was asked
-	until       time.Duration
-	who         bool // WhoIs, not Ping
+// relayedRequest is a question that another has this member ask.
+type relayedRequest struct {
+	seq, requesterSeq uint32
+	target            string
+	replyTo           string
+	sentAt            time.Duration // it was asked
+	until             time.Duration
+	identity          bool // WhoIs, not Ping
 }
 
-const errandsMost = 64
+const maxRelayedRequests = 64
 
 func (v *View) nextSeq() uint32 {
-	v.seq++
-	return v.seq
+	v.lastSeq++
+	return v.lastSeq
 }
 
 // probesDue starts the next probe, and judges those whose time is up.
@@ -41,38 +41,38 @@
 		switch {
 		case v.now < p.until:
 			i++
-		case !p.indirect && v.askOthers(p):
+		case !p.indirect && v.probeIndirectly(p):
 			i++
 		default:
 			v.probes = append(v.probes[:i], v.probes[i+1:]...)
-			v.missed(p)
+			v.probeFailed(p)
 		}
 	}
 	if v.now < v.probeAt {
 		return
 	}
 	// Never two at once for a slow clock: what was missed is not made up for.
-	v.probeAt = max(v.probeAt+v.patience(v.s.ProbeInterval), v.now+v.patience(v.s.ProbeInterval)/2)
+	v.probeAt = max(v.probeAt+v.scaledByHealth(v.settings.ProbeInterval), v.now+v.scaledByHealth(v.settings.ProbeInterval)/2)
 	if m := v.nextTarget(); m != nil {
-		v.ask(m, 0)
+		v.startProbe(m, 0)
 	}
-	v.sweep()
+	v.sweepProbes()
 }
 
-// ask begins a probe. It reports whether the budget had it.
-func (v *View) ask(m *member, few int) bool {
-	p := &probe{target: m.Name, seq: v.nextSeq(), at: v.now, until: v.now + v.patience(v.direct(m)), few: few}
-	defer func(was bool) { v.bare = was }(v.bare)
-	v.bare = few > 0 // news would take what the sweep needs
-	if !v.sendTo(m, &Message{Kind: Ping, Seq: p.seq, Target: m.Name}, forProbes, suspected(m)) {
+// startProbe begins a probe. It reports whether the budget had it.
+func (v *View) startProbe(m *member, few int) bool {
+	p := &probe{target: m.Name, seq: v.nextSeq(), sentAt: v.now, until: v.now + v.scaledByHealth(v.probeTimeout(m)), maxHelpers: few}
+	defer func(was bool) { v.withoutUpdates = was }(v.withoutUpdates)
+	v.withoutUpdates = few > 0 // news would take what the sweep needs
+	if !v.sendToMember(m, &Message{Kind: Ping, Seq: p.seq, Target: m.Name}, reserveForResponses, unlessAlive(m)) {
 		return false
 	}
 	v.probes = append(v.probes, p)
 	return true
 }
 
-// suspected is the member, where its own state would be news to it.
-func suspected(m *member) *member {
+// unlessAlive is the member, where its own state would be news to it.
+func unlessAlive(m *member) *member {
 	if m != nil && m.State != Alive {
 		return m
 	}
@@ -84,24 +84,24 @@
 // probe goes through its own zone in the same way: in the mean each member is still probed once a period, by half of
 // its zone and by half of the region.
 func (v *View) nextTarget() *member {
-	if v.zoneNext = !v.zoneNext && v.s.Region != ""; v.zoneNext {
-		if m := v.next(&v.zoneTurn, v.pool()); m != nil {
+	if v.lastProbeInZone = !v.lastProbeInZone && v.settings.Region != ""; v.lastProbeInZone {
+		if m := v.nextInOrder(&v.zoneProbeOrder, v.zonePool()); m != nil {
 			return m
 		}
 	}
-	return v.next(&v.turn, nil)
+	return v.nextInOrder(&v.probeOrder, nil)
 }
 
-func (v *View) next(turn *[]string, of func(*member) bool) *member {
+func (v *View) nextInOrder(turn *[]string, of func(*member) bool) *member {
 	for range 2 {
 		for len(*turn) > 0 {
 			m := v.members[(*turn)[len(*turn)-1]]
 			*turn = (*turn)[:len(*turn)-1]
-			if m != nil && m.listed == inLive && m.region == v.home && !v.probing(m.Name) {
+			if m != nil && m.list == listLive && m.region == v.localRegion && !v.isProbing(m.Name) {
 				return m
 			}
 		}
-		for _, m := range v.home.live {
+		for _, m := range v.localRegion.live {
 			if of == nil || of(m) {
 				*turn = append(*turn, m.Name)
 			}
@@ -111,14 +111,14 @@
 	return nil
 }
 
-// pool tells who is of this member's zone. One that is alone in its zone counts in the first zone that has several, for
+// zonePool tells who is of this member's zone. One that is alone in its zone counts in the first zone that has several, for
 // all that know the same members: else it would be probed half as often.
-func (v *View) pool() func(*member) bool {
-	if len(v.zoneTurn) > 0 {
+func (v *View) zonePool() func(*member) bool {
+	if len(v.zoneProbeOrder) > 0 {
 		return nil // nobody asks
 	}
 	count := map[string]int{v.self.Zone: 1}
-	for _, m := range v.home.live {
+	for _, m := range v.localRegion.live {
 		count[m.Zone]++
 	}
 	first, found := "", false
@@ -137,7 +137,7 @@
 	return func(m *member) bool { return of(m) == own }
 }
 
-func (v *View) probing(name string) bool {
+func (v *View) isProbing(name string) bool {
 	for _, p := range v.probes {
 		if p.target == name {
 			return true
@@ -146,24 +146,24 @@
 	return false
 }
 
-// askOthers has helpers probe a member that did not answer in time. One that reached it lately is among them.
-func (v *View) askOthers(p *probe) bool {
+// probeIndirectly has helpers probe a member that did not answer in time. One that reached it lately is among them.
+func (v *View) probeIndirectly(p *probe) bool {
 	m := v.members[p.target]
-	if m == nil || m.listed != inLive && p.far == nil {
+	if m == nil || m.list != listLive && p.remoteRegion == nil {
 		return false
 	}
-	m.deaf = true
-	defer func(was bool) { v.bare = was }(v.bare)
-	v.bare = p.few > 0
-	p.indirect, p.again, p.againAt = true, v.nextSeq(), v.now
+	m.unresponsive = true
+	defer func(was bool) { v.withoutUpdates = was }(v.withoutUpdates)
+	v.withoutUpdates = p.maxHelpers > 0
+	p.indirect, p.retrySeq, p.retrySentAt = true, v.nextSeq(), v.now
 	// Once more directly: of two datagrams one more often comes through than of one.
-	v.sendTo(m, &Message{Kind: Ping, Seq: p.again, Target: m.Name}, forProbes, suspected(m))
-	most := helpers
+	v.sendToMember(m, &Message{Kind: Ping, Seq: p.retrySeq, Target: m.Name}, reserveForResponses, unlessAlive(m))
+	most := indirectHelpers
 	if m.State == Suspect { // it is a matter of its name now
 		most *= 2
 	}
-	if p.few > 0 {
-		most = p.few
+	if p.maxHelpers > 0 {
+		most = p.maxHelpers
 	}
 	asked := map[*member]bool{m: true}
 	ask := func(h *member) {
@@ -171,45 +171,45 @@
 			return
 		}
 		asked[h] = true
-		if v.send(h.Addr, &Message{Kind: IndirectPing, Seq: p.seq, Target: m.Name, Addr: m.Addr, Reply: v.s.Addr}, forProbes, suspected(m)) {
+		if v.send(h.Addr, &Message{Kind: IndirectPing, Seq: p.seq, Target: m.Name, Addr: m.Addr, Reply: v.settings.Addr}, reserveForResponses, unlessAlive(m)) {
 			p.helpers = append(p.helpers, h)
 		}
 	}
 	third := func(h *member) bool {
-		return h.region != v.home && h.region != m.region && !h.region.away && h.State == Alive
+		return h.region != v.localRegion && h.region != m.region && !h.region.unreachable && h.State == Alive
 	}
-	ask(v.members[m.via])
-	if p.far != nil { // a third region may reach both
-		if most = farHelpers; p.far.mute {
+	ask(v.members[m.lastHelper])
+	if p.remoteRegion != nil { // a third region may reach both
+		if most = maxRemoteHelpers; p.remoteRegion.reportedUnreachable {
 			most = 1
 		}
-		v.doubts(p.far)
-		ask(v.members[p.far.via])
-		if len(v.areas) > 2 {
-			for _, h := range v.some(v.live, most, third) {
+		v.hastenRegionProbe(p.remoteRegion)
+		ask(v.members[p.remoteRegion.lastHelper])
+		if len(v.sortedRegions) > 2 {
+			for _, h := range v.sample(v.live, most, third) {
 				ask(h)
 			}
 		}
 	} else {
-		ask(v.members[v.via]) // who stands between two parts for one stands there for others
-		if v.cutOff() && len(v.areas) > 1 {
-			for _, h := range v.some(v.live, 1, third) {
+		ask(v.members[v.lastHelper]) // who stands between two parts for one stands there for others
+		if v.isPartitioned() && len(v.sortedRegions) > 1 {
+			for _, h := range v.sample(v.live, 1, third) {
 				ask(h)
 			}
 		}
 	}
-	if p.far != nil && len(p.helpers) > 0 && len(p.helpers) >= most {
+	if p.remoteRegion != nil && len(p.helpers) > 0 && len(p.helpers) >= most {
 		most = 0
 	}
-	for _, h := range v.some(v.home.live, most, func(h *member) bool { return !asked[h] && h.State == Alive }) {
+	for _, h := range v.sample(v.localRegion.live, most, func(h *member) bool { return !asked[h] && h.State == Alive }) {
 		ask(h)
 	}
-	p.until = v.now + v.patience(v.indirect(m, p.helpers))
+	p.until = v.now + v.scaledByHealth(v.indirectTimeout(m, p.helpers))
 	return true
 }
 
-// some are up to n members of a list by chance of which ok holds.
-func (v *View) some(list []*member, n int, ok func(*member) bool) []*member {
+// sample are up to n members of a list by chance of which ok holds.
+func (v *View) sample(list []*member, n int, ok func(*member) bool) []*member {
 	var all []*member
 	if len(list) <= 3*n {
 		for _, i := range v.rng.Perm(len(list)) {
@@ -236,60 +236,60 @@
 	return all
 }
 
-// missed judges a probe that was not answered.
-func (v *View) missed(p *probe) {
+// probeFailed judges a probe that was not answered.
+func (v *View) probeFailed(p *probe) {
 	m := v.members[p.target]
-	v.gaveUp(p.seq, p.target, p.at)
-	if p.again > 0 {
-		v.gaveUp(p.again, p.target, p.againAt)
+	v.rememberTimedOut(p.seq, p.target, p.sentAt)
+	if p.retrySeq > 0 {
+		v.rememberTimedOut(p.retrySeq, p.target, p.retrySentAt)
 	}
-	if p.far != nil {
-		v.missedFar(p.far)
+	if p.remoteRegion != nil {
+		v.regionProbeFailed(p.remoteRegion)
 		return
 	}
-	if m == nil || m.listed != inLive {
+	if m == nil || m.list != listLive {
 		return
 	}
-	v.result(true)
+	v.recordProbeResult(true)
 	// Helpers that do not even say that they could not: it may be this member that is deaf (Lifeguard).
 	// Those that have fallen silent themselves meanwhile say nothing of it: many may have died at once.
 	for _, h := range p.helpers {
-		if !p.nacks[h.Name] && !h.deaf && h.State == Alive {
-			v.worsen(1)
+		if !p.nacks[h.Name] && !h.unresponsive && h.State == Alive {
+			v.degradeHealth(1)
 		}
 	}
 	switch {
-	case v.s.Baseline.NoSuspicion:
-		v.declare(m, "a probe failed")
-	case v.lone, v.now < m.muted && m.State == Alive:
+	case v.settings.Baseline.NoSuspicion:
+		v.declareDead(m, "a probe failed")
+	case v.isolated, v.now < m.noSuspicionBefore && m.State == Alive:
 	default:
-		v.accuse(m)
+		v.suspect(m)
 	}
 }
 
 func (v *View) onDatagram(e DatagramReceived) {
 	m := e.Message
-	if !m.ok() || v.leaveState {
+	if !m.ok() || v.isLeaving {
 		return
 	}
-	v.sent.Received++
+	v.traffic.Received++
 	switch m.Kind {
 	case IdentityRequest:
-		v.send(m.Addr, &Message{Kind: IdentityResponse, Seq: m.Seq, SubjectRunID: v.self.RunID, UptimeMS: uint64(v.up() / time.Millisecond)}, forAnswers)
+		v.send(m.Addr, &Message{Kind: IdentityResponse, Seq: m.Seq, SubjectRunID: v.self.RunID, UptimeMS: uint64(v.uptime() / time.Millisecond)}, reserveNone)
 		return
 	case IdentityResponse:
-		v.onIAm(m)
+		v.onIdentityResponse(m)
 		return
 	case IndirectIdentityRequest:
-		v.runErrand(m, true)
+		v.relayRequest(m, true)
 		return
 	}
-	if v.standby {
+	if v.yielding {
 		return
 	}
-	if m.From == v.s.Name {
+	if m.From == v.settings.Name {
 		if m.RunID != v.self.RunID && m.Kind == Ping { // another process with this name: it should know of this one
-			v.send(m.Addr, &Message{Kind: Gossip}, forNews, v.self)
+			v.send(m.Addr, &Message{Kind: Gossip}, reserveForProbes, v.self)
 		}
 		return
 	}
@@ -300,41 +300,41 @@
 	}
 	switch {
 	case from == nil || m.Boot > from.Boot || m.Boot == from.Boot && m.RunID > from.RunID:
-		v.exchange.with(v, back) // a process that is not known here
+		v.exchange.requestWith(v, back) // a process that is not known here
 	case m.Boot != from.Boot || m.RunID != from.RunID:
-		v.sent.Stale++ // of an earlier one, or of one that lost its disk: it is told what is known
+		v.traffic.Stale++ // of an earlier one, or of one that lost its disk: it is told what is known
 		if m.Kind == Ping {
-			v.send(back, &Message{Kind: Gossip}, forNews, from)
+			v.send(back, &Message{Kind: Gossip}, reserveForProbes, from)
 		}
 		return
-	case m.Number+replayWindow < from.number:
-		v.sent.Stale++
+	case m.Number+replayWindow < from.highestNumber:
+		v.traffic.Stale++
 		return
 	default:
-		from.number = max(from.number, m.Number)
+		from.highestNumber = max(from.highestNumber, m.Number)
 		back = from.Addr
-		v.hear(from)
-		v.hearAny(back)
-		v.compare(from, m.Digest)
+		v.recordSender(from)
+		v.onAnyDatagram(back)
+		v.compareDigest(from, m.Digest)
 	}
 	var wrong []*member
 	for i := range m.Updates {
 		r := &m.Updates[i]
 		v.merge(*r, "news")
-		if t := v.members[r.Name]; t != nil && r.State >= Suspect && r.RunID == t.RunID && t.State == Alive && t.newer(r) && len(wrong) < correctMost {
+		if t := v.members[r.Name]; t != nil && r.State >= Suspect && r.RunID == t.RunID && t.State == Alive && t.newer(r) && len(wrong) < maxCorrections {
 			wrong = append(wrong, t)
 		}
 	}
 	if len(wrong) > 0 && from != nil { // it accuses who has refuted that, and has not heard so
-		v.sendTo(from, &Message{Kind: Gossip}, forNews, wrong...)
+		v.sendToMember(from, &Message{Kind: Gossip}, reserveForProbes, wrong...)
 	}
 	switch m.Kind {
 	case Ping:
-		if m.Target == v.s.Name { // else the address had another owner
-			v.send(back, &Message{Kind: Ack, Seq: m.Seq, Target: v.s.Name}, forAnswers, suspected(from))
+		if m.Target == v.settings.Name { // else the address had another owner
+			v.send(back, &Message{Kind: Ack, Seq: m.Seq, Target: v.settings.Name}, reserveNone, unlessAlive(from))
 		}
 	case IndirectPing:
-		v.runErrand(m, false)
+		v.relayRequest(m, false)
 	case Ack:
 		v.onAck(m)
 	case Nack:
@@ -350,106 +350,106 @@
 }
 
 func (v *View) onAck(m *Message) {
-	for i, e := range v.errands {
-		if !e.who && e.seq == m.Seq && e.target == m.Target {
-			v.errands = append(v.errands[:i], v.errands[i+1:]...)
+	for i, e := range v.relayed {
+		if !e.identity && e.seq == m.Seq && e.target == m.Target {
+			v.relayed = append(v.relayed[:i], v.relayed[i+1:]...)
 			if t := v.members[e.target]; t != nil && m.From == e.target {
-				v.measured(t, v.now-e.at)
+				v.recordRoundTrip(t, v.now-e.sentAt)
 			}
-			v.send(e.reply, &Message{Kind: Ack, Seq: e.theirs, Target: e.target}, forAnswers)
+			v.send(e.replyTo, &Message{Kind: Ack, Seq: e.requesterSeq, Target: e.target}, reserveNone)
 			return
 		}
 	}
 	for i, p := range v.probes {
-		if p.target == m.Target && (p.seq == m.Seq || p.again == m.Seq && p.indirect) {
+		if p.target == m.Target && (p.seq == m.Seq || p.retrySeq == m.Seq && p.indirect) {
 			v.probes = append(v.probes[:i], v.probes[i+1:]...)
 			t := v.members[p.target]
 			if t == nil {
 				return
 			}
-			if p.far != nil {
-				v.answered(p.far, t)
+			if p.remoteRegion != nil {
+				v.regionAnswered(p.remoteRegion, t)
 			} else {
-				v.result(false)
+				v.recordProbeResult(false)
 			}
 			if t.ackAt = v.now; m.From != p.target {
-				if t.via = m.From; p.far != nil {
-					p.far.via = m.From
+				if t.lastHelper = m.From; p.remoteRegion != nil {
+					p.remoteRegion.lastHelper = m.From
 				} else {
-					v.via = m.From
+					v.lastHelper = m.From
 				}
-				v.gaveUp(p.seq, p.target, p.at)
+				v.rememberTimedOut(p.seq, p.target, p.sentAt)
 			} else {
 				if m.Seq == p.seq {
-					v.measured(t, v.now-p.at)
+					v.recordRoundTrip(t, v.now-p.sentAt)
 				} else { // the first one's may still come
-					v.measured(t, v.now-p.againAt)
-					v.gaveUp(p.seq, p.target, p.at)
+					v.recordRoundTrip(t, v.now-p.retrySentAt)
+					v.rememberTimedOut(p.seq, p.target, p.sentAt)
 				}
-				if t.mutes = 0; p.far == nil {
-					v.better()
+				if t.refutedSuspicions = 0; p.remoteRegion == nil {
+					v.improveHealth()
 				}
 			}
 			return
 		}
 	}
-	v.answeredLate(m)
+	v.onLateAck(m)
 }
 
-// runErrand asks for another.
-func (v *View) runErrand(m *Message, who bool) {
-	if len(v.errands) >= errandsMost || m.Reply == "" || m.Addr == "" || m.Target == v.s.Name && !who {
+// relayRequest asks for another.
+func (v *View) relayRequest(m *Message, who bool) {
+	if len(v.relayed) >= maxRelayedRequests || m.Reply == "" || m.Addr == "" || m.Target == v.settings.Name && !who {
 		return
 	}
-	wait := v.s.ProbeTimeout
+	wait := v.settings.ProbeTimeout
 	if t := v.members[m.Target]; t != nil {
-		wait = v.direct(t)
+		wait = v.probeTimeout(t)
 	}
-	e := &errand{seq: v.nextSeq(), theirs: m.Seq, target: m.Target, reply: m.Reply, at: v.now, until: v.now + wait, who: who}
+	e := &relayedRequest{seq: v.nextSeq(), requesterSeq: m.Seq, target: m.Target, replyTo: m.Reply, sentAt: v.now, until: v.now + wait, identity: who}
 	ask := &Message{Kind: Ping, Seq: e.seq, Target: m.Target}
 	if who {
-		ask = &Message{Kind: IdentityRequest, Seq: e.seq, Addr: v.s.Addr}
+		ask = &Message{Kind: IdentityRequest, Seq: e.seq, Addr: v.settings.Addr}
 	}
-	about := suspected(v.members[m.Target])
+	about := unlessAlive(v.members[m.Target])
 	for _, r := range m.Updates { // from afar it is not for this member to suspect; the suspect must know all the same
 		if about == nil && !who && r.Name == m.Target && r.State == Suspect && r.check() == nil {
 			ask.Updates = []Record{r}
 		}
 	}
-	if v.send(m.Addr, ask, forProbes, about) {
-		v.errands = append(v.errands, e)
+	if v.send(m.Addr, ask, reserveForResponses, about) {
+		v.relayed = append(v.relayed, e)
 	}
 }
 
-func (v *View) errandsDue() {
-	for i := 0; i < len(v.errands); {
-		e := v.errands[i]
+func (v *View) relayedDue() {
+	for i := 0; i < len(v.relayed); {
+		e := v.relayed[i]
 		if v.now < e.until {
 			i++
 			continue
 		}
-		v.errands = append(v.errands[:i], v.errands[i+1:]...)
-		if !e.who {
-			v.send(e.reply, &Message{Kind: Nack, Seq: e.theirs, Target: e.target}, forAnswers)
+		v.relayed = append(v.relayed[:i], v.relayed[i+1:]...)
+		if !e.identity {
+			v.send(e.replyTo, &Message{Kind: Nack, Seq: e.requesterSeq, Target: e.target}, reserveNone)
 		}
 	}
 }
 
-// hear notes who is heard directly: news goes to these first, so that it finds its way where most can't hear most.
-func (v *View) hear(m *member) {
-	if m.heardAt, m.deaf = v.now, false; v.isFar(m) {
+// recordSender notes who is heard directly: news goes to these first, so that it finds its way where most can't hear most.
+func (v *View) recordSender(m *member) {
+	if m.receivedAt, m.unresponsive = v.now, false; v.isRemote(m) {
 		return
 	}
-	for i, n := range v.heard {
+	for i, n := range v.recentSenders {
 		if n == m.Name {
-			copy(v.heard[1:i+1], v.heard[:i])
-			v.heard[0] = m.Name
+			copy(v.recentSenders[1:i+1], v.recentSenders[:i])
+			v.recentSenders[0] = m.Name
 			return
 		}
 	}
-	if len(v.heard) < heardKept {
-		v.heard = append(v.heard, "")
+	if len(v.recentSenders) < maxRecentSenders {
+		v.recentSenders = append(v.recentSenders, "")
 	}
-	copy(v.heard[1:], v.heard)
-	v.heard[0] = m.Name
+	copy(v.recentSenders[1:], v.recentSenders)
+	v.recentSenders[0] = m.Name
 }
--- a/internal/peer/membership/region.go
+++ b/internal/peer/membership/region.go
@@ -15,45 +15,45 @@
 // regions, they say so in their own records, and all of the region hold it for unreachable: its members are shown as
 // dead without a word about any of them, and as before when a watcher is answered again.
 type region struct {
-	name   string
-	hash   uint32
-	live   []*member // alive or suspect by their records, without this member
-	silent []*member // dead
-	away   bool      // no watcher reaches it
-	since  time.Duration
-	top    []watcher // of this member's region, for it
+	name        string
+	hash        uint32
+	live        []*member // alive or suspect by their records, without this member
+	dead        []*member // dead
+	unreachable bool      // no watcher reaches it
+	changedAt   time.Duration
+	watchers    []watcher // of this member's region, for it
 
 	// As one of its watchers:
-	watch   bool
-	rank    int
-	mute    bool // it is not reached: part of this member's own record
-	doubt   bool // its last probe was not answered in time by its target
-	missed  int  // probes, one after another
-	ackAt   time.Duration
-	probeAt time.Duration
-	via     string // the helper through which it was last reached
-	news    news
-	newsAt  time.Duration
-	differs time.Duration // since when digests from there differ; 0: they do not
+	watched             bool
+	rank                int
+	reportedUnreachable bool // it is not reached: part of this member's own record
+	probeUnanswered     bool // its last probe was not answered in time by its target
+	missedProbes        int  // probes, one after another
+	lastAckAt           time.Duration
+	probeAt             time.Duration
+	lastHelper          string // the helper through which it was last reached
+	updates             updateQueue
+	gossipAt            time.Duration
+	differsSince        time.Duration // since when digests from there differ; 0: they do not
 }
 
 // watcher is one of those that watch a region for their own.
 type watcher struct {
-	m     *member
-	since time.Duration // it is one here
-	muted bool          // it has said meanwhile that it does not reach it
+	member      *member
+	since       time.Duration // it is one here
+	hasReported bool          // it has said meanwhile that it does not reach it
 }
 
 const (
-	watchersMost = 3                      // of a region for another one
-	farTimes     = 2                      // each of them tells what is new
-	farEvery     = 2 * time.Second        // between a watcher's probes of a region
-	farSoon      = 400 * time.Millisecond // while the last one was not answered
-	farHelpers   = 2                      // of third regions, asked where a far one does not answer
-	farMisses    = 4                      // one after another, and longer than a pause that is borne: it is not reached
-	watchSettle  = 6 * time.Second        // a new watcher has found out by then
-	regionsMost  = 64                     // known; members of further ones count as in none
-	farShare     = 4                      // FarBytes is this part of Bytes by default
+	maxWatchers         = 3                      // of a region for another one
+	remoteTransmissions = 2                      // each of them tells what is new
+	remoteProbeInterval = 2 * time.Second        // between a watcher's probes of a region
+	remoteRetryInterval = 400 * time.Millisecond // while the last one was not answered
+	maxRemoteHelpers    = 2                      // of third regions, asked where a far one does not answer
+	minRemoteMisses     = 4                      // one after another, and longer than a pause that is borne: it is not reached
+	watcherSettleTime   = 6 * time.Second        // a new watcher has found out by then
+	maxRegions          = 64                     // known; members of further ones count as in none
+	remoteBudgetDivisor = 4                      // FarBytes is this part of Bytes by default
 )
 
 // Why members are shown otherwise though their records are the same.
@@ -65,295 +65,299 @@
 // regionOf finds a region by its name, or begins it.
 func (v *View) regionOf(name string) *region {
 	r := v.regions[name]
-	if r == nil && len(v.regions) >= regionsMost {
+	if r == nil && len(v.regions) >= maxRegions {
 		name = ""
 		r = v.regions[name]
 	}
 	if r == nil {
 		h := fnv.New32a()
 		_, _ = io.WriteString(h, name)
-		r = &region{name: name, hash: h.Sum32(), ackAt: -never}
+		r = &region{name: name, hash: h.Sum32(), lastAckAt: -never}
 		v.regions[name] = r
-		i, _ := slices.BinarySearchFunc(v.areas, name, func(r *region, name string) int { return cmp.Compare(r.name, name) })
-		v.areas = slices.Insert(v.areas, i, r)
-		v.surveyAt = v.now
+		i, _ := slices.BinarySearchFunc(v.sortedRegions, name, func(r *region, name string) int { return cmp.Compare(r.name, name) })
+		v.sortedRegions = slices.Insert(v.sortedRegions, i, r)
+		v.regionsCheckAt = v.now
 	}
 	return r
 }
 
-// isFar reports whether a member stands in another region than this one.
-func (v *View) isFar(m *member) bool { return m.region != v.home }
+// isRemote reports whether a member stands in another region than this one.
+func (v *View) isRemote(m *member) bool { return m.region != v.localRegion }
 
-// hides reports whether a member that may be alive can't be reached.
-func (v *View) hides(m *member) bool { return m != v.self && (v.lone || m.region.away) }
+// isUnreachable reports whether a member that may be alive can't be reached.
+func (v *View) isUnreachable(m *member) bool {
+	return m != v.self && (v.isolated || m.region.unreachable)
+}
 
-// shown is a member's state as it is for all but the protocol.
-func (m *member) shown() State {
-	if m.hidden && m.State <= Suspect {
+// effectiveState is a member's state as it is for all but the protocol.
+func (m *member) effectiveState() State {
+	if m.unreachable && m.State <= Suspect {
 		return Dead
 	}
 	return m.State
 }
 
-// seen is a member's record as the daemon and its operators are to see it.
-func (v *View) seen(m *member) Record {
-	r := v.told(m)
-	if m.shown() != m.State {
-		r.State, r.Reporter, r.AgeSeconds = Dead, "", uint32(max(0, v.now-v.hiddenSince(m))/time.Second)
+// effectiveRecord is a member's record as the daemon and its operators are to see it.
+func (v *View) effectiveRecord(m *member) Record {
+	r := v.outgoingRecord(m)
+	if m.effectiveState() != m.State {
+		r.State, r.Reporter, r.AgeSeconds = Dead, "", uint32(max(0, v.now-v.unreachableSince(m))/time.Second)
 	}
 	return r
 }
 
-func (v *View) hiddenSince(m *member) time.Duration {
-	if m.region.away && (!v.lone || m.region.since < v.loneAt) {
-		return m.region.since
+func (v *View) unreachableSince(m *member) time.Duration {
+	if m.region.unreachable && (!v.isolated || m.region.changedAt < v.isolatedAt) {
+		return m.region.changedAt
 	}
-	return v.loneAt
+	return v.isolatedAt
 }
 
-// show brings all members of a list up to whether they are hidden.
-func (v *View) show(list []*member, why string) {
+// updateReachability brings all members of a list up to whether they are hidden.
+func (v *View) updateReachability(list []*member, why string) {
 	for _, m := range list {
-		was := m.shown()
-		v.counts.add(m, -1)
-		m.hidden = v.hides(m)
-		v.counts.add(m, 1)
-		if m.shown() != was {
-			v.do(MemberChanged{Record: v.seen(m), Previous: was, Reason: why})
+		was := m.effectiveState()
+		v.sizes.add(m, -1)
+		m.unreachable = v.isUnreachable(m)
+		v.sizes.add(m, 1)
+		if m.effectiveState() != was {
+			v.emit(MemberChanged{Record: v.effectiveRecord(m), Previous: was, Reason: why})
 		}
 	}
 }
 
-// rankOf orders members as watchers of a region: all that know the same members find the same ones.
-func (r *region) rankOf(m *member) uint64 {
+// watcherRank orders members as watchers of a region: all that know the same members find the same ones.
+func (r *region) watcherRank(m *member) uint64 {
 	return mix(m.nameHash ^ uint64(r.hash)*0x9e3779b97f4a7c15)
 }
 
-// muted reports whether a member says that it does not reach a region.
-func muted(m *member, r *region) bool { return slices.Contains(m.UnreachableRegions, r.hash) }
+// reportsUnreachable reports whether a member says that it does not reach a region.
+func reportsUnreachable(m *member, r *region) bool {
+	return slices.Contains(m.UnreachableRegions, r.hash)
+}
 
-// survey finds who watches each region, and which ones are not reached any more.
-func (v *View) survey() {
-	if v.now < v.surveyAt {
+// regionsDue finds who watches each region, and which ones are not reached any more.
+func (v *View) regionsDue() {
+	if v.now < v.regionsCheckAt {
 		return
 	}
-	v.surveyAt = never
-	for _, r := range v.areas {
-		if r == v.home || len(r.live)+len(r.silent) == 0 {
+	v.regionsCheckAt = never
+	for _, r := range v.sortedRegions {
+		if r == v.localRegion || len(r.live)+len(r.dead) == 0 {
 			continue
 		}
-		v.elect(r)
+		v.selectWatchers(r)
 		reached, mute, young := false, false, false
-		for i := range r.top {
-			w := &r.top[i]
-			is := muted(w.m, r)
-			w.muted = w.muted || is
+		for i := range r.watchers {
+			w := &r.watchers[i]
+			is := reportsUnreachable(w.member, r)
+			w.hasReported = w.hasReported || is
 			switch {
 			case is:
 				mute = true
-			case w.muted || v.now-w.since >= watchSettle:
+			case w.hasReported || v.now-w.since >= watcherSettleTime:
 				reached = true
 			default:
 				young = true
-				v.surveyAt = min(v.surveyAt, w.since+watchSettle)
+				v.regionsCheckAt = min(v.regionsCheckAt, w.since+watcherSettleTime)
 			}
 		}
-		away := r.away
+		away := r.unreachable
 		if reached {
 			away = false
 		} else if mute && !young {
 			away = true
 		}
-		if away != r.away {
-			r.away, r.since = away, v.now
-			v.do(RegionReachability{Region: r.name, Unreachable: away, Members: len(r.live)})
+		if away != r.unreachable {
+			r.unreachable, r.changedAt = away, v.now
+			v.emit(RegionReachability{Region: r.name, Unreachable: away, Members: len(r.live)})
 			why := ReasonRegionReachable
 			if away {
 				why = ReasonRegionUnreachable
 			}
-			v.show(r.live, why)
+			v.updateReachability(r.live, why)
 		}
 	}
 }
 
-// elect finds the watchers of a region: those of the highest rank of this member's region.
-func (v *View) elect(r *region) {
-	top := make([]*member, 0, watchersMost+1)
+// selectWatchers finds the watchers of a region: those of the highest rank of this member's region.
+func (v *View) selectWatchers(r *region) {
+	top := make([]*member, 0, maxWatchers+1)
 	put := func(m *member) {
-		if len(top) == watchersMost && r.rankOf(top[watchersMost-1]) >= r.rankOf(m) {
+		if len(top) == maxWatchers && r.watcherRank(top[maxWatchers-1]) >= r.watcherRank(m) {
 			return
 		}
 		i := 0
-		for i < len(top) && r.rankOf(top[i]) >= r.rankOf(m) {
+		for i < len(top) && r.watcherRank(top[i]) >= r.watcherRank(m) {
 			i++
 		}
-		if top = slices.Insert(top, i, m); len(top) > watchersMost {
-			top = top[:watchersMost]
+		if top = slices.Insert(top, i, m); len(top) > maxWatchers {
+			top = top[:maxWatchers]
 		}
 	}
 	put(v.self)
-	for _, m := range v.home.live {
+	for _, m := range v.localRegion.live {
 		// With a few behind a cut there is no time to see the watchers beyond it die.
-		if m.State == Suspect && v.now < v.cutUntil {
+		if m.State == Suspect && v.now < v.partitionedUntil {
 			continue
 		}
 		put(m)
 	}
-	was, self := r.top, false
-	r.top = nil
+	was, self := r.watchers, false
+	r.watchers = nil
 	for rank, m := range top {
-		w := watcher{m: m, since: v.now}
-		if i := slices.IndexFunc(was, func(o watcher) bool { return o.m == m }); i >= 0 {
+		w := watcher{member: m, since: v.now}
+		if i := slices.IndexFunc(was, func(o watcher) bool { return o.member == m }); i >= 0 {
 			w = was[i]
 		}
-		r.top = append(r.top, w)
+		r.watchers = append(r.watchers, w)
 		if m == v.self {
 			self, r.rank = true, rank
 		}
 	}
-	if self != r.watch {
-		r.watch = self
-		r.missed, r.doubt, r.ackAt, r.probeAt, r.differs, r.news = 0, false, v.now, v.now+v.random(farSoon), 0, news{}
-		v.say(r, self && r.away)
+	if self != r.watched {
+		r.watched = self
+		r.missedProbes, r.probeUnanswered, r.lastAckAt, r.probeAt, r.differsSince, r.updates = 0, false, v.now, v.now+v.randomUpTo(remoteRetryInterval), 0, updateQueue{}
+		v.reportReachability(r, self && r.unreachable)
 	}
 }
 
-// say says in this member's own record whether it reaches a region.
-func (v *View) say(r *region, mute bool) {
-	if r.mute == mute {
+// reportReachability says in this member's own record whether it reaches a region.
+func (v *View) reportReachability(r *region, mute bool) {
+	if r.reportedUnreachable == mute {
 		return
 	}
-	r.mute = mute
+	r.reportedUnreachable = mute
 	v.self.UnreachableRegions = nil
-	for _, o := range v.areas {
-		if o.mute {
+	for _, o := range v.sortedRegions {
+		if o.reportedUnreachable {
 			v.self.UnreachableRegions = append(v.self.UnreachableRegions, o.hash)
 		}
 	}
 	v.self.Incarnation++
-	v.tell(v.self)
-	v.surveyAt = v.now
-	if r.missed = 0; mute {
-		r.news = news{}
+	v.announce(v.self)
+	v.regionsCheckAt = v.now
+	if r.missedProbes = 0; mute {
+		r.updates = updateQueue{}
 	}
 }
 
-// watchDue probes the regions that this member watches, and tells them what is new in its own.
-func (v *View) watchDue() {
-	for _, r := range v.areas {
-		if !r.watch || r == v.home {
+// watchedRegionsDue probes the regions that this member watches, and tells them what is new in its own.
+func (v *View) watchedRegionsDue() {
+	for _, r := range v.sortedRegions {
+		if !r.watched || r == v.localRegion {
 			continue
 		}
-		if !r.news.empty() && v.now >= r.newsAt {
-			r.newsAt = v.now + newsEvery
-			for _, m := range v.some(r.live, 1, func(m *member) bool { return true }) {
-				v.sendTo(m, &Message{Kind: Gossip}, forNews)
+		if !r.updates.empty() && v.now >= r.gossipAt {
+			r.gossipAt = v.now + gossipInterval
+			for _, m := range v.sample(r.live, 1, func(m *member) bool { return true }) {
+				v.sendToMember(m, &Message{Kind: Gossip}, reserveForProbes)
 			}
 		}
 		if v.now < r.probeAt {
 			continue
 		}
-		every := farEvery
-		if r.doubt && !r.mute {
-			every = farSoon
+		every := remoteProbeInterval
+		if r.probeUnanswered && !r.reportedUnreachable {
+			every = remoteRetryInterval
 		}
-		r.probeAt = v.now + every/2 + v.random(every)
+		r.probeAt = v.now + every/2 + v.randomUpTo(every)
 		list := r.live
 		if len(list) == 0 {
-			list = r.silent
+			list = r.dead
 		}
-		for _, m := range v.some(list, 1, func(m *member) bool { return !v.probing(m.Name) }) {
-			p := &probe{target: m.Name, seq: v.nextSeq(), at: v.now, far: r, until: v.now + v.direct(m)}
-			if v.sendTo(m, &Message{Kind: Ping, Seq: p.seq, Target: m.Name}, forProbes, suspected(m)) {
+		for _, m := range v.sample(list, 1, func(m *member) bool { return !v.isProbing(m.Name) }) {
+			p := &probe{target: m.Name, seq: v.nextSeq(), sentAt: v.now, remoteRegion: r, until: v.now + v.probeTimeout(m)}
+			if v.sendToMember(m, &Message{Kind: Ping, Seq: p.seq, Target: m.Name}, reserveForResponses, unlessAlive(m)) {
 				v.probes = append(v.probes, p)
 			}
 		}
 	}
 }
 
-// watchNext is when watchDue has something to do.
-func (v *View) watchNext(at func(time.Duration)) {
-	for _, r := range v.areas {
-		if !r.watch || r == v.home {
+// watchedRegionTimers is when watchDue has something to do.
+func (v *View) watchedRegionTimers(at func(time.Duration)) {
+	for _, r := range v.sortedRegions {
+		if !r.watched || r == v.localRegion {
 			continue
 		}
-		if at(r.probeAt); !r.news.empty() {
-			at(r.newsAt)
+		if at(r.probeAt); !r.updates.empty() {
+			at(r.gossipAt)
 		}
 	}
 }
 
-// doubts has a region probed more often, since a probe was not answered in time.
-func (v *View) doubts(r *region) {
-	if r.doubt = true; !r.mute {
-		r.probeAt = min(r.probeAt, v.now+v.random(farSoon))
+// hastenRegionProbe has a region probed more often, since a probe was not answered in time.
+func (v *View) hastenRegionProbe(r *region) {
+	if r.probeUnanswered = true; !r.reportedUnreachable {
+		r.probeAt = min(r.probeAt, v.now+v.randomUpTo(remoteRetryInterval))
 	}
 }
 
-// answered takes note that a probe of a far region was answered, by its target or a helper.
-func (v *View) answered(r *region, m *member) {
-	r.missed, r.doubt, r.ackAt = 0, false, v.now
-	if r.mute {
-		v.say(r, false)
-		v.exchange.with(v, m.Addr) // there may be much to tell
+// regionAnswered takes note that a probe of a far region was answered, by its target or a helper.
+func (v *View) regionAnswered(r *region, m *member) {
+	r.missedProbes, r.probeUnanswered, r.lastAckAt = 0, false, v.now
+	if r.reportedUnreachable {
+		v.reportReachability(r, false)
+		v.exchange.requestWith(v, m.Addr) // there may be much to tell
 	}
 }
 
-// missedFar judges a probe of a far region. It accuses nobody: a death there is for those that are near to tell.
-func (v *View) missedFar(r *region) {
-	if !r.watch {
+// regionProbeFailed judges a probe of a far region. It accuses nobody: a death there is for those that are near to tell.
+func (v *View) regionProbeFailed(r *region) {
+	if !r.watched {
 		return
 	}
-	if r.missed++; r.missed >= farMisses && v.now-r.ackAt >= v.least()+v.s.ProbeTimeout+v.s.IndirectTimeout && !r.mute {
-		v.say(r, true)
+	if r.missedProbes++; r.missedProbes >= minRemoteMisses && v.now-r.lastAckAt >= v.minSuspicion()+v.settings.ProbeTimeout+v.settings.IndirectTimeout && !r.reportedUnreachable {
+		v.reportReachability(r, true)
 	}
 }
 
-// compareFar looks at a digest from another region. One watcher after the other opens an exchange, by rank.
-func (v *View) compareFar(from *member, digest uint64) {
+// compareRemoteDigest looks at a digest from another region. One watcher after the other opens an exchange, by rank.
+func (v *View) compareRemoteDigest(from *member, digest uint64) {
 	r, x := from.region, &v.exchange
-	if !r.watch {
+	if !r.watched {
 		return
 	}
 	switch {
 	case digest == v.digest:
-		r.differs = 0
-	case r.differs == 0:
-		r.differs = v.now
-	case v.now-r.differs >= time.Duration(1+r.rank)*time.Second && v.news.empty() && x.at == 0:
-		r.differs = v.now
-		x.with(v, from.Addr)
+		r.differsSince = 0
+	case r.differsSince == 0:
+		r.differsSince = v.now
+	case v.now-r.differsSince >= time.Duration(1+r.rank)*time.Second && v.updates.empty() && x.scheduledAt == 0:
+		r.differsSince = v.now
+		x.requestWith(v, from.Addr)
 	}
 }
 
-// spread has a member's state told on: in this member's region, and, if it stands there itself, to those regions that
+// queueUpdate has a member's state told on: in this member's region, and, if it stands there itself, to those regions that
 // this member watches. A suspicion does not cross: its end does.
-func (v *View) spread(m *member, by string) {
-	v.news.put(m, by)
-	if v.isFar(m) || m.State == Suspect {
+func (v *View) queueUpdate(m *member, by string) {
+	v.updates.put(m, by)
+	if v.isRemote(m) || m.State == Suspect {
 		return
 	}
-	for _, r := range v.areas {
-		if r.watch && !r.mute && r != v.home {
-			r.news.put(m, "")
+	for _, r := range v.sortedRegions {
+		if r.watched && !r.reportedUnreachable && r != v.localRegion {
+			r.updates.put(m, "")
 		}
 	}
 }
 
 // near is a record as those take it that stand elsewhere: a suspicion is for those that are near.
-func (v *View) normal(r Record) Record {
-	if r.State == Suspect && v.far(r.Region) {
+func (v *View) normalize(r Record) Record {
+	if r.State == Suspect && v.isRemoteRegion(r.Region) {
 		r.State, r.Reporter = Alive, ""
 	}
 	return r
 }
 
-// far reports whether a region of this name is another one than this member's.
-func (v *View) far(name string) bool {
-	if name == v.home.name {
+// isRemoteRegion reports whether a region of this name is another one than this member's.
+func (v *View) isRemoteRegion(name string) bool {
+	if name == v.localRegion.name {
 		return false
 	}
-	return v.regionOf(name) != v.home
+	return v.regionOf(name) != v.localRegion
 }
 
 // RegionStatus is how a region stands as seen from here.
@@ -368,20 +372,20 @@
 
 // Regions are all that are known, by name; nil where there is one alone.
 func (v *View) Regions() (all []RegionStatus) {
-	for _, r := range v.areas {
-		s := RegionStatus{Name: r.name, Members: len(r.live), Dead: len(r.silent), Local: r == v.home, Unreachable: r.away}
+	for _, r := range v.sortedRegions {
+		s := RegionStatus{Name: r.name, Members: len(r.live), Dead: len(r.dead), Local: r == v.localRegion, Unreachable: r.unreachable}
 		if s.Local {
 			s.Members++
 		} else if s.Members+s.Dead == 0 {
 			continue
 		}
-		if r.away {
-			s.UnreachableFor = v.now - r.since
+		if r.unreachable {
+			s.UnreachableFor = v.now - r.changedAt
 		}
-		for _, w := range r.top {
-			s.Watchers = append(s.Watchers, w.m.Name)
+		for _, w := range r.watchers {
+			s.Watchers = append(s.Watchers, w.member.Name)
 		}
-		if d := v.places[place{r.name, ""}]; d != nil {
+		if d := v.localities[locality{r.name, ""}]; d != nil {
 			s.RoundTrip = time.Duration(float64(d.mean) * float64(time.Second))
 		}
 		all = append(all, s)
@@ -393,4 +397,4 @@
 }
 
 // Isolated reports whether nobody is heard.
-func (v *View) Isolated() bool { return v.lone }
+func (v *View) Isolated() bool { return v.isolated }
--- a/internal/peer/transport/events.go
+++ b/internal/peer/transport/events.go
@@ -119,7 +119,7 @@
 	case membership.MemberChanged:
 		r := &a.Record
 		l := event{What: "member", Of: r.Name, Addr: r.Addr, Life: hex(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
-		if !a.New {
+		if !a.FirstSeen {
 			l.Was = a.Previous.String()
 		}
 		e.put(l)
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -107,14 +107,14 @@
 	saved := o.Saved
 	if saved != nil && saved.TakesOver {
 		s.TakesOver, s.Boot, s.RunID, s.Incarnation, s.DatagramNumber, s.Uptime = true, saved.Boot, saved.RunID, saved.Incarnation+1, saved.DatagramNumber, time.Duration(saved.UptimeMS)*time.Millisecond
-		s.Known = saved.Records
+		s.KnownMembers = saved.Records
 	} else {
 		if saved == nil {
 			saved = c.disk.read()
 		}
 		was := uint64(0)
 		if saved != nil {
-			was, s.Known = saved.Boot, saved.Records
+			was, s.KnownMembers = saved.Boot, saved.Records
 		}
 		s.Boot, s.RunID = membership.NextBootNumber(was, time.Now().Add(o.WallSkew).Unix()), rand.Uint64()|1
 	}
@@ -325,7 +325,7 @@
 			c.log.Info("fleet: region "+strconv.Quote(a.Region)+" is reached again", "members", a.Members)
 		}
 	case membership.Isolated:
-		if a.Over {
+		if a.Ended {
 			c.log.Info("fleet: others are heard again", "members", a.Members)
 		} else {
 			c.log.Warn("fleet: nobody is heard any more; this process serves on, and all others count as silent", "members", a.Members)
@@ -334,7 +334,7 @@
 		r := &a.Record
 		switch {
 		case a.Reason == membership.ReasonRegionUnreachable, a.Reason == membership.ReasonRegionReachable: // said in one line for all of them
-		case r.State == membership.Suspect, r.State == membership.Alive && a.Previous == membership.Suspect && !a.New:
+		case r.State == membership.Suspect, r.State == membership.Alive && a.Previous == membership.Suspect && !a.FirstSeen:
 		default:
 			c.log.Info("fleet: "+r.Name+" is "+r.State.String(), "addr", r.Addr, "zone", r.Zone, "was", a.Previous.String(), "by", r.Reporter, "why", a.Reason)
 		}
@@ -370,7 +370,7 @@
 func (c *Transport) save(boot bool) {
 	s := c.saved()
 	if boot && !c.o.Membership.TakesOver && len(s.Records) <= 1 {
-		s.Records = append(s.Records, c.o.Membership.Known...)
+		s.Records = append(s.Records, c.o.Membership.KnownMembers...)
 	}
 	c.disk.put(s)
 }
