--- a/internal/peer/membership/exchange.go
+++ b/internal/peer/membership/exchange.go
@@ -1,49 +1,89 @@
 package membership
 
-import (
-	"hash/fnv"
-	"io"
-	"slices"
-	"time"
+import "time"
+
+// A push-pull exchange (anti-entropy) compares two views by the digests of buckets of names, and sends only the records
+// of buckets that differ:
+//
+//	opener                          answerer
+//	OpenExchange: bucket digests -> ExchangeRequest
+//	ExchangeResponse             <- ExchangeReply: its records of buckets that differ, and which ones it wants
+//	FinishExchange: records      -> ExchangeClosed
+
+const (
+	// minExchangeInterval is the least time between two exchanges that a member opens, for each 500 members: digests of
+	// many buckets are large themselves.
+	minExchangeInterval        = time.Second
+	membersPerExchangeInterval = 500
+	// periodicExchangeInterval is the mean time between exchanges that are opened although all digests agree. Longer
+	// would leave what digests can't show, such as suspicions, to gossip alone.
+	periodicExchangeInterval = 30 * time.Second
+	// exchangeTimeout is when an exchange that has not ended has failed.
+	exchangeTimeout = 5 * time.Second
+	// exchangeJitter is added at random before an exchange, so that many members do not open one at once.
+	exchangeJitter = 50 * time.Millisecond
+	// digestGrace is how long digests may differ although all updates were sent before an exchange is opened.
+	digestGrace = time.Second
+
+	// maxBuckets and namesPerBucket decide into how many buckets a view is divided.
+	maxBuckets     = 512
+	namesPerBucket = 8
+	// maxRequestBuckets bounds the buckets that another member may ask for.
+	maxRequestBuckets = 1024
+
+	// maxReferrals bounds the members named to one that this member has no time for.
+	maxReferrals = 8
+	// minRetryAfterMS and retryAfterJitterMS are when it may come back, in milliseconds.
+	minRetryAfterMS    = 200
+	retryAfterJitterMS = 800
+	// maxRetryAfterMS bounds how long another member may put this one off, in milliseconds.
+	maxRetryAfterMS = 10_000
 )
 
-// exchangeState is where this member's next exchange stands. An exchange compares two views part by part and carries
-// only the parts that differ: the cheap way to the same end as telling all to all.
+// exchangeState is the state of this member's next or present exchange.
 type exchangeState struct {
-	joinAddrs     []string // addresses to join by
-	nextJoinAddr  int      // of them
-	retryAddrs    []string // to be tried once more after it has joined
-	joinRounds    int      // through them in vain
-	busy          bool
-	buckets       int // that the other was told of
-	id            uint64
-	to            string
-	timeoutAt     time.Duration // a busy one fails
-	scheduledAt   time.Duration // the next is due; 0: none is
-	preferredAddr string        // with this address; empty: with anyone
-	notBefore     time.Duration // none before this
+	// Joining: see join.go.
+	joinAddrs    []string // addresses by which the fleet may be joined
+	nextJoinAddr int      // index of the next one
+	joinRounds   int      // through all of them without success
+	retryAddrs   []string // to be contacted once more after joining
+
+	// The exchange under way.
+	busy      bool
+	id        uint64 // of the last exchange
+	to        string
+	buckets   int           // of the digests that were sent
+	timeoutAt time.Duration // it fails
+
+	// The next exchange.
+	scheduledAt   time.Duration // 0: only the periodic one is due
+	preferredAddr string        // whom with; empty: a random member
+	notBefore     time.Duration
 	periodicAt    time.Duration
-	differsSince  time.Duration // since when digests differ; 0: they do not
+	differsSince  time.Duration // digests of this region differ; 0: they do not
 }
 
-func (x *exchangeState) nextAt(v *View) time.Duration {
-	switch {
-	case x.busy:
+// nextAt is when exchangeDue has something to do.
+func (x *exchangeState) nextAt() time.Duration {
+	if x.busy {
 		return x.timeoutAt
-	case x.scheduledAt > 0:
-		return min(max(x.scheduledAt, x.notBefore), max(x.periodicAt, x.notBefore))
 	}
-	return max(x.periodicAt, x.notBefore)
+	at := max(x.periodicAt, x.notBefore)
+	if x.scheduledAt > 0 {
+		at = min(at, max(x.scheduledAt, x.notBefore))
+	}
+	return at
 }
 
-// scheduleIn has one made after a wait.
-func (x *exchangeState) scheduleIn(v *View, wait time.Duration) {
-	if at := v.now + wait + v.randomUpTo(50*time.Millisecond); x.scheduledAt == 0 || at < x.scheduledAt {
+// scheduleIn schedules an exchange after a delay, unless one is scheduled before.
+func (x *exchangeState) scheduleIn(v *View, delay time.Duration) {
+	at := v.now + delay + v.randomUpTo(exchangeJitter)
+	if x.scheduledAt == 0 || at < x.scheduledAt {
 		x.scheduledAt = at
 	}
 }
 
-// requestWith has one made with a certain member soon.
+// requestWith schedules an exchange with the member at an address.
 func (x *exchangeState) requestWith(v *View, addr string) {
 	if addr != "" && addr != v.settings.Addr && v.joined {
 		x.preferredAddr = addr
@@ -51,13 +91,18 @@
 	}
 }
 
-// exchangeInterval is the time between two exchanges: longer where the digests of the parts alone are many.
-func (v *View) exchangeInterval() time.Duration {
-	return minExchangeInterval * time.Duration(max(1, len(v.sortedNames)/500))
+// minInterval is the least time between two exchanges that this member opens.
+func (v *View) minInterval() time.Duration {
+	return minExchangeInterval * time.Duration(max(1, len(v.sortedNames)/membersPerExchangeInterval))
 }
 
-// compareDigest looks at the digest that a member tells of its view. Where it goes on to differ though all news has been
-// told, something was lost on the way.
+// exchangePeriod is a random time until the next periodic exchange.
+func (v *View) exchangePeriod() time.Duration {
+	return periodicExchangeInterval/2 + v.randomUpTo(periodicExchangeInterval)
+}
+
+// compareDigest compares a member's digest with this view's. Where they differ for longer although all updates were
+// sent, some were lost, and an exchange is scheduled.
 func (v *View) compareDigest(from *member, digest uint64) {
 	if digest == v.digest {
 		v.settled = v.settled || v.joined
@@ -66,72 +111,63 @@
 		v.compareRemoteDigest(from, digest)
 		return
 	}
-	if digest == v.digest {
-		v.exchange.differsSince = 0
-		return
-	}
-	x := &v.exchange
+	exchange := &v.exchange
 	switch {
-	case x.differsSince == 0:
-		x.differsSince = v.now
-	case v.now-x.differsSince >= time.Second && v.updates.empty() && x.scheduledAt == 0:
-		x.differsSince = v.now
-		x.requestWith(v, from.Addr)
+	case digest == v.digest:
+		exchange.differsSince = 0
+	case exchange.differsSince == 0:
+		exchange.differsSince = v.now
+	case v.now-exchange.differsSince >= digestGrace && v.updates.empty() && exchange.scheduledAt == 0:
+		exchange.differsSince = v.now
+		exchange.requestWith(v, from.Addr)
 	}
 }
 
-// bucketCount of a view: each holds about eight names.
+// bucketCount is the number of buckets of this view: a power of two. One that joins sends a single one, since its view
+// differs in all of them.
 func (v *View) bucketCount() int {
-	n := 1
-	for n < 512 && n*8 < len(v.sortedNames) {
-		n *= 2
-	}
 	if !v.joined {
 		return 1
 	}
-	return n
+	count := 1
+	for count < maxBuckets && count*namesPerBucket < len(v.sortedNames) {
+		count *= 2
+	}
+	return count
 }
 
-func bucketOf(name string, parts int) int {
-	h := fnv.New32a()
-	_, _ = io.WriteString(h, name)
-	return int(h.Sum32() % uint32(parts))
+func bucketOf(name string, buckets int) int {
+	return int(nameHash32(name) % uint32(buckets))
 }
 
-func (v *View) bucketDigests(parts int) []uint64 {
-	all := make([]uint64, parts)
-	for _, n := range v.sortedNames {
-		all[bucketOf(n, parts)] ^= v.members[n].digest
+func (v *View) bucketDigests(buckets int) []uint64 {
+	digests := make([]uint64, buckets)
+	for _, name := range v.sortedNames {
+		digests[bucketOf(name, buckets)] ^= v.members[name].digest
 	}
-	return all
+	return digests
 }
 
+// exchangeDue ends an exchange that takes too long, and opens the next one.
 func (v *View) exchangeDue() {
-	x := &v.exchange
-	if x.busy {
-		if v.now < x.timeoutAt {
+	exchange := &v.exchange
+	if exchange.busy {
+		if v.now < exchange.timeoutAt {
 			return
 		}
-		v.onExchangeFailed(ExchangeFailed{x.id})
+		v.onExchangeFailed(ExchangeFailed{exchange.id})
 	}
-	if v.now < x.notBefore || (x.scheduledAt == 0 || v.now < x.scheduledAt) && v.now < x.periodicAt {
+	scheduled := exchange.scheduledAt != 0 && v.now >= exchange.scheduledAt
+	if v.now < exchange.notBefore || !scheduled && v.now < exchange.periodicAt {
 		return
 	}
-	to := x.preferredAddr
-	x.scheduledAt, x.preferredAddr, x.periodicAt = 0, "", v.now+periodicExchangeInterval/2+v.randomUpTo(periodicExchangeInterval)
-	switch {
-	case !v.joined:
-		to = v.nextJoinAddr()
-	case to == "":
-		list := v.localRegion.live
-		if len(list) == 0 {
-			list = v.live
-		}
-		for _, m := range v.sample(list, 1, func(m *member) bool { return m.State == Alive }) {
-			to = m.Addr
-		}
-	}
-	if v.remoteStreamBudget.fill(v.now); to != "" && v.joined && v.remoteAddrs[to] != nil && v.remoteStreamBudget.level < 0 {
+	preferred := exchange.preferredAddr
+	exchange.scheduledAt = 0
+	exchange.preferredAddr = ""
+	exchange.periodicAt = v.now + v.exchangePeriod()
+	to := v.exchangePartner(preferred)
+	v.remoteStreamBudget.fill(v.now)
+	if to != "" && v.joined && v.remoteAddrs[to] != nil && v.remoteStreamBudget.level < 0 {
 		return // digests will ask for it again
 	}
 	if to != "" {
@@ -139,215 +175,234 @@
 	}
 }
 
-func (v *View) openExchange(to string) {
-	x := &v.exchange
-	x.buckets = v.bucketCount()
-	m := &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID, BucketDigests: v.bucketDigests(x.buckets), Records: []Record{v.outgoingRecord(v.self)}}
-	x.id++
-	x.busy, x.to, x.timeoutAt, x.notBefore = true, to, v.now+exchangeTimeout, v.now+v.exchangeInterval()
-	if !v.joined { // half of the doors may be behind a cut: the next one is tried soon
-		x.timeoutAt = v.now + joinTimeout
+// exchangePartner is the address to open an exchange with; empty: there is none.
+func (v *View) exchangePartner(preferred string) string {
+	if !v.joined {
+		return v.nextJoinAddr()
 	}
-	v.traffic.Exchanges++
-	v.chargeStream(m, v.remoteAddrs[to] != nil)
-	v.emit(OpenExchange{ID: x.id, To: to, Message: m})
-}
-
-// nextJoinAddr is the next address to join by: the operator's seeds and whoever was known in the last life, by turns.
-func (v *View) nextJoinAddr() string {
-	x := &v.exchange
-	if len(x.joinAddrs) == 0 {
-		return ""
+	if preferred != "" {
+		return preferred
 	}
-	if x.nextJoinAddr >= len(x.joinAddrs) {
-		x.nextJoinAddr = 0
-		x.joinRounds++
-		if v.contacted && x.joinRounds >= 2 { // others have come though none of these answers: it is them that it was to meet
-			v.joined = true
-			return ""
-		}
-		x.scheduleIn(v, min(8*time.Second, 250*time.Millisecond<<min(x.joinRounds, 6))/2+v.randomUpTo(500*time.Millisecond))
+	candidates := v.localRegion.live
+	if len(candidates) == 0 {
+		candidates = v.live
+	}
+	picked := v.sample(candidates, 1, isAlive)
+	if len(picked) == 0 {
 		return ""
 	}
-	x.nextJoinAddr++
-	return x.joinAddrs[x.nextJoinAddr-1]
+	return picked[0].Addr
+}
+
+// newExchange is a message of this member on a stream.
+func (v *View) newExchange() *Exchange {
+	return &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID}
+}
+
+func (v *View) openExchange(to string) {
+	exchange := &v.exchange
+	exchange.buckets = v.bucketCount()
+	request := v.newExchange()
+	request.BucketDigests = v.bucketDigests(exchange.buckets)
+	request.Records = []Record{v.outgoingRecord(v.self)}
+	exchange.id++
+	exchange.busy = true
+	exchange.to = to
+	exchange.timeoutAt = v.now + exchangeTimeout
+	if !v.joined { // half of the addresses may be beyond a partition
+		exchange.timeoutAt = v.now + joinTimeout
+	}
+	exchange.notBefore = v.now + v.minInterval()
+	v.traffic.Exchanges++
+	v.chargeStream(request, v.remoteAddrs[to])
+	v.emit(OpenExchange{ID: exchange.id, To: to, Message: request})
 }
 
 func (v *View) onExchangeFailed(e ExchangeFailed) {
-	x := &v.exchange
-	if !x.busy || x.id != e.ID {
+	exchange := &v.exchange
+	if !exchange.busy || exchange.id != e.ID {
 		return
 	}
-	x.busy = false
+	exchange.busy = false
 	if !v.joined {
-		x.notBefore = v.now
-		x.scheduleIn(v, 0)
+		exchange.notBefore = v.now
+		exchange.scheduleIn(v, 0)
 	}
 }
 
-// chargeStream books what goes out on a stream. It may leave a debt of one message, however large: nobody else is
-// answered before that is paid off, so that streams take no more a second than datagrams in the long run.
-func (v *View) chargeStream(x *Exchange, far bool) {
+// chargeStream takes a message on a stream from the budget, and from that of other regions if it goes to or came from
+// one (remote is not nil). It may leave a debt of one message, however large: no
+// other member is answered before that is paid off, so that streams take no more a second than datagrams on average.
+func (v *View) chargeStream(x *Exchange, remote *region) {
 	size := x.size()
 	v.streamBudget.level -= float64(size)
 	v.traffic.ExchangeBytes += uint64(size)
-	if far {
+	if remote != nil {
 		v.remoteStreamBudget.level -= float64(size)
 		v.traffic.RemoteExchangeBytes += uint64(size)
 	}
 }
 
-// onExchangeRequest answers another's opening, if not too many have come already: it is told when to come back.
+// onExchangeRequest answers an exchange that another member opened, or refers it to others if the budget is used up.
 func (v *View) onExchangeRequest(e ExchangeRequest) {
-	if v.isLeaving || v.yielding || e.Message == nil || len(e.Message.BucketDigests) == 0 || len(e.Message.BucketDigests) > 1024 {
+	request := e.Message
+	if v.isLeaving || v.yielding || request == nil ||
+		len(request.BucketDigests) == 0 || len(request.BucketDigests) > maxRequestBuckets {
 		v.emit(ExchangeReply{Stream: e.Stream})
 		return
 	}
 	v.streamBudget.fill(v.now)
 	v.remoteStreamBudget.fill(v.now)
-	list, far := v.live, false
-	if len(e.Message.Records) > 0 && e.Message.Records[0].Name == e.Message.From && e.Message.Records[0].check() == nil {
-		if r := v.regionOf(e.Message.Records[0].Region); len(r.live) > 0 {
-			list, far = r.live, r != v.localRegion
-		}
-	}
-	if v.streamBudget.level < 0 || far && v.remoteStreamBudget.level < 0 {
-		// Others may have time: whoever asks is told of some, so that where hundreds join, all that are in help.
-		busy := &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID, RetryAfterMS: uint32(200 + v.rng.IntN(800))}
-		for _, m := range v.sample(list, maxReferrals, func(m *member) bool { return m.State == Alive }) {
-			busy.Records = append(busy.Records, v.outgoingRecord(m))
+	openerRegion := v.openerRegion(request)
+	var remote *region
+	if openerRegion != v.localRegion {
+		remote = openerRegion
+	}
+	if v.streamBudget.level < 0 || remote != nil && v.remoteStreamBudget.level < 0 {
+		referrals := v.live
+		if openerRegion != nil {
+			referrals = openerRegion.live
 		}
-		v.chargeStream(busy, far)
-		v.emit(ExchangeReply{Stream: e.Stream, Message: busy})
+		response := v.busyResponse(referrals)
+		v.chargeStream(response, remote)
+		v.emit(ExchangeReply{Stream: e.Stream, Message: response})
 		return
 	}
-	x := e.Message
-	v.mergeAll(x, "exchange")
-	parts := len(x.BucketDigests)
-	own := v.bucketDigests(parts)
-	answer := &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID}
-	differ := make([]bool, parts)
-	for i := range own {
-		if differ[i] = own[i] != x.BucketDigests[i]; differ[i] {
-			answer.WantedBuckets = append(answer.WantedBuckets, uint16(i))
+	v.mergeAll(request, reasonExchange)
+	response := v.exchangeResponse(request)
+	v.chargeStream(response, remote)
+	v.emit(ExchangeReply{Stream: e.Stream, Message: response})
+	v.contacted = true
+}
+
+// openerRegion is the region of an exchange's opener, by its own record in the request; nil: it has none, or no member
+// of that region is alive.
+func (v *View) openerRegion(request *Exchange) *region {
+	if len(request.Records) == 0 {
+		return nil
+	}
+	opener := &request.Records[0]
+	if opener.Name != request.From || opener.check() != nil {
+		return nil
+	}
+	if r := v.regionNamed(opener.Region); len(r.live) > 0 {
+		return r
+	}
+	return nil
+}
+
+// busyResponse puts an opener off, and refers it to other members, so that where hundreds join, all that have joined
+// help.
+func (v *View) busyResponse(referrals []*member) *Exchange {
+	response := v.newExchange()
+	response.RetryAfterMS = uint32(minRetryAfterMS + v.rng.IntN(retryAfterJitterMS))
+	for _, m := range v.sample(referrals, maxReferrals, isAlive) {
+		response.Records = append(response.Records, v.outgoingRecord(m))
+	}
+	return response
+}
+
+// exchangeResponse holds this member's records of the buckets that differ, and asks for the opener's.
+func (v *View) exchangeResponse(request *Exchange) *Exchange {
+	buckets := len(request.BucketDigests)
+	response := v.newExchange()
+	differs := make([]bool, buckets)
+	for i, digest := range v.bucketDigests(buckets) {
+		if digest != request.BucketDigests[i] {
+			differs[i] = true
+			response.WantedBuckets = append(response.WantedBuckets, uint16(i))
 		}
 	}
-	for _, n := range v.sortedNames {
-		if differ[bucketOf(n, parts)] {
-			answer.Records = append(answer.Records, v.outgoingRecord(v.members[n]))
+	for _, name := range v.sortedNames {
+		if differs[bucketOf(name, buckets)] {
+			response.Records = append(response.Records, v.outgoingRecord(v.members[name]))
 		}
 	}
-	v.chargeStream(answer, far)
-	v.emit(ExchangeReply{Stream: e.Stream, Message: answer})
-	v.contacted = true
+	return response
 }
 
-// onExchangeResponse takes the answer, and sends back what the other would have and does not know.
+// onExchangeResponse merges the answer to this member's exchange, and ends that with the records that the other wants
+// and does not have.
 func (v *View) onExchangeResponse(e ExchangeResponse) {
-	x := &v.exchange
-	if !x.busy || x.id != e.ID || e.Message == nil || v.isLeaving || v.yielding {
+	exchange := &v.exchange
+	response := e.Message
+	if !exchange.busy || exchange.id != e.ID || response == nil || v.isLeaving || v.yielding {
 		return
 	}
-	x.busy = false
-	if e.Message.RetryAfterMS > 0 {
-		x.notBefore = v.now + time.Duration(min(e.Message.RetryAfterMS, 10000))*time.Millisecond
-		if !v.joined { // another may have time
-			for i := range e.Message.Records {
-				if r := &e.Message.Records[i]; r.check() == nil && r.Addr != v.settings.Addr && !slices.Contains(x.joinAddrs, r.Addr) && len(x.joinAddrs) < maxJoinAddrs {
-					x.joinAddrs = append(x.joinAddrs, r.Addr)
-				}
-			}
-			x.notBefore = v.now + v.randomUpTo(200*time.Millisecond)
-		}
-		x.scheduleIn(v, 0)
+	exchange.busy = false
+	if response.RetryAfterMS > 0 {
+		v.onBusyResponse(response)
 		return
 	}
-	parts := x.buckets
 	if !v.joined {
 		v.joined = true
 		v.emit(SaveView{})
 	}
-	theirs := make(map[string]*Record, len(e.Message.Records))
-	for i := range e.Message.Records {
-		theirs[e.Message.Records[i].Name] = &e.Message.Records[i]
-	}
-	v.mergeAll(e.Message, "exchange")
-	want := make([]bool, parts)
-	for _, p := range e.Message.WantedBuckets {
-		if int(p) < parts {
-			want[p] = true
-		}
-	}
-	last := &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID}
-	for _, n := range v.sortedNames {
-		m := v.members[n]
-		if t := theirs[n]; want[bucketOf(n, parts)] && (t == nil || m.newer(t)) {
-			last.Records = append(last.Records, v.outgoingRecord(m))
-		}
-	}
-	if len(last.Records) > 0 {
-		v.chargeStream(last, v.remoteAddrs[x.to] != nil)
-		v.emit(FinishExchange{ID: e.ID, Message: last})
-	} else {
+	v.mergeAll(response, reasonExchange)
+	wanted := v.wantedRecords(response)
+	if len(wanted) == 0 {
 		v.emit(FinishExchange{ID: e.ID})
+		return
 	}
+	final := v.newExchange()
+	final.Records = wanted
+	v.chargeStream(final, v.remoteAddrs[exchange.to])
+	v.emit(FinishExchange{ID: e.ID, Message: final})
 }
 
-func (v *View) mergeAll(x *Exchange, why string) {
-	if x == nil || v.isLeaving || v.yielding {
-		return
-	}
-	for _, r := range x.Records {
-		// What the other holds for dead may be alive on this side of a link that was broken: it is accused, so
-		// that it can refute.
-		if m := v.members[r.Name]; m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isRemote(m) {
-			r.State, r.Reporter, r.AgeSeconds = Suspect, x.From, 0
+// onBusyResponse tries again later, or, while this member joins, at those that the other named.
+func (v *View) onBusyResponse(response *Exchange) {
+	exchange := &v.exchange
+	exchange.notBefore = v.now + time.Duration(min(response.RetryAfterMS, maxRetryAfterMS))*time.Millisecond
+	if !v.joined {
+		for i := range response.Records {
+			if r := &response.Records[i]; r.check() == nil {
+				v.addJoinAddr(r.Addr)
+			}
 		}
-		v.merge(r, why)
+		exchange.notBefore = v.now + v.randomUpTo(referralJitter)
 	}
+	exchange.scheduleIn(v, 0)
 }
 
-// reconnectDue tries silent members again: all that are alive together each silent one about once a second. So a
-// partition heals by itself, with no seed and no operator. After ten minutes it is a fifth of that.
-func (v *View) reconnectDue() {
-	if v.now >= v.reconnectAt {
-		rate := min(maxReconnectsPerSecond, float64(len(v.localRegion.dead))/float64(len(v.localRegion.live)+1))
-		if rate > 0 {
-			v.reconnectAt = v.now + time.Duration((0.5+v.rng.Float64())/rate*float64(time.Second))
-			m := v.localRegion.dead[v.rng.IntN(len(v.localRegion.dead))]
-			if age := v.now - m.stateSince; age < v.settings.ReconnectFor && (age < 10*time.Minute || v.rng.IntN(5) == 0) {
-				v.send(m.Addr, &Message{Kind: Ping, Seq: v.nextSeq(), Target: m.Name}, reserveForProbes, m)
-			}
-		} else {
-			v.reconnectAt = v.now + 500*time.Millisecond + v.randomUpTo(500*time.Millisecond)
+// wantedRecords are the records of the buckets that the answerer wants, without those that it has as new.
+func (v *View) wantedRecords(response *Exchange) []Record {
+	theirs := make(map[string]*Record, len(response.Records))
+	for i := range response.Records {
+		theirs[response.Records[i].Name] = &response.Records[i]
+	}
+	buckets := v.exchange.buckets
+	isWanted := make([]bool, buckets)
+	for _, bucket := range response.WantedBuckets {
+		if int(bucket) < buckets {
+			isWanted[bucket] = true
 		}
 	}
-	// Seeds and last life's members that nobody is at: two fleets that came up apart meet there. Each is tried
-	// twice soon after the start, and then now and then.
-	if v.now < v.seedRetryAt {
-		return
-	}
-	x := &v.exchange
-	doors := v.settings.Seeds
-	if v.seedRetryAt = v.now + time.Duration(0.75*float64(5*time.Second)*float64(len(v.live)+1)) + v.randomUpTo(2500*time.Millisecond); len(x.retryAddrs) > 0 {
-		doors = x.retryAddrs[:1]
-		x.retryAddrs = x.retryAddrs[1:]
-		v.seedRetryAt = v.now + joinRetryInterval/2 + v.randomUpTo(joinRetryInterval/2)
-	}
-	if !v.joined || x.busy || len(doors) == 0 {
-		return
-	}
-	if s := doors[v.rng.IntN(len(doors))]; s != v.settings.Addr && !v.hasLiveMemberAt(s) {
-		x.requestWith(v, s)
+	var wanted []Record
+	for _, name := range v.sortedNames {
+		m := v.members[name]
+		their := theirs[name]
+		if isWanted[bucketOf(name, buckets)] && (their == nil || m.newer(their)) {
+			wanted = append(wanted, v.outgoingRecord(m))
+		}
 	}
+	return wanted
 }
 
-// hasLiveMemberAt reports whether a member that is alive has this address.
-func (v *View) hasLiveMemberAt(addr string) bool {
-	for _, m := range v.live {
-		if m.Addr == addr {
-			return true
+// mergeAll merges the records of an exchange.
+func (v *View) mergeAll(x *Exchange, reason string) {
+	if x == nil || v.isLeaving || v.yielding {
+		return
+	}
+	for _, r := range x.Records {
+		// A member that is dead to the other may be alive on this side of a link that was broken: it becomes a
+		// suspect, so that it can refute (as in hashicorp/memberlist).
+		m := v.members[r.Name]
+		if m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isRemote(m) {
+			r.State = Suspect
+			r.Reporter = x.From
+			r.AgeSeconds = 0
 		}
+		v.merge(r, reason)
 	}
-	return false
 }
--- a/internal/peer/membership/membership_test.go
+++ b/internal/peer/membership/membership_test.go
@@ -91,7 +91,7 @@
 			return Record{Name: names.Draw(t, "n"), Addr: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.2:2", "x", ""}).Draw(t, "a"),
 				Boot: uint64(rapid.IntRange(0, 12).Draw(t, "b")), RunID: uint64(rapid.IntRange(0, 9).Draw(t, "l")), Incarnation: uint32(rapid.IntRange(0, 3).Draw(t, "i")),
 				State: State(rapid.IntRange(0, 5).Draw(t, "s")), Reporter: names.Draw(t, "by"), NameVerified: rapid.Bool().Draw(t, "c"), Balancers: 1,
-				Region: regions.Draw(t, "region"), UnreachableRegions: rapid.SliceOfN(rapid.SampledFrom([]uint32{v.regionOf("r1").hash, v.regionOf("").hash}), 0, 2).Draw(t, "mute")}
+				Region: regions.Draw(t, "region"), UnreachableRegions: rapid.SliceOfN(rapid.SampledFrom([]uint32{v.regionNamed("r1").hash, v.regionNamed("").hash}), 0, 2).Draw(t, "mute")}
 		})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/internal/peer/membership/region_test.go
+++ b/internal/peer/membership/region_test.go
@@ -745,8 +745,8 @@
 	v := newTestView(t)
 	learnMembers(v, 5)
 	v.joined, v.yielding = true, true
-	v.claim = nameClaim{dueAt: v.now + 30*time.Second, unanswered: maxUnansweredChecks, other: testRecord(9)}
-	v.now = v.claim.dueAt
+	v.nameClaim = nameClaim{dueAt: v.now + 30*time.Second, unanswered: maxUnansweredChecks, other: testRecord(9)}
+	v.now = v.nameClaim.dueAt
 	v.wakeAt = v.now
 	if v.Step(v.now); v.yielding || v.Isolated() {
 		t.Errorf("standby %v, alone %v", v.yielding, v.Isolated())
--- /dev/null
+++ b/internal/peer/membership/send.go
@@ -0,0 +1,133 @@
+package membership
+
+import "time"
+
+// maxDatagramBytes is the size up to which updates fill a datagram: it fits one packet on every network.
+const maxDatagramBytes = 1200
+
+// tokenBucket bounds the bytes that are sent. It holds one second's worth.
+type tokenBucket struct {
+	rate     float64 // bytes per second
+	capacity float64 // bytes
+	level    float64 // bytes; below 0: a debt
+	filledAt time.Duration
+}
+
+func newTokenBucket(bytesPerSecond int) tokenBucket {
+	return tokenBucket{rate: float64(bytesPerSecond), capacity: float64(bytesPerSecond)}
+}
+
+func (b *tokenBucket) start(now time.Duration) {
+	b.level = b.capacity
+	b.filledAt = now
+}
+
+func (b *tokenBucket) fill(now time.Duration) {
+	b.level = min(b.capacity, b.level+b.rate*(now-b.filledAt).Seconds())
+	b.filledAt = now
+}
+
+// allows reports whether a datagram may be sent, if the reserve must stay.
+func (b *tokenBucket) allows(size int, reserve budgetReserve) bool {
+	return b.level-float64(size) >= float64(reserve)*b.capacity
+}
+
+// budgetReserve is the part of a full budget that a datagram must leave to more urgent ones: responses go first, then
+// probes, then gossip. A larger reserve delays the less urgent kind more in a storm.
+type budgetReserve float64
+
+const (
+	reserveNone         budgetReserve = 0    // for responses
+	reserveForResponses budgetReserve = 0.1  // for probes
+	reserveForProbes    budgetReserve = 0.35 // for gossip
+)
+
+// datagram is a message to be sent.
+type datagram struct {
+	to      string
+	message *Message
+	reserve budgetReserve
+	// about are members whose records the receiver must have before all, such as its own where it is suspect.
+	about []*member
+	// likelyLost says that the receiver does not seem to hear this member: updates do not count as sent.
+	likelyLost bool
+	// withoutUpdates leaves out all updates but those in about: the budget is needed for other datagrams.
+	withoutUpdates bool
+}
+
+// send sends a message to an address, filled up with updates, if the budget allows it. It reports whether it did.
+func (v *View) send(to string, m *Message, reserve budgetReserve, about ...*member) bool {
+	return v.sendDatagram(datagram{to: to, message: m, reserve: reserve, about: about})
+}
+
+// sendToMember is send for a member, which may seem not to hear this one.
+func (v *View) sendToMember(to *member, m *Message, reserve budgetReserve, about ...*member) bool {
+	return v.sendDatagram(datagram{to: to.Addr, message: m, reserve: reserve, about: about, likelyLost: to.unresponsive})
+}
+
+// sendDatagram is where every datagram is sent.
+func (v *View) sendDatagram(d datagram) bool {
+	if d.to == "" || d.to == v.settings.Addr {
+		return false
+	}
+	m := d.message
+	v.addSender(m)
+	size := m.MaxEncodedSize()
+	remote := v.remoteAddrs[d.to]
+	if !v.budgetAllows(remote, size, d.reserve) {
+		v.traffic.Withheld++
+		return false
+	}
+	for _, a := range d.about {
+		if a != nil {
+			r := v.outgoingRecord(a)
+			m.Updates = append(m.Updates, r)
+			size += r.size()
+		}
+	}
+	if !v.yielding && !d.withoutUpdates && !m.isAboutIdentity() && v.budgetAllows(remote, size, reserveForResponses) {
+		size = v.addUpdates(d, remote, size)
+	}
+	if remote != nil {
+		v.remoteBudget.level -= float64(size)
+		v.traffic.RemoteBytes += uint64(size)
+	}
+	v.datagramNumber++
+	m.Number = v.datagramNumber
+	v.budget.level -= float64(size)
+	v.traffic.Datagrams++
+	v.traffic.Bytes += uint64(size)
+	v.emit(Send{To: d.to, Message: m, Size: size})
+	return true
+}
+
+// addSender fills in what every datagram says of its sender.
+func (v *View) addSender(m *Message) {
+	m.From = v.settings.Name
+	m.Boot = v.self.Boot
+	m.RunID = v.self.RunID
+	m.Digest = v.digest
+	if m.Kind == Ping && m.Addr == "" {
+		m.Addr = v.settings.Addr
+	}
+}
+
+// budgetAllows reports whether the budget, and that of other regions for a datagram to one of them, allow it.
+func (v *View) budgetAllows(remote *region, size int, reserve budgetReserve) bool {
+	return v.budget.allows(size, reserve) && (remote == nil || v.remoteBudget.allows(size, reserve))
+}
+
+// addUpdates fills a datagram up with updates, and returns its new size. Only a watcher sends updates to another
+// region.
+func (v *View) addUpdates(d datagram, remote *region, size int) int {
+	fill := updateFill{message: d.message, size: size, likelyLost: d.likelyLost}
+	switch {
+	case remote == nil:
+		fill.maxTransmissions = v.maxTransmissions()
+		v.updates.fill(v, &fill)
+	case remote.watched:
+		fill.maxTransmissions = remoteTransmissions
+		remote.updates.fill(v, &fill)
+	}
+	return fill.size
+}
--- /dev/null
+++ b/internal/peer/membership/watcher.go
@@ -0,0 +1,243 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+// watcher is a member that watches a region for its own one.
+type watcher struct {
+	member      *member
+	since       time.Duration // it is a watcher
+	hasReported bool          // it has reported the region unreachable since then: its silence now means that it reaches it
+}
+
+const (
+	// maxWatchers is the number of watchers of each region for each other one. More survive more crashes at once, and
+	// cost probes between regions.
+	maxWatchers = 3
+	// remoteTransmissions is how often each watcher sends an update to the region.
+	remoteTransmissions = 2
+	// remoteProbeInterval is the mean time between a watcher's probes of its region, and remoteRetryInterval that
+	// while the last one was not answered. Shorter finds an unreachable region sooner.
+	remoteProbeInterval = 2 * time.Second
+	remoteRetryInterval = 400 * time.Millisecond
+	// maxRemoteHelpers is the number of members of third regions that are asked to probe it.
+	maxRemoteHelpers = 2
+	// minRemoteMisses is the number of probes, one after another, that must be missed before it is reported
+	// unreachable; they must also span the longest pause that members survive.
+	minRemoteMisses = 4
+	// watcherSettleTime is how long a new watcher needs to find out whether it reaches the region.
+	watcherSettleTime = 6 * time.Second
+
+	// watcherRankMultiplier spreads the bits of a region's hash (2^64 divided by the golden ratio).
+	watcherRankMultiplier = 0x9e3779b97f4a7c15
+)
+
+// watcherRank orders members as watchers of a region: all that know the same members select the same watchers, without
+// an election (rendezvous hashing).
+func (r *region) watcherRank(m *member) uint64 {
+	return mix(m.nameHash ^ uint64(r.hash)*watcherRankMultiplier)
+}
+
+// reportsUnreachable reports whether a member's record says that it can't reach a region.
+func reportsUnreachable(m *member, r *region) bool {
+	return slices.Contains(m.UnreachableRegions, r.hash)
+}
+
+// selectWatchers finds the watchers of a region: the members of this one with the highest ranks.
+func (v *View) selectWatchers(r *region) {
+	previous := r.watchers
+	r.watchers = nil
+	isWatcher := false
+	for rank, m := range v.highestRanked(r) {
+		w := watcher{member: m, since: v.now}
+		if i := slices.IndexFunc(previous, func(p watcher) bool { return p.member == m }); i >= 0 {
+			w = previous[i]
+		}
+		r.watchers = append(r.watchers, w)
+		if m == v.self {
+			isWatcher = true
+			r.rank = rank
+		}
+	}
+	if isWatcher != r.watched {
+		v.setWatched(r, isWatcher)
+	}
+}
+
+// highestRanked are the members of this region with the highest ranks for r, the highest first.
+func (v *View) highestRanked(r *region) []*member {
+	top := make([]*member, 0, maxWatchers+1)
+	consider := func(m *member) {
+		rank := r.watcherRank(m)
+		if len(top) == maxWatchers && r.watcherRank(top[maxWatchers-1]) >= rank {
+			return
+		}
+		i := 0
+		for i < len(top) && r.watcherRank(top[i]) >= rank {
+			i++
+		}
+		top = slices.Insert(top, i, m)
+		if len(top) > maxWatchers {
+			top = top[:maxWatchers]
+		}
+	}
+	consider(v.self)
+	for _, m := range v.localRegion.live {
+		// In a partition there is no time to wait for the death of watchers beyond it.
+		if m.State == Suspect && v.now < v.partitionedUntil {
+			continue
+		}
+		consider(m)
+	}
+	return top
+}
+
+// setWatched begins or ends that this member watches a region. It begins with what its region holds.
+func (v *View) setWatched(r *region, watched bool) {
+	r.watched = watched
+	r.missedProbes = 0
+	r.probeUnanswered = false
+	r.lastAckAt = v.now
+	r.probeAt = v.now + v.randomUpTo(remoteRetryInterval)
+	r.differsSince = 0
+	r.updates = updateQueue{}
+	v.reportRegion(r, regionReport(watched && r.unreachable))
+}
+
+// regionReport is what a watcher's own record says of its region.
+type regionReport bool
+
+const (
+	reportReachable   regionReport = false
+	reportUnreachable regionReport = true
+)
+
+// reportRegion changes what this member's own record says of a region that it watches.
+func (v *View) reportRegion(r *region, report regionReport) {
+	if r.reportedUnreachable == bool(report) {
+		return
+	}
+	r.reportedUnreachable = bool(report)
+	v.self.UnreachableRegions = nil
+	for _, other := range v.sortedRegions {
+		if other.reportedUnreachable {
+			v.self.UnreachableRegions = append(v.self.UnreachableRegions, other.hash)
+		}
+	}
+	v.self.Incarnation++
+	v.announce(v.self)
+	v.regionsCheckAt = v.now
+	r.missedProbes = 0
+	if report == reportUnreachable {
+		r.updates = updateQueue{}
+	}
+}
+
+// watchedRegionsDue sends updates to the regions that this member watches, and probes them.
+func (v *View) watchedRegionsDue() {
+	for _, r := range v.sortedRegions {
+		if !r.watched || r == v.localRegion {
+			continue
+		}
+		if !r.updates.empty() && v.now >= r.gossipAt {
+			r.gossipAt = v.now + gossipInterval
+			for _, m := range v.sample(r.live, 1, anyMember) {
+				v.sendToMember(m, &Message{Kind: Gossip}, reserveForProbes)
+			}
+		}
+		if v.now >= r.probeAt {
+			v.probeRegion(r)
+		}
+	}
+}
+
+// probeRegion probes one member of a watched region: a dead one if none is alive, since the region may come back.
+func (v *View) probeRegion(r *region) {
+	interval := remoteProbeInterval
+	if r.probeUnanswered && !r.reportedUnreachable {
+		interval = remoteRetryInterval
+	}
+	r.probeAt = v.now + interval/2 + v.randomUpTo(interval)
+	candidates := r.live
+	if len(candidates) == 0 {
+		candidates = r.dead
+	}
+	for _, m := range v.sample(candidates, 1, func(m *member) bool { return !v.isProbing(m.Name) }) {
+		p := &probe{
+			target:       m.Name,
+			seq:          v.nextSeq(),
+			sentAt:       v.now,
+			until:        v.now + v.probeTimeout(m),
+			remoteRegion: r,
+		}
+		if v.sendPing(p, p.seq, m) {
+			v.probes = append(v.probes, p)
+		}
+	}
+}
+
+// addRegionTimers adds when watchedRegionsDue has something to do.
+func (v *View) addRegionTimers(next *earliest) {
+	for _, r := range v.sortedRegions {
+		if !r.watched || r == v.localRegion {
+			continue
+		}
+		next.add(r.probeAt)
+		if !r.updates.empty() {
+			next.add(r.gossipAt)
+		}
+	}
+}
+
+// hastenRegionProbe has a region probed more often, since a probe was not answered in time.
+func (v *View) hastenRegionProbe(r *region) {
+	r.probeUnanswered = true
+	if !r.reportedUnreachable {
+		r.probeAt = min(r.probeAt, v.now+v.randomUpTo(remoteRetryInterval))
+	}
+}
+
+// regionAnswered notices that a probe of a watched region was answered, by its target or through a helper.
+func (v *View) regionAnswered(r *region, target *member) {
+	r.missedProbes = 0
+	r.probeUnanswered = false
+	r.lastAckAt = v.now
+	if r.reportedUnreachable {
+		v.reportRegion(r, reportReachable)
+		v.exchange.requestWith(v, target.Addr) // there may be much to learn
+	}
+}
+
+// regionProbeFailed counts a probe of a watched region that was not answered. No member is suspected: members near it
+// will notice its death.
+func (v *View) regionProbeFailed(r *region) {
+	if !r.watched {
+		return
+	}
+	r.missedProbes++
+	longestPause := v.minSuspicion() + v.settings.ProbeTimeout + v.settings.IndirectTimeout
+	if r.missedProbes >= minRemoteMisses && v.now-r.lastAckAt >= longestPause && !r.reportedUnreachable {
+		v.reportRegion(r, reportUnreachable)
+	}
+}
+
+// compareRemoteDigest compares a digest from another region. Where it differs for longer, the region's watchers open an
+// exchange one after the other, by rank.
+func (v *View) compareRemoteDigest(from *member, digest uint64) {
+	r := from.region
+	if !r.watched {
+		return
+	}
+	grace := digestGrace * time.Duration(1+r.rank)
+	switch {
+	case digest == v.digest:
+		r.differsSince = 0
+	case r.differsSince == 0:
+		r.differsSince = v.now
+	case v.now-r.differsSince >= grace && v.updates.empty() && v.exchange.scheduledAt == 0:
+		r.differsSince = v.now
+		v.exchange.requestWith(v, from.Addr)
+	}
+}
