--- /dev/null
+++ b/internal/peer/membership/nameconflict_test.go
@@ -0,0 +1,77 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+func TestProcessWithLongerUptimeKeepsTheName(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		uptimeMS uint64 // of the other process
+		yields   bool
+	}{
+		{"the other one's is longer", 100_000, true},
+		{"its own is longer", 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			v := newTestView(t)
+			learnMembers(v, 2)
+			v.now += 10 * time.Second
+			twin := v.Local()
+			twin.Addr = "127.0.0.3:1"
+			twin.RunID = 99
+			twin.Boot = 50
+			requests := sentOfKind(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{twin}}}), IdentityRequest)
+			if len(requests) != 1 || requests[0].To != twin.Addr {
+				t.Fatalf("requests %+v", requests)
+			}
+			v.Step(v.now+ms, DatagramReceived{Message: &Message{
+				Kind:         IdentityResponse,
+				From:         "me",
+				RunID:        99,
+				SubjectRunID: 99,
+				Seq:          requests[0].Message.Seq,
+				UptimeMS:     c.uptimeMS,
+			}})
+			if v.Yields() != c.yields {
+				t.Errorf("it yields: %v", v.Yields())
+			}
+			if own := v.Local(); !c.yields && (own.Boot <= 50 || !own.NameVerified) {
+				t.Errorf("it keeps the name, and its record does not say so: %+v", own)
+			}
+		})
+	}
+}
+
+func TestNameOfALiveMemberNeedsVerificationToChangeHands(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 2)
+	r := testRecord(1)
+	r.Addr = "127.0.0.3:1"
+	r.RunID = 77
+	r.Boot = 50
+	learn(v, r)
+	if v.members["m1"].RunID == 77 {
+		t.Error("unverified, and accepted")
+	}
+	r.NameVerified = true
+	learn(v, r)
+	if v.members["m1"].RunID != 77 {
+		t.Error("verified, and not accepted")
+	}
+}
+
+func TestMemberThatStopsYieldingIsNotIsolated(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 5)
+	v.joined = true
+	v.yielding = true
+	v.nameClaim = nameClaim{dueAt: v.now + 30*time.Second, unanswered: maxUnansweredChecks, other: testRecord(9)}
+	v.now = v.nameClaim.dueAt
+	v.wakeAt = v.now
+	v.Step(v.now)
+	if v.yielding || v.Isolated() {
+		t.Errorf("yielding %v, isolated %v", v.yielding, v.Isolated())
+	}
+}
--- /dev/null
+++ b/internal/peer/membership/size_test.go
@@ -0,0 +1,60 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+// A member that is not heard from never lets a share grow; an orderly leave and an operator's statement do, in steps.
+func TestMaxBalancersFallsOnlyByLeaveOrForget(t *testing.T) {
+	v := newTestView(t)
+	learnMembers(v, 20)
+	v.settled = true
+	runUntil(v, 60*time.Second)
+	if v.Size().Live != 1 || v.Size().MaxBalancers != 21 || v.Size().MinBalancers != 1 {
+		t.Fatalf("size %+v", v.Size())
+	}
+	previous := v.Size().MaxBalancers
+	for n := range 20 {
+		v.Step(v.now+ms, ForgetMember{Name: testRecord(n).Name})
+	}
+	for i := 0; v.Size().MaxBalancers > 1; i++ {
+		v.Step(v.Next())
+		if i > 5000 {
+			t.Fatalf("it stays at %d", v.Size().MaxBalancers)
+		}
+		present := v.Size().MaxBalancers
+		if previous-present > max(1, previous/sizeSteps) {
+			t.Fatalf("from %d to %d in one step", previous, present)
+		}
+		previous = present
+	}
+}
+
+func TestSizeChangesInSteps(t *testing.T) {
+	v := newTestView(t)
+	requireMax := func(when string, want int) {
+		t.Helper()
+		if got := v.Size().MaxBalancers; got != want {
+			t.Errorf("%s: %d balancers, want %d", when, got, want)
+		}
+	}
+	v.sizes.configured = 600
+	learnMembers(v, 299)
+	requireMax("before it has settled", 600)
+	if !v.Size().FromFile {
+		t.Fatal("not the operator's figure")
+	}
+	v.settled = true
+	v.Step(v.now + ms)
+	requireMax("settled soon after its start", 300)
+	if v.Size().FromFile {
+		t.Error("still the operator's figure")
+	}
+	left := testRecord(1)
+	left.State = Left
+	learn(v, left)
+	requireMax("at once after a leave", 300)
+	runUntil(v, v.now+3*sizeStepInterval)
+	requireMax("some steps after it", 299)
+}
