--- a/internal/peer/membership/probe.go
+++ b/internal/peer/membership/probe.go
@@ -2,142 +2,162 @@
 
 import "time"
 
-// probe is a question whether a member is there.
+// probe is a ping that awaits its ack: first directly, then through helpers as well (SWIM, 3.1).
 type probe struct {
-	target   string
-	seq      uint32
-	at       time.Duration // it was sent
-	again    uint32        // the second question, once others were asked too: its answer is told from the first's
-	againAt  time.Duration
-	until    time.Duration // of the present stage
-	indirect bool          // others were asked too
-	helpers  []*member
-	few      int             // helpers of chance; 0: as many as ever
-	far      *region         // it is of a watcher, for another region
-	nacks    map[string]bool // which of them said that they are there
-}
-
-// errand is a question that another has this member ask.
-type errand struct {
-	seq, theirs uint32
 	target      string
-	reply       string
-	at          time.Duration // it was asked
-	until       time.Duration
-	who         bool // WhoIs, not Ping
+	seq         uint32 // of the first ping, and of the requests to helpers
+	sentAt      time.Duration
+	retrySeq    uint32 // of the second ping, so that its ack is told from the first's (Karn's algorithm); 0: not sent
+	retrySentAt time.Duration
+	until       time.Duration // the present stage times out
+
+	indirect     bool            // the second stage: requests were sent to helpers
+	helpers      []*member       // that the request was sent to
+	nacks        map[string]bool // names of the helpers that sent a Nack
+	maxHelpers   int             // defaultHelpers: as many as ever
+	remoteRegion *region         // not nil: this member probes the region as one of its watchers
 }
 
-const errandsMost = 64
+const (
+	// indirectHelpers is the number of helpers of an indirect probe (SWIM's k); for a suspect it is twice that. More
+	// reach a member more surely behind a bad link, and cost a datagram each way.
+	indirectHelpers     = 3
+	suspectHelperFactor = 2
+	// sweepHelpers is the number of helpers during a partition, where many probes are sent.
+	sweepHelpers = 1
+	// defaultHelpers stands for indirectHelpers.
+	defaultHelpers = 0
+)
 
 func (v *View) nextSeq() uint32 {
-	v.seq++
-	return v.seq
+	v.lastSeq++
+	return v.lastSeq
 }
 
-// probesDue starts the next probe, and judges those whose time is up.
+// probesDue continues the probes whose present stage has timed out, and starts the next one.
 func (v *View) probesDue() {
 	for i := 0; i < len(v.probes); {
 		p := v.probes[i]
 		switch {
 		case v.now < p.until:
 			i++
-		case !p.indirect && v.askOthers(p):
+		case !p.indirect && v.probeIndirectly(p):
 			i++
 		default:
 			v.probes = append(v.probes[:i], v.probes[i+1:]...)
-			v.missed(p)
+			v.probeFailed(p)
 		}
 	}
 	if v.now < v.probeAt {
 		return
 	}
-	// Never two at once for a slow clock: what was missed is not made up for.
-	v.probeAt = max(v.probeAt+v.patience(v.s.ProbeInterval), v.now+v.patience(v.s.ProbeInterval)/2)
-	if m := v.nextTarget(); m != nil {
-		v.ask(m, 0)
+	// After a late step there are never two probes at once: what was missed is not made up for.
+	interval := v.scaledByHealth(v.settings.ProbeInterval)
+	v.probeAt = max(v.probeAt+interval, v.now+interval/2)
+	if target := v.nextTarget(); target != nil {
+		v.startProbe(target, defaultHelpers)
 	}
-	v.sweep()
+	v.sweepProbes()
 }
 
-// ask begins a probe. It reports whether the budget had it.
-func (v *View) ask(m *member, few int) bool {
-	p := &probe{target: m.Name, seq: v.nextSeq(), at: v.now, until: v.now + v.patience(v.direct(m)), few: few}
-	defer func(was bool) { v.bare = was }(v.bare)
-	v.bare = few > 0 // news would take what the sweep needs
-	if !v.sendTo(m, &Message{Kind: Ping, Seq: p.seq, Target: m.Name}, forProbes, suspected(m)) {
+// startProbe sends the first ping of a probe. It reports whether the budget allowed it. A probe of a sweep carries no
+// updates: they would take the budget of the others.
+func (v *View) startProbe(target *member, maxHelpers int) bool {
+	p := &probe{
+		target:     target.Name,
+		seq:        v.nextSeq(),
+		sentAt:     v.now,
+		until:      v.now + v.scaledByHealth(v.probeTimeout(target)),
+		maxHelpers: maxHelpers,
+	}
+	if !v.sendPing(p, p.seq, target) {
 		return false
 	}
 	v.probes = append(v.probes, p)
 	return true
 }
 
-// suspected is the member, where its own state would be news to it.
-func suspected(m *member) *member {
-	if m != nil && m.State != Alive {
-		return m
-	}
-	return nil
+// sendPing sends a ping of a probe, with the target's own record unless it is alive.
+func (v *View) sendPing(p *probe, seq uint32, target *member) bool {
+	return v.sendDatagram(datagram{
+		to:             target.Addr,
+		message:        &Message{Kind: Ping, Seq: seq, Target: target.Name},
+		reserve:        reserveForResponses,
+		about:          []*member{unlessAlive(target)},
+		likelyLost:     target.unresponsive,
+		withoutUpdates: p.isSweep(),
+	})
 }
 
-// nextTarget goes through all of its region that are alive or suspect in an order by chance, and then in another one:
-// the time between two probes of one member by another is bounded (SWIM, 4.3). Where there are regions, every second
-// probe goes through its own zone in the same way: in the mean each member is still probed once a period, by half of
-// its zone and by half of the region.
+// isSweep reports whether a probe is one of the many that are sent during a partition.
+func (p *probe) isSweep() bool { return p.maxHelpers != defaultHelpers }
+
+// nextTarget takes the members of this region in a random order, and then in another one, so that the time between two
+// probes of a member is bounded (SWIM, 4.3). Where there are regions, every second probe goes to this member's own zone
+// in the same way: each member is still probed once an interval on average, by half of its zone and half of its region.
 func (v *View) nextTarget() *member {
-	if v.zoneNext = !v.zoneNext && v.s.Region != ""; v.zoneNext {
-		if m := v.next(&v.zoneTurn, v.pool()); m != nil {
+	v.lastProbeInZone = !v.lastProbeInZone && v.settings.Region != ""
+	if v.lastProbeInZone {
+		if m := v.nextInOrder(&v.zoneProbeOrder, v.zonePool()); m != nil {
 			return m
 		}
 	}
-	return v.next(&v.turn, nil)
+	return v.nextInOrder(&v.probeOrder, anyMember)
 }
 
-func (v *View) next(turn *[]string, of func(*member) bool) *member {
+// nextInOrder takes the next member from a probe order, which it refills with the members of this region in the pool.
+func (v *View) nextInOrder(order *[]string, inPool func(*member) bool) *member {
 	for range 2 {
-		for len(*turn) > 0 {
-			m := v.members[(*turn)[len(*turn)-1]]
-			*turn = (*turn)[:len(*turn)-1]
-			if m != nil && m.listed == inLive && m.region == v.home && !v.probing(m.Name) {
+		for len(*order) > 0 {
+			last := len(*order) - 1
+			m := v.members[(*order)[last]]
+			*order = (*order)[:last]
+			if m != nil && m.list == listLive && m.region == v.localRegion && !v.isProbing(m.Name) {
 				return m
 			}
 		}
-		for _, m := range v.home.live {
-			if of == nil || of(m) {
-				*turn = append(*turn, m.Name)
+		for _, m := range v.localRegion.live {
+			if inPool(m) {
+				*order = append(*order, m.Name)
 			}
 		}
-		v.rng.Shuffle(len(*turn), func(i, j int) { (*turn)[i], (*turn)[j] = (*turn)[j], (*turn)[i] })
+		v.shuffle(*order)
 	}
 	return nil
 }
 
-// pool tells who is of this member's zone. One that is alone in its zone counts in the first zone that has several, for
-// all that know the same members: else it would be probed half as often.
-func (v *View) pool() func(*member) bool {
-	if len(v.zoneTurn) > 0 {
-		return nil // nobody asks
-	}
-	count := map[string]int{v.self.Zone: 1}
-	for _, m := range v.home.live {
-		count[m.Zone]++
-	}
-	first, found := "", false
-	for zone, n := range count {
-		if n > 1 && (!found || zone < first) {
-			first, found = zone, true
+// zonePool returns whether a member is of this member's zone. Members that are alone in their zone count in the first
+// zone that has several, for all that know the same members: otherwise they would be probed half as often.
+//
+// While the zone's order is not empty the pool is not computed. If none of its remaining members can be probed, the
+// refill therefore takes all of the region, for one round.
+func (v *View) zonePool() func(*member) bool {
+	if len(v.zoneProbeOrder) > 0 {
+		return anyMember
+	}
+	sizes := map[string]int{v.self.Zone: 1}
+	for _, m := range v.localRegion.live {
+		sizes[m.Zone]++
+	}
+	first := ""
+	found := false
+	for zone, size := range sizes {
+		if size > 1 && (!found || zone < first) {
+			first = zone
+			found = true
 		}
 	}
-	of := func(m *member) string {
-		if count[m.Zone] == 1 {
+	poolOf := func(m *member) string {
+		if sizes[m.Zone] == 1 {
 			return first
 		}
 		return m.Zone
 	}
-	own := of(v.self)
-	return func(m *member) bool { return of(m) == own }
+	own := poolOf(v.self)
+	return func(m *member) bool { return poolOf(m) == own }
 }
 
-func (v *View) probing(name string) bool {
+func (v *View) isProbing(name string) bool {
 	for _, p := range v.probes {
 		if p.target == name {
 			return true
@@ -146,310 +166,108 @@
 	return false
 }
 
-// askOthers has helpers probe a member that did not answer in time. One that reached it lately is among them.
-func (v *View) askOthers(p *probe) bool {
-	m := v.members[p.target]
-	if m == nil || m.listed != inLive && p.far == nil {
-		return false
-	}
-	m.deaf = true
-	defer func(was bool) { v.bare = was }(v.bare)
-	v.bare = p.few > 0
-	p.indirect, p.again, p.againAt = true, v.nextSeq(), v.now
-	// Once more directly: of two datagrams one more often comes through than of one.
-	v.sendTo(m, &Message{Kind: Ping, Seq: p.again, Target: m.Name}, forProbes, suspected(m))
-	most := helpers
-	if m.State == Suspect { // it is a matter of its name now
-		most *= 2
-	}
-	if p.few > 0 {
-		most = p.few
-	}
-	asked := map[*member]bool{m: true}
-	ask := func(h *member) {
-		if h == nil || h.State != Alive || asked[h] || len(asked) > most {
-			return
-		}
-		asked[h] = true
-		if v.send(h.Addr, &Message{Kind: IndirectPing, Seq: p.seq, Target: m.Name, Addr: m.Addr, Reply: v.s.Addr}, forProbes, suspected(m)) {
-			p.helpers = append(p.helpers, h)
-		}
-	}
-	third := func(h *member) bool {
-		return h.region != v.home && h.region != m.region && !h.region.away && h.State == Alive
-	}
-	ask(v.members[m.via])
-	if p.far != nil { // a third region may reach both
-		if most = farHelpers; p.far.mute {
-			most = 1
-		}
-		v.doubts(p.far)
-		ask(v.members[p.far.via])
-		if len(v.areas) > 2 {
-			for _, h := range v.some(v.live, most, third) {
-				ask(h)
-			}
-		}
-	} else {
-		ask(v.members[v.via]) // who stands between two parts for one stands there for others
-		if v.cutOff() && len(v.areas) > 1 {
-			for _, h := range v.some(v.live, 1, third) {
-				ask(h)
-			}
-		}
-	}
-	if p.far != nil && len(p.helpers) > 0 && len(p.helpers) >= most {
-		most = 0
-	}
-	for _, h := range v.some(v.home.live, most, func(h *member) bool { return !asked[h] && h.State == Alive }) {
-		ask(h)
-	}
-	p.until = v.now + v.patience(v.indirect(m, p.helpers))
-	return true
-}
-
-// some are up to n members of a list by chance of which ok holds.
-func (v *View) some(list []*member, n int, ok func(*member) bool) []*member {
-	var all []*member
-	if len(list) <= 3*n {
-		for _, i := range v.rng.Perm(len(list)) {
-			if m := list[i]; len(all) < n && ok(m) {
-				all = append(all, m)
-			}
-		}
-		return all
-	}
-draw:
-	for range 6 * n {
-		m := list[v.rng.IntN(len(list))]
-		for _, o := range all {
-			if o == m {
-				continue draw
-			}
-		}
-		if ok(m) {
-			if all = append(all, m); len(all) == n {
-				break
-			}
-		}
-	}
-	return all
-}
-
-// missed judges a probe that was not answered.
-func (v *View) missed(p *probe) {
-	m := v.members[p.target]
-	v.gaveUp(p.seq, p.target, p.at)
-	if p.again > 0 {
-		v.gaveUp(p.again, p.target, p.againAt)
-	}
-	if p.far != nil {
-		v.missedFar(p.far)
+// probeFailed draws the conclusions from a probe that was not answered, directly or through helpers.
+func (v *View) probeFailed(p *probe) {
+	v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt})
+	if p.retrySeq > 0 {
+		v.rememberTimedOut(timedOutProbe{p.retrySeq, p.target, p.retrySentAt})
+	}
+	if p.remoteRegion != nil {
+		v.regionProbeFailed(p.remoteRegion)
 		return
 	}
-	if m == nil || m.listed != inLive {
+	m := v.members[p.target]
+	if m == nil || m.list != listLive {
 		return
 	}
-	v.result(true)
-	// Helpers that do not even say that they could not: it may be this member that is deaf (Lifeguard).
-	// Those that have fallen silent themselves meanwhile say nothing of it: many may have died at once.
+	v.recordProbeOutcome(outcomeMissed)
+	// Helpers that did not even send a Nack: it may be this member that can't receive (Lifeguard). Helpers that have
+	// become unresponsive themselves prove nothing: many members may have died at once.
 	for _, h := range p.helpers {
-		if !p.nacks[h.Name] && !h.deaf && h.State == Alive {
-			v.worsen(1)
+		if !p.nacks[h.Name] && !h.unresponsive && h.State == Alive {
+			v.degradeHealth(1)
 		}
 	}
 	switch {
-	case v.s.Baseline.NoSuspicion:
-		v.declare(m, "a probe failed")
-	case v.lone, v.now < m.muted && m.State == Alive:
+	case v.settings.Baseline.NoSuspicion:
+		v.declareDead(m, reasonProbeFailed)
+	case v.isolated:
+	case v.now < m.noSuspicionBefore && m.State == Alive:
 	default:
-		v.accuse(m)
+		v.suspect(m)
 	}
 }
 
-func (v *View) onDatagram(e DatagramReceived) {
-	m := e.Message
-	if !m.ok() || v.leaveState {
-		return
-	}
-	v.sent.Received++
-	switch m.Kind {
-	case IdentityRequest:
-		v.send(m.Addr, &Message{Kind: IdentityResponse, Seq: m.Seq, SubjectRunID: v.self.RunID, UptimeMS: uint64(v.up() / time.Millisecond)}, forAnswers)
-		return
-	case IdentityResponse:
-		v.onIAm(m)
-		return
-	case IndirectIdentityRequest:
-		v.runErrand(m, true)
-		return
-	}
-	if v.standby {
-		return
-	}
-	if m.From == v.s.Name {
-		if m.RunID != v.self.RunID && m.Kind == Ping { // another process with this name: it should know of this one
-			v.send(m.Addr, &Message{Kind: Gossip}, forNews, v.self)
-		}
-		return
-	}
-	from := v.members[m.From]
-	back := m.Addr // where an answer goes
-	if m.Kind == IndirectPing {
-		back = m.Reply
-	}
-	switch {
-	case from == nil || m.Boot > from.Boot || m.Boot == from.Boot && m.RunID > from.RunID:
-		v.exchange.with(v, back) // a process that is not known here
-	case m.Boot != from.Boot || m.RunID != from.RunID:
-		v.sent.Stale++ // of an earlier one, or of one that lost its disk: it is told what is known
-		if m.Kind == Ping {
-			v.send(back, &Message{Kind: Gossip}, forNews, from)
-		}
-		return
-	case m.Number+replayWindow < from.number:
-		v.sent.Stale++
+// onAck passes an ack on that this member awaits on behalf of another one, or completes a probe.
+func (v *View) onAck(m *Message) {
+	if v.relayAck(m) || v.completeProbe(m) {
 		return
-	default:
-		from.number = max(from.number, m.Number)
-		back = from.Addr
-		v.hear(from)
-		v.hearAny(back)
-		v.compare(from, m.Digest)
-	}
-	var wrong []*member
-	for i := range m.Updates {
-		r := &m.Updates[i]
-		v.merge(*r, "news")
-		if t := v.members[r.Name]; t != nil && r.State >= Suspect && r.RunID == t.RunID && t.State == Alive && t.newer(r) && len(wrong) < correctMost {
-			wrong = append(wrong, t)
-		}
-	}
-	if len(wrong) > 0 && from != nil { // it accuses who has refuted that, and has not heard so
-		v.sendTo(from, &Message{Kind: Gossip}, forNews, wrong...)
-	}
-	switch m.Kind {
-	case Ping:
-		if m.Target == v.s.Name { // else the address had another owner
-			v.send(back, &Message{Kind: Ack, Seq: m.Seq, Target: v.s.Name}, forAnswers, suspected(from))
-		}
-	case IndirectPing:
-		v.runErrand(m, false)
-	case Ack:
-		v.onAck(m)
-	case Nack:
-		for _, p := range v.probes {
-			if p.seq == m.Seq && p.target == m.Target {
-				if p.nacks == nil {
-					p.nacks = map[string]bool{}
-				}
-				p.nacks[m.From] = true
-			}
-		}
 	}
+	v.onLateAck(m)
 }
 
-func (v *View) onAck(m *Message) {
-	for i, e := range v.errands {
-		if !e.who && e.seq == m.Seq && e.target == m.Target {
-			v.errands = append(v.errands[:i], v.errands[i+1:]...)
-			if t := v.members[e.target]; t != nil && m.From == e.target {
-				v.measured(t, v.now-e.at)
-			}
-			v.send(e.reply, &Message{Kind: Ack, Seq: e.theirs, Target: e.target}, forAnswers)
-			return
-		}
-	}
+// completeProbe ends the probe that an ack answers, and reports whether there is one.
+func (v *View) completeProbe(m *Message) bool {
 	for i, p := range v.probes {
-		if p.target == m.Target && (p.seq == m.Seq || p.again == m.Seq && p.indirect) {
+		if p.target == m.Target && (p.seq == m.Seq || p.retrySeq == m.Seq && p.indirect) {
 			v.probes = append(v.probes[:i], v.probes[i+1:]...)
-			t := v.members[p.target]
-			if t == nil {
-				return
+			if target := v.members[p.target]; target != nil {
+				v.probeAnswered(p, target, m)
 			}
-			if p.far != nil {
-				v.answered(p.far, t)
-			} else {
-				v.result(false)
-			}
-			if t.ackAt = v.now; m.From != p.target {
-				if t.via = m.From; p.far != nil {
-					p.far.via = m.From
-				} else {
-					v.via = m.From
-				}
-				v.gaveUp(p.seq, p.target, p.at)
-			} else {
-				if m.Seq == p.seq {
-					v.measured(t, v.now-p.at)
-				} else { // the first one's may still come
-					v.measured(t, v.now-p.againAt)
-					v.gaveUp(p.seq, p.target, p.at)
-				}
-				if t.mutes = 0; p.far == nil {
-					v.better()
-				}
-			}
-			return
+			return true
 		}
 	}
-	v.answeredLate(m)
+	return false
 }
 
-// runErrand asks for another.
-func (v *View) runErrand(m *Message, who bool) {
-	if len(v.errands) >= errandsMost || m.Reply == "" || m.Addr == "" || m.Target == v.s.Name && !who {
-		return
-	}
-	wait := v.s.ProbeTimeout
-	if t := v.members[m.Target]; t != nil {
-		wait = v.direct(t)
+func (v *View) probeAnswered(p *probe, target *member, ack *Message) {
+	if p.remoteRegion != nil {
+		v.regionAnswered(p.remoteRegion, target)
+	} else {
+		v.recordProbeOutcome(outcomeAnswered)
 	}
-	e := &errand{seq: v.nextSeq(), theirs: m.Seq, target: m.Target, reply: m.Reply, at: v.now, until: v.now + wait, who: who}
-	ask := &Message{Kind: Ping, Seq: e.seq, Target: m.Target}
-	if who {
-		ask = &Message{Kind: IdentityRequest, Seq: e.seq, Addr: v.s.Addr}
+	target.ackAt = v.now
+	if ack.From == p.target {
+		v.onDirectAck(p, target, ack)
+	} else {
+		v.onIndirectAck(p, target, ack)
 	}
-	about := suspected(v.members[m.Target])
-	for _, r := range m.Updates { // from afar it is not for this member to suspect; the suspect must know all the same
-		if about == nil && !who && r.Name == m.Target && r.State == Suspect && r.check() == nil {
-			ask.Updates = []Record{r}
-		}
+}
+
+// onDirectAck measures the round trip of the ping that was answered.
+func (v *View) onDirectAck(p *probe, target *member, ack *Message) {
+	if ack.Seq == p.seq {
+		v.recordRoundTrip(target, v.now-p.sentAt)
+	} else {
+		v.recordRoundTrip(target, v.now-p.retrySentAt)
+		v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt}) // its ack may still come
 	}
-	if v.send(m.Addr, ask, forProbes, about) {
-		v.errands = append(v.errands, e)
+	target.refutedSuspicions = 0
+	if p.remoteRegion == nil {
+		v.improveHealth()
 	}
 }
 
-func (v *View) errandsDue() {
-	for i := 0; i < len(v.errands); {
-		e := v.errands[i]
-		if v.now < e.until {
-			i++
-			continue
-		}
-		v.errands = append(v.errands[:i], v.errands[i+1:]...)
-		if !e.who {
-			v.send(e.reply, &Message{Kind: Nack, Seq: e.theirs, Target: e.target}, forAnswers)
-		}
+// onIndirectAck remembers the helper that reached the target.
+func (v *View) onIndirectAck(p *probe, target *member, ack *Message) {
+	target.lastHelper = ack.From
+	if p.remoteRegion != nil {
+		p.remoteRegion.lastHelper = ack.From
+	} else {
+		v.lastHelper = ack.From
 	}
+	v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt})
 }
 
-// hear notes who is heard directly: news goes to these first, so that it finds its way where most can't hear most.
-func (v *View) hear(m *member) {
-	if m.heardAt, m.deaf = v.now, false; v.isFar(m) {
-		return
-	}
-	for i, n := range v.heard {
-		if n == m.Name {
-			copy(v.heard[1:i+1], v.heard[:i])
-			v.heard[0] = m.Name
-			return
+// onNack notes that a helper is there although the target did not answer it.
+func (v *View) onNack(m *Message) {
+	for _, p := range v.probes {
+		if p.seq != m.Seq || p.target != m.Target {
+			continue
 		}
+		if p.nacks == nil {
+			p.nacks = map[string]bool{}
+		}
+		p.nacks[m.From] = true
 	}
-	if len(v.heard) < heardKept {
-		v.heard = append(v.heard, "")
-	}
-	copy(v.heard[1:], v.heard)
-	v.heard[0] = m.Name
 }
