--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -325,7 +325,7 @@
 			fmt.Fprintf(out, "policy %s is in force at all members that it concerns (change %s)%s\n", numbers, id, because(f.Reason))
 			return nil
 		case "dropped":
-			return exit{1, fmt.Errorf("change %s was dropped by %s%s", id, cmp.Or(f.DroppedBy, "the voters"), because(f.Reason))}
+			return exit{1, fmt.Errorf("change %s was dropped by %s%s", id, cmp.Or(f.AbortedBy, "the voters"), because(f.Reason))}
 		case "under way":
 			if line := fmt.Sprintf("%d of %d members have it; missing: %s", f.PreparedMembers, f.RequiredMembers, strings.Join(f.Missing, ", ")); line != said {
 				said = line
@@ -399,11 +399,11 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "change\tpolicy\twhen\tby\treason\tbecame\twhy")
 	for _, e := range p.Changes {
-		number, became := "", "dropped by "+cmp.Or(e.DroppedBy, "the voters")
+		number, became := "", "dropped by "+cmp.Or(e.AbortedBy, "the voters")
 		if e.Committed {
 			number, became = numbersOf(&e.Document), "in force"
-			if len(e.Without) > 0 {
-				became += " without " + strings.Join(e.Without, ", ")
+			if len(e.Excluded) > 0 {
+				became += " without " + strings.Join(e.Excluded, ", ")
 			}
 		}
 		when := ""
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -419,8 +419,8 @@
 		if m.pid != pid || m.node == nil || !slices.Contains(m.ids, id) {
 			return
 		}
-		if m.node.ChangeStatus(id).State == policy.Unknown && !m.paused {
-			w.step(m, policy.Propose{Change: policy.Proposal{Drop: id, Document: policy.Document{Author: m.name, Reason: "given up"}}})
+		if m.node.ChangeStatus(id).State == policy.ChangeUnknown && !m.paused {
+			w.step(m, policy.Propose{Proposal: policy.Proposal{AbortID: id, Document: policy.Document{Author: m.name, Reason: "given up"}}})
 		}
 		w.giveUp(m, pid, id)
 	})
@@ -500,12 +500,12 @@
 func (w *world) look(m *member) {
 	m.ids = slices.DeleteFunc(m.ids, func(id string) bool {
 		f := m.node.ChangeStatus(id)
-		if f.State < policy.Committed {
+		if f.State < policy.ChangeCommitted {
 			return false
 		}
 		why := f.Reason
-		if f.DroppedBy != "" {
-			why = f.DroppedBy + ": " + why
+		if f.AbortedBy != "" {
+			why = f.AbortedBy + ": " + why
 		}
 		w.line(checker.Line{What: checker.Told, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
 		return true
@@ -730,7 +730,7 @@
 		life, left := w.gone[m.name]
 		switch {
 		case left:
-			all = append(all, policy.MemberInfo{Name: m.name, RunID: life, Left: true})
+			all = append(all, policy.MemberInfo{Name: m.name, RunID: life, Departed: true})
 		case m.pid > 0:
 			all = append(all, policy.MemberInfo{Name: m.name, RunID: m.life})
 		}
@@ -747,7 +747,7 @@
 		if len(w.links) > 0 { // what it can't hear it does not know
 			seen = slices.DeleteFunc(slices.Clone(all), func(x policy.MemberInfo) bool { return w.linkOf(w.byName[x.Name].n, m.n).Drop >= 1 })
 		}
-		w.step(m, policy.MembersChanged{All: seen})
+		w.step(m, policy.MembersChanged{Members: seen})
 	}
 	w.at(w.now+viewing, w.view)
 }
@@ -820,7 +820,7 @@
 		case "rescue":
 			w.step(m, policy.Rescue{})
 		case "trust":
-			w.step(m, policy.Trust{})
+			w.step(m, policy.TrustDisk{})
 		}
 	}
 }
@@ -850,14 +850,14 @@
 		return
 	}
 	body := []byte(fmt.Sprintf("# %s\n%s", id, e.Kind))
-	p := policy.Proposal{Without: without, Document: policy.Document{ID: id, Body: body, Digest: policy.DigestOf(body), Author: m.name, Reason: "drill", Part: parts[0]}, Base: m.node.ActiveDocument(parts[0]).Number}
+	p := policy.Proposal{Excluded: without, Document: policy.Document{ID: id, Body: body, Digest: policy.DigestOf(body), Author: m.name, Reason: "drill", Part: parts[0]}, Base: m.node.ActiveDocument(parts[0]).Number}
 	for _, part := range parts[1:] {
 		body := []byte(fmt.Sprintf("# %s %s\n%s", id, part, e.Kind))
-		p.Document.OtherParts = append(p.Document.OtherParts, policy.Document{Part: part, Body: body, Digest: policy.DigestOf(body)})
+		p.Document.AdditionalParts = append(p.Document.AdditionalParts, policy.Document{Part: part, Body: body, Digest: policy.DigestOf(body)})
 		p.Bases = append(p.Bases, m.node.ActiveDocument(part).Number)
 	}
 	m.ids = append(m.ids, id)
-	w.step(m, policy.Propose{Change: p})
+	w.step(m, policy.Propose{Proposal: p})
 }
 
 func (w *world) link(e plan.Event) {
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -491,7 +491,7 @@
 		if wrong != nil {
 			return nil
 		}
-		return []policy.Event{policy.Propose{Change: p}}
+		return []policy.Event{policy.Propose{Proposal: p}}
 	})
 	return c.ID, errors.Join(err, wrong)
 }
@@ -499,7 +499,7 @@
 // proposal is the change as the fleet is asked for it.
 func (c *PolicyChange) proposal(n *policy.Node) (p policy.Proposal, err error) {
 	holds := n.Status().ConfiguredParts
-	p.Without = c.Without
+	p.Excluded = c.Without
 	for i, part := range slices.Sorted(maps.Keys(c.Parts)) {
 		body := []byte(c.Parts[part])
 		base, ok := c.Bases[part]
@@ -513,7 +513,7 @@
 			d.ID, d.Author, d.Reason, d.CreatedMS = c.ID, c.Author, c.Reason, time.Now().UnixMilli()
 			p.Document, p.Base = d, base
 		} else {
-			p.Document.OtherParts, p.Bases = append(p.Document.OtherParts, d), append(p.Bases, base)
+			p.Document.AdditionalParts, p.Bases = append(p.Document.AdditionalParts, d), append(p.Bases, base)
 		}
 	}
 	return p, p.Check()
@@ -535,7 +535,7 @@
 		texts = append(texts, n.ActiveDocument(t.Part))
 	}
 	for i := range held {
-		held[i].OtherParts = nil
+		held[i].AdditionalParts = nil
 		texts = lay(texts, []*policy.Document{&held[i]})
 	}
 	return d.checkPolicy(texts)
@@ -556,7 +556,7 @@
 		return errors.New("no change is named")
 	}
 	return d.onPolicy(func(*policy.Node, time.Duration) []policy.Event {
-		return []policy.Event{policy.Propose{Change: policy.Proposal{Drop: id, Document: policy.Document{Author: by, Reason: reason}}}}
+		return []policy.Event{policy.Propose{Proposal: policy.Proposal{AbortID: id, Document: policy.Document{Author: by, Reason: reason}}}}
 	})
 }
 
--- a/internal/host/daemon/policyadmin.go
+++ b/internal/host/daemon/policyadmin.go
@@ -79,6 +79,6 @@
 		done(w, map[string]string{"state": "this voter goes on alone"}, d.PolicyWord(policy.Rescue{}))
 	})
 	mux.HandleFunc("POST /policy/trust", func(w http.ResponseWriter, _ *http.Request) {
-		done(w, map[string]string{"state": "this voter takes part with the disk as it is"}, d.PolicyWord(policy.Trust{}))
+		done(w, map[string]string{"state": "this voter takes part with the disk as it is"}, d.PolicyWord(policy.TrustDisk{}))
 	})
 }
--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// stored is the encoding of a structure on a disk or in a message.
-func stored[T any](name string) golden.Codec[T] {
+// cborCodec is the encoding of a structure on a disk or in a message.
+func cborCodec[T any](name string) golden.Codec[T] {
 	return golden.Codec[T]{Name: name,
 		Encode: func(v T) ([]byte, error) { return encode(&v), nil },
 		Decode: func(data []byte) (v T, err error) { return v, decoding.Unmarshal(data, &v) },
@@ -16,31 +16,31 @@
 }
 
 // What voters and members keep, and what they say to one another, is read and written as earlier builds do.
-func TestStoredStructuresStayAsEarlierBuildsWriteThem(t *testing.T) {
-	stored[state]("state.cbor").Check(t)
-	stored[command]("command.cbor").Check(t)
-	stored[savedMember]("member.cbor").Check(t)
-	stored[HandoffState]("handed.cbor").Check(t)
-	stored[Message]("message.cbor").Check(t)
+func TestStoredEncodingsMatchEarlierBuilds(t *testing.T) {
+	cborCodec[replicatedState]("state.cbor").Check(t)
+	cborCodec[command]("command.cbor").Check(t)
+	cborCodec[savedMember]("member.cbor").Check(t)
+	cborCodec[HandoffState]("handed.cbor").Check(t)
+	cborCodec[Message]("message.cbor").Check(t)
 }
 
 // A state in which one change of the whole policy is under way is written as form 1 has it; with parts it is not.
-func TestBothFormsOfTheStateStayAsEarlierBuildsWriteThem(t *testing.T) {
-	var full state
+func TestBothStateFormatsMatchEarlierBuilds(t *testing.T) {
+	var full replicatedState
 	golden.Fill(&full)
-	full.Pending, full.Without = nil, nil
-	full.Commits, full.Force.CommitIndex = 0, 0
+	full.LegacyPending, full.LegacyExcluded = nil, nil
+	full.CommitCount, full.Active.CommitIndex = 0, 0
 	plain := full
-	plain.Under = []underWay{full.Under[0]}
-	plain.Under[0].Doc.Part, plain.Under[0].Doc.OtherParts = "", nil
-	plain.Under[0].Since = plain.Version
-	for name, s := range map[string]*state{"state-parts.cbor": &full, "state-form1.cbor": &plain} {
+	plain.PendingChanges = []pendingChange{full.PendingChanges[0]}
+	plain.PendingChanges[0].Document.Part, plain.PendingChanges[0].Document.AdditionalParts = "", nil
+	plain.PendingChanges[0].MinRosterVersion = plain.RosterVersion
+	for name, s := range map[string]*replicatedState{"state-parts.cbor": &full, "state-form1.cbor": &plain} {
 		golden.Check(t, name, encodeState(s))
 		back, err := decodeState(golden.Read(t, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(back.Under) != len(s.Under) || back.Under[0].Doc.ID != s.Under[0].Doc.ID || back.Commits != s.Force.Number || back.Pending != nil {
+		if len(back.PendingChanges) != len(s.PendingChanges) || back.PendingChanges[0].Document.ID != s.PendingChanges[0].Document.ID || back.CommitCount != s.Active.Number || back.LegacyPending != nil {
 			t.Errorf("%s is read to %+v", name, back)
 		}
 		golden.Check(t, "again-"+name, encodeState(back))
@@ -48,7 +48,7 @@
 }
 
 // What the admin endpoint shows of the policy.
-func TestShownPolicyKeepsItsKeys(t *testing.T) {
+func TestAdminBodiesKeepTheirKeys(t *testing.T) {
 	shown := func(name string, v any) {
 		t.Helper()
 		golden.Fill(v)
--- a/internal/peer/policy/policy.go
+++ b/internal/peer/policy/policy.go
@@ -29,25 +29,25 @@
 
 // Document is the text of a part, and the change that made it; or a change, with the texts of all its parts.
 type Document struct {
-	Number      uint64     `cbor:"1,keyasint,omitempty" json:"Number"` // of the part's texts that came into force, from 1; 0: what each daemon's own file says
-	ID          string     `cbor:"2,keyasint,omitempty" json:"ID"`     // of the change
-	Digest      string     `cbor:"3,keyasint,omitempty" json:"Digest"` // see DigestOf
-	Body        []byte     `cbor:"4,keyasint,omitempty" json:"Body"`   // the file's text
-	Author      string     `cbor:"5,keyasint,omitempty" json:"Author"` // the member at which it was asked for, and who asked
-	Reason      string     `cbor:"6,keyasint,omitempty" json:"Reason"`
-	CreatedMS   int64      `cbor:"7,keyasint,omitempty" json:"At"`    // ms, Unix, by the author's clock: for people
-	Part        string     `cbor:"8,keyasint,omitempty" json:"Part"`  // a service's name; empty: what holds for all
-	CommitIndex uint64     `cbor:"9,keyasint,omitempty" json:"Order"` // among all texts of all parts that came into force
-	OtherParts  []Document `cbor:"10,keyasint,omitempty" json:"More"` // the change's other parts: they come into force with it, or not at all
+	Number          uint64     `cbor:"1,keyasint,omitempty" json:"Number"` // of the part's texts that came into force, from 1; 0: what each daemon's own file says
+	ID              string     `cbor:"2,keyasint,omitempty" json:"ID"`     // of the change
+	Digest          string     `cbor:"3,keyasint,omitempty" json:"Digest"` // see DigestOf
+	Body            []byte     `cbor:"4,keyasint,omitempty" json:"Body"`   // the file's text
+	Author          string     `cbor:"5,keyasint,omitempty" json:"Author"` // the member at which it was asked for, and who asked
+	Reason          string     `cbor:"6,keyasint,omitempty" json:"Reason"`
+	CreatedMS       int64      `cbor:"7,keyasint,omitempty" json:"At"`    // ms, Unix, by the author's clock: for people
+	Part            string     `cbor:"8,keyasint,omitempty" json:"Part"`  // a service's name; empty: what holds for all
+	CommitIndex     uint64     `cbor:"9,keyasint,omitempty" json:"Order"` // among all texts of all parts that came into force
+	AdditionalParts []Document `cbor:"10,keyasint,omitempty" json:"More"` // the change's other parts: they come into force with it, or not at all
 }
 
 // Documents are a change's parts, one by one. The texts have the change's ID, and no More.
 func (d *Document) Documents() []Document {
 	one := *d
-	one.OtherParts = nil
+	one.AdditionalParts = nil
 	all := []Document{one}
-	for _, x := range d.OtherParts {
-		x.ID, x.Author, x.Reason, x.CreatedMS, x.OtherParts = d.ID, d.Author, d.Reason, d.CreatedMS, nil
+	for _, x := range d.AdditionalParts {
+		x.ID, x.Author, x.Reason, x.CreatedMS, x.AdditionalParts = d.ID, d.Author, d.Reason, d.CreatedMS, nil
 		all = append(all, x)
 	}
 	return all
@@ -55,26 +55,26 @@
 
 // Includes reports whether a change is one of a part.
 func (d *Document) Includes(part string) bool {
-	return d.Part == part || slices.ContainsFunc(d.OtherParts, func(x Document) bool { return x.Part == part })
+	return d.Part == part || slices.ContainsFunc(d.AdditionalParts, func(x Document) bool { return x.Part == part })
 }
 
-// plain reports whether form 1 has it as well.
-func (d *Document) plain() bool { return d.Part == "" && len(d.OtherParts) == 0 }
+// isGlobalOnly reports whether form 1 has it as well.
+func (d *Document) isGlobalOnly() bool { return d.Part == "" && len(d.AdditionalParts) == 0 }
 
-// only is a change with those of its parts that a member holds; nil: it holds none.
-func (d *Document) only(holds func(part string) bool) *Document {
+// filterParts is a change with those of its parts that a member holds; nil: it holds none.
+func (d *Document) filterParts(holds func(part string) bool) *Document {
 	texts := slices.DeleteFunc(d.Documents(), func(x Document) bool { return !holds(x.Part) })
-	return changeOf(texts)
+	return joinDocuments(texts)
 }
 
-// changeOf makes a change of its texts; nil: there are none.
-func changeOf(texts []Document) *Document {
+// joinDocuments makes a change of its texts; nil: there are none.
+func joinDocuments(texts []Document) *Document {
 	if len(texts) == 0 {
 		return nil
 	}
 	c := texts[0]
 	for _, x := range texts[1:] {
-		c.OtherParts = append(c.OtherParts, Document{Part: x.Part, Number: x.Number, Digest: x.Digest, Body: x.Body, CommitIndex: x.CommitIndex})
+		c.AdditionalParts = append(c.AdditionalParts, Document{Part: x.Part, Number: x.Number, Digest: x.Digest, Body: x.Body, CommitIndex: x.CommitIndex})
 	}
 	return &c
 }
@@ -90,12 +90,12 @@
 const (
 	MaxBodyBytes      = 64 << 10  // bytes of a part
 	MaxChangeBytes    = 128 << 10 // and of all parts of one change: two go into a message of the log
-	partsMost         = 16        // parts of a change
+	maxPartsPerChange = 16        // parts of a change
 	MaxPartNameBytes  = 64        // bytes of a part's name
 	MaxPartsPerMember = 1024      // parts that a member holds: more than the services of the largest fleet thought of
-	textsMost         = 1 << 20   // bytes of all parts in force: with the texts before them a snapshot is half of what a stream takes
+	maxActiveBytes    = 1 << 20   // bytes of all parts in force: with the texts before them a snapshot is half of what a stream takes
 	MaxReasonBytes    = 500       // and of the reason for it
-	namesMost         = 16        // members that an answer names
+	maxListedMembers  = 16        // members that an answer names
 )
 
 // DigestOf is the first 16 bytes of a text's SHA-256, in hexadecimal.
@@ -153,7 +153,7 @@
 	DefaultClockDrift      = 0.01
 )
 
-func (s *Settings) fill() error {
+func (s *Settings) applyDefaults() error {
 	s.Lease, s.PrepareTimeout, s.StandaloneAfter, s.ClockDrift = cmp.Or(s.Lease, DefaultLease), cmp.Or(s.PrepareTimeout, DefaultPrepareTimeout), cmp.Or(s.StandaloneAfter, DefaultStandaloneAfter), cmp.Or(s.ClockDrift, DefaultClockDrift)
 	switch n := len(s.Voters); {
 	case s.Name == "" || s.RunID == 0:
@@ -163,7 +163,7 @@
 	case s.Lease < 500*time.Millisecond || s.PrepareTimeout < time.Second || s.StandaloneAfter <= 0 || s.ClockDrift < 0 || s.ClockDrift > 0.2:
 		return fmt.Errorf("policy: lease %v, within %v, alone %v, drift %v make no sense", s.Lease, s.PrepareTimeout, s.StandaloneAfter, s.ClockDrift)
 	}
-	parts, err := partsOf(s.Parts)
+	parts, err := normalizeParts(s.Parts)
 	if err != nil {
 		return err
 	}
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// partsOf are a member's parts, in order, each once; "" is everybody's and not named.
-func partsOf(names []string) ([]string, error) {
+// normalizeParts are a member's parts, in order, each once; "" is everybody's and not named.
+func normalizeParts(names []string) ([]string, error) {
 	all := slices.Compact(slices.Sorted(slices.Values(names)))
 	all = slices.DeleteFunc(all, func(p string) bool { return p == "" })
 	if len(all) > MaxPartsPerMember {
@@ -213,17 +213,17 @@
 		Err error
 	}
 	// MembersChanged are what the fleet's view knows of others.
-	MembersChanged struct{ All []MemberInfo }
+	MembersChanged struct{ Members []MemberInfo }
 	// Propose asks for a change.
-	Propose struct{ Change Proposal }
+	Propose struct{ Proposal Proposal }
 	// WatchChange asks what becomes of a change, for a while.
 	WatchChange struct{ ID string }
 	// ReplaceVoter asks for another voter in place of one; either may be empty: one more, or one fewer.
 	ReplaceVoter struct{ Add, Remove string }
 	// Rescue makes this voter the only one, by an operator's word: what only the others knew is given up.
 	Rescue struct{}
-	// Trust has a voter take part though it can't prove that its disk is as it was: an operator's word.
-	Trust struct{}
+	// TrustDisk has a voter take part though it can't prove that its disk is as it was: an operator's word.
+	TrustDisk struct{}
 	// RenewNow has it ask the leader now.
 	RenewNow struct{}
 	// SetParts says which parts this member holds from now on, besides "". One that it did not hold before is not served by until
@@ -248,7 +248,7 @@
 func (WatchChange) event()    {}
 func (ReplaceVoter) event()   {}
 func (Rescue) event()         {}
-func (Trust) event()          {}
+func (TrustDisk) event()      {}
 func (NameOwnership) event()  {}
 func (RenewNow) event()       {}
 func (SetParts) event()       {}
@@ -256,9 +256,9 @@
 
 // MemberInfo is a member as the view has it.
 type MemberInfo struct {
-	Name  string
-	RunID uint64
-	Left  bool // by its own word, or an operator's
+	Name     string
+	RunID    uint64
+	Departed bool // by its own word, or an operator's
 }
 
 // Action is something to be done, in the order given.
@@ -381,7 +381,7 @@
 	Pending      string         `cbor:"6,keyasint,omitempty"`
 	Voters       []string       `cbor:"7,keyasint,omitempty"`
 	Statuses     []ChangeStatus `cbor:"8,keyasint,omitempty"`
-	Refused      string         `cbor:"9,keyasint,omitempty"` // why it is not taken into the roster
+	Refusal      string         `cbor:"9,keyasint,omitempty"` // why it is not taken into the roster
 	// From form 2 on.
 	Format            uint8         `cbor:"10,keyasint,omitempty"`
 	CommittedUpTo     uint64        `cbor:"11,keyasint,omitempty"` // Order of the last that came into force
@@ -390,7 +390,7 @@
 	PendingIDs        []string      `cbor:"14,keyasint,omitempty"` // changes under way that concern it
 	PartsHash         uint64        `cbor:"15,keyasint,omitempty"` // the sum of the parts that the roster has for it
 	CountsForAllParts bool          `cbor:"16,keyasint,omitempty"` // the roster has none for it, and counts it for every part
-	WantsParts        bool          `cbor:"17,keyasint,omitempty"` // they are wanted
+	PartsRequested    bool          `cbor:"17,keyasint,omitempty"` // they are wanted
 }
 
 // ChangeStatus is what became of a change.
@@ -398,7 +398,7 @@
 	ID        string      `cbor:"1,keyasint,omitempty" json:"id"`
 	State     ChangeState `cbor:"2,keyasint,omitempty" json:"-"`
 	Number    uint64      `cbor:"3,keyasint,omitempty" json:"number,omitempty"` // in force: its number
-	DroppedBy string      `cbor:"4,keyasint,omitempty" json:"by,omitempty"`     // dropped: by whom
+	AbortedBy string      `cbor:"4,keyasint,omitempty" json:"by,omitempty"`     // dropped: by whom
 	Reason    string      `cbor:"5,keyasint,omitempty" json:"why,omitempty"`
 	// Under way: members that have it on their disks, all that have to, and some that have not.
 	PreparedMembers int           `cbor:"6,keyasint,omitempty" json:"have,omitempty"`
@@ -411,40 +411,40 @@
 type ChangeState uint8
 
 const (
-	Unknown ChangeState = iota
-	Preparing
-	Committed
-	Dropped
+	ChangeUnknown ChangeState = iota
+	ChangePreparing
+	ChangeCommitted
+	ChangeAborted
 )
 
 func (s ChangeState) String() string {
-	return [...]string{"unknown", "under way", "in force", "dropped"}[min(s, Dropped)]
+	return [...]string{"unknown", "under way", "in force", "dropped"}[min(s, ChangeAborted)]
 }
 
 // Proposal is a change that is asked for.
 type Proposal struct {
 	Document Document `cbor:"1,keyasint,omitempty"`
 	Base     uint64   `cbor:"2,keyasint,omitempty"` // the number in force that its author saw
-	Without  []string `cbor:"3,keyasint,omitempty"` // members that are down, by the author's word
-	Drop     string   `cbor:"4,keyasint,omitempty"` // no change: the one of this ID is to be dropped
+	Excluded []string `cbor:"3,keyasint,omitempty"` // members that are down, by the author's word
+	AbortID  string   `cbor:"4,keyasint,omitempty"` // no change: the one of this ID is to be dropped
 	Bases    []uint64 `cbor:"5,keyasint,omitempty"` // as Base, of the parts in Doc.More
 }
 
 // Check says what is wrong with a proposal that came from elsewhere.
 func (p *Proposal) Check() error {
 	switch {
-	case p.Drop != "":
+	case p.AbortID != "":
 		return nil
 	case p.Document.ID == "" || len(p.Document.ID) > 64:
 		return errors.New("a change needs an ID of 1 to 64 characters")
-	case len(p.Document.OtherParts) >= partsMost:
-		return fmt.Errorf("a change of %d parts: up to %d are allowed", len(p.Document.OtherParts)+1, partsMost)
-	case len(p.Bases) != len(p.Document.OtherParts):
-		return fmt.Errorf("a change of %d parts made of %d", len(p.Document.OtherParts)+1, len(p.Bases)+1)
+	case len(p.Document.AdditionalParts) >= maxPartsPerChange:
+		return fmt.Errorf("a change of %d parts: up to %d are allowed", len(p.Document.AdditionalParts)+1, maxPartsPerChange)
+	case len(p.Bases) != len(p.Document.AdditionalParts):
+		return fmt.Errorf("a change of %d parts made of %d", len(p.Document.AdditionalParts)+1, len(p.Bases)+1)
 	case len(p.Document.Reason) > MaxReasonBytes || len(p.Document.Author) > MaxReasonBytes:
 		return fmt.Errorf("reason and author: up to %d bytes are allowed", MaxReasonBytes)
-	case len(p.Without) > 1000:
-		return fmt.Errorf("without %d members: up to 1000 are allowed", len(p.Without))
+	case len(p.Excluded) > 1000:
+		return fmt.Errorf("without %d members: up to 1000 are allowed", len(p.Excluded))
 	}
 	size, seen := 0, map[string]bool{}
 	for _, x := range p.Document.Documents() {
--- a/internal/peer/policy/policy_test.go
+++ b/internal/peer/policy/policy_test.go
@@ -12,94 +12,94 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func doc(id string) *Document {
+func wholePolicyChange(id string) *Document {
 	body := []byte("# " + id)
 	return &Document{ID: id, Body: body, Digest: DigestOf(body), Author: "a", Reason: "test"}
 }
 
-func apply(s *state, all ...command) {
+func applyAll(s *replicatedState, all ...command) {
 	for i := range all {
 		s.apply(&all[i])
 	}
 }
 
-func TestCommitNeedsTheRosterOfWhichAllHaveIt(t *testing.T) {
-	s := &state{}
-	apply(s, command{Do: doJoin, Name: "a", Life: 1}, command{Do: doPropose, Doc: doc("x")})
-	v := s.Version
-	apply(s, command{Do: doJoin, Name: "b", Life: 1}, command{Do: doCommit, ID: "x", Version: v})
-	if s.Force.Number != 0 {
+func TestCommitRequiresCurrentRosterVersion(t *testing.T) {
+	s := &replicatedState{}
+	applyAll(s, command{Kind: commandJoin, Name: "a", RunID: 1}, command{Kind: commandPropose, Document: wholePolicyChange("x")})
+	v := s.RosterVersion
+	applyAll(s, command{Kind: commandJoin, Name: "b", RunID: 1}, command{Kind: commandCommit, ID: "x", RosterVersion: v})
+	if s.Active.Number != 0 {
 		t.Fatal("in force, though one came meanwhile who may not have it")
 	}
-	apply(s, command{Do: doCommit, ID: "x", Version: s.Version})
-	if s.Force.Number != 1 || s.Force.ID != "x" || len(s.Under) != 0 {
+	applyAll(s, command{Kind: commandCommit, ID: "x", RosterVersion: s.RosterVersion})
+	if s.Active.Number != 1 || s.Active.ID != "x" || len(s.PendingChanges) != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-func TestChangesAreOneByOne(t *testing.T) {
+func TestChangeOutcomesAreFinal(t *testing.T) {
 	for name, c := range map[string]struct {
 		all  []command
 		id   string
 		want ChangeStatus
 	}{
-		"asked for twice":             {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doPropose, Doc: doc("x")}}, "x", ChangeStatus{ID: "x", State: Preparing}},
-		"another is under way":        {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doPropose, Doc: doc("y")}}, "y", ChangeStatus{ID: "y", State: Dropped, DroppedBy: "a"}},
-		"made of an earlier one":      {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doPropose, Doc: doc("y"), Base: 0}}, "y", ChangeStatus{ID: "y", State: Dropped, DroppedBy: "a"}},
-		"dropped":                     {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doDrop, ID: "x", By: "b"}, {Do: doCommit, ID: "x"}}, "x", ChangeStatus{ID: "x", State: Dropped, DroppedBy: "b"}},
-		"dropped after it came":       {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doDrop, ID: "x", By: "b"}}, "x", ChangeStatus{ID: "x", State: Committed, Number: 1}},
-		"dropped before it was known": {[]command{{Do: doDrop, ID: "x", By: "b"}, {Do: doPropose, Doc: doc("x")}}, "x", ChangeStatus{ID: "x", State: Dropped, DroppedBy: "b"}},
-		"the same text once more": {[]command{{Do: doPropose, Doc: doc("x")}, {Do: doCommit, ID: "x"}, {Do: doPropose, Base: 1, Doc: func() *Document {
-			d := *doc("x")
+		"asked for twice":             {[]command{{Kind: commandPropose, Document: wholePolicyChange("x")}, {Kind: commandPropose, Document: wholePolicyChange("x")}}, "x", ChangeStatus{ID: "x", State: ChangePreparing}},
+		"another is under way":        {[]command{{Kind: commandPropose, Document: wholePolicyChange("x")}, {Kind: commandPropose, Document: wholePolicyChange("y")}}, "y", ChangeStatus{ID: "y", State: ChangeAborted, AbortedBy: "a"}},
+		"made of an earlier one":      {[]command{{Kind: commandPropose, Document: wholePolicyChange("x")}, {Kind: commandCommit, ID: "x"}, {Kind: commandPropose, Document: wholePolicyChange("y"), Base: 0}}, "y", ChangeStatus{ID: "y", State: ChangeAborted, AbortedBy: "a"}},
+		"dropped":                     {[]command{{Kind: commandPropose, Document: wholePolicyChange("x")}, {Kind: commandAbort, ID: "x", AbortedBy: "b"}, {Kind: commandCommit, ID: "x"}}, "x", ChangeStatus{ID: "x", State: ChangeAborted, AbortedBy: "b"}},
+		"dropped after it came":       {[]command{{Kind: commandPropose, Document: wholePolicyChange("x")}, {Kind: commandCommit, ID: "x"}, {Kind: commandAbort, ID: "x", AbortedBy: "b"}}, "x", ChangeStatus{ID: "x", State: ChangeCommitted, Number: 1}},
+		"dropped before it was known": {[]command{{Kind: commandAbort, ID: "x", AbortedBy: "b"}, {Kind: commandPropose, Document: wholePolicyChange("x")}}, "x", ChangeStatus{ID: "x", State: ChangeAborted, AbortedBy: "b"}},
+		"the same text once more": {[]command{{Kind: commandPropose, Document: wholePolicyChange("x")}, {Kind: commandCommit, ID: "x"}, {Kind: commandPropose, Base: 1, Document: func() *Document {
+			d := *wholePolicyChange("x")
 			d.ID = "y"
 			return &d
-		}()}}, "y", ChangeStatus{ID: "y", State: Committed, Number: 1}},
+		}()}}, "y", ChangeStatus{ID: "y", State: ChangeCommitted, Number: 1}},
 	} {
-		s := &state{}
-		apply(s, c.all...)
-		got := s.fate(c.id)
+		s := &replicatedState{}
+		applyAll(s, c.all...)
+		got := s.changeStatus(c.id)
 		got.Reason = ""
-		if got.ID != c.want.ID || got.State != c.want.State || got.DroppedBy != c.want.DroppedBy || got.Number != c.want.Number {
+		if got.ID != c.want.ID || got.State != c.want.State || got.AbortedBy != c.want.AbortedBy || got.Number != c.want.Number {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 }
 
-// bench is nodes whose messages go by hand.
-type bench struct {
-	t     *testing.T
-	now   time.Duration
-	nodes map[string]*Node
-	disks map[string]*StoredState
-	cut   map[string]bool // "a>b"
-	slow  map[string]bool // whose disk does not answer
-	held  map[string][]Persist
-	serve map[string]Serving
-	names []string
-	parts map[string][]string // that they hold
-	form1 map[string]bool     // whose questions are as form 1 has them
+// cluster is nodes whose messages go by hand.
+type cluster struct {
+	t             *testing.T
+	now           time.Duration
+	nodes         map[string]*Node
+	stored        map[string]*StoredState
+	blockedLinks  map[string]bool // "a>b"
+	stalledDisks  map[string]bool // whose disk does not answer
+	stalledWrites map[string][]Persist
+	serving       map[string]Serving
+	names         []string
+	parts         map[string][]string // that they hold
+	legacyMembers map[string]bool     // whose questions are as form 1 has them
 }
 
-func newBench(t *testing.T, stops bool, names ...string) *bench {
-	b := &bench{t: t, nodes: map[string]*Node{}, disks: map[string]*StoredState{}, cut: map[string]bool{}, slow: map[string]bool{}, held: map[string][]Persist{}, serve: map[string]Serving{}, names: names, parts: map[string][]string{}, form1: map[string]bool{}}
+func newCluster(t *testing.T, stops bool, names ...string) *cluster {
+	b := &cluster{t: t, nodes: map[string]*Node{}, stored: map[string]*StoredState{}, blockedLinks: map[string]bool{}, stalledDisks: map[string]bool{}, stalledWrites: map[string][]Persist{}, serving: map[string]Serving{}, names: names, parts: map[string][]string{}, legacyMembers: map[string]bool{}}
 	for i, n := range names {
 		b.start(n, uint64(i+1), stops, StoredState{})
 	}
 	return b
 }
 
-func (b *bench) start(name string, life uint64, stops bool, d StoredState) {
+func (b *cluster) start(name string, life uint64, stops bool, d StoredState) {
 	b.t.Helper()
 	n, err := New(Settings{Name: name, RunID: life, Voters: []string{"a", "b", "c"}, StopWhenIsolated: stops, Parts: b.parts[name]}, d, life)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.nodes[name], b.disks[name] = n, &d
+	b.nodes[name], b.stored[name] = n, &d
 	b.step(name, NameOwnership{Exclusive: true})
 }
 
 // step steps one, and all that comes of it: messages take no time.
-func (b *bench) step(name string, events ...Event) {
+func (b *cluster) step(name string, events ...Event) {
 	type todo struct {
 		name   string
 		events []Event
@@ -114,29 +114,29 @@
 		for _, a := range n.Step(b.now, x.events...) {
 			switch a := a.(type) {
 			case Send:
-				if q := a.Message.LeaseRequest; q != nil && b.form1[q.Name] {
+				if q := a.Message.LeaseRequest; q != nil && b.legacyMembers[q.Name] {
 					q.Format, q.KnownUpTo, q.PreparedIDs, q.PartsHash, q.Parts = 0, 0, nil, 0, nil
 				}
-				if !b.cut[x.name+">"+a.To] {
+				if !b.blockedLinks[x.name+">"+a.To] {
 					all = append(all, todo{a.To, []Event{Received{x.name, a.Message}}})
 				}
 			case Persist:
-				if b.slow[x.name] {
-					b.held[x.name] = append(b.held[x.name], a)
+				if b.stalledDisks[x.name] {
+					b.stalledWrites[x.name] = append(b.stalledWrites[x.name], a)
 					continue
 				}
 				if a.Batch.Member != nil {
-					b.disks[x.name].Member = a.Batch.Member
+					b.stored[x.name].Member = a.Batch.Member
 				}
 				all = append(all, todo{x.name, []Event{Persisted{Seq: a.Seq}}})
 			case ServingChanged:
-				b.serve[x.name] = a.Serving
+				b.serving[x.name] = a.Serving
 			}
 		}
 	}
 }
 
-func (b *bench) wait(d time.Duration) {
+func (b *cluster) run(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		next := end
 		for _, name := range b.names {
@@ -153,9 +153,9 @@
 	}
 }
 
-func (b *bench) leader() string {
+func (b *cluster) leader() string {
 	for _, name := range b.names {
-		if n := b.nodes[name]; n != nil && n.v != nil && n.v.leads() && n.v.lead.term > 0 {
+		if n := b.nodes[name]; n != nil && n.raftNode != nil && n.raftNode.isLeader() && n.raftNode.coordinator.term > 0 {
 			return name
 		}
 	}
@@ -163,155 +163,155 @@
 	return ""
 }
 
-func (b *bench) propose(at, id string) {
-	b.step(at, Propose{Proposal{Base: b.nodes[at].ActivePolicy().Number, Document: *doc(id)}})
+func (b *cluster) propose(at, id string) {
+	b.step(at, Propose{Proposal{Base: b.nodes[at].ActivePolicy().Number, Document: *wholePolicyChange(id)}})
 }
 
-func (b *bench) isolate(name string, on bool) {
+func (b *cluster) isolate(name string, on bool) {
 	for _, o := range b.names {
-		b.cut[name+">"+o], b.cut[o+">"+name] = on && o != name, on && o != name
+		b.blockedLinks[name+">"+o], b.blockedLinks[o+">"+name] = on && o != name, on && o != name
 	}
 }
 
-func (b *bench) takes(name string) bool {
-	s := b.serve[name]
+func (b *cluster) admits(name string) bool {
+	s := b.serving[name]
 	return s.Blocked == "" && b.now < s.Until
 }
 
-func settled(t *testing.T, stops bool) *bench {
-	b := newBench(t, stops, "a", "b", "c", "d", "e")
-	b.wait(6 * time.Second)
+func newSettledCluster(t *testing.T, stops bool) *cluster {
+	b := newCluster(t, stops, "a", "b", "c", "d", "e")
+	b.run(6 * time.Second)
 	for _, n := range b.names {
-		if !b.takes(n) {
-			t.Fatalf("%s takes nothing: %+v", n, b.serve[n])
+		if !b.admits(n) {
+			t.Fatalf("%s takes nothing: %+v", n, b.serving[n])
 		}
 	}
 	return b
 }
 
-func TestAChangeComesIntoForceEverywhere(t *testing.T) {
-	b := settled(t, true)
+func TestCommittedChangeIsServedEverywhere(t *testing.T) {
+	b := newSettledCluster(t, true)
 	b.propose("d", "x")
-	b.wait(time.Second)
+	b.run(time.Second)
 	for _, n := range b.names {
-		if got := b.serve[n]; got.Document.Number != 1 || got.Document.ID != "x" || !b.takes(n) {
+		if got := b.serving[n]; got.Document.Number != 1 || got.Document.ID != "x" || !b.admits(n) {
 			t.Errorf("%s: %+v", n, got)
 		}
 	}
-	if f := b.nodes["d"].ChangeStatus("x"); f.State != Committed || f.Number != 1 {
+	if f := b.nodes["d"].ChangeStatus("x"); f.State != ChangeCommitted || f.Number != 1 {
 		t.Errorf("%+v", f)
 	}
 }
 
-func TestNobodyAgreesBeforeItIsOnItsDisk(t *testing.T) {
-	b := settled(t, false)
-	b.slow["d"] = true
+func TestMemberIsPreparedOnlyAfterPersisting(t *testing.T) {
+	b := newSettledCluster(t, false)
+	b.stalledDisks["d"] = true
 	b.propose("a", "x")
-	b.wait(2 * time.Second)
-	if f := b.nodes["a"].ChangeStatus("x"); f.State != Preparing {
+	b.run(2 * time.Second)
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != ChangePreparing {
 		t.Fatalf("%+v while the disk of d has not taken it", f)
 	}
-	held := b.held["d"]
-	b.slow["d"], b.held["d"] = false, nil
+	held := b.stalledWrites["d"]
+	b.stalledDisks["d"], b.stalledWrites["d"] = false, nil
 	for _, p := range held {
 		b.step("d", Persisted{Seq: p.Seq})
 	}
-	if b.wait(time.Second); b.nodes["a"].ChangeStatus("x").State != Committed {
+	if b.run(time.Second); b.nodes["a"].ChangeStatus("x").State != ChangeCommitted {
 		t.Errorf("%+v", b.nodes["a"].ChangeStatus("x"))
 	}
 }
 
-func TestADiskThatIsFullDropsTheChangeAndSaysWhy(t *testing.T) {
-	b := settled(t, false)
-	b.slow["d"] = true
+func TestFullDiskAbortsTheChange(t *testing.T) {
+	b := newSettledCluster(t, false)
+	b.stalledDisks["d"] = true
 	b.propose("a", "x")
-	b.wait(time.Second)
-	for _, p := range b.held["d"] {
+	b.run(time.Second)
+	for _, p := range b.stalledWrites["d"] {
 		b.step("d", Persisted{Seq: p.Seq, Err: errors.New("no space left on device")})
 	}
-	b.slow["d"] = false
-	b.wait(time.Second)
-	if f := b.nodes["a"].ChangeStatus("x"); f.State != Dropped || f.DroppedBy != "d" || !strings.Contains(f.Reason, "no space left") {
+	b.stalledDisks["d"] = false
+	b.run(time.Second)
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != ChangeAborted || f.AbortedBy != "d" || !strings.Contains(f.Reason, "no space left") {
 		t.Errorf("%+v", f)
 	}
 	for _, n := range b.names {
-		if !b.takes(n) || b.serve[n].Document.Number != 0 || b.nodes[n].Status().Pending != "" {
-			t.Errorf("%s: %+v, in doubt of %q", n, b.serve[n], b.nodes[n].Status().Pending)
+		if !b.admits(n) || b.serving[n].Document.Number != 0 || b.nodes[n].Status().Pending != "" {
+			t.Errorf("%s: %+v, in doubt of %q", n, b.serving[n], b.nodes[n].Status().Pending)
 		}
 	}
 }
 
-func TestWhoCantServeByItDropsTheChange(t *testing.T) {
-	b := settled(t, false)
-	b.nodes["c"].s.Check = func([]Document) error { return errors.New("zone north is none of this daemon's") }
+func TestFailedCheckAbortsTheChange(t *testing.T) {
+	b := newSettledCluster(t, false)
+	b.nodes["c"].settings.Check = func([]Document) error { return errors.New("zone north is none of this daemon's") }
 	b.propose("a", "x")
-	b.wait(2 * time.Second)
-	if f := b.nodes["a"].ChangeStatus("x"); f.State != Dropped || f.DroppedBy != "c" || !strings.Contains(f.Reason, "zone north") {
+	b.run(2 * time.Second)
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != ChangeAborted || f.AbortedBy != "c" || !strings.Contains(f.Reason, "zone north") {
 		t.Errorf("%+v", f)
 	}
 }
 
-func TestCutOffItStopsWithItsLeaseAndTheChangeWaitsForThat(t *testing.T) {
-	b := settled(t, true)
+func TestIsolatedMemberStopsAtLeaseExpiryBeforeCommit(t *testing.T) {
+	b := newSettledCluster(t, true)
 	b.isolate("d", true)
 	began := b.now
 	b.propose("a", "x")
-	for b.nodes["a"].ChangeStatus("x").State != Committed {
-		if b.wait(50 * time.Millisecond); b.now-began > 20*time.Second {
+	for b.nodes["a"].ChangeStatus("x").State != ChangeCommitted {
+		if b.run(50 * time.Millisecond); b.now-began > 20*time.Second {
 			t.Fatalf("%+v", b.nodes["a"].ChangeStatus("x"))
 		}
-		if b.nodes["a"].ActivePolicy().Number == 1 && b.takes("d") {
+		if b.nodes["a"].ActivePolicy().Number == 1 && b.admits("d") {
 			t.Fatalf("%v after the cut d takes by policy 0, and 1 is in force", b.now-began)
 		}
 	}
 	b.isolate("d", false)
-	if b.wait(2 * time.Second); !b.takes("d") || b.serve["d"].Document.Number != 1 {
-		t.Errorf("back again: %+v", b.serve["d"])
+	if b.run(2 * time.Second); !b.admits("d") || b.serving["d"].Document.Number != 1 {
+		t.Errorf("back again: %+v", b.serving["d"])
 	}
 }
 
-func TestCutOffItServesOnAndVetoes(t *testing.T) {
-	b := settled(t, false)
+func TestIsolatedMemberServesOnAndBlocksTheChange(t *testing.T) {
+	b := newSettledCluster(t, false)
 	b.isolate("d", true)
 	b.propose("a", "x")
-	b.wait(30 * time.Second)
-	if f := b.nodes["a"].ChangeStatus("x"); f.State != Dropped || f.DroppedBy != "d" {
+	b.run(30 * time.Second)
+	if f := b.nodes["a"].ChangeStatus("x"); f.State != ChangeAborted || f.AbortedBy != "d" {
 		t.Errorf("%+v", f)
 	}
-	if !b.takes("d") || len(b.serve["d"].Preparing) > 0 {
-		t.Errorf("%+v", b.serve["d"])
+	if !b.admits("d") || len(b.serving["d"].Preparing) > 0 {
+		t.Errorf("%+v", b.serving["d"])
 	}
 }
 
 // It has the change on its disk, and does not know what became of it: by its lease it serves on, then by what both allow.
-func TestInDoubtItServesByWhatBothAllow(t *testing.T) {
-	b := settled(t, false)
-	b.slow["e"] = true // the change waits for it
+func TestUncertainMemberServesIntersection(t *testing.T) {
+	b := newSettledCluster(t, false)
+	b.stalledDisks["e"] = true // the change waits for it
 	b.propose("a", "x")
-	b.wait(time.Second)
+	b.run(time.Second)
 	b.isolate("d", true)
 	cut := b.now
-	b.slow["e"] = false
-	for _, p := range b.held["e"] {
+	b.stalledDisks["e"] = false
+	for _, p := range b.stalledWrites["e"] {
 		b.step("e", Persisted{Seq: p.Seq})
 	}
-	b.wait(time.Second)
+	b.run(time.Second)
 	if b.nodes["a"].ActivePolicy().Number != 1 {
 		t.Fatalf("all had it on their disks: %+v", b.nodes["a"].ChangeStatus("x"))
 	}
-	b.wait(DefaultLease)
-	if got := b.serve["d"]; len(got.Preparing) != 1 || got.Preparing[0].ID != "x" || got.Document.Number != 0 || !b.takes("d") {
+	b.run(DefaultLease)
+	if got := b.serving["d"]; len(got.Preparing) != 1 || got.Preparing[0].ID != "x" || got.Document.Number != 0 || !b.admits("d") {
 		t.Errorf("%v after the cut: %+v", b.now-cut, got)
 	}
 	b.isolate("d", false)
-	if b.wait(2 * time.Second); b.serve["d"].Document.Number != 1 || len(b.serve["d"].Preparing) > 0 {
-		t.Errorf("%+v", b.serve["d"])
+	if b.run(2 * time.Second); b.serving["d"].Document.Number != 1 || len(b.serving["d"].Preparing) > 0 {
+		t.Errorf("%+v", b.serving["d"])
 	}
 }
 
 // A leader that is being replaced answers nobody: it may not know what the next one has decided.
-func TestALeaderThatIsCutOffGrantsNothing(t *testing.T) {
-	b := settled(t, true)
+func TestIsolatedLeaderGrantsNoLease(t *testing.T) {
+	b := newSettledCluster(t, true)
 	old := b.leader()
 	var others []string
 	for _, o := range []string{"a", "b", "c"} {
@@ -320,54 +320,54 @@
 		}
 	}
 	for _, o := range others { // d hears only the old one
-		b.cut[old+">"+o], b.cut[o+">"+old], b.cut["d>"+o], b.cut[o+">d"] = true, true, true, true
+		b.blockedLinks[old+">"+o], b.blockedLinks[o+">"+old], b.blockedLinks["d>"+o], b.blockedLinks[o+">d"] = true, true, true, true
 	}
-	b.wait(DefaultLease + 2*time.Second)
-	if b.takes("d") || b.takes(old) {
-		t.Errorf("d: %+v, %s: %+v", b.serve["d"], old, b.serve[old])
+	b.run(DefaultLease + 2*time.Second)
+	if b.admits("d") || b.admits(old) {
+		t.Errorf("d: %+v, %s: %+v", b.serving["d"], old, b.serving[old])
 	}
-	if !b.takes(others[0]) || !b.takes(others[1]) {
+	if !b.admits(others[0]) || !b.admits(others[1]) {
 		t.Error("the others have found no leader")
 	}
 }
 
 // While a member is being taken out of the roster it is told nothing: the word could outlast the decision.
-func TestWhoIsBeingTakenOutIsToldNothing(t *testing.T) {
-	b := settled(t, true)
+func TestMemberBeingRemovedGetsNoLease(t *testing.T) {
+	b := newSettledCluster(t, true)
 	lead := b.leader()
-	v := b.nodes[lead].v
-	v.lead.members["d"].out = true
-	v.lead.joins["d"] = joining{v.lead.members["d"].life, 0, b.now + time.Hour} // and that is under way
-	before := b.serve["d"].Until
-	b.wait(DefaultLease / 2)
-	if b.serve["d"].Until > before {
+	v := b.nodes[lead].raftNode
+	v.coordinator.members["d"].removing = true
+	v.coordinator.rosterChanges["d"] = rosterChange{v.coordinator.members["d"].runID, 0, b.now + time.Hour} // and that is under way
+	before := b.serving["d"].Until
+	b.run(DefaultLease / 2)
+	if b.serving["d"].Until > before {
 		t.Error("its lease goes on")
 	}
 }
 
-func TestAnAnswerCountsFromItsQuestion(t *testing.T) {
-	b := settled(t, true)
-	m := &b.nodes["d"].m
-	m.asked[900] = b.now - 2*time.Second
-	m.seq, m.lease = 900, 0
+func TestLeaseCountsFromTheRequest(t *testing.T) {
+	b := newSettledCluster(t, true)
+	m := &b.nodes["d"].member
+	m.outstanding[900] = b.now - 2*time.Second
+	m.seq, m.leaseExpiry = 900, 0
 	want := b.now - 2*time.Second + DefaultLease
 	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: 900, Leader: "a", InRoster: true}}})
-	if m.lease != want {
-		t.Errorf("a lease until %v by an answer to a question of 2 s ago, not %v", m.lease, want)
+	if m.leaseExpiry != want {
+		t.Errorf("a lease until %v by an answer to a question of 2 s ago, not %v", m.leaseExpiry, want)
 	}
-	last := m.lease
+	last := m.leaseExpiry
 	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: 900, Leader: "a", InRoster: true}}}) // doubled
 	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: 5, Leader: "a", InRoster: true, Pending: "z"}}})
-	if m.lease != last || len(m.fetching) > 0 {
+	if m.leaseExpiry != last || len(m.fetching) > 0 {
 		t.Error("an answer to nothing was taken")
 	}
 }
 
 // A voter whose disk was lost votes for nobody who has less than the others told it.
-func TestAVoterThatLostItsDiskVotesForNobodyBehind(t *testing.T) {
-	b := settled(t, true)
+func TestVoterWithLostDiskRejectsCandidatesBehind(t *testing.T) {
+	b := newSettledCluster(t, true)
 	b.propose("a", "x")
-	b.wait(time.Second)
+	b.run(time.Second)
 	lead := b.leader()
 	lost := "a"
 	if lost == lead {
@@ -376,22 +376,22 @@
 	b.nodes[lost] = nil
 	b.isolate(lost, true)
 	b.start(lost, 77, true, StoredState{})
-	v := b.nodes[lost].v
-	if v.rn != nil {
+	v := b.nodes[lost].raftNode
+	if v.rawNode != nil {
 		t.Fatal("it takes part before it has asked")
 	}
-	top := b.nodes[lead].v.last()
+	top := b.nodes[lead].raftNode.lastPosition()
 	for _, o := range []string{"a", "b", "c"} {
 		if o != lost {
-			b.step(lost, Received{o, &Message{PositionResponse: &PositionResponse{Number: v.call, ProvenCurrent: true, Term: 9, LastTerm: top.term, LastIndex: top.index, Voters: []string{"a", "b", "c"}}}})
+			b.step(lost, Received{o, &Message{PositionResponse: &PositionResponse{Number: v.startNumber, ProvenCurrent: true, Term: 9, LastTerm: top.term, LastIndex: top.index, Voters: []string{"a", "b", "c"}}}})
 		}
 	}
-	if v.rn == nil || v.floor != top {
-		t.Fatalf("floor %+v, and %+v is known", v.floor, top)
+	if v.rawNode == nil || v.voteFloor != top {
+		t.Fatalf("floor %+v, and %+v is known", v.voteFloor, top)
 	}
 	var got []*raftpb.Message
 	ask := func(term, index uint64) {
-		m := &raftpb.Message{Type: raftpb.MsgVote.Enum(), From: new(idOf(lead)), To: new(v.id), Term: new(uint64(20)), LogTerm: new(term), Index: new(index)}
+		m := &raftpb.Message{Type: raftpb.MsgVote.Enum(), From: new(raftID(lead)), To: new(v.id), Term: new(uint64(20)), LogTerm: new(term), Index: new(index)}
 		for _, x := range b.nodes[lost].Step(b.now, Received{lead, &Message{Raft: must(proto.Marshal(m))}}) {
 			if p, ok := x.(Persist); ok {
 				for _, y := range b.nodes[lost].Step(b.now, Persisted{Seq: p.Seq}) {
@@ -413,7 +413,7 @@
 	}
 }
 
-func TestItWaitsForAllOthersWhereNobodyProvesMore(t *testing.T) {
+func TestRecoveringVoterNeedsAQuorumOfPositions(t *testing.T) {
 	for _, c := range []struct {
 		proved, unproved int
 		part             bool
@@ -425,16 +425,16 @@
 		n.Step(time.Second)
 		for i, o := range []string{"b", "c"} {
 			if i < c.proved+c.unproved {
-				n.Step(time.Second, Received{o, &Message{PositionResponse: &PositionResponse{Number: n.v.call, ProvenCurrent: i < c.proved, LastTerm: 1, LastIndex: 1}}})
+				n.Step(time.Second, Received{o, &Message{PositionResponse: &PositionResponse{Number: n.raftNode.startNumber, ProvenCurrent: i < c.proved, LastTerm: 1, LastIndex: 1}}})
 			}
 		}
-		if got := n.v.rn != nil; got != c.part {
+		if got := n.raftNode.rawNode != nil; got != c.part {
 			t.Errorf("%+v: takes part %v", c, got)
 		}
 	}
 }
 
-func TestSettingsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, s := range []Settings{{}, {Name: "a", RunID: 1}, {Name: "a", RunID: 1, Voters: []string{"a", "b"}}, {Name: "a", RunID: 1, Voters: []string{"a", "a", "b"}},
 		{Name: "a", RunID: 1, Voters: []string{"a"}, Lease: time.Millisecond}} {
 		if _, err := New(s, StoredState{}, 1); err == nil {
@@ -446,83 +446,83 @@
 	}
 }
 
-func TestOldOutcomesAndTextsAreForgotten(t *testing.T) {
-	s := &state{}
-	for i := range endedMost + 20 {
+func TestEndedChangesAndRetainedDocumentsAreBounded(t *testing.T) {
+	s := &replicatedState{}
+	for i := range maxEndedChanges + 20 {
 		id := fmt.Sprint("x", i)
-		apply(s, command{Do: doPropose, Doc: doc(id), Base: s.Force.Number}, command{Do: doCommit, ID: id})
+		applyAll(s, command{Kind: commandPropose, Document: wholePolicyChange(id), Base: s.Active.Number}, command{Kind: commandCommit, ID: id})
 	}
-	if len(s.Ended) != endedMost || len(s.Kept) != keptMost || s.Force.Number != endedMost+20 {
-		t.Errorf("%d ended, %d kept, number %d", len(s.Ended), len(s.Kept), s.Force.Number)
+	if len(s.EndedChanges) != maxEndedChanges || len(s.Retained) != maxRetainedPolicies || s.Active.Number != maxEndedChanges+20 {
+		t.Errorf("%d ended, %d kept, number %d", len(s.EndedChanges), len(s.Retained), s.Active.Number)
 	}
-	if p := s.past("", s.Force.Number-3); p.Document == nil || p.Document.ID != fmt.Sprint("x", endedMost+16) || slices.ContainsFunc(p.Changes, func(e EndedChange) bool { return e.Document.Body != nil }) {
+	if p := s.history("", s.Active.Number-3); p.Document == nil || p.Document.ID != fmt.Sprint("x", maxEndedChanges+16) || slices.ContainsFunc(p.Changes, func(e EndedChange) bool { return e.Document.Body != nil }) {
 		t.Errorf("%+v", p.Document)
 	}
 }
 
 // Where the disk takes nothing, what is in force is served by all the same; it is a change that is under way that waits.
-func TestWhoComesWithAFullDiskServesByWhatIsInForce(t *testing.T) {
-	b := settled(t, false)
+func TestFullDiskDoesNotBlockActivePolicy(t *testing.T) {
+	b := newSettledCluster(t, false)
 	b.propose("a", "x")
-	b.wait(time.Second)
+	b.run(time.Second)
 	b.nodes["d"] = nil
-	b.slow["d"] = true
+	b.stalledDisks["d"] = true
 	b.start("d", 88, false, StoredState{})
 	for range 20 {
-		b.wait(100 * time.Millisecond)
-		held := b.held["d"]
-		b.held["d"] = nil
+		b.run(100 * time.Millisecond)
+		held := b.stalledWrites["d"]
+		b.stalledWrites["d"] = nil
 		for _, p := range held {
 			b.step("d", Persisted{Seq: p.Seq, Err: errors.New("no space left on device")})
 		}
 	}
-	if s := b.serve["d"]; s.Document.Number != 1 || !b.takes("d") {
+	if s := b.serving["d"]; s.Document.Number != 1 || !b.admits("d") {
 		t.Errorf("%+v", s)
 	}
-	if asked := b.nodes["d"].m.seq; asked > 100 {
+	if asked := b.nodes["d"].member.seq; asked > 100 {
 		t.Errorf("%d questions in 2 s", asked)
 	}
 }
 
 // What a leader before it told members, the next one can't know: it waits one lease before it holds any for over.
-func TestTheNextLeaderWaitsForLeasesOfTheLast(t *testing.T) {
-	b := settled(t, true)
+func TestNewLeaderWaitsForLeasesOfItsPredecessor(t *testing.T) {
+	b := newSettledCluster(t, true)
 	old := b.leader()
 	for _, x := range []string{old, "d"} {
 		for _, y := range b.names {
 			if y != old && y != "d" {
-				b.cut[x+">"+y], b.cut[y+">"+x] = true, true
+				b.blockedLinks[x+">"+y], b.blockedLinks[y+">"+x] = true, true
 			}
 		}
 	}
 	began := b.now
 	b.propose("e", "x")
 	for b.nodes["e"].ActivePolicy().Number == 0 {
-		if b.wait(20 * time.Millisecond); b.now-began > 30*time.Second {
+		if b.run(20 * time.Millisecond); b.now-began > 30*time.Second {
 			t.Fatalf("%+v", b.nodes["e"].ChangeStatus("x"))
 		}
 	}
-	if b.takes("d") || b.takes(old) {
+	if b.admits("d") || b.admits(old) {
 		t.Errorf("%v after the cut policy 1 is in force, and one that is cut off takes by 0", b.now-began)
 	}
 }
 
-func TestNoAnswerBeforeAQuorumConfirmsTheLeader(t *testing.T) {
-	b := settled(t, true)
+func TestLeaderRespondsOnlyAfterReadIndex(t *testing.T) {
+	b := newSettledCluster(t, true)
 	lead := b.leader()
 	for _, o := range []string{"a", "b", "c"} {
-		b.cut[lead+">"+o], b.cut[o+">"+lead] = o != lead, o != lead
+		b.blockedLinks[lead+">"+o], b.blockedLinks[o+">"+lead] = o != lead, o != lead
 	}
-	before := b.serve["d"].Until
+	before := b.serving["d"].Until
 	b.step("d", RenewNow{})
-	if b.wait(100 * time.Millisecond); b.serve["d"].Until > before {
+	if b.run(100 * time.Millisecond); b.serving["d"].Until > before {
 		t.Error("a leader that nobody confirms has answered")
 	}
 }
 
-func TestAloneItTakesNothingUnlessItsFileSaysSo(t *testing.T) {
+func TestStandaloneStartServesOnlyIfConfigured(t *testing.T) {
 	for _, last := range []bool{false, true} {
-		n, err := New(Settings{Name: "d", RunID: 1, Voters: []string{"a", "b", "c"}, ServeLastKnown: last}, StoredState{Member: encode(&savedMember{Force: *doc("x")})}, 1)
+		n, err := New(Settings{Name: "d", RunID: 1, Voters: []string{"a", "b", "c"}, ServeLastKnown: last}, StoredState{Member: encode(&savedMember{Active: *wholePolicyChange("x")})}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -539,45 +539,45 @@
 	}
 }
 
-func TestNobodyGoesBackToAnEarlierPolicy(t *testing.T) {
-	b := settled(t, true)
+func TestMemberNeverRevertsToAnOlderPolicy(t *testing.T) {
+	b := newSettledCluster(t, true)
 	b.propose("a", "x")
-	b.wait(time.Second)
-	m := &b.nodes["d"].m
+	b.run(time.Second)
+	m := &b.nodes["d"].member
 	m.seq += 100
-	m.asked[m.seq] = b.now
+	m.outstanding[m.seq] = b.now
 	b.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{Seq: m.seq, Leader: "a", InRoster: true, ActiveNumber: 0}}})
-	if s := b.serve["d"]; s.Document.Number != 1 || !b.takes("d") {
+	if s := b.serving["d"]; s.Document.Number != 1 || !b.admits("d") {
 		t.Errorf("%+v", s)
 	}
 }
 
 // A leader looks through the roster when the last member may have said that it has a change, and each 100 ms: not at each
 // answer, which costs the square of the members for each change.
-func TestTheLeaderLooksThroughTheRosterAFewTimesForAChange(t *testing.T) {
+func TestRosterReviewsPerChangeAreBounded(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	for i := range 57 {
 		names = append(names, fmt.Sprintf("m%02d", i))
 	}
-	b := newBench(t, true, names...)
-	b.wait(6 * time.Second)
-	lead := b.nodes[b.leader()].v
-	looks := lead.lead.looks
+	b := newCluster(t, true, names...)
+	b.run(6 * time.Second)
+	lead := b.nodes[b.leader()].raftNode
+	looks := lead.coordinator.reviews
 	b.propose("m00", "x")
 	asked := b.now
-	for lead.state.Force.ID != "x" && b.now < asked+time.Second {
-		b.wait(time.Millisecond)
+	for lead.state.Active.ID != "x" && b.now < asked+time.Second {
+		b.run(time.Millisecond)
 	}
-	if took := b.now - asked; took >= lookEvery {
+	if took := b.now - asked; took >= reviewInterval {
 		t.Errorf("the last one has it, and it is in force only after %v", took)
 	}
-	b.wait(time.Second)
+	b.run(time.Second)
 	for name, n := range b.nodes {
 		if n.ActivePolicy().ID != "x" {
 			t.Errorf("%s goes by %q", name, n.ActivePolicy().ID)
 		}
 	}
-	if got := lead.lead.looks - looks; got > 15 {
+	if got := lead.coordinator.reviews - looks; got > 15 {
 		t.Errorf("the leader looked through the roster %d times for one change", got)
 	}
 }
--- a/internal/peer/policy/show.go
+++ b/internal/peer/policy/show.go
@@ -32,23 +32,23 @@
 
 // Status is how this member stands.
 func (n *Node) Status() Status {
-	m := &n.m
-	s := Status{Name: n.s.Name, Active: m.force, ConfiguredParts: m.want, Standalone: m.told.Standalone, StopsWhenIsolated: n.s.StopWhenIsolated, Voters: n.voters, Leader: m.leader, LastResponseAgo: n.now - m.heardAt, Epoch: n.epoch, Stats: n.stats}
+	m := &n.member
+	s := Status{Name: n.settings.Name, Active: m.active, ConfiguredParts: m.configuredParts, Standalone: m.serving.Standalone, StopsWhenIsolated: n.settings.StopWhenIsolated, Voters: n.voters, Leader: m.leader, LastResponseAgo: n.now - m.lastResponseAt, Epoch: n.epoch, Stats: n.stats}
 	s.Active.Body = nil
-	for _, d := range m.inForceParts() {
+	for _, d := range m.sortedActiveParts() {
 		d.Body = nil
 		s.Parts = append(s.Parts, d)
 	}
-	for _, p := range m.want {
-		if !slices.Contains(m.held, p) {
+	for _, p := range m.configuredParts {
+		if !slices.Contains(m.servedParts, p) {
 			s.NotYetServed = append(s.NotYetServed, p)
 		}
 	}
-	s.Pending = strings.Join(idsOf(m.prepared), ", ")
-	if ids := sorted(m.nays); len(ids) > 0 {
-		s.RejectedID, s.RejectReason = ids[0], m.nays[ids[0]]
+	s.Pending = strings.Join(changeIDs(m.prepared), ", ")
+	if ids := sortedKeys(m.rejections); len(ids) > 0 {
+		s.RejectedID, s.RejectReason = ids[0], m.rejections[ids[0]]
 	}
-	switch t := &m.told; {
+	switch t := &m.serving; {
 	case t.Blocked != "":
 		s.Serving = t.Blocked
 	case len(t.Preparing) > 0:
@@ -61,18 +61,18 @@
 			s.Until = t.Until - n.now
 		}
 	}
-	if v := n.v; v != nil {
+	if v := n.raftNode; v != nil {
 		switch {
-		case v.rn == nil:
+		case v.rawNode == nil:
 			s.Votes = "not yet: it asks the other voters whether its disk is as it was"
-		case v.leads():
+		case v.isLeader():
 			s.Votes = "leads"
-		case v.blank || v.floor != (position{}):
+		case v.learning || v.voteFloor != (position{}):
 			s.Votes = "not yet: it catches up"
-		case v.leader() == "":
+		case v.leaderName() == "":
 			s.Votes = "knows no leader"
 		default:
-			s.Votes = "follows " + v.leader()
+			s.Votes = "follows " + v.leaderName()
 		}
 		for _, p := range v.state.Roster {
 			s.Roster = append(s.Roster, p.Name)
@@ -83,12 +83,12 @@
 
 // HandoffState is what another process needs that takes this one's place at once; nil: it could take no request either.
 func (n *Node) HandoffState(now time.Duration) *HandoffState {
-	if !n.m.joined {
+	if !n.member.inRoster {
 		return nil
 	}
-	h := &HandoffState{Number: n.m.force.Number, LeaseRemaining: max(0, n.m.lease-now), Seq: n.m.seq, Format: FormatVersion}
-	for _, p := range n.m.held {
-		d := n.m.text(p)
+	h := &HandoffState{Number: n.member.active.Number, LeaseRemaining: max(0, n.member.leaseExpiry-now), Seq: n.member.seq, Format: FormatVersion}
+	for _, p := range n.member.servedParts {
+		d := n.member.activeDocument(p)
 		h.Parts = append(h.Parts, DocumentRef{p, d.Number, d.ID})
 	}
 	return h
@@ -103,31 +103,31 @@
 	if err := decoding.Unmarshal(part, &s); err != nil {
 		return nil, fmt.Errorf("policy: the member's part on the disk: %w", err)
 	}
-	return append([]Document{s.Force}, s.Texts...), nil
+	return append([]Document{s.Active}, s.ActiveParts...), nil
 }
 
 // ActivePolicy is the part for all that is in force here.
-func (n *Node) ActivePolicy() Document { return n.m.force }
+func (n *Node) ActivePolicy() Document { return n.member.active }
 
 // ActiveDocument is a part's text in force here; Number 0: it has none, or this member does not hold it.
-func (n *Node) ActiveDocument(part string) Document { return n.m.text(part) }
+func (n *Node) ActiveDocument(part string) Document { return n.member.activeDocument(part) }
 
 // ChangeStatus is what became of a change that is watched, as far as this member has heard.
 func (n *Node) ChangeStatus(id string) ChangeStatus {
-	if i := slices.IndexFunc(n.m.about, func(w watched) bool { return w.fate.ID == id }); i >= 0 {
-		return n.m.about[i].fate
+	if i := slices.IndexFunc(n.member.watches, func(w watchedChange) bool { return w.status.ID == id }); i >= 0 {
+		return n.member.watches[i].status
 	}
 	return ChangeStatus{ID: id}
 }
 
 // LastResponseAt is when the last answer came, by the member's clock.
-func (n *Node) LastResponseAt() time.Duration { return n.m.heardAt }
+func (n *Node) LastResponseAt() time.Duration { return n.member.lastResponseAt }
 
 // History is the answer to the last Past; nil: it has not come.
-func (n *Node) History() *History { return n.m.past }
+func (n *Node) History() *History { return n.member.history }
 
 // Serving is what the daemon was last told to serve by.
-func (n *Node) Serving() Serving { return n.m.told }
+func (n *Node) Serving() Serving { return n.member.serving }
 
 // StoredChanges are the changes of which a member's part has texts on the disk: those in force, and those under way.
 func StoredChanges(part []byte) []string {
@@ -136,10 +136,10 @@
 		return nil
 	}
 	var all []string
-	for _, d := range append([]Document{s.Force}, s.Texts...) {
+	for _, d := range append([]Document{s.Active}, s.ActiveParts...) {
 		if d.ID != "" {
 			all = append(all, d.ID)
 		}
 	}
-	return append(all, idsOf(s.changes())...)
+	return append(all, changeIDs(s.allPrepared())...)
 }
--- a/internal/peer/policy/state.go
+++ b/internal/peer/policy/state.go
@@ -9,88 +9,88 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// state is what the voters' log has made so far. It is the same at each voter that has applied the same entries. While
+// replicatedState is what the voters' log has made so far. It is the same at each voter that has applied the same entries. While
 // nothing but whole policies is agreed on it is written as form 1 has it: voters of an earlier build may read it.
-type state struct {
-	Voters  []string      `cbor:"1,keyasint,omitempty"`
-	Force   Document      `cbor:"2,keyasint,omitempty"`  // the part ""
-	Pending *Document     `cbor:"3,keyasint,omitempty"`  // in form 1 the change under way, else nil: see encodeState
-	Without []string      `cbor:"4,keyasint,omitempty"`  // the same
-	Roster  []place       `cbor:"5,keyasint,omitempty"`  // by name
-	Version uint64        `cbor:"6,keyasint,omitempty"`  // of the roster: grows with each change of it
-	Ended   []EndedChange `cbor:"7,keyasint,omitempty"`  // the last changes, oldest first
-	Kept    []Document    `cbor:"8,keyasint,omitempty"`  // the last that were in force, with their texts, oldest first
-	Parts   []Document    `cbor:"9,keyasint,omitempty"`  // the other parts that have a text in force, by name
-	Under   []underWay    `cbor:"10,keyasint,omitempty"` // changes under way, oldest first
-	Names   []string      `cbor:"11,keyasint,omitempty"` // of all parts that members hold or held: places have them by number
-	Commits uint64        `cbor:"12,keyasint,omitempty"` // texts that came into force
-	Form    uint8         `cbor:"13,keyasint,omitempty"` // of the log: nothing goes into it that voters of this form can't read; 0: the first
-
-	numbers map[string]uint32 // of Names
-	latest  []string          // parts, in the order in which they came into force; one may be there more than once
+type replicatedState struct {
+	Voters         []string        `cbor:"1,keyasint,omitempty"`
+	Active         Document        `cbor:"2,keyasint,omitempty"`  // the part ""
+	LegacyPending  *Document       `cbor:"3,keyasint,omitempty"`  // in form 1 the change under way, else nil: see encodeState
+	LegacyExcluded []string        `cbor:"4,keyasint,omitempty"`  // the same
+	Roster         []rosterEntry   `cbor:"5,keyasint,omitempty"`  // by name
+	RosterVersion  uint64          `cbor:"6,keyasint,omitempty"`  // of the roster: grows with each change of it
+	EndedChanges   []EndedChange   `cbor:"7,keyasint,omitempty"`  // the last changes, oldest first
+	Retained       []Document      `cbor:"8,keyasint,omitempty"`  // the last that were in force, with their texts, oldest first
+	ActiveParts    []Document      `cbor:"9,keyasint,omitempty"`  // the other parts that have a text in force, by name
+	PendingChanges []pendingChange `cbor:"10,keyasint,omitempty"` // changes under way, oldest first
+	PartNames      []string        `cbor:"11,keyasint,omitempty"` // of all parts that members hold or held: places have them by number
+	CommitCount    uint64          `cbor:"12,keyasint,omitempty"` // texts that came into force
+	Format         uint8           `cbor:"13,keyasint,omitempty"` // of the log: nothing goes into it that voters of this form can't read; 0: the first
+
+	partNumbers map[string]uint32 // of Names
+	commitOrder []string          // parts, in the order in which they came into force; one may be there more than once
 }
 
-// underWay is a change that is.
-type underWay struct {
-	Doc     Document `cbor:"1,keyasint,omitempty"`
-	Without []string `cbor:"2,keyasint,omitempty"`
-	Since   uint64   `cbor:"3,keyasint,omitempty"` // version of the roster when somebody whom it concerns last came into it
+// pendingChange is a change that is.
+type pendingChange struct {
+	Document         Document `cbor:"1,keyasint,omitempty"`
+	Excluded         []string `cbor:"2,keyasint,omitempty"`
+	MinRosterVersion uint64   `cbor:"3,keyasint,omitempty"` // version of the roster when somebody whom it concerns last came into it
 }
 
-// place is a member's in the roster: it may take requests by what is in force.
-type place struct {
-	Name  string   `cbor:"1,keyasint,omitempty"`
-	Life  uint64   `cbor:"2,keyasint,omitempty"`
-	Parts []uint32 `cbor:"3,keyasint,omitempty"` // that it holds besides "", by number, in order
-	Form  uint8    `cbor:"4,keyasint,omitempty"` // 0: it came in by a command of form 1, and counts for every part
+// rosterEntry is a member's in the roster: it may take requests by what is in force.
+type rosterEntry struct {
+	Name        string   `cbor:"1,keyasint,omitempty"`
+	RunID       uint64   `cbor:"2,keyasint,omitempty"`
+	PartNumbers []uint32 `cbor:"3,keyasint,omitempty"` // that it holds besides "", by number, in order
+	Format      uint8    `cbor:"4,keyasint,omitempty"` // 0: it came in by a command of form 1, and counts for every part
 }
 
 // EndedChange is what became of a change, for ever.
 type EndedChange struct {
 	Document  Document `cbor:"1,keyasint,omitempty" json:"Doc"` // without its text
 	Committed bool     `cbor:"2,keyasint,omitempty" json:"InForce"`
-	DroppedBy string   `cbor:"3,keyasint,omitempty" json:"By"` // dropped: by whom
+	AbortedBy string   `cbor:"3,keyasint,omitempty" json:"By"` // dropped: by whom
 	Reason    string   `cbor:"4,keyasint,omitempty" json:"Why"`
-	Without   []string `cbor:"5,keyasint,omitempty" json:"Without"`
+	Excluded  []string `cbor:"5,keyasint,omitempty" json:"Without"`
 }
 
 const (
-	endedMost  = 256
-	keptMost   = 16 // texts of the part for all
-	keptOfPart = 1  // of each other, besides the one in force
-	rosterMost = 20000
-	namesKept  = 1 << 16
-	underMost  = 512 // changes under way: ten times what the worst minute has
+	maxEndedChanges     = 256
+	maxRetainedPolicies = 16 // texts of the part for all
+	maxRetainedPerPart  = 1  // of each other, besides the one in force
+	maxRosterSize       = 20000
+	maxPartNames        = 1 << 16
+	maxPendingChanges   = 512 // changes under way: ten times what the worst minute has
 )
 
-type deed uint8
+type commandKind uint8
 
 const (
-	doJoin    deed = iota + 1 // a member's life is in the roster from now on, or holds other parts
-	doOut                     // a member's life is not any more: it certainly takes nothing
-	doPropose                 // a change is under way
-	doCommit                  // it is in force
-	doDrop                    // it is not, and never will be
-	doForm                    // the log has another form from now on: all voters know it
-	doMany                    // from form 2 on: several, in order
+	commandJoin      commandKind = iota + 1 // a member's life is in the roster from now on, or holds other parts
+	commandRemove                           // a member's life is not any more: it certainly takes nothing
+	commandPropose                          // a change is under way
+	commandCommit                           // it is in force
+	commandAbort                            // it is not, and never will be
+	commandSetFormat                        // the log has another form from now on: all voters know it
+	commandBatch                            // from form 2 on: several, in order
 )
 
 // command is an entry of the log.
 type command struct {
-	Do      deed      `cbor:"1,keyasint,omitempty"`
-	Name    string    `cbor:"2,keyasint,omitempty"`
-	Life    uint64    `cbor:"3,keyasint,omitempty"`
-	Doc     *Document `cbor:"4,keyasint,omitempty"`
-	Base    uint64    `cbor:"5,keyasint,omitempty"`
-	Without []string  `cbor:"6,keyasint,omitempty"`
-	ID      string    `cbor:"7,keyasint,omitempty"`
-	Version uint64    `cbor:"8,keyasint,omitempty"` // of a commit: the roster of which all have it
-	By      string    `cbor:"9,keyasint,omitempty"`
-	Why     string    `cbor:"10,keyasint,omitempty"`
-	Bases   []uint64  `cbor:"11,keyasint,omitempty"`
-	Parts   []string  `cbor:"12,keyasint,omitempty"` // of a join
-	Form    uint8     `cbor:"13,keyasint,omitempty"` // of a join, 0: Parts are not known; of doForm: the new one
-	All     []command `cbor:"14,keyasint,omitempty"` // of doMany
+	Kind          commandKind `cbor:"1,keyasint,omitempty"`
+	Name          string      `cbor:"2,keyasint,omitempty"`
+	RunID         uint64      `cbor:"3,keyasint,omitempty"`
+	Document      *Document   `cbor:"4,keyasint,omitempty"`
+	Base          uint64      `cbor:"5,keyasint,omitempty"`
+	Excluded      []string    `cbor:"6,keyasint,omitempty"`
+	ID            string      `cbor:"7,keyasint,omitempty"`
+	RosterVersion uint64      `cbor:"8,keyasint,omitempty"` // of a commit: the roster of which all have it
+	AbortedBy     string      `cbor:"9,keyasint,omitempty"`
+	Reason        string      `cbor:"10,keyasint,omitempty"`
+	Bases         []uint64    `cbor:"11,keyasint,omitempty"`
+	Parts         []string    `cbor:"12,keyasint,omitempty"` // of a join
+	Format        uint8       `cbor:"13,keyasint,omitempty"` // of a join, 0: Parts are not known; of doForm: the new one
+	Commands      []command   `cbor:"14,keyasint,omitempty"` // of doMany
 }
 
 var (
@@ -108,31 +108,31 @@
 func encode(v any) []byte { return must(encoding.Marshal(v)) }
 
 // encodeState writes it, as form 1 has it where that can say it.
-func encodeState(s *state) []byte {
+func encodeState(s *replicatedState) []byte {
 	c := *s
-	if len(s.Under) == 1 && s.Under[0].Doc.plain() {
-		c.Pending, c.Without, c.Under = &s.Under[0].Doc, s.Under[0].Without, nil
+	if len(s.PendingChanges) == 1 && s.PendingChanges[0].Document.isGlobalOnly() {
+		c.LegacyPending, c.LegacyExcluded, c.PendingChanges = &s.PendingChanges[0].Document, s.PendingChanges[0].Excluded, nil
 	}
 	return encode(&c)
 }
 
-func decodeState(data []byte) (*state, error) {
-	s := &state{}
+func decodeState(data []byte) (*replicatedState, error) {
+	s := &replicatedState{}
 	if err := decoding.Unmarshal(data, s); err != nil {
 		return nil, fmt.Errorf("policy: state: %w", err)
 	}
-	if s.Pending != nil {
-		s.Under = append(s.Under, underWay{Doc: *s.Pending, Without: s.Without, Since: s.Version})
-		s.Pending, s.Without = nil, nil
+	if s.LegacyPending != nil {
+		s.PendingChanges = append(s.PendingChanges, pendingChange{Document: *s.LegacyPending, Excluded: s.LegacyExcluded, MinRosterVersion: s.RosterVersion})
+		s.LegacyPending, s.LegacyExcluded = nil, nil
 	}
-	if s.Commits == 0 { // form 1 counted them by the number
-		s.Commits, s.Force.CommitIndex = s.Force.Number, s.Force.Number
+	if s.CommitCount == 0 { // form 1 counted them by the number
+		s.CommitCount, s.Active.CommitIndex = s.Active.Number, s.Active.Number
 	}
 	return s, nil
 }
 
-// sumOf is a sum of parts' names, in order; 0: there are none.
-func sumOf(parts []string) uint64 {
+// partsHash is a sum of parts' names, in order; 0: there are none.
+func partsHash(parts []string) uint64 {
 	if len(parts) == 0 {
 		return 0
 	}
@@ -143,185 +143,185 @@
 	return max(1, h.Sum64())
 }
 
-// find is where a name stands in the roster, or belongs.
-func (s *state) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.Roster, name, func(p place, n string) int { return strings.Compare(p.Name, n) })
+// findMember is where a name stands in the roster, or belongs.
+func (s *replicatedState) findMember(name string) (int, bool) {
+	return slices.BinarySearchFunc(s.Roster, name, func(p rosterEntry, n string) int { return strings.Compare(p.Name, n) })
 }
 
-// has reports whether a member's life is in the roster.
-func (s *state) has(name string, life uint64) bool {
-	i, ok := s.find(name)
-	return ok && s.Roster[i].Life == life
+// inRoster reports whether a member's life is in the roster.
+func (s *replicatedState) inRoster(name string, life uint64) bool {
+	i, ok := s.findMember(name)
+	return ok && s.Roster[i].RunID == life
 }
 
-// numberOf is the number that places have for a part; false: nobody ever held it.
-func (s *state) numberOf(part string) (uint32, bool) {
-	if s.numbers == nil || len(s.numbers) != len(s.Names) {
-		s.numbers = make(map[string]uint32, len(s.Names))
-		for i, n := range s.Names {
-			s.numbers[n] = uint32(i)
+// partNumber is the number that places have for a part; false: nobody ever held it.
+func (s *replicatedState) partNumber(part string) (uint32, bool) {
+	if s.partNumbers == nil || len(s.partNumbers) != len(s.PartNames) {
+		s.partNumbers = make(map[string]uint32, len(s.PartNames))
+		for i, n := range s.PartNames {
+			s.partNumbers[n] = uint32(i)
 		}
 	}
-	n, ok := s.numbers[part]
+	n, ok := s.partNumbers[part]
 	return n, ok
 }
 
-// holds reports whether a member holds a part.
-func (s *state) holds(p *place, part string) bool {
-	if part == "" || p.Form == 0 {
+// holdsPart reports whether a member holds a part.
+func (s *replicatedState) holdsPart(p *rosterEntry, part string) bool {
+	if part == "" || p.Format == 0 {
 		return true
 	}
-	n, ok := s.numberOf(part)
+	n, ok := s.partNumber(part)
 	if !ok {
 		return false
 	}
-	_, ok = slices.BinarySearch(p.Parts, n)
+	_, ok = slices.BinarySearch(p.PartNumbers, n)
 	return ok
 }
 
-// concerns reports whether a change concerns a member.
-func (s *state) concerns(d *Document, p *place) bool {
-	return s.holds(p, d.Part) || slices.ContainsFunc(d.OtherParts, func(x Document) bool { return s.holds(p, x.Part) })
+// affects reports whether a change concerns a member.
+func (s *replicatedState) affects(d *Document, p *rosterEntry) bool {
+	return s.holdsPart(p, d.Part) || slices.ContainsFunc(d.AdditionalParts, func(x Document) bool { return s.holdsPart(p, x.Part) })
 }
 
-// concerned are the members whom a change concerns.
-func (s *state) concerned(d *Document) []place {
-	all := []place{}
+// affectedMembers are the members whom a change concerns.
+func (s *replicatedState) affectedMembers(d *Document) []rosterEntry {
+	all := []rosterEntry{}
 	for i := range s.Roster {
-		if s.concerns(d, &s.Roster[i]) {
+		if s.affects(d, &s.Roster[i]) {
 			all = append(all, s.Roster[i])
 		}
 	}
 	return all
 }
 
-// names are the parts of a place, in order.
-func (s *state) names(p *place) []string {
+// partNamesOf are the parts of a place, in order.
+func (s *replicatedState) partNamesOf(p *rosterEntry) []string {
 	var all []string
-	for _, n := range p.Parts {
-		if int(n) < len(s.Names) {
-			all = append(all, s.Names[n])
+	for _, n := range p.PartNumbers {
+		if int(n) < len(s.PartNames) {
+			all = append(all, s.PartNames[n])
 		}
 	}
 	slices.Sort(all)
 	return all
 }
 
-// part is a part's text in force; Number 0: it has none.
-func (s *state) part(name string) *Document {
+// activeDocument is a part's text in force; Number 0: it has none.
+func (s *replicatedState) activeDocument(name string) *Document {
 	if name == "" {
-		return &s.Force
+		return &s.Active
 	}
-	if i, ok := s.findPart(name); ok {
-		return &s.Parts[i]
+	if i, ok := s.findActivePart(name); ok {
+		return &s.ActiveParts[i]
 	}
 	return &Document{Part: name}
 }
 
-func (s *state) findPart(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.Parts, name, func(d Document, n string) int { return strings.Compare(d.Part, n) })
+func (s *replicatedState) findActivePart(name string) (int, bool) {
+	return slices.BinarySearchFunc(s.ActiveParts, name, func(d Document, n string) int { return strings.Compare(d.Part, n) })
 }
 
-// under is a change under way; nil: it is not.
-func (s *state) under(id string) *underWay {
-	for i := range s.Under {
-		if s.Under[i].Doc.ID == id {
-			return &s.Under[i]
+// findPending is a change under way; nil: it is not.
+func (s *replicatedState) findPending(id string) *pendingChange {
+	for i := range s.PendingChanges {
+		if s.PendingChanges[i].Document.ID == id {
+			return &s.PendingChanges[i]
 		}
 	}
 	return nil
 }
 
 // apply is what a command does. It depends on nothing but state and command.
-func (s *state) apply(c *command) {
-	switch c.Do {
-	case doJoin:
-		s.join(c)
-	case doOut:
-		if i, ok := s.find(c.Name); ok && s.Roster[i].Life == c.Life {
+func (s *replicatedState) apply(c *command) {
+	switch c.Kind {
+	case commandJoin:
+		s.applyJoin(c)
+	case commandRemove:
+		if i, ok := s.findMember(c.Name); ok && s.Roster[i].RunID == c.RunID {
 			s.Roster = slices.Delete(s.Roster, i, i+1)
-			s.Version++
+			s.RosterVersion++
 		}
-	case doPropose:
-		s.propose(c)
-	case doCommit:
+	case commandPropose:
+		s.applyProposal(c)
+	case commandCommit:
 		// Who came into the roster since all had it may not have it: then it is looked at anew. Who came and has nothing to do
 		// with it does not count, nor does who left; form 1 counts them, so for what it knows as well they do.
-		if u := s.under(c.ID); u != nil && (c.Version == s.Version || !u.Doc.plain() && c.Version >= u.Since) {
-			s.commit(u)
+		if u := s.findPending(c.ID); u != nil && (c.RosterVersion == s.RosterVersion || !u.Document.isGlobalOnly() && c.RosterVersion >= u.MinRosterVersion) {
+			s.commitChange(u)
 		}
-	case doDrop:
-		if u := s.under(c.ID); u != nil {
-			s.end(u.Doc, false, c.By, c.Why, nil)
-			s.over(c.ID)
-		} else if c.ID != "" && s.fate(c.ID).State == Unknown { // should it still be on its way, it comes too late
-			s.end(Document{ID: c.ID}, false, c.By, c.Why, nil)
+	case commandAbort:
+		if u := s.findPending(c.ID); u != nil {
+			s.recordEnd(u.Document, false, c.AbortedBy, c.Reason, nil)
+			s.removePending(c.ID)
+		} else if c.ID != "" && s.changeStatus(c.ID).State == ChangeUnknown { // should it still be on its way, it comes too late
+			s.recordEnd(Document{ID: c.ID}, false, c.AbortedBy, c.Reason, nil)
 		}
-	case doForm:
-		s.Form = max(s.Form, c.Form)
-	case doMany:
-		for i := range c.All {
-			if c.All[i].Do != doMany {
-				s.apply(&c.All[i])
+	case commandSetFormat:
+		s.Format = max(s.Format, c.Format)
+	case commandBatch:
+		for i := range c.Commands {
+			if c.Commands[i].Kind != commandBatch {
+				s.apply(&c.Commands[i])
 			}
 		}
 	}
 }
 
-func (s *state) join(c *command) {
-	i, ok := s.find(c.Name)
-	p := place{Name: c.Name, Life: c.Life, Form: c.Form}
+func (s *replicatedState) applyJoin(c *command) {
+	i, ok := s.findMember(c.Name)
+	p := rosterEntry{Name: c.Name, RunID: c.RunID, Format: c.Format}
 	for _, name := range c.Parts {
-		n, known := s.numberOf(name)
+		n, known := s.partNumber(name)
 		if !known {
-			if len(s.Names) >= namesKept {
+			if len(s.PartNames) >= maxPartNames {
 				return
 			}
-			n = uint32(len(s.Names))
-			s.Names = append(s.Names, name)
-			s.numbers[name] = n
+			n = uint32(len(s.PartNames))
+			s.PartNames = append(s.PartNames, name)
+			s.partNumbers[name] = n
 		}
-		p.Parts = append(p.Parts, n)
+		p.PartNumbers = append(p.PartNumbers, n)
 	}
-	slices.Sort(p.Parts)
+	slices.Sort(p.PartNumbers)
 	switch {
-	case c.Name == "", !ok && len(s.Roster) >= rosterMost:
+	case c.Name == "", !ok && len(s.Roster) >= maxRosterSize:
 		return
-	case ok && s.Roster[i].Life == c.Life && (c.Form == 0 || s.Roster[i].Form == c.Form && slices.Equal(s.Roster[i].Parts, p.Parts)):
+	case ok && s.Roster[i].RunID == c.RunID && (c.Format == 0 || s.Roster[i].Format == c.Format && slices.Equal(s.Roster[i].PartNumbers, p.PartNumbers)):
 		return
 	case ok:
 		s.Roster[i] = p
 	default:
 		s.Roster = slices.Insert(s.Roster, i, p)
 	}
-	s.Version++
-	for i := range s.Under {
-		if s.concerns(&s.Under[i].Doc, &p) {
-			s.Under[i].Since = s.Version
+	s.RosterVersion++
+	for i := range s.PendingChanges {
+		if s.affects(&s.PendingChanges[i].Document, &p) {
+			s.PendingChanges[i].MinRosterVersion = s.RosterVersion
 		}
 	}
 }
 
-func (s *state) propose(c *command) {
-	d := c.Doc
-	if d == nil || s.fate(d.ID).State != Unknown { // asked for once more
+func (s *replicatedState) applyProposal(c *command) {
+	d := c.Document
+	if d == nil || s.changeStatus(d.ID).State != ChangeUnknown { // asked for once more
 		return
 	}
 	p := *d
-	p.OtherParts = slices.Clone(d.OtherParts)
+	p.AdditionalParts = slices.Clone(d.AdditionalParts)
 	texts := p.Documents()
 	same, size := true, 0
 	for i, x := range texts {
-		of := s.part(x.Part)
+		of := s.activeDocument(x.Part)
 		same = same && x.Digest == of.Digest && of.Number > 0
 		size += len(x.Body) - len(of.Body)
 		what := ""
 		if x.Part != "" {
 			what = " of part " + x.Part
 		}
-		for j := range s.Under {
-			if u := &s.Under[j].Doc; u.Includes(x.Part) {
-				s.end(*d, false, u.Author, fmt.Sprintf("another change%s is under way: %s (%s)", what, u.ID, u.Reason), nil)
+		for j := range s.PendingChanges {
+			if u := &s.PendingChanges[j].Document; u.Includes(x.Part) {
+				s.recordEnd(*d, false, u.Author, fmt.Sprintf("another change%s is under way: %s (%s)", what, u.ID, u.Reason), nil)
 				return
 			}
 		}
@@ -332,111 +332,111 @@
 			}
 		}
 		if base != of.Number && !(x.Digest == of.Digest && of.Number > 0) {
-			s.end(*d, false, of.Author, fmt.Sprintf("it was made of policy %d%s; in force since is %d, %s", base, what, of.Number, of.ID), nil)
+			s.recordEnd(*d, false, of.Author, fmt.Sprintf("it was made of policy %d%s; in force since is %d, %s", base, what, of.Number, of.ID), nil)
 			return
 		}
 		number := of.Number + 1
 		if i == 0 {
 			p.Number = number
 		} else {
-			p.OtherParts[i-1].Number = number
+			p.AdditionalParts[i-1].Number = number
 		}
 	}
 	all := size
-	for i := range s.Parts {
-		all += len(s.Parts[i].Body)
+	for i := range s.ActiveParts {
+		all += len(s.ActiveParts[i].Body)
 	}
-	for i := range s.Under {
-		for _, x := range s.Under[i].Doc.Documents() {
+	for i := range s.PendingChanges {
+		for _, x := range s.PendingChanges[i].Document.Documents() {
 			all += len(x.Body)
 		}
 	}
 	switch {
 	case same: // the same once more is no change
 		p.Number--
-		s.end(p, true, "", "it was in force already", nil)
-	case !d.plain() && all > textsMost:
-		s.end(*d, false, d.Author, fmt.Sprintf("all parts would have %d bytes: up to %d are allowed", all, textsMost), nil)
-	case len(s.Under) >= underMost:
-		s.end(*d, false, d.Author, fmt.Sprintf("%d changes are under way: no more are taken", len(s.Under)), nil)
+		s.recordEnd(p, true, "", "it was in force already", nil)
+	case !d.isGlobalOnly() && all > maxActiveBytes:
+		s.recordEnd(*d, false, d.Author, fmt.Sprintf("all parts would have %d bytes: up to %d are allowed", all, maxActiveBytes), nil)
+	case len(s.PendingChanges) >= maxPendingChanges:
+		s.recordEnd(*d, false, d.Author, fmt.Sprintf("%d changes are under way: no more are taken", len(s.PendingChanges)), nil)
 	default:
-		s.Under = append(s.Under, underWay{Doc: p, Without: c.Without, Since: s.Version})
+		s.PendingChanges = append(s.PendingChanges, pendingChange{Document: p, Excluded: c.Excluded, MinRosterVersion: s.RosterVersion})
 	}
 }
 
-// commit brings a change under way into force.
-func (s *state) commit(u *underWay) {
-	doc, without := u.Doc, u.Without
+// commitChange brings a change under way into force.
+func (s *replicatedState) commitChange(u *pendingChange) {
+	doc, without := u.Document, u.Excluded
 	for _, x := range doc.Documents() {
-		s.Commits++
-		x.CommitIndex = s.Commits
-		if len(s.latest) > 0 { // else it is made from all when it is needed
-			s.latest = append(s.latest, x.Part)
+		s.CommitCount++
+		x.CommitIndex = s.CommitCount
+		if len(s.commitOrder) > 0 { // else it is made from all when it is needed
+			s.commitOrder = append(s.commitOrder, x.Part)
 		}
 		if x.Part == "" {
-			s.Force = x
-			s.keep(x, keptMost)
-		} else if i, ok := s.findPart(x.Part); ok {
-			s.keep(s.Parts[i], keptOfPart)
-			s.Parts[i] = x
+			s.Active = x
+			s.retain(x, maxRetainedPolicies)
+		} else if i, ok := s.findActivePart(x.Part); ok {
+			s.retain(s.ActiveParts[i], maxRetainedPerPart)
+			s.ActiveParts[i] = x
 		} else {
-			s.Parts = slices.Insert(s.Parts, i, x)
+			s.ActiveParts = slices.Insert(s.ActiveParts, i, x)
 		}
 	}
-	if len(s.latest) > 4*(len(s.Parts)+16) {
-		s.latest = nil
+	if len(s.commitOrder) > 4*(len(s.ActiveParts)+16) {
+		s.commitOrder = nil
 	}
-	s.end(doc, true, "", "", without)
+	s.recordEnd(doc, true, "", "", without)
 	for _, name := range without {
-		if i, ok := s.find(name); ok {
+		if i, ok := s.findMember(name); ok {
 			s.Roster = slices.Delete(s.Roster, i, i+1)
-			s.Version++
+			s.RosterVersion++
 		}
 	}
-	s.over(doc.ID)
+	s.removePending(doc.ID)
 }
 
-// keep keeps a text that came into force, and of its part the last so many.
-func (s *state) keep(d Document, most int) {
+// retain keeps a text that came into force, and of its part the last so many.
+func (s *replicatedState) retain(d Document, most int) {
 	d.CommitIndex = 0
-	s.Kept = append(s.Kept, d)
+	s.Retained = append(s.Retained, d)
 	n := 0
-	for i := len(s.Kept) - 1; i >= 0; i-- {
-		if s.Kept[i].Part == d.Part {
+	for i := len(s.Retained) - 1; i >= 0; i-- {
+		if s.Retained[i].Part == d.Part {
 			if n++; n > most {
-				s.Kept = slices.Delete(s.Kept, i, i+1)
+				s.Retained = slices.Delete(s.Retained, i, i+1)
 			}
 		}
 	}
 }
 
-func (s *state) over(id string) {
-	s.Under = slices.DeleteFunc(s.Under, func(u underWay) bool { return u.Doc.ID == id })
+func (s *replicatedState) removePending(id string) {
+	s.PendingChanges = slices.DeleteFunc(s.PendingChanges, func(u pendingChange) bool { return u.Document.ID == id })
 }
 
-func (s *state) end(d Document, inForce bool, by, why string, without []string) {
+func (s *replicatedState) recordEnd(d Document, inForce bool, by, why string, without []string) {
 	d.Body = nil
-	d.OtherParts = slices.Clone(d.OtherParts)
-	for i := range d.OtherParts {
-		d.OtherParts[i].Body = nil
+	d.AdditionalParts = slices.Clone(d.AdditionalParts)
+	for i := range d.AdditionalParts {
+		d.AdditionalParts[i].Body = nil
 	}
-	s.Ended = append(s.Ended, EndedChange{Document: d, Committed: inForce, DroppedBy: by, Reason: why, Without: without})
-	if n := len(s.Ended) - endedMost; n > 0 {
-		s.Ended = slices.Delete(s.Ended, 0, n)
+	s.EndedChanges = append(s.EndedChanges, EndedChange{Document: d, Committed: inForce, AbortedBy: by, Reason: why, Excluded: without})
+	if n := len(s.EndedChanges) - maxEndedChanges; n > 0 {
+		s.EndedChanges = slices.Delete(s.EndedChanges, 0, n)
 	}
 }
 
-// fate is what became of a change, as far as the log says.
-func (s *state) fate(id string) ChangeStatus {
-	if s.under(id) != nil {
-		return ChangeStatus{ID: id, State: Preparing}
+// changeStatus is what became of a change, as far as the log says.
+func (s *replicatedState) changeStatus(id string) ChangeStatus {
+	if s.findPending(id) != nil {
+		return ChangeStatus{ID: id, State: ChangePreparing}
 	}
-	for i := len(s.Ended) - 1; i >= 0; i-- {
-		if e := &s.Ended[i]; e.Document.ID == id {
-			f := ChangeStatus{ID: id, State: Dropped, DroppedBy: e.DroppedBy, Reason: e.Reason}
+	for i := len(s.EndedChanges) - 1; i >= 0; i-- {
+		if e := &s.EndedChanges[i]; e.Document.ID == id {
+			f := ChangeStatus{ID: id, State: ChangeAborted, AbortedBy: e.AbortedBy, Reason: e.Reason}
 			if e.Committed {
-				f.State, f.Number = Committed, e.Document.Number
-				if !e.Document.plain() {
+				f.State, f.Number = ChangeCommitted, e.Document.Number
+				if !e.Document.isGlobalOnly() {
 					for _, x := range e.Document.Documents() {
 						f.Parts = append(f.Parts, DocumentRef{Part: x.Part, Number: x.Number})
 					}
@@ -448,10 +448,10 @@
 	return ChangeStatus{ID: id}
 }
 
-// doc is a change with the texts of its parts, as far as they are known and somebody holds them; nil: there are none.
-func (s *state) doc(id string, holds func(part string) bool) *Document {
-	if u := s.under(id); u != nil {
-		return u.Doc.only(holds)
+// changeDocuments is a change with the texts of its parts, as far as they are known and somebody holds them; nil: there are none.
+func (s *replicatedState) changeDocuments(id string, holds func(part string) bool) *Document {
+	if u := s.findPending(id); u != nil {
+		return u.Document.filterParts(holds)
 	}
 	var texts []Document
 	add := func(d *Document) {
@@ -459,50 +459,50 @@
 			texts = append(texts, *d)
 		}
 	}
-	add(&s.Force)
-	for i := range s.Parts {
-		add(&s.Parts[i])
+	add(&s.Active)
+	for i := range s.ActiveParts {
+		add(&s.ActiveParts[i])
 	}
-	for i := len(s.Kept) - 1; i >= 0; i-- {
-		add(&s.Kept[i])
+	for i := len(s.Retained) - 1; i >= 0; i-- {
+		add(&s.Retained[i])
 	}
-	return changeOf(texts)
+	return joinDocuments(texts)
 }
 
-// wants is what a member that fetches a change is to get of it: what it names, else what the roster has for it, else all.
-func (s *state) wants(name string, parts []string) func(part string) bool {
+// partFilter is what a member that fetches a change is to get of it: what it names, else what the roster has for it, else all.
+func (s *replicatedState) partFilter(name string, parts []string) func(part string) bool {
 	if len(parts) > 0 {
 		return func(part string) bool { return part == "" || slices.Contains(parts, part) }
 	}
-	if i, ok := s.find(name); ok {
+	if i, ok := s.findMember(name); ok {
 		p := s.Roster[i]
-		return func(part string) bool { return s.holds(&p, part) }
+		return func(part string) bool { return s.holdsPart(&p, part) }
 	}
 	return func(string) bool { return true }
 }
 
-// since is what came into force after an Order, of the parts that a member holds.
-func (s *state) since(order uint64, holds func(part string) bool) (all []DocumentRef) {
-	if order >= s.Commits {
+// committedSince is what came into force after an Order, of the parts that a member holds.
+func (s *replicatedState) committedSince(order uint64, holds func(part string) bool) (all []DocumentRef) {
+	if order >= s.CommitCount {
 		return nil
 	}
-	if len(s.latest) == 0 {
+	if len(s.commitOrder) == 0 {
 		type one struct {
 			part  string
 			order uint64
 		}
-		in := []one{{"", s.Force.CommitIndex}}
-		for i := range s.Parts {
-			in = append(in, one{s.Parts[i].Part, s.Parts[i].CommitIndex})
+		in := []one{{"", s.Active.CommitIndex}}
+		for i := range s.ActiveParts {
+			in = append(in, one{s.ActiveParts[i].Part, s.ActiveParts[i].CommitIndex})
 		}
 		slices.SortFunc(in, func(a, b one) int { return int(a.order) - int(b.order) })
 		for _, x := range in {
-			s.latest = append(s.latest, x.part)
+			s.commitOrder = append(s.commitOrder, x.part)
 		}
 	}
 	seen := map[string]bool{}
-	for i := len(s.latest) - 1; i >= 0; i-- {
-		d := s.part(s.latest[i])
+	for i := len(s.commitOrder) - 1; i >= 0; i-- {
+		d := s.activeDocument(s.commitOrder[i])
 		if seen[d.Part] {
 			continue
 		}
@@ -517,15 +517,15 @@
 	return all
 }
 
-// past is the last changes, and a part's text with its number.
-func (s *state) past(part string, number uint64) *History {
-	p := &History{IsResponse: true, Part: part, Number: number, Changes: s.Ended}
-	if d := *s.part(part); d.Number > 0 && (d.Number == number || number == 0 && part != "") {
+// history is the last changes, and a part's text with its number.
+func (s *replicatedState) history(part string, number uint64) *History {
+	p := &History{IsResponse: true, Part: part, Number: number, Changes: s.EndedChanges}
+	if d := *s.activeDocument(part); d.Number > 0 && (d.Number == number || number == 0 && part != "") {
 		p.Document = &d
 	}
-	for i := range s.Kept {
-		if s.Kept[i].Number == number && s.Kept[i].Part == part {
-			d := s.Kept[i]
+	for i := range s.Retained {
+		if s.Retained[i].Number == number && s.Retained[i].Part == part {
+			d := s.Retained[i]
 			p.Document = &d
 		}
 	}
--- a/internal/peer/transport/agreeing.go
+++ b/internal/peer/transport/agreeing.go
@@ -116,9 +116,9 @@
 		g.members = now
 		var all []policy.MemberInfo
 		for _, r := range g.c.v.Members() {
-			all = append(all, policy.MemberInfo{Name: r.Name, RunID: r.RunID, Left: r.State == membership.Left})
+			all = append(all, policy.MemberInfo{Name: r.Name, RunID: r.RunID, Departed: r.State == membership.Left})
 		}
-		events = append([]policy.Event{policy.MembersChanged{All: all}, policy.NameOwnership{Exclusive: g.c.v.OwnsName()}}, events...)
+		events = append([]policy.Event{policy.MembersChanged{Members: all}, policy.NameOwnership{Exclusive: g.c.v.OwnsName()}}, events...)
 	}
 	for _, x := range g.a.node.Step(now, events...) {
 		switch x := x.(type) {
