--- /dev/null
+++ b/internal/peer/policy/coordinator_leases.go
@@ -0,0 +1,256 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// leaseExchange is a lease request, with what the leader knows of its member.
+type leaseExchange struct {
+	*LeaseRequest
+	from      string // who sent or forwarded it
+	member    *memberProgress
+	entry     *rosterEntry     // of this run; nil: it is not in the roster
+	affecting []*pendingChange // changes being prepared that affect the member, or would once it is in the roster
+}
+
+// respond answers a lease request, and reviews the changes that may be decided by it.
+func (c *coordinator) respond(r *raftNode, received receivedRequest) {
+	request := received.request
+	member := c.identify(r, request)
+	if member == nil {
+		c.reply(r, received, &LeaseResponse{Seq: request.Seq, Refusal: "another process has this name, and is there"})
+		return
+	}
+	before := member.prepared
+	c.updateMember(r, member, request)
+	x := &leaseExchange{LeaseRequest: request, from: received.from, member: member}
+	if i, ok := r.state.findMember(request.Name); ok && r.state.Roster[i].RunID == request.RunID {
+		x.entry = &r.state.Roster[i]
+	}
+	x.affecting = c.affectingChanges(r, x)
+	if r.node.settings.StopWhenIsolated && member.unheardResponses >= maxUnheardResponses && x.lacksChange() {
+		return // it receives no response: the change goes on without it once its lease has expired
+	}
+	response := c.newResponse(r, x)
+	if request.Format == 0 {
+		response = legacyResponse(r, x, response)
+	}
+	for _, id := range request.StatusOf[:min(maxStatusQueries, len(request.StatusOf))] {
+		response.Statuses = append(response.Statuses, c.changeStatus(r, id))
+	}
+	c.reply(r, received, response)
+	if x.entry != nil {
+		c.reviewAffecting(r, x, before)
+	}
+}
+
+// identify returns the member that sent a request. It returns nil while another process that uses the same name runs.
+func (c *coordinator) identify(r *raftNode, request *LeaseRequest) *memberProgress {
+	known := c.members[request.Name]
+	if known != nil && known.runID == request.RunID {
+		return known
+	}
+	otherRuns := known != nil &&
+		r.node.now-known.lastRequestAt < memberAliveSpan &&
+		r.state.inRoster(request.Name, known.runID) &&
+		!r.node.isCurrentRun(request.Name, request.RunID)
+	if otherRuns {
+		return nil
+	}
+	member := &memberProgress{runID: request.RunID}
+	c.members[request.Name] = member
+	return member
+}
+
+// updateMember takes what a request reports.
+func (c *coordinator) updateMember(r *raftNode, m *memberProgress, request *LeaseRequest) {
+	now := r.node.now
+	m.lastRequestAt = now
+	m.format = request.Format
+	m.knownUpTo = request.KnownUpTo
+	m.prepared = request.PreparedIDs
+	m.rejectedID = request.RejectedID
+	m.rejectReason = request.RejectReason
+	if request.Format == 0 {
+		m.prepared = nil
+		if request.Prepared != "" {
+			m.prepared = []string{request.Prepared}
+		}
+		m.knownUpTo = 0
+		if request.ActiveNumber == r.state.Active.Number {
+			m.knownUpTo = r.state.CommitCount
+		}
+	}
+	switch {
+	case !request.LeaseExpired:
+		m.unheardResponses = 0
+	case m.grantedAt > 0 && now-m.grantedAt < r.node.settings.Lease:
+		m.unheardResponses++
+	}
+}
+
+// affectingChanges returns the changes being prepared that affect a member, or that would once it is in the roster.
+func (c *coordinator) affectingChanges(r *raftNode, x *leaseExchange) []*pendingChange {
+	var affecting []*pendingChange
+	for i := range r.state.PendingChanges {
+		pending := &r.state.PendingChanges[i]
+		affects := wouldAffect(x.LeaseRequest, &pending.Document)
+		if x.entry != nil {
+			affects = r.state.affects(&pending.Document, x.entry)
+		}
+		if affects {
+			affecting = append(affecting, pending)
+		}
+	}
+	return affecting
+}
+
+// wouldAffect reports whether a change has a part that a member would hold in the roster.
+func wouldAffect(request *LeaseRequest, change *Document) bool {
+	return change.Includes("") || slices.ContainsFunc(request.Parts, change.Includes)
+}
+
+// lacksChange reports whether a member of the roster has not prepared a change that affects it.
+func (x *leaseExchange) lacksChange() bool {
+	return x.entry != nil && slices.ContainsFunc(x.affecting, func(p *pendingChange) bool {
+		return !x.member.hasPrepared(p.Document.ID)
+	})
+}
+
+// newResponse makes the response of format 2, grants a lease, and proposes the member's place in the roster.
+func (c *coordinator) newResponse(r *raftNode, x *leaseExchange) *LeaseResponse {
+	response := &LeaseResponse{
+		Seq:           x.Seq,
+		Voters:        r.state.Voters,
+		Format:        FormatVersion,
+		CommittedUpTo: r.state.CommitCount,
+		Complete:      x.KnownUpTo == 0,
+	}
+	rosterPending := c.answerRoster(r, x, response)
+	if response.InRoster {
+		x.member.grantedAt = r.node.now
+	}
+	if x.Format > 0 {
+		x.answerDocuments(r.state, response)
+		if rosterPending {
+			response.PartsHash = ^x.PartsHash // no parts are confirmed to the member
+		}
+	}
+	for _, pending := range x.affecting {
+		response.PendingIDs = append(response.PendingIDs, pending.Document.ID)
+	}
+	return response
+}
+
+// answerRoster says how the roster has the member, and proposes its place where that is wanted. It reports whether a
+// change of its place is on its way into the log: what the roster has for it may be over at any moment then, so nothing
+// of it is confirmed.
+func (c *coordinator) answerRoster(r *raftNode, x *leaseExchange, response *LeaseResponse) (rosterPending bool) {
+	settings := &r.node.settings
+	proposePlace := false
+	switch {
+	case x.StopWhenIsolated != settings.StopWhenIsolated || time.Duration(x.LeaseMS)*time.Millisecond != settings.Lease:
+		response.Refusal = fmt.Sprintf("its file's cut_off or lease are not those of %s, which leads (lease %v)", settings.Name, settings.Lease)
+	case x.entry != nil:
+		response.InRoster = !x.member.removing
+		response.CountsForAllParts = x.entry.Format == 0
+		response.PartsRequested = response.CountsForAllParts && r.state.Format >= FormatVersion
+		differs := response.CountsForAllParts || partsHash(r.state.partNamesOf(x.entry)) != x.PartsHash
+		proposePlace = x.listsParts(r.state) && differs
+	case x.Join:
+		proposePlace = true
+	}
+	proposed, isProposed := c.rosterChanges[x.Name]
+	rosterPending = isProposed && proposed.runID == x.RunID && x.entry != nil && x.Format > 0
+	isLost := r.node.now-proposed.proposedAt > reproposeInterval
+	if rosterPending {
+		response.CountsForAllParts = false
+		proposePlace = proposePlace || x.listsParts(r.state) && isLost
+	}
+	if proposePlace && (proposed.runID != x.RunID || proposed.partsHash != x.PartsHash || isLost) {
+		c.proposeJoin(r, x)
+	}
+	return rosterPending
+}
+
+// listsParts reports whether a request has the member's parts, and the log can have them.
+func (x *leaseExchange) listsParts(state *replicatedState) bool {
+	return x.Format > 0 && x.PartsHash == partsHash(x.Parts) && state.Format >= FormatVersion
+}
+
+// proposeJoin proposes a member's place in the roster, with its parts where the log can have them.
+func (c *coordinator) proposeJoin(r *raftNode, x *leaseExchange) {
+	c.rosterChanges[x.Name] = rosterChange{x.RunID, x.PartsHash, r.node.now}
+	join := &command{Kind: commandJoin, Name: x.Name, RunID: x.RunID}
+	parts, err := normalizeParts(x.Parts)
+	if x.Format > 0 && r.state.Format >= FormatVersion && err == nil {
+		join.Format = FormatVersion
+		join.Parts = parts
+	}
+	r.propose(join)
+}
+
+// answerDocuments says which active documents the member may lack, and for which parts that is said: those that the
+// roster has for it, all if it counts for all, or else those that its request lists.
+func (x *leaseExchange) answerDocuments(state *replicatedState, response *LeaseResponse) {
+	holds := func(part string) bool { return part == "" || slices.Contains(x.Parts, part) }
+	response.PartsHash = partsHash(x.Parts)
+	switch {
+	case response.CountsForAllParts:
+		holds = func(string) bool { return true }
+		response.PartsHash = x.PartsHash
+	case x.entry != nil:
+		holds = func(part string) bool { return state.holdsPart(x.entry, part) }
+		response.PartsHash = partsHash(state.partNamesOf(x.entry))
+	}
+	response.Changed = state.committedSince(x.KnownUpTo, holds)
+}
+
+// legacyResponse reduces a response to format 1, which knows the global part alone.
+func legacyResponse(r *raftNode, x *leaseExchange, response *LeaseResponse) *LeaseResponse {
+	legacy := &LeaseResponse{
+		Seq:          response.Seq,
+		Voters:       response.Voters,
+		InRoster:     response.InRoster,
+		Refusal:      response.Refusal,
+		ActiveNumber: r.state.Active.Number,
+		ActiveID:     r.state.Active.ID,
+	}
+	for _, pending := range x.affecting {
+		if pending.Document.isGlobalOnly() {
+			legacy.Pending = pending.Document.ID
+			break
+		}
+	}
+	return legacy
+}
+
+// reply sends a response by the way on which the request came.
+func (c *coordinator) reply(r *raftNode, received receivedRequest, response *LeaseResponse) {
+	response.Leader = r.node.settings.Name
+	m := &Message{LeaseResponse: response}
+	if received.from != received.request.Name {
+		m.To = received.request.Name
+	}
+	r.node.send(received.from, m)
+}
+
+// reviewAffecting reviews the changes that a request may decide: those that the member rejects, and those of which it
+// may be the last to prepare them. Reviewing at each request would cost the square of the members for each change; every
+// reviewInterval there is a review anyway. before are the changes that the member had prepared by its previous request.
+func (c *coordinator) reviewAffecting(r *raftNode, x *leaseExchange, before []string) {
+	for _, pending := range x.affecting {
+		id := pending.Document.ID
+		progress := c.progress[id]
+		newlyPrepared := x.member.hasPrepared(id) && !slices.Contains(before, id)
+		if newlyPrepared && progress != nil {
+			progress.unprepared--
+		}
+		mayBeLast := newlyPrepared && (progress == nil || progress.unprepared <= 0)
+		if x.member.rejects(id) || mayBeLast {
+			c.reviewChange(r, pending)
+		}
+	}
+}
--- /dev/null
+++ b/internal/peer/policy/status.go
@@ -0,0 +1,192 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Status is the state of a member as the admin endpoint shows it.
+type Status struct {
+	Name              string        `json:"name"`
+	Active            Document      `json:"in_force"`               // of the global part, without its text
+	Parts             []Document    `json:"parts,omitempty"`        // the active documents of the other parts that it holds
+	ConfiguredParts   []string      `json:"holds,omitempty"`        // services whose parts it is to hold
+	NotYetServed      []string      `json:"not_held_yet,omitempty"` // those of them that it may not serve yet
+	Pending           string        `json:"under_way,omitempty"`    // the changes that it has prepared
+	RejectedID        string        `json:"nay,omitempty"`          // a change that it can't serve by
+	RejectReason      string        `json:"why,omitempty"`
+	Serving           string        `json:"serving"` // by what it serves, in words
+	Until             time.Duration `json:"until_ns,omitempty"`
+	Standalone        bool          `json:"alone,omitempty"`
+	StopsWhenIsolated bool          `json:"stops_when_cut_off"`
+	Voters            []string      `json:"voters"`
+	Leader            string        `json:"leader,omitempty"` // by the last response
+	LastResponseAgo   time.Duration `json:"answered_ago_ns"`
+	Epoch             uint64        `json:"rescues"`
+	Votes             string        `json:"votes,omitempty"`  // at a voter: its state, in words
+	Roster            []string      `json:"roster,omitempty"` // at a voter
+	Stats             Stats         `json:"stats"`
+}
+
+// Stats count what a node has done in its life.
+type Stats struct {
+	Sent          uint64 `json:"Sent"`      // messages
+	LeaseRequests uint64 `json:"Asked"`     // received by this voter
+	Persisted     uint64 `json:"Persisted"` // batches given to the disk
+}
+
+// Status returns the state of this member.
+func (n *Node) Status() Status {
+	m := &n.member
+	s := Status{
+		Name:              n.settings.Name,
+		Active:            m.active,
+		ConfiguredParts:   m.configuredParts,
+		Pending:           strings.Join(changeIDs(m.prepared), ", "),
+		Standalone:        m.serving.Standalone,
+		StopsWhenIsolated: n.settings.StopWhenIsolated,
+		Voters:            n.voters,
+		Leader:            m.leader,
+		LastResponseAgo:   n.now - m.lastResponseAt,
+		Epoch:             n.epoch,
+		Stats:             n.stats,
+	}
+	s.Active.Body = nil
+	for _, d := range m.sortedActiveParts() {
+		d.Body = nil
+		s.Parts = append(s.Parts, d)
+	}
+	for _, part := range m.configuredParts {
+		if !slices.Contains(m.servedParts, part) {
+			s.NotYetServed = append(s.NotYetServed, part)
+		}
+	}
+	if ids := sortedKeys(m.rejections); len(ids) > 0 {
+		s.RejectedID = ids[0]
+		s.RejectReason = m.rejections[ids[0]]
+	}
+	s.Serving, s.Until = n.describeServing()
+	if n.raftNode != nil {
+		s.Votes = n.raftNode.describe()
+		for _, entry := range n.raftNode.state.Roster {
+			s.Roster = append(s.Roster, entry.Name)
+		}
+	}
+	return s
+}
+
+// describeServing says by what this member serves, and how much longer where that is bounded.
+func (n *Node) describeServing() (text string, remaining time.Duration) {
+	serving := &n.member.serving
+	switch {
+	case serving.Blocked != "":
+		return serving.Blocked, 0
+	case len(serving.Preparing) > 0:
+		return "by what both the policy in force and the changes under way allow", 0
+	case serving.Standalone:
+		return "alone, by the last policy known", 0
+	case serving.Until < Never:
+		remaining = serving.Until - n.now
+	}
+	return "by the policy in force", remaining
+}
+
+// describe says in words how a voter takes part.
+func (r *raftNode) describe() string {
+	switch {
+	case r.rawNode == nil:
+		return "not yet: it asks the other voters whether its disk is as it was"
+	case r.isLeader():
+		return "leads"
+	case r.learning || r.voteFloor != (position{}):
+		return "not yet: it catches up"
+	case r.leaderName() == "":
+		return "knows no leader"
+	}
+	return "follows " + r.leaderName()
+}
+
+// HandoffState returns what another process needs that replaces this one without a gap; nil: this one admits no
+// requests either.
+func (n *Node) HandoffState(now time.Duration) *HandoffState {
+	if !n.member.inRoster {
+		return nil
+	}
+	h := &HandoffState{
+		Number:         n.member.active.Number,
+		LeaseRemaining: max(0, n.member.leaseExpiry-now),
+		Seq:            n.member.seq,
+		Format:         FormatVersion,
+	}
+	for _, part := range n.member.servedParts {
+		d := n.member.activeDocument(part)
+		h.Parts = append(h.Parts, DocumentRef{Part: part, Number: d.Number, ID: d.ID})
+	}
+	return h
+}
+
+// ActivePolicy returns the active global document.
+func (n *Node) ActivePolicy() Document { return n.member.active }
+
+// ActiveDocument returns the active document of a part; Number 0: it has none, or this member does not hold it.
+func (n *Node) ActiveDocument(part string) Document { return n.member.activeDocument(part) }
+
+// ChangeStatus returns the status of a change that is watched, as far as this member knows it.
+func (n *Node) ChangeStatus(id string) ChangeStatus {
+	for _, watch := range n.member.watches {
+		if watch.status.ID == id {
+			return watch.status
+		}
+	}
+	return ChangeStatus{ID: id}
+}
+
+// LastResponseAt returns when the last lease response came, by the member's clock.
+func (n *Node) LastResponseAt() time.Duration { return n.member.lastResponseAt }
+
+// History returns the response to the last History event; nil: none has come.
+func (n *Node) History() *History { return n.member.history }
+
+// Serving returns what the daemon serves by, as the last ServingChanged said.
+func (n *Node) Serving() Serving { return n.member.serving }
+
+// StoredDocuments returns the active documents in what a member stored, the global one first.
+func StoredDocuments(stored []byte) ([]Document, error) {
+	if stored == nil {
+		return []Document{{}}, nil
+	}
+	saved, err := decodeMember(stored)
+	if err != nil {
+		return nil, err
+	}
+	return append([]Document{saved.Active}, saved.ActiveParts...), nil
+}
+
+// StoredChanges returns the IDs of the changes in what a member stored: those of active documents, then the prepared
+// ones. It returns nil for data that can't be read.
+func StoredChanges(stored []byte) []string {
+	if stored == nil {
+		return nil
+	}
+	saved, err := decodeMember(stored)
+	if err != nil {
+		return nil
+	}
+	var ids []string
+	for _, d := range append([]Document{saved.Active}, saved.ActiveParts...) {
+		if d.ID != "" {
+			ids = append(ids, d.ID)
+		}
+	}
+	return append(ids, changeIDs(saved.allPrepared())...)
+}
+
+func decodeMember(stored []byte) (*savedMember, error) {
+	saved := &savedMember{}
+	if err := decoding.Unmarshal(stored, saved); err != nil {
+		return nil, fmt.Errorf("policy: what the member stored: %w", err)
+	}
+	return saved, nil
+}
