--- a/internal/peer/policy/coordinator_leases.go
+++ b/internal/peer/policy/coordinator_leases.go
@@ -52,11 +52,11 @@
 	if known != nil && known.runID == request.RunID {
 		return known
 	}
-	otherRuns := known != nil &&
+	nameInUse := known != nil &&
 		r.node.now-known.lastRequestAt < memberAliveSpan &&
 		r.state.inRoster(request.Name, known.runID) &&
 		!r.node.isCurrentRun(request.Name, request.RunID)
-	if otherRuns {
+	if nameInUse {
 		return nil
 	}
 	member := &memberProgress{runID: request.RunID}
--- a/internal/peer/policy/member_requests.go
+++ b/internal/peer/policy/member_requests.go
@@ -53,7 +53,7 @@
 	m.unansweredRequests++
 	m.nextRequestAt = n.now + m.jitter(interval)
 	if n.now-m.lastResponseAt > voterTimeout && m.lastRequestAt > m.lastResponseAt {
-		m.leaveUnresponsiveVoter()
+		m.switchVoter()
 	}
 	m.requestTarget = m.chooseVoter()
 	m.seq++
@@ -81,8 +81,8 @@
 	return time.Duration((0.75 + 0.5*m.node.rng.Float64()) * float64(span))
 }
 
-// leaveUnresponsiveVoter has the next request go to another voter.
-func (m *member) leaveUnresponsiveVoter() {
+// switchVoter has the next request go to another voter.
+func (m *member) switchVoter() {
 	m.voterOffset++
 	if m.requestTarget == m.leader {
 		m.avoidedLeader = m.leader
