--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -123,7 +123,7 @@
 	settings lease.Settings
 	rng      *rand.Rand
 	now      time.Duration
-	queue    eventqueue.Agenda
+	queue    eventqueue.Queue
 	members  []*member
 	linkDown map[[2]int]bool // by sender and receiver
 	inFlight int
