--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -23,14 +23,14 @@
 		open:            true,
 	}
 	attempt.workUnits = attempt.expectedLatency / b.classes[0].meanLatency
-	reservations, startBy, mayDial, ok := b.ledger.Reserve(b.now, b.demandOf(request, backend))
+	reserved, ok := b.ledger.Reserve(b.now, b.demandOf(request, backend))
 	if !ok {
 		b.finish(request, NoLease)
 		return
 	}
-	attempt.reservations = reservations
-	attempt.reuseOnly = !mayDial
-	startBy = b.addAttempt(request, attempt, startBy)
+	attempt.reservations = reserved.Reservations
+	attempt.reuseOnly = !reserved.MayConnect
+	startBy := b.addAttempt(request, attempt, reserved.StartBy)
 	b.chargeCredit(attempt)
 	if !request.uploading {
 		b.beginWork(request, attempt)
@@ -87,7 +87,7 @@
 func (b *Balancer) closeAttempt(request *openRequest, attempt *openAttempt, e Outcome) {
 	attempt.open = false
 	request.notReplayable = request.notReplayable || e.NotReplayable
-	b.ledger.Release(b.now, attempt.reservations, e.Dialed)
+	b.ledger.Release(attempt.reservations, e.Dialed)
 	request.openCount--
 	b.endWork(attempt)
 	if !e.Result.NeverRan() {
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -70,10 +70,13 @@
 	if b.ledger.Empty() {
 		return true
 	}
-	limit := b.ledger.RefusedBy(b.now, b.demandOf(request, backend), !request.lackReported)
+	limit := b.ledger.RefusedBy(b.now, b.demandOf(request, backend))
 	if limit == nil {
 		return true
 	}
+	if !request.lackReported {
+		b.ledger.CountRejection(b.now, limit)
+	}
 	request.lackingLimit = limit
 	request.lackReported = true
 	return false
--- a/internal/peer/lease/client.go
+++ b/internal/peer/lease/client.go
@@ -212,7 +212,7 @@
 
 // RemoveAgent forgets an agent that has ended with nothing in flight. It returns requests that release its leases to
 // others at once; where these are lost, the leases expire.
-func (c *Client) RemoveAgent(_ time.Duration, id uint32) []OutgoingRequest {
+func (c *Client) RemoveAgent(id uint32) []OutgoingRequest {
 	a := c.agents[id]
 	if a == nil {
 		return nil
--- a/internal/peer/lease/client_test.go
+++ b/internal/peer/lease/client_test.go
@@ -61,7 +61,7 @@
 
 func TestRemovedAgentReleasesItsLeases(t *testing.T) {
 	h := newClientHarness(t)
-	requests := h.RemoveAgent(h.now, 1)
+	requests := h.RemoveAgent(1)
 	if len(requests) != 1 || requests[0].Request.Items[0].LastGrant != releasedGrants {
 		t.Errorf("requests %+v", requests)
 	}
--- a/internal/peer/lease/leasesim/requests.go
+++ b/internal/peer/lease/leasesim/requests.go
@@ -116,15 +116,15 @@
 		return nil, false
 	}
 	ledgers := m.ledgers
-	reservations := make([][]quota.Reservation, len(ledgers))
+	reserved := make([]quota.Reserved, len(ledgers))
 	for n, ledger := range ledgers {
-		if len(ledgers) == 1 || ledger.RefusedBy(now, demand, false) == nil {
-			reservations[n], _, _, _ = ledger.Reserve(now, demand)
+		if len(ledgers) == 1 || ledger.RefusedBy(now, demand) == nil {
+			reserved[n], _ = ledger.Reserve(now, demand)
 		}
 	}
 	return func() {
-		for n, r := range reservations {
-			ledgers[n].Release(m.clock(w.now), r, true)
+		for n, r := range reserved {
+			ledgers[n].Release(r.Reservations, true)
 		}
 	}, true
 }
@@ -133,7 +133,9 @@
 func (m *member) hasLease(now time.Duration, demand *quota.Demand) bool {
 	leased := 0
 	for _, ledger := range m.ledgers {
-		if ledger.RefusedBy(now, demand, true) == nil {
+		if limit := ledger.RefusedBy(now, demand); limit != nil {
+			ledger.CountRejection(now, limit)
+		} else {
 			leased++
 		}
 	}
--- a/internal/peer/transport/sharing.go
+++ b/internal/peer/transport/sharing.go
@@ -144,7 +144,7 @@
 	case held:
 		s.holder.ReportUsage(now, x.agent, x.all)
 	case gone: // also while another process has the sockets: what this one had is free for it
-		s.ask(s.holder.RemoveAgent(now, x.agent))
+		s.ask(s.holder.RemoveAgent(x.agent))
 	}
 }
 
