--- a/internal/peer/transport/agreeing.go
+++ b/internal/peer/transport/agreeing.go
@@ -65,7 +65,7 @@
 const MaxPolicyStreams = 16
 
 func newAgreeing(c *Transport) *agreeing {
-	g := &agreeing{c: c, a: c.o.PolicyDriver, members: -time.Hour, streams: make(chan struct{}, MaxPolicyStreams)}
+	g := &agreeing{c: c, a: c.options.PolicyDriver, members: -time.Hour, streams: make(chan struct{}, MaxPolicyStreams)}
 	if g.a != nil {
 		g.a.at.Store(c)
 	}
@@ -115,10 +115,10 @@
 	if now-g.members >= namesEvery {
 		g.members = now
 		var all []policy.MemberInfo
-		for _, r := range g.c.v.Members() {
+		for _, r := range g.c.view.Members() {
 			all = append(all, policy.MemberInfo{Name: r.Name, RunID: r.RunID, Departed: r.State == membership.Left})
 		}
-		events = append([]policy.Event{policy.MembersChanged{Members: all}, policy.NameOwnership{Exclusive: g.c.v.OwnsName()}}, events...)
+		events = append([]policy.Event{policy.MembersChanged{Members: all}, policy.NameOwnership{Exclusive: g.c.view.OwnsName()}}, events...)
 	}
 	for _, x := range g.a.node.Step(now, events...) {
 		switch x := x.(type) {
@@ -148,11 +148,11 @@
 }
 
 // PolicyDriver is this carrier's, for one that takes its place in this process.
-func (c *Transport) PolicyDriver() *PolicyDriver { return c.o.PolicyDriver }
+func (c *Transport) PolicyDriver() *PolicyDriver { return c.options.PolicyDriver }
 
 // note writes what it serves by, for drills.
 func (g *agreeing) note(s policy.Serving) {
-	e := event{What: "policy", State: "serves", Why: s.Blocked}
+	e := eventLine{Kind: "policy", State: "serves", Reason: s.Blocked}
 	switch {
 	case s.Blocked != "":
 		e.State = "holds"
@@ -169,7 +169,7 @@
 
 // PolicySize is how many bytes a message about the policy has on its way, UDP's and TCP's own apart.
 func PolicySize(fleet, from string, m *policy.Message) int {
-	data, err := enclose(policyForm, fleet, &policyPacket{From: from, Message: m})
+	data, err := encodeEnvelope(policyFormat, fleet, &policyPacket{From: from, Message: m})
 	if err != nil {
 		return 0
 	}
@@ -179,25 +179,25 @@
 // send sends a message where the view last knew its member to be: what is small as a datagram, the rest on a stream of
 // its own. What is lost comes again.
 func (g *agreeing) send(s policy.Send) {
-	p := &policyPacket{From: g.c.o.Membership.Name, Message: s.Message}
+	p := &policyPacket{From: g.c.options.Membership.Name, Message: s.Message}
 	if s.To == p.From { // it comes back as anybody's would
 		g.c.share(p)
 		return
 	}
-	to, err := netip.ParseAddrPort(g.c.v.Addr(s.To))
+	to, err := netip.ParseAddrPort(g.c.view.Addr(s.To))
 	if err != nil {
 		g.lost++
 		return
 	}
-	data, err := enclose(policyForm, g.c.o.Fleet, p)
-	if err != nil || len(data) > streamMost {
+	data, err := encodeEnvelope(policyFormat, g.c.options.Fleet, p)
+	if err != nil || len(data) > maxStreamBytes {
 		g.lost++
 		return
 	}
-	if !s.Message.Large() && len(data) <= datagram {
+	if !s.Message.Large() && len(data) <= maxDatagramBytes {
 		g.sent++
 		g.bytes += uint64(len(data))
-		_, _ = g.c.o.UDP.WriteToUDPAddrPort(data, to)
+		_, _ = g.c.options.UDP.WriteToUDPAddrPort(data, to)
 		return
 	}
 	select {
@@ -216,7 +216,7 @@
 
 // deliver puts one message on a stream, and waits until the other has taken it.
 func (c *Transport) deliver(to string, data []byte) error {
-	from := *c.o.TCP.Addr().(*net.TCPAddr)
+	from := *c.options.TCP.Addr().(*net.TCPAddr)
 	from.Port = 0
 	d := net.Dialer{Timeout: streamTime, LocalAddr: &from, KeepAlive: -1}
 	if from.IP.IsUnspecified() {
@@ -228,7 +228,7 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(streamTime))
-	if err := writeRaw(conn, data); err != nil {
+	if err := writeFrame(conn, data); err != nil {
 		return err
 	}
 	var one [1]byte
@@ -239,11 +239,11 @@
 // heardPolicy takes a message about the policy from a stream or a datagram.
 func (c *Transport) heardPolicy(data []byte) error {
 	p := &policyPacket{}
-	if err := openAs(policyForm, c.o.Fleet, data, p); err != nil {
+	if err := decodeEnvelope(policyFormat, c.options.Fleet, data, p); err != nil {
 		c.refuse(err)
 		return err
 	}
-	if p.From == "" || p.Message == nil || p.From == c.o.Membership.Name {
+	if p.From == "" || p.Message == nil || p.From == c.options.Membership.Name {
 		return ErrMalformed
 	}
 	c.share(p)
@@ -255,7 +255,7 @@
 
 // Policy has f run with the node on the loop, and does what comes of events that f returns.
 func (c *Transport) Policy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
-	if c.o.PolicyDriver == nil {
+	if c.options.PolicyDriver == nil {
 		return ErrNoPolicy
 	}
 	if !c.do(func() {
--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -25,13 +25,13 @@
 // A key that a reader does not know is skipped, so that a later version may add some: two versions live together.
 // What a later version must not be misread as changes the format. The checksum finds damage; it keeps nobody out.
 const (
-	magic      = "vh"
-	format     = 1
-	sharedForm = 2
-	policyForm = 3
-	envelope   = 8 // without the fleet's name
-	datagram   = 2048
-	streamMost = 10 << 20 // bytes of one message on a stream: view.Members records with each field at its longest are 9.5 MB
+	magic            = "vh"
+	membershipFormat = 1
+	sharedFormat     = 2
+	policyFormat     = 3
+	minEnvelopeBytes = 8 // without the fleet's name
+	maxDatagramBytes = 2048
+	maxStreamBytes   = 10 << 20 // bytes of one message on a stream: view.Members records with each field at its longest are 9.5 MB
 )
 
 // Why a message was not taken.
@@ -63,15 +63,17 @@
 	}()
 )
 
-// encode puts a message into an envelope.
-func encode(fleet string, message any) ([]byte, error) { return enclose(format, fleet, message) }
+// encodeMembership puts a message into an envelope.
+func encodeMembership(fleet string, message any) ([]byte, error) {
+	return encodeEnvelope(membershipFormat, fleet, message)
+}
 
-func enclose(form byte, fleet string, message any) ([]byte, error) {
+func encodeEnvelope(form byte, fleet string, message any) ([]byte, error) {
 	body, err := encoding.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encode: %w", err)
 	}
-	out := make([]byte, 0, envelope+len(fleet)+len(body))
+	out := make([]byte, 0, minEnvelopeBytes+len(fleet)+len(body))
 	out = append(out, magic...)
 	out = append(out, form, byte(len(fleet)))
 	out = append(out, fleet...)
@@ -80,23 +82,25 @@
 	return append(out, body...), nil
 }
 
-// decode opens an envelope. The error is one of those above.
-func decode(fleet string, data []byte, into any) error { return openAs(format, fleet, data, into) }
+// decodeMembership opens an envelope. The error is one of those above.
+func decodeMembership(fleet string, data []byte, into any) error {
+	return decodeEnvelope(membershipFormat, fleet, data, into)
+}
 
-// formOf is the format of what came, or 0.
-func formOf(data []byte) byte {
-	if len(data) < envelope || string(data[:2]) != magic {
+// formatOf is the format of what came, or 0.
+func formatOf(data []byte) byte {
+	if len(data) < minEnvelopeBytes || string(data[:2]) != magic {
 		return 0
 	}
 	return data[2]
 }
 
-func openAs(form byte, fleet string, data []byte, into any) error {
+func decodeEnvelope(form byte, fleet string, data []byte, into any) error {
 	switch {
-	case len(data) < envelope || string(data[:2]) != magic:
+	case len(data) < minEnvelopeBytes || string(data[:2]) != magic:
 		return ErrNotOurs
 	case data[2] != form:
-		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[2], format, policyForm)
+		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[2], membershipFormat, policyFormat)
 	}
 	head := 4 + int(data[3])
 	if len(data) < head+4 {
@@ -115,31 +119,31 @@
 	return nil
 }
 
-// writeFrame puts one message on a stream: its length in 4 bytes, big endian, and its envelope.
-func writeFrame(w io.Writer, fleet string, x *membership.Exchange) error {
-	data, err := encode(fleet, x)
+// writeExchange puts one message on a stream: its length in 4 bytes, big endian, and its envelope.
+func writeExchange(w io.Writer, fleet string, x *membership.Exchange) error {
+	data, err := encodeMembership(fleet, x)
 	if err != nil {
 		return err
 	}
-	if len(data) > streamMost {
+	if len(data) > maxStreamBytes {
 		return ErrTooLarge
 	}
-	return writeRaw(w, data)
+	return writeFrame(w, data)
 }
 
-// writeRaw puts an envelope on a stream.
-func writeRaw(w io.Writer, data []byte) error {
+// writeFrame puts an envelope on a stream.
+func writeFrame(w io.Writer, data []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...))
 	return err
 }
 
-func readFrame(r io.Reader, fleet string) (*membership.Exchange, error) {
+func readExchange(r io.Reader, fleet string) (*membership.Exchange, error) {
 	data, err := readRaw(r)
 	if err != nil {
 		return nil, err
 	}
 	x := &membership.Exchange{}
-	return x, decode(fleet, data, x)
+	return x, decodeMembership(fleet, data, x)
 }
 
 // readRaw reads an envelope from a stream.
@@ -149,7 +153,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(length[:])
-	if n > streamMost {
+	if n > maxStreamBytes {
 		return nil, ErrTooLarge
 	}
 	var data bytes.Buffer // grows with what comes, not with what is promised
--- a/internal/peer/transport/disk.go
+++ b/internal/peer/transport/disk.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	fileName    = "peers.view"
-	fileMagic   = "vetchhaven-peers"
-	fileVersion = 1
+	savedViewFile = "peers.view"
+	fileMagic     = "vetchhaven-peers"
+	fileVersion   = 1
 )
 
 var fileTable = crc64.MakeTable(crc64.ECMA)
@@ -77,7 +77,7 @@
 type disk struct{ *atomicfile.Writer }
 
 func newDisk(dir string, log *slog.Logger) *disk {
-	return &disk{atomicfile.NewWriter(dir, fileName, "view of the fleet", log)}
+	return &disk{atomicfile.NewWriter(dir, savedViewFile, "view of the fleet", log)}
 }
 
 // read is what was saved; nil where there is nothing, or nothing that can be believed, which is said.
@@ -85,7 +85,7 @@
 	if d.Dir == "" {
 		return nil
 	}
-	data, err := os.ReadFile(filepath.Join(d.Dir, fileName))
+	data, err := os.ReadFile(filepath.Join(d.Dir, savedViewFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
@@ -94,7 +94,7 @@
 		s, err = DecodeSaved(data)
 	}
 	if err != nil {
-		d.Log.Warn("the last view of the fleet is not used", "file", filepath.Join(d.Dir, fileName), "error", err)
+		d.Log.Warn("the last view of the fleet is not used", "file", filepath.Join(d.Dir, savedViewFile), "error", err)
 		return nil
 	}
 	return s
--- a/internal/peer/transport/events.go
+++ b/internal/peer/transport/events.go
@@ -12,45 +12,45 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// event is a line of the file of events, one JSON object each: what changed in this member's view, when by the
+// eventLine is a line of the file of events, one JSON object each: what changed in this member's view, when by the
 // machine's monotonic clock, which all its processes share, and by its wall clock.
-type event struct {
-	T    int64  `json:"t"`    // ns, CLOCK_MONOTONIC
-	Wall int64  `json:"wall"` // ms, Unix
-	By   string `json:"by"`
-	PID  int    `json:"pid"`
-	What string `json:"what"`
-
-	Of   string `json:"of,omitempty"`
-	Addr string `json:"addr,omitempty"`
-	Life string `json:"life,omitempty"`
-	Boot uint64 `json:"boot,omitempty"`
-	Inc  uint32 `json:"inc,omitempty"`
-
-	State string `json:"state,omitempty"`
-	Was   string `json:"was,omitempty"`
-	Why   string `json:"why,omitempty"`
-
-	Most    int  `json:"most,omitempty"`
-	Least   int  `json:"least,omitempty"`
-	Members int  `json:"members,omitempty"`
-	Live    int  `json:"live,omitempty"`
-	File    bool `json:"file,omitempty"`
-
-	StandBack bool   `json:"stand_back,omitempty"`
-	PauseMS   int64  `json:"pause_ms,omitempty"`
-	Health    int    `json:"health,omitempty"`
-	Asked     int    `json:"asked,omitempty"` // of a gap: lines that are missing
-	Server    string `json:"server,omitempty"`
-	ID        string `json:"id,omitempty"`     // of a change of policy
-	Number    uint64 `json:"number,omitempty"` // of a policy
+type eventLine struct {
+	MonotonicNanos int64  `json:"t"`    // ns, CLOCK_MONOTONIC
+	WallMS         int64  `json:"wall"` // ms, Unix
+	Member         string `json:"by"`
+	PID            int    `json:"pid"`
+	Kind           string `json:"what"`
+
+	Subject     string `json:"of,omitempty"`
+	Addr        string `json:"addr,omitempty"`
+	RunID       string `json:"life,omitempty"`
+	Boot        uint64 `json:"boot,omitempty"`
+	Incarnation uint32 `json:"inc,omitempty"`
+
+	State    string `json:"state,omitempty"`
+	Previous string `json:"was,omitempty"`
+	Reason   string `json:"why,omitempty"`
+
+	MaxBalancers int  `json:"most,omitempty"`
+	MinBalancers int  `json:"least,omitempty"`
+	Members      int  `json:"members,omitempty"`
+	Live         int  `json:"live,omitempty"`
+	FromFile     bool `json:"file,omitempty"`
+
+	Yielded      bool   `json:"stand_back,omitempty"`
+	PauseMS      int64  `json:"pause_ms,omitempty"`
+	Health       int    `json:"health,omitempty"`
+	MissingLines int    `json:"asked,omitempty"` // of a gap: lines that are missing
+	Server       string `json:"server,omitempty"`
+	ID           string `json:"id,omitempty"`     // of a change of policy
+	Number       uint64 `json:"number,omitempty"` // of a policy
 }
 
 // events writes lines in a goroutine of its own. Where it can't keep up, lines are left out, and that is written.
 type events struct {
 	by    string
 	pid   int
-	lines chan event
+	lines chan eventLine
 	lost  int
 	end   chan struct{}
 }
@@ -61,7 +61,7 @@
 	if w == nil {
 		return nil
 	}
-	e := &events{by: by, pid: pid, lines: make(chan event, eventsWaiting), end: make(chan struct{})}
+	e := &events{by: by, pid: pid, lines: make(chan eventLine, eventsWaiting), end: make(chan struct{})}
 	go func() {
 		defer close(e.end)
 		out := bufio.NewWriter(w)
@@ -84,13 +84,13 @@
 	return t.Nano()
 }
 
-func (e *events) put(l event) {
+func (e *events) put(l eventLine) {
 	if e == nil {
 		return
 	}
-	l.T, l.Wall, l.By, l.PID = MonotonicNanos(), time.Now().UnixMilli(), e.by, e.pid
+	l.MonotonicNanos, l.WallMS, l.Member, l.PID = MonotonicNanos(), time.Now().UnixMilli(), e.by, e.pid
 	if e.lost > 0 {
-		gap := event{T: l.T, Wall: l.Wall, By: l.By, PID: l.PID, What: "gap", Asked: e.lost}
+		gap := eventLine{MonotonicNanos: l.MonotonicNanos, WallMS: l.WallMS, Member: l.Member, PID: l.PID, Kind: "gap", MissingLines: e.lost}
 		select {
 		case e.lines <- gap:
 			e.lost = 0
@@ -118,17 +118,17 @@
 	switch a := a.(type) {
 	case membership.MemberChanged:
 		r := &a.Record
-		l := event{What: "member", Of: r.Name, Addr: r.Addr, Life: hex(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
+		l := eventLine{Kind: "member", Subject: r.Name, Addr: r.Addr, RunID: hex(r.RunID), Boot: r.Boot, Incarnation: r.Incarnation, State: r.State.String(), Reason: a.Reason}
 		if !a.FirstSeen {
-			l.Was = a.Previous.String()
+			l.Previous = a.Previous.String()
 		}
 		e.put(l)
 	case membership.SizeChanged:
 		c := a.Size
-		e.put(event{What: "count", Most: c.MaxBalancers, Least: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile})
+		e.put(eventLine{Kind: "count", MaxBalancers: c.MaxBalancers, MinBalancers: c.MinBalancers, Members: c.Members, Live: c.Live, FromFile: c.FromFile})
 	case membership.NameConflict:
-		e.put(event{What: "contested", Addr: a.Other.Addr, Life: hex(a.Other.RunID), StandBack: a.Yield, Why: a.Reason})
+		e.put(eventLine{Kind: "contested", Addr: a.Other.Addr, RunID: hex(a.Other.RunID), Yielded: a.Yield, Reason: a.Reason})
 	case membership.SelfSuspected:
-		e.put(event{What: "doubt", PauseMS: a.Pause.Milliseconds(), Health: a.Health})
+		e.put(eventLine{Kind: "doubt", PauseMS: a.Pause.Milliseconds(), Health: a.Health})
 	}
 }
--- a/internal/peer/transport/golden_test.go
+++ b/internal/peer/transport/golden_test.go
@@ -14,26 +14,30 @@
 const goldenFleet = "census"
 
 // A datagram of each form is read and written as earlier builds do.
-func TestDatagramsStayAsEarlierBuildsWriteThem(t *testing.T) {
+func TestDatagramsAreEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[membership.Message]{Name: "view-message.bin",
-		Encode: func(m membership.Message) ([]byte, error) { return encode(goldenFleet, &m) },
-		Decode: func(data []byte) (m membership.Message, err error) { return m, decode(goldenFleet, data, &m) },
+		Encode: func(m membership.Message) ([]byte, error) { return encodeMembership(goldenFleet, &m) },
+		Decode: func(data []byte) (m membership.Message, err error) { return m, decodeMembership(goldenFleet, data, &m) },
 	}.Check(t)
-	shared := func(name string) golden.Codec[packet] {
-		return golden.Codec[packet]{Name: name,
-			Encode: func(p packet) ([]byte, error) { return enclose(sharedForm, goldenFleet, &p) },
-			Decode: func(data []byte) (p packet, err error) { return p, openAs(sharedForm, goldenFleet, data, &p) },
+	shared := func(name string) golden.Codec[sharedPacket] {
+		return golden.Codec[sharedPacket]{Name: name,
+			Encode: func(p sharedPacket) ([]byte, error) { return encodeEnvelope(sharedFormat, goldenFleet, &p) },
+			Decode: func(data []byte) (p sharedPacket, err error) {
+				return p, decodeEnvelope(sharedFormat, goldenFleet, data, &p)
+			},
 		}
 	}
 	shared("shared-packet.bin").Check(t)
 	golden.Codec[policyPacket]{Name: "policy-packet.bin",
-		Encode: func(p policyPacket) ([]byte, error) { return enclose(policyForm, goldenFleet, &p) },
-		Decode: func(data []byte) (p policyPacket, err error) { return p, openAs(policyForm, goldenFleet, data, &p) },
+		Encode: func(p policyPacket) ([]byte, error) { return encodeEnvelope(policyFormat, goldenFleet, &p) },
+		Decode: func(data []byte) (p policyPacket, err error) {
+			return p, decodeEnvelope(policyFormat, goldenFleet, data, &p)
+		},
 	}.Check(t)
 }
 
 // Wire writes each kind of message as a member sends it.
-func TestKindsOfMessagesStayAsEarlierBuildsWriteThem(t *testing.T) {
+func TestMessageKindsAreEncodedAsByEarlierBuilds(t *testing.T) {
 	wire := Wire{Fleet: goldenFleet}
 	for name, message := range map[string]any{
 		"wire-message.bin":  &membership.Message{},
@@ -60,15 +64,15 @@
 }
 
 // A message on a stream has its length before it.
-func TestStreamMessagesStayAsEarlierBuildsWriteThem(t *testing.T) {
+func TestStreamMessagesAreEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[membership.Exchange]{Name: "exchange.bin",
 		Encode: func(x membership.Exchange) ([]byte, error) {
 			var out bytes.Buffer
-			err := writeFrame(&out, goldenFleet, &x)
+			err := writeExchange(&out, goldenFleet, &x)
 			return out.Bytes(), err
 		},
 		Decode: func(data []byte) (membership.Exchange, error) {
-			x, err := readFrame(bytes.NewReader(data), goldenFleet)
+			x, err := readExchange(bytes.NewReader(data), goldenFleet)
 			if err != nil {
 				return membership.Exchange{}, err
 			}
@@ -78,7 +82,7 @@
 }
 
 // peers.view, with all that a process leaves for its successor: leases and the policy's state as well.
-func TestSavedViewStaysAsEarlierBuildsWriteIt(t *testing.T) {
+func TestSavedViewIsEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[Saved]{Name: "peers.view",
 		Encode: func(s Saved) ([]byte, error) { return EncodeSaved(&s) },
 		Decode: func(data []byte) (Saved, error) {
@@ -92,11 +96,11 @@
 }
 
 // What the admin endpoint shows of peers, and the lines of the event file.
-func TestShownPeersKeepTheirKeys(t *testing.T) {
+func TestStatusAndEventLinesKeepTheirKeys(t *testing.T) {
 	checkJSON[MembershipStatus](t, "shown-view.json")
 	checkJSON[LimitsStatus](t, "shown-limits.json")
 	checkJSON[EjectionStatus](t, "shown-outliers.json")
-	checkJSON[event](t, "event-line.json")
+	checkJSON[eventLine](t, "event-line.json")
 }
 
 func checkJSON[T any](t *testing.T, name string) {
--- a/internal/peer/transport/judging.go
+++ b/internal/peer/transport/judging.go
@@ -33,16 +33,16 @@
 
 func newJudging(c *Transport) (*judging, error) {
 	j := &judging{c: c, names: -time.Hour, lists: map[string]bool{}}
-	if c.o.Ejection == nil {
+	if c.options.Ejection == nil {
 		return j, nil
 	}
-	s := *c.o.Ejection
-	s.Name, s.RunID = c.o.Membership.Name, rand.Uint64()|1
+	s := *c.options.Ejection
+	s.Name, s.RunID = c.options.Membership.Name, rand.Uint64()|1
 	var err error
 	if j.m, err = ejection.New(s, rand.Uint64()); err != nil {
 		return nil, err
 	}
-	if before := c.o.Previous; before != nil && before.judging.m != nil { // lists and evidence go on
+	if before := c.options.Previous; before != nil && before.judging.m != nil { // lists and evidence go on
 		j.m, j.lists, j.note, j.untold = before.judging.m, before.judging.lists, before.judging.note, true
 	}
 	return j, nil
@@ -64,11 +64,11 @@
 // take takes what came from the daemon or from another member. It reports whether that was about verdicts.
 func (j *judging) take(now time.Duration, x any) bool {
 	switch x := x.(type) {
-	case *packet:
-		if x.Verdicts == nil {
+	case *sharedPacket:
+		if x.Ejection == nil {
 			return false
 		}
-		j.step(now, ejection.Received{From: x.From, Message: x.Verdicts})
+		j.step(now, ejection.Received{From: x.From, Message: x.Ejection})
 	case ejection.Event:
 		j.step(now, x)
 	default:
@@ -83,7 +83,7 @@
 	}
 	if now-j.names >= namesRest || j.stale && now-j.names >= namesEvery {
 		j.names, j.stale = now, false
-		events = append([]ejection.Event{membersOf(j.c.v.Members())}, events...)
+		events = append([]ejection.Event{membersChanged(j.c.view.Members())}, events...)
 	}
 	for _, e := range events {
 		if l, ok := e.(ejection.ListUpdated); ok && !j.lists[l.Source] {
@@ -96,10 +96,10 @@
 		switch a := a.(type) {
 		case ejection.Send:
 			j.sent++
-			j.c.sharing.send(a.To, &packet{Verdicts: a.Message})
+			j.c.sharing.send(a.To, &sharedPacket{Ejection: a.Message})
 		case ejection.EjectionsChanged:
 			j.write(a.Ejections)
-			j.c.o.EjectionsChanged(a.Ejections, j.c.base)
+			j.c.options.EjectionsChanged(a.Ejections, j.c.base)
 		case ejection.Log:
 			j.c.log.Info("fleet: " + a.Text)
 		}
@@ -109,8 +109,8 @@
 // lostFor is how long the place of a member that is not heard any more counts: longer than a cut lasts that is mended.
 const lostFor = time.Hour
 
-// membersOf are those that are alive, as far as is known, with what their records tell.
-func membersOf(all []membership.Record) ejection.MembersChanged {
+// membersChanged are those that are alive, as far as is known, with what their records tell.
+func membersChanged(all []membership.Record) ejection.MembersChanged {
 	var e ejection.MembersChanged
 	for _, r := range all {
 		p := ejection.Peer{Region: r.Region, Zone: r.Zone, Subscriptions: r.Metadata}
@@ -136,12 +136,12 @@
 	}
 	for _, server := range slices.Sorted(maps.Keys(now)) {
 		if j.told[server] != now[server] {
-			j.c.events.put(event{What: "verdict", Server: server, State: now[server]})
+			j.c.events.put(eventLine{Kind: "verdict", Server: server, State: now[server]})
 		}
 	}
 	for _, server := range slices.Sorted(maps.Keys(j.told)) {
 		if now[server] == "" {
-			j.c.events.put(event{What: "verdict", Server: server, State: "free"})
+			j.c.events.put(eventLine{Kind: "verdict", Server: server, State: "free"})
 		}
 	}
 	j.told = now
@@ -165,11 +165,11 @@
 
 // EjectionStatus is what this member holds of servers. ok is false where nothing is shared, or the loop does not answer.
 func (c *Transport) EjectionStatus() (s EjectionStatus, ok bool) {
-	if c.o.Ejection == nil {
+	if c.options.Ejection == nil {
 		return s, false
 	}
 	ok = c.do(func() {
-		s = EjectionStatus{Name: c.o.Membership.Name, Servers: c.judging.m.Status(), Counts: c.judging.m.Counters(), Packets: c.judging.sent}
+		s = EjectionStatus{Name: c.options.Membership.Name, Servers: c.judging.m.Status(), Counts: c.judging.m.Counters(), Packets: c.judging.sent}
 	})
 	return s, ok
 }
--- a/internal/peer/transport/judging_test.go
+++ b/internal/peer/transport/judging_test.go
@@ -9,21 +9,21 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-func judges(o *Options) {
+func withEjection(o *Options) {
 	o.Ejection, o.EjectionsChanged = &ejection.Settings{}, func([]ejection.Ejection, time.Time) {}
 }
 
 // What a daemon tells of its instances later leaves its lists as they are.
-func TestMembersTellWhichListsTheyRead(t *testing.T) {
-	a := start(t, "a", "", "", nil, judges)
-	b := start(t, "b", "", "", []string{a.addr}, judges)
-	a.await(t, "b", "alive")
+func TestMembersAnnounceTheirSubscriptions(t *testing.T) {
+	a := startMember(t, "a", "", "", nil, withEjection)
+	b := startMember(t, "b", "", "", []string{a.addr}, withEjection)
+	a.awaitState(t, "b", "alive")
 	want := func(of string, lists ...string) {
 		t.Helper()
 		var got ejection.SubscriptionFilter
-		for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+		for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 			b.do(func() {
-				for _, p := range b.v.Members() {
+				for _, p := range b.view.Members() {
 					if p.Name == of {
 						got = p.Metadata
 					}
@@ -40,10 +40,10 @@
 	a.ListUpdated(ejection.ListUpdated{Source: "other"})
 	want("a", "main", "other")
 	a.SetLocalInfo(membership.LocalInfo{Instances: 3, Balancers: 3})
-	for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		instances := uint32(0)
 		b.do(func() {
-			for _, p := range b.v.Members() {
+			for _, p := range b.view.Members() {
 				if p.Name == "a" {
 					instances = p.Instances
 				}
@@ -58,24 +58,24 @@
 	}
 	want("a", "main", "other")
 	var peers []ejection.Peer
-	b.do(func() { peers = membersOf(b.v.Members()).Peers })
+	b.do(func() { peers = membersChanged(b.view.Members()).Peers })
 	if len(peers) != 2 || !peers[0].Subscriptions.MayInclude("other") || peers[0].Subscriptions.MayInclude("none") || !peers[1].Subscriptions.MayInclude("none") {
 		t.Errorf("%+v", peers)
 	}
 }
 
-// firstMessage is a message as the version before knew it.
-type firstMessage struct {
+// firstFormatMessage is a message as the version before knew it.
+type firstFormatMessage struct {
 	Ask    uint64                 `cbor:"1,keyasint,omitempty"`
 	Answer uint64                 `cbor:"2,keyasint,omitempty"`
 	Poke   bool                   `cbor:"3,keyasint,omitempty"`
-	Items  []firstItem            `cbor:"4,keyasint,omitempty"`
+	Items  []firstFormatEvidence  `cbor:"4,keyasint,omitempty"`
 	Drains []ejection.Drain       `cbor:"5,keyasint,omitempty"`
 	More   int                    `cbor:"6,keyasint,omitempty"`
 	About  []ejection.Incarnation `cbor:"7,keyasint,omitempty"`
 }
 
-type firstItem struct {
+type firstFormatEvidence struct {
 	Server string  `cbor:"1,keyasint,omitempty"`
 	Start  int64   `cbor:"2,keyasint,omitempty"`
 	Origin string  `cbor:"3,keyasint,omitempty"`
@@ -84,27 +84,27 @@
 	Bad    float32 `cbor:"7,keyasint,omitempty"`
 }
 
-type firstPacket struct {
-	From     string        `cbor:"1,keyasint,omitempty"`
-	Verdicts *firstMessage `cbor:"4,keyasint,omitempty"`
+type firstFormatPacket struct {
+	From     string              `cbor:"1,keyasint,omitempty"`
+	Verdicts *firstFormatMessage `cbor:"4,keyasint,omitempty"`
 }
 
 // Both forms of messages stand in one envelope, and each reads of the other's what it knows.
-func TestFormsOfVerdictsReadOneAnother(t *testing.T) {
+func TestEjectionMessageFormatsReadOneAnother(t *testing.T) {
 	w := Wire{Fleet: "f"}
 	about := []ejection.Incarnation{{Server: "main/s1", StartedMS: 3}}
 	data, err := w.Marshal("a", &ejection.Message{PollNumber: 5, Notify: true, OwnOnly: true, FormatVersion: 2, About: about, Evidence: []ejection.Evidence{{Server: "main/s1", Origin: "c", Failed: 2, BaselineFailureRate: 0.4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := &firstPacket{}
-	if err := openAs(sharedForm, "f", data, old); err != nil {
+	old := &firstFormatPacket{}
+	if err := decodeEnvelope(sharedFormat, "f", data, old); err != nil {
 		t.Fatal(err)
 	}
-	if want := (&firstMessage{Ask: 5, Poke: true, About: about, Items: []firstItem{{Server: "main/s1", Origin: "c", Bad: 2}}}); old.From != "a" || !reflect.DeepEqual(old.Verdicts, want) {
+	if want := (&firstFormatMessage{Ask: 5, Poke: true, About: about, Items: []firstFormatEvidence{{Server: "main/s1", Origin: "c", Bad: 2}}}); old.From != "a" || !reflect.DeepEqual(old.Verdicts, want) {
 		t.Errorf("the version before reads %+v", old.Verdicts)
 	}
-	if data, err = enclose(sharedForm, "f", &firstPacket{From: "b", Verdicts: &firstMessage{Answer: 6, More: 1, Items: []firstItem{{Server: "main/s2", Bad: 1}}}}); err != nil {
+	if data, err = encodeEnvelope(sharedFormat, "f", &firstFormatPacket{From: "b", Verdicts: &firstFormatMessage{Answer: 6, More: 1, Items: []firstFormatEvidence{{Server: "main/s2", Bad: 1}}}}); err != nil {
 		t.Fatal(err)
 	}
 	back, err := w.Unmarshal(data)
--- a/internal/peer/transport/sharing.go
+++ b/internal/peer/transport/sharing.go
@@ -12,13 +12,13 @@
 	"vetchhaven/internal/peer/lease"
 )
 
-// packet is a datagram of what members share, besides the view.
-type packet struct {
-	From  string         `cbor:"1,keyasint,omitempty"`
-	Ask   *lease.Request `cbor:"2,keyasint,omitempty"`
-	Grant *lease.Grant   `cbor:"3,keyasint,omitempty"`
+// sharedPacket is a datagram of what members share, besides the view.
+type sharedPacket struct {
+	From    string         `cbor:"1,keyasint,omitempty"`
+	Request *lease.Request `cbor:"2,keyasint,omitempty"`
+	Grant   *lease.Grant   `cbor:"3,keyasint,omitempty"`
 
-	Verdicts *ejection.Message `cbor:"4,keyasint,omitempty"`
+	Ejection *ejection.Message `cbor:"4,keyasint,omitempty"`
 }
 
 // What the daemon tells of its agents.
@@ -45,22 +45,22 @@
 const keeperTick = 250 * time.Millisecond
 
 func newSharing(c *Transport, saved *Saved) (*sharing, error) {
-	s := &sharing{c: c, s: c.o.Leases}
+	s := &sharing{c: c, s: c.options.Leases}
 	if s.s == nil {
 		return s, nil
 	}
 	before := &sharing{}
-	if c.o.Previous != nil {
-		before = c.o.Previous.sharing
+	if c.options.Previous != nil {
+		before = c.options.Previous.sharing
 	}
 	var err error
 	if before.holder != nil && before.holder.ApplySettings(*s.s) {
 		s.holder = before.holder
-	} else if s.holder, err = lease.NewClient(*s.s, c.o.Membership.Name, rand.Uint64()|1); err != nil {
+	} else if s.holder, err = lease.NewClient(*s.s, c.options.Membership.Name, rand.Uint64()|1); err != nil {
 		return nil, err
 	}
-	if slices.Contains(s.s.Servers, c.o.Membership.Name) {
-		if s.keeper, err = lease.NewServer(*s.s, c.o.Membership.Name, c.o.Membership.RunID); err != nil {
+	if slices.Contains(s.s.Servers, c.options.Membership.Name) {
+		if s.keeper, err = lease.NewServer(*s.s, c.options.Membership.Name, c.options.Membership.RunID); err != nil {
 			return nil, err
 		}
 		switch {
@@ -94,7 +94,7 @@
 }
 
 func (s *sharing) due(now time.Duration) {
-	if s.keeper != nil && !s.c.v.Yields() {
+	if s.keeper != nil && !s.c.view.Yields() {
 		s.keeper.Tick(now)
 	}
 	if s.holder != nil && now >= s.holder.Next() {
@@ -105,30 +105,30 @@
 // ask sends questions to keepers.
 func (s *sharing) ask(all []lease.OutgoingRequest) {
 	for _, r := range all {
-		s.send(s.s.Servers[r.Server], &packet{Ask: r.Request})
+		s.send(s.s.Servers[r.Server], &sharedPacket{Request: r.Request})
 	}
 }
 
 // send sends a packet to a member, wherever the view last knew it to be.
-func (s *sharing) send(to string, p *packet) {
-	p.From = s.c.o.Membership.Name
+func (s *sharing) send(to string, p *sharedPacket) {
+	p.From = s.c.options.Membership.Name
 	if to == p.From && !s.c.frozen.Load() {
 		s.took(s.c.now(), p)
 		return
 	}
-	addr, err := netip.ParseAddrPort(s.c.v.Addr(to))
+	addr, err := netip.ParseAddrPort(s.c.view.Addr(to))
 	if err != nil {
 		return
 	}
-	data, err := enclose(sharedForm, s.c.o.Fleet, p)
-	if err != nil || len(data) > datagram {
+	data, err := encodeEnvelope(sharedFormat, s.c.options.Fleet, p)
+	if err != nil || len(data) > maxDatagramBytes {
 		return
 	}
 	s.sent++
 	s.bytes += uint64(len(data))
 	s.c.datagrams.Add(1)
 	s.c.written.Add(uint64(len(data)))
-	_, _ = s.c.o.UDP.WriteToUDPAddrPort(data, addr) // what is lost is asked for again
+	_, _ = s.c.options.UDP.WriteToUDPAddrPort(data, addr) // what is lost is asked for again
 }
 
 // take takes what came from the daemon or from another member.
@@ -137,7 +137,7 @@
 		return // the file limits nothing
 	}
 	switch x := x.(type) {
-	case *packet:
+	case *sharedPacket:
 		s.took(now, x)
 	case joined:
 		s.holder.AddAgent(now, x.agent)
@@ -148,18 +148,18 @@
 	}
 }
 
-func (s *sharing) took(now time.Duration, p *packet) {
+func (s *sharing) took(now time.Duration, p *sharedPacket) {
 	if s.c.frozen.Load() {
 		return // the process that follows has what was lent
 	}
-	if p.Ask != nil && s.keeper != nil && !s.c.v.Yields() && p.Ask.From == p.From {
-		if g := s.keeper.HandleRequest(now, p.Ask); g != nil {
-			s.send(p.From, &packet{Grant: g})
+	if p.Request != nil && s.keeper != nil && !s.c.view.Yields() && p.Request.From == p.From {
+		if g := s.keeper.HandleRequest(now, p.Request); g != nil {
+			s.send(p.From, &sharedPacket{Grant: g})
 		}
 	}
 	if p.Grant != nil && p.Grant.From == p.From {
 		for _, g := range s.holder.HandleGrant(now, slices.Index(s.s.Servers, p.From), p.Grant) {
-			s.c.o.LeasesGranted(g.Agent, g.Leases, s.c.base)
+			s.c.options.LeasesGranted(g.Agent, g.Leases, s.c.base)
 		}
 	}
 }
@@ -222,13 +222,13 @@
 
 // LimitsStatus is how the limits stand. ok is false where there are none, or the loop does not answer.
 func (c *Transport) LimitsStatus() (s LimitsStatus, ok bool) {
-	if c.o.Leases == nil {
+	if c.options.Leases == nil {
 		return s, false
 	}
 	ok = c.do(func() {
 		now := c.now()
 		h := c.sharing
-		s = LimitsStatus{Name: c.o.Membership.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), MaxBalancers: c.v.Size().MaxBalancers}
+		s = LimitsStatus{Name: c.options.Membership.Name, Bytes: h.bytes, Packets: h.sent, Agents: len(h.holder.Agents()), MaxBalancers: c.view.Size().MaxBalancers}
 		for _, x := range h.holder.Status(now) {
 			one := LeasedLimitStatus{Limit: x.Limit, Key: x.Key, Used: x.Used, Rejected: x.Rejected}
 			for _, r := range x.Leases {
--- a/internal/peer/transport/show.go
+++ b/internal/peer/transport/show.go
@@ -91,9 +91,9 @@
 // MembershipStatus is how the view stands. ok is false where the loop does not answer.
 func (c *Transport) MembershipStatus() (s MembershipStatus, ok bool) {
 	ok = c.do(func() {
-		v := c.v
+		v := c.view
 		own, t, up := v.Local(), v.Traffic(), max(v.Uptime().Seconds(), 1e-3)
-		s = MembershipStatus{Fleet: c.o.Fleet, Name: own.Name, Addr: own.Addr, Boot: own.Boot, RunID: hex(own.RunID), State: "in", Digest: hex(v.Digest()), Health: v.Health(), UpS: up}
+		s = MembershipStatus{Fleet: c.options.Fleet, Name: own.Name, Addr: own.Addr, Boot: own.Boot, RunID: hex(own.RunID), State: "in", Digest: hex(v.Digest()), Health: v.Health(), UpS: up}
 		switch {
 		case v.Yields():
 			s.State = "standing back"
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -51,12 +51,12 @@
 
 // Transport is one member of a fleet, on its sockets.
 type Transport struct {
-	o      Options
-	log    *slog.Logger
-	v      *membership.View
-	base   time.Time
-	events *events
-	disk   *disk
+	options Options
+	log     *slog.Logger
+	view    *membership.View
+	base    time.Time
+	events  *events
+	disk    *disk
 
 	inbox    chan input
 	calls    chan func()
@@ -81,9 +81,9 @@
 
 // input is an event, and where the answer to an Asked goes.
 type input struct {
-	event  membership.Event
-	reply  chan *membership.Exchange
-	shared any // in place of an event: what concerns limits
+	viewEvent membership.Event
+	reply     chan *membership.Exchange
+	shared    any // in place of an event: what concerns limits
 }
 
 const (
@@ -99,11 +99,11 @@
 	if !membership.ValidFleet(o.Fleet) {
 		return nil, fmt.Errorf("fleet %q: 1 to 32 printable characters without spaces are allowed", o.Fleet)
 	}
-	c := &Transport{o: o, log: o.Log, base: time.Now(), inbox: make(chan input, inboxMost), calls: make(chan func(), 16), done: make(chan struct{}),
+	c := &Transport{options: o, log: o.Log, base: time.Now(), inbox: make(chan input, inboxMost), calls: make(chan func(), 16), done: make(chan struct{}),
 		streams: make(chan struct{}, streamsMost), replies: map[uint64]chan *membership.Exchange{}, opened: map[uint64]chan *membership.Exchange{},
 		left: make(chan struct{}), thaw: make(chan struct{}), failed: make(chan error, 1)}
 	c.disk = newDisk(o.Dir, o.Log)
-	s := &c.o.Membership
+	s := &c.options.Membership
 	saved := o.Saved
 	if saved != nil && saved.TakesOver {
 		s.TakesOver, s.Boot, s.RunID, s.Incarnation, s.DatagramNumber, s.Uptime = true, saved.Boot, saved.RunID, saved.Incarnation+1, saved.DatagramNumber, time.Duration(saved.UptimeMS)*time.Millisecond
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.v, c.self = v, membership.LocalInfo{Instances: s.Instances, Balancers: s.Balancers}
+	c.view, c.self = v, membership.LocalInfo{Instances: s.Instances, Balancers: s.Balancers}
 	if o.Previous != nil {
 		c.base = o.Previous.base // what it holds is by that clock
 	}
@@ -132,8 +132,8 @@
 	if c.judging, err = newJudging(c); err != nil {
 		return nil, err
 	}
-	if c.o.PolicyDriver == nil && o.NewPolicyDriver != nil {
-		c.o.PolicyDriver = o.NewPolicyDriver(s.RunID)
+	if c.options.PolicyDriver == nil && o.NewPolicyDriver != nil {
+		c.options.PolicyDriver = o.NewPolicyDriver(s.RunID)
 	}
 	c.agreeing = newAgreeing(c)
 	c.events = newEvents(o.Events, s.Name, os.Getpid())
@@ -153,8 +153,8 @@
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 		cancel()
-		_ = c.o.UDP.Close()
-		_ = c.o.TCP.Close()
+		_ = c.options.UDP.Close()
+		_ = c.options.TCP.Close()
 		close(c.done)
 		close(stopped)
 		others.Wait()
@@ -163,8 +163,8 @@
 	others.Go(func() { c.disk.Run(stopped) })
 	c.save(true)
 	c.awaitBoot()
-	own := c.v.Local()
-	c.events.put(event{What: "start", Life: hex(own.RunID), Boot: own.Boot, Inc: own.Incarnation})
+	own := c.view.Local()
+	c.events.put(eventLine{Kind: "start", RunID: hex(own.RunID), Boot: own.Boot, Incarnation: own.Incarnation})
 	c.beside(&others, func() { c.hear(stop) })
 	c.beside(&others, func() { c.accept(stop, &others) })
 	timer := time.NewTimer(0)
@@ -193,13 +193,13 @@
 			continue
 		}
 		if c.judging.untold {
-			batch = append(batch, c.take(input{event: c.self}))
+			batch = append(batch, c.take(input{viewEvent: c.self}))
 		}
 		c.step(stop, &others, batch...)
 		c.sharing.due(c.now())
 		c.judging.due(c.now())
 		c.agreeing.due(c.now())
-		timer.Reset(max(0, min(c.v.Next(), c.sharing.next(), c.judging.next(), c.agreeing.next())-c.now()))
+		timer.Reset(max(0, min(c.view.Next(), c.sharing.next(), c.judging.next(), c.agreeing.next())-c.now()))
 	}
 }
 
@@ -231,7 +231,7 @@
 
 // awaitBoot waits a little for the boot to be on the disk.
 func (c *Transport) awaitBoot() {
-	if c.o.Dir == "" || c.o.Membership.TakesOver {
+	if c.options.Dir == "" || c.options.Membership.TakesOver {
 		return
 	}
 	for limit := time.Now().Add(bootWithin); time.Now().Before(limit); time.Sleep(2 * time.Millisecond) {
@@ -243,7 +243,7 @@
 }
 
 func (c *Transport) take(i input) membership.Event {
-	switch e := i.event.(type) {
+	switch e := i.viewEvent.(type) {
 	case membership.ExchangeRequest:
 		c.next++
 		e.Stream = c.next
@@ -256,20 +256,20 @@
 		c.self, c.judging.untold = e, false
 		return e
 	}
-	return i.event
+	return i.viewEvent
 }
 
 // step steps the view, and does what it wants done.
 func (c *Transport) step(ctx context.Context, others *sync.WaitGroup, batch ...membership.Event) {
-	if c.o.Inject != nil {
-		c.o.Inject()
+	if c.options.Inject != nil {
+		c.options.Inject()
 	}
 	for _, e := range batch {
 		if _, ok := e.(membership.Leave); ok { // before the view says so to others: what they write of it is later
-			c.events.put(event{What: "leave"})
+			c.events.put(eventLine{Kind: "leave"})
 		}
 	}
-	for _, a := range c.v.Step(c.now(), batch...) {
+	for _, a := range c.view.Step(c.now(), batch...) {
 		switch a := a.(type) {
 		case membership.Send:
 			c.send(a)
@@ -291,8 +291,8 @@
 			c.save(a.BootOnly)
 		case membership.SizeChanged:
 			c.events.did(a)
-			if c.o.SizeChanged != nil {
-				c.o.SizeChanged(a.Size)
+			if c.options.SizeChanged != nil {
+				c.options.SizeChanged(a.Size)
 			}
 		default:
 			c.judging.stale = true
@@ -306,7 +306,7 @@
 			delete(c.opened, e.ID)
 		}
 	}
-	if c.v.HasLeft() {
+	if c.view.HasLeft() {
 		select {
 		case <-c.left:
 		default:
@@ -340,9 +340,9 @@
 		}
 	case membership.NameConflict:
 		if a.Yield {
-			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.o.Membership.Name, "other", a.Other.Addr, "why", a.Reason)
+			c.log.Error("fleet: another process has this name; this one stands back, and serves on without the fleet", "name", c.options.Membership.Name, "other", a.Other.Addr, "why", a.Reason)
 		} else {
-			c.log.Warn("fleet: another process had this name, and lost it", "name", c.o.Membership.Name, "other", a.Other.Addr, "why", a.Reason)
+			c.log.Warn("fleet: another process had this name, and lost it", "name", c.options.Membership.Name, "other", a.Other.Addr, "why", a.Reason)
 		}
 	case membership.SelfSuspected:
 		c.log.Warn("fleet: this process was paused or starved", "for", a.Pause.Round(time.Millisecond), "health", a.Health)
@@ -354,13 +354,13 @@
 	if err != nil {
 		return
 	}
-	data, err := encode(c.o.Fleet, s.Message)
+	data, err := encodeMembership(c.options.Fleet, s.Message)
 	if err != nil {
 		return
 	}
 	c.datagrams.Add(1)
 	c.written.Add(uint64(len(data)))
-	_, _ = c.o.UDP.WriteToUDPAddrPort(data, to) // what is lost is lost: the protocol is made for it
+	_, _ = c.options.UDP.WriteToUDPAddrPort(data, to) // what is lost is lost: the protocol is made for it
 }
 
 // Sent is how many datagrams of the view, limits and verdicts this member has written, and their bytes.
@@ -369,21 +369,21 @@
 // save hands what is known to the disk. The boot alone goes with what was known when the process started.
 func (c *Transport) save(boot bool) {
 	s := c.saved()
-	if boot && !c.o.Membership.TakesOver && len(s.Records) <= 1 {
-		s.Records = append(s.Records, c.o.Membership.KnownMembers...)
+	if boot && !c.options.Membership.TakesOver && len(s.Records) <= 1 {
+		s.Records = append(s.Records, c.options.Membership.KnownMembers...)
 	}
 	c.disk.put(s)
 }
 
 func (c *Transport) saved() *Saved {
-	return &Saved{Boot: c.v.Local().Boot, Records: c.v.Records(), SavedMS: time.Now().UnixMilli()}
+	return &Saved{Boot: c.view.Local().Boot, Records: c.view.Records(), SavedMS: time.Now().UnixMilli()}
 }
 
 // hear reads datagrams until the socket is closed.
 func (c *Transport) hear(ctx context.Context) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, _, err := c.o.UDP.ReadFromUDPAddrPort(buf)
+		n, _, err := c.options.UDP.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
@@ -391,30 +391,30 @@
 			c.wait(ctx, time.Millisecond) // such as no memory: it passes
 			continue
 		}
-		if n > datagram {
+		if n > maxDatagramBytes {
 			c.refuse(ErrTooLarge)
 			continue
 		}
-		if formOf(buf[:n]) == sharedForm {
-			p := &packet{}
-			if err := openAs(sharedForm, c.o.Fleet, buf[:n], p); err != nil {
+		if formatOf(buf[:n]) == sharedFormat {
+			p := &sharedPacket{}
+			if err := decodeEnvelope(sharedFormat, c.options.Fleet, buf[:n], p); err != nil {
 				c.refuse(err)
 				continue
 			}
 			c.share(p)
 			continue
 		}
-		if formOf(buf[:n]) == policyForm {
+		if formatOf(buf[:n]) == policyFormat {
 			_ = c.heardPolicy(buf[:n])
 			continue
 		}
 		m := &membership.Message{}
-		if err := decode(c.o.Fleet, buf[:n], m); err != nil {
+		if err := decodeMembership(c.options.Fleet, buf[:n], m); err != nil {
 			c.refuse(err)
 			continue
 		}
 		select {
-		case c.inbox <- input{event: membership.DatagramReceived{Message: m, Size: n}}:
+		case c.inbox <- input{viewEvent: membership.DatagramReceived{Message: m, Size: n}}:
 		default:
 			c.dropped.Add(1)
 		}
@@ -483,7 +483,7 @@
 // accept answers exchanges that others open.
 func (c *Transport) accept(ctx context.Context, others *sync.WaitGroup) {
 	for {
-		conn, err := c.o.TCP.AcceptTCP()
+		conn, err := c.options.TCP.AcceptTCP()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
@@ -513,16 +513,16 @@
 		c.refuse(err)
 		return err
 	}
-	if formOf(data) == policyForm {
+	if formatOf(data) == policyFormat {
 		return c.heardPolicy(data)
 	}
 	asked := &membership.Exchange{}
-	if err := decode(c.o.Fleet, data, asked); err != nil {
+	if err := decodeMembership(c.options.Fleet, data, asked); err != nil {
 		c.refuse(err)
 		return err
 	}
 	reply := make(chan *membership.Exchange, 1)
-	if !c.post(input{event: membership.ExchangeRequest{Message: asked}, reply: reply}) {
+	if !c.post(input{viewEvent: membership.ExchangeRequest{Message: asked}, reply: reply}) {
 		return nil
 	}
 	t := time.NewTimer(streamTime)
@@ -532,7 +532,7 @@
 		if x == nil {
 			return nil
 		}
-		if err := writeFrame(conn, c.o.Fleet, x); err != nil {
+		if err := writeExchange(conn, c.options.Fleet, x); err != nil {
 			return err
 		}
 	case <-t.C:
@@ -541,11 +541,11 @@
 		return nil
 	}
 	_ = conn.SetDeadline(time.Now().Add(streamTime))
-	last, err := readFrame(conn, c.o.Fleet)
+	last, err := readExchange(conn, c.options.Fleet)
 	if err != nil {
 		return err
 	}
-	c.post(input{event: membership.ExchangeClosed{Message: last}})
+	c.post(input{viewEvent: membership.ExchangeClosed{Message: last}})
 	return nil
 }
 
@@ -557,10 +557,10 @@
 		defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	}
 	if err != nil {
-		c.post(input{event: membership.ExchangeFailed{ID: o.ID}})
+		c.post(input{viewEvent: membership.ExchangeFailed{ID: o.ID}})
 		return
 	}
-	if !c.post(input{event: membership.ExchangeResponse{ID: o.ID, Message: answer}}) {
+	if !c.post(input{viewEvent: membership.ExchangeResponse{ID: o.ID, Message: answer}}) {
 		return
 	}
 	t := time.NewTimer(streamTime)
@@ -569,7 +569,7 @@
 	case x := <-finish:
 		if x != nil {
 			_ = conn.SetDeadline(time.Now().Add(streamTime))
-			_ = writeFrame(conn, c.o.Fleet, x)
+			_ = writeExchange(conn, c.options.Fleet, x)
 		}
 	case <-t.C:
 	case <-ctx.Done():
@@ -578,7 +578,7 @@
 
 func (c *Transport) question(ctx context.Context, o membership.OpenExchange) (*membership.Exchange, net.Conn, error) {
 	// From the address that it listens on: its datagrams come from there too.
-	from := *c.o.TCP.Addr().(*net.TCPAddr)
+	from := *c.options.TCP.Addr().(*net.TCPAddr)
 	from.Port = 0
 	dialer := net.Dialer{Timeout: streamTime / 2, LocalAddr: &from, KeepAlive: -1}
 	if from.IP.IsUnspecified() {
@@ -589,10 +589,10 @@
 		return nil, nil, err
 	}
 	_ = conn.SetDeadline(time.Now().Add(streamTime))
-	if err := writeFrame(conn, c.o.Fleet, o.Message); err != nil {
+	if err := writeExchange(conn, c.options.Fleet, o.Message); err != nil {
 		return nil, conn, err
 	}
-	x, err := readFrame(conn, c.o.Fleet)
+	x, err := readExchange(conn, c.options.Fleet)
 	if err != nil && (errors.Is(err, ErrOtherFleet) || errors.Is(err, ErrUnknownFormat)) {
 		c.refuse(err)
 	}
@@ -624,7 +624,7 @@
 // SetLocalInfo changes what this member says of itself. It does not wait.
 func (c *Transport) SetLocalInfo(s membership.LocalInfo) {
 	select {
-	case c.inbox <- input{event: s}:
+	case c.inbox <- input{viewEvent: s}:
 	default: // full: what is told next says it again
 		c.dropped.Add(1)
 	}
@@ -635,7 +635,7 @@
 	t := time.NewTimer(within)
 	defer t.Stop()
 	select {
-	case c.inbox <- input{event: membership.Leave{}}:
+	case c.inbox <- input{viewEvent: membership.Leave{}}:
 	case <-t.C:
 		return
 	case <-c.done:
@@ -652,14 +652,14 @@
 // was, and whether it is known.
 func (c *Transport) Forget(name string) (was membership.State, known bool) {
 	c.do(func() {
-		for _, r := range c.v.Members() {
+		for _, r := range c.view.Members() {
 			if r.Name == name {
 				was, known = r.State, true
 			}
 		}
 	})
 	if known && was == membership.Dead {
-		c.post(input{event: membership.ForgetMember{Name: name}})
+		c.post(input{viewEvent: membership.ForgetMember{Name: name}})
 	}
 	return was, known
 }
@@ -671,11 +671,11 @@
 	c.do(func() {
 		c.frozen.Store(true)
 		past := time.Unix(1, 0) // who reads or accepts stops: what comes from now on is the other process's
-		_ = c.o.UDP.SetReadDeadline(past)
-		_ = c.o.TCP.SetDeadline(past)
+		_ = c.options.UDP.SetReadDeadline(past)
+		_ = c.options.TCP.SetDeadline(past)
 		s = c.saved()
-		own := c.v.Local()
-		s.TakesOver, s.RunID, s.Incarnation, s.DatagramNumber, s.UptimeMS = true, own.RunID, own.Incarnation, c.v.DatagramNumber(), c.v.Uptime().Milliseconds()
+		own := c.view.Local()
+		s.TakesOver, s.RunID, s.Incarnation, s.DatagramNumber, s.UptimeMS = true, own.RunID, own.Incarnation, c.view.DatagramNumber(), c.view.Uptime().Milliseconds()
 		s.Leases = c.sharing.state(c.now())
 		s.Policy, s.PolicyNanos = c.agreeing.handed(), MonotonicNanos()
 	})
@@ -686,13 +686,13 @@
 func (c *Transport) Thaw() {
 	c.do(func() {
 		if c.frozen.Swap(false) {
-			_ = c.o.UDP.SetReadDeadline(time.Time{})
-			_ = c.o.TCP.SetDeadline(time.Time{})
+			_ = c.options.UDP.SetReadDeadline(time.Time{})
+			_ = c.options.TCP.SetDeadline(time.Time{})
 			c.mu.Lock()
 			close(c.thaw)
 			c.thaw = make(chan struct{})
 			c.mu.Unlock()
 		}
 	})
-	c.post(input{event: membership.TookOver{}})
+	c.post(input{viewEvent: membership.TookOver{}})
 }
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestEncodedMessagesStayWithinTheirBound(t *testing.T) {
 	text := rapid.StringMatching("[a-z]{0,20}")
@@ -39,7 +39,7 @@
 			Digest: rapid.Uint64().Draw(t, "d"), Kind: membership.IdentityResponse, Seq: rapid.Uint32().Draw(t, "seq"), Target: text.Draw(t, "target"), Addr: "127.0.0.1:1",
 			Reply: "127.0.0.1:2", UptimeMS: rapid.Uint64().Draw(t, "up"), SubjectRunID: rapid.Uint64().Draw(t, "of"), Updates: rapid.SliceOfN(record, 0, 8).Draw(t, "updates")}
 		fleet := "abcdefghijklmnopqrstuvwxyzabcdef"
-		data, err := encode(fleet, m)
+		data, err := encodeMembership(fleet, m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,19 +47,19 @@
 			t.Fatalf("%d bytes, bound %d", len(data), most)
 		}
 		back := &membership.Message{}
-		if err := decode(fleet, data, back); err != nil || back.Number != m.Number || len(back.Updates) != len(m.Updates) {
+		if err := decodeMembership(fleet, data, back); err != nil || back.Number != m.Number || len(back.Updates) != len(m.Updates) {
 			t.Fatal(err, back)
 		}
 		i := rapid.IntRange(0, len(data)-1).Draw(t, "at")
 		data[i] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if err := decode(fleet, data, back); err == nil {
+		if err := decodeMembership(fleet, data, back); err == nil {
 			t.Fatalf("a bit of byte %d was changed, and it was taken", i)
 		}
 	})
 }
 
-func TestWhatIsNotTaken(t *testing.T) {
-	good, err := encode("f", &membership.Message{From: "a", Kind: membership.Gossip})
+func TestForeignOrDamagedMessagesAreRejected(t *testing.T) {
+	good, err := encodeMembership("f", &membership.Message{From: "a", Kind: membership.Gossip})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,8 +69,8 @@
 		data []byte
 		want error
 	}{"empty": {nil, ErrNotOurs}, "other": {[]byte("GET / HTTP/1.1\r\n"), ErrNotOurs}, "format": {later, ErrUnknownFormat}, "cut": {good[:9], ErrDamaged},
-		"fleet": {func() []byte { d, _ := encode("g", &membership.Message{From: "a"}); return d }(), ErrOtherFleet}} {
-		if err := decode("f", c.data, &membership.Message{}); !errors.Is(err, c.want) {
+		"fleet": {func() []byte { d, _ := encodeMembership("g", &membership.Message{From: "a"}); return d }(), ErrOtherFleet}} {
+		if err := decodeMembership("f", c.data, &membership.Message{}); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -79,14 +79,14 @@
 		membership.Message
 		More string `cbor:"99,keyasint"`
 	}
-	data, err := encode("f", &next{Message: membership.Message{From: "a", Kind: membership.Gossip}, More: "x"})
+	data, err := encodeMembership("f", &next{Message: membership.Message{From: "a", Kind: membership.Gossip}, More: "x"})
 	m := &membership.Message{}
-	if err := errors.Join(err, decode("f", data, m)); err != nil || m.From != "a" {
+	if err := errors.Join(err, decodeMembership("f", data, m)); err != nil || m.From != "a" {
 		t.Error(err, m)
 	}
 }
 
-func TestSavedViewIsWholeOrNotBelieved(t *testing.T) {
+func TestTruncatedSavedViewIsRejected(t *testing.T) {
 	s := &Saved{Boot: 7, Records: []membership.Record{{Name: "a", Addr: "127.0.0.1:1"}}}
 	data, err := EncodeSaved(s)
 	if err != nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// open opens the sockets of an address; udp and tcp have one port.
-func open(addr string) (*net.UDPConn, *net.TCPListener, error) {
+// openSockets opens the sockets of an address; udp and tcp have one port.
+func openSockets(addr string) (*net.UDPConn, *net.TCPListener, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, nil, err
@@ -120,18 +120,18 @@
 	return u, l, nil
 }
 
-// member is one on real sockets.
-type member struct {
+// testMember is one on real sockets.
+type testMember struct {
 	*Transport
 	addr  string
-	end   func() error
-	count chan membership.Size
+	stop  func() error
+	sizes chan membership.Size
 }
 
-func start(t *testing.T, name, addr, dir string, seeds []string, change func(*Options)) *member {
+func startMember(t *testing.T, name, addr, dir string, seeds []string, change func(*Options)) *testMember {
 	t.Helper()
-	m := &member{count: make(chan membership.Size, 100)}
-	udp, tcp, err := open(orAny(addr))
+	m := &testMember{sizes: make(chan membership.Size, 100)}
+	udp, tcp, err := openSockets(addrOrAnyPort(addr))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,14 +139,14 @@
 	if addr == "" { // one port for both
 		_ = udp.Close()
 		_ = tcp.Close()
-		if udp, tcp, err = open(m.addr); err != nil {
+		if udp, tcp, err = openSockets(m.addr); err != nil {
 			t.Fatal(err)
 		}
 	}
 	o := Options{Fleet: "f", Membership: membership.Settings{Name: name, Addr: m.addr, Seeds: seeds, Instances: 1, Balancers: 1, ProbeInterval: 50 * time.Millisecond}, UDP: udp, TCP: tcp,
 		Dir: dir, Log: slog.New(slog.DiscardHandler), SizeChanged: func(c membership.Size) {
 			select {
-			case m.count <- c:
+			case m.sizes <- c:
 			default:
 			}
 		}}
@@ -161,7 +161,7 @@
 	go func() { ended <- m.Run(ctx) }()
 	var err1 error
 	over := false
-	m.end = func() error {
+	m.stop = func() error {
 		if !over {
 			over = true
 			cancel()
@@ -169,21 +169,21 @@
 		}
 		return err1
 	}
-	t.Cleanup(func() { _ = m.end() })
+	t.Cleanup(func() { _ = m.stop() })
 	return m
 }
 
-func orAny(addr string) string {
+func addrOrAnyPort(addr string) string {
 	if addr == "" {
 		return "127.0.0.1:0"
 	}
 	return addr
 }
 
-// await waits until a member sees another in a state.
-func (m *member) await(t *testing.T, other, state string) MemberStatus {
+// awaitState waits until a member sees another in a state.
+func (m *testMember) awaitState(t *testing.T, other, state string) MemberStatus {
 	t.Helper()
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 		if s, ok := m.MembershipStatus(); ok {
 			for _, o := range s.Members {
 				if o.Name == other && o.State == state {
@@ -197,22 +197,22 @@
 	return MemberStatus{}
 }
 
-func TestMembersMeetLeaveAndDie(t *testing.T) {
-	a := start(t, "a", "", "", nil, nil)
-	b := start(t, "b", "", "", []string{a.addr}, nil)
-	c := start(t, "c", "", "", []string{a.addr}, nil)
-	for _, m := range []*member{a, b, c} {
+func TestMembersJoinLeaveAndDie(t *testing.T) {
+	a := startMember(t, "a", "", "", nil, nil)
+	b := startMember(t, "b", "", "", []string{a.addr}, nil)
+	c := startMember(t, "c", "", "", []string{a.addr}, nil)
+	for _, m := range []*testMember{a, b, c} {
 		for _, n := range []string{"a", "b", "c"} {
-			m.await(t, n, "alive")
+			m.awaitState(t, n, "alive")
 		}
 	}
-	b.Leave(patience)
-	_ = b.end()
-	a.await(t, "b", "left")
-	c.await(t, "b", "left")
-	_ = c.end() // without a word
-	a.await(t, "c", "dead")
-	for n := range a.count {
+	b.Leave(testTimeout)
+	_ = b.stop()
+	a.awaitState(t, "b", "left")
+	c.awaitState(t, "b", "left")
+	_ = c.stop() // without a word
+	a.awaitState(t, "c", "dead")
+	for n := range a.sizes {
 		if n.MaxBalancers == 2 && n.MinBalancers == 1 { // the one that left is not counted, the silent one is
 			break
 		}
@@ -220,7 +220,7 @@
 	if was, known := a.Forget("c"); !known || was != membership.Dead {
 		t.Error(was, known)
 	}
-	for n := range a.count {
+	for n := range a.sizes {
 		if n.MaxBalancers == 1 {
 			break
 		}
@@ -229,20 +229,20 @@
 
 // Who reads the lines of both must find the cause before the effect: a goodbye's line is not later than that of anybody
 // who has heard it. It comes with the goodbye, not with whoever asked for it.
-func TestGoodbyeIsWrittenBeforeItIsSaid(t *testing.T) {
+func TestLeaveIsLoggedBeforeItIsSent(t *testing.T) {
 	var told, heard bytes.Buffer
-	a := start(t, "a", "", "", nil, func(o *Options) { o.Events = &told })
-	b := start(t, "b", "", "", []string{a.addr}, func(o *Options) { o.Events = &heard })
-	a.await(t, "b", "alive")
-	b.await(t, "a", "alive")
-	if !a.post(input{event: membership.Leave{}}) {
+	a := startMember(t, "a", "", "", nil, func(o *Options) { o.Events = &told })
+	b := startMember(t, "b", "", "", []string{a.addr}, func(o *Options) { o.Events = &heard })
+	a.awaitState(t, "b", "alive")
+	b.awaitState(t, "a", "alive")
+	if !a.post(input{viewEvent: membership.Leave{}}) {
 		t.Fatal("the loop does not take it")
 	}
-	b.await(t, "a", "left")
-	_, _ = a.end(), b.end() // all is written
-	first := func(events *bytes.Buffer, is func(event) bool) *event {
+	b.awaitState(t, "a", "left")
+	_, _ = a.stop(), b.stop() // all is written
+	first := func(events *bytes.Buffer, is func(eventLine) bool) *eventLine {
 		for d := json.NewDecoder(events); ; {
-			var e event
+			var e eventLine
 			if err := d.Decode(&e); err != nil {
 				return nil
 			} else if is(e) {
@@ -250,29 +250,29 @@
 			}
 		}
 	}
-	said := first(&told, func(e event) bool { return e.What == "leave" })
-	knew := first(&heard, func(e event) bool { return e.What == "member" && e.Of == "a" && e.State == "left" })
-	if said == nil || knew == nil || said.T > knew.T {
+	said := first(&told, func(e eventLine) bool { return e.Kind == "leave" })
+	knew := first(&heard, func(e eventLine) bool { return e.Kind == "member" && e.Subject == "a" && e.State == "left" })
+	if said == nil || knew == nil || said.MonotonicNanos > knew.MonotonicNanos {
 		t.Errorf("said %+v, heard %+v", said, knew)
 	}
 }
 
-func TestBootGrowsOverRestartsAndLostDisks(t *testing.T) {
+func TestBootNumberGrowsOverRestartsAndLostDisks(t *testing.T) {
 	dir := t.TempDir()
-	a := start(t, "a", "", dir, nil, nil)
-	b := start(t, "b", "", "", []string{a.addr}, nil)
-	was := b.await(t, "a", "alive")
+	a := startMember(t, "a", "", dir, nil, nil)
+	b := startMember(t, "b", "", "", []string{a.addr}, nil)
+	was := b.awaitState(t, "a", "alive")
 	addr := a.addr
 	for _, lost := range []bool{false, true} {
-		_ = a.end()
+		_ = a.stop()
 		if lost {
 			if err := os.RemoveAll(dir); err != nil {
 				t.Fatal(err)
 			}
 		}
-		a = start(t, "a", addr, dir, []string{b.addr}, func(o *Options) { o.WallSkew = -time.Hour })
-		for limit := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-			if now := b.await(t, "a", "alive"); now.RunID != was.RunID {
+		a = startMember(t, "a", addr, dir, []string{b.addr}, func(o *Options) { o.WallSkew = -time.Hour })
+		for limit := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+			if now := b.awaitState(t, "a", "alive"); now.RunID != was.RunID {
 				if now.Boot <= was.Boot {
 					t.Errorf("boot %d after %d (disk lost: %v)", now.Boot, was.Boot, lost)
 				}
@@ -286,23 +286,23 @@
 	}
 }
 
-func TestTornViewIsNoReasonNotToStart(t *testing.T) {
+func TestMemberStartsWithATornView(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, fileName), []byte("vetchhaven-peers 1 00 5\nxx"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, savedViewFile), []byte("vetchhaven-peers 1 00 5\nxx"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a := start(t, "a", "", dir, nil, nil)
-	a.await(t, "a", "alive")
+	a := startMember(t, "a", "", dir, nil, nil)
+	a.awaitState(t, "a", "alive")
 }
 
-func TestDirectoryThatCantBeWrittenIsNoReasonNotToStart(t *testing.T) {
+func TestMemberStartsWithoutAWritableDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a := start(t, "a", "", filepath.Join(file, "dir"), nil, nil)
-	a.await(t, "a", "alive")
-	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	a := startMember(t, "a", "", filepath.Join(file, "dir"), nil, nil)
+	a.awaitState(t, "a", "alive")
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if s, _ := a.MembershipStatus(); s.SaveFails {
 			break
 		}
@@ -312,10 +312,10 @@
 	}
 }
 
-func TestPanicEndsTheMemberAlone(t *testing.T) {
-	a := start(t, "a", "", "", nil, func(o *Options) { o.Inject = func() { panic("injected") } })
+func TestPanicEndsTheMemberOnly(t *testing.T) {
+	a := startMember(t, "a", "", "", nil, func(o *Options) { o.Inject = func() { panic("injected") } })
 	<-a.done
-	if err := a.end(); err == nil {
+	if err := a.stop(); err == nil {
 		t.Error("no error")
 	}
 	if _, ok := a.MembershipStatus(); ok {
@@ -323,19 +323,19 @@
 	}
 }
 
-func TestFrozenMemberGoesOnInAnotherAndIsTheSame(t *testing.T) {
-	a := start(t, "a", "", "", nil, nil)
-	b := start(t, "b", "", "", []string{a.addr}, nil)
-	was := b.await(t, "a", "alive")
+func TestFrozenMemberContinuesInItsSuccessor(t *testing.T) {
+	a := startMember(t, "a", "", "", nil, nil)
+	b := startMember(t, "b", "", "", []string{a.addr}, nil)
+	was := b.awaitState(t, "a", "alive")
 	saved := a.Freeze()
 	if saved == nil {
 		t.Fatal("nothing to go on from")
 	}
-	_ = a.end()
-	next := start(t, "a", a.addr, "", nil, func(o *Options) { o.Saved = saved })
-	next.await(t, "b", "alive")
+	_ = a.stop()
+	next := startMember(t, "a", a.addr, "", nil, func(o *Options) { o.Saved = saved })
+	next.awaitState(t, "b", "alive")
 	for {
-		if now := b.await(t, "a", "alive"); now.Incarnation > was.Incarnation {
+		if now := b.awaitState(t, "a", "alive"); now.Incarnation > was.Incarnation {
 			if now.RunID != was.RunID || now.Boot != was.Boot {
 				t.Errorf("another member: %+v after %+v", now, was)
 			}
@@ -344,19 +344,19 @@
 	}
 }
 
-func TestThawedMemberGoesOn(t *testing.T) {
-	a := start(t, "a", "", "", nil, nil)
-	b := start(t, "b", "", "", []string{a.addr}, nil)
-	b.await(t, "a", "alive")
+func TestThawedMemberContinues(t *testing.T) {
+	a := startMember(t, "a", "", "", nil, nil)
+	b := startMember(t, "b", "", "", []string{a.addr}, nil)
+	b.awaitState(t, "a", "alive")
 	a.Freeze()
-	b.await(t, "a", "dead")
+	b.awaitState(t, "a", "dead")
 	a.Thaw()
-	b.await(t, "a", "alive")
-	a.await(t, "b", "alive")
+	b.awaitState(t, "a", "alive")
+	a.awaitState(t, "b", "alive")
 }
 
 // What a keeper has lent goes to its successor with the view: maps in arrays in maps, ten deep.
-func TestSavedWithWhatIsLentIsReadBack(t *testing.T) {
+func TestSavedLeasesAreReadBack(t *testing.T) {
 	s := lease.Settings{Servers: []string{"k"}, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Kind: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Total: 10, Hard: true}}}
 	k, err := lease.NewServer(s, "k", 7)
 	if err != nil {
--- a/internal/peer/transport/whole_test.go
+++ b/internal/peer/transport/whole_test.go
@@ -11,7 +11,7 @@
 
 // A member that starts without a view is sent all of one on one stream: as many as are known by default fit, with each
 // field as long as it may be, but Mute, which is of a region's three watchers alone.
-func TestAWholeViewOfTheMostMembersFitsAStream(t *testing.T) {
+func TestFullViewOfMaxMembersFitsAStream(t *testing.T) {
 	long := strings.Repeat("x", membership.MaxNameBytes)
 	x := &membership.Exchange{From: long}
 	for n := range membership.DefaultMaxMembers {
@@ -19,10 +19,10 @@
 			Boot: 1 << 62, RunID: 1 << 63, Incarnation: 1 << 31, State: membership.Dead, Reporter: long, Instances: 1 << 31, Balancers: 1 << 31, NameVerified: true, AgeSeconds: 1 << 31, Metadata: make([]byte, membership.MaxMetadataBytes)})
 	}
 	var b bytes.Buffer
-	if err := writeFrame(&b, "vetchhaven", x); err != nil {
+	if err := writeExchange(&b, "vetchhaven", x); err != nil {
 		t.Fatalf("%d members: %v", membership.DefaultMaxMembers, err)
 	}
-	if back, err := readFrame(&b, "vetchhaven"); err != nil || len(back.Records) != membership.DefaultMaxMembers {
+	if back, err := readExchange(&b, "vetchhaven"); err != nil || len(back.Records) != membership.DefaultMaxMembers {
 		t.Fatalf("of %d members it is not read: %v", membership.DefaultMaxMembers, err)
 	}
 }
--- a/internal/peer/transport/wire.go
+++ b/internal/peer/transport/wire.go
@@ -17,50 +17,50 @@
 func (w Wire) Marshal(from string, message any) ([]byte, error) {
 	switch m := message.(type) {
 	case *membership.Message:
-		return encode(w.Fleet, m)
+		return encodeMembership(w.Fleet, m)
 	case *membership.Exchange:
-		data, err := encode(w.Fleet, m)
+		data, err := encodeMembership(w.Fleet, m)
 		if err != nil {
 			return nil, err
 		}
-		if len(data) > streamMost {
+		if len(data) > maxStreamBytes {
 			return nil, ErrTooLarge
 		}
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...), nil
 	case *ejection.Message:
-		return enclose(sharedForm, w.Fleet, &packet{From: from, Verdicts: m})
+		return encodeEnvelope(sharedFormat, w.Fleet, &sharedPacket{From: from, Ejection: m})
 	case *lease.Request:
-		return enclose(sharedForm, w.Fleet, &packet{From: from, Ask: m})
+		return encodeEnvelope(sharedFormat, w.Fleet, &sharedPacket{From: from, Request: m})
 	case *lease.Grant:
-		return enclose(sharedForm, w.Fleet, &packet{From: from, Grant: m})
+		return encodeEnvelope(sharedFormat, w.Fleet, &sharedPacket{From: from, Grant: m})
 	}
 	return nil, fmt.Errorf("marshal: %T is no message of members", message)
 }
 
 // Unmarshal reads what Marshal wrote.
 func (w Wire) Unmarshal(data []byte) (any, error) {
-	if formOf(data) == sharedForm {
-		p := &packet{}
-		if err := openAs(sharedForm, w.Fleet, data, p); err != nil {
+	if formatOf(data) == sharedFormat {
+		p := &sharedPacket{}
+		if err := decodeEnvelope(sharedFormat, w.Fleet, data, p); err != nil {
 			return nil, err
 		}
 		switch {
-		case p.Ask != nil:
-			return p.Ask, nil
+		case p.Request != nil:
+			return p.Request, nil
 		case p.Grant != nil:
 			return p.Grant, nil
-		case p.Verdicts != nil:
-			return p.Verdicts, nil
+		case p.Ejection != nil:
+			return p.Ejection, nil
 		}
 		return nil, ErrMalformed
 	}
-	if formOf(data) == format {
+	if formatOf(data) == membershipFormat {
 		m := &membership.Message{}
-		return m, decode(w.Fleet, data, m)
+		return m, decodeMembership(w.Fleet, data, m)
 	}
 	if len(data) < 4 {
 		return nil, ErrNotOurs
 	}
 	x := &membership.Exchange{}
-	return x, decode(w.Fleet, data[4:], x)
+	return x, decodeMembership(w.Fleet, data[4:], x)
 }
--- a/internal/peer/transport/wire_test.go
+++ b/internal/peer/transport/wire_test.go
@@ -10,7 +10,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-func TestWireIsWhatMembersSendAndReadsItBack(t *testing.T) {
+func TestWireEncodesAsMembersDo(t *testing.T) {
 	w := Wire{Fleet: "f"}
 	ping := &membership.Message{From: "a", Boot: 1, RunID: 2, Kind: membership.Ping, Seq: 3, Addr: "127.0.0.1:1"}
 	exchange := &membership.Exchange{From: "a", Records: []membership.Record{{Name: "b", Addr: "127.0.0.1:2", Boot: 1, RunID: 5}}}
@@ -23,12 +23,12 @@
 			t.Errorf("%+v became %+v, %v", m, back, err)
 		}
 	}
-	sent, err := encode("f", ping)
+	sent, err := encodeMembership("f", ping)
 	if data, _ := w.Marshal("a", ping); err != nil || !bytes.Equal(data, sent) {
 		t.Errorf("%x, members send %x, %v", data, sent, err)
 	}
 	var framed bytes.Buffer
-	err = writeFrame(&framed, "f", exchange)
+	err = writeExchange(&framed, "f", exchange)
 	if data, _ := w.Marshal("a", exchange); err != nil || !bytes.Equal(data, framed.Bytes()) {
 		t.Errorf("%x, members send %x, %v", data, framed.Bytes(), err)
 	}
