--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -15,26 +15,44 @@
 
 // The envelope of a datagram, and of each message on a stream:
 //
-//	0  "vh"      what it is
-//	2  format    1 of the view's messages, 2 of what members share, 3 about the policy; a reader takes those that it knows
+//	0  "vh"      magic
+//	2  format    1 membership, 2 leases and ejection, 3 policy; a reader rejects others
 //	3  length    of the fleet's name
 //	4  fleet     whose message it is
 //	   CRC-32C   of all before it and of the body, 4 bytes, big endian
 //	   body      CBOR (RFC 8949), maps with small integer keys
 //
-// A key that a reader does not know is skipped, so that a later version may add some: two versions live together.
-// What a later version must not be misread as changes the format. The checksum finds damage; it keeps nobody out.
+// A reader skips keys that it does not know, so that a later version may add some: two versions work together. What a
+// later version must not be misread as changes the format. The checksum finds damage; it is no protection against forgery.
 const (
 	magic            = "vh"
 	membershipFormat = 1
 	sharedFormat     = 2
 	policyFormat     = 3
-	minEnvelopeBytes = 8 // without the fleet's name
+
+	formatOffset      = 2
+	fleetLengthOffset = 3
+	fleetOffset       = 4
+	checksumBytes     = 4
+	minEnvelopeBytes  = fleetOffset + checksumBytes
+)
+
+const (
+	// maxDatagramBytes is the largest datagram that is accepted. Larger ones are fragmented by more networks.
 	maxDatagramBytes = 2048
-	maxStreamBytes   = 10 << 20 // bytes of one message on a stream: view.Members records with each field at its longest are 9.5 MB
+	// maxStreamBytes is the largest message on a stream: membership.DefaultMaxMembers records with each field at its
+	// longest are 9.5 MB.
+	maxStreamBytes = 10 << 20
+	// frameLengthBytes is the length before a message on a stream, big endian.
+	frameLengthBytes = 4
+
+	// Bounds of the decoder against messages that would exhaust memory: more than any valid message has.
+	maxArrayElements = 1 << 17
+	maxMapPairs      = 64
+	maxNestedLevels  = 16
 )
 
-// Why a message was not taken.
+// Why a message was rejected.
 var (
 	ErrNotOurs       = errors.New("not a message of vetchhaven's")
 	ErrUnknownFormat = errors.New("of a format that this version does not know")
@@ -47,79 +65,84 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	encoding = func() cbor.EncMode {
-		m, err := cbor.EncOptions{}.EncMode()
-		if err != nil {
-			panic("carrier: " + err.Error()) // the options above
-		}
-		return m
-	}()
-	decoding = func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 64, MaxNestedLevels: 16, UTF8: cbor.UTF8RejectInvalid}.DecMode()
-		if err != nil {
-			panic("carrier: " + err.Error())
-		}
-		return m
-	}()
+	encoding = mustMode(cbor.EncOptions{}.EncMode())
+	decoding = mustMode(cbor.DecOptions{
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
+		MaxNestedLevels:  maxNestedLevels,
+		UTF8:             cbor.UTF8RejectInvalid,
+	}.DecMode())
 )
 
-// encodeMembership puts a message into an envelope.
+// mustMode panics where the constant options above are refused.
+func mustMode[T any](mode T, err error) T {
+	if err != nil {
+		panic("transport: " + err.Error())
+	}
+	return mode
+}
+
+// encodeMembership returns a message of the view in an envelope.
 func encodeMembership(fleet string, message any) ([]byte, error) {
 	return encodeEnvelope(membershipFormat, fleet, message)
 }
 
-func encodeEnvelope(form byte, fleet string, message any) ([]byte, error) {
+// encodeEnvelope returns a message in an envelope.
+func encodeEnvelope(format byte, fleet string, message any) ([]byte, error) {
 	body, err := encoding.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encode: %w", err)
 	}
 	out := make([]byte, 0, minEnvelopeBytes+len(fleet)+len(body))
 	out = append(out, magic...)
-	out = append(out, form, byte(len(fleet)))
+	out = append(out, format, byte(len(fleet)))
 	out = append(out, fleet...)
 	sum := crc32.Update(crc32.Checksum(out, castagnoli), castagnoli, body)
 	out = binary.BigEndian.AppendUint32(out, sum)
 	return append(out, body...), nil
 }
 
-// decodeMembership opens an envelope. The error is one of those above.
+// decodeMembership decodes a message of the view. The error is one of those above.
 func decodeMembership(fleet string, data []byte, into any) error {
 	return decodeEnvelope(membershipFormat, fleet, data, into)
 }
 
-// formatOf is the format of what came, or 0.
+// formatOf returns the format of a message, 0 if it is none of ours.
 func formatOf(data []byte) byte {
-	if len(data) < minEnvelopeBytes || string(data[:2]) != magic {
+	if len(data) < minEnvelopeBytes || string(data[:formatOffset]) != magic {
 		return 0
 	}
-	return data[2]
+	return data[formatOffset]
 }
 
-func decodeEnvelope(form byte, fleet string, data []byte, into any) error {
+// decodeEnvelope decodes a message of a format. The error is one of those above.
+func decodeEnvelope(format byte, fleet string, data []byte, into any) error {
 	switch {
-	case len(data) < minEnvelopeBytes || string(data[:2]) != magic:
+	case len(data) < minEnvelopeBytes || string(data[:formatOffset]) != magic:
 		return ErrNotOurs
-	case data[2] != form:
-		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[2], membershipFormat, policyFormat)
+	case data[formatOffset] != format:
+		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[formatOffset], membershipFormat, policyFormat)
 	}
-	head := 4 + int(data[3])
-	if len(data) < head+4 {
+	fleetEnd := fleetOffset + int(data[fleetLengthOffset])
+	if len(data) < fleetEnd+checksumBytes {
 		return ErrDamaged
 	}
-	sum := crc32.Update(crc32.Checksum(data[:head], castagnoli), castagnoli, data[head+4:])
+	head := data[:fleetEnd]
+	body := data[fleetEnd+checksumBytes:]
+	sum := crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, body)
 	switch {
-	case sum != binary.BigEndian.Uint32(data[head:]):
+	case sum != binary.BigEndian.Uint32(data[fleetEnd:]):
 		return ErrDamaged
-	case string(data[4:head]) != fleet:
-		return fmt.Errorf("%w: %q", ErrOtherFleet, data[4:head])
+	case string(head[fleetOffset:]) != fleet:
+		return fmt.Errorf("%w: %q", ErrOtherFleet, head[fleetOffset:])
 	}
-	if err := decoding.Unmarshal(data[head+4:], into); err != nil {
+	if err := decoding.Unmarshal(body, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
 
-// writeExchange puts one message on a stream: its length in 4 bytes, big endian, and its envelope.
+// writeExchange writes one exchange message to a stream.
 func writeExchange(w io.Writer, fleet string, x *membership.Exchange) error {
 	data, err := encodeMembership(fleet, x)
 	if err != nil {
@@ -131,14 +154,20 @@
 	return writeFrame(w, data)
 }
 
-// writeFrame puts an envelope on a stream.
+// writeFrame writes an envelope to a stream, after its length.
 func writeFrame(w io.Writer, data []byte) error {
-	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...))
+	_, err := w.Write(frame(data))
 	return err
 }
 
+// frame returns an envelope after its length.
+func frame(data []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...)
+}
+
+// readExchange reads one exchange message from a stream.
 func readExchange(r io.Reader, fleet string) (*membership.Exchange, error) {
-	data, err := readRaw(r)
+	data, err := readFrame(r)
 	if err != nil {
 		return nil, err
 	}
@@ -146,9 +175,9 @@
 	return x, decodeMembership(fleet, data, x)
 }
 
-// readRaw reads an envelope from a stream.
-func readRaw(r io.Reader) ([]byte, error) {
-	var length [4]byte
+// readFrame reads an envelope from a stream.
+func readFrame(r io.Reader) ([]byte, error) {
+	var length [frameLengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, err
 	}
@@ -156,7 +185,7 @@
 	if n > maxStreamBytes {
 		return nil, ErrTooLarge
 	}
-	var data bytes.Buffer // grows with what comes, not with what is promised
+	var data bytes.Buffer // it grows with what arrives, not with the length that was announced
 	if _, err := io.CopyN(&data, r, int64(n)); err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/peer/transport/lifecycle.go
@@ -0,0 +1,91 @@
+package transport
+
+import (
+	"time"
+
+	"vetchhaven/internal/peer/membership"
+)
+
+// SetLocalInfo changes what this member announces of itself. It does not wait: where it is dropped, the next call
+// announces it.
+func (tr *Transport) SetLocalInfo(info membership.LocalInfo) { tr.offer(viewInput{event: info}) }
+
+// Leave tells the others that this member leaves, and waits for that up to a bound.
+func (tr *Transport) Leave(within time.Duration) {
+	timer := time.NewTimer(within)
+	defer timer.Stop()
+	select {
+	case tr.inputs <- viewInput{event: membership.Leave{}}:
+	case <-timer.C:
+		return
+	case <-tr.done:
+		return
+	}
+	select {
+	case <-tr.leaveSent:
+	case <-timer.C:
+	case <-tr.done:
+	}
+}
+
+// Forget removes a dead member for good, as an operator says. It reports that member's state before, and whether it is
+// known.
+func (tr *Transport) Forget(name string) (previous membership.State, known bool) {
+	tr.do(func() {
+		for _, r := range tr.view.Members() {
+			if r.Name == name {
+				previous = r.State
+				known = true
+			}
+		}
+	})
+	if known && previous == membership.Dead {
+		tr.post(viewInput{event: membership.ForgetMember{Name: name}})
+	}
+	return previous, known
+}
+
+// Freeze stops this member, because another process is about to take its place, and returns what that one continues
+// from; nil: the loop does not respond.
+func (tr *Transport) Freeze() *Saved {
+	var s *Saved
+	tr.do(func() {
+		tr.frozen.Store(true)
+		past := time.Unix(1, 0) // readers stop: what arrives from now on is the successor's
+		_ = tr.options.UDP.SetReadDeadline(past)
+		_ = tr.options.TCP.SetDeadline(past)
+		s = tr.handoffState()
+	})
+	return s
+}
+
+// handoffState returns what a successor continues from.
+func (tr *Transport) handoffState() *Saved {
+	s := tr.saved()
+	own := tr.view.Local()
+	s.TakesOver = true
+	s.RunID = own.RunID
+	s.Incarnation = own.Incarnation
+	s.DatagramNumber = tr.view.DatagramNumber()
+	s.UptimeMS = tr.view.Uptime().Milliseconds()
+	s.Leases = tr.leases.handoffState(tr.now())
+	s.Policy = tr.policy.handoffState()
+	s.PolicyNanos = MonotonicNanos()
+	return s
+}
+
+// Thaw continues a frozen member, because its successor did not come up.
+func (tr *Transport) Thaw() {
+	tr.do(func() {
+		if !tr.frozen.Swap(false) {
+			return
+		}
+		_ = tr.options.UDP.SetReadDeadline(time.Time{})
+		_ = tr.options.TCP.SetDeadline(time.Time{})
+		tr.mu.Lock()
+		close(tr.thawed)
+		tr.thawed = make(chan struct{})
+		tr.mu.Unlock()
+	})
+	tr.post(viewInput{event: membership.TookOver{}})
+}
--- /dev/null
+++ b/internal/peer/transport/loop.go
@@ -0,0 +1,318 @@
+package transport
+
+import (
+	"context"
+	"fmt"
+	"runtime/debug"
+	"sync/atomic"
+	"time"
+
+	"vetchhaven/internal/peer/ejection"
+	"vetchhaven/internal/peer/membership"
+)
+
+// input is what the loop takes from other goroutines.
+type input interface{ isInput() }
+
+type (
+	// viewInput is an event of the membership view. Where it is a request, the response goes to the channel, which has room
+	// for it.
+	viewInput struct {
+		event    membership.Event
+		response chan *membership.Exchange
+	}
+	// ejectionInput is an event of outlier ejection.
+	ejectionInput struct{ event ejection.Event }
+)
+
+func (viewInput) isInput()       {}
+func (ejectionInput) isInput()   {}
+func (*sharedPacket) isInput()   {}
+func (agentAdded) isInput()      {}
+func (agentRemoved) isInput()    {}
+func (usageReported) isInput()   {}
+func (*policyPacket) isInput()   {}
+func (policyPersisted) isInput() {}
+
+// Run is a member of the fleet until ctx ends. It returns then, or with what went wrong: a panic of any of its goroutines
+// is an error here, and nobody else's.
+func (tr *Transport) Run(ctx context.Context) (err error) {
+	running, cancel := context.WithCancel(ctx)
+	diskStop := make(chan struct{})
+	defer func() {
+		if p := recover(); p != nil {
+			err = panicError(p)
+		}
+		cancel()
+		_ = tr.options.UDP.Close()
+		_ = tr.options.TCP.Close()
+		close(tr.done)
+		close(diskStop)
+		tr.background.Wait()
+		tr.eventLog.close()
+	}()
+	tr.background.Go(func() { tr.viewFile.Run(diskStop) })
+	tr.saveBoot()
+	tr.awaitBootSaved()
+	own := tr.view.Local()
+	tr.eventLog.write(eventLine{Kind: "start", RunID: hex(own.RunID), Boot: own.Boot, Incarnation: own.Incarnation})
+	tr.runInBackground(func() { tr.readDatagrams(running) })
+	tr.runInBackground(func() { tr.acceptStreams(running) })
+	return tr.loop(running)
+}
+
+// loop takes inputs and steps the state machines until ctx ends.
+func (tr *Transport) loop(ctx context.Context) error {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		var batch []membership.Event
+		select {
+		case <-ctx.Done():
+			if !tr.frozen.Load() { // else the file is the successor's
+				tr.saveView()
+			}
+			return nil
+		case err := <-tr.failed:
+			return err
+		case call := <-tr.calls:
+			call()
+		case i := <-tr.inputs:
+			batch = tr.dispatch(batch, i)
+		case <-timer.C:
+		}
+		for len(batch) < maxBatch && len(tr.inputs) > 0 {
+			batch = tr.dispatch(batch, <-tr.inputs)
+		}
+		if tr.frozen.Load() {
+			timer.Stop()
+			continue
+		}
+		if tr.ejection.unannounced {
+			batch = append(batch, tr.prepare(viewInput{event: tr.localInfo}))
+		}
+		tr.stepView(ctx, batch)
+		tr.leases.runDue(tr.now())
+		tr.ejection.runDue(tr.now())
+		tr.policy.runDue(tr.now())
+		next := min(tr.view.Next(), tr.leases.next(), tr.ejection.next(), tr.policy.next())
+		timer.Reset(max(0, next-tr.now()))
+	}
+}
+
+// dispatch gives an input to its state machine at once, or adds it to the view's next step.
+func (tr *Transport) dispatch(batch []membership.Event, i input) []membership.Event {
+	now := tr.now()
+	switch i := i.(type) {
+	case viewInput:
+		return append(batch, tr.prepare(i))
+	case ejectionInput:
+		tr.ejection.step(now, i.event)
+	case *sharedPacket:
+		if i.Ejection != nil {
+			tr.ejection.step(now, ejection.Received{From: i.From, Message: i.Ejection})
+		} else {
+			tr.leases.handlePacket(now, i)
+		}
+	case agentAdded:
+		tr.leases.addAgent(now, i.agent)
+	case agentRemoved:
+		tr.leases.removeAgent(i.agent)
+	case usageReported:
+		tr.leases.reportUsage(now, i)
+	case *policyPacket:
+		tr.policy.handlePacket(now, i)
+	case policyPersisted:
+		tr.policy.runDue(now)
+	}
+	return batch
+}
+
+// prepare completes an event with what only the loop knows.
+func (tr *Transport) prepare(i viewInput) membership.Event {
+	switch e := i.event.(type) {
+	case membership.ExchangeRequest:
+		tr.streamID++
+		e.Stream = tr.streamID
+		tr.responses[e.Stream] = i.response
+		return e
+	case membership.ExchangeFailed:
+		delete(tr.exchanges, e.ID)
+	case membership.LocalInfo:
+		e.Metadata = tr.ejection.subscriptions
+		tr.localInfo = e
+		tr.ejection.unannounced = false
+		return e
+	}
+	return i.event
+}
+
+// stepView steps the membership view, and carries out its actions.
+func (tr *Transport) stepView(ctx context.Context, batch []membership.Event) {
+	if tr.options.Inject != nil {
+		tr.options.Inject()
+	}
+	for _, e := range batch {
+		if _, ok := e.(membership.Leave); ok { // before others are told: what they write of it is later
+			tr.eventLog.write(eventLine{Kind: "leave"})
+		}
+	}
+	for _, a := range tr.view.Step(tr.now(), batch...) {
+		tr.carryOut(ctx, a)
+	}
+	for _, e := range batch {
+		if response, ok := e.(membership.ExchangeResponse); ok { // too late, or with nothing to add: the exchange ends
+			tr.finishExchange(response.ID, nil)
+		}
+	}
+	if tr.view.HasLeft() {
+		select {
+		case <-tr.leaveSent:
+		default:
+			close(tr.leaveSent)
+		}
+	}
+}
+
+func (tr *Transport) carryOut(ctx context.Context, a membership.Action) {
+	switch a := a.(type) {
+	case membership.Send:
+		tr.sendDatagram(a)
+	case membership.OpenExchange:
+		finish := make(chan *membership.Exchange, 1)
+		tr.exchanges[a.ID] = finish
+		tr.runInBackground(func() { tr.runExchange(ctx, a, finish) })
+	case membership.ExchangeReply:
+		if response := tr.responses[a.Stream]; response != nil {
+			delete(tr.responses, a.Stream)
+			response <- a.Message
+		}
+	case membership.FinishExchange:
+		tr.finishExchange(a.ID, a.Message)
+	case membership.SaveView:
+		if a.BootOnly {
+			tr.saveBoot()
+		} else {
+			tr.saveView()
+		}
+	case membership.SizeChanged:
+		tr.eventLog.writeAction(a)
+		if tr.options.SizeChanged != nil {
+			tr.options.SizeChanged(a.Size)
+		}
+	default:
+		tr.ejection.membersStale = true
+		tr.eventLog.writeAction(a)
+		tr.logAction(a)
+	}
+}
+
+// finishExchange ends an exchange that this member opened, with a last message or nil. An ended one is ignored.
+func (tr *Transport) finishExchange(id uint64, last *membership.Exchange) {
+	finish := tr.exchanges[id]
+	if finish == nil {
+		return
+	}
+	delete(tr.exchanges, id)
+	finish <- last
+}
+
+// runInBackground runs f in a goroutine that Run waits for. A panic in it ends the member, and nothing else.
+func (tr *Transport) runInBackground(f func()) {
+	tr.background.Go(func() {
+		defer func() {
+			if p := recover(); p != nil {
+				select {
+				case tr.failed <- panicError(p):
+				default:
+				}
+			}
+		}()
+		f()
+	})
+}
+
+func panicError(p any) error { return fmt.Errorf("panic: %v\n%s", p, debug.Stack()) }
+
+// awaitBootSaved waits a little for the boot number to be on the disk.
+func (tr *Transport) awaitBootSaved() {
+	if tr.options.Dir == "" || tr.options.Membership.TakesOver {
+		return
+	}
+	for deadline := time.Now().Add(bootSaveTimeout); time.Now().Before(deadline); time.Sleep(bootSavePoll) {
+		if !tr.viewFile.Pending() {
+			return
+		}
+	}
+	tr.log.Warn("the disk is slow: this start's boot number is announced before it is saved")
+}
+
+// saveView hands the view to the disk.
+func (tr *Transport) saveView() { tr.viewFile.put(tr.saved()) }
+
+// saveBoot hands the boot number to the disk. It goes with the records that were known when the process started, while
+// there are no others.
+func (tr *Transport) saveBoot() {
+	s := tr.saved()
+	if !tr.options.Membership.TakesOver && len(s.Records) <= 1 {
+		s.Records = append(s.Records, tr.options.Membership.KnownMembers...)
+	}
+	tr.viewFile.put(s)
+}
+
+func (tr *Transport) saved() *Saved {
+	return &Saved{Boot: tr.view.Local().Boot, Records: tr.view.Records(), SavedMS: time.Now().UnixMilli()}
+}
+
+// post hands an input to the loop, and waits for room a while. It reports false where there was none.
+func (tr *Transport) post(i input) bool {
+	timer := time.NewTimer(streamTimeout)
+	defer timer.Stop()
+	select {
+	case tr.inputs <- i:
+		return true
+	case <-tr.done:
+	case <-timer.C:
+	}
+	return false
+}
+
+// offer hands an input to the loop without waiting. Where there is no room it is dropped and counted.
+func (tr *Transport) offer(i input) {
+	select {
+	case tr.inputs <- i:
+	default:
+		tr.dropped.Add(1)
+	}
+}
+
+// do has f run on the loop, and waits, but not for long. It reports false if f may not have run.
+func (tr *Transport) do(f func()) bool {
+	ran := make(chan struct{})
+	timer := time.NewTimer(callTimeout)
+	defer timer.Stop()
+	call := func() {
+		f()
+		close(ran)
+	}
+	select {
+	case tr.calls <- call:
+	case <-tr.done:
+		return false
+	case <-timer.C:
+		return false
+	}
+	select {
+	case <-ran:
+		return true
+	case <-tr.done:
+		return false
+	case <-timer.C:
+		return false
+	}
+}
+
+// rejectedCounts count received messages by why they were rejected.
+type rejectedCounts struct {
+	malformed, tooLarge, otherFleet, damaged, unknownFormat atomic.Uint64
+}
--- /dev/null
+++ b/internal/peer/transport/policydriver.go
@@ -0,0 +1,282 @@
+package transport
+
+import (
+	"errors"
+	"math"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"vetchhaven/internal/peer/membership"
+	"vetchhaven/internal/peer/policy"
+)
+
+// PolicyDriver is a daemon's node of the replicated policy, with what surrounds it. It outlasts a Transport that another
+// one of the same process replaces.
+type PolicyDriver struct {
+	node           *policy.Node
+	persist        func(policy.Persist)
+	servingChanged func(s policy.Serving, base time.Time)
+
+	mu        sync.Mutex
+	persisted []policy.Event            // results of the disk that the loop has not taken; under mu
+	transport atomic.Pointer[Transport] // the current one
+}
+
+// NewPolicyDriver returns a driver of a node. Persist is called in order, and its results come by Persisted;
+// servingChanged is called with each change of what to serve by, whose times are after base. Both are called by the
+// transport's loop, and must not wait.
+func NewPolicyDriver(n *policy.Node, persist func(policy.Persist), servingChanged func(s policy.Serving, base time.Time)) *PolicyDriver {
+	return &PolicyDriver{node: n, persist: persist, servingChanged: servingChanged}
+}
+
+// Persisted is the disk's result of what was to be persisted. Any goroutine may call it; it does not wait.
+func (d *PolicyDriver) Persisted(seq uint64, err error) {
+	d.mu.Lock()
+	d.persisted = append(d.persisted, policy.Persisted{Seq: seq, Err: err})
+	d.mu.Unlock()
+	if tr := d.transport.Load(); tr != nil {
+		tr.offer(policyPersisted{})
+	}
+}
+
+// takePersisted returns the results that were not taken yet.
+func (d *PolicyDriver) takePersisted() []policy.Event {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	events := d.persisted
+	d.persisted = nil
+	return events
+}
+
+// policyPersisted says that the driver has results of the disk.
+type policyPersisted struct{}
+
+// policyPacket is a message about the policy, in a datagram or on a stream of its own.
+type policyPacket struct {
+	From    string          `cbor:"1,keyasint,omitempty"`
+	Message *policy.Message `cbor:"2,keyasint,omitempty"`
+}
+
+// policyLink connects a PolicyDriver to one Transport, whose loop owns it.
+type policyLink struct {
+	tr          *Transport
+	driver      *PolicyDriver // nil: there is no policy
+	started     bool
+	membersAt   time.Duration // the membership was last passed on
+	messages    uint64        // sent
+	bytes       uint64        // of these
+	unsent      uint64        // messages, for want of an address or a stream
+	streamSlots chan struct{} // one for each open stream to another member
+}
+
+// MaxPolicyStreams is how many streams may be open to other members at a time. Messages beyond it are not sent; the
+// protocol sends them again.
+const MaxPolicyStreams = 16
+
+func newPolicyLink(tr *Transport) *policyLink {
+	l := &policyLink{
+		tr:          tr,
+		driver:      tr.options.PolicyDriver,
+		membersAt:   -time.Hour,
+		streamSlots: make(chan struct{}, MaxPolicyStreams),
+	}
+	if l.driver != nil {
+		l.driver.transport.Store(tr)
+	}
+	return l
+}
+
+// next returns the time by which runDue has to be called.
+func (l *policyLink) next() time.Duration {
+	if l.driver == nil {
+		return math.MaxInt64
+	}
+	return l.driver.node.Next()
+}
+
+func (l *policyLink) runDue(now time.Duration) {
+	if l.driver == nil || l.tr.frozen.Load() {
+		return
+	}
+	persisted := l.driver.takePersisted()
+	if len(persisted) > 0 || now >= l.driver.node.Next() || !l.started {
+		l.step(now, persisted...)
+	}
+}
+
+func (l *policyLink) handlePacket(now time.Duration, p *policyPacket) {
+	if l.driver != nil {
+		l.step(now, policy.Received{From: p.From, Message: p.Message})
+	}
+}
+
+// step steps the node, with the membership first if that is due, and carries out its actions.
+func (l *policyLink) step(now time.Duration, events ...policy.Event) {
+	if l.driver == nil || l.tr.frozen.Load() {
+		return
+	}
+	l.started = true
+	if now-l.membersAt >= membersInterval {
+		l.membersAt = now
+		ownership := policy.NameOwnership{Exclusive: l.tr.view.OwnsName()}
+		events = append([]policy.Event{l.membersChanged(), ownership}, events...)
+	}
+	for _, a := range l.driver.node.Step(now, events...) {
+		switch a := a.(type) {
+		case policy.Send:
+			l.send(a)
+		case policy.Persist:
+			l.driver.persist(a)
+		case policy.ServingChanged:
+			l.writeEvent(a.Serving)
+			l.driver.servingChanged(a.Serving, l.tr.base)
+		case policy.Log:
+			l.log(a)
+		}
+	}
+}
+
+func (l *policyLink) membersChanged() policy.MembersChanged {
+	var members []policy.MemberInfo
+	for _, r := range l.tr.view.Members() {
+		members = append(members, policy.MemberInfo{Name: r.Name, RunID: r.RunID, Departed: r.State == membership.Left})
+	}
+	return policy.MembersChanged{Members: members}
+}
+
+func (l *policyLink) log(a policy.Log) {
+	if a.Error {
+		l.tr.log.Error("fleet: " + a.Text)
+	} else {
+		l.tr.log.Info("fleet: " + a.Text)
+	}
+}
+
+// handoffState returns what a successor continues from; nil: there is no policy.
+func (l *policyLink) handoffState() *policy.HandoffState {
+	if l.driver == nil {
+		return nil
+	}
+	return l.driver.node.HandoffState(l.tr.now())
+}
+
+// The states of event lines about the policy.
+const (
+	eventServing    = "serves"
+	eventBlocked    = "holds"
+	eventStandalone = "alone"
+	eventPreparing  = "both"
+)
+
+// writeEvent writes an event line of what the daemon serves by.
+func (l *policyLink) writeEvent(s policy.Serving) {
+	line := eventLine{Kind: "policy", State: eventServing, Reason: s.Blocked}
+	switch {
+	case s.Blocked != "":
+		line.State = eventBlocked
+	case s.Standalone:
+		line.State = eventStandalone
+	case len(s.Preparing) > 0:
+		line.State = eventPreparing
+	}
+	if s.Document != nil {
+		line.Number = s.Document.Number
+		line.ID = s.Document.ID
+	}
+	l.tr.eventLog.write(line)
+}
+
+// send sends a message to a member at the address by which the view last knew it: a small one in a datagram, a large one
+// on a stream of its own. What is lost is sent again by the protocol.
+func (l *policyLink) send(s policy.Send) {
+	p := &policyPacket{From: l.tr.options.Membership.Name, Message: s.Message}
+	if s.To == p.From { // it arrives like those of others
+		l.tr.offer(p)
+		return
+	}
+	to, err := netip.ParseAddrPort(l.tr.view.Addr(s.To))
+	if err != nil {
+		l.unsent++
+		return
+	}
+	data, err := encodeEnvelope(policyFormat, l.tr.options.Fleet, p)
+	if err != nil || len(data) > maxStreamBytes {
+		l.unsent++
+		return
+	}
+	if !s.Message.Large() && len(data) <= maxDatagramBytes {
+		l.countSent(data)
+		_, _ = l.tr.options.UDP.WriteToUDPAddrPort(data, to)
+		return
+	}
+	l.sendOnStream(to, data)
+}
+
+func (l *policyLink) countSent(data []byte) {
+	l.messages++
+	l.bytes += uint64(len(data))
+}
+
+// sendOnStream sends a message on a stream in a goroutine of its own. That ends within a few streamTimeouts; Run does not
+// wait for it.
+func (l *policyLink) sendOnStream(to netip.AddrPort, data []byte) {
+	select {
+	case l.streamSlots <- struct{}{}:
+	default:
+		l.unsent++
+		return
+	}
+	l.countSent(data)
+	go func() {
+		defer func() { <-l.streamSlots }()
+		_ = l.tr.sendOnStream(to.String(), data)
+	}()
+}
+
+// handlePolicyMessage decodes a message about the policy from a stream or a datagram, and hands it to the loop.
+func (tr *Transport) handlePolicyMessage(data []byte) error {
+	p := &policyPacket{}
+	if err := decodeEnvelope(policyFormat, tr.options.Fleet, data, p); err != nil {
+		tr.reject(err)
+		return err
+	}
+	if p.From == "" || p.Message == nil || p.From == tr.options.Membership.Name {
+		return ErrMalformed
+	}
+	tr.offer(p)
+	return nil
+}
+
+// PolicySize returns the bytes of a message about the policy, without those of UDP and TCP; 0 for one that cannot be
+// encoded.
+func PolicySize(fleet, from string, m *policy.Message) int {
+	data, err := encodeEnvelope(policyFormat, fleet, &policyPacket{From: from, Message: m})
+	if err != nil {
+		return 0
+	}
+	return len(data)
+}
+
+// ErrNoPolicy says that this daemon has no policy in common with others, or does not respond.
+var ErrNoPolicy = errors.New("this daemon agrees on no policy with others ([policy] is not in its file), or does not answer")
+
+// PolicyDriver returns the driver, for the Transport that replaces this one in its process; nil: there is no policy.
+func (tr *Transport) PolicyDriver() *PolicyDriver { return tr.options.PolicyDriver }
+
+// Policy runs f with the node on the loop, and steps the node with the events that f returns. The error is ErrNoPolicy.
+func (tr *Transport) Policy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
+	if tr.options.PolicyDriver == nil {
+		return ErrNoPolicy
+	}
+	ran := tr.do(func() {
+		if events := f(tr.policy.driver.node, tr.now()); len(events) > 0 {
+			tr.policy.step(tr.now(), events...)
+		}
+	})
+	if !ran {
+		return ErrNoPolicy
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/peer/transport/status.go
@@ -0,0 +1,304 @@
+package transport
+
+import (
+	"time"
+
+	"vetchhaven/internal/peer/ejection"
+	"vetchhaven/internal/peer/membership"
+)
+
+// MembershipStatus is a member's view, as the admin endpoint shows it.
+type MembershipStatus struct {
+	Fleet     string         `json:"fleet"`
+	Name      string         `json:"name"`
+	Addr      string         `json:"addr"`
+	Boot      uint64         `json:"boot"`
+	RunID     string         `json:"life"`
+	State     string         `json:"state"` // one of the constants below
+	Digest    string         `json:"digest"`
+	Health    int            `json:"health"` // 0: nothing is missed; SWIM probes that failed otherwise
+	UpS       float64        `json:"up_s"`
+	Size      SizeStatus     `json:"count"`
+	Traffic   TrafficStatus  `json:"traffic"`
+	Regions   []RegionStatus `json:"regions,omitempty"` // if there are several
+	Isolated  bool           `json:"alone,omitempty"`   // no other member is reachable
+	Members   []MemberStatus `json:"members"`
+	SaveFails bool           `json:"save_fails,omitempty"`
+}
+
+// SizeStatus is the fleet's size as the daemon's instances use it.
+type SizeStatus struct {
+	MaxBalancers int  `json:"balancers_most"`
+	MinBalancers int  `json:"balancers_least"`
+	Members      int  `json:"members"`
+	Live         int  `json:"live"`
+	FromFile     bool `json:"from_file"`
+}
+
+// TrafficStatus is of this run; rates are means over it, a second.
+type TrafficStatus struct {
+	Datagrams       uint64  `json:"datagrams"`
+	Bytes           uint64  `json:"bytes"`
+	DatagramsRate   float64 `json:"datagrams_s"`
+	BytesRate       float64 `json:"bytes_s"`
+	Exchanges       uint64  `json:"exchanges"`
+	ExchangeBytes   uint64  `json:"exchange_bytes"`
+	Received        uint64  `json:"heard"`
+	RemoteBytes     uint64  `json:"far_bytes"` // of all bytes, to other regions
+	RemoteBytesRate float64 `json:"far_bytes_s"`
+	Withheld        uint64  `json:"held_back"` // for the budget of bytes
+	Stale           uint64  `json:"stale"`
+	Dropped         uint64  `json:"dropped"` // because the loop did not keep up
+	Damaged         uint64  `json:"damaged"`
+	OtherFleet      uint64  `json:"other_fleet"`
+	OtherFormat     uint64  `json:"other_format"`
+	TooLarge        uint64  `json:"huge"`
+	Malformed       uint64  `json:"odd"`
+	// Of the policy, which the above does not include. PolicyUnsent is for want of a stream or an address.
+	PolicyMessages uint64 `json:"policy_messages"`
+	PolicyBytes    uint64 `json:"policy_bytes"`
+	PolicyUnsent   uint64 `json:"policy_unsent"`
+}
+
+// RegionStatus is a region as this member sees it.
+type RegionStatus struct {
+	Name            string   `json:"name"`
+	Members         int      `json:"members"` // alive or suspect by their records
+	Dead            int      `json:"silent"`  // dead by them
+	Local           bool     `json:"own,omitempty"`
+	Unreachable     bool     `json:"not_reached,omitempty"` // from any watcher
+	UnreachableForS float64  `json:"since_s,omitempty"`
+	Watchers        []string `json:"watchers,omitempty"`
+	RoundTripMS     float64  `json:"way_ms,omitempty"` // as this member measured it
+}
+
+// MemberStatus is one member.
+type MemberStatus struct {
+	Name        string  `json:"name"`
+	Addr        string  `json:"addr"`
+	Zone        string  `json:"zone,omitempty"`
+	Region      string  `json:"region,omitempty"`
+	Program     string  `json:"program,omitempty"`
+	State       string  `json:"state"`
+	SinceS      float64 `json:"since_s"` // in that state, as seen here
+	Reporter    string  `json:"by,omitempty"`
+	Boot        uint64  `json:"boot"`
+	RunID       string  `json:"life"`
+	Incarnation uint32  `json:"incarnation"`
+	Instances   uint32  `json:"instances"`
+	Balancers   uint32  `json:"balancers"`
+}
+
+// The values of MembershipStatus.State.
+const (
+	stateJoined   = "in"
+	stateJoining  = "looking"
+	stateYielding = "standing back" // to another process of its name
+)
+
+// minUptime keeps rates finite.
+const minUptime = time.Millisecond
+
+// MembershipStatus returns the state of the view. ok is false where the loop does not respond.
+func (tr *Transport) MembershipStatus() (s MembershipStatus, ok bool) {
+	ok = tr.do(func() { s = tr.membershipStatus() })
+	s.SaveFails = tr.viewFile.Failed()
+	return s, ok
+}
+
+func (tr *Transport) membershipStatus() MembershipStatus {
+	own := tr.view.Local()
+	uptime := max(tr.view.Uptime(), minUptime)
+	s := MembershipStatus{
+		Fleet:    tr.options.Fleet,
+		Name:     own.Name,
+		Addr:     own.Addr,
+		Boot:     own.Boot,
+		RunID:    hex(own.RunID),
+		State:    stateJoined,
+		Digest:   hex(tr.view.Digest()),
+		Health:   tr.view.Health(),
+		UpS:      uptime.Seconds(),
+		Traffic:  tr.trafficStatus(uptime),
+		Isolated: tr.view.Isolated(),
+	}
+	switch {
+	case tr.view.Yields():
+		s.State = stateYielding
+	case !tr.view.Joined():
+		s.State = stateJoining
+	}
+	size := tr.view.Size()
+	s.Size = SizeStatus{size.MaxBalancers, size.MinBalancers, size.Members, size.Live, size.FromFile}
+	for _, r := range tr.view.Regions() {
+		s.Regions = append(s.Regions, regionStatus(r))
+	}
+	for _, r := range tr.view.Members() {
+		s.Members = append(s.Members, memberStatus(r, tr.now()-tr.view.Since(r.Name)))
+	}
+	return s
+}
+
+func (tr *Transport) trafficStatus(uptime time.Duration) TrafficStatus {
+	traffic := tr.view.Traffic()
+	remoteBytes := traffic.RemoteBytes + traffic.RemoteExchangeBytes
+	return TrafficStatus{
+		Datagrams:       traffic.Datagrams,
+		Bytes:           traffic.Bytes,
+		DatagramsRate:   float64(traffic.Datagrams) / uptime.Seconds(),
+		BytesRate:       float64(traffic.Bytes) / uptime.Seconds(),
+		Exchanges:       traffic.Exchanges,
+		ExchangeBytes:   traffic.ExchangeBytes,
+		Received:        traffic.Received,
+		RemoteBytes:     remoteBytes,
+		RemoteBytesRate: float64(remoteBytes) / uptime.Seconds(),
+		Withheld:        traffic.Withheld,
+		Stale:           traffic.Stale,
+		Dropped:         tr.dropped.Load(),
+		Damaged:         tr.rejected.damaged.Load(),
+		OtherFleet:      tr.rejected.otherFleet.Load(),
+		OtherFormat:     tr.rejected.unknownFormat.Load(),
+		TooLarge:        tr.rejected.tooLarge.Load(),
+		Malformed:       tr.rejected.malformed.Load(),
+		PolicyMessages:  tr.policy.messages,
+		PolicyBytes:     tr.policy.bytes,
+		PolicyUnsent:    tr.policy.unsent,
+	}
+}
+
+func regionStatus(r membership.RegionStatus) RegionStatus {
+	return RegionStatus{
+		Name:            r.Name,
+		Members:         r.Members,
+		Dead:            r.Dead,
+		Local:           r.Local,
+		Unreachable:     r.Unreachable,
+		UnreachableForS: r.UnreachableFor.Round(time.Millisecond).Seconds(),
+		Watchers:        r.Watchers,
+		RoundTripMS:     float64(r.RoundTrip.Microseconds()) / 1000,
+	}
+}
+
+func memberStatus(r membership.Record, since time.Duration) MemberStatus {
+	return MemberStatus{
+		Name:        r.Name,
+		Addr:        r.Addr,
+		Zone:        r.Zone,
+		Region:      r.Region,
+		Program:     r.Program,
+		State:       r.State.String(),
+		SinceS:      since.Round(time.Millisecond).Seconds(),
+		Reporter:    r.Reporter,
+		Boot:        r.Boot,
+		RunID:       hex(r.RunID),
+		Incarnation: r.Incarnation,
+		Instances:   r.Instances,
+		Balancers:   r.Balancers,
+	}
+}
+
+// LimitsStatus is the state of the fleet's limits, as the admin endpoint shows it: at this daemon's agents and, at a lease
+// server, of its shares.
+type LimitsStatus struct {
+	Name         string               `json:"name"`
+	Leased       []LeasedLimitStatus  `json:"held"`
+	Granted      []GrantedLimitStatus `json:"kept,omitempty"`
+	Bytes        uint64               `json:"bytes"`
+	Packets      uint64               `json:"packets"`
+	Agents       int                  `json:"agents"`
+	MaxBalancers int                  `json:"balancers_most"`
+}
+
+// LeasedLimitStatus is what this daemon's agents have of a limit.
+type LeasedLimitStatus struct {
+	Limit    string        `json:"limit"`
+	Key      string        `json:"key,omitempty"`
+	Used     int           `json:"used"`
+	Rejected int           `json:"turned_away_s"` // within the last second
+	Leases   []LeaseStatus `json:"rights"`
+}
+
+// LeaseStatus is what a lease server has granted to this daemon's agents.
+type LeaseStatus struct {
+	Server     string  `json:"keeper"`
+	Amount     int     `json:"amount"`
+	RemainingS float64 `json:"left_s"`
+}
+
+// GrantedLimitStatus is what this daemon has leased as a lease server.
+type GrantedLimitStatus struct {
+	Limit          string         `json:"limit"`
+	Key            string         `json:"key,omitempty"`
+	Share          int            `json:"part"`
+	Leased         int            `json:"lent"`
+	WaitRemainingS float64        `json:"lends_nothing_for_s,omitempty"`
+	Holders        map[string]int `json:"holders"`
+}
+
+// LimitsStatus returns the state of the fleet's limits. ok is false where there are none, or the loop does not respond.
+func (tr *Transport) LimitsStatus() (s LimitsStatus, ok bool) {
+	if tr.options.Leases == nil {
+		return s, false
+	}
+	ok = tr.do(func() { s = tr.limitsStatus() })
+	return s, ok
+}
+
+func (tr *Transport) limitsStatus() LimitsStatus {
+	d := tr.leases
+	now := tr.now()
+	s := LimitsStatus{
+		Name:         tr.options.Membership.Name,
+		Bytes:        d.bytes,
+		Packets:      d.packets,
+		Agents:       len(d.client.Agents()),
+		MaxBalancers: tr.view.Size().MaxBalancers,
+	}
+	for _, l := range d.client.Status(now) {
+		leased := LeasedLimitStatus{Limit: l.Limit, Key: l.Key, Used: l.Used, Rejected: l.Rejected}
+		for _, one := range l.Leases {
+			leased.Leases = append(leased.Leases, LeaseStatus{one.Server, one.Amount, one.Remaining.Round(time.Millisecond).Seconds()})
+		}
+		s.Leased = append(s.Leased, leased)
+	}
+	if d.server == nil {
+		return s
+	}
+	for _, l := range d.server.Status(now) {
+		s.Granted = append(s.Granted, GrantedLimitStatus{
+			Limit:          l.Limit,
+			Key:            l.Key,
+			Share:          l.Share,
+			Leased:         l.Leased,
+			WaitRemainingS: l.WaitRemaining.Round(time.Millisecond).Seconds(),
+			Holders:        l.Holders,
+		})
+	}
+	return s
+}
+
+// EjectionStatus is what a member knows of servers, as the admin endpoint shows it.
+type EjectionStatus struct {
+	Name    string                  `json:"name"`
+	Servers []ejection.ServerStatus `json:"servers"`
+	Counts  ejection.Counters       `json:"counts"`
+	Packets uint64                  `json:"packets"`
+}
+
+// EjectionStatus returns what this member knows of servers. ok is false where no evidence is exchanged, or the loop does
+// not respond.
+func (tr *Transport) EjectionStatus() (s EjectionStatus, ok bool) {
+	if tr.options.Ejection == nil {
+		return s, false
+	}
+	ok = tr.do(func() {
+		d := tr.ejection
+		s = EjectionStatus{
+			Name:    tr.options.Membership.Name,
+			Servers: d.member.Status(),
+			Counts:  d.member.Counters(),
+			Packets: d.packets,
+		}
+	})
+	return s, ok
+}
--- /dev/null
+++ b/internal/peer/transport/streams.go
@@ -0,0 +1,171 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"time"
+
+	"vetchhaven/internal/peer/membership"
+)
+
+// acquireStream takes a slot for a stream that another member opened. It reports false where there is none.
+func (tr *Transport) acquireStream() bool {
+	select {
+	case tr.streamSlots <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+func (tr *Transport) releaseStream() { <-tr.streamSlots }
+
+// acceptStreams accepts streams until the listener is closed.
+func (tr *Transport) acceptStreams(ctx context.Context) {
+	for {
+		conn, err := tr.options.TCP.AcceptTCP()
+		if err != nil {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+				return
+			}
+			tr.waitToRetry(ctx, acceptRetry)
+			continue
+		}
+		if !tr.acquireStream() { // the other member tries another
+			_ = conn.Close()
+			continue
+		}
+		tr.runInBackground(func() {
+			defer tr.releaseStream()
+			defer conn.Close()
+			defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
+			err := tr.serveStream(conn)
+			if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
+				tr.rejected.malformed.Add(1)
+			}
+		})
+	}
+}
+
+// serveStream takes one message about the policy, or an exchange: a request, the response, and a last message.
+func (tr *Transport) serveStream(conn *net.TCPConn) error {
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	data, err := readFrame(conn)
+	if err != nil {
+		tr.reject(err)
+		return err
+	}
+	if formatOf(data) == policyFormat {
+		return tr.handlePolicyMessage(data)
+	}
+	request := &membership.Exchange{}
+	if err := decodeMembership(tr.options.Fleet, data, request); err != nil {
+		tr.reject(err)
+		return err
+	}
+	response := tr.awaitResponse(request)
+	if response == nil {
+		return nil
+	}
+	if err := writeExchange(conn, tr.options.Fleet, response); err != nil {
+		return err
+	}
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	last, err := readExchange(conn, tr.options.Fleet)
+	if err != nil {
+		return err
+	}
+	tr.post(viewInput{event: membership.ExchangeClosed{Message: last}})
+	return nil
+}
+
+// awaitResponse returns the view's response to a request; nil: there is none, or not in time.
+func (tr *Transport) awaitResponse(request *membership.Exchange) *membership.Exchange {
+	response := make(chan *membership.Exchange, 1)
+	if !tr.post(viewInput{event: membership.ExchangeRequest{Message: request}, response: response}) {
+		return nil
+	}
+	timer := time.NewTimer(streamTimeout)
+	defer timer.Stop()
+	select {
+	case x := <-response:
+		return x
+	case <-timer.C:
+	case <-tr.done:
+	}
+	return nil
+}
+
+// runExchange opens an exchange. Whatever becomes of it, the loop receives one event of it.
+func (tr *Transport) runExchange(ctx context.Context, o membership.OpenExchange, finish chan *membership.Exchange) {
+	response, conn, err := tr.requestExchange(ctx, o)
+	if conn != nil {
+		defer conn.Close()
+		defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
+	}
+	if err != nil {
+		tr.post(viewInput{event: membership.ExchangeFailed{ID: o.ID}})
+		return
+	}
+	if !tr.post(viewInput{event: membership.ExchangeResponse{ID: o.ID, Message: response}}) {
+		return
+	}
+	timer := time.NewTimer(streamTimeout)
+	defer timer.Stop()
+	select {
+	case last := <-finish:
+		if last != nil {
+			_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+			_ = writeExchange(conn, tr.options.Fleet, last)
+		}
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// requestExchange sends a request and returns the response. The connection, where there is one, is the caller's to close.
+func (tr *Transport) requestExchange(ctx context.Context, o membership.OpenExchange) (*membership.Exchange, net.Conn, error) {
+	conn, err := tr.newDialer(streamTimeout/2).DialContext(ctx, "tcp", o.To)
+	if err != nil {
+		return nil, nil, err
+	}
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	if err := writeExchange(conn, tr.options.Fleet, o.Message); err != nil {
+		return nil, conn, err
+	}
+	response, err := readExchange(conn, tr.options.Fleet)
+	if errors.Is(err, ErrOtherFleet) || errors.Is(err, ErrUnknownFormat) {
+		tr.reject(err)
+	}
+	return response, conn, err
+}
+
+// newDialer returns a dialer from the address that this member listens on: its datagrams come from there too.
+func (tr *Transport) newDialer(timeout time.Duration) *net.Dialer {
+	dialer := &net.Dialer{Timeout: timeout, KeepAlive: -1}
+	local := *tr.options.TCP.Addr().(*net.TCPAddr)
+	if !local.IP.IsUnspecified() {
+		local.Port = 0
+		dialer.LocalAddr = &local
+	}
+	return dialer
+}
+
+// sendOnStream sends one message on a stream of its own, and waits until the other member has read it.
+func (tr *Transport) sendOnStream(to string, data []byte) error {
+	conn, err := tr.newDialer(streamTimeout).Dial("tcp", to)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	if err := writeFrame(conn, data); err != nil {
+		return err
+	}
+	var end [1]byte
+	_, err = conn.Read(end[:]) // the other closes the stream once it has read all
+	return err
+}
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -235,7 +235,7 @@
 	b := startMember(t, "b", "", "", []string{a.addr}, func(o *Options) { o.Events = &heard })
 	a.awaitState(t, "b", "alive")
 	b.awaitState(t, "a", "alive")
-	if !a.post(input{viewEvent: membership.Leave{}}) {
+	if !a.post(viewInput{event: membership.Leave{}}) {
 		t.Fatal("the loop does not take it")
 	}
 	b.awaitState(t, "a", "left")
--- a/internal/peer/transport/wire.go
+++ b/internal/peer/transport/wire.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"encoding/binary"
 	"fmt"
 
 	"vetchhaven/internal/peer/ejection"
@@ -9,11 +8,20 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Wire is the encoding of one fleet's messages, for harnesses that play members without sockets.
+// sharedPacket is a datagram of leases or ejection: one of Request, Grant and Ejection.
+type sharedPacket struct {
+	From    string         `cbor:"1,keyasint,omitempty"`
+	Request *lease.Request `cbor:"2,keyasint,omitempty"`
+	Grant   *lease.Grant   `cbor:"3,keyasint,omitempty"`
+
+	Ejection *ejection.Message `cbor:"4,keyasint,omitempty"`
+}
+
+// Wire encodes the messages of one fleet's members, for simulations without sockets.
 type Wire struct{ Fleet string }
 
-// Marshal is what a message takes on the wire, as members send it: datagrams of the view, exchanges with the length
-// that goes before them on a stream, and packets of what is shared, which bear their sender's name.
+// Marshal encodes a message as members send it: datagrams of membership, exchanges after their length, and packets of
+// leases and ejection with their sender's name. The error is that of a message of another type, or one that is too large.
 func (w Wire) Marshal(from string, message any) ([]byte, error) {
 	switch m := message.(type) {
 	case *membership.Message:
@@ -26,7 +34,7 @@
 		if len(data) > maxStreamBytes {
 			return nil, ErrTooLarge
 		}
-		return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...), nil
+		return frame(data), nil
 	case *ejection.Message:
 		return encodeEnvelope(sharedFormat, w.Fleet, &sharedPacket{From: from, Ejection: m})
 	case *lease.Request:
@@ -37,30 +45,34 @@
 	return nil, fmt.Errorf("marshal: %T is no message of members", message)
 }
 
-// Unmarshal reads what Marshal wrote.
+// Unmarshal decodes what Marshal encoded.
 func (w Wire) Unmarshal(data []byte) (any, error) {
-	if formatOf(data) == sharedFormat {
-		p := &sharedPacket{}
-		if err := decodeEnvelope(sharedFormat, w.Fleet, data, p); err != nil {
-			return nil, err
-		}
-		switch {
-		case p.Request != nil:
-			return p.Request, nil
-		case p.Grant != nil:
-			return p.Grant, nil
-		case p.Ejection != nil:
-			return p.Ejection, nil
-		}
-		return nil, ErrMalformed
-	}
-	if formatOf(data) == membershipFormat {
+	switch formatOf(data) {
+	case sharedFormat:
+		return w.unmarshalShared(data)
+	case membershipFormat:
 		m := &membership.Message{}
 		return m, decodeMembership(w.Fleet, data, m)
 	}
-	if len(data) < 4 {
+	if len(data) < frameLengthBytes {
 		return nil, ErrNotOurs
 	}
 	x := &membership.Exchange{}
-	return x, decodeMembership(w.Fleet, data[4:], x)
+	return x, decodeMembership(w.Fleet, data[frameLengthBytes:], x)
+}
+
+func (w Wire) unmarshalShared(data []byte) (any, error) {
+	p := &sharedPacket{}
+	if err := decodeEnvelope(sharedFormat, w.Fleet, data, p); err != nil {
+		return nil, err
+	}
+	switch {
+	case p.Request != nil:
+		return p.Request, nil
+	case p.Grant != nil:
+		return p.Grant, nil
+	case p.Ejection != nil:
+		return p.Ejection, nil
+	}
+	return nil, ErrMalformed
 }
