--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -9,35 +9,35 @@
 )
 
 // Latency above the aimed delay cuts what is kept in flight; what does not fit
-// waits and is refused, and a client's repeat is refused first.
+// waits and is refused, and a client's retry is refused first.
 func TestInFlightLimitFollowsDelay(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 2
-	r := newHarness(t, s, 1, testBackends(2))
+	h := newHarness(t, s, 1, testBackends(2))
 	for i := range 200 { // slow answers
 		id := fmt.Sprint("s", i)
-		r.request(id, idempotent)
-		r.now += 350 * ms
-		r.outcome(id, decide.OK, 350*ms)
+		h.request(id, idempotent)
+		h.now += 350 * ms
+		h.outcome(id, decide.OK, 350*ms)
 	}
 	out := 0
 	var all []decide.Action
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
-		all = append(all, r.request(id, idempotent)...)
-		out += len(r.sent[id])
+		all = append(all, h.request(id, idempotent)...)
+		out += len(h.sent[id])
 	}
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := r.step(decide.Request{ID: "again", Class: idempotent, Remaining: 2000 * ms, ClientRetry: true})
+	repeat := h.step(decide.Request{ID: "again", Class: idempotent, Remaining: 2000 * ms, ClientRetry: true})
 	if finalAnswer("again", repeat) != "refuse" {
 		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
 	}
-	all = append(all, r.advance(400*ms)...)
+	all = append(all, h.advance(400*ms)...)
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
-		if len(r.sent[id]) == 0 && finalAnswer(id, all) != "refuse" {
+		if len(h.sent[id]) == 0 && finalAnswer(id, all) != "refuse" {
 			t.Errorf("%s: %q, want one refusal", id, finalAnswer(id, all))
 		}
 	}
@@ -48,11 +48,11 @@
 	inFlight := func(balancers int) (n int) {
 		s := testSettings()
 		s.Balancers = balancers
-		r := newHarness(t, s, 1, testBackends(10))
+		h := newHarness(t, s, 1, testBackends(10))
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
-			n += len(r.sent[id])
+			h.request(id, idempotent)
+			n += len(h.sent[id])
 		}
 		return n
 	}
@@ -63,13 +63,13 @@
 
 // Incident ia38185: the limit follows the list down.
 func TestInFlightLimitFollowsTheList(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(10))
-	r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
+	h := newHarness(t, testSettings(), 1, testBackends(10))
+	h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		n += len(r.sent[id])
+		h.request(id, idempotent)
+		n += len(h.sent[id])
 	}
 	if n > 12 {
 		t.Errorf("%d in flight on two backends", n)
@@ -79,26 +79,26 @@
 // Incidents idacc77 and i574e74: what dead backends carried must not land on the
 // living while the list still names the dead.
 func TestInFlightLimitExcludesUnreachableBackends(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(10))
-	r.serve(50, idempotent, 5*ms)
+	h := newHarness(t, testSettings(), 1, testBackends(10))
+	h.serve(50, idempotent, 5*ms)
 	dead := map[string]bool{}
 	for i := 0; len(dead) < 6 && i < 500; i++ {
 		id := fmt.Sprint("d", i)
-		r.request(id, idempotent)
-		r.now += ms
-		if b := r.sent[id][0]; b < "g" { // a to f
+		h.request(id, idempotent)
+		h.now += ms
+		if b := h.sent[id][0]; b < "g" { // a to f
 			dead[b] = true
-			r.outcome(id, decide.ConnectFailed, ms)
+			h.outcome(id, decide.ConnectFailed, ms)
 		} else {
-			r.outcome(id, decide.OK, ms)
+			h.outcome(id, decide.OK, ms)
 		}
 	}
-	r.advance(50 * ms)
+	h.advance(50 * ms)
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		n += len(r.sent[id])
+		h.request(id, idempotent)
+		n += len(h.sent[id])
 	}
 	if n > 28 { // six for each of four, and a few for what the outcomes taught
 		t.Errorf("%d in flight on four living backends", n)
@@ -110,33 +110,33 @@
 func TestAttemptsAtUnreachableBackendsUseNoCapacity(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
-	r := newHarness(t, s, 1, testBackends(3))
-	r.serve(60, idempotent, 20*ms)
-	r.now += ms
+	h := newHarness(t, s, 1, testBackends(3))
+	h.serve(60, idempotent, 20*ms)
+	h.now += ms
 	var hung []string
 	for i := range 18 {
 		id := fmt.Sprint("h", i)
-		r.request(id, idempotent)
-		if len(r.sent[id]) == 1 && r.sent[id][0] == "a" {
+		h.request(id, idempotent)
+		if len(h.sent[id]) == 1 && h.sent[id][0] == "a" {
 			hung = append(hung, id)
 		}
 	}
 	if len(hung) < 3 {
 		t.Fatalf("only %v hang", hung)
 	}
-	r.now += 20 * ms
+	h.now += 20 * ms
 	for i := range 18 {
-		if id := fmt.Sprint("h", i); len(r.sent[id]) == 1 && r.sent[id][0] != "a" {
-			r.outcome(id, decide.OK, 20*ms)
+		if id := fmt.Sprint("h", i); len(h.sent[id]) == 1 && h.sent[id][0] != "a" {
+			h.outcome(id, decide.OK, 20*ms)
 		}
 	}
-	r.now += 100 * ms
-	r.outcome(hung[0], decide.TimedOut, 120*ms)
+	h.now += 100 * ms
+	h.outcome(hung[0], decide.TimedOut, 120*ms)
 	n := 0
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		for _, b := range r.sent[id] {
+		h.request(id, idempotent)
+		for _, b := range h.sent[id] {
 			if n++; b == "a" {
 				t.Errorf("%s went to the backend that answers nothing", id)
 			}
@@ -148,24 +148,24 @@
 }
 
 // Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
-// well within the aim in the mean but vary a lot.
+// well within the objective in the mean but vary a lot.
 func TestLimitOfBusyBalancerIsNotCutByChance(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 2
-	r := newHarness(t, s, 1, testBackends(30))
-	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an aim of 400
+	h := newHarness(t, s, 1, testBackends(30))
+	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an objective of 400
 	refused, queue := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
-		if finalAnswer(id, r.request(id, idempotent)) != "" {
+		if finalAnswer(id, h.request(id, idempotent)) != "" {
 			refused++
 		}
 		queue = append(queue, id)
-		r.now += ms
+		h.now += ms
 		if len(queue) > 75 {
-			if len(r.sent[queue[0]]) > 0 {
+			if len(h.sent[queue[0]]) > 0 {
 				// answers in runs, so that twenty in a row can all be slow
-				r.outcome(queue[0], decide.OK, seq[(i/25)%10]*ms)
+				h.outcome(queue[0], decide.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
@@ -180,7 +180,7 @@
 	total := func(balancers int) int {
 		s := testSettings()
 		s.Balancers = balancers
-		r := newHarness(t, s, 1, testBackends(20))
+		h := newHarness(t, s, 1, testBackends(20))
 		var out []string // in flight, oldest first
 		sends := func(actions []decide.Action) {
 			for _, a := range actions {
@@ -189,13 +189,13 @@
 				}
 			}
 		}
-		for i := range 200 { // what exceeds the limit is held
-			sends(r.request(fmt.Sprint("q", i), idempotent))
+		for i := range 200 { // what exceeds the limit is queued
+			sends(h.request(fmt.Sprint("q", i), idempotent))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
-			sends(r.outcome(out[0], decide.OK, 20*ms))
+			sends(h.outcome(out[0], decide.OK, 20*ms))
 			out = out[1:]
-			sends(r.request(fmt.Sprint("more", i), idempotent))
+			sends(h.request(fmt.Sprint("more", i), idempotent))
 		}
 		return len(out) * balancers
 	}
@@ -208,22 +208,22 @@
 // share, and 40 in 100 requests were refused though the rest had room. What a server known to be
 // slow takes says little of the rest.
 func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
-	r := newHarness(t, creditSettings(), 1, testBackends(8))
+	h := newHarness(t, creditSettings(), 1, testBackends(8))
 	sent := 0
 	for i := range 600 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		if len(r.sent[id]) > 0 {
+		h.request(id, idempotent)
+		if len(h.sent[id]) > 0 {
 			latency := 110 * ms
-			if r.sent[id][0] < "e" {
+			if h.sent[id][0] < "e" {
 				latency = 235 * ms
 			}
-			r.advance(latency)
-			r.outcome(id, decide.OK, latency)
+			h.advance(latency)
+			h.outcome(id, decide.OK, latency)
 		}
-		r.advance(100 * ms)
+		h.advance(100 * ms)
 		if i >= 400 {
-			sent += len(r.sent[id])
+			sent += len(h.sent[id])
 		}
 	}
 	if sent < 195 {
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -32,7 +32,7 @@
 	runtime.KeepAlive(lb)
 }
 
-// BenchmarkStepWithLeases is the same with limits that the fleet shares, of which there is always a right: twelve of all
+// BenchmarkStepWithLeases is the same with limits that the fleet shares, of which there is always a lease: twelve of all
 // kinds, one of them for each server, lent by three keepers.
 func BenchmarkStepWithLeases(b *testing.B) {
 	lb, err := decide.New(testSettings(), 1)
--- a/decide/clientretry_test.go
+++ b/decide/clientretry_test.go
@@ -9,15 +9,15 @@
 	"vetchhaven/decide"
 )
 
-// remainingRig is a balancer whose room is taken: a first try waits there, a client's repeat is refused at once.
-type remainingRig struct {
+// remainingHarness is a balancer whose room is taken: a first attempt waits there, a client's retry is refused at once.
+type remainingHarness struct {
 	t    *testing.T
 	b    *decide.Balancer
 	now  time.Duration
 	next int
 }
 
-func newRemainingRig(t *testing.T, tick time.Duration) *remainingRig {
+func newRemainingRig(t *testing.T, tick time.Duration) *remainingHarness {
 	t.Helper()
 	s := testSettings()
 	s.Tick = tick
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &remainingRig{t: t, b: b, now: time.Hour}
+	g := &remainingHarness{t: t, b: b, now: time.Hour}
 	g.b.Step(g.now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}}})
 	for range 50 { // of more than one length: they teach nothing
 		g.refused(1300*ms + time.Duration(g.next%2)*300*ms)
@@ -34,7 +34,7 @@
 }
 
 // refused tells whether a try with this much time left is refused at once.
-func (g *remainingRig) refused(left time.Duration) bool {
+func (g *remainingHarness) refused(left time.Duration) bool {
 	g.now += 20 * time.Microsecond
 	g.next++
 	id := fmt.Sprint("q", g.next)
@@ -47,8 +47,8 @@
 	return refused
 }
 
-// First tries whose remaining time differs, since their callers hand down what is left of their own time, are no
-// clients' repeats.
+// First attempts whose remaining time differs, since their callers hand down what is left of their own time, are no
+// clients' retries.
 func TestSpreadRemainingTimesAreNoClientRetries(t *testing.T) {
 	const deadline = 2000 * ms
 	uniform := func(rng *rand.Rand, share float64) time.Duration {
@@ -95,13 +95,13 @@
 }
 
 // Where clients give their tries one length, one of another is the last: so also in a crisis, with as many of these
-// as first tries.
+// as first attempts.
 func TestOtherRemainingTimeIsAClientRetry(t *testing.T) {
 	const usual = 1000 * ms
 	for _, row := range []struct {
 		name   string
 		before []time.Duration // comes first: a restarted agent's clients may all be trying again
-		every  int             // so many first tries for each last one
+		every  int             // so many first attempts for each last one
 	}{
 		{"one in five", nil, 4},
 		{"half", nil, 1},
--- a/decide/credit_test.go
+++ b/decide/credit_test.go
@@ -9,17 +9,17 @@
 )
 
 // Incident ie43f64, dallas big-1: hundreds of agents with one attempt each in flight crowd the
-// servers. A thin agent admits less of what it is asked as the delay passes the aimed share,
+// servers. An agent that admits by credit admits less of what it is asked as the delay passes the target,
 // and all of it while there is no queue, however much that is.
 func TestCreditFollowsDelay(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
-		r := newHarness(t, creditSettings(), 1, testBackends(8))
+		h := newHarness(t, creditSettings(), 1, testBackends(8))
 		for i := range 300 {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
-			r.advance(latency)
-			if len(r.sent[id]) > 0 {
-				r.outcome(id, decide.OK, latency)
+			h.request(id, idempotent)
+			h.advance(latency)
+			if len(h.sent[id]) > 0 {
+				h.outcome(id, decide.OK, latency)
 				if i >= 100 {
 					sent++
 				}
@@ -36,24 +36,24 @@
 }
 
 // Dallas rough-1: in a crowded fleet answers come after the clients' patience. An attempt that
-// is out for most of its aim counts as late at once, and less is admitted before it ends.
+// is out for most of its objective counts as late at once, and less is admitted before it ends.
 func TestOverdueAttemptCountsAtOnce(t *testing.T) {
 	s := creditSettings()
 	s.Balancers = 1000
-	r := newHarness(t, s, 1, testBackends(90))
+	h := newHarness(t, s, 1, testBackends(90))
 	for i := range 30 {
 		id := fmt.Sprint("warm", i)
-		r.request(id, idempotent)
-		r.advance(20 * ms)
-		r.outcome(id, decide.OK, 20*ms)
+		h.request(id, idempotent)
+		h.advance(20 * ms)
+		h.outcome(id, decide.OK, 20*ms)
 	}
 	sent := 0
 	for i := range 60 { // nothing is answered any more
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		r.advance(60 * ms)
+		h.request(id, idempotent)
+		h.advance(60 * ms)
 		if i >= 30 {
-			sent += len(r.sent[id])
+			sent += len(h.sent[id])
 		}
 	}
 	if sent > 15 {
@@ -61,22 +61,22 @@
 	}
 }
 
-// Incident i8cbe41: without peers nothing limited 893 thin agents, and every waiting room stayed
+// Incident i8cbe41: without peers nothing limited 893 agents that admit by credit, and every waiting room stayed
 // full. One that meets full servers only admits less, though no peer tells it anything.
 func TestCreditWithoutPeersAdmitsLess(t *testing.T) {
 	s := creditSettings()
 	s.Peers, s.MaxAttempts = false, 1
-	r := newHarness(t, s, 1, testBackends(20))
+	h := newHarness(t, s, 1, testBackends(20))
 	sent := 0
 	for i := range 120 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		if len(r.sent[id]) > 0 {
-			r.outcome(id, decide.Rejected, ms)
+		h.request(id, idempotent)
+		if len(h.sent[id]) > 0 {
+			h.outcome(id, decide.Rejected, ms)
 		}
-		r.advance(400 * ms)
+		h.advance(400 * ms)
 		if i >= 60 {
-			sent += len(r.sent[id])
+			sent += len(h.sent[id])
 		}
 	}
 	if sent > 15 || sent < 3 {
--- a/decide/dedupscope_test.go
+++ b/decide/dedupscope_test.go
@@ -53,7 +53,7 @@
 					s.Classes[i].DedupWindow = 12 * time.Second
 				}
 				list := testBackends(4)
-				r := newHarness(t, s, seed, list)
+				h := newHarness(t, s, seed, list)
 				apply := func(c change, who string) {
 					for _, n := range list {
 						if n.ID == who {
@@ -63,15 +63,15 @@
 							if was == decide.Removed {
 								list[i].State = decide.Up
 							}
-							r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{list[i]}})
+							h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{list[i]}})
 						}
 					}
 				}
 				for _, c := range tt.before {
 					apply(c, c.who)
 				}
-				r.request("q", tt.class)
-				first := r.sent["q"][0]
+				h.request("q", tt.class)
+				first := h.sent["q"][0]
 				if first == "c" || first == "d" {
 					continue // the table is written for the other group
 				}
@@ -79,19 +79,19 @@
 				for _, c := range tt.moves {
 					apply(c, who[c.who]) // at the instant of the attempt: order alone tells them apart
 				}
-				r.now += 10 * ms
-				actions := r.outcome("q", decide.Reset, 10*ms)
-				actions = append(actions, r.advance(1500*ms)...)
+				h.now += 10 * ms
+				actions := h.outcome("q", decide.Reset, 10*ms)
+				actions = append(actions, h.advance(1500*ms)...)
 				var want []string
 				for _, w := range tt.want {
 					want = append(want, who[w])
 				}
-				for _, b := range r.sent["q"][1:] {
+				for _, b := range h.sent["q"][1:] {
 					if !slices.Contains(want, b) {
 						t.Fatalf("seed %d: first to %s, then to %s", seed, first, b)
 					}
 				}
-				if len(want) > 0 && len(r.sent["q"]) < 2 {
+				if len(want) > 0 && len(h.sent["q"]) < 2 {
 					t.Fatalf("seed %d: not tried again, though %v may have it", seed, want)
 				}
 				if len(want) == 0 && finalAnswer("q", actions) != "fail" {
@@ -103,36 +103,36 @@
 }
 
 // What an attempt tells is of the process that it was sent to. After the list has told of a new
-// start, its failures strike nobody and its answers make the new process neither known nor warm.
+// start, its failures count against none and its answers make the new process neither known nor warm.
 func TestOutcomesOfAnEndedProcessDoNotCountForTheNext(t *testing.T) {
-	restart := func(r *harness) {
-		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: r.now}}})
+	restart := func(h *harness) {
+		h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: h.now}}})
 	}
 	play := func(res decide.Result, before bool) int {
 		s := testSettings()
-		s.SlowStartTime = 0 // how a cold one is spared is not the matter here
-		r := newHarness(t, s, 1, testBackends(1))
+		s.SlowStartTime = 0 // how a backend in slow start is spared is not the matter here
+		h := newHarness(t, s, 1, testBackends(1))
 		for _, id := range []string{"p1", "p2", "p3"} {
-			r.request(id, idempotent)
+			h.request(id, idempotent)
 		}
-		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "b"}, {ID: "c"}}})
+		h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "b"}, {ID: "c"}}})
 		fail := func() {
 			for _, id := range []string{"p1", "p2", "p3"} {
-				r.step(decide.Outcome{Request: id, Backend: "a", Result: res, Latency: ms})
-				r.step(decide.RequestCancelled{Request: id})
+				h.step(decide.Outcome{Request: id, Backend: "a", Result: res, Latency: ms})
+				h.step(decide.RequestCancelled{Request: id})
 			}
 		}
-		r.now += ms
+		h.now += ms
 		if before {
 			fail()
-			r.now += ms
-			restart(r)
+			h.now += ms
+			restart(h)
 		} else {
-			restart(r)
-			r.now += ms
+			restart(h)
+			h.now += ms
 			fail()
 		}
-		return r.serve(60, idempotent, 2*ms)["a"]
+		return h.serve(60, idempotent, 2*ms)["a"]
 	}
 	for _, res := range []decide.Result{decide.Reset, decide.ConnectFailed, decide.Errored} {
 		if n := play(res, false); n < 10 {
--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// What an operator takes out gets nothing until it is put back, whatever the list says in between.
+// What an operator disables gets nothing until it is enabled again, whatever the list says in between.
 func TestDisabledBackendGetsNothing(t *testing.T) {
 	out, back := decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}
 	told := func(state decide.BackendState, started time.Duration) decide.Event {
@@ -37,62 +37,62 @@
 		{"drained by the list, out, up by the list, back", []decide.Event{told(decide.Draining, 0), out, told(decide.Up, 0), back}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newHarness(t, testSettings(), 1, testBackends(2))
-			r.serve(40, idempotent, 10*ms)
+			h := newHarness(t, testSettings(), 1, testBackends(2))
+			h.serve(40, idempotent, 10*ms)
 			for _, e := range tt.events {
-				r.step(e)
-				r.advance(10 * ms)
+				h.step(e)
+				h.advance(10 * ms)
 			}
-			if got := r.serve(200, idempotent, 10*ms); (got["a"] > 0) != tt.used {
+			if got := h.serve(200, idempotent, 10*ms); (got["a"] > 0) != tt.used {
 				t.Errorf("sends to a: %d, want any: %v", got["a"], tt.used)
 			}
 		})
 	}
 }
 
-// A request in its backoff does not go to what was taken out meanwhile, even where nothing else is left.
+// A request in its backoff does not go to what was disabled meanwhile, even where nothing else is left.
 func TestBackendDisabledDuringBackoff(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		r := newHarness(t, testSettings(), seed, testBackends(2))
-		r.request("q", idempotent)
-		first := r.sent["q"][0]
-		r.outcome("q", decide.Reset, ms)
-		r.step(decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "b", Disabled: true})
-		actions := r.advance(3 * time.Second)
-		if len(r.sent["q"]) != 1 || finalAnswer("q", actions) == "" {
-			t.Errorf("seed %d: sent %v after %s failed, answer %q", seed, r.sent["q"], first, finalAnswer("q", actions))
+		h := newHarness(t, testSettings(), seed, testBackends(2))
+		h.request("q", idempotent)
+		first := h.sent["q"][0]
+		h.outcome("q", decide.Reset, ms)
+		h.step(decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "b", Disabled: true})
+		actions := h.advance(3 * time.Second)
+		if len(h.sent["q"]) != 1 || finalAnswer("q", actions) == "" {
+			t.Errorf("seed %d: sent %v after %s failed, answer %q", seed, h.sent["q"], first, finalAnswer("q", actions))
 		}
 	}
 }
 
-// Out by hand a backend is restarted: back in it counts as cold, though the list has not told of a start.
+// While disabled a backend is restarted: back in it counts as in slow start, though the list does not say that it started.
 func TestEnabledBackendIsInSlowStart(t *testing.T) {
 	s := testSettings()
 	s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple, s.OverloadWindow = 0.3, 8*time.Second, 2.5, time.Second
-	r := newHarness(t, s, 3, testBackends(4))
-	r.serve(400, idempotent, 10*ms)
-	r.step(decide.BackendDisabled{Backend: "a", Disabled: true})
-	r.serve(100, idempotent, 10*ms)
-	r.step(decide.BackendDisabled{Backend: "a"})
-	counts := r.serve(100, idempotent, 10*ms) // one second
+	h := newHarness(t, s, 3, testBackends(4))
+	h.serve(400, idempotent, 10*ms)
+	h.step(decide.BackendDisabled{Backend: "a", Disabled: true})
+	h.serve(100, idempotent, 10*ms)
+	h.step(decide.BackendDisabled{Backend: "a"})
+	counts := h.serve(100, idempotent, 10*ms) // one second
 	if counts["a"] == 0 || counts["a"] > 20 {
 		t.Errorf("in its first second back a got %d of 100, warm ones got %v", counts["a"], counts)
 	}
 }
 
-// A backend that has not answered yet counts at the mean of its likes, and not at that over its warmth:
+// A backend that has not answered yet counts at the mean of its likes, and not at that over its share of capacity:
 // else a fleet that has several requests in flight at each would pass it by until it is warm.
 func TestBusyFleetUsesBackendsInSlowStart(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := testSettings()
 		s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple, s.OverloadWindow = 0.3, 8*time.Second, 2.5, time.Second
-		r := newHarness(t, s, seed, testBackends(3))
+		h := newHarness(t, s, seed, testBackends(3))
 		until := map[string]time.Duration{} // of open requests, in time
 		n, used := 0, 0
 		see := func(actions []decide.Action) {
 			for _, act := range actions {
 				if send, ok := act.(decide.Send); ok {
-					until[send.Request] = r.now + 60*ms // 15 at once, five at each
+					until[send.Request] = h.now + 60*ms // 15 at once, five at each
 					if send.Backend == "a" {
 						used++
 					}
@@ -100,22 +100,22 @@
 			}
 		}
 		run := func(d time.Duration) {
-			for end := r.now + d; r.now < end; {
-				see(r.advance(4 * ms))
+			for end := h.now + d; h.now < end; {
+				see(h.advance(4 * ms))
 				for id, at := range until {
-					if at <= r.now {
+					if at <= h.now {
 						delete(until, id)
-						see(r.outcome(id, decide.OK, 60*ms))
+						see(h.outcome(id, decide.OK, 60*ms))
 					}
 				}
 				n++
-				see(r.request(fmt.Sprint("q", n), idempotent))
+				see(h.request(fmt.Sprint("q", n), idempotent))
 			}
 		}
 		run(3 * time.Second)
-		r.step(decide.BackendDisabled{Backend: "a", Disabled: true})
+		h.step(decide.BackendDisabled{Backend: "a", Disabled: true})
 		run(time.Second)
-		r.step(decide.BackendDisabled{Backend: "a"})
+		h.step(decide.BackendDisabled{Backend: "a"})
 		used = 0
 		run(2 * time.Second)
 		if used == 0 {
--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -10,25 +10,25 @@
 
 // A backend that fails fast is always idle; it must not draw the traffic.
 func TestFastFailureIsEjected(t *testing.T) {
-	r := newHarness(t, testSettings(), 4, testBackends(6))
+	h := newHarness(t, testSettings(), 4, testBackends(6))
 	bad := 0
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
-		r.request(id, nonIdempotent)
+		h.request(id, nonIdempotent)
 		res, lat := decide.OK, 30*ms
-		if r.sent[id][0] == "a" {
+		if h.sent[id][0] == "a" {
 			res, lat = decide.Errored, ms
 			bad++
 		}
-		r.now += lat
-		r.outcome(id, res, lat)
+		h.now += lat
+		h.outcome(id, res, lat)
 	}
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
 	}
 	// Once it works again it comes back, first with requests that may be repeated.
-	r.advance(20 * time.Second)
-	if counts := r.serve(400, idempotent, 30*ms); counts["a"] < 20 {
+	h.advance(20 * time.Second)
+	if counts := h.serve(400, idempotent, 30*ms); counts["a"] < 20 {
 		t.Errorf("after healing it got %d of 400", counts["a"])
 	}
 }
@@ -37,19 +37,19 @@
 func TestEjectionEndsWithNonIdempotentRequestsAlone(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[nonIdempotent : nonIdempotent+1]
-	r := newHarness(t, s, 4, testBackends(3))
+	h := newHarness(t, s, 4, testBackends(3))
 	for i := 0; ; i++ {
 		id := fmt.Sprint("q", i)
-		r.request(id, 0)
-		r.now += 20 * ms
-		if r.sent[id][0] == "a" {
-			r.outcome(id, decide.Errored, 20*ms)
+		h.request(id, 0)
+		h.now += 20 * ms
+		if h.sent[id][0] == "a" {
+			h.outcome(id, decide.Errored, 20*ms)
 			break
 		}
-		r.outcome(id, decide.OK, 20*ms)
+		h.outcome(id, decide.OK, 20*ms)
 	}
-	r.advance(5 * time.Second)
-	if counts := r.serve(200, 0, 30*ms); counts["a"] == 0 {
+	h.advance(5 * time.Second)
+	if counts := h.serve(200, 0, 30*ms); counts["a"] == 0 {
 		t.Error("an ejected backend never got traffic again")
 	}
 }
@@ -58,14 +58,14 @@
 func TestFirstAttemptIsSentWhenAllAreEjected(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
-	r := newHarness(t, s, 4, testBackends(2))
+	h := newHarness(t, s, 4, testBackends(2))
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		if len(r.sent[id]) != 1 {
+		h.request(id, idempotent)
+		if len(h.sent[id]) != 1 {
 			t.Fatalf("request %d was not sent", i)
 		}
-		r.now += ms
-		r.outcome(id, decide.Errored, ms)
+		h.now += ms
+		h.outcome(id, decide.Errored, ms)
 	}
 }
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -9,31 +9,31 @@
 
 func TestDrainingAndRemovedBackendsGetNothing(t *testing.T) {
 	for _, state := range []decide.BackendState{decide.Draining, decide.Removed} {
-		r := newHarness(t, testSettings(), 1, testBackends(3))
-		r.step(decide.ListUpdate{Kind: decide.ListDelta,
+		h := newHarness(t, testSettings(), 1, testBackends(3))
+		h.step(decide.ListUpdate{Kind: decide.ListDelta,
 			Backends: []decide.Backend{{ID: "a", State: state}}})
-		if n := r.serve(100, idempotent, 20*ms)["a"]; n > 0 {
+		if n := h.serve(100, idempotent, 20*ms)["a"]; n > 0 {
 			t.Errorf("state %d: %d requests went there", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 1, testBackends(3))
-		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(3)[1:]})
-		if n := r.serve(100, idempotent, 20*ms)["a"]; n > 0 {
+		h := newHarness(t, testSettings(), 1, testBackends(3))
+		h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(3)[1:]})
+		if n := h.serve(100, idempotent, 20*ms)["a"]; n > 0 {
 			t.Errorf("%d requests went there", n)
 		}
 	})
 	t.Run("while waiting out a backoff", func(t *testing.T) {
 		for seed := uint64(0); seed < 20; seed++ {
-			r := newHarness(t, testSettings(), seed, testBackends(2))
-			r.request("q", idempotent)
-			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
-			r.now += ms
-			r.outcome("q", decide.Errored, ms)
-			r.step(decide.ListUpdate{Kind: decide.ListDelta,
+			h := newHarness(t, testSettings(), seed, testBackends(2))
+			h.request("q", idempotent)
+			other := map[string]string{"a": "b", "b": "a"}[h.sent["q"][0]]
+			h.now += ms
+			h.outcome("q", decide.Errored, ms)
+			h.step(decide.ListUpdate{Kind: decide.ListDelta,
 				Backends: []decide.Backend{{ID: other, State: decide.Draining}}})
-			r.advance(time.Second)
-			for _, b := range r.sent["q"][1:] {
+			h.advance(time.Second)
+			for _, b := range h.sent["q"][1:] {
 				if b == other {
 					t.Fatalf("seed %d: a retry went to the draining backend", seed)
 				}
@@ -41,15 +41,15 @@
 		}
 	})
 	t.Run("back with the same id", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 1, testBackends(2))
-		r.serve(50, idempotent, 20*ms)
-		r.step(decide.ListUpdate{Kind: decide.ListDelta,
+		h := newHarness(t, testSettings(), 1, testBackends(2))
+		h.serve(50, idempotent, 20*ms)
+		h.step(decide.ListUpdate{Kind: decide.ListDelta,
 			Backends: []decide.Backend{{ID: "a", State: decide.Removed}}})
-		r.step(decide.ListUpdate{Kind: decide.ListDelta,
-			Backends: []decide.Backend{{ID: "a", Started: r.now}}})
-		r.serve(400, idempotent, 20*ms)
-		r.advance(10 * time.Second)
-		if n := r.serve(200, idempotent, 20*ms)["a"]; n < 50 {
+		h.step(decide.ListUpdate{Kind: decide.ListDelta,
+			Backends: []decide.Backend{{ID: "a", Started: h.now}}})
+		h.serve(400, idempotent, 20*ms)
+		h.advance(10 * time.Second)
+		if n := h.serve(200, idempotent, 20*ms)["a"]; n < 50 {
 			t.Errorf("warm again it got %d of 200", n)
 		}
 	})
@@ -68,27 +68,27 @@
 	}
 	delays := map[time.Duration]bool{}
 	for seed := uint64(0); seed < 10; seed++ {
-		r := newHarness(t, s, seed, testBackends(2))
-		delays[r.due[0]-r.now] = true
-		if n := asks(r.advance(s.SubscribeWithin / 10)); n != 1 {
+		h := newHarness(t, s, seed, testBackends(2))
+		delays[h.due[0]-h.now] = true
+		if n := asks(h.advance(s.SubscribeWithin / 10)); n != 1 {
 			t.Fatalf("asked %d times at the start, want once", n)
 		}
 		for range 8 { // every failure is followed by one more try, in time
-			r.step(decide.ListUpdate{Kind: decide.ListFailed})
-			if n := asks(r.advance(s.SubscribeWithin / 2)); n != 1 {
+			h.step(decide.ListUpdate{Kind: decide.ListFailed})
+			if n := asks(h.advance(s.SubscribeWithin / 2)); n != 1 {
 				t.Fatalf("asked %d times after a failure, want once", n)
 			}
 		}
-		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
-		if n := asks(r.advance(time.Minute)); n != 0 {
+		h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
+		if n := asks(h.advance(time.Minute)); n != 0 {
 			t.Errorf("asked %d times while subscribed", n)
 		}
 	}
 	if len(delays) < 9 {
 		t.Errorf("10 agents ask after only %d different waits", len(delays))
 	}
-	r := newHarness(t, testSettings(), 1, testBackends(2))
-	if n := asks(append(r.step(decide.ListUpdate{Kind: decide.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+	h := newHarness(t, testSettings(), 1, testBackends(2))
+	if n := asks(append(h.step(decide.ListUpdate{Kind: decide.ListFailed}), h.advance(time.Minute)...)); n != 0 {
 		t.Error("asked although the list comes unasked")
 	}
 }
--- a/decide/errorrate_test.go
+++ b/decide/errorrate_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// One error strikes a backend where the others have none, and not where another has just had one
+// One error ejects a backend where the others have none, and not where another has just had one
 // too; several strike it all the same, and so does a refused connection at once.
 func TestErrorRateBeyondChanceEjects(t *testing.T) {
 	for _, row := range []struct {
@@ -134,7 +134,7 @@
 }
 
 // A connection that breaks is no process that has ended: where many break by themselves, backends
-// were taken for just started, and held to a cold one's part, over and over.
+// were taken for just started, and held to a backend in slow start's part, over and over.
 func TestBrokenConnectionDoesNotBeginSlowStart(t *testing.T) {
 	for res, cold := range map[Result]bool{Reset: false, Incomplete: false, ConnectFailed: true} {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: time.Minute,
@@ -158,7 +158,7 @@
 }
 
 // Where every backend is cold there are no warm ones to measure by. Each gets some work all the
-// same, within what a cold one can surely do, and more as it warms up.
+// same, within what a backend in slow start can surely do, and more as it warms up.
 func TestAllBackendsInSlowStartStillServe(t *testing.T) {
 	b, err := New(Settings{Balancers: 2, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: 10 * time.Second,
 		OverloadMultiple: 2.5, OverloadWindow: time.Second,
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is learnt goes over to the next balancer, for the very process that showed it; what makes no
-// sense, and budgets for cold ones, do not.
+// sense, and budgets for backends in slow start, do not.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := testSettings()
 	list := []decide.Backend{{ID: "fast"}, {ID: "slow"}, {ID: "new", Started: time.Minute}}
@@ -36,15 +36,15 @@
 		n := 0
 		// The first choice of each of many balancers would be the same with one seed: ask one often,
 		// with no answers in between to learn from.
-		r := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-		r.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
+		h := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
+		h.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 		for i := range 100 {
 			id := time.Duration(i).String()
-			r.request(id, idempotent)
-			if r.sent[id][0] == "slow" {
+			h.request(id, idempotent)
+			if h.sent[id][0] == "slow" {
 				n++
 			}
-			r.step(decide.Outcome{Request: id, Backend: r.sent[id][0], Result: decide.Cancelled, Latency: ms, Answered: true})
+			h.step(decide.Outcome{Request: id, Backend: h.sent[id][0], Result: decide.Cancelled, Latency: ms, Answered: true})
 		}
 		return n
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// A restored balancer spares a cold server as a fresh one does.
+// A restored balancer spares a server in slow start as a fresh one does.
 func TestRestoredBalancerSparesABackendInSlowStart(t *testing.T) {
 	s := testSettings()
 	now := time.Hour
@@ -75,13 +75,13 @@
 		if restore {
 			b.Restore(decide.Learned{Limit: 50, Classes: []decide.LearnedClass{{Latency: 1e6}}, Backends: []decide.LearnedBackend{{ID: "c", Started: now - 100*ms, Slowness: 0.01}}})
 		}
-		r := &harness{t: t, b: b, now: now, sent: map[string][]string{}}
-		r.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
+		h := &harness{t: t, b: b, now: now, sent: map[string][]string{}}
+		h.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 		cold := 0
 		for i := range 20 {
 			id := time.Duration(i).String()
-			r.request(id, idempotent)
-			for _, x := range r.sent[id] {
+			h.request(id, idempotent)
+			for _, x := range h.sent[id] {
 				if x == "c" {
 					cold++
 				}
--- a/decide/learnedlimit_test.go
+++ b/decide/learnedlimit_test.go
@@ -13,7 +13,7 @@
 func TestLimitIsHandedToASuccessor(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
-		same  bool // as one that was told nothing
+		same  bool // as one that took over nothing
 	}{{0, true}, {20, false}, {1, true}, {1e9, true}, {math.NaN(), true}, {math.Inf(1), true}} {
 		sent := func(limit float64) int {
 			b, err := decide.New(testSettings(), 1)
@@ -21,12 +21,12 @@
 				t.Fatal(err)
 			}
 			b.Restore(decide.Learned{Limit: limit})
-			r := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-			r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
+			h := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
+			h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
 			for i := range 200 {
-				r.request(fmt.Sprint(i), idempotent)
+				h.request(fmt.Sprint(i), idempotent)
 			}
-			return len(r.sent)
+			return len(h.sent)
 		}
 		fresh, got := sent(0), sent(c.limit)
 		if c.same && got != fresh || !c.same && got < 2*fresh {
--- a/decide/leases_test.go
+++ b/decide/leases_test.go
@@ -28,55 +28,55 @@
 func TestRequestWithoutLeaseIsRefusedAtOnceWithItsLimit(t *testing.T) {
 	s := testSettings()
 	s.RetryAfter, s.MaxRetryAfter = true, time.Minute
-	r := newHarness(t, s, 1, testBackends(4))
-	r.step(decide.SharedLimits{Limits: []quota.Limit{limit("total", quota.Requests)}})
-	r.step(lent("total", 2, r.now))
+	h := newHarness(t, s, 1, testBackends(4))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("total", quota.Requests)}})
+	h.step(lent("total", 2, h.now))
 	for _, id := range []string{"a", "b"} {
-		send, ok := find[decide.Send](r.request(id, idempotent))
+		send, ok := find[decide.Send](h.request(id, idempotent))
 		if !ok || send.StartBy == 0 {
 			t.Fatalf("%s: %+v", id, send)
 		}
 	}
-	all := r.request("c", idempotent)
+	all := h.request("c", idempotent)
 	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "total" || no.Reason != decide.NoLease || no.RetryAfter < time.Second {
 		t.Errorf("%+v", all)
 	}
 	if held, ok := find[decide.LeaseUsage](all); ok && held.Usages[0].Rejected != 1 {
 		t.Errorf("%+v", held)
 	}
-	r.advance(1100 * ms)
-	if _, ok := find[decide.Send](r.request("d", idempotent)); !ok {
+	h.advance(1100 * ms)
+	if _, ok := find[decide.Send](h.request("d", idempotent)); !ok {
 		t.Error("nothing is sent a second later")
 	}
 }
 
 // What may have run is never answered as if it had not, whatever limit stands in the way of another try.
 func TestRetryWithoutLeaseFails(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(4))
-	r.step(decide.SharedLimits{Limits: []quota.Limit{limit("again", quota.Retries)}})
-	if _, ok := find[decide.Send](r.request("a", idempotent)); !ok {
+	h := newHarness(t, testSettings(), 1, testBackends(4))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("again", quota.Retries)}})
+	if _, ok := find[decide.Send](h.request("a", idempotent)); !ok {
 		t.Fatal("a first try is none that is tried again")
 	}
-	r.outcome("a", decide.Reset, ms)
-	all := r.advance(3 * time.Second)
+	h.outcome("a", decide.Reset, ms)
+	all := h.advance(3 * time.Second)
 	if no, ok := find[decide.Fail](all); !ok || no.Limit != "again" {
 		t.Errorf("after a reset: %+v", all)
 	}
-	r.request("b", idempotent)
-	r.outcome("b", decide.Rejected, ms) // never ran
-	all = r.advance(3 * time.Second)
+	h.request("b", idempotent)
+	h.outcome("b", decide.Rejected, ms) // never ran
+	all = h.advance(3 * time.Second)
 	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "again" {
 		t.Errorf("after a refusal: %+v", all)
 	}
 }
 
 func TestLimitOfOneBackendDoesNotAffectOthers(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(3))
+	h := newHarness(t, testSettings(), 1, testBackends(3))
 	l := limit("one", quota.InFlight)
 	l.Server = testBackends(3)[0].ID
-	r.step(decide.SharedLimits{Limits: []quota.Limit{l}})
+	h.step(decide.SharedLimits{Limits: []quota.Limit{l}})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		send, ok := find[decide.Send](r.request(id, idempotent))
+		send, ok := find[decide.Send](h.request(id, idempotent))
 		if !ok || send.Backend == l.Server {
 			t.Errorf("%s: %+v", id, send)
 		}
@@ -84,33 +84,33 @@
 }
 
 func TestInFlightLeaseIsReleasedByTheOutcome(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(3))
-	r.step(decide.SharedLimits{Limits: []quota.Limit{limit("at-once", quota.InFlight)}})
-	r.step(lent("at-once", 1, r.now))
-	r.request("a", idempotent)
-	if _, ok := find[decide.Refuse](r.request("b", idempotent)); !ok {
+	h := newHarness(t, testSettings(), 1, testBackends(3))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("at-once", quota.InFlight)}})
+	h.step(lent("at-once", 1, h.now))
+	h.request("a", idempotent)
+	if _, ok := find[decide.Refuse](h.request("b", idempotent)); !ok {
 		t.Error("two at once")
 	}
-	r.outcome("a", decide.OK, ms)
-	if _, ok := find[decide.Send](r.request("c", idempotent)); !ok {
+	h.outcome("a", decide.OK, ms)
+	if _, ok := find[decide.Send](h.request("c", idempotent)); !ok {
 		t.Error("none after the first has ended")
 	}
-	// One that can't be over before the right is, does not begin.
-	r.outcome("c", decide.OK, ms)
-	r.step(decide.LeasesGranted{Leases: []quota.Lease{{Limit: "at-once", Grantor: "k", Number: 2, Amount: 1, Expires: r.now + ms}}})
-	if _, ok := find[decide.Refuse](r.request("d", idempotent)); !ok {
+	// One that can't be over before the lease is, does not begin.
+	h.outcome("c", decide.OK, ms)
+	h.step(decide.LeasesGranted{Leases: []quota.Lease{{Limit: "at-once", Grantor: "k", Number: 2, Amount: 1, Expires: h.now + ms}}})
+	if _, ok := find[decide.Refuse](h.request("d", idempotent)); !ok {
 		t.Error("it may outlast its right")
 	}
 }
 
 func TestNoConnectionIsOpenedWithoutLease(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(3))
-	r.step(decide.SharedLimits{Limits: []quota.Limit{limit("dials", quota.NewConnections)}})
-	send, ok := find[decide.Send](r.request("a", idempotent))
+	h := newHarness(t, testSettings(), 1, testBackends(3))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("dials", quota.NewConnections)}})
+	send, ok := find[decide.Send](h.request("a", idempotent))
 	if !ok || !send.ReuseOnly {
 		t.Fatalf("%+v", send)
 	}
-	if no, ok := find[decide.Refuse](r.outcome("a", decide.NotSent, ms)); !ok || no.Limit != "dials" {
+	if no, ok := find[decide.Refuse](h.outcome("a", decide.NotSent, ms)); !ok || no.Limit != "dials" {
 		t.Errorf("%+v", no)
 	}
 }
--- a/decide/message_test.go
+++ b/decide/message_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A message keeps its numbers and notes; notes grow older on the way, never younger, bad news
+// A message keeps its numbers and observations; observations grow older on the way, never younger, bad news
 // goes first, and what does not fit or is too old stays behind.
 func TestPeerMessageRoundTrip(t *testing.T) {
 	const now, unit = time.Hour, time.Second
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -34,11 +34,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings()
 			s.Balancers, s.Self, s.Peers = 4, 2, tt.peers
-			r := newHarness(t, s, 1, testBackends(10))
+			h := newHarness(t, s, 1, testBackends(10))
 			told := 0
 			for range 30 {
-				r.serve(1, idempotent, 20*ms)
-				for _, a := range r.advance(20 * ms) {
+				h.serve(1, idempotent, 20*ms)
+				for _, a := range h.advance(20 * ms) {
 					if _, ok := a.(decide.SendToPeer); ok {
 						told++
 					}
@@ -47,7 +47,7 @@
 					continue
 				}
 				for _, from := range []int{-1, 0, 1, 2, 3, 4} {
-					r.step(decide.PeerMessage{From: from, Data: tt.data})
+					h.step(decide.PeerMessage{From: from, Data: tt.data})
 				}
 			}
 			if tt.peers != (told > 0) || told > 4*3 {
@@ -56,8 +56,8 @@
 			n := 0
 			for i := range 100 {
 				id := fmt.Sprint("q", i)
-				r.request(id, idempotent)
-				n += len(r.sent[id])
+				h.request(id, idempotent)
+				n += len(h.sent[id])
 			}
 			if !tt.want(n) {
 				t.Errorf("%d in flight", n)
@@ -72,7 +72,7 @@
 	for _, n := range []int{1, 2, 8, 50, 2000} {
 		s := testSettings()
 		s.Balancers, s.Self, s.Peers = n, n/2, true
-		r := newHarness(t, s, 1, testBackends(4))
+		h := newHarness(t, s, 1, testBackends(4))
 		told := map[int]int{}
 		total := 0
 		count := func(acts []decide.Action) {
@@ -85,9 +85,9 @@
 		}
 		for i := range 100 { // a request every tenth of a period
 			id := fmt.Sprint("q", i)
-			count(r.request(id, idempotent))
-			count(r.outcome(id, decide.OK, 20*ms))
-			count(r.advance(s.Classes[0].Objective / 10))
+			count(h.request(id, idempotent))
+			count(h.outcome(id, decide.OK, 20*ms))
+			count(h.advance(s.Classes[0].Objective / 10))
 		}
 		if most := 11 * min(n-1, 8); total > most || n > 1 && total < 10 {
 			t.Errorf("%d agents: %d messages in ten periods, want up to %d", n, total, most)
@@ -102,40 +102,40 @@
 func TestShareOfStoppedPeersIsRedistributed(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Peers = 4, true
-	r := newHarness(t, s, 1, testBackends(10))
+	h := newHarness(t, s, 1, testBackends(10))
 	inFlight := func(round int) (n int) {
 		for i := range 100 {
 			id := fmt.Sprint("q", round, "-", i)
-			if r.request(id, idempotent); len(r.sent[id]) > 0 {
+			if h.request(id, idempotent); len(h.sent[id]) > 0 {
 				n++
-				defer r.outcome(id, decide.OK, 20*ms)
+				defer h.outcome(id, decide.OK, 20*ms)
 			} else {
-				r.step(decide.RequestCancelled{Request: id})
+				h.step(decide.RequestCancelled{Request: id})
 			}
 		}
 		return n
 	}
 	own := binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(float32(100*ms)))<<32)
 	for range 40 {
-		r.serve(1, idempotent, 20*ms)
+		h.serve(1, idempotent, 20*ms)
 		for from := 1; from < 4; from++ {
-			r.step(decide.PeerMessage{From: from, Data: own})
+			h.step(decide.PeerMessage{From: from, Data: own})
 		}
-		r.advance(50 * ms)
+		h.advance(50 * ms)
 	}
 	before := inFlight(0)
 	for range 60 { // three seconds without a word: over four tells
-		r.serve(1, idempotent, 20*ms)
-		r.advance(50 * ms)
+		h.serve(1, idempotent, 20*ms)
+		h.advance(50 * ms)
 	}
 	if after := inFlight(1); before > 40 || after < 55 {
 		t.Errorf("%d in flight beside three peers, %d after they stopped, want nearly all 60", before, after)
 	}
 }
 
-// Dallas big-1: a thin agent meets a dead server so seldom that it learns of it too late. What
+// Dallas big-1: an agent that admits by credit meets a dead server so seldom that it learns of it too late. What
 // one agent saw, another knows from its message, the failure of a server as well as its speed,
-// and the same note told again changes nothing.
+// and the same observation told again changes nothing.
 func TestObservationsSpreadThroughPeers(t *testing.T) {
 	s := creditSettings()
 	teller := newHarness(t, s, 1, testBackends(4))
@@ -166,15 +166,15 @@
 		s.Self = 1
 		counts := map[string]int{}
 		for seed := range uint64(200) {
-			r := newHarness(t, s, seed, testBackends(4))
-			r.now = teller.now
+			h := newHarness(t, s, seed, testBackends(4))
+			h.now = teller.now
 			for range repeat {
 				for _, d := range data {
-					r.step(decide.PeerMessage{From: 0, Data: d})
+					h.step(decide.PeerMessage{From: 0, Data: d})
 				}
 			}
-			r.request("q", idempotent)
-			counts[r.sent["q"][0]]++
+			h.request("q", idempotent)
+			counts[h.sent["q"][0]]++
 		}
 		return counts
 	}
--- a/decide/pick_test.go
+++ b/decide/pick_test.go
@@ -10,8 +10,8 @@
 
 func TestIdleBackendIsPickedFirst(t *testing.T) {
 	t.Run("idle ones at random", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 2, testBackends(4))
-		counts := r.serve(400, idempotent, 50*ms)
+		h := newHarness(t, testSettings(), 2, testBackends(4))
+		counts := h.serve(400, idempotent, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
 			if counts[id] < 60 || counts[id] > 140 {
 				t.Errorf("%s got %d of 400, want about 100", id, counts[id])
@@ -19,26 +19,26 @@
 		}
 	})
 	t.Run("idle before busy", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 2, testBackends(4))
-		r.serve(80, idempotent, 50*ms)
+		h := newHarness(t, testSettings(), 2, testBackends(4))
+		h.serve(80, idempotent, 50*ms)
 		used := map[string]bool{}
 		for i := range 4 {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
-			used[r.sent[id][0]] = true
+			h.request(id, idempotent)
+			used[h.sent[id][0]] = true
 		}
 		if len(used) != 4 {
 			t.Errorf("four requests went to %d backends, want 4", len(used))
 		}
 	})
 	t.Run("fewest in flight", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 2, testBackends(4))
-		r.serve(80, idempotent, 50*ms)
+		h := newHarness(t, testSettings(), 2, testBackends(4))
+		h.serve(80, idempotent, 50*ms)
 		counts := map[string]int{}
 		for i := range 12 {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
-			counts[r.sent[id][0]]++
+			h.request(id, idempotent)
+			counts[h.sent[id][0]]++
 		}
 		for id, n := range counts {
 			if n < 2 || n > 4 {
@@ -47,17 +47,17 @@
 		}
 	})
 	t.Run("a new one counts at the mean", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 2, testBackends(4))
-		r.serve(80, idempotent, 50*ms)
+		h := newHarness(t, testSettings(), 2, testBackends(4))
+		h.serve(80, idempotent, 50*ms)
 		for i := range 8 {
-			r.request(fmt.Sprint("q", i), idempotent)
+			h.request(fmt.Sprint("q", i), idempotent)
 		}
-		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "new"}}})
+		h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "new"}}})
 		rush := 0
 		for i := range 4 {
 			id := fmt.Sprint("n", i)
-			r.request(id, idempotent)
-			if r.sent[id][0] == "new" {
+			h.request(id, idempotent)
+			if h.sent[id][0] == "new" {
 				rush++
 			}
 		}
@@ -68,28 +68,28 @@
 	t.Run("own zone where crossing is priced", func(t *testing.T) {
 		s := testSettings()
 		s.CrossZonePrice = 0.02
-		r := newHarness(t, s, 2, testBackends(4))
-		r.now += s.SlowStartTime + 1 // nothing has been crowded for long
-		counts := r.serve(400, idempotent, 50*ms)
+		h := newHarness(t, s, 2, testBackends(4))
+		h.now += s.SlowStartTime + 1 // nothing has been crowded for long
+		counts := h.serve(400, idempotent, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
 			t.Errorf("own zone got %d of 400, want most but not all", own)
 		}
 	})
 	t.Run("slow ones less", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 2, testBackends(4))
+		h := newHarness(t, testSettings(), 2, testBackends(4))
 		late := 0
 		for i := range 600 {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
+			h.request(id, idempotent)
 			lat := 40 * ms
-			if r.sent[id][0] == "a" {
+			if h.sent[id][0] == "a" {
 				lat = 160 * ms
 				if i >= 300 {
 					late++
 				}
 			}
-			r.now += lat
-			r.outcome(id, decide.OK, lat)
+			h.now += lat
+			h.outcome(id, decide.OK, lat)
 		}
 		if late > 40 {
 			t.Errorf("a backend four times slower still got %d of 300", late)
@@ -99,23 +99,23 @@
 
 // A stalled backend shows in the wait of its oldest attempt, before any answer.
 func TestStalledBackendIsAvoided(t *testing.T) {
-	r := newHarness(t, testSettings(), 4, testBackends(3))
-	r.serve(60, idempotent, 20*ms)
+	h := newHarness(t, testSettings(), 4, testBackends(3))
+	h.serve(60, idempotent, 20*ms)
 	for i := range 3 { // one on each
-		r.request(fmt.Sprint("hang", i), idempotent)
+		h.request(fmt.Sprint("hang", i), idempotent)
 	}
 	for i := range 3 {
 		id := fmt.Sprint("hang", i)
-		if r.sent[id][0] != "a" {
-			r.now += 10 * ms
-			r.outcome(id, decide.OK, 20*ms)
+		if h.sent[id][0] != "a" {
+			h.now += 10 * ms
+			h.outcome(id, decide.OK, 20*ms)
 		}
 	}
-	r.now += 300 * ms
+	h.now += 300 * ms
 	for i := range 6 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		if r.sent[id][0] == "a" {
+		h.request(id, idempotent)
+		if h.sent[id][0] == "a" {
 			t.Errorf("request %d went to the stalled backend", i)
 		}
 	}
@@ -126,32 +126,32 @@
 func TestTimeoutsRaiseSlowness(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
-	r := newHarness(t, s, 3, testBackends(3))
-	r.serve(60, idempotent, 20*ms)
+	h := newHarness(t, s, 3, testBackends(3))
+	h.serve(60, idempotent, 20*ms)
 	got := 0
 	for round := range 60 {
 		var hang []string
 		answered := false
 		for i := range 6 {
-			r.request(fmt.Sprint("q", round, "-", i), idempotent)
+			h.request(fmt.Sprint("q", round, "-", i), idempotent)
 		}
-		r.now += 20 * ms
+		h.now += 20 * ms
 		for i := range 6 {
 			id := fmt.Sprint("q", round, "-", i)
-			if r.sent[id][0] == "a" {
+			if h.sent[id][0] == "a" {
 				if got++; answered {
 					hang = append(hang, id)
 					continue
 				}
 				answered = true
 			}
-			r.outcome(id, decide.OK, 20*ms)
+			h.outcome(id, decide.OK, 20*ms)
 		}
-		r.now += 60 * ms
+		h.now += 60 * ms
 		for _, id := range hang {
-			r.outcome(id, decide.TimedOut, 80*ms)
+			h.outcome(id, decide.TimedOut, 80*ms)
 		}
-		r.now += 20 * ms
+		h.now += 20 * ms
 	}
 	if got > 90 {
 		t.Errorf("a backend that times out half its requests got %d of 360", got)
@@ -161,18 +161,18 @@
 // Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
 // not land on the warm ones, nor all on one.
 func TestNewBackendsDoNotShiftLoadToWarmOnes(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(4))
-	r.serve(100, idempotent, 50*ms)
+	h := newHarness(t, testSettings(), 1, testBackends(4))
+	h.serve(100, idempotent, 50*ms)
 	grown := testBackends(20)
 	for i := 4; i < 20; i++ {
-		grown[i].Started = r.now
+		grown[i].Started = h.now
 	}
-	r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: grown})
+	h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: grown})
 	warm := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
-		r.request(id, idempotent)
-		for _, b := range r.sent[id] {
+		h.request(id, idempotent)
+		for _, b := range h.sent[id] {
 			if b < "e" {
 				warm[b]++
 			}
@@ -196,17 +196,17 @@
 	firsts := map[string]int{}
 	for self := range 60 {
 		s.Self = self
-		r := newHarness(t, s, uint64(self), testBackends(40))
+		h := newHarness(t, s, uint64(self), testBackends(40))
 		used := map[string]int{}
 		for i := range 80 {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
-			r.advance(30 * ms)
-			if len(r.sent[id]) > 0 {
-				r.outcome(id, decide.OK, 30*ms)
-				used[r.sent[id][0]]++
+			h.request(id, idempotent)
+			h.advance(30 * ms)
+			if len(h.sent[id]) > 0 {
+				h.outcome(id, decide.OK, 30*ms)
+				used[h.sent[id][0]]++
 			}
-			r.advance(370 * ms)
+			h.advance(370 * ms)
 		}
 		if len(used) > 12 {
 			t.Errorf("agent %d used %d servers, want a few", self, len(used))
@@ -215,10 +215,10 @@
 			firsts[id]++
 		}
 		for id := range used { // all of these die
-			r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, State: decide.Removed}}})
+			h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, State: decide.Removed}}})
 		}
-		r.request("next", idempotent)
-		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
+		h.request("next", idempotent)
+		if len(h.sent["next"]) == 0 || used[h.sent["next"][0]] > 0 {
 			t.Errorf("agent %d found no further server", self)
 		}
 	}
@@ -234,19 +234,19 @@
 	for i := range list {
 		list[i].Kind = i % 2
 	}
-	r := newHarness(t, testSettings(), 4, list)
+	h := newHarness(t, testSettings(), 4, list)
 	suits := map[int]int{}
 	for i := range 400 {
 		class := i % 2
 		id := fmt.Sprint("q", i)
-		r.request(id, class)
-		kind := int(r.sent[id][0][0]-'a') % 2
+		h.request(id, class)
+		kind := int(h.sent[id][0][0]-'a') % 2
 		latency := 60 * ms
 		if kind == class {
 			latency = 20 * ms
 		}
-		r.now += latency
-		r.outcome(id, decide.OK, latency)
+		h.now += latency
+		h.outcome(id, decide.OK, latency)
 		if i >= 200 && kind == class {
 			suits[class]++
 		}
@@ -264,14 +264,14 @@
 func TestBackendThatRejectsIsChosenLess(t *testing.T) {
 	hits := 0
 	for seed := range uint64(100) {
-		r := newHarness(t, testSettings(), seed, testBackends(4))
-		r.serve(20, idempotent, 20*ms)
-		r.request("q", idempotent)
-		full := r.sent["q"][0]
-		r.outcome("q", decide.Rejected, ms)
-		r.advance(2 * time.Second)
-		r.request("next", idempotent)
-		if r.sent["next"][0] == full {
+		h := newHarness(t, testSettings(), seed, testBackends(4))
+		h.serve(20, idempotent, 20*ms)
+		h.request("q", idempotent)
+		full := h.sent["q"][0]
+		h.outcome("q", decide.Rejected, ms)
+		h.advance(2 * time.Second)
+		h.request("next", idempotent)
+		if h.sent["next"][0] == full {
 			hits++
 		}
 	}
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -11,7 +11,7 @@
 
 // longestRejecting plays an agent that gets so many requests a second, by chance, for 20 s, and returns the longest span
 // in which it rejected all that came, fifteen or more, with no attempt in between. Its servers answer as answer says,
-// and its clients ask as change says; both are told the time since the start.
+// and its clients ask as change says; both get the time since the start.
 func longestRejecting(t *testing.T, s decide.Settings, seed uint64, perSecond float64,
 	answer func(at time.Duration) (decide.Result, time.Duration), change func(at time.Duration, q *decide.Request)) (longest time.Duration) {
 	t.Helper()
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -39,16 +39,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("class %d result %d", tt.class, tt.result), func(t *testing.T) {
-			r := newHarness(t, testSettings(), 7, testBackends(6))
-			r.request("q", tt.class)
-			r.now += 10 * ms
-			acts := r.outcome("q", tt.result, 10*ms)
-			acts = append(acts, r.advance(200*ms)...)
+			h := newHarness(t, testSettings(), 7, testBackends(6))
+			h.request("q", tt.class)
+			h.now += 10 * ms
+			acts := h.outcome("q", tt.result, 10*ms)
+			acts = append(acts, h.advance(200*ms)...)
 			got := finalAnswer("q", acts)
-			if len(r.sent["q"]) == 2 {
+			if len(h.sent["q"]) == 2 {
 				got += retry
-				if r.sent["q"][0] == r.sent["q"][1] {
-					t.Errorf("both attempts went to %s, which had just failed", r.sent["q"][0])
+				if h.sent["q"][0] == h.sent["q"][1] {
+					t.Errorf("both attempts went to %s, which had just failed", h.sent["q"][0])
 				}
 			}
 			if got != tt.want {
@@ -61,30 +61,30 @@
 // A list that is empty at the start: requests wait, and are refused in time.
 func TestRequestIsRefusedWithoutBackend(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent, keyedZone} {
-		r := newHarness(t, testSettings(), 1, nil)
-		acts := r.request("q", class)
-		acts = append(acts, r.advance(399*ms)...)
+		h := newHarness(t, testSettings(), 1, nil)
+		acts := h.request("q", class)
+		acts = append(acts, h.advance(399*ms)...)
 		if finalAnswer("q", acts) != "refuse" {
 			t.Errorf("class %d: %q, want one refusal within the aim", class, finalAnswer("q", acts))
 		}
 	}
 	t.Run("list comes in time", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 1, nil)
-		r.request("q", idempotent)
-		r.now += 50 * ms
-		r.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
-		if len(r.sent["q"]) != 1 {
+		h := newHarness(t, testSettings(), 1, nil)
+		h.request("q", idempotent)
+		h.now += 50 * ms
+		h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
+		if len(h.sent["q"]) != 1 {
 			t.Error("the waiting request was not sent")
 		}
 	})
 }
 
 // A try whose remaining time is cut short by the client's deadline is a late one: it
-// does not wait for room, where a first try does.
+// does not wait for capacity, where a first attempt does.
 func TestClientRetryIsInferredFromRemainingTime(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(1))
+	h := newHarness(t, testSettings(), 1, testBackends(1))
 	submit := func(id string, left time.Duration) []decide.Action {
-		return r.step(decide.Request{ID: id, Class: idempotent, Remaining: left})
+		return h.step(decide.Request{ID: id, Class: idempotent, Remaining: left})
 	}
 	for i := range 20 { // the usual remaining time, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -99,11 +99,11 @@
 
 // Events about things unknown, late or repeated do nothing.
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(2))
-	r.request("done", idempotent)
-	r.now += 10 * ms
-	r.outcome("done", decide.OK, 10*ms)
-	r.request("open", nonIdempotent)
+	h := newHarness(t, testSettings(), 1, testBackends(2))
+	h.request("done", idempotent)
+	h.now += 10 * ms
+	h.outcome("done", decide.OK, 10*ms)
+	h.request("open", nonIdempotent)
 	stray := []decide.Event{
 		decide.Outcome{Request: "never", Result: decide.Errored},
 		decide.Outcome{Request: "done", Result: decide.Errored},
@@ -119,27 +119,27 @@
 		decide.Request{ID: "open", Class: idempotent, Remaining: time.Second},
 	}
 	for _, e := range stray {
-		if acts := r.step(e); len(acts) != 0 {
+		if acts := h.step(e); len(acts) != 0 {
 			t.Errorf("%#v: %v, want no action", e, acts)
 		}
 	}
-	r.now += 10 * ms
-	if acts := r.outcome("open", decide.Errored, 10*ms); finalAnswer("open", acts) != "fail" {
+	h.now += 10 * ms
+	if acts := h.outcome("open", decide.Errored, 10*ms); finalAnswer("open", acts) != "fail" {
 		t.Errorf("the open request: %v, want its one failure", acts)
 	}
-	if acts := r.outcome("open", decide.Errored, 10*ms); len(acts) != 0 {
+	if acts := h.outcome("open", decide.Errored, 10*ms); len(acts) != 0 {
 		t.Errorf("a repeated outcome: %v, want no action", acts)
 	}
 }
 
 // An abandoned request gets nothing more, though its attempt is still counted.
 func TestCancelledRequestIsForgotten(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(2))
-	r.request("q", idempotent)
-	r.step(decide.RequestCancelled{Request: "q"})
-	r.now += 10 * ms
-	acts := r.outcome("q", decide.Errored, 10*ms)
-	acts = append(acts, r.advance(3*time.Second)...)
+	h := newHarness(t, testSettings(), 1, testBackends(2))
+	h.request("q", idempotent)
+	h.step(decide.RequestCancelled{Request: "q"})
+	h.now += 10 * ms
+	acts := h.outcome("q", decide.Errored, 10*ms)
+	acts = append(acts, h.advance(3*time.Second)...)
 	if len(acts) != 0 {
 		t.Errorf("after the client left: %v", acts)
 	}
@@ -147,13 +147,13 @@
 
 // Once an answer has begun to stream the request is the client's.
 func TestNoRetryOnceTheResponseHasStarted(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(2))
-	r.request("q", idempotent)
-	r.step(decide.ResponseStarted{Request: "q"})
-	r.now += 10 * ms
-	acts := r.step(decide.Outcome{Request: "q", Backend: r.sent["q"][0], Result: decide.Reset, Answered: true})
-	acts = append(acts, r.advance(3*time.Second)...)
-	if len(acts) != 0 || len(r.sent["q"]) != 1 {
+	h := newHarness(t, testSettings(), 1, testBackends(2))
+	h.request("q", idempotent)
+	h.step(decide.ResponseStarted{Request: "q"})
+	h.now += 10 * ms
+	acts := h.step(decide.Outcome{Request: "q", Backend: h.sent["q"][0], Result: decide.Reset, Answered: true})
+	acts = append(acts, h.advance(3*time.Second)...)
+	if len(acts) != 0 || len(h.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", acts)
 	}
 }
@@ -161,15 +161,15 @@
 // The same seed and events give the same actions.
 func TestSameSeedGivesSameActions(t *testing.T) {
 	play := func(seed uint64) (log []string) {
-		r := newHarness(t, testSettings(), seed, testBackends(6))
+		h := newHarness(t, testSettings(), seed, testBackends(6))
 		for i := range 400 {
 			id := fmt.Sprint("q", i)
-			log = append(log, fmt.Sprint(r.request(id, i%5)))
-			r.now += 3 * ms
-			if i%3 != 0 && len(r.sent[id]) > 0 {
-				log = append(log, fmt.Sprint(r.outcome(id, decide.Result(i%6), 3*ms)))
+			log = append(log, fmt.Sprint(h.request(id, i%5)))
+			h.now += 3 * ms
+			if i%3 != 0 && len(h.sent[id]) > 0 {
+				log = append(log, fmt.Sprint(h.outcome(id, decide.Result(i%6), 3*ms)))
 			}
-			log = append(log, fmt.Sprint(r.advance(2*ms)))
+			log = append(log, fmt.Sprint(h.advance(2*ms)))
 		}
 		return log
 	}
@@ -181,27 +181,27 @@
 	}
 }
 
-// Lost requests on satx-returns: a held request whose timer fired while its time to give up
+// Lost requests on satx-returns: a queued request whose timer fired while its time to give up
 // had meanwhile moved later never got another timer, and no answer.
 func TestQueuedRequestAlwaysHasATimer(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(1))
+	h := newHarness(t, testSettings(), 1, testBackends(1))
 	var acts []decide.Action
 	for i := range 40 {
-		acts = append(acts, r.request(fmt.Sprint("q", i), idempotent)...)
+		acts = append(acts, h.request(fmt.Sprint("q", i), idempotent)...)
 	}
 	for range 10 { // fast answers: less time is needed for one, so the rest may wait longer
-		r.now += ms
+		h.now += ms
 		for i := range 40 {
-			if id := fmt.Sprint("q", i); len(r.sent[id]) == 1 {
-				acts = append(acts, r.outcome(id, decide.OK, 5*ms)...)
-				r.sent[id] = append(r.sent[id], "done")
+			if id := fmt.Sprint("q", i); len(h.sent[id]) == 1 {
+				acts = append(acts, h.outcome(id, decide.OK, 5*ms)...)
+				h.sent[id] = append(h.sent[id], "done")
 				break
 			}
 		}
 	}
-	acts = append(acts, r.advance(1900*ms)...)
+	acts = append(acts, h.advance(1900*ms)...)
 	for i := range 40 {
-		if id := fmt.Sprint("q", i); len(r.sent[id]) == 0 && finalAnswer(id, acts) == "" {
+		if id := fmt.Sprint("q", i); len(h.sent[id]) == 0 && finalAnswer(id, acts) == "" {
 			t.Errorf("%s was held and got no answer", id)
 		}
 	}
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -13,33 +13,33 @@
 	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
 	for seed := uint64(0); seed < 40; seed++ {
 		for _, class := range []int{keyedZone, keyedCell} {
-			r := newHarness(t, testSettings(), seed, testBackends(6))
-			r.request("q", class)
-			r.now += 5 * ms
-			r.outcome("q", decide.Errored, 5*ms)
-			r.advance(200 * ms)
-			if s := r.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
+			h := newHarness(t, testSettings(), seed, testBackends(6))
+			h.request("q", class)
+			h.now += 5 * ms
+			h.outcome("q", decide.Errored, 5*ms)
+			h.advance(200 * ms)
+			if s := h.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
 				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
 			}
 		}
 	}
 	t.Run("window", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 1, testBackends(6))
-		r.request("q", keyedAll)
-		r.now += 300 * ms
-		acts := r.outcome("q", decide.Errored, 300*ms)
+		h := newHarness(t, testSettings(), 1, testBackends(6))
+		h.request("q", keyedAll)
+		h.now += 300 * ms
+		acts := h.outcome("q", decide.Errored, 300*ms)
 		if finalAnswer("q", acts) != "fail" {
 			t.Errorf("after the window: %v, want a failure", acts)
 		}
 	})
 	t.Run("never ran", func(t *testing.T) {
-		r := newHarness(t, testSettings(), 1, testBackends(6))
-		r.request("q", keyedZone)
-		r.now += 400 * ms
-		r.outcome("q", decide.ConnectFailed, 400*ms)
-		r.advance(200 * ms)
-		if len(r.sent["q"]) != 2 {
-			t.Errorf("attempts %v: one that never ran should not bind the request", r.sent["q"])
+		h := newHarness(t, testSettings(), 1, testBackends(6))
+		h.request("q", keyedZone)
+		h.now += 400 * ms
+		h.outcome("q", decide.ConnectFailed, 400*ms)
+		h.advance(200 * ms)
+		if len(h.sent["q"]) != 2 {
+			t.Errorf("attempts %v: one that never ran should not bind the request", h.sent["q"])
 		}
 	})
 }
@@ -47,19 +47,19 @@
 func TestMaxAttemptsHolds(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 3
-	r := newHarness(t, s, 3, testBackends(6))
-	r.request("q", idempotent)
+	h := newHarness(t, s, 3, testBackends(6))
+	h.request("q", idempotent)
 	var all []decide.Action
 	for range 6 {
 		if finalAnswer("q", all) != "" {
 			break
 		}
-		r.now += ms
-		all = append(all, r.outcome("q", decide.Errored, ms)...)
-		all = append(all, r.advance(150*ms)...)
+		h.now += ms
+		all = append(all, h.outcome("q", decide.Errored, ms)...)
+		all = append(all, h.advance(150*ms)...)
 	}
-	if len(r.sent["q"]) != 3 || finalAnswer("q", all) != "fail" {
-		t.Errorf("attempts %v and answer %q, want 3 and one failure", r.sent["q"], finalAnswer("q", all))
+	if len(h.sent["q"]) != 3 || finalAnswer("q", all) != "fail" {
+		t.Errorf("attempts %v and answer %q, want 3 and one failure", h.sent["q"], finalAnswer("q", all))
 	}
 }
 
@@ -70,22 +70,22 @@
 	s.MaxAttempts = 2
 	// spend fails n requests and returns how many were retried. The retry is
 	// served, unless it must not refill the bucket.
-	spend := func(r *harness, n int, res decide.Result) (retried int) {
+	spend := func(h *harness, n int, res decide.Result) (retried int) {
 		for range n {
-			id := fmt.Sprintf("spend-%d", len(r.sent))
-			r.request(id, idempotent)
-			if len(r.sent[id]) != 1 {
+			id := fmt.Sprintf("spend-%d", len(h.sent))
+			h.request(id, idempotent)
+			if len(h.sent[id]) != 1 {
 				t.Fatalf("first attempt of %s did not go out", id)
 			}
-			r.now += ms
-			r.outcome(id, res, ms)
-			r.advance(100 * ms)
-			if len(r.sent[id]) == 2 {
+			h.now += ms
+			h.outcome(id, res, ms)
+			h.advance(100 * ms)
+			if len(h.sent[id]) == 2 {
 				retried++
-				r.now += ms
-				r.outcome(id, decide.Errored, ms)
+				h.now += ms
+				h.outcome(id, decide.Errored, ms)
 			}
-			r.advance(30 * time.Second) // lets ejections pass
+			h.advance(30 * time.Second) // lets ejections pass
 		}
 		return retried
 	}
@@ -104,20 +104,20 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newHarness(t, s, 5, testBackends(6))
-			if got := spend(r, 30, tt.res); got != tt.first {
+			h := newHarness(t, s, 5, testBackends(6))
+			if got := spend(h, 30, tt.res); got != tt.first {
 				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
 			}
-			r.serve(tt.serve, idempotent, 20*ms)
-			r.advance(30 * time.Second)
-			if got := spend(r, 30, tt.res); got != tt.then {
+			h.serve(tt.serve, idempotent, 20*ms)
+			h.advance(30 * time.Second)
+			if got := spend(h, 30, tt.res); got != tt.then {
 				t.Errorf("then funded %d retries, want %d", got, tt.then)
 			}
 		})
 	}
 }
 
-// Waits are full jitter: between 0 and a unit (a share of the aim) that doubles
+// Waits are full jitter: between 0 and a unit (a share of the objective) that doubles
 // with each retry up to a ceiling.
 func TestBackoffIsFullyJitteredAndBounded(t *testing.T) {
 	s := testSettings()
@@ -126,19 +126,19 @@
 	longest := make([]time.Duration, 6)
 	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
 	for seed := uint64(0); seed < 300; seed++ {
-		r := newHarness(t, s, seed, testBackends(8))
-		r.request("q", idempotent)
+		h := newHarness(t, s, seed, testBackends(8))
+		h.request("q", idempotent)
 		for n := range 6 {
-			r.outcome("q", decide.Rejected, 0)
-			failed := r.now
-			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
-				r.advance(ms / 4)
+			h.outcome("q", decide.Rejected, 0)
+			failed := h.now
+			for len(h.sent["q"]) == n+1 && len(h.due) > 0 {
+				h.advance(ms / 4)
 			}
-			if len(r.sent["q"]) != n+2 {
+			if len(h.sent["q"]) != n+2 {
 				t.Fatalf("seed %d: retry %d was not made", seed, n)
 			}
-			longest[n] = max(longest[n], r.now-failed)
-			shortest[n] = min(shortest[n], r.now-failed)
+			longest[n] = max(longest[n], h.now-failed)
+			shortest[n] = min(shortest[n], h.now-failed)
 		}
 	}
 	for n, got := range longest {
@@ -154,15 +154,15 @@
 
 // A retry whose wait would outlast the time left is not made.
 func TestNoRetryPastTheDeadline(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(4))
-	r.request("q", idempotent)
-	r.now += 2000 * ms
-	if acts := r.outcome("q", decide.TimedOut, 2000*ms); finalAnswer("q", acts) != "fail" {
+	h := newHarness(t, testSettings(), 1, testBackends(4))
+	h.request("q", idempotent)
+	h.now += 2000 * ms
+	if acts := h.outcome("q", decide.TimedOut, 2000*ms); finalAnswer("q", acts) != "fail" {
 		t.Errorf("at the deadline: %v, want the final answer at once", acts)
 	}
 }
 
-// A keyed repeat says until when it may begin: as long as its first attempt is remembered, from when that was sent.
+// A keyed retry says until when it may begin: as long as its first attempt is remembered, from when that was sent.
 // First attempts and safe requests have all the time there is, and so has one whose first attempt never ran.
 func TestKeyedRetryStartsWithinTheDedupWindow(t *testing.T) {
 	until := func(acts []decide.Action) (all []time.Duration) {
@@ -178,13 +178,13 @@
 		result decide.Result
 		bound  bool
 	}{{keyedAll, decide.Errored, true}, {keyedAll, decide.Rejected, false}, {idempotent, decide.Errored, false}, {nonIdempotent, decide.Incomplete, false}} {
-		r := newHarness(t, testSettings(), 1, testBackends(4))
-		sent := r.now
-		if u := until(r.request("x", row.class)); len(u) != 1 || u[0] != 0 {
+		h := newHarness(t, testSettings(), 1, testBackends(4))
+		sent := h.now
+		if u := until(h.request("x", row.class)); len(u) != 1 || u[0] != 0 {
 			t.Fatalf("first attempt: %v", u)
 		}
-		r.now += 20 * ms
-		acts := append(r.outcome("x", row.result, 20*ms), r.advance(100*ms)...)
+		h.now += 20 * ms
+		acts := append(h.outcome("x", row.result, 20*ms), h.advance(100*ms)...)
 		want := time.Duration(0)
 		if row.bound {
 			want = sent + 300*ms - 150*ms // held up for as long between the look at the clock and the write
@@ -205,11 +205,11 @@
 	}{{100 * ms, 2}, {250 * ms, 1}} {
 		s := testSettings()
 		s.ConnectTimeout = 100 * ms // the window is 300 ms
-		r := newHarness(t, s, 1, testBackends(4))
-		r.request("x", keyedAll)
-		r.now += row.failed
-		acts := append(r.outcome("x", decide.Errored, row.failed), r.advance(100*ms)...)
-		if n := len(r.sent["x"]); n != row.sends {
+		h := newHarness(t, s, 1, testBackends(4))
+		h.request("x", keyedAll)
+		h.now += row.failed
+		acts := append(h.outcome("x", decide.Errored, row.failed), h.advance(100*ms)...)
+		if n := len(h.sent["x"]); n != row.sends {
 			t.Errorf("failed after %v: %d sends, want %d", row.failed, n, row.sends)
 		}
 		if got := finalAnswer("x", acts); (got != "") != (row.sends == 1) {
--- a/decide/sampling_test.go
+++ b/decide/sampling_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// crowd is a balancer that knows many backends of all sorts: slow and fast, busy, ejected, draining,
+// variedBalancer is a balancer that knows many backends of all sorts: slow and fast, busy, ejected, draining,
 // in another zone.
-func crowd(t *testing.T, n int) *Balancer {
+func variedBalancer(t *testing.T, n int) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CrossZonePrice: 0.03, Classes: []Class{
 		{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
@@ -42,7 +42,7 @@
 // Drawing gives the same distribution of choices as looking at all.
 func TestSampleIdleChoosesAsScanAll(t *testing.T) {
 	const n, draws = 200, 100_000
-	b := crowd(t, n)
+	b := variedBalancer(t, n)
 	r := &openRequest{class: 0, deadline: b.now + time.Second}
 	scanned, sampled := map[string]float64{}, map[string]float64{}
 	none := 0
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -8,46 +8,46 @@
 	"vetchhaven/decide"
 )
 
-// A cold backend gets no more than its warmth times what a warm one serves.
+// A backend in slow start gets no more than its share of capacity times what a warm one serves.
 func TestSlowStartShareOfTraffic(t *testing.T) {
 	list := testBackends(5)
-	list[0].Started = time.Hour // the rig's clock starts here
-	r := newHarness(t, testSettings(), 9, list)
-	counts := r.serve(200, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
+	list[0].Started = time.Hour // the harness's clock starts here
+	h := newHarness(t, testSettings(), 9, list)
+	counts := h.serve(200, idempotent, 20*ms) // the first 4 s of 10: share of capacity 0.2 to 0.52
 	if warm := (200 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
 		t.Errorf("the cold backend got %d against %d for a warm one", counts["a"], warm)
 	}
 	if counts["a"] == 0 {
 		t.Error("the cold backend got nothing")
 	}
-	r.advance(10 * time.Second)
-	if n := r.serve(200, idempotent, 20*ms)["a"]; n < 25 {
+	h.advance(10 * time.Second)
+	if n := h.serve(200, idempotent, 20*ms)["a"]; n < 25 {
 		t.Errorf("once warm it got %d of 200", n)
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a cold backend gets more than its sure share of
+// Incidents i37feae and i28e3f7: under overload a backend in slow start gets more than its sure share of
 // what a warm one serves, and stays well below the stated multiple of it.
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := testBackends(5)
-	r := newHarness(t, testSettings(), 9, list)
+	h := newHarness(t, testSettings(), 9, list)
 	var out []string
 	counts := map[string]float64{}
 	answer := func(id string, latency time.Duration) {
-		counts[r.sent[id][0]]++
-		for _, a := range r.outcome(id, decide.OK, latency) {
+		counts[h.sent[id][0]]++
+		for _, a := range h.outcome(id, decide.OK, latency) {
 			if a, ok := a.(decide.Send); ok {
 				out = append(out, a.Request)
 			}
 		}
 	}
-	drive := func(n int) { // each 5 ms: all answers of the cold one, one of the others, two requests
+	drive := func(n int) { // each 5 ms: all answers of the one in slow start, one of the others, two requests
 		for range n {
-			r.advance(5 * ms)
+			h.advance(5 * ms)
 			was := out
 			out = nil
 			for i, id := range was {
-				if r.sent[id][0] == "a" && list[0].Started > 0 {
+				if h.sent[id][0] == "a" && list[0].Started > 0 {
 					answer(id, 5*ms)
 				} else if i == 0 {
 					answer(id, 50*ms)
@@ -56,8 +56,8 @@
 				}
 			}
 			for range 2 {
-				id := fmt.Sprint("q", len(r.sent), "-", r.now)
-				if r.request(id, idempotent); len(r.sent[id]) > 0 {
+				id := fmt.Sprint("q", len(h.sent), "-", h.now)
+				if h.request(id, idempotent); len(h.sent[id]) > 0 {
 					out = append(out, id)
 				}
 			}
@@ -65,14 +65,14 @@
 	}
 	for i := range 30 {
 		id := fmt.Sprint("first", i)
-		r.request(id, idempotent)
+		h.request(id, idempotent)
 		out = append(out, id)
 	}
 	drive(400)
-	list[0].Started = r.now
-	r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: list[:1]})
+	list[0].Started = h.now
+	h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: list[:1]})
 	clear(counts)
-	drive(400) // two seconds: warmth 0.2 to 0.36, 0.28 in the mean
+	drive(400) // two seconds: share of capacity 0.2 to 0.36, 0.28 in the mean
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
 	share := counts["a"] / warm
 	if share < 0.5 || share > 0.28*2.5 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// A heavy request alone could push a cold backend over.
+// A heavy request alone could overload a backend in slow start.
 func TestSlowStartGetsNoHeavyRequest(t *testing.T) {
 	list := testBackends(3)
 	r := newHarness(t, testSettings(), 9, list)
@@ -111,28 +111,28 @@
 	}
 }
 
-// A backend that comes back before the list tells counts as cold.
+// A backend that comes back before the list says so counts as in slow start.
 func TestBackendThatComesBackIsInSlowStart(t *testing.T) {
-	r := newHarness(t, testSettings(), 3, testBackends(3))
-	r.serve(60, idempotent, 20*ms)
+	h := newHarness(t, testSettings(), 3, testBackends(3))
+	h.serve(60, idempotent, 20*ms)
 	for i := 0; ; i++ {
 		id := fmt.Sprint("d", i)
-		r.request(id, idempotent)
-		r.now += 20 * ms
-		if r.sent[id][0] == "a" {
-			r.outcome(id, decide.ConnectFailed, 20*ms)
+		h.request(id, idempotent)
+		h.now += 20 * ms
+		if h.sent[id][0] == "a" {
+			h.outcome(id, decide.ConnectFailed, 20*ms)
 			break
 		}
-		r.outcome(id, decide.OK, 20*ms)
+		h.outcome(id, decide.OK, 20*ms)
 	}
-	r.advance(2 * time.Second)
+	h.advance(2 * time.Second)
 	seen := 0
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
-		r.request(id, idempotent)
-		r.now += 20 * ms
-		r.outcome(id, decide.OK, 20*ms)
-		if r.sent[id][0] == "a" {
+		h.request(id, idempotent)
+		h.now += 20 * ms
+		h.outcome(id, decide.OK, 20*ms)
+		if h.sent[id][0] == "a" {
 			seen++
 		}
 	}
@@ -141,18 +141,18 @@
 	}
 }
 
-// Dallas rules-3: each of 150 agents sent a cold server one request at once, and together they
-// pushed it over. Only a part of them may do so right after its start.
+// Dallas rules-3: each of 150 agents sent a server in slow start one request at once, and together they
+// overloaded it. Only a part of them may do so right after its start.
 func TestManyBalancersSpareABackendInSlowStart(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
-		r := newHarness(t, testSettings(), seed, testBackends(2))
-		r.serve(40, idempotent, 20*ms)
-		r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{
-			{ID: "a", Started: r.now}, {ID: "b", State: decide.Draining}}})
-		r.now += 5 * ms
-		r.request("q", idempotent)
-		sent += len(r.sent["q"])
+		h := newHarness(t, testSettings(), seed, testBackends(2))
+		h.serve(40, idempotent, 20*ms)
+		h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{
+			{ID: "a", Started: h.now}, {ID: "b", State: decide.Draining}}})
+		h.now += 5 * ms
+		h.request("q", idempotent)
+		sent += len(h.sent["q"])
 	}
 	if sent > 60 {
 		t.Errorf("%d of 200 agents sent to a server within 5 ms of its start", sent)
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -19,10 +19,10 @@
 	coldFrom = flag.Uint64("coldfrom", 1, "the first of their seeds")
 )
 
-// hardColdDays are seeds of days on which a cold server falls once a protection of cold.go is taken out. Any fall
+// hardColdDays are seeds of days on which a server in slow start falls once a protection of slowstart.go is removed. Any fall
 // on them fails the test.
 var hardColdDays = []uint64{
-	175,      // at a site's own work: the rate of its own kind, each answer over those warm then, warmth, any budget
+	175,      // at a site's own work: the rate of its own kind, each answer over those warm then, share of capacity, any budget
 	46,       // the same, with longer requests
 	110, 166, // and there the cap at 1, or the beginning at a random part of a request below nothing
 	14, // the beginning
@@ -30,9 +30,9 @@
 }
 
 // No server that has just started falls under what all agents together send it, of which over two thirds came from
-// agents that had been told of its start: at the settings and the work of four site files, where a cold one stands 12
+// agents that had been notified of its start: at the settings and the work of four site files, where a backend in slow start stands 12
 // requests in a window and more. It may be one start in fifty where requests are so much longer that it stands
-// one to ten, and one in twenty where cold servers answer at once, as on a quarter of the days: only the budget is in the
+// one to ten, and one in twenty where servers in slow start answer at once, as on a quarter of the days: only the budget is in the
 // way then, and what is put down to chance is two standard deviations. docs/design/many-agents.md has the bound that this plays.
 // More days: go test ./decide -run ColdServersStand -v -colddays 3000
 func TestSlowStartHoldsAgainstAllBalancersTogether(t *testing.T) {
@@ -86,13 +86,13 @@
 	load, burst     float64 // of the capacity of all servers when warm
 	counted         float64 // how many agents each believes there are, of those that are
 	starting        int     // servers that start
-	late            float64 // share of agents that start in the first seconds of the cold servers
-	untold          float64 // share of agents that are told seconds late
+	late            float64 // share of agents that start in the first seconds of the servers in slow start
+	untold          float64 // share of agents that are notified seconds late
 	retries         float64 // share of attempts that fail, to be tried again
 	quiet           time.Duration
 	crush, hang     float64 // from the burst on old servers are so many times slower; this share of them hangs
-	quick           bool    // cold servers answer at once: only the budget is in the way then
-	leaving         int     // old servers that drain from when the starts are told
+	quick           bool    // servers in slow start answer at once: only the budget is in the way then
+	leaving         int     // old servers that drain from when the starts are notified
 	weakest         bool    // those that start are as weak as the site has them, and as slow to become warm as it says
 }
 
@@ -220,7 +220,7 @@
 	fellAt       time.Duration
 	sum, blame   float64
 	budget       float64 // N at its start
-	told         float64 // most that agents that were told sent, of what it stands
+	told         float64 // most that agents that were notified sent, of what it stands
 }
 
 type coldArrival struct {
@@ -346,7 +346,7 @@
 	return time.Duration(millis * w.d.scale * float64(ms))
 }
 
-// list is what an agent is told: before it is told of the starts it has those servers as old ones, which are down.
+// list is what an agent knows: before it is notified of the starts it has those servers as old ones, which are down.
 func (w *coldWorld) list(told bool) []decide.Backend {
 	var all []decide.Backend
 	for i, s := range w.servers {
@@ -450,7 +450,7 @@
 	}
 }
 
-// judge sums what arrives at a cold server over the settings' window, and has it fall when that is too much.
+// judge sums what arrives at a server in slow start over the settings' window, and has it fall when that is too much.
 func (s *coldServer) judge(w *coldWorld, work float64, told bool) {
 	warmth := s.warmth(w.now)
 	if s.cold < 0 || warmth >= 1 {
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// serveAt plays a thin agent alone, whose servers all answer after latency, and counts how many of the last
+// serveAt plays an agent that admits by credit alone, whose servers all answer after latency, and counts how many of the last
 // 200 of 400 requests went out. Clients tell work with each; 0: nothing.
 func serveAt(t *testing.T, latency, work time.Duration) (sent int) {
 	t.Helper()
@@ -20,25 +20,25 @@
 	t.Helper()
 	s := creditSettings()
 	s.Peers, s.MaxAttempts = false, 1
-	r := newHarness(t, s, 1, testBackends(20))
+	h := newHarness(t, s, 1, testBackends(20))
 	for i := range 400 {
 		id := fmt.Sprint("q", i)
-		r.step(decide.Request{ID: id, Class: idempotent, Remaining: s.Classes[idempotent].Deadline, Work: work})
-		if len(r.sent[id]) > 0 {
-			r.advance(latency)
-			r.step(decide.Outcome{Request: id, Backend: r.sent[id][0], Latency: latency, Answered: true, Load: load})
+		h.step(decide.Request{ID: id, Class: idempotent, Remaining: s.Classes[idempotent].Deadline, Work: work})
+		if len(h.sent[id]) > 0 {
+			h.advance(latency)
+			h.step(decide.Outcome{Request: id, Backend: h.sent[id][0], Latency: latency, Answered: true, Load: load})
 		}
-		r.advance(200 * ms)
+		h.advance(200 * ms)
 		if i >= 200 {
-			sent += len(r.sent[id])
+			sent += len(h.sent[id])
 		}
 	}
 	return sent
 }
 
-// Fleet trial, join and herd with some 300 agents: at a mean delay of 0.45 to 0.8 of the aim each agent
+// Fleet trial, join and herd with some 300 agents: at a mean delay of 0.45 to 0.8 of the objective each agent
 // still let in most of what it was asked, servers held so many that they worked at a part of their speed,
-// and every second attempt timed out. The same agents were to refuse at 0.6 of the aim.
+// and every second attempt timed out. The same agents were to refuse at 0.6 of the objective.
 func TestCreditShedsBeforeBackendsFill(t *testing.T) {
 	aim := creditSettings().Classes[idempotent].Objective
 	if sent := serveAt(t, aim*45/100, 0); sent > 100 || sent < 40 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Where the work itself takes nearly half of the aim, a delay of as much is that of empty servers.
+// Where the work itself takes nearly half of the objective, a delay of as much is that of empty servers.
 func TestCreditDoesNotTakeLongWorkForOverload(t *testing.T) {
 	aim := creditSettings().Classes[idempotent].Objective
 	if sent := serveAt(t, aim*45/100, aim*40/100); sent < 195 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Tide-tolls, throng+brink, seed 249848192171: work took 0.3 to 0.4 of short aims and clients told nothing of it, so
+// Tide-tolls, throng+brink, seed 249848192171: work took 0.3 to 0.4 of short objectives and clients told nothing of it, so
 // that agents refused half of what came while servers held one to three requests each. What a server takes that
 // reports nothing else in hand is what the work takes; what one takes that holds many, or does not say, is not.
 func TestUnloadedLatencyIsLearnedFromIdleBackends(t *testing.T) {
@@ -86,18 +86,18 @@
 func TestSubsetIsSmallAndReplacesLostBackends(t *testing.T) {
 	s := creditSettings()
 	s.Peers = false
-	r := newHarness(t, s, 1, testBackends(20))
+	h := newHarness(t, s, 1, testBackends(20))
 	used := func(from, to int) map[string]int {
 		n := map[string]int{}
 		for i := from; i < to; i++ {
 			id := fmt.Sprint("q", i)
-			r.request(id, idempotent)
-			for _, b := range r.sent[id] {
+			h.request(id, idempotent)
+			for _, b := range h.sent[id] {
 				n[b]++
-				r.advance(20 * ms)
-				r.outcome(id, decide.OK, 20*ms)
+				h.advance(20 * ms)
+				h.outcome(id, decide.OK, 20*ms)
 			}
-			r.advance(80 * ms)
+			h.advance(80 * ms)
 		}
 		return n
 	}
@@ -110,7 +110,7 @@
 	for id := range first {
 		gone = append(gone, decide.Backend{ID: id, State: decide.Removed})
 	}
-	r.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: gone})
+	h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: gone})
 	second, sum := used(120, 220), 0
 	for id, n := range second {
 		if sum += n; first[id] > 0 {
--- a/decide/tickless_test.go
+++ b/decide/tickless_test.go
@@ -8,8 +8,8 @@
 	"vetchhaven/decide"
 )
 
-// Without a tick, as with one, clients whose told times differ by next to nothing are first tries, and
-// wait for room. They were taken for repeats, which are refused at once where there is none.
+// Without a tick, as with one, clients whose told times differ by next to nothing are first attempts, and
+// wait for capacity. They were taken for repeats, which are refused at once where there is none.
 func TestFirstAttemptsWithoutATick(t *testing.T) {
 	for _, tick := range []time.Duration{0, 5 * ms} {
 		s := testSettings()
--- a/decide/uploads_test.go
+++ b/decide/uploads_test.go
@@ -15,20 +15,20 @@
 // While their clients still send, uploads are no load: neither on their servers, nor on what may be in flight, and
 // no server looks slow for a slow client.
 func TestUploadsAreNotInFlightWork(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(2))
-	r.serve(40, idempotent, 10*ms)
+	h := newHarness(t, testSettings(), 1, testBackends(2))
+	h.serve(40, idempotent, 10*ms)
 	for i := range 200 { // far more than may be in flight
 		id := fmt.Sprint("up", i)
-		if r.upload(id, idempotent); len(r.sent[id]) != 1 {
+		if h.upload(id, idempotent); len(h.sent[id]) != 1 {
 			t.Fatalf("upload %d was not sent", i)
 		}
-		r.advance(ms)
+		h.advance(ms)
 	}
-	r.advance(time.Minute)
-	if got := r.serve(100, idempotent, 10*ms); got["a"] < 30 || got["b"] < 30 {
+	h.advance(time.Minute)
+	if got := h.serve(100, idempotent, 10*ms); got["a"] < 30 || got["b"] < 30 {
 		t.Errorf("beside slow uploads: %v", got)
 	}
-	if got := finalAnswer("up0", r.actions); got != "" {
+	if got := finalAnswer("up0", h.actions); got != "" {
 		t.Errorf("an upload ended by itself: %s", got)
 	}
 }
@@ -36,20 +36,20 @@
 // An upload's time, and its attempt's, begin with its last byte. Then it is load as any.
 func TestUploadTimeCountsFromItsLastByte(t *testing.T) {
 	s := testSettings()
-	r := newHarness(t, s, 1, testBackends(1))
-	r.serve(40, idempotent, 10*ms)
-	r.upload("up", idempotent)
-	r.advance(time.Minute)
-	r.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms})
-	r.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // told twice
-	r.advance(10 * ms)
+	h := newHarness(t, s, 1, testBackends(1))
+	h.serve(40, idempotent, 10*ms)
+	h.upload("up", idempotent)
+	h.advance(time.Minute)
+	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms})
+	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // notified twice
+	h.advance(10 * ms)
 	// It failed: there is time for another attempt, which was not so by the time when it came.
-	r.outcome("up", decide.Errored, 10*ms)
-	if actions := r.advance(s.Classes[idempotent].Objective); len(r.sent["up"]) != 2 {
-		t.Errorf("sent %v, %v", r.sent["up"], actions)
+	h.outcome("up", decide.Errored, 10*ms)
+	if actions := h.advance(s.Classes[idempotent].Objective); len(h.sent["up"]) != 2 {
+		t.Errorf("sent %v, %v", h.sent["up"], actions)
 	}
-	r.outcome("up", decide.OK, 10*ms)
-	if got := r.serve(50, idempotent, 10*ms); got["a"] != 50 {
+	h.outcome("up", decide.OK, 10*ms)
+	if got := h.serve(50, idempotent, 10*ms); got["a"] != 50 {
 		t.Errorf("afterwards: %v", got)
 	}
 }
@@ -64,23 +64,23 @@
 		{idempotent, decide.Incomplete, "refuse"}, {keyedAll, decide.Incomplete, "refuse"}, {nonIdempotent, decide.Incomplete, "refuse"}, {nonIdempotent, decide.Rejected, "refuse"},
 		{idempotent, decide.Errored, "fail"}, {keyedAll, decide.Reset, "fail"}, {nonIdempotent, decide.Reset, "fail"},
 	} {
-		r := newHarness(t, testSettings(), 1, testBackends(3))
-		r.upload("up", tt.class)
-		actions := r.step(decide.Outcome{Request: "up", Backend: r.sent["up"][0], Result: tt.result, NotReplayable: true})
-		actions = append(actions, r.advance(time.Minute)...)
-		if got := finalAnswer("up", actions); got != tt.want || len(r.sent["up"]) != 1 {
-			t.Errorf("class %d, %v: %q, sent %v", tt.class, tt.result, got, r.sent["up"])
+		h := newHarness(t, testSettings(), 1, testBackends(3))
+		h.upload("up", tt.class)
+		actions := h.step(decide.Outcome{Request: "up", Backend: h.sent["up"][0], Result: tt.result, NotReplayable: true})
+		actions = append(actions, h.advance(time.Minute)...)
+		if got := finalAnswer("up", actions); got != tt.want || len(h.sent["up"]) != 1 {
+			t.Errorf("class %d, %v: %q, sent %v", tt.class, tt.result, got, h.sent["up"])
 		}
 	}
 }
 
 // An upload of which nothing was spent is tried again as any request.
 func TestReplayableUploadIsRetried(t *testing.T) {
-	r := newHarness(t, testSettings(), 1, testBackends(3))
-	r.upload("up", nonIdempotent)
-	r.outcome("up", decide.ConnectFailed, ms)
-	if r.advance(time.Second); len(r.sent["up"]) != 2 {
-		t.Errorf("sent %v", r.sent["up"])
+	h := newHarness(t, testSettings(), 1, testBackends(3))
+	h.upload("up", nonIdempotent)
+	h.outcome("up", decide.ConnectFailed, ms)
+	if h.advance(time.Second); len(h.sent["up"]) != 2 {
+		t.Errorf("sent %v", h.sent["up"])
 	}
 }
 
@@ -92,23 +92,23 @@
 		done   bool
 		want   string
 	}{{decide.OK, true, ""}, {decide.Reset, false, "fail"}, {decide.Cancelled, true, ""}} {
-		r := newHarness(t, testSettings(), 1, testBackends(2))
-		r.serve(40, idempotent, 10*ms)
-		r.request("q", idempotent)
-		to := r.sent["q"][0]
-		r.advance(10 * ms)
-		r.step(decide.ResponseStarted{Request: "q", Completed: true, Latency: 10 * ms})
-		r.advance(time.Minute) // a slow client
-		if got := r.serve(100, idempotent, 10*ms); got[to] < 30 {
+		h := newHarness(t, testSettings(), 1, testBackends(2))
+		h.serve(40, idempotent, 10*ms)
+		h.request("q", idempotent)
+		to := h.sent["q"][0]
+		h.advance(10 * ms)
+		h.step(decide.ResponseStarted{Request: "q", Completed: true, Latency: 10 * ms})
+		h.advance(time.Minute) // a slow client
+		if got := h.serve(100, idempotent, 10*ms); got[to] < 30 {
 			t.Errorf("beside a streaming answer %s got %d of 100", to, got[to])
 		}
-		actions := r.step(decide.Outcome{Request: "q", Backend: to, Result: tt.result, Latency: time.Minute, Answered: tt.done})
-		actions = append(actions, r.advance(time.Minute)...)
-		if got := finalAnswer("q", actions); got != tt.want || len(r.sent["q"]) != 1 {
-			t.Errorf("%v: %q, sent %v", tt.result, got, r.sent["q"])
+		actions := h.step(decide.Outcome{Request: "q", Backend: to, Result: tt.result, Latency: time.Minute, Answered: tt.done})
+		actions = append(actions, h.advance(time.Minute)...)
+		if got := finalAnswer("q", actions); got != tt.want || len(h.sent["q"]) != 1 {
+			t.Errorf("%v: %q, sent %v", tt.result, got, h.sent["q"])
 		}
 		if tt.result != decide.Reset {
-			if got := r.serve(100, idempotent, 10*ms); got[to] < 30 {
+			if got := h.serve(100, idempotent, 10*ms); got[to] < 30 {
 				t.Errorf("after %v %s got %d of 100", tt.result, to, got[to])
 			}
 		}
