--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// What voters and members keep, and what they say to one another, is read and written as earlier builds do.
+// What voters and members store, and the messages between them, are read and written as earlier builds do.
 func TestStoredEncodingsMatchEarlierBuilds(t *testing.T) {
 	cborCodec[replicatedState]("state.cbor").Check(t)
 	cborCodec[command]("command.cbor").Check(t)
@@ -24,7 +24,7 @@
 	cborCodec[Message]("message.cbor").Check(t)
 }
 
-// A state in which one change of the whole policy is under way is written as form 1 has it; with parts it is not.
+// A state in which one change of the global part is being prepared is written in format 1; one with parts is not.
 func TestBothStateFormatsMatchEarlierBuilds(t *testing.T) {
 	var full replicatedState
 	golden.Fill(&full)
@@ -47,7 +47,7 @@
 	}
 }
 
-// What the admin endpoint shows of the policy.
+// The admin endpoint's bodies.
 func TestAdminBodiesKeepTheirKeys(t *testing.T) {
 	shown := func(name string, v any) {
 		t.Helper()
--- /dev/null
+++ b/internal/peer/policy/raftnode_test.go
@@ -0,0 +1,207 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// respondPosition passes a position of another voter to a recovering one.
+func respondPosition(node *Node, now time.Duration, from string, response PositionResponse) []Action {
+	response.Number = node.raftNode.startNumber
+	return node.Step(now, Received{from, &Message{PositionResponse: &response}})
+}
+
+// countVotes returns how often a voter votes for a candidate whose log reaches a position when it is asked once.
+func countVotes(c *cluster, voter, candidate string, log position) int {
+	node := c.nodes[voter]
+	request := &raftpb.Message{
+		Type:    raftpb.MsgVote.Enum(),
+		From:    new(raftID(candidate)),
+		To:      new(node.raftNode.id),
+		Term:    new(uint64(20)),
+		LogTerm: new(log.term),
+		Index:   new(log.index),
+	}
+	votes := 0
+	for _, action := range node.Step(c.now, Received{candidate, &Message{Raft: must(proto.Marshal(request))}}) {
+		persist, ok := action.(Persist)
+		if !ok {
+			continue
+		}
+		for _, sent := range node.Step(c.now, Persisted{Seq: persist.Seq}) {
+			if isVote(sent) {
+				votes++
+			}
+		}
+	}
+	return votes
+}
+
+func isVote(action Action) bool {
+	send, ok := action.(Send)
+	if !ok || send.Message.Raft == nil {
+		return false
+	}
+	m := &raftpb.Message{}
+	return proto.Unmarshal(send.Message.Raft, m) == nil && m.GetType() == raftpb.MsgVoteResp && !m.GetReject()
+}
+
+// A voter whose disk was lost votes for no candidate that has less than the other voters reported.
+func TestVoterWithLostDiskRejectsCandidatesBehind(t *testing.T) {
+	c := newSettledCluster(t, stopsWhenIsolated)
+	c.propose("a", "x")
+	c.run(time.Second)
+	leader := c.leader()
+	lost := c.followingVoter()
+	c.stop(lost)
+	c.isolate(lost)
+	c.start(lost, 77, stopsWhenIsolated, StoredState{})
+	r := c.nodes[lost].raftNode
+	if r.rawNode != nil {
+		t.Fatal("it takes part before it has queried the others")
+	}
+	furthest := c.nodes[leader].raftNode.lastPosition()
+	for _, voter := range []string{"a", "b", "c"} {
+		if voter != lost {
+			c.step(lost, Received{voter, &Message{PositionResponse: &PositionResponse{
+				Number:        r.startNumber,
+				ProvenCurrent: true,
+				Term:          9,
+				LastTerm:      furthest.term,
+				LastIndex:     furthest.index,
+				Voters:        []string{"a", "b", "c"},
+			}}})
+		}
+	}
+	if r.rawNode == nil || r.voteFloor != furthest {
+		t.Fatalf("floor %+v, and %+v is known", r.voteFloor, furthest)
+	}
+	if votes := countVotes(c, lost, leader, position{furthest.term, furthest.index - 1}); votes != 0 {
+		t.Error("it votes for a candidate that has less")
+	}
+	if votes := countVotes(c, lost, leader, furthest); votes != 1 {
+		t.Errorf("%d votes for a candidate that has all, want 1", votes)
+	}
+}
+
+func TestRecoveringVoterNeedsAQuorumOfPositions(t *testing.T) {
+	for name, test := range map[string]struct {
+		proven, unproven int
+		takesPart        bool
+	}{
+		"no response":             {0, 0, false},
+		"one proven":              {1, 0, false},
+		"one unproven":            {0, 1, false},
+		"two proven":              {2, 0, true},
+		"all, unproven":           {0, 2, true},
+		"all, one of them proven": {1, 1, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			node := newTestNode(t, Settings{Name: "a"}, StoredState{})
+			node.Step(time.Second)
+			for i, voter := range []string{"b", "c"} {
+				if i < test.proven+test.unproven {
+					respondPosition(node, time.Second, voter, PositionResponse{ProvenCurrent: i < test.proven, LastTerm: 1, LastIndex: 1})
+				}
+			}
+			if got := node.raftNode.rawNode != nil; got != test.takesPart {
+				t.Errorf("takes part %v, want %v", got, test.takesPart)
+			}
+		})
+	}
+}
+
+// Found by the 348th schedule: a voter waited for ever for an entry that one had reported which lost its disk since.
+func TestRecoveringVoterForgetsPositionsOfRestartedVoters(t *testing.T) {
+	node := newTestNode(t, Settings{Name: "a"}, StoredState{})
+	node.Step(time.Second)
+	r := node.raftNode
+	request := func(start, lastTerm, lastIndex uint64) {
+		node.Step(time.Second, Received{"b", &Message{PositionRequest: &PositionRequest{start, lastTerm, lastIndex}}})
+	}
+	respondPosition(node, time.Second, "b", PositionResponse{ProvenCurrent: true, LastTerm: 3, LastIndex: 9, Start: 7})
+	request(7, 3, 9) // the same start
+	if r.positions["b"] == nil {
+		t.Fatal("what it reported in this start is forgotten")
+	}
+	request(8, 1, 1) // it has started anew, without its disk
+	respondPosition(node, time.Second, "c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
+	if r.rawNode != nil {
+		t.Fatal("it takes part by one response")
+	}
+	respondPosition(node, time.Second, "b", PositionResponse{LastTerm: 1, LastIndex: 1, Start: 8})
+	if r.rawNode == nil || r.voteFloor != (position{}) {
+		t.Errorf("it votes for nobody behind %+v, which nobody has", r.voteFloor)
+	}
+}
+
+// The same where it takes part already: it queries all again, and lowers its floor by no less than all their responses.
+func TestVoterWithFloorQueriesAgainWhenItsSourceRestarts(t *testing.T) {
+	node := newTestNode(t, Settings{Name: "a"}, StoredState{})
+	persistAll := func(actions []Action) {
+		for _, action := range actions {
+			if persist, ok := action.(Persist); ok {
+				node.Step(time.Second, Persisted{Seq: persist.Seq})
+			}
+		}
+	}
+	respond := func(from string, response PositionResponse) {
+		persistAll(respondPosition(node, time.Second, from, response))
+	}
+	persistAll(node.Step(time.Second))
+	r := node.raftNode
+	respond("b", PositionResponse{ProvenCurrent: true, LastTerm: 3, LastIndex: 9, Start: 7})
+	respond("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
+	if r.rawNode == nil || r.voteFloor != (position{3, 9}) {
+		t.Fatalf("floor %+v", r.voteFloor)
+	}
+	request := &PositionRequest{Number: 8, LastTerm: 1, LastIndex: 1}
+	persistAll(node.Step(time.Second, Received{"b", &Message{PositionRequest: request}}))
+	if r.rawNode != nil {
+		t.Fatal("it still takes part, and perhaps nobody has what it waits for")
+	}
+	respond("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
+	if r.rawNode != nil {
+		t.Fatal("one response is not enough: the entry may be committed, and on the disk of the other voter")
+	}
+	respond("b", PositionResponse{LastTerm: 1, LastIndex: 1, Start: 8})
+	if r.rawNode == nil || r.voteFloor != (position{}) {
+		t.Errorf("floor %+v", r.voteFloor)
+	}
+}
+
+// Responses by which a voter has less than it acknowledged may be late, or doubled: a leader steps down by them only if
+// they go on.
+func TestLeaderStepsDownOnlyAfterPersistentRegression(t *testing.T) {
+	c := newPartsCluster(t, servesWhenIsolated)
+	name := c.leader()
+	node := c.nodes[name]
+	r := node.raftNode
+	from := c.followingVoter()
+	reportLess := func(times int) {
+		response := &raftpb.Message{
+			Type:       raftpb.MsgAppResp.Enum(),
+			From:       new(raftID(from)),
+			To:         new(r.id),
+			Term:       new(r.coordinator.term),
+			Index:      new(uint64(2)),
+			Reject:     new(true),
+			RejectHint: new(uint64(1)),
+		}
+		for range times {
+			node.Step(c.now, Received{from, &Message{Raft: must(proto.Marshal(response))}})
+			c.now += 20 * time.Millisecond
+		}
+	}
+	reportLess(5)
+	if !r.isLeader() {
+		t.Fatal("it steps down after responses of a tenth of a second")
+	}
+	reportLess(30)
+	if r.isLeader() {
+		t.Error("it leads on, and counts on what another voter has lost")
+	}
+}
--- /dev/null
+++ b/internal/peer/policy/statemachine_test.go
@@ -0,0 +1,199 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+)
+
+func applyAll(s *replicatedState, commands ...command) {
+	for i := range commands {
+		s.apply(&commands[i])
+	}
+}
+
+func proposal(change *Document) command {
+	return command{Kind: commandPropose, Document: change}
+}
+
+func joinWithParts(name string, parts ...string) command {
+	return command{Kind: commandJoin, Name: name, RunID: 1, Format: FormatVersion, Parts: parts}
+}
+
+func TestCommitRequiresCurrentRosterVersion(t *testing.T) {
+	s := &replicatedState{}
+	applyAll(s, command{Kind: commandJoin, Name: "a", RunID: 1}, proposal(wholePolicyChange("x")))
+	counted := s.RosterVersion
+	applyAll(s,
+		command{Kind: commandJoin, Name: "b", RunID: 1},
+		command{Kind: commandCommit, ID: "x", RosterVersion: counted})
+	if s.Active.Number != 0 {
+		t.Fatal("committed, though a member joined that may not have prepared it")
+	}
+	applyAll(s, command{Kind: commandCommit, ID: "x", RosterVersion: s.RosterVersion})
+	if s.Active.Number != 1 || s.Active.ID != "x" || len(s.PendingChanges) != 0 {
+		t.Errorf("%+v", s)
+	}
+}
+
+func TestChangeOutcomesAreFinal(t *testing.T) {
+	commit := command{Kind: commandCommit, ID: "x"}
+	abort := command{Kind: commandAbort, ID: "x", AbortedBy: "b"}
+	sameText := wholePolicyChange("x")
+	sameText.ID = "y"
+	for name, test := range map[string]struct {
+		commands []command
+		want     ChangeStatus
+	}{
+		"proposed twice": {
+			commands: []command{proposal(wholePolicyChange("x")), proposal(wholePolicyChange("x"))},
+			want:     ChangeStatus{ID: "x", State: ChangePreparing},
+		},
+		"another is being prepared": {
+			commands: []command{proposal(wholePolicyChange("x")), proposal(wholePolicyChange("y"))},
+			want:     ChangeStatus{ID: "y", State: ChangeAborted, AbortedBy: "a"},
+		},
+		"based on an earlier one": {
+			commands: []command{proposal(wholePolicyChange("x")), commit, proposal(wholePolicyChange("y"))},
+			want:     ChangeStatus{ID: "y", State: ChangeAborted, AbortedBy: "a"},
+		},
+		"aborted": {
+			commands: []command{proposal(wholePolicyChange("x")), abort, commit},
+			want:     ChangeStatus{ID: "x", State: ChangeAborted, AbortedBy: "b"},
+		},
+		"aborted after the commit": {
+			commands: []command{proposal(wholePolicyChange("x")), commit, abort},
+			want:     ChangeStatus{ID: "x", State: ChangeCommitted, Number: 1},
+		},
+		"aborted before it was proposed": {
+			commands: []command{abort, proposal(wholePolicyChange("x"))},
+			want:     ChangeStatus{ID: "x", State: ChangeAborted, AbortedBy: "b"},
+		},
+		"the active text again": {
+			commands: []command{proposal(wholePolicyChange("x")), commit, {Kind: commandPropose, Base: 1, Document: sameText}},
+			want:     ChangeStatus{ID: "y", State: ChangeCommitted, Number: 1},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := &replicatedState{}
+			applyAll(s, test.commands...)
+			got := s.changeStatus(test.want.ID)
+			if got.ID != test.want.ID || got.State != test.want.State || got.AbortedBy != test.want.AbortedBy || got.Number != test.want.Number {
+				t.Errorf("%+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestOnePendingChangePerPart(t *testing.T) {
+	s := &replicatedState{}
+	applyAll(s,
+		command{Kind: commandPropose, Document: partsChange("one", "x", "y"), Bases: []uint64{0}},
+		proposal(partsChange("two", "y")),
+		proposal(partsChange("three", "z")),
+		proposal(partsChange("four", "")))
+	second := s.changeStatus("two")
+	if len(s.PendingChanges) != 3 || second.State != ChangeAborted || !strings.Contains(second.Reason, "another change of part y is under way: one") {
+		t.Errorf("%+v, %+v", s.PendingChanges, second)
+	}
+	applyAll(s,
+		command{Kind: commandCommit, ID: "one", RosterVersion: s.RosterVersion},
+		command{Kind: commandPropose, Document: partsChange("five", "z", "y"), Bases: []uint64{1}},
+		command{Kind: commandPropose, Document: partsChange("six", "w", "y"), Bases: []uint64{0}})
+	sixth := s.changeStatus("six")
+	if sixth.State != ChangeAborted || !strings.Contains(sixth.Reason, "it was made of policy 0 of part y; in force since is 1, one") {
+		t.Errorf("%+v", sixth)
+	}
+	x, y := s.activeDocument("x"), s.activeDocument("y")
+	if x.Number != 1 || y.Number != 1 || y.CommitIndex <= x.CommitIndex {
+		t.Errorf("%+v", s.ActiveParts)
+	}
+}
+
+// A commit is decided by a version of the roster. A member that joined since and holds the part may not have prepared the
+// change; one that holds other parts is not affected.
+func TestMemberJoiningAPartVoidsStaleCommit(t *testing.T) {
+	s := &replicatedState{Format: FormatVersion}
+	applyAll(s, joinWithParts("a", "x"), joinWithParts("b", "y"), proposal(partsChange("one", "x")))
+	counted := s.RosterVersion
+	applyAll(s, joinWithParts("b", "x", "y"), command{Kind: commandCommit, ID: "one", RosterVersion: counted})
+	if s.activeDocument("x").Number != 0 {
+		t.Fatal("committed, though a member came to hold the part that may not have prepared it")
+	}
+	counted = s.RosterVersion
+	applyAll(s,
+		joinWithParts("c", "y"),
+		command{Kind: commandRemove, Name: "a", RunID: 1},
+		command{Kind: commandCommit, ID: "one", RosterVersion: counted})
+	if s.activeDocument("x").Number != 1 {
+		t.Error("not committed, though no member came to hold the part")
+	}
+	// A member that joined in format 1 counts for every part.
+	applyAll(s, command{Kind: commandPropose, Document: partsChange("two", "x"), Base: 1})
+	counted = s.RosterVersion
+	applyAll(s, command{Kind: commandJoin, Name: "d", RunID: 1}, command{Kind: commandCommit, ID: "two", RosterVersion: counted})
+	if s.activeDocument("x").Number != 1 {
+		t.Error("committed without a member whose parts are not known")
+	}
+}
+
+func TestEndedChangesAndRetainedDocumentsAreBounded(t *testing.T) {
+	const excess = 20
+	s := &replicatedState{}
+	for i := range maxEndedChanges + excess {
+		id := fmt.Sprint("x", i)
+		applyAll(s,
+			command{Kind: commandPropose, Document: wholePolicyChange(id), Base: s.Active.Number},
+			command{Kind: commandCommit, ID: id})
+	}
+	if len(s.EndedChanges) != maxEndedChanges || len(s.Retained) != maxRetainedPolicies || s.Active.Number != maxEndedChanges+excess {
+		t.Errorf("%d ended, %d retained, number %d", len(s.EndedChanges), len(s.Retained), s.Active.Number)
+	}
+	h := s.history("", s.Active.Number-3)
+	if h.Document == nil || h.Document.ID != fmt.Sprint("x", maxEndedChanges+16) {
+		t.Errorf("%+v", h.Document)
+	}
+	if slices.ContainsFunc(h.Changes, func(e EndedChange) bool { return e.Document.Body != nil }) {
+		t.Error("ended changes have texts")
+	}
+}
+
+// Found by the 873rd schedule: what had been committed before a snapshot was not reported to a member that knew nothing.
+func TestCommittedSinceIsComplete(t *testing.T) {
+	s := &replicatedState{}
+	commit := func(change *Document) {
+		applyAll(s,
+			command{Kind: commandPropose, Document: change, Base: s.activeDocument(change.Part).Number},
+			command{Kind: commandCommit, ID: change.ID, RosterVersion: s.RosterVersion})
+	}
+	holdsAll := func(string) bool { return true }
+	holdsThird := func(part string) bool { return part == "part3" }
+	for i := range 200 {
+		commit(partsChange(fmt.Sprint("n", i), fmt.Sprint("part", i%7)))
+		if i == 50 {
+			commit(partsChange("all", ""))
+		}
+		for _, index := range []uint64{0, s.CommitCount / 2, s.CommitCount - 1, s.CommitCount} {
+			want := 0
+			for _, d := range append([]Document{s.Active}, s.ActiveParts...) {
+				if d.CommitIndex > index {
+					want++
+				}
+			}
+			if got := s.committedSince(index, holdsAll); len(got) != want {
+				t.Fatalf("after %d changes, since %d: %d documents of %d", i+1, index, len(got), want)
+			}
+		}
+		if got := s.committedSince(0, holdsThird); i >= 3 && (len(got) != 1 || got[0].Number != s.activeDocument("part3").Number) {
+			t.Fatalf("%+v", got)
+		}
+		if i%60 == 59 { // as a snapshot has it
+			restored, err := decodeState(encodeState(s))
+			if err != nil {
+				t.Fatal(err)
+			}
+			s = restored
+		}
+	}
+}
