--- a/internal/peer/lease/play/play.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -1,8 +1,8 @@
-// Package play plays keepers and holders of shared limits in virtual time, among links that break, delay and double,
+// Package leasesim plays keepers and holders of shared limits in virtual time, among links that break, delay and double,
 // processes that pause, crash and start again without memory, and clocks that go at different rates; and beside them
 // other ways of sharing a limit, for comparison. The truth is counted outside of all of them: what is in flight, and
 // what has begun within a second, by true time.
-package play
+package leasesim
 
 import (
 	"cmp"
@@ -107,7 +107,7 @@
 	s       lease.Settings
 	rng     *rand.Rand
 	now     time.Duration
-	agenda  eventqueue.Agenda
+	agenda  eventqueue.Queue
 	members []*member
 	down    map[[2]int]bool // links, by from and to
 	flight  int
@@ -257,9 +257,8 @@
 }
 
 func (w *world) ask(m *member, i int) {
-	asks, to := m.h[i].Requests(m.clock(w.now))
-	for n, a := range asks {
-		at := to[n]
+	for _, r := range m.h[i].Requests(m.clock(w.now)) {
+		a, at := r.Request, r.Server
 		if w.o.Way == Quorum {
 			at = i
 		}
@@ -280,7 +279,7 @@
 			}
 			w.send(at, m.n, size, func() {
 				if m.life == life {
-					w.granted(m, i, to[n], g)
+					w.granted(m, i, r.Server, g)
 				}
 			})
 		})
--- a/internal/peer/membership/exchange.go
+++ b/internal/peer/membership/exchange.go
@@ -1,353 +1,408 @@
 package membership
 
-import (
-	"hash/fnv"
-	"io"
-	"slices"
-	"time"
+import "time"
+
+// A push-pull exchange (anti-entropy) compares two views by the digests of buckets of names, and sends only the records
+// of buckets that differ:
+//
+//	opener                          answerer
+//	OpenExchange: bucket digests -> ExchangeRequest
+//	ExchangeResponse             <- ExchangeReply: its records of buckets that differ, and which ones it wants
+//	FinishExchange: records      -> ExchangeClosed
+
+const (
+	// minExchangeInterval is the least time between two exchanges that a member opens, for each 500 members: digests of
+	// many buckets are large themselves.
+	minExchangeInterval        = time.Second
+	membersPerExchangeInterval = 500
+	// periodicExchangeInterval is the mean time between exchanges that are opened although all digests agree. Longer
+	// would leave what digests can't show, such as suspicions, to gossip alone.
+	periodicExchangeInterval = 30 * time.Second
+	// exchangeTimeout is when an exchange that has not ended has failed.
+	exchangeTimeout = 5 * time.Second
+	// exchangeJitter is added at random before an exchange, so that many members do not open one at once.
+	exchangeJitter = 50 * time.Millisecond
+	// digestGrace is how long digests may differ although all updates were sent before an exchange is opened.
+	digestGrace = time.Second
+
+	// maxBuckets and namesPerBucket decide into how many buckets a view is divided.
+	maxBuckets     = 512
+	namesPerBucket = 8
+	// maxRequestBuckets bounds the buckets that another member may ask for.
+	maxRequestBuckets = 1024
+
+	// maxReferrals bounds the members named to one that this member has no time for.
+	maxReferrals = 8
+	// minRetryAfterMS and retryAfterJitterMS are when it may come back, in milliseconds.
+	minRetryAfterMS    = 200
+	retryAfterJitterMS = 800
+	// maxRetryAfterMS bounds how long another member may put this one off, in milliseconds.
+	maxRetryAfterMS = 10_000
 )
 
-// exchange is where this member's next exchange stands. An exchange compares two views part by part and carries
-// only the parts that differ: the cheap way to the same end as telling all to all.
-type exchange struct {
-	ask     []string // addresses to join by
-	next    int      // of them
-	again   []string // to be tried once more after it has joined
-	rounds  int      // through them in vain
-	busy    bool
-	parts   int // that the other was told of
-	id      uint64
-	to      string
-	until   time.Duration // a busy one fails
-	at      time.Duration // the next is due; 0: none is
-	whom    string        // with this address; empty: with anyone
-	rest    time.Duration // none before this
-	quietAt time.Duration
-	differs time.Duration // since when digests differ; 0: they do not
+// exchangeState is the state of this member's next or present exchange.
+type exchangeState struct {
+	// Joining: see join.go.
+	joinAddrs    []string // addresses by which the fleet may be joined
+	nextJoinAddr int      // index of the next one
+	joinRounds   int      // through all of them without success
+	retryAddrs   []string // to be contacted once more after joining
+
+	// The exchange under way.
+	busy      bool
+	id        uint64 // of the last exchange
+	to        string
+	buckets   int           // of the digests that were sent
+	timeoutAt time.Duration // it fails
+
+	// The next exchange.
+	scheduledAt   time.Duration // 0: only the periodic one is due
+	preferredAddr string        // whom with; empty: a random member
+	notBefore     time.Duration
+	periodicAt    time.Duration
+	differsSince  time.Duration // digests of this region differ; 0: they do not
 }
 
-func (x *exchange) due(v *View) time.Duration {
-	switch {
-	case x.busy:
-		return x.until
-	case x.at > 0:
-		return min(max(x.at, x.rest), max(x.quietAt, x.rest))
+// nextAt is when exchangeDue has something to do.
+func (x *exchangeState) nextAt() time.Duration {
+	if x.busy {
+		return x.timeoutAt
+	}
+	at := max(x.periodicAt, x.notBefore)
+	if x.scheduledAt > 0 {
+		at = min(at, max(x.scheduledAt, x.notBefore))
 	}
-	return max(x.quietAt, x.rest)
+	return at
 }
 
-// soon has one made after a wait.
-func (x *exchange) soon(v *View, wait time.Duration) {
-	if at := v.now + wait + v.random(50*time.Millisecond); x.at == 0 || at < x.at {
-		x.at = at
+// scheduleIn schedules an exchange after a delay, unless one is scheduled before.
+func (x *exchangeState) scheduleIn(v *View, delay time.Duration) {
+	at := v.now + delay + v.randomUpTo(exchangeJitter)
+	if x.scheduledAt == 0 || at < x.scheduledAt {
+		x.scheduledAt = at
 	}
 }
 
-// with has one made with a certain member soon.
-func (x *exchange) with(v *View, addr string) {
-	if addr != "" && addr != v.s.Addr && v.joined {
-		x.whom = addr
-		x.soon(v, 0)
+// requestWith schedules an exchange with the member at an address.
+func (x *exchangeState) requestWith(v *View, addr string) {
+	if addr != "" && addr != v.settings.Addr && v.joined {
+		x.preferredAddr = addr
+		x.scheduleIn(v, 0)
 	}
 }
 
-// restFor is the time between two exchanges: longer where the digests of the parts alone are many.
-func (v *View) restFor() time.Duration {
-	return exchangeRest * time.Duration(max(1, len(v.order)/500))
+// minInterval is the least time between two exchanges that this member opens.
+func (v *View) minInterval() time.Duration {
+	return minExchangeInterval * time.Duration(max(1, len(v.sortedNames)/membersPerExchangeInterval))
 }
 
-// compare looks at the digest that a member tells of its view. Where it goes on to differ though all news has been
-// told, something was lost on the way.
-func (v *View) compare(from *member, digest uint64) {
+// exchangePeriod is a random time until the next periodic exchange.
+func (v *View) exchangePeriod() time.Duration {
+	return periodicExchangeInterval/2 + v.randomUpTo(periodicExchangeInterval)
+}
+
+// compareDigest compares a member's digest with this view's. Where they differ for longer although all updates were
+// sent, some were lost, and an exchange is scheduled.
+func (v *View) compareDigest(from *member, digest uint64) {
 	if digest == v.digest {
 		v.settled = v.settled || v.joined
 	}
-	if v.isFar(from) {
-		v.compareFar(from, digest)
-		return
-	}
-	if digest == v.digest {
-		v.exchange.differs = 0
+	if v.isRemote(from) {
+		v.compareRemoteDigest(from, digest)
 		return
 	}
-	x := &v.exchange
+	exchange := &v.exchange
 	switch {
-	case x.differs == 0:
-		x.differs = v.now
-	case v.now-x.differs >= time.Second && v.news.empty() && x.at == 0:
-		x.differs = v.now
-		x.with(v, from.Addr)
+	case digest == v.digest:
+		exchange.differsSince = 0
+	case exchange.differsSince == 0:
+		exchange.differsSince = v.now
+	case v.now-exchange.differsSince >= digestGrace && v.updates.empty() && exchange.scheduledAt == 0:
+		exchange.differsSince = v.now
+		exchange.requestWith(v, from.Addr)
 	}
 }
 
-// parts of a view: each holds about eight names.
-func (v *View) parts() int {
-	n := 1
-	for n < 512 && n*8 < len(v.order) {
-		n *= 2
-	}
+// bucketCount is the number of buckets of this view: a power of two. One that joins sends a single one, since its view
+// differs in all of them.
+func (v *View) bucketCount() int {
 	if !v.joined {
 		return 1
 	}
-	return n
+	count := 1
+	for count < maxBuckets && count*namesPerBucket < len(v.sortedNames) {
+		count *= 2
+	}
+	return count
 }
 
-func partOf(name string, parts int) int {
-	h := fnv.New32a()
-	_, _ = io.WriteString(h, name)
-	return int(h.Sum32() % uint32(parts))
+func bucketOf(name string, buckets int) int {
+	return int(nameHash32(name) % uint32(buckets))
 }
 
-func (v *View) digests(parts int) []uint64 {
-	all := make([]uint64, parts)
-	for _, n := range v.order {
-		all[partOf(n, parts)] ^= v.members[n].hash
+func (v *View) bucketDigests(buckets int) []uint64 {
+	digests := make([]uint64, buckets)
+	for _, name := range v.sortedNames {
+		digests[bucketOf(name, buckets)] ^= v.members[name].digest
 	}
-	return all
+	return digests
 }
 
+// exchangeDue ends an exchange that takes too long, and opens the next one.
 func (v *View) exchangeDue() {
-	x := &v.exchange
-	if x.busy {
-		if v.now < x.until {
+	exchange := &v.exchange
+	if exchange.busy {
+		if v.now < exchange.timeoutAt {
 			return
 		}
-		v.onFailed(ExchangeFailed{x.id})
+		v.onExchangeFailed(ExchangeFailed{exchange.id})
 	}
-	if v.now < x.rest || (x.at == 0 || v.now < x.at) && v.now < x.quietAt {
+	scheduled := exchange.scheduledAt != 0 && v.now >= exchange.scheduledAt
+	if v.now < exchange.notBefore || !scheduled && v.now < exchange.periodicAt {
 		return
 	}
-	to := x.whom
-	x.at, x.whom, x.quietAt = 0, "", v.now+exchangeQuiet/2+v.random(exchangeQuiet)
-	switch {
-	case !v.joined:
-		to = v.nextDoor()
-	case to == "":
-		list := v.home.live
-		if len(list) == 0 {
-			list = v.live
-		}
-		for _, m := range v.some(list, 1, func(m *member) bool { return m.State == Alive }) {
-			to = m.Addr
-		}
-	}
-	if v.farStreams.fill(v.now); to != "" && v.joined && v.farAt[to] != nil && v.farStreams.level < 0 {
+	preferred := exchange.preferredAddr
+	exchange.scheduledAt = 0
+	exchange.preferredAddr = ""
+	exchange.periodicAt = v.now + v.exchangePeriod()
+	to := v.exchangePartner(preferred)
+	v.remoteStreamBudget.fill(v.now)
+	if to != "" && v.joined && v.remoteAddrs[to] != nil && v.remoteStreamBudget.level < 0 {
 		return // digests will ask for it again
 	}
 	if to != "" {
-		v.open(to)
+		v.openExchange(to)
 	}
 }
 
-func (v *View) open(to string) {
-	x := &v.exchange
-	x.parts = v.parts()
-	m := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID, BucketDigests: v.digests(x.parts), Records: []Record{v.told(v.self)}}
-	x.id++
-	x.busy, x.to, x.until, x.rest = true, to, v.now+exchangeWait, v.now+v.restFor()
-	if !v.joined { // half of the doors may be behind a cut: the next one is tried soon
-		x.until = v.now + doorWait
-	}
-	v.sent.Exchanges++
-	v.streamed(m, v.farAt[to] != nil)
-	v.do(OpenExchange{ID: x.id, To: to, Message: m})
-}
-
-// nextDoor is the next address to join by: the operator's seeds and whoever was known in the last life, by turns.
-func (v *View) nextDoor() string {
-	x := &v.exchange
-	if len(x.ask) == 0 {
-		return ""
+// exchangePartner is the address to open an exchange with; empty: there is none.
+func (v *View) exchangePartner(preferred string) string {
+	if !v.joined {
+		return v.nextJoinAddr()
 	}
-	if x.next >= len(x.ask) {
-		x.next = 0
-		x.rounds++
-		if v.met && x.rounds >= 2 { // others have come though none of these answers: it is them that it was to meet
-			v.joined = true
-			return ""
-		}
-		x.soon(v, min(8*time.Second, 250*time.Millisecond<<min(x.rounds, 6))/2+v.random(500*time.Millisecond))
+	if preferred != "" {
+		return preferred
+	}
+	candidates := v.localRegion.live
+	if len(candidates) == 0 {
+		candidates = v.live
+	}
+	picked := v.sample(candidates, 1, isAlive)
+	if len(picked) == 0 {
 		return ""
 	}
-	x.next++
-	return x.ask[x.next-1]
+	return picked[0].Addr
+}
+
+// newExchange is a message of this member on a stream.
+func (v *View) newExchange() *Exchange {
+	return &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID}
+}
+
+func (v *View) openExchange(to string) {
+	exchange := &v.exchange
+	exchange.buckets = v.bucketCount()
+	request := v.newExchange()
+	request.BucketDigests = v.bucketDigests(exchange.buckets)
+	request.Records = []Record{v.outgoingRecord(v.self)}
+	exchange.id++
+	exchange.busy = true
+	exchange.to = to
+	exchange.timeoutAt = v.now + exchangeTimeout
+	if !v.joined { // half of the addresses may be beyond a partition
+		exchange.timeoutAt = v.now + joinTimeout
+	}
+	exchange.notBefore = v.now + v.minInterval()
+	v.traffic.Exchanges++
+	v.chargeStream(request, v.remoteAddrs[to])
+	v.emit(OpenExchange{ID: exchange.id, To: to, Message: request})
 }
 
-func (v *View) onFailed(e ExchangeFailed) {
-	x := &v.exchange
-	if !x.busy || x.id != e.ID {
+func (v *View) onExchangeFailed(e ExchangeFailed) {
+	exchange := &v.exchange
+	if !exchange.busy || exchange.id != e.ID {
 		return
 	}
-	x.busy = false
+	exchange.busy = false
 	if !v.joined {
-		x.rest = v.now
-		x.soon(v, 0)
+		exchange.notBefore = v.now
+		exchange.scheduleIn(v, 0)
 	}
 }
 
-// streamed books what goes out on a stream. It may leave a debt of one message, however large: nobody else is
-// answered before that is paid off, so that streams take no more a second than datagrams in the long run.
-func (v *View) streamed(x *Exchange, far bool) {
+// chargeStream takes a message on a stream from the budget, and from that of other regions if it goes to or came from
+// one (remote is not nil). It may leave a debt of one message, however large: no
+// other member is answered before that is paid off, so that streams take no more a second than datagrams on average.
+func (v *View) chargeStream(x *Exchange, remote *region) {
 	size := x.size()
-	v.streams.level -= float64(size)
-	v.sent.ExchangeBytes += uint64(size)
-	if far {
-		v.farStreams.level -= float64(size)
-		v.sent.RemoteExchangeBytes += uint64(size)
+	v.streamBudget.level -= float64(size)
+	v.traffic.ExchangeBytes += uint64(size)
+	if remote != nil {
+		v.remoteStreamBudget.level -= float64(size)
+		v.traffic.RemoteExchangeBytes += uint64(size)
 	}
 }
 
-// onAsked answers another's opening, if not too many have come already: it is told when to come back.
-func (v *View) onAsked(e ExchangeRequest) {
-	if v.leaveState || v.standby || e.Message == nil || len(e.Message.BucketDigests) == 0 || len(e.Message.BucketDigests) > 1024 {
-		v.do(ExchangeReply{Stream: e.Stream})
+// onExchangeRequest answers an exchange that another member opened, or refers it to others if the budget is used up.
+func (v *View) onExchangeRequest(e ExchangeRequest) {
+	request := e.Message
+	if v.isLeaving || v.yielding || request == nil ||
+		len(request.BucketDigests) == 0 || len(request.BucketDigests) > maxRequestBuckets {
+		v.emit(ExchangeReply{Stream: e.Stream})
 		return
 	}
-	v.streams.fill(v.now)
-	v.farStreams.fill(v.now)
-	list, far := v.live, false
-	if len(e.Message.Records) > 0 && e.Message.Records[0].Name == e.Message.From && e.Message.Records[0].check() == nil {
-		if r := v.regionOf(e.Message.Records[0].Region); len(r.live) > 0 {
-			list, far = r.live, r != v.home
-		}
-	}
-	if v.streams.level < 0 || far && v.farStreams.level < 0 {
-		// Others may have time: whoever asks is told of some, so that where hundreds join, all that are in help.
-		busy := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID, RetryAfterMS: uint32(200 + v.rng.IntN(800))}
-		for _, m := range v.some(list, referred, func(m *member) bool { return m.State == Alive }) {
-			busy.Records = append(busy.Records, v.told(m))
+	v.streamBudget.fill(v.now)
+	v.remoteStreamBudget.fill(v.now)
+	openerRegion := v.openerRegion(request)
+	var remote *region
+	if openerRegion != v.localRegion {
+		remote = openerRegion
+	}
+	if v.streamBudget.level < 0 || remote != nil && v.remoteStreamBudget.level < 0 {
+		referrals := v.live
+		if openerRegion != nil {
+			referrals = openerRegion.live
 		}
-		v.streamed(busy, far)
-		v.do(ExchangeReply{Stream: e.Stream, Message: busy})
+		response := v.busyResponse(referrals)
+		v.chargeStream(response, remote)
+		v.emit(ExchangeReply{Stream: e.Stream, Message: response})
 		return
 	}
-	x := e.Message
-	v.takeAll(x, "exchange")
-	parts := len(x.BucketDigests)
-	own := v.digests(parts)
-	answer := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID}
-	differ := make([]bool, parts)
-	for i := range own {
-		if differ[i] = own[i] != x.BucketDigests[i]; differ[i] {
-			answer.WantedBuckets = append(answer.WantedBuckets, uint16(i))
+	v.mergeAll(request, reasonExchange)
+	response := v.exchangeResponse(request)
+	v.chargeStream(response, remote)
+	v.emit(ExchangeReply{Stream: e.Stream, Message: response})
+	v.contacted = true
+}
+
+// openerRegion is the region of an exchange's opener, by its own record in the request; nil: it has none, or no member
+// of that region is alive.
+func (v *View) openerRegion(request *Exchange) *region {
+	if len(request.Records) == 0 {
+		return nil
+	}
+	opener := &request.Records[0]
+	if opener.Name != request.From || opener.check() != nil {
+		return nil
+	}
+	if r := v.regionNamed(opener.Region); len(r.live) > 0 {
+		return r
+	}
+	return nil
+}
+
+// busyResponse puts an opener off, and refers it to other members, so that where hundreds join, all that have joined
+// help.
+func (v *View) busyResponse(referrals []*member) *Exchange {
+	response := v.newExchange()
+	response.RetryAfterMS = uint32(minRetryAfterMS + v.rng.IntN(retryAfterJitterMS))
+	for _, m := range v.sample(referrals, maxReferrals, isAlive) {
+		response.Records = append(response.Records, v.outgoingRecord(m))
+	}
+	return response
+}
+
+// exchangeResponse holds this member's records of the buckets that differ, and asks for the opener's.
+func (v *View) exchangeResponse(request *Exchange) *Exchange {
+	buckets := len(request.BucketDigests)
+	response := v.newExchange()
+	differs := make([]bool, buckets)
+	for i, digest := range v.bucketDigests(buckets) {
+		if digest != request.BucketDigests[i] {
+			differs[i] = true
+			response.WantedBuckets = append(response.WantedBuckets, uint16(i))
 		}
 	}
-	for _, n := range v.order {
-		if differ[partOf(n, parts)] {
-			answer.Records = append(answer.Records, v.told(v.members[n]))
+	for _, name := range v.sortedNames {
+		if differs[bucketOf(name, buckets)] {
+			response.Records = append(response.Records, v.outgoingRecord(v.members[name]))
 		}
 	}
-	v.streamed(answer, far)
-	v.do(ExchangeReply{Stream: e.Stream, Message: answer})
-	v.met = true
+	return response
 }
 
-// onAnswered takes the answer, and sends back what the other would have and does not know.
-func (v *View) onAnswered(e ExchangeResponse) {
-	x := &v.exchange
-	if !x.busy || x.id != e.ID || e.Message == nil || v.leaveState || v.standby {
+// onExchangeResponse merges the answer to this member's exchange, and ends that with the records that the other wants
+// and does not have.
+func (v *View) onExchangeResponse(e ExchangeResponse) {
+	exchange := &v.exchange
+	response := e.Message
+	if !exchange.busy || exchange.id != e.ID || response == nil || v.isLeaving || v.yielding {
 		return
 	}
-	x.busy = false
-	if e.Message.RetryAfterMS > 0 {
-		x.rest = v.now + time.Duration(min(e.Message.RetryAfterMS, 10000))*time.Millisecond
-		if !v.joined { // another may have time
-			for i := range e.Message.Records {
-				if r := &e.Message.Records[i]; r.check() == nil && r.Addr != v.s.Addr && !slices.Contains(x.ask, r.Addr) && len(x.ask) < doorsMost {
-					x.ask = append(x.ask, r.Addr)
-				}
-			}
-			x.rest = v.now + v.random(200*time.Millisecond)
-		}
-		x.soon(v, 0)
+	exchange.busy = false
+	if response.RetryAfterMS > 0 {
+		v.onBusyResponse(response)
 		return
 	}
-	parts := x.parts
 	if !v.joined {
 		v.joined = true
-		v.do(SaveView{})
-	}
-	theirs := make(map[string]*Record, len(e.Message.Records))
-	for i := range e.Message.Records {
-		theirs[e.Message.Records[i].Name] = &e.Message.Records[i]
-	}
-	v.takeAll(e.Message, "exchange")
-	want := make([]bool, parts)
-	for _, p := range e.Message.WantedBuckets {
-		if int(p) < parts {
-			want[p] = true
-		}
-	}
-	last := &Exchange{From: v.s.Name, Boot: v.self.Boot, RunID: v.self.RunID}
-	for _, n := range v.order {
-		m := v.members[n]
-		if t := theirs[n]; want[partOf(n, parts)] && (t == nil || m.newer(t)) {
-			last.Records = append(last.Records, v.told(m))
-		}
+		v.emit(SaveView{})
 	}
-	if len(last.Records) > 0 {
-		v.streamed(last, v.farAt[x.to] != nil)
-		v.do(FinishExchange{ID: e.ID, Message: last})
-	} else {
-		v.do(FinishExchange{ID: e.ID})
+	v.mergeAll(response, reasonExchange)
+	wanted := v.wantedRecords(response)
+	if len(wanted) == 0 {
+		v.emit(FinishExchange{ID: e.ID})
+		return
 	}
+	final := v.newExchange()
+	final.Records = wanted
+	v.chargeStream(final, v.remoteAddrs[exchange.to])
+	v.emit(FinishExchange{ID: e.ID, Message: final})
 }
 
-func (v *View) takeAll(x *Exchange, why string) {
-	if x == nil || v.leaveState || v.standby {
-		return
-	}
-	for _, r := range x.Records {
-		// What the other holds for dead may be alive on this side of a link that was broken: it is accused, so
-		// that it can refute.
-		if m := v.members[r.Name]; m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isFar(m) {
-			r.State, r.Reporter, r.AgeSeconds = Suspect, x.From, 0
+// onBusyResponse tries again later, or, while this member joins, at those that the other named.
+func (v *View) onBusyResponse(response *Exchange) {
+	exchange := &v.exchange
+	exchange.notBefore = v.now + time.Duration(min(response.RetryAfterMS, maxRetryAfterMS))*time.Millisecond
+	if !v.joined {
+		for i := range response.Records {
+			if r := &response.Records[i]; r.check() == nil {
+				v.addJoinAddr(r.Addr)
+			}
 		}
-		v.merge(r, why)
+		exchange.notBefore = v.now + v.randomUpTo(referralJitter)
 	}
+	exchange.scheduleIn(v, 0)
 }
 
-// tryDue tries silent members again: all that are alive together each silent one about once a second. So a
-// partition heals by itself, with no seed and no operator. After ten minutes it is a fifth of that.
-func (v *View) tryDue() {
-	if v.now >= v.tryAt {
-		rate := min(tryMost, float64(len(v.home.silent))/float64(len(v.home.live)+1))
-		if rate > 0 {
-			v.tryAt = v.now + time.Duration((0.5+v.rng.Float64())/rate*float64(time.Second))
-			m := v.home.silent[v.rng.IntN(len(v.home.silent))]
-			if age := v.now - m.since; age < v.s.ReconnectFor && (age < 10*time.Minute || v.rng.IntN(5) == 0) {
-				v.send(m.Addr, &Message{Kind: Ping, Seq: v.nextSeq(), Target: m.Name}, forNews, m)
-			}
-		} else {
-			v.tryAt = v.now + 500*time.Millisecond + v.random(500*time.Millisecond)
+// wantedRecords are the records of the buckets that the answerer wants, without those that it has as new.
+func (v *View) wantedRecords(response *Exchange) []Record {
+	theirs := make(map[string]*Record, len(response.Records))
+	for i := range response.Records {
+		theirs[response.Records[i].Name] = &response.Records[i]
+	}
+	buckets := v.exchange.buckets
+	isWanted := make([]bool, buckets)
+	for _, bucket := range response.WantedBuckets {
+		if int(bucket) < buckets {
+			isWanted[bucket] = true
 		}
 	}
-	// Seeds and last life's members that nobody is at: two fleets that came up apart meet there. Each is tried
-	// twice soon after the start, and then now and then.
-	if v.now < v.seedAt {
-		return
-	}
-	x := &v.exchange
-	doors := v.s.Seeds
-	if v.seedAt = v.now + time.Duration(0.75*float64(5*time.Second)*float64(len(v.live)+1)) + v.random(2500*time.Millisecond); len(x.again) > 0 {
-		doors = x.again[:1]
-		x.again = x.again[1:]
-		v.seedAt = v.now + againEvery/2 + v.random(againEvery/2)
-	}
-	if !v.joined || x.busy || len(doors) == 0 {
-		return
-	}
-	if s := doors[v.rng.IntN(len(doors))]; s != v.s.Addr && !v.at(s) {
-		x.with(v, s)
+	var wanted []Record
+	for _, name := range v.sortedNames {
+		m := v.members[name]
+		their := theirs[name]
+		if isWanted[bucketOf(name, buckets)] && (their == nil || m.newer(their)) {
+			wanted = append(wanted, v.outgoingRecord(m))
+		}
 	}
+	return wanted
 }
 
-// at reports whether a member that is alive has this address.
-func (v *View) at(addr string) bool {
-	for _, m := range v.live {
-		if m.Addr == addr {
-			return true
+// mergeAll merges the records of an exchange.
+func (v *View) mergeAll(x *Exchange, reason string) {
+	if x == nil || v.isLeaving || v.yielding {
+		return
+	}
+	for _, r := range x.Records {
+		// A member that is dead to the other may be alive on this side of a link that was broken: it becomes a
+		// suspect, so that it can refute (as in hashicorp/memberlist).
+		m := v.members[r.Name]
+		if m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isRemote(m) {
+			r.State = Suspect
+			r.Reporter = x.From
+			r.AgeSeconds = 0
 		}
+		v.merge(r, reason)
 	}
-	return false
 }
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -34,7 +34,7 @@
 }
 
 // attemptAt makes one attempt at a backend, with no agent around it.
-func attemptAt(t *testing.T, b *backends, ctx context.Context, body string) (decide.Result, *answer, decide.Load) {
+func attemptAt(t *testing.T, ctx context.Context, b *backends, body string) (decide.Result, *answer, decide.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
@@ -58,7 +58,7 @@
 func poolFor(t *testing.T, addr string) *backends {
 	t.Helper()
 	b := newBackends(testConfig(t, testkit.Setup{}), testkit.Quiet)
-	b.update(core.List{List: decide.List{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
@@ -73,8 +73,8 @@
 		"served":               {ok200, decide.OK},
 		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", decide.OK},
 		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
-		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
+		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
+		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
 		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
 		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", decide.Errored},
 		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Errored},
@@ -116,7 +116,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 			defer cancel()
 			b := poolFor(t, s.addr)
-			result, a, _ := attemptAt(t, b, ctx, "body")
+			result, a, _ := attemptAt(t, ctx, b, "body")
 			if result != row.want || (a != nil) != (row.want == decide.OK) {
 				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
 			}
@@ -135,7 +135,7 @@
 
 func TestOutcomeConnectionRefused(t *testing.T) {
 	b := poolFor(t, testkit.DeadAddr(t))
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.ConnectFailed {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 {
@@ -150,17 +150,17 @@
 	ln := resetting(t)
 	b := poolFor(t, ln.Addr().String())
 	b.dialer = dialUntilReset
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
 		t.Errorf("reset: result %v", result)
 	}
 	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(core.ErrTimedOut)
-	if result, _, _ := attemptAt(t, b, ctx, ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete {
 		t.Errorf("out of time: result %v", result)
 	}
 	b.cfg.Settings.ConnectTimeout = time.Millisecond // not up in time: it may be late, or cut off
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.Broke {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
 		t.Errorf("not up in time: result %v", result)
 	}
 	testkit.WaitFor(t, "the end of the dial that went on", func() bool {
@@ -170,8 +170,8 @@
 	})
 	b.cfg.Settings.ConnectTimeout = testkit.Patience
 	b.dialer = new(net.Dialer).DialContext // refused: nobody is there
-	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.ConnectFailed {
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("refused: result %v", result)
 	}
 	if b.open != 0 {
@@ -186,17 +186,17 @@
 		syscall.ECONNREFUSED: decide.ConnectFailed,
 		syscall.EMFILE:       decide.NotSent, syscall.ENFILE: decide.NotSent, syscall.ENOBUFS: decide.NotSent,
 		syscall.ENOMEM: decide.NotSent, syscall.EADDRNOTAVAIL: decide.NotSent,
-		syscall.EHOSTUNREACH: decide.Broke, syscall.ENETUNREACH: decide.Broke, syscall.ETIMEDOUT: decide.Broke,
-		syscall.ECONNRESET: decide.Broke, syscall.ECONNABORTED: decide.Broke,
+		syscall.EHOSTUNREACH: decide.Incomplete, syscall.ENETUNREACH: decide.Incomplete, syscall.ETIMEDOUT: decide.Incomplete,
+		syscall.ECONNRESET: decide.Incomplete, syscall.ECONNABORTED: decide.Incomplete,
 		// None of these says that a process has ended: only a refusal does.
-		syscall.ENETDOWN: decide.Broke, syscall.EPERM: decide.Broke, syscall.EACCES: decide.Broke, syscall.EIO: decide.Broke,
-		syscall.EHOSTDOWN: decide.Broke, syscall.EINVAL: decide.Broke,
+		syscall.ENETDOWN: decide.Incomplete, syscall.EPERM: decide.Incomplete, syscall.EACCES: decide.Incomplete, syscall.EIO: decide.Incomplete,
+		syscall.EHOSTDOWN: decide.Incomplete, syscall.EINVAL: decide.Incomplete,
 	} {
 		b := poolFor(t, testkit.DeadAddr(t))
 		b.dialer = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 		}
-		if result, _, _ := attemptAt(t, b, context.Background(), ""); result != want {
+		if result, _, _ := attemptAt(t, context.Background(), b, ""); result != want {
 			t.Errorf("%v: result %v, want %v", err, result, want)
 		}
 		if b.open != 0 {
@@ -214,7 +214,7 @@
 	b := poolFor(t, s.addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(core.ErrTimedOut) }()
-	if result, _, _ := attemptAt(t, b, ctx, ""); result != decide.TimedOut {
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.TimedOut {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 || len(b.idle["s"]) != 0 {
@@ -228,7 +228,7 @@
 	s := serveRaw(t, func(int) string { <-hold; return "" })
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(core.ErrCancelled) }()
-	if result, _, _ := attemptAt(t, poolFor(t, s.addr), ctx, ""); result != decide.Cancelled {
+	if result, _, _ := attemptAt(t, ctx, poolFor(t, s.addr), ""); result != decide.Cancelled {
 		t.Errorf("result %v", result)
 	}
 }
@@ -272,7 +272,7 @@
 			}
 			return c, err
 		}
-		if result, _, _ := attemptAt(t, b, context.Background(), strings.Repeat("x", 20000)); result != decide.Broke {
+		if result, _, _ := attemptAt(t, context.Background(), b, strings.Repeat("x", 20000)); result != decide.Incomplete {
 			t.Errorf("broken after %d bytes: result %v", room, result)
 		}
 	}
@@ -285,14 +285,14 @@
 func TestNothingIsResentOnAStaleConnection(t *testing.T) {
 	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	b := poolFor(t, s.addr)
-	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != decide.OK {
+	if result, _, _ := attemptAt(t, context.Background(), b, "one"); result != decide.OK {
 		t.Fatalf("first: %v", result)
 	}
 	if len(b.idle["s"]) != 1 {
 		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
 	}
 	rested(b)
-	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != decide.Reset {
+	if result, _, _ := attemptAt(t, context.Background(), b, "two"); result != decide.Reset {
 		t.Fatalf("second: %v", result)
 	}
 	if n := len(s.seen); n != 2 {
@@ -305,10 +305,10 @@
 func TestIdleConnectionIsDropped(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	old := b.idle["s"][0]
 	old.since = time.Now().Add(-b.keepIdle)
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	if b.idle["s"][0] == old || b.open != 1 {
 		t.Error("the old connection was used")
 	}
@@ -324,10 +324,10 @@
 	s := serveRaw(t, func(int) string { return ok200 })
 	other := serveRaw(t, func(int) string { <-hold; return ok200 })
 	b := poolFor(t, s.addr)
-	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "t"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": other.addr}})
 	b.most = 1
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	done := make(chan decide.Result)
 	go func() {
 		r, _, _ := b.attempt(context.Background(), probing{}, "t", newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil))
@@ -337,7 +337,7 @@
 	if len(b.idle["s"]) != 0 {
 		t.Error("no idle connection made room")
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), ""); r != decide.NotSent {
+	if r, _, _ := attemptAt(t, context.Background(), b, ""); r != decide.NotSent {
 		t.Errorf("past the limit: %v", r)
 	}
 	close(hold)
@@ -351,13 +351,13 @@
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, one.addr)
-	attemptAt(t, b, context.Background(), "")
-	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
+	attemptAt(t, context.Background(), b, "")
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.open != 0 {
 		t.Errorf("%d connections to the old address are open", b.open)
 	}
-	if attemptAt(t, b, context.Background(), ""); len(one.seen) != 1 || len(two.seen) != 1 {
+	if attemptAt(t, context.Background(), b, ""); len(one.seen) != 1 || len(two.seen) != 1 {
 		t.Errorf("%d requests to the old address, %d to the new", len(one.seen), len(two.seen))
 	}
 }
@@ -373,7 +373,7 @@
 		done <- r
 	}()
 	testkit.Receive(t, "request", one.seen)
-	b.update(core.List{List: decide.List{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
+	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
 	close(hold)
 	if r := testkit.Receive(t, "result", done); r != decide.OK || b.open != 0 {
@@ -385,7 +385,7 @@
 	s := serveRaw(t, func(int) string {
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, inflight=7, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
 	})
-	_, _, load := attemptAt(t, poolFor(t, s.addr), context.Background(), "")
+	_, _, load := attemptAt(t, context.Background(), poolFor(t, s.addr), "")
 	if want := wire.Load(map[string]float64{"backlog": 2, "outstanding": 7, "errors_per_s": 0.5}); load != want {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
@@ -549,7 +549,7 @@
 	s := serveRaw(t, func(int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello" })
 	b := poolFor(t, s.addr)
 	b.cfg.Settings.ConnectTimeout = time.Second // which is also the longest gap
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.Errored {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Errored {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 {
@@ -564,22 +564,22 @@
 	b := poolFor(t, s.addr)
 	for n := range 3000 {
 		id, addr := fmt.Sprint("b", n), fmt.Sprintf("127.0.0.1:%d", 1+n%50)
-		b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: id}}}, Addrs: map[string]string{id: addr}})
-		b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: id, State: decide.Gone}}}})
+		b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: id}}}, Addrs: map[string]string{id: addr}})
+		b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: id, State: decide.Removed}}}})
 	}
 	if ids, owners := b.addrs.Len(); ids != 1 || owners != 1 || len(b.idle) != 0 {
 		t.Errorf("%d addresses, %d owners, %d lists of connections", ids, owners, len(b.idle))
 	}
 	at := func(id string) string { addr, _ := b.addrs.Of(id); return addr }
-	attemptAt(t, b, context.Background(), "")
-	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
+	attemptAt(t, context.Background(), b, "")
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
 	if at("s") != "" || at("new") != s.addr || b.open != 0 {
 		t.Errorf("addresses %v, %d connections", b.addrs, b.open)
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.ConnectFailed || len(s.seen) != 1 {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the new one", result, len(s.seen))
 	}
-	b.update(core.List{List: decide.List{Backends: []decide.Backend{{ID: "s", State: decide.Gone}}}})
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s", State: decide.Removed}}}})
 	if at("new") != s.addr || b.addrs.At(s.addr) != "new" {
 		t.Error("the old one's end took the new one's address")
 	}
@@ -617,7 +617,7 @@
 	}{
 		"reset after a trip":           {time.Second, time.Second, decide.Reset, true},
 		"reset under a request":        {time.Second, time.Millisecond, decide.Reset, false},
-		"broke while it was written":   {time.Second, time.Millisecond, decide.Broke, true},
+		"broke while it was written":   {time.Second, time.Millisecond, decide.Incomplete, true},
 		"an answer amiss says nothing": {0, time.Second, decide.Errored, false},
 	} {
 		b := poolFor(t, "127.0.0.1:9")
@@ -658,7 +658,7 @@
 	ctx, cancel := context.WithTimeoutCause(context.Background(), testkit.Patience, core.ErrTimedOut)
 	defer cancel()
 	for range 2 {
-		if result, _, _ := attemptAt(t, b, ctx, ""); result != decide.Broke || ctx.Err() != nil {
+		if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete || ctx.Err() != nil {
 			t.Fatalf("result %v while no connection comes up, %v", result, ctx.Err())
 		}
 	}
@@ -666,7 +666,7 @@
 	close(up)
 	testkit.WaitFor(t, "the first one's connection", standing(1, 1))
 	rested(b)
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.OK || len(dials) != 2 {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.OK || len(dials) != 2 {
 		t.Errorf("result %v after %d dials: what came up late was not used", result, len(dials))
 	}
 }
@@ -685,7 +685,7 @@
 			return nil, ctx.Err()
 		}
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != decide.OK {
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.OK {
 		t.Errorf("result %v", result)
 	}
 	for range 32 {
@@ -703,7 +703,7 @@
 	b := poolFor(t, "127.0.0.1:9")
 	b.trip = time.Millisecond
 	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
-	attemptAt(t, b, context.Background(), "")
+	attemptAt(t, context.Background(), b, "")
 	b.shut()
 	testkit.WaitFor(t, "the end of the dial", func() bool {
 		b.mu.Lock()
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"vetchhaven/decide"
-	"vetchhaven/internal/peer/ejection/play"
+	"vetchhaven/internal/peer/ejection/ejectionsim"
 	"vetchhaven/internal/simulate/baseline"
 	"vetchhaven/internal/simulate/model"
 	"vetchhaven/internal/simulate/model/virtual"
@@ -201,7 +201,7 @@
 	var out outcome
 	o := virtual.Options{Scenario: &s, Seed: seed, New: virtual.Decide,
 		Ended: func(now time.Duration, _ int, server string, r decide.Result) {
-			if now >= faultAt && now < faultAt+faultFor+2*time.Second && r != decide.OK && r != decide.Full && r != decide.Cancelled && r != decide.NotSent && slices.Contains(hit, server) {
+			if now >= faultAt && now < faultAt+faultFor+2*time.Second && r != decide.OK && r != decide.Rejected && r != decide.Cancelled && r != decide.NotSent && slices.Contains(hit, server) {
 				out.spoilt++
 				if now > faultAt+5*time.Second {
 					out.after5++
@@ -229,11 +229,11 @@
 }
 
 func seer() (func(decide.Settings, uint64) (virtual.Policy, error), error) {
-	make, err := baseline.Maker(baseline.SeesNow)
+	newPolicy, err := baseline.Maker(baseline.SeesNow)
 	if err != nil {
 		return nil, err
 	}
-	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return make(s, seed) }, nil
+	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }, nil
 }
 
 // why is told of each verdict, where set.
@@ -242,20 +242,20 @@
 // links plays days in which links break and no server fails: any verdict is a wrong one.
 func links(days int) error {
 	type got struct {
-		r    *play.Result
+		r    *ejectionsim.Result
 		name string
 	}
 	var jobs []func() (got, error)
 	for d := range days {
 		jobs = append(jobs, func() (got, error) {
-			o := play.BrokenLinks(uint64(d))
-			o.Say = func(now time.Duration, a int, text string) {
-				if why != nil && strings.Contains(text, " is out: ") {
-					lost, late := o.Peers(0, a, now)
+			o := ejectionsim.BrokenLinks(uint64(d))
+			o.OnLog = func(now time.Duration, a int, text string) {
+				if why != nil && strings.Contains(text, " is ejected: ") {
+					lost, late := o.PeerPath(0, a, now)
 					why(fmt.Sprintf("day %d, %v, member %d of %d: %s (%.0f%% lost, %v late)", d, now.Round(time.Millisecond), a, o.Agents, text, 100*lost, late))
 				}
 			}
-			r, err := play.Play(o)
+			r, err := ejectionsim.Run(o)
 			return got{r, fmt.Sprintf("%v a second", o.Rate)}, err
 		})
 	}
@@ -272,11 +272,11 @@
 				continue
 			}
 			n++
-			asked += g.r.Asked
-			wrong += g.r.Wrong
-			span += g.r.WrongFor
+			asked += g.r.Requests
+			wrong += g.r.WrongEjections
+			span += g.r.WrongDuration
 			messages += g.r.Messages
-			if g.r.Wrong > 0 {
+			if g.r.WrongEjections > 0 {
 				with++
 			}
 		}
@@ -292,16 +292,16 @@
 		for _, failing := range []bool{false, true} {
 			length := 30 * time.Second
 			begin := time.Now()
-			o := play.Options{Seed: 1, Agents: agents, Servers: 50, Rate: 1, Length: length, Share: true, Own: true, Error: 0.001,
-				Fails: func(s int, now time.Duration) float64 {
+			o := ejectionsim.Options{Seed: 1, Agents: agents, Servers: 50, Rate: 1, Duration: length, ShareEvidence: true, LocalEjection: true, ErrorRate: 0.001,
+				FailureShare: func(s int, now time.Duration) float64 {
 					if failing && s == 3 && now > 5*time.Second {
 						return 1
 					}
 					return 0
 				},
-				Link:  func(int, int, time.Duration) float64 { return 0 },
-				Peers: func(int, int, time.Duration) (float64, time.Duration) { return 0, time.Millisecond }}
-			r, err := play.Play(o)
+				LinkLoss: func(int, int, time.Duration) float64 { return 0 },
+				PeerPath: func(int, int, time.Duration) (float64, time.Duration) { return 0, time.Millisecond }}
+			r, err := ejectionsim.Run(o)
 			if err != nil {
 				return err
 			}
