--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -128,7 +128,7 @@
 	switch {
 	case err == nil:
 		late <- door
-	case core.MayPass(err): // in use by the process that this one replaces, as a rule: clients need not wait
+	case core.IsTransient(err): // in use by the process that this one replaces, as a rule: clients need not wait
 		log.Warn("the operators' address can't be listened at yet, and is tried again", "admin_addr", cfg.Admin, "error", err)
 		go func() {
 			for ctx.Err() == nil {
@@ -196,7 +196,7 @@
 		log.Error("what operators said is not known", "error", err)
 	}
 	share := func(n int) {
-		a.Beside(n)
+		a.SetOtherProcesses(n)
 		limitMemory(cfg.MemoryMB / (n + 1))
 	}
 	if n > 0 {
@@ -266,7 +266,7 @@
 	began := time.Now()
 	for try := 0; ; try++ {
 		cfg, err := core.LoadConfig(os.Getenv)
-		if err == nil || !core.MayPass(err) || time.Since(began) > startMost {
+		if err == nil || !core.IsTransient(err) || time.Since(began) > startMost {
 			return cfg, err
 		}
 		if try == 0 { // not a line for every try
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// unknownPause is waited after an error of accept that says nothing of how long it lasts.
-	unknownPause = 20 * time.Millisecond
-	// acceptMost is for how long accept may fail without a connection before the listener is taken for broken.
-	acceptMost = time.Second
+	// acceptRetryDelay is waited after an error of accept that says nothing of how long it lasts.
+	acceptRetryDelay = 20 * time.Millisecond
+	// maxAcceptFailure is for how long accept may fail without a connection before the listener is taken for broken.
+	maxAcceptFailure = time.Second
 )
 
 // acceptFailures tells errors of accept that pass from a listener that can't go on. The zero value has seen none.
 type acceptFailures struct{ since time.Time }
 
-// goOn reports whether accept is to be tried again after an error, unknownPause later.
-func (f *acceptFailures) goOn(err error) bool {
+// mayRetry reports whether accept is to be tried again after an error, unknownPause later.
+func (f *acceptFailures) mayRetry(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
 	if f.since.IsZero() {
 		f.since = time.Now()
 	}
-	return time.Since(f.since) < acceptMost
+	return time.Since(f.since) < maxAcceptFailure
 }
 
 // SteadyListener is a listener whose Accept outlasts errors of a moment, whatever they are: net/http ends at those that it
@@ -46,13 +46,13 @@
 	var failures acceptFailures
 	for {
 		c, err := l.Listener.Accept()
-		if err == nil || !failures.goOn(err) {
+		if err == nil || !failures.mayRetry(err) {
 			return c, err
 		}
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(unknownPause):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
--- a/internal/core/accept_test.go
+++ b/internal/core/accept_test.go
@@ -62,19 +62,19 @@
 	if _, err := NewSteadyListener(&failingListener{err: syscall.EBADF, times: -1}).Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("broken: %v", err)
 	}
-	if time.Since(began) < acceptMost {
+	if time.Since(began) < maxAcceptFailure {
 		t.Error("it was given up at once")
 	}
 }
 
 func TestErrorsThatMayPass(t *testing.T) {
 	for _, err := range []syscall.Errno{syscall.EADDRINUSE, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EIO, syscall.ENOSPC, syscall.EADDRNOTAVAIL} {
-		if !MayPass(&net.OpError{Op: "listen", Err: err}) {
+		if !IsTransient(&net.OpError{Op: "listen", Err: err}) {
 			t.Errorf("%v is taken for final", err)
 		}
 	}
 	for _, err := range []error{nil, errors.New("of another kind"), syscall.EACCES, syscall.ENOENT, syscall.EISDIR, syscall.EINVAL} {
-		if MayPass(err) {
+		if IsTransient(err) {
 			t.Errorf("%v is tried again", err)
 		}
 	}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -10,7 +10,7 @@
 func (l *Loop) execute(a decide.Action, now time.Duration) {
 	switch a := a.(type) {
 	case decide.Send:
-		l.send(a)
+		l.startAttempt(a)
 	case decide.Cancel:
 		if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.cfg.Settings.MayCancel {
 			r.attempts[a.Attempt].cancel(ErrCancelled)
@@ -20,8 +20,8 @@
 			l.requestEnded(r, "refused", a.Reason)
 			l.counts.refused++
 			l.totals.refused.Add(1)
-			l.limited(a.Limit)
-			l.finish(r, Answer{Refused: true, RetryAfter: a.RetryAfter, Limit: a.Limit, Verdict: l.keptFrom(a.Reason, now)})
+			l.countSharedLimit(a.Limit)
+			l.finish(r, Answer{Refused: true, RetryAfter: a.RetryAfter, Limit: a.Limit, Ejected: l.ejectedServers(a.Reason, now)})
 			l.forget(r)
 		}
 	case decide.Fail:
@@ -29,7 +29,7 @@
 			l.requestEnded(r, "failed", a.Reason)
 			l.counts.failed++
 			l.totals.failed.Add(1)
-			l.limited(a.Limit)
+			l.countSharedLimit(a.Limit)
 			l.finish(r, Answer{TimedOut: r.timedOut, Limit: a.Limit})
 			l.forget(r)
 		}
@@ -38,17 +38,17 @@
 	case decide.Probe:
 		if l.cfg.Settings.MayProbe && !l.probing[a.Backend] {
 			l.probing[a.Backend] = true
-			go l.guard(func() { l.post(l.protocol.Probe(a.Backend)) })
+			go l.containPanic(func() { l.post(l.protocol.Probe(a.Backend)) })
 		}
 	case decide.SendToPeer:
 		if l.peers != nil {
-			l.peers.tell(a.To, a.Data)
+			l.peers.send(a.To, a.Data)
 		}
 	case decide.Subscribe:
-		l.watch()
+		l.requestWatch()
 	case decide.LeaseUsage:
-		if l.held != nil {
-			l.held(a.Usages)
+		if l.reportUsage != nil {
+			l.reportUsage(a.Usages)
 		}
 	default:
 		l.log.Error("unknown action", "action", a)
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -7,8 +7,8 @@
 
 // admissionBound is until when requests are taken, and why no longer.
 type admissionBound struct {
-	until time.Time
-	why   string
+	until  time.Time
+	reason string
 }
 
 // AdmitUntil has requests taken until a moment by the process's own clock, and turned away at once from then on, with why.
@@ -40,7 +40,7 @@
 	if h == nil || time.Now().Before(h.until) {
 		return ""
 	}
-	return h.why
+	return h.reason
 }
 
 // shed refuses a request that is not taken. The module never hears of it.
@@ -49,18 +49,18 @@
 	l.totals.requests.Add(1)
 	l.counts.refused++
 	l.totals.refused.Add(1)
-	l.shedBy["policy: "+why]++
+	l.shedCounts["policy: "+why]++
 	// Spread, so that all do not come back at once.
 	l.reject(r, Answer{Refused: true, Policy: why, RetryAfter: time.Second + time.Duration(rand.Float64()*float64(time.Second))})
 }
 
-// Narrow has what was taken already repeated for no longer than these windows after its first attempt, by class; 0: as
+// NarrowDedupWindows has what was taken already repeated for no longer than these windows after its first attempt, by class; 0: as
 // its own policy says. Another policy with a shorter window has come into force, and servers may go by it.
-func (a *Agent) Narrow(windows []time.Duration) { a.loop.windows.Store(&windows) }
+func (a *Agent) NarrowDedupWindows(windows []time.Duration) { a.loop.dedupWindows.Store(&windows) }
 
-// narrowed reports whether a request that may have run can't be sent again by a window that came later.
-func (l *Loop) narrowed(r *Request) bool {
-	w := l.windows.Load()
+// dedupWindowPassed reports whether a request that may have run can't be sent again by a window that came later.
+func (l *Loop) dedupWindowPassed(r *Request) bool {
+	w := l.dedupWindows.Load()
 	if w == nil || r.Class >= len(*w) || (*w)[r.Class] == 0 || len(r.attempts) == 0 {
 		return false
 	}
--- a/internal/core/admission_test.go
+++ b/internal/core/admission_test.go
@@ -9,7 +9,7 @@
 )
 
 func bare() *Loop {
-	return &Loop{cfg: &Config{}, clock: newClock(), log: slog.New(slog.DiscardHandler), requests: map[string]*Request{}, shedBy: map[string]int{}, recent: newRecent(time.Second)}
+	return &Loop{cfg: &Config{}, clock: newClock(), log: slog.New(slog.DiscardHandler), requests: map[string]*Request{}, shedCounts: map[string]int{}, recent: newRecentIDs(time.Second)}
 }
 
 // The clock is looked at as a request is taken, not as the lease came: one that was stopped past it takes nothing.
@@ -17,7 +17,7 @@
 	l := bare()
 	a := &Agent{loop: l}
 	take := func(id string) (got Answer, taken bool) {
-		l.take(requestArrived{NewRequest(id, 0, func(x Answer) { got = x })})
+		l.handle(requestArrived{NewRequest(id, 0, func(x Answer) { got = x })})
 		return got, l.requests[id] != nil
 	}
 	if _, taken := take("a"); !taken {
@@ -57,14 +57,14 @@
 		narrow  bool
 	}{{nil, false}, {[]time.Duration{0, 4 * time.Second}, false}, {[]time.Duration{0, 2 * time.Second}, true}, {[]time.Duration{time.Second, 0}, false}} {
 		if c.windows != nil {
-			a.Narrow(c.windows)
+			a.NarrowDedupWindows(c.windows)
 		}
-		if got := l.narrowed(r); got != c.narrow {
+		if got := l.dedupWindowPassed(r); got != c.narrow {
 			t.Errorf("%v: %v", c.windows, got)
 		}
 	}
-	a.Narrow([]time.Duration{0, 2 * time.Second})
-	l.send(decide.Send{Request: "r", Backend: "s"})
+	a.NarrowDedupWindows([]time.Duration{0, 2 * time.Second})
+	l.startAttempt(decide.Send{Request: "r", Backend: "s"})
 	if o, ok := l.pending[0].(decide.Outcome); !ok || o.Result != decide.NotSent || o.Attempt != 1 || len(r.attempts) != 2 {
 		t.Errorf("%+v", l.pending)
 	}
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -10,25 +10,25 @@
 	"vetchhaven/internal/testkit"
 )
 
-// onClient is a protocol with one client, whose request comes as soon as clients are served. It tells which server
+// oneClientProtocol is a protocol with one client, whose request comes as soon as clients are served. It tells which server
 // has it.
-type onClient struct {
-	none
+type oneClientProtocol struct {
+	idleProtocol
 	loop  *Loop
 	sent  chan string
 	ended chan struct{}
 }
 
-func (p *onClient) Serve(g *Gate) error {
-	r := asked("1")
+func (p *oneClientProtocol) Serve(g *ConnLimiter) error {
+	r := newPendingRequest("1")
 	r.Deadline = time.Now().Add(testkit.Patience)
-	r.Left = testkit.Patience
-	p.loop.Take(r.Request)
+	r.Remaining = testkit.Patience
+	p.loop.Submit(r.Request)
 	<-p.ended
 	return nil
 }
 
-func (p *onClient) Attempt(a *Attempt) (decide.Result, any, decide.Load) {
+func (p *oneClientProtocol) Attempt(a *Attempt) (decide.Result, any, decide.Load) {
 	p.sent <- a.Server
 	return decide.OK, "", decide.Load{}
 }
@@ -60,12 +60,12 @@
 				return discovery.Member{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
 			}
 			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Member{member("one", "ready")}})
-			p := &onClient{sent: make(chan string, 1), ended: make(chan struct{})}
-			a, err := New(cfg, testkit.Quiet, Parts{Silence: 2 * testkit.Patience}, func(l *Loop) Protocol { p.loop = l; return p })
+			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
+			a, err := New(cfg, testkit.Quiet, Parts{HeartbeatTimeout: 2 * testkit.Patience}, func(l *Loop) Protocol { p.loop = l; return p })
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.firstWord = row.wait
+			a.firstListWait = row.wait
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- a.Run(ctx) }()
@@ -93,7 +93,7 @@
 
 // A request that is taken late in a drain is answered before the agent ends, and not by its own time.
 func TestLateRequestOfADrainIsAnsweredBeforeItsEnd(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,18 +101,18 @@
 	end := now.Add(time.Hour)
 	for _, row := range []struct{ own, want time.Time }{{now.Add(time.Minute), now.Add(time.Minute)}, {now.Add(2 * time.Hour), end}} {
 		for _, ends := range []*time.Time{nil, &end} {
-			l.ends.Store(ends)
+			l.drainDeadline.Store(ends)
 			want := row.want
 			if ends == nil {
 				want = row.own
 			}
-			r := asked("1")
+			r := newPendingRequest("1")
 			r.Deadline = row.own
-			l.Take(r.Request)
+			l.Submit(r.Request)
 			if !r.Deadline.Equal(want) {
 				t.Errorf("ends %v: until %v, want %v", ends, r.Deadline, want)
 			}
-			r.late.Stop()
+			r.deadlineTimer.Stop()
 		}
 	}
 }
@@ -124,11 +124,11 @@
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].Deadline = longest
 		}
-		a, err := New(cfg, testkit.Quiet, Parts{Listener: testkit.Listen(t)}, func(*Loop) Protocol { return none{} })
+		a, err := New(cfg, testkit.Quiet, Parts{Listener: testkit.Listen(t)}, func(*Loop) Protocol { return idleProtocol{} })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if most := a.drainMost(); most <= longest || most >= longest+700*time.Millisecond {
+		if most := a.maxDrain(); most <= longest || most >= longest+700*time.Millisecond {
 			t.Errorf("deadline %v: a drain may take %v", longest, most)
 		}
 	}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -22,14 +22,14 @@
 
 func (c attemptContext) Deadline() (time.Time, bool) { return c.until, true }
 
-// uploadMost bounds how long the last byte of a request may take to come, whatever its protocol bounds.
-const uploadMost = time.Hour
+// maxUploadTime bounds how long the last byte of a request may take to come, whatever its protocol bounds.
+const maxUploadTime = time.Hour
 
-// send starts an attempt. Its goroutine ends by the client's deadline; there are no more of them
+// startAttempt starts an attempt. Its goroutine ends by the client's deadline; there are no more of them
 // than MaxAttempts for each request that is open.
-func (l *Loop) send(a decide.Send) {
+func (l *Loop) startAttempt(a decide.Send) {
 	r := l.requests[a.Request]
-	if r != nil && !r.done && (l.narrowed(r) || !l.mayStart(r, a.Backend)) {
+	if r != nil && !r.done && (l.dedupWindowPassed(r) || !l.mayStart(r, a.Backend)) {
 		l.pending = append(l.pending, decide.Outcome{Request: a.Request, Attempt: len(r.attempts), Backend: a.Backend, Result: decide.NotSent, Answered: r.done})
 		r.attempts = append(r.attempts, &Attempt{Request: r, N: len(r.attempts), Server: a.Backend, cancel: func(error) {}, ended: true, result: decide.NotSent})
 		return
@@ -40,18 +40,18 @@
 		return
 	}
 	start := time.Now()
-	until := r.Deadline.Add(-l.margin)
+	until := r.Deadline.Add(-l.answerMargin)
 	if r.Upload {
-		until = start.Add(uploadMost)
+		until = start.Add(maxUploadTime)
 	}
 	if a.Timeout > 0 && start.Add(a.Timeout).Before(until) {
 		until = start.Add(a.Timeout)
 	}
-	t := &Attempt{Request: r, N: len(r.attempts), Server: a.Backend, loop: l, start: start, noDial: a.ReuseOnly, process: l.sights.starts[a.Backend]}
+	t := &Attempt{Request: r, N: len(r.attempts), Server: a.Backend, loop: l, start: start, reuseOnly: a.ReuseOnly, processStarted: l.outcomes.starts[a.Backend]}
 	if a.StartBy > 0 {
-		t.until = l.clock.wall(a.StartBy)
+		t.startBy = l.clock.wall(a.StartBy)
 	}
-	ctx, cancel := context.WithCancelCause(l.base)
+	ctx, cancel := context.WithCancelCause(l.attemptsContext)
 	t.Context, t.cancel = attemptContext{ctx, until}, cancel
 	t.timer = time.AfterFunc(until.Sub(start), func() { cancel(ErrTimedOut) })
 	r.attempts = append(r.attempts, t)
@@ -67,9 +67,9 @@
 		// Whatever becomes of it, its outcome is told: the module waits for it.
 		e := attemptEnded{t, decide.Outcome{Request: r.ID, Attempt: t.N, Backend: a.Backend, Result: decide.Errored}, nil}
 		defer func() {
-			e.outcome.Latency, e.outcome.NotReplayable, e.outcome.Dialed = time.Since(t.start), t.spent, t.dialed
+			e.outcome.Latency, e.outcome.NotReplayable, e.outcome.Dialed = time.Since(t.start), t.notReplayable, t.dialed
 			l.post(e)
 		}()
-		l.guard(func() { e.outcome.Result, e.answer, e.outcome.Load = l.protocol.Attempt(t) })
+		l.containPanic(func() { e.outcome.Result, e.answer, e.outcome.Load = l.protocol.Attempt(t) })
 	}()
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -124,8 +124,8 @@
 		return nil, fmt.Errorf("limits.cores: %v is negative", c.Cores)
 	case c.MemoryMB < 0:
 		return nil, fmt.Errorf("limits.memory_mb: %v is negative", c.MemoryMB)
-	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.Sockets, leastSockets)
+	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
+		return nil, fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.Sockets, minSockets)
 	case len(f.Settings) == 0:
 		return nil, errors.New("settings: missing")
 	}
@@ -187,8 +187,8 @@
 
 const defaultMemoryMB = 192
 
-// Longest is the longest time that any client waits.
-func (c *Config) Longest() time.Duration {
+// MaxDeadline is the longest time that any client waits.
+func (c *Config) MaxDeadline() time.Duration {
 	var d time.Duration
 	for _, class := range c.Settings.Classes {
 		d = max(d, class.Deadline)
@@ -196,30 +196,30 @@
 	return d
 }
 
-// Budget bounds the bytes that are kept at once, by those that ask it.
-type Budget struct{ left, all atomic.Int64 }
+// ByteBudget bounds the bytes that are kept at once, by those that ask it.
+type ByteBudget struct{ free, total atomic.Int64 }
 
-// NewBudget has so many bytes.
-func NewBudget(bytes int) *Budget {
-	b := &Budget{}
+// NewByteBudget has so many bytes.
+func NewByteBudget(bytes int) *ByteBudget {
+	b := &ByteBudget{}
 	b.Resize(bytes)
 	return b
 }
 
 // Resize changes how many bytes it has. What is booked past that stays so, and nothing more is until it fits.
-func (b *Budget) Resize(bytes int) { b.left.Add(int64(bytes) - b.all.Swap(int64(bytes))) }
+func (b *ByteBudget) Resize(bytes int) { b.free.Add(int64(bytes) - b.total.Swap(int64(bytes))) }
 
-// Take books bytes, if so many are left.
-func (b *Budget) Take(n int) bool {
-	if b.left.Add(-int64(n)) >= 0 {
+// Acquire books bytes, if so many are left.
+func (b *ByteBudget) Acquire(n int) bool {
+	if b.free.Add(-int64(n)) >= 0 {
 		return true
 	}
-	b.Put(n)
+	b.Release(n)
 	return false
 }
 
-// Put gives booked bytes back.
-func (b *Budget) Put(n int) { b.left.Add(int64(n)) }
+// Release gives booked bytes back.
+func (b *ByteBudget) Release(n int) { b.free.Add(int64(n)) }
 
-// Left is how many bytes are not booked.
-func (b *Budget) Left() int64 { return b.left.Load() }
+// Free is how many bytes are not booked.
+func (b *ByteBudget) Free() int64 { return b.free.Load() }
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -102,9 +102,9 @@
 	}
 	got := make(chan any, 1)
 	go p.run(t.Context(), func(e any) { got <- e })
-	p.tell(1, []byte("hi"))
-	p.tell(5, []byte("nobody"))
-	p.tell(1, make([]byte, maxDatagram+1))
+	p.send(1, []byte("hi"))
+	p.send(5, []byte("nobody"))
+	p.send(1, make([]byte, maxDatagram+1))
 	buf := make([]byte, 512)
 	n, _, err := other.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != "hi" {
--- a/internal/core/gate_test.go
+++ b/internal/core/connlimiter_test.go
@@ -12,11 +12,11 @@
 	"vetchhaven/internal/testkit"
 )
 
-// pair is a gate's end and a client's end of one connection that is kept after an answer.
-func pair(t *testing.T) (g *Gate, kept *clientConn, client net.Conn) {
+// acceptedPair is a gate's end and a client's end of one connection that is kept after an answer.
+func acceptedPair(t *testing.T) (g *ConnLimiter, kept *clientConn, client net.Conn) {
 	t.Helper()
 	ln := testkit.Listen(t)
-	g = NewGate(ln, 10)
+	g = NewConnLimiter(ln, 10)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -28,10 +28,10 @@
 	}
 	kept = c.(*clientConn)
 	t.Cleanup(func() { kept.Close() })
-	kept.used = true
+	kept.hasRequested = true
 	g.mu.Lock()
-	g.unquiet(kept)
-	kept.place = g.idle.PushBack(kept)
+	g.removeFromQuiet(kept)
+	kept.element = g.idle.PushBack(kept)
 	g.mu.Unlock()
 	return g, kept, client
 }
@@ -39,7 +39,7 @@
 // The first byte of a request makes a kept connection busy: draining does not close it any more. A
 // request that was read and then cut off would be handled, and asked again elsewhere.
 func TestAFirstByteMakesAConnectionBusy(t *testing.T) {
-	g, kept, client := pair(t)
+	g, kept, client := acceptedPair(t)
 	if _, err := client.Write([]byte("G")); err != nil {
 		t.Fatal(err)
 	}
@@ -58,29 +58,29 @@
 
 // A connection on which nothing was sent yet is left alone for a while, as a request may be on its way; then it ends.
 func TestAYoungSilentConnectionIsLeft(t *testing.T) {
-	g, kept, _ := pair(t)
-	kept.used = false
-	if g.CloseSilent(testkit.Patience); g.asked != 0 {
+	g, kept, _ := acceptedPair(t)
+	kept.hasRequested = false
+	if g.CloseSilent(testkit.Patience); g.evicting != 0 {
 		t.Error("asked to end as soon as it was there")
 	}
 	g.mu.Lock()
-	kept.since = time.Now().Add(-testkit.Patience)
+	kept.quietSince = time.Now().Add(-testkit.Patience)
 	g.mu.Unlock()
-	if g.CloseSilent(testkit.Patience); g.asked != 1 {
-		t.Errorf("%d asked to end after a long silence", g.asked)
+	if g.CloseSilent(testkit.Patience); g.evicting != 1 {
+		t.Errorf("%d asked to end after a long silence", g.evicting)
 	}
 }
 
 // A byte that has been read just before its connection was asked to end is a request's: the connection goes on, and is
 // read for as long as it would have been. Bytes that come after that stay unread, and the client asks again elsewhere.
 func TestAByteThatCrossesTheAskKeepsTheConnection(t *testing.T) {
-	g, kept, client := pair(t)
-	g.Until(kept, time.Now().Add(testkit.Patience))
+	g, kept, client := acceptedPair(t)
+	g.SetReadDeadline(kept, time.Now().Add(testkit.Patience))
 	read := kept.streamConn // reads past the gate, as a read that is under way at the ask has
-	kept.streamConn = stale{read}
+	kept.streamConn = lateRead{read}
 	g.CloseIdle()
-	if g.asked != 1 {
-		t.Fatalf("%d asked", g.asked)
+	if g.evicting != 1 {
+		t.Fatalf("%d asked", g.evicting)
 	}
 	one := make([]byte, 1)
 	if n, err := kept.Read(one); n != 1 || err != nil {
@@ -90,13 +90,13 @@
 	if _, err := client.Write([]byte("E")); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := kept.Read(one); n != 1 || err != nil || one[0] != 'E' || g.asked != 0 {
-		t.Errorf("%d bytes, %v, %d asked: the rest of the request is not read", n, err, g.asked)
+	if n, err := kept.Read(one); n != 1 || err != nil || one[0] != 'E' || g.evicting != 0 {
+		t.Errorf("%d bytes, %v, %d asked: the rest of the request is not read", n, err, g.evicting)
 	}
-	if !g.Busy(kept) {
+	if !g.MarkBusy(kept) {
 		t.Error("it was closed")
 	}
-	g.Idle(kept)
+	g.MarkIdle(kept)
 	g.CloseIdle()
 	if _, err := client.Write([]byte("G")); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 		t.Errorf("after the ask: %d bytes, %v", n, err)
 	}
 	// A deadline of its reader's comes too late for that.
-	g.Until(kept, time.Now().Add(testkit.Patience))
+	g.SetReadDeadline(kept, time.Now().Add(testkit.Patience))
 	if n, err := kept.Read(one); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after the ask and a new deadline: %d bytes, %v", n, err)
 	}
@@ -114,47 +114,47 @@
 	}
 }
 
-// stale has read a byte just before it was asked to end.
-type stale struct{ streamConn }
+// lateRead has read a byte just before it was asked to end.
+type lateRead struct{ streamConn }
 
-func (s stale) Read(p []byte) (int, error) { p[0] = 'G'; return 1, nil }
+func (s lateRead) Read(p []byte) (int, error) { p[0] = 'G'; return 1, nil }
 
 // A connection whose last answer is out ends once its client has read that, and not before, unless its place is
 // needed. One whose first request has begun to come is not silent.
 func TestWhatIsNotQuietIsNotAsked(t *testing.T) {
-	g, kept, _ := pair(t)
+	g, kept, _ := acceptedPair(t)
 	if err := kept.CloseWrite(); err == nil && g.idle.Len() == 0 { // it stands between requests already
 		t.Error("not in the books")
 	}
 	g.CloseIdle()
-	if g.asked != 0 {
+	if g.evicting != 0 {
 		t.Error("its last answer may be lost")
 	}
-	g.most = 1
-	if wait := g.makeRoom(time.Now()); wait == 0 || g.asked != 1 {
-		t.Errorf("wait %v, %d asked: its place is needed", wait, g.asked)
+	g.maxConns = 1
+	if wait := g.reclaimSlots(time.Now()); wait == 0 || g.evicting != 1 {
+		t.Errorf("wait %v, %d asked: its place is needed", wait, g.evicting)
 	}
-	g, fresh, client := pair(t)
-	fresh.used = false
+	g, fresh, client := acceptedPair(t)
+	fresh.hasRequested = false
 	if _, err := client.Write([]byte("G")); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := fresh.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	if g.CloseSilent(0); g.asked != 0 {
+	if g.CloseSilent(0); g.evicting != 0 {
 		t.Error("a request has begun on it")
 	}
 }
 
-// gateFor is a gate on loopback whose clock the test turns, with so many client connections open.
-func gateFor(t *testing.T, most, open int) (*Gate, []net.Conn) {
+// newTestLimiter is a gate on loopback whose clock the test turns, with so many client connections open.
+func newTestLimiter(t *testing.T, most, open int) (*ConnLimiter, []net.Conn) {
 	t.Helper()
-	g := NewGate(testkit.Listen(t), most)
+	g := NewConnLimiter(testkit.Listen(t), most)
 	t.Cleanup(func() { g.Close() })
 	var conns []net.Conn
 	for range open {
-		conns = append(conns, dialGate(t, g))
+		conns = append(conns, dialLimiter(t, g))
 		if _, err := g.Accept(); err != nil {
 			t.Fatal(err)
 		}
@@ -162,13 +162,13 @@
 	return g, conns
 }
 
-// end is what a connection's reader does once it is asked.
-func (g *Gate) end(t *testing.T) {
+// closeEvicted is what a connection's reader does once it is asked.
+func (g *ConnLimiter) closeEvicted(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
 	var asked []*clientConn
 	for c := range g.conns {
-		if c.asked {
+		if c.evicting {
 			asked = append(asked, c)
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 }
 
-func dialGate(t *testing.T, g *Gate) net.Conn {
+func dialLimiter(t *testing.T, g *ConnLimiter) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", g.Addr().String())
 	if err != nil {
@@ -191,7 +191,7 @@
 	return c
 }
 
-func (g *Gate) count() int {
+func (g *ConnLimiter) connCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns)
@@ -201,24 +201,24 @@
 // nobody else came in. Past the mark those testkit.Quiet longest go, but none before its time: a client
 // may be about to send its first request. Those with an open request stay.
 func TestQuietConnectionsMakeRoom(t *testing.T) {
-	g, conns := gateFor(t, 8, 8)
+	g, conns := newTestLimiter(t, 8, 8)
 	g.mu.Lock()
 	var all []*clientConn
 	for e := g.fresh.Front(); e != nil; e = e.Next() {
 		all = append(all, e.Value.(*clientConn))
 	}
 	g.mu.Unlock()
-	g.Busy(all[0])
-	now := all[7].since
-	if wait := g.makeRoom(now); wait <= 0 || wait > quietLeast || g.count() != 8 {
-		t.Fatalf("full of young ones: wait %v, %d open", wait, g.count())
+	g.MarkBusy(all[0])
+	now := all[7].quietSince
+	if wait := g.reclaimSlots(now); wait <= 0 || wait > minQuiet || g.connCount() != 8 {
+		t.Fatalf("full of young ones: wait %v, %d open", wait, g.connCount())
 	}
-	if wait := g.makeRoom(now.Add(quietLeast)); wait == 0 || g.count() != 8 {
-		t.Fatalf("wait %v, %d open: there is no room before their readers have ended them", wait, g.count())
+	if wait := g.reclaimSlots(now.Add(minQuiet)); wait == 0 || g.connCount() != 8 {
+		t.Fatalf("wait %v, %d open: there is no room before their readers have ended them", wait, g.connCount())
 	}
-	g.end(t)
-	if wait := g.makeRoom(now.Add(quietLeast)); wait != 0 || g.count() != g.mark-1 {
-		t.Fatalf("wait %v, %d open, mark %d", wait, g.count(), g.mark)
+	g.closeEvicted(t)
+	if wait := g.reclaimSlots(now.Add(minQuiet)); wait != 0 || g.connCount() != g.evictionMark-1 {
+		t.Fatalf("wait %v, %d open, mark %d", wait, g.connCount(), g.evictionMark)
 	}
 	if !g.conns[all[0]] || g.conns[all[1]] || g.conns[all[3]] || !g.conns[all[4]] {
 		t.Error("not those testkit.Quiet longest were closed")
@@ -231,37 +231,37 @@
 	}
 	// Quiet again after its answer; then its last answer is out and only the client's reading is
 	// waited for, which is the first to end.
-	g.Idle(all[0])
+	g.MarkIdle(all[0])
 	if g.idle.Back().Value != all[0] {
 		t.Error("after its answer it is not idle")
 	}
-	g.Busy(all[4])
+	g.MarkBusy(all[4])
 	if err := all[4].CloseWrite(); err != nil || g.idle.Front().Value != all[4] {
 		t.Errorf("%v; one that is being closed is not the first to go", err)
 	}
 	// Full once more: clients that ask now and then, and so are never idle for long, must not keep
 	// all others out. Those that have had an answer go at once, those still silent do not.
-	g.most = g.count()
-	g.makeRoom(time.Now())
-	g.end(t)
-	if wait := g.makeRoom(time.Now()); wait != 0 || g.conns[all[4]] || !g.conns[all[0]] {
+	g.maxConns = g.connCount()
+	g.reclaimSlots(time.Now())
+	g.closeEvicted(t)
+	if wait := g.reclaimSlots(time.Now()); wait != 0 || g.conns[all[4]] || !g.conns[all[0]] {
 		t.Errorf("wait %v; kept: closing %v, idle %v", wait, g.conns[all[4]], g.conns[all[0]])
 	}
-	g.most = g.count()
-	g.makeRoom(time.Now())
-	g.end(t)
-	if wait := g.makeRoom(time.Now()); wait != 0 || g.conns[all[0]] {
+	g.maxConns = g.connCount()
+	g.reclaimSlots(time.Now())
+	g.closeEvicted(t)
+	if wait := g.reclaimSlots(time.Now()); wait != 0 || g.conns[all[0]] {
 		t.Errorf("wait %v; the idle one was kept", wait)
 	}
-	g.most = g.count()
-	if wait := g.makeRoom(all[5].since); wait == 0 || !g.conns[all[5]] {
+	g.maxConns = g.connCount()
+	if wait := g.reclaimSlots(all[5].quietSince); wait == 0 || !g.conns[all[5]] {
 		t.Errorf("wait %v; a silent one was not left its time", wait)
 	}
 }
 
 // A full gate takes no connection until a place is free, and counts each place once.
 func TestGateLimit(t *testing.T) {
-	g, _ := gateFor(t, 1, 0)
+	g, _ := newTestLimiter(t, 1, 0)
 	got := make(chan net.Conn, 2)
 	ended := make(chan error, 1)
 	go func() {
@@ -271,21 +271,21 @@
 				ended <- err
 				return
 			}
-			g.Busy(c)
+			g.MarkBusy(c)
 			got <- c
 		}
 	}()
-	dialGate(t, g)
+	dialLimiter(t, g)
 	one := testkit.Receive(t, "first connection", got)
-	dialGate(t, g)
-	if g.count() != 1 || len(got) != 0 {
+	dialLimiter(t, g)
+	if g.connCount() != 1 || len(got) != 0 {
 		t.Errorf("%d connections past the limit", len(got))
 	}
 	one.Close()
 	one.Close()
 	testkit.Receive(t, "second connection", got)
-	if g.count() != 1 {
-		t.Errorf("%d counted, one is open", g.count())
+	if g.connCount() != 1 {
+		t.Errorf("%d counted, one is open", g.connCount())
 	}
 	g.Close()
 	if err := testkit.Receive(t, "end", ended); !errors.Is(err, net.ErrClosed) {
@@ -295,7 +295,7 @@
 
 // Those that are kept after their answers go, past a quarter, once they have been quiet for long.
 func TestKeptOnesGoOnceQuietForLong(t *testing.T) {
-	g, _ := gateFor(t, 20, 8)
+	g, _ := newTestLimiter(t, 20, 8)
 	g.mu.Lock()
 	var all []*clientConn
 	for e := g.fresh.Front(); e != nil; e = e.Next() {
@@ -303,24 +303,24 @@
 	}
 	g.mu.Unlock()
 	for _, c := range all {
-		g.Busy(c)
-		g.Idle(c)
+		g.MarkBusy(c)
+		g.MarkIdle(c)
 	}
-	g.makeRoom(time.Now())
+	g.reclaimSlots(time.Now())
 	if _, _, idle := g.Counts(); idle != 8 {
 		t.Errorf("%d are kept, none was quiet for long", idle)
 	}
-	g.makeRoom(time.Now().Add(quietLeast))
-	g.end(t)
-	if _, _, idle := g.Counts(); idle >= g.kept {
-		t.Errorf("%d are kept that were quiet for long, fewer than %d should be", idle, g.kept)
+	g.reclaimSlots(time.Now().Add(minQuiet))
+	g.closeEvicted(t)
+	if _, _, idle := g.Counts(); idle >= g.maxIdle {
+		t.Errorf("%d are kept that were quiet for long, fewer than %d should be", idle, g.maxIdle)
 	}
 }
 
 // Where the gate is full, a connection that has sent nothing goes soon, so that one behind it is taken; one that has sent a
 // part of its first request is left its time.
 func TestSilentOnesGoSoonWhereTheGateIsFull(t *testing.T) {
-	g, conns := gateFor(t, 2, 2)
+	g, conns := newTestLimiter(t, 2, 2)
 	began, silent := g.fresh.Front().Value.(*clientConn), g.fresh.Back().Value.(*clientConn)
 	if _, err := conns[0].Write([]byte("G")); err != nil {
 		t.Fatal(err)
@@ -328,45 +328,45 @@
 	if n, err := began.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	if wait := g.makeRoom(silent.since.Add(silentLeast / 2)); wait > silentLeast/2 || g.asked != 0 {
-		t.Errorf("wait %v, %d are asked to end before their time", wait, g.asked)
+	if wait := g.reclaimSlots(silent.quietSince.Add(minSilent / 2)); wait > minSilent/2 || g.evicting != 0 {
+		t.Errorf("wait %v, %d are asked to end before their time", wait, g.evicting)
 	}
-	g.makeRoom(silent.since.Add(silentLeast))
-	if began.asked || !silent.asked {
-		t.Errorf("asked: one whose request has begun %v, a silent one %v", began.asked, silent.asked)
+	g.reclaimSlots(silent.quietSince.Add(minSilent))
+	if began.evicting || !silent.evicting {
+		t.Errorf("asked: one whose request has begun %v, a silent one %v", began.evicting, silent.evicting)
 	}
-	if g.makeRoom(silent.since.Add(silentLeast)); g.asked != 1 {
-		t.Errorf("%d are asked to end for one place", g.asked)
+	if g.reclaimSlots(silent.quietSince.Add(minSilent)); g.evicting != 1 {
+		t.Errorf("%d are asked to end for one place", g.evicting)
 	}
 }
 
-// poor is a listener that has an error for each connection until told, such as of a process with no descriptor left.
-type poor struct {
+// failUntilRecovered is a listener that has an error for each connection until told, such as of a process with no descriptor left.
+type failUntilRecovered struct {
 	net.Listener
-	err         error
-	asked, rich chan struct{}
+	err                  error
+	attempted, recovered chan struct{}
 }
 
-func (p poor) Accept() (net.Conn, error) {
+func (p failUntilRecovered) Accept() (net.Conn, error) {
 	select {
-	case <-p.rich:
+	case <-p.recovered:
 		return p.Listener.Accept()
-	case p.asked <- struct{}{}:
+	case p.attempted <- struct{}{}:
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", p.err)}
 	}
 }
 
 // acceptAfter has a gate whose listener fails once take the next connection.
-func acceptAfter(t *testing.T, err error) *Gate {
+func acceptAfter(t *testing.T, err error) *ConnLimiter {
 	t.Helper()
-	g, _ := gateFor(t, 8, 1)
-	p := poor{g.Listener, err, make(chan struct{}), make(chan struct{})}
+	g, _ := newTestLimiter(t, 8, 1)
+	p := failUntilRecovered{g.Listener, err, make(chan struct{}), make(chan struct{})}
 	g.Listener = p
 	got := make(chan error, 1)
 	go func() { _, err := g.Accept(); got <- err }()
-	dialGate(t, g)
-	testkit.Receive(t, "accept", p.asked)
-	close(p.rich)
+	dialLimiter(t, g)
+	testkit.Receive(t, "accept", p.attempted)
+	close(p.recovered)
 	if err := testkit.Receive(t, "connection", got); err != nil {
 		t.Error(err)
 	}
@@ -378,7 +378,7 @@
 	for _, err := range []error{syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN,
 		syscall.EHOSTUNREACH, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.EPERM} {
 		t.Run(err.Error(), func(t *testing.T) {
-			if g := acceptAfter(t, err); g.asked != 0 {
+			if g := acceptAfter(t, err); g.evicting != 0 {
 				t.Error("another one was asked to end for it")
 			}
 		})
@@ -387,23 +387,23 @@
 
 // A process that has no descriptor left goes on, and an idle client's is given back for the next one.
 func TestNoDescriptorIsNoEnd(t *testing.T) {
-	g, _ := gateFor(t, 8, 1)
+	g, _ := newTestLimiter(t, 8, 1)
 	kept := g.fresh.Front().Value.(*clientConn)
-	g.Busy(kept)
-	g.Idle(kept)
-	p := poor{g.Listener, syscall.EMFILE, make(chan struct{}), make(chan struct{})}
+	g.MarkBusy(kept)
+	g.MarkIdle(kept)
+	p := failUntilRecovered{g.Listener, syscall.EMFILE, make(chan struct{}), make(chan struct{})}
 	g.Listener = p
 	got := make(chan error, 1)
 	go func() { _, err := g.Accept(); got <- err }()
-	dialGate(t, g)
-	testkit.Receive(t, "accept", p.asked)
-	testkit.Receive(t, "accept again", p.asked)
+	dialLimiter(t, g)
+	testkit.Receive(t, "accept", p.attempted)
+	testkit.Receive(t, "accept again", p.attempted)
 	g.mu.Lock()
-	if !kept.asked {
+	if !kept.evicting {
 		t.Error("the idle one was not asked to end")
 	}
 	g.mu.Unlock()
-	close(p.rich)
+	close(p.recovered)
 	if err := testkit.Receive(t, "connection", got); err != nil {
 		t.Error(err)
 	}
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -15,10 +15,10 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// reconnectWithin is the ceiling of the wait after so many failures in a row, where lists are pushed: it doubles, and the
+// reconnectCeiling is the ceiling of the wait after so many failures in a row, where lists are pushed: it doubles, and the
 // wait is full jitter below it. What a list that was down has to tell counts as told as soon as it is back: of the time
 // until nothing new may go to a server that drains, a wait may take no more than a quarter.
-func reconnectWithin(fails int, drainGrace time.Duration) time.Duration {
+func reconnectCeiling(fails int, drainGrace time.Duration) time.Duration {
 	if fails == 0 {
 		return 1
 	}
@@ -29,45 +29,45 @@
 // try again after a failure; where lists are pushed there is nobody to ask, and it reconnects
 // by itself.
 type listWatcher struct {
-	cfg     *Config
-	clock   clock
-	post    func(any)
-	version int64
-	ask     chan struct{} // a Subscribe of the module, at most one waiting
-	moved   chan string   // a new address of discovery, the last one told
-	addr    string        // its present address
-	log     *slog.Logger
-	client  *http.Client
-	silence time.Duration
-	tried   chan struct{} // closed once a watch has brought something, or nobody is there to bring it
-	try     func()        // closes it
+	cfg              *Config
+	clock            clock
+	post             func(any)
+	version          int64
+	watchRequests    chan struct{} // a Subscribe of the module, at most one waiting
+	addrChanges      chan string   // a new address of discovery, the last one told
+	addr             string        // its present address
+	log              *slog.Logger
+	client           *http.Client
+	heartbeatTimeout time.Duration
+	attempted        chan struct{} // closed once a watch has brought something, or nobody is there to bring it
+	markAttempted    func()        // closes it
 }
 
-func newDiscovery(cfg *Config, ck clock, post func(any), log *slog.Logger) *listWatcher {
+func newListWatcher(cfg *Config, ck clock, post func(any), log *slog.Logger) *listWatcher {
 	tried := make(chan struct{})
-	return &listWatcher{cfg: cfg, clock: ck, post: post, ask: make(chan struct{}, 1),
-		moved: make(chan string, 1), addr: cfg.Discovery, log: log, silence: discovery.Silence,
-		tried: tried, try: sync.OnceFunc(func() { close(tried) }),
+	return &listWatcher{cfg: cfg, clock: ck, post: post, watchRequests: make(chan struct{}, 1),
+		addrChanges: make(chan string, 1), addr: cfg.Discovery, log: log, heartbeatTimeout: discovery.Silence,
+		attempted: tried, markAttempted: sync.OnceFunc(func() { close(tried) }),
 		client: discovery.NewClient(cfg.Settings.ConnectTimeout)}
 }
 
 // subscribe asks for a watch. While one is being started a further call adds nothing.
 func (d *listWatcher) subscribe() {
 	select {
-	case d.ask <- struct{}{}:
+	case d.watchRequests <- struct{}{}:
 	default:
 	}
 }
 
-// move ends the present watch and begins another at addr, at once and unasked: what the list said
+// moveTo ends the present watch and begins another at addr, at once and unasked: what the list said
 // so far goes on to hold, so that to the module nothing has happened.
-func (d *listWatcher) move(addr string) {
+func (d *listWatcher) moveTo(addr string) {
 	select {
-	case <-d.moved: // never begun
+	case <-d.addrChanges: // never begun
 	default:
 	}
 	select {
-	case d.moved <- addr:
+	case d.addrChanges <- addr:
 	default: // another move came in between; the one that it tells is as new
 	}
 }
@@ -79,20 +79,20 @@
 		var wait <-chan time.Time
 		var ask <-chan struct{}
 		if d.cfg.Settings.Subscribe {
-			ask = d.ask
+			ask = d.watchRequests
 		} else {
-			wait = time.After(rand.N(reconnectWithin(fails, d.cfg.Settings.DrainGrace)))
+			wait = time.After(rand.N(reconnectCeiling(fails, d.cfg.Settings.DrainGrace)))
 		}
 		select {
 		case <-ask:
 		case <-wait:
-		case addr := <-d.moved:
-			d.settle(addr)
+		case addr := <-d.addrChanges:
+			d.switchTo(addr)
 		case <-ctx.Done():
 			return
 		}
 		got, err := d.watch(ctx)
-		for errors.Is(err, errMoving) && ctx.Err() == nil {
+		for errors.Is(err, errAddrChanged) && ctx.Err() == nil {
 			got, err = d.watch(ctx)
 		}
 		if ctx.Err() != nil {
@@ -106,21 +106,21 @@
 			d.log.Warn("discovery watch ended", "error", err, "failures", fails)
 		}
 		select {
-		case <-d.ask: // during a watch that a move had begun: the module asks anew now that it hears of its end
+		case <-d.watchRequests: // during a watch that a move had begun: the module asks anew now that it hears of its end
 		default:
 		}
 		d.post(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFailed}})
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			d.try()
+			d.markAttempted()
 		}
 	}
 }
 
-var errMoving = errors.New("discovery has another address")
+var errAddrChanged = errors.New("discovery has another address")
 
-// settle goes over to an address. Another service need not number its versions like the old one,
+// switchTo goes over to an address. Another service need not number its versions like the old one,
 // so its whole list is asked for.
-func (d *listWatcher) settle(addr string) {
+func (d *listWatcher) switchTo(addr string) {
 	if d.addr != addr {
 		d.addr, d.version = addr, 0
 	}
@@ -133,10 +133,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case addr := <-d.moved:
+		case addr := <-d.addrChanges:
 			if addr != d.addr {
 				done <- addr
-				cancel(errMoving)
+				cancel(errAddrChanged)
 				return
 			}
 		}
@@ -152,18 +152,18 @@
 	defer func() {
 		cancel(nil)
 		if to, moved := <-next; moved {
-			d.settle(to)
-			err = errMoving
+			d.switchTo(to)
+			err = errAddrChanged
 		}
 	}()
-	return discovery.Watch(ctx, d.client, addr, d.version, d.silence, func(m *discovery.Members) {
+	return discovery.Watch(ctx, d.client, addr, d.version, d.heartbeatTimeout, func(m *discovery.Members) {
 		d.version = m.Version
 		kind := decide.ListDelta
 		if m.Full {
 			kind = decide.ListFull
 		}
 		d.post(d.translate(m, kind))
-		d.try()
+		d.markAttempted()
 	})
 }
 
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -18,8 +18,8 @@
 func follow(t *testing.T, cfg *Config, tune func(*listWatcher)) (*listWatcher, chan List) {
 	t.Helper()
 	events := make(chan List, 100)
-	d := newDiscovery(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
-	d.version, d.silence = 41, 2*testkit.Patience
+	d := newListWatcher(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
+	d.version, d.heartbeatTimeout = 41, 2*testkit.Patience
 	if tune != nil {
 		tune(d)
 	}
@@ -98,9 +98,9 @@
 	asked := make(chan int, 1)
 	d, events := follow(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
 		post := d.post
-		d.post = func(e any) { asked <- len(d.ask); post(e) }
+		d.post = func(e any) { asked <- len(d.watchRequests); post(e) }
 	})
-	d.move(two.Addr)
+	d.moveTo(two.Addr)
 	w := testkit.Receive(t, "watch at the new address", two.Watch)
 	d.subscribe() // of the module's wait since its last failure
 	close(w.Fail)
@@ -170,7 +170,7 @@
 // A discovery that is cut off closes nothing: a watch that misses its empty lines is dead.
 func TestSilentWatchIsDead(t *testing.T) {
 	c := testkit.NewCatalog(t)
-	_, events := follow(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) { d.silence = 50 * time.Millisecond })
+	_, events := follow(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) { d.heartbeatTimeout = 50 * time.Millisecond })
 	testkit.Receive(t, "watch", c.Watch)
 	if e := testkit.Receive(t, "failure", events); e.Kind != decide.ListFailed {
 		t.Errorf("%+v", e)
@@ -181,7 +181,7 @@
 func TestStartTimes(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	ck := newClock()
-	d := newDiscovery(cfg, ck, nil, testkit.Quiet)
+	d := newListWatcher(cfg, ck, nil, testkit.Quiet)
 	at := time.Now().Add(-3 * time.Second)
 	e := d.translate(&discovery.Members{Servers: []discovery.Member{
 		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Started: at.UnixMilli()},
@@ -216,8 +216,8 @@
 			w := testkit.Receive(t, "watch", one.Watch)
 			w.Lines <- line(42, true, "ready")
 			testkit.Receive(t, "list", events)
-			d.move(one.Addr)
-			d.move(two.Addr)
+			d.moveTo(one.Addr)
+			d.moveTo(two.Addr)
 			w = testkit.Receive(t, "watch at the new address", two.Watch)
 			if w.Since != "0" {
 				t.Errorf("since %q: the versions of another service", w.Since)
@@ -230,7 +230,7 @@
 			if e := testkit.Receive(t, "failure", events); e.Kind != decide.ListFailed {
 				t.Errorf("%+v", e)
 			}
-			d.move(three.Addr)
+			d.moveTo(three.Addr)
 			testkit.Receive(t, "watch at the third address", three.Watch)
 			if len(one.Watch) != 0 {
 				t.Error("the first address was asked again")
@@ -244,7 +244,7 @@
 func TestReconnectsWithinTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for fails := range 100 {
-			switch wait := reconnectWithin(fails, grace); {
+			switch wait := reconnectCeiling(fails, grace); {
 			case wait <= 0 || wait > discovery.ReconnectMost:
 				t.Errorf("grace %v, %d failures: %v", grace, fails, wait)
 			case wait > max(discovery.ReconnectFirst, grace/4):
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -11,11 +11,11 @@
 	clientDisconnected struct{ *Request }
 	// deadlineExceeded says that a request's time and half of the grace are over and no answer is there.
 	deadlineExceeded struct{ *Request }
-	// answerBegan says that a part of an attempt's answer is about to reach the client.
-	answerBegan struct {
+	// responseStarted says that a part of an attempt's answer is about to reach the client.
+	responseStarted struct {
 		*Attempt
-		worked  bool
-		latency time.Duration
+		completed bool
+		latency   time.Duration
 	}
 	// uploadCompleted says that a request's last byte is out.
 	uploadCompleted struct {
@@ -35,19 +35,19 @@
 	summaryDue struct{}
 )
 
-// learntQuery asks the loop for what its module has learnt.
-type learntQuery struct{ reply chan learnt }
+// learnedQuery asks the loop for what its module has learnt.
+type learnedQuery struct{ reply chan learnedState }
 
-// learnt is that, with the starts of the servers' processes as the list has them, ms, Unix.
-type learnt struct {
+// learnedState is that, with the starts of the servers' processes as the list has them, ms, Unix.
+type learnedState struct {
 	decide.Learned
 	starts map[string]int64
 }
 
-func (l *Loop) learnt() learnt {
-	now := learnt{l.balancer.Learned(), map[string]int64{}}
+func (l *Loop) learned() learnedState {
+	now := learnedState{l.balancer.Learned(), map[string]int64{}}
 	for _, b := range now.Backends {
-		now.starts[b.ID] = l.starts.told(b.ID)
+		now.starts[b.ID] = l.starts.listedMS(b.ID)
 	}
 	return now
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -17,29 +17,31 @@
 	return cfg
 }
 
-// none is a protocol of which nothing comes.
-type none struct{}
+// idleProtocol is a protocol of which nothing comes.
+type idleProtocol struct{}
 
-func (none) Serve(*Gate) error { return nil }
-func (none) Drain(bool)        {}
-func (none) Resize(int, int)   {}
-func (none) Close() error      { return nil }
-func (none) Open() int64       { return 0 }
-func (none) Attempt(*Attempt) (decide.Result, any, decide.Load) {
+func (idleProtocol) Serve(*ConnLimiter) error { return nil }
+func (idleProtocol) SetDraining(bool)         {}
+func (idleProtocol) Resize(int, int)          {}
+func (idleProtocol) Close() error             { return nil }
+func (idleProtocol) OpenRequests() int64      { return 0 }
+func (idleProtocol) Attempt(*Attempt) (decide.Result, any, decide.Load) {
 	return decide.NotSent, nil, decide.Load{}
 }
-func (none) Probe(server string) decide.ProbeResult { return decide.ProbeResult{Backend: server} }
-func (none) Update(List)                            {}
-func (none) Reap(context.Context)                   {}
-func (none) Shut()                                  {}
+func (idleProtocol) Probe(server string) decide.ProbeResult {
+	return decide.ProbeResult{Backend: server}
+}
+func (idleProtocol) Update(List)              {}
+func (idleProtocol) ReapIdle(context.Context) {}
+func (idleProtocol) Shutdown()                {}
 
-// asking is a request with the way back for its answer.
-type asking struct {
+// pendingRequest is a request with the way back for its answer.
+type pendingRequest struct {
 	*Request
 	reply chan Answer
 }
 
-func asked(id string) asking {
+func newPendingRequest(id string) pendingRequest {
 	reply := make(chan Answer, 2)
-	return asking{NewRequest(id, 0, func(a Answer) { reply <- a }), reply}
+	return pendingRequest{NewRequest(id, 0, func(a Answer) { reply <- a }), reply}
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -20,22 +20,22 @@
 	AnsweredOnce   Invariant = iota // a request has one final answer
 	EffectOnce                      // one that may not be repeated is sent again only where no attempt can have run
 	OneAttemptOut                   // ... and never has two attempts out; nor has any, where second copies are not allowed
-	KeyedWindow                     // a keyed one is sent again only while its first attempt is remembered
+	DedupWindow                     // a keyed one is sent again only while its first attempt is remembered
 	AttemptBound                    // no more attempts are made than the settings allow
 	WriteMatched                    // each end of a write belongs to one that was admitted
 	AttemptsClosed                  // no more attempts end than were begun
-	invariants
+	invariantCount
 )
 
-var invariantNames = [invariants]string{"answered_once", "effect_once", "one_attempt_out", "keyed_window", "attempt_bound", "write_matched", "attempts_closed"}
+var invariantNames = [invariantCount]string{"answered_once", "effect_once", "one_attempt_out", "keyed_window", "attempt_bound", "write_matched", "attempts_closed"}
 
 // String is the name under which violations are counted.
 func (i Invariant) String() string { return invariantNames[i] }
 
 // counters are what an agent counts of its decisions, for others to read.
 type counters struct {
-	sendRefusals [sendRefusals]atomic.Int64
-	violations   [invariants]atomic.Int64
+	sendRefusals [sendRefusalCount]atomic.Int64
+	violations   [invariantCount]atomic.Int64
 	endings      [decide.ReasonCount]atomic.Int64 // of requests that were refused or failed, by the module's reason
 	results      [decide.Incomplete + 1]atomic.Int64
 	retries      atomic.Int64
@@ -57,7 +57,7 @@
 // Counters tells them. It may be called at any time.
 func (a *Agent) Counters() Counters {
 	n := &a.loop.counters
-	c := Counters{map[string]int64{}, map[string]int64{}, map[string]int64{}, map[string]int64{}, a.gate.closes(), n.retries.Load()}
+	c := Counters{map[string]int64{}, map[string]int64{}, map[string]int64{}, map[string]int64{}, a.limiter.evictionCounts(), n.retries.Load()}
 	for i := range n.sendRefusals {
 		if SendRefusal(i) != SendAllowed {
 			c.SendRefusals[SendRefusal(i).String()] = n.sendRefusals[i].Load()
@@ -104,7 +104,7 @@
 		case class.Effect == decide.NonIdempotent:
 			return refuse(EffectOnce, fmt.Sprintf("attempt %d at %s may have run: %s", t.N, t.Server, resultNames[t.result]))
 		case time.Since(t.start) > class.DedupWindow:
-			return refuse(KeyedWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered", t.N, t.Server, time.Since(t.start), class.DedupWindow))
+			return refuse(DedupWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered", t.N, t.Server, time.Since(t.start), class.DedupWindow))
 		}
 	}
 	return true
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -21,7 +21,7 @@
 type sendingLoop struct {
 	*Loop
 	results chan decide.Result
-	request asking
+	request pendingRequest
 }
 
 func newSendingLoop(t *testing.T, class int, change func(*decide.Settings)) *sendingLoop {
@@ -30,20 +30,20 @@
 	if change != nil {
 		change(&cfg.Settings)
 	}
-	s := &sendingLoop{results: make(chan decide.Result), request: asked("r")}
+	s := &sendingLoop{results: make(chan decide.Result), request: newPendingRequest("r")}
 	var err error
 	if s.Loop, err = newLoop(cfg, newClock(), endingProtocol{results: s.results}, testkit.Quiet); err != nil {
 		t.Fatal(err)
 	}
-	s.base, s.toleratesViolations = context.Background(), true
+	s.attemptsContext, s.toleratesViolations = context.Background(), true
 	s.request.Class, s.request.Deadline = class, time.Now().Add(time.Minute)
-	s.take(requestArrived{s.request.Request})
+	s.handle(requestArrived{s.request.Request})
 	return s
 }
 
 // endingProtocol's attempts end with what comes on a channel.
 type endingProtocol struct {
-	none
+	idleProtocol
 	results chan decide.Result
 }
 
@@ -59,7 +59,7 @@
 func (s *sendingLoop) end(t *testing.T, result decide.Result) {
 	t.Helper()
 	s.results <- result
-	s.take(testkit.Receive(t, "outcome", s.events))
+	s.handle(testkit.Receive(t, "outcome", s.events))
 }
 
 func (s *sendingLoop) count(i Invariant) int64 { return s.counters.violations[i].Load() }
@@ -87,7 +87,7 @@
 		"idempotent, a second copy":          {class: classGet, out: true, kept: true},
 		"second copies are not allowed":      {class: classGet, change: noCopies, out: true, want: OneAttemptOut},
 		"keyed, within its window":           {class: classPut, first: []decide.Result{decide.Reset}, kept: true},
-		"keyed, past its window":             {class: classPut, change: shortWindow, first: []decide.Result{decide.Reset}, want: KeyedWindow},
+		"keyed, past its window":             {class: classPut, change: shortWindow, first: []decide.Result{decide.Reset}, want: DedupWindow},
 		"keyed, past it and never ran":       {class: classPut, change: shortWindow, first: []decide.Result{decide.ConnectFailed}, kept: true},
 		"all attempts are used up":           {class: classGet, first: []decide.Result{decide.Reset, decide.Reset, decide.Reset}, want: AttemptBound},
 		"the last of those that are allowed": {class: classGet, first: []decide.Result{decide.Reset, decide.Reset}, kept: true},
@@ -184,16 +184,16 @@
 	t.Run("a streamed answer is the only attempt's", func(t *testing.T) {
 		var g sendGuard
 		g.open(1, func() { go g.end(1) })
-		if !g.stream(0) || len(g.writes) > 0 {
+		if !g.startResponse(0) || len(g.writes) > 0 {
 			t.Error("an answer streams beside another attempt's write")
 		}
-		if g.stream(1) || !g.stream(0) {
+		if g.startResponse(1) || !g.startResponse(0) {
 			t.Error("not the first attempt's alone")
 		}
 		if g.open(1, interrupt) || !g.open(0, interrupt) {
 			t.Error("another attempt writes beside an answer that streams")
 		}
-		if !g.streaming(1) || g.streaming(0) {
+		if !g.otherResponds(1) || g.otherResponds(0) {
 			t.Error("whose answer it is")
 		}
 	})
@@ -201,7 +201,7 @@
 		var g sendGuard
 		given := 0
 		g.finish(make(chan struct{}), answer(&given))
-		if g.stream(0) || given != 1 {
+		if g.startResponse(0) || given != 1 {
 			t.Error("it did")
 		}
 	})
@@ -216,27 +216,27 @@
 	}{
 		"nothing":                {func(*Loop, *Attempt, net.Conn, net.Conn) {}, SendAllowed, 0},
 		"answered":               {func(l *Loop, a *Attempt, _, _ net.Conn) { l.finish(a.Request, Answer{}) }, RequestAnswered, decide.NotSent},
-		"another answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.stream(1) }, RequestAnswered, decide.NotSent},
-		"its own answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.stream(0) }, SendAllowed, 0},
+		"another answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.startResponse(1) }, RequestAnswered, decide.NotSent},
+		"its own answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.startResponse(0) }, SendAllowed, 0},
 		"timed out":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrTimedOut) }, AttemptEnded, decide.Incomplete},
 		"cancelled":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrCancelled) }, AttemptEnded, decide.Cancelled},
 		"drains by the list": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.tell(List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s", State: decide.Draining}}}})
+			l.noteServerStates(List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s", State: decide.Draining}}}})
 		}, ServerWithdrawn, decide.Incomplete},
 		"is missing in a whole list": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.tell(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull}})
+			l.noteServerStates(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull}})
 		}, ServerWithdrawn, decide.Incomplete},
 		"taken out by hand": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.barred.Store(&map[string]bool{"s": true})
+			l.disabled.Store(&map[string]bool{"s": true})
 		}, ServerWithdrawn, decide.Incomplete},
-		"window closed":     {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.until = time.Now() }, WindowClosed, decide.NotSent},
-		"window still open": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.until = time.Now().Add(time.Minute) }, SendAllowed, 0},
+		"window closed":     {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.startBy = time.Now() }, WindowClosed, decide.NotSent},
+		"window still open": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.startBy = time.Now().Add(time.Minute) }, SendAllowed, 0},
 		"client left":       {func(_ *Loop, _ *Attempt, client, _ net.Conn) { testkit.HalfClose(t, client); client.Close() }, ClientDisconnected, decide.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSendingLoop(t, classGet, nil)
 			defer close(s.results)
-			s.tell(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", State: decide.Up}}}})
+			s.noteServerStates(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", State: decide.Up}}}})
 			ln := testkit.Listen(t)
 			client, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
--- a/internal/core/listen.go
+++ b/internal/core/listen.go
@@ -17,7 +17,7 @@
 const inheritedEnv = "PROXY_INHERITED_FD"
 
 // leastInherited: below it are the standard streams.
-const leastInherited = 3
+const minInheritedFD = 3
 
 // parseInherited reads the descriptor's number; 0: none is inherited.
 func parseInherited(text string) (int, error) {
@@ -25,22 +25,22 @@
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(text)
-	if err != nil || fd < leastInherited || fd > 1<<20 {
-		return 0, fmt.Errorf("%s: %q is no descriptor above %d", inheritedEnv, text, leastInherited-1)
+	if err != nil || fd < minInheritedFD || fd > 1<<20 {
+		return 0, fmt.Errorf("%s: %q is no descriptor above %d", inheritedEnv, text, minInheritedFD-1)
 	}
 	return fd, nil
 }
 
 const (
-	// listenAgain is how often an address that is in use is tried, and listenMost for how long: the platform takes an
+	// listenRetryInterval is how often an address that is in use is tried, and listenMost for how long: the platform takes an
 	// agent that is not ready by then for failed.
-	listenAgain = 10 * time.Millisecond
-	listenMost  = 30 * time.Second
+	listenRetryInterval = 10 * time.Millisecond
+	maxListenRetry      = 30 * time.Second
 )
 
-// MayPass reports whether an error is one of the system's that may be over in a moment: an address in use, by a process
+// IsTransient reports whether an error is one of the system's that may be over in a moment: an address in use, by a process
 // that this one replaces, no descriptor or memory, a disk or a network that fails.
-func MayPass(err error) bool {
+func IsTransient(err error) bool {
 	var e syscall.Errno
 	if !errors.As(err, &e) {
 		return false
@@ -57,13 +57,13 @@
 // this one replaces and that still drains, it is tried again, until ctx ends.
 func Listen(ctx context.Context, cfg *Config, log *slog.Logger) (net.Listener, error) {
 	ln, err := listen(cfg)
-	if MayPass(err) {
+	if IsTransient(err) {
 		log.Warn("the clients' address can't be listened at yet, and is tried again", "listen", cfg.Listen, "error", err)
-		limit, cancel := context.WithTimeout(ctx, listenMost)
+		limit, cancel := context.WithTimeout(ctx, maxListenRetry)
 		defer cancel()
-		again := time.NewTicker(listenAgain)
+		again := time.NewTicker(listenRetryInterval)
 		defer again.Stop()
-		for MayPass(err) && limit.Err() == nil {
+		for IsTransient(err) && limit.Err() == nil {
 			select {
 			case <-again.C:
 				ln, err = listen(cfg)
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -15,54 +15,54 @@
 // Loop owns the balancer, the clock, the timers and the table of open requests. Everything else
 // posts events to it; it never waits for any of them.
 type Loop struct {
-	cfg      *Config
-	log      *slog.Logger
-	clock    clock
-	balancer *decide.Balancer
-	protocol Protocol
-	peers    *peers
-	watch    func() // asks discovery for a watch
-
-	events    chan any
-	stopped   chan struct{}
-	ready     atomic.Bool
-	listed    chan struct{} // closed once a list has named servers
-	margin    time.Duration
-	requests  map[string]*Request
-	recent    recent // ids of requests that have ended
-	timers    timerHeap
-	pending   []decide.Event
-	probing   map[string]bool // one probe of a backend at a time
-	counts    counts
-	totals    totals
-	told      []Counts // by class
-	standing  standing
-	away      atomic.Bool                     // an operator has sent clients away
-	barred    atomic.Pointer[map[string]bool] // taken out by hand; never changed in place
-	up        atomic.Pointer[map[string]bool] // ready by the list; never changed in place; nil: none has come
-	ends      atomic.Pointer[time.Time]       // when the last answers are given; nil: it is not to end
-	base      context.Context                 // of attempts: ends with the loop
-	ending    bool                            // it is to end
-	summing   bool                            // a summary is due
-	inject    func()                          // a test's; else nil
-	guard     func(func())                    // runs a goroutine's work and keeps its panic to this agent
-	held      func([]quota.Usage)             // told how rights stand; must not wait; nil: nobody
-	shedBy    map[string]int                  // by a limit of the fleet, or the policy, since the last summary
-	counters  counters
-	sights    sights
-	starts    startTimes
-	kept      kept
-	admission atomic.Pointer[admissionBound]  // nil: requests are admitted without end
-	windows   atomic.Pointer[[]time.Duration] // by class, see Narrow; nil: the policy's own
+	cfg          *Config
+	log          *slog.Logger
+	clock        clock
+	balancer     *decide.Balancer
+	protocol     Protocol
+	peers        *peers
+	requestWatch func() // asks discovery for a watch
+
+	events           chan any
+	stopped          chan struct{}
+	ready            atomic.Bool
+	listed           chan struct{} // closed once a list has named servers
+	answerMargin     time.Duration
+	requests         map[string]*Request
+	recent           recentIDs // ids of requests that have ended
+	timers           timerHeap
+	pending          []decide.Event
+	probing          map[string]bool // one probe of a backend at a time
+	counts           counts
+	totals           totals
+	classCounts      []ClassCounts // by class
+	backendCounts    backendCounts
+	drained          atomic.Bool                     // an operator has sent clients away
+	disabled         atomic.Pointer[map[string]bool] // taken out by hand; never changed in place
+	readyServers     atomic.Pointer[map[string]bool] // ready by the list; never changed in place; nil: none has come
+	drainDeadline    atomic.Pointer[time.Time]       // when the last answers are given; nil: it is not to end
+	attemptsContext  context.Context                 // of attempts: ends with the loop
+	stopRequested    bool                            // it is to end
+	summaryRequested bool                            // a summary is due
+	stepHook         func()                          // a test's; else nil
+	containPanic     func(func())                    // runs a goroutine's work and keeps its panic to this agent
+	reportUsage      func([]quota.Usage)             // told how rights stand; must not wait; nil: nobody
+	shedCounts       map[string]int                  // by a limit of the fleet, or the policy, since the last summary
+	counters         counters
+	outcomes         outcomeReport
+	starts           startTimes
+	ejected          ejectedServers
+	admission        atomic.Pointer[admissionBound]  // nil: requests are admitted without end
+	dedupWindows     atomic.Pointer[[]time.Duration] // by class, see Narrow; nil: the policy's own
 
 	toleratesViolations bool // set by tests of the invariants alone
 }
 
 // totals are what the agent did since its start, for others to read.
-type totals struct{ requests, served, refused, failed, gone, attempts, late atomic.Int64 }
+type totals struct{ requests, served, refused, failed, clientDisconnects, attempts, late atomic.Int64 }
 
 // counts are what the agent did since its last line about it.
-type counts struct{ requests, served, refused, failed, gone, attempts, late int }
+type counts struct{ requests, served, refused, failed, clientDisconnects, attempts, late int }
 
 func newLoop(cfg *Config, ck clock, p Protocol, log *slog.Logger) (*Loop, error) {
 	balancer, err := decide.New(cfg.Settings, cfg.Seed)
@@ -71,16 +71,16 @@
 	}
 	var starts startTimes
 	if cfg.Memory != nil {
-		balancer.Restore(cfg.Memory.learnt(cfg, ck, &starts))
+		balancer.Restore(cfg.Memory.toLearned(cfg, ck, &starts))
 	}
-	return &Loop{starts: starts, cfg: cfg, log: log, guard: func(f func()) { f() }, clock: ck, balancer: balancer, protocol: p, watch: func() {},
+	return &Loop{starts: starts, cfg: cfg, log: log, containPanic: func(f func()) { f() }, clock: ck, balancer: balancer, protocol: p, requestWatch: func() {},
 		events: make(chan any, 1024), stopped: make(chan struct{}), listed: make(chan struct{}),
 		// An attempt that waits for the client's deadline ends one tick before it: its time-out
 		// reaches the module in time for the client to hear the final answer.
-		margin:   cmp.Or(cfg.Margin, cfg.Settings.Tick),
-		recent:   newRecent(cfg.Longest()),
-		told:     make([]Counts, len(cfg.Settings.Classes)),
-		requests: map[string]*Request{}, probing: map[string]bool{}, shedBy: map[string]int{}}, nil
+		answerMargin: cmp.Or(cfg.Margin, cfg.Settings.Tick),
+		recent:       newRecentIDs(cfg.MaxDeadline()),
+		classCounts:  make([]ClassCounts, len(cfg.Settings.Classes)),
+		requests:     map[string]*Request{}, probing: map[string]bool{}, shedCounts: map[string]int{}}, nil
 }
 
 // post hands an event to the loop. After the loop has stopped it goes nowhere.
@@ -96,28 +96,28 @@
 	}
 }
 
-// Take gives a request to the loop, which owes it one final answer. After the loop has stopped there is
+// Submit gives a request to the loop, which owes it one final answer. After the loop has stopped there is
 // none: see Stopped.
-func (l *Loop) Take(r *Request) {
-	r.Deadline = l.before(r.Deadline)
+func (l *Loop) Submit(r *Request) {
+	r.Deadline = l.capDeadline(r.Deadline)
 	if !r.Upload {
-		l.limit(r)
+		l.startDeadlineTimer(r)
 	}
 	l.post(requestArrived{r})
 }
 
-// before is a client's deadline, or the time of the last answers of an agent that is to end sooner.
-func (l *Loop) before(t time.Time) time.Time {
-	if end := l.ends.Load(); end != nil && end.Before(t) {
+// capDeadline is a client's deadline, or the time of the last answers of an agent that is to end sooner.
+func (l *Loop) capDeadline(t time.Time) time.Time {
+	if end := l.drainDeadline.Load(); end != nil && end.Before(t) {
 		return *end
 	}
 	return t
 }
 
-// limit has a request found overdue. One that comes with less than a tick left is answered by the step that
+// startDeadlineTimer has a request found overdue. One that comes with less than a tick left is answered by the step that
 // first sees it; the grace after the deadline is there for this.
-func (l *Loop) limit(r *Request) {
-	r.late = time.AfterFunc(time.Until(r.Deadline)+l.cfg.Settings.AnswerGrace/2, func() { l.post(deadlineExceeded{r}) })
+func (l *Loop) startDeadlineTimer(r *Request) {
+	r.deadlineTimer = time.AfterFunc(time.Until(r.Deadline)+l.cfg.Settings.AnswerGrace/2, func() { l.post(deadlineExceeded{r}) })
 }
 
 // ClientDisconnected says that a request's client is gone, or wants no answer: none is owed any more. Its attempts
@@ -128,20 +128,20 @@
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
 // Healthy reports whether clients may come: a server is known, and no operator has sent them away.
-func (l *Loop) Healthy() bool { return l.ready.Load() && !l.away.Load() }
+func (l *Loop) Healthy() bool { return l.ready.Load() && !l.drained.Load() }
 
-// Guard runs f and keeps a panic in it to this agent, which ends by it.
-func (l *Loop) Guard(f func()) { l.guard(f) }
+// ContainPanic runs f and keeps a panic in it to this agent, which ends by it.
+func (l *Loop) ContainPanic(f func()) { l.containPanic(f) }
 
-const summaryEvery = 10 * time.Second
+const summaryInterval = 10 * time.Second
 
 // run steps the balancer with what has come in, no oftener than the tick, until ctx ends.
 func (l *Loop) run(ctx context.Context) {
 	defer close(l.stopped)
-	l.base = ctx
+	l.attemptsContext = ctx
 	// What ends it, and what is due now and then, come as events too: it waits for two things alone.
 	defer context.AfterFunc(ctx, func() { l.post(stopping{}) })()
-	summary := time.AfterFunc(summaryEvery, func() { l.post(summaryDue{}) })
+	summary := time.AfterFunc(summaryInterval, func() { l.post(summaryDue{}) })
 	defer summary.Stop()
 	var last, armed time.Duration // armed: when wake fires; 0: it does not
 	wake := time.NewTimer(time.Hour)
@@ -165,32 +165,32 @@
 		armed = due
 		select {
 		case e := <-l.events:
-			l.take(e)
-			l.drain()
+			l.handle(e)
+			l.handlePosted()
 		case <-wake.C:
 			armed = 0
 		}
-		if l.ending || ctx.Err() != nil {
+		if l.stopRequested || ctx.Err() != nil {
 			return
 		}
-		if l.summing {
-			l.summing = false
+		if l.summaryRequested {
+			l.summaryRequested = false
 			l.summarize()
-			summary.Reset(summaryEvery)
+			summary.Reset(summaryInterval)
 		}
 		now := l.clock.now()
 		if now < last+l.cfg.Settings.Tick {
 			continue
 		}
-		l.drain()
+		l.handlePosted()
 		for len(l.timers) > 0 && l.timers[0].at <= now {
 			l.pending = append(l.pending, decide.TimerFired{Token: heap.Pop(&l.timers).(timer).token})
 		}
 		if len(l.pending) == 0 {
 			continue
 		}
-		if l.inject != nil {
-			l.inject()
+		if l.stepHook != nil {
+			l.stepHook()
 		}
 		last = now
 		events := l.pending
@@ -198,7 +198,7 @@
 		for i, e := range events {
 			// Its time has run on since it came in. It may be gone already: its client may be.
 			if e, ok := e.(decide.Request); ok && l.requests[e.ID] != nil {
-				e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.margin - now
+				e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.answerMargin - now
 				events[i] = e
 			}
 		}
@@ -208,9 +208,9 @@
 	}
 }
 
-// drain takes what else has come in.
-func (l *Loop) drain() {
+// handlePosted takes what else has come in.
+func (l *Loop) handlePosted() {
 	for range len(l.events) {
-		l.take(<-l.events)
+		l.handle(<-l.events)
 	}
 }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -14,16 +14,16 @@
 // Where the module says nothing, the loop itself keeps the promise of one final answer.
 func TestSilentModule(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
-	l, err := newLoop(cfg, newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := asked("1")
+	r := newPendingRequest("1")
 	r.Deadline = time.Now()
-	l.take(requestArrived{r.Request})
-	l.take(deadlineExceeded{r.Request})
-	l.take(deadlineExceeded{r.Request}) // once only
-	l.take(clientDisconnected{r.Request})
+	l.handle(requestArrived{r.Request})
+	l.handle(deadlineExceeded{r.Request})
+	l.handle(deadlineExceeded{r.Request}) // once only
+	l.handle(clientDisconnected{r.Request})
 	if a := testkit.Receive(t, "final answer", r.reply); !a.TimedOut {
 		t.Errorf("%+v", a)
 	}
@@ -38,18 +38,18 @@
 // A request may be gone before the step that would have told the module how long it has left.
 func TestGoneBeforeItsFirstStep(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
-	l, err := newLoop(cfg, newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := asked("1")
+	r := newPendingRequest("1")
 	r.Deadline = time.Now().Add(time.Minute)
-	l.take(requestArrived{r.Request})
-	l.take(clientDisconnected{r.Request})
+	l.handle(requestArrived{r.Request})
+	l.handle(clientDisconnected{r.Request})
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { l.run(ctx); close(done) }()
-	next := asked("2")
+	next := newPendingRequest("2")
 	next.Deadline = time.Now().Add(time.Second)
 	l.post(requestArrived{next.Request})
 	testkit.Receive(t, "answer to the next request", next.reply)
@@ -59,15 +59,15 @@
 
 // The client of a request whose id is taken may leave before it has read so.
 func TestDuplicateMayLeaveBeforeItsAnswer(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, again := asked("1"), asked("1")
-	l.take(requestArrived{first.Request})
-	l.take(requestArrived{again.Request})
-	l.take(clientDisconnected{again.Request})
-	l.take(deadlineExceeded{again.Request})
+	first, again := newPendingRequest("1"), newPendingRequest("1")
+	l.handle(requestArrived{first.Request})
+	l.handle(requestArrived{again.Request})
+	l.handle(clientDisconnected{again.Request})
+	l.handle(deadlineExceeded{again.Request})
 	if a := testkit.Receive(t, "answer", again.reply); !a.Duplicate || len(again.reply) != 0 {
 		t.Errorf("%+v and %d more", a, len(again.reply))
 	}
@@ -79,16 +79,16 @@
 // The timer that finds a request overdue may overtake it on its way to the loop: one whose time is over as it is taken, as
 // late ones of a drain are. It has one answer, and another one of its id goes on.
 func TestOverdueMayOvertakeItsRequest(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, again := asked("1"), asked("1")
-	l.take(requestArrived{first.Request})
-	for _, r := range []asking{again, asked("2")} {
-		l.take(deadlineExceeded{r.Request})
-		l.take(requestArrived{r.Request})
-		l.take(clientDisconnected{r.Request})
+	first, again := newPendingRequest("1"), newPendingRequest("1")
+	l.handle(requestArrived{first.Request})
+	for _, r := range []pendingRequest{again, newPendingRequest("2")} {
+		l.handle(deadlineExceeded{r.Request})
+		l.handle(requestArrived{r.Request})
+		l.handle(clientDisconnected{r.Request})
 		if a := testkit.Receive(t, "answer", r.reply); !a.TimedOut || len(r.reply) != 0 {
 			t.Errorf("%+v and %d more", a, len(r.reply))
 		}
@@ -104,7 +104,7 @@
 // The same as it comes about: thousands whose time is over as they are taken, of which the timers of some overtake them. It
 // ended after 260 at the most.
 func TestRequestsOverdueAsTheyAreTakenAreAnswered(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,9 +115,9 @@
 		l.run(ctx)
 	}()
 	for n := range 3000 {
-		r := asked(fmt.Sprint(n))
+		r := newPendingRequest(fmt.Sprint(n))
 		r.Deadline = time.Now().Add(-time.Minute)
-		l.Take(r.Request)
+		l.Submit(r.Request)
 		select {
 		case <-r.reply:
 		case why := <-ended:
@@ -132,12 +132,12 @@
 
 // The ids that are remembered stay bounded, by time and by number.
 func TestRecentIDsAreBounded(t *testing.T) {
-	r := newRecent(time.Second)
-	const all = 5*recentMost + 10
+	r := newRecentIDs(time.Second)
+	const all = 5*maxRecentIDs + 10
 	for n := range all {
 		r.add(fmt.Sprint(n), 2*time.Second)
 	}
-	if n := len(r.now) + len(r.old); n > 2*recentMost {
+	if n := len(r.current) + len(r.previous); n > 2*maxRecentIDs {
 		t.Errorf("%d ids are kept", n)
 	}
 	if last := fmt.Sprint(all - 1); !r.has(last, 2*time.Second) || r.has(last, 3*time.Second) == r.has(last, 5*time.Second) {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -42,14 +42,14 @@
 	if p.local, err = net.ResolveUDPAddr("udp", cfg.PeerListen); err == nil {
 		p.conn, err = net.ListenUDP("udp", p.local)
 	}
-	if err != nil && !MayPass(err) {
+	if err != nil && !IsTransient(err) {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	return p, nil
 }
 
-// tell queues a message. Datagrams may be lost, so one that finds the queue full is.
-func (p *peers) tell(to int, data []byte) {
+// send queues a message. Datagrams may be lost, so one that finds the queue full is.
+func (p *peers) send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
 		return
@@ -64,7 +64,7 @@
 func (p *peers) run(ctx context.Context, post func(any)) {
 	for p.conn == nil { // clients don't wait for it
 		select {
-		case <-time.After(listenAgain):
+		case <-time.After(listenRetryInterval):
 			p.conn, _ = net.ListenUDP("udp", p.local)
 		case <-ctx.Done():
 			return
@@ -95,7 +95,7 @@
 			// processor is not spent on it.
 			select {
 			case <-ctx.Done():
-			case <-time.After(failedPause):
+			case <-time.After(failedAcceptDelay):
 			}
 			continue
 		}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -6,14 +6,14 @@
 	"vetchhaven/decide/quota"
 )
 
-// take books one event and keeps it for the next step. A served request is answered here: the
+// handle books one event and keeps it for the next step. A served request is answered here: the
 // client need not wait for the step.
-func (l *Loop) take(e any) {
+func (l *Loop) handle(e any) {
 	switch e := e.(type) {
 	case requestArrived:
 		l.admit(e.Request)
-	case answerBegan:
-		l.onAnswerBegan(e)
+	case responseStarted:
+		l.onResponseStarted(e)
 	case uploadCompleted:
 		l.onUploadCompleted(e)
 	case attemptEnded:
@@ -27,26 +27,26 @@
 	case decide.ProbeResult:
 		delete(l.probing, e.Backend)
 		l.pending = append(l.pending, e)
-	case judged:
-		l.judge(e)
-	case sightsDue:
-		l.sight()
+	case ejectionsUpdated:
+		l.onEjections(e)
+	case outcomesDue:
+		l.reportOutcomes()
 	case decide.FleetSize, decide.SharedLimits:
 		l.pending = append(l.pending, e.(decide.Event))
-	case lent:
-		l.onLent(e)
+	case leasesGranted:
+		l.onLeasesGranted(e)
 	case decide.PeerMessage:
 		l.pending = append(l.pending, e)
 	case stopping:
-		l.ending = true
+		l.stopRequested = true
 	case summaryDue:
-		l.summing = true
-	case learntQuery:
-		e.reply <- l.learnt()
-	case banned:
-		l.ban(e)
-	case standingQuery:
-		l.stand()
+		l.summaryRequested = true
+	case learnedQuery:
+		e.reply <- l.learned()
+	case disableServer:
+		l.onDisableServer(e)
+	case backendCountsQuery:
+		l.updateBackendCounts()
 		close(e.done)
 	}
 }
@@ -69,12 +69,12 @@
 	l.counts.requests++
 	l.totals.requests.Add(1)
 	l.requests[r.ID] = r
-	l.pending = append(l.pending, decide.Request{ID: r.ID, Class: r.Class, Work: r.Work, ClientRetry: r.Repeat, OnlyBackend: r.Only, Upload: r.Upload})
+	l.pending = append(l.pending, decide.Request{ID: r.ID, Class: r.Class, Work: r.Work, ClientRetry: r.ClientRetry, OnlyBackend: r.OnlyServer, Upload: r.Upload})
 }
 
-// onAnswerBegan ends the other attempts of a request: nothing can come of them any more.
-func (l *Loop) onAnswerBegan(e answerBegan) {
-	l.pending = append(l.pending, decide.ResponseStarted{Request: e.ID, Attempt: e.N, Completed: e.worked, Latency: e.latency})
+// onResponseStarted ends the other attempts of a request: nothing can come of them any more.
+func (l *Loop) onResponseStarted(e responseStarted) {
+	l.pending = append(l.pending, decide.ResponseStarted{Request: e.ID, Attempt: e.N, Completed: e.completed, Latency: e.latency})
 	for _, o := range e.attempts {
 		if o != e.Attempt {
 			o.cancel(ErrCancelled)
@@ -87,9 +87,9 @@
 	if e.done {
 		return
 	}
-	e.Deadline = l.before(e.at.Add(e.Left))
-	l.limit(e.Request)
-	l.pending = append(l.pending, decide.UploadCompleted{Request: e.ID, Attempt: e.N, Remaining: time.Until(e.Deadline) - l.margin})
+	e.Deadline = l.capDeadline(e.at.Add(e.Remaining))
+	l.startDeadlineTimer(e.Request)
+	l.pending = append(l.pending, decide.UploadCompleted{Request: e.ID, Attempt: e.N, Remaining: time.Until(e.Deadline) - l.answerMargin})
 }
 
 // onAttemptEnded books an attempt's outcome. A served request has its final answer by it, unless another attempt's answer is
@@ -101,7 +101,7 @@
 	l.noteResult(e.Attempt, e.outcome.Result)
 	e.timedOut = e.timedOut || e.outcome.Result == decide.TimedOut
 	if e.outcome.Result == decide.OK && !e.done {
-		if e.guard.streaming(e.N) {
+		if e.guard.otherResponds(e.N) {
 			e.outcome.Result = decide.Cancelled
 		} else {
 			l.finish(e.Request, Answer{Served: e.answer})
@@ -111,7 +111,7 @@
 	}
 	e.outcome.Answered = e.done
 	l.pending = append(l.pending, e.outcome)
-	l.saw(e.Attempt, e.outcome.Result)
+	l.recordOutcome(e.Attempt, e.outcome.Result)
 	l.forget(e.Request)
 }
 
@@ -120,10 +120,10 @@
 	if r.done {
 		return
 	}
-	l.counts.gone++
-	l.totals.gone.Add(1)
+	l.counts.clientDisconnects++
+	l.totals.clientDisconnects.Add(1)
 	// It may have ended its sending alone, and read on. What was never sent may be tried again.
-	l.finish(r, Answer{Gone: true, Refused: len(r.attempts) == 0})
+	l.finish(r, Answer{ClientDisconnected: true, Refused: len(r.attempts) == 0})
 	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
@@ -131,10 +131,10 @@
 // onDeadlineExceeded answers a request that has no answer in time. The module answers every request before its deadline: this
 // keeps the promise to the client where it does not, and says so.
 func (l *Loop) onDeadlineExceeded(r *Request) {
-	if r.done || r.unbound.Load() {
+	if r.done || r.deadlineLifted.Load() {
 		return
 	}
-	l.log.Error("no final answer by the deadline", "request", r.ID, "attempts", len(r.attempts), "open", r.open, "left_on_arrival", r.Left)
+	l.log.Error("no final answer by the deadline", "request", r.ID, "attempts", len(r.attempts), "open", r.open, "left_on_arrival", r.Remaining)
 	l.counts.late++
 	l.totals.late.Add(1)
 	a := Answer{TimedOut: true}
@@ -150,8 +150,8 @@
 // onList takes a list, or a change of it.
 func (l *Loop) onList(e List) {
 	l.starts.observe(&e, l.clock.now())
-	l.started(e)
-	l.tell(e)
+	l.noteStarts(e)
+	l.noteServerStates(e)
 	l.protocol.Update(e)
 	l.pending = append(l.pending, e.ListUpdate)
 	if len(e.Backends) > 0 && !l.ready.Swap(true) {
@@ -159,12 +159,12 @@
 	}
 }
 
-// onLent takes what the agent may use of the fleet's limits.
-func (l *Loop) onLent(e lent) {
-	all := make([]quota.Lease, len(e.all))
-	for i, r := range e.all {
+// onLeasesGranted takes what the agent may use of the fleet's limits.
+func (l *Loop) onLeasesGranted(e leasesGranted) {
+	all := make([]quota.Lease, len(e.leases))
+	for i, r := range e.leases {
 		all[i] = r.Lease
-		all[i].Expires = l.clock.at(r.Until)
+		all[i].Expires = l.clock.at(r.ExpiresAt)
 	}
 	l.pending = append(l.pending, decide.LeasesGranted{Leases: all})
 }
@@ -176,10 +176,10 @@
 		return
 	}
 	r.done = true
-	if r.late != nil {
-		r.late.Stop()
+	if r.deadlineTimer != nil {
+		r.deadlineTimer.Stop()
 	}
-	r.guard.finish(r.over, func() { r.reply(a) })
+	r.guard.finish(r.ended, func() { r.reply(a) })
 }
 
 // reject gives a request that never comes to the table its final answer. What its connection and its timer post of it later
@@ -187,7 +187,7 @@
 // be about to note it.
 func (l *Loop) reject(r *Request, a Answer) {
 	r.done = true
-	r.guard.finish(r.over, func() { r.reply(a) })
+	r.guard.finish(r.ended, func() { r.reply(a) })
 }
 
 // forget drops a request that is done with and has nothing out. Until then its id stays taken.
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -20,10 +20,10 @@
 	ServerWithdrawn                // an operator took the server out, or it drains or is gone by the list
 	WindowClosed                   // the deduplication window or the lease under which it may begin is over
 	ClientDisconnected             // nobody waits for the answer any more
-	sendRefusals
+	sendRefusalCount
 )
 
-var sendRefusalNames = [sendRefusals]string{"allowed", "request_answered", "attempt_ended", "server_withdrawn", "window_closed", "client_disconnected"}
+var sendRefusalNames = [sendRefusalCount]string{"allowed", "request_answered", "attempt_ended", "server_withdrawn", "window_closed", "client_disconnected"}
 
 // String is the name under which refusals of this kind are counted.
 func (s SendRefusal) String() string { return sendRefusalNames[s] }
@@ -46,25 +46,25 @@
 // An answer waits no longer than a write takes: small ones are taken by the system at once, and larger ones are
 // interrupted.
 type sendGuard struct {
-	mu       sync.Mutex
-	ended    sync.Cond // a write has; its Locker is mu
-	writes   []openWrite
-	answered bool
-	streamer int    // the attempt whose answer the client has a part of, counted from 1; 0: none
-	deferred func() // gives the answer once no write is open
+	mu                sync.Mutex
+	writeEnded        sync.Cond // a write has; its Locker is mu
+	writes            []openWrite
+	answered          bool
+	respondingAttempt int    // the attempt whose answer the client has a part of, counted from 1; 0: none
+	deferredAnswer    func() // gives the answer once no write is open
 }
 
 // openWrite is a write that may be under way.
 type openWrite struct {
-	attempt   int
-	interrupt func() // ends a write that waits for its server; must not wait
+	attempt        int
+	interruptWrite func() // ends a write that waits for its server; must not wait
 }
 
 // open admits a write, which ends with end.
 func (g *sendGuard) open(attempt int, interrupt func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.answered || g.streamer != 0 && g.streamer != attempt+1 {
+	if g.answered || g.respondingAttempt != 0 && g.respondingAttempt != attempt+1 {
 		return false
 	}
 	g.writes = append(g.writes, openWrite{attempt, interrupt})
@@ -81,10 +81,10 @@
 	}
 	var answer func()
 	if len(g.writes) == 0 {
-		answer, g.deferred = g.deferred, nil
+		answer, g.deferredAnswer = g.deferredAnswer, nil
 	}
-	if g.ended.L != nil {
-		g.ended.Broadcast()
+	if g.writeEnded.L != nil {
+		g.writeEnded.Broadcast()
 	}
 	g.mu.Unlock()
 	if answer != nil {
@@ -103,9 +103,9 @@
 	g.answered = true
 	close(over)
 	if len(g.writes) > 0 {
-		g.deferred = answer
+		g.deferredAnswer = answer
 		for _, w := range g.writes {
-			w.interrupt()
+			w.interruptWrite()
 		}
 		g.mu.Unlock()
 		return true
@@ -115,30 +115,30 @@
 	return true
 }
 
-// stream gives the client's connection to an attempt's answer, once no other attempt writes. It reports false where
+// startResponse gives the client's connection to an attempt's answer, once no other attempt writes. It reports false where
 // another one has it, or the final answer was given.
-func (g *sendGuard) stream(attempt int) bool {
+func (g *sendGuard) startResponse(attempt int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.answered || g.streamer != 0 {
-		return !g.answered && g.streamer == attempt+1
+	if g.answered || g.respondingAttempt != 0 {
+		return !g.answered && g.respondingAttempt == attempt+1
 	}
-	g.streamer = attempt + 1
-	g.ended.L = &g.mu
+	g.respondingAttempt = attempt + 1
+	g.writeEnded.L = &g.mu
 	for _, w := range g.writes {
-		w.interrupt()
+		w.interruptWrite()
 	}
 	for len(g.writes) > 0 {
-		g.ended.Wait()
+		g.writeEnded.Wait()
 	}
 	return true
 }
 
-// streaming reports whether another attempt's answer is on its way to the client.
-func (g *sendGuard) streaming(besides int) bool {
+// otherResponds reports whether another attempt's answer is on its way to the client.
+func (g *sendGuard) otherResponds(besides int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.streamer != 0 && g.streamer != besides+1
+	return g.respondingAttempt != 0 && g.respondingAttempt != besides+1
 }
 
 // BeginWrite admits the attempt's first byte, right before it is written: all that may have changed since the attempt was
@@ -152,9 +152,9 @@
 	switch {
 	case a.Context.Err() != nil:
 		refusal = AttemptEnded
-	case a.barred():
+	case a.serverWithdrawn():
 		refusal = ServerWithdrawn
-	case a.lapsed():
+	case a.startExpired():
 		refusal = WindowClosed
 	case a.Disconnected():
 		refusal = ClientDisconnected
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -20,14 +20,14 @@
 	owner map[string]string // the server by address
 }
 
-// Of is a server's address.
-func (a *Addresses) Of(id string) (addr string, known bool) {
+// Addr is a server's address.
+func (a *Addresses) Addr(id string) (addr string, known bool) {
 	addr, known = a.byID[id]
 	return addr, known
 }
 
-// At is the server whose address it is; empty: nobody's.
-func (a *Addresses) At(addr string) string { return a.owner[addr] }
+// Server is the server whose address it is; empty: nobody's.
+func (a *Addresses) Server(addr string) string { return a.owner[addr] }
 
 // Len is how many servers and how many addresses are known.
 func (a *Addresses) Len() (servers, addresses int) { return len(a.byID), len(a.owner) }
@@ -71,7 +71,7 @@
 // NotConnected is the result of an attempt for which there is no connection, by the error that says why.
 func NotConnected(ctx context.Context, err error) decide.Result {
 	switch {
-	case errors.Is(err, ErrNoSocket), noSocket(err), errors.Is(err, syscall.EADDRNOTAVAIL):
+	case errors.Is(err, ErrNoSocket), outOfDescriptors(err), errors.Is(err, syscall.EADDRNOTAVAIL):
 		return decide.NotSent // no fault of the server: this machine had no descriptor, memory or port for it
 	case errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
--- a/internal/core/sights.go
+++ b/internal/core/sights.go
@@ -9,54 +9,54 @@
 	"vetchhaven/decide"
 )
 
-// Sight is what became of an agent's attempts at one process of a server: evidence for others, counted as it came.
-type Sight struct {
-	Server  string
-	Started int64 // of the process, ms, Unix; 0: long ago
-	OK      int   // it answered
-	Bad     int   // it failed: an error, no connection, a broken one, or no answer in time
-	Said    int   // of these, those that it said itself: an answer amiss. The rest may be its link's fault
+// OutcomeSample is what became of an agent's attempts at one process of a server: evidence for others, counted as it came.
+type OutcomeSample struct {
+	Server         string
+	StartedMS      int64 // of the process, ms, Unix; 0: long ago
+	Succeeded      int   // it answered
+	Failed         int   // it failed: an error, no connection, a broken one, or no answer in time
+	ErrorResponses int   // of these, those that it said itself: an answer amiss. The rest may be its link's fault
 }
 
-// sights gathers them for a while.
-type sights struct {
-	tell   func([]Sight)    // nil: nobody wants them
-	starts map[string]int64 // by server, as the list has them
-	all    map[sightOf]*Sight
-	last   time.Time
-	due    bool
+// outcomeReport gathers them for a while.
+type outcomeReport struct {
+	report     func([]OutcomeSample) // nil: nobody wants them
+	starts     map[string]int64      // by server, as the list has them
+	samples    map[serverProcess]*OutcomeSample
+	reportedAt time.Time
+	scheduled  bool
 }
 
-type sightOf struct {
-	server  string
-	started int64
+type serverProcess struct {
+	server    string
+	startedMS int64
 }
 
-type sightsDue struct{}
+type outcomesDue struct{}
 
-// sightsEvery is how often they are told at the most.
-const sightsEvery = 50 * time.Millisecond
+// outcomeInterval is how often they are told at the most.
+const outcomeInterval = 50 * time.Millisecond
 
-// started notes when servers' processes started, by the list.
-func (l *Loop) started(e List) {
-	if l.sights.tell == nil {
+// noteStarts notes when servers' processes started, by the list.
+func (l *Loop) noteStarts(e List) {
+	if l.outcomes.report == nil {
 		return
 	}
-	if l.sights.starts == nil {
-		l.sights.starts, l.sights.all = map[string]int64{}, map[sightOf]*Sight{}
+	if l.outcomes.starts == nil {
+		l.outcomes.starts, l.outcomes.samples = map[string]int64{}, map[serverProcess]*OutcomeSample{}
 	}
 	if e.Kind == decide.ListFull {
-		clear(l.sights.starts)
+		clear(l.outcomes.starts)
 	}
 	for _, b := range e.Backends {
-		l.sights.starts[b.ID] = e.Starts[b.ID]
+		l.outcomes.starts[b.ID] = e.Starts[b.ID]
 	}
 }
 
-// saw counts the end of an attempt. One that says nothing of its server is left out.
-func (l *Loop) saw(a *Attempt, r decide.Result) {
-	s := &l.sights
-	if s.tell == nil || s.all == nil {
+// recordOutcome counts the end of an attempt. One that says nothing of its server is left out.
+func (l *Loop) recordOutcome(a *Attempt, r decide.Result) {
+	s := &l.outcomes
+	if s.report == nil || s.samples == nil {
 		return
 	}
 	ok, bad, said := 0, 0, 0
@@ -70,93 +70,93 @@
 	default:
 		return
 	}
-	k := sightOf{a.Server, a.process}
-	x := s.all[k]
+	k := serverProcess{a.Server, a.processStarted}
+	x := s.samples[k]
 	if x == nil {
-		x = &Sight{Server: a.Server, Started: a.process}
-		s.all[k] = x
+		x = &OutcomeSample{Server: a.Server, StartedMS: a.processStarted}
+		s.samples[k] = x
 	}
-	x.OK, x.Bad, x.Said = x.OK+ok, x.Bad+bad, x.Said+said
-	if wait := sightsEvery - time.Since(s.last); wait <= 0 {
-		l.sight()
-	} else if !s.due {
-		s.due = true
-		time.AfterFunc(wait, func() { l.post(sightsDue{}) })
+	x.Succeeded, x.Failed, x.ErrorResponses = x.Succeeded+ok, x.Failed+bad, x.ErrorResponses+said
+	if wait := outcomeInterval - time.Since(s.reportedAt); wait <= 0 {
+		l.reportOutcomes()
+	} else if !s.scheduled {
+		s.scheduled = true
+		time.AfterFunc(wait, func() { l.post(outcomesDue{}) })
 	}
 }
 
-// sight tells them.
-func (l *Loop) sight() {
-	s := &l.sights
-	s.due = false
-	if len(s.all) == 0 || s.tell == nil {
+// reportOutcomes tells them.
+func (l *Loop) reportOutcomes() {
+	s := &l.outcomes
+	s.scheduled = false
+	if len(s.samples) == 0 || s.report == nil {
 		return
 	}
-	s.last = time.Now()
-	var all []Sight
-	for _, x := range s.all {
+	s.reportedAt = time.Now()
+	var all []OutcomeSample
+	for _, x := range s.samples {
 		all = append(all, *x)
 	}
-	slices.SortFunc(all, func(a, b Sight) int { return strings.Compare(a.Server, b.Server) })
-	clear(s.all)
-	s.tell(all)
+	slices.SortFunc(all, func(a, b OutcomeSample) int { return strings.Compare(a.Server, b.Server) })
+	clear(s.samples)
+	s.report(all)
 }
 
-// Verdict is one of the fleet's about a process of a server.
-type Verdict struct {
-	Server  string
-	Started int64 // ms, Unix, as its list has it; 0: long ago
-	Drain   bool
-	Until   time.Time
+// Ejection is one of the fleet's about a process of a server.
+type Ejection struct {
+	Server    string
+	StartedMS int64 // ms, Unix, as its list has it; 0: long ago
+	Draining  bool
+	ExpiresAt time.Time
 }
 
-type judged struct{ all []Verdict }
+type ejectionsUpdated struct{ ejections []Ejection }
 
-// Judge tells the module the fleet's verdicts, in place of the last ones. It does not wait: false says that the agent
+// SetEjections tells the module the fleet's verdicts, in place of the last ones. It does not wait: false says that the agent
 // has too much to do to hear of it now.
-func (a *Agent) Judge(all []Verdict) bool { return a.tell(judged{all}) }
+func (a *Agent) SetEjections(all []Ejection) bool { return a.tryPost(ejectionsUpdated{all}) }
 
-// kept are the servers that verdicts keep from this agent's requests.
-type kept struct {
-	until   time.Duration // the last of them lapses then
-	names   string
-	refused int // requests for which there was no server meanwhile, since the last summary
+// ejectedServers are the servers that verdicts keep from this agent's requests.
+type ejectedServers struct {
+	lastExpiry time.Duration // the last of them lapses then
+	names      string
+	refusals   int // requests for which there was no server meanwhile, since the last summary
 }
 
-const namedMost = 5 // servers that a refusal names
+const maxNamedServers = 5 // servers that a refusal names
 
-// keptFrom names them where a request is refused for want of a server.
-func (l *Loop) keptFrom(why decide.Reason, now time.Duration) string {
-	if why != decide.NoBackend || now >= l.kept.until {
+// ejectedServers names them where a request is refused for want of a server.
+func (l *Loop) ejectedServers(why decide.Reason, now time.Duration) string {
+	if why != decide.NoBackend || now >= l.ejected.lastExpiry {
 		return ""
 	}
-	l.kept.refused++
-	return l.kept.names
+	l.ejected.refusals++
+	return l.ejected.names
 }
 
-func (l *Loop) judge(e judged) {
+func (l *Loop) onEjections(e ejectionsUpdated) {
 	var all []decide.Ejection
 	var names []string
-	l.kept.until, l.kept.names = 0, ""
-	for _, v := range e.all {
-		x := decide.Ejection{Backend: v.Server, Draining: v.Drain, Until: l.clock.at(v.Until)}
-		if v.Started > 0 {
+	l.ejected.lastExpiry, l.ejected.names = 0, ""
+	for _, v := range e.ejections {
+		x := decide.Ejection{Backend: v.Server, Draining: v.Draining, Until: l.clock.at(v.ExpiresAt)}
+		if v.StartedMS > 0 {
 			var known bool
-			if x.Started, known = l.starts.of(v.Server, v.Started); !known {
+			if x.Started, known = l.starts.startedAt(v.Server, v.StartedMS); !known {
 				continue // of a process that this agent has not heard of, or of an earlier one
 			}
 		}
 		all = append(all, x)
-		l.kept.until = max(l.kept.until, x.Until)
+		l.ejected.lastExpiry = max(l.ejected.lastExpiry, x.Until)
 		word := " (out)"
-		if v.Drain {
+		if v.Draining {
 			word = " (drains)"
 		}
 		names = append(names, v.Server+word)
 	}
-	if more := len(names) - namedMost; more > 0 {
-		names = append(names[:namedMost], fmt.Sprintf("%d more", more))
+	if more := len(names) - maxNamedServers; more > 0 {
+		names = append(names[:maxNamedServers], fmt.Sprintf("%d more", more))
 	}
-	l.kept.names = strings.Join(names, ", ")
+	l.ejected.names = strings.Join(names, ", ")
 	l.pending = append(l.pending, decide.Ejections{Ejections: all})
 }
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -18,23 +18,23 @@
 // warm-up before this agent counts as warmer by d then, at the worst as warm; with one that is behind, as colder for at
 // most one warm-up.
 type startTimes struct {
-	known  map[string]startTime
-	listed time.Duration // when the last list was read; 0: none was
-	pruned time.Duration // when what has been off the list for long was dropped
+	known    map[string]startTime
+	listedAt time.Duration // when the last list was read; 0: none was
+	prunedAt time.Duration // when what has been off the list for long was dropped
 }
 
 // startTime is one start.
 type startTime struct {
-	told int64         // ms, Unix, as the list has it
-	at   time.Duration // by the agent's clock
-	gone time.Duration // since when the list has lacked the server; 0: it has it
+	listedMS     int64         // ms, Unix, as the list has it
+	at           time.Duration // by the agent's clock
+	missingSince time.Duration // since when the list has lacked the server; 0: it has it
 }
 
 const (
-	// goneKept is how long the start of a server is kept that has left the list: one that comes back as the same process,
+	// missingRetention is how long the start of a server is kept that has left the list: one that comes back as the same process,
 	// after a flap of the list, has not started anew.
-	goneKept   = 10 * time.Minute
-	pruneEvery = time.Minute
+	missingRetention = 10 * time.Minute
+	pruneInterval    = time.Minute
 )
 
 // observe bounds the starts of a list that has come. The told time of a process that is known already stays where it was
@@ -49,82 +49,82 @@
 	for i := range l.Backends {
 		b := &l.Backends[i]
 		if b.State == decide.Removed {
-			s.leave(b.ID, now)
+			s.markMissing(b.ID, now)
 			continue
 		}
 		told := l.Starts[b.ID]
 		if told <= 0 {
 			continue
 		}
-		b.Started = s.place(b.ID, told, b.Started, now)
+		b.Started = s.resolve(b.ID, told, b.Started, now)
 	}
 	if l.Kind == decide.ListFull {
-		s.leaveUnlisted(l, now)
+		s.markUnlisted(l, now)
 	}
 	s.prune(now)
 	if !l.Saved && l.Kind != decide.ListCached {
-		s.listed = now
+		s.listedAt = now
 	}
 }
 
-// leaveUnlisted notes what a whole list does not name.
-func (s *startTimes) leaveUnlisted(l *List, now time.Duration) {
+// markUnlisted notes what a whole list does not name.
+func (s *startTimes) markUnlisted(l *List, now time.Duration) {
 	for id := range s.known {
 		if _, listed := l.Starts[id]; !listed {
-			s.leave(id, now)
+			s.markMissing(id, now)
 		}
 	}
 }
 
-// leave notes that the list lacks a server.
-func (s *startTimes) leave(id string, now time.Duration) {
-	if t, known := s.known[id]; known && t.gone == 0 {
-		t.gone = now
+// markMissing notes that the list lacks a server.
+func (s *startTimes) markMissing(id string, now time.Duration) {
+	if t, known := s.known[id]; known && t.missingSince == 0 {
+		t.missingSince = now
 		s.known[id] = t
 	}
 }
 
 // prune drops what has been off the list for long.
 func (s *startTimes) prune(now time.Duration) {
-	if now-s.pruned < pruneEvery {
+	if now-s.prunedAt < pruneInterval {
 		return
 	}
-	s.pruned = now
-	maps.DeleteFunc(s.known, func(_ string, t startTime) bool { return t.gone > 0 && now-t.gone > goneKept })
+	s.prunedAt = now
+	maps.DeleteFunc(s.known, func(_ string, t startTime) bool { return t.missingSince > 0 && now-t.missingSince > missingRetention })
 }
 
-// place is when a process started; hint is its told time by this process's own wall clock.
-func (s *startTimes) place(id string, told int64, hint, now time.Duration) time.Duration {
+// resolve is when a process started; hint is its told time by this process's own wall clock.
+func (s *startTimes) resolve(id string, told int64, hint, now time.Duration) time.Duration {
 	last, known := s.known[id]
-	if known && told <= last.told { // as it was, or an older list
-		last.gone = 0
+	if known && told <= last.listedMS { // as it was, or an older list
+		last.missingSince = 0
 		s.known[id] = last
 		return last.at
 	}
 	at := min(hint, now)
-	if at < s.listed { // the told time is proved wrong, or was told late: nothing says where in between it started
+	if at < s.listedAt { // the told time is proved wrong, or was told late: nothing says where in between it started
 		at = now
 	}
 	if known {
 		at = max(at, last.at+1) // another process: it counts as one, whatever the bounds leave
 	}
-	s.known[id] = startTime{told: told, at: at}
+	s.known[id] = startTime{listedMS: told, at: at}
 	return at
 }
 
-// of is when the process of a server started that the list tells so, or false where that is not known.
-func (s *startTimes) of(id string, told int64) (time.Duration, bool) {
+// startedAt is when the process of a server started that the list tells so, or false where that is not known.
+func (s *startTimes) startedAt(id string, told int64) (time.Duration, bool) {
 	t, ok := s.known[id]
-	return t.at, ok && t.told == told
+	return t.at, ok && t.listedMS == told
 }
 
-// told is a start as the list has it, ms, Unix; 0: it is not known.
-func (s *startTimes) told(id string) int64 { return s.known[id].told }
+// listedMS is a start as the list has it, ms, Unix; 0: it is not known.
+func (s *startTimes) listedMS(id string) int64 { return s.known[id].listedMS }
 
 // restore notes the start of a process that an earlier agent under this name knew.
 func (s *startTimes) restore(id string, told int64, hint, now time.Duration) time.Duration {
 	if s.known == nil {
 		s.known = map[string]startTime{}
 	}
-	return s.place(id, told, hint, now)
+	return s.resolve(id, told, hint, now)
 }
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -42,13 +42,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cfg := testConfig(t, testkit.Setup{})
-				l, err := newLoop(cfg, newClock(), none{}, testkit.Quiet)
+				l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 				if err != nil {
 					t.Fatal(err)
 				}
 				tell := func(kind decide.ListKind, saved bool, members ...discovery.Member) decide.Backend {
 					l.pending = nil
-					l.take(translate(cfg, l.clock, testkit.Quiet, &discovery.Members{Full: kind == decide.ListFull, Saved: saved, Servers: members}, kind))
+					l.handle(translate(cfg, l.clock, testkit.Quiet, &discovery.Members{Full: kind == decide.ListFull, Saved: saved, Servers: members}, kind))
 					list := l.pending[0].(decide.ListUpdate)
 					return list.Backends[len(list.Backends)-1]
 				}
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -4,26 +4,26 @@
 
 func (l *Loop) summarize() {
 	l.log.Info("summary", "requests", l.counts.requests, "served", l.counts.served, "refused", l.counts.refused,
-		"failed", l.counts.failed, "gone", l.counts.gone, "attempts", l.counts.attempts, "late", l.counts.late,
+		"failed", l.counts.failed, "gone", l.counts.clientDisconnects, "attempts", l.counts.attempts, "late", l.counts.late,
 		"open", len(l.requests))
 	l.counts = counts{}
-	for name, n := range l.shedBy {
+	for name, n := range l.shedCounts {
 		if why, policy := strings.CutPrefix(name, "policy: "); policy {
 			l.log.Warn("turned away for the policy", "why", why, "requests", n)
 			continue
 		}
 		l.log.Info("turned away by a limit of the fleet", "limit", name, "requests", n)
 	}
-	clear(l.shedBy)
-	if l.kept.refused > 0 {
-		l.log.Info("refused while verdicts of the fleet keep servers out", "servers", l.kept.names, "requests", l.kept.refused)
+	clear(l.shedCounts)
+	if l.ejected.refusals > 0 {
+		l.log.Info("refused while verdicts of the fleet keep servers out", "servers", l.ejected.names, "requests", l.ejected.refusals)
 	}
-	l.kept.refused = 0
+	l.ejected.refusals = 0
 }
 
-// limited counts what a limit of the fleet turned away.
-func (l *Loop) limited(name string) {
+// countSharedLimit counts what a limit of the fleet turned away.
+func (l *Loop) countSharedLimit(name string) {
 	if name != "" {
-		l.shedBy[name]++
+		l.shedCounts[name]++
 	}
 }
--- a/internal/core/told_test.go
+++ b/internal/core/told_test.go
@@ -173,12 +173,12 @@
 func (s *listService) told(t *testing.T, cfg *Config) (at time.Duration, calls int) {
 	t.Helper()
 	s.began = time.Now()
-	l, err := newLoop(cfg, newClock(), none{}, testkit.Quiet)
+	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	known := make(chan time.Duration, 1)
-	d := newDiscovery(cfg, l.clock, func(e any) {
+	d := newListWatcher(cfg, l.clock, func(e any) {
 		if e, ok := e.(List); ok && e.Addrs["two"] != "" {
 			select {
 			case known <- s.at():
@@ -188,14 +188,14 @@
 		l.post(e)
 	}, testkit.Quiet)
 	d.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: s.dial}}
-	l.watch = d.subscribe
+	l.requestWatch = d.subscribe
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
-	l.take(d.translate(cfg.Known, decide.ListCached))
+	l.handle(d.translate(cfg.Known, decide.ListCached))
 	running.Go(func() { l.run(ctx) })
 	running.Go(func() { d.run(ctx) })
 	if s.moves {
-		time.AfterFunc(s.has, func() { d.move("list:2") })
+		time.AfterFunc(s.has, func() { d.moveTo("list:2") })
 	}
 	select {
 	case at = <-known:
@@ -203,7 +203,7 @@
 		at = s.at()
 	}
 	synctest.Wait()
-	if up := *l.up.Load(); !up["two"] || up["one"] {
+	if up := *l.readyServers.Load(); !up["two"] || up["one"] {
 		t.Errorf("up are %v: what a whole list does not name is gone", up)
 	}
 	s.mu.Lock()
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -13,7 +13,7 @@
 
 // scripted is a protocol whose attempts do as they are told.
 type scripted struct {
-	none
+	idleProtocol
 	attempt func(a *Attempt) (decide.Result, any)
 }
 
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.take(translate(cfg, ck, testkit.Quiet, cfg.Known, decide.ListCached))
+		l.handle(translate(cfg, ck, testkit.Quiet, cfg.Known, decide.ListCached))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { l.run(ctx); close(done) }()
@@ -42,9 +42,9 @@
 	})
 }
 
-func uploadOf(left time.Duration) asking {
-	r := asked("1")
-	r.Upload, r.Left = true, left
+func uploadOf(left time.Duration) pendingRequest {
+	r := newPendingRequest("1")
+	r.Upload, r.Remaining = true, left
 	r.Deadline = time.Now().Add(left)
 	return r
 }
@@ -53,7 +53,7 @@
 func TestUploadsTimeBeginsAtItsEnd(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(5 * time.Minute) // the client is slow
-		a.Uploaded()
+		a.UploadCompleted()
 		time.Sleep(900 * time.Millisecond)
 		if a.Context.Err() != nil {
 			return decide.TimedOut, nil
@@ -62,7 +62,7 @@
 	}
 	inLoop(t, 1000, attempt, func(l *Loop) {
 		r := uploadOf(time.Second)
-		l.Take(r.Request)
+		l.Submit(r.Request)
 		if a := <-r.reply; a.Served != "answer" {
 			t.Errorf("%+v", a)
 		}
@@ -75,13 +75,13 @@
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(time.Minute)
 		end = time.Now().Add(time.Second)
-		a.Uploaded()
+		a.UploadCompleted()
 		<-a.Context.Done()
 		return decide.TimedOut, nil
 	}
 	inLoop(t, 1000, attempt, func(l *Loop) {
 		r := uploadOf(time.Second)
-		l.Take(r.Request)
+		l.Submit(r.Request)
 		if a := <-r.reply; !a.TimedOut || time.Now().After(end) || time.Until(end) > 100*time.Millisecond {
 			t.Errorf("%+v, %v before its time is up", a, time.Until(end))
 		}
@@ -94,13 +94,13 @@
 	n := 0
 	attempt := func(a *Attempt) (decide.Result, any) {
 		n++
-		a.Spent()
+		a.MarkNotReplayable()
 		return decide.Incomplete, nil
 	}
 	inLoop(t, 60000, attempt, func(l *Loop) {
 		r := uploadOf(time.Minute)
 		start := time.Now()
-		l.Take(r.Request)
+		l.Submit(r.Request)
 		if a := <-r.reply; !a.Refused || n != 1 || time.Since(start) > time.Second {
 			t.Errorf("%+v after %d attempts and %v", a, n, time.Since(start))
 		}
@@ -113,7 +113,7 @@
 	for _, worked := range []bool{true, false} {
 		attempt := func(a *Attempt) (decide.Result, any) {
 			time.Sleep(100 * time.Millisecond)
-			if first, second := a.Begin(worked), a.Begin(worked); !first || !second {
+			if first, second := a.StartResponse(worked), a.StartResponse(worked); !first || !second {
 				return decide.Cancelled, nil
 			}
 			select {
@@ -124,10 +124,10 @@
 			}
 		}
 		inLoop(t, 1000, attempt, func(l *Loop) {
-			r := asked("1")
-			r.Left = time.Second
-			r.Deadline = time.Now().Add(r.Left)
-			l.Take(r.Request)
+			r := newPendingRequest("1")
+			r.Remaining = time.Second
+			r.Deadline = time.Now().Add(r.Remaining)
+			l.Submit(r.Request)
 			if a := <-r.reply; (a.Served == "whole") != worked {
 				t.Errorf("worked %v: %+v", worked, a)
 			}
@@ -142,16 +142,16 @@
 func TestAnswerThatBeginsTooLate(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		<-a.Context.Done()
-		if a.Begin(true) {
+		if a.StartResponse(true) {
 			return decide.OK, "late"
 		}
 		return decide.TimedOut, nil
 	}
 	inLoop(t, 1000, attempt, func(l *Loop) {
-		r := asked("1")
-		r.Left = time.Second
-		r.Deadline = time.Now().Add(r.Left)
-		l.Take(r.Request)
+		r := newPendingRequest("1")
+		r.Remaining = time.Second
+		r.Deadline = time.Now().Add(r.Remaining)
+		l.Submit(r.Request)
 		if a := <-r.reply; a.Served != nil || !a.TimedOut {
 			t.Errorf("%+v", a)
 		}
--- a/internal/host/admin/figures.go
+++ b/internal/host/admin/figures.go
@@ -24,7 +24,7 @@
 }
 
 // EncodeFigures is the body of GET /metrics: JSON and a line feed.
-func EncodeFigures(f core.Figures) []byte {
+func EncodeFigures(f core.Status) []byte {
 	out := figures{
 		Transactions: map[string]classFigures{},
 		Current:      f.Open,
--- a/internal/host/admin/golden_test.go
+++ b/internal/host/admin/golden_test.go
@@ -9,7 +9,7 @@
 
 // The body of GET /metrics, which the platform reads.
 func TestFiguresStayAsThePlatformReadsThem(t *testing.T) {
-	var f core.Figures
+	var f core.Status
 	golden.Fill(&f)
 	golden.Check(t, "figures.json", EncodeFigures(f))
 }
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -26,7 +26,7 @@
 	// Accepting reports whether the agent takes clients.
 	Accepting() bool
 	// Figures returns what the agent counts, after at most wait.
-	Figures(wait time.Duration) core.Figures
+	Status(wait time.Duration) core.Status
 	// Ban disables an endpoint (out) or enables it. known is false where no list names it, unless force is set.
 	Ban(ctx context.Context, server string, out, force bool) (known bool, err error)
 	// Drain has clients sent to other agents, or taken again.
@@ -194,7 +194,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(EncodeFigures(s.agent.Figures(figuresTimeout)))
+		_, _ = w.Write(EncodeFigures(s.agent.Status(figuresTimeout)))
 	}
 }
 
--- a/internal/host/admin/server_test.go
+++ b/internal/host/admin/server_test.go
@@ -34,8 +34,8 @@
 	return a.accepting
 }
 
-func (a *fakeAgent) Figures(time.Duration) core.Figures {
-	return core.Figures{Classes: []core.ClassFigures{{Name: "get", Answered: 5, Deferred: 4, Errored: 3, Sends: 6},
+func (a *fakeAgent) Status(time.Duration) core.Status {
+	return core.Status{Classes: []core.ClassStatus{{Name: "get", Answered: 5, Deferred: 4, Errored: 3, Sends: 6},
 		{Name: "put", Sends: 1}}, Open: 2, Listed: 9, Avoided: 1}
 }
 
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -66,14 +66,14 @@
 		}
 	}
 	source := p.spec.Source
-	seen := func(all []core.Sight) {
+	seen := func(all []core.OutcomeSample) {
 		if p := d.sharing.Load(); p != nil && p.spec.Verdicts != nil {
 			p.carrier.OutcomesObserved(sightsOf(source, all))
 		}
 	}
-	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyWait, Held: held}
+	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyWait, ReportUsage: held}
 	if d.cfg.Peers != nil {
-		parts.Seen = seen
+		parts.ReportOutcomes = seen
 	}
 	var a *core.Agent
 	if p.spec.LDAP != nil {
@@ -87,11 +87,11 @@
 	}
 	if d.o.Fault != nil {
 		if f := d.o.Fault(p.spec.Name); f != nil {
-			a.Inject(f)
+			a.SetStepHook(f)
 		}
 	}
 	if count != nil && d.cfg.Peers != nil {
-		a.Share(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
+		a.SetFleetSize(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
 	}
 	ctx, end := context.WithCancel(context.Background())
 	p.agent, p.end = a, end
@@ -99,7 +99,7 @@
 	h := hosted{a, source, d.policy.serves}
 	d.agents.Store(number, h)
 	if v := d.verdicts.Load(); v != nil {
-		a.Judge(v.of(source))
+		a.SetEjections(v.of(source))
 	}
 	p.banned = nil
 	if !d.ban(p) { // its loop takes this first
@@ -166,7 +166,7 @@
 	a.Served += b.Served
 	a.Refused += b.Refused
 	a.Failed += b.Failed
-	a.Gone += b.Gone
+	a.ClientDisconnects += b.ClientDisconnects
 	a.Attempts += b.Attempts
 	a.Late += b.Late
 	return a
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -130,7 +130,7 @@
 		all = d.cfg.Limits.of(&p.spec)
 	}
 	if !slices.Equal(all, p.told) {
-		if !p.agent.Limit(all) {
+		if !p.agent.SetSharedLimits(all) {
 			return false
 		}
 		p.told, p.floors = all, 0
@@ -143,7 +143,7 @@
 		agents = c.MaxBalancers
 	}
 	if agents != p.floors {
-		if !p.agent.Lend(lendable(d.cfg.Limits.Floors(agents), time.Now())) {
+		if !p.agent.GrantLeases(lendable(d.cfg.Limits.Floors(agents), time.Now())) {
 			return false
 		}
 		p.floors = agents
@@ -155,14 +155,14 @@
 // by what it had, which ends by itself.
 func (d *Daemon) lend(agent uint32, all []quota.Lease, base time.Time) {
 	if a, ok := d.agents.Load(agent); ok {
-		a.(hosted).agent.Lend(lendable(all, base))
+		a.(hosted).agent.GrantLeases(lendable(all, base))
 	}
 }
 
-func lendable(all []quota.Lease, base time.Time) []core.Right {
-	out := make([]core.Right, len(all))
+func lendable(all []quota.Lease, base time.Time) []core.Lease {
+	out := make([]core.Lease, len(all))
 	for i, r := range all {
-		out[i] = core.Right{Lease: r, Until: base.Add(r.Expires)}
+		out[i] = core.Lease{Lease: r, ExpiresAt: base.Add(r.Expires)}
 	}
 	return out
 }
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -68,7 +68,7 @@
 		})
 	}
 	listedNow := func() (n int) {
-		r.agents.Range(func(_, a any) bool { n = a.(hosted).agent.Figures(patience).Listed; return true })
+		r.agents.Range(func(_, a any) bool { n = a.(hosted).agent.Status(patience).Listed; return true })
 		return n
 	}
 	served("all three to be served by", "both", "listed", "recorded")
--- a/internal/host/daemon/peers.go
+++ b/internal/host/daemon/peers.go
@@ -263,7 +263,7 @@
 		if c == nil || d.cfg.Peers == nil {
 			continue
 		}
-		if p.agent != nil && !p.agent.Share(c.MaxBalancers, min(c.MinBalancers, c.MaxBalancers)) {
+		if p.agent != nil && !p.agent.SetFleetSize(c.MaxBalancers, min(c.MinBalancers, c.MaxBalancers)) {
 			again = true
 		}
 		again = !d.limit(p) || again
@@ -313,7 +313,7 @@
 		d.count.Store(nil)
 		for _, p := range d.parts {
 			if p.agent != nil {
-				p.agent.Share(d.cfg.Balancers, d.cfg.Balancers)
+				p.agent.SetFleetSize(d.cfg.Balancers, d.cfg.Balancers)
 			}
 		}
 	}
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -358,7 +358,7 @@
 		a.ShortenAdmission(until, switched)
 		i := slices.IndexFunc(cfg.Instances, func(n Instance) bool { return n.Name == spec.Name })
 		if i >= 0 {
-			a.Narrow(windows(&spec.Agent, &cfg.Instances[i].Agent))
+			a.NarrowDedupWindows(windows(&spec.Agent, &cfg.Instances[i].Agent))
 		}
 	}
 	return nil
--- a/internal/host/daemon/verdicts.go
+++ b/internal/host/daemon/verdicts.go
@@ -58,10 +58,10 @@
 	return all
 }
 
-func sightsOf(source string, all []core.Sight) []ejection.OutcomeSample {
+func sightsOf(source string, all []core.OutcomeSample) []ejection.OutcomeSample {
 	out := make([]ejection.OutcomeSample, 0, len(all))
 	for _, s := range all {
-		out = append(out, ejection.OutcomeSample{Server: fleetID(source, s.Server), StartedMS: s.Started, Succeeded: s.OK, Failed: s.Bad, ErrorResponses: s.Said})
+		out = append(out, ejection.OutcomeSample{Server: fleetID(source, s.Server), StartedMS: s.StartedMS, Succeeded: s.Succeeded, Failed: s.Failed, ErrorResponses: s.ErrorResponses})
 	}
 	return out
 }
@@ -73,11 +73,11 @@
 }
 
 // of are those about the servers of a source.
-func (h *held) of(source string) []core.Verdict {
-	var all []core.Verdict
+func (h *held) of(source string) []core.Ejection {
+	var all []core.Ejection
 	for _, v := range h.all {
 		if id, ok := strings.CutPrefix(v.Server, source+"/"); ok {
-			all = append(all, core.Verdict{Server: id, Started: v.StartedMS, Drain: v.Draining, Until: h.base.Add(v.Until)})
+			all = append(all, core.Ejection{Server: id, StartedMS: v.StartedMS, Draining: v.Draining, ExpiresAt: h.base.Add(v.Until)})
 		}
 	}
 	return all
@@ -94,7 +94,7 @@
 func (d *Daemon) judge(h *held) {
 	again := false
 	d.agents.Range(func(_, a any) bool {
-		if one := a.(hosted); !one.agent.Judge(h.of(one.source)) {
+		if one := a.(hosted); !one.agent.SetEjections(h.of(one.source)) {
 			again = true
 		}
 		return true
--- a/internal/host/metrics/metrics.go
+++ b/internal/host/metrics/metrics.go
@@ -59,7 +59,7 @@
 		put(answers, t.Served, "served")
 		put(answers, t.Refused, "refused")
 		put(answers, t.Failed, "failed")
-		put(answers, t.Gone, "client_disconnected")
+		put(answers, t.ClientDisconnects, "client_disconnected")
 		put(late, t.Late)
 		put(attempts, t.Attempts)
 		put(retries, a.Counters.Retries)
--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -13,7 +13,7 @@
 // wallClockUses are the files that may read or make a wall-clock time, by which function, and why no span is taken from it.
 var wallClockUses = map[string]string{
 	"internal/core/clock.go UnixMilli":                  "the hint that starttimes.go bounds",
-	"internal/core/gate.go Unix":                        "LongAgo, a deadline that has passed",
+	"internal/core/connlimiter.go Unix":                 "LongAgo, a deadline that has passed",
 	"internal/protocol/http1/front.go Unix":             "the Date field",
 	"internal/host/snapshot/snapshot.go UnixMilli":      "the age of a snapshot of another boot, a hint with a bound",
 	"internal/host/daemon/store.go UnixMilli":           "the moment at which a snapshot is saved",
--- a/internal/protocol/http1/answer.go
+++ b/internal/protocol/http1/answer.go
@@ -76,7 +76,7 @@
 // readAnswer reads one answer whole, or up to where it has to stream: a served one that is long, or for which
 // there is no room. The framing is read here, and more strictly than http.ReadResponse does it: an answer that
 // tells its end twice, or not at all, can't be told from a part of one.
-func readAnswer(in *bufio.Reader, src *source, room *core.Budget) (*answer, error) {
+func readAnswer(in *bufio.Reader, src *source, room *core.ByteBudget) (*answer, error) {
 	src.left = maxAnswerHead
 	a := &answer{}
 	var h answerHead
@@ -126,7 +126,7 @@
 }
 
 // readBody reads a body to its end, as long as it is short and there is room for it.
-func (a *answer) readBody(body io.Reader, room *core.Budget) error {
+func (a *answer) readBody(body io.Reader, room *core.ByteBudget) error {
 	size, booked := 4<<10, 0 // to begin with
 	if a.length >= 0 {
 		size = int(min(a.length, 4<<10))
@@ -134,10 +134,10 @@
 			size = int(a.length)
 		}
 	}
-	if room.Take(size) {
+	if room.Acquire(size) {
 		booked = size
 	}
-	defer func() { room.Put(booked) }()
+	defer func() { room.Release(booked) }()
 	a.body = make([]byte, 0, size)
 	var began time.Time
 	for {
@@ -151,7 +151,7 @@
 			return nil
 		}
 		if len(a.body) == cap(a.body) {
-			if more := max(cap(a.body), 1); cap(a.body)+more <= maxWholeAnswer && room.Take(more) {
+			if more := max(cap(a.body), 1); cap(a.body)+more <= maxWholeAnswer && room.Acquire(more) {
 				booked += more
 				a.body = append(make([]byte, 0, cap(a.body)+more), a.body...)
 			} else if a.status != http.StatusOK {
--- a/internal/protocol/http1/attempt.go
+++ b/internal/protocol/http1/attempt.go
@@ -22,14 +22,14 @@
 	BeginWrite(interrupt func()) core.SendRefusal    // admits the first byte
 	ContinueWrite(interrupt func()) core.SendRefusal // admits what comes behind it
 	EndWrite()                                       // what was admitted is written
-	Over() <-chan struct{}                           // closed when the request has ended: nothing more is sent for it
+	Ended() <-chan struct{}                          // closed when the request has ended: nothing more is sent for it
 	Disconnected() bool                              // its client has left, seen or unseen by who reads it
 	MayDial() bool                                   // it may open a connection
-	Dialed()                                         // it opens one
+	MarkDialed()                                     // it opens one
 	Sent()                                           // its last byte is written
-	Uploaded()                                       // that was the last byte of an upload
-	Spent()                                          // what was sent can't be sent again
-	Begin(worked bool) bool                          // whether its answer may begin to reach the client
+	UploadCompleted()                                // that was the last byte of an upload
+	MarkNotReplayable()                              // what was sent can't be sent again
+	StartResponse(worked bool) bool                  // whether its answer may begin to reach the client
 }
 
 // probing is the purpose of a probe, which ends by its context alone.
@@ -41,21 +41,21 @@
 
 func (probing) EndWrite() {}
 
-func (probing) Over() <-chan struct{} { return nil }
+func (probing) Ended() <-chan struct{} { return nil }
 
 func (probing) Disconnected() bool { return false }
 
 func (probing) MayDial() bool { return true }
 
-func (probing) Dialed() {}
+func (probing) MarkDialed() {}
 
 func (probing) Sent() {}
 
-func (probing) Uploaded() {}
+func (probing) UploadCompleted() {}
 
-func (probing) Spent() {}
+func (probing) MarkNotReplayable() {}
 
-func (probing) Begin(bool) bool { return false }
+func (probing) StartResponse(bool) bool { return false }
 
 // attempt sends m to a backend once and waits until ctx ends at the latest. The result follows
 // the protocol's table of outcomes; where it is not certain that nothing ran, it says so.
@@ -69,7 +69,7 @@
 		return decide.NotSent, nil, none
 	}
 	if err == nil && c == nil {
-		by.Dialed()
+		by.MarkDialed()
 		c, err = b.dial(ctx, id, addr)
 	}
 	if err != nil {
@@ -164,11 +164,11 @@
 	src := &source{ctx: ctx, conn: c.Conn, stall: b.cfg.Settings.ConnectTimeout}
 	in.Reset(src)
 	if m.up != nil {
-		by.Spent()
+		by.MarkNotReplayable()
 		if early, err := b.upload(ctx, by, c, m, in, src); early != nil || err != nil {
 			return early, false, err
 		}
-		by.Uploaded()
+		by.UploadCompleted()
 	}
 	by.Sent()
 	if a, err = readAnswer(in, src, b.answers); err == nil && a.rest != nil {
@@ -190,7 +190,7 @@
 // over reports whether a request has ended.
 func over(by purpose) bool {
 	select {
-	case <-by.Over():
+	case <-by.Ended():
 		return true
 	default:
 		return false
@@ -263,7 +263,7 @@
 	if m.to == nil {
 		return errTooLong
 	}
-	if !by.Begin(true) {
+	if !by.StartResponse(true) {
 		return errOver
 	}
 	// The client's time no longer ends it; that nothing comes does, or too little: of all the time that the server is
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -99,7 +99,7 @@
 	}
 	// A gap in what comes is bounded, and all of them together: one that stops coming must not hold its
 	// connection for ever, nor one that drips.
-	limit := min(core.HeadTime, core.HeadTime+time.Duration(b.got)*time.Second/slowest-b.waited)
+	limit := min(core.HeadTimeout, core.HeadTimeout+time.Duration(b.got)*time.Second/slowest-b.waited)
 	if limit <= 0 {
 		return 0, errSlow
 	}
@@ -122,21 +122,21 @@
 
 // whole reads a body to its end, as long as it is small and there is room for it. all is false where it is
 // an upload, of which text is the beginning. What is read is booked.
-func (b *body) whole(room *core.Budget) (text []byte, booked int, all bool, err error) {
+func (b *body) whole(room *core.ByteBudget) (text []byte, booked int, all bool, err error) {
 	size := 4 << 10 // to begin with
 	if b.length >= 0 {
 		if size = int(b.length); b.length > maxWhole {
 			return nil, 0, false, nil
 		}
 	}
-	if !room.Take(size) {
+	if !room.Acquire(size) {
 		return nil, 0, false, nil
 	}
 	text, booked = make([]byte, 0, size), size
 	for {
 		if len(text) == cap(text) && b.length < 0 {
 			more := cap(text)
-			if booked+more > maxWhole || !room.Take(more) {
+			if booked+more > maxWhole || !room.Acquire(more) {
 				return text, booked, false, nil
 			}
 			booked += more
@@ -203,7 +203,7 @@
 				l.ClientDisconnected(r)
 			}
 			continue
-		case <-r.Over():
+		case <-r.Ended():
 		case <-l.Stopped():
 		}
 		waiting = false
@@ -233,7 +233,7 @@
 			return true, err
 		}
 		select {
-		case <-by.Over(): // nothing is sent any more for a request that has its answer
+		case <-by.Ended(): // nothing is sent any more for a request that has its answer
 			return false, errOver
 		case <-ctx.Done():
 			return false, context.Cause(ctx)
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -98,7 +98,7 @@
 			return
 		}
 		if first {
-			go c.f.loop.Guard(c.write)
+			go c.f.loop.ContainPanic(c.write)
 		}
 		switch fail := c.take(c.buf[c.start : c.start+end]); fail {
 		case nil:
@@ -215,7 +215,7 @@
 	}
 	began := false
 	if first {
-		c.f.gate.Until(c.nc, time.Now().Add(core.HeadTime)) // from connecting on, whatever comes of it
+		c.f.gate.SetReadDeadline(c.nc, time.Now().Add(core.HeadTimeout)) // from connecting on, whatever comes of it
 		began = true
 	}
 	for {
@@ -263,10 +263,10 @@
 	if c.isEnding() {
 		return errEnded
 	}
-	if !c.f.gate.Busy(c.nc) {
+	if !c.f.gate.MarkBusy(c.nc) {
 		return net.ErrClosed
 	}
-	return c.nc.SetReadDeadline(time.Now().Add(core.HeadTime))
+	return c.nc.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 }
 
 // waits reports whether an answer is awaited.
@@ -279,7 +279,7 @@
 // take reads the rest of a request and gives it to the loop. An error is the client's last answer.
 func (c *clientConn) take(text []byte) *inputError {
 	f := c.f
-	if !f.gate.Busy(c.nc) {
+	if !f.gate.MarkBusy(c.nc) {
 		return &inputError{} // closed meanwhile: nobody reads an answer
 	}
 	h, err := parseHead(text, c.fields)
@@ -320,7 +320,7 @@
 	if h.length > 0 || h.coded {
 		in, all := newBody(c, &h), false
 		if body, booked, all, err = in.whole(f.bodies); err != nil {
-			f.bodies.Put(booked)
+			f.bodies.Release(booked)
 			return faultOf(err)
 		}
 		if !all {
@@ -330,19 +330,19 @@
 	}
 	// A client's time runs from when its request was sent, which ends with the last byte. That of one behind another was
 	// read no later than the last bytes that came meanwhile.
-	r.Deadline = c.came.Add(r.Left)
+	r.Deadline = c.came.Add(r.Remaining)
 	if up != nil {
-		r.Deadline = time.Now().Add(r.Left) // of no matter until its own last byte
+		r.Deadline = time.Now().Add(r.Remaining) // of no matter until its own last byte
 	}
-	r.Message = h.message(target, host, body, up).from(c, h.old, r.Left)
+	r.Message = h.message(target, host, body, up).from(c, h.old, r.Remaining)
 	if up == nil && !time.Now().Before(r.Deadline) { // its time has run out behind another one
-		f.bodies.Put(booked)
+		f.bodies.Release(booked)
 		return c.refuse(r)
 	}
 	// Past what the limits let an agent hold, a request is turned away before anything has run.
 	if f.open.Add(1) > f.most.Load() {
 		f.open.Add(-1)
-		f.bodies.Put(booked)
+		f.bodies.Release(booked)
 		c.mu.Lock()
 		c.ending = true // as where the gate is crowded
 		c.mu.Unlock()
@@ -351,7 +351,7 @@
 	// While its answer is awaited a client may be silent. Before that is: from then on next sets what bounds the reader.
 	if err := c.nc.SetReadDeadline(time.Time{}); err != nil {
 		f.open.Add(-1)
-		f.bodies.Put(booked)
+		f.bodies.Release(booked)
 		return &inputError{} // it is closed, and nothing has been asked of anybody
 	}
 	c.mu.Lock()
@@ -360,7 +360,7 @@
 	if up != nil {
 		f.uploads.Add(1)
 	}
-	f.loop.Take(r)
+	f.loop.Submit(r)
 	if f.ended.Load() { // meanwhile, or before: it may have gone unseen
 		c.failOpen()
 	}
@@ -382,7 +382,7 @@
 // refuse answers a request of which nobody else has heard.
 func (c *clientConn) refuse(r *core.Request) *inputError {
 	a := core.Answer{Refused: true}
-	c.f.loop.Counts(r.Class).Told(a)
+	c.f.loop.ClassCounts(r.Class).CountAnswer(a)
 	c.out = c.f.appendRefusal(c.out[:0], a, c.ends())
 	return c.done(c.out)
 }
@@ -395,7 +395,7 @@
 }
 
 func (c *clientConn) endsLocked() bool {
-	c.ending = c.ending || c.f.draining.Load() || c.f.gate.Crowded()
+	c.ending = c.ending || c.f.draining.Load() || c.f.gate.NearCapacity()
 	return c.ending
 }
 
@@ -410,10 +410,10 @@
 	case c.watching: // it goes on with the request that it has
 		_ = c.nc.SetReadDeadline(core.LongAgo)
 	case c.behind:
-		_ = c.nc.SetReadDeadline(time.Now().Add(core.HeadTime))
+		_ = c.nc.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 	default:
-		c.f.gate.Until(c.nc, time.Now().Add(idleTimeout)) // a dead connection shows by its read
-		c.f.gate.Idle(c.nc)
+		c.f.gate.SetReadDeadline(c.nc, time.Now().Add(idleTimeout)) // a dead connection shows by its read
+		c.f.gate.MarkIdle(c.nc)
 	}
 	c.mu.Unlock()
 	c.turn <- struct{}{}
@@ -443,7 +443,7 @@
 // linger reads what a client still sends, so that the close is no reset, until it closes too.
 func (c *clientConn) linger() {
 	buf := make([]byte, 1024)
-	c.f.gate.Until(c.nc, time.Now().Add(lingerTime))
+	c.f.gate.SetReadDeadline(c.nc, time.Now().Add(lingerTime))
 	for {
 		if _, err := c.nc.Read(buf); err != nil {
 			return
@@ -549,11 +549,11 @@
 		fail = c.up.fault.Load()
 	}
 	if fail == nil {
-		c.f.loop.Counts(c.open.Class).Told(a)
+		c.f.loop.ClassCounts(c.open.Class).CountAnswer(a)
 	}
 	begun := c.begun
 	c.open, c.up, c.begun = nil, nil, false
-	c.f.bodies.Put(c.booked)
+	c.f.bodies.Release(c.booked)
 	c.booked = 0
 	c.f.open.Add(-1)
 	switch {
@@ -613,7 +613,7 @@
 		wait = min(wait, time.Duration(min(s, wait.Seconds())*float64(time.Second)))
 	}
 	r = core.NewRequest(string(h.id), class, func(a core.Answer) { c.say(reply{Answer: a}) })
-	r.Left, r.Repeat, r.Client = wait, h.second, c.nc
+	r.Remaining, r.ClientRetry, r.Client = wait, h.second, c.nc
 	if len(h.hint) > 0 {
 		us, err := parseDecimal(string(h.hint))
 		if err != nil || !(us >= 0) || us > math.MaxInt32 {
--- a/internal/protocol/http1/crossings_test.go
+++ b/internal/protocol/http1/crossings_test.go
@@ -33,7 +33,7 @@
 
 func holdable(a *core.Agent) *loopHold {
 	h := &loopHold{held: make(chan struct{}), free: make(chan struct{})}
-	a.Inject(func(sum core.Totals) {
+	a.SetStepHook(func(sum core.Totals) {
 		if n := h.from.Load(); n > 0 && sum.Requests >= n {
 			h.from.Store(0)
 			h.held <- struct{}{}
@@ -99,7 +99,7 @@
 	before := a.readers()
 	again := a.connect(t)
 	again.write(headOf("get", "same"))
-	testkit.WaitFor(t, "the second request", func() bool { return a.Open() == 3 })
+	testkit.WaitFor(t, "the second request", func() bool { return a.OpenRequests() == 3 })
 	reset(again.c)
 	testkit.WaitFor(t, "the end of its reader", func() bool { return a.readers() == before })
 	close(loop.free)
@@ -130,7 +130,7 @@
 				before := a.readers()
 				c := a.connect(t)
 				c.write(headOf("get", "waits"))
-				testkit.WaitFor(t, "the request", func() bool { return a.Open() == 2 })
+				testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 2 })
 				c.write(more)
 				leave(c.c)
 				testkit.WaitFor(t, "the end of its reader", func() bool { return a.readers() == before })
@@ -139,7 +139,7 @@
 				if id := testkit.Receive(t, "request at the server", s.seen); id == "waits" || len(s.seen) != 0 {
 					t.Errorf("%q and %d more reached the server", id, len(s.seen))
 				}
-				if got := a.Totals(); got.Gone != 1 || got.Requests != 2 {
+				if got := a.Totals(); got.ClientDisconnects != 1 || got.Requests != 2 {
 					t.Errorf("%+v", got)
 				}
 			})
@@ -179,7 +179,7 @@
 				maxWhole+1, strings.Repeat("x", 10<<10)))
 			testkit.WaitFor(t, "the upload", func() bool { return a.front.uploads.Load() == 1 })
 			leave(c.c)
-			testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().Gone == 1 })
+			testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
 			close(release)
 			for range 6 {
 				if x := testkit.Receive(t, "answer", answers); x.status != 200 {
@@ -200,10 +200,10 @@
 	_, pauses := ahead(a)
 	c := a.connect(t)
 	c.write(headOf("get", "left"))
-	testkit.WaitFor(t, "the request", func() bool { return a.Open() == 7 })
+	testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 7 })
 	c.write(strings.Repeat("x", 10<<20)) // to be read and to be written, as Linux has it
 	c.c.Close()
-	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().Gone == 1 })
+	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
 	close(release)
 	for range 6 {
 		testkit.Receive(t, "answer", answers)
@@ -231,7 +231,7 @@
 			end, _ := ahead(a)
 			c := a.connect(t)
 			c.write(headOf("get", "first"))
-			testkit.WaitFor(t, "the request", func() bool { return a.Open() == 7 })
+			testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 7 })
 			c.write(more.text)
 			if len(more.status) == 1 {
 				testkit.Receive(t, "a reader at the end of what is kept", end)
@@ -396,7 +396,7 @@
 	c.write(headOf("get", "late"))
 	testkit.Receive(t, "dial", dialled)
 	reset(c.c)
-	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().Gone == 1 })
+	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
 	close(release)
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "next"); x.status != 200 {
 		t.Errorf("%+v", x)
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -104,7 +104,7 @@
 	}
 	now := make(chan time.Time)
 	close(now)
-	l.running = startParts(t, cfg, core.Parts{Listener: l.lates, AcceptAfterStop: now}, nil)
+	l.running = startParts(t, cfg, core.Parts{Listener: l.lates, StopAccepting: now}, nil)
 	t.Cleanup(sync.OnceFunc(func() { close(l.lates.release) }))
 	return l
 }
@@ -126,7 +126,7 @@
 // notServed fails the test if a request of a client that has left reaches the server, once it is known to have left.
 func (l *leaving) notServed(t *testing.T) {
 	t.Helper()
-	testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return l.Totals().Gone >= 1 || len(l.server.seen) > 0 })
+	testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return l.Totals().ClientDisconnects >= 1 || len(l.server.seen) > 0 })
 	if n := len(l.server.seen); n > 0 {
 		t.Fatalf("%d reached the server whose client had left (%+v)", n, l.Totals())
 	}
@@ -141,7 +141,7 @@
 			// known returns once the end is with the agent, at the reader or at the socket.
 			known := func(t *testing.T, l *leaving) {
 				if !late {
-					testkit.WaitFor(t, "its leaving", func() bool { return l.Totals().Gone == 1 })
+					testkit.WaitFor(t, "its leaving", func() bool { return l.Totals().ClientDisconnects == 1 })
 				}
 			}
 			t.Run(name("queued in the module"), func(t *testing.T) {
@@ -194,7 +194,7 @@
 				known(t, l)
 				l.answer <- ok200
 				testkit.WaitFor(t, "the second one's end, or that of its reader, or an attempt", func() bool {
-					return l.Totals().Gone == 1 || l.readers() == 0 || len(l.server.seen) > 0
+					return l.Totals().ClientDisconnects == 1 || l.readers() == 0 || len(l.server.seen) > 0
 				})
 				if len(l.server.seen) > 0 {
 					t.Errorf("%d reached the server whose client had left", len(l.server.seen))
@@ -204,7 +204,7 @@
 				t.Parallel()
 				l := startLeaving(t, late, nil)
 				l.lates.prompt.Store(1)
-				l.Gate().Resize(1)
+				l.Limiter().Resize(1)
 				first := make(chan exchange, 1)
 				go func() { first <- l.do("GET", "/get/x", "") }()
 				testkit.Receive(t, "first request", l.server.seen)
--- a/internal/protocol/http1/front.go
+++ b/internal/protocol/http1/front.go
@@ -16,12 +16,12 @@
 type front struct {
 	cfg       *core.Config
 	loop      *core.Loop
-	gate      *core.Gate
+	gate      *core.ConnLimiter
 	log       *slog.Logger
 	most      atomic.Int64 // requests open at once
 	open      atomic.Int64
 	uploads   atomic.Int64 // of these, those whose last byte has not come
-	bodies    *core.Budget
+	bodies    *core.ByteBudget
 	classes   map[string]int
 	writeTime time.Duration // what a client has to take an answer
 	ended     atomic.Bool   // the loop has
@@ -44,8 +44,8 @@
 )
 
 func newFront(cfg *core.Config, l *core.Loop, log *slog.Logger) *front {
-	f := &front{cfg: cfg, loop: l, log: log, bodies: core.NewBudget(0),
-		classes: map[string]int{}, writeTime: 2*cfg.Longest() + core.HeadTime, conns: map[*clientConn]bool{}}
+	f := &front{cfg: cfg, loop: l, log: log, bodies: core.NewByteBudget(0),
+		classes: map[string]int{}, writeTime: 2*cfg.MaxDeadline() + core.HeadTimeout, conns: map[*clientConn]bool{}}
 	f.resize(cfg.Sockets, cfg.BodyMemory())
 	for i, name := range cfg.Site.Classes {
 		f.classes[name] = i
@@ -63,7 +63,7 @@
 }
 
 // serve takes connections until the gate is closed.
-func (f *front) serve(g *core.Gate) error {
+func (f *front) serve(g *core.ConnLimiter) error {
 	f.gate = g
 	go func() {
 		<-f.loop.Stopped()
@@ -89,7 +89,7 @@
 				delete(f.conns, c)
 				f.mu.Unlock()
 			}()
-			f.loop.Guard(c.serve)
+			f.loop.ContainPanic(c.serve)
 		})
 	}
 }
@@ -215,8 +215,8 @@
 	if a.Policy != "" {
 		return f.appendText(b, "refused, try again: "+a.Policy)
 	}
-	if a.Verdict != "" {
-		return f.appendText(b, "refused, try again: the fleet's verdicts keep from it "+a.Verdict)
+	if a.Ejected != "" {
+		return f.appendText(b, "refused, try again: the fleet's verdicts keep from it "+a.Ejected)
 	}
 	return f.appendText(b, "refused, try again")
 }
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -204,19 +204,19 @@
 func TestBodiesAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	whole := a.front.bodies.Left()
-	a.front.bodies.Take(int(whole) - 1000)
+	whole := a.front.bodies.Free()
+	a.front.bodies.Acquire(int(whole) - 1000)
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1001)); x.status != 200 {
 		t.Errorf("past the bound: %+v", x)
 	}
-	if n := a.front.bodies.Left(); n != 1000 {
+	if n := a.front.bodies.Free(); n != 1000 {
 		t.Errorf("%d bytes are left", n)
 	}
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1000)); x.status != 200 {
 		t.Errorf("within the bound: %+v", x)
 	}
-	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodies.Left() == 1000 })
-	a.front.bodies.Put(int(whole) - 1000)
+	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodies.Free() == 1000 })
+	a.front.bodies.Release(int(whole) - 1000)
 }
 
 // SIGTERM with a request in flight: it is answered, connections between requests are closed,
@@ -291,10 +291,10 @@
 	}
 	defer c.Close()
 	testkit.WaitFor(t, "one silent connection", func() bool {
-		open, fresh, idle := a.Gate().Counts()
+		open, fresh, idle := a.Limiter().Counts()
 		return open == 2 && fresh+idle == 1
 	})
-	a.Gate().CloseSilent(0)
+	a.Limiter().CloseSilent(0)
 	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -349,7 +349,7 @@
 	a := start(t, cfg)
 	most := core.ClientSockets(cfg.Sockets)
 	kept := func() int {
-		_, _, idle := a.Gate().Counts()
+		_, _, idle := a.Limiter().Counts()
 		return idle
 	}
 	closed := 0
@@ -370,7 +370,7 @@
 			continue
 		}
 		testkit.WaitFor(t, "the connection to be testkit.Quiet", func() bool {
-			open, fresh, idle := a.Gate().Counts()
+			open, fresh, idle := a.Limiter().Counts()
 			return fresh+idle == open
 		})
 	}
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -179,7 +179,7 @@
 		t.Fatal(err)
 	}
 	testkit.Receive(t, "the first", s.seen)
-	time.Sleep(core.HeadTime + 200*time.Millisecond) // what a head may take has passed
+	time.Sleep(core.HeadTimeout + 200*time.Millisecond) // what a head may take has passed
 	close(hold)
 	in := bufio.NewReader(c)
 	if resp := ask(t, c, in, ""); resp.StatusCode != 200 {
@@ -202,5 +202,5 @@
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
 	}
-	testkit.WaitFor(t, "the connection to rest", func() bool { _, _, idle := a.Gate().Counts(); return idle == 1 })
+	testkit.WaitFor(t, "the connection to rest", func() bool { _, _, idle := a.Limiter().Counts(); return idle == 1 })
 }
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -46,13 +46,13 @@
 // startUntil runs an agent that, once stopped, takes connections until accept is closed.
 func startUntil(t *testing.T, cfg *core.Config, accept <-chan time.Time) *running {
 	t.Helper()
-	return startParts(t, cfg, core.Parts{AcceptAfterStop: accept}, nil)
+	return startParts(t, cfg, core.Parts{StopAccepting: accept}, nil)
 }
 
 // startParts runs an agent with these parts, once ready, where it is set, has had it.
 func startParts(t *testing.T, cfg *core.Config, p core.Parts, ready func(*core.Agent)) *running {
 	t.Helper()
-	p.Silence = cmp.Or(p.Silence, 2*testkit.Patience) // a slow machine is no dead discovery
+	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.Patience) // a slow machine is no dead discovery
 	a, own, err := newAgent(cfg, testkit.Quiet, p)
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	testkit.WaitFor(t, "the change of the list", func() bool {
 		r.backends.mu.Lock()
 		defer r.backends.mu.Unlock()
-		_, known := r.backends.addrs.Of(server)
+		_, known := r.backends.addrs.Addr(server)
 		return known
 	})
 }
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -32,12 +32,12 @@
 }
 
 // Serve takes clients' connections until the gate is closed.
-func (p *protocol) Serve(g *core.Gate) error {
+func (p *protocol) Serve(g *core.ConnLimiter) error {
 	return p.front.serve(g)
 }
 
-// Drain has each connection end with its next answer, or not.
-func (p *protocol) Drain(on bool) { p.draining.Store(on) }
+// SetDraining has each connection end with its next answer, or not.
+func (p *protocol) SetDraining(on bool) { p.draining.Store(on) }
 
 // Resize has it use no more than so many descriptors and bytes.
 func (p *protocol) Resize(sockets, bytes int) {
@@ -48,8 +48,8 @@
 // Close ends what is left of clients' connections.
 func (p *protocol) Close() error { return p.front.close() }
 
-// Open is how many requests have come whole and are open.
-func (p *protocol) Open() int64 { return p.front.open.Load() - p.front.uploads.Load() }
+// OpenRequests is how many requests have come whole and are open.
+func (p *protocol) OpenRequests() int64 { return p.front.open.Load() - p.front.uploads.Load() }
 
 // Attempt sends a request to a server, once.
 func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
@@ -66,8 +66,8 @@
 // Update takes a change of the list.
 func (p *protocol) Update(l core.List) { p.update(l) }
 
-// Reap closes connections that have stood idle for too long.
-func (p *protocol) Reap(ctx context.Context) { p.reap(ctx) }
+// ReapIdle closes connections that have stood idle for too long.
+func (p *protocol) ReapIdle(ctx context.Context) { p.reap(ctx) }
 
-// Shut closes the connections to servers.
-func (p *protocol) Shut() { p.shut() }
+// Shutdown closes the connections to servers.
+func (p *protocol) Shutdown() { p.shut() }
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -194,8 +194,8 @@
 	a.do("POST", "/pay/x", "form") // 500: fails, and is not tried again
 	a.do("POST", "/pay/x", "form")
 	a.do("POST", "/pay/x", "form", "X-Trace-Id", "") // no request
-	f := a.Figures(testkit.Patience)
-	want := map[string]core.ClassFigures{"get": {Name: "get", Answered: 2, Sends: 2}, "put": {Name: "put"},
+	f := a.Status(testkit.Patience)
+	want := map[string]core.ClassStatus{"get": {Name: "get", Answered: 2, Sends: 2}, "put": {Name: "put"},
 		"pay": {Name: "pay", Answered: 1, Errored: 1, Sends: 2}}
 	for _, c := range f.Classes {
 		if c != want[c.Name] {
@@ -210,11 +210,11 @@
 	if _, err := a.Ban(ctx, "s", true, false); err != nil {
 		t.Fatal(err)
 	}
-	testkit.WaitFor(t, "the server to be counted out", func() bool { return a.Figures(testkit.Patience).Avoided == 1 })
+	testkit.WaitFor(t, "the server to be counted out", func() bool { return a.Status(testkit.Patience).Avoided == 1 })
 	if x := a.do("GET", "/get/x", ""); x.status != 503 {
 		t.Errorf("with none left: %d", x.status)
 	}
-	if f := a.Figures(testkit.Patience); f.Classes[0].Deferred != 1 || f.Listed != 1 {
+	if f := a.Status(testkit.Patience); f.Classes[0].Deferred != 1 || f.Listed != 1 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -225,18 +225,18 @@
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}})
 	a := start(t, cfg)
 	whole := a.backends.most
-	a.Beside(1)
+	a.SetOtherProcesses(1)
 	a.backends.mu.Lock()
 	half := a.backends.most
 	a.backends.mu.Unlock()
-	if half > whole/2 || a.front.most.Load() > int64(core.ClientSockets(cfg.Sockets/2)) || a.bodies.Left() > int64(cfg.BodyMemory()/2) {
-		t.Errorf("%d of %d connections, %d requests, %d bytes", half, whole, a.front.most.Load(), a.bodies.Left())
+	if half > whole/2 || a.front.most.Load() > int64(core.ClientSockets(cfg.Sockets/2)) || a.bodies.Free() > int64(cfg.BodyMemory()/2) {
+		t.Errorf("%d of %d connections, %d requests, %d bytes", half, whole, a.front.most.Load(), a.bodies.Free())
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("beside another: %d", x.status)
 	}
-	a.Beside(0)
-	if a.backends.most != whole || a.bodies.Left() != int64(cfg.BodyMemory()) {
-		t.Errorf("alone again: %d of %d connections, %d bytes", a.backends.most, whole, a.bodies.Left())
+	a.SetOtherProcesses(0)
+	if a.backends.most != whole || a.bodies.Free() != int64(cfg.BodyMemory()) {
+		t.Errorf("alone again: %d of %d connections, %d bytes", a.backends.most, whole, a.bodies.Free())
 	}
 }
--- a/internal/protocol/http1/panic_test.go
+++ b/internal/protocol/http1/panic_test.go
@@ -30,7 +30,7 @@
 		return net.Dial(network, addr)
 	}
 	var blow atomic.Bool
-	a.Inject(func(core.Totals) {
+	a.SetStepHook(func(core.Totals) {
 		if blow.Load() {
 			panic("brought about")
 		}
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -20,9 +20,9 @@
 type backends struct {
 	cfg     *core.Config
 	log     *slog.Logger
-	longest time.Duration // for which a connection may stand idle by the settings
-	stall   time.Duration // for which an answer that streams may bring nothing
-	answers *core.Budget  // bytes of answers that are being read
+	longest time.Duration    // for which a connection may stand idle by the settings
+	stall   time.Duration    // for which an answer that streams may bring nothing
+	answers *core.ByteBudget // bytes of answers that are being read
 	dialer  func(ctx context.Context, network, addr string) (net.Conn, error)
 	readers sync.Pool // of *bufio.Reader
 
@@ -64,7 +64,7 @@
 		// Backends may close an idle connection at IdleClose; a request that crosses that is lost
 		// as a reset that may have run. A quarter of the time is far more than any network takes.
 		longest: cfg.Site.IdleClose * 3 / 4, keepIdle: cfg.Site.IdleClose * 3 / 4,
-		answers: core.NewBudget(cfg.BodyMemory()), stall: answerStall,
+		answers: core.NewByteBudget(cfg.BodyMemory()), stall: answerStall,
 		dialer:  (&net.Dialer{KeepAlive: -1}).DialContext,
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 		idle:    map[string][]*conn{}, late: map[string]bool{}, trip: cfg.Settings.ConnectTimeout, leaves: leavesMost}
@@ -130,7 +130,7 @@
 func (b *backends) take(id string) (*conn, string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	addr, ok := b.addrs.Of(id)
+	addr, ok := b.addrs.Addr(id)
 	if !ok {
 		return nil, "", core.ErrMoved
 	}
@@ -184,7 +184,7 @@
 func (b *backends) at(id, addr string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, known := b.addrs.Of(id)
+	now, known := b.addrs.Addr(id)
 	return known && now == addr
 }
 
@@ -215,7 +215,7 @@
 }
 
 func (b *backends) put(id string, c *conn, reusable bool) {
-	if addr, _ := b.addrs.Of(id); !reusable || b.closed || addr != c.addr {
+	if addr, _ := b.addrs.Addr(id); !reusable || b.closed || addr != c.addr {
 		b.drop(c)
 		return
 	}
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -126,7 +126,7 @@
 			if result == decide.Errored && a == nil && strings.HasPrefix(row.answer, "HTTP/1.1 200") && b.open != 0 {
 				t.Error("a connection that brought a spoilt answer was kept")
 			}
-			if b.answers.Left() != int64(b.cfg.BodyMemory()) {
+			if b.answers.Free() != int64(b.cfg.BodyMemory()) {
 				t.Error("bytes of the answer stay booked")
 			}
 		})
@@ -570,7 +570,7 @@
 	if ids, owners := b.addrs.Len(); ids != 1 || owners != 1 || len(b.idle) != 0 {
 		t.Errorf("%d addresses, %d owners, %d lists of connections", ids, owners, len(b.idle))
 	}
-	at := func(id string) string { addr, _ := b.addrs.Of(id); return addr }
+	at := func(id string) string { addr, _ := b.addrs.Addr(id); return addr }
 	attemptAt(t, context.Background(), b, "")
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
 	if at("s") != "" || at("new") != s.addr || b.open != 0 {
@@ -580,7 +580,7 @@
 		t.Errorf("result %v, %d requests reached the new one", result, len(s.seen))
 	}
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s", State: decide.Removed}}}})
-	if at("new") != s.addr || b.addrs.At(s.addr) != "new" {
+	if at("new") != s.addr || b.addrs.Server(s.addr) != "new" {
 		t.Error("the old one's end took the new one's address")
 	}
 }
@@ -740,7 +740,7 @@
 	barred, lapsed, noDial bool
 }
 
-func (e ended) Over() <-chan struct{} { return e.over }
+func (e ended) Ended() <-chan struct{} { return e.over }
 func (e ended) BeginWrite(func()) core.SendRefusal {
 	switch {
 	case over(e):
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -36,7 +36,7 @@
 			var blow atomic.Bool
 			held := make(chan *testkit.HeldWrite, 1)
 			r := startParts(t, cfg, core.Parts{NoLateConnections: true}, func(a *core.Agent) {
-				a.Inject(func(core.Totals) {
+				a.SetStepHook(func(core.Totals) {
 					if blow.Load() {
 						panic("brought about")
 					}
@@ -96,7 +96,7 @@
 			l := &breakableListener{Listener: testkit.Listen(t), broken: make(chan struct{}), err: err}
 			now := make(chan time.Time)
 			close(now)
-			a, _, e := newAgent(cfg, testkit.Quiet, core.Parts{Listener: l, AcceptAfterStop: now})
+			a, _, e := newAgent(cfg, testkit.Quiet, core.Parts{Listener: l, StopAccepting: now})
 			if e != nil {
 				t.Fatal(e)
 			}
@@ -164,7 +164,7 @@
 	server := serveRaw(t, func(int) string { <-silent; return "" })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}, Deadline: 300})
 	accept := make(chan time.Time)
-	r := startParts(t, cfg, core.Parts{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, AcceptAfterStop: accept}, nil)
+	r := startParts(t, cfg, core.Parts{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, StopAccepting: accept}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
 	r.stop()
 	time.Sleep(500 * time.Millisecond) // so late in the drain that the request's own time reaches past its end
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -125,8 +125,8 @@
 			}
 		}
 	}
-	testkit.WaitFor(t, "all to be over", func() bool { return a.Open() == 0 && a.bodies.Left() == int64(a.front.cfg.BodyMemory()) })
-	if n := a.backends.answers.Left(); n != int64(a.front.cfg.BodyMemory()) {
+	testkit.WaitFor(t, "all to be over", func() bool { return a.OpenRequests() == 0 && a.bodies.Free() == int64(a.front.cfg.BodyMemory()) })
+	if n := a.backends.answers.Free(); n != int64(a.front.cfg.BodyMemory()) {
 		t.Errorf("%d bytes of answers stay booked", int64(a.front.cfg.BodyMemory())-n)
 	}
 }
@@ -169,7 +169,7 @@
 			write("1\r\nx\r\n") // one more than is kept
 		}
 		testkit.Receive(t, "the first half at the backend", half)
-		if n := a.Open(); n != 0 {
+		if n := a.OpenRequests(); n != 0 {
 			t.Errorf("%d requests count as taken before their last byte", n)
 		}
 		if chunked {
@@ -288,7 +288,7 @@
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil || asked.Load() != 1 {
 				t.Errorf("%s, resets %v: %d bytes, %v, asked %d times", name, resets, n, err, asked.Load())
 			}
-			testkit.WaitFor(t, "its end to be counted", func() bool { return a.Figures(testkit.Patience).Classes[0].Errored == 1 })
+			testkit.WaitFor(t, "its end to be counted", func() bool { return a.Status(testkit.Patience).Classes[0].Errored == 1 })
 		}
 	}
 }
@@ -334,11 +334,11 @@
 	if err != nil || resp.StatusCode != 503 || !resp.Close {
 		t.Fatalf("%+v %v", resp, err)
 	}
-	f := a.Figures(testkit.Patience).Classes[2]
+	f := a.Status(testkit.Patience).Classes[2]
 	if f.Deferred != 1 || f.Sends != 0 {
 		t.Errorf("%+v", f)
 	}
-	testkit.WaitFor(t, "its end", func() bool { return a.Open() == 0 && a.front.open.Load() == 0 })
+	testkit.WaitFor(t, "its end", func() bool { return a.OpenRequests() == 0 && a.front.open.Load() == 0 })
 }
 
 // One that turns an upload away before its end is heard.
@@ -395,7 +395,7 @@
 		t.Error("the backend has all of it")
 	}
 	testkit.WaitFor(t, "both to be over", func() bool { return a.front.open.Load() == 0 && a.front.uploads.Load() == 0 })
-	f := a.Figures(testkit.Patience)
+	f := a.Status(testkit.Patience)
 	if f.Avoided != 0 || f.Classes[2].Sends != 0 {
 		t.Errorf("%+v", f)
 	}
--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -115,7 +115,7 @@
 // flush passes on what is kept.
 func (s *stream) flush() bool {
 	for _, p := range s.kept {
-		if !s.a.Begin(false) {
+		if !s.a.StartResponse(false) {
 			return false
 		}
 		s.begun = true
@@ -193,7 +193,7 @@
 		return nil, decide.NotSent
 	}
 	if err == nil {
-		a.Dialed()
+		a.MarkDialed()
 		c, err = v.connect(a.Context, a.Server, addr)
 	}
 	if err != nil {
--- a/internal/protocol/ldap/bind.go
+++ b/internal/protocol/ldap/bind.go
@@ -163,7 +163,7 @@
 		return false, fmt.Errorf("%w: something came behind StartTLS", ldapmsg.ErrMalformed)
 	}
 	name := ldapmsg.Response(m.ID, ldapmsg.ExtResponse, ldapmsg.Success, "")
-	if err := s.conn.SetWriteDeadline(time.Now().Add(core.HeadTime)); err != nil {
+	if err := s.conn.SetWriteDeadline(time.Now().Add(core.HeadTimeout)); err != nil {
 		return false, nil
 	}
 	if _, err := s.conn.Write(name); err != nil {
@@ -182,7 +182,7 @@
 // secure makes the handshake of TLS, within the time that a first message has.
 func (s *session) secure() error {
 	c := tls.Server(s.raw, s.p.tls)
-	if err := s.raw.SetDeadline(time.Now().Add(core.HeadTime)); err != nil {
+	if err := s.raw.SetDeadline(time.Now().Add(core.HeadTimeout)); err != nil {
 		return err
 	}
 	if err := c.Handshake(); err != nil {
--- a/internal/protocol/ldap/cancel.go
+++ b/internal/protocol/ldap/cancel.go
@@ -60,7 +60,7 @@
 		return
 	}
 	own := ldapmsg.Message{ID: m.ID, Op: m.Op}
-	go s.p.loop.Guard(func() {
+	go s.p.loop.ContainPanic(func() {
 		code := c.sendCancel(on, time.Until(o.request.Deadline))
 		s.answer(own.ID, own.Op, code, "")
 	})
--- a/internal/protocol/ldap/disconnect_test.go
+++ b/internal/protocol/ldap/disconnect_test.go
@@ -62,7 +62,7 @@
 					t.Error(err)
 				}
 			}
-			testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return a.Totals().Gone >= 1 || len(came) > 0 })
+			testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(came) > 0 })
 			if len(came) > 0 {
 				t.Errorf("%+v reached the server", <-came)
 			}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -70,7 +70,7 @@
 func start(t testing.TB, cfg *core.Config, o Options) *running {
 	t.Helper()
 	log := &logs{}
-	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Parts{NoLateConnections: true, Silence: 2 * testkit.Patience})
+	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Parts{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -25,7 +25,7 @@
 	o       Options
 	log     *slog.Logger
 	loop    *core.Loop
-	gate    *core.Gate
+	gate    *core.ConnLimiter
 	classes [kinds]int
 	servers *servers
 	tls     *tls.Config // towards clients; nil: none
@@ -126,7 +126,7 @@
 }
 
 // Serve takes clients' connections until the gate is closed.
-func (p *protocol) Serve(g *core.Gate) error {
+func (p *protocol) Serve(g *core.ConnLimiter) error {
 	p.gate = g
 	go func() {
 		<-p.loop.Stopped()
@@ -142,12 +142,12 @@
 		if err != nil {
 			return err
 		}
-		if g.Crowded() {
+		if g.NearCapacity() {
 			p.makeRoom()
 		}
 		// Its place is the session's to give up, with a word to the client: not the gate's.
-		g.Busy(nc)
-		p.running.Go(func() { p.loop.Guard(func() { p.serve(nc) }) })
+		g.MarkBusy(nc)
+		p.running.Go(func() { p.loop.ContainPanic(func() { p.serve(nc) }) })
 	}
 }
 
@@ -177,9 +177,9 @@
 	freshTime  = 250 * time.Millisecond
 )
 
-// Drain has each connection end once all that was taken on it is answered, or, with false, those that
+// SetDraining has each connection end once all that was taken on it is answered, or, with false, those that
 // come from now on no more.
-func (p *protocol) Drain(on bool) {
+func (p *protocol) SetDraining(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.draining = on
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// Open is how many operations are open.
-func (p *protocol) Open() int64 { return p.open.Load() }
+// OpenRequests is how many operations are open.
+func (p *protocol) OpenRequests() int64 { return p.open.Load() }
 
 // Probe examines a server: by a connection, as anybody, on which it is asked for nothing.
 func (p *protocol) Probe(server string) decide.ProbeResult {
@@ -233,11 +233,11 @@
 // Update takes a change of the list.
 func (p *protocol) Update(l core.List) { p.servers.update(l) }
 
-// Reap closes connections to servers that have stood idle for too long.
-func (p *protocol) Reap(ctx context.Context) { p.servers.reap(ctx) }
+// ReapIdle closes connections to servers that have stood idle for too long.
+func (p *protocol) ReapIdle(ctx context.Context) { p.servers.reap(ctx) }
 
-// Shut closes the connections to servers.
-func (p *protocol) Shut() { p.servers.shut() }
+// Shutdown closes the connections to servers.
+func (p *protocol) Shutdown() { p.servers.shut() }
 
 // kindOf is what an operation is, and what it says of its time. An error is an answer to its client.
 func kindOf(m *ldapmsg.Message) (k kind, limit time.Duration, err error) {
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -348,7 +348,7 @@
 	testkit.Receive(t, "the search", came)
 	send(ldapmsg.Abandon(8, 7))
 	testkit.WaitFor(t, "the abandon at the server", func() bool { return d.Abandoned() == 1 })
-	testkit.WaitFor(t, "the operation to be gone", func() bool { return a.Totals().Gone == 1 })
+	testkit.WaitFor(t, "the operation to be gone", func() bool { return a.Totals().ClientDisconnects == 1 })
 	send(rawSearch(9, 0)) // a lookup, which is answered; nothing else comes
 	in := ldapmsg.NewReader(c, 1<<20)
 	for _, want := range []byte{ldapmsg.SearchEntry, ldapmsg.SearchDone} {
@@ -719,7 +719,7 @@
 		t.Fatal(err)
 	}
 	var blow atomic.Bool
-	a.Inject(func(core.Totals) {
+	a.SetStepHook(func(core.Totals) {
 		if blow.Load() {
 			panic("brought about")
 		}
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -122,9 +122,9 @@
 	}
 	o.request = core.NewRequest(strconv.FormatUint(p.lastID.Add(1), 36), class, o.finish)
 	o.request.Message, o.request.Client = o, s.raw
-	o.request.Deadline, o.request.Left = time.Now().Add(wait), wait
+	o.request.Deadline, o.request.Remaining = time.Now().Add(wait), wait
 	if o.conn != nil {
-		o.request.Only = o.conn.server
+		o.request.OnlyServer = o.conn.server
 	}
 	s.mu.Lock()
 	s.ops[o.id] = o
@@ -133,7 +133,7 @@
 		o.finish(core.Answer{Refused: true})
 		return
 	}
-	p.loop.Take(o.request)
+	p.loop.Submit(o.request)
 	p.mu.Lock()
 	ended := p.ended
 	p.mu.Unlock()
@@ -210,8 +210,8 @@
 	if a.Policy != "" {
 		text += "; " + a.Policy
 	}
-	if a.Verdict != "" {
-		text += "; the fleet's verdicts keep from it " + a.Verdict
+	if a.Ejected != "" {
+		text += "; the fleet's verdicts keep from it " + a.Ejected
 	}
 	return text
 }
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -68,7 +68,7 @@
 	testkit.WaitFor(t, "the list", func() bool {
 		r.p.servers.mu.Lock()
 		defer r.p.servers.mu.Unlock()
-		addr, _ := r.p.servers.addrs.Of("one")
+		addr, _ := r.p.servers.addrs.Addr("one")
 		return addr == now.Addr()
 	})
 	close(held)
@@ -86,13 +86,13 @@
 	for name, giveUp := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
 		t.Run(name, func(t *testing.T) {
 			d := dir(t, "one", directory.Options{})
-			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.Quiet, core.Parts{NoLateConnections: true, Silence: 2 * testkit.Patience})
+			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.Quiet, core.Parts{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
 			if err != nil {
 				t.Fatal(err)
 			}
 			var stop atomic.Bool
 			standing, release := make(chan struct{}), make(chan struct{})
-			a.Inject(func(core.Totals) {
+			a.SetStepHook(func(core.Totals) {
 				if stop.CompareAndSwap(true, false) {
 					close(standing)
 					<-release
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -92,7 +92,7 @@
 func (v *servers) take(server, who string, alone bool) (*serverConn, string, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	addr, ok := v.addrs.Of(server)
+	addr, ok := v.addrs.Addr(server)
 	if !ok {
 		return nil, "", core.ErrMoved
 	}
@@ -187,7 +187,7 @@
 // dial opens a connection as anybody for a probe.
 func (v *servers) dial(ctx context.Context, server string) (*serverConn, error) {
 	v.mu.Lock()
-	addr, ok := v.addrs.Of(server)
+	addr, ok := v.addrs.Addr(server)
 	full := v.open >= v.most && !v.evict()
 	if ok && !full {
 		v.open++
@@ -221,7 +221,7 @@
 		v.open--
 		return nil, err
 	}
-	if now, known := v.addrs.Of(server); !known || now != addr { // meanwhile: what has its address by now may be another
+	if now, known := v.addrs.Addr(server); !known || now != addr { // meanwhile: what has its address by now may be another
 		v.open--
 		_ = nc.Close()
 		return nil, errMovedMeanwhile
--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -103,11 +103,11 @@
 	s.in.Waiting = func() {
 		wait := s.p.o.Idle
 		if first {
-			wait, first = core.HeadTime, false
+			wait, first = core.HeadTimeout, false
 		}
 		s.deadline(time.Now().Add(wait))
 	}
-	s.in.Partial = func() { s.deadline(time.Now().Add(core.HeadTime)) }
+	s.in.Partial = func() { s.deadline(time.Now().Add(core.HeadTimeout)) }
 }
 
 func (s *session) deadline(t time.Time) {
--- a/internal/protocol/ldap/shared_test.go
+++ b/internal/protocol/ldap/shared_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	d := dir(t, "one", directory.Options{})
 	r := start(t, testConfig(t, d), Options{})
-	if !r.Limit([]quota.Limit{{Name: "shared", Kind: counts, Class: -1, Zone: -1, Cell: -1}}) {
+	if !r.SetSharedLimits([]quota.Limit{{Name: "shared", Kind: counts, Class: -1, Zone: -1, Cell: -1}}) {
 		t.Fatal("the agent has not heard of its limit")
 	}
 	return r, r.dial(t), d
@@ -29,7 +29,7 @@
 
 func lend(t *testing.T, r *running, amount int) {
 	t.Helper()
-	if !r.Lend([]core.Right{{Lease: quota.Lease{Limit: "shared", Grantor: "k", Number: 1, Amount: amount, Span: time.Minute}, Until: time.Now().Add(time.Hour)}}) {
+	if !r.GrantLeases([]core.Lease{{Lease: quota.Lease{Limit: "shared", Grantor: "k", Number: 1, Amount: amount, Span: time.Minute}, ExpiresAt: time.Now().Add(time.Hour)}}) {
 		t.Fatal("the agent has not heard of its right")
 	}
 }
