--- a/internal/host/supervise/supervise_test.go
+++ b/internal/host/supervise/supervise_test.go
@@ -81,7 +81,7 @@
 					if up[a.Name] || down[a.Name] {
 						t.Fatalf("%s started while up %v, down %v", a.Name, up[a.Name], down[a.Name])
 					}
-					v.Step(now, Started{a.Name})
+					v.Step(now, Started(a))
 					up[a.Name] = true
 				case LeaveDown:
 					down[a.Name] = true
