--- a/internal/peer/transport/ejectiondriver_test.go
+++ b/internal/peer/transport/ejectiondriver_test.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"bytes"
 	"reflect"
 	"testing"
 	"time"
@@ -10,105 +11,112 @@
 )
 
 func withEjection(o *Options) {
-	o.Ejection, o.EjectionsChanged = &ejection.Settings{}, func([]ejection.Ejection, time.Time) {}
+	o.Ejection = &ejection.Settings{}
+	o.EjectionsChanged = func([]ejection.Ejection, time.Time) {}
 }
 
-// What a daemon tells of its instances later leaves its lists as they are.
+// Subscriptions stay announced when the daemon announces a change of its instances later.
 func TestMembersAnnounceTheirSubscriptions(t *testing.T) {
-	a := startMember(t, "a", "", "", nil, withEjection)
-	b := startMember(t, "b", "", "", []string{a.addr}, withEjection)
+	a := startMember(t, memberOptions{name: "a", change: withEjection})
+	b := startMember(t, memberOptions{name: "b", seeds: []string{a.addr}, change: withEjection})
 	a.awaitState(t, "b", "alive")
-	want := func(of string, lists ...string) {
+	awaitSubscriptions := func(lists ...string) {
 		t.Helper()
-		var got ejection.SubscriptionFilter
-		for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
-			b.do(func() {
-				for _, p := range b.view.Members() {
-					if p.Name == of {
-						got = p.Metadata
-					}
-				}
-			})
-			if reflect.DeepEqual(got, ejection.NewSubscriptionFilter(lists)) {
-				return
-			}
-		}
-		t.Fatalf("%s tells %x, want %x", of, got, ejection.NewSubscriptionFilter(lists))
+		want := ejection.NewSubscriptionFilter(lists)
+		await(t, "b knows the subscriptions of a", func() bool {
+			record, ok := b.record("a")
+			return ok && bytes.Equal(record.Metadata, want)
+		})
 	}
 	a.ListUpdated(ejection.ListUpdated{Source: "main", Servers: []ejection.Server{{ID: "main/s1", StartedMS: 1}}})
-	want("a", "main")
+	awaitSubscriptions("main")
 	a.ListUpdated(ejection.ListUpdated{Source: "other"})
-	want("a", "main", "other")
+	awaitSubscriptions("main", "other")
 	a.SetLocalInfo(membership.LocalInfo{Instances: 3, Balancers: 3})
-	for limit := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		instances := uint32(0)
-		b.do(func() {
-			for _, p := range b.view.Members() {
-				if p.Name == "a" {
-					instances = p.Instances
-				}
-			}
-		})
-		if instances == 3 {
-			break
-		}
-		if time.Now().After(limit) {
-			t.Fatal("b never hears of a's instances")
-		}
-	}
-	want("a", "main", "other")
+	await(t, "b knows the instances of a", func() bool {
+		record, _ := b.record("a")
+		return record.Instances == 3
+	})
+	awaitSubscriptions("main", "other")
+
 	var peers []ejection.Peer
 	b.do(func() { peers = membersChanged(b.view.Members()).Peers })
-	if len(peers) != 2 || !peers[0].Subscriptions.MayInclude("other") || peers[0].Subscriptions.MayInclude("none") || !peers[1].Subscriptions.MayInclude("none") {
-		t.Errorf("%+v", peers)
+	if len(peers) != 2 {
+		t.Fatalf("peers %+v", peers)
+	}
+	ofA, ofB := peers[0].Subscriptions, peers[1].Subscriptions
+	if !ofA.MayInclude("other") || ofA.MayInclude("none") || !ofB.MayInclude("none") {
+		t.Errorf("peers %+v", peers)
 	}
 }
 
-// firstFormatMessage is a message as the version before knew it.
-type firstFormatMessage struct {
-	Ask    uint64                 `cbor:"1,keyasint,omitempty"`
-	Answer uint64                 `cbor:"2,keyasint,omitempty"`
-	Poke   bool                   `cbor:"3,keyasint,omitempty"`
-	Items  []firstFormatEvidence  `cbor:"4,keyasint,omitempty"`
-	Drains []ejection.Drain       `cbor:"5,keyasint,omitempty"`
-	More   int                    `cbor:"6,keyasint,omitempty"`
-	About  []ejection.Incarnation `cbor:"7,keyasint,omitempty"`
-}
-
-type firstFormatEvidence struct {
-	Server string  `cbor:"1,keyasint,omitempty"`
-	Start  int64   `cbor:"2,keyasint,omitempty"`
-	Origin string  `cbor:"3,keyasint,omitempty"`
-	Life   uint64  `cbor:"4,keyasint,omitempty"`
-	Number uint32  `cbor:"5,keyasint,omitempty"`
-	Bad    float32 `cbor:"7,keyasint,omitempty"`
-}
-
-type firstFormatPacket struct {
-	From     string              `cbor:"1,keyasint,omitempty"`
-	Verdicts *firstFormatMessage `cbor:"4,keyasint,omitempty"`
-}
-
-// Both forms of messages stand in one envelope, and each reads of the other's what it knows.
-func TestEjectionMessageFormatsReadOneAnother(t *testing.T) {
-	w := Wire{Fleet: "f"}
-	about := []ejection.Incarnation{{Server: "main/s1", StartedMS: 3}}
-	data, err := w.Marshal("a", &ejection.Message{PollNumber: 5, Notify: true, OwnOnly: true, FormatVersion: 2, About: about, Evidence: []ejection.Evidence{{Server: "main/s1", Origin: "c", Failed: 2, BaselineFailureRate: 0.4}}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	old := &firstFormatPacket{}
-	if err := decodeEnvelope(sharedFormat, "f", data, old); err != nil {
-		t.Fatal(err)
+// The messages of format 1, as its version knew them.
+type (
+	firstFormatMessage struct {
+		PollNumber uint64                 `cbor:"1,keyasint,omitempty"`
+		ResponseTo uint64                 `cbor:"2,keyasint,omitempty"`
+		Notify     bool                   `cbor:"3,keyasint,omitempty"`
+		Evidence   []firstFormatEvidence  `cbor:"4,keyasint,omitempty"`
+		Drains     []ejection.Drain       `cbor:"5,keyasint,omitempty"`
+		More       int                    `cbor:"6,keyasint,omitempty"`
+		About      []ejection.Incarnation `cbor:"7,keyasint,omitempty"`
 	}
-	if want := (&firstFormatMessage{Ask: 5, Poke: true, About: about, Items: []firstFormatEvidence{{Server: "main/s1", Origin: "c", Bad: 2}}}); old.From != "a" || !reflect.DeepEqual(old.Verdicts, want) {
-		t.Errorf("the version before reads %+v", old.Verdicts)
+	firstFormatEvidence struct {
+		Server    string  `cbor:"1,keyasint,omitempty"`
+		StartedMS int64   `cbor:"2,keyasint,omitempty"`
+		Origin    string  `cbor:"3,keyasint,omitempty"`
+		RunID     uint64  `cbor:"4,keyasint,omitempty"`
+		Number    uint32  `cbor:"5,keyasint,omitempty"`
+		Failed    float32 `cbor:"7,keyasint,omitempty"`
 	}
-	if data, err = encodeEnvelope(sharedFormat, "f", &firstFormatPacket{From: "b", Verdicts: &firstFormatMessage{Answer: 6, More: 1, Items: []firstFormatEvidence{{Server: "main/s2", Bad: 1}}}}); err != nil {
-		t.Fatal(err)
-	}
-	back, err := w.Unmarshal(data)
-	if want := (&ejection.Message{ResponseTo: 6, More: 1, Evidence: []ejection.Evidence{{Server: "main/s2", Failed: 1}}}); err != nil || !reflect.DeepEqual(back, want) {
-		t.Errorf("of the version before %+v is read, %v", back, err)
+	firstFormatPacket struct {
+		From     string              `cbor:"1,keyasint,omitempty"`
+		Ejection *firstFormatMessage `cbor:"4,keyasint,omitempty"`
 	}
+)
+
+// Both formats of messages share one envelope, and each version reads of the other's what it knows.
+func TestEjectionMessageFormatsReadOneAnother(t *testing.T) {
+	const fleet = "f"
+	wire := Wire{Fleet: fleet}
+	about := []ejection.Incarnation{{Server: "main/s1", StartedMS: 3}}
+	t.Run("format 1 reads the current one", func(t *testing.T) {
+		current := &ejection.Message{
+			PollNumber:    5,
+			Notify:        true,
+			OwnOnly:       true,
+			FormatVersion: 2,
+			About:         about,
+			Evidence:      []ejection.Evidence{{Server: "main/s1", Origin: "c", Failed: 2, BaselineFailureRate: 0.4}},
+		}
+		data, err := wire.Marshal("a", current)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := &firstFormatPacket{}
+		if err := decodeEnvelope(sharedFormat, fleet, data, got); err != nil {
+			t.Fatal(err)
+		}
+		want := &firstFormatMessage{
+			PollNumber: 5,
+			Notify:     true,
+			About:      about,
+			Evidence:   []firstFormatEvidence{{Server: "main/s1", Origin: "c", Failed: 2}},
+		}
+		if got.From != "a" || !reflect.DeepEqual(got.Ejection, want) {
+			t.Errorf("from %s: %+v, want %+v", got.From, got.Ejection, want)
+		}
+	})
+	t.Run("the current one reads format 1", func(t *testing.T) {
+		first := &firstFormatMessage{ResponseTo: 6, More: 1, Evidence: []firstFormatEvidence{{Server: "main/s2", Failed: 1}}}
+		data, err := encodeEnvelope(sharedFormat, fleet, &firstFormatPacket{From: "b", Ejection: first})
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := wire.Unmarshal(data)
+		want := &ejection.Message{ResponseTo: 6, More: 1, Evidence: []ejection.Evidence{{Server: "main/s2", Failed: 1}}}
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%+v, %v, want %+v", got, err, want)
+		}
+	})
 }
--- a/internal/peer/transport/wire_test.go
+++ b/internal/peer/transport/wire_test.go
@@ -11,33 +11,52 @@
 )
 
 func TestWireEncodesAsMembersDo(t *testing.T) {
-	w := Wire{Fleet: "f"}
+	wire := Wire{Fleet: "f"}
 	ping := &membership.Message{From: "a", Boot: 1, RunID: 2, Kind: membership.Ping, Seq: 3, Addr: "127.0.0.1:1"}
 	exchange := &membership.Exchange{From: "a", Records: []membership.Record{{Name: "b", Addr: "127.0.0.1:2", Boot: 1, RunID: 5}}}
-	for _, m := range []any{ping, exchange, &ejection.Message{PollNumber: 7}, &lease.Request{From: "a", Seq: 4}, &lease.Grant{From: "b", Seq: 4}} {
-		data, err := w.Marshal("a", m)
-		if err != nil {
-			t.Fatal(err)
+	for _, c := range []struct {
+		name    string
+		message any
+	}{
+		{"datagram of the view", ping},
+		{"exchange", exchange},
+		{"ejection", &ejection.Message{PollNumber: 7}},
+		{"lease request", &lease.Request{From: "a", Seq: 4}},
+		{"lease grant", &lease.Grant{From: "b", Seq: 4}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			data, err := wire.Marshal("a", c.message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if back, err := wire.Unmarshal(data); err != nil || !reflect.DeepEqual(back, c.message) {
+				t.Errorf("%+v became %+v, %v", c.message, back, err)
+			}
+		})
+	}
+	t.Run("a datagram is what members send", func(t *testing.T) {
+		sent, err := encodeMembership("f", ping)
+		if data, _ := wire.Marshal("a", ping); err != nil || !bytes.Equal(data, sent) {
+			t.Errorf("%x, members send %x, %v", data, sent, err)
 		}
-		if back, err := w.Unmarshal(data); err != nil || !reflect.DeepEqual(back, m) {
-			t.Errorf("%+v became %+v, %v", m, back, err)
+	})
+	t.Run("an exchange is what members send", func(t *testing.T) {
+		var sent bytes.Buffer
+		err := writeExchange(&sent, "f", exchange)
+		if data, _ := wire.Marshal("a", exchange); err != nil || !bytes.Equal(data, sent.Bytes()) {
+			t.Errorf("%x, members send %x, %v", data, sent.Bytes(), err)
 		}
-	}
-	sent, err := encodeMembership("f", ping)
-	if data, _ := w.Marshal("a", ping); err != nil || !bytes.Equal(data, sent) {
-		t.Errorf("%x, members send %x, %v", data, sent, err)
-	}
-	var framed bytes.Buffer
-	err = writeExchange(&framed, "f", exchange)
-	if data, _ := w.Marshal("a", exchange); err != nil || !bytes.Equal(data, framed.Bytes()) {
-		t.Errorf("%x, members send %x, %v", data, framed.Bytes(), err)
-	}
-	if _, err := w.Marshal("a", 1); err == nil {
-		t.Error("a number went as a message")
+	})
+}
+
+func TestWireRejectsWhatIsNoMessage(t *testing.T) {
+	wire := Wire{Fleet: "f"}
+	if _, err := wire.Marshal("a", 1); err == nil {
+		t.Error("a number was encoded as a message")
 	}
 	for _, data := range [][]byte{nil, []byte("vh"), []byte("vh\x01\x01f1234x")} {
-		if m, err := w.Unmarshal(data); err == nil {
-			t.Errorf("%q was read as %+v", data, m)
+		if m, err := wire.Unmarshal(data); err == nil {
+			t.Errorf("%q was decoded as %+v", data, m)
 		}
 	}
 }
