--- a/internal/peer/ejection/locality.go
+++ b/internal/peer/ejection/locality.go
@@ -3,7 +3,7 @@
 // independentLocalities reports whether failures without a response come from enough failure domains that no single
 // broken link explains them. All reporters of a zone count as one. It takes either more than half of the zones of this
 // member's own region, with as many reporters as that region alone would need, so that a region that is partitioned
-// decides for itself; or more than half of the regions. Where all members are in one zone, nothing can be told apart.
+// decides for itself; or more than half of the regions. Where all members are in one zone, they cannot be distinguished.
 func (m *Member) independentLocalities(s *server, reporters []*report) bool {
 	c := m.subscribers(s.source)
 	if c.zones.size() < 2 {
--- a/internal/peer/ejection/response.go
+++ b/internal/peer/ejection/response.go
@@ -300,7 +300,7 @@
 	return last.number != r.number && r.lastFailure > last.lastFailure+batchWindow
 }
 
-// applyDrain takes a drain that another member announced. It reports whether it was news.
+// applyDrain takes a drain that another member announced. It reports whether others should be notified of it.
 func (m *Member) applyDrain(polledAt time.Duration, d Drain) bool {
 	s := m.servers[d.Server]
 	drainedAt := timeOfAge(polledAt, d.AgeMS)
--- a/internal/peer/ejection/state.go
+++ b/internal/peer/ejection/state.go
@@ -52,6 +52,10 @@
 	phaseReadmitting              // a growing share of the members uses it
 )
 
+func (p phase) String() string {
+	return [...]string{"admitted", "suspected", "ejected", "readmitting"}[p]
+}
+
 // ejectionState is the state of one process of a server.
 type ejectionState struct {
 	phase        phase
--- a/internal/peer/lease/leasesim/members.go
+++ b/internal/peer/lease/leasesim/members.go
@@ -20,7 +20,7 @@
 	down        bool            // messages to it are lost
 	running     int             // in flight by its own count
 	recent      []time.Duration // begun within the last second by its own count
-	gossiped    []int           // what each other last told that it uses
+	gossiped    []int           // what each other one last reported as used
 	tokens      int             // in escrow
 	nextRequest time.Duration   // by its own clock
 }
--- a/internal/peer/transport/ejectiondriver.go
+++ b/internal/peer/transport/ejectiondriver.go
@@ -27,8 +27,8 @@
 	membersAt     time.Duration     // the membership was last passed on
 	membersStale  bool              // the view has changed since
 	lists         map[string]bool   // that this member reads
-	subscriptions []byte            // of these lists, as other members are told
-	unannounced   bool              // subscriptions have changed since they were told
+	subscriptions []byte            // of these lists, as announced to other members
+	unannounced   bool              // subscriptions have changed since they were announced
 	packets       uint64            // sent
 	written       map[string]string // event state by server, as last written
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// subscribe has other members told that this one reads a list.
+// subscribe has it announced to other members that this one reads a list.
 func (d *ejectionDriver) subscribe(list string) {
 	if d.lists[list] {
 		return
--- a/internal/peer/transport/lifecycle.go
+++ b/internal/peer/transport/lifecycle.go
@@ -10,7 +10,7 @@
 // announces it.
 func (tr *Transport) SetLocalInfo(info membership.LocalInfo) { tr.offer(viewInput{event: info}) }
 
-// Leave tells the others that this member leaves, and waits for that up to a bound.
+// Leave announces to the others that this member leaves, and waits for that up to a bound.
 func (tr *Transport) Leave(within time.Duration) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
--- a/internal/peer/transport/loop.go
+++ b/internal/peer/transport/loop.go
@@ -153,7 +153,7 @@
 		tr.options.Inject()
 	}
 	for _, e := range batch {
-		if _, ok := e.(membership.Leave); ok { // before others are told: what they write of it is later
+		if _, ok := e.(membership.Leave); ok { // before it is sent: what others write of it is later
 			tr.eventLog.write(eventLine{Kind: "leave"})
 		}
 	}
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -16,7 +16,7 @@
 	RunID     string         `json:"life"`
 	State     string         `json:"state"` // one of the constants below
 	Digest    string         `json:"digest"`
-	Health    int            `json:"health"` // 0: nothing is missed; SWIM probes that failed otherwise
+	Health    int            `json:"health"` // Lifeguard's local health multiplier; 0 is healthy
 	UpS       float64        `json:"up_s"`
 	Size      SizeStatus     `json:"count"`
 	Traffic   TrafficStatus  `json:"traffic"`
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -84,7 +84,7 @@
 	calls      chan func()   // to be run on the loop
 	done       chan struct{} // closed at the end of Run
 	failed     chan error    // a panic in another goroutine
-	leaveSent  chan struct{} // closed once the others were told that this member leaves
+	leaveSent  chan struct{} // closed once the view has sent that this member leaves
 	background sync.WaitGroup
 
 	streamSlots  chan struct{}                        // one for each open stream
