--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -15,26 +15,44 @@
 
 // The envelope of a datagram, and of each message on a stream:
 //
-//	0  "vh"      what it is
-//	2  format    1 of the view's messages, 2 of what members share, 3 about the policy; a reader takes those that it knows
+//	0  "vh"      magic
+//	2  format    1 membership, 2 leases and ejection, 3 policy; a reader rejects others
 //	3  length    of the fleet's name
 //	4  fleet     whose message it is
 //	   CRC-32C   of all before it and of the body, 4 bytes, big endian
 //	   body      CBOR (RFC 8949), maps with small integer keys
 //
-// A key that a reader does not know is skipped, so that a later version may add some: two versions live together.
-// What a later version must not be misread as changes the format. The checksum finds damage; it keeps nobody out.
+// A reader skips keys that it does not know, so that a later version may add some: two versions work together. What a
+// later version must not be misread as changes the format. The checksum finds damage; it is no protection against forgery.
 const (
-	magic      = "vh"
-	format     = 1
-	sharedForm = 2
-	policyForm = 3
-	envelope   = 8 // without the fleet's name
-	datagram   = 2048
-	streamMost = 10 << 20 // bytes of one message on a stream: view.Members records with each field at its longest are 9.5 MB
+	magic            = "vh"
+	membershipFormat = 1
+	sharedFormat     = 2
+	policyFormat     = 3
+
+	formatOffset      = 2
+	fleetLengthOffset = 3
+	fleetOffset       = 4
+	checksumBytes     = 4
+	minEnvelopeBytes  = fleetOffset + checksumBytes
 )
 
-// Why a message was not taken.
+const (
+	// maxDatagramBytes is the largest datagram that is accepted. Larger ones are fragmented by more networks.
+	maxDatagramBytes = 2048
+	// maxStreamBytes is the largest message on a stream: membership.DefaultMaxMembers records with each field at its
+	// longest are 9.5 MB.
+	maxStreamBytes = 10 << 20
+	// frameLengthBytes is the length before a message on a stream, big endian.
+	frameLengthBytes = 4
+
+	// Bounds of the decoder against messages that would exhaust memory: more than any valid message has.
+	maxArrayElements = 1 << 17
+	maxMapPairs      = 64
+	maxNestedLevels  = 16
+)
+
+// Why a message was rejected.
 var (
 	ErrNotOurs       = errors.New("not a message of vetchhaven's")
 	ErrUnknownFormat = errors.New("of a format that this version does not know")
@@ -47,112 +65,127 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	encoding = func() cbor.EncMode {
-		m, err := cbor.EncOptions{}.EncMode()
-		if err != nil {
-			panic("carrier: " + err.Error()) // the options above
-		}
-		return m
-	}()
-	decoding = func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 64, MaxNestedLevels: 16, UTF8: cbor.UTF8RejectInvalid}.DecMode()
-		if err != nil {
-			panic("carrier: " + err.Error())
-		}
-		return m
-	}()
+	encoding = mustMode(cbor.EncOptions{}.EncMode())
+	decoding = mustMode(cbor.DecOptions{
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
+		MaxNestedLevels:  maxNestedLevels,
+		UTF8:             cbor.UTF8RejectInvalid,
+	}.DecMode())
 )
 
-// encode puts a message into an envelope.
-func encode(fleet string, message any) ([]byte, error) { return enclose(format, fleet, message) }
+// mustMode panics where the constant options above are refused.
+func mustMode[T any](mode T, err error) T {
+	if err != nil {
+		panic("transport: " + err.Error())
+	}
+	return mode
+}
 
-func enclose(form byte, fleet string, message any) ([]byte, error) {
+// encodeMembership returns a message of the view in an envelope.
+func encodeMembership(fleet string, message any) ([]byte, error) {
+	return encodeEnvelope(membershipFormat, fleet, message)
+}
+
+// encodeEnvelope returns a message in an envelope.
+func encodeEnvelope(format byte, fleet string, message any) ([]byte, error) {
 	body, err := encoding.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encode: %w", err)
 	}
-	out := make([]byte, 0, envelope+len(fleet)+len(body))
+	out := make([]byte, 0, minEnvelopeBytes+len(fleet)+len(body))
 	out = append(out, magic...)
-	out = append(out, form, byte(len(fleet)))
+	out = append(out, format, byte(len(fleet)))
 	out = append(out, fleet...)
 	sum := crc32.Update(crc32.Checksum(out, castagnoli), castagnoli, body)
 	out = binary.BigEndian.AppendUint32(out, sum)
 	return append(out, body...), nil
 }
 
-// decode opens an envelope. The error is one of those above.
-func decode(fleet string, data []byte, into any) error { return openAs(format, fleet, data, into) }
+// decodeMembership decodes a message of the view. The error is one of those above.
+func decodeMembership(fleet string, data []byte, into any) error {
+	return decodeEnvelope(membershipFormat, fleet, data, into)
+}
 
-// formOf is the format of what came, or 0.
-func formOf(data []byte) byte {
-	if len(data) < envelope || string(data[:2]) != magic {
+// formatOf returns the format of a message, 0 if it is none of ours.
+func formatOf(data []byte) byte {
+	if len(data) < minEnvelopeBytes || string(data[:formatOffset]) != magic {
 		return 0
 	}
-	return data[2]
+	return data[formatOffset]
 }
 
-func openAs(form byte, fleet string, data []byte, into any) error {
+// decodeEnvelope decodes a message of a format. The error is one of those above.
+func decodeEnvelope(format byte, fleet string, data []byte, into any) error {
 	switch {
-	case len(data) < envelope || string(data[:2]) != magic:
+	case len(data) < minEnvelopeBytes || string(data[:formatOffset]) != magic:
 		return ErrNotOurs
-	case data[2] != form:
-		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[2], format, policyForm)
+	case data[formatOffset] != format:
+		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[formatOffset], membershipFormat, policyFormat)
 	}
-	head := 4 + int(data[3])
-	if len(data) < head+4 {
+	fleetEnd := fleetOffset + int(data[fleetLengthOffset])
+	if len(data) < fleetEnd+checksumBytes {
 		return ErrDamaged
 	}
-	sum := crc32.Update(crc32.Checksum(data[:head], castagnoli), castagnoli, data[head+4:])
+	head := data[:fleetEnd]
+	body := data[fleetEnd+checksumBytes:]
+	sum := crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, body)
 	switch {
-	case sum != binary.BigEndian.Uint32(data[head:]):
+	case sum != binary.BigEndian.Uint32(data[fleetEnd:]):
 		return ErrDamaged
-	case string(data[4:head]) != fleet:
-		return fmt.Errorf("%w: %q", ErrOtherFleet, data[4:head])
+	case string(head[fleetOffset:]) != fleet:
+		return fmt.Errorf("%w: %q", ErrOtherFleet, head[fleetOffset:])
 	}
-	if err := decoding.Unmarshal(data[head+4:], into); err != nil {
+	if err := decoding.Unmarshal(body, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
 
-// writeFrame puts one message on a stream: its length in 4 bytes, big endian, and its envelope.
-func writeFrame(w io.Writer, fleet string, x *membership.Exchange) error {
-	data, err := encode(fleet, x)
+// writeExchange writes one exchange message to a stream.
+func writeExchange(w io.Writer, fleet string, x *membership.Exchange) error {
+	data, err := encodeMembership(fleet, x)
 	if err != nil {
 		return err
 	}
-	if len(data) > streamMost {
+	if len(data) > maxStreamBytes {
 		return ErrTooLarge
 	}
-	return writeRaw(w, data)
+	return writeFrame(w, data)
 }
 
-// writeRaw puts an envelope on a stream.
-func writeRaw(w io.Writer, data []byte) error {
-	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...))
+// writeFrame writes an envelope to a stream, after its length.
+func writeFrame(w io.Writer, data []byte) error {
+	_, err := w.Write(frame(data))
 	return err
 }
 
-func readFrame(r io.Reader, fleet string) (*membership.Exchange, error) {
-	data, err := readRaw(r)
+// frame returns an envelope after its length.
+func frame(data []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...)
+}
+
+// readExchange reads one exchange message from a stream.
+func readExchange(r io.Reader, fleet string) (*membership.Exchange, error) {
+	data, err := readFrame(r)
 	if err != nil {
 		return nil, err
 	}
 	x := &membership.Exchange{}
-	return x, decode(fleet, data, x)
+	return x, decodeMembership(fleet, data, x)
 }
 
-// readRaw reads an envelope from a stream.
-func readRaw(r io.Reader) ([]byte, error) {
-	var length [4]byte
+// readFrame reads an envelope from a stream.
+func readFrame(r io.Reader) ([]byte, error) {
+	var length [frameLengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(length[:])
-	if n > streamMost {
+	if n > maxStreamBytes {
 		return nil, ErrTooLarge
 	}
-	var data bytes.Buffer // grows with what comes, not with what is promised
+	var data bytes.Buffer // it grows with what arrives, not with the length that was announced
 	if _, err := io.CopyN(&data, r, int64(n)); err != nil {
 		return nil, err
 	}
