--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -206,8 +206,8 @@
 	d.others.Go(func() { d.awaitReady(ctx) })
 	d.others.Go(func() { d.store.Run(ctx.Done()) })
 	if s := d.policy.store; s != nil {
-		d.others.Go(func() { s.run(ctx.Done()) })
-		defer s.close()
+		d.others.Go(func() { s.Run(ctx.Done()) })
+		defer s.Close()
 	}
 	save := time.NewTicker(saveEvery)
 	defer save.Stop()
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -2,125 +2,17 @@
 
 import (
 	"bytes"
-	"compress/gzip"
 	"encoding/json"
-	"fmt"
-	"io"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
-	"go.etcd.io/bbolt"
-
 	"vetchhaven/internal/host/snapshot"
-	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/testkit/golden"
 )
 
-// storedBuckets are a database's keys and values, a line each.
-func storedBuckets(t *testing.T, path string) []byte {
-	t.Helper()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openWithin})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer db.Close()
-	var out bytes.Buffer
-	err = db.View(func(tx *bbolt.Tx) error {
-		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error {
-				fmt.Fprintf(&out, "%s %x = %x\n", name, k, v)
-				return nil
-			})
-		})
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return out.Bytes()
-}
-
-// unpack lays a golden database into a directory.
-func unpack(t *testing.T, name, dir string) string {
-	t.Helper()
-	in, err := gzip.NewReader(bytes.NewReader(golden.Read(t, name)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	data, err := io.ReadAll(in)
-	if err != nil {
-		t.Fatal(err)
-	}
-	path := filepath.Join(dir, policyFile)
-	if err := os.WriteFile(path, data, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-// The databases of a voter and of a member, as daemons of an earlier build left them: three changes in force, of the whole
-// policy and of two services' parts, and one under way.
-func TestPolicyDatabasesOfEarlierBuildsAreRead(t *testing.T) {
-	for name, is := range map[string]policy.Settings{
-		"voter":  {Name: "d1", RunID: 7, Voters: []string{"d1", "d2", "d3"}},
-		"member": {Name: "d4", RunID: 7, Voters: []string{"d1", "d2", "d3"}, Parts: []string{"both", "near"}},
-	} {
-		t.Run(name, func(t *testing.T) {
-			dir := t.TempDir()
-			path := unpack(t, "policy-"+name+".db.gz", dir)
-			golden.Check(t, "policy-"+name+".keys", storedBuckets(t, path))
-			if err := os.WriteFile(filepath.Join(dir, "host-1.witness"), golden.Read(t, "policy-"+name+".witness"), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			s, disk := opened(t, dir, dir)
-			if !disk.ProvenCurrent {
-				t.Error("the witness of an earlier build proves nothing any more")
-			}
-			node, err := policy.New(is, disk, 1)
-			if err != nil {
-				t.Fatal(err)
-			}
-			node.Step(time.Second)
-			shown, err := json.MarshalIndent(node.Status(), "", " ")
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Check(t, "policy-"+name+".shown", shown)
-			// What was read is written again as it was.
-			s.now(t, policy.Batch{HardState: disk.HardState, Snapshot: disk.Snapshot, Member: disk.Member, Epoch: disk.Epoch})
-			s.close()
-			var was, is []string
-			for _, l := range strings.Split(string(golden.Read(t, "policy-"+name+".keys")), "\n") {
-				if !strings.HasPrefix(l, fmt.Sprintf("meta %x", "writes")) {
-					was = append(was, l)
-				}
-			}
-			for _, l := range strings.Split(string(storedBuckets(t, path)), "\n") {
-				if !strings.HasPrefix(l, fmt.Sprintf("meta %x", "writes")) && !strings.HasPrefix(l, fmt.Sprintf("meta %x = 0000000000000000", "epoch")) {
-					is = append(is, l)
-				}
-			}
-			was = without(was, fmt.Sprintf("meta %x = 0000000000000000", "epoch"))
-			if !reflect.DeepEqual(was, is) {
-				t.Errorf("written again:\n%s\nbefore:\n%s", strings.Join(is, "\n"), strings.Join(was, "\n"))
-			}
-		})
-	}
-}
-
-func without(lines []string, prefix string) (kept []string) {
-	for _, l := range lines {
-		if !strings.HasPrefix(l, prefix) {
-			kept = append(kept, l)
-		}
-	}
-	return kept
-}
-
 // last.state and peers.view, as daemons of an earlier build left them.
 func TestSnapshotsOfEarlierBuildsAreRead(t *testing.T) {
 	for _, name := range []string{"last-voter.state", "last-member.state"} {
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -186,14 +186,14 @@
 			stands, err = transport.EncodeSaved(saved)
 		}
 		if s := d.policy.store; s != nil {
-			s.close()
+			s.Close()
 		}
 	}
 	goOn := func() { // the successor did not come up
 		d.do(func() {
 			d.handing = false
 			if s := d.policy.store; s != nil {
-				if _, err := s.open(); err != nil {
+				if _, err := s.Open(); err != nil {
 					d.log.Error("the policy's file can't be opened again", "error", err)
 				}
 			}
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -13,6 +13,7 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/policystore"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/tomlfile"
@@ -21,7 +22,7 @@
 // agreed is what the daemon knows of the policy that its fleet agrees on. The carrier's loop tells it (served), Run's
 // goroutine goes by it (turn).
 type agreed struct {
-	store  *policyStore
+	store  *policystore.Store
 	disk   policy.StoredState
 	opened bool // disk is as it was read, and nobody has used it yet
 	handed *policy.HandoffState
@@ -65,10 +66,10 @@
 	if p == nil {
 		return
 	}
-	d.policy.store = newPolicyStore(d.cfg.StateDir, p.Witness, d.cfg.Peers.Name, d.log)
+	d.policy.store = policystore.New(d.cfg.StateDir, p.Witness, d.cfg.Peers.Name, d.log)
 	first := &serving{Serving: policy.Serving{Blocked: notKnown}}
 	d.serving.Store(first)
-	disk, err := d.policy.store.open()
+	disk, err := d.policy.store.Open()
 	if err != nil {
 		d.log.Error("what the fleet agreed on can't be read yet; no request is taken until it is, and is tried again", "error", err)
 		return
@@ -142,7 +143,7 @@
 	if d.policy.opened {
 		return nil
 	}
-	disk, err := d.policy.store.reload()
+	disk, err := d.policy.store.Reload()
 	if err != nil {
 		return fmt.Errorf("what the fleet agreed on can't be read: %w", err)
 	}
@@ -178,7 +179,7 @@
 		}
 	}
 	var a *transport.PolicyDriver
-	put := store.writer(func(seq uint64, err error) { a.Persisted(seq, err) })
+	put := store.Writer(func(seq uint64, err error) { a.Persisted(seq, err) })
 	a = transport.NewPolicyDriver(n, put, d.served)
 	return a
 }
--- /dev/null
+++ b/internal/host/policystore/store_test.go
@@ -0,0 +1,188 @@
+package policystore
+
+import (
+	"bytes"
+	"errors"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"vetchhaven/internal/peer/policy"
+)
+
+func openStore(t *testing.T, dir, witnessDir string) (*Store, policy.StoredState) {
+	t.Helper()
+	s := New(dir, witnessDir, "host-1", slog.New(slog.DiscardHandler))
+	d, err := s.Open()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s, d
+}
+
+func writeNow(t *testing.T, s *Store, batch policy.Batch) {
+	t.Helper()
+	if err := s.write(&write{Persist: policy.Persist{Batch: batch}, writer: s.writer}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func entries(texts ...string) [][]byte {
+	var entries [][]byte
+	for _, text := range texts {
+		entries = append(entries, []byte(text))
+	}
+	return entries
+}
+
+func TestBatchesAreReadBack(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "not", "there", "yet")
+	s, d := openStore(t, dir, "")
+	if d.Snapshot != nil || d.Member != nil || d.ProvenCurrent {
+		t.Fatalf("%+v", d)
+	}
+	writeNow(t, s, policy.Batch{HardState: []byte("h"), Snapshot: []byte("s"), FirstIndex: 2, Entries: entries("2", "3", "4"), Epoch: 1})
+	writeNow(t, s, policy.Batch{FirstIndex: 4, Entries: entries("4b", "5"), Member: []byte("m"), Epoch: 1})
+	writeNow(t, s, policy.Batch{CompactBefore: 3})
+	s.Close()
+	s, d = openStore(t, dir, "")
+	if string(d.HardState) != "h" || string(d.Snapshot) != "s" || string(d.Member) != "m" || d.Epoch != 1 || len(d.Entries) != 3 || string(d.Entries[1]) != "4b" {
+		t.Fatalf("%+v", d)
+	}
+	writeNow(t, s, policy.Batch{Wipe: true, Snapshot: []byte("t"), Epoch: 2})
+	s.Close()
+	_, d = openStore(t, dir, "")
+	if d.HardState != nil || len(d.Entries) != 0 || string(d.Snapshot) != "t" || string(d.Member) != "m" || d.Epoch != 2 {
+		t.Errorf("%+v", d)
+	}
+}
+
+func TestOnlyTheLastFileIsProvenCurrent(t *testing.T) {
+	dir, witnessDir := t.TempDir(), t.TempDir()
+	s, _ := openStore(t, dir, witnessDir)
+	writeNow(t, s, policy.Batch{Member: []byte("1")})
+	s.Close()
+	earlier, err := os.ReadFile(filepath.Join(dir, fileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, d := openStore(t, dir, witnessDir)
+	if !d.ProvenCurrent {
+		t.Error("the file as it was left is not proven")
+	}
+	writeNow(t, s, policy.Batch{Member: []byte("2")})
+	writeNow(t, s, policy.Batch{Member: []byte("3")})
+	s.Close()
+	if err := os.WriteFile(filepath.Join(dir, fileName), earlier, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, d = openStore(t, dir, witnessDir)
+	if d.ProvenCurrent || string(d.Member) != "1" {
+		t.Errorf("a file restored from an earlier copy is proven: %q", d.Member)
+	}
+	s.Close()
+	if err := os.RemoveAll(dir); err != nil {
+		t.Fatal(err)
+	}
+	if _, d = openStore(t, dir, witnessDir); d.ProvenCurrent {
+		t.Error("a lost file is proven")
+	}
+}
+
+func TestTornFileIsSetAside(t *testing.T) {
+	dir := t.TempDir()
+	s, _ := openStore(t, dir, "")
+	writeNow(t, s, policy.Batch{Member: []byte("m")})
+	s.Close()
+	path := filepath.Join(dir, fileName)
+	if err := os.Truncate(path, 5000); err != nil {
+		t.Fatal(err)
+	}
+	if _, d := openStore(t, dir, ""); d.Member != nil {
+		t.Errorf("%q", d.Member)
+	}
+	if _, err := os.Stat(path + damagedSuffix); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestSupersededWriterWritesNothing(t *testing.T) {
+	s, _ := openStore(t, t.TempDir(), "")
+	previous := s.writer
+	if _, err := s.Reload(); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.write(&write{Persist: policy.Persist{Batch: policy.Batch{Member: []byte("late")}}, writer: previous}); err == nil {
+		t.Error("written")
+	}
+}
+
+// exhaustDescriptors leaves the process no file descriptor to open until the function that it returns is called.
+func exhaustDescriptors(t *testing.T) (restore func()) {
+	t.Helper()
+	var previous unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
+		t.Fatal(err)
+	}
+	next, err := unix.Dup(0) // the lowest that is free
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = unix.Close(next)
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(next), Max: previous.Max}); err != nil {
+		t.Fatal(err)
+	}
+	return func() {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// A voter must not forget its vote because of a failure of the moment: only a file whose content was read and is wrong is
+// set aside, and a sound one is not written as it is opened.
+func TestOnlyDamagedContentIsSetAside(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, fileName)
+	s, _ := openStore(t, dir, "")
+	writeNow(t, s, policy.Batch{HardState: []byte("voted for b in term 7"), Epoch: 1})
+	s.Close()
+	before, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+
+	s = New(dir, "", "host-1", slog.New(slog.DiscardHandler))
+	restore := exhaustDescriptors(t)
+	_, err = s.Open()
+	restore()
+	if !errors.Is(err, unix.EMFILE) {
+		t.Errorf("without a descriptor: %v", err)
+	}
+	s.Close()
+	if _, err := os.Stat(path + damagedSuffix); err == nil {
+		t.Fatal("a sound file was set aside for want of a descriptor")
+	}
+	s, d := openStore(t, dir, "")
+	s.Close()
+	if string(d.HardState) != "voted for b in term 7" {
+		t.Errorf("the vote is %q", d.HardState)
+	}
+	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
+		t.Errorf("opening a sound file wrote to it: on a full disk it could not be opened (%v)", err)
+	}
+
+	if err := os.WriteFile(path, bytes.Repeat([]byte("x"), len(before)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, d = openStore(t, dir, ""); d.HardState != nil {
+		t.Errorf("%+v", d)
+	}
+	if _, err := os.Stat(path + damagedSuffix); err != nil {
+		t.Errorf("a damaged file was not set aside: %v", err)
+	}
+}
