--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -111,7 +111,7 @@
 	c := &cobra.Command{Use: "limits", Short: "Show the limits that the fleet shares: bounds, use, and where the rights are", Args: cobra.NoArgs,
 		Long: "limits prints what follows from the file for each limit (the most that all agents together ever use, what one may\nuse that is cut off), and, from the running daemon, what it holds and, as a keeper, lends. With --file no daemon is\nasked: it is the file's word alone, for as many agents as are given.",
 		RunE: func(*cobra.Command, []string) error {
-			var s daemon.LimitsNow
+			var s daemon.LimitsStatus
 			if file {
 				cfg, err := daemon.Load(config)
 				if err != nil {
@@ -145,35 +145,35 @@
 	return c
 }
 
-func showLimits(s *daemon.LimitsNow, file bool, out io.Writer) error {
+func showLimits(s *daemon.LimitsStatus, file bool, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d agents\n", s.Agents)
 	fmt.Fprintln(w, "limit\tcounts\tof\tkind\tfigure\tmost\tcut off alone\tterm\tback after\tkeepers")
 	for _, l := range s.Limits {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%gs\t%.2fs\t%s\n", l.Name, l.Counts, l.Scope, l.Kind, l.Figure, l.Most, l.Alone, l.TermS, l.BackS, strings.Join(l.Keepers, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%gs\t%.2fs\t%s\n", l.Name, l.Counts, l.Scope, l.Kind, l.Figure, l.Max, l.IsolatedAmount, l.TermSeconds, l.ReclaimSeconds, strings.Join(l.Servers, ", "))
 	}
 	if err := w.Flush(); err != nil || file {
 		return err
 	}
-	if s.Alone {
+	if s.Isolated {
 		fmt.Fprintln(out, "\nthe part that talks to peers does not run: floors of soft limits hold, and of hard ones nothing once rights have lapsed")
 		return nil
 	}
-	fmt.Fprintf(out, "\nheld by %s\n", s.Now.Name)
+	fmt.Fprintf(out, "\nheld by %s\n", s.Status.Name)
 	fmt.Fprintln(w, "limit\tpart\tused\tturned away in a second\trights")
-	for _, h := range s.Now.Leased {
+	for _, h := range s.Status.Leased {
 		var have []string
 		for _, r := range h.Leases {
 			have = append(have, fmt.Sprintf("%s %d for %.1fs", r.Server, r.Amount, r.RemainingS))
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", h.Limit, h.Key, h.Used, h.Rejected, strings.Join(have, ", "))
 	}
-	if err := w.Flush(); err != nil || len(s.Now.Granted) == 0 {
+	if err := w.Flush(); err != nil || len(s.Status.Granted) == 0 {
 		return err
 	}
-	fmt.Fprintf(out, "\nlent by %s\n", s.Now.Name)
+	fmt.Fprintf(out, "\nlent by %s\n", s.Status.Name)
 	fmt.Fprintln(w, "limit\tpart\tits part\tlent\tlends from\tto")
-	for _, k := range s.Now.Granted {
+	for _, k := range s.Status.Granted {
 		var to []string
 		for _, n := range slices.Sorted(maps.Keys(k.Holders)) {
 			to = append(to, fmt.Sprintf("%s %d", n, k.Holders[n]))
--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -43,7 +43,7 @@
 			_, _ = os.Stdout.Write(body)
 			return err
 		}
-		var s daemon.ShownPolicy
+		var s daemon.PolicyStatus
 		if err := json.Unmarshal(body, &s); err != nil {
 			return exit{1, err}
 		}
@@ -161,12 +161,12 @@
 	return host
 }
 
-func inForce(config string) (*daemon.ShownPolicy, error) {
+func inForce(config string) (*daemon.PolicyStatus, error) {
 	body, err := ask(config, http.MethodGet, "/policy", 10*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	s := &daemon.ShownPolicy{}
+	s := &daemon.PolicyStatus{}
 	return s, json.Unmarshal(body, s)
 }
 
@@ -228,7 +228,7 @@
 
 // changed prints what texts change, and returns the numbers in force of which they are made. What changes nothing is left out,
 // unless all of it does.
-func changed(config string, now *daemon.ShownPolicy, texts map[string]string, out io.Writer) (differ map[string]string, bases map[string]uint64, err error) {
+func changed(config string, now *daemon.PolicyStatus, texts map[string]string, out io.Writer) (differ map[string]string, bases map[string]uint64, err error) {
 	differ, bases = map[string]string{}, map[string]uint64{}
 	for _, part := range slices.Sorted(maps.Keys(texts)) {
 		was, number := now.Body, now.Active.Number
@@ -280,10 +280,10 @@
 	if err != nil || len(texts) == 0 {
 		return err
 	}
-	if len(now.Outside) > 0 {
-		fmt.Fprintf(out, "alive, and not in the roster: %s: the change is not theirs\n", strings.Join(now.Outside, ", "))
+	if len(now.OutsideRoster) > 0 {
+		fmt.Fprintf(out, "alive, and not in the roster: %s: the change is not theirs\n", strings.Join(now.OutsideRoster, ", "))
 	}
-	data, err := json.Marshal(daemon.PolicyChange{Parts: texts, Bases: bases, Reason: f.reason, Author: who() + " at " + now.Name, Without: f.without})
+	data, err := json.Marshal(daemon.PolicyChange{Parts: texts, Bases: bases, Reason: f.reason, Author: who() + " at " + now.Name, Excluded: f.without})
 	if err != nil {
 		return exit{2, err}
 	}
@@ -307,7 +307,7 @@
 		if err != nil {
 			return exit{2, fmt.Errorf("what became of change %s is not known: %w; ask again with: vetchhaven policy status %s", id, err, id)}
 		}
-		var f daemon.PolicyFateShown
+		var f daemon.PolicyChangeStatus
 		if err := json.Unmarshal(body, &f); err != nil {
 			return exit{2, err}
 		}
@@ -345,7 +345,7 @@
 	return ": " + why
 }
 
-func showPolicy(s *daemon.ShownPolicy, part string, out io.Writer) {
+func showPolicy(s *daemon.PolicyStatus, part string, out io.Writer) {
 	f := s.Active
 	if f.Number == 0 {
 		fmt.Fprintf(out, "no policy was agreed on yet: each daemon serves by its own file\n")
@@ -357,8 +357,8 @@
 		fmt.Fprintf(out, ", for %v more unless a voter answers", s.Until.Round(time.Millisecond))
 	}
 	fmt.Fprintf(out, "; instances go by policy %d\n", s.Applied)
-	if s.Unfit != "" {
-		fmt.Fprintln(out, s.Unfit)
+	if s.Unservable != "" {
+		fmt.Fprintln(out, s.Unservable)
 	}
 	if s.Pending != "" {
 		fmt.Fprintln(out, "has change", s.Pending, "on its disk, which is under way")
@@ -374,8 +374,8 @@
 	if s.Votes != "" {
 		fmt.Fprintf(out, "votes: %s; roster: %s\n", s.Votes, strings.Join(s.Roster, ", "))
 	}
-	if len(s.Outside) > 0 {
-		fmt.Fprintf(out, "alive, and not in the roster: %s: without [policy] they go by their own files\n", strings.Join(s.Outside, ", "))
+	if len(s.OutsideRoster) > 0 {
+		fmt.Fprintf(out, "alive, and not in the roster: %s: without [policy] they go by their own files\n", strings.Join(s.OutsideRoster, ", "))
 	}
 	if s.Epoch > 0 {
 		fmt.Fprintf(out, "rescued %d times\n", s.Epoch)
--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -66,7 +66,7 @@
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
-	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, ClockOff: clockOff, Inherit: before.Sockets, State: before.State,
+	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, WallSkew: clockOff, Inherit: before.Sockets, State: before.State,
 		Ready: func() {
 			log.Info("ready", "instances", len(cfg.Instances), "pid", os.Getpid())
 			if err := before.Ready(); err != nil {
@@ -83,7 +83,7 @@
 			defer context.AfterFunc(stop, end)()
 			cmd := exec.Command(self, os.Args[1:]...)
 			cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-			return daemon.Successor(either, cmd, sockets, state, daemon.ReadyWithin)
+			return daemon.Successor(either, cmd, sockets, state, daemon.ReadyTimeout)
 		}})
 	if err != nil {
 		return exit{1, err}
--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -47,21 +47,21 @@
 
 // Status tells how the daemon stands.
 func (d *Daemon) Status() (s Status, ok bool) {
-	ok = d.do(func() { s = d.status() })
+	ok = d.call(func() { s = d.status() })
 	return s, ok
 }
 
 func (d *Daemon) status() Status {
 	s := Status{PID: os.Getpid(), Up: d.now().Seconds(), State: "serving", Reloads: d.reloads, Instances: []InstanceStatus{}}
-	if d.handing {
+	if d.handingOver {
 		s.State = "handing over"
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s.Memory = m.HeapAlloc
-	for name, p := range d.parts {
-		i := InstanceStatus{Name: name, Listen: p.spec.Listen.String(), Totals: p.past}
-		st := d.sup.State(name)
+	for name, p := range d.instances {
+		i := InstanceStatus{Name: name, Listen: p.spec.Listen.String(), Totals: p.pastTotals}
+		st := d.supervisor.State(name)
 		i.Failures, i.Reason = st.TotalFailures, st.LastReason
 		switch {
 		case st.Phase == supervise.Down:
@@ -77,9 +77,9 @@
 				i.State = "ready"
 				s.Ready++
 			}
-			i.Totals = sum(p.past, p.agent.Totals())
+			i.Totals = addTotals(p.pastTotals, p.agent.Totals())
 		}
-		s.Totals = sum(s.Totals, i.Totals)
+		s.Totals = addTotals(s.Totals, i.Totals)
 		s.Instances = append(s.Instances, i)
 	}
 	slices.SortFunc(s.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.Name, b.Name) })
@@ -87,16 +87,16 @@
 		s.Lists = append(s.Lists, h.State())
 	}
 	slices.SortFunc(s.Lists, func(a, b discovery.HubState) int { return strings.Compare(a.Addr, b.Addr) })
-	if d.store.Failed() {
+	if d.snapshots.Failed() {
 		s.Saving = "the state directory can't be written"
 	}
 	return s
 }
 
-// agentsCounted is what the instances that run have counted since their starts.
-func (d *Daemon) agentsCounted() (all []metrics.Agent) {
-	d.do(func() {
-		for name, p := range d.parts {
+// agentCounters is what the instances that run have counted since their starts.
+func (d *Daemon) agentCounters() (all []metrics.Agent) {
+	d.call(func() {
+		for name, p := range d.instances {
 			if p.agent != nil {
 				all = append(all, metrics.Agent{Name: name, Totals: p.agent.Totals(), Counters: p.agent.Counters()})
 			}
@@ -134,14 +134,14 @@
 			}
 			short["not_ready"] = names[:min(20, len(names))]
 			reply(w, http.StatusServiceUnavailable, short)
-		case !d.knowsPolicy():
+		case !d.policyAdmits():
 			short["policy"] = "no request is taken: see vetchhaven policy show"
 			reply(w, http.StatusServiceUnavailable, short)
 		default:
 			reply(w, http.StatusOK, short)
 		}
 	})
-	mux.Handle("GET /metrics", metrics.Handler(d.agentsCounted))
+	mux.Handle("GET /metrics", metrics.Handler(d.agentCounters))
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		if s, ok := d.Status(); ok {
 			reply(w, http.StatusOK, s)
@@ -165,7 +165,7 @@
 		}
 	})
 	mux.HandleFunc("GET /fleet/view", func(w http.ResponseWriter, _ *http.Request) {
-		if s, ok := d.View(); ok {
+		if s, ok := d.MembershipStatus(); ok {
 			reply(w, http.StatusOK, s)
 		} else {
 			fail(w, http.StatusNotFound, errors.New("this daemon has no view of a fleet: [peers] is not in its file, or is being started"))
@@ -179,15 +179,15 @@
 		}
 	})
 	mux.HandleFunc("GET /fleet/verdicts", func(w http.ResponseWriter, _ *http.Request) {
-		if s, ok := d.Verdicts(); ok {
+		if s, ok := d.EjectionStatus(); ok {
 			reply(w, http.StatusOK, s)
 		} else {
 			fail(w, http.StatusNotFound, errors.New("this daemon shares no verdicts: [peers] is not in its file, says verdicts = false, or is being started"))
 		}
 	})
-	d.policyCalls(mux, reply, fail)
+	d.handlePolicy(mux, reply, fail)
 	mux.HandleFunc("POST /fleet/forget", func(w http.ResponseWriter, r *http.Request) {
-		if err := d.Forget(r.FormValue("name")); err != nil {
+		if err := d.ForgetMember(r.FormValue("name")); err != nil {
 			fail(w, http.StatusUnprocessableEntity, err)
 		} else {
 			reply(w, http.StatusOK, map[string]string{"forgotten": r.FormValue("name")})
@@ -199,7 +199,7 @@
 		d.log.Error("admin", "error", err)
 		return server
 	}
-	d.others.Go(func() {
+	d.background.Go(func() {
 		if err := server.Serve(core.NewSteadyListener(ln)); !errors.Is(err, http.ErrServerClosed) {
 			d.log.Error("admin", "error", err)
 		}
--- a/internal/host/daemon/checker.go
+++ b/internal/host/daemon/checker.go
@@ -13,42 +13,42 @@
 
 type checker struct {
 	*tomlfile.File
-	over   *overlay            // a policy, of which some keys are; nil: none
-	placed map[string]placedAt // of the classes of the service that is looked at
-	err    error
+	overlay *Overlay               // a policy, of which some keys are; nil: none
+	origins map[string]tableOrigin // of the classes of the service that is looked at
+	err     error
 }
 
-// of is where a key stands, and by which key there: in the daemon's file, in the part of the policy for all, or in a service's.
-func (c *checker) of(key string) (*tomlfile.File, string) {
+// locate is where a key stands, and by which key there: in the daemon's file, in the part of the policy for all, or in a service's.
+func (c *checker) locate(key string) (*tomlfile.File, string) {
 	if end := strings.Index(key, "]"); end >= 0 {
-		at, ok := c.placed[key[:end+1]]
-		if !ok && c.over != nil {
-			at, ok = c.over.placed[key[:end+1]]
+		at, ok := c.origins[key[:end+1]]
+		if !ok && c.overlay != nil {
+			at, ok = c.overlay.origins[key[:end+1]]
 		}
 		if ok && at.file != nil {
 			return at.file, at.key + key[end+1:]
 		}
 	}
-	if c.over.holds(key) {
-		return c.over.file, key
+	if c.overlay.hasKey(key) {
+		return c.overlay.file, key
 	}
 	return c.File, key
 }
 
 // Has reports whether a key is set.
 func (c *checker) Has(key string) bool {
-	file, at := c.of(key)
+	file, at := c.locate(key)
 	return file.Has(at)
 }
 
 func (c *checker) fail(key, format string, args ...any) {
 	if c.err == nil {
-		file, at := c.of(key)
+		file, at := c.locate(key)
 		c.err = file.Errorf(at, format, args...)
 	}
 }
 
-func (c *checker) wait(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
+func (c *checker) duration(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
 	if d.D() < 0 {
 		c.fail(key, "%v is negative", d)
 	}
@@ -58,15 +58,15 @@
 	return d.D()
 }
 
-func (c *checker) span(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
-	v := c.wait(key, d, instead)
+func (c *checker) positiveDuration(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
+	v := c.duration(key, d, instead)
 	if v <= 0 {
 		c.fail(key, "%v: a time above 0 is needed", v)
 	}
 	return v
 }
 
-func (c *checker) name(key, name string, known []string) int {
+func (c *checker) choice(key, name string, known []string) int {
 	i := slices.Index(known, name)
 	if i < 0 {
 		c.fail(key, "%q is none of %s", name, strings.Join(known, ", "))
--- a/internal/host/daemon/config.go
+++ b/internal/host/daemon/config.go
@@ -21,24 +21,24 @@
 
 // Config is a file, checked whole and turned into what the daemon uses.
 type Config struct {
-	Path      string
-	Admin     Address
-	StateDir  string // "": nothing is saved
-	StateMost time.Duration
-	Sources   map[string]Source
-	Instances []Instance // by name
-	Supervise supervise.Settings
-	MemoryMB  int // of the process; 0: not bounded
-	Sockets   int // of the process
-	Drain     time.Duration
-	Balancers int    // of the whole fleet, as the file has it
-	Peers     *Peers // nil: the daemon stands alone
-	Limits    *Limits
-	Bans      []Ban
-	Policy    *Agree // nil: none is agreed on
+	Path        string
+	Admin       Address
+	StateDir    string // "": nothing is saved
+	MaxStateAge time.Duration
+	Sources     map[string]Source
+	Instances   []Instance // by name
+	Supervise   supervise.Settings
+	MemoryMB    int // of the process; 0: not bounded
+	Sockets     int // of the process
+	Drain       time.Duration
+	Balancers   int    // of the whole fleet, as the file has it
+	Peers       *Peers // nil: the daemon stands alone
+	Limits      *Limits
+	Bans        []Ban
+	Policy      *PolicySettings // nil: none is agreed on
 
-	data []byte   // the file's own text
-	over *overlay // the policy that is laid over it; nil: none
+	text    []byte   // the file's own text
+	overlay *Overlay // the policy that is laid over it; nil: none
 }
 
 // Address is where something listens.
@@ -79,17 +79,17 @@
 	LDAP   *ldap.Options // where it speaks LDAP; else HTTP/1.1
 }
 
-// same reports whether nothing but the source of its list differs: that can change in place.
-func (i Instance) same(o Instance) bool {
+// equalExceptSource reports whether nothing but the source of its list differs: that can change in place.
+func (i Instance) equalExceptSource(o Instance) bool {
 	i.Source, o.Source = "", ""
 	return reflect.DeepEqual(i, o)
 }
 
 const (
-	mostInstances = 10000
-	leastShare    = 16 // sockets of an instance at the least: clients' and servers' together
-	ownSockets    = 64 // of the process itself
-	tickless      = 5 * time.Millisecond
+	maxInstances   = 10000
+	minSocketShare = 16 // sockets of an instance at the least: clients' and servers' together
+	processSockets = 64 // of the process itself
+	defaultMargin  = 5 * time.Millisecond
 )
 
 // Load reads and checks the file at path.
@@ -102,33 +102,33 @@
 }
 
 // build reads and checks a file's text with a policy laid over it, which may be nil.
-func build(path string, data []byte, over *overlay) (*Config, error) {
-	var f file
+func build(path string, data []byte, over *Overlay) (*Config, error) {
+	var f fileTables
 	t, err := tomlfile.Parse(path, data, &f)
 	if err != nil {
 		return nil, err
 	}
-	if err := over.lay(&f); err != nil {
+	if err := over.applyTo(&f); err != nil {
 		return nil, err
 	}
 	cfg, err := check(t, &f, over)
 	if err == nil {
-		cfg.data, cfg.over = data, over
+		cfg.text, cfg.overlay = data, over
 	}
 	return cfg, err
 }
 
-func check(t *tomlfile.File, f *file, over *overlay) (*Config, error) {
-	c := &checker{File: t, over: over}
+func check(t *tomlfile.File, f *fileTables, over *Overlay) (*Config, error) {
+	c := &checker{File: t, overlay: over}
 	cfg := &Config{Path: t.Path, StateDir: f.StateDir, Sources: map[string]Source{}, MemoryMB: f.Limits.MemoryMB}
 	if f.StateDir != "" && !filepath.IsAbs(f.StateDir) {
 		cfg.StateDir = filepath.Join(filepath.Dir(t.Path), f.StateDir)
 	}
-	cfg.StateMost = c.span("state_max_age", f.StateMost, time.Hour)
-	cfg.Drain = c.wait("drain", f.Drain, 0)
+	cfg.MaxStateAge = c.positiveDuration("state_max_age", f.MaxStateAge, time.Hour)
+	cfg.Drain = c.duration("drain", f.Drain, 0)
 	cfg.Admin = c.address("admin", f.Admin)
-	cfg.Supervise = supervise.Settings{FirstWait: c.wait("restart.first", f.Restart.First, 0), MaxWait: c.wait("restart.most", f.Restart.Most, 0),
-		HealthyAfter: c.wait("restart.healthy", f.Restart.Healthy, 0), MaxFailures: f.Restart.GiveUp}
+	cfg.Supervise = supervise.Settings{FirstWait: c.duration("restart.first", f.Restart.First, 0), MaxWait: c.duration("restart.most", f.Restart.Most, 0),
+		HealthyAfter: c.duration("restart.healthy", f.Restart.Healthy, 0), MaxFailures: f.Restart.GiveUp}
 	if f.Restart.GiveUp < 0 {
 		c.fail("restart.give_up", "%d is negative", f.Restart.GiveUp)
 	}
@@ -164,9 +164,9 @@
 		} else if s.Group != "" {
 			c.hostPort(at("group"), s.Group)
 		}
-		cfg.Sources[s.Name] = Source{Name: s.Name, Multicast: s.Multicast, Group: s.Group, SRV: s.SRV, Browse: s.Browse, Resolvers: s.Resolvers, Hold: c.span(at("hold"), s.Hold, time.Hour),
-			List: s.List, Spread: c.wait(at("spread"), s.Spread, 300*time.Millisecond),
-			First: c.wait(at("first"), s.First, 500*time.Millisecond)}
+		cfg.Sources[s.Name] = Source{Name: s.Name, Multicast: s.Multicast, Group: s.Group, SRV: s.SRV, Browse: s.Browse, Resolvers: s.Resolvers, Hold: c.positiveDuration(at("hold"), s.Hold, time.Hour),
+			List: s.List, Spread: c.duration(at("spread"), s.Spread, 300*time.Millisecond),
+			First: c.duration(at("first"), s.First, 500*time.Millisecond)}
 	}
 	if len(f.Source) == 0 {
 		c.fail("source", "at least one [[source]] is needed")
@@ -182,9 +182,9 @@
 		return nil, c.err
 	}
 	c.instances(f, cfg, settings, classes)
-	cfg.Policy = c.agree(f, cfg)
+	cfg.Policy = c.policy(f, cfg)
 	if c.err == nil {
-		c.shares(f, cfg)
+		c.resourceShares(f, cfg)
 	}
 	if c.err != nil {
 		return nil, c.err
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -35,65 +35,65 @@
 	// PeerFault is called in each step of the view of the fleet, and may make it panic: tests do.
 	PeerFault func()
 	Program   string        // its version, told to peers
-	ClockOff  time.Duration // a drill's: by which the wall clock is off
+	WallSkew  time.Duration // a drill's: by which the wall clock is off
 }
 
 // Daemon is a fleet of instances. One goroutine, Run's, owns all of it.
 type Daemon struct {
-	o        Options
-	cfg      *Config
-	log      *slog.Logger
-	base     time.Time
-	calls    chan func() // for Run's goroutine
-	done     chan struct{}
-	sockets  map[Address]net.Listener // nobody accepts on these: instances do, on copies
-	packets  map[string]*net.UDPConn  // for peers, by address; nobody reads from these
-	peering  *peering                 // nil: the daemon stands alone, or this is being started
-	saw      *transport.Saved         // from the daemon before
-	count    atomic.Pointer[membership.Size]
-	before   *transport.Transport    // while another takes its place in this process
-	sharing  atomic.Pointer[peering] // the peering, for instances' loops
-	agents   sync.Map                // hosted by number, for the carrier's loop
-	closing  sync.Map                // agents that are being replaced under another policy
-	verdicts atomic.Pointer[held]
-	numbers  atomic.Uint32
-	counted  chan struct{} // the count has changed
-	policied chan struct{} // there is a new word on what to serve by
-	policy   agreed
-	holds    atomic.Pointer[[]string] // the parts of the policy that it is to hold
-	serving  atomic.Pointer[serving]  // nil: no policy is agreed on
-	host     atomic.Pointer[hostText] // the daemon's own file
-	lease    time.Duration
-	hubs     map[string]*hub
-	parts    map[string]*part
-	sup      *supervise.Supervisor
-	store    *store
-	memory   map[string]*core.Memory // from the last state
-	given    map[string]*discovery.Members
-	running  sync.WaitGroup // instances, draining ones too
-	others   sync.WaitGroup
-	stop     context.Context
-	reloads  int
-	handing  bool
-	seed     *rand.Rand
+	options         Options
+	cfg             *Config
+	log             *slog.Logger
+	startedAt       time.Time
+	calls           chan func() // for Run's goroutine
+	done            chan struct{}
+	listeners       map[Address]net.Listener // nobody accepts on these: instances do, on copies
+	packetConns     map[string]*net.UDPConn  // for peers, by address; nobody reads from these
+	peering         *peering                 // nil: the daemon stands alone, or this is being started
+	savedPeers      *transport.Saved         // from the daemon before
+	size            atomic.Pointer[membership.Size]
+	previous        *transport.Transport    // while another takes its place in this process
+	activePeering   atomic.Pointer[peering] // the peering, for instances' loops
+	agents          sync.Map                // hosted by number, for the carrier's loop
+	replaced        sync.Map                // agents that are being replaced under another policy
+	ejections       atomic.Pointer[ejectionSet]
+	lastAgentNumber atomic.Uint32
+	sizeChanged     chan struct{} // the count has changed
+	servingUpdated  chan struct{} // there is a new word on what to serve by
+	policy          policyState
+	heldParts       atomic.Pointer[[]string]     // the parts of the policy that it is to hold
+	serving         atomic.Pointer[servingState] // nil: no policy is agreed on
+	ownFile         atomic.Pointer[ownFile]      // the daemon's own file
+	policyLease     time.Duration
+	hubs            map[string]*hub
+	instances       map[string]*hostedInstance
+	supervisor      *supervise.Supervisor
+	snapshots       *snapshotStore
+	memories        map[string]*core.Memory // from the last state
+	savedLists      map[string]*discovery.Members
+	running         sync.WaitGroup // instances, draining ones too
+	background      sync.WaitGroup
+	ctx             context.Context
+	reloads         int
+	handingOver     bool
+	rng             *rand.Rand
 }
 
-// readyWait is how long a start waits for lists: the list service may be down, and the saved one, or
+// readyTimeout is how long a start waits for lists: the list service may be down, and the saved one, or
 // none, serves then.
-const readyWait = 5 * time.Second
+const readyTimeout = 5 * time.Second
 
 // New opens what a daemon needs: sockets, inherited or new, and its last state. Nothing runs yet.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{o: o, cfg: o.Config, log: o.Log, base: time.Now(), calls: make(chan func(), 64), done: make(chan struct{}),
-		sockets: map[Address]net.Listener{}, packets: map[string]*net.UDPConn{}, counted: make(chan struct{}, 1), policied: make(chan struct{}, 1), hubs: map[string]*hub{}, parts: map[string]*part{},
-		memory: map[string]*core.Memory{}, given: map[string]*discovery.Members{},
-		seed: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
-	d.sup = supervise.New(o.Config.Supervise, d.seed.Uint64())
-	d.store = newStore(o.Config.StateDir, o.Log)
-	d.restore()
-	d.host.Store(&hostText{d.cfg.Path, d.cfg.data})
+	d := &Daemon{options: o, cfg: o.Config, log: o.Log, startedAt: time.Now(), calls: make(chan func(), 64), done: make(chan struct{}),
+		listeners: map[Address]net.Listener{}, packetConns: map[string]*net.UDPConn{}, sizeChanged: make(chan struct{}, 1), servingUpdated: make(chan struct{}, 1), hubs: map[string]*hub{}, instances: map[string]*hostedInstance{},
+		memories: map[string]*core.Memory{}, savedLists: map[string]*discovery.Members{},
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	d.supervisor = supervise.New(o.Config.Supervise, d.rng.Uint64())
+	d.snapshots = newSnapshotStore(o.Config.StateDir, o.Log)
+	d.restoreSnapshot()
+	d.ownFile.Store(&ownFile{d.cfg.Path, d.cfg.text})
 	if d.cfg.Policy != nil {
-		d.lease = d.cfg.Policy.Lease
+		d.policyLease = d.cfg.Policy.Lease
 	}
 	d.openPolicy()
 	for a, f := range o.Inherit {
@@ -104,7 +104,7 @@
 				return nil, fmt.Errorf("inherited socket %s: %w", a, err)
 			}
 			_ = f.Close()
-			d.packets[a.Addr] = u.(*net.UDPConn)
+			d.packetConns[a.Addr] = u.(*net.UDPConn)
 			continue
 		}
 		ln, err := net.FileListener(f)
@@ -113,7 +113,7 @@
 			return nil, fmt.Errorf("inherited socket %s: %w", a, err)
 		}
 		_ = f.Close()
-		d.sockets[a] = ln
+		d.listeners[a] = ln
 	}
 	if _, err := d.listen(d.cfg); err != nil {
 		d.closeSockets()
@@ -122,16 +122,16 @@
 	return d, nil
 }
 
-// restore takes over the last state, as far as it may be believed.
-func (d *Daemon) restore() {
-	data, from := d.o.State, "the daemon before"
+// restoreSnapshot takes over the last state, as far as it may be believed.
+func (d *Daemon) restoreSnapshot() {
+	data, from := d.options.State, "the daemon before"
 	saved := data == nil
 	if saved {
-		if data, from = d.store.read(); data == nil {
+		if data, from = d.snapshots.read(); data == nil {
 			return
 		}
 	}
-	s, err := snapshot.Decode(data, moment(), d.cfg.StateMost)
+	s, err := snapshot.Decode(data, now(), d.cfg.MaxStateAge)
 	if err != nil {
 		d.log.Warn("the last state is not used", "from", from, "error", err)
 		return
@@ -140,20 +140,20 @@
 		s.DropTransient()
 	}
 	if !saved && len(s.Peers) > 0 {
-		if d.saw, err = transport.DecodeSaved(s.Peers); err != nil {
+		if d.savedPeers, err = transport.DecodeSaved(s.Peers); err != nil {
 			d.log.Warn("the view of the fleet is not taken over", "error", err)
-		} else if d.saw.Policy != nil {
-			h := *d.saw.Policy
-			h.LeaseRemaining -= time.Duration(transport.MonotonicNanos() - d.saw.PolicyNanos) // since the process before said so
-			d.policy.handed = &h
+		} else if d.savedPeers.Policy != nil {
+			h := *d.savedPeers.Policy
+			h.LeaseRemaining -= time.Duration(transport.MonotonicNanos() - d.savedPeers.PolicyNanos) // since the process before said so
+			d.policy.handoff = &h
 		}
 	}
 	for list, m := range s.Sources {
-		d.given[list] = m
+		d.savedLists[list] = m
 	}
 	for name, m := range s.Instances {
 		if m != nil {
-			d.memory[name] = m
+			d.memories[name] = m
 		}
 	}
 	d.log.Info("last state", "from", from, "lists", len(s.Sources), "instances", len(s.Instances),
@@ -161,10 +161,10 @@
 }
 
 // now is the daemon's monotonic time.
-func (d *Daemon) now() time.Duration { return time.Since(d.base) }
+func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
-// do has f run on Run's goroutine, and waits. It reports false where the daemon has ended.
-func (d *Daemon) do(f func()) bool {
+// call has f run on Run's goroutine, and waits. It reports false where the daemon has ended.
+func (d *Daemon) call(f func()) bool {
 	ran := make(chan struct{})
 	select {
 	case d.calls <- func() { f(); close(ran) }:
@@ -179,8 +179,8 @@
 	}
 }
 
-// later has f run on Run's goroutine, without waiting.
-func (d *Daemon) later(f func()) {
+// post has f run on Run's goroutine, without waiting.
+func (d *Daemon) post(f func()) {
 	select {
 	case d.calls <- f:
 	case <-d.done:
@@ -191,31 +191,31 @@
 // answered.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	d.stop = ctx
-	admin := d.serveAdmin(d.sockets[d.cfg.Admin])
-	d.follow(d.cfg)
+	d.ctx = ctx
+	admin := d.serveAdmin(d.listeners[d.cfg.Admin])
+	d.followSources(d.cfg)
 	var names []string
 	for _, i := range d.cfg.Instances {
-		d.parts[i.Name] = &part{spec: i}
+		d.instances[i.Name] = &hostedInstance{spec: i}
 		names = append(names, i.Name)
 	}
 	for _, n := range names {
 		d.start(n)
 	}
-	d.meet(d.saw, 0)
-	d.others.Go(func() { d.awaitReady(ctx) })
-	d.others.Go(func() { d.store.Run(ctx.Done()) })
+	d.startPeering(d.savedPeers, 0)
+	d.background.Go(func() { d.awaitReady(ctx) })
+	d.background.Go(func() { d.snapshots.Run(ctx.Done()) })
 	if s := d.policy.store; s != nil {
-		d.others.Go(func() { s.Run(ctx.Done()) })
+		d.background.Go(func() { s.Run(ctx.Done()) })
 		defer s.Close()
 	}
-	save := time.NewTicker(saveEvery)
+	save := time.NewTicker(saveInterval)
 	defer save.Stop()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	handed := false
 	for !handed && stop.Err() == nil {
-		if at, any := d.sup.NextAt(); any {
+		if at, any := d.supervisor.NextAt(); any {
 			wake.Reset(max(0, at-d.now()))
 		} else {
 			wake.Stop()
@@ -227,30 +227,30 @@
 			d.supervise()
 		case <-save.C:
 			d.save()
-		case <-d.counted:
-			d.share()
-		case <-d.policied:
-			d.turn()
+		case <-d.sizeChanged:
+			d.updateInstances()
+		case <-d.servingUpdated:
+			d.switchPolicy()
 		case <-stop.Done():
 		}
-		handed = d.handing && d.o.Upgrade == nil
+		handed = d.handingOver && d.options.Upgrade == nil
 	}
 	d.log.Info("stopping", "handed_over", handed)
 	if !handed {
 		d.save()
 	}
-	for _, p := range d.parts {
-		if p.end != nil {
-			p.end()
+	for _, p := range d.instances {
+		if p.stop != nil {
+			p.stop()
 		}
 	}
-	for _, ln := range d.sockets { // a successor has copies
+	for _, ln := range d.listeners { // a successor has copies
 		if u, ok := ln.(*net.UnixListener); ok && !handed {
 			u.SetUnlinkOnClose(true)
 		}
 		_ = ln.Close()
 	}
-	for _, u := range d.packets {
+	for _, u := range d.packetConns {
 		_ = u.Close()
 	}
 	drained := make(chan struct{})
@@ -264,11 +264,11 @@
 		}
 	}
 	if p := d.peering; p != nil && !handed { // nothing is sent from here any more
-		p.carrier.Leave(leaveWait)
+		p.transport.Leave(leaveTimeout)
 	}
 	cancel()
 	for _, h := range d.hubs {
-		h.end()
+		h.stop()
 	}
 	close(d.done)
 	answering, enough := context.WithTimeout(context.Background(), time.Second)
@@ -276,7 +276,7 @@
 	enough()
 	_ = admin.Close()
 	ended := make(chan struct{})
-	go func() { d.others.Wait(); close(ended) }()
+	go func() { d.background.Wait(); close(ended) }()
 	select {
 	case <-ended:
 	case <-time.After(3 * time.Second): // everything is answered: nothing else may keep the process
@@ -291,9 +291,9 @@
 
 // awaitReady calls Ready once each hub has a list and each instance that runs has heard it.
 func (d *Daemon) awaitReady(ctx context.Context) {
-	limit := time.After(readyWait)
+	limit := time.After(readyTimeout)
 	var hubs []*hub
-	d.do(func() {
+	d.call(func() {
 		for _, h := range d.hubs {
 			hubs = append(hubs, h)
 		}
@@ -310,11 +310,11 @@
 	look := time.NewTicker(2 * time.Millisecond)
 	defer look.Stop()
 	for heard := false; !heard; {
-		d.do(func() {
+		d.call(func() {
 			heard = true
-			for _, p := range d.parts {
+			for _, p := range d.instances {
 				told := d.hubs[p.spec.Source].Snapshot()
-				heard = heard && d.knowsPolicy() && (p.agent == nil || p.agent.Ready() || told == nil || len(told.Servers) == 0)
+				heard = heard && d.policyAdmits() && (p.agent == nil || p.agent.Ready() || told == nil || len(told.Servers) == 0)
 			}
 		})
 		select {
@@ -325,7 +325,7 @@
 			return
 		}
 	}
-	if d.o.Ready != nil {
-		d.o.Ready()
+	if d.options.Ready != nil {
+		d.options.Ready()
 	}
 }
--- a/internal/host/daemon/daemon_test.go
+++ b/internal/host/daemon/daemon_test.go
@@ -575,8 +575,8 @@
 	y.config(y.instance("a"))
 	r := y.start(Options{})
 	y.wantServed("a")
-	r.do(r.save)
-	saved := filepath.Join(y.dir, "state", stateFile)
+	r.call(r.save)
+	saved := filepath.Join(y.dir, "state", snapshotFile)
 	eventually(t, "a state", func() bool { _, err := os.Stat(saved); return err == nil })
 	data, err := os.ReadFile(saved) // what a kill would have left
 	if err != nil {
@@ -632,7 +632,7 @@
 			y := newYard(t, s.Member("ready"))
 			y.extra = `state_dir = "state"`
 			y.config(y.instance("a"))
-			saved := filepath.Join(y.dir, "state", stateFile)
+			saved := filepath.Join(y.dir, "state", snapshotFile)
 			if err := os.MkdirAll(filepath.Dir(saved), 0o700); err != nil {
 				t.Fatal(err)
 			}
@@ -646,8 +646,8 @@
 			r := y.start(Options{})
 			y.wantServed("a")
 			for range 3 {
-				r.do(r.save)
-				r.store.Flush()
+				r.call(r.save)
+				r.snapshots.Flush()
 			}
 			if n := y.log.count("last state is not used") + y.log.count("last state can't be read"); n != 1 {
 				t.Errorf("said %d times", n)
@@ -700,7 +700,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, y.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", ownSockets+6+2*leastShare), 1))
+	writeFile(t, y.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", processSockets+6+2*minSocketShare), 1))
 	y.start(Options{})
 	var held []net.Conn
 	defer func() {
@@ -708,7 +708,7 @@
 			c.Close()
 		}
 	}()
-	for range 4 * leastShare { // silent ones: most wait in the kernel's queue
+	for range 4 * minSocketShare { // silent ones: most wait in the kernel's queue
 		c, err := net.DialTimeout("unix", y.sock("flooded"), time.Second)
 		if err != nil {
 			break
--- a/internal/host/daemon/file.go
+++ b/internal/host/daemon/file.go
@@ -4,12 +4,12 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-type file struct {
-	Admin     string
-	StateDir  string            `toml:"state_dir"`
-	StateMost tomlfile.Duration `toml:"state_max_age"`
-	Drain     tomlfile.Duration `toml:"drain"`
-	Limits    struct {
+type fileTables struct {
+	Admin       string
+	StateDir    string            `toml:"state_dir"`
+	MaxStateAge tomlfile.Duration `toml:"state_max_age"`
+	Drain       tomlfile.Duration `toml:"drain"`
+	Limits      struct {
 		MemoryMB int `toml:"memory_mb"`
 		Sockets  int
 	}
@@ -19,35 +19,35 @@
 		Healthy tomlfile.Duration
 		GiveUp  int `toml:"give_up"`
 	}
-	Peers    *peers
-	Policy   *agree
-	Ban      []ban
-	Limit    []limit
-	Source   []source
-	Site     site
-	Rules    rules
-	Class    []class
+	Peers    *peersTable
+	Policy   *policyTable
+	Ban      []banTable
+	Limit    []limitTable
+	Source   []sourceTable
+	Site     siteTable
+	Rules    rulesTable
+	Class    []classTable
 	LDAP     ldapTable `toml:"ldap"`
-	Defaults instance
-	Instance []instance
-	Template []template
+	Defaults instanceTable
+	Instance []instanceTable
+	Template []templateTable
 }
 
-// limit is [[limit]]: one that the fleet shares.
-type limit struct {
-	Name   string
-	Counts string
-	Kind   string
-	Figure int
-	Floor  float64
-	Class  string
-	Zone   string
-	Pod    *int
-	Server string
-	Each   string
+// limitTable is [[limit]]: one that the fleet shares.
+type limitTable struct {
+	Name      string
+	Counts    string
+	Kind      string
+	Total     int `toml:"figure"`
+	Floor     float64
+	Class     string
+	Zone      string
+	Pod       *int
+	Server    string
+	Partition string `toml:"each"`
 }
 
-type source struct {
+type sourceTable struct {
 	Name      string
 	List      string
 	Spread    tomlfile.Duration
@@ -60,37 +60,37 @@
 	Hold      tomlfile.Duration
 }
 
-type site struct {
+type siteTable struct {
 	Zones  []string
 	Kinds  []string
 	ByWork bool `toml:"by_work"`
 }
 
-type rules struct {
-	Balancers      int
-	MaxAttempts    int               `toml:"max_attempts"`
-	SecondCopies   bool              `toml:"second_copies"`
-	ConnectTimeout tomlfile.Duration `toml:"connect_timeout"`
-	IdleClose      tomlfile.Duration `toml:"idle_close"`
-	DrainGrace     tomlfile.Duration `toml:"drain_grace"`
-	AnswerSlack    tomlfile.Duration `toml:"answer_slack"`
-	ColdShare      float64           `toml:"cold_share"`
-	RampTime       tomlfile.Duration `toml:"ramp_time"`
-	FallMultiple   float64           `toml:"fall_multiple"`
-	FallWindow     tomlfile.Duration `toml:"fall_window"`
-	CrossZonePrice float64           `toml:"cross_zone_price"`
-	MaxRetryAfter  tomlfile.Duration `toml:"max_retry_after"`
+type rulesTable struct {
+	Balancers        int
+	MaxAttempts      int               `toml:"max_attempts"`
+	Hedging          bool              `toml:"second_copies"`
+	ConnectTimeout   tomlfile.Duration `toml:"connect_timeout"`
+	IdleClose        tomlfile.Duration `toml:"idle_close"`
+	DrainGrace       tomlfile.Duration `toml:"drain_grace"`
+	AnswerSlack      tomlfile.Duration `toml:"answer_slack"`
+	SlowStartShare   float64           `toml:"cold_share"`
+	SlowStartTime    tomlfile.Duration `toml:"ramp_time"`
+	OverloadMultiple float64           `toml:"fall_multiple"`
+	OverloadWindow   tomlfile.Duration `toml:"fall_window"`
+	CrossZonePrice   float64           `toml:"cross_zone_price"`
+	MaxRetryAfter    tomlfile.Duration `toml:"max_retry_after"`
 }
 
-type class struct {
-	Name     string
-	Aim      tomlfile.Duration
-	Deadline tomlfile.Duration
-	Worth    float64
-	Late     float64
-	Repeats  string
-	Group    string
-	Window   tomlfile.Duration
+type classTable struct {
+	Name        string
+	Objective   tomlfile.Duration `toml:"aim"`
+	Deadline    tomlfile.Duration
+	Value       float64           `toml:"worth"`
+	LateValue   float64           `toml:"late"`
+	Effect      string            `toml:"repeats"`
+	Scope       string            `toml:"group"`
+	DedupWindow tomlfile.Duration `toml:"window"`
 }
 
 // ldapTable is for all instances that speak LDAP.
@@ -107,7 +107,7 @@
 	ServerName    string `toml:"server_name"`
 }
 
-type instance struct {
+type instanceTable struct {
 	Name     string
 	Protocol string
 	Listen   string
@@ -119,9 +119,9 @@
 	Weight   float64
 }
 
-// template stands for many instances: {n} counts from first, {port} from port.
-type template struct {
-	instance
+// templateTable stands for many instances: {n} counts from first, {port} from port.
+type templateTable struct {
+	instanceTable
 	Count int
 	First int
 	Port  int
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -52,8 +53,8 @@
 // The bodies of the admin endpoint, and the list of sockets that a successor inherits.
 func TestAdminBodiesKeepTheirKeys(t *testing.T) {
 	for name, v := range map[string]any{
-		"status.json": &Status{}, "reload.json": &ReloadResult{}, "limits.json": &LimitsNow{}, "policy.json": &ShownPolicy{},
-		"policy-change.json": &PolicyChange{}, "policy-fate.json": &PolicyFateShown{}, "handover.json": &[]Address{},
+		"status.json": &Status{}, "reload.json": &ReloadResult{}, "limits.json": &LimitsStatus{}, "policy.json": &PolicyStatus{},
+		"policy-change.json": &PolicyChange{}, "policy-fate.json": &PolicyChangeStatus{}, "handover.json": &[]Address{},
 	} {
 		golden.FillEmbedded(v, map[string]string{"ChangeStatus": "Fate", "Status": "Shown"})
 		data, err := json.MarshalIndent(v, "", " ")
@@ -64,14 +65,22 @@
 	}
 }
 
-// Keys without a tag are their fields' names, whatever their case.
+// Keys without a tag are their fields' names, whatever their case. So the keys are compared in the order of their lower
+// case: a tag in place of a field's name moves a key in the order of golden.Keys, and changes nothing in a file.
 func TestSettingsFilesKeepTheirKeys(t *testing.T) {
-	keys := func(name string, v any) {
-		t.Helper()
-		all := strings.ToLower(strings.Join(golden.Keys(reflect.TypeOf(v)), "\n"))
-		golden.Check(t, name, []byte(all+"\n"))
+	for name, v := range map[string]any{
+		"fleet.toml.keys":   fileTables{},
+		"policy.toml.keys":  sharedTables{},
+		"service.toml.keys": servicePart{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			want := strings.Fields(string(golden.Read(t, name)))
+			got := strings.Fields(strings.ToLower(strings.Join(golden.Keys(reflect.TypeOf(v)), "\n")))
+			slices.Sort(want)
+			slices.Sort(got)
+			if !slices.Equal(got, want) {
+				t.Errorf("keys are\n%s\nand were\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+			}
+		})
 	}
-	keys("fleet.toml.keys", file{})
-	keys("policy.toml.keys", shared{})
-	keys("service.toml.keys", servicePart{})
 }
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -21,10 +21,10 @@
 // environment names in their order. cloudflare/tableflip does much the same, and was weighed: it
 // never gives up a socket that was once opened, so that an address taken out by a reload would go
 // on taking connections that nobody accepts.
-const handoverEnv = "VETCHHAVEN_HANDOVER"
+const handoverVariable = "VETCHHAVEN_HANDOVER"
 
-// ReadyWithin is how long a successor may take to get ready.
-const ReadyWithin = 30 * time.Second
+// ReadyTimeout is how long a successor may take to get ready.
+const ReadyTimeout = 30 * time.Second
 
 // Successor starts one with the given command and waits until it is ready. After an error none is left.
 func Successor(ctx context.Context, cmd *exec.Cmd, sockets map[Address]*os.File, state []byte, within time.Duration) error {
@@ -65,7 +65,7 @@
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
-	cmd.Env = append(cmd.Env, handoverEnv+"="+string(list))
+	cmd.Env = append(cmd.Env, handoverVariable+"="+string(list))
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -104,31 +104,31 @@
 
 // Inherit takes over what this process was started with. Children of its own will not see it.
 func Inherit() (*Inherited, error) {
-	text := os.Getenv(handoverEnv)
+	text := os.Getenv(handoverVariable)
 	if text == "" {
 		return &Inherited{}, nil
 	}
-	if err := os.Unsetenv(handoverEnv); err != nil {
+	if err := os.Unsetenv(handoverVariable); err != nil {
 		return nil, err
 	}
 	var names []Address
 	if err := json.Unmarshal([]byte(text), &names); err != nil {
-		return nil, fmt.Errorf("%s: %w", handoverEnv, err)
+		return nil, fmt.Errorf("%s: %w", handoverVariable, err)
 	}
 	i := &Inherited{Sockets: map[Address]*os.File{}, ready: os.NewFile(3, "ready")}
 	saved := os.NewFile(4, "state")
 	if i.ready == nil || saved == nil {
-		return nil, fmt.Errorf("%s: the descriptors are missing", handoverEnv)
+		return nil, fmt.Errorf("%s: the descriptors are missing", handoverVariable)
 	}
 	defer saved.Close()
 	var err error
 	if i.State, err = io.ReadAll(saved); err != nil {
-		return nil, fmt.Errorf("%s: %w", handoverEnv, err)
+		return nil, fmt.Errorf("%s: %w", handoverVariable, err)
 	}
 	for n, a := range names {
 		f := os.NewFile(uintptr(5+n), a.String())
 		if f == nil {
-			return nil, fmt.Errorf("%s: the descriptor of %s is missing", handoverEnv, a)
+			return nil, fmt.Errorf("%s: the descriptor of %s is missing", handoverVariable, a)
 		}
 		i.Sockets[a] = f
 	}
@@ -154,7 +154,7 @@
 // Handover starts a successor that takes over the sockets, and ends this daemon once that one is
 // ready. A successor that fails to get ready leaves this one serving.
 func (d *Daemon) Handover(ctx context.Context) error {
-	if d.o.Upgrade == nil {
+	if d.options.Upgrade == nil {
 		return errors.New("this daemon can't hand over")
 	}
 	files := map[Address]*os.File{}
@@ -166,23 +166,23 @@
 	var state []byte
 	var err error
 	var p *peering
-	if !d.do(func() {
-		if d.handing {
+	if !d.call(func() {
+		if d.handingOver {
 			err = errors.New("a successor is being started already")
 			return
 		}
-		d.handing, p = true, d.peering
-		d.others.Add(1) // a daemon that is stopped meanwhile ends after the successor that it has killed
+		d.handingOver, p = true, d.peering
+		d.background.Add(1) // a daemon that is stopped meanwhile ends after the successor that it has killed
 	}) {
 		return errors.New("the daemon is stopping")
 	}
 	if err != nil {
 		return err
 	}
-	defer d.others.Done()
+	defer d.background.Done()
 	var stands []byte
 	if p != nil { // from here on it says nothing; the successor goes on as the same member
-		if saved := p.carrier.Freeze(); saved != nil {
+		if saved := p.transport.Freeze(); saved != nil {
 			stands, err = transport.EncodeSaved(saved)
 		}
 		if s := d.policy.store; s != nil {
@@ -190,27 +190,27 @@
 		}
 	}
 	goOn := func() { // the successor did not come up
-		d.do(func() {
-			d.handing = false
+		d.call(func() {
+			d.handingOver = false
 			if s := d.policy.store; s != nil {
 				if _, err := s.Open(); err != nil {
 					d.log.Error("the policy's file can't be opened again", "error", err)
 				}
 			}
-			d.wakeTurn()
-			d.meet(nil, 0) // if it failed meanwhile
+			d.scheduleSwitch()
+			d.startPeering(nil, 0) // if it failed meanwhile
 		})
 		if p != nil {
-			p.carrier.Thaw()
+			p.transport.Thaw()
 		}
 	}
-	if err == nil && !d.do(func() {
-		for a, ln := range d.sockets {
+	if err == nil && !d.call(func() {
+		for a, ln := range d.listeners {
 			if files[a], err = fileOf(ln, a.String()); err != nil {
 				return
 			}
 		}
-		for a, u := range d.packets {
+		for a, u := range d.packetConns {
 			if files[Address{"udp", a}], err = fileOf(u, a); err != nil {
 				return
 			}
@@ -225,23 +225,23 @@
 		goOn()
 		return err
 	}
-	err = d.o.Upgrade(ctx, files, state)
+	err = d.options.Upgrade(ctx, files, state)
 	if err != nil {
 		d.log.Error("handover failed: this daemon goes on", "error", err)
 		goOn()
 		return err
 	}
-	d.do(func() {
+	d.call(func() {
 		d.log.Info("a successor is ready")
 		if d.cfg.Policy != nil { // by what is in force here: this process hears of no other any more
 			d.agents.Range(func(_, a any) bool {
-				one := a.(hosted).agent
-				d.closing.Store(one, true)
-				one.ShortenAdmission(time.Now().Add(lateAfter), switched)
+				one := a.(agentHandle).agent
+				d.replaced.Store(one, true)
+				one.ShortenAdmission(time.Now().Add(handoverGrace), reasonPolicySwitched)
 				return true
 			})
 		}
-		d.o.Upgrade = nil // Run sees that it is over
+		d.options.Upgrade = nil // Run sees that it is over
 	})
 	return err
 }
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -12,66 +12,66 @@
 	"vetchhaven/internal/protocol/ldap"
 )
 
-// part is one instance, running or not.
-type part struct {
-	spec   Instance
-	agent  *core.Agent
-	end    context.CancelFunc
-	number uint32        // of the running copy, towards the carrier; never used again
-	told   []quota.Limit // what it was last told
-	banned []string      // servers that are out of use by the file or the policy
-	floors int           // and for how many agents its floors are
-	life   int           // copies so far: what an earlier one tells is not this one's end
-	past   core.Totals
+// hostedInstance is one instance, running or not.
+type hostedInstance struct {
+	spec          Instance
+	agent         *core.Agent
+	stop          context.CancelFunc
+	number        uint32        // of the running copy, towards the carrier; never used again
+	limits        []quota.Limit // what it was last told
+	barredServers []string      // servers that are out of use by the file or the policy
+	floorAgents   int           // and for how many agents its floors are
+	generation    int           // copies so far: what an earlier one tells is not this one's end
+	pastTotals    core.Totals
 }
 
 // start runs a copy of an instance. What fails is the supervisor's.
 func (d *Daemon) start(name string) {
-	p := d.parts[name]
+	p := d.instances[name]
 	if p == nil {
 		return
 	}
 	if err := d.launch(p); err != nil {
 		d.log.Error("instance not started", "instance", name, "error", err)
-		d.execute(d.sup.Step(d.now(), supervise.Failed{Name: name, Reason: err.Error()}))
+		d.execute(d.supervisor.Step(d.now(), supervise.Failed{Name: name, Reason: err.Error()}))
 		return
 	}
-	d.sup.Step(d.now(), supervise.Started{Name: name})
+	d.supervisor.Step(d.now(), supervise.Started{Name: name})
 }
 
-func (d *Daemon) launch(p *part) error {
-	master := d.sockets[p.spec.Listen]
+func (d *Daemon) launch(p *hostedInstance) error {
+	master := d.listeners[p.spec.Listen]
 	if master == nil { // it was closed when the instance was left down
 		ln, err := listenOn(p.spec.Listen)
 		if err != nil {
 			return err
 		}
-		master, d.sockets[p.spec.Listen] = ln, ln
+		master, d.listeners[p.spec.Listen] = ln, ln
 	}
 	ln, err := copyOf(master)
 	if err != nil {
 		return err
 	}
 	cfg := p.spec.Agent
-	cfg.Seed = d.seed.Uint64()
-	cfg.Memory = d.memory[p.spec.Name]
-	count := d.count.Load()
+	cfg.Seed = d.rng.Uint64()
+	cfg.Memory = d.memories[p.spec.Name]
+	count := d.size.Load()
 	if count != nil && d.cfg.Peers != nil {
 		cfg.Settings.Balancers = count.MaxBalancers
 	}
-	number := d.numbers.Add(1)
+	number := d.lastAgentNumber.Add(1)
 	held := func(all []quota.Usage) { // called by the agent's loop
-		if p := d.sharing.Load(); p != nil {
-			p.carrier.ReportUsage(number, all)
+		if p := d.activePeering.Load(); p != nil {
+			p.transport.ReportUsage(number, all)
 		}
 	}
 	source := p.spec.Source
 	seen := func(all []core.Sight) {
-		if p := d.sharing.Load(); p != nil && p.spec.Verdicts != nil {
-			p.carrier.OutcomesObserved(sightsOf(source, all))
+		if p := d.activePeering.Load(); p != nil && p.spec.Ejection != nil {
+			p.transport.OutcomesObserved(outcomeSamples(source, all))
 		}
 	}
-	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyWait, Held: held}
+	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyTimeout, Held: held}
 	if d.cfg.Peers != nil {
 		parts.Seen = seen
 	}
@@ -85,8 +85,8 @@
 		_ = ln.Close()
 		return err
 	}
-	if d.o.Fault != nil {
-		if f := d.o.Fault(p.spec.Name); f != nil {
+	if d.options.Fault != nil {
+		if f := d.options.Fault(p.spec.Name); f != nil {
 			a.Inject(f)
 		}
 	}
@@ -94,46 +94,46 @@
 		a.Share(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
 	}
 	ctx, end := context.WithCancel(context.Background())
-	p.agent, p.end = a, end
-	p.number, p.told, p.floors = number, nil, 0
-	h := hosted{a, source, d.policy.serves}
+	p.agent, p.stop = a, end
+	p.number, p.limits, p.floorAgents = number, nil, 0
+	h := agentHandle{a, source, d.policy.fingerprint}
 	d.agents.Store(number, h)
-	if v := d.verdicts.Load(); v != nil {
-		a.Judge(v.of(source))
+	if v := d.ejections.Load(); v != nil {
+		a.Judge(v.forSource(source))
 	}
-	p.banned = nil
-	if !d.ban(p) { // its loop takes this first
-		time.AfterFunc(shareAgain, d.shareSoon)
+	p.barredServers = nil
+	if !d.applyBans(p) { // its loop takes this first
+		time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
 	}
-	d.gate(h)
-	d.limit(p) // before it serves: nothing that is limited goes without a right
-	if at := d.sharing.Load(); at != nil && d.cfg.Limits != nil {
-		at.carrier.AddAgent(number)
+	d.applyAdmission(h)
+	d.applyLimits(p) // before it serves: nothing that is limited goes without a right
+	if at := d.activePeering.Load(); at != nil && d.cfg.Limits != nil {
+		at.transport.AddAgent(number)
 	}
-	p.life++
-	life, name := p.life, p.spec.Name
+	p.generation++
+	life, name := p.generation, p.spec.Name
 	d.running.Go(func() {
 		err := a.Run(ctx)
 		ended := ctx.Err() != nil // it was told to
 		end()
 		d.agents.Delete(number)
-		d.closing.Delete(a)
-		d.later(func() { d.ended(name, life, a, err, ended) })
-		if p := d.sharing.Load(); p != nil && err == nil { // nothing of it is in flight
-			p.carrier.RemoveAgent(number)
+		d.replaced.Delete(a)
+		d.post(func() { d.instanceEnded(name, life, a, err, ended) })
+		if p := d.activePeering.Load(); p != nil && err == nil { // nothing of it is in flight
+			p.transport.RemoveAgent(number)
 		}
 	})
 	return nil
 }
 
-// ended takes note of the end of a copy of an instance.
-func (d *Daemon) ended(name string, life int, a *core.Agent, err error, told bool) {
-	p := d.parts[name]
-	if p == nil || p.life != life {
+// instanceEnded takes note of the end of a copy of an instance.
+func (d *Daemon) instanceEnded(name string, life int, a *core.Agent, err error, told bool) {
+	p := d.instances[name]
+	if p == nil || p.generation != life {
 		return // it was removed or replaced, and has drained
 	}
-	p.past = sum(p.past, a.Totals())
-	p.agent, p.end = nil, nil
+	p.pastTotals = addTotals(p.pastTotals, a.Totals())
+	p.agent, p.stop = nil, nil
 	if told {
 		return
 	}
@@ -141,10 +141,10 @@
 		err = errors.New("it ended by itself")
 	}
 	d.log.Error("instance failed", "instance", name, "error", err)
-	d.execute(d.sup.Step(d.now(), supervise.Failed{Name: name, Reason: err.Error()}))
+	d.execute(d.supervisor.Step(d.now(), supervise.Failed{Name: name, Reason: err.Error()}))
 }
 
-func (d *Daemon) supervise() { d.execute(d.sup.Step(d.now())) }
+func (d *Daemon) supervise() { d.execute(d.supervisor.Step(d.now())) }
 
 func (d *Daemon) execute(actions []supervise.Action) {
 	for _, a := range actions {
@@ -152,7 +152,7 @@
 		case supervise.LeaveDown:
 			d.log.Error("instance left down: it keeps failing", "instance", a.Name, "error", a.Reason)
 			// Clients are refused a connection rather than kept waiting for one.
-			if p := d.parts[a.Name]; p != nil && d.sockets[p.spec.Listen] != nil {
+			if p := d.instances[a.Name]; p != nil && d.listeners[p.spec.Listen] != nil {
 				d.closeSocket(p.spec.Listen)
 			}
 		case supervise.Start:
@@ -161,7 +161,7 @@
 	}
 }
 
-func sum(a, b core.Totals) core.Totals {
+func addTotals(a, b core.Totals) core.Totals {
 	a.Requests += b.Requests
 	a.Served += b.Served
 	a.Refused += b.Refused
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -22,7 +22,7 @@
 }
 
 // limits checks [[limit]], and what [peers] says of keepers; nil where the file limits nothing.
-func (c *checker) limits(f *file, cfg *Config, s decide.Settings, classes []string) *Limits {
+func (c *checker) limits(f *fileTables, cfg *Config, s decide.Settings, classes []string) *Limits {
 	if len(f.Limit) == 0 {
 		return nil
 	}
@@ -30,8 +30,8 @@
 		c.fail("limit[0]", "limits that the fleet shares need [peers]")
 		return nil
 	}
-	l := &Limits{Settings: lease.Settings{Servers: f.Peers.Keepers, ClockDrift: f.Peers.Drift}}
-	if l.Term = c.span("peers.term", f.Peers.Term, lease.DefaultTerm); l.Term < time.Second || l.Term > time.Minute {
+	l := &Limits{Settings: lease.Settings{Servers: f.Peers.LeaseServers, ClockDrift: f.Peers.Drift}}
+	if l.Term = c.positiveDuration("peers.term", f.Peers.LeaseTerm, lease.DefaultTerm); l.Term < time.Second || l.Term > time.Minute {
 		c.fail("peers.term", "%v: 1s to 1m are allowed", l.Term)
 	}
 	if !(l.ClockDrift >= 0 && l.ClockDrift <= 0.2) {
@@ -59,15 +59,15 @@
 	return l
 }
 
-func (c *checker) limit(at string, in *limit, l *Limits, f *file, classes []string) {
-	one := lease.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Total: in.Figure, FloorShare: in.Floor}
+func (c *checker) limit(at string, in *limitTable, l *Limits, f *fileTables, classes []string) {
+	one := lease.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Total: in.Total, FloorShare: in.Floor}
 	if in.Name == "" || strings.ContainsAny(in.Name, " \t\r\n\"") || len(in.Name) > 40 || slices.ContainsFunc(l.Limits, func(o lease.Limit) bool { return o.Name == in.Name }) {
 		c.fail(at+"name", "%q: 1 to 40 characters without spaces or quotes, and each once", in.Name)
 	}
-	one.Kind = quota.Kind(c.name(at+"counts", in.Counts, quota.KindNames))
-	one.Hard = c.name(at+"kind", in.Kind, []string{"hard", "soft"}) == 0
-	if in.Figure < 1 || in.Figure > 10_000_000 {
-		c.fail(at+"figure", "%d: 1 to 10000000 are allowed", in.Figure)
+	one.Kind = quota.Kind(c.choice(at+"counts", in.Counts, quota.KindNames))
+	one.Hard = c.choice(at+"kind", in.Kind, []string{"hard", "soft"}) == 0
+	if in.Total < 1 || in.Total > 10_000_000 {
+		c.fail(at+"figure", "%d: 1 to 10000000 are allowed", in.Total)
 	}
 	if in.Floor != 0 && one.Hard || !(in.Floor >= 0 && in.Floor <= 1) {
 		c.fail(at+"floor", "%v: a share, and of a soft limit: nothing can be promised of a hard one that is cut off", in.Floor)
@@ -96,17 +96,17 @@
 	if in.Server != "" {
 		of("server", in.Server)
 	}
-	if in.Each != "" {
-		of("each", in.Each)
-		one.Partition = quota.Partition(1 + c.name(at+"each", in.Each, []string{"server", "zone", "pod"}))
+	if in.Partition != "" {
+		of("each", in.Partition)
+		one.Partition = quota.Partition(1 + c.choice(at+"each", in.Partition, []string{"server", "zone", "pod"}))
 	}
 	one.Scope = strings.Join(scope, ", ")
 	l.Limits = append(l.Limits, one)
 	l.classes = append(l.classes, in.Class)
 }
 
-// of are the limits in the terms of an instance's settings. One of a class that it does not take falls on nothing.
-func (l *Limits) of(i *Instance) []quota.Limit {
+// ForInstance are the limits in the terms of an instance's settings. One of a class that it does not take falls on nothing.
+func (l *Limits) ForInstance(i *Instance) []quota.Limit {
 	var all []quota.Limit
 	for n, one := range l.Limits {
 		r := one.Limit
@@ -120,46 +120,46 @@
 	return all
 }
 
-// limit tells an instance which limits there are, and its floors. It reports whether it heard.
-func (d *Daemon) limit(p *part) bool {
+// applyLimits tells an instance which limits there are, and its floors. It reports whether it heard.
+func (d *Daemon) applyLimits(p *hostedInstance) bool {
 	if p.agent == nil {
 		return true
 	}
 	var all []quota.Limit
 	if d.cfg.Limits != nil {
-		all = d.cfg.Limits.of(&p.spec)
+		all = d.cfg.Limits.ForInstance(&p.spec)
 	}
-	if !slices.Equal(all, p.told) {
+	if !slices.Equal(all, p.limits) {
 		if !p.agent.Limit(all) {
 			return false
 		}
-		p.told, p.floors = all, 0
+		p.limits, p.floorAgents = all, 0
 	}
 	if d.cfg.Limits == nil {
 		return true
 	}
 	agents := max(1, d.cfg.Balancers)
-	if c := d.count.Load(); c != nil {
+	if c := d.size.Load(); c != nil {
 		agents = c.MaxBalancers
 	}
-	if agents != p.floors {
-		if !p.agent.Lend(lendable(d.cfg.Limits.Floors(agents), time.Now())) {
+	if agents != p.floorAgents {
+		if !p.agent.Lend(expiringLeases(d.cfg.Limits.Floors(agents), time.Now())) {
 			return false
 		}
-		p.floors = agents
+		p.floorAgents = agents
 	}
 	return true
 }
 
-// lend passes on what a keeper lent. The carrier's loop calls it; it does not wait: an agent that is too busy to hear goes
+// leasesGranted passes on what a keeper lent. The carrier's loop calls it; it does not wait: an agent that is too busy to hear goes
 // by what it had, which ends by itself.
-func (d *Daemon) lend(agent uint32, all []quota.Lease, base time.Time) {
+func (d *Daemon) leasesGranted(agent uint32, all []quota.Lease, base time.Time) {
 	if a, ok := d.agents.Load(agent); ok {
-		a.(hosted).agent.Lend(lendable(all, base))
+		a.(agentHandle).agent.Lend(expiringLeases(all, base))
 	}
 }
 
-func lendable(all []quota.Lease, base time.Time) []core.Right {
+func expiringLeases(all []quota.Lease, base time.Time) []core.Right {
 	out := make([]core.Right, len(all))
 	for i, r := range all {
 		out[i] = core.Right{Lease: r, Until: base.Add(r.Expires)}
@@ -167,29 +167,29 @@
 	return out
 }
 
-// ShownLimit is what a file says of a limit, and what follows from it.
-type ShownLimit struct {
-	Name      string   `json:"name"`
-	Counts    string   `json:"counts"`
-	Scope     string   `json:"scope"`
-	Kind      string   `json:"kind"`
-	Figure    int      `json:"figure"`
-	Most      int      `json:"most"`       // ever, of all agents together
-	MostLent  int      `json:"most_lent"`  // of that, by rights
-	MostFloor int      `json:"most_floor"` // and by floors of agents that no keeper reaches
-	Alone     string   `json:"alone"`      // what an agent may use that no keeper reaches
-	Keepers   []string `json:"keepers"`    // and what each lends
-	TermS     float64  `json:"term_s"`     // rights that are cut off lapse within it
-	BackS     float64  `json:"back_s"`     // and are lent to others after it
+// LimitSummary is what a file says of a limit, and what follows from it.
+type LimitSummary struct {
+	Name           string   `json:"name"`
+	Counts         string   `json:"counts"`
+	Scope          string   `json:"scope"`
+	Kind           string   `json:"kind"`
+	Figure         int      `json:"figure"`
+	Max            int      `json:"most"`       // ever, of all agents together
+	MaxLeased      int      `json:"most_lent"`  // of that, by rights
+	MaxFloors      int      `json:"most_floor"` // and by floors of agents that no keeper reaches
+	IsolatedAmount string   `json:"alone"`      // what an agent may use that no keeper reaches
+	Servers        []string `json:"keepers"`    // and what each lends
+	TermSeconds    float64  `json:"term_s"`     // rights that are cut off lapse within it
+	ReclaimSeconds float64  `json:"back_s"`     // and are lent to others after it
 }
 
 // Show is what follows from the file, with so many agents.
-func (l *Limits) Show(agents int) []ShownLimit {
-	var all []ShownLimit
+func (l *Limits) Show(agents int) []LimitSummary {
+	var all []LimitSummary
 	for _, one := range l.Limits {
 		b := l.Bounds(one, agents)
-		s := ShownLimit{Name: one.Name, Counts: one.Kind.String(), Scope: one.Scope, Kind: "soft", Figure: one.Total, Most: b.Max, MostLent: b.MaxLeased, MostFloor: b.MaxFloors,
-			Alone: "nothing", TermS: b.Term.Seconds(), BackS: b.Reclaim.Seconds()}
+		s := LimitSummary{Name: one.Name, Counts: one.Kind.String(), Scope: one.Scope, Kind: "soft", Figure: one.Total, Max: b.Max, MaxLeased: b.MaxLeased, MaxFloors: b.MaxFloors,
+			IsolatedAmount: "nothing", TermSeconds: b.Term.Seconds(), ReclaimSeconds: b.Reclaim.Seconds()}
 		if one.Scope == "" {
 			s.Scope = "all"
 		}
@@ -198,43 +198,43 @@
 		}
 		switch {
 		case b.IsolatedAmount > 0 && !one.Kind.IsRate():
-			s.Alone = fmt.Sprint(b.IsolatedAmount)
+			s.IsolatedAmount = fmt.Sprint(b.IsolatedAmount)
 		case b.IsolatedAmount > 0:
-			s.Alone = fmt.Sprintf("%d in %v", b.IsolatedAmount, b.IsolatedSpan.Round(10*time.Millisecond))
+			s.IsolatedAmount = fmt.Sprintf("%d in %v", b.IsolatedAmount, b.IsolatedSpan.Round(10*time.Millisecond))
 		}
 		for k, part := range b.Shares {
-			s.Keepers = append(s.Keepers, fmt.Sprintf("%s %d", l.Settings.Servers[k], part))
+			s.Servers = append(s.Servers, fmt.Sprintf("%s %d", l.Settings.Servers[k], part))
 		}
 		all = append(all, s)
 	}
 	return all
 }
 
-// LimitsNow is how the limits stand: what the file says, and what is held and lent now.
-type LimitsNow struct {
-	Agents int                    `json:"agents"`
-	Limits []ShownLimit           `json:"limits"`
-	Now    transport.LimitsStatus `json:"now"`
-	Alone  bool                   `json:"alone,omitempty"` // the part that talks to peers does not run
+// LimitsStatus is how the limits stand: what the file says, and what is held and lent now.
+type LimitsStatus struct {
+	Agents   int                    `json:"agents"`
+	Limits   []LimitSummary         `json:"limits"`
+	Status   transport.LimitsStatus `json:"now"`
+	Isolated bool                   `json:"alone,omitempty"` // the part that talks to peers does not run
 }
 
 // Limits is how the limits stand; ok is false where the file has none.
-func (d *Daemon) Limits() (now LimitsNow, ok bool) {
+func (d *Daemon) Limits() (now LimitsStatus, ok bool) {
 	var l *Limits
 	var p *peering
-	d.do(func() { l, p = d.cfg.Limits, d.peering })
+	d.call(func() { l, p = d.cfg.Limits, d.peering })
 	if l == nil {
 		return now, false
 	}
 	now.Agents = max(1, d.cfg.Balancers)
-	if c := d.count.Load(); c != nil {
+	if c := d.size.Load(); c != nil {
 		now.Agents = c.MaxBalancers
 	}
-	now.Limits, now.Alone = l.Show(now.Agents), true
+	now.Limits, now.Isolated = l.Show(now.Agents), true
 	if p != nil {
 		var answered bool
-		now.Now, answered = p.carrier.LimitsStatus()
-		now.Alone = !answered
+		now.Status, answered = p.transport.LimitsStatus()
+		now.Isolated = !answered
 	}
 	return now, true
 }
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -9,31 +9,31 @@
 	"vetchhaven/internal/standin"
 )
 
-func limitTable(name, counts, kind string, figure int, more string) string {
+func limitText(name, counts, kind string, figure int, more string) string {
 	return fmt.Sprintf("[[limit]]\nname = %q\ncounts = %q\nkind = %q\nfigure = %d\n%s", name, counts, kind, figure, more)
 }
 
 func TestLimitsAreReadStrictly(t *testing.T) {
 	y := newYard(t)
 	addr := freeAddr(t)
-	peers := peersTable("a", addr) + "keepers = [\"a\"]\n"
+	peers := peersText("a", addr) + "keepers = [\"a\"]\n"
 	for text, want := range map[string]string{
-		limitTable("x", "requests", "hard", 1, ""):                                                        "limit[0]: limits that the fleet shares need [peers]",
-		peersTable("a", addr) + limitTable("x", "requests", "hard", 1, ""):                                "peers.keepers: 0 keepers",
-		peersTable("a", addr) + "keepers = [\"a\", \"a\"]\n" + limitTable("x", "requests", "hard", 1, ""): "peers.keepers[1]",
-		peers + "term = \"1ms\"\n" + limitTable("x", "requests", "hard", 1, ""):                           "peers.term",
-		peers + "drift = 0.9\n" + limitTable("x", "requests", "hard", 1, ""):                              "peers.drift",
-		peers + limitTable("x y", "requests", "hard", 1, ""):                                              "limit[0].name",
-		peers + limitTable("x", "requests", "hard", 1, "") + limitTable("x", "requests", "hard", 1, ""):   "limit[1].name",
-		peers + limitTable("x", "forms", "hard", 1, ""):                                                   "limit[0].counts",
-		peers + limitTable("x", "requests", "firm", 1, ""):                                                "limit[0].kind",
-		peers + limitTable("x", "requests", "hard", 0, ""):                                                "limit[0].figure",
-		peers + limitTable("x", "requests", "hard", 1, "floor = 0.5\n"):                                   "limit[0].floor",
-		peers + limitTable("x", "requests", "soft", 1, "floor = 1.5\n"):                                   "limit[0].floor",
-		peers + limitTable("x", "requests", "hard", 1, "class = \"put\"\n"):                               "limit[0].class",
-		peers + limitTable("x", "requests", "hard", 1, "zone = \"b\"\n"):                                  "limit[0].zone",
-		peers + limitTable("x", "requests", "hard", 1, "pod = -1\n"):                                      "limit[0].pod",
-		peers + limitTable("x", "requests", "hard", 1, "each = \"class\"\n"):                              "limit[0].each",
+		limitText("x", "requests", "hard", 1, ""):                                                       "limit[0]: limits that the fleet shares need [peers]",
+		peersText("a", addr) + limitText("x", "requests", "hard", 1, ""):                                "peers.keepers: 0 keepers",
+		peersText("a", addr) + "keepers = [\"a\", \"a\"]\n" + limitText("x", "requests", "hard", 1, ""): "peers.keepers[1]",
+		peers + "term = \"1ms\"\n" + limitText("x", "requests", "hard", 1, ""):                          "peers.term",
+		peers + "drift = 0.9\n" + limitText("x", "requests", "hard", 1, ""):                             "peers.drift",
+		peers + limitText("x y", "requests", "hard", 1, ""):                                             "limit[0].name",
+		peers + limitText("x", "requests", "hard", 1, "") + limitText("x", "requests", "hard", 1, ""):   "limit[1].name",
+		peers + limitText("x", "forms", "hard", 1, ""):                                                  "limit[0].counts",
+		peers + limitText("x", "requests", "firm", 1, ""):                                               "limit[0].kind",
+		peers + limitText("x", "requests", "hard", 0, ""):                                               "limit[0].figure",
+		peers + limitText("x", "requests", "hard", 1, "floor = 0.5\n"):                                  "limit[0].floor",
+		peers + limitText("x", "requests", "soft", 1, "floor = 1.5\n"):                                  "limit[0].floor",
+		peers + limitText("x", "requests", "hard", 1, "class = \"put\"\n"):                              "limit[0].class",
+		peers + limitText("x", "requests", "hard", 1, "zone = \"b\"\n"):                                 "limit[0].zone",
+		peers + limitText("x", "requests", "hard", 1, "pod = -1\n"):                                     "limit[0].pod",
+		peers + limitText("x", "requests", "hard", 1, "each = \"class\"\n"):                             "limit[0].each",
 	} {
 		_, err := Load(y.config(y.instance("one") + strings.Replace(text, `seeds = [""]`, `seeds = []`, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
@@ -49,7 +49,7 @@
 	y := newYard(t, f.Member("ready"))
 	addr := freeAddr(t)
 	config := func(figure int) {
-		y.config(y.instance("one") + peersTable("a", addr, addr) + "keepers = [\"a\"]\nterm = \"1s\"\n" + limitTable("total", "requests", "hard", figure, "class = \"get\"\n"))
+		y.config(y.instance("one") + peersText("a", addr, addr) + "keepers = [\"a\"]\nterm = \"1s\"\n" + limitText("total", "requests", "hard", figure, "class = \"get\"\n"))
 	}
 	config(2)
 	r := y.start(Options{})
@@ -80,7 +80,7 @@
 		t.Errorf("a class that is not limited: %d %v", status, err)
 	}
 	now, ok := r.Limits()
-	if !ok || now.Limits[0].Most != 2 || len(now.Now.Granted) != 1 || now.Now.Granted[0].Leased > 2 || now.Now.Leased[0].Rejected == 0 {
+	if !ok || now.Limits[0].Max != 2 || len(now.Status.Granted) != 1 || now.Status.Granted[0].Leased > 2 || now.Status.Leased[0].Rejected == 0 {
 		t.Errorf("%+v", now)
 	}
 
@@ -112,8 +112,8 @@
 	defer f.Close()
 	y := newYard(t, f.Member("ready"))
 	addr := freeAddr(t)
-	y.config(y.instance("one") + peersTable("a", addr, addr) + "keepers = [\"z\"]\n" +
-		limitTable("soft", "requests", "soft", 1000, "class = \"get\"\n") + limitTable("hard", "requests", "hard", 1000, "class = \"pay\"\n"))
+	y.config(y.instance("one") + peersText("a", addr, addr) + "keepers = [\"z\"]\n" +
+		limitText("soft", "requests", "soft", 1000, "class = \"get\"\n") + limitText("hard", "requests", "hard", 1000, "class = \"pay\"\n"))
 	y.start(Options{})
 	y.wantServed("one")
 	if status, body, err := ask(client(y.sock("one"), false), "pay"); err != nil || status != 503 || !strings.Contains(body, "limit hard") {
--- a/internal/host/daemon/lists.go
+++ b/internal/host/daemon/lists.go
@@ -10,14 +10,14 @@
 // hub is one list that is followed.
 type hub struct {
 	*discovery.Hub
-	source Source
-	end    context.CancelFunc
-	leave  func() // peers' part in it; nil: they have none
+	source  Source
+	stop    context.CancelFunc
+	unwatch func() // peers' part in it; nil: they have none
 }
 
-// follow sees to a hub for each source of a configuration, and to none besides. Instances move by
+// followSources sees to a hub for each source of a configuration, and to none besides. Instances move by
 // themselves afterwards.
-func (d *Daemon) follow(cfg *Config) (dropped []*hub) {
+func (d *Daemon) followSources(cfg *Config) (dropped []*hub) {
 	for name, s := range cfg.Sources {
 		old := d.hubs[name]
 		if old != nil && reflect.DeepEqual(old.source, s) {
@@ -26,9 +26,9 @@
 		h := &hub{source: s}
 		options := discovery.HubOptions{Addr: s.List, Spread: s.Spread, First: s.First,
 			ConnectTimeout: cfg.Instances[0].Agent.Settings.ConnectTimeout, Log: d.log,
-			Urgent: func() { go d.later(d.save) }}
+			Urgent: func() { go d.post(d.save) }}
 		h.Hub = discovery.NewHub(options)
-		saved := d.given[s.Key()]
+		saved := d.savedLists[s.Key()]
 		if old != nil {
 			dropped = append(dropped, old)
 			// What the old list said goes on to hold until the new one is heard.
@@ -38,9 +38,9 @@
 			h.Give(saved)
 		}
 		ctx, end := context.WithCancel(context.Background())
-		h.end = func() {
-			if h.leave != nil {
-				h.leave()
+		h.stop = func() {
+			if h.unwatch != nil {
+				h.unwatch()
 			}
 			end()
 		}
@@ -51,9 +51,9 @@
 				list = discovery.NewHub(options)
 			}
 			m := NewMerger(s, h.Hub, saved, d.log, nil)
-			d.others.Go(func() { m.Run(ctx, list) })
+			d.background.Go(func() { m.Run(ctx, list) })
 		} else {
-			d.others.Go(func() { h.Run(ctx) })
+			d.background.Go(func() { h.Run(ctx) })
 		}
 		d.hubs[name] = h
 	}
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -13,35 +13,35 @@
 
 // Names of a source's parts in what membership says.
 const (
-	fromList    = "the list"
-	fromRecords = "records"
-	fromNearby  = "multicast"
-	fromSaved   = "the saved list"
+	fromList      = "the list"
+	fromRecords   = "records"
+	fromMulticast = "multicast"
+	fromSaved     = "the saved list"
 )
 
 const (
-	guardTime  = 30 * time.Second
-	settleTime = 12 * time.Second // the window of a pod's keyed requests
-	forGood    = 100 * 365 * 24 * time.Hour
+	removalGuard  = 30 * time.Second
+	settleSpan    = 12 * time.Second // the window of a pod's keyed requests
+	unlimitedHold = 100 * 365 * 24 * time.Hour
 )
 
 // Merger makes one list of what a source's list service and its records say, and tells it to a hub.
 type Merger struct {
-	source  Source
-	log     *slog.Logger
-	out     *discovery.Hub
-	module  *endpoints.Module
-	began   time.Time
-	reports chan endpoints.Report
+	source    Source
+	log       *slog.Logger
+	hub       *discovery.Hub
+	module    *endpoints.Module
+	startedAt time.Time
+	reports   chan endpoints.Report
 
-	mu      sync.Mutex
-	list    []endpoints.Member
-	heard   map[string]bool
-	version int64
-	told    map[string]discovery.Member
-	saved   bool
-	needed  []string                 // the parts that speak for themselves
-	changed func([]endpoints.Member) // may be nil
+	mu        sync.Mutex
+	list      []endpoints.Member
+	reported  map[string]bool
+	version   int64
+	published map[string]discovery.Member
+	usesSaved bool
+	required  []string                 // the parts that speak for themselves
+	onChange  func([]endpoints.Member) // may be nil
 }
 
 // NewMerger sets one up. saved is the list of before, and may be nil. Changed, which may be nil, is called
@@ -49,26 +49,26 @@
 func NewMerger(s Source, out *discovery.Hub, saved *discovery.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
 	var parts []endpoints.Source
 	if s.List != "" {
-		parts = append(parts, endpoints.Source{Name: fromList, Exact: true, Hold: forGood}) // the list's own rule: the last one holds
+		parts = append(parts, endpoints.Source{Name: fromList, Exact: true, Hold: unlimitedHold}) // the list's own rule: the last one holds
 	}
 	if len(s.SRV)+len(s.Browse) > 0 {
 		parts = append(parts, endpoints.Source{Name: fromRecords, Hold: s.Hold})
 	}
 	if s.Multicast != "" {
-		parts = append(parts, endpoints.Source{Name: fromNearby, Hold: s.Hold})
+		parts = append(parts, endpoints.Source{Name: fromMulticast, Hold: s.Hold})
 	}
 	var needed []string
 	for _, p := range parts {
 		needed = append(needed, p.Name)
 	}
 	parts = append(parts, endpoints.Source{Name: fromSaved, Hold: s.Hold})
-	m := &Merger{source: s, log: log, out: out, began: time.Now(), reports: make(chan endpoints.Report, 16), heard: map[string]bool{}, needed: needed,
-		told: map[string]discovery.Member{}, changed: changed,
-		module: endpoints.New(endpoints.Settings{Sources: parts, Guard: guardTime, Settle: settleTime})}
+	m := &Merger{source: s, log: log, hub: out, startedAt: time.Now(), reports: make(chan endpoints.Report, 16), reported: map[string]bool{}, required: needed,
+		published: map[string]discovery.Member{}, onChange: changed,
+		module: endpoints.New(endpoints.Settings{Sources: parts, Guard: removalGuard, Settle: settleSpan})}
 	if saved != nil {
-		m.saved = true
-		m.take(endpoints.View{Source: fromSaved, Servers: servers(saved)})
-		m.take(endpoints.Failed{Source: fromSaved})
+		m.usesSaved = true
+		m.apply(endpoints.View{Source: fromSaved, Servers: servers(saved)})
+		m.apply(endpoints.Failed{Source: fromSaved})
 	}
 	return m
 }
@@ -109,7 +109,7 @@
 		parts.Go(func() { d.Run(ctx, post) })
 	}
 	if m.source.Multicast != "" {
-		d := dnssource.NewMulticast(dnssource.Options{Name: fromNearby, Log: m.log}, m.source.Multicast, m.source.Group)
+		d := dnssource.NewMulticast(dnssource.Options{Name: fromMulticast, Log: m.log}, m.source.Multicast, m.source.Group)
 		parts.Go(func() { d.Run(ctx, post) })
 	}
 	tick := time.NewTicker(time.Second) // what is held back for a while
@@ -117,29 +117,29 @@
 	for {
 		select {
 		case r := <-m.reports:
-			m.take(r)
+			m.apply(r)
 		case <-tick.C:
-			m.take(nil)
+			m.apply(nil)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// take hands a report to the module, and tells the hub what has changed.
-func (m *Merger) take(r endpoints.Report) {
+// apply hands a report to the module, and tells the hub what has changed.
+func (m *Merger) apply(r endpoints.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := time.Since(m.began)
+	now := time.Since(m.startedAt)
 	var all []endpoints.Report
 	if v, whole := r.(endpoints.View); whole {
-		m.heard[v.Source] = true
+		m.reported[v.Source] = true
 	}
 	if r != nil {
 		all = append(all, r)
 	}
-	if m.saved && m.whole() { // all speak for themselves
-		m.saved = false
+	if m.usesSaved && m.complete() { // all speak for themselves
+		m.usesSaved = false
 		all = append(all, endpoints.Forget{Source: fromSaved})
 	}
 	list, changed := m.module.Step(now, all...)
@@ -147,7 +147,7 @@
 		m.log.Info(line, "source", m.source.Name)
 	}
 	m.list = list
-	if len(m.heard) == 0 || !changed && m.version > 0 {
+	if len(m.reported) == 0 || !changed && m.version > 0 {
 		return
 	}
 	next := map[string]discovery.Member{}
@@ -163,11 +163,11 @@
 	}
 	out := &discovery.Members{Version: m.version + 1, Full: m.version == 0, Servers: []discovery.Member{}}
 	for id, v := range next {
-		if m.told[id] != v {
+		if m.published[id] != v {
 			out.Servers = append(out.Servers, v)
 		}
 	}
-	for id, v := range m.told {
+	for id, v := range m.published {
 		if _, in := next[id]; !in {
 			v.State = "gone"
 			out.Servers = append(out.Servers, v)
@@ -175,11 +175,11 @@
 	}
 	if len(out.Servers) > 0 || out.Full {
 		m.version++
-		m.told = next
-		m.out.Apply(out)
+		m.published = next
+		m.hub.Apply(out)
 	}
-	if m.changed != nil {
-		m.changed(list)
+	if m.onChange != nil {
+		m.onChange(list)
 	}
 }
 
@@ -187,13 +187,13 @@
 func (m *Merger) Members() (list []endpoints.Member, whole bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.list, m.whole()
+	return m.list, m.complete()
 }
 
-// whole reports whether every part has been heard. The lock is held.
-func (m *Merger) whole() bool {
-	for _, n := range m.needed {
-		if !m.heard[n] {
+// complete reports whether every part has been heard. The lock is held.
+func (m *Merger) complete() bool {
+	for _, n := range m.required {
+		if !m.reported[n] {
 			return false
 		}
 	}
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -68,7 +68,7 @@
 		})
 	}
 	listedNow := func() (n int) {
-		r.agents.Range(func(_, a any) bool { n = a.(hosted).agent.Figures(patience).Listed; return true })
+		r.agents.Range(func(_, a any) bool { n = a.(agentHandle).agent.Figures(patience).Listed; return true })
 		return n
 	}
 	served("all three to be served by", "both", "listed", "recorded")
@@ -103,7 +103,7 @@
 	writeFile(t, y.dir, data)
 	r := y.start(Options{})
 	y.wantServed("a")
-	r.do(r.save)
+	r.call(r.save)
 	if err := r.end(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/daemon/overlay.go
+++ b/internal/host/daemon/overlay.go
@@ -10,15 +10,15 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// shared is the part of a daemon's file that a policy may hold: what all daemons decide by. A part that it holds takes the
+// sharedTables is the part of a daemon's file that a policy may hold: what all daemons decide by. A part that it holds takes the
 // whole place of that part of the file; listen addresses, folders, instances and the like stay each host's.
-type shared struct {
-	Source []source
-	Site   *site
-	Rules  *rules
-	Class  []class
-	Limit  []limit
-	Ban    []ban
+type sharedTables struct {
+	Source []sourceTable
+	Site   *siteTable
+	Rules  *rulesTable
+	Class  []classTable
+	Limit  []limitTable
+	Ban    []banTable
 	Peers  *sharedPeers
 
 	services []*servicePart // not of a file: what services' parts have besides
@@ -26,60 +26,60 @@
 
 // sharedPeers are the keys of [peers] that a policy may hold.
 type sharedPeers struct {
-	Keepers     []string
-	Term        tomlfile.Duration
-	Drift       float64
-	Verdicts    *bool
-	OutMost     float64           `toml:"out_most"`
-	EvidenceAge tomlfile.Duration `toml:"evidence_age"`
+	LeaseServers    []string          `toml:"keepers"`
+	LeaseTerm       tomlfile.Duration `toml:"term"`
+	Drift           float64
+	ShareEjections  *bool             `toml:"verdicts"`
+	MaxEjectedShare float64           `toml:"out_most"`
+	MaxEvidenceAge  tomlfile.Duration `toml:"evidence_age"`
 }
 
-// ban is [[ban]]: a server that is out of use, by an operator's word.
-type ban struct {
+// banTable is [[ban]]: a server that is out of use, by an operator's word.
+type banTable struct {
 	Server string
 	Source string // empty: of all sources
 	Reason string
 }
 
-// overlay is a policy read into its tables, with services' parts of it.
-type overlay struct {
-	shared
+// Overlay is a policy read into its tables, with services' parts of it.
+type Overlay struct {
+	sharedTables
 	file     *tomlfile.File
-	from     map[string]bool // the tables that it holds
+	tables   map[string]bool // the tables that it holds
 	name     string
-	services []*servicePart      // by name
-	placed   map[string]placedAt // tables of lists that come from elsewhere than their place says
-	laid     shared              // as it was last laid over a file
+	services []*servicePart         // by name
+	origins  map[string]tableOrigin // tables of lists that come from elsewhere than their place says
+	applied  sharedTables           // as it was last laid over a file
 }
 
 // readPolicy reads a policy's text; name is what errors call it.
-func readPolicy(name string, body []byte) (*overlay, error) {
-	o := &overlay{from: map[string]bool{}, name: name}
+func readPolicy(name string, body []byte) (*Overlay, error) {
+	o := &Overlay{tables: map[string]bool{}, name: name}
 	var err error
-	if o.file, err = tomlfile.Parse(name, body, &o.shared); err != nil {
+	if o.file, err = tomlfile.Parse(name, body, &o.sharedTables); err != nil {
 		return nil, err
 	}
 	for part, there := range map[string]bool{"source": o.Source != nil, "site": o.Site != nil, "rules": o.Rules != nil, "class": o.Class != nil,
 		"limit": o.Limit != nil || o.file.Has("limit"), "ban": o.Ban != nil || o.file.Has("ban"), "peers": o.Peers != nil} {
 		if there {
-			o.from[part] = true
+			o.tables[part] = true
 		}
 	}
 	return o, nil
 }
 
-// lay puts a policy's parts in the place of the file's.
-func (o *overlay) lay(f *file) error {
+// applyTo puts a policy's parts in the place of the file's.
+func (o *Overlay) applyTo(f *fileTables) error {
 	if o == nil {
 		return nil
 	}
-	s := o.complete(f)
-	if err := o.clashes(); err != nil {
+	s := o.completedBy(f)
+	if err := o.checkConflicts(); err != nil {
 		return err
 	}
-	o.laid = s
+	o.applied = s
 	f.Source, f.Site, f.Rules, f.Class, f.Limit, f.Ban = s.Source, *s.Site, *s.Rules, s.Class, s.Limit, s.Ban
-	if o.from["peers"] {
+	if o.tables["peers"] {
 		if f.Peers == nil {
 			return fmt.Errorf("%s: [peers] is not in this daemon's file", o.name)
 		}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// holds reports whether a key is the policy's.
-func (o *overlay) holds(key string) bool {
+// hasKey reports whether a key is the policy's.
+func (o *Overlay) hasKey(key string) bool {
 	if o == nil || o.file == nil {
 		return false
 	}
@@ -100,14 +100,14 @@
 		part = key[:i]
 	}
 	if part == "peers" {
-		return o.from[part] && o.file.Has(key)
+		return o.tables[part] && o.file.Has(key)
 	}
-	return o.from[part]
+	return o.tables[part]
 }
 
-// complete is a policy with what it does not hold as the daemon's own file has it.
-func (o *overlay) complete(f *file) shared {
-	s := shared{Source: f.Source, Site: &f.Site, Rules: &f.Rules, Class: f.Class, Limit: f.Limit, Ban: f.Ban}
+// completedBy is a policy with what it does not hold as the daemon's own file has it.
+func (o *Overlay) completedBy(f *fileTables) sharedTables {
+	s := sharedTables{Source: f.Source, Site: &f.Site, Rules: &f.Rules, Class: f.Class, Limit: f.Limit, Ban: f.Ban}
 	if f.Peers != nil {
 		s.Peers = &f.Peers.sharedPeers
 	}
@@ -117,18 +117,18 @@
 	for part, take := range map[string]func(){
 		"source": func() { s.Source = o.Source }, "site": func() { s.Site = o.Site }, "rules": func() { s.Rules = o.Rules }, "class": func() { s.Class = o.Class },
 		"limit": func() { s.Limit = o.Limit }, "ban": func() { s.Ban = o.Ban }, "peers": func() { s.Peers = o.Peers }} {
-		if o.from[part] {
+		if o.tables[part] {
 			take()
 		}
 	}
-	o.layServices(&s)
+	o.applyServices(&s)
 	return s
 }
 
-// meet is what two policies both allow: repeats by the stricter rule and the shorter window, the fewer attempts, the lower
+// intersect is what two policies both allow: repeats by the stricter rule and the shorter window, the fewer attempts, the lower
 // limits, all servers out that either has out. A member that does not know which of the two is in force serves by it.
 // Where lists, the site, other rules or how limits are shared differ there is no such thing.
-func meet(a, b shared) (*overlay, error) {
+func intersect(a, b sharedTables) (*Overlay, error) {
 	for _, part := range []struct {
 		name string
 		a, b any
@@ -139,26 +139,26 @@
 	}
 	ra, rb := *a.Rules, *b.Rules
 	r := ra
-	r.MaxAttempts, r.SecondCopies = lower(ra.MaxAttempts, rb.MaxAttempts), ra.SecondCopies && rb.SecondCopies
-	ra.MaxAttempts, rb.MaxAttempts, ra.SecondCopies, rb.SecondCopies = 0, 0, false, false
+	r.MaxAttempts, r.Hedging = fewerAttempts(ra.MaxAttempts, rb.MaxAttempts), ra.Hedging && rb.Hedging
+	ra.MaxAttempts, rb.MaxAttempts, ra.Hedging, rb.Hedging = 0, 0, false, false
 	if !reflect.DeepEqual(ra, rb) {
 		return nil, fmt.Errorf("the two policies differ in [rules]")
 	}
-	m := shared{Source: a.Source, Site: a.Site, Rules: &r, Peers: a.Peers}
+	m := sharedTables{Source: a.Source, Site: a.Site, Rules: &r, Peers: a.Peers}
 	for _, x := range a.Class {
-		i := slices.IndexFunc(b.Class, func(y class) bool { return y.Name == x.Name })
+		i := slices.IndexFunc(b.Class, func(y classTable) bool { return y.Name == x.Name })
 		if i >= 0 {
-			m.Class = append(m.Class, meetClass(x, b.Class[i]))
+			m.Class = append(m.Class, intersectClass(x, b.Class[i]))
 		}
 	}
 	if len(m.Class) == 0 {
 		return nil, fmt.Errorf("the two policies have no class in common")
 	}
 	for _, x := range a.Limit {
-		if i := slices.IndexFunc(b.Limit, func(y limit) bool { return y.Name == x.Name }); i >= 0 {
+		if i := slices.IndexFunc(b.Limit, func(y limitTable) bool { return y.Name == x.Name }); i >= 0 {
 			y := b.Limit[i]
-			figure, floor := min(x.Figure, y.Figure), min(x.Floor, y.Floor)
-			x.Figure, x.Floor, y.Figure, y.Floor = figure, floor, figure, floor
+			figure, floor := min(x.Total, y.Total), min(x.Floor, y.Floor)
+			x.Total, x.Floor, y.Total, y.Floor = figure, floor, figure, floor
 			if !reflect.DeepEqual(x, y) {
 				return nil, fmt.Errorf("the two policies count limit %s in different ways", x.Name)
 			}
@@ -166,24 +166,24 @@
 		m.Limit = append(m.Limit, x)
 	}
 	for _, y := range b.Limit {
-		if !slices.ContainsFunc(a.Limit, func(x limit) bool { return x.Name == y.Name }) {
+		if !slices.ContainsFunc(a.Limit, func(x limitTable) bool { return x.Name == y.Name }) {
 			m.Limit = append(m.Limit, y)
 		}
 	}
-	m.Limit = slices.DeleteFunc(m.Limit, func(l limit) bool { // of a class that only one of them has
-		return l.Class != "" && !slices.ContainsFunc(m.Class, func(c class) bool { return c.Name == l.Class })
+	m.Limit = slices.DeleteFunc(m.Limit, func(l limitTable) bool { // of a class that only one of them has
+		return l.Class != "" && !slices.ContainsFunc(m.Class, func(c classTable) bool { return c.Name == l.Class })
 	})
 	m.Ban = append(slices.Clone(a.Ban), b.Ban...)
-	services, err := meetServices(a, b)
+	services, err := intersectServices(a, b)
 	if err != nil {
 		return nil, err
 	}
-	return &overlay{shared: m, services: services, name: "what both policies allow",
-		from: map[string]bool{"source": true, "site": true, "rules": true, "class": true, "limit": true, "ban": true, "peers": m.Peers != nil}}, nil
+	return &Overlay{sharedTables: m, services: services, name: "what both policies allow",
+		tables: map[string]bool{"source": true, "site": true, "rules": true, "class": true, "limit": true, "ban": true, "peers": m.Peers != nil}}, nil
 }
 
-// lower is the lower of two counts of which 0 is the default, 3.
-func lower(a, b int) int {
+// fewerAttempts is the lower of two counts of which 0 is the default, 3.
+func fewerAttempts(a, b int) int {
 	if a == 0 {
 		a = 3
 	}
@@ -193,22 +193,22 @@
 	return min(a, b)
 }
 
-func meetClass(a, b class) class {
+func intersectClass(a, b classTable) classTable {
 	m := a
-	m.Aim, m.Deadline = earlier(a.Aim, b.Aim), earlier(a.Deadline, b.Deadline)
-	m.Worth, m.Late = min(a.Worth, b.Worth), min(a.Late, b.Late)
+	m.Objective, m.Deadline = shorter(a.Objective, b.Objective), shorter(a.Deadline, b.Deadline)
+	m.Value, m.LateValue = min(a.Value, b.Value), min(a.LateValue, b.LateValue)
 	switch {
-	case a.Repeats == b.Repeats && a.Repeats == "keyed":
+	case a.Effect == b.Effect && a.Effect == "keyed":
 		order := []string{"pod", "zone", "all", ""}
-		m.Group = order[min(slices.Index(order, a.Group), slices.Index(order, b.Group))]
-		m.Window = earlier(a.Window, b.Window)
-	case a.Repeats != b.Repeats:
-		m.Repeats, m.Group, m.Window = "unsafe", "", tomlfile.Duration{}
+		m.Scope = order[min(slices.Index(order, a.Scope), slices.Index(order, b.Scope))]
+		m.DedupWindow = shorter(a.DedupWindow, b.DedupWindow)
+	case a.Effect != b.Effect:
+		m.Effect, m.Scope, m.DedupWindow = "unsafe", "", tomlfile.Duration{}
 	}
 	return m
 }
 
-func earlier(a, b tomlfile.Duration) tomlfile.Duration {
+func shorter(a, b tomlfile.Duration) tomlfile.Duration {
 	if b.D() < a.D() {
 		return b
 	}
@@ -219,7 +219,7 @@
 type Ban struct{ Server, Source, Reason string }
 
 // bans checks [[ban]].
-func (c *checker) bans(f *file, cfg *Config) {
+func (c *checker) bans(f *fileTables, cfg *Config) {
 	for i, b := range f.Ban {
 		at := fmt.Sprintf("ban[%d].", i)
 		if b.Server == "" {
@@ -232,31 +232,31 @@
 	}
 }
 
-// Agree is how the daemon agrees with others on what it decides by.
-type Agree struct {
+// PolicySettings is how the daemon agrees with others on what it decides by.
+type PolicySettings struct {
 	policy.Settings // but for name, life and check
-	Witness         string
+	WitnessDir      string
 }
 
-// agree is [policy] in the file.
-type agree struct {
-	Voters    []string
-	CutOff    string `toml:"cut_off"`
-	WhenAlone string `toml:"when_alone"`
-	Lease     tomlfile.Duration
-	Within    tomlfile.Duration
-	Alone     tomlfile.Duration `toml:"alone_after"`
-	Drift     float64
-	Witness   string
+// policyTable is [policy] in the file.
+type policyTable struct {
+	Voters          []string
+	WhenIsolated    string `toml:"cut_off"`
+	Standalone      string `toml:"when_alone"`
+	Lease           tomlfile.Duration
+	PrepareTimeout  tomlfile.Duration `toml:"within"`
+	StandaloneAfter tomlfile.Duration `toml:"alone_after"`
+	Drift           float64
+	WitnessDir      string `toml:"witness"`
 }
 
-// agree checks [policy]; nil where the file has none.
-func (c *checker) agree(f *file, cfg *Config) *Agree {
+// policy checks [policy]; nil where the file has none.
+func (c *checker) policy(f *fileTables, cfg *Config) *PolicySettings {
 	in := f.Policy
 	if in == nil {
 		return nil
 	}
-	a := &Agree{Witness: in.Witness}
+	a := &PolicySettings{WitnessDir: in.WitnessDir}
 	if f.Peers == nil {
 		c.fail("policy", "a policy is agreed on with [peers]")
 	}
@@ -264,9 +264,9 @@
 		c.fail("policy", "what was agreed on is kept in state_dir, which is missing")
 	}
 	a.Voters = in.Voters
-	a.StopWhenIsolated = c.name("policy.cut_off", in.CutOff, []string{"stops", "vetoes"}) == 0
-	a.ServeLastKnown = in.WhenAlone != "" && c.name("policy.when_alone", in.WhenAlone, []string{"none", "last"}) == 1
-	a.Lease, a.PrepareTimeout, a.StandaloneAfter = c.span("policy.lease", in.Lease, policy.DefaultLease), c.span("policy.within", in.Within, policy.DefaultPrepareTimeout), c.span("policy.alone_after", in.Alone, policy.DefaultStandaloneAfter)
+	a.StopWhenIsolated = c.choice("policy.cut_off", in.WhenIsolated, []string{"stops", "vetoes"}) == 0
+	a.ServeLastKnown = in.Standalone != "" && c.choice("policy.when_alone", in.Standalone, []string{"none", "last"}) == 1
+	a.Lease, a.PrepareTimeout, a.StandaloneAfter = c.positiveDuration("policy.lease", in.Lease, policy.DefaultLease), c.positiveDuration("policy.within", in.PrepareTimeout, policy.DefaultPrepareTimeout), c.positiveDuration("policy.alone_after", in.StandaloneAfter, policy.DefaultStandaloneAfter)
 	if a.ClockDrift = in.Drift; !(a.ClockDrift >= 0 && a.ClockDrift <= 0.2) {
 		c.fail("policy.drift", "%v: 0 to 0.2 are allowed", a.ClockDrift)
 	}
--- a/internal/host/daemon/overlay_test.go
+++ b/internal/host/daemon/overlay_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-const ownFile = `
+const ownFileText = `
 admin = "127.0.0.1:7900"
 state_dir = "state"
 [[source]]
@@ -46,7 +46,7 @@
 func own(t *testing.T) *Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
-	if err := os.WriteFile(path, []byte(ownFile), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(ownFileText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := Load(path)
@@ -63,7 +63,7 @@
 	if both != "" {
 		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return d.under(own(t), []policy.Document{{Number: 1, Body: []byte(text)}}, other)
+	return d.configUnder(own(t), []policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
 func TestAPolicysPartsTakeThePlaceOfTheFiles(t *testing.T) {
@@ -128,7 +128,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := windows(&was.Instances[0].Agent, &now.Instances[0].Agent); got[0] != want {
+		if got := shortenedWindows(&was.Instances[0].Agent, &now.Instances[0].Agent); got[0] != want {
 			t.Errorf("%q: %v, not %v", text, got[0], want)
 		}
 	}
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -24,7 +24,7 @@
 	return ln.Addr().String()
 }
 
-func peersTable(name, listen string, seeds ...string) string {
+func peersText(name, listen string, seeds ...string) string {
 	return fmt.Sprintf("[peers]\nfleet = \"f\"\nname = %q\nlisten = %q\nseeds = [\"%s\"]\nevery = \"50ms\"\n", name, listen, strings.Join(seeds, `", "`))
 }
 
@@ -52,7 +52,7 @@
 func TestRegionAndItsBytesReachTheView(t *testing.T) {
 	y := newYard(t)
 	cfg, err := Load(y.config(y.instance("one") + "[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"west\"\nfar_bytes_per_s = 5000\n"))
-	if err != nil || cfg.Peers.View.Region != "west" || cfg.Peers.View.RemoteBytesPerSecond != 5000 {
+	if err != nil || cfg.Peers.Membership.Region != "west" || cfg.Peers.Membership.RemoteBytesPerSecond != 5000 {
 		t.Errorf("%v: %+v", err, cfg)
 	}
 }
@@ -71,7 +71,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			y := newYard(t, f.Member("ready"))
-			y.config(y.instance("one") + peersTable("a", freeAddr(t), freeAddr(t)))
+			y.config(y.instance("one") + peersText("a", freeAddr(t), freeAddr(t)))
 			var steps atomic.Int64
 			end := make(chan struct{})
 			r := y.start(Options{PeerFault: func() { fault(steps.Add(1), end) }})
@@ -94,12 +94,12 @@
 	defer f.Close()
 	addr := freeAddr(t)
 	y, z := newYard(t, f.Member("ready")), newYard(t, f.Member("ready"))
-	y.config(y.instance("one") + peersTable("a", addr, addr))
-	z.config(z.instance("one", "two") + peersTable("b", freeAddr(t), addr))
+	y.config(y.instance("one") + peersText("a", addr, addr))
+	z.config(z.instance("one", "two") + peersText("b", freeAddr(t), addr))
 	a, b := y.start(Options{}), z.start(Options{})
 	sees := func(r *running, most, least int) func() bool {
 		return func() bool {
-			c := r.count.Load()
+			c := r.size.Load()
 			return c != nil && c.MaxBalancers == most && c.MinBalancers == least && !c.FromFile
 		}
 	}
@@ -121,7 +121,7 @@
 
 func (r *running) peersText(t *testing.T) string {
 	t.Helper()
-	return peersTable(r.cfg.Peers.Name, r.cfg.Peers.Listen, r.cfg.Peers.Seeds...)
+	return peersText(r.cfg.Peers.Name, r.cfg.Peers.Listen, r.cfg.Peers.Seeds...)
 }
 
 func TestPeersComeAndGoByReload(t *testing.T) {
@@ -129,16 +129,16 @@
 	defer f.Close()
 	addr := freeAddr(t)
 	y, z := newYard(t, f.Member("ready")), newYard(t, f.Member("ready"))
-	z.config(z.instance("one") + peersTable("b", addr, addr))
+	z.config(z.instance("one") + peersText("b", addr, addr))
 	b := z.start(Options{})
 	y.config(y.instance("one"))
 	a := y.start(Options{})
-	if _, ok := a.View(); ok {
+	if _, ok := a.MembershipStatus(); ok {
 		t.Error("a view without [peers]")
 	}
 	state := func(of string) func() string {
 		return func() string {
-			s, _ := b.View()
+			s, _ := b.MembershipStatus()
 			for _, m := range s.Members {
 				if m.Name == of {
 					return m.State
@@ -147,19 +147,19 @@
 			return ""
 		}
 	}
-	y.config(y.instance("one") + peersTable("a", freeAddr(t), addr))
+	y.config(y.instance("one") + peersText("a", freeAddr(t), addr))
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a is alive", func() bool { return state("a")() == "alive" })
-	was, _ := a.View()
+	was, _ := a.MembershipStatus()
 	text := strings.Replace(a.peersText(t), "50ms", "60ms", 1) // the same member with another setting
 	y.config(y.instance("one") + text)
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the same member goes on", func() bool {
-		now, ok := a.View()
+		now, ok := a.MembershipStatus()
 		return ok && now.RunID == was.RunID && len(now.Members) == 2
 	})
 	y.config(y.instance("one"))
@@ -176,7 +176,7 @@
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	y := newYard(t, f.Member("ready"))
-	y.config(y.instance("one") + peersTable("a", freeAddr(t), freeAddr(t)))
+	y.config(y.instance("one") + peersText("a", freeAddr(t), freeAddr(t)))
 	begun, end := make(chan struct{}), make(chan struct{})
 	r := y.start(Options{Upgrade: func(context.Context, map[Address]*os.File, []byte) error {
 		close(begun)
@@ -184,13 +184,13 @@
 		return errors.New("no successor")
 	}})
 	inc := func() uint32 {
-		s, ok := r.View()
+		s, ok := r.MembershipStatus()
 		if !ok || len(s.Members) != 1 {
 			t.Fatalf("%+v", s)
 		}
 		return s.Members[0].Incarnation
 	}
-	eventually(t, "a view", func() bool { _, ok := r.View(); return ok })
+	eventually(t, "a view", func() bool { _, ok := r.MembershipStatus(); return ok })
 	first := make(chan error, 1)
 	go func() { first <- r.Handover(context.Background()) }()
 	<-begun
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -29,27 +29,27 @@
 	}()
 	<-came
 	var old, now *core.Agent
-	r.do(func() {
-		old = r.parts["a"].agent
+	r.call(func() {
+		old = r.instances["a"].agent
 		over, err := readPolicy("policy", []byte("[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n"))
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		cfg, err := build(r.cfg.Path, r.cfg.data, over)
+		cfg, err := build(r.cfg.Path, r.cfg.text, over)
 		if err == nil {
-			err = r.turnTo(cfg)
+			err = r.switchTo(cfg)
 		}
 		if err != nil {
 			t.Error(err)
 		}
-		now = r.parts["a"].agent
+		now = r.instances["a"].agent
 	})
 	if old == now {
 		t.Fatal("nothing was replaced")
 	}
 	for _, until := range []time.Duration{policy.Never, time.Hour} { // with vetoes, with stops
-		r.served(policy.Serving{Document: &policy.Document{Number: 1}, Until: until, ServedParts: []string{"main"}}, time.Now())
+		r.servingChanged(policy.Serving{Document: &policy.Document{Number: 1}, Until: until, ServedParts: []string{"main"}}, time.Now())
 		eventually(t, "the replaced copy takes nothing", func() bool { return !old.Admits() })
 		if !now.Admits() {
 			t.Error("the copy in its place takes nothing")
@@ -70,13 +70,13 @@
 	y.config(y.instance("a"))
 	r := y.start(Options{})
 	var a *core.Agent
-	r.do(func() { a = r.parts["a"].agent })
+	r.call(func() { a = r.instances["a"].agent })
 	word := func(number uint64, until time.Duration) {
-		r.served(policy.Serving{Document: &policy.Document{Number: number}, Until: until, ServedParts: []string{"main"}}, time.Now())
+		r.servingChanged(policy.Serving{Document: &policy.Document{Number: number}, Until: until, ServedParts: []string{"main"}}, time.Now())
 	}
-	r.do(func() {
-		r.policy.serves = (&policy.Serving{Document: &policy.Document{Number: 1}}).Fingerprint()
-		r.hostCopy(r.parts["a"])
+	r.call(func() {
+		r.policy.fingerprint = (&policy.Serving{Document: &policy.Document{Number: 1}}).Fingerprint()
+		r.hostInstance(r.instances["a"])
 	})
 	word(1, time.Hour)
 	if !a.Admits() {
@@ -92,7 +92,7 @@
 			t.Errorf("its lease is over, and it takes requests by that of another policy (%v)", until)
 		}
 	}
-	a.ShortenAdmission(time.Now().Add(time.Hour), switched)
+	a.ShortenAdmission(time.Now().Add(time.Hour), reasonPolicySwitched)
 	if a.Admits() {
 		t.Error("it was to take no longer, and takes again")
 	}
@@ -103,18 +103,18 @@
 
 // agreeing is the part of a daemon's file with which it agrees on policies, as a, with these voters.
 func agreeing(listen, seed string, voters string) string {
-	return peersTable("a", listen, seed) + fmt.Sprintf("[policy]\nvoters = [%s]\ncut_off = \"vetoes\"\n", voters)
+	return peersText("a", listen, seed) + fmt.Sprintf("[policy]\nvoters = [%s]\ncut_off = \"vetoes\"\n", voters)
 }
 
 // apply proposes a policy and waits until the daemon serves by it.
 func (r *running) apply(t *testing.T, number uint64, body string) {
 	t.Helper()
-	eventually(t, "the policy in force is known", r.knowsPolicy)
+	eventually(t, "the policy in force is known", r.policyAdmits)
 	if _, err := r.ProposePolicy(PolicyChange{Body: body, Reason: "a test"}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "it is in force", func() (in bool) {
-		r.do(func() { in = r.policy.applied.number == number })
+		r.call(func() { in = r.policy.applied.number == number })
 		return in
 	})
 }
@@ -141,7 +141,7 @@
 			}
 		}
 	}})
-	eventually(t, "the policy in force is known", r.knowsPolicy)
+	eventually(t, "the policy in force is known", r.policyAdmits)
 	y.wantServed("one")
 	both := func() (all bool) {
 		was1, was2 := s1.Got(), s2.Got()
@@ -152,7 +152,7 @@
 	}
 	eventually(t, "both servers get requests", both)
 	var a *core.Agent
-	r.do(func() { a = r.parts["one"].agent })
+	r.call(func() { a = r.instances["one"].agent })
 	busy.Store(true)
 	for a.Bar("nobody", false) { // until it has no room to hear more
 	}
@@ -214,7 +214,7 @@
 	})
 	r.apply(t, 1, "[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n")
 	y["a"].wantServed("one")
-	if v, ok := r.View(); !ok || v.Traffic.PolicyMessages == 0 || v.Traffic.PolicyBytes < 20*v.Traffic.PolicyMessages {
+	if v, ok := r.MembershipStatus(); !ok || v.Traffic.PolicyMessages == 0 || v.Traffic.PolicyBytes < 20*v.Traffic.PolicyMessages {
 		t.Errorf("what it sent about the policy is not counted: %+v", v.Traffic)
 	}
 	for _, other := range []string{"b", "c"} {
@@ -223,11 +223,11 @@
 		}
 	}
 	for range 2 {
-		at := r.sharing.Load()
+		at := r.activePeering.Load()
 		fault.Store(true)
 		eventually(t, "another life of the part", func() bool {
 			y["a"].wantServed("one")
-			now := r.sharing.Load()
+			now := r.activePeering.Load()
 			return now != nil && now != at
 		})
 		for range 200 { // and while it comes to what it knows
--- a/internal/host/daemon/policyadmin.go
+++ b/internal/host/daemon/policyadmin.go
@@ -11,14 +11,14 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// PolicyFateShown is what became of a change, for programs.
-type PolicyFateShown struct {
+// PolicyChangeStatus is what became of a change, for programs.
+type PolicyChangeStatus struct {
 	policy.ChangeStatus
 	State string `json:"state"` // unknown, under way, in force, dropped
 }
 
-// policyCalls are what operators ask about the fleet's policy.
-func (d *Daemon) policyCalls(mux *http.ServeMux, reply func(http.ResponseWriter, int, any), fail func(http.ResponseWriter, int, error)) {
+// handlePolicy are what operators ask about the fleet's policy.
+func (d *Daemon) handlePolicy(mux *http.ServeMux, reply func(http.ResponseWriter, int, any), fail func(http.ResponseWriter, int, error)) {
 	done := func(w http.ResponseWriter, v any, err error) {
 		if err != nil {
 			fail(w, http.StatusUnprocessableEntity, err)
@@ -51,11 +51,11 @@
 		done(w, map[string]string{"id": id}, err)
 	})
 	mux.HandleFunc("GET /policy/fate", func(w http.ResponseWriter, r *http.Request) {
-		f, err := d.PolicyFate(r.FormValue("id"))
-		done(w, PolicyFateShown{f, f.State.String()}, err)
+		f, err := d.ChangeStatus(r.FormValue("id"))
+		done(w, PolicyChangeStatus{f, f.State.String()}, err)
 	})
 	mux.HandleFunc("POST /policy/drop", func(w http.ResponseWriter, r *http.Request) {
-		err := d.DropPolicy(r.FormValue("id"), r.FormValue("by"), r.FormValue("reason"))
+		err := d.AbortPolicy(r.FormValue("id"), r.FormValue("by"), r.FormValue("reason"))
 		done(w, map[string]string{"asked_to_drop": r.FormValue("id")}, err)
 	})
 	mux.HandleFunc("GET /policy/past", func(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +64,7 @@
 			fail(w, http.StatusBadRequest, err)
 			return
 		}
-		p, err := d.PolicyPast(r.FormValue("part"), n, 5*time.Second)
+		p, err := d.PolicyHistory(r.FormValue("part"), n, 5*time.Second)
 		done(w, p, err)
 	})
 	mux.HandleFunc("POST /policy/voters", func(w http.ResponseWriter, r *http.Request) {
@@ -76,9 +76,9 @@
 		done(w, map[string]string{"state": "asked for; see who votes in policy show"}, d.PolicyVoters(x))
 	})
 	mux.HandleFunc("POST /policy/rescue", func(w http.ResponseWriter, _ *http.Request) {
-		done(w, map[string]string{"state": "this voter goes on alone"}, d.PolicyWord(policy.Rescue{}))
+		done(w, map[string]string{"state": "this voter goes on alone"}, d.PolicyCommand(policy.Rescue{}))
 	})
 	mux.HandleFunc("POST /policy/trust", func(w http.ResponseWriter, _ *http.Request) {
-		done(w, map[string]string{"state": "this voter takes part with the disk as it is"}, d.PolicyWord(policy.TrustDisk{}))
+		done(w, map[string]string{"state": "this voter takes part with the disk as it is"}, d.PolicyCommand(policy.TrustDisk{}))
 	})
 }
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -28,13 +28,13 @@
 	if err != nil {
 		return r, err
 	}
-	if !d.do(func() {
+	if !d.call(func() {
 		var cfg *Config
-		if cfg, err = build(d.cfg.Path, data, d.cfg.over); err != nil { // under the policy in force
+		if cfg, err = build(d.cfg.Path, data, d.cfg.overlay); err != nil { // under the policy in force
 			return
 		}
 		if r, err = d.apply(cfg); err == nil {
-			d.host.Store(&hostText{cfg.Path, data})
+			d.ownFile.Store(&ownFile{cfg.Path, data})
 		}
 	}) {
 		return r, errors.New("the daemon is stopping")
@@ -43,7 +43,7 @@
 }
 
 func (d *Daemon) apply(cfg *Config) (r ReloadResult, err error) {
-	if d.handing {
+	if d.handingOver {
 		return r, errors.New("a successor is being started: it reads the file itself")
 	}
 	if cfg.Admin != d.cfg.Admin || cfg.StateDir != d.cfg.StateDir {
@@ -58,25 +58,25 @@
 	old := d.cfg
 	d.cfg = cfg
 	d.reloads++
-	dropped := d.follow(cfg)
+	dropped := d.followSources(cfg)
 	keep := map[string]bool{}
 	for _, spec := range cfg.Instances {
 		keep[spec.Name] = true
-		p := d.parts[spec.Name]
+		p := d.instances[spec.Name]
 		switch {
 		case p == nil:
 			r.Added++
-			d.parts[spec.Name] = &part{spec: spec}
+			d.instances[spec.Name] = &hostedInstance{spec: spec}
 			d.start(spec.Name)
-		case !p.spec.same(spec):
+		case !p.spec.equalExceptSource(spec):
 			// The new copy accepts before the old one ends: both have the socket, or each its own.
 			r.Replaced++
-			end, a := p.end, p.agent
+			end, a := p.stop, p.agent
 			p.spec = spec
 			if a != nil {
-				p.past = sum(p.past, a.Totals())
+				p.pastTotals = addTotals(p.pastTotals, a.Totals())
 			}
-			d.sup.Step(d.now(), supervise.Removed{Name: spec.Name})
+			d.supervisor.Step(d.now(), supervise.Removed{Name: spec.Name})
 			d.start(spec.Name)
 			if end != nil {
 				end()
@@ -86,52 +86,52 @@
 				return reflect.DeepEqual(old.Sources[p.spec.Source], h.source) && !reflect.DeepEqual(cfg.Sources[spec.Source], h.source)
 			}))
 			p.spec = spec
-			switch st := d.sup.State(spec.Name); {
+			switch st := d.supervisor.State(spec.Name); {
 			case st.Phase == supervise.Down:
 				r.Revived++
-				d.execute(d.sup.Step(d.now(), supervise.Revived{Name: spec.Name}))
+				d.execute(d.supervisor.Step(d.now(), supervise.Revived{Name: spec.Name}))
 			case moved:
 				r.Moved++
 				if p.agent != nil {
 					p.agent.Follow(d.hubs[spec.Source].Hub)
-					d.hostCopy(p)
+					d.hostInstance(p)
 				}
 			default:
 				r.Unchanged++
 			}
 		}
 	}
-	for name, p := range d.parts {
+	for name, p := range d.instances {
 		if keep[name] {
 			continue
 		}
 		r.Removed++
-		if p.end != nil {
-			p.end() // everything taken is answered
+		if p.stop != nil {
+			p.stop() // everything taken is answered
 		}
-		d.sup.Step(d.now(), supervise.Removed{Name: name})
-		delete(d.parts, name)
-		delete(d.memory, name)
+		d.supervisor.Step(d.now(), supervise.Removed{Name: name})
+		delete(d.instances, name)
+		delete(d.memories, name)
 	}
 	d.watchLists()
 	if !slices.Equal(heldBy(old), heldBy(cfg)) {
-		d.hold()
+		d.announceParts()
 	}
-	for _, p := range d.parts {
-		if heard := d.ban(p); !d.limit(p) || !heard {
-			time.AfterFunc(shareAgain, d.shareSoon)
+	for _, p := range d.instances {
+		if heard := d.applyBans(p); !d.applyLimits(p) || !heard {
+			time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
 		}
 	}
-	d.remeet(old.Peers, old.Limits)
+	d.updatePeering(old.Peers, old.Limits)
 	d.dropPackets()
-	need := wanted(cfg)
-	for a := range d.sockets {
+	need := listenAddresses(cfg)
+	for a := range d.listeners {
 		if !slices.Contains(need, a) {
 			d.closeSocket(a)
 		}
 	}
 	for _, h := range dropped {
-		h.end()
+		h.stop()
 	}
 	d.log.Info("configuration applied", "added", r.Added, "removed", r.Removed, "replaced", r.Replaced, "moved", r.Moved,
 		"unchanged", r.Unchanged, "revived", r.Revived)
--- a/internal/host/daemon/servicepart.go
+++ b/internal/host/daemon/servicepart.go
@@ -12,27 +12,27 @@
 // servicePart is a service's part of the policy: its source, classes that only requests of its instances have, and servers
 // of it that are out. A service is what a source names; a daemon holds the parts of the sources of its instances.
 type servicePart struct {
-	name   string
-	file   *tomlfile.File
-	Source []source
-	Class  []class
-	Ban    []ban
-	whole  bool // its classes are all that the service has: what two policies both allow
+	name     string
+	file     *tomlfile.File
+	Source   []sourceTable
+	Class    []classTable
+	Ban      []banTable
+	complete bool // its classes are all that the service has: what two policies both allow
 }
 
-// placedAt is where a table of a list comes from; file nil: from the file or the part for all, where key says.
-type placedAt struct {
+// tableOrigin is where a table of a list comes from; file nil: from the file or the part for all, where key says.
+type tableOrigin struct {
 	file *tomlfile.File
 	key  string
 }
 
-// readPart reads a service's part. What is in it is the service's alone, so that two parts never touch the same thing.
-func readPart(name, service string, body []byte) (*servicePart, error) {
+// readServicePart reads a service's part. What is in it is the service's alone, so that two parts never touch the same thing.
+func readServicePart(name, service string, body []byte) (*servicePart, error) {
 	p := &servicePart{name: service}
 	var in struct {
-		Source []source
-		Class  []class
-		Ban    []ban
+		Source []sourceTable
+		Class  []classTable
+		Ban    []banTable
 	}
 	var err error
 	if p.file, err = tomlfile.Parse(name, body, &in); err != nil {
@@ -61,43 +61,43 @@
 }
 
 // part is a service's part; nil: it has none.
-func (s *shared) part(service string) *servicePart {
+func (s *sharedTables) part(service string) *servicePart {
 	if i := slices.IndexFunc(s.services, func(p *servicePart) bool { return p.name == service }); i >= 0 {
 		return s.services[i]
 	}
 	return nil
 }
 
-// layServices puts services' sources and bans among the others. Their classes are laid over for each service by itself.
-func (o *overlay) layServices(s *shared) {
-	s.services, o.placed = o.services, map[string]placedAt{}
+// applyServices puts services' sources and bans among the others. Their classes are laid over for each service by itself.
+func (o *Overlay) applyServices(s *sharedTables) {
+	s.services, o.origins = o.services, map[string]tableOrigin{}
 	s.Source, s.Ban = slices.Clone(s.Source), slices.Clone(s.Ban)
 	for _, p := range o.services {
 		for i, one := range p.Source {
-			n := slices.IndexFunc(s.Source, func(x source) bool { return x.Name == one.Name })
+			n := slices.IndexFunc(s.Source, func(x sourceTable) bool { return x.Name == one.Name })
 			if n < 0 {
 				n = len(s.Source)
 				s.Source = append(s.Source, one)
 			}
 			s.Source[n] = one
-			o.placed[fmt.Sprintf("source[%d]", n)] = placedAt{p.file, fmt.Sprintf("source[%d]", i)}
+			o.origins[fmt.Sprintf("source[%d]", n)] = tableOrigin{p.file, fmt.Sprintf("source[%d]", i)}
 		}
 		for i, one := range p.Ban {
-			o.placed[fmt.Sprintf("ban[%d]", len(s.Ban))] = placedAt{p.file, fmt.Sprintf("ban[%d]", i)}
+			o.origins[fmt.Sprintf("ban[%d]", len(s.Ban))] = tableOrigin{p.file, fmt.Sprintf("ban[%d]", i)}
 			s.Ban = append(s.Ban, one)
 		}
 	}
 }
 
-// clashes reports what services' parts have that the part for all has as well: which of the two holds nobody could say.
-func (o *overlay) clashes() error {
+// checkConflicts reports what services' parts have that the part for all has as well: which of the two holds nobody could say.
+func (o *Overlay) checkConflicts() error {
 	for _, p := range o.services {
 		for i, k := range p.Class {
-			if p.file != nil && o.from["class"] && slices.ContainsFunc(o.Class, func(x class) bool { return x.Name == k.Name }) {
+			if p.file != nil && o.tables["class"] && slices.ContainsFunc(o.Class, func(x classTable) bool { return x.Name == k.Name }) {
 				return p.file.Errorf(fmt.Sprintf("class[%d].name", i), "%q is a class of the part for all", k.Name)
 			}
 		}
-		if p.file != nil && len(p.Source) > 0 && o.from["source"] && slices.ContainsFunc(o.Source, func(x source) bool { return x.Name == p.name }) {
+		if p.file != nil && len(p.Source) > 0 && o.tables["source"] && slices.ContainsFunc(o.Source, func(x sourceTable) bool { return x.Name == p.name }) {
 			return p.file.Errorf("source[0].name", "%q is a source of the part for all", p.name)
 		}
 	}
@@ -106,45 +106,45 @@
 
 // classes are those that a service's instances may have: the part's in the place of others of their name, or besides. Placed
 // says where each comes from.
-func (s *shared) classes(service string) (all []class, placed map[string]placedAt) {
+func (s *sharedTables) classes(service string) (all []classTable, placed map[string]tableOrigin) {
 	all = s.Class
 	p := s.part(service)
 	if p == nil {
 		return all, nil
 	}
-	if all = slices.Clone(all); p.whole {
+	if all = slices.Clone(all); p.complete {
 		all = nil
 	}
-	placed = map[string]placedAt{}
+	placed = map[string]tableOrigin{}
 	for i, k := range p.Class {
-		n := slices.IndexFunc(all, func(x class) bool { return x.Name == k.Name })
+		n := slices.IndexFunc(all, func(x classTable) bool { return x.Name == k.Name })
 		if n < 0 {
 			n = len(all)
 			all = append(all, k)
 		}
 		all[n] = k
 		if p.file != nil {
-			placed[fmt.Sprintf("class[%d]", n)] = placedAt{p.file, fmt.Sprintf("class[%d]", i)}
+			placed[fmt.Sprintf("class[%d]", n)] = tableOrigin{p.file, fmt.Sprintf("class[%d]", i)}
 		}
 	}
 	return all, placed
 }
 
-// meetServices are, of services that have a part in either policy, the classes that both allow; sources and bans are met
+// intersectServices are, of services that have a part in either policy, the classes that both allow; sources and bans are met
 // with all others.
-func meetServices(a, b shared) (all []*servicePart, err error) {
+func intersectServices(a, b sharedTables) (all []*servicePart, err error) {
 	var names []string
 	for _, p := range slices.Concat(a.services, b.services) {
 		names = append(names, p.name)
 	}
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		p := &servicePart{name: name, whole: true}
+		p := &servicePart{name: name, complete: true}
 		as, _ := a.classes(name)
 		bs, _ := b.classes(name)
 		for _, x := range as {
-			if i := slices.IndexFunc(bs, func(y class) bool { return y.Name == x.Name }); i >= 0 {
-				p.Class = append(p.Class, meetClass(x, bs[i]))
+			if i := slices.IndexFunc(bs, func(y classTable) bool { return y.Name == x.Name }); i >= 0 {
+				p.Class = append(p.Class, intersectClass(x, bs[i]))
 			}
 		}
 		if len(p.Class) == 0 {
@@ -166,13 +166,13 @@
 	return slices.Compact(all)
 }
 
-// textsOf are the parts' texts by which a word says to serve, that for all first.
-func textsOf(s *policy.Serving) []policy.Document {
+// servedDocuments are the parts' texts by which a word says to serve, that for all first.
+func servedDocuments(s *policy.Serving) []policy.Document {
 	return append([]policy.Document{*s.Document}, s.Parts...)
 }
 
-// lay puts changes in the place of texts.
-func lay(texts []policy.Document, changes []*policy.Document) []policy.Document {
+// replaceDocuments puts changes in the place of texts.
+func replaceDocuments(texts []policy.Document, changes []*policy.Document) []policy.Document {
 	all := slices.Clone(texts)
 	for _, c := range changes {
 		for _, x := range c.Documents() {
@@ -186,8 +186,8 @@
 	return all
 }
 
-// nameOf is what errors call a text.
-func nameOf(d *policy.Document) string {
+// documentName is what errors call a text.
+func documentName(d *policy.Document) string {
 	name := "policy"
 	if d.Number > 0 {
 		name = fmt.Sprintf("policy %d", d.Number)
@@ -199,15 +199,15 @@
 }
 
 // overlayOf reads the parts' texts; nil: none has any.
-func overlayOf(texts []policy.Document) (*overlay, error) {
-	var o *overlay
+func overlayOf(texts []policy.Document) (*Overlay, error) {
+	var o *Overlay
 	for i := range texts {
 		d := &texts[i]
 		if d.Part != "" || d.Number == 0 && len(d.Body) == 0 {
 			continue
 		}
 		var err error
-		if o, err = readPolicy(nameOf(d), d.Body); err != nil {
+		if o, err = readPolicy(documentName(d), d.Body); err != nil {
 			return nil, err
 		}
 	}
@@ -217,9 +217,9 @@
 			continue
 		}
 		if o == nil {
-			o = &overlay{from: map[string]bool{}, name: nameOf(d)}
+			o = &Overlay{tables: map[string]bool{}, name: documentName(d)}
 		}
-		p, err := readPart(nameOf(d), d.Part, d.Body)
+		p, err := readServicePart(documentName(d), d.Part, d.Body)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/host/daemon/shares.go
+++ b/internal/host/daemon/shares.go
@@ -7,8 +7,8 @@
 	"vetchhaven/internal/core"
 )
 
-// shares splits the process's sockets and memory: a floor for each, the rest by weight.
-func (c *checker) shares(f *file, cfg *Config) {
+// resourceShares splits the process's sockets and memory: a floor for each, the rest by weight.
+func (c *checker) resourceShares(f *fileTables, cfg *Config) {
 	if cfg.Sockets = f.Limits.Sockets; cfg.Sockets == 0 {
 		var r syscall.Rlimit
 		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err == nil {
@@ -21,7 +21,7 @@
 		weights[i] = cfg.Instances[i].Agent.Weight
 	}
 	// Each instance's listener is held twice, and one more while it is replaced.
-	sockets, err := Shares(cfg.Sockets-ownSockets-3*n, leastShare, weights)
+	sockets, err := Shares(cfg.Sockets-processSockets-3*n, minSocketShare, weights)
 	if err != nil {
 		c.fail("limits.sockets", "%d are too few for %d instances: %v", cfg.Sockets, n, err)
 		return
--- a/internal/host/daemon/sockets.go
+++ b/internal/host/daemon/sockets.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// wanted is every address that a configuration names.
-func wanted(cfg *Config) []Address {
+// listenAddresses is every address that a configuration names.
+func listenAddresses(cfg *Config) []Address {
 	all := []Address{cfg.Admin}
 	for _, i := range cfg.Instances {
 		all = append(all, i.Listen)
@@ -24,8 +24,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, a := range wanted(cfg) {
-		if d.sockets[a] != nil {
+	for _, a := range listenAddresses(cfg) {
+		if d.listeners[a] != nil {
 			continue
 		}
 		ln, err := listenOn(a)
@@ -34,12 +34,12 @@
 				d.closeSocket(b)
 			}
 			if packets != "" {
-				_ = d.packets[packets].Close()
-				delete(d.packets, packets)
+				_ = d.packetConns[packets].Close()
+				delete(d.packetConns, packets)
 			}
 			return nil, fmt.Errorf("listen %s: %w", a, err)
 		}
-		d.sockets[a] = ln
+		d.listeners[a] = ln
 		opened = append(opened, a)
 	}
 	return opened, nil
@@ -109,19 +109,19 @@
 
 // closeSocket gives an address up for good.
 func (d *Daemon) closeSocket(a Address) {
-	ln := d.sockets[a]
+	ln := d.listeners[a]
 	if u, ok := ln.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(true)
 	}
 	_ = ln.Close()
-	delete(d.sockets, a)
+	delete(d.listeners, a)
 }
 
 func (d *Daemon) closeSockets() {
-	for _, ln := range d.sockets {
+	for _, ln := range d.listeners {
 		_ = ln.Close()
 	}
-	for _, u := range d.packets {
+	for _, u := range d.packetConns {
 		_ = u.Close()
 	}
 }
--- a/internal/host/daemon/store.go
+++ b/internal/host/daemon/store.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	saveEvery = 5 * time.Second
-	stateFile = "last.state"
+	saveInterval = 5 * time.Second
+	snapshotFile = "last.state"
 	// A state is asked of instances for no longer than this: one that is stuck keeps its last.
-	memoryWait = 50 * time.Millisecond
+	memoryTimeout = 50 * time.Millisecond
 )
 
 // bootFile names the present boot of the machine (proc(5), random).
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
-// moment is now. On a system that does not tell its boot the wall clock is all there is.
-func moment() snapshot.Moment {
+// now is now. On a system that does not tell its boot the wall clock is all there is.
+func now() snapshot.Moment {
 	at := snapshot.Moment{Wall: time.Now()}
 	boot, err := os.ReadFile(bootFile)
 	if err != nil {
@@ -44,21 +44,21 @@
 
 // state is what would be saved now.
 func (d *Daemon) state() *snapshot.State {
-	at := moment()
+	at := now()
 	s := &snapshot.State{SavedMS: at.Wall.UnixMilli(), BootID: at.BootID, SinceBootMS: at.SinceBoot.Milliseconds(), Sources: map[string]*discovery.Members{}, Instances: map[string]*core.Memory{}}
 	for _, h := range d.hubs {
 		if m := h.Snapshot(); m != nil {
 			s.Sources[h.source.Key()] = m
 		}
 	}
-	limit := time.Now().Add(memoryWait)
-	for name, p := range d.parts {
+	limit := time.Now().Add(memoryTimeout)
+	for name, p := range d.instances {
 		if p.agent != nil {
 			if m, ok := p.agent.Memory(max(time.Millisecond, time.Until(limit))); ok {
-				d.memory[name] = m
+				d.memories[name] = m
 			}
 		}
-		if m := d.memory[name]; m != nil {
+		if m := d.memories[name]; m != nil {
 			s.Instances[name] = m
 		}
 	}
@@ -67,7 +67,7 @@
 
 // save hands the present state to the store.
 func (d *Daemon) save() {
-	if d.store.Dir == "" {
+	if d.snapshots.Dir == "" {
 		return
 	}
 	data, err := snapshot.Encode(d.state())
@@ -75,22 +75,22 @@
 		d.log.Error("state not saved", "error", err)
 		return
 	}
-	d.store.Put(data)
+	d.snapshots.Put(data)
 }
 
-// store is where the state is kept. A directory that can't be written never keeps the daemon from serving.
-type store struct{ *atomicfile.Writer }
+// snapshotStore is where the state is kept. A directory that can't be written never keeps the daemon from serving.
+type snapshotStore struct{ *atomicfile.Writer }
 
-func newStore(dir string, log *slog.Logger) *store {
-	return &store{atomicfile.NewWriter(dir, stateFile, "state", log)}
+func newSnapshotStore(dir string, log *slog.Logger) *snapshotStore {
+	return &snapshotStore{atomicfile.NewWriter(dir, snapshotFile, "state", log)}
 }
 
 // read is the saved state, or nil.
-func (s *store) read() (data []byte, from string) {
+func (s *snapshotStore) read() (data []byte, from string) {
 	if s.Dir == "" {
 		return nil, ""
 	}
-	path := filepath.Join(s.Dir, stateFile)
+	path := filepath.Join(s.Dir, snapshotFile)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
--- a/internal/host/daemon/verdicts.go
+++ b/internal/host/daemon/verdicts.go
@@ -10,46 +10,46 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// hosted is a running copy of an instance, for the carrier's loop.
-type hosted struct {
-	agent  *core.Agent
-	source string
-	serves string // the sum of the texts of the policy that it was built by
+// agentHandle is a running copy of an instance, for the carrier's loop.
+type agentHandle struct {
+	agent       *core.Agent
+	source      string
+	fingerprint string // the sum of the texts of the policy that it was built by
 }
 
 // A server is named in the fleet by its source's name, a slash, and its id there: sources of one name are one list,
 // whatever the address at which each daemon reads it.
-func fleetID(source, server string) string { return source + "/" + server }
+func fleetServerID(source, server string) string { return source + "/" + server }
 
 // watchLists has peers told of each list's changes, where that is not so yet.
 func (d *Daemon) watchLists() {
-	if d.cfg.Peers == nil || d.cfg.Peers.Verdicts == nil {
+	if d.cfg.Peers == nil || d.cfg.Peers.Ejection == nil {
 		return
 	}
 	for name, h := range d.hubs {
-		if h.leave == nil {
-			h.leave = h.Join(func(*discovery.Members) { d.listed(name, h) })
+		if h.unwatch == nil {
+			h.unwatch = h.Join(func(*discovery.Members) { d.reportList(name, h) })
 		}
 	}
 }
 
-// listed tells the carrier what a source says now. It may wait a little.
-func (d *Daemon) listed(source string, h *hub) {
-	p := d.sharing.Load()
-	if p == nil || p.spec.Verdicts == nil {
+// reportList tells the carrier what a source says now. It may wait a little.
+func (d *Daemon) reportList(source string, h *hub) {
+	p := d.activePeering.Load()
+	if p == nil || p.spec.Ejection == nil {
 		return
 	}
 	m := h.Snapshot()
 	if m == nil {
 		return
 	}
-	p.carrier.ListUpdated(ejection.ListUpdated{Source: source, Servers: serversOf(source, m)})
+	p.transport.ListUpdated(ejection.ListUpdated{Source: source, Servers: ejectionServers(source, m)})
 }
 
-func serversOf(source string, m *discovery.Members) []ejection.Server {
+func ejectionServers(source string, m *discovery.Members) []ejection.Server {
 	all := make([]ejection.Server, 0, len(m.Servers))
 	for _, s := range m.Servers {
-		one := ejection.Server{ID: fleetID(source, s.ID), StartedMS: s.Started, Zone: s.Zone, Pod: s.Cell}
+		one := ejection.Server{ID: fleetServerID(source, s.ID), StartedMS: s.Started, Zone: s.Zone, Pod: s.Cell}
 		if s.State != "ready" {
 			one.State = ejection.Draining
 		}
@@ -58,24 +58,24 @@
 	return all
 }
 
-func sightsOf(source string, all []core.Sight) []ejection.OutcomeSample {
+func outcomeSamples(source string, all []core.Sight) []ejection.OutcomeSample {
 	out := make([]ejection.OutcomeSample, 0, len(all))
 	for _, s := range all {
-		out = append(out, ejection.OutcomeSample{Server: fleetID(source, s.Server), StartedMS: s.Started, Succeeded: s.OK, Failed: s.Bad, ErrorResponses: s.Said})
+		out = append(out, ejection.OutcomeSample{Server: fleetServerID(source, s.Server), StartedMS: s.Started, Succeeded: s.OK, Failed: s.Bad, ErrorResponses: s.Said})
 	}
 	return out
 }
 
-// held are the verdicts that hold.
-type held struct {
-	all  []ejection.Ejection
-	base time.Time // of their times
+// ejectionSet are the verdicts that hold.
+type ejectionSet struct {
+	ejections []ejection.Ejection
+	base      time.Time // of their times
 }
 
-// of are those about the servers of a source.
-func (h *held) of(source string) []core.Verdict {
+// forSource are those about the servers of a source.
+func (h *ejectionSet) forSource(source string) []core.Verdict {
 	var all []core.Verdict
-	for _, v := range h.all {
+	for _, v := range h.ejections {
 		if id, ok := strings.CutPrefix(v.Server, source+"/"); ok {
 			all = append(all, core.Verdict{Server: id, Started: v.StartedMS, Drain: v.Draining, Until: h.base.Add(v.Until)})
 		}
@@ -83,36 +83,36 @@
 	return all
 }
 
-// judged has all instances go by these verdicts. The carrier's loop calls it; it does not wait. An instance that is too
+// ejectionsChanged has all instances go by these verdicts. The carrier's loop calls it; it does not wait. An instance that is too
 // busy to hear of them is told again.
-func (d *Daemon) judged(all []ejection.Ejection, base time.Time) {
-	h := &held{all, base}
-	d.verdicts.Store(h)
-	d.judge(h)
+func (d *Daemon) ejectionsChanged(all []ejection.Ejection, base time.Time) {
+	h := &ejectionSet{all, base}
+	d.ejections.Store(h)
+	d.applyEjections(h)
 }
 
-func (d *Daemon) judge(h *held) {
+func (d *Daemon) applyEjections(h *ejectionSet) {
 	again := false
 	d.agents.Range(func(_, a any) bool {
-		if one := a.(hosted); !one.agent.Judge(h.of(one.source)) {
+		if one := a.(agentHandle); !one.agent.Judge(h.forSource(one.source)) {
 			again = true
 		}
 		return true
 	})
 	if again {
-		time.AfterFunc(shareAgain, func() {
-			if d.verdicts.Load() == h {
-				d.judge(h)
+		time.AfterFunc(shareRetryInterval, func() {
+			if d.ejections.Load() == h {
+				d.applyEjections(h)
 			}
 		})
 	}
 }
 
-// Verdicts are what this daemon holds of servers; ok is false where nothing is shared, or nobody answers.
-func (d *Daemon) Verdicts() (s transport.EjectionStatus, ok bool) {
-	p := d.sharing.Load()
+// EjectionStatus are what this daemon holds of servers; ok is false where nothing is shared, or nobody answers.
+func (d *Daemon) EjectionStatus() (s transport.EjectionStatus, ok bool) {
+	p := d.activePeering.Load()
 	if p == nil {
 		return s, false
 	}
-	return p.carrier.EjectionStatus()
+	return p.transport.EjectionStatus()
 }
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -28,8 +28,8 @@
 }
 
 // shownPolicy is what `policy show --json` is told by a voter of n members.
-func shownPolicy(n int) *daemon.ShownPolicy {
-	s := &daemon.ShownPolicy{Status: policy.Status{Name: "host-00000", Serving: "by the policy in force", Voters: []string{"host-00000", "host-00001", "host-00002"}, Leader: "host-00001"}, Body: policyOf(100)}
+func shownPolicy(n int) *daemon.PolicyStatus {
+	s := &daemon.PolicyStatus{Status: policy.Status{Name: "host-00000", Serving: "by the policy in force", Voters: []string{"host-00000", "host-00001", "host-00002"}, Leader: "host-00001"}, Body: policyOf(100)}
 	for i := range n {
 		s.Roster = append(s.Roster, fmt.Sprintf("host-%05d", i))
 	}
