--- a/cmd/vetchhaven/ask.go
+++ b/cmd/vetchhaven/ask.go
@@ -15,6 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 )
 
 // askCommands talk to a running daemon, at the admin address of its file.
@@ -54,7 +55,7 @@
 
 // askWith calls it with a body.
 func askWith(config, method, path string, with []byte, wait time.Duration) ([]byte, error) {
-	cfg, err := daemon.Load(config)
+	cfg, err := daemonconfig.Load(config)
 	if err != nil {
 		return nil, exit{2, err}
 	}
--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -17,6 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/peer/transport"
 )
 
@@ -113,7 +114,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			var s daemon.LimitsStatus
 			if file {
-				cfg, err := daemon.Load(config)
+				cfg, err := daemonconfig.Load(config)
 				if err != nil {
 					return exit{1, err}
 				}
@@ -121,7 +122,7 @@
 					return exit{1, fmt.Errorf("%s: there is no [[limit]]", config)}
 				}
 				s.Agents = cmp.Or(agents, cfg.Balancers)
-				s.Limits = cfg.Limits.Show(s.Agents)
+				s.Limits = cfg.Limits.Summary(s.Agents)
 			} else {
 				body, err := ask(config, http.MethodGet, "/fleet/limits", 10*time.Second)
 				if err != nil {
--- a/cmd/vetchhaven/members.go
+++ b/cmd/vetchhaven/members.go
@@ -16,6 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/source/endpoints"
 )
@@ -40,7 +41,7 @@
 }
 
 func members(config, only string, watch bool, wait time.Duration, out io.Writer) error {
-	cfg, err := daemon.Load(config)
+	cfg, err := daemonconfig.Load(config)
 	if err != nil {
 		return exit{2, err}
 	}
--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -23,6 +23,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/peer/policy"
 )
 
@@ -57,7 +58,7 @@
 		if err != nil {
 			return exit{2, err}
 		}
-		if err := daemon.CheckPolicy(config, texts, names); err != nil {
+		if err := daemonconfig.CheckPolicy(config, texts, names); err != nil {
 			return exit{2, err}
 		}
 		if now, err := inForce(config); err == nil {
@@ -75,7 +76,7 @@
 			if err != nil {
 				return exit{2, err}
 			}
-			if err := daemon.CheckPolicy(config, texts, names); err != nil {
+			if err := daemonconfig.CheckPolicy(config, texts, names); err != nil {
 				return exit{2, err}
 			}
 			return applyPolicy(config, texts, &f, os.Stdout)
--- a/cmd/vetchhaven/policy_test.go
+++ b/cmd/vetchhaven/policy_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/testkit"
 )
 
@@ -170,7 +170,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.toml")
 	write(t, path, fmt.Sprintf(fleetFile, dir, "127.0.0.1:1"))
-	if err := daemon.CheckPolicy(path, map[string]string{"": "[rules]\nspeed = 1\n"}, map[string]string{"": "new.toml"}); err == nil || !strings.Contains(err.Error(), "new.toml:2: rules.speed") {
+	if err := daemonconfig.CheckPolicy(path, map[string]string{"": "[rules]\nspeed = 1\n"}, map[string]string{"": "new.toml"}); err == nil || !strings.Contains(err.Error(), "new.toml:2: rules.speed") {
 		t.Errorf("%v", err)
 	}
 }
@@ -274,7 +274,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	write(t, path, fmt.Sprintf(fleetFile, dir, "127.0.0.1:1"))
-	if err := daemon.CheckPolicy(path, texts, names); err == nil || !strings.Contains(err.Error(), "main.toml:2: ban") {
+	if err := daemonconfig.CheckPolicy(path, texts, names); err == nil || !strings.Contains(err.Error(), "main.toml:2: ban") {
 		t.Errorf("a part that does not do: %v", err)
 	}
 	write(t, filepath.Join(dir, "notes.txt"), "")
--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -16,6 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 )
 
 // clockEnv moves the wall clock by which a member of a fleet numbers its starts: drills set it.
@@ -53,7 +54,7 @@
 	if err != nil {
 		return exit{1, err}
 	}
-	cfg, err := daemon.Load(path)
+	cfg, err := daemonconfig.Load(path)
 	if err != nil {
 		return exit{2, err}
 	}
@@ -73,7 +74,7 @@
 				log.Warn("the daemon before was not told", "error", err)
 			}
 		},
-		Upgrade: func(ctx context.Context, sockets map[daemon.Address]*os.File, state []byte) error {
+		Upgrade: func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -1,3 +1,13 @@
+// Package daemon hosts many agent instances in one process. It keeps each of them running, changes them under load when the
+// file or the fleet's policy changes, hands its sockets over to a successor, and comes back from its last snapshot.
+// Instances share no decisions: each has its own balancer, token bucket, endpoint list and limits. They share what is
+// stated: one reading of each endpoint list, and the process's sockets and memory by weight.
+//
+// # State and ownership
+//
+// Run's goroutine owns a Daemon's state; other goroutines pass it functions by call and post. What the goroutine of the
+// transport (internal/peer/transport) and the instances' loops need is in atomic values and sync.Maps. The admin endpoint's
+// handlers run in goroutines of their own and go through call, or through the transport.
 package daemon
 
 import (
@@ -12,6 +22,7 @@
 	"time"
 
 	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/peer/membership"
@@ -21,15 +32,15 @@
 
 // Options are what a daemon is started with.
 type Options struct {
-	Config  *Config
+	Config  *daemonconfig.Config
 	Log     *slog.Logger
-	Inherit map[Address]*os.File // sockets of the daemon before, listening already
-	State   []byte               // its last state, if it hands over; else the state directory is read
+	Inherit map[daemonconfig.Address]*os.File // sockets of the daemon before, listening already
+	State   []byte                            // its last state, if it hands over; else the state directory is read
 	// Ready is called once every instance runs and has a list, or has waited long enough for one.
 	Ready func()
 	// Upgrade starts a successor with these sockets and this state, and returns when it is ready; nil:
 	// this daemon can't hand over.
-	Upgrade func(ctx context.Context, sockets map[Address]*os.File, state []byte) error
+	Upgrade func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error
 	// Fault may make an instance panic: tests do.
 	Fault func(name string) func(core.Totals)
 	// PeerFault is called in each step of the view of the fleet, and may make it panic: tests do.
@@ -41,15 +52,15 @@
 // Daemon is a fleet of instances. One goroutine, Run's, owns all of it.
 type Daemon struct {
 	options         Options
-	cfg             *Config
+	cfg             *daemonconfig.Config
 	log             *slog.Logger
 	startedAt       time.Time
 	calls           chan func() // for Run's goroutine
 	done            chan struct{}
-	listeners       map[Address]net.Listener // nobody accepts on these: instances do, on copies
-	packetConns     map[string]*net.UDPConn  // for peers, by address; nobody reads from these
-	peering         *peering                 // nil: the daemon stands alone, or this is being started
-	savedPeers      *transport.Saved         // from the daemon before
+	listeners       map[daemonconfig.Address]net.Listener // nobody accepts on these: instances do, on copies
+	packetConns     map[string]*net.UDPConn               // for peers, by address; nobody reads from these
+	peering         *peering                              // nil: the daemon stands alone, or this is being started
+	savedPeers      *transport.Saved                      // from the daemon before
 	size            atomic.Pointer[membership.Size]
 	previous        *transport.Transport    // while another takes its place in this process
 	activePeering   atomic.Pointer[peering] // the peering, for instances' loops
@@ -85,13 +96,13 @@
 // New opens what a daemon needs: sockets, inherited or new, and its last state. Nothing runs yet.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{options: o, cfg: o.Config, log: o.Log, startedAt: time.Now(), calls: make(chan func(), 64), done: make(chan struct{}),
-		listeners: map[Address]net.Listener{}, packetConns: map[string]*net.UDPConn{}, sizeChanged: make(chan struct{}, 1), servingUpdated: make(chan struct{}, 1), hubs: map[string]*hub{}, instances: map[string]*hostedInstance{},
+		listeners: map[daemonconfig.Address]net.Listener{}, packetConns: map[string]*net.UDPConn{}, sizeChanged: make(chan struct{}, 1), servingUpdated: make(chan struct{}, 1), hubs: map[string]*hub{}, instances: map[string]*hostedInstance{},
 		memories: map[string]*core.Memory{}, savedLists: map[string]*discovery.Members{},
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	d.supervisor = supervise.New(o.Config.Supervise, d.rng.Uint64())
 	d.snapshots = newSnapshotStore(o.Config.StateDir, o.Log)
 	d.restoreSnapshot()
-	d.ownFile.Store(&ownFile{d.cfg.Path, d.cfg.text})
+	d.ownFile.Store(&ownFile{d.cfg.Path, d.cfg.Text()})
 	if d.cfg.Policy != nil {
 		d.policyLease = d.cfg.Policy.Lease
 	}
--- a/internal/host/daemon/daemon_test.go
+++ b/internal/host/daemon/daemon_test.go
@@ -21,6 +21,7 @@
 	"go.uber.org/goleak"
 
 	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/standin"
@@ -56,6 +57,15 @@
 	extra string // more of the configuration's head
 }
 
+func writeFile(t testing.TB, dir, text string) string {
+	t.Helper()
+	path := filepath.Join(dir, "fleet.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
 func newYard(t *testing.T, servers ...discovery.Member) *yard {
 	t.Helper()
 	list, err := standin.NewList("", servers...)
@@ -161,7 +171,7 @@
 func (y *yard) try(o Options) (*running, error) {
 	y.t.Helper()
 	if o.Config == nil {
-		cfg, err := Load(filepath.Join(y.dir, "fleet.toml"))
+		cfg, err := daemonconfig.Load(filepath.Join(y.dir, "fleet.toml"))
 		if err != nil {
 			y.t.Fatal(err)
 		}
@@ -700,7 +710,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, y.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", processSockets+6+2*minSocketShare), 1))
+	writeFile(t, y.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", daemonconfig.ProcessSockets+6+2*daemonconfig.MinSocketShare), 1))
 	y.start(Options{})
 	var held []net.Conn
 	defer func() {
@@ -708,7 +718,7 @@
 			c.Close()
 		}
 	}()
-	for range 4 * minSocketShare { // silent ones: most wait in the kernel's queue
+	for range 4 * daemonconfig.MinSocketShare { // silent ones: most wait in the kernel's queue
 		c, err := net.DialTimeout("unix", y.sock("flooded"), time.Second)
 		if err != nil {
 			break
@@ -756,11 +766,11 @@
 	next := make(chan *running, 1)
 	fail := errors.New("not this time")
 	tries := 0
-	old := y.start(Options{Upgrade: func(_ context.Context, sockets map[Address]*os.File, state []byte) error {
+	old := y.start(Options{Upgrade: func(_ context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
 		if tries++; tries == 1 {
 			return fail
 		}
-		own := map[Address]*os.File{}
+		own := map[daemonconfig.Address]*os.File{}
 		for a, f := range sockets { // a process of its own would inherit copies
 			ln, err := net.FileListener(f)
 			if err != nil {
@@ -895,7 +905,7 @@
 	y := newYard(t, s.Member("ready"))
 	y.config(y.instance("a"))
 	started, kill := make(chan struct{}), make(chan struct{})
-	r := y.start(Options{Upgrade: func(ctx context.Context, _ map[Address]*os.File, _ []byte) error {
+	r := y.start(Options{Upgrade: func(ctx context.Context, _ map[daemonconfig.Address]*os.File, _ []byte) error {
 		close(started)
 		<-ctx.Done()
 		<-kill // a kill is late on a busy machine
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -3,12 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"reflect"
-	"slices"
-	"strings"
 	"testing"
 	"time"
 
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/peer/transport"
 	"vetchhaven/internal/testkit/golden"
@@ -54,7 +52,7 @@
 func TestAdminBodiesKeepTheirKeys(t *testing.T) {
 	for name, v := range map[string]any{
 		"status.json": &Status{}, "reload.json": &ReloadResult{}, "limits.json": &LimitsStatus{}, "policy.json": &PolicyStatus{},
-		"policy-change.json": &PolicyChange{}, "policy-fate.json": &PolicyChangeStatus{}, "handover.json": &[]Address{},
+		"policy-change.json": &PolicyChange{}, "policy-fate.json": &PolicyChangeStatus{}, "handover.json": &[]daemonconfig.Address{},
 	} {
 		golden.FillEmbedded(v, map[string]string{"ChangeStatus": "Fate", "Status": "Shown"})
 		data, err := json.MarshalIndent(v, "", " ")
@@ -64,23 +62,3 @@
 		golden.Check(t, name, data)
 	}
 }
-
-// Keys without a tag are their fields' names, whatever their case. So the keys are compared in the order of their lower
-// case: a tag in place of a field's name moves a key in the order of golden.Keys, and changes nothing in a file.
-func TestSettingsFilesKeepTheirKeys(t *testing.T) {
-	for name, v := range map[string]any{
-		"fleet.toml.keys":   fileTables{},
-		"policy.toml.keys":  sharedTables{},
-		"service.toml.keys": servicePart{},
-	} {
-		t.Run(name, func(t *testing.T) {
-			want := strings.Fields(string(golden.Read(t, name)))
-			got := strings.Fields(strings.ToLower(strings.Join(golden.Keys(reflect.TypeOf(v)), "\n")))
-			slices.Sort(want)
-			slices.Sort(got)
-			if !slices.Equal(got, want) {
-				t.Errorf("keys are\n%s\nand were\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
-			}
-		})
-	}
-}
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -12,6 +12,7 @@
 	"strings"
 	"time"
 
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/snapshot"
 	"vetchhaven/internal/peer/transport"
 )
@@ -27,7 +28,7 @@
 const ReadyTimeout = 30 * time.Second
 
 // Successor starts one with the given command and waits until it is ready. After an error none is left.
-func Successor(ctx context.Context, cmd *exec.Cmd, sockets map[Address]*os.File, state []byte, within time.Duration) error {
+func Successor(ctx context.Context, cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, state []byte, within time.Duration) error {
 	ready, tell, err := os.Pipe()
 	if err != nil {
 		return err
@@ -49,11 +50,11 @@
 	if _, err := saved.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	var names []Address
+	var names []daemonconfig.Address
 	for a := range sockets {
 		names = append(names, a)
 	}
-	slices.SortFunc(names, func(a, b Address) int { return strings.Compare(a.String(), b.String()) })
+	slices.SortFunc(names, func(a, b daemonconfig.Address) int { return strings.Compare(a.String(), b.String()) })
 	cmd.ExtraFiles = []*os.File{tell, saved}
 	for _, a := range names {
 		cmd.ExtraFiles = append(cmd.ExtraFiles, sockets[a])
@@ -97,7 +98,7 @@
 
 // Inherited is what a daemon gets from the one before; nothing, where it is the first.
 type Inherited struct {
-	Sockets map[Address]*os.File
+	Sockets map[daemonconfig.Address]*os.File
 	State   []byte
 	ready   *os.File
 }
@@ -111,11 +112,11 @@
 	if err := os.Unsetenv(handoverVariable); err != nil {
 		return nil, err
 	}
-	var names []Address
+	var names []daemonconfig.Address
 	if err := json.Unmarshal([]byte(text), &names); err != nil {
 		return nil, fmt.Errorf("%s: %w", handoverVariable, err)
 	}
-	i := &Inherited{Sockets: map[Address]*os.File{}, ready: os.NewFile(3, "ready")}
+	i := &Inherited{Sockets: map[daemonconfig.Address]*os.File{}, ready: os.NewFile(3, "ready")}
 	saved := os.NewFile(4, "state")
 	if i.ready == nil || saved == nil {
 		return nil, fmt.Errorf("%s: the descriptors are missing", handoverVariable)
@@ -157,7 +158,7 @@
 	if d.options.Upgrade == nil {
 		return errors.New("this daemon can't hand over")
 	}
-	files := map[Address]*os.File{}
+	files := map[daemonconfig.Address]*os.File{}
 	defer func() {
 		for _, f := range files {
 			_ = f.Close()
@@ -211,7 +212,7 @@
 			}
 		}
 		for a, u := range d.packetConns {
-			if files[Address{"udp", a}], err = fileOf(u, a); err != nil {
+			if files[daemonconfig.Address{Network: "udp", Addr: a}], err = fileOf(u, a); err != nil {
 				return
 			}
 		}
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -7,6 +7,7 @@
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/supervise"
 	"vetchhaven/internal/protocol/http1"
 	"vetchhaven/internal/protocol/ldap"
@@ -14,7 +15,7 @@
 
 // hostedInstance is one instance, running or not.
 type hostedInstance struct {
-	spec          Instance
+	spec          daemonconfig.Instance
 	agent         *core.Agent
 	stop          context.CancelFunc
 	number        uint32        // of the running copy, towards the carrier; never used again
--- a/internal/host/daemon/ldap_test.go
+++ b/internal/host/daemon/ldap_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
@@ -101,32 +99,3 @@
 	}
 	eventually(t, "the old connection to end", func() bool { return c.IsClosing() })
 }
-
-// What makes no sense of an instance that speaks LDAP is said with its line.
-func TestLDAPConfig(t *testing.T) {
-	dir := t.TempDir()
-	inst := "[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"127.0.0.1:7055\"\n"
-	for want, text := range map[string]string{
-		"needs a class \"search\"": good + inst,
-		"none of http, ldap":       good + strings.Replace(inst, "\"ldap\"", "\"smtp\"", 1),
-		"no class of operations":   good + operations + inst + "classes = [\"search\", \"modify\", \"get\"]\n",
-		"is keyed":                 good + strings.Replace(operations, "\"modify\"", "\"modify\"\nrepeats = \"keyed\"\nwindow = \"1s\"", 1) + inst,
-		"go together":              good + operations + inst + "[ldap]\ncertificate = \"x\"\n",
-		"none of starttls, ldaps":  good + operations + inst + "[ldap]\nserver_tls = \"some\"\n",
-		"no such file":             good + operations + inst + "[ldap]\nserver_tls = \"ldaps\"\nserver_ca = \"none.pem\"\n",
-		"ldap.max_message":         good + operations + inst + "[ldap]\nmax_message = -1\n",
-	} {
-		if _, err := Load(writeFile(t, dir, text)); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), filepath.Join(dir, "")) {
-			t.Errorf("%s: %v", want, err)
-		}
-	}
-	cfg, err := Load(writeFile(t, dir, good+operations+inst))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, i := range cfg.Instances {
-		if i.Name == "dir" && (i.LDAP == nil || fmt.Sprint(i.Agent.Site.Classes) != "[search modify]") || i.Name == "one" && i.LDAP != nil {
-			t.Errorf("%+v", i)
-		}
-	}
-}
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -13,35 +13,6 @@
 	return fmt.Sprintf("[[limit]]\nname = %q\ncounts = %q\nkind = %q\nfigure = %d\n%s", name, counts, kind, figure, more)
 }
 
-func TestLimitsAreReadStrictly(t *testing.T) {
-	y := newYard(t)
-	addr := freeAddr(t)
-	peers := peersText("a", addr) + "keepers = [\"a\"]\n"
-	for text, want := range map[string]string{
-		limitText("x", "requests", "hard", 1, ""):                                                       "limit[0]: limits that the fleet shares need [peers]",
-		peersText("a", addr) + limitText("x", "requests", "hard", 1, ""):                                "peers.keepers: 0 keepers",
-		peersText("a", addr) + "keepers = [\"a\", \"a\"]\n" + limitText("x", "requests", "hard", 1, ""): "peers.keepers[1]",
-		peers + "term = \"1ms\"\n" + limitText("x", "requests", "hard", 1, ""):                          "peers.term",
-		peers + "drift = 0.9\n" + limitText("x", "requests", "hard", 1, ""):                             "peers.drift",
-		peers + limitText("x y", "requests", "hard", 1, ""):                                             "limit[0].name",
-		peers + limitText("x", "requests", "hard", 1, "") + limitText("x", "requests", "hard", 1, ""):   "limit[1].name",
-		peers + limitText("x", "forms", "hard", 1, ""):                                                  "limit[0].counts",
-		peers + limitText("x", "requests", "firm", 1, ""):                                               "limit[0].kind",
-		peers + limitText("x", "requests", "hard", 0, ""):                                               "limit[0].figure",
-		peers + limitText("x", "requests", "hard", 1, "floor = 0.5\n"):                                  "limit[0].floor",
-		peers + limitText("x", "requests", "soft", 1, "floor = 1.5\n"):                                  "limit[0].floor",
-		peers + limitText("x", "requests", "hard", 1, "class = \"put\"\n"):                              "limit[0].class",
-		peers + limitText("x", "requests", "hard", 1, "zone = \"b\"\n"):                                 "limit[0].zone",
-		peers + limitText("x", "requests", "hard", 1, "pod = -1\n"):                                     "limit[0].pod",
-		peers + limitText("x", "requests", "hard", 1, "each = \"class\"\n"):                             "limit[0].each",
-	} {
-		_, err := Load(y.config(y.instance("one") + strings.Replace(text, `seeds = [""]`, `seeds = []`, 1)))
-		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
-			t.Errorf("%s\n%v, not %s", text, err, want)
-		}
-	}
-}
-
 // A limit is lent, turns away at once what is over it, names itself, and follows the file.
 func TestLimitIsLentNamedAndFollowsTheFile(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
--- a/internal/host/daemon/lists.go
+++ b/internal/host/daemon/lists.go
@@ -4,20 +4,21 @@
 	"context"
 	"reflect"
 
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/source/discovery"
 )
 
 // hub is one list that is followed.
 type hub struct {
 	*discovery.Hub
-	source  Source
+	source  daemonconfig.Source
 	stop    context.CancelFunc
 	unwatch func() // peers' part in it; nil: they have none
 }
 
 // followSources sees to a hub for each source of a configuration, and to none besides. Instances move by
 // themselves afterwards.
-func (d *Daemon) followSources(cfg *Config) (dropped []*hub) {
+func (d *Daemon) followSources(cfg *daemonconfig.Config) (dropped []*hub) {
 	for name, s := range cfg.Sources {
 		old := d.hubs[name]
 		if old != nil && reflect.DeepEqual(old.source, s) {
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/source/dnssource"
 	"vetchhaven/internal/source/endpoints"
@@ -27,7 +28,7 @@
 
 // Merger makes one list of what a source's list service and its records say, and tells it to a hub.
 type Merger struct {
-	source    Source
+	source    daemonconfig.Source
 	log       *slog.Logger
 	hub       *discovery.Hub
 	module    *endpoints.Module
@@ -46,7 +47,7 @@
 
 // NewMerger sets one up. saved is the list of before, and may be nil. Changed, which may be nil, is called
 // with each new list.
-func NewMerger(s Source, out *discovery.Hub, saved *discovery.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
+func NewMerger(s daemonconfig.Source, out *discovery.Hub, saved *discovery.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
 	var parts []endpoints.Source
 	if s.List != "" {
 		parts = append(parts, endpoints.Source{Name: fromList, Exact: true, Hold: unlimitedHold}) // the list's own rule: the last one holds
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -7,7 +7,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"vetchhaven/internal/standin"
 	"vetchhaven/internal/standin/dns"
@@ -122,26 +121,6 @@
 	return ln.LocalAddr().String()
 }
 
-func TestRecordsConfig(t *testing.T) {
-	dir := t.TempDir()
-	with := func(more string) string { return strings.Replace(good, "list = \"127.0.0.1:8500\"\n", more, 1) }
-	for want, text := range map[string]string{
-		"missing: names are asked": with("srv = [\"_form._tcp.example.org\"]\n"),
-		"a name such as":           with("srv = [\"example.org\"]\nresolvers = [\"127.0.0.1:53\"]\n"),
-		"source[0].resolvers":      with("browse = [\"_form._tcp.example.org\"]\nresolvers = [\"ns.example.org:53\"]\n"),
-		"source[0].list":           with(""),
-		"source[0].group":          with("multicast = \"_form._tcp.local\"\n"),
-	} {
-		if _, err := Load(writeFile(t, dir, text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
-	}
-	cfg, err := Load(writeFile(t, dir, with("srv = [\"_form._tcp.example.org\"]\nresolvers = [\"127.0.0.1:53\"]\nhold = \"10m\"\n")))
-	if err != nil || cfg.Sources["main"].Hold != 10*time.Minute || !cfg.Sources["main"].Records() {
-		t.Errorf("%+v, %v", cfg, err)
-	}
-}
-
 func mustRead(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"testing"
 
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/standin"
 )
 
@@ -28,35 +29,6 @@
 	return fmt.Sprintf("[peers]\nfleet = \"f\"\nname = %q\nlisten = %q\nseeds = [\"%s\"]\nevery = \"50ms\"\n", name, listen, strings.Join(seeds, `", "`))
 }
 
-func TestPeersTableIsReadStrictly(t *testing.T) {
-	y := newYard(t)
-	for text, want := range map[string]string{
-		"[peers]\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\n":                                                              "peers.fleet",
-		"[peers]\nfleet = \"f\"\nname = \"a b\"\nlisten = \"127.0.0.1:7946\"\n":                                             "peers.name",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"here:7946\"\n":                                                    "peers.listen",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"0.0.0.0:7946\"\n":                                                 "peers.advertise",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nseeds = [\"x\"]\n":                              "peers.seeds[0]",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nevery = \"1ms\"\n":                              "peers.every",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nbytes_per_s = 10\n":                             "peers.bytes_per_s",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nfar_bytes_per_s = 10\n":                         "peers.far_bytes_per_s",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"" + strings.Repeat("r", 65) + "\"\n": "region",
-		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nsuspect_least = \"1h\"\nevery=\"1s\"":           "peers.suspect_least",
-	} {
-		_, err := Load(y.config(y.instance("one") + text))
-		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
-			t.Errorf("%s\n%v, not %s", text, err, want)
-		}
-	}
-}
-
-func TestRegionAndItsBytesReachTheView(t *testing.T) {
-	y := newYard(t)
-	cfg, err := Load(y.config(y.instance("one") + "[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"west\"\nfar_bytes_per_s = 5000\n"))
-	if err != nil || cfg.Peers.Membership.Region != "west" || cfg.Peers.Membership.RemoteBytesPerSecond != 5000 {
-		t.Errorf("%v: %+v", err, cfg)
-	}
-}
-
 // What the view of the fleet does, fails at or hangs in never keeps an instance from serving.
 func TestServesWhateverBecomesOfThePeers(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
@@ -178,7 +150,7 @@
 	y := newYard(t, f.Member("ready"))
 	y.config(y.instance("one") + peersText("a", freeAddr(t), freeAddr(t)))
 	begun, end := make(chan struct{}), make(chan struct{})
-	r := y.start(Options{Upgrade: func(context.Context, map[Address]*os.File, []byte) error {
+	r := y.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error {
 		close(begun)
 		<-end
 		return errors.New("no successor")
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -13,10 +13,10 @@
 
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/policystore"
 	"vetchhaven/internal/peer/policy"
 	"vetchhaven/internal/peer/transport"
-	"vetchhaven/internal/tomlfile"
 )
 
 // policyState is what the daemon knows of the policy that its fleet agrees on. The carrier's loop tells it (served), Run's
@@ -81,9 +81,9 @@
 		d.policy.disk.Member = nil
 		return
 	}
-	texts = slices.DeleteFunc(texts, func(t policy.Document) bool { return t.Part != "" && !slices.Contains(heldBy(d.cfg), t.Part) })
+	texts = slices.DeleteFunc(texts, func(t policy.Document) bool { return t.Part != "" && !slices.Contains(d.cfg.HeldParts(), t.Part) })
 	kept := policy.Serving{Document: &texts[0], Parts: texts[1:]}
-	cfg, err := d.configUnder(d.cfg, texts, nil)
+	cfg, err := d.cfg.Under(texts, nil)
 	if err != nil {
 		d.log.Error("this daemon can't serve by the last policy that it knows", "policy", kept.Fingerprint(), "error", err)
 		return
@@ -92,7 +92,7 @@
 	d.policy.applied, d.policy.fingerprint = applied{kept.Document.Number, kept.Fingerprint()}, kept.Fingerprint()
 	if h := d.policy.handoff; h != nil && h.Number == kept.Document.Number { // requests are taken on at once
 		first.Blocked, first.Document, first.Parts, first.Until, first.base = "", kept.Document, kept.Parts, policy.Never, time.Now()
-		first.ServedParts = h.ServedParts(heldBy(d.cfg), func(part string) policy.Document { t, _ := kept.Lookup(part); return *t })
+		first.ServedParts = h.ServedParts(d.cfg.HeldParts(), func(part string) policy.Document { t, _ := kept.Lookup(part); return *t })
 		inForce := func(id string) bool {
 			return slices.ContainsFunc(texts, func(t policy.Document) bool { return t.ID == id })
 		}
@@ -102,25 +102,6 @@
 	}
 }
 
-// configUnder is the daemon's configuration under the parts' texts, or what these and the changes that may be in force in their
-// place all allow.
-func (d *Daemon) configUnder(cfg *Config, texts []policy.Document, both []*policy.Document) (*Config, error) {
-	over, err := overlayOf(texts)
-	if err == nil && len(both) > 0 {
-		var other *Overlay
-		if other, err = overlayOf(replaceDocuments(texts, both)); err == nil {
-			var own fileTables
-			if err = parseOwn(cfg, &own); err == nil {
-				over, err = intersect(over.completedBy(&own), other.completedBy(&own))
-			}
-		}
-	}
-	if err != nil {
-		return nil, err
-	}
-	return build(cfg.Path, cfg.text, over)
-}
-
 // checkPolicy reports whether this daemon could serve by these texts of the parts that it holds. The carrier's loop calls it.
 func (d *Daemon) checkPolicy(texts []policy.Document) (err error) {
 	defer func() { // whatever is wrong with it is a reason not to agree, and no more
@@ -128,13 +109,8 @@
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
-	over, err := overlayOf(texts)
-	if err != nil {
-		return err
-	}
-	host := d.ownFile.Load()
-	_, err = build(host.Path, host.data, over)
-	return err
+	own := d.ownFile.Load()
+	return daemonconfig.CheckUnder(own.path, own.text, texts)
 }
 
 // reloadPolicy reads what the last life of the member left on the disk. Without that no member begins: a voter would forget
@@ -161,7 +137,7 @@
 	disk := d.policy.disk
 	d.policy.diskUnused = false
 	s := p.Settings
-	s.Name, s.RunID, s.Check, s.Handoff, s.Parts = d.cfg.Peers.Name, life, d.checkPolicy, d.policy.handoff, heldBy(d.cfg)
+	s.Name, s.RunID, s.Check, s.Handoff, s.Parts = d.cfg.Peers.Name, life, d.checkPolicy, d.policy.handoff, d.cfg.HeldParts()
 	if s.Handoff != nil {
 		d.policy.handoffSeq = max(d.policy.handoffSeq, s.Handoff.Seq)
 	}
@@ -278,7 +254,7 @@
 	if want == d.policy.applied || s.unservable != "" {
 		return
 	}
-	cfg, err := d.configUnder(d.cfg, servedDocuments(&s.Serving), s.Preparing)
+	cfg, err := d.cfg.Under(servedDocuments(&s.Serving), s.Preparing)
 	if err == nil {
 		d.policy.fingerprint = want.fingerprint
 		err = d.switchTo(cfg)
@@ -313,7 +289,7 @@
 	if d.cfg.Policy == nil {
 		return
 	}
-	all := heldBy(d.cfg)
+	all := d.cfg.HeldParts()
 	d.heldParts.Store(&all)
 	d.background.Go(func() {
 		for told := false; !told && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) { // the part that is told may be one that is replaced
@@ -340,8 +316,8 @@
 
 // switchTo changes instances over to another configuration in one go. What they have taken is finished by the old one, and
 // repeated by the shorter window of the two.
-func (d *Daemon) switchTo(cfg *Config) error {
-	old := map[*core.Agent]Instance{}
+func (d *Daemon) switchTo(cfg *daemonconfig.Config) error {
+	old := map[*core.Agent]daemonconfig.Instance{}
 	for _, p := range d.instances {
 		if p.agent != nil {
 			old[p.agent] = p.spec
@@ -357,7 +333,7 @@
 	for a, spec := range old {
 		d.replaced.Store(a, true)
 		a.ShortenAdmission(until, reasonPolicySwitched)
-		i := slices.IndexFunc(cfg.Instances, func(n Instance) bool { return n.Name == spec.Name })
+		i := slices.IndexFunc(cfg.Instances, func(n daemonconfig.Instance) bool { return n.Name == spec.Name })
 		if i >= 0 {
 			a.Narrow(shortenedWindows(&spec.Agent, &cfg.Instances[i].Agent))
 		}
@@ -527,7 +503,7 @@
 	for _, x := range c.Documents() {
 		if x.Part == "" || slices.Contains(s.ConfiguredParts, x.Part) {
 			held = append(held, x)
-		} else if _, err := readServicePart(documentName(&x), x.Part, x.Body); err != nil {
+		} else if err := daemonconfig.CheckServiceDocument(&x); err != nil {
 			return err
 		}
 	}
@@ -537,7 +513,7 @@
 	}
 	for i := range held {
 		held[i].AdditionalParts = nil
-		texts = replaceDocuments(texts, []*policy.Document{&held[i]})
+		texts = daemonconfig.ReplaceDocuments(texts, []*policy.Document{&held[i]})
 	}
 	return d.checkPolicy(texts)
 }
@@ -594,42 +570,13 @@
 	return d.onPolicy(func(*policy.Node, time.Duration) []policy.Event { return []policy.Event{e} })
 }
 
-// CheckPolicy reports whether the daemon of a file could serve by texts of parts, by name, without a daemon. Names are what
-// errors call them.
-func CheckPolicy(config string, texts, names map[string]string) error {
-	cfg, err := Load(config)
-	if err != nil {
-		return err
-	}
-	over := &Overlay{tables: map[string]bool{}}
-	if text, ok := texts[""]; ok {
-		if over, err = readPolicy(names[""], []byte(text)); err != nil {
-			return err
-		}
-	}
-	for _, part := range slices.Sorted(maps.Keys(texts)) {
-		if part == "" {
-			continue
-		}
-		p, err := readServicePart(names[part], part, []byte(texts[part]))
-		if err != nil {
-			return err
-		}
-		if slices.Contains(heldBy(cfg), part) {
-			over.services = append(over.services, p)
-		}
-	}
-	_, err = build(cfg.Path, cfg.text, over)
-	return err
-}
-
 // ownFile is the daemon's own file as it was last read.
 type ownFile struct {
-	Path string
-	data []byte
+	path string
+	text []byte
 }
 
-func parseOwn(cfg *Config, into *fileTables) error {
-	_, err := tomlfile.Parse(cfg.Path, cfg.text, into)
-	return err
+// servedDocuments returns the documents by which a member serves, the global one first.
+func servedDocuments(s *policy.Serving) []policy.Document {
+	return append([]policy.Document{*s.Document}, s.Parts...)
 }
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -31,12 +31,8 @@
 	var old, now *core.Agent
 	r.call(func() {
 		old = r.instances["a"].agent
-		over, err := readPolicy("policy", []byte("[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n"))
-		if err != nil {
-			t.Error(err)
-			return
-		}
-		cfg, err := build(r.cfg.Path, r.cfg.text, over)
+		body := "[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n"
+		cfg, err := r.cfg.Under([]policy.Document{{Number: 1, Body: []byte(body)}}, nil)
 		if err == nil {
 			err = r.switchTo(cfg)
 		}
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/supervise"
 )
 
@@ -29,8 +30,8 @@
 		return r, err
 	}
 	if !d.call(func() {
-		var cfg *Config
-		if cfg, err = build(d.cfg.Path, data, d.cfg.overlay); err != nil { // under the policy in force
+		var cfg *daemonconfig.Config
+		if cfg, err = d.cfg.Reparse(data); err != nil {
 			return
 		}
 		if r, err = d.apply(cfg); err == nil {
@@ -42,7 +43,7 @@
 	return r, err
 }
 
-func (d *Daemon) apply(cfg *Config) (r ReloadResult, err error) {
+func (d *Daemon) apply(cfg *daemonconfig.Config) (r ReloadResult, err error) {
 	if d.handingOver {
 		return r, errors.New("a successor is being started: it reads the file itself")
 	}
@@ -68,7 +69,7 @@
 			r.Added++
 			d.instances[spec.Name] = &hostedInstance{spec: spec}
 			d.start(spec.Name)
-		case !p.spec.equalExceptSource(spec):
+		case !p.spec.EqualExceptSource(spec):
 			// The new copy accepts before the old one ends: both have the socket, or each its own.
 			r.Replaced++
 			end, a := p.stop, p.agent
@@ -114,7 +115,7 @@
 		delete(d.memories, name)
 	}
 	d.watchLists()
-	if !slices.Equal(heldBy(old), heldBy(cfg)) {
+	if !slices.Equal(old.HeldParts(), cfg.HeldParts()) {
 		d.announceParts()
 	}
 	for _, p := range d.instances {
--- a/internal/host/daemon/sockets.go
+++ b/internal/host/daemon/sockets.go
@@ -7,19 +7,21 @@
 	"os"
 	"syscall"
 	"time"
+
+	"vetchhaven/internal/host/daemonconfig"
 )
 
 // listenAddresses is every address that a configuration names.
-func listenAddresses(cfg *Config) []Address {
-	all := []Address{cfg.Admin}
+func listenAddresses(cfg *daemonconfig.Config) []daemonconfig.Address {
+	all := []daemonconfig.Address{cfg.Admin}
 	for _, i := range cfg.Instances {
 		all = append(all, i.Listen)
 	}
-	return append(all, cfg.peerAddress()...)
+	return append(all, cfg.PeerAddresses()...)
 }
 
 // listen opens what is not open yet. After an error nothing has changed.
-func (d *Daemon) listen(cfg *Config) (opened []Address, err error) {
+func (d *Daemon) listen(cfg *daemonconfig.Config) (opened []daemonconfig.Address, err error) {
 	packets, err := d.openPackets(cfg)
 	if err != nil {
 		return nil, err
@@ -47,7 +49,7 @@
 
 // listenOn opens one address. A unix socket that nobody listens on any more is one that a daemon
 // left when it was killed: it goes.
-func listenOn(a Address) (net.Listener, error) {
+func listenOn(a daemonconfig.Address) (net.Listener, error) {
 	ln, err := net.Listen(a.Network, a.Addr)
 	if err != nil && a.Network == "unix" {
 		if info, stat := os.Stat(a.Addr); stat == nil && info.Mode()&os.ModeSocket != 0 {
@@ -108,7 +110,7 @@
 }
 
 // closeSocket gives an address up for good.
-func (d *Daemon) closeSocket(a Address) {
+func (d *Daemon) closeSocket(a daemonconfig.Address) {
 	ln := d.listeners[a]
 	if u, ok := ln.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(true)
--- a/internal/host/daemon/sockets_test.go
+++ b/internal/host/daemon/sockets_test.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"vetchhaven/internal/host/daemonconfig"
 )
 
 // A unix socket whose queue is full refuses connections for a moment: it is somebody's all the same, and stays. One that
@@ -39,7 +41,7 @@
 	if !errors.Is(err, syscall.EAGAIN) {
 		t.Fatalf("the queue is not full: %v", err)
 	}
-	if ln, err := listenOn(Address{"unix", path}); !errors.Is(err, syscall.EADDRINUSE) {
+	if ln, err := listenOn(daemonconfig.Address{Network: "unix", Addr: path}); !errors.Is(err, syscall.EADDRINUSE) {
 		if ln != nil {
 			ln.Close()
 		}
@@ -49,7 +51,7 @@
 		t.Errorf("the other's socket: %v", err)
 	}
 	_ = syscall.Close(fd)
-	ln, err := listenOn(Address{"unix", path})
+	ln, err := listenOn(daemonconfig.Address{Network: "unix", Addr: path})
 	if err != nil {
 		t.Fatalf("where nobody listens any more: %v", err)
 	}
--- a/internal/host/daemon/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -1,8 +1,14 @@
-// Package daemon is the daemon: it hosts many agent instances in one process, keeps each going,
-// changes them under load, hands its sockets over to a successor and comes back from its last state.
-// Instances share no decisions: each has its own balancer, bucket, view and limits. They share what
-// is stated: one reading of each list, the process's sockets and memory by fair shares.
-package daemon
+// Package daemonconfig reads a daemon's settings file (TOML) and the policy of its fleet that is laid over it, checks both
+// whole, and turns them into what the daemon uses. It decides what a file means, and has no state: a Config is not changed
+// once it is made. Mistakes are reported with the file, line and key at fault; the first one is returned.
+//
+// A policy replaces whole tables of the file ([site], [[class]], ...), and a service's part of it replaces or adds the
+// service's source, classes and bans: see Overlay. Where a daemon does not know which of two policies is active,
+// Config.Under makes the configuration of what both allow.
+//
+// internal/host/daemon calls it from its own goroutine, but CheckUnder from the transport's; commands use Load and
+// CheckPolicy without a daemon.
+package daemonconfig
 
 import (
 	"fmt"
@@ -79,16 +85,16 @@
 	LDAP   *ldap.Options // where it speaks LDAP; else HTTP/1.1
 }
 
-// equalExceptSource reports whether nothing but the source of its list differs: that can change in place.
-func (i Instance) equalExceptSource(o Instance) bool {
+// EqualExceptSource reports whether nothing but the source of its list differs: that can change in place.
+func (i Instance) EqualExceptSource(o Instance) bool {
 	i.Source, o.Source = "", ""
 	return reflect.DeepEqual(i, o)
 }
 
 const (
 	maxInstances   = 10000
-	minSocketShare = 16 // sockets of an instance at the least: clients' and servers' together
-	processSockets = 64 // of the process itself
+	MinSocketShare = 16 // sockets of an instance at the least: clients' and servers' together
+	ProcessSockets = 64 // of the process itself
 	defaultMargin  = 5 * time.Millisecond
 )
 
@@ -98,11 +104,11 @@
 	if err != nil {
 		return nil, err // names the operation and the path
 	}
-	return build(path, data, nil)
+	return parse(path, data, nil)
 }
 
-// build reads and checks a file's text with a policy laid over it, which may be nil.
-func build(path string, data []byte, over *Overlay) (*Config, error) {
+// parse reads and checks a file's text with a policy laid over it, which may be nil.
+func parse(path string, data []byte, over *Overlay) (*Config, error) {
 	var f fileTables
 	t, err := tomlfile.Parse(path, data, &f)
 	if err != nil {
--- a/internal/host/daemon/overlay.go
+++ b/internal/host/daemonconfig/overlay.go
@@ -1,4 +1,4 @@
-package daemon
+package daemonconfig
 
 import (
 	"fmt"
@@ -270,7 +270,7 @@
 	if a.ClockDrift = in.Drift; !(a.ClockDrift >= 0 && a.ClockDrift <= 0.2) {
 		c.fail("policy.drift", "%v: 0 to 0.2 are allowed", a.ClockDrift)
 	}
-	if n := len(heldBy(cfg)); n > policy.MaxPartsPerMember {
+	if n := len(cfg.HeldParts()); n > policy.MaxPartsPerMember {
 		c.fail("instance", "they have %d sources: with [policy] up to %d are allowed", n, policy.MaxPartsPerMember)
 	}
 	if n := len(a.Voters); n != 1 && n != 3 && n != 5 {
--- a/internal/host/daemon/overlay_test.go
+++ b/internal/host/daemonconfig/overlay_test.go
@@ -1,4 +1,4 @@
-package daemon
+package daemonconfig
 
 import (
 	"os"
@@ -58,12 +58,11 @@
 
 func under(t *testing.T, text, both string) (*Config, error) {
 	t.Helper()
-	d := &Daemon{}
 	var other []*policy.Document
 	if both != "" {
 		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return d.configUnder(own(t), []policy.Document{{Number: 1, Body: []byte(text)}}, other)
+	return own(t).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
 func TestAPolicysPartsTakeThePlaceOfTheFiles(t *testing.T) {
@@ -117,19 +116,3 @@
 		}
 	}
 }
-
-func TestWindowsOfRequestsUnderWay(t *testing.T) {
-	was, err := under(t, "[rules]\nmax_attempts = 3\n", "")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for text, want := range map[string]time.Duration{"window = \"6s\"\nrepeats = \"keyed\"\n": 6 * time.Second, "window = \"20s\"\nrepeats = \"keyed\"\n": 0, "": 1, "repeats = \"safe\"\n": 0} {
-		now, err := under(t, "[[class]]\nname = \"close\"\naim = \"1s\"\ndeadline = \"20s\"\n"+text, "")
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := shortenedWindows(&was.Instances[0].Agent, &now.Instances[0].Agent); got[0] != want {
-			t.Errorf("%q: %v, not %v", text, got[0], want)
-		}
-	}
-}
--- /dev/null
+++ b/internal/host/daemonconfig/policy.go
@@ -0,0 +1,100 @@
+package daemonconfig
+
+import (
+	"maps"
+	"slices"
+
+	"vetchhaven/internal/peer/policy"
+	"vetchhaven/internal/tomlfile"
+)
+
+// Text is the file's own text, without the policy.
+func (c *Config) Text() []byte { return c.text }
+
+// HeldParts returns the parts of the policy that a daemon of this configuration holds: those of its instances' sources.
+func (c *Config) HeldParts() []string {
+	var parts []string
+	for _, instance := range c.Instances {
+		if len(instance.Source) <= policy.MaxPartNameBytes {
+			parts = append(parts, instance.Source)
+		}
+	}
+	slices.Sort(parts)
+	return slices.Compact(parts)
+}
+
+// Reparse reads and checks another text of the file under the same policy.
+func (c *Config) Reparse(text []byte) (*Config, error) { return parse(c.Path, text, c.overlay) }
+
+// Under returns the configuration under documents of the policy or, with changes being prepared, under what both these
+// documents and the documents with the changes allow: a member that does not know which of the two is active serves so.
+func (c *Config) Under(documents []policy.Document, preparing []*policy.Document) (*Config, error) {
+	active, err := overlayOf(documents)
+	if err != nil {
+		return nil, err
+	}
+	if len(preparing) == 0 {
+		return parse(c.Path, c.text, active)
+	}
+	changed, err := overlayOf(ReplaceDocuments(documents, preparing))
+	if err != nil {
+		return nil, err
+	}
+	var own fileTables
+	if _, err := tomlfile.Parse(c.Path, c.text, &own); err != nil {
+		return nil, err
+	}
+	both, err := intersect(active.completedBy(&own), changed.completedBy(&own))
+	if err != nil {
+		return nil, err
+	}
+	return parse(c.Path, c.text, both)
+}
+
+// CheckUnder reports whether a file's text is a configuration under documents of the policy.
+func CheckUnder(path string, text []byte, documents []policy.Document) error {
+	over, err := overlayOf(documents)
+	if err != nil {
+		return err
+	}
+	_, err = parse(path, text, over)
+	return err
+}
+
+// CheckServiceDocument reports whether a document is one of a service's part, as far as that can be said without a
+// daemon that holds the part.
+func CheckServiceDocument(d *policy.Document) error {
+	_, err := readServicePart(documentName(d), d.Part, d.Body)
+	return err
+}
+
+// CheckPolicy reports whether the daemon of a file could serve by texts of parts, by part, without a daemon. names are what
+// errors call the texts.
+func CheckPolicy(path string, texts, names map[string]string) error {
+	cfg, err := Load(path)
+	if err != nil {
+		return err
+	}
+	over := &Overlay{tables: map[string]bool{}}
+	if text, ok := texts[""]; ok {
+		over, err = readPolicy(names[""], []byte(text))
+		if err != nil {
+			return err
+		}
+	}
+	held := cfg.HeldParts()
+	for _, part := range slices.Sorted(maps.Keys(texts)) {
+		if part == "" {
+			continue
+		}
+		p, err := readServicePart(names[part], part, []byte(texts[part]))
+		if err != nil {
+			return err
+		}
+		if slices.Contains(held, part) {
+			over.services = append(over.services, p)
+		}
+	}
+	_, err = parse(cfg.Path, cfg.text, over)
+	return err
+}
--- a/internal/host/daemon/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -1,4 +1,4 @@
-package daemon
+package daemonconfig
 
 import (
 	"fmt"
@@ -155,24 +155,8 @@
 	return all, nil
 }
 
-// heldBy are the parts that a daemon of a configuration holds: of the sources of its instances.
-func heldBy(cfg *Config) (all []string) {
-	for _, i := range cfg.Instances {
-		if len(i.Source) <= policy.MaxPartNameBytes {
-			all = append(all, i.Source)
-		}
-	}
-	slices.Sort(all)
-	return slices.Compact(all)
-}
-
-// servedDocuments are the parts' texts by which a word says to serve, that for all first.
-func servedDocuments(s *policy.Serving) []policy.Document {
-	return append([]policy.Document{*s.Document}, s.Parts...)
-}
-
-// replaceDocuments puts changes in the place of texts.
-func replaceDocuments(texts []policy.Document, changes []*policy.Document) []policy.Document {
+// ReplaceDocuments puts changes in the place of texts.
+func ReplaceDocuments(texts []policy.Document, changes []*policy.Document) []policy.Document {
 	all := slices.Clone(texts)
 	for _, c := range changes {
 		for _, x := range c.Documents() {
--- a/internal/host/daemon/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -1,4 +1,4 @@
-package daemon
+package daemonconfig
 
 import (
 	"os"
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(heldBy(cfg), " "); got != "beds labs" {
+	if got := strings.Join(cfg.HeldParts(), " "); got != "beds labs" {
 		t.Fatalf("it holds the parts of %s", got)
 	}
 	var docs []policy.Document
@@ -74,7 +74,7 @@
 	for part, text := range both {
 		changes = append(changes, &policy.Document{Part: part, Number: 5, Body: []byte(text)})
 	}
-	return (&Daemon{}).configUnder(cfg, docs, changes)
+	return cfg.Under(docs, changes)
 }
 
 func (c *Config) one(name string) *Instance {
@@ -104,7 +104,7 @@
 		t.Errorf("%+v, %+v", cfg.Sources, cfg.Bans)
 	}
 	was, err := underParts(t, nil, nil)
-	if err != nil || !was.one("labs").equalExceptSource(*cfg.one("labs")) {
+	if err != nil || !was.one("labs").EqualExceptSource(*cfg.one("labs")) {
 		t.Errorf("%v: an instance of labs is replaced for a change of beds", err)
 	}
 }
@@ -155,11 +155,3 @@
 		t.Errorf("another list for beds: %v", err)
 	}
 }
-
-// One part is not known yet: requests of its instances are turned away, those of others are taken.
-func TestAPartThatIsNotKnownYetStopsItsInstancesAlone(t *testing.T) {
-	s := &servingState{Serving: policy.Serving{Document: &policy.Document{}, ServedParts: []string{"labs"}, Until: policy.Never}}
-	if s.servesSource("beds") || !s.servesSource("labs") || !s.servesSource("") || !s.servesSource(strings.Repeat("n", policy.MaxPartNameBytes+1)) {
-		t.Errorf("%v", s.ServedParts)
-	}
-}
--- a/internal/host/daemon/shares.go
+++ b/internal/host/daemonconfig/shares.go
@@ -1,4 +1,4 @@
-package daemon
+package daemonconfig
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 		weights[i] = cfg.Instances[i].Agent.Weight
 	}
 	// Each instance's listener is held twice, and one more while it is replaced.
-	sockets, err := Shares(cfg.Sockets-processSockets-3*n, minSocketShare, weights)
+	sockets, err := Shares(cfg.Sockets-ProcessSockets-3*n, MinSocketShare, weights)
 	if err != nil {
 		c.fail("limits.sockets", "%d are too few for %d instances: %v", cfg.Sockets, n, err)
 		return
--- a/internal/host/daemon/file.go
+++ b/internal/host/daemonconfig/tables.go
@@ -1,4 +1,4 @@
-package daemon
+package daemonconfig
 
 import (
 	"vetchhaven/internal/tomlfile"
--- a/tools/measure/measure.go
+++ b/tools/measure/measure.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 )
 
 // Daemon runs a fleet of this configuration in this process, its file in dir, and returns once it is ready.
@@ -18,7 +19,7 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, nil, err
 	}
-	cfg, err := daemon.Load(path)
+	cfg, err := daemonconfig.Load(path)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/source/discovery"
 	"vetchhaven/internal/source/endpoints"
 	"vetchhaven/internal/standin/dns"
@@ -302,7 +303,7 @@
 	}
 	lists := make(chan int, 1000)
 	hub := discovery.NewHub(discovery.HubOptions{Log: slog.New(slog.DiscardHandler)})
-	m := daemon.NewMerger(daemon.Source{Name: "s", Multicast: "_form._tcp.local", Group: r.Addr(), Hold: time.Hour}, hub, nil, slog.New(slog.DiscardHandler),
+	m := daemon.NewMerger(daemonconfig.Source{Name: "s", Multicast: "_form._tcp.local", Group: r.Addr(), Hold: time.Hour}, hub, nil, slog.New(slog.DiscardHandler),
 		func(list []endpoints.Member) {
 			in := 0
 			for _, v := range list {
