--- a/decide/sample_test.go
+++ b/decide/sampling_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// crowd is a balancer that knows many backends of all sorts: slow and fast, busy, ejected, draining,
+// variedBalancer is a balancer that knows many backends of all sorts: slow and fast, busy, ejected, draining,
 // in another zone.
-func crowd(t *testing.T, n int) *Balancer {
+func variedBalancer(t *testing.T, n int) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CrossZonePrice: 0.03, Classes: []Class{
 		{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
@@ -40,9 +40,9 @@
 }
 
 // Drawing gives the same distribution of choices as looking at all.
-func TestSampleChoosesAsScanDoes(t *testing.T) {
+func TestSampleIdleChoosesAsScanAll(t *testing.T) {
 	const n, draws = 200, 100_000
-	b := crowd(t, n)
+	b := variedBalancer(t, n)
 	r := &openRequest{class: 0, deadline: b.now + time.Second}
 	scanned, sampled := map[string]float64{}, map[string]float64{}
 	none := 0
@@ -68,7 +68,7 @@
 }
 
 // What the last measure found holds only while nothing has changed: each of these must be seen.
-func TestMeasureSeesEachChange(t *testing.T) {
+func TestCapacityFollowsEachChange(t *testing.T) {
 	plain := func() (*Balancer, *endpoint) {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: time.Minute, SlowStartShare: 0.5, Classes: []Class{
 			{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -67,14 +67,14 @@
 		}
 	}
 	source := p.spec.Source
-	seen := func(all []core.Sight) {
+	seen := func(all []core.OutcomeSample) {
 		if p := d.activePeering.Load(); p != nil && p.spec.Ejection != nil {
 			p.transport.OutcomesObserved(outcomeSamples(source, all))
 		}
 	}
-	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyTimeout, Held: held}
+	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyTimeout, ReportUsage: held}
 	if d.cfg.Peers != nil {
-		parts.Seen = seen
+		parts.ReportOutcomes = seen
 	}
 	var a *core.Agent
 	if p.spec.LDAP != nil {
@@ -88,11 +88,11 @@
 	}
 	if d.options.Fault != nil {
 		if f := d.options.Fault(p.spec.Name); f != nil {
-			a.Inject(f)
+			a.SetStepHook(f)
 		}
 	}
 	if count != nil && d.cfg.Peers != nil {
-		a.Share(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
+		a.SetFleetSize(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
 	}
 	ctx, end := context.WithCancel(context.Background())
 	p.agent, p.stop = a, end
@@ -100,7 +100,7 @@
 	h := agentHandle{a, source, d.policy.fingerprint}
 	d.agents.Store(number, h)
 	if v := d.ejections.Load(); v != nil {
-		a.Judge(v.forSource(source))
+		a.SetEjections(v.forSource(source))
 	}
 	p.barredServers = nil
 	if !d.applyBans(p) { // its loop takes this first
@@ -167,7 +167,7 @@
 	a.Served += b.Served
 	a.Refused += b.Refused
 	a.Failed += b.Failed
-	a.Gone += b.Gone
+	a.ClientDisconnects += b.ClientDisconnects
 	a.Attempts += b.Attempts
 	a.Late += b.Late
 	return a
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -20,7 +20,7 @@
 		all = d.cfg.Limits.ForInstance(&p.spec)
 	}
 	if !slices.Equal(all, p.limits) {
-		if !p.agent.Limit(all) {
+		if !p.agent.SetSharedLimits(all) {
 			return false
 		}
 		p.limits, p.floorAgents = all, 0
@@ -33,7 +33,7 @@
 		agents = c.MaxBalancers
 	}
 	if agents != p.floorAgents {
-		if !p.agent.Lend(expiringLeases(d.cfg.Limits.Floors(agents), time.Now())) {
+		if !p.agent.GrantLeases(expiringLeases(d.cfg.Limits.Floors(agents), time.Now())) {
 			return false
 		}
 		p.floorAgents = agents
@@ -45,14 +45,14 @@
 // by what it had, which ends by itself.
 func (d *Daemon) leasesGranted(agent uint32, all []quota.Lease, base time.Time) {
 	if a, ok := d.agents.Load(agent); ok {
-		a.(agentHandle).agent.Lend(expiringLeases(all, base))
+		a.(agentHandle).agent.GrantLeases(expiringLeases(all, base))
 	}
 }
 
-func expiringLeases(all []quota.Lease, base time.Time) []core.Right {
-	out := make([]core.Right, len(all))
+func expiringLeases(all []quota.Lease, base time.Time) []core.Lease {
+	out := make([]core.Lease, len(all))
 	for i, r := range all {
-		out[i] = core.Right{Lease: r, Until: base.Add(r.Expires)}
+		out[i] = core.Lease{Lease: r, ExpiresAt: base.Add(r.Expires)}
 	}
 	return out
 }
--- a/internal/host/daemon/peers.go
+++ b/internal/host/daemon/peers.go
@@ -161,7 +161,7 @@
 		if c == nil || d.cfg.Peers == nil {
 			continue
 		}
-		if p.agent != nil && !p.agent.Share(c.MaxBalancers, min(c.MinBalancers, c.MaxBalancers)) {
+		if p.agent != nil && !p.agent.SetFleetSize(c.MaxBalancers, min(c.MinBalancers, c.MaxBalancers)) {
 			again = true
 		}
 		again = !d.applyLimits(p) || again
@@ -211,7 +211,7 @@
 		d.size.Store(nil)
 		for _, p := range d.instances {
 			if p.agent != nil {
-				p.agent.Share(d.cfg.Balancers, d.cfg.Balancers)
+				p.agent.SetFleetSize(d.cfg.Balancers, d.cfg.Balancers)
 			}
 		}
 	}
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -335,7 +335,7 @@
 		a.ShortenAdmission(until, reasonPolicySwitched)
 		i := slices.IndexFunc(cfg.Instances, func(n daemonconfig.Instance) bool { return n.Name == spec.Name })
 		if i >= 0 {
-			a.Narrow(shortenedWindows(&spec.Agent, &cfg.Instances[i].Agent))
+			a.NarrowDedupWindows(shortenedWindows(&spec.Agent, &cfg.Instances[i].Agent))
 		}
 	}
 	return nil
