--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -16,6 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"vetchhaven/internal/host/daemon"
+	"vetchhaven/internal/host/daemonconfig"
 )
 
 // clockEnv moves the wall clock by which a member of a fleet numbers its starts: drills set it.
@@ -53,7 +54,7 @@
 	if err != nil {
 		return exit{1, err}
 	}
-	cfg, err := daemon.Load(path)
+	cfg, err := daemonconfig.Load(path)
 	if err != nil {
 		return exit{2, err}
 	}
@@ -66,14 +67,14 @@
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
-	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, ClockOff: clockOff, Inherit: before.Sockets, State: before.State,
+	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, WallSkew: clockOff, Inherit: before.Sockets, State: before.State,
 		Ready: func() {
 			log.Info("ready", "instances", len(cfg.Instances), "pid", os.Getpid())
 			if err := before.Ready(); err != nil {
 				log.Warn("the daemon before was not told", "error", err)
 			}
 		},
-		Upgrade: func(ctx context.Context, sockets map[daemon.Address]*os.File, state []byte) error {
+		Upgrade: func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
@@ -83,7 +84,7 @@
 			defer context.AfterFunc(stop, end)()
 			cmd := exec.Command(self, os.Args[1:]...)
 			cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-			return daemon.Successor(either, cmd, sockets, state, daemon.ReadyWithin)
+			return daemon.Successor(either, cmd, sockets, state, daemon.ReadyTimeout)
 		}})
 	if err != nil {
 		return exit{1, err}
