--- a/internal/host/daemon/sockets.go
+++ b/internal/host/daemon/sockets.go
@@ -7,25 +7,27 @@
 	"os"
 	"syscall"
 	"time"
+
+	"vetchhaven/internal/host/daemonconfig"
 )
 
-// wanted is every address that a configuration names.
-func wanted(cfg *Config) []Address {
-	all := []Address{cfg.Admin}
+// listenAddresses is every address that a configuration names.
+func listenAddresses(cfg *daemonconfig.Config) []daemonconfig.Address {
+	all := []daemonconfig.Address{cfg.Admin}
 	for _, i := range cfg.Instances {
 		all = append(all, i.Listen)
 	}
-	return append(all, cfg.peerAddress()...)
+	return append(all, cfg.PeerAddresses()...)
 }
 
 // listen opens what is not open yet. After an error nothing has changed.
-func (d *Daemon) listen(cfg *Config) (opened []Address, err error) {
+func (d *Daemon) listen(cfg *daemonconfig.Config) (opened []daemonconfig.Address, err error) {
 	packets, err := d.openPackets(cfg)
 	if err != nil {
 		return nil, err
 	}
-	for _, a := range wanted(cfg) {
-		if d.sockets[a] != nil {
+	for _, a := range listenAddresses(cfg) {
+		if d.listeners[a] != nil {
 			continue
 		}
 		ln, err := listenOn(a)
@@ -34,12 +36,12 @@
 				d.closeSocket(b)
 			}
 			if packets != "" {
-				_ = d.packets[packets].Close()
-				delete(d.packets, packets)
+				_ = d.packetConns[packets].Close()
+				delete(d.packetConns, packets)
 			}
 			return nil, fmt.Errorf("listen %s: %w", a, err)
 		}
-		d.sockets[a] = ln
+		d.listeners[a] = ln
 		opened = append(opened, a)
 	}
 	return opened, nil
@@ -47,7 +49,7 @@
 
 // listenOn opens one address. A unix socket that nobody listens on any more is one that a daemon
 // left when it was killed: it goes.
-func listenOn(a Address) (net.Listener, error) {
+func listenOn(a daemonconfig.Address) (net.Listener, error) {
 	ln, err := net.Listen(a.Network, a.Addr)
 	if err != nil && a.Network == "unix" {
 		if info, stat := os.Stat(a.Addr); stat == nil && info.Mode()&os.ModeSocket != 0 {
@@ -108,20 +110,20 @@
 }
 
 // closeSocket gives an address up for good.
-func (d *Daemon) closeSocket(a Address) {
-	ln := d.sockets[a]
+func (d *Daemon) closeSocket(a daemonconfig.Address) {
+	ln := d.listeners[a]
 	if u, ok := ln.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(true)
 	}
 	_ = ln.Close()
-	delete(d.sockets, a)
+	delete(d.listeners, a)
 }
 
 func (d *Daemon) closeSockets() {
-	for _, ln := range d.sockets {
+	for _, ln := range d.listeners {
 		_ = ln.Close()
 	}
-	for _, u := range d.packets {
+	for _, u := range d.packetConns {
 		_ = u.Close()
 	}
 }
