--- a/decide/quota/ledger.go
+++ b/decide/quota/ledger.go
@@ -225,7 +225,9 @@
 // Reserve uses a lease of each limit that applies to a demand. It reports false, and uses none, where one has nothing
 // left; but for limits on new connections, see Reserved.MayConnect.
 func (lg *Ledger) Reserve(now time.Duration, d *Demand) (Reserved, bool) {
-	reserved := Reserved{StartBy: math.MaxInt64, MayConnect: true}
+	reservations := make([]Reservation, 0, len(lg.limits))
+	startBy := time.Duration(math.MaxInt64)
+	mayConnect := true
 	for i := range lg.limits {
 		l := &lg.limits[i]
 		part, applies := l.partKey(d)
@@ -236,28 +238,27 @@
 		lease := r.bestLease(now, d)
 		switch {
 		case lease != nil:
-			reserved.add(r.use(now, lease))
+			reservations = append(reservations, r.use(now, lease))
+			startBy = min(startBy, lease.startBy(now))
 			lg.active = lg.active || r.isLow(now)
 		case l.Kind == NewConnections:
-			reserved.MayConnect = false
+			mayConnect = false
 		default:
-			for _, used := range reserved.Reservations {
-				used.undo()
+			for _, reservation := range reservations {
+				reservation.undo()
 			}
 			return Reserved{}, false
 		}
 	}
-	return reserved, true
+	return Reserved{reservations, startBy, mayConnect}, true
 }
 
-// add adds a reservation.
-func (r *Reserved) add(reservation Reservation) {
-	lease := reservation.lease
-	r.Reservations = append(r.Reservations, reservation)
-	r.StartBy = min(r.StartBy, lease.expires)
-	if lease.startWithin > 0 {
-		r.StartBy = min(r.StartBy, reservation.at+lease.startWithin)
+// startBy is when an attempt that uses the lease now has to have started.
+func (l *heldLease) startBy(now time.Duration) time.Duration {
+	if l.startWithin > 0 {
+		return min(l.expires, now+l.startWithin)
 	}
+	return l.expires
 }
 
 // use uses one of a lease.
@@ -336,7 +337,7 @@
 	})
 	var all []Usage
 	for _, r := range lg.order {
-		all = append(all, r.usages(now)...)
+		all = r.appendUsages(all, now)
 	}
 	slices.SortStableFunc(all, func(a, b Usage) int { return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Key, b.Key)) })
 	return all
@@ -352,19 +353,15 @@
 	})
 }
 
-// usages returns the state of the row's leases. What was counted since the last report goes with the first of them.
-func (r *Row) usages(now time.Duration) []Usage {
+// appendUsages appends the state of the row's leases. What was counted since the last report goes with the first of them.
+func (r *Row) appendUsages(all []Usage, now time.Duration) []Usage {
 	counted := Usage{Limit: r.limit.Name, Key: r.key, Rejected: r.rejected, Started: r.started}
 	r.rejected = 0
 	r.started = 0
-	if len(r.leases) == 0 {
-		if counted.Rejected == 0 {
-			return nil
-		}
+	if len(r.leases) == 0 && counted.Rejected > 0 {
 		counted.Started = 0
-		return []Usage{counted}
+		return append(all, counted)
 	}
-	var all []Usage
 	for _, l := range r.leases {
 		u := counted
 		u.Grantor = l.grantor
