--- a/internal/peer/ejection/settings.go
+++ b/internal/peer/ejection/settings.go
@@ -50,7 +50,8 @@
 	// DefaultClockDrift is far beyond crystals (0.0002) and covers clocks that are being slewed. Larger makes ages grow
 	// faster on the way.
 	DefaultClockDrift = 0.01
-	// DefaultBytesPerSecond is a bound for the worst case, well above what fleets in the trials sent.
+	// DefaultBytesPerSecond is a bound for the worst case: about twice what broadcasts among 1,000 agents cost. Smaller
+	// withholds reports in a storm, larger lets one cost more of the network.
 	DefaultBytesPerSecond = 24 << 10
 
 	// minBytesPerSecond admits two full messages a second.
--- a/internal/peer/ejection/state.go
+++ b/internal/peer/ejection/state.go
@@ -36,7 +36,8 @@
 // phase is where a server's process stands in the cycle of ejection. Transitions:
 //
 //	admitted -> suspected             enough reports (Member.suspect)
-//	suspected -> admitted             reports lapse, or a success contradicts those of an unresponsive server
+//	suspected -> admitted             the reports no longer suffice; or a success contradicts those of an
+//	                                  unresponsive server, and suspicion may begin anew
 //	suspected -> ejected              nobody contradicted in time (Member.eject)
 //	ejected -> readmitting            it responds to trial members (Member.beginReadmission)
 //	readmitting -> ejected            it fails again (Member.restartEjection)
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -87,7 +87,7 @@
 	leaveSent  chan struct{} // closed once the view has sent that this member leaves
 	background sync.WaitGroup
 
-	streamSlots  chan struct{}                        // one for each open stream
+	streamSlots  chan struct{}                        // one for each stream that another member may have open
 	streamID     uint64                               // of the last exchange that another member opened
 	responses    map[uint64]chan *membership.Exchange // by stream ID: where the response goes
 	exchanges    map[uint64]chan *membership.Exchange // by ID of the view: where the end of an own exchange goes
@@ -107,8 +107,8 @@
 	maxCalls = 16
 	// maxBatch is how many inputs one step takes. Larger delays timers under load, smaller costs a step for each.
 	maxBatch = 64
-	// maxStreams is how many exchanges may be open at a time, in both directions together. Further ones are refused, and
-	// their members try others.
+	// maxStreams is how many streams of other members may be open at a time. Further ones are closed at once, and their
+	// members try others. Streams that this member opens are not counted.
 	maxStreams = 16
 	// streamTimeout bounds each phase of an exchange.
 	streamTimeout = 3 * time.Second
