--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -183,13 +183,12 @@
 	kept.dir.Store(dir)
 	apply := func(c handoff.Change) error {
 		if c.Server == "" {
-			a.Drain(c.On)
+			a.SetDrained(c.On)
 			return nil
 		}
 		limit, done := context.WithTimeout(ctx, time.Second)
 		defer done()
-		_, err := a.Ban(limit, c.Server, c.On, true)
-		return err
+		return a.ForceServerDisabled(limit, c.Server, c.On)
 	}
 	n, err := dir.Sync(apply)
 	if err != nil {
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -4,20 +4,26 @@
 	"errors"
 	"net"
 	"sync"
+	"syscall"
 	"time"
 )
 
 const (
 	// acceptRetryDelay is waited after an error of accept that says nothing of how long it lasts.
 	acceptRetryDelay = 20 * time.Millisecond
-	// maxAcceptFailure is for how long accept may fail without a connection before the listener is taken for broken.
+	// maxAcceptFailure is for how long accept may fail without a connection before the listener counts as broken.
 	maxAcceptFailure = time.Second
+	// descriptorRetryDelay is waited after the system had no descriptor for a connection, unless a slot is free sooner.
+	descriptorRetryDelay = 50 * time.Millisecond
+	// failedAcceptDelay is waited after a connection that could not be accepted, so that many do not take all of a
+	// processor.
+	failedAcceptDelay = time.Millisecond
 )
 
 // acceptFailures tells errors of accept that pass from a listener that can't go on. The zero value has seen none.
 type acceptFailures struct{ since time.Time }
 
-// mayRetry reports whether accept is to be tried again after an error, unknownPause later.
+// mayRetry reports whether accept is to be tried again after an error, acceptRetryDelay later.
 func (f *acceptFailures) mayRetry(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
@@ -28,12 +34,33 @@
 	return time.Since(f.since) < maxAcceptFailure
 }
 
-// SteadyListener is a listener whose Accept outlasts errors of a moment, whatever they are: net/http ends at those that it
+// outOfDescriptors reports whether the process, or the system, had no descriptor or memory for a connection.
+func outOfDescriptors(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
+		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
+}
+
+// isConnectionError reports whether accept failed for one connection, or for the network under it as it came (accept(2),
+// error handling): the listener is sound.
+func isConnectionError(err error) bool {
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
+		return false
+	}
+	switch errno {
+	case syscall.ECONNABORTED, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENETDOWN,
+		syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET, syscall.EPERM:
+		return true
+	}
+	return false
+}
+
+// SteadyListener is a listener whose Accept survives transient errors, whatever they are: net/http ends at those that it
 // does not know. One goroutine accepts.
 type SteadyListener struct {
 	net.Listener
-	once   sync.Once
-	closed chan struct{}
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 // NewSteadyListener wraps a listener.
@@ -41,7 +68,7 @@
 	return &SteadyListener{Listener: l, closed: make(chan struct{})}
 }
 
-// Accept waits for a connection. It fails where the listener is closed, or has failed for acceptMost.
+// Accept waits for a connection. It fails if the listener is closed, or has failed for maxAcceptFailure.
 func (l *SteadyListener) Accept() (net.Conn, error) {
 	var failures acceptFailures
 	for {
@@ -59,6 +86,6 @@
 
 // Close closes the listener, and ends an Accept.
 func (l *SteadyListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/core/accept_test.go
+++ b/internal/core/accept_test.go
@@ -27,7 +27,7 @@
 
 // Whatever accept fails with for a moment, the next connection is taken: an admin endpoint must not close for good because
 // the system was short of memory once.
-func TestASteadyListenerOutlastsErrorsOfAMoment(t *testing.T) {
+func TestSteadyListenerSurvivesTransientErrors(t *testing.T) {
 	for _, err := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ECONNABORTED, syscall.EPERM, syscall.ENETUNREACH, errors.New("unknown")} {
 		ln := testkit.Listen(t)
 		l := NewSteadyListener(&failingListener{Listener: ln, err: err, times: 3})
@@ -51,7 +51,7 @@
 }
 
 // One that is closed ends at once, and one that fails for long ends with its error.
-func TestASteadyListenerEnds(t *testing.T) {
+func TestSteadyListenerEndsWhenClosedOrBroken(t *testing.T) {
 	ln := testkit.Listen(t)
 	l := NewSteadyListener(ln)
 	ln.Close()
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestErrorsThatMayPass(t *testing.T) {
+func TestIsTransient(t *testing.T) {
 	for _, err := range []syscall.Errno{syscall.EADDRINUSE, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EIO, syscall.ENOSPC, syscall.EADDRNOTAVAIL} {
 		if !IsTransient(&net.OpError{Op: "listen", Err: err}) {
 			t.Errorf("%v is taken for final", err)
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -3,43 +3,25 @@
 import (
 	"container/heap"
 	"time"
+
 	"vetchhaven/decide"
 )
 
-// execute carries out one action of the module.
-func (l *Loop) execute(a decide.Action, now time.Duration) {
-	switch a := a.(type) {
+// execute carries out one action of the balancer.
+func (l *Loop) execute(action decide.Action, now time.Duration) {
+	switch a := action.(type) {
 	case decide.Send:
 		l.startAttempt(a)
 	case decide.Cancel:
-		if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.cfg.Settings.MayCancel {
-			r.attempts[a.Attempt].cancel(ErrCancelled)
-		}
+		l.cancelAttempt(a)
 	case decide.Refuse:
-		if r := l.requests[a.Request]; r != nil && !r.done {
-			l.requestEnded(r, "refused", a.Reason)
-			l.counts.refused++
-			l.totals.refused.Add(1)
-			l.countSharedLimit(a.Limit)
-			l.finish(r, Answer{Refused: true, RetryAfter: a.RetryAfter, Limit: a.Limit, Ejected: l.ejectedServers(a.Reason, now)})
-			l.forget(r)
-		}
+		l.refuse(a, now)
 	case decide.Fail:
-		if r := l.requests[a.Request]; r != nil && !r.done {
-			l.requestEnded(r, "failed", a.Reason)
-			l.counts.failed++
-			l.totals.failed.Add(1)
-			l.countSharedLimit(a.Limit)
-			l.finish(r, Answer{TimedOut: r.timedOut, Limit: a.Limit})
-			l.forget(r)
-		}
+		l.fail(a)
 	case decide.SetTimer:
 		heap.Push(&l.timers, timer{now + a.After, a.Token})
 	case decide.Probe:
-		if l.cfg.Settings.MayProbe && !l.probing[a.Backend] {
-			l.probing[a.Backend] = true
-			go l.containPanic(func() { l.post(l.protocol.Probe(a.Backend)) })
-		}
+		l.probe(a.Backend)
 	case decide.SendToPeer:
 		if l.peers != nil {
 			l.peers.send(a.To, a.Data)
@@ -54,3 +36,52 @@
 		l.log.Error("unknown action", "action", a)
 	}
 }
+
+func (l *Loop) cancelAttempt(a decide.Cancel) {
+	r := l.requests[a.Request]
+	if r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.cfg.Settings.MayCancel {
+		r.attempts[a.Attempt].cancel(ErrCancelled)
+	}
+}
+
+// refuse gives a request the answer that it was not executed, and a retry does no harm.
+func (l *Loop) refuse(a decide.Refuse, now time.Duration) {
+	r := l.requests[a.Request]
+	if r == nil || r.done {
+		return
+	}
+	l.noteEnding(r, "refused", a.Reason)
+	l.counts.refused++
+	l.totals.refused.Add(1)
+	l.countSharedLimit(a.Limit)
+	l.finish(r, Answer{
+		Refused:    true,
+		RetryAfter: a.RetryAfter,
+		Limit:      a.Limit,
+		Ejected:    l.ejectedServers(a.Reason, now),
+	})
+	l.forget(r)
+}
+
+// fail gives a request the answer that it failed, and may have been executed.
+func (l *Loop) fail(a decide.Fail) {
+	r := l.requests[a.Request]
+	if r == nil || r.done {
+		return
+	}
+	l.noteEnding(r, "failed", a.Reason)
+	l.counts.failed++
+	l.totals.failed.Add(1)
+	l.countSharedLimit(a.Limit)
+	l.finish(r, Answer{TimedOut: r.timedOut, Limit: a.Limit})
+	l.forget(r)
+}
+
+// probe checks a server's health, if no such check of it is under way.
+func (l *Loop) probe(server string) {
+	if !l.cfg.Settings.MayProbe || l.probing[server] {
+		return
+	}
+	l.probing[server] = true
+	go l.containPanic(func() { l.post(l.protocol.Probe(server)) })
+}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -5,64 +5,76 @@
 	"time"
 )
 
-// admissionBound is until when requests are taken, and why no longer.
+const (
+	// minShedRetryAfter is the least Retry-After of a request that is shed, and shedRetryAfterJitter what is added at
+	// random, so that clients do not all come back at once.
+	minShedRetryAfter    = time.Second
+	shedRetryAfterJitter = time.Second
+)
+
+// admissionBound is until when requests are admitted, and why no longer.
 type admissionBound struct {
 	until  time.Time
 	reason string
 }
 
-// AdmitUntil has requests taken until a moment by the process's own clock, and turned away at once from then on, with why.
-// What was taken by then is finished. The zero time: none is taken. AdmitAlways takes the bound away. None of these waits.
-func (a *Agent) AdmitUntil(until time.Time, why string) {
-	a.loop.admission.Store(&admissionBound{until, why})
+// AdmitUntil has requests admitted until a moment by the process's own clock, and shed at once from then on, for a
+// reason. Requests admitted by then are finished. The zero time: none is admitted. It does not wait.
+func (a *Agent) AdmitUntil(until time.Time, reason string) {
+	a.loop.admission.Store(&admissionBound{until, reason})
 }
 
-// ShortenAdmission has requests taken no longer than until a moment: one that was told to end sooner, or takes none by now, stays so.
-func (a *Agent) ShortenAdmission(until time.Time, why string) {
+// ShortenAdmission has requests admitted no longer than until a moment: an earlier bound stays.
+func (a *Agent) ShortenAdmission(until time.Time, reason string) {
 	for {
-		h := a.loop.admission.Load()
-		if h != nil && !h.until.After(until) || a.loop.admission.CompareAndSwap(h, &admissionBound{until, why}) {
+		present := a.loop.admission.Load()
+		if present != nil && !present.until.After(until) {
+			return
+		}
+		if a.loop.admission.CompareAndSwap(present, &admissionBound{until, reason}) {
 			return
 		}
 	}
 }
 
-// AdmitAlways has requests taken without end.
+// AdmitAlways has requests admitted without end.
 func (a *Agent) AdmitAlways() { a.loop.admission.Store(nil) }
 
-// Admits reports whether a request that comes now is taken, as far as that bound goes.
+// Admits reports whether a request that comes now is admitted by that bound.
 func (a *Agent) Admits() bool { return a.loop.admissionClosed() == "" }
 
-// admissionClosed is why a request that is there now is not taken; empty: it is. The clock is looked at as it is taken: a process
-// that was stopped past the moment finds out here.
+// admissionClosed is why a request is not admitted now; empty: it is. The clock is read here, so that a process that was
+// paused past the bound notices.
 func (l *Loop) admissionClosed() string {
-	h := l.admission.Load()
-	if h == nil || time.Now().Before(h.until) {
+	bound := l.admission.Load()
+	if bound == nil || time.Now().Before(bound.until) {
 		return ""
 	}
-	return h.reason
+	return bound.reason
 }
 
-// shed refuses a request that is not taken. The module never hears of it.
-func (l *Loop) shed(r *Request, why string) {
+// shed refuses a request that is not admitted. The balancer does not learn of it.
+func (l *Loop) shed(r *Request, reason string) {
 	l.counts.requests++
 	l.totals.requests.Add(1)
 	l.counts.refused++
 	l.totals.refused.Add(1)
-	l.shedCounts["policy: "+why]++
-	// Spread, so that all do not come back at once.
-	l.reject(r, Answer{Refused: true, Policy: why, RetryAfter: time.Second + time.Duration(rand.Float64()*float64(time.Second))})
+	l.shedCounts[policyPrefix+reason]++
+	jitter := time.Duration(rand.Float64() * float64(shedRetryAfterJitter))
+	l.reject(r, Answer{Refused: true, Policy: reason, RetryAfter: minShedRetryAfter + jitter})
 }
 
-// NarrowDedupWindows has what was taken already repeated for no longer than these windows after its first attempt, by class; 0: as
-// its own policy says. Another policy with a shorter window has come into force, and servers may go by it.
+// NarrowDedupWindows has admitted requests retried for no longer than these windows after their first attempt, by class;
+// 0: as the agent's own policy says. Another policy with shorter windows has been activated, and servers may follow it.
+// It does not wait.
 func (a *Agent) NarrowDedupWindows(windows []time.Duration) { a.loop.dedupWindows.Store(&windows) }
 
-// dedupWindowPassed reports whether a request that may have run can't be sent again by a window that came later.
+// dedupWindowPassed reports whether a request that may have been executed can't be retried by a window that was
+// narrowed since.
 func (l *Loop) dedupWindowPassed(r *Request) bool {
-	w := l.dedupWindows.Load()
-	if w == nil || r.Class >= len(*w) || (*w)[r.Class] == 0 || len(r.attempts) == 0 {
+	windows := l.dedupWindows.Load()
+	if windows == nil || r.Class >= len(*windows) || (*windows)[r.Class] == 0 || len(r.attempts) == 0 {
 		return false
 	}
-	return time.Since(r.attempts[0].start) > (*w)[r.Class]
+	return time.Since(r.attempts[0].start) > (*windows)[r.Class]
 }
--- a/internal/core/admission_test.go
+++ b/internal/core/admission_test.go
@@ -8,13 +8,13 @@
 	"vetchhaven/decide"
 )
 
-func bare() *Loop {
+func newBareLoop() *Loop {
 	return &Loop{cfg: &Config{}, clock: newClock(), log: slog.New(slog.DiscardHandler), requests: map[string]*Request{}, shedCounts: map[string]int{}, recent: newRecentIDs(time.Second)}
 }
 
 // The clock is looked at as a request is taken, not as the lease came: one that was stopped past it takes nothing.
-func TestNothingIsTakenPastTheLease(t *testing.T) {
-	l := bare()
+func TestNoRequestIsAdmittedPastTheBound(t *testing.T) {
+	l := newBareLoop()
 	a := &Agent{loop: l}
 	take := func(id string) (got Answer, taken bool) {
 		l.handle(requestArrived{NewRequest(id, 0, func(x Answer) { got = x })})
@@ -45,8 +45,8 @@
 }
 
 // A request under way is repeated by the shorter window of its own policy and the one that came since.
-func TestRepeatsUnderWayGoByTheShorterWindow(t *testing.T) {
-	l := bare()
+func TestRetriesFollowTheShorterDedupWindow(t *testing.T) {
+	l := newBareLoop()
 	a := &Agent{loop: l}
 	r := NewRequest("r", 1, func(Answer) {})
 	r.Deadline = time.Now().Add(time.Minute)
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -36,7 +36,7 @@
 // Where lists are pushed, what the list has counts as told from the first moment of a process: no client is served by a
 // stored list that the list's first word would change. Where that word does not come, or nobody is there, clients are
 // served by the stored one.
-func TestStoredListGivesWayToTheFirstWordOfAPushedOne(t *testing.T) {
+func TestFirstPushedListReplacesTheStoredOneBeforeServing(t *testing.T) {
 	for name, row := range map[string]struct {
 		wait time.Duration
 		word bool
@@ -118,7 +118,7 @@
 }
 
 // A drain waits for the longest deadline of the settings, however long, and ends before the platform's kill 0.7 s later.
-func TestADrainWaitsForTheLongestDeadline(t *testing.T) {
+func TestDrainWaitsForTheLongestDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{2 * time.Second, 9 * time.Second} {
 		cfg := testConfig(t, testkit.Setup{})
 		for i := range cfg.Settings.Classes {
--- /dev/null
+++ b/internal/core/attempt.go
@@ -0,0 +1,212 @@
+package core
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"vetchhaven/decide"
+)
+
+// Causes of the end of an attempt's context, besides the end of the agent.
+var (
+	ErrTimedOut  = errors.New("timed out")
+	ErrCancelled = errors.New("cancelled")
+)
+
+// Attempt is one attempt of a request at a server.
+type Attempt struct {
+	*Request
+	N       int // attempts of a request count from 0
+	Server  string
+	Context context.Context // ends when the attempt has to; its cause is ErrTimedOut or ErrCancelled
+
+	loop           *Loop
+	timer          *time.Timer // ends the context
+	cancel         context.CancelCauseFunc
+	start          time.Time     // the server's work begins
+	startBy        time.Time     // it may not begin later: see startExpired; zero: at any time
+	reuseOnly      bool          // see MayDial
+	processStarted int64         // Unix milliseconds, of its server's process by the list
+	dialed         bool          // see MarkDialed
+	notReplayable  bool          // see MarkNotReplayable
+	responseParts  int           // see StartResponse
+	hasResult      bool          // it has ended, and result is valid
+	result         decide.Result // see hasResult
+}
+
+// ServerProgress says how far the server is with a request when a part of its response is there.
+type ServerProgress bool
+
+// The values of ServerProgress.
+const (
+	ServerWorking ServerProgress = false // more of the response is to be worked out
+	ServerDone    ServerProgress = true  // the response only has to be transferred
+)
+
+// StartResponse says that a part of the attempt's response is about to reach the client. It reports false if it must
+// not: another attempt's response has begun, or the request has its final answer. After true there is no other attempt,
+// and the request's final answer is this one's outcome.
+//
+// With ServerDone the client's deadline no longer ends the attempt, which then has to bound itself: a client that has
+// begun to read a response waits for its end.
+func (a *Attempt) StartResponse(progress ServerProgress) bool {
+	if progress == ServerDone && a.responseParts == 0 && !a.timer.Stop() {
+		return false // its deadline is exceeded
+	}
+	if !a.guard.startResponse(a.N) {
+		return false
+	}
+	a.responseParts++
+	if a.responseParts == 1 {
+		a.deadlineLifted.Store(progress == ServerDone)
+		a.loop.post(responseStarted{a, progress == ServerDone, time.Since(a.start)})
+	}
+	return true
+}
+
+// UploadCompleted says that the last byte of the request has gone out with this attempt. The client's deadline, and the
+// attempt's, run from now.
+func (a *Attempt) UploadCompleted() {
+	now := time.Now()
+	a.start = now
+	if a.timer.Stop() {
+		a.timer.Reset(a.Remaining - a.loop.answerMargin)
+	}
+	a.loop.post(uploadCompleted{a, now})
+}
+
+// MayDial reports whether the attempt may open a connection. If not, and there is no open one, it ends as NotSent.
+func (a *Attempt) MayDial() bool { return !a.reuseOnly }
+
+// MarkDialed says that the attempt opens a connection.
+func (a *Attempt) MarkDialed() { a.dialed = true }
+
+// MarkNotReplayable says that what was sent can't be sent again.
+func (a *Attempt) MarkNotReplayable() { a.notReplayable = true }
+
+// Sent counts the attempt as sent: its last byte is written.
+func (a *Attempt) Sent() { a.loop.ClassCounts(a.Class).Sends.Add(1) }
+
+// startExpired reports whether it is too late to begin: the deduplication window of a retry is about to close, or what
+// it would use of the fleet's limits may be leased to another agent by now.
+func (a *Attempt) startExpired() bool { return !a.startBy.IsZero() && !time.Now().Before(a.startBy) }
+
+// serverWithdrawn reports whether an operator has disabled the attempt's server since the attempt was decided, or the
+// list says that it drains or is gone. A connection may take long to come up.
+func (a *Attempt) serverWithdrawn() bool {
+	if ready := a.loop.readyServers.Load(); ready != nil && !(*ready)[a.Server] {
+		return true
+	}
+	disabled := a.loop.disabled.Load()
+	return disabled != nil && (*disabled)[a.Server]
+}
+
+// attemptContext is a context that knows when its timer ends it. One made by package context would need two timers,
+// each registered with the parent that all attempts share.
+type attemptContext struct {
+	context.Context
+	until time.Time
+}
+
+// Deadline is when the attempt's timer ends it.
+func (c attemptContext) Deadline() (time.Time, bool) { return c.until, true }
+
+// maxUploadTime bounds how long the last byte of a request may take to come, whatever its protocol bounds.
+const maxUploadTime = time.Hour
+
+// startAttempt executes a Send of the balancer, unless the request has ended or a guard refuses it.
+func (l *Loop) startAttempt(send decide.Send) {
+	r := l.requests[send.Request]
+	if r == nil || r.done { // nothing is sent after a final answer
+		l.pending = append(l.pending, decide.Outcome{
+			Request:  send.Request,
+			Backend:  send.Backend,
+			Result:   decide.NotSent,
+			Answered: true,
+		})
+		return
+	}
+	if l.dedupWindowPassed(r) || !l.mayStart(r, send.Backend) {
+		l.refuseAttempt(r, send.Backend)
+		return
+	}
+	a := l.newAttempt(r, send)
+	r.attempts = append(r.attempts, a)
+	r.open++
+	if a.N > 0 {
+		l.counters.retries.Add(1)
+	}
+	l.counts.attempts++
+	l.totals.attempts.Add(1)
+	go l.runAttempt(a)
+}
+
+// refuseAttempt books an attempt that a guard has refused as not sent.
+func (l *Loop) refuseAttempt(r *Request, server string) {
+	l.pending = append(l.pending, decide.Outcome{
+		Request:  r.ID,
+		Attempt:  len(r.attempts),
+		Backend:  server,
+		Result:   decide.NotSent,
+		Answered: r.done,
+	})
+	r.attempts = append(r.attempts, &Attempt{
+		Request:   r,
+		N:         len(r.attempts),
+		Server:    server,
+		cancel:    func(error) {},
+		hasResult: true,
+		result:    decide.NotSent,
+	})
+}
+
+// newAttempt is an attempt whose timer runs.
+func (l *Loop) newAttempt(r *Request, send decide.Send) *Attempt {
+	start := time.Now()
+	until := r.Deadline.Add(-l.answerMargin)
+	if r.Upload {
+		until = start.Add(maxUploadTime)
+	}
+	if send.Timeout > 0 && start.Add(send.Timeout).Before(until) {
+		until = start.Add(send.Timeout)
+	}
+	a := &Attempt{
+		Request:        r,
+		N:              len(r.attempts),
+		Server:         send.Backend,
+		loop:           l,
+		start:          start,
+		reuseOnly:      send.ReuseOnly,
+		processStarted: l.outcomes.starts[send.Backend],
+	}
+	if send.StartBy > 0 {
+		a.startBy = l.clock.wall(send.StartBy)
+	}
+	ctx, cancel := context.WithCancelCause(l.attemptsContext)
+	a.Context = attemptContext{ctx, until}
+	a.cancel = cancel
+	a.timer = time.AfterFunc(until.Sub(start), func() { cancel(ErrTimedOut) })
+	return a
+}
+
+// runAttempt makes an attempt in a goroutine of its own, which ends by the client's deadline. Whatever becomes of it,
+// its outcome is posted: the balancer waits for it. There are no more of these goroutines than MaxAttempts for each
+// open request.
+func (l *Loop) runAttempt(a *Attempt) {
+	defer a.cancel(nil)
+	defer a.timer.Stop()
+	e := attemptEnded{Attempt: a, outcome: decide.Outcome{
+		Request: a.ID,
+		Attempt: a.N,
+		Backend: a.Server,
+		Result:  decide.Errored,
+	}}
+	defer func() {
+		e.outcome.Latency = time.Since(a.start)
+		e.outcome.NotReplayable = a.notReplayable
+		e.outcome.Dialed = a.dialed
+		l.post(e)
+	}()
+	l.containPanic(func() { e.outcome.Result, e.response, e.outcome.Load = l.protocol.Attempt(a) })
+}
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -13,7 +13,7 @@
 )
 
 // A start-up error names the field that is wrong.
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfigIsRejectedWithItsField(t *testing.T) {
 	base := map[string]string{"listen": `"127.0.0.1:0"`, "discovery": `"127.0.0.1:1"`, "seed": `"1f"`,
 		"limits": `{}`, "settings": fmt.Sprintf(testkit.Settings, "automatic", 1000)}
 	build := func(field, value string) []byte {
@@ -87,7 +87,7 @@
 }
 
 // The module's peer messages travel as datagrams, with the sender known by its address.
-func TestPeers(t *testing.T) {
+func TestPeerMessagesAreExchangedByAddress(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	cfg.PeerListen = "127.0.0.1:0"
 	other, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/core/connlimiter_test.go
+++ b/internal/core/connlimiter_test.go
@@ -13,32 +13,32 @@
 )
 
 // acceptedPair is a gate's end and a client's end of one connection that is kept after an answer.
-func acceptedPair(t *testing.T) (g *ConnLimiter, kept *clientConn, client net.Conn) {
+func acceptedPair(t *testing.T) (cl *ConnLimiter, conn *clientConn, client net.Conn) {
 	t.Helper()
 	ln := testkit.Listen(t)
-	g = NewConnLimiter(ln, 10)
+	cl = NewConnLimiter(ln, 10)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	c, err := g.Accept()
+	c, err := cl.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept = c.(*clientConn)
-	t.Cleanup(func() { kept.Close() })
-	kept.hasRequested = true
-	g.mu.Lock()
-	g.removeFromQuiet(kept)
-	kept.element = g.idle.PushBack(kept)
-	g.mu.Unlock()
-	return g, kept, client
+	conn = c.(*clientConn)
+	t.Cleanup(func() { conn.Close() })
+	conn.hasRequested = true
+	cl.mu.Lock()
+	cl.removeFromQuiet(conn)
+	conn.element = cl.idle.PushBack(conn)
+	cl.mu.Unlock()
+	return cl, conn, client
 }
 
 // The first byte of a request makes a kept connection busy: draining does not close it any more. A
 // request that was read and then cut off would be handled, and asked again elsewhere.
-func TestAFirstByteMakesAConnectionBusy(t *testing.T) {
+func TestFirstByteMakesAConnectionBusy(t *testing.T) {
 	g, kept, client := acceptedPair(t)
 	if _, err := client.Write([]byte("G")); err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 }
 
 // A connection on which nothing was sent yet is left alone for a while, as a request may be on its way; then it ends.
-func TestAYoungSilentConnectionIsLeft(t *testing.T) {
+func TestYoungSilentConnectionIsNotEvicted(t *testing.T) {
 	g, kept, _ := acceptedPair(t)
 	kept.hasRequested = false
 	if g.CloseSilent(testkit.Patience); g.evicting != 0 {
@@ -73,7 +73,7 @@
 
 // A byte that has been read just before its connection was asked to end is a request's: the connection goes on, and is
 // read for as long as it would have been. Bytes that come after that stay unread, and the client asks again elsewhere.
-func TestAByteThatCrossesTheAskKeepsTheConnection(t *testing.T) {
+func TestByteThatCrossesTheEvictionCancelsIt(t *testing.T) {
 	g, kept, client := acceptedPair(t)
 	g.SetReadDeadline(kept, time.Now().Add(testkit.Patience))
 	read := kept.streamConn // reads past the gate, as a read that is under way at the ask has
@@ -121,7 +121,7 @@
 
 // A connection whose last answer is out ends once its client has read that, and not before, unless its place is
 // needed. One whose first request has begun to come is not silent.
-func TestWhatIsNotQuietIsNotAsked(t *testing.T) {
+func TestOnlyQuietConnectionsAreEvicted(t *testing.T) {
 	g, kept, _ := acceptedPair(t)
 	if err := kept.CloseWrite(); err == nil && g.idle.Len() == 0 { // it stands between requests already
 		t.Error("not in the books")
@@ -148,31 +148,31 @@
 }
 
 // newTestLimiter is a gate on loopback whose clock the test turns, with so many client connections open.
-func newTestLimiter(t *testing.T, most, open int) (*ConnLimiter, []net.Conn) {
+func newTestLimiter(t *testing.T, maxConns, open int) (*ConnLimiter, []net.Conn) {
 	t.Helper()
-	g := NewConnLimiter(testkit.Listen(t), most)
-	t.Cleanup(func() { g.Close() })
+	cl := NewConnLimiter(testkit.Listen(t), maxConns)
+	t.Cleanup(func() { cl.Close() })
 	var conns []net.Conn
 	for range open {
-		conns = append(conns, dialLimiter(t, g))
-		if _, err := g.Accept(); err != nil {
+		conns = append(conns, dialLimiter(t, cl))
+		if _, err := cl.Accept(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return g, conns
+	return cl, conns
 }
 
 // closeEvicted is what a connection's reader does once it is asked.
-func (g *ConnLimiter) closeEvicted(t *testing.T) {
+func (cl *ConnLimiter) closeEvicted(t *testing.T) {
 	t.Helper()
-	g.mu.Lock()
+	cl.mu.Lock()
 	var asked []*clientConn
-	for c := range g.conns {
+	for c := range cl.conns {
 		if c.evicting {
 			asked = append(asked, c)
 		}
 	}
-	g.mu.Unlock()
+	cl.mu.Unlock()
 	for _, c := range asked {
 		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("asked to end, it reads %d bytes, %v", n, err)
@@ -181,9 +181,9 @@
 	}
 }
 
-func dialLimiter(t *testing.T, g *ConnLimiter) net.Conn {
+func dialLimiter(t *testing.T, cl *ConnLimiter) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", g.Addr().String())
+	c, err := net.Dial("tcp", cl.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,16 +191,16 @@
 	return c
 }
 
-func (g *ConnLimiter) connCount() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.conns)
+func (cl *ConnLimiter) connCount() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return len(cl.conns)
 }
 
 // Clients that connect and say nothing once filled the listener for as long as they liked, and
 // nobody else came in. Past the mark those testkit.Quiet longest go, but none before its time: a client
 // may be about to send its first request. Those with an open request stay.
-func TestQuietConnectionsMakeRoom(t *testing.T) {
+func TestQuietConnectionsAreEvictedForNewOnes(t *testing.T) {
 	g, conns := newTestLimiter(t, 8, 8)
 	g.mu.Lock()
 	var all []*clientConn
@@ -260,7 +260,7 @@
 }
 
 // A full gate takes no connection until a place is free, and counts each place once.
-func TestGateLimit(t *testing.T) {
+func TestNoMoreConnectionsThanSlotsAreAccepted(t *testing.T) {
 	g, _ := newTestLimiter(t, 1, 0)
 	got := make(chan net.Conn, 2)
 	ended := make(chan error, 1)
@@ -294,7 +294,7 @@
 }
 
 // Those that are kept after their answers go, past a quarter, once they have been quiet for long.
-func TestKeptOnesGoOnceQuietForLong(t *testing.T) {
+func TestIdleConnectionsPastAQuarterAreEvictedOnceQuiet(t *testing.T) {
 	g, _ := newTestLimiter(t, 20, 8)
 	g.mu.Lock()
 	var all []*clientConn
@@ -307,19 +307,19 @@
 		g.MarkIdle(c)
 	}
 	g.reclaimSlots(time.Now())
-	if _, _, idle := g.Counts(); idle != 8 {
+	if idle := g.Counts().Idle; idle != 8 {
 		t.Errorf("%d are kept, none was quiet for long", idle)
 	}
 	g.reclaimSlots(time.Now().Add(minQuiet))
 	g.closeEvicted(t)
-	if _, _, idle := g.Counts(); idle >= g.maxIdle {
+	if idle := g.Counts().Idle; idle >= g.maxIdle {
 		t.Errorf("%d are kept that were quiet for long, fewer than %d should be", idle, g.maxIdle)
 	}
 }
 
 // Where the gate is full, a connection that has sent nothing goes soon, so that one behind it is taken; one that has sent a
 // part of its first request is left its time.
-func TestSilentOnesGoSoonWhereTheGateIsFull(t *testing.T) {
+func TestSilentConnectionsAreEvictedSoonWhenAllSlotsAreTaken(t *testing.T) {
 	g, conns := newTestLimiter(t, 2, 2)
 	began, silent := g.fresh.Front().Value.(*clientConn), g.fresh.Back().Value.(*clientConn)
 	if _, err := conns[0].Write([]byte("G")); err != nil {
@@ -374,7 +374,7 @@
 }
 
 // What accept(2) says of one connection, or of the network under it, ends no agent: the next one is taken.
-func TestAConnectionThatFailsInTheQueueIsNoEnd(t *testing.T) {
+func TestAcceptSurvivesFailedConnections(t *testing.T) {
 	for _, err := range []error{syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN,
 		syscall.EHOSTUNREACH, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.EPERM} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -386,7 +386,7 @@
 }
 
 // A process that has no descriptor left goes on, and an idle client's is given back for the next one.
-func TestNoDescriptorIsNoEnd(t *testing.T) {
+func TestAcceptSurvivesExhaustedDescriptors(t *testing.T) {
 	g, _ := newTestLimiter(t, 8, 1)
 	kept := g.fresh.Front().Value.(*clientConn)
 	g.MarkBusy(kept)
@@ -410,7 +410,7 @@
 }
 
 // An error of accept that nobody thought of is no reason to end the requests in flight: it is tried again after a pause.
-func TestAnUnknownAcceptErrorOfAMomentIsNoEnd(t *testing.T) {
+func TestAcceptSurvivesUnknownTransientErrors(t *testing.T) {
 	for _, err := range []error{syscall.EIO, syscall.EINVAL, syscall.EFAULT, syscall.EACCES, errors.New("of another kind")} {
 		t.Run(err.Error(), func(t *testing.T) {
 			acceptAfter(t, err)
--- a/internal/core/disconnect.go
+++ b/internal/core/disconnect.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disconnected reports whether the other side of a connection is known to have ended it, whatever is unread on it: by an
-// end of what it sends (FIN) or a reset. An end of its sending alone is none that a close could be told from, see
-// docs/design/crossings.md. One that has sent more than the system holds unread is not known to have: its end is behind
-// that.
-func Disconnected(nc net.Conn) (gone bool) {
+// Disconnected reports whether the other side of a connection is known to have closed it, whatever is unread on it: by
+// an end of what it sends (FIN) or a reset. A client that closed only its sending side can't be told from one that closed
+// the connection, see docs/design/crossings.md. A client that has sent more than the system buffers is not known to
+// have closed: the end is behind the unread data.
+func Disconnected(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false // a test's
@@ -20,20 +20,21 @@
 	if err != nil {
 		return false
 	}
-	const ends = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	const closeEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds, 0)
 		for err == unix.EINTR {
 			n, err = unix.Poll(fds, 0)
 		}
-		gone = n > 0 && err == nil && fds[0].Revents&ends != 0
+		closed = n > 0 && err == nil && fds[0].Revents&closeEvents != 0
 	})
-	return err != nil || gone // an error: it is closed on this side
+	return err != nil || closed // an error: it is closed on this side
 }
 
-// Disconnected reports whether the request's client has left, and if so tells the loop. The socket is asked: whoever reads
-// the client's connection may be behind, or wait for something else.
+// Disconnected reports whether the request's client has disconnected, and if so tells the loop. It asks the socket:
+// whoever reads the client's connection may be behind, or wait for something else.
 func (a *Attempt) Disconnected() bool {
 	if a.Client == nil || !Disconnected(a.Client) {
 		return false
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -15,43 +15,62 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// reconnectCeiling is the ceiling of the wait after so many failures in a row, where lists are pushed: it doubles, and the
-// wait is full jitter below it. What a list that was down has to tell counts as told as soon as it is back: of the time
-// until nothing new may go to a server that drains, a wait may take no more than a quarter.
-func reconnectCeiling(fails int, drainGrace time.Duration) time.Duration {
-	if fails == 0 {
+const (
+	// maxBackoffDoublings bounds the exponent of the reconnect backoff.
+	maxBackoffDoublings = 10
+	// drainGraceDivisor is the part of the drain grace that a wait between two watches may take: what a list that was
+	// down has to say counts as known as soon as it is back.
+	drainGraceDivisor = 4
+	// failuresPerLogLine is how many failed watches in a row are one line in the log.
+	failuresPerLogLine = 20
+)
+
+// reconnectCeiling is the ceiling of the wait after so many failures in a row, where lists are pushed: it doubles, and
+// the wait has full jitter below it.
+func reconnectCeiling(failures int, drainGrace time.Duration) time.Duration {
+	if failures == 0 {
 		return 1
 	}
-	return min(discovery.ReconnectFirst<<min(fails-1, 10), max(discovery.ReconnectFirst, min(drainGrace/4, discovery.ReconnectMost)))
+	backoff := discovery.ReconnectFirst << min(failures-1, maxBackoffDoublings)
+	ceiling := min(drainGrace/drainGraceDivisor, discovery.ReconnectMost)
+	return min(backoff, max(discovery.ReconnectFirst, ceiling))
 }
 
-// listWatcher follows the list of backends. In ask mode the module says when to watch and when to
-// try again after a failure; where lists are pushed there is nobody to ask, and it reconnects
-// by itself.
+// listWatcher watches the endpoint list. With Settings.Subscribe the balancer says when to watch, and when to try again
+// after a failure; where lists are pushed it reconnects by itself.
 type listWatcher struct {
 	cfg              *Config
 	clock            clock
 	post             func(any)
-	version          int64
-	watchRequests    chan struct{} // a Subscribe of the module, at most one waiting
-	addrChanges      chan string   // a new address of discovery, the last one told
-	addr             string        // its present address
 	log              *slog.Logger
 	client           *http.Client
 	heartbeatTimeout time.Duration
+	version          int64         // of the last list
+	addr             string        // of discovery
+	watchRequests    chan struct{} // holds one: a Subscribe of the balancer
+	addrChanges      chan string   // holds one: the last new address of discovery
 	attempted        chan struct{} // closed once a watch has brought something, or nobody is there to bring it
 	markAttempted    func()        // closes it
 }
 
-func newListWatcher(cfg *Config, ck clock, post func(any), log *slog.Logger) *listWatcher {
-	tried := make(chan struct{})
-	return &listWatcher{cfg: cfg, clock: ck, post: post, watchRequests: make(chan struct{}, 1),
-		addrChanges: make(chan string, 1), addr: cfg.Discovery, log: log, heartbeatTimeout: discovery.Silence,
-		attempted: tried, markAttempted: sync.OnceFunc(func() { close(tried) }),
-		client: discovery.NewClient(cfg.Settings.ConnectTimeout)}
+func newListWatcher(cfg *Config, clk clock, post func(any), log *slog.Logger) *listWatcher {
+	attempted := make(chan struct{})
+	return &listWatcher{
+		cfg:              cfg,
+		clock:            clk,
+		post:             post,
+		log:              log,
+		client:           discovery.NewClient(cfg.Settings.ConnectTimeout),
+		heartbeatTimeout: discovery.Silence,
+		addr:             cfg.Discovery,
+		watchRequests:    make(chan struct{}, 1),
+		addrChanges:      make(chan string, 1),
+		attempted:        attempted,
+		markAttempted:    sync.OnceFunc(func() { close(attempted) }),
+	}
 }
 
-// subscribe asks for a watch. While one is being started a further call adds nothing.
+// subscribe asks for a watch. While one is being opened a further call adds nothing.
 func (d *listWatcher) subscribe() {
 	select {
 	case d.watchRequests <- struct{}{}:
@@ -59,54 +78,39 @@
 	}
 }
 
-// moveTo ends the present watch and begins another at addr, at once and unasked: what the list said
-// so far goes on to hold, so that to the module nothing has happened.
+// moveTo ends the present watch and opens another at addr, at once and without being asked: what the list said so far
+// goes on to hold, so that to the balancer nothing has happened.
 func (d *listWatcher) moveTo(addr string) {
 	select {
-	case <-d.addrChanges: // never begun
+	case <-d.addrChanges: // one that was not followed yet
 	default:
 	}
 	select {
 	case d.addrChanges <- addr:
-	default: // another move came in between; the one that it tells is as new
+	default: // another call came in between, whose address is as new
 	}
 }
 
 // run watches until ctx ends.
 func (d *listWatcher) run(ctx context.Context) {
-	fails := 0
-	for {
-		var wait <-chan time.Time
-		var ask <-chan struct{}
-		if d.cfg.Settings.Subscribe {
-			ask = d.watchRequests
-		} else {
-			wait = time.After(rand.N(reconnectCeiling(fails, d.cfg.Settings.DrainGrace)))
-		}
-		select {
-		case <-ask:
-		case <-wait:
-		case addr := <-d.addrChanges:
-			d.switchTo(addr)
-		case <-ctx.Done():
-			return
-		}
-		got, err := d.watch(ctx)
+	failures := 0
+	for d.waitToWatch(ctx, failures) {
+		received, err := d.watch(ctx)
 		for errors.Is(err, errAddrChanged) && ctx.Err() == nil {
-			got, err = d.watch(ctx)
+			received, err = d.watch(ctx)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if got {
-			fails = 0
+		if received {
+			failures = 0
 		}
-		fails++
-		if fails == 1 || fails%20 == 0 { // not a line for every try while it is down
-			d.log.Warn("discovery watch ended", "error", err, "failures", fails)
+		failures++
+		if failures == 1 || failures%failuresPerLogLine == 0 {
+			d.log.Warn("discovery watch ended", "error", err, "failures", failures)
 		}
 		select {
-		case <-d.watchRequests: // during a watch that a move had begun: the module asks anew now that it hears of its end
+		case <-d.watchRequests: // made during a watch that a new address had opened: the balancer asks anew now
 		default:
 		}
 		d.post(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFailed}})
@@ -116,26 +120,50 @@
 	}
 }
 
+// waitToWatch waits until a watch is to be opened: because the balancer asks for it, the backoff is over, or the address
+// has changed. It reports false if ctx has ended.
+func (d *listWatcher) waitToWatch(ctx context.Context, failures int) bool {
+	var backoff <-chan time.Time
+	var requests <-chan struct{}
+	if d.cfg.Settings.Subscribe {
+		requests = d.watchRequests
+	} else {
+		backoff = time.After(rand.N(reconnectCeiling(failures, d.cfg.Settings.DrainGrace)))
+	}
+	select {
+	case <-requests:
+	case <-backoff:
+	case addr := <-d.addrChanges:
+		d.switchTo(addr)
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
+
+// errAddrChanged ends a watch whose address is no longer that of discovery.
 var errAddrChanged = errors.New("discovery has another address")
 
-// switchTo goes over to an address. Another service need not number its versions like the old one,
-// so its whole list is asked for.
+// switchTo takes an address over. Another service need not number its versions like the old one, so its complete list
+// is asked for.
 func (d *listWatcher) switchTo(addr string) {
 	if d.addr != addr {
-		d.addr, d.version = addr, 0
+		d.addr = addr
+		d.version = 0
 	}
 }
 
-// endOnMove ends a watch when discovery moves, until the watch's ctx ends.
-func (d *listWatcher) endOnMove(ctx context.Context, cancel context.CancelCauseFunc, done chan<- string) {
-	defer close(done)
+// endOnMove ends a watch of an address when discovery has another one, which it sends on changed. It returns, and closes
+// changed, when the watch's ctx ends.
+func (d *listWatcher) endOnMove(ctx context.Context, cancel context.CancelCauseFunc, watched string, changed chan<- string) {
+	defer close(changed)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case addr := <-d.addrChanges:
-			if addr != d.addr {
-				done <- addr
+			if addr != watched {
+				changed <- addr
 				cancel(errAddrChanged)
 				return
 			}
@@ -143,41 +171,57 @@
 	}
 }
 
-// watch follows changes until the connection ends. It reports whether any list came.
-func (d *listWatcher) watch(ctx context.Context) (got bool, err error) {
+// watch follows changes of the list until the connection ends. It reports whether any list came.
+func (d *listWatcher) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	next := make(chan string, 1)
+	changed := make(chan string, 1)
 	addr := d.addr
-	go d.endOnMove(ctx, cancel, next)
+	go d.endOnMove(ctx, cancel, addr, changed)
 	defer func() {
 		cancel(nil)
-		if to, moved := <-next; moved {
-			d.switchTo(to)
+		if next, moved := <-changed; moved {
+			d.switchTo(next)
 			err = errAddrChanged
 		}
 	}()
 	return discovery.Watch(ctx, d.client, addr, d.version, d.heartbeatTimeout, func(m *discovery.Members) {
 		d.version = m.Version
-		kind := decide.ListDelta
-		if m.Full {
-			kind = decide.ListFull
-		}
-		d.post(d.translate(m, kind))
+		d.post(d.translate(m, listKindOf(m)))
 		d.markAttempted()
 	})
 }
 
-// translate puts a list into the module's terms. An entry that makes no sense is left out and
-// logged: the others still count.
+// listKindOf is whether a message of discovery is a complete list or a change.
+func listKindOf(m *discovery.Members) decide.ListKind {
+	if m.Full {
+		return decide.ListFull
+	}
+	return decide.ListDelta
+}
+
+// translate puts a list into the balancer's terms.
 func (d *listWatcher) translate(m *discovery.Members, kind decide.ListKind) List {
 	return translate(d.cfg, d.clock, d.log, m, kind)
 }
 
-func translate(cfg *Config, ck clock, log *slog.Logger, m *discovery.Members, kind decide.ListKind) List {
-	e := List{ListUpdate: decide.ListUpdate{Kind: kind}, Saved: m.Saved, Addrs: map[string]string{}, Starts: map[string]int64{}}
+// serverStates are the states of servers as discovery spells them.
+var serverStates = map[string]decide.BackendState{
+	"ready":    decide.Up,
+	"draining": decide.Draining,
+	"gone":     decide.Removed,
+}
+
+// translate puts a list into the balancer's terms. An entry that makes no sense is left out and logged: the others still
+// count.
+func translate(cfg *Config, clk clock, log *slog.Logger, m *discovery.Members, kind decide.ListKind) List {
+	list := List{
+		ListUpdate: decide.ListUpdate{Kind: kind},
+		Saved:      m.Saved,
+		Addrs:      map[string]string{},
+		Starts:     map[string]int64{},
+	}
 	for _, s := range m.Servers {
-		state, ok := map[string]decide.BackendState{
-			"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}[s.State]
+		state, ok := serverStates[s.State]
 		if !ok || s.ID == "" {
 			log.Warn("list entry left out", "id", s.ID, "state", s.State)
 			continue
@@ -187,15 +231,21 @@
 				log.Warn("list entry left out", "id", s.ID, "error", err)
 				continue
 			}
-			e.Addrs[s.ID] = s.Addr
+			list.Addrs[s.ID] = s.Addr
+		}
+		b := decide.Backend{
+			ID:     s.ID,
+			State:  state,
+			Zone:   slices.Index(cfg.Site.Zones, s.Zone),
+			Kind:   slices.Index(cfg.Site.Kinds, s.Kind),
+			Cell:   s.Cell,
+			Weight: s.Weight,
 		}
-		b := decide.Backend{ID: s.ID, State: state, Zone: slices.Index(cfg.Site.Zones, s.Zone),
-			Kind: slices.Index(cfg.Site.Kinds, s.Kind), Cell: s.Cell, Weight: s.Weight}
 		if s.Started > 0 {
-			b.Started = ck.hint(s.Started)
+			b.Started = clk.hint(s.Started)
 		}
-		e.Starts[s.ID] = s.Started
-		e.Backends = append(e.Backends, b)
+		list.Starts[s.ID] = s.Started
+		list.Backends = append(list.Backends, b)
 	}
-	return e
+	return list
 }
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// follow runs a discovery client on c and returns what it posts.
-func follow(t *testing.T, cfg *Config, tune func(*listWatcher)) (*listWatcher, chan List) {
+// runListWatcher runs a discovery client on c and returns what it posts.
+func runListWatcher(t *testing.T, cfg *Config, tune func(*listWatcher)) (*listWatcher, chan List) {
 	t.Helper()
 	events := make(chan List, 100)
 	d := newListWatcher(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
@@ -30,30 +30,30 @@
 	return d, events
 }
 
-func line(version int, full bool, state string) string {
+func listLine(version int, full bool, state string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:9","zone":"b","kind":"m2","cell":3,"state":%q,"weight":1.5,"started_ms":0}]}`, version, full, state)
 }
 
 // The watch goes on from the last version after a failure, and each failure is told.
 func TestWatchReconnects(t *testing.T) {
 	c := testkit.NewCatalog(t)
-	_, events := follow(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
+	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
 	w := testkit.Receive(t, "watch", c.Watch)
 	if w.Since != "41" {
 		t.Errorf("since %q", w.Since)
 	}
-	w.Lines <- line(42, true, "ready")
+	w.Lines <- listLine(42, true, "ready")
 	e := testkit.Receive(t, "list", events)
 	want := decide.Backend{ID: "s", Zone: 1, Kind: 1, Cell: 3, Weight: 1.5}
 	if e.Kind != decide.ListFull || len(e.Backends) != 1 || e.Backends[0] != want || e.Addrs["s"] != "127.0.0.1:9" {
 		t.Errorf("%+v", e)
 	}
 	w.Lines <- "" // nothing has changed
-	w.Lines <- line(43, false, "draining")
+	w.Lines <- listLine(43, false, "draining")
 	if e := testkit.Receive(t, "change", events); e.Kind != decide.ListDelta || e.Backends[0].State != decide.Draining {
 		t.Errorf("%+v", e)
 	}
-	w.Lines <- line(44, false, "gone")
+	w.Lines <- listLine(44, false, "gone")
 	if e := testkit.Receive(t, "change", events); e.Backends[0].State != decide.Removed || len(e.Addrs) != 0 {
 		t.Errorf("%+v", e)
 	}
@@ -78,9 +78,9 @@
 }
 
 // Where discovery is asked, the module says when: the agent does not call by itself.
-func TestWatchIsAskedFor(t *testing.T) {
+func TestWatchIsOpenedOnlyOnRequest(t *testing.T) {
 	c := testkit.NewCatalog(t)
-	d, events := follow(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}), nil)
+	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}), nil)
 	d.subscribe()
 	close(testkit.Receive(t, "watch", c.Watch).Fail)
 	testkit.Receive(t, "failure", events)
@@ -93,10 +93,10 @@
 
 // A subscription that the module asked for while a watch ran that a move had begun is void when that watch ends: the
 // module hears of the end, and asks anew after its wait.
-func TestWhatWasAskedDuringAWatchIsVoidAtItsEnd(t *testing.T) {
+func TestRequestDuringAWatchIsVoidAtItsEnd(t *testing.T) {
 	one, two := testkit.NewCatalog(t), testkit.NewCatalog(t)
 	asked := make(chan int, 1)
-	d, events := follow(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
+	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
 		post := d.post
 		d.post = func(e any) { asked <- len(d.watchRequests); post(e) }
 	})
@@ -114,11 +114,11 @@
 
 // Discovery is down, back for as long as it takes to tell one list, and down again, and then back for good: what it told
 // counts, and is what it is asked to go on from. Calls go on all the while.
-func TestDiscoveryIsBackForAMoment(t *testing.T) {
+func TestListOfABriefRecoveryCounts(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			addr := testkit.DownAddr(t)
-			d, events := follow(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: addr}), nil)
+			d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: addr}), nil)
 			failed := func(times int) {
 				t.Helper()
 				for range times {
@@ -150,7 +150,7 @@
 				if err != nil || req.URL.Query().Get("since") != since {
 					t.Errorf("%v, %v", req, err)
 				}
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s\n", line(version, true, state))
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s\n", listLine(version, true, state))
 				c.Close()
 				if e := testkit.Receive(t, "list", events); e.Kind != decide.ListFull || len(e.Backends) != 1 || (e.Backends[0].State == decide.Up) != (state == "ready") {
 					t.Errorf("%+v", e)
@@ -168,9 +168,9 @@
 }
 
 // A discovery that is cut off closes nothing: a watch that misses its empty lines is dead.
-func TestSilentWatchIsDead(t *testing.T) {
+func TestWatchWithoutHeartbeatEnds(t *testing.T) {
 	c := testkit.NewCatalog(t)
-	_, events := follow(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) { d.heartbeatTimeout = 50 * time.Millisecond })
+	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) { d.heartbeatTimeout = 50 * time.Millisecond })
 	testkit.Receive(t, "watch", c.Watch)
 	if e := testkit.Receive(t, "failure", events); e.Kind != decide.ListFailed {
 		t.Errorf("%+v", e)
@@ -178,7 +178,7 @@
 	testkit.Receive(t, "second watch", c.Watch)
 }
 
-func TestStartTimes(t *testing.T) {
+func TestListIsTranslated(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	ck := newClock()
 	d := newListWatcher(cfg, ck, nil, testkit.Quiet)
@@ -205,16 +205,16 @@
 
 // A reload moves the watch at once, also while the module waits to ask, and asks for the whole
 // list; the module hears of no failure. The same address again changes nothing.
-func TestWatchMoves(t *testing.T) {
+func TestWatchFollowsTheAddress(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			one, two, three := testkit.NewCatalog(t), testkit.NewCatalog(t), testkit.NewCatalog(t)
-			d, events := follow(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: one.Addr}), nil)
+			d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: one.Addr}), nil)
 			if mode == "subscribe" {
 				d.subscribe()
 			}
 			w := testkit.Receive(t, "watch", one.Watch)
-			w.Lines <- line(42, true, "ready")
+			w.Lines <- listLine(42, true, "ready")
 			testkit.Receive(t, "list", events)
 			d.moveTo(one.Addr)
 			d.moveTo(two.Addr)
@@ -222,7 +222,7 @@
 			if w.Since != "0" {
 				t.Errorf("since %q: the versions of another service", w.Since)
 			}
-			w.Lines <- line(7, true, "draining")
+			w.Lines <- listLine(7, true, "draining")
 			if e := testkit.Receive(t, "list of the new address", events); e.Kind != decide.ListFull || e.Backends[0].State != decide.Draining {
 				t.Errorf("%+v", e)
 			}
@@ -241,7 +241,7 @@
 
 // However often a pushed list was not to be had, an agent is back at it well before a drain that counts from its
 // return must be heeded; and it does not call without a pause.
-func TestReconnectsWithinTheDrainGrace(t *testing.T) {
+func TestReconnectBackoffStaysWithinTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for fails := range 100 {
 			switch wait := reconnectCeiling(fails, grace); {
--- /dev/null
+++ b/internal/core/drain.go
@@ -0,0 +1,129 @@
+package core
+
+import (
+	"context"
+	"errors"
+	"net"
+	"time"
+)
+
+const (
+	// acceptAfterStop is how long new connections are accepted after a SIGTERM: clients learn of a planned restart up to
+	// 0.4 s late. Shorter refuses some of them; longer delays the restart.
+	acceptAfterStop = 450 * time.Millisecond
+	// closeSilentAfterStop is how long after that a connection may still bring its first request.
+	closeSilentAfterStop = 250 * time.Millisecond
+	// drainSlack is what a drain may take past the longest deadline. The platform kills 0.7 s after that.
+	drainSlack = 600 * time.Millisecond
+	// finalAnswersReserve is kept free before a drain's end, for answers to be written and read: 0.1 s, and the 0.15 s
+	// for which an agent may be held up before the write. A request that comes late in the drain, on a connection whose
+	// client writes slowly, has until then and not its own time: it would be lost.
+	finalAnswersReserve = 250 * time.Millisecond
+	// clientDrainPeriod is how long clients may still use their connections once an operator drains the agent: each is
+	// closed after its next answer, and those without a request after this period. It is longer than a front needs to
+	// notice and to send new ones elsewhere, and shorter than the time at which none may be open.
+	clientDrainPeriod = 1200 * time.Millisecond
+	// drainCheckInterval is how often idle connections are closed after that period.
+	drainCheckInterval = 100 * time.Millisecond
+)
+
+// drain goes on accepting connections for a while, closes each once it has its answer, and returns when none is open, or
+// when the platform is about to kill the process.
+func (a *Agent) drain(served <-chan error) {
+	a.log.Info("stopping")
+	end := time.Now().Add(a.maxDrain())
+	limit, cancel := context.WithDeadline(context.Background(), end)
+	defer cancel()
+	finalAnswers := end.Add(-finalAnswersReserve)
+	a.loop.drainDeadline.Store(&finalAnswers)
+	// Idle connections are closed at once: a client whose request crosses the close opens a new connection, which is
+	// still accepted.
+	a.stopping.Store(true)
+	if a.stopAccepting != nil {
+		a.updateDraining()
+		a.limiter.CloseIdle()
+		select {
+		case <-served: // the listener is broken: requests that were read are answered all the same
+		case <-a.stopAccepting():
+		}
+	}
+	err := a.closeConnections(limit, served)
+	if open := a.protocol.OpenRequests(); err != nil && open > 0 {
+		a.log.Error("stopping with requests unanswered", "open", open, "error", err)
+	}
+	a.log.Info("stopped")
+}
+
+// maxDrain is how long a drain may take: the longest deadline, however long, and a little more. A fixed bound of 3 s lost
+// requests of sites with longer deadlines.
+func (a *Agent) maxDrain() time.Duration { return a.cfg.MaxDeadline() + drainSlack }
+
+// closeConnections accepts no more connections, and returns when all have had their answers and are closed, or with an
+// error when ctx ends. A connection whose request has been read, and not yet handed on, is not closed: the request would
+// be lost.
+func (a *Agent) closeConnections(ctx context.Context, served <-chan error) error {
+	_ = a.limiter.Close()
+	a.stopping.Store(true)
+	a.updateDraining()
+	select {
+	case <-served: // the limiter knows every accepted connection now
+	case <-ctx.Done():
+	}
+	// A connection that has sent nothing by then most likely never will.
+	silent := time.AfterFunc(closeSilentAfterStop, func() { a.limiter.CloseSilent(0) })
+	defer silent.Stop()
+	err := a.limiter.waitUntilEmpty(ctx)
+	if closeErr := a.protocol.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
+		a.log.Warn("closing", "error", closeErr)
+	}
+	return err
+}
+
+// stopAfterPanic ends an agent whose state can't be trusted any more. Its open requests are answered as failed, which
+// promises nothing, before their connections are closed.
+func (a *Agent) stopAfterPanic(cancel func(), served <-chan error) {
+	cancel() // the loop ends, and with it every wait for an answer
+	limit, stop := context.WithTimeout(context.Background(), HeadTimeout)
+	defer stop()
+	if err := a.closeConnections(limit, served); err != nil {
+		a.log.Error("ending with connections open", "error", err)
+	}
+}
+
+// SetDrained has an operator drain the agent, or take it back into service. The agent goes on: requests are answered.
+func (a *Agent) SetDrained(drained bool) {
+	a.drainMu.Lock()
+	defer a.drainMu.Unlock()
+	if a.loop.drained.Swap(drained) == drained {
+		return
+	}
+	a.log.Info("drained or taken back by an operator", "drained", drained)
+	a.updateDraining()
+	if a.idleCloser != nil {
+		a.idleCloser.Stop()
+		a.idleCloser = nil
+	}
+	if drained {
+		a.scheduleIdleClose(clientDrainPeriod)
+	}
+}
+
+// scheduleIdleClose closes idle connections after a while, and again and again while the agent is drained. drainMu is
+// held.
+func (a *Agent) scheduleIdleClose(after time.Duration) {
+	a.idleCloser = time.AfterFunc(after, func() {
+		a.limiter.CloseIdle()
+		a.limiter.CloseSilent(minSilent) // new connections still come, and are served
+		a.drainMu.Lock()
+		defer a.drainMu.Unlock()
+		if a.loop.drained.Load() {
+			a.scheduleIdleClose(drainCheckInterval)
+		}
+	})
+}
+
+// updateDraining has the protocol close connections after their next answer, or not.
+func (a *Agent) updateDraining() { a.protocol.SetDraining(a.loop.drained.Load() || a.stopping.Load()) }
+
+// Drained reports whether an operator drains the agent.
+func (a *Agent) Drained() bool { return a.loop.drained.Load() }
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -2,52 +2,39 @@
 
 import (
 	"time"
+
 	"vetchhaven/decide"
 )
 
-// What is posted to the loop, besides List and the module's own ProbeResult and PeerMessage.
+// Events that are posted to the loop, besides List and the balancer's own ProbeResult and PeerMessage.
 type (
-	requestArrived     struct{ *Request }
+	// requestArrived says that a protocol has read a request.
+	requestArrived struct{ *Request }
+	// clientDisconnected says that a request's client has disconnected, or wants no answer.
 	clientDisconnected struct{ *Request }
-	// deadlineExceeded says that a request's time and half of the grace are over and no answer is there.
+	// deadlineExceeded says that a request's deadline and half of the grace have passed without an answer.
 	deadlineExceeded struct{ *Request }
-	// responseStarted says that a part of an attempt's answer is about to reach the client.
+	// responseStarted says that a part of an attempt's response is about to reach the client.
 	responseStarted struct {
 		*Attempt
-		completed bool
+		completed bool // the server is done with it
 		latency   time.Duration
 	}
-	// uploadCompleted says that a request's last byte is out.
+	// uploadCompleted says that a request's last byte has been written.
 	uploadCompleted struct {
 		*Attempt
 		at time.Time
 	}
+	// attemptEnded is the outcome of an attempt, with the response of an OK.
 	attemptEnded struct {
 		*Attempt
-		outcome decide.Outcome
-		answer  any
+		outcome  decide.Outcome
+		response any
 	}
 )
 
-// What the loop tells itself.
+// Events that the loop posts to itself.
 type (
 	stopping   struct{}
 	summaryDue struct{}
 )
-
-// learnedQuery asks the loop for what its module has learnt.
-type learnedQuery struct{ reply chan learnedState }
-
-// learnedState is that, with the starts of the servers' processes as the list has them, ms, Unix.
-type learnedState struct {
-	decide.Learned
-	starts map[string]int64
-}
-
-func (l *Loop) learned() learnedState {
-	now := learnedState{l.balancer.Learned(), map[string]int64{}}
-	for _, b := range now.Backends {
-		now.starts[b.ID] = l.starts.listedMS(b.ID)
-	}
-	return now
-}
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // What an instance leaves for the next process, and what the admin endpoint shows of it.
-func TestMemoryStaysAsEarlierBuildsWriteIt(t *testing.T) {
+func TestStoredMemoryAndTotalsKeepTheirFormat(t *testing.T) {
 	checkJSON[Memory](t, "memory.json")
 	checkJSON[Totals](t, "totals.json")
 }
@@ -22,7 +22,7 @@
 }
 
 // A configuration with every key of the platform's page.
-func TestConfigurationIsReadAsBefore(t *testing.T) {
+func TestConfigurationKeepsItsFormat(t *testing.T) {
 	c, err := ParseConfig(golden.Read(t, "config.json"), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -11,53 +11,79 @@
 	"vetchhaven/decide"
 )
 
-// Invariant is what a guard of the agent holds whatever the module decides. A violation is refused where it can be, counted
-// and logged, and panics in tests.
+// Invariant is a rule that a guard of the agent holds whatever the balancer decides. A violation is refused if it can be,
+// counted and logged, and panics in tests.
 type Invariant int
 
 // The invariants.
 const (
 	AnsweredOnce   Invariant = iota // a request has one final answer
-	EffectOnce                      // one that may not be repeated is sent again only where no attempt can have run
-	OneAttemptOut                   // ... and never has two attempts out; nor has any, where second copies are not allowed
-	DedupWindow                     // a keyed one is sent again only while its first attempt is remembered
+	EffectOnce                      // a non-idempotent request is retried only if no attempt can have been executed
+	OneAttemptOut                   // and never has two attempts in flight; no request has, if hedging is off
+	DedupWindow                     // one with an idempotency key is retried only while its first attempt is remembered
 	AttemptBound                    // no more attempts are made than the settings allow
 	WriteMatched                    // each end of a write belongs to one that was admitted
 	AttemptsClosed                  // no more attempts end than were begun
 	invariantCount
 )
 
-var invariantNames = [invariantCount]string{"answered_once", "effect_once", "one_attempt_out", "keyed_window", "attempt_bound", "write_matched", "attempts_closed"}
+// invariantNames are values of a metric's label.
+var invariantNames = [invariantCount]string{
+	"answered_once",
+	"effect_once",
+	"one_attempt_out",
+	"keyed_window",
+	"attempt_bound",
+	"write_matched",
+	"attempts_closed",
+}
 
 // String is the name under which violations are counted.
 func (i Invariant) String() string { return invariantNames[i] }
 
-// counters are what an agent counts of its decisions, for others to read.
+// resultNames are decide's results, as values of a metric's label.
+var resultNames = [...]string{
+	"ok",
+	"errored",
+	"full",
+	"timed_out",
+	"connect_failed",
+	"reset",
+	"cancelled",
+	"not_sent",
+	"broke",
+}
+
+// counters count an agent's decisions, for any goroutine to read.
 type counters struct {
 	sendRefusals [sendRefusalCount]atomic.Int64
 	violations   [invariantCount]atomic.Int64
-	endings      [decide.ReasonCount]atomic.Int64 // of requests that were refused or failed, by the module's reason
+	endings      [decide.ReasonCount]atomic.Int64 // of requests that were refused or failed, by the balancer's reason
 	results      [decide.Incomplete + 1]atomic.Int64
 	retries      atomic.Int64
 }
 
 // Counters are what an agent counted since its start, by the name of each case.
 type Counters struct {
-	SendRefusals map[string]int64 // writes that a send guard did not admit
+	SendRefusals map[string]int64 // writes that a send guard refused
 	Violations   map[string]int64 // of invariants
-	Endings      map[string]int64 // requests refused or failed by the module, by its reason
-	Results      map[string]int64 // ends of attempts
-	Closes       map[string]int64 // clients' connections that were asked to end, by why
+	Endings      map[string]int64 // requests that the balancer refused or failed, by its reason
+	Results      map[string]int64 // of attempts
+	Closes       map[string]int64 // client connections that were evicted, by reason
 	Retries      int64            // attempts after a request's first
 }
 
-// resultNames name the ends of attempts.
-var resultNames = [...]string{"ok", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "not_sent", "broke"}
-
-// Counters tells them. It may be called at any time.
+// Counters are the present ones. It may be called at any time.
 func (a *Agent) Counters() Counters {
 	n := &a.loop.counters
-	c := Counters{map[string]int64{}, map[string]int64{}, map[string]int64{}, map[string]int64{}, a.limiter.evictionCounts(), n.retries.Load()}
+	c := Counters{
+		SendRefusals: map[string]int64{},
+		Violations:   map[string]int64{},
+		Endings:      map[string]int64{},
+		Results:      map[string]int64{},
+		Closes:       a.limiter.evictionCounts(),
+		Retries:      n.retries.Load(),
+	}
 	for i := range n.sendRefusals {
 		if SendRefusal(i) != SendAllowed {
 			c.SendRefusals[SendRefusal(i).String()] = n.sendRefusals[i].Load()
@@ -75,54 +101,68 @@
 	return c
 }
 
-// violated counts and logs a violation. Tests end by it.
+// violated counts and logs a violation, and panics in tests.
 func (l *Loop) violated(i Invariant, request string, attempt int, server, reason string) {
 	l.counters.violations[i].Add(1)
-	l.log.Error("invariant violated", "invariant", i.String(), "request", request, "attempt", attempt, "endpoint", server, "reason", reason)
+	l.log.Error("invariant violated",
+		"invariant", i.String(), "request", request, "attempt", attempt, "endpoint", server, "reason", reason)
 	if testing.Testing() && !l.toleratesViolations {
 		panic(fmt.Sprintf("invariant %s: request %s attempt %d at %s: %s", i, request, attempt, server, reason))
 	}
 }
 
-// mayStart holds a further attempt to the rules on repeats, whatever the module has decided: it sees what became of the
-// attempts before, and nothing of the module's books.
+// mayStart holds a further attempt to the rules on repeated execution, whatever the balancer has decided: it looks at
+// the outcomes of the attempts before, and not at the balancer's state. A refusal is a violation.
 func (l *Loop) mayStart(r *Request, server string) bool {
-	s := l.cfg.Settings
-	class := &s.Classes[r.Class]
-	refuse := func(i Invariant, reason string) bool {
-		l.violated(i, r.ID, len(r.attempts), server, reason)
+	settings := &l.cfg.Settings
+	if settings.MaxAttempts > 0 && len(r.attempts) >= settings.MaxAttempts {
+		reason := fmt.Sprintf("%d attempts are allowed", settings.MaxAttempts)
+		l.violated(AttemptBound, r.ID, len(r.attempts), server, reason)
 		return false
 	}
-	if len(r.attempts) >= s.MaxAttempts && s.MaxAttempts > 0 {
-		return refuse(AttemptBound, fmt.Sprintf("%d attempts are allowed", s.MaxAttempts))
-	}
-	for _, t := range r.attempts {
-		switch {
-		case !t.ended && (class.Effect == decide.NonIdempotent || !s.Hedging):
-			return refuse(OneAttemptOut, fmt.Sprintf("attempt %d at %s is still out", t.N, t.Server))
-		case t.ended && t.result.NeverRan(), class.Effect == decide.Idempotent:
-		case class.Effect == decide.NonIdempotent:
-			return refuse(EffectOnce, fmt.Sprintf("attempt %d at %s may have run: %s", t.N, t.Server, resultNames[t.result]))
-		case time.Since(t.start) > class.DedupWindow:
-			return refuse(DedupWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered", t.N, t.Server, time.Since(t.start), class.DedupWindow))
+	class := &settings.Classes[r.Class]
+	for _, earlier := range r.attempts {
+		if invariant, reason := earlier.forbidsRetry(class, settings.Hedging); reason != "" {
+			l.violated(invariant, r.ID, len(r.attempts), server, reason)
+			return false
 		}
 	}
 	return true
 }
 
-// noteResult notes what became of an attempt.
-func (l *Loop) noteResult(t *Attempt, result decide.Result) {
-	t.ended, t.result = true, result
+// forbidsRetry is the invariant that another attempt beside or after this one would violate, and why; an empty reason:
+// none.
+func (a *Attempt) forbidsRetry(class *decide.Class, hedging bool) (Invariant, string) {
+	switch {
+	case !a.hasResult && (class.Effect == decide.NonIdempotent || !hedging):
+		return OneAttemptOut, fmt.Sprintf("attempt %d at %s is still out", a.N, a.Server)
+	case a.hasResult && a.result.NeverRan(), class.Effect == decide.Idempotent:
+		return 0, ""
+	case class.Effect == decide.NonIdempotent:
+		return EffectOnce, fmt.Sprintf("attempt %d at %s may have run: %s", a.N, a.Server, resultNames[a.result])
+	case time.Since(a.start) > class.DedupWindow:
+		return DedupWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered",
+			a.N, a.Server, time.Since(a.start), class.DedupWindow)
+	}
+	return 0, ""
+}
+
+// noteResult keeps and counts an attempt's result.
+func (l *Loop) noteResult(a *Attempt, result decide.Result) {
+	a.hasResult = true
+	a.result = result
 	l.counters.results[result].Add(1)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
-		l.log.Debug("attempt ended", "request", t.ID, "attempt", t.N, "endpoint", t.Server, "result", resultNames[result], "after", time.Since(t.start))
+		l.log.Debug("attempt ended", "request", a.ID, "attempt", a.N, "endpoint", a.Server,
+			"result", resultNames[result], "after", time.Since(a.start))
 	}
 }
 
-// requestEnded notes why the module gave a request an answer that is no success.
-func (l *Loop) requestEnded(r *Request, kind string, why decide.Reason) {
-	l.counters.endings[why].Add(1)
+// noteEnding counts why the balancer gave a request an answer that is no success.
+func (l *Loop) noteEnding(r *Request, answer string, reason decide.Reason) {
+	l.counters.endings[reason].Add(1)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
-		l.log.Debug("request ended", "request", r.ID, "answer", kind, "reason", why.String(), "attempts", len(r.attempts))
+		l.log.Debug("request ended", "request", r.ID, "answer", answer, "reason", reason.String(),
+			"attempts", len(r.attempts))
 	}
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -55,18 +55,18 @@
 	s.execute(decide.Send{Request: "r", Backend: server}, s.clock.now())
 }
 
-// end ends the one attempt that is out.
-func (s *sendingLoop) end(t *testing.T, result decide.Result) {
+// endAttempt ends the one attempt that is out.
+func (s *sendingLoop) endAttempt(t *testing.T, result decide.Result) {
 	t.Helper()
 	s.results <- result
 	s.handle(testkit.Receive(t, "outcome", s.events))
 }
 
-func (s *sendingLoop) count(i Invariant) int64 { return s.counters.violations[i].Load() }
+func (s *sendingLoop) violationCount(i Invariant) int64 { return s.counters.violations[i].Load() }
 
 // Whatever the module decides, no attempt begins against the rules on repeats: it is refused, counted, and the module hears
 // that it was not sent.
-func TestNoAttemptBeginsAgainstTheRules(t *testing.T) {
+func TestAttemptsThatViolateTheRetryRulesAreRefused(t *testing.T) {
 	noCopies := func(s *decide.Settings) { s.Hedging = false }
 	shortWindow := func(s *decide.Settings) { s.Classes[classPut].DedupWindow = time.Nanosecond }
 	for name, row := range map[string]struct {
@@ -97,7 +97,7 @@
 			defer close(s.results)
 			for _, result := range row.first {
 				s.send("s")
-				s.end(t, result)
+				s.endAttempt(t, result)
 			}
 			if row.out {
 				s.send("s")
@@ -111,14 +111,14 @@
 					t.Error("an attempt that is allowed did not begin")
 				}
 				for i := range s.counters.violations {
-					if s.count(Invariant(i)) != 0 {
+					if s.violationCount(Invariant(i)) != 0 {
 						t.Errorf("%s was counted", Invariant(i))
 					}
 				}
 				return
 			}
-			if began != 0 || s.count(row.want) != 1 {
-				t.Errorf("%d attempts began, %s was counted %d times", began, row.want, s.count(row.want))
+			if began != 0 || s.violationCount(row.want) != 1 {
+				t.Errorf("%d attempts began, %s was counted %d times", began, row.want, s.violationCount(row.want))
 			}
 			if len(s.pending) != 1 || s.pending[0].(decide.Outcome).Result != decide.NotSent {
 				t.Errorf("the module heard %+v", s.pending)
@@ -128,18 +128,18 @@
 }
 
 // A request has one final answer, whoever gives it first; a second one is counted.
-func TestASecondFinalAnswerIsCounted(t *testing.T) {
+func TestSecondFinalAnswerIsCounted(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.finish(s.request.Request, Answer{Refused: true})
 	s.finish(s.request.Request, Answer{TimedOut: true})
 	s.request.Abort()
-	if s.count(AnsweredOnce) != 1 || len(s.request.reply) != 1 {
-		t.Errorf("counted %d times, %d answers", s.count(AnsweredOnce), len(s.request.reply))
+	if s.violationCount(AnsweredOnce) != 1 || len(s.request.reply) != 1 {
+		t.Errorf("counted %d times, %d answers", s.violationCount(AnsweredOnce), len(s.request.reply))
 	}
 }
 
 // A violation ends a test, and nothing in production.
-func TestAViolationEndsATest(t *testing.T) {
+func TestViolationPanicsInTests(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.toleratesViolations = false
 	defer func() {
@@ -193,7 +193,7 @@
 		if g.open(1, interrupt) || !g.open(0, interrupt) {
 			t.Error("another attempt writes beside an answer that streams")
 		}
-		if !g.otherResponds(1) || g.otherResponds(0) {
+		if !g.anotherResponds(1) || g.anotherResponds(0) {
 			t.Error("whose answer it is")
 		}
 	})
@@ -208,7 +208,7 @@
 }
 
 // Right before the first byte of an attempt all is looked at that may have changed since it was decided.
-func TestBeginWriteLooksAtWhatHasChanged(t *testing.T) {
+func TestBeginWriteChecksWhatHasChanged(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func(l *Loop, a *Attempt, client, other net.Conn)
 		want   SendRefusal
--- /dev/null
+++ b/internal/core/learned.go
@@ -0,0 +1,101 @@
+package core
+
+import (
+	"time"
+
+	"vetchhaven/decide"
+)
+
+// Memory is what an agent has learned that the next one under its name may start with, in names and wall-clock times
+// that both know. Retry budgets and tokens are not part of it. It is stored on disk.
+type Memory struct {
+	// Limit is the limit on requests in flight, for an agent that takes over without a gap; see decide.Learned. 0: none.
+	Limit   float64                `json:"limit,omitempty"`
+	Classes map[string]ClassMemory `json:"classes"`
+	Servers []ServerMemory         `json:"servers"`
+}
+
+// ClassMemory is a class's mean latency and expected work, in nanoseconds.
+type ClassMemory struct {
+	Latency float64 `json:"latency_ns"`
+	Work    float64 `json:"work_ns"`
+}
+
+// ServerMemory is how slow a server process was, as a multiple of the mean of all.
+type ServerMemory struct {
+	ID      string  `json:"id"`
+	Started int64   `json:"started_ms"` // Unix milliseconds; 0: long ago
+	Slow    float64 `json:"slow"`
+}
+
+// learnedQuery asks the loop for what its balancer has learned.
+type learnedQuery struct{ reply chan learnedState }
+
+// learnedState is the answer, with the starts of the servers' processes as the list has them, in Unix milliseconds.
+type learnedState struct {
+	decide.Learned
+	startedMS map[string]int64
+}
+
+func (l *Loop) learned() learnedState {
+	state := learnedState{l.balancer.Learned(), map[string]int64{}}
+	for _, b := range state.Backends {
+		state.startedMS[b.ID] = l.starts.listedMS(b.ID)
+	}
+	return state
+}
+
+// Memory is what the balancer has learned. It reports false if the loop has stopped or does not answer in time.
+func (a *Agent) Memory(timeout time.Duration) (*Memory, bool) {
+	query := learnedQuery{make(chan learnedState, 1)}
+	limit := time.NewTimer(timeout)
+	defer limit.Stop()
+	select {
+	case a.loop.events <- query:
+	case <-a.loop.stopped:
+		return nil, false
+	case <-limit.C:
+		return nil, false
+	}
+	select {
+	case state := <-query.reply:
+		return a.memoryOf(state), true
+	case <-a.loop.stopped:
+		return nil, false
+	case <-limit.C:
+		return nil, false
+	}
+}
+
+// memoryOf puts what the balancer has learned into names and wall-clock times.
+func (a *Agent) memoryOf(state learnedState) *Memory {
+	m := &Memory{Limit: state.Limit, Classes: map[string]ClassMemory{}, Servers: []ServerMemory{}}
+	for i, class := range state.Classes {
+		m.Classes[a.cfg.Site.Classes[i]] = ClassMemory{Latency: class.Latency, Work: class.Work}
+	}
+	for _, b := range state.Backends {
+		server := ServerMemory{ID: b.ID, Slow: b.Slowness}
+		if b.Started > 0 {
+			server.Started = state.startedMS[b.ID]
+		}
+		m.Servers = append(m.Servers, server)
+	}
+	return m
+}
+
+// toLearned puts a memory into the balancer's terms.
+func (m *Memory) toLearned(cfg *Config, clk clock, starts *startTimes) decide.Learned {
+	learned := decide.Learned{Limit: m.Limit}
+	for _, name := range cfg.Site.Classes {
+		class := m.Classes[name]
+		learned.Classes = append(learned.Classes, decide.LearnedClass{Latency: class.Latency, Work: class.Work})
+	}
+	for _, s := range m.Servers {
+		b := decide.LearnedBackend{ID: s.ID, Slowness: s.Slow}
+		if s.Started > 0 {
+			b.Started = starts.restore(s.ID, s.Started, clk.hint(s.Started), clk.now())
+		}
+		learned.Backends = append(learned.Backends, b)
+	}
+	return learned
+}
--- a/internal/core/told_test.go
+++ b/internal/core/listdelay_test.go
@@ -20,19 +20,19 @@
 )
 
 // What a list service does with a call.
-type callFate int
+type callOutcome int
 
 const (
-	fateRefused callFate = iota // nobody listens
-	fateDropped                 // the connection never comes up: the dialer gives it up
-	fateMute                    // it comes up, and nothing comes of it
-	fateBusy                    // 503 at once
-	fateCrowded                 // 503 after the call has waited
-	fateQueued                  // served after the call has waited
-	fateLate                    // the same, and nothing comes for a beat after the head
-	fateEnded                   // a head, and the end
-	fateCut                     // the end within an object
-	fateServed                  // the whole list, and a beat every 2 s
+	callRefused         callOutcome = iota // nobody listens
+	callDropped                            // the connection never comes up: the dialer gives it up
+	callUnanswered                         // it comes up, and nothing comes of it
+	callBusy                               // 503 at once
+	callBusyAfterWait                      // 503 after the call has waited
+	callServedAfterWait                    // served after the call has waited
+	callServedLate                         // the same, and nothing comes for a beat after the head
+	callEndedAfterHead                     // a head, and the end
+	callCutInObject                        // the end within an object
+	callServed                             // the whole list, and a beat every 2 s
 )
 
 const (
@@ -43,51 +43,51 @@
 
 // listScript is a list service by the clock of its run.
 type listScript struct {
-	call func(at time.Duration) callFate
-	// hush is when open watches fall silent, right after their next beat, and over when they end; 0: never.
-	hush, over time.Duration
-	moves      bool // an agent is sent to another address when it has the change
-	hangs      bool // it is back right after the first call that hangs, or the watch that fell silent
+	call func(at time.Duration) callOutcome
+	// silentAt is when open watches fall silent, right after their next beat, and over when they end; 0: never.
+	silentAt, endsAt time.Duration
+	addrMoves        bool // an agent is sent to another address when it has the change
+	recoversOnHang   bool // it is back right after the first call that hangs, or the watch that fell silent
 }
 
 // listService is a service that has a change, the whole list without what drains, from a moment on.
 type listService struct {
 	listScript
-	began time.Time
-	has   time.Duration
-	calls []time.Duration
-	mu    sync.Mutex
+	startedAt time.Time
+	changeAt  time.Duration
+	calls     []time.Duration
+	mu        sync.Mutex
 }
 
-func (s *listService) at() time.Duration { return time.Since(s.began) }
+func (s *listService) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// back has the change from now on.
-func (s *listService) back() {
+// restore has the change from now on.
+func (s *listService) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.has, s.hangs = s.at()+time.Millisecond, false
+	s.changeAt, s.recoversOnHang = s.elapsed()+time.Millisecond, false
 }
 
-func (s *listService) since() time.Duration {
+func (s *listService) recoveredAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.has
+	return s.changeAt
 }
 
 // dial is what a connection to the service comes to.
 func (s *listService) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	at := s.at()
+	at := s.elapsed()
 	s.mu.Lock()
 	s.calls = append(s.calls, at)
 	s.mu.Unlock()
-	fate := s.call(at)
-	if fate == fateMute && s.hangs {
-		s.back()
+	outcome := s.call(at)
+	if outcome == callUnanswered && s.recoversOnHang {
+		s.restore()
 	}
-	switch fate {
-	case fateRefused:
+	switch outcome {
+	case callRefused:
 		return nil, syscall.ECONNREFUSED
-	case fateDropped:
+	case callDropped:
 		select {
 		case <-time.After(dialTime):
 			return nil, os.ErrDeadlineExceeded
@@ -96,83 +96,83 @@
 		}
 	}
 	ours, theirs := net.Pipe()
-	go s.answer(theirs, fate)
+	go s.serveCall(theirs, outcome)
 	return ours, nil
 }
 
-func (s *listService) answer(c net.Conn, fate callFate) {
+func (s *listService) serveCall(c net.Conn, outcome callOutcome) {
 	defer c.Close()
-	began := s.at()
+	began := s.elapsed()
 	in := bufio.NewReader(c)
 	if _, err := http.ReadRequest(in); err != nil {
 		return
 	}
-	gone := make(chan struct{})
-	go func() { _, _ = io.Copy(io.Discard, in); close(gone) }()
+	disconnected := make(chan struct{})
+	go func() { _, _ = io.Copy(io.Discard, in); close(disconnected) }()
 	wait := func(d time.Duration) bool {
 		select {
 		case <-time.After(d):
 			return true
-		case <-gone:
+		case <-disconnected:
 			return false
 		}
 	}
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 	const change = "{\n \"version\": 42,\n \"full\": true, \"servers\": [\n  {\"id\": \"two\", \"addr\": \"127.0.0.1:9\", \"state\": \"ready\"} ]\n}\n"
-	object, told := change, true
-	if s.at() < s.since() {
-		told = false
+	object, sent := change, true
+	if s.elapsed() < s.recoveredAt() {
+		sent = false
 		object = `{"version":41,"full":true,"servers":[{"id":"one","addr":"127.0.0.1:8","state":"ready"}]}` + "\n"
 	}
-	switch fate {
-	case fateMute:
-		<-gone
+	switch outcome {
+	case callUnanswered:
+		<-disconnected
 		return
-	case fateCrowded, fateQueued, fateLate:
+	case callBusyAfterWait, callServedAfterWait, callServedLate:
 		if !wait(callWait) {
 			return
 		}
 	}
-	if fate == fateBusy || fate == fateCrowded {
+	if outcome == callBusy || outcome == callBusyAfterWait {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	if _, err := io.WriteString(c, head); err != nil || fate == fateEnded {
+	if _, err := io.WriteString(c, head); err != nil || outcome == callEndedAfterHead {
 		return
 	}
-	if fate == fateCut {
+	if outcome == callCutInObject {
 		_, _ = io.WriteString(c, object[:len(object)/2])
 		return
 	}
-	if fate == fateLate && !wait(beat) {
+	if outcome == callServedLate && !wait(beat) {
 		return
 	}
 	for {
 		if _, err := io.WriteString(c, object); err != nil {
 			return
 		}
-		if s.hush > began && s.at() >= s.hush {
-			s.back()
-			<-gone
+		if s.silentAt > began && s.elapsed() >= s.silentAt {
+			s.restore()
+			<-disconnected
 			return
 		}
-		if object = "\n"; s.over > s.at() && s.over-s.at() <= beat {
-			wait(s.over - s.at())
+		if object = "\n"; s.endsAt > s.elapsed() && s.endsAt-s.elapsed() <= beat {
+			wait(s.endsAt - s.elapsed())
 			return
 		}
 		if !wait(beat) {
 			return
 		}
-		if !told && s.hush <= began && s.at() >= s.since() { // a watch that was open before, and is well, tells
-			object, told = change, true
+		if !sent && s.silentAt <= began && s.elapsed() >= s.recoveredAt() { // a watch that was open before, and is well, tells
+			object, sent = change, true
 		}
 	}
 }
 
-// told is when an agent with this service's address has its change, and how many calls it had made by then.
-func (s *listService) told(t *testing.T, cfg *Config) (at time.Duration, calls int) {
+// firstUpdate is when an agent with this service's address has its change, and how many calls it had made by then.
+func (s *listService) firstUpdate(t *testing.T, cfg *Config) (at time.Duration, calls int) {
 	t.Helper()
-	s.began = time.Now()
+	s.startedAt = time.Now()
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	d := newListWatcher(cfg, l.clock, func(e any) {
 		if e, ok := e.(List); ok && e.Addrs["two"] != "" {
 			select {
-			case known <- s.at():
+			case known <- s.elapsed():
 			default:
 			}
 		}
@@ -194,13 +194,13 @@
 	l.handle(d.translate(cfg.Known, decide.ListCached))
 	running.Go(func() { l.run(ctx) })
 	running.Go(func() { d.run(ctx) })
-	if s.moves {
-		time.AfterFunc(s.has, func() { d.moveTo("list:2") })
+	if s.addrMoves {
+		time.AfterFunc(s.changeAt, func() { d.moveTo("list:2") })
 	}
 	select {
 	case at = <-known:
-	case <-time.After(s.since() + time.Minute):
-		at = s.at()
+	case <-time.After(s.recoveredAt() + time.Minute):
+		at = s.elapsed()
 	}
 	synctest.Wait()
 	if up := *l.readyServers.Load(); !up["two"] || up["one"] {
@@ -217,75 +217,75 @@
 
 // Whatever becomes of the calls before, and however long it was so, an agent has a change within 6 s from when
 // discovery has it and can be reached. The clock is the test's; TestListAfterFailedCalls has it on sockets.
-func TestWhatDiscoveryHasIsToldWithinSixSeconds(t *testing.T) {
+func TestListChangesArriveWithinSixSeconds(t *testing.T) {
 	// back has a fate until a moment, and serves from then on.
-	back := func(fate callFate) func(time.Duration) listScript {
+	back := func(fate callOutcome) func(time.Duration) listScript {
 		return func(has time.Duration) listScript {
-			return listScript{call: func(at time.Duration) callFate {
+			return listScript{call: func(at time.Duration) callOutcome {
 				if at < has {
 					return fate
 				}
-				return fateServed
+				return callServed
 			}}
 		}
 	}
 	open := func(over, hush time.Duration) func(time.Duration) listScript {
 		return func(has time.Duration) listScript {
-			s := listScript{call: func(time.Duration) callFate { return fateServed }}
+			s := listScript{call: func(time.Duration) callOutcome { return callServed }}
 			if over != 0 {
-				s.over = has + over
+				s.endsAt = has + over
 			}
 			if hush != 0 {
-				s.hush = has + hush
+				s.silentAt = has + hush
 			}
 			return s
 		}
 	}
 	for name, scripted := range map[string]func(has time.Duration) listScript{
-		"down, refusing":             back(fateRefused),
-		"down, dropping":             back(fateDropped),
-		"hanging":                    back(fateMute),
-		"busy":                       back(fateBusy),
-		"crowded":                    back(fateCrowded),
-		"ending instead of telling":  back(fateEnded),
-		"ending in an object":        back(fateCut),
+		"down, refusing":             back(callRefused),
+		"down, dropping":             back(callDropped),
+		"hanging":                    back(callUnanswered),
+		"busy":                       back(callBusy),
+		"crowded":                    back(callBusyAfterWait),
+		"ending instead of telling":  back(callEndedAfterHead),
+		"ending in an object":        back(callCutInObject),
 		"an open watch falls silent": open(0, -time.Millisecond),
 		"an open watch ends, untold": open(-time.Millisecond, 0),
 		"a call waits when it is back": func(has time.Duration) listScript {
-			return listScript{call: func(at time.Duration) callFate {
+			return listScript{call: func(at time.Duration) callOutcome {
 				if at < has {
-					return fateRefused
+					return callRefused
 				}
-				return fateQueued
+				return callServedAfterWait
 			}}
 		},
 		"it waits, and its first line comes a beat after its head": func(has time.Duration) listScript {
-			return listScript{call: func(at time.Duration) callFate {
+			return listScript{call: func(at time.Duration) callOutcome {
 				if at < has {
-					return fateRefused
+					return callRefused
 				}
-				return fateLate
+				return callServedLate
 			}}
 		},
 		"a call hangs from just before, after many refused": func(has time.Duration) listScript {
 			hung := false
-			return listScript{call: func(at time.Duration) callFate {
+			return listScript{call: func(at time.Duration) callOutcome {
 				switch {
 				case at < has:
-					return fateRefused
+					return callRefused
 				case hung:
-					return fateServed
+					return callServed
 				}
 				hung = true
-				return fateMute
-			}, hangs: true}
+				return callUnanswered
+			}, recoversOnHang: true}
 		},
 		"back for a second, and down again": func(has time.Duration) listScript {
-			return listScript{call: func(at time.Duration) callFate {
+			return listScript{call: func(at time.Duration) callOutcome {
 				if at < has || at > has+time.Second {
-					return fateRefused
+					return callRefused
 				}
-				return fateServed
+				return callServed
 			}}
 		},
 	} {
@@ -299,9 +299,9 @@
 						cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), askWithin, askWithin
 						synctest.Test(t, func(t *testing.T) {
 							has := 13*time.Second + time.Duration(i)*217*time.Millisecond
-							s := &listService{listScript: scripted(has), has: has}
-							at, calls := s.told(t, cfg)
-							if late := at - s.since(); late < 0 || late > discovery.ToldWithin {
+							s := &listService{listScript: scripted(has), changeAt: has}
+							at, calls := s.firstUpdate(t, cfg)
+							if late := at - s.recoveredAt(); late < 0 || late > discovery.ToldWithin {
 								t.Errorf("told %v after", late)
 							}
 							most = max(most, calls)
@@ -319,9 +319,9 @@
 
 // SIGHUP names another address while the present one is down, hangs, or has an agent's watch: the new one is asked in that
 // moment, whatever is being waited for.
-func TestAMoveIsFollowedAtOnce(t *testing.T) {
-	for name, fate := range map[string]callFate{"in a wait": fateRefused, "while a connection comes up": fateDropped,
-		"while a call hangs": fateMute, "while a call waits": fateQueued, "while a watch runs": fateServed} {
+func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
+	for name, fate := range map[string]callOutcome{"in a wait": callRefused, "while a connection comes up": callDropped,
+		"while a call hangs": callUnanswered, "while a call waits": callServedAfterWait, "while a watch runs": callServed} {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				for i := range 6 {
@@ -330,13 +330,13 @@
 					cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), time.Hour, time.Hour
 					synctest.Test(t, func(t *testing.T) {
 						has := 13*time.Second + time.Duration(i)*217*time.Millisecond
-						s := &listService{has: has, listScript: listScript{moves: true, call: func(at time.Duration) callFate {
+						s := &listService{changeAt: has, listScript: listScript{addrMoves: true, call: func(at time.Duration) callOutcome {
 							if at < has {
 								return fate
 							}
-							return fateServed
+							return callServed
 						}}}
-						if at, _ := s.told(t, cfg); at != has {
+						if at, _ := s.firstUpdate(t, cfg); at != has {
 							t.Errorf("told %v after", at-has)
 						}
 					})
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -12,92 +12,130 @@
 	"vetchhaven/decide/quota"
 )
 
-// Loop owns the balancer, the clock, the timers and the table of open requests. Everything else
-// posts events to it; it never waits for any of them.
+// Loop owns the balancer, the clock, the timers and the request table. All others post events to it; it never waits for
+// any of them. Its fields belong to the goroutine in run, except where they are atomic.
 type Loop struct {
-	cfg          *Config
-	log          *slog.Logger
-	clock        clock
-	balancer     *decide.Balancer
-	protocol     Protocol
-	peers        *peers
-	requestWatch func() // asks discovery for a watch
-
-	events           chan any
-	stopped          chan struct{}
-	ready            atomic.Bool
-	listed           chan struct{} // closed once a list has named servers
-	answerMargin     time.Duration
-	requests         map[string]*Request
-	recent           recentIDs // ids of requests that have ended
-	timers           timerHeap
-	pending          []decide.Event
-	probing          map[string]bool // one probe of a backend at a time
-	counts           counts
-	totals           totals
-	classCounts      []ClassCounts // by class
-	backendCounts    backendCounts
-	drained          atomic.Bool                     // an operator has sent clients away
-	disabled         atomic.Pointer[map[string]bool] // taken out by hand; never changed in place
-	readyServers     atomic.Pointer[map[string]bool] // ready by the list; never changed in place; nil: none has come
-	drainDeadline    atomic.Pointer[time.Time]       // when the last answers are given; nil: it is not to end
-	attemptsContext  context.Context                 // of attempts: ends with the loop
-	stopRequested    bool                            // it is to end
-	summaryRequested bool                            // a summary is due
-	stepHook         func()                          // a test's; else nil
-	containPanic     func(func())                    // runs a goroutine's work and keeps its panic to this agent
-	reportUsage      func([]quota.Usage)             // told how rights stand; must not wait; nil: nobody
-	shedCounts       map[string]int                  // by a limit of the fleet, or the policy, since the last summary
-	counters         counters
-	outcomes         outcomeReport
-	starts           startTimes
-	ejected          ejectedServers
-	admission        atomic.Pointer[admissionBound]  // nil: requests are admitted without end
-	dedupWindows     atomic.Pointer[[]time.Duration] // by class, see Narrow; nil: the policy's own
-
-	toleratesViolations bool // set by tests of the invariants alone
-}
+	cfg      *Config
+	log      *slog.Logger
+	clock    clock
+	balancer *decide.Balancer
+	protocol Protocol
+	peers    *peers // nil: there are none
+
+	events  chan any
+	stopped chan struct{} // closed when run has ended
+
+	// Callbacks; none of them may wait.
+	requestWatch func()              // asks discovery for a watch
+	reportUsage  func([]quota.Usage) // receives the use of leases; nil: nobody does
+	containPanic func(func())        // runs a goroutine's work and contains its panic in this agent
+	stepHook     func()              // of tests; nil in production
+
+	// The request table.
+	requests        map[string]*Request
+	recent          recentIDs       // of requests that have ended
+	attemptsContext context.Context // of all attempts: ends with the loop
+	answerMargin    time.Duration   // kept free before a client's deadline, for the answer
+	probing         map[string]bool // servers with a health check under way
+	pending         []decide.Event  // for the next step
+	timers          timerHeap
+
+	// What operators, the list and the fleet have said.
+	starts        startTimes
+	ejected       ejectedServers
+	readyServers  atomic.Pointer[map[string]bool] // by the list; never changed in place; nil: no list has come
+	disabled      atomic.Pointer[map[string]bool] // servers disabled by operators; never changed in place
+	drained       atomic.Bool                     // an operator drains the agent
+	drainDeadline atomic.Pointer[time.Time]       // the last answers are given then; nil: the agent does not stop
+	admission     atomic.Pointer[admissionBound]  // nil: requests are admitted without end
+	dedupWindows  atomic.Pointer[[]time.Duration] // by class, see NarrowDedupWindows; nil: the balancer's settings
 
-// totals are what the agent did since its start, for others to read.
-type totals struct{ requests, served, refused, failed, clientDisconnects, attempts, late atomic.Int64 }
+	// Statistics.
+	counts        counts
+	totals        totals
+	counters      counters
+	classCounts   []ClassCounts
+	shedCounts    map[string]int // by shared limit, or the policy, since the last summary
+	outcomes      outcomeReport
+	backendCounts backendCounts
 
-// counts are what the agent did since its last line about it.
-type counts struct{ requests, served, refused, failed, clientDisconnects, attempts, late int }
+	ready            atomic.Bool   // a list has named servers
+	listed           chan struct{} // closed then
+	stopRequested    bool
+	summaryRequested bool
 
-func newLoop(cfg *Config, ck clock, p Protocol, log *slog.Logger) (*Loop, error) {
+	toleratesViolations bool // set by tests of the invariants only
+}
+
+const (
+	// eventQueueSize is how many events may be posted before posting waits: some milliseconds of a busy agent.
+	eventQueueSize = 1024
+	// summaryInterval is the time between two lines that sum up what the agent did.
+	summaryInterval = 10 * time.Second
+	// idleTimer is what the step timer is set to at first: any time.
+	idleTimer = time.Hour
+)
+
+// newLoop returns a loop that run has yet to run. It returns an error if the settings are not valid.
+func newLoop(cfg *Config, clk clock, p Protocol, log *slog.Logger) (*Loop, error) {
 	balancer, err := decide.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	var starts startTimes
 	if cfg.Memory != nil {
-		balancer.Restore(cfg.Memory.toLearned(cfg, ck, &starts))
+		balancer.Restore(cfg.Memory.toLearned(cfg, clk, &starts))
 	}
-	return &Loop{starts: starts, cfg: cfg, log: log, containPanic: func(f func()) { f() }, clock: ck, balancer: balancer, protocol: p, requestWatch: func() {},
-		events: make(chan any, 1024), stopped: make(chan struct{}), listed: make(chan struct{}),
-		// An attempt that waits for the client's deadline ends one tick before it: its time-out
-		// reaches the module in time for the client to hear the final answer.
+	return &Loop{
+		cfg:          cfg,
+		log:          log,
+		clock:        clk,
+		balancer:     balancer,
+		protocol:     p,
+		events:       make(chan any, eventQueueSize),
+		stopped:      make(chan struct{}),
+		listed:       make(chan struct{}),
+		requestWatch: func() {},
+		containPanic: func(f func()) { f() },
+		// An attempt that may take until the client's deadline ends one tick before it: its timeout reaches the
+		// balancer in time for the client to get the final answer.
 		answerMargin: cmp.Or(cfg.Margin, cfg.Settings.Tick),
+		requests:     map[string]*Request{},
 		recent:       newRecentIDs(cfg.MaxDeadline()),
+		probing:      map[string]bool{},
+		starts:       starts,
 		classCounts:  make([]ClassCounts, len(cfg.Settings.Classes)),
-		requests:     map[string]*Request{}, probing: map[string]bool{}, shedCounts: map[string]int{}}, nil
+		shedCounts:   map[string]int{},
+	}, nil
 }
 
-// post hands an event to the loop. After the loop has stopped it goes nowhere.
-func (l *Loop) post(e any) {
+// post hands an event to the loop. After the loop has stopped it is dropped.
+func (l *Loop) post(event any) {
 	select {
-	case l.events <- e: // nearly always there is room, and one channel is cheaper than two
+	case l.events <- event: // nearly always there is room, and one channel is cheaper than two
 		return
 	default:
 	}
 	select {
-	case l.events <- e:
+	case l.events <- event:
+	case <-l.stopped:
+	}
+}
+
+// tryPost hands an event to the loop if there is room for it. It does not wait, and reports false if there is none.
+func (l *Loop) tryPost(event any) bool {
+	select {
+	case l.events <- event:
+		return true
 	case <-l.stopped:
+		return true
+	default:
+		return false
 	}
 }
 
-// Submit gives a request to the loop, which owes it one final answer. After the loop has stopped there is
-// none: see Stopped.
+// Submit gives a request to the loop, which owes it one final answer. After the loop has stopped there is none: see
+// Stopped.
 func (l *Loop) Submit(r *Request) {
 	r.Deadline = l.capDeadline(r.Deadline)
 	if !r.Upload {
@@ -106,69 +144,71 @@
 	l.post(requestArrived{r})
 }
 
-// capDeadline is a client's deadline, or the time of the last answers of an agent that is to end sooner.
-func (l *Loop) capDeadline(t time.Time) time.Time {
-	if end := l.drainDeadline.Load(); end != nil && end.Before(t) {
+// capDeadline is a client's deadline, or the time of the last answers if the agent stops before that.
+func (l *Loop) capDeadline(deadline time.Time) time.Time {
+	if end := l.drainDeadline.Load(); end != nil && end.Before(deadline) {
 		return *end
 	}
-	return t
+	return deadline
 }
 
-// startDeadlineTimer has a request found overdue. One that comes with less than a tick left is answered by the step that
-// first sees it; the grace after the deadline is there for this.
+// startDeadlineTimer has the loop notice when a request's deadline and half of the answer grace have passed. A request
+// that arrives with less than a tick left is answered by the step that first sees it; the grace is there for this.
 func (l *Loop) startDeadlineTimer(r *Request) {
-	r.deadlineTimer = time.AfterFunc(time.Until(r.Deadline)+l.cfg.Settings.AnswerGrace/2, func() { l.post(deadlineExceeded{r}) })
+	after := time.Until(r.Deadline) + l.cfg.Settings.AnswerGrace/2
+	r.deadlineTimer = time.AfterFunc(after, func() { l.post(deadlineExceeded{r}) })
 }
 
-// ClientDisconnected says that a request's client is gone, or wants no answer: none is owed any more. Its attempts
-// count as out until they end.
+// ClientDisconnected says that a request's client has disconnected, or wants no answer: none is owed any more. Its
+// attempts count as in flight until they end.
 func (l *Loop) ClientDisconnected(r *Request) { l.post(clientDisconnected{r}) }
 
-// Stopped is closed when the loop has ended. What was taken and is not answered by then has failed.
+// Stopped is closed when the loop has ended. Requests that have no answer by then have failed.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Healthy reports whether clients may come: a server is known, and no operator has sent them away.
+// Healthy reports whether clients may come: a server is known, and no operator drains the agent.
 func (l *Loop) Healthy() bool { return l.ready.Load() && !l.drained.Load() }
 
-// ContainPanic runs f and keeps a panic in it to this agent, which ends by it.
+// ContainPanic runs f. A panic in it ends this agent, not the process.
 func (l *Loop) ContainPanic(f func()) { l.containPanic(f) }
 
-const summaryInterval = 10 * time.Second
+// stepTimer fires when the balancer is to be stepped.
+type stepTimer struct {
+	timer    *time.Timer
+	armedFor time.Duration // when it fires; 0: it does not
+}
+
+// arm sets the timer to a time; 0: it does not fire.
+func (t *stepTimer) arm(due time.Duration, clk clock) {
+	switch {
+	case due == t.armedFor:
+	case due == 0:
+		t.timer.Stop()
+	default:
+		t.timer.Reset(due - clk.now())
+	}
+	t.armedFor = due
+}
 
-// run steps the balancer with what has come in, no oftener than the tick, until ctx ends.
+// run steps the balancer with the events that have come, no more often than the tick, until ctx ends.
 func (l *Loop) run(ctx context.Context) {
 	defer close(l.stopped)
 	l.attemptsContext = ctx
-	// What ends it, and what is due now and then, come as events too: it waits for two things alone.
+	// The end of ctx and the summary come as events too, so that the loop waits for two channels only.
 	defer context.AfterFunc(ctx, func() { l.post(stopping{}) })()
 	summary := time.AfterFunc(summaryInterval, func() { l.post(summaryDue{}) })
 	defer summary.Stop()
-	var last, armed time.Duration // armed: when wake fires; 0: it does not
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
+	wake := stepTimer{timer: time.NewTimer(idleTimer)}
+	defer wake.timer.Stop()
+	var lastStep time.Duration
 	for {
-		due := time.Duration(0)
-		if len(l.pending) > 0 && l.cfg.Settings.Tick > 0 {
-			due = last + l.cfg.Settings.Tick
-		} else if len(l.timers) > 0 {
-			due = max(l.timers[0].at, last+l.cfg.Settings.Tick)
-		} else if len(l.pending) > 0 {
-			due = l.clock.now()
-		}
-		switch {
-		case due == armed:
-		case due == 0:
-			wake.Stop()
-		default:
-			wake.Reset(due - l.clock.now())
-		}
-		armed = due
+		wake.arm(l.nextStep(lastStep), l.clock)
 		select {
 		case e := <-l.events:
 			l.handle(e)
 			l.handlePosted()
-		case <-wake.C:
-			armed = 0
+		case <-wake.timer.C:
+			wake.armedFor = 0
 		}
 		if l.stopRequested || ctx.Err() != nil {
 			return
@@ -179,38 +219,63 @@
 			summary.Reset(summaryInterval)
 		}
 		now := l.clock.now()
-		if now < last+l.cfg.Settings.Tick {
+		if now < lastStep+l.cfg.Settings.Tick {
 			continue
 		}
 		l.handlePosted()
-		for len(l.timers) > 0 && l.timers[0].at <= now {
-			l.pending = append(l.pending, decide.TimerFired{Token: heap.Pop(&l.timers).(timer).token})
-		}
-		if len(l.pending) == 0 {
-			continue
-		}
-		if l.stepHook != nil {
-			l.stepHook()
-		}
-		last = now
-		events := l.pending
-		l.pending = nil
-		for i, e := range events {
-			// Its time has run on since it came in. It may be gone already: its client may be.
-			if e, ok := e.(decide.Request); ok && l.requests[e.ID] != nil {
-				e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.answerMargin - now
-				events[i] = e
-			}
-		}
-		for _, a := range l.balancer.Step(now, events) {
-			l.execute(a, now)
+		l.fireTimers(now)
+		if len(l.pending) > 0 {
+			lastStep = now
+			l.step(now)
 		}
 	}
 }
 
-// handlePosted takes what else has come in.
+// nextStep is when the balancer is to be stepped; 0: there is nothing for it.
+func (l *Loop) nextStep(lastStep time.Duration) time.Duration {
+	tick := l.cfg.Settings.Tick
+	switch {
+	case len(l.pending) > 0 && tick > 0:
+		return lastStep + tick
+	case len(l.timers) > 0:
+		return max(l.timers[0].at, lastStep+tick)
+	case len(l.pending) > 0:
+		return l.clock.now()
+	}
+	return 0
+}
+
+// handlePosted handles the events that have been posted by now.
 func (l *Loop) handlePosted() {
 	for range len(l.events) {
 		l.handle(<-l.events)
 	}
 }
+
+// fireTimers turns the timers that are due into events.
+func (l *Loop) fireTimers(now time.Duration) {
+	for len(l.timers) > 0 && l.timers[0].at <= now {
+		fired := heap.Pop(&l.timers).(timer)
+		l.pending = append(l.pending, decide.TimerFired{Token: fired.token})
+	}
+}
+
+// step steps the balancer with the pending events, and executes its actions.
+func (l *Loop) step(now time.Duration) {
+	if l.stepHook != nil {
+		l.stepHook()
+	}
+	events := l.pending
+	l.pending = nil
+	for i, event := range events {
+		// A request's time has run on since it arrived. It may have left the table already: its client may have
+		// disconnected.
+		if e, ok := event.(decide.Request); ok && l.requests[e.ID] != nil {
+			e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.answerMargin - now
+			events[i] = e
+		}
+	}
+	for _, action := range l.balancer.Step(now, events) {
+		l.execute(action, now)
+	}
+}
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -12,7 +12,7 @@
 )
 
 // Where the module says nothing, the loop itself keeps the promise of one final answer.
-func TestSilentModule(t *testing.T) {
+func TestLoopAnswersAtTheDeadlineItself(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -36,7 +36,7 @@
 }
 
 // A request may be gone before the step that would have told the module how long it has left.
-func TestGoneBeforeItsFirstStep(t *testing.T) {
+func TestDisconnectBeforeTheFirstStep(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // The client of a request whose id is taken may leave before it has read so.
-func TestDuplicateMayLeaveBeforeItsAnswer(t *testing.T) {
+func TestDuplicateMayDisconnectBeforeItsAnswer(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 
 // The timer that finds a request overdue may overtake it on its way to the loop: one whose time is over as it is taken, as
 // late ones of a drain are. It has one answer, and another one of its id goes on.
-func TestOverdueMayOvertakeItsRequest(t *testing.T) {
+func TestDeadlineMayOvertakeItsRequest(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 
 // The same as it comes about: thousands whose time is over as they are taken, of which the timers of some overtake them. It
 // ended after 260 at the most.
-func TestRequestsOverdueAsTheyAreTakenAreAnswered(t *testing.T) {
+func TestRequestsSubmittedPastTheirDeadlineAreAnswered(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/sights_test.go
+++ b/internal/core/outcomes_test.go
@@ -9,7 +9,7 @@
 )
 
 // What an attempt tells is of the process to which it went, whatever the list has said since.
-func TestSightsAreOfTheProcessThatGotTheAttempt(t *testing.T) {
+func TestOutcomesCountForTheProcessThatGotTheAttempt(t *testing.T) {
 	l := &Loop{clock: newClock(), events: make(chan any, 8), stopped: make(chan struct{})}
 	var got []OutcomeSample
 	l.outcomes.report = func(all []OutcomeSample) { got = append(got, all...) }
@@ -39,7 +39,7 @@
 }
 
 // A request for which there is no server while verdicts hold is told which servers they keep from it; no other is.
-func TestRefusalNamesTheVerdictsThatStandInItsWay(t *testing.T) {
+func TestRefusalNamesTheEjectedServers(t *testing.T) {
 	l := &Loop{clock: newClock(), log: slog.New(slog.DiscardHandler), requests: map[string]*Request{}, shedCounts: map[string]int{}, recent: newRecentIDs(time.Second)}
 	refused := func(why decide.Reason) Answer {
 		var got Answer
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -11,12 +11,17 @@
 	"vetchhaven/decide"
 )
 
-const maxDatagram = 256 // the protocol's limit; a longer one is not sent
+const (
+	// maxDatagram is the platform's limit of a datagram in bytes; a longer one is not sent.
+	maxDatagram = 256
+	// peerQueueSize is how many datagrams may wait to be sent; further ones are lost.
+	peerQueueSize = 64
+)
 
 // peers exchanges datagrams with the other agents of the tier.
 type peers struct {
 	local   *net.UDPAddr
-	conn    *net.UDPConn // nil: another process, that this one replaces, still holds the address
+	conn    *net.UDPConn // nil: another process, which this one replaces, still has the address
 	addrs   []netip.AddrPort
 	numbers map[netip.AddrPort]int
 	out     chan datagram
@@ -28,8 +33,13 @@
 	data []byte
 }
 
+// newPeers listens at the agent's peer address. It goes on without if that fails by a transient error: run tries again.
 func newPeers(cfg *Config, log *slog.Logger) (*peers, error) {
-	p := &peers{numbers: map[netip.AddrPort]int{}, out: make(chan datagram, 64), log: log}
+	p := &peers{
+		numbers: map[netip.AddrPort]int{},
+		out:     make(chan datagram, peerQueueSize),
+		log:     log,
+	}
 	for i, text := range cfg.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -48,7 +58,7 @@
 	return p, nil
 }
 
-// send queues a message. Datagrams may be lost, so one that finds the queue full is.
+// send queues a datagram. Datagrams may be lost, so one that finds the queue full is.
 func (p *peers) send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
@@ -62,28 +72,44 @@
 
 // run sends and receives until ctx ends.
 func (p *peers) run(ctx context.Context, post func(any)) {
-	for p.conn == nil { // clients don't wait for it
+	if !p.listen(ctx) {
+		return
+	}
+	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+	defer stop()
+	go p.sendQueued(ctx)
+	p.receive(ctx, post)
+}
+
+// listen waits until the address can be listened at: clients don't wait for it. It reports false if ctx has ended.
+func (p *peers) listen(ctx context.Context) bool {
+	for p.conn == nil {
 		select {
 		case <-time.After(listenRetryInterval):
 			p.conn, _ = net.ListenUDP("udp", p.local)
 		case <-ctx.Done():
-			return
+			return false
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
-	defer stop()
-	go func() {
-		for {
-			select {
-			case d := <-p.out:
-				if _, err := p.conn.WriteToUDPAddrPort(d.data, p.addrs[d.to]); err != nil && ctx.Err() == nil {
-					p.log.Debug("peer message lost", "to", d.to, "error", err)
-				}
-			case <-ctx.Done():
-				return
+	return true
+}
+
+// sendQueued sends the queued datagrams until ctx ends.
+func (p *peers) sendQueued(ctx context.Context) {
+	for {
+		select {
+		case d := <-p.out:
+			if _, err := p.conn.WriteToUDPAddrPort(d.data, p.addrs[d.to]); err != nil && ctx.Err() == nil {
+				p.log.Debug("peer message lost", "to", d.to, "error", err)
 			}
+		case <-ctx.Done():
+			return
 		}
-	}()
+	}
+}
+
+// receive posts the datagrams of known agents until ctx ends.
+func (p *peers) receive(ctx context.Context, post func(any)) {
 	buf := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -91,8 +117,8 @@
 			return
 		}
 		if err != nil {
-			// An earlier datagram's ICMP error, as a rule: the socket itself is fine. Where it is not, all of a
-			// processor is not spent on it.
+			// Usually an earlier datagram's ICMP error: the socket itself is sound. Where it is not, this must not take
+			// all of a processor.
 			select {
 			case <-ctx.Done():
 			case <-time.After(failedAcceptDelay):
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -10,7 +10,7 @@
 )
 
 // The process that this one replaces may still hold the address for peers: this one goes on, and hears them once it is free.
-func TestPeersWaitForTheirAddress(t *testing.T) {
+func TestPeersWaitForTheirAddressToBeFree(t *testing.T) {
 	held, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/recent.go
+++ b/internal/core/recent.go
@@ -5,24 +5,31 @@
 	"time"
 )
 
-// recentIDs remembers ids for a while: by a hash, since ids may be long, and no more than so many.
+// recentIDs remembers IDs for at least a span, unless too many come: by a hash, since IDs may be long, in two
+// generations.
 type recentIDs struct {
-	seed              maphash.Seed
-	span              time.Duration
-	current, previous map[uint64]struct{}
-	since             time.Duration // of now
+	seed     maphash.Seed
+	span     time.Duration
+	current  map[uint64]struct{}
+	previous map[uint64]struct{}
+	since    time.Duration // of current
 }
 
-const maxRecentIDs = 16 << 10 // ids in each half: about half a megabyte
+// maxRecentIDs bounds the IDs in each generation: about half a megabyte.
+const maxRecentIDs = 16 << 10
 
 func newRecentIDs(span time.Duration) recentIDs {
 	return recentIDs{seed: maphash.MakeSeed(), span: span}
 }
 
+// rotate begins a new generation where the present one is old or full.
 func (r *recentIDs) rotate(now time.Duration) {
-	if now-r.since >= r.span || len(r.current) >= maxRecentIDs {
-		r.current, r.previous, r.since = make(map[uint64]struct{}, len(r.current)), r.current, now
+	if now-r.since < r.span && len(r.current) < maxRecentIDs {
+		return
 	}
+	r.previous = r.current
+	r.current = make(map[uint64]struct{}, len(r.previous))
+	r.since = now
 }
 
 func (r *recentIDs) add(id string, now time.Duration) {
@@ -32,8 +39,8 @@
 
 func (r *recentIDs) has(id string, now time.Duration) bool {
 	r.rotate(now)
-	h := maphash.String(r.seed, id)
-	_, fresh := r.current[h]
-	_, older := r.previous[h]
-	return fresh || older
+	hash := maphash.String(r.seed, id)
+	_, inCurrent := r.current[hash]
+	_, inPrevious := r.previous[hash]
+	return inCurrent || inPrevious
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -2,16 +2,16 @@
 
 import (
 	"time"
+
 	"vetchhaven/decide"
-	"vetchhaven/decide/quota"
 )
 
-// handle books one event and keeps it for the next step. A served request is answered here: the
-// client need not wait for the step.
-func (l *Loop) handle(e any) {
-	switch e := e.(type) {
+// handle processes one event that was posted to the loop, and keeps what the balancer must know for the next step. A
+// served request is answered here: its client need not wait for the step.
+func (l *Loop) handle(event any) {
+	switch e := event.(type) {
 	case requestArrived:
-		l.admit(e.Request)
+		l.onRequestArrived(e.Request)
 	case responseStarted:
 		l.onResponseStarted(e)
 	case uploadCompleted:
@@ -31,8 +31,10 @@
 		l.onEjections(e)
 	case outcomesDue:
 		l.reportOutcomes()
-	case decide.FleetSize, decide.SharedLimits:
-		l.pending = append(l.pending, e.(decide.Event))
+	case decide.FleetSize:
+		l.pending = append(l.pending, e)
+	case decide.SharedLimits:
+		l.pending = append(l.pending, e)
 	case leasesGranted:
 		l.onLeasesGranted(e)
 	case decide.PeerMessage:
@@ -51,17 +53,16 @@
 	}
 }
 
-// admit books a request that a client has sent.
-func (l *Loop) admit(r *Request) {
-	if r.done { // its time was over before it came here: see onDeadlineExceeded
+// onRequestArrived enters a request into the table, unless it is not admitted.
+func (l *Loop) onRequestArrived(r *Request) {
+	if r.done { // its deadline was exceeded before it came here: see onDeadlineExceeded
 		return
 	}
-	if why := l.admissionClosed(); why != "" { // by another policy, or by none: see AdmitUntil
-		l.shed(r, why)
+	if reason := l.admissionClosed(); reason != "" {
+		l.shed(r, reason)
 		return
 	}
-	// Not for the table: the id belongs to the other one. Each request has a new id, so one that
-	// has just ended is no better: servers may still know it.
+	// The ID belongs to another request. One that has just ended is no better: servers may still know it.
 	if l.requests[r.ID] != nil || l.recent.has(r.ID, l.clock.now()) {
 		l.reject(r, Answer{Duplicate: true})
 		return
@@ -69,42 +70,59 @@
 	l.counts.requests++
 	l.totals.requests.Add(1)
 	l.requests[r.ID] = r
-	l.pending = append(l.pending, decide.Request{ID: r.ID, Class: r.Class, Work: r.Work, ClientRetry: r.ClientRetry, OnlyBackend: r.OnlyServer, Upload: r.Upload})
+	l.pending = append(l.pending, decide.Request{
+		ID:          r.ID,
+		Class:       r.Class,
+		Work:        r.Work,
+		ClientRetry: r.ClientRetry,
+		OnlyBackend: r.OnlyServer,
+		Upload:      r.Upload,
+	})
 }
 
-// onResponseStarted ends the other attempts of a request: nothing can come of them any more.
+// onResponseStarted cancels the other attempts of a request: nothing can come of them any more.
 func (l *Loop) onResponseStarted(e responseStarted) {
-	l.pending = append(l.pending, decide.ResponseStarted{Request: e.ID, Attempt: e.N, Completed: e.completed, Latency: e.latency})
-	for _, o := range e.attempts {
-		if o != e.Attempt {
-			o.cancel(ErrCancelled)
+	l.pending = append(l.pending, decide.ResponseStarted{
+		Request:   e.ID,
+		Attempt:   e.N,
+		Completed: e.completed,
+		Latency:   e.latency,
+	})
+	for _, a := range e.attempts {
+		if a != e.Attempt {
+			a.cancel(ErrCancelled)
 		}
 	}
 }
 
-// onUploadCompleted has a request's time run from its last byte.
+// onUploadCompleted has a request's deadline run from its last byte.
 func (l *Loop) onUploadCompleted(e uploadCompleted) {
 	if e.done {
 		return
 	}
 	e.Deadline = l.capDeadline(e.at.Add(e.Remaining))
 	l.startDeadlineTimer(e.Request)
-	l.pending = append(l.pending, decide.UploadCompleted{Request: e.ID, Attempt: e.N, Remaining: time.Until(e.Deadline) - l.answerMargin})
+	l.pending = append(l.pending, decide.UploadCompleted{
+		Request:   e.ID,
+		Attempt:   e.N,
+		Remaining: time.Until(e.Deadline) - l.answerMargin,
+	})
 }
 
-// onAttemptEnded books an attempt's outcome. A served request has its final answer by it, unless another attempt's answer is
-// on its way to the client.
+// onAttemptEnded books an attempt's outcome. A served request has its final answer by it, unless another attempt's
+// response is on its way to the client.
 func (l *Loop) onAttemptEnded(e attemptEnded) {
-	if e.open--; e.open < 0 {
+	e.open--
+	if e.open < 0 {
 		l.violated(AttemptsClosed, e.ID, e.N, e.Server, "more attempts have ended than were begun")
 	}
 	l.noteResult(e.Attempt, e.outcome.Result)
 	e.timedOut = e.timedOut || e.outcome.Result == decide.TimedOut
 	if e.outcome.Result == decide.OK && !e.done {
-		if e.guard.otherResponds(e.N) {
+		if e.guard.anotherResponds(e.N) {
 			e.outcome.Result = decide.Cancelled
 		} else {
-			l.finish(e.Request, Answer{Served: e.answer})
+			l.finish(e.Request, Answer{Served: e.response})
 			l.counts.served++
 			l.totals.served.Add(1)
 		}
@@ -115,62 +133,53 @@
 	l.forget(e.Request)
 }
 
-// onClientDisconnected gives up a request for which nobody waits.
+// onClientDisconnected ends a request for which nobody waits.
 func (l *Loop) onClientDisconnected(r *Request) {
 	if r.done {
 		return
 	}
 	l.counts.clientDisconnects++
 	l.totals.clientDisconnects.Add(1)
-	// It may have ended its sending alone, and read on. What was never sent may be tried again.
+	// It may have closed only its sending side, and read on. What was never sent may be retried.
 	l.finish(r, Answer{ClientDisconnected: true, Refused: len(r.attempts) == 0})
 	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
 
-// onDeadlineExceeded answers a request that has no answer in time. The module answers every request before its deadline: this
-// keeps the promise to the client where it does not, and says so.
+// onDeadlineExceeded answers a request that has no answer in time. The balancer answers every request before its
+// deadline: this keeps the promise to the client if it does not, and logs that.
 func (l *Loop) onDeadlineExceeded(r *Request) {
 	if r.done || r.deadlineLifted.Load() {
 		return
 	}
-	l.log.Error("no final answer by the deadline", "request", r.ID, "attempts", len(r.attempts), "open", r.open, "left_on_arrival", r.Remaining)
+	l.log.Error("no final answer by the deadline",
+		"request", r.ID, "attempts", len(r.attempts), "open", r.open, "left_on_arrival", r.Remaining)
 	l.counts.late++
 	l.totals.late.Add(1)
-	a := Answer{TimedOut: true}
-	if l.requests[r.ID] != r { // it is still to arrive, and the id may be another one's
-		l.reject(r, a)
+	answer := Answer{TimedOut: true}
+	if l.requests[r.ID] != r { // it has yet to arrive, and its ID may be another one's
+		l.reject(r, answer)
 		return
 	}
-	l.finish(r, a)
+	l.finish(r, answer)
 	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
 
-// onList takes a list, or a change of it.
-func (l *Loop) onList(e List) {
-	l.starts.observe(&e, l.clock.now())
-	l.noteStarts(e)
-	l.noteServerStates(e)
-	l.protocol.Update(e)
-	l.pending = append(l.pending, e.ListUpdate)
-	if len(e.Backends) > 0 && !l.ready.Swap(true) {
+// onList takes an endpoint list, or a change of it.
+func (l *Loop) onList(list List) {
+	l.starts.observe(&list, l.clock.now())
+	l.noteStarts(list)
+	l.noteServerStates(list)
+	l.protocol.Update(list)
+	l.pending = append(l.pending, list.ListUpdate)
+	if len(list.Backends) > 0 && !l.ready.Swap(true) {
 		close(l.listed)
 	}
 }
 
-// onLeasesGranted takes what the agent may use of the fleet's limits.
-func (l *Loop) onLeasesGranted(e leasesGranted) {
-	all := make([]quota.Lease, len(e.leases))
-	for i, r := range e.leases {
-		all[i] = r.Lease
-		all[i].Expires = l.clock.at(r.ExpiresAt)
-	}
-	l.pending = append(l.pending, decide.LeasesGranted{Leases: all})
-}
-
 // finish gives a request its final answer, once.
-func (l *Loop) finish(r *Request, a Answer) {
+func (l *Loop) finish(r *Request, answer Answer) {
 	if r.done {
 		l.violated(AnsweredOnce, r.ID, len(r.attempts), "", "a second final answer")
 		return
@@ -179,18 +188,18 @@
 	if r.deadlineTimer != nil {
 		r.deadlineTimer.Stop()
 	}
-	r.guard.finish(r.ended, func() { r.reply(a) })
+	r.guard.finish(r.ended, func() { r.reply(answer) })
 }
 
-// reject gives a request that never comes to the table its final answer. What its connection and its timer post of it later
-// (its client's leaving may be on its way already) finds it done. The timer is not stopped: whoever takes the request may still
-// be about to note it.
-func (l *Loop) reject(r *Request, a Answer) {
+// reject gives a request that never enters the table its final answer. Later events of its connection and its timer (its
+// client's disconnect may be posted already) find it done. The timer is not stopped: Submit, in another goroutine, may
+// still be about to set it.
+func (l *Loop) reject(r *Request, answer Answer) {
 	r.done = true
-	r.guard.finish(r.ended, func() { r.reply(a) })
+	r.guard.finish(r.ended, func() { r.reply(answer) })
 }
 
-// forget drops a request that is done with and has nothing out. Until then its id stays taken.
+// forget drops a request that is done and has no attempt in flight. Until then its ID stays taken.
 func (l *Loop) forget(r *Request) {
 	if r.done && r.open == 0 {
 		delete(l.requests, r.ID)
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -21,7 +21,7 @@
 
 // A start that a list tells lies between the last list that lacked it and now, whatever the wall clock of this process
 // says; one of a first list is a hint, but not in the future.
-func TestStartsLieWithinWhatWasObserved(t *testing.T) {
+func TestStartTimesLieWithinWhatWasObserved(t *testing.T) {
 	const between = 2 * time.Second // the lists
 	ago := func(d time.Duration) func(time.Time) time.Time {
 		return func(now time.Time) time.Time { return now.Add(-d) }
--- /dev/null
+++ b/internal/core/status.go
@@ -0,0 +1,128 @@
+package core
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// ClassCounts count the final answers to clients of one class since the start, and the attempts that were sent for
+// them. Whoever writes an answer, or an attempt's last byte, counts it.
+type ClassCounts struct{ Answered, Deferred, Errored, Sends atomic.Int64 }
+
+// CountAnswer counts a final answer. One that no client reads is not counted.
+func (c *ClassCounts) CountAnswer(a Answer) {
+	switch {
+	case a.ClientDisconnected:
+	case a.Served != nil:
+		c.Answered.Add(1)
+	case a.Refused:
+		c.Deferred.Add(1)
+	default:
+		c.Errored.Add(1)
+	}
+}
+
+// ClassCounts are those of a class.
+func (l *Loop) ClassCounts(class int) *ClassCounts { return &l.classCounts[class] }
+
+// Status is an agent's status for operators.
+type Status struct {
+	Classes []ClassStatus // in the order of the settings
+	Open    int64         // open requests
+	Listed  int           // servers by the list
+	Avoided int           // of these, the ones that get no requests now, disabled or by the balancer's choice
+}
+
+// ClassStatus is a class's ClassCounts at one moment.
+type ClassStatus struct {
+	Name                               string
+	Answered, Deferred, Errored, Sends int64
+}
+
+// Status is the agent's status. Of the servers it tells what held when the loop last answered, for which it waits up to
+// the timeout; the rest is of now.
+func (a *Agent) Status(timeout time.Duration) Status {
+	status := Status{Open: a.protocol.OpenRequests()}
+	for i, name := range a.cfg.Site.Classes {
+		c := a.loop.ClassCounts(i)
+		status.Classes = append(status.Classes, ClassStatus{
+			Name:     name,
+			Answered: c.Answered.Load(),
+			Deferred: c.Deferred.Load(),
+			Errored:  c.Errored.Load(),
+			Sends:    c.Sends.Load(),
+		})
+	}
+	a.loop.refreshBackendCounts(timeout)
+	status.Listed = int(a.loop.backendCounts.listed.Load())
+	status.Avoided = int(a.loop.backendCounts.avoided.Load())
+	return status
+}
+
+// backendCounts are how many servers the balancer knew, and avoided, when it was last asked.
+type backendCounts struct{ listed, avoided atomic.Int64 }
+
+// backendCountsQuery has the loop update them.
+type backendCountsQuery struct{ done chan struct{} }
+
+// refreshBackendCounts has the loop update the counts, and waits for that up to the timeout. Any goroutine may call it.
+func (l *Loop) refreshBackendCounts(timeout time.Duration) {
+	limit := time.NewTimer(timeout)
+	defer limit.Stop()
+	query := backendCountsQuery{make(chan struct{})}
+	select {
+	case l.events <- query:
+	case <-l.stopped:
+		return
+	case <-limit.C:
+		return
+	}
+	select {
+	case <-query.done:
+	case <-l.stopped:
+	case <-limit.C:
+	}
+}
+
+func (l *Loop) updateBackendCounts() {
+	listed, avoided := l.balancer.BackendCounts()
+	l.backendCounts.listed.Store(int64(listed))
+	l.backendCounts.avoided.Store(int64(avoided))
+}
+
+// Totals are what an agent did since its start, in requests but for Attempts.
+type Totals struct {
+	Requests          int64 // admitted
+	Served            int64
+	Refused           int64
+	Failed            int64
+	ClientDisconnects int64 `json:"Gone"` // the key of earlier builds
+	Attempts          int64
+	Late              int64 // without an answer by the deadline
+	Open              int64 // now
+}
+
+// Totals is what the agent did. It may be called at any time.
+func (a *Agent) Totals() Totals {
+	t := &a.loop.totals
+	return Totals{
+		Requests:          t.requests.Load(),
+		Served:            t.served.Load(),
+		Refused:           t.refused.Load(),
+		Failed:            t.failed.Load(),
+		ClientDisconnects: t.clientDisconnects.Load(),
+		Attempts:          t.attempts.Load(),
+		Late:              t.late.Load(),
+		Open:              a.protocol.OpenRequests(),
+	}
+}
+
+// totals are Totals as the loop counts them.
+type totals struct{ requests, served, refused, failed, clientDisconnects, attempts, late atomic.Int64 }
+
+// counts are the same since the last summary.
+type counts struct{ requests, served, refused, failed, clientDisconnects, attempts, late int }
+
+// SetStepHook has f called with the agent's totals at each step of the loop: a fault test's way to make it panic. Call
+// it before Run.
+func (a *Agent) SetStepHook(f func(Totals)) { a.loop.stepHook = func() { f(a.Totals()) } }
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -2,26 +2,31 @@
 
 import "strings"
 
+// policyPrefix marks the reasons among shedCounts that are the policy's; the others are names of shared limits.
+const policyPrefix = "policy: "
+
+// summarize logs what the agent did since the last summary.
 func (l *Loop) summarize() {
-	l.log.Info("summary", "requests", l.counts.requests, "served", l.counts.served, "refused", l.counts.refused,
-		"failed", l.counts.failed, "gone", l.counts.clientDisconnects, "attempts", l.counts.attempts, "late", l.counts.late,
-		"open", len(l.requests))
+	c := &l.counts
+	l.log.Info("summary", "requests", c.requests, "served", c.served, "refused", c.refused, "failed", c.failed,
+		"gone", c.clientDisconnects, "attempts", c.attempts, "late", c.late, "open", len(l.requests))
 	l.counts = counts{}
 	for name, n := range l.shedCounts {
-		if why, policy := strings.CutPrefix(name, "policy: "); policy {
-			l.log.Warn("turned away for the policy", "why", why, "requests", n)
+		if reason, isPolicy := strings.CutPrefix(name, policyPrefix); isPolicy {
+			l.log.Warn("requests shed by the policy", "why", reason, "requests", n)
 			continue
 		}
-		l.log.Info("turned away by a limit of the fleet", "limit", name, "requests", n)
+		l.log.Info("requests refused by a shared limit", "limit", name, "requests", n)
 	}
 	clear(l.shedCounts)
 	if l.ejected.refusals > 0 {
-		l.log.Info("refused while verdicts of the fleet keep servers out", "servers", l.ejected.names, "requests", l.ejected.refusals)
+		l.log.Info("requests refused while servers are ejected",
+			"servers", l.ejected.names, "requests", l.ejected.refusals)
 	}
 	l.ejected.refusals = 0
 }
 
-// countSharedLimit counts what a limit of the fleet turned away.
+// countSharedLimit counts a request that ran into a shared limit; empty: into none.
 func (l *Loop) countSharedLimit(name string) {
 	if name != "" {
 		l.shedCounts[name]++
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -2,18 +2,23 @@
 
 import "time"
 
-// timer is a SetTimer that is pending.
+// timer is a pending SetTimer of the balancer.
 type timer struct {
 	at    time.Duration
 	token int64
 }
 
+// timerHeap is a container/heap of timers, the earliest first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
+
+// Push appends a timer, for package heap.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+
+// Pop removes the last timer, for package heap.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -11,24 +11,24 @@
 	"vetchhaven/internal/testkit"
 )
 
-// scripted is a protocol whose attempts do as they are told.
-type scripted struct {
+// scriptedProtocol is a protocol whose attempts do as they are told.
+type scriptedProtocol struct {
 	idleProtocol
 	attempt func(a *Attempt) (decide.Result, any)
 }
 
-func (s *scripted) Attempt(a *Attempt) (decide.Result, any, decide.Load) {
+func (s *scriptedProtocol) Attempt(a *Attempt) (decide.Result, any, decide.Load) {
 	result, answer := s.attempt(a)
 	return result, answer, decide.Load{}
 }
 
-// inLoop runs f beside a loop that knows one server, in virtual time.
-func inLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
+// runWithLoop runs f beside a loop that knows one server, in virtual time.
+func runWithLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
 	server := discovery.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Member{server}})
 	synctest.Test(t, func(t *testing.T) {
 		ck := newClock()
-		l, err := newLoop(cfg, ck, &scripted{attempt: attempt}, testkit.Quiet)
+		l, err := newLoop(cfg, ck, &scriptedProtocol{attempt: attempt}, testkit.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,15 +42,15 @@
 	})
 }
 
-func uploadOf(left time.Duration) pendingRequest {
+func newUpload(remaining time.Duration) pendingRequest {
 	r := newPendingRequest("1")
-	r.Upload, r.Remaining = true, left
-	r.Deadline = time.Now().Add(left)
+	r.Upload, r.Remaining = true, remaining
+	r.Deadline = time.Now().Add(remaining)
 	return r
 }
 
 // The time of an upload begins with its last byte, however long that took to come.
-func TestUploadsTimeBeginsAtItsEnd(t *testing.T) {
+func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(5 * time.Minute) // the client is slow
 		a.UploadCompleted()
@@ -60,8 +60,8 @@
 		}
 		return decide.OK, "answer"
 	}
-	inLoop(t, 1000, attempt, func(l *Loop) {
-		r := uploadOf(time.Second)
+	runWithLoop(t, 1000, attempt, func(l *Loop) {
+		r := newUpload(time.Second)
 		l.Submit(r.Request)
 		if a := <-r.reply; a.Served != "answer" {
 			t.Errorf("%+v", a)
@@ -70,7 +70,7 @@
 }
 
 // From then on it is bounded as ever: a server that says nothing costs the client no more than its time.
-func TestUploadIsAnsweredInTime(t *testing.T) {
+func TestUploadIsAnsweredByItsDeadline(t *testing.T) {
 	var end time.Time
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(time.Minute)
@@ -79,8 +79,8 @@
 		<-a.Context.Done()
 		return decide.TimedOut, nil
 	}
-	inLoop(t, 1000, attempt, func(l *Loop) {
-		r := uploadOf(time.Second)
+	runWithLoop(t, 1000, attempt, func(l *Loop) {
+		r := newUpload(time.Second)
 		l.Submit(r.Request)
 		if a := <-r.reply; !a.TimedOut || time.Now().After(end) || time.Until(end) > 100*time.Millisecond {
 			t.Errorf("%+v, %v before its time is up", a, time.Until(end))
@@ -90,15 +90,15 @@
 
 // An attempt that broke after bytes had gone for good is not made again, and since nothing ran, the client hears
 // at once that it may come again.
-func TestSpentUploadIsRefused(t *testing.T) {
+func TestUploadThatCannotBeReplayedIsRefused(t *testing.T) {
 	n := 0
 	attempt := func(a *Attempt) (decide.Result, any) {
 		n++
 		a.MarkNotReplayable()
 		return decide.Incomplete, nil
 	}
-	inLoop(t, 60000, attempt, func(l *Loop) {
-		r := uploadOf(time.Minute)
+	runWithLoop(t, 60000, attempt, func(l *Loop) {
+		r := newUpload(time.Minute)
 		start := time.Now()
 		l.Submit(r.Request)
 		if a := <-r.reply; !a.Refused || n != 1 || time.Since(start) > time.Second {
@@ -109,45 +109,56 @@
 
 // Once an answer has begun to reach the client and the server is done with it, the client's time does not cut it.
 // One whose server still works on it is cut.
-func TestAnswerThatHasBegunIsNotCut(t *testing.T) {
-	for _, worked := range []bool{true, false} {
-		attempt := func(a *Attempt) (decide.Result, any) {
-			time.Sleep(100 * time.Millisecond)
-			if first, second := a.StartResponse(worked), a.StartResponse(worked); !first || !second {
-				return decide.Cancelled, nil
-			}
-			select {
-			case <-time.After(time.Minute):
-				return decide.OK, "whole"
-			case <-a.Context.Done():
-				return decide.TimedOut, nil
-			}
-		}
-		inLoop(t, 1000, attempt, func(l *Loop) {
-			r := newPendingRequest("1")
-			r.Remaining = time.Second
-			r.Deadline = time.Now().Add(r.Remaining)
-			l.Submit(r.Request)
-			if a := <-r.reply; (a.Served == "whole") != worked {
-				t.Errorf("worked %v: %+v", worked, a)
-			}
-			if late := l.totals.late.Load(); late != 0 {
-				t.Errorf("worked %v: found late %d times", worked, late)
+func TestCompletedResponseOutlivesTheDeadline(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		progress  ServerProgress
+		completes bool
+	}{
+		{"the server is done", ServerDone, true},
+		{"the server still works", ServerWorking, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			attempt := func(a *Attempt) (decide.Result, any) {
+				time.Sleep(100 * time.Millisecond)
+				first := a.StartResponse(c.progress)
+				second := a.StartResponse(c.progress)
+				if !first || !second {
+					return decide.Cancelled, nil
+				}
+				select {
+				case <-time.After(time.Minute):
+					return decide.OK, "complete"
+				case <-a.Context.Done():
+					return decide.TimedOut, nil
+				}
 			}
+			runWithLoop(t, 1000, attempt, func(l *Loop) {
+				r := newPendingRequest("1")
+				r.Remaining = time.Second
+				r.Deadline = time.Now().Add(r.Remaining)
+				l.Submit(r.Request)
+				if a := <-r.reply; (a.Served == "complete") != c.completes {
+					t.Errorf("answer %+v", a)
+				}
+				if late := l.totals.late.Load(); late != 0 {
+					t.Errorf("found late %d times", late)
+				}
+			})
 		})
 	}
 }
 
 // An answer that would begin when its time is up does not.
-func TestAnswerThatBeginsTooLate(t *testing.T) {
+func TestResponsePastTheDeadlineDoesNotStart(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		<-a.Context.Done()
-		if a.StartResponse(true) {
+		if a.StartResponse(ServerDone) {
 			return decide.OK, "late"
 		}
 		return decide.TimedOut, nil
 	}
-	inLoop(t, 1000, attempt, func(l *Loop) {
+	runWithLoop(t, 1000, attempt, func(l *Loop) {
 		r := newPendingRequest("1")
 		r.Remaining = time.Second
 		r.Deadline = time.Now().Add(r.Remaining)
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -25,12 +25,12 @@
 type Agent interface {
 	// Accepting reports whether the agent takes clients.
 	Accepting() bool
-	// Figures returns what the agent counts, after at most wait.
+	// Status returns what the agent counts, after at most wait.
 	Status(wait time.Duration) core.Status
-	// Ban disables an endpoint (out) or enables it. known is false where no list names it, unless force is set.
-	Ban(ctx context.Context, server string, out, force bool) (known bool, err error)
-	// Drain has clients sent to other agents, or taken again.
-	Drain(on bool)
+	// SetServerDisabled disables an endpoint or enables it. known is false where no list names it: then nothing changes.
+	SetServerDisabled(ctx context.Context, server string, disabled bool) (known bool, err error)
+	// SetDrained has clients sent to other agents, or taken again.
+	SetDrained(drained bool)
 }
 
 // Publisher makes an operator's change hold in the agent's other processes, and in the one that replaces this one. Publish
@@ -203,7 +203,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), agentTimeout)
 	defer cancel()
 	id := r.PathValue("id")
-	known, err := s.agent.Ban(ctx, id, disabled, false)
+	known, err := s.agent.SetServerDisabled(ctx, id, disabled)
 	switch {
 	case err != nil:
 		http.Error(w, "the agent does not answer: "+err.Error(), http.StatusServiceUnavailable)
@@ -216,7 +216,7 @@
 
 // setDraining has the agent drain, or take clients again.
 func (s *Server) setDraining(w http.ResponseWriter, on bool) {
-	s.agent.Drain(on)
+	s.agent.SetDrained(on)
 	s.publish(w, handoff.Change{On: on})
 }
 
--- a/internal/host/admin/server_test.go
+++ b/internal/host/admin/server_test.go
@@ -39,7 +39,7 @@
 		{Name: "put", Sends: 1}}, Open: 2, Listed: 9, Avoided: 1}
 }
 
-func (a *fakeAgent) Ban(ctx context.Context, id string, out, _ bool) (bool, error) {
+func (a *fakeAgent) SetServerDisabled(ctx context.Context, id string, out bool) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.stuck {
@@ -50,7 +50,7 @@
 	return a.known[id], nil
 }
 
-func (a *fakeAgent) Drain(on bool) {
+func (a *fakeAgent) SetDrained(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls = append(a.calls, fmt.Sprint("drain", on))
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -395,7 +395,7 @@
 	}
 	for _, s := range want {
 		if !slices.Contains(p.banned, s) {
-			if !p.agent.Bar(s, true) {
+			if !p.agent.TryForceServerDisabled(s, true) {
 				return false
 			}
 			p.banned = append(p.banned, s)
@@ -403,7 +403,7 @@
 	}
 	for _, s := range slices.Clone(p.banned) {
 		if !slices.Contains(want, s) {
-			if !p.agent.Bar(s, false) {
+			if !p.agent.TryForceServerDisabled(s, false) {
 				return false
 			}
 			p.banned = slices.DeleteFunc(p.banned, func(b string) bool { return b == s })
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -154,10 +154,10 @@
 	var a *core.Agent
 	r.do(func() { a = r.parts["one"].agent })
 	busy.Store(true)
-	for a.Bar("nobody", false) { // until it has no room to hear more
+	for a.TryForceServerDisabled("nobody", false) { // until it has no room to hear more
 	}
 	<-stuck
-	for a.Bar("nobody", false) {
+	for a.TryForceServerDisabled("nobody", false) {
 	}
 	r.apply(t, 1, "[[ban]]\nserver = \"s-2\"\nreason = \"a test\"\n")
 	busy.Store(false)
--- a/internal/protocol/http1/attempt.go
+++ b/internal/protocol/http1/attempt.go
@@ -29,7 +29,7 @@
 	Sent()                                           // its last byte is written
 	UploadCompleted()                                // that was the last byte of an upload
 	MarkNotReplayable()                              // what was sent can't be sent again
-	StartResponse(worked bool) bool                  // whether its answer may begin to reach the client
+	StartResponse(core.ServerProgress) bool          // whether its answer may begin to reach the client
 }
 
 // probing is the purpose of a probe, which ends by its context alone.
@@ -55,7 +55,7 @@
 
 func (probing) MarkNotReplayable() {}
 
-func (probing) StartResponse(bool) bool { return false }
+func (probing) StartResponse(core.ServerProgress) bool { return false }
 
 // attempt sends m to a backend once and waits until ctx ends at the latest. The result follows
 // the protocol's table of outcomes; where it is not certain that nothing ran, it says so.
@@ -263,7 +263,7 @@
 	if m.to == nil {
 		return errTooLong
 	}
-	if !by.StartResponse(true) {
+	if !by.StartResponse(core.ServerDone) {
 		return errOver
 	}
 	// The client's time no longer ends it; that nothing comes does, or too little: of all the time that the server is
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -291,8 +291,8 @@
 	}
 	defer c.Close()
 	testkit.WaitFor(t, "one silent connection", func() bool {
-		open, fresh, idle := a.Limiter().Counts()
-		return open == 2 && fresh+idle == 1
+		counts := a.Limiter().Counts()
+		return counts.Open == 2 && counts.Fresh+counts.Idle == 1
 	})
 	a.Limiter().CloseSilent(0)
 	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
@@ -348,10 +348,7 @@
 	cfg.Sockets = 64
 	a := start(t, cfg)
 	most := core.ClientSockets(cfg.Sockets)
-	kept := func() int {
-		_, _, idle := a.Limiter().Counts()
-		return idle
-	}
+	kept := func() int { return a.Limiter().Counts().Idle }
 	closed := 0
 	for range most {
 		in := a.raw(t, fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()))
@@ -370,8 +367,8 @@
 			continue
 		}
 		testkit.WaitFor(t, "the connection to be testkit.Quiet", func() bool {
-			open, fresh, idle := a.Limiter().Counts()
-			return fresh+idle == open
+			counts := a.Limiter().Counts()
+			return counts.Fresh+counts.Idle == counts.Open
 		})
 	}
 	if n := kept(); n > most/3 || closed == 0 {
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -202,5 +202,5 @@
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
 	}
-	testkit.WaitFor(t, "the connection to rest", func() bool { _, _, idle := a.Limiter().Counts(); return idle == 1 })
+	testkit.WaitFor(t, "the connection to rest", func() bool { return a.Limiter().Counts().Idle == 1 })
 }
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -93,8 +93,8 @@
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
 		t.Fatalf("health before: %d", x.status)
 	}
-	a.Agent.Drain(true)
-	a.Agent.Drain(true) // twice is once
+	a.Agent.SetDrained(true)
+	a.Agent.SetDrained(true) // twice is once
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
 		t.Errorf("health while drained: %d", x.status)
 	}
@@ -113,7 +113,7 @@
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("a new connection while drained: %d", x.status)
 	}
-	a.Agent.Drain(false)
+	a.Agent.SetDrained(false)
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
 		t.Errorf("health afterwards: %d", x.status)
 	}
@@ -148,7 +148,7 @@
 	testkit.Receive(t, "dial", dialled)
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
-	if known, err := a.Ban(ctx, "s", true, false); !known || err != nil {
+	if known, err := a.SetServerDisabled(ctx, "s", true); !known || err != nil {
 		t.Fatalf("%v %v", known, err)
 	}
 	close(hold)
@@ -156,10 +156,10 @@
 	if x.status != 503 || len(b.seen) != 0 || len(other.seen) != 0 {
 		t.Errorf("%d, %d sent to the one that is out", x.status, len(b.seen))
 	}
-	if known, err := a.Ban(ctx, "nobody", true, false); known || err != nil {
+	if known, err := a.SetServerDisabled(ctx, "nobody", true); known || err != nil {
 		t.Errorf("an unknown one: %v %v", known, err)
 	}
-	if known, err := a.Ban(ctx, "s", false, false); !known || err != nil {
+	if known, err := a.SetServerDisabled(ctx, "s", false); !known || err != nil {
 		t.Errorf("back: %v %v", known, err)
 	}
 	// It comes back cold. Where a slow machine has left a request less time than the one before, it looks like a client's
@@ -207,7 +207,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
-	if _, err := a.Ban(ctx, "s", true, false); err != nil {
+	if _, err := a.SetServerDisabled(ctx, "s", true); err != nil {
 		t.Fatal(err)
 	}
 	testkit.WaitFor(t, "the server to be counted out", func() bool { return a.Status(testkit.Patience).Avoided == 1 })
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -429,7 +429,7 @@
 	a := startWith(t, (&backend{addr: testkit.DeadAddr(t)}).member("dead"))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
-	if _, err := a.Ban(ctx, "dead", true, false); err != nil {
+	if _, err := a.SetServerDisabled(ctx, "dead", true); err != nil {
 		t.Fatal(err)
 	}
 	c := a.upload(t, 10)
--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -115,7 +115,7 @@
 // flush passes on what is kept.
 func (s *stream) flush() bool {
 	for _, p := range s.kept {
-		if !s.a.StartResponse(false) {
+		if !s.a.StartResponse(core.ServerWorking) {
 			return false
 		}
 		s.begun = true
--- a/internal/protocol/ldap/shared_test.go
+++ b/internal/protocol/ldap/shared_test.go
@@ -86,7 +86,7 @@
 	done := make(chan error, 1)
 	go func() { _, err := c.Search(one()); done <- err }()
 	<-going
-	if known, err := r.Ban(t.Context(), "one", true, false); err != nil || !known {
+	if known, err := r.SetServerDisabled(t.Context(), "one", true); err != nil || !known {
 		t.Fatal(known, err)
 	}
 	close(held)
