--- a/internal/core/accept_test.go
+++ b/internal/core/accept_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net"
+	"os"
 	"syscall"
 	"testing"
 	"time"
@@ -10,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// failingListener fails so often before its listener is asked.
+// failingListener fails a number of times before its listener accepts; -1: always.
 type failingListener struct {
 	net.Listener
 	err   error
@@ -25,32 +26,40 @@
 	return l.Listener.Accept()
 }
 
-// Whatever accept fails with for a moment, the next connection is taken: an admin endpoint must not close for good because
-// the system was short of memory once.
+// An admin endpoint must not close for good because the system was short of memory once.
 func TestSteadyListenerSurvivesTransientErrors(t *testing.T) {
-	for _, err := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ECONNABORTED, syscall.EPERM, syscall.ENETUNREACH, errors.New("unknown")} {
-		ln := testkit.Listen(t)
-		l := NewSteadyListener(&failingListener{Listener: ln, err: err, times: 3})
-		c, dialErr := net.Dial("tcp", ln.Addr().String())
-		if dialErr != nil {
-			t.Fatal(dialErr)
-		}
-		defer c.Close()
-		got := make(chan error, 1)
-		go func() {
-			c, err := l.Accept()
-			if err == nil {
-				c.Close()
+	for _, err := range []error{
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+		syscall.EMFILE,
+		syscall.ECONNABORTED,
+		syscall.EPERM,
+		syscall.ENETUNREACH,
+		errors.New("unknown"),
+	} {
+		t.Run(err.Error(), func(t *testing.T) {
+			ln := testkit.Listen(t)
+			l := NewSteadyListener(&failingListener{Listener: ln, err: err, times: 3})
+			c, dialErr := net.Dial("tcp", ln.Addr().String())
+			if dialErr != nil {
+				t.Fatal(dialErr)
 			}
-			got <- err
-		}()
-		if e := testkit.Receive(t, "connection", got); e != nil {
-			t.Errorf("after %v: %v", err, e)
-		}
+			defer c.Close()
+			accepted := make(chan error, 1)
+			go func() {
+				c, err := l.Accept()
+				if err == nil {
+					c.Close()
+				}
+				accepted <- err
+			}()
+			if err := testkit.Receive(t, "connection", accepted); err != nil {
+				t.Error(err)
+			}
+		})
 	}
 }
 
-// One that is closed ends at once, and one that fails for long ends with its error.
 func TestSteadyListenerEndsWhenClosedOrBroken(t *testing.T) {
 	ln := testkit.Listen(t)
 	l := NewSteadyListener(ln)
@@ -58,24 +67,135 @@
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("closed: %v", err)
 	}
-	began := time.Now()
-	if _, err := NewSteadyListener(&failingListener{err: syscall.EBADF, times: -1}).Accept(); !errors.Is(err, syscall.EBADF) {
+	start := time.Now()
+	broken := NewSteadyListener(&failingListener{err: syscall.EBADF, times: -1})
+	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("broken: %v", err)
 	}
-	if time.Since(began) < maxAcceptFailure {
-		t.Error("it was given up at once")
+	if time.Since(start) < maxAcceptFailure {
+		t.Error("it ended at once")
 	}
 }
 
 func TestIsTransient(t *testing.T) {
-	for _, err := range []syscall.Errno{syscall.EADDRINUSE, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EIO, syscall.ENOSPC, syscall.EADDRNOTAVAIL} {
-		if !IsTransient(&net.OpError{Op: "listen", Err: err}) {
-			t.Errorf("%v is taken for final", err)
+	for _, errno := range []syscall.Errno{
+		syscall.EADDRINUSE,
+		syscall.ENFILE,
+		syscall.EMFILE,
+		syscall.ENOBUFS,
+		syscall.EIO,
+		syscall.ENOSPC,
+		syscall.EADDRNOTAVAIL,
+	} {
+		if !IsTransient(&net.OpError{Op: "listen", Err: errno}) {
+			t.Errorf("%v counts as final", errno)
 		}
 	}
-	for _, err := range []error{nil, errors.New("of another kind"), syscall.EACCES, syscall.ENOENT, syscall.EISDIR, syscall.EINVAL} {
+	for _, err := range []error{
+		nil,
+		errors.New("of another kind"),
+		syscall.EACCES,
+		syscall.ENOENT,
+		syscall.EISDIR,
+		syscall.EINVAL,
+	} {
 		if IsTransient(err) {
-			t.Errorf("%v is tried again", err)
+			t.Errorf("%v counts as transient", err)
 		}
 	}
 }
+
+// failUntilRecovered is a listener that fails, such as that of a process with no descriptor left, until it recovers.
+type failUntilRecovered struct {
+	net.Listener
+	err       error
+	attempted chan struct{} // receives each failed Accept
+	recovered chan struct{} // closed
+}
+
+func (l failUntilRecovered) Accept() (net.Conn, error) {
+	select {
+	case <-l.recovered:
+		return l.Listener.Accept()
+	case l.attempted <- struct{}{}:
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", l.err)}
+	}
+}
+
+// acceptOneBehindErrors has a limiter accept a connection although its listener fails at first. whileFailing is called
+// after one failed Accept.
+func acceptOneBehindErrors(t *testing.T, cl *ConnLimiter, err error, whileFailing func(l failUntilRecovered)) {
+	t.Helper()
+	l := failUntilRecovered{
+		Listener:  cl.Listener,
+		err:       err,
+		attempted: make(chan struct{}),
+		recovered: make(chan struct{}),
+	}
+	cl.Listener = l
+	accepted := make(chan error, 1)
+	go func() {
+		_, err := cl.Accept()
+		accepted <- err
+	}()
+	dialLimiter(t, cl)
+	testkit.Receive(t, "accept", l.attempted)
+	whileFailing(l)
+	close(l.recovered)
+	if err := testkit.Receive(t, "connection", accepted); err != nil {
+		t.Error(err)
+	}
+}
+
+// What accept(2) says of one connection, or of the network under it, ends no agent: the next one is accepted.
+func TestAcceptSurvivesFailedConnections(t *testing.T) {
+	for _, errno := range []syscall.Errno{
+		syscall.ECONNABORTED,
+		syscall.EPROTO,
+		syscall.ENETDOWN,
+		syscall.ENETUNREACH,
+		syscall.EHOSTDOWN,
+		syscall.EHOSTUNREACH,
+		syscall.ENONET,
+		syscall.ENOPROTOOPT,
+		syscall.EOPNOTSUPP,
+		syscall.EPERM,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			cl, _ := newTestLimiter(t, 8, 1)
+			acceptOneBehindErrors(t, cl, errno, func(failUntilRecovered) {})
+			if cl.evicting != 0 {
+				t.Error("another connection was evicted for it")
+			}
+		})
+	}
+}
+
+// A process that has no descriptor left goes on, and an idle connection is evicted for the next one.
+func TestAcceptSurvivesExhaustedDescriptors(t *testing.T) {
+	cl, conn, _ := idleConn(t)
+	acceptOneBehindErrors(t, cl, syscall.EMFILE, func(l failUntilRecovered) {
+		testkit.Receive(t, "accept again", l.attempted)
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
+		if !conn.evicting {
+			t.Error("the idle one was not evicted")
+		}
+	})
+}
+
+// An error of accept that nobody thought of is no reason to end the requests in flight: it is retried after a pause.
+func TestAcceptSurvivesUnknownTransientErrors(t *testing.T) {
+	for _, err := range []error{
+		syscall.EIO,
+		syscall.EINVAL,
+		syscall.EFAULT,
+		syscall.EACCES,
+		errors.New("of another kind"),
+	} {
+		t.Run(err.Error(), func(t *testing.T) {
+			cl, _ := newTestLimiter(t, 8, 1)
+			acceptOneBehindErrors(t, cl, err, func(failUntilRecovered) {})
+		})
+	}
+}
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// oneClientProtocol is a protocol with one client, whose request comes as soon as clients are served. It tells which server
-// has it.
+// oneClientProtocol is a protocol with one client, whose request comes as soon as clients are served. It sends on a
+// channel which server gets it.
 type oneClientProtocol struct {
 	idleProtocol
 	loop  *Loop
@@ -19,7 +19,7 @@
 	ended chan struct{}
 }
 
-func (p *oneClientProtocol) Serve(g *ConnLimiter) error {
+func (p *oneClientProtocol) Serve(*ConnLimiter) error {
 	r := newPendingRequest("1")
 	r.Deadline = time.Now().Add(testkit.Patience)
 	r.Remaining = testkit.Patience
@@ -33,22 +33,43 @@
 	return decide.OK, "", decide.Load{}
 }
 
-// Where lists are pushed, what the list has counts as told from the first moment of a process: no client is served by a
-// stored list that the list's first word would change. Where that word does not come, or nobody is there, clients are
-// served by the stored one.
+// Where lists are pushed, what the list has counts as known from the first moment of a process: no client is served by a
+// stored list that the first pushed one would change. Where that does not come, or nobody is there, clients are served by
+// the stored one.
 func TestFirstPushedListReplacesTheStoredOneBeforeServing(t *testing.T) {
 	for name, row := range map[string]struct {
-		wait time.Duration
-		word bool
-		dead bool
-		want string
-		ends func(first *testkit.Watcher) // how a first watch ends untold; nil: it goes on
+		wait     time.Duration
+		pushes   bool
+		dead     bool
+		endFirst func(first *testkit.Watcher) // ends a first watch without a list; nil: it goes on
+		want     string                       // the server that gets the request
 	}{
-		"it comes":                        {testkit.Patience, true, false, "two", nil},
-		"it does not come":                {time.Millisecond, false, false, "one", nil},
-		"nobody is there":                 {testkit.Patience, false, true, "one", nil},
-		"it comes behind a call in vain":  {testkit.Patience, true, false, "two", func(w *testkit.Watcher) { close(w.Fail) }},
-		"it comes behind a watch in vain": {testkit.Patience, true, false, "two", func(w *testkit.Watcher) { close(w.Lines) }},
+		"a list is pushed": {
+			wait:   testkit.Patience,
+			pushes: true,
+			want:   "two",
+		},
+		"no list is pushed": {
+			wait: time.Millisecond,
+			want: "one",
+		},
+		"nobody is there": {
+			wait: testkit.Patience,
+			dead: true,
+			want: "one",
+		},
+		"a list is pushed after a failed call": {
+			wait:     testkit.Patience,
+			pushes:   true,
+			endFirst: func(w *testkit.Watcher) { close(w.Fail) },
+			want:     "two",
+		},
+		"a list is pushed after a watch that ended": {
+			wait:     testkit.Patience,
+			pushes:   true,
+			endFirst: func(w *testkit.Watcher) { close(w.Lines) },
+			want:     "two",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			list := testkit.NewCatalog(t)
@@ -61,7 +82,11 @@
 			}
 			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Member{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
-			a, err := New(cfg, testkit.Quiet, Parts{HeartbeatTimeout: 2 * testkit.Patience}, func(l *Loop) Protocol { p.loop = l; return p })
+			parts := Parts{HeartbeatTimeout: 2 * testkit.Patience}
+			a, err := New(cfg, testkit.Quiet, parts, func(l *Loop) Protocol {
+				p.loop = l
+				return p
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,11 +96,11 @@
 			go func() { done <- a.Run(ctx) }()
 			if !row.dead {
 				w := testkit.Receive(t, "watch", list.Watch)
-				if row.ends != nil {
-					row.ends(w)
+				if row.endFirst != nil {
+					row.endFirst(w)
 					w = testkit.Receive(t, "next watch", list.Watch)
 				}
-				if row.word {
+				if row.pushes {
 					two := member("two", "ready")
 					two.Addr = "127.0.0.1:10"
 					w.Lines <- testkit.ToLine(t, 42, member("one", "draining"), two)
@@ -91,7 +116,7 @@
 	}
 }
 
-// A request that is taken late in a drain is answered before the agent ends, and not by its own time.
+// A request that comes late in a drain is answered before the agent ends, and not by its own deadline.
 func TestLateRequestOfADrainIsAnsweredBeforeItsEnd(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -99,37 +124,45 @@
 	}
 	now := time.Now()
 	end := now.Add(time.Hour)
-	for _, row := range []struct{ own, want time.Time }{{now.Add(time.Minute), now.Add(time.Minute)}, {now.Add(2 * time.Hour), end}} {
-		for _, ends := range []*time.Time{nil, &end} {
-			l.drainDeadline.Store(ends)
-			want := row.want
-			if ends == nil {
-				want = row.own
-			}
+	for _, c := range []struct {
+		name          string
+		drainDeadline *time.Time
+		own, want     time.Time
+	}{
+		{"no drain, early deadline", nil, now.Add(time.Minute), now.Add(time.Minute)},
+		{"no drain, late deadline", nil, now.Add(2 * time.Hour), now.Add(2 * time.Hour)},
+		{"drain, early deadline", &end, now.Add(time.Minute), now.Add(time.Minute)},
+		{"drain, late deadline", &end, now.Add(2 * time.Hour), end},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l.drainDeadline.Store(c.drainDeadline)
 			r := newPendingRequest("1")
-			r.Deadline = row.own
+			r.Deadline = c.own
 			l.Submit(r.Request)
-			if !r.Deadline.Equal(want) {
-				t.Errorf("ends %v: until %v, want %v", ends, r.Deadline, want)
+			if !r.Deadline.Equal(c.want) {
+				t.Errorf("until %v, want %v", r.Deadline, c.want)
 			}
 			r.deadlineTimer.Stop()
-		}
+		})
 	}
 }
 
 // A drain waits for the longest deadline of the settings, however long, and ends before the platform's kill 0.7 s later.
 func TestDrainWaitsForTheLongestDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{2 * time.Second, 9 * time.Second} {
-		cfg := testConfig(t, testkit.Setup{})
-		for i := range cfg.Settings.Classes {
-			cfg.Settings.Classes[i].Deadline = longest
-		}
-		a, err := New(cfg, testkit.Quiet, Parts{Listener: testkit.Listen(t)}, func(*Loop) Protocol { return idleProtocol{} })
-		if err != nil {
-			t.Fatal(err)
-		}
-		if most := a.maxDrain(); most <= longest || most >= longest+700*time.Millisecond {
-			t.Errorf("deadline %v: a drain may take %v", longest, most)
-		}
+		t.Run(longest.String(), func(t *testing.T) {
+			cfg := testConfig(t, testkit.Setup{})
+			for i := range cfg.Settings.Classes {
+				cfg.Settings.Classes[i].Deadline = longest
+			}
+			parts := Parts{Listener: testkit.Listen(t)}
+			a, err := New(cfg, testkit.Quiet, parts, func(*Loop) Protocol { return idleProtocol{} })
+			if err != nil {
+				t.Fatal(err)
+			}
+			if drain := a.maxDrain(); drain <= longest || drain >= longest+700*time.Millisecond {
+				t.Errorf("a drain may take %v", drain)
+			}
+		})
 	}
 }
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -2,20 +2,23 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
-	"vetchhaven/decide"
 	"vetchhaven/internal/testkit"
 )
 
 // A start-up error names the field that is wrong.
 func TestInvalidConfigIsRejectedWithItsField(t *testing.T) {
-	base := map[string]string{"listen": `"127.0.0.1:0"`, "discovery": `"127.0.0.1:1"`, "seed": `"1f"`,
-		"limits": `{}`, "settings": fmt.Sprintf(testkit.Settings, "automatic", 1000)}
+	base := map[string]string{
+		"listen":    `"127.0.0.1:0"`,
+		"discovery": `"127.0.0.1:1"`,
+		"seed":      `"1f"`,
+		"limits":    `{}`,
+		"settings":  fmt.Sprintf(testkit.Settings, "automatic", 1000),
+	}
 	build := func(field, value string) []byte {
 		var parts []string
 		for k, v := range base {
@@ -28,18 +31,22 @@
 		}
 		return []byte("{" + strings.Join(parts, ",") + "}")
 	}
-	none := func(string) string { return "" }
-	if _, err := ParseConfig(build("", ""), none); err != nil {
+	noEnv := func(string) string { return "" }
+	if _, err := ParseConfig(build("", ""), noEnv); err != nil {
 		t.Fatal(err)
 	}
-	change := func(old, new string) string {
-		text := strings.Replace(base["settings"], old, new, 1)
+	change := func(from, to string) string {
+		text := strings.Replace(base["settings"], from, to, 1)
 		if text == base["settings"] {
-			t.Fatalf("no %s in the settings", old)
+			t.Fatalf("no %s in the settings", from)
 		}
 		return text
 	}
-	for _, row := range []struct{ field, value, names string }{
+	for _, row := range []struct {
+		field string
+		value string // empty: it is missing
+		names string // what the error has to contain
+	}{
 		{"listen", "", "listen"},
 		{"listen", `"here:80"`, "listen"},
 		{"discovery", `"127.0.0.1"`, "discovery"},
@@ -55,10 +62,12 @@
 		{"settings", change(`"IdleCloseMs": 60000`, `"IdleCloseMs": 0`), "IdleCloseMs"},
 		{"settings", change(`"Goal"`, `"PolicyLimits": {"Peers": true}, "Goal"`), "peer_listen"},
 	} {
-		_, err := ParseConfig(build(row.field, row.value), none)
-		if err == nil || !strings.Contains(err.Error(), row.names) {
-			t.Errorf("%s = %s: error %v does not name %s", row.field, row.value, err, row.names)
-		}
+		t.Run(row.field+" without a valid "+row.names, func(t *testing.T) {
+			_, err := ParseConfig(build(row.field, row.value), noEnv)
+			if err == nil || !strings.Contains(err.Error(), row.names) {
+				t.Errorf("error %v does not name %s", err, row.names)
+			}
+		})
 	}
 }
 
@@ -72,7 +81,8 @@
 	if _, err := LoadConfig(getenv); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
-	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`, fmt.Sprintf(testkit.Settings, "subscribe", 1000))
+	settings := fmt.Sprintf(testkit.Settings, "subscribe", 1000)
+	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`, settings)
 	if err := os.WriteFile(env["PROXY_CONFIG"], []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -85,35 +95,3 @@
 		t.Errorf("%+v", cfg)
 	}
 }
-
-// The module's peer messages travel as datagrams, with the sender known by its address.
-func TestPeerMessagesAreExchangedByAddress(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{})
-	cfg.PeerListen = "127.0.0.1:0"
-	other, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer other.Close()
-	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
-	p, err := newPeers(cfg, testkit.Quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	got := make(chan any, 1)
-	go p.run(t.Context(), func(e any) { got <- e })
-	p.send(1, []byte("hi"))
-	p.send(5, []byte("nobody"))
-	p.send(1, make([]byte, maxDatagram+1))
-	buf := make([]byte, 512)
-	n, _, err := other.ReadFrom(buf)
-	if err != nil || string(buf[:n]) != "hi" {
-		t.Fatalf("%q, %v", buf[:n], err)
-	}
-	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
-		t.Fatal(err)
-	}
-	if m, ok := testkit.Receive(t, "message", got).(decide.PeerMessage); !ok || m.From != 1 || string(m.Data) != "yes" {
-		t.Errorf("%+v", m)
-	}
-}
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -19,14 +19,21 @@
 	t.Helper()
 	events := make(chan List, 100)
 	d := newListWatcher(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
-	d.version, d.heartbeatTimeout = 41, 2*testkit.Patience
+	d.version = 41
+	d.heartbeatTimeout = 2 * testkit.Patience
 	if tune != nil {
 		tune(d)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { d.run(ctx); close(done) }()
-	t.Cleanup(func() { cancel(); testkit.Receive(t, "end of discovery", done) })
+	go func() {
+		d.run(ctx)
+		close(done)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		testkit.Receive(t, "end of discovery", done)
+	})
 	return d, events
 }
 
@@ -34,7 +41,7 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:9","zone":"b","kind":"m2","cell":3,"state":%q,"weight":1.5,"started_ms":0}]}`, version, full, state)
 }
 
-// The watch goes on from the last version after a failure, and each failure is told.
+// The watch goes on from the last version after a failure, and each failure is posted.
 func TestWatchReconnects(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
@@ -77,7 +84,7 @@
 	testkit.Receive(t, "fourth watch", c.Watch)
 }
 
-// Where discovery is asked, the module says when: the agent does not call by itself.
+// With Settings.Subscribe the balancer says when to watch: the agent opens no watch by itself.
 func TestWatchIsOpenedOnlyOnRequest(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}), nil)
@@ -85,35 +92,38 @@
 	close(testkit.Receive(t, "watch", c.Watch).Fail)
 	testkit.Receive(t, "failure", events)
 	if len(c.Watch) != 0 {
-		t.Error("asked again unasked")
+		t.Error("a watch was opened without a request")
 	}
 	d.subscribe()
 	testkit.Receive(t, "second watch", c.Watch)
 }
 
-// A subscription that the module asked for while a watch ran that a move had begun is void when that watch ends: the
-// module hears of the end, and asks anew after its wait.
+// A request of the balancer during a watch that a new address had opened is void when that watch ends: the balancer
+// learns of the end, and asks anew after its backoff.
 func TestRequestDuringAWatchIsVoidAtItsEnd(t *testing.T) {
 	one, two := testkit.NewCatalog(t), testkit.NewCatalog(t)
-	asked := make(chan int, 1)
+	waiting := make(chan int, 1)
 	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
 		post := d.post
-		d.post = func(e any) { asked <- len(d.watchRequests); post(e) }
+		d.post = func(e any) {
+			waiting <- len(d.watchRequests)
+			post(e)
+		}
 	})
 	d.moveTo(two.Addr)
 	w := testkit.Receive(t, "watch at the new address", two.Watch)
-	d.subscribe() // of the module's wait since its last failure
+	d.subscribe() // after the balancer's backoff since its last failure
 	close(w.Fail)
-	if n := testkit.Receive(t, "what is asked", asked); n != 0 {
-		t.Error("calls again with no wait")
+	if n := testkit.Receive(t, "requests that wait", waiting); n != 0 {
+		t.Error("it opens a watch without a backoff")
 	}
 	testkit.Receive(t, "failure", events)
 	d.subscribe()
-	testkit.Receive(t, "watch that was asked for", two.Watch)
+	testkit.Receive(t, "requested watch", two.Watch)
 }
 
-// Discovery is down, back for as long as it takes to tell one list, and down again, and then back for good: what it told
-// counts, and is what it is asked to go on from. Calls go on all the while.
+// Discovery is down, back for as long as it takes to send one list, down again, and then back for good: that list counts,
+// and the next watch goes on from it. Calls go on all the while.
 func TestListOfABriefRecoveryCounts(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -130,7 +140,7 @@
 					}
 				}
 			}
-			// back serves one call, whole, and is down again.
+			// back serves one call completely, and is down again.
 			back := func(since string, version int, state string) {
 				t.Helper()
 				ln, err := net.Listen("tcp", addr)
@@ -167,10 +177,12 @@
 	}
 }
 
-// A discovery that is cut off closes nothing: a watch that misses its empty lines is dead.
+// A discovery service that is cut off closes nothing: a watch without heartbeats has failed.
 func TestWatchWithoutHeartbeatEnds(t *testing.T) {
 	c := testkit.NewCatalog(t)
-	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) { d.heartbeatTimeout = 50 * time.Millisecond })
+	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) {
+		d.heartbeatTimeout = 50 * time.Millisecond
+	})
 	testkit.Receive(t, "watch", c.Watch)
 	if e := testkit.Receive(t, "failure", events); e.Kind != decide.ListFailed {
 		t.Errorf("%+v", e)
@@ -180,8 +192,8 @@
 
 func TestListIsTranslated(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
-	ck := newClock()
-	d := newListWatcher(cfg, ck, nil, testkit.Quiet)
+	clk := newClock()
+	d := newListWatcher(cfg, clk, nil, testkit.Quiet)
 	at := time.Now().Add(-3 * time.Second)
 	e := d.translate(&discovery.Members{Servers: []discovery.Member{
 		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Started: at.UnixMilli()},
@@ -194,7 +206,7 @@
 		t.Fatalf("%+v", e.Backends)
 	}
 	// Started before the agent: it may still be cold and must not count as started long ago.
-	age := ck.now() - e.Backends[0].Started
+	age := clk.now() - e.Backends[0].Started
 	if e.Backends[0].Started <= 0 || age < 3*time.Second || age > 3*time.Second+testkit.Patience {
 		t.Errorf("started %v ago", age)
 	}
@@ -203,8 +215,8 @@
 	}
 }
 
-// A reload moves the watch at once, also while the module waits to ask, and asks for the whole
-// list; the module hears of no failure. The same address again changes nothing.
+// A reload with a new address moves the watch at once, also during the balancer's backoff, and asks for the complete list;
+// the balancer learns of no failure. The same address again changes nothing.
 func TestWatchFollowsTheAddress(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -239,18 +251,18 @@
 	}
 }
 
-// However often a pushed list was not to be had, an agent is back at it well before a drain that counts from its
-// return must be heeded; and it does not call without a pause.
+// However often a pushed list could not be watched, an agent tries again well before a drain that counts from its
+// recovery must be followed; and it does not call without a pause.
 func TestReconnectBackoffStaysWithinTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
-		for fails := range 100 {
-			switch wait := reconnectCeiling(fails, grace); {
+		for failures := range 100 {
+			switch wait := reconnectCeiling(failures, grace); {
 			case wait <= 0 || wait > discovery.ReconnectMost:
-				t.Errorf("grace %v, %d failures: %v", grace, fails, wait)
+				t.Errorf("grace %v, %d failures: %v", grace, failures, wait)
 			case wait > max(discovery.ReconnectFirst, grace/4):
-				t.Errorf("grace %v, %d failures: waits %v", grace, fails, wait)
-			case fails > 0 && wait < discovery.ReconnectFirst:
-				t.Errorf("grace %v, %d failures: only %v", grace, fails, wait)
+				t.Errorf("grace %v, %d failures: waits %v", grace, failures, wait)
+			case failures > 0 && wait < discovery.ReconnectFirst:
+				t.Errorf("grace %v, %d failures: only %v", grace, failures, wait)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/core/ejections_test.go
@@ -0,0 +1,32 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"vetchhaven/decide"
+)
+
+// A request for which there is no server while ejections hold is answered with the ejected servers; no other is.
+func TestRefusalNamesTheEjectedServers(t *testing.T) {
+	l := newBareLoop()
+	requireEjected := func(reason decide.Reason, want string) {
+		t.Helper()
+		var answer Answer
+		l.requests["r"] = NewRequest("r", 0, func(a Answer) { answer = a })
+		l.execute(decide.Refuse{Request: "r", Reason: reason}, l.clock.now())
+		if answer.Ejected != want {
+			t.Errorf("refused for %v with %q, want %q", reason, answer.Ejected, want)
+		}
+	}
+	requireEjected(decide.NoBackend, "")
+	until := time.Now().Add(time.Minute)
+	l.onEjections(ejectionsUpdated{[]Ejection{
+		{Server: "s3", ExpiresAt: until},
+		{Server: "s5", Draining: true, ExpiresAt: until},
+	}})
+	requireEjected(decide.NoBackend, "s3 (out), s5 (drains)")
+	requireEjected(decide.NoCapacity, "")
+	l.onEjections(ejectionsUpdated{[]Ejection{{Server: "s3", ExpiresAt: time.Now().Add(-time.Second)}}})
+	requireEjected(decide.NoBackend, "")
+}
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// What an instance leaves for the next process, and what the admin endpoint shows of it.
+// What an instance stores for the next process, and what the admin endpoint shows of it.
 func TestStoredMemoryAndTotalsKeepTheirFormat(t *testing.T) {
 	checkJSON[Memory](t, "memory.json")
 	checkJSON[Totals](t, "totals.json")
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -17,7 +17,7 @@
 	return cfg
 }
 
-// idleProtocol is a protocol of which nothing comes.
+// idleProtocol is a protocol that has no clients and sends nothing.
 type idleProtocol struct{}
 
 func (idleProtocol) Serve(*ConnLimiter) error { return nil }
@@ -35,7 +35,7 @@
 func (idleProtocol) ReapIdle(context.Context) {}
 func (idleProtocol) Shutdown()                {}
 
-// pendingRequest is a request with the way back for its answer.
+// pendingRequest is a request whose answers come on a channel.
 type pendingRequest struct {
 	*Request
 	reply chan Answer
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -13,11 +13,11 @@
 // Classes of testkit.Settings, in their order.
 const (
 	classGet = iota // idempotent
-	classPut        // keyed
-	classPay        // not idempotent
+	classPut        // with an idempotency key
+	classPay        // non-idempotent
 )
 
-// sendingLoop is a loop that is told what to send by its test, in the module's place, and whose attempts end as told.
+// sendingLoop is a loop whose test sends in the balancer's place, and decides how attempts end.
 type sendingLoop struct {
 	*Loop
 	results chan decide.Result
@@ -35,13 +35,15 @@
 	if s.Loop, err = newLoop(cfg, newClock(), endingProtocol{results: s.results}, testkit.Quiet); err != nil {
 		t.Fatal(err)
 	}
-	s.attemptsContext, s.toleratesViolations = context.Background(), true
-	s.request.Class, s.request.Deadline = class, time.Now().Add(time.Minute)
+	s.attemptsContext = context.Background()
+	s.toleratesViolations = true
+	s.request.Class = class
+	s.request.Deadline = time.Now().Add(time.Minute)
 	s.handle(requestArrived{s.request.Request})
 	return s
 }
 
-// endingProtocol's attempts end with what comes on a channel.
+// endingProtocol's attempts end with the results that come on a channel.
 type endingProtocol struct {
 	idleProtocol
 	results chan decide.Result
@@ -55,7 +57,7 @@
 	s.execute(decide.Send{Request: "r", Backend: server}, s.clock.now())
 }
 
-// endAttempt ends the one attempt that is out.
+// endAttempt ends the one attempt in flight.
 func (s *sendingLoop) endAttempt(t *testing.T, result decide.Result) {
 	t.Helper()
 	s.results <- result
@@ -64,51 +66,51 @@
 
 func (s *sendingLoop) violationCount(i Invariant) int64 { return s.counters.violations[i].Load() }
 
-// Whatever the module decides, no attempt begins against the rules on repeats: it is refused, counted, and the module hears
-// that it was not sent.
+// Whatever the balancer decides, no attempt is made against the rules on repeated execution: it is refused, counted, and
+// the balancer learns that it was not sent.
 func TestAttemptsThatViolateTheRetryRulesAreRefused(t *testing.T) {
-	noCopies := func(s *decide.Settings) { s.Hedging = false }
+	noHedging := func(s *decide.Settings) { s.Hedging = false }
 	shortWindow := func(s *decide.Settings) { s.Classes[classPut].DedupWindow = time.Nanosecond }
 	for name, row := range map[string]struct {
-		class  int
-		change func(*decide.Settings)
-		first  []decide.Result // of the attempts before; those that are out at the end have none
-		out    bool            // the last one is still out
-		want   Invariant
-		kept   bool
+		class    int
+		change   func(*decide.Settings)
+		earlier  []decide.Result // of the attempts that have ended
+		inFlight bool            // another attempt has not
+		violates Invariant
+		allowed  bool
 	}{
-		"not idempotent, never ran":          {class: classPay, first: []decide.Result{decide.Incomplete}, kept: true},
-		"not idempotent, turned away":        {class: classPay, first: []decide.Result{decide.Rejected}, kept: true},
-		"not idempotent, may have run":       {class: classPay, first: []decide.Result{decide.Reset}, want: EffectOnce},
-		"not idempotent, timed out":          {class: classPay, first: []decide.Result{decide.TimedOut}, want: EffectOnce},
-		"not idempotent, one before may":     {class: classPay, first: []decide.Result{decide.Errored}, want: EffectOnce},
-		"not idempotent, one is out":         {class: classPay, out: true, want: OneAttemptOut},
-		"idempotent, may have run":           {class: classGet, first: []decide.Result{decide.Reset}, kept: true},
-		"idempotent, a second copy":          {class: classGet, out: true, kept: true},
-		"second copies are not allowed":      {class: classGet, change: noCopies, out: true, want: OneAttemptOut},
-		"keyed, within its window":           {class: classPut, first: []decide.Result{decide.Reset}, kept: true},
-		"keyed, past its window":             {class: classPut, change: shortWindow, first: []decide.Result{decide.Reset}, want: DedupWindow},
-		"keyed, past it and never ran":       {class: classPut, change: shortWindow, first: []decide.Result{decide.ConnectFailed}, kept: true},
-		"all attempts are used up":           {class: classGet, first: []decide.Result{decide.Reset, decide.Reset, decide.Reset}, want: AttemptBound},
-		"the last of those that are allowed": {class: classGet, first: []decide.Result{decide.Reset, decide.Reset}, kept: true},
+		"non-idempotent, not executed":       {class: classPay, earlier: []decide.Result{decide.Incomplete}, allowed: true},
+		"non-idempotent, rejected":           {class: classPay, earlier: []decide.Result{decide.Rejected}, allowed: true},
+		"non-idempotent, may be executed":    {class: classPay, earlier: []decide.Result{decide.Reset}, violates: EffectOnce},
+		"non-idempotent, timed out":          {class: classPay, earlier: []decide.Result{decide.TimedOut}, violates: EffectOnce},
+		"non-idempotent, errored":            {class: classPay, earlier: []decide.Result{decide.Errored}, violates: EffectOnce},
+		"non-idempotent, one in flight":      {class: classPay, inFlight: true, violates: OneAttemptOut},
+		"idempotent, may be executed":        {class: classGet, earlier: []decide.Result{decide.Reset}, allowed: true},
+		"idempotent, hedged":                 {class: classGet, inFlight: true, allowed: true},
+		"hedging is off":                     {class: classGet, change: noHedging, inFlight: true, violates: OneAttemptOut},
+		"with a key, within its window":      {class: classPut, earlier: []decide.Result{decide.Reset}, allowed: true},
+		"with a key, past its window":        {class: classPut, change: shortWindow, earlier: []decide.Result{decide.Reset}, violates: DedupWindow},
+		"with a key, past it, not executed":  {class: classPut, change: shortWindow, earlier: []decide.Result{decide.ConnectFailed}, allowed: true},
+		"all attempts are used up":           {class: classGet, earlier: []decide.Result{decide.Reset, decide.Reset, decide.Reset}, violates: AttemptBound},
+		"the last of those that are allowed": {class: classGet, earlier: []decide.Result{decide.Reset, decide.Reset}, allowed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSendingLoop(t, row.class, row.change)
 			defer close(s.results)
-			for _, result := range row.first {
+			for _, result := range row.earlier {
 				s.send("s")
 				s.endAttempt(t, result)
 			}
-			if row.out {
+			if row.inFlight {
 				s.send("s")
 			}
 			s.pending = nil
 			before := s.totals.attempts.Load()
 			s.send("t")
-			began := s.totals.attempts.Load() - before
-			if row.kept {
-				if began != 1 {
-					t.Error("an attempt that is allowed did not begin")
+			made := s.totals.attempts.Load() - before
+			if row.allowed {
+				if made != 1 {
+					t.Error("an attempt that is allowed was not made")
 				}
 				for i := range s.counters.violations {
 					if s.violationCount(Invariant(i)) != 0 {
@@ -117,11 +119,11 @@
 				}
 				return
 			}
-			if began != 0 || s.violationCount(row.want) != 1 {
-				t.Errorf("%d attempts began, %s was counted %d times", began, row.want, s.violationCount(row.want))
+			if made != 0 || s.violationCount(row.violates) != 1 {
+				t.Errorf("%d attempts were made, %s was counted %d times", made, row.violates, s.violationCount(row.violates))
 			}
 			if len(s.pending) != 1 || s.pending[0].(decide.Outcome).Result != decide.NotSent {
-				t.Errorf("the module heard %+v", s.pending)
+				t.Errorf("events for the balancer %+v", s.pending)
 			}
 		})
 	}
@@ -138,7 +140,7 @@
 	}
 }
 
-// A violation ends a test, and nothing in production.
+// A violation panics in a test, and ends nothing in production.
 func TestViolationPanicsInTests(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.toleratesViolations = false
@@ -150,54 +152,57 @@
 	s.violated(AnsweredOnce, "r", 0, "s", "brought about")
 }
 
-// The send guard, as a table of events: what opens, what is refused, and when the answer is given.
+// The send guard, event by event: what opens, what is refused, and when the answer is given.
 func TestSendGuard(t *testing.T) {
 	interrupted := 0
 	interrupt := func() { interrupted++ }
 	answer := func(n *int) func() { return func() { *n++ } }
 	t.Run("an answer waits for open writes", func(t *testing.T) {
 		var g sendGuard
-		given, over := 0, make(chan struct{})
+		given := 0
+		ended := make(chan struct{})
 		interrupted = 0
 		if !g.open(0, interrupt) || !g.open(1, interrupt) {
 			t.Fatal("a write was refused")
 		}
-		if !g.finish(over, answer(&given)) || given != 0 || interrupted != 2 {
+		if !g.finish(ended, answer(&given)) || given != 0 || interrupted != 2 {
 			t.Errorf("%d answers, %d interrupted", given, interrupted)
 		}
 		if g.open(2, interrupt) {
-			t.Error("a write opened behind the answer")
+			t.Error("a write opened after the answer")
 		}
-		if g.end(0); given != 0 {
+		g.end(0)
+		if given != 0 {
 			t.Error("the answer was given with a write open")
 		}
-		if g.end(1); given != 1 {
+		g.end(1)
+		if given != 1 {
 			t.Error("the answer was not given")
 		}
-		if g.finish(over, answer(&given)) || given != 1 {
+		if g.finish(ended, answer(&given)) || given != 1 {
 			t.Error("there was a second answer")
 		}
 		if g.end(1) {
 			t.Error("a write ended twice")
 		}
 	})
-	t.Run("a streamed answer is the only attempt's", func(t *testing.T) {
+	t.Run("a response that has begun is the only one", func(t *testing.T) {
 		var g sendGuard
 		g.open(1, func() { go g.end(1) })
 		if !g.startResponse(0) || len(g.writes) > 0 {
-			t.Error("an answer streams beside another attempt's write")
+			t.Error("a response begins beside another attempt's write")
 		}
 		if g.startResponse(1) || !g.startResponse(0) {
 			t.Error("not the first attempt's alone")
 		}
 		if g.open(1, interrupt) || !g.open(0, interrupt) {
-			t.Error("another attempt writes beside an answer that streams")
+			t.Error("another attempt writes after a response has begun")
 		}
 		if !g.anotherResponds(1) || g.anotherResponds(0) {
-			t.Error("whose answer it is")
+			t.Error("it does not know which attempt responds")
 		}
 	})
-	t.Run("nothing streams behind the answer", func(t *testing.T) {
+	t.Run("no response begins after the answer", func(t *testing.T) {
 		var g sendGuard
 		given := 0
 		g.finish(make(chan struct{}), answer(&given))
@@ -207,36 +212,83 @@
 	})
 }
 
-// Right before the first byte of an attempt all is looked at that may have changed since it was decided.
+// Right before the first byte of an attempt all is checked that may have changed since it was decided.
 func TestBeginWriteChecksWhatHasChanged(t *testing.T) {
+	list := func(kind decide.ListKind, backends ...decide.Backend) List {
+		return List{ListUpdate: decide.ListUpdate{Kind: kind, Backends: backends}}
+	}
 	for name, row := range map[string]struct {
-		change func(l *Loop, a *Attempt, client, other net.Conn)
+		change func(l *Loop, a *Attempt, client net.Conn)
 		want   SendRefusal
 		result decide.Result
 	}{
-		"nothing":                {func(*Loop, *Attempt, net.Conn, net.Conn) {}, SendAllowed, 0},
-		"answered":               {func(l *Loop, a *Attempt, _, _ net.Conn) { l.finish(a.Request, Answer{}) }, RequestAnswered, decide.NotSent},
-		"another answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.startResponse(1) }, RequestAnswered, decide.NotSent},
-		"its own answer streams": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.guard.startResponse(0) }, SendAllowed, 0},
-		"timed out":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrTimedOut) }, AttemptEnded, decide.Incomplete},
-		"cancelled":              {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.cancel(ErrCancelled) }, AttemptEnded, decide.Cancelled},
-		"drains by the list": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.noteServerStates(List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s", State: decide.Draining}}}})
-		}, ServerWithdrawn, decide.Incomplete},
-		"is missing in a whole list": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.noteServerStates(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull}})
-		}, ServerWithdrawn, decide.Incomplete},
-		"taken out by hand": {func(l *Loop, _ *Attempt, _, _ net.Conn) {
-			l.disabled.Store(&map[string]bool{"s": true})
-		}, ServerWithdrawn, decide.Incomplete},
-		"window closed":     {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.startBy = time.Now() }, WindowClosed, decide.NotSent},
-		"window still open": {func(_ *Loop, a *Attempt, _, _ net.Conn) { a.startBy = time.Now().Add(time.Minute) }, SendAllowed, 0},
-		"client left":       {func(_ *Loop, _ *Attempt, client, _ net.Conn) { testkit.HalfClose(t, client); client.Close() }, ClientDisconnected, decide.NotSent},
+		"nothing": {
+			change: func(*Loop, *Attempt, net.Conn) {},
+			want:   SendAllowed,
+		},
+		"answered": {
+			change: func(l *Loop, a *Attempt, _ net.Conn) { l.finish(a.Request, Answer{}) },
+			want:   RequestAnswered,
+			result: decide.NotSent,
+		},
+		"another response has begun": {
+			change: func(_ *Loop, a *Attempt, _ net.Conn) { a.guard.startResponse(1) },
+			want:   RequestAnswered,
+			result: decide.NotSent,
+		},
+		"its own response has begun": {
+			change: func(_ *Loop, a *Attempt, _ net.Conn) { a.guard.startResponse(0) },
+			want:   SendAllowed,
+		},
+		"timed out": {
+			change: func(_ *Loop, a *Attempt, _ net.Conn) { a.cancel(ErrTimedOut) },
+			want:   AttemptEnded,
+			result: decide.Incomplete,
+		},
+		"cancelled": {
+			change: func(_ *Loop, a *Attempt, _ net.Conn) { a.cancel(ErrCancelled) },
+			want:   AttemptEnded,
+			result: decide.Cancelled,
+		},
+		"drains by the list": {
+			change: func(l *Loop, _ *Attempt, _ net.Conn) {
+				l.noteServerStates(list(decide.ListDelta, decide.Backend{ID: "s", State: decide.Draining}))
+			},
+			want:   ServerWithdrawn,
+			result: decide.Incomplete,
+		},
+		"is missing in a complete list": {
+			change: func(l *Loop, _ *Attempt, _ net.Conn) { l.noteServerStates(list(decide.ListFull)) },
+			want:   ServerWithdrawn,
+			result: decide.Incomplete,
+		},
+		"disabled by an operator": {
+			change: func(l *Loop, _ *Attempt, _ net.Conn) { l.disabled.Store(&map[string]bool{"s": true}) },
+			want:   ServerWithdrawn,
+			result: decide.Incomplete,
+		},
+		"window closed": {
+			change: func(_ *Loop, a *Attempt, _ net.Conn) { a.startBy = time.Now() },
+			want:   WindowClosed,
+			result: decide.NotSent,
+		},
+		"window still open": {
+			change: func(_ *Loop, a *Attempt, _ net.Conn) { a.startBy = time.Now().Add(time.Minute) },
+			want:   SendAllowed,
+		},
+		"client disconnected": {
+			change: func(_ *Loop, _ *Attempt, client net.Conn) {
+				testkit.HalfClose(t, client)
+				client.Close()
+			},
+			want:   ClientDisconnected,
+			result: decide.NotSent,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSendingLoop(t, classGet, nil)
 			defer close(s.results)
-			s.noteServerStates(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s", State: decide.Up}}}})
+			s.noteServerStates(list(decide.ListFull, decide.Backend{ID: "s", State: decide.Up}))
 			ln := testkit.Listen(t)
 			client, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
@@ -249,7 +301,7 @@
 			defer s.request.Client.Close()
 			s.send("s")
 			a := s.request.attempts[0]
-			row.change(s.Loop, a, client, s.request.Client)
+			row.change(s.Loop, a, client)
 			got := a.BeginWrite(func() {})
 			if got != row.want {
 				t.Fatalf("%v, want %v", got, row.want)
--- a/internal/core/listdelay_test.go
+++ b/internal/core/listdelay_test.go
@@ -19,7 +19,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// What a list service does with a call.
+// callOutcome is what a list service does with a call.
 type callOutcome int
 
 const (
@@ -32,7 +32,7 @@
 	callServedLate                         // the same, and nothing comes for a beat after the head
 	callEndedAfterHead                     // a head, and the end
 	callCutInObject                        // the end within an object
-	callServed                             // the whole list, and a beat every 2 s
+	callServed                             // the complete list, and a heartbeat every 2 s
 )
 
 const (
@@ -43,14 +43,14 @@
 
 // listScript is a list service by the clock of its run.
 type listScript struct {
-	call func(at time.Duration) callOutcome
-	// silentAt is when open watches fall silent, right after their next beat, and over when they end; 0: never.
-	silentAt, endsAt time.Duration
-	addrMoves        bool // an agent is sent to another address when it has the change
-	recoversOnHang   bool // it is back right after the first call that hangs, or the watch that fell silent
+	call           func(at time.Duration) callOutcome
+	silentAt       time.Duration // open watches fall silent after their next heartbeat; 0: never
+	endsAt         time.Duration // open watches end; 0: never
+	addrMoves      bool          // an agent is sent to another address when it has the change
+	recoversOnHang bool          // it is back right after the first call that hangs, or the watch that fell silent
 }
 
-// listService is a service that has a change, the whole list without what drains, from a moment on.
+// listService is a service that has a change, a complete list without the server that drains, from a moment on.
 type listService struct {
 	listScript
 	startedAt time.Time
@@ -65,7 +65,8 @@
 func (s *listService) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changeAt, s.recoversOnHang = s.elapsed()+time.Millisecond, false
+	s.changeAt = s.elapsed() + time.Millisecond
+	s.recoversOnHang = false
 }
 
 func (s *listService) recoveredAt() time.Duration {
@@ -102,7 +103,7 @@
 
 func (s *listService) serveCall(c net.Conn, outcome callOutcome) {
 	defer c.Close()
-	began := s.elapsed()
+	calledAt := s.elapsed()
 	in := bufio.NewReader(c)
 	if _, err := http.ReadRequest(in); err != nil {
 		return
@@ -151,7 +152,7 @@
 		if _, err := io.WriteString(c, object); err != nil {
 			return
 		}
-		if s.silentAt > began && s.elapsed() >= s.silentAt {
+		if s.silentAt > calledAt && s.elapsed() >= s.silentAt {
 			s.restore()
 			<-disconnected
 			return
@@ -163,7 +164,7 @@
 		if !wait(beat) {
 			return
 		}
-		if !sent && s.silentAt <= began && s.elapsed() >= s.recoveredAt() { // a watch that was open before, and is well, tells
+		if !sent && s.silentAt <= calledAt && s.elapsed() >= s.recoveredAt() { // a watch that was open before, and is sound
 			object, sent = change, true
 		}
 	}
@@ -204,7 +205,7 @@
 	}
 	synctest.Wait()
 	if up := *l.readyServers.Load(); !up["two"] || up["one"] {
-		t.Errorf("up are %v: what a whole list does not name is gone", up)
+		t.Errorf("ready servers are %v: what a complete list does not name is gone", up)
 	}
 	s.mu.Lock()
 	calls = len(s.calls)
@@ -218,39 +219,40 @@
 // Whatever becomes of the calls before, and however long it was so, an agent has a change within 6 s from when
 // discovery has it and can be reached. The clock is the test's; TestListAfterFailedCalls has it on sockets.
 func TestListChangesArriveWithinSixSeconds(t *testing.T) {
-	// back has a fate until a moment, and serves from then on.
-	back := func(fate callOutcome) func(time.Duration) listScript {
+	// recovers has one outcome until a moment, and serves from then on.
+	recovers := func(outcome callOutcome) func(time.Duration) listScript {
 		return func(has time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
 				if at < has {
-					return fate
+					return outcome
 				}
 				return callServed
 			}}
 		}
 	}
-	open := func(over, hush time.Duration) func(time.Duration) listScript {
+	// open is a watch that ends, or falls silent, so long after the change; 0: it does not.
+	open := func(ends, silent time.Duration) func(time.Duration) listScript {
 		return func(has time.Duration) listScript {
 			s := listScript{call: func(time.Duration) callOutcome { return callServed }}
-			if over != 0 {
-				s.endsAt = has + over
+			if ends != 0 {
+				s.endsAt = has + ends
 			}
-			if hush != 0 {
-				s.silentAt = has + hush
+			if silent != 0 {
+				s.silentAt = has + silent
 			}
 			return s
 		}
 	}
 	for name, scripted := range map[string]func(has time.Duration) listScript{
-		"down, refusing":             back(callRefused),
-		"down, dropping":             back(callDropped),
-		"hanging":                    back(callUnanswered),
-		"busy":                       back(callBusy),
-		"crowded":                    back(callBusyAfterWait),
-		"ending instead of telling":  back(callEndedAfterHead),
-		"ending in an object":        back(callCutInObject),
-		"an open watch falls silent": open(0, -time.Millisecond),
-		"an open watch ends, untold": open(-time.Millisecond, 0),
+		"down, refusing":                        recovers(callRefused),
+		"down, dropping":                        recovers(callDropped),
+		"hanging":                               recovers(callUnanswered),
+		"busy":                                  recovers(callBusy),
+		"crowded":                               recovers(callBusyAfterWait),
+		"ending instead of telling":             recovers(callEndedAfterHead),
+		"ending in an object":                   recovers(callCutInObject),
+		"an open watch falls silent":            open(0, -time.Millisecond),
+		"an open watch ends without the change": open(-time.Millisecond, 0),
 		"a call waits when it is back": func(has time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
 				if at < has {
@@ -302,7 +304,7 @@
 							s := &listService{listScript: scripted(has), changeAt: has}
 							at, calls := s.firstUpdate(t, cfg)
 							if late := at - s.recoveredAt(); late < 0 || late > discovery.ToldWithin {
-								t.Errorf("told %v after", late)
+								t.Errorf("the change arrives %v after", late)
 							}
 							most = max(most, calls)
 						})
@@ -317,11 +319,16 @@
 	}
 }
 
-// SIGHUP names another address while the present one is down, hangs, or has an agent's watch: the new one is asked in that
-// moment, whatever is being waited for.
+// A reload names another address while the present one is down, hangs, or has the agent's watch: the new one is watched
+// at that moment, whatever is being waited for.
 func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
-	for name, fate := range map[string]callOutcome{"in a wait": callRefused, "while a connection comes up": callDropped,
-		"while a call hangs": callUnanswered, "while a call waits": callServedAfterWait, "while a watch runs": callServed} {
+	for name, outcome := range map[string]callOutcome{
+		"during the backoff":           callRefused,
+		"while a connection is opened": callDropped,
+		"while a call hangs":           callUnanswered,
+		"while a call waits":           callServedAfterWait,
+		"while a watch runs":           callServed,
+	} {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				for i := range 6 {
@@ -332,12 +339,12 @@
 						has := 13*time.Second + time.Duration(i)*217*time.Millisecond
 						s := &listService{changeAt: has, listScript: listScript{addrMoves: true, call: func(at time.Duration) callOutcome {
 							if at < has {
-								return fate
+								return outcome
 							}
 							return callServed
 						}}}
 						if at, _ := s.firstUpdate(t, cfg); at != has {
-							t.Errorf("told %v after", at-has)
+							t.Errorf("the change arrives %v after", at-has)
 						}
 					})
 				}
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Where the module says nothing, the loop itself keeps the promise of one final answer.
+// Where the balancer says nothing, the loop itself keeps the promise of one final answer.
 func TestLoopAnswersAtTheDeadlineItself(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
@@ -31,11 +31,11 @@
 		t.Errorf("%d requests, %d more answers", len(l.requests), len(r.reply))
 	}
 	if want := (decide.RequestCancelled{Request: "1"}); !slices.Contains(l.pending, decide.Event(want)) {
-		t.Error("the module was not told")
+		t.Error("the balancer was not told")
 	}
 }
 
-// A request may be gone before the step that would have told the module how long it has left.
+// A request may have left the table before the step that would have told the balancer its remaining time.
 func TestDisconnectBeforeTheFirstStep(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
@@ -48,7 +48,10 @@
 	l.handle(clientDisconnected{r.Request})
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { l.run(ctx); close(done) }()
+	go func() {
+		l.run(ctx)
+		close(done)
+	}()
 	next := newPendingRequest("2")
 	next.Deadline = time.Now().Add(time.Second)
 	l.post(requestArrived{next.Request})
@@ -57,7 +60,7 @@
 	testkit.Receive(t, "end of the loop", done)
 }
 
-// The client of a request whose id is taken may leave before it has read so.
+// The client of a request whose ID is taken may disconnect before it has read so.
 func TestDuplicateMayDisconnectBeforeItsAnswer(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -76,8 +79,8 @@
 	}
 }
 
-// The timer that finds a request overdue may overtake it on its way to the loop: one whose time is over as it is taken, as
-// late ones of a drain are. It has one answer, and another one of its id goes on.
+// A request's deadline timer may overtake it on its way to the loop, if its deadline is exceeded as it is submitted, as in
+// a drain. It has one answer, and another one of its ID goes on.
 func TestDeadlineMayOvertakeItsRequest(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -96,13 +99,15 @@
 	if l.requests["1"] != first.Request || first.done || len(l.requests) != 1 {
 		t.Error("the first request is not open any more, or others are")
 	}
-	if slices.ContainsFunc(l.pending, func(e decide.Event) bool { _, abandoned := e.(decide.RequestCancelled); return abandoned }) {
-		t.Error("the module was told that a request ended that it knows of another client")
+	for _, e := range l.pending {
+		if _, ok := e.(decide.RequestCancelled); ok {
+			t.Error("the balancer was told of the end of a request that it knows of another client")
+		}
 	}
 }
 
-// The same as it comes about: thousands whose time is over as they are taken, of which the timers of some overtake them. It
-// ended after 260 at the most.
+// The same with real timers: thousands of requests whose deadline is exceeded as they are submitted, some of which are
+// overtaken. Before it was mended the loop ended after 260 at most.
 func TestRequestsSubmittedPastTheirDeadlineAreAnswered(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -120,8 +125,8 @@
 		l.Submit(r.Request)
 		select {
 		case <-r.reply:
-		case why := <-ended:
-			t.Fatalf("the loop ended at request %d: %v", n, why)
+		case reason := <-ended:
+			t.Fatalf("the loop ended at request %d: %v", n, reason)
 		case <-time.After(testkit.Patience):
 			t.Fatalf("request %d has no answer", n)
 		}
@@ -130,7 +135,7 @@
 	testkit.Receive(t, "end of the loop", ended)
 }
 
-// The ids that are remembered stay bounded, by time and by number.
+// The IDs that are remembered stay bounded, by time and by number.
 func TestRecentIDsAreBounded(t *testing.T) {
 	r := newRecentIDs(time.Second)
 	const all = 5*maxRecentIDs + 10
@@ -138,9 +143,9 @@
 		r.add(fmt.Sprint(n), 2*time.Second)
 	}
 	if n := len(r.current) + len(r.previous); n > 2*maxRecentIDs {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d IDs are remembered", n)
 	}
 	if last := fmt.Sprint(all - 1); !r.has(last, 2*time.Second) || r.has(last, 3*time.Second) == r.has(last, 5*time.Second) {
-		t.Error("the last id is not known, or known for ever")
+		t.Error("the last ID is not known, or known for ever")
 	}
 }
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// scriptedProtocol is a protocol whose attempts do as they are told.
+// scriptedProtocol is a protocol whose attempts follow a script.
 type scriptedProtocol struct {
 	idleProtocol
 	attempt func(a *Attempt) (decide.Result, any)
@@ -27,15 +27,18 @@
 	server := discovery.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Member{server}})
 	synctest.Test(t, func(t *testing.T) {
-		ck := newClock()
-		l, err := newLoop(cfg, ck, &scriptedProtocol{attempt: attempt}, testkit.Quiet)
+		clk := newClock()
+		l, err := newLoop(cfg, clk, &scriptedProtocol{attempt: attempt}, testkit.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.handle(translate(cfg, ck, testkit.Quiet, cfg.Known, decide.ListCached))
+		l.handle(translate(cfg, clk, testkit.Quiet, cfg.Known, decide.ListCached))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go func() { l.run(ctx); close(done) }()
+		go func() {
+			l.run(ctx)
+			close(done)
+		}()
 		f(l)
 		cancel()
 		<-done
@@ -44,12 +47,13 @@
 
 func newUpload(remaining time.Duration) pendingRequest {
 	r := newPendingRequest("1")
-	r.Upload, r.Remaining = true, remaining
+	r.Upload = true
+	r.Remaining = remaining
 	r.Deadline = time.Now().Add(remaining)
 	return r
 }
 
-// The time of an upload begins with its last byte, however long that took to come.
+// The deadline of an upload runs from its last byte, however long that took to come.
 func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(5 * time.Minute) // the client is slow
@@ -69,7 +73,7 @@
 	})
 }
 
-// From then on it is bounded as ever: a server that says nothing costs the client no more than its time.
+// From then on it is bounded as any: a server that does not answer costs the client no more than its deadline.
 func TestUploadIsAnsweredByItsDeadline(t *testing.T) {
 	var end time.Time
 	attempt := func(a *Attempt) (decide.Result, any) {
@@ -83,13 +87,13 @@
 		r := newUpload(time.Second)
 		l.Submit(r.Request)
 		if a := <-r.reply; !a.TimedOut || time.Now().After(end) || time.Until(end) > 100*time.Millisecond {
-			t.Errorf("%+v, %v before its time is up", a, time.Until(end))
+			t.Errorf("%+v, %v before its deadline", a, time.Until(end))
 		}
 	})
 }
 
-// An attempt that broke after bytes had gone for good is not made again, and since nothing ran, the client hears
-// at once that it may come again.
+// An attempt that broke after bytes had been sent that can't be replayed is not retried, and since nothing was executed,
+// the client learns at once that it may retry.
 func TestUploadThatCannotBeReplayedIsRefused(t *testing.T) {
 	n := 0
 	attempt := func(a *Attempt) (decide.Result, any) {
@@ -107,8 +111,8 @@
 	})
 }
 
-// Once an answer has begun to reach the client and the server is done with it, the client's time does not cut it.
-// One whose server still works on it is cut.
+// Once a response has begun to reach the client and the server is done with it, the client's deadline does not end it. One
+// whose server still works on it is ended.
 func TestCompletedResponseOutlivesTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -149,7 +153,7 @@
 	}
 }
 
-// An answer that would begin when its time is up does not.
+// A response that would begin past the deadline does not.
 func TestResponsePastTheDeadlineDoesNotStart(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		<-a.Context.Done()
