--- /dev/null
+++ b/decide/leases_test.go
@@ -0,0 +1,116 @@
+package decide_test
+
+import (
+	"testing"
+	"time"
+
+	"vetchhaven/decide"
+	"vetchhaven/decide/quota"
+)
+
+func lent(name string, amount int, now time.Duration) decide.LeasesGranted {
+	return decide.LeasesGranted{Leases: []quota.Lease{{Limit: name, Grantor: "k", Number: 1, Amount: amount, Expires: now + time.Minute, Span: time.Second}}}
+}
+
+func limit(name string, c quota.Kind) quota.Limit {
+	return quota.Limit{Name: name, Kind: c, Class: -1, Zone: -1, Cell: -1}
+}
+
+func find[T decide.Action](all []decide.Action) (found T, ok bool) {
+	for _, a := range all {
+		if x, is := a.(T); is {
+			found, ok = x, true
+		}
+	}
+	return found, ok
+}
+
+func TestRequestWithoutLeaseIsRefusedAtOnceWithItsLimit(t *testing.T) {
+	s := testSettings()
+	s.RetryAfter, s.MaxRetryAfter = true, time.Minute
+	h := newHarness(t, s, 1, testBackends(4))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("total", quota.Requests)}})
+	h.step(lent("total", 2, h.now))
+	for _, id := range []string{"a", "b"} {
+		send, ok := find[decide.Send](h.request(id, idempotent))
+		if !ok || send.StartBy == 0 {
+			t.Fatalf("%s: %+v", id, send)
+		}
+	}
+	all := h.request("c", idempotent)
+	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "total" || no.Reason != decide.NoLease || no.RetryAfter < time.Second {
+		t.Errorf("%+v", all)
+	}
+	if held, ok := find[decide.LeaseUsage](all); ok && held.Usages[0].Rejected != 1 {
+		t.Errorf("%+v", held)
+	}
+	h.advance(1100 * ms)
+	if _, ok := find[decide.Send](h.request("d", idempotent)); !ok {
+		t.Error("nothing is sent a second later")
+	}
+}
+
+// What may have run is never answered as if it had not, whatever limit stands in the way of another try.
+func TestRetryWithoutLeaseFails(t *testing.T) {
+	h := newHarness(t, testSettings(), 1, testBackends(4))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("again", quota.Retries)}})
+	if _, ok := find[decide.Send](h.request("a", idempotent)); !ok {
+		t.Fatal("a first try is none that is tried again")
+	}
+	h.outcome("a", decide.Reset, ms)
+	all := h.advance(3 * time.Second)
+	if no, ok := find[decide.Fail](all); !ok || no.Limit != "again" {
+		t.Errorf("after a reset: %+v", all)
+	}
+	h.request("b", idempotent)
+	h.outcome("b", decide.Rejected, ms) // never ran
+	all = h.advance(3 * time.Second)
+	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "again" {
+		t.Errorf("after a refusal: %+v", all)
+	}
+}
+
+func TestLimitOfOneBackendDoesNotAffectOthers(t *testing.T) {
+	h := newHarness(t, testSettings(), 1, testBackends(3))
+	l := limit("one", quota.InFlight)
+	l.Server = testBackends(3)[0].ID
+	h.step(decide.SharedLimits{Limits: []quota.Limit{l}})
+	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
+		send, ok := find[decide.Send](h.request(id, idempotent))
+		if !ok || send.Backend == l.Server {
+			t.Errorf("%s: %+v", id, send)
+		}
+	}
+}
+
+func TestInFlightLeaseIsReleasedByTheOutcome(t *testing.T) {
+	h := newHarness(t, testSettings(), 1, testBackends(3))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("at-once", quota.InFlight)}})
+	h.step(lent("at-once", 1, h.now))
+	h.request("a", idempotent)
+	if _, ok := find[decide.Refuse](h.request("b", idempotent)); !ok {
+		t.Error("two at once")
+	}
+	h.outcome("a", decide.OK, ms)
+	if _, ok := find[decide.Send](h.request("c", idempotent)); !ok {
+		t.Error("none after the first has ended")
+	}
+	// One that can't be over before the lease is, does not begin.
+	h.outcome("c", decide.OK, ms)
+	h.step(decide.LeasesGranted{Leases: []quota.Lease{{Limit: "at-once", Grantor: "k", Number: 2, Amount: 1, Expires: h.now + ms}}})
+	if _, ok := find[decide.Refuse](h.request("d", idempotent)); !ok {
+		t.Error("it may outlast its right")
+	}
+}
+
+func TestNoConnectionIsOpenedWithoutLease(t *testing.T) {
+	h := newHarness(t, testSettings(), 1, testBackends(3))
+	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("dials", quota.NewConnections)}})
+	send, ok := find[decide.Send](h.request("a", idempotent))
+	if !ok || !send.ReuseOnly {
+		t.Fatalf("%+v", send)
+	}
+	if no, ok := find[decide.Refuse](h.outcome("a", decide.NotSent, ms)); !ok || no.Limit != "dials" {
+		t.Errorf("%+v", no)
+	}
+}
