--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -372,7 +372,7 @@
 	}
 	for _, s := range want {
 		if !slices.Contains(p.barredServers, s) {
-			if !p.agent.Bar(s, true) {
+			if !p.agent.TryForceServerDisabled(s, true) {
 				return false
 			}
 			p.barredServers = append(p.barredServers, s)
@@ -380,7 +380,7 @@
 	}
 	for _, s := range slices.Clone(p.barredServers) {
 		if !slices.Contains(want, s) {
-			if !p.agent.Bar(s, false) {
+			if !p.agent.TryForceServerDisabled(s, false) {
 				return false
 			}
 			p.barredServers = slices.DeleteFunc(p.barredServers, func(b string) bool { return b == s })
