--- a/internal/peer/ejection/settings.go
+++ b/internal/peer/ejection/settings.go
@@ -38,7 +38,7 @@
 	DefaultAlertInterval = 200 * time.Millisecond
 	// DefaultIdleInterval bounds what a lost notification costs. Smaller finds updates sooner and costs messages at rest.
 	DefaultIdleInterval = time.Second
-	// DefaultMaxEvidenceAge: ten agents with a request in ten seconds each make 20 requests in 20 s, one at each of twenty
+	// DefaultMaxEvidenceAge is 20 s: ten agents with a request in ten seconds each make 20 requests then, one at each of twenty
 	// servers: a small fleet observes every server about once within it.
 	// Larger helps fleets of few requests and keeps wrong ejections for longer.
 	DefaultMaxEvidenceAge = 20 * time.Second
