--- a/internal/peer/ejection/report.go
+++ b/internal/peer/ejection/report.go
@@ -20,9 +20,9 @@
 	// linkProofGrace is how long before a member's failures a success elsewhere still proves that its link works. Larger
 	// accepts members whose link has just broken.
 	linkProofGrace = time.Second
-	// maxFailuresElsewhere is how many other servers may have failed a member since its last success elsewhere: at two,
+	// maxOtherFailures is how many other servers may have failed a member since its last success elsewhere: at two,
 	// its own link is the likelier cause.
-	maxFailuresElsewhere = 1
+	maxOtherFailures = 1
 	// minOtherSuccesses is how many (decayed) successes elsewhere a member needs for its reports to count.
 	minOtherSuccesses = 2
 	// minFailureShareExcess is how far a member's share of failures at a server has to exceed that elsewhere for it to
@@ -92,7 +92,7 @@
 	return r.failing() &&
 		r.otherSuccessAt > 0 &&
 		r.otherSuccessAt >= r.failingSince-linkProofGrace &&
-		r.otherFailuresSince <= maxFailuresElsewhere
+		r.otherFailuresSince <= maxOtherFailures
 }
 
 // failsPartly reports whether requests fail far oftener at the server than elsewhere, if not always.
