--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -36,8 +36,8 @@
 	Leave struct{}
 	// ForgetMember is an operator's statement that a dead member will not come back.
 	ForgetMember struct{ Name string }
-	// TookOver says that the process that was to replace this one failed: this one continues.
-	TookOver struct{}
+	// TakeoverFailed says that the process that was to replace this one failed: this one continues.
+	TakeoverFailed struct{}
 )
 
 func (DatagramReceived) event() {}
@@ -48,7 +48,7 @@
 func (LocalInfo) event()        {}
 func (Leave) event()            {}
 func (ForgetMember) event()     {}
-func (TookOver) event()         {}
+func (TakeoverFailed) event()   {}
 
 // Action is something that the caller of Step executes, in the order given.
 type Action interface{ action() }
--- a/internal/peer/membership/view.go
+++ b/internal/peer/membership/view.go
@@ -226,7 +226,7 @@
 		v.leave()
 	case ForgetMember:
 		v.forgetMember(e.Name)
-	case TookOver:
+	case TakeoverFailed:
 		v.self.Incarnation++
 		v.announce(v.self)
 	}
--- a/internal/peer/transport/lifecycle.go
+++ b/internal/peer/transport/lifecycle.go
@@ -87,5 +87,5 @@
 		tr.thawed = make(chan struct{})
 		tr.mu.Unlock()
 	})
-	tr.post(viewInput{event: membership.TookOver{}})
+	tr.post(viewInput{event: membership.TakeoverFailed{}})
 }
