--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -6,203 +6,161 @@
 	"errors"
 	"net"
 	"net/http"
-	"os"
-	"runtime"
-	"slices"
-	"strings"
 	"time"
 
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/metrics"
-	"vetchhaven/internal/host/supervise"
-	"vetchhaven/internal/source/discovery"
 )
 
-// Status is how a daemon stands.
-type Status struct {
-	PID       int                  `json:"pid"`
-	Up        float64              `json:"up_s"`
-	State     string               `json:"state"` // serving, or handing over
-	Ready     int                  `json:"ready"` // instances that know servers
-	Running   int                  `json:"running"`
-	Waiting   int                  `json:"waiting"` // failed, and start again
-	Down      int                  `json:"down"`    // left down
-	Reloads   int                  `json:"reloads"`
-	Memory    uint64               `json:"heap_bytes"`
-	Totals    core.Totals          `json:"totals"`
-	Lists     []discovery.HubState `json:"lists"`
-	Instances []InstanceStatus     `json:"instances"`
-	Saving    string               `json:"saving,omitempty"` // why the state is not being saved
-}
-
-// InstanceStatus is how one instance stands.
-type InstanceStatus struct {
-	Name     string      `json:"name"`
-	Listen   string      `json:"listen"`
-	State    string      `json:"state"` // ready, starting, waiting, down
-	Failures int         `json:"failures,omitempty"`
-	Reason   string      `json:"reason,omitempty"`
-	Totals   core.Totals `json:"totals"`
-}
+const (
+	adminHeaderTimeout = 5 * time.Second
+	adminIdleTimeout   = 30 * time.Second
+	// maxNotReady bounds the instances that the health endpoint names.
+	maxNotReady = 20
+)
 
-// Status tells how the daemon stands.
-func (d *Daemon) Status() (s Status, ok bool) {
-	ok = d.call(func() { s = d.status() })
-	return s, ok
-}
+// Reasons for which the admin endpoint has nothing to show.
+var (
+	errNoMembership = errors.New("this daemon has no view of a fleet: [peers] is not in its file, or is being started")
+	errNoLimits     = errors.New("the fleet shares no limits: there is no [[limit]] in this daemon's file")
+	errNoEjections  = errors.New("this daemon shares no verdicts: [peers] is not in its file, says verdicts = false, or is being started")
+)
 
-func (d *Daemon) status() Status {
-	s := Status{PID: os.Getpid(), Up: d.now().Seconds(), State: "serving", Reloads: d.reloads, Instances: []InstanceStatus{}}
-	if d.handingOver {
-		s.State = "handing over"
-	}
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	s.Memory = m.HeapAlloc
-	for name, p := range d.instances {
-		i := InstanceStatus{Name: name, Listen: p.spec.Listen.String(), Totals: p.pastTotals}
-		st := d.supervisor.State(name)
-		i.Failures, i.Reason = st.TotalFailures, st.LastReason
-		switch {
-		case st.Phase == supervise.Down:
-			i.State = "down"
-			s.Down++
-		case p.agent == nil:
-			i.State = "waiting"
-			s.Waiting++
-		default:
-			i.State = "starting"
-			s.Running++
-			if p.agent.Ready() {
-				i.State = "ready"
-				s.Ready++
-			}
-			i.Totals = addTotals(p.pastTotals, p.agent.Totals())
-		}
-		s.Totals = addTotals(s.Totals, i.Totals)
-		s.Instances = append(s.Instances, i)
-	}
-	slices.SortFunc(s.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.Name, b.Name) })
-	for _, h := range d.hubs {
-		s.Lists = append(s.Lists, h.State())
-	}
-	slices.SortFunc(s.Lists, func(a, b discovery.HubState) int { return strings.Compare(a.Addr, b.Addr) })
-	if d.snapshots.Failed() {
-		s.Saving = "the state directory can't be written"
+// serveAdmin serves the admin endpoint on a copy of a listener, which stays open for a successor.
+func (d *Daemon) serveAdmin(listener net.Listener) *http.Server {
+	server := &http.Server{Handler: d.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout, IdleTimeout: adminIdleTimeout}
+	copied, err := copyOf(listener)
+	if err != nil {
+		d.log.Error("admin", "error", err)
+		return server
 	}
-	return s
-}
-
-// agentCounters is what the instances that run have counted since their starts.
-func (d *Daemon) agentCounters() (all []metrics.Agent) {
-	d.call(func() {
-		for name, p := range d.instances {
-			if p.agent != nil {
-				all = append(all, metrics.Agent{Name: name, Totals: p.agent.Totals(), Counters: p.agent.Counters()})
-			}
+	d.background.Go(func() {
+		if err := server.Serve(core.NewSteadyListener(copied)); !errors.Is(err, http.ErrServerClosed) {
+			d.log.Error("admin", "error", err)
 		}
 	})
-	return all
+	return server
 }
 
-// serveAdmin answers operators. The daemon's own socket stays open for a successor.
-func (d *Daemon) serveAdmin(master net.Listener) *http.Server {
+func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	reply := func(w http.ResponseWriter, status int, v any) {
-		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(status)
-		e := json.NewEncoder(w)
-		e.SetIndent("", " ")
-		_ = e.Encode(v)
-	}
-	fail := func(w http.ResponseWriter, status int, err error) {
-		reply(w, status, map[string]string{"error": err.Error()})
-	}
-	gone := errors.New("the daemon is stopping")
-	mux.HandleFunc("GET /_health", func(w http.ResponseWriter, _ *http.Request) {
-		s, ok := d.Status()
-		short := map[string]any{"ready": s.Ready, "running": s.Running, "waiting": s.Waiting, "down": s.Down}
-		switch {
-		case !ok:
-			fail(w, http.StatusServiceUnavailable, gone)
-		case s.Down > 0 || s.Waiting > 0 || s.Ready < s.Running:
-			var names []string
-			for _, i := range s.Instances {
-				if i.State != "ready" {
-					names = append(names, i.Name+": "+i.State)
-				}
-			}
-			short["not_ready"] = names[:min(20, len(names))]
-			reply(w, http.StatusServiceUnavailable, short)
-		case !d.policyAdmits():
-			short["policy"] = "no request is taken: see vetchhaven policy show"
-			reply(w, http.StatusServiceUnavailable, short)
-		default:
-			reply(w, http.StatusOK, short)
-		}
-	})
+	mux.HandleFunc("GET /_health", d.handleHealth)
 	mux.Handle("GET /metrics", metrics.Handler(d.agentCounters))
-	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
-		if s, ok := d.Status(); ok {
-			reply(w, http.StatusOK, s)
-		} else {
-			fail(w, http.StatusServiceUnavailable, gone)
-		}
-	})
-	mux.HandleFunc("POST /reload", func(w http.ResponseWriter, _ *http.Request) {
-		if r, err := d.Reload(); err != nil {
-			d.log.Error("configuration not applied, the old one holds", "error", err)
-			fail(w, http.StatusUnprocessableEntity, err)
-		} else {
-			reply(w, http.StatusOK, r)
-		}
-	})
-	mux.HandleFunc("POST /handover", func(w http.ResponseWriter, r *http.Request) {
-		if err := d.Handover(context.WithoutCancel(r.Context())); err != nil {
-			fail(w, http.StatusConflict, err)
-		} else {
-			reply(w, http.StatusOK, map[string]string{"state": "a successor serves"})
-		}
-	})
+	mux.HandleFunc("GET /status", d.handleStatus)
+	mux.HandleFunc("POST /reload", d.handleReload)
+	mux.HandleFunc("POST /handover", d.handleHandover)
 	mux.HandleFunc("GET /fleet/view", func(w http.ResponseWriter, _ *http.Request) {
-		if s, ok := d.MembershipStatus(); ok {
-			reply(w, http.StatusOK, s)
-		} else {
-			fail(w, http.StatusNotFound, errors.New("this daemon has no view of a fleet: [peers] is not in its file, or is being started"))
-		}
+		status, ok := d.MembershipStatus()
+		replyIfFound(w, status, ok, errNoMembership)
 	})
 	mux.HandleFunc("GET /fleet/limits", func(w http.ResponseWriter, _ *http.Request) {
-		if s, ok := d.Limits(); ok {
-			reply(w, http.StatusOK, s)
-		} else {
-			fail(w, http.StatusNotFound, errors.New("the fleet shares no limits: there is no [[limit]] in this daemon's file"))
-		}
+		status, ok := d.Limits()
+		replyIfFound(w, status, ok, errNoLimits)
 	})
 	mux.HandleFunc("GET /fleet/verdicts", func(w http.ResponseWriter, _ *http.Request) {
-		if s, ok := d.EjectionStatus(); ok {
-			reply(w, http.StatusOK, s)
-		} else {
-			fail(w, http.StatusNotFound, errors.New("this daemon shares no verdicts: [peers] is not in its file, says verdicts = false, or is being started"))
-		}
+		status, ok := d.EjectionStatus()
+		replyIfFound(w, status, ok, errNoEjections)
 	})
-	d.handlePolicy(mux, reply, fail)
-	mux.HandleFunc("POST /fleet/forget", func(w http.ResponseWriter, r *http.Request) {
-		if err := d.ForgetMember(r.FormValue("name")); err != nil {
-			fail(w, http.StatusUnprocessableEntity, err)
-		} else {
-			reply(w, http.StatusOK, map[string]string{"forgotten": r.FormValue("name")})
+	mux.HandleFunc("POST /fleet/forget", d.handleForget)
+	d.addPolicyHandlers(mux)
+	return mux
+}
+
+// reply sends a JSON body.
+func reply(w http.ResponseWriter, status int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	_ = encoder.Encode(body)
+}
+
+func replyError(w http.ResponseWriter, status int, err error) {
+	reply(w, status, map[string]string{"error": err.Error()})
+}
+
+// replyIfFound sends a body, or says why there is none.
+func replyIfFound(w http.ResponseWriter, body any, found bool, notFound error) {
+	if !found {
+		replyError(w, http.StatusNotFound, notFound)
+		return
+	}
+	reply(w, http.StatusOK, body)
+}
+
+// healthStatus is the body of the health endpoint. Its keys are in the order in which earlier builds sent them.
+type healthStatus struct {
+	Down     int      `json:"down"`
+	NotReady []string `json:"not_ready,omitempty"`
+	Policy   string   `json:"policy,omitempty"`
+	Ready    int      `json:"ready"`
+	Running  int      `json:"running"`
+	Waiting  int      `json:"waiting"`
+}
+
+func (d *Daemon) handleHealth(w http.ResponseWriter, _ *http.Request) {
+	s, ok := d.Status()
+	if !ok {
+		replyError(w, http.StatusServiceUnavailable, errStopping)
+		return
+	}
+	health := healthStatus{Down: s.Down, Ready: s.Ready, Running: s.Running, Waiting: s.Waiting}
+	switch {
+	case s.Down > 0 || s.Waiting > 0 || s.Ready < s.Running:
+		health.NotReady = s.notReady()
+	case !d.policyAdmits():
+		health.Policy = "no request is taken: see vetchhaven policy show"
+	default:
+		reply(w, http.StatusOK, health)
+		return
+	}
+	reply(w, http.StatusServiceUnavailable, health)
+}
+
+// notReady names up to maxNotReady instances that are not ready, with their states.
+func (s *Status) notReady() []string {
+	var names []string
+	for _, instance := range s.Instances {
+		if instance.State != instanceReady {
+			names = append(names, instance.Name+": "+instance.State)
 		}
-	})
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
-	ln, err := copyOf(master)
+	}
+	return names[:min(maxNotReady, len(names))]
+}
+
+func (d *Daemon) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	s, ok := d.Status()
+	if !ok {
+		replyError(w, http.StatusServiceUnavailable, errStopping)
+		return
+	}
+	reply(w, http.StatusOK, s)
+}
+
+func (d *Daemon) handleReload(w http.ResponseWriter, _ *http.Request) {
+	result, err := d.Reload()
 	if err != nil {
-		d.log.Error("admin", "error", err)
-		return server
+		d.log.Error("configuration not applied, the old one holds", "error", err)
+		replyError(w, http.StatusUnprocessableEntity, err)
+		return
 	}
-	d.background.Go(func() {
-		if err := server.Serve(core.NewSteadyListener(ln)); !errors.Is(err, http.ErrServerClosed) {
-			d.log.Error("admin", "error", err)
-		}
-	})
-	return server
+	reply(w, http.StatusOK, result)
+}
+
+func (d *Daemon) handleHandover(w http.ResponseWriter, r *http.Request) {
+	// A client that goes away does not stop the handover.
+	if err := d.Handover(context.WithoutCancel(r.Context())); err != nil {
+		replyError(w, http.StatusConflict, err)
+		return
+	}
+	reply(w, http.StatusOK, map[string]string{"state": "a successor serves"})
+}
+
+func (d *Daemon) handleForget(w http.ResponseWriter, r *http.Request) {
+	name := r.FormValue("name")
+	if err := d.ForgetMember(name); err != nil {
+		replyError(w, http.StatusUnprocessableEntity, err)
+		return
+	}
+	reply(w, http.StatusOK, map[string]string{"forgotten": name})
 }
--- a/internal/host/daemon/daemon_test.go
+++ b/internal/host/daemon/daemon_test.go
@@ -585,7 +585,7 @@
 	y.config(y.instance("a"))
 	r := y.start(Options{})
 	y.wantServed("a")
-	r.call(r.save)
+	r.call(r.saveSnapshot)
 	saved := filepath.Join(y.dir, "state", snapshotFile)
 	eventually(t, "a state", func() bool { _, err := os.Stat(saved); return err == nil })
 	data, err := os.ReadFile(saved) // what a kill would have left
@@ -656,7 +656,7 @@
 			r := y.start(Options{})
 			y.wantServed("a")
 			for range 3 {
-				r.call(r.save)
+				r.call(r.saveSnapshot)
 				r.snapshots.Flush()
 			}
 			if n := y.log.count("last state is not used") + y.log.count("last state can't be read"); n != 1 {
--- /dev/null
+++ b/internal/host/daemon/ejections.go
@@ -0,0 +1,125 @@
+package daemon
+
+import (
+	"strings"
+	"time"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/peer/ejection"
+	"vetchhaven/internal/peer/transport"
+	"vetchhaven/internal/source/discovery"
+)
+
+// fleetServerID names a server in the fleet: by its source's name, a slash, and its ID in the list. Sources of one name are
+// one list, whatever the address at which each daemon reads it.
+func fleetServerID(source, server string) string { return source + "/" + server }
+
+// watchLists has each list's changes reported to the transport, where that is not so yet.
+func (d *Daemon) watchLists() {
+	if d.cfg.Peers == nil || d.cfg.Peers.Ejection == nil {
+		return
+	}
+	for name, h := range d.hubs {
+		if h.unwatch == nil {
+			h.unwatch = h.Join(func(*discovery.Members) { d.reportList(name, h) })
+		}
+	}
+}
+
+// reportList reports a source's list to the transport. It may block for a moment.
+func (d *Daemon) reportList(source string, h *hub) {
+	p := d.activePeering.Load()
+	if p == nil || p.spec.Ejection == nil {
+		return
+	}
+	m := h.Snapshot()
+	if m == nil {
+		return
+	}
+	p.transport.ListUpdated(ejection.ListUpdated{Source: source, Servers: ejectionServers(source, m)})
+}
+
+func ejectionServers(source string, m *discovery.Members) []ejection.Server {
+	servers := make([]ejection.Server, 0, len(m.Servers))
+	for _, listed := range m.Servers {
+		server := ejection.Server{ID: fleetServerID(source, listed.ID), StartedMS: listed.Started, Zone: listed.Zone, Pod: listed.Cell}
+		if listed.State != "ready" {
+			server.State = ejection.Draining
+		}
+		servers = append(servers, server)
+	}
+	return servers
+}
+
+// outcomeSamples translates what an instance observed of a source's servers into the fleet's terms.
+func outcomeSamples(source string, observed []core.OutcomeSample) []ejection.OutcomeSample {
+	samples := make([]ejection.OutcomeSample, 0, len(observed))
+	for _, o := range observed {
+		samples = append(samples, ejection.OutcomeSample{
+			Server:         fleetServerID(source, o.Server),
+			StartedMS:      o.StartedMS,
+			Succeeded:      o.Succeeded,
+			Failed:         o.Failed,
+			ErrorResponses: o.ErrorResponses,
+		})
+	}
+	return samples
+}
+
+// ejectionSet are all ejections that hold.
+type ejectionSet struct {
+	ejections []ejection.Ejection
+	base      time.Time // of their times
+}
+
+// forSource returns the ejections of a source's servers, as its instances take them.
+func (e *ejectionSet) forSource(source string) []core.Ejection {
+	var ejections []core.Ejection
+	for _, one := range e.ejections {
+		if id, ok := strings.CutPrefix(one.Server, source+"/"); ok {
+			ejections = append(ejections, core.Ejection{
+				Server:    id,
+				StartedMS: one.StartedMS,
+				Draining:  one.Draining,
+				ExpiresAt: e.base.Add(one.Until),
+			})
+		}
+	}
+	return ejections
+}
+
+// ejectionsChanged has all instances go by these ejections. The transport's goroutine calls it; it does not block.
+func (d *Daemon) ejectionsChanged(ejections []ejection.Ejection, base time.Time) {
+	set := &ejectionSet{ejections, base}
+	d.ejections.Store(set)
+	d.applyEjections(set)
+}
+
+// applyEjections passes ejections to all instances, and again later to those that were too busy to take them, unless there
+// are newer ones by then.
+func (d *Daemon) applyEjections(set *ejectionSet) {
+	retry := false
+	d.rangeAgents(func(h agentHandle) {
+		if !h.agent.SetEjections(set.forSource(h.source)) {
+			retry = true
+		}
+	})
+	if !retry {
+		return
+	}
+	time.AfterFunc(shareRetryInterval, func() {
+		if d.ejections.Load() == set {
+			d.applyEjections(set)
+		}
+	})
+}
+
+// EjectionStatus returns what this daemon knows of servers; ok is false if nothing is shared, or the transport does not
+// respond.
+func (d *Daemon) EjectionStatus() (s transport.EjectionStatus, ok bool) {
+	p := d.activePeering.Load()
+	if p == nil {
+		return s, false
+	}
+	return p.transport.EjectionStatus()
+}
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -3,36 +3,55 @@
 import (
 	"context"
 	"errors"
+	"net"
 	"time"
 
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/host/daemonconfig"
 	"vetchhaven/internal/host/supervise"
+	"vetchhaven/internal/peer/membership"
 	"vetchhaven/internal/protocol/http1"
 	"vetchhaven/internal/protocol/ldap"
 )
 
-// hostedInstance is one instance, running or not.
+// hostedInstance is one instance, running or not. Run's goroutine owns it.
 type hostedInstance struct {
-	spec          daemonconfig.Instance
-	agent         *core.Agent
-	stop          context.CancelFunc
-	number        uint32        // of the running copy, towards the carrier; never used again
-	limits        []quota.Limit // what it was last told
-	barredServers []string      // servers that are out of use by the file or the policy
-	floorAgents   int           // and for how many agents its floors are
-	generation    int           // copies so far: what an earlier one tells is not this one's end
-	pastTotals    core.Totals
+	spec       daemonconfig.Instance
+	agent      *core.Agent        // nil: it does not run
+	stop       context.CancelFunc // has the agent end once everything it admitted is answered
+	number     uint32             // of the agent, towards the transport; never used again
+	generation int                // counts the agents: the end of an earlier one is not this one's
+	pastTotals core.Totals        // of earlier agents
+
+	// What the agent was last passed.
+	limits        []quota.Limit
+	floorAgents   int      // how many agents its floors are for
+	barredServers []string // out of use by the file or the policy
+}
+
+// agentHandle is a running agent, for goroutines besides Run's.
+type agentHandle struct {
+	agent       *core.Agent
+	source      string
+	fingerprint string // of the policy that it was built by: see policy.Serving.Fingerprint
+}
+
+// rangeAgents calls f with all running agents. It may be called from any goroutine.
+func (d *Daemon) rangeAgents(f func(agentHandle)) {
+	d.agents.Range(func(_, handle any) bool {
+		f(handle.(agentHandle))
+		return true
+	})
 }
 
-// start runs a copy of an instance. What fails is the supervisor's.
+// start starts an agent of an instance. The supervisor decides what happens if that fails.
 func (d *Daemon) start(name string) {
-	p := d.instances[name]
-	if p == nil {
+	instance := d.instances[name]
+	if instance == nil {
 		return
 	}
-	if err := d.launch(p); err != nil {
+	if err := d.launch(instance); err != nil {
 		d.log.Error("instance not started", "instance", name, "error", err)
 		d.execute(d.supervisor.Step(d.now(), supervise.Failed{Name: name, Reason: err.Error()}))
 		return
@@ -40,124 +59,178 @@
 	d.supervisor.Step(d.now(), supervise.Started{Name: name})
 }
 
-func (d *Daemon) launch(p *hostedInstance) error {
-	master := d.listeners[p.spec.Listen]
-	if master == nil { // it was closed when the instance was left down
-		ln, err := listenOn(p.spec.Listen)
-		if err != nil {
-			return err
-		}
-		master, d.listeners[p.spec.Listen] = ln, ln
-	}
-	ln, err := copyOf(master)
+// launch makes an agent of an instance, passes it what it is to know before it serves, and runs it.
+func (d *Daemon) launch(instance *hostedInstance) error {
+	listener, err := d.listenerFor(instance)
 	if err != nil {
 		return err
 	}
-	cfg := p.spec.Agent
-	cfg.Seed = d.rng.Uint64()
-	cfg.Memory = d.memories[p.spec.Name]
-	count := d.size.Load()
-	if count != nil && d.cfg.Peers != nil {
-		cfg.Settings.Balancers = count.MaxBalancers
+	var size *membership.Size // of the fleet; nil: not known
+	if d.cfg.Peers != nil {
+		size = d.size.Load()
 	}
 	number := d.lastAgentNumber.Add(1)
-	held := func(all []quota.Usage) { // called by the agent's loop
-		if p := d.activePeering.Load(); p != nil {
-			p.transport.ReportUsage(number, all)
-		}
+	agent, err := d.newAgent(instance, size, d.agentParts(instance, number, listener))
+	if err != nil {
+		_ = listener.Close()
+		return err
 	}
-	source := p.spec.Source
-	seen := func(all []core.OutcomeSample) {
-		if p := d.activePeering.Load(); p != nil && p.spec.Ejection != nil {
-			p.transport.OutcomesObserved(outcomeSamples(source, all))
+	ctx, stop := context.WithCancel(context.Background())
+	instance.agent = agent
+	instance.stop = stop
+	instance.number = number
+	d.prepareAgent(instance, size)
+	instance.generation++
+	d.runAgent(ctx, instance)
+	return nil
+}
+
+// listenerFor returns a copy of an instance's listener. The listener was closed if the instance was left down.
+func (d *Daemon) listenerFor(instance *hostedInstance) (net.Listener, error) {
+	address := instance.spec.Listen
+	if d.listeners[address] == nil {
+		listener, err := listenOn(address)
+		if err != nil {
+			return nil, err
 		}
+		d.listeners[address] = listener
 	}
-	log, parts := d.log.With("instance", p.spec.Name), core.Parts{Listener: ln, Hub: d.hubs[p.spec.Source].Hub, NoLateConnections: true, ListWait: readyTimeout, ReportUsage: held}
-	if d.cfg.Peers != nil {
-		parts.ReportOutcomes = seen
+	return copyOf(d.listeners[address])
+}
+
+// newAgent makes an agent that speaks the instance's protocol.
+func (d *Daemon) newAgent(instance *hostedInstance, size *membership.Size, parts core.Parts) (*core.Agent, error) {
+	spec := &instance.spec
+	cfg := spec.Agent
+	cfg.Seed = d.rng.Uint64()
+	cfg.Memory = d.memories[spec.Name]
+	if size != nil {
+		cfg.Settings.Balancers = size.MaxBalancers
 	}
-	var a *core.Agent
-	if p.spec.LDAP != nil {
-		a, err = ldap.New(&cfg, *p.spec.LDAP, log, parts)
-	} else {
-		a, err = http1.New(&cfg, log, parts)
+	log := d.log.With("instance", spec.Name)
+	if spec.LDAP != nil {
+		return ldap.New(&cfg, *spec.LDAP, log, parts)
 	}
-	if err != nil {
-		_ = ln.Close()
-		return err
+	return http1.New(&cfg, log, parts)
+}
+
+// agentParts returns what an agent shares with the daemon. Its loop calls the functions.
+func (d *Daemon) agentParts(instance *hostedInstance, number uint32, listener net.Listener) core.Parts {
+	source := instance.spec.Source
+	parts := core.Parts{
+		Listener:          listener,
+		Hub:               d.hubs[source].Hub,
+		NoLateConnections: true,
+		ListWait:          readyTimeout,
+		ReportUsage: func(usage []quota.Usage) {
+			if p := d.activePeering.Load(); p != nil {
+				p.transport.ReportUsage(number, usage)
+			}
+		},
 	}
+	if d.cfg.Peers != nil {
+		parts.ReportOutcomes = func(observed []core.OutcomeSample) {
+			if p := d.activePeering.Load(); p != nil && p.spec.Ejection != nil {
+				p.transport.OutcomesObserved(outcomeSamples(source, observed))
+			}
+		}
+	}
+	return parts
+}
+
+// prepareAgent passes a new agent what it is to know before it serves. Its loop takes this first.
+func (d *Daemon) prepareAgent(instance *hostedInstance, size *membership.Size) {
+	agent := instance.agent
 	if d.options.Fault != nil {
-		if f := d.options.Fault(p.spec.Name); f != nil {
-			a.SetStepHook(f)
+		if fault := d.options.Fault(instance.spec.Name); fault != nil {
+			agent.SetStepHook(fault)
 		}
 	}
-	if count != nil && d.cfg.Peers != nil {
-		a.SetFleetSize(count.MaxBalancers, min(count.MinBalancers, count.MaxBalancers))
+	if size != nil {
+		agent.SetFleetSize(size.MaxBalancers, min(size.MinBalancers, size.MaxBalancers))
 	}
-	ctx, end := context.WithCancel(context.Background())
-	p.agent, p.stop = a, end
-	p.number, p.limits, p.floorAgents = number, nil, 0
-	h := agentHandle{a, source, d.policy.fingerprint}
-	d.agents.Store(number, h)
-	if v := d.ejections.Load(); v != nil {
-		a.SetEjections(v.forSource(source))
+	handle := agentHandle{agent, instance.spec.Source, d.policy.fingerprint}
+	d.agents.Store(instance.number, handle)
+	if ejections := d.ejections.Load(); ejections != nil {
+		agent.SetEjections(ejections.forSource(instance.spec.Source))
 	}
-	p.barredServers = nil
-	if !d.applyBans(p) { // its loop takes this first
+	instance.barredServers = nil
+	if !d.applyBans(instance) {
 		time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
 	}
-	d.applyAdmission(h)
-	d.applyLimits(p) // before it serves: nothing that is limited goes without a right
-	if at := d.activePeering.Load(); at != nil && d.cfg.Limits != nil {
-		at.transport.AddAgent(number)
+	d.applyAdmission(handle)
+	instance.limits = nil
+	instance.floorAgents = 0
+	d.applyLimits(instance) // before it serves: nothing that is limited goes without a lease
+	if p := d.activePeering.Load(); p != nil && d.cfg.Limits != nil {
+		p.transport.AddAgent(instance.number)
 	}
-	p.generation++
-	life, name := p.generation, p.spec.Name
+}
+
+// runAgent runs an agent in a goroutine of its own, and reports its end to Run's.
+func (d *Daemon) runAgent(ctx context.Context, instance *hostedInstance) {
+	name := instance.spec.Name
+	agent := instance.agent
+	stop := instance.stop
+	number := instance.number
+	generation := instance.generation
 	d.running.Go(func() {
-		err := a.Run(ctx)
-		ended := ctx.Err() != nil // it was told to
-		end()
+		err := agent.Run(ctx)
+		stopped := ctx.Err() != nil
+		stop()
 		d.agents.Delete(number)
-		d.replaced.Delete(a)
-		d.post(func() { d.instanceEnded(name, life, a, err, ended) })
+		d.replaced.Delete(agent)
+		d.post(func() { d.agentEnded(agentEnd{name, generation, agent, err, stopped}) })
 		if p := d.activePeering.Load(); p != nil && err == nil { // nothing of it is in flight
 			p.transport.RemoveAgent(number)
 		}
 	})
-	return nil
 }
 
-// instanceEnded takes note of the end of a copy of an instance.
-func (d *Daemon) instanceEnded(name string, life int, a *core.Agent, err error, told bool) {
-	p := d.instances[name]
-	if p == nil || p.generation != life {
-		return // it was removed or replaced, and has drained
-	}
-	p.pastTotals = addTotals(p.pastTotals, a.Totals())
-	p.agent, p.stop = nil, nil
-	if told {
+// agentEnd is the end of an agent.
+type agentEnd struct {
+	name       string // of its instance
+	generation int
+	agent      *core.Agent
+	err        error
+	stopped    bool // it was asked to end
+}
+
+// agentEnded takes note of the end of an agent.
+func (d *Daemon) agentEnded(end agentEnd) {
+	instance := d.instances[end.name]
+	if instance == nil || instance.generation != end.generation {
+		return // the instance was removed, or the agent replaced, and it has drained
+	}
+	instance.pastTotals = addTotals(instance.pastTotals, end.agent.Totals())
+	instance.agent = nil
+	instance.stop = nil
+	if end.stopped {
 		return
 	}
+	err := end.err
 	if err == nil {
 		err = errors.New("it ended by itself")
 	}
-	d.log.Error("instance failed", "instance", name, "error", err)
-	d.execute(d.supervisor.Step(d.now(), supervise.Failed{Name: name, Reason: err.Error()}))
+	d.log.Error("instance failed", "instance", end.name, "error", err)
+	d.execute(d.supervisor.Step(d.now(), supervise.Failed{Name: end.name, Reason: err.Error()}))
 }
 
+// supervise starts the instances whose wait is over.
 func (d *Daemon) supervise() { d.execute(d.supervisor.Step(d.now())) }
 
+// execute does what the supervisor decided.
 func (d *Daemon) execute(actions []supervise.Action) {
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case supervise.LeaveDown:
-			d.log.Error("instance left down: it keeps failing", "instance", a.Name, "error", a.Reason)
+			d.log.Error("instance left down: it keeps failing", "instance", action.Name, "error", action.Reason)
 			// Clients are refused a connection rather than kept waiting for one.
-			if p := d.instances[a.Name]; p != nil && d.listeners[p.spec.Listen] != nil {
-				d.closeSocket(p.spec.Listen)
+			if instance := d.instances[action.Name]; instance != nil && d.listeners[instance.spec.Listen] != nil {
+				d.closeSocket(instance.spec.Listen)
 			}
 		case supervise.Start:
-			d.start(a.Name)
+			d.start(action.Name)
 		}
 	}
 }
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -10,78 +10,87 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// applyLimits tells an instance which limits there are, and its floors. It reports whether it heard.
-func (d *Daemon) applyLimits(p *hostedInstance) bool {
-	if p.agent == nil {
+// applyLimits passes an instance the shared limits, and its floors (what it may use when no lease server is reached). It
+// reports false if the instance was too busy to take them.
+func (d *Daemon) applyLimits(instance *hostedInstance) bool {
+	if instance.agent == nil {
 		return true
 	}
-	var all []quota.Limit
+	var limits []quota.Limit
 	if d.cfg.Limits != nil {
-		all = d.cfg.Limits.ForInstance(&p.spec)
+		limits = d.cfg.Limits.ForInstance(&instance.spec)
 	}
-	if !slices.Equal(all, p.limits) {
-		if !p.agent.SetSharedLimits(all) {
+	if !slices.Equal(limits, instance.limits) {
+		if !instance.agent.SetSharedLimits(limits) {
 			return false
 		}
-		p.limits, p.floorAgents = all, 0
+		instance.limits = limits
+		instance.floorAgents = 0
 	}
 	if d.cfg.Limits == nil {
 		return true
 	}
-	agents := max(1, d.cfg.Balancers)
-	if c := d.size.Load(); c != nil {
-		agents = c.MaxBalancers
-	}
-	if agents != p.floorAgents {
-		if !p.agent.GrantLeases(expiringLeases(d.cfg.Limits.Floors(agents), time.Now())) {
+	agents := d.maxBalancers()
+	if agents != instance.floorAgents {
+		if !instance.agent.GrantLeases(expiringLeases(d.cfg.Limits.Floors(agents), time.Now())) {
 			return false
 		}
-		p.floorAgents = agents
+		instance.floorAgents = agents
 	}
 	return true
 }
 
-// leasesGranted passes on what a keeper lent. The carrier's loop calls it; it does not wait: an agent that is too busy to hear goes
-// by what it had, which ends by itself.
-func (d *Daemon) leasesGranted(agent uint32, all []quota.Lease, base time.Time) {
-	if a, ok := d.agents.Load(agent); ok {
-		a.(agentHandle).agent.GrantLeases(expiringLeases(all, base))
+// maxBalancers returns how many agents the fleet may have: as the peers count them, else as the file says.
+func (d *Daemon) maxBalancers() int {
+	if size := d.size.Load(); size != nil {
+		return size.MaxBalancers
 	}
+	return max(1, d.cfg.Balancers)
 }
 
-func expiringLeases(all []quota.Lease, base time.Time) []core.Lease {
-	out := make([]core.Lease, len(all))
-	for i, r := range all {
-		out[i] = core.Lease{Lease: r, ExpiresAt: base.Add(r.Expires)}
+// leasesGranted passes an agent what a lease server granted. The transport's goroutine calls it; it does not block: an agent
+// that is too busy goes by the leases that it has, which expire by themselves.
+func (d *Daemon) leasesGranted(agent uint32, leases []quota.Lease, base time.Time) {
+	if h, ok := d.agents.Load(agent); ok {
+		h.(agentHandle).agent.GrantLeases(expiringLeases(leases, base))
 	}
-	return out
 }
 
-// LimitsStatus is how the limits stand: what the file says, and what is held and lent now.
+// expiringLeases translates leases whose times count from base.
+func expiringLeases(leases []quota.Lease, base time.Time) []core.Lease {
+	expiring := make([]core.Lease, len(leases))
+	for i, lease := range leases {
+		expiring[i] = core.Lease{Lease: lease, ExpiresAt: base.Add(lease.Expires)}
+	}
+	return expiring
+}
+
+// LimitsStatus is the state of the shared limits: what the file says, and what is leased now.
 type LimitsStatus struct {
-	Agents   int                         `json:"agents"`
+	Agents   int                         `json:"agents"` // by which the limits are split
 	Limits   []daemonconfig.LimitSummary `json:"limits"`
 	Status   transport.LimitsStatus      `json:"now"`
-	Isolated bool                        `json:"alone,omitempty"` // the part that talks to peers does not run
+	Isolated bool                        `json:"alone,omitempty"` // the transport does not run or respond
 }
 
-// Limits is how the limits stand; ok is false where the file has none.
-func (d *Daemon) Limits() (now LimitsStatus, ok bool) {
-	var l *daemonconfig.Limits
+// Limits returns the state of the shared limits; ok is false if the file has none.
+func (d *Daemon) Limits() (status LimitsStatus, ok bool) {
+	var limits *daemonconfig.Limits
 	var p *peering
-	d.call(func() { l, p = d.cfg.Limits, d.peering })
-	if l == nil {
-		return now, false
-	}
-	now.Agents = max(1, d.cfg.Balancers)
-	if c := d.size.Load(); c != nil {
-		now.Agents = c.MaxBalancers
+	d.call(func() {
+		limits = d.cfg.Limits
+		p = d.peering
+	})
+	if limits == nil {
+		return status, false
 	}
-	now.Limits, now.Isolated = l.Summary(now.Agents), true
+	status.Agents = d.maxBalancers()
+	status.Limits = limits.Summary(status.Agents)
+	status.Isolated = true
 	if p != nil {
-		var answered bool
-		now.Status, answered = p.transport.LimitsStatus()
-		now.Isolated = !answered
+		current, responded := p.transport.LimitsStatus()
+		status.Status = current
+		status.Isolated = !responded
 	}
-	return now, true
+	return status, true
 }
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// Names of a source's parts in what membership says.
+// Names of a source's origins, as membership and logs have them.
 const (
 	fromList      = "the list"
 	fromRecords   = "records"
@@ -21,73 +21,115 @@
 )
 
 const (
-	removalGuard  = 30 * time.Second
-	settleSpan    = 12 * time.Second // the window of a pod's keyed requests
+	// removalGuard is how long a sudden loss of many endpoints is doubted: see endpoints.Settings.
+	removalGuard = 30 * time.Second
+	// settleSpan is how long a change of an endpoint's address or incarnation settles: the deduplication window of a pod.
+	settleSpan = 12 * time.Second
+	// unlimitedHold has the last list hold while the list service is silent, as it does without other origins.
 	unlimitedHold = 100 * 365 * 24 * time.Hour
+	// mergeInterval is how often what is held back for a while is looked at.
+	mergeInterval = time.Second
+	// maxQueuedReports bounds the reports that wait for the merge before their origins block.
+	maxQueuedReports = 16
 )
 
-// Merger makes one list of what a source's list service and its records say, and tells it to a hub.
+// Merger makes one endpoint list of what a source's list service and its records say, and applies it to a hub. Run's goroutine
+// drives it; Members may be called from any.
 type Merger struct {
 	source    daemonconfig.Source
 	log       *slog.Logger
 	hub       *discovery.Hub
-	module    *endpoints.Module
 	startedAt time.Time
 	reports   chan endpoints.Report
+	required  []string                 // the origins, without the saved list
+	onChange  func([]endpoints.Member) // may be nil
 
 	mu        sync.Mutex
+	module    *endpoints.Module
 	list      []endpoints.Member
-	reported  map[string]bool
-	version   int64
-	published map[string]discovery.Member
-	usesSaved bool
-	required  []string                 // the parts that speak for themselves
-	onChange  func([]endpoints.Member) // may be nil
+	reported  map[string]bool             // origins that have said what they have
+	version   int64                       // of the published list
+	published map[string]discovery.Member // by ID
+	usesSaved bool                        // until all origins have reported
 }
 
-// NewMerger sets one up. saved is the list of before, and may be nil. Changed, which may be nil, is called
-// with each new list.
-func NewMerger(s daemonconfig.Source, out *discovery.Hub, saved *discovery.Members, log *slog.Logger, changed func([]endpoints.Member)) *Merger {
-	var parts []endpoints.Source
-	if s.List != "" {
-		parts = append(parts, endpoints.Source{Name: fromList, Exact: true, Hold: unlimitedHold}) // the list's own rule: the last one holds
-	}
-	if len(s.SRV)+len(s.Browse) > 0 {
-		parts = append(parts, endpoints.Source{Name: fromRecords, Hold: s.Hold})
+// NewMerger returns a merger that does not run yet. saved is the list of before, and may be nil. onChange, which may be nil,
+// is called with each new list.
+func NewMerger(source daemonconfig.Source, hub *discovery.Hub, saved *discovery.Members, log *slog.Logger, onChange func([]endpoints.Member)) *Merger {
+	origins := originsOf(source)
+	var required []string
+	for _, origin := range origins {
+		required = append(required, origin.Name)
 	}
-	if s.Multicast != "" {
-		parts = append(parts, endpoints.Source{Name: fromMulticast, Hold: s.Hold})
+	origins = append(origins, endpoints.Source{Name: fromSaved, Hold: source.Hold})
+	m := &Merger{
+		source:    source,
+		log:       log,
+		hub:       hub,
+		startedAt: time.Now(),
+		reports:   make(chan endpoints.Report, maxQueuedReports),
+		required:  required,
+		onChange:  onChange,
+		module:    endpoints.New(endpoints.Settings{Sources: origins, Guard: removalGuard, Settle: settleSpan}),
+		reported:  map[string]bool{},
+		published: map[string]discovery.Member{},
 	}
-	var needed []string
-	for _, p := range parts {
-		needed = append(needed, p.Name)
-	}
-	parts = append(parts, endpoints.Source{Name: fromSaved, Hold: s.Hold})
-	m := &Merger{source: s, log: log, hub: out, startedAt: time.Now(), reports: make(chan endpoints.Report, 16), reported: map[string]bool{}, required: needed,
-		published: map[string]discovery.Member{}, onChange: changed,
-		module: endpoints.New(endpoints.Settings{Sources: parts, Guard: removalGuard, Settle: settleSpan})}
 	if saved != nil {
 		m.usesSaved = true
-		m.apply(endpoints.View{Source: fromSaved, Servers: servers(saved)})
+		m.apply(endpoints.View{Source: fromSaved, Servers: endpointsOf(saved)})
 		m.apply(endpoints.Failed{Source: fromSaved})
 	}
 	return m
 }
 
-func servers(m *discovery.Members) (all []endpoints.Server) {
-	for _, s := range m.Servers {
-		state, ok := map[string]endpoints.State{"ready": endpoints.Up, "draining": endpoints.Draining, "gone": endpoints.Gone}[s.State]
-		if ok && s.ID != "" {
-			all = append(all, endpoints.Server{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Pod: s.Cell, Weight: s.Weight, State: state, Started: s.Started})
+// originsOf returns where a source's endpoints come from.
+func originsOf(source daemonconfig.Source) []endpoints.Source {
+	var origins []endpoints.Source
+	if source.List != "" {
+		origins = append(origins, endpoints.Source{Name: fromList, Exact: true, Hold: unlimitedHold})
+	}
+	if len(source.SRV)+len(source.Browse) > 0 {
+		origins = append(origins, endpoints.Source{Name: fromRecords, Hold: source.Hold})
+	}
+	if source.Multicast != "" {
+		origins = append(origins, endpoints.Source{Name: fromMulticast, Hold: source.Hold})
+	}
+	return origins
+}
+
+// endpointStates are the states of a list's members; members in another state are ignored.
+var endpointStates = map[string]endpoints.State{
+	"ready":    endpoints.Up,
+	"draining": endpoints.Draining,
+	"gone":     endpoints.Gone,
+}
+
+// endpointsOf translates a list.
+func endpointsOf(list *discovery.Members) []endpoints.Server {
+	var servers []endpoints.Server
+	for _, listed := range list.Servers {
+		state, ok := endpointStates[listed.State]
+		if !ok || listed.ID == "" {
+			continue
 		}
+		servers = append(servers, endpoints.Server{
+			ID:      listed.ID,
+			Addr:    listed.Addr,
+			Zone:    listed.Zone,
+			Kind:    listed.Kind,
+			Pod:     listed.Cell,
+			Weight:  listed.Weight,
+			State:   state,
+			Started: listed.Started,
+		})
 	}
-	return all
+	return servers
 }
 
-// Run reads the parts until ctx ends.
+// Run follows the origins until ctx ends. list is the list service's hub, and may be nil.
 func (m *Merger) Run(ctx context.Context, list *discovery.Hub) {
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var origins sync.WaitGroup
+	defer origins.Wait()
 	post := func(r endpoints.Report) {
 		select {
 		case m.reports <- r:
@@ -95,25 +137,26 @@
 		}
 	}
 	if list != nil {
-		leave := list.Join(func(v *discovery.Members) {
-			if v.Full {
-				post(endpoints.View{Source: fromList, Servers: servers(v)})
-			} else {
-				post(endpoints.Change{Source: fromList, Servers: servers(v)})
-			}
-		})
-		defer leave()
-		parts.Go(func() { list.Run(ctx) })
+		unwatch := list.Join(func(v *discovery.Members) { post(listReport(v)) })
+		defer unwatch()
+		origins.Go(func() { list.Run(ctx) })
 	}
 	if len(m.source.SRV)+len(m.source.Browse) > 0 {
-		d := dnssource.New(dnssource.Options{Name: fromRecords, SRV: m.source.SRV, Browse: m.source.Browse, Resolvers: m.source.Resolvers, Log: m.log})
-		parts.Go(func() { d.Run(ctx, post) })
+		records := dnssource.New(dnssource.Options{
+			Name:      fromRecords,
+			SRV:       m.source.SRV,
+			Browse:    m.source.Browse,
+			Resolvers: m.source.Resolvers,
+			Log:       m.log,
+		})
+		origins.Go(func() { records.Run(ctx, post) })
 	}
 	if m.source.Multicast != "" {
-		d := dnssource.NewMulticast(dnssource.Options{Name: fromMulticast, Log: m.log}, m.source.Multicast, m.source.Group)
-		parts.Go(func() { d.Run(ctx, post) })
+		options := dnssource.Options{Name: fromMulticast, Log: m.log}
+		multicast := dnssource.NewMulticast(options, m.source.Multicast, m.source.Group)
+		origins.Go(func() { multicast.Run(ctx, post) })
 	}
-	tick := time.NewTicker(time.Second) // what is held back for a while
+	tick := time.NewTicker(mergeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -127,23 +170,30 @@
 	}
 }
 
-// apply hands a report to the module, and tells the hub what has changed.
+// listReport translates what the list service says: a complete list, or a change of it.
+func listReport(list *discovery.Members) endpoints.Report {
+	if list.Full {
+		return endpoints.View{Source: fromList, Servers: endpointsOf(list)}
+	}
+	return endpoints.Change{Source: fromList, Servers: endpointsOf(list)}
+}
+
+// apply merges a report, or with nil looks at what was held back, and publishes what has changed.
 func (m *Merger) apply(r endpoints.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := time.Since(m.startedAt)
-	var all []endpoints.Report
-	if v, whole := r.(endpoints.View); whole {
-		m.reported[v.Source] = true
-	}
+	var reports []endpoints.Report
 	if r != nil {
-		all = append(all, r)
+		reports = append(reports, r)
+	}
+	if view, ok := r.(endpoints.View); ok {
+		m.reported[view.Source] = true
 	}
-	if m.usesSaved && m.complete() { // all speak for themselves
+	if m.usesSaved && m.isComplete() { // all origins speak for themselves now
 		m.usesSaved = false
-		all = append(all, endpoints.Forget{Source: fromSaved})
+		reports = append(reports, endpoints.Forget{Source: fromSaved})
 	}
-	list, changed := m.module.Step(now, all...)
+	list, changed := m.module.Step(time.Since(m.startedAt), reports...)
 	for _, line := range m.module.Logs() {
 		m.log.Info(line, "source", m.source.Name)
 	}
@@ -151,50 +201,67 @@
 	if len(m.reported) == 0 || !changed && m.version > 0 {
 		return
 	}
+	m.publish(list)
+	if m.onChange != nil {
+		m.onChange(list)
+	}
+}
+
+// publish applies to the hub what differs from the list published last.
+func (m *Merger) publish(list []endpoints.Member) {
 	next := map[string]discovery.Member{}
-	for _, v := range list {
-		if !v.In {
-			continue
+	for _, endpoint := range list {
+		if endpoint.In {
+			next[endpoint.ID] = memberOf(endpoint)
 		}
-		state := "ready"
-		if v.State == endpoints.Draining {
-			state = "draining"
-		}
-		next[v.ID] = discovery.Member{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Kind: v.Kind, Cell: v.Pod, State: state, Weight: v.Weight, Started: v.Started}
 	}
-	out := &discovery.Members{Version: m.version + 1, Full: m.version == 0, Servers: []discovery.Member{}}
-	for id, v := range next {
-		if m.published[id] != v {
-			out.Servers = append(out.Servers, v)
+	delta := &discovery.Members{Version: m.version + 1, Full: m.version == 0, Servers: []discovery.Member{}}
+	for id, member := range next {
+		if m.published[id] != member {
+			delta.Servers = append(delta.Servers, member)
 		}
 	}
-	for id, v := range m.published {
-		if _, in := next[id]; !in {
-			v.State = "gone"
-			out.Servers = append(out.Servers, v)
+	for id, member := range m.published {
+		if _, remains := next[id]; !remains {
+			member.State = "gone"
+			delta.Servers = append(delta.Servers, member)
 		}
 	}
-	if len(out.Servers) > 0 || out.Full {
+	if len(delta.Servers) > 0 || delta.Full {
 		m.version++
 		m.published = next
-		m.hub.Apply(out)
+		m.hub.Apply(delta)
 	}
-	if m.onChange != nil {
-		m.onChange(list)
+}
+
+func memberOf(endpoint endpoints.Member) discovery.Member {
+	state := "ready"
+	if endpoint.State == endpoints.Draining {
+		state = "draining"
+	}
+	return discovery.Member{
+		ID:      endpoint.ID,
+		Addr:    endpoint.Addr,
+		Zone:    endpoint.Zone,
+		Kind:    endpoint.Kind,
+		Cell:    endpoint.Pod,
+		State:   state,
+		Weight:  endpoint.Weight,
+		Started: endpoint.Started,
 	}
 }
 
-// Members is the list as it is now, with the reasons, and whether every part has been heard.
-func (m *Merger) Members() (list []endpoints.Member, whole bool) {
+// Members returns the present list, with the reasons, and whether every origin has reported.
+func (m *Merger) Members() (list []endpoints.Member, complete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.list, m.complete()
+	return m.list, m.isComplete()
 }
 
-// complete reports whether every part has been heard. The lock is held.
-func (m *Merger) complete() bool {
-	for _, n := range m.required {
-		if !m.reported[n] {
+// isComplete reports whether every origin has reported. The lock is held.
+func (m *Merger) isComplete() bool {
+	for _, name := range m.required {
+		if !m.reported[name] {
 			return false
 		}
 	}
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -102,7 +102,7 @@
 	writeFile(t, y.dir, data)
 	r := y.start(Options{})
 	y.wantServed("a")
-	r.call(r.save)
+	r.call(r.saveSnapshot)
 	if err := r.end(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -72,7 +72,7 @@
 	}
 	r.call(func() {
 		r.policy.fingerprint = (&policy.Serving{Document: &policy.Document{Number: 1}}).Fingerprint()
-		r.hostInstance(r.instances["a"])
+		r.markCurrent(r.instances["a"])
 	})
 	word(1, time.Hour)
 	if !a.Admits() {
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/host/supervise"
 )
 
-// ReloadResult says what a change did.
+// ReloadResult counts what a change of the configuration did to instances.
 type ReloadResult struct {
 	Added     int `json:"added"`
 	Removed   int `json:"removed"`
@@ -22,119 +22,165 @@
 	Revived   int `json:"revived"` // were left down, and are tried again
 }
 
-// Reload reads the file again and changes what differs. If it makes no sense, or an address can't
-// be had, nothing changes.
-func (d *Daemon) Reload() (r ReloadResult, err error) {
-	data, err := os.ReadFile(d.cfg.Path)
+// Reload reads the file again and changes what differs. If it has a mistake, or an address can't be opened, nothing changes.
+func (d *Daemon) Reload() (result ReloadResult, err error) {
+	text, err := os.ReadFile(d.cfg.Path)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	if !d.call(func() {
-		var cfg *daemonconfig.Config
-		if cfg, err = d.cfg.Reparse(data); err != nil {
-			return
-		}
-		if r, err = d.apply(cfg); err == nil {
-			d.ownFile.Store(&ownFile{cfg.Path, data})
-		}
-	}) {
-		return r, errors.New("the daemon is stopping")
+	if !d.call(func() { result, err = d.reload(text) }) {
+		return result, errStopping
 	}
-	return r, err
+	return result, err
 }
 
-func (d *Daemon) apply(cfg *daemonconfig.Config) (r ReloadResult, err error) {
-	if d.handingOver {
-		return r, errors.New("a successor is being started: it reads the file itself")
+func (d *Daemon) reload(text []byte) (ReloadResult, error) {
+	cfg, err := d.cfg.Reparse(text)
+	if err != nil {
+		return ReloadResult{}, err
 	}
-	if cfg.Admin != d.cfg.Admin || cfg.StateDir != d.cfg.StateDir {
-		return r, fmt.Errorf("%s: admin and state_dir can't change in a running daemon: hand over instead", cfg.Path)
+	result, err := d.apply(cfg)
+	if err == nil {
+		d.ownFile.Store(&ownFile{cfg.Path, text})
 	}
-	if !reflect.DeepEqual(cfg.Policy, d.cfg.Policy) {
-		return r, fmt.Errorf("%s: [policy] can't change in a running daemon: hand over instead", cfg.Path)
+	return result, err
+}
+
+// apply changes the running daemon over to a configuration. After an error nothing has changed.
+func (d *Daemon) apply(cfg *daemonconfig.Config) (ReloadResult, error) {
+	var result ReloadResult
+	if err := d.checkChangeable(cfg); err != nil {
+		return result, err
 	}
-	if _, err := d.listen(cfg); err != nil {
-		return r, err
+	if err := d.listen(cfg); err != nil {
+		return result, err
 	}
 	old := d.cfg
 	d.cfg = cfg
 	d.reloads++
 	dropped := d.followSources(cfg)
-	keep := map[string]bool{}
+	isMoved := movedSources(old, cfg, dropped)
 	for _, spec := range cfg.Instances {
-		keep[spec.Name] = true
-		p := d.instances[spec.Name]
-		switch {
-		case p == nil:
-			r.Added++
-			d.instances[spec.Name] = &hostedInstance{spec: spec}
-			d.start(spec.Name)
-		case !p.spec.EqualExceptSource(spec):
-			// The new copy accepts before the old one ends: both have the socket, or each its own.
-			r.Replaced++
-			end, a := p.stop, p.agent
-			p.spec = spec
-			if a != nil {
-				p.pastTotals = addTotals(p.pastTotals, a.Totals())
-			}
-			d.supervisor.Step(d.now(), supervise.Removed{Name: spec.Name})
-			d.start(spec.Name)
-			if end != nil {
-				end()
-			}
-		default:
-			moved := d.hubs[spec.Source].Hub != nil && (p.spec.Source != spec.Source || slices.ContainsFunc(dropped, func(h *hub) bool {
-				return reflect.DeepEqual(old.Sources[p.spec.Source], h.source) && !reflect.DeepEqual(cfg.Sources[spec.Source], h.source)
-			}))
-			p.spec = spec
-			switch st := d.supervisor.State(spec.Name); {
-			case st.Phase == supervise.Down:
-				r.Revived++
-				d.execute(d.supervisor.Step(d.now(), supervise.Revived{Name: spec.Name}))
-			case moved:
-				r.Moved++
-				if p.agent != nil {
-					p.agent.Follow(d.hubs[spec.Source].Hub)
-					d.hostInstance(p)
-				}
-			default:
-				r.Unchanged++
-			}
-		}
-	}
-	for name, p := range d.instances {
-		if keep[name] {
-			continue
-		}
-		r.Removed++
-		if p.stop != nil {
-			p.stop() // everything taken is answered
-		}
-		d.supervisor.Step(d.now(), supervise.Removed{Name: name})
-		delete(d.instances, name)
-		delete(d.memories, name)
+		d.applyInstance(spec, isMoved, &result)
 	}
+	d.removeInstances(cfg, &result)
 	d.watchLists()
 	if !slices.Equal(old.HeldParts(), cfg.HeldParts()) {
 		d.announceParts()
 	}
-	for _, p := range d.instances {
-		if heard := d.applyBans(p); !d.applyLimits(p) || !heard {
+	for _, instance := range d.instances {
+		bansApplied := d.applyBans(instance)
+		if !d.applyLimits(instance) || !bansApplied {
 			time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
 		}
 	}
 	d.updatePeering(old.Peers, old.Limits)
-	d.dropPackets()
-	need := listenAddresses(cfg)
-	for a := range d.listeners {
-		if !slices.Contains(need, a) {
-			d.closeSocket(a)
-		}
-	}
+	d.closeUnused(cfg)
 	for _, h := range dropped {
 		h.stop()
 	}
-	d.log.Info("configuration applied", "added", r.Added, "removed", r.Removed, "replaced", r.Replaced, "moved", r.Moved,
-		"unchanged", r.Unchanged, "revived", r.Revived)
-	return r, nil
+	d.log.Info("configuration applied", "added", result.Added, "removed", result.Removed, "replaced", result.Replaced,
+		"moved", result.Moved, "unchanged", result.Unchanged, "revived", result.Revived)
+	return result, nil
+}
+
+// checkChangeable returns an error for what can't change in a running daemon.
+func (d *Daemon) checkChangeable(cfg *daemonconfig.Config) error {
+	switch {
+	case d.handingOver:
+		return errors.New("a successor is being started: it reads the file itself")
+	case cfg.Admin != d.cfg.Admin || cfg.StateDir != d.cfg.StateDir:
+		return fmt.Errorf("%s: admin and state_dir can't change in a running daemon: hand over instead", cfg.Path)
+	case !reflect.DeepEqual(cfg.Policy, d.cfg.Policy):
+		return fmt.Errorf("%s: [policy] can't change in a running daemon: hand over instead", cfg.Path)
+	}
+	return nil
+}
+
+// movedSources returns a function that reports whether an instance that followed one source, and is to follow another,
+// gets another hub by that: the source differs, or its hub was dropped for another one of its name.
+func movedSources(old, cfg *daemonconfig.Config, dropped []*hub) func(from, to string) bool {
+	return func(from, to string) bool {
+		return from != to || slices.ContainsFunc(dropped, func(h *hub) bool {
+			return reflect.DeepEqual(old.Sources[from], h.source) && !reflect.DeepEqual(cfg.Sources[to], h.source)
+		})
+	}
+}
+
+// applyInstance starts, replaces or moves an instance as its settings ask for.
+func (d *Daemon) applyInstance(spec daemonconfig.Instance, isMoved func(from, to string) bool, result *ReloadResult) {
+	instance := d.instances[spec.Name]
+	if instance == nil {
+		result.Added++
+		d.instances[spec.Name] = &hostedInstance{spec: spec}
+		d.start(spec.Name)
+		return
+	}
+	if !instance.spec.EqualExceptSource(spec) {
+		result.Replaced++
+		d.replaceInstance(instance, spec)
+		return
+	}
+	moved := d.hubs[spec.Source].Hub != nil && isMoved(instance.spec.Source, spec.Source)
+	instance.spec = spec
+	switch {
+	case d.supervisor.State(spec.Name).Phase == supervise.Down:
+		result.Revived++
+		d.execute(d.supervisor.Step(d.now(), supervise.Revived{Name: spec.Name}))
+	case moved:
+		result.Moved++
+		if instance.agent != nil {
+			instance.agent.Follow(d.hubs[spec.Source].Hub)
+			d.markCurrent(instance)
+		}
+	default:
+		result.Unchanged++
+	}
+}
+
+// replaceInstance starts an agent with other settings. It accepts connections before the old one ends: both have the socket,
+// or each its own.
+func (d *Daemon) replaceInstance(instance *hostedInstance, spec daemonconfig.Instance) {
+	stop := instance.stop
+	previous := instance.agent
+	instance.spec = spec
+	if previous != nil {
+		instance.pastTotals = addTotals(instance.pastTotals, previous.Totals())
+	}
+	d.supervisor.Step(d.now(), supervise.Removed{Name: spec.Name})
+	d.start(spec.Name)
+	if stop != nil {
+		stop()
+	}
+}
+
+// removeInstances ends the instances that a configuration does not have. What they have admitted is answered.
+func (d *Daemon) removeInstances(cfg *daemonconfig.Config, result *ReloadResult) {
+	configured := map[string]bool{}
+	for _, spec := range cfg.Instances {
+		configured[spec.Name] = true
+	}
+	for name, instance := range d.instances {
+		if configured[name] {
+			continue
+		}
+		result.Removed++
+		if instance.stop != nil {
+			instance.stop()
+		}
+		d.supervisor.Step(d.now(), supervise.Removed{Name: name})
+		delete(d.instances, name)
+		delete(d.memories, name)
+	}
+}
+
+// closeUnused closes the sockets that a configuration does not name.
+func (d *Daemon) closeUnused(cfg *daemonconfig.Config) {
+	d.closeUnusedPackets()
+	addresses := listenAddresses(cfg)
+	for address := range d.listeners {
+		if !slices.Contains(addresses, address) {
+			d.closeSocket(address)
+		}
+	}
 }
--- /dev/null
+++ b/internal/host/daemon/run.go
@@ -0,0 +1,226 @@
+package daemon
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+const (
+	// readyTimeout is how long a start waits for lists: the list service may be down, and the saved list, or none, serves
+	// then. Longer ones delay a restart of the daemon while the list service is down.
+	readyTimeout = 5 * time.Second
+	// readyPollInterval is how often a start looks whether the instances have their lists.
+	readyPollInterval = 2 * time.Millisecond
+	// adminShutdownTimeout is how long operators' requests in progress may take at the end: who asked for a handover learns
+	// that it worked.
+	adminShutdownTimeout = time.Second
+	// backgroundTimeout is how long other goroutines may take at the end. Everything is answered by then.
+	backgroundTimeout = 3 * time.Second
+)
+
+// Run serves until stop ends or a successor has taken over; then everything that was admitted is answered. It returns
+// ErrHandedOver if there is a successor.
+func (d *Daemon) Run(stop context.Context) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	d.ctx = ctx
+	admin := d.serveAdmin(d.listeners[d.cfg.Admin])
+	d.startAll(ctx)
+	if store := d.policy.store; store != nil {
+		d.background.Go(func() { store.Run(ctx.Done()) })
+		defer store.Close()
+	}
+	handedOver := d.loop(stop)
+	d.log.Info("stopping", "handed_over", handedOver)
+	if !handedOver {
+		d.saveSnapshot()
+	}
+	d.stopServing(handedOver)
+	d.drain()
+	if p := d.peering; p != nil && !handedOver { // nothing is sent from here any more
+		p.transport.Leave(leaveTimeout)
+	}
+	cancel()
+	for _, h := range d.hubs {
+		h.stop()
+	}
+	close(d.done)
+	closeAdmin(admin)
+	if !waitFor(&d.background, backgroundTimeout) { // everything is answered: nothing else may keep the process
+		d.log.Warn("ending though not all of the daemon's own work has ended")
+	}
+	d.log.Info("stopped")
+	if handedOver {
+		return ErrHandedOver
+	}
+	return nil
+}
+
+// startAll starts the sources, the instances, the daemon's part in its fleet, and the goroutines besides.
+func (d *Daemon) startAll(ctx context.Context) {
+	d.followSources(d.cfg)
+	for _, spec := range d.cfg.Instances {
+		d.instances[spec.Name] = &hostedInstance{spec: spec}
+	}
+	for _, spec := range d.cfg.Instances {
+		d.start(spec.Name)
+	}
+	d.startPeering(d.savedPeers, 0)
+	d.background.Go(func() { d.awaitReady(ctx) })
+	d.background.Go(func() { d.snapshots.Run(ctx.Done()) })
+}
+
+// loop runs what other goroutines and timers ask for, until stop ends or a successor has taken over.
+func (d *Daemon) loop(stop context.Context) (handedOver bool) {
+	save := time.NewTicker(saveInterval)
+	defer save.Stop()
+	restart := time.NewTimer(0)
+	defer restart.Stop()
+	for !handedOver && stop.Err() == nil {
+		if at, waits := d.supervisor.NextAt(); waits {
+			restart.Reset(max(0, at-d.now()))
+		} else {
+			restart.Stop()
+		}
+		select {
+		case f := <-d.calls:
+			f()
+		case <-restart.C:
+			d.supervise()
+		case <-save.C:
+			d.saveSnapshot()
+		case <-d.sizeChanged:
+			d.updateInstances()
+		case <-d.servingUpdated:
+			d.switchPolicy()
+		case <-stop.Done():
+		}
+		handedOver = d.handingOver && d.options.Upgrade == nil
+	}
+	return handedOver
+}
+
+// stopServing has the instances end once they have answered, and closes the sockets. A successor has copies of these.
+func (d *Daemon) stopServing(handedOver bool) {
+	for _, instance := range d.instances {
+		if instance.stop != nil {
+			instance.stop()
+		}
+	}
+	for _, listener := range d.listeners {
+		if unix, ok := listener.(*net.UnixListener); ok && !handedOver {
+			unix.SetUnlinkOnClose(true)
+		}
+		_ = listener.Close()
+	}
+	for _, conn := range d.packetConns {
+		_ = conn.Close()
+	}
+}
+
+// drain waits until all instances have ended. Their ends and operators' requests are handled meanwhile.
+func (d *Daemon) drain() {
+	drained := make(chan struct{})
+	go func() {
+		d.running.Wait()
+		close(drained)
+	}()
+	for {
+		select {
+		case f := <-d.calls:
+			f()
+		case <-drained:
+			return
+		}
+	}
+}
+
+func closeAdmin(admin *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), adminShutdownTimeout)
+	defer cancel()
+	_ = admin.Shutdown(ctx)
+	_ = admin.Close()
+}
+
+// waitFor reports whether a group has ended within a time.
+func waitFor(group *sync.WaitGroup, timeout time.Duration) bool {
+	ended := make(chan struct{})
+	go func() {
+		group.Wait()
+		close(ended)
+	}()
+	select {
+	case <-ended:
+		return true
+	case <-time.After(timeout):
+		return false
+	}
+}
+
+// awaitReady calls Ready once each hub has a list and each instance that runs has it, or after readyTimeout.
+func (d *Daemon) awaitReady(ctx context.Context) {
+	limit := time.After(readyTimeout)
+	if !d.awaitLists(ctx, limit) || !d.awaitInstances(ctx, limit) {
+		return
+	}
+	if d.options.Ready != nil {
+		d.options.Ready()
+	}
+}
+
+// awaitLists waits until each hub has a list. It reports false if the daemon ends. The limit fires once: it ends the wait
+// for one hub.
+func (d *Daemon) awaitLists(ctx context.Context, limit <-chan time.Time) bool {
+	var hubs []*hub
+	d.call(func() {
+		for _, h := range d.hubs {
+			hubs = append(hubs, h)
+		}
+	})
+	for _, h := range hubs {
+		select {
+		case <-h.Told():
+		case <-limit:
+			d.log.Warn("no list yet; instances refuse until there is one", "list", h.source.List)
+		case <-ctx.Done():
+			return false
+		}
+	}
+	return true
+}
+
+// awaitInstances waits until each instance has its list, and the policy lets it admit requests, or the limit has passed.
+// It reports false if the daemon ends.
+func (d *Daemon) awaitInstances(ctx context.Context, limit <-chan time.Time) bool {
+	poll := time.NewTicker(readyPollInterval)
+	defer poll.Stop()
+	for {
+		ready := false
+		d.call(func() { ready = d.instancesReady() })
+		select {
+		case <-poll.C:
+		case <-limit:
+			return true
+		case <-ctx.Done():
+			return false
+		}
+		if ready {
+			return true
+		}
+	}
+}
+
+// instancesReady reports whether each instance that runs has its list, unless that is empty, and the policy lets
+// instances admit requests.
+func (d *Daemon) instancesReady() bool {
+	for _, instance := range d.instances {
+		list := d.hubs[instance.spec.Source].Snapshot()
+		hasList := instance.agent == nil || instance.agent.Ready() || list == nil || len(list.Servers) == 0
+		if !hasList || !d.policyAdmits() {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/host/daemon/sockets.go
+++ b/internal/host/daemon/sockets.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/netip"
 	"os"
 	"syscall"
 	"time"
@@ -11,97 +12,153 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// listenAddresses is every address that a configuration names.
+// dialTimeout is how long a Unix socket may take that somebody may listen on.
+const dialTimeout = time.Second
+
+// listenAddresses returns the stream addresses that a configuration names.
 func listenAddresses(cfg *daemonconfig.Config) []daemonconfig.Address {
-	all := []daemonconfig.Address{cfg.Admin}
-	for _, i := range cfg.Instances {
-		all = append(all, i.Listen)
+	addresses := []daemonconfig.Address{cfg.Admin}
+	for _, instance := range cfg.Instances {
+		addresses = append(addresses, instance.Listen)
 	}
-	return append(all, cfg.PeerAddresses()...)
+	return append(addresses, cfg.PeerAddresses()...)
 }
 
-// listen opens what is not open yet. After an error nothing has changed.
-func (d *Daemon) listen(cfg *daemonconfig.Config) (opened []daemonconfig.Address, err error) {
+// listen opens the sockets of a configuration that are not open yet. After an error nothing has changed.
+func (d *Daemon) listen(cfg *daemonconfig.Config) error {
 	packets, err := d.openPackets(cfg)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	for _, a := range listenAddresses(cfg) {
-		if d.listeners[a] != nil {
+	var opened []daemonconfig.Address
+	for _, address := range listenAddresses(cfg) {
+		if d.listeners[address] != nil {
 			continue
 		}
-		ln, err := listenOn(a)
+		listener, err := listenOn(address)
 		if err != nil {
-			for _, b := range opened {
-				d.closeSocket(b)
+			for _, previous := range opened {
+				d.closeSocket(previous)
 			}
 			if packets != "" {
 				_ = d.packetConns[packets].Close()
 				delete(d.packetConns, packets)
 			}
-			return nil, fmt.Errorf("listen %s: %w", a, err)
+			return fmt.Errorf("listen %s: %w", address, err)
 		}
-		d.listeners[a] = ln
-		opened = append(opened, a)
+		d.listeners[address] = listener
+		opened = append(opened, address)
 	}
-	return opened, nil
+	return nil
 }
 
-// listenOn opens one address. A unix socket that nobody listens on any more is one that a daemon
-// left when it was killed: it goes.
-func listenOn(a daemonconfig.Address) (net.Listener, error) {
-	ln, err := net.Listen(a.Network, a.Addr)
-	if err != nil && a.Network == "unix" {
-		if info, stat := os.Stat(a.Addr); stat == nil && info.Mode()&os.ModeSocket != 0 {
-			c, dial := net.DialTimeout("unix", a.Addr, time.Second)
-			switch {
-			case dial == nil:
-				_ = c.Close() // someone listens
-			case errors.Is(dial, syscall.ECONNREFUSED) && os.Remove(a.Addr) == nil: // nobody does: any other error is of this moment
-				ln, err = net.Listen(a.Network, a.Addr)
-			}
+// openPackets opens the datagram socket that a configuration names, and returns its address; empty: it was open.
+func (d *Daemon) openPackets(cfg *daemonconfig.Config) (opened string, err error) {
+	if cfg.Peers == nil || d.packetConns[cfg.Peers.Listen] != nil {
+		return "", nil
+	}
+	address, err := netip.ParseAddrPort(cfg.Peers.Listen)
+	if err != nil {
+		return "", err
+	}
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
+	if err != nil {
+		return "", fmt.Errorf("listen udp:%s: %w", cfg.Peers.Listen, err)
+	}
+	d.packetConns[cfg.Peers.Listen] = conn
+	return cfg.Peers.Listen, nil
+}
+
+// closeUnusedPackets closes the datagram sockets that the configuration does not name.
+func (d *Daemon) closeUnusedPackets() {
+	for address, conn := range d.packetConns {
+		if d.cfg.Peers == nil || d.cfg.Peers.Listen != address {
+			_ = conn.Close()
+			delete(d.packetConns, address)
 		}
 	}
-	if u, ok := ln.(*net.UnixListener); ok {
-		u.SetUnlinkOnClose(false) // a successor may listen on it
+}
+
+// listenOn opens one address. A Unix socket that nobody listens on any more was left by a daemon that was killed: it is
+// removed.
+func listenOn(address daemonconfig.Address) (net.Listener, error) {
+	listener, err := net.Listen(address.Network, address.Addr)
+	if err != nil && address.Network == "unix" && removeAbandoned(address.Addr) {
+		listener, err = net.Listen(address.Network, address.Addr)
+	}
+	if unix, ok := listener.(*net.UnixListener); ok {
+		unix.SetUnlinkOnClose(false) // a successor may listen on it
 	}
-	return ln, err
+	return listener, err
 }
 
-// copyOf is another descriptor of the same socket: accepting on it, and closing it, leaves the
-// first one alone, and with it what waits to be accepted.
-func copyOf(ln net.Listener) (net.Listener, error) {
-	f, err := fileOf(ln, ln.Addr().String())
+// removeAbandoned removes a Unix socket that nobody listens on, and reports whether it did.
+func removeAbandoned(path string) bool {
+	info, err := os.Stat(path)
+	if err != nil || info.Mode()&os.ModeSocket == 0 {
+		return false
+	}
+	conn, err := net.DialTimeout("unix", path, dialTimeout)
+	if err == nil { // somebody listens
+		_ = conn.Close()
+		return false
+	}
+	// Any other error is of the moment, as with a queue that is full.
+	return errors.Is(err, syscall.ECONNREFUSED) && os.Remove(path) == nil
+}
+
+// copyOf returns another descriptor of the same socket. Accepting on it, and closing it, leaves the first one alone, and with
+// it the connections that wait to be accepted.
+func copyOf(listener net.Listener) (net.Listener, error) {
+	file, err := fileOf(listener, listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return net.FileListener(f)
+	defer file.Close()
+	return net.FileListener(file)
 }
 
-// fileOf is a copy of the socket's descriptor. The listener's own File would do, but for what exec makes
-// of it: it hands such a file on in blocking mode, which holds for every copy, and an accept that begins
-// then waits in the kernel, where closing its descriptor does not wake it.
+// copyOfUDP is copyOf for datagrams.
+func copyOfUDP(conn *net.UDPConn) (*net.UDPConn, error) {
+	if conn == nil {
+		return nil, errors.New("the socket for datagrams is not open")
+	}
+	file, err := fileOf(conn, conn.LocalAddr().String())
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	copied, err := net.FilePacketConn(file)
+	if err != nil {
+		return nil, err
+	}
+	return copied.(*net.UDPConn), nil
+}
+
+// fileOf returns a copy of a socket's descriptor. The listener's own File would do, but for what exec makes of it: it passes
+// such a file on in blocking mode, which holds for every copy, and an accept that begins then waits in the kernel, where
+// closing its descriptor does not wake it.
 func fileOf(socket any, name string) (*os.File, error) {
-	sc, ok := socket.(syscall.Conn)
+	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return nil, fmt.Errorf("%T has no descriptor", socket)
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	var copied int
-	var fail error
+	var dupErr error
 	err = raw.Control(func(fd uintptr) {
 		syscall.ForkLock.RLock() // no child is started before it is marked
 		defer syscall.ForkLock.RUnlock()
-		if copied, fail = syscall.Dup(int(fd)); fail == nil {
+		copied, dupErr = syscall.Dup(int(fd))
+		if dupErr == nil {
 			syscall.CloseOnExec(copied)
 		}
 	})
 	if err == nil {
-		err = os.NewSyscallError("dup", fail)
+		err = os.NewSyscallError("dup", dupErr)
 	}
 	if err != nil {
 		return nil, err
@@ -109,21 +166,22 @@
 	return os.NewFile(uintptr(copied), name), nil
 }
 
-// closeSocket gives an address up for good.
-func (d *Daemon) closeSocket(a daemonconfig.Address) {
-	ln := d.listeners[a]
-	if u, ok := ln.(*net.UnixListener); ok {
-		u.SetUnlinkOnClose(true)
-	}
-	_ = ln.Close()
-	delete(d.listeners, a)
+// closeSocket closes the listener of an address for good.
+func (d *Daemon) closeSocket(address daemonconfig.Address) {
+	listener := d.listeners[address]
+	if unix, ok := listener.(*net.UnixListener); ok {
+		unix.SetUnlinkOnClose(true)
+	}
+	_ = listener.Close()
+	delete(d.listeners, address)
 }
 
+// closeSockets closes all sockets of a daemon that does not start.
 func (d *Daemon) closeSockets() {
-	for _, ln := range d.listeners {
-		_ = ln.Close()
+	for _, listener := range d.listeners {
+		_ = listener.Close()
 	}
-	for _, u := range d.packetConns {
-		_ = u.Close()
+	for _, conn := range d.packetConns {
+		_ = conn.Close()
 	}
 }
--- /dev/null
+++ b/internal/host/daemon/successor.go
@@ -0,0 +1,191 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"slices"
+	"strings"
+	"time"
+
+	"vetchhaven/internal/host/daemonconfig"
+)
+
+// A successor is the same program with the same arguments. It inherits, from descriptor 3 on: the pipe on which it says that
+// it is ready, a file with the snapshot, and the sockets, which the environment names in their order. cloudflare/tableflip
+// does much the same, and was considered: it never gives up a socket that was once opened, so that an address that a reload
+// took out would go on accepting connections that nobody handles.
+const (
+	handoverVariable = "VETCHHAVEN_HANDOVER"
+
+	readyDescriptor       = 3
+	stateDescriptor       = 4
+	firstSocketDescriptor = 5
+)
+
+// ReadyTimeout is how long a successor may take to get ready. A longer one keeps operators waiting for one that hangs.
+const ReadyTimeout = 30 * time.Second
+
+// Successor starts a successor with the given command, and waits until it is ready. After an error none is left.
+func Successor(ctx context.Context, cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, state []byte, timeout time.Duration) error {
+	ready, readyWriter, err := os.Pipe()
+	if err != nil {
+		return err
+	}
+	defer ready.Close()
+	defer readyWriter.Close()
+	stateFile, err := unlinkedFile(state)
+	if err != nil {
+		return err
+	}
+	defer stateFile.Close()
+	if err := passSockets(cmd, sockets, readyWriter, stateFile); err != nil {
+		return err
+	}
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	_ = readyWriter.Close() // the successor's copy is the last: its end ends the pipe
+	err = awaitSuccessor(ctx, ready, timeout)
+	if err == nil {
+		go func() { _ = cmd.Wait() }() // this process ends first; if not, no zombie is left
+		return nil
+	}
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait()
+	return err
+}
+
+// unlinkedFile returns a file with the content, at its beginning, that no directory has. A pipe would not do: it does not
+// hold everything before somebody reads.
+func unlinkedFile(content []byte) (*os.File, error) {
+	file, err := os.CreateTemp("", "vetchhaven-handover")
+	if err != nil {
+		return nil, err
+	}
+	err = os.Remove(file.Name())
+	if err == nil {
+		_, err = file.Write(content)
+	}
+	if err == nil {
+		_, err = file.Seek(0, io.SeekStart)
+	}
+	if err != nil {
+		_ = file.Close()
+		return nil, err
+	}
+	return file, nil
+}
+
+// passSockets has a command inherit the pipe, the snapshot and the sockets.
+func passSockets(cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, ready, state *os.File) error {
+	var addresses []daemonconfig.Address
+	for address := range sockets {
+		addresses = append(addresses, address)
+	}
+	slices.SortFunc(addresses, func(a, b daemonconfig.Address) int { return strings.Compare(a.String(), b.String()) })
+	cmd.ExtraFiles = []*os.File{ready, state}
+	for _, address := range addresses {
+		cmd.ExtraFiles = append(cmd.ExtraFiles, sockets[address])
+	}
+	list, err := json.Marshal(addresses)
+	if err != nil {
+		return err
+	}
+	if cmd.Env == nil {
+		cmd.Env = os.Environ()
+	}
+	cmd.Env = append(cmd.Env, handoverVariable+"="+string(list))
+	return nil
+}
+
+// awaitSuccessor waits for a byte on the pipe.
+func awaitSuccessor(ctx context.Context, ready *os.File, timeout time.Duration) error {
+	read := make(chan error, 1)
+	go func() {
+		_, err := ready.Read(make([]byte, 1))
+		read <- err
+	}()
+	limit := time.NewTimer(timeout)
+	defer limit.Stop()
+	select {
+	case err := <-read:
+		if err != nil {
+			return errors.New("the successor ended before it was ready")
+		}
+		return nil
+	case <-limit.C:
+		return fmt.Errorf("the successor was not ready within %v", timeout)
+	case <-ctx.Done():
+		return fmt.Errorf("the successor was not ready when this daemon was stopped: %w", context.Cause(ctx))
+	}
+}
+
+// Inherited is what a daemon gets from the one before; nothing, if it is the first.
+type Inherited struct {
+	Sockets map[daemonconfig.Address]*os.File
+	State   []byte // the snapshot of the daemon before
+	ready   *os.File
+}
+
+// Inherit takes over what this process was started with. Processes that it starts do not see it.
+func Inherit() (*Inherited, error) {
+	text := os.Getenv(handoverVariable)
+	if text == "" {
+		return &Inherited{}, nil
+	}
+	if err := os.Unsetenv(handoverVariable); err != nil {
+		return nil, err
+	}
+	inherited, err := inherit(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", handoverVariable, err)
+	}
+	return inherited, nil
+}
+
+func inherit(text string) (*Inherited, error) {
+	var addresses []daemonconfig.Address
+	if err := json.Unmarshal([]byte(text), &addresses); err != nil {
+		return nil, err
+	}
+	inherited := &Inherited{
+		Sockets: map[daemonconfig.Address]*os.File{},
+		ready:   os.NewFile(readyDescriptor, "ready"),
+	}
+	stateFile := os.NewFile(stateDescriptor, "state")
+	if inherited.ready == nil || stateFile == nil {
+		return nil, errors.New("the descriptors are missing")
+	}
+	defer stateFile.Close()
+	state, err := io.ReadAll(stateFile)
+	if err != nil {
+		return nil, err
+	}
+	inherited.State = state
+	for n, address := range addresses {
+		file := os.NewFile(uintptr(firstSocketDescriptor+n), address.String())
+		if file == nil {
+			return nil, fmt.Errorf("the descriptor of %s is missing", address)
+		}
+		inherited.Sockets[address] = file
+	}
+	return inherited, nil
+}
+
+// Ready tells the daemon before that this one serves.
+func (i *Inherited) Ready() error {
+	if i.ready == nil {
+		return nil
+	}
+	_, err := i.ready.Write([]byte{1})
+	if closeErr := i.ready.Close(); err == nil {
+		err = closeErr
+	}
+	i.ready = nil
+	return err
+}
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -91,11 +91,16 @@
 	return reflect.DeepEqual(i, o)
 }
 
+// Bounds of a configuration.
 const (
-	maxInstances   = 10000
-	MinSocketShare = 16 // sockets of an instance at the least: clients' and servers' together
-	ProcessSockets = 64 // of the process itself
-	defaultMargin  = 5 * time.Millisecond
+	// maxInstances bounds the instances of one process: each has sockets, memory and a loop of its own.
+	maxInstances = 10000
+	// MinSocketShare is how many sockets an instance has at the least, for its clients and servers together.
+	MinSocketShare = 16
+	// ProcessSockets are reserved for the process itself.
+	ProcessSockets = 64
+	// defaultMargin is an instance's timer margin where its file has no tick.
+	defaultMargin = 5 * time.Millisecond
 )
 
 // Load reads and checks the file at path.
