--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -21,9 +21,10 @@
 )
 
 const (
-	// removalGuard is how long a sudden loss of many endpoints is doubted: see endpoints.Settings.
+	// removalGuard is how long endpoints stay that a complete view of records suddenly lacks: see endpoints.Settings.
 	removalGuard = 30 * time.Second
-	// settleSpan is how long a change of an endpoint's address or incarnation settles: the deduplication window of a pod.
+	// settleSpan is the least time between two changes of an endpoint's pod that take effect: the deduplication window of
+	// requests in a pod.
 	settleSpan = 12 * time.Second
 	// unlimitedHold has the last list hold while the list service is silent, as it does without other origins.
 	unlimitedHold = 100 * 365 * 24 * time.Hour
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -15,7 +15,6 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"time"
 
@@ -25,44 +24,48 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// Config is a file, checked whole and turned into what the daemon uses.
+// Config is a settings file under a policy, checked whole and turned into what the daemon uses.
 type Config struct {
 	Path        string
 	Admin       Address
-	StateDir    string // "": nothing is saved
-	MaxStateAge time.Duration
+	StateDir    string        // "": nothing is saved
+	MaxStateAge time.Duration // of a snapshot that is used
 	Sources     map[string]Source
 	Instances   []Instance // by name
 	Supervise   supervise.Settings
 	MemoryMB    int // of the process; 0: not bounded
 	Sockets     int // of the process
 	Drain       time.Duration
-	Balancers   int    // of the whole fleet, as the file has it
+	Balancers   int    // of the whole fleet, as the file says
 	Peers       *Peers // nil: the daemon stands alone
 	Limits      *Limits
 	Bans        []Ban
 	Policy      *PolicySettings // nil: none is agreed on
 
 	text    []byte   // the file's own text
-	overlay *Overlay // the policy that is laid over it; nil: none
+	overlay *Overlay // the policy over it; nil: none
 }
 
-// Address is where something listens.
-type Address struct{ Network, Addr string } // tcp or unix
+// Address is where something listens: Network is tcp, udp or unix.
+type Address struct{ Network, Addr string }
 
+// String returns the network and the address, with a colon between them.
 func (a Address) String() string { return a.Network + ":" + a.Addr }
 
-// Source is a list of servers.
+// Source is an endpoint list, from a list service, from records, or from both.
 type Source struct {
 	Name   string
-	List   string // of a list service; may be empty where there are records
-	Spread time.Duration
-	First  time.Duration
-	// SRV names and service types to browse, over unicast DNS at these resolvers.
-	SRV, Browse, Resolvers []string
-	// A service type that is announced by multicast DNS, and the group, or one responder's address.
-	Multicast, Group string
-	Hold             time.Duration // how long the records last read hold where none can be had
+	List   string        // address of a list service; may be empty where there are records
+	Spread time.Duration // over which instances take a change
+	First  time.Duration // over which they take the first list
+	// SRV names and service types to browse, by unicast DNS at these resolvers.
+	SRV       []string
+	Browse    []string
+	Resolvers []string
+	// Multicast is a service type that is announced by multicast DNS; Group is the group, or one responder's address.
+	Multicast string
+	Group     string
+	Hold      time.Duration // how long the last records hold where none can be had
 }
 
 // Records reports whether names are read besides, or in place of, a list.
@@ -73,21 +76,25 @@
 	if !s.Records() {
 		return s.List
 	}
-	return strings.Join(append(append([]string{s.List, "dns", s.Multicast}, s.SRV...), s.Browse...), " ")
+	parts := []string{s.List, "dns", s.Multicast}
+	parts = append(parts, s.SRV...)
+	parts = append(parts, s.Browse...)
+	return strings.Join(parts, " ")
 }
 
 // Instance is one agent.
 type Instance struct {
 	Name   string
 	Listen Address
-	Source string
-	Agent  core.Config   // but for seed and memory
-	LDAP   *ldap.Options // where it speaks LDAP; else HTTP/1.1
+	Source string        // by name
+	Agent  core.Config   // but for its seed and memory
+	LDAP   *ldap.Options // nil: it speaks HTTP/1.1
 }
 
-// EqualExceptSource reports whether nothing but the source of its list differs: that can change in place.
+// EqualExceptSource reports whether nothing but the source differs: that can change in a running agent.
 func (i Instance) EqualExceptSource(o Instance) bool {
-	i.Source, o.Source = "", ""
+	i.Source = ""
+	o.Source = ""
 	return reflect.DeepEqual(i, o)
 }
 
@@ -103,81 +110,56 @@
 	defaultMargin = 5 * time.Millisecond
 )
 
+// Defaults of the file.
+const (
+	// defaultMaxStateAge is how old a snapshot may be. What an older one says of endpoints is wrong more often than right.
+	defaultMaxStateAge = time.Hour
+	// defaultHold is how long the last records hold. Longer ones keep servers that are gone; shorter ones lose all of them
+	// while DNS is down.
+	defaultHold = time.Hour
+	// defaultSpread and defaultFirstSpread keep the agents of a fleet from acting on a list in the same moment.
+	defaultSpread      = 300 * time.Millisecond
+	defaultFirstSpread = 500 * time.Millisecond
+)
+
 // Load reads and checks the file at path.
 func Load(path string) (*Config, error) {
-	data, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err // names the operation and the path
 	}
-	return parse(path, data, nil)
+	return parse(path, text, nil)
 }
 
-// parse reads and checks a file's text with a policy laid over it, which may be nil.
-func parse(path string, data []byte, over *Overlay) (*Config, error) {
-	var f fileTables
-	t, err := tomlfile.Parse(path, data, &f)
+// parse reads and checks a file's text under a policy, which may be nil.
+func parse(path string, text []byte, overlay *Overlay) (*Config, error) {
+	var tables fileTables
+	file, err := tomlfile.Parse(path, text, &tables)
 	if err != nil {
 		return nil, err
 	}
-	if err := over.applyTo(&f); err != nil {
+	if err := overlay.applyTo(&tables); err != nil {
 		return nil, err
 	}
-	cfg, err := check(t, &f, over)
-	if err == nil {
-		cfg.text, cfg.overlay = data, over
+	cfg, err := check(file, &tables, overlay)
+	if err != nil {
+		return nil, err
 	}
-	return cfg, err
+	cfg.text = text
+	cfg.overlay = overlay
+	return cfg, nil
 }
 
-func check(t *tomlfile.File, f *fileTables, over *Overlay) (*Config, error) {
-	c := &checker{File: t, overlay: over}
-	cfg := &Config{Path: t.Path, StateDir: f.StateDir, Sources: map[string]Source{}, MemoryMB: f.Limits.MemoryMB}
-	if f.StateDir != "" && !filepath.IsAbs(f.StateDir) {
-		cfg.StateDir = filepath.Join(filepath.Dir(t.Path), f.StateDir)
-	}
-	cfg.MaxStateAge = c.positiveDuration("state_max_age", f.MaxStateAge, time.Hour)
-	cfg.Drain = c.duration("drain", f.Drain, 0)
-	cfg.Admin = c.address("admin", f.Admin)
-	cfg.Supervise = supervise.Settings{FirstWait: c.duration("restart.first", f.Restart.First, 0), MaxWait: c.duration("restart.most", f.Restart.Most, 0),
-		HealthyAfter: c.duration("restart.healthy", f.Restart.Healthy, 0), MaxFailures: f.Restart.GiveUp}
-	if f.Restart.GiveUp < 0 {
-		c.fail("restart.give_up", "%d is negative", f.Restart.GiveUp)
-	}
-	if f.Limits.MemoryMB < 0 || f.Limits.Sockets < 0 {
-		c.fail("limits", "memory_mb and sockets are not negative")
+// check checks the tables, and turns them into a Config. The first mistake is returned.
+func check(file *tomlfile.File, f *fileTables, overlay *Overlay) (*Config, error) {
+	c := &checker{File: file, overlay: overlay}
+	cfg := &Config{Path: file.Path, StateDir: f.StateDir, Sources: map[string]Source{}, MemoryMB: f.Limits.MemoryMB}
+	if f.StateDir != "" {
+		cfg.StateDir = c.besideFile(f.StateDir)
 	}
-	for i, s := range f.Source {
-		at := func(field string) string { return fmt.Sprintf("source[%d].%s", i, field) }
-		if _, twice := cfg.Sources[s.Name]; twice || s.Name == "" {
-			c.fail(at("name"), "%q is empty or named twice", s.Name)
-		}
-		if s.List != "" || len(s.SRV)+len(s.Browse) == 0 && s.Multicast == "" {
-			c.hostPort(at("list"), s.List)
-		}
-		for _, names := range []struct {
-			key string
-			all []string
-		}{{"srv", s.SRV}, {"browse", s.Browse}, {"multicast", slices.DeleteFunc([]string{s.Multicast}, func(n string) bool { return n == "" })}} {
-			for _, n := range names.all {
-				if !strings.HasPrefix(n, "_") || strings.ContainsAny(n, " /:") {
-					c.fail(at(names.key), "%q: a name such as _form._tcp.example.org is needed", n)
-				}
-			}
-		}
-		for _, r := range s.Resolvers {
-			c.hostPort(at("resolvers"), r)
-		}
-		if len(s.SRV)+len(s.Browse) > 0 && len(s.Resolvers) == 0 {
-			c.fail(at("resolvers"), "missing: names are asked of resolvers")
-		}
-		if (s.Multicast == "") != (s.Group == "") {
-			c.fail(at("group"), "multicast and group go together")
-		} else if s.Group != "" {
-			c.hostPort(at("group"), s.Group)
-		}
-		cfg.Sources[s.Name] = Source{Name: s.Name, Multicast: s.Multicast, Group: s.Group, SRV: s.SRV, Browse: s.Browse, Resolvers: s.Resolvers, Hold: c.positiveDuration(at("hold"), s.Hold, time.Hour),
-			List: s.List, Spread: c.duration(at("spread"), s.Spread, 300*time.Millisecond),
-			First: c.duration(at("first"), s.First, 500*time.Millisecond)}
+	c.process(f, cfg)
+	for i := range f.Source {
+		c.source(i, &f.Source[i], cfg)
 	}
 	if len(f.Source) == 0 {
 		c.fail("source", "at least one [[source]] is needed")
@@ -185,14 +167,15 @@
 	if len(f.Site.Zones) == 0 {
 		f.Site.Zones = []string{""}
 	}
-	settings, classes := c.settings(f, f.Class)
-	cfg.Balancers, cfg.Peers = settings.Balancers, c.peers(f)
-	cfg.Limits = c.limits(f, cfg, settings, classes)
+	common := c.classes(f, f.Class)
+	cfg.Balancers = common.settings.Balancers
+	cfg.Peers = c.peers(f)
+	cfg.Limits = c.limits(f, cfg, common)
 	c.bans(f, cfg)
 	if c.err != nil {
 		return nil, c.err
 	}
-	c.instances(f, cfg, settings, classes)
+	c.instances(f, cfg, common)
 	cfg.Policy = c.policy(f, cfg)
 	if c.err == nil {
 		c.resourceShares(f, cfg)
@@ -202,3 +185,79 @@
 	}
 	return cfg, nil
 }
+
+// besideFile returns a path that is relative to the file's folder.
+func (c *checker) besideFile(path string) string {
+	if filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(filepath.Dir(c.Path), path)
+}
+
+// process checks what is for the whole process.
+func (c *checker) process(f *fileTables, cfg *Config) {
+	cfg.MaxStateAge = c.positiveDuration("state_max_age", f.MaxStateAge, defaultMaxStateAge)
+	cfg.Drain = c.duration("drain", f.Drain, 0)
+	cfg.Admin = c.address("admin", f.Admin)
+	cfg.Supervise = supervise.Settings{
+		FirstWait:    c.duration("restart.first", f.Restart.First, 0),
+		MaxWait:      c.duration("restart.most", f.Restart.MaxWait, 0),
+		HealthyAfter: c.duration("restart.healthy", f.Restart.Healthy, 0),
+		MaxFailures:  f.Restart.GiveUp,
+	}
+	if f.Restart.GiveUp < 0 {
+		c.fail("restart.give_up", "%d is negative", f.Restart.GiveUp)
+	}
+	if f.Limits.MemoryMB < 0 || f.Limits.Sockets < 0 {
+		c.fail("limits", "memory_mb and sockets are not negative")
+	}
+}
+
+// source checks the i-th [[source]].
+func (c *checker) source(i int, s *sourceTable, cfg *Config) {
+	at := func(field string) string { return fmt.Sprintf("source[%d].%s", i, field) }
+	if _, twice := cfg.Sources[s.Name]; twice || s.Name == "" {
+		c.fail(at("name"), "%q is empty or named twice", s.Name)
+	}
+	hasDNS := len(s.SRV)+len(s.Browse) > 0
+	if s.List != "" || !hasDNS && s.Multicast == "" {
+		c.hostPort(at("list"), s.List)
+	}
+	c.recordNames(at("srv"), s.SRV)
+	c.recordNames(at("browse"), s.Browse)
+	if s.Multicast != "" {
+		c.recordNames(at("multicast"), []string{s.Multicast})
+	}
+	for _, resolver := range s.Resolvers {
+		c.hostPort(at("resolvers"), resolver)
+	}
+	if hasDNS && len(s.Resolvers) == 0 {
+		c.fail(at("resolvers"), "missing: names are asked of resolvers")
+	}
+	if (s.Multicast == "") != (s.Group == "") {
+		c.fail(at("group"), "multicast and group go together")
+	} else if s.Group != "" {
+		c.hostPort(at("group"), s.Group)
+	}
+	cfg.Sources[s.Name] = Source{
+		Name:      s.Name,
+		List:      s.List,
+		SRV:       s.SRV,
+		Browse:    s.Browse,
+		Resolvers: s.Resolvers,
+		Multicast: s.Multicast,
+		Group:     s.Group,
+		Hold:      c.positiveDuration(at("hold"), s.Hold, defaultHold),
+		Spread:    c.duration(at("spread"), s.Spread, defaultSpread),
+		First:     c.duration(at("first"), s.First, defaultFirstSpread),
+	}
+}
+
+// recordNames checks names of DNS records.
+func (c *checker) recordNames(key string, names []string) {
+	for _, name := range names {
+		if !strings.HasPrefix(name, "_") || strings.ContainsAny(name, " /:") {
+			c.fail(key, "%q: a name such as _form._tcp.example.org is needed", name)
+		}
+	}
+}
--- a/internal/host/daemonconfig/instances.go
+++ b/internal/host/daemonconfig/instances.go
@@ -5,200 +5,278 @@
 	"fmt"
 	"hash/fnv"
 	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"vetchhaven/decide"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/ldap"
 	"vetchhaven/internal/wire"
 )
 
-// serviceClasses are the classes of a service that has a part of the policy.
-type serviceClasses struct {
-	settings decide.Settings
-	classes  []string
-	list     []classTable
+// defaultIdleClose is after which an idle connection is closed.
+const defaultIdleClose = 5 * time.Second
+
+// instanceChecker checks all instances of a file, with what they must not have in common.
+type instanceChecker struct {
+	*checker
+	file     *fileTables
+	cfg      *Config
+	common   classSet
+	services map[string]classSet // of the sources that have a part of the policy
+	ldap     *ldap.Options
+
+	names     map[string]string  // keys by name
+	addresses map[Address]string // names by address
 }
 
-// serviceClasses checks the classes of a service that has a part of the policy.
-func (c *checker) serviceClasses(f *fileTables, cfg *Config, name string) (x serviceClasses) {
-	x.list, c.origins = c.overlay.applied.classes(name)
-	x.settings, x.classes = c.settings(f, x.list)
-	for i, k := range x.settings.Classes {
-		if cfg.Limits != nil && k.Deadline > cfg.Limits.MaxAttemptTime {
-			c.fail(fmt.Sprintf("class[%d].deadline", i), "%v is past the longest of the classes for all, %v: limits that the fleet shares are lent for so long", k.Deadline, cfg.Limits.MaxAttemptTime)
+// instances checks all [[instance]] and [[template]].
+func (c *checker) instances(f *fileTables, cfg *Config, common classSet) {
+	ic := &instanceChecker{
+		checker:   c,
+		file:      f,
+		cfg:       cfg,
+		common:    common,
+		services:  map[string]classSet{},
+		ldap:      c.ldapOptions(f),
+		names:     map[string]string{},
+		addresses: map[Address]string{},
+	}
+	for i := range f.Instance {
+		ic.add(fmt.Sprintf("instance[%d]", i), f.Instance[i])
+	}
+	for i := range f.Template {
+		ic.addTemplate(fmt.Sprintf("template[%d]", i), &f.Template[i])
+		if c.err != nil {
+			return
 		}
 	}
-	c.origins = nil
-	return x
+	switch count := len(cfg.Instances); {
+	case count == 0:
+		c.fail("instance", "at least one [[instance]] or [[template]] is needed")
+	case count > maxInstances:
+		c.fail("instance", "%d in all: %d are allowed", count, maxInstances)
+	}
+	if name := ic.addresses[cfg.Admin]; name != "" {
+		c.fail("admin", "%s is %s's", cfg.Admin, name)
+	}
+	slices.SortFunc(cfg.Instances, func(a, b Instance) int { return strings.Compare(a.Name, b.Name) })
 }
 
-func (c *checker) instances(f *fileTables, cfg *Config, settings decide.Settings, classes []string) {
-	seen, listens := map[string]string{}, map[Address]string{}
-	options := c.ldap(f)
-	all, common := settings, classes
-	services := map[string]serviceClasses{} // those that have a part of the policy
-	add := func(key string, in instanceTable) {
-		at := func(field string) string { return key + "." + field }
-		d := &f.Defaults
-		in.Protocol = cmp.Or(in.Protocol, d.Protocol, "http")
-		in.Source, in.Zone, in.MaxOpen, in.Weight = cmp.Or(in.Source, d.Source), cmp.Or(in.Zone, d.Zone), cmp.Or(in.MaxOpen, d.MaxOpen), cmp.Or(in.Weight, d.Weight)
-		if in.Classes == nil {
-			in.Classes = d.Classes
-		}
-		if !c.Has(at("tick")) {
-			in.Tick = d.Tick
-		}
-		if in.Name == "" || strings.ContainsAny(in.Name, " \t\n\"") {
-			c.fail(at("name"), "%q is no name", in.Name)
-		}
-		if other := seen[in.Name]; other != "" {
-			c.fail(at("name"), "%q is there twice (%s)", in.Name, other)
-		}
-		seen[in.Name] = key
-		listen := c.address(at("listen"), in.Listen)
-		if other := listens[listen]; other != "" {
-			c.fail(at("listen"), "%s is %s's already", listen, other)
-		}
-		listens[listen] = in.Name
-		if in.Source == "" && len(f.Source) == 1 {
-			in.Source = f.Source[0].Name
-		}
-		if _, ok := cfg.Sources[in.Source]; !ok {
-			c.fail(at("source"), "%q is no source", in.Source)
-		}
-		if in.MaxOpen < 0 || in.Weight < 0 {
-			c.fail(at("max_open"), "max_open and weight are not negative")
-		}
-		settings, classes, list := all, common, f.Class
-		if c.overlay != nil && c.overlay.applied.part(in.Source) != nil {
-			if _, ok := services[in.Source]; !ok {
-				services[in.Source] = c.serviceClasses(f, cfg, in.Source)
-			}
-			x := services[in.Source]
-			settings, classes, list = x.settings, x.classes, x.list
-		}
-		s := settings
-		site := wire.Site{Zones: f.Site.Zones, Kinds: f.Site.Kinds, MaxOpen: in.MaxOpen,
-			IdleClose: c.positiveDuration("rules.idle_close", f.Rules.IdleClose, 5*time.Second), LoadInline: true}
-		s.Zone = c.choice(at("zone"), cmp.Or(in.Zone, f.Site.Zones[0]), f.Site.Zones)
-		s.Tick = c.duration(at("tick"), in.Tick, 0)
-		h := fnv.New32a()
-		h.Write([]byte(in.Name))
-		s.Self = int(h.Sum32()) // what matters is that no two have the same: each keeps to servers in an order of its own
-		site.Classes = classes
-		var speaks *ldap.Options
-		switch in.Protocol {
-		case "http":
-		case "ldap":
-			speaks = options
-			if in.Classes == nil {
-				in.Classes = slices.DeleteFunc(slices.Clone(classes), func(n string) bool { return !ldap.Known(n) })
-			}
-			c.ldapClasses(at("classes"), in.Classes, list)
-		default:
-			c.fail(at("protocol"), "%q is none of http, ldap", in.Protocol)
-		}
-		if in.Classes != nil {
-			site.Classes, s.Classes = nil, nil
-			for _, name := range in.Classes {
-				n := c.choice(at("classes"), name, classes)
-				site.Classes, s.Classes = append(site.Classes, name), append(s.Classes, settings.Classes[n])
-			}
-			if len(in.Classes) == 0 {
-				c.fail(at("classes"), "none is named")
-			}
+// addTemplate adds the instances that a template stands for.
+func (c *instanceChecker) addTemplate(key string, t *templateTable) {
+	if t.Count < 1 || t.Count > maxInstances {
+		c.fail(key+".count", "%d: 1 to %d are allowed", t.Count, maxInstances)
+	}
+	for n := range t.Count {
+		if c.err != nil {
+			return
 		}
-		cfg.Instances = append(cfg.Instances, Instance{Name: in.Name, Listen: listen, Source: in.Source, LDAP: speaks, Agent: core.Config{
-			Name: in.Name, Settings: s, Site: site, Margin: cmp.Or(s.Tick, defaultMargin), Weight: cmp.Or(in.Weight, 1)}})
+		instance := t.instanceTable
+		fill := strings.NewReplacer("{n}", strconv.Itoa(t.First+n), "{port}", strconv.Itoa(t.Port+n))
+		instance.Name = fill.Replace(instance.Name)
+		instance.Listen = fill.Replace(instance.Listen)
+		c.add(key, instance)
+	}
+}
+
+// add checks an instance, and adds it. key is its place in the file.
+func (c *instanceChecker) add(key string, t instanceTable) {
+	at := func(field string) string { return key + "." + field }
+	c.applyDefaults(&t, c.Has(at("tick")))
+	if t.Name == "" || strings.ContainsAny(t.Name, " \t\n\"") {
+		c.fail(at("name"), "%q is no name", t.Name)
+	}
+	if twin := c.names[t.Name]; twin != "" {
+		c.fail(at("name"), "%q is there twice (%s)", t.Name, twin)
 	}
-	for i, in := range f.Instance {
-		add(fmt.Sprintf("instance[%d]", i), in)
+	c.names[t.Name] = key
+	listen := c.address(at("listen"), t.Listen)
+	if owner := c.addresses[listen]; owner != "" {
+		c.fail(at("listen"), "%s is %s's already", listen, owner)
 	}
-	for i, tpl := range f.Template {
-		key := fmt.Sprintf("template[%d]", i)
-		if tpl.Count < 1 || tpl.Count > maxInstances {
-			c.fail(key+".count", "%d: 1 to %d are allowed", tpl.Count, maxInstances)
+	c.addresses[listen] = t.Name
+	if t.Source == "" && len(c.file.Source) == 1 {
+		t.Source = c.file.Source[0].Name
+	}
+	if _, ok := c.cfg.Sources[t.Source]; !ok {
+		c.fail(at("source"), "%q is no source", t.Source)
+	}
+	if t.MaxOpen < 0 || t.Weight < 0 {
+		c.fail(at("max_open"), "max_open and weight are not negative")
+	}
+	classes := c.classesOf(t.Source)
+	settings := classes.settings
+	site := wire.Site{
+		Zones:      c.file.Site.Zones,
+		Kinds:      c.file.Site.Kinds,
+		MaxOpen:    t.MaxOpen,
+		IdleClose:  c.positiveDuration("rules.idle_close", c.file.Rules.IdleClose, defaultIdleClose),
+		LoadInline: true,
+		Classes:    classes.names,
+	}
+	settings.Zone = c.choice(at("zone"), cmp.Or(t.Zone, c.file.Site.Zones[0]), c.file.Site.Zones)
+	settings.Tick = c.duration(at("tick"), t.Tick, 0)
+	settings.Self = balancerNumber(t.Name)
+	options := c.protocol(at, &t, classes)
+	if t.Classes != nil {
+		site.Classes = nil
+		settings.Classes = nil
+		for _, name := range t.Classes {
+			n := c.choice(at("classes"), name, classes.names)
+			site.Classes = append(site.Classes, name)
+			settings.Classes = append(settings.Classes, classes.settings.Classes[n])
 		}
-		for n := range tpl.Count {
-			if c.err != nil {
-				return
-			}
-			in := tpl.instanceTable
-			fill := strings.NewReplacer("{n}", strconv.Itoa(tpl.First+n), "{port}", strconv.Itoa(tpl.Port+n))
-			in.Name, in.Listen = fill.Replace(in.Name), fill.Replace(in.Listen)
-			add(key, in)
+		if len(t.Classes) == 0 {
+			c.fail(at("classes"), "none is named")
 		}
 	}
-	switch {
-	case len(cfg.Instances) == 0:
-		c.fail("instance", "at least one [[instance]] or [[template]] is needed")
-	case len(cfg.Instances) > maxInstances:
-		c.fail("instance", "%d in all: %d are allowed", len(cfg.Instances), maxInstances)
+	c.cfg.Instances = append(c.cfg.Instances, Instance{
+		Name:   t.Name,
+		Listen: listen,
+		Source: t.Source,
+		LDAP:   options,
+		Agent: core.Config{
+			Name:     t.Name,
+			Settings: settings,
+			Site:     site,
+			Margin:   cmp.Or(settings.Tick, defaultMargin),
+			Weight:   cmp.Or(t.Weight, 1),
+		},
+	})
+}
+
+// applyDefaults fills what an instance does not say from [defaults].
+func (c *instanceChecker) applyDefaults(t *instanceTable, hasTick bool) {
+	d := &c.file.Defaults
+	t.Protocol = cmp.Or(t.Protocol, d.Protocol, "http")
+	t.Source = cmp.Or(t.Source, d.Source)
+	t.Zone = cmp.Or(t.Zone, d.Zone)
+	t.MaxOpen = cmp.Or(t.MaxOpen, d.MaxOpen)
+	t.Weight = cmp.Or(t.Weight, d.Weight)
+	if t.Classes == nil {
+		t.Classes = d.Classes
 	}
-	if other := listens[cfg.Admin]; other != "" {
-		c.fail("admin", "%s is %s's", cfg.Admin, other)
+	if !hasTick {
+		t.Tick = d.Tick
 	}
-	slices.SortFunc(cfg.Instances, func(a, b Instance) int { return strings.Compare(a.Name, b.Name) })
+}
+
+// classesOf returns the classes that instances of a source may have: its own, if it has a part of the policy.
+func (c *instanceChecker) classesOf(source string) classSet {
+	if c.overlay == nil || c.overlay.applied.part(source) == nil {
+		return c.common
+	}
+	set, known := c.services[source]
+	if !known {
+		set = c.serviceClasses(source)
+		c.services[source] = set
+	}
+	return set
+}
+
+// serviceClasses checks the classes of a service that has a part of the policy.
+func (c *instanceChecker) serviceClasses(service string) classSet {
+	tables, origins := c.overlay.applied.classes(service)
+	c.origins = origins
+	set := c.classes(c.file, tables)
+	for i, class := range set.settings.Classes {
+		if limits := c.cfg.Limits; limits != nil && class.Deadline > limits.MaxAttemptTime {
+			c.fail(fmt.Sprintf("class[%d].deadline", i), "%v is past the longest of the classes for all, %v: limits that the fleet shares are lent for so long", class.Deadline, limits.MaxAttemptTime)
+		}
+	}
+	c.origins = nil
+	return set
+}
+
+// balancerNumber tells the balancers of a fleet apart: each keeps to servers in an order of its own.
+func balancerNumber(name string) int {
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(name)) // never fails
+	return int(h.Sum32())
+}
+
+// protocol checks the protocol of an instance, and the classes of one that speaks LDAP. It returns nil for HTTP.
+func (c *instanceChecker) protocol(at func(field string) string, t *instanceTable, classes classSet) *ldap.Options {
+	switch t.Protocol {
+	case "http":
+		return nil
+	case "ldap":
+		if t.Classes == nil {
+			t.Classes = slices.DeleteFunc(slices.Clone(classes.names), func(name string) bool { return !ldap.Known(name) })
+		}
+		c.ldapClasses(at("classes"), t.Classes, classes.tables)
+		return c.ldap
+	}
+	c.fail(at("protocol"), "%q is none of http, ldap", t.Protocol)
+	return nil
 }
 
 // ldapClasses checks the classes of an instance that speaks LDAP.
-func (c *checker) ldapClasses(key string, names []string, list []classTable) {
-	for _, n := range ldap.Needed {
-		if !slices.Contains(names, n) {
-			c.fail(key, "an instance that speaks LDAP needs a class %q", n)
+func (c *checker) ldapClasses(key string, names []string, tables []classTable) {
+	for _, needed := range ldap.Needed {
+		if !slices.Contains(names, needed) {
+			c.fail(key, "an instance that speaks LDAP needs a class %q", needed)
 		}
 	}
-	for _, n := range names {
-		if !ldap.Known(n) {
-			c.fail(key, "%q is no class of operations of LDAP", n)
+	for _, name := range names {
+		if !ldap.Known(name) {
+			c.fail(key, "%q is no class of operations of LDAP", name)
 		}
-		for _, k := range list {
-			if k.Name == n && k.Effect == "keyed" {
-				c.fail(key, "%q is keyed: operations of LDAP have no key", n)
+		for _, t := range tables {
+			if t.Name == name && t.Effect == "keyed" {
+				c.fail(key, "%q is keyed: operations of LDAP have no key", name)
 			}
 		}
 	}
 }
 
-// ldap reads the table of those that speak LDAP. Its files are read too, so that what can't be used is
-// found before anything changes.
-func (c *checker) ldap(f *fileTables) *ldap.Options {
+// ldapOptions checks [ldap]. Its files are read too, so that what can't be used is found before anything changes.
+func (c *checker) ldapOptions(f *fileTables) *ldap.Options {
 	t := &f.LDAP
 	path := func(p string) string {
-		if p == "" || filepath.IsAbs(p) {
+		if p == "" {
 			return p
 		}
-		return filepath.Join(filepath.Dir(c.Path), p)
+		return c.besideFile(p)
 	}
-	o := &ldap.Options{MostMessage: t.MaxMessage, MostOpen: t.MaxOperations, Shared: t.PerConnection, Idle: c.duration("ldap.idle", t.Idle, 0),
-		Certificate: path(t.Certificate), Key: path(t.Key), LDAPS: t.LDAPS, ServerTLS: t.ServerTLS, ServerCA: path(t.ServerCA), ServerName: t.ServerName}
-	for _, f := range []struct { // in their order: of several mistakes the same one is told each time
-		key string
-		v   int
+	o := &ldap.Options{
+		MostMessage: t.MaxMessage,
+		MostOpen:    t.MaxOperations,
+		Shared:      t.PerConnection,
+		Idle:        c.duration("ldap.idle", t.Idle, 0),
+		Certificate: path(t.Certificate),
+		Key:         path(t.Key),
+		LDAPS:       t.LDAPS,
+		ServerTLS:   t.ServerTLS,
+		ServerCA:    path(t.ServerCA),
+		ServerName:  t.ServerName,
+	}
+	for _, bound := range []struct { // in their order: of several mistakes the same one is reported each time
+		key   string
+		value int
 	}{{"ldap.max_message", t.MaxMessage}, {"ldap.max_operations", t.MaxOperations}, {"ldap.per_connection", t.PerConnection}} {
-		if f.v < 0 {
-			c.fail(f.key, "%d is negative", f.v)
+		if bound.value < 0 {
+			c.fail(bound.key, "%d is negative", bound.value)
 		}
 	}
 	if err := o.Check(); err != nil {
 		c.fail("ldap", "%v", err)
 		return o
 	}
-	sum := fnv.New64a()
+	// An instance is replaced when the content of one of its files has changed.
+	content := fnv.New64a()
 	for _, p := range []string{o.Certificate, o.Key, o.ServerCA} {
-		if p != "" {
-			text, err := os.ReadFile(p)
-			if err != nil {
-				c.fail("ldap", "%v", err)
-			}
-			_, _ = sum.Write(text)
+		if p == "" {
+			continue
+		}
+		text, err := os.ReadFile(p)
+		if err != nil {
+			c.fail("ldap", "%v", err)
 		}
+		_, _ = content.Write(text)
 	}
-	o.Loaded = strconv.FormatUint(sum.Sum64(), 16)
+	o.Loaded = strconv.FormatUint(content.Sum64(), 16)
 	return o
 }
--- a/internal/host/daemonconfig/limits.go
+++ b/internal/host/daemonconfig/limits.go
@@ -7,7 +7,6 @@
 	"strings"
 	"time"
 
-	"vetchhaven/decide"
 	"vetchhaven/decide/quota"
 	"vetchhaven/internal/peer/lease"
 	"vetchhaven/internal/peer/membership"
@@ -20,7 +19,7 @@
 }
 
 // limits checks [[limit]], and what [peers] says of keepers; nil where the file limits nothing.
-func (c *checker) limits(f *fileTables, cfg *Config, s decide.Settings, classes []string) *Limits {
+func (c *checker) limits(f *fileTables, cfg *Config, classes classSet) *Limits {
 	if len(f.Limit) == 0 {
 		return nil
 	}
@@ -43,11 +42,11 @@
 			c.fail(fmt.Sprintf("peers.keepers[%d]", i), "%q is no name of a member, or is there twice", k)
 		}
 	}
-	for _, class := range s.Classes {
+	for _, class := range classes.settings.Classes {
 		l.MaxAttemptTime = max(l.MaxAttemptTime, class.Deadline)
 	}
 	for i := range f.Limit {
-		c.limit(fmt.Sprintf("limit[%d].", i), &f.Limit[i], l, f, classes)
+		c.limit(fmt.Sprintf("limit[%d].", i), &f.Limit[i], l, f, classes.names)
 	}
 	if c.err == nil {
 		if _, err := lease.NewClient(l.Settings, cfg.Peers.Name, 1); err != nil {
--- a/internal/host/daemonconfig/overlay.go
+++ b/internal/host/daemonconfig/overlay.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"reflect"
-	"slices"
 	"strings"
 
 	"vetchhaven/internal/peer/policy"
@@ -41,34 +39,55 @@
 	Reason string
 }
 
-// Overlay is a policy read into its tables, with services' parts of it.
+// Overlay is a policy that is laid over a daemon's file, with the parts of services.
 type Overlay struct {
 	sharedTables
-	file     *tomlfile.File
-	tables   map[string]bool // the tables that it holds
-	name     string
+	file     *tomlfile.File         // of the global part; nil: it has no text
+	tables   map[string]bool        // that the global part holds, by name
+	name     string                 // for errors
 	services []*servicePart         // by name
-	origins  map[string]tableOrigin // tables of lists that come from elsewhere than their place says
+	origins  map[string]tableOrigin // of tables in lists that come from elsewhere than their place says
 	applied  sharedTables           // as it was last laid over a file
 }
 
-// readPolicy reads a policy's text; name is what errors call it.
+// sharedTableNames are the tables that a policy may hold.
+var sharedTableNames = []string{"source", "site", "rules", "class", "limit", "ban", "peers"}
+
+// readPolicy reads the text of the global part; name is what errors call it.
 func readPolicy(name string, body []byte) (*Overlay, error) {
 	o := &Overlay{tables: map[string]bool{}, name: name}
-	var err error
-	if o.file, err = tomlfile.Parse(name, body, &o.sharedTables); err != nil {
+	file, err := tomlfile.Parse(name, body, &o.sharedTables)
+	if err != nil {
 		return nil, err
 	}
-	for part, there := range map[string]bool{"source": o.Source != nil, "site": o.Site != nil, "rules": o.Rules != nil, "class": o.Class != nil,
-		"limit": o.Limit != nil || o.file.Has("limit"), "ban": o.Ban != nil || o.file.Has("ban"), "peers": o.Peers != nil} {
-		if there {
-			o.tables[part] = true
-		}
+	o.file = file
+	for _, table := range sharedTableNames {
+		o.tables[table] = o.hasTable(table)
 	}
 	return o, nil
 }
 
-// applyTo puts a policy's parts in the place of the file's.
+// hasTable reports whether the text has a table. An empty list of limits or bans is there too: it takes the place of the
+// file's.
+func (o *Overlay) hasTable(table string) bool {
+	switch table {
+	case "source":
+		return o.Source != nil
+	case "site":
+		return o.Site != nil
+	case "rules":
+		return o.Rules != nil
+	case "class":
+		return o.Class != nil
+	case "limit":
+		return o.Limit != nil || o.file.Has("limit")
+	case "ban":
+		return o.Ban != nil || o.file.Has("ban")
+	}
+	return o.Peers != nil
+}
+
+// applyTo puts the policy's tables in the place of the file's. It does nothing without a policy (nil).
 func (o *Overlay) applyTo(f *fileTables) error {
 	if o == nil {
 		return nil
@@ -78,15 +97,21 @@
 		return err
 	}
 	o.applied = s
-	f.Source, f.Site, f.Rules, f.Class, f.Limit, f.Ban = s.Source, *s.Site, *s.Rules, s.Class, s.Limit, s.Ban
-	if o.tables["peers"] {
-		if f.Peers == nil {
-			return fmt.Errorf("%s: [peers] is not in this daemon's file", o.name)
-		}
-		in := *f.Peers
-		in.sharedPeers = *s.Peers
-		f.Peers = &in
+	f.Source = s.Source
+	f.Site = *s.Site
+	f.Rules = *s.Rules
+	f.Class = s.Class
+	f.Limit = s.Limit
+	f.Ban = s.Ban
+	if !o.tables["peers"] {
+		return nil
 	}
+	if f.Peers == nil {
+		return fmt.Errorf("%s: [peers] is not in this daemon's file", o.name)
+	}
+	peers := *f.Peers
+	peers.sharedPeers = *s.Peers
+	f.Peers = &peers
 	return nil
 }
 
@@ -95,17 +120,18 @@
 	if o == nil || o.file == nil {
 		return false
 	}
-	part := key
+	table := key
 	if i := strings.IndexAny(key, ".["); i >= 0 {
-		part = key[:i]
+		table = key[:i]
 	}
-	if part == "peers" {
-		return o.tables[part] && o.file.Has(key)
+	if table == "peers" { // of this table the policy holds some keys only
+		return o.tables[table] && o.file.Has(key)
 	}
-	return o.tables[part]
+	return o.tables[table]
 }
 
-// completedBy is a policy with what it does not hold as the daemon's own file has it.
+// completedBy returns the policy's tables, with those that it does not hold as the daemon's file has them. Without a policy
+// (nil) all are the file's.
 func (o *Overlay) completedBy(f *fileTables) sharedTables {
 	s := sharedTables{Source: f.Source, Site: &f.Site, Rules: &f.Rules, Class: f.Class, Limit: f.Limit, Ban: f.Ban}
 	if f.Peers != nil {
@@ -114,105 +140,29 @@
 	if o == nil {
 		return s
 	}
-	for part, take := range map[string]func(){
-		"source": func() { s.Source = o.Source }, "site": func() { s.Site = o.Site }, "rules": func() { s.Rules = o.Rules }, "class": func() { s.Class = o.Class },
-		"limit": func() { s.Limit = o.Limit }, "ban": func() { s.Ban = o.Ban }, "peers": func() { s.Peers = o.Peers }} {
-		if o.tables[part] {
-			take()
-		}
+	if o.tables["source"] {
+		s.Source = o.Source
 	}
-	o.applyServices(&s)
-	return s
-}
-
-// intersect is what two policies both allow: repeats by the stricter rule and the shorter window, the fewer attempts, the lower
-// limits, all servers out that either has out. A member that does not know which of the two is in force serves by it.
-// Where lists, the site, other rules or how limits are shared differ there is no such thing.
-func intersect(a, b sharedTables) (*Overlay, error) {
-	for _, part := range []struct {
-		name string
-		a, b any
-	}{{"source", a.Source, b.Source}, {"site", a.Site, b.Site}, {"peers", a.Peers, b.Peers}} {
-		if !reflect.DeepEqual(part.a, part.b) {
-			return nil, fmt.Errorf("the two policies differ in [%s]", part.name)
-		}
+	if o.tables["site"] {
+		s.Site = o.Site
 	}
-	ra, rb := *a.Rules, *b.Rules
-	r := ra
-	r.MaxAttempts, r.Hedging = fewerAttempts(ra.MaxAttempts, rb.MaxAttempts), ra.Hedging && rb.Hedging
-	ra.MaxAttempts, rb.MaxAttempts, ra.Hedging, rb.Hedging = 0, 0, false, false
-	if !reflect.DeepEqual(ra, rb) {
-		return nil, fmt.Errorf("the two policies differ in [rules]")
+	if o.tables["rules"] {
+		s.Rules = o.Rules
 	}
-	m := sharedTables{Source: a.Source, Site: a.Site, Rules: &r, Peers: a.Peers}
-	for _, x := range a.Class {
-		i := slices.IndexFunc(b.Class, func(y classTable) bool { return y.Name == x.Name })
-		if i >= 0 {
-			m.Class = append(m.Class, intersectClass(x, b.Class[i]))
-		}
+	if o.tables["class"] {
+		s.Class = o.Class
 	}
-	if len(m.Class) == 0 {
-		return nil, fmt.Errorf("the two policies have no class in common")
+	if o.tables["limit"] {
+		s.Limit = o.Limit
 	}
-	for _, x := range a.Limit {
-		if i := slices.IndexFunc(b.Limit, func(y limitTable) bool { return y.Name == x.Name }); i >= 0 {
-			y := b.Limit[i]
-			figure, floor := min(x.Total, y.Total), min(x.Floor, y.Floor)
-			x.Total, x.Floor, y.Total, y.Floor = figure, floor, figure, floor
-			if !reflect.DeepEqual(x, y) {
-				return nil, fmt.Errorf("the two policies count limit %s in different ways", x.Name)
-			}
-		}
-		m.Limit = append(m.Limit, x)
+	if o.tables["ban"] {
+		s.Ban = o.Ban
 	}
-	for _, y := range b.Limit {
-		if !slices.ContainsFunc(a.Limit, func(x limitTable) bool { return x.Name == y.Name }) {
-			m.Limit = append(m.Limit, y)
-		}
-	}
-	m.Limit = slices.DeleteFunc(m.Limit, func(l limitTable) bool { // of a class that only one of them has
-		return l.Class != "" && !slices.ContainsFunc(m.Class, func(c classTable) bool { return c.Name == l.Class })
-	})
-	m.Ban = append(slices.Clone(a.Ban), b.Ban...)
-	services, err := intersectServices(a, b)
-	if err != nil {
-		return nil, err
-	}
-	return &Overlay{sharedTables: m, services: services, name: "what both policies allow",
-		tables: map[string]bool{"source": true, "site": true, "rules": true, "class": true, "limit": true, "ban": true, "peers": m.Peers != nil}}, nil
-}
-
-// fewerAttempts is the lower of two counts of which 0 is the default, 3.
-func fewerAttempts(a, b int) int {
-	if a == 0 {
-		a = 3
-	}
-	if b == 0 {
-		b = 3
-	}
-	return min(a, b)
-}
-
-func intersectClass(a, b classTable) classTable {
-	m := a
-	m.Objective, m.Deadline = shorter(a.Objective, b.Objective), shorter(a.Deadline, b.Deadline)
-	m.Value, m.LateValue = min(a.Value, b.Value), min(a.LateValue, b.LateValue)
-	switch {
-	case a.Effect == b.Effect && a.Effect == "keyed":
-		order := []string{"pod", "zone", "all", ""}
-		m.Scope = order[min(slices.Index(order, a.Scope), slices.Index(order, b.Scope))]
-		m.DedupWindow = shorter(a.DedupWindow, b.DedupWindow)
-	case a.Effect != b.Effect:
-		m.Effect, m.Scope, m.DedupWindow = "unsafe", "", tomlfile.Duration{}
-	}
-	return m
-}
-
-func shorter(a, b tomlfile.Duration) tomlfile.Duration {
-	if b.D() < a.D() {
-		return b
+	if o.tables["peers"] {
+		s.Peers = o.Peers
 	}
-	return a
+	o.applyServices(&s)
+	return s
 }
 
 // Ban is a server that is out of use by the file's or the policy's word.
--- a/internal/host/daemonconfig/peers.go
+++ b/internal/host/daemonconfig/peers.go
@@ -1,9 +1,9 @@
 package daemonconfig
 
 import (
+	"cmp"
 	"fmt"
 	"net/netip"
-	"path/filepath"
 	"time"
 
 	"vetchhaven/internal/peer/ejection"
@@ -11,15 +11,18 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// Peers are how the daemon stands among others; nil: it stands alone.
+// Peers is the daemon's place in its fleet.
 type Peers struct {
-	Fleet, Name, Zone, Region string
-	Listen                    string // udp and tcp
-	Advertise                 string
-	Seeds                     []string
-	Events                    string // a file; empty: none
-	Membership                membership.Settings
-	Ejection                  *ejection.Settings // nil: what members know of servers is not shared
+	Fleet      string
+	Name       string
+	Zone       string
+	Region     string
+	Listen     string // address for datagrams and streams
+	Advertise  string // address at which others reach it
+	Seeds      []string
+	Events     string // a file; empty: none
+	Membership membership.Settings
+	Ejection   *ejection.Settings // nil: what members observe of servers is not shared
 }
 
 // peersTable is [peers] in the file.
@@ -43,75 +46,118 @@
 	sharedPeers
 }
 
-// peers checks [peers]; nil where the file has none.
+// Bounds of [peers].
+const (
+	// minBytesPerSecond is enough for failure detection alone.
+	minBytesPerSecond = 4096
+	// maxMembers is more than any fleet thought of.
+	maxMembers = 100_000
+)
+
+// spanSetting is a setting that is a span, with its bounds.
+type spanSetting struct {
+	key      string // in [peers]
+	value    tomlfile.Duration
+	min, max time.Duration
+	def      time.Duration // where it is not set
+}
+
+// peers checks [peers]; it returns nil if the file has none.
 func (c *checker) peers(f *fileTables) *Peers {
 	if f.Peers == nil {
 		return nil
 	}
-	in := f.Peers
-	at := func(field string) string { return "peers." + field }
-	p := &Peers{Fleet: in.Fleet, Name: in.Name, Zone: in.Zone, Region: in.Region, Listen: in.Listen, Advertise: in.Advertise, Seeds: in.Seeds, Events: in.Events}
-	if !membership.ValidFleet(p.Fleet) {
-		c.fail(at("fleet"), "%q: 1 to 32 printable characters without spaces are allowed", p.Fleet)
+	t := f.Peers
+	p := &Peers{
+		Fleet:     t.Fleet,
+		Name:      t.Name,
+		Zone:      t.Zone,
+		Region:    t.Region,
+		Listen:    t.Listen,
+		Advertise: cmp.Or(t.Advertise, t.Listen),
+		Seeds:     t.Seeds,
+		Events:    t.Events,
 	}
-	if p.Advertise == "" {
-		p.Advertise = p.Listen
+	c.peerAddresses(p)
+	if p.Events != "" {
+		p.Events = c.besideFile(p.Events)
 	}
-	for _, a := range []struct {
-		field, addr string
-	}{{"listen", p.Listen}, {"advertise", p.Advertise}} {
-		c.hostPort(at(a.field), a.addr)
+	p.Membership = c.membership(t, p)
+	if !(t.MaxEjectedShare >= 0 && t.MaxEjectedShare <= 1) { // NaN fails too
+		c.fail("peers.out_most", "%v: a share from 0 to 1 is allowed", t.MaxEjectedShare)
 	}
-	if a, err := netip.ParseAddrPort(p.Advertise); err == nil && a.Addr().IsUnspecified() {
-		c.fail(at("advertise"), "%q: others need an address at which they reach this daemon", p.Advertise)
+	age := c.boundedSpan(spanSetting{"evidence_age", t.MaxEvidenceAge, 2 * time.Second, 10 * time.Minute, ejection.DefaultMaxEvidenceAge})
+	if t.ShareEjections == nil || *t.ShareEjections {
+		p.Ejection = &ejection.Settings{MaxEjectedShare: t.MaxEjectedShare, MaxEvidenceAge: age}
 	}
-	for i, s := range p.Seeds {
-		c.hostPort(fmt.Sprintf("peers.seeds[%d]", i), s)
-	}
-	if p.Events != "" && !filepath.IsAbs(p.Events) {
-		p.Events = filepath.Join(filepath.Dir(c.Path), p.Events)
+	return p
+}
+
+// peerAddresses checks the fleet's name, and the addresses of this daemon and of its seeds.
+func (c *checker) peerAddresses(p *Peers) {
+	if !membership.ValidFleet(p.Fleet) {
+		c.fail("peers.fleet", "%q: 1 to 32 printable characters without spaces are allowed", p.Fleet)
 	}
-	limit := func(field string, d tomlfile.Duration, least, most, instead time.Duration) time.Duration {
-		v := c.positiveDuration(at(field), d, instead)
-		if v < least || v > most {
-			c.fail(at(field), "%v: %v to %v are allowed", v, least, most)
-		}
-		return v
+	c.hostPort("peers.listen", p.Listen)
+	c.hostPort("peers.advertise", p.Advertise)
+	if address, err := netip.ParseAddrPort(p.Advertise); err == nil && address.Addr().IsUnspecified() {
+		c.fail("peers.advertise", "%q: others need an address at which they reach this daemon", p.Advertise)
 	}
-	s := membership.Settings{Name: p.Name, Addr: p.Advertise, Zone: p.Zone, Region: p.Region, Seeds: p.Seeds, BytesPerSecond: in.BytesPerS, RemoteBytesPerSecond: in.RemoteBytesPerS, MaxMembers: in.Members,
-		ProbeInterval:   limit("every", in.ProbeInterval, 20*time.Millisecond, 10*time.Second, membership.DefaultProbeInterval),
-		ProbeTimeout:    limit("direct", in.ProbeTimeout, 5*time.Millisecond, 10*time.Second, membership.DefaultProbeTimeout),
-		IndirectTimeout: limit("indirect", in.IndirectTimeout, 5*time.Millisecond, 10*time.Second, membership.DefaultIndirectTimeout),
-		MinSuspicion:    limit("suspect_least", in.MinSuspicion, 100*time.Millisecond, 5*time.Minute, membership.DefaultMinSuspicion),
-		ReconnectFor:    limit("retry", in.ReconnectFor, time.Minute, 30*24*time.Hour, membership.DefaultReconnectFor)}
-	if in.BytesPerS < 0 || in.BytesPerS > 0 && in.BytesPerS < 4096 {
-		c.fail(at("bytes_per_s"), "%d: at least 4096 are needed", in.BytesPerS)
+	for i, seed := range p.Seeds {
+		c.hostPort(fmt.Sprintf("peers.seeds[%d]", i), seed)
 	}
-	if in.RemoteBytesPerS < 0 || in.RemoteBytesPerS > 0 && in.RemoteBytesPerS < 4096 {
-		c.fail(at("far_bytes_per_s"), "%d: at least 4096 are needed", in.RemoteBytesPerS)
+}
+
+// membership checks the settings of failure detection.
+func (c *checker) membership(t *peersTable, p *Peers) membership.Settings {
+	s := membership.Settings{
+		Name:                 p.Name,
+		Addr:                 p.Advertise,
+		Zone:                 p.Zone,
+		Region:               p.Region,
+		Seeds:                p.Seeds,
+		BytesPerSecond:       t.BytesPerS,
+		RemoteBytesPerSecond: t.RemoteBytesPerS,
+		MaxMembers:           t.Members,
 	}
-	if in.Members < 0 || in.Members > 100_000 {
-		c.fail(at("members"), "%d: up to 100000 are allowed", in.Members)
+	s.ProbeInterval = c.boundedSpan(spanSetting{"every", t.ProbeInterval, 20 * time.Millisecond, 10 * time.Second, membership.DefaultProbeInterval})
+	s.ProbeTimeout = c.boundedSpan(spanSetting{"direct", t.ProbeTimeout, 5 * time.Millisecond, 10 * time.Second, membership.DefaultProbeTimeout})
+	s.IndirectTimeout = c.boundedSpan(spanSetting{"indirect", t.IndirectTimeout, 5 * time.Millisecond, 10 * time.Second, membership.DefaultIndirectTimeout})
+	s.MinSuspicion = c.boundedSpan(spanSetting{"suspect_least", t.MinSuspicion, 100 * time.Millisecond, 5 * time.Minute, membership.DefaultMinSuspicion})
+	s.ReconnectFor = c.boundedSpan(spanSetting{"retry", t.ReconnectFor, time.Minute, 30 * 24 * time.Hour, membership.DefaultReconnectFor})
+	c.bandwidth("peers.bytes_per_s", t.BytesPerS)
+	c.bandwidth("peers.far_bytes_per_s", t.RemoteBytesPerS)
+	if t.Members < 0 || t.Members > maxMembers {
+		c.fail("peers.members", "%d: up to %d are allowed", t.Members, maxMembers)
 	}
-	if c.err == nil {
+	if c.err == nil { // what is left are mistakes in a name or a zone
 		probe := s
-		probe.Boot, probe.RunID = 1, 1
-		if _, err := membership.New(probe, 1); err != nil { // a name, a zone
-			c.fail(at("name"), "%v", err)
+		probe.Boot = 1
+		probe.RunID = 1
+		if _, err := membership.New(probe, 1); err != nil {
+			c.fail("peers.name", "%v", err)
 		}
 	}
-	p.Membership = s
-	if !(in.MaxEjectedShare >= 0 && in.MaxEjectedShare <= 1) {
-		c.fail(at("out_most"), "%v: a share from 0 to 1 is allowed", in.MaxEjectedShare)
+	return s
+}
+
+func (c *checker) boundedSpan(s spanSetting) time.Duration {
+	key := "peers." + s.key
+	span := c.positiveDuration(key, s.value, s.def)
+	if span < s.min || span > s.max {
+		c.fail(key, "%v: %v to %v are allowed", span, s.min, s.max)
 	}
-	age := limit("evidence_age", in.MaxEvidenceAge, 2*time.Second, 10*time.Minute, ejection.DefaultMaxEvidenceAge)
-	if in.ShareEjections == nil || *in.ShareEjections {
-		p.Ejection = &ejection.Settings{MaxEjectedShare: in.MaxEjectedShare, MaxEvidenceAge: age}
+	return span
+}
+
+// bandwidth checks a bound in bytes a second; 0: the default.
+func (c *checker) bandwidth(key string, bytes int) {
+	if bytes < 0 || bytes > 0 && bytes < minBytesPerSecond {
+		c.fail(key, "%d: at least %d are needed", bytes, minBytesPerSecond)
 	}
-	return p
 }
 
-// PeerAddresses is where it listens for exchanges.
+// PeerAddresses returns the addresses at which it listens for streams of peers.
 func (cfg *Config) PeerAddresses() []Address {
 	if cfg.Peers == nil {
 		return nil
--- a/internal/host/daemonconfig/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -130,31 +130,6 @@
 	return all, placed
 }
 
-// intersectServices are, of services that have a part in either policy, the classes that both allow; sources and bans are met
-// with all others.
-func intersectServices(a, b sharedTables) (all []*servicePart, err error) {
-	var names []string
-	for _, p := range slices.Concat(a.services, b.services) {
-		names = append(names, p.name)
-	}
-	slices.Sort(names)
-	for _, name := range slices.Compact(names) {
-		p := &servicePart{name: name, complete: true}
-		as, _ := a.classes(name)
-		bs, _ := b.classes(name)
-		for _, x := range as {
-			if i := slices.IndexFunc(bs, func(y classTable) bool { return y.Name == x.Name }); i >= 0 {
-				p.Class = append(p.Class, intersectClass(x, bs[i]))
-			}
-		}
-		if len(p.Class) == 0 {
-			return nil, fmt.Errorf("the two policies have no class of %s in common", name)
-		}
-		all = append(all, p)
-	}
-	return all, nil
-}
-
 // ReplaceDocuments puts changes in the place of texts.
 func ReplaceDocuments(texts []policy.Document, changes []*policy.Document) []policy.Document {
 	all := slices.Clone(texts)
--- a/internal/host/daemonconfig/tables.go
+++ b/internal/host/daemonconfig/tables.go
@@ -4,6 +4,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
+// fileTables is a daemon's settings file. A key is a tag or, without one, the field's name in any case.
 type fileTables struct {
 	Admin       string
 	StateDir    string            `toml:"state_dir"`
@@ -15,7 +16,7 @@
 	}
 	Restart struct {
 		First   tomlfile.Duration
-		Most    tomlfile.Duration
+		MaxWait tomlfile.Duration `toml:"most"`
 		Healthy tomlfile.Duration
 		GiveUp  int `toml:"give_up"`
 	}
@@ -33,7 +34,7 @@
 	Template []templateTable
 }
 
-// limitTable is [[limit]]: one that the fleet shares.
+// limitTable is [[limit]]: a limit that the fleet shares.
 type limitTable struct {
 	Name      string
 	Counts    string
@@ -47,6 +48,7 @@
 	Partition string `toml:"each"`
 }
 
+// sourceTable is [[source]]: an endpoint list.
 type sourceTable struct {
 	Name      string
 	List      string
@@ -60,12 +62,14 @@
 	Hold      tomlfile.Duration
 }
 
+// siteTable is [site]: what all daemons have to agree on of zones and kinds.
 type siteTable struct {
 	Zones  []string
 	Kinds  []string
 	ByWork bool `toml:"by_work"`
 }
 
+// rulesTable is [rules]: by what the balancers decide.
 type rulesTable struct {
 	Balancers        int
 	MaxAttempts      int               `toml:"max_attempts"`
@@ -82,6 +86,7 @@
 	MaxRetryAfter    tomlfile.Duration `toml:"max_retry_after"`
 }
 
+// classTable is [[class]]: a class of requests.
 type classTable struct {
 	Name        string
 	Objective   tomlfile.Duration `toml:"aim"`
@@ -93,7 +98,7 @@
 	DedupWindow tomlfile.Duration `toml:"window"`
 }
 
-// ldapTable is for all instances that speak LDAP.
+// ldapTable is [ldap]: for all instances that speak LDAP.
 type ldapTable struct {
 	MaxMessage    int `toml:"max_message"`
 	MaxOperations int `toml:"max_operations"`
@@ -107,6 +112,7 @@
 	ServerName    string `toml:"server_name"`
 }
 
+// instanceTable is [[instance]], and [defaults] for all of them.
 type instanceTable struct {
 	Name     string
 	Protocol string
@@ -119,7 +125,8 @@
 	Weight   float64
 }
 
-// templateTable stands for many instances: {n} counts from first, {port} from port.
+// templateTable is [[template]]: it stands for many instances. In names and addresses {n} counts from first, {port} from
+// port.
 type templateTable struct {
 	instanceTable
 	Count int
