--- a/internal/host/daemonconfig/checker.go
+++ b/internal/host/daemonconfig/checker.go
@@ -11,22 +11,25 @@
 	"vetchhaven/internal/tomlfile"
 )
 
+// checker checks tables, and keeps the first mistake.
 type checker struct {
-	*tomlfile.File
-	overlay *Overlay               // a policy, of which some keys are; nil: none
-	origins map[string]tableOrigin // of the classes of the service that is looked at
-	err     error
+	*tomlfile.File                        // the daemon's file
+	overlay        *Overlay               // the policy over it; nil: none
+	origins        map[string]tableOrigin // of the classes of the service that is being checked
+	err            error
 }
 
-// locate is where a key stands, and by which key there: in the daemon's file, in the part of the policy for all, or in a service's.
+// locate returns in which file a key is, and by which key there: in the daemon's file, in the global part of the policy, or in a
+// service's part.
 func (c *checker) locate(key string) (*tomlfile.File, string) {
 	if end := strings.Index(key, "]"); end >= 0 {
-		at, ok := c.origins[key[:end+1]]
+		table, rest := key[:end+1], key[end+1:]
+		origin, ok := c.origins[table]
 		if !ok && c.overlay != nil {
-			at, ok = c.overlay.origins[key[:end+1]]
+			origin, ok = c.overlay.origins[table]
 		}
-		if ok && at.file != nil {
-			return at.file, at.key + key[end+1:]
+		if ok && origin.file != nil {
+			return origin.file, origin.key + rest
 		}
 	}
 	if c.overlay.hasKey(key) {
@@ -37,35 +40,39 @@
 
 // Has reports whether a key is set.
 func (c *checker) Has(key string) bool {
-	file, at := c.locate(key)
-	return file.Has(at)
+	file, located := c.locate(key)
+	return file.Has(located)
 }
 
+// fail records a mistake at a key, unless there is one already.
 func (c *checker) fail(key, format string, args ...any) {
 	if c.err == nil {
-		file, at := c.locate(key)
-		c.err = file.Errorf(at, format, args...)
+		file, located := c.locate(key)
+		c.err = file.Errorf(located, format, args...)
 	}
 }
 
-func (c *checker) duration(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
+// duration returns a span that is not negative, or the default if the key is not set.
+func (c *checker) duration(key string, d tomlfile.Duration, defaultSpan time.Duration) time.Duration {
 	if d.D() < 0 {
 		c.fail(key, "%v is negative", d)
 	}
 	if d.D() == 0 && !c.Has(key) {
-		return instead
+		return defaultSpan
 	}
 	return d.D()
 }
 
-func (c *checker) positiveDuration(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
-	v := c.duration(key, d, instead)
-	if v <= 0 {
-		c.fail(key, "%v: a time above 0 is needed", v)
+// positiveDuration is duration, and 0 is a mistake.
+func (c *checker) positiveDuration(key string, d tomlfile.Duration, defaultSpan time.Duration) time.Duration {
+	span := c.duration(key, d, defaultSpan)
+	if span <= 0 {
+		c.fail(key, "%v: a time above 0 is needed", span)
 	}
-	return v
+	return span
 }
 
+// choice returns the index of a name among those that are known; of an unknown one, which is a mistake, 0.
 func (c *checker) choice(key, name string, known []string) int {
 	i := slices.Index(known, name)
 	if i < 0 {
@@ -75,11 +82,14 @@
 	return i
 }
 
+// maxUnixPathBytes is what the path of a Unix socket may have on every system (unix(7): 108 with its end on Linux).
+const maxUnixPathBytes = 100
+
 // address reads "127.0.0.1:80", "tcp:127.0.0.1:80" or "unix:/path".
 func (c *checker) address(key, text string) Address {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
-		if path == "" || len(path) > 100 {
-			c.fail(key, "%q: a path of 1 to 100 bytes is needed", text)
+		if path == "" || len(path) > maxUnixPathBytes {
+			c.fail(key, "%q: a path of 1 to %d bytes is needed", text, maxUnixPathBytes)
 		}
 		return Address{"unix", path}
 	}
@@ -88,19 +98,30 @@
 	return Address{"tcp", text}
 }
 
+// hostPort checks an IP address with a port.
 func (c *checker) hostPort(key, text string) {
 	if text == "" {
 		c.fail(key, "missing: an address such as 127.0.0.1:7000 is needed")
 		return
 	}
+	if err := checkHostPort(text); err != nil {
+		c.fail(key, "%q: %v", text, err)
+	}
+}
+
+// maxPort is the highest port of TCP and UDP.
+const maxPort = 1<<16 - 1
+
+func checkHostPort(text string) error {
 	host, port, err := net.SplitHostPort(text)
-	if err == nil && net.ParseIP(host) == nil {
-		err = fmt.Errorf("%q is not an IP address", host)
+	if err != nil {
+		return err
 	}
-	if n, bad := strconv.Atoi(port); err == nil && (bad != nil || n < 1 || n > 65535) {
-		err = fmt.Errorf("%q is no port", port)
+	if net.ParseIP(host) == nil {
+		return fmt.Errorf("%q is not an IP address", host)
 	}
-	if err != nil {
-		c.fail(key, "%q: %v", text, err)
+	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > maxPort {
+		return fmt.Errorf("%q is no port", port)
 	}
+	return nil
 }
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -155,7 +155,7 @@
 	c := &checker{File: file, overlay: overlay}
 	cfg := &Config{Path: file.Path, StateDir: f.StateDir, Sources: map[string]Source{}, MemoryMB: f.Limits.MemoryMB}
 	if f.StateDir != "" {
-		cfg.StateDir = c.besideFile(f.StateDir)
+		cfg.StateDir = c.resolvePath(f.StateDir)
 	}
 	c.process(f, cfg)
 	for i := range f.Source {
@@ -186,8 +186,8 @@
 	return cfg, nil
 }
 
-// besideFile returns a path that is relative to the file's folder.
-func (c *checker) besideFile(path string) string {
+// resolvePath returns a path of the file; a relative one is below the file's folder.
+func (c *checker) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/host/daemonconfig/instances.go
+++ b/internal/host/daemonconfig/instances.go
@@ -10,6 +10,7 @@
 	"strings"
 	"time"
 
+	"vetchhaven/decide"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/ldap"
 	"vetchhaven/internal/wire"
@@ -121,16 +122,7 @@
 	settings.Self = balancerNumber(t.Name)
 	options := c.protocol(at, &t, classes)
 	if t.Classes != nil {
-		site.Classes = nil
-		settings.Classes = nil
-		for _, name := range t.Classes {
-			n := c.choice(at("classes"), name, classes.names)
-			site.Classes = append(site.Classes, name)
-			settings.Classes = append(settings.Classes, classes.settings.Classes[n])
-		}
-		if len(t.Classes) == 0 {
-			c.fail(at("classes"), "none is named")
-		}
+		site.Classes, settings.Classes = c.selectClasses(at("classes"), t.Classes, classes)
 	}
 	c.cfg.Instances = append(c.cfg.Instances, Instance{
 		Name:   t.Name,
@@ -147,6 +139,19 @@
 	})
 }
 
+// selectClasses returns the names and settings of the classes that an instance names.
+func (c *instanceChecker) selectClasses(key string, names []string, all classSet) (selected []string, settings []decide.Class) {
+	for _, name := range names {
+		n := c.choice(key, name, all.names)
+		selected = append(selected, name)
+		settings = append(settings, all.settings.Classes[n])
+	}
+	if len(names) == 0 {
+		c.fail(key, "none is named")
+	}
+	return selected, settings
+}
+
 // applyDefaults fills what an instance does not say from [defaults].
 func (c *instanceChecker) applyDefaults(t *instanceTable, hasTick bool) {
 	d := &c.file.Defaults
@@ -239,7 +244,7 @@
 		if p == "" {
 			return p
 		}
-		return c.besideFile(p)
+		return c.resolvePath(p)
 	}
 	o := &ldap.Options{
 		MostMessage: t.MaxMessage,
--- a/internal/host/daemonconfig/limits.go
+++ b/internal/host/daemonconfig/limits.go
@@ -1,6 +1,7 @@
 package daemonconfig
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
@@ -12,13 +13,23 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Limits are those that the fleet shares.
+// Limits are the limits that the fleet shares.
 type Limits struct {
 	lease.Settings
 	classes []string // of each limit; empty: all
 }
 
-// limits checks [[limit]], and what [peers] says of keepers; nil where the file limits nothing.
+// Bounds of [[limit]], and of what [peers] says of lease servers.
+const (
+	minLeaseTerm       = time.Second
+	maxLeaseTerm       = time.Minute
+	maxLeaseServers    = 16
+	maxClockDrift      = 0.2
+	maxLimitNameLength = 40
+	maxLimitTotal      = 10_000_000
+)
+
+// limits checks [[limit]], and what [peers] says of lease servers; it returns nil if the file limits nothing.
 func (c *checker) limits(f *fileTables, cfg *Config, classes classSet) *Limits {
 	if len(f.Limit) == 0 {
 		return nil
@@ -27,26 +38,16 @@
 		c.fail("limit[0]", "limits that the fleet shares need [peers]")
 		return nil
 	}
-	l := &Limits{Settings: lease.Settings{Servers: f.Peers.LeaseServers, ClockDrift: f.Peers.Drift}}
-	if l.Term = c.positiveDuration("peers.term", f.Peers.LeaseTerm, lease.DefaultTerm); l.Term < time.Second || l.Term > time.Minute {
-		c.fail("peers.term", "%v: 1s to 1m are allowed", l.Term)
-	}
-	if !(l.ClockDrift >= 0 && l.ClockDrift <= 0.2) {
-		c.fail("peers.drift", "%v: 0 to 0.2 are allowed", l.ClockDrift)
-	}
-	if n := len(l.Servers); n == 0 || n > 16 {
-		c.fail("peers.keepers", "%d keepers: 1 to 16 members are to be named", n)
-	}
-	for i, k := range l.Servers {
-		if !membership.ValidName(k) || slices.Index(l.Servers, k) != i {
-			c.fail(fmt.Sprintf("peers.keepers[%d]", i), "%q is no name of a member, or is there twice", k)
-		}
-	}
+	l := &Limits{Settings: c.leaseSettings(f.Peers)}
 	for _, class := range classes.settings.Classes {
 		l.MaxAttemptTime = max(l.MaxAttemptTime, class.Deadline)
 	}
 	for i := range f.Limit {
-		c.limit(fmt.Sprintf("limit[%d].", i), &f.Limit[i], l, f, classes.names)
+		t := &f.Limit[i]
+		limit := c.limit(fmt.Sprintf("limit[%d].", i), t, l.Limits)
+		c.limitScope(fmt.Sprintf("limit[%d].", i), t, &limit, classes.names, f.Site.Zones)
+		l.Limits = append(l.Limits, limit)
+		l.classes = append(l.classes, t.Class)
 	}
 	if c.err == nil {
 		if _, err := lease.NewClient(l.Settings, cfg.Peers.Name, 1); err != nil {
@@ -56,65 +57,102 @@
 	return l
 }
 
-func (c *checker) limit(at string, in *limitTable, l *Limits, f *fileTables, classes []string) {
-	one := lease.Limit{Limit: quota.Limit{Name: in.Name, Class: -1, Zone: -1, Cell: -1, Server: in.Server}, Total: in.Total, FloorShare: in.Floor}
-	if in.Name == "" || strings.ContainsAny(in.Name, " \t\r\n\"") || len(in.Name) > 40 || slices.ContainsFunc(l.Limits, func(o lease.Limit) bool { return o.Name == in.Name }) {
-		c.fail(at+"name", "%q: 1 to 40 characters without spaces or quotes, and each once", in.Name)
+// leaseSettings checks what [peers] says of lease servers.
+func (c *checker) leaseSettings(t *peersTable) lease.Settings {
+	s := lease.Settings{
+		Servers:    t.LeaseServers,
+		ClockDrift: t.Drift,
+		Term:       c.positiveDuration("peers.term", t.LeaseTerm, lease.DefaultTerm),
+	}
+	if s.Term < minLeaseTerm || s.Term > maxLeaseTerm {
+		c.fail("peers.term", "%v: 1s to 1m are allowed", s.Term)
 	}
-	one.Kind = quota.Kind(c.choice(at+"counts", in.Counts, quota.KindNames))
-	one.Hard = c.choice(at+"kind", in.Kind, []string{"hard", "soft"}) == 0
-	if in.Total < 1 || in.Total > 10_000_000 {
-		c.fail(at+"figure", "%d: 1 to 10000000 are allowed", in.Total)
+	if !(s.ClockDrift >= 0 && s.ClockDrift <= maxClockDrift) { // NaN fails too
+		c.fail("peers.drift", "%v: 0 to %v are allowed", s.ClockDrift, maxClockDrift)
 	}
-	if in.Floor != 0 && one.Hard || !(in.Floor >= 0 && in.Floor <= 1) {
-		c.fail(at+"floor", "%v: a share, and of a soft limit: nothing can be promised of a hard one that is cut off", in.Floor)
+	if n := len(s.Servers); n == 0 || n > maxLeaseServers {
+		c.fail("peers.keepers", "%d keepers: 1 to %d members are to be named", n, maxLeaseServers)
 	}
+	for i, name := range s.Servers {
+		if !membership.ValidName(name) || slices.Index(s.Servers, name) != i {
+			c.fail(fmt.Sprintf("peers.keepers[%d]", i), "%q is no name of a member, or is there twice", name)
+		}
+	}
+	return s
+}
+
+// limit checks what a limit counts, and its figures. key is its place in the file; before are the limits before it.
+func (c *checker) limit(key string, t *limitTable, before []lease.Limit) lease.Limit {
+	isTwin := func(other lease.Limit) bool { return other.Name == t.Name }
+	if t.Name == "" || len(t.Name) > maxLimitNameLength || strings.ContainsAny(t.Name, " \t\r\n\"") || slices.ContainsFunc(before, isTwin) {
+		c.fail(key+"name", "%q: 1 to %d characters without spaces or quotes, and each once", t.Name, maxLimitNameLength)
+	}
+	limit := lease.Limit{
+		Limit:      quota.Limit{Name: t.Name, Class: -1, Zone: -1, Cell: -1, Server: t.Server},
+		Total:      t.Total,
+		FloorShare: t.Floor,
+	}
+	limit.Kind = quota.Kind(c.choice(key+"counts", t.Counts, quota.KindNames))
+	limit.Hard = c.choice(key+"kind", t.Kind, []string{"hard", "soft"}) == 0
+	if t.Total < 1 || t.Total > maxLimitTotal {
+		c.fail(key+"figure", "%d: 1 to %d are allowed", t.Total, maxLimitTotal)
+	}
+	if t.Floor != 0 && limit.Hard || !(t.Floor >= 0 && t.Floor <= 1) { // NaN fails too
+		c.fail(key+"floor", "%v: a share, and of a soft limit: nothing can be promised of a hard one that is cut off", t.Floor)
+	}
+	return limit
+}
+
+// limitScope checks to which requests a limit applies.
+func (c *checker) limitScope(key string, t *limitTable, limit *lease.Limit, classes, zones []string) {
 	var scope []string
-	of := func(key, value string) { scope = append(scope, key+" "+value) }
-	if in.Class != "" {
-		of("class", in.Class)
-		if !slices.Contains(classes, in.Class) {
-			c.fail(at+"class", "%q is none of the classes %s", in.Class, strings.Join(classes, ", "))
+	if t.Class != "" {
+		scope = append(scope, "class "+t.Class)
+		if !slices.Contains(classes, t.Class) {
+			c.fail(key+"class", "%q is none of the classes %s", t.Class, strings.Join(classes, ", "))
 		}
 	}
-	if in.Zone != "" {
-		of("zone", in.Zone)
-		if one.Zone = slices.Index(f.Site.Zones, in.Zone); one.Zone < 0 {
-			c.fail(at+"zone", "%q is none of the zones %s", in.Zone, strings.Join(f.Site.Zones, ", "))
+	if t.Zone != "" {
+		scope = append(scope, "zone "+t.Zone)
+		limit.Zone = slices.Index(zones, t.Zone)
+		if limit.Zone < 0 {
+			c.fail(key+"zone", "%q is none of the zones %s", t.Zone, strings.Join(zones, ", "))
 		}
 	}
-	if in.Pod != nil {
-		of("pod", fmt.Sprint(*in.Pod))
-		one.Cell = *in.Pod
-		if one.Cell < 0 {
-			c.fail(at+"pod", "%d is negative", one.Cell)
+	if t.Pod != nil {
+		scope = append(scope, fmt.Sprintf("pod %d", *t.Pod))
+		limit.Cell = *t.Pod
+		if limit.Cell < 0 {
+			c.fail(key+"pod", "%d is negative", limit.Cell)
 		}
 	}
-	if in.Server != "" {
-		of("server", in.Server)
+	if t.Server != "" {
+		scope = append(scope, "server "+t.Server)
 	}
-	if in.Partition != "" {
-		of("each", in.Partition)
-		one.Partition = quota.Partition(1 + c.choice(at+"each", in.Partition, []string{"server", "zone", "pod"}))
+	if t.Partition != "" {
+		scope = append(scope, "each "+t.Partition)
+		limit.Partition = quota.Partition(1 + c.choice(key+"each", t.Partition, []string{"server", "zone", "pod"}))
 	}
-	one.Scope = strings.Join(scope, ", ")
-	l.Limits = append(l.Limits, one)
-	l.classes = append(l.classes, in.Class)
+	limit.Scope = strings.Join(scope, ", ")
 }
 
-// ForInstance are the limits in the terms of an instance's settings. One of a class that it does not take falls on nothing.
+// noClass is the class of a limit that applies to none of an instance's classes.
+const noClass = math.MaxInt32
+
+// ForInstance returns the limits in the terms of an instance's settings.
 func (l *Limits) ForInstance(i *Instance) []quota.Limit {
-	var all []quota.Limit
-	for n, one := range l.Limits {
-		r := one.Limit
-		if l.classes[n] != "" {
-			if r.Class = slices.Index(i.Agent.Site.Classes, l.classes[n]); r.Class < 0 {
-				r.Class = math.MaxInt32
+	var limits []quota.Limit
+	for n := range l.Limits {
+		limit := l.Limits[n].Limit
+		if class := l.classes[n]; class != "" {
+			limit.Class = slices.Index(i.Agent.Site.Classes, class)
+			if limit.Class < 0 {
+				limit.Class = noClass
 			}
 		}
-		all = append(all, r)
+		limits = append(limits, limit)
 	}
-	return all
+	return limits
 }
 
 // LimitSummary is what a file says of a limit, and what follows from it.
@@ -122,40 +160,48 @@
 	Name           string   `json:"name"`
 	Counts         string   `json:"counts"`
 	Scope          string   `json:"scope"`
-	Kind           string   `json:"kind"`
+	Kind           string   `json:"kind"` // hard or soft
 	Figure         int      `json:"figure"`
-	Max            int      `json:"most"`       // ever, of all agents together
-	MaxLeased      int      `json:"most_lent"`  // of that, by rights
-	MaxFloors      int      `json:"most_floor"` // and by floors of agents that no keeper reaches
-	IsolatedAmount string   `json:"alone"`      // what an agent may use that no keeper reaches
-	Servers        []string `json:"keepers"`    // and what each lends
-	TermSeconds    float64  `json:"term_s"`     // rights that are cut off lapse within it
-	ReclaimSeconds float64  `json:"back_s"`     // and are lent to others after it
+	Max            int      `json:"most"`       // that all agents together ever use
+	MaxLeased      int      `json:"most_lent"`  // of that, by leases
+	MaxFloors      int      `json:"most_floor"` // and by floors of agents that reach no lease server
+	IsolatedAmount string   `json:"alone"`      // that an agent may use which reaches no lease server
+	Servers        []string `json:"keepers"`    // the lease servers, with their shares
+	TermSeconds    float64  `json:"term_s"`     // within which leases of an isolated agent expire
+	ReclaimSeconds float64  `json:"back_s"`     // after which they are granted to others
 }
 
-// Summary is what follows from the file, with so many agents.
+// Summary returns what follows from the file for each limit, with a number of agents.
 func (l *Limits) Summary(agents int) []LimitSummary {
-	var all []LimitSummary
-	for _, one := range l.Limits {
-		b := l.Bounds(one, agents)
-		s := LimitSummary{Name: one.Name, Counts: one.Kind.String(), Scope: one.Scope, Kind: "soft", Figure: one.Total, Max: b.Max, MaxLeased: b.MaxLeased, MaxFloors: b.MaxFloors,
-			IsolatedAmount: "nothing", TermSeconds: b.Term.Seconds(), ReclaimSeconds: b.Reclaim.Seconds()}
-		if one.Scope == "" {
-			s.Scope = "all"
+	var summaries []LimitSummary
+	for _, limit := range l.Limits {
+		bounds := l.Bounds(limit, agents)
+		s := LimitSummary{
+			Name:           limit.Name,
+			Counts:         limit.Kind.String(),
+			Scope:          cmp.Or(limit.Scope, "all"),
+			Kind:           "soft",
+			Figure:         limit.Total,
+			Max:            bounds.Max,
+			MaxLeased:      bounds.MaxLeased,
+			MaxFloors:      bounds.MaxFloors,
+			IsolatedAmount: "nothing",
+			TermSeconds:    bounds.Term.Seconds(),
+			ReclaimSeconds: bounds.Reclaim.Seconds(),
 		}
-		if one.Hard {
+		if limit.Hard {
 			s.Kind = "hard"
 		}
 		switch {
-		case b.IsolatedAmount > 0 && !one.Kind.IsRate():
-			s.IsolatedAmount = fmt.Sprint(b.IsolatedAmount)
-		case b.IsolatedAmount > 0:
-			s.IsolatedAmount = fmt.Sprintf("%d in %v", b.IsolatedAmount, b.IsolatedSpan.Round(10*time.Millisecond))
+		case bounds.IsolatedAmount > 0 && !limit.Kind.IsRate():
+			s.IsolatedAmount = fmt.Sprint(bounds.IsolatedAmount)
+		case bounds.IsolatedAmount > 0:
+			s.IsolatedAmount = fmt.Sprintf("%d in %v", bounds.IsolatedAmount, bounds.IsolatedSpan.Round(10*time.Millisecond))
 		}
-		for k, part := range b.Shares {
-			s.Servers = append(s.Servers, fmt.Sprintf("%s %d", l.Settings.Servers[k], part))
+		for i, share := range bounds.Shares {
+			s.Servers = append(s.Servers, fmt.Sprintf("%s %d", l.Settings.Servers[i], share))
 		}
-		all = append(all, s)
+		summaries = append(summaries, s)
 	}
-	return all
+	return summaries
 }
--- a/internal/host/daemonconfig/overlay.go
+++ b/internal/host/daemonconfig/overlay.go
@@ -165,27 +165,31 @@
 	return s
 }
 
-// Ban is a server that is out of use by the file's or the policy's word.
-type Ban struct{ Server, Source, Reason string }
+// Ban is a server that the file or the policy takes out of use.
+type Ban struct {
+	Server string
+	Source string // empty: of all sources
+	Reason string
+}
 
 // bans checks [[ban]].
 func (c *checker) bans(f *fileTables, cfg *Config) {
-	for i, b := range f.Ban {
+	for i, ban := range f.Ban {
 		at := fmt.Sprintf("ban[%d].", i)
-		if b.Server == "" {
+		if ban.Server == "" {
 			c.fail(at+"server", "missing")
 		}
-		if _, ok := cfg.Sources[b.Source]; b.Source != "" && !ok {
-			c.fail(at+"source", "%q is no source", b.Source)
+		if _, ok := cfg.Sources[ban.Source]; ban.Source != "" && !ok {
+			c.fail(at+"source", "%q is no source", ban.Source)
 		}
-		cfg.Bans = append(cfg.Bans, Ban(b))
+		cfg.Bans = append(cfg.Bans, Ban(ban))
 	}
 }
 
-// PolicySettings is how the daemon agrees with others on what it decides by.
+// PolicySettings is how the daemon agrees with others on a policy.
 type PolicySettings struct {
-	policy.Settings // but for name, life and check
-	WitnessDir      string
+	policy.Settings        // but for what the daemon adds: name, run ID, check, handoff and parts
+	WitnessDir      string // of the policy's store; empty: none
 }
 
 // policyTable is [policy] in the file.
@@ -200,38 +204,42 @@
 	WitnessDir      string `toml:"witness"`
 }
 
-// policy checks [policy]; nil where the file has none.
+// policy checks [policy]; it returns nil if the file has none.
 func (c *checker) policy(f *fileTables, cfg *Config) *PolicySettings {
-	in := f.Policy
-	if in == nil {
+	t := f.Policy
+	if t == nil {
 		return nil
 	}
-	a := &PolicySettings{WitnessDir: in.WitnessDir}
 	if f.Peers == nil {
 		c.fail("policy", "a policy is agreed on with [peers]")
 	}
 	if cfg.StateDir == "" {
 		c.fail("policy", "what was agreed on is kept in state_dir, which is missing")
 	}
-	a.Voters = in.Voters
-	a.StopWhenIsolated = c.choice("policy.cut_off", in.WhenIsolated, []string{"stops", "vetoes"}) == 0
-	a.ServeLastKnown = in.Standalone != "" && c.choice("policy.when_alone", in.Standalone, []string{"none", "last"}) == 1
-	a.Lease, a.PrepareTimeout, a.StandaloneAfter = c.positiveDuration("policy.lease", in.Lease, policy.DefaultLease), c.positiveDuration("policy.within", in.PrepareTimeout, policy.DefaultPrepareTimeout), c.positiveDuration("policy.alone_after", in.StandaloneAfter, policy.DefaultStandaloneAfter)
-	if a.ClockDrift = in.Drift; !(a.ClockDrift >= 0 && a.ClockDrift <= 0.2) {
-		c.fail("policy.drift", "%v: 0 to 0.2 are allowed", a.ClockDrift)
+	p := &PolicySettings{WitnessDir: t.WitnessDir}
+	p.Voters = t.Voters
+	p.StopWhenIsolated = c.choice("policy.cut_off", t.WhenIsolated, []string{"stops", "vetoes"}) == 0
+	p.ServeLastKnown = t.Standalone != "" && c.choice("policy.when_alone", t.Standalone, []string{"none", "last"}) == 1
+	p.Lease = c.positiveDuration("policy.lease", t.Lease, policy.DefaultLease)
+	p.PrepareTimeout = c.positiveDuration("policy.within", t.PrepareTimeout, policy.DefaultPrepareTimeout)
+	p.StandaloneAfter = c.positiveDuration("policy.alone_after", t.StandaloneAfter, policy.DefaultStandaloneAfter)
+	p.ClockDrift = t.Drift
+	if !(p.ClockDrift >= 0 && p.ClockDrift <= maxClockDrift) { // NaN fails too
+		c.fail("policy.drift", "%v: 0 to %v are allowed", p.ClockDrift, maxClockDrift)
 	}
 	if n := len(cfg.HeldParts()); n > policy.MaxPartsPerMember {
 		c.fail("instance", "they have %d sources: with [policy] up to %d are allowed", n, policy.MaxPartsPerMember)
 	}
-	if n := len(a.Voters); n != 1 && n != 3 && n != 5 {
+	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		c.fail("policy.voters", "%d voters: 1, 3 or 5 members are to be named", n)
 	}
-	if c.err == nil {
-		probe := a.Settings
-		probe.Name, probe.RunID = f.Peers.Name, 1
+	if c.err == nil { // what is left are mistakes that the policy's module finds
+		probe := p.Settings
+		probe.Name = f.Peers.Name
+		probe.RunID = 1
 		if _, err := policy.New(probe, policy.StoredState{}, 1); err != nil {
 			c.fail("policy", "%v", err)
 		}
 	}
-	return a
+	return p
 }
--- a/internal/host/daemonconfig/peers.go
+++ b/internal/host/daemonconfig/peers.go
@@ -80,7 +80,7 @@
 	}
 	c.peerAddresses(p)
 	if p.Events != "" {
-		p.Events = c.besideFile(p.Events)
+		p.Events = c.resolvePath(p.Events)
 	}
 	p.Membership = c.membership(t, p)
 	if !(t.MaxEjectedShare >= 0 && t.MaxEjectedShare <= 1) { // NaN fails too
--- a/internal/host/daemonconfig/rules.go
+++ b/internal/host/daemonconfig/rules.go
@@ -19,9 +19,9 @@
 	defaultOverloadWindow = time.Second
 
 	// The weights of the balancer's goals, which sum up to 1: see decide.Settings.
-	goalWhole  = 0.45
-	goalWindow = 0.35
-	goalClass  = 0.2
+	goalOverall = 0.45
+	goalWindow  = 0.35
+	goalClass   = 0.2
 )
 
 // classSet is the classes of requests that instances may have, with the settings that all of them share.
@@ -62,7 +62,7 @@
 		SlowStartTime:    c.duration("rules.ramp_time", r.SlowStartTime, 0),
 		OverloadMultiple: r.OverloadMultiple,
 		OverloadWindow:   c.duration("rules.fall_window", r.OverloadWindow, defaultOverloadWindow),
-		GoalWhole:        goalWhole,
+		GoalWhole:        goalOverall,
 		GoalWindow:       goalWindow,
 		GoalClass:        goalClass,
 		CrossZonePrice:   r.CrossZonePrice,
--- a/internal/host/daemonconfig/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -1,6 +1,7 @@
 package daemonconfig
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strings"
@@ -9,143 +10,149 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// servicePart is a service's part of the policy: its source, classes that only requests of its instances have, and servers
-// of it that are out. A service is what a source names; a daemon holds the parts of the sources of its instances.
+// servicePart is a service's part of the policy: its source, classes that only requests of its instances have, and bans of its
+// servers. A service is what a source names; a daemon holds the parts of the sources of its instances.
 type servicePart struct {
-	name     string
-	file     *tomlfile.File
+	name     string         // of the service
+	file     *tomlfile.File // nil: it was made of two policies
 	Source   []sourceTable
 	Class    []classTable
 	Ban      []banTable
-	complete bool // its classes are all that the service has: what two policies both allow
+	complete bool // the service has no classes besides: those of what two policies both allow
 }
 
-// tableOrigin is where a table of a list comes from; file nil: from the file or the part for all, where key says.
+// tableOrigin is where a table in a list comes from. file is nil for the daemon's file and the global part.
 type tableOrigin struct {
 	file *tomlfile.File
 	key  string
 }
 
-// readServicePart reads a service's part. What is in it is the service's alone, so that two parts never touch the same thing.
+// readServicePart reads the text of a service's part. All of it is the service's alone, so that two parts never change the
+// same thing.
 func readServicePart(name, service string, body []byte) (*servicePart, error) {
-	p := &servicePart{name: service}
-	var in struct {
+	var tables struct {
 		Source []sourceTable
 		Class  []classTable
 		Ban    []banTable
 	}
-	var err error
-	if p.file, err = tomlfile.Parse(name, body, &in); err != nil {
+	file, err := tomlfile.Parse(name, body, &tables)
+	if err != nil {
 		return nil, err
 	}
-	p.Source, p.Class, p.Ban = in.Source, in.Class, in.Ban
+	p := &servicePart{name: service, file: file, Source: tables.Source, Class: tables.Class, Ban: tables.Ban}
 	for i := range p.Source {
-		s, at := &p.Source[i], fmt.Sprintf("source[%d].name", i)
-		if s.Name == "" {
-			s.Name = service
-		}
-		if s.Name != service || i > 0 {
-			return nil, p.file.Errorf(at, "%q: the part of %s has one source at the most, which has its name or none", s.Name, service)
+		source := &p.Source[i]
+		source.Name = cmp.Or(source.Name, service)
+		if source.Name != service || i > 0 {
+			return nil, file.Errorf(fmt.Sprintf("source[%d].name", i), "%q: the part of %s has one source at the most, which has its name or none", source.Name, service)
 		}
 	}
 	for i := range p.Ban {
-		b, at := &p.Ban[i], fmt.Sprintf("ban[%d].source", i)
-		if b.Source == "" {
-			b.Source = service
-		}
-		if b.Source != service {
-			return nil, p.file.Errorf(at, "%q: the part of %s bans servers of its own source", b.Source, service)
+		ban := &p.Ban[i]
+		ban.Source = cmp.Or(ban.Source, service)
+		if ban.Source != service {
+			return nil, file.Errorf(fmt.Sprintf("ban[%d].source", i), "%q: the part of %s bans servers of its own source", ban.Source, service)
 		}
 	}
 	return p, nil
 }
 
-// part is a service's part; nil: it has none.
+// part returns a service's part; nil: it has none.
 func (s *sharedTables) part(service string) *servicePart {
-	if i := slices.IndexFunc(s.services, func(p *servicePart) bool { return p.name == service }); i >= 0 {
-		return s.services[i]
+	for _, p := range s.services {
+		if p.name == service {
+			return p
+		}
 	}
 	return nil
 }
 
-// applyServices puts services' sources and bans among the others. Their classes are laid over for each service by itself.
+// applyServices puts the services' sources and bans among the others. Their classes are used for each service by itself: see
+// sharedTables.classes.
 func (o *Overlay) applyServices(s *sharedTables) {
-	s.services, o.origins = o.services, map[string]tableOrigin{}
-	s.Source, s.Ban = slices.Clone(s.Source), slices.Clone(s.Ban)
+	o.origins = map[string]tableOrigin{}
+	s.services = o.services
+	s.Source = slices.Clone(s.Source)
+	s.Ban = slices.Clone(s.Ban)
 	for _, p := range o.services {
-		for i, one := range p.Source {
-			n := slices.IndexFunc(s.Source, func(x sourceTable) bool { return x.Name == one.Name })
+		for i, source := range p.Source {
+			n := slices.IndexFunc(s.Source, func(x sourceTable) bool { return x.Name == source.Name })
 			if n < 0 {
 				n = len(s.Source)
-				s.Source = append(s.Source, one)
+				s.Source = append(s.Source, source)
 			}
-			s.Source[n] = one
+			s.Source[n] = source
 			o.origins[fmt.Sprintf("source[%d]", n)] = tableOrigin{p.file, fmt.Sprintf("source[%d]", i)}
 		}
-		for i, one := range p.Ban {
+		for i, ban := range p.Ban {
 			o.origins[fmt.Sprintf("ban[%d]", len(s.Ban))] = tableOrigin{p.file, fmt.Sprintf("ban[%d]", i)}
-			s.Ban = append(s.Ban, one)
+			s.Ban = append(s.Ban, ban)
 		}
 	}
 }
 
-// checkConflicts reports what services' parts have that the part for all has as well: which of the two holds nobody could say.
+// checkConflicts returns an error if a service's part has what the global part has as well: neither could be preferred.
 func (o *Overlay) checkConflicts() error {
 	for _, p := range o.services {
-		for i, k := range p.Class {
-			if p.file != nil && o.tables["class"] && slices.ContainsFunc(o.Class, func(x classTable) bool { return x.Name == k.Name }) {
-				return p.file.Errorf(fmt.Sprintf("class[%d].name", i), "%q is a class of the part for all", k.Name)
+		if p.file == nil {
+			continue
+		}
+		for i, class := range p.Class {
+			isSame := func(x classTable) bool { return x.Name == class.Name }
+			if o.tables["class"] && slices.ContainsFunc(o.Class, isSame) {
+				return p.file.Errorf(fmt.Sprintf("class[%d].name", i), "%q is a class of the part for all", class.Name)
 			}
 		}
-		if p.file != nil && len(p.Source) > 0 && o.tables["source"] && slices.ContainsFunc(o.Source, func(x sourceTable) bool { return x.Name == p.name }) {
+		isSame := func(x sourceTable) bool { return x.Name == p.name }
+		if len(p.Source) > 0 && o.tables["source"] && slices.ContainsFunc(o.Source, isSame) {
 			return p.file.Errorf("source[0].name", "%q is a source of the part for all", p.name)
 		}
 	}
 	return nil
 }
 
-// classes are those that a service's instances may have: the part's in the place of others of their name, or besides. Placed
-// says where each comes from.
-func (s *sharedTables) classes(service string) (all []classTable, placed map[string]tableOrigin) {
-	all = s.Class
+// classes returns the classes that a service's instances may have: those of its part in the place of others of their name, or
+// besides. origins say where each comes from.
+func (s *sharedTables) classes(service string) (classes []classTable, origins map[string]tableOrigin) {
 	p := s.part(service)
 	if p == nil {
-		return all, nil
+		return s.Class, nil
 	}
-	if all = slices.Clone(all); p.complete {
-		all = nil
+	if !p.complete {
+		classes = slices.Clone(s.Class)
 	}
-	placed = map[string]tableOrigin{}
-	for i, k := range p.Class {
-		n := slices.IndexFunc(all, func(x classTable) bool { return x.Name == k.Name })
+	origins = map[string]tableOrigin{}
+	for i, class := range p.Class {
+		n := slices.IndexFunc(classes, func(x classTable) bool { return x.Name == class.Name })
 		if n < 0 {
-			n = len(all)
-			all = append(all, k)
+			n = len(classes)
+			classes = append(classes, class)
 		}
-		all[n] = k
+		classes[n] = class
 		if p.file != nil {
-			placed[fmt.Sprintf("class[%d]", n)] = tableOrigin{p.file, fmt.Sprintf("class[%d]", i)}
+			origins[fmt.Sprintf("class[%d]", n)] = tableOrigin{p.file, fmt.Sprintf("class[%d]", i)}
 		}
 	}
-	return all, placed
+	return classes, origins
 }
 
-// ReplaceDocuments puts changes in the place of texts.
-func ReplaceDocuments(texts []policy.Document, changes []*policy.Document) []policy.Document {
-	all := slices.Clone(texts)
-	for _, c := range changes {
-		for _, x := range c.Documents() {
-			if i := slices.IndexFunc(all, func(d policy.Document) bool { return d.Part == x.Part }); i >= 0 {
-				all[i] = x
+// ReplaceDocuments returns documents with those of changes in their place, or besides.
+func ReplaceDocuments(documents []policy.Document, changes []*policy.Document) []policy.Document {
+	replaced := slices.Clone(documents)
+	for _, change := range changes {
+		for _, document := range change.Documents() {
+			i := slices.IndexFunc(replaced, func(d policy.Document) bool { return d.Part == document.Part })
+			if i >= 0 {
+				replaced[i] = document
 			} else {
-				all = append(all, x)
+				replaced = append(replaced, document)
 			}
 		}
 	}
-	return all
+	return replaced
 }
 
-// documentName is what errors call a text.
+// documentName is what errors call a document.
 func documentName(d *policy.Document) string {
 	name := "policy"
 	if d.Number > 0 {
@@ -157,35 +164,41 @@
 	return name
 }
 
-// overlayOf reads the parts' texts; nil: none has any.
-func overlayOf(texts []policy.Document) (*Overlay, error) {
+// overlayOf reads documents of the policy; nil: none has a text.
+func overlayOf(documents []policy.Document) (*Overlay, error) {
 	var o *Overlay
-	for i := range texts {
-		d := &texts[i]
-		if d.Part != "" || d.Number == 0 && len(d.Body) == 0 {
+	var services []*servicePart
+	for i := range documents {
+		d := &documents[i]
+		if d.Number == 0 && len(d.Body) == 0 {
+			continue
+		}
+		if d.Part != "" {
 			continue
 		}
-		var err error
-		if o, err = readPolicy(documentName(d), d.Body); err != nil {
+		global, err := readPolicy(documentName(d), d.Body)
+		if err != nil {
 			return nil, err
 		}
+		o = global
 	}
-	for i := range texts {
-		d := &texts[i]
+	for i := range documents {
+		d := &documents[i]
 		if d.Part == "" || d.Number == 0 && len(d.Body) == 0 {
 			continue
 		}
-		if o == nil {
-			o = &Overlay{tables: map[string]bool{}, name: documentName(d)}
-		}
-		p, err := readServicePart(documentName(d), d.Part, d.Body)
+		part, err := readServicePart(documentName(d), d.Part, d.Body)
 		if err != nil {
 			return nil, err
 		}
-		o.services = append(o.services, p)
+		if o == nil {
+			o = &Overlay{tables: map[string]bool{}, name: documentName(d)}
+		}
+		services = append(services, part)
 	}
 	if o != nil {
-		slices.SortFunc(o.services, func(a, b *servicePart) int { return strings.Compare(a.name, b.name) })
+		slices.SortFunc(services, func(a, b *servicePart) int { return strings.Compare(a.name, b.name) })
+		o.services = services
 	}
 	return o, nil
 }
--- a/internal/host/daemonconfig/shares.go
+++ b/internal/host/daemonconfig/shares.go
@@ -7,53 +7,75 @@
 	"vetchhaven/internal/core"
 )
 
-// resourceShares splits the process's sockets and memory: a floor for each, the rest by weight.
+const (
+	// listenerSockets is how many descriptors of its listener an instance has: the daemon's, its own, and one more while it is
+	// replaced.
+	listenerSockets = 3
+	// maxSockets bounds the process's sockets where the file does not: a machine's limit may be without end.
+	maxSockets = 1 << 20
+	// minMemoryKiB is how much memory an instance has at the least, for bodies of requests.
+	minMemoryKiB = 256
+	// processMemoryShare: half of the memory is the process's own.
+	processMemoryShare = 2
+	// bodyMemoryShare: a quarter of an instance's memory is for bodies that it holds.
+	bodyMemoryShare = 4
+)
+
+// resourceShares splits the process's sockets and memory among the instances: a floor for each, the rest by weight.
 func (c *checker) resourceShares(f *fileTables, cfg *Config) {
-	if cfg.Sockets = f.Limits.Sockets; cfg.Sockets == 0 {
-		var r syscall.Rlimit
-		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err == nil {
-			cfg.Sockets = int(min(r.Cur, 1<<20))
-		}
+	cfg.Sockets = f.Limits.Sockets
+	if cfg.Sockets == 0 {
+		cfg.Sockets = socketLimit()
 	}
 	n := len(cfg.Instances)
 	weights := make([]float64, n)
 	for i := range cfg.Instances {
 		weights[i] = cfg.Instances[i].Agent.Weight
 	}
-	// Each instance's listener is held twice, and one more while it is replaced.
-	sockets, err := Shares(cfg.Sockets-ProcessSockets-3*n, MinSocketShare, weights)
+	sockets, err := Shares(cfg.Sockets-ProcessSockets-listenerSockets*n, MinSocketShare, weights)
 	if err != nil {
 		c.fail("limits.sockets", "%d are too few for %d instances: %v", cfg.Sockets, n, err)
 		return
 	}
-	memory := make([]int, n)
+	memoryKiB := make([]int, n) // a share may be less than one MiB
 	if cfg.MemoryMB > 0 {
-		// In KiB, since a share may be less than one MiB. Half is the process's own.
-		if memory, err = Shares(cfg.MemoryMB<<10/2, 256, weights); err != nil {
+		memoryKiB, err = Shares(cfg.MemoryMB<<10/processMemoryShare, minMemoryKiB, weights)
+		if err != nil {
 			c.fail("limits.memory_mb", "%d are too few for %d instances: %v", cfg.MemoryMB, n, err)
 			return
 		}
 	}
 	for i := range cfg.Instances {
-		a := &cfg.Instances[i].Agent
-		a.Sockets = sockets[i] + core.OwnSockets
-		a.BodyBytes = memory[i] << 10 / 4
+		agent := &cfg.Instances[i].Agent
+		agent.Sockets = sockets[i] + core.OwnSockets
+		agent.BodyBytes = memoryKiB[i] << 10 / bodyMemoryShare
+	}
+}
+
+// socketLimit returns how many descriptors the process may have; 0: that can't be had.
+func socketLimit() int {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		return 0
 	}
+	return int(min(limit.Cur, maxSockets))
 }
 
-// Shares splits a total: a floor for each, and the rest by weight.
+// Shares splits a total among as many as there are weights: a floor for each, and the rest by weight. It returns an error if
+// the floors are more than the total.
 func Shares(total, floor int, weights []float64) ([]int, error) {
+	const tiny = 1e-9 // keeps weights of 0 from a division by 0
 	rest := total - floor*len(weights)
 	if rest < 0 {
 		return nil, fmt.Errorf("%d are left for them, and each needs %d", max(0, total), floor)
 	}
 	sum := 0.0
-	for _, w := range weights {
-		sum += w
+	for _, weight := range weights {
+		sum += weight
 	}
-	all := make([]int, len(weights))
-	for i, w := range weights {
-		all[i] = floor + int(float64(rest)*w/max(sum, 1e-9))
+	shares := make([]int, len(weights))
+	for i, weight := range weights {
+		shares[i] = floor + int(float64(rest)*weight/max(sum, tiny))
 	}
-	return all, nil
+	return shares, nil
 }
