--- a/internal/host/daemon/policyswitch.go
+++ b/internal/host/daemon/policyswitch.go
@@ -174,7 +174,7 @@
 		if slices.Contains(instance.barredServers, server) {
 			continue
 		}
-		if !instance.agent.Bar(server, true) {
+		if !instance.agent.TryForceServerDisabled(server, true) {
 			return false
 		}
 		instance.barredServers = append(instance.barredServers, server)
@@ -183,7 +183,7 @@
 		if slices.Contains(banned, server) {
 			continue
 		}
-		if !instance.agent.Bar(server, false) {
+		if !instance.agent.TryForceServerDisabled(server, false) {
 			return false
 		}
 		instance.barredServers = slices.DeleteFunc(instance.barredServers, func(s string) bool { return s == server })
--- a/internal/peer/membership/view.go
+++ b/internal/peer/membership/view.go
@@ -226,14 +226,14 @@
 		v.leave()
 	case ForgetMember:
 		v.forgetMember(e.Name)
-	case TookOver:
+	case TakeoverFailed:
 		v.self.Incarnation++
 		v.announce(v.self)
 	}
 }
 
-// runTimers executes the timers that are due. A member that yields its name only defends or checks that; one that
-// leaves only gossips its leave.
+// runTimers executes the timers that are due. A member that yields its name only checks whether the name is free, and
+// answers identity requests; one that leaves only gossips its leave.
 func (v *View) runTimers() {
 	if v.isLeaving {
 		v.leaveDue()
