--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -24,6 +24,7 @@
 
 // runWithLoop runs f beside a loop that knows one server, in virtual time.
 func runWithLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
+	t.Helper()
 	server := discovery.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Member{server}})
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -215,7 +215,7 @@
 	}
 	began := false
 	if first {
-		c.f.gate.SetReadDeadline(c.nc, time.Now().Add(core.HeadTimeout)) // from connecting on, whatever comes of it
+		c.f.limiter.SetReadDeadline(c.nc, time.Now().Add(core.HeadTimeout)) // from connecting on, whatever comes of it
 		began = true
 	}
 	for {
@@ -263,7 +263,7 @@
 	if c.isEnding() {
 		return errEnded
 	}
-	if !c.f.gate.MarkBusy(c.nc) {
+	if !c.f.limiter.MarkBusy(c.nc) {
 		return net.ErrClosed
 	}
 	return c.nc.SetReadDeadline(time.Now().Add(core.HeadTimeout))
@@ -279,7 +279,7 @@
 // take reads the rest of a request and gives it to the loop. An error is the client's last answer.
 func (c *clientConn) take(text []byte) *inputError {
 	f := c.f
-	if !f.gate.MarkBusy(c.nc) {
+	if !f.limiter.MarkBusy(c.nc) {
 		return &inputError{} // closed meanwhile: nobody reads an answer
 	}
 	h, err := parseHead(text, c.fields)
@@ -344,7 +344,7 @@
 		f.open.Add(-1)
 		f.bodies.Release(booked)
 		c.mu.Lock()
-		c.ending = true // as where the gate is crowded
+		c.ending = true // as where the connection limiter is near its capacity
 		c.mu.Unlock()
 		return c.refuse(r)
 	}
@@ -395,7 +395,7 @@
 }
 
 func (c *clientConn) endsLocked() bool {
-	c.ending = c.ending || c.f.draining.Load() || c.f.gate.NearCapacity()
+	c.ending = c.ending || c.f.draining.Load() || c.f.limiter.NearCapacity()
 	return c.ending
 }
 
@@ -412,8 +412,8 @@
 	case c.behind:
 		_ = c.nc.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 	default:
-		c.f.gate.SetReadDeadline(c.nc, time.Now().Add(idleTimeout)) // a dead connection shows by its read
-		c.f.gate.MarkIdle(c.nc)
+		c.f.limiter.SetReadDeadline(c.nc, time.Now().Add(idleTimeout)) // a dead connection shows by its read
+		c.f.limiter.MarkIdle(c.nc)
 	}
 	c.mu.Unlock()
 	c.turn <- struct{}{}
@@ -443,7 +443,7 @@
 // linger reads what a client still sends, so that the close is no reset, until it closes too.
 func (c *clientConn) linger() {
 	buf := make([]byte, 1024)
-	c.f.gate.SetReadDeadline(c.nc, time.Now().Add(lingerTime))
+	c.f.limiter.SetReadDeadline(c.nc, time.Now().Add(lingerTime))
 	for {
 		if _, err := c.nc.Read(buf); err != nil {
 			return
--- a/internal/protocol/http1/front.go
+++ b/internal/protocol/http1/front.go
@@ -16,7 +16,7 @@
 type front struct {
 	cfg       *core.Config
 	loop      *core.Loop
-	gate      *core.ConnLimiter
+	limiter   *core.ConnLimiter
 	log       *slog.Logger
 	most      atomic.Int64 // requests open at once
 	open      atomic.Int64
@@ -62,9 +62,9 @@
 	f.bodies.Resize(bytes)
 }
 
-// serve takes connections until the gate is closed.
-func (f *front) serve(g *core.ConnLimiter) error {
-	f.gate = g
+// serve takes connections until the limiter is closed.
+func (f *front) serve(limiter *core.ConnLimiter) error {
+	f.limiter = limiter
 	go func() {
 		<-f.loop.Stopped()
 		f.mu.Lock()
@@ -75,7 +75,7 @@
 		}
 	}()
 	for {
-		nc, err := g.Accept()
+		nc, err := limiter.Accept()
 		if err != nil {
 			return err
 		}
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -340,7 +340,7 @@
 }
 
 // Clients that ask once on each connection and keep it for good may have a bound of their own, far
-// below the gate's. Once many are kept, answers end their connections, so that there are always
+// below the limiter's. Once many are kept, answers end their connections, so that there are always
 // some left to ask on; and those that are kept go once they have been testkit.Quiet for long.
 func TestKeptConnectionsAreFew(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -31,9 +31,9 @@
 	return a, own, err
 }
 
-// Serve takes clients' connections until the gate is closed.
-func (p *protocol) Serve(g *core.ConnLimiter) error {
-	return p.front.serve(g)
+// Serve takes clients' connections until the limiter is closed.
+func (p *protocol) Serve(limiter *core.ConnLimiter) error {
+	return p.front.serve(limiter)
 }
 
 // SetDraining has each connection end with its next answer, or not.
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -25,7 +25,7 @@
 	o       Options
 	log     *slog.Logger
 	loop    *core.Loop
-	gate    *core.ConnLimiter
+	limiter *core.ConnLimiter
 	classes [kinds]int
 	servers *servers
 	tls     *tls.Config // towards clients; nil: none
@@ -125,9 +125,9 @@
 	return a, p, err
 }
 
-// Serve takes clients' connections until the gate is closed.
-func (p *protocol) Serve(g *core.ConnLimiter) error {
-	p.gate = g
+// Serve takes clients' connections until the limiter is closed.
+func (p *protocol) Serve(limiter *core.ConnLimiter) error {
+	p.limiter = limiter
 	go func() {
 		<-p.loop.Stopped()
 		p.mu.Lock()
@@ -138,15 +138,15 @@
 		}
 	}()
 	for {
-		nc, err := g.Accept()
+		nc, err := limiter.Accept()
 		if err != nil {
 			return err
 		}
-		if g.NearCapacity() {
+		if limiter.NearCapacity() {
 			p.makeRoom()
 		}
-		// Its place is the session's to give up, with a word to the client: not the gate's.
-		g.MarkBusy(nc)
+		// The session gives its slot up itself, after a notice to the client: the limiter does not evict it.
+		limiter.MarkBusy(nc)
 		p.running.Go(func() { p.loop.ContainPanic(func() { p.serve(nc) }) })
 	}
 }
--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -25,7 +25,7 @@
 // session is one client connection.
 type session struct {
 	p     *protocol
-	raw   net.Conn // as the gate gave it
+	raw   net.Conn // as the connection limiter accepted it
 	in    *ldapmsg.Reader
 	last  atomic.Int64 // when something came, ns since the protocol was made
 	asked atomic.Bool  // a message has come
