--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -150,7 +150,7 @@
 func (d *Daemon) execute(actions []supervise.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case supervise.LeaveDown:
+		case supervise.ReportDown:
 			d.log.Error("instance left down: it keeps failing", "instance", a.Name, "error", a.Reason)
 			// Clients are refused a connection rather than kept waiting for one.
 			if p := d.instances[a.Name]; p != nil && d.listeners[p.spec.Listen] != nil {
--- a/internal/host/supervise/supervise.go
+++ b/internal/host/supervise/supervise.go
@@ -1,6 +1,7 @@
-// Package supervise decides when a part that ended by itself starts again: after an exponential backoff with jitter, and not at all
-// once it keeps failing. It does no I/O and reads no clock: the daemon's goroutine passes in what happened with its time, and
-// executes the actions that come back.
+// Package supervise decides when a part of the daemon that ended by itself starts again: after an exponential backoff with
+// jitter, and not at all once it keeps failing, as systemd does by StartLimitBurst. It owns the State of each part. It does
+// no I/O and reads no clock: the daemon's goroutine passes in what happened with its time, and executes the actions that come
+// back.
 package supervise
 
 import (
@@ -10,12 +11,22 @@
 	"time"
 )
 
-// Defaults of Settings.
 const (
-	defaultFirstWait    = 200 * time.Millisecond // a restart of a moment's fault is hardly noticed
-	defaultMaxWait      = 30 * time.Second       // an operator sees a repaired part come back soon
-	defaultHealthyAfter = time.Minute            // longer than any wait: a part that fails at once is never taken for healthy
-	defaultMaxFailures  = 8                      // about a minute of failures
+	// defaultFirstWait makes the restart after a passing fault hardly noticeable. Shorter restarts a part while the cause
+	// of its failure still lasts.
+	defaultFirstWait = 200 * time.Millisecond
+	// defaultMaxWait has an operator see a repaired part come back soon. Longer spares the host more where a part fails on.
+	defaultMaxWait = 30 * time.Second
+	// defaultHealthyAfter is longer than any wait, so that a part that fails at once never counts as healthy.
+	defaultHealthyAfter = time.Minute
+	// defaultMaxFailures is about a minute of failures with the other defaults. More tries on for longer.
+	defaultMaxFailures = 8
+
+	// minWaitShare is the least part of the ceiling that a wait takes; the rest is jitter. Less lets a part that fails at
+	// once be started in a busy loop by low draws.
+	minWaitShare = 0.5
+	// seedStream separates the supervisor's random numbers from others of the same seed.
+	seedStream = 3
 )
 
 // Settings are the supervisor's; the zero value of each field is replaced by its default.
@@ -52,7 +63,7 @@
 	Failed struct{ Name, Reason string }
 	// Removed says that a part is not wanted any more.
 	Removed struct{ Name string }
-	// Revived says that an operator wants a part that was left down to be tried again.
+	// Revived says that an operator wants a part that is down to be started again.
 	Revived struct{ Name string }
 )
 
@@ -67,12 +78,12 @@
 type (
 	// Start is to start a part now; Started or Failed follows.
 	Start struct{ Name string }
-	// LeaveDown is to report that a part is not started any more, and why it failed last.
-	LeaveDown struct{ Name, Reason string }
+	// ReportDown is to report that a part is not started any more, and why it failed last.
+	ReportDown struct{ Name, Reason string }
 )
 
-func (Start) action()     {}
-func (LeaveDown) action() {}
+func (Start) action()      {}
+func (ReportDown) action() {}
 
 // Phase is where a part is in its life.
 type Phase uint8
@@ -85,14 +96,14 @@
 	Down // not started any more until an operator revives it
 )
 
-// State is how a part stands.
+// State is the state of a part.
 type State struct {
 	Phase               Phase
 	ConsecutiveFailures int
 	TotalFailures       int           // since it was first started
 	NextStartAt         time.Duration // while Waiting
 	LastReason          string        // of the last failure
-	startedAt           time.Duration
+	runningSince        time.Duration
 }
 
 // Supervisor keeps the states of all parts. It belongs to one goroutine.
@@ -104,7 +115,11 @@
 
 // New returns a supervisor without parts. Its jitter comes from seed.
 func New(s Settings, seed uint64) *Supervisor {
-	return &Supervisor{settings: s.withDefaults(), rng: rand.New(rand.NewPCG(seed, 3)), parts: map[string]*State{}}
+	return &Supervisor{
+		settings: s.withDefaults(),
+		rng:      rand.New(rand.NewPCG(seed, seedStream)),
+		parts:    map[string]*State{},
+	}
 }
 
 // Step takes what happened by now, and returns what to do now, starts in order of the parts' names.
@@ -115,10 +130,10 @@
 		case Started:
 			part := s.part(e.Name)
 			part.Phase = Running
-			part.startedAt = now
+			part.runningSince = now
 		case Failed:
 			if s.fail(now, e) {
-				actions = append(actions, LeaveDown(e))
+				actions = append(actions, ReportDown(e))
 			}
 		case Removed:
 			delete(s.parts, e.Name)
@@ -149,13 +164,13 @@
 	return actions
 }
 
-// fail notes a failure, and reports whether the part is left down by it.
-func (s *Supervisor) fail(now time.Duration, e Failed) (leftDown bool) {
+// fail notes a failure, and reports whether the part is down by it.
+func (s *Supervisor) fail(now time.Duration, e Failed) (isDown bool) {
 	part := s.part(e.Name)
 	if part.Phase == Down {
 		return false
 	}
-	if part.Phase == Running && now-part.startedAt >= s.settings.HealthyAfter {
+	if part.Phase == Running && now-part.runningSince >= s.settings.HealthyAfter {
 		part.ConsecutiveFailures = 0
 	}
 	part.Phase = Waiting
@@ -170,11 +185,11 @@
 	return false
 }
 
-// wait is drawn from the upper half of the ceiling: a part that fails at once must not be started in a busy loop by low draws.
+// wait is the backoff after so many failures in a row, with jitter.
 func (s *Supervisor) wait(failures int) time.Duration {
 	ceiling := float64(s.settings.FirstWait) * math.Exp2(float64(failures-1))
 	ceiling = min(ceiling, float64(s.settings.MaxWait))
-	return time.Duration(ceiling * (0.5 + 0.5*s.rng.Float64()))
+	return time.Duration(ceiling * (minWaitShare + (1-minWaitShare)*s.rng.Float64()))
 }
 
 func (s *Supervisor) part(name string) *State {
@@ -184,7 +199,7 @@
 	return s.parts[name]
 }
 
-// State returns how a part stands; the zero State where it is not known.
+// State returns the state of a part; the zero State where it is not known.
 func (s *Supervisor) State(name string) State {
 	if part := s.parts[name]; part != nil {
 		return *part
