--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -223,7 +223,7 @@
 func (d *Daemon) execute(actions []supervise.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case supervise.LeaveDown:
+		case supervise.ReportDown:
 			d.log.Error("instance left down: it keeps failing", "instance", action.Name, "error", action.Reason)
 			// Clients are refused a connection rather than kept waiting for one.
 			if instance := d.instances[action.Name]; instance != nil && d.listeners[instance.spec.Listen] != nil {
