--- a/internal/host/daemonconfig/overlay.go
+++ b/internal/host/daemonconfig/overlay.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"reflect"
-	"slices"
 	"strings"
 
 	"vetchhaven/internal/peer/policy"
@@ -41,34 +39,55 @@
 	Reason string
 }
 
-// Overlay is a policy read into its tables, with services' parts of it.
+// Overlay is a policy that is laid over a daemon's file, with the parts of services.
 type Overlay struct {
 	sharedTables
-	file     *tomlfile.File
-	tables   map[string]bool // the tables that it holds
-	name     string
+	file     *tomlfile.File         // of the global part; nil: it has no text
+	tables   map[string]bool        // that the global part holds, by name
+	name     string                 // for errors
 	services []*servicePart         // by name
-	origins  map[string]tableOrigin // tables of lists that come from elsewhere than their place says
+	origins  map[string]tableOrigin // of tables in lists that come from elsewhere than their place says
 	applied  sharedTables           // as it was last laid over a file
 }
 
-// readPolicy reads a policy's text; name is what errors call it.
+// sharedTableNames are the tables that a policy may hold.
+var sharedTableNames = []string{"source", "site", "rules", "class", "limit", "ban", "peers"}
+
+// readPolicy reads the text of the global part; name is what errors call it.
 func readPolicy(name string, body []byte) (*Overlay, error) {
 	o := &Overlay{tables: map[string]bool{}, name: name}
-	var err error
-	if o.file, err = tomlfile.Parse(name, body, &o.sharedTables); err != nil {
+	file, err := tomlfile.Parse(name, body, &o.sharedTables)
+	if err != nil {
 		return nil, err
 	}
-	for part, there := range map[string]bool{"source": o.Source != nil, "site": o.Site != nil, "rules": o.Rules != nil, "class": o.Class != nil,
-		"limit": o.Limit != nil || o.file.Has("limit"), "ban": o.Ban != nil || o.file.Has("ban"), "peers": o.Peers != nil} {
-		if there {
-			o.tables[part] = true
-		}
+	o.file = file
+	for _, table := range sharedTableNames {
+		o.tables[table] = o.hasTable(table)
 	}
 	return o, nil
 }
 
-// applyTo puts a policy's parts in the place of the file's.
+// hasTable reports whether the text has a table. An empty list of limits or bans is there too: it takes the place of the
+// file's.
+func (o *Overlay) hasTable(table string) bool {
+	switch table {
+	case "source":
+		return o.Source != nil
+	case "site":
+		return o.Site != nil
+	case "rules":
+		return o.Rules != nil
+	case "class":
+		return o.Class != nil
+	case "limit":
+		return o.Limit != nil || o.file.Has("limit")
+	case "ban":
+		return o.Ban != nil || o.file.Has("ban")
+	}
+	return o.Peers != nil
+}
+
+// applyTo puts the policy's tables in the place of the file's. It does nothing without a policy (nil).
 func (o *Overlay) applyTo(f *fileTables) error {
 	if o == nil {
 		return nil
@@ -78,15 +97,21 @@
 		return err
 	}
 	o.applied = s
-	f.Source, f.Site, f.Rules, f.Class, f.Limit, f.Ban = s.Source, *s.Site, *s.Rules, s.Class, s.Limit, s.Ban
-	if o.tables["peers"] {
-		if f.Peers == nil {
-			return fmt.Errorf("%s: [peers] is not in this daemon's file", o.name)
-		}
-		in := *f.Peers
-		in.sharedPeers = *s.Peers
-		f.Peers = &in
+	f.Source = s.Source
+	f.Site = *s.Site
+	f.Rules = *s.Rules
+	f.Class = s.Class
+	f.Limit = s.Limit
+	f.Ban = s.Ban
+	if !o.tables["peers"] {
+		return nil
 	}
+	if f.Peers == nil {
+		return fmt.Errorf("%s: [peers] is not in this daemon's file", o.name)
+	}
+	peers := *f.Peers
+	peers.sharedPeers = *s.Peers
+	f.Peers = &peers
 	return nil
 }
 
@@ -95,17 +120,18 @@
 	if o == nil || o.file == nil {
 		return false
 	}
-	part := key
+	table := key
 	if i := strings.IndexAny(key, ".["); i >= 0 {
-		part = key[:i]
+		table = key[:i]
 	}
-	if part == "peers" {
-		return o.tables[part] && o.file.Has(key)
+	if table == "peers" { // of this table the policy holds some keys only
+		return o.tables[table] && o.file.Has(key)
 	}
-	return o.tables[part]
+	return o.tables[table]
 }
 
-// completedBy is a policy with what it does not hold as the daemon's own file has it.
+// completedBy returns the policy's tables, with those that it does not hold as the daemon's file has them. Without a policy
+// (nil) all are the file's.
 func (o *Overlay) completedBy(f *fileTables) sharedTables {
 	s := sharedTables{Source: f.Source, Site: &f.Site, Rules: &f.Rules, Class: f.Class, Limit: f.Limit, Ban: f.Ban}
 	if f.Peers != nil {
@@ -114,128 +140,56 @@
 	if o == nil {
 		return s
 	}
-	for part, take := range map[string]func(){
-		"source": func() { s.Source = o.Source }, "site": func() { s.Site = o.Site }, "rules": func() { s.Rules = o.Rules }, "class": func() { s.Class = o.Class },
-		"limit": func() { s.Limit = o.Limit }, "ban": func() { s.Ban = o.Ban }, "peers": func() { s.Peers = o.Peers }} {
-		if o.tables[part] {
-			take()
-		}
-	}
-	o.applyServices(&s)
-	return s
-}
-
-// intersect is what two policies both allow: repeats by the stricter rule and the shorter window, the fewer attempts, the lower
-// limits, all servers out that either has out. A member that does not know which of the two is in force serves by it.
-// Where lists, the site, other rules or how limits are shared differ there is no such thing.
-func intersect(a, b sharedTables) (*Overlay, error) {
-	for _, part := range []struct {
-		name string
-		a, b any
-	}{{"source", a.Source, b.Source}, {"site", a.Site, b.Site}, {"peers", a.Peers, b.Peers}} {
-		if !reflect.DeepEqual(part.a, part.b) {
-			return nil, fmt.Errorf("the two policies differ in [%s]", part.name)
-		}
-	}
-	ra, rb := *a.Rules, *b.Rules
-	r := ra
-	r.MaxAttempts, r.Hedging = fewerAttempts(ra.MaxAttempts, rb.MaxAttempts), ra.Hedging && rb.Hedging
-	ra.MaxAttempts, rb.MaxAttempts, ra.Hedging, rb.Hedging = 0, 0, false, false
-	if !reflect.DeepEqual(ra, rb) {
-		return nil, fmt.Errorf("the two policies differ in [rules]")
+	if o.tables["source"] {
+		s.Source = o.Source
 	}
-	m := sharedTables{Source: a.Source, Site: a.Site, Rules: &r, Peers: a.Peers}
-	for _, x := range a.Class {
-		i := slices.IndexFunc(b.Class, func(y classTable) bool { return y.Name == x.Name })
-		if i >= 0 {
-			m.Class = append(m.Class, intersectClass(x, b.Class[i]))
-		}
-	}
-	if len(m.Class) == 0 {
-		return nil, fmt.Errorf("the two policies have no class in common")
+	if o.tables["site"] {
+		s.Site = o.Site
 	}
-	for _, x := range a.Limit {
-		if i := slices.IndexFunc(b.Limit, func(y limitTable) bool { return y.Name == x.Name }); i >= 0 {
-			y := b.Limit[i]
-			figure, floor := min(x.Total, y.Total), min(x.Floor, y.Floor)
-			x.Total, x.Floor, y.Total, y.Floor = figure, floor, figure, floor
-			if !reflect.DeepEqual(x, y) {
-				return nil, fmt.Errorf("the two policies count limit %s in different ways", x.Name)
-			}
-		}
-		m.Limit = append(m.Limit, x)
-	}
-	for _, y := range b.Limit {
-		if !slices.ContainsFunc(a.Limit, func(x limitTable) bool { return x.Name == y.Name }) {
-			m.Limit = append(m.Limit, y)
-		}
+	if o.tables["rules"] {
+		s.Rules = o.Rules
 	}
-	m.Limit = slices.DeleteFunc(m.Limit, func(l limitTable) bool { // of a class that only one of them has
-		return l.Class != "" && !slices.ContainsFunc(m.Class, func(c classTable) bool { return c.Name == l.Class })
-	})
-	m.Ban = append(slices.Clone(a.Ban), b.Ban...)
-	services, err := intersectServices(a, b)
-	if err != nil {
-		return nil, err
+	if o.tables["class"] {
+		s.Class = o.Class
 	}
-	return &Overlay{sharedTables: m, services: services, name: "what both policies allow",
-		tables: map[string]bool{"source": true, "site": true, "rules": true, "class": true, "limit": true, "ban": true, "peers": m.Peers != nil}}, nil
-}
-
-// fewerAttempts is the lower of two counts of which 0 is the default, 3.
-func fewerAttempts(a, b int) int {
-	if a == 0 {
-		a = 3
+	if o.tables["limit"] {
+		s.Limit = o.Limit
 	}
-	if b == 0 {
-		b = 3
+	if o.tables["ban"] {
+		s.Ban = o.Ban
 	}
-	return min(a, b)
-}
-
-func intersectClass(a, b classTable) classTable {
-	m := a
-	m.Objective, m.Deadline = shorter(a.Objective, b.Objective), shorter(a.Deadline, b.Deadline)
-	m.Value, m.LateValue = min(a.Value, b.Value), min(a.LateValue, b.LateValue)
-	switch {
-	case a.Effect == b.Effect && a.Effect == "keyed":
-		order := []string{"pod", "zone", "all", ""}
-		m.Scope = order[min(slices.Index(order, a.Scope), slices.Index(order, b.Scope))]
-		m.DedupWindow = shorter(a.DedupWindow, b.DedupWindow)
-	case a.Effect != b.Effect:
-		m.Effect, m.Scope, m.DedupWindow = "unsafe", "", tomlfile.Duration{}
+	if o.tables["peers"] {
+		s.Peers = o.Peers
 	}
-	return m
+	o.applyServices(&s)
+	return s
 }
 
-func shorter(a, b tomlfile.Duration) tomlfile.Duration {
-	if b.D() < a.D() {
-		return b
-	}
-	return a
+// Ban is a server that the file or the policy takes out of use.
+type Ban struct {
+	Server string
+	Source string // empty: of all sources
+	Reason string
 }
 
-// Ban is a server that is out of use by the file's or the policy's word.
-type Ban struct{ Server, Source, Reason string }
-
 // bans checks [[ban]].
 func (c *checker) bans(f *fileTables, cfg *Config) {
-	for i, b := range f.Ban {
+	for i, ban := range f.Ban {
 		at := fmt.Sprintf("ban[%d].", i)
-		if b.Server == "" {
+		if ban.Server == "" {
 			c.fail(at+"server", "missing")
 		}
-		if _, ok := cfg.Sources[b.Source]; b.Source != "" && !ok {
-			c.fail(at+"source", "%q is no source", b.Source)
+		if _, ok := cfg.Sources[ban.Source]; ban.Source != "" && !ok {
+			c.fail(at+"source", "%q is no source", ban.Source)
 		}
-		cfg.Bans = append(cfg.Bans, Ban(b))
+		cfg.Bans = append(cfg.Bans, Ban(ban))
 	}
 }
 
-// PolicySettings is how the daemon agrees with others on what it decides by.
+// PolicySettings is how the daemon agrees with others on a policy.
 type PolicySettings struct {
-	policy.Settings // but for name, life and check
-	WitnessDir      string
+	policy.Settings        // but for what the daemon adds: name, run ID, check, handoff and parts
+	WitnessDir      string // of the policy's store; empty: none
 }
 
 // policyTable is [policy] in the file.
@@ -250,38 +204,42 @@
 	WitnessDir      string `toml:"witness"`
 }
 
-// policy checks [policy]; nil where the file has none.
+// policy checks [policy]; it returns nil if the file has none.
 func (c *checker) policy(f *fileTables, cfg *Config) *PolicySettings {
-	in := f.Policy
-	if in == nil {
+	t := f.Policy
+	if t == nil {
 		return nil
 	}
-	a := &PolicySettings{WitnessDir: in.WitnessDir}
 	if f.Peers == nil {
 		c.fail("policy", "a policy is agreed on with [peers]")
 	}
 	if cfg.StateDir == "" {
 		c.fail("policy", "what was agreed on is kept in state_dir, which is missing")
 	}
-	a.Voters = in.Voters
-	a.StopWhenIsolated = c.choice("policy.cut_off", in.WhenIsolated, []string{"stops", "vetoes"}) == 0
-	a.ServeLastKnown = in.Standalone != "" && c.choice("policy.when_alone", in.Standalone, []string{"none", "last"}) == 1
-	a.Lease, a.PrepareTimeout, a.StandaloneAfter = c.positiveDuration("policy.lease", in.Lease, policy.DefaultLease), c.positiveDuration("policy.within", in.PrepareTimeout, policy.DefaultPrepareTimeout), c.positiveDuration("policy.alone_after", in.StandaloneAfter, policy.DefaultStandaloneAfter)
-	if a.ClockDrift = in.Drift; !(a.ClockDrift >= 0 && a.ClockDrift <= 0.2) {
-		c.fail("policy.drift", "%v: 0 to 0.2 are allowed", a.ClockDrift)
+	p := &PolicySettings{WitnessDir: t.WitnessDir}
+	p.Voters = t.Voters
+	p.StopWhenIsolated = c.choice("policy.cut_off", t.WhenIsolated, []string{"stops", "vetoes"}) == 0
+	p.ServeLastKnown = t.Standalone != "" && c.choice("policy.when_alone", t.Standalone, []string{"none", "last"}) == 1
+	p.Lease = c.positiveDuration("policy.lease", t.Lease, policy.DefaultLease)
+	p.PrepareTimeout = c.positiveDuration("policy.within", t.PrepareTimeout, policy.DefaultPrepareTimeout)
+	p.StandaloneAfter = c.positiveDuration("policy.alone_after", t.StandaloneAfter, policy.DefaultStandaloneAfter)
+	p.ClockDrift = t.Drift
+	if !(p.ClockDrift >= 0 && p.ClockDrift <= maxClockDrift) { // NaN fails too
+		c.fail("policy.drift", "%v: 0 to %v are allowed", p.ClockDrift, maxClockDrift)
 	}
 	if n := len(cfg.HeldParts()); n > policy.MaxPartsPerMember {
 		c.fail("instance", "they have %d sources: with [policy] up to %d are allowed", n, policy.MaxPartsPerMember)
 	}
-	if n := len(a.Voters); n != 1 && n != 3 && n != 5 {
+	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		c.fail("policy.voters", "%d voters: 1, 3 or 5 members are to be named", n)
 	}
-	if c.err == nil {
-		probe := a.Settings
-		probe.Name, probe.RunID = f.Peers.Name, 1
+	if c.err == nil { // what is left are mistakes that the policy's module finds
+		probe := p.Settings
+		probe.Name = f.Peers.Name
+		probe.RunID = 1
 		if _, err := policy.New(probe, policy.StoredState{}, 1); err != nil {
 			c.fail("policy", "%v", err)
 		}
 	}
-	return a
+	return p
 }
