--- /dev/null
+++ b/internal/host/daemon/instances_test.go
@@ -0,0 +1,219 @@
+package daemon
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/host/daemonconfig"
+	"vetchhaven/internal/source/discovery"
+	"vetchhaven/internal/standin"
+)
+
+func TestInstancesShareOneReadingOfTheList(t *testing.T) {
+	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	s := standin.NewForm("s", nil)
+	defer s.Close()
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(fmt.Sprintf("[[template]]\nname = \"i{n}\"\nlisten = \"unix:%s/i{n}.sock\"\ncount = 40\n", tb.dir))
+	r := tb.start(Options{})
+	for i := range 40 {
+		name := fmt.Sprint("i", i)
+		eventually(t, name+" knows a server", func() bool {
+			status, _, err := sendRequest(client(tb.socketPath(name), false), "get")
+			return err == nil && status == 200
+		})
+	}
+	if n := tb.list.Calls(); n != 1 {
+		t.Errorf("%d readings of the list for 40 instances", n)
+	}
+	st, _ := r.Status()
+	if st.Ready != 40 || st.Totals.Served < 40 || st.Lists[0].Readers != 40 {
+		t.Errorf("%+v", st)
+	}
+	if resp, err := client(tb.socketPath("admin"), false).Get("http://x/_health"); err != nil || resp.StatusCode != 200 {
+		t.Errorf("health: %v %v", resp, err)
+	} else {
+		resp.Body.Close()
+	}
+	if err := r.end(); err != nil {
+		t.Error(err)
+	}
+	tb.list.Close()
+}
+
+// A panic in one instance ends that one alone. The requests that it had admitted fail, it starts again, and the others lose
+// nothing.
+func TestPanicEndsOnlyItsInstance(t *testing.T) {
+	s, came, release := newHoldingServer()
+	defer s.Close()
+	defer release()
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(tb.instanceText("bad", "good"))
+	var blow atomic.Bool
+	r := tb.start(Options{Fault: func(name string) func(core.Totals) {
+		if name != "bad" {
+			return nil
+		}
+		return func(core.Totals) {
+			if blow.CompareAndSwap(true, false) {
+				panic("brought about")
+			}
+		}
+	}})
+	type answer struct {
+		status int
+		err    error
+	}
+	for _, n := range []string{"bad", "good"} {
+		tb.expectServed(n)
+	}
+	answers := map[string]chan answer{"bad": make(chan answer, 5), "good": make(chan answer, 5)}
+	for name, out := range answers {
+		for range 5 {
+			go func() {
+				status, _, err := sendRequest(client(tb.socketPath(name), false), "pay")
+				out <- answer{status, err}
+			}()
+		}
+	}
+	for range 10 {
+		select {
+		case <-came:
+		case <-time.After(patience):
+			t.Fatal("requests did not arrive")
+		}
+	}
+	blow.Store(true)
+	go func() { _, _, _ = sendRequest(client(tb.socketPath("bad"), false), "pay") }() // makes it step
+	for range 5 {
+		select {
+		case a := <-answers["bad"]:
+			if a.err != nil || a.status != http.StatusBadGateway {
+				t.Errorf("taken by the one that panicked: %d %v, want it failed", a.status, a.err)
+			}
+		case <-time.After(patience):
+			t.Fatal("what it had taken was never answered")
+		}
+	}
+	release()
+	for range 5 {
+		if a := <-answers["good"]; a.err != nil || a.status != 200 {
+			t.Errorf("the other: %d %v", a.status, a.err)
+		}
+	}
+	eventually(t, "it serves again", func() bool {
+		status, _, err := sendRequest(client(tb.socketPath("bad"), false), "get")
+		return err == nil && status == 200
+	})
+	st, _ := r.Status()
+	if st.Instances[0].Failures != 1 || !strings.Contains(st.Instances[0].Reason, "brought about") || st.Instances[1].Failures != 0 {
+		t.Errorf("%+v", st.Instances)
+	}
+}
+
+// An instance that keeps failing is left down, and the status says so; its clients are refused a connection; a reload tries it
+// again.
+func TestInstanceThatKeepsFailingIsLeftDown(t *testing.T) {
+	s := standin.NewForm("s", nil)
+	defer s.Close()
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(tb.instanceText("bad", "good"))
+	var sick atomic.Bool
+	sick.Store(true)
+	r := tb.start(Options{Fault: func(name string) func(core.Totals) {
+		return func(core.Totals) {
+			if name == "bad" && sick.Load() {
+				panic("every time")
+			}
+		}
+	}})
+	down := func() bool { st, _ := r.Status(); return st.Down == 1 }
+	eventually(t, "it is left down", down)
+	if _, _, err := sendRequest(client(tb.socketPath("bad"), false), "get"); err == nil {
+		t.Error("one that is down takes connections")
+	}
+	tb.expectServed("good")
+	resp, err := client(tb.socketPath("admin"), false).Get("http://x/_health")
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, _ := io.ReadAll(resp.Body)
+	resp.Body.Close()
+	if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(body), "bad: down") {
+		t.Errorf("health: %d %s", resp.StatusCode, body)
+	}
+	if n := tb.log.count("left down"); n != 1 {
+		t.Errorf("said %d times", n)
+	}
+	sick.Store(false)
+	if res, err := r.Reload(); err != nil || res.Revived != 1 {
+		t.Errorf("%+v %v", res, err)
+	}
+	eventually(t, "it serves after a reload", func() bool {
+		status, _, err := sendRequest(client(tb.socketPath("bad"), false), "get")
+		return err == nil && status == 200
+	})
+}
+
+// An instance whose clients use all its sockets leaves the others theirs.
+func TestInstanceOutOfSocketsDoesNotStarveOthers(t *testing.T) {
+	s := standin.NewForm("s", nil)
+	defer s.Close()
+	tb := newTestbed(t, s.Member("ready"))
+	path := tb.writeConfig(tb.instanceText("flooded", "quiet"))
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writeFile(t, tb.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", daemonconfig.ProcessSockets+6+2*daemonconfig.MinSocketShare), 1))
+	tb.start(Options{})
+	var held []net.Conn
+	defer func() {
+		for _, c := range held {
+			c.Close()
+		}
+	}()
+	for range 4 * daemonconfig.MinSocketShare { // silent ones: most wait in the kernel's queue
+		c, err := net.DialTimeout("unix", tb.socketPath("flooded"), time.Second)
+		if err != nil {
+			break
+		}
+		held = append(held, c)
+	}
+	for range 50 {
+		tb.expectServed("quiet")
+	}
+}
+
+func TestServerCountMayJump(t *testing.T) {
+	var many []discovery.Member
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") })}
+	defer server.Close()
+	for i := range 1000 {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() { _ = server.Serve(ln) }()
+		many = append(many, discovery.Member{ID: fmt.Sprint("s-", i), Addr: ln.Addr().String(), Zone: "a", Kind: "k", State: "ready"})
+	}
+	tb := newTestbed(t, many[:10]...)
+	tb.writeConfig(tb.instanceText("a"))
+	r := tb.start(Options{})
+	tb.expectServed("a")
+	tb.list.Set(many...)
+	eventually(t, "the list is taken", func() bool { st, _ := r.Status(); return st.Lists[0].Servers == 1000 })
+	for range 30 {
+		tb.expectServed("a")
+	}
+}
--- a/internal/host/daemon/ldap_test.go
+++ b/internal/host/daemon/ldap_test.go
@@ -23,12 +23,12 @@
 worth = 1.0
 `
 
-func ldapInstance(y *yard, more string) string {
-	return operations + fmt.Sprintf("[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"unix:%s\"\n", y.sock("dir")) + more
+func ldapInstance(tb *testbed, more string) string {
+	return operations + fmt.Sprintf("[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"unix:%s\"\n", tb.socketPath("dir")) + more
 }
 
-// An instance that speaks LDAP beside ones that speak HTTP/1.1, and its change under load: what is taken
-// is answered, then the client is told, and the next connection finds the new copy.
+// An instance that speaks LDAP beside ones that speak HTTP/1.1, and its change under load: what is admitted is answered, then
+// the client is notified, and the next connection finds the new agent.
 func TestLDAPInstance(t *testing.T) {
 	d, err := directory.New("one", directory.Options{})
 	if err != nil {
@@ -44,12 +44,12 @@
 		}
 		return directory.Fault{}
 	})
-	y := newYard(t, d.Member("ready"))
-	y.config(ldapInstance(y, ""))
-	r := y.start(Options{})
+	tb := newTestbed(t, d.Member("ready"))
+	tb.writeConfig(ldapInstance(tb, ""))
+	r := tb.start(Options{})
 	dial := func() *goldap.Conn {
 		t.Helper()
-		c, err := goldap.DialURL("ldapi://" + y.sock("dir"))
+		c, err := goldap.DialURL("ldapi://" + tb.socketPath("dir"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 	case <-time.After(patience):
 		t.Fatal("the modify did not arrive")
 	}
-	y.config(ldapInstance(y, "max_open = 77\n"))
+	tb.writeConfig(ldapInstance(tb, "max_open = 77\n"))
 	if got, err := r.Reload(); err != nil || got.Replaced != 1 {
 		t.Fatalf("%+v, %v", got, err)
 	}
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -13,19 +13,19 @@
 	return fmt.Sprintf("[[limit]]\nname = %q\ncounts = %q\nkind = %q\nfigure = %d\n%s", name, counts, kind, figure, more)
 }
 
-// A limit is lent, turns away at once what is over it, names itself, and follows the file.
-func TestLimitIsLentNamedAndFollowsTheFile(t *testing.T) {
+// A shared limit is leased, rejects at once what is over it, names itself, and follows the file.
+func TestSharedLimitRejectsExcessAndFollowsReload(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
-	y := newYard(t, f.Member("ready"))
+	tb := newTestbed(t, f.Member("ready"))
 	addr := freeAddr(t)
 	config := func(figure int) {
-		y.config(y.instance("one") + peersText("a", addr, addr) + "keepers = [\"a\"]\nterm = \"1s\"\n" + limitText("total", "requests", "hard", figure, "class = \"get\"\n"))
+		tb.writeConfig(tb.instanceText("one") + peersText("a", addr, addr) + "keepers = [\"a\"]\nterm = \"1s\"\n" + limitText("total", "requests", "hard", figure, "class = \"get\"\n"))
 	}
 	config(2)
-	r := y.start(Options{})
+	r := tb.start(Options{})
 	get := func() (int, string) {
-		status, body, err := ask(client(y.sock("one"), false), "get")
+		status, body, err := sendRequest(client(tb.socketPath("one"), false), "get")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 	if served < 2 || served > 10 || refused < 20 {
 		t.Errorf("%d served and %d refused in three seconds at 2 a second", served, refused)
 	}
-	if status, _, err := ask(client(y.sock("one"), false), "pay"); err != nil || status != 200 {
+	if status, _, err := sendRequest(client(tb.socketPath("one"), false), "pay"); err != nil || status != 200 {
 		t.Errorf("a class that is not limited: %d %v", status, err)
 	}
 	now, ok := r.Limits()
@@ -67,7 +67,7 @@
 		}
 		return true
 	})
-	y.config(y.instance("one"))
+	tb.writeConfig(tb.instanceText("one"))
 	if _, err := r.Reload(); err != nil {
 		t.Fatal(err)
 	}
@@ -78,16 +78,16 @@
 }
 
 // Soft limits have their floor while nobody talks to peers; hard ones have what can be proved: nothing.
-func TestFloorHoldsWithoutPeers(t *testing.T) {
+func TestFloorAdmitsWithoutPeers(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
-	y := newYard(t, f.Member("ready"))
+	tb := newTestbed(t, f.Member("ready"))
 	addr := freeAddr(t)
-	y.config(y.instance("one") + peersText("a", addr, addr) + "keepers = [\"z\"]\n" +
+	tb.writeConfig(tb.instanceText("one") + peersText("a", addr, addr) + "keepers = [\"z\"]\n" +
 		limitText("soft", "requests", "soft", 1000, "class = \"get\"\n") + limitText("hard", "requests", "hard", 1000, "class = \"pay\"\n"))
-	y.start(Options{})
-	y.wantServed("one")
-	if status, body, err := ask(client(y.sock("one"), false), "pay"); err != nil || status != 503 || !strings.Contains(body, "limit hard") {
+	tb.start(Options{})
+	tb.expectServed("one")
+	if status, body, err := sendRequest(client(tb.socketPath("one"), false), "pay"); err != nil || status != 503 || !strings.Contains(body, "limit hard") {
 		t.Errorf("%d %q %v", status, body, err)
 	}
 }
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -15,7 +15,7 @@
 // A list and SRV records that contradict each other, over sockets: nothing new goes to what either had drain
 // or gone, a failing resolver and a truncated answer take nobody away, and a server that only the records
 // know is served by.
-func TestListAndRecords(t *testing.T) {
+func TestMergerServesFromListAndRecords(t *testing.T) {
 	both, listed, recorded := standin.NewForm("both", nil), standin.NewForm("listed", nil), standin.NewForm("recorded", nil)
 	for _, f := range []*standin.Form{both, listed, recorded} {
 		defer f.Close()
@@ -41,17 +41,17 @@
 		}
 	}
 	publish(both, recorded)
-	y := newYard(t, both.Member("ready"), listed.Member("ready"))
-	text := y.config(y.instance("a"))
+	tb := newTestbed(t, both.Member("ready"), listed.Member("ready"))
+	text := tb.writeConfig(tb.instanceText("a"))
 	data := strings.Replace(mustRead(t, text), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [%q]\nresolvers = [%q]\n", service, names.Addr()), 1)
-	writeFile(t, y.dir, data)
-	r := y.start(Options{})
+	writeFile(t, tb.dir, data)
+	r := tb.start(Options{})
 	// seen are those who have answered since it was last emptied. Which of them a request meets is up to how fast each has
 	// been: on a busy machine one may have none of sixty.
 	seen := map[string]bool{}
 	asks := func() {
 		t.Helper()
-		status, body, err := ask(client(y.sock("a"), false), "get")
+		status, body, err := sendRequest(client(tb.socketPath("a"), false), "get")
 		if err != nil || status != 200 {
 			t.Fatalf("%d %q %v", status, body, err)
 		}
@@ -71,7 +71,7 @@
 		return n
 	}
 	served("all three to be served by", "both", "listed", "recorded")
-	y.list.Set(both.Member("gone")) // the record still advertises it
+	tb.list.Set(both.Member("gone")) // the record still advertises it
 	eventually(t, "the gone one to be left", func() bool { return listedNow() == 2 })
 	n := both.Got()
 	names.Script(func(string, string, string) dns.Fault { return dns.Fault{Rcode: 2} })
@@ -81,7 +81,7 @@
 	asked = names.Asked()
 	eventually(t, "the answer to be cut, over UDP and over TCP", func() bool { asks(); return names.Asked() > asked+1 })
 	served("the other two, with records cut", "listed", "recorded")
-	y.list.SetDown(true)
+	tb.list.SetDown(true)
 	for range 60 {
 		asks()
 	}
@@ -95,20 +95,20 @@
 func TestMergerStartsFromTheSavedList(t *testing.T) {
 	f := standin.NewForm("s", nil)
 	defer f.Close()
-	y := newYard(t, f.Member("ready"))
-	y.extra = `state_dir = "state"`
-	path := y.config(y.instance("a"))
+	tb := newTestbed(t, f.Member("ready"))
+	tb.head = `state_dir = "state"`
+	path := tb.writeConfig(tb.instanceText("a"))
 	data := strings.Replace(mustRead(t, path), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [\"_form._tcp.example.org\"]\nresolvers = [%q]\n", deadPort(t)), 1)
-	writeFile(t, y.dir, data)
-	r := y.start(Options{})
-	y.wantServed("a")
+	writeFile(t, tb.dir, data)
+	r := tb.start(Options{})
+	tb.expectServed("a")
 	r.call(r.saveSnapshot)
 	if err := r.end(); err != nil {
 		t.Fatal(err)
 	}
-	y.list.SetDown(true)
-	y.start(Options{})
-	y.wantServed("a")
+	tb.list.SetDown(true)
+	tb.start(Options{})
+	tb.expectServed("a")
 }
 
 func deadPort(t *testing.T) string {
@@ -131,7 +131,7 @@
 }
 
 // A server that only a responder announces is served by, and left at its goodbye.
-func TestMulticastSource(t *testing.T) {
+func TestMulticastEndpointIsServedUntilItsGoodbye(t *testing.T) {
 	listed, nearby := standin.NewForm("listed", nil), standin.NewForm("nearby", nil)
 	defer listed.Close()
 	defer nearby.Close()
@@ -149,13 +149,13 @@
 		}
 	}
 	announce(3600)
-	y := newYard(t, listed.Member("ready"))
-	data := strings.Replace(mustRead(t, y.config(y.instance("a"))), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nmulticast = \"_form._tcp.local\"\ngroup = %q\n", r.Addr()), 1)
-	writeFile(t, y.dir, data)
-	y.start(Options{})
+	tb := newTestbed(t, listed.Member("ready"))
+	data := strings.Replace(mustRead(t, tb.writeConfig(tb.instanceText("a"))), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nmulticast = \"_form._tcp.local\"\ngroup = %q\n", r.Addr()), 1)
+	writeFile(t, tb.dir, data)
+	tb.start(Options{})
 	got := func(want string) bool {
 		for range 40 {
-			if _, body, _ := ask(client(y.sock("a"), false), "get"); body == want {
+			if _, body, _ := sendRequest(client(tb.socketPath("a"), false), "get"); body == want {
 				return true
 			}
 		}
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("[peers]\nfleet = \"f\"\nname = %q\nlisten = %q\nseeds = [\"%s\"]\nevery = \"50ms\"\n", name, listen, strings.Join(seeds, `", "`))
 }
 
-// What the view of the fleet does, fails at or hangs in never keeps an instance from serving.
-func TestServesWhateverBecomesOfThePeers(t *testing.T) {
+// Whatever the daemon's part in its fleet does, fails at or hangs in never keeps an instance from serving.
+func TestPeeringFailuresDoNotStopInstances(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	for name, fault := range map[string]func(steps int64, end chan struct{}){
@@ -42,16 +42,16 @@
 		"hangs": func(_ int64, end chan struct{}) { <-end },
 	} {
 		t.Run(name, func(t *testing.T) {
-			y := newYard(t, f.Member("ready"))
-			y.config(y.instance("one") + peersText("a", freeAddr(t), freeAddr(t)))
+			tb := newTestbed(t, f.Member("ready"))
+			tb.writeConfig(tb.instanceText("one") + peersText("a", freeAddr(t), freeAddr(t)))
 			var steps atomic.Int64
 			end := make(chan struct{})
-			r := y.start(Options{PeerFault: func() { fault(steps.Add(1), end) }})
+			r := tb.start(Options{PeerFault: func() { fault(steps.Add(1), end) }})
 			eventually(t, "the fault", func() bool { return steps.Load() > 0 })
-			y.wantServed("one")
+			tb.expectServed("one")
 			if name == "panics" {
 				eventually(t, "a restart", func() bool { return steps.Load() > 3 })
-				y.wantServed("one")
+				tb.expectServed("one")
 			}
 			close(end)
 			if err := r.end(); err != nil {
@@ -61,15 +61,15 @@
 	}
 }
 
-func TestInstancesAreToldOfTheFleetsSize(t *testing.T) {
+func TestInstancesFollowTheFleetSize(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	addr := freeAddr(t)
-	y, z := newYard(t, f.Member("ready")), newYard(t, f.Member("ready"))
-	y.config(y.instance("one") + peersText("a", addr, addr))
-	z.config(z.instance("one", "two") + peersText("b", freeAddr(t), addr))
+	y, z := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
+	y.writeConfig(y.instanceText("one") + peersText("a", addr, addr))
+	z.writeConfig(z.instanceText("one", "two") + peersText("b", freeAddr(t), addr))
 	a, b := y.start(Options{}), z.start(Options{})
-	sees := func(r *running, most, least int) func() bool {
+	sees := func(r *testDaemon, most, least int) func() bool {
 		return func() bool {
 			c := r.size.Load()
 			return c != nil && c.MaxBalancers == most && c.MinBalancers == least && !c.FromFile
@@ -77,10 +77,10 @@
 	}
 	eventually(t, "three balancers", sees(a, 3, 3))
 	eventually(t, "three balancers", sees(b, 3, 3))
-	y.wantServed("one")
+	y.expectServed("one")
 
 	// Another instance is told of, one that leaves in order too.
-	z.config(z.instance("one", "two", "three") + b.peersText(t))
+	z.writeConfig(z.instanceText("one", "two", "three") + b.peersText(t))
 	if _, err := b.Reload(); err != nil {
 		t.Fatal(err)
 	}
@@ -91,19 +91,19 @@
 	eventually(t, "one balancer", sees(a, 1, 1))
 }
 
-func (r *running) peersText(t *testing.T) string {
+func (d *testDaemon) peersText(t *testing.T) string {
 	t.Helper()
-	return peersText(r.cfg.Peers.Name, r.cfg.Peers.Listen, r.cfg.Peers.Seeds...)
+	return peersText(d.cfg.Peers.Name, d.cfg.Peers.Listen, d.cfg.Peers.Seeds...)
 }
 
-func TestPeersComeAndGoByReload(t *testing.T) {
+func TestReloadStartsAndEndsPeering(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	addr := freeAddr(t)
-	y, z := newYard(t, f.Member("ready")), newYard(t, f.Member("ready"))
-	z.config(z.instance("one") + peersText("b", addr, addr))
+	y, z := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
+	z.writeConfig(z.instanceText("one") + peersText("b", addr, addr))
 	b := z.start(Options{})
-	y.config(y.instance("one"))
+	y.writeConfig(y.instanceText("one"))
 	a := y.start(Options{})
 	if _, ok := a.MembershipStatus(); ok {
 		t.Error("a view without [peers]")
@@ -119,14 +119,14 @@
 			return ""
 		}
 	}
-	y.config(y.instance("one") + peersText("a", freeAddr(t), addr))
+	y.writeConfig(y.instanceText("one") + peersText("a", freeAddr(t), addr))
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a is alive", func() bool { return state("a")() == "alive" })
 	was, _ := a.MembershipStatus()
 	text := strings.Replace(a.peersText(t), "50ms", "60ms", 1) // the same member with another setting
-	y.config(y.instance("one") + text)
+	y.writeConfig(y.instanceText("one") + text)
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
@@ -134,23 +134,23 @@
 		now, ok := a.MembershipStatus()
 		return ok && now.RunID == was.RunID && len(now.Members) == 2
 	})
-	y.config(y.instance("one"))
+	y.writeConfig(y.instanceText("one"))
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a has left", func() bool { return state("a")() == "left" })
-	y.wantServed("one")
+	y.expectServed("one")
 }
 
 // A second handover while the first goes on is refused, and leaves the view to the first: it would talk on sockets
 // that a successor reads.
-func TestSecondHandoverLeavesTheViewToTheFirst(t *testing.T) {
+func TestSecondHandoverDoesNotTouchMembership(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
-	y := newYard(t, f.Member("ready"))
-	y.config(y.instance("one") + peersText("a", freeAddr(t), freeAddr(t)))
+	tb := newTestbed(t, f.Member("ready"))
+	tb.writeConfig(tb.instanceText("one") + peersText("a", freeAddr(t), freeAddr(t)))
 	begun, end := make(chan struct{}), make(chan struct{})
-	r := y.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error {
+	r := tb.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error {
 		close(begun)
 		<-end
 		return errors.New("no successor")
@@ -180,5 +180,5 @@
 		t.Error("no error")
 	}
 	eventually(t, "it goes on", func() bool { return inc() == was+1 })
-	y.wantServed("one")
+	tb.expectServed("one")
 }
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -13,18 +13,18 @@
 	"vetchhaven/internal/standin"
 )
 
-// A copy that is being replaced under another policy finishes what it took, and takes nothing more, whatever later words
-// its daemon hears: they are for the copies that serve by the new one.
-func TestAReplacedCopyIsNotFreedByTheNextLease(t *testing.T) {
-	s, came, release := holding()
+// An agent that is being replaced under another policy finishes what it admitted, and admits nothing more, whatever leases its
+// daemon gets later: they are for the agents that serve by the new policy.
+func TestReplacedAgentIsNotAdmittedByNextLease(t *testing.T) {
+	s, came, release := newHoldingServer()
 	defer s.Close()
 	defer release()
-	y := newYard(t, s.Member("ready"))
-	y.config(y.instance("a"))
-	r := y.start(Options{})
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(tb.instanceText("a"))
+	r := tb.start(Options{})
 	out := make(chan string, 1)
 	go func() {
-		status, body, err := ask(client(y.sock("a"), false), "pay")
+		status, body, err := sendRequest(client(tb.socketPath("a"), false), "pay")
 		out <- fmt.Sprint(status, body, err)
 	}()
 	<-came
@@ -59,12 +59,12 @@
 
 // A member that was cut off past its lease hears of another policy: its copies go by the one before until they are replaced,
 // and take nothing by the lease that comes with the new one. So do those that a handover or a change leaves behind.
-func TestALeaseOfAnotherPolicyOpensNoOldCopy(t *testing.T) {
+func TestLeaseOfAnotherPolicyDoesNotExtendAdmission(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
-	y := newYard(t, s.Member("ready"))
-	y.config(y.instance("a"))
-	r := y.start(Options{})
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(tb.instanceText("a"))
+	r := tb.start(Options{})
 	var a *core.Agent
 	r.call(func() { a = r.instances["a"].agent })
 	word := func(number uint64, until time.Duration) {
@@ -97,39 +97,39 @@
 	}
 }
 
-// agreeing is the part of a daemon's file with which it agrees on policies, as a, with these voters.
-func agreeing(listen, seed string, voters string) string {
+// policyText is the part of a daemon's file with which it agrees on policies, as a, with these voters.
+func policyText(listen, seed string, voters string) string {
 	return peersText("a", listen, seed) + fmt.Sprintf("[policy]\nvoters = [%s]\ncut_off = \"vetoes\"\n", voters)
 }
 
 // apply proposes a policy and waits until the daemon serves by it.
-func (r *running) apply(t *testing.T, number uint64, body string) {
+func (d *testDaemon) apply(t *testing.T, number uint64, body string) {
 	t.Helper()
-	eventually(t, "the policy in force is known", r.policyAdmits)
-	if _, err := r.ProposePolicy(PolicyChange{Body: body, Reason: "a test"}); err != nil {
+	eventually(t, "the policy in force is known", d.policyAdmits)
+	if _, err := d.ProposePolicy(PolicyChange{Body: body, Reason: "a test"}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "it is in force", func() (in bool) {
-		r.call(func() { in = r.policy.applied.number == number })
+		d.call(func() { in = d.policy.applied.number == number })
 		return in
 	})
 }
 
 // A server that a policy keeps out gets nothing from an instance that was too busy to hear of it at first; without the ban
 // it is back.
-func TestABanOfAPolicyReachesABusyInstance(t *testing.T) {
+func TestPolicyBanReachesABusyInstance(t *testing.T) {
 	s1, s2 := standin.NewForm("s-1", nil), standin.NewForm("s-2", nil)
 	defer s1.Close()
 	defer s2.Close()
-	y := newYard(t, s1.Member("ready"), s2.Member("ready"))
-	y.extra = `state_dir = "state"`
+	tb := newTestbed(t, s1.Member("ready"), s2.Member("ready"))
+	tb.head = `state_dir = "state"`
 	addr := freeAddr(t)
-	y.config(y.instance("one") + agreeing(addr, addr, `"a"`))
+	tb.writeConfig(tb.instanceText("one") + policyText(addr, addr, `"a"`))
 	var busy atomic.Bool
 	free, stuck := make(chan struct{}), make(chan struct{})
 	release, held := sync.OnceFunc(func() { close(free) }), sync.OnceFunc(func() { close(stuck) })
 	defer release()
-	r := y.start(Options{Fault: func(string) func(core.Totals) {
+	r := tb.start(Options{Fault: func(string) func(core.Totals) {
 		return func(core.Totals) {
 			if busy.Load() {
 				held()
@@ -138,11 +138,11 @@
 		}
 	}})
 	eventually(t, "the policy in force is known", r.policyAdmits)
-	y.wantServed("one")
+	tb.expectServed("one")
 	both := func() (all bool) {
 		was1, was2 := s1.Got(), s2.Got()
 		for range 30 {
-			y.wantServed("one")
+			tb.expectServed("one")
 		}
 		return s1.Got() > was1 && s2.Got() > was2
 	}
@@ -161,7 +161,7 @@
 	eventually(t, "the server that is out gets nothing", func() bool {
 		was := s2.Got()
 		for range 30 {
-			y.wantServed("one")
+			tb.expectServed("one")
 		}
 		return s2.Got() == was
 	})
@@ -171,20 +171,20 @@
 
 // A part for peers that fails while no other voter answers leaves the policy as it was: requests are taken on, before, between
 // and after its lives.
-func TestAPolicyOutlivesThePartThatKeepsIt(t *testing.T) {
+func TestPolicySurvivesATransportFailure(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	addrs := map[string]string{"a": freeAddr(t), "b": freeAddr(t), "c": freeAddr(t)}
 	var fault atomic.Bool
-	y, all := map[string]*yard{}, map[string]*running{}
+	y, all := map[string]*testbed{}, map[string]*testDaemon{}
 	for name, addr := range addrs {
 		seed := addrs["b"]
 		if name == "b" {
 			seed = addrs["a"]
 		}
-		y[name] = newYard(t, f.Member("ready"))
-		y[name].extra = `state_dir = "state"`
-		y[name].config(y[name].instance("one") + strings.Replace(agreeing(addr, seed, `"a", "b", "c"`), `name = "a"`, fmt.Sprintf("name = %q", name), 1))
+		y[name] = newTestbed(t, f.Member("ready"))
+		y[name].head = `state_dir = "state"`
+		y[name].writeConfig(y[name].instanceText("one") + strings.Replace(policyText(addr, seed, `"a", "b", "c"`), `name = "a"`, fmt.Sprintf("name = %q", name), 1))
 		o := Options{}
 		if name == "a" {
 			o.PeerFault = func() {
@@ -193,7 +193,7 @@
 				}
 			}
 		}
-		r, err := y[name].try(o) // none is ready before it hears of others
+		r, err := y[name].tryStart(o) // none is ready before it hears of others
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,7 +209,7 @@
 		}
 	})
 	r.apply(t, 1, "[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n")
-	y["a"].wantServed("one")
+	y["a"].expectServed("one")
 	if v, ok := r.MembershipStatus(); !ok || v.Traffic.PolicyMessages == 0 || v.Traffic.PolicyBytes < 20*v.Traffic.PolicyMessages {
 		t.Errorf("what it sent about the policy is not counted: %+v", v.Traffic)
 	}
@@ -222,12 +222,12 @@
 		at := r.activePeering.Load()
 		fault.Store(true)
 		eventually(t, "another life of the part", func() bool {
-			y["a"].wantServed("one")
+			y["a"].expectServed("one")
 			now := r.activePeering.Load()
 			return now != nil && now != at
 		})
 		for range 200 { // and while it comes to what it knows
-			y["a"].wantServed("one")
+			y["a"].expectServed("one")
 		}
 		if p, err := r.Policy(); err != nil || p.Active.Number != 1 {
 			t.Errorf("%v, %+v", err, p)
--- a/internal/host/daemon/sockets_test.go
+++ b/internal/host/daemon/sockets_test.go
@@ -5,16 +5,18 @@
 	"net"
 	"os"
 	"path/filepath"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
 
 	"vetchhaven/internal/host/daemonconfig"
+	"vetchhaven/internal/standin"
 )
 
 // A unix socket whose queue is full refuses connections for a moment: it is somebody's all the same, and stays. One that
 // nobody listens on any more goes.
-func TestAUnixSocketWithAFullQueueIsSomebodys(t *testing.T) {
+func TestUnixSocketWithAFullQueueIsNotReplaced(t *testing.T) {
 	dir, err := os.MkdirTemp("", "sock")
 	if err != nil {
 		t.Fatal(err)
@@ -57,3 +59,31 @@
 	}
 	ln.Close()
 }
+
+func TestSecondDaemonOnAnAddressFails(t *testing.T) {
+	s := standin.NewForm("s", nil)
+	defer s.Close()
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(tb.instanceText("a"))
+	tb.start(Options{})
+	if _, err := tb.tryStart(Options{}); err == nil || !strings.Contains(err.Error(), "admin.sock") {
+		t.Errorf("a second daemon at the same addresses: %v", err)
+	}
+	tb.expectServed("a")
+}
+
+// A socket file that a killed daemon left belongs to nobody.
+func TestAbandonedUnixSocketIsReplaced(t *testing.T) {
+	s := standin.NewForm("s", nil)
+	defer s.Close()
+	tb := newTestbed(t, s.Member("ready"))
+	tb.writeConfig(tb.instanceText("a"))
+	ln, err := net.Listen("unix", tb.socketPath("a"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.(*net.UnixListener).SetUnlinkOnClose(false)
+	ln.Close()
+	tb.start(Options{})
+	tb.expectServed("a")
+}
--- a/internal/host/daemonconfig/config_test.go
+++ b/internal/host/daemonconfig/config_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-const good = `admin = "127.0.0.1:7900"
+// validFile is a file that loads.
+const validFile = `admin = "127.0.0.1:7900"
 [limits]
 sockets = 4000
 memory_mb = 256
@@ -62,7 +63,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	cfg, err := Load(writeFile(t, t.TempDir(), good))
+	cfg, err := Load(writeFile(t, t.TempDir(), validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,8 +93,8 @@
 	}
 }
 
-func TestMistakesAreNamed(t *testing.T) {
-	for _, tt := range []struct{ old, new, want string }{
+func TestMistakesAreReportedWithTheirKeys(t *testing.T) {
+	for _, test := range []struct{ old, new, want string }{
 		{`admin = "127.0.0.1:7900"`, ``, "fleet.toml:1: admin: missing"},
 		{`admin = "127.0.0.1:7900"`, `admin = "localhost:7900"`, `fleet.toml:1: admin: "localhost:7900": "localhost" is not an IP`},
 		{`admin = "127.0.0.1:7900"`, `admin = "127.0.0.1:7001"`, "fleet.toml:1: admin: tcp:127.0.0.1:7001 is one's"},
@@ -120,17 +121,19 @@
 		{`memory_mb = 256`, `memory_mb = -1`, "fleet.toml:2: limits: "},
 		{`name = "main"`, `name = ""`, "fleet.toml:6: source[0].name: "},
 	} {
-		if !strings.Contains(good, tt.old) {
-			t.Fatalf("%q is not in the good one", tt.old)
-		}
-		_, err := Load(writeFile(t, t.TempDir(), strings.Replace(good, tt.old, tt.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v\nwant %s", tt.new, tt.old, err, tt.want)
-		}
+		t.Run(test.new+" for "+test.old, func(t *testing.T) {
+			if !strings.Contains(validFile, test.old) {
+				t.Fatal("the valid file does not have it")
+			}
+			_, err := Load(writeFile(t, t.TempDir(), strings.Replace(validFile, test.old, test.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v\nwant %s", err, test.want)
+			}
+		})
 	}
 }
 
-// Shares never hand out more than there is, keep the floor, and go by weight.
+// The shares are no more than the total, keep the floor, and go by weight.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.01, 100), 1, 50).Draw(t, "weights")
@@ -145,7 +148,8 @@
 		}
 		sum := 0
 		for i, n := range all {
-			if sum += n; n < floor {
+			sum += n
+			if n < floor {
 				t.Fatalf("%d is under the floor", n)
 			}
 			for j := range all {
@@ -161,7 +165,7 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	dir := f.TempDir()
 	f.Fuzz(func(t *testing.T, text string) {
 		path := writeFile(t, dir, text)
--- a/internal/host/daemonconfig/overlay_test.go
+++ b/internal/host/daemonconfig/overlay_test.go
@@ -43,7 +43,8 @@
 cut_off = "vetoes"
 `
 
-func own(t *testing.T) *Config {
+// loadOwnFile returns the configuration of ownFileText.
+func loadOwnFile(t *testing.T) *Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	if err := os.WriteFile(path, []byte(ownFileText), 0o600); err != nil {
@@ -56,16 +57,17 @@
 	return cfg
 }
 
+// under returns the configuration of ownFileText under a policy or, if both is not empty, under what that and another one allow.
 func under(t *testing.T, text, both string) (*Config, error) {
 	t.Helper()
 	var other []*policy.Document
 	if both != "" {
 		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return own(t).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
+	return loadOwnFile(t).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
-func TestAPolicysPartsTakeThePlaceOfTheFiles(t *testing.T) {
+func TestPolicyTablesReplaceTheFiles(t *testing.T) {
 	cfg, err := under(t, "[[class]]\nname = \"close\"\nrepeats = \"keyed\"\nwindow = \"6s\"\naim = \"1s\"\ndeadline = \"20s\"\n[[ban]]\nserver = \"s3\"\n[[limit]]\nname = \"all\"\ncounts = \"requests\"\nkind = \"soft\"\nfigure = 9\n", "")
 	if err != nil {
 		t.Fatal(err)
@@ -76,22 +78,24 @@
 	}
 }
 
-func TestAPolicyThatDoesNotDoIsRefusedWithItsLine(t *testing.T) {
-	for name, c := range map[string]struct{ text, says string }{
-		"a key that nobody knows":       {"[rules]\nspeed = 3\n", "policy 1:2: rules.speed"},
-		"a host's own part":             {"admin = \"127.0.0.1:1\"\n", "policy 1:1: admin"},
+func TestInvalidPolicyIsRejectedWithItsLine(t *testing.T) {
+	for name, test := range map[string]struct{ text, want string }{
+		"an unknown key":                {"[rules]\nspeed = 3\n", "policy 1:2: rules.speed"},
+		"a table of the host's own":     {"admin = \"127.0.0.1:1\"\n", "policy 1:1: admin"},
 		"a zone that is not this one's": {"[site]\nzones = [\"east\"]\n", "zone"},
-		"a figure that makes no sense":  {"[rules]\nmax_attempts = -1\n", "policy 1:2: rules.max_attempts"},
+		"a value out of bounds":         {"[rules]\nmax_attempts = -1\n", "policy 1:2: rules.max_attempts"},
 		"a window without a key":        {"[[class]]\nname = \"close\"\naim = \"1s\"\ndeadline = \"2s\"\nwindow = \"1s\"\n", "policy 1:5: class[0].window"},
 		"no TOML":                       {"[[", "policy 1:1"},
 	} {
-		if _, err := under(t, c.text, ""); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := under(t, test.text, ""); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, want %s", err, test.want)
+			}
+		})
 	}
 }
 
-func TestWhatBothAllowIsTheStricterOfTheTwo(t *testing.T) {
+func TestIntersectionIsTheStricterOfBoth(t *testing.T) {
 	class := func(repeats, rest string) string {
 		return "[[class]]\nname = \"close\"\nrepeats = \"" + repeats + "\"\naim = \"1s\"\ndeadline = \"20s\"\n" + rest
 	}
--- a/internal/host/daemonconfig/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -52,7 +52,8 @@
 cut_off = "vetoes"
 `
 
-// underParts is the configuration of a host with two services under texts of parts, or under these and changes of them.
+// underParts returns the configuration of a host with two services under texts of parts, or under what these and changes of
+// them both allow.
 func underParts(t *testing.T, texts, both map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
@@ -86,7 +87,7 @@
 	return nil
 }
 
-func TestAServicesPartIsItsInstancesAlone(t *testing.T) {
+func TestServicePartChangesItsInstancesOnly(t *testing.T) {
 	cfg, err := underParts(t, map[string]string{
 		"beds": "[[source]]\nlist = \"127.0.0.1:9999\"\n[[class]]\nname = \"close\"\nrepeats = \"keyed\"\nwindow = \"6s\"\naim = \"1s\"\ndeadline = \"20s\"\n[[class]]\nname = \"move\"\naim = \"1s\"\ndeadline = \"2s\"\n[[ban]]\nserver = \"s3\"\n",
 		"labs": "[[ban]]\nserver = \"s4\"\nsource = \"labs\"\n"}, nil)
@@ -109,16 +110,16 @@
 	}
 }
 
-func TestAPartThatDoesNotDoIsRefusedWithItsLine(t *testing.T) {
+func TestInvalidServicePartIsRejectedWithItsLine(t *testing.T) {
 	class := func(name, rest string) string {
 		return "[[class]]\nname = \"" + name + "\"\naim = \"1s\"\ndeadline = \"2s\"\n" + rest
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		texts map[string]string
-		says  string
+		want  string
 	}{
-		"a key that nobody knows":     {map[string]string{"beds": class("x", "speed = 3\n")}, "policy 4 of beds:5: class.speed"},
-		"a table of all":              {map[string]string{"beds": "\n[rules]\nmax_attempts = 1\n"}, "policy 4 of beds:2: rules"},
+		"an unknown key":              {map[string]string{"beds": class("x", "speed = 3\n")}, "policy 4 of beds:5: class.speed"},
+		"a table of the global part":  {map[string]string{"beds": "\n[rules]\nmax_attempts = 1\n"}, "policy 4 of beds:2: rules"},
 		"a limit":                     {map[string]string{"beds": "[[limit]]\nname = \"x\"\n"}, "policy 4 of beds:1: limit"},
 		"another service's source":    {map[string]string{"beds": "[[source]]\nname = \"labs\"\nlist = \"a:1\"\n"}, "policy 4 of beds:2: source[0].name"},
 		"another service's ban":       {map[string]string{"beds": "[[ban]]\nserver = \"s\"\nsource = \"labs\"\n"}, "policy 4 of beds:3: ban[0].source"},
@@ -128,15 +129,17 @@
 		"a class of the part for all": {map[string]string{"": class("x", ""), "beds": class("x", "")}, "policy 4 of beds:2: class[0].name"},
 		"a source of the part for all": {map[string]string{"": "[[source]]\nname = \"beds\"\nlist = \"127.0.0.1:1\"\n[[source]]\nname = \"labs\"\nlist = \"127.0.0.1:1\"\n",
 			"beds": "[[source]]\nlist = \"127.0.0.1:1\"\n"}, "policy 4 of beds:1: source[0].name"},
-		"a deadline past what limits are lent for": {map[string]string{"": "[[limit]]\nname = \"all\"\ncounts = \"requests\"\nkind = \"soft\"\nfigure = 9\n", "beds": "[[class]]\nname = \"slow\"\naim = \"1s\"\ndeadline = \"90s\"\n"}, "policy 4 of beds:4: class[0].deadline"},
+		"a deadline past what limits are leased for": {map[string]string{"": "[[limit]]\nname = \"all\"\ncounts = \"requests\"\nkind = \"soft\"\nfigure = 9\n", "beds": "[[class]]\nname = \"slow\"\naim = \"1s\"\ndeadline = \"90s\"\n"}, "policy 4 of beds:4: class[0].deadline"},
 	} {
-		if _, err := underParts(t, c.texts, nil); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := underParts(t, test.texts, nil); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, want %s", err, test.want)
+			}
+		})
 	}
 }
 
-func TestWhatBothAllowOfAServiceIsTheStricter(t *testing.T) {
+func TestServiceIntersectionIsTheStricterOfBoth(t *testing.T) {
 	class := func(repeats, rest string) string {
 		return "[[class]]\nname = \"close\"\nrepeats = \"" + repeats + "\"\naim = \"1s\"\ndeadline = \"20s\"\n" + rest
 	}
--- a/internal/host/daemonconfig/tables_test.go
+++ b/internal/host/daemonconfig/tables_test.go
@@ -52,7 +52,7 @@
 		peers + limitText("x", "requests", "hard", 1, "pod = -1\n"):                                     "limit[0].pod",
 		peers + limitText("x", "requests", "hard", 1, "each = \"class\"\n"):                             "limit[0].each",
 	} {
-		_, err := Load(writeFile(t, dir, good+strings.Replace(text, `seeds = [""]`, `seeds = []`, 1)))
+		_, err := Load(writeFile(t, dir, validFile+strings.Replace(text, `seeds = [""]`, `seeds = []`, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
 			t.Errorf("%s\n%v, not %s", text, err, want)
 		}
@@ -73,7 +73,7 @@
 		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"" + strings.Repeat("r", 65) + "\"\n": "region",
 		"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nsuspect_least = \"1h\"\nevery=\"1s\"":           "peers.suspect_least",
 	} {
-		_, err := Load(writeFile(t, dir, good+text))
+		_, err := Load(writeFile(t, dir, validFile+text))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
 			t.Errorf("%s\n%v, not %s", text, err, want)
 		}
@@ -81,7 +81,7 @@
 }
 
 func TestRegionAndItsBandwidthReachMembership(t *testing.T) {
-	cfg, err := Load(writeFile(t, t.TempDir(), good+"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"west\"\nfar_bytes_per_s = 5000\n"))
+	cfg, err := Load(writeFile(t, t.TempDir(), validFile+"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"west\"\nfar_bytes_per_s = 5000\n"))
 	if err != nil || cfg.Peers.Membership.Region != "west" || cfg.Peers.Membership.RemoteBytesPerSecond != 5000 {
 		t.Errorf("%v: %+v", err, cfg)
 	}
@@ -89,7 +89,7 @@
 
 func TestRecordSourcesAreChecked(t *testing.T) {
 	dir := t.TempDir()
-	with := func(more string) string { return strings.Replace(good, "list = \"127.0.0.1:8500\"\n", more, 1) }
+	with := func(more string) string { return strings.Replace(validFile, "list = \"127.0.0.1:8500\"\n", more, 1) }
 	for want, text := range map[string]string{
 		"missing: names are asked": with("srv = [\"_form._tcp.example.org\"]\n"),
 		"a name such as":           with("srv = [\"example.org\"]\nresolvers = [\"127.0.0.1:53\"]\n"),
@@ -112,20 +112,20 @@
 	dir := t.TempDir()
 	inst := "[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"127.0.0.1:7055\"\n"
 	for want, text := range map[string]string{
-		"needs a class \"search\"": good + inst,
-		"none of http, ldap":       good + strings.Replace(inst, "\"ldap\"", "\"smtp\"", 1),
-		"no class of operations":   good + ldapOperations + inst + "classes = [\"search\", \"modify\", \"get\"]\n",
-		"is keyed":                 good + strings.Replace(ldapOperations, "\"modify\"", "\"modify\"\nrepeats = \"keyed\"\nwindow = \"1s\"", 1) + inst,
-		"go together":              good + ldapOperations + inst + "[ldap]\ncertificate = \"x\"\n",
-		"none of starttls, ldaps":  good + ldapOperations + inst + "[ldap]\nserver_tls = \"some\"\n",
-		"no such file":             good + ldapOperations + inst + "[ldap]\nserver_tls = \"ldaps\"\nserver_ca = \"none.pem\"\n",
-		"ldap.max_message":         good + ldapOperations + inst + "[ldap]\nmax_message = -1\n",
+		"needs a class \"search\"": validFile + inst,
+		"none of http, ldap":       validFile + strings.Replace(inst, "\"ldap\"", "\"smtp\"", 1),
+		"no class of operations":   validFile + ldapOperations + inst + "classes = [\"search\", \"modify\", \"get\"]\n",
+		"is keyed":                 validFile + strings.Replace(ldapOperations, "\"modify\"", "\"modify\"\nrepeats = \"keyed\"\nwindow = \"1s\"", 1) + inst,
+		"go together":              validFile + ldapOperations + inst + "[ldap]\ncertificate = \"x\"\n",
+		"none of starttls, ldaps":  validFile + ldapOperations + inst + "[ldap]\nserver_tls = \"some\"\n",
+		"no such file":             validFile + ldapOperations + inst + "[ldap]\nserver_tls = \"ldaps\"\nserver_ca = \"none.pem\"\n",
+		"ldap.max_message":         validFile + ldapOperations + inst + "[ldap]\nmax_message = -1\n",
 	} {
 		if _, err := Load(writeFile(t, dir, text)); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), filepath.Join(dir, "")) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	cfg, err := Load(writeFile(t, dir, good+ldapOperations+inst))
+	cfg, err := Load(writeFile(t, dir, validFile+ldapOperations+inst))
 	if err != nil {
 		t.Fatal(err)
 	}
