--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -63,8 +63,11 @@
 
 var evictionReasonNames = [evictionReasonCount]string{"quiet", "room", "idle", "silent"}
 
-// ConnLimiter accepts clients' connections up to a number of slots: running out of descriptors would fail attempts at
-// healthy servers too. A connection without an open request keeps its slot only while there are enough. Past the
+// ConnLimiter accepts clients' connections up to a number of slots. Of the states of a connection: it is fresh before its
+// first request, silent while it is fresh and not one byte has come, idle between two requests, and quiet while it is fresh
+// or idle.
+//
+// Slots are bounded because running out of descriptors would fail attempts at healthy servers too. A connection without an open request keeps its slot only while there are enough. Past the
 // eviction mark (three quarters) those that have been quiet for minQuiet are evicted for new ones. Where all slots are
 // taken, one that has had an answer is evicted at once, since a client that meets the close with a further request
 // sends that again elsewhere; one that has yet to send its first byte is left minSilent, and new ones wait in the
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -91,7 +91,9 @@
 	}
 }
 
-// run watches until ctx ends.
+// run watches until ctx ends. On silence or failure the last list goes on to hold, the balancer gets a failed update, and a
+// new watch is opened after a wait. A change counts as notified discovery.ToldWithin (6 s) after discovery could be reached,
+// whether or not it arrived.
 func (d *listWatcher) run(ctx context.Context) {
 	failures := 0
 	for d.waitToWatch(ctx, failures) {
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,6 +1,7 @@
 // Package core is an agent around the balancer of package decide, whatever protocol it speaks. It turns what happens
-// into the balancer's events and executes its actions, in order. It decides nothing about requests: it neither picks
-// servers nor retries, queues or refuses by itself.
+// into the balancer's events and executes its actions, in order. It decides nothing about requests that it admits: it
+// neither picks servers nor retries, queues or refuses them. By itself it rejects only requests past the policy's admission
+// bound (they are shed, admission.go), duplicate IDs, and requests whose deadline has passed.
 //
 // The parts of an Agent, and who owns their state:
 //
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -11,7 +11,7 @@
 	// acceptAfterStop is how long new connections are accepted after a SIGTERM: clients learn of a planned restart up to
 	// 0.4 s late. Shorter refuses some of them; longer delays the restart.
 	acceptAfterStop = 450 * time.Millisecond
-	// closeSilentAfterStop is how long after that a connection may still bring its first request.
+	// closeSilentAfterStop is how long after the listener is closed a connection may still bring its first request.
 	closeSilentAfterStop = 250 * time.Millisecond
 	// drainSlack is what a drain may take past the longest deadline. The platform kills 0.7 s after that.
 	drainSlack = 600 * time.Millisecond
@@ -27,8 +27,13 @@
 	drainCheckInterval = 100 * time.Millisecond
 )
 
-// drain goes on accepting connections for a while, closes each once it has its answer, and returns when none is open, or
-// when the platform is about to kill the process.
+// drain ends the agent's service in these steps, all within maxDrain from its start:
+//
+//  1. New requests get deadlines of finalAnswersReserve before the end.
+//  2. Idle connections are closed. New ones are accepted for acceptAfterStop, unless NoLateConnections is set.
+//  3. The listener is closed. Each connection is closed once it has its answer; those without a byte go after
+//     closeSilentAfterStop.
+//  4. It returns when no connection is open, or when the platform is about to kill the process.
 func (a *Agent) drain(served <-chan error) {
 	a.log.Info("stopping")
 	end := time.Now().Add(a.maxDrain())
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -67,9 +67,9 @@
 type Counters struct {
 	SendRefusals map[string]int64 // writes that a send guard refused
 	Violations   map[string]int64 // of invariants
-	Endings      map[string]int64 // requests that the balancer refused or failed, by its reason
+	Endings      map[string]int64 // requests that the balancer refused or failed, by its reason; those shed by the policy are in Totals alone
 	Results      map[string]int64 // of attempts
-	Closes       map[string]int64 // client connections that were evicted, by reason
+	Evictions    map[string]int64 // client connections that were evicted, by reason
 	Retries      int64            // attempts after a request's first
 }
 
@@ -81,7 +81,7 @@
 		Violations:   map[string]int64{},
 		Endings:      map[string]int64{},
 		Results:      map[string]int64{},
-		Closes:       a.limiter.evictionCounts(),
+		Evictions:    a.limiter.evictionCounts(),
 		Retries:      n.retries.Load(),
 	}
 	for i := range n.sendRefusals {
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -42,7 +42,7 @@
 	case s == AttemptEnded && errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
 	case s == AttemptEnded, s == ServerWithdrawn:
-		return decide.Incomplete // another server may have it
+		return decide.Incomplete // not sent whole, so never executed: it may be sent to another server
 	}
 	return decide.NotSent
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -92,7 +92,7 @@
 
 // Totals are what an agent did since its start, in requests but for Attempts.
 type Totals struct {
-	Requests          int64 // admitted
+	Requests          int64 // submitted, those shed by the policy included; not duplicates and those past their deadline
 	Served            int64
 	Refused           int64
 	Failed            int64
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -512,7 +512,7 @@
 			}
 		case membership.SaveView:
 			a.disk.boot = a.v.Local().Boot
-			if !x.BootOnly && w.starts[a.n] {
+			if !x.KeepKnownMembers && w.starts[a.n] {
 				a.disk.known = a.v.Records()
 			}
 		default:
--- a/internal/host/daemonconfig/peers.go
+++ b/internal/host/daemonconfig/peers.go
@@ -158,9 +158,9 @@
 }
 
 // PeerAddresses returns the addresses at which it listens for streams of peers.
-func (cfg *Config) PeerAddresses() []Address {
-	if cfg.Peers == nil {
+func (c *Config) PeerAddresses() []Address {
+	if c.Peers == nil {
 		return nil
 	}
-	return []Address{{"tcp", cfg.Peers.Listen}}
+	return []Address{{"tcp", c.Peers.Listen}}
 }
--- a/internal/host/metrics/golden_test.go
+++ b/internal/host/metrics/golden_test.go
@@ -18,7 +18,7 @@
 	one := Agent{Name: "one"}
 	golden.Fill(&one.Totals)
 	golden.Fill(&one.Counters)
-	for _, cases := range []*map[string]int64{&one.Counters.Results, &one.Counters.Endings, &one.Counters.SendRefusals, &one.Counters.Closes, &one.Counters.Violations} {
+	for _, cases := range []*map[string]int64{&one.Counters.Results, &one.Counters.Endings, &one.Counters.SendRefusals, &one.Counters.Evictions, &one.Counters.Violations} {
 		*cases = map[string]int64{"reason": int64(len(*cases))}
 	}
 	w := httptest.NewRecorder()
--- a/internal/host/metrics/metrics.go
+++ b/internal/host/metrics/metrics.go
@@ -67,7 +67,7 @@
 			desc  *prometheus.Desc
 			cases map[string]int64
 		}{{results, a.Counters.Results}, {endings, a.Counters.Endings}, {sendRefusals, a.Counters.SendRefusals},
-			{closes, a.Counters.Closes}, {violations, a.Counters.Violations}} {
+			{closes, a.Counters.Evictions}, {violations, a.Counters.Violations}} {
 			for name, n := range of.cases {
 				put(of.desc, n, name)
 			}
--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -109,8 +109,9 @@
 		Ended   bool
 		Members int // alive by their records
 	}
-	// SaveView says that Records, or only the boot number, should be written to disk.
-	SaveView struct{ BootOnly bool }
+	// SaveView says that Records should be written to disk. With KeepKnownMembers, while there are no others, the members that
+	// were known at the start go with them.
+	SaveView struct{ KeepKnownMembers bool }
 )
 
 func (Send) action()               {}
--- a/internal/peer/membership/nameconflict.go
+++ b/internal/peer/membership/nameconflict.go
@@ -106,7 +106,7 @@
 		own.Incarnation++
 	}
 	v.announce(v.self)
-	v.emit(SaveView{BootOnly: true})
+	v.emit(SaveView{KeepKnownMembers: true})
 }
 
 // nameClaimDue asks the other process, and takes the name if it does not answer.
--- a/internal/peer/transport/eventlog.go
+++ b/internal/peer/transport/eventlog.go
@@ -13,7 +13,7 @@
 )
 
 // eventLine is a line of the file of events, one JSON object each: what changed at this member, when by the machine's
-// monotonic clock, which all its processes share, and by its wall clock. Fault tests read it.
+// monotonic clock, which all its processes share, and by its wall clock. Fault tests read it. The JSON keys are those of earlier builds.
 type eventLine struct {
 	MonotonicNanos int64  `json:"t"`    // CLOCK_MONOTONIC
 	WallMS         int64  `json:"wall"` // Unix time
--- a/internal/peer/transport/loop.go
+++ b/internal/peer/transport/loop.go
@@ -34,8 +34,8 @@
 func (*policyPacket) isInput()   {}
 func (policyPersisted) isInput() {}
 
-// Run is a member of the fleet until ctx ends. It returns then, or with what went wrong: a panic of any of its goroutines
-// is an error here, and nobody else's.
+// Run is a member of the fleet until ctx ends. It returns then, or with what went wrong: a panic of the loop, or of a
+// goroutine that runInBackground starts, is an error here. One of the two writers or of a policy stream ends the process.
 func (tr *Transport) Run(ctx context.Context) (err error) {
 	running, cancel := context.WithCancel(ctx)
 	diskStop := make(chan struct{})
@@ -190,7 +190,7 @@
 	case membership.FinishExchange:
 		tr.finishExchange(a.ID, a.Message)
 	case membership.SaveView:
-		if a.BootOnly {
+		if a.KeepKnownMembers {
 			tr.saveBoot()
 		} else {
 			tr.saveView()
@@ -286,7 +286,8 @@
 	}
 }
 
-// do has f run on the loop, and waits, but not for long. It reports false if f may not have run.
+// do has f run on the loop, and waits up to callTimeout. It reports false if f may not have run: it may still run later, so
+// what f writes must not be read then.
 func (tr *Transport) do(f func()) bool {
 	ran := make(chan struct{})
 	timer := time.NewTimer(callTimeout)
--- a/internal/peer/transport/policydriver.go
+++ b/internal/peer/transport/policydriver.go
@@ -67,7 +67,7 @@
 	membersAt   time.Duration // the membership was last passed on
 	messages    uint64        // sent
 	bytes       uint64        // of these
-	unsent      uint64        // messages, for want of an address or a stream
+	unsent      uint64        // messages: no address or stream for them, too large, or not encodable
 	streamSlots chan struct{} // one for each open stream to another member
 }
 
--- a/internal/peer/transport/savedview.go
+++ b/internal/peer/transport/savedview.go
@@ -16,11 +16,14 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// Saved is what a member leaves for its next run, or for the process that takes its place.
+// Saved is what a member leaves for its next run, or for the process that takes its place. The file is written at the start,
+// seconds after changes, and at the end of Run; while the disk fails the last file stays, and writing is retried every 50 ms
+// to 5 s (atomicfile.Writer; save_fails in the status). Ejection evidence and the leases of this daemon's agents are not in
+// it: a successor in the same process has them by Options.Previous, another one begins without.
 type Saved struct {
 	Boot    uint64              `cbor:"1,keyasint,omitempty"`
 	Records []membership.Record `cbor:"2,keyasint,omitempty"`
-	SavedMS int64               `cbor:"3,keyasint,omitempty"` // Unix time in ms: a hint
+	SavedMS int64               `cbor:"3,keyasint,omitempty"` // Unix time in ms, for people: nothing reads it
 	// TakesOver marks the state of a process that another replaces without a gap. The fields below are of such only.
 	TakesOver      bool   `cbor:"4,keyasint,omitempty"`
 	RunID          uint64 `cbor:"5,keyasint,omitempty"`
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// MembershipStatus is a member's view, as the admin endpoint shows it.
+// MembershipStatus is a member's view, as the admin endpoint shows it. The JSON keys are those of earlier builds.
 type MembershipStatus struct {
 	Fleet     string         `json:"fleet"`
 	Name      string         `json:"name"`
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -7,6 +7,11 @@
 // Ownership: the loop of Transport.Run (loop.go) is the one goroutine that calls these state machines. Readers of sockets
 // (datagrams.go, streams.go), the daemon and the disk hand their inputs to it over a channel, and callers that need an
 // answer have a function run on it (Transport.do). Nothing that serves clients ever waits for it.
+//
+// Goroutines: the loop, in Run's own; the writer of the view's file, the reader of datagrams, the acceptor of streams, one
+// for each accepted stream (up to 16) and for each exchange that this member opens, all of which Run ends by closing the
+// sockets and waits for; the writer of the event log, from New on, which Run ends last; and one for each policy message on a
+// stream of its own (up to MaxPolicyStreams), which end by their timeouts and are not waited for.
 package transport
 
 import (
