--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -84,7 +84,7 @@
 	if err == nil || d.ctx.Err() != nil {
 		return
 	}
-	d.log.Error("fleet: the part that keeps the view has failed; instances serve on", "error", err)
+	d.log.Error("fleet: membership and its transport have failed; instances serve on", "error", err)
 	d.saveHandoff()
 	if d.now()-startedAt > maxPeeringBackoff {
 		p.failures = 0
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -42,14 +42,14 @@
 	d.serving.Store(first)
 	disk, err := d.policy.store.Open()
 	if err != nil {
-		d.log.Error("what the fleet agreed on can't be read yet; no request is taken until it is, and is tried again", "error", err)
+		d.log.Error("the stored policy can't be read yet; no request is admitted until it is, and it is tried again", "error", err)
 		return
 	}
 	d.policy.disk = disk
 	d.policy.diskUnused = true
 	documents, err := policy.StoredDocuments(disk.Member)
 	if err != nil {
-		d.log.Error("what the fleet agreed on can't be read; no request is taken until others tell it", "error", err)
+		d.log.Error("the stored policy can't be decoded; no request is admitted until a voter responds", "error", err)
 		d.policy.disk.Member = nil
 		return
 	}
@@ -116,7 +116,7 @@
 	}
 	disk, err := d.policy.store.Reload()
 	if err != nil {
-		return fmt.Errorf("what the fleet agreed on can't be read: %w", err)
+		return fmt.Errorf("read the stored policy: %w", err)
 	}
 	d.policy.disk = disk
 	d.policy.diskUnused = true
@@ -143,12 +143,12 @@
 	d.policy.handoff = nil
 	node, err := policy.New(settings, disk, rand.Uint64())
 	if err != nil {
-		d.log.Error("what the fleet agreed on makes no sense here, and is learnt anew", "error", err)
+		d.log.Error("the stored policy is not usable here, and is fetched anew from the voters", "error", err)
 		disk.Member = nil
 		node, err = policy.New(settings, disk, rand.Uint64())
 	}
 	if err != nil {
-		d.log.Error("no policy is agreed on", "error", err)
+		d.log.Error("this daemon takes no part in the policy", "error", err)
 		return nil
 	}
 	var driver *transport.PolicyDriver
--- a/internal/host/daemon/run.go
+++ b/internal/host/daemon/run.go
@@ -49,7 +49,7 @@
 	close(d.done)
 	closeAdmin(admin)
 	if !waitFor(&d.background, backgroundTimeout) { // everything is answered: nothing else may keep the process
-		d.log.Warn("ending though not all of the daemon's own work has ended")
+		d.log.Warn("ending although not all background work has ended")
 	}
 	d.log.Info("stopped")
 	if handedOver {
--- a/internal/host/daemon/snapshots.go
+++ b/internal/host/daemon/snapshots.go
@@ -88,7 +88,7 @@
 	saved, err := transport.DecodeSaved(data)
 	d.savedPeers = saved
 	if err != nil {
-		d.log.Warn("the view of the fleet is not taken over", "error", err)
+		d.log.Warn("membership is not restored", "error", err)
 		return
 	}
 	if saved.Policy == nil {
--- a/internal/host/policystore/store.go
+++ b/internal/host/policystore/store.go
@@ -112,7 +112,7 @@
 		return db, err
 	}
 	aside := s.path + damagedSuffix
-	s.log.Error("the policy's file makes no sense: it is set aside, and what it held is learnt anew from others",
+	s.log.Error("the policy's file is damaged: it is set aside, and its content is fetched anew from other members",
 		"file", s.path, "as", aside, "error", err)
 	if err := os.Rename(s.path, aside); err != nil {
 		return nil, err
@@ -240,7 +240,7 @@
 // logOutcome logs the first failure of a write, and the first success after it.
 func (s *Store) logOutcome(err error) {
 	if err != nil && !s.failing {
-		s.log.Error("the fleet's policy is not saved; this is said once until it can be", "file", s.path, "error", err)
+		s.log.Error("the fleet's policy is not saved; this is logged once until it is", "file", s.path, "error", err)
 	} else if err == nil && s.failing {
 		s.log.Info("the fleet's policy is saved again", "file", s.path)
 	}
--- a/internal/peer/policy/member_changes.go
+++ b/internal/peer/policy/member_changes.go
@@ -64,7 +64,7 @@
 	}
 	if err := m.checkChange(change); err != nil {
 		if m.rejections[change.ID] == "" {
-			m.node.errorf("policy: change %s (by %s: %s) does not do for this daemon: %v", change.ID, change.Author, change.Reason, err)
+			m.node.errorf("policy: change %s (by %s: %s) fails this daemon's check: %v", change.ID, change.Author, change.Reason, err)
 		}
 		m.reject(change.ID, err.Error())
 		return
@@ -120,7 +120,7 @@
 	}
 	m.deferred = together
 	if m.rejections[change.ID] == "" {
-		m.node.errorf("policy: %s, which is in force (by %s: %s), does not do for this daemon: %v", change.ID, change.Author, change.Reason, err)
+		m.node.errorf("policy: %s, which is in force (by %s: %s), fails this daemon's check: %v", change.ID, change.Author, change.Reason, err)
 		m.rejections[change.ID] = err.Error()
 	}
 	m.saveQueued()
@@ -271,7 +271,7 @@
 // has to request it again after a start anyway; one being prepared is rejected.
 func (m *member) changeNotPersisted(change *Document, err error) {
 	if m.isMissing(change.ID) {
-		m.node.errorf("policy %s is in force and can't be put on the disk: %v", change.ID, err)
+		m.node.errorf("policy %s is in force and can't be persisted: %v", change.ID, err)
 		m.activateMissing(change)
 		m.saveAt = m.node.now + saveRetryInterval
 		return
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -70,7 +70,7 @@
 	}
 	r, err := newRaftNode(n, stored)
 	if err != nil {
-		n.errorf("%v; this member takes no part in the vote", err)
+		n.errorf("%v; this member does not vote", err)
 		return
 	}
 	n.epoch = max(n.epoch, stored.Epoch)
@@ -206,7 +206,7 @@
 func (n *Node) retireVoter(reason string) {
 	n.raftNode = nil
 	n.persist(Batch{Wipe: true})
-	n.errorf("this member votes no more: %s", reason)
+	n.errorf("this member no longer votes: %s", reason)
 }
 
 // rescue goes on with this voter alone.
--- a/internal/peer/policy/raftnode_messages.go
+++ b/internal/peer/policy/raftnode_messages.go
@@ -39,7 +39,7 @@
 	}
 	err := r.rawNode.Step(m)
 	if err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
-		r.node.errorf("a message of voter %s was not taken: %v", from, err)
+		r.node.errorf("a message of voter %s was rejected: %v", from, err)
 	}
 	r.processReady()
 }
--- a/internal/peer/policy/raftnode_recovery.go
+++ b/internal/peer/policy/raftnode_recovery.go
@@ -119,7 +119,7 @@
 func (r *raftNode) endRecovery(known quorumPositions) {
 	if own := r.lastPosition(); own.less(known.furthest) {
 		r.voteFloor = known.furthest
-		r.node.infof("this voter's disk is behind what others know (%d entries, %d are known): it votes for nobody who is, and catches up",
+		r.node.infof("this voter's disk is behind what others know (%d entries, %d are known): it votes for no candidate that is, and catches up",
 			own.index, known.furthest.index)
 	}
 	// It may have voted in any of these terms, and forgotten: the vote for itself keeps it from voting for another.
@@ -215,7 +215,7 @@
 // stepDownAfterLoss stops leading, since another voter has less than it acknowledged: commits may have counted on it.
 func (r *raftNode) stepDownAfterLoss(name string) {
 	if !r.restartPending {
-		r.node.infof("voter %s has lost what it had: this one leads no more, so that nobody counts on it", name)
+		r.node.infof("voter %s has lost what it had: this one stops leading, since commits may have counted on it", name)
 	}
 	r.regressions = map[string]regression{}
 	r.restart()
--- a/internal/peer/policy/raftnode_storage.go
+++ b/internal/peer/policy/raftnode_storage.go
@@ -229,7 +229,7 @@
 	}
 	c := &command{}
 	if err := decoding.Unmarshal(data, c); err != nil {
-		r.node.errorf("an entry of the policy's log makes no sense to this version: %v", err)
+		r.node.errorf("an entry of the policy's log can't be decoded by this version: %v", err)
 		return
 	}
 	r.state.apply(c)
