--- a/internal/host/daemon/admission.go
+++ b/internal/host/daemon/admission.go
@@ -12,7 +12,7 @@
 	reasonPolicySwitched = "another policy is in force: come again at once"
 )
 
-// servingState is by what the fleet's policy lets this daemon serve.
+// servingState is the policy decision under which this daemon serves now.
 type servingState struct {
 	policy.Serving
 	base time.Time // of Until
@@ -47,7 +47,8 @@
 }
 
 // applyAdmission tells an agent until when it may admit requests. One that was built by another policy than the present one
-// admits them no longer than both allow: a renewed lease is not for its policy, however soon it is replaced.
+// admits them no longer than both allow: a renewed lease is for the present policy, not for the one of an agent that is about to
+// be replaced.
 func (d *Daemon) applyAdmission(h agentHandle) {
 	s := d.serving.Load()
 	agent := h.agent
@@ -66,14 +67,14 @@
 		agent.AdmitAlways()
 	case s.Until >= policy.Never:
 	case isCurrent:
-		agent.AdmitUntil(s.base.Add(s.Until), d.leaseExpiredReason())
+		agent.AdmitUntil(s.base.Add(s.Until), d.policyLeaseExpiredReason())
 	default:
-		agent.ShortenAdmission(s.base.Add(s.Until), d.leaseExpiredReason())
+		agent.ShortenAdmission(s.base.Add(s.Until), d.policyLeaseExpiredReason())
 	}
 }
 
-// leaseExpiredReason is why no request is admitted after a lease has expired.
-func (d *Daemon) leaseExpiredReason() string {
+// policyLeaseExpiredReason is why no request is admitted after a lease has expired.
+func (d *Daemon) policyLeaseExpiredReason() string {
 	return "no voter of the fleet's policy has answered for " + d.policyLease.String()
 }
 
--- a/internal/host/daemon/ejections.go
+++ b/internal/host/daemon/ejections.go
@@ -107,7 +107,7 @@
 	if !retry {
 		return
 	}
-	time.AfterFunc(shareRetryInterval, func() {
+	time.AfterFunc(busyRetryInterval, func() {
 		if d.ejections.Load() == set {
 			d.applyEjections(set)
 		}
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -26,7 +26,17 @@
 )
 
 // Handover starts a successor that takes over the sockets, and ends this daemon once that one is ready. A successor that
-// fails to get ready leaves this one serving.
+// fails to get ready leaves this one serving. The steps:
+//
+//  1. Reloads and policy switches are held off.
+//  2. The transport is frozen: it is silent from here on. policy.db is closed.
+//  3. The sockets are duplicated, and the state is encoded.
+//  4. The successor is started with a pipe, the state and the sockets. It accepts connections before it is ready.
+//  5. This one waits for its byte on the pipe, ReadyWithin at most.
+//  6. This one drains, and ends. Under a policy it admits requests for a second more.
+//
+// If step 4 or 5 fails, the successor is killed, with the connections that it has accepted, policy.db is opened again, the
+// transport thaws, and this daemon goes on.
 func (d *Daemon) Handover(ctx context.Context) error {
 	if d.options.Upgrade == nil {
 		return errNoHandover
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -25,9 +25,9 @@
 	pastTotals core.Totals        // of earlier agents
 
 	// What the agent was last passed.
-	limits        []quota.Limit
-	floorAgents   int      // how many agents its floors are for
-	barredServers []string // out of use by the file or the policy
+	limits          []quota.Limit
+	floorAgents     int      // how many agents its floors are for
+	disabledServers []string // out of use by the file or the policy
 }
 
 // agentHandle is a running agent, for goroutines besides Run's.
@@ -154,9 +154,9 @@
 	if ejections := d.ejections.Load(); ejections != nil {
 		agent.SetEjections(ejections.forSource(instance.spec.Source))
 	}
-	instance.barredServers = nil
+	instance.disabledServers = nil
 	if !d.applyBans(instance) {
-		time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
+		time.AfterFunc(busyRetryInterval, d.scheduleUpdate)
 	}
 	d.applyAdmission(handle)
 	instance.limits = nil
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -32,7 +32,7 @@
 	}
 	agents := d.maxBalancers()
 	if agents != instance.floorAgents {
-		if !instance.agent.GrantLeases(expiringLeases(d.cfg.Limits.Floors(agents), time.Now())) {
+		if !instance.agent.GrantLeases(limitLeases(d.cfg.Limits.Floors(agents), time.Now())) {
 			return false
 		}
 		instance.floorAgents = agents
@@ -52,12 +52,12 @@
 // that is too busy goes by the leases that it has, which expire by themselves.
 func (d *Daemon) leasesGranted(agent uint32, leases []quota.Lease, base time.Time) {
 	if h, ok := d.agents.Load(agent); ok {
-		h.(agentHandle).agent.GrantLeases(expiringLeases(leases, base))
+		h.(agentHandle).agent.GrantLeases(limitLeases(leases, base))
 	}
 }
 
-// expiringLeases translates leases whose times count from base.
-func expiringLeases(leases []quota.Lease, base time.Time) []core.Lease {
+// limitLeases translates leases whose times count from base.
+func limitLeases(leases []quota.Lease, base time.Time) []core.Lease {
 	expiring := make([]core.Lease, len(leases))
 	for i, lease := range leases {
 		expiring[i] = core.Lease{Lease: lease, ExpiresAt: base.Add(lease.Expires)}
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -34,8 +34,8 @@
 	maxQueuedReports = 16
 )
 
-// Merger makes one endpoint list of what a source's list service and its records say, and applies it to a hub. Run's goroutine
-// drives it; Members may be called from any.
+// Merger makes one endpoint list of what a source's list service and its records say, and applies it to a hub. The
+// goroutine of Merger.Run drives it; Members may be called from any.
 type Merger struct {
 	source    daemonconfig.Source
 	log       *slog.Logger
--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -34,8 +34,8 @@
 	maxBackoffDoublings = 10
 	// leaveTimeout is how long a member that leaves may take to tell others. Longer ones delay the daemon's end.
 	leaveTimeout = 400 * time.Millisecond
-	// shareRetryInterval is after which an instance that was too busy is passed again what is for it.
-	shareRetryInterval = 200 * time.Millisecond
+	// busyRetryInterval is after which limits, ejections and bans are offered again to an instance that was too busy for them.
+	busyRetryInterval = 200 * time.Millisecond
 )
 
 // startPeering starts the daemon's part in its fleet, if the file has one, from what the last one saved, which may be nil.
@@ -221,7 +221,7 @@
 		}
 	}
 	if retry {
-		time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
+		time.AfterFunc(busyRetryInterval, d.scheduleUpdate)
 	}
 }
 
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -157,8 +157,8 @@
 	return driver
 }
 
-// handoffSeqStep is more lease requests than a member sends in its run: those of the one that takes its place are numbered
-// from behind them, so that no response to the one before is taken for its own.
+// handoffSeqStep exceeds the lease requests of one run of a member. The next run's are numbered from that far on, so that the
+// numbers of two runs never overlap and no response to the earlier one is taken for one to the later.
 const handoffSeqStep = 1 << 32
 
 // saveHandoff keeps what a member that has failed knew of the policy, for the one that is started in its place: requests are
--- a/internal/host/daemon/policyswitch.go
+++ b/internal/host/daemon/policyswitch.go
@@ -171,22 +171,22 @@
 		}
 	}
 	for _, server := range banned {
-		if slices.Contains(instance.barredServers, server) {
+		if slices.Contains(instance.disabledServers, server) {
 			continue
 		}
 		if !instance.agent.TryForceServerDisabled(server, true) {
 			return false
 		}
-		instance.barredServers = append(instance.barredServers, server)
+		instance.disabledServers = append(instance.disabledServers, server)
 	}
-	for _, server := range slices.Clone(instance.barredServers) {
+	for _, server := range slices.Clone(instance.disabledServers) {
 		if slices.Contains(banned, server) {
 			continue
 		}
 		if !instance.agent.TryForceServerDisabled(server, false) {
 			return false
 		}
-		instance.barredServers = slices.DeleteFunc(instance.barredServers, func(s string) bool { return s == server })
+		instance.disabledServers = slices.DeleteFunc(instance.disabledServers, func(s string) bool { return s == server })
 	}
 	return true
 }
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -19,7 +19,7 @@
 	Replaced  int `json:"replaced"`
 	Moved     int `json:"moved"` // follow another list, and go on
 	Unchanged int `json:"unchanged"`
-	Revived   int `json:"revived"` // were left down, and are tried again
+	Revived   int `json:"revived"` // were left down, and are tried again as a configuration is applied
 }
 
 // Reload reads the file again and changes what differs. If it has a mistake, or an address can't be opened, nothing changes.
@@ -71,7 +71,7 @@
 	for _, instance := range d.instances {
 		bansApplied := d.applyBans(instance)
 		if !d.applyLimits(instance) || !bansApplied {
-			time.AfterFunc(shareRetryInterval, d.scheduleUpdate)
+			time.AfterFunc(busyRetryInterval, d.scheduleUpdate)
 		}
 	}
 	d.updatePeering(old.Peers, old.Limits)
@@ -107,7 +107,8 @@
 	}
 }
 
-// applyInstance starts, replaces or moves an instance as its settings ask for.
+// applyInstance starts, replaces or moves an instance as its settings ask for. Its shares of descriptors and memory are among
+// them: where the number of instances or a weight changes, all are replaced.
 func (d *Daemon) applyInstance(spec daemonconfig.Instance, isMoved func(from, to string) bool, result *ReloadResult) {
 	instance := d.instances[spec.Name]
 	if instance == nil {
@@ -139,7 +140,8 @@
 }
 
 // replaceInstance starts an agent with other settings. It accepts connections before the old one ends: both have the socket,
-// or each its own.
+// or each its own. The old one answers its open requests, for the longest deadline and 0.6 s at most. It ends also where the new
+// one fails to start, which the supervisor then tries again.
 func (d *Daemon) replaceInstance(instance *hostedInstance, spec daemonconfig.Instance) {
 	stop := instance.stop
 	previous := instance.agent
--- a/internal/host/daemonconfig/limits.go
+++ b/internal/host/daemonconfig/limits.go
@@ -13,7 +13,9 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Limits are the limits that the fleet shares.
+// Limits are the limits that the fleet shares, [[limit]] in the file. On their way to an agent: ForInstance translates them for one
+// instance, Daemon.applyLimits passes them to its agent, whose loop hands them to decide (SharedLimits) and so to its
+// quota.Ledger. The amounts come apart from that, as leases (Daemon.leasesGranted).
 type Limits struct {
 	lease.Settings
 	classes []string // of each limit; empty: all
--- a/internal/host/daemonconfig/overlay.go
+++ b/internal/host/daemonconfig/overlay.go
@@ -19,7 +19,7 @@
 	Ban    []banTable
 	Peers  *sharedPeers
 
-	services []*servicePart // not of a file: what services' parts have besides
+	services []*servicePart // services' own parts; no key of a file
 }
 
 // sharedPeers are the keys of [peers] that a policy may hold.
--- a/internal/host/daemonconfig/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -18,7 +18,7 @@
 	Source   []sourceTable
 	Class    []classTable
 	Ban      []banTable
-	complete bool // the service has no classes besides: those of what two policies both allow
+	complete bool // Class lists all classes of the service: it is the intersection of two policies
 }
 
 // tableOrigin is where a table in a list comes from. file is nil for the daemon's file and the global part.
--- a/internal/host/policystore/store.go
+++ b/internal/host/policystore/store.go
@@ -40,7 +40,8 @@
 	maxQueuedWrites = 256
 )
 
-// Errors of a batch that is not written.
+// Errors of a batch that is not written. What a failed write leads to is decided in package policy: a voter writes it again
+// (raftnode_storage.go), a member rejects the change (member_changes.go).
 var (
 	errClosed     = errors.New("the policy's file is not open")
 	errSuperseded = errors.New("another has taken over")
--- a/internal/host/supervise/supervise.go
+++ b/internal/host/supervise/supervise.go
@@ -15,11 +15,13 @@
 	// defaultFirstWait makes the restart after a passing fault hardly noticeable. Shorter restarts a part while the cause
 	// of its failure still lasts.
 	defaultFirstWait = 200 * time.Millisecond
-	// defaultMaxWait has an operator see a repaired part come back soon. Longer spares the host more where a part fails on.
+	// defaultMaxWait has an operator see a repaired part come back soon. Longer spares the host more where a part fails on. It
+	// binds only with more than defaultMaxFailures or a longer defaultFirstWait.
 	defaultMaxWait = 30 * time.Second
-	// defaultHealthyAfter is longer than any wait, so that a part that fails at once never counts as healthy.
+	// defaultHealthyAfter is a minute of running: far more than a part takes that fails at its start.
 	defaultHealthyAfter = time.Minute
-	// defaultMaxFailures is about a minute of failures with the other defaults. More tries on for longer.
+	// defaultMaxFailures is reached after 13 to 26 s of waiting with the other defaults (seven waits, of 0.2 s doubled six times
+	// at most). More tries on for longer.
 	defaultMaxFailures = 8
 
 	// minWaitShare is the least part of the ceiling that a wait takes; the rest is jitter. Less lets a part that fails at
@@ -63,7 +65,7 @@
 	Failed struct{ Name, Reason string }
 	// Removed says that a part is not wanted any more.
 	Removed struct{ Name string }
-	// Revived says that an operator wants a part that is down to be started again.
+	// Revived says that a part that is down is to be started again: an operator or a change of policy had a configuration applied.
 	Revived struct{ Name string }
 )
 
@@ -93,7 +95,7 @@
 const (
 	Waiting Phase = iota // until NextStartAt
 	Running
-	Down // not started any more until an operator revives it
+	Down // not started any more until a configuration is applied
 )
 
 // State is the state of a part.
