--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -262,7 +262,7 @@
 		return
 	}
 	clk := a.loop.clock
-	a.unfollow = hub.Join(func(m *discovery.Members) {
+	a.unfollow = hub.Subscribe(func(m *discovery.Members) {
 		a.loop.post(translate(a.cfg, clk, a.log, m, listKindOf(m)))
 	})
 }
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -31,9 +31,9 @@
 	if failures == 0 {
 		return 1
 	}
-	backoff := discovery.ReconnectFirst << min(failures-1, maxBackoffDoublings)
-	ceiling := min(drainGrace/drainGraceDivisor, discovery.ReconnectMost)
-	return min(backoff, max(discovery.ReconnectFirst, ceiling))
+	backoff := discovery.MinReconnectBackoff << min(failures-1, maxBackoffDoublings)
+	ceiling := min(drainGrace/drainGraceDivisor, discovery.MaxReconnectBackoff)
+	return min(backoff, max(discovery.MinReconnectBackoff, ceiling))
 }
 
 // listWatcher watches the endpoint list. With Settings.Subscribe the balancer says when to watch, and when to try again
@@ -61,7 +61,7 @@
 		post:             post,
 		log:              log,
 		client:           discovery.NewClient(cfg.Settings.ConnectTimeout),
-		heartbeatTimeout: discovery.Silence,
+		heartbeatTimeout: discovery.HeartbeatTimeout,
 		addr:             cfg.Discovery,
 		watchRequests:    make(chan struct{}, 1),
 		addrChanges:      make(chan string, 1),
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -257,11 +257,11 @@
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for failures := range 100 {
 			switch wait := reconnectCeiling(failures, grace); {
-			case wait <= 0 || wait > discovery.ReconnectMost:
+			case wait <= 0 || wait > discovery.MaxReconnectBackoff:
 				t.Errorf("grace %v, %d failures: %v", grace, failures, wait)
-			case wait > max(discovery.ReconnectFirst, grace/4):
+			case wait > max(discovery.MinReconnectBackoff, grace/4):
 				t.Errorf("grace %v, %d failures: waits %v", grace, failures, wait)
-			case failures > 0 && wait < discovery.ReconnectFirst:
+			case failures > 0 && wait < discovery.MinReconnectBackoff:
 				t.Errorf("grace %v, %d failures: only %v", grace, failures, wait)
 			}
 		}
--- a/internal/core/listdelay_test.go
+++ b/internal/core/listdelay_test.go
@@ -303,7 +303,7 @@
 							has := 13*time.Second + time.Duration(i)*217*time.Millisecond
 							s := &listService{listScript: scripted(has), changeAt: has}
 							at, calls := s.firstUpdate(t, cfg)
-							if late := at - s.recoveredAt(); late < 0 || late > discovery.ToldWithin {
+							if late := at - s.recoveredAt(); late < 0 || late > discovery.NotificationDeadline {
 								t.Errorf("the change arrives %v after", late)
 							}
 							most = max(most, calls)
--- a/internal/host/daemon/ejections.go
+++ b/internal/host/daemon/ejections.go
@@ -21,7 +21,7 @@
 	}
 	for name, h := range d.hubs {
 		if h.unwatch == nil {
-			h.unwatch = h.Join(func(*discovery.Members) { d.reportList(name, h) })
+			h.unwatch = h.Subscribe(func(*discovery.Members) { d.reportList(name, h) })
 		}
 	}
 }
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -138,7 +138,7 @@
 		}
 	}
 	if list != nil {
-		unwatch := list.Join(func(v *discovery.Members) { post(listReport(v)) })
+		unwatch := list.Subscribe(func(v *discovery.Members) { post(listReport(v)) })
 		defer unwatch()
 		origins.Go(func() { list.Run(ctx) })
 	}
--- a/internal/host/daemon/run.go
+++ b/internal/host/daemon/run.go
@@ -181,7 +181,7 @@
 	})
 	for _, h := range hubs {
 		select {
-		case <-h.Told():
+		case <-h.Ready():
 		case <-limit:
 			d.log.Warn("no list yet; instances refuse until there is one", "list", h.source.List)
 		case <-ctx.Done():
--- a/internal/host/daemon/sources.go
+++ b/internal/host/daemon/sources.go
@@ -43,16 +43,16 @@
 // newHub starts to follow a source, from a saved list, which may be nil.
 func (d *Daemon) newHub(cfg *daemonconfig.Config, source daemonconfig.Source, saved *discovery.Members) *hub {
 	options := discovery.HubOptions{
-		Addr:           source.List,
-		Spread:         source.Spread,
-		First:          source.First,
-		ConnectTimeout: cfg.Instances[0].Agent.Settings.ConnectTimeout,
-		Log:            d.log,
-		Urgent:         func() { go d.post(d.saveSnapshot) },
+		Addr:            source.List,
+		Spread:          source.Spread,
+		MaxInitialDelay: source.First,
+		ConnectTimeout:  cfg.Instances[0].Agent.Settings.ConnectTimeout,
+		Log:             d.log,
+		OnUrgent:        func() { go d.post(d.saveSnapshot) },
 	}
 	h := &hub{source: source, Hub: discovery.NewHub(options)}
 	if saved != nil {
-		h.Give(saved)
+		h.Restore(saved)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = func() {
@@ -68,7 +68,7 @@
 	var list *discovery.Hub
 	if source.List != "" {
 		options.Spread = 0 // the merged list is spread, not its parts
-		options.Urgent = nil
+		options.OnUrgent = nil
 		list = discovery.NewHub(options)
 	}
 	merger := NewMerger(source, h.Hub, saved, d.log, nil)
--- a/internal/source/discovery/discovery.go
+++ b/internal/source/discovery/discovery.go
@@ -36,24 +36,24 @@
 }
 
 const (
-	// Silence is how long a watch may bring nothing. The list sends an empty line every 2 s while
+	// HeartbeatTimeout is how long a watch may bring nothing. The list sends an empty line every 2 s while
 	// nothing changes; a watch that misses two of these is dead: a machine that is cut off closes
 	// nothing. A change counts as told after 6 s even if it did not arrive, so the next watch must be
 	// up well before that.
-	Silence = 4500 * time.Millisecond
-	// silenceSpread is by how much sooner some watches are given up, so that all of a fleet's that fall silent in
+	HeartbeatTimeout = 4500 * time.Millisecond
+	// heartbeatTimeoutSpread is by how much sooner some watches are given up, so that all of a fleet's that fall silent in
 	// one moment are not opened anew in one moment. One beat late by 1.5 s is still none missed.
-	silenceSpread = time.Second
-	// ToldWithin is when a change counts as told that the list has and could have been asked for, whether or not it
+	heartbeatTimeoutSpread = time.Second
+	// NotificationDeadline is when a change counts as told that the list has and could have been asked for, whether or not it
 	// arrived. A watch that hangs from just before that moment is found within Silence, and the next one begins within
 	// ReconnectMost: the 0.7 s that are left are for its connection and its first object.
-	ToldWithin = 6 * time.Second
-	// ReconnectFirst is the ceiling of the first wait between two watches; it doubles with each failure.
-	ReconnectFirst = 100 * time.Millisecond
-	// ReconnectMost is the highest ceiling of the waits between watches.
-	ReconnectMost = 800 * time.Millisecond
+	NotificationDeadline = 6 * time.Second
+	// MinReconnectBackoff is the ceiling of the first wait between two watches; it doubles with each failure.
+	MinReconnectBackoff = 100 * time.Millisecond
+	// MaxReconnectBackoff is the highest ceiling of the waits between watches.
+	MaxReconnectBackoff = 800 * time.Millisecond
 	// An object longer than this, in bytes, is no list.
-	maxObject = 4 << 20
+	maxObjectBytes = 4 << 20
 )
 
 // NewClient is an HTTP client for watches.
@@ -68,8 +68,8 @@
 	}
 }
 
-// errTooLong is of an object that goes past maxObject.
-var errTooLong = fmt.Errorf("an object of over %d bytes", maxObject)
+// errObjectTooLong is of an object that goes past maxObject.
+var errObjectTooLong = fmt.Errorf("an object of over %d bytes", maxObjectBytes)
 
 // Watch follows the changes since a version at addr until the connection ends, and passes each
 // message to each. It reports whether any came; the error says why it ended, and is never nil. If
@@ -79,12 +79,12 @@
 // wait for a connection and for the answer's head, from that head on, and in the midst of an object. (A list service that
 // works through calls in turn may write the head late and the first line 2 s after it: both are signs of life.) Objects
 // may be written on any number of lines; one that the end of the watch cuts off changes nothing.
-func Watch(ctx context.Context, client *http.Client, addr string, since int64, silent time.Duration, each func(*Members)) (got bool, err error) {
+func Watch(ctx context.Context, client *http.Client, addr string, since int64, heartbeatTimeout time.Duration, onUpdate func(*Members)) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silent -= rand.N(max(1, min(silenceSpread, silent/4))) // 1: a quarter of a silence under 4 ns is none
-	silence := time.AfterFunc(silent, func() { cancel(errors.New("silent")) })
-	defer silence.Stop()
+	heartbeatTimeout -= rand.N(max(1, min(heartbeatTimeoutSpread, heartbeatTimeout/4))) // 1: a quarter of a silence under 4 ns is none
+	heartbeatTimer := time.AfterFunc(heartbeatTimeout, func() { cancel(errors.New("silent")) })
+	defer heartbeatTimer.Stop()
 	url := "http://" + addr + "/catalog/members?follow=1&since=" + strconv.FormatInt(since, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -98,23 +98,23 @@
 		return false, err
 	}
 	defer resp.Body.Close()
-	silence.Reset(silent)
+	heartbeatTimer.Reset(heartbeatTimeout)
 	if resp.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	in := &heard{in: resp.Body, each: func() { silence.Reset(silent) }}
-	objects := json.NewDecoder(in)
+	body := &watchBody{body: resp.Body, onRead: func() { heartbeatTimer.Reset(heartbeatTimeout) }}
+	decoder := json.NewDecoder(body)
 	for {
-		in.left = maxObject
-		var m *Members
-		if err = objects.Decode(&m); err == nil && m == nil {
+		body.remaining = maxObjectBytes
+		var update *Members
+		if err = decoder.Decode(&update); err == nil && update == nil {
 			err = errors.New("null is no object")
 		}
 		if err != nil {
 			break
 		}
-		got = true
-		each(m)
+		received = true
+		onUpdate(update)
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
@@ -123,24 +123,24 @@
 	} else {
 		err = fmt.Errorf("list: %w", err)
 	}
-	return got, err
+	return received, err
 }
 
-// heard reads a watch, tells of each read that brought something, and ends an object that does not end.
-type heard struct {
-	in   io.Reader
-	each func()
-	left int // bytes of the present object
+// watchBody reads a watch, tells of each read that brought something, and ends an object that does not end.
+type watchBody struct {
+	body      io.Reader
+	onRead    func()
+	remaining int // bytes of the present object
 }
 
-func (h *heard) Read(p []byte) (int, error) {
-	if h.left <= 0 {
-		return 0, errTooLong
+func (b *watchBody) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, errObjectTooLong
 	}
-	n, err := h.in.Read(p[:min(len(p), h.left)])
+	n, err := b.body.Read(p[:min(len(p), b.remaining)])
 	if n > 0 {
-		h.left -= n
-		h.each()
+		b.remaining -= n
+		b.onRead()
 	}
 	return n, err
 }
--- a/internal/source/discovery/hub.go
+++ b/internal/source/discovery/hub.go
@@ -12,75 +12,75 @@
 
 // HubOptions say how a list is followed.
 type HubOptions struct {
-	Addr           string
-	ConnectTimeout time.Duration
-	Silence        time.Duration // 0: the package's Silence
+	Addr             string
+	ConnectTimeout   time.Duration
+	HeartbeatTimeout time.Duration // 0: the package's Silence
 	// Spread is by how much later than the first some readers hear of a server that has come up, and
 	// of the whole list at their start: else all would turn to it at once. What drains or is gone is
 	// told at once.
-	Spread time.Duration
-	First  time.Duration // the first call comes after a random part of this
-	Urgent func()        // called when servers were taken away; must not wait; may be nil
-	Log    *slog.Logger
-	Rand   *rand.Rand // may be nil
+	Spread          time.Duration
+	MaxInitialDelay time.Duration // the first call comes after a random part of this
+	OnUrgent        func()        // called when servers were taken away; must not wait; may be nil
+	Log             *slog.Logger
+	Rand            *rand.Rand // may be nil
 }
 
 // Hub follows one list for many readers: it is read and decoded once, and each reader is told at
 // its own time.
 type Hub struct {
-	o      HubOptions
-	client *http.Client
+	options HubOptions
+	client  *http.Client
 
-	mu      sync.Mutex
-	version int64
-	servers map[string]Member
-	known   bool // a whole list has come, or was given
-	readers map[*reader]struct{}
-	reads   int
-	failing error // why it is not being followed; nil: it is
-	since   time.Time
-	told    chan struct{} // closed at the first list
+	mu          sync.Mutex
+	version     int64
+	servers     map[string]Member
+	loaded      bool // a whole list has come, or was given
+	subscribers map[*subscriber]struct{}
+	watchCount  int
+	watchError  error // why it is not being followed; nil: it is
+	since       time.Time
+	ready       chan struct{} // closed at the first list
 }
 
-// reader has what is to be told it, in order.
-type reader struct {
-	tell   func(*Members)
-	spread time.Duration
+// subscriber has what is to be told it, in order.
+type subscriber struct {
+	notify func(*Members)
+	delay  time.Duration
 
-	mu      sync.Mutex
-	queue   []*Members
-	timer   *time.Timer // runs while something waits for its time
-	telling bool
-	left    bool
+	mu        sync.Mutex
+	queue     []*Members
+	timer     *time.Timer // runs while something waits for its time
+	notifying bool
+	closed    bool
 }
 
 // NewHub is a hub that knows nothing yet.
-func NewHub(o HubOptions) *Hub {
-	if o.Silence == 0 {
-		o.Silence = Silence
+func NewHub(options HubOptions) *Hub {
+	if options.HeartbeatTimeout == 0 {
+		options.HeartbeatTimeout = HeartbeatTimeout
 	}
-	if o.Rand == nil {
-		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	if options.Rand == nil {
+		options.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Hub{o: o, client: NewClient(o.ConnectTimeout), servers: map[string]Member{}, readers: map[*reader]struct{}{},
-		told: make(chan struct{}), since: time.Now()}
+	return &Hub{options: options, client: NewClient(options.ConnectTimeout), servers: map[string]Member{}, subscribers: map[*subscriber]struct{}{},
+		ready: make(chan struct{}), since: time.Now()}
 }
 
-// Give tells the hub a list of before, such as one that was saved. It holds until the first that
+// Restore tells the hub a list of before, such as one that was saved. It holds until the first that
 // is read.
-func (h *Hub) Give(m *Members) {
+func (h *Hub) Restore(m *Members) {
 	full := *m
 	full.Full, full.Saved = true, true
-	h.take(&full, 0)
+	h.apply(&full, 0)
 }
 
 // Apply tells what another than the list service has found: a whole list, or a change.
-func (h *Hub) Apply(m *Members) { h.take(m, m.Version) }
+func (h *Hub) Apply(m *Members) { h.apply(m, m.Version) }
 
 // Run follows the list until ctx ends.
 func (h *Hub) Run(ctx context.Context) {
-	fails := 0
-	wait := time.Duration(h.rand() * float64(h.o.First))
+	failures := 0
+	wait := time.Duration(h.random() * float64(h.options.MaxInitialDelay))
 	for {
 		select {
 		case <-time.After(wait):
@@ -89,38 +89,38 @@
 		}
 		h.mu.Lock()
 		version := h.version
-		h.reads++
+		h.watchCount++
 		h.mu.Unlock()
-		got, err := Watch(ctx, h.client, h.o.Addr, version, h.o.Silence, func(m *Members) { h.take(m, m.Version) })
+		received, err := Watch(ctx, h.client, h.options.Addr, version, h.options.HeartbeatTimeout, func(m *Members) { h.apply(m, m.Version) })
 		if ctx.Err() != nil {
 			return
 		}
-		if got {
-			fails = 0
+		if received {
+			failures = 0
 		}
-		if fails++; fails == 1 || fails%20 == 0 { // not a line for every try while it is down
-			h.o.Log.Warn("list not followed", "list", h.o.Addr, "error", err, "failures", fails)
+		if failures++; failures == 1 || failures%20 == 0 { // not a line for every try while it is down
+			h.options.Log.Warn("list not followed", "list", h.options.Addr, "error", err, "failures", failures)
 		}
 		h.mu.Lock()
-		h.failing = err
+		h.watchError = err
 		h.mu.Unlock()
 		// Full jitter below a doubling ceiling.
-		wait = time.Duration(h.rand() * float64(min(ReconnectFirst<<min(fails-1, 10), ReconnectMost)))
+		wait = time.Duration(h.random() * float64(min(MinReconnectBackoff<<min(failures-1, 10), MaxReconnectBackoff)))
 	}
 }
 
-func (h *Hub) rand() float64 {
+func (h *Hub) random() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.o.Rand.Float64()
+	return h.options.Rand.Float64()
 }
 
-// take merges a message and passes it on.
-func (h *Hub) take(m *Members, version int64) {
+// apply merges a message and passes it on.
+func (h *Hub) apply(m *Members, version int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.version = version; version > 0 {
-		h.failing = nil
+		h.watchError = nil
 	}
 	if m.Full {
 		h.servers = map[string]Member{}
@@ -132,16 +132,16 @@
 			h.servers[s.ID] = s
 		}
 	}
-	now := h.known && urgent(m) // the very first list takes nothing away
-	if !h.known {
-		h.known = true
-		close(h.told)
+	now := h.loaded && urgent(m) // the very first list takes nothing away
+	if !h.loaded {
+		h.loaded = true
+		close(h.ready)
 	}
-	for r := range h.readers {
-		r.add(m, now)
+	for r := range h.subscribers {
+		r.enqueue(m, now)
 	}
-	if now && h.o.Urgent != nil {
-		h.o.Urgent()
+	if now && h.options.OnUrgent != nil {
+		h.options.OnUrgent()
 	}
 }
 
@@ -155,11 +155,11 @@
 func (h *Hub) Snapshot() *Members {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.snapshot()
+	return h.snapshotLocked()
 }
 
-func (h *Hub) snapshot() *Members {
-	if !h.known {
+func (h *Hub) snapshotLocked() *Members {
+	if !h.loaded {
 		return nil
 	}
 	m := &Members{Version: h.version, Full: true, Servers: []Member{}}
@@ -175,8 +175,8 @@
 	return m
 }
 
-// Told is closed once the hub knows a list.
-func (h *Hub) Told() <-chan struct{} { return h.told }
+// Ready is closed once the hub knows a list.
+func (h *Hub) Ready() <-chan struct{} { return h.ready }
 
 // HubState is how a hub stands.
 type HubState struct {
@@ -192,79 +192,79 @@
 func (h *Hub) State() HubState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := HubState{Addr: h.o.Addr, Version: h.version, Servers: len(h.servers), Readers: len(h.readers), Reads: h.reads}
-	if h.failing != nil {
-		s.Error = h.failing.Error()
+	s := HubState{Addr: h.options.Addr, Version: h.version, Servers: len(h.servers), Readers: len(h.subscribers), Reads: h.watchCount}
+	if h.watchError != nil {
+		s.Error = h.watchError.Error()
 	}
 	return s
 }
 
-// Join has a reader told the list as it is, and every change, in order and never two at a time,
+// Subscribe has a reader told the list as it is, and every change, in order and never two at a time,
 // until leave is called. tell may wait.
-func (h *Hub) Join(tell func(*Members)) (leave func()) {
+func (h *Hub) Subscribe(notify func(*Members)) (unsubscribe func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := &reader{tell: tell, spread: time.Duration(h.o.Rand.Float64() * float64(h.o.Spread))}
-	h.readers[r] = struct{}{}
-	if m := h.snapshot(); m != nil {
-		r.add(m, false)
+	r := &subscriber{notify: notify, delay: time.Duration(h.options.Rand.Float64() * float64(h.options.Spread))}
+	h.subscribers[r] = struct{}{}
+	if m := h.snapshotLocked(); m != nil {
+		r.enqueue(m, false)
 	}
 	return func() {
 		h.mu.Lock()
-		delete(h.readers, r)
+		delete(h.subscribers, r)
 		h.mu.Unlock()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.left, r.queue = true, nil
+		r.closed, r.queue = true, nil
 		if r.timer != nil {
 			r.timer.Stop()
 		}
 	}
 }
 
-// add has a message told at the reader's time, or now with all that waits before it.
-func (r *reader) add(m *Members, now bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.left {
+// enqueue has a message told at the reader's time, or now with all that waits before it.
+func (s *subscriber) enqueue(update *Members, immediate bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return
 	}
-	r.queue = append(r.queue, m)
+	s.queue = append(s.queue, update)
 	switch {
-	case now || r.spread == 0:
-		if r.timer != nil {
-			r.timer.Stop()
-			r.timer = nil
+	case immediate || s.delay == 0:
+		if s.timer != nil {
+			s.timer.Stop()
+			s.timer = nil
 		}
-		r.start()
-	case r.timer == nil && !r.telling:
-		r.timer = time.AfterFunc(r.spread, func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.timer = nil
-			r.start()
+		s.deliver()
+	case s.timer == nil && !s.notifying:
+		s.timer = time.AfterFunc(s.delay, func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.timer = nil
+			s.deliver()
 		})
 	}
 }
 
-// start tells what waits, in a goroutine that ends when nothing does. The lock is held.
-func (r *reader) start() {
-	if r.telling || len(r.queue) == 0 {
+// deliver tells what waits, in a goroutine that ends when nothing does. The lock is held.
+func (s *subscriber) deliver() {
+	if s.notifying || len(s.queue) == 0 {
 		return
 	}
-	r.telling = true
+	s.notifying = true
 	go func() {
 		for {
-			r.mu.Lock()
-			if len(r.queue) == 0 || r.left {
-				r.telling = false
-				r.mu.Unlock()
+			s.mu.Lock()
+			if len(s.queue) == 0 || s.closed {
+				s.notifying = false
+				s.mu.Unlock()
 				return
 			}
-			m := r.queue[0]
-			r.queue = r.queue[1:]
-			r.mu.Unlock()
-			r.tell(m)
+			update := s.queue[0]
+			s.queue = s.queue[1:]
+			s.mu.Unlock()
+			s.notify(update)
 		}
 	}()
 }
--- a/internal/source/discovery/hub_test.go
+++ b/internal/source/discovery/hub_test.go
@@ -19,28 +19,28 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// teller collects what one reader is told, with its time.
-type teller struct {
-	mu   sync.Mutex
-	got  []string
-	when []time.Time
+// recorder collects what one reader is told, with its time.
+type recorder struct {
+	mu      sync.Mutex
+	updates []string
+	times   []time.Time
 }
 
-func (r *teller) tell(m *Members) {
+func (r *recorder) record(m *Members) {
 	var ids []string
 	for _, s := range m.Servers {
 		ids = append(ids, s.ID+":"+s.State)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.got = append(r.got, fmt.Sprint(map[bool]string{true: "full ", false: ""}[m.Full], strings.Join(ids, ",")))
-	r.when = append(r.when, time.Now())
+	r.updates = append(r.updates, fmt.Sprint(map[bool]string{true: "full ", false: ""}[m.Full], strings.Join(ids, ",")))
+	r.times = append(r.times, time.Now())
 }
 
-func (r *teller) list() []string {
+func (r *recorder) list() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.got)
+	return slices.Clone(r.updates)
 }
 
 func up(id string) Member { return Member{ID: id, Addr: "127.0.0.1:1", State: "ready"} }
@@ -53,14 +53,14 @@
 
 // What has come up is told at each reader's own time; what drains or is gone, to all at once, with
 // all that waited before it, in order.
-func TestReadersHearAtTheirOwnTimes(t *testing.T) {
+func TestSubscribersAreNotifiedAtTheirOwnTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Addr: "127.0.0.1:1", Spread: 300 * time.Millisecond, Log: quiet})
-		h.take(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
-		readers := make([]*teller, 50)
+		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
+		readers := make([]*recorder, 50)
 		for i := range readers {
-			readers[i] = &teller{}
-			defer h.Join(readers[i].tell)()
+			readers[i] = &recorder{}
+			defer h.Subscribe(readers[i].record)()
 		}
 		began := time.Now()
 		time.Sleep(time.Second)
@@ -70,16 +70,16 @@
 			if got := r.list(); len(got) != 1 || got[0] != "full a:ready" {
 				t.Fatalf("%q", got)
 			}
-			if r.when[0].Sub(began) > 100*time.Millisecond {
+			if r.times[0].Sub(began) > 100*time.Millisecond {
 				late++
 			}
 		}
 		if late < 20 || late > 45 {
 			t.Errorf("%d of 50 heard after a third of the spread", late)
 		}
-		h.take(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
+		h.apply(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
 		time.Sleep(10 * time.Millisecond)
-		h.take(&Members{Version: 3, Servers: []Member{state("a", "draining")}}, 3)
+		h.apply(&Members{Version: 3, Servers: []Member{state("a", "draining")}}, 3)
 		synctest.Wait() // no time passes
 		for _, r := range readers {
 			if got := r.list(); len(got) != 3 || got[1] != "b:ready" || got[2] != "a:draining" {
@@ -87,7 +87,7 @@
 			}
 		}
 		// A whole list that lacks one takes it away: at once, too.
-		h.take(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
+		h.apply(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
 		synctest.Wait()
 		if got := readers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
 			t.Errorf("%q", got)
@@ -95,14 +95,14 @@
 	})
 }
 
-func TestALeavingReaderHearsNoMore(t *testing.T) {
+func TestUnsubscribedSubscriberGetsNoUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Spread: time.Second, Log: quiet})
-		r := &teller{}
-		leave := h.Join(r.tell)
-		h.take(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
+		r := &recorder{}
+		leave := h.Subscribe(r.record)
+		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
 		leave()
-		h.take(&Members{Version: 2, Servers: []Member{state("a", "gone")}}, 2)
+		h.apply(&Members{Version: 2, Servers: []Member{state("a", "gone")}}, 2)
 		time.Sleep(5 * time.Second)
 		if got := r.list(); len(got) > 0 {
 			t.Errorf("%q", got)
@@ -111,15 +111,15 @@
 }
 
 // A reader that is slow holds nobody up and misses nothing.
-func TestASlowReaderHoldsNobodyUp(t *testing.T) {
+func TestSlowSubscriberDelaysNobodyAndMissesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Log: quiet})
-		slow, quick := &teller{}, &teller{}
+		slow, quick := &recorder{}, &recorder{}
 		block := make(chan struct{})
-		defer h.Join(func(m *Members) { <-block; slow.tell(m) })()
-		defer h.Join(quick.tell)()
+		defer h.Subscribe(func(m *Members) { <-block; slow.record(m) })()
+		defer h.Subscribe(quick.record)()
 		for i := range 100 {
-			h.take(&Members{Version: int64(i), Servers: []Member{up(fmt.Sprint(i))}}, int64(i))
+			h.apply(&Members{Version: int64(i), Servers: []Member{up(fmt.Sprint(i))}}, int64(i))
 		}
 		synctest.Wait()
 		if n := len(quick.list()); n != 100 {
@@ -134,7 +134,7 @@
 }
 
 // One watch serves all readers, survives its end, and asks on from where it was.
-func TestHubFollows(t *testing.T) {
+func TestHubResumesFromItsVersion(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	since := make(chan string, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -151,15 +151,15 @@
 		}
 	}))
 	defer server.Close()
-	h := NewHub(HubOptions{Addr: strings.TrimPrefix(server.URL, "http://"), ConnectTimeout: 10 * time.Second, Silence: time.Minute, Log: quiet})
-	h.Give(&Members{Version: 99, Servers: []Member{up("old")}})
+	h := NewHub(HubOptions{Addr: strings.TrimPrefix(server.URL, "http://"), ConnectTimeout: 10 * time.Second, HeartbeatTimeout: time.Minute, Log: quiet})
+	h.Restore(&Members{Version: 99, Servers: []Member{up("old")}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	heard := make(chan string, 100)
-	defer h.Join(func(m *Members) {
-		r := &teller{}
-		r.tell(m)
-		heard <- r.got[0]
+	defer h.Subscribe(func(m *Members) {
+		r := &recorder{}
+		r.record(m)
+		heard <- r.updates[0]
 	})()
 	running.Go(func() { h.Run(ctx) }) // once the reader is there: else it may miss the given list
 	want := []string{"full old:ready", "full a:ready", "b:ready"}
--- a/internal/source/discovery/watch_test.go
+++ b/internal/source/discovery/watch_test.go
@@ -79,7 +79,7 @@
 
 // Each object counts as soon as its last byte has come, however it is laid out; one that the end of the watch, or
 // a reset, cuts off changes nothing, and neither do empty lines.
-func TestIndentedAndCutOffObjects(t *testing.T) {
+func TestCompleteObjectsAreAppliedAndTruncatedOnesIgnored(t *testing.T) {
 	for name, end := range map[string]func(c net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
 		"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
@@ -118,9 +118,9 @@
 }
 
 // What is no list ends the watch.
-func TestWhatIsNoList(t *testing.T) {
+func TestMalformedListEndsTheWatch(t *testing.T) {
 	for name, text := range map[string]string{
-		"null": "null\n", "array": "[]\n", "number": "7\n", "garbage": "}{", "endless": "{\"id\":\"" + strings.Repeat("x", maxObject+1),
+		"null": "null\n", "array": "[]\n", "number": "7\n", "garbage": "}{", "endless": "{\"id\":\"" + strings.Repeat("x", maxObjectBytes+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listener(t)
@@ -146,7 +146,7 @@
 
 // A watch that falls silent is over within Silence, and none sooner than its share of the spread: while its answer's
 // head is awaited, right after that, and in the midst of an object. Every byte counts as a sign of life.
-func TestSilenceEndsAWatchWhereverItFallsSilent(t *testing.T) {
+func TestHeartbeatTimeoutEndsAWatchInEachPhase(t *testing.T) {
 	object := indented(1, "a", "ready")
 	for name, text := range map[string]string{
 		"before the head": "", "in the head": watchHead[:20], "after the head": watchHead, "between objects": watchHead + object,
@@ -172,14 +172,14 @@
 					_, _ = io.WriteString(c, head)
 					last.Store(time.Now().UnixNano())
 					for _, b := range []byte(body) { // a byte now and then: far longer than Silence in all
-						time.Sleep(Silence - silenceSpread - time.Millisecond)
+						time.Sleep(HeartbeatTimeout - heartbeatTimeoutSpread - time.Millisecond)
 						_, _ = c.Write([]byte{b})
 						last.Store(time.Now().UnixNano())
 					}
 					_, _ = io.Copy(io.Discard, in)
 				}()
-				_, err := Watch(t.Context(), piped(served), "list", 0, Silence, func(*Members) {})
-				if took := time.Since(time.Unix(0, last.Load())); err == nil || err.Error() != "silent" || took > Silence || took < Silence-silenceSpread {
+				_, err := Watch(t.Context(), piped(served), "list", 0, HeartbeatTimeout, func(*Members) {})
+				if took := time.Since(time.Unix(0, last.Load())); err == nil || err.Error() != "silent" || took > HeartbeatTimeout || took < HeartbeatTimeout-heartbeatTimeoutSpread {
 					t.Errorf("%v, %v after the last byte", err, took)
 				}
 				synctest.Wait()
@@ -189,20 +189,20 @@
 }
 
 // Watches that fall silent together are not given up together.
-func TestSilentWatchesAreSpread(t *testing.T) {
+func TestHeartbeatTimeoutsAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ends []time.Duration
 		began, done, served := time.Now(), make(chan time.Duration), make(chan net.Conn, 50)
 		for range 50 {
 			go func() {
-				_, _ = Watch(t.Context(), piped(served), "list", 0, Silence, nil)
+				_, _ = Watch(t.Context(), piped(served), "list", 0, HeartbeatTimeout, nil)
 				done <- time.Since(began)
 			}()
 		}
 		for range 50 {
 			ends = append(ends, <-done)
 		}
-		if slices.Sort(ends); ends[0] < Silence-silenceSpread || ends[49] > Silence || ends[40]-ends[10] < silenceSpread/4 {
+		if slices.Sort(ends); ends[0] < HeartbeatTimeout-heartbeatTimeoutSpread || ends[49] > HeartbeatTimeout || ends[40]-ends[10] < heartbeatTimeoutSpread/4 {
 			t.Errorf("%v to %v", ends[0], ends[49])
 		}
 	})
