--- a/internal/source/discovery/discovery.go
+++ b/internal/source/discovery/discovery.go
@@ -1,5 +1,11 @@
-// Package discovery reads the platform's list of servers: HTTP/1.1, the whole list or a watch that
-// stays open and brings one JSON object a line.
+// Package discovery reads the platform's endpoint list over HTTP/1.1. A watch is one GET that stays open and
+// delivers one JSON object for each update: a complete list first, or the changes since a version.
+//
+// Watch is a single connection. Hub keeps one watch open for all instances of a process, retries it with
+// exponential backoff and full jitter ("Exponential Backoff and Jitter", AWS Architecture Blog, 2015), and
+// fans the updates out to its subscribers. The hub owns the current list; it starts one goroutine per
+// subscriber while updates are pending for it. internal/core subscribes one agent, internal/host/daemon one
+// per instance.
 package discovery
 
 import (
@@ -15,52 +21,67 @@
 	"time"
 )
 
-// Members is a list of servers as the list service writes it.
+// Members is one update of the endpoint list, as the list service encodes it: a snapshot if Full is set, else
+// a delta.
 type Members struct {
-	Saved   bool     `json:"-"` // read from a disk: how old it is, is not known
+	Saved   bool     `json:"-"` // restored from disk: its age is unknown
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
 }
 
-// Member is what the list says of one server.
+// Member is one server of an update.
 type Member struct {
 	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
+	Addr    string  `json:"addr"` // IP and port
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"kind"`
 	Cell    int     `json:"cell"`
-	State   string  `json:"state"` // ready, draining or gone
+	State   string  `json:"state"` // "ready", "draining" or "gone"
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time; 0: long ago
+	Started int64   `json:"started_ms"` // Unix time in ms; 0: unknown, long ago
 }
 
+// States of a server as the list service spells them. "draining" needs no name here: the hub only asks
+// whether a server is ready and whether it is gone.
+const (
+	stateReady   = "ready"
+	stateRemoved = "gone"
+)
+
 const (
-	// HeartbeatTimeout is how long a watch may bring nothing. The list sends an empty line every 2 s while
-	// nothing changes; a watch that misses two of these is dead: a machine that is cut off closes
-	// nothing. A change counts as told after 6 s even if it did not arrive, so the next watch must be
-	// up well before that.
+	// HeartbeatTimeout is how long a watch may deliver no byte. The list service sends an empty line every
+	// 2 s while nothing changes, so a watch without two of these in a row is taken for dead: a partitioned
+	// peer closes nothing. Larger values leave too little of NotificationDeadline for the next watch; below
+	// 4 s one delayed heartbeat would end a live watch.
 	HeartbeatTimeout = 4500 * time.Millisecond
-	// heartbeatTimeoutSpread is by how much sooner some watches are given up, so that all of a fleet's that fall silent in
-	// one moment are not opened anew in one moment. One beat late by 1.5 s is still none missed.
+	// heartbeatTimeoutSpread is by how much some watches time out sooner, so that a fleet whose watches all
+	// fall silent in one moment does not reconnect in one moment. A heartbeat may still be 1.5 s late.
 	heartbeatTimeoutSpread = time.Second
-	// NotificationDeadline is when a change counts as told that the list has and could have been asked for, whether or not it
-	// arrived. A watch that hangs from just before that moment is found within Silence, and the next one begins within
-	// ReconnectMost: the 0.7 s that are left are for its connection and its first object.
+	// NotificationDeadline is the age at which a change in the list counts as known, by the platform's
+	// contract, whether or not it arrived. A watch that hangs from just before the change is detected within
+	// HeartbeatTimeout and the next one starts within MaxReconnectBackoff: 0.7 s remain for its connection
+	// and its first object.
 	NotificationDeadline = 6 * time.Second
-	// MinReconnectBackoff is the ceiling of the first wait between two watches; it doubles with each failure.
+	// MinReconnectBackoff is the upper bound of the first wait between two watches; the bound doubles with
+	// each failure. A smaller value loads a list service that is failing, a larger one delays recovery.
 	MinReconnectBackoff = 100 * time.Millisecond
-	// MaxReconnectBackoff is the highest ceiling of the waits between watches.
+	// MaxReconnectBackoff is the bound at which the doubling ends. See NotificationDeadline for what it has
+	// to leave.
 	MaxReconnectBackoff = 800 * time.Millisecond
-	// An object longer than this, in bytes, is no list.
+	// maxObjectBytes bounds one JSON object, so that a malformed response can't exhaust memory. A list whose
+	// JSON is longer can't be read at all.
 	maxObjectBytes = 4 << 20
+	// watchPath is the resource of the list service that delivers updates since a version.
+	watchPath = "/catalog/members?follow=1&since="
 )
 
-// NewClient is an HTTP client for watches.
+// NewClient returns an HTTP client for watches. Each watch has a connection of its own, and redirects are not
+// followed.
 func NewClient(connectTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DisableKeepAlives:  true, // a watch has its own connection; nothing may be resent on an old one
+			DisableKeepAlives:  true, // a request must not be resent on a connection that was idle
 			DisableCompression: true,
 			DialContext:        (&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext,
 		},
@@ -68,24 +89,30 @@
 	}
 }
 
-// errObjectTooLong is of an object that goes past maxObject.
-var errObjectTooLong = fmt.Errorf("an object of over %d bytes", maxObjectBytes)
+// Reasons for which a watch ends. Their texts are part of the admin endpoint's state.
+var (
+	errHeartbeatTimeout = errors.New("silent")
+	errEnded            = errors.New("ended by the list")
+	errNullObject       = errors.New("null is no object")
+	errObjectTooLong    = fmt.Errorf("an object of over %d bytes", maxObjectBytes)
+)
 
-// Watch follows the changes since a version at addr until the connection ends, and passes each
-// message to each. It reports whether any came; the error says why it ended, and is never nil. If
-// ctx was cancelled with a cause, that is the error.
+// Watch requests the updates since a version from the list service at addr, and passes each to onUpdate until
+// the connection ends. It blocks. received reports whether any update arrived; err is the reason for the end
+// and never nil. If ctx was cancelled with a cause, err is that cause.
 //
-// A watch that brings no byte for silent, less up to silenceSpread, is over: silence counts from the call, through the
-// wait for a connection and for the answer's head, from that head on, and in the midst of an object. (A list service that
-// works through calls in turn may write the head late and the first line 2 s after it: both are signs of life.) Objects
-// may be written on any number of lines; one that the end of the watch cuts off changes nothing.
+// A watch that reads no byte for heartbeatTimeout, less a random part of heartbeatTimeoutSpread, ends. The
+// timer runs from the call, restarts with the response's header, and with each read of the body. (A list
+// service that handles requests one after the other may write the header late, and the first line 2 s after
+// it: both prove that it is alive.) An object may span any number of lines; one that the end of the
+// connection truncates is dropped.
 func Watch(ctx context.Context, client *http.Client, addr string, since int64, heartbeatTimeout time.Duration, onUpdate func(*Members)) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	heartbeatTimeout -= rand.N(max(1, min(heartbeatTimeoutSpread, heartbeatTimeout/4))) // 1: a quarter of a silence under 4 ns is none
-	heartbeatTimer := time.AfterFunc(heartbeatTimeout, func() { cancel(errors.New("silent")) })
+	heartbeatTimeout -= rand.N(max(1, min(heartbeatTimeoutSpread, heartbeatTimeout/4))) // 1: rand.N panics at 0
+	heartbeatTimer := time.AfterFunc(heartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
 	defer heartbeatTimer.Stop()
-	url := "http://" + addr + "/catalog/members?follow=1&since=" + strconv.FormatInt(since, 10)
+	url := "http://" + addr + watchPath + strconv.FormatInt(since, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false, err
@@ -102,37 +129,46 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	body := &watchBody{body: resp.Body, onRead: func() { heartbeatTimer.Reset(heartbeatTimeout) }}
+	body := &watchBody{
+		body:   resp.Body,
+		onRead: func() { heartbeatTimer.Reset(heartbeatTimeout) },
+	}
+	received, err = decodeUpdates(body, onUpdate)
+	if cause := context.Cause(ctx); cause != nil {
+		return received, cause
+	}
+	if errors.Is(err, io.EOF) {
+		return received, errEnded
+	}
+	return received, fmt.Errorf("list: %w", err)
+}
+
+// decodeUpdates passes each object of a watch's body to onUpdate until one can't be read. err is never nil.
+func decodeUpdates(body *watchBody, onUpdate func(*Members)) (received bool, err error) {
 	decoder := json.NewDecoder(body)
 	for {
 		body.remaining = maxObjectBytes
 		var update *Members
-		if err = decoder.Decode(&update); err == nil && update == nil {
-			err = errors.New("null is no object")
+		if err := decoder.Decode(&update); err != nil {
+			return received, err
 		}
-		if err != nil {
-			break
+		if update == nil {
+			return received, errNullObject
 		}
 		received = true
 		onUpdate(update)
 	}
-	if cause := context.Cause(ctx); cause != nil {
-		err = cause
-	} else if errors.Is(err, io.EOF) {
-		err = errors.New("ended by the list")
-	} else {
-		err = fmt.Errorf("list: %w", err)
-	}
-	return received, err
 }
 
-// watchBody reads a watch, tells of each read that brought something, and ends an object that does not end.
+// watchBody reads a watch's response body, reports each read that returned data, and limits the size of an
+// object.
 type watchBody struct {
 	body      io.Reader
 	onRead    func()
-	remaining int // bytes of the present object
+	remaining int // bytes that the current object may still have
 }
 
+// Read fails with errObjectTooLong once the current object has used up its limit.
 func (b *watchBody) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
 		return 0, errObjectTooLong
--- a/internal/source/discovery/hub.go
+++ b/internal/source/discovery/hub.go
@@ -6,55 +6,67 @@
 	"math/rand/v2"
 	"net/http"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 )
 
-// HubOptions say how a list is followed.
+const (
+	// failuresPerLog is how many failed watches in a row share one log line. A smaller value floods the log
+	// while the list service is down; with a larger one the line of an outage is seldom repeated.
+	failuresPerLog = 20
+	// maxBackoffDoublings keeps the shift of the backoff from overflowing; MaxReconnectBackoff applies long
+	// before.
+	maxBackoffDoublings = 10
+)
+
+// HubOptions configure a Hub.
 type HubOptions struct {
-	Addr             string
-	ConnectTimeout   time.Duration
-	HeartbeatTimeout time.Duration // 0: the package's Silence
-	// Spread is by how much later than the first some readers hear of a server that has come up, and
-	// of the whole list at their start: else all would turn to it at once. What drains or is gone is
-	// told at once.
-	Spread          time.Duration
-	MaxInitialDelay time.Duration // the first call comes after a random part of this
-	OnUrgent        func()        // called when servers were taken away; must not wait; may be nil
-	Log             *slog.Logger
-	Rand            *rand.Rand // may be nil
+	Addr             string        // of the list service: IP and port
+	ConnectTimeout   time.Duration // of one watch's connection
+	HeartbeatTimeout time.Duration // 0: the package's HeartbeatTimeout
+	// Spread bounds the delay, random for each subscriber, with which it is notified of a server that has
+	// come up, and of the snapshot at its start: otherwise all instances would move to a new server in one
+	// moment. A drained or removed server is notified without delay.
+	Spread time.Duration
+	// MaxInitialDelay bounds the random wait before the first watch.
+	MaxInitialDelay time.Duration
+	// OnUrgent is called when an update removed or drained servers; may be nil. It is called with the hub's
+	// lock held, so it must neither block nor call the hub.
+	OnUrgent func()
+	Log      *slog.Logger
+	Rand     *rand.Rand // nil: seeded at random; the hub's lock guards it
 }
 
-// Hub follows one list for many readers: it is read and decoded once, and each reader is told at
-// its own time.
+// Hub follows one endpoint list for many subscribers: each update is read and decoded once, and each
+// subscriber is notified after its own delay. Its methods may be called from any goroutine.
 type Hub struct {
 	options HubOptions
 	client  *http.Client
 
 	mu          sync.Mutex
-	version     int64
-	servers     map[string]Member
-	loaded      bool // a whole list has come, or was given
+	version     int64             // of the last update; the next watch resumes there
+	servers     map[string]Member // the current list, by ID
+	loaded      bool              // a list has been received or restored
 	subscribers map[*subscriber]struct{}
-	watchCount  int
-	watchError  error // why it is not being followed; nil: it is
-	since       time.Time
-	ready       chan struct{} // closed at the first list
+	watchCount  int           // watches begun
+	watchError  error         // why the last watch ended; nil: an update has arrived since
+	ready       chan struct{} // closed with the first list
 }
 
-// subscriber has what is to be told it, in order.
+// subscriber delivers updates to one callback, in order and one at a time. Its lock is taken after the hub's.
 type subscriber struct {
 	notify func(*Members)
 	delay  time.Duration
 
 	mu        sync.Mutex
 	queue     []*Members
-	timer     *time.Timer // runs while something waits for its time
-	notifying bool
+	timer     *time.Timer // of the delay; nil: none is running
+	notifying bool        // the delivery goroutine runs
 	closed    bool
 }
 
-// NewHub is a hub that knows nothing yet.
+// NewHub returns a hub without a list. Run has to be called to follow one.
 func NewHub(options HubOptions) *Hub {
 	if options.HeartbeatTimeout == 0 {
 		options.HeartbeatTimeout = HeartbeatTimeout
@@ -62,22 +74,28 @@
 	if options.Rand == nil {
 		options.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Hub{options: options, client: NewClient(options.ConnectTimeout), servers: map[string]Member{}, subscribers: map[*subscriber]struct{}{},
-		ready: make(chan struct{}), since: time.Now()}
+	return &Hub{
+		options:     options,
+		client:      NewClient(options.ConnectTimeout),
+		servers:     map[string]Member{},
+		subscribers: map[*subscriber]struct{}{},
+		ready:       make(chan struct{}),
+	}
 }
 
-// Restore tells the hub a list of before, such as one that was saved. It holds until the first that
-// is read.
+// Restore sets a list from before the process started, such as a saved snapshot. It is replaced by the first
+// update of the list service, which is requested from version 0 on.
 func (h *Hub) Restore(m *Members) {
 	full := *m
-	full.Full, full.Saved = true, true
+	full.Full = true
+	full.Saved = true
 	h.apply(&full, 0)
 }
 
-// Apply tells what another than the list service has found: a whole list, or a change.
+// Apply merges an update that does not come from the hub's own watch: a snapshot, or a delta.
 func (h *Hub) Apply(m *Members) { h.apply(m, m.Version) }
 
-// Run follows the list until ctx ends.
+// Run keeps a watch open until ctx ends. Failed watches are retried with full jitter.
 func (h *Hub) Run(ctx context.Context) {
 	failures := 0
 	wait := time.Duration(h.random() * float64(h.options.MaxInitialDelay))
@@ -87,71 +105,82 @@
 		case <-ctx.Done():
 			return
 		}
-		h.mu.Lock()
-		version := h.version
-		h.watchCount++
-		h.mu.Unlock()
-		received, err := Watch(ctx, h.client, h.options.Addr, version, h.options.HeartbeatTimeout, func(m *Members) { h.apply(m, m.Version) })
+		received, err := Watch(ctx, h.client, h.options.Addr, h.startWatch(), h.options.HeartbeatTimeout, h.Apply)
 		if ctx.Err() != nil {
 			return
 		}
 		if received {
 			failures = 0
 		}
-		if failures++; failures == 1 || failures%20 == 0 { // not a line for every try while it is down
+		failures++
+		if failures == 1 || failures%failuresPerLog == 0 {
 			h.options.Log.Warn("list not followed", "list", h.options.Addr, "error", err, "failures", failures)
 		}
 		h.mu.Lock()
 		h.watchError = err
 		h.mu.Unlock()
-		// Full jitter below a doubling ceiling.
-		wait = time.Duration(h.random() * float64(min(MinReconnectBackoff<<min(failures-1, 10), MaxReconnectBackoff)))
+		wait = h.reconnectBackoff(failures)
 	}
 }
 
+// startWatch counts a watch and returns the version to resume from.
+func (h *Hub) startWatch() (version int64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.watchCount++
+	return h.version
+}
+
+// reconnectBackoff draws the wait before the next watch, after at least one failure in a row.
+func (h *Hub) reconnectBackoff(failures int) time.Duration {
+	ceiling := min(MinReconnectBackoff<<min(failures-1, maxBackoffDoublings), MaxReconnectBackoff)
+	return time.Duration(h.random() * float64(ceiling))
+}
+
+// random draws from [0, 1).
 func (h *Hub) random() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.options.Rand.Float64()
 }
 
-// apply merges a message and passes it on.
+// apply merges an update into the list and queues it for each subscriber.
 func (h *Hub) apply(m *Members, version int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.version = version; version > 0 {
+	h.version = version
+	if version > 0 {
 		h.watchError = nil
 	}
 	if m.Full {
 		h.servers = map[string]Member{}
 	}
-	for _, s := range m.Servers {
-		if s.State == "gone" {
-			delete(h.servers, s.ID)
+	for _, server := range m.Servers {
+		if server.State == stateRemoved {
+			delete(h.servers, server.ID)
 		} else {
-			h.servers[s.ID] = s
+			h.servers[server.ID] = server
 		}
 	}
-	now := h.loaded && urgent(m) // the very first list takes nothing away
+	immediate := h.loaded && isUrgent(m) // the first list of all can't remove a server
 	if !h.loaded {
 		h.loaded = true
 		close(h.ready)
 	}
-	for r := range h.subscribers {
-		r.enqueue(m, now)
+	for s := range h.subscribers {
+		s.enqueue(m, immediate)
 	}
-	if now && h.options.OnUrgent != nil {
+	if immediate && h.options.OnUrgent != nil {
 		h.options.OnUrgent()
 	}
 }
 
-// urgent reports whether a message takes servers away: each reader hears that at once. A whole list
-// may.
-func urgent(m *Members) bool {
-	return m.Full || slices.ContainsFunc(m.Servers, func(s Member) bool { return s.State != "ready" })
+// isUrgent reports whether an update drains or removes servers. A snapshot may, by what it lacks.
+func isUrgent(m *Members) bool {
+	return m.Full || slices.ContainsFunc(m.Servers, func(server Member) bool { return server.State != stateReady })
 }
 
-// Snapshot is the whole list as known now, by id, and its version; nil before any is known.
+// Snapshot returns the current list, sorted by ID; nil before there is one.
 func (h *Hub) Snapshot() *Members {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -163,66 +192,78 @@
 		return nil
 	}
 	m := &Members{Version: h.version, Full: true, Servers: []Member{}}
-	for _, s := range h.servers {
-		m.Servers = append(m.Servers, s)
+	for _, server := range h.servers {
+		m.Servers = append(m.Servers, server)
 	}
-	slices.SortFunc(m.Servers, func(a, b Member) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(m.Servers, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return m
 }
 
-// Ready is closed once the hub knows a list.
+// Ready is closed once the hub has a list.
 func (h *Hub) Ready() <-chan struct{} { return h.ready }
 
-// HubState is how a hub stands.
+// HubState is a hub's part of the admin endpoint's state.
 type HubState struct {
 	Addr    string `json:"list"`
 	Version int64  `json:"version"`
 	Servers int    `json:"servers"`
-	Readers int    `json:"readers"`
-	Reads   int    `json:"reads"`
-	Error   string `json:"error,omitempty"` // why it is not being followed
+	Readers int    `json:"readers"`         // subscribers
+	Reads   int    `json:"reads"`           // watches begun
+	Error   string `json:"error,omitempty"` // why the last watch ended; empty: an update has arrived since
 }
 
-// State tells how the hub stands.
+// State returns the hub's state for the admin endpoint.
 func (h *Hub) State() HubState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := HubState{Addr: h.options.Addr, Version: h.version, Servers: len(h.servers), Readers: len(h.subscribers), Reads: h.watchCount}
+	state := HubState{
+		Addr:    h.options.Addr,
+		Version: h.version,
+		Servers: len(h.servers),
+		Readers: len(h.subscribers),
+		Reads:   h.watchCount,
+	}
 	if h.watchError != nil {
-		s.Error = h.watchError.Error()
+		state.Error = h.watchError.Error()
 	}
-	return s
+	return state
 }
 
-// Subscribe has a reader told the list as it is, and every change, in order and never two at a time,
-// until leave is called. tell may wait.
+// Subscribe passes the current list and then every update to notify, in order and never two at a time, from a
+// goroutine of the subscriber's own: notify may block without delaying others. After unsubscribe has returned,
+// no further call begins, though one may still be running.
 func (h *Hub) Subscribe(notify func(*Members)) (unsubscribe func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := &subscriber{notify: notify, delay: time.Duration(h.options.Rand.Float64() * float64(h.options.Spread))}
-	h.subscribers[r] = struct{}{}
+	s := &subscriber{
+		notify: notify,
+		delay:  time.Duration(h.options.Rand.Float64() * float64(h.options.Spread)),
+	}
+	h.subscribers[s] = struct{}{}
 	if m := h.snapshotLocked(); m != nil {
-		r.enqueue(m, false)
+		s.enqueue(m, false)
 	}
 	return func() {
 		h.mu.Lock()
-		delete(h.subscribers, r)
+		delete(h.subscribers, s)
 		h.mu.Unlock()
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.closed, r.queue = true, nil
-		if r.timer != nil {
-			r.timer.Stop()
-		}
+		s.close()
+	}
+}
+
+// close drops what is queued and stops the delay.
+func (s *subscriber) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	s.queue = nil
+	if s.timer != nil {
+		s.timer.Stop()
 	}
 }
 
-// enqueue has a message told at the reader's time, or now with all that waits before it.
+// enqueue queues an update for delivery after the subscriber's delay; an immediate one is delivered now,
+// after all that is queued before it.
 func (s *subscriber) enqueue(update *Members, immediate bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,35 +277,46 @@
 			s.timer.Stop()
 			s.timer = nil
 		}
-		s.deliver()
+		s.startDelivery()
 	case s.timer == nil && !s.notifying:
 		s.timer = time.AfterFunc(s.delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.timer = nil
-			s.deliver()
+			s.startDelivery()
 		})
 	}
 }
 
-// deliver tells what waits, in a goroutine that ends when nothing does. The lock is held.
-func (s *subscriber) deliver() {
+// startDelivery starts the delivery goroutine unless it runs or nothing is queued. The lock is held.
+func (s *subscriber) startDelivery() {
 	if s.notifying || len(s.queue) == 0 {
 		return
 	}
 	s.notifying = true
-	go func() {
-		for {
-			s.mu.Lock()
-			if len(s.queue) == 0 || s.closed {
-				s.notifying = false
-				s.mu.Unlock()
-				return
-			}
-			update := s.queue[0]
-			s.queue = s.queue[1:]
-			s.mu.Unlock()
-			s.notify(update)
+	go s.deliver()
+}
+
+// deliver passes updates to the callback until none is queued.
+func (s *subscriber) deliver() {
+	for {
+		update := s.dequeue()
+		if update == nil {
+			return
 		}
-	}()
+		s.notify(update)
+	}
+}
+
+// dequeue returns the next update; nil if there is none, which ends the delivery.
+func (s *subscriber) dequeue() *Members {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.queue) == 0 || s.closed {
+		s.notifying = false
+		return nil
+	}
+	update := s.queue[0]
+	s.queue = s.queue[1:]
+	return update
 }
--- a/internal/source/discovery/hub_test.go
+++ b/internal/source/discovery/hub_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// recorder collects what one reader is told, with its time.
+// recorder collects the updates that one subscriber is notified of, with their times.
 type recorder struct {
 	mu      sync.Mutex
 	updates []string
@@ -51,22 +51,22 @@
 	return m
 }
 
-// What has come up is told at each reader's own time; what drains or is gone, to all at once, with
-// all that waited before it, in order.
+// A server that comes up is notified after each subscriber's own delay; a drained or removed one to all at
+// once, after all updates queued before it.
 func TestSubscribersAreNotifiedAtTheirOwnTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Addr: "127.0.0.1:1", Spread: 300 * time.Millisecond, Log: quiet})
 		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
-		readers := make([]*recorder, 50)
-		for i := range readers {
-			readers[i] = &recorder{}
-			defer h.Subscribe(readers[i].record)()
+		subscribers := make([]*recorder, 50)
+		for i := range subscribers {
+			subscribers[i] = &recorder{}
+			defer h.Subscribe(subscribers[i].record)()
 		}
 		began := time.Now()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		late := 0
-		for _, r := range readers {
+		for _, r := range subscribers {
 			if got := r.list(); len(got) != 1 || got[0] != "full a:ready" {
 				t.Fatalf("%q", got)
 			}
@@ -75,21 +75,21 @@
 			}
 		}
 		if late < 20 || late > 45 {
-			t.Errorf("%d of 50 heard after a third of the spread", late)
+			t.Errorf("%d of 50 notified after a third of the spread", late)
 		}
 		h.apply(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
 		time.Sleep(10 * time.Millisecond)
 		h.apply(&Members{Version: 3, Servers: []Member{state("a", "draining")}}, 3)
 		synctest.Wait() // no time passes
-		for _, r := range readers {
+		for _, r := range subscribers {
 			if got := r.list(); len(got) != 3 || got[1] != "b:ready" || got[2] != "a:draining" {
 				t.Fatalf("%q", got)
 			}
 		}
-		// A whole list that lacks one takes it away: at once, too.
+		// A snapshot that lacks a server removes it, which is notified at once too.
 		h.apply(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
 		synctest.Wait()
-		if got := readers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
+		if got := subscribers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
 			t.Errorf("%q", got)
 		}
 	})
@@ -99,9 +99,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Spread: time.Second, Log: quiet})
 		r := &recorder{}
-		leave := h.Subscribe(r.record)
+		unsubscribe := h.Subscribe(r.record)
 		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
-		leave()
+		unsubscribe()
 		h.apply(&Members{Version: 2, Servers: []Member{state("a", "gone")}}, 2)
 		time.Sleep(5 * time.Second)
 		if got := r.list(); len(got) > 0 {
@@ -110,7 +110,7 @@
 	})
 }
 
-// A reader that is slow holds nobody up and misses nothing.
+// A subscriber that blocks neither delays the others nor misses an update.
 func TestSlowSubscriberDelaysNobodyAndMissesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Log: quiet})
@@ -133,7 +133,7 @@
 	})
 }
 
-// One watch serves all readers, survives its end, and asks on from where it was.
+// One watch serves all subscribers; the next one resumes from the last version received.
 func TestHubResumesFromItsVersion(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	since := make(chan string, 10)
@@ -155,17 +155,17 @@
 	h.Restore(&Members{Version: 99, Servers: []Member{up("old")}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	heard := make(chan string, 100)
+	received := make(chan string, 100)
 	defer h.Subscribe(func(m *Members) {
 		r := &recorder{}
 		r.record(m)
-		heard <- r.updates[0]
+		received <- r.updates[0]
 	})()
-	running.Go(func() { h.Run(ctx) }) // once the reader is there: else it may miss the given list
+	running.Go(func() { h.Run(ctx) }) // once subscribed: else it may miss the restored list
 	want := []string{"full old:ready", "full a:ready", "b:ready"}
 	for _, w := range want {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			if got != w {
 				t.Errorf("%q, want %q", got, w)
 			}
@@ -174,7 +174,7 @@
 		}
 	}
 	if a, b := <-since, <-since; a != "0" || b != "7" {
-		t.Errorf("asked since %s, then %s: a given list's version is not the service's", a, b)
+		t.Errorf("requested since %s, then %s: a restored list's version is not the service's", a, b)
 	}
 	if m := h.Snapshot(); len(m.Servers) != 2 || m.Version != 8 {
 		t.Errorf("%+v", m)
--- a/internal/source/discovery/watch_test.go
+++ b/internal/source/discovery/watch_test.go
@@ -46,17 +46,17 @@
 	return ln.Addr().String(), conns
 }
 
-// watched is what a watch of addr brought, object by object, and how it ended.
-func watched(t *testing.T, addr string, silent time.Duration) (heard chan *Members, end chan error) {
+// startWatch watches addr until the test ends, and returns the channels of its updates and of its end.
+func startWatch(t *testing.T, addr string, heartbeatTimeout time.Duration) (received chan *Members, end chan error) {
 	t.Helper()
-	heard, end = make(chan *Members, 100), make(chan error, 1)
+	received, end = make(chan *Members, 100), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
-		_, err := Watch(ctx, NewClient(time.Minute), addr, 0, silent, func(m *Members) { heard <- m })
+		_, err := Watch(ctx, NewClient(time.Minute), addr, 0, heartbeatTimeout, func(m *Members) { received <- m })
 		end <- err
 	}()
-	return heard, end
+	return received, end
 }
 
 func receive[T any](t *testing.T, what string, ch <-chan T) T {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Each object counts as soon as its last byte has come, however it is laid out; one that the end of the watch, or
-// a reset, cuts off changes nothing, and neither do empty lines.
+// Each object is applied as soon as its last byte has arrived, however it is laid out. One that the end of the
+// watch or a reset truncates is dropped; empty lines are skipped.
 func TestCompleteObjectsAreAppliedAndTruncatedOnesIgnored(t *testing.T) {
 	for name, end := range map[string]func(c net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
@@ -86,56 +86,56 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listener(t)
-			heard, ended := watched(t, addr, time.Hour)
+			received, ended := startWatch(t, addr, time.Hour)
 			c := receive(t, "connection", conns)
 			write(t, c, watchHead+"\n\n"+indented(1, "a", "ready"))
-			if m := receive(t, "object", heard); m.Version != 1 || len(m.Servers) != 1 || m.Servers[0].ID != "a" {
+			if m := receive(t, "object", received); m.Version != 1 || len(m.Servers) != 1 || m.Servers[0].ID != "a" {
 				t.Errorf("%+v", m)
 			}
 			text := strings.TrimSpace(indented(2, "b", "ready"))
 			for _, b := range []byte(text[:len(text)-1]) {
 				write(t, c, string(b))
 			}
-			if len(heard) != 0 {
-				t.Error("heard before its last byte was written")
+			if len(received) != 0 {
+				t.Error("received before its last byte was written")
 			}
 			write(t, c, "}") // no line end comes
-			if m := receive(t, "object", heard); m.Version != 2 {
+			if m := receive(t, "object", received); m.Version != 2 {
 				t.Errorf("%+v", m)
 			}
 			write(t, c, `{"version":3,"full":true,"servers":[]}{"version":4,"servers":[]}`) // two on a line
-			if a, b := receive(t, "object", heard), receive(t, "object", heard); a.Version != 3 || !a.Full || b.Version != 4 || b.Full {
+			if a, b := receive(t, "object", received), receive(t, "object", received); a.Version != 3 || !a.Full || b.Version != 4 || b.Full {
 				t.Errorf("%+v %+v", a, b)
 			}
 			cut := indented(5, "a", "gone")
 			write(t, c, cut[:len(cut)-4])
 			end(c)
-			if err := receive(t, "end", ended); err == nil || len(heard) != 0 {
-				t.Errorf("%v, %d more", err, len(heard))
+			if err := receive(t, "end", ended); err == nil || len(received) != 0 {
+				t.Errorf("%v, %d more", err, len(received))
 			}
 		})
 	}
 }
 
-// What is no list ends the watch.
+// A response that is no list of JSON objects ends the watch.
 func TestMalformedListEndsTheWatch(t *testing.T) {
 	for name, text := range map[string]string{
 		"null": "null\n", "array": "[]\n", "number": "7\n", "garbage": "}{", "endless": "{\"id\":\"" + strings.Repeat("x", maxObjectBytes+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listener(t)
-			heard, ended := watched(t, addr, time.Hour)
+			received, ended := startWatch(t, addr, time.Hour)
 			c := receive(t, "connection", conns)
 			go io.WriteString(c, watchHead+text)
-			if err := receive(t, "end", ended); err == nil || len(heard) != 0 {
-				t.Errorf("%v, %d heard", err, len(heard))
+			if err := receive(t, "end", ended); err == nil || len(received) != 0 {
+				t.Errorf("%v, %d received", err, len(received))
 			}
 		})
 	}
 }
 
-// piped is a client whose connections are pipes, for a test that turns the clock.
-func piped(served chan<- net.Conn) *http.Client {
+// pipeClient is a client whose connections are pipes, for tests in virtual time.
+func pipeClient(served chan<- net.Conn) *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(context.Context, string, string) (net.Conn, error) {
 			a, b := net.Pipe()
@@ -144,8 +144,8 @@
 		}}}
 }
 
-// A watch that falls silent is over within Silence, and none sooner than its share of the spread: while its answer's
-// head is awaited, right after that, and in the midst of an object. Every byte counts as a sign of life.
+// A watch without data ends within HeartbeatTimeout and no sooner than the spread allows: before the response's
+// header, within it, right after it, and within an object. Each byte restarts the timer.
 func TestHeartbeatTimeoutEndsAWatchInEachPhase(t *testing.T) {
 	object := indented(1, "a", "ready")
 	for name, text := range map[string]string{
@@ -160,7 +160,7 @@
 					c := <-served
 					defer c.Close()
 					in := bufio.NewReader(c)
-					for { // until the request has come whole
+					for { // until the request is complete
 						if line, err := in.ReadString('\n'); err != nil || line == "\r\n" {
 							break
 						}
@@ -171,14 +171,14 @@
 					}
 					_, _ = io.WriteString(c, head)
 					last.Store(time.Now().UnixNano())
-					for _, b := range []byte(body) { // a byte now and then: far longer than Silence in all
+					for _, b := range []byte(body) { // a byte now and then: far longer than HeartbeatTimeout in all
 						time.Sleep(HeartbeatTimeout - heartbeatTimeoutSpread - time.Millisecond)
 						_, _ = c.Write([]byte{b})
 						last.Store(time.Now().UnixNano())
 					}
 					_, _ = io.Copy(io.Discard, in)
 				}()
-				_, err := Watch(t.Context(), piped(served), "list", 0, HeartbeatTimeout, func(*Members) {})
+				_, err := Watch(t.Context(), pipeClient(served), "list", 0, HeartbeatTimeout, func(*Members) {})
 				if took := time.Since(time.Unix(0, last.Load())); err == nil || err.Error() != "silent" || took > HeartbeatTimeout || took < HeartbeatTimeout-heartbeatTimeoutSpread {
 					t.Errorf("%v, %v after the last byte", err, took)
 				}
@@ -188,14 +188,14 @@
 	}
 }
 
-// Watches that fall silent together are not given up together.
+// Watches that stop receiving data together do not time out together.
 func TestHeartbeatTimeoutsAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ends []time.Duration
 		began, done, served := time.Now(), make(chan time.Duration), make(chan net.Conn, 50)
 		for range 50 {
 			go func() {
-				_, _ = Watch(t.Context(), piped(served), "list", 0, HeartbeatTimeout, nil)
+				_, _ = Watch(t.Context(), pipeClient(served), "list", 0, HeartbeatTimeout, nil)
 				done <- time.Since(began)
 			}()
 		}
