--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -10,6 +10,6 @@
 
 // The settings object is read by its fields' names, whatever their case.
 func TestSettingsKeepTheirKeys(t *testing.T) {
-	all := strings.ToLower(strings.Join(golden.Keys(reflect.TypeFor[facts]()), "\n"))
+	all := strings.ToLower(strings.Join(golden.Keys(reflect.TypeFor[settingsObject]()), "\n"))
 	golden.Check(t, "settings.keys", []byte(all+"\n"))
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,114 +8,193 @@
 	"vetchhaven/decide"
 )
 
-// facts mirrors the settings object of the wire, in the wire's own names.
-type facts struct {
-	Balancers int
-	Me        int
-	Zone      int
-	CountedBy string
-	Profiles  []struct {
-		Name       string
-		AimMs      float64
-		DeadlineMs float64
-		Worth      float64
-		LateValue  float64
-		Semantics  string
-		Group      string
-		WindowMs   float64
-	}
-	MembershipMode string
+// settingsObject mirrors the simulator's settings object. Where a field's name differs from the key, a tag has
+// the key; keys match in any case. Fields whose names end in Ms, or whose keys do, are in milliseconds.
+type settingsObject struct {
+	Balancers      int // in the fleet
+	Self           int `json:"Me"` // this instance's index among them
+	Zone           int
+	CountedBy      string // countedByWork: capacity is counted in work instead of requests
+	Profiles       []classObject
+	MembershipMode string // modeSubscribe: updates arrive only after a subscription
 	TickMs         float64
-	PolicyLimits   struct {
-		TryLimit                                          int
-		SecondCopies, MayProbe, Cancel, RetryAfter, Peers bool
-		MaxRetryAfterMs, ConnectTimeoutMs                 float64
-		IdleCloseMs, MaxOpen                              float64
-	}
-	Contract struct {
-		DrainGraceMs, GraceToAnswerMs, AskWithinMs float64
-		ColdFrom, RampTimeMs, FallMultiple, FallMs float64
-	}
-	Goal   struct{ Whole, WorstWindow, WorstClass float64 }
-	Prices struct{ CrossZone float64 }
-	Dcs    []string
-	Kinds  []string
-	Report struct{ Source string }
+	PolicyLimits   limitsObject
+	Contract       contractObject
+	Goal           goalObject
+	Prices         pricesObject
+	Zones          []string         `json:"Dcs"` // names, by index
+	Kinds          []string         // names, by index
+	LoadReport     loadReportObject `json:"Report"`
+}
+
+// classObject is a request class.
+type classObject struct {
+	Name        string
+	ObjectiveMs float64 `json:"AimMs"`
+	DeadlineMs  float64
+	Value       float64 `json:"Worth"`
+	LateValue   float64
+	Semantics   string  // a key of effects
+	DedupScope  string  `json:"Group"` // a key of dedupScopes
+	WindowMs    float64 // for which an idempotency key is remembered
+}
+
+// limitsObject says what the policy may do.
+type limitsObject struct {
+	MaxAttempts      int  `json:"TryLimit"`
+	Hedging          bool `json:"SecondCopies"`
+	MayProbe         bool
+	Cancel           bool
+	RetryAfter       bool
+	Peers            bool
+	MaxRetryAfterMs  float64
+	ConnectTimeoutMs float64
+	IdleCloseMs      float64
+	MaxOpen          float64
+}
+
+// contractObject is what the platform promises and demands in time.
+type contractObject struct {
+	DrainGraceMs      float64
+	AnswerGraceMs     float64 `json:"GraceToAnswerMs"`
+	SubscribeWithinMs float64 `json:"AskWithinMs"`
+	SlowStartShare    float64 `json:"ColdFrom"`
+	SlowStartTimeMs   float64 `json:"RampTimeMs"`
+	OverloadMultiple  float64 `json:"FallMultiple"`
+	OverloadWindowMs  float64 `json:"FallMs"`
+}
+
+// goalObject weighs the parts of the score.
+type goalObject struct {
+	Overall     float64 `json:"Whole"`
+	WorstWindow float64
+	WorstClass  float64
+}
+
+// pricesObject holds what an action costs in the score.
+type pricesObject struct {
+	CrossZone float64
+}
+
+// loadReportObject says how servers report their load.
+type loadReportObject struct {
+	Source string // loadInline, loadOnProbe, or anything else: not at all
 }
 
-// Site is what an agent on sockets needs of the settings object besides what the module takes.
+// Values of the settings object.
+const (
+	countedByWork = "work"
+	modeSubscribe = "subscribe"
+	loadInline    = "inline"
+	loadOnProbe   = "on_probe"
+)
+
+// effects are the values of classObject.Semantics.
+var effects = map[string]decide.Effect{
+	"repeatable": decide.Idempotent,
+	"by_key":     decide.Keyed,
+	"once":       decide.NonIdempotent,
+}
+
+// dedupScopes are the values of classObject.DedupScope.
+var dedupScopes = map[string]decide.DedupScope{
+	"":     decide.ScopeAll,
+	"all":  decide.ScopeAll,
+	"zone": decide.ScopeZone,
+	"cell": decide.ScopeCell,
+}
+
+// Site is what an agent on sockets needs of the settings object beyond decide.Settings.
 type Site struct {
-	Classes      []string // names, in the order of the module's classes
-	Zones, Kinds []string
-	IdleClose    time.Duration // a backend closes a connection idle for so long
-	MaxOpen      int           // requests that may be open at once; 0: no limit
-	LoadInline   bool          // answers carry load reports
-	LoadProbed   bool          // probes bring load reports
+	Classes    []string      // names, in the order of decide.Settings.Classes
+	Zones      []string      // names, by index
+	Kinds      []string      // of servers: names, by index
+	IdleClose  time.Duration // after which a server closes an idle connection
+	MaxOpen    int           // requests that may be open at once; 0: no limit
+	LoadInline bool          // responses carry load reports
+	LoadProbed bool          // health checks return load reports
 }
 
-// ParseSettings translates the settings object. Unknown keys are ignored.
+// ParseSettings translates the settings object. Unknown keys are ignored. An error names the key at fault;
+// Site is complete even then, as long as raw is JSON.
 func ParseSettings(raw []byte) (decide.Settings, Site, error) {
-	var f facts
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var object settingsObject
+	if err := json.Unmarshal(raw, &object); err != nil {
 		return decide.Settings{}, Site{}, err
 	}
-	s, err := f.settings()
-	site := Site{Zones: f.Dcs, Kinds: f.Kinds, IdleClose: duration(f.PolicyLimits.IdleCloseMs),
-		MaxOpen:    int(f.PolicyLimits.MaxOpen),
-		LoadInline: f.Report.Source == "inline", LoadProbed: f.Report.Source == "on_probe"}
-	for _, p := range f.Profiles {
-		site.Classes = append(site.Classes, p.Name)
+	settings, err := object.settings()
+	return settings, object.site(), err
+}
+
+func (o *settingsObject) site() Site {
+	site := Site{
+		Zones:      o.Zones,
+		Kinds:      o.Kinds,
+		IdleClose:  milliseconds(o.PolicyLimits.IdleCloseMs),
+		MaxOpen:    int(o.PolicyLimits.MaxOpen),
+		LoadInline: o.LoadReport.Source == loadInline,
+		LoadProbed: o.LoadReport.Source == loadOnProbe,
+	}
+	for _, class := range o.Profiles {
+		site.Classes = append(site.Classes, class.Name)
 	}
-	return s, site, err
+	return site
 }
 
-func (f *facts) settings() (decide.Settings, error) {
-	s := decide.Settings{
-		Balancers:        f.Balancers,
-		Self:             f.Me,
-		Zone:             f.Zone,
-		ByWork:           f.CountedBy == "work",
-		Subscribe:        f.MembershipMode == "subscribe",
-		Tick:             duration(f.TickMs),
-		MaxAttempts:      f.PolicyLimits.TryLimit,
-		Hedging:          f.PolicyLimits.SecondCopies,
-		MayProbe:         f.PolicyLimits.MayProbe,
-		MayCancel:        f.PolicyLimits.Cancel,
-		RetryAfter:       f.PolicyLimits.RetryAfter,
-		Peers:            f.PolicyLimits.Peers,
-		MaxRetryAfter:    duration(f.PolicyLimits.MaxRetryAfterMs),
-		ConnectTimeout:   duration(f.PolicyLimits.ConnectTimeoutMs),
-		DrainGrace:       duration(f.Contract.DrainGraceMs),
-		AnswerGrace:      duration(f.Contract.GraceToAnswerMs),
-		SubscribeWithin:  duration(f.Contract.AskWithinMs),
-		SlowStartShare:   f.Contract.ColdFrom,
-		SlowStartTime:    duration(f.Contract.RampTimeMs),
-		OverloadMultiple: f.Contract.FallMultiple,
-		OverloadWindow:   duration(f.Contract.FallMs),
-		GoalWhole:        f.Goal.Whole,
-		GoalWindow:       f.Goal.WorstWindow,
-		GoalClass:        f.Goal.WorstClass,
-		CrossZonePrice:   f.Prices.CrossZone,
+func (o *settingsObject) settings() (decide.Settings, error) {
+	settings := decide.Settings{
+		Balancers:        o.Balancers,
+		Self:             o.Self,
+		Zone:             o.Zone,
+		ByWork:           o.CountedBy == countedByWork,
+		Subscribe:        o.MembershipMode == modeSubscribe,
+		Tick:             milliseconds(o.TickMs),
+		MaxAttempts:      o.PolicyLimits.MaxAttempts,
+		Hedging:          o.PolicyLimits.Hedging,
+		MayProbe:         o.PolicyLimits.MayProbe,
+		MayCancel:        o.PolicyLimits.Cancel,
+		RetryAfter:       o.PolicyLimits.RetryAfter,
+		Peers:            o.PolicyLimits.Peers,
+		MaxRetryAfter:    milliseconds(o.PolicyLimits.MaxRetryAfterMs),
+		ConnectTimeout:   milliseconds(o.PolicyLimits.ConnectTimeoutMs),
+		DrainGrace:       milliseconds(o.Contract.DrainGraceMs),
+		AnswerGrace:      milliseconds(o.Contract.AnswerGraceMs),
+		SubscribeWithin:  milliseconds(o.Contract.SubscribeWithinMs),
+		SlowStartShare:   o.Contract.SlowStartShare,
+		SlowStartTime:    milliseconds(o.Contract.SlowStartTimeMs),
+		OverloadMultiple: o.Contract.OverloadMultiple,
+		OverloadWindow:   milliseconds(o.Contract.OverloadWindowMs),
+		GoalWhole:        o.Goal.Overall,
+		GoalWindow:       o.Goal.WorstWindow,
+		GoalClass:        o.Goal.WorstClass,
+		CrossZonePrice:   o.Prices.CrossZone,
 	}
-	effects := map[string]decide.Effect{
-		"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.NonIdempotent}
-	groups := map[string]decide.DedupScope{
-		"": decide.ScopeAll, "all": decide.ScopeAll,
-		"zone": decide.ScopeZone, "cell": decide.ScopeCell}
-	for i, p := range f.Profiles {
-		effect, ok := effects[p.Semantics]
-		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, p.Semantics)
+	for i, object := range o.Profiles {
+		class, err := object.class()
+		if err != nil {
+			return settings, fmt.Errorf("Profiles[%d].%w", i, err)
 		}
-		group, ok := groups[p.Group]
-		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
-		}
-		s.Classes = append(s.Classes, decide.Class{
-			Objective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
-			Value: p.Worth, LateValue: p.LateValue,
-			Effect: effect, Scope: group, DedupWindow: duration(p.WindowMs),
-		})
+		settings.Classes = append(settings.Classes, class)
+	}
+	return settings, nil
+}
+
+func (o *classObject) class() (decide.Class, error) {
+	effect, ok := effects[o.Semantics]
+	if !ok {
+		return decide.Class{}, fmt.Errorf("Semantics: unknown kind %q", o.Semantics)
+	}
+	scope, ok := dedupScopes[o.DedupScope]
+	if !ok {
+		return decide.Class{}, fmt.Errorf("Group: unknown group %q", o.DedupScope)
 	}
-	return s, nil
+	return decide.Class{
+		Objective:   milliseconds(o.ObjectiveMs),
+		Deadline:    milliseconds(o.DeadlineMs),
+		Value:       o.Value,
+		LateValue:   o.LateValue,
+		Effect:      effect,
+		Scope:       scope,
+		DedupWindow: milliseconds(o.WindowMs),
+	}, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,7 +19,7 @@
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
 
-func TestEvents(t *testing.T) {
+func TestMessagesBecomeEvents(t *testing.T) {
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
@@ -67,14 +67,14 @@
 	}
 }
 
-const factsJSON = `{"Balancers":3,"Me":1,"Zone":2,"CountedBy":"work","MembershipMode":"subscribe","TickMs":5,"Later":[1],
+const settingsJSON = `{"Balancers":3,"Me":1,"Zone":2,"CountedBy":"work","MembershipMode":"subscribe","TickMs":5,"Later":[1],
 "Profiles":[{"Name":"x","AimMs":400,"DeadlineMs":1500,"Worth":3,"LateValue":0.25,"Semantics":"by_key","Group":"cell","WindowMs":3000}],
 "PolicyLimits":{"TryLimit":4,"SecondCopies":true,"Peers":true,"MaxRetryAfterMs":1500},
 "Contract":{"ColdFrom":0.16,"DrainGraceMs":500,"FallMs":1000,"FallMultiple":2.5,"RampTimeMs":20000,"AskWithinMs":10000,"GraceToAnswerMs":20},
 "Goal":{"Whole":0.55,"WorstClass":0.3,"WorstWindow":0.15},"Prices":{"CrossZone":0.02}}`
 
-func TestSettings(t *testing.T) {
-	oneLine := strings.ReplaceAll(factsJSON, "\n", "")
+func TestSettingsObjectBecomesSettings(t *testing.T) {
+	oneLine := strings.ReplaceAll(settingsJSON, "\n", "")
 	b, err := NewReader(strings.NewReader(frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + oneLine + `}`))).Next()
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestMalformedInputIsRejectedWithItsLine(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"not JSON", frame("{oops"), "line 2: "},
 		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestActionsBecomeMessages(t *testing.T) {
 	tests := []struct {
 		action decide.Action
 		want   string
@@ -150,8 +150,8 @@
 	}
 }
 
-// Lines and batches of several megabytes are read whole.
-func TestLongBatch(t *testing.T) {
+// Neither a line nor a batch has an upper bound.
+func TestBatchOfSeveralMegabytesIsRead(t *testing.T) {
 	var in strings.Builder
 	for i := range 50000 {
 		fmt.Fprintf(&in, "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"%016x\"}\n", i)
