--- a/internal/source/discovery/hub_test.go
+++ b/internal/source/discovery/hub_test.go
@@ -19,28 +19,28 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// teller collects what one reader is told, with its time.
-type teller struct {
-	mu   sync.Mutex
-	got  []string
-	when []time.Time
+// recorder collects the updates that one subscriber is notified of, with their times.
+type recorder struct {
+	mu      sync.Mutex
+	updates []string
+	times   []time.Time
 }
 
-func (r *teller) tell(m *Members) {
+func (r *recorder) record(m *Members) {
 	var ids []string
 	for _, s := range m.Servers {
 		ids = append(ids, s.ID+":"+s.State)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.got = append(r.got, fmt.Sprint(map[bool]string{true: "full ", false: ""}[m.Full], strings.Join(ids, ",")))
-	r.when = append(r.when, time.Now())
+	r.updates = append(r.updates, fmt.Sprint(map[bool]string{true: "full ", false: ""}[m.Full], strings.Join(ids, ",")))
+	r.times = append(r.times, time.Now())
 }
 
-func (r *teller) list() []string {
+func (r *recorder) list() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.got)
+	return slices.Clone(r.updates)
 }
 
 func up(id string) Member { return Member{ID: id, Addr: "127.0.0.1:1", State: "ready"} }
@@ -51,58 +51,58 @@
 	return m
 }
 
-// What has come up is told at each reader's own time; what drains or is gone, to all at once, with
-// all that waited before it, in order.
-func TestReadersHearAtTheirOwnTimes(t *testing.T) {
+// A server that comes up is notified after each subscriber's own delay; a drained or removed one to all at
+// once, after all updates queued before it.
+func TestSubscribersAreNotifiedAtTheirOwnTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Addr: "127.0.0.1:1", Spread: 300 * time.Millisecond, Log: quiet})
-		h.take(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
-		readers := make([]*teller, 50)
-		for i := range readers {
-			readers[i] = &teller{}
-			defer h.Join(readers[i].tell)()
+		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
+		subscribers := make([]*recorder, 50)
+		for i := range subscribers {
+			subscribers[i] = &recorder{}
+			defer h.Subscribe(subscribers[i].record)()
 		}
 		began := time.Now()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		late := 0
-		for _, r := range readers {
+		for _, r := range subscribers {
 			if got := r.list(); len(got) != 1 || got[0] != "full a:ready" {
 				t.Fatalf("%q", got)
 			}
-			if r.when[0].Sub(began) > 100*time.Millisecond {
+			if r.times[0].Sub(began) > 100*time.Millisecond {
 				late++
 			}
 		}
 		if late < 20 || late > 45 {
-			t.Errorf("%d of 50 heard after a third of the spread", late)
+			t.Errorf("%d of 50 notified after a third of the spread", late)
 		}
-		h.take(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
+		h.apply(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
 		time.Sleep(10 * time.Millisecond)
-		h.take(&Members{Version: 3, Servers: []Member{state("a", "draining")}}, 3)
+		h.apply(&Members{Version: 3, Servers: []Member{state("a", "draining")}}, 3)
 		synctest.Wait() // no time passes
-		for _, r := range readers {
+		for _, r := range subscribers {
 			if got := r.list(); len(got) != 3 || got[1] != "b:ready" || got[2] != "a:draining" {
 				t.Fatalf("%q", got)
 			}
 		}
-		// A whole list that lacks one takes it away: at once, too.
-		h.take(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
+		// A snapshot that lacks a server removes it, which is notified at once too.
+		h.apply(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
 		synctest.Wait()
-		if got := readers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
+		if got := subscribers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
 			t.Errorf("%q", got)
 		}
 	})
 }
 
-func TestALeavingReaderHearsNoMore(t *testing.T) {
+func TestUnsubscribedSubscriberGetsNoUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Spread: time.Second, Log: quiet})
-		r := &teller{}
-		leave := h.Join(r.tell)
-		h.take(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
-		leave()
-		h.take(&Members{Version: 2, Servers: []Member{state("a", "gone")}}, 2)
+		r := &recorder{}
+		unsubscribe := h.Subscribe(r.record)
+		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
+		unsubscribe()
+		h.apply(&Members{Version: 2, Servers: []Member{state("a", "gone")}}, 2)
 		time.Sleep(5 * time.Second)
 		if got := r.list(); len(got) > 0 {
 			t.Errorf("%q", got)
@@ -110,16 +110,16 @@
 	})
 }
 
-// A reader that is slow holds nobody up and misses nothing.
-func TestASlowReaderHoldsNobodyUp(t *testing.T) {
+// A subscriber that blocks neither delays the others nor misses an update.
+func TestSlowSubscriberDelaysNobodyAndMissesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Log: quiet})
-		slow, quick := &teller{}, &teller{}
+		slow, quick := &recorder{}, &recorder{}
 		block := make(chan struct{})
-		defer h.Join(func(m *Members) { <-block; slow.tell(m) })()
-		defer h.Join(quick.tell)()
+		defer h.Subscribe(func(m *Members) { <-block; slow.record(m) })()
+		defer h.Subscribe(quick.record)()
 		for i := range 100 {
-			h.take(&Members{Version: int64(i), Servers: []Member{up(fmt.Sprint(i))}}, int64(i))
+			h.apply(&Members{Version: int64(i), Servers: []Member{up(fmt.Sprint(i))}}, int64(i))
 		}
 		synctest.Wait()
 		if n := len(quick.list()); n != 100 {
@@ -133,8 +133,8 @@
 	})
 }
 
-// One watch serves all readers, survives its end, and asks on from where it was.
-func TestHubFollows(t *testing.T) {
+// One watch serves all subscribers; the next one resumes from the last version received.
+func TestHubResumesFromItsVersion(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	since := make(chan string, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -151,21 +151,21 @@
 		}
 	}))
 	defer server.Close()
-	h := NewHub(HubOptions{Addr: strings.TrimPrefix(server.URL, "http://"), ConnectTimeout: 10 * time.Second, Silence: time.Minute, Log: quiet})
-	h.Give(&Members{Version: 99, Servers: []Member{up("old")}})
+	h := NewHub(HubOptions{Addr: strings.TrimPrefix(server.URL, "http://"), ConnectTimeout: 10 * time.Second, HeartbeatTimeout: time.Minute, Log: quiet})
+	h.Restore(&Members{Version: 99, Servers: []Member{up("old")}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	heard := make(chan string, 100)
-	defer h.Join(func(m *Members) {
-		r := &teller{}
-		r.tell(m)
-		heard <- r.got[0]
+	received := make(chan string, 100)
+	defer h.Subscribe(func(m *Members) {
+		r := &recorder{}
+		r.record(m)
+		received <- r.updates[0]
 	})()
-	running.Go(func() { h.Run(ctx) }) // once the reader is there: else it may miss the given list
+	running.Go(func() { h.Run(ctx) }) // once subscribed: else it may miss the restored list
 	want := []string{"full old:ready", "full a:ready", "b:ready"}
 	for _, w := range want {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			if got != w {
 				t.Errorf("%q, want %q", got, w)
 			}
@@ -174,7 +174,7 @@
 		}
 	}
 	if a, b := <-since, <-since; a != "0" || b != "7" {
-		t.Errorf("asked since %s, then %s: a given list's version is not the service's", a, b)
+		t.Errorf("requested since %s, then %s: a restored list's version is not the service's", a, b)
 	}
 	if m := h.Snapshot(); len(m.Servers) != 2 || m.Version != 8 {
 		t.Errorf("%+v", m)
