--- a/internal/protocol/http1/chunks.go
+++ b/internal/protocol/http1/chunks.go
@@ -7,16 +7,16 @@
 	"io"
 )
 
-// chunks decodes a body in chunks (RFC 9112, 7.1), and reads no further than its end. It gives what has come
+// chunkedBody decodes a body in chunks (RFC 9112, 7.1), and reads no further than its end. It gives what has come
 // at once: the decoder of net/http waits within a chunk until the caller's room is full, and so holds back
 // what a slow peer has sent.
-type chunks struct {
-	in    *bufio.Reader
-	left  int64 // of the present chunk
-	begun bool
-	size  int64 // of the body so far
-	frame int64 // bytes of framing so far
-	err   error // final
+type chunkedBody struct {
+	in        *bufio.Reader
+	remaining int64 // of the present chunk
+	started   bool
+	decoded   int64 // of the body so far
+	framing   int64 // bytes of framing so far
+	err       error // final
 }
 
 const (
@@ -29,8 +29,8 @@
 
 var errChunk = errors.New("the chunks can't be read")
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if c.err == nil && c.left == 0 {
+func (c *chunkedBody) Read(p []byte) (int, error) {
+	if c.err == nil && c.remaining == 0 {
 		c.err = c.next()
 	}
 	if c.err != nil {
@@ -39,9 +39,9 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	n, err := c.in.Read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
-	c.size += int64(n)
+	n, err := c.in.Read(p[:min(int64(len(p)), c.remaining)])
+	c.remaining -= int64(n)
+	c.decoded += int64(n)
 	if err != nil {
 		c.err = unexpected(err)
 	}
@@ -60,20 +60,20 @@
 }
 
 // next reads up to the data of the next chunk. io.EOF: there is none, and the trailers are read too.
-func (c *chunks) next() error {
-	if c.begun {
+func (c *chunkedBody) next() error {
+	if c.started {
 		if line, err := c.line(); err != nil {
 			return err
 		} else if len(line) != 0 {
 			return errChunk
 		}
 	}
-	c.begun = true
+	c.started = true
 	line, err := c.line()
 	if err != nil {
 		return err
 	}
-	if c.left, err = parseSize(line); err != nil || c.left > 0 {
+	if c.remaining, err = parseSize(line); err != nil || c.remaining > 0 {
 		return err
 	}
 	for total := 0; ; { // the trailers are of no use, but they belong to the body
@@ -94,7 +94,7 @@
 }
 
 // line reads one line of framing, without its end.
-func (c *chunks) line() ([]byte, error) {
+func (c *chunkedBody) line() ([]byte, error) {
 	line, err := c.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > maxChunkLine {
 		return nil, errChunk
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, unexpected(err)
 	}
-	if c.frame += int64(len(line)); c.frame > frameFree+framePerByte*c.size {
+	if c.framing += int64(len(line)); c.framing > frameFree+framePerByte*c.decoded {
 		return nil, errChunk
 	}
 	line = line[:len(line)-1]
--- a/internal/protocol/http1/chunks_test.go
+++ b/internal/protocol/http1/chunks_test.go
@@ -24,7 +24,7 @@
 	} {
 		for name, r := range map[string]io.Reader{"at once": strings.NewReader(tt.text), "by byte": iotest.OneByteReader(strings.NewReader(tt.text))} {
 			in := bufio.NewReader(r)
-			body, err := io.ReadAll(&chunks{in: in})
+			body, err := io.ReadAll(&chunkedBody{in: in})
 			rest, _ := io.ReadAll(in)
 			if err != nil || string(body) != tt.body || string(rest) != tt.rest {
 				t.Errorf("%q, %s: %q, rest %q, %v", tt.text, name, body, rest, err)
@@ -35,11 +35,11 @@
 		"\r\n", "x\r\n", "-1\r\n", "+5\r\nhello\r\n0\r\n\r\n", " 5\r\nhello\r\n0\r\n\r\n", "0x5\r\nhello\r\n0\r\n\r\n", "5\rhello", "5,5\r\nhello\r\n0\r\n\r\n",
 		"ffffffffffffffffff\r\n", "2000001\r\n", "0\r\nno colon\r\n\r\n", "0\r\n" + strings.Repeat("a: b\r\n", 1<<14) + "\r\n",
 		"5;" + strings.Repeat("x", 1<<11) + "\r\nhello\r\n0\r\n\r\n", "5;\x00\r\nhello\r\n0\r\n\r\n"} {
-		if body, err := io.ReadAll(&chunks{in: bufio.NewReader(strings.NewReader(text))}); err == nil {
+		if body, err := io.ReadAll(&chunkedBody{in: bufio.NewReader(strings.NewReader(text))}); err == nil {
 			t.Errorf("%.40q was read as %q", text, body)
 		}
 	}
-	endless := &chunks{in: bufio.NewReader(io.MultiReader(strings.NewReader(strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1<<12))))}
+	endless := &chunkedBody{in: bufio.NewReader(io.MultiReader(strings.NewReader(strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1<<12))))}
 	if n, err := io.Copy(io.Discard, endless); !errors.Is(err, errChunk) || n > 1000 {
 		t.Errorf("framing for the most part: %d bytes, %v", n, err)
 	}
@@ -48,7 +48,7 @@
 // What has come of a chunk is given at once, however much room there is.
 func TestChunksGiveWhatHasCome(t *testing.T) {
 	r, w := io.Pipe()
-	c := &chunks{in: bufio.NewReader(r)}
+	c := &chunkedBody{in: bufio.NewReader(r)}
 	got := make(chan string, 10)
 	go func() {
 		buf := make([]byte, 1<<10)
@@ -83,7 +83,7 @@
 	f.Add([]byte("5;x=y\r\nhello\r\n0\r\nA: b\r\n\r\nrest"), byte(7))
 	f.Add([]byte("a\n0123456789\n0\n\n"), byte(3))
 	f.Fuzz(func(t *testing.T, raw []byte, room byte) {
-		c := &chunks{in: bufio.NewReader(bytes.NewReader(raw))}
+		c := &chunkedBody{in: bufio.NewReader(bytes.NewReader(raw))}
 		var body, again []byte
 		buf := make([]byte, int(room)+1)
 		for {
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -20,37 +20,37 @@
 // set up for a request alone. net/http's server did this, at twice the price; what it is strict about,
 // this is too.
 type clientConn struct {
-	f          *front
-	nc         net.Conn
-	buf        []byte
-	start, end int
-	came       time.Time // its last bytes were read
-	fields     []field
-	out        []byte
-	turn       chan struct{} // of one: no answer is awaited
-	replies    chan reply    // of a few, so that nobody who answers waits
-
-	mu       sync.Mutex
-	open     *core.Request // awaits its answer
-	up       *upload       // its body, where that streams
-	booked   int           // bytes of its body
-	begun    bool          // its answer streams
-	behind   bool          // a part of the next request came while this one's answer was awaited
-	watching bool          // all of the next request's head did, or too much: the reader looks for the client's leaving alone
-	ending   bool          // takes no further request
-	over     bool          // the reader has ended
+	front        *front
+	conn         net.Conn
+	buf          []byte
+	start, end   int
+	lastReadAt   time.Time // its last bytes were read
+	fields       []field
+	writeBuf     []byte
+	responseDone chan struct{}    // of one: no answer is awaited
+	finalAnswers chan finalAnswer // of a few, so that nobody who answers waits
+
+	mu                 sync.Mutex
+	pending            *core.Request // awaits its answer
+	upload             *upload       // its body, where that streams
+	reservedBytes      int           // bytes of its body
+	streaming          bool          // its answer streams
+	nextStarted        bool          // a part of the next request came while this one's answer was awaited
+	watchingDisconnect bool          // all of the next request's head did, or too much: the reader looks for the client's leaving alone
+	closing            bool          // takes no further request
+	readerEnded        bool          // the reader has ended
 
 }
 
-// errUnread is of a request that has its answer before all of it was read, errEnded of one behind the last answer.
+// errBodyUnread is of a request that has its answer before all of it was read, errEnded of one behind the last answer.
 var (
-	errUnread = &inputError{}
-	errEnded  = errors.New("no further request is taken")
+	errBodyUnread  = &requestError{}
+	errConnClosing = errors.New("no further request is taken")
 )
 
 const (
-	headMost  = maxHeader + 4<<10 // as net/http counts it
-	firstRead = 2 << 10
+	maxHead         = maxHeader + 4<<10 // as net/http counts it
+	initialReadSize = 2 << 10
 	// lingerTime is what a client has to read its last answer before its connection closes: closed with
 	// something unread on it, it would be reset, and the answer lost.
 	lingerTime = 500 * time.Millisecond
@@ -58,9 +58,9 @@
 	// it sends is dropped. Of one that has left there can be no more than two systems hold for a connection (Linux's
 	// defaults: 6 MB to be read, 4 MB to be written), and that is dropped at once, or its end would be seen late. One that
 	// sends on past floodMost bytes is there: it costs floodPiece bytes each floodPause.
-	floodMost  = 16 << 20
-	floodPiece = 4 << 10
-	floodPause = 10 * time.Millisecond
+	maxDropped    = 16 << 20
+	floodReadSize = 4 << 10
+	floodPause    = 10 * time.Millisecond
 )
 
 // serve reads requests until the connection ends.
@@ -68,104 +68,104 @@
 	defer func() {
 		p := recover()
 		if p != nil { // it ends the agent, and is no reason to leave this client without an answer
-			if c.waits() {
-				c.failOpen()
+			if c.hasPending() {
+				c.abortPending()
 			} else {
-				c.send(c.f.appendError(nil, http.StatusBadGateway, "failed", "", true))
+				c.send(c.front.appendError(nil, http.StatusBadGateway, "failed", "", true))
 			}
 		}
-		c.hungUp(p == nil || c.waits())
-		_ = c.nc.Close() // nothing can be done about a socket that does not close
+		c.endReader(p == nil || c.hasPending())
+		_ = c.conn.Close() // nothing can be done about a socket that does not close
 		if p != nil {
 			panic(p)
 		}
 	}()
-	c.turn <- struct{}{}
+	c.responseDone <- struct{}{}
 	for first := true; ; first = false {
 		end, err := c.readHead(first)
 		if errors.Is(err, errHead) {
-			if c.await() {
-				c.fail(&inputError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is too large"})
+			if c.awaitResponse() {
+				c.respondAndClose(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is too large"})
 			} else {
 				c.linger()
 			}
 			return
 		}
-		if err != nil || !c.await() {
-			if c.isEnding() {
+		if err != nil || !c.awaitResponse() {
+			if c.isClosing() {
 				c.linger()
 			}
 			return
 		}
 		if first {
-			go c.f.loop.ContainPanic(c.write)
+			go c.front.loop.ContainPanic(c.runWriter)
 		}
-		switch fail := c.take(c.buf[c.start : c.start+end]); fail {
+		switch fail := c.handleRequest(c.buf[c.start : c.start+end]); fail {
 		case nil:
-		case errUnread:
-			c.await()
+		case errBodyUnread:
+			c.awaitResponse()
 			c.linger()
 			return
 		default:
-			c.fail(fail)
+			c.respondAndClose(fail)
 			return
 		}
 	}
 }
 
-// await waits until the answer before is out. It reports false where that was the last, or its client has left.
-func (c *clientConn) await() bool {
+// awaitResponse waits until the answer before is out. It reports false where that was the last, or its client has left.
+func (c *clientConn) awaitResponse() bool {
 	c.mu.Lock()
-	c.watching = c.open != nil
-	watching := c.watching
+	c.watchingDisconnect = c.pending != nil
+	watching := c.watchingDisconnect
 	c.mu.Unlock()
-	if watching && !c.watch() {
+	if watching && !c.watchForDisconnect() {
 		return false
 	}
-	<-c.turn
+	<-c.responseDone
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watching = false
-	return !c.ending
+	c.watchingDisconnect = false
+	return !c.closing
 }
 
-// watch reads on while an answer is awaited, or it would not be seen that the client has left. It reports whether the
+// watchForDisconnect reads on while an answer is awaited, or it would not be seen that the client has left. It reports whether the
 // answer is out: next ends its read then.
-func (c *clientConn) watch() bool {
+func (c *clientConn) watchForDisconnect() bool {
 	var scrap []byte // what is dropped
 	for dropped := 0; ; {
 		var into []byte
-		if c.end-c.start < headMost {
-			into = c.room()
+		if c.end-c.start < maxHead {
+			into = c.freeBuffer()
 		} else {
 			if scrap == nil {
-				buf := pieces.Get().(*[]byte)
-				defer pieces.Put(buf)
-				scrap = (*buf)[:floodPiece]
+				buf := pieceBuffers.Get().(*[]byte)
+				defer pieceBuffers.Put(buf)
+				scrap = (*buf)[:floodReadSize]
 			}
 			into = scrap
 		}
-		n, err := c.nc.Read(into)
+		n, err := c.conn.Read(into)
 		switch {
 		case n == 0 && err != nil:
 			return errors.Is(err, os.ErrDeadlineExceeded)
-		case c.end-c.start < headMost:
-			c.end, c.came = c.end+n, time.Now()
+		case c.end-c.start < maxHead:
+			c.end, c.lastReadAt = c.end+n, time.Now()
 			continue
-		case dropped == 0 && !c.drops():
+		case dropped == 0 && !c.closeOnOverflow():
 			c.buf = append(c.buf[:c.end], scrap[:n]...)
-			c.end, c.came = c.end+n, time.Now()
+			c.end, c.lastReadAt = c.end+n, time.Now()
 			return true
 		}
 		scrap = scrap[:cap(scrap)]
-		if dropped += n; dropped > floodMost {
-			scrap = scrap[:floodPiece]
-			if c.f.ahead != nil {
-				c.f.ahead(true)
+		if dropped += n; dropped > maxDropped {
+			scrap = scrap[:floodReadSize]
+			if c.front.overflowHook != nil {
+				c.front.overflowHook(true)
 			}
 			select {
-			case <-c.turn:
-				c.turn <- struct{}{}
+			case <-c.responseDone:
+				c.responseDone <- struct{}{}
 				return true
 			case <-time.After(floodPause):
 			}
@@ -173,49 +173,49 @@
 	}
 }
 
-// drops reports whether a client has sent more than is kept before any of its answer: what is dropped can't be
+// closeOnOverflow reports whether a client has sent more than is kept before any of its answer: what is dropped can't be
 // answered, and the connection ends. One that has a part of its answer, if only the last byte is not yet booked, may
 // have sent its next request, which is read when its turn comes.
-func (c *clientConn) drops() bool {
+func (c *clientConn) closeOnOverflow() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.f.ahead != nil {
-		defer c.f.ahead(false)
+	if c.front.overflowHook != nil {
+		defer c.front.overflowHook(false)
 	}
-	if c.open == nil || c.begun {
+	if c.pending == nil || c.streaming {
 		return false
 	}
-	c.ending = true
+	c.closing = true
 	return true
 }
 
-// room is where the next bytes are read to.
-func (c *clientConn) room() []byte {
+// freeBuffer is where the next bytes are read to.
+func (c *clientConn) freeBuffer() []byte {
 	if c.end == len(c.buf) {
-		grown := make([]byte, max(firstRead, 2*len(c.buf)))
+		grown := make([]byte, max(initialReadSize, 2*len(c.buf)))
 		copy(grown, c.buf[:c.end])
 		c.buf = grown
 	}
 	return c.buf[c.end:]
 }
 
-func (c *clientConn) isEnding() bool {
+func (c *clientConn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ending
+	return c.closing
 }
 
 // readHead reads until a head is whole, and returns its length behind c.start.
 func (c *clientConn) readHead(first bool) (int, error) {
 	if c.start == c.end {
 		c.start, c.end = 0, 0
-		if len(c.buf) > 2*firstRead {
+		if len(c.buf) > 2*initialReadSize {
 			c.buf = nil // a connection that rests keeps little
 		}
 	}
 	began := false
 	if first {
-		c.f.limiter.SetReadDeadline(c.nc, time.Now().Add(core.HeadTimeout)) // from connecting on, whatever comes of it
+		c.front.limiter.SetReadDeadline(c.conn, time.Now().Add(core.HeadTimeout)) // from connecting on, whatever comes of it
 		began = true
 	}
 	for {
@@ -223,12 +223,12 @@
 			c.start++ // empty lines ahead of a request line are passed over (RFC 9112, 2.2)
 		}
 		if n := headEnd(c.buf[c.start:c.end]); n > 0 {
-			if n > headMost {
+			if n > maxHead {
 				return 0, errHead
 			}
 			return n, nil
 		}
-		if c.end-c.start >= headMost {
+		if c.end-c.start >= maxHead {
 			return 0, errHead
 		}
 		if c.start > 0 {
@@ -237,64 +237,64 @@
 		}
 		if c.end > 0 && !began {
 			began = true
-			if err := c.beginNext(); err != nil {
+			if err := c.startNextRequest(); err != nil {
 				return 0, err
 			}
 		}
-		n, err := c.nc.Read(c.room())
+		n, err := c.conn.Read(c.freeBuffer())
 		if n == 0 && err != nil {
 			return 0, err
 		}
-		c.end, c.came = c.end+n, time.Now()
+		c.end, c.lastReadAt = c.end+n, time.Now()
 	}
 }
 
-// beginNext bounds the time of a request that has begun to come: its time runs from when the answer before is out.
-func (c *clientConn) beginNext() error {
+// startNextRequest bounds the time of a request that has begun to come: its time runs from when the answer before is out.
+func (c *clientConn) startNextRequest() error {
 	c.mu.Lock()
-	if c.open != nil {
-		c.behind = true // next sets its time
+	if c.pending != nil {
+		c.nextStarted = true // next sets its time
 		c.mu.Unlock()
 		return nil
 	}
 	c.mu.Unlock()
-	<-c.turn // the answer may still be on its way out
-	c.turn <- struct{}{}
-	if c.isEnding() {
-		return errEnded
+	<-c.responseDone // the answer may still be on its way out
+	c.responseDone <- struct{}{}
+	if c.isClosing() {
+		return errConnClosing
 	}
-	if !c.f.limiter.MarkBusy(c.nc) {
+	if !c.front.limiter.MarkBusy(c.conn) {
 		return net.ErrClosed
 	}
-	return c.nc.SetReadDeadline(time.Now().Add(core.HeadTimeout))
+	return c.conn.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 }
 
-// waits reports whether an answer is awaited.
-func (c *clientConn) waits() bool {
+// hasPending reports whether an answer is awaited.
+func (c *clientConn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open != nil
+	return c.pending != nil
 }
 
-// take reads the rest of a request and gives it to the loop. An error is the client's last answer.
-func (c *clientConn) take(text []byte) *inputError {
-	f := c.f
-	if !f.limiter.MarkBusy(c.nc) {
-		return &inputError{} // closed meanwhile: nobody reads an answer
+// handleRequest reads the rest of a request and gives it to the loop. An error is the client's last answer.
+func (c *clientConn) handleRequest(text []byte) *requestError {
+	f := c.front
+	if !f.limiter.MarkBusy(c.conn) {
+		return &requestError{} // closed meanwhile: nobody reads an answer
 	}
 	h, err := parseHead(text, c.fields)
 	c.fields = h.fields
 	if err != nil {
-		return &inputError{status: http.StatusBadRequest, text: err.Error()}
+		return &requestError{status: http.StatusBadRequest, text: err.Error()}
 	}
-	if h.old || h.closes {
+	if h.http10 || h.closes {
 		c.mu.Lock()
-		c.ending = true
+		c.closing = true
 		c.mu.Unlock()
 	}
 	first, target, host, err := h.route()
 	if err != nil {
-		return &inputError{status: http.StatusBadRequest, text: "the target can't be read"}
+		return &requestError{status: http.StatusBadRequest, text: "the target can't be read"}
 	}
 	if rest, ok := strings.CutPrefix(target, "/_health"); ok && (rest == "" || rest[0] == '?') {
 		status := http.StatusOK
@@ -302,14 +302,14 @@
 			status = http.StatusServiceUnavailable
 		}
 		c.start += len(text)
-		if h.length > 0 || h.coded {
-			return bad("no body is taken here")
+		if h.length > 0 || h.hasTransferCoding {
+			return badRequest("no body is taken here")
 		}
-		c.out = f.appendStatus(c.out[:0], status, c.ends())
-		c.out = append(c.out, "Content-Length: 0\r\n\r\n"...)
-		return c.done(c.out)
+		c.writeBuf = f.appendStatus(c.writeBuf[:0], status, c.closesAfterResponse())
+		c.writeBuf = append(c.writeBuf, "Content-Length: 0\r\n\r\n"...)
+		return c.respondLocally(c.writeBuf)
 	}
-	r, fail := c.parse(&h, first)
+	r, fail := c.newRequest(&h, first)
 	if fail != nil {
 		return fail
 	}
@@ -317,125 +317,125 @@
 	var body []byte
 	var booked int
 	var up *upload
-	if h.length > 0 || h.coded {
-		in, all := newBody(c, &h), false
-		if body, booked, all, err = in.whole(f.bodies); err != nil {
-			f.bodies.Release(booked)
-			return faultOf(err)
+	if h.length > 0 || h.hasTransferCoding {
+		in, all := newRequestBody(c, &h), false
+		if body, booked, all, err = in.readBuffered(f.bodyBudget); err != nil {
+			f.bodyBudget.Release(booked)
+			return bodyFault(err)
 		}
 		if !all {
-			up = &upload{body: in, whole: make(chan struct{})}
+			up = &upload{body: in, complete: make(chan struct{})}
 			r.Upload = true
 		}
 	}
 	// A client's time runs from when its request was sent, which ends with the last byte. That of one behind another was
 	// read no later than the last bytes that came meanwhile.
-	r.Deadline = c.came.Add(r.Remaining)
+	r.Deadline = c.lastReadAt.Add(r.Remaining)
 	if up != nil {
 		r.Deadline = time.Now().Add(r.Remaining) // of no matter until its own last byte
 	}
-	r.Message = h.message(target, host, body, up).from(c, h.old, r.Remaining)
+	r.Message = h.message(target, host, body, up).withClient(c, h.http10, r.Remaining)
 	if up == nil && !time.Now().Before(r.Deadline) { // its time has run out behind another one
-		f.bodies.Release(booked)
-		return c.refuse(r)
+		f.bodyBudget.Release(booked)
+		return c.reject(r)
 	}
 	// Past what the limits let an agent hold, a request is turned away before anything has run.
-	if f.open.Add(1) > f.most.Load() {
-		f.open.Add(-1)
-		f.bodies.Release(booked)
+	if f.openRequests.Add(1) > f.maxOpen.Load() {
+		f.openRequests.Add(-1)
+		f.bodyBudget.Release(booked)
 		c.mu.Lock()
-		c.ending = true // as where the connection limiter is near its capacity
+		c.closing = true // as where the connection limiter is near its capacity
 		c.mu.Unlock()
-		return c.refuse(r)
+		return c.reject(r)
 	}
 	// While its answer is awaited a client may be silent. Before that is: from then on next sets what bounds the reader.
-	if err := c.nc.SetReadDeadline(time.Time{}); err != nil {
-		f.open.Add(-1)
-		f.bodies.Release(booked)
-		return &inputError{} // it is closed, and nothing has been asked of anybody
+	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
+		f.openRequests.Add(-1)
+		f.bodyBudget.Release(booked)
+		return &requestError{} // it is closed, and nothing has been asked of anybody
 	}
 	c.mu.Lock()
-	c.open, c.booked, c.up, c.begun, c.behind = r, booked, up, false, false
+	c.pending, c.reservedBytes, c.upload, c.streaming, c.nextStarted = r, booked, up, false, false
 	c.mu.Unlock()
 	if up != nil {
-		f.uploads.Add(1)
+		f.openUploads.Add(1)
 	}
 	f.loop.Submit(r)
-	if f.ended.Load() { // meanwhile, or before: it may have gone unseen
-		c.failOpen()
+	if f.loopEnded.Load() { // meanwhile, or before: it may have gone unseen
+		c.abortPending()
 	}
-	if up == nil || up.wait(r, f.loop, c.nc) {
+	if up == nil || up.wait(r, f.loop, c.conn) {
 		return nil
 	}
-	return errUnread
+	return errBodyUnread
 }
 
-// done writes an answer that needed nobody, and goes on to the next request. An error ends the reader.
-func (c *clientConn) done(text []byte) *inputError {
+// respondLocally writes an answer that needed nobody, and goes on to the next request. An error ends the reader.
+func (c *clientConn) respondLocally(text []byte) *requestError {
 	if !c.send(text) {
-		return &inputError{}
+		return &requestError{}
 	}
-	c.next()
+	c.prepareNext()
 	return nil
 }
 
-// refuse answers a request of which nobody else has heard.
-func (c *clientConn) refuse(r *core.Request) *inputError {
+// reject answers a request of which nobody else has heard.
+func (c *clientConn) reject(r *core.Request) *requestError {
 	a := core.Answer{Refused: true}
-	c.f.loop.ClassCounts(r.Class).CountAnswer(a)
-	c.out = c.f.appendRefusal(c.out[:0], a, c.ends())
-	return c.done(c.out)
+	c.front.loop.ClassCounts(r.Class).CountAnswer(a)
+	c.writeBuf = c.front.appendRefusal(c.writeBuf[:0], a, c.closesAfterResponse())
+	return c.respondLocally(c.writeBuf)
 }
 
-// ends reports whether the answer that is written now is the last one.
-func (c *clientConn) ends() bool {
+// closesAfterResponse reports whether the answer that is written now is the last one.
+func (c *clientConn) closesAfterResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.endsLocked()
+	return c.closesAfterResponseLocked()
 }
 
-func (c *clientConn) endsLocked() bool {
-	c.ending = c.ending || c.f.draining.Load() || c.f.limiter.NearCapacity()
-	return c.ending
+func (c *clientConn) closesAfterResponseLocked() bool {
+	c.closing = c.closing || c.front.draining.Load() || c.front.limiter.NearCapacity()
+	return c.closing
 }
 
-// next has the connection wait for its next request, or end, after an answer.
-func (c *clientConn) next() {
+// prepareNext has the connection wait for its next request, or end, after an answer.
+func (c *clientConn) prepareNext() {
 	c.mu.Lock()
 	switch {
-	case c.ending:
+	case c.closing:
 		// The reader learns it from its read, and lets the client read this answer.
 		c.closeWrite()
-		_ = c.nc.SetReadDeadline(core.LongAgo)
-	case c.watching: // it goes on with the request that it has
-		_ = c.nc.SetReadDeadline(core.LongAgo)
-	case c.behind:
-		_ = c.nc.SetReadDeadline(time.Now().Add(core.HeadTimeout))
+		_ = c.conn.SetReadDeadline(core.LongAgo)
+	case c.watchingDisconnect: // it goes on with the request that it has
+		_ = c.conn.SetReadDeadline(core.LongAgo)
+	case c.nextStarted:
+		_ = c.conn.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 	default:
-		c.f.limiter.SetReadDeadline(c.nc, time.Now().Add(idleTimeout)) // a dead connection shows by its read
-		c.f.limiter.MarkIdle(c.nc)
+		c.front.limiter.SetReadDeadline(c.conn, time.Now().Add(idleTimeout)) // a dead connection shows by its read
+		c.front.limiter.MarkIdle(c.conn)
 	}
 	c.mu.Unlock()
-	c.turn <- struct{}{}
+	c.responseDone <- struct{}{}
 }
 
-// fail writes a last answer to a request that can't be taken. What is left of a body is not read, and
+// respondAndClose writes a last answer to a request that can't be taken. What is left of a body is not read, and
 // must not be taken for the next request. Nor does such a client keep a place that others wait for.
-func (c *clientConn) fail(e *inputError) {
+func (c *clientConn) respondAndClose(e *requestError) {
 	if e.status == 0 {
 		return
 	}
 	c.mu.Lock()
-	c.ending = true
+	c.closing = true
 	c.mu.Unlock()
-	if c.send(c.f.appendError(c.out[:0], e.status, e.text, e.allow, true)) {
+	if c.send(c.front.appendError(c.writeBuf[:0], e.status, e.text, e.allow, true)) {
 		c.closeWrite()
 		c.linger()
 	}
 }
 
 func (c *clientConn) closeWrite() {
-	if w, ok := c.nc.(interface{ CloseWrite() error }); ok {
+	if w, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		_ = w.CloseWrite()
 	}
 }
@@ -443,93 +443,93 @@
 // linger reads what a client still sends, so that the close is no reset, until it closes too.
 func (c *clientConn) linger() {
 	buf := make([]byte, 1024)
-	c.f.limiter.SetReadDeadline(c.nc, time.Now().Add(lingerTime))
+	c.front.limiter.SetReadDeadline(c.conn, time.Now().Add(lingerTime))
 	for {
-		if _, err := c.nc.Read(buf); err != nil {
+		if _, err := c.conn.Read(buf); err != nil {
 			return
 		}
 	}
 }
 
 func (c *clientConn) send(text []byte) bool {
-	if c.nc.SetWriteDeadline(time.Now().Add(c.f.writeTime)) != nil {
+	if c.conn.SetWriteDeadline(time.Now().Add(c.front.writeTimeout)) != nil {
 		return false
 	}
-	_, err := c.nc.Write(text)
+	_, err := c.conn.Write(text)
 	return err == nil
 }
 
-// hungUp tells the loop that nobody waits for the open answer, and the writer that it is the last. With a last word that
+// endReader tells the loop that nobody waits for the open answer, and the writer that it is the last. With a last word that
 // is waited for: a client that has ended its sending alone still reads, and is told that nothing more is done for it.
-func (c *clientConn) hungUp(lastWord bool) {
+func (c *clientConn) endReader(awaitLastResponse bool) {
 	c.mu.Lock()
-	r := c.open
-	c.over = true
+	r := c.pending
+	c.readerEnded = true
 	c.mu.Unlock()
 	if r == nil {
-		c.say(reply{end: true})
+		c.postAnswer(finalAnswer{last: true})
 		return
 	}
-	c.f.loop.ClientDisconnected(r)
-	if lastWord {
+	c.front.loop.ClientDisconnected(r)
+	if awaitLastResponse {
 		limit := time.NewTimer(lingerTime) // one that does not read holds nothing up
 		defer limit.Stop()
 		select {
-		case <-c.turn: // the writer is done
+		case <-c.responseDone: // the writer is done
 		case <-limit.C:
 		}
 	}
 }
 
-// reply is what the writer is told: a final answer, or that none will follow.
-type reply struct {
+// finalAnswer is what the writer is told: a final answer, or that none will follow.
+type finalAnswer struct {
 	core.Answer
-	end bool
+	last bool
 }
 
-// say tells the writer. It never waits: a request is answered once.
-func (c *clientConn) say(r reply) {
+// postAnswer tells the writer. It never waits: a request is answered once.
+func (c *clientConn) postAnswer(r finalAnswer) {
 	select {
-	case c.replies <- r:
+	case c.finalAnswers <- r:
 	default:
 	}
 }
 
-// failOpen answers what is open failed, where the loop has ended and will not.
-func (c *clientConn) failOpen() {
+// abortPending answers what is open failed, where the loop has ended and will not.
+func (c *clientConn) abortPending() {
 	c.mu.Lock()
-	r := c.open
+	r := c.pending
 	c.mu.Unlock()
 	if r != nil {
 		r.Abort()
 	}
 }
 
-// write gives answers, until the reader has ended and none is awaited.
-func (c *clientConn) write() {
-	for r := range c.replies {
-		if r.end {
+// runWriter gives answers, until the reader has ended and none is awaited.
+func (c *clientConn) runWriter() {
+	for r := range c.finalAnswers {
+		if r.last {
 			return
 		}
-		if !c.waits() {
+		if !c.hasPending() {
 			continue // answered twice, as the agent ended
 		}
-		text := c.conclude(r.Answer)
+		text := c.finishPending(r.Answer)
 		ok := text != nil && (len(text) == 0 || c.send(text))
 		if cap(text) <= 16<<10 {
-			c.out = text
+			c.writeBuf = text
 		} else {
-			c.out = nil
+			c.writeBuf = nil
 		}
 		if !ok {
 			c.mu.Lock()
-			c.ending = true
+			c.closing = true
 			c.mu.Unlock()
-			_ = c.nc.Close()
+			_ = c.conn.Close()
 		}
-		c.next()
+		c.prepareNext()
 		c.mu.Lock()
-		over := c.over
+		over := c.readerEnded
 		c.mu.Unlock()
 		if over {
 			return
@@ -537,55 +537,55 @@
 	}
 }
 
-// conclude ends the open request with its final answer, and returns what is still to be written of that; nil: it
+// finishPending ends the open request with its final answer, and returns what is still to be written of that; nil: it
 // can't be, and the client must see so.
-func (c *clientConn) conclude(a core.Answer) []byte {
+func (c *clientConn) finishPending(a core.Answer) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var fail *inputError
-	if c.up != nil && c.up.state.CompareAndSwap(coming, left) {
-		c.ending = true // what is left of its body is not the next request
-		c.f.uploads.Add(-1)
-		fail = c.up.fault.Load()
+	var fail *requestError
+	if c.upload != nil && c.upload.state.CompareAndSwap(uploadReceiving, uploadAbandoned) {
+		c.closing = true // what is left of its body is not the next request
+		c.front.openUploads.Add(-1)
+		fail = c.upload.fault.Load()
 	}
 	if fail == nil {
-		c.f.loop.ClassCounts(c.open.Class).CountAnswer(a)
+		c.front.loop.ClassCounts(c.pending.Class).CountAnswer(a)
 	}
-	begun := c.begun
-	c.open, c.up, c.begun = nil, nil, false
-	c.f.bodies.Release(c.booked)
-	c.booked = 0
-	c.f.open.Add(-1)
+	begun := c.streaming
+	c.pending, c.upload, c.streaming = nil, nil, false
+	c.front.bodyBudget.Release(c.reservedBytes)
+	c.reservedBytes = 0
+	c.front.openRequests.Add(-1)
 	switch {
 	case begun && a.Served == nil: // an end of the connection that is no end of the answer
-		if t, ok := c.nc.(interface{ SetLinger(int) error }); ok {
+		if t, ok := c.conn.(interface{ SetLinger(int) error }); ok {
 			_ = t.SetLinger(0)
 		}
 		return nil
 	case begun:
 		return []byte{}
 	case fail != nil:
-		return c.f.appendError(c.out[:0], fail.status, fail.text, fail.allow, true)
+		return c.front.appendError(c.writeBuf[:0], fail.status, fail.text, fail.allow, true)
 	}
-	return c.f.appendAnswer(c.out[:0], a, c.endsLocked())
+	return c.front.appendAnswer(c.writeBuf[:0], a, c.closesAfterResponseLocked())
 }
 
-// parse checks a request, up to its body.
-func (c *clientConn) parse(h *head, first string) (r *core.Request, fail *inputError) {
-	f := c.f
+// newRequest checks a request, up to its body.
+func (c *clientConn) newRequest(h *requestHead, first string) (r *core.Request, fail *requestError) {
+	f := c.front
 	switch {
 	// A body in chunks that comes with a Content-Length may hide a second request from one of the two sides
 	// (RFC 9112, 11.2).
-	case h.coded && (h.measured || h.old):
-		return nil, bad("a body has one end: by its length or by its chunks")
-	case h.coded && !h.chunked:
-		return nil, &inputError{status: http.StatusNotImplemented, text: "the only transfer coding here is chunked"}
-	case h.otherExpect:
-		return nil, &inputError{status: http.StatusExpectationFailed, text: "what is expected is not known here"}
+	case h.hasTransferCoding && (h.hasLength || h.http10):
+		return nil, badRequest("a body has one end: by its length or by its chunks")
+	case h.hasTransferCoding && !h.chunked:
+		return nil, &requestError{status: http.StatusNotImplemented, text: "the only transfer coding here is chunked"}
+	case h.unknownExpectation:
+		return nil, &requestError{status: http.StatusExpectationFailed, text: "what is expected is not known here"}
 	}
 	class, ok := f.classes[first]
 	if !ok {
-		return nil, &inputError{status: http.StatusNotFound, text: "no such class of requests"}
+		return nil, &requestError{status: http.StatusNotFound, text: "no such class of requests"}
 	}
 	settings := &f.cfg.Settings.Classes[class]
 	method := http.MethodPost
@@ -593,36 +593,36 @@
 		method = http.MethodGet
 	}
 	if string(h.method) != method {
-		return nil, &inputError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allow: method}
+		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allow: method}
 	}
-	if method == http.MethodGet && (h.length != 0 || h.coded) {
-		return nil, bad("this class has no body")
+	if method == http.MethodGet && (h.length != 0 || h.hasTransferCoding) {
+		return nil, badRequest("this class has no body")
 	}
-	if h.ids != 1 || len(h.id) == 0 || len(h.id) > maxID {
-		return nil, bad("X-Trace-Id: one of 1 to 256 bytes is needed")
+	if h.idCount != 1 || len(h.id) == 0 || len(h.id) > maxID {
+		return nil, badRequest("X-Trace-Id: one of 1 to 256 bytes is needed")
 	}
-	if settings.Effect == decide.Keyed && (h.keys != 1 || len(h.key) == 0 || len(h.key) > maxID) {
-		return nil, bad("Idempotency-Key: one of 1 to 256 bytes is needed")
+	if settings.Effect == decide.Keyed && (h.keyCount != 1 || len(h.key) == 0 || len(h.key) > maxID) {
+		return nil, badRequest("Idempotency-Key: one of 1 to 256 bytes is needed")
 	}
 	wait := settings.Deadline
-	if len(h.expires) > 0 {
-		s, err := parseDecimal(string(h.expires))
+	if len(h.expiresIn) > 0 {
+		s, err := parseDecimal(string(h.expiresIn))
 		if err != nil || !(s > 0) {
-			return nil, bad("X-Expires-In: not a number of seconds above 0")
+			return nil, badRequest("X-Expires-In: not a number of seconds above 0")
 		}
 		wait = min(wait, time.Duration(min(s, wait.Seconds())*float64(time.Second)))
 	}
-	r = core.NewRequest(string(h.id), class, func(a core.Answer) { c.say(reply{Answer: a}) })
-	r.Remaining, r.ClientRetry, r.Client = wait, h.second, c.nc
-	if len(h.hint) > 0 {
-		us, err := parseDecimal(string(h.hint))
+	r = core.NewRequest(string(h.id), class, func(a core.Answer) { c.postAnswer(finalAnswer{Answer: a}) })
+	r.Remaining, r.ClientRetry, r.Client = wait, h.clientRetry, c.conn
+	if len(h.sizeHint) > 0 {
+		us, err := parseDecimal(string(h.sizeHint))
 		if err != nil || !(us >= 0) || us > math.MaxInt32 {
-			return nil, bad("X-Size-Hint: not a number of microseconds")
+			return nil, badRequest("X-Size-Hint: not a number of microseconds")
 		}
 		r.Work = time.Duration(us * float64(time.Microsecond))
 	}
 	if h.length > maxBody {
-		return nil, faultOf(errTooLong)
+		return nil, bodyFault(errTooLong)
 	}
 	return r, nil
 }
--- a/internal/protocol/http1/crossings_test.go
+++ b/internal/protocol/http1/crossings_test.go
@@ -75,7 +75,7 @@
 // floods.
 func ahead(a *running) (end chan struct{}, pauses *atomic.Int64) {
 	end, pauses = make(chan struct{}, 100), &atomic.Int64{}
-	a.front.ahead = func(pause bool) {
+	a.front.overflowHook = func(pause bool) {
 		if pause {
 			pauses.Add(1)
 		} else {
@@ -117,7 +117,7 @@
 		"nothing": "", "part of a head": "GET /get/y HTTP/1.1\r\nHo", "a request": headOf("get", "behind"),
 		"a request and a part": headOf("get", "behind") + "POST", "a head too long": "GET /" + strings.Repeat(junk, 6),
 		"a request and a body that has not come": "POST /put/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: b\r\nIdempotency-Key: k\r\nContent-Length: 60000\r\n\r\n" + junk,
-		"a flood":                                headOf("get", "behind") + strings.Repeat(junk, floodMost/len(junk)+20),
+		"a flood":                                headOf("get", "behind") + strings.Repeat(junk, maxDropped/len(junk)+20),
 	} {
 		for how, leave := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": reset} {
 			t.Run(name+", "+how, func(t *testing.T) {
@@ -176,8 +176,8 @@
 			a, s, release, answers := full(t)
 			c := a.connect(t)
 			c.write(fmt.Sprintf("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: up\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s",
-				maxWhole+1, strings.Repeat("x", 10<<10)))
-			testkit.WaitFor(t, "the upload", func() bool { return a.front.uploads.Load() == 1 })
+				maxBufferedBody+1, strings.Repeat("x", 10<<10)))
+			testkit.WaitFor(t, "the upload", func() bool { return a.front.openUploads.Load() == 1 })
 			leave(c.c)
 			testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
 			close(release)
@@ -223,7 +223,7 @@
 		"a request":           {headOf("get", "behind"), []int{200, 200}},
 		"a request in pieces": {"GET /get/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: pie", []int{200, 200}},
 		"a head too long":     {"GET /" + strings.Repeat("x", 24<<10), []int{200, 431}},
-		"a flood":             {headOf("get", "behind") + strings.Repeat("x", floodMost+100<<10), []int{200}},
+		"a flood":             {headOf("get", "behind") + strings.Repeat("x", maxDropped+100<<10), []int{200}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -339,8 +339,8 @@
 // heldDial has an agent's first connection to a server come up no sooner than told.
 func (r *running) heldDial(addr string) (dialled, release chan struct{}) {
 	dialled, release = make(chan struct{}, 1), make(chan struct{})
-	plain, first := r.backends.dialer, atomic.Bool{}
-	r.backends.dialer = func(ctx context.Context, network, to string) (net.Conn, error) {
+	plain, first := r.connPool.dialer, atomic.Bool{}
+	r.connPool.dialer = func(ctx context.Context, network, to string) (net.Conn, error) {
 		if to == addr && first.CompareAndSwap(false, true) {
 			dialled <- struct{}{}
 			<-release
@@ -473,7 +473,7 @@
 	t.Cleanup(func() { server.Close() })
 	s := &backend{addr: ln.Addr().String()}
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	a.backends.stall = 200 * time.Millisecond
+	a.connPool.maxStall = 200 * time.Millisecond
 	x := a.do("GET", "/get/x", "")
 	if x.err == nil || errors.Is(x.err, context.DeadlineExceeded) {
 		t.Errorf("%d, %d bytes, %v: it looks whole, or never ended", x.status, len(x.body), x.err)
@@ -484,7 +484,7 @@
 // A reset is no end, above all of an answer whose length is not told: what came of it is not served as a whole one.
 // Short, it fails the attempt; where it streams already, its client sees that it broke off.
 func TestResetIsNoEndOfAnAnswerWithoutALength(t *testing.T) {
-	for name, part := range map[string]string{"nothing": "", "short": "part", "long": strings.Repeat("p", maxWholeAnswer+1)} {
+	for name, part := range map[string]string{"nothing": "", "short": "part", "long": strings.Repeat("p", maxBufferedResponse+1)} {
 		t.Run(name, func(t *testing.T) {
 			ln := testkit.Listen(t)
 			began := make(chan struct{})
--- a/internal/protocol/http1/dial.go
+++ b/internal/protocol/http1/dial.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	dialPatience = 16                    // usual trips after which an attempt goes elsewhere, while its dial goes on
-	dialLeast    = 30 * time.Millisecond // and the least: a busy machine may be as late as that
-	leavesEach   = 1.0 / 32              // of such attempts for each answer: each costs a retry, of which the module has few
-	leavesMost   = 16                    // that may be saved up
-	dialWaits    = 8                     // connect time-outs after which nobody expects a connection any more
+	dialPatienceFactor       = 16                    // usual trips after which an attempt goes elsewhere, while its dial goes on
+	minDialWait              = 30 * time.Millisecond // and the least: a busy machine may be as late as that
+	abandonTokensPerResponse = 1.0 / 32              // of such attempts for each answer: each costs a retry, of which the module has few
+	maxAbandonTokens         = 16                    // that may be saved up
+	maxDialTimeouts          = 8                     // connect time-outs after which nobody expects a connection any more
 )
 
 // dial opens a connection within the connect time-out and ctx. Its place is already counted. Where connections come up
@@ -19,32 +19,32 @@
 // have the attempt made elsewhere. The dial goes on, one at a time to a backend, for whoever comes next: what it costs
 // the backend is paid by then. It could hurt where a backend that is slow to accept answers fast: its first requests
 // cost retries then, until enough connections are open.
-func (b *backends) dial(ctx context.Context, id, addr string) (*conn, error) {
-	on, stop := context.WithTimeout(b.lasting, dialWaits*b.cfg.Settings.ConnectTimeout)
+func (b *connPool) dial(ctx context.Context, id, addr string) (*serverConn, error) {
+	dialCtx, stop := context.WithTimeout(b.lifetime, maxDialTimeouts*b.cfg.Settings.ConnectTimeout)
 	type dialed struct {
-		c   *conn
+		c   *serverConn
 		err error
 	}
 	done := make(chan dialed)
-	left := make(chan bool, 1) // nobody waits for it any more; whether it goes on
+	abandoned := make(chan bool, 1) // nobody waits for it any more; whether it goes on
 	go func() {
 		defer stop()
 		began := time.Now()
-		c, err := b.dialer(on, "tcp", addr)
+		c, err := b.dialer(dialCtx, "tcp", addr)
 		d := dialed{err: err}
 		if err == nil {
-			d.c = &conn{Conn: c, addr: addr, trip: time.Since(began)}
+			d.c = &serverConn{Conn: c, addr: addr, dialTime: time.Since(began)}
 		}
 		select {
 		case done <- d:
-		case goesOn := <-left:
+		case goesOn := <-abandoned:
 			b.lateDial(id, d.c, goesOn)
 		}
 	}()
 	b.mu.Lock()
 	wait := b.cfg.Settings.ConnectTimeout
-	if b.leaves >= 1 {
-		wait = min(wait, max(dialLeast, dialPatience*b.trip))
+	if b.abandonTokens >= 1 {
+		wait = min(wait, max(minDialWait, dialPatienceFactor*b.usualDialTime))
 	}
 	b.mu.Unlock()
 	patience := time.NewTimer(wait)
@@ -59,15 +59,15 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if wait < b.cfg.Settings.ConnectTimeout {
-			b.leaves = max(0, b.leaves-1)
+			b.abandonTokens = max(0, b.abandonTokens-1)
 		}
-		goesOn := !b.late[id] && !b.closed
+		goesOn := !b.lateDials[id] && !b.closed
 		if goesOn {
-			b.late[id] = true
+			b.lateDials[id] = true
 		} else {
 			stop()
 		}
-		left <- goesOn
+		abandoned <- goesOn
 		return nil, os.ErrDeadlineExceeded
 	}
 	b.mu.Lock()
@@ -76,30 +76,30 @@
 		b.open--
 		return nil, d.err
 	}
-	b.learnTrip(d.c.trip)
+	b.learnDialTime(d.c.dialTime)
 	return d.c, nil
 }
 
 // lateDial takes what has become of a dial that no attempt waits for; c: nil if nothing.
-func (b *backends) lateDial(id string, c *conn, goesOn bool) {
+func (b *connPool) lateDial(id string, c *serverConn, goesOn bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if goesOn {
-		delete(b.late, id)
+		delete(b.lateDials, id)
 	}
 	if c == nil {
 		b.open--
 		return
 	}
-	b.learnTrip(c.trip)
-	b.put(id, c, true)
+	b.learnDialTime(c.dialTime)
+	b.putLocked(id, c, true)
 }
 
-// learnTrip moves the usual trip towards the median of what was seen: late ones are late by any length. The lock is held.
-func (b *backends) learnTrip(trip time.Duration) {
-	if trip < b.trip {
-		b.trip -= b.trip / 8
+// learnDialTime moves the usual trip towards the median of what was seen: late ones are late by any length. The lock is held.
+func (b *connPool) learnDialTime(trip time.Duration) {
+	if trip < b.usualDialTime {
+		b.usualDialTime -= b.usualDialTime / 8
 	} else {
-		b.trip = min(b.trip+b.trip/8+1, b.cfg.Settings.ConnectTimeout)
+		b.usualDialTime = min(b.usualDialTime+b.usualDialTime/8+1, b.cfg.Settings.ConnectTimeout)
 	}
 }
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -266,7 +266,7 @@
 			l := startLeaving(t, false, nil)
 			dialled, release := l.heldDial(l.server.addr)
 			c := l.connect(t)
-			const size = 2 * maxWhole
+			const size = 2 * maxBufferedBody
 			body, head := strings.Repeat("x", size), fmt.Sprintf("Content-Length: %d", size)
 			if framing == "chunks" {
 				body, head = fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", size, body), "Transfer-Encoding: chunked"
@@ -347,13 +347,13 @@
 // A client leaves while the last bytes of its request wait for the server to take them: they are not left to it. The last
 // piece of an upload may be a few bytes, behind many that the server has yet to take.
 func TestLastBytesThatWaitForTheirServerEndWithTheClient(t *testing.T) {
-	for name, size := range map[string]int{"a few bytes": len("the last"), "kept whole": 8 << 10, "upload": 2 * maxWhole, "upload, a small last piece": 2 * maxWhole} {
+	for name, size := range map[string]int{"a few bytes": len("the last"), "kept whole": 8 << 10, "upload": 2 * maxBufferedBody, "upload, a small last piece": 2 * maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := startLeaving(t, false, nil)
 			out := &stuckConn{stuck: make(chan struct{}), passed: make(chan struct{}), ended: make(chan error, 1)}
-			plain := l.backends.dialer
-			l.backends.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			plain := l.connPool.dialer
+			l.connPool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := plain(ctx, network, addr)
 				out.Conn = c
 				return out, err
--- a/internal/protocol/http1/front.go
+++ b/internal/protocol/http1/front.go
@@ -14,22 +14,22 @@
 
 // front takes clients' requests and gives them the loop's answers.
 type front struct {
-	cfg       *core.Config
-	loop      *core.Loop
-	limiter   *core.ConnLimiter
-	log       *slog.Logger
-	most      atomic.Int64 // requests open at once
-	open      atomic.Int64
-	uploads   atomic.Int64 // of these, those whose last byte has not come
-	bodies    *core.ByteBudget
-	classes   map[string]int
-	writeTime time.Duration // what a client has to take an answer
-	ended     atomic.Bool   // the loop has
+	cfg          *core.Config
+	loop         *core.Loop
+	limiter      *core.ConnLimiter
+	log          *slog.Logger
+	maxOpen      atomic.Int64 // requests open at once
+	openRequests atomic.Int64
+	openUploads  atomic.Int64 // of these, those whose last byte has not come
+	bodyBudget   *core.ByteBudget
+	classes      map[string]int
+	writeTimeout time.Duration // what a client has to take an answer
+	loopEnded    atomic.Bool   // the loop has
 	// draining has connections end with their next answer.
 	draining atomic.Bool
-	// ahead is a test's; else nil. It is told that a reader has come to the end of what is kept ahead, and of each pause
+	// overflowHook is a test's; else nil. It is told that a reader has come to the end of what is kept ahead, and of each pause
 	// that a flood has.
-	ahead func(pause bool)
+	overflowHook func(pause bool)
 
 	mu      sync.Mutex
 	conns   map[*clientConn]bool
@@ -44,8 +44,8 @@
 )
 
 func newFront(cfg *core.Config, l *core.Loop, log *slog.Logger) *front {
-	f := &front{cfg: cfg, loop: l, log: log, bodies: core.NewByteBudget(0),
-		classes: map[string]int{}, writeTime: 2*cfg.MaxDeadline() + core.HeadTimeout, conns: map[*clientConn]bool{}}
+	f := &front{cfg: cfg, loop: l, log: log, bodyBudget: core.NewByteBudget(0),
+		classes: map[string]int{}, writeTimeout: 2*cfg.MaxDeadline() + core.HeadTimeout, conns: map[*clientConn]bool{}}
 	f.resize(cfg.Sockets, cfg.BodyMemory())
 	for i, name := range cfg.Site.Classes {
 		f.classes[name] = i
@@ -54,12 +54,12 @@
 }
 
 func (f *front) resize(sockets, bytes int) {
-	most := core.ClientSockets(sockets)
+	maxOpen := core.ClientSockets(sockets)
 	if f.cfg.Site.MaxOpen > 0 {
-		most = min(most, f.cfg.Site.MaxOpen)
+		maxOpen = min(maxOpen, f.cfg.Site.MaxOpen)
 	}
-	f.most.Store(int64(most))
-	f.bodies.Resize(bytes)
+	f.maxOpen.Store(int64(maxOpen))
+	f.bodyBudget.Resize(bytes)
 }
 
 // serve takes connections until the limiter is closed.
@@ -69,9 +69,9 @@
 		<-f.loop.Stopped()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.ended.Store(true)
+		f.loopEnded.Store(true)
 		for c := range f.conns {
-			c.failOpen()
+			c.abortPending()
 		}
 	}()
 	for {
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		c := &clientConn{f: f, nc: nc, turn: make(chan struct{}, 1), replies: make(chan reply, 3)}
+		c := &clientConn{front: f, conn: nc, responseDone: make(chan struct{}, 1), finalAnswers: make(chan finalAnswer, 3)}
 		f.mu.Lock()
 		f.conns[c] = true
 		f.mu.Unlock()
@@ -94,26 +94,28 @@
 	}
 }
 
-// close ends what is left of clients' connections.
-func (f *front) close() error {
+// closeConnections ends what is left of clients' connections.
+func (f *front) closeConnections() error {
 	f.mu.Lock()
 	for c := range f.conns {
-		_ = c.nc.Close()
+		_ = c.conn.Close()
 	}
 	f.mu.Unlock()
 	f.running.Wait()
 	return nil
 }
 
-// inputError is an answer to a request that can't be taken. Its status says 'failed', never
+// requestError is an answer to a request that can't be taken. Its status says 'failed', never
 // that another try is harmless.
-type inputError struct {
+type requestError struct {
 	status int // 0: nobody is there to read an answer
 	text   string
 	allow  string
 }
 
-func bad(text string) *inputError { return &inputError{status: http.StatusBadRequest, text: text} }
+func badRequest(text string) *requestError {
+	return &requestError{status: http.StatusBadRequest, text: text}
+}
 
 // parseDecimal reads a plain decimal number. ParseFloat alone also takes names and hexadecimals.
 func parseDecimal(text string) (float64, error) {
@@ -141,17 +143,17 @@
 	if d := lastDate.Load(); d != nil && d.second == now {
 		return d.text
 	}
-	d := &dated{now, time.Unix(now, 0).UTC().Format(http.TimeFormat)}
+	d := &dateText{now, time.Unix(now, 0).UTC().Format(http.TimeFormat)}
 	lastDate.Store(d)
 	return d.text
 }
 
-type dated struct {
+type dateText struct {
 	second int64
 	text   string
 }
 
-var lastDate atomic.Pointer[dated]
+var lastDate atomic.Pointer[dateText]
 
 // appendError is an answer in words.
 func (f *front) appendError(b []byte, status int, text, allow string, last bool) []byte {
@@ -174,14 +176,14 @@
 // appendAnswer is a final answer. If it can't be written whole, its connection ends short of its
 // Content-Length, so that the client can tell.
 func (f *front) appendAnswer(b []byte, a core.Answer, last bool) []byte {
-	served, _ := a.Served.(*answer)
+	served, _ := a.Served.(*response)
 	switch {
 	case served != nil:
 		b = f.appendStatus(b, http.StatusOK, last)
-		if !served.dated {
+		if !served.hasDate {
 			b = append(append(append(b, "Date: "...), date()...), "\r\n"...)
 		}
-		b = append(b, served.lines...)
+		b = append(b, served.headerLines...)
 		b = append(b, "Content-Length: "...)
 		b = appendInt(b, len(served.body))
 		b = append(b, "\r\n\r\n"...)
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -86,7 +86,7 @@
 	if err := testkit.Receive(t, "end of the client", gone); err == nil {
 		t.Error("the client got an answer")
 	}
-	testkit.WaitFor(t, "request to be given up", func() bool { return a.front.open.Load() == 0 })
+	testkit.WaitFor(t, "request to be given up", func() bool { return a.front.openRequests.Load() == 0 })
 	close(hold)
 	if x := a.do("GET", "/get/y", ""); x.status != 200 {
 		t.Errorf("next request: %+v", x)
@@ -204,19 +204,19 @@
 func TestBodiesAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	whole := a.front.bodies.Free()
-	a.front.bodies.Acquire(int(whole) - 1000)
+	whole := a.front.bodyBudget.Free()
+	a.front.bodyBudget.Acquire(int(whole) - 1000)
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1001)); x.status != 200 {
 		t.Errorf("past the bound: %+v", x)
 	}
-	if n := a.front.bodies.Free(); n != 1000 {
+	if n := a.front.bodyBudget.Free(); n != 1000 {
 		t.Errorf("%d bytes are left", n)
 	}
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1000)); x.status != 200 {
 		t.Errorf("within the bound: %+v", x)
 	}
-	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodies.Free() == 1000 })
-	a.front.bodies.Release(int(whole) - 1000)
+	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodyBudget.Free() == 1000 })
+	a.front.bodyBudget.Release(int(whole) - 1000)
 }
 
 // SIGTERM with a request in flight: it is answered, connections between requests are closed,
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -8,33 +8,33 @@
 	"strings"
 )
 
-// head is a request's head as it came. It refers to the bytes that it was read from.
-type head struct {
+// requestHead is a request's head as it came. It refers to the bytes that it was read from.
+type requestHead struct {
 	method, target []byte
-	old            bool // of HTTP/1.0
+	http10         bool // of HTTP/1.0
 	fields         []field
 
-	host          []byte
-	hosts         int
-	length        int64 // of the body; 0 where none is told
-	measured      bool  // a length is told
-	coded         bool  // the body has a transfer coding
-	chunked       bool  // which is chunked alone
-	wantsContinue bool
-	otherExpect   bool
-	ids, keys     int
-	id, key       []byte
-	expires, hint []byte
-	second        bool
-	connection    [][]byte // what Connection names (RFC 9110, 7.6.1)
-	closes        bool
+	host                []byte
+	hostCount           int
+	length              int64 // of the body; 0 where none is told
+	hasLength           bool  // a length is told
+	hasTransferCoding   bool  // the body has a transfer coding
+	chunked             bool  // which is chunked alone
+	expectsContinue     bool
+	unknownExpectation  bool
+	idCount, keyCount   int
+	id, key             []byte
+	expiresIn, sizeHint []byte
+	clientRetry         bool
+	connectionOptions   [][]byte // what Connection names (RFC 9110, 7.6.1)
+	closes              bool
 }
 
 // field is one header line.
 type field struct {
-	name, value []byte
-	line        []byte // both, without the line's end
-	own         bool   // ends here: it is not passed on
+	name, value  []byte
+	line         []byte // both, without the line's end
+	notForwarded bool   // ends here: it is not passed on
 }
 
 var (
@@ -44,17 +44,17 @@
 	errLength  = errors.New("the Content-Length can't be read")
 )
 
-// tokens are the bytes of a token (RFC 9110, 5.6.2).
-var tokens = func() (all [256]bool) {
+// isTokenByte are the bytes of a token (RFC 9110, 5.6.2).
+var isTokenByte = func() (all [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		all[c] = true
 	}
 	return all
 }()
 
-func token(b []byte) bool {
+func isToken(b []byte) bool {
 	for _, c := range b {
-		if !tokens[c] {
+		if !isTokenByte[c] {
 			return false
 		}
 	}
@@ -64,7 +64,7 @@
 // parseField reads one header line (RFC 9112, 5). A line that goes on from the one before is not taken.
 func parseField(line []byte) (f field, ok bool) {
 	i := bytes.IndexByte(line, ':')
-	if i < 0 || !token(line[:i]) {
+	if i < 0 || !isToken(line[:i]) {
 		return f, false
 	}
 	f.name, f.line = line[:i], line
@@ -91,8 +91,8 @@
 	return true
 }
 
-// line cuts the first line off, without its end. ok is false where there is no end.
-func line(b []byte) (one, rest []byte, ok bool) {
+// cutLine cuts the first line off, without its end. ok is false where there is no end.
+func cutLine(b []byte) (one, rest []byte, ok bool) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		return nil, b, false
@@ -122,14 +122,14 @@
 }
 
 // parseHead reads a request line and header lines, which end with an empty one (RFC 9112, 3 and 5).
-func parseHead(b []byte, fields []field) (h head, err error) {
+func parseHead(b []byte, fields []field) (h requestHead, err error) {
 	h.fields = fields[:0]
-	first, b, ok := line(b)
+	first, b, ok := cutLine(b)
 	if !ok {
 		return h, errHead
 	}
 	var rest, version []byte
-	if h.method, rest, ok = bytes.Cut(first, []byte{' '}); !ok || !token(h.method) {
+	if h.method, rest, ok = bytes.Cut(first, []byte{' '}); !ok || !isToken(h.method) {
 		return h, errHead
 	}
 	if h.target, version, ok = bytes.Cut(rest, []byte{' '}); !ok || len(h.target) == 0 {
@@ -138,14 +138,14 @@
 	switch string(version) {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		h.old = true
+		h.http10 = true
 	default:
 		return h, errVersion
 	}
 	lengths := 0
 	for {
 		var one []byte
-		if one, b, ok = line(b); !ok {
+		if one, b, ok = cutLine(b); !ok {
 			return h, errHead
 		}
 		if len(one) == 0 {
@@ -157,62 +157,62 @@
 		}
 		switch {
 		case f.is("Host"):
-			h.hosts++
-			h.host, f.own = f.value, true
+			h.hostCount++
+			h.host, f.notForwarded = f.value, true
 		case f.is("Content-Length"):
-			f.own, h.measured = true, true
-			if lengths++; lengths > 1 || !digits(f.value, &h.length) {
+			f.notForwarded, h.hasLength = true, true
+			if lengths++; lengths > 1 || !parseDigits(f.value, &h.length) {
 				return h, errLength
 			}
 		case f.is("Transfer-Encoding"):
-			h.chunked = !h.coded && strings.EqualFold(string(f.value), "chunked")
-			h.coded, f.own = true, true
+			h.chunked = !h.hasTransferCoding && strings.EqualFold(string(f.value), "chunked")
+			h.hasTransferCoding, f.notForwarded = true, true
 		case f.is("Connection"):
-			f.own = true
+			f.notForwarded = true
 			for name := range bytes.SplitSeq(f.value, []byte{','}) {
 				if name = bytes.TrimSpace(name); strings.EqualFold(string(name), "close") {
 					h.closes = true
 				} else if len(name) > 0 {
-					h.connection = append(h.connection, name)
+					h.connectionOptions = append(h.connectionOptions, name)
 				}
 			}
 		case f.is("Expect"):
-			f.own = true
+			f.notForwarded = true
 			if strings.EqualFold(string(f.value), "100-continue") {
-				h.wantsContinue = true
+				h.expectsContinue = true
 			} else {
-				h.otherExpect = true
+				h.unknownExpectation = true
 			}
 		case f.is("X-Trace-Id"):
-			h.ids++
+			h.idCount++
 			h.id = f.value
 		case f.is("Idempotency-Key"):
-			h.keys++
+			h.keyCount++
 			h.key = f.value
 		case f.is("X-Expires-In"):
-			f.own = true
-			if h.expires == nil {
-				h.expires = f.value
+			f.notForwarded = true
+			if h.expiresIn == nil {
+				h.expiresIn = f.value
 			}
 		case f.is("X-Size-Hint"):
-			if h.hint == nil {
-				h.hint = f.value
+			if h.sizeHint == nil {
+				h.sizeHint = f.value
 			}
 		case f.is("X-Second-Try"):
-			h.second = h.second || string(f.value) == "1"
+			h.clientRetry = h.clientRetry || string(f.value) == "1"
 		case f.is("Keep-Alive"), f.is("Proxy-Connection"), f.is("Te"), f.is("Trailer"), f.is("Upgrade"):
-			f.own = true
+			f.notForwarded = true
 		}
 		h.fields = append(h.fields, f)
 	}
-	if h.hosts > 1 || h.hosts == 0 && !h.old {
+	if h.hostCount > 1 || h.hostCount == 0 && !h.http10 {
 		return h, errHost
 	}
 	return h, nil
 }
 
-// digits reads a decimal number of digits alone.
-func digits(b []byte, n *int64) bool {
+// parseDigits reads a decimal number of digits alone.
+func parseDigits(b []byte, n *int64) bool {
 	if len(b) == 0 || len(b) > 18 {
 		return false
 	}
@@ -240,7 +240,7 @@
 }
 
 // route is the first part of the path, the target as it goes on, and the host.
-func (h *head) route() (first, target, host string, err error) {
+func (h *requestHead) route() (first, target, host string, err error) {
 	if plainTarget(h.target) {
 		path, _, _ := bytes.Cut(h.target[1:], []byte{'?'})
 		part, _, _ := bytes.Cut(path, []byte{'/'})
@@ -260,7 +260,7 @@
 }
 
 // message is the request as it goes on, with its body, or with the beginning of one that is an upload.
-func (h *head) message(target, host string, body []byte, up *upload) *message {
+func (h *requestHead) message(target, host string, body []byte, up *upload) *message {
 	text := make([]byte, 0, len(h.method)+len(target)+len(host)+64+h.size())
 	text = append(append(append(text, h.method...), ' '), target...)
 	text = append(append(append(text, " HTTP/1.1\r\nHost: "...), host...), "\r\n"...)
@@ -280,17 +280,17 @@
 	}
 	for i := range h.fields {
 		f := &h.fields[i]
-		if f.own || h.named(f) {
+		if f.notForwarded || h.isConnectionOption(f) {
 			continue
 		}
 		text = append(append(text, f.line...), "\r\n"...)
 	}
-	return &message{head: text, body: body, up: up}
+	return &message{head: text, body: body, upload: up}
 }
 
-// named reports whether Connection names a field, which then ends here.
-func (h *head) named(f *field) bool {
-	for _, name := range h.connection {
+// isConnectionOption reports whether Connection names a field, which then ends here.
+func (h *requestHead) isConnectionOption(f *field) bool {
+	for _, name := range h.connectionOptions {
 		if f.is(string(name)) {
 			return true
 		}
@@ -298,7 +298,7 @@
 	return false
 }
 
-func (h *head) size() (n int) {
+func (h *requestHead) size() (n int) {
 	for i := range h.fields {
 		n += len(h.fields[i].line) + 2
 	}
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -30,7 +30,7 @@
 			return
 		}
 		h, err := parseHead(raw[:n], nil)
-		if err != nil || h.coded || h.length > 100 {
+		if err != nil || h.hasTransferCoding || h.length > 100 {
 			return
 		}
 		first, target, host, err := h.route()
@@ -42,7 +42,7 @@
 			body = nil
 		}
 		m := h.message(target, host, body, nil)
-		in := bufio.NewReader(bytes.NewReader(m.on(time.Time{})))
+		in := bufio.NewReader(bytes.NewReader(m.encode(time.Time{})))
 		got, err := http.ReadRequest(in)
 		if err != nil {
 			if string(h.method) == http.MethodGet || string(h.method) == http.MethodPost {
@@ -57,7 +57,7 @@
 		if _, err := in.ReadByte(); err == nil {
 			t.Errorf("%q went on as %q: something is behind it", raw, m.head)
 		}
-		if h.ids == 1 && !h.named(&field{name: []byte("X-Trace-Id")}) && got.Header.Get("X-Trace-Id") != string(h.id) {
+		if h.idCount == 1 && !h.isConnectionOption(&field{name: []byte("X-Trace-Id")}) && got.Header.Get("X-Trace-Id") != string(h.id) {
 			t.Errorf("%q: id %q became %q", raw, h.id, got.Header.Get("X-Trace-Id"))
 		}
 		part, _, _ := strings.Cut(strings.TrimPrefix(got.URL.Path, "/"), "/")
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -78,9 +78,9 @@
 func (r *running) waitListed(t *testing.T, server string) {
 	t.Helper()
 	testkit.WaitFor(t, "the change of the list", func() bool {
-		r.backends.mu.Lock()
-		defer r.backends.mu.Unlock()
-		_, known := r.backends.addrs.Addr(server)
+		r.connPool.mu.Lock()
+		defer r.connPool.mu.Unlock()
+		_, known := r.connPool.addresses.Addr(server)
 		return known
 	})
 }
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -13,7 +13,7 @@
 // protocol is HTTP/1.1 as the core knows it.
 type protocol struct {
 	*front
-	*backends
+	*connPool
 }
 
 // New sets up an agent that speaks HTTP/1.1, with what it is given.
@@ -25,7 +25,7 @@
 func newAgent(cfg *core.Config, log *slog.Logger, p core.Parts) (*core.Agent, *protocol, error) {
 	var own *protocol
 	a, err := core.New(cfg, log, p, func(l *core.Loop) core.Protocol {
-		own = &protocol{newFront(cfg, l, log), newBackends(cfg, log)}
+		own = &protocol{newFront(cfg, l, log), newConnPool(cfg, log)}
 		return own
 	})
 	return a, own, err
@@ -42,14 +42,16 @@
 // Resize has it use no more than so many descriptors and bytes.
 func (p *protocol) Resize(sockets, bytes int) {
 	p.front.resize(sockets, bytes)
-	p.backends.resize(sockets, bytes)
+	p.connPool.resize(sockets, bytes)
 }
 
 // Close ends what is left of clients' connections.
-func (p *protocol) Close() error { return p.front.close() }
+func (p *protocol) Close() error { return p.front.closeConnections() }
 
 // OpenRequests is how many requests have come whole and are open.
-func (p *protocol) OpenRequests() int64 { return p.front.open.Load() - p.front.uploads.Load() }
+func (p *protocol) OpenRequests() int64 {
+	return p.front.openRequests.Load() - p.front.openUploads.Load()
+}
 
 // Attempt sends a request to a server, once.
 func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
@@ -67,7 +69,7 @@
 func (p *protocol) Update(l core.List) { p.update(l) }
 
 // ReapIdle closes connections that have stood idle for too long.
-func (p *protocol) ReapIdle(ctx context.Context) { p.reap(ctx) }
+func (p *protocol) ReapIdle(ctx context.Context) { p.reapIdle(ctx) }
 
 // Shutdown closes the connections to servers.
-func (p *protocol) Shutdown() { p.shut() }
+func (p *protocol) Shutdown() { p.shutdown() }
--- a/internal/protocol/http1/message.go
+++ b/internal/protocol/http1/message.go
@@ -8,28 +8,28 @@
 // message is a client's request as it goes on to backends: the same for every attempt, but for
 // how long the agent will wait.
 type message struct {
-	head []byte // the request line and headers, without X-Expires-In and the empty line
-	body []byte
-	up   *upload     // what is to come of the body; nil: nothing
-	to   *clientConn // whose client may get an answer as it comes; nil: none may
-	old  bool        // that client speaks HTTP/1.0
-	wait time.Duration
+	head      []byte // the request line and headers, without X-Expires-In and the empty line
+	body      []byte
+	upload    *upload     // what is to come of the body; nil: nothing
+	client    *clientConn // whose client may get an answer as it comes; nil: none may
+	http10    bool        // that client speaks HTTP/1.0
+	remaining time.Duration
 }
 
-// from says whose request it is, and for how long its client waits.
-func (m *message) from(c *clientConn, old bool, wait time.Duration) *message {
-	m.to, m.old, m.wait = c, old, wait
+// withClient says whose request it is, and for how long its client waits.
+func (m *message) withClient(c *clientConn, old bool, wait time.Duration) *message {
+	m.client, m.http10, m.remaining = c, old, wait
 	return m
 }
 
-// on is the whole message as written at an attempt that waits until then.
-func (m *message) on(until time.Time) []byte {
+// encode is the whole message as written at an attempt that waits until then.
+func (m *message) encode(until time.Time) []byte {
 	text := make([]byte, 0, len(m.head)+len(m.body)+40)
 	text = append(text, m.head...)
 	if !until.IsZero() {
 		wait := time.Until(until)
-		if m.up != nil { // counted from its last byte
-			wait = m.wait
+		if m.upload != nil { // counted from its last byte
+			wait = m.remaining
 		}
 		text = append(text, "X-Expires-In: "...)
 		text = strconv.AppendFloat(text, max(0, wait.Seconds()), 'f', 3, 64)
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -135,8 +135,8 @@
 	b, other := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	dialled, hold := make(chan struct{}, 1), make(chan struct{})
-	plain := a.backends.dialer
-	a.backends.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := a.connPool.dialer
+	a.connPool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == b.addr {
 			dialled <- struct{}{}
 			<-hold
@@ -224,19 +224,19 @@
 	b := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}})
 	a := start(t, cfg)
-	whole := a.backends.most
+	whole := a.connPool.maxConns
 	a.SetOtherProcesses(1)
-	a.backends.mu.Lock()
-	half := a.backends.most
-	a.backends.mu.Unlock()
-	if half > whole/2 || a.front.most.Load() > int64(core.ClientSockets(cfg.Sockets/2)) || a.bodies.Free() > int64(cfg.BodyMemory()/2) {
-		t.Errorf("%d of %d connections, %d requests, %d bytes", half, whole, a.front.most.Load(), a.bodies.Free())
+	a.connPool.mu.Lock()
+	half := a.connPool.maxConns
+	a.connPool.mu.Unlock()
+	if half > whole/2 || a.front.maxOpen.Load() > int64(core.ClientSockets(cfg.Sockets/2)) || a.bodyBudget.Free() > int64(cfg.BodyMemory()/2) {
+		t.Errorf("%d of %d connections, %d requests, %d bytes", half, whole, a.front.maxOpen.Load(), a.bodyBudget.Free())
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("beside another: %d", x.status)
 	}
 	a.SetOtherProcesses(0)
-	if a.backends.most != whole || a.bodies.Free() != int64(cfg.BodyMemory()) {
-		t.Errorf("alone again: %d of %d connections, %d bytes", a.backends.most, whole, a.bodies.Free())
+	if a.connPool.maxConns != whole || a.bodyBudget.Free() != int64(cfg.BodyMemory()) {
+		t.Errorf("alone again: %d of %d connections, %d bytes", a.connPool.maxConns, whole, a.bodyBudget.Free())
 	}
 }
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -15,64 +15,64 @@
 	"vetchhaven/internal/core"
 )
 
-// backends holds the connections to all backends. It makes exactly the attempts it is told to:
+// connPool holds the connections to all backends. It makes exactly the attempts it is told to:
 // each is one request written at most once on one connection.
-type backends struct {
-	cfg     *core.Config
-	log     *slog.Logger
-	longest time.Duration    // for which a connection may stand idle by the settings
-	stall   time.Duration    // for which an answer that streams may bring nothing
-	answers *core.ByteBudget // bytes of answers that are being read
-	dialer  func(ctx context.Context, network, addr string) (net.Conn, error)
-	readers sync.Pool // of *bufio.Reader
+type connPool struct {
+	cfg            *core.Config
+	log            *slog.Logger
+	maxIdle        time.Duration    // for which a connection may stand idle by the settings
+	maxStall       time.Duration    // for which an answer that streams may bring nothing
+	responseBudget *core.ByteBudget // bytes of answers that are being read
+	dialer         func(ctx context.Context, network, addr string) (net.Conn, error)
+	readers        sync.Pool // of *bufio.Reader
 
-	mu    sync.Mutex
-	most  int // connections at once
-	addrs core.Addresses
-	// keepIdle is for how long one is kept: shorter than longest where those that stood idle were
+	mu        sync.Mutex
+	maxConns  int // connections at once
+	addresses core.Addresses
+	// learnedMaxIdle is for how long one is kept: shorter than longest where those that stood idle were
 	// found to be dead.
-	keepIdle time.Duration
-	idle     map[string][]*conn // by backend id, the latest used last; none empty
-	open     int                // idle, in use or being dialled
-	trip     time.Duration      // what half of the connections come up within
-	leaves   float64            // attempts that may go elsewhere for a late one: what served pays for it
-	late     map[string]bool    // by backend id: one is still being dialled that its attempt did not wait for
-	closed   bool               // the agent has ended: nothing is kept
-	lasting  context.Context    // until then
-	end      func()
+	learnedMaxIdle time.Duration
+	idle           map[string][]*serverConn // by backend id, the latest used last; none empty
+	open           int                      // idle, in use or being dialled
+	usualDialTime  time.Duration            // what half of the connections come up within
+	abandonTokens  float64                  // attempts that may go elsewhere for a late one: what served pays for it
+	lateDials      map[string]bool          // by backend id: one is still being dialled that its attempt did not wait for
+	closed         bool                     // the agent has ended: nothing is kept
+	lifetime       context.Context          // until then
+	endLifetime    func()
 }
 
-// conn is one connection. It carries one request at a time.
-type conn struct {
+// serverConn is one connection. It carries one request at a time.
+type serverConn struct {
 	net.Conn
-	addr  string
-	trip  time.Duration // what it took to come up
-	since time.Time     // idle since then
-	stood time.Duration // how long it stood idle before its present use
-	wrote time.Time     // its present use began
+	addr           string
+	dialTime       time.Duration // what it took to come up
+	idleSince      time.Time     // idle since then
+	idleBefore     time.Duration // how long it stood idle before its present use
+	writeStartedAt time.Time     // its present use began
 }
 
-// restTime is how long a connection rests after an answer, if there is another: what a backend
+// minRest is how long a connection rests after an answer, if there is another: what a backend
 // wrongly sends behind an answer comes some milliseconds later, and must not be read as the next one. The rest costs
 // connections, since at full speed each carries no more than one request in the time. A backend that has long sent
 // nothing of the kind rests as long: the first time that it does, another client would get its answer.
-const restTime = 20 * time.Millisecond
+const minRest = 20 * time.Millisecond
 
-func newBackends(cfg *core.Config, log *slog.Logger) *backends {
+func newConnPool(cfg *core.Config, log *slog.Logger) *connPool {
 	lasting, end := context.WithCancel(context.Background())
-	return &backends{cfg: cfg, log: log, lasting: lasting, end: end, most: core.BackendSockets(cfg.Sockets),
+	return &connPool{cfg: cfg, log: log, lifetime: lasting, endLifetime: end, maxConns: core.BackendSockets(cfg.Sockets),
 		// Backends may close an idle connection at IdleClose; a request that crosses that is lost
 		// as a reset that may have run. A quarter of the time is far more than any network takes.
-		longest: cfg.Site.IdleClose * 3 / 4, keepIdle: cfg.Site.IdleClose * 3 / 4,
-		answers: core.NewByteBudget(cfg.BodyMemory()), stall: answerStall,
+		maxIdle: cfg.Site.IdleClose * 3 / 4, learnedMaxIdle: cfg.Site.IdleClose * 3 / 4,
+		responseBudget: core.NewByteBudget(cfg.BodyMemory()), maxStall: maxResponseStall,
 		dialer:  (&net.Dialer{KeepAlive: -1}).DialContext,
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
-		idle:    map[string][]*conn{}, late: map[string]bool{}, trip: cfg.Settings.ConnectTimeout, leaves: leavesMost}
+		idle:    map[string][]*serverConn{}, lateDials: map[string]bool{}, usualDialTime: cfg.Settings.ConnectTimeout, abandonTokens: maxAbandonTokens}
 }
 
-// clean reports whether an idle connection is open and has nothing to read: there is no answer
+// isQuiet reports whether an idle connection is open and has nothing to read: there is no answer
 // that bytes on it could belong to.
-func (c *conn) clean() (quiet bool) {
+func (c *serverConn) isQuiet() (quiet bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true // a test's
@@ -92,71 +92,71 @@
 // wasDead reports whether a connection that was reset so long after a request was written to it can have been dead
 // before: what finds nobody at the other end is answered at once. One that breaks later broke under the request, and
 // where that is common, not to keep idle ones would cost a new connection for nearly every attempt.
-func (c *conn) wasDead(after time.Duration) bool { return after <= 2*c.trip+restTime/8 }
+func (c *serverConn) wasDead(after time.Duration) bool { return after <= 2*c.dialTime+minRest/8 }
 
-// useless reports whether an idle connection is of no more use. The lock is held.
-func (b *backends) useless(c *conn, stood time.Duration) bool {
-	return stood >= b.keepIdle || !c.clean()
+// isUnusable reports whether an idle connection is of no more use. The lock is held.
+func (b *connPool) isUnusable(c *serverConn, stood time.Duration) bool {
+	return stood >= b.learnedMaxIdle || !c.isQuiet()
 }
 
-func (b *backends) resize(sockets, bytes int) {
-	b.answers.Resize(bytes)
+func (b *connPool) resize(sockets, bytes int) {
+	b.responseBudget.Resize(bytes)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for b.most = core.BackendSockets(sockets); b.open > b.most && b.evict(); {
+	for b.maxConns = core.BackendSockets(sockets); b.open > b.maxConns && b.evictOldest(); {
 	}
 }
 
 // update takes a change of the list. Connections to a backend that is gone or has moved are
 // closed.
-func (b *backends) update(e core.List) {
+func (b *connPool) update(e core.List) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.addrs.Update(e, func(id string) {
+	b.addresses.Update(e, func(id string) {
 		for _, c := range b.idle[id] {
-			b.drop(c)
+			b.closeLocked(c)
 		}
 		delete(b.idle, id)
 	})
 }
 
-// drop closes a connection. The lock is held; closing a socket does not block.
-func (b *backends) drop(c *conn) {
+// closeLocked closes a connection. The lock is held; closing a socket does not block.
+func (b *connPool) closeLocked(c *serverConn) {
 	b.open--
 	c.Close()
 }
 
-// take returns an idle connection to a backend, or the address at which to dial one.
-func (b *backends) take(id string) (*conn, string, error) {
+// acquire returns an idle connection to a backend, or the address at which to dial one.
+func (b *connPool) acquire(id string) (*serverConn, string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	addr, ok := b.addrs.Addr(id)
+	addr, ok := b.addresses.Addr(id)
 	if !ok {
 		return nil, "", core.ErrMoved
 	}
 	// They lie in the order in which they were put back: under load those used last have not rested yet.
 	list, now := b.idle[id], time.Now()
-	first := sort.Search(len(list), func(i int) bool { return now.Sub(list[i].since) < restTime })
+	first := sort.Search(len(list), func(i int) bool { return now.Sub(list[i].idleSince) < minRest })
 	for i := first - 1; i >= 0; i-- {
-		c, rested := list[i], now.Sub(list[i].since)
+		c, rested := list[i], now.Sub(list[i].idleSince)
 		list = slices.Delete(list, i, i+1)
-		if !b.useless(c, rested) {
-			c.stood = rested
-			b.keep(id, list)
+		if !b.isUnusable(c, rested) {
+			c.idleBefore = rested
+			b.setIdle(id, list)
 			return c, addr, nil
 		}
-		b.drop(c)
+		b.closeLocked(c)
 	}
-	b.keep(id, list)
-	if b.open >= b.most && !b.evict() {
+	b.setIdle(id, list)
+	if b.open >= b.maxConns && !b.evictOldest() {
 		return nil, "", core.ErrNoSocket
 	}
 	b.open++
 	return nil, addr, nil
 }
 
-// keep stores a backend's idle connections. The lock is held.
-func (b *backends) keep(id string, list []*conn) {
+// setIdle stores a backend's idle connections. The lock is held.
+func (b *connPool) setIdle(id string, list []*serverConn) {
 	if len(list) == 0 {
 		delete(b.idle, id)
 	} else {
@@ -164,82 +164,82 @@
 	}
 }
 
-// evict closes the connection that has been idle longest, whosever it is.
-func (b *backends) evict() bool {
+// evictOldest closes the connection that has been idle longest, whosever it is.
+func (b *connPool) evictOldest() bool {
 	var oldest string
 	for id, list := range b.idle {
-		if oldest == "" || list[0].since.Before(b.idle[oldest][0].since) {
+		if oldest == "" || list[0].idleSince.Before(b.idle[oldest][0].idleSince) {
 			oldest = id
 		}
 	}
 	if oldest == "" {
 		return false
 	}
-	b.drop(b.idle[oldest][0])
-	b.keep(oldest, slices.Delete(b.idle[oldest], 0, 1))
+	b.closeLocked(b.idle[oldest][0])
+	b.setIdle(oldest, slices.Delete(b.idle[oldest], 0, 1))
 	return true
 }
 
-// at reports whether a backend is still where a connection was opened to it: what has its address by now may be another.
-func (b *backends) at(id, addr string) bool {
+// isCurrentAddress reports whether a backend is still where a connection was opened to it: what has its address by now may be another.
+func (b *connPool) isCurrentAddress(id, addr string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, known := b.addrs.Addr(id)
+	now, known := b.addresses.Addr(id)
 	return known && now == addr
 }
 
-// give puts a connection back, or closes it where it is no longer of use.
-func (b *backends) give(id string, c *conn, reusable bool) {
+// release puts a connection back, or closes it where it is no longer of use.
+func (b *connPool) release(id string, c *serverConn, reusable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.put(id, c, reusable)
+	b.putLocked(id, c, reusable)
 }
 
-// answered does so after an answer, and learns from it.
-func (b *backends) answered(id string, c *conn, a *answer) {
+// releaseAfterResponse does so after an answer, and learns from it.
+func (b *connPool) releaseAfterResponse(id string, c *serverConn, a *response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.learnIdle(c.stood, true)
-	b.leaves = min(leavesMost, b.leaves+leavesEach)
-	b.put(id, c, a.reusable)
+	b.learnIdle(c.idleBefore, true)
+	b.abandonTokens = min(maxAbandonTokens, b.abandonTokens+abandonTokensPerResponse)
+	b.putLocked(id, c, a.reusable)
 }
 
-// failed closes a connection that brought none.
-func (b *backends) failed(id string, c *conn, r decide.Result) {
+// closeAfterFailure closes a connection that brought none.
+func (b *connPool) closeAfterFailure(id string, c *serverConn, r decide.Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r == decide.Incomplete || r == decide.Reset && c.wasDead(time.Since(c.wrote)) {
-		b.learnIdle(c.stood, false)
+	if r == decide.Incomplete || r == decide.Reset && c.wasDead(time.Since(c.writeStartedAt)) {
+		b.learnIdle(c.idleBefore, false)
 	}
-	b.put(id, c, false)
+	b.putLocked(id, c, false)
 }
 
-func (b *backends) put(id string, c *conn, reusable bool) {
-	if addr, _ := b.addrs.Addr(id); !reusable || b.closed || addr != c.addr {
-		b.drop(c)
+func (b *connPool) putLocked(id string, c *serverConn, reusable bool) {
+	if addr, _ := b.addresses.Addr(id); !reusable || b.closed || addr != c.addr {
+		b.closeLocked(c)
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	b.idle[id] = append(b.idle[id], c)
 }
 
-// shut closes what stands idle, and keeps nothing from now on.
-func (b *backends) shut() {
+// shutdown closes what stands idle, and keeps nothing from now on.
+func (b *connPool) shutdown() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	b.end()
+	b.endLifetime()
 	for id, list := range b.idle {
 		for _, c := range list {
-			b.drop(c)
+			b.closeLocked(c)
 		}
 		delete(b.idle, id)
 	}
 }
 
-// reap closes what has been idle for too long, or is of no more use, until ctx ends.
-func (b *backends) reap(ctx context.Context) {
-	tick := time.NewTicker(b.longest / 8)
+// reapIdle closes what has been idle for too long, or is of no more use, until ctx ends.
+func (b *connPool) reapIdle(ctx context.Context) {
+	tick := time.NewTicker(b.maxIdle / 8)
 	defer tick.Stop()
 	for {
 		select {
@@ -249,10 +249,10 @@
 		}
 		b.mu.Lock()
 		for id, list := range b.idle {
-			b.keep(id, slices.DeleteFunc(list, func(c *conn) bool {
-				useless := b.useless(c, time.Since(c.since))
+			b.setIdle(id, slices.DeleteFunc(list, func(c *serverConn) bool {
+				useless := b.isUnusable(c, time.Since(c.idleSince))
 				if useless {
-					b.drop(c)
+					b.closeLocked(c)
 				}
 				return useless
 			}))
@@ -264,12 +264,12 @@
 // learnIdle learns from how a connection served that had stood idle. Backends, and what stands
 // before them, may drop idle connections sooner than they should, and without a word; a request
 // written to one is lost as a reset that may have run. The lock is held.
-func (b *backends) learnIdle(stood time.Duration, served bool) {
+func (b *connPool) learnIdle(stood time.Duration, served bool) {
 	switch safe := stood * 3 / 4; {
 	case stood == 0: // a new one says nothing
-	case served && stood > b.keepIdle/2:
-		b.keepIdle = min(b.longest, b.keepIdle+b.keepIdle/100)
-	case !served && safe < b.keepIdle:
-		b.keepIdle = max(b.longest/64, b.keepIdle-(b.keepIdle-safe)/4)
+	case served && stood > b.learnedMaxIdle/2:
+		b.learnedMaxIdle = min(b.maxIdle, b.learnedMaxIdle+b.learnedMaxIdle/100)
+	case !served && safe < b.learnedMaxIdle:
+		b.learnedMaxIdle = max(b.maxIdle/64, b.learnedMaxIdle-(b.learnedMaxIdle-safe)/4)
 	}
 }
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -34,30 +34,30 @@
 }
 
 // attemptAt makes one attempt at a backend, with no agent around it.
-func attemptAt(t *testing.T, ctx context.Context, b *backends, body string) (decide.Result, *answer, decide.Load) {
+func attemptAt(t *testing.T, ctx context.Context, b *connPool, body string) (decide.Result, *response, decide.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b.attempt(ctx, probing{}, "s", newMessage(http.MethodPost, "a", req.URL,
+	return b.attempt(ctx, probeOwner{}, "s", newMessage(http.MethodPost, "a", req.URL,
 		http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}, []byte(body)))
 }
 
 // rested lets the idle connections have rested long enough to be used again.
-func rested(b *backends) {
+func rested(b *connPool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, list := range b.idle {
 		for _, c := range list {
-			c.since = c.since.Add(-restTime)
+			c.idleSince = c.idleSince.Add(-minRest)
 		}
 	}
 }
 
-func poolFor(t *testing.T, addr string) *backends {
+func poolFor(t *testing.T, addr string) *connPool {
 	t.Helper()
-	b := newBackends(testConfig(t, testkit.Setup{}), testkit.Quiet)
+	b := newConnPool(testConfig(t, testkit.Setup{}), testkit.Quiet)
 	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
@@ -126,7 +126,7 @@
 			if result == decide.Errored && a == nil && strings.HasPrefix(row.answer, "HTTP/1.1 200") && b.open != 0 {
 				t.Error("a connection that brought a spoilt answer was kept")
 			}
-			if b.answers.Free() != int64(b.cfg.BodyMemory()) {
+			if b.responseBudget.Free() != int64(b.cfg.BodyMemory()) {
 				t.Error("bytes of the answer stay booked")
 			}
 		})
@@ -307,13 +307,13 @@
 	b := poolFor(t, s.addr)
 	attemptAt(t, context.Background(), b, "")
 	old := b.idle["s"][0]
-	old.since = time.Now().Add(-b.keepIdle)
+	old.idleSince = time.Now().Add(-b.learnedMaxIdle)
 	attemptAt(t, context.Background(), b, "")
 	if b.idle["s"][0] == old || b.open != 1 {
 		t.Error("the old connection was used")
 	}
-	if b.keepIdle >= b.cfg.Site.IdleClose {
-		t.Errorf("idle connections are kept for %v, backends close at %v", b.keepIdle, b.cfg.Site.IdleClose)
+	if b.learnedMaxIdle >= b.cfg.Site.IdleClose {
+		t.Errorf("idle connections are kept for %v, backends close at %v", b.learnedMaxIdle, b.cfg.Site.IdleClose)
 	}
 }
 
@@ -326,11 +326,11 @@
 	b := poolFor(t, s.addr)
 	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": other.addr}})
-	b.most = 1
+	b.maxConns = 1
 	attemptAt(t, context.Background(), b, "")
 	done := make(chan decide.Result)
 	go func() {
-		r, _, _ := b.attempt(context.Background(), probing{}, "t", newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil))
+		r, _, _ := b.attempt(context.Background(), probeOwner{}, "t", newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil))
 		done <- r
 	}()
 	testkit.Receive(t, "request to t", other.seen)
@@ -369,7 +369,7 @@
 	b := poolFor(t, one.addr)
 	done := make(chan decide.Result, 1)
 	go func() {
-		r, _, _ := b.attempt(context.Background(), probing{}, "s", newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil))
+		r, _, _ := b.attempt(context.Background(), probeOwner{}, "s", newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil))
 		done <- r
 	}()
 	testkit.Receive(t, "request", one.seen)
@@ -419,7 +419,7 @@
 		t.Errorf("result %v", r)
 	}
 	rested(b)
-	if r, _, _ := b.attempt(context.Background(), probing{}, "s", m); r != decide.OK || len(s.seen) != 1 {
+	if r, _, _ := b.attempt(context.Background(), probeOwner{}, "s", m); r != decide.OK || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
 	}
 }
@@ -481,7 +481,7 @@
 		t.Helper()
 		id := newID()
 		go func() { more <- with }()
-		result, a, _ := b.attempt(context.Background(), probing{}, "s",
+		result, a, _ := b.attempt(context.Background(), probeOwner{}, "s",
 			newMessage("GET", "a", &url.URL{Path: "/get/x"}, http.Header{"X-Trace-Id": {id}}, nil))
 		if result != decide.OK || string(a.body) != id {
 			t.Fatalf("%v: answered with %q", result, a.body)
@@ -498,7 +498,7 @@
 	}
 	first := b.idle["s"][0]
 	more <- ok200 // while it is idle
-	testkit.WaitFor(t, "the second copy", func() bool { return !first.clean() })
+	testkit.WaitFor(t, "the second copy", func() bool { return !first.isQuiet() })
 	rested(b)
 	ask("")
 	more <- ""
@@ -506,7 +506,7 @@
 	if second == first || b.open != 1 {
 		t.Fatal("a connection with bytes unread was used again")
 	}
-	second.since = time.Now().Add(time.Hour) // it has not rested
+	second.idleSince = time.Now().Add(time.Hour) // it has not rested
 	ask("")
 	more <- ""
 	if len(b.idle["s"]) != 2 {
@@ -526,19 +526,19 @@
 	ask := func() {
 		t.Helper()
 		m := newMessage("GET", "a", &url.URL{Path: "/get/x"}, http.Header{"X-Trace-Id": {newID()}}, nil)
-		if result, _, _ := b.attempt(context.Background(), probing{}, "s", m); result != decide.OK {
+		if result, _, _ := b.attempt(context.Background(), probeOwner{}, "s", m); result != decide.OK {
 			t.Fatalf("%v", result)
 		}
 	}
 	const many = 10_000
 	for range many {
 		ask()
-		if b.idle["s"][0].since = time.Now().Add(-restTime); b.open != 1 {
+		if b.idle["s"][0].idleSince = time.Now().Add(-minRest); b.open != 1 {
 			t.Fatal("not used again")
 		}
 	}
-	b.idle["s"][0].since = time.Now().Add(-15 * time.Millisecond)
-	c, _, err := b.take("s")
+	b.idle["s"][0].idleSince = time.Now().Add(-15 * time.Millisecond)
+	c, _, err := b.acquire("s")
 	if err != nil || c != nil {
 		t.Errorf("%v %v: used again within its rest", c, err)
 	}
@@ -567,20 +567,20 @@
 		b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: id}}}, Addrs: map[string]string{id: addr}})
 		b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: id, State: decide.Removed}}}})
 	}
-	if ids, owners := b.addrs.Len(); ids != 1 || owners != 1 || len(b.idle) != 0 {
+	if ids, owners := b.addresses.Len(); ids != 1 || owners != 1 || len(b.idle) != 0 {
 		t.Errorf("%d addresses, %d owners, %d lists of connections", ids, owners, len(b.idle))
 	}
-	at := func(id string) string { addr, _ := b.addrs.Addr(id); return addr }
+	at := func(id string) string { addr, _ := b.addresses.Addr(id); return addr }
 	attemptAt(t, context.Background(), b, "")
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "new"}}}, Addrs: map[string]string{"new": s.addr}})
 	if at("s") != "" || at("new") != s.addr || b.open != 0 {
-		t.Errorf("addresses %v, %d connections", b.addrs, b.open)
+		t.Errorf("addresses %v, %d connections", b.addresses, b.open)
 	}
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the new one", result, len(s.seen))
 	}
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s", State: decide.Removed}}}})
-	if at("new") != s.addr || b.addrs.Server(s.addr) != "new" {
+	if at("new") != s.addr || b.addresses.Server(s.addr) != "new" {
 		t.Error("the old one's end took the new one's address")
 	}
 }
@@ -590,19 +590,19 @@
 func TestIdleTimeIsLearnt(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
 	for range 20 {
-		b.learnIdle(b.longest/10, false)
+		b.learnIdle(b.maxIdle/10, false)
 	}
-	if b.keepIdle > b.longest/8 || b.keepIdle < b.longest/64 {
-		t.Errorf("kept for %v of %v after many found dead", b.keepIdle, b.longest)
+	if b.learnedMaxIdle > b.maxIdle/8 || b.learnedMaxIdle < b.maxIdle/64 {
+		t.Errorf("kept for %v of %v after many found dead", b.learnedMaxIdle, b.maxIdle)
 	}
 	for range 2000 {
-		b.learnIdle(b.keepIdle*3/4, true)
+		b.learnIdle(b.learnedMaxIdle*3/4, true)
 	}
-	if b.keepIdle != b.longest {
-		t.Errorf("kept for %v of %v after many that served", b.keepIdle, b.longest)
+	if b.learnedMaxIdle != b.maxIdle {
+		t.Errorf("kept for %v of %v after many that served", b.learnedMaxIdle, b.maxIdle)
 	}
 	b.learnIdle(0, false)
-	if b.keepIdle != b.longest {
+	if b.learnedMaxIdle != b.maxIdle {
 		t.Error("a new connection that broke changed it")
 	}
 }
@@ -623,10 +623,10 @@
 		b := poolFor(t, "127.0.0.1:9")
 		near, far := net.Pipe()
 		defer far.Close()
-		c := &conn{Conn: near, addr: "127.0.0.1:9", trip: row.trip, stood: b.longest / 10, wrote: time.Now().Add(-row.after)}
-		b.failed("s", c, row.result)
-		if learned := b.keepIdle < b.longest; learned != row.learns {
-			t.Errorf("%s: kept for %v of %v", name, b.keepIdle, b.longest)
+		c := &serverConn{Conn: near, addr: "127.0.0.1:9", dialTime: row.trip, idleBefore: b.maxIdle / 10, writeStartedAt: time.Now().Add(-row.after)}
+		b.closeAfterFailure("s", c, row.result)
+		if learned := b.learnedMaxIdle < b.maxIdle; learned != row.learns {
+			t.Errorf("%s: kept for %v of %v", name, b.learnedMaxIdle, b.maxIdle)
 		}
 	}
 }
@@ -636,7 +636,7 @@
 func TestLateDialGoesOnWithoutItsAttempt(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
-	b.trip = time.Millisecond
+	b.usualDialTime = time.Millisecond
 	up, dials := make(chan struct{}), make(chan struct{}, 9)
 	b.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dials <- struct{}{}
@@ -676,10 +676,10 @@
 func TestManyLateDialsAreWaitedFor(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
-	b.trip, b.leaves = time.Millisecond, 0
+	b.usualDialTime, b.abandonTokens = time.Millisecond, 0
 	b.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		select {
-		case <-time.After(3 * dialLeast):
+		case <-time.After(3 * minDialWait):
 			return new(net.Dialer).DialContext(ctx, network, addr)
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -691,20 +691,20 @@
 	for range 32 {
 		near, far := net.Pipe()
 		far.Close()
-		b.answered("s", &conn{Conn: near, addr: s.addr}, &answer{})
+		b.releaseAfterResponse("s", &serverConn{Conn: near, addr: s.addr}, &response{})
 	}
-	if b.leaves < 1 {
-		t.Errorf("%v may be left after many answers", b.leaves)
+	if b.abandonTokens < 1 {
+		t.Errorf("%v may be left after many answers", b.abandonTokens)
 	}
 }
 
 // No dial outlasts the agent.
 func TestLateDialEndsWithItsAgent(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
-	b.trip = time.Millisecond
+	b.usualDialTime = time.Millisecond
 	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	attemptAt(t, context.Background(), b, "")
-	b.shut()
+	b.shutdown()
 	testkit.WaitFor(t, "the end of the dial", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -716,26 +716,26 @@
 func TestUsualTripIsLearnt(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
 	late := b.cfg.Settings.ConnectTimeout
-	if b.trip != late {
-		t.Errorf("a trip is taken for %v before any was seen", b.trip)
+	if b.usualDialTime != late {
+		t.Errorf("a trip is taken for %v before any was seen", b.usualDialTime)
 	}
 	for i := range 300 {
-		b.learnTrip([]time.Duration{time.Millisecond, time.Millisecond, late}[i%3])
+		b.learnDialTime([]time.Duration{time.Millisecond, time.Millisecond, late}[i%3])
 	}
-	if b.trip > 3*time.Millisecond {
-		t.Errorf("a third are late, and the usual trip is %v", b.trip)
+	if b.usualDialTime > 3*time.Millisecond {
+		t.Errorf("a third are late, and the usual trip is %v", b.usualDialTime)
 	}
 	for range 200 {
-		b.learnTrip(late)
+		b.learnDialTime(late)
 	}
-	if b.trip != late {
-		t.Errorf("all are late, and the usual trip is %v", b.trip)
+	if b.usualDialTime != late {
+		t.Errorf("all are late, and the usual trip is %v", b.usualDialTime)
 	}
 }
 
 // ended is a purpose of a test's.
 type ended struct {
-	probing
+	probeOwner
 	over                   chan struct{}
 	barred, lapsed, noDial bool
 }
@@ -743,7 +743,7 @@
 func (e ended) Ended() <-chan struct{} { return e.over }
 func (e ended) BeginWrite(func()) core.SendRefusal {
 	switch {
-	case over(e):
+	case hasEnded(e):
 		return core.RequestAnswered
 	case e.barred:
 		return core.ServerWithdrawn
--- a/internal/protocol/http1/probe.go
+++ b/internal/protocol/http1/probe.go
@@ -12,7 +12,7 @@
 )
 
 // probe examines a backend: with its load report where probes bring one.
-func (b *backends) probe(id string) decide.ProbeResult {
+func (b *connPool) probe(id string) decide.ProbeResult {
 	start := time.Now()
 	path := "/ping"
 	if b.cfg.Site.LoadProbed {
@@ -22,7 +22,7 @@
 	// The settings name no time-out for probes; one that takes longer than a connect may is no use.
 	ctx, cancel := context.WithTimeoutCause(context.Background(), b.cfg.Settings.ConnectTimeout, core.ErrTimedOut)
 	defer cancel()
-	result, a, load := b.attempt(ctx, probing{}, id, m)
+	result, a, load := b.attempt(ctx, probeOwner{}, id, m)
 	if a != nil && b.cfg.Site.LoadProbed {
 		load = parseLoad(string(a.body))
 	}
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -42,7 +42,7 @@
 					}
 				})
 			})
-			r.backends.dialer = testkit.HoldWrites(held)
+			r.connPool.dialer = testkit.HoldWrites(held)
 			answered := make(chan exchange, 1)
 			go func() { answered <- r.do("GET", "/get/x", "", "X-Expires-In", end.expires) }()
 			h := testkit.Receive(t, "dial", held)
@@ -176,7 +176,7 @@
 }
 
 // answeredMeanwhile is a purpose whose request has its answer while its first byte is being admitted.
-type answeredMeanwhile struct{ probing }
+type answeredMeanwhile struct{ probeOwner }
 
 func (answeredMeanwhile) BeginWrite(interrupt func()) core.SendRefusal {
 	interrupt()
@@ -192,7 +192,7 @@
 		t.Fatalf("result %v", r)
 	}
 	rested(b)
-	if r, _, _ := b.attempt(context.Background(), probing{}, "s", m); r != decide.OK || b.open != 1 {
+	if r, _, _ := b.attempt(context.Background(), probeOwner{}, "s", m); r != decide.OK || b.open != 1 {
 		t.Errorf("result %v, %d connections", r, b.open)
 	}
 }
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -113,8 +113,8 @@
 	cfg := testConfig(t, testkit.Setup{Servers: servers})
 	cfg.Settings.SlowStartTime, cfg.Settings.SlowStartShare = time.Hour, 0.1
 	a := start(t, cfg)
-	left, dial := new(atomic.Int64), a.backends.dialer
-	a.backends.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	left, dial := new(atomic.Int64), a.connPool.dialer
+	a.connPool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if left.Add(-1) >= 0 {
 			return broken(ctx)
 		}
@@ -125,12 +125,12 @@
 
 // dropIdle makes the next request need a new connection.
 func (r *running) dropIdle() {
-	r.backends.mu.Lock()
-	defer r.backends.mu.Unlock()
-	for id, list := range r.backends.idle {
+	r.connPool.mu.Lock()
+	defer r.connPool.mu.Unlock()
+	for id, list := range r.connPool.idle {
 		for _, c := range list {
-			r.backends.drop(c)
+			r.connPool.closeLocked(c)
 		}
-		delete(r.backends.idle, id)
+		delete(r.connPool.idle, id)
 	}
 }
--- a/internal/protocol/http1/stream.go
+++ b/internal/protocol/http1/stream.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// stream writes an answer to a client as it comes. One attempt has it, from Begin on; nobody else writes on the
+// responseStream writes an answer to a client as it comes. One attempt has it, from Begin on; nobody else writes on the
 // connection until the request's final answer, which is the stream's end.
-type stream struct {
-	c       *clientConn
+type responseStream struct {
+	client  *clientConn
 	chunked bool
 	text    []byte
 }
 
-// begin writes an answer's head, and what has come of its body.
-func (c *clientConn) begin(a *answer, old bool) (*stream, error) {
-	s := &stream{c: c, chunked: a.length < 0 && !old}
+// startStream writes an answer's head, and what has come of its body.
+func (c *clientConn) startStream(a *response, old bool) (*responseStream, error) {
+	s := &responseStream{client: c, chunked: a.length < 0 && !old}
 	c.mu.Lock()
-	c.begun = true
+	c.streaming = true
 	// Without a length or chunks, the connection's end is the answer's.
-	c.ending = c.ending || a.length < 0 && old
-	last := c.endsLocked()
+	c.closing = c.closing || a.length < 0 && old
+	last := c.closesAfterResponseLocked()
 	c.mu.Unlock()
-	text := c.f.appendStatus(nil, http.StatusOK, last)
-	if !a.dated {
+	text := c.front.appendStatus(nil, http.StatusOK, last)
+	if !a.hasDate {
 		text = append(append(append(text, "Date: "...), date()...), "\r\n"...)
 	}
-	text = append(text, a.lines...)
+	text = append(text, a.headerLines...)
 	switch {
 	case s.chunked:
 		text = append(text, "Transfer-Encoding: chunked\r\n"...)
@@ -40,29 +40,29 @@
 	} else {
 		text = append(text, a.body...)
 	}
-	return s, s.put(text)
+	return s, s.writeAll(text)
 }
 
-func (s *stream) write(piece []byte) error {
+func (s *responseStream) write(piece []byte) error {
 	if !s.chunked {
-		return s.put(piece)
+		return s.writeAll(piece)
 	}
 	s.text = appendChunk(s.text[:0], piece)
-	return s.put(s.text)
+	return s.writeAll(s.text)
 }
 
-func (s *stream) end() error {
+func (s *responseStream) end() error {
 	if !s.chunked {
 		return nil
 	}
-	return s.put([]byte(lastChunk))
+	return s.writeAll([]byte(lastChunk))
 }
 
-// put writes a piece. A client has as long for each as for a whole answer.
-func (s *stream) put(text []byte) error {
-	if err := s.c.nc.SetWriteDeadline(time.Now().Add(s.c.f.writeTime)); err != nil {
+// writeAll writes a piece. A client has as long for each as for a whole answer.
+func (s *responseStream) writeAll(text []byte) error {
+	if err := s.client.conn.SetWriteDeadline(time.Now().Add(s.client.front.writeTimeout)); err != nil {
 		return err
 	}
-	_, err := s.c.nc.Write(text)
+	_, err := s.client.conn.Write(text)
 	return err
 }
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -93,7 +93,7 @@
 		}
 	})
 	a := startWith(t, s)
-	for _, size := range []int{0, 1, maxWholeAnswer, maxWholeAnswer + 1, maxWhole, maxWhole + 1, 3 << 20} {
+	for _, size := range []int{0, 1, maxBufferedResponse, maxBufferedResponse + 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
 		body := noise(size)
 		for _, up := range []string{"length", "chunks", "pieces"} {
 			for _, down := range []string{"length", "chunks", "close"} {
@@ -102,7 +102,7 @@
 				case "chunks":
 					in = io.MultiReader(in) // its length can't be told
 				case "pieces":
-					if size > maxWhole+1 {
+					if size > maxBufferedBody+1 {
 						continue
 					}
 					in = iotest.HalfReader(in)
@@ -125,8 +125,8 @@
 			}
 		}
 	}
-	testkit.WaitFor(t, "all to be over", func() bool { return a.OpenRequests() == 0 && a.bodies.Free() == int64(a.front.cfg.BodyMemory()) })
-	if n := a.backends.answers.Free(); n != int64(a.front.cfg.BodyMemory()) {
+	testkit.WaitFor(t, "all to be over", func() bool { return a.OpenRequests() == 0 && a.bodyBudget.Free() == int64(a.front.cfg.BodyMemory()) })
+	if n := a.connPool.responseBudget.Free(); n != int64(a.front.cfg.BodyMemory()) {
 		t.Errorf("%d bytes of answers stay booked", int64(a.front.cfg.BodyMemory())-n)
 	}
 }
@@ -139,19 +139,19 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.CopyN(io.Discard, req.Body, maxWhole); err != nil {
+		if _, err := io.CopyN(io.Discard, req.Body, maxBufferedBody); err != nil {
 			return
 		}
 		half <- struct{}{} // has come, though the client has not sent the rest
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*maxWholeAnswer, strings.Repeat("a", 10))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*maxBufferedResponse, strings.Repeat("a", 10))
 		<-half
-		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxWholeAnswer-10))
+		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxBufferedResponse-10))
 	})
 	a := startWith(t, s)
-	for _, form := range []string{"Content-Length: " + fmt.Sprint(2*maxWhole), "Transfer-Encoding: chunked"} {
+	for _, form := range []string{"Content-Length: " + fmt.Sprint(2*maxBufferedBody), "Transfer-Encoding: chunked"} {
 		c := a.connect(t)
 		write := func(text string) {
 			t.Helper()
@@ -160,9 +160,9 @@
 			}
 		}
 		chunked := strings.HasPrefix(form, "Transfer")
-		part := strings.Repeat("x", maxWhole)
+		part := strings.Repeat("x", maxBufferedBody)
 		if chunked {
-			part = fmt.Sprintf("%x\r\n%s\r\n", maxWhole, part)
+			part = fmt.Sprintf("%x\r\n%s\r\n", maxBufferedBody, part)
 		}
 		write("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + newID() + "\r\n" + form + "\r\n\r\n" + part)
 		if chunked {
@@ -178,7 +178,7 @@
 			write(part)
 		}
 		resp, err := http.ReadResponse(c.in, nil)
-		if err != nil || resp.ContentLength != 2*maxWholeAnswer {
+		if err != nil || resp.ContentLength != 2*maxBufferedResponse {
 			t.Fatalf("%+v %v", resp, err)
 		}
 		first := make([]byte, 10)
@@ -186,7 +186,7 @@
 			t.Fatalf("%q %v", first, err)
 		}
 		half <- struct{}{}
-		if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != 2*maxWholeAnswer-10 {
+		if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) != 2*maxBufferedResponse-10 {
 			t.Errorf("%d bytes, %v", len(rest), err)
 		}
 	}
@@ -200,7 +200,7 @@
 			return
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		every := time.NewTicker(longAnswer / 2)
+		every := time.NewTicker(streamAfter / 2)
 		defer every.Stop()
 		for {
 			select {
@@ -239,12 +239,12 @@
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\na", 2*maxWholeAnswer)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\na", 2*maxBufferedResponse)
 		time.Sleep(deadline + 200*time.Millisecond)
-		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxWholeAnswer-1))
+		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxBufferedResponse-1))
 	})
 	a := start(t, testConfig(t, testkit.Setup{Deadline: int(deadline / time.Millisecond), Servers: []discovery.Member{s}}))
-	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.err != nil || len(x.body) != 2*maxWholeAnswer {
+	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.err != nil || len(x.body) != 2*maxBufferedResponse {
 		t.Errorf("%d, %d bytes, %v", x.status, len(x.body), x.err)
 	}
 	if late := a.Totals().Late; late != 0 {
@@ -255,7 +255,7 @@
 // A server that ends a streamed answer short ends it for the client too, who can tell, and there is no other attempt.
 func TestStreamThatBreaks(t *testing.T) {
 	for name, head := range map[string]string{
-		"length": fmt.Sprintf("Content-Length: %d", 4*maxWholeAnswer), "chunks": "Transfer-Encoding: chunked",
+		"length": fmt.Sprintf("Content-Length: %d", 4*maxBufferedResponse), "chunks": "Transfer-Encoding: chunked",
 		"chunks, to HTTP/1.0": "Transfer-Encoding: chunked"} { // which knows of none: the connection's end tells
 		for _, resets := range []bool{false, true} {
 			var asked atomic.Int64
@@ -265,9 +265,9 @@
 					return
 				}
 				asked.Add(1)
-				text := strings.Repeat("x", 2*maxWholeAnswer)
+				text := strings.Repeat("x", 2*maxBufferedResponse)
 				if name != "length" {
-					text = fmt.Sprintf("%x\r\n%s\r\n", 4*maxWholeAnswer, text)
+					text = fmt.Sprintf("%x\r\n%s\r\n", 4*maxBufferedResponse, text)
 				}
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", head, text)
 				<-begun
@@ -306,7 +306,7 @@
 func (r *running) upload(t *testing.T, sent int) *client {
 	t.Helper()
 	c := r.connect(t)
-	if _, err := fmt.Fprintf(c.c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n%s", newID(), 4*maxWhole,
+	if _, err := fmt.Fprintf(c.c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n%s", newID(), 4*maxBufferedBody,
 		strings.Repeat("x", sent)); err != nil {
 		t.Fatal(err)
 	}
@@ -322,14 +322,14 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.CopyN(io.Discard, req.Body, maxWhole)
+		_, _ = io.CopyN(io.Discard, req.Body, maxBufferedBody)
 		reset(c)
 		close(came)
 	})
 	a := startWith(t, s)
-	c := a.upload(t, 2*maxWhole)
+	c := a.upload(t, 2*maxBufferedBody)
 	testkit.Receive(t, "reset", came)
-	go func() { _, _ = io.Copy(c.c, strings.NewReader(strings.Repeat("x", 2*maxWhole))) }()
+	go func() { _, _ = io.Copy(c.c, strings.NewReader(strings.Repeat("x", 2*maxBufferedBody))) }()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil || resp.StatusCode != 503 || !resp.Close {
 		t.Fatalf("%+v %v", resp, err)
@@ -338,7 +338,7 @@
 	if f.Deferred != 1 || f.Sends != 0 {
 		t.Errorf("%+v", f)
 	}
-	testkit.WaitFor(t, "its end", func() bool { return a.OpenRequests() == 0 && a.front.open.Load() == 0 })
+	testkit.WaitFor(t, "its end", func() bool { return a.OpenRequests() == 0 && a.front.openRequests.Load() == 0 })
 }
 
 // One that turns an upload away before its end is heard.
@@ -349,10 +349,10 @@
 		}
 		fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		_ = c.(*net.TCPConn).CloseWrite()
-		_, _ = io.CopyN(io.Discard, in, maxWhole)
+		_, _ = io.CopyN(io.Discard, in, maxBufferedBody)
 	})
 	a := startWith(t, s)
-	c := a.upload(t, 4*maxWhole)
+	c := a.upload(t, 4*maxBufferedBody)
 	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 503 {
 		t.Errorf("%+v %v", resp, err)
 	}
@@ -377,15 +377,15 @@
 		}
 	})
 	a := startWith(t, s)
-	c := a.upload(t, 2*maxWhole)
-	testkit.WaitFor(t, "it to be under way", func() bool { return a.front.uploads.Load() == 1 })
+	c := a.upload(t, 2*maxBufferedBody)
+	testkit.WaitFor(t, "it to be under way", func() bool { return a.front.openUploads.Load() == 1 })
 	c.c.Close()
 	if err := testkit.Receive(t, "end at the backend", ends); err == nil {
 		t.Error("the backend has all of it")
 	}
 	c = a.connect(t)
-	if _, err := fmt.Fprintf(c.c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\nxyz\r\n", newID(), 2*maxWhole,
-		strings.Repeat("x", 2*maxWhole)); err != nil {
+	if _, err := fmt.Fprintf(c.c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\nxyz\r\n", newID(), 2*maxBufferedBody,
+		strings.Repeat("x", 2*maxBufferedBody)); err != nil {
 		t.Fatal(err)
 	}
 	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 400 || !resp.Close {
@@ -394,7 +394,7 @@
 	if err := testkit.Receive(t, "end at the backend", ends); err == nil {
 		t.Error("the backend has all of it")
 	}
-	testkit.WaitFor(t, "both to be over", func() bool { return a.front.open.Load() == 0 && a.front.uploads.Load() == 0 })
+	testkit.WaitFor(t, "both to be over", func() bool { return a.front.openRequests.Load() == 0 && a.front.openUploads.Load() == 0 })
 	f := a.Status(testkit.Patience)
 	if f.Avoided != 0 || f.Classes[2].Sends != 0 {
 		t.Errorf("%+v", f)
@@ -414,11 +414,11 @@
 	for range 10 {
 		dead := (&backend{addr: testkit.DeadAddr(t)}).member("dead")
 		a := startWith(t, s, dead)
-		c := a.upload(t, 4*maxWhole)
+		c := a.upload(t, 4*maxBufferedBody)
 		if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%+v %v", resp, err)
 		}
-		if n := testkit.Receive(t, "upload", got); n != 4*maxWhole {
+		if n := testkit.Receive(t, "upload", got); n != 4*maxBufferedBody {
 			t.Errorf("%d bytes", n)
 		}
 	}
@@ -451,7 +451,7 @@
 func TestSlowBodies(t *testing.T) {
 	s := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	a := startWith(t, s)
-	for _, size := range []int{1000, 4 * maxWhole} {
+	for _, size := range []int{1000, 4 * maxBufferedBody} {
 		c := a.connect(t)
 		if _, err := fmt.Fprintf(c.c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\nxxx", newID(), size); err != nil {
 			t.Fatal(err)
