--- a/internal/protocol/http1/message.go
+++ b/internal/protocol/http1/message.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"net/http"
 	"strconv"
 	"time"
 )
@@ -38,3 +39,32 @@
 	text = append(text, "\r\n"...)
 	return append(text, m.body...)
 }
+
+// message is the request as it goes on, with its body, or with the beginning of one that is an upload.
+func (h *requestHead) message(target, host string, body []byte, up *upload) *message {
+	text := make([]byte, 0, len(h.method)+len(target)+len(host)+64+h.size())
+	text = append(append(append(text, h.method...), ' '), target...)
+	text = append(append(append(text, " HTTP/1.1\r\nHost: "...), host...), "\r\n"...)
+	switch {
+	case string(h.method) == http.MethodGet:
+	case up != nil && up.body.length < 0:
+		text = append(text, "Transfer-Encoding: chunked\r\n"...)
+		body = appendChunk(nil, body)
+	default:
+		n := len(body)
+		if up != nil {
+			n = int(up.body.length)
+		}
+		text = append(text, "Content-Length: "...)
+		text = appendInt(text, n)
+		text = append(text, "\r\n"...)
+	}
+	for i := range h.fields {
+		f := &h.fields[i]
+		if f.notForwarded || h.isConnectionOption(f) {
+			continue
+		}
+		text = append(append(text, f.line...), "\r\n"...)
+	}
+	return &message{head: text, body: body, upload: up}
+}
--- a/internal/protocol/http1/probe.go
+++ b/internal/protocol/http1/probe.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"strings"
 	"time"
+
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/wire"
@@ -49,3 +50,28 @@
 	}
 	return wire.Load(usage)
 }
+
+// probeOwner is the purpose of a probe, which ends by its context alone.
+type probeOwner struct{}
+
+func (probeOwner) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
+
+func (probeOwner) ContinueWrite(func()) core.SendRefusal { return core.SendAllowed }
+
+func (probeOwner) EndWrite() {}
+
+func (probeOwner) Ended() <-chan struct{} { return nil }
+
+func (probeOwner) Disconnected() bool { return false }
+
+func (probeOwner) MayDial() bool { return true }
+
+func (probeOwner) MarkDialed() {}
+
+func (probeOwner) Sent() {}
+
+func (probeOwner) UploadCompleted() {}
+
+func (probeOwner) MarkNotReplayable() {}
+
+func (probeOwner) StartResponse(core.ServerProgress) bool { return false }
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/requesthead.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"net/http"
 	"net/url"
 	"strings"
 )
@@ -30,13 +29,6 @@
 	closes              bool
 }
 
-// field is one header line.
-type field struct {
-	name, value  []byte
-	line         []byte // both, without the line's end
-	notForwarded bool   // ends here: it is not passed on
-}
-
 var (
 	errHead    = errors.New("the head can't be read")
 	errVersion = errors.New("HTTP/1.1 is spoken here")
@@ -44,66 +36,6 @@
 	errLength  = errors.New("the Content-Length can't be read")
 )
 
-// isTokenByte are the bytes of a token (RFC 9110, 5.6.2).
-var isTokenByte = func() (all [256]bool) {
-	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
-		all[c] = true
-	}
-	return all
-}()
-
-func isToken(b []byte) bool {
-	for _, c := range b {
-		if !isTokenByte[c] {
-			return false
-		}
-	}
-	return len(b) > 0
-}
-
-// parseField reads one header line (RFC 9112, 5). A line that goes on from the one before is not taken.
-func parseField(line []byte) (f field, ok bool) {
-	i := bytes.IndexByte(line, ':')
-	if i < 0 || !isToken(line[:i]) {
-		return f, false
-	}
-	f.name, f.line = line[:i], line
-	f.value = bytes.Trim(line[i+1:], " \t")
-	for _, c := range f.value {
-		if c < ' ' && c != '\t' || c == 0x7f {
-			return f, false
-		}
-	}
-	return f, true
-}
-
-// is compares a name that has no case.
-func (f *field) is(name string) bool {
-	if len(f.name) != len(name) {
-		return false
-	}
-	for i, c := range f.name {
-		d := name[i]
-		if c|0x20 != d|0x20 || c != d && c|0x20 < 'a' {
-			return false
-		}
-	}
-	return true
-}
-
-// cutLine cuts the first line off, without its end. ok is false where there is no end.
-func cutLine(b []byte) (one, rest []byte, ok bool) {
-	i := bytes.IndexByte(b, '\n')
-	if i < 0 {
-		return nil, b, false
-	}
-	one, rest = b[:i], b[i+1:]
-	if n := len(one); n > 0 && one[n-1] == '\r' {
-		one = one[:n-1]
-	}
-	return one, rest, true
-}
-
 // headEnd is where a head ends in b, behind its empty line; 0: it does not.
 func headEnd(b []byte) int {
 	for at := 0; ; {
@@ -259,35 +191,6 @@
 	return first, on.RequestURI(), host, nil
 }
 
-// message is the request as it goes on, with its body, or with the beginning of one that is an upload.
-func (h *requestHead) message(target, host string, body []byte, up *upload) *message {
-	text := make([]byte, 0, len(h.method)+len(target)+len(host)+64+h.size())
-	text = append(append(append(text, h.method...), ' '), target...)
-	text = append(append(append(text, " HTTP/1.1\r\nHost: "...), host...), "\r\n"...)
-	switch {
-	case string(h.method) == http.MethodGet:
-	case up != nil && up.body.length < 0:
-		text = append(text, "Transfer-Encoding: chunked\r\n"...)
-		body = appendChunk(nil, body)
-	default:
-		n := len(body)
-		if up != nil {
-			n = int(up.body.length)
-		}
-		text = append(text, "Content-Length: "...)
-		text = appendInt(text, n)
-		text = append(text, "\r\n"...)
-	}
-	for i := range h.fields {
-		f := &h.fields[i]
-		if f.notForwarded || h.isConnectionOption(f) {
-			continue
-		}
-		text = append(append(text, f.line...), "\r\n"...)
-	}
-	return &message{head: text, body: body, upload: up}
-}
-
 // isConnectionOption reports whether Connection names a field, which then ends here.
 func (h *requestHead) isConnectionOption(f *field) bool {
 	for _, name := range h.connectionOptions {
