--- a/internal/protocol/http1/probe.go
+++ b/internal/protocol/http1/probe.go
@@ -6,13 +6,14 @@
 	"strconv"
 	"strings"
 	"time"
+
 	"vetchhaven/decide"
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/wire"
 )
 
 // probe examines a backend: with its load report where probes bring one.
-func (b *backends) probe(id string) decide.ProbeResult {
+func (b *connPool) probe(id string) decide.ProbeResult {
 	start := time.Now()
 	path := "/ping"
 	if b.cfg.Site.LoadProbed {
@@ -22,7 +23,7 @@
 	// The settings name no time-out for probes; one that takes longer than a connect may is no use.
 	ctx, cancel := context.WithTimeoutCause(context.Background(), b.cfg.Settings.ConnectTimeout, core.ErrTimedOut)
 	defer cancel()
-	result, a, load := b.attempt(ctx, probing{}, id, m)
+	result, a, load := b.attempt(ctx, probeOwner{}, id, m)
 	if a != nil && b.cfg.Site.LoadProbed {
 		load = parseLoad(string(a.body))
 	}
@@ -49,3 +50,28 @@
 	}
 	return wire.Load(usage)
 }
+
+// probeOwner is the purpose of a probe, which ends by its context alone.
+type probeOwner struct{}
+
+func (probeOwner) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
+
+func (probeOwner) ContinueWrite(func()) core.SendRefusal { return core.SendAllowed }
+
+func (probeOwner) EndWrite() {}
+
+func (probeOwner) Ended() <-chan struct{} { return nil }
+
+func (probeOwner) Disconnected() bool { return false }
+
+func (probeOwner) MayDial() bool { return true }
+
+func (probeOwner) MarkDialed() {}
+
+func (probeOwner) Sent() {}
+
+func (probeOwner) UploadCompleted() {}
+
+func (probeOwner) MarkNotReplayable() {}
+
+func (probeOwner) StartResponse(core.ServerProgress) bool { return false }
