--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -14,7 +14,7 @@
 var wallClockUses = map[string]string{
 	"internal/core/clock.go UnixMilli":                  "the hint that starttimes.go bounds",
 	"internal/core/connlimiter.go Unix":                 "LongAgo, a deadline that has passed",
-	"internal/protocol/http1/front.go Unix":             "the Date field",
+	"internal/protocol/http1/render.go Unix":            "the Date field",
 	"internal/host/snapshot/snapshot.go UnixMilli":      "the age of a snapshot of another boot, a hint with a bound",
 	"internal/host/daemon/snapshots.go UnixMilli":       "the moment at which a snapshot is saved; a log line",
 	"internal/host/daemon/policyrequests.go UnixMilli":  "when an operator made a change, for people to read",
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -33,6 +33,9 @@
 	keySettings = "Facts"
 	keyText     = "Msg"
 	keyList     = "Sheet"
+
+	keySemantics  = "Semantics"
+	keyDedupScope = "Group"
 )
 
 // Bits of message.StateBits.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -182,11 +182,11 @@
 func (o *classObject) class() (decide.Class, error) {
 	effect, ok := effects[o.Semantics]
 	if !ok {
-		return decide.Class{}, fmt.Errorf("Semantics: unknown kind %q", o.Semantics)
+		return decide.Class{}, fmt.Errorf("%s: unknown kind %q", keySemantics, o.Semantics)
 	}
 	scope, ok := dedupScopes[o.DedupScope]
 	if !ok {
-		return decide.Class{}, fmt.Errorf("Group: unknown group %q", o.DedupScope)
+		return decide.Class{}, fmt.Errorf("%s: unknown group %q", keyDedupScope, o.DedupScope)
 	}
 	return decide.Class{
 		Objective:   milliseconds(o.ObjectiveMs),
