--- a/internal/protocol/http1/attempt.go
+++ b/internal/protocol/http1/attempt.go
@@ -10,61 +10,62 @@
 	"vetchhaven/internal/wire"
 )
 
-// attemptOwner is what an attempt is made for: a request, or a probe.
+// attemptOwner is what an attempt is made for: a request (core.Attempt), or a probe. It admits each write and each dial.
 type attemptOwner interface {
-	BeginWrite(interrupt func()) core.SendRefusal    // admits the first byte
-	ContinueWrite(interrupt func()) core.SendRefusal // admits what comes behind it
-	EndWrite()                                       // what was admitted is written
-	Ended() <-chan struct{}                          // closed when the request has ended: nothing more is sent for it
-	Disconnected() bool                              // its client has left, seen or unseen by who reads it
+	BeginWrite(interrupt func()) core.SendRefusal    // admits the first byte; interrupt ends a write that was admitted
+	ContinueWrite(interrupt func()) core.SendRefusal // admits a further piece of the body
+	EndWrite()                                       // ends the write that was admitted
+	Ended() <-chan struct{}                          // closed when the request has its final answer: nothing more is sent for it
+	Disconnected() bool                              // its client has disconnected, whether its reader has seen that or not
 	MayDial() bool                                   // it may open a connection
-	MarkDialed()                                     // it opens one
+	MarkDialed()                                     // it opens a connection
 	Sent()                                           // its last byte is written
-	UploadCompleted()                                // that was the last byte of an upload
-	MarkNotReplayable()                              // what was sent can't be sent again
-	StartResponse(core.ServerProgress) bool          // whether its answer may begin to reach the client
+	UploadCompleted()                                // the last byte of an upload is written
+	MarkNotReplayable()                              // its body can't be sent again
+	StartResponse(core.ServerProgress) bool          // whether its response may begin to reach the client
 }
 
-// attempt sends m to a backend once and waits until ctx ends at the latest. The result follows
-// the protocol's table of outcomes; where it is not certain that nothing ran, it says so.
-func (b *connPool) attempt(ctx context.Context, by attemptOwner, id string, m *message) (decide.Result, *response, decide.Load) {
-	none := wire.Load(nil)
-	c, addr, err := b.acquire(id)
-	if err == nil && c == nil && !by.MayDial() {
-		b.mu.Lock()
-		b.open-- // its place is booked
-		b.mu.Unlock()
-		return decide.NotSent, nil, none
+// attempt sends m to a server once, and waits for its response until ctx ends at the latest. The result follows the
+// protocol's table of outcomes; where it is not certain that the server ran nothing, the result says so. The response is
+// nil unless the result is decide.OK.
+func (p *connPool) attempt(ctx context.Context, owner attemptOwner, id string, m *message) (decide.Result, *response, decide.Load) {
+	noLoad := wire.Load(nil)
+	c, addr, err := p.acquire(id)
+	if err == nil && c == nil && !owner.MayDial() {
+		p.mu.Lock()
+		p.open-- // acquire counted the connection that was to be dialled
+		p.mu.Unlock()
+		return decide.NotSent, nil, noLoad
 	}
 	if err == nil && c == nil {
-		by.MarkDialed()
-		c, err = b.dial(ctx, id, addr)
+		owner.MarkDialed()
+		c, err = p.dial(ctx, id, addr)
 	}
 	if err != nil {
 		result := core.NotConnected(ctx, err)
 		if result == decide.NotSent {
-			b.log.Warn("attempt not sent", "error", err, "backend", id)
+			p.log.Warn("attempt not sent", "error", err, "backend", id)
 		}
-		return result, nil, none
+		return result, nil, noLoad
 	}
-	if !b.isCurrentAddress(id, c.addr) {
-		b.release(id, c, true)
-		return decide.Incomplete, nil, none // never ran, and another backend may have it
+	if !p.isCurrentAddress(id, c.addr) {
+		p.release(id, c, true)
+		return decide.Incomplete, nil, noLoad // it never ran, and another server may get it
 	}
-	a, fullyWritten, err := b.exchange(ctx, by, c, m)
+	a, fullyWritten, err := p.exchange(ctx, owner, c, m)
 	var refused *sendRefusedError
 	if errors.As(err, &refused) && refused.nothingWritten {
-		b.release(id, c, refused.reusable)
-		return refused.reason.Result(ctx), nil, none
+		p.release(id, c, refused.reusable)
+		return refused.reason.Result(ctx), nil, noLoad
 	}
 	if err != nil {
 		result := failureResult(context.Cause(ctx), err, fullyWritten)
-		b.closeAfterFailure(id, c, result)
-		return result, nil, none
+		p.closeAfterFailure(id, c, result)
+		return result, nil, noLoad
 	}
-	b.releaseAfterResponse(id, c, a)
-	load := none
-	if a.loadReport != "" && b.cfg.Site.LoadInline {
+	p.releaseAfterResponse(id, c, a)
+	load := noLoad
+	if a.loadReport != "" && p.cfg.Site.LoadInline {
 		load = parseLoad(a.loadReport)
 	}
 	switch {
@@ -77,12 +78,12 @@
 	return decide.Errored, nil, load
 }
 
-// failureResult is the result of an attempt that brought no answer, by its error and by what ended its context; whole:
-// its last byte was written.
+// failureResult is the result of an attempt that brought no response. cause is what ended its context, nil if nothing did;
+// fullyWritten says that the request's last byte was written, so that the server may have run it.
 func failureResult(cause, err error, fullyWritten bool) decide.Result {
 	switch {
 	case errors.Is(err, errClientFault) && !fullyWritten:
-		return decide.NotSent // no fault of the backend, and nobody is left to try for
+		return decide.NotSent // not the server's fault, and no client waits for a retry
 	case errors.Is(err, errClientFault):
 		return decide.Cancelled
 	case errors.Is(err, errRequestEnded) && cause == nil, isSendRefused(err, core.RequestAnswered) && cause == nil:
@@ -91,18 +92,18 @@
 		return decide.Cancelled
 	case cause != nil:
 		return decide.TimedOut
-	case !fullyWritten: // the rest can't follow: the connection is closed
+	case !fullyWritten: // the rest can't follow, since the connection is closed
 		return decide.Incomplete
 	case errors.Is(err, errConnectionEnded):
 		return decide.Reset
 	}
-	return decide.Errored // there is a process, and it answers amiss
+	return decide.Errored // a process responds, but not with a valid response
 }
 
-// hasEnded reports whether a request has ended.
-func hasEnded(by attemptOwner) bool {
+// hasEnded reports whether an attempt's request has its final answer.
+func hasEnded(owner attemptOwner) bool {
 	select {
-	case <-by.Ended():
+	case <-owner.Ended():
 		return true
 	default:
 		return false
--- a/internal/protocol/http1/chunks.go
+++ b/internal/protocol/http1/chunks.go
@@ -7,28 +7,31 @@
 	"io"
 )
 
-// chunkedBody decodes a body in chunks (RFC 9112, 7.1), and reads no further than its end. It gives what has come
-// at once: the decoder of net/http waits within a chunk until the caller's room is full, and so holds back
-// what a slow peer has sent.
+// chunkedBody decodes a chunked body (RFC 9112, 7.1), and reads no further than its end. It returns what has come at once:
+// net/http's decoder waits within a chunk until the caller's buffer is full, and so holds back what a slow peer has sent.
 type chunkedBody struct {
 	in        *bufio.Reader
-	remaining int64 // of the present chunk
-	started   bool
-	decoded   int64 // of the body so far
+	remaining int64 // bytes of the present chunk
+	started   bool  // the first chunk's size was read
+	decoded   int64 // bytes of the body so far
 	framing   int64 // bytes of framing so far
-	err       error // final
+	err       error // returned by all reads from now on; io.EOF: the body is complete
 }
 
 const (
-	maxChunkLine = 1 << 10  // bytes of a size with its extensions, and of a trailer line
-	maxTrailers  = 16 << 10 // bytes of all
-	// A body in chunks of few bytes is longer on the wire than what it holds; one that is framing for the
-	// most part is no body.
-	framePerByte, frameFree = 16, 64 << 10
+	// maxChunkLine is how many bytes a chunk's size with its extensions, or a trailer line, may have.
+	maxChunkLine = 1 << 10
+	// maxTrailers is how many bytes all trailer lines may have.
+	maxTrailers = 16 << 10
+	// A body in small chunks is longer on the wire than its content. Past frameFree bytes of framing, there may be
+	// framePerByte bytes of framing for each byte of content: a body that is mostly framing is an attack (RFC 9112, 7.1.1).
+	framePerByte = 16
+	frameFree    = 64 << 10
 )
 
 var errChunk = errors.New("the chunks can't be read")
 
+// Read implements io.Reader.
 func (c *chunkedBody) Read(p []byte) (int, error) {
 	if c.err == nil && c.remaining == 0 {
 		c.err = c.next()
@@ -51,7 +54,7 @@
 	return 0, c.err
 }
 
-// unexpected is the error of an end within a body.
+// unexpected turns the end of a connection within a body into an error.
 func unexpected(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -59,12 +62,14 @@
 	return err
 }
 
-// next reads up to the data of the next chunk. io.EOF: there is none, and the trailers are read too.
+// next reads up to the data of the next chunk. io.EOF: there is none, and the trailers are read.
 func (c *chunkedBody) next() error {
 	if c.started {
-		if line, err := c.line(); err != nil {
+		line, err := c.line() // the end of the chunk before
+		if err != nil {
 			return err
-		} else if len(line) != 0 {
+		}
+		if len(line) != 0 {
 			return errChunk
 		}
 	}
@@ -76,7 +81,12 @@
 	if c.remaining, err = parseSize(line); err != nil || c.remaining > 0 {
 		return err
 	}
-	for total := 0; ; { // the trailers are of no use, but they belong to the body
+	return c.skipTrailers()
+}
+
+// skipTrailers reads the trailers, which are dropped (RFC 9112, 7.1.2), up to the body's end: io.EOF.
+func (c *chunkedBody) skipTrailers() error {
+	for total := 0; ; {
 		line, err := c.line()
 		if err != nil {
 			return err
@@ -84,7 +94,8 @@
 		if len(line) == 0 {
 			return io.EOF
 		}
-		if total += len(line); total > maxTrailers {
+		total += len(line)
+		if total > maxTrailers {
 			return errChunk
 		}
 		if _, ok := parseField(line); !ok {
@@ -102,7 +113,8 @@
 	if err != nil {
 		return nil, unexpected(err)
 	}
-	if c.framing += int64(len(line)); c.framing > frameFree+framePerByte*c.decoded {
+	c.framing += int64(len(line))
+	if c.framing > frameFree+framePerByte*c.decoded {
 		return nil, errChunk
 	}
 	line = line[:len(line)-1]
@@ -112,7 +124,7 @@
 	return line, nil
 }
 
-// parseSize reads a chunk's size; extensions behind it are passed over.
+// parseSize reads a chunk's size, of hexadecimal digits alone; extensions behind it are ignored (RFC 9112, 7.1.1).
 func parseSize(line []byte) (n int64, err error) {
 	digits := 0
 	for ; digits < len(line); digits++ {
@@ -147,17 +159,18 @@
 	return n, nil
 }
 
-// appendChunk frames a piece of a body.
+// appendChunk appends a piece of a body as one chunk; an empty one is left out.
 func appendChunk(b, piece []byte) []byte {
 	if len(piece) == 0 {
-		return b // it would end the body
+		return b // an empty chunk would end the body
 	}
 	b = appendHex(b, len(piece))
 	b = append(append(b, "\r\n"...), piece...)
 	return append(b, "\r\n"...)
 }
 
+// appendHex appends a number in hexadecimal digits.
 func appendHex(b []byte, n int) []byte { return fmt.Appendf(b, "%x", n) }
 
-// lastChunk ends a body in chunks.
+// lastChunk ends a chunked body without trailers.
 const lastChunk = "0\r\n\r\n"
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -10,59 +10,41 @@
 	"vetchhaven/internal/core"
 )
 
-// clientConn is one client's connection. Its reader takes requests, one at a time, and its writer gives
-// their answers: a client that hangs up shows while an answer is awaited, and nothing is started or
-// set up for a request alone. net/http's server did this, at twice the price; what it is strict about,
-// this is too.
+// lingerTime is what a client has to read its last response before its connection is closed. A close with unread bytes on
+// the connection is a reset (RFC 9112, 9.6), and the response would be lost. A larger value keeps a slot longer.
+const lingerTime = 500 * time.Millisecond
+
+// clientConn is one client's connection. Two goroutines serve it: serve reads requests, one at a time, and runWriter
+// writes their responses, so that a client's disconnect shows while its response is pending, and no goroutine is started
+// for a single request. It takes the place of net/http's server, at half of its cost, and is as strict.
 type clientConn struct {
-	front        *front
-	conn         net.Conn
-	buf          []byte
-	start, end   int
-	lastReadAt   time.Time // its last bytes were read
-	fields       []field
-	writeBuf     []byte
-	responseDone chan struct{}    // of one: no answer is awaited
-	finalAnswers chan finalAnswer // of a few, so that nobody who answers waits
+	front      *front
+	conn       net.Conn
+	buf        []byte // what was read; buf[start:end] is not consumed yet
+	start, end int
+	lastReadAt time.Time // when the last bytes came
+	fields     []field   // of the present head; reused
+	writeBuf   []byte    // reused by whoever writes the next response
+	// responseDone holds one token while no response is pending.
+	responseDone chan struct{}
+	finalAnswers chan finalAnswer // buffered: who posts never waits
 
 	mu                 sync.Mutex
-	pending            *core.Request // awaits its answer
-	upload             *upload       // its body, where that streams
-	reservedBytes      int           // bytes of its body
-	streaming          bool          // its answer streams
-	nextStarted        bool          // a part of the next request came while this one's answer was awaited
-	watchingDisconnect bool          // all of the next request's head did, or too much: the reader looks for the client's leaving alone
+	pending            *core.Request // waits for its response; nil: none does
+	upload             *upload       // pending's body, where that streams
+	reservedBytes      int           // of the body budget, for pending's body
+	streaming          bool          // pending's response has begun to reach the client
+	nextStarted        bool          // a part of the next request came while pending's response was awaited
+	watchingDisconnect bool          // the reader has the next request's head, and reads only to see a disconnect
 	closing            bool          // takes no further request
-	readerEnded        bool          // the reader has ended
-
+	readerEnded        bool
 }
 
-// errBodyUnread is of a request that has its answer before all of it was read, errEnded of one behind the last answer.
-var (
-	errBodyUnread  = &requestError{}
-	errConnClosing = errors.New("no further request is taken")
-)
-
-const (
-	maxHead         = maxHeader + 4<<10 // as net/http counts it
-	initialReadSize = 2 << 10
-	// lingerTime is what a client has to read its last answer before its connection closes: closed with
-	// something unread on it, it would be reset, and the answer lost.
-	lingerTime = 500 * time.Millisecond
-	// A client that sends more behind its request than a head may be long is read on, so that its leaving shows: what
-	// it sends is dropped. Of one that has left there can be no more than two systems hold for a connection (Linux's
-	// defaults: 6 MB to be read, 4 MB to be written), and that is dropped at once, or its end would be seen late. One that
-	// sends on past floodMost bytes is there: it costs floodPiece bytes each floodPause.
-	maxDropped    = 16 << 20
-	floodReadSize = 4 << 10
-	floodPause    = 10 * time.Millisecond
-)
-
 // serve reads requests until the connection ends.
 func (c *clientConn) serve() {
 	defer func() {
 		p := recover()
-		if p != nil { // it ends the agent, and is no reason to leave this client without an answer
+		if p != nil { // the panic ends the agent; the client gets its response nevertheless
 			if c.hasPending() {
 				c.abortPending()
 			} else {
@@ -77,10 +59,13 @@
 	}()
 	c.responseDone <- struct{}{}
 	for first := true; ; first = false {
-		end, err := c.readHead(first)
+		headLen, err := c.readHead(first)
 		if errors.Is(err, errHead) {
 			if c.awaitResponse() {
-				c.respondAndClose(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is too large"})
+				c.respondAndClose(&requestError{
+					status: http.StatusRequestHeaderFieldsTooLarge,
+					text:   "the head is too large",
+				})
 			} else {
 				c.linger()
 			}
@@ -95,7 +80,7 @@
 		if first {
 			go c.front.loop.ContainPanic(c.runWriter)
 		}
-		switch fail := c.handleRequest(c.buf[c.start : c.start+end]); fail {
+		switch fail := c.handleRequest(c.buf[c.start : c.start+headLen]); fail {
 		case nil:
 		case errBodyUnread:
 			c.awaitResponse()
@@ -108,20 +93,29 @@
 	}
 }
 
-// hasPending reports whether an answer is awaited.
+// hasPending reports whether a request waits for its response.
 func (c *clientConn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending != nil
 }
 
+// isClosing reports whether no further request is taken.
 func (c *clientConn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// closesAfterResponse reports whether the answer that is written now is the last one.
+// setClosing takes no further request.
+func (c *clientConn) setClosing() {
+	c.mu.Lock()
+	c.closing = true
+	c.mu.Unlock()
+}
+
+// closesAfterResponse reports whether the response that is written now is the connection's last, and then takes no
+// further request.
 func (c *clientConn) closesAfterResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,15 +127,15 @@
 	return c.closing
 }
 
-// prepareNext has the connection wait for its next request, or end, after an answer.
+// prepareNext has the connection wait for its next request, or end, after a response.
 func (c *clientConn) prepareNext() {
 	c.mu.Lock()
 	switch {
 	case c.closing:
-		// The reader learns it from its read, and lets the client read this answer.
+		// The reader's read fails, and it lets the client read this response.
 		c.closeWrite()
 		_ = c.conn.SetReadDeadline(core.LongAgo)
-	case c.watchingDisconnect: // it goes on with the request that it has
+	case c.watchingDisconnect: // the reader goes on with the request that it has
 		_ = c.conn.SetReadDeadline(core.LongAgo)
 	case c.nextStarted:
 		_ = c.conn.SetReadDeadline(time.Now().Add(core.HeadTimeout))
@@ -153,15 +147,13 @@
 	c.responseDone <- struct{}{}
 }
 
-// respondAndClose writes a last answer to a request that can't be taken. What is left of a body is not read, and
-// must not be taken for the next request. Nor does such a client keep a place that others wait for.
+// respondAndClose writes an error response, and ends the connection: what is left of the body is not read, and must not
+// be taken for the next request (RFC 9112, 9.6).
 func (c *clientConn) respondAndClose(e *requestError) {
 	if e.status == 0 {
 		return
 	}
-	c.mu.Lock()
-	c.closing = true
-	c.mu.Unlock()
+	c.setClosing()
 	if c.send(c.front.appendError(c.writeBuf[:0], e.status, e.text, e.allow, true)) {
 		c.closeWrite()
 		c.linger()
@@ -174,7 +166,8 @@
 	}
 }
 
-// linger reads what a client still sends, so that the close is no reset, until it closes too.
+// linger reads and drops what the client still sends, until it closes too or lingerTime is over, so that the close that
+// follows is no reset.
 func (c *clientConn) linger() {
 	buf := make([]byte, 1024)
 	c.front.limiter.SetReadDeadline(c.conn, time.Now().Add(lingerTime))
@@ -185,6 +178,7 @@
 	}
 }
 
+// send writes bytes within the write timeout. It reports false after an error.
 func (c *clientConn) send(text []byte) bool {
 	if c.conn.SetWriteDeadline(time.Now().Add(c.front.writeTimeout)) != nil {
 		return false
@@ -193,8 +187,8 @@
 	return err == nil
 }
 
-// endReader tells the loop that nobody waits for the open answer, and the writer that it is the last. With a last word that
-// is waited for: a client that has ended its sending alone still reads, and is told that nothing more is done for it.
+// endReader reports the client's disconnect to the loop if a request is pending, and ends the writer after its response.
+// With awaitLastResponse it waits for that: a client that has closed only its sending side still reads.
 func (c *clientConn) endReader(awaitLastResponse bool) {
 	c.mu.Lock()
 	r := c.pending
@@ -206,7 +200,7 @@
 	}
 	c.front.loop.ClientDisconnected(r)
 	if awaitLastResponse {
-		limit := time.NewTimer(lingerTime) // one that does not read holds nothing up
+		limit := time.NewTimer(lingerTime) // a client that does not read delays nothing else
 		defer limit.Stop()
 		select {
 		case <-c.responseDone: // the writer is done
--- a/internal/protocol/http1/dial.go
+++ b/internal/protocol/http1/dial.go
@@ -7,99 +7,125 @@
 )
 
 const (
-	dialPatienceFactor       = 16                    // usual trips after which an attempt goes elsewhere, while its dial goes on
-	minDialWait              = 30 * time.Millisecond // and the least: a busy machine may be as late as that
-	abandonTokensPerResponse = 1.0 / 32              // of such attempts for each answer: each costs a retry, of which the module has few
-	maxAbandonTokens         = 16                    // that may be saved up
-	maxDialTimeouts          = 8                     // connect time-outs after which nobody expects a connection any more
+	// dialPatienceFactor is after how many usual dial times an attempt is abandoned, while its dial goes on. A smaller value
+	// abandons more attempts, a larger one waits longer for a lost SYN.
+	dialPatienceFactor = 16
+	// minDialWait is the least time before an attempt is abandoned: dials on a busy machine may be as late as that.
+	minDialWait = 30 * time.Millisecond
+	// abandonTokensPerResponse is how many attempts may be abandoned for each response: each costs a retry, of which the
+	// balancer has few.
+	abandonTokensPerResponse = 1.0 / 32
+	// maxAbandonTokens is how many abandoned attempts may be saved up.
+	maxAbandonTokens = 16
+	// maxDialTimeouts is how many connect timeouts a dial may take that its attempt has abandoned.
+	maxDialTimeouts = 8
+	// dialTimeDivisor: a sample moves the usual dial time by this part of it. A larger value follows more slowly, a smaller one
+	// jitters.
+	dialTimeDivisor = 8
 )
 
-// dial opens a connection within the connect time-out and ctx. Its place is already counted. Where connections come up
-// soon as a rule, it waits no longer for a late one than that makes likely: nothing has been sent, and the module may
-// have the attempt made elsewhere. The dial goes on, one at a time to a backend, for whoever comes next: what it costs
-// the backend is paid by then. It could hurt where a backend that is slow to accept answers fast: its first requests
-// cost retries then, until enough connections are open.
-func (b *connPool) dial(ctx context.Context, id, addr string) (*serverConn, error) {
-	dialCtx, stop := context.WithTimeout(b.lifetime, maxDialTimeouts*b.cfg.Settings.ConnectTimeout)
-	type dialed struct {
-		c   *serverConn
-		err error
-	}
-	done := make(chan dialed)
-	abandoned := make(chan bool, 1) // nobody waits for it any more; whether it goes on
+// dialResult is the outcome of a dial.
+type dialResult struct {
+	conn *serverConn // nil after an error
+	err  error
+}
+
+// dial opens a connection within the connect timeout and ctx. The connection is already counted as open. Where dials are
+// usually fast, the attempt waits no longer for a late one than is likely to help: nothing was sent, and the balancer may
+// make the attempt on another server. The dial goes on, one at a time for each server, for the next attempt to use: what it
+// costs the server is paid by then. A server that is slow to accept and fast to respond pays for this: its first requests
+// cost retries, until enough connections are open.
+func (p *connPool) dial(ctx context.Context, id, addr string) (*serverConn, error) {
+	dialCtx, stop := context.WithTimeout(p.lifetime, maxDialTimeouts*p.cfg.Settings.ConnectTimeout)
+	done := make(chan dialResult)
+	abandoned := make(chan bool, 1) // the attempt does not wait any more; the value: the dial goes on
 	go func() {
 		defer stop()
-		began := time.Now()
-		c, err := b.dialer(dialCtx, "tcp", addr)
-		d := dialed{err: err}
+		startedAt := time.Now()
+		c, err := p.dialer(dialCtx, "tcp", addr)
+		result := dialResult{err: err}
 		if err == nil {
-			d.c = &serverConn{Conn: c, addr: addr, dialTime: time.Since(began)}
+			result.conn = &serverConn{Conn: c, addr: addr, dialTime: time.Since(startedAt)}
 		}
 		select {
-		case done <- d:
+		case done <- result:
 		case goesOn := <-abandoned:
-			b.lateDial(id, d.c, goesOn)
+			p.lateDial(id, result.conn, goesOn)
 		}
 	}()
-	b.mu.Lock()
-	wait := b.cfg.Settings.ConnectTimeout
-	if b.abandonTokens >= 1 {
-		wait = min(wait, max(minDialWait, dialPatienceFactor*b.usualDialTime))
-	}
-	b.mu.Unlock()
+	wait := p.dialWait()
 	patience := time.NewTimer(wait)
 	defer patience.Stop()
-	var d dialed
+	var result dialResult
 	select {
-	case d = <-done:
+	case result = <-done:
 	case <-ctx.Done():
 		stop()
-		d = <-done
+		result = <-done
 	case <-patience.C:
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if wait < b.cfg.Settings.ConnectTimeout {
-			b.abandonTokens = max(0, b.abandonTokens-1)
-		}
-		goesOn := !b.lateDials[id] && !b.closed
-		if goesOn {
-			b.lateDials[id] = true
-		} else {
+		goesOn := p.abandonDial(id, wait)
+		if !goesOn {
 			stop()
 		}
 		abandoned <- goesOn
 		return nil, os.ErrDeadlineExceeded
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if d.err != nil {
-		b.open--
-		return nil, d.err
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if result.err != nil {
+		p.open--
+		return nil, result.err
+	}
+	p.learnDialTime(result.conn.dialTime)
+	return result.conn, nil
+}
+
+// dialWait is how long an attempt waits for its dial.
+func (p *connPool) dialWait() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	wait := p.cfg.Settings.ConnectTimeout
+	if p.abandonTokens >= 1 {
+		wait = min(wait, max(minDialWait, dialPatienceFactor*p.usualDialTime))
+	}
+	return wait
+}
+
+// abandonDial takes note of an attempt that waits no more for its dial after wait. It reports whether the dial goes on.
+func (p *connPool) abandonDial(id string, wait time.Duration) (goesOn bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if wait < p.cfg.Settings.ConnectTimeout {
+		p.abandonTokens = max(0, p.abandonTokens-1)
+	}
+	if p.lateDials[id] || p.closed {
+		return false
 	}
-	b.learnDialTime(d.c.dialTime)
-	return d.c, nil
+	p.lateDials[id] = true
+	return true
 }
 
-// lateDial takes what has become of a dial that no attempt waits for; c: nil if nothing.
-func (b *connPool) lateDial(id string, c *serverConn, goesOn bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// lateDial takes the outcome of a dial that no attempt waits for; c is nil if it failed.
+func (p *connPool) lateDial(id string, c *serverConn, goesOn bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if goesOn {
-		delete(b.lateDials, id)
+		delete(p.lateDials, id)
 	}
 	if c == nil {
-		b.open--
+		p.open--
 		return
 	}
-	b.learnDialTime(c.dialTime)
-	b.putLocked(id, c, true)
+	p.learnDialTime(c.dialTime)
+	p.putLocked(id, c, true)
 }
 
-// learnDialTime moves the usual trip towards the median of what was seen: late ones are late by any length. The lock is held.
-func (b *connPool) learnDialTime(trip time.Duration) {
-	if trip < b.usualDialTime {
-		b.usualDialTime -= b.usualDialTime / 8
+// learnDialTime moves usualDialTime towards the median of the samples: a mean would follow the few very late ones. The lock
+// is held.
+func (p *connPool) learnDialTime(dialTime time.Duration) {
+	if dialTime < p.usualDialTime {
+		p.usualDialTime -= p.usualDialTime / dialTimeDivisor
 	} else {
-		b.usualDialTime = min(b.usualDialTime+b.usualDialTime/8+1, b.cfg.Settings.ConnectTimeout)
+		p.usualDialTime = min(p.usualDialTime+p.usualDialTime/dialTimeDivisor+1, p.cfg.Settings.ConnectTimeout)
 	}
 }
--- a/internal/protocol/http1/errors.go
+++ b/internal/protocol/http1/errors.go
@@ -8,49 +8,75 @@
 	"vetchhaven/internal/core"
 )
 
-// requestError is an answer to a request that can't be taken. Its status says 'failed', never
-// that another try is harmless.
+// requestError is why a client's request can't be handled, as the error response that the client gets. No such response
+// says that a retry is harmless.
 type requestError struct {
-	status int // 0: nobody is there to read an answer
-	text   string
-	allow  string
+	status int    // 0: nobody is there to read a response
+	text   string // of the response's body
+	allow  string // of the response's Allow field (RFC 9110, 10.2.1); empty: none
 }
 
+// Error implements error.
+func (e *requestError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.text) }
+
+// Two errors without a response. They are told apart by identity.
+var (
+	// errBodyUnread: the request has its response, and a part of its body was not read. The connection ends.
+	errBodyUnread = &requestError{}
+	// errNoReader: the connection is closed, or can't be written.
+	errNoReader = &requestError{}
+)
+
+// badRequest is a 400 (RFC 9110, 15.5.1).
 func badRequest(text string) *requestError {
 	return &requestError{status: http.StatusBadRequest, text: text}
 }
 
-// bodyFault is the answer to a client whose body can't be taken.
+// bodyFault is the error response for a body that can't be read: 413, 408 or 400 (RFC 9110, 15.5.14, 15.5.9, 15.5.1).
 func bodyFault(err error) *requestError {
 	switch {
 	case errors.Is(err, errTooLong):
-		return &requestError{status: http.StatusRequestEntityTooLarge, text: fmt.Sprintf("the body is larger than %d bytes", maxBody)}
+		return &requestError{
+			status: http.StatusRequestEntityTooLarge,
+			text:   fmt.Sprintf("the body is larger than %d bytes", maxBody),
+		}
 	case errors.Is(err, errClientTooSlow):
 		return &requestError{status: http.StatusRequestTimeout, text: "the body does not come"}
 	}
 	return badRequest("the body can't be read")
 }
 
+// Errors of a client's connection.
 var (
-	errConnectionEnded = errors.New("the connection ended before its answer")
+	errConnClosing        = errors.New("no further request is taken")
+	errClientTooSlow      = errors.New("the client sends too slowly")
+	errClientDisconnected = errors.New("the client has left")
 )
 
-// errRequestEnded is of an attempt whose request has its answer, or another one's.
-var errRequestEnded = errors.New("the request is over")
-
-// errClientFault is of an attempt that its own client has ended.
-var errClientFault = errors.New("the client is gone, or can't be understood")
+// Errors of an attempt.
+var (
+	// errConnectionEnded: the server closed or reset the connection before its response was complete.
+	errConnectionEnded = errors.New("the connection ended before its answer")
+	// errRequestEnded: the request has its final answer, by another attempt or by the client's disconnect.
+	errRequestEnded = errors.New("the request is over")
+	// errClientFault: the attempt's own client disconnected, or its body can't be read. The server is not at fault.
+	errClientFault = errors.New("the client is gone, or can't be understood")
+	// errResponseTooSlow: a streamed response brings less than minClientRate.
+	errResponseTooSlow = errors.New("the answer comes too slowly")
+)
 
-// sendRefusedError is of a write that the request's guard did not admit.
+// sendRefusedError is a write that the request's send guard did not admit.
 type sendRefusedError struct {
 	reason         core.SendRefusal
-	nothingWritten bool // nothing of the request was written
+	nothingWritten bool // not a byte of the request was sent
 	reusable       bool // the connection is as it was
 }
 
-func isSendRefused(err error, why core.SendRefusal) bool {
+// Error implements error.
+func (e *sendRefusedError) Error() string { return "not sent: " + e.reason.String() }
+
+// isSendRefused reports whether err is a write refused for a reason.
+func isSendRefused(err error, reason core.SendRefusal) bool {
 	var refused *sendRefusedError
-	return errors.As(err, &refused) && refused.reason == why
+	return errors.As(err, &refused) && refused.reason == reason
 }
-
-func (e *sendRefusedError) Error() string { return "not sent: " + e.reason.String() }
--- a/internal/protocol/http1/field.go
+++ b/internal/protocol/http1/field.go
@@ -6,12 +6,13 @@
 
 // field is one header line.
 type field struct {
-	name, value  []byte
+	name         []byte
+	value        []byte // without the white space around it
 	line         []byte // both, without the line's end
-	notForwarded bool   // ends here: it is not passed on
+	notForwarded bool   // it concerns this connection alone, or is written anew
 }
 
-// isTokenByte are the bytes of a token (RFC 9110, 5.6.2).
+// isTokenByte has the bytes that a token may have (RFC 9110, 5.6.2).
 var isTokenByte = func() (all [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		all[c] = true
@@ -19,6 +20,7 @@
 	return all
 }()
 
+// isToken reports whether b is a token: a method or a field name.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !isTokenByte[c] {
@@ -28,13 +30,15 @@
 	return len(b) > 0
 }
 
-// parseField reads one header line (RFC 9112, 5). A line that goes on from the one before is not taken.
+// parseField reads one header line. It is as strict as RFC 9112, 5.1 asks for: no white space before the colon, and no
+// continuation of the line before (obs-fold, 5.2). A value has no control characters but tabs (RFC 9110, 5.5).
 func parseField(line []byte) (f field, ok bool) {
 	i := bytes.IndexByte(line, ':')
 	if i < 0 || !isToken(line[:i]) {
 		return f, false
 	}
-	f.name, f.line = line[:i], line
+	f.name = line[:i]
+	f.line = line
 	f.value = bytes.Trim(line[i+1:], " \t")
 	for _, c := range f.value {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -44,7 +48,7 @@
 	return f, true
 }
 
-// is compares a name that has no case.
+// is reports whether the field has a name, whose case does not matter (RFC 9110, 5.1).
 func (f *field) is(name string) bool {
 	if len(f.name) != len(name) {
 		return false
@@ -58,13 +62,14 @@
 	return true
 }
 
-// cutLine cuts the first line off, without its end. ok is false where there is no end.
+// cutLine cuts off the first line, without its CRLF or LF. ok is false if b has no complete line.
 func cutLine(b []byte) (one, rest []byte, ok bool) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		return nil, b, false
 	}
-	one, rest = b[:i], b[i+1:]
+	one = b[:i]
+	rest = b[i+1:]
 	if n := len(one); n > 0 && one[n-1] == '\r' {
 		one = one[:n-1]
 	}
--- a/internal/protocol/http1/forward.go
+++ b/internal/protocol/http1/forward.go
@@ -11,57 +11,56 @@
 	"vetchhaven/internal/core"
 )
 
-// maxUploadStall is how long a backend may take no byte of an upload.
+// maxUploadStall is how long a server may take no byte of an upload. A smaller value cuts off servers that pause, a larger
+// one keeps the client's connection for longer on a server that hangs.
 const maxUploadStall = 10 * time.Second
 
-// maxResponseStall is how long an answer that streams may bring nothing.
+// maxResponseStall is how long a streamed response may bring nothing, with the same trade-off.
 const maxResponseStall = 10 * time.Second
 
-// errResponseTooSlow is of an answer that streams and does not end: it drips.
-var errResponseTooSlow = errors.New("the answer comes too slowly")
-
-// exchange writes m on a connection and reads its answer. It reports whether the last byte of m
-// was written. After an error the connection is of no further use.
-func (b *connPool) exchange(ctx context.Context, by attemptOwner, c *serverConn, m *message) (a *response, fullyWritten bool, err error) {
+// exchange writes m on a connection, and reads the response or streams it to the client. It reports whether the last byte
+// of m was written. After an error the connection must be closed, unless a sendRefusedError says otherwise.
+func (p *connPool) exchange(ctx context.Context, owner attemptOwner, c *serverConn, m *message) (a *response, fullyWritten bool, err error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(core.LongAgo) })
 	defer func() {
 		if !stop() && err == nil {
-			a.reusable = false // its deadline has passed, or is about to
+			a.reusable = false // its deadline has passed, or is being set to the past
 		}
 	}()
 	until, _ := ctx.Deadline()
 	text := m.encode(until)
 	c.writeStartedAt = time.Now()
-	if why := by.BeginWrite(c.interruptWrite); why != core.SendAllowed {
-		// The request's end may have interrupted what was not begun: its deadline must not meet the next one.
-		return nil, false, &sendRefusedError{reason: why, nothingWritten: true, reusable: stop() && c.SetDeadline(time.Time{}) == nil}
+	if reason := owner.BeginWrite(c.interruptWrite); reason != core.SendAllowed {
+		// The request's end may have set a deadline for a write that was not begun: the next request must not meet it.
+		reusable := stop() && c.SetDeadline(time.Time{}) == nil
+		return nil, false, &sendRefusedError{reason: reason, nothingWritten: true, reusable: reusable}
 	}
 	n, err := c.Write(text)
-	by.EndWrite()
-	if err != nil && n < len(text) && hasEnded(by) {
+	owner.EndWrite()
+	if err != nil && n < len(text) && hasEnded(owner) {
 		err = errRequestEnded
 	}
 	if err != nil || n < len(text) {
 		return nil, n == len(text) && m.upload == nil, err
 	}
-	in := b.readers.Get().(*bufio.Reader)
+	in := p.readers.Get().(*bufio.Reader)
 	defer func() {
 		in.Reset(nil)
-		b.readers.Put(in)
+		p.readers.Put(in)
 	}()
-	// What comes of an answer comes at once: one that stops in its midst goes no further.
-	src := &serverReader{ctx: ctx, conn: c.Conn, maxGap: b.cfg.Settings.ConnectTimeout}
+	// Servers write a response in one go: one that pauses for longer than a connection may take is cut off.
+	src := &serverReader{ctx: ctx, conn: c.Conn, maxGap: p.cfg.Settings.ConnectTimeout}
 	in.Reset(src)
 	if m.upload != nil {
-		by.MarkNotReplayable()
-		if early, err := b.sendUpload(ctx, by, c, m, in, src); early != nil || err != nil {
+		owner.MarkNotReplayable()
+		if early, err := p.sendUpload(ctx, owner, c, m, in, src); early != nil || err != nil {
 			return early, false, err
 		}
-		by.UploadCompleted()
+		owner.UploadCompleted()
 	}
-	by.Sent()
-	if a, err = readResponse(in, src, b.responseBudget); err == nil && a.remaining != nil {
-		err = b.streamResponse(ctx, by, m, a, src)
+	owner.Sent()
+	if a, err = readResponse(in, src, p.responseBudget); err == nil && a.remaining != nil {
+		err = p.streamResponse(ctx, owner, m, a, src)
 	}
 	if err != nil && src.connEnded && !errors.Is(err, errClientFault) {
 		err = fmt.Errorf("%w: %w", errConnectionEnded, err)
@@ -72,26 +71,26 @@
 	return a, true, err
 }
 
-// interruptWrite ends a write that waits for its server: once the client has its answer, or has left, the server must not
-// have the last byte.
+// interruptWrite ends a write that waits for its server: once the client has its response, or has disconnected, the server
+// must not get the last byte.
 func (c *serverConn) interruptWrite() { _ = c.SetWriteDeadline(core.LongAgo) }
 
-// sendUpload streams what is left of m's body. A backend that turns it away before the last byte may say so: early
-// is that answer.
-func (b *connPool) sendUpload(ctx context.Context, by attemptOwner, c *serverConn, m *message, in *bufio.Reader, src *serverReader) (early *response, err error) {
-	clients, err := m.upload.sendTo(ctx, by, func(text []byte) error {
+// sendUpload streams the rest of m's body. A server that rejects it before the last byte may say so (RFC 9110, 10.1.1, and
+// RFC 9112, 9.5): early is that response.
+func (p *connPool) sendUpload(ctx context.Context, owner attemptOwner, c *serverConn, m *message, in *bufio.Reader, src *serverReader) (early *response, err error) {
+	clientFault, err := m.upload.sendTo(ctx, owner, func(text []byte) error {
 		if err := c.SetWriteDeadline(time.Now().Add(maxUploadStall)); err != nil {
 			return err
 		}
-		if ctx.Err() != nil { // ended meanwhile: its deadline must not be put off
+		if ctx.Err() != nil { // ended meanwhile: the deadline that its end has set must not be put off
 			return context.Cause(ctx)
 		}
-		if why := by.ContinueWrite(c.interruptWrite); why != core.SendAllowed {
-			return &sendRefusedError{reason: why}
+		if reason := owner.ContinueWrite(c.interruptWrite); reason != core.SendAllowed {
+			return &sendRefusedError{reason: reason}
 		}
 		_, err := c.Write(text)
-		by.EndWrite()
-		if err != nil && hasEnded(by) {
+		owner.EndWrite()
+		if err != nil && hasEnded(owner) {
 			err = errRequestEnded
 		}
 		return err
@@ -99,53 +98,56 @@
 	switch {
 	case err == nil:
 		return nil, nil
-	case clients:
+	case clientFault:
 		return nil, fmt.Errorf("%w: %w", errClientFault, err)
 	case ctx.Err() != nil:
 		return nil, err
 	}
-	if e := c.SetReadDeadline(time.Now().Add(minRest)); e != nil {
+	if deadlineErr := c.SetReadDeadline(time.Now().Add(minRest)); deadlineErr != nil {
 		return nil, err
 	}
-	if a, e := readResponse(in, src, b.responseBudget); e == nil && a.neverRan && a.remaining == nil {
-		a.reusable = false
-		return a, nil
+	rejection, readErr := readResponse(in, src, p.responseBudget)
+	if readErr == nil && rejection.neverRan && rejection.remaining == nil {
+		rejection.reusable = false
+		return rejection, nil
 	}
 	return nil, err
 }
 
-// streamResponse gives the client an answer as it comes. Its server is done with it.
-func (b *connPool) streamResponse(ctx context.Context, by attemptOwner, m *message, a *response, src *serverReader) error {
+// streamResponse passes a response to the client as it comes. The server has run the request.
+func (p *connPool) streamResponse(ctx context.Context, owner attemptOwner, m *message, a *response, src *serverReader) error {
 	if m.client == nil {
 		return errTooLong
 	}
-	if !by.StartResponse(core.ServerDone) {
+	if !owner.StartResponse(core.ServerDone) {
 		return errRequestEnded
 	}
-	// The client's time no longer ends it; that nothing comes does, or too little: of all the time that the server is
-	// waited for, answerStall and what its bytes take at the slowest rate.
+	// The client's deadline no longer ends the attempt. A gap longer than maxStall does, and so does a rate below
+	// minClientRate: in all the server is waited for no longer than maxStall and what its bytes take at that rate.
 	buf := pieceBuffers.Get().(*[]byte)
 	defer pieceBuffers.Put(buf)
 	out, err := m.client.startStream(a, m.http10)
-	waited, got := time.Duration(0), 0
+	var waited time.Duration
+	received := 0
 	for err == nil {
-		src.maxGap = min(b.maxStall, b.maxStall+time.Duration(got)*time.Second/minClientRate-waited)
+		src.maxGap = min(p.maxStall, p.maxStall+time.Duration(received)*time.Second/minClientRate-waited)
 		if src.maxGap <= 0 {
 			return errResponseTooSlow
 		}
-		asked := time.Now()
-		n, e := a.remaining.Read(*buf)
-		waited, got = waited+time.Since(asked), got+n
+		readStartedAt := time.Now()
+		n, readErr := a.remaining.Read(*buf)
+		waited += time.Since(readStartedAt)
+		received += n
 		if n > 0 {
 			err = out.write((*buf)[:n])
 		}
-		if errors.Is(e, io.EOF) && err == nil {
+		if errors.Is(readErr, io.EOF) && err == nil {
 			if err = out.end(); err == nil {
 				a.finish()
 				return nil
 			}
-		} else if e != nil {
-			return e
+		} else if readErr != nil {
+			return readErr
 		}
 		if ctx.Err() != nil && err == nil {
 			return context.Cause(ctx)
--- a/internal/protocol/http1/message.go
+++ b/internal/protocol/http1/message.go
@@ -6,54 +6,63 @@
 	"time"
 )
 
-// message is a client's request as it goes on to backends: the same for every attempt, but for
-// how long the agent will wait.
+// message is a client's request as it is forwarded: the same at each attempt, but for its X-Expires-In.
 type message struct {
 	head      []byte // the request line and headers, without X-Expires-In and the empty line
 	body      []byte
-	upload    *upload     // what is to come of the body; nil: nothing
-	client    *clientConn // whose client may get an answer as it comes; nil: none may
-	http10    bool        // that client speaks HTTP/1.0
-	remaining time.Duration
+	upload    *upload       // the rest of the body; nil: body is complete
+	client    *clientConn   // may get a streamed response; nil: none may (a probe)
+	http10    bool          // the client speaks HTTP/1.0
+	remaining time.Duration // of an upload's request, counted from its last byte
 }
 
-// withClient says whose request it is, and for how long its client waits.
-func (m *message) withClient(c *clientConn, old bool, wait time.Duration) *message {
-	m.client, m.http10, m.remaining = c, old, wait
+// withClient sets the request's client, and how long it waits.
+func (m *message) withClient(c *clientConn, http10 bool, remaining time.Duration) *message {
+	m.client = c
+	m.http10 = http10
+	m.remaining = remaining
 	return m
 }
 
-// encode is the whole message as written at an attempt that waits until then.
-func (m *message) encode(until time.Time) []byte {
-	text := make([]byte, 0, len(m.head)+len(m.body)+40)
+// expiresInSize is room for the X-Expires-In line, in bytes.
+const expiresInSize = 40
+
+// encode returns the message as it is written by an attempt with a deadline; none if it is zero.
+func (m *message) encode(deadline time.Time) []byte {
+	text := make([]byte, 0, len(m.head)+len(m.body)+expiresInSize)
 	text = append(text, m.head...)
-	if !until.IsZero() {
-		wait := time.Until(until)
+	if !deadline.IsZero() {
+		remaining := time.Until(deadline)
 		if m.upload != nil { // counted from its last byte
-			wait = m.remaining
+			remaining = m.remaining
 		}
 		text = append(text, "X-Expires-In: "...)
-		text = strconv.AppendFloat(text, max(0, wait.Seconds()), 'f', 3, 64)
+		text = strconv.AppendFloat(text, max(0, remaining.Seconds()), 'f', 3, 64)
 		text = append(text, "\r\n"...)
 	}
 	text = append(text, "\r\n"...)
 	return append(text, m.body...)
 }
 
-// message is the request as it goes on, with its body, or with the beginning of one that is an upload.
-func (h *requestHead) message(target, host string, body []byte, up *upload) *message {
+// message returns the request as it is forwarded, with its body, or with the beginning of an upload's. HTTP/1.1 is written,
+// whatever the client speaks (RFC 9110, 2.5), with the framing anew.
+func (h *requestHead) message(target, host string, body []byte, rest *upload) *message {
 	text := make([]byte, 0, len(h.method)+len(target)+len(host)+64+h.size())
-	text = append(append(append(text, h.method...), ' '), target...)
-	text = append(append(append(text, " HTTP/1.1\r\nHost: "...), host...), "\r\n"...)
+	text = append(text, h.method...)
+	text = append(text, ' ')
+	text = append(text, target...)
+	text = append(text, " HTTP/1.1\r\nHost: "...)
+	text = append(text, host...)
+	text = append(text, "\r\n"...)
 	switch {
 	case string(h.method) == http.MethodGet:
-	case up != nil && up.body.length < 0:
+	case rest != nil && rest.body.length < 0:
 		text = append(text, "Transfer-Encoding: chunked\r\n"...)
 		body = appendChunk(nil, body)
 	default:
 		n := len(body)
-		if up != nil {
-			n = int(up.body.length)
+		if rest != nil {
+			n = int(rest.body.length)
 		}
 		text = append(text, "Content-Length: "...)
 		text = appendInt(text, n)
@@ -64,7 +73,8 @@
 		if f.notForwarded || h.isConnectionOption(f) {
 			continue
 		}
-		text = append(append(text, f.line...), "\r\n"...)
+		text = append(text, f.line...)
+		text = append(text, "\r\n"...)
 	}
-	return &message{head: text, body: body, upload: up}
+	return &message{head: text, body: body, upload: rest}
 }
--- a/internal/protocol/http1/probe.go
+++ b/internal/protocol/http1/probe.go
@@ -12,35 +12,41 @@
 	"vetchhaven/internal/wire"
 )
 
-// probe examines a backend: with its load report where probes bring one.
-func (b *connPool) probe(id string) decide.ProbeResult {
+// Paths of probes.
+const (
+	pingPath = "/ping"
+	loadPath = "/_load" // returns a load report
+)
+
+// probe checks a server's health, and reads its load report where the site's probes return one.
+func (p *connPool) probe(id string) decide.ProbeResult {
 	start := time.Now()
-	path := "/ping"
-	if b.cfg.Site.LoadProbed {
-		path = "/_load"
+	path := pingPath
+	if p.cfg.Site.LoadProbed {
+		path = loadPath
 	}
 	m := &message{head: []byte("GET " + path + " HTTP/1.1\r\nHost: probe\r\n")}
-	// The settings name no time-out for probes; one that takes longer than a connect may is no use.
-	ctx, cancel := context.WithTimeoutCause(context.Background(), b.cfg.Settings.ConnectTimeout, core.ErrTimedOut)
+	// The settings have no timeout for probes: the connect timeout bounds them.
+	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, core.ErrTimedOut)
 	defer cancel()
-	result, a, load := b.attempt(ctx, probeOwner{}, id, m)
-	if a != nil && b.cfg.Site.LoadProbed {
+	result, a, load := p.attempt(ctx, probeOwner{}, id, m)
+	if a != nil && p.cfg.Site.LoadProbed {
 		load = parseLoad(string(a.body))
 	}
 	return decide.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
 }
 
-// loadNames maps the names of load values on sockets to those of the settings.
+// loadNames maps the names of load values on the wire to those of the settings.
 var loadNames = map[string]string{"queue": "backlog", "inflight": "outstanding", "eps": "errors_per_s", "latency_ms": "recent_ms"}
 
-// parseLoad reads a load report such as "TEXT inflight=7, queue=2". What it can't read is left out.
+// parseLoad reads a load report such as "TEXT inflight=7, queue=2". Values that can't be read are left out.
 func parseLoad(text string) decide.Load {
 	usage := map[string]float64{}
 	text = strings.TrimSpace(text)
 	text = strings.TrimPrefix(strings.TrimPrefix(text, "Endpoint-Load-Metrics:"), " ")
 	for _, pair := range strings.Split(strings.TrimPrefix(text, "TEXT "), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		// Loads are counts and times: what is none says nothing.
+		// Loads are counts and times: others are ignored.
 		if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v <= math.MaxInt32 {
 			if known, ok := loadNames[name]; ok {
 				name = known
@@ -51,7 +57,7 @@
 	return wire.Load(usage)
 }
 
-// probeOwner is the purpose of a probe, which ends by its context alone.
+// probeOwner is the purpose of a probe, which ends by its context alone, and whose writes are always admitted.
 type probeOwner struct{}
 
 func (probeOwner) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
--- a/internal/protocol/http1/render.go
+++ b/internal/protocol/http1/render.go
@@ -9,11 +9,12 @@
 	"vetchhaven/internal/core"
 )
 
-// appendStatus begins an answer, up to the fields that are its own.
+// appendStatus begins a response: the status line, and Connection: close if it is the connection's last.
 func (f *front) appendStatus(b []byte, status int, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = appendInt(b, status)
-	b = append(append(b, ' '), http.StatusText(status)...)
+	b = append(b, ' ')
+	b = append(b, http.StatusText(status)...)
 	b = append(b, "\r\n"...)
 	if last {
 		b = append(b, "Connection: close\r\n"...)
@@ -21,7 +22,7 @@
 	return b
 }
 
-// date is the present time as a Date (RFC 9110, 6.6.1), made anew each second.
+// date is the present time as a Date field has it (RFC 9110, 6.6.1). It is formatted once a second.
 func date() string {
 	now := time.Now().Unix()
 	if d := lastDate.Load(); d != nil && d.second == now {
@@ -32,40 +33,51 @@
 	return d.text
 }
 
+// dateText is a formatted second.
 type dateText struct {
-	second int64
+	second int64 // since 1970
 	text   string
 }
 
 var lastDate atomic.Pointer[dateText]
 
-// appendError is an answer in words.
+// appendDate appends a Date field.
+func appendDate(b []byte) []byte {
+	b = append(b, "Date: "...)
+	b = append(b, date()...)
+	return append(b, "\r\n"...)
+}
+
+// appendError is a response with a text. allow is the Allow field; empty: none.
 func (f *front) appendError(b []byte, status int, text, allow string, last bool) []byte {
 	b = f.appendStatus(b, status, last)
 	if allow != "" {
-		b = append(append(append(b, "Allow: "...), allow...), "\r\n"...)
+		b = append(b, "Allow: "...)
+		b = append(b, allow...)
+		b = append(b, "\r\n"...)
 	}
 	return f.appendText(b, text)
 }
 
-// appendText ends an answer in words.
+// appendText ends a response with a text.
 func (f *front) appendText(b []byte, text string) []byte {
-	b = append(append(append(b, "Date: "...), date()...), "\r\n"...)
+	b = appendDate(b)
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\nContent-Length: "...)
 	b = appendInt(b, len(text)+1)
 	b = append(b, "\r\n\r\n"...)
-	return append(append(b, text...), '\n')
+	b = append(b, text...)
+	return append(b, '\n')
 }
 
-// appendAnswer is a final answer. If it can't be written whole, its connection ends short of its
-// Content-Length, so that the client can tell.
+// appendAnswer is the response to a request's final answer. If it can't be written completely, its connection ends short of
+// its Content-Length, which shows the client that it is incomplete (RFC 9112, 8).
 func (f *front) appendAnswer(b []byte, a core.Answer, last bool) []byte {
 	served, _ := a.Served.(*response)
 	switch {
 	case served != nil:
 		b = f.appendStatus(b, http.StatusOK, last)
 		if !served.hasDate {
-			b = append(append(append(b, "Date: "...), date()...), "\r\n"...)
+			b = appendDate(b)
 		}
 		b = append(b, served.headerLines...)
 		b = append(b, "Content-Length: "...)
@@ -85,14 +97,15 @@
 	return f.appendError(b, http.StatusBadGateway, "failed", "", last)
 }
 
-// appendRefusal says that trying again is harmless, and when to, where clients are shown that.
+// appendRefusal is the response to a rejected request: that a retry is harmless, and, where the settings allow it, after
+// what time (Retry-After, RFC 9110, 10.2.3; in fractions of a second, as this site's clients read it).
 func (f *front) appendRefusal(b []byte, a core.Answer, last bool) []byte {
-	after := a.RetryAfter
+	retryAfter := a.RetryAfter
 	b = f.appendStatus(b, http.StatusServiceUnavailable, last)
-	if after > 0 && f.cfg.Settings.RetryAfter {
-		after = min(after, f.cfg.Settings.MaxRetryAfter)
+	if retryAfter > 0 && f.cfg.Settings.RetryAfter {
+		retryAfter = min(retryAfter, f.cfg.Settings.MaxRetryAfter)
 		b = append(b, "Retry-After: "...)
-		b = strconv.AppendFloat(b, after.Seconds(), 'f', 3, 64)
+		b = strconv.AppendFloat(b, retryAfter.Seconds(), 'f', 3, 64)
 		b = append(b, "\r\n"...)
 	}
 	if a.Limit != "" {
@@ -107,4 +120,5 @@
 	return f.appendText(b, "refused, try again")
 }
 
+// appendInt appends a decimal number.
 func appendInt(b []byte, n int) []byte { return strconv.AppendInt(b, int64(n), 10) }
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -11,110 +11,136 @@
 	"vetchhaven/internal/core"
 )
 
-// handleRequest reads the rest of a request and gives it to the loop. An error is the client's last answer.
+// healthPath is where the agent reports its own health.
+const healthPath = "/_health"
+
+// handleRequest reads the rest of a request whose head is text, and submits it to the loop. An error is the connection's
+// last response.
 func (c *clientConn) handleRequest(text []byte) *requestError {
-	f := c.front
-	if !f.limiter.MarkBusy(c.conn) {
-		return &requestError{} // closed meanwhile: nobody reads an answer
+	if !c.front.limiter.MarkBusy(c.conn) {
+		return errNoReader
 	}
 	h, err := parseHead(text, c.fields)
 	c.fields = h.fields
 	if err != nil {
-		return &requestError{status: http.StatusBadRequest, text: err.Error()}
+		return badRequest(err.Error())
 	}
-	if h.http10 || h.closes {
-		c.mu.Lock()
-		c.closing = true
-		c.mu.Unlock()
+	if h.http10 || h.closes { // RFC 9112, 9.3
+		c.setClosing()
 	}
-	first, target, host, err := h.route()
+	class, target, host, err := h.route()
 	if err != nil {
-		return &requestError{status: http.StatusBadRequest, text: "the target can't be read"}
+		return badRequest("the target can't be read")
 	}
-	if rest, ok := strings.CutPrefix(target, "/_health"); ok && (rest == "" || rest[0] == '?') {
-		status := http.StatusOK
-		if !f.loop.Healthy() {
-			status = http.StatusServiceUnavailable
-		}
-		c.start += len(text)
-		if h.length > 0 || h.hasTransferCoding {
-			return badRequest("no body is taken here")
-		}
-		c.writeBuf = f.appendStatus(c.writeBuf[:0], status, c.closesAfterResponse())
-		c.writeBuf = append(c.writeBuf, "Content-Length: 0\r\n\r\n"...)
-		return c.respondLocally(c.writeBuf)
+	if query, ok := strings.CutPrefix(target, healthPath); ok && (query == "" || query[0] == '?') {
+		return c.respondHealth(&h, len(text))
 	}
-	r, fail := c.newRequest(&h, first)
+	r, fail := c.newRequest(&h, class)
 	if fail != nil {
 		return fail
 	}
 	c.start += len(text)
-	var body []byte
-	var booked int
-	var up *upload
-	if h.length > 0 || h.hasTransferCoding {
-		in, all := newRequestBody(c, &h), false
-		if body, booked, all, err = in.readBuffered(f.bodyBudget); err != nil {
-			f.bodyBudget.Release(booked)
-			return bodyFault(err)
-		}
-		if !all {
-			up = &upload{body: in, complete: make(chan struct{})}
-			r.Upload = true
-		}
+	body, fail := c.receiveBody(&h)
+	if fail != nil {
+		return fail
+	}
+	if body.upload != nil {
+		r.Upload = true
+		r.Deadline = time.Now().Add(r.Remaining) // has no effect until the upload's own last byte
+	} else {
+		// A client's time runs from when its request was sent, which ends with the last byte. That of a request behind
+		// another one was read no later than the last bytes that came meanwhile.
+		r.Deadline = c.lastReadAt.Add(r.Remaining)
+	}
+	r.Message = h.message(target, host, body.text, body.upload).withClient(c, h.http10, r.Remaining)
+	return c.submit(r, body)
+}
+
+// respondHealth answers a health check of the agent itself, whose head has headLen bytes.
+func (c *clientConn) respondHealth(h *requestHead, headLen int) *requestError {
+	status := http.StatusOK
+	if !c.front.loop.Healthy() {
+		status = http.StatusServiceUnavailable
+	}
+	c.start += headLen
+	if h.hasBody() {
+		return badRequest("no body is taken here")
+	}
+	c.writeBuf = c.front.appendStatus(c.writeBuf[:0], status, c.closesAfterResponse())
+	c.writeBuf = append(c.writeBuf, "Content-Length: 0\r\n\r\n"...)
+	return c.respondLocally(c.writeBuf)
+}
+
+// receiveBody reads a request's body as far as it is buffered.
+func (c *clientConn) receiveBody(h *requestHead) (receivedBody, *requestError) {
+	if !h.hasBody() {
+		return receivedBody{}, nil
 	}
-	// A client's time runs from when its request was sent, which ends with the last byte. That of one behind another was
-	// read no later than the last bytes that came meanwhile.
-	r.Deadline = c.lastReadAt.Add(r.Remaining)
-	if up != nil {
-		r.Deadline = time.Now().Add(r.Remaining) // of no matter until its own last byte
+	received, err := newRequestBody(c, h).readBuffered(c.front.bodyBudget)
+	if err != nil {
+		c.front.bodyBudget.Release(received.reserved)
+		return receivedBody{}, bodyFault(err)
 	}
-	r.Message = h.message(target, host, body, up).withClient(c, h.http10, r.Remaining)
-	if up == nil && !time.Now().Before(r.Deadline) { // its time has run out behind another one
-		f.bodyBudget.Release(booked)
+	return received, nil
+}
+
+// submit admits a request and gives it to the loop. It returns once the connection may go on to its next request: for an
+// upload, when its last byte has been read.
+func (c *clientConn) submit(r *core.Request, body receivedBody) *requestError {
+	f := c.front
+	if body.upload == nil && !time.Now().Before(r.Deadline) { // its deadline has passed behind another request
+		f.bodyBudget.Release(body.reserved)
 		return c.reject(r)
 	}
-	// Past what the limits let an agent hold, a request is turned away before anything has run.
+	// Past what the limits let an agent hold, a request is rejected before anything has run.
 	if f.openRequests.Add(1) > f.maxOpen.Load() {
 		f.openRequests.Add(-1)
-		f.bodyBudget.Release(booked)
-		c.mu.Lock()
-		c.closing = true // as where the connection limiter is near its capacity
-		c.mu.Unlock()
+		f.bodyBudget.Release(body.reserved)
+		c.setClosing() // as where the connection limiter is near its capacity
 		return c.reject(r)
 	}
-	// While its answer is awaited a client may be silent. Before that is: from then on next sets what bounds the reader.
+	// While its response is pending a client may be silent. The deadline is removed before the request is submitted: from
+	// then on prepareNext sets what bounds the reader.
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		f.openRequests.Add(-1)
-		f.bodyBudget.Release(booked)
-		return &requestError{} // it is closed, and nothing has been asked of anybody
+		f.bodyBudget.Release(body.reserved)
+		return errNoReader // the connection is closed, and no attempt was made
 	}
-	c.mu.Lock()
-	c.pending, c.reservedBytes, c.upload, c.streaming, c.nextStarted = r, booked, up, false, false
-	c.mu.Unlock()
-	if up != nil {
+	c.setPending(r, body)
+	if body.upload != nil {
 		f.openUploads.Add(1)
 	}
 	f.loop.Submit(r)
-	if f.loopEnded.Load() { // meanwhile, or before: it may have gone unseen
+	if f.loopEnded.Load() { // the loop may have ended before it saw the request
 		c.abortPending()
 	}
-	if up == nil || up.wait(r, f.loop, c.conn) {
+	if body.upload == nil || body.upload.wait(r, f.loop, c.conn) {
 		return nil
 	}
 	return errBodyUnread
 }
 
-// respondLocally writes an answer that needed nobody, and goes on to the next request. An error ends the reader.
+// setPending makes a request the one whose response is pending.
+func (c *clientConn) setPending(r *core.Request, body receivedBody) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending = r
+	c.reservedBytes = body.reserved
+	c.upload = body.upload
+	c.streaming = false
+	c.nextStarted = false
+}
+
+// respondLocally writes a response that no server took part in, and goes on to the next request. An error ends the reader.
 func (c *clientConn) respondLocally(text []byte) *requestError {
 	if !c.send(text) {
-		return &requestError{}
+		return errNoReader
 	}
 	c.prepareNext()
 	return nil
 }
 
-// reject answers a request of which nobody else has heard.
+// reject answers a request that was not submitted to the loop with 503.
 func (c *clientConn) reject(r *core.Request) *requestError {
 	a := core.Answer{Refused: true}
 	c.front.loop.ClassCounts(r.Class).CountAnswer(a)
@@ -122,50 +148,27 @@
 	return c.respondLocally(c.writeBuf)
 }
 
-// newRequest checks a request, up to its body.
-func (c *clientConn) newRequest(h *requestHead, first string) (r *core.Request, fail *requestError) {
-	f := c.front
-	switch {
-	// A body in chunks that comes with a Content-Length may hide a second request from one of the two sides
-	// (RFC 9112, 11.2).
-	case h.hasTransferCoding && (h.hasLength || h.http10):
-		return nil, badRequest("a body has one end: by its length or by its chunks")
-	case h.hasTransferCoding && !h.chunked:
-		return nil, &requestError{status: http.StatusNotImplemented, text: "the only transfer coding here is chunked"}
-	case h.unknownExpectation:
-		return nil, &requestError{status: http.StatusExpectationFailed, text: "what is expected is not known here"}
+// newRequest checks a head, and makes the loop's request of it. className is the first segment of the target's path.
+func (c *clientConn) newRequest(h *requestHead, className string) (*core.Request, *requestError) {
+	if fail := checkFraming(h); fail != nil {
+		return nil, fail
 	}
-	class, ok := f.classes[first]
+	class, ok := c.front.classes[className]
 	if !ok {
 		return nil, &requestError{status: http.StatusNotFound, text: "no such class of requests"}
 	}
-	settings := &f.cfg.Settings.Classes[class]
-	method := http.MethodPost
-	if settings.Effect == decide.Idempotent {
-		method = http.MethodGet
-	}
-	if string(h.method) != method {
-		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allow: method}
+	settings := &c.front.cfg.Settings.Classes[class]
+	if fail := checkClass(h, settings.Effect); fail != nil {
+		return nil, fail
 	}
-	if method == http.MethodGet && (h.length != 0 || h.hasTransferCoding) {
-		return nil, badRequest("this class has no body")
-	}
-	if h.idCount != 1 || len(h.id) == 0 || len(h.id) > maxID {
-		return nil, badRequest("X-Trace-Id: one of 1 to 256 bytes is needed")
-	}
-	if settings.Effect == decide.Keyed && (h.keyCount != 1 || len(h.key) == 0 || len(h.key) > maxID) {
-		return nil, badRequest("Idempotency-Key: one of 1 to 256 bytes is needed")
-	}
-	wait := settings.Deadline
-	if len(h.expiresIn) > 0 {
-		s, err := parseDecimal(string(h.expiresIn))
-		if err != nil || !(s > 0) {
-			return nil, badRequest("X-Expires-In: not a number of seconds above 0")
-		}
-		wait = min(wait, time.Duration(min(s, wait.Seconds())*float64(time.Second)))
+	remaining, fail := remainingTime(h, settings.Deadline)
+	if fail != nil {
+		return nil, fail
 	}
-	r = core.NewRequest(string(h.id), class, func(a core.Answer) { c.postAnswer(finalAnswer{Answer: a}) })
-	r.Remaining, r.ClientRetry, r.Client = wait, h.clientRetry, c.conn
+	r := core.NewRequest(string(h.id), class, func(a core.Answer) { c.postAnswer(finalAnswer{Answer: a}) })
+	r.Remaining = remaining
+	r.ClientRetry = h.clientRetry
+	r.Client = c.conn
 	if len(h.sizeHint) > 0 {
 		us, err := parseDecimal(string(h.sizeHint))
 		if err != nil || !(us >= 0) || us > math.MaxInt32 {
@@ -179,9 +182,60 @@
 	return r, nil
 }
 
-// parseDecimal reads a plain decimal number. ParseFloat alone also takes names and hexadecimals.
+// checkFraming checks how a request's body is delimited, and what it expects.
+func checkFraming(h *requestHead) *requestError {
+	switch {
+	// A chunked body with a Content-Length may hide a second request from one of the two sides (RFC 9112, 6.3 and 11.2).
+	// HTTP/1.0 has no transfer codings (RFC 9112, 6.1).
+	case h.hasTransferCoding && (h.hasLength || h.http10):
+		return badRequest("a body has one end: by its length or by its chunks")
+	case h.hasTransferCoding && !h.chunked: // RFC 9112, 6.1
+		return &requestError{status: http.StatusNotImplemented, text: "the only transfer coding here is chunked"}
+	case h.unknownExpectation: // RFC 9110, 10.1.1
+		return &requestError{status: http.StatusExpectationFailed, text: "what is expected is not known here"}
+	}
+	return nil
+}
+
+// checkClass checks a request against the effect of its class: method, body, request ID and idempotency key.
+func checkClass(h *requestHead, effect decide.Effect) *requestError {
+	method := http.MethodPost
+	if effect == decide.Idempotent {
+		method = http.MethodGet
+	}
+	if string(h.method) != method { // RFC 9110, 15.5.6
+		return &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allow: method}
+	}
+	if method == http.MethodGet && (h.length != 0 || h.hasTransferCoding) {
+		return badRequest("this class has no body")
+	}
+	if h.idCount != 1 || len(h.id) == 0 || len(h.id) > maxID {
+		return badRequest("X-Trace-Id: one of 1 to 256 bytes is needed")
+	}
+	if effect == decide.Keyed && (h.keyCount != 1 || len(h.key) == 0 || len(h.key) > maxID) {
+		return badRequest("Idempotency-Key: one of 1 to 256 bytes is needed")
+	}
+	return nil
+}
+
+// remainingTime is how long a request's client waits: as X-Expires-In says, and no longer than its class's deadline.
+func remainingTime(h *requestHead, deadline time.Duration) (time.Duration, *requestError) {
+	if len(h.expiresIn) == 0 {
+		return deadline, nil
+	}
+	seconds, err := parseDecimal(string(h.expiresIn))
+	if err != nil || !(seconds > 0) {
+		return 0, badRequest("X-Expires-In: not a number of seconds above 0")
+	}
+	return min(deadline, time.Duration(min(seconds, deadline.Seconds())*float64(time.Second))), nil
+}
+
+// maxDecimal is how many bytes a decimal number in a field may have.
+const maxDecimal = 32
+
+// parseDecimal reads a plain decimal number. strconv.ParseFloat alone also takes names and hexadecimals.
 func parseDecimal(text string) (float64, error) {
-	if strings.Trim(text, "+-.eE0123456789") != "" || len(text) > 32 {
+	if strings.Trim(text, "+-.eE0123456789") != "" || len(text) > maxDecimal {
 		return 0, strconv.ErrSyntax
 	}
 	return strconv.ParseFloat(text, 64)
--- a/internal/protocol/http1/requestbody.go
+++ b/internal/protocol/http1/requestbody.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"os"
+	"slices"
 	"sync"
 	"time"
 
@@ -12,40 +13,43 @@
 )
 
 const (
-	maxBody         = 32 << 20  // bytes of a body, both ways
-	maxBufferedBody = 256 << 10 // of a request's body that is read whole before the request counts; more is an upload
-	streamPieceSize = 32 << 10  // of a body that streams is held at once
-	// minClientRate is the least rate of a client, in bytes a second, while it is waited for. Half of what slow clients
-	// are known to send at.
+	// maxBody is how many bytes a body may have, of requests and of responses. A longer one is answered with 413.
+	maxBody = 32 << 20
+	// maxBufferedBody is how many bytes of a request's body are read before the request is submitted; a longer body is an
+	// upload, which can be sent only once. A larger value takes more memory for each request, a smaller one makes more
+	// requests impossible to retry.
+	maxBufferedBody = 256 << 10
+	// firstBufferSize is how many bytes are reserved at first for a body of unknown length; it doubles as needed.
+	firstBufferSize = 4 << 10
+	// streamPieceSize is how many bytes of a streamed body are held at once.
+	streamPieceSize = 32 << 10
+	// minClientRate is the least rate of a client, in bytes a second, while it is waited for: half of what slow clients are
+	// known to send at. A larger value cuts off slower clients, a smaller one lets them hold their slots for longer.
 	minClientRate = 32 << 10
 )
 
-var (
-	errClientTooSlow      = errors.New("the client sends too slowly")
-	errClientDisconnected = errors.New("the client has left")
-)
-
 // requestBody reads a request's body as it comes on its client's connection, and no further.
 type requestBody struct {
 	client          *clientConn
-	length          int64 // as told; -1: in chunks
-	remaining       int64
-	chunks          *chunkedBody // of a length that was not told
-	expectsContinue bool         // the client waits to be told so (RFC 9110, 10.1.1)
-	wireBytes       int64
-	waitedForClient time.Duration // for the client
+	length          int64         // of the Content-Length; -1: chunked
+	remaining       int64         // of length
+	chunks          *chunkedBody  // nil: not chunked
+	expectsContinue bool          // the client waits for a 100 (RFC 9110, 10.1.1)
+	wireBytes       int64         // read so far, framing included
+	waitedForClient time.Duration // in all
 }
 
+// newRequestBody returns the body behind a head. A Transfer-Encoding overrides a length (RFC 9112, 6.3).
 func newRequestBody(c *clientConn, h *requestHead) *requestBody {
 	b := &requestBody{client: c, length: h.length, remaining: h.length, expectsContinue: h.expectsContinue}
 	if h.hasTransferCoding {
 		b.length = -1
-		b.chunks = &chunkedBody{in: bufio.NewReaderSize(wireReader{b}, 4<<10)}
+		b.chunks = &chunkedBody{in: bufio.NewReaderSize(wireReader{b}, firstBufferSize)}
 	}
 	return b
 }
 
-// Read gives what has come. io.EOF: all of it has.
+// Read returns what has come. io.EOF: the body is complete.
 func (b *requestBody) Read(p []byte) (int, error) {
 	if b.chunks != nil {
 		n, err := b.chunks.Read(p)
@@ -65,17 +69,18 @@
 	return n, unexpected(err)
 }
 
-// returnUnread leaves what was read past the end to the next request.
+// returnUnread puts what was read past the body's end back into the connection's buffer, for the next request.
 func (b *requestBody) returnUnread() {
 	if n := b.chunks.in.Buffered(); n > 0 {
 		rest, _ := b.chunks.in.Peek(n)
 		c := b.client
-		c.buf, c.start = append(append([]byte(nil), rest...), c.buf[c.start:c.end]...), 0
+		c.buf = append(slices.Clone(rest), c.buf[c.start:c.end]...)
+		c.start = 0
 		c.end = len(c.buf)
 	}
 }
 
-// wireReader reads bytes of the connection, framing included.
+// wireReader reads a body's bytes from its connection, framing included.
 type wireReader struct{ *requestBody }
 
 func (b wireReader) Read(p []byte) (int, error) {
@@ -92,19 +97,19 @@
 			return 0, io.ErrUnexpectedEOF
 		}
 	}
-	// A gap in what comes is bounded, and all of them together: one that stops coming must not hold its
-	// connection for ever, nor one that drips.
+	// Each wait is bounded, and so are all of them together: neither a client that stops sending nor one that sends a byte
+	// now and then may hold its connection for ever.
 	limit := min(core.HeadTimeout, core.HeadTimeout+time.Duration(b.wireBytes)*time.Second/minClientRate-b.waitedForClient)
 	if limit <= 0 {
 		return 0, errClientTooSlow
 	}
-	now := time.Now()
-	if err := c.conn.SetReadDeadline(now.Add(limit)); err != nil {
+	startedAt := time.Now()
+	if err := c.conn.SetReadDeadline(startedAt.Add(limit)); err != nil {
 		return 0, err
 	}
 	n, err := c.conn.Read(p)
 	c.lastReadAt = time.Now()
-	b.waitedForClient += c.lastReadAt.Sub(now)
+	b.waitedForClient += c.lastReadAt.Sub(startedAt)
 	b.wireBytes += int64(n)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		err = errClientTooSlow
@@ -115,40 +120,62 @@
 	return 0, err
 }
 
-// readBuffered reads a body to its end, as long as it is small and there is room for it. all is false where it is
-// an upload, of which text is the beginning. What is read is booked.
-func (b *requestBody) readBuffered(budget *core.ByteBudget) (text []byte, reserved int, complete bool, err error) {
-	size := 4 << 10 // to begin with
+// receivedBody is a request's body: complete, or the beginning of an upload.
+type receivedBody struct {
+	text     []byte
+	reserved int     // bytes of the body budget; to be released by whoever has the body
+	upload   *upload // nil: the body is complete
+}
+
+// readBuffered reads a body to its end, as long as it is short and the budget has room for it; else it is an upload. What
+// was reserved is to be released after an error too.
+func (b *requestBody) readBuffered(budget *core.ByteBudget) (received receivedBody, err error) {
+	size := firstBufferSize
+	if b.length > maxBufferedBody {
+		return b.asUpload(nil, 0), nil
+	}
 	if b.length >= 0 {
-		if size = int(b.length); b.length > maxBufferedBody {
-			return nil, 0, false, nil
-		}
+		size = int(b.length)
 	}
 	if !budget.Acquire(size) {
-		return nil, 0, false, nil
+		return b.asUpload(nil, 0), nil
 	}
-	text, reserved = make([]byte, 0, size), size
+	reserved := size
+	text := make([]byte, 0, size)
 	for {
 		if len(text) == cap(text) && b.length < 0 {
 			more := cap(text)
 			if reserved+more > maxBufferedBody || !budget.Acquire(more) {
-				return text, reserved, false, nil
+				return b.asUpload(text, reserved), nil
 			}
 			reserved += more
 			text = append(make([]byte, 0, reserved), text...)
 		}
 		if int64(len(text)) == b.length {
-			return text, reserved, true, nil
+			return receivedBody{text: text, reserved: reserved}, nil
 		}
 		n, err := b.Read(text[len(text):cap(text)])
 		text = text[:len(text)+n]
 		if errors.Is(err, io.EOF) {
-			return text, reserved, true, nil
+			return receivedBody{text: text, reserved: reserved}, nil
 		}
 		if err != nil {
-			return text, reserved, false, err
+			return receivedBody{reserved: reserved}, err
 		}
 	}
 }
 
-var pieceBuffers = sync.Pool{New: func() any { b := make([]byte, streamPieceSize); return &b }}
+// asUpload is the body as an upload, of which text was read already.
+func (b *requestBody) asUpload(text []byte, reserved int) receivedBody {
+	return receivedBody{
+		text:     text,
+		reserved: reserved,
+		upload:   &upload{body: b, complete: make(chan struct{})},
+	}
+}
+
+// pieceBuffers holds buffers (*[]byte) of streamPieceSize bytes.
+var pieceBuffers = sync.Pool{New: func() any {
+	buf := make([]byte, streamPieceSize)
+	return &buf
+}}
--- a/internal/protocol/http1/requesthead.go
+++ b/internal/protocol/http1/requesthead.go
@@ -9,26 +9,34 @@
 
 // requestHead is a request's head as it came. It refers to the bytes that it was read from.
 type requestHead struct {
-	method, target []byte
-	http10         bool // of HTTP/1.0
-	fields         []field
-
-	host                []byte
-	hostCount           int
-	length              int64 // of the body; 0 where none is told
-	hasLength           bool  // a length is told
-	hasTransferCoding   bool  // the body has a transfer coding
-	chunked             bool  // which is chunked alone
-	expectsContinue     bool
-	unknownExpectation  bool
-	idCount, keyCount   int
-	id, key             []byte
-	expiresIn, sizeHint []byte
-	clientRetry         bool
-	connectionOptions   [][]byte // what Connection names (RFC 9110, 7.6.1)
-	closes              bool
+	method []byte
+	target []byte
+	http10 bool // the client speaks HTTP/1.0
+	fields []field
+
+	host      []byte
+	hostCount int
+
+	length             int64 // of Content-Length; 0 without one
+	hasLength          bool
+	hasTransferCoding  bool
+	chunked            bool // the only transfer coding is chunked
+	expectsContinue    bool // Expect: 100-continue
+	unknownExpectation bool // another Expect
+
+	id          []byte // X-Trace-Id
+	idCount     int
+	key         []byte // Idempotency-Key
+	keyCount    int
+	expiresIn   []byte // the first X-Expires-In, in seconds
+	sizeHint    []byte // the first X-Size-Hint, in microseconds
+	clientRetry bool   // X-Second-Try: 1
+
+	connectionOptions [][]byte // of Connection, without close (RFC 9110, 7.6.1)
+	closes            bool     // Connection: close (RFC 9112, 9.6)
 }
 
+// Errors of a head. Their texts are bodies of responses with status 400.
 var (
 	errHead    = errors.New("the head can't be read")
 	errVersion = errors.New("HTTP/1.1 is spoken here")
@@ -36,7 +44,8 @@
 	errLength  = errors.New("the Content-Length can't be read")
 )
 
-// headEnd is where a head ends in b, behind its empty line; 0: it does not.
+// headEnd is where a head ends in b, behind its empty line; 0: it is not complete. A line may end with LF alone (RFC 9112,
+// 2.2).
 func headEnd(b []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(b[at:], '\n')
@@ -53,28 +62,16 @@
 	}
 }
 
-// parseHead reads a request line and header lines, which end with an empty one (RFC 9112, 3 and 5).
+// parseHead reads a request line and header lines, which end with an empty one (RFC 9112, 3 and 5). fields is reused.
 func parseHead(b []byte, fields []field) (h requestHead, err error) {
 	h.fields = fields[:0]
-	first, b, ok := cutLine(b)
+	requestLine, b, ok := cutLine(b)
 	if !ok {
 		return h, errHead
 	}
-	var rest, version []byte
-	if h.method, rest, ok = bytes.Cut(first, []byte{' '}); !ok || !isToken(h.method) {
-		return h, errHead
+	if err := h.parseRequestLine(requestLine); err != nil {
+		return h, err
 	}
-	if h.target, version, ok = bytes.Cut(rest, []byte{' '}); !ok || len(h.target) == 0 {
-		return h, errHead
-	}
-	switch string(version) {
-	case "HTTP/1.1":
-	case "HTTP/1.0":
-		h.http10 = true
-	default:
-		return h, errVersion
-	}
-	lengths := 0
 	for {
 		var one []byte
 		if one, b, ok = cutLine(b); !ok {
@@ -87,65 +84,109 @@
 		if !ok {
 			return h, errHead
 		}
-		switch {
-		case f.is("Host"):
-			h.hostCount++
-			h.host, f.notForwarded = f.value, true
-		case f.is("Content-Length"):
-			f.notForwarded, h.hasLength = true, true
-			if lengths++; lengths > 1 || !parseDigits(f.value, &h.length) {
-				return h, errLength
-			}
-		case f.is("Transfer-Encoding"):
-			h.chunked = !h.hasTransferCoding && strings.EqualFold(string(f.value), "chunked")
-			h.hasTransferCoding, f.notForwarded = true, true
-		case f.is("Connection"):
-			f.notForwarded = true
-			for name := range bytes.SplitSeq(f.value, []byte{','}) {
-				if name = bytes.TrimSpace(name); strings.EqualFold(string(name), "close") {
-					h.closes = true
-				} else if len(name) > 0 {
-					h.connectionOptions = append(h.connectionOptions, name)
-				}
-			}
-		case f.is("Expect"):
-			f.notForwarded = true
-			if strings.EqualFold(string(f.value), "100-continue") {
-				h.expectsContinue = true
-			} else {
-				h.unknownExpectation = true
-			}
-		case f.is("X-Trace-Id"):
-			h.idCount++
-			h.id = f.value
-		case f.is("Idempotency-Key"):
-			h.keyCount++
-			h.key = f.value
-		case f.is("X-Expires-In"):
-			f.notForwarded = true
-			if h.expiresIn == nil {
-				h.expiresIn = f.value
-			}
-		case f.is("X-Size-Hint"):
-			if h.sizeHint == nil {
-				h.sizeHint = f.value
-			}
-		case f.is("X-Second-Try"):
-			h.clientRetry = h.clientRetry || string(f.value) == "1"
-		case f.is("Keep-Alive"), f.is("Proxy-Connection"), f.is("Te"), f.is("Trailer"), f.is("Upgrade"):
-			f.notForwarded = true
+		if err := h.addField(f); err != nil {
+			return h, err
 		}
-		h.fields = append(h.fields, f)
 	}
-	if h.hostCount > 1 || h.hostCount == 0 && !h.http10 {
+	if h.hostCount > 1 || h.hostCount == 0 && !h.http10 { // RFC 9112, 3.2
 		return h, errHost
 	}
 	return h, nil
 }
 
-// parseDigits reads a decimal number of digits alone.
+// parseRequestLine reads method, target and version (RFC 9112, 3).
+func (h *requestHead) parseRequestLine(requestLine []byte) error {
+	var ok bool
+	var rest, version []byte
+	if h.method, rest, ok = bytes.Cut(requestLine, []byte{' '}); !ok || !isToken(h.method) {
+		return errHead
+	}
+	if h.target, version, ok = bytes.Cut(rest, []byte{' '}); !ok || len(h.target) == 0 {
+		return errHead
+	}
+	switch string(version) {
+	case "HTTP/1.1":
+	case "HTTP/1.0":
+		h.http10 = true
+	default:
+		return errVersion
+	}
+	return nil
+}
+
+// addField takes note of a header line.
+func (h *requestHead) addField(f field) error {
+	switch {
+	case f.is("Host"):
+		h.hostCount++
+		h.host = f.value
+		f.notForwarded = true
+	case f.is("Content-Length"): // one alone, of digits alone (RFC 9110, 8.6; RFC 9112, 6.3)
+		repeated := h.hasLength
+		h.hasLength = true
+		f.notForwarded = true
+		if repeated || !parseDigits(f.value, &h.length) {
+			return errLength
+		}
+	case f.is("Transfer-Encoding"): // RFC 9112, 6.1
+		h.chunked = !h.hasTransferCoding && strings.EqualFold(string(f.value), "chunked")
+		h.hasTransferCoding = true
+		f.notForwarded = true
+	case f.is("Connection"):
+		h.addConnectionOptions(f.value)
+		f.notForwarded = true
+	case f.is("Expect"): // RFC 9110, 10.1.1
+		if strings.EqualFold(string(f.value), "100-continue") {
+			h.expectsContinue = true
+		} else {
+			h.unknownExpectation = true
+		}
+		f.notForwarded = true
+	case f.is("X-Trace-Id"):
+		h.idCount++
+		h.id = f.value
+	case f.is("Idempotency-Key"):
+		h.keyCount++
+		h.key = f.value
+	case f.is("X-Expires-In"):
+		if h.expiresIn == nil {
+			h.expiresIn = f.value
+		}
+		f.notForwarded = true
+	case f.is("X-Size-Hint"):
+		if h.sizeHint == nil {
+			h.sizeHint = f.value
+		}
+	case f.is("X-Second-Try"):
+		h.clientRetry = h.clientRetry || string(f.value) == "1"
+	case f.is("Keep-Alive"), f.is("Proxy-Connection"), f.is("Te"), f.is("Trailer"), f.is("Upgrade"):
+		f.notForwarded = true // hop by hop (RFC 9110, 7.6.1)
+	}
+	h.fields = append(h.fields, f)
+	return nil
+}
+
+// addConnectionOptions reads a Connection field (RFC 9110, 7.6.1).
+func (h *requestHead) addConnectionOptions(value []byte) {
+	for option := range bytes.SplitSeq(value, []byte{','}) {
+		option = bytes.TrimSpace(option)
+		if strings.EqualFold(string(option), "close") {
+			h.closes = true
+		} else if len(option) > 0 {
+			h.connectionOptions = append(h.connectionOptions, option)
+		}
+	}
+}
+
+// hasBody reports whether a body of any length but 0 follows.
+func (h *requestHead) hasBody() bool { return h.length > 0 || h.hasTransferCoding }
+
+// maxDigits is how many digits fit in an int64, whatever they are.
+const maxDigits = 18
+
+// parseDigits reads a decimal number of digits alone (RFC 9110, 8.6).
 func parseDigits(b []byte, n *int64) bool {
-	if len(b) == 0 || len(b) > 18 {
+	if len(b) == 0 || len(b) > maxDigits {
 		return false
 	}
 	*n = 0
@@ -158,7 +199,7 @@
 	return true
 }
 
-// plainTarget reports whether a target needs no further reading: a path and a query of common bytes.
+// plainTarget reports whether a target is in origin form (RFC 9112, 3.2.1) and of bytes that need no parsing by net/url.
 func plainTarget(t []byte) bool {
 	if t[0] != '/' {
 		return false
@@ -171,7 +212,8 @@
 	return true
 }
 
-// route is the first part of the path, the target as it goes on, and the host.
+// route returns the first segment of the path, which names the class, the target in origin form as it is forwarded, and the
+// host.
 func (h *requestHead) route() (first, target, host string, err error) {
 	if plainTarget(h.target) {
 		path, _, _ := bytes.Cut(h.target[1:], []byte{'?'})
@@ -183,7 +225,7 @@
 		return "", "", "", err
 	}
 	host = string(h.host)
-	if u.Host != "" { // the absolute form (RFC 9112, 3.2.2)
+	if u.Host != "" { // the absolute form overrides Host (RFC 9112, 3.2.2)
 		host = u.Host
 	}
 	first, _, _ = strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
@@ -191,7 +233,7 @@
 	return first, on.RequestURI(), host, nil
 }
 
-// isConnectionOption reports whether Connection names a field, which then ends here.
+// isConnectionOption reports whether Connection names a field, which is then not forwarded (RFC 9110, 7.6.1).
 func (h *requestHead) isConnectionOption(f *field) bool {
 	for _, name := range h.connectionOptions {
 		if f.is(string(name)) {
@@ -201,6 +243,7 @@
 	return false
 }
 
+// size is how many bytes the header lines have.
 func (h *requestHead) size() (n int) {
 	for i := range h.fields {
 		n += len(h.fields[i].line) + 2
--- a/internal/protocol/http1/responsereader.go
+++ b/internal/protocol/http1/responsereader.go
@@ -16,44 +16,49 @@
 	"vetchhaven/internal/core"
 )
 
-// response is a backend's answer: whole, or its head and the beginning of a body that streams.
+// response is a server's response: complete, or its head and the beginning of a body that streams.
 type response struct {
 	status      int
-	headerLines []byte // the header lines that are passed on, each with its end
+	headerLines []byte // the header lines that are forwarded, each with its end
 	hasDate     bool   // one of them is a Date
 	loadReport  string // Endpoint-Load-Metrics
 	neverRan    bool   // X-Never-Ran: 1
 	body        []byte
-	length      int64     // of the body; -1: only its end tells
-	remaining   io.Reader // what is to come of the body; nil: nothing
-	finish      func()    // at the end of rest: whether the connection may carry another request
+	length      int64     // of the body; -1: only its end shows it
+	remaining   io.Reader // the rest of the body; nil: the body is complete
+	finish      func()    // sets reusable; called at the body's end
 	reusable    bool      // the connection may carry another request
 }
 
 const (
-	maxResponseHead = 16 << 10 // bytes of the heads of one answer, 1xx ones included
-	// What is longer reaches its client as it comes: of such answers the first bytes are waited for.
+	// maxResponseHead is how many bytes the heads of one response may have, 1xx ones included.
+	maxResponseHead = 16 << 10
+	// maxBufferedResponse is how many bytes of a body are read before the response is handed on; a longer one streams. A
+	// larger value takes more memory; a streamed response can't be replaced by another attempt's.
 	maxBufferedResponse = 64 << 10
-	// An answer whose length is not told is taken for a long one when it has been coming for so long.
+	// streamAfter is after what time a response of unknown length streams. A larger value holds back what slow servers send,
+	// a smaller one streams more short responses.
 	streamAfter = 50 * time.Millisecond
 )
 
+// Errors of a response, or of a body in either direction.
 var (
 	errTooLong   = errors.New("longer than a body may be")
 	errNoFraming = errors.New("an answer whose end can't be told")
+	errField     = errors.New("a header line that is none")
 )
 
-// serverReader reads from a backend no more than so many bytes at a time: nothing that a backend sends
-// is believed to end.
+// serverReader reads from a server's connection no more than its budget: nothing that a server sends is believed to end.
 type serverReader struct {
 	ctx       context.Context
 	conn      net.Conn
-	maxGap    time.Duration // the longest gap once the answer has begun
-	started   bool
-	connEnded bool // the connection has ended
-	budget    int
+	maxGap    time.Duration // the longest pause once the response has begun
+	started   bool          // the response has begun
+	connEnded bool          // the last read failed by the connection's end, not by a deadline
+	budget    int           // bytes that may still be read
 }
 
+// Read implements io.Reader. From the second read on each wait is bounded by maxGap.
 func (s *serverReader) Read(p []byte) (int, error) {
 	if s.budget <= 0 {
 		return 0, errTooLong
@@ -62,7 +67,7 @@
 		if err := s.conn.SetReadDeadline(time.Now().Add(s.maxGap)); err != nil {
 			return 0, err
 		}
-		if s.ctx.Err() != nil { // ended meanwhile: its deadline must not be put off
+		if s.ctx.Err() != nil { // ended meanwhile: the deadline that its end has set must not be put off
 			return 0, s.ctx.Err()
 		}
 	}
@@ -73,113 +78,134 @@
 	return n, err
 }
 
-// readResponse reads one answer whole, or up to where it has to stream: a served one that is long, or for which
-// there is no room. The framing is read here, and more strictly than http.ReadResponse does it: an answer that
-// tells its end twice, or not at all, can't be told from a part of one.
+// readResponse reads a response completely, or up to where it has to stream: a served one that is long, or for which the
+// budget has no room. The framing is checked more strictly than http.ReadResponse does it: a response that gives its end
+// twice, or not at all, can't be told from a part of one (RFC 9112, 6.3 and 8).
 func readResponse(in *bufio.Reader, src *serverReader, budget *core.ByteBudget) (*response, error) {
 	src.budget = maxResponseHead
-	a := &response{}
-	var h responseFraming
-	for a.status < 200 { // 1xx ones come ahead of the answer
+	r := &response{}
+	framing, err := r.readHeads(in)
+	if err != nil {
+		return nil, err
+	}
+	r.finish = func() {
+		r.reusable = in.Buffered() == 0 && !framing.closes
+	}
+	if r.status == http.StatusNoContent || r.status == http.StatusNotModified { // without a body (RFC 9112, 6.3)
+		r.finish()
+		return r, nil
+	}
+	body, err := r.delimitBody(framing, in, src)
+	if err != nil {
+		return nil, err
+	}
+	if err := r.readBody(body, budget); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// readHeads reads the final head, and those with a status of 1xx before it (RFC 9110, 15.2).
+func (r *response) readHeads(in *bufio.Reader) (framing responseFraming, err error) {
+	for r.status < http.StatusOK {
 		line, err := readLine(in)
 		if err != nil {
-			return nil, err
+			return framing, err
 		}
-		if a.status, err = parseStatus(string(line)); err != nil {
-			return nil, err
+		if r.status, err = parseStatus(string(line)); err != nil {
+			return framing, err
 		}
-		if h, err = a.readHeader(in); err != nil {
-			return nil, err
+		if framing, err = r.readHeader(in); err != nil {
+			return framing, err
 		}
 	}
-	a.finish = func() {
-		a.reusable = in.Buffered() == 0 && !h.closes
-	}
-	var body io.Reader
+	return framing, nil
+}
+
+// delimitBody returns the body's reader, by what the head says of its end (RFC 9112, 6.3), and sets the length.
+func (r *response) delimitBody(framing responseFraming, in *bufio.Reader, src *serverReader) (io.Reader, error) {
 	switch {
-	case a.status == http.StatusNoContent || a.status == http.StatusNotModified:
-		a.finish()
-		return a, nil
-	case h.transferCodings == 1 && h.chunked && h.contentLengths == 0:
-		a.length, body = -1, &chunkedBody{in: in}
+	case framing.transferCodings == 1 && framing.chunked && framing.contentLengths == 0:
+		r.length = -1
 		src.budget += maxBody + framePerByte*maxBody
-	case h.transferCodings == 0 && h.contentLengths == 1:
-		n, err := strconv.ParseUint(h.length, 10, 63)
+		return &chunkedBody{in: in}, nil
+	case framing.transferCodings == 0 && framing.contentLengths == 1:
+		n, err := strconv.ParseUint(framing.length, 10, 63)
 		switch {
 		case err != nil:
 			return nil, err
 		case n > maxBody:
 			return nil, errTooLong
 		}
-		a.length, body = int64(n), &fixedLengthBody{in: in, remaining: int64(n)}
+		r.length = int64(n)
 		src.budget += int(n)
-	case h.transferCodings == 0 && h.contentLengths == 0 && h.closes:
-		a.length, body = -1, &closeDelimitedBody{in: in, src: src}
+		return &fixedLengthBody{in: in, remaining: int64(n)}, nil
+	case framing.transferCodings == 0 && framing.contentLengths == 0 && framing.closes:
+		r.length = -1
 		src.budget += maxBody + 1
-	default:
-		return nil, errNoFraming
+		return &closeDelimitedBody{in: in, src: src}, nil
 	}
-	if err := a.readBody(body, budget); err != nil {
-		return nil, err
-	}
-	return a, nil
+	return nil, errNoFraming
 }
 
-// responseFraming is what an answer's head says of its end and its connection.
+// responseFraming is what a response's head says of its end and its connection.
 type responseFraming struct {
-	transferCodings, contentLengths int
-	chunked, closes                 bool
-	length                          string
+	transferCodings int // how many Transfer-Encoding fields it has
+	contentLengths  int // how many Content-Length fields it has
+	chunked         bool
+	closes          bool   // Connection: close
+	length          string // the last Content-Length
 }
 
-var errField = errors.New("a header line that is none")
-
 // readHeader reads the header lines, up to the empty one.
-func (a *response) readHeader(in *bufio.Reader) (h responseFraming, err error) {
-	a.headerLines, a.hasDate, a.loadReport, a.neverRan = a.headerLines[:0], false, "", false
+func (r *response) readHeader(in *bufio.Reader) (framing responseFraming, err error) {
+	r.headerLines = r.headerLines[:0]
+	r.hasDate = false
+	r.loadReport = ""
+	r.neverRan = false
 	for {
 		line, err := readLine(in)
 		if err != nil {
-			return h, err
+			return framing, err
 		}
 		if len(line) == 0 {
-			return h, nil
+			return framing, nil
 		}
 		f, ok := parseField(line)
 		if !ok {
-			return h, fmt.Errorf("%w: %.40q", errField, line)
+			return framing, fmt.Errorf("%w: %.40q", errField, line)
 		}
 		switch {
 		case f.is("Transfer-Encoding"):
-			h.transferCodings++
-			h.chunked = strings.EqualFold(string(f.value), "chunked")
+			framing.transferCodings++
+			framing.chunked = strings.EqualFold(string(f.value), "chunked")
 			continue
 		case f.is("Content-Length"):
-			h.contentLengths++
-			h.length = string(f.value)
+			framing.contentLengths++
+			framing.length = string(f.value)
 			continue
 		case f.is("Connection"):
-			h.closes = h.closes || strings.Contains(strings.ToLower(string(f.value)), "close")
+			framing.closes = framing.closes || strings.Contains(strings.ToLower(string(f.value)), "close")
 			continue
 		case f.is("Keep-Alive"), f.is("Proxy-Connection"), f.is("Te"), f.is("Trailer"), f.is("Upgrade"), f.is("Expect"), f.is("X-Expires-In"):
-			continue // they end here (RFC 9110, 7.6.1)
+			continue // not forwarded (RFC 9110, 7.6.1)
 		case f.is("Endpoint-Load-Metrics"):
-			if a.loadReport == "" {
-				a.loadReport = string(f.value)
+			if r.loadReport == "" {
+				r.loadReport = string(f.value)
 			}
 		case f.is("X-Never-Ran"):
-			a.neverRan = a.neverRan || string(f.value) == "1"
+			r.neverRan = r.neverRan || string(f.value) == "1"
 		case f.is("Date"):
-			a.hasDate = true
+			r.hasDate = true
 		}
-		a.headerLines = append(append(a.headerLines, line...), "\r\n"...)
+		r.headerLines = append(append(r.headerLines, line...), "\r\n"...)
 	}
 }
 
-// readLine reads one line, without its end. It is good until the next read.
+// readLine reads one line, without its CRLF or LF. The line is valid until the next read.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	one, err := in.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) { // a long one: what a source may send bounds it
+	if errors.Is(err, bufio.ErrBufferFull) { // longer than the buffer: the serverReader's budget bounds it
 		long := append([]byte(nil), one...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			one, err = in.ReadSlice('\n')
@@ -197,7 +223,7 @@
 	return one, nil
 }
 
-// parseStatus reads a status line of HTTP/1.1.
+// parseStatus reads a status line of HTTP/1.1 (RFC 9112, 4). 101 is not expected: no upgrade is forwarded.
 func parseStatus(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
--- a/internal/protocol/http1/responsewriter.go
+++ b/internal/protocol/http1/responsewriter.go
@@ -4,21 +4,24 @@
 	"vetchhaven/internal/core"
 )
 
-// finalAnswer is what the writer is told: a final answer, or that none will follow.
+// maxRetainedWriteBuf is the largest write buffer, in bytes, that a connection keeps between responses.
+const maxRetainedWriteBuf = 16 << 10
+
+// finalAnswer is a message to the writer: a request's final answer, or that none will follow.
 type finalAnswer struct {
 	core.Answer
-	last bool
+	last bool // none will follow, and Answer is empty
 }
 
-// postAnswer tells the writer. It never waits: a request is answered once.
-func (c *clientConn) postAnswer(r finalAnswer) {
+// postAnswer passes a message to the writer. It never waits: a request is answered once.
+func (c *clientConn) postAnswer(a finalAnswer) {
 	select {
-	case c.finalAnswers <- r:
+	case c.finalAnswers <- a:
 	default:
 	}
 }
 
-// abortPending answers what is open failed, where the loop has ended and will not.
+// abortPending answers the pending request as failed, where the loop has ended and will not answer it.
 func (c *clientConn) abortPending() {
 	c.mu.Lock()
 	r := c.pending
@@ -28,41 +31,51 @@
 	}
 }
 
-// runWriter gives answers, until the reader has ended and none is awaited.
+// runWriter writes responses, until the reader has ended and none is pending.
 func (c *clientConn) runWriter() {
-	for r := range c.finalAnswers {
-		if r.last {
+	for a := range c.finalAnswers {
+		if a.last {
 			return
 		}
 		if !c.hasPending() {
 			continue // answered twice, as the agent ended
 		}
-		text := c.finishPending(r.Answer)
-		ok := text != nil && (len(text) == 0 || c.send(text))
-		if cap(text) <= 16<<10 {
-			c.writeBuf = text
-		} else {
-			c.writeBuf = nil
-		}
-		if !ok {
-			c.mu.Lock()
-			c.closing = true
-			c.mu.Unlock()
-			_ = c.conn.Close()
-		}
+		c.writeResponse(a.Answer)
 		c.prepareNext()
-		c.mu.Lock()
-		over := c.readerEnded
-		c.mu.Unlock()
-		if over {
+		if c.hasReaderEnded() {
 			return
 		}
 	}
 }
 
-// finishPending ends the open request with its final answer, and returns what is still to be written of that; nil: it
-// can't be, and the client must see so.
-func (c *clientConn) finishPending(a core.Answer) []byte {
+// writeResponse ends the pending request, and writes what is still to be written of its response. After an error the
+// connection is closed.
+func (c *clientConn) writeResponse(a core.Answer) {
+	text, ok := c.finishPending(a)
+	if ok && len(text) > 0 {
+		ok = c.send(text)
+	}
+	if cap(text) <= maxRetainedWriteBuf {
+		c.writeBuf = text
+	} else {
+		c.writeBuf = nil
+	}
+	if !ok {
+		c.setClosing()
+		_ = c.conn.Close()
+	}
+}
+
+func (c *clientConn) hasReaderEnded() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.readerEnded
+}
+
+// finishPending ends the pending request with its final answer, and returns what is still to be written of the response.
+// It reports false where a streamed response can't be completed: the connection is to be reset, so that the client does
+// not take what it has for the complete response (RFC 9112, 8).
+func (c *clientConn) finishPending(a core.Answer) (text []byte, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var fail *requestError
@@ -74,21 +87,23 @@
 	if fail == nil {
 		c.front.loop.ClassCounts(c.pending.Class).CountAnswer(a)
 	}
-	begun := c.streaming
-	c.pending, c.upload, c.streaming = nil, nil, false
+	streamed := c.streaming
+	c.pending = nil
+	c.upload = nil
+	c.streaming = false
 	c.front.bodyBudget.Release(c.reservedBytes)
 	c.reservedBytes = 0
 	c.front.openRequests.Add(-1)
 	switch {
-	case begun && a.Served == nil: // an end of the connection that is no end of the answer
+	case streamed && a.Served == nil:
 		if t, ok := c.conn.(interface{ SetLinger(int) error }); ok {
-			_ = t.SetLinger(0)
+			_ = t.SetLinger(0) // the close is a reset
 		}
-		return nil
-	case begun:
-		return []byte{}
+		return nil, false
+	case streamed:
+		return nil, true
 	case fail != nil:
-		return c.front.appendError(c.writeBuf[:0], fail.status, fail.text, fail.allow, true)
+		return c.front.appendError(c.writeBuf[:0], fail.status, fail.text, fail.allow, true), true
 	}
-	return c.front.appendAnswer(c.writeBuf[:0], a, c.closesAfterResponseLocked())
+	return c.front.appendAnswer(c.writeBuf[:0], a, c.closesAfterResponseLocked()), true
 }
