--- /dev/null
+++ b/internal/protocol/http1/attempt_test.go
@@ -0,0 +1,317 @@
+package http1
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/url"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"vetchhaven/decide"
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/testkit"
+	"vetchhaven/internal/wire"
+)
+
+// Each row of the protocol's table of outcomes. What is taken for 'never ran' may be sent again
+// or refused, so a wrong row can do an effect twice.
+func TestOutcomeTable(t *testing.T) {
+	for name, row := range map[string]struct {
+		answer string
+		want   decide.Result
+	}{
+		"served":               {ok200, decide.OK},
+		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", decide.OK},
+		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
+		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
+		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"closed unanswered":    {"", decide.Reset},
+		"broken in the header": {"HTTP/1.1 200 OK\r\nTRUNCATED", decide.Reset},
+		"truncated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", decide.Reset},
+		"truncated chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", decide.Reset},
+		// There is a process, and it may have run what it answers amiss.
+		"no HTTP":               {"TRUNCATED\r\n\r\n", decide.Errored},
+		"noise":                 {"\x00\xff\r\n\r\n", decide.Errored},
+		"noise without an end":  {"\x00\xff TRUNCATED", decide.Reset},
+		"status behind words":   {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
+		"status with a letter":  {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
+		"status with a sign":    {"HTTP/1.1 +20 OK\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
+		"other protocol":        {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
+		"header without colon":  {"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
+		"endless header":        {"HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", 1<<20), decide.Errored},
+		"endless headers":       {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", 1<<17), decide.Errored},
+		"endless 1xx":           {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 1<<16), decide.Errored},
+		"two lengths":           {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 3\r\n\r\nhello", decide.Errored},
+		"one length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
+		"lengths in a list":     {"HTTP/1.1 200 OK\r\nContent-Length: 5, 5\r\n\r\nhello", decide.Errored},
+		"negative length":       {"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello", decide.Errored},
+		"huge length":           {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", decide.Errored},
+		"length and chunks":     {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", decide.Errored},
+		"no length":             {"HTTP/1.1 200 OK\r\n\r\nhello", decide.Errored},
+		"chunk of no number":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nabcxyz\r\nhello\r\n0\r\n\r\n", decide.Errored},
+		"endless chunks":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 1<<18), decide.Errored},
+		"3 GB that keep coming": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20), decide.Errored},
+		// What belongs to an answer is good, whatever comes with it.
+		"1xx ahead":            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200, decide.OK},
+		"unreadable report":    {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff queue==, eps=NaN\r\nContent-Length: 5\r\n\r\nhello", decide.OK},
+		"a second copy behind": {ok200 + ok200, decide.OK},
+		"noise behind":         {ok200 + "\x00\xff\r\n", decide.OK},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := serveRaw(t, func(int) string { return row.answer })
+			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+			defer cancel()
+			b := poolFor(t, s.addr)
+			result, a, _ := attemptAt(t, ctx, b, "body")
+			if result != row.want || (a != nil) != (row.want == decide.OK) {
+				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
+			}
+			if a != nil && string(a.body) != "hello" {
+				t.Errorf("body %q", a.body)
+			}
+			if result == decide.Errored && a == nil && strings.HasPrefix(row.answer, "HTTP/1.1 200") && b.open != 0 {
+				t.Error("a connection that brought a spoilt answer was kept")
+			}
+			if b.responseBudget.Free() != int64(b.cfg.BodyMemory()) {
+				t.Error("bytes of the answer stay booked")
+			}
+		})
+	}
+}
+
+func TestRefusedConnectionIsNotSent(t *testing.T) {
+	b := poolFor(t, testkit.DeadAddr(t))
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
+		t.Errorf("result %v", result)
+	}
+	if b.open != 0 {
+		t.Errorf("%d connections counted as open", b.open)
+	}
+}
+
+// A new connection that the backend resets before dial has returned, and a dial that the attempt's
+// own end cuts short, prove that nothing ran, and not that a process has ended. Whether a reset is
+// found by the dial or by the first write is chance, so the dialer here waits for it.
+func TestOutcomeOfConnectionBrokenWhileDialling(t *testing.T) {
+	ln := resetting(t)
+	b := poolFor(t, ln.Addr().String())
+	b.dialer = dialUntilReset
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
+		t.Errorf("reset: result %v", result)
+	}
+	b.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
+	ctx, cancel := context.WithCancelCause(context.Background())
+	cancel(core.ErrTimedOut)
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete {
+		t.Errorf("out of time: result %v", result)
+	}
+	b.cfg.Settings.ConnectTimeout = time.Millisecond // not up in time: it may be late, or cut off
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
+		t.Errorf("not up in time: result %v", result)
+	}
+	testkit.WaitFor(t, "the end of the dial that went on", func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return b.open == 0
+	})
+	b.cfg.Settings.ConnectTimeout = testkit.Patience
+	b.dialer = new(net.Dialer).DialContext // refused: nobody is there
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
+	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
+		t.Errorf("refused: result %v", result)
+	}
+	if b.open != 0 {
+		t.Errorf("%d connections counted as open", b.open)
+	}
+}
+
+// A connection that this machine could not begin is no fault of its backend, and one to a machine that is not reached says
+// nothing of a process: only one that is refused does.
+func TestOutcomeOfConnectErrors(t *testing.T) {
+	for err, want := range map[syscall.Errno]decide.Result{
+		syscall.ECONNREFUSED: decide.ConnectFailed,
+		syscall.EMFILE:       decide.NotSent, syscall.ENFILE: decide.NotSent, syscall.ENOBUFS: decide.NotSent,
+		syscall.ENOMEM: decide.NotSent, syscall.EADDRNOTAVAIL: decide.NotSent,
+		syscall.EHOSTUNREACH: decide.Incomplete, syscall.ENETUNREACH: decide.Incomplete, syscall.ETIMEDOUT: decide.Incomplete,
+		syscall.ECONNRESET: decide.Incomplete, syscall.ECONNABORTED: decide.Incomplete,
+		// None of these says that a process has ended: only a refusal does.
+		syscall.ENETDOWN: decide.Incomplete, syscall.EPERM: decide.Incomplete, syscall.EACCES: decide.Incomplete, syscall.EIO: decide.Incomplete,
+		syscall.EHOSTDOWN: decide.Incomplete, syscall.EINVAL: decide.Incomplete,
+	} {
+		b := poolFor(t, testkit.DeadAddr(t))
+		b.dialer = func(context.Context, string, string) (net.Conn, error) {
+			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
+		}
+		if result, _, _ := attemptAt(t, context.Background(), b, ""); result != want {
+			t.Errorf("%v: result %v, want %v", err, result, want)
+		}
+		if b.open != 0 {
+			t.Errorf("%v: %d connections counted as open", err, b.open)
+		}
+	}
+}
+
+// A backend that takes the request and says nothing: the attempt ends when the agent stops
+// waiting, may have run, and its connection is not used again.
+func TestOutcomeOfAttemptPastItsDeadline(t *testing.T) {
+	hold := make(chan struct{})
+	defer close(hold)
+	s := serveRaw(t, func(int) string { <-hold; return "" })
+	b := poolFor(t, s.addr)
+	ctx, cancel := context.WithCancelCause(context.Background())
+	go func() { <-s.seen; cancel(core.ErrTimedOut) }()
+	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.TimedOut {
+		t.Errorf("result %v", result)
+	}
+	if b.open != 0 || len(b.idle["s"]) != 0 {
+		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", b.open, len(b.idle["s"]))
+	}
+}
+
+func TestOutcomeOfCancelledAttempt(t *testing.T) {
+	hold := make(chan struct{})
+	defer close(hold)
+	s := serveRaw(t, func(int) string { <-hold; return "" })
+	ctx, cancel := context.WithCancelCause(context.Background())
+	go func() { <-s.seen; cancel(core.ErrCancelled) }()
+	if result, _, _ := attemptAt(t, ctx, poolFor(t, s.addr), ""); result != decide.Cancelled {
+		t.Errorf("result %v", result)
+	}
+}
+
+// shortConn breaks after so many bytes of the request.
+type shortConn struct {
+	net.Conn
+	room int
+}
+
+func (c *shortConn) Write(p []byte) (int, error) {
+	if len(p) <= c.room {
+		c.room -= len(p)
+		return c.Conn.Write(p)
+	}
+	n, _ := c.Conn.Write(p[:c.room])
+	c.room = 0
+	return n, errors.New("broken pipe")
+}
+
+// A connection that breaks before the request's last byte is written proves that nothing ran;
+// one byte later it proves nothing.
+func TestOutcomeOfPartialWrite(t *testing.T) {
+	ln := testkit.Listen(t)
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() { _, _ = io.Copy(io.Discard, c) }()
+		}
+	}()
+	for _, room := range []int{0, 10, 6000} {
+		b := poolFor(t, ln.Addr().String())
+		dial := b.dialer
+		b.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			c, err := dial(ctx, network, addr)
+			if err == nil {
+				c = &shortConn{c, room}
+			}
+			return c, err
+		}
+		if result, _, _ := attemptAt(t, context.Background(), b, strings.Repeat("x", 20000)); result != decide.Incomplete {
+			t.Errorf("broken after %d bytes: result %v", room, result)
+		}
+	}
+}
+
+// net/http's Transport sends a request again by itself when a reused connection turns out to be
+// dead, also a POST that carries Idempotency-Key. That would be an attempt the module never
+// asked for. Here the first request leaves a connection, which the backend closes without an
+// answer to the second.
+func TestNothingIsResentAfterStaleConnection(t *testing.T) {
+	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
+	b := poolFor(t, s.addr)
+	if result, _, _ := attemptAt(t, context.Background(), b, "one"); result != decide.OK {
+		t.Fatalf("first: %v", result)
+	}
+	if len(b.idle["s"]) != 1 {
+		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
+	}
+	endRest(b)
+	if result, _, _ := attemptAt(t, context.Background(), b, "two"); result != decide.Reset {
+		t.Fatalf("second: %v", result)
+	}
+	if n := len(s.seen); n != 2 {
+		t.Errorf("%d requests reached the backend, 2 were asked for", n)
+	}
+}
+
+func TestLoadReportIsRead(t *testing.T) {
+	s := serveRaw(t, func(int) string {
+		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, inflight=7, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
+	})
+	_, _, load := attemptAt(t, context.Background(), poolFor(t, s.addr), "")
+	if want := wire.Load(map[string]float64{"backlog": 2, "outstanding": 7, "errors_per_s": 0.5}); load != want {
+		t.Errorf("load %+v, want %+v", load, want)
+	}
+}
+
+func TestProbeReadsLoad(t *testing.T) {
+	for status, want := range map[string]decide.Result{"200 OK": decide.OK, "503 X": decide.Errored} {
+		s := serveRaw(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
+		b := poolFor(t, s.addr)
+		b.cfg.Site.LoadProbed = true
+		if p := b.probe("s"); p.Result != want || p.Result == decide.OK && p.Load.Queue != 3 {
+			t.Errorf("%s: %+v", status, p)
+		}
+	}
+}
+
+// A request may end while a connection is being opened for it, as when its client hangs up.
+// Nothing is sent for it then; the connection serves the next one.
+func TestNothingIsSentAfterRequestEnded(t *testing.T) {
+	s := serveRaw(t, func(int) string { return ok200 })
+	b := poolFor(t, s.addr)
+	over := make(chan struct{})
+	dial := b.dialer
+	b.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		close(over)
+		return c, err
+	}
+	m := newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil)
+	if r, _, _ := b.attempt(context.Background(), endedOwner{over: over}, "s", m); r != decide.NotSent {
+		t.Errorf("result %v", r)
+	}
+	endRest(b)
+	if r, _, _ := b.attempt(context.Background(), probeOwner{}, "s", m); r != decide.OK || len(s.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	}
+}
+
+// Without a right that still holds nothing is sent, and without one to open a connection none is opened: of what is there
+// already the next one makes use.
+func TestNothingIsSentOrDialledWithoutAdmission(t *testing.T) {
+	s := serveRaw(t, func(int) string { return ok200 })
+	b := poolFor(t, s.addr)
+	m := newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil)
+	if r, _, _ := b.attempt(context.Background(), endedOwner{noDial: true}, "s", m); r != decide.NotSent || b.open != 0 {
+		t.Errorf("result %v, %d connections", r, b.open)
+	}
+	if r, _, _ := b.attempt(context.Background(), endedOwner{lapsed: true}, "s", m); r != decide.NotSent || len(s.seen) != 0 {
+		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	}
+	endRest(b)
+	if r, _, _ := b.attempt(context.Background(), endedOwner{noDial: true}, "s", m); r != decide.OK || len(s.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	}
+}
--- a/internal/protocol/http1/chunks_test.go
+++ b/internal/protocol/http1/chunks_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-func TestChunks(t *testing.T) {
+func TestChunkedBodyIsDecodedStrictly(t *testing.T) {
 	for _, tt := range []struct{ text, body, rest string }{
 		{"0\r\n\r\n", "", ""},
 		{"5\r\nhello\r\n0\r\n\r\nGET", "hello", "GET"},
@@ -46,7 +46,7 @@
 }
 
 // What has come of a chunk is given at once, however much room there is.
-func TestChunksGiveWhatHasCome(t *testing.T) {
+func TestChunkedBodyReturnsWhatHasComeAtOnce(t *testing.T) {
 	r, w := io.Pipe()
 	c := &chunkedBody{in: bufio.NewReader(r)}
 	got := make(chan string, 10)
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -83,17 +83,17 @@
 	"reset":      func(_ *testing.T, c net.Conn) { reset(c) },
 }
 
-// leaving is an agent with one server that answers as its test says, and holds its first connections' dial and answers.
-type leaving struct {
-	*running
+// disconnectSetup is an agent with one server that answers as its test says, and holds its first connections' dial and answers.
+type disconnectSetup struct {
+	*runningAgent
 	server *backend
 	answer chan string // of each request that comes
 	lates  *lateListener
 }
 
-func startLeaving(t *testing.T, late bool, change func(*core.Config)) *leaving {
+func startDisconnectSetup(t *testing.T, late bool, change func(*core.Config)) *disconnectSetup {
 	t.Helper()
-	l := &leaving{answer: make(chan string), lates: &lateListener{Listener: testkit.Listen(t), late: late, release: make(chan struct{})}}
+	l := &disconnectSetup{answer: make(chan string), lates: &lateListener{Listener: testkit.Listen(t), late: late, release: make(chan struct{})}}
 	l.server = serveRaw(t, func(int) string { return <-l.answer })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{l.server.member("s")}})
 	for i := range cfg.Settings.Classes {
@@ -104,13 +104,13 @@
 	}
 	now := make(chan time.Time)
 	close(now)
-	l.running = startParts(t, cfg, core.Parts{Listener: l.lates, StopAccepting: now}, nil)
+	l.runningAgent = startParts(t, cfg, core.Parts{Listener: l.lates, StopAccepting: now}, nil)
 	t.Cleanup(sync.OnceFunc(func() { close(l.lates.release) }))
 	return l
 }
 
-// fill has the server hold as many requests as it may have, so that the next one waits in the module.
-func (l *leaving) fill(t *testing.T) (answers chan exchange) {
+// occupyServer has the server hold as many requests as it may have, so that the next one waits in the module.
+func (l *disconnectSetup) occupyServer(t *testing.T) (answers chan exchange) {
 	t.Helper()
 	const most = 6 // as the module has it at its start, for one server
 	answers = make(chan exchange, most)
@@ -123,8 +123,8 @@
 	return answers
 }
 
-// notServed fails the test if a request of a client that has left reaches the server, once it is known to have left.
-func (l *leaving) notServed(t *testing.T) {
+// expectNotServed fails the test if a request of a client that has left reaches the server, once it is known to have left.
+func (l *disconnectSetup) expectNotServed(t *testing.T) {
 	t.Helper()
 	testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return l.Totals().ClientDisconnects >= 1 || len(l.server.seen) > 0 })
 	if n := len(l.server.seen); n > 0 {
@@ -134,20 +134,20 @@
 
 // A client that has left, by a close, a half close or a reset, has no attempt begun for it, whatever that waited for and
 // whether or not its reader has seen the end.
-func TestNoAttemptForAClientThatHasLeft(t *testing.T) {
+func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for reader, late := range map[string]bool{"read on": false, "reader late": true} {
 		for how, goes := range leave {
 			name := func(way string) string { return way + ", " + how + ", " + reader }
 			// known returns once the end is with the agent, at the reader or at the socket.
-			known := func(t *testing.T, l *leaving) {
+			known := func(t *testing.T, l *disconnectSetup) {
 				if !late {
 					testkit.WaitFor(t, "its leaving", func() bool { return l.Totals().ClientDisconnects == 1 })
 				}
 			}
 			t.Run(name("queued in the module"), func(t *testing.T) {
 				t.Parallel()
-				l := startLeaving(t, late, nil)
-				answers := l.fill(t)
+				l := startDisconnectSetup(t, late, nil)
+				answers := l.occupyServer(t)
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
 				testkit.WaitFor(t, "the request", func() bool { return l.Totals().Requests == 7 })
@@ -159,34 +159,34 @@
 				for range 6 {
 					testkit.Receive(t, "answer", answers)
 				}
-				l.notServed(t)
+				l.expectNotServed(t)
 			})
 			t.Run(name("waiting for a dial"), func(t *testing.T) {
 				t.Parallel()
-				l := startLeaving(t, late, nil)
-				dialled, release := l.heldDial(l.server.addr)
+				l := startDisconnectSetup(t, late, nil)
+				dialled, release := l.blockDial(l.server.addr)
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
 				testkit.Receive(t, "dial", dialled)
 				goes(t, c.c)
 				known(t, l)
 				close(release)
-				l.notServed(t)
+				l.expectNotServed(t)
 			})
 			t.Run(name("before a further attempt"), func(t *testing.T) {
 				t.Parallel()
-				l := startLeaving(t, late, nil)
+				l := startDisconnectSetup(t, late, nil)
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
 				testkit.Receive(t, "first attempt", l.server.seen)
 				goes(t, c.c)
 				known(t, l)
 				l.answer <- "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-				l.notServed(t)
+				l.expectNotServed(t)
 			})
 			t.Run(name("behind another request"), func(t *testing.T) {
 				t.Parallel()
-				l := startLeaving(t, late, nil)
+				l := startDisconnectSetup(t, late, nil)
 				c := l.connect(t)
 				c.write(headOf("get", "first") + headOf("get", "left"))
 				testkit.Receive(t, "first request", l.server.seen)
@@ -202,7 +202,7 @@
 			})
 			t.Run(name("its connection waits to be accepted"), func(t *testing.T) {
 				t.Parallel()
-				l := startLeaving(t, late, nil)
+				l := startDisconnectSetup(t, late, nil)
 				l.lates.prompt.Store(1)
 				l.Limiter().Resize(1)
 				first := make(chan exchange, 1)
@@ -222,29 +222,29 @@
 					testkit.Receive(t, "its answer", first)
 					return
 				}
-				l.notServed(t)
+				l.expectNotServed(t)
 			})
 			t.Run(name("its body waits for a server"), func(t *testing.T) {
 				t.Parallel()
-				l := startLeaving(t, late, func(cfg *core.Config) { cfg.BodyBytes = 1 }) // none is kept: each is an upload
-				dialled, release := l.heldDial(l.server.addr)
+				l := startDisconnectSetup(t, late, func(cfg *core.Config) { cfg.BodyBytes = 1 }) // none is kept: each is an upload
+				dialled, release := l.blockDial(l.server.addr)
 				c := l.connect(t)
 				c.write("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: left\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n\r\nwhole")
 				testkit.Receive(t, "dial", dialled)
 				goes(t, c.c)
 				close(release)
-				l.notServed(t)
+				l.expectNotServed(t)
 			})
 		}
 	}
 }
 
 // A client whose body is still being read, and that leaves, was never taken.
-func TestClientThatLeavesWithinItsBodyIsNotTaken(t *testing.T) {
+func TestClientThatDisconnectsWithinItsBodyIsNotAdmitted(t *testing.T) {
 	for how, goes := range leave {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			l := startLeaving(t, false, nil)
+			l := startDisconnectSetup(t, false, nil)
 			c := l.connect(t)
 			c.write("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: left\r\nIdempotency-Key: k\r\nContent-Length: 50\r\n\r\na part")
 			testkit.WaitFor(t, "its reader", func() bool { return l.readers() == 1 })
@@ -259,12 +259,12 @@
 
 // A client that has sent more of its body than the systems hold unread, and has left, ends behind that: nobody can see it
 // before its body is read. Its request may begin to go to a server, but its last byte does not.
-func TestUploadWhoseClientLeftBehindItsBytesGoesToNoServer(t *testing.T) {
+func TestUploadOfDisconnectedClientReachesNoServer(t *testing.T) {
 	for _, framing := range []string{"length", "chunks"} {
 		t.Run(framing, func(t *testing.T) {
 			t.Parallel()
-			l := startLeaving(t, false, nil)
-			dialled, release := l.heldDial(l.server.addr)
+			l := startDisconnectSetup(t, false, nil)
+			dialled, release := l.blockDial(l.server.addr)
 			c := l.connect(t)
 			const size = 2 * maxBufferedBody
 			body, head := strings.Repeat("x", size), fmt.Sprintf("Content-Length: %d", size)
@@ -275,26 +275,26 @@
 			testkit.Receive(t, "dial", dialled)
 			c.c.Close()
 			close(release)
-			l.notServed(t)
+			l.expectNotServed(t)
 		})
 	}
 }
 
 // A client that has ended its sending alone, and reads on, is told at once that nothing more is done for it: refused
 // where nothing was sent, failed where something may have run. It has one answer, and the end.
-func TestHalfClosedClientHasAnAnswerAtOnce(t *testing.T) {
+func TestHalfClosedClientGetsResponseAtOnce(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
 		t.Parallel()
-		l := startLeaving(t, false, nil)
-		answers := l.fill(t)
+		l := startDisconnectSetup(t, false, nil)
+		answers := l.occupyServer(t)
 		c := l.connect(t)
 		c.write(headOf("get", "half"))
 		testkit.WaitFor(t, "the request", func() bool { return l.Totals().Requests == 7 })
 		testkit.HalfClose(t, c.c)
-		if status, _ := c.answer(); status != http.StatusServiceUnavailable {
+		if status, _ := c.readResponse(); status != http.StatusServiceUnavailable {
 			t.Errorf("%d", status)
 		}
-		c.ends()
+		c.expectEnd()
 		for range 6 {
 			l.answer <- ok200
 		}
@@ -304,15 +304,15 @@
 	})
 	t.Run("sent", func(t *testing.T) {
 		t.Parallel()
-		l := startLeaving(t, false, nil)
+		l := startDisconnectSetup(t, false, nil)
 		c := l.connect(t)
 		c.write("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: half\r\nContent-Length: 0\r\n\r\n")
 		testkit.Receive(t, "request", l.server.seen)
 		testkit.HalfClose(t, c.c)
-		if status, _ := c.answer(); status != http.StatusBadGateway {
+		if status, _ := c.readResponse(); status != http.StatusBadGateway {
 			t.Errorf("%d", status)
 		}
-		c.ends()
+		c.expectEnd()
 		close(l.answer)
 	})
 }
@@ -346,11 +346,11 @@
 
 // A client leaves while the last bytes of its request wait for the server to take them: they are not left to it. The last
 // piece of an upload may be a few bytes, behind many that the server has yet to take.
-func TestLastBytesThatWaitForTheirServerEndWithTheClient(t *testing.T) {
+func TestLastBytesBlockedOnServerEndWithClient(t *testing.T) {
 	for name, size := range map[string]int{"a few bytes": len("the last"), "kept whole": 8 << 10, "upload": 2 * maxBufferedBody, "upload, a small last piece": 2 * maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := startLeaving(t, false, nil)
+			l := startDisconnectSetup(t, false, nil)
 			out := &stuckConn{stuck: make(chan struct{}), passed: make(chan struct{}), ended: make(chan error, 1)}
 			plain := l.connPool.dialer
 			l.connPool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -370,7 +370,7 @@
 			testkit.Receive(t, "last bytes", out.stuck)
 			c.c.Close()
 			testkit.Receive(t, "end of the write", out.ended)
-			l.notServed(t)
+			l.expectNotServed(t)
 		})
 	}
 }
--- a/internal/protocol/http1/discovery_test.go
+++ b/internal/protocol/http1/discovery_test.go
@@ -17,7 +17,7 @@
 
 // An agent that starts while discovery is down serves by its stored list, follows discovery once
 // it is back, and sends nothing new to a backend that then drains.
-func TestDiscoveryDownAndBack(t *testing.T) {
+func TestAgentServesWhileDiscoveryIsDown(t *testing.T) {
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
 	c := testkit.NewCatalog(t)
@@ -34,11 +34,11 @@
 	drained.State = "draining"
 	w.Lines <- testkit.ToLine(t, 42, drained, two.member("two"))
 	a.waitListed(t, "two")
-	getsNothing(t, a, one)
+	expectNoRequests(t, a, one)
 }
 
-// getsNothing has requests served by others than one server.
-func getsNothing(t *testing.T, a *running, s *backend) {
+// expectNoRequests has requests served by others than one server.
+func expectNoRequests(t *testing.T, a *runningAgent, s *backend) {
 	t.Helper()
 	before := len(s.seen)
 	for range 20 {
@@ -53,7 +53,7 @@
 }
 
 // With no list at all an agent is not ready, and becomes so with the first one.
-func TestNotReadyWithoutBackends(t *testing.T) {
+func TestNotReadyWithoutServers(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}))
@@ -115,7 +115,7 @@
 				cfg.Settings.SubscribeWithin = 1000 * time.Hour
 				a := startParts(t, cfg, core.Parts{HeartbeatTimeout: 200 * time.Millisecond}, nil)
 				a.waitListed(t, "two")
-				getsNothing(t, a, one)
+				expectNoRequests(t, a, one)
 			})
 		}
 	}
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -19,7 +19,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-func TestServesUnchanged(t *testing.T) {
+func TestRequestsAndResponsesPassUnchanged(t *testing.T) {
 	ln := testkit.Listen(t)
 	got := make(chan *http.Request, 1)
 	body := make(chan string, 1)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRetryAfter(t *testing.T) {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	for _, row := range []struct {
 		shown bool
@@ -70,7 +70,7 @@
 
 // A client that hangs up is told to the module as Abandoned, and its request ends; the attempt's
 // outcome still comes.
-func TestHangUp(t *testing.T) {
+func TestDisconnectCancelsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -95,7 +95,7 @@
 
 // Bad input gets a plain answer that says 'failed', and reaches no backend. A 429 or 503 would
 // say that another try is harmless.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	for name, row := range map[string]struct {
@@ -150,7 +150,7 @@
 }
 
 // Two open requests with one id can't be told apart in the module's answers.
-func TestDuplicateID(t *testing.T) {
+func TestDuplicateRequestIDGetsConflict(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -172,7 +172,7 @@
 
 // Clients that say nothing, and ones that begin a request and stop, in greater number than there
 // are places: usual clients are served all the same, and every one of the others is sent away.
-func TestSilentAndSlowClientsBesideUsualOnes(t *testing.T) {
+func TestSilentAndSlowClientsDoNotBlockOthers(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Sockets = 64
@@ -221,7 +221,7 @@
 
 // SIGTERM with a request in flight: it is answered, connections between requests are closed,
 // and Run ends without an error.
-func TestStopFinishesWhatWasTaken(t *testing.T) {
+func TestStopCompletesAdmittedRequests(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(n int) string {
 		if n > 0 {
@@ -278,7 +278,7 @@
 
 // A connection that never sends anything must not hold up a planned restart, which closes such
 // ones after a while. Those that have sent a request are left alone.
-func TestSilentConnectionsAreClosed(t *testing.T) {
+func TestSilentConnectionsAreClosedAtStop(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -309,7 +309,7 @@
 
 // Past its part of the descriptors the agent holds no more requests and keeps no more
 // connections; a refusal there is true, since nothing ran.
-func TestCrowdedFront(t *testing.T) {
+func TestFullFrontEvictsQuietConnections(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
@@ -342,7 +342,7 @@
 // Clients that ask once on each connection and keep it for good may have a bound of their own, far
 // below the limiter's. Once many are kept, answers end their connections, so that there are always
 // some left to ask on; and those that are kept go once they have been testkit.Quiet for long.
-func TestKeptConnectionsAreFew(t *testing.T) {
+func TestIdleClientConnectionsAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Sockets = 64
@@ -378,7 +378,7 @@
 
 // Where a message tells its end twice, what one side takes for a body the other may take for a
 // further request. Nothing of it reaches a backend, and the connection is closed.
-func TestHiddenRequest(t *testing.T) {
+func TestSmuggledRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	hidden := "GET /get/hidden HTTP/1.1\r\nHost: a\r\nX-Trace-Id: hidden\r\n\r\n"
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// ask writes on a connection and reads one answer.
-func ask(t *testing.T, c net.Conn, in *bufio.Reader, text string) *http.Response {
+// roundTrip writes on a connection and reads one answer.
+func roundTrip(t *testing.T, c net.Conn, in *bufio.Reader, text string) *http.Response {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 
 // A connection is kept after its answer, takes pieces and requests that come before their turn, and says
 // when it will not be kept.
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	c, err := net.Dial("tcp", a.Addr().String())
@@ -101,7 +101,7 @@
 	in := bufio.NewReader(c)
 	get := func() string { return fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()) }
 	for range 3 {
-		if resp := ask(t, c, in, get()); resp.StatusCode != 200 || resp.Close {
+		if resp := roundTrip(t, c, in, get()); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("%+v", resp)
 		}
 	}
@@ -111,16 +111,16 @@
 			t.Fatal(err)
 		}
 	}
-	if resp := ask(t, c, in, ""); resp.StatusCode != 200 {
+	if resp := roundTrip(t, c, in, ""); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
 	// Three at once: one answer each, in their order.
 	post := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 3\r\n\r\nabc", newID())
-	if resp := ask(t, c, in, get()+post+get()); resp.StatusCode != 200 {
+	if resp := roundTrip(t, c, in, get()+post+get()); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
 	for range 2 {
-		if resp := ask(t, c, in, ""); resp.StatusCode != 200 {
+		if resp := roundTrip(t, c, in, ""); resp.StatusCode != 200 {
 			t.Errorf("%+v", resp)
 		}
 	}
@@ -134,11 +134,11 @@
 	if line, err := in.ReadString('\n'); err != nil || line != "\r\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	if resp := ask(t, c, in, "abc"); resp.StatusCode != 200 {
+	if resp := roundTrip(t, c, in, "abc"); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
 	last := strings.Replace(get(), "Host: a", "Host: a\r\nConnection: close", 1)
-	if resp := ask(t, c, in, last); resp.StatusCode != 200 || !resp.Close {
+	if resp := roundTrip(t, c, in, last); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%+v", resp)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -147,7 +147,7 @@
 }
 
 // HTTP/1.0 is answered, and its connection ends.
-func TestOldVersion(t *testing.T) {
+func TestHTTP10ClientIsServed(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	in := a.raw(t, "GET /get/x HTTP/1.0\r\nX-Trace-Id: "+newID()+"\r\n\r\n")
@@ -162,7 +162,7 @@
 
 // A part of a next request that comes before its turn does not cut short the wait for the answer before:
 // its own time runs from that on.
-func TestPartOfANextRequest(t *testing.T) {
+func TestPartialNextRequestIsAwaited(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -182,17 +182,17 @@
 	time.Sleep(core.HeadTimeout + 200*time.Millisecond) // what a head may take has passed
 	close(hold)
 	in := bufio.NewReader(c)
-	if resp := ask(t, c, in, ""); resp.StatusCode != 200 {
+	if resp := roundTrip(t, c, in, ""); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
-	if resp := ask(t, c, in, next[20:]); resp.StatusCode != 200 {
+	if resp := roundTrip(t, c, in, next[20:]); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
 }
 
 // An empty line behind a body, as some clients send it, is no part of a next request: the connection rests
 // after its answer, and holds no place that others wait for.
-func TestEmptyLineBehindABody(t *testing.T) {
+func TestEmptyLineAfterBodyIsIgnored(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -27,8 +27,8 @@
 	return cfg
 }
 
-// running is an agent under test.
-type running struct {
+// runningAgent is an agent under test.
+type runningAgent struct {
 	*core.Agent
 	*protocol
 	base string
@@ -36,7 +36,7 @@
 	done chan error
 }
 
-func start(t *testing.T, cfg *core.Config) *running {
+func start(t *testing.T, cfg *core.Config) *runningAgent {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
@@ -44,13 +44,13 @@
 }
 
 // startUntil runs an agent that, once stopped, takes connections until accept is closed.
-func startUntil(t *testing.T, cfg *core.Config, accept <-chan time.Time) *running {
+func startUntil(t *testing.T, cfg *core.Config, accept <-chan time.Time) *runningAgent {
 	t.Helper()
 	return startParts(t, cfg, core.Parts{StopAccepting: accept}, nil)
 }
 
 // startParts runs an agent with these parts, once ready, where it is set, has had it.
-func startParts(t *testing.T, cfg *core.Config, p core.Parts, ready func(*core.Agent)) *running {
+func startParts(t *testing.T, cfg *core.Config, p core.Parts, ready func(*core.Agent)) *runningAgent {
 	t.Helper()
 	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.Patience) // a slow machine is no dead discovery
 	a, own, err := newAgent(cfg, testkit.Quiet, p)
@@ -61,7 +61,7 @@
 		ready(a)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Agent: a, protocol: own, base: "http://" + a.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &runningAgent{Agent: a, protocol: own, base: "http://" + a.Addr().String(), stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- a.Run(ctx); close(r.done) }()
 	t.Cleanup(func() {
 		cancel()
@@ -75,7 +75,7 @@
 }
 
 // waitListed returns once a change of the list that names a server has been taken.
-func (r *running) waitListed(t *testing.T, server string) {
+func (r *runningAgent) waitListed(t *testing.T, server string) {
 	t.Helper()
 	testkit.WaitFor(t, "the change of the list", func() bool {
 		r.connPool.mu.Lock()
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("%016x", ids.n)
 }
 
-func (r *running) request(ctx context.Context, method, path, body string, headers ...string) (*http.Request, error) {
+func (r *runningAgent) request(ctx context.Context, method, path, body string, headers ...string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, r.base+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	return req, nil
 }
 
-func (r *running) do(method, path, body string, headers ...string) exchange {
+func (r *runningAgent) do(method, path, body string, headers ...string) exchange {
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
 	req, err := r.request(ctx, method, path, body, headers...)
@@ -137,7 +137,7 @@
 }
 
 // raw writes text to the agent on a connection of its own and returns what comes back.
-func (r *running) raw(t *testing.T, text string) *bufio.Reader {
+func (r *runningAgent) raw(t *testing.T, text string) *bufio.Reader {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
--- a/internal/protocol/http1/loop_test.go
+++ b/internal/protocol/http1/loop_test.go
@@ -12,7 +12,7 @@
 
 // A truncated 200 of a backend is never passed on as a whole one. A request that may not be
 // repeated fails; a safe one is tried again by the module.
-func TestTruncatedAnswer(t *testing.T) {
+func TestTruncatedResponseIsNotServed(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
 	s := serveRaw(t, func(n int) string { return []string{cut, cut, ok200}[n] })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -25,7 +25,7 @@
 }
 
 // An unsafe request that may have run is neither sent again nor refused.
-func TestUnsafeRequestIsNotRepeated(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := serveRaw(t, func(int) string { return "" })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway {
@@ -37,7 +37,7 @@
 }
 
 // What never ran may be refused.
-func TestRefusal(t *testing.T) {
+func TestRejectedRequestGets503(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := start(t, cfg)
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusServiceUnavailable {
@@ -47,7 +47,7 @@
 
 // A request whose backend is silent is answered before its client stops waiting, and says that
 // it failed.
-func TestDeadline(t *testing.T) {
+func TestDeadlineExceededGets504(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	s := serveRaw(t, func(int) string { <-hold; return "" })
@@ -59,7 +59,7 @@
 
 // A client's last try may have less time left than a step is away. The module answers it all the
 // same, with a refusal, since nothing ran; the loop once failed it first, at the deadline itself.
-func TestTryWithHardlyAnyTimeLeft(t *testing.T) {
+func TestAttemptWithLittleRemainingTime(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testkit.Patience
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -23,7 +23,7 @@
 	in *bufio.Reader
 }
 
-func (r *running) connect(t *testing.T) *client {
+func (r *runningAgent) connect(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// answer is the next answer's status, and whether the connection ends with it.
-func (c *client) answer() (status int, last bool) {
+// readResponse is the next answer's status, and whether the connection ends with it.
+func (c *client) readResponse() (status int, last bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return resp.StatusCode, resp.Close
 }
 
-// ends waits until the agent has closed the connection, with nothing more on it.
-func (c *client) ends() {
+// expectEnd waits until the agent has closed the connection, with nothing more on it.
+func (c *client) expectEnd() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
 		c.t.Errorf("%q %v before the end", rest, err)
@@ -67,7 +67,7 @@
 
 // Sent away by hand, clients hear so at once, what they ask on connections that they have is served, and no connection is
 // held: neither idle ones nor such as never asked. Taken again, all is as before, and the process goes on.
-func TestDrainByHand(t *testing.T) {
+func TestManualDrainRunsToItsEnd(t *testing.T) {
 	hold := make(chan struct{})
 	came := make(chan struct{}, 10)
 	ln := testkit.Listen(t)
@@ -84,7 +84,7 @@
 	idle, busy, silent, late := a.connect(t), a.connect(t), a.connect(t), a.connect(t)
 	for _, c := range []*client{idle, late} {
 		c.send("/get/x")
-		if status, last := c.answer(); status != 200 || last {
+		if status, last := c.readResponse(); status != 200 || last {
 			t.Fatalf("before: %d, last %v", status, last)
 		}
 	}
@@ -99,17 +99,17 @@
 		t.Errorf("health while drained: %d", x.status)
 	}
 	late.send("/get/x")
-	if status, last := late.answer(); status != 200 || !last {
+	if status, last := late.readResponse(); status != 200 || !last {
 		t.Errorf("on a kept connection: %d, last %v", status, last)
 	}
-	late.ends()
-	idle.ends()
-	silent.ends()
+	late.expectEnd()
+	idle.expectEnd()
+	silent.expectEnd()
 	close(hold)
-	if status, last := busy.answer(); status != 200 || !last {
+	if status, last := busy.readResponse(); status != 200 || !last {
 		t.Errorf("what was taken: %d, last %v", status, last)
 	}
-	busy.ends()
+	busy.expectEnd()
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("a new connection while drained: %d", x.status)
 	}
@@ -119,7 +119,7 @@
 	}
 	again := a.connect(t)
 	again.send("/get/x")
-	if status, last := again.answer(); status != 200 || last {
+	if status, last := again.readResponse(); status != 200 || last {
 		t.Errorf("afterwards: %d, last %v", status, last)
 	}
 	select {
@@ -131,7 +131,7 @@
 
 // What is out by hand is not even sent what was decided before and still waits for its connection: another
 // server has it.
-func TestBanWhileDialling(t *testing.T) {
+func TestBanWhileDiallingPreventsSend(t *testing.T) {
 	b, other := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	dialled, hold := make(chan struct{}, 1), make(chan struct{})
@@ -179,7 +179,7 @@
 }
 
 // Figures tell what clients were told and servers were sent.
-func TestFigures(t *testing.T) {
+func TestMetricsAreReported(t *testing.T) {
 	n := 0
 	b := serveRaw(t, func(k int) string {
 		if n++; k == 2 {
@@ -220,7 +220,7 @@
 }
 
 // Two processes have the descriptors of one: each opens fewer connections while the other is there.
-func TestBesideAnother(t *testing.T) {
+func TestLimitsAreHalvedBesideAnotherProcess(t *testing.T) {
 	b := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}})
 	a := start(t, cfg)
--- a/internal/protocol/http1/crossings_test.go
+++ b/internal/protocol/http1/races_test.go
@@ -1,9 +1,6 @@
 package http1
 
 import (
-	"bufio"
-	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -24,15 +21,15 @@
 // This file forces the crossings of docs/design/crossings.md: what holds a byte, a dial, an answer or the loop lets
 // go when the test says so.
 
-// loopHold stops an agent's loop at the step that has a request of its own, until it is let go.
-type loopHold struct {
+// loopBlocker stops an agent's loop at the step that has a request of its own, until it is let go.
+type loopBlocker struct {
 	from atomic.Int64  // requests that have come to the loop by then; 0: none stops it
 	held chan struct{} // it stands
 	free chan struct{}
 }
 
-func holdable(a *core.Agent) *loopHold {
-	h := &loopHold{held: make(chan struct{}), free: make(chan struct{})}
+func blockableLoop(a *core.Agent) *loopBlocker {
+	h := &loopBlocker{held: make(chan struct{}), free: make(chan struct{})}
 	a.SetStepHook(func(sum core.Totals) {
 		if n := h.from.Load(); n > 0 && sum.Requests >= n {
 			h.from.Store(0)
@@ -44,7 +41,7 @@
 }
 
 // stop returns once the loop stands.
-func (h *loopHold) stop(t *testing.T, r *running) {
+func (h *loopBlocker) stop(t *testing.T, r *runningAgent) {
 	t.Helper()
 	h.from.Store(r.Totals().Requests + 1)
 	go r.do("GET", "/get/x", "")
@@ -65,15 +62,15 @@
 }
 
 // readers is how many clients' connections have a reader.
-func (r *running) readers() int {
+func (r *runningAgent) readers() int {
 	r.front.mu.Lock()
 	defer r.front.mu.Unlock()
 	return len(r.front.conns)
 }
 
-// ahead has an agent's front tell when a client's reader has come to the end of what is kept ahead, and count the pauses of
+// watchOverflow has an agent's front tell when a client's reader has come to the end of what is kept ahead, and count the pauses of
 // floods.
-func ahead(a *running) (end chan struct{}, pauses *atomic.Int64) {
+func watchOverflow(a *runningAgent) (end chan struct{}, pauses *atomic.Int64) {
 	end, pauses = make(chan struct{}, 100), &atomic.Int64{}
 	a.front.overflowHook = func(pause bool) {
 		if pause {
@@ -86,12 +83,12 @@
 }
 
 // A request whose id another one has is turned away by the loop; its client may have left by then.
-func TestDuplicateMayLeaveBeforeItsAnswer(t *testing.T) {
+func TestDuplicateMayDisconnectBeforeItsResponse(t *testing.T) {
 	release := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-release; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
-	var loop *loopHold
-	a := startParts(t, cfg, core.Parts{}, func(a *core.Agent) { loop = holdable(a) })
+	var loop *loopBlocker
+	a := startParts(t, cfg, core.Parts{}, func(a *core.Agent) { loop = blockableLoop(a) })
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	testkit.Receive(t, "first request", s.seen)
@@ -111,7 +108,7 @@
 
 // A client that has sent more behind its request, and leaves while that waits, is seen to have left: its request goes
 // to no server.
-func TestClientThatSentMoreAndLeftIsNotServed(t *testing.T) {
+func TestPipeliningClientThatDisconnectsIsNotServed(t *testing.T) {
 	junk := strings.Repeat("x", 4<<10)
 	for name, more := range map[string]string{
 		"nothing": "", "part of a head": "GET /get/y HTTP/1.1\r\nHo", "a request": headOf("get", "behind"),
@@ -123,9 +120,9 @@
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				s := serveRaw(t, func(int) string { return ok200 })
-				var loop *loopHold
+				var loop *loopBlocker
 				a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
-					func(a *core.Agent) { loop = holdable(a) })
+					func(a *core.Agent) { loop = blockableLoop(a) })
 				loop.stop(t, a)
 				before := a.readers()
 				c := a.connect(t)
@@ -147,8 +144,8 @@
 	}
 }
 
-// full is a server that answers nothing until told, and an agent that has sent it all that it may have out at once.
-func full(t *testing.T) (a *running, s *backend, release chan struct{}, answers chan exchange) {
+// startBusyAgent is a server that answers nothing until told, and an agent that has sent it all that it may have out at once.
+func startBusyAgent(t *testing.T) (a *runningAgent, s *backend, release chan struct{}, answers chan exchange) {
 	t.Helper()
 	release = make(chan struct{})
 	s = serveRaw(t, func(int) string { <-release; return ok200 })
@@ -169,11 +166,11 @@
 }
 
 // The same where the request's body is still to come, and nobody reads it while it waits for a server.
-func TestClientThatLeavesItsUploadIsNotServed(t *testing.T) {
+func TestClientThatDisconnectsDuringUploadIsNotServed(t *testing.T) {
 	for how, leave := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": reset} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			a, s, release, answers := full(t)
+			a, s, release, answers := startBusyAgent(t)
 			c := a.connect(t)
 			c.write(fmt.Sprintf("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: up\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s",
 				maxBufferedBody+1, strings.Repeat("x", 10<<10)))
@@ -194,10 +191,10 @@
 }
 
 // A client that has left has sent no more than the systems hold, and its reader comes to its end without a pause.
-func TestFloodOfAClientThatHasLeftIsReadAtOnce(t *testing.T) {
+func TestFloodOfDisconnectedClientIsDrainedAtOnce(t *testing.T) {
 	t.Parallel()
-	a, s, release, answers := full(t)
-	_, pauses := ahead(a)
+	a, s, release, answers := startBusyAgent(t)
+	_, pauses := watchOverflow(a)
 	c := a.connect(t)
 	c.write(headOf("get", "left"))
 	testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 7 })
@@ -215,7 +212,7 @@
 
 // One that sends more and stays has its answer, whole, and with it the end of its connection if what it sent can't be
 // kept; else its next request is served too.
-func TestClientThatSentMoreAndStaysIsServed(t *testing.T) {
+func TestPipeliningClientThatStaysConnectedIsServed(t *testing.T) {
 	for name, more := range map[string]struct {
 		text   string
 		status []int // of the answers that come
@@ -227,8 +224,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, s, release, answers := full(t)
-			end, _ := ahead(a)
+			a, s, release, answers := startBusyAgent(t)
+			end, _ := watchOverflow(a)
 			c := a.connect(t)
 			c.write(headOf("get", "first"))
 			testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 7 })
@@ -241,7 +238,7 @@
 				testkit.Receive(t, "answer", answers)
 			}
 			for n, want := range more.status {
-				if status, last := c.answer(); status != want || last != (len(more.status) == 1 || want == 431) {
+				if status, last := c.readResponse(); status != want || last != (len(more.status) == 1 || want == 431) {
 					t.Errorf("answer %d: %d, last %v", n, status, last)
 				}
 				if n == 0 && name == "a request in pieces" {
@@ -249,7 +246,7 @@
 				}
 			}
 			if last := more.status[len(more.status)-1]; last == 431 || len(more.status) == 1 {
-				c.ends()
+				c.expectEnd()
 				more.status = more.status[:1]
 			}
 			if n := len(s.seen); n != len(more.status) {
@@ -261,7 +258,7 @@
 
 // The last byte of an answer that streams is with the client before the loop has booked it. The client may send its next
 // request by then, larger than what is kept ahead: it is read when its turn comes, and nothing of it is dropped.
-func TestRequestBehindTheLastByteOfAStreamIsKept(t *testing.T) {
+func TestRequestBehindLastByteOfStreamIsServed(t *testing.T) {
 	last := make(chan struct{})
 	ln := testkit.Listen(t)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -277,10 +274,10 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	s := &backend{addr: ln.Addr().String()}
-	var loop *loopHold
+	var loop *loopBlocker
 	a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
-		func(a *core.Agent) { loop = holdable(a) })
-	end, _ := ahead(a)
+		func(a *core.Agent) { loop = blockableLoop(a) })
+	end, _ := watchOverflow(a)
 	c := a.connect(t)
 	c.write(headOf("get", "first"))
 	if _, err := c.in.Peek(1); err != nil { // it has begun to stream
@@ -288,21 +285,21 @@
 	}
 	loop.stop(t, a)
 	close(last)
-	if status, last := c.answer(); status != 200 || last {
+	if status, last := c.readResponse(); status != 200 || last {
 		t.Fatalf("%d, last %v", status, last)
 	}
 	c.write("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: next\r\nIdempotency-Key: k\r\nContent-Length: 90000\r\n\r\n")
 	c.write(strings.Repeat("b", 90_000))
 	testkit.Receive(t, "a reader at the end of what is kept", end)
 	close(loop.free)
-	if status, last := c.answer(); status != 200 || last {
+	if status, last := c.readResponse(); status != 200 || last {
 		t.Errorf("the next one: %d, last %v", status, last)
 	}
 }
 
 // While an agent stops, the answer of what was taken comes whole, though its client sends on: requests behind it, of
 // which none is sent on, and more than anybody reads.
-func TestLastAnswerOfAStoppingAgentComesWhole(t *testing.T) {
+func TestLastResponseOfStoppingAgentIsComplete(t *testing.T) {
 	for name, more := range map[string]string{
 		"nothing": "", "a request": headOf("get", "behind"), "part of one": "GET /get", "much": strings.Repeat("x", 200<<10),
 	} {
@@ -321,13 +318,13 @@
 				a.stop()
 				testkit.WaitFor(t, "the stop", func() bool { return a.draining.Load() })
 				close(release)
-				if status, last := c.answer(); status != 200 || !last {
+				if status, last := c.readResponse(); status != 200 || !last {
 					t.Errorf("%d, last %v", status, last)
 				}
 				if !early {
 					_, _ = io.WriteString(c.c, more) // it may have ended by now
 				}
-				c.ends()
+				c.expectEnd()
 				if err := testkit.Receive(t, "end of the agent", a.done); err != nil || len(s.seen) != 0 {
 					t.Errorf("%v, %d more reached the server", err, len(s.seen))
 				}
@@ -336,200 +333,9 @@
 	}
 }
 
-// heldDial has an agent's first connection to a server come up no sooner than told.
-func (r *running) heldDial(addr string) (dialled, release chan struct{}) {
-	dialled, release = make(chan struct{}, 1), make(chan struct{})
-	plain, first := r.connPool.dialer, atomic.Bool{}
-	r.connPool.dialer = func(ctx context.Context, network, to string) (net.Conn, error) {
-		if to == addr && first.CompareAndSwap(false, true) {
-			dialled <- struct{}{}
-			<-release
-			ctx = context.WithoutCancel(ctx) // it comes up however late it is
-		}
-		return plain(ctx, network, to)
-	}
-	return dialled, release
-}
-
-// A connection that comes up late brings nothing to a server that the list says by then to drain, to be gone, or to be
-// elsewhere (another process may have its address): another one has the request, or the server where it is now.
-func TestLateConnectionToADrainingServerIsNotUsed(t *testing.T) {
-	for _, state := range []string{"draining", "gone", "not listed", "moved"} {
-		t.Run(state, func(t *testing.T) {
-			one, two := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
-			moved := serveRaw(t, func(int) string { return ok200 })
-			list := testkit.NewCatalog(t)
-			a := start(t, testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Member{one.member("one")}}))
-			w := testkit.Receive(t, "watch", list.Watch)
-			dialled, release := a.heldDial(one.addr)
-			got := make(chan exchange, 1)
-			go func() { got <- a.do("POST", "/pay/x", "form") }()
-			testkit.Receive(t, "dial", dialled)
-			switch m := one.member("one"); state {
-			case "not listed":
-				w.Lines <- strings.Replace(testkit.ToLine(t, 42, two.member("two")), `"full":false`, `"full":true`, 1)
-			case "moved":
-				m.Addr = moved.addr
-				w.Lines <- testkit.ToLine(t, 42, m, two.member("two"))
-			default:
-				m.State = state
-				w.Lines <- testkit.ToLine(t, 42, m, two.member("two"))
-			}
-			a.waitListed(t, "two")
-			close(release)
-			if x := testkit.Receive(t, "answer", got); x.status != 200 {
-				t.Errorf("%+v", x)
-			}
-			if len(one.seen) != 0 || len(two.seen)+len(moved.seen) != 1 {
-				t.Errorf("%d went to the one that leaves, %d elsewhere", len(one.seen), len(two.seen)+len(moved.seen))
-			}
-		})
-	}
-}
-
-// Nor to a request whose client has left meanwhile.
-func TestLateConnectionToARequestThatEndedIsNotUsed(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	dialled, release := a.heldDial(s.addr)
-	c := a.connect(t)
-	c.write(headOf("get", "late"))
-	testkit.Receive(t, "dial", dialled)
-	reset(c.c)
-	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
-	close(release)
-	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "next"); x.status != 200 {
-		t.Errorf("%+v", x)
-	}
-	if id := testkit.Receive(t, "request", s.seen); id != "next" || len(s.seen) != 0 {
-		t.Errorf("%q reached the server, and %d more", id, len(s.seen))
-	}
-}
-
-// Nor to a repeat whose window has closed: the keyed request then fails. The window is long enough for a slow machine to
-// begin the repeat within it.
-func TestLateConnectionOfARepeatPastItsWindowIsNotUsed(t *testing.T) {
-	t.Parallel()
-	// The module leaves a connect time-out before the window's end, and the window counts as closed 0.15 s early: a repeat
-	// that is decided in the last 0.15 s before that margin, and whose connection takes nearly the time-out, meets the look.
-	const window, connect = 2 * time.Second, time.Second
-	for try := 1; ; try++ {
-		hold := make(chan struct{})
-		failing := serveRaw(t, func(int) string {
-			<-hold
-			return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-		})
-		other := serveRaw(t, func(int) string { return ok200 })
-		list := testkit.NewCatalog(t)
-		cfg := testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Member{failing.member("failing")}})
-		cfg.Settings.Classes[1].DedupWindow, cfg.Settings.Classes[1].Objective, cfg.Settings.ConnectTimeout = window, 200*time.Millisecond, connect
-		a := start(t, cfg)
-		w := testkit.Receive(t, "watch", list.Watch)
-		dialled, release := a.heldDial(other.addr)
-		got := make(chan exchange, 1)
-		go func() { got <- a.do("POST", "/put/x", "form", "Idempotency-Key", "k") }()
-		testkit.Receive(t, "request", failing.seen)
-		sent := time.Now()
-		w.Lines <- testkit.ToLine(t, 42, other.member("other"))
-		a.waitListed(t, "other")
-		time.AfterFunc(time.Until(sent.Add(window-connect-100*time.Millisecond)), func() { close(hold) })
-		select {
-		case <-dialled:
-			time.AfterFunc(time.Until(sent.Add(window-130*time.Millisecond)), func() { close(release) })
-		case x := <-got: // decided too late: it was not repeated
-			got <- x
-			close(release)
-		}
-		if x := testkit.Receive(t, "answer", got); x.status != http.StatusBadGateway || len(other.seen) != 0 {
-			t.Errorf("%d, %d reached the other server", x.status, len(other.seen))
-		}
-		if a.Counters().SendRefusals["window_closed"] > 0 {
-			return
-		}
-		if try == 10 {
-			t.Fatal("no repeat came so late that its window had closed")
-		}
-	}
-}
-
-// An answer that streams and never ends, though a byte of it comes now and then, is cut off, and its client can tell.
-func TestAnswerThatDripsForEverIsCutOff(t *testing.T) {
-	ln := testkit.Listen(t)
-	ended := make(chan struct{})
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer close(ended)
-		for flush := http.NewResponseController(w).Flush; ; {
-			select {
-			case <-r.Context().Done():
-				return
-			case <-time.After(5 * time.Millisecond):
-			}
-			if _, err := w.Write([]byte("x")); err != nil || flush() != nil {
-				return
-			}
-		}
-	})}
-	go func() { _ = server.Serve(ln) }()
-	t.Cleanup(func() { server.Close() })
-	s := &backend{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	a.connPool.maxStall = 200 * time.Millisecond
-	x := a.do("GET", "/get/x", "")
-	if x.err == nil || errors.Is(x.err, context.DeadlineExceeded) {
-		t.Errorf("%d, %d bytes, %v: it looks whole, or never ended", x.status, len(x.body), x.err)
-	}
-	testkit.Receive(t, "end at the server", ended)
-}
-
-// A reset is no end, above all of an answer whose length is not told: what came of it is not served as a whole one.
-// Short, it fails the attempt; where it streams already, its client sees that it broke off.
-func TestResetIsNoEndOfAnAnswerWithoutALength(t *testing.T) {
-	for name, part := range map[string]string{"nothing": "", "short": "part", "long": strings.Repeat("p", maxBufferedResponse+1)} {
-		t.Run(name, func(t *testing.T) {
-			ln := testkit.Listen(t)
-			began := make(chan struct{})
-			go func() {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
-					return
-				}
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+part)
-				if name == "long" {
-					<-began
-				}
-				reset(c)
-			}()
-			s := &backend{addr: ln.Addr().String()}
-			a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-			c := a.connect(t)
-			c.write("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 0\r\n\r\n")
-			if _, err := c.in.Peek(1); err != nil {
-				t.Fatal(err)
-			}
-			close(began)
-			resp, err := http.ReadResponse(c.in, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer resp.Body.Close()
-			got, err := io.ReadAll(resp.Body)
-			if name == "long" {
-				if resp.StatusCode != 200 || err == nil {
-					t.Errorf("%d, %d bytes, and its client can't tell", resp.StatusCode, len(got))
-				}
-			} else if resp.StatusCode != http.StatusBadGateway || err != nil {
-				t.Errorf("%d %q %v", resp.StatusCode, got, err)
-			}
-		})
-	}
-}
-
 // A request that came behind another one on its connection has waited while that one's answer was awaited: its server is
 // told what is left to its client, and one whose time is up by its turn goes to no server and has its answer at once.
-func TestTimeOfARequestRunsWhileAnotherIsAheadOfIt(t *testing.T) {
+func TestDeadlineOfPipelinedRequestRunsWhileItWaits(t *testing.T) {
 	var told atomic.Value // what the second attempt was told
 	read, release := make(chan time.Time, 1), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -551,13 +357,13 @@
 	<-wait.C
 	waited := time.Since(from)
 	release <- struct{}{}
-	if got, _ := c.answer(); got != 200 {
+	if got, _ := c.readResponse(); got != 200 {
 		t.Fatalf("the one ahead: %d", got)
 	}
-	if got, _ := c.answer(); got != http.StatusServiceUnavailable {
+	if got, _ := c.readResponse(); got != http.StatusServiceUnavailable {
 		t.Errorf("its time was up, and it has %d", got)
 	}
-	if got, _ := c.answer(); got != 200 {
+	if got, _ := c.readResponse(); got != 200 {
 		t.Errorf("the one with time left: %d", got)
 	}
 	left, err := strconv.ParseFloat(told.Load().(string), 64)
--- /dev/null
+++ b/internal/protocol/http1/responsereader_test.go
@@ -0,0 +1,90 @@
+package http1
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"vetchhaven/internal/source/discovery"
+	"vetchhaven/internal/testkit"
+)
+
+// An answer that streams and never ends, though a byte of it comes now and then, is cut off, and its client can tell.
+func TestResponseBelowMinimumRateIsCutOff(t *testing.T) {
+	ln := testkit.Listen(t)
+	ended := make(chan struct{})
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		defer close(ended)
+		for flush := http.NewResponseController(w).Flush; ; {
+			select {
+			case <-r.Context().Done():
+				return
+			case <-time.After(5 * time.Millisecond):
+			}
+			if _, err := w.Write([]byte("x")); err != nil || flush() != nil {
+				return
+			}
+		}
+	})}
+	go func() { _ = server.Serve(ln) }()
+	t.Cleanup(func() { server.Close() })
+	s := &backend{addr: ln.Addr().String()}
+	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
+	a.connPool.maxStall = 200 * time.Millisecond
+	x := a.do("GET", "/get/x", "")
+	if x.err == nil || errors.Is(x.err, context.DeadlineExceeded) {
+		t.Errorf("%d, %d bytes, %v: it looks whole, or never ended", x.status, len(x.body), x.err)
+	}
+	testkit.Receive(t, "end at the server", ended)
+}
+
+// A reset is no end, above all of an answer whose length is not told: what came of it is not served as a whole one.
+// Short, it fails the attempt; where it streams already, its client sees that it broke off.
+func TestResetDoesNotEndCloseDelimitedResponse(t *testing.T) {
+	for name, part := range map[string]string{"nothing": "", "short": "part", "long": strings.Repeat("p", maxBufferedResponse+1)} {
+		t.Run(name, func(t *testing.T) {
+			ln := testkit.Listen(t)
+			began := make(chan struct{})
+			go func() {
+				c, err := ln.Accept()
+				if err != nil {
+					return
+				}
+				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+					return
+				}
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+part)
+				if name == "long" {
+					<-began
+				}
+				reset(c)
+			}()
+			s := &backend{addr: ln.Addr().String()}
+			a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
+			c := a.connect(t)
+			c.write("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 0\r\n\r\n")
+			if _, err := c.in.Peek(1); err != nil {
+				t.Fatal(err)
+			}
+			close(began)
+			resp, err := http.ReadResponse(c.in, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer resp.Body.Close()
+			got, err := io.ReadAll(resp.Body)
+			if name == "long" {
+				if resp.StatusCode != 200 || err == nil {
+					t.Errorf("%d, %d bytes, and its client can't tell", resp.StatusCode, len(got))
+				}
+			} else if resp.StatusCode != http.StatusBadGateway || err != nil {
+				t.Errorf("%d %q %v", resp.StatusCode, got, err)
+			}
+		})
+	}
+}
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -23,11 +23,11 @@
 func TestNothingIsWrittenAfterTheFinalAnswer(t *testing.T) {
 	for name, end := range map[string]struct {
 		expires string
-		finish  func(r *running, blow *atomic.Bool)
+		finish  func(r *runningAgent, blow *atomic.Bool)
 	}{
-		"deadline":    {"0.100", func(*running, *atomic.Bool) {}},
-		"agent's end": {"30", func(r *running, blow *atomic.Bool) { blow.Store(true); go r.do("GET", "/get/other", "") }},
-		"drain":       {"0.100", func(r *running, _ *atomic.Bool) { r.stop() }},
+		"deadline":    {"0.100", func(*runningAgent, *atomic.Bool) {}},
+		"agent's end": {"30", func(r *runningAgent, blow *atomic.Bool) { blow.Store(true); go r.do("GET", "/get/other", "") }},
+		"drain":       {"0.100", func(r *runningAgent, _ *atomic.Bool) { r.stop() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -86,7 +86,7 @@
 
 // A listener that can't go on has the agent drain as a SIGTERM does: what was taken is answered, and then it ends with
 // the error.
-func TestAListenerThatCannotGoOnDrains(t *testing.T) {
+func TestBrokenListenerDrains(t *testing.T) {
 	for name, err := range map[string]error{"closed": net.ErrClosed, "bad descriptor": syscall.EBADF} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -102,7 +102,7 @@
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- a.Run(context.Background()) }()
-			r := &running{Agent: a, base: "http://" + a.Addr().String()}
+			r := &runningAgent{Agent: a, base: "http://" + a.Addr().String()}
 			answered := make(chan exchange, 1)
 			go func() { answered <- r.do("GET", "/get/x", "") }()
 			testkit.Receive(t, "request at the server", server.seen)
@@ -145,7 +145,7 @@
 }
 
 // A request that comes late in a drain has its last answer in time to be written by an agent that is held up for 0.15 s.
-func TestALastAnswerThatIsHeldUpComesBeforeTheEnd(t *testing.T) {
+func TestDelayedLastResponseIsWrittenBeforeStop(t *testing.T) {
 	// The 0.1 s that the agent keeps besides may go to a machine that does not run it: then it is tried again.
 	var x exchange
 	for range 3 {
@@ -184,14 +184,14 @@
 }
 
 // A connection on which nothing was written after all serves the next request as if nothing had been.
-func TestAConnectionWhoseWriteWasRefusedServesTheNext(t *testing.T) {
+func TestConnectionIsReusedAfterRefusedWrite(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
 	m := newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil)
 	if r, _, _ := b.attempt(context.Background(), answeredMeanwhile{}, "s", m); r != decide.NotSent {
 		t.Fatalf("result %v", r)
 	}
-	rested(b)
+	endRest(b)
 	if r, _, _ := b.attempt(context.Background(), probeOwner{}, "s", m); r != decide.OK || b.open != 1 {
 		t.Errorf("result %v, %d connections", r, b.open)
 	}
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -34,7 +34,7 @@
 // A fleet whose processes have all ended and come back is cold as a whole. The agent then serves
 // at a cold fleet's pace; it once sent nothing until the whole ramp was over, since what a cold one
 // may get followed from what warm ones serve.
-func TestServesAfterAllWereRefused(t *testing.T) {
+func TestServesAfterAllServersRefusedConnections(t *testing.T) {
 	dead := testkit.DeadAddr(t)
 	a, broken := withBrokenDials(t, func(ctx context.Context) (net.Conn, error) { return new(net.Dialer).DialContext(ctx, "tcp", dead) })
 	for range 20 {
@@ -59,7 +59,7 @@
 
 // Backends of which each spoils an answer now and then, all alike: one error says little then, and
 // its backend is not left out. It once was, and so at nearly any time some backend stood idle.
-func TestSpoiltAnswersOfAllLeaveNoneOut(t *testing.T) {
+func TestMalformedResponsesOfAllServersEjectNone(t *testing.T) {
 	var mu sync.Mutex
 	total, spoilt, again := 0, []string{}, 0
 	var servers []discovery.Member
@@ -99,7 +99,7 @@
 
 // withBrokenDials runs an agent with three backends. The counter tells how many of the next
 // dials end as broken says. What is cold does not become warm in a test's time.
-func withBrokenDials(t *testing.T, broken func(context.Context) (net.Conn, error)) (*running, *atomic.Int64) {
+func withBrokenDials(t *testing.T, broken func(context.Context) (net.Conn, error)) (*runningAgent, *atomic.Int64) {
 	t.Helper()
 	var servers []discovery.Member
 	for _, id := range []string{"s", "t", "u"} {
@@ -124,7 +124,7 @@
 }
 
 // dropIdle makes the next request need a new connection.
-func (r *running) dropIdle() {
+func (r *runningAgent) dropIdle() {
 	r.connPool.mu.Lock()
 	defer r.connPool.mu.Unlock()
 	for id, list := range r.connPool.idle {
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -20,8 +20,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// noise is a body that no two places of are alike.
-func noise(n int) []byte {
+// randomBytes is a body that no two places of are alike.
+func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	r := rand.NewChaCha8([32]byte{1})
 	_, _ = r.Read(b)
@@ -57,14 +57,14 @@
 	return (&backend{addr: ln.Addr().String()}).member("s")
 }
 
-func startWith(t *testing.T, members ...discovery.Member) *running {
+func startWith(t *testing.T, members ...discovery.Member) *runningAgent {
 	t.Helper()
 	return start(t, testConfig(t, testkit.Setup{Servers: members}))
 }
 
 // Bodies of any size and form reach the backend, and its answers the client, unchanged: whole, in chunks, and as
 // the connection's last.
-func TestLargeBodiesUnchanged(t *testing.T) {
+func TestLargeBodiesPassUnchanged(t *testing.T) {
 	s := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -94,7 +94,7 @@
 	})
 	a := startWith(t, s)
 	for _, size := range []int{0, 1, maxBufferedResponse, maxBufferedResponse + 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
-		body := noise(size)
+		body := randomBytes(size)
 		for _, up := range []string{"length", "chunks", "pieces"} {
 			for _, down := range []string{"length", "chunks", "close"} {
 				var in io.Reader = bytes.NewReader(body)
@@ -193,7 +193,7 @@
 }
 
 // A long answer whose length is not told begins to reach its client, though its end is yet to come.
-func TestLongAnswerOfNoLengthStreams(t *testing.T) {
+func TestLongResponseOfUnknownLengthStreams(t *testing.T) {
 	hold := make(chan struct{}, 1)
 	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
@@ -253,7 +253,7 @@
 }
 
 // A server that ends a streamed answer short ends it for the client too, who can tell, and there is no other attempt.
-func TestStreamThatBreaks(t *testing.T) {
+func TestBrokenStreamResetsClient(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d", 4*maxBufferedResponse), "chunks": "Transfer-Encoding: chunked",
 		"chunks, to HTTP/1.0": "Transfer-Encoding: chunked"} { // which knows of none: the connection's end tells
@@ -294,7 +294,7 @@
 }
 
 // What is said to be longer than a body may be is spoilt, and served to nobody.
-func TestAnswerTooLong(t *testing.T) {
+func TestOversizedResponseIsAnError(t *testing.T) {
 	s := serveRaw(t, func(int) string { return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nxxx", maxBody+1) })
 	a := startWith(t, s.member("s"))
 	if x := a.do("POST", "/pay/x", ""); x.status != 502 {
@@ -303,7 +303,7 @@
 }
 
 // upload begins one of 4 * maxWhole bytes.
-func (r *running) upload(t *testing.T, sent int) *client {
+func (r *runningAgent) upload(t *testing.T, sent int) *client {
 	t.Helper()
 	c := r.connect(t)
 	if _, err := fmt.Fprintf(c.c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n%s", newID(), 4*maxBufferedBody,
@@ -315,7 +315,7 @@
 
 // A server that breaks within an upload has run nothing, though bytes of an unsafe request have reached it: the client
 // is refused at once, and its connection ends.
-func TestServerBreaksWithinAnUpload(t *testing.T) {
+func TestServerFailureWithinUpload(t *testing.T) {
 	came := make(chan struct{})
 	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
@@ -342,7 +342,7 @@
 }
 
 // One that turns an upload away before its end is heard.
-func TestUploadTurnedAwayEarly(t *testing.T) {
+func TestEarlyRejectionOfUploadIsPassedOn(t *testing.T) {
 	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
@@ -360,7 +360,7 @@
 
 // A client that leaves within an upload, or sends what can't be read, ends it: its server never has the last byte, and
 // is not blamed.
-func TestClientFailsWithinAnUpload(t *testing.T) {
+func TestClientFailureWithinUpload(t *testing.T) {
 	ends := make(chan error, 10)
 	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
 		for {
@@ -405,7 +405,7 @@
 }
 
 // An upload of which nothing has gone goes to another server where the first one takes no connections.
-func TestUploadGoesElsewhereBeforeItBegins(t *testing.T) {
+func TestUploadIsRetriedBeforeItsFirstByte(t *testing.T) {
 	got := make(chan int64, 10)
 	s := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
@@ -425,7 +425,7 @@
 }
 
 // With nobody to send it to, an upload is refused at once, and what else it brings is no request.
-func TestUploadRefusedAtOnce(t *testing.T) {
+func TestUploadIsRejectedAtOnce(t *testing.T) {
 	a := startWith(t, (&backend{addr: testkit.DeadAddr(t)}).member("dead"))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
@@ -448,7 +448,7 @@
 
 // A body that comes at a slow client's rate is taken; one that drips, or stops, ends within a few seconds, be it
 // kept or streamed.
-func TestSlowBodies(t *testing.T) {
+func TestBodiesBelowMinimumRateAreCutOff(t *testing.T) {
 	s := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	a := startWith(t, s)
 	for _, size := range []int{1000, 4 * maxBufferedBody} {
--- a/internal/protocol/ldap/disconnect_test.go
+++ b/internal/protocol/ldap/disconnect_test.go
@@ -10,7 +10,7 @@
 
 // A client's connection is not read while a bind of it waits, for what is open before it or for its answer, nor once
 // this agent stops. One that leaves then has no attempt begun for it all the same.
-func TestNoAttemptForAClientThatHasLeft(t *testing.T) {
+func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	bind, lookup := ldapmsg.SimpleBind(2, []byte("cn=admin"), []byte("secret-1")), rawSearch(1, 0)
 	for name, row := range map[string]struct {
 		sends []byte
