--- a/internal/atomicfile/writer.go
+++ b/internal/atomicfile/writer.go
@@ -7,25 +7,40 @@
 	"time"
 )
 
-// Writer writes the latest of what it is given to one file, each whole or not at all, in a goroutine of its own: a
-// slow or full disk holds up nobody. A directory that can't be written is said once, and once more when it can be.
+// Backoff between attempts of a write that failed.
+const (
+	// minRetryBackoff is the ceiling of the wait after the first failure. A smaller value loads a disk that
+	// fails, a larger one delays the save after a short failure.
+	minRetryBackoff = 50 * time.Millisecond
+	// maxRetryBackoff is the ceiling at which doubling ends: so late at most is a file saved after the disk has
+	// recovered.
+	maxRetryBackoff = 5 * time.Second
+	// maxBackoffDoublings keeps the shift from overflowing; maxRetryBackoff applies before it.
+	maxBackoffDoublings = 10
+)
+
+// Writer saves the latest of several contents to one file, from the goroutine that runs Run: a slow or full disk
+// does not block the callers of Put. The first failed write is logged, and the first that succeeds after it.
+// The methods may be called from any goroutine.
 type Writer struct {
-	Dir, Name string // an empty Dir: nothing is written
-	What      string // it holds, for the log
-	Log       *slog.Logger
+	Dir  string // empty: nothing is written
+	Name string // of the file within Dir
+	What string // what the file holds, for the log
+	Log  *slog.Logger
 
-	mu    sync.Mutex
-	next  []byte
-	wake  chan struct{}
-	fails int // writes in a row that failed
+	mu       sync.Mutex
+	next     []byte        // to be written; nil: nothing
+	wake     chan struct{} // has an element if next was set since Run last looked
+	failures int           // failed writes in a row
 }
 
-// NewWriter returns one that has written nothing yet.
+// NewWriter returns a Writer of the file called name in dir. Run has to be called for anything to be written.
 func NewWriter(dir, name, what string, log *slog.Logger) *Writer {
 	return &Writer{Dir: dir, Name: name, What: what, Log: log, wake: make(chan struct{}, 1)}
 }
 
-// Put has data written soon. Of several, the last counts.
+// Put sets the content to be written next, in place of one that has not been written yet. It does not block.
+// data must not be changed afterwards.
 func (w *Writer) Put(data []byte) {
 	if w.Dir == "" {
 		return
@@ -39,9 +54,10 @@
 	}
 }
 
-// Run writes until stop is closed, and what is left then. What can't be written is tried again, and again.
+// Run writes what Put sets until stop is closed, and once more then. Failed writes are retried with exponential
+// backoff and jitter.
 func (w *Writer) Run(stop <-chan struct{}) {
-	retry := time.NewTimer(time.Hour)
+	retry := time.NewTimer(time.Hour) // runs only after a failure, with the backoff
 	defer retry.Stop()
 	for {
 		select {
@@ -55,12 +71,13 @@
 		}
 		retry.Stop()
 		if w.Failed() {
-			retry.Reset(w.again())
+			retry.Reset(w.backoff())
 		}
 	}
 }
 
-// Flush writes what is waiting, now. What fails goes on waiting, unless something newer has come.
+// Flush writes the pending content now, in the caller's goroutine. Content that could not be written stays
+// pending, unless newer content has been set.
 func (w *Writer) Flush() {
 	w.mu.Lock()
 	data := w.next
@@ -72,44 +89,46 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		if w.fails++; w.fails == 1 {
+		w.failures++
+		if w.failures == 1 {
 			w.Log.Error(w.What+" not saved; this is said once until it can be", "error", err)
 		}
 		return
 	}
-	if w.fails > 0 {
-		w.Log.Info(w.What+" saved again", "failed", w.fails)
+	if w.failures > 0 {
+		w.Log.Info(w.What+" saved again", "failed", w.failures)
 	}
-	w.fails = 0
-	if len(w.next) > 0 && len(data) > 0 && &w.next[0] == &data[0] {
-		w.next = nil // nothing newer has come meanwhile
+	w.failures = 0
+	if isSameSlice(w.next, data) {
+		w.next = nil
 	}
 }
 
-// Waits between tries of a write that failed.
-const (
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 5 * time.Second
-)
+// isSameSlice reports whether two contents are the same slice, not merely equal. Empty ones never are.
+func isSameSlice(a, b []byte) bool {
+	return len(a) > 0 && len(b) > 0 && &a[0] == &b[0]
+}
 
-// again is how long to wait until a write that failed is tried again: with jitter, below a ceiling that doubles.
-func (w *Writer) again() time.Duration {
+// backoff draws the wait until the next attempt of a failed write: between half of a doubling ceiling and all
+// of it.
+func (w *Writer) backoff() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ceiling := min(retryMost, retryFirst<<min(max(w.fails-1, 0), 10))
+	doublings := min(max(w.failures-1, 0), maxBackoffDoublings)
+	ceiling := min(maxRetryBackoff, minRetryBackoff<<doublings)
 	return ceiling/2 + rand.N(ceiling/2)
 }
 
-// Pending reports whether something is still to be written.
+// Pending reports whether there is content that has not been written.
 func (w *Writer) Pending() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.next != nil
 }
 
-// Failed reports whether the last write did.
+// Failed reports whether the last write failed.
 func (w *Writer) Failed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fails > 0
+	return w.failures > 0
 }
--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -11,46 +11,61 @@
 	"vetchhaven/internal/testkit"
 )
 
-// What could not be written is written once the disk takes it, whether or not anybody puts something newer.
-func TestAFailedWriteIsTriedAgain(t *testing.T) {
+// Content that could not be written is written once the disk accepts it, without another Put.
+func TestFailedWriteIsRetried(t *testing.T) {
 	blocked := filepath.Join(t.TempDir(), "blocked")
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil { // a file where the directory is to be
 		t.Fatal(err)
 	}
 	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.Quiet)
 	stop, done := make(chan struct{}), make(chan struct{})
-	go func() { w.Run(stop); close(done) }()
-	w.Put([]byte("kept"))
+	go func() {
+		w.Run(stop)
+		close(done)
+	}()
+	w.Put([]byte("content"))
 	testkit.WaitFor(t, "the failure", w.Failed)
 	if !w.Pending() {
-		t.Error("nothing is to be written any more, though nothing was")
+		t.Error("nothing is pending, though nothing was written")
 	}
 	if err := os.Remove(blocked); err != nil {
 		t.Fatal(err)
 	}
 	testkit.WaitFor(t, "the file", func() bool {
 		got, err := os.ReadFile(filepath.Join(blocked, "state", "file"))
-		return err == nil && string(got) == "kept"
+		return err == nil && string(got) == "content"
 	})
-	testkit.WaitFor(t, "the word that it is saved", func() bool { return !w.Failed() && !w.Pending() })
+	testkit.WaitFor(t, "the recovery", func() bool { return !w.Failed() && !w.Pending() })
 	close(stop)
 	testkit.Receive(t, "end", done)
 }
 
-// A file whose directory was not synced may be gone after a crash of the machine: it does not count as saved. Where the
-// file system has no such sync, there is nothing to wait for.
-func TestAFailedSyncOfTheDirectoryIsNoSave(t *testing.T) {
+// A file whose directory was not synced may be lost in a crash of the machine, so it does not count as saved. A file
+// system that can't sync directories is no error.
+func TestFailedDirectorySyncIsAnError(t *testing.T) {
 	defer func() { syncDirectory = (*os.File).Sync }()
-	for _, row := range []struct{ sync, want error }{{unix.EIO, unix.EIO}, {unix.ENOSPC, unix.ENOSPC}, {unix.EINVAL, nil}, {unix.ENOTSUP, nil}, {nil, nil}} {
-		syncDirectory = func(*os.File) error { return row.sync }
-		if err := Replace(t.TempDir(), "file", []byte("x")); !errors.Is(err, row.want) || row.want == nil && err != nil {
-			t.Errorf("sync: %v: replace: %v, want %v", row.sync, err, row.want)
-		}
+	for _, tt := range []struct {
+		name string
+		sync error
+		want error
+	}{
+		{"input/output error", unix.EIO, unix.EIO},
+		{"disk full", unix.ENOSPC, unix.ENOSPC},
+		{"invalid for directories", unix.EINVAL, nil},
+		{"not supported", unix.ENOTSUP, nil},
+		{"synced", nil, nil},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			syncDirectory = func(*os.File) error { return tt.sync }
+			if err := Replace(t.TempDir(), "file", []byte("x")); !errors.Is(err, tt.want) || tt.want == nil && err != nil {
+				t.Errorf("sync: %v: replace: %v, want %v", tt.sync, err, tt.want)
+			}
+		})
 	}
 }
 
-// A disk that fails for long is not asked without a pause.
-func TestFailedWritesAreSpread(t *testing.T) {
+// Writes to a disk that goes on failing are spaced by a growing backoff.
+func TestRetryBackoffGrowsToItsMaximum(t *testing.T) {
 	blocked := filepath.Join(t.TempDir(), "blocked")
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -58,13 +73,13 @@
 	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.Quiet)
 	w.Put([]byte("x"))
 	w.Flush()
-	if wait := w.again(); wait < retryFirst/2 || wait > retryMost {
-		t.Errorf("tried again after %v", wait)
+	if wait := w.backoff(); wait < minRetryBackoff/2 || wait > maxRetryBackoff {
+		t.Errorf("backoff of %v after one failure", wait)
 	}
 	for range 20 {
 		w.Flush()
 	}
-	if wait := w.again(); wait < retryMost/2 || wait > retryMost {
-		t.Errorf("tried again after %v, having failed often", wait)
+	if wait := w.backoff(); wait < maxRetryBackoff/2 || wait > maxRetryBackoff {
+		t.Errorf("backoff of %v after many failures", wait)
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,7 @@
-// Package tomlfile reads operators' files strictly. Every error names the file, the line and the
-// field, and a key that nobody knows is an error.
+// Package tomlfile reads operators' TOML files strictly into plain structs: an unknown key is an error, and every
+// error names the file, the line and the key. A File keeps the lines of all keys, so that checks after parsing can
+// report errors the same way. It owns no other state and starts no goroutine; the readers of the fleet's
+// configuration, of policies, scenarios and fault tests call it.
 package tomlfile
 
 import (
@@ -14,13 +16,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File knows on which line each key of a file stands.
+// File is a parsed file: its path, and the line of each key.
 type File struct {
 	Path  string
-	lines map[string]int
+	lines map[string]int // by key, such as "a.b" or "a[1].b"; from 1
 }
 
-// Read decodes the file at path into a pointer to a plain struct.
+// Read decodes the file at path into a pointer to a plain struct. Struct fields without a toml tag match the key
+// that equals their name in any case.
 func Read(path string, into any) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -29,7 +32,7 @@
 	return Parse(path, data, into)
 }
 
-// Parse decodes data, which errors call path.
+// Parse decodes data like Read. path only appears in errors.
 func Parse(path string, data []byte, into any) (*File, error) {
 	f := &File{Path: path, lines: map[string]int{}}
 	if err := f.index(data); err != nil {
@@ -37,63 +40,54 @@
 	}
 	decoder := toml.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(into)
-	var strict *toml.StrictMissingError
-	var wrong *toml.DecodeError
-	switch {
-	case errors.As(err, &strict) && len(strict.Errors) > 0:
-		first := strict.Errors[0]
+	if err := decoder.Decode(into); err != nil {
+		return nil, locateDecodeError(path, err)
+	}
+	return f, f.checkDurations("", reflect.ValueOf(into))
+}
+
+// locateDecodeError adds the line and the key to an error of the decoder.
+func locateDecodeError(path string, err error) error {
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
+		first := unknown.Errors[0]
 		row, _ := first.Position()
-		return nil, fmt.Errorf("%s:%d: %s: there is no such key", path, row, strings.Join(first.Key(), "."))
-	case errors.As(err, &wrong):
+		return fmt.Errorf("%s:%d: %s: there is no such key", path, row, strings.Join(first.Key(), "."))
+	}
+	var wrong *toml.DecodeError
+	if errors.As(err, &wrong) {
 		row, _ := wrong.Position()
 		at := strings.Join(wrong.Key(), ".")
 		if at != "" {
 			at += ": "
 		}
-		return nil, fmt.Errorf("%s:%d: %s%s", path, row, at, strings.TrimPrefix(wrong.Error(), "toml: "))
-	case err != nil:
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("%s:%d: %s%s", path, row, at, strings.TrimPrefix(wrong.Error(), "toml: "))
 	}
-	return f, f.durations("", reflect.ValueOf(into))
+	return fmt.Errorf("%s: %w", path, err)
 }
 
-// durations finds the first Duration that was no time.
-func (f *File) durations(key string, v reflect.Value) error {
+// checkDurations returns an error for the first Duration below v that could not be parsed.
+func (f *File) checkDurations(key string, v reflect.Value) error {
 	if v.Type() == reflect.TypeFor[Duration]() {
-		if d := v.Interface().(Duration); d.bad != "" {
-			return f.Errorf(key, "%s is no time such as \"250ms\" or \"1m30s\"", d.bad)
+		if d := v.Interface().(Duration); d.malformed != "" {
+			return f.Errorf(key, "%s is no time such as \"250ms\" or \"1m30s\"", d.malformed)
 		}
 		return nil
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			return f.durations(key, v.Elem())
+			return f.checkDurations(key, v.Elem())
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if err := f.durations(fmt.Sprintf("%s[%d]", key, i), v.Index(i)); err != nil {
+			if err := f.checkDurations(fmt.Sprintf("%s[%d]", key, i), v.Index(i)); err != nil {
 				return err
 			}
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			field := v.Type().Field(i)
-			if field.Anonymous { // its keys stand among those around it
-				if err := f.durations(key, v.Field(i)); err != nil {
-					return err
-				}
-				continue
-			}
-			if !field.IsExported() {
-				continue
-			}
-			name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
-			if name == "" {
-				name = strings.ToLower(field.Name)
-			}
-			if err := f.durations(join(key, name), v.Field(i)); err != nil {
+			if err := f.checkField(key, v.Type().Field(i), v.Field(i)); err != nil {
 				return err
 			}
 		}
@@ -101,77 +95,102 @@
 	return nil
 }
 
-// index notes the line of each key: "a.b", and "a[1].b" within the second [[a]].
+// checkField is checkDurations for one field of the struct at key.
+func (f *File) checkField(key string, field reflect.StructField, v reflect.Value) error {
+	if field.Anonymous { // its keys stand among those of the struct around it
+		return f.checkDurations(key, v)
+	}
+	if !field.IsExported() {
+		return nil
+	}
+	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
+	if name == "" {
+		name = strings.ToLower(field.Name)
+	}
+	return f.checkDurations(join(key, name), v)
+}
+
+// index records the line of each key: "a.b", and "a[1].b" within the second [[a]].
 func (f *File) index(data []byte) error {
-	p := unstable.Parser{}
-	p.Reset(data)
+	parser := unstable.Parser{}
+	parser.Reset(data)
 	table := ""
-	count := map[string]int{}
-	for p.NextExpression() {
-		e := p.Expression()
-		switch e.Kind {
-		case unstable.Table, unstable.ArrayTable:
-			parts, line := keyOf(&p, e.Key())
-			table = ""
-			for i, part := range parts { // an inner table belongs to the latest of its outer ones
-				table = join(table, part)
-				last := i == len(parts)-1
-				if n := count[table]; n > 0 && !(last && e.Kind == unstable.ArrayTable) {
-					table = fmt.Sprintf("%s[%d]", table, n-1)
-				}
-			}
-			if e.Kind == unstable.ArrayTable {
-				count[table]++
-				table = fmt.Sprintf("%s[%d]", table, count[table]-1)
-			}
+	elements := map[string]int{} // of each array of tables, so far
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		switch expression.Kind {
+		case unstable.Table:
+			parts, line := keyOf(&parser, expression.Key())
+			table = tableKey(parts, elements)
+			f.lines[table] = line
+		case unstable.ArrayTable:
+			parts, line := keyOf(&parser, expression.Key())
+			last := len(parts) - 1
+			array := join(tableKey(parts[:last], elements), parts[last])
+			table = fmt.Sprintf("%s[%d]", array, elements[array])
+			elements[array]++
 			f.lines[table] = line
 		case unstable.KeyValue:
-			parts, line := keyOf(&p, e.Key())
+			parts, line := keyOf(&parser, expression.Key())
 			key := join(table, strings.Join(parts, "."))
 			f.lines[key] = line
-			f.inner(&p, key, e.Value())
+			f.indexValue(&parser, key, expression.Value())
 		}
 	}
-	if err := p.Error(); err != nil {
+	if err := parser.Error(); err != nil {
 		line := 1
 		var at *unstable.ParserError
 		if errors.As(err, &at) {
-			line = p.Shape(p.Range(at.Highlight)).Start.Line
+			line = parser.Shape(parser.Range(at.Highlight)).Start.Line
 		}
 		return fmt.Errorf("%s:%d: %w", f.Path, line, err)
 	}
 	return nil
 }
 
-// inner notes the keys of inline tables, also within arrays.
-func (f *File) inner(p *unstable.Parser, key string, v *unstable.Node) {
-	it := v.Children()
-	switch v.Kind {
+// tableKey joins the parts of a table's key. A part that names an array of tables means its latest element.
+func tableKey(parts []string, elements map[string]int) string {
+	table := ""
+	for _, part := range parts {
+		table = join(table, part)
+		if n := elements[table]; n > 0 {
+			table = fmt.Sprintf("%s[%d]", table, n-1)
+		}
+	}
+	return table
+}
+
+// indexValue records the lines of the keys of inline tables, also of those within arrays.
+func (f *File) indexValue(parser *unstable.Parser, key string, value *unstable.Node) {
+	children := value.Children()
+	switch value.Kind {
 	case unstable.InlineTable:
-		for it.Next() {
-			parts, line := keyOf(p, it.Node().Key())
+		for children.Next() {
+			parts, line := keyOf(parser, children.Node().Key())
 			name := join(key, strings.Join(parts, "."))
 			f.lines[name] = line
-			f.inner(p, name, it.Node().Value())
+			f.indexValue(parser, name, children.Node().Value())
 		}
 	case unstable.Array:
-		for i := 0; it.Next(); i++ {
-			f.inner(p, fmt.Sprintf("%s[%d]", key, i), it.Node())
+		for i := 0; children.Next(); i++ {
+			f.indexValue(parser, fmt.Sprintf("%s[%d]", key, i), children.Node())
 		}
 	}
 }
 
-func keyOf(p *unstable.Parser, it unstable.Iterator) (parts []string, line int) {
-	for it.Next() {
-		n := it.Node()
+// keyOf returns the parts of a dotted key, and the line of the first.
+func keyOf(parser *unstable.Parser, key unstable.Iterator) (parts []string, line int) {
+	for key.Next() {
+		node := key.Node()
 		if line == 0 {
-			line = p.Shape(n.Raw).Start.Line
+			line = parser.Shape(node.Raw).Start.Line
 		}
-		parts = append(parts, string(n.Data))
+		parts = append(parts, string(node.Data))
 	}
 	return parts, line
 }
 
+// join puts a key behind its table's; the root's is empty.
 func join(table, key string) string {
 	if table == "" {
 		return key
@@ -179,7 +198,7 @@
 	return table + "." + key
 }
 
-// Line is where a key stands, or the nearest of the tables around it that is written; 1 if none is.
+// Line returns the line of a key, or of the innermost table around it that the file has; 1 if it has none.
 func (f *File) Line(key string) int {
 	for {
 		if n := f.lines[key]; n > 0 {
@@ -196,32 +215,35 @@
 // Has reports whether the file sets a key.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// Errorf is an error about a key: what was found, and what is allowed.
+// Errorf returns an error about a key, with the file and the line. The text should say what was found and what is
+// allowed.
 func (f *File) Errorf(key, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s: %s", f.Path, f.Line(key), key, fmt.Sprintf(format, args...))
 }
 
-// Duration is a time with its unit, as in "250ms" or "1m30s". A bare number is an error: its unit
-// would have to be guessed.
+// Duration is a time.Duration that a file has as text with its unit, as in "250ms" or "1m30s". A bare number is an
+// error: its unit would have to be guessed.
 type Duration struct {
-	v   time.Duration
-	bad string // what is no time: Parse says where
+	duration  time.Duration
+	malformed string // the quoted text, if it is no duration: Parse turns it into an error
 }
 
-// Of is a Duration of a time.Duration.
-func Of(d time.Duration) Duration { return Duration{v: d} }
+// Of returns the Duration of a time.Duration, for defaults.
+func Of(d time.Duration) Duration { return Duration{duration: d} }
 
-// UnmarshalText reads what time.ParseDuration takes. It leaves the error to Parse, which knows the
-// line: the decoder does not say it for errors from here.
+// UnmarshalText accepts the syntax of time.ParseDuration. It returns no error: the decoder would report it without
+// the line. Parse reports it instead.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
-	if d.v = v; err != nil {
-		d.bad = fmt.Sprintf("%q", text)
+	duration, err := time.ParseDuration(string(text))
+	d.duration = duration
+	if err != nil {
+		d.malformed = fmt.Sprintf("%q", text)
 	}
 	return nil
 }
 
-// D is the same as a time.Duration.
-func (d Duration) D() time.Duration { return d.v }
+// D returns the time.Duration.
+func (d Duration) D() time.Duration { return d.duration }
 
-func (d Duration) String() string { return d.v.String() }
+// String formats the duration like time.Duration does.
+func (d Duration) String() string { return d.duration.String() }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -35,7 +35,7 @@
 x = 8
 `
 
-func TestLines(t *testing.T) {
+func TestKeysHaveTheirLines(t *testing.T) {
 	var s sample
 	f, err := Parse("f.toml", []byte("inline = [\n {a = 1,\n b = 2},\n {a = 3}]\n"+text), &s)
 	if err != nil {
@@ -56,23 +56,25 @@
 	}
 }
 
-func TestErrorsNameLineAndField(t *testing.T) {
-	for _, tt := range []struct{ text, want string }{
-		{"name = \"x\"\nbad = 1\n", "f.toml:2: bad: there is no such key"},
-		{"[[box]]\nsize = 1\n[[box]]\nsiz = 2\n", "f.toml:4: box.siz: there is no such key"},
-		{"name = 5\n", "f.toml:1: name: "},
-		{"\nwait = \"5 apples\"\n", "f.toml:2: wait: \"5 apples\" is no time"},
-		{"\nwait = 5\n", "f.toml:2: wait: "},
-		{"\npause = 5\n", "f.toml:2: pause: \"5\" is no time"},
-		{"\n\nname = \n", "f.toml:3: "},
-		{"name = \"a\"\nname = \"b\"\n", "f.toml:2: "},
-		{"[box", "f.toml:1: "},
+func TestErrorsNameLineAndKey(t *testing.T) {
+	for _, tt := range []struct{ name, text, want string }{
+		{"unknown key", "name = \"x\"\nbad = 1\n", "f.toml:2: bad: there is no such key"},
+		{"unknown key in an array", "[[box]]\nsize = 1\n[[box]]\nsiz = 2\n", "f.toml:4: box.siz: there is no such key"},
+		{"wrong type", "name = 5\n", "f.toml:1: name: "},
+		{"malformed duration", "\nwait = \"5 apples\"\n", "f.toml:2: wait: \"5 apples\" is no time"},
+		{"duration without unit", "\nwait = 5\n", "f.toml:2: wait: "},
+		{"malformed duration of an embedded struct", "\npause = 5\n", "f.toml:2: pause: \"5\" is no time"},
+		{"no value", "\n\nname = \n", "f.toml:3: "},
+		{"duplicate key", "name = \"a\"\nname = \"b\"\n", "f.toml:2: "},
+		{"unclosed table", "[box", "f.toml:1: "},
 	} {
-		var s sample
-		_, err := Parse("f.toml", []byte(tt.text), &s)
-		if err == nil || !strings.HasPrefix(err.Error(), tt.want) {
-			t.Errorf("%q: %v, want %s...", tt.text, err, tt.want)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			var s sample
+			_, err := Parse("f.toml", []byte(tt.text), &s)
+			if err == nil || !strings.HasPrefix(err.Error(), tt.want) {
+				t.Errorf("%q: %v, want %s...", tt.text, err, tt.want)
+			}
+		})
 	}
 }
 
