--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -77,7 +77,7 @@
 	}
 	if saved != nil {
 		m.usesSaved = true
-		m.apply(endpoints.View{Source: fromSaved, Servers: endpointsOf(saved)})
+		m.apply(endpoints.Snapshot{Source: fromSaved, Servers: endpointsOf(saved)})
 		m.apply(endpoints.Failed{Source: fromSaved})
 	}
 	return m
@@ -102,7 +102,7 @@
 var endpointStates = map[string]endpoints.State{
 	"ready":    endpoints.Up,
 	"draining": endpoints.Draining,
-	"gone":     endpoints.Gone,
+	"gone":     endpoints.Removed,
 }
 
 // endpointsOf translates a list.
@@ -174,9 +174,9 @@
 // listReport translates what the list service says: a complete list, or a change of it.
 func listReport(list *discovery.Members) endpoints.Report {
 	if list.Full {
-		return endpoints.View{Source: fromList, Servers: endpointsOf(list)}
+		return endpoints.Snapshot{Source: fromList, Servers: endpointsOf(list)}
 	}
-	return endpoints.Change{Source: fromList, Servers: endpointsOf(list)}
+	return endpoints.Delta{Source: fromList, Servers: endpointsOf(list)}
 }
 
 // apply merges a report, or with nil looks at what was held back, and publishes what has changed.
@@ -187,12 +187,12 @@
 	if r != nil {
 		reports = append(reports, r)
 	}
-	if view, ok := r.(endpoints.View); ok {
+	if view, ok := r.(endpoints.Snapshot); ok {
 		m.reported[view.Source] = true
 	}
 	if m.usesSaved && m.isComplete() { // all origins speak for themselves now
 		m.usesSaved = false
-		reports = append(reports, endpoints.Forget{Source: fromSaved})
+		reports = append(reports, endpoints.Reset{Source: fromSaved})
 	}
 	list, changed := m.module.Step(time.Since(m.startedAt), reports...)
 	for _, line := range m.module.Logs() {
--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -123,7 +123,7 @@
 		for _, e := range a.view.entries {
 			all = append(all, member(e))
 		}
-		a.members.Step(a.d.now, endpoints.View{Source: fromList, Servers: all})
+		a.members.Step(a.d.now, endpoints.Snapshot{Source: fromList, Servers: all})
 	}
 	a.post(decide.ListUpdate{Kind: decide.ListCached, Backends: backends(a.view.entries)})
 	if a.share != nil {
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -47,14 +47,14 @@
 	r.drawn++
 	c := d.chance.Sub(model.Name("records"), uint64(r.drawn))
 	luck, s := c.Float(), r.spec
-	var report endpoints.Report = endpoints.View{Source: fromRecords, Servers: r.past[0].all}
+	var report endpoints.Report = endpoints.Snapshot{Source: fromRecords, Servers: r.past[0].all}
 	switch {
 	case luck < s.Fail:
 		report = endpoints.Failed{Source: fromRecords}
 	case luck < s.Fail+s.Cut:
-		report = endpoints.View{Source: fromRecords, Servers: r.past[0].all[:len(r.past[0].all)/2]}
+		report = endpoints.Snapshot{Source: fromRecords, Servers: r.past[0].all[:len(r.past[0].all)/2]}
 	case luck < s.Fail+s.Cut+s.Empty:
-		report = endpoints.View{Source: fromRecords}
+		report = endpoints.Snapshot{Source: fromRecords}
 	}
 	for _, a := range d.agents {
 		if a.up {
@@ -72,7 +72,7 @@
 	case decide.Draining:
 		v.State = endpoints.Draining
 	case decide.Removed:
-		v.State = endpoints.Gone
+		v.State = endpoints.Removed
 	default:
 		v.State = endpoints.Up
 	}
@@ -109,7 +109,7 @@
 	var list []endpoints.Member
 	changed := false
 	if a.d.o.Believe { // a resolver that believes each answer, and knows of nothing else
-		v, whole := report.(endpoints.View)
+		v, whole := report.(endpoints.Snapshot)
 		if !whole || v.Source != fromRecords {
 			return
 		}
@@ -150,8 +150,8 @@
 	}
 	a.view.version = t.Version
 	if t.Full {
-		a.merge(endpoints.View{Source: fromList, Servers: slices.Clip(all)})
+		a.merge(endpoints.Snapshot{Source: fromList, Servers: slices.Clip(all)})
 	} else {
-		a.merge(endpoints.Change{Source: fromList, Servers: all})
+		a.merge(endpoints.Delta{Source: fromList, Servers: all})
 	}
 }
--- a/internal/source/dnssource/dnssource.go
+++ b/internal/source/dnssource/dnssource.go
@@ -101,7 +101,7 @@
 				s.o.Log.Info("names read again", "source", s.o.Name, "failures", s.fails)
 			}
 			s.fails = 0
-			report(endpoints.View{Source: s.o.Name, Servers: servers})
+			report(endpoints.Snapshot{Source: s.o.Name, Servers: servers})
 			ttl = min(max(ttl, s.o.Floor), s.o.Ceiling)
 			wait = max(s.o.Floor, ttl-time.Duration(s.o.Rand()*float64(ttl)/10))
 		}
@@ -260,7 +260,7 @@
 			case "draining":
 				v.State = endpoints.Draining
 			case "gone":
-				v.State = endpoints.Gone
+				v.State = endpoints.Removed
 			default:
 				err = errors.New("none of ready, draining, gone")
 			}
--- a/internal/source/dnssource/dnssource_test.go
+++ b/internal/source/dnssource/dnssource_test.go
@@ -206,7 +206,7 @@
 			defer close(done)
 			o.Run(ctx, func(r endpoints.Report) {
 				switch r.(type) {
-				case endpoints.View:
+				case endpoints.Snapshot:
 					views.Add(1)
 				case endpoints.Failed:
 					failures.Add(1)
--- a/internal/source/dnssource/mdns.go
+++ b/internal/source/dnssource/mdns.go
@@ -121,7 +121,7 @@
 			}
 			byes := m.c.take(now, &r)
 			if gone := m.gone(byes); len(gone) > 0 {
-				report(endpoints.Change{Source: m.s.o.Name, Servers: gone})
+				report(endpoints.Delta{Source: m.s.o.Name, Servers: gone})
 			}
 			m.tell(report)
 			for _, q := range m.missing() {
@@ -235,7 +235,7 @@
 	back := m.takenBack(byes)
 	for _, v := range m.servers() {
 		if back[v.instance] {
-			v.State = endpoints.Gone
+			v.State = endpoints.Removed
 			all = append(all, v.Server)
 		}
 	}
@@ -261,7 +261,7 @@
 		return
 	}
 	m.lost, m.last = false, live
-	report(endpoints.View{Source: m.s.o.Name, Servers: live})
+	report(endpoints.Snapshot{Source: m.s.o.Name, Servers: live})
 }
 
 // missing are the questions whose answers would complete an instance.
--- a/internal/source/dnssource/mdns_test.go
+++ b/internal/source/dnssource/mdns_test.go
@@ -140,7 +140,7 @@
 	}
 	views := func(ids ...string) func(endpoints.Report) bool {
 		return func(v endpoints.Report) bool {
-			w, ok := v.(endpoints.View)
+			w, ok := v.(endpoints.Snapshot)
 			if !ok || len(w.Servers) != len(ids) {
 				return false
 			}
@@ -153,21 +153,21 @@
 		}
 	}
 	until("both", func(v endpoints.Report) bool {
-		w, ok := v.(endpoints.View)
+		w, ok := v.(endpoints.Snapshot)
 		return ok && len(w.Servers) == 2 && w.Servers[1].Pod == 2 && w.Servers[1].Addr == "10.0.0.2:8002"
 	})
 	r.Say([]byte("this is no message"))
 	announce(false, instance(1, 0)[0])
 	until("goodbye", func(v endpoints.Report) bool {
-		w, ok := v.(endpoints.Change)
-		return ok && len(w.Servers) == 1 && w.Servers[0].ID == "h1.local:8001" && w.Servers[0].State == endpoints.Gone
+		w, ok := v.(endpoints.Delta)
+		return ok && len(w.Servers) == 1 && w.Servers[0].ID == "h1.local:8001" && w.Servers[0].State == endpoints.Removed
 	})
 	until("view without it", views("h2.local:8002"))
 	announce(true, instance(1, 600)...)
 	until("view with it", views("h1.local:8001", "h2.local:8002"))
 	announce(true, "h2.local. 600 IN A 10.0.0.22")
 	until("its new address", func(v endpoints.Report) bool {
-		w, ok := v.(endpoints.View)
+		w, ok := v.(endpoints.Snapshot)
 		return ok && len(w.Servers) >= 2 && w.Servers[len(w.Servers)-1].Addr == "10.0.0.22:8002"
 	})
 	if r.Asked("SRV", "i1."+local) == 0 {
--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -20,7 +20,7 @@
 	Absent State = iota
 	Up
 	Draining
-	Gone
+	Removed
 )
 
 func (s State) String() string { return [...]string{"absent", "up", "draining", "gone"}[s] }
@@ -59,18 +59,18 @@
 
 // What sources say.
 type (
-	// View is all that a source knows.
-	View struct {
+	// Snapshot is all that a source knows.
+	Snapshot struct {
 		Source  string
 		Servers []Server
 	}
-	// Change is part of it: what has come, changed or gone.
-	Change struct {
+	// Delta is part of it: what has come, changed or gone.
+	Delta struct {
 		Source  string
 		Servers []Server
 	}
-	// Forget takes back all that a source has said.
-	Forget struct{ Source string }
+	// Reset takes back all that a source has said.
+	Reset struct{ Source string }
 	// Failed says that a source could not be asked, or that its answer was no good.
 	Failed struct{ Source string }
 )
@@ -78,10 +78,10 @@
 // Report is one of them.
 type Report interface{ report() }
 
-func (View) report()   {}
-func (Change) report() {}
-func (Failed) report() {}
-func (Forget) report() {}
+func (Snapshot) report() {}
+func (Delta) report()    {}
+func (Failed) report()   {}
+func (Reset) report()    {}
 
 // Member is a server of the merged list, in it or not.
 type Member struct {
@@ -92,15 +92,15 @@
 
 // Module merges. It belongs to one goroutine.
 type Module struct {
-	s       Settings
-	sources []*source
-	// gone are those of which a source said that they drain or are gone, by address and by ID: that holds
+	settings Settings
+	sources  []*source
+	// removals are those of which a source said that they drain or are gone, by address and by ID: that holds
 	// until there is newer evidence.
-	gone []*verdict
-	pods map[string]*pod // by ID
-	last map[string]Member
-	now  time.Duration
-	logs []string
+	removals []*removal
+	pods     map[string]*pod // by ID
+	lastList map[string]Member
+	latest   time.Duration
+	logs     []string
 }
 
 type source struct {
@@ -123,7 +123,7 @@
 	lostAt    time.Duration
 }
 
-type verdict struct {
+type removal struct {
 	id, addr string
 	state    State
 	by       string
@@ -139,7 +139,7 @@
 
 // New merges nothing yet.
 func New(s Settings) *Module {
-	m := &Module{s: s, pods: map[string]*pod{}, last: map[string]Member{}}
+	m := &Module{settings: s, pods: map[string]*pod{}, lastList: map[string]Member{}}
 	for _, o := range s.Sources {
 		m.sources = append(m.sources, &source{Source: o, entries: map[string]*entry{}})
 	}
@@ -150,28 +150,28 @@
 // names, in it or not, by ID. Without reports, time alone has passed. changed tells whether it differs
 // from the list before.
 func (m *Module) Step(now time.Duration, reports ...Report) (list []Member, changed bool) {
-	m.now = max(now, m.now)
+	m.latest = max(now, m.latest)
 	for _, r := range reports {
 		switch r := r.(type) {
-		case View:
+		case Snapshot:
 			if s := m.source(r.Source); s != nil {
-				m.view(s, r.Servers)
+				m.applySnapshot(s, r.Servers)
 			}
-		case Change:
+		case Delta:
 			if s := m.source(r.Source); s != nil {
 				for _, v := range r.Servers {
-					m.entry(s, v)
+					m.applyServer(s, v)
 				}
-				s.heard(m.now)
+				s.heard(m.latest)
 			}
-		case Forget:
+		case Reset:
 			if s := m.source(r.Source); s != nil {
 				s.entries, s.known = map[string]*entry{}, false
-				m.gone = slices.DeleteFunc(m.gone, func(g *verdict) bool { return g.by == s.Name })
+				m.removals = slices.DeleteFunc(m.removals, func(g *removal) bool { return g.by == s.Name })
 			}
 		case Failed:
 			if s := m.source(r.Source); s != nil && !s.failing {
-				s.failing, s.since = true, m.now
+				s.failing, s.since = true, m.latest
 			}
 		}
 	}
@@ -179,11 +179,11 @@
 	next := map[string]Member{}
 	for _, v := range list {
 		next[v.ID] = v
-		old, known := m.last[v.ID]
+		old, known := m.lastList[v.ID]
 		changed = changed || !known || old.In != v.In || old.Server != v.Server
 	}
-	changed = changed || len(next) != len(m.last)
-	m.last = next
+	changed = changed || len(next) != len(m.lastList)
+	m.lastList = next
 	return list, changed
 }
 
@@ -213,7 +213,7 @@
 // lacks notes that a source no longer has a server.
 func (s *source) lacks(id string, now time.Duration) {
 	delete(s.entries, id)
-	if s.without == nil || len(s.without) > verdictsMost {
+	if s.without == nil || len(s.without) > maxRemovals {
 		s.without, s.began = map[string]time.Duration{}, now
 	}
 	s.without[id] = now
@@ -228,8 +228,8 @@
 	}
 }
 
-// view takes a whole view of a source.
-func (m *Module) view(s *source, servers []Server) {
+// applySnapshot takes a whole view of a source.
+func (m *Module) applySnapshot(s *source, servers []Server) {
 	named := map[string]bool{}
 	for _, v := range servers {
 		named[v.ID] = true
@@ -242,35 +242,35 @@
 	}
 	sudden := !s.Exact && missing > 2 && 2*missing > len(s.entries)
 	if sudden {
-		m.logs = append(m.logs, fmt.Sprintf("%s lacks %d of %d servers at once: they stay for %v", s.Name, missing, len(s.entries), m.s.Guard))
+		m.logs = append(m.logs, fmt.Sprintf("%s lacks %d of %d servers at once: they stay for %v", s.Name, missing, len(s.entries), m.settings.Guard))
 	}
 	for id, e := range s.entries {
 		switch {
 		case named[id]:
 		case s.Exact:
-			m.judge(s, e, Gone)
-			s.lacks(id, m.now)
+			m.recordRemoval(s, e, Removed)
+			s.lacks(id, m.latest)
 		case sudden && !e.lost:
-			e.lost, e.lostAt = true, m.now
-		case e.lost && m.now-e.lostAt < m.s.Guard:
+			e.lost, e.lostAt = true, m.latest
+		case e.lost && m.latest-e.lostAt < m.settings.Guard:
 		default:
-			s.lacks(id, m.now)
+			s.lacks(id, m.latest)
 		}
 	}
 	for _, v := range servers {
-		m.entry(s, v)
+		m.applyServer(s, v)
 	}
-	s.heard(m.now)
+	s.heard(m.latest)
 }
 
-// entry takes what a source says of one server.
-func (m *Module) entry(s *source, v Server) {
+// applyServer takes what a source says of one server.
+func (m *Module) applyServer(s *source, v Server) {
 	e := s.entries[v.ID]
 	if e == nil {
 		e = &entry{Server: v}
-		s.announce(e, m.now)
-		if v.State == Gone || v.State == Absent {
-			m.judge(s, e, v.State)
+		s.announce(e, m.latest)
+		if v.State == Removed || v.State == Absent {
+			m.recordRemoval(s, e, v.State)
 			return
 		}
 		s.entries[v.ID] = e
@@ -278,48 +278,48 @@
 	old := e.State
 	e.Server, e.lost = v, false
 	switch {
-	case v.State == Gone:
-		m.judge(s, e, Gone)
-		s.lacks(v.ID, m.now)
+	case v.State == Removed:
+		m.recordRemoval(s, e, Removed)
+		s.lacks(v.ID, m.latest)
 	case v.State == Absent:
-		s.lacks(v.ID, m.now)
+		s.lacks(v.ID, m.latest)
 	case v.State == Draining:
-		m.judge(s, e, Draining)
+		m.recordRemoval(s, e, Draining)
 	case old != Up: // it came back by the word of the very source that had it drain
-		s.announce(e, m.now)
+		s.announce(e, m.latest)
 	}
 	if v.State == Up {
-		m.gone = slices.DeleteFunc(m.gone, func(g *verdict) bool { return g.same(v) && g.by == s.Name })
+		m.removals = slices.DeleteFunc(m.removals, func(g *removal) bool { return g.same(v) && g.by == s.Name })
 	}
 }
 
-// judge notes that a source says a server drains, or is gone.
-func (m *Module) judge(s *source, e *entry, state State) {
-	if state != Draining && state != Gone {
+// recordRemoval notes that a source says a server drains, or is gone.
+func (m *Module) recordRemoval(s *source, e *entry, state State) {
+	if state != Draining && state != Removed {
 		return
 	}
-	for _, g := range m.gone {
+	for _, g := range m.removals {
 		if g.same(e.Server) && g.by == s.Name {
-			g.state, g.at = state, m.now // said again, it is as new as that
+			g.state, g.at = state, m.latest // said again, it is as new as that
 			g.started = max(g.started, e.Started)
 			return
 		}
 	}
-	m.gone = append(m.gone, &verdict{e.ID, e.Addr, state, s.Name, m.now, e.Started})
-	if len(m.gone) > verdictsMost {
-		m.gone = m.gone[1:] // the oldest: of thousands, no record advertises it any more
+	m.removals = append(m.removals, &removal{e.ID, e.Addr, state, s.Name, m.latest, e.Started})
+	if len(m.removals) > maxRemovals {
+		m.removals = m.removals[1:] // the oldest: of thousands, no record advertises it any more
 	}
 }
 
-const verdictsMost = 20000
+const maxRemovals = 20000
 
 // same reports whether a verdict is of a server: by its ID, or by its address. A process that started
 // later is another.
-func (g *verdict) same(v Server) bool { return g.id == v.ID || g.addr != "" && g.addr == v.Addr }
+func (g *removal) same(v Server) bool { return g.id == v.ID || g.addr != "" && g.addr == v.Addr }
 
 // overruled reports whether what a source says of a server is newer than the verdict: a later start, or a
 // withdrawal and a new announcement after it.
-func (g *verdict) overruled(e *entry, guard time.Duration) bool {
+func (g *removal) overruled(e *entry, guard time.Duration) bool {
 	if e.State != Up || e.lost {
 		return false
 	}
@@ -334,7 +334,7 @@
 
 // fresh reports whether a source has a say: it has been heard, and does not fail for too long.
 func (m *Module) fresh(s *source) bool {
-	return s.known && (!s.failing || m.now-s.since <= s.Hold)
+	return s.known && (!s.failing || m.latest-s.since <= s.Hold)
 }
 
 // group is one server, by all that sources say of it.
@@ -371,7 +371,7 @@
 	}
 	var list []Member
 	for _, g := range groups {
-		list = append(list, m.decide(g, byAddr))
+		list = append(list, m.resolve(g, byAddr))
 	}
 	// Failures alone never empty the fleet: with nobody left, what a silent source last said still holds.
 	if !slices.ContainsFunc(list, func(v Member) bool { return v.In }) {
@@ -422,8 +422,8 @@
 	return s
 }
 
-// decide says what comes of one server.
-func (m *Module) decide(g *group, byAddr map[string]*group) Member {
+// resolve says what comes of one server.
+func (m *Module) resolve(g *group, byAddr map[string]*group) Member {
 	v := Member{Server: g.entries[0].Server}
 	for _, e := range g.entries[1:] { // the first that tells a thing is believed
 		v.Zone, v.Kind = cmp.Or(v.Zone, e.Zone), cmp.Or(v.Kind, e.Kind)
@@ -444,12 +444,12 @@
 	v.State = Up
 	// Drained or gone by any source wins and holds, also by one that is silent by now, until there is newer
 	// evidence.
-	var worst *verdict
-	for _, d := range m.gone {
+	var worst *removal
+	for _, d := range m.removals {
 		hit, overruled := false, false
 		for _, e := range g.entries {
 			hit = hit || d.same(e.Server)
-			overruled = overruled || d.overruled(e, m.s.Guard)
+			overruled = overruled || d.overruled(e, m.settings.Guard)
 		}
 		if hit && !overruled && (worst == nil || d.state > worst.state) {
 			worst = d
@@ -461,7 +461,7 @@
 		v.In = worst.state == Draining // decide hears of it, and sends nothing new
 		v.Why = fmt.Sprintf("%s by %s", worst.state, worst.by)
 	case v.Addr != "" && byAddr[v.Addr] != g && byAddr[v.Addr] != nil:
-		v.State, v.Why = Gone, "another process has its address"
+		v.State, v.Why = Removed, "another process has its address"
 	case len(up) == 0 && stale > 0:
 		v.Why = silent + ": " + strings.Join(said, ", ")
 	case len(up) > 0:
@@ -476,15 +476,15 @@
 func (m *Module) podOf(id string, said int) int {
 	p := m.pods[id]
 	if p == nil {
-		m.pods[id] = &pod{pod: said, changed: m.now - m.s.Settle}
+		m.pods[id] = &pod{pod: said, changed: m.latest - m.settings.Settle}
 		return said
 	}
 	switch {
 	case said == p.pod:
 		p.said = false
-	case m.now-p.changed >= m.s.Settle:
+	case m.latest-p.changed >= m.settings.Settle:
 		m.logs = append(m.logs, fmt.Sprintf("%s moves from pod %d to pod %d", id, p.pod, said))
-		p.pod, p.changed, p.said = said, m.now, false
+		p.pod, p.changed, p.said = said, m.latest, false
 	case !p.said:
 		m.logs = append(m.logs, fmt.Sprintf("%s is said to be in pod %d so soon after its last move: it stays in pod %d for now", id, said, p.pod))
 		p.said = true
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -66,11 +66,11 @@
 		x := Server{ID: "x", Addr: "10.0.0.9:80", State: Up}
 		keep := Server{ID: "keep", Addr: "10.0.0.8:80", State: Up}
 		now := time.Duration(0)
-		m.Step(now, View{"other", []Server{keep}})
+		m.Step(now, Snapshot{"other", []Server{keep}})
 		for i, c := range combo {
 			switch c {
 			case "silent", "failing":
-				m.Step(now, View{names[i], []Server{x}})
+				m.Step(now, Snapshot{names[i], []Server{x}})
 			}
 		}
 		for i, c := range combo {
@@ -85,18 +85,18 @@
 			said := x
 			switch c {
 			case "absent":
-				m.Step(now, View{names[i], nil})
+				m.Step(now, Snapshot{names[i], nil})
 			case "up":
-				m.Step(now, View{names[i], []Server{x}})
+				m.Step(now, Snapshot{names[i], []Server{x}})
 			case "failing":
 				m.Step(now, Failed{names[i]})
 			case "draining":
 				said.State = Draining
-				m.Step(now, Change{names[i], []Server{said}})
+				m.Step(now, Delta{names[i], []Server{said}})
 			case "gone":
-				m.Step(now, View{names[i], []Server{x}})
-				said.State = Gone
-				m.Step(now, Change{names[i], []Server{said}})
+				m.Step(now, Snapshot{names[i], []Server{x}})
+				said.State = Removed
+				m.Step(now, Delta{names[i], []Server{said}})
 			}
 		}
 		list, _ := m.Step(now)
@@ -116,8 +116,8 @@
 func TestNewerEvidence(t *testing.T) {
 	fresh := func() *Module {
 		m := module("list", "records")
-		m.Step(0, View{"list", up("a", "x")}, View{"records", up("a", "x")})
-		m.Step(time.Second, View{"list", up("a")})
+		m.Step(0, Snapshot{"list", up("a", "x")}, Snapshot{"records", up("a", "x")})
+		m.Step(time.Second, Snapshot{"list", up("a")})
 		return m
 	}
 	serves := func(m *Module, at time.Duration, r ...Report) bool {
@@ -126,36 +126,36 @@
 		return find(t, list, "x").serves()
 	}
 	m := fresh()
-	if serves(m, 2*time.Second, View{"records", up("a", "x")}) || serves(m, time.Hour, View{"records", up("a", "x")}) {
+	if serves(m, 2*time.Second, Snapshot{"records", up("a", "x")}) || serves(m, time.Hour, Snapshot{"records", up("a", "x")}) {
 		t.Error("the same record brought it back")
 	}
-	if serves(m, time.Hour+time.Second, View{"records", up("a")}) {
+	if serves(m, time.Hour+time.Second, Snapshot{"records", up("a")}) {
 		t.Error("withdrawn, and back")
 	}
-	if serves(m, time.Hour+2*time.Second, View{"records", up("a", "x")}) {
+	if serves(m, time.Hour+2*time.Second, Snapshot{"records", up("a", "x")}) {
 		t.Error("one reading without it, and a whole one, brought it back: readings lose records without a word")
 	}
-	if serves(m, time.Hour+3*time.Second, View{"records", up("a")}) || serves(m, time.Hour+guard+3*time.Second, View{"records", up("a")}) {
+	if serves(m, time.Hour+3*time.Second, Snapshot{"records", up("a")}) || serves(m, time.Hour+guard+3*time.Second, Snapshot{"records", up("a")}) {
 		t.Error("withdrawn, and back")
 	}
-	if !serves(m, time.Hour+guard+4*time.Second, View{"records", up("a", "x")}) {
+	if !serves(m, time.Hour+guard+4*time.Second, Snapshot{"records", up("a", "x")}) {
 		t.Error("withdrawn for as long as the guard and announced again after the list's report: that is newer")
 	}
 	m = fresh()
-	if !serves(m, 3*time.Second, View{"list", up("a", "x")}) {
+	if !serves(m, 3*time.Second, Snapshot{"list", up("a", "x")}) {
 		t.Error("the list that had it gone has it again")
 	}
 	m = module("list", "records")
 	old := up("a", "x")
 	old[1].Started = 1000
-	m.Step(0, View{"list", old}, View{"records", old})
-	m.Step(time.Second, View{"list", old[:1]})
+	m.Step(0, Snapshot{"list", old}, Snapshot{"records", old})
+	m.Step(time.Second, Snapshot{"list", old[:1]})
 	next := slices.Clone(old)
-	if next[1].Started = 1000; serves(m, 2*time.Second, View{"records", next[:1]}, View{"records", next}) {
+	if next[1].Started = 1000; serves(m, 2*time.Second, Snapshot{"records", next[:1]}, Snapshot{"records", next}) {
 		t.Error("announced again with the start that was reported gone")
 	}
 	next = slices.Clone(next)
-	if next[1].Started = 2000; !serves(m, 3*time.Second, View{"records", next}) {
+	if next[1].Started = 2000; !serves(m, 3*time.Second, Snapshot{"records", next}) {
 		t.Error("a new start is newer evidence")
 	}
 }
@@ -164,7 +164,7 @@
 // answer is not believed at once, though a drain is.
 func TestFailuresAndSuddenLoss(t *testing.T) {
 	m := module("list", "records")
-	m.Step(0, View{"records", up("a", "b", "c", "d")})
+	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
 	count := func(at time.Duration, r ...Report) (n int) {
 		list, _ := m.Step(at, r...)
 		for _, v := range list {
@@ -181,23 +181,23 @@
 		t.Errorf("%d long after: failures emptied the fleet", n)
 	}
 	at := 3*hold + time.Second
-	if n := count(at, View{"records", nil}); n != 4 {
+	if n := count(at, Snapshot{"records", nil}); n != 4 {
 		t.Errorf("%d after a sudden empty answer", n)
 	}
 	b := up("a", "b")[1]
 	b.State = Draining
-	if n := count(at+time.Second, Change{"list", []Server{b}}); n != 3 {
+	if n := count(at+time.Second, Delta{"list", []Server{b}}); n != 3 {
 		t.Errorf("%d: the guard overruled a drain", n)
 	}
-	if n := count(at+guard/2, View{"records", nil}); n != 3 {
+	if n := count(at+guard/2, Snapshot{"records", nil}); n != 3 {
 		t.Errorf("%d: a second answer too soon", n)
 	}
-	if n := count(at+guard+time.Second, View{"records", nil}); n != 0 {
+	if n := count(at+guard+time.Second, Snapshot{"records", nil}); n != 0 {
 		t.Errorf("%d: the second answer is not believed", n)
 	}
 	m = module("list", "records")
-	m.Step(0, View{"records", up("a", "b", "c", "d")})
-	if n := count(time.Second, View{"records", up("a", "b", "c")}); n != 3 {
+	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
+	if n := count(time.Second, Snapshot{"records", up("a", "b", "c")}); n != 3 {
 		t.Errorf("%d: one that is withdrawn goes at once", n)
 	}
 }
@@ -207,19 +207,19 @@
 	m := module("list", "records")
 	named := Server{ID: "formserver-7", Addr: "10.0.0.7:80", State: Up, Zone: "a", Pod: 3}
 	record := Server{ID: "formserver-7.example.org:80", Addr: "10.0.0.7:80", State: Up, Weight: 5}
-	list, _ := m.Step(0, View{"list", []Server{named}}, View{"records", []Server{record}})
+	list, _ := m.Step(0, Snapshot{"list", []Server{named}}, Snapshot{"records", []Server{record}})
 	if len(list) != 1 || list[0].ID != "formserver-7" || list[0].Weight != 5 || list[0].Pod != 3 {
 		t.Errorf("%+v", list)
 	}
 	gone := named
-	gone.State = Gone
-	if list, _ = m.Step(time.Second, Change{"list", []Server{gone}}); find(t, list, record.ID).serves() {
+	gone.State = Removed
+	if list, _ = m.Step(time.Second, Delta{"list", []Server{gone}}); find(t, list, record.ID).serves() {
 		t.Errorf("the same server by its other name: %+v", list)
 	}
 	m = module("list", "records")
 	first, second := named, Server{ID: "other", Addr: named.Addr, State: Up}
 	first.Started, second.Started = 1000, 2000
-	list, _ = m.Step(0, View{"list", []Server{first}}, View{"records", []Server{second}})
+	list, _ = m.Step(0, Snapshot{"list", []Server{first}}, Snapshot{"records", []Server{second}})
 	if len(list) != 2 || find(t, list, "formserver-7").serves() || !find(t, list, "other").serves() {
 		t.Errorf("%+v", list)
 	}
@@ -230,7 +230,7 @@
 	m := module("list")
 	at := func(now time.Duration, p int) int {
 		x := Server{ID: "x", Addr: "10.0.0.1:80", State: Up, Pod: p}
-		list, _ := m.Step(now, View{"list", []Server{x}})
+		list, _ := m.Step(now, Snapshot{"list", []Server{x}})
 		return find(t, list, "x").Pod
 	}
 	if at(0, 1) != 1 || at(time.Minute, 2) != 2 {
@@ -258,14 +258,14 @@
 	m := module("list", "records")
 	all := up("a", "b", "c")
 	all[2].Priority = 10
-	list, _ := m.Step(0, View{"records", all})
+	list, _ := m.Step(0, Snapshot{"records", all})
 	if find(t, list, "c").serves() || !find(t, list, "a").serves() {
 		t.Errorf("%+v", list)
 	}
 	for i := range 2 {
 		all[i].State = Draining
 	}
-	if list, _ = m.Step(time.Second, Change{"list", all[:2]}); !find(t, list, "c").serves() {
+	if list, _ = m.Step(time.Second, Delta{"list", all[:2]}); !find(t, list, "c").serves() {
 		t.Errorf("%+v", list)
 	}
 }
@@ -299,7 +299,7 @@
 			}
 			var said []Server
 			for i, id := range ids {
-				s := rapid.SampledFrom([]State{Absent, Up, Up, Draining, Gone}).Draw(t, id)
+				s := rapid.SampledFrom([]State{Absent, Up, Up, Draining, Removed}).Draw(t, id)
 				v := Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: s}
 				if s != Absent {
 					said = append(said, v)
@@ -312,7 +312,7 @@
 					if !lastUp[by][id] {
 						renewed[id] = max(renewed[id], spoke[by])
 					}
-				case s == Draining || s == Gone || s == Absent && by == "list" && lastUp[by][id]:
+				case s == Draining || s == Removed || s == Absent && by == "list" && lastUp[by][id]:
 					if bad[id] == nil {
 						bad[id] = map[string]int{}
 					}
@@ -321,7 +321,7 @@
 				lastUp[by][id] = s == Up
 			}
 			spoke[by] = step
-			list, _ := m.Step(now, View{by, said})
+			list, _ := m.Step(now, Snapshot{by, said})
 			for _, v := range list {
 				for source, at := range bad[v.ID] {
 					if v.serves() && renewed[v.ID] <= at {
@@ -350,6 +350,6 @@
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		m.Step(time.Duration(n)*time.Second, View{"list", all}, View{"srv", all}, View{"sd", all})
+		m.Step(time.Duration(n)*time.Second, Snapshot{"list", all}, Snapshot{"srv", all}, Snapshot{"sd", all})
 	}
 }
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -119,7 +119,7 @@
 		return all
 	}
 	w.records = truth()
-	m.Step(0, endpoints.View{Source: "list", Servers: truth()}, endpoints.View{Source: "records", Servers: w.records})
+	m.Step(0, endpoints.Snapshot{Source: "list", Servers: truth()}, endpoints.Snapshot{Source: "records", Servers: w.records})
 	believed := w.records
 	type publish struct {
 		at  time.Duration
@@ -148,7 +148,7 @@
 			if dueDead[i] > 0 && w.now >= dueDead[i] && up {
 				dueDead[i], w.alive[i] = 0, false
 				v := server(i, w)
-				v.State = endpoints.Gone
+				v.State = endpoints.Removed
 				said = append(said, v)
 			}
 			if backAt[i] > 0 && w.now >= backAt[i] && up && !w.alive[i] {
@@ -158,7 +158,7 @@
 			}
 		}
 		if len(said) > 0 {
-			m.Step(w.now, endpoints.Change{Source: "list", Servers: said})
+			m.Step(w.now, endpoints.Delta{Source: "list", Servers: said})
 		}
 		for len(coming) > 0 && coming[0].at <= w.now { // records follow late
 			w.records = truth()
@@ -173,10 +173,10 @@
 				m.Step(w.now, endpoints.Failed{Source: "records"})
 				believed = w.records[:len(w.records)/2]
 			case 3: // a true empty answer
-				m.Step(w.now, endpoints.View{Source: "records"})
+				m.Step(w.now, endpoints.Snapshot{Source: "records"})
 				believed = nil
 			default:
-				m.Step(w.now, endpoints.View{Source: "records", Servers: w.records})
+				m.Step(w.now, endpoints.Snapshot{Source: "records", Servers: w.records})
 				believed = w.records
 			}
 		}
@@ -227,7 +227,7 @@
 	const rounds = 100
 	began := time.Now()
 	for n := range rounds {
-		m.Step(time.Duration(n)*time.Second, endpoints.View{Source: "list", Servers: all}, endpoints.View{Source: "srv", Servers: all}, endpoints.View{Source: "sd", Servers: all})
+		m.Step(time.Duration(n)*time.Second, endpoints.Snapshot{Source: "list", Servers: all}, endpoints.Snapshot{Source: "srv", Servers: all}, endpoints.Snapshot{Source: "sd", Servers: all})
 	}
 	took := time.Since(began) / rounds
 	runtime.GC()
