--- a/internal/host/daemonconfig/instances.go
+++ b/internal/host/daemonconfig/instances.go
@@ -209,7 +209,7 @@
 		return nil
 	case "ldap":
 		if t.Classes == nil {
-			t.Classes = slices.DeleteFunc(slices.Clone(classes.names), func(name string) bool { return !ldap.Known(name) })
+			t.Classes = slices.DeleteFunc(slices.Clone(classes.names), func(name string) bool { return !ldap.IsClass(name) })
 		}
 		c.ldapClasses(at("classes"), t.Classes, classes.tables)
 		return c.ldap
@@ -220,13 +220,13 @@
 
 // ldapClasses checks the classes of an instance that speaks LDAP.
 func (c *checker) ldapClasses(key string, names []string, tables []classTable) {
-	for _, needed := range ldap.Needed {
+	for _, needed := range ldap.RequiredClasses {
 		if !slices.Contains(names, needed) {
 			c.fail(key, "an instance that speaks LDAP needs a class %q", needed)
 		}
 	}
 	for _, name := range names {
-		if !ldap.Known(name) {
+		if !ldap.IsClass(name) {
 			c.fail(key, "%q is no class of operations of LDAP", name)
 		}
 		for _, t := range tables {
@@ -247,10 +247,10 @@
 		return c.resolvePath(p)
 	}
 	o := &ldap.Options{
-		MostMessage: t.MaxMessage,
-		MostOpen:    t.MaxOperations,
-		Shared:      t.PerConnection,
-		Idle:        c.duration("ldap.idle", t.Idle, 0),
+		MaxMessage:  t.MaxMessage,
+		MaxOpen:     t.MaxOperations,
+		MaxShared:   t.PerConnection,
+		MaxIdle:     c.duration("ldap.idle", t.Idle, 0),
 		Certificate: path(t.Certificate),
 		Key:         path(t.Key),
 		LDAPS:       t.LDAPS,
@@ -282,6 +282,6 @@
 		}
 		_, _ = content.Write(text)
 	}
-	o.Loaded = strconv.FormatUint(content.Sum64(), 16)
+	o.FilesDigest = strconv.FormatUint(content.Sum64(), 16)
 	return o
 }
--- a/internal/protocol/ldap/bind.go
+++ b/internal/protocol/ldap/bind.go
@@ -15,19 +15,19 @@
 type identity struct {
 	key            string // names it; "" is anybody
 	name, password []byte
-	uses           atomic.Int32
+	refs           atomic.Int32
 	rejected       atomic.Bool // a server that was to take its bind again did not
 }
 
-func (w *identity) hold() *identity {
+func (w *identity) retain() *identity {
 	if w != nil {
-		w.uses.Add(1)
+		w.refs.Add(1)
 	}
 	return w
 }
 
-func (w *identity) drop() {
-	if w != nil && w.uses.Add(-1) == 0 {
+func (w *identity) release() {
+	if w != nil && w.refs.Add(-1) == 0 {
 		clear(w.password)
 	}
 }
@@ -39,76 +39,76 @@
 	return w.key
 }
 
-// settle takes over what an answer changes about its client. The session's lock is held.
-func (s *session) settle(o *operation, got *reply) {
+// applyResult takes over what an answer changes about its client. The session's lock is held.
+func (s *session) applyResult(o *operation, got *finalResponse) {
 	switch {
-	case o.m.Op == ldapmsg.BindRequest && got.code == ldapmsg.Success && o.sasl:
-		s.become(nil, got.conn)
-	case o.m.Op == ldapmsg.BindRequest && got.code == ldapmsg.Success:
-		s.become(o.bind.hold(), nil)
-	case o.m.Op == ldapmsg.BindRequest && got.code == ldapmsg.SASLBindInProgress && o.sasl:
-		s.become(nil, got.conn)
-	case o.m.Op == ldapmsg.BindRequest:
-		s.become(nil, nil)
+	case o.message.Op == ldapmsg.BindRequest && got.code == ldapmsg.Success && o.sasl:
+		s.setIdentity(nil, got.conn)
+	case o.message.Op == ldapmsg.BindRequest && got.code == ldapmsg.Success:
+		s.setIdentity(o.newIdentity.retain(), nil)
+	case o.message.Op == ldapmsg.BindRequest && got.code == ldapmsg.SASLBindInProgress && o.sasl:
+		s.setIdentity(nil, got.conn)
+	case o.message.Op == ldapmsg.BindRequest:
+		s.setIdentity(nil, nil)
 	case o.paged && len(got.cookie) > 0 && got.conn != nil:
-		s.page(string(got.cookie), got.conn)
+		s.keepPagedConn(string(got.cookie), got.conn)
 	}
 }
 
-// page keeps a connection for a paged search's next page. The session's lock is held.
-func (s *session) page(cookie string, c *serverConn) {
-	if s.paged == nil {
-		s.paged = map[string]*serverConn{}
+// keepPagedConn keeps a connection for a paged search's next page. The session's lock is held.
+func (s *session) keepPagedConn(cookie string, c *serverConn) {
+	if s.pagedConns == nil {
+		s.pagedConns = map[string]*serverConn{}
 	}
-	if len(s.paged) < pagedMost && !s.closed {
-		s.paged[cookie] = c
+	if len(s.pagedConns) < maxPagedSearches && !s.closed {
+		s.pagedConns[cookie] = c
 	} else {
 		go c.unreserve()
 	}
 }
 
-// become changes as whom the client is bound. The session's lock is held; who is held for it.
-func (s *session) become(who *identity, pinned *serverConn) {
-	s.who.drop()
-	s.who = who
-	if s.pinned != nil && s.pinned != pinned {
-		go s.pinned.retire()
-	}
-	if s.pinned = pinned; pinned != nil && s.closed {
+// setIdentity changes as whom the client is bound. The session's lock is held; who is held for it.
+func (s *session) setIdentity(who *identity, pinned *serverConn) {
+	s.identity.release()
+	s.identity = who
+	if s.stickyConn != nil && s.stickyConn != pinned {
+		go s.stickyConn.retire()
+	}
+	if s.stickyConn = pinned; pinned != nil && s.closed {
 		go pinned.retire()
 	}
-	for cookie, c := range s.paged { // of another identity
+	for cookie, c := range s.pagedConns { // of another identity
 		go c.unreserve()
-		delete(s.paged, cookie)
+		delete(s.pagedConns, cookie)
 	}
 }
 
-// takeBind takes a bind. Nothing else is taken until it has its answer (RFC 4511, 4.2.1), and it waits
+// handleBind takes a bind. Nothing else is taken until it has its answer (RFC 4511, 4.2.1), and it waits
 // for what is open.
-func (s *session) takeBind(raw []byte, m ldapmsg.Message) (more bool, err error) {
+func (s *session) handleBind(raw []byte, m ldapmsg.Message) (more bool, err error) {
 	b, err := ldapmsg.ParseBind(m.Content)
 	defer s.in.Forget()
 	if err != nil {
 		return false, err
 	}
 	refuse := func(code int, text string) (bool, error) {
-		s.answer(m.ID, m.Op, code, text)
+		s.respond(m.ID, m.Op, code, text)
 		return true, nil
 	}
 	s.mu.Lock()
-	open := make([]*operation, 0, len(s.ops))
-	for _, o := range s.ops {
+	open := make([]*operation, 0, len(s.operations))
+	for _, o := range s.operations {
 		if o.done == nil {
 			o.done = make(chan struct{})
 		}
 		open = append(open, o)
 	}
-	secured, pinned := s.secured, s.pinned
+	secured, pinned := s.secured, s.stickyConn
 	s.mu.Unlock()
 	switch {
 	case b.Version != 3:
 		return refuse(ldapmsg.ProtocolErrorCode, "LDAPv3 is served")
-	case b.Simple && len(b.Password) > 0 && s.p.tls != nil && !secured:
+	case b.Simple && len(b.Password) > 0 && s.protocol.tls != nil && !secured:
 		return refuse(ldapmsg.ConfidentialityRequired, "a password is taken under TLS only")
 	case !b.Simple && b.Mechanism == "EXTERNAL":
 		// The server would take this agent's own certificate or socket for the client's.
@@ -121,14 +121,14 @@
 	}
 	own := append([]byte(nil), raw...)
 	m, _ = ldapmsg.Parse(own)
-	o := &operation{s: s, id: m.ID, m: m, raw: own, kind: kindBind, sasl: !b.Simple, done: make(chan struct{})}
+	o := &operation{session: s, id: m.ID, message: m, raw: own, kind: kindBind, sasl: !b.Simple, done: make(chan struct{})}
 	if b.Simple {
 		b, _ = ldapmsg.ParseBind(m.Content)
-		o.bind = s.p.identity(b.Name, b.Password).hold()
-	} else if pinned != nil && !pinned.dead() {
-		o.conn = pinned // a further step; a first one of a new exchange is the server's to tell
+		o.newIdentity = s.protocol.identity(b.Name, b.Password).retain()
+	} else if pinned != nil && !pinned.isUnusable() {
+		o.requiredConn = pinned // a further step; a first one of a new exchange is the server's to tell
 	}
-	s.begin(o, 0)
+	s.submit(o, 0)
 	<-o.done
 	return true, nil
 }
@@ -149,14 +149,14 @@
 // startTLS takes the connection into TLS.
 func (s *session) startTLS(m ldapmsg.Message) (more bool, err error) {
 	s.mu.Lock()
-	open, secured := len(s.ops), s.secured
+	open, secured := len(s.operations), s.secured
 	s.mu.Unlock()
 	switch {
 	case secured || open > 0:
-		s.answer(m.ID, m.Op, ldapmsg.OperationsError, "TLS is there already, or operations are open")
+		s.respond(m.ID, m.Op, ldapmsg.OperationsError, "TLS is there already, or operations are open")
 		return true, nil
-	case s.p.tls == nil:
-		s.answer(m.ID, m.Op, ldapmsg.ProtocolErrorCode, "StartTLS is not served here")
+	case s.protocol.tls == nil:
+		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, "StartTLS is not served here")
 		return true, nil
 	case s.in.Buffered() > 0:
 		// What came in plain must not be taken for what comes under TLS.
@@ -169,24 +169,24 @@
 	if _, err := s.conn.Write(name); err != nil {
 		return false, nil
 	}
-	if err := s.secure(); err != nil {
+	if err := s.acceptTLS(); err != nil {
 		return false, nil
 	}
 	s.mu.Lock()
-	s.become(nil, nil)
+	s.setIdentity(nil, nil)
 	s.mu.Unlock()
-	s.reader()
+	s.startReader()
 	return true, nil
 }
 
-// secure makes the handshake of TLS, within the time that a first message has.
-func (s *session) secure() error {
-	c := tls.Server(s.raw, s.p.tls)
+// acceptTLS makes the handshake of TLS, within the time that a first message has.
+func (s *session) acceptTLS() error {
+	c := tls.Server(s.raw, s.protocol.tls)
 	if err := s.raw.SetDeadline(time.Now().Add(core.HeadTimeout)); err != nil {
 		return err
 	}
 	if err := c.Handshake(); err != nil {
-		s.p.log.Warn("TLS with a client failed", "client", s.raw.RemoteAddr().String(), "error", err)
+		s.protocol.log.Warn("TLS with a client failed", "client", s.raw.RemoteAddr().String(), "error", err)
 		return err
 	}
 	if err := s.raw.SetDeadline(time.Time{}); err != nil {
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -21,26 +21,26 @@
 
 // protocol is LDAP as the core knows it.
 type protocol struct {
-	cfg     *core.Config
-	o       Options
-	log     *slog.Logger
-	loop    *core.Loop
-	limiter *core.ConnLimiter
-	classes [kinds]int
-	servers *servers
-	tls     *tls.Config // towards clients; nil: none
-	secret  [32]byte    // names of identities are made with it
-	lastID  atomic.Uint64
-	open    atomic.Int64
-	most    atomic.Int64  // operations open at once
-	began   time.Time     // sessions count from then
-	fresh   time.Duration // for how long a connection that has asked nothing is served on while this copy ends
+	cfg            *core.Config
+	options        Options
+	log            *slog.Logger
+	loop           *core.Loop
+	limiter        *core.ConnLimiter
+	classes        [kinds]int
+	pool           *connPool
+	tls            *tls.Config // towards clients; nil: none
+	secret         [32]byte    // names of identities are made with it
+	lastID         atomic.Uint64
+	openOperations atomic.Int64
+	maxOpen        atomic.Int64  // operations open at once
+	startedAt      time.Time     // sessions count from then
+	freshPeriod    time.Duration // for how long a connection that has asked nothing is served on while this copy ends
 
-	mu       sync.Mutex
-	sessions map[*session]bool
-	draining bool
-	ended    bool
-	running  sync.WaitGroup
+	mu        sync.Mutex
+	sessions  map[*session]bool
+	draining  bool
+	loopEnded bool
+	running   sync.WaitGroup
 }
 
 // kind is what an operation is for the purpose of classes. A class of the kind's name is taken where the
@@ -63,13 +63,13 @@
 
 var kindNames = [kinds]string{"search", "modify", "bind", "lookup", "compare", "add", "delete", "moddn", "password", "extended"}
 
-var kindElse = [kinds]kind{kindSearch, kindModify, kindSearch, kindSearch, kindSearch, kindModify, kindModify, kindModify, kindModify, kindModify}
+var kindFallbacks = [kinds]kind{kindSearch, kindModify, kindSearch, kindSearch, kindSearch, kindModify, kindModify, kindModify, kindModify, kindModify}
 
-// Needed are the classes that every instance has.
-var Needed = []string{kindNames[kindSearch], kindNames[kindModify]}
+// RequiredClasses are the classes that every instance has.
+var RequiredClasses = []string{kindNames[kindSearch], kindNames[kindModify]}
 
-// Known reports whether a name is that of a class of operations.
-func Known(name string) bool {
+// IsClass reports whether a name is that of a class of operations.
+func IsClass(name string) bool {
 	for _, n := range kindNames {
 		if n == name {
 			return true
@@ -90,7 +90,7 @@
 	}
 	for k := range kinds {
 		if all[k] = find(k); all[k] < 0 {
-			all[k] = max(0, find(kindElse[k]))
+			all[k] = max(0, find(kindFallbacks[k]))
 		}
 	}
 	return all
@@ -107,17 +107,17 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	o.MostMessage, o.MostOpen = cmp.Or(o.MostMessage, mostMessage), cmp.Or(o.MostOpen, mostOpen)
-	o.Shared, o.Idle = cmp.Or(o.Shared, sharedMost), cmp.Or(o.Idle, idleMost)
-	p := &protocol{cfg: cfg, o: o, log: log, tls: clients, classes: classesOf(cfg.Site.Classes), sessions: map[*session]bool{}, fresh: freshTime, began: time.Now()}
-	p.most.Store(4 * int64(core.ClientSockets(cfg.Sockets)))
+	o.MaxMessage, o.MaxOpen = cmp.Or(o.MaxMessage, defaultMaxMessage), cmp.Or(o.MaxOpen, defaultMaxOpen)
+	o.MaxShared, o.MaxIdle = cmp.Or(o.MaxShared, defaultMaxShared), cmp.Or(o.MaxIdle, defaultMaxIdle)
+	p := &protocol{cfg: cfg, options: o, log: log, tls: clients, classes: classesOf(cfg.Site.Classes), sessions: map[*session]bool{}, freshPeriod: defaultFreshPeriod, startedAt: time.Now()}
+	p.maxOpen.Store(4 * int64(core.ClientSockets(cfg.Sockets)))
 	if cfg.Site.MaxOpen > 0 {
-		p.most.Store(int64(cfg.Site.MaxOpen))
+		p.maxOpen.Store(int64(cfg.Site.MaxOpen))
 	}
 	if _, err := rand.Read(p.secret[:]); err != nil {
 		return nil, nil, err
 	}
-	p.servers = newServers(cfg, &p.o, servers, log)
+	p.pool = newConnPool(cfg, &p.options, servers, log)
 	a, err := core.New(cfg, log, parts, func(l *core.Loop) core.Protocol {
 		p.loop = l
 		return p
@@ -132,9 +132,9 @@
 		<-p.loop.Stopped()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.ended = true
+		p.loopEnded = true
 		for s := range p.sessions {
-			go s.failAll() // what was taken, and the loop has not answered
+			go s.abortAll() // what was taken, and the loop has not answered
 		}
 	}()
 	for {
@@ -143,7 +143,7 @@
 			return err
 		}
 		if limiter.NearCapacity() {
-			p.makeRoom()
+			p.evictQuiet()
 		}
 		// The session gives its slot up itself, after a notice to the client: the limiter does not evict it.
 		limiter.MarkBusy(nc)
@@ -151,16 +151,16 @@
 	}
 }
 
-// makeRoom ends the connections on which nothing has been asked for longest: an eighth of all, and none
+// evictQuiet ends the connections on which nothing has been asked for longest: an eighth of all, and none
 // that was heard of just now.
-func (p *protocol) makeRoom() {
+func (p *protocol) evictQuiet() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.sessions)/8 + 1
 	for range n {
 		var oldest *session
 		for s := range p.sessions {
-			if s.quietFor() > quietLeast && (oldest == nil || s.quietFor() > oldest.quietFor()) && s.idle() {
+			if s.quietFor() > minQuiet && (oldest == nil || s.quietFor() > oldest.quietFor()) && s.isIdle() {
 				oldest = s
 			}
 		}
@@ -168,13 +168,13 @@
 			return
 		}
 		delete(p.sessions, oldest)
-		go oldest.end(ldapmsg.Unavailable, "too many connections: this one was quiet for longest")
+		go oldest.closeWithNotice(ldapmsg.Unavailable, "too many connections: this one was quiet for longest")
 	}
 }
 
 const (
-	quietLeast = 2 * time.Second
-	freshTime  = 250 * time.Millisecond
+	minQuiet           = 2 * time.Second
+	defaultFreshPeriod = 250 * time.Millisecond
 )
 
 // SetDraining has each connection end once all that was taken on it is answered, or, with false, those that
@@ -194,11 +194,11 @@
 // Resize has it use no more than so many descriptors. What its messages take is bounded for each connection.
 func (p *protocol) Resize(sockets, _ int) {
 	if p.cfg.Site.MaxOpen == 0 {
-		p.most.Store(4 * int64(core.ClientSockets(sockets)))
+		p.maxOpen.Store(4 * int64(core.ClientSockets(sockets)))
 	}
-	p.servers.mu.Lock()
-	defer p.servers.mu.Unlock()
-	p.servers.most = core.BackendSockets(sockets)
+	p.pool.mu.Lock()
+	defer p.pool.mu.Unlock()
+	p.pool.maxConns = core.BackendSockets(sockets)
 }
 
 // Close ends what is left of clients' connections.
@@ -213,7 +213,7 @@
 }
 
 // OpenRequests is how many operations are open.
-func (p *protocol) OpenRequests() int64 { return p.open.Load() }
+func (p *protocol) OpenRequests() int64 { return p.openOperations.Load() }
 
 // Probe examines a server: by a connection, as anybody, on which it is asked for nothing.
 func (p *protocol) Probe(server string) decide.ProbeResult {
@@ -221,23 +221,23 @@
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Settings.ConnectTimeout)
 	defer cancel()
 	result := decide.OK
-	if c, err := p.servers.dial(ctx, server); err != nil {
+	if c, err := p.pool.dial(ctx, server); err != nil {
 		result = decide.ConnectFailed
 	} else {
-		p.servers.doubt(c)
-		p.servers.give(c)
+		p.pool.markSuspect(c)
+		p.pool.release(c)
 	}
 	return decide.ProbeResult{Backend: server, Result: result, Latency: time.Since(start), Load: decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}}
 }
 
 // Update takes a change of the list.
-func (p *protocol) Update(l core.List) { p.servers.update(l) }
+func (p *protocol) Update(l core.List) { p.pool.update(l) }
 
 // ReapIdle closes connections to servers that have stood idle for too long.
-func (p *protocol) ReapIdle(ctx context.Context) { p.servers.reap(ctx) }
+func (p *protocol) ReapIdle(ctx context.Context) { p.pool.reapIdle(ctx) }
 
 // Shutdown closes the connections to servers.
-func (p *protocol) Shutdown() { p.servers.shut() }
+func (p *protocol) Shutdown() { p.pool.shutdown() }
 
 // kindOf is what an operation is, and what it says of its time. An error is an answer to its client.
 func kindOf(m *ldapmsg.Message) (k kind, limit time.Duration, err error) {
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -21,7 +21,7 @@
 )
 
 // What each operation brings through the agent is what the directory says.
-func TestOperations(t *testing.T) {
+func TestOperationsAreServed(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	c := start(t, testConfig(t, d), Options{}).dial(t)
 	got, err := c.Search(whole())
@@ -64,7 +64,7 @@
 }
 
 // Many operations at once on one connection, answered in any order, and each by its own answer.
-func TestAnswersDoNotCross(t *testing.T) {
+func TestResponsesReachTheirOwnClient(t *testing.T) {
 	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
 	for _, d := range []*directory.Directory{one, two} {
 		d.Script(func(o directory.Op) directory.Fault {
@@ -97,7 +97,7 @@
 
 // A server connection serves only the identity that is bound on it, and a bind is made again on each
 // server by the agent. Credentials are in no log.
-func TestIdentities(t *testing.T) {
+func TestOperationsRunAsTheirClient(t *testing.T) {
 	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
 	var mu sync.Mutex
 	seen := map[string]map[string]bool{} // by DN asked for, who asked
@@ -172,7 +172,7 @@
 	var who *identity
 	for s := range a.p.sessions {
 		s.mu.Lock()
-		who = s.who
+		who = s.identity
 		s.mu.Unlock()
 	}
 	a.p.mu.Unlock()
@@ -180,14 +180,14 @@
 		t.Fatalf("%+v", who)
 	}
 	c.Close()
-	testkit.WaitFor(t, "the password to be wiped", func() bool { return who.uses.Load() == 0 && who.password[0] == 0 })
+	testkit.WaitFor(t, "the password to be wiped", func() bool { return who.refs.Load() == 0 && who.password[0] == 0 })
 	if strings.Trim(string(who.password), "\x00") != "" {
 		t.Errorf("%q is left", who.password)
 	}
 }
 
 // An operation whose server connection is not there any more binds a new one by the client's identity.
-func TestBindIsMadeAgain(t *testing.T) {
+func TestBindIsRepeatedOnNewServerConnection(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	a := start(t, testConfig(t, d), Options{})
 	c := a.dial(t)
@@ -269,7 +269,7 @@
 var one2 = one // a name that no local hides
 
 // Once an entry has gone to the client there is no other attempt, and the search fails.
-func TestStreamIsNotBegunAnew(t *testing.T) {
+func TestStartedStreamIsNotRetried(t *testing.T) {
 	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
 	var faults, came atomic.Int32
 	script := func(o directory.Op) directory.Fault {
@@ -297,7 +297,7 @@
 }
 
 // What no server takes is refused at once: busy, and when to come back.
-func TestRefusal(t *testing.T) {
+func TestRejectedOperationGetsBusy(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Code: ldapmsg.Busy} })
 	c := start(t, testConfig(t, d), Options{}).dial(t)
@@ -311,7 +311,7 @@
 }
 
 // A search's own time limit is its client's deadline.
-func TestTimeLimit(t *testing.T) {
+func TestSearchTimeLimitBoundsDeadline(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	hold := make(chan struct{})
 	defer close(hold)
@@ -325,7 +325,7 @@
 }
 
 // An abandoned operation has no answer, is abandoned at its server, and counts as running until its end.
-func TestAbandon(t *testing.T) {
+func TestAbandonedOperationGetsNoResponse(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	hold, came := make(chan struct{}), make(chan struct{}, 10)
 	d.Script(func(o directory.Op) directory.Fault {
@@ -385,7 +385,7 @@
 }
 
 // A Cancel (RFC 3909) of what is on a server is that server's: both answers are its.
-func TestCancel(t *testing.T) {
+func TestCancelIsAnswered(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	hold, came := make(chan struct{}), make(chan struct{}, 1)
 	defer close(hold)
@@ -421,7 +421,7 @@
 }
 
 // A paged search's next page is asked of the connection that gave the cookie, among many.
-func TestPagedSearch(t *testing.T) {
+func TestPagedSearchStaysOnItsConnection(t *testing.T) {
 	var all []*directory.Directory
 	for _, id := range []string{"one", "two", "three"} {
 		all = append(all, dir(t, id, directory.Options{}))
@@ -456,7 +456,7 @@
 		testkit.WaitFor(t, "the connections to end", func() bool { return d.Conns() == 0 })
 	}
 	page.SetCookie(client.FindControl(got.Controls, client.ControlTypePaging).(*client.ControlPaging).Cookie)
-	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.servers.mu.Lock(); defer a.p.servers.mu.Unlock(); return a.p.servers.open == 0 })
+	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
 	if _, err := c.Search(s); code(err) != ldapmsg.UnwillingToPerform {
 		t.Errorf("%v", err)
 	}
@@ -472,7 +472,7 @@
 
 // A SASL bind of several steps keeps its server connection, for its steps and for what follows; when
 // that ends, the client is told.
-func TestSASLPins(t *testing.T) {
+func TestSASLBindKeepsItsServerConnection(t *testing.T) {
 	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
 	a := start(t, testConfig(t, one, two), Options{})
 	c := a.raw(t)
@@ -509,7 +509,7 @@
 	one.Kill()
 	two.Kill()
 	testkit.WaitFor(t, "the connections to end", func() bool { return one.Conns()+two.Conns() == 0 })
-	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.servers.mu.Lock(); defer a.p.servers.mu.Unlock(); return a.p.servers.open == 0 })
+	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
 	if m := ask(ldapmsg.Extended(50, ldapmsg.OIDWhoAmI, nil)); m.ID != 0 || m.Op != ldapmsg.ExtResponse {
 		t.Errorf("no notice: %+v", m)
 	}
@@ -535,7 +535,7 @@
 
 // Bad input ends its connection with a notice within a few seconds, in bounded memory, and harms nobody
 // else.
-func TestBadInput(t *testing.T) {
+func TestMalformedMessageEndsConnection(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	a := start(t, testConfig(t, d), Options{})
 	good := a.dial(t)
@@ -626,7 +626,7 @@
 }
 
 // Thousands of silent connections make room for one that asks.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+func TestQuietConnectionsAreEvicted(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	cfg := testConfig(t, d)
 	cfg.Sockets = 64
@@ -644,7 +644,7 @@
 }
 
 // A stop answers what was taken, then says goodbye, and takes nothing more.
-func TestDrain(t *testing.T) {
+func TestDrainCompletesAdmittedOperations(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	hold, came := make(chan struct{}), make(chan struct{}, 1)
 	d.Script(func(o directory.Op) directory.Fault {
@@ -652,7 +652,7 @@
 		return directory.Fault{Stall: hold}
 	})
 	a := start(t, testConfig(t, d), Options{})
-	a.p.fresh = 2 * testkit.Patience
+	a.p.freshPeriod = 2 * testkit.Patience
 	busy, quiet, fresh := a.raw(t), a.raw(t), a.raw(t) // the last is accepted, and yet to ask
 	nothing := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
 	ask := func(c net.Conn) {
@@ -705,7 +705,7 @@
 }
 
 // A panic in the loop: what was taken is answered failed.
-func TestPanicAnswersWhatWasTaken(t *testing.T) {
+func TestPanicAnswersAdmittedOperations(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	hold, came := make(chan struct{}), make(chan struct{}, 1)
 	defer close(hold)
@@ -747,7 +747,7 @@
 }
 
 // A client that reads slowly holds up its own search, and nobody else's.
-func TestSlowReader(t *testing.T) {
+func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	long := strings.Repeat("x", 8<<10)
 	for n := range 2000 {
@@ -783,7 +783,7 @@
 }
 
 // Nothing new goes to a server once the list calls it draining or gone.
-func TestDrainingServer(t *testing.T) {
+func TestDrainingServerGetsNothingNew(t *testing.T) {
 	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
 	list := testkit.NewCatalog(t)
 	cfg := testConfig(t, one, two)
@@ -819,7 +819,7 @@
 
 // A password that is changed while its owner is bound: the old one is tried once more at the most, and
 // not over and over until it is locked out.
-func TestChangedPassword(t *testing.T) {
+func TestRejectedRebindAsksClientToBindAgain(t *testing.T) {
 	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
 	a := start(t, testConfig(t, one, two), Options{})
 	c := a.dial(t)
@@ -832,7 +832,7 @@
 		d.Kill()
 	}
 	testkit.WaitFor(t, "the connections to end", func() bool { return one.Conns()+two.Conns() == 0 })
-	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.servers.mu.Lock(); defer a.p.servers.mu.Unlock(); return a.p.servers.open == 0 })
+	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
 	before := binds()
 	for range 10 {
 		if _, err := c.Search(one2()); code(err) != ldapmsg.StrongerAuthRequired {
@@ -852,15 +852,15 @@
 
 // An address that a new server has taken over is no longer the old one's, even before its end is told; and a
 // probe leaves no connection behind.
-func TestAddressTakenOver(t *testing.T) {
+func TestReusedAddressGetsNothingOfOldServer(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	a := start(t, testConfig(t, d), Options{})
 	if _, err := a.dial(t).Search(one()); err != nil {
 		t.Fatal(err)
 	}
-	v := a.p.servers
+	v := a.p.pool
 	v.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
-	if c, _, err := v.take("one", "", false); !errors.Is(err, core.ErrMoved) {
+	if c, _, err := v.acquire("one", "", false); !errors.Is(err, core.ErrMoved) {
 		t.Errorf("the old one has %+v, %v", c, err)
 	}
 	open := func() int { v.mu.Lock(); defer v.mu.Unlock(); return v.open }
@@ -872,7 +872,7 @@
 
 // References, intermediate responses, controls and extended operations that are not known go through
 // unchanged, byte for byte, under the client's id.
-func TestPassesUnchanged(t *testing.T) {
+func TestMessagesPassUnchanged(t *testing.T) {
 	control := append([]byte{0xa0, 9, 0x30, 7, 0x04, 5}, "1.2.3"...)
 	ahead := [][]byte{
 		append([]byte{ldapmsg.SearchReference, 9, 0x04, 7}, "ldap://"...),
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -13,42 +13,42 @@
 
 // operation is one request of a client.
 type operation struct {
-	s       *session
-	id      int32
-	m       ldapmsg.Message
-	raw     []byte
-	kind    kind
-	request *core.Request
-	who     *identity   // as whom it runs; held
-	bind    *identity   // of a bind: as whom the client will be; held
-	sasl    bool        // a bind of more than one step
-	conn    *serverConn // the only one on which it may run
-	paged   bool
-	cookie  string // by which conn was found
-	done    chan struct{}
-	uses    atomic.Int32 // the session's, and attempts'
+	session      *session
+	id           int32
+	message      ldapmsg.Message
+	raw          []byte
+	kind         kind
+	request      *core.Request
+	identity     *identity   // as whom it runs; held
+	newIdentity  *identity   // of a bind: as whom the client will be; held
+	sasl         bool        // a bind of more than one step
+	requiredConn *serverConn // the only one on which it may run
+	paged        bool
+	cookie       string // by which conn was found
+	done         chan struct{}
+	refs         atomic.Int32 // the session's, and attempts'
 
-	mu        sync.Mutex
-	on        *serverConn // where its present attempt is
-	onID      int32
-	begun     bool // an attempt writes it, or has: it may run
-	abandoned bool // its client wants no answer
-	cancelled bool // by a Cancel, before it was sent
+	mu             sync.Mutex
+	attemptConn    *serverConn // where its present attempt is
+	attemptID      int32
+	attemptStarted bool // an attempt writes it, or has: it may run
+	abandoned      bool // its client wants no answer
+	cancelled      bool // by a Cancel, before it was sent
 }
 
-// begin admits the first byte of an attempt, unless the client has abandoned or cancelled the operation: the two exclude
+// admitWrite admits the first byte of an attempt, unless the client has abandoned or cancelled the operation: the two exclude
 // each other.
-func (o *operation) begin() bool {
+func (o *operation) admitWrite() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.begun = !o.abandoned && !o.cancelled
-	return o.begun
+	o.attemptStarted = !o.abandoned && !o.cancelled
+	return o.attemptStarted
 }
 
 // operationGuard is the guard of an operation's attempt: the request's own, and its client's word.
 type operationGuard struct {
 	*core.Attempt
-	o *operation
+	operation *operation
 }
 
 // BeginWrite admits the attempt's first byte.
@@ -56,17 +56,17 @@
 	if why := g.Attempt.BeginWrite(interrupt); why != core.SendAllowed {
 		return why
 	}
-	if !g.o.begin() {
+	if !g.operation.admitWrite() {
 		g.EndWrite()
 		return core.ClientDisconnected
 	}
 	return core.SendAllowed
 }
 
-// hold keeps what an operation needs, for an attempt; false: it is wiped already.
-func (o *operation) hold() bool {
-	for n := o.uses.Load(); n > 0; n = o.uses.Load() {
-		if o.uses.CompareAndSwap(n, n+1) {
+// retain keeps what an operation needs, for an attempt; false: it is wiped already.
+func (o *operation) retain() bool {
+	for n := o.refs.Load(); n > 0; n = o.refs.Load() {
+		if o.refs.CompareAndSwap(n, n+1) {
 			return true
 		}
 	}
@@ -75,20 +75,20 @@
 
 // release ends a hold. With the last one a password is wiped.
 func (o *operation) release() {
-	if o.uses.Add(-1) > 0 {
+	if o.refs.Add(-1) > 0 {
 		return
 	}
-	if o.m.Op == ldapmsg.BindRequest {
+	if o.message.Op == ldapmsg.BindRequest {
 		clear(o.raw)
 	}
-	o.who.drop()
-	o.bind.drop()
+	o.identity.release()
+	o.newIdentity.release()
 }
 
-// put notes where the present attempt is; an abandon that came just before is passed on.
-func (o *operation) put(c *serverConn, id int32) {
+// setAttempt notes where the present attempt is; an abandon that came just before is passed on.
+func (o *operation) setAttempt(c *serverConn, id int32) {
 	o.mu.Lock()
-	o.on, o.onID, o.begun = c, id, c != nil
+	o.attemptConn, o.attemptID, o.attemptStarted = c, id, c != nil
 	late := c != nil && o.abandoned
 	o.mu.Unlock()
 	if late {
@@ -96,25 +96,25 @@
 	}
 }
 
-// unwanted reports whether the client wants no answer any more.
-func (o *operation) unwanted() bool {
+// isAbandoned reports whether the client wants no answer any more.
+func (o *operation) isAbandoned() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.abandoned
 }
 
-// giveUp takes the operation for one whose client is gone.
-func (o *operation) giveUp() {
+// abandon takes the operation for one whose client is gone.
+func (o *operation) abandon() {
 	o.mu.Lock()
 	o.abandoned = true
 	o.mu.Unlock()
-	o.s.p.loop.ClientDisconnected(o.request)
+	o.session.protocol.loop.ClientDisconnected(o.request)
 }
 
-// begin gives an operation to the loop.
-func (s *session) begin(o *operation, limit time.Duration) {
-	p := s.p
-	o.uses.Store(1)
+// submit gives an operation to the loop.
+func (s *session) submit(o *operation, limit time.Duration) {
+	p := s.protocol
+	o.refs.Store(1)
 	class := p.classes[o.kind]
 	wait := p.cfg.Settings.Classes[class].Deadline
 	if limit > 0 {
@@ -123,19 +123,19 @@
 	o.request = core.NewRequest(strconv.FormatUint(p.lastID.Add(1), 36), class, o.finish)
 	o.request.Message, o.request.Client = o, s.raw
 	o.request.Deadline, o.request.Remaining = time.Now().Add(wait), wait
-	if o.conn != nil {
-		o.request.OnlyServer = o.conn.server
+	if o.requiredConn != nil {
+		o.request.OnlyServer = o.requiredConn.server
 	}
 	s.mu.Lock()
-	s.ops[o.id] = o
+	s.operations[o.id] = o
 	s.mu.Unlock()
-	if p.open.Add(1) > p.most.Load() {
+	if p.openOperations.Add(1) > p.maxOpen.Load() {
 		o.finish(core.Answer{Refused: true})
 		return
 	}
 	p.loop.Submit(o.request)
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.loopEnded
 	p.mu.Unlock()
 	if ended { // the loop may have ended before it saw this one
 		o.request.Abort()
@@ -144,30 +144,30 @@
 
 // finish gives an operation its final answer, once. It never waits.
 func (o *operation) finish(a core.Answer) {
-	s := o.s
+	s := o.session
 	s.mu.Lock()
-	if s.ops[o.id] != o {
+	if s.operations[o.id] != o {
 		s.mu.Unlock()
 		return
 	}
-	delete(s.ops, o.id)
-	s.p.open.Add(-1)
+	delete(s.operations, o.id)
+	s.protocol.openOperations.Add(-1)
 	o.mu.Lock()
 	abandoned, cancelled := o.abandoned, o.cancelled
 	o.mu.Unlock()
 	var text []byte
-	op := ldapmsg.ResponseTo(o.m.Op)
-	got, served := a.Served.(*reply)
+	op := ldapmsg.ResponseTo(o.message.Op)
+	got, served := a.Served.(*finalResponse)
 	switch {
 	case abandoned:
 	case cancelled:
 		text = ldapmsg.Response(o.id, op, ldapmsg.Canceled, "")
 	case served:
 		text = ldapmsg.WithID(o.id, got.rest)
-		s.settle(o, got)
+		s.applyResult(o, got)
 	case a.Refused:
-		text = ldapmsg.Response(o.id, op, ldapmsg.Busy, s.p.comeBack(a))
-	case a.TimedOut && o.m.Op == ldapmsg.SearchRequest:
+		text = ldapmsg.Response(o.id, op, ldapmsg.Busy, s.protocol.refusalText(a))
+	case a.TimedOut && o.message.Op == ldapmsg.SearchRequest:
 		text = ldapmsg.Response(o.id, op, ldapmsg.TimeLimitExceeded, "no answer in time")
 	case a.TimedOut:
 		text = ldapmsg.Response(o.id, op, ldapmsg.Other, "no answer in time: it may have been done, or may be yet")
@@ -176,21 +176,21 @@
 	default:
 		text = ldapmsg.Response(o.id, op, ldapmsg.Other, "failed: it may have been done")
 	}
-	if o.m.Op == ldapmsg.BindRequest && !served {
-		s.become(nil, nil) // RFC 4511, 4.2.1: after a failed bind, anybody
+	if o.message.Op == ldapmsg.BindRequest && !served {
+		s.setIdentity(nil, nil) // RFC 4511, 4.2.1: after a failed bind, anybody
 	}
 	if text != nil {
-		s.push(text)
+		s.enqueue(text)
 	}
-	if o.paged && o.conn != nil && o.conn != s.pinned {
+	if o.paged && o.requiredConn != nil && o.requiredConn != s.stickyConn {
 		switch {
 		case a.Refused && !s.closed: // it may be asked for again
-			s.page(o.cookie, o.conn)
-		case got == nil || got.conn != o.conn:
-			go o.conn.unreserve()
+			s.keepPagedConn(o.cookie, o.requiredConn)
+		case got == nil || got.conn != o.requiredConn:
+			go o.requiredConn.unreserve()
 		}
 	}
-	s.lastWord()
+	s.sendNoticeIfIdle()
 	s.mu.Unlock()
 	o.release()
 	if o.done != nil {
@@ -198,8 +198,8 @@
 	}
 }
 
-// comeBack says when to try again.
-func (p *protocol) comeBack(a core.Answer) string {
+// refusalText says when to try again.
+func (p *protocol) refusalText(a core.Answer) string {
 	text := "refused: nothing was done, and trying again is harmless"
 	if a.RetryAfter > 0 && p.cfg.Settings.RetryAfter {
 		text += fmt.Sprintf(", in %.3f s", min(a.RetryAfter, p.cfg.Settings.MaxRetryAfter).Seconds())
@@ -218,7 +218,7 @@
 
 // Attempt sends an operation to a server, once.
 func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
-	result, got := p.servers.attempt(a, a.Message.(*operation))
+	result, got := p.pool.attempt(a, a.Message.(*operation))
 	load := decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}
 	if got == nil {
 		return result, nil, load
--- a/internal/protocol/ldap/options.go
+++ b/internal/protocol/ldap/options.go
@@ -11,10 +11,10 @@
 
 // Options are what an instance that speaks LDAP is told besides core.Config. They can be compared.
 type Options struct {
-	MostMessage int           // bytes of one message, both ways; 0: 1 MiB
-	MostOpen    int           // operations at once on one client connection; 0: 64
-	Shared      int           // operations at once on one server connection; 0: 16
-	Idle        time.Duration // a client connection on which nothing is asked for so long ends; 0: 15 min
+	MaxMessage int           // bytes of one message, both ways; 0: 1 MiB
+	MaxOpen    int           // operations at once on one client connection; 0: 64
+	MaxShared  int           // operations at once on one server connection; 0: 16
+	MaxIdle    time.Duration // a client connection on which nothing is asked for so long ends; 0: 15 min
 
 	// Towards clients: a certificate and its key in PEM. With one, StartTLS (RFC 4511, 4.14) is served, and
 	// passwords are taken under TLS only; LDAPS has every connection begin with TLS.
@@ -24,14 +24,14 @@
 	// server's certificate must be of. What can't be had so is not tried otherwise.
 	ServerTLS, ServerCA, ServerName string
 
-	Loaded string // a sum of the files, so that a changed one is a change
+	FilesDigest string // a sum of the files, so that a changed one is a change
 }
 
 const (
-	mostMessage = 1 << 20
-	mostOpen    = 64
-	sharedMost  = 16
-	idleMost    = 15 * time.Minute
+	defaultMaxMessage = 1 << 20
+	defaultMaxOpen    = 64
+	defaultMaxShared  = 16
+	defaultMaxIdle    = 15 * time.Minute
 )
 
 // tlsConfigs reads the files: for clients and for servers, nil where there is none.
--- a/internal/protocol/ldap/property_test.go
+++ b/internal/protocol/ldap/property_test.go
@@ -41,7 +41,7 @@
 
 // Any script of faults and operations: each request has exactly one final answer, an abandoned one at
 // most one, no effect is done twice, a refusal says the truth, and a success too.
-func TestAnyScript(t *testing.T) {
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	checks := flag.Lookup("rapid.checks")
 	before := checks.Value.String()
 	if before == "100" { // each plays real sockets
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -25,7 +25,7 @@
 	}
 	r := start(t, cfg, Options{})
 	held := make(chan *testkit.HeldWrite, 1)
-	r.p.servers.dialer = testkit.HoldWrites(held)
+	r.p.pool.dialer = testkit.HoldWrites(held)
 	c := r.dial(t)
 	answered := make(chan error, 1)
 	go func() { answered <- c.Modify(modify("x")) }()
@@ -46,12 +46,12 @@
 }
 
 // A server that moves while a connection to its old address comes up gets nothing there: another one may have that address.
-func TestNothingGoesToTheOldAddressOfAServerThatMoved(t *testing.T) {
+func TestNothingIsSentToOldAddressOfMovedServer(t *testing.T) {
 	old, now := dir(t, "one", directory.Options{}), dir(t, "one", directory.Options{})
 	r := start(t, testConfig(t, old), Options{})
 	held, going := make(chan struct{}), make(chan struct{}, 4)
-	dial := r.p.servers.dialer
-	r.p.servers.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := r.p.pool.dialer
+	r.p.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == old.Addr() {
 			going <- struct{}{}
 			<-held
@@ -66,9 +66,9 @@
 	hub.Apply(&discovery.Members{Version: 42, Full: true, Servers: []discovery.Member{now.Member("ready")}})
 	r.Follow(hub)
 	testkit.WaitFor(t, "the list", func() bool {
-		r.p.servers.mu.Lock()
-		defer r.p.servers.mu.Unlock()
-		addr, _ := r.p.servers.addrs.Addr("one")
+		r.p.pool.mu.Lock()
+		defer r.p.pool.mu.Unlock()
+		addr, _ := r.p.pool.addresses.Addr("one")
 		return addr == now.Addr()
 	})
 	close(held)
@@ -82,7 +82,7 @@
 
 // An operation that its client abandons, or cancels, while a connection for it comes up goes to no server, though the loop is
 // late to hear of it.
-func TestAnAbandonedOperationIsNotSent(t *testing.T) {
+func TestAbandonedOperationIsNotSent(t *testing.T) {
 	for name, giveUp := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
 		t.Run(name, func(t *testing.T) {
 			d := dir(t, "one", directory.Options{})
@@ -98,9 +98,9 @@
 					<-release
 				}
 			})
-			dial := p.servers.dialer
+			dial := p.pool.dialer
 			dialling, goOn := make(chan struct{}, 4), make(chan struct{})
-			p.servers.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			p.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dialling <- struct{}{}
 				<-goOn
 				return dial(ctx, network, addr)
@@ -127,7 +127,7 @@
 				defer p.mu.Unlock()
 				for s := range p.sessions {
 					s.mu.Lock()
-					o := s.ops[7]
+					o := s.operations[7]
 					s.mu.Unlock()
 					if o == nil {
 						continue
@@ -140,11 +140,11 @@
 			})
 			close(goOn)
 			testkit.WaitFor(t, "the end of the attempt", func() bool {
-				p.servers.mu.Lock()
-				defer p.servers.mu.Unlock()
-				for _, list := range p.servers.conns {
+				p.pool.mu.Lock()
+				defer p.pool.mu.Unlock()
+				for _, list := range p.pool.conns {
 					for _, c := range list {
-						if c.uses == 0 {
+						if c.users == 0 {
 							return true
 						}
 					}
--- a/internal/protocol/ldap/serverconn.go
+++ b/internal/protocol/ldap/serverconn.go
@@ -14,33 +14,33 @@
 // serverConn is one connection to a server. Searches that may bring many entries have it for themselves,
 // so that a client that reads slowly slows down nobody else's answers; all else shares it.
 type serverConn struct {
-	v      *servers
-	server string
-	conn   net.Conn
-	writes sync.Mutex
+	pool    *connPool
+	server  string
+	conn    net.Conn
+	writeMu sync.Mutex
 
 	// Under servers.mu.
-	who      string
-	uses     int  // operations that have it
-	alone    bool // one of them must not share it
-	reserved bool // for a paged search's next page, or a SASL bind
-	suspect  bool // something went unanswered: nothing new goes there
-	gone     bool // closed, and not counted as open any more
-	since    time.Time
+	identityKey string
+	users       int  // operations that have it
+	exclusive   bool // one of them must not share it
+	reserved    bool // for a paged search's next page, or a SASL bind
+	suspect     bool // something went unanswered: nothing new goes there
+	closed      bool // closed, and not counted as open any more
+	idleSince   time.Time
 
 	mu     sync.Mutex
 	lastID int32
 	calls  map[int32]*call
-	broken error // why it has ended
+	endErr error // why it has ended
 }
 
 // call is one request on a connection, until its end is seen.
 type call struct {
-	id    int32
-	wants byte // the tag of its last message
-	parts chan part
-	left  chan struct{} // closed when nobody waits any more
-	lost  chan struct{} // closed when the connection has ended
+	id        int32
+	finalOp   byte // the tag of its last message
+	parts     chan part
+	abandoned chan struct{} // closed when nobody waits any more
+	connEnded chan struct{} // closed when the connection has ended
 }
 
 // part is one message of an answer.
@@ -50,51 +50,51 @@
 	last bool
 }
 
-// reply is an answer's last message, for the client.
-type reply struct {
+// finalResponse is an answer's last message, for the client.
+type finalResponse struct {
 	rest   []byte
 	code   int
 	cookie []byte      // of a paged search that goes on
 	conn   *serverConn // which then stays its own, as for a SASL bind
 }
 
-const partsMost = 16 // messages of one answer that wait on a shared connection
+const maxQueuedParts = 16 // messages of one answer that wait on a shared connection
 
-// goodbye ends a connection as the protocol has it.
-func (c *serverConn) goodbye() {
-	if c.conn.SetWriteDeadline(time.Now().Add(time.Second)) == nil && c.writes.TryLock() {
+// unbindAndClose ends a connection as the protocol has it.
+func (c *serverConn) unbindAndClose() {
+	if c.conn.SetWriteDeadline(time.Now().Add(time.Second)) == nil && c.writeMu.TryLock() {
 		_, _ = c.conn.Write(ldapmsg.Unbind(ldapmsg.MaxID)) // out of courtesy
-		c.writes.Unlock()
+		c.writeMu.Unlock()
 	}
 	_ = c.conn.Close()
 }
 
 // retire ends a connection that was one client's own.
 func (c *serverConn) retire() {
-	c.v.mu.Lock()
-	defer c.v.mu.Unlock()
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
 	c.reserved, c.suspect = false, true
-	c.v.tidy(c)
+	c.pool.closeIfUnused(c)
 }
 
 // unreserve gives a connection back that was kept for a next page.
 func (c *serverConn) unreserve() {
-	c.v.mu.Lock()
-	defer c.v.mu.Unlock()
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
 	c.reserved = false
-	c.v.tidy(c)
+	c.pool.closeIfUnused(c)
 }
 
-func (c *serverConn) dead() bool {
-	c.v.mu.Lock()
-	defer c.v.mu.Unlock()
-	return c.gone || c.suspect
+func (c *serverConn) isUnusable() bool {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	return c.closed || c.suspect
 }
 
 // read takes what a server sends, until the connection ends. What belongs to no call, or is no message,
 // ends it: nothing that comes behind can be believed.
 func (c *serverConn) read() {
-	in := ldapmsg.NewReader(c.conn, c.v.o.MostMessage)
+	in := ldapmsg.NewReader(c.conn, c.pool.options.MaxMessage)
 	var err error
 	for err == nil {
 		var raw []byte
@@ -107,19 +107,19 @@
 		}
 		err = c.deliver(m, raw)
 	}
-	c.v.mu.Lock()
+	c.pool.mu.Lock()
 	c.suspect = true
-	c.v.tidy(c)
-	c.v.mu.Unlock()
+	c.pool.closeIfUnused(c)
+	c.pool.mu.Unlock()
 	_ = c.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = err
+	c.endErr = err
 	if errors.Is(err, ldapmsg.ErrMalformed) {
-		c.v.log.Warn("a server's connection ended", "server", c.server, "error", err)
+		c.pool.log.Warn("a server's connection ended", "server", c.server, "error", err)
 	}
 	for _, k := range c.calls {
-		close(k.lost)
+		close(k.connEnded)
 	}
 	c.calls = nil
 }
@@ -131,7 +131,7 @@
 	}
 	c.mu.Lock()
 	k := c.calls[m.ID]
-	last := k != nil && m.Op == k.wants
+	last := k != nil && m.Op == k.finalOp
 	if last {
 		delete(c.calls, m.ID)
 	}
@@ -139,8 +139,8 @@
 	switch {
 	case k == nil:
 		return fmt.Errorf("%w: an answer to nothing that is open", ldapmsg.ErrMalformed)
-	case !last && m.Op != ldapmsg.Intermediate && !(k.wants == ldapmsg.SearchDone && (m.Op == ldapmsg.SearchEntry || m.Op == ldapmsg.SearchReference)):
-		return fmt.Errorf("%w: an answer of tag %#x to what is answered with %#x", ldapmsg.ErrMalformed, m.Op, k.wants)
+	case !last && m.Op != ldapmsg.Intermediate && !(k.finalOp == ldapmsg.SearchDone && (m.Op == ldapmsg.SearchEntry || m.Op == ldapmsg.SearchReference)):
+		return fmt.Errorf("%w: an answer of tag %#x to what is answered with %#x", ldapmsg.ErrMalformed, m.Op, k.finalOp)
 	}
 	if last {
 		if _, ok := m.Code(); !ok {
@@ -154,7 +154,7 @@
 	m, _ = ldapmsg.Parse(own) // it was parsed before
 	select {
 	case k.parts <- part{m, own, last}:
-	case <-k.left:
+	case <-k.abandoned:
 	}
 	return nil
 }
@@ -165,23 +165,23 @@
 	EndWrite()
 }
 
-// unguarded is the guard of what belongs to no request.
-type unguarded struct{}
+// noGuard is the guard of what belongs to no request.
+type noGuard struct{}
 
-func (unguarded) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
+func (noGuard) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
 
-func (unguarded) EndWrite() {}
+func (noGuard) EndWrite() {}
 
-// refusedError is of a message that its guard did not admit: nothing was written.
-type refusedError struct{ why core.SendRefusal }
+// sendRefusedError is of a message that its guard did not admit: nothing was written.
+type sendRefusedError struct{ reason core.SendRefusal }
 
-func (e *refusedError) Error() string { return "not sent: " + e.why.String() }
+func (e *sendRefusedError) Error() string { return "not sent: " + e.reason.String() }
 
-// start sends a request. It reports whether its last byte was written; a call is returned only then.
-func (c *serverConn) start(ctx context.Context, guard writeGuard, op byte, rest []byte) (*call, error) {
-	k := &call{wants: ldapmsg.ResponseTo(op), parts: make(chan part, partsMost), left: make(chan struct{}), lost: make(chan struct{})}
+// startCall sends a request. It reports whether its last byte was written; a call is returned only then.
+func (c *serverConn) startCall(ctx context.Context, guard writeGuard, op byte, rest []byte) (*call, error) {
+	k := &call{finalOp: ldapmsg.ResponseTo(op), parts: make(chan part, maxQueuedParts), abandoned: make(chan struct{}), connEnded: make(chan struct{})}
 	c.mu.Lock()
-	if c.broken != nil || c.calls == nil {
+	if c.endErr != nil || c.calls == nil {
 		c.mu.Unlock()
 		return nil, net.ErrClosed
 	}
@@ -215,11 +215,11 @@
 
 // send writes one message.
 func (c *serverConn) send(ctx context.Context, guard writeGuard, text []byte) (int, error) {
-	c.writes.Lock()
-	defer c.writes.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	until, ok := ctx.Deadline()
 	if !ok {
-		until = time.Now().Add(writeTime)
+		until = time.Now().Add(writeTimeout)
 	}
 	if err := c.conn.SetWriteDeadline(until); err != nil {
 		return 0, err
@@ -228,7 +228,7 @@
 		return 0, err
 	}
 	if why := guard.BeginWrite(func() { _ = c.conn.SetWriteDeadline(core.LongAgo) }); why != core.SendAllowed {
-		return 0, &refusedError{why}
+		return 0, &sendRefusedError{why}
 	}
 	defer guard.EndWrite()
 	return c.conn.Write(text)
@@ -244,28 +244,28 @@
 		c.lastID++
 		own := c.lastID
 		c.mu.Unlock()
-		_, _ = c.send(ctx, unguarded{}, ldapmsg.Abandon(own, id)) // it has no answer
+		_, _ = c.send(ctx, noGuard{}, ldapmsg.Abandon(own, id)) // it has no answer
 	}()
 }
 
 // sendCancel asks the server to cancel an operation, and returns its answer.
-func (c *serverConn) sendCancel(id int32, within time.Duration) int {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func (c *serverConn) sendCancel(id int32, timeout time.Duration) int {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	m, err := ldapmsg.Parse(ldapmsg.Cancel(1, id))
 	if err != nil {
 		return ldapmsg.Other
 	}
-	k, err := c.start(ctx, unguarded{}, m.Op, m.Rest)
+	k, err := c.startCall(ctx, noGuard{}, m.Op, m.Rest)
 	if err != nil {
 		return ldapmsg.Other
 	}
-	defer close(k.left)
+	defer close(k.abandoned)
 	select {
 	case got := <-k.parts:
 		code, _ := got.Code()
 		return code
-	case <-k.lost:
+	case <-k.connEnded:
 		return ldapmsg.Other
 	case <-ctx.Done():
 		return ldapmsg.Other
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -15,114 +15,114 @@
 )
 
 var (
-	errSecure = errors.New("TLS with a server failed")
-	// errMovedMeanwhile is of a connection to where a server was as it was dialled.
-	errMovedMeanwhile = errors.New("the server has moved while a connection to it came up")
+	errServerTLS = errors.New("TLS with a server failed")
+	// errMovedWhileDialling is of a connection to where a server was as it was dialled.
+	errMovedWhileDialling = errors.New("the server has moved while a connection to it came up")
 )
 
-// pool names the connections that may serve an operation: those to a server that are bound alike.
-type pool struct{ server, who string }
+// poolKey names the connections that may serve an operation: those to a server that are bound alike.
+type poolKey struct{ server, identityKey string }
 
-// servers holds the connections to all servers.
-type servers struct {
-	cfg    *core.Config
-	o      *Options
-	tls    *tls.Config
-	log    *slog.Logger
-	most   int
-	keep   time.Duration // a connection that has stood idle for so long is closed
-	dialer func(ctx context.Context, network, addr string) (net.Conn, error)
+// connPool holds the connections to all servers.
+type connPool struct {
+	cfg      *core.Config
+	options  *Options
+	tls      *tls.Config
+	log      *slog.Logger
+	maxConns int
+	maxIdle  time.Duration // a connection that has stood idle for so long is closed
+	dialer   func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	mu     sync.Mutex
-	addrs  core.Addresses
-	conns  map[pool][]*serverConn
-	open   int
-	closed bool
+	mu        sync.Mutex
+	addresses core.Addresses
+	conns     map[poolKey][]*serverConn
+	open      int
+	closed    bool
 }
 
-func newServers(cfg *core.Config, o *Options, t *tls.Config, log *slog.Logger) *servers {
-	return &servers{cfg: cfg, o: o, tls: t, log: log, most: core.BackendSockets(cfg.Sockets), keep: cfg.Site.IdleClose * 3 / 4,
-		dialer: (&net.Dialer{KeepAlive: -1}).DialContext, conns: map[pool][]*serverConn{}}
+func newConnPool(cfg *core.Config, o *Options, t *tls.Config, log *slog.Logger) *connPool {
+	return &connPool{cfg: cfg, options: o, tls: t, log: log, maxConns: core.BackendSockets(cfg.Sockets), maxIdle: cfg.Site.IdleClose * 3 / 4,
+		dialer: (&net.Dialer{KeepAlive: -1}).DialContext, conns: map[poolKey][]*serverConn{}}
 }
 
 // update takes a change of the list. Connections to a server that is gone or has moved take nothing
 // more.
-func (v *servers) update(l core.List) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.addrs.Update(l, func(id string) {
-		for key, list := range v.conns {
+func (p *connPool) update(l core.List) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addresses.Update(l, func(id string) {
+		for key, list := range p.conns {
 			if key.server != id {
 				continue
 			}
 			for _, c := range slices.Clone(list) {
 				c.suspect = true
-				v.tidy(c)
+				p.closeIfUnused(c)
 			}
 		}
 	})
 }
 
-// tidy closes a connection that is of no more use. The lock is held.
-func (v *servers) tidy(c *serverConn) {
-	if c.gone || c.uses > 0 || !c.suspect && !v.closed {
+// closeIfUnused closes a connection that is of no more use. The lock is held.
+func (p *connPool) closeIfUnused(c *serverConn) {
+	if c.closed || c.users > 0 || !c.suspect && !p.closed {
 		return
 	}
-	v.drop(c)
+	p.closeLocked(c)
 }
 
-// drop takes a connection out of the books and closes it. The lock is held.
-func (v *servers) drop(c *serverConn) {
-	if c.gone {
+// closeLocked takes a connection out of the books and closes it. The lock is held.
+func (p *connPool) closeLocked(c *serverConn) {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	v.open--
-	key := pool{c.server, c.who}
-	if list := slices.DeleteFunc(v.conns[key], func(o *serverConn) bool { return o == c }); len(list) > 0 {
-		v.conns[key] = list
+	c.closed = true
+	p.open--
+	key := poolKey{c.server, c.identityKey}
+	if list := slices.DeleteFunc(p.conns[key], func(o *serverConn) bool { return o == c }); len(list) > 0 {
+		p.conns[key] = list
 	} else {
-		delete(v.conns, key)
+		delete(p.conns, key)
 	}
-	go c.goodbye()
+	go c.unbindAndClose()
 }
 
-// take finds a connection on which an operation may run, bound already, or books a place for a new
+// acquire finds a connection on which an operation may run, bound already, or books a place for a new
 // one: then it returns the address.
-func (v *servers) take(server, who string, alone bool) (*serverConn, string, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	addr, ok := v.addrs.Addr(server)
+func (p *connPool) acquire(server, who string, alone bool) (*serverConn, string, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	addr, ok := p.addresses.Addr(server)
 	if !ok {
 		return nil, "", core.ErrMoved
 	}
 	var best *serverConn
-	for _, c := range v.conns[pool{server, who}] {
-		if c.alone || c.reserved || c.suspect || c.uses > 0 && (alone || c.uses >= v.o.Shared) {
+	for _, c := range p.conns[poolKey{server, who}] {
+		if c.exclusive || c.reserved || c.suspect || c.users > 0 && (alone || c.users >= p.options.MaxShared) {
 			continue
 		}
-		if best == nil || c.uses > best.uses { // few busy ones rather than many: the others may go
+		if best == nil || c.users > best.users { // few busy ones rather than many: the others may go
 			best = c
 		}
 	}
 	if best != nil {
-		best.uses++
-		best.alone = alone
+		best.users++
+		best.exclusive = alone
 		return best, addr, nil
 	}
-	if v.open >= v.most && !v.evict() {
+	if p.open >= p.maxConns && !p.evictOldest() {
 		return nil, "", core.ErrNoSocket
 	}
-	v.open++
+	p.open++
 	return nil, addr, nil
 }
 
-// evict closes the connection that has been idle longest. The lock is held.
-func (v *servers) evict() bool {
+// evictOldest closes the connection that has been idle longest. The lock is held.
+func (p *connPool) evictOldest() bool {
 	var oldest *serverConn
-	for _, list := range v.conns {
+	for _, list := range p.conns {
 		for _, c := range list {
-			if c.uses == 0 && !c.reserved && (oldest == nil || c.since.Before(oldest.since)) {
+			if c.users == 0 && !c.reserved && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
 				oldest = c
 			}
 		}
@@ -130,30 +130,30 @@
 	if oldest == nil {
 		return false
 	}
-	v.drop(oldest)
+	p.closeLocked(oldest)
 	return true
 }
 
-// give puts a connection back after an operation.
-func (v *servers) give(c *serverConn) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	c.uses--
-	c.alone = false
-	c.since = time.Now()
-	v.tidy(c)
+// release puts a connection back after an operation.
+func (p *connPool) release(c *serverConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c.users--
+	c.exclusive = false
+	c.idleSince = time.Now()
+	p.closeIfUnused(c)
 }
 
-// doubt has nothing new go on a connection; it closes once nothing is on it.
-func (v *servers) doubt(c *serverConn) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// markSuspect has nothing new go on a connection; it closes once nothing is on it.
+func (p *connPool) markSuspect(c *serverConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	c.suspect = true
-	v.tidy(c)
+	p.closeIfUnused(c)
 }
 
-func (v *servers) reap(ctx context.Context) {
-	tick := time.NewTicker(max(v.keep/8, time.Millisecond))
+func (p *connPool) reapIdle(ctx context.Context) {
+	tick := time.NewTicker(max(p.maxIdle/8, time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -161,88 +161,88 @@
 			return
 		case <-tick.C:
 		}
-		v.mu.Lock()
-		for _, list := range v.conns {
+		p.mu.Lock()
+		for _, list := range p.conns {
 			for _, c := range slices.Clone(list) {
-				if c.uses == 0 && !c.reserved && time.Since(c.since) >= v.keep {
-					v.drop(c)
+				if c.users == 0 && !c.reserved && time.Since(c.idleSince) >= p.maxIdle {
+					p.closeLocked(c)
 				}
 			}
 		}
-		v.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
-func (v *servers) shut() {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.closed = true
-	for _, list := range v.conns {
+func (p *connPool) shutdown() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for _, list := range p.conns {
 		for _, c := range slices.Clone(list) {
-			v.drop(c)
+			p.closeLocked(c)
 		}
 	}
 }
 
 // dial opens a connection as anybody for a probe.
-func (v *servers) dial(ctx context.Context, server string) (*serverConn, error) {
-	v.mu.Lock()
-	addr, ok := v.addrs.Addr(server)
-	full := v.open >= v.most && !v.evict()
+func (p *connPool) dial(ctx context.Context, server string) (*serverConn, error) {
+	p.mu.Lock()
+	addr, ok := p.addresses.Addr(server)
+	full := p.open >= p.maxConns && !p.evictOldest()
 	if ok && !full {
-		v.open++
+		p.open++
 	}
-	v.mu.Unlock()
+	p.mu.Unlock()
 	switch {
 	case !ok:
 		return nil, core.ErrMoved
 	case full:
 		return nil, core.ErrNoSocket
 	}
-	return v.connect(ctx, server, addr)
+	return p.connect(ctx, server, addr)
 }
 
 // connect opens a connection, of which nobody is bound, within the connect time-out. Its place is
 // booked. After an error of errSecure there was a process.
-func (v *servers) connect(ctx context.Context, server, addr string) (*serverConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, v.cfg.Settings.ConnectTimeout)
+func (p *connPool) connect(ctx context.Context, server, addr string) (*serverConn, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.cfg.Settings.ConnectTimeout)
 	defer cancel()
-	nc, err := v.dialer(ctx, "tcp", addr)
-	if err == nil && v.tls != nil {
+	nc, err := p.dialer(ctx, "tcp", addr)
+	if err == nil && p.tls != nil {
 		plain := nc
-		if nc, err = v.secure(ctx, plain, addr); err != nil {
+		if nc, err = p.connectTLS(ctx, plain, addr); err != nil {
 			_ = plain.Close()
-			err = fmt.Errorf("%w: %w", errSecure, err)
+			err = fmt.Errorf("%w: %w", errServerTLS, err)
 		}
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if err != nil {
-		v.open--
+		p.open--
 		return nil, err
 	}
-	if now, known := v.addrs.Addr(server); !known || now != addr { // meanwhile: what has its address by now may be another
-		v.open--
+	if now, known := p.addresses.Addr(server); !known || now != addr { // meanwhile: what has its address by now may be another
+		p.open--
 		_ = nc.Close()
-		return nil, errMovedMeanwhile
+		return nil, errMovedWhileDialling
 	}
-	c := &serverConn{v: v, server: server, conn: nc, uses: 1, alone: true, since: time.Now(), calls: map[int32]*call{}}
-	v.conns[pool{server, ""}] = append(v.conns[pool{server, ""}], c)
+	c := &serverConn{pool: p, server: server, conn: nc, users: 1, exclusive: true, idleSince: time.Now(), calls: map[int32]*call{}}
+	p.conns[poolKey{server, ""}] = append(p.conns[poolKey{server, ""}], c)
 	go c.read()
 	return c, nil
 }
 
-// secure takes a connection into TLS, by StartTLS where that is set. There is no way back to plain.
-func (v *servers) secure(ctx context.Context, nc net.Conn, addr string) (net.Conn, error) {
+// connectTLS takes a connection into TLS, by StartTLS where that is set. There is no way back to plain.
+func (p *connPool) connectTLS(ctx context.Context, nc net.Conn, addr string) (net.Conn, error) {
 	deadline, _ := ctx.Deadline()
 	if err := nc.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	if v.o.ServerTLS == "starttls" {
+	if p.options.ServerTLS == "starttls" {
 		if _, err := nc.Write(ldapmsg.Extended(1, ldapmsg.OIDStartTLS, nil)); err != nil {
 			return nil, err
 		}
-		in := ldapmsg.NewReader(nc, v.o.MostMessage)
+		in := ldapmsg.NewReader(nc, p.options.MaxMessage)
 		raw, err := in.Next()
 		if err != nil {
 			return nil, err
@@ -255,7 +255,7 @@
 			return nil, fmt.Errorf("StartTLS was answered with %d", code)
 		}
 	}
-	cfg := v.tls
+	cfg := p.tls
 	if cfg.ServerName == "" {
 		cfg = cfg.Clone()
 		cfg.ServerName, _, _ = net.SplitHostPort(addr)
@@ -267,23 +267,23 @@
 	return c, nc.SetDeadline(time.Time{})
 }
 
-// rename books a connection as one that is bound.
-func (v *servers) rename(c *serverConn, who *identity) {
+// setIdentity books a connection as one that is bound.
+func (p *connPool) setIdentity(c *serverConn, who *identity) {
 	key := ""
 	if who != nil {
 		key = who.key
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if c.gone || c.who == key {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.closed || c.identityKey == key {
 		return
 	}
-	old := pool{c.server, c.who}
-	if list := slices.DeleteFunc(v.conns[old], func(x *serverConn) bool { return x == c }); len(list) > 0 {
-		v.conns[old] = list
+	old := poolKey{c.server, c.identityKey}
+	if list := slices.DeleteFunc(p.conns[old], func(x *serverConn) bool { return x == c }); len(list) > 0 {
+		p.conns[old] = list
 	} else {
-		delete(v.conns, old)
+		delete(p.conns, old)
 	}
-	c.who = key
-	v.conns[pool{c.server, key}] = append(v.conns[pool{c.server, key}], c)
+	c.identityKey = key
+	p.conns[poolKey{c.server, key}] = append(p.conns[poolKey{c.server, key}], c)
 }
--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// outMost is how many bytes wait for a client to read them before attempts wait for it too.
-	outMost = 256 << 10
-	// writeTime is what a client has to take what is written to it.
-	writeTime = 10 * time.Second
+	// maxQueuedBytes is how many bytes wait for a client to read them before attempts wait for it too.
+	maxQueuedBytes = 256 << 10
+	// writeTimeout is what a client has to take what is written to it.
+	writeTimeout = 10 * time.Second
 	// lingerTime is what a client has to read a last word before its connection closes: closed with
 	// something unread on it, it would be reset, and the word lost.
-	lingerTime = 500 * time.Millisecond
-	pagedMost  = 8 // paged searches that are kept for one client
+	lingerTime       = 500 * time.Millisecond
+	maxPagedSearches = 8 // paged searches that are kept for one client
 )
 
 // session is one client connection.
 type session struct {
-	p     *protocol
-	raw   net.Conn // as the connection limiter accepted it
-	in    *ldapmsg.Reader
-	last  atomic.Int64 // when something came, ns since the protocol was made
-	asked atomic.Bool  // a message has come
+	protocol     *protocol
+	raw          net.Conn // as the connection limiter accepted it
+	in           *ldapmsg.Reader
+	lastReceived atomic.Int64 // when something came, ns since the protocol was made
+	hasRequested atomic.Bool  // a message has come
 
-	mu       sync.Mutex
-	conn     net.Conn // raw, or TLS on it
-	secured  bool
-	space    *sync.Cond // there is room in out, or none will come
-	ops      map[int32]*operation
-	out      [][]byte
-	outBytes int
-	writing  bool
-	who      *identity
-	pinned   *serverConn // of a SASL bind: all goes there
-	paged    map[string]*serverConn
-	stopping bool // takes nothing more; ends when all is answered
-	notice   []byte
-	closed   bool
-	quiet    chan struct{} // closed when stopping and the last word is out
+	mu          sync.Mutex
+	conn        net.Conn // raw, or TLS on it
+	secured     bool
+	writeSpace  *sync.Cond // there is room in out, or none will come
+	operations  map[int32]*operation
+	writeQueue  [][]byte
+	queuedBytes int
+	writing     bool
+	identity    *identity
+	stickyConn  *serverConn // of a SASL bind: all goes there
+	pagedConns  map[string]*serverConn
+	closing     bool // takes nothing more; ends when all is answered
+	notice      []byte
+	closed      bool
+	done        chan struct{} // closed when stopping and the last word is out
 }
 
 func (p *protocol) serve(nc net.Conn) {
-	s := &session{p: p, raw: nc, conn: nc, ops: map[int32]*operation{}, quiet: make(chan struct{})}
-	s.space = sync.NewCond(&s.mu)
-	s.heard()
+	s := &session{protocol: p, raw: nc, conn: nc, operations: map[int32]*operation{}, done: make(chan struct{})}
+	s.writeSpace = sync.NewCond(&s.mu)
+	s.markReceived()
 	p.mu.Lock()
 	p.sessions[s] = true
 	draining := p.draining
@@ -59,35 +59,35 @@
 		p.mu.Lock()
 		delete(p.sessions, s)
 		p.mu.Unlock()
-		s.shut()
+		s.closeNow()
 	}()
-	if p.o.LDAPS {
-		if err := s.secure(); err != nil {
+	if p.options.LDAPS {
+		if err := s.acceptTLS(); err != nil {
 			return
 		}
 	}
-	s.reader()
+	s.startReader()
 	if draining {
 		go s.drain()
 	}
 	for {
 		raw, err := s.in.Next()
 		if err != nil {
-			s.lost(err)
+			s.readFailed(err)
 			return
 		}
-		s.heard()
-		s.asked.Store(true)
+		s.markReceived()
+		s.hasRequested.Store(true)
 		m, err := ldapmsg.Parse(raw)
 		if err == nil && m.Op != ldapmsg.BindRequest {
 			err = ldapmsg.CheckDepth(raw)
 		}
 		if err != nil {
-			s.lost(err)
+			s.readFailed(err)
 			return
 		}
-		if more, err := s.take(raw, m); err != nil {
-			s.lost(err)
+		if more, err := s.handleMessage(raw, m); err != nil {
+			s.readFailed(err)
 			return
 		} else if !more {
 			return
@@ -95,72 +95,72 @@
 	}
 }
 
-// reader reads from the present connection. A client has a while for its first message, and for each
+// startReader reads from the present connection. A client has a while for its first message, and for each
 // message from its first byte on; between messages it may be quiet for longer.
-func (s *session) reader() {
+func (s *session) startReader() {
 	first := s.in == nil
-	s.in = ldapmsg.NewReader(s.conn, s.p.o.MostMessage)
-	s.in.Waiting = func() {
-		wait := s.p.o.Idle
+	s.in = ldapmsg.NewReader(s.conn, s.protocol.options.MaxMessage)
+	s.in.OnWait = func() {
+		wait := s.protocol.options.MaxIdle
 		if first {
 			wait, first = core.HeadTimeout, false
 		}
-		s.deadline(time.Now().Add(wait))
+		s.setReadDeadline(time.Now().Add(wait))
 	}
-	s.in.Partial = func() { s.deadline(time.Now().Add(core.HeadTimeout)) }
+	s.in.OnPartial = func() { s.setReadDeadline(time.Now().Add(core.HeadTimeout)) }
 }
 
-func (s *session) deadline(t time.Time) {
+func (s *session) setReadDeadline(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.stopping {
+	if !s.closing {
 		_ = s.conn.SetReadDeadline(t) // a dead connection shows by its read
 	}
 }
 
-func (s *session) heard() { s.last.Store(int64(time.Since(s.p.began))) }
+func (s *session) markReceived() { s.lastReceived.Store(int64(time.Since(s.protocol.startedAt))) }
 
 func (s *session) quietFor() time.Duration {
-	return time.Since(s.p.began) - time.Duration(s.last.Load())
+	return time.Since(s.protocol.startedAt) - time.Duration(s.lastReceived.Load())
 }
 
-func (s *session) idle() bool {
+func (s *session) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.ops) == 0
+	return len(s.operations) == 0
 }
 
-// lost ends the reading of a connection: after bytes that make no sense with a notice, once what was
+// readFailed ends the reading of a connection: after bytes that make no sense with a notice, once what was
 // taken is answered; after its end at once, since nobody is there to be answered.
-func (s *session) lost(err error) {
+func (s *session) readFailed(err error) {
 	var late net.Error
 	switch {
 	case errors.Is(err, ldapmsg.ErrMalformed):
-		s.p.log.Warn("client connection ended", "client", s.raw.RemoteAddr().String(), "error", err)
-		s.end(ldapmsg.ProtocolErrorCode, err.Error())
+		s.protocol.log.Warn("client connection ended", "client", s.raw.RemoteAddr().String(), "error", err)
+		s.closeWithNotice(ldapmsg.ProtocolErrorCode, err.Error())
 	case errors.As(err, &late) && late.Timeout():
-		if s.isStopping() { // reading was stopped: answers are on their way
-			<-s.quiet
+		if s.isClosing() { // reading was stopped: answers are on their way
+			<-s.done
 			return
 		}
-		s.end(ldapmsg.Unavailable, "nothing, or no whole message, has come for long")
+		s.closeWithNotice(ldapmsg.Unavailable, "nothing, or no whole message, has come for long")
 	}
 }
 
-func (s *session) isStopping() bool {
+func (s *session) isClosing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stopping
+	return s.closing
 }
 
-// take handles one message. It reports false where the connection has come to its end.
-func (s *session) take(raw []byte, m ldapmsg.Message) (more bool, err error) {
+// handleMessage handles one message. It reports false where the connection has come to its end.
+func (s *session) handleMessage(raw []byte, m ldapmsg.Message) (more bool, err error) {
 	switch m.Op {
 	case ldapmsg.UnbindRequest:
 		return false, nil
 	case ldapmsg.AbandonRequest:
 		if what, err := ldapmsg.ParseAbandon(m.Content); err == nil {
-			s.abandon(what)
+			s.handleAbandon(what)
 		}
 		return true, nil // it has no answer, and if it makes no sense no effect (RFC 4511, 4.11)
 	}
@@ -171,9 +171,9 @@
 		return false, fmt.Errorf("%w: messageID 0", ldapmsg.ErrMalformed)
 	}
 	s.mu.Lock()
-	_, used := s.ops[m.ID]
-	n := len(s.ops)
-	stopping, pinned := s.stopping, s.pinned
+	_, used := s.operations[m.ID]
+	n := len(s.operations)
+	stopping, pinned := s.closing, s.stickyConn
 	s.mu.Unlock()
 	if used {
 		return false, fmt.Errorf("%w: messageID %d is in use", ldapmsg.ErrMalformed, m.ID)
@@ -181,67 +181,67 @@
 	if stopping {
 		return true, nil // it comes behind the last word
 	}
-	if n >= s.p.o.MostOpen {
-		s.answer(m.ID, m.Op, ldapmsg.Busy, "too many operations at once on this connection: nothing was done")
+	if n >= s.protocol.options.MaxOpen {
+		s.respond(m.ID, m.Op, ldapmsg.Busy, "too many operations at once on this connection: nothing was done")
 		return true, nil
 	}
 	if m.Op == ldapmsg.BindRequest {
-		return s.takeBind(raw, m)
+		return s.handleBind(raw, m)
 	}
-	if pinned != nil && pinned.dead() {
-		s.end(ldapmsg.Unavailable, "the server connection of this SASL bind has ended")
+	if pinned != nil && pinned.isUnusable() {
+		s.closeWithNotice(ldapmsg.Unavailable, "the server connection of this SASL bind has ended")
 		return false, nil
 	}
 	if m.Op == ldapmsg.ExtRequest {
 		name, value, err := ldapmsg.ExtendedName(m.Content)
 		if err != nil {
-			s.answer(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
+			s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
 			return true, nil
 		}
 		switch name {
 		case ldapmsg.OIDStartTLS:
 			return s.startTLS(m)
 		case ldapmsg.OIDCancel:
-			s.cancel(m, value)
+			s.handleCancel(m, value)
 			return true, nil
 		case ldapmsg.OIDStartTxn, ldapmsg.OIDEndTxn:
 			// A transaction belongs to a server connection, and these are shared.
-			s.answer(m.ID, m.Op, ldapmsg.UnwillingToPerform, "transactions are not served here")
+			s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "transactions are not served here")
 			return true, nil
 		}
 	}
 	k, limit, err := kindOf(&m)
 	if err != nil {
-		s.answer(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
+		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
 		return true, nil
 	}
 	own := append([]byte(nil), raw...)
 	m, _ = ldapmsg.Parse(own) // it was parsed before
-	o := &operation{s: s, id: m.ID, m: m, raw: own, kind: k}
+	o := &operation{session: s, id: m.ID, message: m, raw: own, kind: k}
 	if cookie, paged := ldapmsg.PagedCookie(m.Controls); paged && m.Op == ldapmsg.SearchRequest {
 		o.paged = true
 		if len(cookie) > 0 {
 			s.mu.Lock()
-			o.conn, o.cookie = s.paged[string(cookie)], string(cookie)
-			delete(s.paged, string(cookie))
+			o.requiredConn, o.cookie = s.pagedConns[string(cookie)], string(cookie)
+			delete(s.pagedConns, string(cookie))
 			s.mu.Unlock()
-			if o.conn == nil || o.conn.dead() {
-				s.answer(m.ID, m.Op, ldapmsg.UnwillingToPerform, "this cookie's server connection is gone: begin the search anew")
+			if o.requiredConn == nil || o.requiredConn.isUnusable() {
+				s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "this cookie's server connection is gone: begin the search anew")
 				return true, nil
 			}
 		}
 	}
 	s.mu.Lock()
-	if s.who != nil && s.who.rejected.Load() {
-		s.push(ldapmsg.Response(m.ID, ldapmsg.ResponseTo(m.Op), ldapmsg.StrongerAuthRequired, rejected))
+	if s.identity != nil && s.identity.rejected.Load() {
+		s.enqueue(ldapmsg.Response(m.ID, ldapmsg.ResponseTo(m.Op), ldapmsg.StrongerAuthRequired, rebindText))
 		s.mu.Unlock()
 		return true, nil
 	}
-	o.who = s.who.hold()
-	if s.pinned != nil {
-		o.conn = s.pinned
+	o.identity = s.identity.retain()
+	if s.stickyConn != nil {
+		o.requiredConn = s.stickyConn
 	}
 	s.mu.Unlock()
-	s.begin(o, limit)
+	s.submit(o, limit)
 	return true, nil
 }
--- a/internal/protocol/ldap/sessionwrite.go
+++ b/internal/protocol/ldap/sessionwrite.go
@@ -8,11 +8,11 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// answer gives an answer that needs no server.
-func (s *session) answer(id int32, op byte, code int, text string) {
+// respond gives an answer that needs no server.
+func (s *session) respond(id int32, op byte, code int, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.push(ldapmsg.Response(id, ldapmsg.ResponseTo(op), code, text))
+	s.enqueue(ldapmsg.Response(id, ldapmsg.ResponseTo(op), code, text))
 }
 
 // forward gives the client a part of an answer, under its own id. It waits while the client reads
@@ -21,61 +21,61 @@
 	text := ldapmsg.WithID(o.id, rest)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.outBytes > outMost && !s.closed {
-		s.space.Wait()
+	for s.queuedBytes > maxQueuedBytes && !s.closed {
+		s.writeSpace.Wait()
 	}
 	if s.closed {
 		return false
 	}
-	if s.ops[o.id] != o { // it has its final answer, or none is wanted
+	if s.operations[o.id] != o { // it has its final answer, or none is wanted
 		return false
 	}
-	s.push(text)
+	s.enqueue(text)
 	return true
 }
 
-// push queues bytes for the client. The lock is held.
-func (s *session) push(text []byte) {
+// enqueue queues bytes for the client. The lock is held.
+func (s *session) enqueue(text []byte) {
 	if s.closed {
 		return
 	}
-	s.out = append(s.out, text)
-	s.outBytes += len(text)
+	s.writeQueue = append(s.writeQueue, text)
+	s.queuedBytes += len(text)
 	if !s.writing {
 		s.writing = true
-		go s.write()
+		go s.runWriter()
 	}
 }
 
-// write writes what is queued, until nothing is.
-func (s *session) write() {
+// runWriter writes what is queued, until nothing is.
+func (s *session) runWriter() {
 	for {
 		s.mu.Lock()
-		if len(s.out) == 0 || s.closed {
+		if len(s.writeQueue) == 0 || s.closed {
 			s.writing = false
 			if s.closed {
-				s.out, s.outBytes = nil, 0
+				s.writeQueue, s.queuedBytes = nil, 0
 			}
 			s.mu.Unlock()
 			return
 		}
-		batch, conn, n := s.out, s.conn, s.outBytes
-		s.out = nil
+		batch, conn, n := s.writeQueue, s.conn, s.queuedBytes
+		s.writeQueue = nil
 		s.mu.Unlock()
 		text := batch[0]
 		if len(batch) > 1 {
 			text = bytes.Join(batch, nil) // one write, under TLS one record
 		}
-		err := conn.SetWriteDeadline(time.Now().Add(writeTime))
+		err := conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if err == nil {
 			_, err = conn.Write(text)
 		}
 		s.mu.Lock()
-		s.outBytes -= n
-		s.space.Broadcast()
+		s.queuedBytes -= n
+		s.writeSpace.Broadcast()
 		s.mu.Unlock()
 		if err != nil {
-			s.shut()
+			s.closeNow()
 			return
 		}
 	}
@@ -84,38 +84,38 @@
 // drain ends the connection once all that was taken is answered. One that has asked nothing yet is
 // served on for a moment: it was accepted just before the next copy would have.
 func (s *session) drain() {
-	if !s.asked.Load() {
-		wait := time.NewTimer(s.p.fresh)
+	if !s.hasRequested.Load() {
+		wait := time.NewTimer(s.protocol.freshPeriod)
 		defer wait.Stop()
 		select {
-		case <-s.quiet:
+		case <-s.done:
 		case <-wait.C:
 		}
 	}
-	s.end(ldapmsg.Unavailable, "this agent stops: ask again on a new connection")
+	s.closeWithNotice(ldapmsg.Unavailable, "this agent stops: ask again on a new connection")
 }
 
-// end has the connection end with a Notice of Disconnection, once all that was taken is answered, and
+// closeWithNotice has the connection end with a Notice of Disconnection, once all that was taken is answered, and
 // takes nothing more.
-func (s *session) end(code int, text string) {
+func (s *session) closeWithNotice(code int, text string) {
 	s.mu.Lock()
-	if s.stopping || s.closed {
+	if s.closing || s.closed {
 		s.mu.Unlock()
 		return
 	}
-	s.stopping, s.notice = true, ldapmsg.Disconnection(code, text)
+	s.closing, s.notice = true, ldapmsg.Disconnection(code, text)
 	_ = s.conn.SetReadDeadline(core.LongAgo) // the reader stops
-	s.lastWord()
+	s.sendNoticeIfIdle()
 	s.mu.Unlock()
-	<-s.quiet
+	<-s.done
 }
 
-// lastWord writes the notice of a connection that ends, when nothing is open on it. The lock is held.
-func (s *session) lastWord() {
-	if !s.stopping || len(s.ops) > 0 || s.notice == nil {
+// sendNoticeIfIdle writes the notice of a connection that ends, when nothing is open on it. The lock is held.
+func (s *session) sendNoticeIfIdle() {
+	if !s.closing || len(s.operations) > 0 || s.notice == nil {
 		return
 	}
-	s.push(s.notice)
+	s.enqueue(s.notice)
 	s.notice = nil
 	go s.linger()
 }
@@ -123,8 +123,8 @@
 // linger lets the client read the last word, and closes.
 func (s *session) linger() {
 	s.mu.Lock()
-	for s.outBytes > 0 && !s.closed {
-		s.space.Wait()
+	for s.queuedBytes > 0 && !s.closed {
+		s.writeSpace.Wait()
 	}
 	conn, raw := s.conn, s.raw
 	s.mu.Unlock()
@@ -140,14 +140,14 @@
 			break
 		}
 	}
-	s.shut()
+	s.closeNow()
 }
 
-// failAll answers what is open as failed: the loop has ended.
-func (s *session) failAll() {
+// abortAll answers what is open as failed: the loop has ended.
+func (s *session) abortAll() {
 	s.mu.Lock()
 	var all []*operation
-	for _, o := range s.ops {
+	for _, o := range s.operations {
 		all = append(all, o)
 	}
 	s.mu.Unlock()
@@ -156,35 +156,35 @@
 	}
 }
 
-// shut closes the connection and gives up what is open on it: nobody waits any more.
-func (s *session) shut() {
+// closeNow closes the connection and gives up what is open on it: nobody waits any more.
+func (s *session) closeNow() {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return
 	}
-	s.closed, s.stopping = true, true
+	s.closed, s.closing = true, true
 	_ = s.raw.Close()
 	var left []*operation
-	for _, o := range s.ops {
+	for _, o := range s.operations {
 		left = append(left, o)
 	}
-	s.become(nil, nil)
-	s.space.Broadcast()
+	s.setIdentity(nil, nil)
+	s.writeSpace.Broadcast()
 	select {
-	case <-s.quiet:
+	case <-s.done:
 	default:
-		close(s.quiet)
+		close(s.done)
 	}
 	s.mu.Unlock()
 	for _, o := range left {
 		o.mu.Lock()
 		o.abandoned = true
-		c, on := o.on, o.onID
+		c, on := o.attemptConn, o.attemptID
 		o.mu.Unlock()
-		if c != nil && o.m.Op == ldapmsg.SearchRequest {
+		if c != nil && o.message.Op == ldapmsg.SearchRequest {
 			c.sendAbandon(on)
 		}
-		s.p.loop.ClientDisconnected(o.request)
+		s.protocol.loop.ClientDisconnected(o.request)
 	}
 }
--- a/internal/protocol/ldap/shared_test.go
+++ b/internal/protocol/ldap/shared_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestWithoutARightAnOperationIsRefusedByItsLimit(t *testing.T) {
+func TestOperationWithoutLeaseIsRejectedByItsLimit(t *testing.T) {
 	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests, quota.Attempts} {
 		r, c, d := limited(t, counts)
 		_, err := c.Search(one())
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestWithoutARightToConnectNoneIsOpened(t *testing.T) {
+func TestNoConnectionIsOpenedWithoutLease(t *testing.T) {
 	r, c, d := limited(t, quota.NewConnections)
 	if _, err := c.Search(one()); err == nil {
 		t.Fatal("a search was served with no connection and no right to open one")
@@ -72,13 +72,13 @@
 }
 
 // A server that is taken out by hand while an operation waits for its connection does not get it.
-func TestWhatIsTakenOutMeanwhileGetsNothing(t *testing.T) {
+func TestServerRemovedMeanwhileGetsNothing(t *testing.T) {
 	d := dir(t, "one", directory.Options{})
 	r := start(t, testConfig(t, d), Options{})
 	c := r.dial(t)
 	held, going := make(chan struct{}), make(chan struct{}, 4)
-	dial := r.p.servers.dialer
-	r.p.servers.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := r.p.pool.dialer
+	r.p.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		going <- struct{}{}
 		<-held
 		return dial(ctx, network, addr)
--- a/internal/protocol/ldap/tls_test.go
+++ b/internal/protocol/ldap/tls_test.go
@@ -94,7 +94,7 @@
 }
 
 // TLS on both sides, by StartTLS and from the start.
-func TestTLS(t *testing.T) {
+func TestTLSOnBothSides(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key, _ := ca.issue(t, "agent")
 	_, _, server := ca.issue(t, "directory")
@@ -138,7 +138,7 @@
 }
 
 // A server that can't be had under TLS, or shows another's certificate, gets nothing at all.
-func TestNoDowngrade(t *testing.T) {
+func TestTLSIsNeverDowngraded(t *testing.T) {
 	ca, stranger := newAuthority(t), newAuthority(t)
 	_, _, foreign := stranger.issue(t, "directory")
 	_, _, named := ca.issue(t, "somebody-else")
@@ -163,7 +163,7 @@
 }
 
 // What comes in plain behind a StartTLS is not taken for what comes under TLS.
-func TestNothingIsTakenAheadOfTLS(t *testing.T) {
+func TestBytesAheadOfTLSAreRejected(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key, _ := ca.issue(t, "agent")
 	d := dir(t, "one", directory.Options{})
--- a/internal/protocol/ldapmsg/ldapmsg.go
+++ b/internal/protocol/ldapmsg/ldapmsg.go
@@ -62,7 +62,7 @@
 	TooLate                 = 120
 	CannotCancel            = 121
 	MaxID                   = 1<<31 - 1
-	depthMost               = 100 // of nested filters and controls: far more than any that is meant
+	maxDepth                = 100 // of nested filters and controls: far more than any that is meant
 	lengthOctets            = 4
 	responseName            = 0x8a // of an ExtendedResponse
 )
@@ -185,7 +185,7 @@
 // CheckDepth follows nested elements, and reports those that are malformed or nested too deeply. What
 // is handed on to servers has been looked at so far.
 func CheckDepth(b []byte) error {
-	var ends [depthMost]int
+	var ends [maxDepth]int
 	depth, at := 0, 0
 	for {
 		for depth > 0 && at == ends[depth-1] {
@@ -209,8 +209,8 @@
 			at += length
 			continue
 		}
-		if depth == depthMost {
-			return malformed("nested more than %d deep", depthMost)
+		if depth == maxDepth {
+			return malformed("nested more than %d deep", maxDepth)
 		}
 		ends[depth] = at + length
 		depth++
@@ -489,26 +489,26 @@
 
 // Reader frames messages.
 type Reader struct {
-	Most    int    // bytes of one message
-	Waiting func() // called before it waits for the first byte of a message
-	Partial func() // called before it waits for more of one that has begun
+	MaxMessage int    // bytes of one message
+	OnWait     func() // called before it waits for the first byte of a message
+	OnPartial  func() // called before it waits for more of one that has begun
 
 	in         io.Reader
 	buf        []byte
 	start, end int
 }
 
-const bufLeast = 512 // an idle connection keeps no more
+const minBuffer = 512 // an idle connection keeps no more
 
 // NewReader reads messages of at most so many bytes.
-func NewReader(in io.Reader, most int) *Reader {
-	return &Reader{Most: most, in: in, Waiting: func() {}, Partial: func() {}}
+func NewReader(in io.Reader, maxMessage int) *Reader {
+	return &Reader{MaxMessage: maxMessage, in: in, OnWait: func() {}, OnPartial: func() {}}
 }
 
 // Next is the next message's bytes, which are good until the one after it. An error of ErrMalformed tells
 // of the bytes; any other comes from reading.
 func (r *Reader) Next() ([]byte, error) {
-	if r.start == r.end && len(r.buf) > 16*bufLeast {
+	if r.start == r.end && len(r.buf) > 16*minBuffer {
 		r.buf, r.start, r.end = nil, 0, 0 // one large message is no reason to keep so much
 	}
 	partial := false
@@ -524,8 +524,8 @@
 				return nil, err
 			}
 			if !short {
-				if need = size + length; need > r.Most {
-					return nil, malformed("a message of %d bytes: %d are taken", need, r.Most)
+				if need = size + length; need > r.MaxMessage {
+					return nil, malformed("a message of %d bytes: %d are taken", need, r.MaxMessage)
 				}
 				if len(have) >= need {
 					r.start += need
@@ -541,16 +541,16 @@
 		}
 		if len(r.buf) < need || len(r.buf) == r.end {
 			// By what has come, not by what is told: a length costs its sender nothing.
-			grown := make([]byte, max(bufLeast, min(need, 2*len(r.buf))))
+			grown := make([]byte, max(minBuffer, min(need, 2*len(r.buf))))
 			copy(grown, r.buf[:r.end])
 			r.buf = grown
 		}
 		switch {
 		case r.end == 0:
-			r.Waiting()
+			r.OnWait()
 		case !partial:
 			partial = true
-			r.Partial()
+			r.OnPartial()
 		}
 		n, err := r.in.Read(r.buf[r.end:])
 		if r.end += n; err != nil && n == 0 {
--- a/internal/protocol/ldapmsg/ldapmsg_test.go
+++ b/internal/protocol/ldapmsg/ldapmsg_test.go
@@ -12,7 +12,7 @@
 )
 
 // What is written here is read by a library, and the other way round.
-func TestAgainstTheLibrary(t *testing.T) {
+func TestMessagesAgreeWithGoLDAP(t *testing.T) {
 	p, err := ber.DecodePacketErr(Response(7, ModifyResponse, Busy, "later"))
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 }
 
 // Messages are framed alike however they come in pieces.
-func TestReaderByPieces(t *testing.T) {
+func TestReaderFramesMessagesInPieces(t *testing.T) {
 	var all []byte
 	want := 0
 	for i := range int32(50) {
@@ -79,17 +79,17 @@
 }
 
 // A length that is told and not sent costs no memory.
-func TestToldLengthsCostNothing(t *testing.T) {
+func TestAnnouncedLengthTakesNoMemory(t *testing.T) {
 	r := NewReader(io.MultiReader(bytes.NewReader([]byte{0x30, 0x84, 0, 0x0f, 0, 0}), iotest.ErrReader(io.ErrNoProgress)), 1<<20)
 	if _, err := r.Next(); !errors.Is(err, io.ErrNoProgress) {
 		t.Errorf("%v", err)
 	}
-	if len(r.buf) > 4*bufLeast {
+	if len(r.buf) > 4*minBuffer {
 		t.Errorf("%d bytes for 6", len(r.buf))
 	}
 }
 
-func TestDepth(t *testing.T) {
+func TestDeepNestingIsRejected(t *testing.T) {
 	nest := func(n int) []byte {
 		b := []byte{0x04, 0}
 		for range n {
@@ -97,10 +97,10 @@
 		}
 		return b
 	}
-	if err := CheckDepth(nest(depthMost)); err != nil {
+	if err := CheckDepth(nest(maxDepth)); err != nil {
 		t.Error(err)
 	}
-	if err := CheckDepth(nest(depthMost + 1)); !errors.Is(err, ErrMalformed) {
+	if err := CheckDepth(nest(maxDepth + 1)); !errors.Is(err, ErrMalformed) {
 		t.Error("too deep, and taken")
 	}
 	if err := CheckDepth([]byte{0x30, 4, 0x30, 5, 0x04, 0}); !errors.Is(err, ErrMalformed) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestPagedCookie(t *testing.T) {
+func TestPagedCookieIsRead(t *testing.T) {
 	value := appendElement(nil, 0x30, append([]byte{0x02, 1, 0}, appendElement(nil, 0x04, []byte("cookie"))...))
 	c := appendElement(nil, 0x30, append(appendElement(nil, 0x04, []byte(OIDPagedResults)), append([]byte{0x01, 1, 0xff}, appendElement(nil, 0x04, value)...)...))
 	other := appendElement(nil, 0x30, appendElement(nil, 0x04, []byte("1.2.3")))
