--- a/internal/protocol/ldap/bind.go
+++ b/internal/protocol/ldap/bind.go
@@ -113,7 +113,7 @@
 	case !b.Simple && b.Mechanism == "EXTERNAL":
 		// The server would take this agent's own certificate or socket for the client's.
 		return refuse(ldapmsg.AuthMethodNotSupported, "EXTERNAL can't be passed on")
-	case !b.Simple && b.Mechanism == "?":
+	case !b.Simple && b.Mechanism == ldapmsg.UnknownMechanism:
 		return refuse(ldapmsg.AuthMethodNotSupported, "an authentication choice that is not known")
 	}
 	for _, o := range open {
