--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -1,31 +1,34 @@
-// Package endpoints makes one list of servers of what several sources say. It is free of I/O, clock and
-// randomness: reports and the time go in, the list and the reasons come out. The rule stands as one table
-// in docs/design/membership.md, and as a table test.
+// Package endpoints merges what several sources report of servers into one endpoint list: a list service, DNS
+// records, a saved list. It is a state machine without I/O, clock and randomness: reports and the time go into
+// Module.Step, the list and the reason for each entry come out. The merge rule is the table in
+// docs/design/membership.md, which TestMergeRuleForAllPairsAndTriples checks.
+//
+// A Module owns the sources' last reports, the removals that hold, and the damping of pod changes. It belongs to
+// one goroutine: internal/host/daemon runs one for each list with several sources, the simulator one per agent.
 package endpoints
 
 import (
-	"cmp"
-	"fmt"
-	"math"
 	"slices"
-	"strings"
 	"time"
 )
 
-// State is what a source says of a server, and what comes of it.
+// State is a server's state: as one source reports it, or as merged.
 type State uint8
 
-// States. A source that does not name a server says Absent.
+// States of a server. A later one wins where removals contradict each other.
 const (
+	// Absent is the state of a server that a source does not name.
 	Absent State = iota
 	Up
+	// Draining servers finish what they have, and are sent nothing new.
 	Draining
 	Removed
 )
 
+// String returns the state's name as the admin endpoint and the logs have it.
 func (s State) String() string { return [...]string{"absent", "up", "draining", "gone"}[s] }
 
-// Server is one server as a source describes it.
+// Server is one server as a source describes it. A zero Zone, Kind, Pod, Weight or Started is not known.
 type Server struct {
 	ID       string
 	Addr     string // IP and port
@@ -33,49 +36,53 @@
 	Kind     string
 	Pod      int
 	Weight   float64
-	Priority int // RFC 2782: those of a higher number stand by while one of a lower is up
+	Priority int // as in SRV records (RFC 2782): lower is preferred; others stand by while one of those is up
 	State    State
-	Started  int64 // Unix time in ms; 0: not told
+	Started  int64 // Unix time of the process's start in ms; compared with other starts only, never with a clock
 }
 
-// Source is how far a source is believed.
+// Source describes a source and how far it is trusted.
 type Source struct {
 	Name string
-	// Exact sources say what they leave out: a server that is missing from a whole view is gone. Records
-	// are not exact: one that is missing has been withdrawn, which another source may know better.
+	// Exact means that a server missing from a snapshot has been removed. A server missing from the snapshot of
+	// a source that is not exact, such as DNS, has only been withdrawn: another source may still have it.
 	Exact bool
-	Hold  time.Duration // how long the last good view of a source that fails holds
+	// Hold is for how long the last snapshot of a source that fails is still used. Smaller values take servers
+	// out during an outage of the source, larger ones keep stale servers longer.
+	Hold time.Duration
 }
 
-// Settings say how much is believed, and for how long.
+// Settings configure a Module.
 type Settings struct {
-	Sources []Source // the first that tells a thing is believed
-	// Guard is how long servers stay that a whole view of records has suddenly lost: more than half, and
-	// more than two. A further view so much later that lacks them too is believed.
+	Sources []Source // by precedence: the first that knows an attribute of a server decides it
+	// Guard is for how long servers stay that a snapshot of a source that is not exact suddenly lacks: more than
+	// half of them, and more than two. A snapshot at least that much later is believed. It is also how long a
+	// server must have been missing for a new announcement to overrule a removal. Smaller values believe
+	// truncated answers, larger ones delay real changes.
 	Guard time.Duration
-	// Settle is the least time between two changes of a server's pod that take effect.
+	// Settle is the minimum interval between two changes of a server's pod that take effect.
 	Settle time.Duration
 }
 
-// What sources say.
+// Reports of a source.
 type (
-	// Snapshot is all that a source knows.
+	// Snapshot is the complete list of a source's servers.
 	Snapshot struct {
 		Source  string
 		Servers []Server
 	}
-	// Delta is part of it: what has come, changed or gone.
+	// Delta holds the servers that were added, changed or removed.
 	Delta struct {
 		Source  string
 		Servers []Server
 	}
-	// Reset takes back all that a source has said.
+	// Reset discards all that a source has reported.
 	Reset struct{ Source string }
-	// Failed says that a source could not be asked, or that its answer was no good.
+	// Failed says that a source could not be read, or that its response was invalid.
 	Failed struct{ Source string }
 )
 
-// Report is one of them.
+// Report is a Snapshot, Delta, Reset or Failed.
 type Report interface{ report() }
 
 func (Snapshot) report() {}
@@ -83,61 +90,27 @@
 func (Failed) report()   {}
 func (Reset) report()    {}
 
-// Member is a server of the merged list, in it or not.
+// Member is a server that a source names, as merged.
 type Member struct {
 	Server
-	In  bool
-	Why string
+	In  bool   // it is part of the endpoint list
+	Why string // the reason, for operators
 }
 
-// Module merges. It belongs to one goroutine.
+// Module merges the reports of its sources. See the package comment.
 type Module struct {
 	settings Settings
-	sources  []*source
-	// removals are those of which a source said that they drain or are gone, by address and by ID: that holds
-	// until there is newer evidence.
+	sources  []*source // in the order of Settings.Sources
+	// removals are the reports of draining and removed servers, oldest first. Each holds until there is newer
+	// evidence.
 	removals []*removal
-	pods     map[string]*pod // by ID
-	lastList map[string]Member
-	latest   time.Duration
-	logs     []string
-}
-
-type source struct {
-	Source
-	known   bool
-	failing bool
-	since   time.Duration // failing since then
-	entries map[string]*entry
-	viewAt  time.Duration
-	began   time.Duration            // first heard, since it last knew nothing
-	without map[string]time.Duration // servers that it had: first heard without them then
+	pods     map[string]*pod   // by server ID
+	lastList map[string]Member // as returned by the last Step, by server ID
+	latest   time.Duration     // the latest time of a Step
+	logs     []string          // not yet returned by Logs
 }
 
-type entry struct {
-	Server
-	announced time.Duration // when it last came
-	missed    time.Duration // when its source last spoke without having it up, before that
-	absent    time.Duration // and since when it had spoken so
-	lost      bool          // a whole view suddenly lacks it, and is not believed yet
-	lostAt    time.Duration
-}
-
-type removal struct {
-	id, addr string
-	state    State
-	by       string
-	at       time.Duration
-	started  int64
-}
-
-type pod struct {
-	pod     int
-	changed time.Duration
-	said    bool // another one is said meanwhile, and that was logged
-}
-
-// New merges nothing yet.
+// New returns a Module that has no reports.
 func New(s Settings) *Module {
 	m := &Module{settings: s, pods: map[string]*pod{}, lastList: map[string]Member{}}
 	for _, o := range s.Sources {
@@ -146,357 +119,68 @@
 	return m
 }
 
-// Step takes reports that came by now, and returns the list as it is: every server that any source
-// names, in it or not, by ID. Without reports, time alone has passed. changed tells whether it differs
-// from the list before.
+// Step applies the reports that arrived by now, and returns every server that any source names, sorted by ID,
+// whether it is in the list or not. Without reports only time passes. now is a time since any fixed base; a time
+// before the latest one counts as the latest. Reports of unknown sources are ignored. changed reports whether the
+// list differs from that of the last Step.
 func (m *Module) Step(now time.Duration, reports ...Report) (list []Member, changed bool) {
 	m.latest = max(now, m.latest)
-	for _, r := range reports {
-		switch r := r.(type) {
-		case Snapshot:
-			if s := m.source(r.Source); s != nil {
-				m.applySnapshot(s, r.Servers)
-			}
-		case Delta:
-			if s := m.source(r.Source); s != nil {
-				for _, v := range r.Servers {
-					m.applyServer(s, v)
-				}
-				s.heard(m.latest)
-			}
-		case Reset:
-			if s := m.source(r.Source); s != nil {
-				s.entries, s.known = map[string]*entry{}, false
-				m.removals = slices.DeleteFunc(m.removals, func(g *removal) bool { return g.by == s.Name })
-			}
-		case Failed:
-			if s := m.source(r.Source); s != nil && !s.failing {
-				s.failing, s.since = true, m.latest
-			}
-		}
+	for _, report := range reports {
+		m.apply(report)
 	}
 	list = m.merge()
 	next := map[string]Member{}
-	for _, v := range list {
-		next[v.ID] = v
-		old, known := m.lastList[v.ID]
-		changed = changed || !known || old.In != v.In || old.Server != v.Server
+	for _, member := range list {
+		next[member.ID] = member
+		old, known := m.lastList[member.ID]
+		changed = changed || !known || old.In != member.In || old.Server != member.Server
 	}
 	changed = changed || len(next) != len(m.lastList)
 	m.lastList = next
 	return list, changed
 }
 
-// Logs are what an operator should read, once each.
-func (m *Module) Logs() []string {
-	l := m.logs
-	m.logs = nil
-	return l
-}
-
-func (m *Module) source(name string) *source {
-	for _, s := range m.sources {
-		if s.Name == name {
-			return s
-		}
-	}
-	return nil
-}
-
-func (s *source) heard(now time.Duration) {
-	if !s.known {
-		s.began, s.without = now, map[string]time.Duration{}
-	}
-	s.known, s.failing, s.viewAt = true, false, now
-}
-
-// lacks notes that a source no longer has a server.
-func (s *source) lacks(id string, now time.Duration) {
-	delete(s.entries, id)
-	if s.without == nil || len(s.without) > maxRemovals {
-		s.without, s.began = map[string]time.Duration{}, now
-	}
-	s.without[id] = now
-}
-
-// announce notes that a source has a server again, and for how long it did not.
-func (s *source) announce(e *entry, now time.Duration) {
-	e.announced, e.missed, e.absent = now, s.viewAt, s.began
-	if since, ok := s.without[e.ID]; ok {
-		e.absent = since
-		delete(s.without, e.ID)
-	}
-}
-
-// applySnapshot takes a whole view of a source.
-func (m *Module) applySnapshot(s *source, servers []Server) {
-	named := map[string]bool{}
-	for _, v := range servers {
-		named[v.ID] = true
-	}
-	missing := 0
-	for id, e := range s.entries {
-		if !named[id] && !e.lost {
-			missing++
-		}
-	}
-	sudden := !s.Exact && missing > 2 && 2*missing > len(s.entries)
-	if sudden {
-		m.logs = append(m.logs, fmt.Sprintf("%s lacks %d of %d servers at once: they stay for %v", s.Name, missing, len(s.entries), m.settings.Guard))
-	}
-	for id, e := range s.entries {
-		switch {
-		case named[id]:
-		case s.Exact:
-			m.recordRemoval(s, e, Removed)
-			s.lacks(id, m.latest)
-		case sudden && !e.lost:
-			e.lost, e.lostAt = true, m.latest
-		case e.lost && m.latest-e.lostAt < m.settings.Guard:
-		default:
-			s.lacks(id, m.latest)
-		}
-	}
-	for _, v := range servers {
-		m.applyServer(s, v)
-	}
-	s.heard(m.latest)
-}
-
-// applyServer takes what a source says of one server.
-func (m *Module) applyServer(s *source, v Server) {
-	e := s.entries[v.ID]
-	if e == nil {
-		e = &entry{Server: v}
-		s.announce(e, m.latest)
-		if v.State == Removed || v.State == Absent {
-			m.recordRemoval(s, e, v.State)
-			return
-		}
-		s.entries[v.ID] = e
-	}
-	old := e.State
-	e.Server, e.lost = v, false
-	switch {
-	case v.State == Removed:
-		m.recordRemoval(s, e, Removed)
-		s.lacks(v.ID, m.latest)
-	case v.State == Absent:
-		s.lacks(v.ID, m.latest)
-	case v.State == Draining:
-		m.recordRemoval(s, e, Draining)
-	case old != Up: // it came back by the word of the very source that had it drain
-		s.announce(e, m.latest)
-	}
-	if v.State == Up {
-		m.removals = slices.DeleteFunc(m.removals, func(g *removal) bool { return g.same(v) && g.by == s.Name })
-	}
-}
-
-// recordRemoval notes that a source says a server drains, or is gone.
-func (m *Module) recordRemoval(s *source, e *entry, state State) {
-	if state != Draining && state != Removed {
-		return
-	}
-	for _, g := range m.removals {
-		if g.same(e.Server) && g.by == s.Name {
-			g.state, g.at = state, m.latest // said again, it is as new as that
-			g.started = max(g.started, e.Started)
-			return
-		}
-	}
-	m.removals = append(m.removals, &removal{e.ID, e.Addr, state, s.Name, m.latest, e.Started})
-	if len(m.removals) > maxRemovals {
-		m.removals = m.removals[1:] // the oldest: of thousands, no record advertises it any more
-	}
-}
-
-const maxRemovals = 20000
-
-// same reports whether a verdict is of a server: by its ID, or by its address. A process that started
-// later is another.
-func (g *removal) same(v Server) bool { return g.id == v.ID || g.addr != "" && g.addr == v.Addr }
-
-// overruled reports whether what a source says of a server is newer than the verdict: a later start, or a
-// withdrawal and a new announcement after it.
-func (g *removal) overruled(e *entry, guard time.Duration) bool {
-	if e.State != Up || e.lost {
-		return false
-	}
-	if e.Started > 0 && g.started > 0 {
-		return e.Started > g.started
-	}
-	// Its source must have been heard without it since, for as long as the guard takes: a record that was
-	// published before the report may be read for the first time after it, and one reading that loses
-	// records without a word, with the next one whole, is no withdrawal and new announcement.
-	return e.announced > g.at && e.missed > g.at && e.missed-max(e.absent, g.at) >= guard
-}
-
-// fresh reports whether a source has a say: it has been heard, and does not fail for too long.
-func (m *Module) fresh(s *source) bool {
-	return s.known && (!s.failing || m.latest-s.since <= s.Hold)
-}
-
-// group is one server, by all that sources say of it.
-type group struct {
-	entries []*entry
-	by      []*source
-}
-
-// merge makes the list.
-func (m *Module) merge() []Member {
-	var groups []*group
-	byID, byAddr := map[string]*group{}, map[string]*group{}
-	for _, s := range m.sources {
-		for _, id := range sorted(s.entries) {
-			e := s.entries[id]
-			g := byID[e.ID]
-			if g == nil && e.Addr != "" {
-				if o := byAddr[e.Addr]; o != nil && !o.another(e) {
-					g = o
-				}
-			}
-			if g == nil {
-				g = &group{}
-				groups = append(groups, g)
-			}
-			g.entries, g.by = append(g.entries, e), append(g.by, s)
-			byID[e.ID] = g
-			if e.Addr != "" {
-				if o := byAddr[e.Addr]; o == nil || o.another(e) && e.Started > o.started() {
-					byAddr[e.Addr] = g
-				}
-			}
+// apply applies one report.
+func (m *Module) apply(report Report) {
+	switch r := report.(type) {
+	case Snapshot:
+		if s := m.source(r.Source); s != nil {
+			m.applySnapshot(s, r.Servers)
 		}
-	}
-	var list []Member
-	for _, g := range groups {
-		list = append(list, m.resolve(g, byAddr))
-	}
-	// Failures alone never empty the fleet: with nobody left, what a silent source last said still holds.
-	if !slices.ContainsFunc(list, func(v Member) bool { return v.In }) {
-		for i := range list {
-			if list[i].State == Up && strings.HasPrefix(list[i].Why, silent) {
-				list[i].In, list[i].Why = true, "kept: nothing else is known"
+	case Delta:
+		if s := m.source(r.Source); s != nil {
+			for _, server := range r.Servers {
+				m.applyServer(s, server)
 			}
+			s.markReceived(m.latest)
 		}
-	}
-	best := math.MaxInt
-	for _, v := range list {
-		if v.In && v.State == Up {
-			best = min(best, v.Priority)
-		}
-	}
-	for i, v := range list {
-		if v.In && v.State == Up && v.Priority > best {
-			list[i].In, list[i].Why = false, fmt.Sprintf("stands by: one of priority %d is up", best)
-		}
-	}
-	if len(m.pods) > 4*len(list)+1000 { // of those that nobody names any more
-		known := map[string]bool{}
-		for _, v := range list {
-			known[v.ID] = true
+	case Reset:
+		if s := m.source(r.Source); s != nil {
+			s.entries = map[string]*entry{}
+			s.known = false
+			m.removals = slices.DeleteFunc(m.removals, func(removal *removal) bool { return removal.source == s.Name })
 		}
-		for id := range m.pods {
-			if !known[id] {
-				delete(m.pods, id)
-			}
+	case Failed:
+		if s := m.source(r.Source); s != nil && !s.failing {
+			s.failing = true
+			s.failingSince = m.latest
 		}
 	}
-	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
-	return list
 }
 
-const silent = "its sources are silent"
-
-// another reports whether an entry is of a process that took over the group's address, or had it before.
-func (g *group) another(e *entry) bool {
-	s := g.started()
-	return s > 0 && e.Started > 0 && s != e.Started
-}
-
-func (g *group) started() (s int64) {
-	for _, e := range g.entries {
-		s = max(s, e.Started)
-	}
-	return s
+// Logs returns lines for operators, each once.
+func (m *Module) Logs() []string {
+	logs := m.logs
+	m.logs = nil
+	return logs
 }
 
-// resolve says what comes of one server.
-func (m *Module) resolve(g *group, byAddr map[string]*group) Member {
-	v := Member{Server: g.entries[0].Server}
-	for _, e := range g.entries[1:] { // the first that tells a thing is believed
-		v.Zone, v.Kind = cmp.Or(v.Zone, e.Zone), cmp.Or(v.Kind, e.Kind)
-		v.Pod, v.Weight, v.Started = cmp.Or(v.Pod, e.Pod), cmp.Or(v.Weight, e.Weight), max(v.Started, e.Started)
-	}
-	v.Pod = m.podOf(v.ID, v.Pod)
-	var up, said []string
-	stale := 0
-	for i, e := range g.entries {
-		switch {
-		case !m.fresh(g.by[i]):
-			stale++
-		case e.State == Up:
-			up = append(up, g.by[i].Name)
-		}
-		said = append(said, g.by[i].Name)
-	}
-	v.State = Up
-	// Drained or gone by any source wins and holds, also by one that is silent by now, until there is newer
-	// evidence.
-	var worst *removal
-	for _, d := range m.removals {
-		hit, overruled := false, false
-		for _, e := range g.entries {
-			hit = hit || d.same(e.Server)
-			overruled = overruled || d.overruled(e, m.settings.Guard)
-		}
-		if hit && !overruled && (worst == nil || d.state > worst.state) {
-			worst = d
+// source returns the source of a name; nil: there is none.
+func (m *Module) source(name string) *source {
+	for _, s := range m.sources {
+		if s.Name == name {
+			return s
 		}
 	}
-	switch {
-	case worst != nil:
-		v.State = worst.state
-		v.In = worst.state == Draining // decide hears of it, and sends nothing new
-		v.Why = fmt.Sprintf("%s by %s", worst.state, worst.by)
-	case v.Addr != "" && byAddr[v.Addr] != g && byAddr[v.Addr] != nil:
-		v.State, v.Why = Removed, "another process has its address"
-	case len(up) == 0 && stale > 0:
-		v.Why = silent + ": " + strings.Join(said, ", ")
-	case len(up) > 0:
-		v.In, v.Why = true, "up by "+strings.Join(up, ", ")
-	default:
-		v.State, v.Why = Absent, "nobody says that it is up"
-	}
-	return v
-}
-
-// podOf is the pod that counts: a change takes effect at once, and the next one not before it has settled.
-func (m *Module) podOf(id string, said int) int {
-	p := m.pods[id]
-	if p == nil {
-		m.pods[id] = &pod{pod: said, changed: m.latest - m.settings.Settle}
-		return said
-	}
-	switch {
-	case said == p.pod:
-		p.said = false
-	case m.latest-p.changed >= m.settings.Settle:
-		m.logs = append(m.logs, fmt.Sprintf("%s moves from pod %d to pod %d", id, p.pod, said))
-		p.pod, p.changed, p.said = said, m.latest, false
-	case !p.said:
-		m.logs = append(m.logs, fmt.Sprintf("%s is said to be in pod %d so soon after its last move: it stays in pod %d for now", id, said, p.pod))
-		p.said = true
-	}
-	return p.pod
-}
-
-func sorted(entries map[string]*entry) []string {
-	var ids []string
-	for id := range entries {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	return ids
+	return nil
 }
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -43,9 +43,9 @@
 // serves reports whether new work may go to a server.
 func (v Member) serves() bool { return v.In && v.State == Up }
 
-// The rule, for every pair and every triple of what sources can say of one server. "silent" is a source
-// whose last word is older than its hold, "failing" one that fails for less.
-func TestTheRule(t *testing.T) {
+// The merge rule, for every pair and every triple of states that sources can report of one server. "silent" is a
+// source that has failed for longer than its hold, "failing" one that has for less.
+func TestMergeRuleForAllPairsAndTriples(t *testing.T) {
 	states := []string{"absent", "up", "draining", "gone", "silent", "failing"}
 	var combos [][]string
 	for _, a := range states {
@@ -82,7 +82,7 @@
 			now += hold + time.Second
 		}
 		for i, c := range combo {
-			said := x
+			reported := x
 			switch c {
 			case "absent":
 				m.Step(now, Snapshot{names[i], nil})
@@ -91,12 +91,12 @@
 			case "failing":
 				m.Step(now, Failed{names[i]})
 			case "draining":
-				said.State = Draining
-				m.Step(now, Delta{names[i], []Server{said}})
+				reported.State = Draining
+				m.Step(now, Delta{names[i], []Server{reported}})
 			case "gone":
 				m.Step(now, Snapshot{names[i], []Server{x}})
-				said.State = Removed
-				m.Step(now, Delta{names[i], []Server{said}})
+				reported.State = Removed
+				m.Step(now, Delta{names[i], []Server{reported}})
 			}
 		}
 		list, _ := m.Step(now)
@@ -107,13 +107,13 @@
 			t.Errorf("%v: serves %v (%s), want %v", combo, got.serves(), got.Why, want)
 		}
 		if !find(t, list, "keep").serves() {
-			t.Errorf("%v: a server that nobody else names is out", combo)
+			t.Errorf("%v: a server that only one source names is out", combo)
 		}
 	}
 }
 
-// What a record still advertises after the list reported it gone stays out, until there is newer evidence.
-func TestNewerEvidence(t *testing.T) {
+// A server that a record still names after the list reported its removal stays out until there is newer evidence.
+func TestRemovalHoldsUntilNewerEvidence(t *testing.T) {
 	fresh := func() *Module {
 		m := module("list", "records")
 		m.Step(0, Snapshot{"list", up("a", "x")}, Snapshot{"records", up("a", "x")})
@@ -160,9 +160,9 @@
 	}
 }
 
-// Failures never shrink the fleet before the hold is over, nor empty it afterwards; and a sudden empty
-// answer is not believed at once, though a drain is.
-func TestFailuresAndSuddenLoss(t *testing.T) {
+// Failures neither shorten the list before the hold is over nor empty it afterwards. A sudden empty snapshot is not
+// believed at once, though a drain is.
+func TestFailuresAndSuddenLossDoNotEmptyTheList(t *testing.T) {
 	m := module("list", "records")
 	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
 	count := func(at time.Duration, r ...Report) (n int) {
@@ -202,8 +202,8 @@
 	}
 }
 
-// One server under two names is one, two that have an address in turn are two.
-func TestIdentity(t *testing.T) {
+// One server under two IDs is one; two processes that have an address in turn are two.
+func TestEntriesAreMatchedByIDAddressAndStart(t *testing.T) {
 	m := module("list", "records")
 	named := Server{ID: "formserver-7", Addr: "10.0.0.7:80", State: Up, Zone: "a", Pod: 3}
 	record := Server{ID: "formserver-7.example.org:80", Addr: "10.0.0.7:80", State: Up, Weight: 5}
@@ -225,8 +225,8 @@
 	}
 }
 
-// A changed pod takes effect at once, a flapping one seldom, and each is said once.
-func TestPodsAreDamped(t *testing.T) {
+// A first change of the pod takes effect at once, a flapping pod seldom, and each change is logged once.
+func TestPodChangesAreDamped(t *testing.T) {
 	m := module("list")
 	at := func(now time.Duration, p int) int {
 		x := Server{ID: "x", Addr: "10.0.0.1:80", State: Up, Pod: p}
@@ -249,12 +249,12 @@
 		t.Errorf("%d moves in two minutes", moves)
 	}
 	if n := len(m.Logs()); n > 80 {
-		t.Errorf("%d lines about it", n)
+		t.Errorf("%d log lines", n)
 	}
 }
 
-// RFC 2782: those of a higher number stand by.
-func TestPriorities(t *testing.T) {
+// Servers with a higher priority number stand by (RFC 2782).
+func TestHigherPriorityNumbersStandBy(t *testing.T) {
 	m := module("list", "records")
 	all := up("a", "b", "c")
 	all[2].Priority = 10
@@ -270,17 +270,17 @@
 	}
 }
 
-// Whatever the order of reports: nothing serves of which a source said that it drains or is gone, without
-// newer evidence; and failures alone change nothing before the hold is over.
-func TestAnyOrder(t *testing.T) {
+// In any order of reports, no server serves that a source reported as draining or removed, without newer evidence;
+// and failures alone change nothing before the hold is over.
+func TestRemovedServersStayOutInAnyOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"list", "srv", "sd"}
 		m := module(names...)
 		ids := []string{"a", "b", "c", "d", "e"}
-		bad := map[string]map[string]int{}     // by server, by source: the step of its last bad word
-		lastUp := map[string]map[string]bool{} // by source: whom it has up
-		spoke := map[string]int{}              // by source: the step at which it last spoke
-		renewed := map[string]int{}            // by server: the last step at which a source that has it now spoke without it
+		bad := map[string]map[string]int{}     // by server, by source: the step at which it was last reported as draining or removed
+		lastUp := map[string]map[string]bool{} // by source: the servers that it has up
+		reportedAt := map[string]int{}         // by source: the step of its last report
+		renewed := map[string]int{}            // by server: the last step at which a source that has it now reported without it
 		for _, n := range names {
 			lastUp[n] = map[string]bool{}
 		}
@@ -297,12 +297,12 @@
 				}
 				continue
 			}
-			var said []Server
+			var reported []Server
 			for i, id := range ids {
 				s := rapid.SampledFrom([]State{Absent, Up, Up, Draining, Removed}).Draw(t, id)
 				v := Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: s}
 				if s != Absent {
-					said = append(said, v)
+					reported = append(reported, v)
 				}
 				switch {
 				case s == Up:
@@ -310,7 +310,7 @@
 						delete(bad[id], by)
 					}
 					if !lastUp[by][id] {
-						renewed[id] = max(renewed[id], spoke[by])
+						renewed[id] = max(renewed[id], reportedAt[by])
 					}
 				case s == Draining || s == Removed || s == Absent && by == "list" && lastUp[by][id]:
 					if bad[id] == nil {
@@ -320,12 +320,12 @@
 				}
 				lastUp[by][id] = s == Up
 			}
-			spoke[by] = step
-			list, _ := m.Step(now, Snapshot{by, said})
+			reportedAt[by] = step
+			list, _ := m.Step(now, Snapshot{by, reported})
 			for _, v := range list {
 				for source, at := range bad[v.ID] {
 					if v.serves() && renewed[v.ID] <= at {
-						t.Fatalf("step %d: %s serves (%s), and %s said otherwise at step %d", step, v.ID, v.Why, source, at)
+						t.Fatalf("step %d: %s serves (%s), and %s reported otherwise at step %d", step, v.ID, v.Why, source, at)
 					}
 				}
 			}
--- /dev/null
+++ b/internal/source/endpoints/removal.go
@@ -0,0 +1,92 @@
+package endpoints
+
+import (
+	"slices"
+	"time"
+)
+
+// maxRemovals bounds the removals that are remembered, and so their memory. Beyond it the oldest is dropped: with
+// so many after it, records that still name its server are not expected. A smaller value could let a stale record
+// bring back a removed server in a large fleet.
+const maxRemovals = 20000
+
+// removal is a source's report that a server drains or was removed.
+type removal struct {
+	id      string
+	addr    string
+	state   State  // Draining or Removed
+	source  string // that reported it
+	at      time.Duration
+	started int64 // of the server, as in Server.Started
+}
+
+// recordRemoval records that a source reports a server as draining or removed; other states are ignored.
+func (m *Module) recordRemoval(s *source, e *entry, state State) {
+	if state != Draining && state != Removed {
+		return
+	}
+	for _, r := range m.removals {
+		if r.matches(e.Server) && r.source == s.Name {
+			r.state = state
+			r.at = m.latest // a repeated report is as new as a first one
+			r.started = max(r.started, e.Started)
+			return
+		}
+	}
+	m.removals = append(m.removals, &removal{
+		id:      e.ID,
+		addr:    e.Addr,
+		state:   state,
+		source:  s.Name,
+		at:      m.latest,
+		started: e.Started,
+	})
+	if len(m.removals) > maxRemovals {
+		m.removals = m.removals[1:]
+	}
+}
+
+// revokeRemoval drops a source's own removals of a server that it reports as up.
+func (m *Module) revokeRemoval(s *source, server Server) {
+	m.removals = slices.DeleteFunc(m.removals, func(r *removal) bool {
+		return r.matches(server) && r.source == s.Name
+	})
+}
+
+// matches reports whether a removal is of a server, by its ID or by its address.
+func (r *removal) matches(server Server) bool {
+	return r.id == server.ID || r.addr != "" && r.addr == server.Addr
+}
+
+// isOverruledBy reports whether a source's entry is newer evidence than the removal: a later start of the server,
+// or a withdrawal and a new announcement after it.
+//
+// The withdrawal must have lasted for guard. A record that was published before the removal may be read for the
+// first time after it, and a reading may lack records by mistake: neither is a new announcement.
+func (r *removal) isOverruledBy(e *entry, guard time.Duration) bool {
+	if e.State != Up || e.lost {
+		return false
+	}
+	if e.Started > 0 && r.started > 0 {
+		return e.Started > r.started
+	}
+	return e.announced > r.at && e.lastMissing > r.at && e.lastMissing-max(e.missingSince, r.at) >= guard
+}
+
+// removalOf returns the strongest removal of a server that no entry overrules, the oldest of equal ones; nil:
+// there is none.
+func (m *Module) removalOf(entries []*entry) *removal {
+	var strongest *removal
+	for _, r := range m.removals {
+		isMatch := false
+		isOverruled := false
+		for _, e := range entries {
+			isMatch = isMatch || r.matches(e.Server)
+			isOverruled = isOverruled || r.isOverruledBy(e, m.settings.Guard)
+		}
+		if isMatch && !isOverruled && (strongest == nil || r.state > strongest.state) {
+			strongest = r
+		}
+	}
+	return strongest
+}
