--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/front_test.go
@@ -19,7 +19,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-func TestServesUnchanged(t *testing.T) {
+func TestRequestsAndResponsesPassUnchanged(t *testing.T) {
 	ln := testkit.Listen(t)
 	got := make(chan *http.Request, 1)
 	body := make(chan string, 1)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRetryAfter(t *testing.T) {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	for _, row := range []struct {
 		shown bool
@@ -70,7 +70,7 @@
 
 // A client that hangs up is told to the module as Abandoned, and its request ends; the attempt's
 // outcome still comes.
-func TestHangUp(t *testing.T) {
+func TestDisconnectCancelsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -86,7 +86,7 @@
 	if err := testkit.Receive(t, "end of the client", gone); err == nil {
 		t.Error("the client got an answer")
 	}
-	testkit.WaitFor(t, "request to be given up", func() bool { return a.front.open.Load() == 0 })
+	testkit.WaitFor(t, "request to be given up", func() bool { return a.front.openRequests.Load() == 0 })
 	close(hold)
 	if x := a.do("GET", "/get/y", ""); x.status != 200 {
 		t.Errorf("next request: %+v", x)
@@ -95,7 +95,7 @@
 
 // Bad input gets a plain answer that says 'failed', and reaches no backend. A 429 or 503 would
 // say that another try is harmless.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	for name, row := range map[string]struct {
@@ -150,7 +150,7 @@
 }
 
 // Two open requests with one id can't be told apart in the module's answers.
-func TestDuplicateID(t *testing.T) {
+func TestDuplicateRequestIDGetsConflict(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -172,7 +172,7 @@
 
 // Clients that say nothing, and ones that begin a request and stop, in greater number than there
 // are places: usual clients are served all the same, and every one of the others is sent away.
-func TestSilentAndSlowClientsBesideUsualOnes(t *testing.T) {
+func TestSilentAndSlowClientsDoNotBlockOthers(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Sockets = 64
@@ -204,24 +204,24 @@
 func TestBodiesAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	whole := a.front.bodies.Free()
-	a.front.bodies.Acquire(int(whole) - 1000)
+	whole := a.front.bodyBudget.Free()
+	a.front.bodyBudget.Acquire(int(whole) - 1000)
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1001)); x.status != 200 {
 		t.Errorf("past the bound: %+v", x)
 	}
-	if n := a.front.bodies.Free(); n != 1000 {
+	if n := a.front.bodyBudget.Free(); n != 1000 {
 		t.Errorf("%d bytes are left", n)
 	}
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1000)); x.status != 200 {
 		t.Errorf("within the bound: %+v", x)
 	}
-	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodies.Free() == 1000 })
-	a.front.bodies.Release(int(whole) - 1000)
+	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodyBudget.Free() == 1000 })
+	a.front.bodyBudget.Release(int(whole) - 1000)
 }
 
 // SIGTERM with a request in flight: it is answered, connections between requests are closed,
 // and Run ends without an error.
-func TestStopFinishesWhatWasTaken(t *testing.T) {
+func TestStopCompletesAdmittedRequests(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(n int) string {
 		if n > 0 {
@@ -278,7 +278,7 @@
 
 // A connection that never sends anything must not hold up a planned restart, which closes such
 // ones after a while. Those that have sent a request are left alone.
-func TestSilentConnectionsAreClosed(t *testing.T) {
+func TestSilentConnectionsAreClosedAtStop(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -309,7 +309,7 @@
 
 // Past its part of the descriptors the agent holds no more requests and keeps no more
 // connections; a refusal there is true, since nothing ran.
-func TestCrowdedFront(t *testing.T) {
+func TestFullFrontEvictsQuietConnections(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
@@ -342,7 +342,7 @@
 // Clients that ask once on each connection and keep it for good may have a bound of their own, far
 // below the limiter's. Once many are kept, answers end their connections, so that there are always
 // some left to ask on; and those that are kept go once they have been testkit.Quiet for long.
-func TestKeptConnectionsAreFew(t *testing.T) {
+func TestIdleClientConnectionsAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Sockets = 64
@@ -378,7 +378,7 @@
 
 // Where a message tells its end twice, what one side takes for a body the other may take for a
 // further request. Nothing of it reaches a backend, and the connection is closed.
-func TestHiddenRequest(t *testing.T) {
+func TestSmuggledRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	hidden := "GET /get/hidden HTTP/1.1\r\nHost: a\r\nX-Trace-Id: hidden\r\n\r\n"
--- /dev/null
+++ b/internal/protocol/http1/requestbody.go
@@ -0,0 +1,181 @@
+package http1
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"vetchhaven/internal/core"
+)
+
+const (
+	// maxBody is how many bytes a body may have, of requests and of responses. A longer one is answered with 413.
+	maxBody = 32 << 20
+	// maxBufferedBody is how many bytes of a request's body are read before the request is submitted; a longer body is an
+	// upload, which can be sent only once. A larger value takes more memory for each request, a smaller one makes more
+	// requests impossible to retry.
+	maxBufferedBody = 256 << 10
+	// firstBufferSize is how many bytes are reserved at first for a body of unknown length; it doubles as needed.
+	firstBufferSize = 4 << 10
+	// streamPieceSize is how many bytes of a streamed body are held at once.
+	streamPieceSize = 32 << 10
+	// minClientRate is the least rate of a client, in bytes a second, while it is waited for: half of what slow clients are
+	// known to send at. A larger value cuts off slower clients, a smaller one lets them hold their slots for longer.
+	minClientRate = 32 << 10
+)
+
+// requestBody reads a request's body as it comes on its client's connection, and no further.
+type requestBody struct {
+	client          *clientConn
+	length          int64         // of the Content-Length; -1: chunked
+	remaining       int64         // of length
+	chunks          *chunkedBody  // nil: not chunked
+	expectsContinue bool          // the client waits for a 100 (RFC 9110, 10.1.1)
+	wireBytes       int64         // read so far, framing included
+	waitedForClient time.Duration // in all
+}
+
+// newRequestBody returns the body behind a head. A Transfer-Encoding overrides a length (RFC 9112, 6.3).
+func newRequestBody(c *clientConn, h *requestHead) *requestBody {
+	b := &requestBody{client: c, length: h.length, remaining: h.length, expectsContinue: h.expectsContinue}
+	if h.hasTransferCoding {
+		b.length = -1
+		b.chunks = &chunkedBody{in: bufio.NewReaderSize(wireReader{b}, firstBufferSize)}
+	}
+	return b
+}
+
+// Read returns what has come. io.EOF: the body is complete.
+func (b *requestBody) Read(p []byte) (int, error) {
+	if b.chunks != nil {
+		n, err := b.chunks.Read(p)
+		switch {
+		case b.chunks.decoded > maxBody:
+			err = errTooLong
+		case errors.Is(err, io.EOF):
+			b.returnUnread()
+		}
+		return n, err
+	}
+	if b.remaining == 0 {
+		return 0, io.EOF
+	}
+	n, err := wireReader{b}.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
+	return n, unexpected(err)
+}
+
+// returnUnread puts what was read past the body's end back into the connection's buffer, for the next request.
+func (b *requestBody) returnUnread() {
+	if n := b.chunks.in.Buffered(); n > 0 {
+		rest, _ := b.chunks.in.Peek(n)
+		c := b.client
+		c.buf = append(slices.Clone(rest), c.buf[c.start:c.end]...)
+		c.start = 0
+		c.end = len(c.buf)
+	}
+}
+
+// wireReader reads a body's bytes from its connection, framing included.
+type wireReader struct{ *requestBody }
+
+func (b wireReader) Read(p []byte) (int, error) {
+	c := b.client
+	if c.start < c.end {
+		n := copy(p, c.buf[c.start:c.end])
+		c.start += n
+		b.wireBytes += int64(n)
+		return n, nil
+	}
+	if b.expectsContinue {
+		b.expectsContinue = false
+		if !c.send([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
+			return 0, io.ErrUnexpectedEOF
+		}
+	}
+	// Each wait is bounded, and so are all of them together: neither a client that stops sending nor one that sends a byte
+	// now and then may hold its connection for ever.
+	limit := min(core.HeadTimeout, core.HeadTimeout+time.Duration(b.wireBytes)*time.Second/minClientRate-b.waitedForClient)
+	if limit <= 0 {
+		return 0, errClientTooSlow
+	}
+	startedAt := time.Now()
+	if err := c.conn.SetReadDeadline(startedAt.Add(limit)); err != nil {
+		return 0, err
+	}
+	n, err := c.conn.Read(p)
+	c.lastReadAt = time.Now()
+	b.waitedForClient += c.lastReadAt.Sub(startedAt)
+	b.wireBytes += int64(n)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		err = errClientTooSlow
+	}
+	if n > 0 {
+		return n, nil
+	}
+	return 0, err
+}
+
+// receivedBody is a request's body: complete, or the beginning of an upload.
+type receivedBody struct {
+	text     []byte
+	reserved int     // bytes of the body budget; to be released by whoever has the body
+	upload   *upload // nil: the body is complete
+}
+
+// readBuffered reads a body to its end, as long as it is short and the budget has room for it; else it is an upload. What
+// was reserved is to be released after an error too.
+func (b *requestBody) readBuffered(budget *core.ByteBudget) (received receivedBody, err error) {
+	size := firstBufferSize
+	if b.length > maxBufferedBody {
+		return b.asUpload(nil, 0), nil
+	}
+	if b.length >= 0 {
+		size = int(b.length)
+	}
+	if !budget.Acquire(size) {
+		return b.asUpload(nil, 0), nil
+	}
+	reserved := size
+	text := make([]byte, 0, size)
+	for {
+		if len(text) == cap(text) && b.length < 0 {
+			more := cap(text)
+			if reserved+more > maxBufferedBody || !budget.Acquire(more) {
+				return b.asUpload(text, reserved), nil
+			}
+			reserved += more
+			text = append(make([]byte, 0, reserved), text...)
+		}
+		if int64(len(text)) == b.length {
+			return receivedBody{text: text, reserved: reserved}, nil
+		}
+		n, err := b.Read(text[len(text):cap(text)])
+		text = text[:len(text)+n]
+		if errors.Is(err, io.EOF) {
+			return receivedBody{text: text, reserved: reserved}, nil
+		}
+		if err != nil {
+			return receivedBody{reserved: reserved}, err
+		}
+	}
+}
+
+// asUpload is the body as an upload, of which text was read already.
+func (b *requestBody) asUpload(text []byte, reserved int) receivedBody {
+	return receivedBody{
+		text:     text,
+		reserved: reserved,
+		upload:   &upload{body: b, complete: make(chan struct{})},
+	}
+}
+
+// pieceBuffers holds buffers (*[]byte) of streamPieceSize bytes.
+var pieceBuffers = sync.Pool{New: func() any {
+	buf := make([]byte, streamPieceSize)
+	return &buf
+}}
--- /dev/null
+++ b/internal/protocol/http1/requesthead.go
@@ -0,0 +1,252 @@
+package http1
+
+import (
+	"bytes"
+	"errors"
+	"net/url"
+	"strings"
+)
+
+// requestHead is a request's head as it came. It refers to the bytes that it was read from.
+type requestHead struct {
+	method []byte
+	target []byte
+	http10 bool // the client speaks HTTP/1.0
+	fields []field
+
+	host      []byte
+	hostCount int
+
+	length             int64 // of Content-Length; 0 without one
+	hasLength          bool
+	hasTransferCoding  bool
+	chunked            bool // the only transfer coding is chunked
+	expectsContinue    bool // Expect: 100-continue
+	unknownExpectation bool // another Expect
+
+	id          []byte // X-Trace-Id
+	idCount     int
+	key         []byte // Idempotency-Key
+	keyCount    int
+	expiresIn   []byte // the first X-Expires-In, in seconds
+	sizeHint    []byte // the first X-Size-Hint, in microseconds
+	clientRetry bool   // X-Second-Try: 1
+
+	connectionOptions [][]byte // of Connection, without close (RFC 9110, 7.6.1)
+	closes            bool     // Connection: close (RFC 9112, 9.6)
+}
+
+// Errors of a head. Their texts are bodies of responses with status 400.
+var (
+	errHead    = errors.New("the head can't be read")
+	errVersion = errors.New("HTTP/1.1 is spoken here")
+	errHost    = errors.New("one Host is needed")
+	errLength  = errors.New("the Content-Length can't be read")
+)
+
+// headEnd is where a head ends in b, behind its empty line; 0: it is not complete. A line may end with LF alone (RFC 9112,
+// 2.2).
+func headEnd(b []byte) int {
+	for at := 0; ; {
+		i := bytes.IndexByte(b[at:], '\n')
+		if i < 0 {
+			return 0
+		}
+		at += i + 1
+		switch {
+		case at < len(b) && b[at] == '\n':
+			return at + 1
+		case at+1 < len(b) && b[at] == '\r' && b[at+1] == '\n':
+			return at + 2
+		}
+	}
+}
+
+// parseHead reads a request line and header lines, which end with an empty one (RFC 9112, 3 and 5). fields is reused.
+func parseHead(b []byte, fields []field) (h requestHead, err error) {
+	h.fields = fields[:0]
+	requestLine, b, ok := cutLine(b)
+	if !ok {
+		return h, errHead
+	}
+	if err := h.parseRequestLine(requestLine); err != nil {
+		return h, err
+	}
+	for {
+		var one []byte
+		if one, b, ok = cutLine(b); !ok {
+			return h, errHead
+		}
+		if len(one) == 0 {
+			break
+		}
+		f, ok := parseField(one)
+		if !ok {
+			return h, errHead
+		}
+		if err := h.addField(f); err != nil {
+			return h, err
+		}
+	}
+	if h.hostCount > 1 || h.hostCount == 0 && !h.http10 { // RFC 9112, 3.2
+		return h, errHost
+	}
+	return h, nil
+}
+
+// parseRequestLine reads method, target and version (RFC 9112, 3).
+func (h *requestHead) parseRequestLine(requestLine []byte) error {
+	var ok bool
+	var rest, version []byte
+	if h.method, rest, ok = bytes.Cut(requestLine, []byte{' '}); !ok || !isToken(h.method) {
+		return errHead
+	}
+	if h.target, version, ok = bytes.Cut(rest, []byte{' '}); !ok || len(h.target) == 0 {
+		return errHead
+	}
+	switch string(version) {
+	case "HTTP/1.1":
+	case "HTTP/1.0":
+		h.http10 = true
+	default:
+		return errVersion
+	}
+	return nil
+}
+
+// addField takes note of a header line.
+func (h *requestHead) addField(f field) error {
+	switch {
+	case f.is("Host"):
+		h.hostCount++
+		h.host = f.value
+		f.notForwarded = true
+	case f.is("Content-Length"): // one alone, of digits alone (RFC 9110, 8.6; RFC 9112, 6.3)
+		repeated := h.hasLength
+		h.hasLength = true
+		f.notForwarded = true
+		if repeated || !parseDigits(f.value, &h.length) {
+			return errLength
+		}
+	case f.is("Transfer-Encoding"): // RFC 9112, 6.1
+		h.chunked = !h.hasTransferCoding && strings.EqualFold(string(f.value), "chunked")
+		h.hasTransferCoding = true
+		f.notForwarded = true
+	case f.is("Connection"):
+		h.addConnectionOptions(f.value)
+		f.notForwarded = true
+	case f.is("Expect"): // RFC 9110, 10.1.1
+		if strings.EqualFold(string(f.value), "100-continue") {
+			h.expectsContinue = true
+		} else {
+			h.unknownExpectation = true
+		}
+		f.notForwarded = true
+	case f.is("X-Trace-Id"):
+		h.idCount++
+		h.id = f.value
+	case f.is("Idempotency-Key"):
+		h.keyCount++
+		h.key = f.value
+	case f.is("X-Expires-In"):
+		if h.expiresIn == nil {
+			h.expiresIn = f.value
+		}
+		f.notForwarded = true
+	case f.is("X-Size-Hint"):
+		if h.sizeHint == nil {
+			h.sizeHint = f.value
+		}
+	case f.is("X-Second-Try"):
+		h.clientRetry = h.clientRetry || string(f.value) == "1"
+	case f.is("Keep-Alive"), f.is("Proxy-Connection"), f.is("Te"), f.is("Trailer"), f.is("Upgrade"):
+		f.notForwarded = true // hop by hop (RFC 9110, 7.6.1)
+	}
+	h.fields = append(h.fields, f)
+	return nil
+}
+
+// addConnectionOptions reads a Connection field (RFC 9110, 7.6.1).
+func (h *requestHead) addConnectionOptions(value []byte) {
+	for option := range bytes.SplitSeq(value, []byte{','}) {
+		option = bytes.TrimSpace(option)
+		if strings.EqualFold(string(option), "close") {
+			h.closes = true
+		} else if len(option) > 0 {
+			h.connectionOptions = append(h.connectionOptions, option)
+		}
+	}
+}
+
+// hasBody reports whether a body of any length but 0 follows.
+func (h *requestHead) hasBody() bool { return h.length > 0 || h.hasTransferCoding }
+
+// maxDigits is how many digits fit in an int64, whatever they are.
+const maxDigits = 18
+
+// parseDigits reads a decimal number of digits alone (RFC 9110, 8.6).
+func parseDigits(b []byte, n *int64) bool {
+	if len(b) == 0 || len(b) > maxDigits {
+		return false
+	}
+	*n = 0
+	for _, c := range b {
+		if c < '0' || c > '9' {
+			return false
+		}
+		*n = *n*10 + int64(c-'0')
+	}
+	return true
+}
+
+// plainTarget reports whether a target is in origin form (RFC 9112, 3.2.1) and of bytes that need no parsing by net/url.
+func plainTarget(t []byte) bool {
+	if t[0] != '/' {
+		return false
+	}
+	for _, c := range t {
+		if c <= ' ' || c >= 0x7f || c == '%' || c == '#' || c == '"' || c == '<' || c == '>' || c == '\\' || c == '^' || c == '`' || c == '{' || c == '|' || c == '}' {
+			return false
+		}
+	}
+	return true
+}
+
+// route returns the first segment of the path, which names the class, the target in origin form as it is forwarded, and the
+// host.
+func (h *requestHead) route() (first, target, host string, err error) {
+	if plainTarget(h.target) {
+		path, _, _ := bytes.Cut(h.target[1:], []byte{'?'})
+		part, _, _ := bytes.Cut(path, []byte{'/'})
+		return string(part), string(h.target), string(h.host), nil
+	}
+	u, err := url.ParseRequestURI(string(h.target))
+	if err != nil {
+		return "", "", "", err
+	}
+	host = string(h.host)
+	if u.Host != "" { // the absolute form overrides Host (RFC 9112, 3.2.2)
+		host = u.Host
+	}
+	first, _, _ = strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
+	on := url.URL{Path: u.Path, RawPath: u.RawPath, RawQuery: u.RawQuery, ForceQuery: u.ForceQuery}
+	return first, on.RequestURI(), host, nil
+}
+
+// isConnectionOption reports whether Connection names a field, which is then not forwarded (RFC 9110, 7.6.1).
+func (h *requestHead) isConnectionOption(f *field) bool {
+	for _, name := range h.connectionOptions {
+		if f.is(string(name)) {
+			return true
+		}
+	}
+	return false
+}
+
+// size is how many bytes the header lines have.
+func (h *requestHead) size() (n int) {
+	for i := range h.fields {
+		n += len(h.fields[i].line) + 2
+	}
+	return n
+}
--- /dev/null
+++ b/internal/protocol/http1/responsereader.go
@@ -0,0 +1,235 @@
+package http1
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"vetchhaven/internal/core"
+)
+
+// response is a server's response: complete, or its head and the beginning of a body that streams.
+type response struct {
+	status      int
+	headerLines []byte // the header lines that are forwarded, each with its end
+	hasDate     bool   // one of them is a Date
+	loadReport  string // Endpoint-Load-Metrics
+	neverRan    bool   // X-Never-Ran: 1
+	body        []byte
+	length      int64     // of the body; -1: only its end shows it
+	remaining   io.Reader // the rest of the body; nil: the body is complete
+	finish      func()    // sets reusable; called at the body's end
+	reusable    bool      // the connection may carry another request
+}
+
+const (
+	// maxResponseHead is how many bytes the heads of one response may have, 1xx ones included.
+	maxResponseHead = 16 << 10
+	// maxBufferedResponse is how many bytes of a body are read before the response is handed on; a longer one streams. A
+	// larger value takes more memory; a streamed response can't be replaced by another attempt's.
+	maxBufferedResponse = 64 << 10
+	// streamAfter is after what time a response of unknown length streams. A larger value holds back what slow servers send,
+	// a smaller one streams more short responses.
+	streamAfter = 50 * time.Millisecond
+)
+
+// Errors of a response, or of a body in either direction.
+var (
+	errTooLong   = errors.New("longer than a body may be")
+	errNoFraming = errors.New("an answer whose end can't be told")
+	errField     = errors.New("a header line that is none")
+)
+
+// serverReader reads from a server's connection no more than its budget: nothing that a server sends is believed to end.
+type serverReader struct {
+	ctx       context.Context
+	conn      net.Conn
+	maxGap    time.Duration // the longest pause once the response has begun
+	started   bool          // the response has begun
+	connEnded bool          // the last read failed by the connection's end, not by a deadline
+	budget    int           // bytes that may still be read
+}
+
+// Read implements io.Reader. From the second read on each wait is bounded by maxGap.
+func (s *serverReader) Read(p []byte) (int, error) {
+	if s.budget <= 0 {
+		return 0, errTooLong
+	}
+	if s.started {
+		if err := s.conn.SetReadDeadline(time.Now().Add(s.maxGap)); err != nil {
+			return 0, err
+		}
+		if s.ctx.Err() != nil { // ended meanwhile: the deadline that its end has set must not be put off
+			return 0, s.ctx.Err()
+		}
+	}
+	n, err := s.conn.Read(p[:min(len(p), s.budget)])
+	s.started = true
+	s.budget -= n
+	s.connEnded = err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+	return n, err
+}
+
+// readResponse reads a response completely, or up to where it has to stream: a served one that is long, or for which the
+// budget has no room. The framing is checked more strictly than http.ReadResponse does it: a response that gives its end
+// twice, or not at all, can't be told from a part of one (RFC 9112, 6.3 and 8).
+func readResponse(in *bufio.Reader, src *serverReader, budget *core.ByteBudget) (*response, error) {
+	src.budget = maxResponseHead
+	r := &response{}
+	framing, err := r.readHeads(in)
+	if err != nil {
+		return nil, err
+	}
+	r.finish = func() {
+		r.reusable = in.Buffered() == 0 && !framing.closes
+	}
+	if r.status == http.StatusNoContent || r.status == http.StatusNotModified { // without a body (RFC 9112, 6.3)
+		r.finish()
+		return r, nil
+	}
+	body, err := r.delimitBody(framing, in, src)
+	if err != nil {
+		return nil, err
+	}
+	if err := r.readBody(body, budget); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// readHeads reads the final head, and those with a status of 1xx before it (RFC 9110, 15.2).
+func (r *response) readHeads(in *bufio.Reader) (framing responseFraming, err error) {
+	for r.status < http.StatusOK {
+		line, err := readLine(in)
+		if err != nil {
+			return framing, err
+		}
+		if r.status, err = parseStatus(string(line)); err != nil {
+			return framing, err
+		}
+		if framing, err = r.readHeader(in); err != nil {
+			return framing, err
+		}
+	}
+	return framing, nil
+}
+
+// delimitBody returns the body's reader, by what the head says of its end (RFC 9112, 6.3), and sets the length.
+func (r *response) delimitBody(framing responseFraming, in *bufio.Reader, src *serverReader) (io.Reader, error) {
+	switch {
+	case framing.transferCodings == 1 && framing.chunked && framing.contentLengths == 0:
+		r.length = -1
+		src.budget += maxBody + framePerByte*maxBody
+		return &chunkedBody{in: in}, nil
+	case framing.transferCodings == 0 && framing.contentLengths == 1:
+		n, err := strconv.ParseUint(framing.length, 10, 63)
+		switch {
+		case err != nil:
+			return nil, err
+		case n > maxBody:
+			return nil, errTooLong
+		}
+		r.length = int64(n)
+		src.budget += int(n)
+		return &fixedLengthBody{in: in, remaining: int64(n)}, nil
+	case framing.transferCodings == 0 && framing.contentLengths == 0 && framing.closes:
+		r.length = -1
+		src.budget += maxBody + 1
+		return &closeDelimitedBody{in: in, src: src}, nil
+	}
+	return nil, errNoFraming
+}
+
+// responseFraming is what a response's head says of its end and its connection.
+type responseFraming struct {
+	transferCodings int // how many Transfer-Encoding fields it has
+	contentLengths  int // how many Content-Length fields it has
+	chunked         bool
+	closes          bool   // Connection: close
+	length          string // the last Content-Length
+}
+
+// readHeader reads the header lines, up to the empty one.
+func (r *response) readHeader(in *bufio.Reader) (framing responseFraming, err error) {
+	r.headerLines = r.headerLines[:0]
+	r.hasDate = false
+	r.loadReport = ""
+	r.neverRan = false
+	for {
+		line, err := readLine(in)
+		if err != nil {
+			return framing, err
+		}
+		if len(line) == 0 {
+			return framing, nil
+		}
+		f, ok := parseField(line)
+		if !ok {
+			return framing, fmt.Errorf("%w: %.40q", errField, line)
+		}
+		switch {
+		case f.is("Transfer-Encoding"):
+			framing.transferCodings++
+			framing.chunked = strings.EqualFold(string(f.value), "chunked")
+			continue
+		case f.is("Content-Length"):
+			framing.contentLengths++
+			framing.length = string(f.value)
+			continue
+		case f.is("Connection"):
+			framing.closes = framing.closes || strings.Contains(strings.ToLower(string(f.value)), "close")
+			continue
+		case f.is("Keep-Alive"), f.is("Proxy-Connection"), f.is("Te"), f.is("Trailer"), f.is("Upgrade"), f.is("Expect"), f.is("X-Expires-In"):
+			continue // not forwarded (RFC 9110, 7.6.1)
+		case f.is("Endpoint-Load-Metrics"):
+			if r.loadReport == "" {
+				r.loadReport = string(f.value)
+			}
+		case f.is("X-Never-Ran"):
+			r.neverRan = r.neverRan || string(f.value) == "1"
+		case f.is("Date"):
+			r.hasDate = true
+		}
+		r.headerLines = append(append(r.headerLines, line...), "\r\n"...)
+	}
+}
+
+// readLine reads one line, without its CRLF or LF. The line is valid until the next read.
+func readLine(in *bufio.Reader) ([]byte, error) {
+	one, err := in.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) { // longer than the buffer: the serverReader's budget bounds it
+		long := append([]byte(nil), one...)
+		for errors.Is(err, bufio.ErrBufferFull) {
+			one, err = in.ReadSlice('\n')
+			long = append(long, one...)
+		}
+		one = long
+	}
+	if err != nil {
+		return nil, err
+	}
+	one = one[:len(one)-1]
+	if n := len(one); n > 0 && one[n-1] == '\r' {
+		one = one[:n-1]
+	}
+	return one, nil
+}
+
+// parseStatus reads a status line of HTTP/1.1 (RFC 9112, 4). 101 is not expected: no upgrade is forwarded.
+func parseStatus(line string) (int, error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.ParseUint(code, 10, 16)
+	if version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 || status == http.StatusSwitchingProtocols {
+		return 0, fmt.Errorf("no status line: %.40q", line)
+	}
+	return int(status), nil
+}
--- /dev/null
+++ b/internal/protocol/http1/responsewriter.go
@@ -0,0 +1,109 @@
+package http1
+
+import (
+	"vetchhaven/internal/core"
+)
+
+// maxRetainedWriteBuf is the largest write buffer, in bytes, that a connection keeps between responses.
+const maxRetainedWriteBuf = 16 << 10
+
+// finalAnswer is a message to the writer: a request's final answer, or that none will follow.
+type finalAnswer struct {
+	core.Answer
+	last bool // none will follow, and Answer is empty
+}
+
+// postAnswer passes a message to the writer. It never waits: a request is answered once.
+func (c *clientConn) postAnswer(a finalAnswer) {
+	select {
+	case c.finalAnswers <- a:
+	default:
+	}
+}
+
+// abortPending answers the pending request as failed, where the loop has ended and will not answer it.
+func (c *clientConn) abortPending() {
+	c.mu.Lock()
+	r := c.pending
+	c.mu.Unlock()
+	if r != nil {
+		r.Abort()
+	}
+}
+
+// runWriter writes responses, until the reader has ended and none is pending.
+func (c *clientConn) runWriter() {
+	for a := range c.finalAnswers {
+		if a.last {
+			return
+		}
+		if !c.hasPending() {
+			continue // answered twice, as the agent ended
+		}
+		c.writeResponse(a.Answer)
+		c.prepareNext()
+		if c.hasReaderEnded() {
+			return
+		}
+	}
+}
+
+// writeResponse ends the pending request, and writes what is still to be written of its response. After an error the
+// connection is closed.
+func (c *clientConn) writeResponse(a core.Answer) {
+	text, ok := c.finishPending(a)
+	if ok && len(text) > 0 {
+		ok = c.send(text)
+	}
+	if cap(text) <= maxRetainedWriteBuf {
+		c.writeBuf = text
+	} else {
+		c.writeBuf = nil
+	}
+	if !ok {
+		c.setClosing()
+		_ = c.conn.Close()
+	}
+}
+
+func (c *clientConn) hasReaderEnded() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.readerEnded
+}
+
+// finishPending ends the pending request with its final answer, and returns what is still to be written of the response.
+// It reports false where a streamed response can't be completed: the connection is to be reset, so that the client does
+// not take what it has for the complete response (RFC 9112, 8).
+func (c *clientConn) finishPending(a core.Answer) (text []byte, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var fail *requestError
+	if c.upload != nil && c.upload.state.CompareAndSwap(uploadReceiving, uploadAbandoned) {
+		c.closing = true // what is left of its body is not the next request
+		c.front.openUploads.Add(-1)
+		fail = c.upload.fault.Load()
+	}
+	if fail == nil {
+		c.front.loop.ClassCounts(c.pending.Class).CountAnswer(a)
+	}
+	streamed := c.streaming
+	c.pending = nil
+	c.upload = nil
+	c.streaming = false
+	c.front.bodyBudget.Release(c.reservedBytes)
+	c.reservedBytes = 0
+	c.front.openRequests.Add(-1)
+	switch {
+	case streamed && a.Served == nil:
+		if t, ok := c.conn.(interface{ SetLinger(int) error }); ok {
+			_ = t.SetLinger(0) // the close is a reset
+		}
+		return nil, false
+	case streamed:
+		return nil, true
+	case fail != nil:
+		return c.front.appendError(c.writeBuf[:0], fail.status, fail.text, fail.allow, true), true
+	}
+	return c.front.appendAnswer(c.writeBuf[:0], a, c.closesAfterResponseLocked()), true
+}
