--- a/internal/source/dnssource/dnssource.go
+++ b/internal/source/dnssource/dnssource.go
@@ -37,27 +37,27 @@
 
 // Source reads one set of names.
 type Source struct {
-	o      Options
-	warned map[string]bool // TXT records that make no sense, said once
-	fails  int
-	asked  int
+	options    Options
+	logged     map[string]bool // TXT records that make no sense, said once
+	failures   int
+	queryCount int
 }
 
 const (
-	chainMost    = 8    // aliases that are followed
-	recordsMost  = 5000 // of one answer
-	backoffFirst = time.Second
-	backoffMost  = 30 * time.Second
+	maxAliases = 8    // aliases that are followed
+	maxRecords = 5000 // of one answer
+	minBackoff = time.Second
+	maxBackoff = 30 * time.Second
 )
 
 // Why a look-up brought nothing. Only errNone is an answer: the name is there, or not, and has no such
 // record.
 var (
-	errNone    = errors.New("no such record")
-	errLoop    = errors.New("aliases go round, or too far")
-	errForeign = errors.New("an answer to another question")
-	errServer  = errors.New("the resolver fails")
-	errCut     = errors.New("cut short, also over TCP")
+	errNoRecord      = errors.New("no such record")
+	errAliasLoop     = errors.New("aliases go round, or too far")
+	errMismatch      = errors.New("an answer to another question")
+	errServerFailure = errors.New("the resolver fails")
+	errTruncated     = errors.New("cut short, also over TCP")
 )
 
 // New is a source that has not asked yet.
@@ -76,7 +76,7 @@
 			return r, err
 		}
 	}
-	return &Source{o: o, warned: map[string]bool{}}
+	return &Source{options: o, logged: map[string]bool{}}
 }
 
 // Run reads until ctx ends, and reports each view and each failure. Between two readings lies the least
@@ -90,20 +90,20 @@
 			if ctx.Err() != nil {
 				return
 			}
-			if s.fails++; s.fails == 1 || s.fails%20 == 0 {
-				s.o.Log.Warn("names not read", "source", s.o.Name, "error", err, "failures", s.fails)
+			if s.failures++; s.failures == 1 || s.failures%20 == 0 {
+				s.options.Log.Warn("names not read", "source", s.options.Name, "error", err, "failures", s.failures)
 			}
-			report(endpoints.Failed{Source: s.o.Name})
-			ceiling := min(backoffFirst<<min(s.fails-1, 10), backoffMost)
-			wait = ceiling/2 + time.Duration(s.o.Rand()*float64(ceiling)/2)
+			report(endpoints.Failed{Source: s.options.Name})
+			ceiling := min(minBackoff<<min(s.failures-1, 10), maxBackoff)
+			wait = ceiling/2 + time.Duration(s.options.Rand()*float64(ceiling)/2)
 		} else {
-			if s.fails > 0 {
-				s.o.Log.Info("names read again", "source", s.o.Name, "failures", s.fails)
+			if s.failures > 0 {
+				s.options.Log.Info("names read again", "source", s.options.Name, "failures", s.failures)
 			}
-			s.fails = 0
-			report(endpoints.Snapshot{Source: s.o.Name, Servers: servers})
-			ttl = min(max(ttl, s.o.Floor), s.o.Ceiling)
-			wait = max(s.o.Floor, ttl-time.Duration(s.o.Rand()*float64(ttl)/10))
+			s.failures = 0
+			report(endpoints.Snapshot{Source: s.options.Name, Servers: servers})
+			ttl = min(max(ttl, s.options.Floor), s.options.Ceiling)
+			wait = max(s.options.Floor, ttl-time.Duration(s.options.Rand()*float64(ttl)/10))
 		}
 		select {
 		case <-time.After(wait):
@@ -115,7 +115,7 @@
 // Read asks for everything once. A part that can't be had is a failure of the whole: a smaller fleet is
 // never read out of it.
 func (s *Source) Read(ctx context.Context) (servers []endpoints.Server, ttl time.Duration, err error) {
-	ttl = s.o.Ceiling
+	ttl = s.options.Ceiling
 	seen := map[string]bool{}
 	add := func(all []endpoints.Server, life time.Duration) {
 		for _, v := range all {
@@ -126,16 +126,16 @@
 		}
 		ttl = min(ttl, life)
 	}
-	for _, name := range s.o.SRV {
+	for _, name := range s.options.SRV {
 		all, life, err := s.service(ctx, name, nil)
 		if err != nil {
 			return nil, 0, err
 		}
 		add(all, life)
 	}
-	for _, name := range s.o.Browse {
+	for _, name := range s.options.Browse {
 		found, life, err := s.lookup(ctx, name, dns.TypePTR)
-		if err != nil && !errors.Is(err, errNone) {
+		if err != nil && !errors.Is(err, errNoRecord) {
 			return nil, 0, err
 		}
 		ttl = min(ttl, life)
@@ -145,7 +145,7 @@
 				continue
 			}
 			texts, life, err := s.lookup(ctx, p.Ptr, dns.TypeTXT)
-			if err != nil && !errors.Is(err, errNone) {
+			if err != nil && !errors.Is(err, errNoRecord) {
 				return nil, 0, err
 			}
 			ttl = min(ttl, life)
@@ -167,8 +167,8 @@
 
 // service is the servers of one SRV name, with what a TXT record says of them.
 func (s *Source) service(ctx context.Context, name string, keys []string) (servers []endpoints.Server, ttl time.Duration, err error) {
-	found, ttl, extra, err := s.ask(ctx, name, dns.TypeSRV)
-	if errors.Is(err, errNone) {
+	found, ttl, extra, err := s.resolve(ctx, name, dns.TypeSRV)
+	if errors.Is(err, errNoRecord) {
 		return nil, ttl, nil
 	}
 	if err != nil {
@@ -183,21 +183,21 @@
 			continue
 		}
 		addrs, life, err := s.addresses(ctx, v.Target, extra)
-		if errors.Is(err, errNone) {
-			s.say("target "+v.Target, "a target has no address", v.Target)
+		if errors.Is(err, errNoRecord) {
+			s.warnOnce("target "+v.Target, "a target has no address", v.Target)
 			continue
 		}
 		if err != nil {
 			return nil, 0, err
 		}
 		ttl = min(ttl, life)
-		servers = append(servers, s.at(v, addrs, keys)...)
+		servers = append(servers, s.serversOf(v, addrs, keys)...)
 	}
 	return servers, ttl, nil
 }
 
-// at are the servers of one SRV record, one for each address of its target, with what a TXT record says.
-func (s *Source) at(v *dns.SRV, addrs, keys []string) (servers []endpoints.Server) {
+// serversOf are the servers of one SRV record, one for each address of its target, with what a TXT record says.
+func (s *Source) serversOf(v *dns.SRV, addrs, keys []string) (servers []endpoints.Server) {
 	port := strconv.Itoa(int(v.Port))
 	for i, a := range addrs {
 		server := endpoints.Server{ID: strings.ToLower(strings.TrimSuffix(v.Target, ".")) + ":" + port, Addr: net.JoinHostPort(a, port),
@@ -205,7 +205,7 @@
 		if i > 0 {
 			server.ID += "#" + a // a further address of the same name is another server
 		}
-		s.describe(&server, v.Hdr.Name, keys)
+		s.applyText(&server, v.Hdr.Name, keys)
 		servers = append(servers, server)
 	}
 	return servers
@@ -222,9 +222,9 @@
 	return ""
 }
 
-// describe takes the keys of a TXT record (RFC 6763, 6). One that makes no sense is left out, and said
+// applyText takes the keys of a TXT record (RFC 6763, 6). One that makes no sense is left out, and said
 // once; the others hold.
-func (s *Source) describe(v *endpoints.Server, name string, keys []string) {
+func (s *Source) applyText(v *endpoints.Server, name string, keys []string) {
 	for _, text := range keys {
 		key, value, ok := strings.Cut(text, "=")
 		if !ok || key == "" {
@@ -271,23 +271,23 @@
 			}
 		}
 		if err != nil {
-			s.say(name+" "+text, "a TXT key makes no sense: "+err.Error(), name, "key", key)
+			s.warnOnce(name+" "+text, "a TXT key makes no sense: "+err.Error(), name, "key", key)
 		}
 	}
 }
 
-// say logs a thing once.
-func (s *Source) say(key, text, name string, more ...any) {
-	if s.warned[key] || len(s.warned) > 1000 {
+// warnOnce logs a thing once.
+func (s *Source) warnOnce(key, text, name string, more ...any) {
+	if s.logged[key] || len(s.logged) > 1000 {
 		return
 	}
-	s.warned[key] = true
-	s.o.Log.Warn(text, append([]any{"source", s.o.Name, "name", name}, more...)...)
+	s.logged[key] = true
+	s.options.Log.Warn(text, append([]any{"source", s.options.Name, "name", name}, more...)...)
 }
 
 // addresses are a target's, by what came with the answer or by asking.
 func (s *Source) addresses(ctx context.Context, target string, extra []dns.RR) (addrs []string, ttl time.Duration, err error) {
-	ttl = s.o.Ceiling
+	ttl = s.options.Ceiling
 	collect := func(all []dns.RR) {
 		for _, rr := range all {
 			if !strings.EqualFold(rr.Header().Name, target) && len(extra) > 0 {
@@ -309,7 +309,7 @@
 		none := 0
 		for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
 			all, life, err := s.lookup(ctx, target, kind)
-			if errors.Is(err, errNone) {
+			if errors.Is(err, errNoRecord) {
 				none++
 				continue
 			}
@@ -320,7 +320,7 @@
 			collect(all)
 		}
 		if none == 2 {
-			return nil, ttl, errNone
+			return nil, ttl, errNoRecord
 		}
 	}
 	slices.Sort(addrs)
@@ -329,17 +329,17 @@
 
 // lookup is the records of a name and type, behind its aliases.
 func (s *Source) lookup(ctx context.Context, name string, kind uint16) ([]dns.RR, time.Duration, error) {
-	all, ttl, _, err := s.ask(ctx, name, kind)
+	all, ttl, _, err := s.resolve(ctx, name, kind)
 	return all, ttl, err
 }
 
-// ask asks the resolvers in turn. Its error is errNone where one of them says that there is no such
+// resolve asks the resolvers in turn. Its error is errNone where one of them says that there is no such
 // record.
-func (s *Source) ask(ctx context.Context, name string, kind uint16) (found []dns.RR, ttl time.Duration, extra []dns.RR, err error) {
+func (s *Source) resolve(ctx context.Context, name string, kind uint16) (found []dns.RR, ttl time.Duration, extra []dns.RR, err error) {
 	name = dns.CanonicalName(name)
-	ttl = s.o.Ceiling
-	for range chainMost {
-		r, err := s.query(ctx, name, kind)
+	ttl = s.options.Ceiling
+	for range maxAliases {
+		r, err := s.queryResolvers(ctx, name, kind)
 		if err != nil {
 			return nil, 0, nil, err
 		}
@@ -349,11 +349,11 @@
 					ttl = min(ttl, time.Duration(min(soa.Hdr.Ttl, soa.Minttl))*time.Second)
 				}
 			}
-			return nil, ttl, nil, errNone
+			return nil, ttl, nil, errNoRecord
 		}
 		// Aliases within the answer, then the records behind the last.
 		next := name
-		for range chainMost + 1 {
+		for range maxAliases + 1 {
 			alias := ""
 			for _, rr := range r.Answer {
 				life := time.Duration(rr.Header().Ttl) * time.Second
@@ -368,7 +368,7 @@
 				}
 			}
 			if len(found) > 0 {
-				if len(found) > recordsMost {
+				if len(found) > maxRecords {
 					return nil, 0, nil, fmt.Errorf("%s: %d records are too many", name, len(found))
 				}
 				return found, ttl, r.Extra, nil
@@ -379,18 +379,18 @@
 			next = alias
 		}
 		if next == name {
-			return nil, 0, nil, fmt.Errorf("%w: %s", errForeign, name) // records, and none of what was asked
+			return nil, 0, nil, fmt.Errorf("%w: %s", errMismatch, name) // records, and none of what was asked
 		}
 		name = next
 	}
-	return nil, 0, nil, fmt.Errorf("%w: %s", errLoop, name)
+	return nil, 0, nil, fmt.Errorf("%w: %s", errAliasLoop, name)
 }
 
-// query asks each resolver until one answers: over UDP, and over TCP where that answer is cut short.
-func (s *Source) query(ctx context.Context, name string, kind uint16) (*dns.Msg, error) {
+// queryResolvers asks each resolver until one answers: over UDP, and over TCP where that answer is cut short.
+func (s *Source) queryResolvers(ctx context.Context, name string, kind uint16) (*dns.Msg, error) {
 	var last error
-	for _, resolver := range s.o.Resolvers {
-		r, err := s.one(ctx, name, kind, resolver)
+	for _, resolver := range s.options.Resolvers {
+		r, err := s.exchange(ctx, name, kind, resolver)
 		if err == nil {
 			return r, nil
 		}
@@ -405,32 +405,32 @@
 	return nil, last
 }
 
-func (s *Source) one(ctx context.Context, name string, kind uint16, resolver string) (*dns.Msg, error) {
+func (s *Source) exchange(ctx context.Context, name string, kind uint16, resolver string) (*dns.Msg, error) {
 	q := new(dns.Msg)
 	q.SetQuestion(name, kind)
 	q.SetEdns0(1232, false)
 	for _, network := range []string{"udp", "tcp"} {
-		s.asked++
-		one, cancel := context.WithTimeout(ctx, s.o.Timeout)
-		r, err := s.o.Exchange(one, q, network, resolver)
+		s.queryCount++
+		one, cancel := context.WithTimeout(ctx, s.options.Timeout)
+		r, err := s.options.Exchange(one, q, network, resolver)
 		cancel()
 		if err != nil && (r == nil || !r.Truncated) {
 			return nil, err
 		}
 		// A foreign answer, by mistake or by intent, is none.
 		if r.Id != q.Id || !r.Response || len(r.Question) != 1 || !strings.EqualFold(r.Question[0].Name, name) || r.Question[0].Qtype != kind {
-			return nil, errForeign
+			return nil, errMismatch
 		}
 		if r.Truncated {
 			continue
 		}
 		if r.Rcode != dns.RcodeSuccess && r.Rcode != dns.RcodeNameError {
-			return nil, fmt.Errorf("%w: %s", errServer, dns.RcodeToString[r.Rcode])
+			return nil, fmt.Errorf("%w: %s", errServerFailure, dns.RcodeToString[r.Rcode])
 		}
 		return r, nil
 	}
-	return nil, errCut
+	return nil, errTruncated
 }
 
-// Asked is how many queries were sent.
-func (s *Source) Asked() int { return s.asked }
+// QueryCount is how many queries were sent.
+func (s *Source) QueryCount() int { return s.queryCount }
--- a/internal/source/dnssource/dnssource_test.go
+++ b/internal/source/dnssource/dnssource_test.go
@@ -49,7 +49,7 @@
 	return New(Options{Name: "r", SRV: []string{service}, Resolvers: append([]string{s.Addr()}, more...), Timeout: 5 * time.Second})
 }
 
-func TestSRV(t *testing.T) {
+func TestSRVRecordsBecomeServers(t *testing.T) {
 	s := server(t)
 	all, ttl, err := source(s).Read(t.Context())
 	if err != nil || len(all) != 2 || ttl != 30*time.Second {
@@ -64,7 +64,7 @@
 
 // Each way in which an answer can be bad is a failure, never a smaller fleet; and what says that there is
 // none is an answer.
-func TestBadAnswers(t *testing.T) {
+func TestInvalidResponsesNeverShrinkTheList(t *testing.T) {
 	for name, row := range map[string]struct {
 		fault func(name, kind, network string) standin.Fault
 		err   error // nil: any
@@ -72,17 +72,17 @@
 		n     int
 	}{
 		"cut short over UDP": {func(_, _, network string) standin.Fault { return standin.Fault{Truncate: network == "udp"} }, nil, true, 2},
-		"cut short over TCP": {func(_, _, network string) standin.Fault { return standin.Fault{Truncate: true, CutTCP: true} }, errCut, false, 0},
-		"SERVFAIL":           {func(string, string, string) standin.Fault { return standin.Fault{Rcode: dns.RcodeServerFailure} }, errServer, false, 0},
-		"REFUSED":            {func(string, string, string) standin.Fault { return standin.Fault{Rcode: dns.RcodeRefused} }, errServer, false, 0},
-		"wrong name":         {func(string, string, string) standin.Fault { return standin.Fault{WrongName: true} }, errForeign, false, 0},
-		"foreign records":    {func(string, string, string) standin.Fault { return standin.Fault{Foreign: true} }, errForeign, false, 0},
+		"cut short over TCP": {func(_, _, network string) standin.Fault { return standin.Fault{Truncate: true, CutTCP: true} }, errTruncated, false, 0},
+		"SERVFAIL":           {func(string, string, string) standin.Fault { return standin.Fault{Rcode: dns.RcodeServerFailure} }, errServerFailure, false, 0},
+		"REFUSED":            {func(string, string, string) standin.Fault { return standin.Fault{Rcode: dns.RcodeRefused} }, errServerFailure, false, 0},
+		"wrong name":         {func(string, string, string) standin.Fault { return standin.Fault{WrongName: true} }, errMismatch, false, 0},
+		"foreign records":    {func(string, string, string) standin.Fault { return standin.Fault{Foreign: true} }, errMismatch, false, 0},
 		"an address fails": {func(_, kind, _ string) standin.Fault {
 			if kind == "A" {
 				return standin.Fault{Rcode: dns.RcodeServerFailure}
 			}
 			return standin.Fault{}
-		}, errServer, false, 0},
+		}, errServerFailure, false, 0},
 		"NXDOMAIN": {func(string, string, string) standin.Fault { return standin.Fault{Rcode: dns.RcodeNameError} }, nil, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -101,9 +101,9 @@
 			s := server(t)
 			s.Script(func(string, string, string) standin.Fault { return f })
 			o := source(s, good.Addr())
-			o.o.Timeout = 50 * time.Millisecond
-			good2 := o.o.Exchange
-			o.o.Exchange = func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error) {
+			o.options.Timeout = 50 * time.Millisecond
+			good2 := o.options.Exchange
+			o.options.Exchange = func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error) {
 				if resolver == good.Addr() { // on a slow machine that one has its time
 					ctx = context.Background()
 					c := dns.Client{Net: network, Timeout: 20 * time.Second}
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestAliases(t *testing.T) {
+func TestAliasesAreFollowedAndLoopsDetected(t *testing.T) {
 	s := server(t)
 	set(t, s, service, "SRV")
 	set(t, s, service, "CNAME", service+". 20 IN CNAME real.example.org.")
@@ -130,7 +130,7 @@
 	}
 	set(t, s, "real.example.org", "SRV")
 	set(t, s, "real.example.org", "CNAME", "real.example.org. 60 IN CNAME "+service+".")
-	if _, _, err := source(s).Read(t.Context()); !errors.Is(err, errLoop) {
+	if _, _, err := source(s).Read(t.Context()); !errors.Is(err, errAliasLoop) {
 		t.Errorf("round and round: %v", err)
 	}
 }
@@ -150,7 +150,7 @@
 }
 
 // A service that is browsed, with what its text says; keys that make no sense are said once, one by one.
-func TestBrowse(t *testing.T) {
+func TestBrowsedInstancesAreDescribedByTXTKeys(t *testing.T) {
 	s := server(t)
 	inst := `kathmandu\ one._form._tcp.example.org.`
 	set(t, s, service, "PTR", service+". 60 IN PTR "+inst)
@@ -172,7 +172,7 @@
 
 // By lifetimes, in virtual time: read again as they end, within their bounds; after failures with waits
 // that grow; and never oftener than bounded, though all fails.
-func TestLifetimes(t *testing.T) {
+func TestReadsFollowTTLsWithinBoundsAndBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		var mu sync.Mutex
--- a/internal/source/dnssource/mdns_test.go
+++ b/internal/source/dnssource/mdns_test.go
@@ -32,31 +32,31 @@
 }
 
 // Lifetimes, refreshes at 80 to 95%, goodbyes, cache-flush and known answers, by the RFC's figures.
-func TestCache(t *testing.T) {
+func TestCacheFollowsTheTimesOfRFC6762(t *testing.T) {
 	var c cache
 	ptr := "_form._tcp.local. 100 IN PTR one._form._tcp.local."
-	c.take(0, message(rr(t, ptr)))
+	c.add(0, message(rr(t, ptr)))
 	q := dns.Question{Name: local, Qtype: dns.TypePTR, Qclass: dns.ClassINET}
 	for _, row := range []struct {
 		at  time.Duration
 		ask int
 	}{{79, 0}, {80, 1}, {81, 0}, {85, 1}, {90, 1}, {95, 1}, {99, 0}} {
-		if got := c.due(row.at * time.Second); len(got) != row.ask {
+		if got := c.dueQuestions(row.at * time.Second); len(got) != row.ask {
 			t.Errorf("at %d s: %v", row.at, got)
 		}
 	}
-	if len(c.known(q, 49*time.Second)) != 1 || len(c.known(q, 51*time.Second)) != 0 {
+	if len(c.knownAnswers(q, 49*time.Second)) != 1 || len(c.knownAnswers(q, 51*time.Second)) != 0 {
 		t.Error("known answers are those with more than half of their lifetime")
 	}
 	if c.expire(99*time.Second) || !c.expire(100*time.Second) {
 		t.Error("it does not end with its lifetime")
 	}
-	c.take(200*time.Second, message(rr(t, ptr)))
-	c.take(250*time.Second, message(rr(t, ptr))) // heard again
+	c.add(200*time.Second, message(rr(t, ptr)))
+	c.add(250*time.Second, message(rr(t, ptr))) // heard again
 	if c.expire(320 * time.Second) {
 		t.Error("it ends though it was heard again")
 	}
-	if byes := c.take(321*time.Second, message(rr(t, "_form._tcp.local. 0 IN PTR one._form._tcp.local."))); len(byes) != 1 {
+	if byes := c.add(321*time.Second, message(rr(t, "_form._tcp.local. 0 IN PTR one._form._tcp.local."))); len(byes) != 1 {
 		t.Errorf("goodbyes %v", byes)
 	}
 	if c.expire(321*time.Second+999*time.Millisecond) || !c.expire(322*time.Second) {
@@ -64,12 +64,12 @@
 	}
 	// Cache-flush: what is older than a second goes, what came with it stays.
 	var f cache
-	f.take(0, message(rr(t, "one.local. 100 IN A 10.0.0.1")))
+	f.add(0, message(rr(t, "one.local. 100 IN A 10.0.0.1")))
 	flush := rr(t, "one.local. 100 IN A 10.0.0.2")
-	flush.Header().Class |= topBit
+	flush.Header().Class |= topClassBit
 	also := rr(t, "one.local. 100 IN A 10.0.0.3")
-	also.Header().Class |= topBit
-	f.take(10*time.Second, message(flush, also))
+	also.Header().Class |= topClassBit
+	f.add(10*time.Second, message(flush, also))
 	f.expire(11 * time.Second)
 	if got := f.find("one.local", dns.TypeA); len(got) != 2 {
 		t.Errorf("%v", got)
@@ -77,18 +77,18 @@
 }
 
 // Known answers that do not fit in one packet go in several, all but the last of which say so.
-func TestKnownAnswersAreSplit(t *testing.T) {
+func TestKnownAnswersAreSplitIntoPackets(t *testing.T) {
 	m := NewMulticast(Options{Name: "m"}, local, "127.0.0.1:1")
 	var all []dns.RR
 	for i := range 200 {
 		all = append(all, rr(t, fmt.Sprintf("_form._tcp.local. 100 IN PTR a-rather-long-name-of-an-instance-%d._form._tcp.local.", i)))
 	}
-	m.c.take(0, message(all...))
-	packets := m.query(dns.Question{Name: local, Qtype: dns.TypePTR, Qclass: dns.ClassINET}, time.Second)
+	m.cache.add(0, message(all...))
+	packets := m.encodeQuery(dns.Question{Name: local, Qtype: dns.TypePTR, Qclass: dns.ClassINET}, time.Second)
 	n := 0
 	for i, data := range packets {
 		var p dns.Msg
-		if err := p.Unpack(data); err != nil || len(data) > packetMost || p.Truncated != (i < len(packets)-1) || (len(p.Question) == 1) != (i == 0) {
+		if err := p.Unpack(data); err != nil || len(data) > maxPacketBytes || p.Truncated != (i < len(packets)-1) || (len(p.Question) == 1) != (i == 0) {
 			t.Errorf("packet %d of %d: %d bytes, %v", i, len(packets), len(data), err)
 		}
 		n += len(p.Answer)
@@ -100,7 +100,7 @@
 
 // Over sockets: what is announced is found, a goodbye is told at once, noise harms nothing, and one who
 // comes back is there again.
-func TestMulticast(t *testing.T) {
+func TestMulticastReportsAnnouncementsAndGoodbyes(t *testing.T) {
 	r, err := standin.NewResponder()
 	if err != nil {
 		t.Fatal(err)
@@ -176,18 +176,18 @@
 }
 
 // Everybody's silence is a failure, and no smaller fleet.
-func TestSilenceOfAllIsAFailure(t *testing.T) {
+func TestSilenceOfAllRespondersIsAFailure(t *testing.T) {
 	var c cache
-	c.take(0, message(rr(t, "a.local. 10 IN A 10.0.0.1"), rr(t, "b.local. 10 IN A 10.0.0.2")))
-	if !c.onlySilence(10 * time.Second) {
+	c.add(0, message(rr(t, "a.local. 10 IN A 10.0.0.1"), rr(t, "b.local. 10 IN A 10.0.0.2")))
+	if !c.allExpiredSilently(10 * time.Second) {
 		t.Error("all end at once unheard")
 	}
-	c.take(5*time.Second, message(rr(t, "b.local. 10 IN A 10.0.0.2")))
-	if c.onlySilence(10 * time.Second) {
+	c.add(5*time.Second, message(rr(t, "b.local. 10 IN A 10.0.0.2")))
+	if c.allExpiredSilently(10 * time.Second) {
 		t.Error("one was heard since")
 	}
-	c.take(11*time.Second, message(rr(t, "b.local. 0 IN A 10.0.0.2")))
-	if c.onlySilence(20 * time.Second) {
+	c.add(11*time.Second, message(rr(t, "b.local. 0 IN A 10.0.0.2")))
+	if c.allExpiredSilently(20 * time.Second) {
 		t.Error("one said goodbye")
 	}
 }
@@ -208,12 +208,12 @@
 				continue
 			}
 			now := time.Duration(i) * time.Second
-			m.gone(m.c.take(now, &r))
-			m.tell(func(endpoints.Report) {})
-			for _, q := range append(m.missing(), m.c.due(now)...) {
-				m.query(q, now)
+			m.removedServers(m.cache.add(now, &r))
+			m.reportSnapshot(func(endpoints.Report) {})
+			for _, q := range append(m.missingQuestions(), m.cache.dueQuestions(now)...) {
+				m.encodeQuery(q, now)
 			}
-			m.c.expire(now)
+			m.cache.expire(now)
 		}
 	})
 }
--- a/internal/source/dnssource/mdnscache.go
+++ b/internal/source/dnssource/mdnscache.go
@@ -11,64 +11,64 @@
 // cache is what was heard by multicast DNS (RFC 6762). It is free of I/O and clock: messages and the time
 // go in, records and what to ask come out.
 type cache struct {
-	records []*cached
+	records []*cacheRecord
 	now     time.Duration
 	heard   time.Duration // when a message last came
 }
 
-type cached struct {
-	rr      dns.RR
-	at      time.Duration // when it was heard
-	ttl     time.Duration
-	ends    time.Duration
-	refresh int  // queries sent for it so far
-	bye     bool // its end was announced
+type cacheRecord struct {
+	rr         dns.RR
+	receivedAt time.Duration // when it was heard
+	ttl        time.Duration
+	expiresAt  time.Duration
+	refreshes  int  // queries sent for it so far
+	goodbye    bool // its end was announced
 }
 
 const (
 	goodbyeTime = time.Second // a goodbye's record lives for so long more (RFC 6762, 10.1)
 	flushTime   = time.Second // and what a cache-flush replaces (10.2)
-	topBit      = 1 << 15     // of the class: cache-flush in answers, unicast wanted in questions
+	topClassBit = 1 << 15     // of the class: cache-flush in answers, unicast wanted in questions
 )
 
 // refreshAt are the shares of its lifetime at which a record is asked for again (RFC 6762, 5.2).
 var refreshAt = []int64{80, 85, 90, 95}
 
-// take books a message's records. It reports those whose end it announces.
-func (c *cache) take(now time.Duration, m *dns.Msg) (goodbyes []dns.RR) {
+// add books a message's records. It reports those whose end it announces.
+func (c *cache) add(now time.Duration, m *dns.Msg) (goodbyes []dns.RR) {
 	c.now, c.heard = now, now
 	all := append(slices.Clone(m.Answer), m.Extra...)
 	for _, rr := range all {
 		h := rr.Header()
-		if h.Class&^topBit != dns.ClassINET || h.Rrtype == dns.TypeOPT {
+		if h.Class&^topClassBit != dns.ClassINET || h.Rrtype == dns.TypeOPT {
 			continue
 		}
-		flush := h.Class&topBit != 0
+		flush := h.Class&topClassBit != 0
 		own := dns.Copy(rr)
 		own.Header().Class = dns.ClassINET
 		own.Header().Name = dns.CanonicalName(h.Name)
 		ttl := time.Duration(h.Ttl) * time.Second
 		if flush && ttl > 0 { // others of this name and type are old, but for those of the same moment
 			for _, k := range c.records {
-				if k.same(own) && now-k.at > flushTime && !k.equal(own) {
-					k.ends = min(k.ends, now+flushTime)
+				if k.same(own) && now-k.receivedAt > flushTime && !k.equal(own) {
+					k.expiresAt = min(k.expiresAt, now+flushTime)
 				}
 			}
 		}
-		i := slices.IndexFunc(c.records, func(k *cached) bool { return k.equal(own) })
+		i := slices.IndexFunc(c.records, func(k *cacheRecord) bool { return k.equal(own) })
 		if ttl == 0 {
-			if i >= 0 && !c.records[i].bye {
-				c.records[i].bye = true
-				c.records[i].ends = min(c.records[i].ends, now+goodbyeTime)
+			if i >= 0 && !c.records[i].goodbye {
+				c.records[i].goodbye = true
+				c.records[i].expiresAt = min(c.records[i].expiresAt, now+goodbyeTime)
 				goodbyes = append(goodbyes, c.records[i].rr)
 			}
 			continue
 		}
-		k := &cached{rr: own, at: now, ttl: ttl, ends: now + ttl}
+		k := &cacheRecord{rr: own, receivedAt: now, ttl: ttl, expiresAt: now + ttl}
 		switch {
 		case i >= 0:
 			c.records[i] = k
-		case len(c.records) < recordsMost:
+		case len(c.records) < maxRecords:
 			c.records = append(c.records, k)
 		}
 	}
@@ -76,12 +76,12 @@
 }
 
 // same reports whether a record has the name and type of another.
-func (k *cached) same(rr dns.RR) bool {
+func (k *cacheRecord) same(rr dns.RR) bool {
 	return k.rr.Header().Rrtype == rr.Header().Rrtype && strings.EqualFold(k.rr.Header().Name, rr.Header().Name)
 }
 
 // equal reports whether it is that one, but for its lifetime.
-func (k *cached) equal(rr dns.RR) bool {
+func (k *cacheRecord) equal(rr dns.RR) bool {
 	if !k.same(rr) {
 		return false
 	}
@@ -94,18 +94,18 @@
 func (c *cache) expire(now time.Duration) bool {
 	c.now = now
 	before := len(c.records)
-	c.records = slices.DeleteFunc(c.records, func(k *cached) bool { return now >= k.ends })
+	c.records = slices.DeleteFunc(c.records, func(k *cacheRecord) bool { return now >= k.expiresAt })
 	return len(c.records) < before
 }
 
-// due are the names and types to ask for again now.
-func (c *cache) due(now time.Duration) (ask []dns.Question) {
+// dueQuestions are the names and types to ask for again now.
+func (c *cache) dueQuestions(now time.Duration) (ask []dns.Question) {
 	for _, k := range c.records {
-		if k.bye || k.refresh >= len(refreshAt) || now < k.at+k.ttl*time.Duration(refreshAt[k.refresh])/100 {
+		if k.goodbye || k.refreshes >= len(refreshAt) || now < k.receivedAt+k.ttl*time.Duration(refreshAt[k.refreshes])/100 {
 			continue
 		}
-		for k.refresh < len(refreshAt) && now >= k.at+k.ttl*time.Duration(refreshAt[k.refresh])/100 {
-			k.refresh++
+		for k.refreshes < len(refreshAt) && now >= k.receivedAt+k.ttl*time.Duration(refreshAt[k.refreshes])/100 {
+			k.refreshes++
 		}
 		q := dns.Question{Name: k.rr.Header().Name, Qtype: k.rr.Header().Rrtype, Qclass: dns.ClassINET}
 		if !slices.Contains(ask, q) {
@@ -115,12 +115,12 @@
 	return ask
 }
 
-// next is when anything is due; 0: nothing is.
-func (c *cache) next() (at time.Duration) {
+// nextEvent is when anything is due; 0: nothing is.
+func (c *cache) nextEvent() (at time.Duration) {
 	for _, k := range c.records {
-		t := k.ends
-		if !k.bye && k.refresh < len(refreshAt) {
-			t = min(t, k.at+k.ttl*time.Duration(refreshAt[k.refresh])/100)
+		t := k.expiresAt
+		if !k.goodbye && k.refreshes < len(refreshAt) {
+			t = min(t, k.receivedAt+k.ttl*time.Duration(refreshAt[k.refreshes])/100)
 		}
 		if at == 0 || t < at {
 			at = t
@@ -129,11 +129,11 @@
 	return at
 }
 
-// known are the answers to a question that need not come again: those with more than half of their
+// knownAnswers are the answers to a question that need not come again: those with more than half of their
 // lifetime left (RFC 6762, 7.1).
-func (c *cache) known(q dns.Question, now time.Duration) (all []dns.RR) {
+func (c *cache) knownAnswers(q dns.Question, now time.Duration) (all []dns.RR) {
 	for _, k := range c.records {
-		if left := k.ends - now; k.rr.Header().Rrtype == q.Qtype && strings.EqualFold(k.rr.Header().Name, q.Name) && 2*left > k.ttl && !k.bye {
+		if left := k.expiresAt - now; k.rr.Header().Rrtype == q.Qtype && strings.EqualFold(k.rr.Header().Name, q.Name) && 2*left > k.ttl && !k.goodbye {
 			rr := dns.Copy(k.rr)
 			rr.Header().Ttl = uint32(left / time.Second)
 			all = append(all, rr)
@@ -152,15 +152,15 @@
 	return all
 }
 
-// onlySilence reports whether all that is left would end now though nobody was heard since: then it is
+// allExpiredSilently reports whether all that is left would end now though nobody was heard since: then it is
 // everybody who is not heard, and not one who has ended.
-func (c *cache) onlySilence(now time.Duration) bool {
+func (c *cache) allExpiredSilently(now time.Duration) bool {
 	gone, byes := 0, 0
 	for _, k := range c.records {
-		if now >= k.ends {
+		if now >= k.expiresAt {
 			gone++
 		}
-		if k.bye {
+		if k.goodbye {
 			byes++
 		}
 	}
