--- /dev/null
+++ b/internal/protocol/ldap/attempt_test.go
@@ -0,0 +1,161 @@
+package ldap
+
+import (
+	"errors"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"vetchhaven/decide"
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/protocol/ldapmsg"
+	"vetchhaven/internal/standin/directory"
+	"vetchhaven/internal/testkit"
+)
+
+// Each way in which an attempt can end, for a safe and for an unsafe operation: what may have run is
+// sent again only where that does no harm, and what is refused has not run.
+func TestOutcomeTable(t *testing.T) {
+	for name, row := range map[string]struct {
+		fault        directory.Fault
+		search       int // result code of a base lookup, of two servers one of which has the fault at first
+		modify       int // of a modify
+		modifiesRan  int
+		modifyServer int // operations that reached servers
+	}{
+		"served":              {directory.Fault{}, 0, 0, 1, 1},
+		"killed before":       {directory.Fault{KillBefore: true}, 0, ldapmsg.Other, 0, 1},
+		"killed after it ran": {directory.Fault{KillAfter: true}, 0, ldapmsg.Other, 1, 1},
+		"busy":                {directory.Fault{Code: ldapmsg.Busy}, 0, 0, 1, 2},
+		"unavailable":         {directory.Fault{Code: ldapmsg.Unavailable}, 0, ldapmsg.Other, 0, 1},
+		"referral":            {directory.Fault{Code: 10}, 10, 10, 0, 1},
+		"no such object":      {directory.Fault{Code: 32}, 32, 32, 0, 1},
+		"wrong id":            {directory.Fault{WrongID: true}, 0, ldapmsg.Other, 1, 1},
+		"wrong tag":           {directory.Fault{WrongTag: true}, 0, ldapmsg.Other, 1, 1},
+		"garbage":             {directory.Fault{Garbage: true}, 0, ldapmsg.Other, 1, 1},
+		"notice":              {directory.Fault{Notice: true}, 0, ldapmsg.Other, 1, 1},
+		"twice":               {directory.Fault{Double: true}, 0, 0, 1, 1},
+		"slow drip":           {directory.Fault{Drip: 100 * time.Microsecond}, 0, 0, 1, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+			var faults, came atomic.Int32
+			script := func(o directory.Op) directory.Fault {
+				if o.Kind != "modify" && o.Kind != "lookup" {
+					return directory.Fault{}
+				}
+				came.Add(1)
+				if faults.Add(-1) >= 0 {
+					return row.fault
+				}
+				return directory.Fault{}
+			}
+			one.Script(script)
+			two.Script(script)
+			a := start(t, testConfig(t, one, two), Options{})
+			c := a.dial(t)
+			faults.Store(1)
+			if _, err := c.Search(one2()); code(err) != row.search {
+				t.Errorf("search: %v", err)
+			}
+			faults.Store(1)
+			came.Store(0)
+			if err := c.Modify(modify("v")); code(err) != row.modify {
+				t.Errorf("modify: %v", err)
+			}
+			ran := one.Ran()["modify cn=a,dc=ward v"] + two.Ran()["modify cn=a,dc=ward v"]
+			if ran != row.modifiesRan || int(came.Load()) != row.modifyServer {
+				t.Errorf("modified %d times, %d operations reached a server", ran, came.Load())
+			}
+			faults.Store(0)
+			if _, err := c.Search(one2()); err != nil { // it goes on
+				t.Errorf("afterwards: %v", err)
+			}
+		})
+	}
+}
+
+var one2 = one // a name that no local hides
+
+// Once an entry has gone to the client there is no other attempt, and the search fails.
+func TestStartedStreamIsNotRetried(t *testing.T) {
+	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	var faults, came atomic.Int32
+	script := func(o directory.Op) directory.Fault {
+		came.Add(1)
+		if faults.Add(-1) >= 0 {
+			return directory.Fault{KillBetween: 3}
+		}
+		return directory.Fault{}
+	}
+	one.Script(script)
+	two.Script(script)
+	a := start(t, testConfig(t, one, two), Options{})
+	c := a.dial(t)
+	faults.Store(1)
+	got, err := c.Search(whole())
+	if code(err) != ldapmsg.Other || came.Load() != 1 {
+		t.Errorf("%v, %v; %d attempts", got, err, came.Load())
+	}
+	if got != nil && len(got.Entries) != 3 {
+		t.Errorf("%d entries", len(got.Entries))
+	}
+	if got, err := c.Search(whole()); err != nil || len(got.Entries) != 6 {
+		t.Errorf("%v, %v", got, err)
+	}
+}
+
+// Nothing new goes to a server once the list calls it draining or gone.
+func TestDrainingServerGetsNothingNew(t *testing.T) {
+	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	list := testkit.NewCatalog(t)
+	cfg := testConfig(t, one, two)
+	cfg.Discovery, cfg.Settings.Subscribe = list.Addr, false
+	a := start(t, cfg, Options{})
+	w := testkit.Receive(t, "watch", list.Watch)
+	c := a.dial(t)
+	for range 20 {
+		if _, err := c.Search(one2()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	w.Lines <- testkit.ToLine(t, 42, one.Member("draining"))
+	testkit.WaitFor(t, "the change", func() bool {
+		before := one.Served("lookup")
+		for range 20 {
+			if _, err := c.Search(one2()); err != nil {
+				t.Fatal(err)
+			}
+		}
+		return one.Served("lookup") == before
+	})
+	before := one.Served("lookup")
+	for range 50 {
+		if _, err := c.Search(one2()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if one.Served("lookup") != before {
+		t.Error("a draining server was asked")
+	}
+}
+
+// An address that a new server has taken over is no longer the old one's, even before its end is told; and a
+// probe leaves no connection behind.
+func TestReusedAddressGetsNothingOfOldServer(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	a := start(t, testConfig(t, d), Options{})
+	if _, err := a.dial(t).Search(one()); err != nil {
+		t.Fatal(err)
+	}
+	v := a.p.pool
+	v.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
+	if c, _, err := v.acquire("one", "", false); !errors.Is(err, core.ErrMoved) {
+		t.Errorf("the old one has %+v, %v", c, err)
+	}
+	open := func() int { v.mu.Lock(); defer v.mu.Unlock(); return v.open }
+	testkit.WaitFor(t, "its connections to close", func() bool { return open() == 0 })
+	if p := a.p.Probe("next"); p.Result != decide.OK || open() != 0 {
+		t.Errorf("%+v, %d connections open", p, open())
+	}
+}
--- /dev/null
+++ b/internal/protocol/ldap/bind_test.go
@@ -0,0 +1,229 @@
+package ldap
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+	"testing"
+
+	client "github.com/go-ldap/ldap/v3"
+
+	"vetchhaven/internal/protocol/ldapmsg"
+	"vetchhaven/internal/standin/directory"
+	"vetchhaven/internal/testkit"
+)
+
+// A server connection serves only the identity that is bound on it, and a bind is made again on each
+// server by the agent. Credentials are in no log.
+func TestOperationsRunAsTheirClient(t *testing.T) {
+	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	var mu sync.Mutex
+	seen := map[string]map[string]bool{} // by DN asked for, who asked
+	for _, d := range []*directory.Directory{one, two} {
+		d.Script(func(o directory.Op) directory.Fault {
+			if o.Kind == "lookup" {
+				mu.Lock()
+				defer mu.Unlock()
+				if seen[o.DN] == nil {
+					seen[o.DN] = map[string]bool{}
+				}
+				seen[o.DN][o.Who] = true
+			}
+			return directory.Fault{}
+		})
+	}
+	a := start(t, testConfig(t, one, two), Options{})
+	admin, other, anybody := a.dial(t), a.dial(t), a.dial(t)
+	if err := admin.Bind("cn=admin", "secret-1"); err != nil {
+		t.Fatal(err)
+	}
+	if err := other.Bind("cn=other", "secret-2"); err != nil {
+		t.Fatal(err)
+	}
+	if err := anybody.Bind("cn=admin", "secret-wrong"); code(err) != client.LDAPResultInvalidCredentials {
+		t.Fatalf("a wrong password: %v", err)
+	}
+	var all sync.WaitGroup
+	for name, c := range map[string]*client.Conn{"a": admin, "b": other, "c": anybody} {
+		for range 4 {
+			all.Go(func() {
+				for range 20 {
+					if _, err := c.Search(search("cn="+name+",dc=ward", client.ScopeBaseObject)); err != nil {
+						t.Errorf("%s: %v", name, err)
+					}
+				}
+			})
+		}
+	}
+	all.Wait()
+	want := map[string]map[string]bool{"cn=a,dc=ward": {"cn=admin": true}, "cn=b,dc=ward": {"cn=other": true}, "cn=c,dc=ward": {"": true}}
+	if fmt.Sprint(seen) != fmt.Sprint(want) {
+		t.Errorf("%v", seen)
+	}
+	if one.Served("lookup") == 0 || two.Served("lookup") == 0 {
+		t.Error("one of the two got nothing")
+	}
+	if who, err := admin.WhoAmI(nil); err != nil || who.AuthzID != "dn:cn=admin" {
+		t.Errorf("%+v, %v", who, err)
+	}
+	// After a failed bind a client is anybody (RFC 4511, 4.2.1).
+	if err := admin.Bind("cn=admin", "secret-wrong"); code(err) != client.LDAPResultInvalidCredentials {
+		t.Errorf("%v", err)
+	}
+	if who, err := admin.WhoAmI(nil); err != nil || who.AuthzID != "" {
+		t.Errorf("%+v, %v", who, err)
+	}
+	if text := a.log.String(); strings.Contains(text, "secret") {
+		t.Errorf("a password is in the log: %s", text)
+	}
+}
+
+// A password is wiped from memory with the connection that brought it.
+func TestPasswordsAreWiped(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	a := start(t, testConfig(t, d), Options{})
+	c := a.dial(t)
+	if err := c.Bind("cn=admin", "secret-1"); err != nil {
+		t.Fatal(err)
+	}
+	a.p.mu.Lock()
+	var who *identity
+	for s := range a.p.sessions {
+		s.mu.Lock()
+		who = s.identity
+		s.mu.Unlock()
+	}
+	a.p.mu.Unlock()
+	if who == nil || string(who.password) != "secret-1" {
+		t.Fatalf("%+v", who)
+	}
+	c.Close()
+	testkit.WaitFor(t, "the password to be wiped", func() bool { return who.refs.Load() == 0 && who.password[0] == 0 })
+	if strings.Trim(string(who.password), "\x00") != "" {
+		t.Errorf("%q is left", who.password)
+	}
+}
+
+// An operation whose server connection is not there any more binds a new one by the client's identity.
+func TestBindIsRepeatedOnNewServerConnection(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	a := start(t, testConfig(t, d), Options{})
+	c := a.dial(t)
+	if err := c.Bind("cn=admin", "secret-1"); err != nil {
+		t.Fatal(err)
+	}
+	d.Kill()
+	testkit.WaitFor(t, "the connections to end", func() bool { return d.Conns() == 0 })
+	if who, err := c.WhoAmI(nil); err != nil || who.AuthzID != "dn:cn=admin" {
+		t.Errorf("%+v, %v", who, err)
+	}
+	if d.Binds() != 2 {
+		t.Errorf("%d binds", d.Binds())
+	}
+}
+
+// twoStep is a SASL exchange's step.
+func twoStep(id int32) []byte {
+	mech := "TWO-STEP"
+	sasl := append([]byte{0x04, byte(len(mech))}, mech...)
+	body := append([]byte{0x02, 1, 3, 0x04, 0, 0xa3, byte(len(sasl))}, sasl...)
+	return ldapmsg.WithID(id, append([]byte{ldapmsg.BindRequest, byte(len(body))}, body...))
+}
+
+// A SASL bind of several steps keeps its server connection, for its steps and for what follows; when
+// that ends, the client is told.
+func TestSASLBindKeepsItsServerConnection(t *testing.T) {
+	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	a := start(t, testConfig(t, one, two), Options{})
+	c := a.raw(t)
+	in := ldapmsg.NewReader(c, 1<<20)
+	ask := func(b []byte) ldapmsg.Message {
+		t.Helper()
+		if _, err := c.Write(b); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := in.Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		m, err := ldapmsg.Parse(raw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return m
+	}
+	if m := ask(twoStep(1)); func() int { n, _ := m.Code(); return n }() != ldapmsg.SASLBindInProgress {
+		t.Fatalf("%+v", m)
+	}
+	if m := ask(twoStep(2)); func() int { n, _ := m.Code(); return n }() != ldapmsg.Success {
+		t.Fatalf("%+v", m)
+	}
+	for i := range int32(20) {
+		if m := ask(ldapmsg.Extended(3+i, ldapmsg.OIDWhoAmI, nil)); !strings.Contains(string(m.Content), "dn:sasl") {
+			t.Fatalf("%q", m.Content)
+		}
+	}
+	if one.Served("extended") != 0 && two.Served("extended") != 0 {
+		t.Error("both servers were asked")
+	}
+	one.Kill()
+	two.Kill()
+	testkit.WaitFor(t, "the connections to end", func() bool { return one.Conns()+two.Conns() == 0 })
+	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
+	if m := ask(ldapmsg.Extended(50, ldapmsg.OIDWhoAmI, nil)); m.ID != 0 || m.Op != ldapmsg.ExtResponse {
+		t.Errorf("no notice: %+v", m)
+	}
+	if _, err := in.Next(); !errors.Is(err, io.EOF) {
+		t.Errorf("%v", err)
+	}
+	// EXTERNAL would be this agent's own.
+	c2 := a.raw(t)
+	mech := append([]byte{0x04, 8}, "EXTERNAL"...)
+	body := append([]byte{0x02, 1, 3, 0x04, 0, 0xa3, byte(len(mech))}, mech...)
+	if _, err := c2.Write(ldapmsg.WithID(1, append([]byte{ldapmsg.BindRequest, byte(len(body))}, body...))); err != nil {
+		t.Fatal(err)
+	}
+	raw, err := ldapmsg.NewReader(c2, 1<<20).Next()
+	if err != nil {
+		t.Fatal(err)
+	}
+	m, _ := ldapmsg.Parse(raw)
+	if n, _ := m.Code(); n != ldapmsg.AuthMethodNotSupported {
+		t.Errorf("%d", n)
+	}
+}
+
+// A password that is changed while its owner is bound: the old one is tried once more at the most, and
+// not over and over until it is locked out.
+func TestRejectedRebindAsksClientToBindAgain(t *testing.T) {
+	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	a := start(t, testConfig(t, one, two), Options{})
+	c := a.dial(t)
+	if err := c.Bind("cn=admin", "secret-1"); err != nil {
+		t.Fatal(err)
+	}
+	binds := func() int { return one.Binds() + two.Binds() }
+	for _, d := range []*directory.Directory{one, two} {
+		d.Password("cn=admin", "secret-3")
+		d.Kill()
+	}
+	testkit.WaitFor(t, "the connections to end", func() bool { return one.Conns()+two.Conns() == 0 })
+	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
+	before := binds()
+	for range 10 {
+		if _, err := c.Search(one2()); code(err) != ldapmsg.StrongerAuthRequired {
+			t.Errorf("%v", err)
+		}
+	}
+	if n := binds() - before; n != 1 {
+		t.Errorf("the old password was tried %d times", n)
+	}
+	if err := c.Bind("cn=admin", "secret-3"); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Search(one2()); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/protocol/ldap/bindserver.go
@@ -0,0 +1,113 @@
+package ldap
+
+import (
+	"context"
+	"errors"
+
+	"vetchhaven/decide"
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/protocol/ldapmsg"
+)
+
+// noIdentity is no identity's key: these are "" or 32 bytes long.
+const noIdentity = "\x00none"
+
+// acquireBound returns a connection for an operation, bound as the operation's client is, and opens one if needed. Without a
+// connection it returns the attempt's result, which says that nothing ran.
+func (p *connPool) acquireBound(a *core.Attempt, o *operation) (*serverConn, decide.Result) {
+	if o.requiredConn != nil { // of a SASL bind or a paged search
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if o.requiredConn.closed || o.requiredConn.suspect || o.requiredConn.server != a.Server {
+			return nil, decide.NotSent
+		}
+		o.requiredConn.users++
+		o.requiredConn.exclusive = true
+		return o.requiredConn, 0
+	}
+	bind := o.message.Op == ldapmsg.BindRequest
+	identityKey := o.identity.keyOf()
+	if bind {
+		identityKey = noIdentity // on a new connection
+	}
+	c, addr, err := p.acquire(a.Server, identityKey, bind || o.kind == kindSearch)
+	if err == nil && c != nil {
+		return c, 0
+	}
+	if err == nil && !a.MayDial() {
+		p.mu.Lock()
+		p.open-- // acquire counted the connection that was to be opened
+		p.mu.Unlock()
+		return nil, decide.NotSent
+	}
+	if err == nil {
+		a.MarkDialed()
+		c, err = p.connect(a.Context, a.Server, addr)
+	}
+	if err != nil {
+		if errors.Is(err, core.ErrNoSocket) || errors.Is(err, errServerTLS) {
+			p.log.Warn("attempt not sent", "error", err, "server", a.Server)
+		}
+		if errors.Is(err, errMovedWhileDialling) {
+			return nil, decide.Incomplete // it never ran, and another server may get it
+		}
+		if errors.Is(err, errServerTLS) && !errors.Is(context.Cause(a.Context), core.ErrCancelled) {
+			return nil, decide.Incomplete // a process had accepted the connection
+		}
+		return nil, core.NotConnected(a.Context, err)
+	}
+	if bind || o.identity == nil {
+		p.mu.Lock()
+		c.exclusive = bind || o.kind == kindSearch
+		p.mu.Unlock()
+		return c, 0
+	}
+	if result := p.bindAs(a, c, o.identity); result != decide.OK {
+		p.markSuspect(c)
+		p.release(c)
+		return nil, result
+	}
+	p.mu.Lock()
+	c.exclusive = o.kind == kindSearch
+	p.mu.Unlock()
+	return c, 0
+}
+
+// bindAs binds a new connection as a client was bound on another. Nothing of the operation is sent by it.
+func (p *connPool) bindAs(a *core.Attempt, c *serverConn, who *identity) decide.Result {
+	text := ldapmsg.SimpleBind(1, who.name, who.password)
+	defer clear(text)
+	m, err := ldapmsg.Parse(text)
+	if err != nil {
+		return decide.Incomplete
+	}
+	k, err := c.startCall(a.Context, a, m.Op, m.Rest)
+	var refused *sendRefusedError
+	if errors.As(err, &refused) {
+		return refused.reason.Result(a.Context)
+	}
+	if err != nil {
+		return decide.Incomplete
+	}
+	defer close(k.abandoned)
+	select {
+	case got := <-k.parts:
+		switch code, _ := got.Code(); code {
+		case ldapmsg.Success:
+			p.setIdentity(c, who)
+			return decide.OK
+		case ldapmsg.InvalidCredentials:
+			// Repeated on one server after the other, the bind might lock its owner out.
+			who.rejected.Store(true)
+			p.log.Warn("a server does not take a bind that another took", "server", c.server)
+		}
+		return decide.Rejected // the operation was not sent
+	case <-k.connEnded:
+		return decide.Incomplete
+	case <-a.Context.Done():
+		if errors.Is(context.Cause(a.Context), core.ErrCancelled) {
+			return decide.Cancelled
+		}
+		return decide.Incomplete
+	}
+}
--- a/internal/protocol/ldap/cancel.go
+++ b/internal/protocol/ldap/cancel.go
@@ -5,8 +5,8 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// handleAbandon gives an operation up for its client: it has no answer, and counts as running until its end
-// is seen or its time is over. Binds can't be abandoned.
+// handleAbandon abandons an operation (RFC 4511, 4.11): it has no response, and is in flight until its end is seen or its
+// deadline exceeded. Binds can't be abandoned.
 func (s *session) handleAbandon(id int32) {
 	s.mu.Lock()
 	o := s.operations[id]
@@ -16,16 +16,17 @@
 	}
 	o.mu.Lock()
 	o.abandoned = true
-	c, on := o.attemptConn, o.attemptID
+	c := o.attemptConn
+	attemptID := o.attemptID
 	o.mu.Unlock()
 	if c != nil {
-		c.sendAbandon(on)
+		c.sendAbandon(attemptID)
 	}
 	s.protocol.loop.ClientDisconnected(o.request)
 }
 
-// handleCancel carries out a Cancel (RFC 3909). One that is on a server is the server's to cancel: both
-// answers are its. One that was not sent is given up here.
+// handleCancel executes a Cancel (RFC 3909). An operation that was sent to a server is cancelled by the server, which gives
+// both responses. One that was not sent is cancelled here.
 func (s *session) handleCancel(m ldapmsg.Message, value []byte) {
 	id, err := ldapmsg.ParseCancel(value)
 	if err != nil {
@@ -44,13 +45,14 @@
 		return
 	}
 	o.mu.Lock()
-	c, on := o.attemptConn, o.attemptID
-	underWay := c == nil && o.attemptStarted // it is being written: nobody can say yet whether it runs
-	if c == nil && !underWay {
+	c := o.attemptConn
+	attemptID := o.attemptID
+	beingWritten := c == nil && o.attemptStarted // whether it runs can't be known yet
+	if c == nil && !beingWritten {
 		o.cancelled = true
 	}
 	o.mu.Unlock()
-	if underWay {
+	if beingWritten {
 		s.respond(m.ID, m.Op, ldapmsg.CannotCancel, "")
 		return
 	}
@@ -61,7 +63,7 @@
 	}
 	own := ldapmsg.Message{ID: m.ID, Op: m.Op}
 	go s.protocol.loop.ContainPanic(func() {
-		code := c.sendCancel(on, time.Until(o.request.Deadline))
+		code := c.sendCancel(attemptID, time.Until(o.request.Deadline))
 		s.respond(own.ID, own.Op, code, "")
 	})
 }
--- /dev/null
+++ b/internal/protocol/ldap/clienttls.go
@@ -0,0 +1,64 @@
+package ldap
+
+import (
+	"crypto/tls"
+	"fmt"
+	"time"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/protocol/ldapmsg"
+)
+
+// startTLS handles a StartTLS request (RFC 4511, 4.14).
+func (s *session) startTLS(m ldapmsg.Message) (more bool, err error) {
+	s.mu.Lock()
+	open := len(s.operations)
+	secured := s.secured
+	s.mu.Unlock()
+	switch {
+	case secured || open > 0:
+		s.respond(m.ID, m.Op, ldapmsg.OperationsError, "TLS is there already, or operations are open")
+		return true, nil
+	case s.protocol.tls == nil:
+		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, "StartTLS is not served here")
+		return true, nil
+	case s.in.Buffered() > 0:
+		// Bytes sent in plain must not be taken for bytes under TLS.
+		return false, fmt.Errorf("%w: something came behind StartTLS", ldapmsg.ErrMalformed)
+	}
+	success := ldapmsg.Response(m.ID, ldapmsg.ExtResponse, ldapmsg.Success, "")
+	if err := s.conn.SetWriteDeadline(time.Now().Add(core.HeadTimeout)); err != nil {
+		return false, nil
+	}
+	if _, err := s.conn.Write(success); err != nil {
+		return false, nil
+	}
+	if err := s.acceptTLS(); err != nil {
+		return false, nil
+	}
+	s.mu.Lock()
+	s.setIdentity(nil, nil)
+	s.mu.Unlock()
+	s.startReader()
+	return true, nil
+}
+
+// acceptTLS makes the TLS handshake, within core.HeadTimeout.
+func (s *session) acceptTLS() error {
+	c := tls.Server(s.raw, s.protocol.tls)
+	if err := s.raw.SetDeadline(time.Now().Add(core.HeadTimeout)); err != nil {
+		return err
+	}
+	if err := c.Handshake(); err != nil {
+		s.protocol.log.Warn("TLS with a client failed", "client", s.raw.RemoteAddr().String(), "error", err)
+		return err
+	}
+	if err := s.raw.SetDeadline(time.Time{}); err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conn = c
+	s.secured = true
+	return nil
+}
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -1,7 +1,19 @@
-// Package ldap is LDAPv3 (RFC 4511) on the core: clients' connections (client.go), on which many
-// operations run at once, and connections to directory servers (server.go), each of which serves the one
-// identity that is bound on it. Which server gets an operation, whether it is tried again and what is
-// turned away is decided by the decision module alone.
+// Package ldap serves LDAPv3 (RFC 4511) on the core's event loop. Clients' connections are sessions, on which many operations
+// run at once; connections to directory servers each serve the one identity that is bound on them. Which server gets an
+// operation, whether it is retried and what is rejected is decided by package decide alone.
+//
+// It owns the sessions, the clients' credentials while they are in use, and the pool of connections to servers; nothing of it
+// outlives the agent. Each session has a reader (protocol.serve), and a writer while something is queued. Each server
+// connection has a reader. The loop's attempts call Attempt and Probe from goroutines of their own, and the agent's goroutine
+// calls Serve, Update, Resize, Shutdown and the like.
+//
+//	ldap.go, kind.go, options.go               the protocol, its classes of operations, its settings
+//	session.go, sessionwrite.go, clienttls.go  a client's connection
+//	request.go, bind.go, cancel.go             checks and submits a client's requests
+//	operation.go, identity.go                  an operation, and as whom it runs
+//	attempt.go, responsestream.go              makes one attempt of an operation
+//	serverpool.go, dial.go, bindserver.go      the pool of connections to servers
+//	serverconn.go, call.go                     a connection to a server, and the requests on it
 package ldap
 
 import (
@@ -19,7 +31,7 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// protocol is LDAP as the core knows it.
+// protocol implements core.Protocol.
 type protocol struct {
 	cfg            *core.Config
 	options        Options
@@ -28,13 +40,13 @@
 	limiter        *core.ConnLimiter
 	classes        [kinds]int
 	pool           *connPool
-	tls            *tls.Config // towards clients; nil: none
-	secret         [32]byte    // names of identities are made with it
+	tls            *tls.Config // towards clients; nil: plain alone
+	secret         [32]byte    // the key of identities' keys; random, and in memory only
 	lastID         atomic.Uint64
 	openOperations atomic.Int64
-	maxOpen        atomic.Int64  // operations open at once
-	startedAt      time.Time     // sessions count from then
-	freshPeriod    time.Duration // for how long a connection that has asked nothing is served on while this copy ends
+	maxOpen        atomic.Int64  // operations open at once, on all connections
+	startedAt      time.Time     // sessions' times count from here
+	freshPeriod    time.Duration // how long a connection without a request is served while the agent drains; tests change it
 
 	mu        sync.Mutex
 	sessions  map[*session]bool
@@ -43,60 +55,20 @@
 	running   sync.WaitGroup
 }
 
-// kind is what an operation is for the purpose of classes. A class of the kind's name is taken where the
-// file has one, else that of the kind named behind it.
-type kind int
-
 const (
-	kindSearch kind = iota
-	kindModify
-	kindBind
-	kindLookup // a search whose scope is its base
-	kindCompare
-	kindAdd
-	kindDelete
-	kindModDN
-	kindPassword
-	kindExtended
-	kinds
+	// minQuiet is how long a session must have been quiet before it is evicted for a new one. A smaller value closes sessions
+	// that are about to be used, a larger one refuses more new ones.
+	minQuiet = 2 * time.Second
+	// defaultFreshPeriod is how long a session without a request is served while the agent drains: it was accepted just
+	// before the next copy would have. A larger value delays the drain.
+	defaultFreshPeriod = 250 * time.Millisecond
 )
 
-var kindNames = [kinds]string{"search", "modify", "bind", "lookup", "compare", "add", "delete", "moddn", "password", "extended"}
-
-var kindFallbacks = [kinds]kind{kindSearch, kindModify, kindSearch, kindSearch, kindSearch, kindModify, kindModify, kindModify, kindModify, kindModify}
-
-// RequiredClasses are the classes that every instance has.
-var RequiredClasses = []string{kindNames[kindSearch], kindNames[kindModify]}
-
-// IsClass reports whether a name is that of a class of operations.
-func IsClass(name string) bool {
-	for _, n := range kindNames {
-		if n == name {
-			return true
-		}
-	}
-	return false
-}
-
-// classesOf finds each kind's class.
-func classesOf(names []string) (all [kinds]int) {
-	find := func(k kind) int {
-		for i, n := range names {
-			if n == kindNames[k] {
-				return i
-			}
-		}
-		return -1
-	}
-	for k := range kinds {
-		if all[k] = find(k); all[k] < 0 {
-			all[k] = max(0, find(kindFallbacks[k]))
-		}
-	}
-	return all
-}
+// operationsPerSocket is how many operations may be open for each client socket, where the site has no max_open. A larger
+// value takes more memory, a smaller one rejects clients that pipeline.
+const operationsPerSocket = 4
 
-// New sets up an agent that speaks LDAP, with what it is given.
+// New returns an agent that speaks LDAP. It fails if the TLS files can't be read, or as core.New does.
 func New(cfg *core.Config, o Options, log *slog.Logger, parts core.Parts) (*core.Agent, error) {
 	a, _, err := newAgent(cfg, o, log, parts)
 	return a, err
@@ -107,10 +79,21 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	o.MaxMessage, o.MaxOpen = cmp.Or(o.MaxMessage, defaultMaxMessage), cmp.Or(o.MaxOpen, defaultMaxOpen)
-	o.MaxShared, o.MaxIdle = cmp.Or(o.MaxShared, defaultMaxShared), cmp.Or(o.MaxIdle, defaultMaxIdle)
-	p := &protocol{cfg: cfg, options: o, log: log, tls: clients, classes: classesOf(cfg.Site.Classes), sessions: map[*session]bool{}, freshPeriod: defaultFreshPeriod, startedAt: time.Now()}
-	p.maxOpen.Store(4 * int64(core.ClientSockets(cfg.Sockets)))
+	o.MaxMessage = cmp.Or(o.MaxMessage, defaultMaxMessage)
+	o.MaxOpen = cmp.Or(o.MaxOpen, defaultMaxOpen)
+	o.MaxShared = cmp.Or(o.MaxShared, defaultMaxShared)
+	o.MaxIdle = cmp.Or(o.MaxIdle, defaultMaxIdle)
+	p := &protocol{
+		cfg:         cfg,
+		options:     o,
+		log:         log,
+		tls:         clients,
+		classes:     classesOf(cfg.Site.Classes),
+		sessions:    map[*session]bool{},
+		freshPeriod: defaultFreshPeriod,
+		startedAt:   time.Now(),
+	}
+	p.maxOpen.Store(operationsPerSocket * int64(core.ClientSockets(cfg.Sockets)))
 	if cfg.Site.MaxOpen > 0 {
 		p.maxOpen.Store(int64(cfg.Site.MaxOpen))
 	}
@@ -134,7 +117,7 @@
 		defer p.mu.Unlock()
 		p.loopEnded = true
 		for s := range p.sessions {
-			go s.abortAll() // what was taken, and the loop has not answered
+			go s.abortAll() // answers what was admitted, and the loop has not answered
 		}
 	}()
 	for {
@@ -151,8 +134,8 @@
 	}
 }
 
-// evictQuiet ends the connections on which nothing has been asked for longest: an eighth of all, and none
-// that was heard of just now.
+// evictQuiet closes the sessions that have been idle longest: an eighth of all, and none that was quiet for less than
+// minQuiet.
 func (p *protocol) evictQuiet() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,13 +155,7 @@
 	}
 }
 
-const (
-	minQuiet           = 2 * time.Second
-	defaultFreshPeriod = 250 * time.Millisecond
-)
-
-// SetDraining has each connection end once all that was taken on it is answered, or, with false, those that
-// come from now on no more.
+// SetDraining has each session end once all that was admitted on it is answered; with false, new sessions are served again.
 func (p *protocol) SetDraining(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,17 +168,17 @@
 	}
 }
 
-// Resize has it use no more than so many descriptors. What its messages take is bounded for each connection.
+// Resize bounds the sockets. Bytes are bounded for each connection, by its messages and operations.
 func (p *protocol) Resize(sockets, _ int) {
 	if p.cfg.Site.MaxOpen == 0 {
-		p.maxOpen.Store(4 * int64(core.ClientSockets(sockets)))
+		p.maxOpen.Store(operationsPerSocket * int64(core.ClientSockets(sockets)))
 	}
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
 	p.pool.maxConns = core.BackendSockets(sockets)
 }
 
-// Close ends what is left of clients' connections.
+// Close closes the clients' connections that are left, and waits for their readers.
 func (p *protocol) Close() error {
 	p.mu.Lock()
 	for s := range p.sessions {
@@ -212,10 +189,23 @@
 	return nil
 }
 
-// OpenRequests is how many operations are open.
+// OpenRequests is how many operations have no final answer yet.
 func (p *protocol) OpenRequests() int64 { return p.openOperations.Load() }
 
-// Probe examines a server: by a connection, as anybody, on which it is asked for nothing.
+// Attempt sends an operation to a server once. The second result is the last message of the response, nil unless the first
+// is decide.OK.
+func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
+	result, final := p.pool.attempt(a, a.Message.(*operation))
+	if final == nil {
+		return result, nil, unknownLoad // an untyped nil
+	}
+	return result, final, unknownLoad
+}
+
+// unknownLoad is a load report without values: directory servers send none.
+var unknownLoad = decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}
+
+// Probe checks a server's health: it opens an anonymous connection, and sends nothing on it.
 func (p *protocol) Probe(server string) decide.ProbeResult {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Settings.ConnectTimeout)
@@ -227,49 +217,14 @@
 		p.pool.markSuspect(c)
 		p.pool.release(c)
 	}
-	return decide.ProbeResult{Backend: server, Result: result, Latency: time.Since(start), Load: decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}}
+	return decide.ProbeResult{Backend: server, Result: result, Latency: time.Since(start), Load: unknownLoad}
 }
 
-// Update takes a change of the list.
+// Update takes a change of the endpoint list.
 func (p *protocol) Update(l core.List) { p.pool.update(l) }
 
-// ReapIdle closes connections to servers that have stood idle for too long.
+// ReapIdle closes connections to servers that have been idle for too long, until ctx ends.
 func (p *protocol) ReapIdle(ctx context.Context) { p.pool.reapIdle(ctx) }
 
-// Shutdown closes the connections to servers.
+// Shutdown closes the connections to servers, and keeps none from now on.
 func (p *protocol) Shutdown() { p.pool.shutdown() }
-
-// kindOf is what an operation is, and what it says of its time. An error is an answer to its client.
-func kindOf(m *ldapmsg.Message) (k kind, limit time.Duration, err error) {
-	switch m.Op {
-	case ldapmsg.SearchRequest:
-		s, err := ldapmsg.ParseSearch(m.Content)
-		if err != nil {
-			return 0, 0, err
-		}
-		if s.Base {
-			return kindLookup, time.Duration(s.TimeLimit) * time.Second, nil
-		}
-		return kindSearch, time.Duration(s.TimeLimit) * time.Second, nil
-	case ldapmsg.CompareRequest:
-		return kindCompare, 0, nil
-	case ldapmsg.AddRequest:
-		return kindAdd, 0, nil
-	case ldapmsg.DelRequest:
-		return kindDelete, 0, nil
-	case ldapmsg.ModDNRequest:
-		return kindModDN, 0, nil
-	case ldapmsg.ExtRequest:
-		name, _, err := ldapmsg.ExtendedName(m.Content)
-		switch {
-		case err != nil:
-			return 0, 0, err
-		case name == ldapmsg.OIDWhoAmI:
-			return kindLookup, 0, nil
-		case name == ldapmsg.OIDPasswordModify:
-			return kindPassword, 0, nil
-		}
-		return kindExtended, 0, nil
-	}
-	return kindModify, 0, nil
-}
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"strconv"
 	"sync"
 	"sync/atomic"
-	"time"
-	"vetchhaven/decide"
+
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/ldapmsg"
 )
@@ -19,25 +17,25 @@
 	raw          []byte
 	kind         kind
 	request      *core.Request
-	identity     *identity   // as whom it runs; held
-	newIdentity  *identity   // of a bind: as whom the client will be; held
+	identity     *identity   // as whom it runs; retained
+	newIdentity  *identity   // of a bind: whose the session will be; retained
 	sasl         bool        // a bind of more than one step
-	requiredConn *serverConn // the only one on which it may run
+	requiredConn *serverConn // the only one on which it may run; nil: any
 	paged        bool
-	cookie       string // by which conn was found
+	cookie       string // of a further page: by which requiredConn was found
 	done         chan struct{}
-	refs         atomic.Int32 // the session's, and attempts'
+	refs         atomic.Int32 // the session's and the attempts'; at 0 passwords are wiped
 
 	mu             sync.Mutex
-	attemptConn    *serverConn // where its present attempt is
+	attemptConn    *serverConn // of its present attempt; nil: none is on a server
 	attemptID      int32
-	attemptStarted bool // an attempt writes it, or has: it may run
-	abandoned      bool // its client wants no answer
+	attemptStarted bool // an attempt has been admitted to write it: it may run
+	abandoned      bool // its client wants no response
 	cancelled      bool // by a Cancel, before it was sent
 }
 
-// admitWrite admits the first byte of an attempt, unless the client has abandoned or cancelled the operation: the two exclude
-// each other.
+// admitWrite admits the first byte of an attempt, unless the client has abandoned or cancelled the operation. It and
+// handleCancel exclude each other by the lock.
 func (o *operation) admitWrite() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -45,7 +43,7 @@
 	return o.attemptStarted
 }
 
-// operationGuard is the guard of an operation's attempt: the request's own, and its client's word.
+// operationGuard guards the writes of an operation's attempt: the request's own guard, and admitWrite.
 type operationGuard struct {
 	*core.Attempt
 	operation *operation
@@ -53,8 +51,8 @@
 
 // BeginWrite admits the attempt's first byte.
 func (g operationGuard) BeginWrite(interrupt func()) core.SendRefusal {
-	if why := g.Attempt.BeginWrite(interrupt); why != core.SendAllowed {
-		return why
+	if reason := g.Attempt.BeginWrite(interrupt); reason != core.SendAllowed {
+		return reason
 	}
 	if !g.operation.admitWrite() {
 		g.EndWrite()
@@ -63,7 +61,7 @@
 	return core.SendAllowed
 }
 
-// retain keeps what an operation needs, for an attempt; false: it is wiped already.
+// retain keeps an operation's credentials for an attempt. It reports false if they are wiped already.
 func (o *operation) retain() bool {
 	for n := o.refs.Load(); n > 0; n = o.refs.Load() {
 		if o.refs.CompareAndSwap(n, n+1) {
@@ -73,7 +71,7 @@
 	return false
 }
 
-// release ends a hold. With the last one a password is wiped.
+// release ends a retain. The last one wipes passwords.
 func (o *operation) release() {
 	if o.refs.Add(-1) > 0 {
 		return
@@ -85,10 +83,12 @@
 	o.newIdentity.release()
 }
 
-// setAttempt notes where the present attempt is; an abandon that came just before is passed on.
+// setAttempt sets where the present attempt is. An abandon that came just before is sent to the server.
 func (o *operation) setAttempt(c *serverConn, id int32) {
 	o.mu.Lock()
-	o.attemptConn, o.attemptID, o.attemptStarted = c, id, c != nil
+	o.attemptConn = c
+	o.attemptID = id
+	o.attemptStarted = c != nil
 	late := c != nil && o.abandoned
 	o.mu.Unlock()
 	if late {
@@ -96,14 +96,14 @@
 	}
 }
 
-// isAbandoned reports whether the client wants no answer any more.
+// isAbandoned reports whether the client wants no response.
 func (o *operation) isAbandoned() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.abandoned
 }
 
-// abandon takes the operation for one whose client is gone.
+// abandon has the operation end as one whose client has disconnected.
 func (o *operation) abandon() {
 	o.mu.Lock()
 	o.abandoned = true
@@ -111,38 +111,7 @@
 	o.session.protocol.loop.ClientDisconnected(o.request)
 }
 
-// submit gives an operation to the loop.
-func (s *session) submit(o *operation, limit time.Duration) {
-	p := s.protocol
-	o.refs.Store(1)
-	class := p.classes[o.kind]
-	wait := p.cfg.Settings.Classes[class].Deadline
-	if limit > 0 {
-		wait = min(wait, limit)
-	}
-	o.request = core.NewRequest(strconv.FormatUint(p.lastID.Add(1), 36), class, o.finish)
-	o.request.Message, o.request.Client = o, s.raw
-	o.request.Deadline, o.request.Remaining = time.Now().Add(wait), wait
-	if o.requiredConn != nil {
-		o.request.OnlyServer = o.requiredConn.server
-	}
-	s.mu.Lock()
-	s.operations[o.id] = o
-	s.mu.Unlock()
-	if p.openOperations.Add(1) > p.maxOpen.Load() {
-		o.finish(core.Answer{Refused: true})
-		return
-	}
-	p.loop.Submit(o.request)
-	p.mu.Lock()
-	ended := p.loopEnded
-	p.mu.Unlock()
-	if ended { // the loop may have ended before it saw this one
-		o.request.Abort()
-	}
-}
-
-// finish gives an operation its final answer, once. It never waits.
+// finish takes an operation's final answer, and queues its response. It takes effect once, and never waits.
 func (o *operation) finish(a core.Answer) {
 	s := o.session
 	s.mu.Lock()
@@ -153,7 +122,8 @@
 	delete(s.operations, o.id)
 	s.protocol.openOperations.Add(-1)
 	o.mu.Lock()
-	abandoned, cancelled := o.abandoned, o.cancelled
+	abandoned := o.abandoned
+	cancelled := o.cancelled
 	o.mu.Unlock()
 	var text []byte
 	op := ldapmsg.ResponseTo(o.message.Op)
@@ -177,14 +147,14 @@
 		text = ldapmsg.Response(o.id, op, ldapmsg.Other, "failed: it may have been done")
 	}
 	if o.message.Op == ldapmsg.BindRequest && !served {
-		s.setIdentity(nil, nil) // RFC 4511, 4.2.1: after a failed bind, anybody
+		s.setIdentity(nil, nil) // after a failed bind the session is anonymous (RFC 4511, 4.2.1)
 	}
 	if text != nil {
 		s.enqueue(text)
 	}
 	if o.paged && o.requiredConn != nil && o.requiredConn != s.stickyConn {
 		switch {
-		case a.Refused && !s.closed: // it may be asked for again
+		case a.Refused && !s.closed: // the client may ask for the page again
 			s.keepPagedConn(o.cookie, o.requiredConn)
 		case got == nil || got.conn != o.requiredConn:
 			go o.requiredConn.unreserve()
@@ -198,7 +168,7 @@
 	}
 }
 
-// refusalText says when to try again.
+// refusalText is the diagnostic message of a rejected operation: that a retry is harmless, when, and why it was rejected.
 func (p *protocol) refusalText(a core.Answer) string {
 	text := "refused: nothing was done, and trying again is harmless"
 	if a.RetryAfter > 0 && p.cfg.Settings.RetryAfter {
@@ -215,13 +185,3 @@
 	}
 	return text
 }
-
-// Attempt sends an operation to a server, once.
-func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
-	result, got := p.pool.attempt(a, a.Message.(*operation))
-	load := decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}
-	if got == nil {
-		return result, nil, load
-	}
-	return result, got, load
-}
--- a/internal/protocol/ldap/options.go
+++ b/internal/protocol/ldap/options.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// Options are what an instance that speaks LDAP is told besides core.Config. They can be compared.
+// Options are the settings of an instance that speaks LDAP, besides core.Config. They can be compared.
 type Options struct {
 	MaxMessage int           // bytes of one message, both ways; 0: 1 MiB
 	MaxOpen    int           // operations at once on one client connection; 0: 64
 	MaxShared  int           // operations at once on one server connection; 0: 16
-	MaxIdle    time.Duration // a client connection on which nothing is asked for so long ends; 0: 15 min
+	MaxIdle    time.Duration // how long a client connection may be idle; 0: 15 min
 
-	// Towards clients: a certificate and its key in PEM. With one, StartTLS (RFC 4511, 4.14) is served, and
-	// passwords are taken under TLS only; LDAPS has every connection begin with TLS.
+	// Towards clients: files with a certificate and its key in PEM. With these StartTLS (RFC 4511, 4.14) is served, and
+	// passwords are accepted under TLS alone; with LDAPS every connection begins with TLS.
 	Certificate, Key string
 	LDAPS            bool
-	// Towards servers: "" (plain), "starttls" or "ldaps", with the CA's certificate in PEM and the name that a
-	// server's certificate must be of. What can't be had so is not tried otherwise.
+	// Towards servers: "" (plain), "starttls" or "ldaps", a file with the CA's certificate in PEM, and the name that a
+	// server's certificate must have. There is no fallback to plain.
 	ServerTLS, ServerCA, ServerName string
 
-	FilesDigest string // a sum of the files, so that a changed one is a change
+	FilesDigest string // a digest of the files' content, so that options differ if a file does
 }
 
+// Defaults of Options.
 const (
 	defaultMaxMessage = 1 << 20
 	defaultMaxOpen    = 64
@@ -34,7 +35,7 @@
 	defaultMaxIdle    = 15 * time.Minute
 )
 
-// tlsConfigs reads the files: for clients and for servers, nil where there is none.
+// tlsConfigs returns the configurations towards clients and towards servers, nil where TLS is not set.
 func (o *Options) tlsConfigs() (clients, servers *tls.Config, err error) {
 	if (o.Certificate == "") != (o.Key == "") {
 		return nil, nil, errors.New("certificate and key go together")
@@ -70,7 +71,7 @@
 	return clients, servers, nil
 }
 
-// Check reports what makes no sense, the files included.
+// Check returns an error if options contradict one another, or a file can't be used.
 func (o *Options) Check() error {
 	_, _, err := o.tlsConfigs()
 	return err
--- /dev/null
+++ b/internal/protocol/ldap/request.go
@@ -0,0 +1,156 @@
+package ldap
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/protocol/ldapmsg"
+)
+
+// handleMessage handles a client's message. more is false where the connection has come to its end; an error is about bytes
+// that make no sense.
+func (s *session) handleMessage(raw []byte, m ldapmsg.Message) (more bool, err error) {
+	switch m.Op {
+	case ldapmsg.UnbindRequest:
+		return false, nil
+	case ldapmsg.AbandonRequest:
+		if id, err := ldapmsg.ParseAbandon(m.Content); err == nil {
+			s.handleAbandon(id)
+		}
+		return true, nil // it has no response, and if it makes no sense no effect (RFC 4511, 4.11)
+	}
+	if ldapmsg.ResponseTo(m.Op) == 0 {
+		return false, fmt.Errorf("%w: a client sends no message of tag %#x", ldapmsg.ErrMalformed, m.Op)
+	}
+	if m.ID == 0 { // reserved for unsolicited notifications (RFC 4511, 4.1.1.1)
+		return false, fmt.Errorf("%w: messageID 0", ldapmsg.ErrMalformed)
+	}
+	s.mu.Lock()
+	_, used := s.operations[m.ID]
+	open := len(s.operations)
+	closing := s.closing
+	stickyConn := s.stickyConn
+	s.mu.Unlock()
+	switch {
+	case used: // RFC 4511, 4.1.1.1
+		return false, fmt.Errorf("%w: messageID %d is in use", ldapmsg.ErrMalformed, m.ID)
+	case closing:
+		return true, nil // it comes behind the Notice of Disconnection
+	case open >= s.protocol.options.MaxOpen:
+		s.respond(m.ID, m.Op, ldapmsg.Busy, "too many operations at once on this connection: nothing was done")
+		return true, nil
+	case m.Op == ldapmsg.BindRequest:
+		return s.handleBind(raw, m)
+	case stickyConn != nil && stickyConn.isUnusable():
+		s.closeWithNotice(ldapmsg.Unavailable, "the server connection of this SASL bind has ended")
+		return false, nil
+	case m.Op == ldapmsg.ExtRequest:
+		return s.handleExtended(raw, m)
+	}
+	s.handleOperation(raw, m)
+	return true, nil
+}
+
+// handleExtended handles an extended request (RFC 4511, 4.12): some are for the agent, all others are forwarded.
+func (s *session) handleExtended(raw []byte, m ldapmsg.Message) (more bool, err error) {
+	name, value, err := ldapmsg.ExtendedName(m.Content)
+	if err != nil {
+		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
+		return true, nil
+	}
+	switch name {
+	case ldapmsg.OIDStartTLS:
+		return s.startTLS(m)
+	case ldapmsg.OIDCancel:
+		s.handleCancel(m, value)
+	case ldapmsg.OIDStartTxn, ldapmsg.OIDEndTxn:
+		// A transaction belongs to a server connection, and these are shared.
+		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "transactions are not served here")
+	default:
+		s.handleOperation(raw, m)
+	}
+	return true, nil
+}
+
+// handleOperation submits an operation that is to be forwarded.
+func (s *session) handleOperation(raw []byte, m ldapmsg.Message) {
+	kind, timeLimit, err := kindOf(&m)
+	if err != nil {
+		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
+		return
+	}
+	own := slices.Clone(raw)
+	m, _ = ldapmsg.Parse(own) // it was parsed before
+	o := &operation{session: s, id: m.ID, message: m, raw: own, kind: kind}
+	if !s.assignPagedConn(o) {
+		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "this cookie's server connection is gone: begin the search anew")
+		return
+	}
+	s.mu.Lock()
+	if s.identity != nil && s.identity.rejected.Load() {
+		s.enqueue(ldapmsg.Response(m.ID, ldapmsg.ResponseTo(m.Op), ldapmsg.StrongerAuthRequired, rebindText))
+		s.mu.Unlock()
+		return
+	}
+	o.identity = s.identity.retain()
+	if s.stickyConn != nil {
+		o.requiredConn = s.stickyConn
+	}
+	s.mu.Unlock()
+	s.submit(o, timeLimit)
+}
+
+// assignPagedConn has a further page of a paged search (RFC 2696) run on the server connection that has the search's state.
+// It reports false if that has ended.
+func (s *session) assignPagedConn(o *operation) bool {
+	cookie, paged := ldapmsg.PagedCookie(o.message.Controls)
+	if !paged || o.message.Op != ldapmsg.SearchRequest {
+		return true
+	}
+	o.paged = true
+	if len(cookie) == 0 { // the first page
+		return true
+	}
+	o.cookie = string(cookie)
+	s.mu.Lock()
+	o.requiredConn = s.pagedConns[o.cookie]
+	delete(s.pagedConns, o.cookie)
+	s.mu.Unlock()
+	return o.requiredConn != nil && !o.requiredConn.isUnusable()
+}
+
+// submit admits an operation, and gives it to the loop. timeLimit is the client's own; 0: none.
+func (s *session) submit(o *operation, timeLimit time.Duration) {
+	p := s.protocol
+	o.refs.Store(1)
+	class := p.classes[o.kind]
+	wait := p.cfg.Settings.Classes[class].Deadline
+	if timeLimit > 0 {
+		wait = min(wait, timeLimit)
+	}
+	o.request = core.NewRequest(strconv.FormatUint(p.lastID.Add(1), 36), class, o.finish)
+	o.request.Message = o
+	o.request.Client = s.raw
+	o.request.Deadline = time.Now().Add(wait)
+	o.request.Remaining = wait
+	if o.requiredConn != nil {
+		o.request.OnlyServer = o.requiredConn.server
+	}
+	s.mu.Lock()
+	s.operations[o.id] = o
+	s.mu.Unlock()
+	if p.openOperations.Add(1) > p.maxOpen.Load() {
+		o.finish(core.Answer{Refused: true})
+		return
+	}
+	p.loop.Submit(o.request)
+	p.mu.Lock()
+	ended := p.loopEnded
+	p.mu.Unlock()
+	if ended { // the loop may have ended before it saw this one
+		o.request.Abort()
+	}
+}
--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -1,54 +1,63 @@
 package ldap
 
 import (
+	"crypto/tls"
 	"errors"
-	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
+
 	"vetchhaven/internal/core"
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
 const (
-	// maxQueuedBytes is how many bytes wait for a client to read them before attempts wait for it too.
+	// maxQueuedBytes is how many bytes are queued for a client before attempts wait for it to read. A larger value takes more
+	// memory, a smaller one slows down servers' connections.
 	maxQueuedBytes = 256 << 10
-	// writeTimeout is what a client has to take what is written to it.
+	// writeTimeout is how long a write to a client, or of a message that belongs to no request to a server, may take.
 	writeTimeout = 10 * time.Second
-	// lingerTime is what a client has to read a last word before its connection closes: closed with
-	// something unread on it, it would be reset, and the word lost.
+	// lingerTime is what a client has to read the last message before its connection is closed: a close with unread bytes is
+	// a reset, and the message would be lost.
 	lingerTime       = 500 * time.Millisecond
-	maxPagedSearches = 8 // paged searches that are kept for one client
+	maxPagedSearches = 8 // paged searches whose server connections are reserved for one client
 )
 
-// session is one client connection.
+// session is one client's connection.
 type session struct {
 	protocol     *protocol
 	raw          net.Conn // as the connection limiter accepted it
 	in           *ldapmsg.Reader
-	lastReceived atomic.Int64 // when something came, ns since the protocol was made
-	hasRequested atomic.Bool  // a message has come
+	lastReceived atomic.Int64 // when a message came, in ns since protocol.startedAt
+	hasRequested atomic.Bool  // a message was received
 
 	mu          sync.Mutex
 	conn        net.Conn // raw, or TLS on it
 	secured     bool
-	writeSpace  *sync.Cond // there is room in out, or none will come
+	writeSpace  *sync.Cond // signalled when queuedBytes falls, or the session is closed
 	operations  map[int32]*operation
 	writeQueue  [][]byte
 	queuedBytes int
 	writing     bool
 	identity    *identity
-	stickyConn  *serverConn // of a SASL bind: all goes there
+	stickyConn  *serverConn // of a SASL bind: all operations go there; nil: none
 	pagedConns  map[string]*serverConn
-	closing     bool // takes nothing more; ends when all is answered
+	closing     bool // takes no further request; closes when all are answered
 	notice      []byte
 	closed      bool
-	done        chan struct{} // closed when stopping and the last word is out
+	done        chan struct{} // closed when the session is closed
 }
 
+// serve reads a client's messages until its connection ends.
 func (p *protocol) serve(nc net.Conn) {
-	s := &session{protocol: p, raw: nc, conn: nc, operations: map[int32]*operation{}, done: make(chan struct{})}
+	s := &session{
+		protocol:   p,
+		raw:        nc,
+		conn:       nc,
+		operations: map[int32]*operation{},
+		done:       make(chan struct{}),
+	}
 	s.writeSpace = sync.NewCond(&s.mu)
 	s.markReceived()
 	p.mu.Lock()
@@ -86,17 +95,19 @@
 			s.readFailed(err)
 			return
 		}
-		if more, err := s.handleMessage(raw, m); err != nil {
+		more, err := s.handleMessage(raw, m)
+		if err != nil {
 			s.readFailed(err)
 			return
-		} else if !more {
+		}
+		if !more {
 			return
 		}
 	}
 }
 
-// startReader reads from the present connection. A client has a while for its first message, and for each
-// message from its first byte on; between messages it may be quiet for longer.
+// startReader reads from the present connection. A client has core.HeadTimeout for its first message, and for each message
+// from its first byte on; between messages it may be quiet for Options.MaxIdle.
 func (s *session) startReader() {
 	first := s.in == nil
 	s.in = ldapmsg.NewReader(s.conn, s.protocol.options.MaxMessage)
@@ -110,6 +121,7 @@
 	s.in.OnPartial = func() { s.setReadDeadline(time.Now().Add(core.HeadTimeout)) }
 }
 
+// setReadDeadline bounds the next read, unless the session is closing: then reading has ended.
 func (s *session) setReadDeadline(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,28 +130,31 @@
 	}
 }
 
+// markReceived takes note that a message came.
 func (s *session) markReceived() { s.lastReceived.Store(int64(time.Since(s.protocol.startedAt))) }
 
+// quietFor is how long ago the last message came.
 func (s *session) quietFor() time.Duration {
 	return time.Since(s.protocol.startedAt) - time.Duration(s.lastReceived.Load())
 }
 
+// isIdle reports whether no operation is open.
 func (s *session) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.operations) == 0
 }
 
-// readFailed ends the reading of a connection: after bytes that make no sense with a notice, once what was
-// taken is answered; after its end at once, since nobody is there to be answered.
+// readFailed ends a session after an error of its reader: after malformed bytes or a timeout with a Notice of Disconnection,
+// once what was admitted is answered; after the connection's end at once, since nobody is there to get a response.
 func (s *session) readFailed(err error) {
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, ldapmsg.ErrMalformed):
 		s.protocol.log.Warn("client connection ended", "client", s.raw.RemoteAddr().String(), "error", err)
 		s.closeWithNotice(ldapmsg.ProtocolErrorCode, err.Error())
-	case errors.As(err, &late) && late.Timeout():
-		if s.isClosing() { // reading was stopped: answers are on their way
+	case errors.As(err, &netErr) && netErr.Timeout():
+		if s.isClosing() { // reading was ended: responses are still to be written
 			<-s.done
 			return
 		}
@@ -153,95 +168,115 @@
 	return s.closing
 }
 
-// handleMessage handles one message. It reports false where the connection has come to its end.
-func (s *session) handleMessage(raw []byte, m ldapmsg.Message) (more bool, err error) {
-	switch m.Op {
-	case ldapmsg.UnbindRequest:
-		return false, nil
-	case ldapmsg.AbandonRequest:
-		if what, err := ldapmsg.ParseAbandon(m.Content); err == nil {
-			s.handleAbandon(what)
+// drain ends the session once all that was admitted is answered. One without a request is served for freshPeriod: it was
+// accepted just before the next copy would have accepted it.
+func (s *session) drain() {
+	if !s.hasRequested.Load() {
+		wait := time.NewTimer(s.protocol.freshPeriod)
+		defer wait.Stop()
+		select {
+		case <-s.done:
+		case <-wait.C:
 		}
-		return true, nil // it has no answer, and if it makes no sense no effect (RFC 4511, 4.11)
-	}
-	if ldapmsg.ResponseTo(m.Op) == 0 {
-		return false, fmt.Errorf("%w: a client sends no message of tag %#x", ldapmsg.ErrMalformed, m.Op)
-	}
-	if m.ID == 0 {
-		return false, fmt.Errorf("%w: messageID 0", ldapmsg.ErrMalformed)
 	}
+	s.closeWithNotice(ldapmsg.Unavailable, "this agent stops: ask again on a new connection")
+}
+
+// closeWithNotice ends the session with a Notice of Disconnection (RFC 4511, 4.4.1), once all that was admitted is answered.
+// It takes no further request, and returns when the session is closed.
+func (s *session) closeWithNotice(code int, text string) {
 	s.mu.Lock()
-	_, used := s.operations[m.ID]
-	n := len(s.operations)
-	stopping, pinned := s.closing, s.stickyConn
-	s.mu.Unlock()
-	if used {
-		return false, fmt.Errorf("%w: messageID %d is in use", ldapmsg.ErrMalformed, m.ID)
-	}
-	if stopping {
-		return true, nil // it comes behind the last word
+	if s.closing || s.closed {
+		s.mu.Unlock()
+		return
 	}
-	if n >= s.protocol.options.MaxOpen {
-		s.respond(m.ID, m.Op, ldapmsg.Busy, "too many operations at once on this connection: nothing was done")
-		return true, nil
+	s.closing = true
+	s.notice = ldapmsg.Disconnection(code, text)
+	_ = s.conn.SetReadDeadline(core.LongAgo) // the reader ends
+	s.sendNoticeIfIdle()
+	s.mu.Unlock()
+	<-s.done
+}
+
+// sendNoticeIfIdle sends the notice of a session that is closing, once no operation is open. The lock is held.
+func (s *session) sendNoticeIfIdle() {
+	if !s.closing || len(s.operations) > 0 || s.notice == nil {
+		return
 	}
-	if m.Op == ldapmsg.BindRequest {
-		return s.handleBind(raw, m)
+	s.enqueue(s.notice)
+	s.notice = nil
+	go s.linger()
+}
+
+// linger lets the client read what is queued, and closes the connection.
+func (s *session) linger() {
+	s.mu.Lock()
+	for s.queuedBytes > 0 && !s.closed {
+		s.writeSpace.Wait()
 	}
-	if pinned != nil && pinned.isUnusable() {
-		s.closeWithNotice(ldapmsg.Unavailable, "the server connection of this SASL bind has ended")
-		return false, nil
+	conn := s.conn
+	raw := s.raw
+	s.mu.Unlock()
+	switch c := conn.(type) {
+	case *tls.Conn:
+		_ = c.CloseWrite()
+	case interface{ CloseWrite() error }:
+		_ = c.CloseWrite()
 	}
-	if m.Op == ldapmsg.ExtRequest {
-		name, value, err := ldapmsg.ExtendedName(m.Content)
-		if err != nil {
-			s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
-			return true, nil
-		}
-		switch name {
-		case ldapmsg.OIDStartTLS:
-			return s.startTLS(m)
-		case ldapmsg.OIDCancel:
-			s.handleCancel(m, value)
-			return true, nil
-		case ldapmsg.OIDStartTxn, ldapmsg.OIDEndTxn:
-			// A transaction belongs to a server connection, and these are shared.
-			s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "transactions are not served here")
-			return true, nil
+	buf := make([]byte, 1024)
+	end := time.Now().Add(lingerTime)
+	for raw.SetReadDeadline(end) == nil {
+		if _, err := raw.Read(buf); err != nil {
+			break
 		}
 	}
-	k, limit, err := kindOf(&m)
-	if err != nil {
-		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, err.Error())
-		return true, nil
-	}
-	own := append([]byte(nil), raw...)
-	m, _ = ldapmsg.Parse(own) // it was parsed before
-	o := &operation{session: s, id: m.ID, message: m, raw: own, kind: k}
-	if cookie, paged := ldapmsg.PagedCookie(m.Controls); paged && m.Op == ldapmsg.SearchRequest {
-		o.paged = true
-		if len(cookie) > 0 {
-			s.mu.Lock()
-			o.requiredConn, o.cookie = s.pagedConns[string(cookie)], string(cookie)
-			delete(s.pagedConns, string(cookie))
-			s.mu.Unlock()
-			if o.requiredConn == nil || o.requiredConn.isUnusable() {
-				s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "this cookie's server connection is gone: begin the search anew")
-				return true, nil
-			}
-		}
+	s.closeNow()
+}
+
+// abortAll answers the open operations as failed: the loop has ended.
+func (s *session) abortAll() {
+	s.mu.Lock()
+	var all []*operation
+	for _, o := range s.operations {
+		all = append(all, o)
 	}
+	s.mu.Unlock()
+	for _, o := range all {
+		o.request.Abort()
+	}
+}
+
+// closeNow closes the connection and cancels the operations that are open on it.
+func (s *session) closeNow() {
 	s.mu.Lock()
-	if s.identity != nil && s.identity.rejected.Load() {
-		s.enqueue(ldapmsg.Response(m.ID, ldapmsg.ResponseTo(m.Op), ldapmsg.StrongerAuthRequired, rebindText))
+	if s.closed {
 		s.mu.Unlock()
-		return true, nil
+		return
 	}
-	o.identity = s.identity.retain()
-	if s.stickyConn != nil {
-		o.requiredConn = s.stickyConn
+	s.closed = true
+	s.closing = true
+	_ = s.raw.Close()
+	var open []*operation
+	for _, o := range s.operations {
+		open = append(open, o)
+	}
+	s.setIdentity(nil, nil)
+	s.writeSpace.Broadcast()
+	select {
+	case <-s.done:
+	default:
+		close(s.done)
 	}
 	s.mu.Unlock()
-	s.submit(o, limit)
-	return true, nil
+	for _, o := range open {
+		o.mu.Lock()
+		o.abandoned = true
+		c := o.attemptConn
+		attemptID := o.attemptID
+		o.mu.Unlock()
+		if c != nil && o.message.Op == ldapmsg.SearchRequest {
+			c.sendAbandon(attemptID)
+		}
+		s.protocol.loop.ClientDisconnected(o.request)
+	}
 }
--- /dev/null
+++ b/internal/protocol/ldap/session_test.go
@@ -0,0 +1,268 @@
+package ldap
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	client "github.com/go-ldap/ldap/v3"
+
+	"vetchhaven/internal/core"
+	"vetchhaven/internal/protocol/ldapmsg"
+	"vetchhaven/internal/standin/directory"
+	"vetchhaven/internal/testkit"
+)
+
+// Bad input ends its connection with a notice within a few seconds, in bounded memory, and harms nobody
+// else.
+func TestMalformedMessageEndsConnection(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	a := start(t, testConfig(t, d), Options{})
+	good := a.dial(t)
+	if _, err := good.Search(one()); err != nil {
+		t.Fatal(err)
+	}
+	bomb := []byte{0xa0, 0} // an AND in an AND ...
+	for range 200 {
+		bomb = append([]byte{0xa0, 0x82, byte(len(bomb) >> 8), byte(len(bomb))}, bomb...)
+	}
+	body := append([]byte{0x04, 0, 0x0a, 1, 0, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0}, bomb...)
+	nested := ldapmsg.WithID(3, append([]byte{ldapmsg.SearchRequest, 0x82, byte(len(body) >> 8), byte(len(body))}, body...))
+	stall := make(chan struct{})
+	defer close(stall)
+	for name, text := range map[string][]byte{
+		"60 MB":             {0x30, 0x84, 0x03, 0x93, 0x87, 0x00, 0x02, 1, 1},
+		"indefinite length": {0x30, 0x80, 0x02, 1, 1, 0x42, 0, 0, 0},
+		"length of 5":       {0x30, 0x85, 0, 0, 0, 0, 5, 0x02, 1, 1, 0x42, 0},
+		"wrong tag":         []byte("GET / HTTP/1.1\r\n\r\n"),
+		"wrong operation":   ldapmsg.Response(1, ldapmsg.SearchDone, 0, ""),
+		"no operation":      {0x30, 3, 0x02, 1, 1},
+		"id 0":              rawSearch(0, 0),
+		"negative id":       {0x30, 5, 0x02, 1, 0xff, 0x42, 0},
+		"nesting":           nested,
+		"past its end":      {0x30, 5, 0x02, 1, 1, 0x63, 9},
+		"slow sender":       {0x30, 20, 0x02},
+		"silence":           {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			c := a.raw(t)
+			began := time.Now()
+			if _, err := c.Write(text); err != nil {
+				t.Fatal(err)
+			}
+			raw, err := ldapmsg.NewReader(c, 1<<20).Next()
+			if err != nil {
+				t.Fatalf("no notice: %v", err)
+			}
+			m, err := ldapmsg.Parse(raw)
+			if err != nil || m.ID != 0 || m.Op != ldapmsg.ExtResponse || !strings.Contains(string(m.Content), ldapmsg.OIDDisconnection) {
+				t.Errorf("%+v, %v", m, err)
+			}
+			if took := time.Since(began); took > testkit.Patience/2 {
+				t.Errorf("after %v", took)
+			}
+		})
+	}
+	// An id in use.
+	d.Script(func(o directory.Op) directory.Fault {
+		if o.Kind == "search" {
+			return directory.Fault{Wait: 50 * time.Millisecond}
+		}
+		return directory.Fault{}
+	})
+	c := a.raw(t)
+	if _, err := c.Write(append(rawSearch(4, 2), rawSearch(4, 2)...)); err != nil {
+		t.Fatal(err)
+	}
+	in := ldapmsg.NewReader(c, 1<<20)
+	dones, notices := 0, 0
+	for {
+		raw, err := in.Next()
+		if err != nil {
+			break
+		}
+		switch m, _ := ldapmsg.Parse(raw); m.Op {
+		case ldapmsg.SearchDone:
+			dones++
+		case ldapmsg.ExtResponse:
+			notices++
+		}
+	}
+	if dones != 1 || notices != 1 { // what was taken is answered, then comes the notice
+		t.Errorf("%d answers, %d notices", dones, notices)
+	}
+	// Garbage behind an Unbind is of no effect.
+	c = a.raw(t)
+	if _, err := c.Write(append(ldapmsg.Unbind(1), "garbage"...)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Read(make([]byte, 1)); err == nil {
+		t.Error("an answer to garbage")
+	}
+	if _, err := good.Search(one()); err != nil {
+		t.Errorf("others are harmed: %v", err)
+	}
+}
+
+// Thousands of silent connections make room for one that asks.
+func TestQuietConnectionsAreEvicted(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	cfg := testConfig(t, d)
+	cfg.Sockets = 64
+	a := start(t, cfg, Options{})
+	for range 60 {
+		c, err := net.Dial("tcp", a.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+	}
+	if _, err := a.dial(t).Search(one()); err != nil {
+		t.Error(err)
+	}
+}
+
+// A stop answers what was taken, then says goodbye, and takes nothing more.
+func TestDrainCompletesAdmittedOperations(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	d.Script(func(o directory.Op) directory.Fault {
+		came <- struct{}{}
+		return directory.Fault{Stall: hold}
+	})
+	a := start(t, testConfig(t, d), Options{})
+	a.p.freshPeriod = 2 * testkit.Patience
+	busy, quiet, fresh := a.raw(t), a.raw(t), a.raw(t) // the last is accepted, and yet to ask
+	nothing := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
+	ask := func(c net.Conn) {
+		t.Helper()
+		if _, err := c.Write(nothing); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := ldapmsg.NewReader(c, 1<<20).Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if m, _ := ldapmsg.Parse(raw); m.ID != 1 {
+			t.Errorf("%+v", m)
+		}
+	}
+	ask(quiet)
+	if _, err := busy.Write(rawSearch(1, 0)); err != nil {
+		t.Fatal(err)
+	}
+	testkit.Receive(t, "the search", came)
+	testkit.WaitFor(t, "all connections", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return len(a.p.sessions) == 3 })
+	a.stop()
+	testkit.WaitFor(t, "the stop", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return a.p.draining })
+	ask(fresh) // what a connection asks first, just after the copy began to end, is answered
+	fresh.Close()
+	read := func(c net.Conn) (ops []byte) {
+		in := ldapmsg.NewReader(c, 1<<20)
+		for {
+			raw, err := in.Next()
+			if err != nil {
+				if !errors.Is(err, io.EOF) {
+					t.Errorf("not an orderly end: %v", err)
+				}
+				return ops
+			}
+			m, _ := ldapmsg.Parse(raw)
+			ops = append(ops, m.Op)
+		}
+	}
+	if got := read(quiet); string(got) != string([]byte{ldapmsg.ExtResponse}) {
+		t.Errorf("a quiet connection got %x", got)
+	}
+	close(hold)
+	if got := read(busy); string(got) != string([]byte{ldapmsg.SearchEntry, ldapmsg.SearchDone, ldapmsg.ExtResponse}) {
+		t.Errorf("a busy connection got %x", got)
+	}
+	if err := testkit.Receive(t, "end", a.done); err != nil {
+		t.Error(err)
+	}
+}
+
+// A panic in the loop: what was taken is answered failed.
+func TestPanicAnswersAdmittedOperations(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	defer close(hold)
+	d.Script(func(o directory.Op) directory.Fault {
+		came <- struct{}{}
+		return directory.Fault{Stall: hold}
+	})
+	cfg := testConfig(t, d)
+	a, _, err := newAgent(cfg, Options{}, testkit.Quiet, core.Parts{NoLateConnections: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var blow atomic.Bool
+	a.SetStepHook(func(core.Totals) {
+		if blow.Load() {
+			panic("brought about")
+		}
+	})
+	ended := make(chan error, 1)
+	go func() { ended <- a.Run(t.Context()) }()
+	c, err := client.DialURL("ldap://" + a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	answered := make(chan error, 2)
+	go func() { answered <- c.Modify(modify("x")) }()
+	testkit.Receive(t, "the modify", came)
+	blow.Store(true)
+	go func() { answered <- c.Modify(modify("y")) }()
+	for range 2 {
+		if err := testkit.Receive(t, "answer", answered); code(err) != ldapmsg.Other {
+			t.Errorf("%v", err)
+		}
+	}
+	if err := testkit.Receive(t, "end", ended); !errors.Is(err, core.ErrPanic) {
+		t.Errorf("%v", err)
+	}
+}
+
+// A client that reads slowly holds up its own search, and nobody else's.
+func TestSlowClientDoesNotBlockOthers(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	long := strings.Repeat("x", 8<<10)
+	for n := range 2000 {
+		d.Add(fmt.Sprintf("cn=%d,ou=big", n), map[string][]string{"v": {long}})
+	}
+	a := start(t, testConfig(t, d), Options{})
+	slow := a.raw(t)
+	body := append([]byte{0x04, 6}, "ou=big"...)
+	body = append(body, 0x0a, 1, 2, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0, 0x87, 2, 'c', 'n', 0x30, 0)
+	if _, err := slow.Write(ldapmsg.WithID(1, append([]byte{ldapmsg.SearchRequest, byte(len(body))}, body...))); err != nil {
+		t.Fatal(err)
+	}
+	c := a.dial(t)
+	for range 50 {
+		if _, err := c.Search(one()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	in, n := ldapmsg.NewReader(slow, 1<<20), 0
+	for {
+		raw, err := in.Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if m, _ := ldapmsg.Parse(raw); m.Op == ldapmsg.SearchDone {
+			break
+		}
+		n++
+	}
+	if n != 2000 {
+		t.Errorf("%d entries", n)
+	}
+}
--- a/internal/protocol/ldapmsg/reader.go
+++ b/internal/protocol/ldapmsg/reader.go
@@ -4,10 +4,10 @@
 	"io"
 )
 
-// minBuffer is how many bytes the buffer of an idle connection has; keptBuffers times as many are kept between messages.
+// minBuffer is how many bytes the buffer of an idle connection has; retainedBuffers times as many are kept between messages.
 const (
 	minBuffer   = 512
-	keptBuffers = 16
+	retainedBuffers = 16
 )
 
 // Reader frames a connection's messages. One goroutine may use it.
@@ -29,7 +29,7 @@
 // Next returns the next message's bytes, which are valid until the next call. An error of ErrMalformed is about the bytes;
 // any other one comes from reading, and is io.ErrUnexpectedEOF for an end within a message.
 func (r *Reader) Next() ([]byte, error) {
-	if r.start == r.end && len(r.buf) > keptBuffers*minBuffer {
+	if r.start == r.end && len(r.buf) > retainedBuffers*minBuffer {
 		// One large message is no reason to keep a large buffer.
 		r.buf = nil
 		r.start = 0
