--- a/internal/source/dnssource/dnssource.go
+++ b/internal/source/dnssource/dnssource.go
@@ -1,18 +1,17 @@
-// Package dnssource reads servers from DNS: SRV records (RFC 2782), and services announced by DNS-SD over
-// unicast DNS (RFC 6763). What it finds is reported to membership, which decides what it is worth.
+// Package dnssource reads servers from DNS and reports them to package endpoints, which decides what they are
+// worth. Source reads SRV records (RFC 2782) and services announced by DNS-SD (RFC 6763) from unicast resolvers;
+// Multicast follows DNS-SD over multicast DNS (RFC 6762).
+//
+// Each owns its state and runs in one goroutine, in which it also calls the report function. internal/host/daemon
+// starts one for each set of names. An incomplete reading is a failure, never a shorter list.
 package dnssource
 
 import (
 	"cmp"
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/miekg/dns"
@@ -20,49 +19,58 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// Options of a source.
+// Options configure a Source.
 type Options struct {
-	Name      string        // of the source, in reports
-	SRV       []string      // names such as _form._tcp.example.org
-	Browse    []string      // service types whose instances are browsed, such as _form._tcp.example.org
-	Resolvers []string      // IP and port; asked in turn until one answers
-	Floor     time.Duration // lifetimes are taken for at least so long; 0: 5 s
-	Ceiling   time.Duration // and at the most; 0: 5 min
-	Timeout   time.Duration // of one query; 0: 1 s
-	Log       *slog.Logger
-	Rand      func() float64 // in [0, 1); nil: a random one
-	// Exchange asks one resolver once; nil: by the network, "udp" or "tcp".
+	Name      string         // of the source, in reports and logs
+	SRV       []string       // names of SRV records, such as _form._tcp.example.org
+	Browse    []string       // service types whose instances are read, such as _form._tcp.example.org
+	Resolvers []string       // IP and port; each is tried until one responds
+	Floor     time.Duration  // minimum interval between readings, whatever the TTL; 0: defaultFloor
+	Ceiling   time.Duration  // maximum interval between readings, whatever the TTL; 0: defaultCeiling
+	Timeout   time.Duration  // of one query; 0: defaultTimeout
+	Log       *slog.Logger   // nil: nothing is logged
+	Rand      func() float64 // in [0, 1); nil: rand.Float64
+	// Exchange sends a query to one resolver over "udp" or "tcp"; nil: with the DNS client.
 	Exchange func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error)
 }
 
-// Source reads one set of names.
-type Source struct {
-	options    Options
-	logged     map[string]bool // TXT records that make no sense, said once
-	failures   int
-	queryCount int
-}
-
 const (
-	maxAliases = 8    // aliases that are followed
-	maxRecords = 5000 // of one answer
+	// defaultFloor bounds the load on the resolver by records with a tiny TTL. A larger value delays changes.
+	defaultFloor = 5 * time.Second
+	// defaultCeiling bounds the age of what was read from records with a long TTL. A larger value saves queries
+	// and delays changes.
+	defaultCeiling = 5 * time.Minute
+	// defaultTimeout is of one query to one resolver. A smaller value fails on slow resolvers, a larger one
+	// delays the query to the next.
+	defaultTimeout = time.Second
+	// minBackoff is the ceiling of the wait after the first failed reading; it doubles with each.
 	minBackoff = time.Second
+	// maxBackoff is where the doubling ends: so late at most is a recovery of the resolvers noticed.
 	maxBackoff = 30 * time.Second
+	// maxBackoffDoublings keeps the shift from overflowing; maxBackoff applies before it.
+	maxBackoffDoublings = 10
+	// failuresPerLog is how many failures in a row share one log line.
+	failuresPerLog = 20
+	// ttlJitter is the part of the TTL of which a random share is not waited for, so that agents that read
+	// together do not stay together. A larger part costs more queries.
+	ttlJitter = 10
+	// maxLogged bounds the problems that are remembered as logged. Further ones are not logged.
+	maxLogged = 1000
 )
 
-// Why a look-up brought nothing. Only errNone is an answer: the name is there, or not, and has no such
-// record.
-var (
-	errNoRecord      = errors.New("no such record")
-	errAliasLoop     = errors.New("aliases go round, or too far")
-	errMismatch      = errors.New("an answer to another question")
-	errServerFailure = errors.New("the resolver fails")
-	errTruncated     = errors.New("cut short, also over TCP")
-)
+// Source reads one set of names. It belongs to one goroutine.
+type Source struct {
+	options    Options
+	logged     map[string]bool // problems of records that have been logged, each once
+	failures   int             // failed readings in a row
+	queryCount int
+}
 
-// New is a source that has not asked yet.
+// New returns a Source that has read nothing.
 func New(o Options) *Source {
-	o.Floor, o.Ceiling, o.Timeout = cmp.Or(o.Floor, 5*time.Second), cmp.Or(o.Ceiling, 5*time.Minute), cmp.Or(o.Timeout, time.Second)
+	o.Floor = cmp.Or(o.Floor, defaultFloor)
+	o.Ceiling = cmp.Or(o.Ceiling, defaultCeiling)
+	o.Timeout = cmp.Or(o.Timeout, defaultTimeout)
 	if o.Rand == nil {
 		o.Rand = rand.Float64
 	}
@@ -71,17 +79,17 @@
 	}
 	if o.Exchange == nil {
 		o.Exchange = func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error) {
-			c := dns.Client{Net: network, Timeout: o.Timeout, UDPSize: 1232}
-			r, _, err := c.ExchangeContext(ctx, q, resolver)
-			return r, err
+			client := dns.Client{Net: network, Timeout: o.Timeout, UDPSize: udpSize}
+			response, _, err := client.ExchangeContext(ctx, q, resolver)
+			return response, err
 		}
 	}
 	return &Source{options: o, logged: map[string]bool{}}
 }
 
-// Run reads until ctx ends, and reports each view and each failure. Between two readings lies the least
-// lifetime of what was read, less a random tenth, so that many agents do not ask together; after a
-// failure a wait that doubles. No name is asked for oftener than the floor or the first wait.
+// Run reads until ctx ends, and reports each snapshot and each failure. The wait between two readings is the
+// lowest TTL of what was read, within the options' bounds and with jitter; after a failure it is an exponential
+// backoff with jitter.
 func (s *Source) Run(ctx context.Context, report func(endpoints.Report)) {
 	for ctx.Err() == nil {
 		servers, ttl, err := s.Read(ctx)
@@ -90,20 +98,16 @@
 			if ctx.Err() != nil {
 				return
 			}
-			if s.failures++; s.failures == 1 || s.failures%20 == 0 {
-				s.options.Log.Warn("names not read", "source", s.options.Name, "error", err, "failures", s.failures)
-			}
+			s.logFailure(err)
 			report(endpoints.Failed{Source: s.options.Name})
-			ceiling := min(minBackoff<<min(s.failures-1, 10), maxBackoff)
-			wait = ceiling/2 + time.Duration(s.options.Rand()*float64(ceiling)/2)
+			wait = s.backoff()
 		} else {
 			if s.failures > 0 {
 				s.options.Log.Info("names read again", "source", s.options.Name, "failures", s.failures)
 			}
 			s.failures = 0
 			report(endpoints.Snapshot{Source: s.options.Name, Servers: servers})
-			ttl = min(max(ttl, s.options.Floor), s.options.Ceiling)
-			wait = max(s.options.Floor, ttl-time.Duration(s.options.Rand()*float64(ttl)/10))
+			wait = s.refreshInterval(ttl)
 		}
 		select {
 		case <-time.After(wait):
@@ -112,325 +116,102 @@
 	}
 }
 
-// Read asks for everything once. A part that can't be had is a failure of the whole: a smaller fleet is
-// never read out of it.
-func (s *Source) Read(ctx context.Context) (servers []endpoints.Server, ttl time.Duration, err error) {
-	ttl = s.options.Ceiling
-	seen := map[string]bool{}
-	add := func(all []endpoints.Server, life time.Duration) {
-		for _, v := range all {
-			if !seen[v.ID] {
-				seen[v.ID] = true
-				servers = append(servers, v)
-			}
-		}
-		ttl = min(ttl, life)
-	}
-	for _, name := range s.options.SRV {
-		all, life, err := s.service(ctx, name, nil)
-		if err != nil {
-			return nil, 0, err
-		}
-		add(all, life)
+// logFailure counts a failed reading, and logs some of them.
+func (s *Source) logFailure(err error) {
+	s.failures++
+	if s.failures == 1 || s.failures%failuresPerLog == 0 {
+		s.options.Log.Warn("names not read", "source", s.options.Name, "error", err, "failures", s.failures)
 	}
-	for _, name := range s.options.Browse {
-		found, life, err := s.lookup(ctx, name, dns.TypePTR)
-		if err != nil && !errors.Is(err, errNoRecord) {
-			return nil, 0, err
-		}
-		ttl = min(ttl, life)
-		for _, rr := range found {
-			p, ok := rr.(*dns.PTR)
-			if !ok {
-				continue
-			}
-			texts, life, err := s.lookup(ctx, p.Ptr, dns.TypeTXT)
-			if err != nil && !errors.Is(err, errNoRecord) {
-				return nil, 0, err
-			}
-			ttl = min(ttl, life)
-			var keys []string
-			for _, rr := range texts {
-				if t, ok := rr.(*dns.TXT); ok {
-					keys = append(keys, t.Txt...)
-				}
-			}
-			all, life, err := s.service(ctx, p.Ptr, keys)
-			if err != nil {
-				return nil, 0, err
-			}
-			add(all, life)
-		}
-	}
-	return servers, ttl, nil
 }
 
-// service is the servers of one SRV name, with what a TXT record says of them.
-func (s *Source) service(ctx context.Context, name string, keys []string) (servers []endpoints.Server, ttl time.Duration, err error) {
-	found, ttl, extra, err := s.resolve(ctx, name, dns.TypeSRV)
-	if errors.Is(err, errNoRecord) {
-		return nil, ttl, nil
-	}
-	if err != nil {
-		return nil, 0, err
-	}
-	for _, rr := range found {
-		v, ok := rr.(*dns.SRV)
-		if !ok {
-			continue
-		}
-		if v.Target == "." { // decidedly not available (RFC 2782)
-			continue
-		}
-		addrs, life, err := s.addresses(ctx, v.Target, extra)
-		if errors.Is(err, errNoRecord) {
-			s.warnOnce("target "+v.Target, "a target has no address", v.Target)
-			continue
-		}
-		if err != nil {
-			return nil, 0, err
-		}
-		ttl = min(ttl, life)
-		servers = append(servers, s.serversOf(v, addrs, keys)...)
-	}
-	return servers, ttl, nil
+// backoff draws the wait after a failure: between half of a doubling ceiling and all of it.
+func (s *Source) backoff() time.Duration {
+	ceiling := min(minBackoff<<min(s.failures-1, maxBackoffDoublings), maxBackoff)
+	return ceiling/2 + time.Duration(s.options.Rand()*float64(ceiling)/2)
 }
 
-// serversOf are the servers of one SRV record, one for each address of its target, with what a TXT record says.
-func (s *Source) serversOf(v *dns.SRV, addrs, keys []string) (servers []endpoints.Server) {
-	port := strconv.Itoa(int(v.Port))
-	for i, a := range addrs {
-		server := endpoints.Server{ID: strings.ToLower(strings.TrimSuffix(v.Target, ".")) + ":" + port, Addr: net.JoinHostPort(a, port),
-			Weight: float64(v.Weight), Priority: int(v.Priority), State: endpoints.Up}
-		if i > 0 {
-			server.ID += "#" + a // a further address of the same name is another server
-		}
-		s.applyText(&server, v.Hdr.Name, keys)
-		servers = append(servers, server)
-	}
-	return servers
+// refreshInterval draws the wait after a reading with a TTL.
+func (s *Source) refreshInterval(ttl time.Duration) time.Duration {
+	ttl = min(max(ttl, s.options.Floor), s.options.Ceiling)
+	return max(s.options.Floor, ttl-time.Duration(s.options.Rand()*float64(ttl)/ttlJitter))
 }
 
-// addressOf is an A or AAAA record's address; empty: it is another's.
-func addressOf(rr dns.RR) string {
-	switch a := rr.(type) {
-	case *dns.A:
-		return a.A.String()
-	case *dns.AAAA:
-		return a.AAAA.String()
-	}
-	return ""
+// reading collects the servers of one reading. The first of several with the same ID counts.
+type reading struct {
+	servers []endpoints.Server
+	ttl     time.Duration // the lowest so far
+	seen    map[string]bool
 }
 
-// applyText takes the keys of a TXT record (RFC 6763, 6). One that makes no sense is left out, and said
-// once; the others hold.
-func (s *Source) applyText(v *endpoints.Server, name string, keys []string) {
-	for _, text := range keys {
-		key, value, ok := strings.Cut(text, "=")
-		if !ok || key == "" {
-			continue // no value: none of ours
-		}
-		var err error
-		switch strings.ToLower(key) {
-		case "id":
-			if value == "" {
-				err = errors.New("empty")
-			} else {
-				v.ID = value
-			}
-		case "pod":
-			var n uint64
-			if n, err = strconv.ParseUint(value, 10, 31); err == nil {
-				v.Pod = int(n)
-			}
-		case "zone":
-			v.Zone = value
-		case "kind":
-			v.Kind = value
-		case "weight":
-			var w float64
-			if w, err = strconv.ParseFloat(value, 64); err == nil && !(w >= 0 && w <= 1e6) {
-				err = errors.New("no weight")
-			} else if err == nil {
-				v.Weight = w
-			}
-		case "state":
-			switch value {
-			case "ready":
-			case "draining":
-				v.State = endpoints.Draining
-			case "gone":
-				v.State = endpoints.Removed
-			default:
-				err = errors.New("none of ready, draining, gone")
-			}
-		case "started":
-			var n int64
-			if n, err = strconv.ParseInt(value, 10, 64); err == nil && n > 0 {
-				v.Started = n
-			}
-		}
-		if err != nil {
-			s.warnOnce(name+" "+text, "a TXT key makes no sense: "+err.Error(), name, "key", key)
+func (r *reading) add(servers []endpoints.Server, ttl time.Duration) {
+	for _, server := range servers {
+		if !r.seen[server.ID] {
+			r.seen[server.ID] = true
+			r.servers = append(r.servers, server)
 		}
 	}
+	r.ttl = min(r.ttl, ttl)
 }
 
-// warnOnce logs a thing once.
-func (s *Source) warnOnce(key, text, name string, more ...any) {
-	if s.logged[key] || len(s.logged) > 1000 {
-		return
-	}
-	s.logged[key] = true
-	s.options.Log.Warn(text, append([]any{"source", s.options.Name, "name", name}, more...)...)
-}
-
-// addresses are a target's, by what came with the answer or by asking.
-func (s *Source) addresses(ctx context.Context, target string, extra []dns.RR) (addrs []string, ttl time.Duration, err error) {
-	ttl = s.options.Ceiling
-	collect := func(all []dns.RR) {
-		for _, rr := range all {
-			if !strings.EqualFold(rr.Header().Name, target) && len(extra) > 0 {
-				continue
-			}
-			ip := addressOf(rr)
-			if ip == "" {
-				continue
-			}
-			ttl = min(ttl, time.Duration(rr.Header().Ttl)*time.Second)
-			if !slices.Contains(addrs, ip) {
-				addrs = append(addrs, ip)
-			}
+// Read reads all names once. ttl is the lowest of all records, at most Options.Ceiling. If any part can't be
+// read, Read fails: the rest would look like a smaller fleet.
+func (s *Source) Read(ctx context.Context) (servers []endpoints.Server, ttl time.Duration, err error) {
+	r := &reading{ttl: s.options.Ceiling, seen: map[string]bool{}}
+	for _, name := range s.options.SRV {
+		servers, ttl, err := s.lookupService(ctx, name, nil)
+		if err != nil {
+			return nil, 0, err
 		}
+		r.add(servers, ttl)
 	}
-	collect(extra)
-	if len(addrs) == 0 {
-		extra = nil
-		none := 0
-		for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
-			all, life, err := s.lookup(ctx, target, kind)
-			if errors.Is(err, errNoRecord) {
-				none++
-				continue
-			}
-			if err != nil {
-				return nil, 0, err
-			}
-			ttl = min(ttl, life)
-			collect(all)
-		}
-		if none == 2 {
-			return nil, ttl, errNoRecord
+	for _, name := range s.options.Browse {
+		if err := s.browse(ctx, name, r); err != nil {
+			return nil, 0, err
 		}
 	}
-	slices.Sort(addrs)
-	return addrs, ttl, nil
+	return r.servers, r.ttl, nil
 }
 
-// lookup is the records of a name and type, behind its aliases.
-func (s *Source) lookup(ctx context.Context, name string, kind uint16) ([]dns.RR, time.Duration, error) {
-	all, ttl, _, err := s.resolve(ctx, name, kind)
-	return all, ttl, err
-}
-
-// resolve asks the resolvers in turn. Its error is errNone where one of them says that there is no such
-// record.
-func (s *Source) resolve(ctx context.Context, name string, kind uint16) (found []dns.RR, ttl time.Duration, extra []dns.RR, err error) {
-	name = dns.CanonicalName(name)
-	ttl = s.options.Ceiling
-	for range maxAliases {
-		r, err := s.queryResolvers(ctx, name, kind)
-		if err != nil {
-			return nil, 0, nil, err
+// browse reads the instances of a service type (RFC 6763, section 4).
+func (s *Source) browse(ctx context.Context, name string, r *reading) error {
+	instances, err := s.resolve(ctx, name, dns.TypePTR)
+	if err != nil && !errors.Is(err, errNoRecord) {
+		return err
+	}
+	r.ttl = min(r.ttl, instances.ttl)
+	for _, rr := range instances.records {
+		pointer, ok := rr.(*dns.PTR)
+		if !ok {
+			continue
 		}
-		if r.Rcode == dns.RcodeNameError || len(r.Answer) == 0 {
-			for _, rr := range r.Ns { // its lifetime (RFC 2308)
-				if soa, ok := rr.(*dns.SOA); ok {
-					ttl = min(ttl, time.Duration(min(soa.Hdr.Ttl, soa.Minttl))*time.Second)
-				}
-			}
-			return nil, ttl, nil, errNoRecord
+		texts, err := s.resolve(ctx, pointer.Ptr, dns.TypeTXT)
+		if err != nil && !errors.Is(err, errNoRecord) {
+			return err
 		}
-		// Aliases within the answer, then the records behind the last.
-		next := name
-		for range maxAliases + 1 {
-			alias := ""
-			for _, rr := range r.Answer {
-				life := time.Duration(rr.Header().Ttl) * time.Second
-				switch {
-				case !strings.EqualFold(rr.Header().Name, next):
-				case rr.Header().Rrtype == kind:
-					found = append(found, rr)
-					ttl = min(ttl, life)
-				case rr.Header().Rrtype == dns.TypeCNAME:
-					alias = dns.CanonicalName(rr.(*dns.CNAME).Target)
-					ttl = min(ttl, life)
-				}
-			}
-			if len(found) > 0 {
-				if len(found) > maxRecords {
-					return nil, 0, nil, fmt.Errorf("%s: %d records are too many", name, len(found))
-				}
-				return found, ttl, r.Extra, nil
-			}
-			if alias == "" {
-				break
+		r.ttl = min(r.ttl, texts.ttl)
+		var keys []string
+		for _, rr := range texts.records {
+			if text, ok := rr.(*dns.TXT); ok {
+				keys = append(keys, text.Txt...)
 			}
-			next = alias
 		}
-		if next == name {
-			return nil, 0, nil, fmt.Errorf("%w: %s", errMismatch, name) // records, and none of what was asked
-		}
-		name = next
-	}
-	return nil, 0, nil, fmt.Errorf("%w: %s", errAliasLoop, name)
-}
-
-// queryResolvers asks each resolver until one answers: over UDP, and over TCP where that answer is cut short.
-func (s *Source) queryResolvers(ctx context.Context, name string, kind uint16) (*dns.Msg, error) {
-	var last error
-	for _, resolver := range s.options.Resolvers {
-		r, err := s.exchange(ctx, name, kind, resolver)
-		if err == nil {
-			return r, nil
-		}
-		last = fmt.Errorf("%s of %s at %s: %w", dns.TypeToString[kind], name, resolver, err)
-		if ctx.Err() != nil {
-			break
+		servers, ttl, err := s.lookupService(ctx, pointer.Ptr, keys)
+		if err != nil {
+			return err
 		}
+		r.add(servers, ttl)
 	}
-	if last == nil {
-		last = errors.New("no resolver is set")
-	}
-	return nil, last
+	return nil
 }
 
-func (s *Source) exchange(ctx context.Context, name string, kind uint16, resolver string) (*dns.Msg, error) {
-	q := new(dns.Msg)
-	q.SetQuestion(name, kind)
-	q.SetEdns0(1232, false)
-	for _, network := range []string{"udp", "tcp"} {
-		s.queryCount++
-		one, cancel := context.WithTimeout(ctx, s.options.Timeout)
-		r, err := s.options.Exchange(one, q, network, resolver)
-		cancel()
-		if err != nil && (r == nil || !r.Truncated) {
-			return nil, err
-		}
-		// A foreign answer, by mistake or by intent, is none.
-		if r.Id != q.Id || !r.Response || len(r.Question) != 1 || !strings.EqualFold(r.Question[0].Name, name) || r.Question[0].Qtype != kind {
-			return nil, errMismatch
-		}
-		if r.Truncated {
-			continue
-		}
-		if r.Rcode != dns.RcodeSuccess && r.Rcode != dns.RcodeNameError {
-			return nil, fmt.Errorf("%w: %s", errServerFailure, dns.RcodeToString[r.Rcode])
-		}
-		return r, nil
+// warnOnce logs a problem of a record, once for each key.
+func (s *Source) warnOnce(key, text, name string, attributes ...any) {
+	if s.logged[key] || len(s.logged) > maxLogged {
+		return
 	}
-	return nil, errTruncated
+	s.logged[key] = true
+	s.options.Log.Warn(text, append([]any{"source", s.options.Name, "name", name}, attributes...)...)
 }
 
-// QueryCount is how many queries were sent.
+// QueryCount returns how many queries were sent.
 func (s *Source) QueryCount() int { return s.queryCount }
--- a/internal/source/dnssource/mdns.go
+++ b/internal/source/dnssource/mdns.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"slices"
 	"strings"
 	"time"
@@ -12,30 +11,47 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// Multicast reads services that are announced by DNS-SD over multicast DNS (RFC 6762, RFC 6763). It is off
-// unless a group is set. The group may be a responder's own address: then it is asked alone.
+const (
+	// maxPacketBytes bounds a query, so that it fits in an Ethernet frame. Known answers beyond it go in further
+	// packets (RFC 6762, section 7.2).
+	maxPacketBytes = 1400
+	// maxReceivedBytes is the largest message of multicast DNS (RFC 6762, section 17).
+	maxReceivedBytes = 9000
+	// maxInitialQueryDelay bounds the random wait before the first query, so that hosts that start together do not
+	// query together (RFC 6762, section 5.2, asks for 20 to 120 ms).
+	maxInitialQueryDelay = 100 * time.Millisecond
+	// minQueryInterval is the interval between the first two queries, and between two for the same missing record
+	// (RFC 6762, section 5.2).
+	minQueryInterval = time.Second
+	// queryIntervalFactor is by how much the interval grows with each query. RFC 6762, section 5.2, asks for two
+	// at least.
+	queryIntervalFactor = 3
+	// maxQueryInterval is where the growth ends (RFC 6762, section 5.2: 60 minutes).
+	maxQueryInterval = time.Hour
+	// maxQueuedPackets is how many received packets may wait. Further ones are dropped; responders repeat them.
+	maxQueuedPackets = 64
+)
+
+// Multicast follows services that are announced by DNS-SD over multicast DNS (RFC 6762, RFC 6763). If its group is
+// not a multicast address but that of one responder, only that one is queried. It belongs to one goroutine.
 type Multicast struct {
-	source       *Source // for what texts say
+	source       *Source // options, and what TXT records mean
 	service      string
-	group        string
+	group        string // IP and port
 	cache        cache
-	lastSnapshot []endpoints.Server
-	failed       bool
-	lastQueried  map[dns.Question]time.Duration // when what an instance lacks was last asked for
+	lastSnapshot []endpoints.Server             // as reported; nil: none yet
+	failed       bool                           // a failure was reported after lastSnapshot
+	lastQueried  map[dns.Question]time.Duration // when a record that an instance lacks was last queried
 }
 
-// NewMulticast reads one service type, such as _form._tcp.local, at a group such as 224.0.0.251:5353.
+// NewMulticast returns a Multicast of one service type, such as _form._tcp.local, at a group such as
+// 224.0.0.251:5353.
 func NewMulticast(o Options, service, group string) *Multicast {
 	return &Multicast{source: New(o), service: dns.CanonicalName(service), group: group}
 }
 
-const (
-	maxPacketBytes   = 1400      // bytes, of what is sent; more known answers go in further packets (RFC 6762, 7.2)
-	maxQueryInterval = time.Hour // between two queries at the most (5.2)
-	maxReceivedBytes = 9000      // bytes, of what comes (17)
-)
-
-// Run listens and asks until ctx ends, and reports each change.
+// Run queries and listens until ctx ends, and reports each change. If there is no socket, or it fails, it reports
+// a failure and retries after maxBackoff.
 func (m *Multicast) Run(ctx context.Context, report func(endpoints.Report)) {
 	for ctx.Err() == nil {
 		if err := m.listen(ctx, report); err != nil && ctx.Err() == nil {
@@ -49,116 +65,9 @@
 	}
 }
 
-func (m *Multicast) listen(ctx context.Context, report func(endpoints.Report)) error {
-	to, err := net.ResolveUDPAddr("udp", m.group)
-	if err != nil {
-		return err
-	}
-	var conn *net.UDPConn
-	if to.IP.IsMulticast() {
-		conn, err = net.ListenMulticastUDP("udp", nil, to)
-	} else {
-		conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	}
-	if err != nil {
-		return err
-	}
-	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	defer conn.Close()
-	began := time.Now()
-	m.cache, m.lastQueried = cache{}, map[dns.Question]time.Duration{}
-	type packet struct{ data []byte }
-	packets := make(chan packet, 64)
-	ended := make(chan error, 1)
-	go func() {
-		buf := make([]byte, maxReceivedBytes)
-		for {
-			n, from, err := conn.ReadFromUDP(buf)
-			if err != nil {
-				ended <- err
-				return
-			}
-			if !to.IP.IsMulticast() && !from.IP.Equal(to.IP) {
-				continue // not the one who was asked
-			}
-			select {
-			case packets <- packet{slices.Clone(buf[:n])}:
-			default: // more than can be read: they come again
-			}
-		}
-	}()
-	send := func(data []byte) {
-		_, _ = conn.WriteToUDP(data, to) // lost ones are asked for again
-	}
-	wait := time.Second
-	ask := time.NewTimer(time.Duration(m.source.options.Rand() * float64(100*time.Millisecond)))
-	defer ask.Stop()
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
-	for {
-		now := time.Since(began)
-		if next := m.cache.nextEvent(); next > 0 {
-			wake.Reset(max(time.Millisecond, next-now))
-		} else {
-			wake.Stop()
-		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case err := <-ended:
-			return err
-		case <-ask.C:
-			for _, data := range m.encodeQuery(dns.Question{Name: m.service, Qtype: dns.TypePTR, Qclass: dns.ClassINET}, time.Since(began)) {
-				send(data)
-			}
-			ask.Reset(wait)
-			wait = min(3*wait, maxQueryInterval)
-		case p := <-packets:
-			now = time.Since(began)
-			var r dns.Msg
-			if r.Unpack(p.data) != nil || !r.Response {
-				continue
-			}
-			byes := m.cache.add(now, &r)
-			if gone := m.removedServers(byes); len(gone) > 0 {
-				report(endpoints.Delta{Source: m.source.options.Name, Servers: gone})
-			}
-			m.reportSnapshot(report)
-			for _, q := range m.missingQuestions() {
-				if at, asked := m.lastQueried[q]; asked && now-at < time.Second { // whatever comes, once a second (5.2)
-					continue
-				}
-				m.lastQueried[q] = now
-				for _, data := range m.encodeQuery(q, now) {
-					send(data)
-				}
-			}
-		case <-wake.C:
-			now = time.Since(began)
-			if m.cache.allExpiredSilently(now) {
-				if !m.failed {
-					m.failed = true
-					report(endpoints.Failed{Source: m.source.options.Name})
-				}
-				m.cache.records, wait = nil, time.Second // asked for anew; the last view holds
-				ask.Reset(0)
-				continue
-			}
-			for _, q := range m.cache.dueQuestions(now) {
-				for _, data := range m.encodeQuery(q, now) {
-					send(data)
-				}
-			}
-			if m.cache.expire(now) {
-				m.reportSnapshot(report)
-			}
-		}
-	}
-}
-
-// encodeQuery is a question with its known answers, in as many packets as they take: all but the last say that
-// more come.
-func (m *Multicast) encodeQuery(q dns.Question, now time.Duration) (all [][]byte) {
+// encodeQuery returns the packets of a query with its known answers. All but the last have the TC bit: more known
+// answers follow (RFC 6762, section 7.2).
+func (m *Multicast) encodeQuery(q dns.Question, now time.Duration) (packets [][]byte) {
 	known := m.cache.knownAnswers(q, now)
 	for first := true; first || len(known) > 0; first = false {
 		msg := new(dns.Msg)
@@ -176,34 +85,35 @@
 		msg.Truncated = len(known) > 0
 		data, err := msg.Pack()
 		if err != nil {
-			return all
+			return packets
 		}
-		all = append(all, data)
+		packets = append(packets, data)
 	}
-	return all
+	return packets
 }
 
-// instanceServer is a server of an instance of which all is known.
+// instanceServer is a server of a completely known instance.
 type instanceServer struct {
 	instance string
 	endpoints.Server
 }
 
+// servers returns the servers of all completely known instances, sorted by ID.
 func (m *Multicast) servers() (all []instanceServer) {
 	for _, rr := range m.cache.find(m.service, dns.TypePTR) {
 		instance := dns.CanonicalName(rr.(*dns.PTR).Ptr)
 		var keys []string
-		for _, t := range m.cache.find(instance, dns.TypeTXT) {
-			keys = append(keys, t.(*dns.TXT).Txt...)
+		for _, text := range m.cache.find(instance, dns.TypeTXT) {
+			keys = append(keys, text.(*dns.TXT).Txt...)
 		}
 		for _, rr := range m.cache.find(instance, dns.TypeSRV) {
-			v := rr.(*dns.SRV)
+			record := rr.(*dns.SRV)
 			var addrs []string
-			for _, a := range append(m.cache.find(v.Target, dns.TypeA), m.cache.find(v.Target, dns.TypeAAAA)...) {
+			for _, a := range append(m.cache.find(record.Target, dns.TypeA), m.cache.find(record.Target, dns.TypeAAAA)...) {
 				addrs = append(addrs, addressOf(a))
 			}
-			for _, s := range m.source.serversOf(v, addrs, keys) {
-				all = append(all, instanceServer{instance, s})
+			for _, server := range m.source.serversOf(record, addrs, keys) {
+				all = append(all, instanceServer{instance, server})
 			}
 		}
 	}
@@ -211,79 +121,75 @@
 	return all
 }
 
-// withdrawnInstances are the instances whose announcement these records took back: their PTR, or their SRV.
-func (m *Multicast) withdrawnInstances(byes []dns.RR) map[string]bool {
-	all := map[string]bool{}
-	for _, rr := range byes {
-		switch r := rr.(type) {
+// withdrawnInstances returns the instances of which one of these goodbyes is the PTR or SRV record.
+func (m *Multicast) withdrawnInstances(goodbyes []dns.RR) map[string]bool {
+	withdrawn := map[string]bool{}
+	for _, rr := range goodbyes {
+		switch record := rr.(type) {
 		case *dns.SRV:
-			all[dns.CanonicalName(r.Hdr.Name)] = true
+			withdrawn[dns.CanonicalName(record.Hdr.Name)] = true
 		case *dns.PTR:
-			if strings.EqualFold(r.Hdr.Name, m.service) {
-				all[dns.CanonicalName(r.Ptr)] = true
+			if strings.EqualFold(record.Hdr.Name, m.service) {
+				withdrawn[dns.CanonicalName(record.Ptr)] = true
 			}
 		}
 	}
-	return all
+	return withdrawn
 }
 
-// removedServers are the servers that goodbyes took back.
-func (m *Multicast) removedServers(byes []dns.RR) (all []endpoints.Server) {
-	if len(byes) == 0 {
+// removedServers returns the servers that goodbyes withdrew, as removed.
+func (m *Multicast) removedServers(goodbyes []dns.RR) (removed []endpoints.Server) {
+	if len(goodbyes) == 0 {
 		return nil
 	}
-	back := m.withdrawnInstances(byes)
-	for _, v := range m.servers() {
-		if back[v.instance] {
-			v.State = endpoints.Removed
-			all = append(all, v.Server)
+	withdrawn := m.withdrawnInstances(goodbyes)
+	for _, server := range m.servers() {
+		if withdrawn[server.instance] {
+			server.State = endpoints.Removed
+			removed = append(removed, server.Server)
 		}
 	}
-	return all
+	return removed
 }
 
-// reportSnapshot reports the view, if it differs from the last. What was taken back, and has yet to end, is not in it.
+// reportSnapshot reports the servers that are announced and not withdrawn, if they differ from the last snapshot
+// or a failure has been reported since.
 func (m *Multicast) reportSnapshot(report func(endpoints.Report)) {
-	var byes []dns.RR
-	for _, k := range m.cache.records {
-		if k.goodbye {
-			byes = append(byes, k.rr)
-		}
-	}
-	back := m.withdrawnInstances(byes)
+	withdrawn := m.withdrawnInstances(m.cache.goodbyes())
 	live := []endpoints.Server{}
-	for _, v := range m.servers() {
-		if !back[v.instance] {
-			live = append(live, v.Server)
+	for _, server := range m.servers() {
+		if !withdrawn[server.instance] {
+			live = append(live, server.Server)
 		}
 	}
 	if !m.failed && m.lastSnapshot != nil && slices.Equal(live, m.lastSnapshot) {
 		return
 	}
-	m.failed, m.lastSnapshot = false, live
+	m.failed = false
+	m.lastSnapshot = live
 	report(endpoints.Snapshot{Source: m.source.options.Name, Servers: live})
 }
 
-// missingQuestions are the questions whose answers would complete an instance.
-func (m *Multicast) missingQuestions() (all []dns.Question) {
+// missingQuestions returns the questions for the records that known instances lack.
+func (m *Multicast) missingQuestions() (questions []dns.Question) {
 	add := func(name string, kind uint16) {
-		all = append(all, dns.Question{Name: name, Qtype: kind, Qclass: dns.ClassINET})
+		questions = append(questions, dns.Question{Name: name, Qtype: kind, Qclass: dns.ClassINET})
 	}
 	for _, rr := range m.cache.find(m.service, dns.TypePTR) {
 		instance := dns.CanonicalName(rr.(*dns.PTR).Ptr)
-		found := m.cache.find(instance, dns.TypeSRV)
-		if len(found) == 0 {
+		services := m.cache.find(instance, dns.TypeSRV)
+		if len(services) == 0 {
 			add(instance, dns.TypeSRV)
 		}
 		if len(m.cache.find(instance, dns.TypeTXT)) == 0 {
 			add(instance, dns.TypeTXT)
 		}
-		for _, s := range found {
-			target := dns.CanonicalName(s.(*dns.SRV).Target)
+		for _, service := range services {
+			target := dns.CanonicalName(service.(*dns.SRV).Target)
 			if len(m.cache.find(target, dns.TypeA))+len(m.cache.find(target, dns.TypeAAAA)) == 0 {
 				add(target, dns.TypeA)
 			}
 		}
 	}
-	return all
+	return questions
 }
--- a/internal/source/dnssource/mdnscache.go
+++ b/internal/source/dnssource/mdnscache.go
@@ -8,161 +8,208 @@
 	"github.com/miekg/dns"
 )
 
-// cache is what was heard by multicast DNS (RFC 6762). It is free of I/O and clock: messages and the time
-// go in, records and what to ask come out.
+const (
+	// goodbyeTime is for how long a record is kept after its goodbye (RFC 6762, section 10.1).
+	goodbyeTime = time.Second
+	// flushTime is for how long records are kept that a cache flush replaces, and how recent a record of the same
+	// name must be not to be replaced (RFC 6762, section 10.2).
+	flushTime = time.Second
+	// topClassBit of a record's class means cache flush in a response (RFC 6762, section 10.2), and in a question
+	// that a unicast response is wanted (section 5.4).
+	topClassBit = 1 << 15
+)
+
+// refreshPercents are the parts of its TTL, in percent, after which a record is queried again (RFC 6762, section
+// 5.2).
+var refreshPercents = []int64{80, 85, 90, 95}
+
+// cache is a cache of multicast DNS records (RFC 6762). It is a state machine without I/O and clock: messages and
+// times go in, records and questions come out. The zero value is empty.
 type cache struct {
 	records []*cacheRecord
-	now     time.Duration
-	heard   time.Duration // when a message last came
 }
 
+// cacheRecord is a record with the times of its life.
 type cacheRecord struct {
 	rr         dns.RR
-	receivedAt time.Duration // when it was heard
+	receivedAt time.Duration
 	ttl        time.Duration
 	expiresAt  time.Duration
-	refreshes  int  // queries sent for it so far
-	goodbye    bool // its end was announced
+	refreshes  int  // queries sent for it, an index of refreshPercents
+	goodbye    bool // it has been withdrawn, and expires soon
 }
 
-const (
-	goodbyeTime = time.Second // a goodbye's record lives for so long more (RFC 6762, 10.1)
-	flushTime   = time.Second // and what a cache-flush replaces (10.2)
-	topClassBit = 1 << 15     // of the class: cache-flush in answers, unicast wanted in questions
-)
-
-// refreshAt are the shares of its lifetime at which a record is asked for again (RFC 6762, 5.2).
-var refreshAt = []int64{80, 85, 90, 95}
-
-// add books a message's records. It reports those whose end it announces.
+// add caches a message's records. It returns those that the message withdraws.
 func (c *cache) add(now time.Duration, m *dns.Msg) (goodbyes []dns.RR) {
-	c.now, c.heard = now, now
 	all := append(slices.Clone(m.Answer), m.Extra...)
 	for _, rr := range all {
-		h := rr.Header()
-		if h.Class&^topClassBit != dns.ClassINET || h.Rrtype == dns.TypeOPT {
+		header := rr.Header()
+		if header.Class&^topClassBit != dns.ClassINET || header.Rrtype == dns.TypeOPT {
 			continue
 		}
-		flush := h.Class&topClassBit != 0
 		own := dns.Copy(rr)
 		own.Header().Class = dns.ClassINET
-		own.Header().Name = dns.CanonicalName(h.Name)
-		ttl := time.Duration(h.Ttl) * time.Second
-		if flush && ttl > 0 { // others of this name and type are old, but for those of the same moment
-			for _, k := range c.records {
-				if k.same(own) && now-k.receivedAt > flushTime && !k.equal(own) {
-					k.expiresAt = min(k.expiresAt, now+flushTime)
-				}
-			}
-		}
-		i := slices.IndexFunc(c.records, func(k *cacheRecord) bool { return k.equal(own) })
+		own.Header().Name = dns.CanonicalName(header.Name)
+		ttl := time.Duration(header.Ttl) * time.Second
 		if ttl == 0 {
-			if i >= 0 && !c.records[i].goodbye {
-				c.records[i].goodbye = true
-				c.records[i].expiresAt = min(c.records[i].expiresAt, now+goodbyeTime)
-				goodbyes = append(goodbyes, c.records[i].rr)
+			if withdrawn := c.withdraw(now, own); withdrawn != nil {
+				goodbyes = append(goodbyes, withdrawn)
 			}
 			continue
 		}
-		k := &cacheRecord{rr: own, receivedAt: now, ttl: ttl, expiresAt: now + ttl}
-		switch {
-		case i >= 0:
-			c.records[i] = k
-		case len(c.records) < maxRecords:
-			c.records = append(c.records, k)
+		if header.Class&topClassBit != 0 {
+			c.flush(now, own)
 		}
+		c.store(&cacheRecord{rr: own, receivedAt: now, ttl: ttl, expiresAt: now + ttl})
 	}
 	return goodbyes
 }
 
-// same reports whether a record has the name and type of another.
-func (k *cacheRecord) same(rr dns.RR) bool {
-	return k.rr.Header().Rrtype == rr.Header().Rrtype && strings.EqualFold(k.rr.Header().Name, rr.Header().Name)
+// index returns the index of a record; -1: it is not cached.
+func (c *cache) index(rr dns.RR) int {
+	return slices.IndexFunc(c.records, func(r *cacheRecord) bool { return r.equals(rr) })
 }
 
-// equal reports whether it is that one, but for its lifetime.
-func (k *cacheRecord) equal(rr dns.RR) bool {
-	if !k.same(rr) {
+// withdraw handles a goodbye. It returns the cached record; nil: there is none, or it has been withdrawn before.
+func (c *cache) withdraw(now time.Duration, rr dns.RR) dns.RR {
+	i := c.index(rr)
+	if i < 0 || c.records[i].goodbye {
+		return nil
+	}
+	record := c.records[i]
+	record.goodbye = true
+	record.expiresAt = min(record.expiresAt, now+goodbyeTime)
+	return record.rr
+}
+
+// flush lets the other records with the name and type of rr expire, but for those that are as recent.
+func (c *cache) flush(now time.Duration, rr dns.RR) {
+	for _, r := range c.records {
+		if r.hasKeyOf(rr) && now-r.receivedAt > flushTime && !r.equals(rr) {
+			r.expiresAt = min(r.expiresAt, now+flushTime)
+		}
+	}
+}
+
+// store adds a record, or replaces it. A full cache takes no more.
+func (c *cache) store(record *cacheRecord) {
+	i := c.index(record.rr)
+	switch {
+	case i >= 0:
+		c.records[i] = record
+	case len(c.records) < maxRecords:
+		c.records = append(c.records, record)
+	}
+}
+
+// hasKeyOf reports whether a record has the name and type of rr.
+func (r *cacheRecord) hasKeyOf(rr dns.RR) bool {
+	return r.hasKey(rr.Header().Name, rr.Header().Rrtype)
+}
+
+// hasKey reports whether a record has this name and type.
+func (r *cacheRecord) hasKey(name string, kind uint16) bool {
+	return r.rr.Header().Rrtype == kind && strings.EqualFold(r.rr.Header().Name, name)
+}
+
+// equals reports whether a record is rr, whatever the TTL.
+func (r *cacheRecord) equals(rr dns.RR) bool {
+	if !r.hasKeyOf(rr) {
 		return false
 	}
-	other := dns.Copy(rr)
-	other.Header().Ttl = k.rr.Header().Ttl
-	return k.rr.String() == other.String()
+	sameTTL := dns.Copy(rr)
+	sameTTL.Header().Ttl = r.rr.Header().Ttl
+	return r.rr.String() == sameTTL.String()
+}
+
+// nextRefresh returns when a record is to be queried again; ok is false if it is not.
+func (r *cacheRecord) nextRefresh() (at time.Duration, ok bool) {
+	if r.goodbye || r.refreshes >= len(refreshPercents) {
+		return 0, false
+	}
+	return r.receivedAt + r.ttl*time.Duration(refreshPercents[r.refreshes])/100, true
 }
 
-// expire drops what has come to its end, and reports whether anything was.
+// expire drops expired records, and reports whether there were any.
 func (c *cache) expire(now time.Duration) bool {
-	c.now = now
 	before := len(c.records)
-	c.records = slices.DeleteFunc(c.records, func(k *cacheRecord) bool { return now >= k.expiresAt })
+	c.records = slices.DeleteFunc(c.records, func(r *cacheRecord) bool { return now >= r.expiresAt })
 	return len(c.records) < before
 }
 
-// dueQuestions are the names and types to ask for again now.
-func (c *cache) dueQuestions(now time.Duration) (ask []dns.Question) {
-	for _, k := range c.records {
-		if k.goodbye || k.refreshes >= len(refreshAt) || now < k.receivedAt+k.ttl*time.Duration(refreshAt[k.refreshes])/100 {
-			continue
-		}
-		for k.refreshes < len(refreshAt) && now >= k.receivedAt+k.ttl*time.Duration(refreshAt[k.refreshes])/100 {
-			k.refreshes++
+// dueQuestions returns the questions for records that are to be queried again by now, each once.
+func (c *cache) dueQuestions(now time.Duration) (questions []dns.Question) {
+	for _, r := range c.records {
+		isDue := false
+		for at, ok := r.nextRefresh(); ok && now >= at; at, ok = r.nextRefresh() {
+			isDue = true
+			r.refreshes++
 		}
-		q := dns.Question{Name: k.rr.Header().Name, Qtype: k.rr.Header().Rrtype, Qclass: dns.ClassINET}
-		if !slices.Contains(ask, q) {
-			ask = append(ask, q)
+		q := dns.Question{Name: r.rr.Header().Name, Qtype: r.rr.Header().Rrtype, Qclass: dns.ClassINET}
+		if isDue && !slices.Contains(questions, q) {
+			questions = append(questions, q)
 		}
 	}
-	return ask
+	return questions
 }
 
-// nextEvent is when anything is due; 0: nothing is.
+// nextEvent returns when the next record expires or is to be queried again; 0: there is none.
 func (c *cache) nextEvent() (at time.Duration) {
-	for _, k := range c.records {
-		t := k.expiresAt
-		if !k.goodbye && k.refreshes < len(refreshAt) {
-			t = min(t, k.receivedAt+k.ttl*time.Duration(refreshAt[k.refreshes])/100)
+	for _, r := range c.records {
+		next := r.expiresAt
+		if refresh, ok := r.nextRefresh(); ok {
+			next = min(next, refresh)
 		}
-		if at == 0 || t < at {
-			at = t
+		if at == 0 || next < at {
+			at = next
 		}
 	}
 	return at
 }
 
-// knownAnswers are the answers to a question that need not come again: those with more than half of their
-// lifetime left (RFC 6762, 7.1).
-func (c *cache) knownAnswers(q dns.Question, now time.Duration) (all []dns.RR) {
-	for _, k := range c.records {
-		if left := k.expiresAt - now; k.rr.Header().Rrtype == q.Qtype && strings.EqualFold(k.rr.Header().Name, q.Name) && 2*left > k.ttl && !k.goodbye {
-			rr := dns.Copy(k.rr)
-			rr.Header().Ttl = uint32(left / time.Second)
-			all = append(all, rr)
+// knownAnswers returns the answers to a question that responders need not repeat: those with more than half of
+// their TTL left (RFC 6762, section 7.1).
+func (c *cache) knownAnswers(q dns.Question, now time.Duration) (answers []dns.RR) {
+	for _, r := range c.records {
+		remaining := r.expiresAt - now
+		if r.goodbye || !r.hasKey(q.Name, q.Qtype) || 2*remaining <= r.ttl {
+			continue
 		}
+		rr := dns.Copy(r.rr)
+		rr.Header().Ttl = uint32(remaining / time.Second)
+		answers = append(answers, rr)
 	}
-	return all
+	return answers
 }
 
-// find is what is known of a name and type.
-func (c *cache) find(name string, kind uint16) (all []dns.RR) {
-	for _, k := range c.records {
-		if k.rr.Header().Rrtype == kind && strings.EqualFold(k.rr.Header().Name, dns.CanonicalName(name)) {
-			all = append(all, k.rr)
+// find returns the records of a name and type.
+func (c *cache) find(name string, kind uint16) (records []dns.RR) {
+	name = dns.CanonicalName(name)
+	for _, r := range c.records {
+		if r.hasKey(name, kind) {
+			records = append(records, r.rr)
 		}
 	}
-	return all
+	return records
 }
 
-// allExpiredSilently reports whether all that is left would end now though nobody was heard since: then it is
-// everybody who is not heard, and not one who has ended.
-func (c *cache) allExpiredSilently(now time.Duration) bool {
-	gone, byes := 0, 0
-	for _, k := range c.records {
-		if now >= k.expiresAt {
-			gone++
+// goodbyes returns the records that are withdrawn and not expired yet.
+func (c *cache) goodbyes() (records []dns.RR) {
+	for _, r := range c.records {
+		if r.goodbye {
+			records = append(records, r.rr)
 		}
-		if k.goodbye {
-			byes++
+	}
+	return records
+}
+
+// allExpiredSilently reports whether all records have expired and none was withdrawn: then no responder is
+// received any more, rather than one having ended.
+func (c *cache) allExpiredSilently(now time.Duration) bool {
+	for _, r := range c.records {
+		if now < r.expiresAt || r.goodbye {
+			return false
 		}
 	}
-	return gone > 0 && byes == 0 && gone == len(c.records)
+	return len(c.records) > 0
 }
