--- a/internal/source/dnssource/dnssource_test.go
+++ b/internal/source/dnssource/dnssource_test.go
@@ -62,8 +62,7 @@
 	}
 }
 
-// Each way in which an answer can be bad is a failure, never a smaller fleet; and what says that there is
-// none is an answer.
+// Every kind of invalid response is a failure, never a shorter list; a response that there is no record is valid.
 func TestInvalidResponsesNeverShrinkTheList(t *testing.T) {
 	for name, row := range map[string]struct {
 		fault func(name, kind, network string) standin.Fault
@@ -94,25 +93,25 @@
 			}
 		})
 	}
-	// What never comes, or is no message: the next resolver is asked.
+	// A lost or malformed response: the next resolver is queried.
 	good := server(t)
 	for name, f := range map[string]standin.Fault{"drop": {Drop: true}, "garbage": {Garbage: true}, "wrong id": {WrongID: true}, "SERVFAIL": {Rcode: dns.RcodeServerFailure}} {
 		t.Run(name, func(t *testing.T) {
 			s := server(t)
 			s.Script(func(string, string, string) standin.Fault { return f })
-			o := source(s, good.Addr())
-			o.options.Timeout = 50 * time.Millisecond
-			good2 := o.options.Exchange
-			o.options.Exchange = func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error) {
-				if resolver == good.Addr() { // on a slow machine that one has its time
+			dnsSource := source(s, good.Addr())
+			dnsSource.options.Timeout = 50 * time.Millisecond
+			exchange := dnsSource.options.Exchange
+			dnsSource.options.Exchange = func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error) {
+				if resolver == good.Addr() { // which a slow machine must not make fail
 					ctx = context.Background()
 					c := dns.Client{Net: network, Timeout: 20 * time.Second}
 					r, _, err := c.ExchangeContext(ctx, q, resolver)
 					return r, err
 				}
-				return good2(ctx, q, network, resolver)
+				return exchange(ctx, q, network, resolver)
 			}
-			if all, _, err := o.Read(t.Context()); err != nil || len(all) != 2 {
+			if all, _, err := dnsSource.Read(t.Context()); err != nil || len(all) != 2 {
 				t.Errorf("%+v, %v", all, err)
 			}
 		})
@@ -131,7 +130,7 @@
 	set(t, s, "real.example.org", "SRV")
 	set(t, s, "real.example.org", "CNAME", "real.example.org. 60 IN CNAME "+service+".")
 	if _, _, err := source(s).Read(t.Context()); !errors.Is(err, errAliasLoop) {
-		t.Errorf("round and round: %v", err)
+		t.Errorf("a loop: %v", err)
 	}
 }
 
@@ -149,7 +148,7 @@
 	}
 }
 
-// A service that is browsed, with what its text says; keys that make no sense are said once, one by one.
+// A browsed service is described by the keys of its TXT record; each invalid key is logged once.
 func TestBrowsedInstancesAreDescribedByTXTKeys(t *testing.T) {
 	s := server(t)
 	inst := `kathmandu\ one._form._tcp.example.org.`
@@ -170,13 +169,13 @@
 	}
 }
 
-// By lifetimes, in virtual time: read again as they end, within their bounds; after failures with waits
-// that grow; and never oftener than bounded, though all fails.
+// In virtual time: records are read again as their TTL ends, within the bounds, and after failures with a growing
+// backoff.
 func TestReadsFollowTTLsWithinBoundsAndBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		var mu sync.Mutex
-		var asked []time.Duration
+		var readAt []time.Duration
 		var ttl atomic.Uint32
 		var broken atomic.Bool
 		ttl.Store(100)
@@ -186,7 +185,7 @@
 				r.SetReply(q)
 				if q.Question[0].Qtype == dns.TypeSRV {
 					mu.Lock()
-					asked = append(asked, time.Since(start))
+					readAt = append(readAt, time.Since(start))
 					mu.Unlock()
 					if broken.Load() {
 						r.Rcode = dns.RcodeServerFailure
@@ -194,20 +193,25 @@
 					}
 					rr, _ := dns.NewRR(fmt.Sprintf("%s. %d IN SRV 0 0 80 one.example.org.", service, ttl.Load()))
 					a, _ := dns.NewRR("one.example.org. 3600 IN A 10.0.0.1")
-					r.Answer, r.Extra = []dns.RR{rr}, []dns.RR{a}
+					r.Answer = []dns.RR{rr}
+					r.Extra = []dns.RR{a}
 				}
 				return r, nil
 			}})
 		ctx, cancel := context.WithCancel(t.Context())
-		var views, failures atomic.Int32
-		count := func() int { mu.Lock(); defer mu.Unlock(); return len(asked) }
+		var snapshots, failures atomic.Int32
+		count := func() int {
+			mu.Lock()
+			defer mu.Unlock()
+			return len(readAt)
+		}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			o.Run(ctx, func(r endpoints.Report) {
 				switch r.(type) {
 				case endpoints.Snapshot:
-					views.Add(1)
+					snapshots.Add(1)
 				case endpoints.Failed:
 					failures.Add(1)
 				}
@@ -216,22 +220,22 @@
 		time.Sleep(200 * time.Second)
 		synctest.Wait()
 		mu.Lock()
-		if len(asked) != 3 || asked[1] != 95*time.Second || views.Load() != 3 {
-			t.Errorf("asked at %v, %d views", asked, views.Load())
+		if len(readAt) != 3 || readAt[1] != 95*time.Second || snapshots.Load() != 3 {
+			t.Errorf("read at %v, %d snapshots", readAt, snapshots.Load())
 		}
 		mu.Unlock()
 		ttl.Store(0)
-		time.Sleep(185 * time.Second) // the last one read holds for 85 s more
+		time.Sleep(185 * time.Second) // the last TTL read ends in 85 s
 		synctest.Wait()
 		if n := count() - 3; n < 18 || n > 22 { // at the floor
-			t.Errorf("lifetimes of 0: asked %d times in the 100 s after", n)
+			t.Errorf("TTL 0: read %d times in the 100 s after", n)
 		}
 		broken.Store(true)
 		before := count()
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		if n := count() - before; n < 20 || n > 40 || failures.Load() < 20 {
-			t.Errorf("all fails: asked %d times in 10 minutes, %d failures", n, failures.Load())
+			t.Errorf("all fails: read %d times in 10 minutes, %d failures", n, failures.Load())
 		}
 		cancel()
 		<-done
--- a/internal/source/dnssource/mdns_test.go
+++ b/internal/source/dnssource/mdns_test.go
@@ -31,38 +31,46 @@
 	return m
 }
 
-// Lifetimes, refreshes at 80 to 95%, goodbyes, cache-flush and known answers, by the RFC's figures.
+// Expiry, refreshes at 80 to 95% of the TTL, goodbyes, cache flush and known answers, by the figures of RFC 6762.
 func TestCacheFollowsTheTimesOfRFC6762(t *testing.T) {
 	var c cache
 	ptr := "_form._tcp.local. 100 IN PTR one._form._tcp.local."
 	c.add(0, message(rr(t, ptr)))
 	q := dns.Question{Name: local, Qtype: dns.TypePTR, Qclass: dns.ClassINET}
 	for _, row := range []struct {
-		at  time.Duration
-		ask int
-	}{{79, 0}, {80, 1}, {81, 0}, {85, 1}, {90, 1}, {95, 1}, {99, 0}} {
-		if got := c.dueQuestions(row.at * time.Second); len(got) != row.ask {
-			t.Errorf("at %d s: %v", row.at, got)
+		seconds   time.Duration
+		questions int
+	}{
+		{79, 0},
+		{80, 1},
+		{81, 0},
+		{85, 1},
+		{90, 1},
+		{95, 1},
+		{99, 0},
+	} {
+		if got := c.dueQuestions(row.seconds * time.Second); len(got) != row.questions {
+			t.Errorf("at %d s: %v, want %d questions", row.seconds, got, row.questions)
 		}
 	}
 	if len(c.knownAnswers(q, 49*time.Second)) != 1 || len(c.knownAnswers(q, 51*time.Second)) != 0 {
-		t.Error("known answers are those with more than half of their lifetime")
+		t.Error("known answers are those with more than half of their TTL left")
 	}
 	if c.expire(99*time.Second) || !c.expire(100*time.Second) {
-		t.Error("it does not end with its lifetime")
+		t.Error("it does not expire with its TTL")
 	}
 	c.add(200*time.Second, message(rr(t, ptr)))
-	c.add(250*time.Second, message(rr(t, ptr))) // heard again
+	c.add(250*time.Second, message(rr(t, ptr))) // received again
 	if c.expire(320 * time.Second) {
-		t.Error("it ends though it was heard again")
+		t.Error("it expires though it was received again")
 	}
 	if byes := c.add(321*time.Second, message(rr(t, "_form._tcp.local. 0 IN PTR one._form._tcp.local."))); len(byes) != 1 {
 		t.Errorf("goodbyes %v", byes)
 	}
 	if c.expire(321*time.Second+999*time.Millisecond) || !c.expire(322*time.Second) {
-		t.Error("a goodbye's record lives for one second")
+		t.Error("a withdrawn record is kept for one second")
 	}
-	// Cache-flush: what is older than a second goes, what came with it stays.
+	// Cache flush: records older than a second expire, those of the same message stay.
 	var f cache
 	f.add(0, message(rr(t, "one.local. 100 IN A 10.0.0.1")))
 	flush := rr(t, "one.local. 100 IN A 10.0.0.2")
@@ -76,7 +84,7 @@
 	}
 }
 
-// Known answers that do not fit in one packet go in several, all but the last of which say so.
+// Known answers that do not fit in one packet go in several, all but the last of which have the TC bit.
 func TestKnownAnswersAreSplitIntoPackets(t *testing.T) {
 	m := NewMulticast(Options{Name: "m"}, local, "127.0.0.1:1")
 	var all []dns.RR
@@ -98,8 +106,8 @@
 	}
 }
 
-// Over sockets: what is announced is found, a goodbye is told at once, noise harms nothing, and one who
-// comes back is there again.
+// Over sockets: announced servers are found, a goodbye is reported at once, noise is ignored, and an instance that
+// is announced again is found again.
 func TestMulticastReportsAnnouncementsAndGoodbyes(t *testing.T) {
 	r, err := standin.NewResponder()
 	if err != nil {
@@ -114,16 +122,26 @@
 	}
 	instance := func(n, ttl int) []string {
 		i := fmt.Sprintf("i%d._form._tcp.local.", n)
-		return []string{fmt.Sprintf("%s %d IN PTR %s", local, ttl, i), fmt.Sprintf("%s %d IN SRV 0 0 80%02d h%d.local.", i, ttl, n, n),
-			fmt.Sprintf(`%s %d IN TXT "pod=%d"`, i, ttl, n), fmt.Sprintf("h%d.local. %d IN A 10.0.0.%d", n, ttl, n)}
+		return []string{
+			fmt.Sprintf("%s %d IN PTR %s", local, ttl, i),
+			fmt.Sprintf("%s %d IN SRV 0 0 80%02d h%d.local.", i, ttl, n, n),
+			fmt.Sprintf(`%s %d IN TXT "pod=%d"`, i, ttl, n),
+			fmt.Sprintf("h%d.local. %d IN A 10.0.0.%d", n, ttl, n),
+		}
 	}
 	announce(false, append(instance(1, 600), instance(2, 600)...)...)
 	m := NewMulticast(Options{Name: "m"}, local, r.Addr())
 	reports := make(chan endpoints.Report, 1000)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); m.Run(ctx, func(v endpoints.Report) { reports <- v }) }()
-	defer func() { cancel(); <-done }()
+	go func() {
+		defer close(done)
+		m.Run(ctx, func(v endpoints.Report) { reports <- v })
+	}()
+	defer func() {
+		cancel()
+		<-done
+	}()
 	until := func(what string, ok func(endpoints.Report) bool) {
 		t.Helper()
 		limit := time.After(testkit.Patience)
@@ -138,7 +156,7 @@
 			}
 		}
 	}
-	views := func(ids ...string) func(endpoints.Report) bool {
+	snapshotOf := func(ids ...string) func(endpoints.Report) bool {
 		return func(v endpoints.Report) bool {
 			w, ok := v.(endpoints.Snapshot)
 			if !ok || len(w.Servers) != len(ids) {
@@ -162,37 +180,37 @@
 		w, ok := v.(endpoints.Delta)
 		return ok && len(w.Servers) == 1 && w.Servers[0].ID == "h1.local:8001" && w.Servers[0].State == endpoints.Removed
 	})
-	until("view without it", views("h2.local:8002"))
+	until("view without it", snapshotOf("h2.local:8002"))
 	announce(true, instance(1, 600)...)
-	until("view with it", views("h1.local:8001", "h2.local:8002"))
+	until("view with it", snapshotOf("h1.local:8001", "h2.local:8002"))
 	announce(true, "h2.local. 600 IN A 10.0.0.22")
 	until("its new address", func(v endpoints.Report) bool {
 		w, ok := v.(endpoints.Snapshot)
 		return ok && len(w.Servers) >= 2 && w.Servers[len(w.Servers)-1].Addr == "10.0.0.22:8002"
 	})
 	if r.Asked("SRV", "i1."+local) == 0 {
-		t.Error("what the answer lacked was not asked for")
+		t.Error("the record that the response lacked was not queried")
 	}
 }
 
-// Everybody's silence is a failure, and no smaller fleet.
+// If no responder is received any more, that is a failure and not a shorter list.
 func TestSilenceOfAllRespondersIsAFailure(t *testing.T) {
 	var c cache
 	c.add(0, message(rr(t, "a.local. 10 IN A 10.0.0.1"), rr(t, "b.local. 10 IN A 10.0.0.2")))
 	if !c.allExpiredSilently(10 * time.Second) {
-		t.Error("all end at once unheard")
+		t.Error("all expire at once, and none was received again or withdrawn")
 	}
 	c.add(5*time.Second, message(rr(t, "b.local. 10 IN A 10.0.0.2")))
 	if c.allExpiredSilently(10 * time.Second) {
-		t.Error("one was heard since")
+		t.Error("one was received again")
 	}
 	c.add(11*time.Second, message(rr(t, "b.local. 0 IN A 10.0.0.2")))
 	if c.allExpiredSilently(20 * time.Second) {
-		t.Error("one said goodbye")
+		t.Error("one was withdrawn")
 	}
 }
 
-// Packets of anybody: nothing panics, and the books stay bounded.
+// Packets with any content: nothing panics.
 func FuzzMulticast(f *testing.F) {
 	good, err := message(rr(f, "_form._tcp.local. 10 IN PTR i._form._tcp.local."), rr(f, "i._form._tcp.local. 10 IN SRV 0 0 80 h.local."),
 		rr(f, `i._form._tcp.local. 10 IN TXT "pod=1" "weight=x"`), rr(f, "h.local. 0 IN A 10.0.0.1")).Pack()
