--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -100,11 +100,11 @@
 			return exit{2, err}
 		}
 	}
-	report := checker.Judge(p.Bounds, lines)
+	report := checker.Check(p.Bounds, lines)
 	if f.virtual && p.Policy != nil { // nothing else is played there
 		report = checker.Policy(p.Bounds, lines)
 	}
-	missed := report.Missed(p.Tries)
+	missed := report.NotTried(p.Tries)
 	if f.asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", " ")
@@ -160,7 +160,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "claim\tverdict\ttried\tbroken\tnearest\twhat is claimed")
 	for _, c := range r.Claims {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\n", c.Name, c.Verdict(), c.Tried, c.Broken, c.Nearest, c.Text)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\n", c.Name, c.Outcome(), c.Tried, c.Broken, c.Nearest, c.Text)
 	}
 	_ = w.Flush()
 	for _, c := range r.Claims {
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var bounds = Bounds{Crash: 3 * time.Second, Leave: time.Second, Join: 2 * time.Second, Settle: 4 * time.Second, Pause: 1500 * time.Millisecond, Served: 0.99, BytesIdle: 1000, BytesMost: 5000}
+var bounds = Bounds{Crash: 3 * time.Second, Leave: time.Second, Join: 2 * time.Second, Settle: 4 * time.Second, Pause: 1500 * time.Millisecond, MinServed: 0.99, MaxIdleBytes: 1000, MaxBytes: 5000}
 
 // story is a run, told line by line.
 type story struct{ lines []Line }
@@ -16,7 +16,7 @@
 func (s *story) at(sec float64, l Line) *story {
 	l.T = int64(sec * 1e9)
 	if l.By == "" {
-		l.By = Drill
+		l.By = FaultTest
 	}
 	s.lines = append(s.lines, l)
 	return s
@@ -46,19 +46,19 @@
 
 func verdict(t *testing.T, s *story, claim, want string) {
 	t.Helper()
-	r := Judge(bounds, s.lines)
-	if c := r.Of(claim); c.Verdict() != want {
-		t.Errorf("%s: %s (tried %d), not %s: %v", claim, c.Verdict(), c.Tried, want, c.Breaks)
+	r := Check(bounds, s.lines)
+	if c := r.Find(claim); c.Outcome() != want {
+		t.Errorf("%s: %s (tried %d), not %s: %v", claim, c.Outcome(), c.Tried, want, c.Breaks)
 	}
 }
 
 func TestNothingTriedIsNotKept(t *testing.T) {
-	for _, c := range Judge(bounds, nil).Claims {
-		if c.Verdict() != "not tried" {
-			t.Errorf("%s: %s", c.Name, c.Verdict())
+	for _, c := range Check(bounds, nil).Claims {
+		if c.Outcome() != "not tried" {
+			t.Errorf("%s: %s", c.Name, c.Outcome())
 		}
 	}
-	if missed := Judge(bounds, nil).Missed([]string{Settled}); len(missed) != 1 {
+	if missed := Check(bounds, nil).NotTried([]string{Settled}); len(missed) != 1 {
 		t.Error(missed)
 	}
 }
@@ -94,8 +94,8 @@
 			s.at(30, Line{What: End})
 			slices.SortStableFunc(s.lines, func(a, b Line) int { return cmp.Compare(a.T, b.T) })
 			verdict(t, s, LeaveKnown, c.want)
-			if r := Judge(bounds, s.lines); r.Of(LeaveKnown).Tried != 2 {
-				t.Errorf("tried %d times, not by each of two", r.Of(LeaveKnown).Tried)
+			if r := Check(bounds, s.lines); r.Find(LeaveKnown).Tried != 2 {
+				t.Errorf("tried %d times, not by each of two", r.Find(LeaveKnown).Tried)
 			}
 		})
 	}
@@ -146,13 +146,13 @@
 }
 
 func TestBytes(t *testing.T) {
-	verdict(t, three().at(10, Line{What: Sent, Of: "a", Bytes: 5001}), BytesMost, "BROKEN")
+	verdict(t, three().at(10, Line{What: Sent, Of: "a", Bytes: 5001}), BytesMaximum, "BROKEN")
 	rest := three()
 	for i := range 10 {
 		rest.at(float64(10+i), Line{What: Sent, Of: "a", Bytes: 1500})
 	}
 	verdict(t, rest, BytesIdle, "BROKEN")
-	verdict(t, rest, BytesMost, "kept")
+	verdict(t, rest, BytesMaximum, "kept")
 	rough := three().at(1, Line{What: Link, From: "a", To: "b", Rough: true})
 	for i := range 10 {
 		rough.at(float64(10+i), Line{What: Sent, Of: "a", Bytes: 1500})
@@ -192,9 +192,9 @@
 	verdict(t, sent(doubted().sees(20.4, 1, "b", "b1", "alive"), 30), NearCalm, "BROKEN")
 	paused := apart().at(19, Line{What: Pause, Of: "b", PID: 2}).sees(20, 1, "b", "b1", "suspect").at(20.2, Line{What: Resume, Of: "b", PID: 2})
 	verdict(t, sent(paused, 30), NearCalm, "kept")
-	was := bounds.Doubt
-	defer func() { bounds.Doubt = was }()
-	bounds.Doubt = time.Second
+	was := bounds.MaxSuspicion
+	defer func() { bounds.MaxSuspicion = was }()
+	bounds.MaxSuspicion = time.Second
 	verdict(t, sent(doubted().sees(20.4, 1, "b", "b1", "alive"), 30), NearCalm, "kept")
 	verdict(t, sent(doubted().sees(21.4, 1, "b", "b1", "alive"), 30), NearCalm, "BROKEN")
 	verdict(t, sent(doubted(), 30), NearCalm, "BROKEN")
@@ -202,22 +202,22 @@
 }
 
 func TestBytesToOtherRegions(t *testing.T) {
-	was := bounds.BytesFar
-	defer func() { bounds.BytesFar = was }()
-	bounds.BytesFar = 100
+	was := bounds.MaxRemoteBytes
+	defer func() { bounds.MaxRemoteBytes = was }()
+	bounds.MaxRemoteBytes = 100
 	verdict(t, apart().at(11, Line{What: Sent, Of: "a", PID: 1, Bytes: 500, Far: 101}), BytesFar, "BROKEN")
 	verdict(t, apart().at(11, Line{What: Sent, Of: "a", PID: 1, Bytes: 500, Far: 99}), BytesFar, "kept")
 	verdict(t, three().at(11, Line{What: Sent, Of: "a", PID: 1, Bytes: 500, Far: 101}), BytesFar, "not tried")
 }
 
 func TestWaysByTheLinksAreAddedToBounds(t *testing.T) {
-	was := bounds.Ways
-	defer func() { bounds.Ways = was }()
+	was := bounds.RoundTrips
+	defer func() { bounds.RoundTrips = was }()
 	for _, c := range []struct {
 		ways int
 		want string
 	}{{0, "BROKEN"}, {2, "kept"}} {
-		bounds.Ways = c.ways
+		bounds.RoundTrips = c.ways
 		s := three().at(1, Line{What: Link, From: "a", To: "c", WayUS: 200_000}).at(1, Line{What: Link, From: "c", To: "a", WayUS: 200_000}).
 			at(10, Line{What: Down, Of: "c", PID: 3, Why: "kill"}).sees(12, 2, "c", "c1", "dead").sees(13.7, 1, "c", "c1", "dead").at(30, Line{What: End})
 		verdict(t, s, CrashKnown, c.want)
--- a/internal/faulttest/checker/follow.go
+++ b/internal/faulttest/checker/follow.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// News is how long each thing that befell a daemon took until the last of the others knew of it.
-type News struct {
+// PropagationTimes is how long each thing that befell a daemon took until the last of the others knew of it.
+type PropagationTimes struct {
 	Crash, Leave, Join []time.Duration
 	Unknown            int // that some did not learn, though they ran on
 }
 
-// Follow reads it from lines up to a time. Who starts before a time joins with all others, and is not counted.
-func Follow(lines []Line, from, until int64) (all News) {
+// MeasurePropagation reads it from lines up to a time. Who starts before a time joins with all others, and is not counted.
+func MeasurePropagation(lines []Line, from, until int64) (all PropagationTimes) {
 	type proc struct {
 		name, life string
 		up         bool
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -74,8 +74,8 @@
 	Parts  string `json:"parts,omitempty"`  // several, by spaces; what holds for all is "-"
 }
 
-// Drill is By of what the drill itself did.
-const Drill = "drill"
+// FaultTest is By of what the drill itself did.
+const FaultTest = "drill"
 
 // What lines say.
 const (
@@ -83,40 +83,40 @@
 	Member    = "member"    // a daemon: Of is in State now
 	Counted   = "count"     // a daemon: how many balancers it divides by
 	Contested = "contested" // a daemon: another process has its name
-	Doubt     = "doubt"     // a daemon: it was paused, or hears too little
+	SelfDoubt = "doubt"     // a daemon: it was paused, or hears too little
 	Leaving   = "leave"     // a daemon: it says that it goes
 	Gap       = "gap"       // a daemon: so many lines were not written (Asked)
 
-	Up      = "up"      // the drill: process PID of daemon Of runs, with Balancers
-	Down    = "down"    // the drill: it was ended; Why is kill or term
-	Pause   = "pause"   // the drill
-	Resume  = "resume"  // the drill
-	Link    = "link"    // the drill: From hears To so much less
-	Cut     = "cut"     // the drill: Of is cut off from its servers or list (Why) by Drop
-	Sent    = "sent"    // the drill: what Of sent to peers in the last second
-	Service = "service" // the drill: what Of's clients got in the last second
-	Twin    = "twin"    // the drill: PID runs with the name of another
-	Ending  = "ending"  // the drill: PID was told to end in order
-	Handing = "handing" // the drill: another process is to take the place of PID
-	Handed  = "handed"  // the drill: PID serves in the place of the process before
-	Starve  = "starve"  // the drill: PID has little of a core for PauseMS
-	Limited = "limited" // the drill: the daemons share a limit
-	Used    = "used"    // the drill: what servers saw of it
-	Wanted  = "wanted"  // the drill: so much is asked for from now on, a second, of all daemons together
-	Verdict = "verdict" // a daemon: Server is out, drains or is free (State)
-	Fault   = "fault"   // the drill: Server fails Drop of its requests; of one daemon's (Of) alone, it is their link
-	Got     = "got"     // the drill: so many requests reached Server in the last second (Asked), of Wanted at all servers
-	Odd     = "odd"     // the drill: a stray datagram; Why is its kind
-	End     = "end"     // the drill
+	Up            = "up"      // the drill: process PID of daemon Of runs, with Balancers
+	Down          = "down"    // the drill: it was ended; Why is kill or term
+	Pause         = "pause"   // the drill
+	Resume        = "resume"  // the drill
+	Link          = "link"    // the drill: From hears To so much less
+	Cut           = "cut"     // the drill: Of is cut off from its servers or list (Why) by Drop
+	Sent          = "sent"    // the drill: what Of sent to peers in the last second
+	Service       = "service" // the drill: what Of's clients got in the last second
+	Twin          = "twin"    // the drill: PID runs with the name of another
+	Ending        = "ending"  // the drill: PID was told to end in order
+	Handing       = "handing" // the drill: another process is to take the place of PID
+	Handed        = "handed"  // the drill: PID serves in the place of the process before
+	Starve        = "starve"  // the drill: PID has little of a core for PauseMS
+	Limited       = "limited" // the drill: the daemons share a limit
+	Used          = "used"    // the drill: what servers saw of it
+	Wanted        = "wanted"  // the drill: so much is asked for from now on, a second, of all daemons together
+	EjectionState = "verdict" // a daemon: Server is out, drains or is free (State)
+	Fault         = "fault"   // the drill: Server fails Drop of its requests; of one daemon's (Of) alone, it is their link
+	Got           = "got"     // the drill: so many requests reached Server in the last second (Asked), of Wanted at all servers
+	StrayDatagram = "odd"     // the drill: a stray datagram; Why is its kind
+	End           = "end"     // the drill
 
-	Agreed   = "agreed"   // the drill: a policy is agreed on; Hard: who is cut off stops, after PauseMS; Why: voters; Parts: who may vote later
-	Proposed = "proposed" // the drill: change ID of these Parts (none: what holds for all) is asked for at Of, without those in Why
-	Told     = "told"     // the drill: the author of change ID is told its State, and Number
-	Took     = "took"     // the drill: Of took a request by policy Number, which change ID made
-	Turned   = "turned"   // the drill: Of turned a request away for the policy
-	Disk     = "disk"     // the drill: the disk of Of is full, slow or well (State)
-	OnDisk   = "on-disk"  // the drill: change ID is on the disk of Of
-	Holds    = "holds"    // the drill: PID holds these Parts of the policy, besides what holds for all
+	Agreed         = "agreed"   // the drill: a policy is agreed on; Hard: who is cut off stops, after PauseMS; Why: voters; Parts: who may vote later
+	Proposed       = "proposed" // the drill: change ID of these Parts (none: what holds for all) is asked for at Of, without those in Why
+	AuthorNotified = "told"     // the drill: the author of change ID is told its State, and Number
+	Took           = "took"     // the drill: Of took a request by policy Number, which change ID made
+	PolicyRejected = "turned"   // the drill: Of turned a request away for the policy
+	Disk           = "disk"     // the drill: the disk of Of is full, slow or well (State)
+	OnDisk         = "on-disk"  // the drill: change ID is on the disk of Of
+	Holds          = "holds"    // the drill: PID holds these Parts of the policy, besides what holds for all
 )
 
 // Read reads lines until the end of r. A line that is no line is an error that names it.
--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -13,90 +13,90 @@
 	first int64
 }
 
-// taker is what a process has taken requests by.
-type taker struct {
-	number uint64
-	any    bool
-	tried  uint64 // the highest policy for which it has been looked at
-	failed uint64
-	since  int64 // it takes by its number since
-	last   int64
-	turned int64
-	noDisk map[uint64]bool // policies that it had not on its disk as they came into force
+// partUser is what a process has taken requests by.
+type partUser struct {
+	number         uint64
+	hasUsed        bool
+	checkedFor     uint64 // the highest policy for which it has been looked at
+	failedFor      uint64
+	numberSince    int64 // it takes by its number since
+	lastUsedAt     int64
+	lastRejectedAt int64
+	missingOnDisk  map[uint64]bool // policies that it had not on its disk as they came into force
 }
 
-// policyJudge judges the policy that a fleet agrees on by what requests were taken by.
-type policyJudge struct {
-	j       *judge
-	on      bool
-	stops   bool
-	lapse   time.Duration // a member that is cut off takes nothing so long after it heard last
-	parts   map[string]*partJudge
-	holds   map[int]map[string]bool // by process, besides what holds for all
-	disks   map[string]map[string]bool
-	without map[string][]string // by change
-	names   map[string][]string // by change: its parts
-	asked   map[string]int64    // changes, and since when
-	told    map[string]*Line    // what authors were told
-	voters  []string
-	later   []string // who may vote later
-	changed int64    // a change was asked for, or decided
+// policyChecker judges the policy that a fleet agrees on by what requests were taken by.
+type policyChecker struct {
+	checker           *checker
+	isAgreed          bool
+	stopsWhenIsolated bool
+	leaseTerm         time.Duration // a member that is cut off takes nothing so long after it heard last
+	parts             map[string]*partChecker
+	partsOf           map[int]map[string]bool // by process, besides what holds for all
+	onDisk            map[string]map[string]bool
+	excluded          map[string][]string // by change
+	partsOfChange     map[string][]string // by change: its parts
+	proposedAt        map[string]int64    // changes, and since when
+	notifications     map[string]*Line    // what authors were told
+	voters            []string
+	futureVoters      []string // who may vote later
+	changedAt         int64    // a change was asked for, or decided
 	// Changes of which nobody has been told yet.
-	under     map[string]bool
-	latest    int64 // a request was taken
-	disksTold bool  // what is on disks is known
+	pending    map[string]bool
+	lastUseAt  int64 // a request was taken
+	disksKnown bool  // what is on disks is known
 
-	wholes map[whole]bool
-	went   map[int]map[string]int64 // by process: changes of several parts by which it took, and since when
-	apart  apartJudge
+	mixedUses     map[partUse]bool
+	multiPartUses map[int]map[string]int64 // by process: changes of several parts by which it took, and since when
+	isolation     isolationChecker
 
-	one, all, start, serves, kept, word, whole *Claim
+	one, all, start, serves, durable, notified, atomic *Claim
 }
 
-// partJudge is what is known of one part of the policy.
-type partJudge struct {
-	p      *policyJudge
-	name   string
-	used   map[uint64]*used
-	most   uint64
-	takers map[int]*taker // by process
+// partChecker is what is known of one part of the policy.
+type partChecker struct {
+	policy  *policyChecker
+	name    string
+	used    map[uint64]*used
+	highest uint64
+	users   map[int]*partUser // by process
 }
 
-// whole is a request that a process took by one part, after it had taken one of another by a change of both.
-type whole struct {
+// partUse is a request that a process took by one part, after it had taken one of another by a change of both.
+type partUse struct {
 	pid    int
 	part   string
 	number uint64
 	change string
 }
 
-func (p *policyJudge) begin(j *judge) []*Claim {
-	p.j, p.parts, p.holds, p.disks, p.without, p.asked, p.told, p.under = j, map[string]*partJudge{}, map[int]map[string]bool{}, map[string]map[string]bool{}, map[string][]string{}, map[string]int64{}, map[string]*Line{}, map[string]bool{}
-	p.names, p.wholes, p.went = map[string][]string{}, map[whole]bool{}, map[int]map[string]int64{}
+func (p *policyChecker) begin(j *checker) []*Claim {
+	p.checker, p.parts, p.partsOf, p.onDisk, p.excluded, p.proposedAt, p.notifications, p.pending = j, map[string]*partChecker{}, map[int]map[string]bool{}, map[string]map[string]bool{}, map[string][]string{}, map[string]int64{}, map[string]*Line{}, map[string]bool{}
+	p.partsOfChange, p.mixedUses, p.multiPartUses = map[string][]string{}, map[partUse]bool{}, map[int]map[string]int64{}
 	p.one = &Claim{Name: PolicyOne, Text: "once a policy is used anywhere, no request is taken by an earlier one: on whole links after 'spread', else after the lease"}
 	p.all = &Claim{Name: PolicyAll, Text: "a policy is used by all whom it concerns or by nobody: who had it not on its disk takes nothing by an earlier one, a dropped one is never used"}
 	p.start = &Claim{Name: PolicyStart, Text: "the first request of a process by a part is taken by what is in force"}
 	p.serves = &Claim{Name: PolicyServes, Text: "no request is turned away for the policy where nothing is broken; nor, if cut_off is \"vetoes\", where no change is under way"}
-	p.kept = &Claim{Name: PolicyKept, Text: "what came into force stays: one change a number, never an earlier one again, whatever disks are lost"}
-	p.word = &Claim{Name: PolicyTold, Text: "authors are told what became of their change"}
-	p.whole = &Claim{Name: PolicyWhole, Text: "a change of several parts is in force in all of them or in none: who takes a request by one of them takes none by what was before in another, after 'spread'"}
-	return []*Claim{p.one, p.all, p.start, p.serves, p.kept, p.word, p.whole, p.apart.begin(p)}
+	p.durable = &Claim{Name: PolicyDurable, Text: "what came into force stays: one change a number, never an earlier one again, whatever disks are lost"}
+	p.notified = &Claim{Name: PolicyAuthorNotified, Text: "authors are told what became of their change"}
+	p.atomic = &Claim{Name: PolicyAtomic, Text: "a change of several parts is in force in all of them or in none: who takes a request by one of them takes none by what was before in another, after 'spread'"}
+	return []*Claim{p.one, p.all, p.start, p.serves, p.durable, p.notified, p.atomic, p.isolation.begin(p)}
 }
 
-func (p *policyJudge) part(name string) *partJudge {
+func (p *policyChecker) part(name string) *partChecker {
 	q := p.parts[name]
 	if q == nil {
-		q = &partJudge{p: p, name: name, used: map[uint64]*used{}, takers: map[int]*taker{}}
+		q = &partChecker{policy: p, name: name, used: map[uint64]*used{}, users: map[int]*partUser{}}
 		p.parts[name] = q
 	}
 	return q
 }
 
-// holding reports whether a process has to do with a part.
-func (p *policyJudge) holding(pid int, part string) bool { return part == "" || p.holds[pid][part] }
+// hasPart reports whether a process has to do with a part.
+func (p *policyChecker) hasPart(pid int, part string) bool { return part == "" || p.partsOf[pid][part] }
 
-// what names a policy for people.
-func (q *partJudge) what(n uint64) string {
+// describe names a policy for people.
+func (q *partChecker) describe(n uint64) string {
 	if q.name == "" {
 		return fmt.Sprintf("policy %d", n)
 	}
@@ -124,48 +124,48 @@
 	return all
 }
 
-// line takes a line about the policy. It reports whether it was one.
-func (p *policyJudge) line(l *Line) bool {
+// applyLine takes a line about the policy. It reports whether it was one.
+func (p *policyChecker) applyLine(l *Line) bool {
 	switch l.What {
 	case Agreed:
-		p.on, p.stops, p.lapse, p.voters, p.later = true, l.Hard, time.Duration(l.PauseMS)*time.Millisecond, strings.Fields(l.Why), strings.Fields(l.Parts)
+		p.isAgreed, p.stopsWhenIsolated, p.leaseTerm, p.voters, p.futureVoters = true, l.Hard, time.Duration(l.PauseMS)*time.Millisecond, strings.Fields(l.Why), strings.Fields(l.Parts)
 	case Proposed:
-		p.asked[l.ID], p.changed, p.under[l.ID] = l.T, l.T, true
-		p.without[l.ID], p.names[l.ID] = strings.Fields(l.Why), partsIn(l.Parts)
+		p.proposedAt[l.ID], p.changedAt, p.pending[l.ID] = l.T, l.T, true
+		p.excluded[l.ID], p.partsOfChange[l.ID] = strings.Fields(l.Why), partsIn(l.Parts)
 	case Holds:
-		p.holds[l.PID] = map[string]bool{}
+		p.partsOf[l.PID] = map[string]bool{}
 		for _, part := range strings.Fields(l.Parts) {
-			p.holds[l.PID][part] = true
+			p.partsOf[l.PID][part] = true
 		}
 	case OnDisk:
-		p.disksTold = true
-		if p.disks[l.Of] == nil {
-			p.disks[l.Of] = map[string]bool{}
+		p.disksKnown = true
+		if p.onDisk[l.Of] == nil {
+			p.onDisk[l.Of] = map[string]bool{}
 		}
-		p.disks[l.Of][l.ID] = true
-	case Told:
-		p.tell(l)
+		p.onDisk[l.Of][l.ID] = true
+	case AuthorNotified:
+		p.applyNotification(l)
 	case Took:
-		p.took(l)
-	case Turned:
-		p.turn(l)
+		p.applyUse(l)
+	case PolicyRejected:
+		p.applyRejection(l)
 	default:
 		return false
 	}
 	return true
 }
 
-func (q *partJudge) taker(pid int) *taker {
-	t := q.takers[pid]
+func (q *partChecker) user(pid int) *partUser {
+	t := q.users[pid]
 	if t == nil {
-		t = &taker{noDisk: map[uint64]bool{}}
-		q.takers[pid] = t
+		t = &partUser{missingOnDisk: map[uint64]bool{}}
+		q.users[pid] = t
 	}
 	return t
 }
 
-// above is when anything later than a number was first used; 0: never.
-func (q *partJudge) above(n uint64) (at int64, by uint64) {
+// firstLaterUse is when anything later than a number was first used; 0: never.
+func (q *partChecker) firstLaterUse(n uint64) (at int64, by uint64) {
 	for m, u := range q.used {
 		if m > n && (at == 0 || u.first < at) {
 			at, by = u.first, m
@@ -174,42 +174,42 @@
 	return at, by
 }
 
-// bound is how late a process may take by an earlier policy.
-func (p *policyJudge) bound(o *process, t int64) time.Duration {
-	j := p.j
-	calm := o.paused == 0 && t-o.resumed > int64(j.b.Settle) && t > o.starved+int64(j.b.Settle) && t-j.downAt > int64(j.b.Settle) && j.whole(t)
-	for _, v := range slices.Concat(p.voters, p.later) { // one that leads may be paused just as it has decided
+// maxLag is how late a process may take by an earlier policy.
+func (p *policyChecker) maxLag(o *process, t int64) time.Duration {
+	j := p.checker
+	calm := o.pausedAt == 0 && t-o.resumedAt > int64(j.bounds.Settle) && t > o.starvedUntil+int64(j.bounds.Settle) && t-j.lastDownAt > int64(j.bounds.Settle) && j.areLinksHealthy(t)
+	for _, v := range slices.Concat(p.voters, p.futureVoters) { // one that leads may be paused just as it has decided
 		for _, pid := range j.order {
-			if q := j.pids[pid]; q.up && q.name == v && (q.paused > 0 || t-q.resumed <= int64(j.b.Settle)) {
+			if q := j.processes[pid]; q.up && q.name == v && (q.pausedAt > 0 || t-q.resumedAt <= int64(j.bounds.Settle)) {
 				calm = false
 			}
 		}
 	}
 	switch {
-	case calm && j.quiet():
-		return j.b.Spread
+	case calm && j.areLinksUndisturbed():
+		return j.bounds.PolicySpread
 	case calm:
-		return 4 * j.b.Spread
+		return 4 * j.bounds.PolicySpread
 	}
-	return p.lapse + j.b.Spread
+	return p.leaseTerm + j.bounds.PolicySpread
 }
 
-// except reports whether an operator has said that a member is down.
-func (q *partJudge) except(name string, n uint64) bool {
+// isExcluded reports whether an operator has said that a member is down.
+func (q *partChecker) isExcluded(name string, n uint64) bool {
 	u := q.used[n]
-	return u != nil && slices.Contains(q.p.without[u.id], name)
+	return u != nil && slices.Contains(q.policy.excluded[u.id], name)
 }
 
-func (p *policyJudge) took(l *Line) {
-	j := p.j
-	o := j.pids[l.PID]
-	if o == nil || !p.on {
+func (p *policyChecker) applyUse(l *Line) {
+	j := p.checker
+	o := j.processes[l.PID]
+	if o == nil || !p.isAgreed {
 		return
 	}
 	q := p.part(l.Part)
-	t := q.taker(l.PID)
+	t := q.user(l.PID)
 	n := l.Number
-	p.latest = l.T
+	p.lastUseAt = l.T
 	if l.Alone { // its file says so: shown, not judged
 		return
 	}
@@ -218,88 +218,88 @@
 	case u == nil:
 		u = &used{l.ID, l.T}
 		q.used[n] = u
-		if n > q.most {
-			q.most, p.changed = n, l.T
+		if n > q.highest {
+			q.highest, p.changedAt = n, l.T
 		}
 		for _, pid := range j.order { // who has it not on its disk?
-			if o := j.pids[pid]; !p.disksTold {
+			if o := j.processes[pid]; !p.disksKnown {
 				break
-			} else if o.up && !o.left && p.holding(pid, l.Part) && !p.disks[o.name][l.ID] && n > 0 {
-				q.taker(pid).noDisk[n] = true
+			} else if o.up && !o.leaving && p.hasPart(pid, l.Part) && !p.onDisk[o.name][l.ID] && n > 0 {
+				q.user(pid).missingOnDisk[n] = true
 			}
 		}
 	case u.id != l.ID:
-		p.kept.fail(l.T, j.base, "%s takes by %s as change %s made it, and %s was used", l.Of, q.what(n), l.ID, u.id)
+		p.durable.recordBreak(l.T, j.base, "%s takes by %s as change %s made it, and %s was used", l.Of, q.describe(n), l.ID, u.id)
 	}
-	if said := p.told[l.ID]; said != nil && said.State == "dropped" && n > 0 {
-		p.all.fail(l.T, j.base, "%s takes by change %s, of which its author was told that it was dropped", l.Of, l.ID)
+	if said := p.notifications[l.ID]; said != nil && said.State == "dropped" && n > 0 {
+		p.all.recordBreak(l.T, j.base, "%s takes by change %s, of which its author was told that it was dropped", l.Of, l.ID)
 	}
-	first := !t.any
+	first := !t.hasUsed
 	if first {
 		p.start.Tried++
 	}
 	if n != t.number || first {
 		if n < t.number {
-			p.kept.fail(l.T, j.base, "%s takes by %s, and took by %d before", l.Of, q.what(n), t.number)
+			p.durable.recordBreak(l.T, j.base, "%s takes by %s, and took by %d before", l.Of, q.describe(n), t.number)
 		}
-		if !first && j.quiet() && o.paused == 0 {
+		if !first && j.areLinksUndisturbed() && o.pausedAt == 0 {
 			p.serves.Tried++
 		}
-		t.number, t.since = n, l.T
-		p.kept.Tried++
+		t.number, t.numberSince = n, l.T
+		p.durable.Tried++
 	}
-	t.any, t.last = true, l.T
-	if q.most > t.tried && l.T > q.used[q.most].first {
-		t.tried = q.most
+	t.hasUsed, t.lastUsedAt = true, l.T
+	if q.highest > t.checkedFor && l.T > q.used[q.highest].first {
+		t.checkedFor = q.highest
 		p.one.Tried++
 	}
-	if at, m := q.above(n); at > 0 && m > t.failed && !q.except(l.Of, m) && !(l.Both != "" && q.used[m].id == l.Both && m == n+1) {
-		lag, bound := time.Duration(l.T-at), p.bound(o, l.T)
-		if t.noDisk[m] {
-			bound = j.b.Spread
+	if at, m := q.firstLaterUse(n); at > 0 && m > t.failedFor && !q.isExcluded(l.Of, m) && !(l.Both != "" && q.used[m].id == l.Both && m == n+1) {
+		lag, bound := time.Duration(l.T-at), p.maxLag(o, l.T)
+		if t.missingOnDisk[m] {
+			bound = j.bounds.PolicySpread
 			if lag > bound {
-				p.all.fail(l.T, j.base, "%s takes by %s %v after %d was first used, which it had not on its disk", l.Of, q.what(n), lag, m)
-				t.failed = m
+				p.all.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used, which it had not on its disk", l.Of, q.describe(n), lag, m)
+				t.failedFor = m
 			}
 		}
-		p.one.near(float64(lag)/float64(bound), "%v of %v (%s, %s)", lag.Round(time.Millisecond), bound, l.Of, q.what(n))
-		if lag > bound && t.failed < m {
-			t.failed = m
-			p.one.fail(l.T, j.base, "%s takes by %s %v after %d was first used; %v is the most", l.Of, q.what(n), lag.Round(time.Millisecond), m, bound)
+		p.one.recordMargin(float64(lag)/float64(bound), "%v of %v (%s, %s)", lag.Round(time.Millisecond), bound, l.Of, q.describe(n))
+		if lag > bound && t.failedFor < m {
+			t.failedFor = m
+			p.one.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used; %v is the most", l.Of, q.describe(n), lag.Round(time.Millisecond), m, bound)
 			if first {
-				p.start.fail(l.T, j.base, "%s begins with %s, and %d is in force for %v", l.Of, q.what(n), m, lag.Round(time.Millisecond))
+				p.start.recordBreak(l.T, j.base, "%s begins with %s, and %d is in force for %v", l.Of, q.describe(n), m, lag.Round(time.Millisecond))
 			}
 		}
 	}
-	p.together(l)
-	if !p.stops && p.away(o) {
+	p.noteMultiPartUse(l)
+	if !p.stopsWhenIsolated && p.isIsolated(o) {
 		p.serves.Tried++
 	}
 }
 
-// together takes note of a request, for changes of several parts.
-func (p *policyJudge) together(l *Line) {
-	went := p.went[l.PID]
-	if len(p.names[l.ID]) > 1 && went[l.ID] == 0 {
+// noteMultiPartUse takes note of a request, for changes of several parts.
+func (p *policyChecker) noteMultiPartUse(l *Line) {
+	went := p.multiPartUses[l.PID]
+	if len(p.partsOfChange[l.ID]) > 1 && went[l.ID] == 0 {
 		if went == nil {
 			went = map[string]int64{}
-			p.went[l.PID] = went
+			p.multiPartUses[l.PID] = went
 		}
 		went[l.ID] = l.T
 	}
 	for id, since := range went {
-		if id != l.ID && l.T-since > int64(p.j.b.Spread) && slices.Contains(p.names[id], l.Part) {
-			p.wholes[whole{l.PID, l.Part, l.Number, id}] = true
+		if id != l.ID && l.T-since > int64(p.checker.bounds.PolicySpread) && slices.Contains(p.partsOfChange[id], l.Part) {
+			p.mixedUses[partUse{l.PID, l.Part, l.Number, id}] = true
 		}
 	}
 }
 
-// wholly looks at changes of several parts once all is known.
-func (p *policyJudge) wholly(t int64) {
+// checkAtomicity looks at changes of several parts once all is known.
+func (p *policyChecker) checkAtomicity(t int64) {
 	numbers := map[string]map[string]uint64{} // by change and part
 	for part, q := range p.parts {
 		for n, u := range q.used {
-			if len(p.names[u.id]) > 1 {
+			if len(p.partsOfChange[u.id]) > 1 {
 				if numbers[u.id] == nil {
 					numbers[u.id] = map[string]uint64{}
 				}
@@ -308,35 +308,35 @@
 		}
 	}
 	for id, of := range numbers {
-		p.whole.Tried++
-		for _, part := range p.names[id] {
+		p.atomic.Tried++
+		for _, part := range p.partsOfChange[id] {
 			if of[part] > 0 {
 				continue
 			}
 			// Nobody used it: then those that used the other part went on to what came after it. Of two changes of one part that
 			// both came into force the one that was asked for later is the later one, for it was made of the other.
-			for pid := range p.went {
+			for pid := range p.multiPartUses {
 				q := p.part(part)
-				if k := q.takers[pid]; p.went[pid][id] > 0 && k != nil && k.last > p.went[pid][id]+int64(p.j.b.Spread) && p.asked[q.used[k.number].id] < p.asked[id] {
-					p.whole.fail(t, p.j.base, "change %s is used in a part, and never in %q, where process %d goes on by policy %d", id, part, pid, k.number)
+				if k := q.users[pid]; p.multiPartUses[pid][id] > 0 && k != nil && k.lastUsedAt > p.multiPartUses[pid][id]+int64(p.checker.bounds.PolicySpread) && p.proposedAt[q.used[k.number].id] < p.proposedAt[id] {
+					p.atomic.recordBreak(t, p.checker.base, "change %s is used in a part, and never in %q, where process %d goes on by policy %d", id, part, pid, k.number)
 				}
 			}
 		}
 	}
-	for w := range p.wholes {
-		p.whole.Tried++
+	for w := range p.mixedUses {
+		p.atomic.Tried++
 		if n := numbers[w.change][w.part]; w.number < n {
-			p.whole.fail(t, p.j.base, "process %d takes by policy %d of %q after it took by change %s, which made that %d", w.pid, w.number, w.part, w.change, n)
+			p.atomic.recordBreak(t, p.checker.base, "process %d takes by policy %d of %q after it took by change %s, which made that %d", w.pid, w.number, w.part, w.change, n)
 		}
 	}
 }
 
-// majority reports whether a process reaches most of the voters.
-func (p *policyJudge) majority(o *process) bool {
+// reachesMajority reports whether a process reaches most of the voters.
+func (p *policyChecker) reachesMajority(o *process) bool {
 	n := 0
 	for _, v := range p.voters {
-		for _, pid := range p.j.order {
-			if q := p.j.pids[pid]; q.up && q.name == v && (q == o || p.j.reach(o, q)) {
+		for _, pid := range p.checker.order {
+			if q := p.checker.processes[pid]; q.up && q.name == v && (q == o || p.checker.canReach(o, q)) {
 				n++
 				break
 			}
@@ -345,14 +345,14 @@
 	return 2*n > len(p.voters)
 }
 
-// away reports whether a process reaches no voter.
-func (p *policyJudge) away(o *process) bool {
+// isIsolated reports whether a process reaches no voter.
+func (p *policyChecker) isIsolated(o *process) bool {
 	for _, v := range p.voters {
 		if v == o.name {
 			return false
 		}
-		for _, pid := range p.j.order {
-			if q := p.j.pids[pid]; q.up && q.name == v && p.j.reach(o, q) {
+		for _, pid := range p.checker.order {
+			if q := p.checker.processes[pid]; q.up && q.name == v && p.checker.canReach(o, q) {
 				return false
 			}
 		}
@@ -363,91 +363,91 @@
 // undisturbed is how long nothing may have happened before a turned request is the policy's fault.
 const undisturbed = 20 * time.Second
 
-func (p *policyJudge) turn(l *Line) {
-	j := p.j
-	o := j.pids[l.PID]
-	t := p.part(l.Part).taker(l.PID)
-	if o == nil || !p.on || !t.any || l.T-t.turned < int64(time.Second) { // one a second is told
+func (p *policyChecker) applyRejection(l *Line) {
+	j := p.checker
+	o := j.processes[l.PID]
+	t := p.part(l.Part).user(l.PID)
+	if o == nil || !p.isAgreed || !t.hasUsed || l.T-t.lastRejectedAt < int64(time.Second) { // one a second is told
 		return
 	}
-	t.turned = l.T
-	quiet := l.T-j.truthAt > int64(undisturbed) && j.quiet() && l.T-j.linkAt > int64(undisturbed)
-	free := !p.stops && len(p.under) == 0 && l.T-p.changed > int64(undisturbed)+int64(p.lapse)
-	if (quiet && p.majority(o)) || free && o.paused == 0 {
-		p.serves.fail(l.T, j.base, "%s turns requests away: %s", l.Of, l.Why)
+	t.lastRejectedAt = l.T
+	quiet := l.T-j.truthChangedAt > int64(undisturbed) && j.areLinksUndisturbed() && l.T-j.linksChangedAt > int64(undisturbed)
+	free := !p.stopsWhenIsolated && len(p.pending) == 0 && l.T-p.changedAt > int64(undisturbed)+int64(p.leaseTerm)
+	if (quiet && p.reachesMajority(o)) || free && o.pausedAt == 0 {
+		p.serves.recordBreak(l.T, j.base, "%s turns requests away: %s", l.Of, l.Why)
 	}
 }
 
-func (p *policyJudge) tell(l *Line) {
-	p.told[l.ID] = l
-	delete(p.under, l.ID)
-	p.changed = l.T
-	p.word.Tried++
+func (p *policyChecker) applyNotification(l *Line) {
+	p.notifications[l.ID] = l
+	delete(p.pending, l.ID)
+	p.changedAt = l.T
+	p.notified.Tried++
 	for _, q := range p.parts {
 		for n, u := range q.used {
 			if u.id == l.ID && n > 0 && l.State == "dropped" {
-				p.word.fail(l.T, p.j.base, "%s is told that change %s was dropped, and it is used as %s", l.Of, l.ID, q.what(n))
+				p.notified.recordBreak(l.T, p.checker.base, "%s is told that change %s was dropped, and it is used as %s", l.Of, l.ID, q.describe(n))
 			}
 		}
 	}
-	p.apart.told(l)
-	if at := p.asked[l.ID]; at > 0 {
-		p.word.took(time.Duration(l.T - at))
+	p.isolation.authorNotified(l)
+	if at := p.proposedAt[l.ID]; at > 0 {
+		p.notified.recordDuration(time.Duration(l.T - at))
 	}
 }
 
 // end looks at where all have come to.
-func (p *policyJudge) end(t int64) {
-	j := p.j
-	if !p.on {
+func (p *policyChecker) end(t int64) {
+	j := p.checker
+	if !p.isAgreed {
 		return
 	}
-	for id, l := range p.told {
+	for id, l := range p.notifications {
 		if l.State != "in force" {
 			continue
 		}
-		q := p.part(p.first(id))
+		q := p.part(p.firstPart(id))
 		if u := q.used[l.Number]; u != nil && u.id != id && !strings.HasPrefix(l.Why, "it was in force") {
-			p.kept.fail(t, j.base, "%s was told that change %s is %s, and that is %s", l.Of, id, q.what(l.Number), u.id)
+			p.durable.recordBreak(t, j.base, "%s was told that change %s is %s, and that is %s", l.Of, id, q.describe(l.Number), u.id)
 		}
-		if l.Number > q.most && q.traffic() {
-			p.all.fail(t, j.base, "%s was told that change %s is in force as %d, and nobody uses it", l.Of, id, l.Number)
+		if l.Number > q.highest && q.isInUse() {
+			p.all.recordBreak(t, j.base, "%s was told that change %s is in force as %d, and nobody uses it", l.Of, id, l.Number)
 		}
 	}
-	p.wholly(t)
-	if p.latest-j.truthAt < int64(j.b.Settle) || p.latest-p.changed < int64(j.b.Settle) {
+	p.checkAtomicity(t)
+	if p.lastUseAt-j.truthChangedAt < int64(j.bounds.Settle) || p.lastUseAt-p.changedAt < int64(j.bounds.Settle) {
 		return
 	}
 	for _, part := range sortedKeys(p.parts) {
 		q := p.parts[part]
 		for _, pid := range j.order {
-			o, k := j.pids[pid], q.takers[pid]
-			if !o.up || o.left || o.paused > 0 || k == nil || p.latest-k.last > int64(2*time.Second) {
+			o, k := j.processes[pid], q.users[pid]
+			if !o.up || o.leaving || o.pausedAt > 0 || k == nil || p.lastUseAt-k.lastUsedAt > int64(2*time.Second) {
 				continue
 			}
 			p.all.Tried++
-			p.all.near(0, "all use %s", q.what(q.most))
-			if k.number != q.most {
-				p.all.fail(t, j.base, "%s takes by %s in the end, and %d is in force", o.name, q.what(k.number), q.most)
+			p.all.recordMargin(0, "all use %s", q.describe(q.highest))
+			if k.number != q.highest {
+				p.all.recordBreak(t, j.base, "%s takes by %s in the end, and %d is in force", o.name, q.describe(k.number), q.highest)
 			}
 		}
 	}
-	for _, id := range sortedKeys(p.under) {
-		p.word.fail(t, j.base, "of change %s nobody was told what became", id)
+	for _, id := range sortedKeys(p.pending) {
+		p.notified.recordBreak(t, j.base, "of change %s nobody was told what became", id)
 	}
 }
 
-// first is the part whose number authors are told.
-func (p *policyJudge) first(id string) string {
-	if all := p.names[id]; len(all) > 0 {
+// firstPart is the part whose number authors are told.
+func (p *policyChecker) firstPart(id string) string {
+	if all := p.partsOfChange[id]; len(all) > 0 {
 		return all[0]
 	}
 	return ""
 }
 
-func (q *partJudge) traffic() bool {
-	for _, k := range q.takers {
-		if q.p.latest-k.last < int64(2*time.Second) {
+func (q *partChecker) isInUse() bool {
+	for _, k := range q.users {
+		if q.policy.lastUseAt-k.lastUsedAt < int64(2*time.Second) {
 			return true
 		}
 	}
@@ -480,7 +480,7 @@
 
 // Policy judges a run of which only policies are told: no views, no requests but what they were taken by.
 func Policy(b Bounds, lines []Line) *Report {
-	r := Judge(b, lines)
+	r := Check(b, lines)
 	r.Claims = slices.DeleteFunc(r.Claims, func(c *Claim) bool { return !strings.HasPrefix(c.Name, "policy-") })
 	return r
 }
--- a/internal/faulttest/checker/policy_test.go
+++ b/internal/faulttest/checker/policy_test.go
@@ -22,7 +22,7 @@
 // change is one that comes into force at 30 s: a and b use it at once, c a while later.
 func (s *story) change(late float64) *story {
 	s.at(29.5, Line{What: Proposed, Of: "a", ID: "x"}).takes(30, 1, 1, "x").takes(30.01, 2, 1, "x")
-	return s.takes(30+late-0.001, 3, 0, "").takes(30+late, 3, 1, "x").at(31+late, Line{What: Told, Of: "a", ID: "x", State: "in force", Number: 1})
+	return s.takes(30+late-0.001, 3, 0, "").takes(30+late, 3, 1, "x").at(31+late, Line{What: AuthorNotified, Of: "a", ID: "x", State: "in force", Number: 1})
 }
 
 func (s *story) last(at float64, number uint64, id string) *story {
@@ -34,7 +34,7 @@
 
 func TestPoliciesAreJudgedByWhatWasTaken(t *testing.T) {
 	b := bounds
-	b.Spread = 500 * time.Millisecond
+	b.PolicySpread = 500 * time.Millisecond
 	cut := func(s *story) *story {
 		return s.at(25, Line{What: Link, From: "a", To: "c", Drop: 1}).at(25, Line{What: Link, From: "b", To: "c", Drop: 1})
 	}
@@ -50,23 +50,23 @@
 		"no change":                           {agreeing(true).last(60, 0, ""), PolicyOne, "not tried"},
 		"one never":                           {agreeing(true).change(0.1).takes(60, 1, 1, "x").takes(60, 2, 1, "x").takes(60, 3, 0, "").at(60, Line{What: End}), PolicyAll, "BROKEN"},
 		"all in the end":                      {agreeing(true).change(0.1).last(60, 1, "x"), PolicyAll, "kept"},
-		"a dropped one is used":               {agreeing(true).at(20, Line{What: Told, Of: "a", ID: "x", State: "dropped"}).change(0.1).last(60, 1, "x"), PolicyAll, "BROKEN"},
-		"told dropped, and it is used":        {agreeing(true).change(0.1).at(40, Line{What: Told, Of: "b", ID: "x", State: "dropped"}).last(60, 1, "x"), PolicyTold, "BROKEN"},
-		"nobody told":                         {agreeing(true).at(20, Line{What: Proposed, Of: "a", ID: "y"}).last(60, 0, ""), PolicyTold, "BROKEN"},
-		"back to an earlier one":              {agreeing(true).change(0.1).takes(50, 2, 0, "").last(60, 1, "x"), PolicyKept, "BROKEN"},
-		"one number, two changes":             {agreeing(true).change(0.1).takes(50, 2, 1, "z").last(60, 1, "x"), PolicyKept, "BROKEN"},
+		"a dropped one is used":               {agreeing(true).at(20, Line{What: AuthorNotified, Of: "a", ID: "x", State: "dropped"}).change(0.1).last(60, 1, "x"), PolicyAll, "BROKEN"},
+		"told dropped, and it is used":        {agreeing(true).change(0.1).at(40, Line{What: AuthorNotified, Of: "b", ID: "x", State: "dropped"}).last(60, 1, "x"), PolicyAuthorNotified, "BROKEN"},
+		"nobody told":                         {agreeing(true).at(20, Line{What: Proposed, Of: "a", ID: "y"}).last(60, 0, ""), PolicyAuthorNotified, "BROKEN"},
+		"back to an earlier one":              {agreeing(true).change(0.1).takes(50, 2, 0, "").last(60, 1, "x"), PolicyDurable, "BROKEN"},
+		"one number, two changes":             {agreeing(true).change(0.1).takes(50, 2, 1, "z").last(60, 1, "x"), PolicyDurable, "BROKEN"},
 		"a start by an earlier one":           {agreeing(true).change(0.1).at(50, Line{What: Up, Of: "b", PID: 9}).at(50.5, Line{What: Took, Of: "b", PID: 9}).last(60, 1, "x"), PolicyStart, "BROKEN"},
-		"turned away where nothing is broken": {agreeing(true).change(0.1).at(55, Line{What: Turned, Of: "b", PID: 2}).last(60, 1, "x"), PolicyServes, "BROKEN"},
-		"turned away, cut off, stops":         {cut(agreeing(true)).at(58, Line{What: Turned, Of: "c", PID: 3}).last(60, 0, ""), PolicyServes, "not tried"},
-		"turned away, cut off, vetoes":        {cut(agreeing(false)).at(58, Line{What: Turned, Of: "c", PID: 3}).last(60, 0, ""), PolicyServes, "BROKEN"},
+		"turned away where nothing is broken": {agreeing(true).change(0.1).at(55, Line{What: PolicyRejected, Of: "b", PID: 2}).last(60, 1, "x"), PolicyServes, "BROKEN"},
+		"turned away, cut off, stops":         {cut(agreeing(true)).at(58, Line{What: PolicyRejected, Of: "c", PID: 3}).last(60, 0, ""), PolicyServes, "not tried"},
+		"turned away, cut off, vetoes":        {cut(agreeing(false)).at(58, Line{What: PolicyRejected, Of: "c", PID: 3}).last(60, 0, ""), PolicyServes, "BROKEN"},
 	} {
-		if got := Policy(b, c.s.lines).Of(c.claim); got.Verdict() != c.want {
-			t.Errorf("%s: %s is %s (tried %d), not %s: %v", name, c.claim, got.Verdict(), got.Tried, c.want, got.Breaks)
+		if got := Policy(b, c.s.lines).Find(c.claim); got.Outcome() != c.want {
+			t.Errorf("%s: %s is %s (tried %d), not %s: %v", name, c.claim, got.Outcome(), got.Tried, c.want, got.Breaks)
 		}
 	}
 	had := agreeing(true)
 	had.at(10, Line{What: OnDisk, Of: "a", ID: "x"}).at(10, Line{What: OnDisk, Of: "b", ID: "x"})
-	if got := Policy(b, cut(had).change(1.2).last(60, 1, "x").lines).Of(PolicyAll); got.Verdict() != "BROKEN" {
-		t.Errorf("it had the policy not on its disk, and took by the earlier one after it came into force: %s", got.Verdict())
+	if got := Policy(b, cut(had).change(1.2).last(60, 1, "x").lines).Find(PolicyAll); got.Outcome() != "BROKEN" {
+		t.Errorf("it had the policy not on its disk, and took by the earlier one after it came into force: %s", got.Outcome())
 	}
 }
--- a/internal/faulttest/checker/servers.go
+++ b/internal/faulttest/checker/servers.go
@@ -6,119 +6,119 @@
 	"time"
 )
 
-// faulty is a server as it truly is.
-type faulty struct {
-	fails   float64
-	since   int64 // it fails, or is well, since
-	failed  int64 // it last failed
-	known   map[string]bool
-	settled bool // whether all knew it was looked at
+// serverTruth is a server as it truly is.
+type serverTruth struct {
+	failureShare    float64
+	changedAt       int64 // it fails, or is well, since
+	lastFailedAt    int64 // it last failed
+	ejectedBy       map[string]bool
+	ejectionChecked bool // whether all knew it was looked at
 }
 
-// serversJudge judges verdicts about servers.
-type serversJudge struct {
-	j                        *judge
-	b                        Bounds
-	all                      map[string]*faulty
-	known, kept, wrong, back *Claim
+// serversChecker judges verdicts about servers.
+type serversChecker struct {
+	checker                                                 *checker
+	bounds                                                  Bounds
+	servers                                                 map[string]*serverTruth
+	ejectionKnown, ejectionKept, wrongEjection, readmission *Claim
 }
 
-func (s *serversJudge) start(j *judge, b Bounds) []*Claim {
-	s.j, s.b, s.all = j, b, map[string]*faulty{}
-	s.known = &Claim{Name: VerdictKnown, Text: fmt.Sprintf("%v after a server began to fail all requests, all daemons that run and are linked keep off it, but for those that try it", b.Verdict)}
-	s.kept = &Claim{Name: KeptOff, Text: fmt.Sprintf("from then on it gets %.0f%% of an even share of requests at the most", 100*b.Kept)}
-	s.wrong = &Claim{Name: NoWrongOut, Text: "no daemon holds a server for out that answers, whatever is wrong with links"}
-	s.back = &Claim{Name: BackAgain, Text: fmt.Sprintf("%v after it is well, a server gets half of an even share of requests or more", 6*b.Verdict)}
-	return []*Claim{s.known, s.kept, s.wrong, s.back}
+func (s *serversChecker) begin(j *checker, b Bounds) []*Claim {
+	s.checker, s.bounds, s.servers = j, b, map[string]*serverTruth{}
+	s.ejectionKnown = &Claim{Name: EjectionKnown, Text: fmt.Sprintf("%v after a server began to fail all requests, all daemons that run and are linked keep off it, but for those that try it", b.Ejection)}
+	s.ejectionKept = &Claim{Name: EjectionKept, Text: fmt.Sprintf("from then on it gets %.0f%% of an even share of requests at the most", 100*b.MaxEjectedShare)}
+	s.wrongEjection = &Claim{Name: NoWrongOut, Text: "no daemon holds a server for out that answers, whatever is wrong with links"}
+	s.readmission = &Claim{Name: BackAgain, Text: fmt.Sprintf("%v after it is well, a server gets half of an even share of requests or more", 6*b.Ejection)}
+	return []*Claim{s.ejectionKnown, s.ejectionKept, s.wrongEjection, s.readmission}
 }
 
-func (s *serversJudge) of(server string) *faulty {
-	f := s.all[server]
+func (s *serversChecker) server(server string) *serverTruth {
+	f := s.servers[server]
 	if f == nil {
-		f = &faulty{known: map[string]bool{}}
-		s.all[server] = f
+		f = &serverTruth{ejectedBy: map[string]bool{}}
+		s.servers[server] = f
 	}
 	return f
 }
 
-// calm reports whether no server failed lately: else members have something to tell one another.
-func (s *serversJudge) calm(t int64) bool {
-	for _, f := range s.all {
-		if f.fails > 0 || f.failed > 0 && t-f.failed < int64(time.Minute) {
+// areAllHealthy reports whether no server failed lately: else members have something to tell one another.
+func (s *serversChecker) areAllHealthy(t int64) bool {
+	for _, f := range s.servers {
+		if f.failureShare > 0 || f.lastFailedAt > 0 && t-f.lastFailedAt < int64(time.Minute) {
 			return false
 		}
 	}
 	return true
 }
 
-// said takes what a daemon holds.
-func (s *serversJudge) said(l *Line) {
+// applyReport takes what a daemon holds.
+func (s *serversChecker) applyReport(l *Line) {
 	_, server, _ := strings.Cut(l.Server, "/")
-	f := s.of(server)
+	f := s.server(server)
 	switch l.State {
 	case "out":
-		f.known[l.By] = true
-		s.wrong.Tried++
-		if f.fails == 0 && (f.failed == 0 || l.T-f.failed > int64(4*s.b.Verdict)) {
-			s.wrong.fail(l.T, s.j.base, "%s holds %s for out, which answers", l.By, server)
+		f.ejectedBy[l.By] = true
+		s.wrongEjection.Tried++
+		if f.failureShare == 0 && (f.lastFailedAt == 0 || l.T-f.lastFailedAt > int64(4*s.bounds.Ejection)) {
+			s.wrongEjection.recordBreak(l.T, s.checker.base, "%s holds %s for out, which answers", l.By, server)
 		}
 	case "free":
-		delete(f.known, l.By)
+		delete(f.ejectedBy, l.By)
 	}
 }
 
-// triers is how many members may try a server that is out, by docs/design/shared-verdicts.md.
-func triers(members int) int { return max(1, min(3, members/8)) }
+// maxProbers is how many members may try a server that is out, by docs/design/shared-verdicts.md.
+func maxProbers(members int) int { return max(1, min(3, members/8)) }
 
-// truth takes what servers truly do, and get.
-func (s *serversJudge) truth(l *Line) {
-	f := s.of(l.Server)
+// applyTruth takes what servers truly do, and get.
+func (s *serversChecker) applyTruth(l *Line) {
+	f := s.server(l.Server)
 	if l.What == Fault {
 		if l.Of != "" { // a link: nobody may hold the server for out
-			s.wrong.Tried++
+			s.wrongEjection.Tried++
 			return
 		}
-		if (l.Drop > 0) != (f.fails > 0) {
-			f.since, f.settled = l.T, false
+		if (l.Drop > 0) != (f.failureShare > 0) {
+			f.changedAt, f.ejectionChecked = l.T, false
 		}
-		if f.fails > 0 {
-			f.failed = l.T
+		if f.failureShare > 0 {
+			f.lastFailedAt = l.T
 		}
-		f.fails = l.Drop
+		f.failureShare = l.Drop
 		return
 	}
-	if f.fails > 0 {
-		f.failed = l.T
+	if f.failureShare > 0 {
+		f.lastFailedAt = l.T
 	}
 	even := float64(l.Wanted) / float64(max(1, l.Members))
-	age := l.T - f.since - int64(time.Second) // the second before is told
+	age := l.T - f.changedAt - int64(time.Second) // the second before is told
 	switch {
-	case f.since == 0 || even < 3 || !s.j.quiet() || s.j.truthAt > f.since && l.T-s.j.truthAt < int64(s.b.Settle):
-	case f.fails >= 0.9 && age > int64(s.b.Verdict):
-		if !f.settled {
-			f.settled = true
+	case f.changedAt == 0 || even < 3 || !s.checker.areLinksUndisturbed() || s.checker.truthChangedAt > f.changedAt && l.T-s.checker.truthChangedAt < int64(s.bounds.Settle):
+	case f.failureShare >= 0.9 && age > int64(s.bounds.Ejection):
+		if !f.ejectionChecked {
+			f.ejectionChecked = true
 			running := 0
-			for _, p := range s.j.pids {
-				if p.up && !p.twin && p.paused == 0 {
+			for _, p := range s.checker.processes {
+				if p.up && !p.duplicate && p.pausedAt == 0 {
 					running++
 				}
 			}
-			s.known.Tried++
-			s.known.near(-float64(len(f.known)), "%d of %d (%s)", len(f.known), running, l.Server)
-			if len(f.known) < running-triers(running) {
-				s.known.fail(l.T, s.j.base, "%s fails, and %d of %d keep off it", l.Server, len(f.known), running)
+			s.ejectionKnown.Tried++
+			s.ejectionKnown.recordMargin(-float64(len(f.ejectedBy)), "%d of %d (%s)", len(f.ejectedBy), running, l.Server)
+			if len(f.ejectedBy) < running-maxProbers(running) {
+				s.ejectionKnown.recordBreak(l.T, s.checker.base, "%s fails, and %d of %d keep off it", l.Server, len(f.ejectedBy), running)
 			}
 		}
-		s.kept.Tried++
-		s.kept.near(float64(l.Asked)/even, "%d of %.0f in a second (%s)", l.Asked, even, l.Server)
-		if float64(l.Asked) > s.b.Kept*even {
-			s.kept.fail(l.T, s.j.base, "%s fails, and got %d of %.0f in a second", l.Server, l.Asked, even)
+		s.ejectionKept.Tried++
+		s.ejectionKept.recordMargin(float64(l.Asked)/even, "%d of %.0f in a second (%s)", l.Asked, even, l.Server)
+		if float64(l.Asked) > s.bounds.MaxEjectedShare*even {
+			s.ejectionKept.recordBreak(l.T, s.checker.base, "%s fails, and got %d of %.0f in a second", l.Server, l.Asked, even)
 		}
-	case f.fails == 0 && f.failed > 0 && age > int64(6*s.b.Verdict):
-		s.back.Tried++
-		s.back.near(-float64(l.Asked)/even, "%d of %.0f in a second (%s)", l.Asked, even, l.Server)
+	case f.failureShare == 0 && f.lastFailedAt > 0 && age > int64(6*s.bounds.Ejection):
+		s.readmission.Tried++
+		s.readmission.recordMargin(-float64(l.Asked)/even, "%d of %.0f in a second (%s)", l.Asked, even, l.Server)
 		if float64(l.Asked) < 0.5*even {
-			s.back.fail(l.T, s.j.base, "%s is well, and got %d of %.0f in a second", l.Server, l.Asked, even)
+			s.readmission.recordBreak(l.T, s.checker.base, "%s is well, and got %d of %.0f in a second", l.Server, l.Asked, even)
 		}
 	}
 }
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -161,7 +161,7 @@
 
 // line notes what the drill does.
 func (r *rig) line(l checker.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.Drill
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.FaultTest
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
 	r.mu.Unlock()
@@ -515,7 +515,7 @@
 			r.line(checker.Line{What: checker.Cut, Of: d.name, Why: "servers", Drop: e.Link.Drop})
 		case "stray":
 			r.relays.stray(n, e.Kind, e.Count)
-			r.line(checker.Line{What: checker.Odd, Of: d.name, Why: e.Kind, Asked: e.Count})
+			r.line(checker.Line{What: checker.StrayDatagram, Of: d.name, Why: e.Kind, Asked: e.Count})
 		}
 	}
 	return nil
--- a/internal/faulttest/harness/harness_test.go
+++ b/internal/faulttest/harness/harness_test.go
@@ -36,13 +36,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				report := checker.Judge(p.Bounds, lines)
+				report := checker.Check(p.Bounds, lines)
 				for _, c := range report.Claims {
 					if c.Broken > 0 {
 						t.Errorf("%s: %d of %d: %v", c.Name, c.Broken, c.Tried, c.Breaks)
 					}
 				}
-				if missed := report.Missed(p.Tries); len(missed) > 0 {
+				if missed := report.NotTried(p.Tries); len(missed) > 0 {
 					t.Errorf("not tried: %v", missed)
 				}
 				if t.Failed() {
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -148,12 +148,12 @@
 				at = begun
 			}
 			status, body := c.probe(ctx, fmt.Sprintf("%s/look-%s-%s-%d-%d", markers[k], d.name, part, n, k))
-			l := checker.Line{T: at, By: checker.Drill, What: checker.Took, Of: d.name, PID: pid, Server: markers[k], Part: part}
+			l := checker.Line{T: at, By: checker.FaultTest, What: checker.Took, Of: d.name, PID: pid, Server: markers[k], Part: part}
 			switch {
 			case status == http.StatusNotFound:
 				continue
 			case status == http.StatusServiceUnavailable && strings.Contains(body, "polic"):
-				l.What, l.Why = checker.Turned, body
+				l.What, l.Why = checker.PolicyRejected, body
 			case status == http.StatusOK || status == http.StatusServiceUnavailable || status == http.StatusBadGateway:
 				if now = k; markers[k] == "get" {
 					now = 0
@@ -222,7 +222,7 @@
 	r.others.Go(func() {
 		err := r.adminWith(ctx, d, http.MethodPost, "/policy/apply", data, nil)
 		if err != nil && strings.Contains(err.Error(), "not asked for") {
-			r.line(checker.Line{What: checker.Told, Of: d.name, ID: id, State: "dropped", Why: err.Error()})
+			r.line(checker.Line{What: checker.AuthorNotified, Of: d.name, ID: id, State: "dropped", Why: err.Error()})
 			return
 		}
 		r.follow(ctx, d, id, time.Now())
@@ -261,7 +261,7 @@
 				}
 			}
 			r.policies.mu.Unlock()
-			r.line(checker.Line{What: checker.Told, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
+			r.line(checker.Line{What: checker.AuthorNotified, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
 			return
 		case f.State == "under way":
 			heard = time.Now()
--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		switch {
-		case l.What == checker.Doubt:
+		case l.What == checker.SelfDoubt:
 			s.Doubts += 1 / float64(h.Members)
 		case l.What == checker.Member && l.State == "suspect":
 			s.Suspicions += 1 / float64(h.Members)
@@ -153,7 +153,7 @@
 			s.Processor += float64(u.to.CPUMS-u.from.CPUMS) * 1e6 / float64(span) / float64(h.Members)
 		}
 	}
-	news := checker.Follow(lines, to, lines[len(lines)-1].T)
+	news := checker.MeasurePropagation(lines, to, lines[len(lines)-1].T)
 	s.Crash, s.Crashes = middle(news.Crash), len(news.Crash)
 	s.Join, s.Joins = middle(news.Join), len(news.Join)
 	s.Unknown = news.Unknown
--- a/internal/faulttest/hollow/held_test.go
+++ b/internal/faulttest/hollow/held_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := checker.Follow(lines, lines[0].T+int64(4*time.Second), lines[len(lines)-1].T)
+	news := checker.MeasurePropagation(lines, lines[0].T+int64(4*time.Second), lines[len(lines)-1].T)
 	if len(news.Crash) != 1 || len(news.Join) != 1 || news.Unknown > 0 {
 		t.Errorf("of a crash and a start all learnt %+v", news)
 	}
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -168,7 +168,7 @@
 }
 
 func (w *sockets) line(l checker.Line) {
-	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.Drill
+	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.FaultTest
 	w.lines = append(w.lines, l)
 }
 
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -416,9 +416,9 @@
 	b := &f.Bounds
 	p.Bounds = checker.Bounds{Crash: r.span("bounds.crash", b.Crash, 8*time.Second), Leave: r.span("bounds.leave", b.Leave, 2*time.Second),
 		Join: r.span("bounds.join", b.Join, 5*time.Second), Settle: r.span("bounds.settle", b.Settle, 10*time.Second),
-		Pause: r.span("bounds.pause", b.Pause, 1500*time.Millisecond), Served: cmp.Or(b.Served, 0.99),
-		BytesIdle: cmp.Or(b.BytesIdle, 2<<10), BytesMost: cmp.Or(b.BytesMost, 80<<10), BytesFar: cmp.Or(b.BytesFar, 20<<10), Ways: b.Ways, Doubt: r.span("bounds.doubt", b.Doubt, 0), Used: cmp.Or(b.Used, 0.8),
-		Spread: r.span("bounds.spread", b.Spread, 500*time.Millisecond), Verdict: r.span("bounds.verdict", b.Verdict, 5*time.Second), Kept: cmp.Or(b.Kept, 0.25)}
+		Pause: r.span("bounds.pause", b.Pause, 1500*time.Millisecond), MinServed: cmp.Or(b.Served, 0.99),
+		MaxIdleBytes: cmp.Or(b.BytesIdle, 2<<10), MaxBytes: cmp.Or(b.BytesMost, 80<<10), MaxRemoteBytes: cmp.Or(b.BytesFar, 20<<10), RoundTrips: b.Ways, MaxSuspicion: r.span("bounds.doubt", b.Doubt, 0), MinLimitUse: cmp.Or(b.Used, 0.8),
+		PolicySpread: r.span("bounds.spread", b.Spread, 500*time.Millisecond), Ejection: r.span("bounds.verdict", b.Verdict, 5*time.Second), MaxEjectedShare: cmp.Or(b.Kept, 0.25)}
 	r.share("bounds.served", b.Served)
 	p.Link = r.link("link.", &f.Link)
 	r.regions(f)
--- a/internal/faulttest/policymodel/hard_test.go
+++ b/internal/faulttest/policymodel/hard_test.go
@@ -89,7 +89,7 @@
 				p.Length, p.Policy.Lease, p.Policy.Within, p.Link.Drop = c.length, 3*time.Second, 5*time.Second, c.drop
 				o := Options{Seed: 3, Witness: true, Take: max(20*time.Millisecond, time.Duration(c.members)*5*time.Millisecond, c.length/3000)}
 				r, rep := play(t, p, o)
-				kept(t, map[bool]string{true: "stops", false: "vetoes"}[stops], rep, checker.PolicyStart, checker.PolicyTold)
+				kept(t, map[bool]string{true: "stops", false: "vetoes"}[stops], rep, checker.PolicyStart, checker.PolicyAuthorNotified)
 				want := c.least
 				if !stops {
 					want = c.vetoes
@@ -114,10 +114,10 @@
 		}
 		return nil
 	}})
-	kept(t, "one can't", rep, checker.PolicyTold)
+	kept(t, "one can't", rep, checker.PolicyAuthorNotified)
 	told := map[string]checker.Line{}
 	for _, l := range r.Lines {
-		if l.What == checker.Told {
+		if l.What == checker.AuthorNotified {
 			told[l.ID] = l
 		}
 	}
@@ -135,7 +135,7 @@
 		to(at(40, "voters", 4), 3), each(50, 1, 1, "apply", 4), to(at(60, "voters", 4), 4), each(70, 1, 1, "apply", 5), from(at(80, "start", 0), "kept"), each(95, 1, 1, "apply", 5))...)
 	p.Length = 120 * time.Second
 	r, rep := play(t, p, Options{Seed: 2, Witness: true})
-	kept(t, "rescue", rep, checker.PolicyTold)
+	kept(t, "rescue", rep, checker.PolicyAuthorNotified)
 	s := r.Shown[5]
 	if len(s.Voters) != 3 || s.Epoch != 1 || s.Active.Number < 5 || r.Shown[0].Votes != "" || r.Shown[0].Active.Number != s.Active.Number {
 		t.Errorf("%v vote, policy %d after %d rescues; the one that came back: %q, policy %d", s.Voters, s.Active.Number, s.Epoch, r.Shown[0].Votes, r.Shown[0].Active.Number)
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -40,7 +40,7 @@
 				return c.other
 			}}
 			p := fleet(5, 3, true)
-			p.Policy.Lease, p.Length, p.Bounds.Spread = c.lease, 2*time.Second, 20*time.Millisecond
+			p.Policy.Lease, p.Length, p.Bounds.PolicySpread = c.lease, 2*time.Second, 20*time.Millisecond
 			if _, err := Play(p, o); err != nil { // it leads in the next run as well, which is the same so far
 				t.Fatal(err)
 			}
@@ -53,7 +53,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range checker.Policy(p.Bounds, r.Lines).Of(checker.PolicyAll).Breaks {
+			for _, b := range checker.Policy(p.Bounds, r.Lines).Find(checker.PolicyAll).Breaks {
 				t.Error(b)
 			}
 			// What the case is made of: the member took to the end of its lease, and the change came into force without it.
@@ -80,9 +80,9 @@
 		p := fleet(5, 3, true, join(cut(6, []int{4}, []int{0, 1, 2, 3}, false, 40), each(7, 1, 1, "apply", 0))...)
 		p.Policy.Lease, p.Policy.Within = lease, 3*time.Second
 		r, rep := play(t, p, Options{Seed: 1, Witness: true})
-		kept(t, lease.String(), rep, checker.PolicyTold)
+		kept(t, lease.String(), rep, checker.PolicyAuthorNotified)
 		for _, l := range r.Lines {
-			if l.What == checker.Told && l.State != "in force" {
+			if l.What == checker.AuthorNotified && l.State != "in force" {
 				t.Errorf("lease %v: the change is %s: %s", lease, l.State, l.Why)
 			}
 		}
--- a/internal/faulttest/policymodel/measure_test.go
+++ b/internal/faulttest/policymodel/measure_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	r, rep := play(t, p, o)
-	kept(t, "forty members", rep, checker.PolicyTold)
+	kept(t, "forty members", rep, checker.PolicyAuthorNotified)
 	if served != p.Daemons {
 		t.Errorf("%d serve by the change", served)
 	}
--- a/internal/faulttest/policymodel/parts_test.go
+++ b/internal/faulttest/policymodel/parts_test.go
@@ -21,7 +21,7 @@
 			tried[c.Name] += c.Tried
 		}
 	}
-	for name, least := range map[string]int{checker.PolicyOne: 2000, checker.PolicyAll: 150, checker.PolicyStart: 200, checker.PolicyServes: 1000, checker.PolicyKept: 2000, checker.PolicyTold: 1000, checker.PolicyWhole: 300, checker.PolicyApart: 10} {
+	for name, least := range map[string]int{checker.PolicyOne: 2000, checker.PolicyAll: 150, checker.PolicyStart: 200, checker.PolicyServes: 1000, checker.PolicyDurable: 2000, checker.PolicyAuthorNotified: 1000, checker.PolicyAtomic: 300, checker.PolicyIsolated: 10} {
 		if tried[name] < least {
 			t.Errorf("%s was tried %d times", name, tried[name])
 		}
@@ -47,7 +47,7 @@
 func told(r *Result) map[string]checker.Line {
 	all := map[string]checker.Line{}
 	for _, l := range r.Lines {
-		if l.What == checker.Told {
+		if l.What == checker.AuthorNotified {
 			all[l.ID] = l
 		}
 	}
@@ -64,7 +64,7 @@
 		p.Length = 70 * time.Second
 		r, rep := play(t, p, Options{Seed: 1, Witness: true})
 		what := map[bool]string{true: "stops", false: "vetoes"}[stops]
-		kept(t, what, rep, checker.PolicyTold, checker.PolicyApart, checker.PolicyWhole)
+		kept(t, what, rep, checker.PolicyAuthorNotified, checker.PolicyIsolated, checker.PolicyAtomic)
 		all := told(r)
 		for id, want := range map[string]string{"c1": "in force", "c2": "in force", "c3": "in force", "c4": "in force", "c5": "in force", "c7": "in force", "c8": "in force", "c9": "in force"} {
 			if l := all[id]; l.State != want {
@@ -87,7 +87,7 @@
 		[]plan.Event{parts(at(5, "apply", 4), "both"), parts(at(5, "apply", 3), "near"), parts(at(5, "apply", 6), "far"), parts(at(5.05, "apply", 5), "near")},
 		kind(at(20, "disk", 4), "well"), []plan.Event{parts(at(30, "apply", 4), "near", "both", ""), parts(at(30, "apply", 6), "far"), parts(at(30.001, "apply", 5), "both")})...)
 	r, rep := play(t, p, Options{Seed: 1, Witness: true})
-	kept(t, "at once", rep, checker.PolicyTold, checker.PolicyWhole)
+	kept(t, "at once", rep, checker.PolicyAuthorNotified, checker.PolicyAtomic)
 	all := told(r)
 	for id, want := range map[string]string{"c2": "in force", "c3": "in force", "c4": "in force", "c5": "dropped", "c6": "in force", "c7": "in force", "c8": "dropped"} {
 		if l := all[id]; l.State != want {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -315,7 +315,7 @@
 func (w *world) at(t time.Duration, do func()) { w.agenda.At(max(t, w.now), do) }
 
 func (w *world) line(l checker.Line) {
-	l.T, l.By = int64(w.now), checker.Drill
+	l.T, l.By = int64(w.now), checker.FaultTest
 	w.lines = append(w.lines, l)
 }
 
@@ -508,7 +508,7 @@
 		if f.AbortedBy != "" {
 			why = f.AbortedBy + ": " + why
 		}
-		w.line(checker.Line{What: checker.Told, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
+		w.line(checker.Line{What: checker.AuthorNotified, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
 		return true
 	})
 }
@@ -565,7 +565,7 @@
 		d, held := s.Lookup(part)
 		if s.Blocked != "" || d == nil || !held || m.own(w.now) >= s.Until {
 			w.r.Refused++
-			w.line(checker.Line{What: checker.Turned, Of: m.name, PID: m.pid, Why: s.Blocked, Part: part})
+			w.line(checker.Line{What: checker.PolicyRejected, Of: m.name, PID: m.pid, Why: s.Blocked, Part: part})
 			return
 		}
 		w.r.Taken++
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-var bounds = checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 10 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}
+var bounds = checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 10 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}
 
 func fleet(n, voters int, stops bool, events ...plan.Event) *plan.Plan {
 	p := &plan.Plan{Name: "test", Daemons: n, Zones: 1, Length: 60 * time.Second, Bounds: bounds, Events: events,
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, n := range tries {
-		if rep.Of(n).Tried == 0 {
+		if rep.Find(n).Tried == 0 {
 			t.Errorf("%s: %s was not tried", what, n)
 		}
 	}
@@ -62,7 +62,7 @@
 			tried[c.Name] += c.Tried
 		}
 	}
-	for name, least := range map[string]int{checker.PolicyOne: 1000, checker.PolicyAll: 60, checker.PolicyStart: 100, checker.PolicyServes: 1000, checker.PolicyKept: 1000, checker.PolicyTold: 250} {
+	for name, least := range map[string]int{checker.PolicyOne: 1000, checker.PolicyAll: 60, checker.PolicyStart: 100, checker.PolicyServes: 1000, checker.PolicyDurable: 1000, checker.PolicyAuthorNotified: 250} {
 		if tried[name] < least {
 			t.Errorf("%s was tried %d times", name, tried[name])
 		}
@@ -99,7 +99,7 @@
 		for k := 1; k <= points; k += 4 {
 			o.Kill = []int{k}
 			_, rep := play(t, p, o)
-			kept(t, fmt.Sprintf("stops %v, point %d", stops, k), rep, checker.PolicyKept)
+			kept(t, fmt.Sprintf("stops %v, point %d", stops, k), rep, checker.PolicyDurable)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		for seed := range uint64(6) {
 			p, o := Draw(seed, 8)
 			o.Way = w
-			if _, rep := play(t, p, o); rep.Of(checker.PolicyOne).Broken > 0 {
+			if _, rep := play(t, p, o); rep.Find(checker.PolicyOne).Broken > 0 {
 				broken++
 			}
 		}
--- a/internal/faulttest/policymodel/ways.go
+++ b/internal/faulttest/policymodel/ways.go
@@ -48,7 +48,7 @@
 			})
 		}
 	}
-	w.line(checker.Line{What: checker.Told, Of: m.name, ID: id, State: "in force", Number: d.Number})
+	w.line(checker.Line{What: checker.AuthorNotified, Of: m.name, ID: id, State: "in force", Number: d.Number})
 }
 
 func (w *world) simpleTake(m *member, d *policy.Document) {
--- a/internal/faulttest/virtual/befall.go
+++ b/internal/faulttest/virtual/befall.go
@@ -16,7 +16,7 @@
 	if w.o.Each != nil {
 		return
 	}
-	l.T, l.By = int64(w.now), cmp.Or(l.By, checker.Drill)
+	l.T, l.By = int64(w.now), cmp.Or(l.By, checker.FaultTest)
 	w.lines = append(w.lines, l)
 }
 
@@ -53,7 +53,7 @@
 	case membership.NameConflict:
 		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, Life: life(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
 	case membership.SelfSuspected:
-		return checker.Line{What: checker.Doubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
+		return checker.Line{What: checker.SelfDoubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
 	return checker.Line{}, false
 }
--- a/internal/faulttest/virtual/regions_test.go
+++ b/internal/faulttest/virtual/regions_test.go
@@ -20,7 +20,7 @@
 	regions, each := 2+rng.IntN(4), 3+rng.IntN(5)
 	p := &plan.Plan{Name: "drawn", Daemons: regions * each, Seeds: []int{0, each}, Zones: 1 + rng.IntN(3),
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 10 * time.Second, Pause: 1500 * time.Millisecond,
-			Served: 0.99, BytesIdle: 2400, BytesMost: 80 << 10, BytesFar: 20 << 10, Ways: 4},
+			MinServed: 0.99, MaxIdleBytes: 2400, MaxBytes: 80 << 10, MaxRemoteBytes: 20 << 10, RoundTrips: 4},
 		Between: plan.Link{Delay: time.Duration(5+rng.IntN(120)) * time.Millisecond, Jitter: time.Duration(rng.IntN(20)) * time.Millisecond}}
 	for n := range p.Daemons {
 		p.Regions = append(p.Regions, "r"+strconv.Itoa(n/each+1))
@@ -107,7 +107,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, c := range checker.Judge(p.Bounds, r.Lines).Claims {
+			for _, c := range checker.Check(p.Bounds, r.Lines).Claims {
 				if c.Broken > 0 {
 					t.Errorf("%s: %d of %d: %q", c.Name, c.Broken, c.Tried, c.Breaks[:min(3, len(c.Breaks))])
 				}
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -44,7 +44,7 @@
 		}
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			p.Bounds.Doubt = 0 // there is no busy machine here
+			p.Bounds.MaxSuspicion = 0 // there is no busy machine here
 			seeds := uint64(8)
 			if len(p.Regions) > 0 && !strings.HasPrefix(p.Name, "short") { // long, and what is drawn tries the same
 				seeds = 1
@@ -54,13 +54,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				report := checker.Judge(p.Bounds, r.Lines)
+				report := checker.Check(p.Bounds, r.Lines)
 				for _, c := range report.Claims {
 					if c.Broken > 0 {
 						t.Errorf("seed %d: %s: %d of %d: %v", seed+1, c.Name, c.Broken, c.Tried, c.Breaks)
 					}
 				}
-				if missed := report.Missed(tries(p)); len(missed) > 0 {
+				if missed := report.NotTried(tries(p)); len(missed) > 0 {
 					t.Errorf("seed %d: not tried: %v", seed+1, missed)
 				}
 			}
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -62,7 +62,7 @@
 	rng := rand.New(rand.NewPCG(c.seed, uint64(c.members)))
 	p := &plan.Plan{Name: "changes", Daemons: c.members, Zones: 1, Length: c.length,
 		Policy: &plan.Policy{Voters: upTo(c.voters), Stops: c.stops, Lease: 5 * time.Second, Within: 10 * time.Second},
-		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}}
+		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 	text := strings.Repeat("x", max(0, c.text-6))
 	holders := map[string][]int{}
 	var names []string
@@ -172,7 +172,7 @@
 		case checker.Proposed:
 			out.asked++
 			asked[l.ID], of[l.ID] = l.T, l.Parts
-		case checker.Told:
+		case checker.AuthorNotified:
 			if l.State != "in force" {
 				out.dropped++
 				out.why[kindOf(l.Why)]++
@@ -190,7 +190,7 @@
 					out.everywhere = append(out.everywhere, u.last-at)
 				}
 			}
-		case checker.Took, checker.Turned:
+		case checker.Took, checker.PolicyRejected:
 			if t := time.Duration(l.T); cut[l.Of] && t >= c.cutAt && t < c.cutAt+c.cutFor {
 				if l.What == checker.Took {
 					out.serving++
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	first := lines[0].T
-	all := checker.Follow(lines, first+int64(realStart), first+int64(cut))
+	all := checker.MeasurePropagation(lines, first+int64(realStart), first+int64(cut))
 	heal := first + int64(cut+realCut)
 	settled := time.Duration(0)
 	datagrams, bytes, most, seconds := 0, 0, 0, 0
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -104,7 +104,7 @@
 			switch l.What {
 			case checker.Proposed:
 				x.changes++
-			case checker.Told:
+			case checker.AuthorNotified:
 				x.told[kindOf(l)]++
 			}
 		}
@@ -163,7 +163,7 @@
 
 func fleet(n, voters int, stops bool, length time.Duration, events ...plan.Event) *plan.Plan {
 	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: everyone(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
-		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, Spread: 500 * time.Millisecond}}
+		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 }
 
 func apply(at time.Duration, who int) plan.Event {
@@ -200,7 +200,7 @@
 			}
 			told := ""
 			for _, l := range r.Lines {
-				if l.What == checker.Told {
+				if l.What == checker.AuthorNotified {
 					told = l.State
 				}
 			}
@@ -277,7 +277,7 @@
 		switch l.What {
 		case checker.Proposed:
 			asked[l.ID] = l.T
-		case checker.Told:
+		case checker.AuthorNotified:
 			if l.State == "in force" {
 				number[l.ID] = l.Number
 			} else {
@@ -367,7 +367,7 @@
 			switch key := fmt.Sprint(l.Of, l.PID); l.What {
 			case checker.Took:
 				began[key] = true
-			case checker.Turned:
+			case checker.PolicyRejected:
 				if began[key] {
 					turned++
 				} else {
@@ -426,7 +426,7 @@
 				case checker.Took:
 					began[key] = true
 					looks++
-				case checker.Turned:
+				case checker.PolicyRejected:
 					if began[key] {
 						turned++
 					}
