--- a/internal/host/daemon/ejections.go
+++ b/internal/host/daemon/ejections.go
@@ -21,7 +21,7 @@
 	}
 	for name, h := range d.hubs {
 		if h.unwatch == nil {
-			h.unwatch = h.Join(func(*discovery.Members) { d.reportList(name, h) })
+			h.unwatch = h.Subscribe(func(*discovery.Members) { d.reportList(name, h) })
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	if !retry {
 		return
 	}
-	time.AfterFunc(shareRetryInterval, func() {
+	time.AfterFunc(busyRetryInterval, func() {
 		if d.ejections.Load() == set {
 			d.applyEjections(set)
 		}
--- a/internal/host/daemon/run.go
+++ b/internal/host/daemon/run.go
@@ -49,7 +49,7 @@
 	close(d.done)
 	closeAdmin(admin)
 	if !waitFor(&d.background, backgroundTimeout) { // everything is answered: nothing else may keep the process
-		d.log.Warn("ending though not all of the daemon's own work has ended")
+		d.log.Warn("ending although not all background work has ended")
 	}
 	d.log.Info("stopped")
 	if handedOver {
@@ -181,7 +181,7 @@
 	})
 	for _, h := range hubs {
 		select {
-		case <-h.Told():
+		case <-h.Ready():
 		case <-limit:
 			d.log.Warn("no list yet; instances refuse until there is one", "list", h.source.List)
 		case <-ctx.Done():
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -43,9 +43,9 @@
 // serves reports whether new work may go to a server.
 func (v Member) serves() bool { return v.In && v.State == Up }
 
-// The rule, for every pair and every triple of what sources can say of one server. "silent" is a source
-// whose last word is older than its hold, "failing" one that fails for less.
-func TestTheRule(t *testing.T) {
+// The merge rule, for every pair and every triple of states that sources can report of one server. "silent" is a
+// source that has failed for longer than its hold, "failing" one that has for less.
+func TestMergeRuleForAllPairsAndTriples(t *testing.T) {
 	states := []string{"absent", "up", "draining", "gone", "silent", "failing"}
 	var combos [][]string
 	for _, a := range states {
@@ -66,11 +66,11 @@
 		x := Server{ID: "x", Addr: "10.0.0.9:80", State: Up}
 		keep := Server{ID: "keep", Addr: "10.0.0.8:80", State: Up}
 		now := time.Duration(0)
-		m.Step(now, View{"other", []Server{keep}})
+		m.Step(now, Snapshot{"other", []Server{keep}})
 		for i, c := range combo {
 			switch c {
 			case "silent", "failing":
-				m.Step(now, View{names[i], []Server{x}})
+				m.Step(now, Snapshot{names[i], []Server{x}})
 			}
 		}
 		for i, c := range combo {
@@ -82,21 +82,21 @@
 			now += hold + time.Second
 		}
 		for i, c := range combo {
-			said := x
+			reported := x
 			switch c {
 			case "absent":
-				m.Step(now, View{names[i], nil})
+				m.Step(now, Snapshot{names[i], nil})
 			case "up":
-				m.Step(now, View{names[i], []Server{x}})
+				m.Step(now, Snapshot{names[i], []Server{x}})
 			case "failing":
 				m.Step(now, Failed{names[i]})
 			case "draining":
-				said.State = Draining
-				m.Step(now, Change{names[i], []Server{said}})
+				reported.State = Draining
+				m.Step(now, Delta{names[i], []Server{reported}})
 			case "gone":
-				m.Step(now, View{names[i], []Server{x}})
-				said.State = Gone
-				m.Step(now, Change{names[i], []Server{said}})
+				m.Step(now, Snapshot{names[i], []Server{x}})
+				reported.State = Removed
+				m.Step(now, Delta{names[i], []Server{reported}})
 			}
 		}
 		list, _ := m.Step(now)
@@ -107,17 +107,17 @@
 			t.Errorf("%v: serves %v (%s), want %v", combo, got.serves(), got.Why, want)
 		}
 		if !find(t, list, "keep").serves() {
-			t.Errorf("%v: a server that nobody else names is out", combo)
+			t.Errorf("%v: a server that only one source names is out", combo)
 		}
 	}
 }
 
-// What a record still advertises after the list reported it gone stays out, until there is newer evidence.
-func TestNewerEvidence(t *testing.T) {
+// A server that a record still names after the list reported its removal stays out until there is newer evidence.
+func TestRemovalHoldsUntilNewerEvidence(t *testing.T) {
 	fresh := func() *Module {
 		m := module("list", "records")
-		m.Step(0, View{"list", up("a", "x")}, View{"records", up("a", "x")})
-		m.Step(time.Second, View{"list", up("a")})
+		m.Step(0, Snapshot{"list", up("a", "x")}, Snapshot{"records", up("a", "x")})
+		m.Step(time.Second, Snapshot{"list", up("a")})
 		return m
 	}
 	serves := func(m *Module, at time.Duration, r ...Report) bool {
@@ -126,45 +126,45 @@
 		return find(t, list, "x").serves()
 	}
 	m := fresh()
-	if serves(m, 2*time.Second, View{"records", up("a", "x")}) || serves(m, time.Hour, View{"records", up("a", "x")}) {
+	if serves(m, 2*time.Second, Snapshot{"records", up("a", "x")}) || serves(m, time.Hour, Snapshot{"records", up("a", "x")}) {
 		t.Error("the same record brought it back")
 	}
-	if serves(m, time.Hour+time.Second, View{"records", up("a")}) {
+	if serves(m, time.Hour+time.Second, Snapshot{"records", up("a")}) {
 		t.Error("withdrawn, and back")
 	}
-	if serves(m, time.Hour+2*time.Second, View{"records", up("a", "x")}) {
+	if serves(m, time.Hour+2*time.Second, Snapshot{"records", up("a", "x")}) {
 		t.Error("one reading without it, and a whole one, brought it back: readings lose records without a word")
 	}
-	if serves(m, time.Hour+3*time.Second, View{"records", up("a")}) || serves(m, time.Hour+guard+3*time.Second, View{"records", up("a")}) {
+	if serves(m, time.Hour+3*time.Second, Snapshot{"records", up("a")}) || serves(m, time.Hour+guard+3*time.Second, Snapshot{"records", up("a")}) {
 		t.Error("withdrawn, and back")
 	}
-	if !serves(m, time.Hour+guard+4*time.Second, View{"records", up("a", "x")}) {
+	if !serves(m, time.Hour+guard+4*time.Second, Snapshot{"records", up("a", "x")}) {
 		t.Error("withdrawn for as long as the guard and announced again after the list's report: that is newer")
 	}
 	m = fresh()
-	if !serves(m, 3*time.Second, View{"list", up("a", "x")}) {
+	if !serves(m, 3*time.Second, Snapshot{"list", up("a", "x")}) {
 		t.Error("the list that had it gone has it again")
 	}
 	m = module("list", "records")
 	old := up("a", "x")
 	old[1].Started = 1000
-	m.Step(0, View{"list", old}, View{"records", old})
-	m.Step(time.Second, View{"list", old[:1]})
+	m.Step(0, Snapshot{"list", old}, Snapshot{"records", old})
+	m.Step(time.Second, Snapshot{"list", old[:1]})
 	next := slices.Clone(old)
-	if next[1].Started = 1000; serves(m, 2*time.Second, View{"records", next[:1]}, View{"records", next}) {
+	if next[1].Started = 1000; serves(m, 2*time.Second, Snapshot{"records", next[:1]}, Snapshot{"records", next}) {
 		t.Error("announced again with the start that was reported gone")
 	}
 	next = slices.Clone(next)
-	if next[1].Started = 2000; !serves(m, 3*time.Second, View{"records", next}) {
+	if next[1].Started = 2000; !serves(m, 3*time.Second, Snapshot{"records", next}) {
 		t.Error("a new start is newer evidence")
 	}
 }
 
-// Failures never shrink the fleet before the hold is over, nor empty it afterwards; and a sudden empty
-// answer is not believed at once, though a drain is.
-func TestFailuresAndSuddenLoss(t *testing.T) {
+// Failures neither shorten the list before the hold is over nor empty it afterwards. A sudden empty snapshot is not
+// believed at once, though a drain is.
+func TestFailuresAndSuddenLossDoNotEmptyTheList(t *testing.T) {
 	m := module("list", "records")
-	m.Step(0, View{"records", up("a", "b", "c", "d")})
+	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
 	count := func(at time.Duration, r ...Report) (n int) {
 		list, _ := m.Step(at, r...)
 		for _, v := range list {
@@ -181,56 +181,56 @@
 		t.Errorf("%d long after: failures emptied the fleet", n)
 	}
 	at := 3*hold + time.Second
-	if n := count(at, View{"records", nil}); n != 4 {
+	if n := count(at, Snapshot{"records", nil}); n != 4 {
 		t.Errorf("%d after a sudden empty answer", n)
 	}
 	b := up("a", "b")[1]
 	b.State = Draining
-	if n := count(at+time.Second, Change{"list", []Server{b}}); n != 3 {
+	if n := count(at+time.Second, Delta{"list", []Server{b}}); n != 3 {
 		t.Errorf("%d: the guard overruled a drain", n)
 	}
-	if n := count(at+guard/2, View{"records", nil}); n != 3 {
+	if n := count(at+guard/2, Snapshot{"records", nil}); n != 3 {
 		t.Errorf("%d: a second answer too soon", n)
 	}
-	if n := count(at+guard+time.Second, View{"records", nil}); n != 0 {
+	if n := count(at+guard+time.Second, Snapshot{"records", nil}); n != 0 {
 		t.Errorf("%d: the second answer is not believed", n)
 	}
 	m = module("list", "records")
-	m.Step(0, View{"records", up("a", "b", "c", "d")})
-	if n := count(time.Second, View{"records", up("a", "b", "c")}); n != 3 {
+	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
+	if n := count(time.Second, Snapshot{"records", up("a", "b", "c")}); n != 3 {
 		t.Errorf("%d: one that is withdrawn goes at once", n)
 	}
 }
 
-// One server under two names is one, two that have an address in turn are two.
-func TestIdentity(t *testing.T) {
+// One server under two IDs is one; two processes that have an address in turn are two.
+func TestEntriesAreMatchedByIDAddressAndStart(t *testing.T) {
 	m := module("list", "records")
 	named := Server{ID: "formserver-7", Addr: "10.0.0.7:80", State: Up, Zone: "a", Pod: 3}
 	record := Server{ID: "formserver-7.example.org:80", Addr: "10.0.0.7:80", State: Up, Weight: 5}
-	list, _ := m.Step(0, View{"list", []Server{named}}, View{"records", []Server{record}})
+	list, _ := m.Step(0, Snapshot{"list", []Server{named}}, Snapshot{"records", []Server{record}})
 	if len(list) != 1 || list[0].ID != "formserver-7" || list[0].Weight != 5 || list[0].Pod != 3 {
 		t.Errorf("%+v", list)
 	}
 	gone := named
-	gone.State = Gone
-	if list, _ = m.Step(time.Second, Change{"list", []Server{gone}}); find(t, list, record.ID).serves() {
+	gone.State = Removed
+	if list, _ = m.Step(time.Second, Delta{"list", []Server{gone}}); find(t, list, record.ID).serves() {
 		t.Errorf("the same server by its other name: %+v", list)
 	}
 	m = module("list", "records")
 	first, second := named, Server{ID: "other", Addr: named.Addr, State: Up}
 	first.Started, second.Started = 1000, 2000
-	list, _ = m.Step(0, View{"list", []Server{first}}, View{"records", []Server{second}})
+	list, _ = m.Step(0, Snapshot{"list", []Server{first}}, Snapshot{"records", []Server{second}})
 	if len(list) != 2 || find(t, list, "formserver-7").serves() || !find(t, list, "other").serves() {
 		t.Errorf("%+v", list)
 	}
 }
 
-// A changed pod takes effect at once, a flapping one seldom, and each is said once.
-func TestPodsAreDamped(t *testing.T) {
+// A first change of the pod takes effect at once, a flapping pod seldom, and each change is logged once.
+func TestPodChangesAreDamped(t *testing.T) {
 	m := module("list")
 	at := func(now time.Duration, p int) int {
 		x := Server{ID: "x", Addr: "10.0.0.1:80", State: Up, Pod: p}
-		list, _ := m.Step(now, View{"list", []Server{x}})
+		list, _ := m.Step(now, Snapshot{"list", []Server{x}})
 		return find(t, list, "x").Pod
 	}
 	if at(0, 1) != 1 || at(time.Minute, 2) != 2 {
@@ -249,38 +249,38 @@
 		t.Errorf("%d moves in two minutes", moves)
 	}
 	if n := len(m.Logs()); n > 80 {
-		t.Errorf("%d lines about it", n)
+		t.Errorf("%d log lines", n)
 	}
 }
 
-// RFC 2782: those of a higher number stand by.
-func TestPriorities(t *testing.T) {
+// Servers with a higher priority number stand by (RFC 2782).
+func TestHigherPriorityNumbersStandBy(t *testing.T) {
 	m := module("list", "records")
 	all := up("a", "b", "c")
 	all[2].Priority = 10
-	list, _ := m.Step(0, View{"records", all})
+	list, _ := m.Step(0, Snapshot{"records", all})
 	if find(t, list, "c").serves() || !find(t, list, "a").serves() {
 		t.Errorf("%+v", list)
 	}
 	for i := range 2 {
 		all[i].State = Draining
 	}
-	if list, _ = m.Step(time.Second, Change{"list", all[:2]}); !find(t, list, "c").serves() {
+	if list, _ = m.Step(time.Second, Delta{"list", all[:2]}); !find(t, list, "c").serves() {
 		t.Errorf("%+v", list)
 	}
 }
 
-// Whatever the order of reports: nothing serves of which a source said that it drains or is gone, without
-// newer evidence; and failures alone change nothing before the hold is over.
-func TestAnyOrder(t *testing.T) {
+// In any order of reports, no server serves that a source reported as draining or removed, without newer evidence;
+// and failures alone change nothing before the hold is over.
+func TestRemovedServersStayOutInAnyOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"list", "srv", "sd"}
 		m := module(names...)
 		ids := []string{"a", "b", "c", "d", "e"}
-		bad := map[string]map[string]int{}     // by server, by source: the step of its last bad word
-		lastUp := map[string]map[string]bool{} // by source: whom it has up
-		spoke := map[string]int{}              // by source: the step at which it last spoke
-		renewed := map[string]int{}            // by server: the last step at which a source that has it now spoke without it
+		bad := map[string]map[string]int{}     // by server, by source: the step at which it was last reported as draining or removed
+		lastUp := map[string]map[string]bool{} // by source: the servers that it has up
+		reportedAt := map[string]int{}         // by source: the step of its last report
+		renewed := map[string]int{}            // by server: the last step at which a source that has it now reported without it
 		for _, n := range names {
 			lastUp[n] = map[string]bool{}
 		}
@@ -297,12 +297,12 @@
 				}
 				continue
 			}
-			var said []Server
+			var reported []Server
 			for i, id := range ids {
-				s := rapid.SampledFrom([]State{Absent, Up, Up, Draining, Gone}).Draw(t, id)
+				s := rapid.SampledFrom([]State{Absent, Up, Up, Draining, Removed}).Draw(t, id)
 				v := Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: s}
 				if s != Absent {
-					said = append(said, v)
+					reported = append(reported, v)
 				}
 				switch {
 				case s == Up:
@@ -310,9 +310,9 @@
 						delete(bad[id], by)
 					}
 					if !lastUp[by][id] {
-						renewed[id] = max(renewed[id], spoke[by])
+						renewed[id] = max(renewed[id], reportedAt[by])
 					}
-				case s == Draining || s == Gone || s == Absent && by == "list" && lastUp[by][id]:
+				case s == Draining || s == Removed || s == Absent && by == "list" && lastUp[by][id]:
 					if bad[id] == nil {
 						bad[id] = map[string]int{}
 					}
@@ -320,12 +320,12 @@
 				}
 				lastUp[by][id] = s == Up
 			}
-			spoke[by] = step
-			list, _ := m.Step(now, View{by, said})
+			reportedAt[by] = step
+			list, _ := m.Step(now, Snapshot{by, reported})
 			for _, v := range list {
 				for source, at := range bad[v.ID] {
 					if v.serves() && renewed[v.ID] <= at {
-						t.Fatalf("step %d: %s serves (%s), and %s said otherwise at step %d", step, v.ID, v.Why, source, at)
+						t.Fatalf("step %d: %s serves (%s), and %s reported otherwise at step %d", step, v.ID, v.Why, source, at)
 					}
 				}
 			}
@@ -350,6 +350,6 @@
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		m.Step(time.Duration(n)*time.Second, View{"list", all}, View{"srv", all}, View{"sd", all})
+		m.Step(time.Duration(n)*time.Second, Snapshot{"list", all}, Snapshot{"srv", all}, Snapshot{"sd", all})
 	}
 }
