--- a/internal/protocol/ldapmsg/reader.go
+++ b/internal/protocol/ldapmsg/reader.go
@@ -6,7 +6,7 @@
 
 // minBuffer is how many bytes the buffer of an idle connection has; retainedBuffers times as many are kept between messages.
 const (
-	minBuffer   = 512
+	minBuffer       = 512
 	retainedBuffers = 16
 )
 
