--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -34,17 +34,19 @@
 }
 
 // Publisher makes an operator's change hold in the agent's other processes, and in the one that replaces this one. Publish
-// returns once the others have applied the change.
+// returns once the others have applied the change, or with an error after handoff.AckTimeout: then the change may be stored all
+// the same.
 type Publisher interface{ Publish(c handoff.Change) error }
 
 const (
-	// callTimeout bounds reading a call; writing its response may take twice as long.
+	// callTimeout bounds reading a call, header and body; handling it and writing its response may take twice as long.
 	callTimeout = time.Second
-	// agentTimeout bounds the agent's part of a call, so that a caller learns of a busy agent before it gives up itself.
+	// agentTimeout bounds disabling or enabling an endpoint in the agent, so that a caller learns of a busy agent before it gives
+	// up itself. Publishing the change takes up to handoff.AckTimeout more.
 	agentTimeout = 700 * time.Millisecond
 	// figuresTimeout bounds counting the endpoints; after it the figures are those of an earlier moment.
 	figuresTimeout = 200 * time.Millisecond
-	// maxIdleConns bounds the connections that have not sent a complete call. Past it the oldest is closed, so that idle
+	// maxIdleConns bounds the connections that have not sent the complete header of a call. Past it the oldest is closed, so that idle
 	// connections never keep a call out.
 	maxIdleConns = 24
 	// maxHeaderBytes bounds the header of a call.
@@ -220,8 +222,8 @@
 	s.publish(w, handoff.Change{On: on})
 }
 
-// publish passes on a change that is in effect here, and answers 200. Where another process may not know of it, that is logged:
-// the operator's change holds in this one all the same.
+// publish passes on a change that is in effect here, and answers 200 also if that fails: the operator's change holds in this
+// process all the same, and the log says that others may not have applied it.
 func (s *Server) publish(w http.ResponseWriter, c handoff.Change) {
 	if err := s.publisher.Publish(c); err != nil {
 		s.log.Error("what an operator said holds here, and is not kept for another process", "error", err)
--- a/internal/host/handoff/dir.go
+++ b/internal/host/handoff/dir.go
@@ -22,9 +22,11 @@
 	// sharedSyncInterval is the time between two looks at the state file while another process is alive: an operator's call
 	// waits for the other process to have looked.
 	sharedSyncInterval = 25 * time.Millisecond
-	// aloneSyncInterval is the same while no other process is alive. All that can be seen late is a new process's arrival.
+	// aloneSyncInterval is the same while no other process is alive. Then nobody else changes the file, so the only cost is that a
+	// new process is noticed late by as much.
 	aloneSyncInterval = 250 * time.Millisecond
-	// AckTimeout is how long Publish waits for the other processes. The caller of the admin endpoint waits 1 s.
+	// AckTimeout is how long Publish waits for the other processes once the change is stored. The caller of the admin endpoint
+	// waits 1 s.
 	AckTimeout = 400 * time.Millisecond
 
 	stateFileName  = "said.json"
@@ -253,8 +255,8 @@
 	return stored, err
 }
 
-// recordApplied notes that this process has applied a change. The version stays: what another process has stored meanwhile is
-// still to be applied. d.mu is held.
+// recordApplied notes that this process has applied a change. It keeps the old version number: the file may hold changes of
+// other processes that are not applied here yet, and the next sync takes the file's version. d.mu is held.
 func (d *Dir) recordApplied(change Change) error {
 	after, err := d.applied.Apply(change)
 	if err != nil {
--- a/internal/host/handoff/state.go
+++ b/internal/host/handoff/state.go
@@ -1,5 +1,6 @@
-// Package handoff joins the processes of one agent that run beside each other while a new one replaces an old one: a change
-// that an operator makes at one of them (an endpoint disabled, clients drained) is applied by all.
+// Package handoff shares what operators set between the processes of one agent, which run beside each other while a new one
+// replaces an old one: a change that is made at one of them (an endpoint disabled, clients drained) is applied by all. It passes
+// on no listener and no client, and signals no readiness.
 //
 // OperatorState (state.go) is the decision: which changes lead from one state to another. It does no I/O. Dir (dir.go) shares it
 // through a directory that all processes of the agent see: a state file, a lock, and for each live process a file that it keeps
@@ -13,15 +14,15 @@
 	"slices"
 )
 
-// OperatorState is what operators have set and not taken back.
+// OperatorState is what operators have set and not taken back. Its keys are those of earlier builds.
 type OperatorState struct {
 	Version  int64    `json:"version"` // grows by one with each change
 	Disabled []string `json:"out"`     // IDs of endpoints taken out of use by hand, sorted
 	Draining bool     `json:"drained"` // clients are sent to other agents
 }
 
-// Change is one thing that an operator sets: an endpoint is disabled (On) or enabled; with no Server, the agent drains (On) or
-// takes clients again.
+// Change is one thing that an operator sets: an endpoint is disabled (On) or enabled; where Server is empty, the agent drains
+// (On) or takes clients again.
 type Change struct {
 	Server string
 	On     bool
--- a/internal/host/metrics/metrics.go
+++ b/internal/host/metrics/metrics.go
@@ -1,4 +1,5 @@
 // Package metrics exposes the counters of agents in the text format of Prometheus. It keeps no state: each scrape asks the agents.
+// The platform's figures in JSON are internal/host/admin's.
 package metrics
 
 import (
@@ -20,7 +21,7 @@
 // collector is a prometheus.Collector that asks for the agents at each scrape.
 type collector struct{ agents func() []Agent }
 
-// Handler serves the counters of the agents that the function returns. It is called at each scrape, from any goroutine.
+// Handler serves the counters of the agents that the function returns. The function is called at each scrape, from any goroutine.
 func Handler(agents func() []Agent) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{agents})
@@ -34,6 +35,8 @@
 	return prometheus.NewDesc("vetchhaven_"+name, help, append([]string{"agent"}, labels...), nil)
 }
 
+// Dashboards use these names and the label values: add, never rename (golden_test.go). A new counter is a description here, a
+// put in Collect, and a field of core.Totals or core.Counters.
 var (
 	requests     = counter("requests_total", "Requests admitted to the agent's loop.")
 	answers      = counter("answers_total", "Final answers, and requests whose clients disconnected.", "kind")
--- a/internal/host/policystore/store.go
+++ b/internal/host/policystore/store.go
@@ -2,7 +2,7 @@
 // promises that Raft rests on), and what a member has prepared. It is one bbolt file in the state directory, written in a
 // goroutine of its own, each batch atomically.
 //
-// A witness, a small file in a directory that does not outlast the machine's start and is in no backup, counts the writes
+// A witness, a small file in a directory that is emptied at reboot, such as /run, and is in no backup, counts the writes
 // of the file. With it a process that starts proves that the file is the one that the last process left, and not an
 // earlier copy that was restored. Without proof a voter asks the others before it votes: see internal/peer/policy.
 //
@@ -30,13 +30,13 @@
 const (
 	// fileName is the file's name in the state directory.
 	fileName = "policy.db"
-	// damagedSuffix is appended to the name of a file that can't be read.
+	// damagedSuffix is appended to the name of a file that the system can read and bbolt rejects.
 	damagedSuffix = ".bad"
 	// witnessSuffix is appended to the member's name.
 	witnessSuffix = ".witness"
 	// openTimeout is how long to wait for the lock of the file: the process before may still have it.
 	openTimeout = 5 * time.Second
-	// maxQueuedWrites bounds the batches that wait for the disk. One that hangs fails the ones above it.
+	// maxQueuedWrites bounds the batches that wait for the disk. If the disk hangs, further batches fail with errQueueFull.
 	maxQueuedWrites = 256
 )
 
@@ -82,8 +82,9 @@
 	return s
 }
 
-// Open opens the file, and reads what is there. A file whose content can't be read is set aside and logged: its member
-// begins anew. Any other failure, of the moment or for good, leaves the file as it is and is returned.
+// Open opens the file, and reads what is there. A file that the system can read and bbolt does not accept as a database is
+// set aside and logged, replacing an earlier one that was: its member begins anew. Any other failure, transient or permanent,
+// also one to read the entries of a database, leaves the file as it is and is returned.
 func (s *Store) Open() (policy.StoredState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +122,9 @@
 	return openDatabase(s.path)
 }
 
-// isDamaged reports whether a file could be read and is not a store's. A failure of the system, of the moment or for good
-// (no descriptor, no space, a bad sector, another process that has the file), says nothing of its content.
+// isDamaged reports whether an error is bbolt's own, for content that it rejects: any error but the system's and a lock that
+// was not free in time. A failure of the system, transient or permanent (no descriptor, no space, a bad sector, another
+// process that has the file), says nothing of the content.
 func isDamaged(err error) bool {
 	var system syscall.Errno
 	return !errors.As(err, &system) && !errors.Is(err, bberrors.ErrTimeout)
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -1,9 +1,9 @@
 // Package snapshot encodes the state that a daemon saves for the one that starts after it (the file last.state), and decides what
 // of it that one may use. It does no I/O: internal/host/daemon reads and writes the file.
 //
-// Restored are the last good endpoint lists, which hold until the list service has been read, and the measured durations. Not
-// saved are retry tokens, slow-start budgets, failure counts and ejections: they allowed or forbade something at a moment that is
-// over, and each could break a rule when restored (a slow-start budget that was spent would be spent again) or keep a recovered
+// The file holds the last good endpoint lists, which are used until the list service has been read, and the measured durations. It
+// does not hold retry tokens, slow-start budgets, failure counts and ejections: they allowed or forbade something at a moment that
+// is over, and each could break a rule when restored (a slow-start budget that was spent would be spent again) or keep a recovered
 // endpoint out. The limit on requests in flight passes only to a successor that serves the same clients at once, see
 // State.DropTransient.
 package snapshot
@@ -40,7 +40,8 @@
 	}
 }
 
-// Reasons for which Decode rejects a file.
+// Reasons for which Decode rejects a file. ErrCorrupt stands for any damage, also a header that is cut off or JSON that does not
+// parse; ErrTooOld also for a state that seems to be saved that far in the future.
 var (
 	ErrNotSnapshot = errors.New("not a state of vetchhaven")
 	ErrVersion     = errors.New("of a version that this program does not know")
@@ -53,8 +54,9 @@
 	version = 1
 )
 
-// age is the time since the state was saved. Within one boot of the machine it is exact. Across boots, or where the boot is not
-// known, it is taken from the wall clock, which may have been stepped by any span, and is at least the time since this boot.
+// age is the time since the state was saved. Within one boot of the machine it is the difference of the boot clock, which nothing
+// steps. Across boots it is taken from the wall clock, which may have been stepped by any span, but is at least the time since this
+// boot. Where either boot is not known it is taken from the wall clock alone.
 func (s *State) age(now Moment) time.Duration {
 	if now.BootID != "" && now.BootID == s.BootID {
 		return now.SinceBoot - time.Duration(s.SinceBootMS)*time.Millisecond
--- a/internal/host/supervise/supervise.go
+++ b/internal/host/supervise/supervise.go
@@ -1,5 +1,5 @@
 // Package supervise decides when a part of the daemon that ended by itself starts again: after an exponential backoff with
-// jitter, and not at all once it keeps failing, as systemd does by StartLimitBurst. It owns the State of each part. It does
+// jitter, and not at all once it keeps failing. It owns the State of each part. It does
 // no I/O and reads no clock: the daemon's goroutine passes in what happened with its time, and executes the actions that come
 // back.
 package supervise
@@ -15,16 +15,16 @@
 	// defaultFirstWait makes the restart after a passing fault hardly noticeable. Shorter restarts a part while the cause
 	// of its failure still lasts.
 	defaultFirstWait = 200 * time.Millisecond
-	// defaultMaxWait has an operator see a repaired part come back soon. Longer spares the host more where a part fails on. It
-	// binds only with more than defaultMaxFailures or a longer defaultFirstWait.
+	// defaultMaxWait has an operator see a repaired part come back soon. A longer one loads the host less while a part keeps
+	// failing. With the other defaults it is never reached: the seventh and last wait is 12.8 s at most.
 	defaultMaxWait = 30 * time.Second
 	// defaultHealthyAfter is a minute of running: far more than a part takes that fails at its start.
 	defaultHealthyAfter = time.Minute
-	// defaultMaxFailures is reached after 13 to 26 s of waiting with the other defaults (seven waits, of 0.2 s doubled six times
-	// at most). More tries on for longer.
+	// defaultMaxFailures is reached after 13 to 26 s of waiting with the other defaults: seven waits of up to 0.2, 0.4, and so on
+	// to 12.8 s. A larger number keeps restarting a part for longer.
 	defaultMaxFailures = 8
 
-	// minWaitShare is the least part of the ceiling that a wait takes; the rest is jitter. Less lets a part that fails at
+	// minWaitShare is the smallest fraction of the ceiling that a wait takes; the rest is jitter. Less lets a part that fails at
 	// once be started in a busy loop by low draws.
 	minWaitShare = 0.5
 	// seedStream separates the supervisor's random numbers from others of the same seed.
@@ -35,7 +35,7 @@
 type Settings struct {
 	FirstWait    time.Duration // ceiling of the wait after the first failure; it doubles with each further one
 	MaxWait      time.Duration // the highest ceiling
-	HealthyAfter time.Duration // a part that ran for so long has no failures in a row any more
+	HealthyAfter time.Duration // the next failure of a part that ran for so long counts as the first
 	MaxFailures  int           // failures in a row after which a part is left down
 }
 
@@ -90,10 +90,10 @@
 // Phase is where a part is in its life.
 type Phase uint8
 
-// The phases of a part. Started leads to Running, Failed from there to Waiting or, after too many failures, to Down; Revived leads
-// from Down to Waiting.
+// The phases of a part. Started leads to Running; Failed leads from Running, or from Waiting where the start itself failed, to
+// Waiting or, after too many failures, to Down; Revived leads from Down to Waiting.
 const (
-	Waiting Phase = iota // until NextStartAt
+	Waiting Phase = iota // until NextStartAt, and until an ordered start has succeeded or failed
 	Running
 	Down // not started any more until a configuration is applied
 )
@@ -102,7 +102,7 @@
 type State struct {
 	Phase               Phase
 	ConsecutiveFailures int
-	TotalFailures       int           // since it was first started
+	TotalFailures       int           // since it was added
 	NextStartAt         time.Duration // while Waiting
 	LastReason          string        // of the last failure
 	runningSince        time.Duration
