--- a/internal/faulttest/checker/apart.go
+++ b/internal/faulttest/checker/isolation.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// isolationChecker judges that a change waits only for whom it concerns: where these, its author and all that may vote are whole and
-// hear one another, it comes into force in time, whatever befalls others meanwhile.
+// isolationChecker checks that a change waits only for the members that have its parts: if these, its author and all
+// voters run and are linked, it comes into force in time, whatever faults others have meanwhile.
 type isolationChecker struct {
 	policy        *policyChecker
 	disturbedAt   map[string]int64 // by member: it ended, started, was paused, or its disk was touched
@@ -22,7 +22,11 @@
 const maxIsolatedChangeTime = 3 * time.Second
 
 func (a *isolationChecker) begin(p *policyChecker) *Claim {
-	a.policy, a.disturbedAt, a.down, a.linkChangedAt, a.impaired = p, map[string]int64{}, map[string]bool{}, map[pair]int64{}, map[pair]bool{}
+	a.policy = p
+	a.disturbedAt = map[string]int64{}
+	a.down = map[string]bool{}
+	a.linkChangedAt = map[pair]int64{}
+	a.impaired = map[pair]bool{}
 	a.claim = &Claim{Name: PolicyIsolated, Text: "a change of services' parts whose members, author and voters are whole comes into force, whatever is cut off or down elsewhere"}
 	return a.claim
 }
@@ -45,8 +49,8 @@
 // authorNotified takes what became of a change.
 func (a *isolationChecker) authorNotified(l *Line) {
 	p := a.policy
-	parts, asked := p.partsOfChange[l.ID], p.proposedAt[l.ID]
-	if len(parts) == 0 || slices.Contains(parts, "") || asked == 0 {
+	parts, proposedAt := p.partsOfChange[l.ID], p.proposedAt[l.ID]
+	if len(parts) == 0 || slices.Contains(parts, "") || proposedAt == 0 {
 		return
 	}
 	among := map[string]bool{l.Of: true}
@@ -61,21 +65,21 @@
 			among[o.name] = true
 		}
 	}
-	from := asked - int64(p.checker.bounds.Settle)
-	elsewhere := false
+	from := proposedAt - int64(p.checker.bounds.Settle)
+	hasFaultElsewhere := false
 	for name, at := range a.disturbedAt {
 		if among[name] && at > from {
 			return
 		}
-		elsewhere = elsewhere || !among[name] && (at > from || a.down[name])
+		hasFaultElsewhere = hasFaultElsewhere || !among[name] && (at > from || a.down[name])
 	}
 	for at, t := range a.linkChangedAt {
 		if among[at.from] && among[at.to] && (a.impaired[at] || t > from) {
 			return
 		}
-		elsewhere = elsewhere || a.impaired[at]
+		hasFaultElsewhere = hasFaultElsewhere || a.impaired[at]
 	}
-	if !elsewhere {
+	if !hasFaultElsewhere {
 		return
 	}
 	for _, other := range []string{"another change", "it was made of", "it was in force", "are under way: no more"} {
@@ -84,7 +88,7 @@
 		}
 	}
 	a.claim.Tried++
-	took := time.Duration(l.T - asked)
+	took := time.Duration(l.T - proposedAt)
 	a.claim.recordDuration(took)
 	switch {
 	case l.State != "in force":
--- a/internal/faulttest/checker/limits.go
+++ b/internal/faulttest/checker/limits.go
@@ -16,7 +16,7 @@
 	lastLineAt       int64
 }
 
-// limitsChecker judges limits by what servers saw.
+// limitsChecker checks shared limits by what servers saw.
 type limitsChecker struct {
 	bounds           Bounds
 	limits           map[string]*limited
@@ -47,16 +47,16 @@
 	if x == nil {
 		return
 	}
-	c, most := j.soft, x.bound
+	c, allowed := j.soft, x.bound
 	if x.hard {
-		c, most = j.hard, x.capacity
+		c, allowed = j.hard, x.capacity
 	}
 	if 10*l.Used >= 9*x.capacity { // it was tried: else any number would have kept it
 		c.Tried++
-		c.recordMargin(float64(l.Used)/float64(most), "%d of %d (%s)", l.Used, most, l.Limit)
+		c.recordMargin(float64(l.Used)/float64(allowed), "%d of %d (%s)", l.Used, allowed, l.Limit)
 	}
-	if l.Used > most {
-		c.recordBreak(l.T, base, "%s: %d in use, and %d is the most", l.Limit, l.Used, most)
+	if l.Used > allowed {
+		c.recordBreak(l.T, base, "%s: %d in use, and %d is the most", l.Limit, l.Used, allowed)
 	}
 	quiet := max(x.changedAt, changed) + int64(j.bounds.Settle)
 	if j.isBinding(x) && 5*x.demandPerSecond >= 6*x.capacity && x.lastLineAt > quiet {
--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// used is when a policy was first used, and by which change.
+// used is the first use of a policy, and the change that made it.
 type used struct {
 	id    string
 	first int64
 }
 
-// partUser is what a process has taken requests by.
+// partUser is a process that takes requests by a part of the policy.
 type partUser struct {
 	number         uint64
 	hasUsed        bool
@@ -25,7 +25,7 @@
 	missingOnDisk  map[uint64]bool // policies that it had not on its disk as they came into force
 }
 
-// policyChecker judges the policy that a fleet agrees on by what requests were taken by.
+// policyChecker checks the policy that a fleet agrees on, by the policies by which requests were taken.
 type policyChecker struct {
 	checker           *checker
 	isAgreed          bool
@@ -71,8 +71,17 @@
 }
 
 func (p *policyChecker) begin(j *checker) []*Claim {
-	p.checker, p.parts, p.partsOf, p.onDisk, p.excluded, p.proposedAt, p.notifications, p.pending = j, map[string]*partChecker{}, map[int]map[string]bool{}, map[string]map[string]bool{}, map[string][]string{}, map[string]int64{}, map[string]*Line{}, map[string]bool{}
-	p.partsOfChange, p.mixedUses, p.multiPartUses = map[string][]string{}, map[partUse]bool{}, map[int]map[string]int64{}
+	p.checker = j
+	p.parts = map[string]*partChecker{}
+	p.partsOf = map[int]map[string]bool{}
+	p.onDisk = map[string]map[string]bool{}
+	p.excluded = map[string][]string{}
+	p.proposedAt = map[string]int64{}
+	p.notifications = map[string]*Line{}
+	p.pending = map[string]bool{}
+	p.partsOfChange = map[string][]string{}
+	p.mixedUses = map[partUse]bool{}
+	p.multiPartUses = map[int]map[string]int64{}
 	p.one = &Claim{Name: PolicyOne, Text: "once a policy is used anywhere, no request is taken by an earlier one: on whole links after 'spread', else after the lease"}
 	p.all = &Claim{Name: PolicyAll, Text: "a policy is used by all whom it concerns or by nobody: who had it not on its disk takes nothing by an earlier one, a dropped one is never used"}
 	p.start = &Claim{Name: PolicyStart, Text: "the first request of a process by a part is taken by what is in force"}
@@ -128,10 +137,17 @@
 func (p *policyChecker) applyLine(l *Line) bool {
 	switch l.What {
 	case Agreed:
-		p.isAgreed, p.stopsWhenIsolated, p.leaseTerm, p.voters, p.futureVoters = true, l.Hard, time.Duration(l.PauseMS)*time.Millisecond, strings.Fields(l.Why), strings.Fields(l.Parts)
+		p.isAgreed = true
+		p.stopsWhenIsolated = l.Hard
+		p.leaseTerm = time.Duration(l.PauseMS) * time.Millisecond
+		p.voters = strings.Fields(l.Why)
+		p.futureVoters = strings.Fields(l.Parts)
 	case Proposed:
-		p.proposedAt[l.ID], p.changedAt, p.pending[l.ID] = l.T, l.T, true
-		p.excluded[l.ID], p.partsOfChange[l.ID] = strings.Fields(l.Why), partsIn(l.Parts)
+		p.proposedAt[l.ID] = l.T
+		p.changedAt = l.T
+		p.pending[l.ID] = true
+		p.excluded[l.ID] = strings.Fields(l.Why)
+		p.partsOfChange[l.ID] = partsIn(l.Parts)
 	case Holds:
 		p.partsOf[l.PID] = map[string]bool{}
 		for _, part := range strings.Fields(l.Parts) {
@@ -200,135 +216,125 @@
 	return u != nil && slices.Contains(q.policy.excluded[u.id], name)
 }
 
+// applyUse applies that a process took a request by a policy.
 func (p *policyChecker) applyUse(l *Line) {
-	j := p.checker
-	o := j.processes[l.PID]
+	o := p.checker.processes[l.PID]
 	if o == nil || !p.isAgreed {
 		return
 	}
 	q := p.part(l.Part)
 	t := q.user(l.PID)
-	n := l.Number
 	p.lastUseAt = l.T
-	if l.Alone { // its file says so: shown, not judged
+	if l.Alone { // the daemon's file allows it: recorded, not checked
 		return
 	}
+	p.checkChange(q, l)
+	isFirst := !t.hasUsed
+	if isFirst {
+		p.start.Tried++
+	}
+	p.checkNumber(q, t, o, l)
+	t.hasUsed = true
+	t.lastUsedAt = l.T
+	if q.highest > t.checkedFor && l.T > q.used[q.highest].first {
+		t.checkedFor = q.highest
+		p.one.Tried++
+	}
+	late := p.checkLag(q, t, o, l)
+	if late != nil && isFirst {
+		p.start.recordBreak(l.T, p.checker.base, "%s begins with %s, and %d is in force for %v", l.Of, q.describe(l.Number), late.later, late.lag.Round(time.Millisecond))
+	}
+	p.noteMultiPartUse(l)
+	if !p.stopsWhenIsolated && p.isIsolated(o) {
+		p.serves.Tried++
+	}
+}
+
+// checkChange checks that a policy is used as one change made it, and that the change was not dropped. With the
+// first use of a policy it records which processes lack it on their disks.
+func (p *policyChecker) checkChange(q *partChecker, l *Line) {
+	j := p.checker
+	n := l.Number
 	u := q.used[n]
 	switch {
 	case u == nil:
-		u = &used{l.ID, l.T}
-		q.used[n] = u
+		q.used[n] = &used{l.ID, l.T}
 		if n > q.highest {
-			q.highest, p.changedAt = n, l.T
+			q.highest = n
+			p.changedAt = l.T
 		}
-		for _, pid := range j.order { // who has it not on its disk?
-			if o := j.processes[pid]; !p.disksKnown {
-				break
-			} else if o.up && !o.leaving && p.hasPart(pid, l.Part) && !p.onDisk[o.name][l.ID] && n > 0 {
-				q.user(pid).missingOnDisk[n] = true
-			}
+		if p.disksKnown && n > 0 {
+			p.noteMissingOnDisk(q, l)
 		}
 	case u.id != l.ID:
 		p.durable.recordBreak(l.T, j.base, "%s takes by %s as change %s made it, and %s was used", l.Of, q.describe(n), l.ID, u.id)
 	}
-	if said := p.notifications[l.ID]; said != nil && said.State == "dropped" && n > 0 {
+	if notified := p.notifications[l.ID]; notified != nil && notified.State == "dropped" && n > 0 {
 		p.all.recordBreak(l.T, j.base, "%s takes by change %s, of which its author was told that it was dropped", l.Of, l.ID)
 	}
-	first := !t.hasUsed
-	if first {
-		p.start.Tried++
-	}
-	if n != t.number || first {
-		if n < t.number {
-			p.durable.recordBreak(l.T, j.base, "%s takes by %s, and took by %d before", l.Of, q.describe(n), t.number)
-		}
-		if !first && j.areLinksUndisturbed() && o.pausedAt == 0 {
-			p.serves.Tried++
+}
+
+// noteMissingOnDisk records which processes with the part lack a policy on their disks.
+func (p *policyChecker) noteMissingOnDisk(q *partChecker, l *Line) {
+	for _, pid := range p.checker.order {
+		o := p.checker.processes[pid]
+		if o.up && !o.leaving && p.hasPart(pid, l.Part) && !p.onDisk[o.name][l.ID] {
+			q.user(pid).missingOnDisk[l.Number] = true
 		}
-		t.number, t.numberSince = n, l.T
-		p.durable.Tried++
 	}
-	t.hasUsed, t.lastUsedAt = true, l.T
-	if q.highest > t.checkedFor && l.T > q.used[q.highest].first {
-		t.checkedFor = q.highest
-		p.one.Tried++
+}
+
+// checkNumber checks that a process never goes back to an earlier policy.
+func (p *policyChecker) checkNumber(q *partChecker, t *partUser, o *process, l *Line) {
+	n := l.Number
+	if n == t.number && t.hasUsed {
+		return
 	}
-	if at, m := q.firstLaterUse(n); at > 0 && m > t.failedFor && !q.isExcluded(l.Of, m) && !(l.Both != "" && q.used[m].id == l.Both && m == n+1) {
-		lag, bound := time.Duration(l.T-at), p.maxLag(o, l.T)
-		if t.missingOnDisk[m] {
-			bound = j.bounds.PolicySpread
-			if lag > bound {
-				p.all.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used, which it had not on its disk", l.Of, q.describe(n), lag, m)
-				t.failedFor = m
-			}
-		}
-		p.one.recordMargin(float64(lag)/float64(bound), "%v of %v (%s, %s)", lag.Round(time.Millisecond), bound, l.Of, q.describe(n))
-		if lag > bound && t.failedFor < m {
-			t.failedFor = m
-			p.one.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used; %v is the most", l.Of, q.describe(n), lag.Round(time.Millisecond), m, bound)
-			if first {
-				p.start.recordBreak(l.T, j.base, "%s begins with %s, and %d is in force for %v", l.Of, q.describe(n), m, lag.Round(time.Millisecond))
-			}
-		}
+	if n < t.number {
+		p.durable.recordBreak(l.T, p.checker.base, "%s takes by %s, and took by %d before", l.Of, q.describe(n), t.number)
 	}
-	p.noteMultiPartUse(l)
-	if !p.stopsWhenIsolated && p.isIsolated(o) {
+	if t.hasUsed && p.checker.areLinksUndisturbed() && o.pausedAt == 0 {
 		p.serves.Tried++
 	}
+	t.number = n
+	t.numberSince = l.T
+	p.durable.Tried++
 }
 
-// noteMultiPartUse takes note of a request, for changes of several parts.
-func (p *policyChecker) noteMultiPartUse(l *Line) {
-	went := p.multiPartUses[l.PID]
-	if len(p.partsOfChange[l.ID]) > 1 && went[l.ID] == 0 {
-		if went == nil {
-			went = map[string]int64{}
-			p.multiPartUses[l.PID] = went
-		}
-		went[l.ID] = l.T
-	}
-	for id, since := range went {
-		if id != l.ID && l.T-since > int64(p.checker.bounds.PolicySpread) && slices.Contains(p.partsOfChange[id], l.Part) {
-			p.mixedUses[partUse{l.PID, l.Part, l.Number, id}] = true
-		}
-	}
+// lateUse is a use of a policy too long after the first use of a later one.
+type lateUse struct {
+	later uint64
+	lag   time.Duration
 }
 
-// checkAtomicity looks at changes of several parts once all is known.
-func (p *policyChecker) checkAtomicity(t int64) {
-	numbers := map[string]map[string]uint64{} // by change and part
-	for part, q := range p.parts {
-		for n, u := range q.used {
-			if len(p.partsOfChange[u.id]) > 1 {
-				if numbers[u.id] == nil {
-					numbers[u.id] = map[string]uint64{}
-				}
-				numbers[u.id][part] = n
-			}
-		}
-	}
-	for id, of := range numbers {
-		p.atomic.Tried++
-		for _, part := range p.partsOfChange[id] {
-			if of[part] > 0 {
-				continue
-			}
-			// Nobody used it: then those that used the other part went on to what came after it. Of two changes of one part that
-			// both came into force the one that was asked for later is the later one, for it was made of the other.
-			for pid := range p.multiPartUses {
-				q := p.part(part)
-				if k := q.users[pid]; p.multiPartUses[pid][id] > 0 && k != nil && k.lastUsedAt > p.multiPartUses[pid][id]+int64(p.checker.bounds.PolicySpread) && p.proposedAt[q.used[k.number].id] < p.proposedAt[id] {
-					p.atomic.recordBreak(t, p.checker.base, "change %s is used in a part, and never in %q, where process %d goes on by policy %d", id, part, pid, k.number)
-				}
-			}
+// checkLag checks for how long a process goes on with an earlier policy than one that is used elsewhere. It returns
+// a use that is too late, once for each later policy; nil: it is not.
+func (p *policyChecker) checkLag(q *partChecker, t *partUser, o *process, l *Line) *lateUse {
+	j := p.checker
+	n := l.Number
+	at, later := q.firstLaterUse(n)
+	if at == 0 || later <= t.failedFor || q.isExcluded(l.Of, later) {
+		return nil
+	}
+	if l.Both != "" && q.used[later].id == l.Both && later == n+1 { // it went by what both allow
+		return nil
+	}
+	lag := time.Duration(l.T - at)
+	bound := p.maxLag(o, l.T)
+	if t.missingOnDisk[later] {
+		bound = j.bounds.PolicySpread
+		if lag > bound {
+			p.all.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used, which it had not on its disk", l.Of, q.describe(n), lag, later)
+			t.failedFor = later
 		}
 	}
-	for w := range p.mixedUses {
-		p.atomic.Tried++
-		if n := numbers[w.change][w.part]; w.number < n {
-			p.atomic.recordBreak(t, p.checker.base, "process %d takes by policy %d of %q after it took by change %s, which made that %d", w.pid, w.number, w.part, w.change, n)
-		}
+	p.one.recordMargin(float64(lag)/float64(bound), "%v of %v (%s, %s)", lag.Round(time.Millisecond), bound, l.Of, q.describe(n))
+	if lag <= bound || t.failedFor >= later {
+		return nil
 	}
+	t.failedFor = later
+	p.one.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used; %v is the most", l.Of, q.describe(n), lag.Round(time.Millisecond), later, bound)
+	return &lateUse{later: later, lag: lag}
 }
 
 // reachesMajority reports whether a process reaches most of the voters.
@@ -456,7 +462,9 @@
 
 // Switches are, for each policy, how long it took from its first use to the last process that came to it.
 func Switches(lines []Line) map[uint64]time.Duration {
-	first, last, at := map[uint64]int64{}, map[uint64]int64{}, map[string]uint64{}
+	first := map[uint64]int64{}
+	last := map[uint64]int64{}
+	at := map[string]uint64{} // by process
 	for i := range lines {
 		l := &lines[i]
 		if l.What != Took || l.Alone {
@@ -478,7 +486,7 @@
 	return all
 }
 
-// Policy judges a run of which only policies are told: no views, no requests but what they were taken by.
+// Policy checks a run whose lines are only about policies, and returns only the claims about these.
 func Policy(b Bounds, lines []Line) *Report {
 	r := Check(b, lines)
 	r.Claims = slices.DeleteFunc(r.Claims, func(c *Claim) bool { return !strings.HasPrefix(c.Name, "policy-") })
--- a/internal/faulttest/checker/servers.go
+++ b/internal/faulttest/checker/servers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serverTruth is a server as it truly is.
+// serverTruth is a server's real condition, by what the fault test did.
 type serverTruth struct {
 	failureShare    float64
 	changedAt       int64 // it fails, or is well, since
@@ -15,7 +15,7 @@
 	ejectionChecked bool // whether all knew it was looked at
 }
 
-// serversChecker judges verdicts about servers.
+// serversChecker checks ejections and readmissions of servers.
 type serversChecker struct {
 	checker                                                 *checker
 	bounds                                                  Bounds
@@ -24,7 +24,9 @@
 }
 
 func (s *serversChecker) begin(j *checker, b Bounds) []*Claim {
-	s.checker, s.bounds, s.servers = j, b, map[string]*serverTruth{}
+	s.checker = j
+	s.bounds = b
+	s.servers = map[string]*serverTruth{}
 	s.ejectionKnown = &Claim{Name: EjectionKnown, Text: fmt.Sprintf("%v after a server began to fail all requests, all daemons that run and are linked keep off it, but for those that try it", b.Ejection)}
 	s.ejectionKept = &Claim{Name: EjectionKept, Text: fmt.Sprintf("from then on it gets %.0f%% of an even share of requests at the most", 100*b.MaxEjectedShare)}
 	s.wrongEjection = &Claim{Name: NoWrongOut, Text: "no daemon holds a server for out that answers, whatever is wrong with links"}
--- a/internal/faulttest/checker/service.go
+++ b/internal/faulttest/checker/service.go
@@ -3,7 +3,7 @@
 import "time"
 
 // serviceCount is a daemon's service while nothing but its peers could hinder it.
-type serviceCount struct{ asked, served int }
+type serviceCount struct{ requests, served int }
 
 // serviceSettleTime is how long a second of requests must be clear of starts, pauses and cuts: the line comes three seconds
 // after it, and what was under way then tells of those, not of peers.
@@ -30,19 +30,19 @@
 	}
 	j.served.Tried += l.Asked
 	t := j.serviceCounts[l.Of]
-	j.serviceCounts[l.Of] = serviceCount{t.asked + l.Asked, t.served + l.Served}
+	j.serviceCounts[l.Of] = serviceCount{t.requests + l.Asked, t.served + l.Served}
 }
 
 func (j *checker) checkService() {
 	for _, who := range sortedKeys(j.serviceCounts) {
 		t := j.serviceCounts[who]
-		if t.asked == 0 {
+		if t.requests == 0 {
 			continue
 		}
-		share := float64(t.served) / float64(t.asked)
-		j.served.recordMargin(-share, "%.2f%% of %d (%s)", 100*share, t.asked, who)
+		share := float64(t.served) / float64(t.requests)
+		j.served.recordMargin(-share, "%.2f%% of %d (%s)", 100*share, t.requests, who)
 		if share < j.bounds.MinServed {
-			j.served.recordBreak(j.now, j.base, "%s served %.2f%% of %d requests", who, 100*share, t.asked)
+			j.served.recordBreak(j.now, j.base, "%s served %.2f%% of %d requests", who, 100*share, t.requests)
 		}
 	}
 }
