--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -72,7 +72,7 @@
 	servers serversChecker
 	policy  policyChecker
 
-	// Claims, in the order of their names.
+	// Claims, in the order in which they are reported.
 	crashKnown   *Claim
 	leaveKnown   *Claim
 	joinKnown    *Claim
