--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -83,6 +83,21 @@
 	o.newIdentity.release()
 }
 
+// discard ends an operation that was not admitted: it has no response.
+func (o *operation) discard() {
+	s := o.session
+	s.mu.Lock()
+	reserved := o.paged && o.requiredConn != nil && o.requiredConn != s.stickyConn
+	s.mu.Unlock()
+	if reserved {
+		o.requiredConn.unreserve()
+	}
+	o.release()
+	if o.done != nil {
+		close(o.done)
+	}
+}
+
 // setAttempt sets where the present attempt is. An abandon that came just before is sent to the server.
 func (o *operation) setAttempt(c *serverConn, id int32) {
 	o.mu.Lock()
--- a/internal/protocol/ldap/request.go
+++ b/internal/protocol/ldap/request.go
@@ -139,9 +139,10 @@
 	if o.requiredConn != nil {
 		o.request.OnlyServer = o.requiredConn.server
 	}
-	s.mu.Lock()
-	s.operations[o.id] = o
-	s.mu.Unlock()
+	if !s.addOperation(o) {
+		o.discard()
+		return
+	}
 	if p.openOperations.Add(1) > p.maxOpen.Load() {
 		o.finish(core.Answer{Refused: true})
 		return
@@ -154,3 +155,15 @@
 		o.request.Abort()
 	}
 }
+
+// addOperation enters an operation among the open ones. It reports false if the session has begun to close since the request
+// was read: no response may follow a Notice of Disconnection (RFC 4511, 4.4.1), so nothing may be executed.
+func (s *session) addOperation(o *operation) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closing {
+		return false
+	}
+	s.operations[o.id] = o
+	return true
+}
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -160,3 +160,39 @@
 		})
 	}
 }
+
+// A request may be read just before its session begins to close. Behind the Notice of Disconnection it would have no
+// response, so it is not executed.
+func TestNothingIsExecutedBehindNoticeOfDisconnection(t *testing.T) {
+	d := dir(t, "one", directory.Options{})
+	r := start(t, testConfig(t, d), Options{})
+	c := r.raw(t)
+	var s *session
+	testkit.WaitFor(t, "the session", func() bool {
+		r.p.mu.Lock()
+		defer r.p.mu.Unlock()
+		for s = range r.p.sessions {
+		}
+		return s != nil
+	})
+	go s.closeWithNotice(ldapmsg.Unavailable, "closing")
+	in := ldapmsg.NewReader(c, 1<<20)
+	if _, err := in.Next(); err != nil {
+		t.Fatalf("notice: %v", err)
+	}
+	raw := rawSearch(1, 0)
+	m, err := ldapmsg.Parse(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.handleOperation(raw, m)
+	if raw, err := in.Next(); err == nil {
+		t.Errorf("%x behind the notice", raw)
+	}
+	if n := r.p.openOperations.Load(); n != 0 {
+		t.Errorf("%d open operations", n)
+	}
+	if n := d.Served("search"); n != 0 {
+		t.Errorf("%d searches were executed", n)
+	}
+}
