--- a/internal/protocol/ldap/cancel_test.go
+++ b/internal/protocol/ldap/cancel_test.go
@@ -86,6 +86,8 @@
 		t.Fatal(err)
 	}
 	testkit.Receive(t, "the search", came)
+	// The server may have the search before the agent knows that all of it was written; until then it can't be cancelled.
+	testkit.WaitFor(t, "the attempt", func() bool { return a.hasAttempt(5) })
 	if _, err := c.Write(append(ldapmsg.Cancel(6, 5), ldapmsg.Cancel(7, 99)...)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -133,6 +133,27 @@
 	return c
 }
 
+// hasAttempt reports whether an operation of the given message ID has been written to a server, which has not answered.
+func (r *running) hasAttempt(id int32) bool {
+	r.p.mu.Lock()
+	defer r.p.mu.Unlock()
+	for s := range r.p.sessions {
+		s.mu.Lock()
+		o := s.operations[id]
+		s.mu.Unlock()
+		if o == nil {
+			continue
+		}
+		o.mu.Lock()
+		written := o.attemptConn != nil
+		o.mu.Unlock()
+		if written {
+			return true
+		}
+	}
+	return false
+}
+
 func search(base string, scope int) *client.SearchRequest {
 	return client.NewSearchRequest(base, scope, client.NeverDerefAliases, 0, 0, false, "(objectClass=*)", nil, nil)
 }
