--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -86,7 +86,9 @@
 func (p *protocol) Update(l core.List) { p.update(l) }
 
 // ReapIdle closes connections to servers that have been idle for too long, until ctx ends.
-func (p *protocol) ReapIdle(ctx context.Context) { p.reapIdle(ctx) }
+func (p *protocol) ReapIdle(ctx context.Context) {
+	core.RunPeriodically(ctx, p.maxIdle/reapsPerMaxIdle, p.reapIdle)
+}
 
 // Shutdown closes the idle connections to servers, and keeps none from now on.
 func (p *protocol) Shutdown() { p.shutdown() }
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -229,27 +229,18 @@
 	}
 }
 
-// reapIdle closes connections that have been idle for too long, or were closed by their server, until ctx ends.
-func (p *connPool) reapIdle(ctx context.Context) {
-	tick := time.NewTicker(p.maxIdle / reapsPerMaxIdle)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		p.mu.Lock()
-		for id, list := range p.idle {
-			p.setIdle(id, slices.DeleteFunc(list, func(c *serverConn) bool {
-				unusable := p.isUnusable(c, time.Since(c.idleSince))
-				if unusable {
-					p.closeLocked(c)
-				}
-				return unusable
-			}))
-		}
-		p.mu.Unlock()
+// reapIdle closes connections that have been idle for too long, or were closed by their server.
+func (p *connPool) reapIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, list := range p.idle {
+		p.setIdle(id, slices.DeleteFunc(list, func(c *serverConn) bool {
+			unusable := p.isUnusable(c, time.Since(c.idleSince))
+			if unusable {
+				p.closeLocked(c)
+			}
+			return unusable
+		}))
 	}
 }
 
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -224,7 +224,9 @@
 func (p *protocol) Update(l core.List) { p.pool.update(l) }
 
 // ReapIdle closes connections to servers that have been idle for too long, until ctx ends.
-func (p *protocol) ReapIdle(ctx context.Context) { p.pool.reapIdle(ctx) }
+func (p *protocol) ReapIdle(ctx context.Context) {
+	core.RunPeriodically(ctx, max(p.pool.maxIdle/reapsPerMaxIdle, minReapInterval), p.pool.reapIdle)
+}
 
 // Shutdown closes the connections to servers, and keeps none from now on.
 func (p *protocol) Shutdown() { p.pool.shutdown() }
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -177,25 +177,16 @@
 	p.closeIfUnused(c)
 }
 
-// reapIdle closes connections that have been idle for too long, until ctx ends.
-func (p *connPool) reapIdle(ctx context.Context) {
-	tick := time.NewTicker(max(p.maxIdle/reapsPerMaxIdle, minReapInterval))
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		p.mu.Lock()
-		for _, list := range p.conns {
-			for _, c := range slices.Clone(list) {
-				if c.users == 0 && !c.reserved && time.Since(c.idleSince) >= p.maxIdle {
-					p.closeLocked(c)
-				}
+// reapIdle closes connections that have been idle for too long.
+func (p *connPool) reapIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, list := range p.conns {
+		for _, c := range slices.Clone(list) {
+			if c.users == 0 && !c.reserved && time.Since(c.idleSince) >= p.maxIdle {
+				p.closeLocked(c)
 			}
 		}
-		p.mu.Unlock()
 	}
 }
 
