--- a/internal/peer/membership/leave.go
+++ b/internal/peer/membership/leave.go
@@ -78,12 +78,7 @@
 	if m == nil || m.effectiveState() != Dead {
 		return
 	}
-	r := m.Record
-	r.State = Left
-	r.Reporter = v.settings.Name
-	r.AgeSeconds = 0
-	v.setRecord(m, r, recordChange{reason: reasonForgotten})
-	v.queueUpdate(m, "")
+	v.report(m, Left, reasonForgotten)
 }
 
 // cleanupDue forgets members that left long ago. Dead ones stay: they may run beyond a broken link, and the shares of
--- a/internal/peer/membership/suspicion.go
+++ b/internal/peer/membership/suspicion.go
@@ -126,9 +126,12 @@
 	}
 }
 
-func (v *View) declareDead(m *member, reason string) {
+func (v *View) declareDead(m *member, reason string) { v.report(m, Dead, reason) }
+
+// report records a state that this member is the first to report, and queues it for gossip.
+func (v *View) report(m *member, state State, reason string) {
 	r := m.Record
-	r.State = Dead
+	r.State = state
 	r.Reporter = v.settings.Name
 	r.AgeSeconds = 0
 	v.setRecord(m, r, recordChange{reason: reason})
