--- a/internal/peer/policy/status.go
+++ b/internal/peer/policy/status.go
@@ -143,9 +143,6 @@
 	return ChangeStatus{ID: id}
 }
 
-// LastResponseAt returns when the last lease response came, by the member's clock.
-func (n *Node) LastResponseAt() time.Duration { return n.member.lastResponseAt }
-
 // History returns the response to the last History event; nil: none has come.
 func (n *Node) History() *History { return n.member.history }
 
--- a/internal/source/dnssource/dnssource.go
+++ b/internal/source/dnssource/dnssource.go
@@ -60,10 +60,9 @@
 
 // Source reads one set of names. It belongs to one goroutine.
 type Source struct {
-	options    Options
-	logged     map[string]bool // problems of records that have been logged, each once
-	failures   int             // failed readings in a row
-	queryCount int
+	options  Options
+	logged   map[string]bool // problems of records that have been logged, each once
+	failures int             // failed readings in a row
 }
 
 // New returns a Source that has read nothing.
@@ -212,6 +211,3 @@
 	s.logged[key] = true
 	s.options.Log.Warn(text, append([]any{"source", s.options.Name, "name", name}, attributes...)...)
 }
-
-// QueryCount returns how many queries were sent.
-func (s *Source) QueryCount() int { return s.queryCount }
--- a/internal/source/dnssource/resolve.go
+++ b/internal/source/dnssource/resolve.go
@@ -124,7 +124,6 @@
 	query.SetQuestion(name, kind)
 	query.SetEdns0(udpSize, false)
 	for _, network := range []string{"udp", "tcp"} {
-		s.queryCount++
 		queryCtx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 		response, err := s.options.Exchange(queryCtx, query, network, resolver)
 		cancel()
