--- a/internal/faulttest/plan/golden_test.go
+++ b/internal/faulttest/plan/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"reflect"
-	"strings"
 	"testing"
 
 	"vetchhaven/internal/testkit/golden"
@@ -10,6 +9,5 @@
 
 // Keys without a tag are their fields' names, whatever their case.
 func TestFilesKeepTheirKeys(t *testing.T) {
-	all := strings.ToLower(strings.Join(golden.Keys(reflect.TypeFor[file]()), "\n"))
-	golden.Check(t, "plan.toml.keys", []byte(all+"\n"))
+	golden.CheckKeys(t, "plan.toml.keys", reflect.TypeFor[file]())
 }
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -54,11 +54,6 @@
 		"status.json": &Status{}, "reload.json": &ReloadResult{}, "limits.json": &LimitsStatus{}, "policy.json": &PolicyStatus{},
 		"policy-change.json": &PolicyChange{}, "policy-fate.json": &PolicyChangeStatus{}, "handover.json": &[]daemonconfig.Address{},
 	} {
-		golden.FillEmbedded(v, map[string]string{"ChangeStatus": "Fate", "Status": "Shown"})
-		data, err := json.MarshalIndent(v, "", " ")
-		if err != nil {
-			t.Fatal(err)
-		}
-		golden.Check(t, name, data)
+		golden.CheckBody(t, name, v, map[string]string{"ChangeStatus": "Fate", "Status": "Shown"})
 	}
 }
--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"encoding/json"
 	"testing"
 
 	"vetchhaven/internal/testkit/golden"
@@ -49,16 +48,7 @@
 
 // The admin endpoint's bodies.
 func TestAdminBodiesKeepTheirKeys(t *testing.T) {
-	shown := func(name string, v any) {
-		t.Helper()
-		golden.Fill(v)
-		data, err := json.MarshalIndent(v, "", " ")
-		if err != nil {
-			t.Fatal(err)
-		}
-		golden.Check(t, name, data)
-	}
-	shown("shown.json", &Status{})
-	shown("fate.json", &ChangeStatus{})
-	shown("past.json", &History{})
+	golden.CheckBody(t, "shown.json", &Status{}, nil)
+	golden.CheckBody(t, "fate.json", &ChangeStatus{}, nil)
+	golden.CheckBody(t, "past.json", &History{}, nil)
 }
--- a/internal/peer/transport/golden_test.go
+++ b/internal/peer/transport/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"testing"
 
 	"vetchhaven/internal/peer/ejection"
@@ -97,16 +96,8 @@
 
 // What the admin endpoint shows of peers, and the lines of the event file.
 func TestStatusAndEventLinesKeepTheirKeys(t *testing.T) {
-	checkJSON[MembershipStatus](t, "shown-view.json")
-	checkJSON[LimitsStatus](t, "shown-limits.json")
-	checkJSON[EjectionStatus](t, "shown-outliers.json")
-	checkJSON[eventLine](t, "event-line.json")
-}
-
-func checkJSON[T any](t *testing.T, name string) {
-	t.Helper()
-	golden.Codec[T]{Name: name,
-		Encode: func(v T) ([]byte, error) { return json.MarshalIndent(v, "", " ") },
-		Decode: func(data []byte) (v T, err error) { return v, json.Unmarshal(data, &v) },
-	}.Check(t)
+	golden.CheckJSON[MembershipStatus](t, "shown-view.json")
+	golden.CheckJSON[LimitsStatus](t, "shown-limits.json")
+	golden.CheckJSON[EjectionStatus](t, "shown-outliers.json")
+	golden.CheckJSON[eventLine](t, "event-line.json")
 }
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"hash/fnv"
 	"os"
@@ -116,6 +117,36 @@
 	}
 }
 
+// CheckJSON is Codec.Check for a type that is stored or shown as JSON, and read back.
+func CheckJSON[T any](t *testing.T, name string) {
+	t.Helper()
+	Codec[T]{
+		Name:   name,
+		Encode: encodeJSON[T],
+		Decode: func(data []byte) (v T, err error) { return v, json.Unmarshal(data, &v) },
+	}.Check(t)
+}
+
+// CheckBody fills the value that pointer points to as FillEmbedded does, and compares its JSON with a golden file.
+func CheckBody(t *testing.T, name string, pointer any, formerly map[string]string) {
+	t.Helper()
+	FillEmbedded(pointer, formerly)
+	data, err := encodeJSON(pointer)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Check(t, name, data)
+}
+
+func encodeJSON[T any](v T) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
+
+// CheckKeys compares the keys of a settings file, in lower case, with a golden file: a key without a tag is its field's
+// name, whatever its case.
+func CheckKeys(t *testing.T, name string, settings reflect.Type) {
+	t.Helper()
+	Check(t, name, []byte(strings.ToLower(strings.Join(Keys(settings), "\n"))+"\n"))
+}
+
 // maxNesting bounds how deep a type that holds itself is filled.
 const maxNesting = 3
 
