--- a/decide/errorrate_test.go
+++ b/decide/errorrate_test.go
@@ -38,21 +38,28 @@
 	}
 }
 
+// newSingleAttemptBalancer returns a balancer without retries and slow start, which knows the backends b0, b1 and so on.
+func newSingleAttemptBalancer(t *testing.T, now time.Duration, backends int) *Balancer {
+	t.Helper()
+	b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 1,
+		Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var list []Backend
+	for i := range backends {
+		list = append(list, Backend{ID: fmt.Sprint("b", i)})
+	}
+	b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: list}})
+	return b
+}
+
 // Where every backend fails now and then alike, none is ejected for a single error; where one
 // fails and the others do not, its first error is enough.
 func TestCommonErrorRateEjectsNone(t *testing.T) {
 	for _, all := range []bool{true, false} {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 1,
-			Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
 		now := time.Hour
-		var list []Backend
-		for i := range 6 {
-			list = append(list, Backend{ID: fmt.Sprint("b", i)})
-		}
-		b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: list}})
+		b := newSingleAttemptBalancer(t, now, 6)
 		struck := 0
 		for n := range 1500 {
 			id := fmt.Sprint(n)
@@ -99,17 +106,8 @@
 		least  int // of such results until it is struck
 		most   int
 	}{{Errored, false, 1, 1}, {Errored, true, 2, 4}, {Reset, true, 2, 4}, {ConnectFailed, true, 1, 1}} {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 1,
-			Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
 		now := time.Hour
-		var list []Backend
-		for i := range 4 {
-			list = append(list, Backend{ID: fmt.Sprint("b", i)})
-		}
-		b.Step(now, []Event{ListUpdate{Kind: ListFull, Backends: list}})
+		b := newSingleAttemptBalancer(t, now, 4)
 		bad, failed := 0, !row.others
 		for n := 0; n < 1000 && b.byID["b0"].failureScore == 0; n++ {
 			id := fmt.Sprint(n)
--- a/internal/host/daemonconfig/config_test.go
+++ b/internal/host/daemonconfig/config_test.go
@@ -62,6 +62,16 @@
 	return path
 }
 
+// loadText returns the configuration of a file with a text.
+func loadText(t *testing.T, text string) *Config {
+	t.Helper()
+	cfg, err := Load(writeFile(t, t.TempDir(), text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
 func TestLoad(t *testing.T) {
 	cfg, err := Load(writeFile(t, t.TempDir(), validFile))
 	if err != nil {
--- a/internal/host/daemonconfig/overlay_test.go
+++ b/internal/host/daemonconfig/overlay_test.go
@@ -1,8 +1,6 @@
 package daemonconfig
 
 import (
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -43,20 +41,6 @@
 cut_off = "vetoes"
 `
 
-// loadOwnFile returns the configuration of ownFileText.
-func loadOwnFile(t *testing.T) *Config {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "fleet.toml")
-	if err := os.WriteFile(path, []byte(ownFileText), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cfg, err := Load(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return cfg
-}
-
 // under returns the configuration of ownFileText under a policy or, if both is not empty, under what that and another one allow.
 func under(t *testing.T, text, both string) (*Config, error) {
 	t.Helper()
@@ -64,7 +48,7 @@
 	if both != "" {
 		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return loadOwnFile(t).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
+	return loadText(t, ownFileText).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
 func TestPolicyTablesReplaceTheFiles(t *testing.T) {
--- a/internal/host/daemonconfig/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -1,8 +1,6 @@
 package daemonconfig
 
 import (
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -56,14 +54,7 @@
 // them both allow.
 func underParts(t *testing.T, texts, both map[string]string) (*Config, error) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "fleet.toml")
-	if err := os.WriteFile(path, []byte(twoServices), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cfg, err := Load(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	cfg := loadText(t, twoServices)
 	if got := strings.Join(cfg.HeldParts(), " "); got != "beds labs" {
 		t.Fatalf("it holds the parts of %s", got)
 	}
--- a/internal/protocol/http1/attempt_test.go
+++ b/internal/protocol/http1/attempt_test.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"bufio"
 	"context"
 	"errors"
 	"io"
@@ -207,18 +208,9 @@
 // A connection that breaks before the request's last byte is written proves that nothing ran;
 // one byte later it proves nothing.
 func TestOutcomeOfPartialWrite(t *testing.T) {
-	ln := testkit.Listen(t)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() { _, _ = io.Copy(io.Discard, c) }()
-		}
-	}()
+	s := serveConns(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	for _, room := range []int{0, 10, 6000} {
-		b := poolFor(t, ln.Addr().String())
+		b := poolFor(t, s.Addr)
 		dial := b.dialer
 		b.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(ctx, network, addr)
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -200,6 +200,25 @@
 	return b
 }
 
+// serveConns runs a backend whose connections are handled by f alone.
+func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) discovery.Member {
+	t.Helper()
+	ln := testkit.Listen(t)
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				f(c, bufio.NewReader(c))
+			}()
+		}
+	}()
+	return (&backend{addr: ln.Addr().String()}).member("s")
+}
+
 // resetting is a listener that resets each connection at once.
 func resetting(t *testing.T) net.Listener {
 	t.Helper()
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -144,36 +144,25 @@
 // rests a while, if there is another.
 func TestUnsolicitedBytesEndTheConnection(t *testing.T) {
 	more := make(chan string)
-	ln := testkit.Listen(t)
-	go func() {
+	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
 		for {
-			c, err := ln.Accept()
+			req, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				in := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					if _, err := io.Copy(io.Discard, req.Body); err != nil {
-						return
-					}
-					id := req.Header.Get("X-Trace-Id")
-					if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id), id, <-more); err != nil {
-						return
-					}
-					if _, err := io.WriteString(c, <-more); err != nil {
-						return
-					}
-				}
-			}()
+			if _, err := io.Copy(io.Discard, req.Body); err != nil {
+				return
+			}
+			id := req.Header.Get("X-Trace-Id")
+			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id), id, <-more); err != nil {
+				return
+			}
+			if _, err := io.WriteString(c, <-more); err != nil {
+				return
+			}
 		}
-	}()
-	b := poolFor(t, ln.Addr().String())
+	})
+	b := poolFor(t, s.Addr)
 	ask := func(with string) {
 		t.Helper()
 		id := newID()
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -38,25 +38,6 @@
 	return (&backend{addr: ln.Addr().String()}).member("s")
 }
 
-// serveConns runs a backend whose connections are handled by f alone.
-func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) discovery.Member {
-	t.Helper()
-	ln := testkit.Listen(t)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				f(c, bufio.NewReader(c))
-			}()
-		}
-	}()
-	return (&backend{addr: ln.Addr().String()}).member("s")
-}
-
 func startWith(t *testing.T, members ...discovery.Member) *runningAgent {
 	t.Helper()
 	return start(t, testConfig(t, testkit.Setup{Servers: members}))
