--- a/internal/peer/policy/changes_test.go
+++ b/internal/peer/policy/changes_test.go
@@ -30,7 +30,7 @@
 	c.propose("a", "x")
 	c.run(2 * time.Second)
 	if status := c.status("a", "x"); status.State != ChangePreparing {
-		t.Fatalf("%+v while the disk of d has not taken it", status)
+		t.Fatalf("%+v, want it preparing while d has not persisted it", status)
 	}
 	c.stalledDisks["d"] = false
 	c.endWrites("d", nil)
@@ -50,7 +50,7 @@
 	for _, name := range c.names {
 		pending := c.nodes[name].Status().Pending
 		if !c.admits(name) || c.serving[name].Document.Number != 0 || pending != "" {
-			t.Errorf("%s: %+v, has prepared %q", name, c.serving[name], pending)
+			t.Errorf("%s: %+v, and it still has %q prepared", name, c.serving[name], pending)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	c.proposeParts("b", partsChange("two", "x", "y"), 1, 0)
 	c.run(time.Second)
 	if c.servedNumber("a", "x") != 1 || c.servedNumber("b", "y") != 0 {
-		t.Fatal("committed though a member that it affects has not persisted it")
+		t.Fatal("the change was committed although a member that it affects has not persisted it")
 	}
 	c.endWrites("d", nil)
 	c.run(time.Second)
@@ -99,12 +99,12 @@
 	c.expectServed("b", "y", 1)
 	c.expectServed("d", "y", 1)
 	if serving := c.serving["a"]; len(serving.Parts) != 1 {
-		t.Errorf("a holds x alone, and has %+v", serving.Parts)
+		t.Errorf("a holds only the part x, and has the documents %+v", serving.Parts)
 	}
 }
 
-// Two changes of different parts that pass the check each by itself, and not together: the second one is aborted while
-// the first one is being prepared.
+// Two changes of different parts pass the check separately but not together. The second change is aborted while the
+// first one is being prepared.
 func TestChangeIsCheckedTogetherWithPendingOnes(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	c.nodes["b"].settings.Check = func(documents []Document) error {
@@ -112,7 +112,7 @@
 			return slices.ContainsFunc(documents, func(d Document) bool { return d.ID == id })
 		}
 		if has("two") && has("three") {
-			return errors.New("they don't go together")
+			return errors.New("they don't fit together")
 		}
 		return nil
 	}
@@ -121,7 +121,7 @@
 	c.run(500 * time.Millisecond)
 	c.proposeParts("d", partsChange("three", "y"), 0)
 	c.run(time.Second)
-	c.expectAborted("d", "three", "b", "with two, which is under way: they don't go together")
+	c.expectAborted("d", "three", "b", "with two, which is under way: they don't fit together")
 	c.expectState("e", "two", ChangePreparing)
 }
 
@@ -132,7 +132,7 @@
 	leader := c.nodes[c.leader()].raftNode
 	before := leader.lastPosition().index
 	startedAt := c.now
-	for i := range changes { // within groupCommitInterval, and of parts that no member holds
+	for i := range changes { // all within groupCommitInterval, and of parts that no member holds
 		c.proposeParts("e", partsChange(fmt.Sprint("n", i), fmt.Sprint("part", i)), 0)
 	}
 	c.run(time.Second)
@@ -146,8 +146,9 @@
 	}
 }
 
-// A leader reviews all members that a change affects when the last of them may have prepared it, and each reviewInterval:
-// not at each request, which would cost the square of the members for each change.
+// A leader reviews the members that a change affects when the last of them may have prepared it, and once per
+// reviewInterval. It must not do so at each request, which would cost the square of the number of members for each
+// change.
 func TestRosterReviewsPerChangeAreBounded(t *testing.T) {
 	const maxReviews = 15
 	names := []string{"a", "b", "c"}
@@ -164,12 +165,12 @@
 		c.run(time.Millisecond)
 	}
 	if took := c.now - proposedAt; took >= reviewInterval {
-		t.Errorf("all have prepared it, and it is committed only after %v", took)
+		t.Errorf("the change was committed only after %v, although all members could prepare it at once", took)
 	}
 	c.run(time.Second)
 	for name, node := range c.nodes {
 		if node.ActivePolicy().ID != "x" {
-			t.Errorf("%s has %q", name, node.ActivePolicy().ID)
+			t.Errorf("%s has the active policy %q, want x", name, node.ActivePolicy().ID)
 		}
 	}
 	if got := leader.coordinator.reviews - before; got > maxReviews {
@@ -177,7 +178,7 @@
 	}
 }
 
-// With a disk that takes nothing, the active policy is served all the same; only changes being prepared need the disk.
+// A member whose disk is full still serves by the active policy. Only changes being prepared need the disk.
 func TestFullDiskDoesNotBlockActivePolicy(t *testing.T) {
 	c := newSettledCluster(t, servesWhenIsolated)
 	c.propose("a", "x")
--- a/internal/peer/policy/cluster_test.go
+++ b/internal/peer/policy/cluster_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// isolationMode is Settings.StopWhenIsolated.
+// isolationMode is a value of Settings.StopWhenIsolated.
 type isolationMode bool
 
 const (
@@ -22,28 +22,28 @@
 	return "serves when isolated"
 }
 
-// notServed is what servedNumber returns for a part that the member may not serve.
+// notServed is the result of servedNumber for a part that the member may not serve.
 const notServed = 1 << 32
 
 // settlingTime is longer than a new cluster takes to elect a leader and to grant all leases.
 const settlingTime = 6 * time.Second
 
-// cluster is a fleet in virtual time whose messages and writes take none. Members a, b and c vote.
+// cluster is a fleet in virtual time. Its messages and writes take no time. The members a, b and c are voters.
 type cluster struct {
 	t             *testing.T
 	now           time.Duration
 	nodes         map[string]*Node
-	stored        map[string]*StoredState // what members, not voters, have stored
-	blockedLinks  map[string]bool         // "a>b"
-	stalledDisks  map[string]bool         // writes to them neither end nor fail
+	stored        map[string]*StoredState // the members' data on the disk, without the voters' data
+	blockedLinks  map[string]bool         // by "a>b" for the direction from a to b
+	stalledDisks  map[string]bool         // members whose writes neither end nor fail
 	stalledWrites map[string][]Persist
 	serving       map[string]Serving
 	names         []string
-	parts         map[string][]string // that members hold
-	legacyMembers map[string]bool     // whose requests are of format 1
+	parts         map[string][]string // parts that each member holds
+	legacyMembers map[string]bool     // members whose requests are of format 1
 }
 
-// newCluster starts members with the names.
+// newCluster starts members with the given names.
 func newCluster(t *testing.T, mode isolationMode, names ...string) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -68,14 +68,14 @@
 	c.run(settlingTime)
 	for _, name := range c.names {
 		if !c.admits(name) {
-			t.Fatalf("%s admits nothing: %+v", name, c.serving[name])
+			t.Fatalf("%s admits no requests: %+v", name, c.serving[name])
 		}
 	}
 	return c
 }
 
-// newPartsCluster starts five members: a holds the part x, b x and y, d y, e none. The log is of format 2, and x has its
-// first document.
+// newPartsCluster starts five members. Member a holds the part x, b holds x and y, d holds y, and c and e hold no
+// parts. The log has format 2, and x has its first document.
 func newPartsCluster(t *testing.T, mode isolationMode) *cluster {
 	t.Helper()
 	c := newCluster(t, mode)
@@ -103,7 +103,7 @@
 	}
 }
 
-// start starts a member with what is on its disk. The run ID is its seed too.
+// start starts a member with the data on its disk. The run ID is also its seed.
 func (c *cluster) start(name string, runID uint64, mode isolationMode, stored StoredState) {
 	c.t.Helper()
 	node, err := New(Settings{
@@ -119,23 +119,23 @@
 	c.join(name, node, stored)
 }
 
-// join takes a node into the cluster.
+// join adds a node to the cluster.
 func (c *cluster) join(name string, node *Node, stored StoredState) {
 	c.nodes[name] = node
 	c.stored[name] = &stored
 	c.step(name, NameOwnership{Exclusive: true})
 }
 
-// stop ends a member.
+// stop ends the process of a member.
 func (c *cluster) stop(name string) { c.nodes[name] = nil }
 
-// delivery is events that a member is to be passed.
+// delivery has events that are to be passed to a member.
 type delivery struct {
 	to     string
 	events []Event
 }
 
-// step passes events to a member, and all that comes of them to others.
+// step passes events to a member, and the resulting events to all members.
 func (c *cluster) step(name string, events ...Event) {
 	queue := []delivery{{name, events}}
 	for len(queue) > 0 {
@@ -151,7 +151,7 @@
 	}
 }
 
-// perform does what a member wants done, and returns what comes of it.
+// perform performs an action of a member, and returns the resulting events.
 func (c *cluster) perform(name string, action Action) []delivery {
 	switch action := action.(type) {
 	case Send:
@@ -184,7 +184,7 @@
 	request.Parts = nil
 }
 
-// run lets time pass.
+// run advances the virtual time by a span, and steps the members when they are due.
 func (c *cluster) run(span time.Duration) {
 	end := c.now + span
 	for c.now < end {
@@ -212,11 +212,11 @@
 			return name
 		}
 	}
-	c.t.Fatal("nobody leads")
+	c.t.Fatal("there is no leader")
 	return ""
 }
 
-// followingVoter returns the first voter that does not lead.
+// followingVoter returns a voter that is not the leader.
 func (c *cluster) followingVoter() string {
 	c.t.Helper()
 	if c.leader() == "a" {
@@ -225,23 +225,24 @@
 	return "a"
 }
 
-// propose proposes a change of the global part, based on the active one, at a member.
+// propose proposes a change of the global part at a member, based on the document that is active there.
 func (c *cluster) propose(at, id string) {
-	c.step(at, Propose{Proposal{Base: c.nodes[at].ActivePolicy().Number, Document: *wholePolicyChange(id)}})
+	c.step(at, Propose{Proposal{Base: c.nodes[at].ActivePolicy().Number, Document: *globalChange(id)}})
 }
 
-// proposeParts proposes a change of parts at a member. bases has the number on which each part is based.
+// proposeParts proposes a change of parts at a member. bases has the number of the document that each part is based
+// on.
 func (c *cluster) proposeParts(at string, change *Document, bases ...uint64) {
 	c.step(at, Propose{Proposal{Document: *change, Base: bases[0], Bases: bases[1:]}})
 }
 
-// status returns the status of a change as a member has it.
+// status returns the status of a change that a member knows.
 func (c *cluster) status(at, id string) ChangeStatus { return c.nodes[at].ChangeStatus(id) }
 
 // isolate blocks all links of a member.
 func (c *cluster) isolate(name string) { c.setLinks(name, true) }
 
-// reconnect opens them again.
+// reconnect unblocks all links of a member.
 func (c *cluster) reconnect(name string) { c.setLinks(name, false) }
 
 func (c *cluster) setLinks(name string, blocked bool) {
@@ -252,13 +253,14 @@
 	}
 }
 
-// setLink blocks or opens the link between two members, both ways.
+// setLink blocks or unblocks the link between two members in both directions.
 func (c *cluster) setLink(a, b string, blocked bool) {
 	c.blockedLinks[a+">"+b] = blocked
 	c.blockedLinks[b+">"+a] = blocked
 }
 
-// endWrites ends the stalled writes of a member: well, or with an error. Its disk stays as it is.
+// endWrites completes the stalled writes of a member, successfully or with an error. It does not change whether the
+// member's disk is stalled.
 func (c *cluster) endWrites(name string, err error) {
 	writes := c.stalledWrites[name]
 	c.stalledWrites[name] = nil
@@ -273,7 +275,7 @@
 	return serving.Blocked == "" && c.now < serving.Until
 }
 
-// servedNumber returns the number by which a member serves a part, or notServed.
+// servedNumber returns the number of the document by which a member serves a part, or notServed.
 func (c *cluster) servedNumber(at, part string) uint64 {
 	serving := c.serving[at]
 	d, served := serving.Lookup(part)
@@ -283,15 +285,16 @@
 	return d.Number
 }
 
-// expectServed fails unless a member serves a part by a number.
+// expectServed fails the test unless a member serves a part by the document with a number.
 func (c *cluster) expectServed(at, part string, number uint64) {
 	c.t.Helper()
 	if got := c.servedNumber(at, part); got != number {
-		c.t.Errorf("%s serves part %q by %d, want %d: %+v", at, part, got, number, c.serving[at])
+		c.t.Errorf("%s serves part %q by document %d, want %d: %+v", at, part, got, number, c.serving[at])
 	}
 }
 
-// expectAborted fails unless a member knows that a change was aborted by somebody, for a reason with some text in it.
+// expectAborted fails the test unless a member knows that a change was aborted by a given member, for a reason that
+// contains a text.
 func (c *cluster) expectAborted(at, id, by, reason string) {
 	c.t.Helper()
 	status := c.status(at, id)
@@ -300,7 +303,7 @@
 	}
 }
 
-// expectState fails unless a member knows a state of a change.
+// expectState fails the test unless a member knows that a change has a state.
 func (c *cluster) expectState(at, id string, state ChangeState) {
 	c.t.Helper()
 	if status := c.status(at, id); status.State != state {
@@ -308,15 +311,15 @@
 	}
 }
 
-// wholePolicyChange is a change of the global part.
-func wholePolicyChange(id string) *Document {
+// globalChange returns a change of the global part.
+func globalChange(id string) *Document {
 	body := []byte("# " + id)
 	return &Document{ID: id, Body: body, Digest: DigestOf(body), Author: "a", Reason: "test"}
 }
 
-// partsChange is a change of parts.
+// partsChange returns a change of the given parts.
 func partsChange(id string, parts ...string) *Document {
-	change := wholePolicyChange(id)
+	change := globalChange(id)
 	change.Part = parts[0]
 	for _, part := range parts[1:] {
 		body := []byte("# " + id + " " + part)
@@ -325,7 +328,7 @@
 	return change
 }
 
-// newTestNode returns a node that is not in a cluster.
+// newTestNode returns a node outside any cluster.
 func newTestNode(t *testing.T, s Settings, stored StoredState) *Node {
 	t.Helper()
 	s.RunID = 1
--- a/internal/peer/policy/codec.go
+++ b/internal/peer/policy/codec.go
@@ -2,14 +2,15 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Bounds of what is decoded. They are above what the largest state has: a roster of maxRosterSize, maxPartNames names.
+// Bounds of decoded data. They are above the largest state, which has a roster of maxRosterSize members and
+// maxPartNames names of parts.
 const (
 	maxDecodedArray   = 1 << 17 // elements
-	maxDecodedMap     = 64      // pairs: the fields of a structure
+	maxDecodedMap     = 64      // pairs, that is fields of a structure
 	maxDecodedNesting = 16
 )
 
-// The encoding is deterministic, so that all voters write the same bytes for the same state.
+// encoding is deterministic, so that all voters write the same bytes for the same state.
 var (
 	encoding = must(cbor.CoreDetEncOptions().EncMode())
 	decoding = must(cbor.DecOptions{
@@ -20,7 +21,8 @@
 	}.DecMode())
 )
 
-// must panics on an error that only a mistake in this package can cause: of fixed options, or of a structure of its own.
+// must returns v, and panics on an error. It is for errors that only a bug in this package can cause, such as invalid
+// constant options or a structure of this package that can't be encoded.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic("policy: " + err.Error())
--- a/internal/peer/policy/coordinator.go
+++ b/internal/peer/policy/coordinator.go
@@ -9,99 +9,105 @@
 	"go.etcd.io/raft/v3"
 )
 
-// coordinator is the leading voter's part in changes and leases: it answers lease requests, brings changes through
-// prepare to commit or abort, and keeps the roster. Each leader learns the state of the members anew from their requests;
-// what it decides goes through the log.
+// coordinator is the role of the leading voter in changes and leases. It answers lease requests, takes changes from
+// prepare to commit or abort, and maintains the roster. Each new leader learns the state of the members anew from
+// their requests; its decisions go through the log.
 //
-// It answers a request only once a quorum has confirmed that this voter led after the request had arrived (Raft's read
-// index), and everything committed by then is applied. So no response of a leader that has lost its place is later than
-// the election of the next one, and that one treats its predecessor's leases as valid for one LeaseExpiry after its
-// election.
+// It answers a request only once a quorum has confirmed that this voter led after the request had arrived (Raft's
+// read index), and all entries committed by then are applied. So a leader that has lost its leadership sends no
+// response to a request that arrived after the election of the next leader. The next leader treats the leases of its
+// predecessor as valid for one LeaseExpiry after its own election.
 type coordinator struct {
-	term         uint64 // in which this voter leads; 0: it does not
+	term         uint64 // term in which this voter leads; 0: it does not lead
 	leadingSince time.Duration
 	nextStepAt   time.Duration
 
-	// Lease requests, in the order of their way: unconfirmed, confirming, confirmedReads.
+	// Lease requests pass through unconfirmed, confirming and confirmedReads, in this order.
 	unconfirmed    []receivedRequest
-	confirming     []receivedRequest // a read index was requested for them
-	readRequestID  uint64            // of that
+	confirming     []receivedRequest // requests that the outstanding read index is for
+	readRequestID  uint64            // ID of that read index
 	confirmSentAt  time.Duration
-	confirmedReads []confirmedRead // the log is still to be applied up to their index
+	confirmedReads []confirmedRead // requests that wait until the log is applied up to an index
 
 	members       map[string]*memberProgress // by name
-	progress      map[string]*changeProgress // of the changes being prepared, by ID
-	recentCommits []recentCommit             // some members may not know them yet
-	rosterChanges map[string]rosterChange    // proposed and not applied, by the member's name
+	progress      map[string]*changeProgress // progress of the changes being prepared, by ID
+	recentCommits []recentCommit             // commits that some members may not know yet
+	rosterChanges map[string]rosterChange    // roster changes that are proposed but not applied, by member name
 
-	reviewAt         time.Duration // of the roster and all changes
-	reviews          int           // of single changes, each over all members that it affects
+	reviewAt         time.Duration // when the roster and all changes are reviewed next
+	reviews          int           // number of reviews of a single change, each over all members that it affects
 	notifyAt         time.Duration
-	notifyOffset     int // among the members to notify, where there are too many for one round
+	notifyOffset     int // start of the next round, if there are too many members to notify in one round
 	formatProposedAt time.Duration
 }
 
-// receivedRequest is a lease request, and who sent or forwarded it.
+// receivedRequest is a lease request with the member that sent or forwarded it.
 type receivedRequest struct {
 	request *LeaseRequest
 	from    string
 }
 
-// confirmedRead are requests that may be answered once the log is applied up to an index.
+// confirmedRead has requests that may be answered once the log is applied up to an index.
 type confirmedRead struct {
 	index    uint64
 	requests []receivedRequest
 }
 
-// memberProgress is what a leader knows of a member from its requests.
+// memberProgress is the state of a member as a leader knows it from the member's requests.
 type memberProgress struct {
 	runID         uint64
 	format        uint8
 	lastRequestAt time.Duration
-	grantedAt     time.Duration // of the last lease by this leader; 0: none
-	knownUpTo     uint64        // the CommitIndex up to which it knows all
-	prepared      []string      // IDs of changes
+	grantedAt     time.Duration // when this leader last granted a lease; 0: never
+	knownUpTo     uint64        // CommitIndex up to which the member knows all documents
+	prepared      []string      // IDs of the changes that the member has prepared
 	rejectedID    string
 	rejectReason  string
-	// removing: it is being removed from the roster, and is granted no lease meanwhile.
+	// removing reports that the member is being removed from the roster; meanwhile it is granted no lease.
 	removing bool
-	// unheardResponses counts consecutive requests that report an expired lease although it was granted in time.
-	unheardResponses int
+	// unreceivedResponses counts consecutive requests that report an expired lease although the lease was renewed in
+	// time, so the member did not receive the response.
+	unreceivedResponses int
 }
 
 func (m *memberProgress) hasPrepared(id string) bool { return slices.Contains(m.prepared, id) }
 
-// rejects reports whether a member can't serve by a change. The member may be unknown (nil).
+// rejects reports whether a member can't serve by a change. m is nil if the member is unknown.
 func (m *memberProgress) rejects(id string) bool { return m != nil && m.rejectedID == id }
 
 // Intervals and bounds of the coordinator.
 const (
-	// reviewInterval is how often it reviews the roster and all changes. An event that matters causes a review at once, so
-	// longer ones only delay timeouts; each review costs as much as there are members affected.
+	// reviewInterval is the interval of the reviews of the roster and all changes. A relevant event causes a review
+	// at once, so a longer interval only delays timeouts. The cost of a review is proportional to the number of
+	// affected members.
 	reviewInterval = 100 * time.Millisecond
-	// notifyInterval is how often members that have not prepared a change are notified. Longer ones delay a change by a
-	// lost message.
+	// notifyInterval is the interval at which members that have not prepared a change are notified. With a longer
+	// interval, a lost message delays a change for longer.
 	notifyInterval = 150 * time.Millisecond
-	// maxNotifications bounds those of one round, so that the requests that follow don't come all at once.
+	// maxNotifications bounds the notifications of one round, so that the requests that they cause do not all arrive
+	// at once.
 	maxNotifications = 64
-	// notifyRoundsPerInterval is how often there are rounds while there are more members to notify than that.
+	// notifyRoundsPerInterval is the number of rounds per notifyInterval while more than maxNotifications members are
+	// to be notified.
 	notifyRoundsPerInterval = 4
-	// reproposeInterval is after which a command that was lost on its way into the log is proposed again.
+	// reproposeInterval is the time after which a command that the log has not applied is proposed again.
 	reproposeInterval = time.Second
-	// readIndexTimeout is after which a read index that was not confirmed is requested anew, for later requests only.
+	// readIndexTimeout is the time after which an unconfirmed read index is abandoned together with its requests. The
+	// next read index is for later requests only.
 	readIndexTimeout = 2 * time.Second
 	// leaseExpirySlack is how long after its calculated end a lease counts as expired.
 	leaseExpirySlack = 20 * time.Millisecond
-	// memberAliveSpan is for how long after a request its member counts as running.
+	// memberAliveSpan is how long after its last request a member counts as running.
 	memberAliveSpan = 2 * time.Second
-	// maxUnheardResponses is after how many responses that a member did not receive a change goes on without it. Fewer
-	// remove members for a few lost messages.
-	maxUnheardResponses = 3
-	// maxUnconfirmedRequests bounds the requests that wait for a read index; others are dropped, and sent again.
+	// maxUnreceivedResponses is the number of responses lost on the way to a member after which changes continue
+	// without the member. With a smaller number, a few lost messages remove a member.
+	maxUnreceivedResponses = 3
+	// maxUnconfirmedRequests bounds the requests that wait for a read index. Further requests are dropped; members
+	// send them again.
 	maxUnconfirmedRequests = 4096
 )
 
-// advance does what is due by now.
+// advance starts or ends this voter's leadership as Raft reports it, and performs the work that is due.
 func (c *coordinator) advance(r *raftNode) {
 	now := r.node.now
 	status := r.status()
@@ -136,7 +142,7 @@
 	}
 }
 
-// receiveRequest takes a lease request. It is answered once a quorum has confirmed this leader.
+// receiveRequest queues a lease request. It is answered once a quorum has confirmed that this voter leads.
 func (c *coordinator) receiveRequest(r *raftNode, received receivedRequest) {
 	if len(c.unconfirmed) < maxUnconfirmedRequests {
 		c.unconfirmed = append(c.unconfirmed, received)
@@ -144,8 +150,8 @@
 	c.requestReadIndex(r)
 }
 
-// requestReadIndex has Raft confirm that this voter still leads, for all requests that have arrived. One confirmation is
-// on its way at a time.
+// requestReadIndex requests Raft's confirmation that this voter still leads, for all requests that have arrived. Only
+// one confirmation is outstanding at a time.
 func (c *coordinator) requestReadIndex(r *raftNode) {
 	now := r.node.now
 	if len(c.confirming) > 0 && now-c.confirmSentAt > readIndexTimeout {
@@ -161,13 +167,14 @@
 	r.rawNode.ReadIndex(c.readContext())
 }
 
-// readContext identifies a read index of this term and request: two numbers of 8 bytes.
+// readContext returns the bytes that identify the outstanding read index: the term and the ID, of 8 bytes each.
 func (c *coordinator) readContext() []byte {
 	context := binary.BigEndian.AppendUint64(nil, c.term)
 	return binary.BigEndian.AppendUint64(context, c.readRequestID)
 }
 
-// receiveReadState takes Raft's confirmation: all that was committed when it was requested is up to its index.
+// receiveReadState handles Raft's confirmation. All entries that were committed when it was requested are in the log
+// up to its index.
 func (c *coordinator) receiveReadState(r *raftNode, state raft.ReadState) {
 	if !slices.Equal(state.RequestCtx, c.readContext()) || !r.isLeader() || c.members == nil {
 		return
@@ -178,7 +185,7 @@
 	c.requestReadIndex(r)
 }
 
-// answerConfirmed answers the confirmed requests for which enough of the log is applied.
+// answerConfirmed answers the confirmed requests up to whose index the log is applied.
 func (c *coordinator) answerConfirmed(r *raftNode) {
 	for len(c.confirmedReads) > 0 && c.confirmedReads[0].index <= r.appliedIndex && c.members != nil {
 		requests := c.confirmedReads[0].requests
@@ -189,7 +196,7 @@
 	}
 }
 
-// commandApplied takes note of what the log has done.
+// commandApplied updates the leader's records after the log has applied a command.
 func (c *coordinator) commandApplied(r *raftNode, cmd *command) {
 	switch cmd.Kind {
 	case commandBatch:
@@ -213,7 +220,7 @@
 	c.nextStepAt = now
 }
 
-// canReadLog reports whether a member is known to read the log as it is.
+// canReadLog reports whether a member is known to be able to read the log in its current format.
 func (c *coordinator) canReadLog(r *raftNode, name string) bool {
 	format := r.state.Format
 	if i, ok := r.state.findMember(name); ok && r.state.Roster[i].Format >= format {
@@ -223,8 +230,9 @@
 	return format == 0 || m != nil && m.format >= format
 }
 
-// proposeFormat raises the format of the log to that of this build, for good, when the first change of a service's part
-// is proposed: until then an earlier build can be gone back to. It reports whether all voters are known to read it.
+// proposeFormat proposes to raise the format of the log to the format of this build. This is final, so it is done
+// only when the first change of a service's part is proposed: until then, operators can return to an earlier build.
+// It reports whether all voters are known to be able to read the new format.
 func (c *coordinator) proposeFormat(r *raftNode) bool {
 	if !c.allVotersHaveFormat(r, FormatVersion) {
 		return false
@@ -236,7 +244,7 @@
 	return true
 }
 
-// allVotersHaveFormat reports whether all voters are known to be of a format, or of a later one.
+// allVotersHaveFormat reports whether all voters are known to have a format, or a later one.
 func (c *coordinator) allVotersHaveFormat(r *raftNode, format uint8) bool {
 	for _, name := range r.state.Voters {
 		if m := c.members[name]; m == nil || m.format < format {
@@ -246,5 +254,5 @@
 	return true
 }
 
-// sortedKeys returns the keys of a map in order, for loops whose effects must not depend on the map's order.
+// sortedKeys returns the sorted keys of a map, for loops whose effects must not depend on the order of the map.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/peer/policy/coordinator_changes.go
+++ b/internal/peer/policy/coordinator_changes.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// changeDecision is what a leader has proposed of a change being prepared.
+// changeDecision is the decision that a leader has proposed for a change being prepared.
 type changeDecision uint8
 
 const (
@@ -17,18 +17,19 @@
 	decidedAbort
 )
 
-// changeProgress is what a leader knows of a change being prepared.
+// changeProgress is the progress of a change being prepared, as a leader knows it.
 type changeProgress struct {
-	since         time.Duration
-	affected      []rosterEntry // of the roster of this version:
+	since         time.Duration // when this leader first saw the change
+	affected      []rosterEntry // members that the change affects, in the roster of rosterVersion
 	rosterVersion uint64
-	// unprepared is how many of them had not prepared it at the last review, less those that have reported it since.
+	// unprepared is the number of affected members that had not prepared the change at the last review, less those
+	// that have reported since then that they have prepared it.
 	unprepared int
 	decision   changeDecision
-	proposedAt time.Duration // of the decision
+	proposedAt time.Duration // when the decision was proposed
 }
 
-// recentCommit is a change that was committed, with the members that it affected.
+// recentCommit is a committed change with the members that it affected.
 type recentCommit struct {
 	commitIndex uint64
 	committedAt time.Duration
@@ -50,7 +51,8 @@
 	return progress
 }
 
-// unpreparedMembers returns the members that have to prepare a change, and have not reported that they have.
+// unpreparedMembers returns the members that have to prepare a change and have not reported that they have prepared
+// it.
 func (c *coordinator) unpreparedMembers(r *raftNode, pending *pendingChange) []string {
 	var names []string
 	for _, entry := range c.progressOf(r, pending).affected {
@@ -90,7 +92,7 @@
 // reviewChanges reviews all changes being prepared.
 func (c *coordinator) reviewChanges(r *raftNode) {
 	pendingIDs := map[string]bool{}
-	for i := range r.state.PendingChanges { // a review changes nothing here: its decision comes back through the log
+	for i := range r.state.PendingChanges { // a review does not modify this list: its decision goes through the log
 		pending := &r.state.PendingChanges[i]
 		pendingIDs[pending.Document.ID] = true
 		c.reviewChange(r, pending)
@@ -102,7 +104,7 @@
 	}
 }
 
-// reviewChange decides whether a change is to be committed or aborted now, and proposes that.
+// reviewChange decides whether a change can be committed or has to be aborted now, and proposes the decision.
 func (c *coordinator) reviewChange(r *raftNode, pending *pendingChange) {
 	now := r.node.now
 	id := pending.Document.ID
@@ -126,7 +128,7 @@
 	timeout := r.node.settings.PrepareTimeout
 	if r.node.settings.StopWhenIsolated {
 		c.fenceExpired(r, unprepared)
-		timeout += r.node.settings.LeaseExpiry() // a lease may have been granted at the last moment
+		timeout += r.node.settings.LeaseExpiry() // a lease may have been granted just before the timeout
 	}
 	if now-progress.since > timeout {
 		reason := "not heard, or it has not put the change on its disk within " + r.node.settings.PrepareTimeout.String()
@@ -134,8 +136,8 @@
 	}
 }
 
-// objection reports whether and why a change can't be committed with a member: it rejects the change, or is of an
-// earlier build that does not know parts.
+// objection reports whether and why a member makes it impossible to commit a change: the member rejects the change, or
+// runs an earlier build that does not know the parts of services.
 func (c *coordinator) objection(r *raftNode, pending *pendingChange, name string) (reason string, objects bool) {
 	m := c.members[name]
 	if m == nil {
@@ -151,7 +153,7 @@
 	return "", false
 }
 
-// decide proposes a decision, and remembers it if the proposal was taken.
+// decide proposes a decision, and records it if the proposal was accepted.
 func (c *coordinator) decide(r *raftNode, progress *changeProgress, decision changeDecision, cmd *command) {
 	if r.propose(cmd) {
 		progress.decision = decision
@@ -159,8 +161,8 @@
 	}
 }
 
-// commitApplied takes note of a commit that the log has applied: the change is committed, or it has to be reviewed anew
-// since a member that it affects joined meanwhile.
+// commitApplied updates the records after the log has applied a commit. Either the change is committed, or it has to
+// be reviewed again because a member that it affects joined meanwhile.
 func (c *coordinator) commitApplied(r *raftNode, id string) {
 	progress := c.progress[id]
 	if r.state.findPending(id) != nil {
@@ -186,7 +188,8 @@
 	}
 }
 
-// abortChange aborts a change by an operator's decision, also one that no voter has received yet.
+// abortChange aborts a change as requested by an operator, or by the member that proposed it. It also aborts a change
+// that no voter has received yet.
 func (c *coordinator) abortChange(r *raftNode, p *Proposal) {
 	if r.state.changeStatus(p.AbortID).State > ChangePreparing {
 		return
@@ -199,7 +202,7 @@
 	})
 }
 
-// describeChange names a change for operators.
+// describeChange describes a change in a log line.
 func describeChange(change *Document) string {
 	var parts []string
 	for _, d := range change.Documents() {
@@ -208,7 +211,7 @@
 	return fmt.Sprintf("%s (%s, by %s: %s)", strings.Join(parts, " and "), change.ID, change.Author, change.Reason)
 }
 
-// joinLimited lists up to maxListedMembers names.
+// joinLimited returns a text that lists up to maxListedMembers names, and the number of the others.
 func joinLimited(names []string) string {
 	if more := len(names) - maxListedMembers; more > 0 {
 		return strings.Join(names[:maxListedMembers], ", ") + fmt.Sprintf(" and %d more", more)
--- a/internal/peer/policy/coordinator_leases.go
+++ b/internal/peer/policy/coordinator_leases.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// leaseExchange is a lease request, with what the leader knows of its member.
+// leaseExchange is a lease request, together with the leader's records of the member that sent it.
 type leaseExchange struct {
 	*LeaseRequest
-	from      string // who sent or forwarded it
+	from      string // member that sent or forwarded the request
 	member    *memberProgress
-	entry     *rosterEntry     // of this run; nil: it is not in the roster
-	affecting []*pendingChange // changes being prepared that affect the member, or would once it is in the roster
+	entry     *rosterEntry     // roster entry of this run of the member; nil: this run is not in the roster
+	affecting []*pendingChange // changes being prepared that affect the member, or would if it were in the roster
 }
 
-// respond answers a lease request, and reviews the changes that may be decided by it.
+// respond answers a lease request, and reviews the changes that the request may decide.
 func (c *coordinator) respond(r *raftNode, received receivedRequest) {
 	request := received.request
 	member := c.identify(r, request)
@@ -30,8 +30,8 @@
 		x.entry = &r.state.Roster[i]
 	}
 	x.affecting = c.affectingChanges(r, x)
-	if r.node.settings.StopWhenIsolated && member.unheardResponses >= maxUnheardResponses && x.lacksChange() {
-		return // it receives no response: the change goes on without it once its lease has expired
+	if r.node.settings.StopWhenIsolated && member.unreceivedResponses >= maxUnreceivedResponses && x.lacksChange() {
+		return // the member does not receive responses: the change continues without it once its lease has expired
 	}
 	response := c.newResponse(r, x)
 	if request.Format == 0 {
@@ -46,7 +46,8 @@
 	}
 }
 
-// identify returns the member that sent a request. It returns nil while another process that uses the same name runs.
+// identify returns the leader's record of the member that sent a request. It returns nil while another process that
+// uses the same name is running.
 func (c *coordinator) identify(r *raftNode, request *LeaseRequest) *memberProgress {
 	known := c.members[request.Name]
 	if known != nil && known.runID == request.RunID {
@@ -64,7 +65,7 @@
 	return member
 }
 
-// updateMember takes what a request reports.
+// updateMember records the state that a request reports.
 func (c *coordinator) updateMember(r *raftNode, m *memberProgress, request *LeaseRequest) {
 	now := r.node.now
 	m.lastRequestAt = now
@@ -85,13 +86,13 @@
 	}
 	switch {
 	case !request.LeaseExpired:
-		m.unheardResponses = 0
+		m.unreceivedResponses = 0
 	case m.grantedAt > 0 && now-m.grantedAt < r.node.settings.Lease:
-		m.unheardResponses++
+		m.unreceivedResponses++
 	}
 }
 
-// affectingChanges returns the changes being prepared that affect a member, or that would once it is in the roster.
+// affectingChanges returns the changes being prepared that affect a member, or that would if it were in the roster.
 func (c *coordinator) affectingChanges(r *raftNode, x *leaseExchange) []*pendingChange {
 	var affecting []*pendingChange
 	for i := range r.state.PendingChanges {
@@ -107,7 +108,7 @@
 	return affecting
 }
 
-// wouldAffect reports whether a change has a part that a member would hold in the roster.
+// wouldAffect reports whether a change has a part that a member would hold if it were in the roster.
 func wouldAffect(request *LeaseRequest, change *Document) bool {
 	return change.Includes("") || slices.ContainsFunc(request.Parts, change.Includes)
 }
@@ -119,7 +120,8 @@
 	})
 }
 
-// newResponse makes the response of format 2, grants a lease, and proposes the member's place in the roster.
+// newResponse returns a response of format 2. It grants a lease if the member is in the roster, and proposes the
+// member's roster entry if that is missing or has to change.
 func (c *coordinator) newResponse(r *raftNode, x *leaseExchange) *LeaseResponse {
 	response := &LeaseResponse{
 		Seq:           x.Seq,
@@ -135,7 +137,7 @@
 	if x.Format > 0 {
 		x.answerDocuments(r.state, response)
 		if rosterPending {
-			response.PartsHash = otherHash(x.PartsHash) // no parts are confirmed to the member
+			response.PartsHash = mismatchingHash(x.PartsHash) // so that the response confirms no parts to the member
 		}
 	}
 	for _, pending := range x.affecting {
@@ -144,9 +146,9 @@
 	return response
 }
 
-// answerRoster says how the roster has the member, and proposes its place where that is wanted. It reports whether a
-// change of its place is on its way into the log: what the roster has for it may be over at any moment then, so nothing
-// of it is confirmed.
+// answerRoster fills in the member's state in the roster, and proposes the member's roster entry if that is missing or
+// has to change. It reports whether a change of the entry has been proposed and not applied yet: the present entry may
+// then become invalid at any moment, so the response must not confirm its parts.
 func (c *coordinator) answerRoster(r *raftNode, x *leaseExchange, response *LeaseResponse) (rosterPending bool) {
 	settings := &r.node.settings
 	proposePlace := false
@@ -175,12 +177,12 @@
 	return rosterPending
 }
 
-// listsParts reports whether a request has the member's parts, and the log can have them.
+// listsParts reports whether a request lists the member's parts, and the format of the log can express them.
 func (x *leaseExchange) listsParts(state *replicatedState) bool {
 	return x.Format > 0 && x.PartsHash == partsHash(x.Parts) && state.Format >= FormatVersion
 }
 
-// proposeJoin proposes a member's place in the roster, with its parts where the log can have them.
+// proposeJoin proposes a member's roster entry, with its parts if the format of the log can express them.
 func (c *coordinator) proposeJoin(r *raftNode, x *leaseExchange) {
 	c.rosterChanges[x.Name] = rosterChange{x.RunID, x.PartsHash, r.node.now}
 	join := &command{Kind: commandJoin, Name: x.Name, RunID: x.RunID}
@@ -192,8 +194,9 @@
 	r.propose(join)
 }
 
-// answerDocuments says which active documents the member may lack, and for which parts that is said: those that the
-// roster has for it, all if it counts for all, or else those that its request lists.
+// answerDocuments fills in which active documents the member may lack, and the hash of the parts that this covers. If
+// the member is in the roster, these are the parts that the roster has for it, or all parts if it counts for all.
+// Otherwise they are the parts that its request lists.
 func (x *leaseExchange) answerDocuments(state *replicatedState, response *LeaseResponse) {
 	holds := func(part string) bool { return part == "" || slices.Contains(x.Parts, part) }
 	response.PartsHash = partsHash(x.Parts)
@@ -208,7 +211,7 @@
 	response.Changed = state.committedSince(x.KnownUpTo, holds)
 }
 
-// legacyResponse reduces a response to format 1, which knows the global part alone.
+// legacyResponse reduces a response to format 1, which knows only the global part.
 func legacyResponse(r *raftNode, x *leaseExchange, response *LeaseResponse) *LeaseResponse {
 	legacy := &LeaseResponse{
 		Seq:          response.Seq,
@@ -227,7 +230,7 @@
 	return legacy
 }
 
-// reply sends a response by the way on which the request came.
+// reply sends a response the way the request came: directly, or through the voter that forwarded the request.
 func (c *coordinator) reply(r *raftNode, received receivedRequest, response *LeaseResponse) {
 	response.Leader = r.node.settings.Name
 	m := &Message{LeaseResponse: response}
@@ -237,9 +240,10 @@
 	r.node.send(received.from, m)
 }
 
-// reviewAffecting reviews the changes that a request may decide: those that the member rejects, and those of which it
-// may be the last to prepare them. Reviewing at each request would cost the square of the members for each change; every
-// reviewInterval there is a review anyway. before are the changes that the member had prepared by its previous request.
+// reviewAffecting reviews the changes that a request may decide: those that the member rejects, and those that it may
+// be the last member to prepare. before has the IDs of the changes that the member had prepared by its previous
+// request. Reviewing at each request would cost the square of the number of members for each change. A change that is
+// not reviewed here is reviewed within reviewInterval anyway.
 func (c *coordinator) reviewAffecting(r *raftNode, x *leaseExchange, before []string) {
 	for _, pending := range x.affecting {
 		id := pending.Document.ID
@@ -255,5 +259,5 @@
 	}
 }
 
-// otherHash is a hash of parts that differs from the given one, whatever that is.
-func otherHash(hash uint64) uint64 { return ^hash }
+// mismatchingHash returns a hash that differs from the given hash of parts.
+func mismatchingHash(hash uint64) uint64 { return ^hash }
--- a/internal/peer/policy/coordinator_roster.go
+++ b/internal/peer/policy/coordinator_roster.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// rosterChange is a change of a member's place in the roster that was proposed, and is not applied yet.
+// rosterChange is a change of a member's roster entry that was proposed and is not applied yet.
 type rosterChange struct {
 	runID      uint64
-	partsHash  uint64 // of a join
+	partsHash  uint64 // hash of the parts of a join
 	proposedAt time.Duration
 }
 
-// reviewRoster removes the members that left in order, and proposes removals again that may have been lost.
+// reviewRoster removes the members that left in order, and repeats the proposals of removals that may have been lost.
 func (c *coordinator) reviewRoster(r *raftNode) {
 	for _, name := range sortedKeys(r.node.membership) {
 		if info := r.node.membership[name]; info.Departed && r.state.inRoster(name, info.RunID) {
@@ -26,7 +26,8 @@
 	}
 }
 
-// removeMember proposes the removal of a member that certainly admits no requests. It is granted no lease from now on.
+// removeMember proposes to remove a member that certainly admits no requests. The member is granted no lease from now
+// on.
 func (c *coordinator) removeMember(r *raftNode, name string, runID uint64, reason string) {
 	m := c.members[name]
 	if m == nil {
@@ -42,7 +43,8 @@
 	r.propose(&command{Kind: commandRemove, Name: name, RunID: runID, Reason: reason})
 }
 
-// fenceExpired removes those of the members whose leases have certainly expired: changes go on without them.
+// fenceExpired removes those of the members whose leases have certainly expired, so that changes continue without
+// them.
 func (c *coordinator) fenceExpired(r *raftNode, names []string) {
 	for _, name := range names {
 		i, _ := r.state.findMember(name)
@@ -52,8 +54,8 @@
 	}
 }
 
-// leaseExpired reports whether a member certainly admits no requests any more: each lease that this leader, or one before
-// it, has granted to this run has expired.
+// leaseExpired reports whether a member certainly admits no requests any more, because every lease that this leader
+// or an earlier one has granted to this run has expired.
 func (c *coordinator) leaseExpired(r *raftNode, name string, runID uint64) bool {
 	grantedAt := c.leadingSince
 	if m := c.members[name]; m != nil && m.runID == runID {
@@ -62,7 +64,8 @@
 	return r.node.now > grantedAt+r.node.settings.LeaseExpiry()+leaseExpirySlack
 }
 
-// notifyMembers has members send a lease request that do not know yet what is being prepared, or what was committed.
+// notifyMembers notifies members that may not know all changes being prepared or committed, or this leader, so that
+// they send a lease request.
 func (c *coordinator) notifyMembers(r *raftNode) {
 	now := r.node.now
 	if now < c.notifyAt {
@@ -74,7 +77,7 @@
 	c.addUnawareOfCommits(r, uninformed)
 	c.addUnknown(r, uninformed)
 	names := sortedKeys(uninformed)
-	if len(names) > maxNotifications { // by turns
+	if len(names) > maxNotifications { // the members are notified in turn
 		first := c.notifyOffset % len(names)
 		names = append(names[first:], names[:first]...)[:maxNotifications]
 		c.notifyOffset += maxNotifications
@@ -85,8 +88,8 @@
 	}
 }
 
-// addUnprepared adds the members that have not prepared a change. Those that this leader knows are notified for the
-// prepare timeout only; one that runs asks for itself after that.
+// addUnprepared adds the members that have not prepared a change. A member that this leader knows is notified only
+// until the prepare timeout; if it runs, it sends requests by itself after that.
 func (c *coordinator) addUnprepared(r *raftNode, names map[string]bool) {
 	for i := range r.state.PendingChanges {
 		pending := &r.state.PendingChanges[i]
@@ -102,7 +105,7 @@
 	}
 }
 
-// addUnawareOfCommits adds the running members that do not know a recent commit that affects them.
+// addUnawareOfCommits adds the running members that do not know a recent commit which affects them.
 func (c *coordinator) addUnawareOfCommits(r *raftNode, names map[string]bool) {
 	now := r.node.now
 	recent := 2 * r.node.settings.Lease
@@ -118,7 +121,8 @@
 	}
 }
 
-// addUnknown adds, for the first lease of a leader, the members that have sent no request to it.
+// addUnknown adds the members that have sent no request to this leader. It does so only for the duration of one lease
+// after the leader's election.
 func (c *coordinator) addUnknown(r *raftNode, names map[string]bool) {
 	if r.node.now-c.leadingSince >= r.node.settings.Lease {
 		return
--- a/internal/peer/policy/document.go
+++ b/internal/peer/policy/document.go
@@ -6,26 +6,28 @@
 	"slices"
 )
 
-// Document is the text of one part, with the change that made it. As a change it also has the texts of the change's
-// other parts.
+// Document is the text of one part, with a description of the change that made it. A Document that represents a whole
+// change also contains the texts of the change's other parts.
 type Document struct {
-	// Number counts the part's committed texts, from 1. 0 means that none was committed: each daemon uses its own file.
+	// Number counts the part's committed texts, from 1. 0 means that none was committed: each daemon uses its own
+	// file.
 	Number uint64 `cbor:"1,keyasint,omitempty" json:"Number"`
-	ID     string `cbor:"2,keyasint,omitempty" json:"ID"`     // of the change
-	Digest string `cbor:"3,keyasint,omitempty" json:"Digest"` // of Body: see DigestOf
-	Body   []byte `cbor:"4,keyasint,omitempty" json:"Body"`   // the text of the policy file
-	Author string `cbor:"5,keyasint,omitempty" json:"Author"` // the member that proposed it, and the operator
+	ID     string `cbor:"2,keyasint,omitempty" json:"ID"`     // ID of the change
+	Digest string `cbor:"3,keyasint,omitempty" json:"Digest"` // digest of Body: see DigestOf
+	Body   []byte `cbor:"4,keyasint,omitempty" json:"Body"`   // text of the policy file
+	Author string `cbor:"5,keyasint,omitempty" json:"Author"` // the member that proposed the change, and the operator
 	Reason string `cbor:"6,keyasint,omitempty" json:"Reason"`
-	// CreatedMS is in Unix milliseconds by the author's clock. It is shown to people and decides nothing.
+	// CreatedMS is the time of the proposal in Unix milliseconds by the author's clock. It is only shown to
+	// operators: no decision depends on it.
 	CreatedMS int64  `cbor:"7,keyasint,omitempty" json:"At"`
-	Part      string `cbor:"8,keyasint,omitempty" json:"Part"` // a service's name; empty: the global part
-	// CommitIndex is the position among all committed texts of all parts.
+	Part      string `cbor:"8,keyasint,omitempty" json:"Part"` // name of a service; empty: the global part
+	// CommitIndex is the position of this text among the committed texts of all parts.
 	CommitIndex uint64 `cbor:"9,keyasint,omitempty" json:"Order"`
-	// AdditionalParts are the change's other parts, committed with this one or not at all.
+	// AdditionalParts are the change's other parts. They are committed together with this part, or not at all.
 	AdditionalParts []Document `cbor:"10,keyasint,omitempty" json:"More"`
 }
 
-// Documents returns the parts of a change one by one. Each has the change's ID, author, reason and time, and no
+// Documents returns one Document for each part of a change. Each has the change's ID, author, reason and time, and no
 // AdditionalParts.
 func (d *Document) Documents() []Document {
 	first := *d
@@ -42,12 +44,13 @@
 	return documents
 }
 
-// Includes reports whether a change has a text for the part.
+// Includes reports whether the change has a text for a part.
 func (d *Document) Includes(part string) bool {
 	return d.Part == part || slices.ContainsFunc(d.AdditionalParts, func(x Document) bool { return x.Part == part })
 }
 
-// isGlobalOnly reports whether the change has the global part alone, and so can be expressed in format 1.
+// isGlobalOnly reports whether the global part is the only part of the change, so that format 1 can express the
+// change.
 func (d *Document) isGlobalOnly() bool { return d.Part == "" && len(d.AdditionalParts) == 0 }
 
 // filterParts returns the change reduced to the parts that a member holds, or nil if it holds none of them.
@@ -56,7 +59,8 @@
 	return joinDocuments(documents)
 }
 
-// joinDocuments is the inverse of Document.Documents. It returns nil if there are none.
+// joinDocuments makes one change of several documents, as the inverse of Document.Documents. It returns nil if there
+// are no documents.
 func joinDocuments(documents []Document) *Document {
 	if len(documents) == 0 {
 		return nil
@@ -74,7 +78,7 @@
 	return &change
 }
 
-// bodyBytes is the sum of the texts' sizes.
+// bodyBytes returns the sum of the sizes of all texts of a change.
 func (d *Document) bodyBytes() int {
 	size := 0
 	for _, part := range d.Documents() {
@@ -83,7 +87,7 @@
 	return size
 }
 
-// changeIDs returns the IDs of changes, in their order.
+// changeIDs returns the IDs of the changes in the given order.
 func changeIDs(changes []*Document) []string {
 	var ids []string
 	for _, change := range changes {
@@ -92,7 +96,7 @@
 	return ids
 }
 
-// DocumentRef names the active document of a part.
+// DocumentRef identifies the active document of a part without its text.
 type DocumentRef struct {
 	Part   string `cbor:"1,keyasint,omitempty" json:"part"`
 	Number uint64 `cbor:"2,keyasint,omitempty" json:"number"`
--- a/internal/peer/policy/format_test.go
+++ b/internal/peer/policy/format_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The structures of format 1, as its builds wrote them.
+// These are the structures that builds of format 1 write.
 type (
 	legacyDocument struct {
 		Number    uint64 `cbor:"1,keyasint,omitempty"`
@@ -93,8 +93,8 @@
 	}
 }
 
-// While only changes of the global part were made an earlier build can be gone back to: what a voter and a member write
-// is what it knows, and it can leave out what it does not know.
+// As long as only the global part was changed, operators can return to an earlier build: it can read the data that
+// voters and members write, and the fields that it does not know may be dropped.
 func TestWithoutPartsFormatOneBuildsReadWhatIsWritten(t *testing.T) {
 	c := newSettledCluster(t, servesWhenIsolated)
 	c.propose("a", "x")
@@ -104,7 +104,7 @@
 	c.run(time.Second)
 	written := c.nodes["a"].raftNode.state
 	if written.Format != 0 {
-		t.Fatalf("the log has format %d, and no part was proposed", written.Format)
+		t.Fatalf("the log has format %d although no change of a service's part was proposed", written.Format)
 	}
 	var read legacyState
 	if err := decoding.Unmarshal(encodeState(written), &read); err != nil {
@@ -115,7 +115,7 @@
 	}
 	back, err := decodeState(encode(&read))
 	if err != nil || !bytes.Equal(encodeState(back), encodeState(written)) {
-		t.Errorf("%v: what an earlier build hands on differs:\n%+v\n%+v", err, back, written)
+		t.Errorf("%v: the state that an earlier build writes back differs:\n%+v\n%+v", err, back, written)
 	}
 	var member legacyMember
 	if err := decoding.Unmarshal(c.stored["d"].Member, &member); err != nil {
@@ -126,9 +126,9 @@
 	}
 }
 
-// A member of format 1 takes part in changes of the global part, and counts for every part: a change of one is aborted,
-// with the reason, until the member is upgraded.
-func TestFormatOneMembersTakePartInWholePolicies(t *testing.T) {
+// A member of format 1 takes part in changes of the global part. It counts for every part, so a change of a service's
+// part is aborted, with a reason that names parts, until the member is upgraded.
+func TestFormatOneMembersTakePartInGlobalChanges(t *testing.T) {
 	for name, legacy := range map[string]string{"a voter": "c", "a member that does not vote": "d"} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, servesWhenIsolated)
--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -6,7 +6,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// cborCodec is the encoding of a structure on a disk or in a message.
+// cborCodec returns the codec for a structure that is stored on the disk or sent in a message.
 func cborCodec[T any](name string) golden.Codec[T] {
 	return golden.Codec[T]{Name: name,
 		Encode: func(v T) ([]byte, error) { return encode(&v), nil },
@@ -14,7 +14,7 @@
 	}
 }
 
-// What voters and members store, and the messages between them, are read and written as earlier builds do.
+// The data that voters and members store, and the messages between them, are encoded and decoded as by earlier builds.
 func TestStoredEncodingsMatchEarlierBuilds(t *testing.T) {
 	cborCodec[replicatedState]("state.cbor").Check(t)
 	cborCodec[command]("command.cbor").Check(t)
@@ -23,7 +23,8 @@
 	cborCodec[Message]("message.cbor").Check(t)
 }
 
-// A state in which one change of the global part is being prepared is written in format 1; one with parts is not.
+// A state in which one change of only the global part is being prepared is written in format 1. A state with parts is
+// not.
 func TestBothStateFormatsMatchEarlierBuilds(t *testing.T) {
 	var full replicatedState
 	golden.Fill(&full)
@@ -40,13 +41,13 @@
 			t.Fatal(err)
 		}
 		if len(back.PendingChanges) != len(s.PendingChanges) || back.PendingChanges[0].Document.ID != s.PendingChanges[0].Document.ID || back.CommitCount != s.Active.Number || back.LegacyPending != nil {
-			t.Errorf("%s is read to %+v", name, back)
+			t.Errorf("%s is decoded to %+v", name, back)
 		}
 		golden.Check(t, "again-"+name, encodeState(back))
 	}
 }
 
-// The admin endpoint's bodies.
+// The bodies of the admin endpoint keep the keys of earlier builds.
 func TestAdminBodiesKeepTheirKeys(t *testing.T) {
 	golden.CheckBody(t, "shown.json", &Status{}, nil)
 	golden.CheckBody(t, "fate.json", &ChangeStatus{}, nil)
--- a/internal/peer/policy/lease_test.go
+++ b/internal/peer/policy/lease_test.go
@@ -16,13 +16,13 @@
 			t.Fatalf("%+v", c.status("a", "x"))
 		}
 		if c.nodes["a"].ActivePolicy().Number == 1 && c.admits("d") {
-			t.Fatalf("%v after it was isolated d admits requests by policy 0, and 1 is active", c.now-isolatedAt)
+			t.Fatalf("%v after it was isolated, d admits requests by policy 0 although 1 is active", c.now-isolatedAt)
 		}
 	}
 	c.reconnect("d")
 	c.run(2 * time.Second)
 	if !c.admits("d") || c.serving["d"].Document.Number != 1 {
-		t.Errorf("reconnected: %+v", c.serving["d"])
+		t.Errorf("after d was reconnected: %+v", c.serving["d"])
 	}
 }
 
@@ -37,10 +37,11 @@
 	}
 }
 
-// It has prepared a change and does not know the outcome: until its lease expires it serves on, then what both allow.
+// A member has prepared a change and does not know the outcome. It serves unchanged until its lease expires, and from
+// then on only what both the active policy and the change allow.
 func TestUncertainMemberServesIntersection(t *testing.T) {
 	c := newSettledCluster(t, servesWhenIsolated)
-	c.stalledDisks["e"] = true // the change waits for it
+	c.stalledDisks["e"] = true // the change waits for e
 	c.propose("a", "x")
 	c.run(time.Second)
 	c.isolate("d")
@@ -49,7 +50,7 @@
 	c.endWrites("e", nil)
 	c.run(time.Second)
 	if c.nodes["a"].ActivePolicy().Number != 1 {
-		t.Fatalf("all had prepared it: %+v", c.status("a", "x"))
+		t.Fatalf("the change is not committed although all members have prepared it: %+v", c.status("a", "x"))
 	}
 	c.run(DefaultLease)
 	got := c.serving["d"]
@@ -63,10 +64,11 @@
 	}
 }
 
-// A member that is uncertain of one part serves there what both documents allow, and the other part as it is.
+// A member that does not know the outcome of a change of one part serves what both documents of that part allow, and
+// serves its other part unchanged.
 func TestUncertainPartServesIntersectionOnly(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
-	c.stalledDisks["d"] = true // the change waits for it
+	c.stalledDisks["d"] = true // the change waits for d
 	c.proposeParts("b", partsChange("two", "y"), 0)
 	c.run(time.Second)
 	c.isolate("b")
@@ -78,7 +80,7 @@
 	}
 }
 
-// A leader that is being replaced responds to nobody: it may not know what the next one has decided.
+// A leader that reaches no quorum grants no lease, because it may not know what the next leader has decided.
 func TestIsolatedLeaderGrantsNoLease(t *testing.T) {
 	c := newSettledCluster(t, stopsWhenIsolated)
 	isolated := c.leader()
@@ -88,7 +90,7 @@
 			voters = append(voters, name)
 		}
 	}
-	for _, voter := range voters { // d reaches only the isolated one
+	for _, voter := range voters { // d reaches only the isolated leader
 		c.setLink(isolated, voter, true)
 		c.setLink("d", voter, true)
 	}
@@ -97,21 +99,22 @@
 		t.Errorf("d: %+v, %s: %+v", c.serving["d"], isolated, c.serving[isolated])
 	}
 	if !c.admits(voters[0]) || !c.admits(voters[1]) {
-		t.Error("the other voters have found no leader")
+		t.Error("the other voters admit no requests, so they have not elected a leader")
 	}
 }
 
-// While a member is being removed from the roster it gets no lease, which could outlast the removal.
+// A member that is being removed from the roster gets no lease, since the lease could last longer than the member's
+// roster entry.
 func TestMemberBeingRemovedGetsNoLease(t *testing.T) {
 	c := newSettledCluster(t, stopsWhenIsolated)
 	coordinator := &c.nodes[c.leader()].raftNode.coordinator
 	member := coordinator.members["d"]
 	member.removing = true
-	coordinator.rosterChanges["d"] = rosterChange{member.runID, 0, c.now + time.Hour} // on its way into the log
+	coordinator.rosterChanges["d"] = rosterChange{member.runID, 0, c.now + time.Hour} // proposed and not applied yet
 	before := c.serving["d"].Until
 	c.run(DefaultLease / 2)
 	if c.serving["d"].Until > before {
-		t.Error("its lease was renewed")
+		t.Error("the lease of d was renewed while d is being removed")
 	}
 }
 
@@ -129,17 +132,18 @@
 	}
 	respond(LeaseResponse{Seq: 900})
 	if want := requestedAt + DefaultLease; m.leaseExpiry != want {
-		t.Errorf("a lease until %v by a response to a request of 2 s ago, not %v", m.leaseExpiry, want)
+		t.Errorf("the response to a request of 2 s ago renews the lease until %v, want %v", m.leaseExpiry, want)
 	}
 	before := m.leaseExpiry
-	respond(LeaseResponse{Seq: 900}) // doubled
+	respond(LeaseResponse{Seq: 900}) // a duplicate
 	respond(LeaseResponse{Seq: 5, Pending: "z"})
 	if m.leaseExpiry != before || len(m.fetching) > 0 {
-		t.Error("a response to no outstanding request was taken")
+		t.Error("a response without an outstanding request took effect")
 	}
 }
 
-// A leader does not know which leases its predecessor granted: it waits for them before it holds any for expired.
+// A new leader does not know which leases its predecessor granted. It waits until all of them have certainly expired
+// before it commits a change without their members.
 func TestNewLeaderWaitsForLeasesOfItsPredecessor(t *testing.T) {
 	c := newSettledCluster(t, stopsWhenIsolated)
 	predecessor := c.leader()
@@ -159,7 +163,8 @@
 		}
 	}
 	if c.admits("d") || c.admits(predecessor) {
-		t.Errorf("%v after they were isolated policy 1 is active, and one of them admits requests by 0", c.now-isolatedAt)
+		t.Errorf("%v after the isolation, policy 1 is active and an isolated member admits requests by policy 0",
+			c.now-isolatedAt)
 	}
 }
 
@@ -175,14 +180,14 @@
 	c.step("d", RenewNow{})
 	c.run(100 * time.Millisecond)
 	if c.serving["d"].Until > before {
-		t.Error("a leader that no quorum has confirmed responded")
+		t.Error("a leader responded although no quorum has confirmed it")
 	}
 }
 
 func TestStandaloneStartServesOnlyIfConfigured(t *testing.T) {
 	for name, serveLastKnown := range map[string]bool{"configured": true, "not configured": false} {
 		t.Run(name, func(t *testing.T) {
-			stored := StoredState{Member: encode(&savedMember{Active: *wholePolicyChange("x")})}
+			stored := StoredState{Member: encode(&savedMember{Active: *globalChange("x")})}
 			node := newTestNode(t, Settings{Name: "d", ServeLastKnown: serveLastKnown}, stored)
 			node.Step(0, NameOwnership{Exclusive: true})
 			for now := time.Duration(0); now < 20*time.Second; now = node.Next() {
--- a/internal/peer/policy/member.go
+++ b/internal/peer/policy/member.go
@@ -5,89 +5,92 @@
 	"time"
 )
 
-// member is the part of a Node that every daemon has. It knows the active documents of the parts that it holds, persists
-// the changes being prepared, renews its lease at the leader, and decides what its daemon serves by.
+// member is the role that every daemon has in the replication of the policy. It knows the active documents of the
+// parts that it holds, persists the changes being prepared, renews its lease at the leader, and decides what its
+// daemon serves by.
 //
-// By its own clock it may admit requests:
-//   - not before the leader has confirmed that this run is in the roster, and with which active documents;
-//   - with StopWhenIsolated: until Lease after the request of the last such confirmation;
-//   - otherwise without a bound, but while it has prepared a change whose outcome it does not know, until Lease after
-//     that request, and from then on only what both the active documents and the change allow. No other change of these
-//     parts can be committed meanwhile, since each needs this member to prepare it;
-//   - by a service's part only if the roster has it that this member holds the part: otherwise no change waits for it.
+// The member decides by its own clock when it may admit requests:
+//   - It admits none before the leader has confirmed that this run is in the roster, and which documents are active.
+//   - With StopWhenIsolated, it admits requests until Lease after it sent the last request that was confirmed so.
+//   - Otherwise there is no such limit. But if the member has prepared a change whose outcome it does not know, then
+//     from Lease after that request on it admits only what both the active documents and the change allow. Meanwhile
+//     no other change of these parts can be committed, because each needs this member to prepare it.
+//   - It serves by a service's part only if the roster lists the part for this member: otherwise changes of the part
+//     would not wait for this member.
 type member struct {
 	node *Node
 
-	// What is active, and what this member holds.
-	active      Document            // of the global part
-	activeParts map[string]Document // of the other parts that have one
-	// knownUpTo is the CommitIndex up to which it knows all committed documents of its parts; 0: nothing.
+	// Active documents, and the parts that this member holds.
+	active      Document            // active global document
+	activeParts map[string]Document // active documents of the other parts that have one
+	// knownUpTo is the CommitIndex up to which it knows all committed documents of its parts; 0: it knows none.
 	knownUpTo       uint64
-	configuredParts []string // that it is to hold, besides the global one, in order
-	// servedParts are those of them that the roster has for this member, and whose active document, if any, is here.
+	configuredParts []string // sorted parts that it is configured to hold, besides the global one
+	// servedParts are those configured parts that the roster lists for this member, and whose active document, if
+	// there is one, this member has.
 	servedParts     []string
-	rosterPartsHash uint64 // of the parts that the roster has for this member, by the last response
-	partsRequested  bool   // by the last response: the next request is to list the parts
+	rosterPartsHash uint64 // hash of the parts that the roster lists for this member, from the last response
+	partsRequested  bool   // the last response asks that the next request lists the parts
 
 	// Changes being prepared.
-	prepared   []*Document              // on the disk, and this member can serve by them
+	prepared   []*Document              // changes that are on the disk, and that this member can serve by
 	preparedAt map[string]time.Duration // when they were persisted, by ID
-	rejections map[string]string        // changes that it can't serve by, and why
-	missing    map[string]DocumentRef   // active by the last response, and not here, by part
-	fetching   map[string]time.Duration // changes whose documents were requested, and when
-	// deferred are changes that are active, and by which this member can't serve without others that it does not have yet.
+	rejections map[string]string        // changes that it can't serve by: the reasons by ID
+	missing    map[string]DocumentRef   // documents that are active by the last response and that it lacks, by part
+	fetching   map[string]time.Duration // changes whose documents were requested: the times by ID
+	// deferred are active changes that this member can serve by only together with other changes that it still lacks.
 	deferred []*Document
 
 	// Writing to the disk.
-	savingSeq     uint64        // of the batch that is being written; 0: none
-	savingChanges []*Document   // that are in this batch for the first time
-	queuedChanges []*Document   // to go into the next one
-	dirty         bool          // the disk does not have the active documents, or has a change that is over
-	saveAt        time.Duration // when dirty: not before
+	savingSeq     uint64        // Seq of the batch that is being written; 0: none
+	savingChanges []*Document   // changes that are in this batch for the first time
+	queuedChanges []*Document   // changes for the next batch
+	dirty         bool          // the disk lacks an active document, or has a change that has ended
+	saveAt        time.Duration // earliest time of the next write if dirty
 
 	// The lease.
 	exclusiveName bool // this process is the only one that uses its name
-	inRoster      bool // by the last response
-	everInRoster  bool // in this run
+	inRoster      bool // the last response said that this run is in the roster
+	everInRoster  bool // some response to this run has said so
 	leaseExpiry   time.Duration
 	startedAt     time.Duration
-	serving       Serving // as last emitted
-	refusal       string  // why it is not taken into the roster, by the last response
+	serving       Serving // the last one emitted
+	refusal       string  // why the leader does not add this member to the roster, from the last response
 
 	// Requests to the voters.
-	seq                uint64                   // of the last lease request
-	outstanding        map[uint64]time.Duration // requests without a response, and when they were sent, by Seq
+	seq                uint64                   // Seq of the last lease request
+	outstanding        map[uint64]time.Duration // when the requests without a response were sent, by Seq
 	lastAnsweredSeq    uint64
 	lastResponseAt     time.Duration
 	nextRequestAt      time.Duration
 	lastRequestAt      time.Duration
-	unansweredRequests int    // since the last response
-	requestTarget      string // of the last request
-	voterOffset        int    // chooses the voter while the leader is not known
-	leader             string // as the last response said; empty: not known
-	relay              string // the voter through which the last forwarded response came
-	avoidedLeader      string // a leader that did not respond ...
+	unansweredRequests int    // number of requests since the last response
+	requestTarget      string // receiver of the last request
+	voterOffset        int    // selects the voter while the leader is not known
+	leader             string // leader that the last response named; empty: it is not known
+	relay              string // voter that forwarded the last forwarded response
+	avoidedLeader      string // leader that did not respond directly, avoided until avoidUntil
 	avoidUntil         time.Duration
-	rotation           int // advances what requests report where that is bounded
+	rotation           int // advances with each request, to report by turns what one request has no room for
 
-	// On behalf of operators.
+	// Requests of operators.
 	watches   []watchedChange
 	proposals []*outgoingProposal
 	history   *History
 }
 
-// savedMember is what a member stores.
+// savedMember is the data that a member stores.
 type savedMember struct {
 	Active         Document  `cbor:"1,keyasint,omitempty"`
-	LegacyPrepared *Document `cbor:"2,keyasint,omitempty"` // a change of the global part alone, which format 1 knows
+	LegacyPrepared *Document `cbor:"2,keyasint,omitempty"` // a prepared change of only the global part
 	Voters         []string  `cbor:"3,keyasint,omitempty"`
 	Epoch          uint64    `cbor:"4,keyasint,omitempty"`
-	// ActiveParts and what follows: since format 2.
+	// ActiveParts and the fields after it exist since format 2.
 	ActiveParts     []Document  `cbor:"5,keyasint,omitempty"`
-	PreparedChanges []*Document `cbor:"6,keyasint,omitempty"` // besides LegacyPrepared
+	PreparedChanges []*Document `cbor:"6,keyasint,omitempty"` // prepared changes besides LegacyPrepared
 	KnownUpTo       uint64      `cbor:"7,keyasint,omitempty"`
 	Format          uint8       `cbor:"8,keyasint,omitempty"`
-	PartsHash       uint64      `cbor:"9,keyasint,omitempty"` // of the parts for which KnownUpTo holds
+	PartsHash       uint64      `cbor:"9,keyasint,omitempty"` // hash of the parts that KnownUpTo is valid for
 }
 
 // allPrepared returns the prepared changes of both formats.
@@ -111,12 +114,12 @@
 	}
 }
 
-// restore takes what the member stored.
+// restore loads the data that the member stored.
 func (m *member) restore(saved *savedMember) {
 	m.active = saved.Active
 	m.prepared = saved.allPrepared()
 	m.knownUpTo = saved.KnownUpTo
-	if saved.PartsHash != partsHash(m.configuredParts) { // the daemon's file has other services now
+	if saved.PartsHash != partsHash(m.configuredParts) { // the services in the daemon's file have changed
 		m.knownUpTo = 0
 	}
 	for _, d := range saved.ActiveParts {
@@ -124,7 +127,7 @@
 	}
 }
 
-// start makes the first step.
+// start checks the restored changes, and takes over from a predecessor, in the first step.
 func (m *member) start() {
 	n := m.node
 	m.startedAt = n.now
@@ -133,7 +136,8 @@
 	stored := m.prepared
 	m.prepared = nil
 	for _, change := range stored {
-		// With another build or another file it may not be able to serve by what it has prepared.
+		// If the build or the daemon's file has changed, the member may no longer be able to serve by a change that
+		// it has prepared.
 		if err := m.checkChange(change); err != nil {
 			m.rejections[change.ID] = err.Error()
 			continue
@@ -141,7 +145,8 @@
 		m.prepared = append(m.prepared, change)
 		m.preparedAt[change.ID] = n.now
 	}
-	if n.epoch > 0 && m.knownUpTo == 0 { // the last process ended before it knew what a rescue had given up
+	if n.epoch > 0 && m.knownUpTo == 0 {
+		// The last process may have ended before it knew which documents a rescue had lost.
 		n.epochChangedAt = max(1, n.now)
 	}
 	if h := n.settings.Handoff; h != nil && h.Number == m.active.Number {
@@ -149,7 +154,7 @@
 	}
 }
 
-// takeOver goes on with the lease of the process that this one replaces.
+// takeOver continues the lease of the process that this one replaces.
 func (m *member) takeOver(h *HandoffState) {
 	m.inRoster = true
 	m.everInRoster = true
@@ -159,7 +164,7 @@
 	m.servedParts = h.ServedParts(m.configuredParts, m.activeDocument)
 }
 
-// advance does what is due by now.
+// advance performs the work that is due: writes, lease requests, proposals, and the update of Serving.
 func (m *member) advance() {
 	n := m.node
 	if m.dirty && m.savingSeq == 0 && n.now >= m.saveAt {
@@ -173,7 +178,7 @@
 	m.updateServing()
 }
 
-// nextDeadline returns when advance is to be called at the latest.
+// nextDeadline returns the time by which advance has to be called.
 func (m *member) nextDeadline() time.Duration {
 	at := m.nextRequestAt
 	if m.dirty && m.savingSeq == 0 {
@@ -191,10 +196,10 @@
 	return at
 }
 
-// standaloneAt is when a member that reached no voter may serve by the last known policy.
+// standaloneAt returns the time from which on a member that has reached no voter may serve by the last known policy.
 func (m *member) standaloneAt() time.Duration { return m.startedAt + m.node.settings.StandaloneAfter }
 
-// markDirty has the member's state written to the disk as soon as no write is in progress.
+// markDirty schedules a write of the member's state as soon as no write is in progress.
 func (m *member) markDirty() {
 	m.dirty = true
 	m.saveAt = m.node.now
@@ -208,7 +213,7 @@
 	}
 }
 
-// setParts records which parts the member is to hold from now on.
+// setParts sets the parts that the member holds from now on.
 func (m *member) setParts(names []string) {
 	parts, err := normalizeParts(names)
 	if err != nil {
@@ -219,8 +224,8 @@
 		return
 	}
 	m.configuredParts = parts
-	m.knownUpTo = 0      // the active documents are requested for all parts, also those that are new here
-	clear(m.outstanding) // their responses will be for the previous parts
+	m.knownUpTo = 0      // requests the active documents of all parts, including the new ones
+	clear(m.outstanding) // responses to these requests would be for the previous parts
 	m.servedParts = slices.DeleteFunc(slices.Clone(m.servedParts), func(part string) bool {
 		return !slices.Contains(parts, part)
 	})
@@ -229,7 +234,8 @@
 	m.requestSoon()
 }
 
-// resetKnowledge forgets what the voters know of this member and it of them, since after a rescue both may be wrong.
+// resetKnowledge discards what this member knows from the voters, and what it knows of their records about it: after a
+// rescue both may be wrong.
 func (m *member) resetKnowledge() {
 	m.knownUpTo = 0
 	m.rosterPartsHash = 0
@@ -251,7 +257,7 @@
 	}
 }
 
-// holdsPart reports whether the member is to hold a part.
+// holdsPart reports whether the member is configured to hold a part.
 func (m *member) holdsPart(part string) bool {
 	if part == "" {
 		return true
@@ -260,7 +266,7 @@
 	return ok
 }
 
-// activeDocument returns the active document of a part; Number 0: it has none here.
+// activeDocument returns the active document of a part. Its Number is 0 if the member has none.
 func (m *member) activeDocument(part string) Document {
 	if part == "" {
 		return m.active
@@ -271,7 +277,7 @@
 	return Document{Part: part}
 }
 
-// sortedActiveParts returns the active documents but the global one, by name.
+// sortedActiveParts returns the active documents except the global one, sorted by part.
 func (m *member) sortedActiveParts() []Document {
 	var documents []Document
 	for _, part := range sortedKeys(m.activeParts) {
@@ -284,7 +290,7 @@
 	return slices.ContainsFunc(m.prepared, func(d *Document) bool { return d.ID == id })
 }
 
-// isMissing reports whether a change made an active document that is not here.
+// isMissing reports whether a missing active document belongs to the change.
 func (m *member) isMissing(id string) bool {
 	for _, ref := range m.missing {
 		if ref.ID == id {
--- a/internal/peer/policy/member_changes.go
+++ b/internal/peer/policy/member_changes.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// fetchRetryInterval is after which documents are requested again, since a message may be lost. A shorter one adds load
-	// at a voter that serves all members at once; a longer one delays a change by a lost message.
+	// fetchRetryInterval is the time after which documents are requested again, since a message may be lost. A
+	// shorter interval adds load to a voter that serves all members at once; with a longer one, a lost message delays
+	// a change for longer.
 	fetchRetryInterval = 300 * time.Millisecond
-	// saveRetryInterval is after which a member writes again to a disk that took nothing. It serves on meanwhile.
+	// saveRetryInterval is the time after which a member repeats a failed write. It continues to serve meanwhile.
 	saveRetryInterval = 5 * time.Second
 )
 
-// fetch requests the documents of a change, unless that is done or the documents are here already.
+// fetch requests the documents of a change, unless they were requested lately or are being written already.
 func (m *member) fetch(id string) {
 	n := m.node
 	hasID := func(d *Document) bool { return d.ID == id }
@@ -29,7 +30,7 @@
 	}
 	voter := m.preferredVoter()
 	if again && voter == m.leader {
-		voter = m.leaderOrRandomVoter() // the leader may be unreachable from here; any voter has the documents soon
+		voter = m.leaderOrRandomVoter() // this member may not reach the leader; every voter has the documents soon
 	}
 	m.fetching[id] = n.now
 	if n.raftNode != nil {
@@ -39,13 +40,13 @@
 		}
 	}
 	request := &Message{Fetch: id}
-	if !m.inRoster || m.rosterPartsHash != partsHash(m.configuredParts) { // the voters may not know what it holds
+	if !m.inRoster || m.rosterPartsHash != partsHash(m.configuredParts) { // the voters may not know the member's parts
 		request.Parts = m.configuredParts
 	}
 	n.send(voter, request)
 }
 
-// receiveChange takes the documents of a change: one that is active and not here, or one being prepared.
+// receiveChange handles the documents of a change, which is either active and missing here, or being prepared.
 func (m *member) receiveChange(received *Document) {
 	if _, requested := m.fetching[received.ID]; !requested || !hasValidTexts(received) {
 		return
@@ -64,7 +65,8 @@
 	}
 	if err := m.checkChange(change); err != nil {
 		if m.rejections[change.ID] == "" {
-			m.node.errorf("policy: change %s (by %s: %s) fails this daemon's check: %v", change.ID, change.Author, change.Reason, err)
+			m.node.errorf("policy: change %s (by %s: %s) is rejected, since it fails this daemon's check: %v",
+				change.ID, change.Author, change.Reason, err)
 		}
 		m.reject(change.ID, err.Error())
 		return
@@ -73,7 +75,8 @@
 	m.saveQueued()
 }
 
-// hasValidTexts reports whether a change that another member sent has texts of allowed sizes, with their digests.
+// hasValidTexts reports whether the texts of a change that another member sent have allowed sizes and match their
+// digests.
 func hasValidTexts(change *Document) bool {
 	for _, d := range change.Documents() {
 		if len(d.Body) > MaxBodyBytes || d.Digest != DigestOf(d.Body) {
@@ -83,7 +86,7 @@
 	return change.bodyBytes() <= MaxChangeBytes
 }
 
-// isNew reports whether a change may have a document that this member does not have.
+// isNew reports whether a change may have a document that is newer than this member's active ones.
 func (m *member) isNew(change *Document) bool {
 	if m.isMissing(change.ID) || m.node.epochChangedAt > 0 {
 		return true
@@ -93,14 +96,15 @@
 	})
 }
 
-// reject reports to the leader with the next request that this member can't serve by a change.
+// reject records that this member can't serve by a change. The next request reports that to the leader.
 func (m *member) reject(id, reason string) {
 	m.rejections[id] = reason
 	m.requestSoon()
 }
 
-// receiveActiveChange takes documents that are active: together with those that came before and pass the check only
-// with them, or else by themselves.
+// receiveActiveChange handles the documents of an active change. It queues them together with the deferred changes if
+// all of them pass the check together; if not, it queues the change alone if that passes the check. Otherwise the
+// change is deferred, because it may pass the check together with a change that arrives later.
 func (m *member) receiveActiveChange(change *Document) {
 	check := m.node.settings.Check
 	deferred := slices.DeleteFunc(m.deferred, func(d *Document) bool { return d.ID == change.ID || !m.isMissing(d.ID) })
@@ -120,15 +124,17 @@
 	}
 	m.deferred = together
 	if m.rejections[change.ID] == "" {
-		m.node.errorf("policy: %s, which is in force (by %s: %s), fails this daemon's check: %v", change.ID, change.Author, change.Reason, err)
+		m.node.errorf("policy: change %s, which is in force (by %s: %s), fails this daemon's check: %v",
+			change.ID, change.Author, change.Reason, err)
 		m.rejections[change.ID] = err.Error()
 	}
 	m.saveQueued()
 }
 
-// checkChange reports whether this member could serve by a change: with the active documents alone, and with all other
-// changes being prepared as well. The part of one service does not affect another service, so whatever subset of the
-// changes is committed, each service is served by documents that one of these two checks has seen together.
+// checkChange returns an error if this member could not serve by a change. It checks the change twice: with the active
+// documents alone, and with all other changes being prepared as well. The part of one service does not affect another
+// service. So whichever of the changes are committed, each service is served by documents that were together in one of
+// these two checks.
 func (m *member) checkChange(change *Document) error {
 	check := m.node.settings.Check
 	if check == nil {
@@ -147,7 +153,7 @@
 	return nil
 }
 
-// overlay returns the documents that would be active with the changes committed, the global one first.
+// overlay returns the documents that would be active if the changes were committed, the global one first.
 func (m *member) overlay(changes []*Document) []Document {
 	byPart := maps.Clone(m.activeParts)
 	byPart[""] = m.active
@@ -163,7 +169,7 @@
 	return documents
 }
 
-// activate makes a document the active one of its part; with Number 0 the part has none.
+// activate makes a document the active one of its part. With Number 0, the part no longer has an active document.
 func (m *member) activate(d Document) {
 	switch {
 	case d.Part == "":
@@ -178,11 +184,11 @@
 	if d.Number > 0 {
 		m.node.infof("policy %d%s (%s) is in force here", d.Number, partSuffix(d.Part), d.ID)
 	}
-	m.requestSoon() // the leader is to know
+	m.requestSoon() // reports the active document to the leader
 }
 
-// activateMissing activates those documents of a change that are active and were missing here. If there are any, the
-// change is committed and no longer being prepared.
+// activateMissing activates those documents of a change that are active at the leader and missing here. If there are
+// any, the change has been committed, and is no longer being prepared.
 func (m *member) activateMissing(change *Document) {
 	activated := false
 	for _, d := range change.Documents() {
@@ -200,14 +206,14 @@
 	delete(m.fetching, change.ID)
 }
 
-// saveQueued writes the queued changes, unless a write is in progress: its end does so.
+// saveQueued writes the queued changes, unless a write is in progress, whose end calls saveQueued again.
 func (m *member) saveQueued() {
 	if m.savingSeq == 0 && len(m.queuedChanges) > 0 {
 		m.save()
 	}
 }
 
-// save writes the member's state, with all queued changes at once.
+// save writes the member's state, together with all queued changes.
 func (m *member) save() {
 	saved := savedMember{
 		Active:          m.active,
@@ -219,7 +225,7 @@
 		Format:          FormatVersion,
 		PartsHash:       partsHash(m.configuredParts),
 	}
-	if i := slices.IndexFunc(saved.PreparedChanges, (*Document).isGlobalOnly); i >= 0 { // where format 1 has it
+	if i := slices.IndexFunc(saved.PreparedChanges, (*Document).isGlobalOnly); i >= 0 { // format 1 has a field for it
 		saved.LegacyPrepared = saved.PreparedChanges[i]
 		saved.PreparedChanges = slices.Delete(saved.PreparedChanges, i, i+1)
 	}
@@ -229,7 +235,7 @@
 	m.savingSeq = m.node.persist(Batch{Member: encode(&saved)})
 }
 
-// persisted takes the outcome of the write in progress.
+// persisted handles the outcome of the write in progress.
 func (m *member) persisted(seq uint64, err error) {
 	if m.savingSeq == 0 || seq != m.savingSeq {
 		return
@@ -251,13 +257,13 @@
 	m.saveQueued()
 }
 
-// changePersisted takes a change that is on the disk now.
+// changePersisted handles a change that is now on the disk: it becomes active if it is missing here, or else prepared.
 func (m *member) changePersisted(change *Document) {
 	isOutdated := func(d Document) bool { return d.Number <= m.activeDocument(d.Part).Number }
 	switch {
 	case m.isMissing(change.ID):
 		m.activateMissing(change)
-	case slices.ContainsFunc(change.Documents(), isOutdated): // it was aborted meanwhile
+	case slices.ContainsFunc(change.Documents(), isOutdated): // the change was aborted meanwhile
 		m.markDirty()
 	default:
 		m.prepared = append(m.prepared, change)
@@ -267,15 +273,16 @@
 	}
 }
 
-// changeNotPersisted takes a change that the disk did not take. An active one is served all the same, since the member
-// has to request it again after a start anyway; one being prepared is rejected.
+// changeNotPersisted handles a change that could not be written to the disk. An active change is served all the same,
+// since after a restart the member requests the active documents anyway. A change being prepared is rejected.
 func (m *member) changeNotPersisted(change *Document, err error) {
 	if m.isMissing(change.ID) {
-		m.node.errorf("policy %s is in force and can't be persisted: %v", change.ID, err)
+		m.node.errorf("policy: change %s is in force, and is served although it can't be written to the disk: %v",
+			change.ID, err)
 		m.activateMissing(change)
 		m.saveAt = m.node.now + saveRetryInterval
 		return
 	}
 	m.reject(change.ID, "it can't be put on the disk: "+err.Error())
-	m.node.errorf("policy: change %s: %s", change.ID, m.rejections[change.ID])
+	m.node.errorf("policy: change %s is rejected: %s", change.ID, m.rejections[change.ID])
 }
--- a/internal/peer/policy/member_proposals.go
+++ b/internal/peer/policy/member_proposals.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	// watchDuration is for how long the status of a change is requested: much longer than any change takes.
+	// watchDuration is how long the status of a change is requested. It is much longer than any change takes.
 	watchDuration = 10 * time.Minute
-	// maxWatchedChanges bounds the watches of one member; the oldest is dropped.
+	// maxWatchedChanges bounds the number of watches of one member. The oldest watch is dropped.
 	maxWatchedChanges = 64
-	// proposalTimeout is for how long a proposal is offered to the voters: several elections. After it the change is
-	// aborted, so that it does not take effect at some later time.
+	// proposalTimeout is how long a proposal is sent to the voters: longer than several elections. The change is
+	// aborted afterwards, so that it does not take effect at some later time.
 	proposalTimeout = 30 * time.Second
-	// proposalRetryInterval is after which a proposal is offered again: several writes of the voters' disks.
+	// proposalRetryInterval is the time after which a proposal is sent again. It covers several writes of the voters'
+	// disks.
 	proposalRetryInterval = 700 * time.Millisecond
 )
 
-// watchedChange is a change of which the status is requested with the lease requests.
+// watchedChange is a change whose status the member requests with its lease requests.
 type watchedChange struct {
 	status ChangeStatus
 	until  time.Duration
 }
 
-// isOpen reports whether the outcome is not known yet.
+// isOpen reports whether the outcome of the change is still unknown.
 func (w watchedChange) isOpen() bool { return w.status.State <= ChangePreparing }
 
-// outgoingProposal is offered to the voters until one of them has it.
+// outgoingProposal is a proposal that the member sends to the voters until the log has it.
 type outgoingProposal struct {
 	proposal  Proposal
-	sendAt    time.Duration // again
+	sendAt    time.Duration // when it is sent the next time
 	expiresAt time.Duration
 }
 
-// isSettledBy reports whether a status shows that the log has taken the proposal.
+// isSettledBy reports whether a status shows that the log has the proposal.
 func (p *outgoingProposal) isSettledBy(status *ChangeStatus) bool {
 	proposed := p.proposal.Document.ID == status.ID && status.State != ChangeUnknown
 	aborted := p.proposal.AbortID == status.ID && status.State > ChangePreparing
 	return proposed || aborted
 }
 
-// propose takes a proposal that an operator makes at this member.
+// propose starts to send a proposal that an operator made at this member, and watches its change.
 func (m *member) propose(p Proposal) {
 	outgoing := &outgoingProposal{proposal: p, sendAt: m.node.now, expiresAt: m.node.now + proposalTimeout}
 	if p.AbortID != "" {
@@ -55,7 +56,8 @@
 	}
 }
 
-// advanceProposals offers the proposals that are due, and ends those that no voter has taken.
+// advanceProposals sends the proposals that are due. A change that the log has not accepted within proposalTimeout is
+// replaced by its abort.
 func (m *member) advanceProposals() {
 	n := m.node
 	for _, p := range m.proposals {
@@ -75,12 +77,12 @@
 
 func (m *member) sendProposal(p *outgoingProposal) {
 	p.sendAt = m.node.now + proposalRetryInterval
-	proposal := p.proposal // what is sent must not change with a later abort
+	proposal := p.proposal // a copy, since the message must not change if an abort replaces the proposal later
 	m.node.send(m.leaderOrAny(), &Message{Proposal: &proposal})
 	m.requestSoon()
 }
 
-// watch has the status of a change requested from now on.
+// watch requests the status of a change with the lease requests from now on.
 func (m *member) watch(id string) {
 	m.requestSoon()
 	until := m.node.now + watchDuration
@@ -96,7 +98,7 @@
 	m.watches = append(m.watches, watchedChange{status: ChangeStatus{ID: id}, until: until})
 }
 
-// updateWatches takes the statuses of a response.
+// updateWatches records the statuses in a response, and ends the proposals that the log has.
 func (m *member) updateWatches(statuses []ChangeStatus) {
 	for _, status := range statuses {
 		for i := range m.watches {
--- a/internal/peer/policy/member_requests.go
+++ b/internal/peer/policy/member_requests.go
@@ -6,34 +6,41 @@
 	"time"
 )
 
-// Intervals of lease requests. The cost at the leader is the number of members divided by the interval.
+// Intervals of lease requests. The leader receives as many requests per second as there are members divided by the
+// interval.
 const (
-	// urgentRequestInterval is the first wait between two requests of a member that needs a response: a few round trips
-	// between regions. It doubles with each request that gets none.
+	// urgentRequestInterval is the first interval between two requests of a member that needs a response: a few round
+	// trips between regions. It doubles with each request that is not answered.
 	urgentRequestInterval = 200 * time.Millisecond
-	// maxUrgentInterval ends this backoff for a member that needs a response or loses its lease without one.
+	// maxUrgentInterval limits this backoff for a member that needs a response, or that stops without one.
 	maxUrgentInterval = 5 * urgentRequestInterval
-	// maxBackoffDoublings keeps the shift from overflowing: 12.8 s, by when a third of the usual lease is the bound.
+	// maxBackoffDoublings keeps the shift from overflowing. It allows 12.8 s, but a third of the usual lease is a
+	// lower limit by then.
 	maxBackoffDoublings = 6
-	// renewalsPerLease is how often a member that needs nothing renews its lease while that lasts: two requests may be lost.
+	// renewalsPerLease is how often a member that needs no response renews its lease during the lease: two consecutive
+	// requests may be lost.
 	renewalsPerLease = 3
-	// urgentLeaseFraction: a member that stops when its lease expires needs a response in the last quarter of the lease.
+	// urgentLeaseFraction sets when a member that stops at lease expiry needs a response: in the last quarter of the
+	// lease.
 	urgentLeaseFraction = 4
-	// minRequestInterval bounds the requests that events cause: 100 a second for one member.
+	// minRequestInterval bounds the rate of requests that events cause, to 100 a second for one member.
 	minRequestInterval = 10 * time.Millisecond
-	// voterTimeout is how long a voter may take to respond before another one is asked. Shorter ones leave a leader that
-	// has one slow write of a disk; longer ones cost a part of the lease.
+	// voterTimeout is how long a voter may take to respond before the member sends its requests to another voter.
+	// With a shorter timeout, one slow disk write makes members leave a leader; a longer one wastes a part of the
+	// lease.
 	voterTimeout = 2 * urgentRequestInterval
-	// responseTimeout is how long a response is accepted. A later one says nothing about now, and the request takes memory.
+	// responseTimeout is how long after its request a response is accepted. A later response is outdated, and
+	// remembering the request takes memory.
 	responseTimeout = 3 * time.Second
-	// avoidLeaderDuration is for how long a leader that did not respond directly is asked through another voter. Longer
-	// ones put the load of forwarding on voters after a short fault of the network.
+	// avoidLeaderDuration is how long requests go through another voter after the leader did not respond directly.
+	// With a longer duration, voters carry the load of forwarding for longer after a short network fault.
 	avoidLeaderDuration = 5 * time.Second
-	// maxStatusQueries bounds the changes of which one request asks the status, so that the response fits a datagram.
+	// maxStatusQueries bounds the number of changes whose status one request asks for, so that the response fits a
+	// datagram.
 	maxStatusQueries = 8
 )
 
-// needsResponse reports whether the member waits for something that a response tells.
+// needsResponse reports whether the member waits for information that a response contains.
 func (m *member) needsResponse() bool {
 	switch {
 	case !m.inRoster, m.rosterPartsHash != partsHash(m.configuredParts):
@@ -67,7 +74,7 @@
 	})
 }
 
-// requestInterval is the mean wait until the next request: by backoff while there is no response.
+// requestInterval returns the mean interval until the next request. It backs off while there is no response.
 func (m *member) requestInterval() time.Duration {
 	interval := max(urgentRequestInterval, m.node.settings.Lease/renewalsPerLease)
 	if m.needsResponse() || m.node.settings.StopWhenIsolated {
@@ -76,12 +83,13 @@
 	return min(interval, urgentRequestInterval<<min(m.unansweredRequests, maxBackoffDoublings))
 }
 
-// jitter returns a random span between 0.75 and 1.25 times the given one, so that members do not send in step.
+// jitter returns a random span between 0.75 and 1.25 times the given one, so that members do not send at the same
+// time.
 func (m *member) jitter(span time.Duration) time.Duration {
 	return time.Duration((0.75 + 0.5*m.node.rng.Float64()) * float64(span))
 }
 
-// switchVoter has the next request go to another voter.
+// switchVoter selects another voter for the next request.
 func (m *member) switchVoter() {
 	m.voterOffset++
 	if m.requestTarget == m.leader {
@@ -93,8 +101,8 @@
 	m.leader = ""
 }
 
-// chooseVoter returns the voter for the next request: the preferred one, or one by turns. The first one depends on the
-// member's name, so that members spread over the voters.
+// chooseVoter returns the voter for the next request: the preferred voter if there is one, or else the voters in
+// turn. The first of them depends on the member's name, so that members spread over the voters.
 func (m *member) chooseVoter() string {
 	voters := m.node.voters
 	if preferred := m.preferredVoter(); preferred != "" && slices.Contains(voters, preferred) {
@@ -104,8 +112,8 @@
 	return voters[(m.voterOffset+first)%len(voters)]
 }
 
-// preferredVoter returns the leader or, while that one does not respond to this member directly, the voter that last
-// forwarded a response; empty: neither is known.
+// preferredVoter returns the leader or, while the leader does not respond to this member directly, the voter that last
+// forwarded a response. It returns an empty name if neither is known.
 func (m *member) preferredVoter() string {
 	avoided := m.leader != "" && m.leader == m.avoidedLeader && m.node.now < m.avoidUntil
 	if avoided && m.relay != "" {
@@ -114,7 +122,8 @@
 	return m.leader
 }
 
-// leaderOrAny returns the leader or, while it is not known, a random voter, which forwards what is for the leader.
+// leaderOrAny returns the leader or, while the leader is not known, a random voter, which forwards messages to the
+// leader.
 func (m *member) leaderOrAny() string {
 	if m.leader != "" {
 		return m.leader
@@ -122,7 +131,8 @@
 	return m.randomVoter()
 }
 
-// leaderOrRandomVoter returns a voter for what any voter has, or will have soon: half of the time the leader.
+// leaderOrRandomVoter returns a voter for a request that any voter can answer, now or soon: with equal probability the
+// leader or a random voter.
 func (m *member) leaderOrRandomVoter() string {
 	if m.node.rng.IntN(2) == 0 {
 		return m.randomVoter()
@@ -134,7 +144,7 @@
 	return m.node.voters[m.node.rng.IntN(len(m.node.voters))]
 }
 
-// newLeaseRequest reports the member's state.
+// newLeaseRequest returns a lease request that reports the member's state.
 func (m *member) newLeaseRequest() *LeaseRequest {
 	n := m.node
 	request := &LeaseRequest{
@@ -154,14 +164,14 @@
 	if i := slices.IndexFunc(m.prepared, (*Document).isGlobalOnly); i >= 0 { // for a leader of format 1
 		request.Prepared = m.prepared[i].ID
 	}
-	if ids := sortedKeys(m.rejections); len(ids) > 0 { // by turns, where there are several
+	if ids := sortedKeys(m.rejections); len(ids) > 0 { // several rejections are reported in turn
 		request.RejectedID = ids[m.rotation%len(ids)]
 		request.RejectReason = m.rejections[request.RejectedID]
 	}
 	if !m.inRoster || m.rosterPartsHash != request.PartsHash || m.partsRequested {
 		request.Parts = m.configuredParts
 	}
-	for i := range m.watches { // by turns, where there are many
+	for i := range m.watches { // more watches than one request has room for are reported in turn
 		watch := m.watches[(m.rotation+i)%len(m.watches)]
 		if watch.isOpen() && len(request.StatusOf) < maxStatusQueries {
 			request.StatusOf = append(request.StatusOf, watch.status.ID)
@@ -170,7 +180,7 @@
 	return request
 }
 
-// requestSoon has the next request sent at once, or minRequestInterval after the last one.
+// requestSoon schedules the next request at once, but not before minRequestInterval after the last one.
 func (m *member) requestSoon() {
 	m.nextRequestAt = min(m.nextRequestAt, max(m.node.now, m.lastRequestAt+minRequestInterval))
 }
--- a/internal/peer/policy/member_responses.go
+++ b/internal/peer/policy/member_responses.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// rejoinInterval is after which a member that is not in the roster, and so admits nothing, sends the next request. A
-// longer one delays its start, a shorter one sends requests while its join is still on its way through the log.
+// rejoinInterval is the time after which a member that is not in the roster, and so admits nothing, sends the next
+// request. A longer interval delays its start; a shorter one sends requests while the log has not applied its join
+// yet.
 const rejoinInterval = urgentRequestInterval / 4
 
-// leaseTerms is what a response says of the member's documents, whatever its format.
+// leaseTerms is the information about the member's documents in a response of either format.
 type leaseTerms struct {
-	requestedAt time.Duration // what the response says was true after this
+	requestedAt time.Duration // when the request was sent; the response was true at some time after that
 	changed     []DocumentRef // active documents that may differ from the member's
-	pendingIDs  []string      // changes being prepared that affect the member
-	partsHash   uint64        // of the parts that the roster has for the member
-	// coversParts: the response was made for the parts that the member holds, or for all.
+	pendingIDs  []string      // IDs of the changes being prepared that affect the member
+	partsHash   uint64        // hash of the parts that the roster has for the member
+	// coversParts reports that the response covers exactly the parts that the member holds, or all parts.
 	coversParts bool
 }
 
-// receiveLeaseResponse takes the leader's response to a request. What it says was true after the request was sent.
+// receiveLeaseResponse handles the leader's response to a request. The response was true at some time after the
+// request was sent.
 func (m *member) receiveLeaseResponse(from string, response *LeaseResponse) {
 	requestedAt, ok := m.outstanding[response.Seq]
 	if !ok || response.Seq <= m.lastAnsweredSeq {
@@ -54,7 +56,7 @@
 	m.renewLease(response.InRoster, terms)
 }
 
-// recordResponse records who leads, and by which way the response came.
+// recordResponse records the leader, and the voter through which the response came.
 func (m *member) recordResponse(from string, response *LeaseResponse) {
 	maps.DeleteFunc(m.outstanding, func(seq uint64, _ time.Duration) bool { return seq <= response.Seq })
 	m.lastAnsweredSeq = response.Seq
@@ -69,18 +71,18 @@
 	m.node.learnVoters(response.Voters)
 }
 
-// updateRefusal records why the leader does not take this member into the roster; empty: it does.
+// updateRefusal records why the leader does not add this member to the roster. An empty refusal means that it does.
 func (m *member) updateRefusal(refusal string) {
 	if refusal == m.refusal {
 		return
 	}
 	m.refusal = refusal
 	if refusal != "" {
-		m.node.errorf("policy: not taken into the fleet's roster: %s", refusal)
+		m.node.errorf("policy: the leader does not add this member to the fleet's roster: %s", refusal)
 	}
 }
 
-// termsOf reads a response of either format.
+// termsOf returns the terms in a response of either format.
 func (m *member) termsOf(response *LeaseResponse, requestedAt time.Duration) leaseTerms {
 	ownHash := partsHash(m.configuredParts)
 	terms := leaseTerms{
@@ -89,7 +91,8 @@
 		pendingIDs:  response.PendingIDs,
 		partsHash:   response.PartsHash,
 	}
-	if response.Format == 0 { // a leader of format 1 knows the global part alone, and counts this member for every change
+	if response.Format == 0 {
+		// A leader of format 1 knows only the global part, and counts this member for every change.
 		terms.changed = nil
 		terms.pendingIDs = nil
 		terms.partsHash = ownHash
@@ -104,8 +107,8 @@
 	return terms
 }
 
-// withdrawnDocuments are the parts with an active document here that a complete response does not name: a rescue has
-// lost these documents.
+// withdrawnDocuments returns the parts that have an active document here and that a complete response does not name. A
+// rescue has lost their documents, so each is returned with Number 0.
 func (m *member) withdrawnDocuments(named []DocumentRef) []DocumentRef {
 	var withdrawn []DocumentRef
 	for _, part := range append([]string{""}, sortedKeys(m.activeParts)...) {
@@ -117,8 +120,9 @@
 	return withdrawn
 }
 
-// updateMissing determines which active documents are not here, and withdraws those that a rescue has lost. It reports
-// false for a response that knows less than this member although there was no rescue: it is not to be used further.
+// updateMissing determines which active documents are missing here, and deactivates those that a rescue has lost. It
+// returns false if the response has an older document than this member although there was no rescue: such a response
+// must not be used any further.
 func (m *member) updateMissing(terms leaseTerms) bool {
 	n := m.node
 	rescued := n.epochChangedAt > 0 && terms.requestedAt > n.epochChangedAt
@@ -143,8 +147,8 @@
 	return true
 }
 
-// fetchMissing requests the active documents that are not here. It reports whether the member served one of their parts,
-// which it can't by the documents that it has.
+// fetchMissing requests the active documents that are missing here. It reports whether the member served one of their
+// parts, which it must no longer serve by its old document.
 func (m *member) fetchMissing() (servedPart bool) {
 	for _, part := range sortedKeys(m.missing) {
 		if part == "" || slices.Contains(m.servedParts, part) {
@@ -155,8 +159,8 @@
 	return servedPart
 }
 
-// forgetEndedChanges drops the changes that are not being prepared any more. Those of them that the member has prepared
-// and that are not active either were aborted, unless they were persisted after the request was sent.
+// forgetEndedChanges drops the changes that are no longer being prepared. If the member has prepared such a change,
+// and it is not active either, then it was aborted, unless the member persisted it only after the request was sent.
 func (m *member) forgetEndedChanges(terms leaseTerms) {
 	isPending := func(id string) bool { return slices.Contains(terms.pendingIDs, id) }
 	m.prepared = slices.DeleteFunc(m.prepared, func(d *Document) bool {
@@ -180,7 +184,8 @@
 	}
 }
 
-// renewLease takes what the response says of the roster, and schedules the next request.
+// renewLease extends the lease if the response confirms that the member is in the roster, and schedules the next
+// request.
 func (m *member) renewLease(inRoster bool, terms leaseTerms) {
 	n := m.node
 	m.inRoster = inRoster
@@ -201,7 +206,8 @@
 	}
 }
 
-// partSuffix names a part in a line for the operators, after the number of its document.
+// partSuffix returns the phrase that names a part in a log line, after the number of its document. It is empty for the
+// global part.
 func partSuffix(part string) string {
 	if part == "" {
 		return ""
--- a/internal/peer/policy/member_serving.go
+++ b/internal/peer/policy/member_serving.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// updateServing decides what the daemon serves by, and emits it if that has changed.
+// updateServing decides what the daemon serves by, and emits ServingChanged if the decision differs from the last one.
 func (m *member) updateServing() {
 	s := m.decideServing()
 	if s.Blocked == "" && !s.Standalone {
@@ -19,7 +19,8 @@
 	m.node.emit(ServingChanged{s})
 }
 
-// decideServing decides whether and until when requests are admitted, and whether changes being prepared bound them.
+// decideServing decides whether and until when requests are admitted, and whether changes being prepared restrict
+// them.
 func (m *member) decideServing() Serving {
 	n := m.node
 	switch {
@@ -39,7 +40,8 @@
 	return Serving{Blocked: "no voter has answered for " + n.settings.Lease.String() + ": the policy may change without this member"}
 }
 
-// blocked admits no requests: for the reason that the leader gave, or else for the given one.
+// blocked returns a Serving that admits no requests. Its reason is the leader's refusal if there is one, or else the
+// given reason.
 func (m *member) blocked(reason string) Serving {
 	if m.refusal != "" {
 		reason = m.refusal
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// Node is one process's part in the fleet's policy: a member, and a raftNode where it votes. One goroutine owns it.
+// Node takes part in the replication of the policy for one process: it has a member and, if the process is a voter, a
+// raftNode. One goroutine owns it.
 type Node struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // of the current step
-	actions  []Action      // of the current step
+	now      time.Duration // time of the current step
+	actions  []Action      // actions of the current step
 	started  bool          // the first step was made
-	stored   *StoredState  // until the first step
+	stored   *StoredState  // data on the disk; nil after the first step
 
 	member   member
-	raftNode *raftNode // nil: this process does not vote
+	raftNode *raftNode // nil: this process is not a voter
 
-	persistSeq uint64            // of the last batch given to the disk
-	voters     []string          // as far as this process knows; never empty
-	voterNames map[uint64]string // names by Raft's IDs: of voters, and of whoever sent a message
+	persistSeq uint64            // Seq of the last batch passed to the disk
+	voters     []string          // the voters that this process knows; never empty
+	voterNames map[uint64]string // names, by Raft's IDs, of voters and of members that have sent a message
 	// epoch is the number of rescues since the fleet began. Voters of an earlier epoch are ignored.
 	epoch          uint64
-	epochChangedAt time.Duration         // 0: not in this process's life
-	membership     map[string]MemberInfo // what failure detection knows, by name
+	epochChangedAt time.Duration         // 0: the epoch has not changed since this process started
+	membership     map[string]MemberInfo // members that failure detection knows, by name
 	stats          Stats
 }
 
-// New returns a node that goes on from what is on its disk.
+// New returns a node that continues from the data on its disk.
 func New(s Settings, stored StoredState, seed uint64) (*Node, error) {
 	if err := s.prepare(); err != nil {
 		return nil, err
@@ -51,7 +52,8 @@
 		return nil, err
 	}
 	if saved.Format > FormatVersion {
-		return nil, fmt.Errorf("policy: what the member stored has format %d, and this build knows 1 to %d", saved.Format, FormatVersion)
+		return nil, fmt.Errorf("policy: the member's stored state has format %d, and this build knows 1 to %d",
+			saved.Format, FormatVersion)
 	}
 	n.epoch = saved.Epoch
 	n.member.restore(saved)
@@ -59,25 +61,25 @@
 	return n, nil
 }
 
-// start makes the first step.
+// start restores the stored data in the first step.
 func (n *Node) start() {
 	stored := n.stored
 	n.started = true
 	n.stored = nil
 	n.member.start()
 	if stored.Snapshot == nil && (stored.Member != nil || !slices.Contains(n.settings.Voters, n.settings.Name)) {
-		return // it did not vote
+		return // this member was not a voter
 	}
 	r, err := newRaftNode(n, stored)
 	if err != nil {
-		n.errorf("%v; this member does not vote", err)
+		n.errorf("%v; this member does not take part as a voter", err)
 		return
 	}
 	n.epoch = max(n.epoch, stored.Epoch)
 	n.raftNode = r
 }
 
-// Next returns when Step is to be called at the latest.
+// Next returns the time by which Step has to be called.
 func (n *Node) Next() time.Duration {
 	if !n.started {
 		return 0
@@ -89,8 +91,8 @@
 	return max(next, n.now+time.Millisecond)
 }
 
-// Step takes what has happened by now, in order, and returns what to do. A time before that of the last step counts as
-// that.
+// Step handles the events since the last step, in order, and returns the actions to perform. If now is before the
+// time of the last step, that time is used.
 func (n *Node) Step(now time.Duration, events ...Event) []Action {
 	n.now = max(now, n.now)
 	n.actions = nil
@@ -148,17 +150,17 @@
 // emit appends an action to those of the current step.
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// infof emits a line for the operators.
+// infof emits a log line for the operators.
 func (n *Node) infof(format string, args ...any) {
 	n.emit(Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// errorf emits a line about a fault.
+// errorf emits a log line about a fault.
 func (n *Node) errorf(format string, args ...any) {
 	n.emit(Log{Text: fmt.Sprintf(format, args...), Error: true})
 }
 
-// persist gives a batch to the disk and returns its number.
+// persist emits the action that stores a batch, and returns its Seq.
 func (n *Node) persist(b Batch) uint64 {
 	n.persistSeq++
 	n.stats.Persisted++
@@ -166,7 +168,8 @@
 	return n.persistSeq
 }
 
-// send sends a message, also to this member itself: the caller of Step passes it back. Without a receiver it does nothing.
+// send emits the action that sends a message. A message to this member itself is passed back by the caller of Step. If
+// to is empty, send does nothing.
 func (n *Node) send(to string, m *Message) {
 	if to == "" {
 		return
@@ -176,7 +179,7 @@
 	n.emit(Send{To: to, Message: m})
 }
 
-// learnVoters records who votes, unless the list is empty.
+// learnVoters records the voters, unless the list is empty.
 func (n *Node) learnVoters(names []string) {
 	if len(names) > 0 {
 		n.voters = slices.Clone(names)
@@ -186,10 +189,10 @@
 	}
 }
 
-// isCurrentRun reports whether failure detection knows a member by this run.
+// isCurrentRun reports whether failure detection knows a member under this run ID.
 func (n *Node) isCurrentRun(name string, runID uint64) bool { return n.membership[name].RunID == runID }
 
-// becomeVoter has this member take part in the log, since a leader sends it to this member.
+// becomeVoter makes this member a voter, because a voter has sent it a Raft message.
 func (n *Node) becomeVoter(from string) {
 	r, err := newEmptyVoter(n)
 	if err != nil {
@@ -197,33 +200,34 @@
 		return
 	}
 	n.raftNode = r
-	// Should it have voted before, and lost its disk, the leader learns from this that it has less than it acknowledged.
+	// If this member was a voter before and has lost its disk, this request shows the leader that the log here is
+	// shorter than what this member acknowledged.
 	n.send(from, &Message{PositionRequest: &PositionRequest{Number: r.startNumber}})
-	n.infof("this member votes from now on: %s has sent it the log", from)
+	n.infof("this member takes part as a voter from now on: %s sent it a Raft message", from)
 }
 
-// retireVoter ends this member's part in the log.
+// retireVoter ends this member's role as a voter, and removes its log from the disk.
 func (n *Node) retireVoter(reason string) {
 	n.raftNode = nil
 	n.persist(Batch{Wipe: true})
-	n.errorf("this member no longer votes: %s", reason)
+	n.errorf("this member is no longer a voter, and removes its log: %s", reason)
 }
 
-// rescue goes on with this voter alone.
+// rescue makes this voter the only one.
 func (n *Node) rescue() {
 	if n.raftNode == nil {
-		n.errorf("rescue: this member has no part of the log")
+		n.errorf("rescue failed: this member is not a voter, and has no log")
 		return
 	}
 	if err := n.raftNode.rescue(n.epoch + 1); err != nil {
-		n.errorf("rescue: %v", err)
+		n.errorf("rescue failed: %v", err)
 		return
 	}
 	n.epoch++
 	n.epochChangedAt = max(1, n.now)
 	n.member.resetKnowledge()
 	state := n.raftNode.state
-	n.errorf("an operator has had this voter go on alone (rescue %d): what only the others knew is given up; "+
-		"in force is policy %d (%s) and the texts of %d services",
+	n.errorf("an operator has made this voter the only one (rescue %d): what only the other voters knew is lost; "+
+		"policy %d (%s) and the policies of %d services are in force",
 		n.epoch, state.Active.Number, state.Active.ID, len(state.ActiveParts))
 }
--- a/internal/peer/policy/node_messages.go
+++ b/internal/peer/policy/node_messages.go
@@ -1,15 +1,15 @@
 package policy
 
 const (
-	// maxResponseHops is how often a LeaseResponse is forwarded. The voter that forwarded the request forwards the
-	// response, so one hop is needed; the bound guards against loops.
+	// maxResponseHops bounds how often a LeaseResponse is forwarded. The voter that forwarded the request forwards the
+	// response, so one hop is needed; the bound prevents loops.
 	maxResponseHops = 2
-	// maxReplaceVoterHops is how often a ReplaceVoter is forwarded until it reaches the leader: a voter may know an
-	// earlier leader. It can be requested again.
+	// maxReplaceVoterHops bounds how often a ReplaceVoter is forwarded on its way to the leader. It takes more than
+	// one hop if a voter still names an earlier leader. An operator can repeat a request that was dropped.
 	maxReplaceVoterHops = 2
 )
 
-// receive dispatches a message of another member, or of this one.
+// receive dispatches a message from another member, or from this member itself.
 func (n *Node) receive(from string, m *Message) {
 	if m == nil || from == "" {
 		return
@@ -53,12 +53,13 @@
 	}
 }
 
-// acceptEpoch compares the sender's epoch with this member's. It reports whether the message is to be handled.
+// acceptEpoch compares the sender's epoch with this member's epoch, and adopts a later one. It reports whether the
+// message has to be handled.
 func (n *Node) acceptEpoch(from string, m *Message) bool {
 	switch {
 	case m.Epoch < n.epoch: // the sender does not know of a rescue
 		if m.Raft != nil || m.PositionRequest != nil || m.LeaseResponse != nil {
-			n.send(from, &Message{Notify: true}) // has it learn of the rescue by a lease request
+			n.send(from, &Message{Notify: true}) // informs the sender of the rescue, and has it request a lease
 			return false
 		}
 	case m.Epoch > n.epoch:
@@ -66,14 +67,15 @@
 		n.epochChangedAt = max(1, n.now)
 		n.member.resetKnowledge()
 		if n.raftNode != nil && n.raftNode.epoch < m.Epoch {
-			n.retireVoter("an operator has gone on without it (rescue)")
+			n.retireVoter("an operator's rescue has made another voter the only one")
 		}
 		n.member.requestSoon()
 	}
 	return true
 }
 
-// receiveLeaseRequest passes a member's request to the coordinator, here or at the leader.
+// receiveLeaseRequest passes a member's request to the coordinator if this voter leads, or else forwards it to the
+// leader.
 func (n *Node) receiveLeaseRequest(from string, request *LeaseRequest) {
 	r := n.raftNode
 	if r == nil || r.rawNode == nil || request.Name == "" {
@@ -96,7 +98,7 @@
 	}
 }
 
-// receiveLeaseResponse takes a response, or forwards it to the member that it is for.
+// receiveLeaseResponse handles a response to this member, or forwards it to the member that it is addressed to.
 func (n *Node) receiveLeaseResponse(from string, m *Message) {
 	if m.To == "" || m.To == n.settings.Name {
 		n.member.receiveLeaseResponse(from, m.LeaseResponse)
@@ -107,7 +109,7 @@
 	}
 }
 
-// receiveFetch sends the documents of a change that the sender holds.
+// receiveFetch sends the documents of a change to the sender, for the parts that the sender holds.
 func (n *Node) receiveFetch(from string, m *Message) {
 	if n.raftNode == nil {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// receiveHistory takes a response, or answers a request if this member has the log.
+// receiveHistory stores a response, or answers a request if this member is a voter.
 func (n *Node) receiveHistory(from string, h *History) {
 	if h.IsResponse {
 		n.member.history = h
@@ -129,7 +131,7 @@
 	}
 }
 
-// receiveProposal has the leader put a proposal into the log, or forwards it to the leader.
+// receiveProposal proposes a change to the log if this voter leads, or else forwards the proposal to the leader.
 func (n *Node) receiveProposal(m *Message) {
 	r := n.raftNode
 	proposal := m.Proposal
@@ -148,7 +150,7 @@
 	}
 	change := proposal.Document
 	if r.state.changeStatus(change.ID).State != ChangeUnknown || r.isProposalQueued(change.ID) {
-		return // offered again
+		return // this change was proposed before
 	}
 	if !change.isGlobalOnly() && r.state.Format < FormatVersion {
 		if !r.coordinator.proposeFormat(r) {
@@ -159,7 +161,7 @@
 				Reason:    "services have no parts yet: not all voters have been heard to be of this version",
 			})
 		}
-		return // once the log has this format the change is taken: its author offers it again
+		return // the change is proposed once the log has this format: its member sends the proposal again
 	}
 	change.Number = 0
 	r.propose(&command{
@@ -171,12 +173,13 @@
 	})
 }
 
-// replaceVoter changes the voters, or forwards the request to the leader. hops is how often it was forwarded.
+// replaceVoter changes the voters if this voter leads, or else forwards the request to the leader. hops is how often
+// the request was forwarded.
 func (n *Node) replaceVoter(request *ReplaceVoter, hops int) {
 	r := n.raftNode
 	if r != nil && r.isLeader() {
 		if err := r.replaceVoter(request); err != nil {
-			n.errorf("voters: %v", err)
+			n.errorf("changing the voters failed: %v", err)
 		}
 		return
 	}
--- a/internal/peer/policy/parts_test.go
+++ b/internal/peer/policy/parts_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// respond passes a response of the leader to the member's next request, sent at a time, as if it were the current one.
+// respond registers a request of a member as sent at requestedAt, and passes the leader's response to it to the
+// member.
 func (c *cluster) respond(to string, requestedAt time.Duration, response LeaseResponse) {
 	m := &c.nodes[to].member
 	m.seq++
@@ -20,8 +21,8 @@
 	c.step(to, Received{"a", &Message{LeaseResponse: &response}})
 }
 
-// A member that comes to hold a part serves by it only once the roster says so and the active document is here; no change
-// waits for one that no longer holds it.
+// A member that begins to hold a part serves by it only once the roster lists the part for it and it has the active
+// document. A change does not wait for a member that no longer holds its part.
 func TestPartServedOnlyOnceRosterHasIt(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	setRequestsBlocked := func(blocked bool) {
@@ -33,7 +34,7 @@
 	c.step("e", SetParts{Parts: []string{"x", "z"}})
 	c.run(time.Second)
 	if c.servedNumber("e", "x") != notServed || !c.admits("e") {
-		t.Fatal("it serves by a part that no voter knows it to hold, or admits nothing at all")
+		t.Fatal("e serves by a part that no voter knows it to hold, or admits no requests at all")
 	}
 	c.proposeParts("a", partsChange("two", "x"), 1)
 	c.run(time.Second)
@@ -50,21 +51,21 @@
 	c.expectServed("a", "x", 3)
 }
 
-// A member gives up a part, and takes it again before the log has the former: the roster still has the part, and is about
-// not to.
+// A member stops holding a part, and holds it again before the log has applied the first change. The roster still
+// lists the part, but is about to lose it.
 func TestPartNotServedWhileRosterChangeIsPending(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	leader := c.leader()
 	voters := []string{"a", "b", "c"}
 	for _, voter := range voters {
-		c.stalledDisks[voter] = voter != leader // nothing more is committed
+		c.stalledDisks[voter] = voter != leader // no further entry is committed
 	}
 	c.step("d", SetParts{})
 	c.run(300 * time.Millisecond)
 	c.step("d", SetParts{Parts: []string{"y"}})
 	c.run(500 * time.Millisecond)
 	if c.servedNumber("d", "y") != notServed {
-		t.Fatal("it serves by y, and the log is about to have it that it does not hold it")
+		t.Fatal("d serves by y although the log is about to remove y from its roster entry")
 	}
 	c.isolate("d")
 	for _, voter := range voters {
@@ -82,7 +83,8 @@
 	c.expectServed("d", "y", 1)
 }
 
-// Two parts that are active and pass the check only together: a member that joins and has neither serves by both.
+// The active documents of two parts pass the check only together. A member that joins without either of them serves by
+// both.
 func TestJoiningMemberActivatesDependentPartsTogether(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	c.proposeParts("b", partsChange("two", "", "x"), 0, 1)
@@ -112,8 +114,8 @@
 	c.expectServed("e", "x", 3)
 }
 
-// A response to a request from before a SetParts was made for the parts of then: a part that came back meanwhile may have
-// changed.
+// A response to a request from before a SetParts covers the parts that the member held then. A part that the member
+// holds again meanwhile may have changed, so the response must not confirm it.
 func TestResponsesFromBeforeSetPartsAreIgnored(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	c.proposeParts("b", partsChange("two", "y"), 0)
@@ -123,7 +125,7 @@
 	c.step("d", RenewNow{})
 	seq, knownUpTo := m.seq, m.knownUpTo
 	c.step("d", SetParts{})
-	c.step("d", SetParts{Parts: []string{"y"}}) // its document was discarded, and is not known again
+	c.step("d", SetParts{Parts: []string{"y"}}) // the document of y was discarded, and d does not have it again
 	c.step("d", Received{"a", &Message{LeaseResponse: &LeaseResponse{
 		Seq:           seq,
 		Leader:        "a",
@@ -135,30 +137,31 @@
 	c.expectServed("d", "y", notServed)
 }
 
-// A response that a change is not being prepared, to a request from before this member had persisted it, does not mean
-// that it was aborted.
+// A response may not list a change as being prepared because the member sent the request before it persisted the
+// change. Such a response does not mean that the change was aborted.
 func TestResponseFromBeforePrepareAbortsNothing(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
-	c.stalledDisks["a"] = true // the change waits for it
+	c.stalledDisks["a"] = true // the change waits for a
 	c.proposeParts("b", partsChange("two", "x"), 1)
 	c.run(time.Second)
 	m := &c.nodes["b"].member
 	if !m.isPrepared("two") {
-		t.Fatal("b has not prepared it")
+		t.Fatal("b has not prepared the change")
 	}
 	c.isolate("b")
 	preparedAt := m.preparedAt["two"]
 	c.respond("b", preparedAt-time.Millisecond, LeaseResponse{CommittedUpTo: m.knownUpTo})
 	if !m.isPrepared("two") {
-		t.Fatal("it is forgotten by a response from before")
+		t.Fatal("a response to a request from before it was persisted made b forget the change")
 	}
 	c.respond("b", preparedAt+time.Millisecond, LeaseResponse{CommittedUpTo: m.knownUpTo})
 	if m.isPrepared("two") {
-		t.Error("it was aborted, and is still prepared")
+		t.Error("the change was aborted, and b still has it prepared")
 	}
 }
 
-// A member in the roster that lacks the active document of a part that it holds admits nothing until that is here.
+// A member in the roster that lacks the active document of a part that it holds admits no requests until it has
+// fetched the document.
 func TestMemberMissingAnActiveDocumentAdmitsNothing(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	m := &c.nodes["b"].member
@@ -168,7 +171,7 @@
 	}
 	respond(DocumentRef{"z", 4, "other"})
 	if !c.admits("b") {
-		t.Fatal("it stops for a part that it does not hold")
+		t.Fatal("b stops admitting requests because of a part that it does not hold")
 	}
 	respond(DocumentRef{"x", 2, "next"})
 	if c.admits("b") {
@@ -176,7 +179,8 @@
 	}
 }
 
-// A daemon that starts with another file has other services: it fetches what was committed of them before it ended.
+// A daemon that restarts with another file may have other services. It fetches their documents, although these were
+// committed before it restarted.
 func TestRestartWithNewPartsFetchesTheirDocuments(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	c.proposeParts("b", partsChange("two", "y"), 0)
--- a/internal/peer/policy/proposal_test.go
+++ b/internal/peer/policy/proposal_test.go
@@ -49,6 +49,6 @@
 	}
 	valid := Settings{Name: "a", RunID: 1, Voters: []string{"a"}}
 	if _, err := New(valid, StoredState{Member: []byte("?")}, 1); err == nil {
-		t.Error("a stored state that can't be read is accepted")
+		t.Error("a stored state that can't be decoded is accepted")
 	}
 }
--- a/internal/peer/policy/raftnode.go
+++ b/internal/peer/policy/raftnode.go
@@ -11,46 +11,48 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftNode is a voter's part in the log: it drives go.etcd.io/raft, which does nothing by itself. It passes ticks and
-// messages to Raft, stores what Raft wants stored, and sends Raft's messages once what they rest on is on the disk.
+// raftNode is the role of a voter in the log. It drives go.etcd.io/raft, which performs no I/O by itself: it passes
+// ticks and messages to Raft, stores what Raft requires to be stored, and sends each of Raft's messages once the data
+// that the message depends on is on the disk.
 //
-// A voter whose disk may be older than what it promised first recovers: see raftnode_recovery.go.
+// A voter whose disk may be older than its promises first recovers: see raftnode_recovery.go.
 type raftNode struct {
 	node    *Node
-	id      uint64        // of this voter in Raft: see raftID
-	epoch   uint64        // of the voters that it votes with: see Node.epoch
-	rawNode *raft.RawNode // nil while recovering
+	id      uint64        // Raft's ID of this voter: see raftID
+	epoch   uint64        // epoch of this voter's data: see Node.epoch
+	rawNode *raft.RawNode // nil during recovery
 
 	// The log and its state machine.
-	storage      *raft.MemoryStorage // what is on the disk
-	hardState    *raftpb.HardState   // while recovering: what is on the disk
+	storage      *raft.MemoryStorage // copy of the log on the disk
+	hardState    *raftpb.HardState   // during recovery: the hard state on the disk
 	state        *replicatedState
 	appliedIndex uint64
 	confState    *raftpb.ConfState
 	snapshotDue  bool
 
-	// Writing to the disk. A write is idle, in progress (writeSeq is not 0), or failed and to be repeated.
-	diskQueue      []*raftpb.Message // what Raft wants stored, in order
-	writing        []*raftpb.Message // what is being stored as one batch
+	// Writing to the disk. There is no write, or one is in progress (writeSeq is not 0), or one has failed and has to
+	// be repeated.
+	diskQueue      []*raftpb.Message // messages whose data Raft requires to be stored, in order
+	writing        []*raftpb.Message // messages whose data is being stored as one batch
 	writeBatch     Batch
-	writingBase    bool          // the batch is what this start rests on: Raft does nothing before
-	writeSeq       uint64        // of the batch; 0: none is in progress
-	writeRetryAt   time.Duration // after a failure
-	restartPending bool          // Raft begins anew once no write is outstanding
-	requeryPending bool          // and the other voters are queried before
+	writingBase    bool          // the batch is the state that Raft started from: Raft's output waits for this write
+	writeSeq       uint64        // Seq of the batch; 0: no write is in progress
+	writeRetryAt   time.Duration // when a failed write is repeated
+	restartPending bool          // Raft is restarted once no write is outstanding
+	requeryPending bool          // the restart begins with a recovery, which queries the other voters
 
 	nextTickAt time.Duration
-	campaignAt time.Duration // the first campaign of this start, if nobody leads; 0: done
+	campaignAt time.Duration // when this voter campaigns once after its start, if there is no leader; 0: done
 
 	// Recovery.
 	provenCurrent bool // the disk is certainly as this voter left it, or has been brought up to date
-	trustDisk     bool // an operator has decided that it is
+	trustDisk     bool // an operator has decided that this voter may take part without proof
 	startNumber   uint64
 	nextQueryAt   time.Duration
-	positions     map[string]*PositionResponse // of other voters, by name
-	voteFloor     position                     // no vote for a log that is behind it; zero: none
-	catchingUp    bool                         // joined without a log: no vote before it has what its leader had
-	catchUpTo     uint64                       // the leader's commit index when it first sent the log
+	positions     map[string]*PositionResponse // positions of other voters, by name
+	voteFloor     position                     // no vote for a candidate whose log is behind it; zero: no floor
+	catchingUp    bool                         // joined without a log: no vote before the log reaches catchUpTo
+	catchUpTo     uint64                       // commit index in the first Raft message that it received
 
 	coordinator coordinator
 	// pendingCommands go into the log together (group commit), not before groupCommitAt.
@@ -58,45 +60,49 @@
 	groupCommitAt   time.Duration
 
 	regressions    map[string]regression    // voters that report less than they acknowledged, by name
-	snapshotSentAt map[uint64]time.Duration // snapshots on their way, by Raft's ID
+	snapshotSentAt map[uint64]time.Duration // when snapshots were sent, by Raft's ID of the receiver
 }
 
-// regression is a voter that reports less than it acknowledged.
+// regression counts the reports of a voter that has less of the log than it acknowledged.
 type regression struct {
-	count int // of consecutive reports
+	count int // number of consecutive reports
 	since time.Duration
 }
 
-// position is how far a log reaches.
+// position is the position of the last entry of a log.
 type position struct{ term, index uint64 }
 
-// less reports whether a log that reaches p is behind one that reaches o, as Raft compares them for votes.
+// less reports whether a log that ends at p is behind a log that ends at o, as Raft compares logs for votes.
 func (p position) less(o position) bool {
 	return p.term < o.term || p.term == o.term && p.index < o.index
 }
 
-// Raft's timing. An election takes an election timeout of 1.2 to 1.6 s, which Raft draws up to twice as long.
+// Raft's timing. An election takes one election timeout. Its base value is 1.2 to 1.6 s, and Raft randomizes it up to
+// twice that.
 const (
-	// tickInterval is Raft's unit of time. Shorter ones cost more messages while nothing happens.
+	// tickInterval is Raft's unit of time. A shorter interval costs more messages when idle.
 	tickInterval = 200 * time.Millisecond
 	// heartbeatTicks is the interval of a leader's heartbeats in ticks.
 	heartbeatTicks = 2
-	// minElectionTicks is after how many ticks without a leader a voter campaigns. Fewer make leaders lose their place by
-	// one slow message; more leave the fleet without a leader for longer, and the leases have to last over that.
+	// minElectionTicks is the number of ticks without a leader after which a voter campaigns. With fewer ticks, one
+	// slow message ends a leadership; with more, the fleet is without a leader for longer, and leases have to outlast
+	// that.
 	minElectionTicks = 6
-	// electionJitterTicks: a voter's timeout is up to this many ticks less one longer, by its seed.
+	// electionJitterTicks is the range of the random addition to a voter's election timeout, in ticks: 0 to one less
+	// than this. It depends on the voter's seed.
 	electionJitterTicks = 3
-	// minCampaignDelay is when a voter that starts campaigns at the earliest, if nobody leads.
+	// minCampaignDelay is the shortest delay after its start at which a voter campaigns if there is no leader.
 	minCampaignDelay = 100 * time.Millisecond
 	// campaignDelayJitter spreads these campaigns, so that they don't split the votes.
 	campaignDelayJitter = 300 * time.Millisecond
-	// snapshotTimeout is after which a snapshot that had no effect is sent again.
+	// snapshotTimeout is the time after which a snapshot that had no effect is sent again.
 	snapshotTimeout = 3 * time.Second
-	// maxInflightMessages bounds what Raft sends to a voter without an acknowledgement.
+	// maxInflightMessages bounds the messages that Raft sends to a voter without an acknowledgement.
 	maxInflightMessages = 64
-	// maxMessageBytes bounds the entries of one message of Raft's: two texts of a part.
+	// maxMessageBytes bounds the entries of one Raft message: two texts of a part.
 	maxMessageBytes = 2 * MaxBodyBytes
-	// maxUncommittedBytes bounds the entries that are not committed yet; more proposals are dropped, and offered again.
+	// maxUncommittedBytes bounds the entries that are not committed yet. Further proposals are dropped, and proposed
+	// again.
 	maxUncommittedBytes = 64 * MaxBodyBytes
 )
 
@@ -107,7 +113,8 @@
 	return max(1, h.Sum64())
 }
 
-// initialSnapshot is what the log of these voters begins with: the same at all of them. A nil state means a new fleet.
+// initialSnapshot returns the snapshot with which the log of the voters begins. It is the same at all of them. A nil
+// state means a new fleet.
 func initialSnapshot(voters []string, epoch uint64, s *replicatedState) *raftpb.Snapshot {
 	conf := &raftpb.ConfState{}
 	for _, voter := range voters {
@@ -123,7 +130,7 @@
 	}
 }
 
-// newRaftNode returns a voter with the log on its disk, or with the first one of a new fleet.
+// newRaftNode returns a voter with the log on its disk, or with the initial log of a new fleet.
 func newRaftNode(n *Node, stored *StoredState) (*raftNode, error) {
 	r := emptyRaftNode(n, stored.Epoch)
 	r.provenCurrent = stored.ProvenCurrent
@@ -136,13 +143,13 @@
 	switch {
 	case stored.ProvenCurrent && stored.Snapshot != nil:
 		return r, r.startRaft()
-	case len(r.state.Voters) <= 1: // no other voter can know more
+	case len(r.state.Voters) <= 1: // there is no other voter that could know more
 		return r, r.persistBaseAndStart()
 	}
-	return r, nil // recovers
+	return r, nil // the voter recovers first
 }
 
-// newEmptyVoter returns a voter that has no log yet: a leader has begun to send it.
+// newEmptyVoter returns a voter that has no log yet, and receives it from the leader.
 func newEmptyVoter(n *Node) (*raftNode, error) {
 	r := emptyRaftNode(n, n.epoch)
 	r.catchingUp = true
@@ -167,14 +174,14 @@
 	}
 }
 
-// loadStorage takes the log that is on the disk.
+// loadStorage loads the log from the data on the disk.
 func (r *raftNode) loadStorage(stored *StoredState) error {
 	if stored.Snapshot == nil {
 		return r.storage.ApplySnapshot(initialSnapshot(r.node.settings.Voters, 0, nil))
 	}
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(stored.Snapshot, snapshot); err != nil {
-		return fmt.Errorf("policy: the log's snapshot: %w", err)
+		return fmt.Errorf("policy: decode the log's snapshot: %w", err)
 	}
 	if err := r.storage.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -183,7 +190,7 @@
 	for _, data := range stored.Entries {
 		entry := &raftpb.Entry{}
 		if err := proto.Unmarshal(data, entry); err != nil {
-			return fmt.Errorf("policy: an entry of the log: %w", err)
+			return fmt.Errorf("policy: decode an entry of the log: %w", err)
 		}
 		if entry.GetIndex() > snapshot.GetMetadata().GetIndex() {
 			entries = append(entries, entry)
@@ -196,12 +203,12 @@
 		return nil
 	}
 	if err := proto.Unmarshal(stored.HardState, r.hardState); err != nil {
-		return fmt.Errorf("policy: the log's state: %w", err)
+		return fmt.Errorf("policy: decode Raft's hard state: %w", err)
 	}
 	return nil
 }
 
-// restoreSnapshot takes the state machine's state from a snapshot.
+// restoreSnapshot sets the state of the state machine from a snapshot.
 func (r *raftNode) restoreSnapshot(snapshot *raftpb.Snapshot) error {
 	state, err := decodeState(snapshot.GetData())
 	if err != nil {
@@ -214,7 +221,7 @@
 	return nil
 }
 
-// lastPosition returns how far the log reaches.
+// lastPosition returns the position of the log's last entry.
 func (r *raftNode) lastPosition() position {
 	index := must(r.storage.LastIndex())
 	term, err := r.storage.Term(index)
@@ -224,7 +231,7 @@
 	return position{term, index}
 }
 
-// startRaft has Raft take part with the log and hard state as they are.
+// startRaft starts Raft with the present log and hard state.
 func (r *raftNode) startRaft() error {
 	if r.hardState.GetCommit() < r.appliedIndex {
 		r.hardState.Commit = new(r.appliedIndex)
@@ -256,22 +263,22 @@
 		Logger:                    discardLogger{},
 	})
 	if err != nil {
-		return fmt.Errorf("policy: raft: %w", err)
+		return fmt.Errorf("policy: start Raft: %w", err)
 	}
 	r.rawNode = rawNode
 	r.campaignAt = r.node.now + minCampaignDelay + time.Duration(rng.Float64()*float64(campaignDelayJitter))
 	return nil
 }
 
-// restart has Raft begin anew from what is on the disk, as at the start of a process: this voter leads no more, and
-// forgets what others acknowledged. It is done once no write is outstanding.
+// restart restarts Raft from the data on the disk, as at the start of a process: this voter no longer leads, and
+// forgets what others acknowledged. If a write is outstanding, the restart waits for it.
 func (r *raftNode) restart() {
 	r.restartPending = r.hasPendingWrites()
 	if r.restartPending {
 		return
 	}
 	if err := r.restartNow(); err != nil {
-		r.node.errorf("the policy's log can't be read again: %v", err)
+		r.node.errorf("restarting Raft from the policy's log failed: %v", err)
 	}
 }
 
@@ -294,14 +301,14 @@
 	return r.startRaft()
 }
 
-// isLeader reports whether this voter leads, as far as it knows.
+// isLeader reports whether this voter is the leader, as far as it knows.
 func (r *raftNode) isLeader() bool {
 	return r.rawNode != nil && r.status().RaftState == raft.StateLeader
 }
 
 func (r *raftNode) status() raft.BasicStatus { return r.rawNode.BasicStatus() }
 
-// leaderName returns who leads, as far as this voter knows; empty: nobody.
+// leaderName returns the name of the leader that this voter knows, or an empty name if it knows none.
 func (r *raftNode) leaderName() string {
 	if r.rawNode == nil {
 		return ""
@@ -309,7 +316,7 @@
 	return r.node.voterNames[r.status().Lead]
 }
 
-// advance does what is due by now.
+// advance performs the work that is due: recovery, or Raft's ticks, writes and messages, and the coordinator's work.
 func (r *raftNode) advance() {
 	now := r.node.now
 	if r.rawNode == nil {
@@ -320,7 +327,7 @@
 		r.writeSeq = r.node.persist(r.writeBatch)
 	}
 	if now >= r.nextTickAt {
-		r.rawNode.Tick() // one, however late: a process that was stopped has received nothing meanwhile
+		r.rawNode.Tick() // one tick, however late: a process that was paused has received no messages meanwhile
 		r.nextTickAt = now + tickInterval
 	}
 	if r.campaignAt > 0 && now >= r.campaignAt {
@@ -334,15 +341,15 @@
 	r.processReady()
 }
 
-// campaignOnce campaigns early after a start, so that a fleet that comes back need not wait for an election timeout. By
-// PreVote it asks first whether others would vote for it: where there is a leader they would not.
+// campaignOnce campaigns soon after a start, so that a fleet that restarts need not wait for an election timeout. With
+// PreVote, Raft first asks the others whether they would vote for this voter: if there is a leader, they would not.
 func (r *raftNode) campaignOnce() {
 	if r.status().Lead == raft.None && !r.catchingUp && r.voteFloor == (position{}) {
 		_ = r.rawNode.Campaign()
 	}
 }
 
-// nextDeadline returns when advance is to be called at the latest.
+// nextDeadline returns the time by which advance has to be called.
 func (r *raftNode) nextDeadline() time.Duration {
 	if r.rawNode == nil {
 		return r.nextQueryAt
@@ -363,8 +370,8 @@
 	return at
 }
 
-// discardLogger drops Raft's own log lines; what operators need is logged by this package. What Raft holds for fatal
-// panics.
+// discardLogger drops Raft's own log lines: this package logs what operators need. It panics on errors that Raft
+// reports as fatal.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                   {}
--- a/internal/peer/policy/raftnode_messages.go
+++ b/internal/peer/policy/raftnode_messages.go
@@ -10,16 +10,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A voter that has less than it acknowledged says so in its responses. Responses may also be late or doubled, so a
-// leader steps down only by several over a while.
+// A voter that has lost entries that it acknowledged reports a shorter log in its responses. But a response may also
+// be late or a duplicate, so a leader steps down only after several such responses over some time.
 const (
-	// minRegressions is how many consecutive responses have to say so: one may be from before it had more.
+	// minRegressions is the number of consecutive responses that have to report a shorter log: a single one may have
+	// been sent before the voter received the entries.
 	minRegressions = 3
-	// minRegressionSpan is over how long: several may be doubled or overtaken, and a stream is sent again after 200 ms.
+	// minRegressionSpan is the span that these responses have to cover: several responses may be duplicates or arrive
+	// out of order, and the transport sends a stream again after 200 ms.
 	minRegressionSpan = 500 * time.Millisecond
 )
 
-// receiveRaftMessage passes a message of another voter to Raft, unless this voter must not act on it.
+// receiveRaftMessage passes a message from another voter to Raft, unless this voter must not act on it.
 func (r *raftNode) receiveRaftMessage(from string, data []byte) {
 	if r.rawNode == nil {
 		return
@@ -39,12 +41,13 @@
 	}
 	err := r.rawNode.Step(m)
 	if err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
-		r.node.errorf("a message of voter %s was rejected: %v", from, err)
+		r.node.errorf("Raft rejected a message from voter %s: %v", from, err)
 	}
 	r.processReady()
 }
 
-// admitRaftMessage reports whether a message is for Raft to handle. It adapts a heartbeat that Raft would panic on.
+// admitRaftMessage reports whether a message has to be passed to Raft. It adjusts a heartbeat that would make Raft
+// panic.
 func (r *raftNode) admitRaftMessage(from string, m *raftpb.Message) bool {
 	last := r.lastPosition()
 	switch m.GetType() {
@@ -55,19 +58,20 @@
 		if m.GetCommit() > last.index {
 			m.Commit = new(last.index)
 		}
-	case raftpb.MsgTimeoutNow: // leadership is not transferred here
+	case raftpb.MsgTimeoutNow: // this package does not transfer leadership
 		return false
 	case raftpb.MsgAppResp:
 		if match := r.matchIndex(from); m.GetReject() && m.GetRejectHint() < match {
 			r.countRegression(from)
-			return false // Raft would send it the same entries for ever
+			return false // Raft would send the same entries again and again
 		}
 		delete(r.regressions, from)
 	}
 	return true
 }
 
-// countRegression takes note that a voter reports less than it acknowledged, and stops leading if it goes on to.
+// countRegression counts a response of a voter that has less of the log than it acknowledged. It steps down if such
+// responses continue.
 func (r *raftNode) countRegression(from string) {
 	reported := r.regressions[from]
 	reported.count++
@@ -80,7 +84,7 @@
 	}
 }
 
-// sendRaftMessage sends a message of Raft's, unless this voter must not promise what it says.
+// sendRaftMessage sends a Raft message, unless it asks for votes that this voter must not ask for.
 func (r *raftNode) sendRaftMessage(m *raftpb.Message) {
 	to := r.node.voterNames[m.GetTo()]
 	if to == "" || to == r.node.settings.Name {
@@ -88,7 +92,7 @@
 	}
 	switch m.GetType() {
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		if r.catchingUp || r.voteFloor != (position{}) { // it is behind, and does not stand for election
+		if r.catchingUp || r.voteFloor != (position{}) { // its log is behind, so it must not become the leader
 			return
 		}
 	case raftpb.MsgSnap:
@@ -97,7 +101,8 @@
 	r.node.send(to, &Message{Raft: must(proto.Marshal(m))})
 }
 
-// retrySnapshots has snapshots sent again that had no effect. Raft itself notes when one had: the receiver responds.
+// retrySnapshots makes Raft send snapshots again that had no effect within snapshotTimeout. Raft itself detects a
+// snapshot that had an effect, from the receiver's response.
 func (r *raftNode) retrySnapshots() {
 	if len(r.snapshotSentAt) == 0 || !r.isLeader() {
 		return
--- a/internal/peer/policy/raftnode_proposals.go
+++ b/internal/peer/policy/raftnode_proposals.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// groupCommitInterval is the least time between two entries of the log: what comes meanwhile goes into one. It is a
-	// fifth of what a short change takes, or several writes of a disk. Longer ones delay each change, shorter ones cost
-	// more writes.
+	// groupCommitInterval is the shortest time between two entries of the log: the commands that arrive meanwhile
+	// share one entry. It is a fifth of the duration of a short change, or several disk writes. A longer interval
+	// delays each change, a shorter one costs more writes.
 	groupCommitInterval = 10 * time.Millisecond
-	// maxGroupedCommands bounds the commands of one entry: many are there when all members of a fleet start.
+	// maxGroupedCommands bounds the number of commands in one entry. Many commands arrive at once when all members of
+	// a fleet start.
 	maxGroupedCommands = 512
 )
 
-// propose puts a command into the log if this voter leads, together with all others that come within
-// groupCommitInterval. It reports whether it was taken; even then it may be lost, and who needs it proposes it again.
+// propose proposes a command to the log if this voter leads, together with the other commands that arrive within
+// groupCommitInterval. It reports whether the command was accepted. An accepted command may still be lost, so the
+// caller proposes it again if it has no effect.
 func (r *raftNode) propose(c *command) bool {
 	if !r.isLeader() {
 		return false
@@ -33,12 +35,12 @@
 	return true
 }
 
-// isProposalQueued reports whether a change waits to go into the log.
+// isProposalQueued reports whether the proposal of a change waits to go into the log.
 func (r *raftNode) isProposalQueued(id string) bool {
 	return slices.ContainsFunc(r.pendingCommands, func(c command) bool { return c.Kind == commandPropose && c.Document.ID == id })
 }
 
-// flushCommands puts the waiting commands into the log, once it is time.
+// flushCommands proposes the waiting commands to the log, unless groupCommitInterval has not passed yet.
 func (r *raftNode) flushCommands() {
 	if len(r.pendingCommands) == 0 || r.node.now < r.groupCommitAt {
 		return
@@ -53,13 +55,14 @@
 			entry = &command{Kind: commandBatch, Commands: commands[:count]}
 		}
 		if r.rawNode.Propose(encode(entry)) != nil {
-			return // who needs them proposes them again
+			return // the remaining commands are lost, and their callers propose them again
 		}
 		commands = commands[count:]
 	}
 }
 
-// groupSize is how many of the commands go into one entry: at least one, and no more once their texts reach MaxChangeBytes.
+// groupSize returns how many of the commands go into one entry: at least one, up to the one with which the texts reach
+// MaxChangeBytes.
 func groupSize(commands []command) int {
 	count := 0
 	size := 0
@@ -72,7 +75,7 @@
 	return count
 }
 
-// replaceVoter changes the voters, if this one leads.
+// replaceVoter proposes a change of the voters if this voter leads.
 func (r *raftNode) replaceVoter(request *ReplaceVoter) error {
 	if err := r.checkReplacement(request); err != nil {
 		return err
@@ -90,28 +93,29 @@
 	return r.rawNode.ProposeConfChange(change)
 }
 
-// checkReplacement returns why the voters can't be changed so.
+// checkReplacement returns an error if the voters can't be changed as requested.
 func (r *raftNode) checkReplacement(request *ReplaceVoter) error {
 	add, remove := request.Add, request.Remove
 	switch {
 	case !r.isLeader():
 		return errors.New("this voter does not lead")
 	case add == remove: // both may be empty
-		return errors.New("nobody to add or to remove")
+		return errors.New("there is no member to add or to remove")
 	case add != "" && slices.Contains(r.state.Voters, add):
-		return fmt.Errorf("%s votes already", add)
+		return fmt.Errorf("%s is a voter already", add)
 	case remove != "" && !slices.Contains(r.state.Voters, remove):
-		return fmt.Errorf("%s does not vote", remove)
+		return fmt.Errorf("%s is not a voter", remove)
 	case add != "" && !r.coordinator.canReadLog(r, add):
-		return fmt.Errorf("%s is not heard, or is of an earlier version, which can't read this log", add)
+		return fmt.Errorf("%s has sent no request here, or runs an earlier version that can't read this log", add)
 	case remove != "" && add == "" && len(r.state.Voters) == 1:
-		return errors.New("the last voter stays")
+		return errors.New("the last voter can't be removed")
 	}
 	return nil
 }
 
-// rescue makes this voter the only one, with what it knows. The changes being prepared are aborted. The new log begins
-// after the old one, in a later term, so that nothing of the old one is taken for a part of it.
+// rescue makes this voter the only one, with the state that it has. The changes being prepared are aborted. The new
+// log begins after the last entry of the old log, in a later term, so that no entry of the old log can be taken for
+// an entry of the new one.
 func (r *raftNode) rescue(epoch uint64) error {
 	name := r.node.settings.Name
 	state := *r.state
@@ -135,7 +139,7 @@
 	return r.persistBaseAndStart()
 }
 
-// discardLog drops the log, and all that waits for its entries.
+// discardLog drops the log, and all state that depends on its entries.
 func (r *raftNode) discardLog(epoch uint64) {
 	r.epoch = epoch
 	r.storage = raft.NewMemoryStorage()
--- a/internal/peer/policy/raftnode_recovery.go
+++ b/internal/peer/policy/raftnode_recovery.go
@@ -12,20 +12,22 @@
 
 // Recovery of a voter whose disk may be older than what it promised.
 //
-// A voter's promises, for whom it voted and which entries it acknowledged, are on its disk. If the disk was lost, torn or
-// restored from an earlier copy, the voter would break them without knowing. So one that can't prove that its disk is
-// current first queries the positions of the other voters: of as many proven ones that each quorum in which it ever took
-// part has one of them besides itself, or of all others where too few can prove theirs. It then votes in no term up to
-// the highest that it learned of, and for no candidate whose log is behind the furthest one (voteFloor): any entry that it
-// has forgotten is known to one of these.
-
-// positionQueryInterval is after which the voters that have not responded are queried again.
+// A voter's promises are on its disk: which candidate it voted for, and which entries it acknowledged. If the disk
+// was lost, damaged or restored from an earlier copy, the voter would break its promises without knowing it.
+// Therefore a voter that can't prove that its disk is current first queries the positions of the other voters. It
+// needs responses of so many voters whose disks are proven current that every quorum in which it ever took part has
+// one of them besides itself. If too few voters can prove that, it needs responses of all others. From then on it
+// does not vote in any term up to the highest one that it learned of, and it votes for no candidate whose log is
+// behind the furthest position that it learned of (voteFloor): any entry that it has forgotten is known to one of the
+// voters that responded.
+
+// positionQueryInterval is the interval at which voters that have not responded are queried again.
 const positionQueryInterval = 250 * time.Millisecond
 
-// maxStoredEntriesBytes is more than any log has: all its entries are wanted.
+// maxStoredEntriesBytes is larger than any log, so that all entries are returned.
 const maxStoredEntriesBytes = 1 << 40
 
-// beginRecovery has the voter query the others anew.
+// beginRecovery starts the recovery again, with new queries to all other voters.
 func (r *raftNode) beginRecovery() {
 	r.requeryPending = false
 	r.voteFloor = position{}
@@ -34,7 +36,8 @@
 	clear(r.positions)
 }
 
-// queryPositions asks the other voters how far their logs reach, and takes part once that is known.
+// queryPositions asks the other voters how far their logs reach, and ends the recovery if enough of them have
+// responded.
 func (r *raftNode) queryPositions() {
 	n := r.node
 	if n.now < r.nextQueryAt {
@@ -55,7 +58,7 @@
 	r.evaluatePositions()
 }
 
-// receivePositionResponse takes the position of another voter.
+// receivePositionResponse records the position of another voter.
 func (r *raftNode) receivePositionResponse(from string, response *PositionResponse) {
 	if r.rawNode == nil && response.Number == r.startNumber {
 		r.positions[from] = response
@@ -63,7 +66,7 @@
 	}
 }
 
-// trust takes an operator's decision that this voter may take part by the positions that it knows.
+// trust applies an operator's decision that this voter may take part by the positions that it knows.
 func (r *raftNode) trust() {
 	if r.rawNode == nil {
 		r.trustDisk = true
@@ -71,18 +74,18 @@
 	}
 }
 
-// quorumPositions is what the responses of the other voters say together.
+// quorumPositions combines the responses of the other voters.
 type quorumPositions struct {
 	responses int
-	proven    int      // of voters that can prove that their disks are current
-	term      uint64   // the highest, this voter's included
-	furthest  position // this voter's included
+	proven    int      // responses of voters that can prove that their disks are current
+	term      uint64   // highest term, including this voter's
+	furthest  position // furthest position, including this voter's
 }
 
-// evaluatePositions has the voter take part if enough others have responded.
+// evaluatePositions ends the recovery if enough other voters have responded.
 func (r *raftNode) evaluatePositions() {
 	voters := r.state.Voters
-	if !slices.Contains(voters, r.node.settings.Name) { // it was removed: the others go on without it
+	if !slices.Contains(voters, r.node.settings.Name) { // this voter was removed, and must not take part
 		return
 	}
 	known := quorumPositions{term: r.hardState.GetTerm(), furthest: r.lastPosition()}
@@ -92,7 +95,7 @@
 			continue
 		}
 		if response.ProvenCurrent && response.Applied > r.appliedIndex && !slices.Contains(response.Voters, r.node.settings.Name) {
-			r.node.retireVoter("the others vote without this one")
+			r.node.retireVoter("the other voters have removed this voter")
 			return
 		}
 		known.add(response)
@@ -115,16 +118,17 @@
 	}
 }
 
-// endRecovery has the voter take part by what it has learned.
+// endRecovery starts Raft, with the term and the voteFloor that the responses require.
 func (r *raftNode) endRecovery(known quorumPositions) {
 	if own := r.lastPosition(); own.less(known.furthest) {
 		r.voteFloor = known.furthest
-		r.node.infof("this voter's disk is behind what others know (%d entries, %d are known): it votes for no candidate that is, and catches up",
+		r.node.infof("this voter's disk is behind what others know (%d entries here, %d there): it catches up, and supports no candidate that is behind",
 			own.index, known.furthest.index)
 	}
-	// It may have voted in any of these terms, and forgotten: the vote for itself keeps it from voting for another.
+	// It may have voted in this term or an earlier one and have forgotten that. Its vote for itself keeps it from
+	// voting for another candidate.
 	vote := r.id
-	if known.term == 0 { // a new fleet: nobody has voted
+	if known.term == 0 { // in a new fleet no voter has voted
 		vote = 0
 	}
 	r.hardState = &raftpb.HardState{Term: new(known.term), Vote: new(vote), Commit: new(r.hardState.GetCommit())}
@@ -133,7 +137,8 @@
 	}
 }
 
-// persistBaseAndStart starts Raft. What it starts from has to be on the disk before it promises anything.
+// persistBaseAndStart starts Raft, and stores the state that Raft starts from. Raft's output waits for this write,
+// since the state has to be on the disk before the voter makes any promise.
 func (r *raftNode) persistBaseAndStart() error {
 	if err := r.startRaft(); err != nil {
 		return err
@@ -158,8 +163,8 @@
 	return nil
 }
 
-// receivePositionRequest responds to a voter that has just started. If it has less than it acknowledged, this one stops
-// leading.
+// receivePositionRequest responds to a voter that has just started. If that voter has less of the log than it
+// acknowledged to this one as the leader, this one steps down.
 func (r *raftNode) receivePositionRequest(from string, request *PositionRequest) {
 	response := &PositionResponse{
 		Number:        request.Number,
@@ -183,10 +188,11 @@
 	}
 }
 
-// forgetEarlierStart drops the position that a voter reported before it started anew: it may have lost that with its
-// disk, and a floor that nobody reaches any more would never be lifted. A voter that takes part with such a floor queries
-// all again, as at its start: it knows of the entries below the floor perhaps from that one alone, and may not vote without
-// them before it knows that the others have not acknowledged them.
+// forgetEarlierStart drops the position that another voter reported before it restarted. The other voter may have
+// lost these entries with its disk, and a vote floor that no log reaches any more would never be lifted. If this
+// voter takes part with a vote floor, it queries all voters again, as at its own start: perhaps it learned of the
+// entries up to the floor only from the restarted voter, and it must not vote for a log without them before it knows
+// that the other voters have not acknowledged them.
 func (r *raftNode) forgetEarlierStart(from string, startNumber uint64) {
 	known := r.positions[from]
 	if known == nil || known.Start == 0 || known.Start == startNumber {
@@ -199,7 +205,8 @@
 	}
 }
 
-// matchIndex returns up to which entry another voter's log equals this one's, as far as this one knows while it leads.
+// matchIndex returns the index up to which another voter has acknowledged this voter's log, or 0 if this voter does
+// not lead.
 func (r *raftNode) matchIndex(name string) (index uint64) {
 	if !r.isLeader() {
 		return 0
@@ -212,10 +219,12 @@
 	return index
 }
 
-// stepDownAfterLoss stops leading, since another voter has less than it acknowledged: commits may have counted on it.
+// stepDownAfterLoss ends this voter's leadership, because another voter has lost entries that it acknowledged, and
+// commits may have counted its acknowledgement.
 func (r *raftNode) stepDownAfterLoss(name string) {
 	if !r.restartPending {
-		r.node.infof("voter %s has lost what it had: this one stops leading, since commits may have counted on it", name)
+		r.node.infof("voter %s has lost log entries that it acknowledged: this voter stops leading, since commits may depend on them",
+			name)
 	}
 	r.regressions = map[string]regression{}
 	r.restart()
--- a/internal/peer/policy/raftnode_storage.go
+++ b/internal/peer/policy/raftnode_storage.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// compactAfterEntries is how many entries the log grows to before a snapshot replaces most of them. More cost memory
-	// and time at a start, fewer cost a write of the whole state more often.
+	// compactAfterEntries is the number of entries in the log at which a snapshot replaces most of them. A larger
+	// number costs memory and time at a start; with a smaller one, the whole state is written more often.
 	compactAfterEntries = 256
-	// retainedEntries stay in the log, so that a voter that is a little behind needs no snapshot.
+	// retainedEntries is the number of entries that stay in the log, so that a voter that is only a little behind
+	// needs no snapshot.
 	retainedEntries = 64
-	// diskRetryInterval is after which a failed write is repeated.
+	// diskRetryInterval is the time after which a failed write is repeated.
 	diskRetryInterval = 500 * time.Millisecond
 )
 
-// processReady takes out what Raft has ready. What rests on the disk waits for it, the rest is sent at once: a leader with
-// a slow disk goes on sending heartbeats.
+// processReady processes Raft's output. Messages that depend on a disk write wait for it; the others are sent at
+// once, so that a leader with a slow disk continues to send heartbeats.
 func (r *raftNode) processReady() {
 	for r.rawNode != nil && !r.writingBase && r.rawNode.HasReady() {
 		ready := r.rawNode.Ready()
@@ -47,17 +48,17 @@
 	r.compact()
 }
 
-// hasPendingWrites reports whether anything waits for the disk.
+// hasPendingWrites reports whether a write is queued, in progress or to be repeated.
 func (r *raftNode) hasPendingWrites() bool {
 	return r.writingBase || len(r.diskQueue)+len(r.writing) > 0
 }
 
-// writeFailed reports whether a batch is to be written again.
+// writeFailed reports whether the last write has failed and has to be repeated.
 func (r *raftNode) writeFailed() bool {
 	return r.writeSeq == 0 && (r.writingBase || len(r.writing) > 0)
 }
 
-// writeQueued stores all that waits as one batch, unless a write is outstanding. A snapshot is the first in its batch.
+// writeQueued stores the queued data as one batch, unless a write is outstanding. A snapshot always begins a batch.
 func (r *raftNode) writeQueued() {
 	if r.writeSeq > 0 || len(r.writing) > 0 || len(r.diskQueue) == 0 {
 		return
@@ -72,7 +73,7 @@
 		r.writing = append(r.writing, m)
 		batch.add(m)
 	}
-	if batch.HardState == nil && batch.Snapshot == nil && batch.FirstIndex == 0 { // nothing to be stored
+	if batch.HardState == nil && batch.Snapshot == nil && batch.FirstIndex == 0 { // the messages have no data to store
 		r.finishWrite()
 		return
 	}
@@ -80,7 +81,8 @@
 	r.writeSeq = r.node.persist(batch)
 }
 
-// add adds what a message of Raft's wants stored. Its entries replace those of the same indexes and after them.
+// add adds the data that a Raft message requires to be stored. Its entries replace those in the batch from their first
+// index on.
 func (b *Batch) add(m *raftpb.Message) {
 	if hardState := hardStateOf(m); hardState != nil {
 		b.HardState = must(proto.Marshal(hardState))
@@ -104,7 +106,7 @@
 	return m.Snapshot != nil && !raft.IsEmptySnap(m.Snapshot)
 }
 
-// hardStateOf returns the hard state in a message for the disk; nil: it has not changed.
+// hardStateOf returns the hard state in a message for the disk, or nil if it has not changed.
 func hardStateOf(m *raftpb.Message) *raftpb.HardState {
 	hardState := &raftpb.HardState{Term: new(m.GetTerm()), Vote: new(m.GetVote()), Commit: new(m.GetCommit())}
 	if raft.IsEmptyHardState(hardState) {
@@ -113,7 +115,7 @@
 	return hardState
 }
 
-// persisted takes the outcome of the write in progress.
+// persisted handles the outcome of the write in progress.
 func (r *raftNode) persisted(seq uint64, err error) {
 	if r.writeSeq == 0 || seq != r.writeSeq {
 		return
@@ -127,7 +129,7 @@
 	r.processReady()
 }
 
-// finishWrite does what waited for the disk.
+// finishWrite performs the work that waited for the write.
 func (r *raftNode) finishWrite() {
 	written := r.writing
 	r.writing = nil
@@ -146,7 +148,7 @@
 	r.writeQueued()
 }
 
-// updateStorage has the memory follow the disk.
+// updateStorage updates the copy of the log in memory after a write.
 func (r *raftNode) updateStorage(m *raftpb.Message) {
 	if hasSnapshot(m) {
 		if err := r.storage.ApplySnapshot(m.Snapshot); err == nil {
@@ -161,18 +163,19 @@
 	_ = r.storage.Append(m.GetEntries())
 }
 
-// updateVoting lifts what keeps this voter from voting, once its log reaches far enough.
+// updateVoting lifts the restrictions on this voter's votes once its log reaches far enough.
 func (r *raftNode) updateVoting() {
 	if r.voteFloor != (position{}) && !r.lastPosition().less(r.voteFloor) {
 		r.voteFloor = position{}
-		r.node.infof("this voter has caught up with what was known")
+		r.node.infof("this voter's log has caught up with what the other voters reported")
 	}
 	if r.catchingUp && r.catchUpTo > 0 && r.appliedIndex >= r.catchUpTo && slices.Contains(r.state.Voters, r.node.settings.Name) {
 		r.catchingUp = false
 	}
 }
 
-// deliverResponses delivers what waited for the disk, or for entries to be applied: to other voters, and to Raft itself.
+// deliverResponses delivers the messages that waited for a write, or for entries to be applied, to other voters and to
+// Raft itself.
 func (r *raftNode) deliverResponses(responses []*raftpb.Message) {
 	for _, m := range responses {
 		if m.GetTo() == r.id {
@@ -229,7 +232,7 @@
 	}
 	c := &command{}
 	if err := decoding.Unmarshal(data, c); err != nil {
-		r.node.errorf("an entry of the policy's log can't be decoded by this version: %v", err)
+		r.node.errorf("an entry of the policy's log can't be decoded by this version, and is skipped: %v", err)
 		return
 	}
 	r.state.apply(c)
@@ -238,7 +241,7 @@
 	}
 }
 
-// compact replaces most of the log by a snapshot, if it is long or a snapshot is due.
+// compact replaces most of the log by a snapshot if the log is long or a snapshot is due.
 func (r *raftNode) compact() {
 	first := must(r.storage.FirstIndex())
 	isLong := r.appliedIndex >= first+compactAfterEntries
@@ -250,7 +253,8 @@
 	if err != nil {
 		return
 	}
-	// In memory the entries may go before they do on the disk: a start from the disk has more then, not less.
+	// The entries may be removed in memory before they are removed on the disk: a restart then finds more entries on
+	// the disk, not fewer.
 	batch := Batch{Snapshot: must(proto.Marshal(snapshot)), Epoch: r.epoch}
 	if r.appliedIndex > first+retainedEntries {
 		batch.CompactBefore = r.appliedIndex - retainedEntries
--- a/internal/peer/policy/raftnode_test.go
+++ b/internal/peer/policy/raftnode_test.go
@@ -8,13 +8,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// respondPosition passes a position of another voter to a recovering one.
+// respondPosition passes the position of another voter to a recovering voter.
 func respondPosition(node *Node, now time.Duration, from string, response PositionResponse) []Action {
 	response.Number = node.raftNode.startNumber
 	return node.Step(now, Received{from, &Message{PositionResponse: &response}})
 }
 
-// countVotes returns how often a voter votes for a candidate whose log reaches a position when it is asked once.
+// countVotes asks a voter once to vote for a candidate whose log ends at a position, and returns the number of its
+// votes.
 func countVotes(c *cluster, voter, candidate string, log position) int {
 	node := c.nodes[voter]
 	request := &raftpb.Message{
@@ -49,7 +50,7 @@
 	return proto.Unmarshal(send.Message.Raft, m) == nil && m.GetType() == raftpb.MsgVoteResp && !m.GetReject()
 }
 
-// A voter whose disk was lost votes for no candidate that has less than the other voters reported.
+// A voter whose disk was lost votes for no candidate whose log is behind the positions that the other voters reported.
 func TestVoterWithLostDiskRejectsCandidatesBehind(t *testing.T) {
 	c := newSettledCluster(t, stopsWhenIsolated)
 	c.propose("a", "x")
@@ -61,7 +62,7 @@
 	c.start(lost, 77, stopsWhenIsolated, StoredState{})
 	r := c.nodes[lost].raftNode
 	if r.rawNode != nil {
-		t.Fatal("it takes part before it has queried the others")
+		t.Fatal("the voter takes part before it has queried the others")
 	}
 	furthest := c.nodes[leader].raftNode.lastPosition()
 	for _, voter := range []string{"a", "b", "c"} {
@@ -77,13 +78,13 @@
 		}
 	}
 	if r.rawNode == nil || r.voteFloor != furthest {
-		t.Fatalf("floor %+v, and %+v is known", r.voteFloor, furthest)
+		t.Fatalf("the vote floor is %+v, want %+v", r.voteFloor, furthest)
 	}
 	if votes := countVotes(c, lost, leader, position{furthest.term, furthest.index - 1}); votes != 0 {
-		t.Error("it votes for a candidate that has less")
+		t.Error("the voter votes for a candidate whose log is behind")
 	}
 	if votes := countVotes(c, lost, leader, furthest); votes != 1 {
-		t.Errorf("%d votes for a candidate that has all, want 1", votes)
+		t.Errorf("%d votes for a candidate that has all entries, want 1", votes)
 	}
 }
 
@@ -114,7 +115,8 @@
 	}
 }
 
-// Found by the 348th schedule: a voter waited for ever for an entry that one had reported which lost its disk since.
+// A recovering voter must not wait forever for an entry that another voter reported before it lost its disk (found by
+// the 348th random schedule).
 func TestRecoveringVoterForgetsPositionsOfRestartedVoters(t *testing.T) {
 	node := newTestNode(t, Settings{Name: "a"}, StoredState{})
 	node.Step(time.Second)
@@ -125,20 +127,21 @@
 	respondPosition(node, time.Second, "b", PositionResponse{ProvenCurrent: true, LastTerm: 3, LastIndex: 9, Start: 7})
 	request(7, 3, 9) // the same start
 	if r.positions["b"] == nil {
-		t.Fatal("what it reported in this start is forgotten")
+		t.Fatal("the position that b reported since its last start is forgotten")
 	}
-	request(8, 1, 1) // it has started anew, without its disk
+	request(8, 1, 1) // b has restarted without its disk
 	respondPosition(node, time.Second, "c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
 	if r.rawNode != nil {
-		t.Fatal("it takes part by one response")
+		t.Fatal("the voter takes part after only one response")
 	}
 	respondPosition(node, time.Second, "b", PositionResponse{LastTerm: 1, LastIndex: 1, Start: 8})
 	if r.rawNode == nil || r.voteFloor != (position{}) {
-		t.Errorf("it votes for nobody behind %+v, which nobody has", r.voteFloor)
+		t.Errorf("the vote floor is %+v, which no log reaches", r.voteFloor)
 	}
 }
 
-// The same where it takes part already: it queries all again, and lowers its floor by no less than all their responses.
+// A voter that already takes part with a vote floor queries all voters again if the voter that reported the floor
+// restarts. It lowers the floor only after all of them have responded.
 func TestVoterWithFloorQueriesAgainWhenItsSourceRestarts(t *testing.T) {
 	node := newTestNode(t, Settings{Name: "a"}, StoredState{})
 	persistAll := func(actions []Action) {
@@ -156,25 +159,25 @@
 	respond("b", PositionResponse{ProvenCurrent: true, LastTerm: 3, LastIndex: 9, Start: 7})
 	respond("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
 	if r.rawNode == nil || r.voteFloor != (position{3, 9}) {
-		t.Fatalf("floor %+v", r.voteFloor)
+		t.Fatalf("the vote floor is %+v, want the position that b reported", r.voteFloor)
 	}
 	request := &PositionRequest{Number: 8, LastTerm: 1, LastIndex: 1}
 	persistAll(node.Step(time.Second, Received{"b", &Message{PositionRequest: request}}))
 	if r.rawNode != nil {
-		t.Fatal("it still takes part, and perhaps nobody has what it waits for")
+		t.Fatal("the voter still takes part with a floor that perhaps no log reaches")
 	}
 	respond("c", PositionResponse{ProvenCurrent: true, LastTerm: 1, LastIndex: 1, Start: 5})
 	if r.rawNode != nil {
-		t.Fatal("one response is not enough: the entry may be committed, and on the disk of the other voter")
+		t.Fatal("the voter takes part after one response, but the other voter may have the entry, and it may be committed")
 	}
 	respond("b", PositionResponse{LastTerm: 1, LastIndex: 1, Start: 8})
 	if r.rawNode == nil || r.voteFloor != (position{}) {
-		t.Errorf("floor %+v", r.voteFloor)
+		t.Errorf("the vote floor is %+v, want none", r.voteFloor)
 	}
 }
 
-// Responses by which a voter has less than it acknowledged may be late, or doubled: a leader steps down by them only if
-// they go on.
+// Responses that report less of the log than the voter acknowledged may be late, or duplicates. A leader steps down
+// only if such responses continue.
 func TestLeaderStepsDownOnlyAfterPersistentRegression(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	name := c.leader()
@@ -198,10 +201,10 @@
 	}
 	reportLess(5)
 	if !r.isLeader() {
-		t.Fatal("it steps down after responses of a tenth of a second")
+		t.Fatal("the leader steps down after such responses within a tenth of a second")
 	}
 	reportLess(30)
 	if r.isLeader() {
-		t.Error("it leads on, and counts on what another voter has lost")
+		t.Error("the leader continues to lead, and relies on entries that another voter has lost")
 	}
 }
--- a/internal/peer/policy/replicatedstate.go
+++ b/internal/peer/policy/replicatedstate.go
@@ -8,72 +8,77 @@
 	"strings"
 )
 
-// replicatedState is the state of the log's state machine: it is the same at each voter that has applied the same
-// entries. While only changes of the global part were made it is written in format 1, so that voters of an earlier build
+// replicatedState is the state of the log's state machine. It is the same at all voters that have applied the same
+// entries. As long as only the global part was changed it is written in format 1, so that voters of an earlier build
 // can read it.
 type replicatedState struct {
-	Voters         []string        `cbor:"1,keyasint,omitempty"`
-	Active         Document        `cbor:"2,keyasint,omitempty"`  // of the global part
-	LegacyPending  *Document       `cbor:"3,keyasint,omitempty"`  // format 1: the change being prepared; nil in memory
-	LegacyExcluded []string        `cbor:"4,keyasint,omitempty"`  // format 1: its pendingChange.Excluded; nil in memory
-	Roster         []rosterEntry   `cbor:"5,keyasint,omitempty"`  // by name
-	RosterVersion  uint64          `cbor:"6,keyasint,omitempty"`  // grows with each change of the roster
-	EndedChanges   []EndedChange   `cbor:"7,keyasint,omitempty"`  // the last ones, oldest first
-	Retained       []Document      `cbor:"8,keyasint,omitempty"`  // the last committed documents, with their texts, oldest first
-	ActiveParts    []Document      `cbor:"9,keyasint,omitempty"`  // of the other parts that have one, by name
-	PendingChanges []pendingChange `cbor:"10,keyasint,omitempty"` // being prepared, oldest first
-	PartNames      []string        `cbor:"11,keyasint,omitempty"` // of all parts that members hold or held: see rosterEntry
-	CommitCount    uint64          `cbor:"12,keyasint,omitempty"` // committed documents of all parts
-	// Format is of the log: nothing goes into it that voters of this format can't read. 0: format 1.
+	Voters         []string      `cbor:"1,keyasint,omitempty"`
+	Active         Document      `cbor:"2,keyasint,omitempty"` // active global document
+	LegacyPending  *Document     `cbor:"3,keyasint,omitempty"` // format 1: the change being prepared; nil in memory
+	LegacyExcluded []string      `cbor:"4,keyasint,omitempty"` // format 1: Excluded of that change; nil in memory
+	Roster         []rosterEntry `cbor:"5,keyasint,omitempty"` // sorted by name
+	RosterVersion  uint64        `cbor:"6,keyasint,omitempty"` // increases with each change of the roster
+	EndedChanges   []EndedChange `cbor:"7,keyasint,omitempty"` // the last changes that ended, oldest first
+	// Retained has the last committed documents with their texts, oldest first.
+	Retained       []Document      `cbor:"8,keyasint,omitempty"`
+	ActiveParts    []Document      `cbor:"9,keyasint,omitempty"`  // active documents of other parts, sorted by part
+	PendingChanges []pendingChange `cbor:"10,keyasint,omitempty"` // changes being prepared, oldest first
+	// PartNames lists all parts that members hold or held. rosterEntry refers to parts by their index in it.
+	PartNames   []string `cbor:"11,keyasint,omitempty"`
+	CommitCount uint64   `cbor:"12,keyasint,omitempty"` // number of committed documents of all parts
+	// Format is the format of the log: all its entries can be read by voters of this format. 0 means format 1.
 	Format uint8 `cbor:"13,keyasint,omitempty"`
 
-	partNumbers map[string]uint32 // positions in PartNames; made when needed
-	commitOrder []string          // parts in the order of their commits, a part may repeat; made when needed
+	partNumbers map[string]uint32 // indexes in PartNames; built when needed
+	commitOrder []string          // parts in the order of their commits, where a part may repeat; built when needed
 }
 
 // pendingChange is a change being prepared.
 type pendingChange struct {
 	Document Document `cbor:"1,keyasint,omitempty"`
 	Excluded []string `cbor:"2,keyasint,omitempty"` // members that the author declared to be down
-	// MinRosterVersion is the RosterVersion when a member that the change affects last joined the roster. A commit that
-	// was decided by an earlier roster may lack that member.
+	// MinRosterVersion is the RosterVersion at which a member that the change affects last joined the roster. A commit
+	// that was decided by an earlier version may lack that member.
 	MinRosterVersion uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// rosterEntry is a member's place in the roster: it may admit requests by the active documents.
+// rosterEntry is the entry of one member in the roster. The member may admit requests by the active documents.
 type rosterEntry struct {
-	Name        string   `cbor:"1,keyasint,omitempty"`
-	RunID       uint64   `cbor:"2,keyasint,omitempty"`
-	PartNumbers []uint32 `cbor:"3,keyasint,omitempty"` // parts that it holds besides the global one: indexes of PartNames, in order
-	Format      uint8    `cbor:"4,keyasint,omitempty"` // 0: joined in format 1, and counts for every part
+	Name  string `cbor:"1,keyasint,omitempty"`
+	RunID uint64 `cbor:"2,keyasint,omitempty"`
+	// PartNumbers are the parts that the member holds besides the global one, as sorted indexes in PartNames.
+	PartNumbers []uint32 `cbor:"3,keyasint,omitempty"`
+	Format      uint8    `cbor:"4,keyasint,omitempty"` // 0: the member joined in format 1, and counts for every part
 }
 
 // EndedChange is a change with its final outcome.
 type EndedChange struct {
-	Document  Document `cbor:"1,keyasint,omitempty" json:"Doc"` // without its text
+	Document  Document `cbor:"1,keyasint,omitempty" json:"Doc"` // the change without its texts
 	Committed bool     `cbor:"2,keyasint,omitempty" json:"InForce"`
 	AbortedBy string   `cbor:"3,keyasint,omitempty" json:"By"`
-	Reason    string   `cbor:"4,keyasint,omitempty" json:"Why"` // of the abort
+	Reason    string   `cbor:"4,keyasint,omitempty" json:"Why"` // why it was aborted, or committed at once
 	Excluded  []string `cbor:"5,keyasint,omitempty" json:"Without"`
 }
 
-// Bounds of the replicated state. All voters have to use the same ones.
+// Bounds of the replicated state. All voters have to use the same bounds.
 const (
-	// maxEndedChanges bounds the outcomes that can be looked up.
+	// maxEndedChanges bounds the number of outcomes that can be looked up.
 	maxEndedChanges = 256
-	// maxRetainedPolicies bounds the documents of the global part that can be gone back to.
+	// maxRetainedPolicies bounds the number of retained documents of the global part, to which an operator can return.
 	maxRetainedPolicies = 16
-	// maxRetainedPerPart does so for each other part, besides the active one: see maxActiveBytes.
+	// maxRetainedPerPart bounds the number of retained documents of each other part, besides the active one: see
+	// maxActiveBytes.
 	maxRetainedPerPart = 1
-	// maxRosterSize bounds the members of a fleet.
+	// maxRosterSize bounds the number of members of a fleet.
 	maxRosterSize = 20000
-	// maxPartNames bounds the names of parts that were ever held.
+	// maxPartNames bounds the number of names of parts that were ever held.
 	maxPartNames = 1 << 16
-	// maxPendingChanges bounds the changes being prepared at once: ten times what the busiest minute has.
+	// maxPendingChanges bounds the number of changes being prepared at once: ten times as many as occur in the busiest
+	// minute.
 	maxPendingChanges = 512
 )
 
-// encodeState encodes a state: in format 1 where that can express it.
+// encodeState encodes a state, in format 1 if that format can express the state.
 func encodeState(s *replicatedState) []byte {
 	written := *s
 	if len(s.PendingChanges) == 1 && s.PendingChanges[0].Document.isGlobalOnly() {
@@ -88,7 +93,7 @@
 func decodeState(data []byte) (*replicatedState, error) {
 	s := &replicatedState{}
 	if err := decoding.Unmarshal(data, s); err != nil {
-		return nil, fmt.Errorf("policy: state: %w", err)
+		return nil, fmt.Errorf("policy: decode the replicated state: %w", err)
 	}
 	if s.LegacyPending != nil {
 		s.PendingChanges = append(s.PendingChanges, pendingChange{
@@ -99,14 +104,14 @@
 		s.LegacyPending = nil
 		s.LegacyExcluded = nil
 	}
-	if s.CommitCount == 0 { // format 1 counted commits by the number of its only part
+	if s.CommitCount == 0 { // in format 1 the number of the only part counts the commits
 		s.CommitCount = s.Active.Number
 		s.Active.CommitIndex = s.Active.Number
 	}
 	return s, nil
 }
 
-// partsHash is a hash of parts' names, which are in order; 0: there are none.
+// partsHash returns a hash of the sorted names of parts, or 0 if there are none.
 func partsHash(parts []string) uint64 {
 	if len(parts) == 0 {
 		return 0
@@ -118,7 +123,7 @@
 	return max(1, h.Sum64())
 }
 
-// findMember returns where a name is in the roster, or else belongs.
+// findMember returns the index of a member in the roster, or the index at which it would be inserted.
 func (s *replicatedState) findMember(name string) (index int, found bool) {
 	return slices.BinarySearchFunc(s.Roster, name, func(e rosterEntry, n string) int { return strings.Compare(e.Name, n) })
 }
@@ -129,7 +134,7 @@
 	return ok && s.Roster[i].RunID == runID
 }
 
-// partNumber returns a part's index in PartNames; false: no member ever held it.
+// partNumber returns a part's index in PartNames. known is false if no member ever held the part.
 func (s *replicatedState) partNumber(part string) (number uint32, known bool) {
 	if s.partNumbers == nil || len(s.partNumbers) != len(s.PartNames) {
 		s.partNumbers = make(map[string]uint32, len(s.PartNames))
@@ -141,7 +146,8 @@
 	return number, known
 }
 
-// addPartNumber is partNumber, and adds a part that was never held; false: there are too many.
+// addPartNumber returns a part's index in PartNames, and adds the part if it is not there. ok is false if PartNames is
+// full.
 func (s *replicatedState) addPartNumber(part string) (number uint32, ok bool) {
 	if number, known := s.partNumber(part); known {
 		return number, true
@@ -155,7 +161,7 @@
 	return number, true
 }
 
-// holdsPart reports whether a member holds a part, or has to be taken to.
+// holdsPart reports whether a member holds a part. A member that joined in format 1 counts as holding every part.
 func (s *replicatedState) holdsPart(e *rosterEntry, part string) bool {
 	if part == "" || e.Format == 0 {
 		return true
@@ -185,7 +191,7 @@
 	return affected
 }
 
-// partNamesOf returns the parts that a member holds, in order.
+// partNamesOf returns the sorted names of the parts that a member holds besides the global one.
 func (s *replicatedState) partNamesOf(e *rosterEntry) []string {
 	var names []string
 	for _, number := range e.PartNumbers {
@@ -197,7 +203,7 @@
 	return names
 }
 
-// activeDocument returns the active document of a part; Number 0: it has none.
+// activeDocument returns the active document of a part. Its Number is 0 if the part has none.
 func (s *replicatedState) activeDocument(part string) *Document {
 	if part == "" {
 		return &s.Active
@@ -208,12 +214,12 @@
 	return &Document{Part: part}
 }
 
-// findActivePart returns where a part is in ActiveParts, or else belongs.
+// findActivePart returns the index of a part in ActiveParts, or the index at which it would be inserted.
 func (s *replicatedState) findActivePart(part string) (index int, found bool) {
 	return slices.BinarySearchFunc(s.ActiveParts, part, func(d Document, p string) int { return strings.Compare(d.Part, p) })
 }
 
-// findPending returns a change being prepared; nil: it is not.
+// findPending returns the change being prepared that has the ID, or nil if there is none.
 func (s *replicatedState) findPending(id string) *pendingChange {
 	for i := range s.PendingChanges {
 		if s.PendingChanges[i].Document.ID == id {
@@ -223,7 +229,7 @@
 	return nil
 }
 
-// changeStatus returns the status of a change as far as the log has it.
+// changeStatus returns the status of a change according to the log.
 func (s *replicatedState) changeStatus(id string) ChangeStatus {
 	if s.findPending(id) != nil {
 		return ChangeStatus{ID: id, State: ChangePreparing}
@@ -252,8 +258,8 @@
 	return status
 }
 
-// changeDocuments returns a change with the documents of those parts that somebody holds, as far as they are retained;
-// nil: there are none.
+// changeDocuments returns a change, reduced to the parts that a member holds and to the documents that are still
+// retained. It returns nil if there are none.
 func (s *replicatedState) changeDocuments(id string, holds func(part string) bool) *Document {
 	if pending := s.findPending(id); pending != nil {
 		return pending.Document.filterParts(holds)
@@ -275,8 +281,9 @@
 	return joinDocuments(documents)
 }
 
-// partFilter returns which parts of a change a member gets that fetches it: those that it names, else those that the
-// roster has for it, else all.
+// partFilter returns a function that reports whether a member that fetches a change is sent a part of it. These are
+// the parts that the member names; if it names none, the parts that the roster has for it; if it is not in the
+// roster, all.
 func (s *replicatedState) partFilter(name string, named []string) func(part string) bool {
 	if len(named) > 0 {
 		return func(part string) bool { return part == "" || slices.Contains(named, part) }
@@ -288,8 +295,8 @@
 	return func(string) bool { return true }
 }
 
-// committedSince returns the active documents of the parts that a member holds that were committed after a CommitIndex,
-// in the order of their commits. It costs as much as there are later commits.
+// committedSince returns those active documents of a member's parts that were committed after a CommitIndex, in the
+// order of their commits. Its cost is proportional to the number of later commits.
 func (s *replicatedState) committedSince(index uint64, holds func(part string) bool) (refs []DocumentRef) {
 	if index >= s.CommitCount {
 		return nil
@@ -304,7 +311,7 @@
 			continue
 		}
 		if d.CommitIndex <= index {
-			break // those before are older still
+			break // all remaining documents were committed earlier
 		}
 		seen[d.Part] = true
 		if holds(d.Part) {
@@ -315,7 +322,7 @@
 	return refs
 }
 
-// rebuildCommitOrder makes commitOrder from the active documents.
+// rebuildCommitOrder builds commitOrder from the active documents.
 func (s *replicatedState) rebuildCommitOrder() {
 	active := []*Document{&s.Active}
 	for i := range s.ActiveParts {
@@ -327,8 +334,8 @@
 	}
 }
 
-// history returns the last changes, and the document of a part with a number; 0 means the active one of a part but the
-// global one.
+// history returns the last changes, and the document of a part that has a number. For a part other than the global
+// one, number 0 means its active document.
 func (s *replicatedState) history(part string, number uint64) *History {
 	h := &History{IsResponse: true, Part: part, Number: number, Changes: s.EndedChanges}
 	active := *s.activeDocument(part)
--- a/internal/peer/policy/serving.go
+++ b/internal/peer/policy/serving.go
@@ -7,18 +7,21 @@
 	"time"
 )
 
-// Serving is what a member serves by. It admits requests while Blocked is empty and the time is before Until.
+// Serving has the documents and terms by which a member serves. The member admits requests while Blocked is empty and
+// the time is before Until.
 type Serving struct {
-	Document    *Document     // the active global document; Number 0: the daemon's own file
-	Parts       []Document    // the active documents of the other parts that it holds, by name
-	ServedParts []string      // besides the global one: it may serve these, by their document or by its own file
-	Preparing   []*Document   // not empty: only what both the active documents and these changes allow
-	Until       time.Duration // by this member's clock; no request is admitted from then on
-	Standalone  bool          // it reached no voter, and its settings let it serve nevertheless
-	Blocked     string        // why no request is admitted; empty: requests are
+	Document    *Document  // active global document; Number 0: the member serves by the daemon's own file
+	Parts       []Document // active documents of the other parts that the member holds, sorted by part
+	ServedParts []string   // parts besides the global one that it may serve, by their document or by its own file
+	// Preparing has changes that may have been committed. If it is not empty, the member admits only what both the
+	// active documents and these changes allow.
+	Preparing  []*Document
+	Until      time.Duration // time by this member's clock from which on it admits no request
+	Standalone bool          // the member reached no voter, and its settings allow it to serve nevertheless
+	Blocked    string        // why the member admits no request; empty: it admits requests
 }
 
-// equal reports whether two values have the same effect.
+// equal reports whether s and o have the same effect.
 func (s *Serving) equal(o *Serving) bool {
 	sameDocument := func(a, b Document) bool { return a.Part == b.Part && a.Number == b.Number && a.ID == b.ID }
 	return sameDocument(*s.Document, *o.Document) &&
@@ -30,7 +33,8 @@
 		s.Blocked == o.Blocked
 }
 
-// Fingerprint names the documents and changes that it serves by: it is equal for two values that have the same ones.
+// Fingerprint identifies the documents and changes that the member serves by. It is equal for two values that have the
+// same documents and changes.
 func (s *Serving) Fingerprint() string {
 	var b strings.Builder
 	if s.Document != nil {
@@ -45,7 +49,8 @@
 	return b.String()
 }
 
-// Lookup returns the active document of a part, with Number 0 if it has none, and whether the part may be served.
+// Lookup returns the active document of a part, whose Number is 0 if the part has none, and whether the part may be
+// served.
 func (s *Serving) Lookup(part string) (d *Document, served bool) {
 	if part == "" {
 		return s.Document, true
@@ -57,8 +62,7 @@
 	return &Document{Part: part}, served
 }
 
-// PreparingChange returns the change that may have been committed in place of a part's active document; nil: there is
-// none.
+// PreparingChange returns the change that may have replaced a part's active document, or nil if there is none.
 func (s *Serving) PreparingChange(part string) *Document {
 	if i := slices.IndexFunc(s.Preparing, func(d *Document) bool { return d.Includes(part) }); i >= 0 {
 		return s.Preparing[i]
