--- a/internal/peer/lease/allocation.go
+++ b/internal/peer/lease/allocation.go
@@ -3,18 +3,20 @@
 import "time"
 
 const (
-	// rotationTerms is how many terms pass until what does not divide evenly goes to other holders. Smaller moves leases
-	// more often, each of which is unused for up to a second then.
+	// rotationTerms is the number of terms after which the remainder of an uneven division goes to other holders. A
+	// smaller number moves leases more often, and each lease that moves is unused for up to a second.
 	rotationTerms = 2
-	// overcommitInterval is the time between two changes of the overcommitment, and overcommitStep the share of what is
-	// not used by which it changes: an integral controller, slower than demand varies by chance.
+	// overcommitInterval is the time between two changes of the overcommitment, and overcommitStep the fraction of
+	// the unused share by which it changes. This is an integral controller that is slower than the random variation
+	// of demand.
 	overcommitInterval = 100 * time.Millisecond
 	overcommitStep     = 0.05
 )
 
-// divide divides the server's share among holders: first what all need, or as large a share of that for each as there is;
-// then what each desires besides; then half of what is left, in proportion. The rest remains for holders to come. By
-// proportion, not max-min: a request is worth no less at a busy agent.
+// divide divides the server's share among holders: first the amounts that they need, or a proportional part of these
+// if the share is too small; then what each holder desires beyond its need; then half of what is left, in proportion.
+// The rest remains for new holders. The division is proportional and not max-min fair, because a request at a busy
+// agent has no less value than one at another agent.
 func (r *serverRow) divide(now time.Duration, l *serverLimit) {
 	active, used := r.activeHolders(now, l)
 	r.adjustOvercommit(now, l, used)
@@ -32,9 +34,9 @@
 	}
 }
 
-// activeHolders returns the holders that requested anything within the last term, and what all of them use. Where the
-// share is smaller than the number of holders, the first ones change with time, and differ between servers. It resets
-// the shares of all.
+// activeHolders returns the holders that requested an amount within the last term, and the sum of what they use. The
+// order of the holders rotates with time and differs between servers, so that different holders come first if the
+// share is smaller than the number of holders. It resets the shares of all holders.
 func (r *serverRow) activeHolders(now time.Duration, l *serverLimit) (active []*holder, used int) {
 	rotation := int(now/(rotationTerms*l.settings.Term))*len(l.settings.Servers) + l.position
 	first := rotation * max(1, l.share) % max(1, len(r.order))
@@ -49,8 +51,8 @@
 	return active, used
 }
 
-// adjustOvercommit leases a soft limit beyond its figure by as much as it takes for the figure to be used: what is leased
-// is never all in use at once.
+// adjustOvercommit adjusts the overcommitment of a soft limit such that the use approaches the server's share. It
+// takes more leases than the share to use the share fully, since leases are never all in use at once.
 func (r *serverRow) adjustOvercommit(now time.Duration, l *serverLimit, used int) {
 	if l.Hard || now-r.overcommitAt < overcommitInterval {
 		return
@@ -60,8 +62,9 @@
 	r.overcommit = min(MaxOvercommit, max(0, r.overcommit+change))
 }
 
-// spread adds to each share what its holder wants, or an even share of that where the total is too small: at least one as
-// far as the total goes, and what does not divide evenly to the first. It returns how much it added.
+// spread adds to each holder's share the amount that the holder wants. If the total is too small for that, it adds
+// proportional parts: at least one to each holder as far as the total suffices, and the remainder of the division to
+// the first holders. It returns the amount that it added.
 func spread(total int, holders []*holder, wanted func(*holder) int) (added int) {
 	sum := 0
 	for _, h := range holders {
@@ -83,12 +86,13 @@
 	return added
 }
 
-// divideProportionally divides a total that is smaller than the sum of what holders want.
+// divideProportionally divides a total that is smaller than the sum of the wanted amounts. It returns the amount for
+// each holder.
 func divideProportionally(total int, holders []*holder, wanted func(*holder) int) []int {
 	amounts := make([]int, len(holders))
 	remaining := total
 	wantedBesides := 0
-	for n, h := range holders { // one each
+	for n, h := range holders { // one for each holder first
 		if wanted(h) > 0 && remaining > 0 {
 			amounts[n] = 1
 			remaining--
--- a/internal/peer/lease/client.go
+++ b/internal/peer/lease/client.go
@@ -8,8 +8,8 @@
 	"vetchhaven/decide/quota"
 )
 
-// Client requests leases from servers for a daemon's agents, and passes on what they grant. Each agent counts what it
-// uses in a ledger of its own (decide/quota), and reports. One goroutine owns a Client.
+// Client requests leases from servers for a daemon's agents, and passes the granted leases to them. Each agent counts
+// what it uses in a ledger of its own (decide/quota), and reports it. One goroutine owns a Client.
 type Client struct {
 	settings          Settings
 	name              string
@@ -20,22 +20,26 @@
 	agentIDs          []uint32        // in the order in which they were added
 	removed           map[uint32]bool // agents that have ended
 	servers           []serverSession // by position in Settings.Servers
-	seq               uint64          // of the last request
-	leaseNumber       uint64          // of the last lease passed on: servers' numbers start anew with each of their runs
-	pending           map[uint64]pendingRequest
+	seq               uint64          // Seq of the last request
+	// leaseNumber is the number of the last lease passed to an agent. The client numbers leases itself, because a
+	// server's numbers begin again with each of its runs.
+	leaseNumber uint64
+	pending     map[uint64]pendingRequest // by Seq
 }
 
-// serverSession is what a client knows of a server.
+// serverSession is the state of a client's exchanges with one server.
 type serverSession struct {
-	runID          uint64
-	hasResponded   bool
-	lastResponse   time.Duration
-	lastRequest    time.Duration
-	nextRequest    time.Duration
-	promptInterval time.Duration // between two requests that a need prompted: longer while the server has no more to grant
+	runID        uint64
+	hasResponded bool
+	lastResponse time.Duration
+	lastRequest  time.Duration
+	nextRequest  time.Duration
+	// promptInterval is the shortest time between two requests that a need prompted. It grows while the server has no
+	// more to grant.
+	promptInterval time.Duration
 }
 
-// pendingRequest is a request without a response yet.
+// pendingRequest is a request that has no response yet.
 type pendingRequest struct {
 	server int
 	sentAt time.Duration
@@ -55,34 +59,34 @@
 
 // clientRow is one limit, or one part of it, at one agent.
 type clientRow struct {
-	leases      []clientLease // by server
-	need        float64       // what it uses or would use, smoothed
-	used        int           // as last reported
-	attempts    []attempts    // within the last rateWindow
-	lastNeed    time.Duration // it last needed anything
+	leases      []clientLease // by position of the server
+	need        float64       // smoothed amount that the agent uses or would use
+	used        int           // amount in use in the last report
+	attempts    []attempts    // reported within the last rateWindow
+	lastNeed    time.Duration // when the agent last needed anything
 	estimatedAt time.Duration
 }
 
-// attempts counts what an agent reported at once.
+// attempts counts the attempts in one report of an agent.
 type attempts struct {
 	at                time.Duration
 	started, rejected int
 }
 
-// clientLease is what a server granted, and what of it the agent has adopted.
+// clientLease is the last grant of a server, and the grant that the agent has adopted.
 type clientLease struct {
 	amount      int
 	expires     time.Duration
 	serverRunID uint64
-	number      uint64 // of the last grant
+	number      uint64 // number of the last grant
 
-	adoptedNumber uint64 // the agent goes by this grant, or a later one
-	adoptedRunID  uint64 // the server's run that it is of
-	used          int    // when the agent adopted it
+	adoptedNumber uint64 // the agent uses this grant, or a later one
+	adoptedRunID  uint64 // run of the server that made this grant
+	used          int    // amount that the agent used when it adopted this grant
 	issued        []issuedLease
 }
 
-// issuedLease maps the number of a lease, as the agent knows it, to the server's.
+// issuedLease maps the number of a lease that an agent knows to the number of the server's grant.
 type issuedLease struct {
 	leaseNumber uint64
 	serverRunID uint64
@@ -95,29 +99,30 @@
 	Leases []quota.Lease
 }
 
-// OutgoingRequest is a request to the server of a position in Settings.Servers.
+// OutgoingRequest is a request to the server at a position in Settings.Servers.
 type OutgoingRequest struct {
 	Server  int
 	Request *Request
 }
 
 const (
-	// idleRenewals is how many renew intervals a client waits whose agents use nothing.
+	// idleRenewals is the number of renew intervals between two requests of a client whose agents use nothing.
 	idleRenewals = 4
-	// minPromptInterval is the time between two requests to a server that a need prompted. Smaller follows a burst faster
-	// and costs messages.
+	// minPromptInterval is the shortest time between two requests to a server that a need prompted. A shorter time
+	// follows a burst faster, and costs messages.
 	minPromptInterval = 50 * time.Millisecond
-	// needSmoothing is the time constant with which the need of a limit in flight decreases, which varies by chance. Larger
-	// keeps leases for longer that are not needed any more.
+	// needSmoothing is the time constant with which the need of a limit in flight decreases, because the number of
+	// attempts in flight varies by chance. With a larger one, leases that are no longer needed are kept for longer.
 	needSmoothing = 200 * time.Millisecond
-	// rowIdleTimeout is the time after which no lease is requested for a part that nobody uses. It is forgotten after
-	// twice that.
+	// rowIdleTimeout is the time after which no lease is requested for an unused part of a partitioned limit. The
+	// part is forgotten after twice this time.
 	rowIdleTimeout = 30 * time.Second
-	// maxIssued is how many issued leases are remembered of an agent that adopts none, and retainedIssued how many of these
-	// remain then: the agent adopts a later one.
-	maxIssued      = 64
-	retainedIssued = 32
-	// minNeed is the need below which an agent counts as needing nothing.
+	// maxIssued bounds the issued leases that are remembered for an agent that adopts none.
+	maxIssued = 64
+	// droppedIssued is the number of the oldest issued leases that are dropped above maxIssued. The agent can still
+	// adopt a later one.
+	droppedIssued = 32
+	// minNeed is the need up to which an agent counts as needing nothing.
 	minNeed = 0.5
 )
 
@@ -140,8 +145,8 @@
 	}, nil
 }
 
-// ApplySettings continues with other limits, and keeps the leases of those that are unchanged. It reports false, and
-// changes nothing, if servers or terms differ: that takes another client.
+// ApplySettings replaces the limits, and keeps the leases of unchanged limits. If servers or terms differ, it changes
+// nothing and returns false: such settings need a new client.
 func (c *Client) ApplySettings(s Settings) bool {
 	s, err := s.withDefaults()
 	if err != nil || s.Fingerprint() != c.fingerprint {
@@ -177,7 +182,7 @@
 	a.order = order
 }
 
-// AddAgent requests leases for an agent too. An agent's number is not used again in a client's run.
+// AddAgent starts to request leases for an agent. An agent's ID is not used again in a client's run.
 func (c *Client) AddAgent(now time.Duration, id uint32) {
 	if c.agents[id] != nil {
 		return
@@ -190,7 +195,8 @@
 	}
 }
 
-// addUnpartitionedRows adds a row for each limit that is not partitioned: leases for these are requested before any use.
+// addUnpartitionedRows adds a row for each limit that is not partitioned, so that leases are requested for these
+// limits before their first use.
 func (c *Client) addUnpartitionedRows(now time.Duration, id uint32) {
 	for i, l := range c.settings.Limits {
 		if l.Partition == quota.NotPartitioned {
@@ -210,8 +216,8 @@
 	return r
 }
 
-// RemoveAgent forgets an agent that has ended with nothing in flight. It returns requests that release its leases to
-// others at once; where these are lost, the leases expire.
+// RemoveAgent forgets an agent that has ended with nothing in flight. It returns requests that release the agent's
+// leases to others at once. If such a request is lost, the leases expire.
 func (c *Client) RemoveAgent(id uint32) []OutgoingRequest {
 	a := c.agents[id]
 	if a == nil {
@@ -241,7 +247,7 @@
 	return all
 }
 
-// usedAtEnd is what may still count of an agent that has ended: of rates, all that it last had.
+// usedAtEnd returns the amount that may still count for an agent that has ended: for a rate, all that it last had.
 func (l *clientLease) usedAtEnd(kind quota.Kind) int {
 	if !kind.IsRate() {
 		return 0
@@ -249,7 +255,7 @@
 	return max(l.used, l.amount)
 }
 
-// newRequests returns requests with items, as many as these need.
+// newRequests returns as many requests as are needed for the items.
 func (c *Client) newRequests(server int, items []RequestItem) []OutgoingRequest {
 	var all []OutgoingRequest
 	for part := range slices.Chunk(items, MaxItems) {
@@ -275,13 +281,13 @@
 	return next
 }
 
-// promptRequest has a server asked for leases soon.
+// promptRequest schedules the next request to a server soon.
 func (c *Client) promptRequest(server int, now time.Duration) {
 	s := &c.servers[server]
 	s.nextRequest = min(s.nextRequest, max(now, s.lastRequest+max(minPromptInterval, s.promptInterval)))
 }
 
-// Requests returns what is to be sent now.
+// Requests returns the requests that have to be sent now.
 func (c *Client) Requests(now time.Duration) []OutgoingRequest {
 	responding := c.respondingServers(now)
 	var all []OutgoingRequest
@@ -311,7 +317,8 @@
 	return all
 }
 
-// respondingServers returns the servers that responded lately, or all if none did.
+// respondingServers returns the positions of the servers that responded within the last half term, or of all servers
+// if none did.
 func (c *Client) respondingServers(now time.Duration) []int {
 	var responding, all []int
 	for server, s := range c.servers {
@@ -326,7 +333,7 @@
 	return responding
 }
 
-// dropOldPending forgets requests whose response would grant nothing any more.
+// dropOldPending forgets requests that are so old that the leases of their responses would have expired.
 func (c *Client) dropOldPending(now time.Duration) {
 	for seq, p := range c.pending {
 		if now-p.sentAt > c.settings.MaxAttemptTime+c.settings.Term {
@@ -335,7 +342,7 @@
 	}
 }
 
-// requestItems returns what is requested of a server for all agents, and whether any of these uses anything.
+// requestItems returns the items to request from a server for all agents, and whether any agent uses anything.
 func (c *Client) requestItems(now time.Duration, server int, responding []int) (items []RequestItem, busy bool) {
 	for _, agentID := range c.agentIDs {
 		a := c.agents[agentID]
@@ -346,7 +353,7 @@
 			}
 			busy = busy || r.used > 0 || len(r.attempts) > 0
 			item := RequestItem{Agent: agentID, Fingerprint: c.limitFingerprints[id.limit], Key: id.key}
-			// What does not divide evenly is requested of another server by each agent and row.
+			// The rotation lets each agent and row request the remainder of an uneven division from another server.
 			c.fillItem(&item, r, server, responding, int(agentID)+index)
 			items = append(items, item)
 		}
@@ -355,13 +362,13 @@
 	return items, busy
 }
 
-// fillItem requests an even part of what is needed, of the servers that respond.
+// fillItem sets the amounts of an item such that each responding server is asked for an even part of the need.
 func (c *Client) fillItem(item *RequestItem, r *clientRow, server int, responding []int, rotation int) {
 	need := int(math.Ceil(r.need))
 	desired := need + 1 + int(2*math.Sqrt(r.need))
 	position := slices.Index(responding, server)
 	servers := len(responding)
-	if position < 0 { // it may respond again at any time
+	if position < 0 { // the server does not respond, but may do so again at any time
 		position = server
 		servers = len(c.servers)
 	}
@@ -374,7 +381,7 @@
 	}
 }
 
-// dropIdleRows forgets parts that nobody used for long.
+// dropIdleRows forgets the parts that the agent has not needed for twice rowIdleTimeout.
 func (a *agent) dropIdleRows(now time.Duration) {
 	a.order = slices.DeleteFunc(a.order, func(id rowID) bool {
 		idle := id.key != "" && now-a.rows[id].lastNeed > 2*rowIdleTimeout
@@ -385,8 +392,9 @@
 	})
 }
 
-// HandleGrant takes a server's response, and returns what its agents may use from now on. A response to no pending
-// request is ignored: it may be of any age, or a duplicate. So is an item that is older than one that was taken.
+// HandleGrant applies a server's response, and returns the leases that agents may use from now on. It ignores a
+// response without a pending request, which may be of any age, or a duplicate. It also ignores an item that is not
+// newer than the last one applied.
 func (c *Client) HandleGrant(now time.Duration, server int, g *Grant) []AgentLeases {
 	if g == nil || server < 0 || server >= len(c.servers) {
 		return nil
@@ -416,8 +424,9 @@
 	return all
 }
 
-// applyGrant records one item of a response, and returns the agent's lease: it replaces the one from the same server, also
-// by an amount of 0, as from a server that has just started. It reports false for an item that is ignored.
+// applyGrant records one item of a response, and returns the agent's lease. The lease replaces the one from the same
+// server, even if its amount is 0, as from a server that has just started. It returns false for an item that it
+// ignores.
 func (c *Client) applyGrant(request pendingRequest, serverRunID uint64, item GrantItem) (quota.Lease, bool) {
 	limit := slices.Index(c.limitFingerprints, item.Fingerprint)
 	if limit < 0 || c.agents[item.Agent] == nil || c.agents[item.Agent].rows[rowID{limit, item.Key}] == nil {
@@ -432,7 +441,7 @@
 	}
 	l := &c.settings.Limits[limit]
 	granted.amount = max(0, item.Amount)
-	granted.expires = request.sentAt + c.settings.clientTerm(l.Kind) // the server counts from a later moment
+	granted.expires = request.sentAt + c.settings.clientTerm(l.Kind) // the server counts the term from a later moment
 	granted.number = item.Number
 	granted.serverRunID = serverRunID
 	c.leaseNumber++
@@ -451,13 +460,13 @@
 	return lease, true
 }
 
-// issue remembers a lease that is passed on.
+// issue remembers a lease that is passed to the agent.
 func (l *clientLease) issue(issued issuedLease) {
 	l.issued = append(l.issued, issued)
 	if len(l.issued) > maxIssued {
-		l.issued = l.issued[retainedIssued:]
+		l.issued = l.issued[droppedIssued:]
 	}
 }
 
-// Agents returns the agents that leases are requested for, in the order in which they were added.
+// Agents returns the IDs of the agents that leases are requested for, in the order in which they were added.
 func (c *Client) Agents() []uint32 { return c.agentIDs }
--- a/internal/peer/lease/client_test.go
+++ b/internal/peer/lease/client_test.go
@@ -7,12 +7,13 @@
 	"vetchhaven/decide/quota"
 )
 
-// clientHarness is a client of one server, with a lease of 3 by grant number 2 and a pending request before that.
+// clientHarness is a client of one server. It has a lease of 3 from grant number 2, and an earlier request that is
+// still pending.
 type clientHarness struct {
 	*Client
 	ledger  *quota.Ledger
 	now     time.Duration
-	earlier *Request // without a response
+	earlier *Request // request without a response
 	granted *Request
 }
 
@@ -67,6 +68,6 @@
 	}
 	h.ReportUsage(h.now, 1, nil)
 	if len(h.Agents()) > 0 {
-		t.Error("leases are requested for an agent that has ended")
+		t.Error("leases are still requested for an agent that has ended")
 	}
 }
--- a/internal/peer/lease/handover.go
+++ b/internal/peer/lease/handover.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// ServerState is what a process that takes a server's place without a gap has to know.
+// ServerState is the state that a successor needs to take a server's place without a gap.
 type ServerState struct {
 	RunID       uint64       `cbor:"1,keyasint,omitempty"`
-	Count       uint64       `cbor:"2,keyasint,omitempty"` // of grants
-	Fingerprint uint64       `cbor:"3,keyasint,omitempty"` // of the settings
+	Count       uint64       `cbor:"2,keyasint,omitempty"` // number of the last grant
+	Fingerprint uint64       `cbor:"3,keyasint,omitempty"` // fingerprint of the settings
 	Limits      []LimitState `cbor:"4,keyasint,omitempty"`
 }
 
-// LimitState is one limit's.
+// LimitState is the state of one limit.
 type LimitState struct {
 	Fingerprint   uint64        `cbor:"1,keyasint,omitempty"`
-	WaitRemaining time.Duration `cbor:"2,keyasint,omitempty"` // nothing is granted for so long yet
+	WaitRemaining time.Duration `cbor:"2,keyasint,omitempty"` // the server still grants nothing for this time
 	Rows          []RowState    `cbor:"3,keyasint,omitempty"`
 }
 
-// RowState is that of one part of a limit.
+// RowState is the state of a limit, or of one part of a partitioned limit.
 type RowState struct {
 	Key     string        `cbor:"1,keyasint,omitempty"`
 	Holders []HolderState `cbor:"2,keyasint,omitempty"`
 }
 
-// HolderState is one holder's. Times are what remains: the successor counts them from its own start, which is later.
+// HolderState is the state of one holder. Its Leases contain the remaining times instead of expiry times: the
+// successor counts them from its own start, which is later.
 type HolderState struct {
 	Name   string         `cbor:"1,keyasint,omitempty"`
 	RunID  uint64         `cbor:"2,keyasint,omitempty"`
@@ -35,7 +36,8 @@
 	Leases []grantedLease `cbor:"4,keyasint,omitempty"`
 }
 
-// TakeOver continues for a server of this process whose settings have changed: what that one has leased is leased.
+// TakeOver takes over from a server in this process that had other settings: its leases count as leased by this
+// server.
 func (s *Server) TakeOver(old *Server) {
 	s.started = old.started
 	s.lastTick = old.lastTick
@@ -43,7 +45,7 @@
 	s.grants = old.grants
 	sameSettings := old.settings.Fingerprint() == s.settings.Fingerprint()
 	for _, l := range s.limits {
-		// What is leased of a limit that was not there, or for another term, has to expire first.
+		// Leases of a limit that the old server did not have, or that have another term, have to expire first.
 		l.grantsFrom = s.lastTick + max(s.settings.serverTerm(l.Kind), old.settings.serverTerm(l.Kind))
 		for _, o := range old.limits {
 			if o.fingerprint == l.fingerprint && sameSettings {
@@ -54,7 +56,7 @@
 	}
 }
 
-// State returns what the process that takes this one's place has to know. This server must not grant anything after that.
+// State returns the state for the process that takes this one's place. This server must not grant anything after that.
 func (s *Server) State(now time.Duration) *ServerState {
 	state := &ServerState{RunID: s.runID, Count: s.grants, Fingerprint: s.settings.Fingerprint()}
 	for _, l := range s.limits {
@@ -69,7 +71,7 @@
 
 func (l *serverLimit) state(now time.Duration) LimitState {
 	state := LimitState{Fingerprint: l.fingerprint, WaitRemaining: max(0, l.grantsFrom-now)}
-	for _, key := range slices.Sorted(maps.Keys(l.rows)) { // the same bytes each time
+	for _, key := range slices.Sorted(maps.Keys(l.rows)) { // sorted, so that the encoded state is always the same
 		r := l.rows[key]
 		row := RowState{Key: key}
 		for _, id := range r.order {
@@ -90,7 +92,8 @@
 	return state
 }
 
-// Resume takes over what another process has leased. It reports whether the state fits: if not, this server starts anew.
+// Resume takes over the leases that another process has granted. It reports whether the state matches the settings.
+// If it does not, this server starts without it.
 func (s *Server) Resume(now time.Duration, state *ServerState) bool {
 	if state == nil || state.Fingerprint != s.settings.Fingerprint() || s.started {
 		return false
--- a/internal/peer/lease/harness_test.go
+++ b/internal/peer/lease/harness_test.go
@@ -10,11 +10,11 @@
 const (
 	// testStart is a clock reading in the middle of a process's life.
 	testStart = time.Hour
-	// testRunID is the run of the server under test.
+	// testRunID is the run ID of the server under test.
 	testRunID = 7
 )
 
-// testSettings are those of one hard limit.
+// testSettings returns the settings of one hard limit.
 func testSettings(total int, kind quota.Kind, servers ...string) Settings {
 	limit := Limit{Limit: quota.Limit{Name: "l", Kind: kind, Class: -1, Zone: -1, Cell: -1}, Total: total, Hard: true}
 	return Settings{Servers: servers, MaxAttemptTime: time.Second, Limits: []Limit{limit}}
@@ -50,23 +50,23 @@
 	return h
 }
 
-// replacedBy continues with another server, and later requests.
+// replacedBy returns a harness that continues with another server, and with higher request numbers.
 func (h *serverHarness) replacedBy(server *Server, now time.Duration) *serverHarness {
 	return &serverHarness{t: h.t, server: server, now: now, seq: 100}
 }
 
-// request requests a lease for a client's one agent. It returns the amount granted, and the grant's number.
+// request requests a lease for a client's only agent. It returns the granted amount and the number of the grant.
 func (h *serverHarness) request(client string, need int, lastGrant uint64, used int) (amount int, number uint64) {
 	h.t.Helper()
 	h.seq++
 	return h.send(h.newRequest(client, RequestItem{Need: need, Desired: need, LastGrant: lastGrant, Used: used}))
 }
 
-// expect requests a lease for a client that has none, and compares the amount.
+// expect requests a lease for a client that has none, and compares the granted amount.
 func (h *serverHarness) expect(client string, need, want int, why string) {
 	h.t.Helper()
 	if got, _ := h.request(client, need, 0, 0); got != want {
-		h.t.Errorf("%s is granted %d of %d, want %d: %s", client, got, need, want, why)
+		h.t.Errorf("%s was granted %d of %d, want %d: %s", client, got, need, want, why)
 	}
 }
 
--- a/internal/peer/lease/leasesim/faults.go
+++ b/internal/peer/lease/leasesim/faults.go
@@ -9,20 +9,22 @@
 const (
 	// defaultFaultInterval is the mean time between two faults.
 	defaultFaultInterval = 700 * time.Millisecond
-	// meanPause is longer than a term as often as not, and meanLinkOutage longer than several.
-	meanPause      = 4 * time.Second
+	// meanPause is the mean duration of a pause. About half of the pauses are longer than a term.
+	meanPause = 4 * time.Second
+	// meanLinkOutage is the mean duration of a link failure. Some failures last several terms.
 	meanLinkOutage = 5 * time.Second
 	// maxBaseDelayMS is the largest delay of a message without faults.
 	maxBaseDelayMS = 10
-	// maxDuplicateDelayMS is how much later the duplicate of a message arrives at most.
+	// maxDuplicateDelayMS is the largest delay between a message and its duplicate.
 	maxDuplicateDelayMS = 3000
-	// maxDelay is the delay of the rare message that is delayed for long, at most.
+	// maxDelay is the largest delay of the few messages that are delayed for a long time.
 	maxDelay = time.Minute
-	// pausedRetry is how often delivery to a paused process is attempted.
+	// pausedRetry is the interval at which delivery to a paused process is attempted.
 	pausedRetry = 100 * time.Millisecond
 )
 
-// scheduleFault has something fail, again and again.
+// scheduleFault schedules the next random fault: a pause, a crash or a broken link. After it, the next one is
+// scheduled.
 func (w *world) scheduleFault() {
 	interval := cmp.Or(w.options.FaultInterval, defaultFaultInterval)
 	w.after(w.exponential(interval), func() {
@@ -56,7 +58,7 @@
 	w.after(w.exponential(meanPause), func() { m.paused = false })
 }
 
-// breakLink breaks one direction of a link between any process and a server.
+// breakLink breaks one direction of the link between a random process and a random server.
 func (w *world) breakLink() {
 	from := w.rng.IntN(len(w.members))
 	to := w.rng.IntN(max(1, w.options.Servers))
@@ -85,7 +87,7 @@
 	}
 }
 
-// send delivers a message once, twice, late, or not at all.
+// send sends a message. It may be delivered once, twice, late, or not at all.
 func (w *world) send(from, to, size int, deliver func()) {
 	w.result.Messages++
 	w.result.Bytes += size
@@ -114,7 +116,7 @@
 	}
 }
 
-// drawDelivery draws how often a message arrives, and after what delay.
+// drawDelivery draws how often a message arrives, and its delay.
 func (w *world) drawDelivery() (copies int, delay time.Duration) {
 	copies = 1
 	delay = time.Duration(1+w.rng.IntN(maxBaseDelayMS)) * time.Millisecond
@@ -132,7 +134,7 @@
 	return copies, delay
 }
 
-// isPartitioned reports whether a partition is between two processes now.
+// isPartitioned reports whether a partition separates two processes now.
 func (w *world) isPartitioned(from, to int) bool {
 	if from == to || w.now < w.options.PartitionStart || w.now >= w.options.PartitionEnd {
 		return false
@@ -140,7 +142,7 @@
 	return slices.Contains(w.options.Partitioned, from) != slices.Contains(w.options.Partitioned, to)
 }
 
-// deliver delivers a message to a process, or once it is no longer paused.
+// deliver delivers a message to a process. If the process is paused, the message is delivered after the pause.
 func (w *world) deliver(to int, do func()) {
 	if w.members[to].down {
 		return
--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -1,10 +1,10 @@
-// Package leasesim simulates servers and clients of leased limits in virtual time: links that lose, delay and duplicate
-// messages, processes that are paused, crash and restart without memory, and clocks of different rates. It simulates other
-// strategies of dividing a limit beside them, for comparison. The truth is counted outside all of them: what is in flight,
-// and what began within a second, by true time.
+// Package leasesim simulates servers and clients of leased limits in virtual time. Links lose, delay and duplicate
+// messages; processes are paused, crash and restart without memory; clocks have different rates. For comparison, the
+// package also simulates other strategies of dividing a limit. The simulation itself counts, by true time and
+// independently of the strategies, the attempts that are in flight or began within a second.
 //
-// Run is a function of its Options: the same seed gives the same result. Simulations share nothing, and may run in
-// parallel. Tests, tools/limits, tools/capacity and the simulation of lightweight members use it.
+// Run is a function of its Options: the same seed gives the same result. Simulations share no state, and may run in
+// parallel. Tests, tools/limits, tools/capacity and the simulation of lightweight members use this package.
 package leasesim
 
 import (
@@ -21,23 +21,25 @@
 type Strategy uint8
 
 const (
-	// PartitionedServers divide the limit among servers, each of which leases its share. It is what package lease does.
+	// PartitionedServers divides the limit among servers, each of which leases its share. Package lease uses this
+	// strategy.
 	PartitionedServers Strategy = iota
-	// SingleServer leases all of it.
+	// SingleServer has one server lease the whole limit.
 	SingleServer
-	// QuorumOfServers has three servers lease all of it, and a client use what two of them have leased to it.
+	// QuorumOfServers has three servers that each lease the whole limit. A client may use the leases that two of them
+	// have granted.
 	QuorumOfServers
-	// StaticShares gives each client an even share for ever.
+	// StaticShares gives each client a constant even share.
 	StaticShares
-	// GossipedUse has each client tell all others what it uses, and go by what it last received.
+	// GossipedUse has each client report its use to all others, and decide by the last reports that it received.
 	GossipedUse
-	// EscrowedTokens are passed from client to client, without a term.
+	// EscrowedTokens has clients pass tokens to each other. The tokens have no term.
 	EscrowedTokens
 	// StrategyCount is the number of strategies.
 	StrategyCount
 )
 
-// String returns the name as tools print it.
+// String returns the name that tools print.
 func (s Strategy) String() string {
 	return [...]string{"keepers", "one leader", "quorum", "static", "gossip", "escrow"}[s]
 }
@@ -47,51 +49,52 @@
 	Seed     uint64
 	Strategy Strategy
 	Clients  int
-	Servers  int // the first clients' processes
+	Servers  int // number of processes that are also servers: the first ones
 	Total    int
 	Kind     quota.Kind
 	Soft     bool
 	Duration time.Duration
-	// Demand is the requests a second that a client has.
+	// Demand returns the requests a second of a client.
 	Demand func(client int, now time.Duration) float64
-	// MeanAttemptTime is the mean time of a request in flight; the longest is maxAttemptFactor times that.
+	// MeanAttemptTime is the mean duration of an attempt in flight. The longest is maxAttemptFactor times that.
 	MeanAttemptTime time.Duration
-	// ClockDrift has clocks go at rates from 1-ClockDrift to 1+ClockDrift. The servers and clients assume
+	// ClockDrift is the range of the clocks' rates, from 1-ClockDrift to 1+ClockDrift. The servers and clients assume
 	// lease.DefaultClockDrift.
 	ClockDrift float64
-	// CountFrom is from when Result.UsedShare is counted: servers that start grant nothing for a while.
+	// CountFrom is the time from which on Result.UsedShare is counted, since servers that start grant nothing for a
+	// while.
 	CountFrom time.Duration
 
-	// Faults has random processes and links fail, at a mean interval of FaultInterval; 0: 700 ms.
+	// Faults makes random processes and links fail, at a mean interval of FaultInterval; 0 means 700 ms.
 	Faults        bool
 	FaultInterval time.Duration
-	// Partitioned clients reach only one another from PartitionStart to PartitionEnd.
+	// Partitioned lists processes that reach only one another from PartitionStart to PartitionEnd.
 	Partitioned    []int
 	PartitionStart time.Duration
 	PartitionEnd   time.Duration
 	Outages        []Outage
 
-	// PeerPath is the share of messages that is lost between two processes, and the delay of the others besides 1 to 10 ms.
-	// nil: none.
+	// PeerPath returns the fraction of messages that is lost between two processes, and the delay of the others in
+	// addition to 1 to 10 ms. If nil, there is neither loss nor additional delay.
 	PeerPath func(from, to int, now time.Duration) (lost float64, delay time.Duration)
-	// MessageSize returns the bytes of a request or grant on the wire. nil: an estimate.
+	// MessageSize returns the size of a request or grant on the wire in bytes. If nil, the size is estimated.
 	MessageSize func(from string, message any) int
-	// OnSent and OnReceived are called with each message between processes that is sent, and that arrives. nil: not called.
+	// OnSent and OnReceived, if not nil, are called for each message between processes that is sent, and that arrives.
 	OnSent, OnReceived func(now time.Duration, member, bytes int)
 }
 
-// Outage is a group of processes that fail, and restart all at once.
+// Outage is an outage of a group of processes, which fail at Start and restart at End.
 type Outage struct {
 	Members    []int
 	Start, End time.Duration
 }
 
-// Result is what happened, by true time.
+// Result is the result of a simulation, counted by true time.
 type Result struct {
-	MaxUsed   int     // the most in flight at once, or begun in any second
+	MaxUsed   int     // largest number of attempts in flight at once, or begun in any second
 	Exceeded  int     // attempts that began above the total
-	Bound     int     // of MaxUsed, by the settings
-	UsedShare float64 // of what was wanted, or of what the limit allows if that is less
+	Bound     int     // bound of MaxUsed that follows from the settings
+	UsedShare float64 // admitted fraction of the wanted requests, or of those that the limit allows if these are fewer
 	Wanted    int     // requests
 	Started   int     // requests that were admitted
 	NearTotal int     // attempts that began with nine tenths of the total in use or more
@@ -100,24 +103,24 @@
 	Pauses    int
 	Messages  int
 	Bytes     int
-	// StartedByClient counts what each client began in each interval of countInterval.
+	// StartedByClient counts the admitted requests of each client in each interval of countInterval.
 	StartedByClient [][]int
 }
 
 const (
-	// agentID is the one agent that each client has.
+	// agentID is the ID of the only agent of each client.
 	agentID = 1
-	// rngStream separates these random numbers from those of others with the same seed.
+	// rngStream separates these random numbers from those of other generators with the same seed.
 	rngStream = 21
-	// tickInterval is how often a process does what it does by itself.
+	// tickInterval is the interval of a process's periodic work.
 	tickInterval = 50 * time.Millisecond
-	// maxAttemptFactor is how much longer than the mean an attempt takes at most.
+	// maxAttemptFactor is the ratio of the longest attempt to the mean.
 	maxAttemptFactor = 4
 	// countInterval is the resolution of Result.StartedByClient.
 	countInterval = 100 * time.Millisecond
 )
 
-// world is one simulation.
+// world is the state of one simulation.
 type world struct {
 	options  Options
 	settings lease.Settings
@@ -127,12 +130,12 @@
 	members  []*member
 	linkDown map[[2]int]bool // by sender and receiver
 	inFlight int
-	started  []time.Duration // within the last second
-	allowed  float64         // requests that a limit without any cost of division would have admitted
+	started  []time.Duration // when attempts of a rate began, within the last second
+	allowed  float64         // requests that would have been admitted if dividing the limit had no cost
 	result   Result
 }
 
-// Run simulates until Options.Duration. It returns an error if the settings are refused.
+// Run simulates until Options.Duration. It returns an error if the resulting lease settings are invalid.
 func Run(o Options) (*Result, error) {
 	w := newWorld(o)
 	for n := range o.Clients {
@@ -189,12 +192,12 @@
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
-// AdaptationTime returns how long after a moment a client's starts within half a second reached a share of a rate a
-// second; 0: never.
+// AdaptationTime returns how long after a moment it takes until a client begins attempts at a share of a rate, which
+// is in attempts a second, measured over half a second. It returns 0 if the client never reaches that.
 func (r *Result) AdaptationTime(client int, from time.Duration, rate, share float64) time.Duration {
 	const (
 		intervals    = 5
-		perSecond    = 2 // such half seconds
+		perSecond    = 2 // windows of half a second in a second
 		windowLength = intervals * countInterval
 	)
 	counts := r.StartedByClient[client]
--- a/internal/peer/lease/leasesim/leasesim_test.go
+++ b/internal/peer/lease/leasesim/leasesim_test.go
@@ -11,12 +11,13 @@
 
 var bothKinds = []quota.Kind{quota.InFlight, quota.Requests}
 
-// evenDemand has all clients have the same demand, in requests a second.
+// evenDemand returns a demand that is the same for all clients, in requests a second.
 func evenDemand(rate float64) func(int, time.Duration) float64 {
 	return func(int, time.Duration) float64 { return rate }
 }
 
-// unevenDemand has one client have ten times the demand of each other. Of ten, all together want twice a total of 120.
+// unevenDemand gives one client ten times the demand of each other client. Ten clients together want about twice a
+// total of 120.
 func unevenDemand(client int, _ time.Duration) float64 {
 	if client == 0 {
 		return 120
@@ -33,7 +34,7 @@
 	return r
 }
 
-// withFaults returns options of a fleet among random faults, of a size that depends on the seed.
+// withFaults returns options of a fleet with random faults, whose size depends on the seed.
 func withFaults(seed uint64, kind quota.Kind) Options {
 	return Options{
 		Seed:            seed,
@@ -64,7 +65,7 @@
 				nearTotal += r.NearTotal
 			}
 			if started < 1500 || crashes < 60 || nearTotal < 50 {
-				t.Errorf("not exercised: %d started, %d near the total, %d crashes", started, nearTotal, crashes)
+				t.Errorf("not enough is exercised: %d started, %d near the total, %d crashes", started, nearTotal, crashes)
 			}
 		})
 	}
@@ -94,7 +95,7 @@
 	}
 }
 
-// Where clocks differ by far more than is assumed, the limit is exceeded, and the simulation notices.
+// If clocks drift far more than the settings assume, the limit is exceeded, and the simulation detects that.
 func TestClocksBeyondTheAssumedDriftExceedTheLimit(t *testing.T) {
 	exceeded := 0
 	for seed := range uint64(20) {
@@ -115,7 +116,7 @@
 		exceeded += r.Exceeded
 	}
 	if exceeded == 0 {
-		t.Error("never exceeded")
+		t.Error("the limit was never exceeded")
 	}
 }
 
@@ -147,7 +148,7 @@
 			})
 			t.Logf("used %.3f, at most %d of %d, %d messages of %d bytes", r.UsedShare, r.MaxUsed, r.Bound, r.Messages, r.Bytes)
 			if r.UsedShare < c.minUsedShare {
-				t.Errorf("%.3f of what is wanted or allowed", r.UsedShare)
+				t.Errorf("used %.3f of the wanted or allowed requests, which is too little", r.UsedShare)
 			}
 		})
 	}
@@ -185,7 +186,7 @@
 				after := r.AdaptationTime(1, shift, c.rate, 0.85)
 				t.Logf("followed after %v", after)
 				if after == 0 || after > 2*time.Second {
-					t.Errorf("followed after %v", after)
+					t.Errorf("followed after %v, want at most 2 s (0: never)", after)
 				}
 			})
 		}
--- a/internal/peer/lease/leasesim/members.go
+++ b/internal/peer/lease/leasesim/members.go
@@ -7,25 +7,25 @@
 	"vetchhaven/internal/peer/lease"
 )
 
-// member is a process: a client, and among the first also a server.
+// member is a process. Each member is a client, and the first members are also servers.
 type member struct {
 	number      int
 	clockRate   float64
 	clockOffset time.Duration
-	clients     []*lease.Client // one; of a quorum one for each server
-	ledgers     []*quota.Ledger // of each client
-	server      *lease.Server   // nil: it is none
+	clients     []*lease.Client // one client; with QuorumOfServers one for each server
+	ledgers     []*quota.Ledger // ledger of each client
+	server      *lease.Server   // nil: the member is not a server
 	runID       uint64
 	paused      bool
 	down        bool            // messages to it are lost
-	running     int             // in flight by its own count
-	recent      []time.Duration // begun within the last second by its own count
-	gossiped    []int           // what each other one last reported as used
-	tokens      int             // in escrow
-	nextRequest time.Duration   // by its own clock
+	running     int             // attempts in flight by its own count
+	recent      []time.Duration // when attempts began, within the last second by its own count
+	gossiped    []int           // use that each other member last reported
+	tokens      int             // tokens that it has, with EscrowedTokens
+	nextRequest time.Duration   // time by its own clock before which it sends no further request or gossip
 }
 
-// clock returns the member's own time.
+// clock returns the time by the member's own clock.
 func (m *member) clock(now time.Duration) time.Duration {
 	return m.clockOffset + time.Duration(float64(now)*m.clockRate)
 }
@@ -45,7 +45,7 @@
 	return w.start(m)
 }
 
-// settingsOf returns the settings of a member's nth client. Each server of a quorum has the whole limit.
+// settingsOf returns the settings of a member's nth client. With QuorumOfServers, each server has the whole limit.
 func (w *world) settingsOf(n int) lease.Settings {
 	s := w.settings
 	if w.options.Strategy == QuorumOfServers {
@@ -54,7 +54,7 @@
 	return s
 }
 
-// start starts a member's process without memory.
+// start starts a member's process, which has no memory of an earlier run.
 func (w *world) start(m *member) error {
 	m.runID = w.rng.Uint64() | 1
 	m.clients = nil
@@ -83,14 +83,14 @@
 	return err
 }
 
-// restart starts a process again. What it had in flight goes on at its servers, but it does not know of it.
+// restart restarts a process. Its earlier attempts stay in flight, but the new process does not know of them.
 func (w *world) restart(m *member) {
 	m.running = 0
 	m.recent = nil
-	_ = w.start(m) // the same settings were accepted before
+	_ = w.start(m) // can't fail: the same settings were accepted before
 }
 
-// tick has a member do what it does by itself.
+// tick performs the periodic work of a member.
 func (w *world) tick(m *member) {
 	defer w.after(tickInterval, func() { w.tick(m) })
 	if m.paused {
@@ -109,7 +109,7 @@
 	}
 }
 
-// gossip has a member tell all others what it uses.
+// gossip sends the use of a member to all other members.
 func (w *world) gossip(m *member) {
 	now := m.clock(w.now)
 	if now < m.nextRequest {
@@ -124,7 +124,7 @@
 	}
 }
 
-// usedBy is what a member has in use by its own count.
+// usedBy returns the amount that a member has in use by its own count.
 func (w *world) usedBy(m *member) int {
 	if !w.options.Kind.IsRate() {
 		return m.running
@@ -135,7 +135,7 @@
 	return len(m.recent)
 }
 
-// requestLeases sends the requests of a member's nth client.
+// requestLeases sends the pending lease requests of a member's nth client.
 func (w *world) requestLeases(m *member, n int) {
 	for _, r := range m.clients[n].Requests(m.clock(w.now)) {
 		to := r.Server
@@ -147,7 +147,7 @@
 	}
 }
 
-// respond has a server respond to a request of a member's nth client.
+// respond makes a server respond to a request of a member's nth client.
 func (w *world) respond(m *member, n int, server *member, r lease.OutgoingRequest) {
 	grant := server.server.HandleRequest(server.clock(w.now), r.Request)
 	if grant == nil {
--- a/internal/peer/lease/leasesim/requests.go
+++ b/internal/peer/lease/leasesim/requests.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxArrivalWait is the longest wait for a request until the demand is looked at again, which may have changed.
+	// maxArrivalWait is the longest wait for a request, after which the demand is evaluated again since it may have
+	// changed.
 	maxArrivalWait = 250 * time.Millisecond
-	// minDemand is the least demand that is simulated, in requests a second.
+	// minDemand is the smallest demand that is simulated, in requests a second.
 	minDemand = 0.01
-	// minRequestInterval is the time between two requests for leases or tokens that a rejection prompted.
+	// minRequestInterval is the shortest time between two requests for leases or tokens that a rejection prompted.
 	minRequestInterval = 50 * time.Millisecond
 )
 
@@ -55,7 +56,7 @@
 	w.startAttempt(m, attemptTime, release)
 }
 
-// countStarted counts a start of a limit of a rate.
+// countStarted counts an attempt that begins, if the limit is a rate.
 func (w *world) countStarted() {
 	for len(w.started) > 0 && w.now-w.started[0] >= time.Second {
 		w.started = w.started[1:]
@@ -64,7 +65,8 @@
 	w.observeUse(len(w.started))
 }
 
-// startAttempt puts an attempt in flight. Its end is by its client's own clock.
+// startAttempt starts an attempt that counts in flight. If the client's clock is fast, the attempt ends earlier,
+// because the client measures its duration by that clock.
 func (w *world) startAttempt(m *member, attemptTime time.Duration, release func()) {
 	w.inFlight++
 	m.running++
@@ -79,17 +81,17 @@
 	})
 }
 
-// admit reports whether a request may start by the strategy, and returns what to call at its end.
+// admit reports whether a request may start by the strategy, and returns a function to call at its end.
 func (w *world) admit(m *member) (release func(), ok bool) {
-	nothing := func() {}
+	noop := func() {}
 	switch w.options.Strategy {
 	case StaticShares:
-		return nothing, w.usedBy(m) < lease.ServerShare(w.options.Total, m.number, w.options.Clients)
+		return noop, w.usedBy(m) < lease.ServerShare(w.options.Total, m.number, w.options.Clients)
 	case GossipedUse:
-		return nothing, w.gossipedUse(m) < w.options.Total
+		return noop, w.gossipedUse(m) < w.options.Total
 	case EscrowedTokens:
 		if w.usedBy(m) < m.tokens {
-			return nothing, true
+			return noop, true
 		}
 		w.requestTokens(m)
 		return nil, false
@@ -97,7 +99,7 @@
 	return w.admitByLease(m)
 }
 
-// gossipedUse is what all use, as far as a member knows.
+// gossipedUse returns the use of all members, as far as a member knows it.
 func (w *world) gossipedUse(m *member) int {
 	sum := w.usedBy(m)
 	for n, used := range m.gossiped {
@@ -129,7 +131,8 @@
 	}, true
 }
 
-// hasLease reports whether a majority of the servers has leased what a demand needs. Without a quorum there is one.
+// hasLease reports whether a majority of the member's ledgers has a lease for a demand. There is one ledger, or with
+// QuorumOfServers one for each server.
 func (m *member) hasLease(now time.Duration, demand *quota.Demand) bool {
 	leased := 0
 	for _, ledger := range m.ledgers {
@@ -142,7 +145,7 @@
 	return leased >= len(m.ledgers)/2+1
 }
 
-// reportRejection reports to the clients that something was rejected, but not too often.
+// reportRejection reports a rejection to the clients, at most once per minRequestInterval.
 func (m *member) reportRejection(now time.Duration) {
 	if now < m.nextRequest {
 		return
@@ -155,7 +158,7 @@
 	m.nextRequest = now + minRequestInterval
 }
 
-// requestTokens requests half of the tokens that a random other member does not use.
+// requestTokens requests half of the unused tokens of a random other member.
 func (w *world) requestTokens(m *member) {
 	if m.clock(w.now) < m.nextRequest {
 		return
@@ -184,8 +187,8 @@
 	})
 }
 
-// countAllowed adds the share of a request that a limit without any cost of division would admit: by the demand, and the
-// total.
+// countAllowed adds the fraction of a request that would be admitted if dividing the limit had no cost. It follows
+// from the demand of all members and the total.
 func (w *world) countAllowed() {
 	demand := 0.0
 	for n := range w.members {
@@ -198,7 +201,7 @@
 	w.allowed += min(1, capacity/demand)
 }
 
-// observeUse compares what is in use with the total.
+// observeUse compares the amount in use with the total, and records the result.
 func (w *world) observeUse(used int) {
 	w.result.MaxUsed = max(w.result.MaxUsed, used)
 	if used > w.options.Total {
--- a/internal/peer/lease/server.go
+++ b/internal/peer/lease/server.go
@@ -16,30 +16,30 @@
 	runID    uint64
 	position int           // in Settings.Servers
 	started  bool          // Tick was called
-	lastTick time.Duration // the latest
-	grants   uint64        // the number of the last grant
+	lastTick time.Duration // latest time at which Tick was called
+	grants   uint64        // number of the last grant
 	limits   []*serverLimit
 }
 
-// serverLimit is one limit at its server.
+// serverLimit is the state of one limit at a server.
 type serverLimit struct {
 	Limit
-	settings    Settings // the server's
-	position    int      // the server's
+	settings    Settings // settings of the server
+	position    int      // position of the server
 	fingerprint uint64
-	share       int           // of the total, this server's
-	grantsFrom  time.Duration // nothing is granted before
+	share       int           // this server's share of the total
+	grantsFrom  time.Duration // the server grants nothing before this time
 	rows        map[string]*serverRow
 }
 
 // serverRow is a limit, or one part of a partitioned limit.
 type serverRow struct {
 	holders      map[holderID]*holder
-	order        []holderID    // ascending: nothing may depend on the order of a map
+	order        []holderID    // sorted, since results must not depend on the order of a map
 	refreshedAt  time.Duration // 0: never
-	leased       int           // what all holders may have in use: as of refreshedAt, and what changed since
-	overcommit   float64       // share by which a soft limit is leased beyond its figure
-	overcommitAt time.Duration // it last changed
+	leased       int           // amount that all holders may have in use, kept up to date since refreshedAt
+	overcommit   float64       // fraction by which a soft limit is leased beyond the share
+	overcommitAt time.Duration // when overcommit was last adjusted
 }
 
 // holderID identifies one agent of one client's run.
@@ -58,31 +58,33 @@
 	grants      []grantedLease // ascending by number; the last one is current
 	need        int
 	desired     int
-	used        int    // as last reported
-	seq         uint64 // of its last request: what an earlier one that arrives later reports is outdated
+	used        int    // amount in use in the last report
+	seq         uint64 // Seq of its last request; an earlier request that arrives later is outdated
 	requestedAt time.Duration
 	leased      int // its part of serverRow.leased
-	share       int // that it may have now
-	lastAmount  int // last granted
+	share       int // amount that it may have now
+	lastAmount  int // amount of the last grant
 }
 
-// grantedLease is an amount that counts as leased: a grant, or what is reported to be in use.
+// grantedLease is an amount that counts as leased: a grant, or an amount that is reported to be in use.
 type grantedLease struct {
-	Number  uint64        `cbor:"1,keyasint,omitempty"` // 0: in use
+	Number  uint64        `cbor:"1,keyasint,omitempty"` // 0: the amount is reported to be in use
 	Amount  int           `cbor:"2,keyasint,omitempty"`
 	Expires time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 const (
-	// maxRows is how many parts of a partitioned limit a server keeps. It grants nothing of further ones.
+	// maxRows is the largest number of parts of a partitioned limit that a server keeps. It grants nothing of further
+	// parts.
 	maxRows = 4096
-	// fewHolders is up to how many holders a row is refreshed with each request; with more, every refreshInterval. Larger
-	// values cost processor time, smaller ones delay what others release.
-	fewHolders      = 32
+	// fewHolders is the number of holders up to which a row is refreshed with each request. A larger number costs
+	// processor time; a smaller one delays the use of amounts that other holders release.
+	fewHolders = 32
+	// refreshInterval is the time between two refreshes of a row with more than fewHolders holders.
 	refreshInterval = 25 * time.Millisecond
-	// holderIdleTimeout is when a holder is forgotten that has no lease and requests none.
+	// holderIdleTimeout is the time after which a holder that has no lease and requests none is forgotten.
 	holderIdleTimeout = 10 * time.Second
-	// maxRequestItems is how many items a request may have: larger ones are ignored.
+	// maxRequestItems is the largest number of items in a request. A request with more items is ignored.
 	maxRequestItems = 4 * MaxItems
 )
 
@@ -95,7 +97,7 @@
 	}
 	server := &Server{settings: s, name: name, runID: runID, position: slices.Index(s.Servers, name)}
 	if server.position < 0 {
-		return nil, fmt.Errorf("limits: %q is no keeper", name)
+		return nil, fmt.Errorf("limits: %q is not one of the keepers", name)
 	}
 	for _, l := range s.Limits {
 		server.limits = append(server.limits, &serverLimit{
@@ -110,9 +112,10 @@
 	return server, nil
 }
 
-// Tick has to be called regularly: by it a server finds out that it was paused. Another process may have been started in
-// its place meanwhile, and may have granted leases, so it waits like one that has just started. While it waits it responds
-// with amounts of 0, which replace the leases that clients have of its earlier run.
+// Tick has to be called regularly, so that a server detects that it was paused. Another process may have been started
+// in its place meanwhile, and may have granted leases, so a server that was paused waits like one that has just
+// started. While it waits it responds with amounts of 0, which replace the leases that clients have from its earlier
+// run.
 func (s *Server) Tick(now time.Duration) {
 	if !s.started || now-s.lastTick > s.settings.Term/2 {
 		for _, l := range s.limits {
@@ -123,7 +126,7 @@
 	s.lastTick = max(now, s.lastTick)
 }
 
-// HandleRequest takes a client's request, and returns the response; nil: none.
+// HandleRequest handles a client's request, and returns the response, or nil if there is none.
 func (s *Server) HandleRequest(now time.Duration, request *Request) *Grant {
 	s.Tick(now)
 	if request == nil || request.From == "" || request.Fingerprint != s.settings.Fingerprint() || len(request.Items) > maxRequestItems {
@@ -131,7 +134,8 @@
 	}
 	grant := &Grant{From: s.name, RunID: s.runID, Seq: request.Seq}
 	for _, item := range request.Items {
-		if request.ServerRunID != s.runID && item.LastGrant != releasedGrants { // of an earlier run: its grants have expired
+		if request.ServerRunID != s.runID && item.LastGrant != releasedGrants {
+			// The grants of an earlier run have expired.
 			item.LastGrant = 0
 			item.Used = 0
 		}
@@ -152,7 +156,8 @@
 	return grant
 }
 
-// rowFor returns the row of a key for a holder's request; nil if the request is outdated, or the limit has no such part.
+// rowFor returns the row of a key for a holder's request. It returns nil if the request is outdated, or if the limit
+// has no such part.
 func (l *serverLimit) rowFor(key string, id holderID, seq uint64) *serverRow {
 	r := l.rows[key]
 	if r != nil {
@@ -173,11 +178,11 @@
 type leaseRequest struct {
 	id     holderID
 	seq    uint64
-	number uint64 // of the grant that answers it
+	number uint64 // number of the grant that answers the request
 	item   *RequestItem
 }
 
-// grant notes what a holder has now, and grants it what it may have from now on.
+// grant records what a holder needs and uses, and grants it the amount that it may have from now on.
 func (r *serverRow) grant(now time.Duration, l *serverLimit, request leaseRequest) (amount int) {
 	h := r.holder(request.id)
 	h.need = max(0, request.item.Need)
@@ -185,7 +190,7 @@
 	h.seq = request.seq
 	h.requestedAt = now
 	h.used = request.item.Used
-	h.settle(now, l, request.item)
+	h.dropSupersededGrants(now, l, request.item)
 	if len(r.order) <= fewHolders || now-r.refreshedAt >= refreshInterval || r.refreshedAt == 0 {
 		r.refresh(now, l)
 	}
@@ -212,8 +217,8 @@
 	return h
 }
 
-// stableShare returns the holder's share, or what it had last where that is hardly more and it needs it: what changes
-// hands is unused for up to a second.
+// stableShare returns the holder's share. If the last granted amount is only a little larger and the holder needs it,
+// it returns that amount instead, because an amount that moves to another holder is unused for up to a second.
 func (h *holder) stableShare() int {
 	const maxExcessShare = 8 // an eighth of the last amount
 	excess := h.lastAmount - h.share
@@ -223,10 +228,10 @@
 	return h.share
 }
 
-// settle drops the grants that a holder does not go by any more, because it has adopted a later one. What it used at that
-// moment may still be in use: in flight until it reports otherwise or its lease would have ended; begun within a second,
-// for a second.
-func (h *holder) settle(now time.Duration, l *serverLimit, item *RequestItem) {
+// dropSupersededGrants drops the grants that a holder no longer uses because it has adopted a later one. The amount
+// that it used at that moment may still be in use, so it counts as leased: attempts in flight until the holder
+// reports otherwise or the lease would have ended, attempts of a rate for one more second.
+func (h *holder) dropSupersededGrants(now time.Duration, l *serverLimit, item *RequestItem) {
 	retained := h.grants[:0]
 	lastDropped := time.Duration(0)
 	for _, g := range h.grants {
@@ -247,7 +252,7 @@
 	h.grants = retained
 }
 
-// usedUntil returns until when what a holder reports as used counts as leased.
+// usedUntil returns the time until which the amount that a holder reports as used counts as leased.
 func (l *serverLimit) usedUntil(now time.Duration, item *RequestItem, lastDropped time.Duration) time.Duration {
 	switch {
 	case l.Kind.IsRate():
@@ -255,11 +260,12 @@
 	case item.LastGrant == releasedGrants:
 		return lastDropped
 	}
-	// It may be in flight for longer than any lease, such as an upload, while its holder reports it.
+	// An attempt, such as an upload, may be in flight for longer than any lease. It counts as long as its holder
+	// reports it.
 	return now + l.settings.serverTerm(l.Kind)
 }
 
-// maxInUse returns the most that a holder may have in use.
+// maxInUse returns the largest amount that a holder may have in use.
 func (h *holder) maxInUse(now time.Duration) int {
 	highest := 0
 	for _, g := range h.grants {
@@ -270,7 +276,7 @@
 	return highest
 }
 
-// refresh sums up what is leased, forgets idle holders, and divides the server's share anew.
+// refresh sums up the leased amounts, forgets idle holders, and divides the server's share again.
 func (r *serverRow) refresh(now time.Duration, l *serverLimit) {
 	r.refreshedAt = max(now, 1)
 	r.leased = 0
--- a/internal/peer/lease/server_test.go
+++ b/internal/peer/lease/server_test.go
@@ -17,16 +17,16 @@
 		t.Fatalf("granted %d of 10", first)
 	}
 	h.request("x", 2, number, 9)
-	h.expect("y", 10, 0, "x may still go by 10")
+	h.expect("y", 10, 0, "x may still use its lease of 10")
 
 	_, number = h.request("x", 2, number, 9)
-	h.request("x", 2, number, 9) // it adopted the reduced lease with nine in flight
+	h.request("x", 2, number, 9) // x has adopted the reduced lease with nine in flight
 	h.expect("y", 10, 1, "x has nine in flight")
 
 	_, number = h.request("x", 2, number, 3)
 	h.request("x", 2, number, 2)
 	if got, _ := h.request("y", 10, 0, 0); got < 7 {
-		t.Errorf("y is granted %d beside two in flight", got)
+		t.Errorf("y was granted %d while x has two in flight, want at least 7", got)
 	}
 }
 
@@ -35,12 +35,12 @@
 	_, number := h.request("x", 10, 0, 0)
 	outdated := h.newRequest("x", RequestItem{LastGrant: number})
 	_, number = h.request("x", 0, number, 0)
-	h.request("x", 0, number, 10) // ten have begun, and it goes by no lease any more
-	h.send(outdated)              // from before they began, and delayed until now
-	h.expect("y", 10, 0, "ten began within the second")
+	h.request("x", 0, number, 10) // ten attempts of x have begun, and x has adopted a grant of 0
+	h.send(outdated)              // sent before the attempts began, and delayed until now
+	h.expect("y", 10, 0, "ten attempts of x began within the last second")
 	h.now += 1300 * time.Millisecond
 	h.request("x", 0, number, 0)
-	h.expect("y", 10, 10, "the second is over")
+	h.expect("y", 10, 10, "the attempts of x began more than a second ago")
 }
 
 func TestStartingServerGrantsNothingUntilEarlierLeasesExpired(t *testing.T) {
@@ -51,14 +51,14 @@
 			server.Tick(h.now)
 			for end := h.now + server.settings.serverTerm(kind); h.now < end; h.now += 100 * time.Millisecond {
 				if got, _ := h.request("x", 5, 0, 0); got != 0 {
-					t.Fatalf("granted %v before the end of what another run may have granted", end-h.now)
+					t.Fatalf("granted %v before the leases of an earlier run have certainly expired", end-h.now)
 				}
 			}
 			if got, _ := h.request("x", 5, 0, 0); got < 5 {
-				t.Errorf("granted %d after that", got)
+				t.Errorf("x was granted %d after that, want 5", got)
 			}
 			h.now += server.settings.Term
-			h.expect("y", 5, 0, "it was paused for a term: another process may have granted in its place")
+			h.expect("y", 5, 0, "the server was paused for a term: another process may have granted leases")
 		})
 	}
 }
@@ -69,7 +69,7 @@
 	end := h.now + h.server.settings.serverTerm(quota.InFlight)
 	for ; h.now < end-50*time.Millisecond; h.now += 100 * time.Millisecond {
 		if got, _ := h.request("y", 10, 0, 0); got != 0 {
-			t.Fatalf("y is granted %d, %v before the lease of x is certain to have expired", got, end-h.now)
+			t.Fatalf("y was granted %d, %v before the lease of x has certainly expired", got, end-h.now)
 		}
 	}
 	h.now = end + 50*time.Millisecond
@@ -84,9 +84,9 @@
 		const successorStart = 5 * time.Second
 		successor := mustNewServer(t, s, 99)
 		if !successor.Resume(successorStart, h.server.State(h.now)) || successor.runID != testRunID {
-			t.Fatal("the state was not resumed")
+			t.Fatal("the successor did not resume the state")
 		}
-		h.replacedBy(successor, successorStart).expect("y", 10, 10-leased, "x has the others")
+		h.replacedBy(successor, successorStart).expect("y", 10, 10-leased, "x has a lease of the rest")
 	})
 	t.Run("a lower total", func(t *testing.T) {
 		h := newServerHarness(t, s)
@@ -94,7 +94,7 @@
 		lower := s
 		lower.Limits = slices.Clone(s.Limits)
 		lower.Limits[0].Total = 5
-		h.takeOver(lower).expect("y", 10, 0, "x has 8 of what are 5 now")
+		h.takeOver(lower).expect("y", 10, 0, "x has a lease of 8, and the total is 5 now")
 	})
 	t.Run("other servers", func(t *testing.T) {
 		h := newServerHarness(t, s)
@@ -112,13 +112,13 @@
 		successor := h.takeOver(shorter)
 		for end := h.now + longTerm; successor.now < end; successor.now += 100 * time.Millisecond {
 			if got, _ := successor.request("y", 10, 0, 0); got != 0 {
-				t.Fatalf("granted %d, %v before the longer leases have expired", got, end-successor.now)
+				t.Fatalf("y was granted %d, %v before the longer leases have expired", got, end-successor.now)
 			}
 		}
 	})
 }
 
-// takeOver returns a harness of a server of other settings that took over from this one.
+// takeOver returns a harness of a server that has other settings and has taken over from this one.
 func (h *serverHarness) takeOver(s Settings) *serverHarness {
 	h.t.Helper()
 	successor := mustNewServer(h.t, s, testRunID)
@@ -146,7 +146,8 @@
 	}
 }
 
-// What a successor gets of one state is the same bytes each time. Rows came in a map's order.
+// The encoded state that a successor gets must be the same bytes each time. Without sorting, its rows had the random
+// order of a map.
 func TestHandedOverRowsAreInOrder(t *testing.T) {
 	l := &serverLimit{rows: map[string]*serverRow{}}
 	for n := range 20 {
--- a/internal/peer/lease/status.go
+++ b/internal/peer/lease/status.go
@@ -11,19 +11,19 @@
 // ClientLimitStatus is the state of one limit, or one part of it, at this daemon, for operators.
 type ClientLimitStatus struct {
 	Limit, Key string
-	Used       int // in flight, or begun within the last second, as agents last reported
-	Rejected   int // within the last second
+	Used       int // attempts in flight, or begun within the last second, as agents last reported
+	Rejected   int // attempts rejected within the last second
 	Leases     []ClientLeaseStatus
 }
 
-// ClientLeaseStatus is what one server has granted to this daemon's agents.
+// ClientLeaseStatus is the sum of the leases that one server has granted to this daemon's agents.
 type ClientLeaseStatus struct {
 	Server    string
 	Amount    int
-	Remaining time.Duration // until the first of them expires
+	Remaining time.Duration // time until the first of these leases expires
 }
 
-// Status returns the state of all limits, in their order, and by key.
+// Status returns the state of all limits, in the order of the settings and then by key.
 func (c *Client) Status(now time.Duration) []ClientLimitStatus {
 	sums := map[rowID]*ClientLimitStatus{}
 	var order []rowID
@@ -57,7 +57,7 @@
 	return s
 }
 
-// add adds one agent's row.
+// add adds the row of one agent to the status.
 func (s *ClientLimitStatus) add(now time.Duration, r *clientRow) {
 	s.Used += r.used
 	for _, a := range r.attempts {
@@ -78,16 +78,16 @@
 	}
 }
 
-// LimitStatus is how much of a server's share of a limit, or of one part of it, is leased, for operators.
+// LimitStatus is the state of a server's share of a limit, or of one part of it, for operators.
 type LimitStatus struct {
 	Limit, Key    string
 	Share         int
 	Leased        int
-	WaitRemaining time.Duration  // nothing is granted for so long yet
-	Holders       map[string]int // leased, by client
+	WaitRemaining time.Duration  // the server still grants nothing for this time
+	Holders       map[string]int // leased amount by client
 }
 
-// Status returns the state of all limits, in their order, and by key.
+// Status returns the state of all limits, in the order of the settings and then by key.
 func (s *Server) Status(now time.Duration) []LimitStatus {
 	var all []LimitStatus
 	for _, l := range s.limits {
--- a/internal/peer/lease/terms.go
+++ b/internal/peer/lease/terms.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide/quota"
 )
 
-// clientTerm is how long a lease lasts at its client, from when it was requested. What counts in flight has to end by
-// then.
+// clientTerm returns how long a lease lasts at its client, from when it was requested. Attempts that count in flight
+// have to end by then.
 func (s Settings) clientTerm(kind quota.Kind) time.Duration {
 	if kind.IsRate() {
 		return s.Term
@@ -16,17 +16,18 @@
 	return s.MaxAttemptTime + s.Term
 }
 
-// serverTerm is how long a lease counts as leased at its server, from when it was granted.
+// serverTerm returns how long an amount counts as leased at its server, from when it was granted.
 func (s Settings) serverTerm(kind quota.Kind) time.Duration {
 	term := s.clientTerm(kind)
-	if kind.IsRate() { // what began at its end counts for another window
+	if kind.IsRate() { // attempts that begin at the end of the lease count for another window
 		term += rateWindow + startWithin
 	}
 	return s.elapsedOnAnyClock(term)
 }
 
-// rateSpan is the time over which an agent counts what it begins, so that no true second has more than the limit, and
-// within which an attempt has to be sent after that; 0: at any time.
+// rateSpan returns the time over which an agent counts the attempts that it begins, such that no true second has more
+// of them than the limit. It also returns the time within which an attempt has to be sent after it was counted; 0
+// means that there is no such bound.
 func (s Settings) rateSpan(l *Limit) (span, sendWithin time.Duration) {
 	if l.Hard {
 		return s.elapsedOnAnyClock(rateWindow + startWithin), startWithin
@@ -34,14 +35,15 @@
 	return s.elapsedOnAnyClock(rateWindow), 0
 }
 
-// elapsedOnAnyClock returns a time by this clock within which d has elapsed by any other. The rate of each is between
-// 1-ClockDrift and 1+ClockDrift of the true one.
+// elapsedOnAnyClock returns a duration by this clock during which at least d elapses by any other clock. The rate of
+// each clock is between 1-ClockDrift and 1+ClockDrift times the true rate.
 func (s Settings) elapsedOnAnyClock(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
 }
 
-// floor is what each of so many agents may use of a soft limit without a lease: amount within each span. Less than one a
-// second becomes one within a longer span; less than one in flight becomes none.
+// floor returns the amount of a soft limit that each of a number of agents may use within each span without a lease.
+// For a rate, less than one a second becomes one within a longer span. For attempts in flight, less than one becomes
+// none.
 func (s Settings) floor(l *Limit, agents int) (amount int, span time.Duration) {
 	perAgent := l.FloorShare * float64(l.Total) / float64(max(1, agents))
 	span, _ = s.rateSpan(l)
@@ -54,11 +56,11 @@
 	return int(perAgent), span
 }
 
-// noExpiry is past the end of any process, and far from an overflow.
+// noExpiry is later than the end of any process, and far from an overflow.
 const noExpiry = 100 * 365 * 24 * time.Hour
 
-// Floors returns what each agent may use of soft limits without leases, in a fleet of so many agents at most. They hold
-// until others replace them.
+// Floors returns the amounts of soft limits that each agent may use without leases, in a fleet of at most this many
+// agents. They are valid until other floors replace them.
 func (s Settings) Floors(agents int) []quota.Lease {
 	s, _ = s.withDefaults()
 	var all []quota.Lease
@@ -73,28 +75,28 @@
 	return all
 }
 
-// Bounds is what holds for a limit by its settings and the number of agents alone.
+// Bounds has the bounds of a limit that follow from its settings and the number of agents alone.
 type Bounds struct {
 	Total int
-	// MaxLeased is the most that is leased at once, and MaxFloors the most that all agents use without leases; Max is the
-	// most that is ever used: in flight at once, or begun in any second.
+	// MaxLeased is the largest amount that is leased at once, and MaxFloors the largest amount that all agents use
+	// without leases. Max is the largest amount that is ever used: in flight at once, or begun in any second.
 	MaxLeased int
 	MaxFloors int
 	Max       int
-	// Term is the time within which a lease expires whose client cannot reach its server.
+	// Term is the time within which a lease expires if its client can't reach its server.
 	Term time.Duration
-	// Reclaim is the time after which a lease of a failed client is granted to others, at most.
+	// Reclaim is the longest time until the lease of a failed client can be granted to others.
 	Reclaim time.Duration
-	// StartupWait is how long a server grants nothing that starts, or was paused.
+	// StartupWait is how long a server that starts, or was paused, grants no leases.
 	StartupWait time.Duration
-	// Shares are the servers' shares. One side of a partition may use those of its servers, and its floors.
+	// Shares are the servers' shares. One side of a partition may use the shares of its servers, and its floors.
 	Shares []int
-	// IsolatedAmount is what an agent that reaches no server may use within each IsolatedSpan.
+	// IsolatedAmount is the amount that an agent that reaches no server may use within each IsolatedSpan.
 	IsolatedAmount int
 	IsolatedSpan   time.Duration
 }
 
-// Bounds returns those of a limit, with so many agents.
+// Bounds returns the bounds of a limit in a fleet with this many agents.
 func (s Settings) Bounds(l Limit, agents int) Bounds {
 	s, _ = s.withDefaults()
 	l = l.withDefaults()
@@ -115,7 +117,7 @@
 	return b
 }
 
-// maxOvercommit is how much more than its share of a limit a server may lease.
+// maxOvercommit returns the largest amount that a server may lease beyond its share of a limit.
 func (l *Limit) maxOvercommit(share int) int {
 	if l.Hard {
 		return 0
--- a/internal/peer/lease/usage.go
+++ b/internal/peer/lease/usage.go
@@ -8,7 +8,8 @@
 	"vetchhaven/decide/quota"
 )
 
-// ReportUsage takes an agent's complete report. Where something was rejected, or little is left, servers are asked soon.
+// ReportUsage records an agent's complete report. If the agent has rejected something, or if little of its leases is
+// left, the next requests to the servers are sent soon.
 func (c *Client) ReportUsage(now time.Duration, agentID uint32, usages []quota.Usage) {
 	if c.agents[agentID] == nil {
 		if c.removed[agentID] {
@@ -17,7 +18,7 @@
 		c.AddAgent(now, agentID) // the event that announced it was lost
 	}
 	short := false
-	shrunk := make([]bool, len(c.servers)) // an agent adopted less of its lease: others may have the rest
+	shrunk := make([]bool, len(c.servers)) // the agent adopted a reduced lease: others may get the rest
 	used := map[rowID]int{}
 	for _, u := range usages {
 		limit := slices.IndexFunc(c.settings.Limits, func(l Limit) bool { return l.Name == u.Limit })
@@ -51,8 +52,8 @@
 	}
 }
 
-// adopt notes which grant the agent goes by, in the server's terms. It reports whether the agent has come below a reduced
-// amount by that.
+// adopt records which of the server's grants the agent uses now. It reports whether the agent has thereby come below a
+// reduced amount.
 func (l *clientLease) adopt(u quota.Usage) (shrunk bool) {
 	for i := len(l.issued) - 1; i >= 0; i-- {
 		issued := l.issued[i]
@@ -71,8 +72,9 @@
 	return false
 }
 
-// estimateNeed estimates what an agent needs: what it uses, and what it would have used of what it rejected within the
-// last second. What is in flight varies by chance, so its decrease is smoothed.
+// estimateNeed estimates the amount that an agent needs: the amount that it uses, plus the amount that it would have
+// used for the attempts that it rejected within the last second. The number of attempts in flight varies by chance,
+// so its decrease is smoothed.
 func (r *clientRow) estimateNeed(now time.Duration, used int, kind quota.Kind) {
 	r.attempts = slices.DeleteFunc(r.attempts, func(a attempts) bool { return now-a.at >= rateWindow })
 	started, rejected := 0, 0
@@ -103,7 +105,8 @@
 	}
 }
 
-// isLow reports whether so little is left that the next few uses may find nothing: servers may have more by now.
+// isLow reports whether so little of the leases is left that the next few attempts may exhaust it. Servers may have
+// more to grant by now.
 func (r *clientRow) isLow(now time.Duration) bool {
 	leased := 0
 	for _, l := range r.leases {
