--- a/internal/protocol/http1/attempt.go
+++ b/internal/protocol/http1/attempt.go
@@ -10,24 +10,25 @@
 	"vetchhaven/internal/wire"
 )
 
-// attemptOwner is what an attempt is made for: a request (core.Attempt), or a probe. It admits each write and each dial.
+// attemptOwner is what an attempt is made for: a request (core.Attempt) or a probe. It admits each write and each
+// dial.
 type attemptOwner interface {
-	BeginWrite(interrupt func()) core.SendRefusal    // admits the first byte; interrupt ends a write that was admitted
-	ContinueWrite(interrupt func()) core.SendRefusal // admits a further piece of the body
-	EndWrite()                                       // ends the write that was admitted
-	Ended() <-chan struct{}                          // closed when the request has its final answer: nothing more is sent for it
-	Disconnected() bool                              // its client has disconnected, whether its reader has seen that or not
-	MayDial() bool                                   // it may open a connection
-	MarkDialed()                                     // it opens a connection
-	Sent()                                           // its last byte is written
-	UploadCompleted()                                // the last byte of an upload is written
-	MarkNotReplayable()                              // its body can't be sent again
-	StartResponse(core.ServerProgress) bool          // whether its response may begin to reach the client
+	BeginWrite(interrupt func()) core.SendRefusal    // admits the first write; interrupt ends a write that was admitted
+	ContinueWrite(interrupt func()) core.SendRefusal // admits the write of a further piece of the body
+	EndWrite()                                       // says that the admitted write has ended
+	Ended() <-chan struct{}                          // closed once the request has its final answer; no more is sent
+	Disconnected() bool                              // the client has disconnected, detected by its reader or not
+	MayDial() bool                                   // the attempt may open a connection
+	MarkDialed()                                     // the attempt opens a connection
+	Sent()                                           // the request's last byte was written
+	UploadCompleted()                                // the last byte of an upload was written
+	MarkNotReplayable()                              // the request's body can't be sent again
+	StartResponse(core.ServerProgress) bool          // whether the response may begin to be sent to the client
 }
 
-// attempt sends m to a server once, and waits for its response until ctx ends at the latest. The result follows the
-// protocol's table of outcomes; where it is not certain that the server ran nothing, the result says so. The response is
-// nil unless the result is decide.OK.
+// attempt sends m to a server once, and waits for the response until ctx ends at the latest. The result follows the
+// protocol's table of outcomes: it promises that the server did not execute the request only where that is certain.
+// The response is nil unless the result is decide.OK.
 func (p *connPool) attempt(ctx context.Context, owner attemptOwner, id string, m *message) (decide.Result, *response, decide.Load) {
 	noLoad := wire.Load(nil)
 	c, addr, err := p.acquire(id)
@@ -50,7 +51,7 @@
 	}
 	if !p.isCurrentAddress(id, c.addr) {
 		p.release(id, c, true)
-		return decide.Incomplete, nil, noLoad // it never ran, and another server may get it
+		return decide.Incomplete, nil, noLoad // the request never ran, and another server may get it
 	}
 	a, fullyWritten, err := p.exchange(ctx, owner, c, m)
 	var refused *sendRefusedError
@@ -78,8 +79,9 @@
 	return decide.Errored, nil, load
 }
 
-// failureResult is the result of an attempt that brought no response. cause is what ended its context, nil if nothing did;
-// fullyWritten says that the request's last byte was written, so that the server may have run it.
+// failureResult returns the result of an attempt that brought no response. cause is the cause of the end of its
+// context, or nil; fullyWritten says that the request's last byte was written, so that the server may have executed
+// it.
 func failureResult(cause, err error, fullyWritten bool) decide.Result {
 	switch {
 	case errors.Is(err, errClientFault) && !fullyWritten:
@@ -92,12 +94,12 @@
 		return decide.Cancelled
 	case cause != nil:
 		return decide.TimedOut
-	case !fullyWritten: // the rest can't follow, since the connection is closed
+	case !fullyWritten: // the server can't get the rest, since the connection is closed
 		return decide.Incomplete
 	case errors.Is(err, errConnectionEnded):
 		return decide.Reset
 	}
-	return decide.Errored // a process responds, but not with a valid response
+	return decide.Errored // a process responds, but its response is invalid
 }
 
 // hasEnded reports whether an attempt's request has its final answer.
--- a/internal/protocol/http1/attempt_test.go
+++ b/internal/protocol/http1/attempt_test.go
@@ -19,28 +19,28 @@
 	"vetchhaven/internal/wire"
 )
 
-// Each row of the protocol's table of outcomes. What is taken for 'never ran' may be sent again
-// or refused, so a wrong row can do an effect twice.
+// Each case is a row of the protocol's table of outcomes. A request that counts as never executed may be sent again or
+// refused, so a wrong row can cause an effect twice.
 func TestOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
 		answer string
 		want   decide.Result
 	}{
-		"served":               {ok200, decide.OK},
-		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", decide.OK},
-		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
-		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
-		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", decide.Errored},
-		"closed unanswered":    {"", decide.Reset},
-		"broken in the header": {"HTTP/1.1 200 OK\r\nTRUNCATED", decide.Reset},
-		"truncated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", decide.Reset},
-		"truncated chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", decide.Reset},
-		// There is a process, and it may have run what it answers amiss.
-		"no HTTP":               {"TRUNCATED\r\n\r\n", decide.Errored},
+		"served":                    {ok200, decide.OK},
+		"served in chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", decide.OK},
+		"error":                     {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"full":                      {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
+		"deadline passed":           {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Rejected},
+		"503 without proof":         {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"504 without proof":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"500 is no proof":           {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"redirect":                  {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", decide.Errored},
+		"closed without a response": {"", decide.Reset},
+		"broken in the header":      {"HTTP/1.1 200 OK\r\nTRUNCATED", decide.Reset},
+		"truncated length":          {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", decide.Reset},
+		"truncated chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", decide.Reset},
+		// A process responds, and may have executed the request to which its response is invalid.
+		"not HTTP":              {"TRUNCATED\r\n\r\n", decide.Errored},
 		"noise":                 {"\x00\xff\r\n\r\n", decide.Errored},
 		"noise without an end":  {"\x00\xff TRUNCATED", decide.Reset},
 		"status behind words":   {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", decide.Errored},
@@ -61,11 +61,11 @@
 		"chunk of no number":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nabcxyz\r\nhello\r\n0\r\n\r\n", decide.Errored},
 		"endless chunks":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 1<<18), decide.Errored},
 		"3 GB that keep coming": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20), decide.Errored},
-		// What belongs to an answer is good, whatever comes with it.
-		"1xx ahead":            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200, decide.OK},
-		"unreadable report":    {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff queue==, eps=NaN\r\nContent-Length: 5\r\n\r\nhello", decide.OK},
-		"a second copy behind": {ok200 + ok200, decide.OK},
-		"noise behind":         {ok200 + "\x00\xff\r\n", decide.OK},
+		// The response itself is valid, whatever comes with it.
+		"1xx ahead":                {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200, decide.OK},
+		"unreadable report":        {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff queue==, eps=NaN\r\nContent-Length: 5\r\n\r\nhello", decide.OK},
+		"a second response behind": {ok200 + ok200, decide.OK},
+		"noise behind":             {ok200 + "\x00\xff\r\n", decide.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serveRaw(t, func(int) string { return row.answer })
@@ -74,16 +74,16 @@
 			b := poolFor(t, s.addr)
 			result, a, _ := attemptAt(t, ctx, b, "body")
 			if result != row.want || (a != nil) != (row.want == decide.OK) {
-				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
+				t.Errorf("result %v, response %v; want %v", result, a, row.want)
 			}
 			if a != nil && string(a.body) != "hello" {
 				t.Errorf("body %q", a.body)
 			}
 			if result == decide.Errored && a == nil && strings.HasPrefix(row.answer, "HTTP/1.1 200") && b.open != 0 {
-				t.Error("a connection that brought a spoilt answer was kept")
+				t.Error("a connection that brought an invalid response was kept")
 			}
 			if b.responseBudget.Free() != int64(b.cfg.BodyMemory()) {
-				t.Error("bytes of the answer stay booked")
+				t.Error("bytes of the response stay reserved")
 			}
 		})
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// A new connection that the backend resets before dial has returned, and a dial that the attempt's
-// own end cuts short, prove that nothing ran, and not that a process has ended. Whether a reset is
-// found by the dial or by the first write is chance, so the dialer here waits for it.
+// If the server resets a new connection before dial has returned, or if the end of the attempt ends the dial, then
+// nothing was executed, but the server's process need not have ended. Whether the dial or the first write detects a
+// reset is a matter of chance, so the dialer here waits for the reset.
 func TestOutcomeOfConnectionBrokenWhileDialling(t *testing.T) {
 	ln := resetting(t)
 	b := poolFor(t, ln.Addr().String())
@@ -113,19 +113,19 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(core.ErrTimedOut)
 	if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete {
-		t.Errorf("out of time: result %v", result)
+		t.Errorf("timed out: result %v", result)
 	}
-	b.cfg.Settings.ConnectTimeout = time.Millisecond // not up in time: it may be late, or cut off
+	b.cfg.Settings.ConnectTimeout = time.Millisecond // not open in time: the server may be slow, or unreachable
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Incomplete {
-		t.Errorf("not up in time: result %v", result)
+		t.Errorf("not open in time: result %v", result)
 	}
-	testkit.WaitFor(t, "the end of the dial that went on", func() bool {
+	testkit.WaitFor(t, "the end of the dial that continued", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.open == 0
 	})
 	b.cfg.Settings.ConnectTimeout = testkit.Patience
-	b.dialer = new(net.Dialer).DialContext // refused: nobody is there
+	b.dialer = new(net.Dialer).DialContext // refused: no process listens there
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("refused: result %v", result)
@@ -135,8 +135,8 @@
 	}
 }
 
-// A connection that this machine could not begin is no fault of its backend, and one to a machine that is not reached says
-// nothing of a process: only one that is refused does.
+// If this machine has no resources for a connection, that is no fault of the server. If the server's machine is
+// unreachable, that says nothing about the server's process: only a refused connection does.
 func TestOutcomeOfConnectErrors(t *testing.T) {
 	for err, want := range map[syscall.Errno]decide.Result{
 		syscall.ECONNREFUSED: decide.ConnectFailed,
@@ -144,7 +144,7 @@
 		syscall.ENOMEM: decide.NotSent, syscall.EADDRNOTAVAIL: decide.NotSent,
 		syscall.EHOSTUNREACH: decide.Incomplete, syscall.ENETUNREACH: decide.Incomplete, syscall.ETIMEDOUT: decide.Incomplete,
 		syscall.ECONNRESET: decide.Incomplete, syscall.ECONNABORTED: decide.Incomplete,
-		// None of these says that a process has ended: only a refusal does.
+		// None of these says that the server's process has ended: only a refused connection does.
 		syscall.ENETDOWN: decide.Incomplete, syscall.EPERM: decide.Incomplete, syscall.EACCES: decide.Incomplete, syscall.EIO: decide.Incomplete,
 		syscall.EHOSTDOWN: decide.Incomplete, syscall.EINVAL: decide.Incomplete,
 	} {
@@ -161,8 +161,8 @@
 	}
 }
 
-// A backend that takes the request and says nothing: the attempt ends when the agent stops
-// waiting, may have run, and its connection is not used again.
+// The server accepts the request and sends nothing. The attempt ends when the agent stops waiting, the request may
+// have been executed, and the connection is not reused.
 func TestOutcomeOfAttemptPastItsDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -189,24 +189,24 @@
 	}
 }
 
-// shortConn breaks after so many bytes of the request.
+// shortConn breaks after remaining further bytes were written.
 type shortConn struct {
 	net.Conn
-	room int
+	remaining int
 }
 
 func (c *shortConn) Write(p []byte) (int, error) {
-	if len(p) <= c.room {
-		c.room -= len(p)
+	if len(p) <= c.remaining {
+		c.remaining -= len(p)
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:c.room])
-	c.room = 0
+	n, _ := c.Conn.Write(p[:c.remaining])
+	c.remaining = 0
 	return n, errors.New("broken pipe")
 }
 
-// A connection that breaks before the request's last byte is written proves that nothing ran;
-// one byte later it proves nothing.
+// If a connection breaks before the request's last byte is written, the request was not executed; one byte later it
+// may have been.
 func TestOutcomeOfPartialWrite(t *testing.T) {
 	s := serveConns(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	for _, room := range []int{0, 10, 6000} {
@@ -225,10 +225,9 @@
 	}
 }
 
-// net/http's Transport sends a request again by itself when a reused connection turns out to be
-// dead, also a POST that carries Idempotency-Key. That would be an attempt the module never
-// asked for. Here the first request leaves a connection, which the backend closes without an
-// answer to the second.
+// net/http's Transport retries a request by itself when a reused connection turns out to be dead, even a POST with an
+// Idempotency-Key. That would be an attempt that the balancer did not ask for. Here the first request leaves an idle
+// connection, which the server closes without a response to the second request.
 func TestNothingIsResentAfterStaleConnection(t *testing.T) {
 	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	b := poolFor(t, s.addr)
@@ -238,12 +237,12 @@
 	if len(b.idle["s"]) != 1 {
 		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
 	}
-	endRest(b)
+	passReuseDelay(b)
 	if result, _, _ := attemptAt(t, context.Background(), b, "two"); result != decide.Reset {
 		t.Fatalf("second: %v", result)
 	}
 	if n := len(s.seen); n != 2 {
-		t.Errorf("%d requests reached the backend, 2 were asked for", n)
+		t.Errorf("%d requests reached the server, want 2", n)
 	}
 }
 
@@ -268,42 +267,42 @@
 	}
 }
 
-// A request may end while a connection is being opened for it, as when its client hangs up.
-// Nothing is sent for it then; the connection serves the next one.
+// A request may end while a connection is being opened for it, for example because its client disconnects. Then
+// nothing is sent for it, and the connection serves the next request.
 func TestNothingIsSentAfterRequestEnded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	dial := b.dialer
 	b.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		close(over)
+		close(ended)
 		return c, err
 	}
 	m := newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil)
-	if r, _, _ := b.attempt(context.Background(), endedOwner{over: over}, "s", m); r != decide.NotSent {
+	if r, _, _ := b.attempt(context.Background(), stubOwner{ended: ended}, "s", m); r != decide.NotSent {
 		t.Errorf("result %v", r)
 	}
-	endRest(b)
+	passReuseDelay(b)
 	if r, _, _ := b.attempt(context.Background(), probeOwner{}, "s", m); r != decide.OK || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+		t.Errorf("result %v, %d requests reached the server", r, len(s.seen))
 	}
 }
 
-// Without a right that still holds nothing is sent, and without one to open a connection none is opened: of what is there
-// already the next one makes use.
+// An attempt whose deduplication window or lease is over sends nothing. An attempt that may not dial opens no
+// connection, but uses an idle one.
 func TestNothingIsSentOrDialledWithoutAdmission(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
 	m := newMessage("GET", "a", &url.URL{Path: "/get/x"}, nil, nil)
-	if r, _, _ := b.attempt(context.Background(), endedOwner{noDial: true}, "s", m); r != decide.NotSent || b.open != 0 {
+	if r, _, _ := b.attempt(context.Background(), stubOwner{noDial: true}, "s", m); r != decide.NotSent || b.open != 0 {
 		t.Errorf("result %v, %d connections", r, b.open)
 	}
-	if r, _, _ := b.attempt(context.Background(), endedOwner{lapsed: true}, "s", m); r != decide.NotSent || len(s.seen) != 0 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	if r, _, _ := b.attempt(context.Background(), stubOwner{windowClosed: true}, "s", m); r != decide.NotSent || len(s.seen) != 0 {
+		t.Errorf("result %v, %d requests reached the server", r, len(s.seen))
 	}
-	endRest(b)
-	if r, _, _ := b.attempt(context.Background(), endedOwner{noDial: true}, "s", m); r != decide.OK || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	passReuseDelay(b)
+	if r, _, _ := b.attempt(context.Background(), stubOwner{noDial: true}, "s", m); r != decide.OK || len(s.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the server", r, len(s.seen))
 	}
 }
--- a/internal/protocol/http1/chunks.go
+++ b/internal/protocol/http1/chunks.go
@@ -7,29 +7,31 @@
 	"io"
 )
 
-// chunkedBody decodes a chunked body (RFC 9112, 7.1), and reads no further than its end. It returns what has come at once:
-// net/http's decoder waits within a chunk until the caller's buffer is full, and so holds back what a slow peer has sent.
+// chunkedBody decodes a chunked body (RFC 9112, 7.1), and consumes nothing behind its end. It returns bytes as soon as
+// they arrive: net/http's decoder waits within a chunk until the caller's buffer is full, and so delays the bytes of a
+// slow peer.
 type chunkedBody struct {
 	in        *bufio.Reader
-	remaining int64 // bytes of the present chunk
+	remaining int64 // bytes of the current chunk that are still to be read
 	started   bool  // the first chunk's size was read
 	decoded   int64 // bytes of the body so far
 	framing   int64 // bytes of framing so far
-	err       error // returned by all reads from now on; io.EOF: the body is complete
+	err       error // returned by all further reads; io.EOF: the body is complete
 }
 
 const (
-	// maxChunkLine is how many bytes a chunk's size with its extensions, or a trailer line, may have.
+	// maxChunkLine is how many bytes a chunk size with its extensions, or a trailer's field line, may have.
 	maxChunkLine = 1 << 10
-	// maxTrailers is how many bytes all trailer lines may have.
+	// maxTrailers is how many bytes the field lines of the trailer section may have.
 	maxTrailers = 16 << 10
-	// A body in small chunks is longer on the wire than its content. Past frameFree bytes of framing, there may be
-	// framePerByte bytes of framing for each byte of content: a body that is mostly framing is an attack (RFC 9112, 7.1.1).
-	framePerByte = 16
-	frameFree    = 64 << 10
+	// The framing of small chunks may be longer than their content. Up to freeFraming bytes of framing are always
+	// allowed, and framingPerByte bytes for each byte of content: a body that is mostly framing is an attack (RFC
+	// 9112, 7.1.1).
+	framingPerByte = 16
+	freeFraming    = 64 << 10
 )
 
-var errChunk = errors.New("the chunks can't be read")
+var errChunk = errors.New("malformed chunked body")
 
 // Read implements io.Reader.
 func (c *chunkedBody) Read(p []byte) (int, error) {
@@ -46,7 +48,7 @@
 	c.remaining -= int64(n)
 	c.decoded += int64(n)
 	if err != nil {
-		c.err = unexpected(err)
+		c.err = unexpectedEOF(err)
 	}
 	if n > 0 {
 		return n, nil
@@ -54,18 +56,19 @@
 	return 0, c.err
 }
 
-// unexpected turns the end of a connection within a body into an error.
-func unexpected(err error) error {
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, which within a body is an error, and any other error
+// unchanged.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// next reads up to the data of the next chunk. io.EOF: there is none, and the trailers are read.
+// next reads up to the data of the next chunk. io.EOF: there is no further chunk, and the trailer section was read.
 func (c *chunkedBody) next() error {
 	if c.started {
-		line, err := c.line() // the end of the chunk before
+		line, err := c.line() // the line ending behind the previous chunk
 		if err != nil {
 			return err
 		}
@@ -84,7 +87,7 @@
 	return c.skipTrailers()
 }
 
-// skipTrailers reads the trailers, which are dropped (RFC 9112, 7.1.2), up to the body's end: io.EOF.
+// skipTrailers reads and drops the trailer section (RFC 9112, 7.1.2). It returns io.EOF at the body's end.
 func (c *chunkedBody) skipTrailers() error {
 	for total := 0; ; {
 		line, err := c.line()
@@ -104,17 +107,17 @@
 	}
 }
 
-// line reads one line of framing, without its end.
+// line reads one line of framing, without its line ending.
 func (c *chunkedBody) line() ([]byte, error) {
 	line, err := c.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > maxChunkLine {
 		return nil, errChunk
 	}
 	if err != nil {
-		return nil, unexpected(err)
+		return nil, unexpectedEOF(err)
 	}
 	c.framing += int64(len(line))
-	if c.framing > frameFree+framePerByte*c.decoded {
+	if c.framing > freeFraming+framingPerByte*c.decoded {
 		return nil, errChunk
 	}
 	line = line[:len(line)-1]
@@ -124,7 +127,7 @@
 	return line, nil
 }
 
-// parseSize reads a chunk's size, of hexadecimal digits alone; extensions behind it are ignored (RFC 9112, 7.1.1).
+// parseSize parses a chunk size of hexadecimal digits only; the extensions behind it are ignored (RFC 9112, 7.1.1).
 func parseSize(line []byte) (n int64, err error) {
 	digits := 0
 	for ; digits < len(line); digits++ {
--- a/internal/protocol/http1/chunks_test.go
+++ b/internal/protocol/http1/chunks_test.go
@@ -41,11 +41,11 @@
 	}
 	endless := &chunkedBody{in: bufio.NewReader(io.MultiReader(strings.NewReader(strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1<<12))))}
 	if n, err := io.Copy(io.Discard, endless); !errors.Is(err, errChunk) || n > 1000 {
-		t.Errorf("framing for the most part: %d bytes, %v", n, err)
+		t.Errorf("a body that is mostly framing: %d bytes, %v", n, err)
 	}
 }
 
-// What has come of a chunk is given at once, however much room there is.
+// The bytes of a chunk that have arrived are returned at once, even if the caller's buffer has room for more.
 func TestChunkedBodyReturnsWhatHasComeAtOnce(t *testing.T) {
 	r, w := io.Pipe()
 	c := &chunkedBody{in: bufio.NewReader(r)}
@@ -71,13 +71,14 @@
 				t.Errorf("%q, want %q", s, want)
 			}
 		case <-time.After(testkit.Patience):
-			t.Fatalf("%q is held back", want)
+			t.Fatalf("%q is delayed", want)
 		}
 	}
 	w.Close()
 }
 
-// Whatever comes: nothing panics; what is taken, the standard library reads alike, and ours goes on as the same body.
+// No input causes a panic. The standard library decodes an accepted body alike, and appendChunk encodes it as the same
+// body.
 func FuzzChunks(f *testing.F) {
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), byte(1))
 	f.Add([]byte("5;x=y\r\nhello\r\n0\r\nA: b\r\n\r\nrest"), byte(7))
@@ -102,7 +103,7 @@
 		}
 		again = append(again, lastChunk...)
 		if same, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(again))); err != nil || !bytes.Equal(same, body) {
-			t.Errorf("%q goes on as %q: %q, %v", raw, again, same, err)
+			t.Errorf("%q is forwarded as %q: %q, %v", raw, again, same, err)
 		}
 	})
 }
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -10,35 +10,36 @@
 	"vetchhaven/internal/core"
 )
 
-// lingerTime is what a client has to read its last response before its connection is closed. A close with unread bytes on
-// the connection is a reset (RFC 9112, 9.6), and the response would be lost. A larger value keeps a slot longer.
+// lingerTime is how long a client may take to read its last response before its connection is closed. Closing a
+// connection with unread bytes resets it (RFC 9112, 9.6), and the response would be lost. A larger value occupies a
+// slot for longer.
 const lingerTime = 500 * time.Millisecond
 
-// clientConn is one client's connection. Two goroutines serve it: serve reads requests, one at a time, and runWriter
-// writes their responses, so that a client's disconnect shows while its response is pending, and no goroutine is started
-// for a single request. It takes the place of net/http's server, at half of its cost, and is as strict.
+// clientConn is a client's connection. Two goroutines serve it: serve reads requests, one at a time, and runWriter
+// writes their responses. So a client's disconnect is detected while its response is pending, and no goroutine is
+// started per request. clientConn replaces net/http's server at half the cost, and is as strict.
 type clientConn struct {
-	front      *front
+	frontend   *frontend
 	conn       net.Conn
-	buf        []byte // what was read; buf[start:end] is not consumed yet
+	buf        []byte // the bytes that were read; buf[start:end] is not consumed yet
 	start, end int
-	lastReadAt time.Time // when the last bytes came
-	// firstDone says that the first request was read, and its body unless that streams.
+	lastReadAt time.Time // when the last bytes arrived
+	// firstDone says that the first request was read, including its body unless that is an upload.
 	firstDone bool
-	fields    []field // of the present head; reused
-	writeBuf  []byte  // reused by whoever writes the next response
+	fields    []field // of the current head; reused
+	writeBuf  []byte  // reused by the goroutine that writes the next response
 	// responseDone holds one token while no response is pending.
 	responseDone chan struct{}
-	finalAnswers chan finalAnswer // buffered: who posts never waits
+	finalAnswers chan finalAnswer // buffered, so that posting never blocks
 
 	mu                 sync.Mutex
-	pending            *core.Request // waits for its response; nil: none does
-	upload             *upload       // pending's body, where that streams
-	reservedBytes      int           // of the body budget, for pending's body
-	streaming          bool          // pending's response has begun to reach the client
-	nextStarted        bool          // a part of the next request came while pending's response was awaited
-	watchingDisconnect bool          // the reader has the next request's head, and reads only to see a disconnect
-	closing            bool          // takes no further request
+	pending            *core.Request // the request whose response is pending; nil: none
+	upload             *upload       // pending's body, if that is an upload
+	reservedBytes      int           // bytes of the body budget that pending's body occupies
+	streaming          bool          // pending's response has begun to be sent to the client
+	nextStarted        bool          // a part of the next request arrived while pending's response was awaited
+	watchingDisconnect bool          // the reader has the next request's head, and reads only to detect a disconnect
+	closing            bool          // no further request is accepted
 	readerEnded        bool
 }
 
@@ -46,15 +47,15 @@
 func (c *clientConn) serve() {
 	defer func() {
 		p := recover()
-		if p != nil { // the panic ends the agent; the client gets its response nevertheless
+		if p != nil { // the panic ends the agent, but the client still gets a response
 			if c.hasPending() {
 				c.abortPending()
 			} else {
-				c.send(c.front.appendError(nil, http.StatusBadGateway, "failed", "", true))
+				c.send(c.frontend.appendError(nil, http.StatusBadGateway, "failed", "", true))
 			}
 		}
 		c.endReader(p == nil || c.hasPending())
-		_ = c.conn.Close() // nothing can be done about a socket that does not close
+		_ = c.conn.Close() // an error of Close can't be handled
 		if p != nil {
 			panic(p)
 		}
@@ -66,7 +67,7 @@
 			if c.awaitResponse() {
 				c.respondAndClose(&requestError{
 					status: http.StatusRequestHeaderFieldsTooLarge,
-					text:   "the head is too large",
+					text:   "the request line and header fields are too large",
 				})
 			} else {
 				c.linger()
@@ -80,7 +81,7 @@
 			return
 		}
 		if first {
-			go c.front.loop.ContainPanic(c.runWriter)
+			go c.frontend.loop.ContainPanic(c.runWriter)
 		}
 		fail := c.handleRequest(c.buf[c.start : c.start+headLen])
 		c.firstDone = true
@@ -104,22 +105,22 @@
 	return c.pending != nil
 }
 
-// isClosing reports whether no further request is taken.
+// isClosing reports whether the connection accepts no further request.
 func (c *clientConn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// setClosing takes no further request.
+// setClosing makes the connection accept no further request.
 func (c *clientConn) setClosing() {
 	c.mu.Lock()
 	c.closing = true
 	c.mu.Unlock()
 }
 
-// closesAfterResponse reports whether the response that is written now is the connection's last, and then takes no
-// further request.
+// closesAfterResponse reports whether the response that is written now is the connection's last. If so, the connection
+// accepts no further request.
 func (c *clientConn) closesAfterResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,38 +128,38 @@
 }
 
 func (c *clientConn) closesAfterResponseLocked() bool {
-	c.closing = c.closing || c.front.draining.Load() || c.front.limiter.NearCapacity()
+	c.closing = c.closing || c.frontend.draining.Load() || c.frontend.limiter.NearCapacity()
 	return c.closing
 }
 
-// prepareNext has the connection wait for its next request, or end, after a response.
+// prepareNext makes the connection wait for its next request, or end, after a response was written.
 func (c *clientConn) prepareNext() {
 	c.mu.Lock()
 	switch {
 	case c.closing:
-		// The reader's read fails, and it lets the client read this response.
+		// The reader's pending read fails; the reader then gives the client time to read this response (see linger).
 		c.closeWrite()
 		_ = c.conn.SetReadDeadline(core.LongAgo)
-	case c.watchingDisconnect: // the reader goes on with the request that it has
+	case c.watchingDisconnect: // the reader continues with the request whose head it has
 		_ = c.conn.SetReadDeadline(core.LongAgo)
 	case c.nextStarted:
 		_ = c.conn.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 	default:
-		c.front.limiter.SetReadDeadline(c.conn, time.Now().Add(idleTimeout)) // a dead connection shows by its read
-		c.front.limiter.MarkIdle(c.conn)
+		c.frontend.limiter.SetReadDeadline(c.conn, time.Now().Add(idleTimeout)) // a read on a dead connection fails
+		c.frontend.limiter.MarkIdle(c.conn)
 	}
 	c.mu.Unlock()
 	c.responseDone <- struct{}{}
 }
 
-// respondAndClose writes an error response, and ends the connection: what is left of the body is not read, and must not
-// be taken for the next request (RFC 9112, 9.6).
+// respondAndClose writes an error response, and ends the connection: the rest of the request's body is not read, and
+// must not be taken for the next request (RFC 9112, 9.6).
 func (c *clientConn) respondAndClose(e *requestError) {
 	if e.status == 0 {
 		return
 	}
 	c.setClosing()
-	if c.send(c.front.appendError(c.writeBuf[:0], e.status, e.text, e.allow, true)) {
+	if c.send(c.frontend.appendError(c.writeBuf[:0], e.status, e.text, e.allow, true)) {
 		c.closeWrite()
 		c.linger()
 	}
@@ -170,11 +171,11 @@
 	}
 }
 
-// linger reads and drops what the client still sends, until it closes too or lingerTime is over, so that the close that
-// follows is no reset.
+// linger reads and drops the bytes that the client still sends, until the client closes its side or lingerTime has
+// passed, so that the close that follows does not reset the connection.
 func (c *clientConn) linger() {
 	buf := make([]byte, 1024)
-	c.front.limiter.SetReadDeadline(c.conn, time.Now().Add(lingerTime))
+	c.frontend.limiter.SetReadDeadline(c.conn, time.Now().Add(lingerTime))
 	for {
 		if _, err := c.conn.Read(buf); err != nil {
 			return
@@ -182,17 +183,18 @@
 	}
 }
 
-// send writes bytes within the write timeout. It reports false after an error.
+// send writes bytes within the write timeout. It returns false after an error.
 func (c *clientConn) send(text []byte) bool {
-	if c.conn.SetWriteDeadline(time.Now().Add(c.front.writeTimeout)) != nil {
+	if c.conn.SetWriteDeadline(time.Now().Add(c.frontend.writeTimeout)) != nil {
 		return false
 	}
 	_, err := c.conn.Write(text)
 	return err == nil
 }
 
-// endReader reports the client's disconnect to the loop if a request is pending, and ends the writer after its response.
-// With awaitLastResponse it waits for that: a client that has closed only its sending side still reads.
+// endReader reports the client's disconnect to the loop if a request is pending, and makes the writer end after that
+// request's response. With awaitLastResponse it waits for the response: a client that has closed only its sending side
+// still reads.
 func (c *clientConn) endReader(awaitLastResponse bool) {
 	c.mu.Lock()
 	r := c.pending
@@ -202,9 +204,9 @@
 		c.postAnswer(finalAnswer{last: true})
 		return
 	}
-	c.front.loop.ClientDisconnected(r)
+	c.frontend.loop.ClientDisconnected(r)
 	if awaitLastResponse {
-		limit := time.NewTimer(lingerTime) // a client that does not read delays nothing else
+		limit := time.NewTimer(lingerTime) // a client that does not read must delay nothing else
 		defer limit.Stop()
 		select {
 		case <-c.responseDone: // the writer is done
--- a/internal/protocol/http1/dial.go
+++ b/internal/protocol/http1/dial.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// dialPatienceFactor is after how many usual dial times an attempt is abandoned, while its dial goes on. A smaller value
-	// abandons more attempts, a larger one waits longer for a lost SYN.
-	dialPatienceFactor = 16
-	// minDialWait is the least time before an attempt is abandoned: dials on a busy machine may be as late as that.
+	// dialWaitFactor is after how many usual dial times an attempt is abandoned, while its dial continues. A smaller
+	// value abandons more attempts, a larger one waits longer for a lost SYN.
+	dialWaitFactor = 16
+	// minDialWait is the minimum time before an attempt is abandoned: dials on a busy machine may take as long.
 	minDialWait = 30 * time.Millisecond
-	// abandonTokensPerResponse is how many attempts may be abandoned for each response: each costs a retry, of which the
-	// balancer has few.
+	// abandonTokensPerResponse is how many attempts may be abandoned per response: each abandoned attempt costs a
+	// retry, and the balancer allows few of these.
 	abandonTokensPerResponse = 1.0 / 32
-	// maxAbandonTokens is how many abandoned attempts may be saved up.
+	// maxAbandonTokens is how many tokens for abandoned attempts may accumulate.
 	maxAbandonTokens = 16
-	// maxDialTimeouts is how many connect timeouts a dial may take that its attempt has abandoned.
+	// maxDialTimeouts is how many connect timeouts a dial may take in all if its attempt was abandoned.
 	maxDialTimeouts = 8
-	// dialTimeDivisor: a sample moves the usual dial time by this part of it. A larger value follows more slowly, a smaller one
-	// jitters.
+	// dialTimeDivisor sets the step of learnDialTime: a sample changes the usual dial time by this fraction of it. A
+	// larger value adapts more slowly, a smaller one makes the estimate fluctuate.
 	dialTimeDivisor = 8
 )
 
@@ -30,15 +30,15 @@
 	err  error
 }
 
-// dial opens a connection within the connect timeout and ctx. The connection is already counted as open. Where dials are
-// usually fast, the attempt waits no longer for a late one than is likely to help: nothing was sent, and the balancer may
-// make the attempt on another server. The dial goes on, one at a time for each server, for the next attempt to use: what it
-// costs the server is paid by then. A server that is slow to accept and fast to respond pays for this: its first requests
-// cost retries, until enough connections are open.
+// dial opens a connection within the connect timeout and ctx. The connection is already counted as open. Where dials
+// are usually fast, the attempt does not wait for a late dial longer than is likely to help: nothing was sent, and the
+// balancer may make the attempt at another server. The late dial continues, at most one per server, and the next
+// attempt may use its connection, whose cost to the server is already spent. This is a disadvantage for a server that
+// accepts slowly and responds fast: its first requests cost retries, until enough connections are open.
 func (p *connPool) dial(ctx context.Context, id, addr string) (*serverConn, error) {
 	dialCtx, stop := context.WithTimeout(p.lifetime, maxDialTimeouts*p.cfg.Settings.ConnectTimeout)
 	done := make(chan dialResult)
-	abandoned := make(chan bool, 1) // the attempt does not wait any more; the value: the dial goes on
+	abandoned := make(chan bool, 1) // the attempt has stopped waiting; the value says whether the dial continues
 	go func() {
 		defer stop()
 		startedAt := time.Now()
@@ -54,15 +54,15 @@
 		}
 	}()
 	wait := p.dialWait()
-	patience := time.NewTimer(wait)
-	defer patience.Stop()
+	waitTimer := time.NewTimer(wait)
+	defer waitTimer.Stop()
 	var result dialResult
 	select {
 	case result = <-done:
 	case <-ctx.Done():
 		stop()
 		result = <-done
-	case <-patience.C:
+	case <-waitTimer.C:
 		goesOn := p.abandonDial(id, wait)
 		if !goesOn {
 			stop()
@@ -80,18 +80,19 @@
 	return result.conn, nil
 }
 
-// dialWait is how long an attempt waits for its dial.
+// dialWait returns how long an attempt waits for its dial.
 func (p *connPool) dialWait() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wait := p.cfg.Settings.ConnectTimeout
 	if p.abandonTokens >= 1 {
-		wait = min(wait, max(minDialWait, dialPatienceFactor*p.usualDialTime))
+		wait = min(wait, max(minDialWait, dialWaitFactor*p.usualDialTime))
 	}
 	return wait
 }
 
-// abandonDial takes note of an attempt that waits no more for its dial after wait. It reports whether the dial goes on.
+// abandonDial records that an attempt has stopped waiting for its dial after wait. It reports whether the dial
+// continues.
 func (p *connPool) abandonDial(id string, wait time.Duration) (goesOn bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +106,7 @@
 	return true
 }
 
-// lateDial takes the outcome of a dial that no attempt waits for; c is nil if it failed.
+// lateDial handles the outcome of a dial that no attempt waits for. c is nil if the dial failed.
 func (p *connPool) lateDial(id string, c *serverConn, goesOn bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +121,8 @@
 	p.putLocked(id, c, true)
 }
 
-// learnDialTime moves usualDialTime towards the median of the samples: a mean would follow the few very late ones. The lock
-// is held.
+// learnDialTime moves usualDialTime towards the median of the samples; a mean would follow the few very late ones. The
+// caller holds p.mu.
 func (p *connPool) learnDialTime(dialTime time.Duration) {
 	if dialTime < p.usualDialTime {
 		p.usualDialTime -= p.usualDialTime / dialTimeDivisor
--- a/internal/protocol/http1/dial_test.go
+++ b/internal/protocol/http1/dial_test.go
@@ -11,8 +11,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Where connections come up soon as a rule, an attempt does not wait for a late one: nothing has been sent, and another
-// server may have it. The dial goes on, one to a server, and what comes up serves the next attempt.
+// Where dials are usually fast, an attempt does not wait for a late one: nothing was sent, and another server may get
+// the request. The dial continues, at most one per server, and its connection serves the next attempt.
 func TestLateDialOutlivesItsAttempt(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
@@ -27,7 +27,7 @@
 			return nil, ctx.Err()
 		}
 	}
-	standing := func(open, idle int) func() bool {
+	poolHas := func(open, idle int) func() bool {
 		return func() bool {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -39,20 +39,20 @@
 	defer cancel()
 	for range 2 {
 		if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete || ctx.Err() != nil {
-			t.Fatalf("result %v while no connection comes up, %v", result, ctx.Err())
+			t.Fatalf("result %v while no dial succeeds, %v", result, ctx.Err())
 		}
 	}
-	testkit.WaitFor(t, "the end of the second dial", standing(1, 0))
+	testkit.WaitFor(t, "the end of the second dial", poolHas(1, 0))
 	close(up)
-	testkit.WaitFor(t, "the first one's connection", standing(1, 1))
-	endRest(b)
+	testkit.WaitFor(t, "the first one's connection", poolHas(1, 1))
+	passReuseDelay(b)
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.OK || len(dials) != 2 {
-		t.Errorf("result %v after %d dials: what came up late was not used", result, len(dials))
+		t.Errorf("result %v after %d dials: the late connection was not used", result, len(dials))
 	}
 }
 
-// Where many come up late, to go elsewhere for each would cost more retries than there are: they are waited for as long
-// as the settings say, until answers have paid for it.
+// Where many dials are late, a retry for each of them would cost more retries than the balancer allows: attempts then
+// wait for the connect timeout, until responses have added tokens.
 func TestLateDialsAreAwaitedOnceTokensAreSpent(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
@@ -74,11 +74,11 @@
 		b.releaseAfterResponse("s", &serverConn{Conn: near, addr: s.addr}, &response{})
 	}
 	if b.abandonTokens < 1 {
-		t.Errorf("%v may be left after many answers", b.abandonTokens)
+		t.Errorf("%v attempts may be abandoned after many responses", b.abandonTokens)
 	}
 }
 
-// No dial outlasts the agent.
+// No dial outlives the agent.
 func TestLateDialEndsWithAgent(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
 	b.usualDialTime = time.Millisecond
@@ -92,23 +92,23 @@
 	})
 }
 
-// How long a dial is waited for follows what half of the connections take. Late ones say nothing while they are fewer.
+// The wait for a dial follows the median dial time. Late dials do not change it while they are the minority.
 func TestUsualDialTimeIsLearnt(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
 	late := b.cfg.Settings.ConnectTimeout
 	if b.usualDialTime != late {
-		t.Errorf("a trip is taken for %v before any was seen", b.usualDialTime)
+		t.Errorf("the usual dial time is %v before the first sample", b.usualDialTime)
 	}
 	for i := range 300 {
 		b.learnDialTime([]time.Duration{time.Millisecond, time.Millisecond, late}[i%3])
 	}
 	if b.usualDialTime > 3*time.Millisecond {
-		t.Errorf("a third are late, and the usual trip is %v", b.usualDialTime)
+		t.Errorf("a third of the dials are late, and the usual dial time is %v", b.usualDialTime)
 	}
 	for range 200 {
 		b.learnDialTime(late)
 	}
 	if b.usualDialTime != late {
-		t.Errorf("all are late, and the usual trip is %v", b.usualDialTime)
+		t.Errorf("all dials are late, and the usual dial time is %v", b.usualDialTime)
 	}
 }
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -17,21 +17,23 @@
 	"vetchhaven/internal/testkit"
 )
 
-// This file plays each way to an attempt against a client that disconnects: its end is with the agent's system before the
-// slot, the dial, the answer or the body that the attempt waits for is let go.
+// The tests of this file cover each way in which an attempt may begin for a client that has disconnected: the
+// disconnect reaches the agent's system before the slot, dial, response or body for which the attempt waits becomes
+// available.
 
-// lateListener has connections whose reader gets nothing after its first bytes until release is closed, as one that the
-// machine does not run in time, or that is busy otherwise. A close and a read deadline that has passed wake it.
+// lateListener accepts connections whose reader gets nothing after its first read until release is closed, like a
+// reader that the machine does not schedule in time or that is busy. Close, and a read deadline in the past, end the
+// wait.
 type lateListener struct {
 	net.Listener
 	late    bool
-	prompt  atomic.Int32 // of the connections to come, those whose readers are not late
+	notLate atomic.Int32 // how many of the next connections have readers that are not late
 	release chan struct{}
 }
 
 func (l *lateListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	if err != nil || !l.late || l.prompt.Add(-1) >= 0 {
+	if err != nil || !l.late || l.notLate.Add(-1) >= 0 {
 		return c, err
 	}
 	return &lateConn{TCPConn: c.(*net.TCPConn), release: l.release, woken: make(chan struct{}, 1)}, nil
@@ -40,18 +42,18 @@
 type lateConn struct {
 	*net.TCPConn
 	release, woken chan struct{}
-	began          bool
+	hasRead        bool
 }
 
 func (c *lateConn) Read(p []byte) (int, error) {
-	if c.began {
+	if c.hasRead {
 		select {
 		case <-c.release:
 		case <-c.woken:
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
-	c.began = true
+	c.hasRead = true
 	return c.TCPConn.Read(p)
 }
 
@@ -74,84 +76,88 @@
 	}
 }
 
-// leave is how clients leave, by name. Each returns once their end is with the agent's system, where nothing that it
-// does not take stands before it.
-var leave = map[string]func(t *testing.T, c net.Conn){
+// waysToDisconnect has the ways in which a client disconnects, by name. Each function returns once the disconnect has
+// reached the agent's system, unless unread data is ahead of it.
+var waysToDisconnect = map[string]func(t *testing.T, c net.Conn){
 	"close": func(t *testing.T, c net.Conn) { testkit.HalfClose(t, c); c.Close() },
-	// Nobody can tell it from a close until an answer is written. It counts as one: see docs/design/crossings.md.
+	// Until a response is written, a half close can't be told from a close. It counts as one: see
+	// docs/design/crossings.md.
 	"half close": func(t *testing.T, c net.Conn) { testkit.HalfClose(t, c) },
 	"reset":      func(_ *testing.T, c net.Conn) { reset(c) },
 }
 
-// disconnectSetup is an agent with one server that answers as its test says, and holds its first connections' dial and answers.
+// disconnectSetup is an agent with one server that responds as its test says, and whose responses the test delays.
 type disconnectSetup struct {
 	*runningAgent
-	server *backend
-	answer chan string // of each request that comes
-	lates  *lateListener
+	server   *standIn
+	answer   chan string // the response to each request that arrives
+	listener *lateListener
 }
 
 func startDisconnectSetup(t *testing.T, late bool, change func(*core.Config)) *disconnectSetup {
 	t.Helper()
-	l := &disconnectSetup{answer: make(chan string), lates: &lateListener{Listener: testkit.Listen(t), late: late, release: make(chan struct{})}}
+	l := &disconnectSetup{answer: make(chan string), listener: &lateListener{Listener: testkit.Listen(t), late: late, release: make(chan struct{})}}
 	l.server = serveRaw(t, func(int) string { return <-l.answer })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{l.server.member("s")}})
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
+		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // lets requests wait for long
 	}
 	if change != nil {
 		change(cfg)
 	}
 	now := make(chan time.Time)
 	close(now)
-	l.runningAgent = startParts(t, cfg, core.Parts{Listener: l.lates, StopAccepting: now}, nil)
-	t.Cleanup(sync.OnceFunc(func() { close(l.lates.release) }))
+	l.runningAgent = startParts(t, cfg, core.Parts{Listener: l.listener, StopAccepting: now}, nil)
+	t.Cleanup(sync.OnceFunc(func() { close(l.listener.release) }))
 	return l
 }
 
-// occupyServer has the server hold as many requests as it may have, so that the next one waits in the module.
+// occupyServer sends as many requests as the server may have in flight, so that the next one is queued in the
+// balancer.
 func (l *disconnectSetup) occupyServer(t *testing.T) (answers chan exchange) {
 	t.Helper()
-	const most = 6 // as the module has it at its start, for one server
-	answers = make(chan exchange, most)
-	for range most {
+	const maxInFlight = 6 // the balancer's initial limit for one server
+	answers = make(chan exchange, maxInFlight)
+	for range maxInFlight {
 		go func() { answers <- l.do("GET", "/get/x", "") }()
 	}
-	for range most {
+	for range maxInFlight {
 		testkit.Receive(t, "request at the server", l.server.seen)
 	}
 	return answers
 }
 
-// expectNotServed fails the test if a request of a client that has left reaches the server, once it is known to have left.
+// expectNotServed waits until the client's disconnect is detected, and fails the test if its request reached the
+// server.
 func (l *disconnectSetup) expectNotServed(t *testing.T) {
 	t.Helper()
-	testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return l.Totals().ClientDisconnects >= 1 || len(l.server.seen) > 0 })
+	testkit.WaitFor(t, "the disconnect, or an attempt", func() bool { return l.Totals().ClientDisconnects >= 1 || len(l.server.seen) > 0 })
 	if n := len(l.server.seen); n > 0 {
-		t.Fatalf("%d reached the server whose client had left (%+v)", n, l.Totals())
+		t.Fatalf("%d requests of a disconnected client reached the server (%+v)", n, l.Totals())
 	}
 }
 
-// A client that has left, by a close, a half close or a reset, has no attempt begun for it, whatever that waited for and
-// whether or not its reader has seen the end.
+// No attempt begins for a client that has disconnected, by a close, a half close or a reset, whatever the attempt
+// waited for and whether or not the client's reader has detected the disconnect.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
-	for reader, late := range map[string]bool{"read on": false, "reader late": true} {
-		for how, goes := range leave {
+	for reader, late := range map[string]bool{"reader on time": false, "reader late": true} {
+		for how, disconnect := range waysToDisconnect {
 			name := func(way string) string { return way + ", " + how + ", " + reader }
-			// known returns once the end is with the agent, at the reader or at the socket.
+			// known returns once the agent has the disconnect: the reader has detected it, or else the socket shows
+			// it.
 			known := func(t *testing.T, l *disconnectSetup) {
 				if !late {
-					testkit.WaitFor(t, "its leaving", func() bool { return l.Totals().ClientDisconnects == 1 })
+					testkit.WaitFor(t, "the disconnect", func() bool { return l.Totals().ClientDisconnects == 1 })
 				}
 			}
-			t.Run(name("queued in the module"), func(t *testing.T) {
+			t.Run(name("queued in the balancer"), func(t *testing.T) {
 				t.Parallel()
 				l := startDisconnectSetup(t, late, nil)
 				answers := l.occupyServer(t)
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
 				testkit.WaitFor(t, "the request", func() bool { return l.Totals().Requests == 7 })
-				goes(t, c.c)
+				disconnect(t, c.c)
 				known(t, l)
 				for range 6 {
 					l.answer <- ok200
@@ -168,18 +174,18 @@
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
 				testkit.Receive(t, "dial", dialled)
-				goes(t, c.c)
+				disconnect(t, c.c)
 				known(t, l)
 				close(release)
 				l.expectNotServed(t)
 			})
-			t.Run(name("before a further attempt"), func(t *testing.T) {
+			t.Run(name("before a retry"), func(t *testing.T) {
 				t.Parallel()
 				l := startDisconnectSetup(t, late, nil)
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
 				testkit.Receive(t, "first attempt", l.server.seen)
-				goes(t, c.c)
+				disconnect(t, c.c)
 				known(t, l)
 				l.answer <- "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 				l.expectNotServed(t)
@@ -190,48 +196,48 @@
 				c := l.connect(t)
 				c.write(headOf("get", "first") + headOf("get", "left"))
 				testkit.Receive(t, "first request", l.server.seen)
-				goes(t, c.c)
+				disconnect(t, c.c)
 				known(t, l)
 				l.answer <- ok200
-				testkit.WaitFor(t, "the second one's end, or that of its reader, or an attempt", func() bool {
+				testkit.WaitFor(t, "the second request's end, or that of its reader, or an attempt", func() bool {
 					return l.Totals().ClientDisconnects == 1 || l.readers() == 0 || len(l.server.seen) > 0
 				})
 				if len(l.server.seen) > 0 {
-					t.Errorf("%d reached the server whose client had left", len(l.server.seen))
+					t.Errorf("%d requests of a disconnected client reached the server", len(l.server.seen))
 				}
 			})
 			t.Run(name("its connection waits to be accepted"), func(t *testing.T) {
 				t.Parallel()
 				l := startDisconnectSetup(t, late, nil)
-				l.lates.prompt.Store(1)
+				l.listener.notLate.Store(1)
 				l.Limiter().Resize(1)
 				first := make(chan exchange, 1)
 				go func() { first <- l.do("GET", "/get/x", "") }()
 				testkit.Receive(t, "first request", l.server.seen)
 				c := l.connect(t)
 				c.write(headOf("get", "left"))
-				goes(t, c.c)
+				disconnect(t, c.c)
 				l.answer <- ok200
-				testkit.Receive(t, "first answer", first)
-				if how == "reset" { // the system may drop it unaccepted
+				testkit.Receive(t, "first response", first)
+				if how == "reset" { // the system may drop the connection before it is accepted
 					go func() { first <- l.do("GET", "/get/x", "", "X-Trace-Id", "next") }()
 					if id := testkit.Receive(t, "next request", l.server.seen); id != "next" {
 						t.Errorf("%q reached the server", id)
 					}
 					l.answer <- ok200
-					testkit.Receive(t, "its answer", first)
+					testkit.Receive(t, "its response", first)
 					return
 				}
 				l.expectNotServed(t)
 			})
 			t.Run(name("its body waits for a server"), func(t *testing.T) {
 				t.Parallel()
-				l := startDisconnectSetup(t, late, func(cfg *core.Config) { cfg.BodyBytes = 1 }) // none is kept: each is an upload
+				l := startDisconnectSetup(t, late, func(cfg *core.Config) { cfg.BodyBytes = 1 }) // every body is an upload
 				dialled, release := l.blockDial(l.server.addr)
 				c := l.connect(t)
 				c.write("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: left\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n\r\nwhole")
 				testkit.Receive(t, "dial", dialled)
-				goes(t, c.c)
+				disconnect(t, c.c)
 				close(release)
 				l.expectNotServed(t)
 			})
@@ -239,26 +245,26 @@
 	}
 }
 
-// A client whose body is still being read, and that leaves, was never taken.
+// A request whose client disconnects while its body is being read is not admitted.
 func TestClientThatDisconnectsWithinItsBodyIsNotAdmitted(t *testing.T) {
-	for how, goes := range leave {
+	for how, disconnect := range waysToDisconnect {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			l := startDisconnectSetup(t, false, nil)
 			c := l.connect(t)
 			c.write("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: left\r\nIdempotency-Key: k\r\nContent-Length: 50\r\n\r\na part")
 			testkit.WaitFor(t, "its reader", func() bool { return l.readers() == 1 })
-			goes(t, c.c)
+			disconnect(t, c.c)
 			testkit.WaitFor(t, "the end of its reader", func() bool { return l.readers() == 0 })
 			if got := l.Totals(); got.Requests != 0 || len(l.server.seen) != 0 {
-				t.Errorf("%+v, %d reached the server", got, len(l.server.seen))
+				t.Errorf("%+v, %d requests reached the server", got, len(l.server.seen))
 			}
 		})
 	}
 }
 
-// A client that has sent more of its body than the systems hold unread, and has left, ends behind that: nobody can see it
-// before its body is read. Its request may begin to go to a server, but its last byte does not.
+// If a client has sent more of its body than the agent has read, its disconnect is behind the unread bytes and can't
+// be detected before they are read. The beginning of its request may be sent to a server, but not its last byte.
 func TestUploadOfDisconnectedClientReachesNoServer(t *testing.T) {
 	for _, framing := range []string{"length", "chunks"} {
 		t.Run(framing, func(t *testing.T) {
@@ -280,8 +286,9 @@
 	}
 }
 
-// A client that has ended its sending alone, and reads on, is told at once that nothing more is done for it: refused
-// where nothing was sent, failed where something may have run. It has one answer, and the end.
+// A client that has closed only its sending side, and still reads, is told at once that nothing more is done for it:
+// its request is refused if nothing was sent, and fails if it may have been executed. It gets one response, and then
+// the end of the connection.
 func TestHalfClosedClientGetsResponseAtOnce(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
 		t.Parallel()
@@ -317,8 +324,8 @@
 	})
 }
 
-// stuckConn has the write that brings a request's last bytes wait, as one to a server that takes nothing, until its deadline
-// has passed.
+// stuckConn blocks the write of a request's last bytes, like a connection to a server that reads nothing, until the
+// write deadline has passed.
 type stuckConn struct {
 	net.Conn
 	written       atomic.Int64
@@ -344,10 +351,10 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// A client leaves while the last bytes of its request wait for the server to take them: they are not left to it. The last
-// piece of an upload may be a few bytes, behind many that the server has yet to take.
+// If a client disconnects while the write of its request's last bytes is blocked on the server, that write is ended.
+// The last piece of an upload may be a few bytes, behind many that the server has not read yet.
 func TestLastBytesBlockedOnServerEndWithClient(t *testing.T) {
-	for name, size := range map[string]int{"a few bytes": len("the last"), "kept whole": 8 << 10, "upload": 2 * maxBufferedBody, "upload, a small last piece": 2 * maxBufferedBody} {
+	for name, size := range map[string]int{"a few bytes": len("the last"), "a buffered body": 8 << 10, "upload": 2 * maxBufferedBody, "upload, a small last piece": 2 * maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := startDisconnectSetup(t, false, nil)
--- a/internal/protocol/http1/discovery_test.go
+++ b/internal/protocol/http1/discovery_test.go
@@ -15,8 +15,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// An agent that starts while discovery is down serves by its stored list, follows discovery once
-// it is back, and sends nothing new to a backend that then drains.
+// An agent that starts while discovery is down uses its stored endpoint list. Once discovery is back, the agent
+// follows it, and sends no new requests to a server that then drains.
 func TestAgentServesWhileDiscoveryIsDown(t *testing.T) {
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
@@ -37,8 +37,8 @@
 	expectNoRequests(t, a, one)
 }
 
-// expectNoRequests has requests served by others than one server.
-func expectNoRequests(t *testing.T, a *runningAgent, s *backend) {
+// expectNoRequests makes requests, and fails the test if any of them reaches server s.
+func expectNoRequests(t *testing.T, a *runningAgent, s *standIn) {
 	t.Helper()
 	before := len(s.seen)
 	for range 20 {
@@ -46,13 +46,13 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	// One request may have been on its way to a step while the change was booked; none here was.
+	// A request may be on its way to the loop while a change is applied, but none was here.
 	if n := len(s.seen) - before; n != 0 {
-		t.Errorf("%d requests went to a server that drains or is left out of the list", n)
+		t.Errorf("%d requests went to a server that drains or is not in the list", n)
 	}
 }
 
-// With no list at all an agent is not ready, and becomes so with the first one.
+// An agent without an endpoint list is not ready. It becomes ready with the first list.
 func TestNotReadyWithoutServers(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	s := serveRaw(t, func(int) string { return ok200 })
@@ -65,21 +65,21 @@
 	testkit.WaitFor(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
 }
 
-// Calls to discovery fail again and again, each in the same way. The one after them brings the whole list, which leaves
-// out a server that drains and still answers, indented and in pieces: it is soon there, however long the settings let an
-// agent wait between calls, and nothing more goes to that server. A call that hangs is given up.
+// Several calls to discovery fail, each in the same way. The next call returns the full list, indented and in pieces;
+// the list leaves out a server that drains and still responds. The agent applies the list soon, however long the
+// settings allow between calls, and sends nothing more to that server. A call that hangs is abandoned.
 func TestListAfterFailedCalls(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
-	fates := map[string]func(c net.Conn){
-		"503":               func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
-		"reset":             func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) },
-		"ended untold":      func(c net.Conn) { io.WriteString(c, head) },
-		"cut in an object":  func(c net.Conn) { io.WriteString(c, head+`{"version":42,"full":true,"servers":[`) },
-		"hangs":             func(c net.Conn) { io.Copy(io.Discard, c) },
-		"hangs in its head": func(c net.Conn) { io.WriteString(c, head[:9]); io.Copy(io.Discard, c) },
-		"falls silent":      func(c net.Conn) { io.WriteString(c, head+"\n\n"); io.Copy(io.Discard, c) },
+	faults := map[string]func(c net.Conn){
+		"503":                  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
+		"reset":                func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) },
+		"ended without a list": func(c net.Conn) { io.WriteString(c, head) },
+		"cut in an object":     func(c net.Conn) { io.WriteString(c, head+`{"version":42,"full":true,"servers":[`) },
+		"hangs":                func(c net.Conn) { io.Copy(io.Discard, c) },
+		"hangs in its head":    func(c net.Conn) { io.WriteString(c, head[:9]); io.Copy(io.Discard, c) },
+		"stops sending":        func(c net.Conn) { io.WriteString(c, head+"\n\n"); io.Copy(io.Discard, c) },
 	}
-	for name, fate := range fates {
+	for name, fault := range faults {
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				t.Parallel()
@@ -98,7 +98,7 @@
 								return
 							}
 							if n < 4 {
-								fate(c)
+								fault(c)
 								return
 							}
 							_, _ = io.WriteString(c, head)
--- a/internal/protocol/http1/field.go
+++ b/internal/protocol/http1/field.go
@@ -4,15 +4,15 @@
 	"bytes"
 )
 
-// field is one header line.
+// field is one field line.
 type field struct {
 	name         []byte
-	value        []byte // without the white space around it
-	line         []byte // both, without the line's end
-	notForwarded bool   // it concerns this connection alone, or is written anew
+	value        []byte // without the surrounding whitespace
+	line         []byte // the whole line, without its line ending
+	notForwarded bool   // it concerns only this connection, or is written anew
 }
 
-// isTokenByte has the bytes that a token may have (RFC 9110, 5.6.2).
+// isTokenByte marks the bytes that a token may contain (RFC 9110, 5.6.2).
 var isTokenByte = func() (all [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		all[c] = true
@@ -30,8 +30,8 @@
 	return len(b) > 0
 }
 
-// parseField reads one header line. It is as strict as RFC 9112, 5.1 asks for: no white space before the colon, and no
-// continuation of the line before (obs-fold, 5.2). A value has no control characters but tabs (RFC 9110, 5.5).
+// parseField parses one field line, as strictly as RFC 9112, 5.1 requires: it accepts no whitespace before the colon,
+// and no line folding (obs-fold, 5.2). A value has no control characters except tabs (RFC 9110, 5.5).
 func parseField(line []byte) (f field, ok bool) {
 	i := bytes.IndexByte(line, ':')
 	if i < 0 || !isToken(line[:i]) {
@@ -48,7 +48,7 @@
 	return f, true
 }
 
-// is reports whether the field has a name, whose case does not matter (RFC 9110, 5.1).
+// is reports whether the field has this name, ignoring case (RFC 9110, 5.1).
 func (f *field) is(name string) bool {
 	if len(f.name) != len(name) {
 		return false
@@ -62,16 +62,16 @@
 	return true
 }
 
-// cutLine cuts off the first line, without its CRLF or LF. ok is false if b has no complete line.
-func cutLine(b []byte) (one, rest []byte, ok bool) {
+// cutLine splits off the first line of b, without its CRLF or LF. ok is false if b has no complete line.
+func cutLine(b []byte) (line, rest []byte, ok bool) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		return nil, b, false
 	}
-	one = b[:i]
+	line = b[:i]
 	rest = b[i+1:]
-	if n := len(one); n > 0 && one[n-1] == '\r' {
-		one = one[:n-1]
+	if n := len(line); n > 0 && line[n-1] == '\r' {
+		line = line[:n-1]
 	}
-	return one, rest, true
+	return line, rest, true
 }
--- a/internal/protocol/http1/forward.go
+++ b/internal/protocol/http1/forward.go
@@ -11,27 +11,29 @@
 	"vetchhaven/internal/core"
 )
 
-// maxUploadStall is how long a server may take no byte of an upload. A smaller value cuts off servers that pause, a larger
-// one keeps the client's connection for longer on a server that hangs.
+// maxUploadStall is how long a server may accept no byte of an upload. A smaller value cuts off servers that pause, a
+// larger one occupies the client's connection for longer when a server hangs.
 const maxUploadStall = 10 * time.Second
 
-// maxResponseStall is how long a streamed response may bring nothing, with the same trade-off.
+// maxResponseStall is how long a server may send no byte of a streamed response, with the same trade-off.
 const maxResponseStall = 10 * time.Second
 
-// exchange writes m on a connection, and reads the response or streams it to the client. It reports whether the last byte
-// of m was written. After an error the connection must be closed, unless a sendRefusedError says otherwise.
+// exchange writes m on a connection, and reads the response or streams it to the client. fullyWritten reports whether
+// the last byte of m was written. After an error the connection must be closed, unless a sendRefusedError says
+// otherwise.
 func (p *connPool) exchange(ctx context.Context, owner attemptOwner, c *serverConn, m *message) (a *response, fullyWritten bool, err error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(core.LongAgo) })
 	defer func() {
 		if !stop() && err == nil {
-			a.reusable = false // its deadline has passed, or is being set to the past
+			a.reusable = false // the connection's deadline is, or is being, set to the past
 		}
 	}()
 	until, _ := ctx.Deadline()
 	text := m.encode(until)
 	c.writeStartedAt = time.Now()
 	if reason := owner.BeginWrite(c.interruptWrite); reason != core.SendAllowed {
-		// The request's end may have set a deadline for a write that was not begun: the next request must not meet it.
+		// The end of the request may have set a deadline for this write. It must not affect the connection's next
+		// request.
 		reusable := stop() && c.SetDeadline(time.Time{}) == nil
 		return nil, false, &sendRefusedError{reason: reason, nothingWritten: true, reusable: reusable}
 	}
@@ -48,7 +50,7 @@
 		in.Reset(nil)
 		p.readers.Put(in)
 	}()
-	// Servers write a response in one go: one that pauses for longer than a connection may take is cut off.
+	// Servers write a response without long pauses: one that pauses for longer than the connect timeout is cut off.
 	src := &serverReader{ctx: ctx, conn: c.Conn, maxGap: p.cfg.Settings.ConnectTimeout}
 	in.Reset(src)
 	if m.upload != nil {
@@ -71,18 +73,18 @@
 	return a, true, err
 }
 
-// interruptWrite ends a write that waits for its server: once the client has its response, or has disconnected, the server
-// must not get the last byte.
+// interruptWrite ends a write that waits for its server. Once the client has its response, or has disconnected, the
+// server must not get the request's last byte.
 func (c *serverConn) interruptWrite() { _ = c.SetWriteDeadline(core.LongAgo) }
 
-// sendUpload streams the rest of m's body. A server that rejects it before the last byte may say so (RFC 9110, 10.1.1, and
-// RFC 9112, 9.5): early is that response.
+// sendUpload streams the rest of m's body. A server may reject the request before the body's last byte (RFC 9110,
+// 10.1.1, and RFC 9112, 9.5): early is that response.
 func (p *connPool) sendUpload(ctx context.Context, owner attemptOwner, c *serverConn, m *message, in *bufio.Reader, src *serverReader) (early *response, err error) {
 	clientFault, err := m.upload.sendTo(ctx, owner, func(text []byte) error {
 		if err := c.SetWriteDeadline(time.Now().Add(maxUploadStall)); err != nil {
 			return err
 		}
-		if ctx.Err() != nil { // ended meanwhile: the deadline that its end has set must not be put off
+		if ctx.Err() != nil { // the attempt has ended: the deadline set then must not be extended
 			return context.Cause(ctx)
 		}
 		if reason := owner.ContinueWrite(c.interruptWrite); reason != core.SendAllowed {
@@ -103,7 +105,7 @@
 	case ctx.Err() != nil:
 		return nil, err
 	}
-	if deadlineErr := c.SetReadDeadline(time.Now().Add(minRest)); deadlineErr != nil {
+	if deadlineErr := c.SetReadDeadline(time.Now().Add(reuseDelay)); deadlineErr != nil {
 		return nil, err
 	}
 	rejection, readErr := readResponse(in, src, p.responseBudget)
@@ -114,7 +116,7 @@
 	return nil, err
 }
 
-// streamResponse passes a response to the client as it comes. The server has run the request.
+// streamResponse passes a response to the client as it arrives. The server has executed the request.
 func (p *connPool) streamResponse(ctx context.Context, owner attemptOwner, m *message, a *response, src *serverReader) error {
 	if m.client == nil {
 		return errTooLong
@@ -122,8 +124,9 @@
 	if !owner.StartResponse(core.ServerDone) {
 		return errRequestEnded
 	}
-	// The client's deadline no longer ends the attempt. A gap longer than maxStall does, and so does a rate below
-	// minClientRate: in all the server is waited for no longer than maxStall and what its bytes take at that rate.
+	// The client's deadline no longer ends the attempt. A pause longer than maxStall does, and so does a rate below
+	// minClientRate: the total wait for the server is limited to maxStall plus the time that its bytes take at that
+	// rate.
 	buf := pieceBuffers.Get().(*[]byte)
 	defer pieceBuffers.Put(buf)
 	out, err := m.client.startStream(a, m.http10)
--- a/internal/protocol/http1/front.go
+++ b/internal/protocol/http1/frontend.go
@@ -9,23 +9,23 @@
 	"vetchhaven/internal/core"
 )
 
-// front accepts clients' connections, and holds what these share.
-type front struct {
+// frontend accepts clients' connections, and holds the state that they share.
+type frontend struct {
 	cfg          *core.Config
 	loop         *core.Loop
 	limiter      *core.ConnLimiter
 	log          *slog.Logger
-	maxOpen      atomic.Int64 // requests open at once
+	maxOpen      atomic.Int64 // how many requests may be open at once
 	openRequests atomic.Int64
-	openUploads  atomic.Int64 // of openRequests, those whose last byte has not come
+	openUploads  atomic.Int64 // those of openRequests whose last byte has not been received
 	bodyBudget   *core.ByteBudget
 	classes      map[string]int
-	writeTimeout time.Duration // what a client has to read a response, or a piece of a streamed one
-	loopEnded    atomic.Bool   // the loop ended and answers nothing more
-	// draining has connections end with their next response.
+	writeTimeout time.Duration // how long a client may take to read a response, or a piece of a streamed one
+	loopEnded    atomic.Bool   // the loop has ended and answers no further request
+	// draining says that each connection is closed after its next response.
 	draining atomic.Bool
-	// overflowHook is set by tests only. It is called when a reader has more of a client's next requests than are kept, and
-	// with pause at each floodPause.
+	// overflowHook is set only by tests. A reader calls it when a client has sent more of its next requests than the
+	// agent buffers, and with pause set at each floodPause.
 	overflowHook func(pause bool)
 
 	mu      sync.Mutex
@@ -34,20 +34,21 @@
 }
 
 const (
-	// idleTimeout is how long a client's connection may be idle. Few clients come back to one after so long, and each costs
-	// memory.
+	// idleTimeout is how long a client's connection may be idle. Few clients reuse a connection after a longer time,
+	// and each idle connection costs memory.
 	idleTimeout = 15 * time.Second
-	// maxHeader is how many bytes a request's header may have, as net/http's Server.MaxHeaderBytes.
+	// maxHeader is how many bytes a request's header section may have; it corresponds to net/http's
+	// Server.MaxHeaderBytes.
 	maxHeader = 16 << 10
-	// maxID is how many bytes an X-Trace-Id or an Idempotency-Key may have.
+	// maxID is how many bytes the value of X-Trace-Id or Idempotency-Key may have.
 	maxID = 256
-	// finalAnswersSize is the buffer of a connection's final answers: one of the pending request, one by abortPending, and
-	// the reader's end.
+	// finalAnswersSize is the buffer size of a connection's channel of final answers: one for the pending request's
+	// answer, one for that of abortPending, and one for the message that the reader has ended.
 	finalAnswersSize = 3
 )
 
-func newFront(cfg *core.Config, l *core.Loop, log *slog.Logger) *front {
-	f := &front{
+func newFrontend(cfg *core.Config, l *core.Loop, log *slog.Logger) *frontend {
+	f := &frontend{
 		cfg:          cfg,
 		loop:         l,
 		log:          log,
@@ -63,8 +64,8 @@
 	return f
 }
 
-// resize changes the bounds of open requests and of body bytes.
-func (f *front) resize(sockets, bytes int) {
+// resize changes the limits on open requests and on buffered body bytes.
+func (f *frontend) resize(sockets, bytes int) {
 	maxOpen := core.ClientSockets(sockets)
 	if f.cfg.Site.MaxOpen > 0 {
 		maxOpen = min(maxOpen, f.cfg.Site.MaxOpen)
@@ -73,8 +74,8 @@
 	f.bodyBudget.Resize(bytes)
 }
 
-// serve accepts connections until the limiter is closed, and returns Accept's error then.
-func (f *front) serve(limiter *core.ConnLimiter) error {
+// serve accepts connections until the limiter is closed, and then returns the error of Accept.
+func (f *frontend) serve(limiter *core.ConnLimiter) error {
 	f.limiter = limiter
 	go func() {
 		<-f.loop.Stopped()
@@ -91,7 +92,7 @@
 			return err
 		}
 		c := &clientConn{
-			front:        f,
+			frontend:     f,
 			conn:         nc,
 			responseDone: make(chan struct{}, 1),
 			finalAnswers: make(chan finalAnswer, finalAnswersSize),
@@ -110,8 +111,8 @@
 	}
 }
 
-// closeConnections closes the connections that are left, and waits for their readers.
-func (f *front) closeConnections() error {
+// closeConnections closes the remaining connections, and waits for their readers.
+func (f *frontend) closeConnections() error {
 	f.mu.Lock()
 	for c := range f.conns {
 		_ = c.conn.Close()
--- a/internal/protocol/http1/front_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -32,11 +32,11 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	b := &backend{addr: ln.Addr().String()}
+	b := &standIn{addr: ln.Addr().String()}
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1", "Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
-		t.Fatalf("answer %+v", x)
+		t.Fatalf("response %+v", x)
 	}
 	r := testkit.Receive(t, "request", got)
 	if r.RequestURI != "/put//x%2Fy?q=1;2&z" || r.Method != "POST" || <-body != "form" {
@@ -60,7 +60,7 @@
 		want  string
 	}{{true, 250 * time.Millisecond, "0.250"}, {true, time.Minute, "1.500"}, {true, 0, ""}, {false, time.Second, ""}} {
 		cfg.Settings.RetryAfter = row.shown
-		text := (&front{cfg: cfg}).appendAnswer(nil, core.Answer{Refused: true, RetryAfter: row.after}, false)
+		text := (&frontend{cfg: cfg}).appendAnswer(nil, core.Answer{Refused: true, RetryAfter: row.after}, false)
 		resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") != row.want {
 			t.Errorf("%+v: %+v, %v", row, resp, err)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A client that hangs up is told to the module as Abandoned, and its request ends; the attempt's
-// outcome still comes.
+// When a client disconnects, the balancer is told that its request is abandoned, and the request ends. The attempt's
+// outcome is still reported.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -84,17 +84,17 @@
 	testkit.Receive(t, "request", s.seen)
 	cancel()
 	if err := testkit.Receive(t, "end of the client", gone); err == nil {
-		t.Error("the client got an answer")
+		t.Error("the client got a response")
 	}
-	testkit.WaitFor(t, "request to be given up", func() bool { return a.front.openRequests.Load() == 0 })
+	testkit.WaitFor(t, "the end of the request", func() bool { return a.frontend.openRequests.Load() == 0 })
 	close(hold)
 	if x := a.do("GET", "/get/y", ""); x.status != 200 {
 		t.Errorf("next request: %+v", x)
 	}
 }
 
-// Bad input gets a plain answer that says 'failed', and reaches no backend. A 429 or 503 would
-// say that another try is harmless.
+// An invalid request gets an error response and reaches no server. The status is not 429 or 503, which would say that
+// a retry is harmless.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -127,7 +127,7 @@
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
 		"two ids":     "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nX-Trace-Id: 4\r\n\r\n",
-		// Told, not sent: a client that goes on writing may meet the close before it reads the answer.
+		// Only announced, not sent: a client that keeps writing may see the close before it reads the response.
 		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 6\r\nContent-Length: %d\r\n\r\n", maxBody+1),
 		"60 MB":       "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 5\r\nContent-Length: 60000000\r\n\r\n",
 		"huge length": "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 5\r\nContent-Length: 99999999999999999999\r\n\r\n",
@@ -142,14 +142,14 @@
 		}
 	}
 	if len(s.seen) != 0 {
-		t.Errorf("%d requests reached the backend", len(s.seen))
+		t.Errorf("%d requests reached the server", len(s.seen))
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("after all that: %+v", x)
+		t.Errorf("a valid request afterwards: %+v", x)
 	}
 }
 
-// Two open requests with one id can't be told apart in the module's answers.
+// The balancer's decisions can't distinguish two open requests with the same ID.
 func TestDuplicateRequestIDGetsConflict(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -161,17 +161,17 @@
 		t.Errorf("second: %+v", x)
 	}
 	close(hold)
-	if x := testkit.Receive(t, "first answer", first); x.status != 200 {
+	if x := testkit.Receive(t, "first response", first); x.status != 200 {
 		t.Errorf("first: %+v", x)
 	}
-	// Its end does not free the id at once: a copy must not be sent, let alone served.
+	// The end of the request does not free its ID at once: a copy must not be sent, and not be served.
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "same"); x.status != http.StatusConflict {
 		t.Errorf("after the end: %+v", x)
 	}
 }
 
-// Clients that say nothing, and ones that begin a request and stop, in greater number than there
-// are places: usual clients are served all the same, and every one of the others is sent away.
+// More clients than there are slots send nothing, or begin a request and stop. Other clients are still served, and the
+// connection of each misbehaving client is closed.
 func TestSilentAndSlowClientsDoNotBlockOthers(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
@@ -196,31 +196,32 @@
 		}
 	}
 	if len(s.seen) != 5 {
-		t.Errorf("%d requests reached the backend", len(s.seen))
+		t.Errorf("%d requests reached the server", len(s.seen))
 	}
 }
 
-// Bodies that are kept are bounded in sum: past that a request's body streams, and what was booked comes back.
+// The total of buffered bodies is limited: beyond the limit a request's body is streamed, and reserved bytes are
+// released.
 func TestBodiesAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
-	whole := a.front.bodyBudget.Free()
-	a.front.bodyBudget.Acquire(int(whole) - 1000)
+	total := a.frontend.bodyBudget.Free()
+	a.frontend.bodyBudget.Acquire(int(total) - 1000)
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1001)); x.status != 200 {
-		t.Errorf("past the bound: %+v", x)
+		t.Errorf("beyond the limit: %+v", x)
 	}
-	if n := a.front.bodyBudget.Free(); n != 1000 {
-		t.Errorf("%d bytes are left", n)
+	if n := a.frontend.bodyBudget.Free(); n != 1000 {
+		t.Errorf("%d bytes are free", n)
 	}
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1000)); x.status != 200 {
-		t.Errorf("within the bound: %+v", x)
+		t.Errorf("within the limit: %+v", x)
 	}
-	testkit.WaitFor(t, "the booked bytes", func() bool { return a.front.bodyBudget.Free() == 1000 })
-	a.front.bodyBudget.Release(int(whole) - 1000)
+	testkit.WaitFor(t, "the release of the reserved bytes", func() bool { return a.frontend.bodyBudget.Free() == 1000 })
+	a.frontend.bodyBudget.Release(int(total) - 1000)
 }
 
-// SIGTERM with a request in flight: it is answered, connections between requests are closed,
-// and Run ends without an error.
+// When the agent is stopped with a request in flight, that request is answered, idle connections are closed, and Run
+// returns no error.
 func TestStopCompletesAdmittedRequests(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(n int) string {
@@ -261,12 +262,12 @@
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection was not closed: %v", err)
 	}
-	lateOne := make(chan exchange, 1)
-	go func() { lateOne <- a.do("GET", "/get/x", "") }()
+	afterStop := make(chan exchange, 1)
+	go func() { afterStop <- a.do("GET", "/get/x", "") }()
 	testkit.Receive(t, "request after the stop", s.seen)
 	close(accept)
 	close(hold)
-	for _, ch := range []chan exchange{inFlight, lateOne} {
+	for _, ch := range []chan exchange{inFlight, afterStop} {
 		if x := testkit.Receive(t, "answer", ch); x.status != 200 {
 			t.Errorf("%+v", x)
 		}
@@ -276,8 +277,8 @@
 	}
 }
 
-// A connection that never sends anything must not hold up a planned restart, which closes such
-// ones after a while. Those that have sent a request are left alone.
+// A client connection that never sends anything must not delay a planned restart: such connections are closed after a
+// while. Connections that have sent a request stay open.
 func TestSilentConnectionsAreClosedAtStop(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -307,9 +308,9 @@
 	}
 }
 
-// Past its part of the descriptors the agent holds no more requests and keeps no more
-// connections; a refusal there is true, since nothing ran.
-func TestFullFrontEvictsQuietConnections(t *testing.T) {
+// Beyond its share of the file descriptors the agent admits no further requests and keeps no further connections. It
+// refuses such a request, which is right, since the request was not executed.
+func TestRequestBeyondOpenLimitIsRefused(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
@@ -331,7 +332,7 @@
 		t.Errorf("%+v, %v", resp, err)
 	}
 	close(hold)
-	if x := testkit.Receive(t, "first answer", first); x.status != 200 {
+	if x := testkit.Receive(t, "first response", first); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
 	if len(s.seen) != 0 {
@@ -339,9 +340,9 @@
 	}
 }
 
-// Clients that ask once on each connection and keep it for good may have a bound of their own, far
-// below the limiter's. Once many are kept, answers end their connections, so that there are always
-// some left to ask on; and those that are kept go once they have been testkit.Quiet for long.
+// Clients may make one request per connection and keep the connection open; their number may be limited far below the
+// limiter's bound. Once many idle connections are open, responses close their connections, so that there are always
+// slots for new requests; connections that stay open are closed once they have been idle for long.
 func TestIdleClientConnectionsAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
@@ -362,22 +363,22 @@
 		if resp.Close {
 			closed++
 			if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("not closed after its answer: %v", err)
+				t.Errorf("not closed after its response: %v", err)
 			}
 			continue
 		}
-		testkit.WaitFor(t, "the connection to be testkit.Quiet", func() bool {
+		testkit.WaitFor(t, "the connection to be idle", func() bool {
 			counts := a.Limiter().Counts()
 			return counts.Fresh+counts.Idle == counts.Open
 		})
 	}
 	if n := kept(); n > most/3 || closed == 0 {
-		t.Errorf("%d of %d are kept, %d were closed after their answers", n, most, closed)
+		t.Errorf("%d of %d are kept, %d were closed after their responses", n, most, closed)
 	}
 }
 
-// Where a message tells its end twice, what one side takes for a body the other may take for a
-// further request. Nothing of it reaches a backend, and the connection is closed.
+// If a message states the end of its body twice, one side may take bytes for a body that the other side takes for a
+// further request (request smuggling). No part of such a message reaches a server, and the connection is closed.
 func TestSmuggledRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -402,13 +403,13 @@
 			if err != nil || resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode == 503 {
 				t.Fatalf("%+v, %v", resp, err)
 			}
-			// The close may reach the client as a reset: what it sent was not read whole.
+			// The close may reach the client as a reset, since the agent did not read everything that the client sent.
 			if rest, err := io.ReadAll(in); strings.Contains(string(rest), "HTTP/1.1") || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("not closed after the error: %q, %v", rest, err)
 			}
 		})
 	}
 	if len(s.seen) != 0 {
-		t.Errorf("%d requests reached the backend", len(s.seen))
+		t.Errorf("%d requests reached the server", len(s.seen))
 	}
 }
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -16,8 +16,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Heads of anybody: nothing panics, and what is taken goes on as one request that another parser reads
-// alike, with nothing behind it.
+// No head causes a panic. An accepted head is forwarded as exactly one request, which another parser reads alike, with
+// no bytes behind it.
 func FuzzHead(f *testing.F) {
 	f.Add([]byte("GET /get/x?a=1 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"))
 	f.Add([]byte("POST /put//x%2Fy HTTP/1.1\nHost: a\nX-Trace-Id: 1\nContent-Length: 4\nConnection: X-Hop, close\nX-Hop: 1\n\n"))
@@ -46,28 +46,28 @@
 		got, err := http.ReadRequest(in)
 		if err != nil {
 			if string(h.method) == http.MethodGet || string(h.method) == http.MethodPost {
-				t.Errorf("%q went on as %q: %v", raw, m.head, err)
+				t.Errorf("%q was forwarded as %q: %v", raw, m.head, err)
 			}
 			return
 		}
 		rest, err := io.ReadAll(got.Body)
 		if err != nil || !bytes.Equal(rest, body) || len(got.TransferEncoding) > 0 {
-			t.Errorf("%q went on as %q: body %q, %v", raw, m.head, rest, err)
+			t.Errorf("%q was forwarded as %q: body %q, %v", raw, m.head, rest, err)
 		}
 		if _, err := in.ReadByte(); err == nil {
-			t.Errorf("%q went on as %q: something is behind it", raw, m.head)
+			t.Errorf("%q was forwarded as %q: bytes follow it", raw, m.head)
 		}
 		if h.idCount == 1 && !h.isConnectionOption(&field{name: []byte("X-Trace-Id")}) && got.Header.Get("X-Trace-Id") != string(h.id) {
 			t.Errorf("%q: id %q became %q", raw, h.id, got.Header.Get("X-Trace-Id"))
 		}
 		part, _, _ := strings.Cut(strings.TrimPrefix(got.URL.Path, "/"), "/")
 		if part != first {
-			t.Errorf("%q: classed by %q, read as %q", raw, first, part)
+			t.Errorf("%q: class from %q, the other parser reads %q", raw, first, part)
 		}
 	})
 }
 
-// roundTrip writes on a connection and reads one answer.
+// roundTrip writes on a connection and reads one response.
 func roundTrip(t *testing.T, c net.Conn, in *bufio.Reader, text string) *http.Response {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -85,8 +85,8 @@
 	return resp
 }
 
-// A connection is kept after its answer, takes pieces and requests that come before their turn, and says
-// when it will not be kept.
+// A client connection is kept open after a response, accepts requests in pieces and pipelined requests, and announces
+// its close in the last response.
 func TestConnectionIsReused(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -114,7 +114,7 @@
 	if resp := roundTrip(t, c, in, ""); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
-	// Three at once: one answer each, in their order.
+	// Three pipelined requests get one response each, in their order.
 	post := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 3\r\n\r\nabc", newID())
 	if resp := roundTrip(t, c, in, get()+post+get()); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
@@ -124,7 +124,7 @@
 			t.Errorf("%+v", resp)
 		}
 	}
-	// A body for which the client waits to be asked.
+	// The client waits for a 100 (Continue) response before it sends the body.
 	if _, err := fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n", newID()); err != nil {
 		t.Fatal(err)
 	}
@@ -142,11 +142,11 @@
 		t.Errorf("%+v", resp)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("not closed after its last answer: %v", err)
+		t.Errorf("not closed after its last response: %v", err)
 	}
 }
 
-// HTTP/1.0 is answered, and its connection ends.
+// A request with HTTP/1.0 is served, and its connection is closed.
 func TestHTTP10ClientIsServed(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -160,8 +160,8 @@
 	}
 }
 
-// A part of a next request that comes before its turn does not cut short the wait for the answer before:
-// its own time runs from that on.
+// A part of the next request that arrives early does not end the wait for the current response: the time limit for the
+// next request's head counts from that response.
 func TestPartialNextRequestIsAwaited(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -179,7 +179,7 @@
 		t.Fatal(err)
 	}
 	testkit.Receive(t, "the first", s.seen)
-	time.Sleep(core.HeadTimeout + 200*time.Millisecond) // what a head may take has passed
+	time.Sleep(core.HeadTimeout + 200*time.Millisecond) // longer than a head may take
 	close(hold)
 	in := bufio.NewReader(c)
 	if resp := roundTrip(t, c, in, ""); resp.StatusCode != 200 {
@@ -190,8 +190,8 @@
 	}
 }
 
-// An empty line behind a body, as some clients send it, is no part of a next request: the connection rests
-// after its answer, and holds no place that others wait for.
+// Some clients send an empty line behind a body. It does not begin the next request: the connection is idle after the
+// response, and occupies no slot for which others wait.
 func TestEmptyLineAfterBodyIsIgnored(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -202,5 +202,5 @@
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
 	}
-	testkit.WaitFor(t, "the connection to rest", func() bool { return a.Limiter().Counts().Idle == 1 })
+	testkit.WaitFor(t, "the connection to be idle", func() bool { return a.Limiter().Counts().Idle == 1 })
 }
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -43,17 +43,17 @@
 	return startUntil(t, cfg, now)
 }
 
-// startUntil runs an agent that, once stopped, takes connections until accept is closed.
+// startUntil runs an agent that, once stopped, accepts connections until accept is closed.
 func startUntil(t *testing.T, cfg *core.Config, accept <-chan time.Time) *runningAgent {
 	t.Helper()
 	return startParts(t, cfg, core.Parts{StopAccepting: accept}, nil)
 }
 
-// startParts runs an agent with these parts, once ready, where it is set, has had it.
+// startParts runs an agent with these parts. It first calls ready with the agent, if ready is not nil.
 func startParts(t *testing.T, cfg *core.Config, p core.Parts, ready func(*core.Agent)) *runningAgent {
 	t.Helper()
-	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.Patience) // a slow machine is no dead discovery
-	a, own, err := newAgent(cfg, testkit.Quiet, p)
+	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.Patience) // a slow machine is no failure of discovery
+	a, proto, err := newAgent(cfg, testkit.Quiet, p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		ready(a)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &runningAgent{Agent: a, protocol: own, base: "http://" + a.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &runningAgent{Agent: a, protocol: proto, base: "http://" + a.Addr().String(), stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- a.Run(ctx); close(r.done) }()
 	t.Cleanup(func() {
 		cancel()
@@ -74,10 +74,10 @@
 	return r
 }
 
-// waitListed returns once a change of the list that names a server has been taken.
+// waitListed returns once a change of the endpoint list that adds the server has been applied.
 func (r *runningAgent) waitListed(t *testing.T, server string) {
 	t.Helper()
-	testkit.WaitFor(t, "the change of the list", func() bool {
+	testkit.WaitFor(t, "the change of the endpoint list", func() bool {
 		r.connPool.mu.Lock()
 		defer r.connPool.mu.Unlock()
 		_, known := r.connPool.addresses.Addr(server)
@@ -85,7 +85,7 @@
 	})
 }
 
-// exchange is one client request to the agent: what came back, with its whole body.
+// exchange is the response to one client request to the agent, with its complete body.
 type exchange struct {
 	status int
 	header http.Header
@@ -136,7 +136,7 @@
 	return exchange{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// raw writes text to the agent on a connection of its own and returns what comes back.
+// raw writes text to the agent on a new connection, and returns a reader of the bytes that come back.
 func (r *runningAgent) raw(t *testing.T, text string) *bufio.Reader {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
@@ -153,18 +153,19 @@
 	return bufio.NewReader(c)
 }
 
-// backend is a server that answers with handle and counts what reached it.
-type backend struct {
+// standIn is a test server that records the requests that reach it.
+type standIn struct {
 	addr string
-	seen chan string // the id of each request that came whole
+	seen chan string // the ID of each request that arrived completely
 }
 
-// serveRaw runs a backend that reads each request whole and writes what answer says, byte for
-// byte. An empty answer closes the connection.
-func serveRaw(t *testing.T, answer func(n int) string) *backend {
+// serveRaw runs a stand-in that reads each request completely and writes the bytes that answer returns for it; n
+// counts the requests from 0. An empty answer closes the connection, and so does one with TRUNCATED in it after it was
+// written.
+func serveRaw(t *testing.T, answer func(n int) string) *standIn {
 	t.Helper()
 	ln := testkit.Listen(t)
-	b := &backend{addr: ln.Addr().String(), seen: make(chan string, 100)}
+	b := &standIn{addr: ln.Addr().String(), seen: make(chan string, 100)}
 	var mu sync.Mutex
 	n := 0
 	go func() {
@@ -200,7 +201,7 @@
 	return b
 }
 
-// serveConns runs a backend whose connections are handled by f alone.
+// serveConns runs a stand-in whose connections are handled by f.
 func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) discovery.Member {
 	t.Helper()
 	ln := testkit.Listen(t)
@@ -216,7 +217,7 @@
 			}()
 		}
 	}()
-	return (&backend{addr: ln.Addr().String()}).member("s")
+	return (&standIn{addr: ln.Addr().String()}).member("s")
 }
 
 // resetting is a listener that resets each connection at once.
@@ -235,13 +236,13 @@
 	return ln
 }
 
-// reset closes a connection with a reset in place of an end.
+// reset closes a connection by a reset.
 func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// dialUntilReset dials, and returns once the other side has reset the connection: with that error.
+// dialUntilReset dials, waits until the other side has reset the connection, and returns that error.
 func dialUntilReset(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := new(net.Dialer).DialContext(ctx, network, addr)
 	if err != nil {
@@ -252,7 +253,7 @@
 	return nil, err
 }
 
-func (b *backend) member(id string) discovery.Member {
+func (b *standIn) member(id string) discovery.Member {
 	return discovery.Member{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -1,21 +1,21 @@
-// Package http1 serves HTTP/1.1 (RFC 9110 and 9112) on the core's event loop: it reads clients' requests, makes the attempts
-// that the balancer decides on, and writes the responses. Which server gets a request, and whether it is retried, is decided
-// by package decide alone.
+// Package http1 serves HTTP/1.1 (RFC 9110 and RFC 9112) on the core's event loop: it reads clients' requests, makes
+// the attempts that the balancer decides on, and writes the responses. Package decide alone decides which server gets
+// a request and whether the request is retried. The head of a message is its start line and its header section.
 //
-// It owns the state of clients' connections and of the pool of connections to servers, and nothing of it outlives the agent.
-// Three kinds of goroutines run in it. Each client connection has a reader (clientConn.serve) and, from its first request on,
-// a writer (runWriter). The loop's attempts call Attempt and Probe from goroutines of their own. The agent's goroutine calls
-// Serve, Update, Resize, Shutdown and the like.
+// The package owns the state of clients' connections and of the pool of connections to servers. This state does not
+// outlive the agent. Three kinds of goroutines run in the package. Each client connection has a reader
+// (clientConn.serve) and, from its first request on, a writer (runWriter). The loop calls Attempt and Probe from
+// goroutines of their own. The agent's goroutine calls Serve, Update, Resize, Shutdown and the like.
 //
-//	front.go                                   accepts clients' connections
-//	conn.go, requestreader.go                  a client's connection, its reader
-//	requesthead.go, field.go                   a request's head, checked strictly
+//	frontend.go                                accepts clients' connections
+//	conn.go, requestreader.go                  a client's connection and its reader
+//	requesthead.go, field.go                   parses a request's head strictly
 //	requestbody.go, upload.go, chunks.go       a request's body: buffered, or streamed to one server
 //	request.go                                 checks and admits a request
 //	responsewriter.go, render.go, stream.go    writes responses
 //	attempt.go, forward.go, message.go         makes one attempt of a request
-//	pool.go, serverconn.go, dial.go            the idle pool of connections to servers
-//	responsereader.go, responsebody.go         reads a server's response, checked strictly
+//	pool.go, serverconn.go, dial.go            the pool of connections to servers
+//	responsereader.go, responsebody.go         parses a server's response strictly
 //	probe.go                                   health checks and load reports
 package http1
 
@@ -29,52 +29,53 @@
 
 // protocol implements core.Protocol.
 type protocol struct {
-	*front
+	*frontend
 	*connPool
 }
 
-// New returns an agent that speaks HTTP/1.1. It fails as core.New does.
+// New returns an agent that speaks HTTP/1.1. Its errors are those of core.New.
 func New(cfg *core.Config, log *slog.Logger, p core.Parts) (*core.Agent, error) {
 	a, _, err := newAgent(cfg, log, p)
 	return a, err
 }
 
 func newAgent(cfg *core.Config, log *slog.Logger, p core.Parts) (*core.Agent, *protocol, error) {
-	var own *protocol
+	var proto *protocol
 	a, err := core.New(cfg, log, p, func(l *core.Loop) core.Protocol {
-		own = &protocol{newFront(cfg, l, log), newConnPool(cfg, log)}
-		return own
+		proto = &protocol{newFrontend(cfg, l, log), newConnPool(cfg, log)}
+		return proto
 	})
-	return a, own, err
+	return a, proto, err
 }
 
-// Serve takes clients' connections until the limiter is closed.
+// Serve accepts clients' connections until the limiter is closed.
 func (p *protocol) Serve(limiter *core.ConnLimiter) error {
-	return p.front.serve(limiter)
+	return p.frontend.serve(limiter)
 }
 
-// SetDraining sets whether each connection ends with its next response.
+// SetDraining sets whether each client connection is closed after its next response.
 func (p *protocol) SetDraining(on bool) { p.draining.Store(on) }
 
-// Resize bounds the sockets, and the bytes of bodies in each direction.
+// Resize sets how many sockets may be open, and how many bytes of bodies may be buffered in each direction.
 func (p *protocol) Resize(sockets, bytes int) {
-	p.front.resize(sockets, bytes)
+	p.frontend.resize(sockets, bytes)
 	p.connPool.resize(sockets, bytes)
 }
 
-// Close closes the clients' connections that are left, and waits for their readers.
-func (p *protocol) Close() error { return p.front.closeConnections() }
+// Close closes the remaining client connections, and waits for their readers.
+func (p *protocol) Close() error { return p.frontend.closeConnections() }
 
-// OpenRequests is how many requests were received completely and have no final answer yet.
+// OpenRequests returns how many requests were received completely and have no final answer yet.
 func (p *protocol) OpenRequests() int64 {
-	return p.front.openRequests.Load() - p.front.openUploads.Load()
+	return p.frontend.openRequests.Load() - p.frontend.openUploads.Load()
 }
 
-// Attempt sends a request to a server once. The second result is the response, nil unless the first is decide.OK.
+// Attempt sends a request to a server once. The second result is the response; it is nil unless the first is
+// decide.OK.
 func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
 	result, r, load := p.attempt(a.Context, a, a.Server, a.Message.(*message))
 	if r == nil {
-		return result, nil, load // an untyped nil
+		return result, nil, load // a nil interface, not a nil *response
 	}
 	return result, r, load
 }
@@ -82,7 +83,7 @@
 // Probe checks a server's health, and reads its load report where the site's probes return one.
 func (p *protocol) Probe(server string) decide.ProbeResult { return p.probe(server) }
 
-// Update takes a change of the endpoint list.
+// Update applies a change of the endpoint list.
 func (p *protocol) Update(l core.List) { p.update(l) }
 
 // ReapIdle closes connections to servers that have been idle for too long, until ctx ends.
@@ -90,5 +91,5 @@
 	core.RunPeriodically(ctx, p.maxIdle/reapsPerMaxIdle, p.reapIdle)
 }
 
-// Shutdown closes the idle connections to servers, and keeps none from now on.
+// Shutdown closes the idle connections to servers. From then on no connection is kept.
 func (p *protocol) Shutdown() { p.shutdown() }
--- a/internal/protocol/http1/latedial_test.go
+++ b/internal/protocol/http1/latedial_test.go
@@ -13,7 +13,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// blockDial has an agent's first connection to a server come up no sooner than told.
+// blockDial blocks the agent's first dial to the server at addr until release is closed.
 func (r *runningAgent) blockDial(addr string) (dialled, release chan struct{}) {
 	dialled, release = make(chan struct{}, 1), make(chan struct{})
 	plain, first := r.connPool.dialer, atomic.Bool{}
@@ -21,15 +21,16 @@
 		if to == addr && first.CompareAndSwap(false, true) {
 			dialled <- struct{}{}
 			<-release
-			ctx = context.WithoutCancel(ctx) // it comes up however late it is
+			ctx = context.WithoutCancel(ctx) // the dial succeeds however late it is
 		}
 		return plain(ctx, network, to)
 	}
 	return dialled, release
 }
 
-// A connection that comes up late brings nothing to a server that the list says by then to drain, to be gone, or to be
-// elsewhere (another process may have its address): another one has the request, or the server where it is now.
+// Nothing is sent on a connection whose dial was late if by then the endpoint list says that the server drains, is
+// gone or has moved (another process may have its address). Another server gets the request, or the server at its new
+// address.
 func TestLateConnectionToDrainingServerIsNotUsed(t *testing.T) {
 	for _, state := range []string{"draining", "gone", "not listed", "moved"} {
 		t.Run(state, func(t *testing.T) {
@@ -58,13 +59,13 @@
 				t.Errorf("%+v", x)
 			}
 			if len(one.seen) != 0 || len(two.seen)+len(moved.seen) != 1 {
-				t.Errorf("%d went to the one that leaves, %d elsewhere", len(one.seen), len(two.seen)+len(moved.seen))
+				t.Errorf("%d requests went to the server that leaves, %d elsewhere", len(one.seen), len(two.seen)+len(moved.seen))
 			}
 		})
 	}
 }
 
-// Nor to a request whose client has left meanwhile.
+// Nothing is sent on a connection whose dial was late if the client has disconnected by then.
 func TestLateConnectionIsNotUsedForEndedRequest(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -73,22 +74,23 @@
 	c.write(headOf("get", "late"))
 	testkit.Receive(t, "dial", dialled)
 	reset(c.c)
-	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
+	testkit.WaitFor(t, "the disconnect", func() bool { return a.Totals().ClientDisconnects == 1 })
 	close(release)
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "next"); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
 	if id := testkit.Receive(t, "request", s.seen); id != "next" || len(s.seen) != 0 {
-		t.Errorf("%q reached the server, and %d more", id, len(s.seen))
+		t.Errorf("request %q reached the server, and %d more", id, len(s.seen))
 	}
 }
 
-// Nor to a repeat whose window has closed: the keyed request then fails. The window is long enough for a slow machine to
-// begin the repeat within it.
+// Nothing is sent on a connection whose dial was late if the attempt is a retry whose deduplication window has closed:
+// the keyed request then fails. The window is long enough for a slow machine to begin the retry within it.
 func TestLateConnectionIsNotUsedForRetryPastDedupWindow(t *testing.T) {
 	t.Parallel()
-	// The module leaves a connect time-out before the window's end, and the window counts as closed 0.15 s early: a repeat
-	// that is decided in the last 0.15 s before that margin, and whose connection takes nearly the time-out, meets the look.
+	// The balancer begins no retry in the last connect timeout before the window's end, and the window counts as
+	// closed 0.15 s early. So a retry that is decided in the last 0.15 s before that margin, and whose dial takes
+	// nearly the connect timeout, is stopped by the check of the window.
 	const window, connect = 2 * time.Second, time.Second
 	for try := 1; ; try++ {
 		hold := make(chan struct{})
@@ -113,18 +115,18 @@
 		select {
 		case <-dialled:
 			time.AfterFunc(time.Until(sent.Add(window-130*time.Millisecond)), func() { close(release) })
-		case x := <-got: // decided too late: it was not repeated
+		case x := <-got: // the decision was too late: there was no retry
 			got <- x
 			close(release)
 		}
 		if x := testkit.Receive(t, "answer", got); x.status != http.StatusBadGateway || len(other.seen) != 0 {
-			t.Errorf("%d, %d reached the other server", x.status, len(other.seen))
+			t.Errorf("%d, %d requests reached the other server", x.status, len(other.seen))
 		}
 		if a.Counters().SendRefusals["window_closed"] > 0 {
 			return
 		}
 		if try == 10 {
-			t.Fatal("no repeat came so late that its window had closed")
+			t.Fatal("no retry was so late that its window had closed")
 		}
 	}
 }
--- a/internal/protocol/http1/loop_test.go
+++ b/internal/protocol/http1/loop_test.go
@@ -10,21 +10,21 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A truncated 200 of a backend is never passed on as a whole one. A request that may not be
-// repeated fails; a safe one is tried again by the module.
+// A truncated response with status 200 is never passed on as a complete one. A non-idempotent request fails; an
+// idempotent one is retried.
 func TestTruncatedResponseIsNotServed(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
 	s := serveRaw(t, func(n int) string { return []string{cut, cut, ok200}[n] })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway || strings.Contains(x.body, "TRUNCATED") {
-		t.Errorf("unsafe: %+v", x)
+		t.Errorf("non-idempotent: %+v", x)
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.body != "hello" {
-		t.Errorf("safe: %+v", x)
+		t.Errorf("idempotent: %+v", x)
 	}
 }
 
-// An unsafe request that may have run is neither sent again nor refused.
+// A non-idempotent request that may have been executed is neither sent again nor refused.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := serveRaw(t, func(int) string { return "" })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -36,7 +36,7 @@
 	}
 }
 
-// What never ran may be refused.
+// A request that was never executed may be refused.
 func TestRejectedRequestGets503(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := start(t, cfg)
@@ -45,8 +45,8 @@
 	}
 }
 
-// A request whose backend is silent is answered before its client stops waiting, and says that
-// it failed.
+// A request whose server sends nothing is answered before its client stops waiting, with a response that says that it
+// failed.
 func TestDeadlineExceededGets504(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -57,14 +57,15 @@
 	}
 }
 
-// A client's last try may have less time left than a step is away. The module answers it all the
-// same, with a refusal, since nothing ran; the loop once failed it first, at the deadline itself.
+// A client's last retry may have less time left than the time until the loop's next step. The balancer still refuses
+// it, since nothing was executed. The loop used to fail such a request at its deadline, before the balancer answered
+// it.
 func TestAttemptWithLittleRemainingTime(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testkit.Patience
 	a := start(t, cfg)
-	for range 3 { // the first may meet a step that is due
+	for range 3 { // a step may happen to be due at the first one
 		if x := a.do("GET", "/get/x", "", "X-Expires-In", "0.000001"); x.status != http.StatusServiceUnavailable {
 			t.Errorf("%+v", x)
 		}
--- a/internal/protocol/http1/message.go
+++ b/internal/protocol/http1/message.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// message is a client's request as it is forwarded: the same at each attempt, but for its X-Expires-In.
+// message is a client's request as it is forwarded. It is the same at each attempt, except for its X-Expires-In.
 type message struct {
-	head      []byte // the request line and headers, without X-Expires-In and the empty line
+	head      []byte // the request line and the field lines, without X-Expires-In and the empty line
 	body      []byte
 	upload    *upload       // the rest of the body; nil: body is complete
-	client    *clientConn   // may get a streamed response; nil: none may (a probe)
+	client    *clientConn   // gets a streamed response; nil: the response is not streamed (a probe)
 	http10    bool          // the client speaks HTTP/1.0
-	remaining time.Duration // of an upload's request, counted from its last byte
+	remaining time.Duration // how long the client of an upload waits, counted from the upload's last byte
 }
 
-// withClient sets the request's client, and how long it waits.
+// withClient sets the request's client, and how long that client waits.
 func (m *message) withClient(c *clientConn, http10 bool, remaining time.Duration) *message {
 	m.client = c
 	m.http10 = http10
@@ -24,16 +24,17 @@
 	return m
 }
 
-// expiresInSize is room for the X-Expires-In line, in bytes.
+// expiresInSize is the space for the X-Expires-In line, in bytes.
 const expiresInSize = 40
 
-// encode returns the message as it is written by an attempt with a deadline; none if it is zero.
+// encode returns the message as an attempt with this deadline writes it. A zero deadline is none: X-Expires-In is left
+// out.
 func (m *message) encode(deadline time.Time) []byte {
 	text := make([]byte, 0, len(m.head)+len(m.body)+expiresInSize)
 	text = append(text, m.head...)
 	if !deadline.IsZero() {
 		remaining := time.Until(deadline)
-		if m.upload != nil { // counted from its last byte
+		if m.upload != nil { // its time counts from its last byte
 			remaining = m.remaining
 		}
 		text = append(text, "X-Expires-In: "...)
@@ -44,8 +45,8 @@
 	return append(text, m.body...)
 }
 
-// message returns the request as it is forwarded, with its body, or with the beginning of an upload's. HTTP/1.1 is written,
-// whatever the client speaks (RFC 9110, 2.5), with the framing anew.
+// message returns the request as it is forwarded, with its body or the beginning of an upload's body. Its version is
+// HTTP/1.1, whatever version the client speaks (RFC 9110, 2.5), and its framing fields are written anew.
 func (h *requestHead) message(target, host string, body []byte, rest *upload) *message {
 	text := make([]byte, 0, len(h.method)+len(target)+len(host)+64+h.size())
 	text = append(text, h.method...)
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// readResponse is the next answer's status, and whether the connection ends with it.
+// readResponse returns the status of the next response, and whether it is the connection's last.
 func (c *client) readResponse() (status int, last bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
@@ -57,7 +57,7 @@
 	return resp.StatusCode, resp.Close
 }
 
-// expectEnd waits until the agent has closed the connection, with nothing more on it.
+// expectEnd waits until the agent has closed the connection, and expects no further bytes on it.
 func (c *client) expectEnd() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
@@ -65,8 +65,9 @@
 	}
 }
 
-// Sent away by hand, clients hear so at once, what they ask on connections that they have is served, and no connection is
-// held: neither idle ones nor such as never asked. Taken again, all is as before, and the process goes on.
+// When an operator drains the agent, the health check fails at once, requests on open connections are served, and
+// every connection is closed, including idle ones and those that never sent a request. When the operator ends the
+// drain, everything is as before, and the process keeps running.
 func TestManualDrainRunsToItsEnd(t *testing.T) {
 	hold := make(chan struct{})
 	came := make(chan struct{}, 10)
@@ -79,7 +80,7 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	b := &backend{addr: ln.Addr().String()}
+	b := &standIn{addr: ln.Addr().String()}
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	idle, busy, silent, late := a.connect(t), a.connect(t), a.connect(t), a.connect(t)
 	for _, c := range []*client{idle, late} {
@@ -94,20 +95,20 @@
 		t.Fatalf("health before: %d", x.status)
 	}
 	a.Agent.SetDrained(true)
-	a.Agent.SetDrained(true) // twice is once
+	a.Agent.SetDrained(true) // a second call has no effect
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
 		t.Errorf("health while drained: %d", x.status)
 	}
 	late.send("/get/x")
 	if status, last := late.readResponse(); status != 200 || !last {
-		t.Errorf("on a kept connection: %d, last %v", status, last)
+		t.Errorf("on an open connection: %d, last %v", status, last)
 	}
 	late.expectEnd()
 	idle.expectEnd()
 	silent.expectEnd()
 	close(hold)
 	if status, last := busy.readResponse(); status != 200 || !last {
-		t.Errorf("what was taken: %d, last %v", status, last)
+		t.Errorf("request in flight: %d, last %v", status, last)
 	}
 	busy.expectEnd()
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
@@ -129,9 +130,9 @@
 	}
 }
 
-// What is out by hand is not even sent what was decided before and still waits for its connection: another
-// server has it.
-func TestBanWhileDiallingPreventsSend(t *testing.T) {
+// A server that an operator has disabled does not even get a request that was assigned to it before and that still
+// waits for a dial.
+func TestDisablingServerWhileDiallingPreventsSend(t *testing.T) {
 	b, other := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}}))
 	dialled, hold := make(chan struct{}, 1), make(chan struct{})
@@ -154,31 +155,32 @@
 	close(hold)
 	x := testkit.Receive(t, "answer", got)
 	if x.status != 503 || len(b.seen) != 0 || len(other.seen) != 0 {
-		t.Errorf("%d, %d sent to the one that is out", x.status, len(b.seen))
+		t.Errorf("%d, %d requests sent to the disabled server", x.status, len(b.seen))
 	}
 	if known, err := a.SetServerDisabled(ctx, "nobody", true); known || err != nil {
-		t.Errorf("an unknown one: %v %v", known, err)
+		t.Errorf("an unknown server: %v %v", known, err)
 	}
 	if known, err := a.SetServerDisabled(ctx, "s", false); !known || err != nil {
-		t.Errorf("back: %v %v", known, err)
+		t.Errorf("enabled again: %v %v", known, err)
 	}
-	// It comes back cold. Where a slow machine has left a request less time than the one before, it looks like a client's
-	// repeat, and is refused at once where only cold servers could have it: nothing was sent, and asking again is harmless.
+	// The server is cold when it is enabled again. On a slow machine a request may have less time left than the one
+	// before it, which makes it look like a client's retry; such a request is refused at once if only cold servers
+	// could get it. Nothing was sent then, and a retry is harmless.
 	refused := 0
-	testkit.WaitFor(t, "what is back in to serve", func() bool {
+	testkit.WaitFor(t, "the enabled server to serve", func() bool {
 		x := a.do("POST", "/pay/x", "form")
 		if x.status == 503 && len(b.seen) == 0 {
 			refused++
 			return false
 		}
 		if x.status != 200 || len(b.seen) != 1 {
-			t.Fatalf("back in, after %d refusals: %d, %d sent", refused, x.status, len(b.seen))
+			t.Fatalf("enabled again, after %d refusals: %d, %d sent", refused, x.status, len(b.seen))
 		}
 		return true
 	})
 }
 
-// Figures tell what clients were told and servers were sent.
+// The status counts the answers that clients got and the requests that servers were sent.
 func TestMetricsAreReported(t *testing.T) {
 	n := 0
 	b := serveRaw(t, func(k int) string {
@@ -191,9 +193,9 @@
 	for range 2 {
 		a.do("GET", "/get/x", "")
 	}
-	a.do("POST", "/pay/x", "form") // 500: fails, and is not tried again
+	a.do("POST", "/pay/x", "form") // the server responds 500: the request fails, and is not retried
 	a.do("POST", "/pay/x", "form")
-	a.do("POST", "/pay/x", "form", "X-Trace-Id", "") // no request
+	a.do("POST", "/pay/x", "form", "X-Trace-Id", "") // invalid: it does not count as a request
 	f := a.Status(testkit.Patience)
 	want := map[string]core.ClassStatus{"get": {Name: "get", Answered: 2, Sends: 2}, "put": {Name: "put"},
 		"pay": {Name: "pay", Answered: 1, Errored: 1, Sends: 2}}
@@ -210,33 +212,33 @@
 	if _, err := a.SetServerDisabled(ctx, "s", true); err != nil {
 		t.Fatal(err)
 	}
-	testkit.WaitFor(t, "the server to be counted out", func() bool { return a.Status(testkit.Patience).Avoided == 1 })
+	testkit.WaitFor(t, "the server to be counted as avoided", func() bool { return a.Status(testkit.Patience).Avoided == 1 })
 	if x := a.do("GET", "/get/x", ""); x.status != 503 {
-		t.Errorf("with none left: %d", x.status)
+		t.Errorf("with no server left: %d", x.status)
 	}
 	if f := a.Status(testkit.Patience); f.Classes[0].Deferred != 1 || f.Listed != 1 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// Two processes have the descriptors of one: each opens fewer connections while the other is there.
+// Two processes share the file descriptors of one: each opens fewer connections while the other one runs.
 func TestLimitsAreHalvedBesideAnotherProcess(t *testing.T) {
 	b := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{b.member("s")}})
 	a := start(t, cfg)
-	whole := a.connPool.maxConns
+	total := a.connPool.maxConns
 	a.SetOtherProcesses(1)
 	a.connPool.mu.Lock()
-	half := a.connPool.maxConns
+	shared := a.connPool.maxConns
 	a.connPool.mu.Unlock()
-	if half > whole/2 || a.front.maxOpen.Load() > int64(core.ClientSockets(cfg.Sockets/2)) || a.bodyBudget.Free() > int64(cfg.BodyMemory()/2) {
-		t.Errorf("%d of %d connections, %d requests, %d bytes", half, whole, a.front.maxOpen.Load(), a.bodyBudget.Free())
+	if shared > total/2 || a.frontend.maxOpen.Load() > int64(core.ClientSockets(cfg.Sockets/2)) || a.bodyBudget.Free() > int64(cfg.BodyMemory()/2) {
+		t.Errorf("%d of %d connections, %d requests, %d bytes", shared, total, a.frontend.maxOpen.Load(), a.bodyBudget.Free())
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("beside another: %d", x.status)
+		t.Errorf("beside another process: %d", x.status)
 	}
 	a.SetOtherProcesses(0)
-	if a.connPool.maxConns != whole || a.bodyBudget.Free() != int64(cfg.BodyMemory()) {
-		t.Errorf("alone again: %d of %d connections, %d bytes", a.connPool.maxConns, whole, a.bodyBudget.Free())
+	if a.connPool.maxConns != total || a.bodyBudget.Free() != int64(cfg.BodyMemory()) {
+		t.Errorf("alone again: %d of %d connections, %d bytes", a.connPool.maxConns, total, a.bodyBudget.Free())
 	}
 }
--- a/internal/protocol/http1/panic_test.go
+++ b/internal/protocol/http1/panic_test.go
@@ -14,25 +14,25 @@
 	"vetchhaven/internal/testkit"
 )
 
-// After a panic what was taken is answered failed, and nothing is sent for it any more: not even by
-// an attempt whose connection comes up later.
+// After a panic an admitted request is answered as failed, and nothing more is sent for it, not even by an attempt
+// whose dial succeeds later.
 func TestNothingIsSentAfterAPanic(t *testing.T) {
 	server := testkit.Listen(t)
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{{ID: "s", Addr: server.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}})
-	a, own, err := newAgent(cfg, testkit.Quiet, core.Parts{})
+	a, proto, err := newAgent(cfg, testkit.Quiet, core.Parts{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	dialled, release := make(chan struct{}), make(chan struct{})
-	own.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
+	proto.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialled)
-		<-release // a connection that comes up late, though its attempt has been given up
+		<-release // a dial that succeeds late, though its attempt was abandoned
 		return net.Dial(network, addr)
 	}
-	var blow atomic.Bool
+	var panicNow atomic.Bool
 	a.SetStepHook(func(core.Totals) {
-		if blow.Load() {
-			panic("brought about")
+		if panicNow.Load() {
+			panic("injected panic")
 		}
 	})
 	ended := make(chan error, 1)
@@ -59,23 +59,23 @@
 	case <-time.After(testkit.Patience):
 		t.Fatal("no attempt")
 	}
-	blow.Store(true)
-	go ask("2") // makes the loop step
+	panicNow.Store(true)
+	go ask("2") // makes the loop take a step
 	select {
 	case got := <-status:
 		if got != http.StatusBadGateway {
-			t.Errorf("answered %d, want it failed", got)
+			t.Errorf("answered %d, want 502", got)
 		}
 	case <-time.After(testkit.Patience):
-		t.Fatal("what was taken is not answered")
+		t.Fatal("the admitted request is not answered")
 	}
 	select {
 	case err := <-ended:
 		if !errors.Is(err, core.ErrPanic) {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the agent ended with %v", err)
 		}
 	case <-time.After(testkit.Patience):
-		t.Fatal("it does not end")
+		t.Fatal("the agent does not end")
 	}
 	close(release)
 	c, err := server.Accept()
@@ -93,6 +93,6 @@
 	}
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		t.Error("the connection is kept for nothing")
+		t.Error("the connection is kept though nothing uses it")
 	}
 }
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -15,40 +15,42 @@
 )
 
 const (
-	// reapsPerMaxIdle is how often idle connections are checked within maxIdle. More checks cost more system calls, one for
-	// each idle connection; fewer keep dead ones for longer.
+	// reapsPerMaxIdle is how often idle connections are checked within maxIdle. More checks cost more system calls,
+	// one per idle connection; fewer checks keep dead connections for longer.
 	reapsPerMaxIdle = 8
-	// learnIdle's steps: a response grows the idle time by 1/idleGrowthDivisor of it, a dead connection cuts it by
-	// 1/idleCutDivisor of the way, and it stays above 1/minIdleDivisor of maxIdle. Faster growth loses more requests to dead
-	// connections, slower growth dials more often than needed.
+	// These set the steps of learnIdle: a response increases the idle time by 1/idleGrowthDivisor of it, a dead
+	// connection reduces it by 1/idleCutDivisor of its distance to a safe value, and it stays at or above
+	// 1/minIdleDivisor of maxIdle. Faster growth loses more requests on dead connections, slower growth dials more
+	// often than needed.
 	idleGrowthDivisor = 100
 	idleCutDivisor    = 4
 	minIdleDivisor    = 64
 )
 
-// connPool holds the connections to all servers. It makes exactly the attempts that the loop asks for: each is one request
-// written at most once on one connection. Its methods may be called from any goroutine; those that end in Locked, and
-// those that say so, need the lock.
+// connPool holds the connections to all servers. It makes exactly the attempts that the loop asks for: each attempt
+// writes one request at most once, on one connection. Its methods may be called from any goroutine. The caller of a
+// method whose name ends in Locked, or whose comment says so, holds mu.
 type connPool struct {
 	cfg            *core.Config
 	log            *slog.Logger
-	maxIdle        time.Duration    // how long a connection may be idle by the settings
-	maxStall       time.Duration    // how long a streamed response may bring nothing; tests shorten it
+	maxIdle        time.Duration    // how long a connection may be idle according to the settings
+	maxStall       time.Duration    // how long a server may send no byte of a streamed response; tests shorten it
 	responseBudget *core.ByteBudget // bytes of responses that are being read
 	dialer         func(ctx context.Context, network, addr string) (net.Conn, error)
 	readers        sync.Pool // of *bufio.Reader
 
 	mu        sync.Mutex
-	maxConns  int // connections at once
+	maxConns  int // how many connections may be open at once
 	addresses core.Addresses
-	// learnedMaxIdle is how long a connection is kept idle: shorter than maxIdle where idle ones were found to be dead.
+	// learnedMaxIdle is how long a connection is kept idle. It is shorter than maxIdle if idle connections were found
+	// dead.
 	learnedMaxIdle time.Duration
-	idle           map[string][]*serverConn // by server ID, the one used last at the end; no list is empty
+	idle           map[string][]*serverConn // by server ID, the most recently used one last; no list is empty
 	open           int                      // idle, in use or being dialled
-	usualDialTime  time.Duration            // about the median
-	// abandonTokens is how many attempts may be abandoned for a late dial. Responses add to it.
+	usualDialTime  time.Duration            // an estimate of the median
+	// abandonTokens is how many attempts may be abandoned because of late dials. Responses add tokens.
 	abandonTokens float64
-	lateDials     map[string]bool // by server ID: a dial goes on that its attempt has abandoned
+	lateDials     map[string]bool // by server ID: a dial continues whose attempt was abandoned
 	closed        bool            // the agent has ended: no connection is kept
 	lifetime      context.Context // ends with the agent; dials that no attempt waits for end with it
 	endLifetime   func()
@@ -56,8 +58,9 @@
 
 func newConnPool(cfg *core.Config, log *slog.Logger) *connPool {
 	lifetime, endLifetime := context.WithCancel(context.Background())
-	// Servers may close an idle connection at IdleClose; a request that crosses the close is lost as a reset that may have
-	// run. A quarter of the time is far more than any network takes.
+	// Servers may close an idle connection at IdleClose. A request that is on its way at that moment is lost: the
+	// connection is reset, and the request may have been executed. A margin of a quarter of IdleClose exceeds any
+	// network delay by far.
 	maxIdle := cfg.Site.IdleClose * 3 / 4
 	return &connPool{
 		cfg:            cfg,
@@ -78,13 +81,14 @@
 	}
 }
 
-// isUnusable reports whether a connection that has been idle for so long must not be used any more. The lock is held.
+// isUnusable reports whether a connection that has been idle for idleFor must not be used any more. The caller holds
+// p.mu.
 func (p *connPool) isUnusable(c *serverConn, idleFor time.Duration) bool {
 	return idleFor >= p.learnedMaxIdle || !c.isQuiet()
 }
 
-// resize changes the number of connections at once, as a part of all sockets, and the bytes of responses. Idle connections
-// past it are closed.
+// resize sets how many connections may be open, as a share of all sockets, and how many bytes of responses may be
+// buffered. Idle connections beyond the limit are closed.
 func (p *connPool) resize(sockets, bytes int) {
 	p.responseBudget.Resize(bytes)
 	p.mu.Lock()
@@ -94,8 +98,8 @@
 	}
 }
 
-// update takes a change of the endpoint list. Idle connections to a server that was removed, or has another address, are
-// closed.
+// update applies a change of the endpoint list. Idle connections to a server that was removed, or whose address
+// changed, are closed.
 func (p *connPool) update(list core.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,13 +111,13 @@
 	})
 }
 
-// closeLocked closes a connection. The lock is held; closing a socket does not block.
+// closeLocked closes a connection. Closing a socket does not block.
 func (p *connPool) closeLocked(c *serverConn) {
 	p.open--
 	c.Close()
 }
 
-// acquire returns an idle connection to a backend, or the address at which to dial one.
+// acquire returns an idle connection to a server, or the address at which to dial one.
 func (p *connPool) acquire(id string) (*serverConn, string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,16 +125,17 @@
 	if !ok {
 		return nil, "", core.ErrMoved
 	}
-	// They are in the order in which they were put back: under load those used last have not rested yet.
+	// Connections are in the order in which they were put back: under load, reuseDelay has not passed yet for the last
+	// ones.
 	idle := p.idle[id]
 	now := time.Now()
-	firstUnrested := sort.Search(len(idle), func(i int) bool { return now.Sub(idle[i].idleSince) < minRest })
-	for i := firstUnrested - 1; i >= 0; i-- {
+	firstTooRecent := sort.Search(len(idle), func(i int) bool { return now.Sub(idle[i].idleSince) < reuseDelay })
+	for i := firstTooRecent - 1; i >= 0; i-- {
 		c := idle[i]
-		rested := now.Sub(c.idleSince)
+		idleFor := now.Sub(c.idleSince)
 		idle = slices.Delete(idle, i, i+1)
-		if !p.isUnusable(c, rested) {
-			c.idleBefore = rested
+		if !p.isUnusable(c, idleFor) {
+			c.idleBefore = idleFor
 			p.setIdle(id, idle)
 			return c, addr, nil
 		}
@@ -144,7 +149,7 @@
 	return nil, addr, nil
 }
 
-// setIdle stores a server's idle connections. The lock is held.
+// setIdle stores a server's idle connections. The caller holds p.mu.
 func (p *connPool) setIdle(id string, list []*serverConn) {
 	if len(list) == 0 {
 		delete(p.idle, id)
@@ -153,8 +158,8 @@
 	}
 }
 
-// evictOldest closes the connection that has been idle longest, to whichever server. It reports false if none is idle. The
-// lock is held.
+// evictOldest closes the connection that has been idle longest, to whichever server it leads. It reports false if no
+// connection is idle. The caller holds p.mu.
 func (p *connPool) evictOldest() bool {
 	var oldest string
 	for id, list := range p.idle {
@@ -170,8 +175,8 @@
 	return true
 }
 
-// isCurrentAddress reports whether a server still has the address that a connection was opened to: another server may have
-// it by now.
+// isCurrentAddress reports whether a server still has the address addr, to which a connection was opened. Another
+// server may have that address by now.
 func (p *connPool) isCurrentAddress(id, addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,14 +184,15 @@
 	return known && current == addr
 }
 
-// release puts a connection back, or closes it where it is no longer of use.
+// release puts a connection back into the pool, or closes it if it can't be used any more.
 func (p *connPool) release(id string, c *serverConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.putLocked(id, c, reusable)
 }
 
-// releaseAfterResponse does so after a complete response, and takes it for a sample of the idle time that servers allow.
+// releaseAfterResponse releases a connection after a complete response, and takes it as a sample of the idle time that
+// servers allow.
 func (p *connPool) releaseAfterResponse(id string, c *serverConn, a *response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +201,7 @@
 	p.putLocked(id, c, a.reusable)
 }
 
-// closeAfterFailure closes a connection that brought no response.
+// closeAfterFailure closes a connection that brought no response. One that was dead before is a sample for learnIdle.
 func (p *connPool) closeAfterFailure(id string, c *serverConn, r decide.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,7 +211,7 @@
 	p.putLocked(id, c, false)
 }
 
-// putLocked stores a connection as idle, or closes it where it is no longer of use.
+// putLocked stores a connection as idle, or closes it if it can't be used any more.
 func (p *connPool) putLocked(id string, c *serverConn, reusable bool) {
 	if addr, _ := p.addresses.Addr(id); !reusable || p.closed || addr != c.addr {
 		p.closeLocked(c)
@@ -215,7 +221,7 @@
 	p.idle[id] = append(p.idle[id], c)
 }
 
-// shutdown closes the idle connections, and keeps none from now on.
+// shutdown closes the idle connections. From then on no connection is kept.
 func (p *connPool) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,7 +235,7 @@
 	}
 }
 
-// reapIdle closes connections that have been idle for too long, or were closed by their server.
+// reapIdle closes connections that have been idle for too long, or that their server has closed.
 func (p *connPool) reapIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,9 +250,9 @@
 	}
 }
 
-// learnIdle adapts learnedMaxIdle to how a connection served that had been idle for idleBefore. Servers, and middleboxes
-// before them, may drop idle connections sooner than configured, and silently; a request written to one is lost as a reset
-// that may have run. The lock is held.
+// learnIdle adapts learnedMaxIdle to whether a connection that had been idle for idleBefore still worked. Servers, and
+// middleboxes in front of them, may drop idle connections silently and sooner than configured. A request written to a
+// dropped connection is lost: the connection is reset, and the request may have been executed. The caller holds p.mu.
 func (p *connPool) learnIdle(idleBefore time.Duration, served bool) {
 	switch safeIdle := idleBefore * 3 / 4; {
 	case idleBefore == 0: // a new connection shows nothing
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -17,18 +17,18 @@
 	"vetchhaven/internal/testkit"
 )
 
-// newMessage puts a request into the form in which it is sent.
+// newMessage returns a request in the form in which it is sent.
 func newMessage(method, host string, u *url.URL, header http.Header, body []byte) *message {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, u.RequestURI(), host)
 	if method != http.MethodGet {
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
-	_ = header.Write(&head) // a bytes.Buffer takes everything
+	_ = header.Write(&head) // a write to a bytes.Buffer does not fail
 	return &message{head: head.Bytes(), body: body}
 }
 
-// attemptAt makes one attempt at a backend, with no agent around it.
+// attemptAt makes one attempt at a server, without an agent.
 func attemptAt(t *testing.T, ctx context.Context, b *connPool, body string) (decide.Result, *response, decide.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
@@ -39,13 +39,13 @@
 		http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}, []byte(body)))
 }
 
-// endRest lets the idle connections have rested long enough to be used again.
-func endRest(b *connPool) {
+// passReuseDelay makes the idle connections old enough to be reused.
+func passReuseDelay(b *connPool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, list := range b.idle {
 		for _, c := range list {
-			c.idleSince = c.idleSince.Add(-minRest)
+			c.idleSince = c.idleSince.Add(-reuseDelay)
 		}
 	}
 }
@@ -58,8 +58,8 @@
 	return b
 }
 
-// A connection that has stood idle for nearly as long as backends allow is not used again: the
-// request would cross the close.
+// A connection that has been idle for nearly as long as servers allow is not reused: the server might close it while
+// the request is on its way.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
@@ -71,12 +71,12 @@
 		t.Error("the old connection was used")
 	}
 	if b.learnedMaxIdle >= b.cfg.Site.IdleClose {
-		t.Errorf("idle connections are kept for %v, backends close at %v", b.learnedMaxIdle, b.cfg.Site.IdleClose)
+		t.Errorf("idle connections are kept for %v, servers close them after %v", b.learnedMaxIdle, b.cfg.Site.IdleClose)
 	}
 }
 
-// Under the descriptor limit the connection idle longest makes room; with none idle the attempt
-// fails unsent.
+// At the limit of connections, the one that has been idle longest is closed to make room; if none is idle, the attempt
+// ends with nothing sent.
 func TestServerConnectionsAreBounded(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { return ok200 })
@@ -93,10 +93,10 @@
 	}()
 	testkit.Receive(t, "request to t", other.seen)
 	if len(b.idle["s"]) != 0 {
-		t.Error("no idle connection made room")
+		t.Error("no idle connection was closed to make room")
 	}
 	if r, _, _ := attemptAt(t, context.Background(), b, ""); r != decide.NotSent {
-		t.Errorf("past the limit: %v", r)
+		t.Errorf("beyond the limit: %v", r)
 	}
 	close(hold)
 	if r := testkit.Receive(t, "result", done); r != decide.OK {
@@ -104,7 +104,7 @@
 	}
 }
 
-// A new address under an old id is another process: the old connections go.
+// A server ID with a new address is another process: connections to the old address are closed.
 func TestMovedServerIsDialledAtItsNewAddress(t *testing.T) {
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
@@ -120,7 +120,7 @@
 	}
 }
 
-// A connection that was in use while its backend moved leads to the old process: it is not kept.
+// A connection that was in use while its server's address changed leads to the old process: it is not kept.
 func TestConnectionToMovedServerIsNotReused(t *testing.T) {
 	hold := make(chan struct{})
 	one := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -139,9 +139,9 @@
 	}
 }
 
-// What comes behind an answer, with it or later while its connection is idle, is never read as
-// the answer to the next request: a connection with anything unread is not used again, and each
-// rests a while, if there is another.
+// Bytes behind a response, together with it or later while the connection is idle, are never read as the response to
+// the next request: a connection with unread bytes is not reused, and no connection is reused before reuseDelay has
+// passed if there is another one.
 func TestUnsolicitedBytesEndTheConnection(t *testing.T) {
 	more := make(chan string)
 	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
@@ -170,13 +170,13 @@
 		result, a, _ := b.attempt(context.Background(), probeOwner{}, "s",
 			newMessage("GET", "a", &url.URL{Path: "/get/x"}, http.Header{"X-Trace-Id": {id}}, nil))
 		if result != decide.OK || string(a.body) != id {
-			t.Fatalf("%v: answered with %q", result, a.body)
+			t.Fatalf("%v: got the response %q", result, a.body)
 		}
 	}
 	ask(ok200)
 	more <- ""
 	if len(b.idle) != 0 || b.open != 0 {
-		t.Fatal("a connection with a second copy unread was kept")
+		t.Fatal("a connection with an unread second response was kept")
 	}
 	ask("")
 	if len(b.idle["s"]) != 1 {
@@ -184,24 +184,24 @@
 	}
 	first := b.idle["s"][0]
 	more <- ok200 // while it is idle
-	testkit.WaitFor(t, "the second copy", func() bool { return !first.isQuiet() })
-	endRest(b)
+	testkit.WaitFor(t, "the second response", func() bool { return !first.isQuiet() })
+	passReuseDelay(b)
 	ask("")
 	more <- ""
 	second := b.idle["s"][0]
 	if second == first || b.open != 1 {
-		t.Fatal("a connection with bytes unread was used again")
+		t.Fatal("a connection with unread bytes was reused")
 	}
-	second.idleSince = time.Now().Add(time.Hour) // it has not rested
+	second.idleSince = time.Now().Add(time.Hour) // reuseDelay has not passed
 	ask("")
 	more <- ""
 	if len(b.idle["s"]) != 2 {
-		t.Error("a connection was used again at once")
+		t.Error("a connection was reused at once")
 	}
 }
 
-// However often a backend's answers were followed by nothing, its connections rest in full: a second answer that comes
-// after ten thousand clean ones, 15 ms late, is nobody's.
+// However often a server's responses were followed by no further bytes, reuseDelay applies in full: a second response
+// that arrives 15 ms late, after ten thousand correct exchanges, goes to no client.
 func TestUnsolicitedResponseIsNeverServed(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	go func() {
@@ -219,22 +219,22 @@
 	const many = 10_000
 	for range many {
 		ask()
-		if b.idle["s"][0].idleSince = time.Now().Add(-minRest); b.open != 1 {
-			t.Fatal("not used again")
+		if b.idle["s"][0].idleSince = time.Now().Add(-reuseDelay); b.open != 1 {
+			t.Fatal("not reused")
 		}
 	}
 	b.idle["s"][0].idleSince = time.Now().Add(-15 * time.Millisecond)
 	c, _, err := b.acquire("s")
 	if err != nil || c != nil {
-		t.Errorf("%v %v: used again within its rest", c, err)
+		t.Errorf("%v %v: reused before reuseDelay had passed", c, err)
 	}
 }
 
-// An answer that stops in its midst does not hold its request until the client's time is over.
+// A response that stops in the middle does not occupy its request until the client's deadline.
 func TestStalledResponseEndsAttempt(t *testing.T) {
 	s := serveRaw(t, func(int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello" })
 	b := poolFor(t, s.addr)
-	b.cfg.Settings.ConnectTimeout = time.Second // which is also the longest gap
+	b.cfg.Settings.ConnectTimeout = time.Second // which is also the longest pause within a response
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.Errored {
 		t.Errorf("result %v", result)
 	}
@@ -243,8 +243,8 @@
 	}
 }
 
-// Thousands of backends that come and go leave nothing behind, and an address that a new one has
-// taken over is no longer the old one's, even before its end is told.
+// Thousands of servers that are added and removed leave no data behind. An address that a new server has taken over no
+// longer belongs to the old one, even before the list removes the old one.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
@@ -263,53 +263,54 @@
 		t.Errorf("addresses %v, %d connections", b.addresses, b.open)
 	}
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the new one", result, len(s.seen))
+		t.Errorf("result %v, %d requests reached the new server", result, len(s.seen))
 	}
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s", State: decide.Removed}}}})
 	if at("new") != s.addr || b.addresses.Server(s.addr) != "new" {
-		t.Error("the old one's end took the new one's address")
+		t.Error("the removal of the old server removed the new server's address")
 	}
 }
 
-// Where connections that stood idle turn out to be dead, they are kept for a shorter time, and for
-// longer again once those that stood for long serve. One that broke while young changes little.
+// If idle connections turn out to be dead, connections are kept idle for a shorter time, and for a longer time again
+// once connections work that were idle for long. A new connection that breaks does not change the time.
 func TestIdleTimeAdaptsToDeadConnections(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
 	for range 20 {
 		b.learnIdle(b.maxIdle/10, false)
 	}
 	if b.learnedMaxIdle > b.maxIdle/8 || b.learnedMaxIdle < b.maxIdle/64 {
-		t.Errorf("kept for %v of %v after many found dead", b.learnedMaxIdle, b.maxIdle)
+		t.Errorf("kept for %v of %v after many dead connections", b.learnedMaxIdle, b.maxIdle)
 	}
 	for range 2000 {
 		b.learnIdle(b.learnedMaxIdle*3/4, true)
 	}
 	if b.learnedMaxIdle != b.maxIdle {
-		t.Errorf("kept for %v of %v after many that served", b.learnedMaxIdle, b.maxIdle)
+		t.Errorf("kept for %v of %v after many working connections", b.learnedMaxIdle, b.maxIdle)
 	}
 	b.learnIdle(0, false)
 	if b.learnedMaxIdle != b.maxIdle {
-		t.Error("a new connection that broke changed it")
+		t.Error("a new connection that broke changed the idle time")
 	}
 }
 
-// Only what finds nobody at the other end is reset at once. A connection that breaks under a request that has begun says
-// nothing of how long one may stand idle: where many do, each would shorten the time until none is kept.
+// Only a connection whose other end is closed already is reset at once. A connection that breaks while a request is
+// being served says nothing about how long connections may be idle: if many such breaks shortened that time, no
+// connection would be kept in the end.
 func TestOnlyImmediateResetCountsAsDeadIdleConnection(t *testing.T) {
 	for name, row := range map[string]struct {
-		after, trip time.Duration
-		result      decide.Result
-		learns      bool
+		after, roundTrip time.Duration
+		result           decide.Result
+		learns           bool
 	}{
-		"reset after a trip":           {time.Second, time.Second, decide.Reset, true},
-		"reset under a request":        {time.Second, time.Millisecond, decide.Reset, false},
-		"broke while it was written":   {time.Second, time.Millisecond, decide.Incomplete, true},
-		"an answer amiss says nothing": {0, time.Second, decide.Errored, false},
+		"reset after a round trip":      {time.Second, time.Second, decide.Reset, true},
+		"reset during a request":        {time.Second, time.Millisecond, decide.Reset, false},
+		"broke during the write":        {time.Second, time.Millisecond, decide.Incomplete, true},
+		"invalid responses say nothing": {0, time.Second, decide.Errored, false},
 	} {
 		b := poolFor(t, "127.0.0.1:9")
 		near, far := net.Pipe()
 		defer far.Close()
-		c := &serverConn{Conn: near, addr: "127.0.0.1:9", dialTime: row.trip, idleBefore: b.maxIdle / 10, writeStartedAt: time.Now().Add(-row.after)}
+		c := &serverConn{Conn: near, addr: "127.0.0.1:9", dialTime: row.roundTrip, idleBefore: b.maxIdle / 10, writeStartedAt: time.Now().Add(-row.after)}
 		b.closeAfterFailure("s", c, row.result)
 		if learned := b.learnedMaxIdle < b.maxIdle; learned != row.learns {
 			t.Errorf("%s: kept for %v of %v", name, b.learnedMaxIdle, b.maxIdle)
@@ -317,25 +318,25 @@
 	}
 }
 
-// endedOwner is a purpose of a test's.
-type endedOwner struct {
+// stubOwner is an attemptOwner whose admissions a test sets.
+type stubOwner struct {
 	probeOwner
-	over                   chan struct{}
-	barred, lapsed, noDial bool
+	ended                           chan struct{}
+	withdrawn, windowClosed, noDial bool
 }
 
-func (e endedOwner) Ended() <-chan struct{} { return e.over }
+func (e stubOwner) Ended() <-chan struct{} { return e.ended }
 
-func (e endedOwner) BeginWrite(func()) core.SendRefusal {
+func (e stubOwner) BeginWrite(func()) core.SendRefusal {
 	switch {
 	case hasEnded(e):
 		return core.RequestAnswered
-	case e.barred:
+	case e.withdrawn:
 		return core.ServerWithdrawn
-	case e.lapsed:
+	case e.windowClosed:
 		return core.WindowClosed
 	}
 	return core.SendAllowed
 }
 
-func (e endedOwner) MayDial() bool { return !e.noDial }
+func (e stubOwner) MayDial() bool { return !e.noDial }
--- a/internal/protocol/http1/probe.go
+++ b/internal/protocol/http1/probe.go
@@ -26,7 +26,7 @@
 		path = loadPath
 	}
 	m := &message{head: []byte("GET " + path + " HTTP/1.1\r\nHost: probe\r\n")}
-	// The settings have no timeout for probes: the connect timeout bounds them.
+	// The settings have no timeout for probes, so the connect timeout applies.
 	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, core.ErrTimedOut)
 	defer cancel()
 	result, a, load := p.attempt(ctx, probeOwner{}, id, m)
@@ -39,14 +39,14 @@
 // loadNames maps the names of load values on the wire to those of the settings.
 var loadNames = map[string]string{"queue": "backlog", "inflight": "outstanding", "eps": "errors_per_s", "latency_ms": "recent_ms"}
 
-// parseLoad reads a load report such as "TEXT inflight=7, queue=2". Values that can't be read are left out.
+// parseLoad parses a load report such as "TEXT inflight=7, queue=2". Invalid values are left out.
 func parseLoad(text string) decide.Load {
 	usage := map[string]float64{}
 	text = strings.TrimSpace(text)
 	text = strings.TrimPrefix(strings.TrimPrefix(text, "Endpoint-Load-Metrics:"), " ")
 	for _, pair := range strings.Split(strings.TrimPrefix(text, "TEXT "), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		// Loads are counts and times: others are ignored.
+		// Load values are counts and times: values outside this range are ignored.
 		if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v <= math.MaxInt32 {
 			if known, ok := loadNames[name]; ok {
 				name = known
@@ -57,7 +57,7 @@
 	return wire.Load(usage)
 }
 
-// probeOwner is the purpose of a probe, which ends by its context alone, and whose writes are always admitted.
+// probeOwner is the attemptOwner of a probe. Only its context ends a probe, and its writes are always admitted.
 type probeOwner struct{}
 
 func (probeOwner) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
--- a/internal/protocol/http1/queue_test.go
+++ b/internal/protocol/http1/queue_test.go
@@ -17,10 +17,10 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A connection that stands in the kernel's queue as an agent ends accepting is accepted before the listener is closed. It was
-// reset: a client that had connected, and had sent its request, saw "connection reset by peer" or a broken pipe (8 of 1,312
-// connections over 20 stops). The agent closed its listener without a look at the queue, and the last close of a listening
-// socket resets what waits on it.
+// Connections in the kernel's accept queue are accepted before a stopping agent closes its listener. The agent used to
+// close the listener without checking the queue, and the last close of a listening socket resets the connections in
+// its queue: a client that had connected and sent its request saw "connection reset by peer" or a broken pipe (8 of
+// 1,312 connections over 20 stops).
 func TestQueuedConnectionIsServedBeforeTheListenerCloses(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	held := make(chan struct{})
@@ -40,7 +40,7 @@
 	}
 	r.stop()
 	close(accept)
-	time.Sleep(50 * time.Millisecond) // the agent has closed its listener, or knows that it is to do so
+	time.Sleep(50 * time.Millisecond) // the agent has closed its listener, or has begun to
 	close(held)
 	for range queued {
 		if got := testkit.Receive(t, "answer", answers); got.err != nil || got.status != 200 {
@@ -67,11 +67,11 @@
 	return exchange{status: resp.StatusCode}
 }
 
-// What a request has waited in the kernel's queue of connections is not its client's any more. With idle clients in all slots a
-// new connection is accepted 0.25 s late (minSilent), and the request that came with it was timed from then: its server was told
-// 532 ms where the client had 236 ms left (soak, seeds 3, 4 and 12 with a crowd; 0.15 s is allowed), and its answer could come
-// as much too late.
-func TestTimeInTheAcceptQueueIsNotTheClientsAnyMore(t *testing.T) {
+// The time that a request has waited in the kernel's accept queue counts towards its deadline. With idle clients in
+// all slots, a new connection is accepted 0.25 s late (minSilent), and the deadline of the request on it used to count
+// from then: its server was told 532 ms where the client had 236 ms left (soak test, seeds 3, 4 and 12 with a crowd;
+// 0.15 s is allowed), and the answer could be late by the same time.
+func TestAcceptQueueTimeCountsTowardsDeadline(t *testing.T) {
 	const largeBody = 30 << 10 // more than is read with the head
 	for name, row := range map[string]struct{ readSize, bodySize int }{
 		"in one read":        {1 << 20, 0},
@@ -82,15 +82,16 @@
 	}
 }
 
-// requestFromTheAcceptQueue has a request with a body wait in the queue; the agent reads it in pieces of at most so many bytes.
+// requestFromTheAcceptQueue lets a request with a body wait in the queue; the agent reads at most readSize bytes at a
+// time.
 func requestFromTheAcceptQueue(t *testing.T, readSize, bodySize int) {
 	const (
 		wait  = 400 * time.Millisecond
 		left  = 20.0 // seconds
 		slack = 0.05
 	)
-	told := make(chan string, 1)
-	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { told <- r.Header.Get("X-Expires-In") }))
+	expiresIn := make(chan string, 1)
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { expiresIn <- r.Header.Get("X-Expires-In") }))
 	t.Cleanup(server.Close)
 	member := discovery.Member{ID: "s", Addr: server.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	held := make(chan struct{})
@@ -111,13 +112,13 @@
 	}
 	time.Sleep(wait)
 	close(held)
-	got, err := strconv.ParseFloat(testkit.Receive(t, "the request", told), 64)
+	got, err := strconv.ParseFloat(testkit.Receive(t, "the request", expiresIn), 64)
 	if most := left - wait.Seconds() + slack; err != nil || got > most {
-		t.Errorf("its server was told %v s (%v), at most %v s were left", got, err, most)
+		t.Errorf("the server was told %v s (%v), at most %v s were left", got, err, most)
 	}
 }
 
-// shortReads accepts connections on which a read returns few bytes.
+// shortReads accepts connections on which a read returns at most the given number of bytes.
 type shortReads struct {
 	testkit.HeldListener
 	most int
@@ -132,7 +133,7 @@
 	return shortReadConn{c.(*net.TCPConn), l.most}, nil
 }
 
-// shortReadConn is one of these.
+// shortReadConn is a connection on which a read returns at most the given number of bytes.
 type shortReadConn struct {
 	*net.TCPConn
 	most int
--- a/internal/protocol/http1/races_test.go
+++ b/internal/protocol/http1/races_test.go
@@ -18,34 +18,34 @@
 	"vetchhaven/internal/testkit"
 )
 
-// This file forces the crossings of docs/design/crossings.md: what holds a byte, a dial, an answer or the loop lets
-// go when the test says so.
+// The tests of this file force the races that docs/design/crossings.md lists: they block a byte, a dial, a response or
+// the loop, and release it at the critical moment.
 
-// loopBlocker stops an agent's loop at the step that has a request of its own, until it is let go.
+// loopBlocker blocks an agent's loop at the step in which a request of its own arrives, until it is released.
 type loopBlocker struct {
-	from atomic.Int64  // requests that have come to the loop by then; 0: none stops it
-	held chan struct{} // it stands
-	free chan struct{}
+	blockAt atomic.Int64  // the loop blocks once it has received this many requests; 0: it does not block
+	blocked chan struct{} // receives a value when the loop blocks
+	resume  chan struct{} // lets the loop go on when closed
 }
 
 func blockableLoop(a *core.Agent) *loopBlocker {
-	h := &loopBlocker{held: make(chan struct{}), free: make(chan struct{})}
+	h := &loopBlocker{blocked: make(chan struct{}), resume: make(chan struct{})}
 	a.SetStepHook(func(sum core.Totals) {
-		if n := h.from.Load(); n > 0 && sum.Requests >= n {
-			h.from.Store(0)
-			h.held <- struct{}{}
-			<-h.free
+		if n := h.blockAt.Load(); n > 0 && sum.Requests >= n {
+			h.blockAt.Store(0)
+			h.blocked <- struct{}{}
+			<-h.resume
 		}
 	})
 	return h
 }
 
-// stop returns once the loop stands.
+// stop returns once the loop is blocked.
 func (h *loopBlocker) stop(t *testing.T, r *runningAgent) {
 	t.Helper()
-	h.from.Store(r.Totals().Requests + 1)
+	h.blockAt.Store(r.Totals().Requests + 1)
 	go r.do("GET", "/get/x", "")
-	testkit.Receive(t, "stop of the loop", h.held)
+	testkit.Receive(t, "block of the loop", h.blocked)
 }
 
 func headOf(class, id string, more ...string) string {
@@ -53,7 +53,7 @@
 	return strings.Join(lines, "\r\n") + "\r\n\r\n"
 }
 
-// write sends bytes as they are.
+// write sends text unchanged.
 func (c *client) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.c, text); err != nil {
@@ -61,18 +61,18 @@
 	}
 }
 
-// readers is how many clients' connections have a reader.
+// readers returns how many client connections have a reader.
 func (r *runningAgent) readers() int {
-	r.front.mu.Lock()
-	defer r.front.mu.Unlock()
-	return len(r.front.conns)
+	r.frontend.mu.Lock()
+	defer r.frontend.mu.Unlock()
+	return len(r.frontend.conns)
 }
 
-// watchOverflow has an agent's front tell when a client's reader has come to the end of what is kept ahead, and count the pauses of
-// floods.
+// watchOverflow sends on end when a client's reader has more bytes of the next requests than are buffered, and counts
+// the reader's pauses in pauses.
 func watchOverflow(a *runningAgent) (end chan struct{}, pauses *atomic.Int64) {
 	end, pauses = make(chan struct{}, 100), &atomic.Int64{}
-	a.front.overflowHook = func(pause bool) {
+	a.frontend.overflowHook = func(pause bool) {
 		if pause {
 			pauses.Add(1)
 		} else {
@@ -82,7 +82,7 @@
 	return end, pauses
 }
 
-// A request whose id another one has is turned away by the loop; its client may have left by then.
+// The loop rejects a request whose ID another request has. Its client may have disconnected by then.
 func TestDuplicateMayDisconnectBeforeItsResponse(t *testing.T) {
 	release := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-release; return ok200 })
@@ -99,15 +99,15 @@
 	testkit.WaitFor(t, "the second request", func() bool { return a.OpenRequests() == 3 })
 	reset(again.c)
 	testkit.WaitFor(t, "the end of its reader", func() bool { return a.readers() == before })
-	close(loop.free)
+	close(loop.resume)
 	close(release)
-	if x := testkit.Receive(t, "first answer", first); x.status != 200 {
+	if x := testkit.Receive(t, "first response", first); x.status != 200 {
 		t.Errorf("first: %+v", x)
 	}
 }
 
-// A client that has sent more behind its request, and leaves while that waits, is seen to have left: its request goes
-// to no server.
+// The disconnect of a client that has sent more bytes behind its waiting request is detected: the request reaches no
+// server.
 func TestPipeliningClientThatDisconnectsIsNotServed(t *testing.T) {
 	junk := strings.Repeat("x", 4<<10)
 	for name, more := range map[string]string{
@@ -116,7 +116,7 @@
 		"a request and a body that has not come": "POST /put/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: b\r\nIdempotency-Key: k\r\nContent-Length: 60000\r\n\r\n" + junk,
 		"a flood":                                headOf("get", "behind") + strings.Repeat(junk, maxDropped/len(junk)+20),
 	} {
-		for how, leave := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": reset} {
+		for how, disconnect := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": reset} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				s := serveRaw(t, func(int) string { return ok200 })
@@ -129,12 +129,12 @@
 				c.write(headOf("get", "waits"))
 				testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 2 })
 				c.write(more)
-				leave(c.c)
+				disconnect(c.c)
 				testkit.WaitFor(t, "the end of its reader", func() bool { return a.readers() == before })
-				close(loop.free)
-				testkit.WaitFor(t, "the other request's answer", func() bool { return a.Totals().Served == 1 })
+				close(loop.resume)
+				testkit.WaitFor(t, "the other request's response", func() bool { return a.Totals().Served == 1 })
 				if id := testkit.Receive(t, "request at the server", s.seen); id == "waits" || len(s.seen) != 0 {
-					t.Errorf("%q and %d more reached the server", id, len(s.seen))
+					t.Errorf("request %q and %d more reached the server", id, len(s.seen))
 				}
 				if got := a.Totals(); got.ClientDisconnects != 1 || got.Requests != 2 {
 					t.Errorf("%+v", got)
@@ -144,39 +144,40 @@
 	}
 }
 
-// startBusyAgent is a server that answers nothing until told, and an agent that has sent it all that it may have out at once.
-func startBusyAgent(t *testing.T) (a *runningAgent, s *backend, release chan struct{}, answers chan exchange) {
+// startBusyAgent starts a server that responds only after release is closed, and an agent that has sent it as many
+// requests as the server may have in flight.
+func startBusyAgent(t *testing.T) (a *runningAgent, s *standIn, release chan struct{}, answers chan exchange) {
 	t.Helper()
 	release = make(chan struct{})
 	s = serveRaw(t, func(int) string { <-release; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
+		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // lets requests wait for long
 	}
 	a = start(t, cfg)
 	answers = make(chan exchange, 100)
-	const most = 6 // as the module has it at its start, for one server
-	for range most {
+	const maxInFlight = 6 // the balancer's initial limit for one server
+	for range maxInFlight {
 		go func() { answers <- a.do("GET", "/get/x", "") }()
 	}
-	for range most {
+	for range maxInFlight {
 		testkit.Receive(t, "request at the server", s.seen)
 	}
 	return a, s, release, answers
 }
 
-// The same where the request's body is still to come, and nobody reads it while it waits for a server.
+// The disconnect of a client is also detected while its upload waits for a server and its reader does not read.
 func TestClientThatDisconnectsDuringUploadIsNotServed(t *testing.T) {
-	for how, leave := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": reset} {
+	for how, disconnect := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": reset} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			a, s, release, answers := startBusyAgent(t)
 			c := a.connect(t)
 			c.write(fmt.Sprintf("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: up\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s",
 				maxBufferedBody+1, strings.Repeat("x", 10<<10)))
-			testkit.WaitFor(t, "the upload", func() bool { return a.front.openUploads.Load() == 1 })
-			leave(c.c)
-			testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
+			testkit.WaitFor(t, "the upload", func() bool { return a.frontend.openUploads.Load() == 1 })
+			disconnect(c.c)
+			testkit.WaitFor(t, "the disconnect", func() bool { return a.Totals().ClientDisconnects == 1 })
 			close(release)
 			for range 6 {
 				if x := testkit.Receive(t, "answer", answers); x.status != 200 {
@@ -184,13 +185,13 @@
 				}
 			}
 			if got := a.Totals(); got.Attempts != 6 || len(s.seen) != 0 {
-				t.Errorf("%+v, %d more reached the server", got, len(s.seen))
+				t.Errorf("%+v, %d more requests reached the server", got, len(s.seen))
 			}
 		})
 	}
 }
 
-// A client that has left has sent no more than the systems hold, and its reader comes to its end without a pause.
+// The bytes of a disconnected client are no more than the systems buffer, and its reader reads them without a pause.
 func TestFloodOfDisconnectedClientIsDrainedAtOnce(t *testing.T) {
 	t.Parallel()
 	a, s, release, answers := startBusyAgent(t)
@@ -198,24 +199,24 @@
 	c := a.connect(t)
 	c.write(headOf("get", "left"))
 	testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 7 })
-	c.write(strings.Repeat("x", 10<<20)) // to be read and to be written, as Linux has it
+	c.write(strings.Repeat("x", 10<<20)) // the sizes of Linux's receive and send buffers together
 	c.c.Close()
-	testkit.WaitFor(t, "its leaving", func() bool { return a.Totals().ClientDisconnects == 1 })
+	testkit.WaitFor(t, "the disconnect", func() bool { return a.Totals().ClientDisconnects == 1 })
 	close(release)
 	for range 6 {
 		testkit.Receive(t, "answer", answers)
 	}
 	if got := a.Totals(); pauses.Load() != 0 || got.Attempts != 6 || len(s.seen) != 0 {
-		t.Errorf("%d pauses; %+v, %d more reached the server", pauses.Load(), got, len(s.seen))
+		t.Errorf("%d pauses; %+v, %d more requests reached the server", pauses.Load(), got, len(s.seen))
 	}
 }
 
-// One that sends more and stays has its answer, whole, and with it the end of its connection if what it sent can't be
-// kept; else its next request is served too.
+// A client that sends more behind its request and stays connected gets its complete response. If the further bytes
+// can't be buffered, the connection is then closed; otherwise its next request is served, too.
 func TestPipeliningClientThatStaysConnectedIsServed(t *testing.T) {
 	for name, more := range map[string]struct {
 		text   string
-		status []int // of the answers that come
+		status []int // of the responses that arrive
 	}{
 		"a request":           {headOf("get", "behind"), []int{200, 200}},
 		"a request in pieces": {"GET /get/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: pie", []int{200, 200}},
@@ -231,7 +232,7 @@
 			testkit.WaitFor(t, "the request", func() bool { return a.OpenRequests() == 7 })
 			c.write(more.text)
 			if len(more.status) == 1 {
-				testkit.Receive(t, "a reader at the end of what is kept", end)
+				testkit.Receive(t, "a reader with more bytes than are buffered", end)
 			}
 			close(release)
 			for range 6 {
@@ -239,7 +240,7 @@
 			}
 			for n, want := range more.status {
 				if status, last := c.readResponse(); status != want || last != (len(more.status) == 1 || want == 431) {
-					t.Errorf("answer %d: %d, last %v", n, status, last)
+					t.Errorf("response %d: %d, last %v", n, status, last)
 				}
 				if n == 0 && name == "a request in pieces" {
 					c.write("ces\r\n\r\n")
@@ -250,14 +251,15 @@
 				more.status = more.status[:1]
 			}
 			if n := len(s.seen); n != len(more.status) {
-				t.Errorf("%d reached the server", n)
+				t.Errorf("%d requests reached the server", n)
 			}
 		})
 	}
 }
 
-// The last byte of an answer that streams is with the client before the loop has booked it. The client may send its next
-// request by then, larger than what is kept ahead: it is read when its turn comes, and nothing of it is dropped.
+// The last byte of a streamed response reaches the client before the loop has recorded the response's end. By then the
+// client may send its next request, which may be larger than the buffer: it is read when its turn comes, and no byte
+// of it is dropped.
 func TestRequestBehindLastByteOfStreamIsServed(t *testing.T) {
 	last := make(chan struct{})
 	ln := testkit.Listen(t)
@@ -273,14 +275,14 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	s := &backend{addr: ln.Addr().String()}
+	s := &standIn{addr: ln.Addr().String()}
 	var loop *loopBlocker
 	a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
 		func(a *core.Agent) { loop = blockableLoop(a) })
 	end, _ := watchOverflow(a)
 	c := a.connect(t)
 	c.write(headOf("get", "first"))
-	if _, err := c.in.Peek(1); err != nil { // it has begun to stream
+	if _, err := c.in.Peek(1); err != nil { // the response is being streamed
 		t.Fatal(err)
 	}
 	loop.stop(t, a)
@@ -290,15 +292,15 @@
 	}
 	c.write("POST /put/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: next\r\nIdempotency-Key: k\r\nContent-Length: 90000\r\n\r\n")
 	c.write(strings.Repeat("b", 90_000))
-	testkit.Receive(t, "a reader at the end of what is kept", end)
-	close(loop.free)
+	testkit.Receive(t, "a reader with more bytes than are buffered", end)
+	close(loop.resume)
 	if status, last := c.readResponse(); status != 200 || last {
-		t.Errorf("the next one: %d, last %v", status, last)
+		t.Errorf("the next request: %d, last %v", status, last)
 	}
 }
 
-// While an agent stops, the answer of what was taken comes whole, though its client sends on: requests behind it, of
-// which none is sent on, and more than anybody reads.
+// While an agent stops, the response to an admitted request arrives completely, even if the client keeps sending:
+// further requests, which are not forwarded, or more bytes than the agent reads.
 func TestLastResponseOfStoppingAgentIsComplete(t *testing.T) {
 	for name, more := range map[string]string{
 		"nothing": "", "a request": headOf("get", "behind"), "part of one": "GET /get", "much": strings.Repeat("x", 200<<10),
@@ -322,29 +324,30 @@
 					t.Errorf("%d, last %v", status, last)
 				}
 				if !early {
-					_, _ = io.WriteString(c.c, more) // it may have ended by now
+					_, _ = io.WriteString(c.c, more) // the connection may have ended by now
 				}
 				c.expectEnd()
 				if err := testkit.Receive(t, "end of the agent", a.done); err != nil || len(s.seen) != 0 {
-					t.Errorf("%v, %d more reached the server", err, len(s.seen))
+					t.Errorf("%v, %d more requests reached the server", err, len(s.seen))
 				}
 			})
 		}
 	}
 }
 
-// A request that came behind another one on its connection has waited while that one's answer was awaited: its server is
-// told what is left to its client, and one whose time is up by its turn goes to no server and has its answer at once.
+// The deadline of a pipelined request counts while the response ahead of it is awaited: its server is told the
+// client's remaining time, and a request whose deadline has passed when its turn comes reaches no server and is
+// answered at once.
 func TestDeadlineOfPipelinedRequestRunsWhileItWaits(t *testing.T) {
-	var told atomic.Value // what the second attempt was told
+	var lastExpiresIn atomic.Value // the X-Expires-In of the last attempt
 	read, release := make(chan time.Time, 1), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Trace-Id") == "ahead" {
-			read <- time.Now() // and by now the agent has read what came with it
+			read <- time.Now() // by now the agent has read the bytes that came with it
 			<-release
 			return
 		}
-		told.Store(r.Header.Get("X-Expires-In"))
+		lastExpiresIn.Store(r.Header.Get("X-Expires-In"))
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
@@ -358,16 +361,16 @@
 	waited := time.Since(from)
 	release <- struct{}{}
 	if got, _ := c.readResponse(); got != 200 {
-		t.Fatalf("the one ahead: %d", got)
+		t.Fatalf("the request ahead: %d", got)
 	}
 	if got, _ := c.readResponse(); got != http.StatusServiceUnavailable {
-		t.Errorf("its time was up, and it has %d", got)
+		t.Errorf("the request whose deadline has passed: %d", got)
 	}
 	if got, _ := c.readResponse(); got != 200 {
-		t.Errorf("the one with time left: %d", got)
+		t.Errorf("the request with time left: %d", got)
 	}
-	left, err := strconv.ParseFloat(told.Load().(string), 64)
+	left, err := strconv.ParseFloat(lastExpiresIn.Load().(string), 64)
 	if most := 20 - waited.Seconds() + 0.0005; err != nil || left > most {
-		t.Errorf("its server was told %v s (%v), at most %v s were left", left, err, most)
+		t.Errorf("the server was told %v s (%v), at most %v s were left", left, err, most)
 	}
 }
--- a/internal/protocol/http1/render.go
+++ b/internal/protocol/http1/render.go
@@ -10,7 +10,7 @@
 )
 
 // appendStatus begins a response: the status line, and Connection: close if it is the connection's last.
-func (f *front) appendStatus(b []byte, status int, last bool) []byte {
+func (f *frontend) appendStatus(b []byte, status int, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = appendInt(b, status)
 	b = append(b, ' ')
@@ -22,7 +22,7 @@
 	return b
 }
 
-// date is the present time as a Date field has it (RFC 9110, 6.6.1). It is formatted once a second.
+// date returns the current time as the value of a Date field (RFC 9110, 6.6.1). It is formatted once per second.
 func date() string {
 	now := time.Now().Unix()
 	if d := lastDate.Load(); d != nil && d.second == now {
@@ -33,7 +33,7 @@
 	return d.text
 }
 
-// dateText is a formatted second.
+// dateText is a formatted time.
 type dateText struct {
 	second int64 // since 1970
 	text   string
@@ -48,8 +48,9 @@
 	return append(b, "\r\n"...)
 }
 
-// appendError is a response with a text. allow is the Allow field; empty: none.
-func (f *front) appendError(b []byte, status int, text, allow string, last bool) []byte {
+// appendError appends a response with a text as its body. allow is the value of the Allow field; empty: no Allow
+// field.
+func (f *frontend) appendError(b []byte, status int, text, allow string, last bool) []byte {
 	b = f.appendStatus(b, status, last)
 	if allow != "" {
 		b = append(b, "Allow: "...)
@@ -59,8 +60,8 @@
 	return f.appendText(b, text)
 }
 
-// appendText ends a response with a text.
-func (f *front) appendText(b []byte, text string) []byte {
+// appendText appends the rest of a response's head, and text as the body.
+func (f *frontend) appendText(b []byte, text string) []byte {
 	b = appendDate(b)
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\nContent-Length: "...)
 	b = appendInt(b, len(text)+1)
@@ -69,9 +70,10 @@
 	return append(b, '\n')
 }
 
-// appendAnswer is the response to a request's final answer. If it can't be written completely, its connection ends short of
-// its Content-Length, which shows the client that it is incomplete (RFC 9112, 8).
-func (f *front) appendAnswer(b []byte, a core.Answer, last bool) []byte {
+// appendAnswer appends the response that carries a request's final answer. If it can't be written completely, the
+// connection ends before Content-Length bytes of the body, which shows the client that the response is incomplete (RFC
+// 9112, 8).
+func (f *frontend) appendAnswer(b []byte, a core.Answer, last bool) []byte {
 	served, _ := a.Served.(*response)
 	switch {
 	case served != nil:
@@ -79,7 +81,7 @@
 		if !served.hasDate {
 			b = appendDate(b)
 		}
-		b = append(b, served.headerLines...)
+		b = append(b, served.fieldLines...)
 		b = append(b, "Content-Length: "...)
 		b = appendInt(b, len(served.body))
 		b = append(b, "\r\n\r\n"...)
@@ -87,7 +89,7 @@
 	case a.Refused:
 		return f.appendRefusal(b, a, last)
 	case a.Duplicate:
-		return f.appendError(b, http.StatusConflict, "there is, or just was, another request with this X-Trace-Id", "", last)
+		return f.appendError(b, http.StatusConflict, "another request with this X-Trace-Id is open, or was until just now", "", last)
 	case a.TimedOut:
 		return f.appendError(b, http.StatusGatewayTimeout, "no answer in time", "", last)
 	}
@@ -97,9 +99,10 @@
 	return f.appendError(b, http.StatusBadGateway, "failed", "", last)
 }
 
-// appendRefusal is the response to a rejected request: that a retry is harmless, and, where the settings allow it, after
-// what time (Retry-After, RFC 9110, 10.2.3; in fractions of a second, as this site's clients read it).
-func (f *front) appendRefusal(b []byte, a core.Answer, last bool) []byte {
+// appendRefusal appends the response to a refused request: it says that a retry is harmless and, where the settings
+// allow it, after what time (Retry-After, RFC 9110, 10.2.3; in fractions of a second, as this site's clients expect
+// it).
+func (f *frontend) appendRefusal(b []byte, a core.Answer, last bool) []byte {
 	retryAfter := a.RetryAfter
 	b = f.appendStatus(b, http.StatusServiceUnavailable, last)
 	if retryAfter > 0 && f.cfg.Settings.RetryAfter {
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -11,13 +11,13 @@
 	"vetchhaven/internal/core"
 )
 
-// healthPath is where the agent reports its own health.
+// healthPath is the path at which the agent reports its own health.
 const healthPath = "/_health"
 
-// handleRequest reads the rest of a request whose head is text, and submits it to the loop. An error is the connection's
-// last response.
+// handleRequest reads the rest of a request whose head is text, and submits it to the loop. An error ends the
+// connection, with the error's response as its last one.
 func (c *clientConn) handleRequest(text []byte) *requestError {
-	if !c.front.limiter.MarkBusy(c.conn) {
+	if !c.frontend.limiter.MarkBusy(c.conn) {
 		return errNoReader
 	}
 	h, err := parseHead(text, c.fields)
@@ -30,7 +30,7 @@
 	}
 	class, target, host, err := h.route()
 	if err != nil {
-		return badRequest("the target can't be read")
+		return badRequest("malformed request target")
 	}
 	if query, ok := strings.CutPrefix(target, healthPath); ok && (query == "" || query[0] == '?') {
 		return c.respondHealth(&h, len(text))
@@ -46,61 +46,61 @@
 	}
 	if body.upload != nil {
 		r.Upload = true
-		r.Deadline = time.Now().Add(r.Remaining) // has no effect until the upload's own last byte
+		r.Deadline = time.Now().Add(r.Remaining) // has no effect before the upload's last byte
 	} else {
-		// A client's time runs from when its request was sent, which ends with the last byte. That of a request behind
-		// another one was read no later than the last bytes that came meanwhile.
+		// The deadline counts from the arrival of the request's last byte. The last byte of a pipelined request
+		// arrived no later than the bytes that were read last.
 		r.Deadline = c.lastReadAt.Add(r.Remaining)
 	}
 	r.Message = h.message(target, host, body.text, body.upload).withClient(c, h.http10, r.Remaining)
 	return c.submit(r, body)
 }
 
-// respondHealth answers a health check of the agent itself, whose head has headLen bytes.
+// respondHealth answers a health check of the agent itself. The head of that request has headLen bytes.
 func (c *clientConn) respondHealth(h *requestHead, headLen int) *requestError {
 	status := http.StatusOK
-	if !c.front.loop.Healthy() {
+	if !c.frontend.loop.Healthy() {
 		status = http.StatusServiceUnavailable
 	}
 	c.start += headLen
 	if h.hasBody() {
-		return badRequest("no body is taken here")
+		return badRequest("a health check must not have a body")
 	}
-	c.writeBuf = c.front.appendStatus(c.writeBuf[:0], status, c.closesAfterResponse())
+	c.writeBuf = c.frontend.appendStatus(c.writeBuf[:0], status, c.closesAfterResponse())
 	c.writeBuf = append(c.writeBuf, "Content-Length: 0\r\n\r\n"...)
 	return c.respondLocally(c.writeBuf)
 }
 
-// receiveBody reads a request's body as far as it is buffered.
+// receiveBody reads a request's body, or only the part that is buffered.
 func (c *clientConn) receiveBody(h *requestHead) (receivedBody, *requestError) {
 	if !h.hasBody() {
 		return receivedBody{}, nil
 	}
-	received, err := newRequestBody(c, h).readBuffered(c.front.bodyBudget)
+	received, err := newRequestBody(c, h).readBuffered(c.frontend.bodyBudget)
 	if err != nil {
-		c.front.bodyBudget.Release(received.reserved)
+		c.frontend.bodyBudget.Release(received.reserved)
 		return receivedBody{}, bodyFault(err)
 	}
 	return received, nil
 }
 
-// submit admits a request and gives it to the loop. It returns once the connection may go on to its next request: for an
-// upload, when its last byte has been read.
+// submit admits a request and submits it to the loop. It returns once the connection may go on to its next request:
+// for an upload, when its last byte has been read.
 func (c *clientConn) submit(r *core.Request, body receivedBody) *requestError {
-	f := c.front
-	if body.upload == nil && !time.Now().Before(r.Deadline) { // its deadline has passed behind another request
+	f := c.frontend
+	if body.upload == nil && !time.Now().Before(r.Deadline) { // its deadline passed while an earlier request was served
 		f.bodyBudget.Release(body.reserved)
 		return c.reject(r)
 	}
-	// Past what the limits let an agent hold, a request is rejected before anything has run.
+	// A request beyond the limit on open requests is rejected before any server gets it.
 	if f.openRequests.Add(1) > f.maxOpen.Load() {
 		f.openRequests.Add(-1)
 		f.bodyBudget.Release(body.reserved)
-		c.setClosing() // as where the connection limiter is near its capacity
+		c.setClosing() // as when the connection limiter is near its capacity
 		return c.reject(r)
 	}
-	// While its response is pending a client may be silent. The deadline is removed before the request is submitted: from
-	// then on prepareNext sets what bounds the reader.
+	// A client may be silent while its response is pending, so the read deadline is removed. This is done before the
+	// request is submitted: from then on prepareNext sets the reader's deadlines.
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		f.openRequests.Add(-1)
 		f.bodyBudget.Release(body.reserved)
@@ -120,7 +120,7 @@
 	return errBodyUnread
 }
 
-// setPending makes a request the one whose response is pending.
+// setPending makes r the request whose response is pending.
 func (c *clientConn) setPending(r *core.Request, body receivedBody) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +131,7 @@
 	c.nextStarted = false
 }
 
-// respondLocally writes a response that no server took part in, and goes on to the next request. An error ends the reader.
+// respondLocally writes a response of the agent itself, and goes on to the next request. An error ends the reader.
 func (c *clientConn) respondLocally(text []byte) *requestError {
 	if !c.send(text) {
 		return errNoReader
@@ -143,21 +143,21 @@
 // reject answers a request that was not submitted to the loop with 503.
 func (c *clientConn) reject(r *core.Request) *requestError {
 	a := core.Answer{Refused: true}
-	c.front.loop.ClassCounts(r.Class).CountAnswer(a)
-	c.writeBuf = c.front.appendRefusal(c.writeBuf[:0], a, c.closesAfterResponse())
+	c.frontend.loop.ClassCounts(r.Class).CountAnswer(a)
+	c.writeBuf = c.frontend.appendRefusal(c.writeBuf[:0], a, c.closesAfterResponse())
 	return c.respondLocally(c.writeBuf)
 }
 
-// newRequest checks a head, and makes the loop's request of it. className is the first segment of the target's path.
+// newRequest checks a head, and returns the request for the loop. className is the first segment of the target's path.
 func (c *clientConn) newRequest(h *requestHead, className string) (*core.Request, *requestError) {
 	if fail := checkFraming(h); fail != nil {
 		return nil, fail
 	}
-	class, ok := c.front.classes[className]
+	class, ok := c.frontend.classes[className]
 	if !ok {
-		return nil, &requestError{status: http.StatusNotFound, text: "no such class of requests"}
+		return nil, &requestError{status: http.StatusNotFound, text: "unknown class of requests"}
 	}
-	settings := &c.front.cfg.Settings.Classes[class]
+	settings := &c.frontend.cfg.Settings.Classes[class]
 	if fail := checkClass(h, settings.Effect); fail != nil {
 		return nil, fail
 	}
@@ -182,17 +182,17 @@
 	return r, nil
 }
 
-// checkFraming checks how a request's body is delimited, and what it expects.
+// checkFraming checks how a request's body is delimited, and the request's Expect field.
 func checkFraming(h *requestHead) *requestError {
 	switch {
-	// A chunked body with a Content-Length may hide a second request from one of the two sides (RFC 9112, 6.3 and 11.2).
-	// HTTP/1.0 has no transfer codings (RFC 9112, 6.1).
+	// A request with a Transfer-Encoding and a Content-Length may smuggle a second request past one of the two sides
+	// (RFC 9112, 6.3 and 11.2). HTTP/1.0 has no transfer codings (RFC 9112, 6.1).
 	case h.hasTransferCoding && (h.hasLength || h.http10):
-		return badRequest("a body has one end: by its length or by its chunks")
+		return badRequest("Transfer-Encoding is not allowed with Content-Length or in HTTP/1.0")
 	case h.hasTransferCoding && !h.chunked: // RFC 9112, 6.1
-		return &requestError{status: http.StatusNotImplemented, text: "the only transfer coding here is chunked"}
+		return &requestError{status: http.StatusNotImplemented, text: "the only supported transfer coding is chunked"}
 	case h.unknownExpectation: // RFC 9110, 10.1.1
-		return &requestError{status: http.StatusExpectationFailed, text: "what is expected is not known here"}
+		return &requestError{status: http.StatusExpectationFailed, text: "the expectation in Expect is not supported"}
 	}
 	return nil
 }
@@ -204,21 +204,21 @@
 		method = http.MethodGet
 	}
 	if string(h.method) != method { // RFC 9110, 15.5.6
-		return &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allow: method}
+		return &requestError{status: http.StatusMethodNotAllowed, text: "the only method of this class is " + method, allow: method}
 	}
 	if method == http.MethodGet && (h.length != 0 || h.hasTransferCoding) {
-		return badRequest("this class has no body")
+		return badRequest("requests of this class have no body")
 	}
 	if h.idCount != 1 || len(h.id) == 0 || len(h.id) > maxID {
-		return badRequest("X-Trace-Id: one of 1 to 256 bytes is needed")
+		return badRequest("exactly one X-Trace-Id of 1 to 256 bytes is required")
 	}
 	if effect == decide.Keyed && (h.keyCount != 1 || len(h.key) == 0 || len(h.key) > maxID) {
-		return badRequest("Idempotency-Key: one of 1 to 256 bytes is needed")
+		return badRequest("exactly one Idempotency-Key of 1 to 256 bytes is required")
 	}
 	return nil
 }
 
-// remainingTime is how long a request's client waits: as X-Expires-In says, and no longer than its class's deadline.
+// remainingTime returns how long a request's client waits: the time in X-Expires-In, but at most its class's deadline.
 func remainingTime(h *requestHead, deadline time.Duration) (time.Duration, *requestError) {
 	if len(h.expiresIn) == 0 {
 		return deadline, nil
@@ -233,7 +233,8 @@
 // maxDecimal is how many bytes a decimal number in a field may have.
 const maxDecimal = 32
 
-// parseDecimal reads a plain decimal number. strconv.ParseFloat alone also takes names and hexadecimals.
+// parseDecimal parses a plain decimal number. strconv.ParseFloat alone also accepts names (Inf) and hexadecimal
+// numbers.
 func parseDecimal(text string) (float64, error) {
 	if strings.Trim(text, "+-.eE0123456789") != "" || len(text) > maxDecimal {
 		return 0, strconv.ErrSyntax
