--- a/internal/peer/membership/bookkeeping_test.go
+++ b/internal/peer/membership/bookkeeping_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The zone's probe order is refilled from the zone. The pool was computed only while the order was empty, so that an order whose
-// last members could not be probed was refilled with the whole region, for one round.
+// The zone's probe order is refilled from the zone. The fault: the pool was computed only if the order was empty from
+// the start, so that an order whose last members could not be probed was refilled with the whole region for one round.
 func TestZoneProbeOrderIsRefilledFromItsZone(t *testing.T) {
 	v := newRegionView(t, 20, 0, 0)
 	v.self.Zone = "near"
@@ -18,20 +18,20 @@
 	}
 	v.zoneProbeOrder = []string{"a0"}
 	v.lastProbeInZone = false
-	v.probes = []*probe{{target: "a0", until: never}} // it can't be probed: the order has to be refilled
+	v.probes = []*probe{{target: "a0", until: never}} // a0 is being probed already, so the order must be refilled
 	if m := v.nextTarget(); m == nil || m.Zone != "near" {
-		t.Errorf("the zone's turn went to %+v", m)
+		t.Errorf("the target for the zone is %+v", m)
 	}
 	for _, name := range v.zoneProbeOrder {
 		if zone := v.members[name].Zone; zone != "near" {
-			t.Errorf("%s of zone %s is in the zone's order", name, zone)
+			t.Errorf("%s of zone %s is in the zone's probe order", name, zone)
 		}
 	}
 }
 
-// An address is of another region as long as a member there has it. The removal of a member that left long ago, or a late record
-// of it, took the address out although another member of another region had it by then: what went there was not charged to the
-// budget of other regions.
+// An address counts as remote as long as a member of another region has it. The fault: the removal of a member that
+// left long ago, or a late record of that member, removed the address from the index although another remote member had
+// it by then. Traffic to the address was then not charged to the budget for other regions.
 func TestAddressStaysWithTheMemberThatHasItNow(t *testing.T) {
 	v := newRegionView(t, 3, 3, 0)
 	left := regionRecord(1, 0)
@@ -45,18 +45,18 @@
 	again.Incarnation = 2
 	learn(v, again)
 	if v.remoteAddrs[next.Addr] == nil {
-		t.Error("gone after a record of the one that left")
+		t.Error("the address is not indexed after a record of the member that left")
 	}
 	v.cleanupAt = 0
 	for v.members[left.Name] != nil {
 		v.Step(v.now + leftRetention)
 	}
 	if v.members[next.Name] == nil || v.remoteAddrs[next.Addr] == nil {
-		t.Error("gone with the one that left")
+		t.Error("the address is not indexed after the removal of the member that left")
 	}
 }
 
-// A member of this region that left is no reason to take another region's member at its address for one near.
+// If a local member left and a member of another region has its address now, the address counts as remote.
 func TestLocalMemberThatLeftDoesNotClaimARemoteAddress(t *testing.T) {
 	v := newRegionView(t, 3, 3, 0)
 	left := regionRecord(0, 0)
@@ -70,30 +70,30 @@
 	again.Incarnation = 2
 	learn(v, again)
 	if v.remoteAddrs[next.Addr] == nil {
-		t.Error("the address counts as near")
+		t.Error("the address counts as local")
 	}
 }
 
-// A conflict about this member's name that shows in the first instant is settled. Its next step was due at 0, which stood for
-// no conflict: both processes kept the name.
-func TestNameConflictInTheFirstInstantIsSettled(t *testing.T) {
+// A name conflict that is detected at time 0 is resolved. The fault: the conflict's next step was due at 0, which means
+// that there is no conflict, so that both processes kept the name.
+func TestNameConflictAtTimeZeroIsResolved(t *testing.T) {
 	v := newTestView(t)
-	twin := v.Local()
-	twin.Addr = "127.0.0.3:1"
-	twin.RunID = 99
-	twin.Boot = 50
-	requests := sentOfKind(v.Step(0, ExchangeClosed{&Exchange{From: "m0", Records: []Record{twin}}}), IdentityRequest)
+	other := v.Local()
+	other.Addr = "127.0.0.3:1"
+	other.RunID = 99
+	other.Boot = 50
+	requests := sentOfKind(v.Step(0, ExchangeClosed{&Exchange{From: "m0", Records: []Record{other}}}), IdentityRequest)
 	for v.now < time.Second {
 		requests = append(requests, sentOfKind(v.Step(v.Next()), IdentityRequest)...)
 	}
 	if len(requests) == 0 {
-		t.Error("the other process is never asked")
+		t.Error("the other process is never asked to identify itself")
 	}
 }
 
-// Exchanges after a time of yielding have IDs of their own. They began at 0 again, so that the late end of an exchange from
-// before was taken for the end of the present one.
-func TestExchangeIDsGoOnAfterYielding(t *testing.T) {
+// Exchange IDs are not reused after the member yielded its name. The fault: IDs began at 0 again, so that the late end
+// of an earlier exchange was mistaken for the end of the current one.
+func TestExchangeIDsContinueAfterYielding(t *testing.T) {
 	v := newTestView(t, "127.0.0.2:1")
 	var before OpenExchange
 	for i := 0; before.ID == 0 && i < 100; i++ {
@@ -102,7 +102,7 @@
 		}
 	}
 	if before.ID == 0 {
-		t.Fatal("no exchange")
+		t.Fatal("no exchange is opened")
 	}
 	v.nameClaim.other = testRecord(1)
 	v.yieldName()
@@ -117,22 +117,22 @@
 	}
 }
 
-// The view asks to be stepped when a seed is to be contacted again. It left that timer out: the attempt came with the next other
-// step, late by as much as that.
+// The view requests a step when a seed is to be contacted again. The fault: Next did not include that timer, so that
+// the attempt was delayed until the next step for another reason.
 func TestNextStepIsNoLaterThanTheNextSeed(t *testing.T) {
 	v := newTestView(t, "127.0.0.2:1")
 	v.Step(0)
 	for range 1000 {
 		if v.seedRetryAt > v.now && v.Next() > max(v.seedRetryAt, v.now+minStepInterval) {
-			t.Fatalf("at %v: the next step is at %v, the next seed is due at %v", v.now, v.Next(), v.seedRetryAt)
+			t.Fatalf("at %v: the next step is at %v, the next seed retry is due at %v", v.now, v.Next(), v.seedRetryAt)
 		}
 		v.Step(v.Next())
 	}
 }
 
-// Whoever reads why members are shown as dead learns that this member is cut off, and not that nobody near them reaches them
-// either.
-func TestIsolationIsTheReasonThatIsGiven(t *testing.T) {
+// If members are shown as dead because this member is isolated, the reason is the isolation and not an unreachable
+// region.
+func TestIsolationIsGivenAsTheReason(t *testing.T) {
 	v := newTestView(t)
 	learnMembers(v, 100)
 	reasons := map[string]int{}
--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Event is something that happened before a Step.
+// Event is an input of View.Step.
 type Event interface{ event() }
 
 type (
-	// DatagramReceived is a datagram from another member. Size is what it took on the wire, in bytes.
+	// DatagramReceived is a datagram from another member. Size is its size on the wire, in bytes.
 	DatagramReceived struct {
 		Message *Message
 		Size    int
 	}
-	// ExchangeRequest is the first message of an exchange that another member opened. It is answered by an
-	// ExchangeReply with the same Stream.
+	// ExchangeRequest is the first message of an exchange that another member opened. The View answers with an
+	// ExchangeReply that has the same Stream.
 	ExchangeRequest struct {
 		Stream  uint64
 		Message *Exchange
 	}
-	// ExchangeResponse is the answer to this member's OpenExchange with the same ID.
+	// ExchangeResponse is the response to this member's OpenExchange with the same ID.
 	ExchangeResponse struct {
 		ID      uint64
 		Message *Exchange
 	}
 	// ExchangeClosed is the last message of an exchange that another member opened: the records that this member
-	// wanted.
+	// requested.
 	ExchangeClosed struct{ Message *Exchange }
-	// ExchangeFailed says that the OpenExchange with this ID failed.
+	// ExchangeFailed reports that the OpenExchange with this ID failed.
 	ExchangeFailed struct{ ID uint64 }
-	// LocalInfo changes what this member reports about itself.
+	// LocalInfo changes the fields of the local member's record that the daemon sets.
 	LocalInfo struct {
 		Instances, Balancers int
 		Metadata             []byte
 	}
-	// Leave begins an orderly leave (Serf's term). See View.HasLeft.
+	// Leave starts an orderly leave (Serf's term). See View.HasLeft.
 	Leave struct{}
-	// ForgetMember is an operator's statement that a dead member will not come back.
+	// ForgetMember reports that an operator declared a dead member gone for good.
 	ForgetMember struct{ Name string }
-	// TakeoverFailed says that the process that was to replace this one failed: this one continues.
+	// TakeoverFailed reports that the successor of this process failed: this process continues.
 	TakeoverFailed struct{}
 )
 
@@ -50,67 +50,69 @@
 func (ForgetMember) event()     {}
 func (TakeoverFailed) event()   {}
 
-// Action is something that the caller of Step executes, in the order given.
+// Action is an output of View.Step. The caller executes actions in the order given.
 type Action interface{ action() }
 
 type (
-	// Send sends a datagram to an address. Size bounds what it takes on the wire, in bytes.
+	// Send sends a datagram to an address. Size is an upper bound of its size on the wire, in bytes.
 	Send struct {
 		To      string
 		Message *Message
 		Size    int
 	}
-	// OpenExchange opens a stream to an address and sends this message. Its outcome comes back as an ExchangeResponse
-	// or ExchangeFailed with the same ID.
+	// OpenExchange opens a stream to an address and sends this message. The caller reports the result by an
+	// ExchangeResponse or ExchangeFailed with the same ID.
 	OpenExchange struct {
 		ID      uint64
 		To      string
 		Message *Exchange
 	}
-	// ExchangeReply answers an ExchangeRequest; a nil Message closes its stream without an answer.
+	// ExchangeReply responds to an ExchangeRequest; a nil Message closes the stream without a response.
 	ExchangeReply struct {
 		Stream  uint64
 		Message *Exchange
 	}
-	// FinishExchange ends an exchange that this member opened, with the records that the other wanted; a nil Message
-	// says that there are none.
+	// FinishExchange ends an exchange that this member opened, with the records that the other member requested; a nil
+	// Message means that there are none.
 	FinishExchange struct {
 		ID      uint64
 		Message *Exchange
 	}
-	// MemberChanged says that a member's state, process or address has changed in this view.
+	// MemberChanged reports that a member's state, process or address has changed in this view.
 	MemberChanged struct {
 		Record    Record
 		Previous  State
-		FirstSeen bool   // it was not known before
+		FirstSeen bool   // the member was not known before
 		Reason    string // for logs
 	}
-	// SizeChanged gives the number of balancers that share the servers from now on.
+	// SizeChanged reports the number of balancers that share the servers from now on.
 	SizeChanged struct{ Size Size }
-	// NameConflict says that another process has this member's name, and which of the two yields.
+	// NameConflict reports that another process uses this member's name, and which of the two yields.
 	NameConflict struct {
 		Other  Record
 		Yield  bool   // this member yields
 		Reason string // for logs
 	}
-	// SelfSuspected says that this process was paused or starved, and doubts itself.
+	// SelfSuspected reports that this process was paused or starved of CPU time, and has raised its local health
+	// multiplier.
 	SelfSuspected struct {
 		Pause  time.Duration
-		Health int // as View.Health
+		Health int // see View.Health
 	}
-	// RegionReachability says that a region has become unreachable, or reachable again.
+	// RegionReachability reports that a region has become unreachable, or reachable again.
 	RegionReachability struct {
 		Region      string
 		Unreachable bool
-		Members     int // alive by their records
+		Members     int // members of the region that are alive or suspect by their records
 	}
-	// Isolated says that no member is heard from any more, or, if Ended, that one is again.
+	// Isolated reports that this member no longer receives datagrams from any other member, or, if Ended, that it
+	// receives them again.
 	Isolated struct {
 		Ended   bool
-		Members int // alive by their records
+		Members int // other members that are alive or suspect by their records
 	}
-	// SaveView says that Records should be written to disk. With KeepKnownMembers, while there are no others, the members that
-	// were known at the start go with them.
+	// SaveView requests that Records be written to disk. With KeepKnownMembers, if Records has no other members, the
+	// members known at the start are written too.
 	SaveView struct{ KeepKnownMembers bool }
 )
 
@@ -128,22 +130,22 @@
 
 // Reasons of MemberChanged and NameConflict.
 const (
-	// ReasonRegionUnreachable and those up to ReasonIsolationEnded are given where a member is shown in another state although its
-	// record is unchanged.
-	ReasonRegionUnreachable = "it is not reached, and nobody near it either"
-	ReasonRegionReachable   = "it may be reached again"
-	ReasonIsolated          = "this member is cut off"
-	ReasonIsolationEnded    = "this member is no longer cut off"
+	// ReasonRegionUnreachable, ReasonRegionReachable, ReasonIsolated and ReasonIsolationEnded are used when the state
+	// that is shown for a member changes although its record does not.
+	ReasonRegionUnreachable = "its region is unreachable"
+	ReasonRegionReachable   = "its region is reachable again"
+	ReasonIsolated          = "this member is isolated"
+	ReasonIsolationEnded    = "this member is no longer isolated"
 
 	reasonGossip        = "gossip"
 	reasonExchange      = "exchange"
-	reasonHandoff       = "taken over"
+	reasonHandoff       = "taken over from the previous process"
 	reasonProbeFailed   = "a probe failed"
-	reasonNotRefuted    = "did not refute"
-	reasonForgotten     = "an operator said that it is gone"
-	reasonHolderSilent  = "its holder no longer answers"
-	reasonNoAnswer      = "it does not answer"
-	reasonAddressReused = "its address has another owner"
-	reasonShorterUptime = "it has run for less time and stands back"
-	reasonLongerUptime  = "it has run longer and keeps the name"
+	reasonNotRefuted    = "the suspicion was not refuted in time"
+	reasonForgotten     = "an operator declared it gone"
+	reasonHolderSilent  = "the other process no longer answers"
+	reasonNoAnswer      = "the other process does not answer"
+	reasonAddressReused = "its address now belongs to another process"
+	reasonShorterUptime = "the other process has run for less time and yields"
+	reasonLongerUptime  = "the other process has run longer and keeps the name"
 )
--- a/internal/peer/membership/exchange.go
+++ b/internal/peer/membership/exchange.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// A push-pull exchange (anti-entropy) compares two views by the digests of buckets of names, and sends only the records
-// of buckets that differ:
+// A push-pull exchange (anti-entropy) compares two views by digests of name buckets, and sends only the records of
+// buckets that differ:
 //
 //	opener                          answerer
 //	OpenExchange: bucket digests -> ExchangeRequest
-//	ExchangeResponse             <- ExchangeReply: its records of buckets that differ, and which ones it wants
+//	ExchangeResponse             <- ExchangeReply: its records of the buckets that differ, and the buckets it wants
 //	FinishExchange: records      -> ExchangeClosed
 
 const (
-	// minExchangeInterval is the least time between two exchanges that a member opens, for each 500 members: digests of
-	// many buckets are large themselves.
+	// minExchangeInterval is the minimum time between two exchanges that a member opens, for every 500 members
+	// (membersPerExchangeInterval): the digests of many buckets are large themselves.
 	minExchangeInterval        = time.Second
 	membersPerExchangeInterval = 500
-	// periodicExchangeInterval is the mean time between exchanges that are opened although all digests agree. Longer
-	// would leave what digests can't show, such as suspicions, to gossip alone.
+	// periodicExchangeInterval is the mean time between exchanges that are opened although all digests agree. They
+	// transfer state that digests don't cover, such as suspicions, and that gossip may have lost.
 	periodicExchangeInterval = 30 * time.Second
-	// exchangeTimeout is when an exchange that has not ended has failed.
+	// exchangeTimeout is the time after which an unfinished exchange counts as failed.
 	exchangeTimeout = 5 * time.Second
-	// exchangeJitter is added at random before an exchange, so that many members do not open one at once.
+	// exchangeJitter bounds a random delay before an exchange, so that many members don't open exchanges at once.
 	exchangeJitter = 50 * time.Millisecond
-	// digestGrace is how long digests may differ although all updates were sent before an exchange is opened.
+	// digestGrace is how long digests may differ, although all updates were sent, before an exchange is opened.
 	digestGrace = time.Second
 
-	// maxBuckets and namesPerBucket decide into how many buckets a view is divided.
+	// maxBuckets and namesPerBucket determine the number of buckets that a view is divided into.
 	maxBuckets     = 512
 	namesPerBucket = 8
-	// maxRequestBuckets bounds the buckets that another member may ask for.
+	// maxRequestBuckets is the maximum number of buckets in another member's request.
 	maxRequestBuckets = 1024
 
-	// maxReferrals bounds the members named to one that this member has no time for.
+	// maxReferrals is the maximum number of other members named in a busy response.
 	maxReferrals = 8
-	// minRetryAfterMS and retryAfterJitterMS are when it may come back, in milliseconds.
+	// minRetryAfterMS and retryAfterJitterMS determine the retry time in a busy response, in milliseconds.
 	minRetryAfterMS    = 200
 	retryAfterJitterMS = 800
-	// maxRetryAfterMS bounds how long another member may put this one off, in milliseconds.
+	// maxRetryAfterMS bounds the retry time that this member accepts in a busy response, in milliseconds.
 	maxRetryAfterMS = 10_000
 )
 
-// exchangeState is the state of this member's next or present exchange.
+// exchangeState is the state of this member's current exchange and of the next one.
 type exchangeState struct {
 	// Joining: see join.go.
-	joinAddrs    []string // addresses by which the fleet may be joined
-	nextJoinAddr int      // index of the next one
-	joinRounds   int      // through all of them without success
-	retryAddrs   []string // to be contacted once more after joining
+	joinAddrs    []string // addresses through which this member tries to join the fleet
+	nextJoinAddr int      // index of the next address to try
+	joinRounds   int      // number of rounds through all addresses without success
+	retryAddrs   []string // addresses to contact again after joining
 
-	// The exchange under way.
-	busy      bool
-	id        uint64 // of the last exchange
+	// The current exchange.
+	busy      bool   // an exchange is under way
+	id        uint64 // ID of the last exchange
 	to        string
-	buckets   int           // of the digests that were sent
-	timeoutAt time.Duration // it fails
+	buckets   int           // number of bucket digests that were sent
+	timeoutAt time.Duration // when the exchange fails
 
 	// The next exchange.
-	scheduledAt   time.Duration // 0: only the periodic one is due
-	preferredAddr string        // whom with; empty: a random member
+	scheduledAt   time.Duration // 0: only the periodic exchange is scheduled
+	preferredAddr string        // address of the partner; empty: a random member
 	notBefore     time.Duration
 	periodicAt    time.Duration
-	differsSince  time.Duration // digests of this region differ; 0: they do not
+	differsSince  time.Duration // since when digests in this region differ; 0: they agree
 }
 
-// nextAt is when exchangeDue has something to do.
+// nextAt returns the time of the next call in which runExchange acts.
 func (x *exchangeState) nextAt() time.Duration {
 	if x.busy {
 		return x.timeoutAt
@@ -75,7 +75,7 @@
 	return at
 }
 
-// scheduleIn schedules an exchange after a delay, unless one is scheduled before.
+// scheduleIn schedules an exchange after a delay, unless one is scheduled earlier.
 func (x *exchangeState) scheduleIn(v *View, delay time.Duration) {
 	at := v.now + delay + v.randomUpTo(exchangeJitter)
 	if x.scheduledAt == 0 || at < x.scheduledAt {
@@ -91,18 +91,18 @@
 	}
 }
 
-// minInterval is the least time between two exchanges that this member opens.
+// minInterval returns the minimum time between two exchanges that this member opens.
 func (v *View) minInterval() time.Duration {
 	return minExchangeInterval * time.Duration(max(1, len(v.sortedNames)/membersPerExchangeInterval))
 }
 
-// exchangePeriod is a random time until the next periodic exchange.
+// exchangePeriod returns a random time until the next periodic exchange.
 func (v *View) exchangePeriod() time.Duration {
 	return periodicExchangeInterval/2 + v.randomUpTo(periodicExchangeInterval)
 }
 
-// compareDigest compares a member's digest with this view's. Where they differ for longer although all updates were
-// sent, some were lost, and an exchange is scheduled.
+// compareDigest compares a member's digest with this view's. If digests keep differing although all updates were sent,
+// updates were lost, and an exchange is scheduled.
 func (v *View) compareDigest(from *member, digest uint64) {
 	if digest == v.digest {
 		v.settled = v.settled || v.joined
@@ -123,8 +123,8 @@
 	}
 }
 
-// bucketCount is the number of buckets of this view: a power of two. One that joins sends a single one, since its view
-// differs in all of them.
+// bucketCount returns the number of buckets of this view, a power of two. A member that joins uses a single bucket,
+// since its view differs from others' in all of them.
 func (v *View) bucketCount() int {
 	if !v.joined {
 		return 1
@@ -148,8 +148,8 @@
 	return digests
 }
 
-// exchangeDue ends an exchange that takes too long, and opens the next one.
-func (v *View) exchangeDue() {
+// runExchange ends an exchange that has timed out, and opens the next exchange if it is due.
+func (v *View) runExchange() {
 	exchange := &v.exchange
 	if exchange.busy {
 		if v.now < exchange.timeoutAt {
@@ -168,14 +168,14 @@
 	to := v.exchangePartner(preferred)
 	v.remoteStreamBudget.fill(v.now)
 	if to != "" && v.joined && v.remoteAddrs[to] != nil && v.remoteStreamBudget.level < 0 {
-		return // digests will ask for it again
+		return // if the digests still differ, compareDigest requests the exchange again
 	}
 	if to != "" {
 		v.openExchange(to)
 	}
 }
 
-// exchangePartner is the address to open an exchange with; empty: there is none.
+// exchangePartner returns the address to open an exchange with, or "" if there is none.
 func (v *View) exchangePartner(preferred string) string {
 	if !v.joined {
 		return v.nextJoinAddr()
@@ -194,7 +194,7 @@
 	return picked[0].Addr
 }
 
-// newExchange is a message of this member on a stream.
+// newExchange returns an exchange message with the sender's fields set.
 func (v *View) newExchange() *Exchange {
 	return &Exchange{From: v.settings.Name, Boot: v.self.Boot, RunID: v.self.RunID}
 }
@@ -209,7 +209,7 @@
 	exchange.busy = true
 	exchange.to = to
 	exchange.timeoutAt = v.now + exchangeTimeout
-	if !v.joined { // half of the addresses may be beyond a partition
+	if !v.joined { // half of the addresses may be behind a partition
 		exchange.timeoutAt = v.now + joinTimeout
 	}
 	exchange.notBefore = v.now + v.minInterval()
@@ -230,9 +230,10 @@
 	}
 }
 
-// chargeStream takes a message on a stream from the budget, and from that of other regions if it goes to or came from
-// one (remote is not nil). The budget may go below zero by one message, however large: no other member is answered before
-// that is paid off, so that streams take no more bytes a second than datagrams do on average.
+// chargeStream deducts a stream message from the stream budget, and also from the budget for other regions if the
+// exchange is with a member of one (remote is not nil). A message may take the budget below zero, however large it is.
+// No request is answered while the budget is below zero, so that on average streams stay within the same byte rate as
+// datagrams.
 func (v *View) chargeStream(x *Exchange, remote *region) {
 	size := x.size()
 	v.streamBudget.level -= float64(size)
@@ -243,7 +244,8 @@
 	}
 }
 
-// onExchangeRequest answers an exchange that another member opened, or refers it to others if the budget is used up.
+// onExchangeRequest responds to an exchange that another member opened, or refers the opener to other members if the
+// budget is used up.
 func (v *View) onExchangeRequest(e ExchangeRequest) {
 	request := e.Message
 	if v.isLeaving || v.yielding || request == nil ||
@@ -275,8 +277,8 @@
 	v.contacted = true
 }
 
-// openerRegion is the region of an exchange's opener, by its own record in the request; nil: it has none, or no member
-// of that region is alive.
+// openerRegion returns the region of an exchange's opener, by the opener's own record in the request. It returns nil if
+// the request has no such record, or if no known member of that region is live.
 func (v *View) openerRegion(request *Exchange) *region {
 	if len(request.Records) == 0 {
 		return nil
@@ -291,8 +293,8 @@
 	return nil
 }
 
-// busyResponse puts an opener off, and refers it to other members, so that where hundreds join, all that have joined
-// help.
+// busyResponse returns a response that tells the opener to retry later and refers it to other members. When hundreds of
+// members join at once, all that have already joined share the load.
 func (v *View) busyResponse(referrals []*member) *Exchange {
 	response := v.newExchange()
 	response.RetryAfterMS = uint32(minRetryAfterMS + v.rng.IntN(retryAfterJitterMS))
@@ -302,7 +304,8 @@
 	return response
 }
 
-// exchangeResponse holds this member's records of the buckets that differ, and asks for the opener's.
+// exchangeResponse returns a response with this member's records of the buckets that differ, and requests the opener's
+// records of these buckets.
 func (v *View) exchangeResponse(request *Exchange) *Exchange {
 	buckets := len(request.BucketDigests)
 	response := v.newExchange()
@@ -321,8 +324,8 @@
 	return response
 }
 
-// onExchangeResponse merges the answer to this member's exchange, and ends that with the records that the other wants
-// and does not have.
+// onExchangeResponse merges the response to this member's exchange, and finishes the exchange with the records that the
+// other member wants and does not have.
 func (v *View) onExchangeResponse(e ExchangeResponse) {
 	exchange := &v.exchange
 	response := e.Message
@@ -350,7 +353,8 @@
 	v.emit(FinishExchange{ID: e.ID, Message: final})
 }
 
-// onBusyResponse tries again later, or, while this member joins, at those that the other named.
+// onBusyResponse schedules another exchange later. While this member joins, it also adds the members named in the
+// response to the addresses that it tries.
 func (v *View) onBusyResponse(response *Exchange) {
 	exchange := &v.exchange
 	exchange.notBefore = v.now + time.Duration(min(response.RetryAfterMS, maxRetryAfterMS))*time.Millisecond
@@ -365,7 +369,8 @@
 	exchange.scheduleIn(v, 0)
 }
 
-// wantedRecords are the records of the buckets that the answerer wants, without those that it has as new.
+// wantedRecords returns the records of the buckets that the answerer requested, except those for which the answerer's
+// own record is at least as new.
 func (v *View) wantedRecords(response *Exchange) []Record {
 	theirs := make(map[string]*Record, len(response.Records))
 	for i := range response.Records {
@@ -395,8 +400,8 @@
 		return
 	}
 	for _, r := range x.Records {
-		// A member that is dead to the other may be alive on this side of a link that was broken: it becomes a
-		// suspect, so that it can refute (as in hashicorp/memberlist).
+		// A member that the sender holds for dead may be alive on this side of a broken link. It becomes a suspect, so
+		// that it can refute its death (as in hashicorp/memberlist).
 		m := v.members[r.Name]
 		if m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isRemote(m) {
 			r.State = Suspect
--- a/internal/peer/membership/exchange_test.go
+++ b/internal/peer/membership/exchange_test.go
@@ -25,7 +25,7 @@
 		opened = openedExchanges(v.Step(v.now+100*ms, datagram))
 	}
 	if len(opened) == 0 || opened[0].To != testRecord(0).Addr {
-		t.Errorf("%v by %v", opened, v.now)
+		t.Errorf("opened %v by %v", opened, v.now)
 	}
 }
 
@@ -59,15 +59,15 @@
 		return nil
 	}
 	if x := request(regionRecord(1, 0)); x == nil || x.RetryAfterMS == 0 || x.Records[0].Region != "b" {
-		t.Errorf("the reply to another region is %+v", x)
+		t.Errorf("the response to another region is %+v", x)
 	}
 	if x := request(regionRecord(0, 0)); x == nil || x.RetryAfterMS != 0 {
-		t.Errorf("the reply to its own region is %+v", x)
+		t.Errorf("the response to the member's own region is %+v", x)
 	}
 	v.remoteStreamBudget.level = -1e6
 	v.exchange = exchangeState{periodicAt: time.Hour}
 	v.exchange.requestWith(v, regionRecord(1, 0).Addr)
 	if opened := openedExchanges(runUntil(v, v.now+2*time.Second)); len(opened) > 0 {
-		t.Error("it opens an exchange although its budget is used up")
+		t.Error("the member opens an exchange although its budget is used up")
 	}
 }
--- a/internal/peer/membership/health.go
+++ b/internal/peer/membership/health.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// A member that is slow, was paused or is badly connected would suspect healthy ones: it misses their answers. Lifeguard
-// has it doubt itself first. Its local health multiplier grows with each sign of that and shrinks with each direct
-// answer; timeouts and intervals are scaled by it.
+// A member that is slow, was paused or is badly connected misses answers, and would suspect healthy members. With
+// Lifeguard it first suspects itself: its local health multiplier grows with each sign of such a condition and shrinks
+// with each direct answer. Timeouts and intervals are scaled by the multiplier.
 
 const (
-	// maxLocalHealth bounds the multiplier: timeouts grow up to ninefold (Lifeguard's default). Larger delays the
-	// detection of crashes by a member that is itself at fault.
+	// maxLocalHealth bounds the multiplier: timeouts grow up to ninefold (Lifeguard's default). A larger bound delays
+	// the detection of crashes by a member that is itself at fault.
 	maxLocalHealth = 8
-	// minPause is how late a step must come to count as a pause of this process. The scheduler of a busy host delays
-	// steps by tens of milliseconds; probe timeouts are 100 ms.
+	// minPause is the minimum lateness of a step that counts as a pause of this process. The scheduler of a busy host
+	// delays steps by tens of milliseconds; probe timeouts are 100 ms.
 	minPause = 150 * time.Millisecond
-	// lateStepThreshold is how late a step must come for this process to count as slow, which is less than a pause.
+	// lateStepThreshold is the lateness of a step above which this process counts as slow, even if it was not paused.
 	lateStepThreshold = 75 * time.Millisecond
-	// longPause is a pause after which this member asks another one for its view, and withdraws what it was about to
-	// gossip of suspects and deaths.
+	// longPause is the minimum length of a pause after which this member requests another member's view, and drops its
+	// queued updates about suspects and deaths.
 	longPause = time.Second
 )
 
-// checkLateness notices a step that came late.
+// checkLateness checks whether the current step is late.
 func (v *View) checkLateness() {
 	late := v.now - v.wakeAt
 	if late <= lateStepThreshold {
 		return
 	}
 	v.lateStepAt = v.now
-	v.lastReceivedAt += late // datagrams of that time are still unread
+	v.lastReceivedAt += late // datagrams that arrived in the meantime have not been read yet
 	if late > minPause {
 		v.resumeAfterPause(late)
 	}
 }
 
-// resumeAfterPause discards what a pause of this process has falsified. Conclusions from that time would rest on
-// answers that it has not read in time: so no probe of that time counts, no suspicion ends sooner than if the time had
-// not passed, and suspicions of its own begin anew.
+// resumeAfterPause resets state that a pause of this process made unreliable, because answers that arrived during the
+// pause were not read in time. Pending probes don't count, suspicions are extended by the pause, and suspicions
+// reported by this member start again.
 func (v *View) resumeAfterPause(pause time.Duration) {
 	if v.settings.Baseline.NoLifeguard {
 		return
@@ -62,18 +62,18 @@
 	v.updates.removeAbout(func(m *member) bool { return m.State == Suspect || m.State == Dead })
 }
 
-// degradeHealth counts signs that this member itself is slow or badly connected.
+// degradeHealth counts signs that this member itself is slow or badly connected: it raises the multiplier.
 func (v *View) degradeHealth(signs int) {
 	if !v.settings.Baseline.NoLifeguard {
 		v.localHealth = min(maxLocalHealth, v.localHealth+signs)
 	}
 }
 
-// improveHealth counts a sign that it is not.
+// improveHealth counts a sign that this member works well: it lowers the multiplier.
 func (v *View) improveHealth() { v.localHealth = max(0, v.localHealth-1) }
 
-// scaledByHealth lengthens a timeout or interval while this member doubts itself. In a partition it does not: there the
-// missing answers are explained.
+// scaledByHealth scales a timeout or interval by the local health multiplier. During a partition it returns d
+// unchanged, because the partition explains the missing answers.
 func (v *View) scaledByHealth(d time.Duration) time.Duration {
 	if v.isPartitioned() {
 		return d
--- a/internal/peer/membership/health_test.go
+++ b/internal/peer/membership/health_test.go
@@ -8,9 +8,9 @@
 func TestPausedMemberDeclaresNobodyDead(t *testing.T) {
 	v := newTestView(t)
 	learnMembers(v, 5)
-	runUntil(v, 1200*ms) // nobody answers, and no round trip is known: it suspects some
+	runUntil(v, 1200*ms) // no member answers, so that some are suspected; no round-trip times are known
 	if len(v.suspects) == 0 {
-		t.Fatal("it suspects nobody")
+		t.Fatal("no member is suspected")
 	}
 	for _, a := range v.Step(v.Next() + 10*time.Second) {
 		if c, ok := a.(MemberChanged); ok && c.Record.State == Dead {
@@ -18,6 +18,6 @@
 		}
 	}
 	if v.Health() == 0 {
-		t.Error("it does not doubt itself")
+		t.Error("local health is 0 after a pause")
 	}
 }
--- a/internal/peer/membership/helpers_test.go
+++ b/internal/peer/membership/helpers_test.go
@@ -8,13 +8,13 @@
 
 const ms = time.Millisecond
 
-// newTestView is the view of a member named me, without a region.
+// newTestView returns the view of a member named me, without a region.
 func newTestView(t testing.TB, seeds ...string) *View {
 	t.Helper()
 	return mustNew(t, Settings{Seeds: seeds})
 }
 
-// mustNew is a view with some settings, of a member named me unless they say otherwise.
+// mustNew returns a view with the given settings. Without a name in them, the member is named me.
 func mustNew(t testing.TB, settings Settings) *View {
 	t.Helper()
 	if settings.Name == "" {
@@ -32,7 +32,7 @@
 	return v
 }
 
-// testRecord is the record of the member m0, m1, ... without a region.
+// testRecord returns the record of member n (m0, m1, ...), without a region.
 func testRecord(n int) Record {
 	return Record{
 		Name:      fmt.Sprint("m", n),
@@ -43,19 +43,19 @@
 	}
 }
 
-// withState is a record in another state, by the report of m0.
+// withState returns a record with another state, reported by m0.
 func withState(r Record, state State) Record {
 	r.State = state
 	r.Reporter = "m0"
 	return r
 }
 
-// exchangeFrom is a message of m0 on a stream.
+// exchangeFrom returns an exchange message from m0.
 func exchangeFrom(records ...Record) *Exchange {
 	return &Exchange{From: "m0", Boot: 5, RunID: 100, Records: records}
 }
 
-// learnMembers has a view learn m0, m1, ... by an exchange.
+// learnMembers adds n members (m0, m1, ...) to a view by an exchange.
 func learnMembers(v *View, n int) {
 	x := exchangeFrom()
 	for i := range n {
@@ -64,12 +64,12 @@
 	v.Step(0, ExchangeClosed{x})
 }
 
-// learn has a view learn records by an exchange.
+// learn passes records to a view by an exchange.
 func learn(v *View, records ...Record) []Action {
 	return v.Step(v.now+ms, ExchangeClosed{exchangeFrom(records...)})
 }
 
-// datagramFrom is a datagram of a member.
+// datagramFrom returns a datagram from a member.
 func datagramFrom(r Record, number uint64, m Message) DatagramReceived {
 	m.From = r.Name
 	m.Boot = r.Boot
@@ -78,12 +78,12 @@
 	return DatagramReceived{Message: &m}
 }
 
-// gossipFrom has a view receive updates from a member.
+// gossipFrom passes updates from a member to a view.
 func gossipFrom(v *View, r Record, updates ...Record) []Action {
 	return v.Step(v.now+ms, datagramFrom(r, uint64(v.now), Message{Kind: Gossip, Updates: updates}))
 }
 
-// receiveSuspicion has a view receive from m0 that another member is suspect.
+// receiveSuspicion passes a datagram from m0 to a view in which another member is suspect.
 func receiveSuspicion(v *View, n int, incarnation uint32) {
 	r := withState(testRecord(n), Suspect)
 	r.Incarnation = incarnation
@@ -119,7 +119,7 @@
 	return all
 }
 
-// runUntil steps a view whenever its timers are due, until a time.
+// runUntil steps a view at each of its timers until a time.
 func runUntil(v *View, until time.Duration) []Action {
 	var all []Action
 	for v.Next() <= until {
@@ -142,7 +142,7 @@
 	return Send{}
 }
 
-// runAnswering steps a view until a time; its pings are acked after 2 ms by the members that answer.
+// runAnswering steps a view until a time. Its pings are acked after 2 ms by the members for which answers returns true.
 func runAnswering(v *View, until time.Duration, answers func(name string) bool) []Action {
 	numbers := map[string]uint64{}
 	var acks []DatagramReceived
@@ -175,8 +175,8 @@
 func everybody(string) bool { return true }
 func nobody(string) bool    { return false }
 
-// newRegionView is the view of a member of region a, which knows so many others of the regions a, b and c, named a0,
-// a1, ..., b0, ...
+// newRegionView returns the view of a member of region a that knows a, b and c other members of the regions of these
+// names. The members are named a0, a1, ..., b0, ...
 func newRegionView(t testing.TB, a, b, c int) *View {
 	t.Helper()
 	v := mustNew(t, Settings{Region: "a"})
@@ -192,7 +192,7 @@
 	return v
 }
 
-// regionRecord is the record of a member of region 0 (a), 1 (b) or 2 (c).
+// regionRecord returns the record of member n of region 0 (a), 1 (b) or 2 (c).
 func regionRecord(region, n int) Record {
 	name := string(rune('a' + region))
 	return Record{
@@ -207,18 +207,18 @@
 
 func onlyLocalRegion(name string) bool { return name[0] == 'a' }
 
-// requireWatching returns region b, and fails unless this member watches it as expected.
+// requireWatching returns region b, and fails the test unless this member watches it as expected.
 func requireWatching(t testing.TB, v *View, watched bool) *region {
 	t.Helper()
 	r := v.regions["b"]
 	v.Step(v.now + ms)
 	if r.watched != watched {
-		t.Fatalf("watched %v: the ranks that this test rests on have changed", r.watched)
+		t.Fatalf("watched %v: the watcher ranks that this test depends on have changed", r.watched)
 	}
 	return r
 }
 
-// receiveRegionReport has a member report whether it reaches a region.
+// receiveRegionReport passes a report of a member on whether it reaches a region to a view.
 func receiveRegionReport(v *View, r *region, name string, report regionReport) {
 	m := v.members[name].Record
 	m.Incarnation++
@@ -229,7 +229,7 @@
 	gossipFrom(v, m, m)
 }
 
-// setProbes replaces a view's probes, and forgets its actions so far.
+// setProbes replaces a view's probes, and clears its actions.
 func setProbes(v *View, probes ...*probe) {
 	v.probes = probes
 	v.actions = nil
--- a/internal/peer/membership/indirect.go
+++ b/internal/peer/membership/indirect.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// helperRequests is the choice of helpers for one probe: members that ping its target on behalf of this one.
+// helperRequests selects the helpers for one probe, which ping its target on behalf of this member, and sends the
+// requests to them.
 type helperRequests struct {
 	view   *View
 	probe  *probe
 	target *member
-	limit  int              // of the helpers
-	chosen map[*member]bool // the helpers so far, and the target itself
+	limit  int              // maximum number of helpers
+	chosen map[*member]bool // the helpers selected so far, and the target itself
 }
 
-// send has a member probe the target, unless it is not alive, was chosen already, or enough were.
+// send asks a member to ping the target, unless the member is not alive or already chosen, or the limit is reached.
 func (h *helperRequests) send(helper *member) {
 	if helper == nil || helper.State != Alive || h.chosen[helper] || len(h.chosen) > h.limit {
 		return
@@ -41,8 +42,9 @@
 	}
 }
 
-// probeIndirectly continues a probe that was not answered in time: by a second ping, since of two datagrams one gets
-// through more often, and through helpers. It reports false if the target is no longer to be probed.
+// probeIndirectly starts the second stage of a probe that was not answered in time. It sends a second ping, because one
+// of two datagrams is more likely to arrive, and requests to helpers. It reports false if the target must no longer be
+// probed.
 func (v *View) probeIndirectly(p *probe) bool {
 	target := v.members[p.target]
 	if target == nil || target.list != listLive && p.remoteRegion == nil {
@@ -61,7 +63,7 @@
 		limit:  helperLimit(p, target),
 		chosen: map[*member]bool{target: true},
 	}
-	requests.send(v.members[target.lastHelper]) // a helper that reached it lately
+	requests.send(v.members[target.lastHelper]) // the helper that last reached the target
 	if p.remoteRegion != nil {
 		requests.chooseForRegion(p.remoteRegion)
 	} else {
@@ -75,7 +77,8 @@
 	return true
 }
 
-// helperLimit is how many helpers a probe has: more for a suspect, of which a death is about to be declared.
+// helperLimit returns the maximum number of helpers for a probe. A suspect gets more, because it may soon be declared
+// dead.
 func helperLimit(p *probe, target *member) int {
 	switch {
 	case p.isSweep():
@@ -86,8 +89,8 @@
 	return indirectHelpers
 }
 
-// chooseForRegion chooses members of third regions first, which may reach both, and members of this region only if there are
-// too few of them.
+// chooseForRegion selects helpers for a probe of another region: first members of third regions, which may reach both
+// regions, and members of this region only if there are too few of them.
 func (h *helperRequests) chooseForRegion(r *region) {
 	v := h.view
 	h.limit = maxRemoteHelpers
@@ -104,8 +107,9 @@
 	}
 }
 
-// chooseForLocal chooses the helper through which any member was last reached: one that links two parts of a fleet for one
-// member does so for others. In a partition a member of another region may link them.
+// chooseForLocal selects helpers for a probe in this region. The helper through which any member was last reached comes
+// first: if it connects two parts of a fleet for one member, it does so for others. During a partition, a member of
+// another region may connect them.
 func (h *helperRequests) chooseForLocal() {
 	v := h.view
 	h.send(v.members[v.lastHelper])
@@ -114,23 +118,24 @@
 	}
 }
 
-// isInThirdRegion reports whether a member is in neither this member's region nor the target's, and reachable.
+// isInThirdRegion reports whether a member is alive and in a reachable region other than this member's and the
+// target's.
 func (h *helperRequests) isInThirdRegion(m *member) bool {
 	return m.region != h.view.localRegion && m.region != h.target.region && !m.region.unreachable && m.State == Alive
 }
 
-// relayedRequest is a ping or an identity request that this member sent as a helper of another one.
+// relayedRequest is a ping or an identity request that this member sent as a helper of another member, the requester.
 type relayedRequest struct {
 	seq          uint32
-	requesterSeq uint32 // the answer to the requester has this one
+	requesterSeq uint32 // sequence number of the requester's request, and of the answer to it
 	target       string
 	replyTo      string // address of the requester
 	sentAt       time.Duration
 	until        time.Duration
-	identity     bool // an IdentityRequest, not a Ping
+	identity     bool // IdentityRequest rather than Ping
 }
 
-// maxRelayedRequests bounds the requests that this member relays at a time; further ones are dropped.
+// maxRelayedRequests is the maximum number of requests that this member relays at a time; further ones are dropped.
 const maxRelayedRequests = 64
 
 // relayPing sends a ping on behalf of another member.
@@ -142,7 +147,7 @@
 	ping := &Message{Kind: Ping, Seq: r.seq, Target: m.Target}
 	about := unlessAlive(v.members[m.Target])
 	for i := range m.Updates {
-		// This member does not suspect members of other regions; the suspect must learn of the suspicion nevertheless.
+		// This member ignores suspicions of members of other regions, but the suspect must learn that it is suspected.
 		u := &m.Updates[i]
 		if about == nil && u.Name == m.Target && u.State == Suspect && u.check() == nil {
 			ping.Updates = []Record{*u}
@@ -187,7 +192,7 @@
 	}
 }
 
-// takeRelayed removes and returns the request that a response answers, or nil.
+// takeRelayed removes and returns the first relayed request that matches, or nil.
 func (v *View) takeRelayed(matches func(*relayedRequest) bool) *relayedRequest {
 	for i, r := range v.relayed {
 		if matches(r) {
@@ -198,7 +203,8 @@
 	return nil
 }
 
-// relayAck passes an ack on to the member on whose behalf the ping was sent, and reports whether there is one.
+// relayAck forwards an ack to the member on whose behalf the ping was sent. It reports whether this member relayed that
+// ping.
 func (v *View) relayAck(m *Message) bool {
 	r := v.takeRelayed(func(r *relayedRequest) bool { return !r.identity && r.seq == m.Seq && r.target == m.Target })
 	if r == nil {
@@ -211,8 +217,8 @@
 	return true
 }
 
-// relayIdentityResponse passes an identity response on unchanged: what counts is whose RunID it names, not who sends
-// it. It reports whether this member relayed the request.
+// relayIdentityResponse forwards an identity response with the identity unchanged: the RunID in the response matters,
+// not its sender. It reports whether this member relayed the request.
 func (v *View) relayIdentityResponse(m *Message) bool {
 	r := v.takeRelayed(func(r *relayedRequest) bool { return r.identity && r.seq == m.Seq })
 	if r == nil {
@@ -228,8 +234,9 @@
 	return true
 }
 
-// relayedDue ends the requests that were not answered in time. A ping's requester receives a Nack.
-func (v *View) relayedDue() {
+// expireRelayedRequests drops the relayed requests that were not answered in time. The requester of a ping receives a
+// Nack.
+func (v *View) expireRelayedRequests() {
 	for i := 0; i < len(v.relayed); {
 		r := v.relayed[i]
 		if v.now < r.until {
--- a/internal/peer/membership/isolation.go
+++ b/internal/peer/membership/isolation.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// A member that is cut off from all others, or with a few from most, must know so within a bound, whatever the size of
-// the fleet and although it doubts itself.
+// A member that can't reach any other member, or that can reach only a few, must detect that within a bounded time. The
+// bound must hold for fleets of any size, and although the local health multiplier lengthens the member's timeouts.
 //
-// From all (isolated): where no datagram of any member has come for longer than chance explains, all others are shown
-// as dead. No record changes and nobody is suspected: a member that only can't receive would otherwise suspect the
-// whole fleet, and so would one that returns.
+// Isolated: the member receives no datagrams from any member for longer than chance explains. All other members are
+// then shown as dead, but no record changes and no member is suspected. Otherwise a member that merely can't receive
+// would suspect the whole fleet, and so would an isolated member that becomes reachable again.
 //
-// With a few (partitioned): where most of its last probes were missed, its timeouts are no longer scaled by its local
-// health, and it sends additional probes (a sweep), so that the few suspect together what is beyond the partition.
+// Partitioned: the member can reach only a few members, and most of its last probes failed. Its timeouts are then no
+// longer scaled by its local health, and it sends additional probes (a sweep), so that the few reachable members
+// together suspect the members behind the partition.
 
 const (
-	// isolationProbePeriods is how many probe intervals without a datagram make a member isolated. At rest about one
-	// datagram comes in each, so that chance makes it so once in e^20 intervals. Larger detects isolation later.
+	// isolationProbePeriods is the number of probe intervals without a datagram after which a member is isolated. When
+	// idle, a member receives about one datagram in each interval, so that chance alone causes this once in e^20
+	// intervals. A larger number detects isolation later.
 	isolationProbePeriods = 20
-	// recentProbes is how many of the last probes recentMisses keeps.
+	// recentProbes is the number of the last probes whose outcomes View.recentMisses holds.
 	recentProbes     = 4
 	recentProbesMask = 1<<recentProbes - 1
-	// minRecentMisses is how many of them must be missed for a partition to be assumed.
+	// minRecentMisses is the number of these that must be missed for a partition to be assumed.
 	minRecentMisses = 3
-	// maxSweepProbes is the number of probes in an interval during a partition. More finds the members beyond it sooner
-	// and takes more of the budget.
+	// maxSweepProbes is the number of probes in each interval during a partition. A larger number detects the members
+	// behind the partition sooner and uses more of the budget.
 	maxSweepProbes = 10
-	// minOnTimePeriod is how long steps must have come on time for missed probes to count as a partition: a process
-	// that is slow itself misses answers too.
+	// minOnTimePeriod is how long all steps must have been on time before missed probes count as a sign of a partition:
+	// a slow process misses answers too.
 	minOnTimePeriod = 3 * time.Second
-	// partitionedPeriod is how long after the last sign of a partition it is taken into account: by then the members
-	// beyond it are dead, or there was none.
+	// partitionedPeriod is how long a partition is taken into account after its last sign. By then the members behind
+	// it are dead, or there was no partition.
 	partitionedPeriod = 10 * time.Second
 )
 
-// probeOutcome is how a probe of a member of this region ended: a bit of View.recentMisses.
+// probeOutcome is the outcome of a probe in this region, as a bit of View.recentMisses.
 type probeOutcome uint8
 
 const (
@@ -44,42 +46,42 @@
 	outcomeMissed
 )
 
-// recordProbeOutcome keeps how the last probes ended.
+// recordProbeOutcome records the outcome of a probe, and checks for a partition.
 func (v *View) recordProbeOutcome(outcome probeOutcome) {
 	v.recentMisses = (v.recentMisses<<1 | uint8(outcome)) & recentProbesMask
 	if v.isPartitioned() {
 		v.partitionedUntil = v.now + partitionedPeriod
-		v.probeAt = min(v.probeAt, v.now+v.settings.ProbeInterval) // local health may have put it off
+		v.probeAt = min(v.probeAt, v.now+v.settings.ProbeInterval) // local health may have delayed it
 	}
 }
 
-// isPartitioned reports whether most members seem to be beyond a partition, and this process is not slow itself.
+// isPartitioned reports whether most members seem to be behind a partition while this process is not slow itself.
 func (v *View) isPartitioned() bool {
 	return bits.OnesCount8(v.recentMisses) >= minRecentMisses &&
 		v.now-v.lateStepAt >= minOnTimePeriod &&
 		!v.settings.Baseline.NoLifeguard
 }
 
-// isolationTimeout is how long no datagram may come before this member is isolated.
+// isolationTimeout returns the time without datagrams after which this member counts as isolated.
 func (v *View) isolationTimeout() time.Duration {
 	probe := v.settings.ProbeTimeout + v.settings.IndirectTimeout
 	return max(2*v.minSuspicion()+probe, isolationProbePeriods*v.settings.ProbeInterval)
 }
 
-// canBeIsolated reports whether it matters that no datagram comes: not before this member has met the fleet.
+// canBeIsolated reports whether a lack of datagrams can mean isolation: not before this member has contacted the fleet.
 func (v *View) canBeIsolated() bool {
 	return !v.isolated && len(v.live) > 0 && (v.joined || v.contacted) && !v.settings.Baseline.NoLifeguard
 }
 
-// isolationDue finds that no datagram comes any more.
-func (v *View) isolationDue() {
+// checkIsolation marks this member as isolated if no datagrams have arrived for too long.
+func (v *View) checkIsolation() {
 	if !v.canBeIsolated() || v.now < v.lastReceivedAt+v.isolationTimeout() {
 		return
 	}
 	v.isolated = true
 	v.isolatedAt = v.now
 	v.emit(Isolated{Members: len(v.live)})
-	// Its present suspicions rest on its own isolation, and must not be gossiped when that ends.
+	// The current suspicions may result from the isolation itself, and must not be gossiped when it ends.
 	for _, m := range slices.Clone(v.suspects) {
 		r := m.Record
 		r.State = Alive
@@ -89,7 +91,7 @@
 	v.updateReachability(v.live, ReasonIsolated)
 }
 
-// endIsolation notices a datagram of a member at addr, which ends an isolation.
+// endIsolation records that a datagram of a member at addr arrived, which ends an isolation.
 func (v *View) endIsolation(addr string) {
 	v.lastReceivedAt = v.now
 	if !v.isolated {
@@ -111,7 +113,7 @@
 		target := v.nextSweepTarget()
 		if target == nil {
 			v.refillSweepOrder()
-			return // the next interval begins with them
+			return // the sweep continues in the next interval
 		}
 		if !v.startProbe(target, sweepHelpers) {
 			return
@@ -119,7 +121,7 @@
 	}
 }
 
-// nextSweepTarget takes the next member that is alive from the sweep's order; nil: there is none left.
+// nextSweepTarget removes and returns the next alive member of the sweep order, or nil if none is left.
 func (v *View) nextSweepTarget() *member {
 	for len(v.sweepOrder) > 0 {
 		last := len(v.sweepOrder) - 1
--- a/internal/peer/membership/isolation_test.go
+++ b/internal/peer/membership/isolation_test.go
@@ -24,11 +24,11 @@
 			}
 			actions := v.Step(v.now+ms, datagramFrom(testRecord(n-1), 1<<40, Message{Kind: Gossip}))
 			if v.Isolated() || len(v.live) == 0 || v.Size().Live != len(v.live)+1 {
-				t.Errorf("after a datagram isolated %v, %d alive", v.Isolated(), v.Size().Live)
+				t.Errorf("after a datagram: isolated %v, %d alive", v.Isolated(), v.Size().Live)
 			}
 			actions = append(actions, runUntil(v, v.now+1500*ms)...)
 			if len(openedExchanges(actions)) == 0 {
-				t.Error("no exchange after a datagram")
+				t.Error("no exchange is opened after a datagram")
 			}
 			if n > 3 && len(v.live) < n*9/10 {
 				t.Errorf("%d alive by their records", len(v.live))
@@ -37,7 +37,7 @@
 	}
 }
 
-// countDoubted counts the gossiped updates that say that a member is suspect or dead.
+// countDoubted counts the gossiped updates in which a member is suspect or dead.
 func countDoubted(actions []Action) int {
 	count := 0
 	for _, s := range sentOfKind(actions, Gossip) {
@@ -58,14 +58,14 @@
 	v.Step(v.Next() + 20*time.Second)
 	runAnswering(v, v.now+2*time.Second, everybody)
 	if v.Isolated() {
-		t.Error("isolated after a pause of its own")
+		t.Error("the member is isolated after a pause of its own process")
 	}
 }
 
 func TestPartitionedMinoritySweepsWithoutHealthScaling(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		lateSteps bool // it is slow itself: then it doubts itself as ever
+		lateSteps bool // the process itself is slow: local health applies as usual
 	}{
 		{"steps on time", false},
 		{"steps late", true},
@@ -114,7 +114,7 @@
 			}
 		})
 	}
-	t.Run("the suspect learns of the suspicion", func(t *testing.T) { // although the remote helper does not suspect it
+	t.Run("the suspect learns of the suspicion", func(t *testing.T) { // though the remote helper ignores it
 		v := newRegionView(t, 2, 2, 0)
 		suspect := regionRecord(1, 0)
 		suspect.State = Suspect
@@ -140,19 +140,20 @@
 	v.isolated = true
 	v.probeFailed(&probe{target: "m1"})
 	if stateOf(v, "m1") != Alive {
-		t.Error("it suspects a member")
+		t.Error("an isolated member suspects another one")
 	}
 	v.settings.ProbeInterval = 20 * ms
 	if got := v.isolationTimeout(); got < 2*DefaultMinSuspicion {
-		t.Errorf("%v at an interval of 20 ms", got)
+		t.Errorf("timeout %v at an interval of 20 ms", got)
 	}
 	v.settings.ProbeInterval = time.Second
 	if got := v.isolationTimeout(); got < 20*time.Second {
-		t.Errorf("%v at an interval of 1 s", got)
+		t.Errorf("timeout %v at an interval of 1 s", got)
 	}
 }
 
-// A member that still joins, and knows of some members by another's record, is not isolated, nor stepped for that.
+// A member that has not joined yet, but knows other members from a received record, is not isolated. Its timers must
+// not include the isolation timeout, which would make it step continuously.
 func TestJoiningMemberIsNotSteppedForIsolation(t *testing.T) {
 	v := newTestView(t, "127.0.0.9:1")
 	learnMembers(v, 5)
--- a/internal/peer/membership/join.go
+++ b/internal/peer/membership/join.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// A member joins by an exchange with any address of the fleet: the operator's seeds, and the members of its last run.
-// Some of these may have left or moved since; it is enough that they were there.
+// A member joins the fleet by an exchange with any of the known addresses: the operator's seeds and the members known
+// in its last run. Some of these members may have left or moved in the meantime; one that answers is enough.
 
 const (
-	// maxJoinAddrs bounds the addresses by which the fleet is looked for.
+	// maxJoinAddrs is the maximum number of addresses through which a member tries to join.
 	maxJoinAddrs = 64
-	// joinTimeout is how long each of them is given. Longer delays the join where some are beyond a partition.
+	// joinTimeout is the timeout for each address. A longer one delays the join if some members are behind a
+	// partition.
 	joinTimeout = time.Second
-	// referralJitter bounds the random time before a member that is referred to others contacts them.
+	// referralJitter bounds the random delay before a member contacts the members that it was referred to.
 	referralJitter = 200 * time.Millisecond
 
-	// After each round through all addresses the member waits twice as long, with jitter.
+	// joinBackoff doubles with each round through all addresses, up to maxJoinBackoff, with jitter.
 	joinBackoff        = 250 * time.Millisecond
 	maxJoinBackoff     = 8 * time.Second
 	maxJoinBackoffBits = 6
 	joinBackoffJitter  = 500 * time.Millisecond
 
-	// minJoinRounds is the number of rounds after which a member that others contacted stops looking: they are the
-	// fleet that it was to join.
+	// minJoinRounds is the number of unsuccessful rounds after which a member that others have contacted counts as
+	// joined: the members that contacted it are its fleet.
 	minJoinRounds = 2
 
-	// joinRetryInterval is the time between two attempts at addresses where no member is known, after joining.
+	// joinRetryInterval is the time between two attempts, after joining, at addresses where no member is known.
 	joinRetryInterval = time.Second
 
-	// seedRetryInterval is the mean time between two such attempts of one member alone, when each address has been
-	// tried twice; all live members together keep about that rate.
+	// seedRetryInterval is the mean time between two such attempts after each address has been tried twice. It holds
+	// for all live members together: each of them makes fewer attempts in a larger fleet.
 	seedRetryInterval = 5 * time.Second
 	seedRetryJitter   = 2500 * time.Millisecond
 
-	// maxReconnectsPerSecond bounds how many dead members one member contacts in a second.
+	// maxReconnectsPerSecond is the maximum number of dead members that one member contacts in a second.
 	maxReconnectsPerSecond = 2.0
-	// reconnectIdleDelay, with as much jitter, is when a member without dead ones looks again.
+	// reconnectIdleDelay is the time until a member that knows no dead members checks again, with the same amount of
+	// jitter.
 	reconnectIdleDelay = 500 * time.Millisecond
-	// slowReconnectAfter is how long after its death a member is contacted at a lower rate: one attempt in
-	// slowReconnectDivisor is made.
+	// slowReconnectAfter is how long after its death a member is contacted less often: of slowReconnectDivisor
+	// attempts, one is made.
 	slowReconnectAfter   = 10 * time.Minute
 	slowReconnectDivisor = 5
 )
 
-// collectJoinAddrs collects the addresses by which the fleet may be joined.
+// collectJoinAddrs collects the addresses through which this member tries to join the fleet.
 func (v *View) collectJoinAddrs() {
 	exchange := &v.exchange
 	exchange.joinAddrs = nil
@@ -72,7 +74,8 @@
 	}
 }
 
-// nextJoinAddr is the next address to join by; empty: this member waits before the next round, or has joined.
+// nextJoinAddr returns the next address to join through. It returns "" if this member waits before the next round or
+// has joined.
 func (v *View) nextJoinAddr() string {
 	exchange := &v.exchange
 	if len(exchange.joinAddrs) == 0 {
@@ -93,9 +96,9 @@
 	return ""
 }
 
-// reconnectDue contacts a dead member of this region. All live members together contact each dead one about once a
+// reconnectDead contacts a dead member of this region. All live members together contact each dead member about once a
 // second, and a fifth as often after ten minutes, so that a partition heals without a seed or an operator.
-func (v *View) reconnectDue() {
+func (v *View) reconnectDead() {
 	if v.now < v.reconnectAt {
 		return
 	}
@@ -116,9 +119,10 @@
 	}
 }
 
-// seedRetryDue opens an exchange with a seed or a member of the last run where no member is known: so two fleets that
-// started apart meet. Each is contacted twice soon after the start, and then seeds now and then.
-func (v *View) seedRetryDue() {
+// retrySeeds opens an exchange with an address where no live member is known, so that two fleets that started
+// separately merge. Seeds and members of the last run are each contacted twice soon after the start; later only seeds
+// are contacted, at a lower rate.
+func (v *View) retrySeeds() {
 	if v.now < v.seedRetryAt {
 		return
 	}
@@ -139,7 +143,8 @@
 	}
 }
 
-// seedRetryDelay is the least time between two attempts at seeds of one of so many live members.
+// seedRetryDelay returns the minimum time between two attempts of one member to contact a seed. live is the number of
+// other live members.
 func seedRetryDelay(live int) time.Duration {
 	return time.Duration(0.75 * float64(seedRetryInterval) * float64(live+1))
 }
--- a/internal/peer/membership/join_test.go
+++ b/internal/peer/membership/join_test.go
@@ -14,7 +14,7 @@
 			if o.To == silentSeed {
 				attempts++
 				v.Step(v.now+ms, ExchangeFailed{o.ID})
-			} else { // m0 is there, and the join succeeds
+			} else { // m0 answers, and the join succeeds
 				v.Step(v.now+ms, ExchangeResponse{o.ID, exchangeFrom(testRecord(0))})
 			}
 		}
@@ -28,7 +28,7 @@
 	v := newTestView(t, "127.0.0.2:1")
 	request := &Exchange{From: "m3", BucketDigests: []uint64{0}, Records: []Record{testRecord(3)}}
 	v.Step(0, ExchangeRequest{1, request})
-	attempts := 0 // the first one may have been under way
+	attempts := 0 // the first attempt may already have been under way
 	for i := 0; i < 100 && attempts < 2; i++ {
 		for _, o := range openedExchanges(v.Step(v.Next())) {
 			attempts++
@@ -36,7 +36,7 @@
 		}
 	}
 	if attempts < 2 {
-		t.Errorf("%d attempts: it no longer contacts its seed", attempts)
+		t.Errorf("%d attempts: the member no longer contacts its seed", attempts)
 	}
 }
 
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	t.Error("no member receives it")
+	t.Error("no member receives the record of the new member")
 }
 
 func TestSavedMembersAreContactedButNotTrusted(t *testing.T) {
@@ -78,7 +78,7 @@
 	if opened := openedExchanges(runUntil(v, time.Second)); len(v.live) != 0 || len(opened) == 0 {
 		t.Errorf("%d are alive, %d contacted", len(v.live), len(opened))
 	}
-	if v.Size().MaxBalancers != 3 { // they may be sending requests all the same
+	if v.Size().MaxBalancers != 3 { // the saved members may still be sending requests
 		t.Errorf("size %+v", v.Size())
 	}
 }
--- a/internal/peer/membership/leave.go
+++ b/internal/peer/membership/leave.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// leaveRounds is how often a leave is gossiped, leaveFanout to how many members each time, and leaveInterval the
-	// time between two rounds. Fewer lose a leave more often, and it looks like a crash; longer delays the shutdown.
+	// leaveRounds is the number of rounds in which a leave is gossiped, leaveFanout the number of members in each
+	// round, and leaveInterval the time between two rounds. With fewer messages a leave is lost more often and then
+	// looks like a crash; a longer interval delays the shutdown.
 	leaveRounds   = 3
 	leaveFanout   = 32
 	leaveInterval = 60 * time.Millisecond
-	// cleanupInterval is the time between two looks for members that left long ago.
+	// cleanupInterval is the time between two checks for members that left long ago.
 	cleanupInterval = 10 * time.Second
 )
 
-// onLocalInfo changes what this member reports about itself.
+// onLocalInfo changes the fields of the local member's record that the daemon sets.
 func (v *View) onLocalInfo(e LocalInfo) {
 	if len(e.Metadata) > MaxMetadataBytes || e.Instances < 0 || e.Balancers < 0 {
 		return
@@ -30,7 +31,7 @@
 	v.announce(own)
 }
 
-// leave begins to gossip that this member leaves.
+// leave starts gossiping that this member leaves.
 func (v *View) leave() {
 	if v.isLeaving {
 		return
@@ -41,7 +42,7 @@
 	v.self.State = Left
 	v.self.Reporter = v.settings.Name
 	v.self.diedAt = v.now
-	if v.yielding { // no other member knows of it
+	if v.yielding { // other members don't know this process
 		v.leaveRoundsLeft = 0
 	}
 	v.updateDigest(v.self)
@@ -49,9 +50,9 @@
 	v.emit(SaveView{})
 }
 
-// leaveDue gossips the leave once more. Other regions learn it from this one's watchers, this member included if it is
-// one; where nobody else is left in this region, they learn it directly.
-func (v *View) leaveDue() {
+// runLeave gossips the leave in the next round. Other regions learn of it from this region's watchers, which may
+// include this member. If there is no other live member in this region, this member tells them itself.
+func (v *View) runLeave() {
 	if v.leaveRoundsLeft == 0 || v.now < v.leaveRoundAt {
 		return
 	}
@@ -71,8 +72,8 @@
 	}
 }
 
-// forgetMember takes an operator's statement that a dead member will not come back. If it does, it refutes that as any
-// death.
+// forgetMember marks a dead member as left because an operator declared it gone. If the member comes back, it refutes
+// that in the same way as a death.
 func (v *View) forgetMember(name string) {
 	m := v.members[name]
 	if m == nil || m.effectiveState() != Dead {
@@ -81,9 +82,9 @@
 	v.report(m, Left, reasonForgotten)
 }
 
-// cleanupDue forgets members that left long ago. Dead ones stay: they may run beyond a broken link, and the shares of
-// limits count on them.
-func (v *View) cleanupDue() {
+// removeLongLeft removes members that left long ago. Dead members are kept: they may still run behind a broken link,
+// and limits are divided among them too.
+func (v *View) removeLongLeft() {
 	if v.now < v.cleanupAt {
 		return
 	}
@@ -94,7 +95,7 @@
 			i++
 			continue
 		}
-		v.removeMember(m) // and its name: the next one takes this place
+		v.removeMember(m) // also removes its name from sortedNames, so i now is the next one
 	}
 }
 
--- a/internal/peer/membership/member.go
+++ b/internal/peer/membership/member.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// member is what is known of another member, or of this one.
+// member is an entry of the view: a member's record and what this member knows of it. The local member has one too.
 type member struct {
 	Record
-	digest     uint64        // its part in the view's digest
-	nameHash   uint64        // of its rank as a watcher
-	stateSince time.Duration // its present state, or its process, began in this view
-	diedAt     time.Duration // it died or left: Record.AgeSeconds is computed from it
+	digest     uint64        // contribution of the record to the view's digest
+	nameHash   uint64        // hash of the name, used to rank members as watchers
+	stateSince time.Duration // when the current state or process was first seen in this view
+	diedAt     time.Duration // when the member died or left; Record.AgeSeconds is computed from it
 
-	// Lists that it is in.
+	// The lists that contain the member.
 	list        memberList
-	listIndex   int // in View.live or View.dead
+	listIndex   int // index in View.live or View.dead
 	region      *region
-	regionIndex int  // in region.live or region.dead
-	unreachable bool // it can't be reached, whatever its record says: see effectiveState
-
-	// Of its present process; reset by forgetProcess.
-	highestNumber     uint64        // of its datagrams
-	receivedAt        time.Duration // its last datagram
-	ackAt             time.Duration // it last answered this member, or a helper of it
-	unresponsive      bool          // it has not answered a direct probe since its last datagram
-	lastHelper        string        // through which it was last reached
-	roundTrip         roundTrip     // by its answers
-	refutedSuspicions int           // of this member's, one after another
-	noSuspicionBefore time.Duration // this member does not suspect it before, since it refuted the last suspicions
+	regionIndex int  // index in region.live or region.dead
+	unreachable bool // the member can't be reached, whatever its record says: see effectiveState
+
+	// State of the member's current process; forgetProcess resets it.
+	highestNumber     uint64        // highest datagram number received
+	receivedAt        time.Duration // when its last datagram arrived
+	ackAt             time.Duration // when it last answered a probe of this member, directly or through a helper
+	unresponsive      bool          // a direct probe timed out since its last datagram
+	lastHelper        string        // helper through which it was last reached
+	roundTrip         roundTrip     // estimate from its acks
+	refutedSuspicions int           // consecutive suspicions by this member that it refuted
+	noSuspicionBefore time.Duration // backoff after refuted suspicions: this member does not suspect it earlier
 
 	suspicion          *suspicion    // nil unless its state is Suspect
-	nextConflictNotice time.Duration // it may be sent another record with its name
+	nextConflictNotice time.Duration // earliest time for the next notice that another process claims its name
 }
 
-// memberList is the list that a member is in.
+// memberList identifies the list of the view that contains a member.
 type memberList uint8
 
 const (
-	listNone memberList = iota // this member itself, and members that left
+	listNone memberList = iota // none: the local member, and members that left
 	listLive                   // View.live
 	listDead                   // View.dead
 )
 
-// forgetProcess resets what was learned of a process of the member, where another process follows.
+// forgetProcess resets the state of the member's process when another process replaces it.
 func (m *member) forgetProcess() {
 	m.highestNumber = 0
 	m.refutedSuspicions = 0
@@ -55,10 +55,11 @@
 	m.roundTrip = roundTrip{}
 }
 
-// lastConfirmed is when the member's present process was last known to run by more than gossip.
+// lastConfirmed returns when the member's current process last proved that it runs, by a datagram or an ack. Gossip by
+// other members does not count.
 func (m *member) lastConfirmed() time.Duration { return max(m.receivedAt, m.ackAt) }
 
-// effectiveState is a member's state for all but the protocol: one that can't be reached is dead.
+// effectiveState returns the state shown outside the protocol: a live member that can't be reached is Dead.
 func (m *member) effectiveState() State {
 	if m.unreachable && m.State <= Suspect {
 		return Dead
@@ -72,7 +73,8 @@
 // anyMember is a filter for View.sample.
 func anyMember(*member) bool { return true }
 
-// unlessAlive is the member, where its own state would be new to it, or nil.
+// unlessAlive returns the member if it is known and not Alive, else nil. Datagrams to such a member carry its record,
+// so that it can refute its state.
 func unlessAlive(m *member) *member {
 	if m != nil && m.State != Alive {
 		return m
@@ -80,8 +82,8 @@
 	return nil
 }
 
-// sample picks up to n random members of a list that a filter accepts. In long lists it draws with a bounded number
-// of attempts, so it may find fewer than there are.
+// sample returns up to n random members of a list that a filter accepts. In long lists it makes a bounded number of
+// draws, so it may return fewer members than the filter accepts.
 func (v *View) sample(list []*member, n int, accepts func(*member) bool) []*member {
 	var picked []*member
 	if len(list) <= 3*n {
@@ -105,7 +107,7 @@
 	return picked
 }
 
-// insertName adds to the sorted names.
+// insertName inserts a name into the sorted names.
 func (v *View) insertName(name string) {
 	i, _ := slices.BinarySearch(v.sortedNames, name)
 	v.sortedNames = slices.Insert(v.sortedNames, i, name)
@@ -117,14 +119,14 @@
 	}
 }
 
-// updateDigest brings the view's digest up to a member's present record.
+// updateDigest updates the view's digest for a member's current record.
 func (v *View) updateDigest(m *member) {
 	v.digest ^= m.digest
 	m.digest = recordDigest(&m.Record)
 	v.digest ^= m.digest
 }
 
-// updateLists moves a member to the lists of its present state and region.
+// updateLists moves a member to the lists for its current state and region.
 func (v *View) updateLists(m *member) {
 	list := v.listFor(m)
 	newRegion := v.localRegion
@@ -177,7 +179,7 @@
 	return append(list, m)
 }
 
-// removeFromView removes a member in constant time: the last one takes its place.
+// removeFromView removes a member in constant time: the last member of the list takes its place.
 func removeFromView(list []*member, m *member) []*member {
 	last := list[len(list)-1]
 	list[m.listIndex] = last
@@ -185,7 +187,7 @@
 	return list[:len(list)-1]
 }
 
-// removeFromRegion is removeFromView for the lists of a region.
+// removeFromRegion does the same as removeFromView for the lists of a region.
 func removeFromRegion(list []*member, m *member) []*member {
 	last := list[len(list)-1]
 	list[m.regionIndex] = last
--- a/internal/peer/membership/merge.go
+++ b/internal/peer/membership/merge.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// recordChange says how a member's record comes to change.
+// recordChange describes the cause of a change of a member's record.
 type recordChange struct {
 	reason    string // for logs
 	firstSeen bool   // the member was not known before
 }
 
 const (
-	// conflictNoticeInterval is the least time between two notices to a member that another process uses its name.
+	// conflictNoticeInterval is the minimum time between two notices to a member that another process uses its name.
 	conflictNoticeInterval = time.Second
-	// leftRetention is how long a member that left is remembered: an older update must not bring it back.
+	// leftRetention is how long a member that left is kept, so that an older update does not bring it back.
 	leftRetention = time.Hour
 )
 
-// merge takes another member's record into the view. Records of one name are ordered and the newest wins, so that the
-// order in which they arrive does not matter. But the name of a live process passes to another process at another
-// address only once that one has verified that the first is gone.
+// merge merges a received record into the view. The newest record of a name wins, so that the order in which records
+// arrive does not matter. There is one exception: the name of a live process passes to a process at another address
+// only after that process has verified that the first one is gone.
 func (v *View) merge(r Record, reason string) {
 	if r.check() != nil {
 		return
@@ -27,7 +27,7 @@
 		return
 	}
 	m := v.members[r.Name]
-	if m != nil && r.RunID == m.RunID && r.Region == "" { // relayed by a member of a version without regions
+	if m != nil && r.RunID == m.RunID && r.Region == "" { // forwarded by a member of a version without regions
 		r.Region = m.Region
 	}
 	r = v.withoutRemoteSuspicion(r)
@@ -39,7 +39,7 @@
 	case m.isSameStateAs(&r):
 		v.mergeSameState(m, r, reason)
 	case r.State == Dead && v.isRemoteRegion(r.Region) && v.contradictsDeath(m, &r):
-		// Members near it don't hear it, but this one does: it receives the record, and refutes.
+		// Members near it declared it dead, but this member receives its datagrams: it gets the record, and refutes it.
 		v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, reserveForProbes)
 	case r.State == Dead && v.contradictsDeath(m, &r):
 		r.State = Suspect
@@ -47,7 +47,7 @@
 		v.merge(r, reason)
 	case !r.newer(&m.Record):
 	case isUnverifiedClaim(m, &r):
-		if v.now >= m.nextConflictNotice { // the holder of the name settles it
+		if v.now >= m.nextConflictNotice { // the holder of the name resolves the conflict
 			m.nextConflictNotice = v.now + conflictNoticeInterval
 			v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, reserveForProbes)
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// addMember adds a member that was not known, unless it left long ago or there are too many.
+// addMember adds an unknown member, unless it left long ago or the view is full.
 func (v *View) addMember(r Record, reason string) {
 	leftLongAgo := r.State == Left && time.Duration(r.AgeSeconds)*time.Second >= leftRetention
 	if leftLongAgo || len(v.members) >= v.settings.MaxMembers {
@@ -68,13 +68,13 @@
 	v.accept(m, r, recordChange{reason: reason, firstSeen: true})
 }
 
-// isSameStateAs reports whether a record says of a member what is known.
+// isSameStateAs reports whether a record has the same process, incarnation and state as the member's own record.
 func (m *member) isSameStateAs(r *Record) bool {
 	return r.sameProcess(&m.Record) && r.Incarnation == m.Incarnation && r.State == m.State
 }
 
-// mergeSameState takes from a record what may be new in it although the state is not: another reporter of a suspicion,
-// and the regions, which members of versions without them leave out.
+// mergeSameState merges the parts of a record that may be new although its state is known: another reporter of a
+// suspicion, and the regions, which members of versions without regions omit.
 func (v *View) mergeSameState(m *member, r Record, reason string) {
 	if r.State == Suspect && m.suspicion != nil {
 		v.addReporter(m, r.Reporter)
@@ -86,18 +86,19 @@
 	}
 }
 
-// contradictsDeath reports whether this member has just heard from the process that a record declares dead.
+// contradictsDeath reports whether this member recently received a datagram or an ack from the process that a record
+// declares dead.
 func (v *View) contradictsDeath(m *member, r *Record) bool {
 	return m.State <= Suspect && r.RunID == m.RunID && v.now-m.lastConfirmed() < v.settings.MinSuspicion
 }
 
-// isUnverifiedClaim reports whether a record is of another process that claims the name of a live member, and has not
-// verified that this one is gone.
+// isUnverifiedClaim reports whether a record belongs to another process that claims the name of a live member without
+// having verified that the member is gone.
 func isUnverifiedClaim(m *member, r *Record) bool {
 	return m.State <= Suspect && r.State <= Suspect && r.RunID != m.RunID && r.Addr != m.Addr && !r.NameVerified
 }
 
-// accept replaces a member's record by a newer one, and gossips it.
+// accept replaces a member's record with a newer one, and gossips it.
 func (v *View) accept(m *member, r Record, change recordChange) {
 	if r.State < Dead {
 		r.AgeSeconds = 0
@@ -117,7 +118,8 @@
 	v.queueUpdate(m, reporter)
 }
 
-// setRecord is where every record but this member's own changes, with all that depends on it.
+// setRecord replaces a member's record and updates everything that depends on it. All changes of records go through
+// setRecord, except those of the local member's own record.
 func (v *View) setRecord(m *member, r Record, change recordChange) {
 	previous := m.Record
 	previousState := m.effectiveState()
@@ -139,7 +141,7 @@
 	}
 	v.updateSuspicion(m, &previous)
 	if !change.firstSeen && previous.State == Dead && r.State <= Suspect && (!v.isRemote(m) || m.region.watched) {
-		v.exchange.requestWith(v, m.Addr) // a link works again: there is more to learn
+		v.exchange.requestWith(v, m.Addr) // a link works again, so the views probably differ in more records
 	}
 	if change.firstSeen || previousState != m.effectiveState() || !sameProcess || previous.Addr != r.Addr {
 		v.emit(MemberChanged{
@@ -152,9 +154,9 @@
 	v.saveSoon()
 }
 
-// indexAddr keeps which addresses are of other regions, and has watchers selected anew where this region changes. An
-// address belongs to the member that was last known there; one that is dead or has left does not take it from one that
-// runs.
+// indexAddr updates the index of addresses in other regions, and schedules a new selection of watchers if a member of
+// this region changed. An address belongs to the member that was last known there, but a member that is dead or has
+// left does not take it from a live one.
 func (v *View) indexAddr(m *member, previousAddr string) {
 	if previousAddr != m.Addr {
 		v.unindexAddr(m, previousAddr)
@@ -175,7 +177,7 @@
 	delete(v.remoteOwners, m.Addr)
 }
 
-// unindexAddr takes an address out, unless it is another member's by now.
+// unindexAddr removes a member's address from the index, unless the address belongs to another member now.
 func (v *View) unindexAddr(m *member, addr string) {
 	if v.remoteOwners[addr] == m {
 		delete(v.remoteAddrs, addr)
--- a/internal/peer/membership/message.go
+++ b/internal/peer/membership/message.go
@@ -8,30 +8,30 @@
 // The kinds of datagrams.
 const (
 	Ping                    Kind = iota + 1 // a probe of Target, answered by an Ack
-	Ack                                     // Target is alive: from itself, or from a helper that got its Ack
-	IndirectPing                            // a request to a helper to probe Target at Addr and to answer Reply
-	Nack                                    // from a helper: Target did not answer it, but the helper is there (Lifeguard)
-	Gossip                                  // updates and nothing else
-	IdentityRequest                         // asks any process at an address who it is; answered without a view
-	IdentityResponse                        // SubjectRunID and UptimeMS are the answer
-	IndirectIdentityRequest                 // a request to a helper to send an IdentityRequest to Addr and to answer Reply
+	Ack                                     // Target is alive; sent by Target, or by a helper that received its Ack
+	IndirectPing                            // asks a helper to probe Target at Addr and to send the answer to Reply
+	Nack                                    // from a helper that works, but got no answer from Target (Lifeguard)
+	Gossip                                  // carries updates only
+	IdentityRequest                         // asks the process at an address to identify itself
+	IdentityResponse                        // identifies a process by SubjectRunID and UptimeMS
+	IndirectIdentityRequest                 // asks a helper to send an IdentityRequest to Addr and the answer to Reply
 	kindCount
 )
 
 // Message is a datagram.
 type Message struct {
 	From         string   `cbor:"1,keyasint,omitempty"` // name of the sender
-	Boot         uint64   `cbor:"2,keyasint,omitempty"` // of the sender, as in its Record
-	RunID        uint64   `cbor:"3,keyasint,omitempty"` // of the sender
-	Number       uint64   `cbor:"4,keyasint,omitempty"` // counts the datagrams of the sender's process, from 1
-	Digest       uint64   `cbor:"5,keyasint,omitempty"` // of the sender's view
+	Boot         uint64   `cbor:"2,keyasint,omitempty"` // boot number of the sender, as in its Record
+	RunID        uint64   `cbor:"3,keyasint,omitempty"` // run ID of the sender
+	Number       uint64   `cbor:"4,keyasint,omitempty"` // each process numbers its datagrams from 1
+	Digest       uint64   `cbor:"5,keyasint,omitempty"` // digest of the sender's view
 	Kind         Kind     `cbor:"6,keyasint,omitempty"`
-	Seq          uint32   `cbor:"7,keyasint,omitempty"` // of a request; its response has the same
+	Seq          uint32   `cbor:"7,keyasint,omitempty"` // sequence number of a request; its response has the same
 	Target       string   `cbor:"8,keyasint,omitempty"`
-	Addr         string   `cbor:"9,keyasint,omitempty"`  // of the target in indirect requests; else of the sender, where answers go
-	Reply        string   `cbor:"10,keyasint,omitempty"` // of the sender in indirect requests
-	UptimeMS     uint64   `cbor:"11,keyasint,omitempty"` // IdentityResponse: milliseconds that the process has run
-	SubjectRunID uint64   `cbor:"12,keyasint,omitempty"` // IdentityResponse: RunID of the process that answers
+	Addr         string   `cbor:"9,keyasint,omitempty"`  // the target's address in indirect requests, else the sender's
+	Reply        string   `cbor:"10,keyasint,omitempty"` // address of the sender in indirect requests
+	UptimeMS     uint64   `cbor:"11,keyasint,omitempty"` // IdentityResponse: uptime of the process, in milliseconds
+	SubjectRunID uint64   `cbor:"12,keyasint,omitempty"` // IdentityResponse: run ID of the process that answers
 	Updates      []Record `cbor:"13,keyasint,omitempty"`
 }
 
@@ -41,13 +41,13 @@
 	From          string   `cbor:"1,keyasint,omitempty"`
 	Boot          uint64   `cbor:"2,keyasint,omitempty"`
 	RunID         uint64   `cbor:"3,keyasint,omitempty"`
-	BucketDigests []uint64 `cbor:"4,keyasint,omitempty"` // the opener's, one for each bucket
-	WantedBuckets []uint16 `cbor:"5,keyasint,omitempty"` // buckets of which the sender wants the records in turn
+	BucketDigests []uint64 `cbor:"4,keyasint,omitempty"` // digests of the opener's buckets, one for each bucket
+	WantedBuckets []uint16 `cbor:"5,keyasint,omitempty"` // buckets whose records the sender requests
 	Records       []Record `cbor:"6,keyasint,omitempty"`
-	RetryAfterMS  uint32   `cbor:"7,keyasint,omitempty"` // the sender is busy: milliseconds until another attempt makes sense
+	RetryAfterMS  uint32   `cbor:"7,keyasint,omitempty"` // if the sender is busy: milliseconds until the next attempt
 }
 
-// isValid reports whether a message from outside makes sense; others are dropped.
+// isValid reports whether the fields of a received message are within their bounds; invalid messages are dropped.
 func (m *Message) isValid() bool {
 	return m != nil &&
 		m.Kind >= Ping && m.Kind < kindCount &&
@@ -56,12 +56,13 @@
 		len(m.Addr) <= maxAddrBytes && len(m.Reply) <= maxAddrBytes
 }
 
-// isAboutIdentity reports whether a message is exchanged without regard to the view, to settle a name conflict.
+// isAboutIdentity reports whether a message serves to resolve a name conflict. Such messages are handled independently
+// of the view.
 func (m *Message) isAboutIdentity() bool {
 	return m.Kind == IdentityRequest || m.Kind == IdentityResponse || m.Kind == IndirectIdentityRequest
 }
 
-// replyAddr is where a response to a message of an unknown sender goes.
+// replyAddr returns the address for responses to a message whose sender is not known.
 func (m *Message) replyAddr() string {
 	if m.Kind == IndirectPing {
 		return m.Reply
@@ -69,18 +70,18 @@
 	return m.Addr
 }
 
-// Bounds of what a message takes on the wire, in bytes, in transport's encoding: CBOR with small integer keys (RFC
-// 8949), 1 to 9 bytes for the head of each item and one for each key. Transport's tests hold the encoding to them.
+// Upper bounds of encoded sizes in bytes, for the encoding of package transport: CBOR with small integer keys (RFC
+// 8949), 1 to 9 bytes for the head of each item and one byte for each key. The tests of package transport verify them.
 const (
 	maxHeaderBytes    = 100 // envelope, fleet, kinds and numbers
 	maxRecordOverhead = 58  // keys, numbers and heads of a record
-	regionHeadBytes   = 3   // key and head of each of the two fields on regions
-	regionHashBytes   = 5   // an unreachable region
+	regionHeadBytes   = 3   // key and head of Record.Region or Record.UnreachableRegions
+	regionHashBytes   = 5   // entry of Record.UnreachableRegions
 	bucketDigestBytes = 9
 	bucketIndexBytes  = 3
 )
 
-// MaxEncodedSize bounds what the message takes on the wire, in bytes, in a fleet with the longest name.
+// MaxEncodedSize returns an upper bound of the message's size on the wire, in bytes, for the longest fleet name.
 func (m *Message) MaxEncodedSize() int {
 	size := maxHeaderBytes + maxFleetNameBytes + len(m.From) + len(m.Target) + len(m.Addr) + len(m.Reply)
 	for i := range m.Updates {
@@ -108,5 +109,6 @@
 	return size
 }
 
-// identifiedName is the name that an identity response is about: a helper passes it on as Target.
+// identifiedName returns the name that an identity response is about. A helper that forwards a response sets Target to
+// that name.
 func (m *Message) identifiedName() string { return cmp.Or(m.Target, m.From) }
--- a/internal/peer/membership/nameconflict.go
+++ b/internal/peer/membership/nameconflict.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// A name belongs to one process at a time. A record with this member's name may be of
+// A name belongs to one process at a time. A received record with this member's name may describe:
 //
-//   - this process, as suspect, dead or left: it refutes with its next incarnation;
-//   - an earlier process of this member (at the same address, dead or left) whose boot number is not lower, since this
-//     one lost its disk or its clock: it is outbid by a higher boot number;
-//   - another process that is alive at another address: it is asked who it is, directly and through helpers. If it
-//     answers, the process that has run longer keeps the name and the other yields: that one sends nothing but identity
-//     requests, goes on serving, and checks from time to time whether the name is free. If it does not answer, this
-//     process takes the name.
+//   - This process, as suspect, dead or left. This process refutes the record with its next incarnation.
+//   - An earlier process of this member (at the same address, or dead or left) whose boot number is not lower, because
+//     this process lost its disk or its clock was set back. This process outbids it with a higher boot number.
+//   - Another process that is alive at another address. This process asks the other one to identify itself, directly
+//     and through helpers. If the other process answers, the one that has run longer keeps the name and the other
+//     yields: it sends only identity requests, continues to serve, and checks periodically whether the name is free. If
+//     the other process does not answer, this process takes the name.
 //
-// So a name changes hands only from a process that yields or does not answer, and each further attempt of a process
-// waits twice as long.
+// A name therefore passes to another process only if its holder yields or does not answer. Each further attempt of a
+// process waits twice as long.
 
-// nameClaim is a conflict about this member's name that is being settled. While View.yielding is set, it is the check
-// whether the other process still answers.
+// nameClaim is the state of a conflict about this member's name. While View.yielding is set, it is the state of the
+// checks whether the other process still answers.
 type nameClaim struct {
-	dueAt        time.Duration // of its next step; 0: there is no conflict
-	seq          uint32        // of the identity requests
-	other        Record        // of the other process
-	requests     int           // identity requests sent
-	attempts     int           // conflicts that this process has won
-	clearedRunID uint64        // the last process that did not answer, or yielded
-	unanswered   int           // checks, one after another, while yielding
+	dueAt        time.Duration // when the next step is due; 0: there is no conflict
+	seq          uint32        // sequence number of the identity requests
+	other        Record        // record of the other process
+	requests     int           // number of identity requests sent
+	attempts     int           // number of conflicts that this process has won
+	clearedRunID uint64        // run ID of the last process that did not answer or yielded
+	unanswered   int           // number of consecutive unanswered checks while yielding
 }
 
 const (
-	// identityTimeout is how long each of identityRequests waits for an answer. Shorter takes the name of a process
-	// that is only slow.
+	// identityTimeout is the timeout of each of the identityRequests requests. With a shorter one, this process would
+	// take the name of a process that is merely slow.
 	identityTimeout  = 500 * time.Millisecond
 	identityRequests = 2
-	// identityHelpers is the number of members through which the other process is asked: that this one can't reach it
-	// proves nothing.
+	// identityHelpers is the number of helpers that also ask the other process, because this process may be the only
+	// one that can't reach it.
 	identityHelpers = 2
-	// yieldCheckInterval is the least time between two checks of a process that yields, with as much jitter.
+	// yieldCheckInterval is the minimum time between two checks of a process that yields; as much jitter is added.
 	yieldCheckInterval = 3 * time.Second
-	// maxUnansweredChecks is the number of checks without an answer after which it takes the name.
+	// maxUnansweredChecks is the number of consecutive unanswered checks after which a process that yields takes the
+	// name.
 	maxUnansweredChecks = 3
 	// claimBackoff doubles with each conflict that this process has won, up to maxClaimBackoff.
 	claimBackoff        = time.Second
@@ -67,7 +68,7 @@
 	}
 }
 
-// refute overrides a record that holds this process for suspect, dead or left, by the next incarnation.
+// refute overrides a record that reports this process as suspect, dead or left, with the next incarnation.
 func (v *View) refute(r *Record) {
 	own := &v.self.Record
 	if r.State == Suspect || r.State == Dead {
@@ -77,26 +78,26 @@
 	own.Incarnation = r.Incarnation + 1
 	v.announce(v.self)
 	reporter := v.members[r.Reporter]
-	if reporter != nil && reporter.list == listLive { // its timeout ends first
+	if reporter != nil && reporter.list == listLive { // the reporter's suspicion times out first
 		v.sendToMember(reporter, &Message{Kind: Gossip}, reserveNone, v.self)
 	}
 }
 
-// beginNameClaim begins to ask another process that uses this member's name.
+// beginNameClaim starts to resolve a conflict with another process that uses this member's name.
 func (v *View) beginNameClaim(other Record) {
 	backoff := time.Duration(0)
 	if v.nameClaim.attempts > 0 {
 		backoff = min(maxClaimBackoff, claimBackoff<<min(v.nameClaim.attempts, maxClaimBackoffBits))
 	}
 	v.nameClaim = nameClaim{
-		dueAt:        max(v.now+backoff, 1), // 0 stands for no conflict
+		dueAt:        max(v.now+backoff, 1), // 0 means that there is no conflict
 		other:        other,
 		attempts:     v.nameClaim.attempts,
 		clearedRunID: v.nameClaim.clearedRunID,
 	}
 }
 
-// outbid makes this member's record newer than another one of its name.
+// outbid makes this member's record newer than another record with its name.
 func (v *View) outbid(r *Record) {
 	own := &v.self.Record
 	if r.newer(own) {
@@ -109,8 +110,9 @@
 	v.emit(SaveView{KeepKnownMembers: true})
 }
 
-// nameClaimDue asks the other process, and takes the name if it does not answer.
-func (v *View) nameClaimDue() {
+// advanceNameClaim sends the next identity request to the other process, or takes the name if the process did not
+// answer.
+func (v *View) advanceNameClaim() {
 	claim := &v.nameClaim
 	switch {
 	case claim.dueAt == 0 || v.now < claim.dueAt:
@@ -124,8 +126,8 @@
 	}
 }
 
-// checkNameHolder checks whether the process to which this one yields still answers. If it does not, this one joins
-// the fleet anew.
+// checkNameHolder checks whether the process to which this one yields still answers. If it does not, this process takes
+// the name and joins the fleet again.
 func (v *View) checkNameHolder() {
 	claim := &v.nameClaim
 	if claim.requests > 0 {
@@ -146,7 +148,7 @@
 	v.claimName(reasonHolderSilent)
 }
 
-// requestIdentity asks the other process who it is, directly and through helpers.
+// requestIdentity asks the other process to identify itself, directly and through helpers.
 func (v *View) requestIdentity() {
 	claim := &v.nameClaim
 	if claim.seq == 0 {
@@ -165,7 +167,7 @@
 	}
 }
 
-// claimName takes the name: no other process uses it.
+// claimName takes the name after it was found that no other process keeps it.
 func (v *View) claimName(reason string) {
 	other := v.nameClaim.other
 	v.nameClaim = nameClaim{attempts: v.nameClaim.attempts + 1, clearedRunID: other.RunID}
@@ -184,7 +186,7 @@
 	v.emit(NameConflict{Other: other, Yield: true, Reason: reasonLongerUptime})
 }
 
-// onIdentityRequest answers who this process is.
+// onIdentityRequest answers with the identity of this process.
 func (v *View) onIdentityRequest(m *Message) {
 	v.send(m.Addr, &Message{
 		Kind:         IdentityResponse,
@@ -196,7 +198,7 @@
 
 func (v *View) uptimeMS() uint64 { return uint64(v.Uptime() / time.Millisecond) }
 
-// onIdentityResponse passes an answer on that this member asked for on behalf of another one, or settles a conflict.
+// onIdentityResponse forwards an answer to a request that this member relayed, or resolves a name conflict.
 func (v *View) onIdentityResponse(m *Message) {
 	if v.relayIdentityResponse(m) {
 		return
--- a/internal/peer/membership/nameconflict_test.go
+++ b/internal/peer/membership/nameconflict_test.go
@@ -18,12 +18,12 @@
 			v := newTestView(t)
 			learnMembers(v, 2)
 			v.now += 10 * time.Second
-			twin := v.Local()
-			twin.Addr = "127.0.0.3:1"
-			twin.RunID = 99
-			twin.Boot = 50
-			requests := sentOfKind(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{twin}}}), IdentityRequest)
-			if len(requests) != 1 || requests[0].To != twin.Addr {
+			other := v.Local()
+			other.Addr = "127.0.0.3:1"
+			other.RunID = 99
+			other.Boot = 50
+			requests := sentOfKind(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{other}}}), IdentityRequest)
+			if len(requests) != 1 || requests[0].To != other.Addr {
 				t.Fatalf("requests %+v", requests)
 			}
 			v.Step(v.now+ms, DatagramReceived{Message: &Message{
@@ -35,10 +35,10 @@
 				UptimeMS:     c.uptimeMS,
 			}})
 			if v.Yields() != c.yields {
-				t.Errorf("it yields: %v", v.Yields())
+				t.Errorf("the member yields: %v", v.Yields())
 			}
 			if own := v.Local(); !c.yields && (own.Boot <= 50 || !own.NameVerified) {
-				t.Errorf("it keeps the name, and its record does not say so: %+v", own)
+				t.Errorf("the member keeps the name, but its record does not show that: %+v", own)
 			}
 		})
 	}
@@ -53,12 +53,12 @@
 	r.Boot = 50
 	learn(v, r)
 	if v.members["m1"].RunID == 77 {
-		t.Error("unverified, and accepted")
+		t.Error("an unverified claim of the name was accepted")
 	}
 	r.NameVerified = true
 	learn(v, r)
 	if v.members["m1"].RunID != 77 {
-		t.Error("verified, and not accepted")
+		t.Error("a verified claim of the name was not accepted")
 	}
 }
 
--- a/internal/peer/membership/probe.go
+++ b/internal/peer/membership/probe.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// probe is a ping that awaits its ack: first directly, then through helpers as well (SWIM, 3.1).
+// probe is a ping that waits for its ack: first directly, then through helpers as well (SWIM, section 3.1).
 type probe struct {
 	target      string
-	seq         uint32 // of the first ping, and of the requests to helpers
+	seq         uint32 // sequence number of the first ping and of the requests to helpers
 	sentAt      time.Duration
-	retrySeq    uint32 // of the second ping, so that its ack is told from the first's (Karn's algorithm); 0: not sent
+	retrySeq    uint32 // of the second ping: distinguishes its ack from the first one's (Karn's algorithm); 0: not sent
 	retrySentAt time.Duration
-	until       time.Duration // the present stage times out
+	until       time.Duration // when the current stage times out
 
-	indirect     bool            // the second stage: requests were sent to helpers
-	helpers      []*member       // that the request was sent to
+	indirect     bool            // second stage: requests were sent to helpers
+	helpers      []*member       // helpers that a request was sent to
 	nacks        map[string]bool // names of the helpers that sent a Nack
-	maxHelpers   int             // defaultHelpers: as many as ever
-	remoteRegion *region         // not nil: this member probes the region as one of its watchers
+	maxHelpers   int             // limit of a sweep probe; defaultHelpers for other probes
+	remoteRegion *region         // region that this member probes as its watcher; nil for a probe in its own region
 }
 
 const (
-	// indirectHelpers is the number of helpers of an indirect probe (SWIM's k); for a suspect it is twice that. More
-	// reach a member more surely behind a bad link, and cost a datagram each way.
+	// indirectHelpers is the number of helpers of an indirect probe (SWIM's k); a probe of a suspect has
+	// suspectHelperFactor times as many. More helpers are more likely to reach a member behind a bad link; each costs a
+	// datagram each way.
 	indirectHelpers     = 3
 	suspectHelperFactor = 2
-	// sweepHelpers is the number of helpers during a partition, where many probes are sent.
+	// sweepHelpers is the number of helpers of each probe in a sweep, which sends many probes.
 	sweepHelpers = 1
-	// defaultHelpers stands for indirectHelpers.
+	// defaultHelpers is the value of probe.maxHelpers that selects indirectHelpers.
 	defaultHelpers = 0
 )
 
@@ -34,8 +35,8 @@
 	return v.lastSeq
 }
 
-// probesDue continues the probes whose present stage has timed out, and starts the next one.
-func (v *View) probesDue() {
+// runProbes advances the probes whose current stage has timed out, and starts the next probe if it is due.
+func (v *View) runProbes() {
 	for i := 0; i < len(v.probes); {
 		p := v.probes[i]
 		switch {
@@ -51,7 +52,7 @@
 	if v.now < v.probeAt {
 		return
 	}
-	// After a late step there are never two probes at once: what was missed is not made up for.
+	// A late step does not make up for missed intervals, so that it never starts two probes at once.
 	interval := v.scaledByHealth(v.settings.ProbeInterval)
 	v.probeAt = max(v.probeAt+interval, v.now+interval/2)
 	if target := v.nextTarget(); target != nil {
@@ -60,8 +61,7 @@
 	v.sweepProbes()
 }
 
-// startProbe sends the first ping of a probe. It reports whether the budget allowed it. A probe of a sweep carries no
-// updates: they would take the budget of the others.
+// startProbe sends the first ping of a probe. It reports whether the budget allowed it.
 func (v *View) startProbe(target *member, maxHelpers int) bool {
 	p := &probe{
 		target:     target.Name,
@@ -77,7 +77,8 @@
 	return true
 }
 
-// sendPing sends a ping of a probe, with the target's own record unless it is alive.
+// sendPing sends a ping of a probe. It carries the target's own record unless the target is alive. A ping of a sweep
+// carries no other updates: they would use up the budget for the remaining probes.
 func (v *View) sendPing(p *probe, seq uint32, target *member) bool {
 	return v.sendDatagram(datagram{
 		to:             target.Addr,
@@ -89,12 +90,13 @@
 	})
 }
 
-// isSweep reports whether a probe is one of the many that are sent during a partition.
+// isSweep reports whether a probe belongs to a sweep, which probes many members during a partition.
 func (p *probe) isSweep() bool { return p.maxHelpers != defaultHelpers }
 
-// nextTarget takes the members of this region in a random order, and then in another one, so that the time between two
-// probes of a member is bounded (SWIM, 4.3). Where there are regions, every second probe goes to this member's own zone
-// in the same way: each member is still probed once an interval on average, by half of its zone and half of its region.
+// nextTarget returns the next member to probe. It goes through the members of this region in random order and shuffles
+// them again for each round, so that the time between two probes of a member is bounded (SWIM, section 4.3). In a fleet
+// with regions, every second probe goes to this member's own zone in the same way. Each member is still probed once an
+// interval on average: half of these probes come from its zone and half from its region.
 func (v *View) nextTarget() *member {
 	v.lastProbeInZone = !v.lastProbeInZone && v.settings.Region != ""
 	if v.lastProbeInZone {
@@ -105,8 +107,8 @@
 	return v.nextInOrder(&v.probeOrder, func() func(*member) bool { return anyMember })
 }
 
-// nextInOrder takes the next member from a probe order, which it refills with the members of this region in the pool. The
-// pool is computed for a refill alone.
+// nextInOrder removes and returns the next member of a probe order. When the order is empty it is refilled with the
+// members of this region that pool's filter accepts; pool is only called for a refill.
 func (v *View) nextInOrder(order *[]string, pool func() func(*member) bool) *member {
 	for range 2 {
 		for len(*order) > 0 {
@@ -128,9 +130,10 @@
 	return nil
 }
 
-// zonePool returns whether a member is of this member's zone. A member that is alone in its zone counts in the first zone,
-// by name, that has several: of zones a with 5 members, b with 1 and c with 4, the one of b is probed as if it were in a.
-// All members that know the same others agree on that; otherwise the lone ones would be probed half as often.
+// zonePool returns a filter that accepts the members of this member's zone. A member that is alone in its zone is
+// assigned to the first zone, by name, that has several members: with 5 members in zone a, 1 in b and 4 in c, the
+// member of b is probed like a member of a. Otherwise such members would be probed half as often. Members with equal
+// views assign them alike.
 func (v *View) zonePool() func(*member) bool {
 	sizes := map[string]int{v.self.Zone: 1}
 	for _, m := range v.localRegion.live {
@@ -163,7 +166,7 @@
 	return false
 }
 
-// probeFailed draws the conclusions from a probe that was not answered, directly or through helpers.
+// probeFailed handles a probe that was answered neither directly nor through helpers.
 func (v *View) probeFailed(p *probe) {
 	v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt})
 	if p.retrySeq > 0 {
@@ -178,8 +181,8 @@
 		return
 	}
 	v.recordProbeOutcome(outcomeMissed)
-	// Helpers that did not even send a Nack: it may be this member that can't receive (Lifeguard). Helpers that have
-	// become unresponsive themselves prove nothing: many members may have died at once.
+	// A missing Nack of a helper is a sign that this member itself can't receive (Lifeguard). Helpers that have become
+	// unresponsive themselves don't count, because many members may have died at once.
 	for _, h := range p.helpers {
 		if !p.nacks[h.Name] && !h.unresponsive && h.State == Alive {
 			v.degradeHealth(1)
@@ -195,7 +198,7 @@
 	}
 }
 
-// onAck passes an ack on that this member awaits on behalf of another one, or completes a probe.
+// onAck forwards an ack that answers a ping on behalf of another member, or completes a probe of this member.
 func (v *View) onAck(m *Message) {
 	if v.relayAck(m) || v.completeProbe(m) {
 		return
@@ -203,7 +206,7 @@
 	v.onLateAck(m)
 }
 
-// completeProbe ends the probe that an ack answers, and reports whether there is one.
+// completeProbe ends the probe that an ack answers. It reports whether there is such a probe.
 func (v *View) completeProbe(m *Message) bool {
 	for i, p := range v.probes {
 		if p.target == m.Target && (p.seq == m.Seq || p.retrySeq == m.Seq && p.indirect) {
@@ -231,13 +234,13 @@
 	}
 }
 
-// onDirectAck measures the round trip of the ping that was answered.
+// onDirectAck measures the round-trip time of the ping that its target answered itself.
 func (v *View) onDirectAck(p *probe, target *member, ack *Message) {
 	if ack.Seq == p.seq {
 		v.recordRoundTrip(target, v.now-p.sentAt)
 	} else {
 		v.recordRoundTrip(target, v.now-p.retrySentAt)
-		v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt}) // its ack may still come
+		v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt}) // the first ping's ack may still arrive
 	}
 	target.refutedSuspicions = 0
 	if p.remoteRegion == nil {
@@ -245,7 +248,7 @@
 	}
 }
 
-// onIndirectAck remembers the helper that reached the target.
+// onIndirectAck records the helper that reached the target.
 func (v *View) onIndirectAck(p *probe, target *member, ack *Message) {
 	target.lastHelper = ack.From
 	if p.remoteRegion != nil {
@@ -256,7 +259,7 @@
 	v.rememberTimedOut(timedOutProbe{p.seq, p.target, p.sentAt})
 }
 
-// onNack notes that a helper is there although the target did not answer it.
+// onNack records that a helper responded although the target did not answer it.
 func (v *View) onNack(m *Message) {
 	for _, p := range v.probes {
 		if p.seq != m.Seq || p.target != m.Target {
--- a/internal/peer/membership/probe_test.go
+++ b/internal/peer/membership/probe_test.go
@@ -14,7 +14,7 @@
 	}
 	ping = Message{Kind: Ping, Seq: 9, Target: "you"}
 	if got := sentOfKind(v.Step(2*ms, datagramFrom(testRecord(0), 2, ping)), Ack); len(got) != 0 {
-		t.Error("it acked a probe of another member")
+		t.Error("the member acked a probe of another member")
 	}
 }
 
@@ -34,7 +34,7 @@
 		v.Step(v.now+ms, datagramFrom(testRecord(5), uint64(round+1), ack))
 		requireState(t, v, "m1", Alive)
 		if len(v.probes) > 0 && v.probes[0] == p {
-			t.Fatal("the probe goes on although a helper reached its target")
+			t.Fatal("the probe continues although a helper reached its target")
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	late := Message{Kind: Ack, Seq: 70, Target: "m1"}
 	v.Step(v.now+ms, datagramFrom(testRecord(0), 1, late))
 	if m.roundTrip.mean != 0 {
-		t.Fatalf("%v s by a helper's ack, whose way is another one", m.roundTrip.mean)
+		t.Fatalf("mean %v s after a helper's ack, which took another path", m.roundTrip.mean)
 	}
 	v.Step(v.now, datagramFrom(testRecord(1), 1, late))
 	if mean := m.roundTrip.mean; mean < 0.4 || mean > 0.41 {
@@ -99,6 +99,6 @@
 	}))
 	relayed := v.relayed[0]
 	if timeout := relayed.until - relayed.sentAt; timeout < 200*ms || timeout > 260*ms {
-		t.Errorf("it waits %v", timeout)
+		t.Errorf("the helper waits %v", timeout)
 	}
 }
--- a/internal/peer/membership/receive.go
+++ b/internal/peer/membership/receive.go
@@ -1,20 +1,20 @@
 package membership
 
-// replayWindow is how far a datagram's number may be behind its sender's highest one: datagrams may overtake one
-// another, but an old one must not count again. 4096 are some minutes at rest and seconds in a storm.
+// replayWindow is how far a datagram's number may lag behind its sender's highest number. Datagrams may be reordered,
+// but replayed ones must not count. 4096 datagrams correspond to some minutes when idle and to seconds during a storm.
 const replayWindow = 4096
 
-// maxCorrections bounds the members about which one datagram's sender is corrected at once.
+// maxCorrections is the maximum number of refuted suspicions in one datagram that its sender is notified of.
 const maxCorrections = 4
 
-// senderStatus is what the sender's boot number, RunID and datagram number say of a datagram.
+// senderStatus classifies a datagram by its sender's boot number and run ID and by its number.
 type senderStatus uint8
 
 const (
-	senderCurrent  senderStatus = iota // from the process that is known
-	senderUnknown                      // from a process that is not known here, or newer than the known one
-	senderReplaced                     // from an earlier process, or one that lost its disk
-	senderReplayed                     // from the known process, but too old
+	senderCurrent  senderStatus = iota // from the known process of the member
+	senderUnknown                      // from an unknown member, or from a newer process than the known one
+	senderReplaced                     // from an earlier process than the known one, or one that lost its disk
+	senderReplayed                     // from the known process, but with too old a number
 )
 
 func senderStatusOf(sender *member, m *Message) senderStatus {
@@ -29,7 +29,7 @@
 	return senderCurrent
 }
 
-// onDatagram handles a datagram: messages about identity at any time, all others unless this member yields its name.
+// onDatagram handles a datagram. While this member yields its name, it handles only messages about identity.
 func (v *View) onDatagram(e DatagramReceived) {
 	m := e.Message
 	if !m.isValid() || v.isLeaving {
@@ -51,7 +51,8 @@
 	}
 }
 
-// onDatagramOfOwnName tells another process with this member's name that this one exists.
+// onDatagramOfOwnName handles a datagram from a sender with this member's name. If it is a ping of another process,
+// that process is told that this one exists.
 func (v *View) onDatagramOfOwnName(m *Message) {
 	if m.RunID != v.self.RunID && m.Kind == Ping {
 		v.send(m.Addr, &Message{Kind: Gossip}, reserveForProbes, v.self)
@@ -66,7 +67,7 @@
 		v.exchange.requestWith(v, replyTo)
 	case senderReplaced:
 		v.traffic.Stale++
-		if m.Kind == Ping { // it learns of its successor
+		if m.Kind == Ping { // tells the earlier process about its successor
 			v.send(replyTo, &Message{Kind: Gossip}, reserveForProbes, sender)
 		}
 		return
@@ -83,7 +84,7 @@
 	v.mergeUpdates(sender, m)
 	switch m.Kind {
 	case Ping:
-		if m.Target == v.settings.Name { // otherwise another member had the address before
+		if m.Target == v.settings.Name { // otherwise the ping is for a member that had this address before
 			v.send(replyTo, &Message{Kind: Ack, Seq: m.Seq, Target: v.settings.Name}, reserveNone, unlessAlive(sender))
 		}
 	case IndirectPing:
@@ -95,8 +96,8 @@
 	}
 }
 
-// mergeUpdates merges a datagram's updates. A known sender that still suspects members which have refuted that is
-// corrected at once.
+// mergeUpdates merges a datagram's updates. If the sender still has suspicions or deaths that the members have refuted,
+// it gets their current records at once.
 func (v *View) mergeUpdates(sender *member, m *Message) {
 	var refuted []*member
 	for i := range m.Updates {
@@ -112,7 +113,8 @@
 	}
 }
 
-// hasRefuted reports whether a member is alive by a newer record of the same process than r, which says otherwise.
+// hasRefuted reports whether r holds a member for suspect, dead or left while a newer record of the same process is
+// Alive.
 func hasRefuted(m *member, r *Record) bool {
 	return r.State >= Suspect && r.RunID == m.RunID && m.State == Alive && m.newer(r)
 }
--- a/internal/peer/membership/record.go
+++ b/internal/peer/membership/record.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// State is the state of a member, from the least to the most final. Among records of the same boot number, process and
-// incarnation the higher state wins.
+// State is the state of a member. States are ordered from the least to the most final: among records with the same boot
+// number, process and incarnation, the higher state wins.
 type State uint8
 
 // The states of a member.
 const (
-	Alive   State = iota // it answers probes
-	Suspect              // a probe of it failed; it may still refute that
-	Dead                 // nobody refuted the suspicion in time; the process may still run beyond a broken link
-	Left                 // it left in order, or an operator said that it is gone (Serf's term)
+	Alive   State = iota // the member answers probes
+	Suspect              // a probe of the member failed; it can still refute the suspicion
+	Dead                 // the suspicion was not refuted in time; the process may still run behind a broken link
+	Left                 // the member left in an orderly way, or an operator declared it gone (Serf's term)
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// String is the state's name as logs and the admin endpoint show it.
+// String returns the state's name as logs and the admin endpoint show it.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -32,43 +32,43 @@
 }
 
 const (
-	// MaxMetadataBytes bounds Record.Metadata. It is part of the wire format: a larger value would not be accepted by
-	// members of earlier versions.
+	// MaxMetadataBytes is the maximum length of Record.Metadata. It is part of the wire format: members of earlier
+	// versions reject longer metadata.
 	MaxMetadataBytes = 128
-	// MaxNameBytes bounds names, zones, regions and versions, in bytes. It is part of the wire format too.
+	// MaxNameBytes is the maximum length of names, zones, regions and versions. It is part of the wire format too.
 	MaxNameBytes = 64
-	// maxAddrBytes bounds an address in a message, in bytes: an IPv6 address with zone and port fits.
+	// maxAddrBytes is the maximum length of an address in a message. An IPv6 address with zone and port fits.
 	maxAddrBytes = 64
-	// maxFleetNameBytes bounds the name of a fleet, in bytes.
+	// maxFleetNameBytes is the maximum length of a fleet's name.
 	maxFleetNameBytes = 32
-	// maxInstances bounds the instances and balancers that one daemon may claim: far above what a host can run, and
-	// low enough that sums over a fleet stay in an int.
+	// maxInstances is the maximum number of instances or balancers that one daemon may report: far more than a host can
+	// run, and few enough that sums over a fleet fit in an int.
 	maxInstances = 1 << 20
 )
 
-// Record is what members tell one another about one of them.
+// Record describes one member. Members exchange records with each other.
 type Record struct {
 	Name         string `cbor:"1,keyasint,omitempty"`
-	Addr         string `cbor:"2,keyasint,omitempty"` // host:port of its datagrams and streams
+	Addr         string `cbor:"2,keyasint,omitempty"` // host:port for datagrams and streams
 	Zone         string `cbor:"3,keyasint,omitempty"`
-	Program      string `cbor:"4,keyasint,omitempty"` // version of the program that it runs
-	Boot         uint64 `cbor:"5,keyasint,omitempty"` // boot number: grows with each start of the process
-	RunID        uint64 `cbor:"6,keyasint,omitempty"` // random, one per process: distinguishes two with the same boot number
-	Incarnation  uint32 `cbor:"7,keyasint,omitempty"` // grows each time the member refutes a suspicion or changes its record
+	Program      string `cbor:"4,keyasint,omitempty"` // version of the program
+	Boot         uint64 `cbor:"5,keyasint,omitempty"` // boot number: increases with each start of the process
+	RunID        uint64 `cbor:"6,keyasint,omitempty"` // random per process: tells apart two with the same boot number
+	Incarnation  uint32 `cbor:"7,keyasint,omitempty"` // grows when the member refutes a report or changes its record
 	State        State  `cbor:"8,keyasint,omitempty"`
-	Reporter     string `cbor:"9,keyasint,omitempty"`  // name of the member that suspects it, or declared it dead or left
-	Instances    uint32 `cbor:"10,keyasint,omitempty"` // instances that it runs
-	Balancers    uint32 `cbor:"11,keyasint,omitempty"` // of these, the ones that share servers with the rest of the fleet
-	NameVerified bool   `cbor:"12,keyasint,omitempty"` // it has verified that no other process uses its name
-	AgeSeconds   uint32 `cbor:"13,keyasint,omitempty"` // seconds since it died or left, by the sender's clock
-	Metadata     []byte `cbor:"14,keyasint,omitempty"` // for other modules; up to MaxMetadataBytes
-
-	// Members of versions without regions pass a record on without these two.
+	Reporter     string `cbor:"9,keyasint,omitempty"`  // member that suspects this one, or declared it dead or left
+	Instances    uint32 `cbor:"10,keyasint,omitempty"` // number of instances that the member runs
+	Balancers    uint32 `cbor:"11,keyasint,omitempty"` // of these, how many share servers with the rest of the fleet
+	NameVerified bool   `cbor:"12,keyasint,omitempty"` // the member has verified that no other process uses its name
+	AgeSeconds   uint32 `cbor:"13,keyasint,omitempty"` // seconds since the member died or left, by the sender's clock
+	Metadata     []byte `cbor:"14,keyasint,omitempty"` // used by other modules; up to MaxMetadataBytes
+
+	// Members of versions without regions drop these two fields when they forward a record.
 	Region             string   `cbor:"15,keyasint,omitempty"`
-	UnreachableRegions []uint32 `cbor:"16,keyasint,omitempty"` // hashes of regions that it watches and can't reach
+	UnreachableRegions []uint32 `cbor:"16,keyasint,omitempty"` // hashes of watched regions that it can't reach
 }
 
-// check returns an error that names the first field out of bounds. Every record from outside passes it before use.
+// check returns an error that names the first invalid field. Every record from another member is checked before use.
 func (r *Record) check() error {
 	switch {
 	case r.Name == "" || len(r.Name) > MaxNameBytes || strings.ContainsAny(r.Name, " \t\r\n\"") || !printable(r.Name):
@@ -86,23 +86,23 @@
 	case len(r.Metadata) > MaxMetadataBytes:
 		return fmt.Errorf("metadata of %d bytes: up to %d are allowed", len(r.Metadata), MaxMetadataBytes)
 	case r.State > Left:
-		return fmt.Errorf("%v is unknown", r.State)
+		return fmt.Errorf("%v is not a valid member state", r.State)
 	case r.Instances > maxInstances || r.Balancers > maxInstances:
 		return fmt.Errorf("%d instances, %d balancers: up to %d are allowed", r.Instances, r.Balancers, maxInstances)
 	}
 	if a, err := netip.ParseAddrPort(r.Addr); err != nil || a.Port() == 0 {
-		return fmt.Errorf("address %q: one such as 127.0.0.1:7946 is needed", r.Addr)
+		return fmt.Errorf("address %q: want host:port, such as 127.0.0.1:7946", r.Addr)
 	}
 	return nil
 }
 
-// ValidName reports whether a member may have this name.
+// ValidName reports whether name is valid for a member.
 func ValidName(name string) bool {
 	r := Record{Name: name, Addr: "127.0.0.1:1", Boot: 1, RunID: 1}
 	return r.check() == nil
 }
 
-// ValidFleet reports whether a fleet may have this name.
+// ValidFleet reports whether name is valid for a fleet.
 func ValidFleet(name string) bool {
 	return name != "" && len(name) <= maxFleetNameBytes && printable(name) && !strings.ContainsAny(name, " \t\"")
 }
@@ -111,8 +111,9 @@
 	return !strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f || c == '\uFFFD' })
 }
 
-// newer reports whether r overrides other, a record of the same name: by boot number, then run ID, then incarnation,
-// then the more final state. The order is total, so that members agree whatever the order in which records arrive.
+// newer reports whether r overrides other, a record with the same name. Records are ordered by boot number, then run
+// ID, then incarnation, then state. The order is total, so that members agree whatever the order in which records
+// arrive.
 func (r *Record) newer(other *Record) bool {
 	switch {
 	case r.Boot != other.Boot:
@@ -125,20 +126,20 @@
 	return r.State > other.State
 }
 
-// sameProcess reports whether two records are of the same process.
+// sameProcess reports whether two records describe the same process.
 func (r *Record) sameProcess(other *Record) bool {
 	return r.RunID == other.RunID && r.Boot == other.Boot
 }
 
-// NextBootNumber is the boot number of a process that starts: above the saved one, and at least the wall clock in Unix
-// seconds, so that it grows although the disk was lost. Where the clock was set back as well, other members report the
-// higher boot number, and the process outbids it.
+// NextBootNumber returns the boot number for a process that starts: higher than the saved one, and at least the wall
+// clock in Unix seconds, so that it increases even if the disk was lost. If the clock was set back as well, other
+// members report the higher boot number of the earlier process, and this process outbids it (View.outbid).
 func NextBootNumber(saved uint64, wallSeconds int64) uint64 {
 	return max(saved+1, uint64(max(0, wallSeconds)))
 }
 
-// recordDigest is a record's part of the view's digest: FNV-1a over the fields that order records, mixed since the
-// parts are combined by exclusive or. A suspicion counts as alive: it comes and goes.
+// recordDigest returns a record's contribution to the view's digest: FNV-1a over the fields that order records, mixed
+// because contributions are combined by exclusive or. Suspect counts as Alive, because suspicions are transient.
 func recordDigest(r *Record) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, r.Name) // a hash never returns an error
@@ -154,7 +155,7 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads each bit of a hash over all of them (MurmurHash3's 64-bit finalizer).
+// mix makes each bit of the result depend on all bits of the hash (MurmurHash3's 64-bit finalizer).
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -163,14 +164,14 @@
 	return h ^ h>>33
 }
 
-// nameHash64 is the hash by which watchers of regions are ranked.
+// nameHash64 returns the hash of a name by which members are ranked as watchers.
 func nameHash64(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name) // a hash never returns an error
 	return h.Sum64()
 }
 
-// nameHash32 is the hash of regions on the wire and of names in buckets.
+// nameHash32 returns the hash that identifies a region on the wire and assigns names to buckets.
 func nameHash32(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, name) // a hash never returns an error
--- a/internal/peer/membership/region.go
+++ b/internal/peer/membership/region.go
@@ -7,42 +7,43 @@
 )
 
 // A fleet may span regions (failure domains). Within its own region a member probes, suspects and gossips as in a fleet
-// of that size. Of another region it accepts what is gossiped: members there find its deaths.
+// of that size. For other regions it accepts gossiped records: the members of each region detect failures there.
 //
-// What crosses regions is sent by a few members of each region for each other one, its watchers, which all members of
-// the region select alike by rank. They probe the other region, send it the updates of their own, and compare digests.
-// Where none of them reaches it any more, directly or through third regions, they report that in their own records.
-// All members of their region then take it for unreachable: its members are shown as dead, without any change of their
-// records, and as before once a watcher gets an answer again.
-
-// region is what this member knows of a region.
+// Traffic between regions is limited to watchers: a few members of each region for each other region. All members of a
+// region select the same watchers by rank. Watchers probe the other region, send it the updates of their own region,
+// and compare digests. If no watcher reaches the other region any more, directly or through third regions, the watchers
+// report that in their own records. All members of their region then consider it unreachable: its members are shown as
+// dead while their records stay unchanged. Once a watcher gets an answer again, the members are shown by their records
+// again.
+
+// region is a region as this member knows it.
 type region struct {
 	name        string
-	hash        uint32    // of the name, as in Record.UnreachableRegions
-	live        []*member // alive or suspect by their records, without this member
+	hash        uint32    // hash of the name, as used in Record.UnreachableRegions
+	live        []*member // other members that are alive or suspect by their records
 	dead        []*member
-	unreachable bool          // by the reports of its watchers
-	changedAt   time.Duration // unreachable changed
-	watchers    []watcher     // of this member's region, by rank
+	unreachable bool          // the watchers report that they can't reach the region
+	changedAt   time.Duration // when unreachable last changed
+	watchers    []watcher     // the members of this member's region that watch the region, by rank
 
-	// The rest is used while this member is one of the watchers.
+	// The remaining fields are used while this member is one of the watchers.
 	watched             bool
-	rank                int           // among the watchers, from 0
-	reportedUnreachable bool          // this member's own record says so
+	rank                int           // rank of this member among the watchers, from 0
+	reportedUnreachable bool          // this member's own record reports the region as unreachable
 	probeUnanswered     bool          // the target of the last probe did not answer in time
-	missedProbes        int           // one after another
-	lastAckAt           time.Duration // a probe was answered
-	probeAt             time.Duration // the next probe
-	lastHelper          string        // through which it was last reached
-	updates             updateQueue   // of this member's region, for this one
+	missedProbes        int           // number of consecutive probes that failed
+	lastAckAt           time.Duration // when a probe was last answered
+	probeAt             time.Duration // when the next probe is due
+	lastHelper          string        // the helper through which the region was last reached
+	updates             updateQueue   // updates about this member's region to send to this region
 	gossipAt            time.Duration
-	differsSince        time.Duration // digests from there differ; 0: they do not
+	differsSince        time.Duration // since when digests from the region differ; 0: they agree
 }
 
-// maxRegions bounds the known regions; members of further ones count as members without a region.
+// maxRegions is the maximum number of known regions; members of further regions count as members without a region.
 const maxRegions = 64
 
-// regionNamed finds a region by its name, or adds it.
+// regionNamed returns the region with this name, and adds it if it is not known.
 func (v *View) regionNamed(name string) *region {
 	r := v.regions[name]
 	if r == nil && len(v.regions) >= maxRegions {
@@ -66,10 +67,10 @@
 	return r
 }
 
-// isRemote reports whether a member is of another region than this one.
+// isRemote reports whether a member belongs to another region than this member.
 func (v *View) isRemote(m *member) bool { return m.region != v.localRegion }
 
-// isRemoteRegion reports whether a region's name is of another region than this member's.
+// isRemoteRegion reports whether a region's name denotes another region than this member's.
 func (v *View) isRemoteRegion(name string) bool {
 	if name == v.localRegion.name {
 		return false
@@ -77,7 +78,8 @@
 	return v.regionNamed(name) != v.localRegion
 }
 
-// withoutRemoteSuspicion turns a suspicion of a member of another region into alive: it is for members near it.
+// withoutRemoteSuspicion changes the state of a suspect in another region to Alive, because only members of its own
+// region handle suspicions.
 func (v *View) withoutRemoteSuspicion(r Record) Record {
 	if r.State == Suspect && v.isRemoteRegion(r.Region) {
 		r.State = Alive
@@ -91,7 +93,7 @@
 	return m != v.self && (v.isolated || m.region.unreachable)
 }
 
-// unreachableSince is when a member that is unreachable became so.
+// unreachableSince returns when a member became unreachable. The member must be unreachable now.
 func (v *View) unreachableSince(m *member) time.Duration {
 	if m.region.unreachable && (!v.isolated || m.region.changedAt < v.isolatedAt) {
 		return m.region.changedAt
@@ -99,7 +101,7 @@
 	return v.isolatedAt
 }
 
-// updateReachability brings members up to whether they can be reached.
+// updateReachability updates whether members can be reached.
 func (v *View) updateReachability(members []*member, reason string) {
 	for _, m := range members {
 		previous := m.effectiveState()
@@ -112,8 +114,8 @@
 	}
 }
 
-// regionsDue selects the watchers of each region, and finds which regions have become unreachable or reachable.
-func (v *View) regionsDue() {
+// updateRegions selects the watchers of each region, and updates which regions are unreachable.
+func (v *View) updateRegions() {
 	if v.now < v.regionsCheckAt {
 		return
 	}
@@ -140,9 +142,10 @@
 	v.updateReachability(r.live, reason)
 }
 
-// isUnreachableByReports decides by the watchers' reports whether a region is unreachable: one watcher that reaches it
-// is enough for no, and a new watcher's silence counts for that only once it had time to find out. Without a watcher
-// that has reported either way, it stays as it is.
+// isUnreachableByReports determines from the watchers' reports whether a region is unreachable. A single watcher that
+// reaches the region makes it reachable. The lack of a report by a new watcher counts as reaching it only after the
+// watcher had time to find out. The region becomes unreachable if all watchers report it; while some are undecided, or
+// without watchers, its state stays unchanged.
 func (v *View) isUnreachableByReports(r *region) bool {
 	reached := false
 	reportedUnreachable := false
@@ -175,14 +178,14 @@
 	Name           string
 	Members        int // alive or suspect by their records
 	Dead           int
-	Local          bool // it is this member's
+	Local          bool // this is the region of the local member
 	Unreachable    bool
 	UnreachableFor time.Duration
-	Watchers       []string      // of this member's region
+	Watchers       []string      // names of the watchers in the local member's region
 	RoundTrip      time.Duration // smoothed; 0: not known
 }
 
-// Regions are all regions with members, by name; nil where there is only one.
+// Regions returns all regions with members, by name, or nil if there is only one.
 func (v *View) Regions() []RegionStatus {
 	var all []RegionStatus
 	for _, r := range v.sortedRegions {
--- a/internal/peer/membership/region_test.go
+++ b/internal/peer/membership/region_test.go
@@ -42,14 +42,14 @@
 		got := sentOfKind(gossipFrom(v, regionRecord(0, 0), dead), Gossip)
 		requireState(t, v, "b0", Alive)
 		if len(got) == 0 || got[0].To != dead.Addr || got[0].Message.Updates[0].State != Dead {
-			t.Errorf("the member receives %+v", got)
+			t.Errorf("gossip sent to the member: %+v", got)
 		}
 	})
 }
 
 func TestProbesStayInTheRegionAndAreEvenlyShared(t *testing.T) {
 	v := newRegionView(t, 9, 9, 9)
-	for i := range 9 { // three of its own zone, three of another one, and three that are alone in theirs
+	for i := range 9 { // three members in this member's zone, three in another zone, and three that are alone in theirs
 		r := regionRecord(0, i)
 		r.Incarnation = 1
 		r.Zone = []string{"z1", "z2", fmt.Sprint("alone", i)}[i%3]
@@ -67,11 +67,11 @@
 		}
 	}
 	for name, n := range probes {
-		least, most := 70, 95 // of 600: half go to the three of its zone and the three that are alone
+		least, most := 70, 95 // of 600: half of them go to the three members of the zone and the three that are alone
 		switch {
 		case !onlyLocalRegion(name):
 			least, most = 0, 2*120
-		case (name[1]-'0')%3 == 1: // of another zone
+		case (name[1]-'0')%3 == 1: // members of the other zone
 			least, most = 25, 42
 		}
 		if n < least || n > most {
@@ -83,10 +83,10 @@
 	}
 }
 
-// The probes of one member by all others of its region sum up to one an interval, whatever the sizes of the zones.
+// All other members of the region together probe each member once in an interval, whatever the sizes of the zones.
 func TestProbesOfEachMemberSumUpToOneAnInterval(t *testing.T) {
 	zones := []string{"z1", "z1", "z1", "z1", "z2", "z2", "alone"}
-	received := make([]float64, len(zones)) // probes of a member in an interval
+	received := make([]float64, len(zones)) // mean number of probes of each member in an interval
 	for prober := range zones {
 		v := newRegionView(t, len(zones)-1, 0, 0)
 		v.self.Zone = zones[prober]
@@ -129,16 +129,16 @@
 	receiveRegionReport(v, r, "a0", reportUnreachable)
 	receiveRegionReport(v, r, "a1", reportUnreachable)
 	if r.unreachable {
-		t.Fatal("unreachable, although this watcher has not reported that")
+		t.Fatal("the region is unreachable, although this watcher has not reported that")
 	}
 
 	cutAt := v.now
 	actions := runAnswering(v, cutAt+8*time.Second, onlyLocalRegion)
 	if !r.unreachable || !reportsUnreachable(v.self, r) {
-		t.Fatal("still reachable")
+		t.Fatal("the region is still reachable")
 	}
 	if took := r.changedAt - cutAt; took < DefaultMinSuspicion-remoteProbeInterval*3/2 || took > 8*time.Second {
-		t.Errorf("unreachable after %v", took)
+		t.Errorf("the region is unreachable after %v", took)
 	}
 	if shown := requireOnlyRegionShownDead(t, actions); shown != 5 {
 		t.Errorf("%d members are shown as dead", shown)
@@ -154,9 +154,9 @@
 	requireRegionDeadOnlyForOthers(t, v)
 
 	incarnation := v.self.Incarnation
-	actions = runAnswering(v, v.now+4*time.Second, everybody) // the first ack ends it
+	actions = runAnswering(v, v.now+4*time.Second, everybody) // the first ack makes the region reachable again
 	if r.unreachable || reportsUnreachable(v.self, r) || v.self.Incarnation != incarnation+1 {
-		t.Fatal("still unreachable")
+		t.Fatal("the region is still unreachable")
 	}
 	back := 0
 	for _, a := range actions {
@@ -169,8 +169,8 @@
 	}
 }
 
-// requireOnlyRegionShownDead counts the members of region b that are shown as dead, and fails if any record says so or
-// any other member is.
+// requireOnlyRegionShownDead returns the number of members of region b that are shown as dead. It fails the test if a
+// gossiped record says so, or if other members are shown as not alive.
 func requireOnlyRegionShownDead(t *testing.T, actions []Action) int {
 	t.Helper()
 	shown := 0
@@ -193,7 +193,8 @@
 	return shown
 }
 
-// requireRegionDeadOnlyForOthers fails unless region b is dead for the daemon and alive by the records.
+// requireRegionDeadOnlyForOthers fails the test unless the members of region b are dead by Members and alive by
+// Records.
 func requireRegionDeadOnlyForOthers(t *testing.T, v *View) {
 	t.Helper()
 	for _, r := range v.Members() {
@@ -215,15 +216,15 @@
 	pausedAt := v.now
 	runAnswering(v, pausedAt+1500*ms, nobody)
 	if r.reportedUnreachable || r.unreachable {
-		t.Error("unreachable after a pause of 1.5 s")
+		t.Error("the region is unreachable after a pause of 1.5 s")
 	}
 	runAnswering(v, pausedAt+8*time.Second, nobody)
 	if !r.unreachable {
-		t.Error("never unreachable")
+		t.Error("the region never becomes unreachable")
 	}
 }
 
-// A member of a version without regions relays records without them.
+// A member of a version without regions forwards records without the region.
 func TestRegionSurvivesRelaysThatOmitIt(t *testing.T) {
 	v := newRegionView(t, 3, 3, 0)
 	relayed := regionRecord(1, 0)
@@ -233,7 +234,7 @@
 	if m := v.members["b0"]; m.Region != "b" || m.region != v.regions["b"] || m.Incarnation != 1 {
 		t.Errorf("region %q, %+v", m.Region, m.Record)
 	}
-	unknown := regionRecord(1, 9) // learned without the region, then with it
+	unknown := regionRecord(1, 9) // received first without the region, then with it
 	unknown.Region = ""
 	gossipFrom(v, regionRecord(0, 0), unknown)
 	if m := v.members["b9"]; m.region != v.regions[""] {
@@ -248,7 +249,7 @@
 func TestForgetWorksForAMemberOfAnUnreachableRegion(t *testing.T) {
 	v := newRegionView(t, 2, 2, 0)
 	v.Step(v.now+ms, ForgetMember{"b0"})
-	requireState(t, v, "b0", Alive) // while it is reachable
+	requireState(t, v, "b0", Alive) // because the region is reachable
 	v.regions["b"].unreachable = true
 	v.updateReachability(v.regions["b"].live, ReasonRegionUnreachable)
 	v.Step(v.now+ms, ForgetMember{"b0"})
@@ -275,7 +276,8 @@
 	}
 }
 
-// regionSizeCases are sizes of its own region, without this member, at which it is a watcher of region b or is not.
+// regionSizeCases are numbers of other members in this member's region, with which it is or is not a watcher of region
+// b.
 var regionSizeCases = []struct {
 	name    string
 	size    int
--- a/internal/peer/membership/roundtrip.go
+++ b/internal/peer/membership/roundtrip.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// roundTrip estimates a round-trip time from the answers to probes: a smoothed mean and its mean deviation (Jacobson,
-// 1988; RFC 6298), by this member's clock alone. It is kept for each member, so it is small: 12 bytes.
+// roundTrip estimates a round-trip time from the answers to probes, as a smoothed mean and a mean deviation (Jacobson,
+// 1988; RFC 6298). It uses only this member's clock. The view keeps one for each member, so it is small: 12 bytes.
 type roundTrip struct {
-	mean, deviation float32 // seconds; a mean of 0: nothing is known
-	measuredAt      float32 // seconds, by View.now
+	mean, deviation float32 // seconds; a mean of 0 means that there is no estimate
+	measuredAt      float32 // View.now of the last measurement, in seconds
 }
 
 const (
-	// unknownRoundTripTimeout is the timeout of a member of which nothing is known: a round trip of 250 ms, between
-	// continents, and a fifth more. Shorter suspects remote members before their first answer.
+	// unknownRoundTripTimeout is the timeout for a member without any estimate: a round trip of 250 ms, as between
+	// continents, plus a fifth. With a shorter timeout, remote members are suspected before their first answer.
 	unknownRoundTripTimeout = 300 * time.Millisecond
-	// maxRoundTripTimeout bounds the timeout of a probe, unless ProbeTimeout is longer. Longer finds crashes of remote
-	// members later.
+	// maxRoundTripTimeout bounds the timeout of a probe, unless ProbeTimeout is longer. A longer bound delays the
+	// detection of crashes of remote members.
 	maxRoundTripTimeout = time.Second
-	// roundTripFreshSeconds is how long a member's own estimate is used alone; later its locality's counts too.
+	// roundTripFreshSeconds is how long a member's own estimate is used alone; after that, the estimate of its locality
+	// is used too.
 	roundTripFreshSeconds = 60
-	// maxLocalities bounds the zones and regions whose round trips are kept.
+	// maxLocalities is the maximum number of zones and regions with an estimate.
 	maxLocalities = 256
 
-	// Gains of the estimator, from RFC 6298.
+	// Parameters of the estimator, from RFC 6298.
 	meanGain          = 1.0 / 8
 	deviationGain     = 1.0 / 4
 	deviationsAllowed = 4
 )
 
-// observe takes one round-trip time, measured now, into the estimate.
+// observe adds a round-trip time measured at now to the estimate.
 func (r *roundTrip) observe(sample, now time.Duration) {
 	seconds := float32(max(sample, time.Microsecond).Seconds())
 	if r.mean == 0 {
@@ -41,25 +42,26 @@
 	r.measuredAt = float32(now.Seconds())
 }
 
-// timeout is how long an answer may take: the mean and four deviations.
+// timeout returns how long an answer may take: the mean plus four deviations.
 func (r *roundTrip) timeout() time.Duration {
 	return time.Duration(float64(r.mean+deviationsAllowed*r.deviation) * float64(time.Second))
 }
 
-// average is the smoothed mean.
+// average returns the smoothed mean.
 func (r *roundTrip) average() time.Duration {
 	return time.Duration(float64(r.mean) * float64(time.Second))
 }
 
-// locality is a zone of a region, or with an empty zone the whole region: members of one are about equally far away.
+// locality is a zone of a region or, with an empty zone, the whole region. Round trips to the members of a locality are
+// expected to be similar.
 type locality struct{ region, zone string }
 
-// localitiesOf are a member's zone and region, the narrower one first.
+// localitiesOf returns the localities of a member: its zone, then its region.
 func localitiesOf(m *member) [2]locality {
 	return [2]locality{{m.Region, m.Zone}, {m.Region, ""}}
 }
 
-// recordRoundTrip takes a round-trip time of a member into its own estimate and its localities'.
+// recordRoundTrip adds a member's round-trip time to its own estimate and to those of its localities.
 func (v *View) recordRoundTrip(m *member, sample time.Duration) {
 	m.roundTrip.observe(sample, v.now)
 	for _, at := range localitiesOf(m) {
@@ -73,13 +75,13 @@
 		}
 		estimate.observe(sample, v.now)
 		if m.Zone == "" {
-			break // both localities are the same one
+			break // both localities are the same
 		}
 	}
 }
 
-// roundTripTimeout is how long an answer of a member may take, as far as is known: by its own answers, else by its
-// zone's, else by its region's.
+// roundTripTimeout returns how long an answer of a member may take, by the estimate for the member, else for its zone,
+// else for its region.
 func (v *View) roundTripTimeout(m *member) time.Duration {
 	own := &m.roundTrip
 	known := own.mean > 0
@@ -102,13 +104,13 @@
 	return max(unknownRoundTripTimeout, v.settings.ProbeTimeout)
 }
 
-// probeTimeout is how long a direct probe of a member waits for its ack.
+// probeTimeout returns how long a direct probe of a member waits for its ack.
 func (v *View) probeTimeout(m *member) time.Duration {
 	return max(v.settings.ProbeTimeout, v.roundTripTimeout(m))
 }
 
-// indirectTimeout is how long a probe then waits for an ack through helpers: a helper first waits for the member
-// itself, and its answer takes its own way.
+// indirectTimeout returns how long a probe waits for an ack through helpers. It includes the time that a helper waits
+// for the member, and the round trip between this member and the helper.
 func (v *View) indirectTimeout(m *member, helpers []*member) time.Duration {
 	timeout := v.settings.IndirectTimeout
 	for _, h := range helpers {
@@ -118,8 +120,8 @@
 	return timeout
 }
 
-// timedOutProbe is a ping whose ack did not come in time. A late ack still tells the round-trip time: without that,
-// a way that has become longer than the timeout would never be learned.
+// timedOutProbe is a ping whose ack did not arrive in time. The round-trip time is measured even if the ack is late.
+// Otherwise the estimate would never adapt to a path that has become longer than the timeout.
 type timedOutProbe struct {
 	seq    uint32
 	target string
@@ -127,8 +129,8 @@
 }
 
 const (
-	maxTimedOutProbes = 64              // that are remembered: 6 s of probes during a partition
-	timedOutProbeTTL  = 5 * time.Second // a later ack is no measurement
+	maxTimedOutProbes = 64              // maximum length of View.timedOut: 6 s of probes during a partition
+	timedOutProbeTTL  = 5 * time.Second // acks later than this are not measured
 )
 
 func (v *View) rememberTimedOut(p timedOutProbe) {
@@ -138,7 +140,8 @@
 	v.timedOut = append(v.timedOut, p)
 }
 
-// onLateAck measures the round-trip time of an ack that came too late. An ack through a helper tells nothing of it.
+// onLateAck measures the round-trip time of an ack that arrived late. Acks through helpers are ignored, because their
+// path is a different one.
 func (v *View) onLateAck(m *Message) {
 	for i, p := range v.timedOut {
 		if p.seq != m.Seq || p.target != m.Target || m.From != m.Target {
--- a/internal/peer/membership/roundtrip_test.go
+++ b/internal/peer/membership/roundtrip_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ackSimulator delivers events to a view at times of their own.
+// ackSimulator delivers scheduled events to a view.
 type ackSimulator struct {
 	view    *View
 	events  []timedEvent // by time
@@ -18,14 +18,14 @@
 	event DatagramReceived
 }
 
-// simulated is what a view did during a simulation.
+// simulated holds the numbers of a view's actions during a simulation.
 type simulated struct {
-	suspicions int // by the view itself
+	suspicions int // reported by the view itself
 	probes     int
 }
 
-// simulateAcks has each ping of a view acked by its target after a round trip, and each suspicion refuted, until a
-// time. A round trip of 0 means that the member does not answer.
+// simulateAcks runs a view until a time. The target of each ping acks it after a round trip, and suspects refute each
+// suspicion. A round trip of 0 means that the member does not answer.
 func simulateAcks(v *View, roundTrip func(name string) time.Duration, until time.Duration) simulated {
 	s := &ackSimulator{view: v, numbers: map[string]uint64{}}
 	var result simulated
@@ -55,7 +55,7 @@
 	return result
 }
 
-// step steps the view with the next event, or at its next timer if that is due before.
+// step steps the view with the next event, or at its next timer if the timer is due earlier.
 func (s *ackSimulator) step() []Action {
 	if len(s.events) > 0 && s.events[0].at <= s.view.Next() {
 		next := s.events[0]
@@ -65,7 +65,7 @@
 	return s.view.Step(s.view.Next())
 }
 
-// schedule has a member's datagram arrive after a delay, behind those that arrive at the same time.
+// schedule schedules the arrival of a member's datagram after a delay, following those that arrive at the same time.
 func (s *ackSimulator) schedule(delay time.Duration, sender Record, m Message) {
 	s.numbers[sender.Name]++
 	at := s.view.now + delay
@@ -88,7 +88,7 @@
 			shortest := max(DefaultProbeTimeout, roundTrip)
 			longest := max(DefaultProbeTimeout, roundTrip*5/4)
 			if timeout := v.probeTimeout(v.members["m1"]); timeout < shortest || timeout > longest {
-				t.Errorf("a probe waits %v", timeout)
+				t.Errorf("the probe timeout is %v", timeout)
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 	learnMembers(v, 2)
 	m := v.members["m1"]
 	if got := v.probeTimeout(m); got != unknownRoundTripTimeout {
-		t.Errorf("nothing known: %v", got)
+		t.Errorf("without an estimate: %v", got)
 	}
 	v.recordRoundTrip(m, 10*time.Microsecond)
 	if got := v.probeTimeout(m); got != DefaultProbeTimeout {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Where the round trip has become longer, late acks tell. The second ping has its own sequence number, so that the ack
-// of the first one is not taken for a quick ack of the second.
+// If the round trip becomes longer than the timeout, the estimate adapts by late acks. The second ping has its own
+// sequence number, so that a late ack of the first ping is not mistaken for a quick ack of the second.
 func TestLongerRoundTripIsLearnedFromLateAcks(t *testing.T) {
 	v := newTestView(t)
 	learnMembers(v, 6)
--- a/internal/peer/membership/send.go
+++ b/internal/peer/membership/send.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// maxDatagramBytes is the size up to which updates fill a datagram: it fits one packet on every network.
+// maxDatagramBytes is the size up to which a datagram is filled with updates. It fits in one packet on any network.
 const maxDatagramBytes = 1200
 
-// tokenBucket bounds the bytes that are sent. It holds one second's worth.
+// tokenBucket limits the rate of bytes that are sent. Its capacity is the amount for one second.
 type tokenBucket struct {
 	rate     float64 // bytes per second
 	capacity float64 // bytes
-	level    float64 // bytes; below 0: a debt
+	level    float64 // bytes; below 0 if a message exceeded the budget
 	filledAt time.Duration
 }
 
@@ -27,13 +27,13 @@
 	b.filledAt = now
 }
 
-// allows reports whether a datagram may be sent, if the reserve must stay.
+// allows reports whether a datagram may be sent without using the reserve.
 func (b *tokenBucket) allows(size int, reserve budgetReserve) bool {
 	return b.level-float64(size) >= float64(reserve)*b.capacity
 }
 
-// budgetReserve is the part of a full budget that a datagram must leave to more urgent ones: responses go first, then
-// probes, then gossip. A larger reserve delays the less urgent kind more in a storm.
+// budgetReserve is the share of the full budget that a datagram must leave for more urgent ones: responses come first,
+// then probes, then gossip. A larger reserve delays the less urgent kind more during a storm.
 type budgetReserve float64
 
 const (
@@ -42,30 +42,31 @@
 	reserveForProbes    budgetReserve = 0.35 // for gossip
 )
 
-// datagram is a message to be sent.
+// datagram is a message to send, with options.
 type datagram struct {
 	to      string
 	message *Message
 	reserve budgetReserve
-	// about are members whose records the receiver must have before all, such as its own where it is suspect.
+	// about lists members whose records must be included, such as the receiver's own record if it is suspect.
 	about []*member
-	// likelyLost says that the receiver does not seem to hear this member: updates do not count as sent.
+	// likelyLost means that the receiver seems not to receive this member's datagrams: updates don't count as sent.
 	likelyLost bool
-	// withoutUpdates leaves out all updates but those in about: the budget is needed for other datagrams.
+	// withoutUpdates omits all updates except those in about, because the budget is needed for other datagrams.
 	withoutUpdates bool
 }
 
-// send sends a message to an address, filled up with updates, if the budget allows it. It reports whether it did.
+// send sends a message to an address and fills it with updates, if the budget allows it. It reports whether the message
+// was sent.
 func (v *View) send(to string, m *Message, reserve budgetReserve, about ...*member) bool {
 	return v.sendDatagram(datagram{to: to, message: m, reserve: reserve, about: about})
 }
 
-// sendToMember is send for a member, which may seem not to hear this one.
+// sendToMember is send for a member, and takes into account whether the member seems to receive this one's datagrams.
 func (v *View) sendToMember(to *member, m *Message, reserve budgetReserve, about ...*member) bool {
 	return v.sendDatagram(datagram{to: to.Addr, message: m, reserve: reserve, about: about, likelyLost: to.unresponsive})
 }
 
-// sendDatagram is where every datagram is sent.
+// sendDatagram sends a datagram if the budget allows it. All datagrams are sent by sendDatagram.
 func (v *View) sendDatagram(d datagram) bool {
 	if d.to == "" || d.to == v.settings.Addr {
 		return false
@@ -101,7 +102,7 @@
 	return true
 }
 
-// addSender fills in what every datagram says of its sender.
+// addSender sets the fields that describe the sender.
 func (v *View) addSender(m *Message) {
 	m.From = v.settings.Name
 	m.Boot = v.self.Boot
@@ -112,13 +113,13 @@
 	}
 }
 
-// budgetAllows reports whether the budget, and that of other regions for a datagram to one of them, allow it.
+// budgetAllows reports whether the budget allows a datagram. A datagram to another region (remote is not nil) must also
+// fit the budget for other regions.
 func (v *View) budgetAllows(remote *region, size int, reserve budgetReserve) bool {
 	return v.budget.allows(size, reserve) && (remote == nil || v.remoteBudget.allows(size, reserve))
 }
 
-// addUpdates fills a datagram up with updates, and returns its new size. Only a watcher sends updates to another
-// region.
+// addUpdates fills a datagram with updates and returns its new size. Only watchers send updates to other regions.
 func (v *View) addUpdates(d datagram, remote *region, size int) int {
 	fill := updateFill{message: d.message, size: size, likelyLost: d.likelyLost}
 	switch {
--- a/internal/peer/membership/send_test.go
+++ b/internal/peer/membership/send_test.go
@@ -9,7 +9,7 @@
 	learnMembers(v, 400)
 	start := v.now
 	sentBytes := 0
-	for range 3000 { // all members die, which is gossiped
+	for range 3000 { // all members are declared dead, which is gossiped
 		for _, a := range v.Step(v.Next()) {
 			if s, ok := a.(Send); ok {
 				sentBytes += s.Size
@@ -21,6 +21,6 @@
 		t.Errorf("%d bytes in %.1f s: at most %.0f are allowed", sentBytes, seconds, limit)
 	}
 	if sentBytes < DefaultBytesPerSecond {
-		t.Errorf("%d bytes in %.1f s: this is no storm", sentBytes, seconds)
+		t.Errorf("%d bytes in %.1f s: too few for a storm", sentBytes, seconds)
 	}
 }
--- a/internal/peer/membership/settings.go
+++ b/internal/peer/membership/settings.go
@@ -6,72 +6,75 @@
 	"time"
 )
 
-// Settings are fixed for the life of a View. A zero value of a setting with a default takes the default.
+// Settings configure a View and don't change during its life. Settings that have a default take it if they are zero.
 type Settings struct {
 	Name         string
 	Addr         string // host:port under which other members reach this one
 	Zone         string
-	Region       string // empty: the region of all members that have none set
+	Region       string // all members without a region form one region
 	Program      string // version of the program
 	Boot         uint64 // see NextBootNumber
 	RunID        uint64 // random
 	Instances    int
 	Balancers    int
-	Seeds        []string // addresses to join by; the member's own among them does no harm
-	KnownMembers []Record // of the last run: contacted first, trusted only once they answer
+	Seeds        []string // addresses used to join the fleet; they may include the member's own
+	KnownMembers []Record // members known in the last run: contacted first, trusted only after they answer
 
-	// TakesOver says that this process replaces another one without a gap, under the same RunID: KnownMembers are the
-	// other's present records and trusted. Incarnation, DatagramNumber and Uptime continue the other's.
+	// TakesOver marks this process as the successor of another one, without a gap and with the same RunID. KnownMembers
+	// are then the predecessor's current records, and are trusted. Incarnation, DatagramNumber and Uptime continue the
+	// predecessor's values.
 	TakesOver      bool
 	Incarnation    uint32
 	DatagramNumber uint64
 	Uptime         time.Duration
 
-	ProbeInterval        time.Duration // between two probes; DefaultProbeInterval
-	ProbeTimeout         time.Duration // of a direct probe, before it is sent through helpers; DefaultProbeTimeout
-	IndirectTimeout      time.Duration // of the indirect probe after that; DefaultIndirectTimeout
-	MinSuspicion         time.Duration // time for a suspect to refute, in fleets up to 100; DefaultMinSuspicion
-	ReconnectFor         time.Duration // dead members are contacted again for this long; DefaultReconnectFor
-	BytesPerSecond       int           // bound of datagrams, and again of streams: up to twice this in all; DefaultBytesPerSecond
-	RemoteBytesPerSecond int           // of these, to other regions; a quarter by default
-	MaxMembers           int           // bound of the known members; DefaultMaxMembers
-	ConfiguredBalancers  int           // balancers of the whole fleet by the operator's file; valid until the view has settled
+	// The comment of a setting with a default ends with the default.
+	ProbeInterval        time.Duration // time between two probes; DefaultProbeInterval
+	ProbeTimeout         time.Duration // timeout of a direct probe, before helpers are asked; DefaultProbeTimeout
+	IndirectTimeout      time.Duration // timeout of the indirect probe that follows; DefaultIndirectTimeout
+	MinSuspicion         time.Duration // time for a suspect to refute in fleets up to 100; DefaultMinSuspicion
+	ReconnectFor         time.Duration // how long dead members are contacted again; DefaultReconnectFor
+	BytesPerSecond       int           // for datagrams, and again for streams: twice this in all; DefaultBytesPerSecond
+	RemoteBytesPerSecond int           // part of these limits for traffic to other regions; a quarter
+	MaxMembers           int           // maximum number of known members; DefaultMaxMembers
+	ConfiguredBalancers  int           // balancers of the fleet by the operator's file; used until the view has settled
 
-	// Baseline switches protections off, for the baselines in docs/measure/view.md. Nothing else sets it.
+	// Baseline disables protections, for the baseline measurements in docs/measure/view.md. Leave it zero otherwise.
 	Baseline BaselineMode
 }
 
-// BaselineMode selects weaker protocols to measure against.
+// BaselineMode selects weaker protocols for comparison in measurements.
 type BaselineMode struct {
-	NoSuspicion bool // a failed probe is death at once (SWIM without suspicion)
-	NoLifeguard bool // no local health, no doubt after a pause, a fixed suspicion timeout (SWIM with suspicion)
+	NoSuspicion bool // a member is dead as soon as a probe of it fails (SWIM without suspicion)
+	NoLifeguard bool // no local health, no pause detection, a fixed suspicion timeout (SWIM with suspicion)
 }
 
-// Defaults of Settings, each with its origin.
+// Defaults of Settings.
 const (
-	// DefaultProbeInterval costs ten datagrams a second, and a crash is probed within 0.92 s at the 99th percentile
-	// (4.6 intervals). Shorter finds crashes sooner and costs more datagrams.
+	// DefaultProbeInterval costs ten datagrams a second. A crashed member is probed within 0.92 s at the 99th
+	// percentile (4.6 intervals). A shorter interval detects crashes sooner and costs more datagrams.
 	DefaultProbeInterval = 200 * time.Millisecond
-	// DefaultProbeTimeout is five round trips between the site's data centers (20 ms). Shorter asks helpers in vain.
+	// DefaultProbeTimeout is five round trips between the site's data centers (20 ms). With a shorter timeout, helpers
+	// are asked needlessly.
 	DefaultProbeTimeout = 100 * time.Millisecond
-	// DefaultIndirectTimeout is two such round trips each way, and what a busy host adds.
+	// DefaultIndirectTimeout is two such round trips each way, plus a margin for a busy host.
 	DefaultIndirectTimeout = 150 * time.Millisecond
-	// DefaultMinSuspicion covers a pause of 1.5 s, less the 0.25 s before it is suspected, and 0.45 s to refute.
-	// Shorter declares paused members dead; longer finds crashes later.
+	// DefaultMinSuspicion covers a pause of 1.5 s, less the 0.25 s before the paused member is suspected, plus 0.45 s
+	// to refute. A shorter time declares paused members dead; a longer one delays the detection of crashes.
 	DefaultMinSuspicion = 1700 * time.Millisecond
-	// DefaultReconnectFor lets a partition over a night heal without an operator.
+	// DefaultReconnectFor lets a partition that lasts overnight heal without an operator.
 	DefaultReconnectFor = 24 * time.Hour
-	// DefaultBytesPerSecond is reached in storms; at rest a member sends about 1 KB a second.
+	// DefaultBytesPerSecond is reached only during storms of updates; an idle member sends about 1 KB a second.
 	DefaultBytesPerSecond = 32 << 10
-	// DefaultMaxMembers is the fleet of two years from now (12,000) and a third more; at 0.5 KB each, 8 MB of an
-	// agent's 64 MB.
+	// DefaultMaxMembers is a third more than the fleet size expected in two years (12,000). At 0.5 KB for each member
+	// this takes 8 MB of an agent's 64 MB.
 	DefaultMaxMembers = 16384
 )
 
-// remoteBudgetDivisor makes RemoteBytesPerSecond this part of BytesPerSecond by default.
+// remoteBudgetDivisor is the ratio of BytesPerSecond to RemoteBytesPerSecond by default.
 const remoteBudgetDivisor = 4
 
-// withDefaults returns the settings with defaults in place of zero values.
+// withDefaults returns the settings with zero values replaced by defaults.
 func (s Settings) withDefaults() Settings {
 	s.ProbeInterval = cmp.Or(s.ProbeInterval, DefaultProbeInterval)
 	s.ProbeTimeout = cmp.Or(s.ProbeTimeout, DefaultProbeTimeout)
@@ -84,23 +87,24 @@
 	return s
 }
 
-// minBytesPerSecond is the smallest budget by which a full datagram and its response can be sent.
+// minBytesPerSecond is the smallest byte rate that allows a full datagram and its response.
 const minBytesPerSecond = 2 * maxDatagramBytes
 
-// check returns an error if a bound is missing. Names and addresses are checked with the member's own record.
+// check returns an error if a duration or limit is out of range. Names and addresses are checked in the member's own
+// record.
 func (s *Settings) check() error {
 	intervals := min(s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout, s.MinSuspicion)
 	bytesPerSecond := min(s.BytesPerSecond, s.RemoteBytesPerSecond)
 	if intervals > 0 && bytesPerSecond >= minBytesPerSecond && s.MaxMembers >= 1 {
 		return nil
 	}
-	return fmt.Errorf("probe interval %v, probe timeout %v, indirect timeout %v, min suspicion %v, %d bytes a second, "+
-		"%d of them to other regions, %d members: all must be above 0, and bytes at least %d",
+	return fmt.Errorf("probe interval %v, probe timeout %v, indirect timeout %v, min suspicion %v, %d bytes per second, "+
+		"%d of them to other regions, %d members: all must be greater than 0, and bytes per second at least %d",
 		s.ProbeInterval, s.ProbeTimeout, s.IndirectTimeout, s.MinSuspicion, s.BytesPerSecond,
 		s.RemoteBytesPerSecond, s.MaxMembers, minBytesPerSecond)
 }
 
-// ownRecord is the record with which the member begins.
+// ownRecord returns the initial record of the local member.
 func (s *Settings) ownRecord() Record {
 	return Record{
 		Name:        s.Name,
--- a/internal/peer/membership/size.go
+++ b/internal/peer/membership/size.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// Size is the number of balancers that share the servers, as an upper and a lower bound since neither is certain.
+// Size is the number of balancers that share the servers, as an upper and a lower bound, because the exact number is
+// not known.
 //
-// A member that is not heard from is not gone: beyond a broken link it goes on sending requests. So MaxBalancers, by
-// which shares and limits are divided, includes dead members, and falls only when a member leaves in order, an operator
-// says that one is gone, or a process replaces another one of its name. No timeout makes it fall: no lease stops an
-// agent from serving, nor should one. MinBalancers, which tells that few share the servers, includes only members
-// that are alive.
+// A member that can't be reached may still run and send requests behind a broken link. MaxBalancers, by which shares
+// and limits are divided, therefore includes dead members. It decreases only when a member leaves in an orderly way, an
+// operator declares a member gone, or a process replaces another one with the same name. It never decreases by a
+// timeout, because no lease stops an agent from serving, by design. MinBalancers includes only members that are alive;
+// it is used to detect that few balancers share the servers.
 type Size struct {
 	MaxBalancers, MinBalancers int
-	Members                    int  // daemons that have not left, this one included
-	Live                       int  // of these, alive or suspect and reachable
-	FromFile                   bool // MaxBalancers is the operator's figure: the view has not settled yet
+	Members                    int  // daemons that have not left, the local one included
+	Live                       int  // of these, members that are alive or suspect, and reachable
+	FromFile                   bool // MaxBalancers is the operator's figure, because the view has not settled yet
 }
 
-// sizeTracker sums up balancers, and publishes a change that allows this member more in small steps.
+// sizeTracker sums up balancers. It publishes changes that allow this member more in small steps.
 type sizeTracker struct {
 	configured   int // the operator's figure
-	maxBalancers int // of members that have not left
-	minBalancers int // of members alive and reachable
-	unreachable  int // members alive or suspect that can't be reached
+	maxBalancers int // balancers of members that have not left
+	minBalancers int // balancers of members that are alive and reachable
+	unreachable  int // number of members that are alive or suspect but can't be reached
 	reported     Size
-	nextStepAt   time.Duration // the next step of a change is due; 0: there is none
+	nextStepAt   time.Duration // when the next step of a change is due; 0: no change is pending
 	started      bool
 }
 
 const (
-	// sizeStepInterval is the time between two steps of a change that allows more. Longer is safer against members
-	// that have not learned of a change yet, and slower to use capacity.
+	// sizeStepInterval is the time between two steps of a change that allows more. A longer interval is safer against
+	// members that have not yet learned of a change, and uses capacity later.
 	sizeStepInterval = time.Second
-	// sizeSteps makes a step this part of the present figure, and at least 1.
+	// sizeSteps divides the current figure to give the size of a step, which is at least 1.
 	sizeSteps = 10
-	// sizeStartPeriod is the time after the start in which MaxBalancers falls at once from the operator's figure to the
-	// view's: little rests on it yet.
+	// sizeStartPeriod is the time after the start in which MaxBalancers changes at once from the operator's figure to a
+	// smaller one of the view, because little depends on it yet.
 	sizeStartPeriod = 10 * time.Second
 )
 
-// add counts a member. It must be removed before its record changes.
+// add counts a member. Before the member's record changes, remove must be called.
 func (t *sizeTracker) add(m *member) { t.count(m, 1) }
 
-// remove takes a member's present record out again.
+// remove subtracts a member's current record again.
 func (t *sizeTracker) remove(m *member) { t.count(m, -1) }
 
 func (t *sizeTracker) count(m *member, sign int) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// start begins with the larger of the operator's figure and the members of the last run.
+// start sets the initial figure: the larger of the operator's figure and the balancers of the members of the last run.
 func (t *sizeTracker) start(v *View) {
 	known := int(v.self.Balancers)
 	for _, r := range v.settings.KnownMembers {
@@ -70,7 +71,8 @@
 	t.publish(v)
 }
 
-// publish emits a SizeChanged where the size has changed: at once what allows less, in steps what allows more.
+// publish emits a SizeChanged if the size has changed. Changes that allow less take effect at once, and changes that
+// allow more in steps.
 func (t *sizeTracker) publish(v *View) {
 	if !t.started {
 		return
@@ -94,7 +96,7 @@
 	}
 }
 
-// target is the size by what is known now.
+// target returns the size by the current view.
 func (t *sizeTracker) target(v *View) Size {
 	size := Size{
 		MaxBalancers: max(t.maxBalancers, 1),
@@ -109,7 +111,7 @@
 	return size
 }
 
-// nextMax is MaxBalancers on its way to the target: a smaller one allows more.
+// nextMax returns the next value of MaxBalancers towards the target. A smaller value allows more.
 func (t *sizeTracker) nextMax(v *View, target Size, stepDue bool) int {
 	present := t.reported.MaxBalancers
 	switch {
@@ -123,7 +125,7 @@
 	return present
 }
 
-// nextMin is MinBalancers on its way to the target: a larger one allows more.
+// nextMin returns the next value of MinBalancers towards the target. A larger value allows more.
 func (t *sizeTracker) nextMin(target Size, stepDue bool) int {
 	present := t.reported.MinBalancers
 	switch {
--- a/internal/peer/membership/size_test.go
+++ b/internal/peer/membership/size_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A member that is not heard from never lets a share grow; an orderly leave and an operator's statement do, in steps.
+// Members that can't be reached never reduce MaxBalancers. An orderly leave and an operator's ForgetMember do, in
+// steps.
 func TestMaxBalancersFallsOnlyByLeaveOrForget(t *testing.T) {
 	v := newTestView(t)
 	learnMembers(v, 20)
@@ -21,11 +22,11 @@
 	for i := 0; v.Size().MaxBalancers > 1; i++ {
 		v.Step(v.Next())
 		if i > 5000 {
-			t.Fatalf("it stays at %d", v.Size().MaxBalancers)
+			t.Fatalf("MaxBalancers stays at %d", v.Size().MaxBalancers)
 		}
 		present := v.Size().MaxBalancers
 		if previous-present > max(1, previous/sizeSteps) {
-			t.Fatalf("from %d to %d in one step", previous, present)
+			t.Fatalf("MaxBalancers falls from %d to %d in one step", previous, present)
 		}
 		previous = present
 	}
@@ -41,20 +42,20 @@
 	}
 	v.sizes.configured = 600
 	learnMembers(v, 299)
-	requireMax("before it has settled", 600)
+	requireMax("before the view has settled", 600)
 	if !v.Size().FromFile {
-		t.Fatal("not the operator's figure")
+		t.Fatal("MaxBalancers is not the operator's figure")
 	}
 	v.settled = true
 	v.Step(v.now + ms)
-	requireMax("settled soon after its start", 300)
+	requireMax("settled soon after the start", 300)
 	if v.Size().FromFile {
-		t.Error("still the operator's figure")
+		t.Error("MaxBalancers is still the operator's figure")
 	}
 	left := testRecord(1)
 	left.State = Left
 	learn(v, left)
 	requireMax("at once after a leave", 300)
 	runUntil(v, v.now+3*sizeStepInterval)
-	requireMax("some steps after it", 299)
+	requireMax("some steps after the leave", 299)
 }
--- a/internal/peer/membership/status.go
+++ b/internal/peer/membership/status.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Members are the records of all known members, this one included, by name, as the daemon and its operators should see
-// them: a member that can't be reached, since its region can't or this member is isolated, is dead. Ages are as of the
-// last step.
+// Members returns the records of all known members, the local one included, by name, as the daemon and its operators
+// see them: members that can't be reached, because their region is unreachable or this member is isolated, are shown as
+// dead. Ages are as of the last step.
 func (v *View) Members() []Record { return v.records(v.effectiveRecord) }
 
-// Records are the same without regard to reachability: what another process continues from.
+// Records returns the records of all known members, without regard to reachability, for another process to continue
+// from.
 func (v *View) Records() []Record { return v.records(v.outgoingRecord) }
 
 func (v *View) records(recordOf func(*member) Record) []Record {
@@ -18,7 +19,7 @@
 	return all
 }
 
-// outgoingRecord is a member's record as it is sent to others.
+// outgoingRecord returns a member's record as it is sent to other members.
 func (v *View) outgoingRecord(m *member) Record {
 	r := m.Record
 	if r.State >= Dead {
@@ -27,7 +28,7 @@
 	return r
 }
 
-// effectiveRecord is a member's record as the daemon and its operators should see it.
+// effectiveRecord returns a member's record as the daemon and its operators see it.
 func (v *View) effectiveRecord(m *member) Record {
 	r := v.outgoingRecord(m)
 	if m.effectiveState() != m.State {
@@ -40,7 +41,7 @@
 
 func ageSeconds(age time.Duration) uint32 { return uint32(max(0, age) / time.Second) }
 
-// Addr is the address of a member; empty: it is not known.
+// Addr returns the address of a member, or "" if the member is not known.
 func (v *View) Addr(name string) string {
 	if name == v.self.Name {
 		return v.self.Addr
@@ -51,7 +52,8 @@
 	return ""
 }
 
-// Since is when a member's present state, as Members shows it, began in this view; 0: the member is not known.
+// Since returns when a member's current state, as Members shows it, began in this view. It returns 0 if the member is
+// not known.
 func (v *View) Since(name string) time.Duration {
 	m := v.members[name]
 	if m == nil {
@@ -63,27 +65,28 @@
 	return m.stateSince
 }
 
-// DatagramNumber is the number of the last datagram sent. A process that takes over continues from it.
+// DatagramNumber returns the number of the last datagram sent. A successor continues from it.
 func (v *View) DatagramNumber() uint64 { return v.datagramNumber }
 
-// Uptime is how long this process, with those that it took over from, has run.
+// Uptime returns how long this process has run, including the predecessors that it took over from.
 func (v *View) Uptime() time.Duration { return v.now - v.self.stateSince + v.settings.Uptime }
 
-// Local is this member's record.
+// Local returns the local member's record.
 func (v *View) Local() Record { return v.self.Record }
 
-// Digest is a digest of the view: two members with the same digest have the same records.
+// Digest returns a digest of the view: members with the same digest have the same records.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Health is Lifeguard's local health: 0 where this member receives all that it should, and more, up to 8, where it is
-// slow or badly connected.
+// Health returns Lifeguard's local health: 0 if this member receives all expected answers, and up to 8 if it is slow or
+// badly connected.
 func (v *View) Health() int { return v.localHealth }
 
-// Yields reports whether another process keeps this member's name, so that this one takes no part in the protocol.
+// Yields reports whether another process keeps this member's name, so that this process does not take part in the
+// protocol.
 func (v *View) Yields() bool { return v.yielding }
 
-// OwnsName reports whether this member has its name for itself, as far as it can know: it has joined the fleet, or
-// tried to for a while, and no other process is known by the name.
+// OwnsName reports whether, to this member's knowledge, no other process uses its name: it has joined the fleet or has
+// tried to for a while, and knows of no other process with the name.
 func (v *View) OwnsName() bool {
 	if v.yielding || v.nameClaim.dueAt != 0 {
 		return false
@@ -91,16 +94,16 @@
 	return v.joined || v.contacted || v.now-v.self.stateSince > yieldCheckInterval
 }
 
-// Joined reports whether this process has joined the fleet, or knows of nobody to join.
+// Joined reports whether this process has joined the fleet or has no addresses to join through.
 func (v *View) Joined() bool { return v.joined }
 
-// Traffic counts what was sent and received so far.
+// Traffic returns the counts of datagrams and bytes so far.
 func (v *View) Traffic() Traffic { return v.traffic }
 
-// Size is the number of balancers that share the servers.
+// Size returns the number of balancers that share the servers.
 func (v *View) Size() Size { return v.sizes.reported }
 
-// Isolated reports whether no member is heard from.
+// Isolated reports whether this member receives datagrams from no other member.
 func (v *View) Isolated() bool { return v.isolated }
 
 // HasLeft reports whether the leave has been gossiped as often as it should be.
--- a/internal/peer/membership/suspicion.go
+++ b/internal/peer/membership/suspicion.go
@@ -6,41 +6,43 @@
 	"time"
 )
 
-// suspicion is the state of a member that did not answer a probe, until it refutes by a higher incarnation or its
-// timeout declares it dead.
+// suspicion is the state of a suspect: a member that did not answer a probe. It lasts until the suspect refutes it with
+// a higher incarnation, or until it times out and the suspect is declared dead.
 type suspicion struct {
 	startedAt    time.Duration
-	reporters    []string // members that each failed to probe it
-	reportedHere bool     // this member is one of them
+	reporters    []string // names of members whose probes of the suspect failed
+	reportedHere bool     // this member is a reporter
 }
 
 const (
-	// maxSuspicionFactor is how many times the least timeout a suspicion with one reporter lasts. Larger protects more
-	// against one reporter that is at fault itself, and finds crashes later that few members notice.
+	// maxSuspicionFactor is the ratio of the longest suspicion timeout, with one reporter, to the shortest. A larger
+	// factor protects better against a reporter that is itself at fault, and delays the detection of crashes that few
+	// members notice.
 	maxSuspicionFactor = 3
-	// maxExtraReporters is the number of further reporters that bring the timeout down to the least (Lifeguard's k).
+	// maxExtraReporters is the number of further reporters that reduce the timeout to the shortest (Lifeguard's k).
 	maxExtraReporters = 3
-	// maxRefutedSuspicions bounds the exponent of the time in which this member does not suspect a member again: 16 s.
+	// maxRefutedSuspicions bounds the exponent of the backoff before this member suspects the same member again: 16 s.
 	maxRefutedSuspicions = 4
-	// minMembersForBackoff is the number of other live members from which on that time applies.
+	// minMembersForBackoff is the minimum number of other live members for that backoff.
 	minMembersForBackoff = 2
 )
 
-// minSuspicion is the least timeout of a suspicion, without the round trip: it grows with the logarithm of the region's
-// size, since a refutation takes longer to spread there.
+// minSuspicion returns the shortest suspicion timeout, without the round trip. It grows with the logarithm of the
+// region's size, because a refutation takes longer to spread in a larger region.
 func (v *View) minSuspicion() time.Duration {
 	size := float64(len(v.localRegion.live) + 1)
 	return time.Duration(float64(v.settings.MinSuspicion) * max(1, math.Log10(size)/2))
 }
 
-// suspicionTimeout is how long a member's suspicion lasts: from three times the least with one reporter down to the
-// least with four, by the logarithm of their number (Lifeguard's dynamic suspicion timeout), and a round trip for the
-// suspicion to reach the member and the refutation to come back.
+// suspicionTimeout returns how long the suspicion of a member lasts. It falls from three times the shortest timeout
+// with one reporter to the shortest with four, by the logarithm of their number (Lifeguard's dynamic suspicion
+// timeout). A round trip is added, in which the suspicion reaches the member and the refutation returns.
 //
-// From a crash until a member is shown dead it takes: until it is probed, 0.92 s at the 99th percentile (4.6 probe
-// intervals); the probe timeout (100 ms, or its round trip) and the indirect timeout (150 ms); and this timeout, 1.7 s with
-// four reporters up to 5.1 s with one in fleets up to 100, more by the logarithm of the size. So 2 to 3 s as a rule, and
-// some 6 s at worst. A prober that is itself unhealthy takes up to nine times as long to probe.
+// The time from a crash until the member is shown as dead is the sum of the time until it is probed, 0.92 s at the 99th
+// percentile (4.6 probe intervals); the probe timeout (100 ms, or the round trip) and the indirect timeout (150 ms);
+// and this timeout: 1.7 s with four reporters up to 5.1 s with one in fleets up to 100, and longer in larger fleets by
+// the logarithm of their size. That is usually 2 to 3 s, and about 6 s at worst. A prober that is itself unhealthy
+// takes up to nine times as long to probe.
 func (v *View) suspicionTimeout(m *member) time.Duration {
 	shortest := v.minSuspicion()
 	roundTrip := v.roundTripTimeout(m)
@@ -53,7 +55,7 @@
 	return max(shortest, longest-time.Duration(part*float64(longest-shortest))) + roundTrip
 }
 
-// suspect reports that a member did not answer this one's probe.
+// suspect records and gossips that a member did not answer a probe by this member.
 func (v *View) suspect(m *member) {
 	if m.State == Alive {
 		r := m.Record
@@ -67,7 +69,7 @@
 	}
 }
 
-// addReporter counts a reporter of a suspicion, once, and gossips its report.
+// addReporter adds a reporter to a suspicion, if it is new and not one too many, and gossips its report.
 func (v *View) addReporter(m *member, reporter string) {
 	s := m.suspicion
 	if reporter == "" || reporter == m.Name || slices.Contains(s.reporters, reporter) || len(s.reporters) > maxExtraReporters {
@@ -78,7 +80,7 @@
 	v.updates.put(m, reporter)
 }
 
-// updateSuspicion begins or ends a member's suspicion where its record has changed.
+// updateSuspicion starts or ends the suspicion of a member whose record has changed.
 func (v *View) updateSuspicion(m *member, previous *Record) {
 	ended := m.State != Suspect || m.Incarnation != previous.Incarnation || m.RunID != previous.RunID
 	if s := m.suspicion; s != nil && ended {
@@ -95,7 +97,7 @@
 	}
 }
 
-// swapRemove removes a member from a list; the last one takes its place.
+// swapRemove removes a member from a list; the last member of the list takes its place.
 func swapRemove(list []*member, m *member) []*member {
 	i := slices.Index(list, m)
 	if i < 0 {
@@ -105,15 +107,15 @@
 	return list[:len(list)-1]
 }
 
-// suspicionsDue declares dead the members that have not refuted in time.
-func (v *View) suspicionsDue() {
+// expireSuspicions declares dead the suspects that have not refuted in time.
+func (v *View) expireSuspicions() {
 	if len(v.suspects) == 0 || v.now < v.suspicionsAt {
 		return
 	}
 	v.suspicionsAt = never
 	for i := 0; i < len(v.suspects); {
 		m := v.suspects[i]
-		if !v.settings.Baseline.NoLifeguard { // it has answered since: its refutation is still on its way
+		if !v.settings.Baseline.NoLifeguard { // if the suspect has answered since, its refutation is still under way
 			m.suspicion.startedAt = max(m.suspicion.startedAt, m.lastConfirmed())
 		}
 		end := m.suspicion.startedAt + v.suspicionTimeout(m)
@@ -122,13 +124,13 @@
 			i++
 			continue
 		}
-		v.declareDead(m, reasonNotRefuted) // which removes it from the list
+		v.declareDead(m, reasonNotRefuted) // this also removes m from v.suspects
 	}
 }
 
 func (v *View) declareDead(m *member, reason string) { v.report(m, Dead, reason) }
 
-// report records a state that this member is the first to report, and queues it for gossip.
+// report sets the state of a member with this member as the reporter, and queues it for gossip.
 func (v *View) report(m *member, state State, reason string) {
 	r := m.Record
 	r.State = state
@@ -138,9 +140,10 @@
 	v.queueUpdate(m, "")
 }
 
-// suspicionRefuted notices that a suspect refuted. If this member suspected it wrongly, since it can't reach it, it
-// waits longer before it does so again: other members, which can, will notice its death. That covers pairs of members
-// that can't hear each other while others hear both; where there are only two members it would do harm.
+// suspicionRefuted handles a suspect's refutation. If this member reported the suspicion, it waits longer before it
+// suspects the same member again. This covers pairs of members that can't reach each other while others reach both: the
+// others notice if one of the pair dies. In a fleet of only two members there are no others, so that the backoff would
+// only delay the detection of a crash.
 func (v *View) suspicionRefuted(m *member, s *suspicion) {
 	if !s.reportedHere || len(v.live) < minMembersForBackoff {
 		return
--- a/internal/peer/membership/suspicion_test.go
+++ b/internal/peer/membership/suspicion_test.go
@@ -13,7 +13,7 @@
 			received := withState(v.Local(), state)
 			gossipFrom(v, testRecord(0), received)
 			if own := v.Local(); own.State != Alive || own.Incarnation != received.Incarnation+1 {
-				t.Errorf("its own record is %+v", own)
+				t.Errorf("the member's own record is %+v", own)
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 			return
 		}
 	}
-	t.Error("the reporter receives nothing")
+	t.Error("the reporter does not receive the refutation")
 }
 
 func TestGossipedDeathOfARecentSenderBecomesASuspicion(t *testing.T) {
@@ -67,12 +67,12 @@
 	v.Step(v.now+ms, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{refutation}}))
 	v.probeFailed(&probe{target: "m1"})
 	if m.State != Alive {
-		t.Error("suspected again at once")
+		t.Error("the member is suspected again at once")
 	}
 	v.now = m.noSuspicionBefore + ms
 	v.probeFailed(&probe{target: "m1"})
 	if m.State != Suspect {
-		t.Error("never suspected again")
+		t.Error("the member is never suspected again")
 	}
 }
 
@@ -88,7 +88,7 @@
 	actions := v.Step(2*ms, datagramFrom(testRecord(0), 1, Message{Kind: Gossip, Updates: []Record{r}}))
 	got := sentOfKind(actions, Gossip)
 	if len(got) == 0 || got[0].To != testRecord(0).Addr || got[0].Message.Updates[0].Incarnation != 5 {
-		t.Errorf("of another member it sends %+v", got)
+		t.Errorf("gossip about another member: %+v", got)
 	}
 
 	own := withState(v.Local(), Suspect)
@@ -96,7 +96,7 @@
 	v.updates = updateQueue{}
 	actions = v.Step(4*ms, datagramFrom(testRecord(0), 3, Message{Kind: Gossip, Updates: []Record{own}}))
 	if len(sentOfKind(actions, Gossip)) == 0 {
-		t.Error("of itself it sends nothing")
+		t.Error("the member does not gossip about itself")
 	}
 }
 
@@ -108,7 +108,7 @@
 	shortest := v.minSuspicion() + unknownRoundTripTimeout
 	previous := v.suspicionTimeout(m)
 	if want := maxSuspicionFactor*v.minSuspicion() + unknownRoundTripTimeout; previous != want {
-		t.Fatalf("with one reporter %v, want %v", previous, want)
+		t.Fatalf("timeout with one reporter %v, want %v", previous, want)
 	}
 	for _, reporter := range []string{"m2", "m3", "m4"} {
 		r := m.Record
@@ -116,13 +116,13 @@
 		v.merge(r, reasonGossip)
 		timeout := v.suspicionTimeout(m)
 		if timeout >= previous {
-			t.Errorf("after %s %v, before %v", reporter, timeout, previous)
+			t.Errorf("timeout after the report of %s %v, before %v", reporter, timeout, previous)
 		}
 		previous = timeout
 		v.merge(r, reasonGossip) // a reporter counts once
 	}
 	if previous != shortest || len(m.suspicion.reporters) != 4 {
-		t.Errorf("%v with %v, want %v", previous, m.suspicion.reporters, shortest)
+		t.Errorf("timeout %v with reporters %v, want %v", previous, m.suspicion.reporters, shortest)
 	}
 }
 
@@ -130,11 +130,11 @@
 	v := newTestView(t)
 	learnMembers(v, 6)
 	v.suspect(v.members["m1"])
-	for range 100 { // its refutation never comes
+	for range 100 { // the refutation never arrives
 		v.Step(v.now+100*ms, datagramFrom(testRecord(1), uint64(v.now), Message{Kind: Gossip}))
 	}
 	if got := stateOf(v, "m1"); got == Dead {
-		t.Error("dead, although its datagrams came all the time")
+		t.Error("the member is dead, although its datagrams kept arriving")
 	}
 }
 
@@ -152,6 +152,6 @@
 	near := timeoutAt(2 * ms)
 	far := timeoutAt(250 * ms)
 	if far-near < 240*ms || far-near > 400*ms {
-		t.Errorf("near %v, far %v", near, far)
+		t.Errorf("timeout of a near member %v, of a far one %v", near, far)
 	}
 }
