--- a/internal/peer/membership/updates.go
+++ b/internal/peer/membership/updates.go
@@ -6,46 +6,49 @@
 )
 
 const (
-	// retransmitFactor is how often each update is sent, times the binary logarithm of the region's size (SWIM, 4.1,
-	// lambda). Larger reaches members more surely at loss, and costs more bytes.
+	// retransmitFactor times the binary logarithm of the region's size is the number of times that each update is sent
+	// (lambda in SWIM, section 4.1). A larger factor is more reliable under loss and costs more bytes.
 	retransmitFactor = 3
-	// lostTransmissionFactor is how many times as often an update is sent to members that do not seem to hear this one.
+	// lostTransmissionFactor times maxTransmissions is the number of transmissions to members that seem not to receive
+	// this one's datagrams.
 	lostTransmissionFactor = 3
-	// gossipFanout is the number of members that updates are sent to at a time, besides probes.
+	// gossipFanout is the number of members that receive updates in each gossip round, in addition to probes.
 	gossipFanout = 3
-	// gossipInterval is the time between two such rounds. Shorter spreads updates faster and fills datagrams less.
+	// gossipInterval is the time between two gossip rounds. A shorter interval spreads updates faster in smaller
+	// datagrams.
 	gossipInterval = 100 * time.Millisecond
-	// maxRecentSenders bounds the members that are remembered as having sent a datagram last.
+	// maxRecentSenders is the number of members kept in View.recentSenders.
 	maxRecentSenders = 8
-	// recentSenderAge is how long ago a datagram of such a member may have come: in fleets up to 15 every member that
-	// can be heard probes or answers within it.
+	// recentSenderAge is the maximum age of a recent sender's last datagram. In fleets up to 15, every member that this
+	// one can receive from probes it or answers it within that time.
 	recentSenderAge = 3 * time.Second
 )
 
-// updateQueue holds the updates that are gossiped, by how often each was sent: the least often sent goes first.
+// updateQueue holds the updates to gossip. Updates that were sent the fewest times are sent first.
 type updateQueue struct {
-	levels [][]*queuedUpdate // by sent
+	levels [][]*queuedUpdate // indexed by queuedUpdate.sent
 	index  map[updateKey]*queuedUpdate
 }
 
 type updateKey struct{ name, reporter string }
 
-// queuedUpdate is a member's state as of when it was queued. The record that is sent is the member's present one.
+// queuedUpdate identifies the state of a member when the update was queued. The record that is sent is the member's
+// current one.
 type queuedUpdate struct {
 	member      *member
-	reporter    string // of a suspicion: there may be several
+	reporter    string // reporter of a suspicion, which may have several; else empty
 	boot        uint64
 	runID       uint64
 	incarnation uint32
 	state       State
-	sent        int  // times sent to members that seem to hear this one
-	lost        int  // times sent to members that do not
-	removed     bool // another one replaced it, or it was sent often enough
+	sent        int  // number of times sent to members that seem to receive datagrams from this one
+	lost        int  // number of times sent to members that seem not to
+	removed     bool // replaced by a newer update, or sent often enough
 }
 
 func (q *updateQueue) empty() bool { return len(q.index) == 0 }
 
-// put queues a member's present state. reporter is one of the reporters of a suspicion, else empty.
+// put queues a member's current state. reporter is one of the reporters of a suspicion, else empty.
 func (q *updateQueue) put(m *member, reporter string) {
 	if q.index == nil {
 		q.index = map[updateKey]*queuedUpdate{}
@@ -73,7 +76,7 @@
 	q.levels[level] = append(q.levels[level], u)
 }
 
-// isStale reports whether the member's state is no longer the one that was queued.
+// isStale reports whether the update was removed or the member's state has changed since it was queued.
 func (u *queuedUpdate) isStale() bool {
 	m := u.member
 	return u.removed || m.Boot != u.boot || m.RunID != u.runID || m.Incarnation != u.incarnation || m.State != u.state
@@ -87,7 +90,7 @@
 	u.removed = true
 }
 
-// removeAbout removes the updates about some members.
+// removeAbout removes the updates about members that match.
 func (q *updateQueue) removeAbout(matches func(*member) bool) {
 	for _, level := range q.levels {
 		for _, u := range level {
@@ -98,24 +101,24 @@
 	}
 }
 
-// maxTransmissions is how often each update is sent within the region.
+// maxTransmissions returns the number of times that each update is sent within the region.
 func (v *View) maxTransmissions() int {
 	return retransmitFactor * int(math.Ceil(math.Log2(float64(len(v.localRegion.live)+2))))
 }
 
-// updateFill is one datagram that is being filled up with updates.
+// updateFill is a datagram that is being filled with updates.
 type updateFill struct {
 	message          *Message
-	size             int  // bytes so far
-	likelyLost       bool // the receiver does not seem to hear this member
+	size             int  // current size in bytes
+	likelyLost       bool // the receiver seems not to receive datagrams from this member
 	maxTransmissions int
 
 	included map[string]bool // names of members with an update in the message
 	full     bool            // an update did not fit
-	sent     []*queuedUpdate // that go to the next level
+	sent     []*queuedUpdate // updates to move to the next level
 }
 
-// add puts an update into the message. It reports false if the member has one there already, or the message is full.
+// add adds an update to the message. It reports false if the message already has an update of that member or is full.
 func (f *updateFill) add(v *View, u *queuedUpdate) bool {
 	if f.included[u.member.Name] {
 		return false
@@ -135,7 +138,7 @@
 	return true
 }
 
-// countTransmission counts that an update was sent, and reports whether it was sent often enough.
+// countTransmission counts a transmission of an update, and reports whether the update has been sent often enough.
 func (f *updateFill) countTransmission(u *queuedUpdate) bool {
 	if f.likelyLost {
 		u.lost++
@@ -145,7 +148,7 @@
 	return u.sent >= f.maxTransmissions || u.lost >= lostTransmissionFactor*f.maxTransmissions
 }
 
-// fill adds updates to a datagram as long as they fit, the least often sent first.
+// fill adds updates to a datagram as long as they fit, starting with those that were sent the fewest times.
 func (q *updateQueue) fill(v *View, f *updateFill) {
 	if q.empty() {
 		return
@@ -165,7 +168,7 @@
 	}
 }
 
-// fillFrom adds the updates of one level, and returns those that stay in it.
+// fillFrom adds updates of one level to a datagram, and returns the updates that stay in the level.
 func (q *updateQueue) fillFrom(v *View, level []*queuedUpdate, f *updateFill) []*queuedUpdate {
 	remaining := level[:0]
 	for i, u := range level {
@@ -194,8 +197,8 @@
 	return remaining
 }
 
-// queueUpdate queues a member's state for its own region, and, if the member is of that region, for the regions that
-// this member watches. A suspicion stays in the region; its end does not.
+// queueUpdate queues a member's state for gossip in this region and, if the member belongs to this region, also for the
+// regions that this member watches. Suspicions are not sent to other regions, but their outcomes are.
 func (v *View) queueUpdate(m *member, reporter string) {
 	v.updates.put(m, reporter)
 	if v.isRemote(m) || m.State == Suspect {
@@ -208,16 +211,16 @@
 	}
 }
 
-// announce gossips a change of a member's record that this member made itself.
+// announce gossips a change of the record of the local member m.
 func (v *View) announce(m *member) {
 	v.updateDigest(m)
 	v.queueUpdate(m, "")
 	v.saveSoon()
 }
 
-// gossipDue sends updates to a few members, besides what probes carry: to some whose datagrams came last, so that
-// updates find a way where most members can't hear most others, and to random ones.
-func (v *View) gossipDue() {
+// runGossip sends updates to a few members, in addition to those that probes carry. It selects recent senders, so that
+// updates spread even if most pairs of members can't reach each other, and random members.
+func (v *View) runGossip() {
 	if v.updates.empty() || v.now < v.gossipAt {
 		return
 	}
@@ -239,13 +242,14 @@
 	for _, m := range v.sample(v.localRegion.live, gossipFanout, func(m *member) bool { return !m.unresponsive }) {
 		gossip(m)
 	}
-	// It may be this member that can't receive.
+	// Members that seem unresponsive are included as well, because this member itself may be unable to receive.
 	for _, m := range v.sample(v.localRegion.live, 1, func(m *member) bool { return m.unresponsive }) {
 		gossip(m)
 	}
 }
 
-// recordSender moves a member of this region to the front of the recent senders.
+// recordSender records that a datagram of a member arrived. A member of this region moves to the front of the recent
+// senders.
 func (v *View) recordSender(m *member) {
 	m.receivedAt = v.now
 	m.unresponsive = false
@@ -260,7 +264,7 @@
 		if at < maxRecentSenders {
 			v.recentSenders = append(v.recentSenders, "")
 		} else {
-			at-- // the oldest one is forgotten
+			at-- // drops the oldest sender
 		}
 	}
 	copy(v.recentSenders[1:at+1], v.recentSenders[:at])
--- a/internal/peer/membership/view.go
+++ b/internal/peer/membership/view.go
@@ -8,109 +8,109 @@
 )
 
 const (
-	// never is a time that does not come. It is half of what a Duration holds, so that differences with it fit.
+	// never is a time that is never reached. It is half of the maximum Duration, so that differences don't overflow.
 	never = time.Duration(math.MaxInt64 / 2)
 
-	// saveDelay and saveJitter put off a SaveView, so that one write covers many changes and members on one disk do
-	// not write together. Longer loses more on a crash, shorter writes more often.
+	// saveDelay and saveJitter delay a SaveView, so that one write covers many changes and members that share a disk
+	// don't write at the same time. A longer delay loses more in a crash; a shorter one writes more often.
 	saveDelay  = 2 * time.Second
 	saveJitter = time.Second
 
-	// maxSleepAfterLeave is when a member that has left wants to be stepped again.
+	// maxSleepAfterLeave is the time until the next step of a member that has left.
 	maxSleepAfterLeave = time.Hour
-	// minStepInterval bounds how often a View wants to be stepped.
+	// minStepInterval is the minimum time between two steps that View.Next requests.
 	minStepInterval = time.Millisecond
 )
 
-// View is one member's view of the fleet. It belongs to one goroutine: none of its methods may be called concurrently.
+// View is one member's view of the fleet. Its methods must not be called concurrently.
 type View struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // of the present step
-	wakeAt   time.Duration // the earliest timer, as of the end of the last step
-	actions  []Action      // of the present step
+	now      time.Duration // time of the current step
+	wakeAt   time.Duration // when the next step is due: the earliest timer at the end of the last step
+	actions  []Action      // actions of the current step
 	started  bool          // the first step has been made
 	traffic  Traffic
-	saveAt   time.Duration // a SaveView is due; 0: none
+	saveAt   time.Duration // when a SaveView is due; 0: none is
 
 	// Members.
 	self          *member
-	members       map[string]*member // this one included
-	sortedNames   []string           // of all members: random draws must not depend on a map's order
-	live          []*member          // alive or suspect, without this one
+	members       map[string]*member // all members by name, the local one included
+	sortedNames   []string           // names of all members; random draws must not depend on the map's order
+	live          []*member          // other members that are alive or suspect
 	dead          []*member
 	regions       map[string]*region
-	sortedRegions []*region // the same, by name
+	sortedRegions []*region // all regions, sorted by name
 	localRegion   *region
-	digest        uint64 // over all records
+	digest        uint64 // digest of all records
 	sizes         sizeTracker
 	cleanupAt     time.Duration
 
 	// Failure detection.
-	probeAt         time.Duration // the next probe
-	probeOrder      []string      // to be probed next, shuffled; the last one first
-	zoneProbeOrder  []string      // the same, for this member's zone
+	probeAt         time.Duration // when the next probe is due
+	probeOrder      []string      // shuffled names of the next targets; the last name is next
+	zoneProbeOrder  []string      // the same for this member's zone
 	lastProbeInZone bool          // the last target came from zoneProbeOrder
-	probes          []*probe      // that await an ack
+	probes          []*probe      // probes that wait for an ack
 	timedOut        []timedOutProbe
-	relayed         []*relayedRequest // that this member sent on behalf of others
+	relayed         []*relayedRequest // requests that this member sent on behalf of others
 	lastSeq         uint32            // sequence number of the last probe
-	lastHelper      string            // through which any member was last reached
+	lastHelper      string            // the last helper through which any member was reached
 	localities      map[locality]*roundTrip
 	suspects        []*member
-	suspicionsAt    time.Duration // the earliest end of a suspicion, or before it
-	regionsCheckAt  time.Duration // watchers and reachability of regions are checked
+	suspicionsAt    time.Duration // when suspicions are checked: no later than the first one ends
+	regionsCheckAt  time.Duration // when watchers and reachability of regions are checked
 
 	// This member's own condition.
 	localHealth      int           // Lifeguard's local health multiplier; 0: healthy
 	lateStepAt       time.Duration // when a step last came late
 	recentMisses     uint8         // one bit for each of the last probes; 1: missed
-	partitionedUntil time.Duration // most members seemed to be beyond a partition not long ago
-	sweepOrder       []string      // to be probed additionally during a partition
-	lastReceivedAt   time.Duration // a datagram of any member came
-	isolated         bool          // no datagram of any member comes
+	partitionedUntil time.Duration // until then, a recent sign of a partition is taken into account
+	sweepOrder       []string      // names of members to probe additionally during a partition
+	lastReceivedAt   time.Duration // when the last datagram of any member arrived
+	isolated         bool          // no datagrams arrive from any member
 	isolatedAt       time.Duration
 
-	// Gossip and what may be sent.
+	// Gossip and budgets for sending.
 	updates            updateQueue
 	gossipAt           time.Duration
-	recentSenders      []string // whose datagrams came, the latest first
-	datagramNumber     uint64   // of the last datagram sent
+	recentSenders      []string // names of members whose datagrams arrived last, the latest first
+	datagramNumber     uint64   // number of the last datagram sent
 	budget             tokenBucket
-	remoteBudget       tokenBucket        // of datagrams to other regions
-	streamBudget       tokenBucket        // of streams
-	remoteStreamBudget tokenBucket        // of streams to other regions
-	remoteAddrs        map[string]*region // by address, of members of other regions
-	remoteOwners       map[string]*member // the same addresses: whose record says so
+	remoteBudget       tokenBucket        // budget for datagrams to other regions
+	streamBudget       tokenBucket        // budget for streams
+	remoteStreamBudget tokenBucket        // budget for streams to other regions
+	remoteAddrs        map[string]*region // regions of members of other regions, by address
+	remoteOwners       map[string]*member // the members that have these addresses
 
-	// Joining, and agreement with others.
+	// Joining, and convergence with other views.
 	exchange    exchangeState
-	reconnectAt time.Duration // a dead member is contacted
-	seedRetryAt time.Duration // a seed is contacted again
-	joined      bool          // an exchange that this member opened has succeeded, or there is nobody to join
+	reconnectAt time.Duration // when the next dead member is contacted
+	seedRetryAt time.Duration // when the next seed is contacted again
+	joined      bool          // an exchange that this member opened has succeeded, or there is no address to join by
 	contacted   bool          // an exchange that another member opened has succeeded
-	settled     bool          // the view has agreed with another one's: Size no longer rests on ConfiguredBalancers
+	settled     bool          // the view was equal to another member's: Size no longer uses ConfiguredBalancers
 
 	// This member's name, and its leave.
 	nameClaim       nameClaim
-	yielding        bool // another process keeps this member's name: it sends nothing but identity requests
+	yielding        bool // another process keeps this member's name: this one sends only identity requests
 	isLeaving       bool
-	leaveRoundsLeft int // times that the leave is still to be gossiped
+	leaveRoundsLeft int // number of times that the leave is still to be gossiped
 	leaveRoundAt    time.Duration
 }
 
-// Traffic counts what was sent and received so far.
+// Traffic counts datagrams and bytes since the View was created.
 type Traffic struct {
 	Datagrams, Bytes                 uint64 // sent
-	Exchanges, ExchangeBytes         uint64 // opened by this member; bytes sent on streams
+	Exchanges, ExchangeBytes         uint64 // exchanges opened by this member; bytes sent on streams
 	Received                         uint64 // valid datagrams
-	Stale                            uint64 // of these, from an earlier process or too old
-	Withheld                         uint64 // datagrams that the budget did not allow
-	RemoteBytes, RemoteExchangeBytes uint64 // of the bytes sent, to other regions
+	Stale                            uint64 // of these, datagrams from an earlier process or with an old number
+	Withheld                         uint64 // datagrams not sent because the budget was used up
+	RemoteBytes, RemoteExchangeBytes uint64 // of the bytes sent, those to other regions
 }
 
-// New returns a View that knows itself, and, with Settings.TakesOver, after its first step what the replaced process
-// knew. It returns an error if a setting is out of bounds.
+// New returns a View that knows only the local member. With Settings.TakesOver its first step adds the members that the
+// predecessor knew. New returns an error if a setting is out of range.
 func New(settings Settings, seed uint64) (*View, error) {
 	settings = settings.withDefaults()
 	own := settings.ownRecord()
@@ -147,7 +147,7 @@
 	return v, nil
 }
 
-// start begins all timers, in the first step.
+// start sets all timers, in the first step.
 func (v *View) start() {
 	v.budget.start(v.now)
 	v.remoteBudget.start(v.now)
@@ -170,7 +170,7 @@
 	v.announce(v.self)
 }
 
-// takeOver trusts the records of the process that this one replaces.
+// takeOver adds the records of the process that this one replaces.
 func (v *View) takeOver() {
 	v.joined = true
 	v.settled = true
@@ -179,18 +179,18 @@
 			v.merge(r, reasonHandoff)
 		}
 	}
-	v.updates = updateQueue{} // other members know all that
+	v.updates = updateQueue{} // other members already know these records
 }
 
-// randomUpTo is a random time from 0 up to a limit.
+// randomUpTo returns a random duration from 0 up to a limit.
 func (v *View) randomUpTo(limit time.Duration) time.Duration {
 	return time.Duration(v.rng.Float64() * float64(limit))
 }
 
-// Next is when the View must be stepped again at the latest, if no event comes before.
+// Next returns the latest time for the next step if no event occurs before.
 func (v *View) Next() time.Duration { return v.wakeAt }
 
-// Step processes the events up to now, in order, and then the timers that are due. It returns the actions to execute.
+// Step handles the events in order, and then the timers that are due at now. It returns the actions to execute.
 func (v *View) Step(now time.Duration, events ...Event) []Action {
 	v.now = max(now, v.now)
 	v.actions = nil
@@ -234,28 +234,28 @@
 	}
 }
 
-// runTimers executes the timers that are due. A member that yields its name only checks whether the name is free, and
-// answers identity requests; one that leaves only gossips its leave.
+// runTimers handles the timers that are due. A member that yields its name only checks whether the name is free and
+// handles identity requests; a member that leaves only gossips its leave.
 func (v *View) runTimers() {
 	if v.isLeaving {
-		v.leaveDue()
+		v.runLeave()
 		return
 	}
-	v.nameClaimDue()
-	v.relayedDue()
+	v.advanceNameClaim()
+	v.expireRelayedRequests()
 	if v.yielding {
 		return
 	}
-	v.regionsDue()
-	v.isolationDue()
-	v.probesDue()
-	v.watchedRegionsDue()
-	v.suspicionsDue()
-	v.gossipDue()
-	v.exchangeDue()
-	v.reconnectDue()
-	v.seedRetryDue()
-	v.cleanupDue()
+	v.updateRegions()
+	v.checkIsolation()
+	v.runProbes()
+	v.runWatchedRegions()
+	v.expireSuspicions()
+	v.runGossip()
+	v.runExchange()
+	v.reconnectDead()
+	v.retrySeeds()
+	v.removeLongLeft()
 	v.sizes.publish(v)
 	if v.saveAt > 0 && v.now >= v.saveAt {
 		v.saveAt = 0
@@ -263,17 +263,17 @@
 	}
 }
 
-// earliest keeps the earliest of several timers.
+// earliest computes the earliest of several timers.
 type earliest struct{ at time.Duration }
 
-// add takes a timer into account; 0: it is not set.
+// add takes a timer into account; 0 means that the timer is not set.
 func (e *earliest) add(at time.Duration) {
 	if at > 0 {
 		e.at = min(e.at, at)
 	}
 }
 
-// nextTimer is when the View must be stepped again.
+// nextTimer returns when the View must be stepped again.
 func (v *View) nextTimer() time.Duration {
 	if !v.isLeaving {
 		return max(v.earliestTimer(), v.now+minStepInterval)
@@ -284,7 +284,7 @@
 	return v.now + maxSleepAfterLeave
 }
 
-// earliestTimer is when the first of the timers is due that runTimers executes.
+// earliestTimer returns the earliest of the timers that runTimers handles.
 func (v *View) earliestTimer() time.Duration {
 	next := earliest{never}
 	next.add(v.nameClaim.dueAt)
@@ -320,7 +320,7 @@
 
 func (v *View) emit(a Action) { v.actions = append(v.actions, a) }
 
-// saveSoon emits a SaveView within a few seconds.
+// saveSoon schedules a SaveView within a few seconds, unless one is scheduled already.
 func (v *View) saveSoon() {
 	if v.saveAt == 0 {
 		v.saveAt = v.now + saveDelay + v.randomUpTo(saveJitter)
--- a/internal/peer/membership/view_test.go
+++ b/internal/peer/membership/view_test.go
@@ -33,7 +33,7 @@
 			digests[v.Digest()] = true
 		}
 		if len(digests) != 1 {
-			t.Errorf("%d views of the same records", len(digests))
+			t.Errorf("%d different views of the same records", len(digests))
 		}
 	})
 }
@@ -61,7 +61,7 @@
 				}
 			}
 			if own := v.Local(); own.State != Alive || own.Name != "me" {
-				t.Fatalf("its own record is %+v", own)
+				t.Fatalf("the member's own record is %+v", own)
 			}
 			requireConsistentLists(t, v)
 			requireConsistentRegions(t, v)
@@ -127,7 +127,7 @@
 	}}
 }
 
-// requireConsistentLists compares the lists and sums of a view with its records.
+// requireConsistentLists fails the test unless the lists and sums of a view agree with its records.
 func requireConsistentLists(t *rapid.T, v *View) {
 	live, dead, maxBalancers := 0, 0, 0
 	for _, r := range v.Records() {
@@ -161,7 +161,7 @@
 	}
 }
 
-// requireConsistentRegions compares the lists of the regions with those of the view.
+// requireConsistentRegions fails the test unless the lists of the regions agree with those of the view.
 func requireConsistentRegions(t *rapid.T, v *View) {
 	live, dead := 0, 0
 	for _, r := range v.sortedRegions {
@@ -210,7 +210,7 @@
 	})
 }
 
-// An old datagram, of an earlier process or far behind, changes nothing.
+// Datagrams from an earlier process, or with a number far behind, are ignored.
 func TestStaleDatagramsChangeNothing(t *testing.T) {
 	v := newTestView(t)
 	learnMembers(v, 2)
@@ -226,7 +226,7 @@
 	}
 }
 
-// The fleet of two years from now is known without a setting, and members beyond the bound are not.
+// The default limit allows the fleet size expected in two years; members beyond the limit are not added.
 func TestDefaultMaxMembersHoldsTwelveThousand(t *testing.T) {
 	var all []Record
 	for n := range DefaultMaxMembers + 10 {
@@ -243,7 +243,7 @@
 			v := newTestView(t)
 			learn(v, all[:c.received]...)
 			if got := len(v.Members()); got != c.known {
-				t.Errorf("of %d it knows %d with itself, want %d", c.received, got, c.known)
+				t.Errorf("received %d members, knows %d including itself, want %d", c.received, got, c.known)
 			}
 		})
 	}
--- a/internal/peer/membership/watcher.go
+++ b/internal/peer/membership/watcher.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// watcher is a member that watches a region for its own one.
+// watcher is a member that watches another region on behalf of its own region.
 type watcher struct {
-	member      *member
-	since       time.Duration // it is a watcher
-	hasReported bool          // it has reported the region unreachable since then: its silence now means that it reaches it
+	member *member
+	since  time.Duration // when it became a watcher
+	// hasReported means that the watcher has reported the region as unreachable since then. If it no longer does, it
+	// reaches the region.
+	hasReported bool
 }
 
 const (
-	// maxWatchers is the number of watchers of each region for each other one. More survive more crashes at once, and
-	// cost probes between regions.
+	// maxWatchers is the number of watchers that each region has for each other region. More watchers tolerate more
+	// simultaneous crashes and cost more probes between regions.
 	maxWatchers = 3
-	// remoteTransmissions is how often each watcher sends an update to the region.
+	// remoteTransmissions is the number of times that each watcher sends an update to the region.
 	remoteTransmissions = 2
-	// remoteProbeInterval is the mean time between a watcher's probes of its region, and remoteRetryInterval that
-	// while the last one was not answered. Shorter finds an unreachable region sooner.
+	// remoteProbeInterval is the mean time between a watcher's probes of the region, and remoteRetryInterval the mean
+	// time while the last probe is unanswered. Shorter intervals detect an unreachable region sooner.
 	remoteProbeInterval = 2 * time.Second
 	remoteRetryInterval = 400 * time.Millisecond
-	// maxRemoteHelpers is the number of members of third regions that are asked to probe it.
+	// maxRemoteHelpers is the number of members of third regions that are asked to probe the region.
 	maxRemoteHelpers = 2
-	// minRemoteMisses is the number of probes, one after another, that must be missed before it is reported
-	// unreachable; they must also span the longest pause that members survive.
+	// minRemoteMisses is the number of consecutive probes that must fail before a region is reported as unreachable.
+	// The failures must also span the longest pause after which a member is not declared dead.
 	minRemoteMisses = 4
-	// watcherSettleTime is how long a new watcher needs to find out whether it reaches the region.
+	// watcherSettleTime is the time in which a new watcher finds out whether it reaches the region.
 	watcherSettleTime = 6 * time.Second
 
-	// watcherRankMultiplier spreads the bits of a region's hash (2^64 divided by the golden ratio).
+	// watcherRankMultiplier is 2^64 divided by the golden ratio; it spreads the bits of a region's hash.
 	watcherRankMultiplier = 0x9e3779b97f4a7c15
 )
 
-// watcherRank orders members as watchers of a region: all that know the same members select the same watchers, without
-// an election (rendezvous hashing).
+// watcherRank returns the rank of a member as a watcher of the region (rendezvous hashing). Members with equal views
+// select the same watchers without an election.
 func (r *region) watcherRank(m *member) uint64 {
 	return mix(m.nameHash ^ uint64(r.hash)*watcherRankMultiplier)
 }
@@ -45,7 +47,7 @@
 	return slices.Contains(m.UnreachableRegions, r.hash)
 }
 
-// selectWatchers finds the watchers of a region: the members of this one with the highest ranks.
+// selectWatchers selects the watchers of a region: the members of this member's region with the highest ranks.
 func (v *View) selectWatchers(r *region) {
 	previous := r.watchers
 	r.watchers = nil
@@ -66,7 +68,7 @@
 	}
 }
 
-// highestRanked are the members of this region with the highest ranks for r, the highest first.
+// highestRanked returns the members of this member's region with the highest ranks for r, the highest first.
 func (v *View) highestRanked(r *region) []*member {
 	top := make([]*member, 0, maxWatchers+1)
 	consider := func(m *member) {
@@ -85,7 +87,7 @@
 	}
 	consider(v.self)
 	for _, m := range v.localRegion.live {
-		// In a partition there is no time to wait for the death of watchers beyond it.
+		// During a partition, suspects are replaced as watchers without waiting until they are declared dead.
 		if m.State == Suspect && v.now < v.partitionedUntil {
 			continue
 		}
@@ -94,7 +96,8 @@
 	return top
 }
 
-// setWatched begins or ends that this member watches a region. It begins with what its region holds.
+// setWatched sets whether this member watches a region. A new watcher first reports the region as its own region sees
+// it.
 func (v *View) setWatched(r *region, watched bool) {
 	r.watched = watched
 	r.missedProbes = 0
@@ -106,7 +109,7 @@
 	v.reportRegion(r, regionReport(watched && r.unreachable))
 }
 
-// regionReport is what a watcher's own record says of its region.
+// regionReport is what a watcher's own record reports about the region that it watches.
 type regionReport bool
 
 const (
@@ -114,7 +117,7 @@
 	reportUnreachable regionReport = true
 )
 
-// reportRegion changes what this member's own record says of a region that it watches.
+// reportRegion changes what this member's own record reports about a region.
 func (v *View) reportRegion(r *region, report regionReport) {
 	if r.reportedUnreachable == bool(report) {
 		return
@@ -135,8 +138,8 @@
 	}
 }
 
-// watchedRegionsDue sends updates to the regions that this member watches, and probes them.
-func (v *View) watchedRegionsDue() {
+// runWatchedRegions sends updates to the regions that this member watches, and probes them.
+func (v *View) runWatchedRegions() {
 	for _, r := range v.sortedRegions {
 		if !r.watched || r == v.localRegion {
 			continue
@@ -153,7 +156,8 @@
 	}
 }
 
-// probeRegion probes one member of a watched region: a dead one if none is alive, since the region may come back.
+// probeRegion probes one member of a watched region. If the region has no live members it probes a dead one, because
+// the region may become reachable again.
 func (v *View) probeRegion(r *region) {
 	interval := remoteProbeInterval
 	if r.probeUnanswered && !r.reportedUnreachable {
@@ -178,7 +182,7 @@
 	}
 }
 
-// addRegionTimers adds when watchedRegionsDue has something to do.
+// addRegionTimers adds the timers that runWatchedRegions handles.
 func (v *View) addRegionTimers(next *earliest) {
 	for _, r := range v.sortedRegions {
 		if !r.watched || r == v.localRegion {
@@ -191,7 +195,7 @@
 	}
 }
 
-// hastenRegionProbe has a region probed more often, since a probe was not answered in time.
+// hastenRegionProbe makes probes of a region more frequent after a probe was not answered in time.
 func (v *View) hastenRegionProbe(r *region) {
 	r.probeUnanswered = true
 	if !r.reportedUnreachable {
@@ -199,19 +203,20 @@
 	}
 }
 
-// regionAnswered notices that a probe of a watched region was answered, by its target or through a helper.
+// regionAnswered handles an answered probe of a watched region. The target may have answered directly or through a
+// helper.
 func (v *View) regionAnswered(r *region, target *member) {
 	r.missedProbes = 0
 	r.probeUnanswered = false
 	r.lastAckAt = v.now
 	if r.reportedUnreachable {
 		v.reportRegion(r, reportReachable)
-		v.exchange.requestWith(v, target.Addr) // there may be much to learn
+		v.exchange.requestWith(v, target.Addr) // the views may differ in many records
 	}
 }
 
-// regionProbeFailed counts a probe of a watched region that was not answered. No member is suspected: members near it
-// will notice its death.
+// regionProbeFailed counts a failed probe of a watched region. The target is not suspected, because members of its own
+// region detect its failure.
 func (v *View) regionProbeFailed(r *region) {
 	if !r.watched {
 		return
@@ -223,8 +228,8 @@
 	}
 }
 
-// compareRemoteDigest compares a digest from another region. Where it differs for longer, the region's watchers open an
-// exchange one after the other, by rank.
+// compareRemoteDigest compares a digest from another region with this view's. If they keep differing, the region's
+// watchers open an exchange one after another, in the order of their ranks.
 func (v *View) compareRemoteDigest(from *member, digest uint64) {
 	r := from.region
 	if !r.watched {
--- a/internal/peer/membership/watcher_test.go
+++ b/internal/peer/membership/watcher_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// watcherNames are the present watchers of region b.
+// watcherNames returns the names of the current watchers of region b.
 func watcherNames(v *View) []string {
 	v.regionsCheckAt = 0
-	v.regionsDue()
+	v.updateRegions()
 	var names []string
 	for _, w := range v.regions["b"].watchers {
 		names = append(names, w.member.Name)
@@ -31,12 +31,12 @@
 	}
 	other.Step(0, ExchangeClosed{x})
 	if got := watcherNames(other); !slices.Equal(first, got) {
-		t.Errorf("one selects %v, another %v", first, got)
+		t.Errorf("one member selects %v, another %v", first, got)
 	}
 	dead := slices.DeleteFunc(slices.Clone(first), func(name string) bool { return name == "me" })[0]
 	v.declareDead(v.members[dead], "test")
 	if got := watcherNames(v); slices.Contains(got, dead) || len(got) != maxWatchers {
-		t.Errorf("%s is dead, and the watchers are %v", dead, got)
+		t.Errorf("%s is dead, but the watchers are %v", dead, got)
 	}
 }
 
@@ -77,13 +77,13 @@
 			}
 		})
 	}
-	t.Run("updates of another region stay at home", func(t *testing.T) { // b's watchers send them to c
+	t.Run("updates about another region are not forwarded", func(t *testing.T) { // the watchers of b send them to c
 		v := newRegionView(t, 2, 5, 5)
 		r := regionRecord(1, 0)
 		r.State = Dead
 		gossipFrom(v, regionRecord(1, 1), r)
 		if !v.regions["c"].updates.empty() || v.updates.empty() {
-			t.Error("queued for another region, or not for its own")
+			t.Error("the update is queued for another region, or not for this one")
 		}
 	})
 }
@@ -107,19 +107,19 @@
 	receiveRegionReport(v, r, "a1", reportUnreachable)
 	runAnswering(v, v.now+8*time.Second, onlyLocalRegion)
 	if !r.unreachable {
-		t.Fatal("still reachable")
+		t.Fatal("the region is still reachable")
 	}
 	joinNewWatcher(t, v, r)
 	if !r.unreachable {
-		t.Fatal("reachable by the silence of a watcher that is new")
+		t.Fatal("the region is reachable because a new watcher has not reported yet")
 	}
 	runAnswering(v, v.now+watcherSettleTime+ms, onlyLocalRegion)
 	if r.unreachable {
-		t.Error("unreachable, although a watcher that had its time does not report that")
+		t.Error("the region is unreachable, although a watcher that has settled does not report that")
 	}
 }
 
-// joinNewWatcher has members join until one of them becomes a watcher of a region.
+// joinNewWatcher adds members to a view until one of them becomes a watcher of a region.
 func joinNewWatcher(t *testing.T, v *View, r *region) {
 	t.Helper()
 	for i := 2; i < 30; i++ {
@@ -141,7 +141,7 @@
 	v.probeIndirectly(p)
 	for _, s := range sentOfKind(v.actions, IndirectPing) {
 		if v.remoteAddrs[s.To] != v.regions["c"] {
-			t.Errorf("%s is asked", s.To)
+			t.Errorf("%s is asked, which is not in the third region", s.To)
 		}
 	}
 	if len(p.helpers) != maxRemoteHelpers {
@@ -149,7 +149,7 @@
 	}
 	v.Step(v.now+ms, datagramFrom(regionRecord(2, 1), 1, Message{Kind: Ack, Seq: p.seq, Target: "b0"}))
 	if r.missedProbes != 0 || r.lastHelper != "c1" || r.lastAckAt != v.now {
-		t.Errorf("missed %d, last helper %q", r.missedProbes, r.lastHelper)
+		t.Errorf("%d missed probes, last helper %q", r.missedProbes, r.lastHelper)
 	}
 }
 
@@ -166,14 +166,14 @@
 		if i%10 == 0 {
 			v.Step(max(v.Next(), v.now+10*ms))
 		}
-		for n := range uint64(3) { // and members of the region probe this one
+		for n := range uint64(3) { // members of the region also probe this member
 			ping := Message{Kind: Ping, Seq: 1, Target: "me"}
 			v.Step(v.now, datagramFrom(regionRecord(1, i%5), uint64(3*i)+n+1, ping))
 		}
 	}
 	limit := 4096*(v.now.Seconds()+1) + maxDatagramBytes
 	if sent := float64(v.Traffic().RemoteBytes); sent > limit || sent < limit/2 {
-		t.Errorf("%v bytes, %v are allowed", sent, limit)
+		t.Errorf("%v bytes sent, the limit is %v", sent, limit)
 	}
 }
 
@@ -198,7 +198,7 @@
 			}
 			grace := time.Duration(1+r.rank) * time.Second
 			if c.watched && (openedAfter < grace || openedAfter > grace+time.Second) {
-				t.Errorf("opened after %v, of rank %d", openedAfter, r.rank)
+				t.Errorf("opened after %v by the watcher of rank %d", openedAfter, r.rank)
 			}
 		})
 	}
@@ -213,19 +213,19 @@
 	r.differsSince = v.now - 2500*ms
 	v.compareDigest(v.members["b0"], 99)
 	if v.exchange.scheduledAt != 0 {
-		t.Error("it opens an exchange before the others had their time")
+		t.Error("the watcher opens an exchange before the watchers of ranks 0 and 1 had time to do so")
 	}
 	r.differsSince = v.now - 3*time.Second
 	v.compareDigest(v.members["b0"], 99)
 	if v.exchange.scheduledAt == 0 {
-		t.Error("it never opens an exchange")
+		t.Error("the watcher never opens an exchange")
 	}
 }
 
 func TestNewWatcherInheritsItsRegionsUnreachableReport(t *testing.T) {
 	v := newRegionView(t, 2, 5, 0)
 	r := requireWatching(t, v, true)
-	r.watched = false // it was no watcher a moment ago
+	r.watched = false // this member has not been a watcher before
 	r.reportedUnreachable = false
 	r.unreachable = true
 	v.selectWatchers(r)
@@ -242,12 +242,12 @@
 			v.regionProbeFailed(r)
 		}
 		if r.reportedUnreachable {
-			t.Fatal("reported at once")
+			t.Fatal("the region is reported as unreachable at once")
 		}
 		v.now += DefaultMinSuspicion + DefaultProbeTimeout + DefaultIndirectTimeout
 		v.regionProbeFailed(r)
 		if !r.reportedUnreachable {
-			t.Error("never reported")
+			t.Error("the region is never reported as unreachable")
 		}
 	})
 	t.Run("of this member", func(t *testing.T) {
@@ -257,7 +257,7 @@
 		v.Step(v.Next() + 10*time.Second)
 		v.regionProbeFailed(r)
 		if r.reportedUnreachable {
-			t.Error("reported after a pause of its own")
+			t.Error("the region is reported as unreachable after a pause of this process")
 		}
 	})
 }
@@ -269,20 +269,20 @@
 	r.probeAt = v.now + remoteProbeInterval
 	v.hastenRegionProbe(r)
 	if r.probeAt > v.now+remoteRetryInterval {
-		t.Errorf("the next probe in %v", r.probeAt-v.now)
+		t.Errorf("the next probe is due in %v", r.probeAt-v.now)
 	}
 	for range 20 {
 		r.probeAt = v.now
-		v.watchedRegionsDue()
+		v.runWatchedRegions()
 		if r.probeAt > v.now+remoteRetryInterval*3/2 {
-			t.Fatalf("the one after in %v", r.probeAt-v.now)
+			t.Fatalf("the probe after that is due in %v", r.probeAt-v.now)
 		}
 	}
-	r.reportedUnreachable = true // probes go on as at rest
+	r.reportedUnreachable = true // probes continue at the normal rate
 	r.probeAt = v.now
-	v.watchedRegionsDue()
+	v.runWatchedRegions()
 	if r.probeAt < v.now+remoteProbeInterval/2 {
-		t.Errorf("unreachable, and the next probe in %v", r.probeAt-v.now)
+		t.Errorf("the region is unreachable, and the next probe is due in %v", r.probeAt-v.now)
 	}
 }
 
@@ -294,7 +294,7 @@
 	gossipFrom(v, regionRecord(0, 0), dead)
 	setProbes(v)
 	r.probeAt = v.now
-	v.watchedRegionsDue()
+	v.runWatchedRegions()
 	pings := sentOfKind(v.actions, Ping)
 	if len(pings) != 1 || pings[0].Message.Target != "b0" || pings[0].Message.Updates[0].State != Dead {
 		t.Errorf("pings %+v", pings)
