--- a/internal/peer/ejection/baseline.go
+++ b/internal/peer/ejection/baseline.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// maxOwnLikelihood is how likely one member's failures may be, by the baseline, for it to report them to all. Smaller
-	// reports later, larger costs messages on any day.
+	// maxOwnLikelihood is the probability of one member's failures, by the baseline, up to which the member reports
+	// them to all subscribers. A smaller value reports later; a larger one costs more messages in normal operation.
 	maxOwnLikelihood = 1e-4
-	// maxPooledLikelihood is the same for the failures of several members together; it is tested with each failure that a
-	// collector learns of. maxGuessedLikelihood applies while nobody has counted the server's baseline.
+	// maxPooledLikelihood is the same for the failures of several members together, which are tested with each failure
+	// that a collector learns of. maxGuessedLikelihood is used while no collector has counted the server's baseline.
 	maxPooledLikelihood  = 1e-3
 	maxGuessedLikelihood = 1e-5
-	// minBaselineShare and maxBaselineShare bound the share of requests that is taken to fail normally: less than the first
-	// cannot be measured in a minute, and more than the second is a fault of its own, such as a bad release.
+	// minBaselineShare and maxBaselineShare bound the share of requests that is assumed to fail normally. A smaller
+	// share can't be measured in a minute; a larger one is a fault itself, such as a bad release.
 	minBaselineShare = 0.001
 	maxBaselineShare = 0.01
-	// minBackgroundRequests is how many requests give a share at all.
+	// minBackgroundRequests is the minimum number of requests for a measured share.
 	minBackgroundRequests = 20
-	// backgroundDecayFactor is how much more slowly the background decays than other counts: over a minute.
+	// backgroundDecayFactor times decayTime is the time constant of the background counts: a minute.
 	backgroundDecayFactor = 6
-	// batchWindow is added to the time that failures took: they may have come at once, because agents report every 50 ms.
+	// batchWindow is added to the time span of failures. Agents report in batches every 50 ms, so that several failures
+	// may seem to occur at the same time.
 	batchWindow = 100 * time.Millisecond
-	// baselineSpan is the unit of time in which collectors count failures, and baselineSpans how many of these count: a
-	// minute. Smaller follows changes faster and knows the rate less well.
+	// baselineSpan is the span of time in which collectors count failures, and baselineSpans the number of spans that
+	// count: a minute in total. A shorter time follows changes faster and measures the rate less accurately.
 	baselineSpan  = 5 * time.Second
 	baselineSpans = 12
-	// excludedSpans are the newest spans, which do not count: a burst would hide itself in them.
+	// excludedSpans is the number of newest spans that don't count, because a burst would raise its own baseline.
 	excludedSpans = 2
-	// maxPoissonTerms and negligibleTerm end the sum of a Poisson tail.
+	// maxPoissonTerms and negligibleTerm limit the sum of a Poisson tail.
 	maxPoissonTerms = 200
 	negligibleTerm  = 1e-12
 )
@@ -58,8 +59,9 @@
 	return min(maxBaselineShare, max(minBaselineShare, failureShare(c.failures, c.successes)))
 }
 
-// expectedFailureRate returns how many failures a second of all members are normal at a server, and whether a collector
-// has counted them. Collectors state their count with their evidence, because some members send far more than others.
+// expectedFailureRate returns the normal number of failures a second at a server, of all members, and whether a
+// collector has counted them. Collectors send their count with evidence, because an estimate by one member's own rate
+// is inaccurate if some members send far more requests than others.
 func (m *Member) expectedFailureRate(s *server, reports []*report) (perSecond float64, counted bool) {
 	own := m.baselineShare(s.source) * m.requestRate(s, reports)
 	if m.collects(s) {
@@ -69,8 +71,8 @@
 	} else if s.hasReceivedBaseline(m.now) {
 		return max(own, s.receivedBaseline), true
 	}
-	// As much as those send that report failures, who send more than most; twice that, because they may not have counted
-	// for long either.
+	// This estimate assumes that all members send as many requests as the reporters, which send more than most members.
+	// It is doubled, because the reporters may not have counted for long either.
 	mean := 0.0
 	for _, r := range reports {
 		mean += (r.successes + r.failures) / decayTime.Seconds() / float64(len(reports))
@@ -78,13 +80,13 @@
 	return max(own, 2*m.baselineShare(s.source)*mean*float64(len(m.subscriberNames(s)))), false
 }
 
-// hasReceivedBaseline reports whether a collector stated the baseline failure rate lately.
+// hasReceivedBaseline reports whether a collector stated the baseline failure rate recently.
 func (s *server) hasReceivedBaseline(now time.Duration) bool {
 	return s.receivedBaselineAt > 0 && now-s.receivedBaselineAt < baselineSpans*baselineSpan
 }
 
-// requestRate estimates how many requests a second all members send to one server of a source: as many as this member
-// sends, spread over the source's servers, times the members.
+// requestRate estimates the number of requests a second that all members send to a server: this member's rate for the
+// server's source, divided by the number of servers in the source and multiplied by the number of subscribers.
 func (m *Member) requestRate(s *server, reports []*report) float64 {
 	perMember := 0.0
 	if c := m.background[s.source]; c != nil && c.successes+c.failures >= minBackgroundRequests {
@@ -98,16 +100,16 @@
 	return perMember * float64(len(m.subscriberNames(s))) / float64(max(1, len(m.sources[s.source])))
 }
 
-// ownFailuresStandOut reports whether one member's failures at a server are unlikely by the baseline: consecutive ones,
-// or the sum within decayTime.
+// ownFailuresStandOut reports whether one member's failures at a server are unlikely by the baseline: either the
+// consecutive failures or the sum within decayTime.
 func (m *Member) ownFailuresStandOut(s *server, successes, failures float64, consecutiveFailures int) bool {
 	share := m.baselineShare(s.source)
 	return math.Pow(share, float64(consecutiveFailures)) <= maxOwnLikelihood ||
 		poissonTail(math.Round(failures), share*(successes+failures)) <= maxOwnLikelihood
 }
 
-// pooledFailuresStandOut reports whether the failures that several members report are too many, within too short a time,
-// for the baseline: a scan statistic, which tests the newest k failures for each k against a Poisson distribution.
+// pooledFailuresStandOut reports whether the failures that several members report are too many in too short a time for
+// the baseline. It uses a scan statistic: for each k, the newest k failures are tested against a Poisson distribution.
 func (m *Member) pooledFailuresStandOut(s *server) bool {
 	reports := s.currentReports(m)
 	failed := slices.DeleteFunc(slices.Clone(reports), func(r *report) bool { return r.lastFailure == 0 || r.failures < 0.1 })
@@ -132,7 +134,8 @@
 		}
 		oldest = min(oldest, from)
 		window := (newest - oldest + batchWindow).Seconds()
-		// The newest failure opens the window, and is not one that came by chance within it.
+		// The newest failure defines the window, so it is not counted among the failures that occur by chance within
+		// it.
 		if i > 0 && poissonTail(float64(count-1), expected*window) <= maxLikelihood {
 			return true
 		}
@@ -140,10 +143,10 @@
 	return false
 }
 
-// poissonTail returns the probability of n or more events of a Poisson distribution with that mean; 1 where n does not
-// exceed the mean.
+// poissonTail returns the probability of n or more events in a Poisson distribution with the given mean. It returns 1
+// if n does not exceed the mean.
 func poissonTail(n, mean float64) float64 {
-	if n <= max(0, mean) { // about a half or more, and the sum below has to begin at its largest term
+	if n <= max(0, mean) { // the probability is about a half or more, and the sum below must start at its largest term
 		return 1
 	}
 	logFactorial, _ := math.Lgamma(n + 1)
@@ -156,10 +159,10 @@
 	return min(1, sum)
 }
 
-// baselineCounter counts, at a collector, the failures at one server by spans of time.
+// baselineCounter counts failures at one server by spans of time. Only collectors use it.
 type baselineCounter struct {
 	since    time.Duration
-	span     int64                                  // number of the newest span
+	span     int64                                  // index of the newest span
 	failures [excludedSpans + baselineSpans]float64 // newest first
 }
 
@@ -167,7 +170,7 @@
 	return baselineCounter{since: now, span: int64(now / baselineSpan)}
 }
 
-// advance shifts the spans up to now.
+// advance shifts the spans so that the newest one contains now.
 func (b *baselineCounter) advance(now time.Duration) {
 	for span := int64(now / baselineSpan); b.span < span; b.span++ {
 		if span-b.span > int64(len(b.failures)) {
@@ -186,17 +189,17 @@
 	b.failures[0]++
 }
 
-// discardRecent drops the spans that do not count yet: they led to an ejection, and are not normal.
+// discardRecent clears the spans that don't count yet, because their failures led to an ejection and are not normal.
 func (b *baselineCounter) discardRecent(now time.Duration) {
 	b.advance(now)
 	clear(b.failures[:excludedSpans])
 }
 
-// perSecond returns the rate with a margin of a standard deviation and one failure, and whether it was counted for long
-// enough.
+// perSecond returns the failure rate plus a margin of one standard deviation and one failure. ok is false if the
+// failures have not been counted for long enough.
 func (b *baselineCounter) perSecond(now time.Duration) (rate float64, ok bool) {
 	b.advance(now)
-	counted := time.Duration(b.span-1)*baselineSpan - b.since // up to the spans that do not count
+	counted := time.Duration(b.span-1)*baselineSpan - b.since // without the excluded spans
 	if counted < baselineSpan {
 		return 0, false
 	}
--- a/internal/peer/ejection/baseline_test.go
+++ b/internal/peer/ejection/baseline_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// collectorHarness is a member that is a collector of a server, and learns of isolated failures of others there.
+// collectorHarness holds a member that is a collector of a server, to which other members report isolated failures.
 type collectorHarness struct {
 	*harness
 	server   *server
 	failures uint32
 }
 
-// newCollectorHarness returns a collector that has learnt of isolated failures at an interval.
+// newCollectorHarness returns a collector that has received a number of isolated failures at an interval.
 func newCollectorHarness(t *testing.T, failures int, interval time.Duration) *collectorHarness {
 	t.Helper()
 	h := &collectorHarness{harness: newHarness(t)}
@@ -26,7 +26,7 @@
 		}
 	}
 	if h.server == nil {
-		t.Fatal("it collects failures of no server")
+		t.Fatal("the member is not a collector of any server")
 	}
 	for range failures {
 		h.isolatedFailure()
@@ -35,7 +35,8 @@
 	return h
 }
 
-// isolatedFailure has another member notify this one of a failure and respond to its poll, while the server responds here.
+// isolatedFailure makes another member notify the collector of a failure and respond to its poll. The server responds
+// to the collector's own agents.
 func (h *collectorHarness) isolatedFailure() {
 	h.t.Helper()
 	h.failures++
@@ -63,7 +64,7 @@
 func TestCollectorTellsBaselineFromABurst(t *testing.T) {
 	h := newCollectorHarness(t, 12, 4*time.Second)
 	if h.server.anomalous {
-		t.Error("a failure every four seconds is anomalous, though that is the baseline")
+		t.Error("a failure every four seconds is anomalous, although that is the baseline")
 	}
 	for range 5 {
 		h.isolatedFailure()
@@ -74,8 +75,8 @@
 	}
 }
 
-// Some members may send far more to a server than a collector does: it counts the baseline. Two failures a second are
-// twenty times what it would estimate from its own rate.
+// A collector counts the baseline instead of estimating it, because some members may send far more requests to a server
+// than the collector. Two failures a second are twenty times the estimate from the collector's own rate.
 func TestCollectorCountsTheBaselineFailureRate(t *testing.T) {
 	h := newCollectorHarness(t, 100, 500*time.Millisecond)
 	anomalies := 0
@@ -91,7 +92,7 @@
 	}
 	rate, ok := h.server.baseline.perSecond(h.now)
 	if !ok || rate < 1.5 || rate > 3 {
-		t.Errorf("baseline of %v a second, known %v", rate, ok)
+		t.Errorf("baseline of %v failures a second, known %v", rate, ok)
 	}
 }
 
@@ -105,15 +106,15 @@
 		b.add(time.Minute)
 	}
 	if after, _ := b.perSecond(time.Minute + baselineSpan); !ok || after > 1.1*before {
-		t.Errorf("%v a second, and %v right after a burst", before, after)
+		t.Errorf("%v failures a second, and %v right after a burst", before, after)
 	}
 	if later, _ := b.perSecond(time.Minute + 3*baselineSpan); later < 2*before {
-		t.Errorf("%v a second, and %v long after a burst", before, later)
+		t.Errorf("%v failures a second, and %v long after a burst", before, later)
 	}
 	b.add(2 * time.Minute)
 	b.discardRecent(2 * time.Minute)
 	if b.failures[0] != 0 {
-		t.Error("a discarded failure counts")
+		t.Error("a discarded failure still counts")
 	}
 }
 
--- a/internal/peer/ejection/cap.go
+++ b/internal/peer/ejection/cap.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// overCap returns the ejected servers that agents use nevertheless, because more than MaxEjectedShare of their zone or
-// pod would be ejected otherwise: the worst servers stay ejected, and of equal ones those that are ejected for longer.
-// One server of several may always be ejected.
+// overCap returns the ejected servers that agents use nevertheless, because otherwise more than MaxEjectedShare of
+// their zone or pod would be ejected. The servers with the highest failure shares stay ejected and, among equal ones,
+// those that were ejected first. One server of several may always be ejected.
 func (m *Member) overCap() map[string]bool {
 	var ejected []*server
 	for _, s := range m.active {
@@ -36,7 +36,7 @@
 	return over
 }
 
-// maxEjected returns how many servers of a failure domain may be ejected.
+// maxEjected returns the maximum number of ejected servers in a failure domain.
 func (m *Member) maxEjected(domain int) int {
 	servers := m.upServers[domain]
 	allowed := int(m.settings.MaxEjectedShare * float64(servers))
--- a/internal/peer/ejection/collectors.go
+++ b/internal/peer/ejection/collectors.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// collectorsPerServer is how many members collect a server's isolated failures. Larger finds bursts more surely and
-	// costs messages with each failure.
+	// collectorsPerServer is the number of members that collect a server's isolated failures. More collectors find
+	// bursts more reliably and cost more messages with each failure.
 	collectorsPerServer = 3
-	// minCollectorNoticeInterval is the time between two notices of one member to a server's collectors.
+	// minCollectorNoticeInterval is the minimum time between two notices of a member to a server's collectors.
 	minCollectorNoticeInterval = time.Second
-	// minBroadcastInterval is the time between two of its reports to random subscribers: half of them may be lost.
+	// minBroadcastInterval is the minimum time between two reports of a member to random subscribers. Reports are
+	// repeated because half of the messages may be lost.
 	minBroadcastInterval = 2 * time.Second
-	// maxNoticePollsPerSecond bounds the polls that notices prompt, whoever sends them. Further ones are ignored: the
-	// failures are then frequent enough to be found without them.
+	// maxNoticePollsPerSecond is the maximum number of polls that notices of all members prompt. Further notices are
+	// ignored, because failures are then frequent enough to be found without them.
 	maxNoticePollsPerSecond = 64
 )
 
-// reportFailure notifies the server's collectors of a failure of own agents, and random subscribers of failures that are
-// unlikely by the baseline.
+// reportFailure notifies a server's collectors of a failure that this member's agents observed. If the failures are
+// unlikely by the baseline, it also polls and notifies random subscribers.
 func (m *Member) reportFailure(s *server) {
 	about := []Incarnation{s.incarnation()}
 	if m.settings.FormatVersion == 1 {
-		if s.own.failures < float64(s.own.lastSampleFailures)+0.5 { // the first failure after a while
+		if s.own.failures < float64(s.own.lastSampleFailures)+0.5 { // there were hardly any failures before this sample
 			m.pollAbout(m.randomSubscribers(notifyFanout, s.source), about)
 			m.notify(s.source)
 		}
@@ -44,20 +45,21 @@
 	}
 }
 
-// countBaselineFailure counts a failure where this member is a collector.
+// countBaselineFailure counts a failure for the baseline if this member is a collector of the server.
 func (m *Member) countBaselineFailure(s *server) {
 	if m.collects(s) {
 		s.baseline.add(m.now)
 	}
 }
 
-// rankedName is a member with its rank for a server.
+// rankedName is a member's name with the member's rank for a server.
 type rankedName struct {
 	rank uint64
 	name string
 }
 
-// collectorsOf returns a server's collectors without this member: the subscribers of the highest rendezvous ranks.
+// collectorsOf returns a server's collectors without this member. Collectors are the subscribers with the highest
+// rendezvous ranks.
 func (m *Member) collectorsOf(s *server) []string {
 	if s.collectorsEpoch == m.membershipEpoch {
 		return s.collectors
@@ -98,7 +100,7 @@
 	return s.isCollector
 }
 
-// onFailureNotice polls a member that had failures for its own evidence.
+// onFailureNotice handles a notice of a member that observed failures: it polls the member for its own evidence.
 func (m *Member) onFailureNotice(from string, about []Incarnation) {
 	if m.now-m.noticePollsSince >= time.Second {
 		m.noticePollsSince = m.now
--- a/internal/peer/ejection/collectors_test.go
+++ b/internal/peer/ejection/collectors_test.go
@@ -13,7 +13,7 @@
 	notified := map[string]bool{}
 	for _, s := range stepAndCollectSends(h.m, h.now, oneFailure(1)) {
 		if s.Message.PollNumber > 0 && len(s.Message.About) == 0 {
-			continue // the regular poll
+			continue // the periodic poll
 		}
 		if !s.Message.Notify || len(s.Message.About) != 1 || s.Message.About[0].Server != "s0" {
 			t.Errorf("to %s: %+v", s.To, s.Message)
@@ -25,12 +25,12 @@
 	}
 	for name := range notified {
 		if !slices.Contains(h.m.collectorsOf(h.m.servers["s0"]), name) {
-			t.Errorf("%s is no collector of s0", name)
+			t.Errorf("%s is not a collector of s0", name)
 		}
 	}
 }
 
-// Isolated failures are reported to members that poll about the server, and not to those that poll in general.
+// Reports of isolated failures are included in responses to polls about the server, but not in those to general polls.
 func TestIsolatedFailureIsReportedToPollsAboutItsServer(t *testing.T) {
 	h := newHarness(t)
 	h.serveRequests(600)
@@ -80,7 +80,7 @@
 	}
 }
 
-// The cost of an evaluation follows the servers with reports, not all that are listed.
+// The cost of an evaluation depends on the number of servers with reports, not on the number of listed servers.
 func TestQuietServersAreNotEvaluated(t *testing.T) {
 	m := newMember(t, Settings{Name: "a"})
 	var list []Server
@@ -107,6 +107,6 @@
 	m.Step(now, outcome("s0008", 0, 1))
 	m.Step(now + minEvaluationInterval)
 	if len(m.active) != 1 || m.active[0].ID != "s0008" {
-		t.Errorf("%d active servers once the evidence is old", len(m.active))
+		t.Errorf("%d active servers after the evidence has expired", len(m.active))
 	}
 }
--- a/internal/peer/ejection/detect.go
+++ b/internal/peer/ejection/detect.go
@@ -9,50 +9,55 @@
 )
 
 const (
-	// ejectionQuorum is how many members have to report a server, or all others in smaller fleets, two at least. With 2,
-	// two broken links eject a server; larger finds failing servers later.
+	// ejectionQuorum is the number of members that must report a server. In smaller fleets it is all other members, but
+	// at least two. With a quorum of 2, two broken links would eject a server; a larger quorum detects failing servers
+	// later.
 	ejectionQuorum = 3
-	// unresponsiveQuorum is the same where the reporters had no response, or two thirds of smaller fleets: with half of the
-	// members cut off from a server, that many reports in a row are one chance in 1,024, and other members are polled besides.
+	// unresponsiveQuorum is the same if the reporters had no response; in smaller fleets it is two thirds of the
+	// members. If half of the members are partitioned from a server, the probability of that many reports is 1 in
+	// 1,024, and other members are polled in addition.
 	unresponsiveQuorum = 10
-	// maxChanceLikelihood is how likely the reporters' failures may be by chance, given how each fares elsewhere. Larger
-	// ejects sooner, and more servers wrongly while many fail a little.
+	// maxChanceLikelihood is the maximum probability that the reporters' failures occur by chance, given each
+	// reporter's failures at other servers. A larger value ejects sooner, and causes more wrong ejections while many
+	// servers fail some requests.
 	maxChanceLikelihood = 0.05
 
-	// corroborationWait is how long other members may contradict the reports of an outage before the server is ejected:
-	// several rounds of polls. With fastReporters reports it is fastCorroborationWait. Larger means more requests that fail,
-	// smaller more wrong ejections (25 a minute at 0.5% errors in a trial that waited 300 ms and polled nobody).
+	// corroborationWait is the time in which other members can contradict the reports of an outage before the server is
+	// ejected: several rounds of polls. With fastReporters reports it is fastCorroborationWait. A longer wait means
+	// more failed requests; a shorter one means more wrong ejections (25 a minute at 0.5% errors in a trial that
+	// waited 300 ms without polling).
 	corroborationWait     = 700 * time.Millisecond
 	fastReporters         = 6
 	fastCorroborationWait = 250 * time.Millisecond
 
-	// minPartialShare is the share of failed requests from which a server fails in part, over all reports. Smaller finds
-	// lighter faults and takes overload for them.
+	// minPartialShare is the minimum share of failed requests, over all reports, for a partial failure. A smaller share
+	// finds lighter faults and mistakes overload for them.
 	minPartialShare = 0.15
-	// minPartialFailures is how many failures that takes.
+	// minPartialFailures is the minimum number of failures for a partial failure.
 	minPartialFailures = 8
-	// minPartialRequests is how many requests of a member tell whether the server fails it about as often as others.
+	// minPartialRequests is the number of requests of a member from which its share of failures is compared with
+	// others'.
 	minPartialRequests = 5
-	// minPartialReporters is how many such members are needed.
+	// minPartialReporters is the minimum number of such members.
 	minPartialReporters = 4
-	// minPartialExcess is added to twice the share of failures elsewhere, which a partial failure has to exceed.
+	// minPartialExcess is added to twice the share of failures at other servers. A partial failure must exceed the sum.
 	minPartialExcess = 0.05
 )
 
 // finding is a reason to eject a server.
 type finding struct {
-	reporters     []string      // ascending
+	reporters     []string      // names, ascending
 	reason        string        // for operators
-	wait          time.Duration // for others to contradict
-	unresponsive  bool          // fewer reporters than the quorum had a response from it
-	failuresBegan time.Duration // the first failure of any reporter; 0 for a partial failure
+	wait          time.Duration // time for other members to contradict
+	unresponsive  bool          // fewer reporters than the quorum had a response from the server
+	failuresBegan time.Duration // first failure of any reporter; 0 for a partial failure
 }
 
-// pooledOutcomes are sums over the reports of members that fare well enough elsewhere.
+// pooledOutcomes holds sums over the reports of members with enough successes at other servers.
 type pooledOutcomes struct {
 	successes, failures, errorResponses float64
 	otherSuccesses, otherFailures       float64
-	reporters                           []*report // those that had error responses, and more failures than elsewhere
+	reporters                           []*report // with error responses, and more failures than elsewhere
 }
 
 func poolOutcomes(reports []*report) pooledOutcomes {
@@ -73,22 +78,23 @@
 	return p
 }
 
-// requiredReporters returns how many members have to report a server.
+// requiredReporters returns the number of members that must report a server.
 func (m *Member) requiredReporters(s *server) int {
 	return max(2, min(ejectionQuorum, len(m.subscriberNames(s))-1))
 }
 
-// requiredUnresponsiveReporters returns how many are required where the server did not respond to them.
+// requiredUnresponsiveReporters returns the number of members that must report a server that did not respond to them.
 func (m *Member) requiredUnresponsiveReporters(s *server) int {
 	return unresponsiveReportersOf(len(m.subscriberNames(s)))
 }
 
-// unresponsiveReportersOf returns how many are required of that many members: more than a partition of half of them leaves.
+// unresponsiveReportersOf returns the required number of such reporters for a number of members. In a small fleet it
+// exceeds half of the members, so that a partition of half of them is not enough.
 func unresponsiveReportersOf(members int) int {
 	return max(2, min(ejectionQuorum, members-1), min(unresponsiveQuorum, (2*members+2)/3))
 }
 
-// detect reports whether, and why, a server should be ejected.
+// detect reports whether a server should be ejected, and the reason.
 func (m *Member) detect(s *server, reports []*report) (finding, bool) {
 	pool := poolOutcomes(reports)
 	s.failureShare = failureShare(pool.failures, pool.successes)
@@ -98,7 +104,7 @@
 	return m.detectPartialFailure(s, reports, pool)
 }
 
-// detectOutage finds a server that fails all requests.
+// detectOutage detects a server that fails all requests.
 func (m *Member) detectOutage(s *server, reports []*report) (finding, bool) {
 	required := m.requiredReporters(s)
 	reporters := s.outageReporters(m, reports, required, m.requiredUnresponsiveReporters(s))
@@ -125,8 +131,9 @@
 	return found, true
 }
 
-// detectPartialFailure finds a server that answers a share of all requests with errors. Failures without a response
-// may be the link's, and eject nobody here; so may failures that some members always have and others never.
+// detectPartialFailure detects a server that answers a share of all requests with errors. Failures without a response,
+// and failures that some members always have and others never, may be caused by links; they are no reason for an
+// ejection here.
 func (m *Member) detectPartialFailure(s *server, reports []*report, pool pooledOutcomes) (finding, bool) {
 	minShare := max(minPartialShare, 2*failureShare(pool.otherFailures, pool.otherSuccesses)+minPartialExcess)
 	if 2*pool.errorResponses < pool.failures ||
@@ -155,10 +162,10 @@
 	}, true
 }
 
-// outageReporters returns the members for which a server fails all requests: as many as possible, those whose failures
-// began last first, such that no member is known to have had a success since the first of them began to fail. At least
-// required of them have to prove that the server is at fault; else it takes requiredUnresponsive of independent
-// localities, so that it cannot be their links.
+// outageReporters returns the reports of members for which a server fails all requests. It returns as many as possible,
+// ordered by the start of the failures, the latest first, such that no member had a success after the first of these
+// failures began. At least required of the reports must prove that the server is at fault. Otherwise at least
+// requiredUnresponsive reports from independent localities are needed, so that broken links can't be the cause.
 func (s *server) outageReporters(m *Member, reports []*report, required, requiredUnresponsive int) []*report {
 	var failing []*report
 	for _, r := range reports {
@@ -179,7 +186,7 @@
 	return nil
 }
 
-// succeededSince reports whether any member whose requests do not fail had a success after that time.
+// succeededSince reports whether a member that is not failing had a success after that time.
 func succeededSince(reports []*report, since time.Duration) bool {
 	return slices.ContainsFunc(reports, func(r *report) bool { return !r.failing() && r.lastSuccess > since })
 }
--- a/internal/peer/ejection/ejection.go
+++ b/internal/peer/ejection/ejection.go
@@ -1,27 +1,31 @@
-// Package ejection agrees on outlier ejection among the members of a fleet. Members exchange what their own agents
-// observed of servers, and each decides by itself, from the reports of several, which servers its agents avoid. The
-// rules follow Envoy's outlier detection (consecutive failures, success rate, max_ejection_percent, ejection time that
-// grows), with evidence pooled over members; as in Lifeguard, a member doubts its own link before it blames others.
+// Package ejection implements outlier ejection that the members of a fleet agree on. Members exchange what their own
+// agents observed of servers. From the reports of several members, each member decides by itself which servers its
+// agents avoid. The rules follow Envoy's outlier detection (consecutive failures, success rate, max_ejection_percent,
+// growing ejection time), with evidence pooled over members. As in Lifeguard, a member first considers its own link as
+// the cause.
 //
-// Ownership: a Member holds all state, in memory only. One goroutine calls Step and Next (the transport's loop, or a
-// simulation). The package has no clock, socket, goroutine or global, and its randomness comes from a seed: events and
-// the time go in, actions come out (events.go).
+// A Member holds all state, in memory only. A single goroutine calls Step and Next (the transport's loop, or a
+// simulation). The package has no clock, socket, goroutine or global state, and draws random numbers only from its
+// seed: Step takes the time and events, and returns actions (events.go).
 //
-// Evidence (outcomes.go, report.go) is counted by the member that observed it and forwarded unchanged: received from ten
-// members, it is still one report. Members poll for it (poll.go, response.go): a response is no older than its stated
-// ages plus the time since the poll, whatever the network did. Past Settings.MaxEvidenceAge it is ignored.
+// Evidence (outcomes.go, report.go) is counted by the member that observed it and forwarded unchanged, so that evidence
+// received from ten members still is one report. Members poll for evidence (poll.go, response.go). The age of evidence
+// is at most the age stated in the response plus the time since the poll, whatever the delays in the network. Evidence
+// older than Settings.MaxEvidenceAge is ignored.
 //
-// Reports about a server go to the subscribers of its list (subscription.go). Isolated failures, as they happen on any
-// day, go to three collectors alone, which know the server's baseline failure rate (baseline.go, collectors.go).
+// Reports about a server go to the subscribers of its list (subscription.go). Isolated failures, which occur in normal
+// operation, go only to the server's three collectors, which know its baseline failure rate (baseline.go,
+// collectors.go).
 //
-// A server is ejected by several reports of members whose other servers respond (detect.go), after others had time to
-// contradict (state.go). Failures without any response need reports from several failure domains (locality.go). No
-// more than a share of a zone or pod is ejected (cap.go). A few trial members keep using an ejected server; as it
-// responds, twice as many members use it every second (readmission.go).
+// A server is ejected when several members report it whose other servers respond (detect.go), and after other members
+// had time to contradict (state.go). Failures without any response require reports from several failure domains
+// (locality.go). At most a share of a zone or pod is ejected (cap.go). A few trial members keep using an ejected
+// server. When it responds to them, the number of members that use it doubles every second (readmission.go).
 //
-// A member that is cut off from the others keeps an ejection until the newest observed failure is MaxEvidenceAge old, and
-// its agents hold it no longer than the Until that they were given. Once its membership shows all other subscribers dead it
-// is the only one, and uses the server at once (mayUse). It can't eject by itself: at least two reporters are required.
+// A member that is partitioned from the others keeps an ejection until the newest observed failure is MaxEvidenceAge
+// old, and its agents respect the ejection no longer than its Until. Once its membership shows all other subscribers as
+// dead, it is the only subscriber and uses the server at once (mayUse). It can't eject a server alone, because at least
+// two reporters are required.
 //
 // docs/design/shared-verdicts.md compares the alternatives and derives the formulas.
 package ejection
@@ -31,11 +35,11 @@
 	"time"
 )
 
-// rngStream separates this package's random numbers from those of others with the same seed.
+// rngStream makes this package's random numbers independent of those of other packages with the same seed.
 const rngStream = 31
 
-// Member is one member's part. One goroutine owns it. Times are by this member's monotonic clock, as Step receives them;
-// 0 stands for never.
+// Member is the state of one member. Its methods must not be called concurrently. Times are by this member's monotonic
+// clock, as passed to Step; 0 means never.
 type Member struct {
 	settings Settings
 	rng      *rand.Rand
@@ -46,64 +50,64 @@
 
 	// Endpoint lists.
 	servers     map[string]*server
-	order       []string            // IDs of servers, ascending
+	serverIDs   []string            // IDs of all servers, ascending
 	sources     map[string][]string // IDs of servers by source
 	sourceNames []string            // ascending
-	upServers   []int               // servers that are Up, by number of their failure domain
+	upServers   []int               // number of servers that are Up, by the number of the failure domain
 
 	// Membership.
-	names           []string // live members, ascending
-	peers           []Peer   // of each of names; nil: nothing is known
+	names           []string // names of live members, ascending
+	peers           []Peer   // descriptions of names, in the same order; nil: none is known
 	unreachable     []Peer
-	membershipEpoch int                     // grows with each change of the three above
+	membershipEpoch int                     // increases with each change of names, peers or unreachable
 	subscribersOf   map[string]*subscribers // by source
 
 	// Outcomes of this member's own agents.
-	total          decayedCounts             // at all servers
-	background     map[string]*decayedCounts // by source, decayed slowly
+	total          decayedCounts             // outcomes at all servers
+	background     map[string]*decayedCounts // outcomes by source, with a slower decay
 	recentOutcomes []recentOutcome
 	reportNumber   uint32
 
 	// Evaluation of servers.
-	active         []*server // those with reports, ejections, drains or a due evaluation, by ID
+	active         []*server // servers with reports, ejections, drains or a due evaluation, by ID
 	evaluationDue  bool
-	evaluateAt     time.Duration // the next evaluation is due by then; 0: none
+	evaluateAt     time.Duration // when the next evaluation is due; 0: none is
 	lastEvaluation time.Duration
-	announced      []Ejection // in the last EjectionsChanged
+	announced      []Ejection // content of the last EjectionsChanged
 
-	// Exchange with other members.
-	pendingPolls        map[uint64]pendingPoll // by number
+	// Communication with other members.
+	pendingPolls        map[uint64]pendingPoll // by poll number
 	pollNumber          uint64
-	roundTrip           time.Duration // the longest lately
+	roundTrip           time.Duration // longest recent round trip of a poll
 	nextPoll            time.Duration
 	lastPoll            time.Duration
 	promptedPollBackoff backoff
-	lastUpdate          time.Duration // something new was learnt last
-	notifyAt            time.Duration // the next notification is due; 0: none
+	lastUpdate          time.Duration // when this member last learned something new
+	notifyAt            time.Duration // when the next notification is due; 0: none is
 	lastNotify          time.Duration
 	notifyBackoff       backoff
-	responseCursor      int              // where in active the next response goes on
+	responseCursor      int              // index in active at which the next response continues
 	recentReports       []receivedReport // oldest first
-	noticePolls         int              // polls for isolated failures, in the second since noticePollsSince
+	noticePolls         int              // polls prompted by notices since noticePollsSince, in the current second
 	noticePollsSince    time.Duration
 	budget              float64 // bytes that may be sent now
 	budgetAt            time.Duration
 }
 
-// Counters count since the member was created.
+// Counters count events since the member was created.
 type Counters struct {
 	Polls        uint64 `json:"Asked"`
 	Responses    uint64 `json:"Answered"`
 	EvidenceSent uint64 `json:"Items"`
-	Withheld     uint64 `json:"Held"` // messages dropped for Settings.BytesPerSecond
+	Withheld     uint64 `json:"Held"` // messages dropped because of Settings.BytesPerSecond
 	Ejected      uint64 `json:"Convicted"`
 	Readmitted   uint64 `json:"Acquitted"`
-	Expired      uint64 `json:"Lapsed"` // ejections that ended for want of newer evidence
-	Capped       uint64 `json:"Capped"` // ejections that Settings.MaxEjectedShare kept from taking effect at some time
+	Expired      uint64 `json:"Lapsed"` // ejections that ended because there was no newer evidence
+	Capped       uint64 `json:"Capped"` // ejections suspended at some time by Settings.MaxEjectedShare
 }
 
-// New returns a member without any knowledge, or an error if a setting is out of its range. The same seed and events
-// give the same actions.
+// New returns a member without any servers or other members, or an error if a setting is out of range. The same seed
+// and events give the same actions.
 func New(s Settings, seed uint64) (*Member, error) {
 	s, err := s.withDefaults()
 	if err != nil {
@@ -122,7 +126,7 @@
 	}, nil
 }
 
-// Next returns the time by which Step has to be called, events or not.
+// Next returns the latest time for the next call of Step, even if no events occur.
 func (m *Member) Next() time.Duration {
 	next := m.nextPoll
 	if m.notifyAt > 0 {
@@ -134,7 +138,7 @@
 	return next
 }
 
-// Step handles events in their order, does what is due by now, and returns the actions to be carried out.
+// Step handles the events in order and the timers that are due at now, and returns the actions to execute.
 func (m *Member) Step(now time.Duration, events ...Event) []Action {
 	m.now = max(now, m.now)
 	m.actions = nil
@@ -172,5 +176,5 @@
 
 func (m *Member) emit(a Action) { m.actions = append(m.actions, a) }
 
-// Counters returns what was counted so far.
+// Counters returns the counts so far.
 func (m *Member) Counters() Counters { return m.counts }
--- a/internal/peer/ejection/ejection_test.go
+++ b/internal/peer/ejection/ejection_test.go
@@ -19,7 +19,7 @@
 	h.expectEjected(true, "three reporters")
 }
 
-// Failures without a response may be the links': with half of these cut, three reporters are chance.
+// Failures without a response may be caused by links. If half of the links are broken, three reporters occur by chance.
 func TestUnresponsiveServerNeedsMoreReporters(t *testing.T) {
 	withErrorResponses := unresponsiveReports("bcdefg")
 	for _, i := range []int{0, 2, 4} {
@@ -42,7 +42,7 @@
 	}
 }
 
-// A share of requests that fails without a response ejects no server, however many members lose it.
+// If a share of the requests fails without a response, the server is not ejected, however many members are affected.
 func TestPartialFailureNeedsErrorResponses(t *testing.T) {
 	thirdFailed := func(errorResponses float32) []Evidence {
 		var all []Evidence
@@ -122,10 +122,10 @@
 	h.receives(failureReports("bcd", 1))
 	h.now += 50 * time.Millisecond
 	h.receives([]Evidence{successReport("e", 1), successReport("f", 1)})
-	h.expectEjected(false, "it responds to others since")
+	h.expectEjected(false, "the server has responded to other members since")
 }
 
-func TestEvidenceIsNeverYoungerThanItSeems(t *testing.T) {
+func TestEvidenceAgeIsNeverUnderstated(t *testing.T) {
 	h := newHarness(t)
 	h.polls = nil
 	for len(h.polls) == 0 {
@@ -155,15 +155,15 @@
 		t.Fatal("not ejected")
 	}
 	if until := h.ejections[0].Until; until > h.now+DefaultMaxEvidenceAge {
-		t.Errorf("it holds until %v after now", until-h.now)
+		t.Errorf("the ejection holds until %v after now", until-h.now)
 	}
 	h.wait(DefaultMaxEvidenceAge)
 	if h.isEjected("s0") {
-		t.Error("ejected without evidence")
+		t.Error("the server is ejected without evidence")
 	}
 	h.receives(failureReports("bc", 1))
 	if h.isEjected("s0") {
-		t.Error("ejected by evidence from before it was readmitted")
+		t.Error("the server is ejected by evidence from before its readmission")
 	}
 }
 
@@ -201,10 +201,10 @@
 		t.Fatalf("announced %+v", h.ejections)
 	}
 	if h.wait(DefaultMaxDrainAge + time.Second); len(h.ejections) != 0 {
-		t.Errorf("a drain that no list confirms: %+v", h.ejections)
+		t.Errorf("a drain that no list confirms did not expire: %+v", h.ejections)
 	}
 
-	// A drain of the member's own list goes to others with its age, and evidence does not revoke it.
+	// A drain in the member's own list is sent to other members with its age, and evidence does not revoke it.
 	list := testServers("s")
 	list[4].State = Draining
 	h.step(ListUpdated{"main", list})
@@ -226,11 +226,11 @@
 	success.OtherSuccessAgeMS = 0
 	h.receives([]Evidence{success})
 	if h.m.servers["s4"].State != Draining {
-		t.Error("evidence revoked a drain of the list")
+		t.Error("evidence revoked a drain in the list")
 	}
 }
 
-// All members agree on who the trial members are.
+// All members select the same trial members.
 func TestOnlyTrialMembersUseAnEjectedServer(t *testing.T) {
 	var names []string
 	for i := range 40 {
@@ -245,6 +245,6 @@
 		}
 	}
 	if users != 3 {
-		t.Errorf("%d of 40 members use it, want 3", users)
+		t.Errorf("%d of 40 members use the ejected server, want 3", users)
 	}
 }
--- a/internal/peer/ejection/ejectionsim/ejectionsim.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim.go
@@ -1,10 +1,11 @@
-// Package ejectionsim simulates members that agree on outlier ejection, in virtual time: servers that fail, links between
-// agents and servers or among members that lose messages, and endpoint lists that arrive late. Each agent sends its
-// requests to the servers that neither it nor its member has ejected. The simulation knows the truth, and counts requests
-// that a faulty server failed and ejections of servers that were well.
+// Package ejectionsim simulates outlier ejection by a fleet in virtual time: servers that fail, links between agents
+// and servers or between members that lose messages, and endpoint lists that arrive late. Each agent sends its requests
+// to the servers that neither the agent itself nor its member has ejected. The simulation knows the actual state of the
+// servers. It counts requests that a faulty server failed, and ejections of healthy servers.
 //
-// Run is a function of its Options: the same seed gives the same result. Simulations share nothing, and may run in
-// parallel. Tests, tools/verdicts, tools/capacity and the simulation of lightweight members use it.
+// The result of Run depends only on its Options: the same seed gives the same result. Simulations share no state and
+// may run in parallel. The package is used by tests, tools/verdicts, tools/capacity and the simulation of lightweight
+// members.
 package ejectionsim
 
 import (
@@ -19,76 +20,77 @@
 	"vetchhaven/internal/peer/ejection"
 )
 
-// Options configure a simulation. Functions are called with virtual time since its start.
+// Options configure a simulation. Times passed to functions are virtual times since the start.
 type Options struct {
 	Seed     uint64
 	Agents   int
 	Servers  int
 	Rate     float64 // requests a second of each agent
 	Duration time.Duration
-	// ErrorRate is the share of all requests that fails by chance, at any server.
+	// ErrorRate is the share of requests that fail by chance, at any server.
 	ErrorRate float64
-	// ShareEvidence has members exchange evidence; else each agent is by itself.
+	// ShareEvidence makes members exchange evidence. Otherwise each agent decides alone.
 	ShareEvidence bool
-	// LocalEjection has each agent eject by itself a server that failed it, for longer each time, as package decide does.
+	// LocalEjection makes each agent itself eject a server after a failure, for a longer time after each further
+	// failure, as package decide does.
 	LocalEjection bool
 
-	// FailureShare is the share of requests that a server fails, by its own fault.
+	// FailureShare returns the share of requests that fail because of a fault of the server.
 	FailureShare func(server int, now time.Duration) float64
-	// Unresponsive has servers fail without a response.
+	// Unresponsive makes faulty servers fail without a response.
 	Unresponsive bool
-	// LinkLoss is the share of requests that the link between an agent and a server loses.
+	// LinkLoss returns the share of requests that the link between an agent and a server loses.
 	LinkLoss func(agent, server int, now time.Duration) float64
-	// PeerPath is the share of messages between two members that is lost, and the delay of the others.
+	// PeerPath returns the share of messages between two members that is lost, and the delay of the others.
 	PeerPath func(from, to int, now time.Duration) (lost float64, delay time.Duration)
-	// Drains are servers that drain.
+	// Drains are the servers that drain.
 	Drains []Drain
 
-	// ServersOf are the servers that an agent sends to. nil: all; an empty result: none.
+	// ServersOf returns the servers that an agent sends to. nil: all servers; an empty result: none.
 	ServersOf func(agent int) []int
-	// ListOf is the endpoint list of a server. An agent reads the lists of the servers that it sends to. nil: one list,
-	// which all read.
+	// ListOf returns the endpoint list of a server. An agent reads the lists of the servers that it sends to. nil:
+	// there is one list, which all agents read.
 	ListOf func(server int) string
-	// LocalityOf is the locality of the agent, and of the server, of that number. nil: all agents in one zone, and servers
-	// in three.
+	// LocalityOf returns the locality of the agent and of the server with that number. nil: all agents are in one zone,
+	// and the servers in three.
 	LocalityOf func(number int) (region, zone string)
-	// UsesFirstFormat reports whether an agent's member sends messages of format 1, and announces no subscriptions. nil:
-	// none does.
+	// UsesFirstFormat reports whether an agent's member sends messages with format 1 and announces no subscriptions.
+	// nil: no member does.
 	UsesFirstFormat func(agent int) bool
-	// SampleInterval is how often agents report outcomes to their members; requests are then drawn so many at a time, which
-	// is much faster at high rates. 0: each request is reported by itself.
+	// SampleInterval is the interval in which agents report outcomes to their members. The requests of an interval are
+	// then simulated together, which is much faster at high rates. 0: each request is reported by itself.
 	SampleInterval time.Duration
 
-	// MessageSize returns the bytes of a message on the wire. nil: an estimate.
+	// MessageSize returns the size of a message on the wire in bytes. nil: sizes are estimated.
 	MessageSize func(from string, m *ejection.Message) int
-	// OnSent and OnReceived are called with each message sent, and each that arrives. nil: not called.
+	// OnSent and OnReceived are called for each message that is sent and for each that arrives. nil: not called.
 	OnSent, OnReceived func(now time.Duration, member, bytes int)
-	// OnLog is called with each log line. nil: not called.
+	// OnLog is called for each log line. nil: not called.
 	OnLog func(now time.Duration, agent int, text string)
 }
 
-// Drain is a server that drains from a time on. Each member's list announces it within a second, and its removal ten
-// seconds later.
+// Drain is a server that starts draining at a time. Each member's list announces the drain within a second, and the
+// removal of the server ten seconds later.
 type Drain struct {
 	Server int
 	At     time.Duration
 }
 
-// Result is what happened, by the truth that the simulation knows.
+// Result holds the results of a simulation.
 type Result struct {
 	Requests       int
-	FailedByServer int // requests that a server failed by its own fault
+	FailedByServer int // requests that failed because of a fault of the server
 
-	Ejections         int             // at all members
+	Ejections         int             // ejections at all members
 	EjectingMembers   []int           // the members that ejected a failing server, in the order of EjectionDelays
-	EjectionDelays    []time.Duration // from when a server began to fail until a member ejected it
-	ReadmissionDelays []time.Duration // from when a server was well until a member readmitted it
+	EjectionDelays    []time.Duration // times from when a server began to fail until a member ejected it
+	ReadmissionDelays []time.Duration // times from when a server recovered until a member readmitted it
 	EndedEjections    []EndedEjection
-	WrongEjections    int           // of servers that did not fail
-	WrongDuration     time.Duration // sum over members
-	WrongMembers      []int         // the members that had them
-	WrongReachable    int           // those at members whose link to the server was not broken while evidence lasts
-	MaxReadmittedRate int           // requests in any second to a server that was well for less than 30 s
+	WrongEjections    int           // ejections of servers that did not fail
+	WrongDuration     time.Duration // total duration of wrong ejections over all members
+	WrongMembers      []int         // the members with wrong ejections
+	WrongReachable    int           // wrong ejections without a broken link to the server within MaxEvidenceAge
+	MaxReadmittedRate int           // most requests in one second to a server that recovered less than 30 s ago
 
 	Messages int
 	Bytes    int
@@ -102,114 +104,114 @@
 }
 
 const (
-	// clockOffset is added to virtual time for members: to them 0 stands for never.
+	// clockOffset is added to virtual times that are passed to members, because 0 means never to them.
 	clockOffset = time.Hour
-	// rngStream separates these random numbers from those of others with the same seed.
+	// rngStream makes these random numbers independent of those of other packages with the same seed.
 	rngStream = 41
-	// defaultList is the list of all servers where Options.ListOf is nil.
+	// defaultList is the list of all servers if Options.ListOf is nil.
 	defaultList = "main"
-	// drainAnnouncement is the time within which each member's list announces a drain, and removalDelay when it announces
-	// the removal after that.
+	// drainAnnouncement is the time within which each member's list announces a drain, and removalDelay the time from
+	// that until it announces the removal.
 	drainAnnouncement = time.Second
 	removalDelay      = 10 * time.Second
-	// startedMS is the start of all servers' processes, which never restart.
+	// startedMS is the start time of all servers' processes, which never restart.
 	startedMS = 1
 )
 
 // agent is an agent with its member.
 type agent struct {
 	number  int
-	member  *ejection.Member               // nil: it shares no evidence
-	wakeAt  time.Duration                  // the member's next step without events
-	servers []int                          // that it sends to; nil: all
-	samples map[int]ejection.OutcomeSample // not reported yet, by server; nil: each request is reported by itself
-	lists   map[string][]ejection.Server   // that it reads, by name
-	changed []ejection.Server              // all servers by its lists, once these differ from the others'
+	member  *ejection.Member               // nil: the agent shares no evidence
+	wakeAt  time.Duration                  // time of the member's next step without events
+	servers []int                          // servers that the agent sends to; nil: all
+	samples map[int]ejection.OutcomeSample // unreported outcomes, by server; nil: each request is reported by itself
+	lists   map[string][]ejection.Server   // lists that the agent reads, by name
+	changed []ejection.Server              // all servers by this agent's lists; nil until its lists have changed
 
-	ejectedUntil   map[string]time.Duration // by its member
+	ejectedUntil   map[string]time.Duration // ejections by the member, by server ID
 	ejectedSince   []time.Duration          // by server
-	wronglySince   []time.Duration          // the server is ejected wrongly since then; 0: it is not
-	localUntil     []time.Duration          // ejected by the agent itself
-	localEjections []int                    // local ejections without a success between
+	wronglySince   []time.Duration          // start of a wrong ejection, by server; 0: none
+	localUntil     []time.Duration          // end of the agent's own ejection, by server
+	localEjections []int                    // consecutive local ejections without a success between them, by server
 }
 
-// world is one simulation.
-type world struct {
+// simulation is the state of one Run.
+type simulation struct {
 	options      Options
 	rng          *rand.Rand
 	now          time.Duration
 	queue        eventqueue.Queue
 	agents       []*agent
 	result       Result
-	failingSince []time.Duration   // by server; 0: it does not fail
-	wellSince    []time.Duration   // after it failed; 0: it fails, or never did
-	recent       [][]time.Duration // requests of the last second to a server that is well again
+	failingSince []time.Duration   // by server; 0: the server does not fail
+	recoveredAt  []time.Duration   // recovery after a failure, by server; 0: the server fails, or never failed
+	recent       [][]time.Duration // times of the requests in the last second, by recovered server
 }
 
 func memberName(number int) string { return fmt.Sprint("m", number) }
 func serverID(number int) string   { return fmt.Sprint("main/s", number) }
 
-// Run simulates until Options.Duration. It returns an error if the members' settings are refused.
+// Run runs a simulation until Options.Duration. It returns an error if the members' settings are invalid.
 func Run(o Options) (*Result, error) {
-	w := &world{
+	sim := &simulation{
 		options:      o,
 		rng:          rand.New(rand.NewPCG(o.Seed, rngStream)),
 		failingSince: make([]time.Duration, o.Servers),
-		wellSince:    make([]time.Duration, o.Servers),
+		recoveredAt:  make([]time.Duration, o.Servers),
 		recent:       make([][]time.Duration, o.Servers),
 	}
-	servers, lists := w.listServers()
+	servers, lists := sim.listServers()
 	peers := make([]ejection.Peer, o.Agents)
 	for n := range o.Agents {
-		if err := w.startAgent(n, lists, &peers[n]); err != nil {
+		if err := sim.startAgent(n, lists, &peers[n]); err != nil {
 			return nil, err
 		}
 	}
 	if o.ShareEvidence {
-		w.startMembers(membersChanged(peers))
+		sim.startMembers(membersChanged(peers))
 	}
-	w.scheduleDrains(servers)
-	w.observeServers()
-	for at, do, ok := w.queue.Next(o.Duration); ok; at, do, ok = w.queue.Next(o.Duration) {
-		w.now = at
+	sim.scheduleDrains(servers)
+	sim.observeServers()
+	for at, do, ok := sim.queue.Next(o.Duration); ok; at, do, ok = sim.queue.Next(o.Duration) {
+		sim.now = at
 		do()
 	}
-	w.addOpenWrongEjections()
-	return &w.result, nil
+	sim.addOpenWrongEjections()
+	return &sim.result, nil
 }
 
 // at schedules an event.
-func (w *world) at(t time.Duration, do func()) {
-	w.queue.At(max(t, w.now), do)
+func (sim *simulation) at(t time.Duration, do func()) {
+	sim.queue.At(max(t, sim.now), do)
 }
 
-// listServers returns all servers, and the same by list.
-func (w *world) listServers() (all []ejection.Server, lists map[string][]ejection.Server) {
+// listServers returns all servers, and the servers of each list.
+func (sim *simulation) listServers() (all []ejection.Server, lists map[string][]ejection.Server) {
 	lists = map[string][]ejection.Server{}
-	for n := range w.options.Servers {
+	for n := range sim.options.Servers {
 		s := ejection.Server{ID: serverID(n), StartedMS: startedMS, Zone: fmt.Sprint(n % 3), Pod: n % 4}
-		if w.options.LocalityOf != nil {
-			_, s.Zone = w.options.LocalityOf(n)
+		if sim.options.LocalityOf != nil {
+			_, s.Zone = sim.options.LocalityOf(n)
 		}
 		all = append(all, s)
-		list := w.listOf(n)
+		list := sim.listOf(n)
 		lists[list] = append(lists[list], s)
 	}
 	return all, lists
 }
 
 // listOf returns the list of a server.
-func (w *world) listOf(server int) string {
-	if w.options.ListOf == nil {
+func (sim *simulation) listOf(server int) string {
+	if sim.options.ListOf == nil {
 		return defaultList
 	}
-	return w.options.ListOf(server)
+	return sim.options.ListOf(server)
 }
 
-// startAgent creates an agent and its member, and begins its requests.
-func (w *world) startAgent(number int, lists map[string][]ejection.Server, peer *ejection.Peer) error {
-	o := &w.options
-	a := w.newAgent(number, lists)
+// startAgent creates an agent and its member, and schedules its first request.
+func (sim *simulation) startAgent(number int, lists map[string][]ejection.Server, peer *ejection.Peer) error {
+	o := &sim.options
+	a := sim.newAgent(number, lists)
 	if o.LocalityOf != nil {
 		peer.Region, peer.Zone = o.LocalityOf(number)
 	}
@@ -219,9 +221,9 @@
 	} else {
 		peer.Subscriptions = ejection.NewSubscriptionFilter(slices.Sorted(maps.Keys(a.lists)))
 	}
-	w.agents = append(w.agents, a)
+	sim.agents = append(sim.agents, a)
 	if o.ShareEvidence {
-		member, err := ejection.New(settings, w.rng.Uint64())
+		member, err := ejection.New(settings, sim.rng.Uint64())
 		if err != nil {
 			return err
 		}
@@ -232,15 +234,15 @@
 	}
 	if o.SampleInterval > 0 {
 		a.samples = map[int]ejection.OutcomeSample{}
-		w.at(time.Duration(w.rng.Float64()*float64(o.SampleInterval)), func() { w.sendBatch(a) })
+		sim.at(time.Duration(sim.rng.Float64()*float64(o.SampleInterval)), func() { sim.sendBatch(a) })
 		return nil
 	}
-	w.scheduleRequest(a)
+	sim.scheduleRequest(a)
 	return nil
 }
 
-func (w *world) newAgent(number int, lists map[string][]ejection.Server) *agent {
-	o := &w.options
+func (sim *simulation) newAgent(number int, lists map[string][]ejection.Server) *agent {
+	o := &sim.options
 	a := &agent{
 		number:         number,
 		lists:          lists,
@@ -262,18 +264,18 @@
 	return a
 }
 
-// startMembers gives each member the membership and its lists.
-func (w *world) startMembers(members ejection.MembersChanged) {
-	for _, a := range w.agents {
+// startMembers passes the membership and its lists to each member.
+func (sim *simulation) startMembers(members ejection.MembersChanged) {
+	for _, a := range sim.agents {
 		events := []ejection.Event{members}
 		for _, list := range slices.Sorted(maps.Keys(a.lists)) {
 			events = append(events, ejection.ListUpdated{Source: list, Servers: a.lists[list]})
 		}
-		w.step(a, events...)
+		sim.step(a, events...)
 	}
 }
 
-// membersChanged returns the membership, ascending by name.
+// membersChanged returns the membership as an event, ascending by name.
 func membersChanged(peers []ejection.Peer) ejection.MembersChanged {
 	order := make([]int, len(peers))
 	for n := range order {
@@ -288,12 +290,12 @@
 	return e
 }
 
-func (w *world) scheduleDrains(servers []ejection.Server) {
-	for _, d := range w.options.Drains {
-		for _, a := range w.agents {
-			at := d.At + time.Duration(w.rng.Float64()*float64(drainAnnouncement))
-			w.at(at, func() { w.updateList(a, servers, d.Server, ejection.Draining) })
-			w.at(at+removalDelay, func() { w.updateList(a, servers, d.Server, ejection.Removed) })
+func (sim *simulation) scheduleDrains(servers []ejection.Server) {
+	for _, d := range sim.options.Drains {
+		for _, a := range sim.agents {
+			at := d.At + time.Duration(sim.rng.Float64()*float64(drainAnnouncement))
+			sim.at(at, func() { sim.updateList(a, servers, d.Server, ejection.Draining) })
+			sim.at(at+removalDelay, func() { sim.updateList(a, servers, d.Server, ejection.Removed) })
 		}
 	}
 }
--- a/internal/peer/ejection/ejectionsim/ejectionsim_test.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The faults of all tests last from faultStart to faultEnd.
+// In all tests, faults last from faultStart to faultEnd.
 const (
 	faultStart = 10 * time.Second
 	faultEnd   = 22 * time.Second
@@ -17,7 +17,7 @@
 
 func noPathFaults(int, int, time.Duration) (float64, time.Duration) { return 0, 0 }
 
-// duringFault returns a loss function that applies while the fault lasts.
+// duringFault returns a function that returns the loss during the fault, and 0 at other times.
 func duringFault(loss func(agent, server int) float64) func(int, int, time.Duration) float64 {
 	return func(agent, server int, now time.Duration) float64 {
 		if now < faultStart || now >= faultEnd {
@@ -27,7 +27,7 @@
 	}
 }
 
-// failingDuringFault has one server fail a share of its requests.
+// failingDuringFault returns Options.FailureShare for one server that fails a share of its requests during the fault.
 func failingDuringFault(server int, share float64) func(int, time.Duration) float64 {
 	return func(s int, now time.Duration) float64 {
 		if s == server && now >= faultStart && now < faultEnd {
@@ -37,7 +37,7 @@
 	}
 }
 
-// runDefaults runs options in which no server fails and no message is lost unless they say so.
+// runDefaults runs a simulation. By default no server fails, and no request or message is lost.
 func runDefaults(t *testing.T, o Options) *Result {
 	t.Helper()
 	if o.FailureShare == nil {
@@ -56,7 +56,7 @@
 	return r
 }
 
-// runFleet runs 24 agents and 8 servers for 40 s. Delays are sorted.
+// runFleet runs a simulation of 24 agents and 8 servers for 40 s. The delays in the result are sorted.
 func runFleet(t *testing.T, o Options) *Result {
 	t.Helper()
 	o.Agents = 24
@@ -119,13 +119,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := runFleet(t, Options{Seed: 4, Rate: 10, LinkLoss: c.loss})
 			if r.WrongEjections > 0 {
-				t.Errorf("%d wrong ejections for %v in all", r.WrongEjections, r.WrongDuration)
+				t.Errorf("%d wrong ejections for %v in total", r.WrongEjections, r.WrongDuration)
 			}
 		})
 	}
 }
 
-// Evidence that arrives when it is older than MaxEvidenceAge is ignored: each member is by itself.
+// Evidence that is older than MaxEvidenceAge on arrival is ignored, so that no server is ejected.
 func TestLateEvidenceIsIgnored(t *testing.T) {
 	late := func(int, int, time.Duration) (float64, time.Duration) { return 0, 21 * time.Second }
 	r := runFleet(t, Options{Seed: 5, Rate: 10, FailureShare: failingDuringFault(3, 1), PeerPath: late})
@@ -153,7 +153,7 @@
 		}
 		ended++
 		if e.At > partitionStart+maxEvidence {
-			t.Errorf("member %d: an ejection held until %v without evidence", e.Agent, e.At)
+			t.Errorf("member %d: an ejection lasted until %v without evidence", e.Agent, e.At)
 		}
 	}
 	if ended == 0 {
@@ -161,7 +161,8 @@
 	}
 }
 
-// The order of reports varies with the seed: most members eject a server that fails a third of its requests with each.
+// The order of reports varies with the seed. With each seed, most members eject a server that fails a third of its
+// requests.
 func TestPartialFailureIsFoundInAnyOrder(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// A server that does not respond at all is ejected too, by more reports.
+// A server that does not respond at all is ejected too, although this requires more reports.
 func TestUnresponsiveServerIsEjectedByAll(t *testing.T) {
 	r := runFleet(t, Options{Seed: 7, Rate: 10, FailureShare: failingDuringFault(3, 1), Unresponsive: true})
 	if len(r.EjectionDelays) < 18 || r.EjectionDelays[16] > 4*time.Second || r.WrongEjections > 0 {
--- a/internal/peer/ejection/ejectionsim/links.go
+++ b/internal/peer/ejection/ejectionsim/links.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// brokenLinksStream separates these random numbers from those of others with the same seed.
+// brokenLinksStream makes these random numbers independent of others with the same seed.
 const brokenLinksStream = 61
 
-// linkFault is a group of agents that loses a share of its requests to a group of servers for a while.
+// linkFault is a fault in which a group of agents loses a share of its requests to a group of servers for some time.
 type linkFault struct {
 	agents, servers map[int]bool
 	start, end      time.Duration
 	share           float64
 }
 
-// BrokenLinks returns the options of a simulation in which members lose their links to servers, messages among members are
-// lost and delayed, and no server fails: any ejection is a wrong one. Of 10 to 99 members and 5 to 49 servers; the request
-// rates take turns from day to day.
+// BrokenLinks returns the options of a simulation in which members lose their links to servers, and messages between
+// members are lost and delayed. No server fails, so that any ejection is wrong. There are 10 to 99 members and 5 to 49
+// servers. day is the seed, and also selects one of three request rates in turn.
 func BrokenLinks(day uint64) Options {
 	rng := rand.New(rand.NewPCG(day, brokenLinksStream))
 	agents := 10 + rng.IntN(90)
--- a/internal/peer/ejection/ejectionsim/links_test.go
+++ b/internal/peer/ejection/ejectionsim/links_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// These days of tools/verdicts links had wrong ejections in builds that polled too few members outside the partition:
-// half of the members lose a server, and many messages are lost as well.
+// On these days, half of the members can't reach a server and many messages are lost. There are wrong ejections if too
+// few members outside the partition are polled. The days are those of "tools/verdicts links".
 func TestResponsesAboutAnUnresponsiveServerAreNotAllPartitioned(t *testing.T) {
 	for _, c := range []struct {
 		day      uint64
--- a/internal/peer/ejection/ejectionsim/localities_test.go
+++ b/internal/peer/ejection/ejectionsim/localities_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Members and servers are in three regions of three zones each: number n in region n modulo 3.
+// Members and servers are in three regions of three zones each. Number n is in region n modulo 3.
 const (
 	regions        = 3
 	zonesPerRegion = 3
 	regionMembers  = 54
-	// regionSeeds is how many seeds of the slow simulations CI runs: each takes 4 to 6 s with -race.
+	// regionSeeds is the number of seeds of the slow simulations. Each simulation takes 4 to 6 s with -race.
 	regionSeeds = uint64(1)
-	// soon is a delay within which most members eject a failing server.
-	soon = 3 * time.Second
+	// earlyBound is the delay within which most members must eject a failing server.
+	earlyBound = 3 * time.Second
 )
 
 func regionOf(n int) int { return n % regions }
@@ -26,7 +26,8 @@
 	return region, fmt.Sprint(region, "-z", zoneOf(n))
 }
 
-// partition cuts off the agents and servers that are inside from all others during the fault, links and messages alike.
+// partition separates the agents and servers inside from all others during the fault. It returns the loss of requests
+// and the path of messages.
 func partition(inside func(n int) bool) (linkLoss func(agent, server int, now time.Duration) float64, path func(from, to int, now time.Duration) (float64, time.Duration)) {
 	loss := duringFault(func(a, b int) float64 {
 		if inside(a) != inside(b) {
@@ -39,7 +40,7 @@
 	}
 }
 
-// runRegions runs 54 agents and 18 servers in three regions.
+// runRegions runs a simulation of 54 agents and 18 servers in three regions.
 func runRegions(t *testing.T, o Options) *Result {
 	t.Helper()
 	o.Agents = regionMembers
@@ -74,7 +75,7 @@
 	return count
 }
 
-// A partitioned region ejects the servers that it does not reach for itself, and for no other members.
+// Members of a partitioned region eject servers that they can't reach; members elsewhere don't eject these servers.
 func TestPartitionedRegionEjectsNoServerElsewhere(t *testing.T) {
 	linkLoss, path := partition(func(n int) bool { return regionOf(n) == 0 })
 	r := runRegions(t, Options{Seed: 20, LinkLoss: linkLoss, PeerPath: path, Duration: faultEnd + 24*time.Second})
@@ -82,11 +83,11 @@
 		t.Errorf("%d ejections at members that reach the server", r.WrongReachable)
 	}
 	if r.WrongEjections == 0 {
-		t.Error("nobody ejected a server that it does not reach: the partition was not exercised")
+		t.Error("no member ejected a server that it can't reach: the partition was not exercised")
 	}
 	for _, e := range r.EndedEjections {
 		if e.At > faultEnd+21*time.Second {
-			t.Errorf("an ejection held until %v, the partition ended at %v", e.At, faultEnd)
+			t.Errorf("an ejection lasted until %v, the partition ended at %v", e.At, faultEnd)
 		}
 	}
 	if r.Ejections != len(r.EndedEjections) {
@@ -94,7 +95,8 @@
 	}
 }
 
-// A server that fails inside a partitioned region is ejected inside, and one that fails outside is ejected outside.
+// A server that fails inside a partitioned region is ejected inside, and a server that fails outside is ejected
+// outside.
 func TestEjectionsHoldInsideAPartitionedRegion(t *testing.T) {
 	forEachSeed(t, regionSeeds, func(t *testing.T, seed uint64) {
 		linkLoss, path := partition(func(n int) bool { return regionOf(n) == 0 })
@@ -108,21 +110,22 @@
 		inside, outside := 0, 0
 		for i, member := range r.EjectingMembers {
 			switch {
-			case r.EjectionDelays[i] > 10*time.Second: // as long as the partition lasts
+			case r.EjectionDelays[i] > 10*time.Second: // ejected only after the partition has ended
 			case regionOf(member) == 0:
 				inside++
 			default:
 				outside++
 			}
 		}
-		// Of 18 members inside and 36 outside, all but the trial members.
+		// All but the trial members eject the servers: there are 18 members inside and 36 outside.
 		if inside < 12 || outside < 26 || r.WrongReachable > 0 {
 			t.Errorf("ejected by %d inside and %d outside, %d wrong ejections at members that reach the server", inside, outside, r.WrongReachable)
 		}
 	})
 }
 
-// A partitioned zone counts as one reporter, for its own members too: it cannot tell its lost link from servers that fail.
+// A partitioned zone counts as one reporter, even for its own members: they can't distinguish their lost link from
+// failing servers.
 func TestPartitionedZoneEjectsNoServer(t *testing.T) {
 	forEachSeed(t, regionSeeds, func(t *testing.T, seed uint64) {
 		inside := func(n int) bool { return n%2 == 0 } // half of all members, in one zone of three
@@ -140,7 +143,7 @@
 	})
 }
 
-// wrongMembersIn returns how many wrong ejections were of members inside.
+// wrongMembersIn returns the number of wrong ejections by members inside.
 func wrongMembersIn(r *Result, inside func(int) bool) int {
 	count := 0
 	for _, member := range r.WrongMembers {
@@ -151,7 +154,7 @@
 	return count
 }
 
-// What one region sends to the others is lost, and it receives what they send.
+// Messages from one region to the others are lost, but not those in the opposite direction.
 func TestOneWayLossEjectsOnlyFailingServers(t *testing.T) {
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
 		path := func(from, to int, _ time.Duration) (float64, time.Duration) {
@@ -167,16 +170,16 @@
 	})
 }
 
-// Half of the members send messages of format 1.
+// Half of the members send messages with format 1.
 func TestMembersOfMixedFormatsFindFailingServers(t *testing.T) {
 	firstFormat := func(n int) bool { return n/3%2 == 0 }
 	forEachSeed(t, regionSeeds, func(t *testing.T, seed uint64) {
 		r := runRegions(t, Options{Seed: 60 + seed, UsesFirstFormat: firstFormat, FailureShare: failingDuringFault(4, 1)})
-		early := countWithin(r.EjectionDelays, soon)
+		early := countWithin(r.EjectionDelays, earlyBound)
 		if r.WrongEjections > 0 || early < 40 {
-			t.Errorf("%d wrong ejections, ejected by %d of %d members within %v: %v", r.WrongEjections, early, regionMembers, soon, r.EjectionDelays)
+			t.Errorf("%d wrong ejections, ejected by %d of %d members within %v: %v", r.WrongEjections, early, regionMembers, earlyBound, r.EjectionDelays)
 		}
-		linkLoss := duringFault(func(agent, server int) float64 { // half of the members do not reach one server
+		linkLoss := duringFault(func(agent, server int) float64 { // half of the members can't reach one server
 			if server == 3 && agent%2 == 0 {
 				return 1
 			}
@@ -188,7 +191,8 @@
 	})
 }
 
-// Members exchange reports about the lists that they read only, and find a failing server as fast when they are few.
+// Members exchange reports only about the lists that they read. Even the few subscribers of a list eject a failing
+// server quickly.
 func TestFailingServerIsEjectedByItsSubscribers(t *testing.T) {
 	const serversPerList = 18
 	serversOf := func(agent int) (servers []int) {
@@ -211,9 +215,9 @@
 				t.Errorf("ejected by member %d, which does not read the list", member)
 			}
 		}
-		early := countWithin(r.EjectionDelays, soon)
+		early := countWithin(r.EjectionDelays, earlyBound)
 		if r.WrongEjections > 0 || early < 12 {
-			t.Errorf("%d wrong ejections, ejected by %d of %d members within %v", r.WrongEjections, early, serversPerList, soon)
+			t.Errorf("%d wrong ejections, ejected by %d of %d members within %v", r.WrongEjections, early, serversPerList, earlyBound)
 		}
 	})
 }
--- a/internal/peer/ejection/ejectionsim/members.go
+++ b/internal/peer/ejection/ejectionsim/members.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// observeInterval is how often the truth about servers is sampled.
+	// observeInterval is the interval in which the actual state of the servers is sampled.
 	observeInterval = 10 * time.Millisecond
-	// minFaultShare is the share of failed requests from which a server counts as failing.
+	// minFaultShare is the minimum share of failed requests for a server to count as failing.
 	minFaultShare = 0.2
-	// baseDelay is the delay of every message among members.
+	// baseDelay is the minimum delay of messages between members.
 	baseDelay = time.Millisecond
 )
 
-// observeServers notes which servers begin to fail and which are well again.
-func (w *world) observeServers() {
-	for s := range w.options.Servers {
-		fails := w.options.FailureShare(s, w.now) >= minFaultShare
+// observeServers records which servers begin to fail and which have recovered.
+func (sim *simulation) observeServers() {
+	for s := range sim.options.Servers {
+		fails := sim.options.FailureShare(s, sim.now) >= minFaultShare
 		switch {
-		case fails && w.failingSince[s] == 0:
-			w.failingSince[s] = max(w.now, 1)
-			w.wellSince[s] = 0
-		case !fails && w.failingSince[s] > 0:
-			w.failingSince[s] = 0
-			w.wellSince[s] = w.now
+		case fails && sim.failingSince[s] == 0:
+			sim.failingSince[s] = max(sim.now, 1)
+			sim.recoveredAt[s] = 0
+		case !fails && sim.failingSince[s] > 0:
+			sim.failingSince[s] = 0
+			sim.recoveredAt[s] = sim.now
 		}
 	}
-	w.at(w.now+observeInterval, w.observeServers)
+	sim.at(sim.now+observeInterval, sim.observeServers)
 }
 
-// step steps an agent's member, carries out its actions, and schedules its next step.
-func (w *world) step(a *agent, events ...ejection.Event) {
-	for _, action := range a.member.Step(w.now+clockOffset, events...) {
+// step steps an agent's member, executes the resulting actions, and schedules the next step.
+func (sim *simulation) step(a *agent, events ...ejection.Event) {
+	for _, action := range a.member.Step(sim.now+clockOffset, events...) {
 		switch action := action.(type) {
 		case ejection.Send:
-			w.send(a, action)
+			sim.send(a, action)
 		case ejection.Log:
-			if w.options.OnLog != nil {
-				w.options.OnLog(w.now, a.number, action.Text)
+			if sim.options.OnLog != nil {
+				sim.options.OnLog(sim.now, a.number, action.Text)
 			}
 		case ejection.EjectionsChanged:
-			w.applyEjections(a, action.Ejections)
+			sim.applyEjections(a, action.Ejections)
 		}
 	}
 	next := a.member.Next() - clockOffset
@@ -53,119 +53,120 @@
 		return
 	}
 	a.wakeAt = next
-	w.at(next, func() {
+	sim.at(next, func() {
 		if a.wakeAt == next {
 			a.wakeAt = 0
-			w.step(a)
+			sim.step(a)
 		}
 	})
 }
 
-// send delivers a message, or loses it.
-func (w *world) send(from *agent, action ejection.Send) {
-	size := w.messageSize(from, action.Message)
-	w.result.Messages++
-	w.result.Bytes += size
-	if w.options.OnSent != nil {
-		w.options.OnSent(w.now, from.number, size)
+// send schedules the delivery of a message, or drops it as lost.
+func (sim *simulation) send(from *agent, action ejection.Send) {
+	size := sim.messageSize(from, action.Message)
+	sim.result.Messages++
+	sim.result.Bytes += size
+	if sim.options.OnSent != nil {
+		sim.options.OnSent(sim.now, from.number, size)
 	}
 	to, err := strconv.Atoi(strings.TrimPrefix(action.To, "m"))
 	if err != nil {
-		panic("ejectionsim: message to " + action.To) // names are the simulation's own
+		panic("ejectionsim: message to unknown member " + action.To) // members know only names of the simulation
 	}
-	lost, delay := w.options.PeerPath(from.number, to, w.now)
-	if w.rng.Float64() < lost {
+	lost, delay := sim.options.PeerPath(from.number, to, sim.now)
+	if sim.rng.Float64() < lost {
 		return
 	}
-	w.at(w.now+baseDelay+delay, func() {
-		if w.options.OnReceived != nil {
-			w.options.OnReceived(w.now, to, size)
+	sim.at(sim.now+baseDelay+delay, func() {
+		if sim.options.OnReceived != nil {
+			sim.options.OnReceived(sim.now, to, size)
 		}
-		w.step(w.agents[to], ejection.Received{From: memberName(from.number), Message: action.Message})
+		sim.step(sim.agents[to], ejection.Received{From: memberName(from.number), Message: action.Message})
 	})
 }
 
-func (w *world) messageSize(from *agent, message *ejection.Message) int {
-	if w.options.MessageSize != nil {
-		return w.options.MessageSize(memberName(from.number), message)
+func (sim *simulation) messageSize(from *agent, message *ejection.Message) int {
+	if sim.options.MessageSize != nil {
+		return sim.options.MessageSize(memberName(from.number), message)
 	}
 	return 40 + 64*len(message.Evidence) + 32*len(message.Drains)
 }
 
-// applyEjections has an agent respect its member's ejections, and counts what changed.
-func (w *world) applyEjections(a *agent, ejections []ejection.Ejection) {
+// applyEjections makes an agent respect its member's ejections, and counts new and ended ejections.
+func (sim *simulation) applyEjections(a *agent, ejections []ejection.Ejection) {
 	until := map[string]time.Duration{}
 	for _, e := range ejections {
 		until[e.Server] = e.Until - clockOffset
 	}
-	for s := range w.options.Servers {
+	for s := range sim.options.Servers {
 		id := serverID(s)
 		_, was := a.ejectedUntil[id]
 		_, is := until[id]
 		switch {
 		case is && !was:
-			w.countEjection(a, s)
+			sim.countEjection(a, s)
 		case was && !is:
-			w.countReadmission(a, s)
+			sim.countReadmission(a, s)
 		}
 	}
 	a.ejectedUntil = until
 }
 
-func (w *world) countEjection(a *agent, server int) {
-	w.result.Ejections++
-	a.ejectedSince[server] = w.now
-	if w.failingSince[server] > 0 {
-		w.result.EjectionDelays = append(w.result.EjectionDelays, w.now-w.failingSince[server])
-		w.result.EjectingMembers = append(w.result.EjectingMembers, a.number)
+func (sim *simulation) countEjection(a *agent, server int) {
+	sim.result.Ejections++
+	a.ejectedSince[server] = sim.now
+	if sim.failingSince[server] > 0 {
+		sim.result.EjectionDelays = append(sim.result.EjectionDelays, sim.now-sim.failingSince[server])
+		sim.result.EjectingMembers = append(sim.result.EjectingMembers, a.number)
 		return
 	}
-	failedLately := w.wellSince[server] > 0 && w.now-w.wellSince[server] <= ejection.DefaultMaxEvidenceAge
+	failedLately := sim.recoveredAt[server] > 0 && sim.now-sim.recoveredAt[server] <= ejection.DefaultMaxEvidenceAge
 	if failedLately {
 		return
 	}
-	w.result.WrongEjections++
-	w.result.WrongMembers = append(w.result.WrongMembers, a.number)
-	if !w.wasUnreachable(a.number, server) {
-		w.result.WrongReachable++
+	sim.result.WrongEjections++
+	sim.result.WrongMembers = append(sim.result.WrongMembers, a.number)
+	if !sim.wasUnreachable(a.number, server) {
+		sim.result.WrongReachable++
 	}
-	a.wronglySince[server] = w.now
+	a.wronglySince[server] = sim.now
 }
 
-func (w *world) countReadmission(a *agent, server int) {
-	w.result.EndedEjections = append(w.result.EndedEjections, EndedEjection{a.number, w.now, w.now - a.ejectedSince[server]})
-	if w.wellSince[server] > 0 {
-		w.result.ReadmissionDelays = append(w.result.ReadmissionDelays, w.now-w.wellSince[server])
+func (sim *simulation) countReadmission(a *agent, server int) {
+	sim.result.EndedEjections = append(sim.result.EndedEjections, EndedEjection{a.number, sim.now, sim.now - a.ejectedSince[server]})
+	if sim.recoveredAt[server] > 0 {
+		sim.result.ReadmissionDelays = append(sim.result.ReadmissionDelays, sim.now-sim.recoveredAt[server])
 	}
 	if a.wronglySince[server] > 0 {
-		w.result.WrongDuration += w.now - a.wronglySince[server]
+		sim.result.WrongDuration += sim.now - a.wronglySince[server]
 		a.wronglySince[server] = 0
 	}
 }
 
-// addOpenWrongEjections counts the wrong ejections that had not ended.
-func (w *world) addOpenWrongEjections() {
-	for _, a := range w.agents {
+// addOpenWrongEjections adds the durations of wrong ejections that have not ended to the result.
+func (sim *simulation) addOpenWrongEjections() {
+	for _, a := range sim.agents {
 		for _, since := range a.wronglySince {
 			if since > 0 {
-				w.result.WrongDuration += w.now - since
+				sim.result.WrongDuration += sim.now - since
 			}
 		}
 	}
 }
 
-// wasUnreachable reports whether an agent's link to a server lost everything at any time while evidence lasts.
-func (w *world) wasUnreachable(agent, server int) bool {
-	for ago := time.Duration(0); ago <= ejection.DefaultMaxEvidenceAge && ago <= w.now; ago += time.Second {
-		if w.options.LinkLoss(agent, server, w.now-ago) >= 1 {
+// wasUnreachable reports whether an agent's link to a server lost all requests at any time within the maximum age of
+// evidence.
+func (sim *simulation) wasUnreachable(agent, server int) bool {
+	for ago := time.Duration(0); ago <= ejection.DefaultMaxEvidenceAge && ago <= sim.now; ago += time.Second {
+		if sim.options.LinkLoss(agent, server, sim.now-ago) >= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// updateList gives a member its list with another state of one server.
-func (w *world) updateList(a *agent, servers []ejection.Server, server int, state ejection.ListedState) {
+// updateList changes the state of one server in a member's list, and passes the list to the member.
+func (sim *simulation) updateList(a *agent, servers []ejection.Server, server int, state ejection.ListedState) {
 	if a.member == nil {
 		return
 	}
@@ -173,15 +174,15 @@
 		a.changed = slices.Clone(servers)
 	}
 	a.changed[server].State = state
-	list := w.listOf(server)
+	list := sim.listOf(server)
 	if a.lists[list] == nil {
 		return
 	}
 	var listed []ejection.Server
 	for n, s := range a.changed {
-		if w.listOf(n) == list {
+		if sim.listOf(n) == list {
 			listed = append(listed, s)
 		}
 	}
-	w.step(a, ejection.ListUpdated{Source: list, Servers: listed})
+	sim.step(a, ejection.ListUpdated{Source: list, Servers: listed})
 }
--- a/internal/peer/ejection/ejectionsim/requests.go
+++ b/internal/peer/ejection/ejectionsim/requests.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// maxPicks is how many random servers an agent picks before it sends to one that is ejected.
+	// maxPicks is the number of random picks after which an agent sends to an ejected server.
 	maxPicks = 200
-	// recoveryWindow is how long after its recovery requests to a server are counted for Result.MaxReadmittedRate.
+	// recoveryWindow is how long after a server's recovery its requests are counted for Result.MaxReadmittedRate.
 	recoveryWindow = 30 * time.Second
-	// maxLocalDoublings bounds a local ejection to 16 s: 1 s, doubled with each failure.
+	// maxLocalDoublings bounds a local ejection to 16 s: it lasts 1 s and doubles with each further failure.
 	maxLocalDoublings = 5
 )
 
 // scheduleRequest schedules an agent's next request.
-func (w *world) scheduleRequest(a *agent) {
-	w.at(w.now+time.Duration(w.rng.ExpFloat64()/w.options.Rate*float64(time.Second)), func() {
-		w.sendRequest(a)
-		w.scheduleRequest(a)
+func (sim *simulation) scheduleRequest(a *agent) {
+	sim.at(sim.now+time.Duration(sim.rng.ExpFloat64()/sim.options.Rate*float64(time.Second)), func() {
+		sim.sendRequest(a)
+		sim.scheduleRequest(a)
 	})
 }
 
-// sendBatch sends the requests of one sample interval, and reports their outcomes to the member.
-func (w *world) sendBatch(a *agent) {
-	mean := w.options.Rate * w.options.SampleInterval.Seconds()
-	for at := w.rng.ExpFloat64(); at < mean; at += w.rng.ExpFloat64() {
-		w.sendRequest(a)
+// sendBatch simulates the requests of one sample interval, and reports their outcomes to the member.
+func (sim *simulation) sendBatch(a *agent) {
+	mean := sim.options.Rate * sim.options.SampleInterval.Seconds()
+	for at := sim.rng.ExpFloat64(); at < mean; at += sim.rng.ExpFloat64() {
+		sim.sendRequest(a)
 	}
 	if len(a.samples) > 0 {
 		samples := make([]ejection.OutcomeSample, 0, len(a.samples))
@@ -38,71 +38,71 @@
 		}
 		clear(a.samples)
 		if a.member != nil {
-			w.step(a, ejection.OutcomesObserved{Samples: samples})
+			sim.step(a, ejection.OutcomesObserved{Samples: samples})
 		}
 	}
-	w.at(w.now+w.options.SampleInterval, func() { w.sendBatch(a) })
+	sim.at(sim.now+sim.options.SampleInterval, func() { sim.sendBatch(a) })
 }
 
-// sendRequest sends one request, and reports or collects its outcome.
-func (w *world) sendRequest(a *agent) {
-	w.result.Requests++
-	server := w.pickServer(a)
-	w.countRecovering(server)
-	sample := w.outcome(a, server)
-	if w.options.LocalEjection {
-		a.updateLocalEjection(server, sample.Failed > 0, w.now)
+// sendRequest simulates one request, and reports or collects its outcome.
+func (sim *simulation) sendRequest(a *agent) {
+	sim.result.Requests++
+	server := sim.pickServer(a)
+	sim.countRecovering(server)
+	sample := sim.outcome(a, server)
+	if sim.options.LocalEjection {
+		a.updateLocalEjection(server, sample.Failed > 0, sim.now)
 	}
 	switch {
 	case a.samples != nil:
 		a.addSample(server, sample)
 	case a.member != nil:
-		w.step(a, ejection.OutcomesObserved{Samples: []ejection.OutcomeSample{sample}})
+		sim.step(a, ejection.OutcomesObserved{Samples: []ejection.OutcomeSample{sample}})
 	}
 }
 
-// pickServer returns a random server that is not ejected, or any if there seems to be none.
-func (w *world) pickServer(a *agent) int {
+// pickServer returns a random server that is not ejected, or any server if none is found in maxPicks picks.
+func (sim *simulation) pickServer(a *agent) int {
 	server := 0
 	for range maxPicks {
-		server = w.randomServer(a)
+		server = sim.randomServer(a)
 		if a.changed != nil && a.changed[server].State != ejection.Up {
 			continue
 		}
 		until, ejected := a.ejectedUntil[serverID(server)]
-		if (!ejected || w.now >= until) && w.now >= a.localUntil[server] {
+		if (!ejected || sim.now >= until) && sim.now >= a.localUntil[server] {
 			break
 		}
 	}
 	return server
 }
 
-func (w *world) randomServer(a *agent) int {
+func (sim *simulation) randomServer(a *agent) int {
 	if a.servers != nil {
-		return a.servers[w.rng.IntN(len(a.servers))]
+		return a.servers[sim.rng.IntN(len(a.servers))]
 	}
-	return w.rng.IntN(w.options.Servers)
+	return sim.rng.IntN(sim.options.Servers)
 }
 
-// countRecovering counts the rate of requests to a server that recovered lately.
-func (w *world) countRecovering(server int) {
-	if w.wellSince[server] == 0 || w.now-w.wellSince[server] >= recoveryWindow {
+// countRecovering measures the rate of requests to a server that recovered recently.
+func (sim *simulation) countRecovering(server int) {
+	if sim.recoveredAt[server] == 0 || sim.now-sim.recoveredAt[server] >= recoveryWindow {
 		return
 	}
-	recent := append(w.recent[server], w.now)
-	for w.now-recent[0] > time.Second {
+	recent := append(sim.recent[server], sim.now)
+	for sim.now-recent[0] > time.Second {
 		recent = recent[1:]
 	}
-	w.recent[server] = recent
-	w.result.MaxReadmittedRate = max(w.result.MaxReadmittedRate, len(recent))
+	sim.recent[server] = recent
+	sim.result.MaxReadmittedRate = max(sim.result.MaxReadmittedRate, len(recent))
 }
 
-// outcome draws what becomes of a request.
-func (w *world) outcome(a *agent, server int) ejection.OutcomeSample {
-	serverFault := w.rng.Float64() < w.options.FailureShare(server, w.now)
-	failed := serverFault || w.rng.Float64() < w.options.ErrorRate || w.rng.Float64() < w.options.LinkLoss(a.number, server, w.now)
+// outcome draws the outcome of a request.
+func (sim *simulation) outcome(a *agent, server int) ejection.OutcomeSample {
+	serverFault := sim.rng.Float64() < sim.options.FailureShare(server, sim.now)
+	failed := serverFault || sim.rng.Float64() < sim.options.ErrorRate || sim.rng.Float64() < sim.options.LinkLoss(a.number, server, sim.now)
 	if serverFault {
-		w.result.FailedByServer++
+		sim.result.FailedByServer++
 	}
 	sample := ejection.OutcomeSample{Server: serverID(server), StartedMS: startedMS}
 	if !failed {
@@ -110,13 +110,14 @@
 		return sample
 	}
 	sample.Failed = 1
-	if serverFault && !w.options.Unresponsive {
+	if serverFault && !sim.options.Unresponsive {
 		sample.ErrorResponses = 1
 	}
 	return sample
 }
 
-// updateLocalEjection ejects a server by the agent itself after a failure, for twice as long each time.
+// updateLocalEjection ejects a server at the agent itself after a failure, for twice as long after each further
+// failure.
 func (a *agent) updateLocalEjection(server int, failed bool, now time.Duration) {
 	if !failed {
 		a.localEjections[server] = 0
@@ -126,7 +127,7 @@
 	a.localUntil[server] = now + time.Duration(1<<(a.localEjections[server]-1))*time.Second
 }
 
-// addSample adds an outcome to the samples that are not reported yet.
+// addSample adds an outcome to the pending samples.
 func (a *agent) addSample(server int, sample ejection.OutcomeSample) {
 	pending := a.samples[server]
 	sample.Succeeded += pending.Succeeded
--- a/internal/peer/ejection/events.go
+++ b/internal/peer/ejection/events.go
@@ -5,13 +5,13 @@
 // Server is one entry of an endpoint list.
 type Server struct {
 	ID        string // unique in the fleet
-	StartedMS int64  // start of its process, Unix time in ms; 0: long ago
+	StartedMS int64  // start of its process as Unix time in ms; 0: long ago
 	Zone      string
 	Pod       int
 	State     ListedState
 }
 
-// ListedState is a server's state by an endpoint list. Later states are greater.
+// ListedState is a server's state in an endpoint list. Later states have greater values.
 type ListedState uint8
 
 const (
@@ -23,13 +23,14 @@
 	Removed
 )
 
-// OutcomeSample counts the outcomes that this member's agents observed at one process of a server since the last sample.
+// OutcomeSample holds the numbers of outcomes that this member's agents observed at one process of a server since the
+// last sample.
 type OutcomeSample struct {
 	Server            string
 	StartedMS         int64
 	Succeeded, Failed int
-	// ErrorResponses counts those of Failed that the server answered with an error. The others (timeouts, resets,
-	// connections that failed) may be the fault of the link.
+	// ErrorResponses counts those of Failed that the server answered with an error. The other failures (timeouts,
+	// resets, failed connections) may be caused by the link.
 	ErrorResponses int
 }
 
@@ -37,24 +38,24 @@
 type Event interface{ event() }
 
 type (
-	// ListUpdated is the complete current content of one endpoint list.
+	// ListUpdated carries the complete current content of one endpoint list.
 	ListUpdated struct {
 		Source  string
 		Servers []Server
 	}
-	// OutcomesObserved are outcomes of requests of this member's agents.
+	// OutcomesObserved carries outcomes of requests of this member's agents.
 	OutcomesObserved struct{ Samples []OutcomeSample }
-	// MembersChanged is the complete current membership.
+	// MembersChanged carries the complete current membership.
 	MembersChanged struct {
-		// Names are the live members, this one included, ascending.
+		// Names are the names of the live members, this one included, ascending.
 		Names []string
-		// Peers describes each of Names, in the same order; empty where nothing is known of any.
+		// Peers describes the members in Names, in the same order. It is empty if no descriptions are known.
 		Peers []Peer
-		// Unreachable are members that failed lately. Their localities still count, because a partition may be what
-		// made them unreachable.
+		// Unreachable describes members that recently became unreachable. Their localities still count, because the
+		// cause may be a partition.
 		Unreachable []Peer
 	}
-	// Received is a message of another member.
+	// Received carries a message from another member.
 	Received struct {
 		From    string
 		Message *Message
@@ -66,18 +67,19 @@
 func (MembersChanged) event()   {}
 func (Received) event()         {}
 
-// Action is an output of Member.Step, which the caller carries out in order.
+// Action is an output of Member.Step. The caller executes actions in order.
 type Action interface{ action() }
 
 type (
-	// Send is a message to another member. The network may lose, delay or duplicate it.
+	// Send sends a message to another member. The network may lose, delay or duplicate the message.
 	Send struct {
 		To      string
 		Message *Message
 	}
-	// EjectionsChanged is the complete set of ejections and drains that this member's agents have to respect from now on.
+	// EjectionsChanged announces the complete set of ejections and drains that this member's agents must respect from
+	// now on.
 	EjectionsChanged struct{ Ejections []Ejection }
-	// Log is a line for the operators' log.
+	// Log writes a line to the operators' log.
 	Log struct{ Text string }
 )
 
@@ -85,17 +87,18 @@
 func (EjectionsChanged) action() {}
 func (Log) action()              {}
 
-// Ejection keeps this member's agents from one process of a server.
+// Ejection tells this member's agents to avoid one process of a server.
 type Ejection struct {
 	Server    string
 	StartedMS int64
-	// Draining distinguishes a server that drains or was removed from one that was ejected.
+	// Draining means that the server drains or was removed, rather than ejected.
 	Draining bool
-	// Until is when it lapses by this member's clock, unless it is announced again.
+	// Until is when the ejection expires by this member's clock, unless it is announced again.
 	Until time.Duration
 }
 
-// sameEjection reports whether two ejections differ too little to be announced again.
+// sameEjection reports whether two ejections are equal up to a small difference of Until, so that the second need not
+// be announced.
 func sameEjection(a, b Ejection) bool {
 	const tolerance = time.Second
 	return a.Server == b.Server &&
--- a/internal/peer/ejection/harness_test.go
+++ b/internal/peer/ejection/harness_test.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// testStart is a clock reading in the middle of a process's life.
+	// testStart is the time at which tests begin. It is not 0, because 0 means never.
 	testStart = time.Hour
-	// testStartedMS is the start of all servers' processes in tests.
+	// testStartedMS is the start time of all servers' processes in tests.
 	testStartedMS = 7
-	// decisionTime is enough for a suspicion to become an ejection, whatever it waits for.
+	// decisionTime is longer than a suspicion can last before it becomes an ejection.
 	decisionTime = 7 * time.Second
 )
 
-// harness is one member, "a", whose clock and messages a test controls.
+// harness holds one member, "a", with a clock and messages that the test controls.
 type harness struct {
 	t         *testing.T
 	m         *Member
 	now       time.Duration
-	ejections []Ejection // as last announced
-	polls     []Send     // sent and not cleared
+	ejections []Ejection // content of the last EjectionsChanged
+	polls     []Send     // polls sent since polls was last cleared
 }
 
-// newMember returns a member of that name.
+// newMember returns a member with these settings.
 func newMember(t *testing.T, s Settings) *Member {
 	t.Helper()
 	s.RunID = 1
@@ -35,7 +35,7 @@
 	return m
 }
 
-// newHarness returns a member of ten, with eight servers in one zone and two pods.
+// newHarness returns a harness for a fleet of ten members, with eight servers in one zone and two pods.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{t: t, m: newMember(t, Settings{Name: "a"}), now: testStart}
@@ -53,7 +53,7 @@
 	return all
 }
 
-// step steps the member, and keeps what it announces and its polls.
+// step steps the member, and records the ejections that it announces and its polls.
 func (h *harness) step(events ...Event) {
 	for _, a := range h.m.Step(h.now, events...) {
 		switch a := a.(type) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// wait lets time pass without events.
+// wait advances the time without events.
 func (h *harness) wait(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, max(h.now+time.Millisecond, h.m.Next()))
@@ -75,7 +75,7 @@
 	}
 }
 
-// awaitPoll waits for the member's next poll, and returns the last one of it.
+// awaitPoll waits until the member polls again, and returns the last poll sent.
 func (h *harness) awaitPoll() Send {
 	h.t.Helper()
 	h.polls = nil
@@ -85,14 +85,14 @@
 	return h.polls[len(h.polls)-1]
 }
 
-// receives waits for the member's next poll, and responds to it at once.
+// receives waits for the member's next poll, and responds to it at once with evidence and drains.
 func (h *harness) receives(evidence []Evidence, drains ...Drain) {
 	h.t.Helper()
 	poll := h.awaitPoll()
 	h.step(Received{poll.To, &Message{ResponseTo: poll.Message.PollNumber, Evidence: evidence, Drains: drains}})
 }
 
-// isEjected reports whether the member's agents have to avoid a server.
+// isEjected reports whether the member's agents must avoid a server because of an ejection.
 func (h *harness) isEjected(server string) bool {
 	for _, e := range h.ejections {
 		if e.Server == server && !e.Draining {
@@ -102,7 +102,7 @@
 	return false
 }
 
-// expectEjected waits for a decision about s0.
+// expectEjected waits for a decision about s0, and checks the result.
 func (h *harness) expectEjected(want bool, why string) {
 	h.t.Helper()
 	h.wait(decisionTime)
@@ -121,7 +121,7 @@
 	return sent
 }
 
-// failureReport is a member's evidence that s0 fails its requests, and other servers do not.
+// failureReport returns a member's evidence that s0 fails its requests and other servers don't.
 func failureReport(origin string, number uint32) Evidence {
 	return Evidence{
 		Server:              "s0",
@@ -140,7 +140,7 @@
 	}
 }
 
-// failureReports are failure reports of several members, one letter each.
+// failureReports returns failure reports of several members. Each letter of origins is the name of a member.
 func failureReports(origins string, number uint32) []Evidence {
 	var all []Evidence
 	for _, origin := range origins {
@@ -149,7 +149,7 @@
 	return all
 }
 
-// unresponsiveReports are failure reports of members that had no response from s0.
+// unresponsiveReports returns failure reports of members that had no response from s0.
 func unresponsiveReports(origins string) []Evidence {
 	all := failureReports(origins, 1)
 	for i := range all {
@@ -158,7 +158,7 @@
 	return all
 }
 
-// successReport is a member's evidence that s0 responds.
+// successReport returns a member's evidence that s0 responds.
 func successReport(origin string, number uint32) Evidence {
 	return Evidence{
 		Server:               "s0",
@@ -175,12 +175,12 @@
 	}
 }
 
-// oneFailure is one failure of the member's own agents at s0.
+// oneFailure returns an event with one failure of the member's own agents at s0.
 func oneFailure(errorResponses int) OutcomesObserved {
 	return OutcomesObserved{[]OutcomeSample{{Server: "s0", StartedMS: testStartedMS, Failed: 1, ErrorResponses: errorResponses}}}
 }
 
-// serveRequests has the member's agents send so many requests to each server within a minute, all successful.
+// serveRequests makes the member's agents send a number of successful requests to each server within a minute.
 func (h *harness) serveRequests(each int) {
 	for range 60 {
 		var samples []OutcomeSample
--- a/internal/peer/ejection/lists.go
+++ b/internal/peer/ejection/lists.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// maxServers is of how many servers evidence is kept. Further ones are never ejected; larger costs memory.
+// maxServers is the maximum number of servers for which evidence is kept. Further servers are never ejected. A larger
+// number costs memory.
 const maxServers = 4096
 
-// server is a listed server with all that is known about its current process.
+// server is a listed server with the state of its current process.
 type server struct {
 	Server
 	ejectionState
 	source  string
 	own     ownOutcomes
-	reports []*report // at most one of each origin, this member's own included, by rank
+	reports []*report // at most one report of each origin, by rank; this member's own report is included
 
 	// Evaluation.
 	needsEvaluation bool
-	evaluateAt      time.Duration // by then at the latest; 0: no need
-	active          bool          // it is in Member.active
-	anomalous       bool          // isAnomalous, when it was last evaluated
-	ownReportAt     time.Duration // this member's own report was last refreshed
-	failureDomains  [2]int        // numbers of its zone and its pod
+	evaluateAt      time.Duration // latest time of the next evaluation; 0: none is scheduled
+	active          bool          // the server is in Member.active
+	anomalous       bool          // result of the last isAnomalous
+	ownReportAt     time.Duration // when this member's own report was last refreshed
+	failureDomains  [2]int        // numbers of the server's zone and pod
 
 	// Isolated failures.
 	lastCollectorNotice time.Duration
 	lastBroadcast       time.Duration
-	collectors          []string // without this member
+	collectors          []string // names of the collectors without this member
 	isCollector         bool
-	collectorsEpoch     int             // Member.membershipEpoch of these
-	baseline            baselineCounter // as a collector
-	receivedBaseline    float64         // failures a second, as a collector stated it
+	collectorsEpoch     int             // Member.membershipEpoch for which the collectors were selected
+	baseline            baselineCounter // used if this member is a collector
+	receivedBaseline    float64         // baseline stated by a collector, in failures a second
 	receivedBaselineAt  time.Duration
 
-	// Drains, as other members or the own list announced them.
+	// Drains that other members or this member's own list announced.
 	drainState ListedState
-	drainedAt  time.Duration // any member learnt it first, at the earliest; 0: never
+	drainedAt  time.Duration // earliest known time at which any member learned of the drain; 0: no drain
 }
 
 func (s *server) incarnation() Incarnation { return Incarnation{s.ID, s.StartedMS} }
 
-// isDraining reports whether a drain was announced that is not too old.
+// isDraining reports whether a drain was announced that is not older than Settings.MaxDrainAge.
 func (s *server) isDraining(m *Member) bool {
 	return s.drainedAt > 0 && m.now-s.drainedAt <= m.settings.MaxDrainAge
 }
 
-// onListUpdated takes a list. Drains and removals of running processes are forwarded to other members, but not those of
-// the first list of a source: they may be old.
+// onListUpdated applies a list. Drains and removals of servers that were Up are forwarded to other members, except
+// those in the first list of a source, which may be old.
 func (m *Member) onListUpdated(e ListUpdated) {
 	_, known := m.sources[e.Source]
 	listed := map[string]bool{}
@@ -78,7 +79,7 @@
 	m.assignFailureDomains()
 }
 
-// updateServer takes one entry of a list.
+// updateServer applies one entry of a list.
 func (m *Member) updateServer(source string, l Server, sourceKnown bool) {
 	s := m.servers[l.ID]
 	if s == nil {
@@ -86,12 +87,12 @@
 			return
 		}
 		m.servers[l.ID] = &server{Server: l, source: source}
-		at, _ := slices.BinarySearch(m.order, l.ID)
-		m.order = slices.Insert(m.order, at, l.ID)
+		at, _ := slices.BinarySearch(m.serverIDs, l.ID)
+		m.serverIDs = slices.Insert(m.serverIDs, at, l.ID)
 		return
 	}
 	previous := s.Server
-	if l.StartedMS != previous.StartedMS { // what was known of another process says nothing about this one
+	if l.StartedMS != previous.StartedMS { // the state of the previous process does not apply to the new one
 		*s = server{Server: l, source: source, active: s.active}
 	}
 	s.Server = l
@@ -101,20 +102,20 @@
 	}
 }
 
-// dropRemovedServers forgets removed servers, once other members need not learn of the removal any more.
+// dropRemovedServers deletes removed servers whose removal is no longer forwarded to other members.
 func (m *Member) dropRemovedServers(listed map[string]bool) {
 	for id, s := range m.servers {
 		if s.State != Removed || listed[id] || s.isDraining(m) {
 			continue
 		}
 		delete(m.servers, id)
-		if at, ok := slices.BinarySearch(m.order, id); ok {
-			m.order = slices.Delete(m.order, at, at+1)
+		if at, ok := slices.BinarySearch(m.serverIDs, id); ok {
+			m.serverIDs = slices.Delete(m.serverIDs, at, at+1)
 		}
 	}
 }
 
-// noteDrain notes that this member's own list announced a drain or a removal.
+// noteDrain records that this member's own list announced a drain or a removal.
 func (m *Member) noteDrain(s *server, state ListedState) {
 	if s.drainedAt == 0 {
 		s.drainedAt = m.now
@@ -124,13 +125,13 @@
 	m.noteUpdate()
 }
 
-// assignFailureDomains numbers the zones and pods of each source, counts the servers that are Up in each, and has all
-// servers evaluated.
+// assignFailureDomains numbers the zones and pods of each source, counts the servers that are Up in each of them, and
+// requests an evaluation of all servers.
 func (m *Member) assignFailureDomains() {
 	numbers := map[string]int{}
 	m.upServers = m.upServers[:0]
 	m.active = m.active[:0]
-	for _, id := range m.order {
+	for _, id := range m.serverIDs {
 		s := m.servers[id]
 		s.active = false
 		m.requestEvaluation(s)
@@ -151,14 +152,14 @@
 	}
 }
 
-// requestEvaluation has a server evaluated soon.
+// requestEvaluation requests that a server be evaluated soon.
 func (m *Member) requestEvaluation(s *server) {
 	m.evaluationDue = true
 	s.needsEvaluation = true
 	m.activate(s)
 }
 
-// activate puts a server among the active ones, from which evaluate removes it.
+// activate adds a server to the active servers. evaluate removes it when it is no longer needed.
 func (m *Member) activate(s *server) {
 	if s.active {
 		return
--- a/internal/peer/ejection/locality.go
+++ b/internal/peer/ejection/locality.go
@@ -1,9 +1,13 @@
 package ejection
 
-// independentLocalities reports whether failures without a response come from enough failure domains that no single
-// broken link explains them. All reporters of a zone count as one. It takes either more than half of the zones of this
-// member's own region, with as many reporters as that region alone would need, so that a region that is partitioned
-// decides for itself; or more than half of the regions. Where all members are in one zone, they cannot be distinguished.
+// independentLocalities reports whether failures without a response are reported from enough failure domains that no
+// single broken link explains them. All reporters in a zone count as one. One of two conditions must hold:
+//
+//   - The reporters are in more than half of the zones of this member's own region, and there are as many in that
+//     region as it alone would need. A partitioned region can therefore decide for itself.
+//   - The reporters are in more than half of the regions.
+//
+// If all members are in one zone, localities can't be distinguished and the result is true.
 func (m *Member) independentLocalities(s *server, reporters []*report) bool {
 	c := m.subscribers(s.source)
 	if c.zones.size() < 2 {
@@ -18,7 +22,7 @@
 	for _, r := range reporters {
 		p := m.peer(r.origin)
 		if p == nil {
-			continue // it is not alive, as far as is known, and has no locality
+			continue // the reporter is not known to be alive, so its locality is unknown
 		}
 		reporting.add(p)
 		if p.Region == ownRegion {
@@ -32,7 +36,7 @@
 	return len(c.zones) > 1 && 2*len(reporting) > len(c.zones)
 }
 
-// subscribersInRegion returns how many subscribers are in a region.
+// subscribersInRegion returns the number of subscribers in a region.
 func (m *Member) subscribersInRegion(c *subscribers, region string) int {
 	count := 0
 	for _, name := range c.names {
--- a/internal/peer/ejection/outcomes.go
+++ b/internal/peer/ejection/outcomes.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxRecentOutcomes is how many of the last outcomes tell whether this member's link works. Larger finds an older success
-// elsewhere where one server gets most requests.
+// maxRecentOutcomes is the number of recent outcomes that show whether this member's link works. A larger number also
+// finds older successes at other servers if one server receives most requests.
 const maxRecentOutcomes = 16
 
 // ownOutcomes are the outcomes of this member's agents at one process of a server.
@@ -14,7 +14,7 @@
 	lastSuccess         time.Duration
 	lastFailure         time.Duration
 	failingSince        time.Duration // first failure since the last success
-	observedAt          time.Duration // the newest sample
+	observedAt          time.Duration // time of the newest sample
 	lastSampleFailures  int
 }
 
@@ -38,7 +38,7 @@
 			m.requestEvaluation(s)
 			switch {
 			case s.isEjected():
-				if (sample.Succeeded > 0) == (s.phase == phaseEjected) { // it responds again, or fails again
+				if (sample.Succeeded > 0) == (s.phase == phaseEjected) { // the server responds again, or fails again
 					m.noteUpdate()
 				}
 			case sample.Failed > 0:
@@ -82,7 +82,8 @@
 	}
 }
 
-// recordRecentOutcomes keeps the last few outcomes. Successes of a sample are taken to precede its failures.
+// recordRecentOutcomes records the outcomes of a sample. It assumes that the successes of a sample precede its
+// failures.
 func (m *Member) recordRecentOutcomes(server string, sample OutcomeSample) {
 	for range min(sample.Succeeded, maxRecentOutcomes/2) {
 		m.recentOutcomes = append(m.recentOutcomes, recentOutcome{server, true, m.now})
@@ -95,7 +96,8 @@
 	}
 }
 
-// otherServers returns when any other server last succeeded, and how many requests to others have failed since.
+// otherServers returns the time of the last success at any other server, and the number of failures at other servers
+// since then.
 func (m *Member) otherServers(server string) (lastSuccess time.Duration, failuresSince int) {
 	for i := len(m.recentOutcomes) - 1; i >= 0; i-- {
 		o := m.recentOutcomes[i]
@@ -110,7 +112,7 @@
 	return 0, failuresSince
 }
 
-// refreshOwnReport records what this member's agents observed as its own report.
+// refreshOwnReport updates this member's own report about a server from the outcomes of its agents.
 func (m *Member) refreshOwnReport(s *server) {
 	own := &s.own
 	if own.observedAt == 0 {
@@ -119,7 +121,7 @@
 	s.ownReportAt = m.now
 	own.decay(m.now)
 	m.total.decay(m.now)
-	m.reportNumber++ // how this member fares elsewhere may have changed, if nothing else
+	m.reportNumber++ // at least the outcomes at other servers may have changed
 	r := &report{
 		origin:              m.settings.Name,
 		runID:               m.settings.RunID,
--- a/internal/peer/ejection/poll.go
+++ b/internal/peer/ejection/poll.go
@@ -6,32 +6,36 @@
 )
 
 const (
-	// pollFanout is how many members an alerted member polls at a time. Larger spreads reports in fewer rounds, and costs
-	// messages in proportion.
+	// pollFanout is the number of members that an alerted member polls at a time. A larger fanout spreads reports in
+	// fewer rounds and costs proportionally more messages.
 	pollFanout = 2
-	// notifyFanout is how many members are notified of something new. With 3, rumors reach a fleet within log n rounds
-	// even where half of the messages are lost.
+	// notifyFanout is the number of members that are notified of an update. With 3, rumors reach the whole fleet within
+	// log n rounds even if half of the messages are lost.
 	notifyFanout = 3
-	// alertDuration is how long a member stays alerted after it learnt something new: several alert intervals.
+	// alertDuration is how long a member stays alerted after it learned something new: several alert intervals.
 	alertDuration = time.Second
-	// minNotifyInterval and minPromptedPollInterval are the first intervals between two rounds of notifications, and
-	// between two polls that notifications prompted. Smaller is faster for the first report, and costs messages in bursts.
+	// minNotifyInterval and minPromptedPollInterval are the initial intervals between two rounds of notifications, and
+	// between two polls that notifications prompt. Smaller intervals are faster for the first report and cost more
+	// messages in bursts.
 	minNotifyInterval       = 50 * time.Millisecond
 	minPromptedPollInterval = 20 * time.Millisecond
-	// maxBackoff bounds both intervals, which double while updates keep coming: it bounds the delay under a storm of them.
+	// maxBackoff bounds both intervals, which double while updates keep arriving. It bounds the delay in a storm of
+	// updates.
 	maxBackoff = 400 * time.Millisecond
-	// backoffReset is the pause after which they start from their first value again.
+	// backoffReset is the pause after which both intervals start from their initial values again.
 	backoffReset = 2 * time.Second
-	// minContinuationInterval is the time between the last poll and one for the rest of a response that did not fit.
+	// minContinuationInterval is the minimum time between the last poll and a poll for the rest of a response that did
+	// not fit in one message.
 	minContinuationInterval = 100 * time.Millisecond
-	// pollTimeout is when a response is no longer awaited. Larger accepts later responses, whose evidence is as much
-	// older, and keeps more polls in memory.
+	// pollTimeout is how long a poll waits for a response. A longer one accepts later responses, with older evidence,
+	// and keeps more polls in memory.
 	pollTimeout = 3 * time.Second
-	// maxPollSubjects is how many servers a poll may be about: they have to fit a datagram beside the envelope.
+	// maxPollSubjects is the maximum number of servers that a poll names. They must fit in a datagram with the
+	// envelope.
 	maxPollSubjects = 8
 )
 
-// Estimated sizes on the wire, in bytes, for the budget of Settings.BytesPerSecond.
+// Estimated sizes on the wire in bytes, for the budget of Settings.BytesPerSecond.
 const (
 	envelopeBytes    = 40
 	evidenceBytes    = 64
@@ -45,7 +49,7 @@
 	about  []Incarnation
 }
 
-// refillBudget grants what may be sent since the last step: a token bucket of one second.
+// refillBudget refills the budget for the time since the last step. It is a token bucket with a capacity of one second.
 func (m *Member) refillBudget() {
 	rate := float64(m.settings.BytesPerSecond)
 	if !m.started {
@@ -58,7 +62,7 @@
 	m.budgetAt = m.now
 }
 
-// send sends a message, or drops it where the budget is used up.
+// send sends a message, or drops it if the budget is used up.
 func (m *Member) send(to string, message *Message) {
 	if m.settings.FormatVersion > 1 {
 		message.FormatVersion = m.settings.FormatVersion
@@ -72,10 +76,10 @@
 	m.emit(Send{to, message})
 }
 
-// alerted reports whether something new was learnt lately.
+// alerted reports whether this member recently learned something new.
 func (m *Member) alerted() bool { return m.lastUpdate > 0 && m.now-m.lastUpdate < alertDuration }
 
-// poll polls random subscribers of one list: more often, and more of them, while this member is alerted.
+// poll polls random subscribers of one list. While this member is alerted, it polls more often and more of them.
 func (m *Member) poll() {
 	fanout, interval := 1, m.settings.IdleInterval
 	if m.alerted() {
@@ -92,7 +96,7 @@
 	}
 }
 
-// suspects returns the suspected servers of a list, as many as a poll may be about.
+// suspects returns the suspected servers of a list, up to maxPollSubjects.
 func (m *Member) suspects(source string) []Incarnation {
 	var all []Incarnation
 	for _, s := range m.active {
@@ -104,12 +108,12 @@
 	return all
 }
 
-// pollAbout polls members for all that they know, and for their own evidence about some servers besides.
+// pollAbout polls members for their evidence in general, and also for their own evidence about the given servers.
 func (m *Member) pollAbout(members []string, about []Incarnation) {
 	m.sendPolls(members, &Message{About: about})
 }
 
-// sendPolls sends each member a poll of its own number with the template's content.
+// sendPolls sends a poll with the template's content to each member. Each poll has its own number.
 func (m *Member) sendPolls(members []string, template *Message) {
 	for _, to := range members {
 		m.pollNumber++
@@ -120,7 +124,7 @@
 	}
 }
 
-// noteUpdate has other members notified soon that there is something new here.
+// noteUpdate makes this member alerted and schedules a notification of other members.
 func (m *Member) noteUpdate() {
 	m.lastUpdate = m.now
 	m.nextPoll = min(m.nextPoll, m.now+m.settings.AlertInterval)
@@ -138,7 +142,7 @@
 	}
 }
 
-// onReceived handles a message, which may be a notification, a poll and a response at once.
+// onReceived handles a message, which may be a notification, a poll and a response at the same time.
 func (m *Member) onReceived(e Received) {
 	if e.Message == nil || e.From == m.settings.Name {
 		return
@@ -166,7 +170,7 @@
 
 func (m *Member) handleResponse(from string, p pendingPoll, response *Message) {
 	delete(m.pendingPolls, response.ResponseTo)
-	m.roundTrip = max(m.now-p.sentAt, m.roundTrip-m.roundTrip/16) // decays by a sixteenth a response
+	m.roundTrip = max(m.now-p.sentAt, m.roundTrip-m.roundTrip/16) // decays by a sixteenth with each response
 	m.applyResponse(p.sentAt, response)
 	for _, polled := range p.about {
 		if s := m.servers[polled.Server]; s != nil && s.phase == phaseSuspected {
@@ -178,8 +182,8 @@
 	}
 }
 
-// noteResponder notes that a member responded to a poll about a suspected server. Of an unresponsive server only the
-// responder's own evidence counts, see recordCorroboration.
+// noteResponder records that a member responded to a poll about a suspected server. If the server is unresponsive, only
+// the responder's own evidence counts, see recordCorroboration.
 func (s *server) noteResponder(from string, p pendingPoll, response *Message) {
 	if !s.unresponsive {
 		if !slices.Contains(s.responders, from) {
@@ -195,10 +199,11 @@
 	}
 }
 
-// backoff is an interval that doubles while it keeps being used, up to maxBackoff, and starts anew after backoffReset.
+// backoff is an interval that doubles with each use, up to maxBackoff. It starts from its first value again after it
+// was not used for backoffReset.
 type backoff struct{ interval, lastUse time.Duration }
 
-// current returns the interval to be kept now.
+// current returns the current interval.
 func (b *backoff) current(now, first time.Duration) time.Duration {
 	if b.interval == 0 || now-b.lastUse > backoffReset {
 		return first
@@ -206,7 +211,7 @@
 	return b.interval
 }
 
-// next returns the interval to be kept now, and doubles it for the next time.
+// next returns the current interval, and doubles it for the next use.
 func (b *backoff) next(now, first time.Duration) time.Duration {
 	interval := b.current(now, first)
 	b.interval = min(2*interval, maxBackoff)
--- a/internal/peer/ejection/readmission.go
+++ b/internal/peer/ejection/readmission.go
@@ -7,32 +7,36 @@
 )
 
 const (
-	// maxTrialMembers is how many members keep using an ejected server, or an eighth of smaller fleets: their requests are
-	// its health checks. Larger finds its recovery sooner and fails more requests.
+	// maxTrialMembers is the number of members that keep using an ejected server. Their requests serve as its health
+	// checks. More trial members find the recovery of a server sooner and fail more requests.
 	maxTrialMembers = 3
-	// subscribersPerTrialMember keeps the trial members few in small fleets.
+	// subscribersPerTrialMember is the minimum number of subscribers for each trial member, so that only an eighth of a
+	// smaller fleet are trial members (but at least one).
 	subscribersPerTrialMember = 8
-	// minSuccessRun is how many consecutive successes of all members begin a readmission. Each ejection within
-	// ejectionMemory doubles it, up to maxSuccessRun. Larger readmits later, smaller readmits servers that fail in part.
+	// minSuccessRun is the number of consecutive successes, of all members together, that start a readmission. Each
+	// ejection within ejectionMemory doubles it, up to maxSuccessRun. A larger number readmits later; a smaller one
+	// readmits servers with partial failures.
 	minSuccessRun = 3
 	maxSuccessRun = 48
-	// maxRunDoublings keeps the shift from overflowing; maxSuccessRun is reached long before.
+	// maxRunDoublings prevents an overflow of the shift; maxSuccessRun is reached long before.
 	maxRunDoublings = 10
-	// readmissionDoubling is the time in which twice as many members use a server that is being readmitted: a slow start.
-	// Smaller floods a server that has just recovered.
+	// readmissionDoubling is the time in which the number of members that use a server doubles during its readmission:
+	// a slow start. A shorter time overloads a server that has just recovered.
 	readmissionDoubling = time.Second
-	// ejectedEvaluationInterval is the time between two evaluations of an ejected server.
+	// ejectedEvaluationInterval is the maximum time between two evaluations of an ejected server.
 	ejectedEvaluationInterval = readmissionDoubling / 4
-	// failuresThatRestart is how many failures during readmission eject a server anew: one may be chance.
+	// failuresThatRestart is the number of failures during readmission that eject a server again. A single failure may
+	// occur by chance.
 	failuresThatRestart = 2
 	// maxReadmittedFailureShare is the share of failures up to which a member's failure during readmission is ignored.
 	maxReadmittedFailureShare = 0.1
-	// maxTrialShare keeps the share of trial members below 1: a server is readmitted by readmission only.
+	// maxTrialShare keeps the share of trial members below 1, so that a server is admitted to all members only by
+	// readmission.
 	maxTrialShare = 0.99
 )
 
-// evaluateEjected makes the transitions of an ejected server: readmission once it responds to trial members, ejection
-// anew if it fails meanwhile, and the end of either.
+// evaluateEjected makes the phase transitions of an ejected server: it starts the readmission of a server that responds
+// to trial members, ejects a server again that fails during its readmission, and ends the ejection.
 func (m *Member) evaluateEjected(s *server, reports []*report) {
 	if s.evidenceExpires(m) <= m.now {
 		m.counts.Expired++
@@ -56,8 +60,8 @@
 	}
 }
 
-// outcomesSinceEjection returns the sum of consecutive successes since the ejection, and of failures since readmission
-// began.
+// outcomesSinceEjection returns the sum over all members of consecutive successes since the ejection, and of failures
+// since the readmission began.
 func (s *server) outcomesSinceEjection(reports []*report) (successes, failures int) {
 	for _, r := range reports {
 		if r.lastSuccess > s.ejectedAt {
@@ -75,8 +79,8 @@
 	return max(1, min(maxTrialMembers, len(m.subscriberNames(s))/subscribersPerTrialMember))
 }
 
-// admittedShare returns the share of the subscribers that may use an ejected server now. It exceeds 1 at the end of a
-// readmission.
+// admittedShare returns the share of the subscribers that may currently use an ejected server. It exceeds 1 at the end
+// of a readmission.
 func (m *Member) admittedShare(s *server) float64 {
 	trial := float64(m.trialMembers(s)) / float64(max(1, len(m.subscriberNames(s))))
 	if s.phase != phaseReadmitting {
@@ -85,9 +89,9 @@
 	return trial * math.Exp2(float64(m.now-s.readmittingSince)/float64(readmissionDoubling))
 }
 
-// mayUse reports whether this member may use an ejected server: the first members may, in an order that is each server's
-// own and the same at all members. The last one never does, unless it is the only one: a member that sees no other live
-// subscriber, as when it is cut off, uses the server at once.
+// mayUse reports whether this member may use an ejected server. Members are admitted in an order that differs between
+// servers and is the same at all members. The last member is never admitted before the end of the ejection, unless it
+// is the only live subscriber in its view, for example when it is isolated: then it uses the server at once.
 func (m *Member) mayUse(s *server) bool {
 	m.updateTrialRank(s)
 	all := len(m.subscriberNames(s))
@@ -98,7 +102,7 @@
 	return float64(s.trialRank) < admitted && s.trialRank < all-1
 }
 
-// updateTrialRank counts the subscribers before this member, if the membership has changed since.
+// updateTrialRank updates trialRank, the number of subscribers before this member, if the membership has changed.
 func (m *Member) updateTrialRank(s *server) {
 	if s.trialRankEpoch == m.membershipEpoch {
 		return
--- a/internal/peer/ejection/report.go
+++ b/internal/peer/ejection/report.go
@@ -9,39 +9,41 @@
 )
 
 const (
-	// decayTime is the time constant with which counts of outcomes decay. Larger pools more requests for a decision, and
-	// remembers longer what is over.
+	// decayTime is the time constant of the exponential decay of outcome counts. A larger value pools more requests for
+	// a decision, and takes past failures into account for longer.
 	decayTime = 10 * time.Second
-	// maxReportsPerServer is how many reports of failing members are kept of a server, and as many of others. It is above
-	// every number of reporters that a decision needs; larger costs memory.
+	// maxReportsPerServer is the number of reports of failing members kept for each server, and the same number of
+	// reports of other members. It exceeds the number of reporters that any decision needs; a larger number costs
+	// memory.
 	maxReportsPerServer = 12
-	// maxRecentReports is how many of the last reports received go into the next responses first.
+	// maxRecentReports is the number of recently received reports that responses include first.
 	maxRecentReports = 64
-	// linkProofGrace is how long before a member's failures a success elsewhere still proves that its link works. Larger
-	// accepts members whose link has just broken.
+	// linkProofGrace is how long before the start of a member's failures a success elsewhere still proves that its link
+	// works. A larger value accepts members whose link has just broken.
 	linkProofGrace = time.Second
-	// maxOtherFailures is how many other servers may have failed a member since its last success elsewhere: at two,
-	// its own link is the likelier cause.
+	// maxOtherFailures is the maximum number of failures elsewhere since a member's last success elsewhere: with two,
+	// its own link is the more likely cause.
 	maxOtherFailures = 1
-	// minOtherSuccesses is how many (decayed) successes elsewhere a member needs for its reports to count.
+	// minOtherSuccesses is the minimum decayed number of successes elsewhere for a member's reports to count.
 	minOtherSuccesses = 2
-	// minFailureShareExcess is how far a member's share of failures at a server has to exceed that elsewhere for it to
-	// report a partial failure.
+	// minFailureShareExcess is the minimum difference between a member's shares of failures at a server and elsewhere
+	// for the member to report a partial failure.
 	minFailureShareExcess = 0.3
-	// minFailureProbability bounds how unlikely a single failure may be taken to be, by how a member fares elsewhere: no
-	// member observes enough to know that failures are rarer.
+	// minFailureProbability is the lower bound for the estimated probability of a single failure by chance: no member
+	// observes enough requests to conclude that failures are rarer.
 	minFailureProbability = 0.02
-	// maxCountedFailures is how many consecutive failures of one member count: more of them are one cause.
+	// maxCountedFailures is the maximum number of consecutive failures of one member that count: further failures
+	// probably have the same cause.
 	maxCountedFailures = 3
 )
 
 // decayedCounts are counts of outcomes that decay exponentially over decayTime.
 type decayedCounts struct {
 	successes, failures, errorResponses float64
-	at                                  time.Duration // decayed up to then
+	at                                  time.Duration // time up to which the counts are decayed
 }
 
-// decay brings the counts up to now.
+// decay decays the counts up to now.
 func (c *decayedCounts) decay(now time.Duration) {
 	weight := math.Exp(-float64(now-c.at) / float64(decayTime))
 	c.successes *= weight
@@ -50,13 +52,13 @@
 	c.at = now
 }
 
-// failureShare returns the share of failures, 0 of nothing.
+// failureShare returns the share of failures, or 0 without any outcomes.
 func failureShare(failures, successes float64) float64 {
 	return failures / max(failures+successes, 1e-9)
 }
 
-// report is one member's evidence about one process of a server, as it is known here. Times are by this member's clock,
-// and not later than the truth; 0 stands for never. Evidence documents the fields.
+// report is one member's evidence about one process of a server, as received by this member. Times are by this member's
+// clock and never later than the actual times; 0 means never. The fields are documented at Evidence.
 type report struct {
 	origin              string
 	runID               uint64
@@ -75,7 +77,7 @@
 	failingSince        time.Duration // first failure since the last success
 	otherSuccessAt      time.Duration
 	otherFailuresSince  int
-	rank                uint64 // of its origin, by rendezvous hashing
+	rank                uint64 // rank of the origin by rendezvous hashing
 }
 
 func (r *report) failureShare() float64      { return failureShare(r.failures, r.successes) }
@@ -86,8 +88,8 @@
 	return r.consecutiveFailures > 0 && r.lastFailure > 0 && r.lastSuccess <= r.failingSince
 }
 
-// reportsOutage reports whether a member is a reporter of an outage: its last requests failed, and its own link works,
-// because another server succeeded lately and hardly any failed after that.
+// reportsOutage reports whether the report is evidence of an outage: the member's last requests to the server failed
+// while its own link works, as shown by a recent success at another server and hardly any failures elsewhere since.
 func (r *report) reportsOutage() bool {
 	return r.failing() &&
 		r.otherSuccessAt > 0 &&
@@ -95,37 +97,37 @@
 		r.otherFailuresSince <= maxOtherFailures
 }
 
-// failsPartly reports whether requests fail far oftener at the server than elsewhere, if not always.
+// failsPartly reports whether requests fail far more often at the server than elsewhere.
 func (r *report) failsPartly() bool {
 	return r.failures >= 0.5 &&
 		r.otherSuccesses >= minOtherSuccesses &&
 		r.failureShare()-r.otherFailureShare() >= minFailureShareExcess
 }
 
-// provesServerFault reports whether most of the failures were error responses: a link loses requests, but does not answer
-// them.
+// provesServerFault reports whether at least half of the failures were error responses, which a broken link can't
+// cause.
 func (r *report) provesServerFault() bool {
 	return r.errorResponses > 0 && 2*r.errorResponses >= r.failures
 }
 
-// logLikelihood returns the logarithm of how likely the consecutive failures are by chance, given how the member fares
-// elsewhere.
+// logLikelihood returns the logarithm of the probability that the consecutive failures occurred by chance, given the
+// member's share of failures elsewhere.
 func (r *report) logLikelihood() float64 {
 	probability := max(r.otherFailureShare(), minFailureProbability)
-	if r.otherFailuresSince > 0 { // its link may just have broken
+	if r.otherFailuresSince > 0 { // the member's link may just have broken
 		probability = max(probability, 0.5)
 	}
 	return math.Log(probability) * float64(min(r.consecutiveFailures, maxCountedFailures))
 }
 
-// receivedReport is a report in the order of arrival.
+// receivedReport is an entry of Member.recentReports.
 type receivedReport struct {
 	server *server
 	report *report
 }
 
-// recordReport keeps a report if it is newer than the one of the same origin. It reports whether it was kept and says
-// something new: of another origin, of an outage that began or ended, of successes that began or ended.
+// recordReport stores a report if it is newer than the one of the same origin. It reports whether the report was stored
+// and is news: the first of its origin, or an outage or a run of successes began or ended.
 func (m *Member) recordReport(s *server, r *report) bool {
 	r.rank = rendezvousRank(r.origin, s.ID)
 	isNew := true
@@ -137,7 +139,7 @@
 		isNew = old.reportsOutage() != r.reportsOutage() || (old.successRun == 0) != (r.successRun == 0)
 		s.reports = slices.Delete(s.reports, n, n+1)
 	}
-	// The order is the same at all members, so that all forward the same reports first.
+	// Reports are in the same order at all members, so that all members forward the same reports first.
 	at, _ := slices.BinarySearchFunc(s.reports, r.rank, func(o *report, rank uint64) int { return cmp.Compare(o.rank, rank) })
 	s.reports = slices.Insert(s.reports, at, r)
 	s.pruneReports(m)
@@ -149,13 +151,13 @@
 	return isNew && slices.Contains(s.reports, r)
 }
 
-// reportIndex returns the index of an origin's report, -1 if there is none.
+// reportIndex returns the index of an origin's report, or -1 if there is none.
 func (s *server) reportIndex(origin string) int {
 	return slices.IndexFunc(s.reports, func(r *report) bool { return r.origin == origin })
 }
 
-// supersedes reports whether a report is at least as new as another one of the same origin. Numbers compare within one
-// run of the origin only.
+// supersedes reports whether a report is at least as new as another one of the same origin. Numbers are comparable only
+// within one run of the origin.
 func (r *report) supersedes(o *report) bool {
 	if r.runID == o.runID {
 		return o.number <= r.number
@@ -163,8 +165,8 @@
 	return o.observedAt <= r.observedAt
 }
 
-// pruneReports keeps, besides this member's own, the newest reports of failing members, and the newest of the others that
-// speak of a time since any of these.
+// pruneReports removes reports that are not needed. It keeps this member's own report, the newest reports of failing
+// members, and the newest reports of other members with successes since the failures in these began.
 func (s *server) pruneReports(m *Member) {
 	var failingSince, lastSuccess []time.Duration
 	for _, r := range s.reports {
@@ -191,7 +193,7 @@
 	})
 }
 
-// oldestRetained returns the oldest of the newest maxReportsPerServer times, 0 if there is none.
+// oldestRetained returns the oldest of the newest maxReportsPerServer times, or 0 if there are no times.
 func oldestRetained(times []time.Duration) time.Duration {
 	slices.SortFunc(times, func(a, b time.Duration) int { return cmp.Compare(b, a) })
 	if len(times) == 0 {
@@ -200,10 +202,11 @@
 	return times[min(maxReportsPerServer, len(times))-1]
 }
 
-// isExpired reports whether a report is too old to be considered.
+// isExpired reports whether a report is older than Settings.MaxEvidenceAge.
 func (m *Member) isExpired(r *report) bool { return m.now-r.observedAt > m.settings.MaxEvidenceAge }
 
-// currentReports returns the reports that count: of the current process, not expired, and not void by a readmission.
+// currentReports returns the reports that count: those about the current process that have not expired and are newer
+// than the last readmission.
 func (s *server) currentReports(m *Member) []*report {
 	var all []*report
 	for _, r := range s.reports {
@@ -214,7 +217,7 @@
 	return all
 }
 
-// evidenceExpires returns when the newest failure of the current process is too old to be considered.
+// evidenceExpires returns when the newest failure of the current process expires.
 func (s *server) evidenceExpires(m *Member) time.Duration {
 	newest := time.Duration(0)
 	for _, r := range s.reports {
@@ -233,7 +236,7 @@
 	return slices.ContainsFunc(s.reports, func(r *report) bool { return (r.failing() || r.failsPartly()) && !m.isExpired(r) })
 }
 
-// remoteReporters returns how many other members report an outage.
+// remoteReporters returns the number of other members that report an outage.
 func (s *server) remoteReporters(m *Member) int {
 	count := 0
 	for _, r := range s.reports {
@@ -244,7 +247,8 @@
 	return count
 }
 
-// isAnomalous reports whether what is reported of a server is unlikely to be its baseline, as far as is known here.
+// isAnomalous reports whether the reported failures of a server are unlikely by its baseline, as far as this member
+// knows.
 func (s *server) isAnomalous(m *Member) bool {
 	if s.isEjected() {
 		return true
@@ -255,8 +259,8 @@
 	return m.pooledFailuresStandOut(s)
 }
 
-// rendezvousRank ranks members for a server by highest random weight (Thaler & Ravishankar 1998): the same at all
-// members, another order for each server.
+// rendezvousRank returns the rank of a member for a server by highest random weight (Thaler & Ravishankar 1998). Ranks
+// are the same at all members, and each server has a different order.
 func rendezvousRank(member, server string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(member))
@@ -265,7 +269,7 @@
 	return mixBits(h.Sum64())
 }
 
-// mixBits is the finalizer of MurmurHash3: FNV spreads differences in the last bytes of names over few bits only.
+// mixBits is the finalizer of MurmurHash3. It is needed because in FNV the last bytes of a name affect only few bits.
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
--- a/internal/peer/ejection/response.go
+++ b/internal/peer/ejection/response.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// maxEvidencePerMessage fits a datagram of 2,000 bytes with names of 64 bytes.
+	// maxEvidencePerMessage items of evidence fit in a datagram of 2,000 bytes, with names of 64 bytes.
 	maxEvidencePerMessage = 16
-	// ownReportInterval is the age after which this member refreshes its own report before it sends it: how it fares
-	// elsewhere may have changed.
+	// ownReportInterval is the age above which this member refreshes its own report before sending it, because its
+	// outcomes at other servers may have changed.
 	ownReportInterval = 500 * time.Millisecond
-	// firstFormatFreshness is how long a member of format 1 forwards reports of isolated failures.
+	// firstFormatFreshness is how long a member with format 1 forwards reports of isolated failures.
 	firstFormatFreshness = 3 * time.Second
-	// minStatedBaseline stands for a baseline of no failures, because 0 stands for an unknown one.
+	// minStatedBaseline is sent for a baseline without failures, because 0 means an unknown baseline.
 	minStatedBaseline = 1e-6
-	// maxStatedBaseline is the first rate that is not believed, in failures a second.
+	// maxStatedBaseline is the rate from which a received baseline is ignored as implausible, in failures a second.
 	maxStatedBaseline = 1e6
 )
 
-// responseBuilder collects what a response holds, up to maxEvidencePerMessage.
+// responseBuilder collects the content of a response, up to maxEvidencePerMessage.
 type responseBuilder struct {
 	member   *Member
 	poll     *Message
-	poller   *Peer // nil: nothing is known of it
+	poller   *Peer // member that sent the poll; nil: not known
 	response *Message
 	added    map[*report]bool
 }
 
-// buildResponse returns what is known here, as much as fits: first what the poll is about, then the last reports received,
-// then all others in turn.
+// buildResponse returns the response to a poll, with as many reports as fit: first those about the servers that the
+// poll names, then the reports received last, then all others in turn.
 func (m *Member) buildResponse(to string, poll *Message) *Message {
 	b := &responseBuilder{
 		member:   m,
@@ -50,8 +50,8 @@
 
 func (b *responseBuilder) isFull() bool { return len(b.response.Evidence) == maxEvidencePerMessage }
 
-// addPolledServers adds this member's own evidence of the servers that the poll is about, and that of others if it asks
-// for these.
+// addPolledServers adds this member's own evidence about the servers that the poll names, and unless the poll is
+// OwnOnly, the evidence of other members.
 func (b *responseBuilder) addPolledServers() {
 	m := b.member
 	about := b.poll.About
@@ -69,7 +69,7 @@
 	}
 }
 
-// addRecentReports adds the last reports received, newest first, to half of the response at most.
+// addRecentReports adds the reports received last, newest first, up to half of the response.
 func (b *responseBuilder) addRecentReports() {
 	m := b.member
 	for n := len(m.recentReports) - 1; n >= 0 && len(b.response.Evidence) < maxEvidencePerMessage/2; n-- {
@@ -81,10 +81,10 @@
 	}
 }
 
-// addActiveServers adds drains and evidence of all active servers, from where the last response ended.
+// addActiveServers adds drains and evidence of the active servers, starting where the last response ended.
 func (b *responseBuilder) addActiveServers() {
 	m := b.member
-	active := slices.Clone(m.active) // refreshing reports changes it
+	active := slices.Clone(m.active) // addServer may change m.active by refreshing reports
 	for n := range active {
 		at := (m.responseCursor + n) % len(active)
 		s := active[at]
@@ -117,8 +117,9 @@
 	}
 }
 
-// isRelevant reports whether a report concerns a member that polls in general. Isolated failures do not, members poll
-// about these; but members of format 1 cannot, and receive this member's own.
+// isRelevant reports whether a report belongs in the response to a poll that does not name its server. Reports of
+// isolated failures don't, because collectors poll for them by server. Members with format 1 can't do so, and therefore
+// receive this member's own reports.
 func (b *responseBuilder) isRelevant(s *server, r *report) bool {
 	m := b.member
 	own := r.origin == m.settings.Name
@@ -133,10 +134,10 @@
 	}
 	return b.poll.FormatVersion < currentFormat ||
 		m.ownFailuresStandOut(s, r.successes, r.failures, r.consecutiveFailures) ||
-		!r.failing() && s.remoteReporters(m) > 1 // it contradicts them
+		!r.failing() && s.remoteReporters(m) > 1 // the report contradicts the reporters
 }
 
-// add adds a report, unless it is there, does not count any more, or does not fit.
+// add adds a report, unless it was added already, no longer counts, or does not fit.
 func (b *responseBuilder) add(s *server, r *report) {
 	m := b.member
 	if b.isFull() || b.added[r] || r.startedMS != s.StartedMS || m.isExpired(r) || r.observedAt <= s.evidenceVoidUntil {
@@ -148,7 +149,7 @@
 	b.response.Evidence = append(b.response.Evidence, e)
 }
 
-// evidenceOf returns a report as it is sent.
+// evidenceOf converts a report to evidence for sending.
 func (m *Member) evidenceOf(s *server, r *report) Evidence {
 	return Evidence{
 		Server:               s.ID,
@@ -172,7 +173,7 @@
 	}
 }
 
-// statedBaseline returns the baseline failure rate of a server as a collector counted it, 0 if it is not known.
+// statedBaseline returns the baseline failure rate of a server as a collector counted it, or 0 if it is not known.
 func (m *Member) statedBaseline(s *server) float32 {
 	if m.collects(s) {
 		if rate, ok := s.baseline.perSecond(m.now); ok {
@@ -186,13 +187,13 @@
 	return 0
 }
 
-// ageOf returns how long ago something was, in ms: an upper bound by any clock within Settings.ClockDrift, and never 0.
+// ageOf returns an upper bound of the age of a time in ms, by any clock within Settings.ClockDrift. It is never 0.
 func (m *Member) ageOf(at time.Duration) uint32 {
 	age := float64(m.now-at) * (1 + m.settings.ClockDrift) / (1 - m.settings.ClockDrift)
 	return uint32(min(age/float64(time.Millisecond)+1, math.MaxUint32/2))
 }
 
-// ageOrNever is ageOf, and 0 for a time that stands for never.
+// ageOrNever returns ageOf, or 0 for a time that means never.
 func (m *Member) ageOrNever(at time.Duration) uint32 {
 	if at <= 0 {
 		return 0
@@ -200,8 +201,8 @@
 	return m.ageOf(at)
 }
 
-// timeOfAge returns when something happened at the latest that was so old in a response to a poll of that time; 0 for
-// never.
+// timeOfAge converts an age in a response to the time of the event, by this member's clock and not later than the
+// actual time. polledAt is when the poll was sent. It returns 0 if the age is 0, which means never.
 func timeOfAge(polledAt time.Duration, ageMS uint32) time.Duration {
 	if ageMS == 0 {
 		return 0
@@ -209,7 +210,7 @@
 	return max(1, polledAt-time.Duration(ageMS)*time.Millisecond)
 }
 
-// applyResponse takes the response to a poll of that time.
+// applyResponse applies the response to a poll that was sent at polledAt.
 func (m *Member) applyResponse(polledAt time.Duration, response *Message) {
 	updated := false
 	for n := range response.Evidence {
@@ -227,14 +228,14 @@
 	}
 }
 
-// isValid reports whether evidence has an origin, an age, and counts that are numbers.
+// isValid reports whether evidence has an origin, an age, and valid counts (not negative or NaN).
 func (e *Evidence) isValid() bool {
 	return e.Origin != "" && e.AgeMS != 0 &&
 		e.Succeeded >= 0 && e.Failed >= 0 && e.ErrorResponses >= 0 &&
 		e.OtherSucceeded >= 0 && e.OtherFailed >= 0
 }
 
-// applyEvidence records other members' evidence. It reports whether others should be notified of it.
+// applyEvidence records evidence of another member. It reports whether other members should be notified.
 func (m *Member) applyEvidence(polledAt time.Duration, e *Evidence) bool {
 	s := m.servers[e.Server]
 	if s == nil || e.StartedMS != s.StartedMS || e.Origin == m.settings.Name || !e.isValid() {
@@ -259,12 +260,12 @@
 	s.anomalous = s.isAnomalous(m)
 	shouldNotify := s.isEjected() && !r.failing() || r.reportsOutage() && !s.isEjected() && s.anomalous
 	if !hadOpenReports {
-		m.refreshOwnReport(s) // others need to know how the server fares here
+		m.refreshOwnReport(s) // other members need this member's outcomes at the server
 	}
 	return shouldNotify
 }
 
-// report returns evidence from a response to a poll of that time as a report.
+// report converts evidence from a response to a report. polledAt is when the poll was sent.
 func (e *Evidence) report(polledAt time.Duration) *report {
 	return &report{
 		origin:              e.Origin,
@@ -287,7 +288,7 @@
 	}
 }
 
-// isNewFailure reports whether a report has a failure that the last one of its origin had not.
+// isNewFailure reports whether a report has a failure that the last report of the same origin did not have.
 func (s *server) isNewFailure(r *report) bool {
 	if r.lastFailure <= 0 {
 		return false
@@ -300,7 +301,7 @@
 	return last.number != r.number && r.lastFailure > last.lastFailure+batchWindow
 }
 
-// applyDrain takes a drain that another member announced. It reports whether others should be notified of it.
+// applyDrain records a drain that another member announced. It reports whether other members should be notified.
 func (m *Member) applyDrain(polledAt time.Duration, d Drain) bool {
 	s := m.servers[d.Server]
 	drainedAt := timeOfAge(polledAt, d.AgeMS)
@@ -312,7 +313,7 @@
 	}
 	s.drainState = max(s.drainState, d.State)
 	m.requestEvaluation(s)
-	if s.drainedAt == 0 || drainedAt < s.drainedAt { // it lapses by the earliest
+	if s.drainedAt == 0 || drainedAt < s.drainedAt { // the drain expires by its earliest announcement
 		s.drainedAt = drainedAt
 	}
 	return true
--- a/internal/peer/ejection/settings.go
+++ b/internal/peer/ejection/settings.go
@@ -6,68 +6,71 @@
 	"time"
 )
 
-// Settings are fixed for the life of a Member. Zero values take the defaults below.
+// Settings configure a Member and don't change during its life. Zero values take the defaults below.
 type Settings struct {
 	// Name identifies this member in the fleet. Required.
 	Name string
-	// RunID distinguishes two runs of a member of the same name.
+	// RunID distinguishes two runs of a member with the same name.
 	RunID uint64
-	// AlertInterval is the time between two polls after something new was learnt, see alertDuration.
+	// AlertInterval is the time between two polls while the member is alerted (see alertDuration).
 	AlertInterval time.Duration
 	// IdleInterval is the time between two polls otherwise.
 	IdleInterval time.Duration
-	// MaxEvidenceAge is the age past which evidence is ignored everywhere. It bounds how long an ejection outlives the
-	// last observed failure.
+	// MaxEvidenceAge is the age above which evidence is ignored. It bounds how long an ejection lasts after the last
+	// observed failure.
 	MaxEvidenceAge time.Duration
-	// MaxDrainAge is the age past which a drain that this member's own list does not confirm is ignored.
+	// MaxDrainAge is the age above which a drain is ignored unless this member's own list confirms it.
 	MaxDrainAge time.Duration
-	// MaxEjectedShare is the share of a zone's or a pod's servers that may be ejected at once, 0 to 1.
+	// MaxEjectedShare is the share of the servers of a zone or pod that may be ejected at the same time, 0 to 1.
 	MaxEjectedShare float64
-	// ClockDrift is the relative difference that the rates of two members' clocks may have, 0 to 0.5.
+	// ClockDrift is the maximum relative difference between the rates of two members' clocks, 0 to 0.5.
 	ClockDrift float64
-	// BytesPerSecond limits what is sent to other members; messages beyond it are dropped and counted as Withheld.
+	// BytesPerSecond limits the rate of bytes sent to other members; messages beyond it are dropped and counted as
+	// Withheld.
 	BytesPerSecond int
-	// FormatVersion is the version of the messages sent. Version 1, which polls a few random members about every failure,
-	// remains for trials of fleets of mixed versions.
+	// FormatVersion is the version of the messages sent. Version 1 polls a few random members about every failure. It
+	// is still supported for tests of fleets with mixed versions.
 	FormatVersion uint8
 }
 
 const (
-	// DefaultAlertInterval equals the probe interval of the membership protocol. Smaller spreads reports faster and
-	// costs messages in proportion.
+	// DefaultAlertInterval equals the probe interval of the membership protocol. A shorter interval spreads reports
+	// faster and costs proportionally more messages.
 	DefaultAlertInterval = 200 * time.Millisecond
-	// DefaultIdleInterval bounds what a lost notification costs. Smaller finds updates sooner and costs messages at rest.
+	// DefaultIdleInterval bounds the delay that a lost notification causes. A shorter interval finds updates sooner and
+	// costs more messages when idle.
 	DefaultIdleInterval = time.Second
-	// DefaultMaxEvidenceAge is 20 s: ten agents with a request in ten seconds each make 20 requests then, one at each of twenty
-	// servers: a small fleet observes every server about once within it.
-	// Larger helps fleets of few requests and keeps wrong ejections for longer.
+	// DefaultMaxEvidenceAge is 20 s. In that time, ten agents with one request each in ten seconds send 20 requests,
+	// one to each of twenty servers, so that a small fleet observes every server about once. A larger age helps fleets
+	// with few requests and keeps wrong ejections for longer.
 	DefaultMaxEvidenceAge = 20 * time.Second
-	// DefaultMaxDrainAge is a time within which every list announces a real drain. Larger keeps a drain that was taken
-	// back for longer, smaller loses drains that a slow list has yet to announce.
+	// DefaultMaxDrainAge is a time within which every list announces a real drain. A larger age keeps a revoked drain
+	// for longer; a smaller one loses drains that a slow list has not announced yet.
 	DefaultMaxDrainAge = 10 * time.Second
-	// DefaultMaxEjectedShare covers a bad release on half of the servers. Envoy's max_ejection_percent has the same role.
+	// DefaultMaxEjectedShare covers a bad release on half of the servers. Envoy's max_ejection_percent has the same
+	// purpose.
 	DefaultMaxEjectedShare = 0.5
-	// DefaultClockDrift is far beyond crystals (0.0002) and covers clocks that are being slewed. Larger makes ages grow
-	// faster on the way.
+	// DefaultClockDrift is far above the drift of crystal oscillators (0.0002) and covers clocks that are being slewed.
+	// A larger drift makes ages increase more with each hop.
 	DefaultClockDrift = 0.01
-	// DefaultBytesPerSecond is a bound for the worst case: about twice what broadcasts among 1,000 agents cost. Smaller
-	// withholds reports in a storm, larger lets one cost more of the network.
+	// DefaultBytesPerSecond is a bound for the worst case: about twice the cost of broadcasts among 1,000 agents. A
+	// smaller bound withholds reports in a storm; a larger one lets a storm use more of the network.
 	DefaultBytesPerSecond = 24 << 10
 
-	// minBytesPerSecond admits two full messages a second.
+	// minBytesPerSecond allows two full messages a second.
 	minBytesPerSecond = 4096
-	// minPollsPerEvidenceAge is how many alert intervals have to fit into MaxEvidenceAge: with fewer, evidence would
-	// expire before it went round.
+	// minPollsPerEvidenceAge is the minimum number of alert intervals in MaxEvidenceAge. With fewer, evidence would
+	// expire before it reaches all members.
 	minPollsPerEvidenceAge = 4
 	// maxClockDrift keeps the conversion of ages between two clocks finite.
 	maxClockDrift = 0.5
 
-	// currentFormat is the newest version of messages. Members of version 1 polled a few others about every failure.
+	// currentFormat is the newest version of messages. Members with version 1 poll a few others about every failure.
 	currentFormat = 2
 )
 
-// withDefaults returns the settings with defaults in place of zero values, or an error that names all values where one
-// of them is out of its range.
+// withDefaults returns the settings with zero values replaced by defaults. If a value is out of range, it returns an
+// error that lists all values.
 func (s Settings) withDefaults() (Settings, error) {
 	s.AlertInterval = cmp.Or(s.AlertInterval, DefaultAlertInterval)
 	s.IdleInterval = cmp.Or(s.IdleInterval, DefaultIdleInterval)
--- a/internal/peer/ejection/state.go
+++ b/internal/peer/ejection/state.go
@@ -8,49 +8,53 @@
 )
 
 const (
-	// minEvaluationInterval is the time between two evaluations: reports that arrive together are evaluated once.
+	// minEvaluationInterval is the minimum time between two evaluations, so that reports that arrive together are
+	// evaluated once.
 	minEvaluationInterval = 20 * time.Millisecond
-	// evaluationGrid aligns evaluations that are due later, so that servers are evaluated together.
+	// evaluationGrid aligns later evaluations, so that servers are evaluated together.
 	evaluationGrid = 50 * time.Millisecond
-	// ejectionMemory is how long earlier ejections count towards what readmission takes (the backoff of Envoy's
-	// base_ejection_time). Larger holds a flapping server out for longer.
+	// ejectionMemory is how long earlier ejections increase the number of successes needed for readmission (the backoff
+	// of Envoy's base_ejection_time). A larger value keeps a flapping server out for longer.
 	ejectionMemory = 2 * time.Minute
 
-	// confirmationPolls is how many members are polled about a suspected server, and confirmationPollsUnresponsive where
-	// the reporters had no response from it. Larger finds contradicting members more surely and costs messages.
+	// confirmationPolls is the number of members that are polled about a suspected server, and
+	// confirmationPollsUnresponsive the number if the reporters had no response from it. More polls find contradicting
+	// members more reliably and cost more messages.
 	confirmationPolls             = 8
 	confirmationPollsUnresponsive = 16
-	// minResponses is how many members have to respond about a suspected server before it is ejected. For an unresponsive
-	// one minResponsesUnresponsive have to have sent something to it since: with half of the members cut off from it, all
-	// of twelve are cut off once in 4,096 times.
+	// minResponses is the number of members that must respond about a suspected server before it is ejected. For an
+	// unresponsive server, minResponsesUnresponsive members must have sent it a request since the suspicion began: if
+	// half of the members are partitioned from it, the probability that all twelve are is 1 in 4,096.
 	minResponses             = 6
 	minResponsesUnresponsive = 12
-	// maxResponseWait is how long these responses are awaited, at most. Larger ejects later where messages are lost.
+	// maxResponseWait is the maximum time to wait for these responses. A larger value ejects later if messages are
+	// lost.
 	maxResponseWait = 5 * time.Second
 	// pollRetryInterval is the time between two rounds of confirmation polls: a few round trips of a wide-area network.
 	pollRetryInterval = 400 * time.Millisecond
-	// awaitedRoundTrips is how many round trips an ejection waits besides, so that polled members can contradict.
+	// awaitedRoundTrips is the number of round trips added to the wait before an ejection, so that polled members can
+	// contradict.
 	awaitedRoundTrips = 3
 )
 
-// phase is where a server's process stands in the cycle of ejection. Transitions:
+// phase is the phase of a server's process in the ejection cycle. Transitions:
 //
 //	admitted -> suspected             enough reports (Member.suspect)
-//	suspected -> admitted             the reports no longer suffice; or a success contradicts those of an
-//	                                  unresponsive server, and suspicion may begin anew
-//	suspected -> ejected              nobody contradicted in time (Member.eject)
-//	ejected -> readmitting            it responds to trial members (Member.beginReadmission)
-//	readmitting -> ejected            it fails again (Member.restartEjection)
+//	suspected -> admitted             the reports no longer suffice; or a success contradicts the reports
+//	                                  about an unresponsive server, and a new suspicion may begin
+//	suspected -> ejected              no member contradicted in time (Member.eject)
+//	ejected -> readmitting            the server responds to trial members (Member.beginReadmission)
+//	readmitting -> ejected            the server fails again (Member.restartEjection)
 //	readmitting, ejected -> admitted  all members use it again, or the evidence expired (server.readmit)
 //
-// Another process of the server, or its removal, starts anew at admitted.
+// A new process of the server starts as admitted, and so does a server after its removal.
 type phase uint8
 
 const (
-	phaseAdmitted    phase = iota // all members may use it
-	phaseSuspected                // enough members report it; others are polled before it is ejected
-	phaseEjected                  // only trial members use it
-	phaseReadmitting              // a growing share of the members uses it
+	phaseAdmitted    phase = iota // all members may use the server
+	phaseSuspected                // enough members report the server; others are polled before it is ejected
+	phaseEjected                  // only trial members use the server
+	phaseReadmitting              // a growing share of the members uses the server
 )
 
 func (p phase) String() string {
@@ -60,16 +64,16 @@
 // ejectionState is the state of one process of a server.
 type ejectionState struct {
 	phase        phase
-	failureShare float64 // of its requests, by all current reports; the worst servers stay ejected under the cap
+	failureShare float64 // share of failed requests by all current reports; at the cap, the worst servers stay ejected
 
 	// While suspected.
 	suspectedAt          time.Duration
-	suspicionBegan       time.Duration // the first failure of any reporter, when suspicion began
+	suspicionBegan       time.Duration // value of failuresBegan when the suspicion began
 	confirmationPolledAt time.Duration
-	responders           []string      // members that responded since, see noteResponder
-	contradicted         bool          // one of them had a success since suspicionBegan
+	responders           []string      // members that have responded since, see noteResponder
+	contradicted         bool          // a responder had a success since suspicionBegan
 	unresponsive         bool          // most reporters had no response from the server
-	failuresBegan        time.Duration // the first failure of any current reporter
+	failuresBegan        time.Duration // first failure of any current reporter
 
 	// While ejected or readmitting.
 	ejectedAt        time.Duration
@@ -79,21 +83,21 @@
 	capped           bool // Settings.MaxEjectedShare keeps the ejection from taking effect
 
 	// Across ejections.
-	ejections         int // within ejectionMemory of one another
+	ejections         int // number of ejections, each within ejectionMemory of the one before
 	lastEjection      time.Duration
-	evidenceVoidUntil time.Duration // evidence from before counts no more: it led to an ejection that ended
+	evidenceVoidUntil time.Duration // older evidence is ignored, because it led to an ejection that has ended
 
-	trialRank      int // this member's among those that may use the server first
-	trialRankEpoch int // Member.membershipEpoch of trialRank
+	trialRank      int // rank of this member in the order in which members may use the server
+	trialRankEpoch int // Member.membershipEpoch for which trialRank was computed
 }
 
-// isEjected reports whether some members have to avoid the server.
+// isEjected reports whether some members must avoid the server.
 func (s *ejectionState) isEjected() bool {
 	return s.phase == phaseEjected || s.phase == phaseReadmitting
 }
 
-// evaluate evaluates the servers that are due, and announces to the agents what changed. Its cost grows with the active
-// servers, not with all.
+// evaluate evaluates the servers that are due, and announces changes to the agents. Its cost depends on the number of
+// active servers, not of all servers.
 func (m *Member) evaluate() {
 	m.evaluationDue = false
 	m.evaluateAt = 0
@@ -110,7 +114,7 @@
 	var ejections []Ejection
 	stillActive := m.active[:0]
 	for _, s := range m.active {
-		if s.forgetIfQuiet(m) {
+		if s.forgetIfInactive(m) {
 			s.active = false
 			s.anomalous = false
 			continue
@@ -129,7 +133,7 @@
 	}
 }
 
-// appendEjections appends what this member's agents have to respect of one server: a drain, an ejection, or neither.
+// appendEjections appends the drain and the ejection of a server that this member's agents must respect, if any.
 func (m *Member) appendEjections(all []Ejection, s *server, overCap bool) []Ejection {
 	if s.State == Up && s.isDraining(m) {
 		until := s.drainedAt + m.settings.MaxDrainAge
@@ -147,8 +151,9 @@
 	return all
 }
 
-// forgetIfQuiet reports whether nothing is reported about a server any more, and then forgets its reports.
-func (s *server) forgetIfQuiet(m *Member) bool {
+// forgetIfInactive reports whether a server no longer has current reports, an ejection, a drain or a due evaluation. It
+// then drops the server's reports.
+func (s *server) forgetIfInactive(m *Member) bool {
 	if s.needsEvaluation || s.evaluateAt > 0 || s.isEjected() || s.isDraining(m) {
 		return false
 	}
@@ -159,20 +164,20 @@
 	return true
 }
 
-// evaluateBy has evaluate called by then.
+// evaluateBy schedules a call of evaluate at the given time or earlier.
 func (m *Member) evaluateBy(at time.Duration) {
 	if m.evaluateAt == 0 || at < m.evaluateAt {
 		m.evaluateAt = at
 	}
 }
 
-// scheduleEvaluation has a server evaluated by then, rounded up to the grid.
+// scheduleEvaluation schedules the evaluation of a server at the given time, rounded up to the grid.
 func (s *server) scheduleEvaluation(m *Member, at time.Duration) {
 	s.evaluateAt = at + evaluationGrid - at%evaluationGrid
 	m.evaluateBy(s.evaluateAt)
 }
 
-// evaluateServer makes the transitions that a server's reports ask for.
+// evaluateServer makes the phase transitions that a server's reports require.
 func (m *Member) evaluateServer(s *server) {
 	if s.State == Removed || len(s.reports) == 0 && !s.isEjected() {
 		s.ejectionState = ejectionState{
@@ -198,7 +203,7 @@
 	s.unresponsive = found.unresponsive
 	s.failuresBegan = found.failuresBegan
 	if s.phase == phaseSuspected && s.unresponsive && s.contradicted {
-		s.phase = phaseAdmitted // suspicion starts anew, with new responders
+		s.phase = phaseAdmitted // a new suspicion starts, with new responders
 	}
 	if s.phase == phaseAdmitted {
 		m.suspect(s)
@@ -208,7 +213,7 @@
 	}
 }
 
-// suspect polls other members about a server before it is ejected.
+// suspect starts the suspicion of a server: other members are polled before it is ejected.
 func (m *Member) suspect(s *server) {
 	s.phase = phaseSuspected
 	s.suspectedAt = m.now
@@ -227,8 +232,8 @@
 	m.sendPolls(m.randomCorroborators(polls, s.source), &Message{About: []Incarnation{s.incarnation()}, OwnOnly: s.unresponsive})
 }
 
-// isCorroborated reports whether other members had time to contradict a suspicion, and enough of them responded. If not,
-// the server is evaluated again.
+// isCorroborated reports whether other members had time to contradict a suspicion and enough of them responded. If not,
+// it schedules another evaluation of the server.
 func (m *Member) isCorroborated(s *server, wait time.Duration) bool {
 	if until := s.suspectedAt + wait + awaitedRoundTrips*m.roundTrip; m.now < until {
 		s.scheduleEvaluation(m, until)
@@ -242,15 +247,16 @@
 	if len(s.responders) >= required || m.now >= s.suspectedAt+maxResponseWait {
 		return true
 	}
-	if m.now-s.confirmationPolledAt >= pollRetryInterval { // responses were lost, or are late
+	if m.now-s.confirmationPolledAt >= pollRetryInterval { // responses were lost or are late
 		m.sendConfirmationPolls(s, confirmationPolls)
 	}
 	s.scheduleEvaluation(m, m.now)
 	return false
 }
 
-// recordCorroboration takes a member's own evidence about an unresponsive server that is suspected. It counts if the
-// member has sent it something since the first reporter's failures began; a success since then contradicts the suspicion.
+// recordCorroboration records another member's own evidence about a suspected, unresponsive server. The evidence counts
+// if that member has had an outcome at the server since the first reporter's failures began. A success since then
+// contradicts the suspicion.
 func (s *server) recordCorroboration(member string, observedAt, lastSuccess time.Duration) {
 	if observedAt <= s.suspicionBegan || slices.Contains(s.responders, member) {
 		return
@@ -259,14 +265,14 @@
 	s.contradicted = s.contradicted || lastSuccess > s.suspicionBegan
 }
 
-// eject has all members but the trial members avoid a server.
+// eject ejects a server: all members except the trial members avoid it.
 func (m *Member) eject(s *server, found finding) {
 	s.phase = phaseEjected
 	s.ejectedAt = m.now
 	s.reason = found.reason
 	s.reporters = found.reporters
 	s.countEjection(m.now)
-	s.needsEvaluation = true // with the next evaluation, whatever causes it
+	s.needsEvaluation = true // evaluates the server again in the next evaluation, whatever causes it
 	s.baseline.discardRecent(m.now)
 	m.counts.Ejected++
 	m.emit(Log{fmt.Sprintf("server %s is ejected: %s, reported by %s", s.ID, s.reason, strings.Join(s.reporters, ", "))})
@@ -279,14 +285,14 @@
 	s.lastEjection = now
 }
 
-// beginReadmission lets a growing share of the members use an ejected server.
+// beginReadmission starts the readmission of an ejected server: a growing share of the members uses it.
 func (m *Member) beginReadmission(s *server) {
 	s.phase = phaseReadmitting
 	s.readmittingSince = m.now
 	m.emit(Log{fmt.Sprintf("server %s responds again: readmission begins", s.ID)})
 }
 
-// restartEjection ejects a server anew that failed during its readmission.
+// restartEjection ejects a server again that failed during its readmission.
 func (m *Member) restartEjection(s *server) {
 	if s.phase == phaseReadmitting {
 		m.emit(Log{fmt.Sprintf("server %s fails again: its readmission ends, and it is ejected again", s.ID)})
@@ -296,7 +302,7 @@
 	s.countEjection(m.now)
 }
 
-// readmit lets all members use a server again. It takes new evidence to eject it once more.
+// readmit lets all members use a server again. Only new evidence can eject it again.
 func (s *server) readmit(now time.Duration) {
 	s.phase = phaseAdmitted
 	s.reason = ""
--- a/internal/peer/ejection/state_test.go
+++ b/internal/peer/ejection/state_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recoveryReport is a member's evidence that s0 responds after it failed.
+// recoveryReport returns a member's evidence that s0 responds after a failure.
 func recoveryReport(origin string, number uint32) Evidence {
 	e := successReport(origin, number)
 	e.Failed = 1
@@ -14,7 +14,7 @@
 	return e
 }
 
-// TestPhasesOfAnEjection follows one server through its phases. Each step continues from the one before.
+// One server passes through all phases. Each step continues from the state after the previous one.
 func TestPhasesOfAnEjection(t *testing.T) {
 	h := newHarness(t)
 	s := h.m.servers["s0"]
@@ -59,7 +59,7 @@
 			t.Fatalf("%s: %v, want %v", step.name, s.phase, step.want)
 		}
 		if got, want := h.isEjected("s0"), s.isEjected() && !h.m.mayUse(s); got != want {
-			t.Errorf("%s: the agents avoid it: %v, want %v", step.name, got, want)
+			t.Errorf("%s: the agents avoid the server: %v, want %v", step.name, got, want)
 		}
 	}
 	counts := h.m.Counters()
@@ -77,11 +77,12 @@
 	h.step(ListUpdated{"main", restarted})
 	h.wait(minEvaluationInterval)
 	if h.isEjected("s0") || h.m.servers["s0"].phase != phaseAdmitted {
-		t.Errorf("after a restart it is %v", h.m.servers["s0"].phase)
+		t.Errorf("after a restart the server is %v", h.m.servers["s0"].phase)
 	}
 }
 
-// Whoever follows the log sees a readmission end: a server that fails during its readmission was ejected anew without a line.
+// The log shows that a readmission ends because the server fails again. The fault: such a server was ejected again
+// without a log line.
 func TestEndOfAReadmissionIsLogged(t *testing.T) {
 	h := newHarness(t)
 	h.receives(failureReports("bcd", 1))
--- a/internal/peer/ejection/status.go
+++ b/internal/peer/ejection/status.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// ServerStatus is a server's ejection state for operators. The JSON keys and values are those of the admin endpoint.
+// ServerStatus is the ejection state of a server as shown to operators. The admin endpoint uses these JSON keys and
+// values.
 type ServerStatus struct {
 	Server            string        `json:"server"`
 	State             string        `json:"verdict"` // one of the constants below
 	Reason            string        `json:"why,omitempty"`
 	Reporters         []string      `json:"by,omitempty"`
-	Duration          time.Duration `json:"for_ns"`  // in this state
-	AdmittedShare     float64       `json:"used_by"` // share of the subscribers that may use it now
+	Duration          time.Duration `json:"for_ns"`  // time in this state
+	AdmittedShare     float64       `json:"used_by"` // share of the subscribers that may use the server now
 	Followed          bool          `json:"followed"`
 	NotFollowedReason string        `json:"not_followed_for,omitempty"`
 	Succeeded         float64       `json:"answered"` // decayed sums over all current reports
 	Failed            float64       `json:"failed"`
 }
 
-// The values of ServerStatus.State, in the words of earlier releases.
+// The values of ServerStatus.State. The strings are those of earlier releases.
 const (
-	stateReported = "accused" // there are failure reports; it may be suspected, and is not ejected
-	stateEjected  = "out"     // ejected, also while it is being readmitted
-	stateDraining = "drains"  // another member's list says that it drains
-	stateRemoved  = "gone"    // another member's list says that it was removed
+	stateReported = "accused" // failures are reported; the server may be suspected, but is not ejected
+	stateEjected  = "out"     // the server is ejected or being readmitted
+	stateDraining = "drains"  // another member's list shows the server as draining
+	stateRemoved  = "gone"    // another member's list shows the server as removed
 )
 
 // Status returns all servers with ejections, drains or reports of failures, by ID.
@@ -49,7 +50,7 @@
 		status.State = stateEjected
 		status.Duration = m.now - s.ejectedAt
 		status.AdmittedShare = min(1, m.admittedShare(s))
-		status.NotFollowedReason = m.whyNotFollowed(s)
+		status.NotFollowedReason = m.notFollowedReason(s)
 		status.Followed = status.NotFollowedReason == ""
 	case s.isDraining(m):
 		status.Duration = m.now - s.drainedAt
@@ -65,13 +66,13 @@
 	return status
 }
 
-// whyNotFollowed returns why this member's agents use an ejected server nevertheless; "" if they do not.
-func (m *Member) whyNotFollowed(s *server) string {
+// notFollowedReason returns why this member's agents use a server although it is ejected, or "" if they don't use it.
+func (m *Member) notFollowedReason(s *server) string {
 	switch {
 	case s.capped:
 		return "too many of its zone or pod are out"
 	case m.mayUse(s):
-		return "this member tries it for the fleet" // a trial member, one of a readmission, or the only live subscriber
+		return "this member tries it for the fleet" // in a trial, in a readmission, or as the only live subscriber
 	}
 	return ""
 }
--- a/internal/peer/ejection/subscribers.go
+++ b/internal/peer/ejection/subscribers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Peer is what a member's membership record says of it.
+// Peer describes a member by its membership record.
 type Peer struct {
 	Region, Zone  string
 	Subscriptions SubscriptionFilter
@@ -19,7 +19,7 @@
 		bytes.Equal(p.Subscriptions, o.Subscriptions)
 }
 
-// onMembersChanged takes the membership. Quorums and ranks may have changed, so all active servers are evaluated.
+// onMembersChanged applies a new membership. Quorums and ranks may change with it, so all active servers are evaluated.
 func (m *Member) onMembersChanged(e MembersChanged) {
 	unchanged := slices.Equal(m.names, e.Names) &&
 		slices.EqualFunc(m.peers, e.Peers, Peer.equal) &&
@@ -39,7 +39,7 @@
 	}
 }
 
-// peer returns what is known of a live member; nil: nothing.
+// peer returns the description of a live member, or nil if it is not known.
 func (m *Member) peer(name string) *Peer {
 	if m.peers == nil {
 		return nil
@@ -51,11 +51,11 @@
 	return &m.peers[at]
 }
 
-// subscribers are the live members that read a list, this one included, with their localities.
+// subscribers holds the live members that read a list, this one included, and the zones of the subscribers.
 type subscribers struct {
-	epoch int      // Member.membershipEpoch of these
-	names []string // ascending
-	zones zoneSet  // those of unreachable subscribers included
+	epoch int      // Member.membershipEpoch for which the subscribers were determined
+	names []string // names of live subscribers, ascending
+	zones zoneSet  // zones of live and unreachable subscribers
 }
 
 // zoneSet is a set of zones by region.
@@ -76,7 +76,7 @@
 	return size
 }
 
-// subscribers returns the subscribers of a list. They are cached until the membership changes.
+// subscribers returns the subscribers of a list. The result is cached until the membership changes.
 func (m *Member) subscribers(source string) *subscribers {
 	cached := m.subscribersOf[source]
 	if cached != nil && cached.epoch == m.membershipEpoch {
@@ -90,7 +90,8 @@
 	return c
 }
 
-// addSubscribers adds the members that read the list of that hash. Members of format 1 take all for subscribers.
+// addSubscribers adds the members that read the list with that hash. A member with format 1 treats all members as
+// subscribers.
 func (m *Member) addSubscribers(c *subscribers, hash uint64) {
 	filtered := m.settings.FormatVersion > 1
 	if filtered {
@@ -116,14 +117,14 @@
 // subscriberNames returns the live subscribers of a server's list, this member included.
 func (m *Member) subscriberNames(s *server) []string { return m.subscribers(s.source).names }
 
-// maySubscribe reports whether a member reads a server's list, or may. nil: nothing is known of it.
+// maySubscribe reports whether a member may be a subscriber of a server's list. p is nil if the member is not known.
 func (m *Member) maySubscribe(p *Peer, s *server) bool {
 	return p == nil || m.settings.FormatVersion == 1 || p.Subscriptions.MayInclude(s.source)
 }
 
-// randomSubscribers returns up to n random subscribers of a list besides this member.
+// randomSubscribers returns up to n random subscribers of a list other than this member.
 func (m *Member) randomSubscribers(n int, source string) []string {
-	const attemptsPerName = 4 // draws that hit this member, or one twice, are repeated so often
+	const attemptsPerName = 4 // draws of this member or of a member already chosen are repeated
 	names := m.subscribers(source).names
 	var chosen []string
 	for range min(attemptsPerName*n, attemptsPerName*len(names)) {
@@ -138,8 +139,8 @@
 	return chosen
 }
 
-// randomCorroborators returns up to n random subscribers, half of them of this member's region where there are several:
-// during a partition of regions, these can respond.
+// randomCorroborators returns up to n random subscribers. If there are several regions, half of the subscribers are in
+// this member's region, because these can respond during a partition between regions.
 func (m *Member) randomCorroborators(n int, source string) []string {
 	const attemptsPerName = 8
 	c := m.subscribers(source)
@@ -166,8 +167,8 @@
 	return chosen
 }
 
-// pollSource returns a random list to poll about: one with suspected, anomalous or draining servers, else any that this
-// member reads; "" if it reads none.
+// pollSource returns a random list to poll about: a list with suspected, anomalous or draining servers if there is one,
+// else any list that this member reads. It returns "" if this member reads no list.
 func (m *Member) pollSource() string {
 	source := ""
 	candidates := 0
--- a/internal/peer/ejection/subscription.go
+++ b/internal/peer/ejection/subscription.go
@@ -6,32 +6,34 @@
 	"slices"
 )
 
-// Reports about a server go to the subscribers of its list: the members that read it. Each member announces the lists that
-// it reads in its membership record, which all members have, so that no message is spent on it. A member that announces
-// none, of an earlier version, counts as a subscriber of all lists.
+// Reports about a server go to the subscribers of its list: the members that read the list. Each member announces the
+// lists that it reads in its membership record. All members have these records, so that no additional messages are
+// needed. A member of an earlier version announces no lists and counts as a subscriber of all lists.
 
-// SubscriptionFilter is the set of lists that a member reads, compressed: tests may give false positives, but no false
-// negatives. nil includes all lists.
+// SubscriptionFilter is a compressed set of the lists that a member reads. Lookups may return false positives, but no
+// false negatives. A nil filter includes all lists.
 type SubscriptionFilter []byte
 
-// The first byte of a filter is its encoding. Filters of unknown encodings include all lists.
+// The first byte of a filter is its encoding. A filter with an unknown encoding includes all lists.
 const (
-	filterHashes = 1 // shortened hashes of the lists, ascending: exact but for a collision in 16 million
-	filterBloom  = 2 // a Bloom filter (Bloom 1970), for more lists than fit
+	filterHashes = 1 // truncated hashes of the lists, ascending: exact except for a collision in 16 million
+	filterBloom  = 2 // a Bloom filter (Bloom 1970), for more lists than fit otherwise
 )
 
 const (
-	// maxFilterBytes is the size of the metadata in a membership record.
+	// maxFilterBytes is the maximum size of the metadata in a membership record.
 	maxFilterBytes = 128
-	// hashBytes is the length of a shortened hash: 42 lists fit. Longer ones collide less, and fewer fit.
+	// hashBytes is the length of a truncated hash, so that 42 lists fit. Longer hashes collide less often, and fewer
+	// fit.
 	hashBytes = 3
-	// bloomBits is what the encoding's byte leaves. 150 lists include one in 25 others by mistake, 1,000 nearly all.
+	// bloomBits is the number of bits after the encoding byte. A filter of 150 lists has one false positive in 25 other
+	// lists, and a filter of 1,000 lists includes nearly all lists.
 	bloomBits = 8 * (maxFilterBytes - 1)
-	// bloomHashes is how many bits each list sets: near the optimum for 150 lists.
+	// bloomHashes is the number of bits that each list sets: near the optimum for 150 lists.
 	bloomHashes = 5
 )
 
-// NewSubscriptionFilter returns the filter of a member that reads these lists.
+// NewSubscriptionFilter returns the filter for a member that reads these lists.
 func NewSubscriptionFilter(sources []string) SubscriptionFilter {
 	if len(sources) <= (maxFilterBytes-1)/hashBytes {
 		return newHashFilter(sources)
@@ -60,7 +62,7 @@
 	return f
 }
 
-// MayInclude reports whether the member reads a list, or may.
+// MayInclude reports whether the filter may include a list. It never returns false for a list that the member reads.
 func (f SubscriptionFilter) MayInclude(source string) bool {
 	return f.mayIncludeHash(sourceHash(source))
 }
@@ -84,8 +86,8 @@
 	return false
 }
 
-// forEachBloomBit calls visit with the byte and the bit of each hash until it returns false, and reports whether it never
-// did. Bits are derived by double hashing (Kirsch & Mitzenmacher 2006).
+// forEachBloomBit calls visit with the byte index and the bit of each hash until visit returns false. It reports
+// whether all calls returned true. Bits are derived by double hashing (Kirsch & Mitzenmacher 2006).
 func forEachBloomBit(hash uint64, visit func(at int, bit byte) bool) bool {
 	first, step := uint32(hash), uint32(hash>>32)|1
 	for i := range uint32(bloomHashes) {
--- a/internal/peer/ejection/subscription_test.go
+++ b/internal/peer/ejection/subscription_test.go
@@ -12,7 +12,8 @@
 	readsBoth = NewSubscriptionFilter([]string{"one", "two"})
 )
 
-// newHarnessWithPeers returns a member whose peers have localities and subscriptions. It reads the lists one and two.
+// newHarnessWithPeers returns a harness whose peers have localities and subscriptions. Its member reads the lists one
+// and two.
 func newHarnessWithPeers(t *testing.T, peers ...Peer) *harness {
 	t.Helper()
 	h := &harness{t: t, m: newMember(t, Settings{Name: "a"}), now: testStart}
@@ -24,10 +25,10 @@
 	return h
 }
 
-// memberName is the name of the nth member: a, b, c ...
+// memberName returns the name of member n: a, b, c ...
 func memberName(n int) string { return string(rune('a' + n)) }
 
-// peersOf returns as many peers.
+// peersOf returns a number of peers, each made by peer.
 func peersOf(count int, peer func(n int) Peer) []Peer {
 	var all []Peer
 	for n := range count {
@@ -49,7 +50,7 @@
 			}
 			filter := NewSubscriptionFilter(lists)
 			if len(filter) > maxFilterBytes {
-				t.Errorf("it takes %d bytes", len(filter))
+				t.Errorf("the filter has %d bytes", len(filter))
 			}
 			for _, l := range lists {
 				if !filter.MayInclude(l) {
@@ -119,7 +120,7 @@
 	if messages < 20 {
 		t.Errorf("%d messages in 20 s of failures", messages)
 	}
-	for poller, want := range map[string]int{"c": 0, "e": 1} { // c reads the other list
+	for poller, want := range map[string]int{"c": 0, "e": 1} { // c reads only list two
 		for _, s := range stepAndCollectSends(h.m, h.now, Received{poller, &Message{PollNumber: 1, FormatVersion: currentFormat}}) {
 			if s.Message.ResponseTo == 1 && len(s.Message.Evidence) != want {
 				t.Errorf("%s receives %d reports, want %d", poller, len(s.Message.Evidence), want)
@@ -144,11 +145,12 @@
 	}
 }
 
-// Members a to l are in zone x, and the others in y and z: zones of one region, or regions of three zones each.
+// zonesOfOneRegion places members a to l in zone x, and the others in zones y and z, of one region.
 func zonesOfOneRegion(n int) Peer {
 	return Peer{Zone: []string{"x", "y", "z"}[max(0, (n-6)/6)], Subscriptions: readsBoth}
 }
 
+// threeRegions places members a to l in region x, and the others in regions y and z, of three zones each.
 func threeRegions(n int) Peer {
 	return Peer{Region: []string{"x", "y", "z"}[max(0, (n-6)/6)], Zone: fmt.Sprint(n % 3), Subscriptions: readsBoth}
 }
@@ -184,7 +186,8 @@
 	})
 }
 
-// A region that is partitioned reaches no other members, but knows that there are some: it is not a fleet of its own.
+// A partitioned region can't reach the members of other regions, but still counts their localities: it does not decide
+// like a fleet of its own.
 func TestLocalitiesOfUnreachableMembersCount(t *testing.T) {
 	const reachable = 3
 	peers := peersOf(9, func(n int) Peer {
@@ -211,15 +214,15 @@
 	}
 }
 
-// A member of format 1 polls in general and ignores what it does not know: it receives this member's own evidence, its
-// notifications prompt a poll, and it counts as a subscriber of all lists.
+// A member with format 1 sends only general polls and ignores unknown fields. It receives this member's own evidence,
+// its notifications prompt a poll, and it counts as a subscriber of all lists.
 func TestFirstFormatMembersAreServedAsBefore(t *testing.T) {
 	h := newHarnessWithPeers(t,
 		Peer{Subscriptions: readsOne},
 		Peer{Subscriptions: readsOne},
 		Peer{Subscriptions: readsOne},
 		Peer{Subscriptions: readsTwo},
-		Peer{}) // e, of format 1
+		Peer{}) // e, with format 1
 	s := h.m.servers["s0"]
 	if n := len(h.m.subscriberNames(s)); n != 4 {
 		t.Errorf("%d subscribers, want a, b, c and e", n)
@@ -229,7 +232,7 @@
 	for format, want := range map[uint8]int{0: 1, currentFormat: 0} {
 		for _, s := range stepAndCollectSends(h.m, h.now, Received{"e", &Message{PollNumber: 3, FormatVersion: format}}) {
 			if s.Message.ResponseTo == 3 && len(s.Message.Evidence) != want {
-				t.Errorf("a member of format %d receives %d reports, want %d", format, len(s.Message.Evidence), want)
+				t.Errorf("a member with format %d receives %d reports, want %d", format, len(s.Message.Evidence), want)
 			}
 		}
 	}
@@ -239,11 +242,11 @@
 		polled = polled || s.To == "e" && s.Message.PollNumber > 0
 	}
 	if !polled {
-		t.Error("its notification prompts no poll")
+		t.Error("the notification of a member with format 1 prompts no poll")
 	}
 }
 
-// A member of format 1 takes a notice about a server for a notification, and polls in general.
+// A member with format 1 handles a notice about a server like a notification, and sends a general poll.
 func TestFirstFormatMemberPollsAfterANotice(t *testing.T) {
 	m := newMember(t, Settings{Name: "e", FormatVersion: 1})
 	list := ListUpdated{"one", []Server{{ID: "s0", StartedMS: testStartedMS}}}
@@ -254,6 +257,6 @@
 		polled = polled || s.To == "a" && s.Message.PollNumber > 0 && s.Message.FormatVersion == 0 && !s.Message.OwnOnly
 	}
 	if !polled {
-		t.Error("it does not poll")
+		t.Error("the member does not poll")
 	}
 }
