--- a/internal/peer/ejection/collectors_test.go
+++ b/internal/peer/ejection/collectors_test.go
@@ -16,12 +16,12 @@
 			continue // the periodic poll
 		}
 		if !s.Message.Notify || len(s.Message.About) != 1 || s.Message.About[0].Server != "s0" {
-			t.Errorf("to %s: %+v", s.To, s.Message)
+			t.Errorf("unexpected message to %s: %+v", s.To, s.Message)
 		}
 		notified[s.To] = true
 	}
 	if len(notified) < collectorsPerServer-1 || len(notified) > collectorsPerServer {
-		t.Errorf("notified %v", notified)
+		t.Errorf("notified members: %v", notified)
 	}
 	for name := range notified {
 		if !slices.Contains(h.m.collectorsOf(h.m.servers["s0"]), name) {
--- a/internal/peer/ejection/ejection_test.go
+++ b/internal/peer/ejection/ejection_test.go
@@ -152,7 +152,7 @@
 	h.receives(failureReports("bcd", 1))
 	h.wait(decisionTime)
 	if !h.isEjected("s0") {
-		t.Fatal("not ejected")
+		t.Fatal("s0 is not ejected")
 	}
 	if until := h.ejections[0].Until; until > h.now+DefaultMaxEvidenceAge {
 		t.Errorf("the ejection holds until %v after now", until-h.now)
@@ -198,7 +198,7 @@
 		Drain{Server: "s2", StartedMS: testStartedMS - 1, State: Removed, AgeMS: 100},
 		Drain{Server: "s3", StartedMS: testStartedMS, State: Draining, AgeMS: tooOld})
 	if len(h.ejections) != 1 || !h.ejections[0].Draining || h.ejections[0].Server != "s1" || h.ejections[0].Until > h.now+DefaultMaxDrainAge {
-		t.Fatalf("announced %+v", h.ejections)
+		t.Fatalf("announced ejections and drains: %+v", h.ejections)
 	}
 	if h.wait(DefaultMaxDrainAge + time.Second); len(h.ejections) != 0 {
 		t.Errorf("a drain that no list confirms did not expire: %+v", h.ejections)
@@ -216,7 +216,7 @@
 		}
 	}
 	if response == nil || len(response.Drains) != 1 || response.Drains[0].Server != "s4" || response.Drains[0].AgeMS < 1000 {
-		t.Errorf("responded %+v", response)
+		t.Errorf("response to a poll: %+v", response)
 	}
 	success := successReport("b", 1)
 	success.Server = "s4"
--- a/internal/peer/ejection/state_test.go
+++ b/internal/peer/ejection/state_test.go
@@ -33,26 +33,26 @@
 		want phase
 	}{
 		{"two reporters", func() { report(failureReport, "bc") }, phaseAdmitted},
-		{"a third one", func() {
+		{"a third reporter", func() {
 			report(failureReport, "bcd")
 			h.wait(2 * minEvaluationInterval)
 		}, phaseSuspected},
-		{"nobody contradicts", func() { h.wait(decisionTime) }, phaseEjected},
-		{"it responds to trial members", func() {
+		{"no member contradicts", func() { h.wait(decisionTime) }, phaseEjected},
+		{"the server responds to trial members", func() {
 			report(recoveryReport, "bc")
 			h.wait(2 * ejectedEvaluationInterval)
 		}, phaseReadmitting},
-		{"it fails again", func() {
+		{"the server fails again", func() {
 			h.now += 10 * time.Millisecond
 			report(failureReport, "bcd")
 			h.wait(ejectedEvaluationInterval)
 		}, phaseEjected},
-		{"it responds again", func() {
+		{"the server responds again", func() {
 			h.now += 10 * time.Millisecond
 			report(recoveryReport, "bcde")
 			h.wait(2 * ejectedEvaluationInterval)
 		}, phaseReadmitting},
-		{"all members use it again", func() { h.wait(5 * readmissionDoubling) }, phaseAdmitted},
+		{"all members use the server again", func() { h.wait(5 * readmissionDoubling) }, phaseAdmitted},
 	} {
 		step.do()
 		if s.phase != step.want {
@@ -96,5 +96,5 @@
 			return
 		}
 	}
-	t.Errorf("%+v", h.m.actions)
+	t.Errorf("no log line says that s0 is ejected again: %+v", h.m.actions)
 }
--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -145,7 +145,7 @@
 	reasonForgotten     = "an operator declared it gone"
 	reasonHolderSilent  = "the other process no longer answers"
 	reasonNoAnswer      = "the other process does not answer"
-	reasonAddressReused = "its address now belongs to another process"
+	reasonAddressReused = "the other process's address has another owner"
 	reasonShorterUptime = "the other process has run for less time and yields"
 	reasonLongerUptime  = "the other process has run longer and keeps the name"
 )
--- a/internal/peer/membership/leave.go
+++ b/internal/peer/membership/leave.go
@@ -79,7 +79,7 @@
 	if m == nil || m.effectiveState() != Dead {
 		return
 	}
-	v.report(m, Left, reasonForgotten)
+	v.reportState(m, Left, reasonForgotten)
 }
 
 // removeLongLeft removes members that left long ago. Dead members are kept: they may still run behind a broken link,
--- a/internal/peer/membership/nameconflict_test.go
+++ b/internal/peer/membership/nameconflict_test.go
@@ -11,8 +11,8 @@
 		uptimeMS uint64 // of the other process
 		yields   bool
 	}{
-		{"the other one's is longer", 100_000, true},
-		{"its own is longer", 1, false},
+		{"the other process has run longer", 100_000, true},
+		{"this process has run longer", 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := newTestView(t)
--- a/internal/peer/membership/suspicion.go
+++ b/internal/peer/membership/suspicion.go
@@ -128,10 +128,10 @@
 	}
 }
 
-func (v *View) declareDead(m *member, reason string) { v.report(m, Dead, reason) }
+func (v *View) declareDead(m *member, reason string) { v.reportState(m, Dead, reason) }
 
-// report sets the state of a member with this member as the reporter, and queues it for gossip.
-func (v *View) report(m *member, state State, reason string) {
+// reportState sets the state of a member with this member as the reporter, and queues it for gossip.
+func (v *View) reportState(m *member, state State, reason string) {
 	r := m.Record
 	r.State = state
 	r.Reporter = v.settings.Name
--- a/internal/peer/membership/view_test.go
+++ b/internal/peer/membership/view_test.go
@@ -197,7 +197,7 @@
 			}
 		})
 	}
-	t.Run("others know a higher one", func(t *testing.T) {
+	t.Run("other members know a higher number", func(t *testing.T) {
 		v := newTestView(t)
 		learnMembers(v, 1)
 		earlier := v.Local()
