--- a/decide/quota/ledger.go
+++ b/decide/quota/ledger.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// maxIdleRow is how long a part of a partitioned limit is kept that nobody uses. Larger costs memory; smaller forgets
-	// leases that may be used again.
+	// maxIdleRow is how long an unused part of a partitioned limit is kept. A larger value needs more memory; a
+	// smaller one forgets leases that may be used again.
 	maxIdleRow = time.Minute
-	// minSpan is the shortest time over which rates are counted, whatever a lease says.
+	// minSpan is the shortest time over which rates are counted, even if a lease says less.
 	minSpan = time.Second
 )
 
-// Ledger holds an agent's leases. The zero value limits nothing.
+// Ledger holds an agent's leases. The zero value has no limits.
 type Ledger struct {
 	limits []Limit
 	rows   map[rowKey]*Row
-	order  []*Row           // in the order in which they were first used
-	floors map[string]Lease // by limit; each part of it has one
-	active bool             // something was rejected, or little is left, since the last report
+	order  []*Row           // in the order of first use
+	floors map[string]Lease // by limit; each part of the limit has this floor
+	active bool             // since the last report a demand was rejected or little is left
 }
 
 type rowKey struct{ limit, part string }
 
-// Row is one limit, or one part of it.
+// Row is the state of one limit, or of one part of it.
 type Row struct {
 	limit     Limit
 	key       string
 	leases    []*heldLease
 	rejected  int           // demands since the last report
 	started   int           // demands since the last report
-	changedAt time.Duration // it was last used or granted
+	changedAt time.Duration // time of the last use or grant
 }
 
 // Name returns the limit's name.
 func (r *Row) Name() string { return r.limit.Name }
 
-// SlowStart reports whether the limit is about servers in slow start: others may serve instead.
+// SlowStart reports whether the limit counts attempts at servers in slow start; other servers may serve instead.
 func (r *Row) SlowStart() bool { return r.limit.Kind == SlowStart }
 
-// heldLease is the lease of one grantor, and what of it is in use.
+// heldLease is the lease of one grantor, with its current use.
 type heldLease struct {
 	grantor     string
 	number      uint64
@@ -51,7 +51,7 @@
 	span        time.Duration
 	startWithin time.Duration
 	used        int             // in flight
-	started     []time.Duration // within the span, of rates
+	started     []time.Duration // for rates: starts within the span
 }
 
 // Reservation is one use of a lease by an attempt.
@@ -64,13 +64,15 @@
 // Reserved is what an attempt has reserved of all limits that apply to it.
 type Reserved struct {
 	Reservations []Reservation
-	// StartBy is when the attempt has to have started: after that the leases may be another's. math.MaxInt64: at any time.
+	// StartBy is the time by which the attempt must have started, because another agent may be granted the leases
+	// after that. math.MaxInt64: no bound.
 	StartBy time.Duration
-	// MayConnect is false where no lease allows the attempt to open a connection.
+	// MayConnect is false if no lease allows the attempt to open a connection.
 	MayConnect bool
 }
 
-// SetLimits replaces the limits. Leases of unchanged ones go on; what is in use of the others does not count any more.
+// SetLimits replaces the limits. The leases of unchanged limits stay valid; use of the other limits is no longer
+// counted.
 func (lg *Ledger) SetLimits(limits []Limit) {
 	previous := lg.limits
 	lg.limits = slices.Clone(limits)
@@ -87,10 +89,10 @@
 	})
 }
 
-// Empty reports whether nothing is limited.
+// Empty reports whether there are no limits.
 func (lg *Ledger) Empty() bool { return len(lg.limits) == 0 }
 
-// rowFor returns the row of a part of a limit, new if there is none.
+// rowFor returns the row of a part of a limit, and creates it if there is none.
 func (lg *Ledger) rowFor(l *Limit, part string, now time.Duration) *Row {
 	key := rowKey{l.Name, part}
 	r := lg.rows[key]
@@ -106,7 +108,7 @@
 	return r
 }
 
-// grant replaces the lease of the same grantor.
+// grant adopts a lease, which replaces the lease of the same grantor.
 func (r *Row) grant(lease *Lease, now time.Duration) {
 	n := slices.IndexFunc(r.leases, func(l *heldLease) bool { return l.grantor == lease.Grantor })
 	if n < 0 {
@@ -122,7 +124,7 @@
 	r.changedAt = now
 }
 
-// SetLeases adopts leases. One of an unknown limit is ignored.
+// SetLeases adopts leases. A lease of an unknown limit is ignored.
 func (lg *Ledger) SetLeases(now time.Duration, leases []Lease) {
 	for _, lease := range leases {
 		at := slices.IndexFunc(lg.limits, func(l Limit) bool { return l.Name == lease.Limit })
@@ -136,7 +138,7 @@
 	}
 }
 
-// setFloor adopts a floor for each part of its limit.
+// setFloor adopts the floor of a limit for each part of it.
 func (lg *Ledger) setFloor(now time.Duration, floor Lease) {
 	lg.floors[floor.Limit] = floor
 	for _, r := range lg.order {
@@ -146,8 +148,8 @@
 	}
 }
 
-// RefusedBy returns the first limit that does not allow a demand now; nil: all do. Limits on new connections are left to
-// Reserve.
+// RefusedBy returns the first limit that does not allow a demand now, or nil if all do. Limits on new connections are
+// checked only by Reserve.
 func (lg *Ledger) RefusedBy(now time.Duration, d *Demand) *Row {
 	for i := range lg.limits {
 		l := &lg.limits[i]
@@ -162,14 +164,14 @@
 	return nil
 }
 
-// CountRejection counts a demand that was rejected for want of a lease, so that more of it is requested.
+// CountRejection counts a demand that was rejected for lack of a lease, so that the agent requests more.
 func (lg *Ledger) CountRejection(now time.Duration, r *Row) {
 	r.rejected++
 	r.changedAt = now
 	lg.active = true
 }
 
-// bestLease returns the lease with the largest amount available for a demand; nil: none has anything.
+// bestLease returns the lease with the largest amount available for a demand, or nil if no lease has any.
 func (r *Row) bestLease(now time.Duration, d *Demand) *heldLease {
 	used := r.inUse(now)
 	var largest *heldLease
@@ -179,7 +181,7 @@
 			continue
 		}
 		inUse := l.inUse(now, r.limit.Kind)
-		if l.grantor == "" { // the floor counts what is used by all leases
+		if l.grantor == "" { // the use of all leases counts against the floor
 			inUse = max(used, inUse)
 		} else {
 			leased += l.amount
@@ -195,13 +197,13 @@
 	return largest
 }
 
-// isReserved reports whether the little that is left is reserved for more important demands, where these may come under
-// the same limit.
+// isReserved reports whether the amount that is left is reserved for more important demands, if such demands can come
+// under the same limit.
 func (r *Row) isReserved(d *Demand, leased, used int) bool {
 	return r.limit.Class < 0 && d.ReservedShare > 0 && float64(leased-used) <= d.ReservedShare*math.Sqrt(float64(leased))
 }
 
-// inUse returns what is in use of all leases.
+// inUse returns the total use of all leases.
 func (r *Row) inUse(now time.Duration) int {
 	used := 0
 	for _, l := range r.leases {
@@ -222,8 +224,8 @@
 	return len(l.started)
 }
 
-// Reserve uses a lease of each limit that applies to a demand. It reports false, and uses none, where one has nothing
-// left; but for limits on new connections, see Reserved.MayConnect.
+// Reserve uses a lease of each limit that applies to a demand. If one of the limits has nothing left, it reports
+// false and uses no lease. Limits on new connections are the exception: see Reserved.MayConnect.
 func (lg *Ledger) Reserve(now time.Duration, d *Demand) (Reserved, bool) {
 	reservations := make([]Reservation, 0, len(lg.limits))
 	startBy := time.Duration(math.MaxInt64)
@@ -253,7 +255,7 @@
 	return Reserved{reservations, startBy, mayConnect}, true
 }
 
-// startBy is when an attempt that uses the lease now has to have started.
+// startBy returns the time by which an attempt that uses the lease now must have started.
 func (l *heldLease) startBy(now time.Duration) time.Duration {
 	if l.startWithin > 0 {
 		return min(l.expires, now+l.startWithin)
@@ -261,7 +263,7 @@
 	return l.expires
 }
 
-// use uses one of a lease.
+// use takes one unit of a lease.
 func (r *Row) use(now time.Duration, lease *heldLease) Reservation {
 	r.changedAt = now
 	r.started++
@@ -273,7 +275,7 @@
 	return Reservation{lease, r, now}
 }
 
-// undo returns what was never used.
+// undo returns a reservation that was not used.
 func (r Reservation) undo() {
 	if !r.row.limit.Kind.IsRate() {
 		r.lease.used--
@@ -284,7 +286,7 @@
 	}
 }
 
-// isLow reports whether so little is left that the next few demands may find nothing.
+// isLow reports whether so little is left that one of the next few demands may be rejected.
 func (r *Row) isLow(now time.Duration) bool {
 	leased := 0
 	for _, l := range r.leases {
@@ -296,8 +298,8 @@
 	return leased-used <= 1+int(math.Sqrt(float64(used))/2)
 }
 
-// Release returns what an attempt had in flight, now that it is over. connected is false where it opened no connection:
-// it did not use its lease to do so.
+// Release returns what an attempt that has ended had in flight. If it opened no connection (connected is false), its
+// reservation of a new connection is returned too.
 func (lg *Ledger) Release(reservations []Reservation, connected bool) {
 	for _, r := range reservations {
 		kind := r.row.limit.Kind
@@ -307,8 +309,8 @@
 	}
 }
 
-// ConnectionRefusedBy returns the limit for want of which an attempt with this demand could open no connection, and
-// counts the rejection; nil: there is none.
+// ConnectionRefusedBy returns the limit that did not allow an attempt with this demand to open a connection, or nil
+// if there is none. It counts the rejection.
 func (lg *Ledger) ConnectionRefusedBy(now time.Duration, d *Demand) *Row {
 	for i := range lg.limits {
 		l := &lg.limits[i]
@@ -321,11 +323,11 @@
 	return nil
 }
 
-// Active reports whether something was rejected, or little was left, since the last report.
+// Active reports whether since the last report a demand was rejected or little was left.
 func (lg *Ledger) Active() bool { return lg.active }
 
-// Usages returns the state of all leases, by limit and key, for a report. It resets what was counted since the last one,
-// and forgets parts that nobody uses.
+// Usages returns the state of all leases for a report, sorted by limit and key. It resets the counts since the last
+// report, and drops parts of limits that are no longer used.
 func (lg *Ledger) Usages(now time.Duration) []Usage {
 	lg.active = false
 	lg.order = slices.DeleteFunc(lg.order, func(r *Row) bool {
@@ -343,7 +345,8 @@
 	return all
 }
 
-// isIdle reports whether a part of a limit has neither been used nor granted for long, and has no lease.
+// isIdle reports whether a part of a limit has been neither used nor granted for more than maxIdleRow and has no
+// lease.
 func (r *Row) isIdle(now time.Duration) bool {
 	if now-r.changedAt <= maxIdleRow || r.key == "" {
 		return false
@@ -353,7 +356,7 @@
 	})
 }
 
-// appendUsages appends the state of the row's leases. What was counted since the last report goes with the first of them.
+// appendUsages appends the state of the row's leases. The counts since the last report are in the first of them.
 func (r *Row) appendUsages(all []Usage, now time.Duration) []Usage {
 	counted := Usage{Limit: r.limit.Name, Key: r.key, Rejected: r.rejected, Started: r.started}
 	r.rejected = 0
--- a/decide/quota/ledger_test.go
+++ b/decide/quota/ledger_test.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// testStart is a clock reading in the middle of a process's life.
+	// testStart is a clock reading within the life of a process.
 	testStart = time.Hour
-	// never is past the end of every test.
+	// never is a time after the end of every test.
 	never = 100 * time.Hour
 )
 
-// newLedger returns a ledger of limits.
+// newLedger returns a ledger with the given limits.
 func newLedger(limits ...Limit) *Ledger {
 	lg := &Ledger{}
 	lg.SetLimits(limits)
 	return lg
 }
 
-// ledgerModel repeats by the simplest means what a ledger of one limit has to count.
+// ledgerModel is a simple model of what a ledger of one limit has to count.
 type ledgerModel struct {
 	kind         Kind
 	amount       map[string]int           // by grantor
 	expires      map[string]time.Duration // by grantor
 	started      map[string][]time.Duration
 	inFlight     map[string]int
-	reservations [][]Reservation // not released
+	reservations [][]Reservation // not released yet
 }
 
 func (m *ledgerModel) inUse(now time.Duration, grantor string) int {
@@ -44,8 +44,8 @@
 	return count
 }
 
-// Whatever is granted, reserved and released in whatever order, no more is in flight, or starts within a span, than the
-// leases of that moment allow.
+// For any order of grants, reservations and releases, the number in flight, or started within a span, must not exceed
+// the current leases.
 func TestNoMoreIsReservedThanLeased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Kind{InFlight, Requests, Attempts, SlowStart}).Draw(t, "kind")
@@ -94,7 +94,7 @@
 	allowed := lg.RefusedBy(now, demand) == nil
 	reserved, ok := lg.Reserve(now, demand)
 	if ok != allowed {
-		t.Fatalf("RefusedBy allows it: %v, Reserve: %v", allowed, ok)
+		t.Fatalf("RefusedBy allows the demand: %v, Reserve allows it: %v", allowed, ok)
 	}
 	if !ok {
 		return
@@ -110,7 +110,7 @@
 	m.inFlight[grantor]++
 }
 
-// The floor of a soft limit is not added to leases: it is what may be used where they are fewer.
+// The floor of a soft limit is not added to the leases: it may be used if the leases allow less.
 func TestFloorIsNotAddedToLeases(t *testing.T) {
 	lg := newLedger(unrestricted("l", Requests))
 	now := testStart
@@ -136,7 +136,7 @@
 	expectReserved(2, "the lease has expired")
 	lg.SetLeases(now, []Lease{{Limit: "l", Amount: 1, Expires: never, Span: 10 * time.Second}})
 	now += 5 * time.Second
-	expectReserved(0, "the floor of one in ten seconds was used")
+	expectReserved(0, "the floor of one in ten seconds is used up")
 	now += 6 * time.Second
 	expectReserved(1, "ten seconds have passed")
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-// Less important demands leave some for more important ones, unless only the former come under the limit.
+// Less important demands must leave a reserve for more important ones, unless only the former come under the limit.
 func TestLessImportantDemandLeavesAReserve(t *testing.T) {
 	lg := newLedger(unrestricted("l", InFlight))
 	now := testStart
@@ -173,15 +173,15 @@
 		lg.Reserve(now, lessImportant)
 		reserved++
 	}
-	if reserved != 22 { // 25 less 0.6 times its square root
-		t.Errorf("%d of 25 for less important demands, want 22", reserved)
+	if reserved != 22 { // 25 minus 0.6 times its square root
+		t.Errorf("%d of 25 reserved by less important demands, want 22", reserved)
 	}
 	if lg.RefusedBy(now, important) != nil {
 		t.Error("nothing is left for important demands")
 	}
 }
 
-func TestChangedLimitsKeepTheirUse(t *testing.T) {
+func TestSetLimitsKeepsUseOfUnchangedLimits(t *testing.T) {
 	x, y := unrestricted("x", InFlight), unrestricted("y", InFlight)
 	lg := newLedger(x, y)
 	now := testStart
@@ -194,16 +194,16 @@
 
 	lg.SetLimits([]Limit{x})
 	if lg.RefusedBy(now, demand) == nil {
-		t.Error("what is in use of x was forgotten when y was removed")
+		t.Error("the use of x was forgotten when y was removed")
 	}
 	lg.Release(reserved.Reservations, true)
 	if lg.RefusedBy(now, demand) != nil {
-		t.Error("what was reserved before was not released")
+		t.Error("the earlier reservation was not released")
 	}
 	x.Kind = Attempts
 	lg.SetLimits([]Limit{x})
 	if lg.RefusedBy(now, demand) == nil {
-		t.Error("a lease of a limit in flight is used for one of attempts")
+		t.Error("a lease of an in-flight limit is used for a limit of attempts")
 	}
 	lg.SetLimits(nil)
 	if !lg.Empty() || lg.RefusedBy(now, &Demand{}) != nil {
--- a/decide/quota/quota.go
+++ b/decide/quota/quota.go
@@ -1,10 +1,10 @@
-// Package quota is an agent's side of limits that hold for a whole fleet: a ledger of the leases that it was granted,
-// until when, and what of them is in use. It says whether a lease allows a demand; whether a request goes without one,
-// and which goes first, is decided by package decide. The leases come from package internal/peer/lease (Gray & Cheriton
-// 1989).
+// Package quota is an agent's side of the limits that a whole fleet shares. It keeps a ledger of the leases that the
+// agent was granted, when they expire, and how much of them is in use. It decides whether a lease allows a demand.
+// Package decide decides whether a request without a lease waits or is refused, and which request goes first. Package
+// internal/peer/lease grants the leases (Gray & Cheriton 1989).
 //
-// Ownership: a Ledger is in memory only, and belongs to one goroutine: the agent's. It has no clock; times are durations
-// on the agent's own monotonic clock.
+// Ownership: a Ledger is kept in memory only and must be used by one goroutine, that of the agent. It has no clock;
+// times are durations on the agent's own monotonic clock.
 package quota
 
 import (
@@ -19,44 +19,44 @@
 const (
 	// InFlight counts attempts in flight at once.
 	InFlight Kind = iota
-	// Requests counts requests whose first attempt starts, in any second.
+	// Requests counts requests whose first attempt starts, per second.
 	Requests
-	// Attempts counts attempts that start in any second.
+	// Attempts counts attempts that start, per second.
 	Attempts
-	// Retries counts attempts after a request's first that start in any second.
+	// Retries counts attempts after a request's first one that start, per second.
 	Retries
-	// NewConnections counts attempts that open a connection, in any second.
+	// NewConnections counts attempts that open a connection, per second.
 	NewConnections
-	// SlowStart counts attempts that start at a server in slow start, in any second.
+	// SlowStart counts attempts that start at a server in slow start, per second.
 	SlowStart
 	kindCount
 )
 
-// KindNames are the kinds as configurations name them.
+// KindNames are the names of the kinds in configurations.
 var KindNames = []string{"in-flight", "requests", "attempts", "retries", "connections", "cold"}
 
-// String returns the kind's name in configurations.
+// String returns the name of the kind in configurations.
 func (k Kind) String() string {
 	if k < kindCount {
 		return KindNames[k]
 	}
-	return fmt.Sprintf("counts %d", uint8(k))
+	return fmt.Sprintf("unknown kind %d", uint8(k))
 }
 
-// IsRate reports whether it counts starts in a second, not what is in flight at once.
+// IsRate reports whether the limit counts starts per second instead of attempts in flight.
 func (k Kind) IsRate() bool { return k != InFlight }
 
-// Partition is whether a limit is one, or one for each of something.
+// Partition says whether a limit applies as a whole or separately to each server, zone or cell.
 type Partition uint8
 
 const (
-	// NotPartitioned is one limit.
+	// NotPartitioned is one limit for all.
 	NotPartitioned Partition = iota
-	// PerServer is a limit for each server.
+	// PerServer is a separate limit for each server.
 	PerServer
-	// PerZone is a limit for each zone.
+	// PerZone is a separate limit for each zone.
 	PerZone
-	// PerCell is a limit for each cell.
+	// PerCell is a separate limit for each cell.
 	PerCell
 )
 
@@ -64,25 +64,26 @@
 type Limit struct {
 	Name              string
 	Kind              Kind
-	Class, Zone, Cell int    // that it is limited to; -1: all
-	Server            string // that it is limited to; empty: all
+	Class, Zone, Cell int    // the only ones it applies to; -1: all
+	Server            string // the only one it applies to; empty: all
 	Partition         Partition
 }
 
-// Demand is what an attempt would use leases for.
+// Demand describes an attempt that needs leases.
 type Demand struct {
 	Class        int
 	Server       string
 	Zone         int
 	Cell         int
-	SlowStart    bool          // of the server
-	FirstAttempt bool          // of its request
-	EndsBy       time.Duration // it is over by then
-	// ReservedShare is the share of demand by what is more important: as much of the leases' square root remains for that.
+	SlowStart    bool          // the server is in slow start
+	FirstAttempt bool          // this is the first attempt of its request
+	EndsBy       time.Duration // time by which the attempt has ended
+	// ReservedShare is the share of demand that is more important than this one. That share of the square root of the
+	// leased amount stays reserved for the more important demand.
 	ReservedShare float64
 }
 
-// partKey returns which part of the limit a demand uses; ok is false where the limit does not apply to it.
+// partKey returns the part of the limit that a demand uses; ok is false if the limit does not apply to the demand.
 func (l *Limit) partKey(d *Demand) (key string, ok bool) {
 	if !l.appliesTo(d) {
 		return "", false
@@ -117,33 +118,37 @@
 	return true
 }
 
-// Lease is what an agent may use of a limit by the grant of one lease server. A later one of the same grantor replaces it.
+// Lease is the amount of a limit that one lease server has granted to an agent. A later lease of the same grantor
+// replaces it.
 type Lease struct {
 	Limit string
-	// Key is the part of a partitioned limit.
+	// Key names the part of a partitioned limit.
 	Key string
-	// Grantor is the lease server. Empty: the floor of a soft limit, which counts what is used by all leases.
+	// Grantor is the lease server. An empty Grantor marks the floor of a soft limit: an amount that may be used even
+	// without a lease, and against which the use of all leases counts.
 	Grantor string
 	// Number identifies the grant.
 	Number uint64
 	Amount int
-	// Expires is when what counts in flight has to have ended, and what counts by the second to have started.
+	// Expires is the time by which attempts in flight must have ended, and by which attempts counted per second must
+	// have started.
 	Expires time.Duration
 	// Span is the time over which Amount counts, for rates.
 	Span time.Duration
-	// StartWithin is the time within which a reserved attempt has to be sent: Span allows for that. 0: at any time.
+	// StartWithin is the time within which an attempt must be sent after it has reserved the lease; Span allows for
+	// this delay. 0: no bound.
 	StartWithin time.Duration
 }
 
-// Usage is the state of one lease, or of a part of a limit without any.
+// Usage is the state of one lease, or of a part of a limit that has no lease.
 type Usage struct {
 	Limit   string
 	Key     string
-	Grantor string // empty: the floor, or demand that was rejected without any lease
-	Number  uint64 // of the last grant that was adopted
-	Used    int    // in flight, or started within the span
-	// Rejected and Started count demands since the last report that found no lease, and that found one. Each is reported
-	// once for a limit and key.
+	Grantor string // empty: the floor, or demand that was rejected because there is no lease
+	Number  uint64 // number of the last grant that was adopted
+	Used    int    // attempts in flight, or started within the span
+	// Rejected and Started count the demands since the last report that found no lease, and those that found one.
+	// They are reported once per limit and key.
 	Rejected int
 	Started  int
 }
--- a/decide/quota/quota_test.go
+++ b/decide/quota/quota_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// unrestricted is a limit that is not limited to any class, zone, cell or server.
+// unrestricted returns a limit that applies to all classes, zones, cells and servers.
 func unrestricted(name string, kind Kind) Limit {
 	return Limit{Name: name, Kind: kind, Class: -1, Zone: -1, Cell: -1}
 }
