--- a/decide/actions.go
+++ b/decide/actions.go
@@ -6,52 +6,53 @@
 	"vetchhaven/decide/quota"
 )
 
-// Action is something that the agent must do now, in the order given. The present module sends no Cancel and
-// no Probe; agents should execute them all the same.
+// Action is something that the agent must do now, in the order given. This package returns no Cancel and no
+// Probe, but agents should be able to execute them.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request. Timeout 0 means until the client stops waiting.
+	// Send starts the next attempt of a request. A Timeout of 0 means until the client stops waiting.
 	Send struct {
 		Request   string
 		Backend   string
 		Timeout   time.Duration
-		StartBy   time.Duration // it must not start later, and ends as NotSent then; 0: any time
-		ReuseOnly bool          // only on a connection that is open; without one it ends as NotSent
+		StartBy   time.Duration // the attempt must start by this time or end as NotSent; 0: no bound
+		ReuseOnly bool          // use only a connection that is already open; without one the attempt ends as NotSent
 	}
-	// Cancel withdraws an attempt; its Outcome still comes.
+	// Cancel cancels an attempt. The attempt still ends with an Outcome.
 	Cancel struct {
 		Request string
 		Attempt int
 	}
-	// Refuse is a final answer: the request was not executed, and a new try does no harm.
+	// Refuse is a final answer that promises no effect: the request was not executed, and the client may
+	// safely retry.
 	Refuse struct {
 		Request    string
-		RetryAfter time.Duration // 0: no advice
+		RetryAfter time.Duration // 0: none
 		Reason     Reason
-		Limit      string // of NoLease
+		Limit      string // if Reason is NoLease
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that promises nothing: the request may have been executed.
 	Fail struct {
 		Request string
 		Reason  Reason
-		Limit   string // of NoLease
+		Limit   string // if Reason is NoLease
 	}
-	// LeaseUsage tells the lease client how the leases stand, and what was rejected for want of one.
+	// LeaseUsage reports the state of the leases to the lease client, and what was rejected for lack of one.
 	LeaseUsage struct{ Usages []quota.Usage }
-	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
+	// SetTimer asks for a TimerFired after the given time. Timers are never cancelled.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// Probe examines a backend outside any request.
+	// Probe checks a backend independently of any request.
 	Probe struct{ Backend string }
-	// SendToPeer sends a few bytes to another agent. They may come late or not at all.
+	// SendToPeer sends a short message to another agent. It may arrive late or be lost.
 	SendToPeer struct {
 		To   int // that agent's number
 		Data []byte
 	}
-	// Subscribe asks that list changes be delivered from now on.
+	// Subscribe asks discovery to deliver list changes from now on.
 	Subscribe struct{}
 )
 
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -8,9 +8,9 @@
 
 // hasCapacity reports whether one more attempt may start.
 //
-// A balancer that admits by credit seldom has two requests to choose from, so each class leaves credit for
-// the more valuable ones, by their share of arrivals. Now and then an attempt starts without credit: an agent
-// that sends nothing learns of nothing that would bring it some.
+// A balancer that admits by credit seldom has two requests to choose from. Therefore each class leaves some
+// credit for the more valuable classes, according to their share of arrivals. After a long gap one attempt
+// starts without credit, because an agent that sends nothing observes nothing that would earn it credit.
 func (b *Balancer) hasCapacity(request *openRequest) bool {
 	if !b.admitsByCredit() {
 		return float64(b.inFlight-b.inFlightUncounted) < b.inFlightLimit()
@@ -19,7 +19,7 @@
 	return b.admissionCredit > reserved || b.now-b.lastAttemptAt >= maxCreditlessGap
 }
 
-// higherValueShare is the share of the work asked for that is worth more than a request.
+// higherValueShare returns the share of the requested work that has a higher value than a request.
 func (b *Balancer) higherValueShare(request *openRequest) float64 {
 	higher, all := 0.0, 0.0
 	for _, class := range b.classes {
@@ -31,22 +31,22 @@
 	return higher / max(all, 1)
 }
 
-// admitsByCredit reports whether an even share of the in-flight limit is too small to be counted.
+// admitsByCredit reports whether an even share of the in-flight limit is too small to count attempts against.
 //
-// Departure from the design page: many agents that may each have one attempt in flight have too many
-// together. There an agent admits by credit instead: each first try earns its own work times the square of
-// target over present delay, and each attempt spends its work. All agents see the delay of one fleet, so that
-// all admit the same part of what they get.
+// Departure from the design page: if each of many agents may have one attempt in flight, they have too many
+// together. In that case an agent admits by credit instead: each first try earns credit for its own work,
+// times the square of target delay over current delay, and each attempt spends its work. All agents see the
+// delay of the same fleet, so that all of them admit the same share of their requests.
 func (b *Balancer) admitsByCredit() bool {
 	evenLimit := initialLimitPerBackend * float64(b.upCount)
 	return b.settings.Balancers > 1 && evenLimit < minCountedShare*float64(b.settings.Balancers)
 }
 
-// sharesObservations reports whether agents that admit by credit exchange observations: what one of them saw,
-// all know soon.
+// sharesObservations reports whether agents that admit by credit exchange observations, so that all of them
+// soon know what one has observed.
 func (b *Balancer) sharesObservations() bool { return b.settings.Peers && b.admitsByCredit() }
 
-// earnCredit adds what a first try earns.
+// earnCredit adds the credit that a first try earns.
 func (b *Balancer) earnCredit(request *openRequest) {
 	ratio := b.targetDelay() / max(b.meanDelay, 1e-9)
 	earned := b.expectedLatency(request) * min(ratio*ratio, maxCreditPerRequest)
@@ -54,14 +54,15 @@
 	b.admissionCredit = min(b.admissionCredit+earned, ceiling)
 }
 
-// targetDelay is the mean latency, as a share of the objective, that a balancer which admits by credit keeps
-// to.
+// targetDelay returns the mean latency, as a share of the objective, that a balancer which admits by credit
+// aims for.
 //
-// A backend that holds many requests works less well, and does not recover while as many agents go on sending
-// to it, each of them seldom: clients give up all that it holds before it is served. No agent can see one
-// backend fill up, so the mean of all has to stay near what an empty one takes. Where the work itself takes a
-// good part of the objective, that is the measure: by what clients state, else by the answers of backends
-// that had nothing else in flight. Until those come the target is the least, which leaves some backends idle.
+// A backend that holds many requests works less efficiently. It does not recover while equally many agents
+// keep sending to it, each of them seldom, because clients give up on the requests that it holds before they
+// are served. No agent can see one backend fill up, so the mean of all backends must stay close to the
+// latency of an empty one. Where the work itself takes a large share of the objective, the target follows the
+// work: as stated by clients, or else as observed at backends that had nothing else in flight. Until there
+// are such answers the target is the lowest one, which leaves some backends idle.
 func (b *Balancer) targetDelay() float64 {
 	if b.sharesObservations() {
 		return defaultTargetDelay
@@ -74,8 +75,8 @@
 	return max(minTargetDelay, min(targetDelayFactor*work/max(arrived, 1e-9), maxTargetDelay))
 }
 
-// valueOfWork is what a unit of work spent on a class now adds to the operator's goal: its value against that
-// of all that is asked for, and more for the class that is served worst.
+// valueOfWork returns what a unit of work spent on a class now adds to the operator's goal: its value
+// relative to the value of all requests, and more for the class that is served worst.
 func (b *Balancer) valueOfWork(index int) float64 {
 	total := 0.0
 	worst := -1
@@ -98,7 +99,7 @@
 	return value
 }
 
-// workPerRequest is the work that a request of a class counts for in the operator's goal.
+// workPerRequest returns the amount of work that a request of a class counts as in the operator's goal.
 func (b *Balancer) workPerRequest(class *classState) float64 {
 	if b.settings.ByWork {
 		return class.meanLatency
@@ -106,32 +107,33 @@
 	return 1
 }
 
-// inFlightLimit is the number of attempts that may be in flight now. It follows the list, where a backend in
-// slow start counts by its share of capacity.
+// inFlightLimit returns the number of attempts that may be in flight now. It follows the list, in which a
+// backend in slow start counts by its share of capacity.
 func (b *Balancer) inFlightLimit() float64 { return max(1, b.limitPerBackend*b.ownShare*b.capacity) }
 
-// adjustLimit moves the limit on attempts in flight by a latency, as a share of the objective: down when the
-// running mean passes the target, up while the limit binds.
+// adjustLimit adjusts the limit on attempts in flight to an observed latency, given as a share of the
+// objective. The limit falls when the running mean exceeds the target, and rises while the limit is binding.
 //
-// Departure from the design page: beyond the limit requests are queued, then refused, since a queue at the
-// backends that outlasts the objectives serves nobody. The least limit, a few attempts per backend, keeps a
-// fleet in use that is slow without a queue.
+// Departure from the design page: requests beyond the limit are queued and then refused, because answers are
+// useless if the queue at the backends takes longer than the objectives. The lowest limit is a few attempts
+// per backend, so that a fleet that is slow without a queue stays in use.
 func (b *Balancer) adjustLimit(latencyShare float64) {
-	// The mean spans what is in flight at once: over less, chance would lower a busy agent's limit.
+	// The mean covers as many answers as may be in flight at once. Over fewer answers, random variation would
+	// lower the limit of a busy agent.
 	weight := min(meanWeight, 1/b.inFlightLimit())
 	b.meanDelay += weight * (min(latencyShare, 2) - b.meanDelay)
 	target, floor := defaultTargetDelay, minLimitPerBackend
 	if b.settings.Balancers > b.upCount {
-		// A busy one of many may have several times its share in flight, and so may others.
+		// One busy agent of many may have several times its share in flight, and so may others.
 		target = min(defaultTargetDelay, b.targetDelay())
 		floor = minLimitManyBalancers
 	}
-	binds := float64(b.inFlight-b.inFlightUncounted)+1 >= b.inFlightLimit()*0.9
+	isBinding := float64(b.inFlight-b.inFlightUncounted)+1 >= b.inFlightLimit()*0.9
 	switch {
 	case b.meanDelay > target && b.now-b.limitCutAt > time.Duration(b.classes[0].meanLatency):
 		b.limitPerBackend = max(floor, b.limitPerBackend*limitDecrease)
 		b.limitCutAt = b.now
-	case b.meanDelay < target && binds:
+	case b.meanDelay < target && isBinding:
 		b.limitPerBackend += limitIncrease / b.inFlightLimit()
 	}
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -8,8 +8,8 @@
 	"vetchhaven/decide"
 )
 
-// Latency above the aimed delay cuts what is kept in flight; what does not fit
-// waits and is refused, and a client's retry is refused first.
+// Latency above the target delay lowers the in-flight limit. Requests beyond the limit wait and are then refused; a
+// client's retry is refused first.
 func TestInFlightLimitFollowsDelay(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 2
@@ -30,9 +30,9 @@
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := h.step(decide.Request{ID: "again", Class: idempotent, Remaining: 2000 * ms, ClientRetry: true})
-	if finalAnswer("again", repeat) != "refuse" {
-		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
+	clientRetry := h.step(decide.Request{ID: "again", Class: idempotent, Remaining: 2000 * ms, ClientRetry: true})
+	if finalAnswer("again", clientRetry) != "refuse" {
+		t.Errorf("a client's retry: %v, want a refusal at once", clientRetry)
 	}
 	all = append(all, h.advance(400*ms)...)
 	for i := range 20 {
@@ -43,7 +43,8 @@
 	}
 }
 
-// Incident i6c6372: with many agents each one's share must shrink, also on idle backends.
+// Each agent's share of the limit must shrink with the number of agents, also if backends are idle: many agents that
+// each use the whole limit overload the backends (incident i6c6372).
 func TestInFlightLimitIsDividedAmongBalancers(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := testSettings()
@@ -57,11 +58,11 @@
 		return n
 	}
 	if one, many := inFlight(1), inFlight(20); many*10 > one {
-		t.Errorf("%d in flight among 20 agents against %d alone", many, one)
+		t.Errorf("one of 20 agents has %d in flight, a single agent %d", many, one)
 	}
 }
 
-// Incident ia38185: the limit follows the list down.
+// The limit must fall when the list becomes shorter (incident ia38185).
 func TestInFlightLimitFollowsTheList(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(10))
 	h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
@@ -76,18 +77,18 @@
 	}
 }
 
-// Incidents idacc77 and i574e74: what dead backends carried must not land on the
-// living while the list still names the dead.
+// While the list still names unreachable backends, the load that they carried must not move to the reachable ones
+// (incidents idacc77 and i574e74).
 func TestInFlightLimitExcludesUnreachableBackends(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(10))
 	h.serve(50, idempotent, 5*ms)
-	dead := map[string]bool{}
-	for i := 0; len(dead) < 6 && i < 500; i++ {
+	unreachable := map[string]bool{}
+	for i := 0; len(unreachable) < 6 && i < 500; i++ {
 		id := fmt.Sprint("d", i)
 		h.request(id, idempotent)
 		h.now += ms
 		if b := h.sent[id][0]; b < "g" { // a to f
-			dead[b] = true
+			unreachable[b] = true
 			h.outcome(id, decide.ConnectFailed, ms)
 		} else {
 			h.outcome(id, decide.OK, ms)
@@ -100,13 +101,13 @@
 		h.request(id, idempotent)
 		n += len(h.sent[id])
 	}
-	if n > 28 { // six for each of four, and a few for what the outcomes taught
-		t.Errorf("%d in flight on four living backends", n)
+	if n > 28 { // six for each of four backends, and a few more because the limit grew
+		t.Errorf("%d in flight on four reachable backends", n)
 	}
 }
 
-// Incident ieb2a7b: attempts that hang at a backend which answers nothing must not
-// use up the room of the others once it is ejected.
+// Attempts that hang at a backend which does not answer must not use up the capacity of the other backends once that
+// backend is ejected (incident ieb2a7b).
 func TestAttemptsAtUnreachableBackendsUseNoCapacity(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
@@ -122,7 +123,7 @@
 		}
 	}
 	if len(hung) < 3 {
-		t.Fatalf("only %v hang", hung)
+		t.Fatalf("the hanging attempts are %v, want at least 3", hung)
 	}
 	h.now += 20 * ms
 	for i := range 18 {
@@ -138,22 +139,22 @@
 		h.request(id, idempotent)
 		for _, b := range h.sent[id] {
 			if n++; b == "a" {
-				t.Errorf("%s went to the backend that answers nothing", id)
+				t.Errorf("%s went to the backend that does not answer", id)
 			}
 		}
 	}
 	if n < 12 {
-		t.Errorf("%d in flight on the two that answer, want all of their room of 12", n)
+		t.Errorf("%d in flight on the two backends that answer, want their whole limit of 12", n)
 	}
 }
 
-// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
-// well within the objective in the mean but vary a lot.
+// The limit of a busy agent must not fall by chance when the mean latency is well within the objective but single
+// answers vary widely (incident ieeee80).
 func TestLimitOfBusyBalancerIsNotCutByChance(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 2
 	h := newHarness(t, s, 1, testBackends(30))
-	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an objective of 400
+	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; the mean is 110, the objective 400
 	refused, queue := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
@@ -164,18 +165,18 @@
 		h.now += ms
 		if len(queue) > 75 {
 			if len(h.sent[queue[0]]) > 0 {
-				// answers in runs, so that twenty in a row can all be slow
+				// Latencies come in runs, so that twenty answers in a row can all be slow.
 				h.outcome(queue[0], decide.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 4000 refused", refused)
+		t.Errorf("%d of 4000 requests were refused, want 0", refused)
 	}
 }
 
-// Incident ieb2a7b: many agents that grow their limits at once must not overshoot together.
+// Many agents that raise their limits at the same time must not exceed the capacity together (incident ieb2a7b).
 func TestLimitGrowsByBackendsNotByRequests(t *testing.T) {
 	total := func(balancers int) int {
 		s := testSettings()
@@ -189,7 +190,7 @@
 				}
 			}
 		}
-		for i := range 200 { // what exceeds the limit is queued
+		for i := range 200 { // requests beyond the limit are queued
 			sends(h.request(fmt.Sprint("q", i), idempotent))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
@@ -200,13 +201,13 @@
 		return len(out) * balancers
 	}
 	if one, many := total(1), total(20); one < 130 || many > one*3/2 {
-		t.Errorf("after four rounds one agent has %d in flight, want growth from 120; 20 agents %d", one, many)
+		t.Errorf("after four rounds one agent has %d in flight, want growth from 120; 20 agents have %d", one, many)
 	}
 }
 
-// Houston big-1: with a busy neighbour on a third of the servers the mean delay passed the aimed
-// share, and 40 in 100 requests were refused though the rest had room. What a server known to be
-// slow takes says little of the rest.
+// The latency of a server that is known to be slow must not lower the limit, because it says little about the other
+// servers. With a noisy neighbour on a third of the servers, the mean delay exceeded the target, and 40 in 100
+// requests were refused although the other servers had capacity (scenario houston big-1).
 func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
 	h := newHarness(t, creditSettings(), 1, testBackends(8))
 	sent := 0
@@ -227,6 +228,6 @@
 		}
 	}
 	if sent < 195 {
-		t.Errorf("%d of 200 were sent though most servers have no queue", sent)
+		t.Errorf("%d of 200 requests were sent although most servers have no queue", sent)
 	}
 }
--- a/decide/anyorder_test.go
+++ b/decide/anyorder_test.go
@@ -11,8 +11,8 @@
 	"vetchhaven/decide"
 )
 
-// hostile feeds a balancer a legal but unkind order of events and audits it.
-func hostile(t *testing.T, seed uint64, steps int) *auditor {
+// checkRandomEvents feeds a balancer valid events in a random, adverse order and checks the rules.
+func checkRandomEvents(t *testing.T, seed uint64, steps int) *ruleChecker {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := testSettings()
@@ -34,14 +34,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAuditor(s)
+	a := newRuleChecker(s)
 	a.now = time.Hour
 	type timer struct {
 		at    time.Duration
 		token int64
 	}
 	var timers []timer
-	var open []decide.Outcome // attempts that are out
+	var open []decide.Outcome // outcomes of the open attempts
 	due := map[string]time.Duration{}
 	pool := testBackends(8)
 	next := 0
@@ -69,21 +69,21 @@
 			events = append(events, decide.Request{ID: id, Class: rng.IntN(len(s.Classes)), Remaining: left,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0, Upload: rng.IntN(5) == 0})
 		}
-		// Every attempt ends by its request's time; some early, with any result.
+		// Every attempt ends by the deadline of its request, some of them earlier and with any result.
 		rest := open[:0]
 		for _, o := range open {
 			r := a.requests[o.Request]
 			switch {
-			case r.upload && rng.IntN(6) == 0:
+			case r.uploading && rng.IntN(6) == 0:
 				left := time.Duration(1+rng.IntN(1500)) * ms
 				due[o.Request] = a.now + left
 				events = append(events, decide.UploadCompleted{Request: o.Request, Attempt: o.Attempt, Remaining: left})
 				rest = append(rest, o)
 				continue
-			case r.upload && rng.IntN(6) > 0, r.stream && rng.IntN(6) > 0:
-				rest = append(rest, o) // it takes its time
+			case r.uploading && rng.IntN(6) > 0, r.responseStarted && rng.IntN(6) > 0:
+				rest = append(rest, o) // it stays open for longer
 				continue
-			case !r.upload && !r.stream && !r.ended && rng.IntN(20) == 0:
+			case !r.uploading && !r.responseStarted && !r.ended && rng.IntN(20) == 0:
 				events = append(events, decide.ResponseStarted{Request: o.Request, Attempt: o.Attempt, Completed: rng.IntN(2) == 0, Latency: 50 * ms})
 				rest = append(rest, o)
 				continue
@@ -95,14 +95,14 @@
 				rest = append(rest, o)
 				continue
 			}
-			if o.NotReplayable = r.upload && rng.IntN(2) == 0; r.upload { // its last byte is not out
+			if o.NotReplayable = r.uploading && rng.IntN(2) == 0; r.uploading { // its last byte has not been sent
 				o.Result = []decide.Result{decide.Rejected, decide.ConnectFailed, decide.NotSent, decide.Incomplete}[rng.IntN(4)]
 			}
 			o.Latency = time.Duration(rng.IntN(900)) * ms
 			o.Answered = o.Result == decide.OK || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
-				events = append(events, o) // notified twice
+				events = append(events, o) // reported twice
 			}
 		}
 		open = rest
@@ -118,7 +118,7 @@
 			}
 			events = append(events, decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{*n}})
 		case 1:
-			var full []decide.Backend // up to none at all
+			var full []decide.Backend // may be empty
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = decide.Up
 				full = append(full, n)
@@ -145,7 +145,7 @@
 			a.event(e)
 		}
 		acts := b.Step(a.now, events)
-		if err := b.CheckMeasure(); err != nil {
+		if err := b.CheckCapacity(); err != nil {
 			t.Fatalf("seed %d at %v: %v", seed, a.now, err)
 		}
 		for _, act := range acts {
@@ -158,16 +158,16 @@
 					Attempt: len(a.requests[act.Request].sends) - 1})
 			}
 		}
-		a.overdue()
+		a.checkUnanswered()
 	}
 	return a
 }
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := hostile(t, seed, 600)
-		if len(a.faults) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
+		a := checkRandomEvents(t, seed, 600)
+		if len(a.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
 		}
 	}
 }
@@ -175,65 +175,65 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := hostile(t, seed, 400); len(a.faults) > 0 {
-			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
+		if a := checkRandomEvents(t, seed, 400); len(a.violations) > 0 {
+			t.Fatal(strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
 		}
 	})
 }
 
-// Each check of the auditor must be able to fail: these recorded actions are bad.
-func TestAuditorRejects(t *testing.T) {
+// Each check of ruleChecker must be able to fail: these recorded actions break a rule.
+func TestRuleCheckerRejects(t *testing.T) {
 	send := func(b string) decide.Action { return decide.Send{Request: "q", Backend: b} }
 	ended := func(n int, res decide.Result) decide.Event {
 		return decide.Outcome{Request: "q", Attempt: n, Result: res, Answered: res == decide.OK}
 	}
 	refuse, fail := decide.Refuse{Request: "q"}, decide.Fail{Request: "q"}
-	off := decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: decide.Draining}}}
+	draining := decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: decide.Draining}}}
 	moved := func(id string, cell int) decide.Event {
 		return decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, Cell: cell}}}
 	}
 	empty := decide.ListUpdate{Kind: decide.ListFull}
-	cold := decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: time.Hour}}}
+	inSlowStart := decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
-		play  []any // events, actions, and durations that pass
+		play  []any // events, actions, and durations by which the clock advances
 		want  string
 	}{
 		{"no answer", idempotent, []any{2021 * ms}, "got no answer in time"},
 		{"two answers", idempotent, []any{fail, fail}, "answered twice"},
 		{"answer after being served", idempotent, []any{send("a"), ended(0, decide.OK), refuse}, "answered twice"},
 		{"late answer", idempotent, []any{2020*ms + 1, fail}, "answered late"},
-		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its end"},
-		{"unknown backend", idempotent, []any{send("zz")}, "never told"},
+		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its final answer"},
+		{"unknown backend", idempotent, []any{send("zz")}, "is unknown"},
 		{"past the limit", idempotent, []any{send("a"), ended(0, decide.Errored), send("b"), ended(1, decide.Errored),
 			send("a"), ended(2, decide.Errored), send("b"), ended(3, decide.Errored), send("a")}, "past the attempt limit"},
-		{"second copy", idempotent, []any{send("a"), send("b")}, "two attempts out"},
-		{"unsafe repeated", nonIdempotent, []any{send("a"), ended(0, decide.TimedOut), send("b")}, "is unsafe"},
-		{"unsafe refused", nonIdempotent, []any{send("a"), ended(0, decide.Reset), refuse}, "refused though"},
-		{"unsafe refused while out", nonIdempotent, []any{send("a"), refuse}, "refused though"},
-		{"zone refused", keyedZone, []any{send("a"), ended(0, decide.Errored), refuse}, "refused though"},
-		{"outside the zone", keyedZone, []any{send("a"), ended(0, decide.Errored), send("c")}, "outside its group"},
-		{"outside the cell", keyedCell, []any{send("a"), ended(0, decide.Errored), send("d")}, "outside its group"},
-		{"to one moved into the cell", keyedCell, []any{send("a"), moved("d", 0), ended(0, decide.Errored), send("d")},
-			"come to the group since"},
+		{"second open attempt", idempotent, []any{send("a"), send("b")}, "two open attempts"},
+		{"non-idempotent repeated", nonIdempotent, []any{send("a"), ended(0, decide.TimedOut), send("b")}, "is non-idempotent"},
+		{"non-idempotent refused", nonIdempotent, []any{send("a"), ended(0, decide.Reset), refuse}, "refused though"},
+		{"non-idempotent refused while open", nonIdempotent, []any{send("a"), refuse}, "refused though"},
+		{"keyed refused", keyedZone, []any{send("a"), ended(0, decide.Errored), refuse}, "refused though"},
+		{"outside the zone", keyedZone, []any{send("a"), ended(0, decide.Errored), send("c")}, "outside its deduplication scope"},
+		{"outside the cell", keyedCell, []any{send("a"), ended(0, decide.Errored), send("d")}, "outside its deduplication scope"},
+		{"to a backend that moved into the cell", keyedCell, []any{send("a"), moved("d", 0), ended(0, decide.Errored), send("d")},
+			"joined the deduplication scope since"},
 		{"after the backend that moved", keyedCell, []any{send("a"), moved("a", 1), ended(0, decide.Errored), send("d")},
-			"outside its group"},
-		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, decide.Errored), send("b")}, "after its window"},
-		{"drained", idempotent, []any{off, 501 * ms, send("a")}, "drain or be gone"},
-		{"gone from the list", idempotent, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
-		{"out by hand", idempotent, []any{decide.BackendDisabled{Backend: "a", Disabled: true}, send("a")}, "out by hand"},
-		{"back by hand is cold", idempotent, []any{decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}, send("a"),
+			"outside its deduplication scope"},
+		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, decide.Errored), send("b")}, "after its deduplication window"},
+		{"drained", idempotent, []any{draining, 501 * ms, send("a")}, "draining or removed"},
+		{"removed from the list", idempotent, []any{empty, 501 * ms, send("b")}, "draining or removed"},
+		{"disabled by an operator", idempotent, []any{decide.BackendDisabled{Backend: "a", Disabled: true}, send("a")}, "operator has disabled"},
+		{"enabled again by an operator is in slow start", idempotent, []any{decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}, send("a"),
 			ended(0, decide.Rejected), send("a"), ended(1, decide.Rejected), send("a"), ended(2, decide.Rejected), send("a"), send("a"),
-			send("a")}, "is cold"},
-		{"cold", idempotent, []any{cold, send("a"), ended(0, decide.Rejected), send("a"), ended(1, decide.Rejected),
-			send("a"), ended(2, decide.Rejected), send("a"), send("a"), send("a")}, "is cold"},
+			send("a")}, "is in slow start"},
+		{"cold", idempotent, []any{inSlowStart, send("a"), ended(0, decide.Rejected), send("a"), ended(1, decide.Rejected),
+			send("a"), ended(2, decide.Rejected), send("a"), send("a"), send("a")}, "is in slow start"},
 		{"message where none is allowed", idempotent, []any{decide.SendToPeer{To: 1, Data: []byte{1}}}, "bytes to peer"},
 		{"timer in the past", idempotent, []any{decide.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newAuditor(testSettings())
+			a := newRuleChecker(testSettings())
 			a.now = time.Hour
 			a.event(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(4)})
 			a.event(decide.Request{ID: "q", Class: tt.class, Remaining: 2000 * ms})
@@ -247,9 +247,9 @@
 					a.action(p)
 				}
 			}
-			a.overdue()
-			if got := strings.Join(a.faults, "; "); !strings.Contains(got, tt.want) {
-				t.Errorf("faults %q, want one with %q", got, tt.want)
+			a.checkUnanswered()
+			if got := strings.Join(a.violations, "; "); !strings.Contains(got, tt.want) {
+				t.Errorf("violations %q, want one with %q", got, tt.want)
 			}
 		})
 	}
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// startAttempt sends a request to a backend. Nothing else starts an attempt; the rules are checked here last.
-// pick has excluded backends that drain or may not get the request, so that what fails here, as a rule, is
-// the time left.
+// startAttempt sends a request to a backend. No other function starts an attempt, and the rules are checked
+// here for the last time. pick has already excluded backends that are draining or may not get the request, so
+// that normally only the check of the remaining time can fail here.
 func (b *Balancer) startAttempt(request *openRequest, backend *endpoint) {
 	mayStart := backend.State == Up && b.now >= backend.drainedUntil && b.mayAttempt(request, backend)
 	switch {
@@ -41,16 +41,16 @@
 	if !request.uploading {
 		b.beginWork(request, attempt)
 	}
-	backend.slowStartBudget -= attempt.workUnits // of use while it is in slow start
+	backend.slowStartBudget -= attempt.workUnits // has an effect only during slow start
 	send := Send{Request: request.id, Backend: backend.ID, ReuseOnly: attempt.reuseOnly}
-	if startBy < math.MaxInt64 { // else nothing bounds it
+	if startBy < math.MaxInt64 { // otherwise there is no bound
 		send.StartBy = startBy
 	}
 	b.actions = append(b.actions, send)
 }
 
-// addAttempt adds an attempt to its request, and returns the time by which it has to start: not past the
-// deduplication window of the first attempt that may have run.
+// addAttempt adds an attempt to its request, and returns the time by which the attempt must start: a repeat
+// of a keyed request must not start after the deduplication window of the first attempt that may have run.
 func (b *Balancer) addAttempt(
 	request *openRequest, attempt *openAttempt, startBy time.Duration,
 ) time.Duration {
@@ -68,10 +68,10 @@
 	return startBy
 }
 
-// chargeCredit takes an attempt off the credit, and counts the gap since the last one. What starts without
-// credit adds no debt. Attempts are counted, not requests: an agent that refuses would see its traffic grow
-// by the clients' retries, widen its subset, connect to more backends and find their tables full, as all
-// others do.
+// chargeCredit subtracts an attempt's work from the credit, and records the gap since the last attempt. An
+// attempt that starts without credit adds no debt. The gap is measured between attempts instead of requests:
+// an agent that refuses requests gets more of them, because clients retry. Counting those, it would widen its
+// subset, connect to more backends, and find their connection tables full, as would all other agents.
 func (b *Balancer) chargeCredit(attempt *openAttempt) {
 	b.admissionCredit = max(b.admissionCredit-attempt.expectedLatency, -attempt.expectedLatency)
 	if b.lastAttemptAt > 0 {
@@ -80,7 +80,7 @@
 	b.lastAttemptAt = b.now
 }
 
-// findOpenAttempt finds an attempt that has not ended, with its request; nil: there is none.
+// findOpenAttempt returns an attempt that has not ended, with its request, or nil if there is none.
 func (b *Balancer) findOpenAttempt(id string, n int) (*openRequest, *openAttempt) {
 	request := b.requests[id]
 	if request == nil || n < 0 || n >= len(request.attempts) || !request.attempts[n].open {
@@ -89,7 +89,7 @@
 	return request, request.attempts[n]
 }
 
-// closeAttempt ends an attempt.
+// closeAttempt ends an attempt and releases what it reserved.
 func (b *Balancer) closeAttempt(request *openRequest, attempt *openAttempt, e Outcome) {
 	attempt.open = false
 	request.notReplayable = request.notReplayable || e.NotReplayable
@@ -105,7 +105,7 @@
 	}
 }
 
-// beginWork counts an attempt as in flight, from when its backend has all of the request.
+// beginWork counts an attempt as in flight, from the time when its backend has the whole request.
 func (b *Balancer) beginWork(request *openRequest, attempt *openAttempt) {
 	attempt.countsInFlight = true
 	attempt.sentAt = b.now
@@ -119,7 +119,7 @@
 	}
 }
 
-// endWork counts an attempt as in flight no more.
+// endWork stops counting an attempt as in flight.
 func (b *Balancer) endWork(attempt *openAttempt) {
 	if !attempt.countsInFlight {
 		return
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -1,22 +1,22 @@
 package decide
 
-// The files named under policy in deploy/balancer.toml hold every choice that a balancer makes. Its interface
-// is in settings.go, events.go, actions.go and result.go, its records in state.go, the form of messages to
+// The files that deploy/balancer.toml lists under policy make all decisions of a balancer. Its interface is
+// in settings.go, events.go, actions.go and result.go, its state in state.go, and the format of messages to
 // peers in message.go.
 //
-// Reading order: Step below; requests.go (a request from its arrival to its final answer), queue.go and
-// admission.go (when it may start), pick.go (at which backend), attempt.go (the one place that starts
-// attempts, and checks the rules last), retry.go (with the rule on repeating requests); then what is learned
-// from outcomes: observe.go, ejection.go, capacity.go, slowstart.go; and endpoints.go, peers.go, learned.go.
-// tuning.go holds all constants.
+// Reading order: Step below; requests.go (a request from its arrival to its final answer); queue.go and
+// admission.go (when a request may start); pick.go (which backend it goes to); attempt.go (the only place
+// that starts attempts, with the last check of the rules); retry.go (with the rule on repeating requests).
+// Then the files that learn from outcomes: observe.go, ejection.go, capacity.go, slowstart.go. Then
+// endpoints.go, peers.go and learned.go. tuning.go holds all constants.
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// New returns a balancer with no state. All its random choices come from seed. An error names the setting
-// that makes no sense.
+// New returns a balancer with no state. All its random choices derive from seed. The error names the first
+// invalid setting.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -35,7 +35,7 @@
 		requests:        map[string]*openRequest{},
 		requestTimers:   map[int64]*openRequest{},
 		overdueTimers:   map[int64]*openAttempt{},
-		classFits:       make([][]float64, len(s.Classes)),
+		slownessByKind:  make([][]float64, len(s.Classes)),
 	}
 	b.settings.MaxAttempts = max(1, s.MaxAttempts)
 	if s.SlowStartShare == 0 {
@@ -48,7 +48,8 @@
 	return b, nil
 }
 
-// Step takes what has happened by now, in order, and returns what to do, in order.
+// Step processes the events that have happened by now, in order, and returns the actions to execute, in
+// order.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = max(now, b.now)
 	b.actions = nil
@@ -101,8 +102,8 @@
 	}
 }
 
-// reportLeaseUsage tells the lease client how the leases stand: once they have changed, and then at intervals
-// while any demand lacked a lease.
+// reportLeaseUsage reports the state of the leases to the lease client: once after new leases have arrived,
+// and then at intervals while demand was rejected or little is left.
 func (b *Balancer) reportLeaseUsage() {
 	if b.ledger.Empty() {
 		return
@@ -130,7 +131,7 @@
 	case attempt != nil:
 		b.onOverdue(attempt)
 	case request != nil && !request.ended && token == request.timerToken:
-		request.timerToken = 0 // a queued request may be due later by now: without another timer it is lost
+		request.timerToken = 0 // its shed time may be later by now: without a new timer it gets no answer
 		if request.backingOff {
 			request.backingOff = false
 			b.enqueue(request)
@@ -138,13 +139,13 @@
 	}
 }
 
-// setRequestTimer has a request looked at again at a time. Its earlier timers are void.
+// setRequestTimer sets the time at which a request is checked again. Its earlier timers become void.
 func (b *Balancer) setRequestTimer(request *openRequest, at time.Duration) {
 	request.timerToken = b.setTimer(at - b.now)
 	b.requestTimers[request.timerToken] = request
 }
 
-// setTimer asks for a timer, and returns its token.
+// setTimer asks for a timer and returns its token.
 func (b *Balancer) setTimer(wait time.Duration) int64 {
 	b.lastTimerToken++
 	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastTimerToken})
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/decide/quota"
 )
 
-// BenchmarkStep plays a request, its outcome and now and then an error and a
-// retry. State must not grow with the requests played: see the heap metric.
+// BenchmarkStep measures a request and its outcome, with an occasional error and retry. The state must not grow with
+// the number of requests: see the heap-growth metric.
 func BenchmarkStep(b *testing.B) {
 	lb, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -32,8 +32,8 @@
 	runtime.KeepAlive(lb)
 }
 
-// BenchmarkStepWithLeases is the same with limits that the fleet shares, of which there is always a lease:
-// twelve of all kinds, one of them for each server, lent by three keepers.
+// BenchmarkStepWithLeases is BenchmarkStep with limits that the fleet shares and for which there is always a lease:
+// twelve limits of all kinds, one of them per server, with leases from three lease servers.
 func BenchmarkStepWithLeases(b *testing.B) {
 	lb, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// playOne plays request i to its end.
+// playOne plays request i until it has ended.
 func playOne(lb *decide.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []decide.Event{decide.Request{ID: id, Class: idempotent, Remaining: time.Second}}
@@ -95,7 +95,7 @@
 	}
 }
 
-// Memory and allocations per request stay bounded over a long run.
+// Memory and allocations per request must stay bounded over a long run.
 func TestStateIsBounded(t *testing.T) {
 	lb, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -120,6 +120,6 @@
 	}
 	i := 100000
 	if n := testing.AllocsPerRun(2000, func() { playOne(lb, &now, i); i++ }); n > 25 {
-		t.Errorf("%.1f allocations a request", n)
+		t.Errorf("%.1f allocations per request, want at most 25", n)
 	}
 }
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -1,13 +1,13 @@
 package decide
 
-// updateCapacity sums up what the backends that are up, and not ejected or unreachable, can do.
+// updateCapacity computes the total capacity of the backends that are up, reachable and not ejected.
 //
-// Backends that are up, warm and healthy count the same until something happens to them: whatever may change
-// one of them clears partitionValid. Only the others, whose slow start and ejections change with time, are
-// looked at each time.
+// Backends that are up, not in slow start and healthy ("settled") count the same until something happens to
+// them. Every change that may affect one of them clears partitionValid. Only the other backends, whose slow
+// start and ejections change with time, are checked on each call.
 func (b *Balancer) updateCapacity() {
 	if b.partitionValid && len(b.unsettled) == 0 {
-		return // the sums are as they were
+		return // nothing has changed
 	}
 	if !b.partitionValid {
 		b.partitionBackends()
@@ -24,7 +24,7 @@
 	}
 }
 
-// partitionBackends sorts out which backends are up, warm and healthy.
+// partitionBackends separates the settled backends from the others.
 func (b *Balancer) partitionBackends() {
 	b.partitionValid = true
 	b.settledCount = 0
@@ -43,7 +43,7 @@
 	}
 }
 
-// isSettled reports whether a backend is up, warm and healthy.
+// isSettled reports whether a backend is up, not in slow start, and healthy.
 func (b *Balancer) isSettled(backend *endpoint) bool {
 	if backend.State != Up || b.capacityShare(backend) != 1 {
 		return false
@@ -51,7 +51,7 @@
 	return !backend.inSlowStart && !backend.unreachable && !b.isEjected(backend)
 }
 
-// addUnsettled adds what another backend can do to the sums.
+// addUnsettled adds a backend that is not settled to the sums.
 func (b *Balancer) addUnsettled(backend *endpoint) {
 	share := b.capacityShare(backend)
 	up := backend.State == Up
@@ -71,6 +71,6 @@
 		b.inFlightUncounted += len(backend.inFlight)
 	}
 	if b.isSettled(backend) {
-		b.partitionValid = false // from the next time on it is one of the settled ones
+		b.partitionValid = false // the next call counts it as settled
 	}
 }
--- a/decide/clientretry_test.go
+++ b/decide/clientretry_test.go
@@ -9,8 +9,8 @@
 	"vetchhaven/decide"
 )
 
-// remainingHarness is a balancer whose room is taken: a first attempt waits there, a client's retry is
-// refused at once.
+// remainingHarness drives a balancer whose capacity is used up: a first attempt waits, a client's retry is refused at
+// once.
 type remainingHarness struct {
 	t    *testing.T
 	b    *decide.Balancer
@@ -18,7 +18,7 @@
 	next int
 }
 
-func newRemainingRig(t *testing.T, tick time.Duration) *remainingHarness {
+func newRemainingHarness(t *testing.T, tick time.Duration) *remainingHarness {
 	t.Helper()
 	s := testSettings()
 	s.Tick = tick
@@ -28,13 +28,13 @@
 	}
 	g := &remainingHarness{t: t, b: b, now: time.Hour}
 	g.b.Step(g.now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}}})
-	for range 50 { // of more than one length: they teach nothing
+	for range 50 { // two different lengths, which establish no usual one
 		g.refused(1300*ms + time.Duration(g.next%2)*300*ms)
 	}
 	return g
 }
 
-// refused tells whether a try with this much time left is refused at once.
+// refused reports whether a request with this remaining time is refused at once.
 func (g *remainingHarness) refused(left time.Duration) bool {
 	g.now += 20 * time.Microsecond
 	g.next++
@@ -48,14 +48,14 @@
 	return refused
 }
 
-// First attempts whose remaining time differs, since their callers hand down what is left of their own time,
-// are no clients' retries.
+// First attempts are not taken for clients' retries if their remaining times differ because their callers pass on
+// what is left of their own deadline.
 func TestSpreadRemainingTimesAreNoClientRetries(t *testing.T) {
 	const deadline = 2000 * ms
 	uniform := func(rng *rand.Rand, share float64) time.Duration {
 		return time.Duration(rng.Float64() * share * float64(deadline))
 	}
-	through := func(tiers int, late float64) func(*rand.Rand) time.Duration { // 1 to 3 ms at each, some tried again above
+	through := func(tiers int, late float64) func(*rand.Rand) time.Duration { // each tier takes 1 to 3 ms; some requests are retried
 		return func(rng *rand.Rand) time.Duration {
 			left := deadline
 			for range tiers {
@@ -73,15 +73,15 @@
 	}{
 		{"over a twentieth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.05) }},
 		{"over a fifth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.2) }},
-		{"over four fifths of it", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.8) }}, // with less, no wait helps
-		{"four lengths alike", func(rng *rand.Rand) time.Duration { return deadline - time.Duration(rng.IntN(4))*400*ms }},
+		{"over four fifths of it", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.8) }}, // with less, waiting does not help
+		{"four equally frequent lengths", func(rng *rand.Rand) time.Duration { return deadline - time.Duration(rng.IntN(4))*400*ms }},
 		{"through 4 tiers", through(4, 0)},
 		{"through 16 tiers", through(16, 0)},
 		{"through 8 tiers with retries", through(8, 0.1)},
 		{"through 16 tiers with retries", through(16, 0.1)},
 	} {
 		for _, tick := range []time.Duration{0, 5 * ms} {
-			g, rng := newRemainingRig(t, tick), rand.New(rand.NewPCG(7, 7))
+			g, rng := newRemainingHarness(t, tick), rand.New(rand.NewPCG(7, 7))
 			refused := 0
 			for range 1000 {
 				if g.refused(row.left(rng)) {
@@ -89,48 +89,48 @@
 				}
 			}
 			if refused > 10 {
-				t.Errorf("%s, tick %v: %d of 1000 first tries were refused at once as repeats, 10 at the most", row.name, tick, refused)
+				t.Errorf("%s, tick %v: %d of 1000 first tries were refused at once as retries, want at most 10", row.name, tick, refused)
 			}
 		}
 	}
 }
 
-// Where clients give their tries one length, one of another is the last: so also in a crisis, with as many of
-// these as first attempts.
+// If clients give all their tries the same time, a request with a different remaining time is a last try. This also
+// holds in an overload in which half of the requests are last tries.
 func TestOtherRemainingTimeIsAClientRetry(t *testing.T) {
 	const usual = 1000 * ms
 	for _, row := range []struct {
 		name   string
-		before []time.Duration // comes first: a restarted agent's clients may all be trying again
-		every  int             // so many first attempts for each last one
+		before []time.Duration // requests sent first: after a restart of the agent all clients may be retrying
+		every  int             // first attempts per last try
 	}{
 		{"one in five", nil, 4},
 		{"half", nil, 1},
-		{"after repeats alone", []time.Duration{1700 * ms, 1690 * ms, 900 * ms, 1700 * ms}, 4},
+		{"after retries only", []time.Duration{1700 * ms, 1690 * ms, 900 * ms, 1700 * ms}, 4},
 		{"after another usual length", []time.Duration{500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms,
 			500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms, 500 * ms}, 4},
 	} {
 		for _, tick := range []time.Duration{0, 5 * ms} {
-			g, rng := newRemainingRig(t, tick), rand.New(rand.NewPCG(7, 7))
+			g, rng := newRemainingHarness(t, tick), rand.New(rand.NewPCG(7, 7))
 			for _, left := range row.before {
 				g.refused(left)
 			}
 			first, last, firstRefused, lastRefused := 0, 0, 0, 0
 			for i := range 1000 {
-				repeat, left := i%(row.every+1) == row.every, usual-time.Duration(rng.Float64()*float64(tick))
-				if repeat { // once its client has waited, from at once to the whole of a try
+				isRetry, left := i%(row.every+1) == row.every, usual-time.Duration(rng.Float64()*float64(tick))
+				if isRetry { // what its client has left after it has waited for part of a try or nearly all of it
 					left = usual + time.Duration((0.1+0.8*rng.Float64())*float64(usual))
 				}
 				refused := g.refused(left)
 				if i < 100 {
 					continue
 				}
-				if repeat {
+				if isRetry {
 					last++
 				} else {
 					first++
 				}
-				if refused && repeat {
+				if refused && isRetry {
 					lastRefused++
 				} else if refused {
 					firstRefused++
--- a/decide/credit_test.go
+++ b/decide/credit_test.go
@@ -8,9 +8,9 @@
 	"vetchhaven/decide"
 )
 
-// Incident ie43f64, dallas big-1: hundreds of agents with one attempt each in flight crowd the
-// servers. An agent that admits by credit admits less of what it is asked as the delay passes the target,
-// and all of it while there is no queue, however much that is.
+// Hundreds of agents that may each have one attempt in flight overload the servers. An agent that admits by credit
+// must admit fewer requests as the delay passes the target, and all of them while there is no queue, however many
+// they are (incident ie43f64, scenario dallas big-1).
 func TestCreditFollowsDelay(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
 		h := newHarness(t, creditSettings(), 1, testBackends(8))
@@ -28,15 +28,16 @@
 		return sent
 	}
 	if n := play(40 * ms); n < 198 {
-		t.Errorf("without queues %d of 200 were sent, want all", n)
+		t.Errorf("without queues %d of 200 requests were sent, want all", n)
 	}
 	if n := play(320 * ms); n < 20 || n > 90 {
-		t.Errorf("at four fifths of the aim %d of 200 were sent, want about a quarter", n)
+		t.Errorf("at a delay of four fifths of the objective %d of 200 requests were sent, want about a quarter", n)
 	}
 }
 
-// Dallas rough-1: in a crowded fleet answers come after the clients' patience. An attempt that
-// is out for most of its objective counts as late at once, and less is admitted before it ends.
+// In an overloaded fleet answers arrive after clients have given up. An attempt that is in flight for most of its
+// objective must therefore count as delayed at once, so that fewer requests are admitted before it ends (scenario
+// dallas rough-1).
 func TestOverdueAttemptCountsAtOnce(t *testing.T) {
 	s := creditSettings()
 	s.Balancers = 1000
@@ -48,7 +49,7 @@
 		h.outcome(id, decide.OK, 20*ms)
 	}
 	sent := 0
-	for i := range 60 { // nothing is answered any more
+	for i := range 60 { // no request is answered any more
 		id := fmt.Sprint("q", i)
 		h.request(id, idempotent)
 		h.advance(60 * ms)
@@ -57,12 +58,12 @@
 		}
 	}
 	if sent > 15 {
-		t.Errorf("%d of 30 were sent though nothing had come back for seconds", sent)
+		t.Errorf("%d of 30 requests were sent although no answer had arrived for seconds", sent)
 	}
 }
 
-// Incident i8cbe41: without peers nothing limited 893 agents that admit by credit, and every waiting room
-// stayed full. One that meets full servers only admits less, though no peer tells it anything.
+// Without peers nothing limited 893 agents that admit by credit, and all server queues stayed full. An agent that is
+// rejected by full servers must admit fewer requests even if no peer reports anything (incident i8cbe41).
 func TestCreditWithoutPeersAdmitsLess(t *testing.T) {
 	s := creditSettings()
 	s.Peers, s.MaxAttempts = false, 1
@@ -80,6 +81,6 @@
 		}
 	}
 	if sent > 15 || sent < 3 {
-		t.Errorf("%d of 60 were sent to servers that are all full, want about one in fifteen", sent)
+		t.Errorf("%d of 60 requests were sent although all servers are full, want about one in fifteen", sent)
 	}
 }
--- a/decide/dedupscope_test.go
+++ b/decide/dedupscope_test.go
@@ -8,42 +8,42 @@
 	"vetchhaven/decide"
 )
 
-// A keyed request that may have run goes again only to backends that were in its group when it was
-// sent, whatever the list says since: those that came later may not know its key, and would do its
-// work a second time. Today's record of a backend may not be that of the attempt.
+// A keyed request that may have run may be repeated only at backends that were in its deduplication scope when it was
+// sent, whatever the list has said since. Backends that joined later may not know its key and would execute it a
+// second time. The current record of a backend may differ from the one at the time of the attempt.
 func TestDedupScopeIsThatOfTheFirstAttempt(t *testing.T) {
 	zone := func(n int) func(*decide.Backend) { return func(b *decide.Backend) { b.Zone = n } }
 	cell := func(n int) func(*decide.Backend) { return func(b *decide.Backend) { b.Cell = n } }
 	gone := func(b *decide.Backend) { b.State = decide.Removed }
 	type change struct {
-		who  string // "first": the backend of the first attempt; else one of the others by place
-		what func(*decide.Backend)
+		name string // "first": the backend of the first attempt; "other": the other one of its scope; or an ID
+		edit func(*decide.Backend)
 	}
-	// Four backends: the first attempt goes to one of a and b (group 0), c and d are in group 1.
+	// There are four backends. The first attempt goes to a or b (scope 0); c and d are in scope 1.
 	tests := []struct {
 		name   string
 		class  int
-		before []change // told before the first attempt
-		moves  []change // told one after the other between attempt and reset
-		want   []string // where the repeat may go; none: it must be failed
+		before []change // listed before the first attempt
+		moves  []change // listed one after the other between the first attempt and its reset
+		want   []string // backends that may get the repeat; none: the request must fail
 	}{
-		{"nothing moves", keyedCell, nil, nil, []string{"mate"}},
-		{"nothing moves, zones", keyedZone, nil, nil, []string{"mate"}},
-		{"the first one moves", keyedCell, nil, []change{{"first", cell(1)}}, []string{"mate"}},
-		{"the first one moves, zones", keyedZone, nil, []change{{"first", zone(1)}}, []string{"mate"}},
-		{"the group's other one moves away", keyedCell, nil, []change{{"mate", cell(1)}}, nil},
-		{"the group's other one moves away, zones", keyedZone, nil, []change{{"mate", zone(1)}}, nil},
-		{"it moves away and back", keyedCell, nil, []change{{"mate", cell(1)}, {"mate", cell(0)}}, nil},
-		{"it moves away and back, zones", keyedZone, nil, []change{{"mate", zone(1)}, {"mate", zone(0)}}, nil},
-		{"others move in", keyedCell, nil, []change{{"mate", cell(1)}, {"c", cell(0)}, {"d", cell(0)}}, nil},
-		{"others move in, zones", keyedZone, nil, []change{{"mate", zone(1)}, {"c", zone(0)}, {"d", zone(0)}}, nil},
-		{"the two groups swap", keyedCell, nil,
-			[]change{{"first", cell(1)}, {"mate", cell(1)}, {"c", cell(0)}, {"d", cell(0)}}, nil},
-		{"one is taken off and comes back in the group", keyedCell, nil,
-			[]change{{"mate", gone}, {"c", gone}, {"c", cell(0)}}, nil},
-		{"a move before the attempt counts", keyedCell, []change{{"c", cell(0)}}, nil, []string{"mate", "c"}},
-		{"a zone says nothing of a cell", keyedCell, nil, []change{{"mate", zone(3)}}, []string{"mate"}},
-		{"a cell says nothing of a zone", keyedZone, nil, []change{{"mate", cell(3)}}, []string{"mate"}},
+		{"no backend moves", keyedCell, nil, nil, []string{"other"}},
+		{"no backend moves, zones", keyedZone, nil, nil, []string{"other"}},
+		{"the first backend moves", keyedCell, nil, []change{{"first", cell(1)}}, []string{"other"}},
+		{"the first backend moves, zones", keyedZone, nil, []change{{"first", zone(1)}}, []string{"other"}},
+		{"the other backend of the scope moves away", keyedCell, nil, []change{{"other", cell(1)}}, nil},
+		{"the other backend of the scope moves away, zones", keyedZone, nil, []change{{"other", zone(1)}}, nil},
+		{"the other backend moves away and back", keyedCell, nil, []change{{"other", cell(1)}, {"other", cell(0)}}, nil},
+		{"the other backend moves away and back, zones", keyedZone, nil, []change{{"other", zone(1)}, {"other", zone(0)}}, nil},
+		{"others move in", keyedCell, nil, []change{{"other", cell(1)}, {"c", cell(0)}, {"d", cell(0)}}, nil},
+		{"others move in, zones", keyedZone, nil, []change{{"other", zone(1)}, {"c", zone(0)}, {"d", zone(0)}}, nil},
+		{"the two scopes swap backends", keyedCell, nil,
+			[]change{{"first", cell(1)}, {"other", cell(1)}, {"c", cell(0)}, {"d", cell(0)}}, nil},
+		{"a backend is removed and comes back in the scope", keyedCell, nil,
+			[]change{{"other", gone}, {"c", gone}, {"c", cell(0)}}, nil},
+		{"a move before the attempt counts", keyedCell, []change{{"c", cell(0)}}, nil, []string{"other", "c"}},
+		{"a change of zone does not affect the cell", keyedCell, nil, []change{{"other", zone(3)}}, []string{"other"}},
+		{"a change of cell does not affect the zone", keyedZone, nil, []change{{"other", cell(3)}}, []string{"other"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -54,12 +54,12 @@
 				}
 				list := testBackends(4)
 				h := newHarness(t, s, seed, list)
-				apply := func(c change, who string) {
+				apply := func(c change, name string) {
 					for _, n := range list {
-						if n.ID == who {
-							i := slices.IndexFunc(list, func(b decide.Backend) bool { return b.ID == who })
+						if n.ID == name {
+							i := slices.IndexFunc(list, func(b decide.Backend) bool { return b.ID == name })
 							was := list[i].State
-							c.what(&list[i])
+							c.edit(&list[i])
 							if was == decide.Removed {
 								list[i].State = decide.Up
 							}
@@ -68,31 +68,31 @@
 					}
 				}
 				for _, c := range tt.before {
-					apply(c, c.who)
+					apply(c, c.name)
 				}
 				h.request("q", tt.class)
 				first := h.sent["q"][0]
 				if first == "c" || first == "d" {
-					continue // the table is written for the other group
+					continue // the table assumes scope 0
 				}
-				who := map[string]string{"first": first, "mate": map[string]string{"a": "b", "b": "a"}[first], "c": "c", "d": "d"}
+				name := map[string]string{"first": first, "other": map[string]string{"a": "b", "b": "a"}[first], "c": "c", "d": "d"}
 				for _, c := range tt.moves {
-					apply(c, who[c.who]) // at the instant of the attempt: order alone tells them apart
+					apply(c, name[c.name]) // at the time of the attempt: only the order of events tells them apart
 				}
 				h.now += 10 * ms
 				actions := h.outcome("q", decide.Reset, 10*ms)
 				actions = append(actions, h.advance(1500*ms)...)
 				var want []string
 				for _, w := range tt.want {
-					want = append(want, who[w])
+					want = append(want, name[w])
 				}
 				for _, b := range h.sent["q"][1:] {
 					if !slices.Contains(want, b) {
-						t.Fatalf("seed %d: first to %s, then to %s", seed, first, b)
+						t.Fatalf("seed %d: first attempt sent to %s, repeat sent to %s", seed, first, b)
 					}
 				}
 				if len(want) > 0 && len(h.sent["q"]) < 2 {
-					t.Fatalf("seed %d: not tried again, though %v may have it", seed, want)
+					t.Fatalf("seed %d: not retried, although %v may get the repeat", seed, want)
 				}
 				if len(want) == 0 && finalAnswer("q", actions) != "fail" {
 					t.Fatalf("seed %d: ended with %q, want a failure", seed, finalAnswer("q", actions))
@@ -102,15 +102,15 @@
 	}
 }
 
-// What an attempt tells is of the process that it was sent to. After the list has told of a new
-// start, its failures count against none and its answers make the new process neither known nor warm.
+// An outcome belongs to the process that the attempt was sent to. After the list has reported a new start, failures
+// of earlier attempts must not count against the new process, and their answers must not make it known or warm.
 func TestOutcomesOfAnEndedProcessDoNotCountForTheNext(t *testing.T) {
 	restart := func(h *harness) {
 		h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: h.now}}})
 	}
 	play := func(res decide.Result, before bool) int {
 		s := testSettings()
-		s.SlowStartTime = 0 // how a backend in slow start is spared is not the matter here
+		s.SlowStartTime = 0 // this test is not about slow start
 		h := newHarness(t, s, 1, testBackends(1))
 		for _, id := range []string{"p1", "p2", "p3"} {
 			h.request(id, idempotent)
@@ -136,10 +136,10 @@
 	}
 	for _, res := range []decide.Result{decide.Reset, decide.ConnectFailed, decide.Errored} {
 		if n := play(res, false); n < 10 {
-			t.Errorf("%d: after a new start the backend got %d of 60, struck by what its last process did", res, n)
+			t.Errorf("%d: after a new start the backend got %d of 60, penalised for failures of its last process", res, n)
 		}
 		if n := play(res, true); n < 10 {
-			t.Errorf("%d: a new start did not clear what was known: %d of 60", res, n)
+			t.Errorf("%d: a new start did not clear the recorded failures: %d of 60", res, n)
 		}
 	}
 }
--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -8,33 +8,33 @@
 	"vetchhaven/decide"
 )
 
-// What an operator disables gets nothing until it is enabled again, whatever the list says in between.
+// A backend that an operator has disabled gets nothing until it is enabled again, whatever the list says in between.
 func TestDisabledBackendGetsNothing(t *testing.T) {
-	out, back := decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}
-	told := func(state decide.BackendState, started time.Duration) decide.Event {
+	disable, enable := decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}
+	listDelta := func(state decide.BackendState, started time.Duration) decide.Event {
 		return decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", State: state, Started: started}}}
 	}
 	full := decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)}
 	others := decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)[1:]}
-	restarted := told(decide.Up, time.Hour+ms)
+	restarted := listDelta(decide.Up, time.Hour+ms)
 	for _, tt := range []struct {
 		name   string
 		events []decide.Event
-		used   bool // at the end
+		used   bool // whether it gets requests at the end
 	}{
-		{"out", []decide.Event{out}, false},
-		{"out twice, one back undoes both", []decide.Event{out, out, back}, true},
-		{"back without having been out", []decide.Event{back}, true},
-		{"the list says up", []decide.Event{out, told(decide.Up, 0)}, false},
-		{"the whole list says up", []decide.Event{out, full}, false},
-		{"the list says restarted", []decide.Event{out, restarted}, false},
-		{"it drains, then is up", []decide.Event{out, told(decide.Draining, 0), told(decide.Up, 0)}, false},
-		{"it is gone, then listed anew", []decide.Event{out, others, full}, false},
-		{"gone, back, listed anew", []decide.Event{out, others, back, full}, true},
-		{"out before it was ever listed", []decide.Event{others, out, full}, false},
-		{"put back while the list says that it drains", []decide.Event{out, told(decide.Draining, 0), back}, false},
-		{"put back, then the list says that it drains", []decide.Event{out, back, told(decide.Draining, 0)}, false},
-		{"drained by the list, out, up by the list, back", []decide.Event{told(decide.Draining, 0), out, told(decide.Up, 0), back}, true},
+		{"disabled", []decide.Event{disable}, false},
+		{"disabled twice, enabled once", []decide.Event{disable, disable, enable}, true},
+		{"enabled without having been disabled", []decide.Event{enable}, true},
+		{"the list says up", []decide.Event{disable, listDelta(decide.Up, 0)}, false},
+		{"the whole list says up", []decide.Event{disable, full}, false},
+		{"the list reports a restart", []decide.Event{disable, restarted}, false},
+		{"the list says draining, then up", []decide.Event{disable, listDelta(decide.Draining, 0), listDelta(decide.Up, 0)}, false},
+		{"removed, then listed again", []decide.Event{disable, others, full}, false},
+		{"removed, enabled, listed again", []decide.Event{disable, others, enable, full}, true},
+		{"disabled before it was ever listed", []decide.Event{others, disable, full}, false},
+		{"enabled while the list says draining", []decide.Event{disable, listDelta(decide.Draining, 0), enable}, false},
+		{"enabled, then the list says draining", []decide.Event{disable, enable, listDelta(decide.Draining, 0)}, false},
+		{"draining in the list, disabled, up in the list, enabled", []decide.Event{listDelta(decide.Draining, 0), disable, listDelta(decide.Up, 0), enable}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), 1, testBackends(2))
@@ -44,13 +44,13 @@
 				h.advance(10 * ms)
 			}
 			if got := h.serve(200, idempotent, 10*ms); (got["a"] > 0) != tt.used {
-				t.Errorf("sends to a: %d, want any: %v", got["a"], tt.used)
+				t.Errorf("requests sent to a: %d, want any: %v", got["a"], tt.used)
 			}
 		})
 	}
 }
 
-// A request in its backoff does not go to what was disabled meanwhile, even where nothing else is left.
+// A request that is backing off must not go to a backend that was disabled in the meantime, even if no other is left.
 func TestBackendDisabledDuringBackoff(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		h := newHarness(t, testSettings(), seed, testBackends(2))
@@ -65,8 +65,8 @@
 	}
 }
 
-// While disabled a backend is restarted: back in it counts as in slow start, though the list does not say
-// that it started.
+// A backend is usually restarted while it is disabled. Once it is enabled again it must count as in slow start, even
+// if the list does not report its start.
 func TestEnabledBackendIsInSlowStart(t *testing.T) {
 	s := testSettings()
 	s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple, s.OverloadWindow = 0.3, 8*time.Second, 2.5, time.Second
@@ -77,23 +77,24 @@
 	h.step(decide.BackendDisabled{Backend: "a"})
 	counts := h.serve(100, idempotent, 10*ms) // one second
 	if counts["a"] == 0 || counts["a"] > 20 {
-		t.Errorf("in its first second back a got %d of 100, warm ones got %v", counts["a"], counts)
+		t.Errorf("in its first second after it was enabled a got %d of 100, all backends got %v", counts["a"], counts)
 	}
 }
 
-// A backend that has not answered yet counts at the mean of its likes, and not at that over its share of
-// capacity: else a fleet that has several requests in flight at each would pass it by until it is warm.
+// A backend that has not answered yet must count as having the mean load of all backends, and not that load divided
+// by its share of capacity. Otherwise a fleet that has several requests in flight per backend would not use it until
+// it is warm.
 func TestBusyFleetUsesBackendsInSlowStart(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := testSettings()
 		s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple, s.OverloadWindow = 0.3, 8*time.Second, 2.5, time.Second
 		h := newHarness(t, s, seed, testBackends(3))
-		until := map[string]time.Duration{} // of open requests, in time
+		until := map[string]time.Duration{} // when open requests will be answered
 		n, used := 0, 0
-		see := func(actions []decide.Action) {
+		handle := func(actions []decide.Action) {
 			for _, act := range actions {
 				if send, ok := act.(decide.Send); ok {
-					until[send.Request] = h.now + 60*ms // 15 at once, five at each
+					until[send.Request] = h.now + 60*ms // 15 in flight, five per backend
 					if send.Backend == "a" {
 						used++
 					}
@@ -102,15 +103,15 @@
 		}
 		run := func(d time.Duration) {
 			for end := h.now + d; h.now < end; {
-				see(h.advance(4 * ms))
+				handle(h.advance(4 * ms))
 				for id, at := range until {
 					if at <= h.now {
 						delete(until, id)
-						see(h.outcome(id, decide.OK, 60*ms))
+						handle(h.outcome(id, decide.OK, 60*ms))
 					}
 				}
 				n++
-				see(h.request(fmt.Sprint("q", n), idempotent))
+				handle(h.request(fmt.Sprint("q", n), idempotent))
 			}
 		}
 		run(3 * time.Second)
@@ -120,7 +121,7 @@
 		used = 0
 		run(2 * time.Second)
 		if used == 0 {
-			t.Errorf("seed %d: nothing for 2 s", seed)
+			t.Errorf("seed %d: the enabled backend got no request for 2 s", seed)
 		}
 	}
 }
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,25 +1,27 @@
-// Package decide is the balancing policy of one agent: for one client process it decides where each request
-// goes, when it is retried, and when it is refused.
+// Package decide is the balancing policy of one agent. For one client process it decides which backend each
+// request goes to, when a request is retried, and when it is refused.
 //
-// It performs no I/O: the embedding agent (internal/core) owns the clock, the timers and the connections,
-// passes on what happened as events (events.go), and executes the actions that Step returns (actions.go), in
-// order. A Balancer belongs to one goroutine. All times are durations on the agent's own monotonic clock,
-// whose zero is of no matter; they must not run backwards. Its memory is bounded by the requests and attempts
-// that are open, the timers that are pending and the backends that were ever listed. All chance comes from
-// the seed of New: the same events give the same actions.
+// The package performs no I/O. The embedding agent (internal/core) owns the clock, the timers and the
+// connections. It reports what has happened as events (events.go) and executes the actions that Step returns
+// (actions.go) in order. A Balancer must be used by one goroutine only. All times are durations on the
+// agent's own monotonic clock, whose zero point does not matter; they must not go backwards. The memory of a
+// Balancer is bounded by the number of open requests and attempts, of pending timers and of all backends that
+// were ever listed. All randomness comes from the seed that is given to New: the same events give the same
+// actions.
 //
-// The design follows the Smithy retry guidance (AWS standard mode): a private token bucket per balancer,
-// charged for each retry and refilled by success, first attempts regardless of it, exponential backoff with
-// full jitter; a backend with nothing in flight is picked first. Where the code departs from it the comment
-// says "Departure from the design page": that is the operators' page DESIGN, which this paragraph sums up.
+// The design follows the Smithy retry guidance (AWS standard mode): each balancer has its own token bucket,
+// which is charged for each retry and refilled by each success; first attempts are sent whatever the bucket
+// holds; retries back off exponentially with full jitter. A backend with nothing in flight is picked first. A
+// comment that begins with "Departure from the design page" marks where the code differs from the design that
+// this paragraph summarises (the operators' page DESIGN).
 //
-// The module guards the four rules of the platform:
+// The package enforces the four rules of the platform:
 //
-//  1. One final answer for each request, and nothing sent for it afterwards: finish, in requests.go.
-//  2. No duplicate execution of a keyed or non-idempotent request: mayAttempt, in retry.go.
-//  3. Nothing new to a backend that drains or is removed: startAttempt, in attempt.go.
-//  4. No backend in slow start overloaded by all agents together: slowStartAllows, in slowstart.go.
+//  1. A request gets one final answer, and nothing is sent for it afterwards: finish, in requests.go.
+//  2. A keyed or non-idempotent request is not executed twice: mayAttempt, in retry.go.
+//  3. A draining or removed backend gets nothing new: startAttempt, in attempt.go.
+//  4. All agents together do not overload a backend in slow start: slowStartAllows, in slowstart.go.
 //
-// A backend is what lists and fleet packages call a server and the platform an endpoint; a cell is a pod; a
-// balancer is the part of an agent that decides.
+// A backend is called a server in lists and in the fleet packages, and an endpoint by the platform. A cell is
+// a pod. A balancer is the part of an agent that makes the decisions.
 package decide
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// isEjected reports whether a backend gets no ordinary traffic for now, by this agent's own ejection or by
-// the fleet's.
+// isEjected reports whether a backend gets no ordinary traffic at present, because this agent or the fleet
+// has ejected it or the fleet has reported that it drains.
 func (b *Balancer) isEjected(backend *endpoint) bool {
 	return b.now < max(backend.ejectedUntil, backend.fleetEjectedUntil, backend.drainedUntil)
 }
 
-// isHealthy reports whether a backend may get a request as ordinary traffic. After an ejection it gets one
-// attempt at a time until it has recovered, and non-idempotent requests only after a second period as long as
-// the ejection.
+// isHealthy reports whether a backend may get a request as ordinary traffic. After an ejection a backend gets
+// one attempt at a time until it has recovered, and non-idempotent requests only after a second period as
+// long as the ejection.
 func (b *Balancer) isHealthy(backend *endpoint, request *openRequest) bool {
 	if b.isEjected(backend) {
 		return false
@@ -27,20 +27,21 @@
 	return b.classes[request.class].Effect != NonIdempotent || b.now >= backend.probationEnd()
 }
 
-// probationEnd is when a backend may get non-idempotent requests again: after a second period as long as its
-// ejection.
+// probationEnd returns when a backend may get non-idempotent requests again: after a second period as long as
+// its ejection.
 func (e *endpoint) probationEnd() time.Duration {
 	return e.ejectedUntil + (e.ejectedUntil - e.lastEjectedAt)
 }
 
-// recordFailure ejects a backend, for a time that doubles with each further failure, unless its failures are
-// chance.
+// recordFailure ejects a backend, for a time that doubles with each further failure, unless the failures are
+// likely to be chance.
 //
-// Departure from the design page (outlier detection): a backend that fails fast is always idle and would draw
-// all traffic. It is ejected at its first error, since errors are rare where nothing is wrong; what was sent
-// before its last ejection adds nothing. Where all backends fail now and then alike, it takes more errors
-// than chance gives at the others' rate: else some would be ejected at any time for what none of them can
-// help. It could hurt where most fail at once: then it takes the one that fails worst longer to stand out.
+// Departure from the design page (outlier detection): a backend that fails fast is always idle and would
+// attract all traffic. It is therefore ejected at its first error, because errors are rare when nothing is
+// wrong. Attempts that were sent before its last ejection add nothing. If all backends fail occasionally,
+// ejection takes more errors than the error rate of the others gives by chance; otherwise some backends would
+// be ejected at any time for errors that none of them can avoid. This could do harm if most backends fail at
+// once, because the worst of them then takes longer to stand out.
 func (b *Balancer) recordFailure(backend *endpoint, attempt *openAttempt, class *classState) {
 	standsOut := backend.unreachable || backend.errorRate >= b.chanceErrorRate(backend)
 	if attempt.sentAt < backend.lastEjectedAt || !standsOut {
@@ -50,7 +51,8 @@
 	b.eject(backend, class.Objective)
 }
 
-// chanceErrorRate is the error rate that a backend may have by chance where the others fail as they do.
+// chanceErrorRate returns the error rate up to which a backend may be failing by chance, at the error rate of
+// the others.
 func (b *Balancer) chanceErrorRate(backend *endpoint) float64 {
 	mean := 0.0
 	for _, other := range b.backends {
@@ -61,7 +63,7 @@
 	return mean + outlierDeviations*math.Sqrt(meanWeight/2*mean)
 }
 
-// eject keeps ordinary traffic from a backend for a multiple of unit, with jitter.
+// eject keeps ordinary traffic away from a backend for a multiple of unit, with jitter.
 func (b *Balancer) eject(backend *endpoint, unit time.Duration) {
 	b.partitionValid = false
 	backend.failureScore = min(backend.failureScore+1, maxFailureScore)
@@ -70,10 +72,11 @@
 	backend.ejectedUntil = b.now + time.Duration(math.Exp2(backend.failureScore-1)*jitter*float64(unit))
 }
 
-// onOverdue counts an attempt that has been in flight for most of its objective as late now.
+// onOverdue counts an attempt that has been in flight for most of its objective as delayed, without waiting
+// for its outcome.
 //
-// Departure from the design page: an agent that admits by credit has few answers, and those of a crowded
-// fleet come after its clients' patience: too late to act.
+// Departure from the design page: an agent that admits by credit gets few answers. In an overloaded fleet the
+// answers arrive after clients have given up, which is too late to react.
 func (b *Balancer) onOverdue(attempt *openAttempt) {
 	backend := attempt.backend
 	if !attempt.open || attempt.listVersion < backend.processSetAt {
@@ -86,12 +89,12 @@
 	b.adjustLimit(1)
 }
 
-// onEjections takes the ejections that the fleet's agents agree on, in place of the last ones.
+// onEjections replaces the ejections that the fleet's agents have agreed on.
 //
-// Departure from the design page: an agent finds a failing backend by itself at the price of its own
-// requests, and each of many agents pays it. Fleet ejections only narrow the choice: none brings a backend
-// back, and each ends by itself. It could hurt where what several agents see is not so for this one: it tries
-// others first.
+// Departure from the design page: an agent that detects a failing backend by itself pays with its own
+// requests, and each of many agents pays again. Fleet ejections only narrow the choice: none of them brings a
+// backend back, and each expires by itself. This could do harm if the failure that several agents see does
+// not affect this agent: it then prefers other backends without need.
 func (b *Balancer) onEjections(e Ejections) {
 	for _, backend := range b.backends {
 		backend.fleetEjectedUntil = 0
--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// A backend that fails fast is always idle; it must not draw the traffic.
+// A backend that fails fast is always idle. It must not attract the traffic.
 func TestFastFailureIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), 4, testBackends(6))
 	bad := 0
@@ -26,14 +26,14 @@
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
 	}
-	// Once it works again it comes back, first with requests that may be repeated.
+	// Once it works again it gets requests again, at first those that may be repeated.
 	h.advance(20 * time.Second)
 	if counts := h.serve(400, idempotent, 30*ms); counts["a"] < 20 {
-		t.Errorf("after healing it got %d of 400", counts["a"])
+		t.Errorf("after its recovery it got %d of 400", counts["a"])
 	}
 }
 
-// With no repeatable class at all an ejected backend must still come back.
+// An ejected backend must get requests again even if all classes are non-idempotent.
 func TestEjectionEndsWithNonIdempotentRequestsAlone(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[nonIdempotent : nonIdempotent+1]
@@ -50,11 +50,11 @@
 	}
 	h.advance(5 * time.Second)
 	if counts := h.serve(200, 0, 30*ms); counts["a"] == 0 {
-		t.Error("an ejected backend never got traffic again")
+		t.Error("the ejected backend got no request after its ejection")
 	}
 }
 
-// When every backend is ejected, first attempts go out all the same.
+// First attempts must be sent even if every backend is ejected.
 func TestFirstAttemptIsSentWhenAllAreEjected(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// stillDisabled is the value in disabledByHand of a backend that an operator has disabled and not enabled
+// stillDisabled is the value in disabledByHand for a backend that an operator has disabled and not enabled
 // again.
 const stillDisabled = time.Duration(-1)
 
-// onListUpdate takes a list of backends, or the failure to get one.
+// onListUpdate applies a list of backends, or handles the failure to get one.
 func (b *Balancer) onListUpdate(e ListUpdate) {
 	if b.settings.Subscribe {
 		b.scheduleSubscribe(e.Kind)
@@ -43,8 +43,8 @@
 	})
 }
 
-// scheduleSubscribe asks for the list again after a failure, with exponential backoff and full jitter: all
-// agents may start, or find discovery back, at once.
+// scheduleSubscribe asks for the list again after a failure, with exponential backoff and full jitter,
+// because all agents may start, or reach discovery again, at the same time.
 func (b *Balancer) scheduleSubscribe(kind ListKind) {
 	if kind != ListCached && kind != ListFailed {
 		b.subscribeFailures = 1
@@ -55,7 +55,7 @@
 	b.subscribeFailures++
 }
 
-// addBackend takes in a backend that is listed for the first time.
+// addBackend adds a backend that is listed for the first time.
 func (b *Balancer) addBackend(entry Backend) {
 	backend := &endpoint{
 		Backend:      entry,
@@ -77,7 +77,7 @@
 	b.applyState(backend)
 }
 
-// updateBackend takes what the list says now of a backend that is known.
+// updateBackend applies a list entry to a backend that is already known.
 func (b *Balancer) updateBackend(backend *endpoint, entry Backend) {
 	if entry.Started > backend.Started {
 		b.resetProcess(backend, max(entry.Started, backend.slowStartFrom))
@@ -93,7 +93,8 @@
 	b.applyState(backend)
 }
 
-// forget drops a removed backend once its attempts have ended; until then the next list finds it again.
+// forget drops a removed backend once its attempts have ended, and reports whether it did. Until then the
+// next list checks it again.
 func (b *Balancer) forget(backend *endpoint) bool {
 	if backend.State != Removed || len(backend.inFlight) > 0 {
 		return false
@@ -105,8 +106,8 @@
 	return true
 }
 
-// applyState gives a backend the state that holds for it: one that an operator has disabled gets nothing, as
-// if it drained, whatever the list says.
+// applyState sets the state that applies to a backend. A backend that an operator has disabled is treated as
+// draining, whatever the list says.
 func (b *Balancer) applyState(backend *endpoint) {
 	backend.State = backend.listed
 	if b.disabledByHand[backend.ID] == stillDisabled {
@@ -114,7 +115,7 @@
 	}
 }
 
-// resetProcess puts a new process in a backend's place: what the last one did is forgotten.
+// resetProcess resets the state of a backend whose process was replaced by a new one.
 func (b *Balancer) resetProcess(backend *endpoint, startedAt time.Duration) {
 	b.beginSlowStart(backend, startedAt)
 	backend.failureScore = 0
@@ -126,8 +127,8 @@
 	backend.processSetAt = b.listVersion
 }
 
-// onBackendDisabled disables a backend by an operator's word, or enables it. While it was disabled it was
-// most likely restarted, and the list says so late or never: it comes back in slow start.
+// onBackendDisabled disables a backend for an operator, or enables it again. A backend was most likely
+// restarted while it was disabled, and the list reports that late or never, so it comes back in slow start.
 func (b *Balancer) onBackendDisabled(e BackendDisabled) {
 	b.forgetEnabled()
 	backend := b.byID[e.Backend]
@@ -144,25 +145,25 @@
 	}
 	b.applyState(backend)
 	if !e.Disabled {
-		b.listVersion++ // outcomes of what was sent before it was disabled tell of another process
+		b.listVersion++ // outcomes of earlier attempts belong to another process
 		b.resetProcess(backend, b.now)
 	}
 }
 
-// forgetEnabled drops the backends that were enabled again and whose slow start is over.
+// forgetEnabled drops the records of backends that were enabled again and whose slow start is over.
 func (b *Balancer) forgetEnabled() {
 	maps.DeleteFunc(b.disabledByHand, func(_ string, enabledAt time.Duration) bool {
 		return enabledAt != stillDisabled && b.now-enabledAt >= b.settings.SlowStartTime
 	})
 }
 
-// Knows reports whether the list names a backend, or an operator has disabled it.
+// Knows reports whether a backend is in the list, or disabled by an operator.
 func (b *Balancer) Knows(id string) bool {
 	return b.byID[id] != nil || b.disabledByHand[id] == stillDisabled
 }
 
-// BackendCounts counts the backends that the list has, and those of them that get no ordinary traffic now:
-// they drain, are disabled by hand, refuse connections, or are ejected.
+// BackendCounts returns the number of listed backends, and how many of them get no ordinary traffic now
+// because they drain, are disabled by an operator, refuse connections, or are ejected.
 func (b *Balancer) BackendCounts() (listed, avoided int) {
 	for _, backend := range b.backends {
 		if backend.listed == Removed {
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -13,17 +13,17 @@
 		h.step(decide.ListUpdate{Kind: decide.ListDelta,
 			Backends: []decide.Backend{{ID: "a", State: state}}})
 		if n := h.serve(100, idempotent, 20*ms)["a"]; n > 0 {
-			t.Errorf("state %d: %d requests went there", state, n)
+			t.Errorf("state %d: the backend got %d requests", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		h := newHarness(t, testSettings(), 1, testBackends(3))
 		h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(3)[1:]})
 		if n := h.serve(100, idempotent, 20*ms)["a"]; n > 0 {
-			t.Errorf("%d requests went there", n)
+			t.Errorf("the backend got %d requests", n)
 		}
 	})
-	t.Run("while waiting out a backoff", func(t *testing.T) {
+	t.Run("while a request backs off", func(t *testing.T) {
 		for seed := uint64(0); seed < 20; seed++ {
 			h := newHarness(t, testSettings(), seed, testBackends(2))
 			h.request("q", idempotent)
@@ -40,7 +40,7 @@
 			}
 		}
 	})
-	t.Run("back with the same id", func(t *testing.T) {
+	t.Run("listed again with the same ID", func(t *testing.T) {
 		h := newHarness(t, testSettings(), 1, testBackends(2))
 		h.serve(50, idempotent, 20*ms)
 		h.step(decide.ListUpdate{Kind: decide.ListDelta,
@@ -50,7 +50,7 @@
 		h.serve(400, idempotent, 20*ms)
 		h.advance(10 * time.Second)
 		if n := h.serve(200, idempotent, 20*ms)["a"]; n < 50 {
-			t.Errorf("warm again it got %d of 200", n)
+			t.Errorf("after its slow start it got %d of 200", n)
 		}
 	})
 }
@@ -58,7 +58,7 @@
 func TestSubscribeIsRetriedWithBackoff(t *testing.T) {
 	s := testSettings()
 	s.Subscribe = true
-	asks := func(acts []decide.Action) (n int) {
+	countSubscribes := func(acts []decide.Action) (n int) {
 		for _, a := range acts {
 			if _, ok := a.(decide.Subscribe); ok {
 				n++
@@ -70,25 +70,25 @@
 	for seed := uint64(0); seed < 10; seed++ {
 		h := newHarness(t, s, seed, testBackends(2))
 		delays[h.due[0]-h.now] = true
-		if n := asks(h.advance(s.SubscribeWithin / 10)); n != 1 {
-			t.Fatalf("asked %d times at the start, want once", n)
+		if n := countSubscribes(h.advance(s.SubscribeWithin / 10)); n != 1 {
+			t.Fatalf("subscribed %d times at the start, want once", n)
 		}
-		for range 8 { // every failure is followed by one more try, in time
+		for range 8 { // each failure is followed by one more try within the bound
 			h.step(decide.ListUpdate{Kind: decide.ListFailed})
-			if n := asks(h.advance(s.SubscribeWithin / 2)); n != 1 {
-				t.Fatalf("asked %d times after a failure, want once", n)
+			if n := countSubscribes(h.advance(s.SubscribeWithin / 2)); n != 1 {
+				t.Fatalf("subscribed %d times after a failure, want once", n)
 			}
 		}
 		h.step(decide.ListUpdate{Kind: decide.ListFull, Backends: testBackends(2)})
-		if n := asks(h.advance(time.Minute)); n != 0 {
-			t.Errorf("asked %d times while subscribed", n)
+		if n := countSubscribes(h.advance(time.Minute)); n != 0 {
+			t.Errorf("subscribed %d times while the subscription holds", n)
 		}
 	}
 	if len(delays) < 9 {
-		t.Errorf("10 agents ask after only %d different waits", len(delays))
+		t.Errorf("10 agents subscribe after only %d different waits", len(delays))
 	}
 	h := newHarness(t, testSettings(), 1, testBackends(2))
-	if n := asks(append(h.step(decide.ListUpdate{Kind: decide.ListFailed}), h.advance(time.Minute)...)); n != 0 {
-		t.Error("asked although the list comes unasked")
+	if n := countSubscribes(append(h.step(decide.ListUpdate{Kind: decide.ListFailed}), h.advance(time.Minute)...)); n != 0 {
+		t.Error("subscribed although the list is pushed")
 	}
 }
--- a/decide/errorrate_test.go
+++ b/decide/errorrate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Backends come under ever new ids. What is gone, with nothing out, leaves nothing behind, and one
-// that still has an attempt out is kept until that is in; loops run over all that are kept.
+// Backends may come with ever new IDs. The balancer must forget a removed backend that has no attempt in flight, and
+// must keep one that has until that attempt ends, because its loops run over all backends that it keeps.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, SlowStartShare: 1,
 		Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
@@ -29,16 +29,16 @@
 	}
 	step(entry("first", Removed))
 	if len(b.backends) != 1 || len(b.byID) != 1 || len(b.byHash) != 1 {
-		t.Errorf("%d backends, %d ids, %d keys; only the one with an attempt out is left", len(b.backends), len(b.byID), len(b.byHash))
+		t.Errorf("%d backends, %d IDs, %d hashes; want only the backend with an attempt in flight", len(b.backends), len(b.byID), len(b.byHash))
 	}
 	step(Outcome{Request: "r", Backend: "first", Result: OK})
 	step(ListUpdate{Kind: ListFull, Backends: []Backend{{ID: "last"}}})
 	if len(b.backends) != 1 || b.byID["last"] == nil || len(b.byHash) != 1 || len(b.requests) != 0 {
-		t.Errorf("%d backends, %d keys, %d requests", len(b.backends), len(b.byHash), len(b.requests))
+		t.Errorf("%d backends, %d hashes, %d requests; want one backend and no request", len(b.backends), len(b.byHash), len(b.requests))
 	}
 }
 
-// newSingleAttemptBalancer returns a balancer without retries and slow start, which knows the backends b0, b1 and so on.
+// newSingleAttemptBalancer returns a balancer without retries and slow start. Its backends are b0, b1 and so on.
 func newSingleAttemptBalancer(t *testing.T, now time.Duration, backends int) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 1,
@@ -54,13 +54,13 @@
 	return b
 }
 
-// Where every backend fails now and then alike, none is ejected for a single error; where one
-// fails and the others do not, its first error is enough.
+// If all backends fail occasionally, a single error must eject none of them. If only one fails, its first error
+// ejects it.
 func TestCommonErrorRateEjectsNone(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		now := time.Hour
 		b := newSingleAttemptBalancer(t, now, 6)
-		struck := 0
+		ejectedSteps := 0
 		for n := range 1500 {
 			id := fmt.Sprint(n)
 			now += 20 * time.Millisecond
@@ -76,7 +76,7 @@
 				now += 10 * time.Millisecond
 				b.Step(now, []Event{Outcome{Request: id, Backend: s.Backend, Result: res, Latency: 10 * time.Millisecond}})
 				if b.byID["b0"].failureScore > 0 && n > 1000 {
-					struck++
+					ejectedSteps++
 				}
 			}
 			if all && n > 200 && n <= 1000 {
@@ -87,23 +87,23 @@
 					}
 				}
 				if out > 2 {
-					t.Fatalf("%d of 6 ejected for errors that all have", out)
+					t.Fatalf("%d of 6 ejected for errors that all of them return", out)
 				}
 			}
 		}
-		if struck == 0 {
-			t.Errorf("all %v: the failing one was never struck", all)
+		if ejectedSteps == 0 {
+			t.Errorf("all %v: the failing backend was never ejected", all)
 		}
 	}
 }
 
-// One error ejects a backend where the others have none, and not where another has just had one
-// too; several strike it all the same, and so does a refused connection at once.
+// One error must eject a backend if the others have none, but not if another one has just had an error too. In that
+// case several errors eject it, and one refused connection does so at once.
 func TestErrorRateBeyondChanceEjects(t *testing.T) {
 	for _, row := range []struct {
 		result Result
 		others bool
-		least  int // of such results until it is struck
+		least  int // fewest and most such results until the ejection
 		most   int
 	}{{Errored, false, 1, 1}, {Errored, true, 2, 4}, {Reset, true, 2, 4}, {ConnectFailed, true, 1, 1}} {
 		now := time.Hour
@@ -126,15 +126,15 @@
 			}
 		}
 		if bad < row.least || bad > row.most {
-			t.Errorf("%v, others too %v: struck after %d, want %d to %d", row.result, row.others, bad, row.least, row.most)
+			t.Errorf("%v, others too %v: ejected after %d, want %d to %d", row.result, row.others, bad, row.least, row.most)
 		}
 	}
 }
 
-// A connection that breaks is no process that has ended: where many break by themselves, backends
-// were taken for just started, and held to a backend in slow start's part, over and over.
+// A broken connection does not mean that the process has ended. In a network where many connections break, backends
+// counted as just started again and again and got only the share of a backend in slow start.
 func TestBrokenConnectionDoesNotBeginSlowStart(t *testing.T) {
-	for res, cold := range map[Result]bool{Reset: false, Incomplete: false, ConnectFailed: true} {
+	for res, wantSlowStart := range map[Result]bool{Reset: false, Incomplete: false, ConnectFailed: true} {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: time.Minute,
 			Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
 		if err != nil {
@@ -149,14 +149,14 @@
 			now += 10 * time.Millisecond
 			b.Step(now, []Event{Outcome{Request: id, Backend: "b", Result: r, Latency: 10 * time.Millisecond}})
 		}
-		if b.byID["b"].inSlowStart != cold {
-			t.Errorf("after outcome %v and an answer: cold %v", res, b.byID["b"].inSlowStart)
+		if b.byID["b"].inSlowStart != wantSlowStart {
+			t.Errorf("after outcome %v and an answer: slow start is %v", res, b.byID["b"].inSlowStart)
 		}
 	}
 }
 
-// Where every backend is cold there are no warm ones to measure by. Each gets some work all the
-// same, within what a backend in slow start can surely do, and more as it warms up.
+// If all backends are in slow start, there are no warm ones to measure. Each backend must still get some work, at
+// most what a backend in slow start can do for certain, and more as it warms up.
 func TestAllBackendsInSlowStartStillServe(t *testing.T) {
 	b, err := New(Settings{Balancers: 2, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: 10 * time.Second,
 		OverloadMultiple: 2.5, OverloadWindow: time.Second,
@@ -178,7 +178,7 @@
 		sent[i] = map[string]float64{}
 	}
 	for n := 0; now < start+9900*time.Millisecond; n++ {
-		now += 2 * time.Millisecond // 500 a second, 20 at once: more than all three can do
+		now += 2 * time.Millisecond // 500 a second, 20 in flight: more than all three can serve
 		events := []Event{Request{ID: fmt.Sprint(n), Remaining: time.Second}}
 		for len(pending) > 0 && now >= pending[0].at+latency {
 			events = append(events, Outcome{Request: pending[0].Request, Backend: pending[0].Backend, Result: OK, Latency: latency})
@@ -193,11 +193,10 @@
 	}
 	for i, by := range sent {
 		for _, id := range []string{"a", "b", "c"} {
-			// Two agents send it this much each; it has two cores at least, and falls over at 2.5
-			// times what it can do.
-			sure := 0.3 + 0.7*float64(i)/10
-			if by[id] < 0.5*sure || i < 9 && 2*by[id] > 2.5*2*(sure+0.07) {
-				t.Errorf("second %d: backend %s got %.2f of work, it can surely do %.2f a core", i, id, by[id], sure)
+			// Two agents each send it this much. It has at least two cores and collapses at 2.5 times its capacity.
+			certain := 0.3 + 0.7*float64(i)/10
+			if by[id] < 0.5*certain || i < 9 && 2*by[id] > 2.5*2*(certain+0.07) {
+				t.Errorf("second %d: backend %s got %.2f of work, it can certainly do %.2f per core", i, id, by[id], certain)
 			}
 		}
 	}
--- a/decide/events.go
+++ b/decide/events.go
@@ -6,14 +6,14 @@
 	"vetchhaven/decide/quota"
 )
 
-// BackendState is what the list says of a backend.
+// BackendState is the state of a backend in the list.
 type BackendState uint8
 
 // The states of a backend in its list.
 const (
 	Up       BackendState = iota
 	Draining              // finishing its work: it gets nothing new
-	Removed               // gone from the list
+	Removed               // no longer in the list
 )
 
 // Backend is one entry of the list.
@@ -27,115 +27,116 @@
 	Started time.Duration // when its process last started; 0: long ago
 }
 
-// Event is something that happened by the time of a Step.
+// Event is something that has happened by the time of a Step.
 type Event interface{ event() }
 
-// ListKind says how a ListUpdate is to be read.
+// ListKind says how to read a ListUpdate.
 type ListKind uint8
 
 // The kinds of list updates.
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // all entries; a backend that is missing is gone
+	ListFull                   // all entries; a backend that is missing is removed
 	ListCached                 // all entries as last stored; may be stale
-	ListFailed                 // asking failed or the subscription broke; the old list holds
+	ListFailed                 // the request failed or the subscription broke; the old list stays valid
 )
 
 type (
-	// ListUpdate carries the list of backends, or the failure to get it.
+	// ListUpdate carries the list of backends, or reports that it could not be fetched.
 	ListUpdate struct {
 		Kind     ListKind
 		Backends []Backend
 	}
-	// Request is a client's request. The balancer owes it one final answer.
+	// Request is a request from a client. The balancer gives it exactly one final answer.
 	Request struct {
 		ID          string
 		Class       int           // index in Settings.Classes
-		Remaining   time.Duration // until this client stops waiting
+		Remaining   time.Duration // how long this client still waits
 		Work        time.Duration // expected work; 0: unknown
-		ClientRetry bool          // the client says that it tries again
-		OnlyBackend string        // the one backend that may get it; empty: any
-		Upload      bool          // its last byte is still to come, and Remaining counts from then: see UploadCompleted
+		ClientRetry bool          // the client marks it as a retry
+		OnlyBackend string        // the only backend that may get it; empty: any
+		Upload      bool          // its last byte is still to come; Remaining counts from then, see UploadCompleted
 	}
-	// UploadCompleted says that the last byte of an upload has gone out with an attempt. Only now does its
-	// time run, and only now has its backend work with it.
+	// UploadCompleted reports that the last byte of an upload has been sent with an attempt. The time limits
+	// of the request and the work of its backend begin only now.
 	UploadCompleted struct {
 		Request   string
 		Attempt   int
 		Remaining time.Duration
 	}
-	// Outcome ends one attempt. The agent passes on exactly one for each Send.
+	// Outcome ends one attempt. The agent reports exactly one Outcome for each Send.
 	Outcome struct {
 		Request       string
-		Attempt       int // attempts of a request count from 0 in the order of their Send
+		Attempt       int // attempts of a request are numbered from 0 in the order of their Send
 		Backend       string
 		Result        Result
-		Latency       time.Duration // since it was sent; of an upload: since its last byte was
-		Answered      bool          // the request has its final answer, by this outcome or before
+		Latency       time.Duration // since the attempt was sent; of an upload: since its last byte was sent
+		Answered      bool          // the request has its final answer, by this outcome or an earlier one
 		Load          Load
-		NotReplayable bool // what was sent can't be sent again
-		Dialed        bool // it opened a connection
+		NotReplayable bool // the part that was sent can't be sent again
+		Dialed        bool // the attempt opened a connection
 	}
-	// ResponseStarted says that the response of an attempt has begun to reach the client.
+	// ResponseStarted reports that the response of an attempt has begun to reach the client.
 	ResponseStarted struct {
 		Request   string
 		Attempt   int
-		Completed bool          // the backend is done with it, but for bytes that are on their way
-		Latency   time.Duration // of Completed, since it was sent
+		Completed bool          // the backend has finished its work; only response bytes are still in transit
+		Latency   time.Duration // if Completed: since the attempt was sent
 	}
-	// RequestCancelled says that the client disconnected; nothing is owed any longer.
+	// RequestCancelled reports that the client has disconnected; the request needs no answer any more.
 	RequestCancelled struct{ Request string }
-	// ProbeResult answers a Probe.
+	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
 		Backend string
 		Result  Result
 		Latency time.Duration
 		Load    Load
 	}
-	// TimerFired says that a SetTimer has come due.
+	// TimerFired reports that a timer set by SetTimer is due.
 	TimerFired struct{ Token int64 }
-	// BackendDisabled is an operator's word: a backend gets nothing more (Disabled), or may serve again,
-	// whatever the list says of it meanwhile. One that is enabled again counts as just started.
+	// BackendDisabled reports that an operator has disabled a backend, so that it gets nothing new whatever
+	// the list says, or has enabled it again (Disabled is false). A backend that is enabled again counts as
+	// just started.
 	BackendDisabled struct {
 		Backend  string
 		Disabled bool
 	}
-	// FleetSize says how many agents share these backends from now on, this one included: no more than Max,
-	// as far as anyone can know, and no fewer than Min. It is for agents that know one another by membership,
-	// and without effect where Settings.Peers is set: their number is fixed.
+	// FleetSize says how many agents share these backends from now on, this one included: at most Max and at
+	// least Min, as far as the membership protocol can tell. It has no effect if Settings.Peers is set,
+	// because the number of agents is fixed there.
 	FleetSize struct{ Max, Min int }
-	// SharedLimits are the limits that the fleet shares, from now on. Nothing that they count starts without
-	// a lease.
+	// SharedLimits are the limits that the fleet shares from now on. An attempt that a limit applies to does
+	// not start without a lease.
 	SharedLimits struct{ Limits []quota.Limit }
-	// LeasesGranted are this agent's leases of the shared limits, in place of the last ones. They are
-	// answered by LeaseUsage; none at all asks for that.
+	// LeasesGranted carries leases that this agent was granted; each replaces the earlier lease of the same
+	// grantor. The balancer answers with LeaseUsage, also if the event carries no lease.
 	LeasesGranted struct{ Leases []quota.Lease }
-	// Ejections are all that the fleet's agents together hold against backends, in place of the last ones.
-	// Each narrows what this agent may do until a time, and no more than its own list or an operator's word
-	// does.
+	// Ejections are all ejections that the fleet's agents have agreed on; they replace the last ones. An
+	// ejection only restricts what this agent may do, until a given time. It never allows what the agent's
+	// own list or an operator forbids.
 	Ejections struct{ Ejections []Ejection }
-	// Ejection is of one process of a backend: until a time it gets no ordinary traffic, or, with Draining,
-	// nothing, as if the list had said so. Unlike after this agent's own ejection it gets ordinary traffic at
-	// once after that.
+	// Ejection excludes one process of a backend until a given time. The backend gets no ordinary traffic or,
+	// with Draining, nothing at all, as if it drained in the list. Afterwards it gets ordinary traffic again
+	// at once, unlike after an ejection by this agent.
 	Ejection struct {
 		Backend  string
-		Started  time.Duration // as the list has it: a later process is not meant
+		Started  time.Duration // as listed: the ejection does not apply to a later process
 		Draining bool
 		Until    time.Duration
 	}
-	// PeerMessage carries bytes from another agent.
+	// PeerMessage carries a message from another agent.
 	PeerMessage struct {
 		From int
 		Data []byte
 	}
 )
 
-// Load is a backend's load report, late and with noise.
+// Load is a backend's load report. It is delayed and noisy.
 type Load struct {
 	Valid        bool
-	Queue        float64       // requests waiting; negative: not reported
+	Queue        float64       // waiting requests; negative: not reported
 	InFlight     float64       // requests in flight; negative: not reported
-	Service      time.Duration // recent service time without waiting; negative: not reported
+	Service      time.Duration // recent service time without queueing; negative: not reported
 	ErrorsPerSec float64       // negative: not reported
 }
 
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// One balancer through a first attempt, a failure, a retry and an answer. The
-// agent owns the clock, the timers and the connections.
+// The example shows one balancer with a first attempt, a failure, a retry and an answer. The agent owns the clock,
+// the timers and the connections.
 func Example() {
 	b, err := decide.New(decide.Settings{
 		Balancers:   1,
@@ -27,10 +27,10 @@
 	step := func(events ...decide.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
-			case decide.Send: // start the attempt; pass its Outcome on later
+			case decide.Send: // start the attempt; report its Outcome later
 				fmt.Println("send", a.Request)
 				backend = a.Backend
-			case decide.SetTimer: // pass TimerFired on when it is due
+			case decide.SetTimer: // report TimerFired when it is due
 				fmt.Println("set a timer")
 				timer = a.Token
 			case decide.Refuse:
--- a/decide/export_test.go
+++ b/decide/export_test.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// CheckMeasure reports where the sums that a balancer goes by differ from those of a whole count.
-func (b *Balancer) CheckMeasure() error {
+// CheckCapacity returns an error if the incrementally updated sums of a balancer differ from a full count.
+func (b *Balancer) CheckCapacity() error {
 	type sums struct {
-		up, sound, stuck int
-		warm             [8]int
+		up, healthy, uncounted int
+		warm                   [8]int
 	}
 	take := func() (s sums) {
-		s.up, s.sound, s.stuck = b.upCount, b.healthyCount, b.inFlightUncounted
+		s.up, s.healthy, s.uncounted = b.upCount, b.healthyCount, b.inFlightUncounted
 		for i, k := range b.kinds {
 			s.warm[i%len(s.warm)] += k.warmCount
 		}
@@ -23,14 +23,14 @@
 	b.partitionValid = false
 	b.updateCapacity()
 	if whole := take(); whole != kept || math.Abs(b.capacity-capacity) > 1e-9 {
-		return fmt.Errorf("%+v and capacity %v, counted whole %+v and %v", kept, capacity, whole, b.capacity)
+		return fmt.Errorf("sums %+v and capacity %v, by a full count %+v and %v", kept, capacity, whole, b.capacity)
 	}
 	return nil
 }
 
-// StartAttemptWithdrawn has an attempt of an open request begun at a backend that drains by now, and returns the reason of its
-// final answer.
-func (b *Balancer) StartAttemptWithdrawn(request, backend string) Reason {
+// StartAttemptAtDrainingBackend starts an attempt of an open request at a backend that has begun to drain, and
+// returns the reason of the request's final answer.
+func (b *Balancer) StartAttemptAtDrainingBackend(request, backend string) Reason {
 	e := b.byID[backend]
 	e.State = Draining
 	b.actions = nil
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// A message to peers is written and read as earlier builds do.
-func TestPeerMessageStaysAsEarlierBuildsWriteIt(t *testing.T) {
+// The encoding of messages to peers must stay compatible with that of earlier builds.
+func TestPeerMessageEncodingIsStable(t *testing.T) {
 	const now, unit = time.Hour, time.Second
 	m := peerMessage{demand: 12.5, delay: 0.25}
 	for i := range 60 {
@@ -19,7 +19,7 @@
 	golden.Check(t, "message.bin", data)
 	read, ok := decode(data, now, unit)
 	if !ok {
-		t.Fatal("it is not read")
+		t.Fatal("the message can't be decoded")
 	}
 	golden.Check(t, "message.values", golden.Values(read))
 }
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// Classes of the test settings, by position.
+// Indices of the classes in the test settings.
 const (
 	idempotent = iota
 	nonIdempotent
@@ -35,7 +35,7 @@
 	}
 }
 
-// testBackends makes n backends named a, b, c ...; two per zone and cell.
+// testBackends returns n backends named a, b, c and so on, two per zone and cell.
 func testBackends(n int) []decide.Backend {
 	var list []decide.Backend
 	for i := range n {
@@ -44,15 +44,15 @@
 	return list
 }
 
-// harness drives one balancer and keeps what it does.
+// harness drives one balancer and records its actions.
 type harness struct {
 	t       *testing.T
 	b       *decide.Balancer
 	now     time.Duration
-	sent    map[string][]string // backends of each request's attempts
+	sent    map[string][]string // the backends of each request's attempts
 	timers  []decide.TimerFired
 	due     []time.Duration
-	actions []decide.Action // of the last step
+	actions []decide.Action // from the last step
 }
 
 func newHarness(t *testing.T, s decide.Settings, seed uint64, list []decide.Backend) *harness {
@@ -80,7 +80,7 @@
 	return h.actions
 }
 
-// advance moves the clock and fires the timers on the way; it returns all actions.
+// advance moves the clock and fires the timers that become due. It returns all actions.
 func (h *harness) advance(d time.Duration) []decide.Action {
 	var all []decide.Action
 	end := h.now + d
@@ -113,13 +113,13 @@
 	h.t.Helper()
 	n := len(h.sent[id]) - 1
 	if n < 0 {
-		h.t.Fatalf("%s: nothing was sent", id)
+		h.t.Fatalf("%s: no attempt was sent", id)
 	}
 	return h.step(decide.Outcome{Request: id, Attempt: n, Backend: h.sent[id][n], Result: res,
 		Latency: latency, Answered: res == decide.OK})
 }
 
-// serve sends n requests one after the other and answers each at once.
+// serve sends n requests one after the other, answers each at once, and returns the number of requests per backend.
 func (h *harness) serve(n int, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
@@ -133,7 +133,7 @@
 	return counts
 }
 
-// finalAnswer names the final answer for a request among the actions, or "".
+// finalAnswer returns the kind of the final answer to a request among the actions, or "" if there is none.
 func finalAnswer(id string, actions []decide.Action) string {
 	found := ""
 	for _, a := range actions {
@@ -151,7 +151,8 @@
 	return found
 }
 
-// creditSettings make an even part of the in-flight limit smaller than one attempt.
+// creditSettings returns settings in which a balancer's even share of the in-flight limit is less than one attempt,
+// so that it admits by credit.
 func creditSettings() decide.Settings {
 	s := testSettings()
 	s.Balancers, s.Peers = 100, true
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Learned is what a balancer may take over from one that ran before it: how long things take. It holds no
-// budgets, tokens or failures: what they allowed or forbade was for that moment.
+// Learned is the state that a balancer may take over from its predecessor: how long requests take. It holds
+// no budgets, tokens or failures, because these apply only to their moment.
 type Learned struct {
 	Classes  []LearnedClass // by class
 	Backends []LearnedBackend
-	// Limit is the in-flight limit for all agents together per backend. It is for a successor that takes over
-	// at that very moment, with the same clients; after a pause it says nothing, and 0 leaves it out.
+	// Limit is the in-flight limit of all agents together, per backend. It is for a successor that takes over
+	// at once with the same clients. After a pause it is meaningless; 0 leaves it out.
 	Limit float64
 }
 
 // LearnedClass holds a class's running means, in nanoseconds.
 type LearnedClass struct{ Latency, Work float64 }
 
-// LearnedBackend is how slow a backend's process was, as a multiple of the mean of all.
+// LearnedBackend is the slowness of a backend's process, as a multiple of the mean of all backends.
 type LearnedBackend struct {
 	ID       string
 	Started  time.Duration
@@ -37,9 +37,9 @@
 	return l
 }
 
-// Restore takes over what another balancer has learned, before the first Step. A backend's slowness counts
-// for the very process that showed it, and gives way to a few answers; values that make no sense are left
-// out.
+// Restore takes over the state that another balancer has learned; it must be called before the first Step.
+// The slowness of a backend applies only to the process that showed it, and loses its weight after a few
+// answers. Invalid values are ignored.
 func (b *Balancer) Restore(l Learned) {
 	for i, class := range l.Classes {
 		if i >= len(b.classes) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// restoreSlowness gives a backend that is listed for the first time the slowness that was learned before.
+// restoreSlowness sets the slowness of a backend that is listed for the first time to the restored value.
 func (b *Balancer) restoreSlowness(backend *endpoint) {
 	learned, ok := b.restoredSlowness[backend.ID]
 	if ok && learned.Started == backend.Started && !backend.inSlowStart {
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -8,8 +8,8 @@
 	"vetchhaven/decide"
 )
 
-// What is learnt goes over to the next balancer, for the very process that showed it; what makes no
-// sense, and budgets for backends in slow start, do not.
+// The learned state must be restored for the processes that showed it. Invalid values and budgets for backends in
+// slow start must not be restored.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := testSettings()
 	list := []decide.Backend{{ID: "fast"}, {ID: "slow"}, {ID: "new", Started: time.Minute}}
@@ -24,7 +24,7 @@
 		a.now += wait
 		a.outcome(id, decide.OK, wait)
 	}
-	learnt := a.b.Learned()
+	learned := a.b.Learned()
 	shareOfSlow := func(l *decide.Learned, list []decide.Backend) int {
 		b, err := decide.New(s, 2)
 		if err != nil {
@@ -34,8 +34,8 @@
 			b.Restore(*l)
 		}
 		n := 0
-		// The first choice of each of many balancers would be the same with one seed: ask one often,
-		// with no answers in between to learn from.
+		// With one seed, the first choice of many balancers would always be the same. So one balancer is asked often,
+		// without answers from which it could learn.
 		h := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
 		h.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 		for i := range 100 {
@@ -48,21 +48,21 @@
 		}
 		return n
 	}
-	if with, without := shareOfSlow(&learnt, list), shareOfSlow(nil, list); with > 10 || without < 15 {
-		t.Errorf("the slow one gets %d of 100 with what was learnt, %d without", with, without)
+	if with, without := shareOfSlow(&learned, list), shareOfSlow(nil, list); with > 10 || without < 15 {
+		t.Errorf("the slow backend gets %d of 100 with the learned state, %d without", with, without)
 	}
 	restarted := []decide.Backend{list[0], {ID: "slow", Started: time.Second}, list[2]}
-	if n := shareOfSlow(&learnt, restarted); n < 15 {
-		t.Errorf("another process of that name gets %d of 100 by what the last one showed", n)
+	if n := shareOfSlow(&learned, restarted); n < 15 {
+		t.Errorf("a new process of the slow backend gets %d of 100, as its predecessor did", n)
 	}
-	silly := decide.Learned{Classes: []decide.LearnedClass{{Latency: math.NaN()}, {Latency: -1}, {Latency: 1e300}, {Latency: 5, Work: math.Inf(-1)},
+	invalid := decide.Learned{Classes: []decide.LearnedClass{{Latency: math.NaN()}, {Latency: -1}, {Latency: 1e300}, {Latency: 5, Work: math.Inf(-1)},
 		{Latency: 5}, {Latency: 5}, {Latency: 5}}, Backends: []decide.LearnedBackend{{ID: "slow", Slowness: math.NaN()}, {ID: "fast", Slowness: -3}, {ID: "x", Slowness: 1e9}}}
-	if n := shareOfSlow(&silly, list); n < 15 {
-		t.Errorf("by figures that make no sense the slow one gets %d of 100", n)
+	if n := shareOfSlow(&invalid, list); n < 15 {
+		t.Errorf("with invalid values the slow backend gets %d of 100", n)
 	}
 }
 
-// A restored balancer spares a server in slow start as a fresh one does.
+// A restored balancer must limit the load on a server in slow start as a new one does.
 func TestRestoredBalancerSparesABackendInSlowStart(t *testing.T) {
 	s := testSettings()
 	now := time.Hour
@@ -77,18 +77,18 @@
 		}
 		h := &harness{t: t, b: b, now: now, sent: map[string][]string{}}
 		h.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
-		cold := 0
+		toSlowStart := 0
 		for i := range 20 {
 			id := time.Duration(i).String()
 			h.request(id, idempotent)
 			for _, x := range h.sent[id] {
 				if x == "c" {
-					cold++
+					toSlowStart++
 				}
 			}
 		}
-		if cold > 1 {
-			t.Errorf("restored %v: a cold server gets %d of the first 20", restore, cold)
+		if toSlowStart > 1 {
+			t.Errorf("restored %v: a server in slow start gets %d of the first 20", restore, toSlowStart)
 		}
 	}
 }
--- a/decide/learnedlimit_test.go
+++ b/decide/learnedlimit_test.go
@@ -9,11 +9,11 @@
 	"vetchhaven/decide"
 )
 
-// A balancer that takes over goes on with the limit that was found, and not with one that makes no sense.
+// A balancer that takes over must start with the limit that its predecessor had found, unless that limit is invalid.
 func TestLimitIsHandedToASuccessor(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
-		same  bool // as one that took over nothing
+		same  bool // as without a restored limit
 	}{{0, true}, {20, false}, {1, true}, {1e9, true}, {math.NaN(), true}, {math.Inf(1), true}} {
 		sent := func(limit float64) int {
 			b, err := decide.New(testSettings(), 1)
@@ -30,7 +30,7 @@
 		}
 		fresh, got := sent(0), sent(c.limit)
 		if c.same && got != fresh || !c.same && got < 2*fresh {
-			t.Errorf("limit %v: %d went out at once, %d from a fresh one", c.limit, got, fresh)
+			t.Errorf("limit %v: %d requests were sent at once, %d by a balancer without restored state", c.limit, got, fresh)
 		}
 	}
 }
--- a/decide/leases_test.go
+++ b/decide/leases_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide/quota"
 )
 
-func lent(name string, amount int, now time.Duration) decide.LeasesGranted {
+func grantOf(name string, amount int, now time.Duration) decide.LeasesGranted {
 	return decide.LeasesGranted{Leases: []quota.Lease{{Limit: name, Grantor: "k", Number: 1, Amount: amount, Expires: now + time.Minute, Span: time.Second}}}
 }
 
@@ -16,7 +16,7 @@
 	return quota.Limit{Name: name, Kind: c, Class: -1, Zone: -1, Cell: -1}
 }
 
-func find[T decide.Action](all []decide.Action) (found T, ok bool) {
+func findAction[T decide.Action](all []decide.Action) (found T, ok bool) {
 	for _, a := range all {
 		if x, is := a.(T); is {
 			found, ok = x, true
@@ -30,42 +30,42 @@
 	s.RetryAfter, s.MaxRetryAfter = true, time.Minute
 	h := newHarness(t, s, 1, testBackends(4))
 	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("total", quota.Requests)}})
-	h.step(lent("total", 2, h.now))
+	h.step(grantOf("total", 2, h.now))
 	for _, id := range []string{"a", "b"} {
-		send, ok := find[decide.Send](h.request(id, idempotent))
+		send, ok := findAction[decide.Send](h.request(id, idempotent))
 		if !ok || send.StartBy == 0 {
-			t.Fatalf("%s: %+v", id, send)
+			t.Fatalf("%s: got %+v, want an attempt with a start bound", id, send)
 		}
 	}
 	all := h.request("c", idempotent)
-	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "total" || no.Reason != decide.NoLease || no.RetryAfter < time.Second {
-		t.Errorf("%+v", all)
+	if no, ok := findAction[decide.Refuse](all); !ok || no.Limit != "total" || no.Reason != decide.NoLease || no.RetryAfter < time.Second {
+		t.Errorf("got %+v, want a refusal that names the limit", all)
 	}
-	if held, ok := find[decide.LeaseUsage](all); ok && held.Usages[0].Rejected != 1 {
-		t.Errorf("%+v", held)
+	if held, ok := findAction[decide.LeaseUsage](all); ok && held.Usages[0].Rejected != 1 {
+		t.Errorf("got %+v, want one rejection", held)
 	}
 	h.advance(1100 * ms)
-	if _, ok := find[decide.Send](h.request("d", idempotent)); !ok {
-		t.Error("nothing is sent a second later")
+	if _, ok := findAction[decide.Send](h.request("d", idempotent)); !ok {
+		t.Error("no attempt was sent a second later")
 	}
 }
 
-// What may have run is never answered as if it had not, whatever limit stands in the way of another try.
+// A request that may have run must not be refused as one that has not, whichever limit prevents another attempt.
 func TestRetryWithoutLeaseFails(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(4))
 	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("again", quota.Retries)}})
-	if _, ok := find[decide.Send](h.request("a", idempotent)); !ok {
-		t.Fatal("a first try is none that is tried again")
+	if _, ok := findAction[decide.Send](h.request("a", idempotent)); !ok {
+		t.Fatal("the first attempt was not sent: it must not count as a retry")
 	}
 	h.outcome("a", decide.Reset, ms)
 	all := h.advance(3 * time.Second)
-	if no, ok := find[decide.Fail](all); !ok || no.Limit != "again" {
+	if no, ok := findAction[decide.Fail](all); !ok || no.Limit != "again" {
 		t.Errorf("after a reset: %+v", all)
 	}
 	h.request("b", idempotent)
 	h.outcome("b", decide.Rejected, ms) // never ran
 	all = h.advance(3 * time.Second)
-	if no, ok := find[decide.Refuse](all); !ok || no.Limit != "again" {
+	if no, ok := findAction[decide.Refuse](all); !ok || no.Limit != "again" {
 		t.Errorf("after a refusal: %+v", all)
 	}
 }
@@ -76,9 +76,9 @@
 	l.Server = testBackends(3)[0].ID
 	h.step(decide.SharedLimits{Limits: []quota.Limit{l}})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		send, ok := find[decide.Send](h.request(id, idempotent))
+		send, ok := findAction[decide.Send](h.request(id, idempotent))
 		if !ok || send.Backend == l.Server {
-			t.Errorf("%s: %+v", id, send)
+			t.Errorf("%s: got %+v, want an attempt at another server", id, send)
 		}
 	}
 }
@@ -86,31 +86,31 @@
 func TestInFlightLeaseIsReleasedByTheOutcome(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(3))
 	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("at-once", quota.InFlight)}})
-	h.step(lent("at-once", 1, h.now))
+	h.step(grantOf("at-once", 1, h.now))
 	h.request("a", idempotent)
-	if _, ok := find[decide.Refuse](h.request("b", idempotent)); !ok {
-		t.Error("two at once")
+	if _, ok := findAction[decide.Refuse](h.request("b", idempotent)); !ok {
+		t.Error("two attempts are in flight with a lease for one")
 	}
 	h.outcome("a", decide.OK, ms)
-	if _, ok := find[decide.Send](h.request("c", idempotent)); !ok {
-		t.Error("none after the first has ended")
+	if _, ok := findAction[decide.Send](h.request("c", idempotent)); !ok {
+		t.Error("no attempt was sent after the first one had ended")
 	}
-	// One that can't be over before the lease is, does not begin.
+	// An attempt that may not have ended when the lease expires does not start.
 	h.outcome("c", decide.OK, ms)
 	h.step(decide.LeasesGranted{Leases: []quota.Lease{{Limit: "at-once", Grantor: "k", Number: 2, Amount: 1, Expires: h.now + ms}}})
-	if _, ok := find[decide.Refuse](h.request("d", idempotent)); !ok {
-		t.Error("it may outlast its right")
+	if _, ok := findAction[decide.Refuse](h.request("d", idempotent)); !ok {
+		t.Error("an attempt was sent that may outlive its lease")
 	}
 }
 
 func TestNoConnectionIsOpenedWithoutLease(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(3))
 	h.step(decide.SharedLimits{Limits: []quota.Limit{limit("dials", quota.NewConnections)}})
-	send, ok := find[decide.Send](h.request("a", idempotent))
+	send, ok := findAction[decide.Send](h.request("a", idempotent))
 	if !ok || !send.ReuseOnly {
-		t.Fatalf("%+v", send)
+		t.Fatalf("got %+v, want an attempt on an open connection only", send)
 	}
-	if no, ok := find[decide.Refuse](h.outcome("a", decide.NotSent, ms)); !ok || no.Limit != "dials" {
-		t.Errorf("%+v", no)
+	if no, ok := findAction[decide.Refuse](h.outcome("a", decide.NotSent, ms)); !ok || no.Limit != "dials" {
+		t.Errorf("got %+v, want a refusal that names the limit", no)
 	}
 }
--- a/decide/message.go
+++ b/decide/message.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// What agents send one another, and how it is put into at most maxMessageBytes. Nothing is decided here.
+// This file holds the messages between agents and their encoding in at most maxMessageBytes. It makes no
+// decisions.
 
 const (
-	// maxMessageBytes bounds a message.
+	// maxMessageBytes is the largest size of a message.
 	maxMessageBytes = 256
-	// messageHeaderBytes is the size of demand and delay, before the observations.
+	// messageHeaderBytes is the size of demand and delay, which precede the observations.
 	messageHeaderBytes = 8
-	// observationBytes is the size of an observation: 3 of the hash, 1 of the value, 1 of the age.
+	// observationBytes is the size of an observation: 3 bytes of hash, 1 of value, 1 of age.
 	observationBytes = 5
-	// slownessSteps is the number of value steps for one expected latency: 8 of these fit below
+	// slownessSteps is the number of value steps per expected latency: 8 expected latencies fit below
 	// observedOverdue.
 	slownessSteps = 31.0
-	// observedOverdue is the value of an attempt found overdue.
+	// observedOverdue is the value for an attempt that is overdue.
 	observedOverdue = 254
-	// observedFailure is the value of an attempt that failed.
+	// observedFailure is the value for an attempt that failed.
 	observedFailure = 255
-	// ageSteps is the number of age steps in an interval: an observation is dropped after eight intervals.
+	// ageSteps is the number of age steps per interval. The age is one byte, so that an observation is
+	// dropped after eight intervals.
 	ageSteps = 32
 )
 
-// observation is one outcome at a backend: its latency as a multiple of the expected one in steps of
-// 1/slownessSteps, or observedOverdue or observedFailure.
+// observation is one outcome at a backend. Its value is observedOverdue, observedFailure, or the latency as a
+// multiple of the expected latency, in steps of 1/slownessSteps.
 type observation struct {
 	hash  uint32 // of the backend's ID, see hashID
 	value byte
@@ -36,13 +38,13 @@
 
 // peerMessage is a message between agents.
 type peerMessage struct {
-	demand       float64 // work that the sender's clients ask for, ns
-	delay        float64 // running mean of latency over objective
+	demand       float64 // work that the sender's clients request, ns
+	delay        float64 // running mean of latency divided by objective
 	observations []observation
 }
 
-// encode writes the header and as many observations as fit, failures first and the newest first. Ages are in
-// steps of an interval, rounded up, so that no observation grows younger on its way.
+// encode writes the header and as many observations as fit: failures first, and the newest first. Ages are
+// counted in steps of an interval and rounded up, so that an observation never becomes younger in transit.
 func (m peerMessage) encode(now, interval time.Duration) []byte {
 	data := make([]byte, 0, maxMessageBytes)
 	data = binary.BigEndian.AppendUint32(data, math.Float32bits(float32(m.demand)))
@@ -61,7 +63,7 @@
 	return data
 }
 
-// decode reads a message. ok is false where the header is short or holds no numbers.
+// decode reads a message. ok is false if the header is too short or holds invalid numbers.
 func decode(data []byte, now, interval time.Duration) (m peerMessage, ok bool) {
 	if len(data) < messageHeaderBytes {
 		return m, false
@@ -79,10 +81,10 @@
 	return m, isFloat32(m.demand) && isFloat32(m.delay)
 }
 
-// isFloat32 reports whether a number is one that encode writes: neither negative, infinite nor NaN.
+// isFloat32 reports whether a number is one that encode can write: not negative, infinite or NaN.
 func isFloat32(x float64) bool { return x >= 0 && x <= math.MaxFloat32 }
 
-// hashID is a short hash (FNV-1a) of a backend's ID, of 24 bits; two backends that share one share their
+// hashID returns a 24-bit hash (FNV-1a) of a backend's ID. Two backends with the same hash share their
 // observations.
 func hashID(id string) uint32 {
 	const (
@@ -93,7 +95,8 @@
 	for i := range len(id) {
 		h = (h ^ uint32(id[i])) * prime
 	}
-	// IDs differ in their last bytes: the finalizer of MurmurHash3 spreads that over all bits.
+	// IDs differ mostly in their last bytes. The finalizer of MurmurHash3 spreads the difference over all
+	// bits.
 	h = (h ^ h>>16) * 0x85ebca6b
 	h = (h ^ h>>13) * 0xc2b2ae35
 	return (h ^ h>>16) >> 8
--- a/decide/message_test.go
+++ b/decide/message_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A message keeps its numbers and observations; observations grow older on the way, never younger, bad news
-// goes first, and what does not fit or is too old stays behind.
+// A message must keep its numbers and observations. Observations may become older in transit, never younger. Failures
+// go first, and observations that do not fit or are too old are left out.
 func TestPeerMessageRoundTrip(t *testing.T) {
 	const now, unit = time.Hour, time.Second
 	m := peerMessage{demand: 12.5, delay: 0.25}
@@ -15,10 +15,10 @@
 		m.observations = append(m.observations, observation{uint32(i), byte(i), now - time.Duration(100-i)*10*time.Millisecond})
 	}
 	m.observations[3].value = observedFailure
-	m.observations = append(m.observations, observation{200, observedOverdue, now - 9*unit}) // dead of age
+	m.observations = append(m.observations, observation{200, observedOverdue, now - 9*unit}) // too old
 	data := m.encode(now, unit)
 	if len(data) > maxMessageBytes || len(data) < maxMessageBytes-observationBytes {
-		t.Errorf("%d bytes", len(data))
+		t.Errorf("the message has %d bytes", len(data))
 	}
 	got, ok := decode(data, now, unit)
 	if !ok || got.demand != 12.5 || got.delay != 0.25 || len(got.observations) == 0 || got.observations[0].hash != 3 {
@@ -27,7 +27,7 @@
 	for _, n := range got.observations {
 		was := m.observations[n.hash]
 		if n.value != was.value || n.at > was.at || n.at < was.at-unit/ageSteps-1 {
-			t.Errorf("note %+v was %+v", n, was)
+			t.Errorf("observation %+v was %+v before", n, was)
 		}
 	}
 }
@@ -40,6 +40,6 @@
 		}
 	}
 	if m, ok := decode(make([]byte, messageHeaderBytes+observationBytes+2), 0, time.Second); !ok || len(m.observations) != 1 {
-		t.Errorf("a message with a torn note: %v %+v", ok, m)
+		t.Errorf("a message with a truncated observation: %v %+v", ok, m)
 	}
 }
--- a/decide/observe.go
+++ b/decide/observe.go
@@ -5,7 +5,7 @@
 // observe learns from the outcome of an attempt.
 func (b *Balancer) observe(request *openRequest, attempt *openAttempt, e Outcome) {
 	if attempt.listVersion < attempt.backend.processSetAt {
-		return // it tells of a process that another has replaced since
+		return // the outcome belongs to a process that has been replaced since
 	}
 	switch e.Result {
 	case OK:
@@ -24,7 +24,7 @@
 	class := &b.classes[request.class]
 	latency := float64(e.Latency)
 	if backend.unreachable && backend.slowStartFrom < attempt.sentAt {
-		b.beginSlowStart(backend, b.now) // it came back before the list says so: it counts as just started
+		b.beginSlowStart(backend, b.now) // it restarted before the list says so
 	}
 	backend.unreachable = false
 	backend.errorRate -= meanWeight * backend.errorRate
@@ -39,16 +39,16 @@
 	relative := latency / attempt.expectedLatency
 	steps := byte(min(relative, maxSlownessSample-0.1) * slownessSteps)
 	b.recordObservation(observation{hash: backend.hash, value: steps, at: b.now})
-	// For mean work: a heavy request tells of no queue.
+	// The latency is scaled to mean work, because a heavy request does not indicate a queue.
 	meanLatency := latency * class.meanLatency / b.expectedLatency(request)
 	class.meanLatency = updateMean(class.meanLatency, max(meanLatency, 1))
 	if attempt.overdue {
-		return // its delay has been counted
+		return // its delay has already been counted
 	}
-	fit := b.classFit(attempt.kind, request.class)
-	*fit += meanWeight * (min(relative, maxSlownessSample) - *fit)
-	b.updateSlowness(backend, relative / *fit)
-	// A slow backend says little of the others.
+	kindSlowness := b.kindSlowness(attempt.kind, request.class)
+	*kindSlowness += meanWeight * (min(relative, maxSlownessSample) - *kindSlowness)
+	b.updateSlowness(backend, relative / *kindSlowness)
+	// Divided by slowness, because the latency of a slow backend says little about the other backends.
 	share := min(latency, meanLatency) / max(1, backend.slowness) / float64(class.Objective)
 	if e.Load.Valid && e.Load.InFlight >= 0 && e.Load.InFlight < maxUnloadedInFlight {
 		class.unloadedLatency = updateMean(class.unloadedLatency, share)
@@ -56,7 +56,8 @@
 	b.adjustLimit(share)
 }
 
-// observeRejection learns that a backend's queue is longer than those that took what came.
+// observeRejection records that a backend rejected an attempt: its queue is longer than those of the backends
+// that accepted their attempts.
 func (b *Balancer) observeRejection(request *openRequest, attempt *openAttempt) {
 	backend := attempt.backend
 	b.updateSlowness(backend, overdueSlowness)
@@ -65,9 +66,9 @@
 	b.adjustLimit(1)
 }
 
-// observeTimeout counts a time-out as a failure where nothing else came from the backend since the attempt
-// was sent: that is more than a slow request, and no queue. Where balancers share observations, slow answers
-// add up, and silence takes several in a row.
+// observeTimeout counts a time-out as a failure if no success came from the backend since the attempt was
+// sent: this indicates neither a single slow request nor a queue. If balancers share observations, slow
+// answers accumulate from all of them, so that several time-outs in a row are required.
 func (b *Balancer) observeTimeout(request *openRequest, attempt *openAttempt, e Outcome) {
 	backend := attempt.backend
 	class := &b.classes[request.class]
@@ -80,13 +81,13 @@
 		b.recordFailure(backend, attempt, class)
 	case !attempt.overdue:
 		b.adjustLimit(max(1, float64(e.Latency)/float64(class.Objective)))
-		b.updateSlowness(backend, float64(e.Latency)/attempt.expectedLatency) // at least so slow
+		b.updateSlowness(backend, float64(e.Latency)/attempt.expectedLatency) // at least this slow
 		b.recordObservation(observation{hash: backend.hash, value: observedOverdue, at: b.now})
 	}
 }
 
-// observeError counts an error. Connections break by themselves too; a backend that refuses one runs no
-// process.
+// observeError counts an error. Only a refused connection shows that the backend's process is not running;
+// established connections also break for other reasons.
 func (b *Balancer) observeError(request *openRequest, attempt *openAttempt, e Outcome) {
 	backend := attempt.backend
 	if e.Result == ConnectFailed {
@@ -97,32 +98,32 @@
 	b.recordFailure(backend, attempt, &b.classes[request.class])
 }
 
-// updateSlowness takes one latency, as a multiple of the expected one, into a backend's slowness. The first
-// few weigh more, since a quiet agent sees an answer of each only now and then.
+// updateSlowness adds one latency, as a multiple of the expected latency, to a backend's slowness. The first
+// few samples weigh more, because an agent with little traffic seldom gets an answer from each backend.
 func (b *Balancer) updateSlowness(backend *endpoint, sample float64) {
 	backend.slownessSamples++
 	weight := max(meanWeight, 1/(backend.slownessSamples+priorSamples))
 	backend.slowness += weight * (min(sample, maxSlownessSample) - backend.slowness)
 }
 
-// classFit is how much slower than the mean the backends of a kind serve a class.
+// kindSlowness returns how much slower than the mean the backends of a kind serve a class.
 //
-// Departure from the design page: a quiet agent pools what it learns by kind, since it has few answers for
-// each backend, class by class.
-func (b *Balancer) classFit(kindIndex, classIndex int) *float64 {
-	kindIndex = max(kindIndex, 0) // the list may name a kind that is not known
-	for len(b.classFits[classIndex]) <= kindIndex {
-		b.classFits[classIndex] = append(b.classFits[classIndex], 1)
+// Departure from the design page: an agent with little traffic has few answers per backend and class, so it
+// learns this ratio per kind of backend.
+func (b *Balancer) kindSlowness(kindIndex, classIndex int) *float64 {
+	kindIndex = max(kindIndex, 0) // the list may name an unknown kind
+	for len(b.slownessByKind[classIndex]) <= kindIndex {
+		b.slownessByKind[classIndex] = append(b.slownessByKind[classIndex], 1)
 	}
-	return &b.classFits[classIndex][kindIndex]
+	return &b.slownessByKind[classIndex][kindIndex]
 }
 
-// currentSlowness is how much longer a backend takes than the mean, by its answers or by the wait of its
-// oldest attempt if that is worse: a stall shows before any answer.
+// currentSlowness returns how many times longer than the mean a backend takes: by its answers, or by the
+// waiting time of its oldest attempt if that is worse. A stalled backend is thus noticed before it answers.
 func (b *Balancer) currentSlowness(backend *endpoint) float64 {
 	for _, attempt := range backend.inFlight {
 		if attempt.listVersion < backend.processSetAt {
-			continue // it waits for a process that has ended
+			continue // it was sent to a process that has ended
 		}
 		waited := float64(b.now - attempt.sentAt)
 		return max(backend.slowness, waited/attempt.expectedLatency/2)
@@ -130,7 +131,7 @@
 	return backend.slowness
 }
 
-// expectedLatency is the mean latency for a request of this class and stated work, in nanoseconds.
+// expectedLatency returns the mean latency of a request with this class and stated work, in nanoseconds.
 func (b *Balancer) expectedLatency(request *openRequest) float64 {
 	class := &b.classes[request.class]
 	if request.expectedWork > 0 && class.meanWork > 0 {
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// onPeerMessage takes what another agent reports: the work that its clients ask for, the delay it sees, and
-// observations.
+// onPeerMessage processes the report of another agent: the work that its clients request, the delay that it
+// observes, and its observations of backends.
 //
-// Departure from the design page: shared out by head count, the limit would have a busy agent refuse what
-// quiet ones leave unused. Acts where agents may exchange messages and their traffic differs.
+// Departure from the design page: if the limit were divided equally, a busy agent would refuse requests while
+// agents with little traffic leave their share unused. This matters where agents may exchange messages and
+// their traffic differs.
 func (b *Balancer) onPeerMessage(e PeerMessage) {
 	m, ok := decode(e.Data, b.now, b.peerInterval)
 	if !ok || e.From < 0 || e.From >= len(b.peers) || e.From == b.settings.Self {
@@ -20,7 +21,7 @@
 	if !b.sharesObservations() {
 		return
 	}
-	b.meanDelay = updateMean(b.meanDelay, min(m.delay, 1)) // what a quiet agent sees itself comes too late
+	b.meanDelay = updateMean(b.meanDelay, min(m.delay, 1)) // own figures come too late with little traffic
 	for _, o := range m.observations {
 		b.mergeObservation(o)
 	}
@@ -28,9 +29,9 @@
 
 // recordObservation keeps an observation for peers.
 //
-// Departure from the design page: an agent that admits by credit uses each backend too seldom to know its
-// speed or its failure by itself. Where agents may exchange messages it passes on what it saw and what it was
-// told, for a few objectives: one message to one of them for every few outcomes.
+// Departure from the design page: an agent that admits by credit uses each backend too seldom to learn its
+// speed or a failure by itself. Where agents may exchange messages, it forwards its own observations and
+// those that it received, for a few objectives: one message to one peer for every few outcomes.
 func (b *Balancer) recordObservation(o observation) {
 	if backend := b.byHash[o.hash]; backend != nil {
 		backend.observedAt = o.at
@@ -41,8 +42,8 @@
 	}
 }
 
-// mergeObservation takes in a peer's observation unless something newer is known: the same one comes by many
-// ways, and to learn it each time would make every backend look slow.
+// mergeObservation applies a peer's observation unless a newer one is known. The same observation arrives by
+// several ways, and counting it each time would make every backend look slow.
 func (b *Balancer) mergeObservation(o observation) {
 	backend := b.byHash[o.hash]
 	if backend == nil || backend.State != Up || o.at <= backend.slowStartFrom || o.at <= backend.observedAt {
@@ -67,9 +68,9 @@
 	b.recordObservation(o)
 }
 
-// onFleetSize takes what the agents' own membership says of their number. Each use goes by the figure that is
-// safe: shares and limits by the most that may be sending, the multiple for backends in slow start by the
-// fewest.
+// onFleetSize applies the number of agents according to membership. Each use takes the safe bound: shares and
+// limits use the largest number of agents that may be sending, and the multiple for backends in slow start
+// uses the smallest.
 func (b *Balancer) onFleetSize(e FleetSize) {
 	if b.settings.Peers || e.Min < 1 || e.Max < e.Min {
 		return
@@ -78,21 +79,22 @@
 	b.settings.Balancers = e.Max
 	b.minBalancers = e.Min
 	b.ownShare = 1 / float64(e.Max)
-	if b.admitsByCredit() != before { // what started while credit did not count is not owed now
+	if b.admitsByCredit() != before { // attempts from before credit was in use leave no debt
 		b.admissionCredit = max(b.admissionCredit, 0)
 	}
 }
 
-// sendPeerMessage reports to the peer so many numbers after this agent's.
+// sendPeerMessage sends a report to the peer whose number is this agent's number plus offset.
 func (b *Balancer) sendPeerMessage(observations []observation, offset int) {
 	m := peerMessage{demand: b.demand, delay: b.meanDelay, observations: observations}
 	to := (b.settings.Self + offset) % b.settings.Balancers
 	b.actions = append(b.actions, SendToPeer{To: to, Data: m.encode(b.now, b.peerInterval)})
 }
 
-// reportToPeers reports this agent's demand, and computes its share anew. Where there are more peers than
-// peerFanout, a sample of them gets the report, and those heard from lately stand for the rest: reports to
-// all would cost messages with the square of the number of agents.
+// reportToPeers reports this agent's demand to peers, and recomputes its share. If there are more than
+// peerFanout peers, a random sample of them gets the report, and the peers that were heard from recently
+// represent the rest: reports to all peers would need a number of messages that grows with the square of the
+// number of agents.
 func (b *Balancer) reportToPeers() {
 	elapsed := float64(b.now - b.demandUpdatedAt)
 	b.demand *= math.Exp(-elapsed / (peerTimeoutIntervals * float64(b.peerInterval)))
@@ -106,8 +108,9 @@
 	b.updateOwnShare(peerCount > peerFanout)
 }
 
-// updateOwnShare divides the in-flight limit, in part by head count and in part by demand. sampled: peers not
-// heard from count as mean ones; else they have stopped, and their clients go elsewhere.
+// updateOwnShare divides the in-flight limit, partly equally and partly by demand. With sampled set, peers
+// that were not heard from count as average ones. Otherwise they count as stopped, and their clients use
+// other agents.
 func (b *Balancer) updateOwnShare(sampled bool) {
 	total := b.demand
 	reporting := 1.0
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/decide"
 )
 
-// Incidents ieeee80 and i24a18c: an agent with most of the traffic gets most of the limit
-// where agents may tell each other; one that hears nobody keeps its share by head count.
+// If agents may exchange messages, an agent with most of the traffic must get most of the limit. An agent that hears
+// from no peer must keep an equal share (incidents ieeee80 and i24a18c).
 func TestPeersDivideTheLimitByDemand(t *testing.T) {
 	demand := func(busyCores float32) []byte {
 		return binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(busyCores))<<32)
@@ -19,11 +19,11 @@
 	tests := []struct {
 		name  string
 		peers bool
-		data  []byte // from each of the three others; nil: nothing
+		data  []byte // from each of the three peers; nil: no message
 		want  func(n int) bool
 	}{
 		{"no messages allowed", false, demand(0), func(n int) bool { return n == 15 }},
-		{"nothing heard", true, nil, func(n int) bool { return n == 15 }},
+		{"no message received", true, nil, func(n int) bool { return n == 15 }},
 		{"quiet peers", true, demand(0), func(n int) bool { return n > 45 }},
 		{"busy peers", true, demand(math.MaxFloat32), func(n int) bool { return n < 6 }},
 		{"too short", true, []byte{1}, func(n int) bool { return n == 15 }},
@@ -35,12 +35,12 @@
 			s := testSettings()
 			s.Balancers, s.Self, s.Peers = 4, 2, tt.peers
 			h := newHarness(t, s, 1, testBackends(10))
-			told := 0
+			sentReports := 0
 			for range 30 {
 				h.serve(1, idempotent, 20*ms)
 				for _, a := range h.advance(20 * ms) {
 					if _, ok := a.(decide.SendToPeer); ok {
-						told++
+						sentReports++
 					}
 				}
 				if tt.data == nil {
@@ -50,8 +50,8 @@
 					h.step(decide.PeerMessage{From: from, Data: tt.data})
 				}
 			}
-			if tt.peers != (told > 0) || told > 4*3 {
-				t.Errorf("told three peers %d times in 1.2 s with aims of 400 ms", told)
+			if tt.peers != (sentReports > 0) || sentReports > 4*3 {
+				t.Errorf("sent three peers %d messages in 1.2 s with objectives of 400 ms", sentReports)
 			}
 			n := 0
 			for i := range 100 {
@@ -66,19 +66,20 @@
 	}
 }
 
-// Incident ie43f64: with every agent telling every other, messages grew with the square of
-// their number. However many agents there are, one tells few of them, and not always the same.
+// If every agent reported to every other, the number of messages would grow with the square of the number of agents.
+// An agent must report to only a few peers, however many there are, and not always to the same ones (incident
+// ie43f64).
 func TestPeerReportsAreBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 50, 2000} {
 		s := testSettings()
 		s.Balancers, s.Self, s.Peers = n, n/2, true
 		h := newHarness(t, s, 1, testBackends(4))
-		told := map[int]int{}
+		sentReports := map[int]int{}
 		total := 0
 		count := func(acts []decide.Action) {
 			for _, a := range acts {
 				if a, ok := a.(decide.SendToPeer); ok {
-					told[a.To]++
+					sentReports[a.To]++
 					total++
 				}
 			}
@@ -92,13 +93,13 @@
 		if most := 11 * min(n-1, 8); total > most || n > 1 && total < 10 {
 			t.Errorf("%d agents: %d messages in ten periods, want up to %d", n, total, most)
 		}
-		if told[s.Self] > 0 || len(told) < min(n-1, 20) {
-			t.Errorf("%d agents: told %d different peers, itself %d times", n, len(told), told[s.Self])
+		if sentReports[s.Self] > 0 || len(sentReports) < min(n-1, 20) {
+			t.Errorf("%d agents: reported to %d different peers, to itself %d times", n, len(sentReports), sentReports[s.Self])
 		}
 	}
 }
 
-// Incident i952f82: agents that stop leave their share of the limit to those that get their traffic.
+// The share of agents that have stopped must go to the agents that get their traffic (incident i952f82).
 func TestShareOfStoppedPeersIsRedistributed(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Peers = 4, true
@@ -124,37 +125,37 @@
 		h.advance(50 * ms)
 	}
 	before := inFlight(0)
-	for range 60 { // three seconds without a word: over four tells
+	for range 60 { // three seconds without a message: more than four reporting intervals
 		h.serve(1, idempotent, 20*ms)
 		h.advance(50 * ms)
 	}
 	if after := inFlight(1); before > 40 || after < 55 {
-		t.Errorf("%d in flight beside three peers, %d after they stopped, want nearly all 60", before, after)
+		t.Errorf("%d in flight with three peers, %d after they stopped, want nearly all 60", before, after)
 	}
 }
 
-// Dallas big-1: an agent that admits by credit meets a dead server so seldom that it learns of it too late.
-// What one agent saw, another knows from its message, the failure of a server as well as its speed, and the
-// same observation told again changes nothing.
+// An agent that admits by credit uses an unreachable server so seldom that it detects the failure too late. It must
+// learn the failure and the speed of a server from the messages of its peers. The same observation received again
+// must change nothing (scenario dallas big-1).
 func TestObservationsSpreadThroughPeers(t *testing.T) {
 	s := creditSettings()
-	teller := newHarness(t, s, 1, testBackends(4))
+	sender := newHarness(t, s, 1, testBackends(4))
 	var data [][]byte
-	for i := range 60 { // a fails at once, b is slow, the others are quick
+	for i := range 60 { // a fails at once, b is slow, c and d are fast
 		id := fmt.Sprint("q", i)
-		acts := teller.request(id, nonIdempotent)
-		if len(teller.sent[id]) == 0 {
+		acts := sender.request(id, nonIdempotent)
+		if len(sender.sent[id]) == 0 {
 			continue
 		}
-		switch teller.sent[id][0] {
+		switch sender.sent[id][0] {
 		case "a":
-			acts = append(acts, teller.outcome(id, decide.Errored, 10*ms)...)
+			acts = append(acts, sender.outcome(id, decide.Errored, 10*ms)...)
 		case "b":
-			teller.now += 200 * ms
-			acts = append(acts, teller.outcome(id, decide.OK, 200*ms)...)
+			sender.now += 200 * ms
+			acts = append(acts, sender.outcome(id, decide.OK, 200*ms)...)
 		default:
-			teller.now += 20 * ms
-			acts = append(acts, teller.outcome(id, decide.OK, 20*ms)...)
+			sender.now += 20 * ms
+			acts = append(acts, sender.outcome(id, decide.OK, 20*ms)...)
 		}
 		for _, a := range acts {
 			if a, ok := a.(decide.SendToPeer); ok {
@@ -167,7 +168,7 @@
 		counts := map[string]int{}
 		for seed := range uint64(200) {
 			h := newHarness(t, s, seed, testBackends(4))
-			h.now = teller.now
+			h.now = sender.now
 			for range repeat {
 				for _, d := range data {
 					h.step(decide.PeerMessage{From: 0, Data: d})
@@ -180,9 +181,9 @@
 	}
 	once, often := count(1), count(20)
 	if once["a"] > 5 || once["b"] > 40 || once["c"] < 40 || once["d"] < 40 {
-		t.Errorf("after the notes an agent sends to %v, want hardly any to a and few to b", once)
+		t.Errorf("after the observations an agent sends to %v, want hardly any to a and few to b", once)
 	}
 	if !reflect.DeepEqual(once, often) {
-		t.Errorf("told once it sends to %v, told the same twenty times to %v", once, often)
+		t.Errorf("after one copy of each message it sends to %v, after twenty copies to %v", once, often)
 	}
 }
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -5,8 +5,9 @@
 	"math"
 )
 
-// pick chooses a backend: one with nothing of this balancer in flight, at random; else the one with the
-// fewest; never the one that just failed, unless it is the only one. nil: none may be used now.
+// pick chooses a backend: a random one of those that have nothing of this balancer in flight, or else the one
+// with the fewest attempts in flight. It does not choose the backend that has just failed the request, unless
+// that is the only one. It returns nil if no backend may be used now.
 func (b *Balancer) pick(request *openRequest) *endpoint {
 	if n := min(len(b.backends), b.subsetSize()); n > maxScanned {
 		if backend := b.sampleIdle(request, b.backends[:n]); backend != nil {
@@ -16,10 +17,11 @@
 	return b.scanAll(request)
 }
 
-// sampleIdle chooses among the idle backends as scanAll does, by drawing some and accepting each by its
-// weight (rejection sampling): the same distribution without looking at all of them. The subset is taken with
-// those of it that may not be used now, so that the choice is a little narrower than by scanAll. nil where
-// that takes too many draws, as where few are idle.
+// sampleIdle chooses among the idle backends as scanAll does, but by drawing random backends and accepting
+// each with a probability that follows its weight (rejection sampling). This gives the same distribution
+// without looking at all of them. The sampled subset includes backends that may not be used now, so that the
+// choice is a little narrower than with scanAll. It returns nil if that takes too many draws, as when few
+// backends are idle.
 func (b *Balancer) sampleIdle(request *openRequest, among []*endpoint) *endpoint {
 	maxWeight := b.maxIdleWeight
 	for range maxDraws {
@@ -32,7 +34,7 @@
 			continue
 		}
 		weight := b.idleWeight(backend, request)
-		if weight > maxWeight { // the draws so far went by too low a bound, and would favour the others
+		if weight > maxWeight { // earlier draws used too low a bound, which favours other backends
 			b.maxIdleWeight = weight
 			maxWeight = weight
 			continue
@@ -44,8 +46,8 @@
 	return nil
 }
 
-// eligible reports whether a backend may get a request at all. The order of the checks matters: the last two
-// keep accounts.
+// eligible reports whether a backend may get a request at all. The order of the checks matters, because the
+// last two change state.
 func (b *Balancer) eligible(request *openRequest, backend *endpoint) bool {
 	if backend.State != Up || !b.mayAttempt(request, backend) {
 		return false
@@ -64,8 +66,8 @@
 }
 
 // leaseAllows reports whether this agent's leases of the fleet's limits allow a request at a backend, and
-// notes which limit does not. A rejection is counted once for a request, so that the lease server learns who
-// needs more.
+// records the limit that does not. A rejection is counted once per request, so that the lease server learns
+// which agent needs more.
 func (b *Balancer) leaseAllows(request *openRequest, backend *endpoint) bool {
 	if b.ledger.Empty() {
 		return true
@@ -82,14 +84,15 @@
 	return false
 }
 
-// idleWeight is how likely an idle backend is chosen, against others.
+// idleWeight returns the relative probability with which an idle backend is chosen.
 //
-// Departure from the design page: an even choice among idle backends would load slow ones as much as fast
-// ones; each counts by the inverse cube of its observed slowness. Acts when speeds differ.
+// Departure from the design page: an even choice among idle backends would put as much load on slow ones as
+// on fast ones. Each backend is therefore weighted by the inverse cube of its observed slowness. This matters
+// if backends differ in speed.
 func (b *Balancer) idleWeight(backend *endpoint, request *openRequest) float64 {
-	slowness := b.currentSlowness(backend) * *b.classFit(backend.Kind, request.class)
+	slowness := b.currentSlowness(backend) * *b.kindSlowness(backend.Kind, request.class)
 	weight := b.capacityShare(backend) / (slowness * slowness * slowness)
-	if b.sharesObservations() { // all know the same: the cube would send all to the same few
+	if b.sharesObservations() { // all agents know the same: the cube would send all to the same few
 		weight = b.capacityShare(backend) / slowness
 	}
 	if backend.failureScore > 0 && b.admitsByCredit() {
@@ -102,8 +105,9 @@
 	return weight
 }
 
-// scanAll chooses among all backends of the subset: an idle one by weight; else the one with the lowest
-// score; else, where all are ejected, the one that failed least, since a first attempt goes out all the same.
+// scanAll chooses among all backends of the subset: an idle one by weight, or else the one with the lowest
+// score, or else, if all are ejected, the one that has failed least, because a first attempt is sent in any
+// case.
 func (b *Balancer) scanAll(request *openRequest) *endpoint {
 	var idle, leastLoaded, leastFailing *endpoint
 	totalWeight := 0.0
@@ -145,8 +149,8 @@
 	return cmp.Or(idle, leastLoaded, leastFailing)
 }
 
-// loadOf is the number of this agent's attempts that a backend has in flight. One that has not answered yet
-// counts at the mean of all, so that a new one draws no rush.
+// loadOf returns the number of this agent's attempts that a backend has in flight. A backend that has not
+// answered yet counts as having the mean of all, so that a new backend does not attract a burst of requests.
 func (b *Balancer) loadOf(backend *endpoint) float64 {
 	if backend.hasAnswered {
 		return float64(len(backend.inFlight))
@@ -154,27 +158,27 @@
 	return float64(b.inFlight) / float64(b.upCount)
 }
 
-// loadScore orders busy backends, the lowest first.
-//
-// Departure from the design page: in-flight counts are weighted by slowness, as in idleWeight.
+// loadScore returns the score by which busy backends are ordered, the lowest first.
 func (b *Balancer) loadScore(backend *endpoint, request *openRequest, load float64) float64 {
-	slowness := b.currentSlowness(backend) * *b.classFit(backend.Kind, request.class)
+	slowness := b.currentSlowness(backend) * *b.kindSlowness(backend.Kind, request.class)
 	if backend.hasAnswered {
-		// Else load is the mean of all, and slow start is in it: a busy fleet would pass it by.
+		// Otherwise load is the mean of all backends, which already accounts for slow start. Dividing by the
+		// share of capacity as well would keep a busy fleet from using the backend.
 		slowness /= b.capacityShare(backend)
 	}
 	return (load + 1) * slowness * (1 + 0.01*b.rng.Float64())
 }
 
-// subsetSize is the number of idle backends among which a choice is made: the first of this agent's own order
-// that may be used.
+// subsetSize returns the number of idle backends to choose from: the first usable ones in this agent's own
+// order.
 //
-// Departure from the design page (subsetting): an agent with little traffic, spread over all backends, would
-// learn of each once a day and open a connection for nearly every attempt. It keeps to so many that it uses
-// each again within half an objective: what it learned of one is then about as old as a request may be. The
-// order is each agent's own, by a hash, so that all together load all backends evenly, and the loss of one
-// brings in one other. It could hurt where one agent has most of the traffic of a large fleet: there the gap
-// is small and the subset large. Acts where no observations of peers tell of the others.
+// Departure from the design page (subsetting): an agent with little traffic that is spread over all backends
+// would observe each of them once a day and open a connection for nearly every attempt. It therefore uses
+// only so many that it uses each one again within half an objective; what it knows of a backend is then about
+// as old as a request may be. The order is a hash that differs between agents, so that all agents together
+// load all backends evenly, and the loss of one backend adds one other. This could do harm if one agent has
+// most of the traffic of a large fleet, but then the gap between attempts is small and the subset large. It
+// applies only if peers share no observations of the other backends.
 func (b *Balancer) subsetSize() int {
 	if b.meanAttemptGap == 0 || b.sharesObservations() {
 		return len(b.backends)
--- a/decide/pick_test.go
+++ b/decide/pick_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestIdleBackendIsPickedFirst(t *testing.T) {
-	t.Run("idle ones at random", func(t *testing.T) {
+	t.Run("idle backends at random", func(t *testing.T) {
 		h := newHarness(t, testSettings(), 2, testBackends(4))
 		counts := h.serve(400, idempotent, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	t.Run("a new one counts at the mean", func(t *testing.T) {
+	t.Run("a new backend counts at the mean", func(t *testing.T) {
 		h := newHarness(t, testSettings(), 2, testBackends(4))
 		h.serve(80, idempotent, 50*ms)
 		for i := range 8 {
@@ -62,20 +62,20 @@
 			}
 		}
 		if rush > 2 {
-			t.Errorf("the new backend got %d of 4, want no rush", rush)
+			t.Errorf("the new backend got %d of 4, want at most 2", rush)
 		}
 	})
 	t.Run("own zone where crossing is priced", func(t *testing.T) {
 		s := testSettings()
 		s.CrossZonePrice = 0.02
 		h := newHarness(t, s, 2, testBackends(4))
-		h.now += s.SlowStartTime + 1 // nothing has been crowded for long
+		h.now += s.SlowStartTime + 1 // the limit has not been cut for longer than the slow start takes
 		counts := h.serve(400, idempotent, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
-			t.Errorf("own zone got %d of 400, want most but not all", own)
+			t.Errorf("the own zone got %d of 400, want most but not all", own)
 		}
 	})
-	t.Run("slow ones less", func(t *testing.T) {
+	t.Run("slow backends less", func(t *testing.T) {
 		h := newHarness(t, testSettings(), 2, testBackends(4))
 		late := 0
 		for i := range 600 {
@@ -97,11 +97,11 @@
 	})
 }
 
-// A stalled backend shows in the wait of its oldest attempt, before any answer.
+// A stalled backend must be detected by the waiting time of its oldest attempt, before it answers.
 func TestStalledBackendIsAvoided(t *testing.T) {
 	h := newHarness(t, testSettings(), 4, testBackends(3))
 	h.serve(60, idempotent, 20*ms)
-	for i := range 3 { // one on each
+	for i := range 3 { // one per backend
 		h.request(fmt.Sprint("hang", i), idempotent)
 	}
 	for i := range 3 {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A time-out says at least how slow a backend is: one that answers only its light
-// requests must not keep the good name that these give it.
+// A time-out shows at least how slow a backend is. A backend that answers only its light requests must not count as
+// fast because of these.
 func TestTimeoutsRaiseSlowness(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
@@ -158,8 +158,8 @@
 	}
 }
 
-// Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
-// not land on the warm ones, nor all on one.
+// When a fleet grows fivefold, the new backends are in slow start. The load that they can't take yet must not move to
+// the warm backends, nor to a single backend (incident i37feae).
 func TestNewBackendsDoNotShiftLoadToWarmOnes(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(4))
 	h.serve(100, idempotent, 50*ms)
@@ -188,8 +188,9 @@
 	}
 }
 
-// Satx big-1: a quiet agent spread over every server hears of each once a day. It keeps to a few
-// of an order of its own, other agents to others, and turns to further ones when those fail.
+// An agent with little traffic that is spread over all servers gets an answer from each of them once a day. It must
+// use a few servers, in an order that differs between agents, and switch to others when those fail (scenario satx
+// big-1).
 func TestQuietBalancerUsesASubset(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 500
@@ -214,7 +215,7 @@
 		for id := range used {
 			firsts[id]++
 		}
-		for id := range used { // all of these die
+		for id := range used { // all of these servers are removed
 			h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: id, State: decide.Removed}}})
 		}
 		h.request("next", idempotent)
@@ -227,15 +228,15 @@
 	}
 }
 
-// Satx rough-1: kinds of machine suit classes differently. What is learned of a kind's fit to a
-// class holds for servers of that kind that the agent has hardly met.
-func TestClassFitIsLearnedByKind(t *testing.T) {
+// Some kinds of machines are faster for one class, some for another. What an agent has learned of a kind must apply
+// to the servers of that kind that it has hardly used (scenario satx rough-1).
+func TestKindSlownessIsLearnedPerClass(t *testing.T) {
 	list := testBackends(20)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
 	h := newHarness(t, testSettings(), 4, list)
-	suits := map[int]int{}
+	byFasterKind := map[int]int{}
 	for i := range 400 {
 		class := i % 2
 		id := fmt.Sprint("q", i)
@@ -248,19 +249,19 @@
 		h.now += latency
 		h.outcome(id, decide.OK, latency)
 		if i >= 200 && kind == class {
-			suits[class]++
+			byFasterKind[class]++
 		}
 	}
-	if suits[0] < 85 || suits[1] < 85 {
-		t.Errorf("%d and %d of 100 went to the kind that suits the class, want most", suits[0], suits[1])
+	if byFasterKind[0] < 85 || byFasterKind[1] < 85 {
+		t.Errorf("%d and %d of 100 went to the kind that is faster for the class, want most", byFasterKind[0], byFasterKind[1])
 	}
-	stray := testBackends(2) // kinds no list should hold do no harm
-	stray[0].Kind = -3
-	newHarness(t, testSettings(), 1, stray).serve(10, idempotent, 10*ms)
+	unknownKind := testBackends(2) // unknown kinds must do no harm
+	unknownKind[0].Kind = -3
+	newHarness(t, testSettings(), 1, unknownKind).serve(10, idempotent, 10*ms)
 }
 
-// Satx rough-2: a server that turns an attempt away is crowded for longer than one latency, and
-// drew as many as before right after it.
+// A server that rejects an attempt is overloaded for longer than one latency. It used to get as many requests right
+// after a rejection as before (scenario satx rough-2).
 func TestBackendThatRejectsIsChosenLess(t *testing.T) {
 	hits := 0
 	for seed := range uint64(100) {
@@ -276,6 +277,6 @@
 		}
 	}
 	if hits > 18 {
-		t.Errorf("the full one of four servers got %d of 100 soon after", hits)
+		t.Errorf("the full one of four servers got %d of 100 requests 2 s after its rejection", hits)
 	}
 }
--- a/decide/pinned_test.go
+++ b/decide/pinned_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// A request that only one backend may get goes there, again after a failure that proves that nothing
-// ran, to no other ever, and is refused at once where that one takes nothing.
+// A request that only one backend may get must go to that backend, again after a failure which proves that it has not
+// run, and never to another one. It is refused at once if that backend takes no requests.
 func TestRequestPinnedToOneBackend(t *testing.T) {
 	b, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -21,7 +21,7 @@
 		for _, a := range all {
 			if s, ok := a.(decide.Send); ok {
 				if n++; s.Backend != "b" {
-					t.Errorf("sent to %s", s.Backend)
+					t.Errorf("an attempt was sent to %s, want only b", s.Backend)
 				}
 			}
 		}
@@ -31,10 +31,10 @@
 		id := string(rune('A' + i))
 		all := step(decide.Request{ID: id, Class: idempotent, Remaining: 5 * time.Second, OnlyBackend: "b"})
 		if sent(all) != 1 {
-			t.Fatalf("%+v", all)
+			t.Fatalf("want one attempt, got %+v", all)
 		}
 		now += ms
-		if i%4 == 0 { // it goes out once more, to the same one
+		if i%4 == 0 { // it is retried once, at the same backend
 			var timer decide.SetTimer
 			for _, a := range step(decide.Outcome{Request: id, Backend: "b", Result: decide.Rejected, Latency: ms}) {
 				if s, ok := a.(decide.SetTimer); ok {
@@ -43,7 +43,7 @@
 			}
 			now += timer.After + time.Second
 			if n := sent(step(decide.TimerFired{Token: timer.Token})); n != 1 {
-				t.Errorf("after a refusal by the one backend it went out %d times", n)
+				t.Errorf("after a rejection by its only backend it was sent %d times, want once", n)
 			}
 			step(decide.Outcome{Request: id, Attempt: 1, Backend: "b", Result: decide.OK, Latency: ms, Answered: true})
 			continue
@@ -58,12 +58,13 @@
 			refused = refused || ok
 		}
 		if !refused || sent(all) != 0 {
-			t.Errorf("%s: %+v", only, all)
+			t.Errorf("only backend %s: got %+v, want a refusal and no attempt", only, all)
 		}
 	}
 }
 
-// A list may name kinds and zones that the settings do not know: a module that met one first panicked.
+// A list may name kinds and zones that the settings do not know. A balancer used to panic if such a backend came
+// first.
 func TestUnknownBackendKindIsAccepted(t *testing.T) {
 	b, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -75,5 +76,5 @@
 			return
 		}
 	}
-	t.Error("nothing was sent")
+	t.Error("no attempt was sent")
 }
--- a/decide/policyfiles_test.go
+++ b/decide/policyfiles_test.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// The files under policy must stay readable at night: 400 lines each and 60 to a function, 110 characters to
-// a line. Which files those are is what deploy/balancer.toml says, and none that makes choices may be missing
-// there.
+// The files listed under policy in deploy/balancer.toml must stay easy to read during an incident: at most 400 lines
+// per file, 60 per function and 110 characters per line. The list must name every file that makes decisions.
 func TestPolicyFilesStayReadable(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -33,28 +32,28 @@
 		}
 		lines, function := strings.Split(string(text), "\n"), 0
 		if len(lines) > 400 {
-			t.Errorf("%s has %d lines, 400 at most", path, len(lines))
+			t.Errorf("%s has %d lines, want at most 400", path, len(lines))
 		}
 		for i, line := range lines {
 			switch {
 			case strings.HasPrefix(line, "func "):
 				function = i
 			case line == "}" && function > 0 && i-function >= 60:
-				t.Errorf("%s:%d: a function of %d lines, 60 at most", path, function+1, i-function+1)
+				t.Errorf("%s:%d: a function has %d lines, want at most 60", path, function+1, i-function+1)
 			}
 			if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > 110 {
-				t.Errorf("%s:%d has %d characters, 110 at most", path, i+1, n)
+				t.Errorf("%s:%d has %d characters, want at most 110", path, i+1, n)
 			}
 		}
 	}
-	undecided := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true, "result.go": true, "state.go": true, "message.go": true}
+	noDecisions := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true, "result.go": true, "state.go": true, "message.go": true}
 	files, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		if n := f.Name(); strings.HasSuffix(n, ".go") && !strings.HasSuffix(n, "_test.go") && !undecided[n] && !listed[n] {
-			t.Errorf("decide/%s makes choices and is not under policy in deploy/balancer.toml", n)
+		if n := f.Name(); strings.HasSuffix(n, ".go") && !strings.HasSuffix(n, "_test.go") && !noDecisions[n] && !listed[n] {
+			t.Errorf("decide/%s makes decisions and is not listed under policy in deploy/balancer.toml", n)
 		}
 	}
 }
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// enqueue has a request wait for capacity. One that finds some leaves the queue in the same step.
+// enqueue queues a request until there is capacity for it. If there is capacity already, the request leaves
+// the queue in the same step.
 func (b *Balancer) enqueue(request *openRequest) {
 	request.queued = true
 	b.queue = append(b.queue, request)
@@ -13,8 +14,8 @@
 	b.queue = removeFirst(b.queue, request)
 }
 
-// dispatchQueue starts queued requests while there is capacity, and sheds those that can't be answered within
-// their objective any more. Waiting here costs the backends nothing.
+// dispatchQueue starts queued requests while there is capacity, and sheds those that can no longer be
+// answered within their objective. Queueing here puts no load on the backends.
 func (b *Balancer) dispatchQueue() {
 	if len(b.queue) == 0 {
 		return
@@ -28,7 +29,7 @@
 	}
 }
 
-// startQueued starts the most valuable requests for which there are capacity and a backend.
+// startQueued starts the most valuable requests as long as there are capacity and a backend for them.
 func (b *Balancer) startQueued() {
 	for {
 		request := b.nextQueued()
@@ -47,9 +48,9 @@
 	}
 }
 
-// nextQueued is the queued request to start next: first tries before clients' retries, the most valuable
-// class first, within it the newest. Those that found no backend in this step are left out. nil: there is
-// none.
+// nextQueued returns the queued request to start next: first tries before clients' retries, then the most
+// valuable class, and within a class the newest request. Requests that found no backend in this step are left
+// out. It returns nil if there is none.
 func (b *Balancer) nextQueued() *openRequest {
 	var best *openRequest
 	bestValue := 0.0
@@ -73,8 +74,9 @@
 	return best
 }
 
-// shedOrWait refuses a request that has found no capacity or no backend in this step and can wait no longer,
-// or has it looked at again when that is so. No wait brings a lease, and a client's retry does not wait.
+// shedOrWait handles a request that found no capacity or no backend in this step. It refuses the request if
+// it can wait no longer, and otherwise sets a timer for that time. A client's retry does not wait, and
+// neither does a request that lacks a lease, because waiting does not bring one.
 func (b *Balancer) shedOrWait(request *openRequest) {
 	reason := NoCapacity
 	switch {
@@ -95,8 +97,8 @@
 	}
 }
 
-// shedAt is when a queued request is shed: while its answer is still within reach of the objective, and
-// before half of the client's time is over, since a later refusal costs the client more.
+// shedAt returns when a queued request is shed: while it can still be answered within its objective, and
+// before half of the client's time is over, because a later refusal costs the client more.
 func (b *Balancer) shedAt(request *openRequest) time.Duration {
 	objective := float64(b.classes[request.class].Objective)
 	margin := min(queueMargin*b.expectedLatency(request), maxQueueMargin*objective)
--- a/decide/reason_test.go
+++ b/decide/reason_test.go
@@ -6,12 +6,12 @@
 	"vetchhaven/decide"
 )
 
-// A request whose backend drains as its attempt is to begin lacks a server, not time. Whoever read the metric's reason looked at
-// deadlines.
-func TestWithdrawnBackendIsNoWantOfTime(t *testing.T) {
+// A request whose backend starts to drain just before its attempt must end for lack of a server, and not for lack of
+// time: the wrong reason in the metric made operators look at deadlines.
+func TestDrainingBackendIsReportedAsNoBackend(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(4))
 	h.request("q", idempotent)
-	if got := h.b.StartAttemptWithdrawn("q", h.sent["q"][0]); got != decide.NoBackend {
-		t.Errorf("%s", got)
+	if got := h.b.StartAttemptAtDrainingBackend("q", h.sent["q"][0]); got != decide.NoBackend {
+		t.Errorf("reason %s", got)
 	}
 }
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// arrivalDecay is the weight that earlier arrivals keep with each new one: the last few hundred count.
+// arrivalDecay is the factor by which each new arrival reduces the weight of earlier ones: the last few
+// hundred arrivals count.
 const arrivalDecay = 1 - meanWeight/20
 
 // onRequest admits a request to the queue.
@@ -36,13 +37,13 @@
 		b.earnCredit(request)
 	}
 	if request.onlyBackend != "" && !b.isUp(request.onlyBackend) {
-		b.finish(request, NoBackend) // no other may get it, and waiting brings nothing
+		b.finish(request, NoBackend) // no other backend may get it, and waiting does not help
 		return
 	}
 	b.enqueue(request)
 }
 
-// countArrival adds a request to what is known of its class.
+// countArrival adds a request to the statistics of its class.
 func (b *Balancer) countArrival(class *classState, request *openRequest) {
 	if request.expectedWork > 0 {
 		class.meanWork = updateMean(class.meanWork, request.expectedWork)
@@ -55,28 +56,30 @@
 	b.firstRequestAt = cmp.Or(b.firstRequestAt, b.now)
 }
 
-// isUp reports whether the list says that a backend is up, and no operator has disabled it.
+// isUp reports whether a backend is up in the list and not disabled by an operator.
 func (b *Balancer) isUp(id string) bool {
 	backend := b.byID[id]
 	return backend != nil && backend.State == Up
 }
 
-// inferClientRetry reports whether a request is a client's retry, by its remaining time.
+// inferClientRetry reports whether a request is a client's retry, judging by its remaining time.
 //
-// Clients give all their tries but the last one the same time, and the last one all that is left to them:
-// where most requests come with one remaining time, another one tells how long ago its client began. Where
-// callers hand down what is left of their own time, remaining times are spread about the usual one, and tell
-// nothing. So the usual one is found by majority vote (Boyer and Moore). A last try follows at least one of
-// the usual length, so those count double; one near it, as clients seldom have, starts the vote anew.
+// A client gives each of its tries the same time, except the last one, which gets all the time that the
+// client has left. If most requests arrive with one remaining time, a different remaining time shows how long
+// ago the client made its first try. Where callers pass on what is left of their own deadline, remaining
+// times are spread around the usual one and show nothing. Therefore the usual remaining time is found by
+// majority vote (Boyer and Moore). A request with the usual remaining time counts twice, because a last try
+// follows at least one such request. A remaining time close to the usual one, which clients' last tries
+// seldom have, starts the vote anew.
 //
-// Departure from the design page: it is inferred at all. It could hurt where first tries come in two lengths
-// far apart.
+// Departure from the design page: the design does not infer retries. The inference could do harm if first
+// tries come with two remaining times that are far apart.
 func (b *Balancer) inferClientRetry(class *classState, e Request) bool {
 	jitter := max(b.settings.Tick, time.Duration(remainingJitter*float64(class.Objective)), 1)
 	difference := e.Remaining - class.usualRemaining
 	distance := max(difference, -difference) / (2 * jitter)
 	switch {
-	case e.ClientRetry: // marked as one: no evidence of what first tries come with
+	case e.ClientRetry: // marked as a retry: says nothing about the remaining time of first tries
 	case distance == 0:
 		class.usualVotes = min(class.usualVotes+2, 2*confidentVotes)
 		class.usualRemaining += difference / 8
@@ -89,7 +92,7 @@
 	return distance > 0 && class.usualVotes >= confidentVotes
 }
 
-// onUploadCompleted starts the time of an uploaded request, and the work of its backend.
+// onUploadCompleted starts the time limits of an uploaded request, and its work at the backend.
 func (b *Balancer) onUploadCompleted(e UploadCompleted) {
 	request, attempt := b.findOpenAttempt(e.Request, e.Attempt)
 	if request == nil || !request.uploading {
@@ -103,8 +106,8 @@
 	b.beginWork(request, attempt)
 }
 
-// onResponseStarted rules out further attempts. Where the backend has completed its work, the success is
-// counted now.
+// onResponseStarted excludes further attempts of the request. If the backend has completed its work, the
+// success is counted now.
 func (b *Balancer) onResponseStarted(e ResponseStarted) {
 	request, attempt := b.findOpenAttempt(e.Request, e.Attempt)
 	if request == nil || request.ended {
@@ -117,13 +120,13 @@
 	}
 }
 
-// onOutcome ends an attempt, learns from it, and ends or retries its request.
+// onOutcome ends an attempt, learns from it, and retries the request or ends it.
 func (b *Balancer) onOutcome(e Outcome) {
 	request, attempt := b.findOpenAttempt(e.Request, e.Attempt)
 	if request == nil {
 		return
 	}
-	alreadyCounted := request.responseStarted && !attempt.countsInFlight // as its response began
+	alreadyCounted := request.responseStarted && !attempt.countsInFlight // counted when its response began
 	b.closeAttempt(request, attempt, e)
 	switch {
 	case e.Result == OK && alreadyCounted:
@@ -143,7 +146,7 @@
 	}
 }
 
-// recordSuccess counts a success.
+// recordSuccess counts a successful attempt.
 func (b *Balancer) recordSuccess(request *openRequest, attempt *openAttempt, e Outcome) {
 	b.observe(request, attempt, e)
 	b.retryTokens = min(retryBucketSize, b.retryTokens+successRefill)
@@ -152,7 +155,7 @@
 	}
 }
 
-// countOutcome sends what was observed to a random peer after every few outcomes.
+// countOutcome sends the recent observations to a random peer after every few outcomes.
 func (b *Balancer) countOutcome() {
 	b.outcomeCount++
 	if b.sharesObservations() && b.outcomeCount%outcomesPerMessage == 0 {
@@ -160,8 +163,8 @@
 	}
 }
 
-// finish gives a request its final answer. Nothing else does. The answer is a refusal, which lets any client
-// try again, where no attempt may have run; else a failure.
+// finish gives a request its final answer. No other function does. If no attempt may have run, the answer is
+// a refusal, after which any client may retry; otherwise it is a failure.
 func (b *Balancer) finish(request *openRequest, reason Reason) {
 	if request.ended {
 		return
@@ -182,8 +185,8 @@
 	b.closeRequest(request)
 }
 
-// retryAfter is when a refused client may try again: spread over a few times the time in which what is queued
-// and in flight now is served. Sooner, retries would meet the same load.
+// retryAfter returns when a refused client may retry: a random time of a few times the time that the requests
+// now queued and in flight take. Earlier retries would meet the same load.
 func (b *Balancer) retryAfter(request *openRequest, reason Reason) time.Duration {
 	if !b.settings.RetryAfter {
 		return 0
@@ -196,7 +199,7 @@
 	return min(time.Duration((2+2*b.rng.Float64())*rounds*latency), b.settings.MaxRetryAfter)
 }
 
-// closeRequest forgets a request once it has its final answer and its attempts have ended.
+// closeRequest ends a request, and forgets it once its attempts have ended too.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.ended = true
 	if request.queued {
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -9,7 +9,7 @@
 	"vetchhaven/decide"
 )
 
-// What an outcome lets each kind of class do: retry on another backend, or end.
+// The outcome and the class decide whether a request is retried on another backend or ends.
 func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -58,14 +58,14 @@
 	}
 }
 
-// A list that is empty at the start: requests wait, and are refused in time.
+// If the list is empty at the start, requests wait and are refused in time.
 func TestRequestIsRefusedWithoutBackend(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent, keyedZone} {
 		h := newHarness(t, testSettings(), 1, nil)
 		acts := h.request("q", class)
 		acts = append(acts, h.advance(399*ms)...)
 		if finalAnswer("q", acts) != "refuse" {
-			t.Errorf("class %d: %q, want one refusal within the aim", class, finalAnswer("q", acts))
+			t.Errorf("class %d: %q, want one refusal within the objective", class, finalAnswer("q", acts))
 		}
 	}
 	t.Run("list comes in time", func(t *testing.T) {
@@ -79,32 +79,32 @@
 	})
 }
 
-// A try whose remaining time is cut short by the client's deadline is a late one: it
-// does not wait for capacity, where a first attempt does.
+// A try whose remaining time is cut short by the client's deadline is a retry. It does not wait for capacity, as a
+// first attempt does.
 func TestClientRetryIsInferredFromRemainingTime(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(1))
 	submit := func(id string, left time.Duration) []decide.Action {
 		return h.step(decide.Request{ID: id, Class: idempotent, Remaining: left})
 	}
-	for i := range 20 { // the usual remaining time, give or take
+	for i := range 20 { // the usual remaining time, with small differences
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
 	}
 	if got := finalAnswer("first", submit("first", 899*ms)); got != "" {
-		t.Errorf("a first try without room got %q at once, want it to wait", got)
+		t.Errorf("a first try without capacity got %q at once, want it to wait", got)
 	}
 	if got := finalAnswer("late", submit("late", 700*ms)); got != "refuse" {
-		t.Errorf("a late try without room got %q, want a refusal at once", got)
+		t.Errorf("a late try without capacity got %q, want a refusal at once", got)
 	}
 }
 
-// Events about things unknown, late or repeated do nothing.
+// Events about unknown requests, timers or peers, late events and repeated events must have no effect.
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(2))
 	h.request("done", idempotent)
 	h.now += 10 * ms
 	h.outcome("done", decide.OK, 10*ms)
 	h.request("open", nonIdempotent)
-	stray := []decide.Event{
+	unknownEvents := []decide.Event{
 		decide.Outcome{Request: "never", Result: decide.Errored},
 		decide.Outcome{Request: "done", Result: decide.Errored},
 		decide.Outcome{Request: "open", Attempt: 7, Result: decide.Errored},
@@ -118,21 +118,21 @@
 		decide.Request{ID: "bad", Class: -1, Remaining: time.Second},
 		decide.Request{ID: "open", Class: idempotent, Remaining: time.Second},
 	}
-	for _, e := range stray {
+	for _, e := range unknownEvents {
 		if acts := h.step(e); len(acts) != 0 {
 			t.Errorf("%#v: %v, want no action", e, acts)
 		}
 	}
 	h.now += 10 * ms
 	if acts := h.outcome("open", decide.Errored, 10*ms); finalAnswer("open", acts) != "fail" {
-		t.Errorf("the open request: %v, want its one failure", acts)
+		t.Errorf("the open request: %v, want one failure", acts)
 	}
 	if acts := h.outcome("open", decide.Errored, 10*ms); len(acts) != 0 {
 		t.Errorf("a repeated outcome: %v, want no action", acts)
 	}
 }
 
-// An abandoned request gets nothing more, though its attempt is still counted.
+// A cancelled request must get nothing more, although its attempt still counts.
 func TestCancelledRequestIsForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(2))
 	h.request("q", idempotent)
@@ -141,11 +141,11 @@
 	acts := h.outcome("q", decide.Errored, 10*ms)
 	acts = append(acts, h.advance(3*time.Second)...)
 	if len(acts) != 0 {
-		t.Errorf("after the client left: %v", acts)
+		t.Errorf("after the client had disconnected: %v, want no action", acts)
 	}
 }
 
-// Once an answer has begun to stream the request is the client's.
+// A request must not be retried once its response has begun to reach the client.
 func TestNoRetryOnceTheResponseHasStarted(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(2))
 	h.request("q", idempotent)
@@ -154,11 +154,11 @@
 	acts := h.step(decide.Outcome{Request: "q", Backend: h.sent["q"][0], Result: decide.Reset, Answered: true})
 	acts = append(acts, h.advance(3*time.Second)...)
 	if len(acts) != 0 || len(h.sent["q"]) != 1 {
-		t.Errorf("after a broken stream: %v", acts)
+		t.Errorf("after a broken response: %v, want no action", acts)
 	}
 }
 
-// The same seed and events give the same actions.
+// The same seed and events must give the same actions.
 func TestSameSeedGivesSameActions(t *testing.T) {
 	play := func(seed uint64) (log []string) {
 		h := newHarness(t, testSettings(), seed, testBackends(6))
@@ -181,15 +181,15 @@
 	}
 }
 
-// Lost requests on satx-returns: a queued request whose timer fired while its time to give up
-// had meanwhile moved later never got another timer, and no answer.
+// A queued request must always have a timer. If its timer fired while the time at which it is shed had moved later,
+// it never got another timer, and no answer (scenario satx-returns).
 func TestQueuedRequestAlwaysHasATimer(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(1))
 	var acts []decide.Action
 	for i := range 40 {
 		acts = append(acts, h.request(fmt.Sprint("q", i), idempotent)...)
 	}
-	for range 10 { // fast answers: less time is needed for one, so the rest may wait longer
+	for range 10 { // fast answers lower the expected latency, so that the other requests may wait longer
 		h.now += ms
 		for i := range 40 {
 			if id := fmt.Sprint("q", i); len(h.sent[id]) == 1 {
@@ -202,7 +202,7 @@
 	acts = append(acts, h.advance(1900*ms)...)
 	for i := range 40 {
 		if id := fmt.Sprint("q", i); len(h.sent[id]) == 0 && finalAnswer(id, acts) == "" {
-			t.Errorf("%s was held and got no answer", id)
+			t.Errorf("%s was queued and got no answer", id)
 		}
 	}
 }
--- a/decide/result.go
+++ b/decide/result.go
@@ -7,13 +7,13 @@
 const (
 	OK            Result = iota // served
 	Errored                     // the backend returned an error; may have run
-	Rejected                    // turned away as full, unseen; never ran
+	Rejected                    // the backend was full and did not look at the request; never ran
 	TimedOut                    // no answer in time; may have run or be running
 	ConnectFailed               // no connection; never ran
 	Reset                       // the connection broke; may have run
-	Cancelled                   // withdrawn; may have run
-	NotSent                     // never sent
-	Incomplete                  // the connection broke, or time was up, before the request was sent whole; never ran
+	Cancelled                   // cancelled by the agent; may have run
+	NotSent                     // the attempt was not sent; never ran
+	Incomplete                  // the connection broke, or time ran out, before the whole request was sent; never ran
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
@@ -25,28 +25,29 @@
 	return false
 }
 
-// Reason is the limit or rule by which a request got a final answer that is not a success.
+// Reason is the limit or rule that gave a request a final answer other than success.
 type Reason uint8
 
-// The reasons of final answers that are not successes, with the name that vetchhaven_unserved_total and the
-// debug log show.
+// The reasons of final answers other than success. The quoted name is the one that vetchhaven_unserved_total
+// and the debug log show.
 const (
-	// NoCapacity ("no room"): no more may be in flight, or an agent that admits by credit has none. Also a
-	// client's retry that found no capacity at once: it does not wait.
+	// NoCapacity ("no room"): the limit of attempts in flight is reached, or an agent that admits by credit
+	// has no credit left. Also the reason for a client's retry that found no capacity at once, since such a
+	// request does not wait.
 	NoCapacity Reason = iota
-	// NoBackend ("no server"): none may get it. Each is down, ejected, in slow start without budget, has
-	// rejected as full, has this agent's share of attempts in flight, has just failed the request, or is
-	// barred by the rule on repeats.
+	// NoBackend ("no server"): no backend may get the request. Each one is down, ejected, in slow start
+	// without budget, has rejected an attempt because it is full, holds this agent's share of attempts in
+	// flight, has just failed the request, or is excluded by the rule on repeating requests.
 	NoBackend
 	// NoRetryToken ("no token"): the retry bucket is too low.
 	NoRetryToken
-	// DeadlineTooClose ("no time"): a further attempt would come too late.
+	// DeadlineTooClose ("no time"): a further attempt would start too late.
 	DeadlineTooClose
-	// NoAttemptLeft ("no attempt"): all attempts are used up, or what was sent can't be sent again.
+	// NoAttemptLeft ("no attempt"): all attempts are used up, or the part that was sent can't be sent again.
 	NoAttemptLeft
-	// NoLease ("no right"): a limit that the fleet shares, of which this agent has no lease of more now.
+	// NoLease ("no right"): this agent has no lease left of a limit that the fleet shares.
 	NoLease
-	// ReasonCount is how many there are.
+	// ReasonCount is the number of reasons.
 	ReasonCount
 )
 
@@ -59,5 +60,5 @@
 	NoLease:          "no right",
 }
 
-// String is the reason as metrics and logs have it.
+// String returns the reason as it appears in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// retry schedules the next attempt of a request after a failed one, with exponential backoff and full jitter,
-// or ends it: without enough tokens in the retry bucket, attempts or time, the request ends with its failure.
+// retry schedules the next attempt of a request after a failed one, with exponential backoff and full jitter.
+// Without enough retry tokens, attempts or time, the request ends with that failure.
 func (b *Balancer) retry(request *openRequest, result Result) {
 	cost := retryCost
 	if result == TimedOut {
@@ -35,7 +35,7 @@
 	}
 }
 
-// backoff is the wait before a request's next attempt.
+// backoff returns the wait before the next attempt of a request.
 func (b *Balancer) backoff(request *openRequest) time.Duration {
 	unit := backoffUnit * float64(b.classes[request.class].Objective)
 	ceiling := min(math.Exp2(float64(request.retries)), backoffCeiling)
@@ -49,8 +49,8 @@
 	})
 }
 
-// mayAttempt is the guard of rule 2, no duplicate execution: whether an attempt of a request may go to a
-// backend, the first one or a further one.
+// mayAttempt enforces rule 2, no duplicate execution: it reports whether an attempt of a request, the first
+// or a further one, may go to a backend.
 func (b *Balancer) mayAttempt(request *openRequest, backend *endpoint) bool {
 	if request.ended || request.responseStarted || request.notReplayable {
 		return false
@@ -71,15 +71,15 @@
 	return b.inDedupWindow(request, class) && inDedupScope(request, class, backend)
 }
 
-// inDedupWindow reports whether a repeat that starts now is still dropped. It may reach its backend a connect
-// time-out after it is sent: the window must hold then.
+// inDedupWindow reports whether backends still drop a repeat that starts now. The repeat may reach its
+// backend a connect time-out after it is sent, and the window must not have ended by then.
 func (b *Balancer) inDedupWindow(request *openRequest, class *classState) bool {
 	return b.now+b.settings.ConnectTimeout-request.firstMayHaveRun.sentAt < class.DedupWindow
 }
 
-// inDedupScope reports whether a backend drops repeats of a keyed request. The scope is that of the first
-// attempt's backend as it was then: a backend that has come to the scope since, whether it moved or is new,
-// need not know the key.
+// inDedupScope reports whether a backend drops repeats of a keyed request. The scope is that of the backend
+// of the first attempt, as listed at that time. A backend that has joined the scope since, because it moved
+// or is new, may not know the key.
 func inDedupScope(request *openRequest, class *classState, backend *endpoint) bool {
 	first := request.firstMayHaveRun
 	switch class.Scope {
