--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// A keyed request that may have run goes only to its group and within its window.
+// A keyed request that may have run may be retried only within its deduplication scope and window.
 func TestKeyedRetryStaysInDedupScope(t *testing.T) {
 	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
 	for seed := uint64(0); seed < 40; seed++ {
@@ -19,7 +19,7 @@
 			h.outcome("q", decide.Errored, 5*ms)
 			h.advance(200 * ms)
 			if s := h.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
-				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
+				t.Errorf("seed %d class %d: attempts %v leave the deduplication scope", seed, class, s)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 		h.outcome("q", decide.ConnectFailed, 400*ms)
 		h.advance(200 * ms)
 		if len(h.sent["q"]) != 2 {
-			t.Errorf("attempts %v: one that never ran should not bind the request", h.sent["q"])
+			t.Errorf("attempts %v: an attempt that never ran must not restrict the request", h.sent["q"])
 		}
 	})
 }
@@ -63,19 +63,19 @@
 	}
 }
 
-// The bucket holds 100: 20 retries at 5, or 10 after time-outs. First attempts
-// go out when it is empty; served requests bring one token each, up to the cap.
+// The bucket holds 100 tokens: 20 retries at 5, or 10 retries at 10 after time-outs. First attempts are sent even if
+// it is empty. Each successful request returns one token, up to the maximum.
 func TestRetryBucketIsChargedAndRefilled(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 2
-	// spend fails n requests and returns how many were retried. The retry is
-	// served, unless it must not refill the bucket.
+	// spend lets n requests fail and returns how many were retried. The retries fail as well, so that they do not
+	// refill the bucket.
 	spend := func(h *harness, n int, res decide.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(h.sent))
 			h.request(id, idempotent)
 			if len(h.sent[id]) != 1 {
-				t.Fatalf("first attempt of %s did not go out", id)
+				t.Fatalf("the first attempt of %s was not sent", id)
 			}
 			h.now += ms
 			h.outcome(id, res, ms)
@@ -85,40 +85,40 @@
 				h.now += ms
 				h.outcome(id, decide.Errored, ms)
 			}
-			h.advance(30 * time.Second) // lets ejections pass
+			h.advance(30 * time.Second) // ejections expire
 		}
 		return retried
 	}
 	tests := []struct {
 		name  string
 		res   decide.Result
-		serve int // between emptying and trying again
+		serve int // requests served between emptying the bucket and trying again
 		first int
 		then  int
 	}{
 		{"errors cost 5", decide.Errored, 4, 20, 0},
-		{"five served bring one back", decide.Errored, 5, 20, 1},
+		{"five successes allow one retry", decide.Errored, 5, 20, 1},
 		{"time-outs cost 10", decide.TimedOut, 9, 10, 0},
-		{"ten served bring one back after a time-out", decide.TimedOut, 10, 10, 1},
-		{"the cap holds", decide.Errored, 500, 20, 20},
+		{"ten successes allow one retry after a time-out", decide.TimedOut, 10, 10, 1},
+		{"the bucket has a maximum", decide.Errored, 500, 20, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, s, 5, testBackends(6))
 			if got := spend(h, 30, tt.res); got != tt.first {
-				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
+				t.Errorf("a full bucket allowed %d retries, want %d", got, tt.first)
 			}
 			h.serve(tt.serve, idempotent, 20*ms)
 			h.advance(30 * time.Second)
 			if got := spend(h, 30, tt.res); got != tt.then {
-				t.Errorf("then funded %d retries, want %d", got, tt.then)
+				t.Errorf("then it allowed %d retries, want %d", got, tt.then)
 			}
 		})
 	}
 }
 
-// Waits are full jitter: between 0 and a unit (a share of the objective) that doubles
-// with each retry up to a ceiling.
+// Waits have full jitter: they are between 0 and a unit (a share of the objective) that doubles with each retry up to
+// a maximum.
 func TestBackoffIsFullyJitteredAndBounded(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 7
@@ -152,7 +152,7 @@
 	}
 }
 
-// A retry whose wait would outlast the time left is not made.
+// A retry that would start after the deadline must not be sent.
 func TestNoRetryPastTheDeadline(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(4))
 	h.request("q", idempotent)
@@ -162,11 +162,11 @@
 	}
 }
 
-// A keyed retry says until when it may begin: as long as its first attempt is remembered, from when that was
-// sent. First attempts and safe requests have all the time there is, and so has one whose first attempt never
-// ran.
+// A retry of a keyed request must say by when it has to start: as long as backends drop repeats of its first attempt,
+// from the time when that was sent. First attempts, idempotent requests, and requests whose first attempt never ran
+// have no such bound.
 func TestKeyedRetryStartsWithinTheDedupWindow(t *testing.T) {
-	until := func(acts []decide.Action) (all []time.Duration) {
+	startBounds := func(acts []decide.Action) (all []time.Duration) {
 		for _, a := range acts {
 			if s, ok := a.(decide.Send); ok {
 				all = append(all, s.StartBy)
@@ -181,24 +181,24 @@
 	}{{keyedAll, decide.Errored, true}, {keyedAll, decide.Rejected, false}, {idempotent, decide.Errored, false}, {nonIdempotent, decide.Incomplete, false}} {
 		h := newHarness(t, testSettings(), 1, testBackends(4))
 		sent := h.now
-		if u := until(h.request("x", row.class)); len(u) != 1 || u[0] != 0 {
+		if u := startBounds(h.request("x", row.class)); len(u) != 1 || u[0] != 0 {
 			t.Fatalf("first attempt: %v", u)
 		}
 		h.now += 20 * ms
 		acts := append(h.outcome("x", row.result, 20*ms), h.advance(100*ms)...)
 		want := time.Duration(0)
 		if row.bound {
-			want = sent + 300*ms - 150*ms // held up for as long between the look at the clock and the write
+			want = sent + 300*ms - 150*ms // the agent may be paused for 150 ms between reading the clock and the write
 		}
-		if u := until(acts); len(u) != 1 || u[0] != want {
-			t.Errorf("class %d after %v: until %v, want %v", row.class, row.result, u, want)
+		if u := startBounds(acts); len(u) != 1 || u[0] != want {
+			t.Errorf("class %d after %v: start by %v, want %v", row.class, row.result, u, want)
 		}
 	}
 }
 
-// A repeat may have to wait for its connection, for the connect time-out at most. It must reach
-// the backend while that still remembers the first: on sockets, one sent at the window's last
-// instant could run twice if its connection had to be opened first.
+// A repeat may have to wait for its connection, at most for the connect time-out. It must reach the backend while
+// that still drops repeats of the first attempt. With real sockets, a repeat that was sent at the end of the window
+// could run twice if its connection had to be opened first.
 func TestKeyedRetryReachesTheBackendWithinTheDedupWindow(t *testing.T) {
 	for _, row := range []struct {
 		failed time.Duration
--- a/decide/rulechecker_test.go
+++ b/decide/rulechecker_test.go
@@ -7,124 +7,124 @@
 	"vetchhaven/decide"
 )
 
-// auditor checks the four rules from events and actions alone. It models no
-// backend: it only remembers what the balancer was notified and what it did.
-type auditor struct {
-	s        decide.Settings
-	now      time.Duration
-	requests map[string]*audited
-	backends map[string]*auditedBackend
-	lists    int // taken
-	banned   map[string]bool
-	lifted   map[string]time.Duration // when a ban last ended
-	faults   []string
+// ruleChecker checks the four rules of the platform from events and actions alone. It has no model of a backend; it
+// only records what the balancer was notified of and what it did.
+type ruleChecker struct {
+	s          decide.Settings
+	now        time.Duration
+	requests   map[string]*checkedRequest
+	backends   map[string]*checkedBackend
+	listCount  int // lists received
+	disabled   map[string]bool
+	enabledAt  map[string]time.Duration // when an operator last enabled the backend again
+	violations []string
 }
 
-type audited struct {
-	class    decide.Class
-	deadline time.Duration
-	sends    []auditedSend
-	ended    bool
-	upload   bool          // its last byte is still to come: it has all the time
-	spent    bool          // can't be sent again
-	left     time.Duration // when the client was notified to have left; answers of that step do no harm
-	stream   bool
+type checkedRequest struct {
+	class           decide.Class
+	deadline        time.Duration
+	sends           []checkedAttempt
+	ended           bool
+	uploading       bool          // its last byte is still to come: no deadline applies
+	notReplayable   bool          // can't be sent again
+	cancelledAt     time.Duration // when the client disconnected; an answer in the same step is allowed
+	responseStarted bool
 }
 
-type auditedSend struct {
-	backend string
-	told    decide.Backend // what the list said of it then
-	order   int            // lists taken by then
-	at      time.Duration
-	out     bool
-	risky   bool // may have run
+type checkedAttempt struct {
+	backend    string
+	listed     decide.Backend // as listed when it was sent
+	listCount  int            // lists received when it was sent
+	at         time.Duration
+	open       bool
+	mayHaveRun bool
 }
 
-type auditedBackend struct {
+type checkedBackend struct {
 	decide.Backend
-	offAt   time.Duration // when it was notified to drain or to be gone
-	started time.Duration // when it was notified to have started; 0: warm
-	sends   []time.Duration
-	zoned   int // the list that last changed its zone, or brought it
-	celled  int // the same of its cell
+	withdrawnAt time.Duration // when it was reported as draining or removed
+	started     time.Duration // the start that was last reported; 0: warm
+	sends       []time.Duration
+	zoneSetAt   int // the list that first named it or last changed its zone
+	cellSetAt   int // the list that first named it or last changed its cell
 }
 
-func newAuditor(s decide.Settings) *auditor {
-	return &auditor{s: s, banned: map[string]bool{}, lifted: map[string]time.Duration{}, requests: map[string]*audited{}, backends: map[string]*auditedBackend{}}
+func newRuleChecker(s decide.Settings) *ruleChecker {
+	return &ruleChecker{s: s, disabled: map[string]bool{}, enabledAt: map[string]time.Duration{}, requests: map[string]*checkedRequest{}, backends: map[string]*checkedBackend{}}
 }
 
-func (a *auditor) fault(format string, args ...any) {
-	a.faults = append(a.faults, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
+func (a *ruleChecker) report(format string, args ...any) {
+	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
-func (a *auditor) event(e decide.Event) {
+func (a *ruleChecker) event(e decide.Event) {
 	switch e := e.(type) {
 	case decide.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Remaining, upload: e.Upload}
+			a.requests[e.ID] = &checkedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.Remaining, uploading: e.Upload}
 		}
 	case decide.Outcome:
 		r := a.requests[e.Request]
-		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].out {
+		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].open {
 			return
 		}
-		r.sends[e.Attempt].out = false
-		r.spent = r.spent || e.NotReplayable
-		r.sends[e.Attempt].risky = !e.Result.NeverRan()
+		r.sends[e.Attempt].open = false
+		r.notReplayable = r.notReplayable || e.NotReplayable
+		r.sends[e.Attempt].mayHaveRun = !e.Result.NeverRan()
 		r.ended = r.ended || e.Answered
 	case decide.UploadCompleted:
-		if r := a.requests[e.Request]; r != nil && r.upload && e.Attempt < len(r.sends) && r.sends[e.Attempt].out {
-			r.upload, r.deadline, r.sends[e.Attempt].at = false, a.now+e.Remaining, a.now
+		if r := a.requests[e.Request]; r != nil && r.uploading && e.Attempt < len(r.sends) && r.sends[e.Attempt].open {
+			r.uploading, r.deadline, r.sends[e.Attempt].at = false, a.now+e.Remaining, a.now
 		}
 	case decide.ResponseStarted:
 		if r := a.requests[e.Request]; r != nil {
-			r.stream = true
+			r.responseStarted = true
 		}
 	case decide.RequestCancelled:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
-			r.ended, r.left = true, a.now
+			r.ended, r.cancelledAt = true, a.now
 		}
 	case decide.BackendDisabled:
-		if a.banned[e.Backend] && !e.Disabled {
-			a.lifted[e.Backend] = a.now
+		if a.disabled[e.Backend] && !e.Disabled {
+			a.enabledAt[e.Backend] = a.now
 			if b := a.backends[e.Backend]; b != nil {
 				b.started, b.sends = a.now, nil
 			}
 		}
-		a.banned[e.Backend] = e.Disabled
+		a.disabled[e.Backend] = e.Disabled
 	case decide.ListUpdate:
 		if e.Kind == decide.ListFailed {
 			return
 		}
-		a.lists++
+		a.listCount++
 		listed := map[string]bool{}
 		for _, n := range e.Backends {
 			listed[n.ID] = true
 			b := a.backends[n.ID]
 			if b == nil {
-				b = &auditedBackend{zoned: a.lists, celled: a.lists, started: a.lifted[n.ID]}
+				b = &checkedBackend{zoneSetAt: a.listCount, cellSetAt: a.listCount, started: a.enabledAt[n.ID]}
 				a.backends[n.ID] = b
 			}
 			if b.Zone != n.Zone {
-				b.zoned = a.lists
+				b.zoneSetAt = a.listCount
 			}
 			if b.Cell != n.Cell {
-				b.celled = a.lists
+				b.cellSetAt = a.listCount
 			}
 			if n.Started > b.Started {
 				b.started, b.sends = max(n.Started, b.started), nil
 			}
 			if n.State == decide.Up {
-				b.offAt = 0
-			} else if b.Backend.State == decide.Up || b.offAt == 0 {
-				b.offAt = a.now
+				b.withdrawnAt = 0
+			} else if b.Backend.State == decide.Up || b.withdrawnAt == 0 {
+				b.withdrawnAt = a.now
 			}
 			b.Backend = n
 		}
 		if e.Kind != decide.ListDelta {
 			for id, b := range a.backends {
-				if !listed[id] && b.offAt == 0 {
-					b.offAt = a.now
+				if !listed[id] && b.withdrawnAt == 0 {
+					b.withdrawnAt = a.now
 					b.State = decide.Removed
 				}
 			}
@@ -132,7 +132,7 @@
 	}
 }
 
-func (a *auditor) action(act decide.Action) {
+func (a *ruleChecker) action(act decide.Action) {
 	switch act := act.(type) {
 	case decide.Send:
 		a.send(act)
@@ -142,101 +142,101 @@
 			return
 		}
 		for _, s := range r.sends {
-			free := r.class.Effect == decide.Idempotent ||
+			repeatable := r.class.Effect == decide.Idempotent ||
 				r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeAll
-			if (s.risky || s.out) && !free {
-				a.fault("%s refused though an attempt may have run", act.Request)
+			if (s.mayHaveRun || s.open) && !repeatable {
+				a.report("%s refused though an attempt may have run", act.Request)
 			}
 		}
 	case decide.Fail:
 		a.final(act.Request)
 	case decide.SetTimer:
 		if act.After < 0 {
-			a.fault("a timer in the past: %v", act.After)
+			a.report("a timer in the past: %v", act.After)
 		}
 	case decide.SendToPeer:
 		if !a.s.Peers || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
-			a.fault("%d bytes to peer %d", len(act.Data), act.To)
+			a.report("forbidden message of %d bytes to peer %d", len(act.Data), act.To)
 		}
 	}
 }
 
-func (a *auditor) final(id string) *audited {
+func (a *ruleChecker) final(id string) *checkedRequest {
 	r := a.requests[id]
 	switch {
 	case r == nil:
-		a.fault("answer for the unknown request %s", id)
+		a.report("answer to the unknown request %s", id)
 		return nil
-	case r.ended && r.left != a.now:
-		a.fault("%s answered twice", id)
-	case a.now > r.deadline+a.s.AnswerGrace && !r.stream && !r.upload:
-		a.fault("%s answered late", id)
+	case r.ended && r.cancelledAt != a.now:
+		a.report("%s answered twice", id)
+	case a.now > r.deadline+a.s.AnswerGrace && !r.responseStarted && !r.uploading:
+		a.report("%s answered late", id)
 	}
-	r.ended, r.left = true, 0
+	r.ended, r.cancelledAt = true, 0
 	return r
 }
 
-func (a *auditor) send(act decide.Send) {
+func (a *ruleChecker) send(act decide.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
-		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
+		a.report("send of %q to %q, one of which is unknown", act.Request, act.Backend)
 		return
 	}
-	if r.ended && r.left != a.now {
-		a.fault("%s sent after its end", act.Request)
+	if r.ended && r.cancelledAt != a.now {
+		a.report("%s sent after its final answer", act.Request)
 	}
-	if r.spent || r.stream {
-		a.fault("%s sent again, though it is spent or its answer has begun", act.Request)
+	if r.notReplayable || r.responseStarted {
+		a.report("%s sent again, though it is not replayable or its response has started", act.Request)
 	}
 	if len(r.sends) >= max(1, a.s.MaxAttempts) {
-		a.fault("%s sent past the attempt limit", act.Request)
+		a.report("%s sent past the attempt limit", act.Request)
 	}
-	if a.banned[act.Backend] {
-		a.fault("%s sent to %s, which is out by hand", act.Request, act.Backend)
+	if a.disabled[act.Backend] {
+		a.report("%s sent to %s, which an operator has disabled", act.Request, act.Backend)
 	}
-	if b.offAt > 0 && a.now > b.offAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.offAt)
+	if b.withdrawnAt > 0 && a.now > b.withdrawnAt+a.s.DrainGrace {
+		a.report("%s sent to %s, which has been draining or removed for %v", act.Request, act.Backend, a.now-b.withdrawnAt)
 	}
-	var anchor *auditedSend
+	var firstMayHaveRun *checkedAttempt
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !a.s.Hedging {
-			a.fault("%s has two attempts out", act.Request)
+		if s.open && !a.s.Hedging {
+			a.report("%s has two open attempts", act.Request)
 		}
-		if anchor == nil && (s.out || s.risky) {
-			anchor = s
+		if firstMayHaveRun == nil && (s.open || s.mayHaveRun) {
+			firstMayHaveRun = s
 		}
 	}
-	if anchor != nil {
-		from := anchor.told // a later list may have moved it, and others
+	if firstMayHaveRun != nil {
+		from := firstMayHaveRun.listed // a later list may have changed this and other backends
 		switch {
 		case r.class.Effect == decide.NonIdempotent:
-			a.fault("%s is unsafe and may have run, sent again", act.Request)
-		case r.class.Effect == decide.Keyed && a.now-anchor.at > r.class.DedupWindow:
-			a.fault("%s sent again after its window", act.Request)
+			a.report("%s is non-idempotent and may have run, but is sent again", act.Request)
+		case r.class.Effect == decide.Keyed && a.now-firstMayHaveRun.at > r.class.DedupWindow:
+			a.report("%s sent again after its deduplication window", act.Request)
 		case r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeZone && from.Zone != b.Zone,
 			r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeCell && from.Cell != b.Cell:
-			a.fault("%s sent again outside its group", act.Request)
-		case r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeZone && b.zoned > anchor.order,
-			r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeCell && b.celled > anchor.order:
-			a.fault("%s sent again to %s, which has come to the group since", act.Request, act.Backend)
+			a.report("%s sent again outside its deduplication scope", act.Request)
+		case r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeZone && b.zoneSetAt > firstMayHaveRun.listCount,
+			r.class.Effect == decide.Keyed && r.class.Scope == decide.ScopeCell && b.cellSetAt > firstMayHaveRun.listCount:
+			a.report("%s sent again to %s, which has joined the deduplication scope since", act.Request, act.Backend)
 		}
 	}
-	r.sends = append(r.sends, auditedSend{backend: act.Backend, told: b.Backend, order: a.lists, at: a.now, out: true})
+	r.sends = append(r.sends, checkedAttempt{backend: act.Backend, listed: b.Backend, listCount: a.listCount, at: a.now, open: true})
 	b.sends = append(b.sends, a.now)
-	a.cold(b)
+	a.checkSlowStart(b)
 }
 
-// cold checks this agent's part of a backend in slow start's load. What a backend can do
-// is not told; what the busiest warm one was sent in the same span bounds what
-// a balancer may hold to be its own measure, and the stated multiple of the
-// cold share of that, with the slack of a few light requests, bounds the one in slow start.
-func (a *auditor) cold(b *auditedBackend) {
+// checkSlowStart checks the load that this agent sends to a backend in slow start. The capacity of backends is not
+// known. The number of attempts that the busiest warm backend got in three times the span bounds what the balancer
+// may have measured. A backend in slow start may get the overload multiple of its capacity share of that number, plus
+// a slack of a few light requests.
+func (a *ruleChecker) checkSlowStart(b *checkedBackend) {
 	if b.started == 0 || a.now-b.started >= a.s.SlowStartTime || a.s.SlowStartTime == 0 {
 		return
 	}
 	span := max(a.s.OverloadWindow, 1)
-	count := func(b *auditedBackend, span time.Duration) (n int) {
+	count := func(b *checkedBackend, span time.Duration) (n int) {
 		for _, at := range b.sends {
 			if a.now-at < span {
 				n++
@@ -248,27 +248,27 @@
 	for _, o := range a.backends {
 		if o != b && (o.started == 0 || a.now-o.started >= a.s.SlowStartTime) {
 			most = max(most, count(o, 3*span))
-			up = up || o.offAt == 0 && !a.banned[o.ID]
+			up = up || o.withdrawnAt == 0 && !a.disabled[o.ID]
 		}
 	}
-	if most == 0 { // nothing to measure by: the least that may be in flight per backend stands in
+	if most == 0 { // nothing was measured: use the lowest in-flight limit per backend
 		most = 4
 	}
-	if !up { // by all agents together, for a mean latency each
+	if !up { // all agents together may send that many per mean latency
 		most = max(most, int(4*span/(100*ms))/a.s.Balancers)
 	}
-	warmth := a.s.SlowStartShare + (1-a.s.SlowStartShare)*max(0, float64(a.now-b.started)/float64(a.s.SlowStartTime))
-	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth*float64(most)+3 {
-		a.fault("%s is cold (%v) and got %d sends in %v, the busiest warm one %d in three times that",
+	capacityShare := a.s.SlowStartShare + (1-a.s.SlowStartShare)*max(0, float64(a.now-b.started)/float64(a.s.SlowStartTime))
+	if got := count(b, span); float64(got) > a.s.OverloadMultiple*capacityShare*float64(most)+3 {
+		a.report("%s is in slow start (%v) and got %d sends in %v, the busiest warm backend %d in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
 }
 
-// overdue checks that nothing accepted is without its answer past its time.
-func (a *auditor) overdue() {
+// checkUnanswered checks that no accepted request is still unanswered after its deadline.
+func (a *ruleChecker) checkUnanswered() {
 	for id, r := range a.requests {
-		if !r.ended && !r.stream && !(r.upload && len(r.sends) > 0) && a.now > r.deadline+a.s.AnswerGrace {
-			a.fault("%s got no answer in time", id)
+		if !r.ended && !r.responseStarted && !(r.uploading && len(r.sends) > 0) && a.now > r.deadline+a.s.AnswerGrace {
+			a.report("%s got no answer in time", id)
 			r.ended = true
 		}
 	}
--- a/decide/sampling_test.go
+++ b/decide/sampling_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// variedBalancer is a balancer that knows many backends of all sorts: slow and fast, busy, ejected, draining,
-// in another zone.
+// variedBalancer returns a balancer with many different backends: slow, fast, busy, ejected, draining, and in another
+// zone.
 func variedBalancer(t *testing.T, n int) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CrossZonePrice: 0.03, Classes: []Class{
@@ -39,7 +39,7 @@
 	return b
 }
 
-// Drawing gives the same distribution of choices as looking at all.
+// Sampling must give the same distribution of choices as scanning all backends.
 func TestSampleIdleChoosesAsScanAll(t *testing.T) {
 	const n, draws = 200, 100_000
 	b := variedBalancer(t, n)
@@ -55,19 +55,20 @@
 		}
 	}
 	if none > draws/20 {
-		t.Errorf("%d of %d draws find nothing", none, draws)
+		t.Errorf("%d of %d draws found no backend", none, draws)
 	}
 	got := float64(draws - none)
 	for _, s := range b.backends {
 		p, q := scanned[s.ID]/draws, sampled[s.ID]/got
-		// The difference of two shares has about this deviation; 200 of them stay within five.
+		// This is the standard deviation of the difference of the two shares. All 200 differences must stay within
+		// five of them.
 		if d := math.Sqrt(p*(1-p)/draws + q*(1-q)/got); math.Abs(p-q) > 5*d+1e-5 {
-			t.Errorf("%s: %.5f of the choices by scanning, %.5f by drawing", s.ID, p, q)
+			t.Errorf("%s: %.5f of the choices by scanning, %.5f by sampling", s.ID, p, q)
 		}
 	}
 }
 
-// What the last measure found holds only while nothing has changed: each of these must be seen.
+// The computed capacity is reused only while nothing has changed: each of these changes must be noticed.
 func TestCapacityFollowsEachChange(t *testing.T) {
 	plain := func() (*Balancer, *endpoint) {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: time.Minute, SlowStartShare: 0.5, Classes: []Class{
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Effect says what repeating a request does.
+// Effect says whether a request may be repeated.
 type Effect uint8
 
-// The effects of repeating a request.
+// The effects of requests.
 const (
-	Idempotent    Effect = iota // may be repeated and refused at will
-	Keyed                       // carries an idempotency key: backends of one scope drop a repeat within a window
-	NonIdempotent               // may be repeated only when no attempt can have run
+	Idempotent    Effect = iota // may be repeated and refused at any time
+	Keyed                       // carries an idempotency key: the backends of its scope drop repeats within a window
+	NonIdempotent               // may be repeated only if no attempt can have run
 )
 
 // DedupScope says which backends drop repeats of a keyed request.
@@ -28,74 +28,74 @@
 // Class describes one class of requests.
 type Class struct {
 	Objective   time.Duration // latency objective: an answer within it earns the full value
-	Deadline    time.Duration // the time a client waits, over all its tries
+	Deadline    time.Duration // how long a client waits, all its tries included
 	Value       float64       // priority weight of a request (or of a unit of work, see Settings.ByWork)
-	LateValue   float64       // share of the value earned between objective and deadline
+	LateValue   float64       // share of the value that an answer between objective and deadline earns
 	Effect      Effect
-	Scope       DedupScope    // for Keyed
-	DedupWindow time.Duration // for Keyed: how long a repeat is dropped after the first send
+	Scope       DedupScope    // only for Keyed
+	DedupWindow time.Duration // only for Keyed: how long after the first send a repeat is dropped
 }
 
-// Settings are fixed for the life of a Balancer. The zero value of a field that may be absent means what its
-// comment says; the zero value of a price, a goal or a span switches off what rests on it. What agents may do
-// at a site (MayProbe, MayCancel, RetryAfter and their bounds) is part of the interface though the present
-// module asks for none of it.
+// Settings are fixed for the life of a Balancer. Where a field may be left out, its comment says what its
+// zero value means. A price, a goal or a duration of zero switches off the function that uses it. MayProbe,
+// MayCancel, RetryAfter and its bound say what agents may do at a site. Probe and Cancel are part of the
+// interface, but this package does not return them.
 type Settings struct {
-	Balancers int // agents that share these backends, this one included; at least 1
-	Self      int // this agent's number, from 0
+	Balancers int // number of agents that share these backends, this one included; at least 1
+	Self      int // this agent's number, counted from 0
 	Zone      int // this agent's zone
 	Classes   []Class
-	ByWork    bool          // value counts per unit of work, not per request
-	Subscribe bool          // the list must be asked for; else it is pushed
-	Tick      time.Duration // shortest gap between two steps; 0: none
+	ByWork    bool          // Value counts per unit of work instead of per request
+	Subscribe bool          // the agent must subscribe to the list; otherwise the list is pushed
+	Tick      time.Duration // shortest time between two steps; 0: no minimum
 
-	MaxAttempts    int           // attempts one request may get; 0: 1
-	Hedging        bool          // two attempts of one request may be open together
+	MaxAttempts    int           // most attempts for one request; 0: 1
+	Hedging        bool          // two attempts of one request may be open at once
 	MayProbe       bool          // Probe actions are allowed
 	MayCancel      bool          // Cancel actions are allowed
 	Peers          bool          // SendToPeer actions are allowed
-	RetryAfter     bool          // clients are shown Refuse.RetryAfter
-	MaxRetryAfter  time.Duration // the longest wait that a client heeds
-	ConnectTimeout time.Duration // a connection not made in this time fails
+	RetryAfter     bool          // clients see Refuse.RetryAfter
+	MaxRetryAfter  time.Duration // longest Retry-After that clients respect
+	ConnectTimeout time.Duration // after this time without a connection an attempt fails
 
-	DrainGrace       time.Duration // how long sends to a draining backend are still tolerated
+	DrainGrace       time.Duration // how long a draining backend still tolerates new sends
 	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
-	SubscribeWithin  time.Duration // Subscribe: ask at least this often while not subscribed
-	SlowStartShare   float64       // a backend starts at this share of its capacity or more; 0: 1
-	SlowStartTime    time.Duration // and has all of it no later than this after its start
-	OverloadMultiple float64       // one in slow start sent more than this multiple of its capacity ...
-	OverloadWindow   time.Duration // ... over this span collapses
+	SubscribeWithin  time.Duration // with Subscribe: longest time between two attempts to subscribe
+	SlowStartShare   float64       // least share of its capacity that a backend starts with; 0: 1
+	SlowStartTime    time.Duration // time after its start by which it has its full capacity
+	OverloadMultiple float64       // a backend in slow start collapses above this multiple of its capacity
+	OverloadWindow   time.Duration // time over which that load is measured
 
-	// GoalWhole, GoalWindow and GoalClass are what the operator weighs: all of the time, the worst span, the
-	// worst class.
+	// GoalWhole, GoalWindow and GoalClass are the operator's weights for the result over the whole time, in
+	// the worst time window, and for the worst class.
 	GoalWhole      float64
 	GoalWindow     float64
 	GoalClass      float64
-	CrossZonePrice float64 // what crossing zones costs, as a share of the result
+	CrossZonePrice float64 // cost of crossing zones, as a share of the result
 }
 
-// settingError names a setting that makes no sense.
+// settingError names an invalid setting.
 type settingError struct {
 	field string
 	value any
 }
 
 func (e *settingError) Error() string {
-	return fmt.Sprintf("decide: settings: %s: %v makes no sense", e.field, e.value)
+	return fmt.Sprintf("decide: settings: %s: %v is not a valid value", e.field, e.value)
 }
 
-// check names the first setting that makes no sense; nil: all do.
+// check returns an error that names the first invalid setting, or nil.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Classes) == 0:
 		return &settingError{"Classes", "none"}
 	case s.Balancers < 1:
 		return &settingError{"Balancers", s.Balancers}
-	case s.Self < 0 || s.Peers && s.Self >= s.Balancers: // else it only has to differ from the others'
+	case s.Self < 0 || s.Peers && s.Self >= s.Balancers: // without Peers, Self only has to differ between agents
 		return &settingError{"Self", s.Self}
 	case s.MaxAttempts < 0:
 		return &settingError{"MaxAttempts", s.MaxAttempts}
-	case !(s.SlowStartShare >= 0 && s.SlowStartShare <= 1): // NaN as well
+	case !(s.SlowStartShare >= 0 && s.SlowStartShare <= 1): // the negation also rejects NaN
 		return &settingError{"SlowStartShare", s.SlowStartShare}
 	case !(s.OverloadMultiple >= 0):
 		return &settingError{"OverloadMultiple", s.OverloadMultiple}
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkSpans names the first span that is negative.
+// checkSpans returns an error that names the first negative duration, or nil.
 func (s *Settings) checkSpans() error {
 	spans := []struct {
 		field string
@@ -136,24 +136,24 @@
 	return nil
 }
 
-// check names the first field of a class that makes no sense.
+// check returns an error that names the first invalid field of a class, or nil.
 func (c *Class) check(index int) error {
-	wrong := func(field string, value any) error {
+	invalid := func(field string, value any) error {
 		return &settingError{fmt.Sprintf("Classes[%d].%s", index, field), value}
 	}
 	switch {
 	case c.Objective <= 0:
-		return wrong("Objective", c.Objective)
+		return invalid("Objective", c.Objective)
 	case c.Deadline <= 0:
-		return wrong("Deadline", c.Deadline)
+		return invalid("Deadline", c.Deadline)
 	case !(c.Value >= 0):
-		return wrong("Value", c.Value)
+		return invalid("Value", c.Value)
 	case c.Effect > NonIdempotent:
-		return wrong("Effect", c.Effect)
+		return invalid("Effect", c.Effect)
 	case c.Scope > ScopeCell:
-		return wrong("Scope", c.Scope)
+		return invalid("Scope", c.Scope)
 	case c.DedupWindow < 0:
-		return wrong("DedupWindow", c.DedupWindow)
+		return invalid("DedupWindow", c.DedupWindow)
 	}
 	return nil
 }
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/decide"
 )
 
-func TestSettingsThatMakeNoSenseAreRejected(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	tests := []struct {
 		name string
 		edit func(*decide.Settings)
@@ -19,10 +19,10 @@
 		{"negative number", func(s *decide.Settings) { s.Self = -1 }, "Self: -1"},
 		{"attempt limit below zero", func(s *decide.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
 		{"drain grace below zero", func(s *decide.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
-		{"cold share above one", func(s *decide.Settings) { s.SlowStartShare = 1.5 }, "SlowStartShare: 1.5"},
+		{"slow-start share above one", func(s *decide.Settings) { s.SlowStartShare = 1.5 }, "SlowStartShare: 1.5"},
 		{"unknown effect", func(s *decide.Settings) { s.Classes[2].Effect = 9 }, "Classes[2].Effect: 9"},
-		{"unknown group", func(s *decide.Settings) { s.Classes[1].Scope = 7 }, "Classes[1].Scope: 7"},
-		{"no aim", func(s *decide.Settings) { s.Classes[0].Objective = 0 }, "Classes[0].Objective: 0s"},
+		{"unknown scope", func(s *decide.Settings) { s.Classes[1].Scope = 7 }, "Classes[1].Scope: 7"},
+		{"no objective", func(s *decide.Settings) { s.Classes[0].Objective = 0 }, "Classes[0].Objective: 0s"},
 		{"window below zero", func(s *decide.Settings) { s.Classes[3].DedupWindow = -ms }, "Classes[3].DedupWindow: -1ms"},
 	}
 	for _, tt := range tests {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// beginSlowStart notes that a backend's process started at a time that was learned now. Its budget begins at
-// a random part of a request below zero: each of many agents may send it one at once, and together these
-// would overload it.
+// beginSlowStart records that a backend's process started at the given time. The budget starts at a random
+// fraction of a request below zero: otherwise each of many agents could send the backend one request at once,
+// and together they would overload it.
 func (b *Balancer) beginSlowStart(backend *endpoint, at time.Duration) {
 	backend.slowStartFrom = at
 	backend.inSlowStart = true
@@ -19,8 +19,8 @@
 	b.partitionValid = false
 }
 
-// capacityShare is the share of its full capacity that a backend certainly has by now: 1 once its slow start
-// is over.
+// capacityShare returns the share of its full capacity that a backend has for certain by now: 1 once its slow
+// start is over.
 func (b *Balancer) capacityShare(backend *endpoint) float64 {
 	age := b.now - backend.slowStartFrom
 	backend.inSlowStart = backend.inSlowStart && age < b.settings.SlowStartTime
@@ -31,14 +31,15 @@
 	return first + (1-first)*max(0, float64(age)/float64(b.settings.SlowStartTime))
 }
 
-// slowStartAllows reports whether a backend in slow start may get a request. It is the guard of the fourth
-// rule: no endpoint in slow start is overloaded by all agents together.
+// slowStartAllows reports whether a backend in slow start may get a request. It enforces rule 4: all agents
+// together do not overload a backend in slow start.
 //
-// No agent sends it more than a warm backend of its kind serves for this agent, times the share of capacity,
-// times the stated multiple, or its root where agents are fewer than backends. All agents stay under the
-// multiple together, however many they are: see docs/design/many-agents.md. Where none is warm, each backend
-// gets its share of the least that may be in flight, or none would serve until the slow start is over: a
-// fleet that restarts as a whole. It could hurt where that, a few at once, is too much.
+// Each agent sends the backend at most the work that a warm backend of its kind serves for this agent, times
+// the share of capacity, times the overload multiple, or its square root if there are no more agents than
+// backends. All agents together then stay below the multiple, however many they are: see
+// docs/design/many-agents.md. If no backend is warm, as after a restart of the whole fleet, each backend gets
+// its share of the lowest in-flight limit; otherwise no backend would serve until the end of its slow start.
+// This could do harm if that share, a few requests at once, is already too much.
 func (b *Balancer) slowStartAllows(backend *endpoint, request *openRequest) bool {
 	share := b.capacityShare(backend)
 	if !backend.inSlowStart {
@@ -59,10 +60,11 @@
 	return backend.slowStartBudget > 0 && b.expectedLatency(request) <= largest
 }
 
-// warmServiceRate is what a warm backend of this kind, or of any where its kind has none, lately served for
-// this agent, in mean requests of the first class a nanosecond. It is taken over about one slow start: in the
-// overload after the loss of many they serve less, and those in slow start would be spared just then. A new
-// agent goes by the time it has.
+// warmServiceRate returns the work that a warm backend of this kind recently served for this agent, in mean
+// requests of the first class per nanosecond. If the kind has no warm backend, all kinds count. The mean
+// covers about one slow start: in the overload after the loss of many backends the warm ones serve less for a
+// while, and a shorter mean would give the backends in slow start too little just then. A new agent uses the
+// time that it has observed so far.
 func (b *Balancer) warmServiceRate(backend *endpoint) float64 {
 	span := float64(b.settings.SlowStartTime + 1)
 	kind := b.kind(backend)
@@ -74,13 +76,13 @@
 	return b.decayedWork(kind) / span / observed
 }
 
-// addServedWork adds an answer to the served work of a kind. It counts over those that are warm now: what
-// many served is not for the few that stay.
+// addServedWork adds an answer to the served work of a kind. The work is divided by the number of backends
+// that are warm now: what many backends served must not be attributed to the few that remain.
 func (b *Balancer) addServedWork(kind *kindState, workUnits float64) {
 	kind.servedWork = b.decayedWork(kind) + workUnits/float64(max(kind.warmCount, 1))
 }
 
-// decayedWork is the served work of a kind as it counts now.
+// decayedWork returns the served work of a kind, decayed to the present.
 func (b *Balancer) decayedWork(kind *kindState) float64 {
 	elapsed := float64(b.now - kind.servedWorkAt)
 	kind.servedWork *= math.Exp(-elapsed / float64(b.settings.SlowStartTime+1))
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -8,26 +8,26 @@
 	"vetchhaven/decide"
 )
 
-// A backend in slow start gets no more than its share of capacity times what a warm one serves.
+// A backend in slow start must get at most its share of capacity times what a warm one serves.
 func TestSlowStartShareOfTraffic(t *testing.T) {
 	list := testBackends(5)
-	list[0].Started = time.Hour // the harness's clock starts here
+	list[0].Started = time.Hour // the start of the harness's clock
 	h := newHarness(t, testSettings(), 9, list)
-	counts := h.serve(200, idempotent, 20*ms) // the first 4 s of 10: share of capacity 0.2 to 0.52
+	counts := h.serve(200, idempotent, 20*ms) // the first 4 s of 10: the share of capacity rises from 0.2 to 0.52
 	if warm := (200 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
-		t.Errorf("the cold backend got %d against %d for a warm one", counts["a"], warm)
+		t.Errorf("the backend in slow start got %d, a warm one %d", counts["a"], warm)
 	}
 	if counts["a"] == 0 {
-		t.Error("the cold backend got nothing")
+		t.Error("the backend in slow start got nothing")
 	}
 	h.advance(10 * time.Second)
 	if n := h.serve(200, idempotent, 20*ms)["a"]; n < 25 {
-		t.Errorf("once warm it got %d of 200", n)
+		t.Errorf("after its slow start it got %d of 200", n)
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a backend in slow start gets more than its sure share of
-// what a warm one serves, and stays well below the stated multiple of it.
+// Under overload a backend in slow start must get more than its certain share of what a warm one serves, and stay
+// well below the overload multiple of that share (incidents i37feae and i28e3f7).
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := testBackends(5)
 	h := newHarness(t, testSettings(), 9, list)
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	drive := func(n int) { // each 5 ms: all answers of the one in slow start, one of the others, two requests
+	drive := func(n int) { // each 5 ms: all answers of the backend in slow start, one of the others, two requests
 		for range n {
 			h.advance(5 * ms)
 			was := out
@@ -72,15 +72,15 @@
 	list[0].Started = h.now
 	h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: list[:1]})
 	clear(counts)
-	drive(400) // two seconds: share of capacity 0.2 to 0.36, 0.28 in the mean
+	drive(400) // two seconds: the share of capacity rises from 0.2 to 0.36, 0.28 on average
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
 	share := counts["a"] / warm
 	if share < 0.5 || share > 0.28*2.5 {
-		t.Errorf("the cold backend served %.2f of a warm one's work", share)
+		t.Errorf("the backend in slow start served %.2f of a warm one's work", share)
 	}
 }
 
-// A heavy request alone could overload a backend in slow start.
+// A backend in slow start must get no heavy request, because a single one could overload it.
 func TestSlowStartGetsNoHeavyRequest(t *testing.T) {
 	list := testBackends(3)
 	r := newHarness(t, testSettings(), 9, list)
@@ -99,7 +99,7 @@
 		send(fmt.Sprint("l", i), 20*ms)
 		if h := fmt.Sprint("h", i); i%10 == 0 {
 			if send(h, 300*ms); r.sent[h][0] == "cold" {
-				t.Fatalf("heavy request %d went to the cold backend", i)
+				t.Fatalf("heavy request %d went to the backend in slow start", i)
 			}
 		}
 		if r.sent[fmt.Sprint("l", i)][0] == "cold" {
@@ -107,11 +107,11 @@
 		}
 	}
 	if got == 0 {
-		t.Error("the cold backend got no light request either")
+		t.Error("the backend in slow start got no light request either")
 	}
 }
 
-// A backend that comes back before the list says so counts as in slow start.
+// A backend that is reachable again before the list reports its start must count as in slow start.
 func TestBackendThatComesBackIsInSlowStart(t *testing.T) {
 	h := newHarness(t, testSettings(), 3, testBackends(3))
 	h.serve(60, idempotent, 20*ms)
@@ -137,12 +137,12 @@
 		}
 	}
 	if seen == 0 || seen > 35 {
-		t.Errorf("after its return it got %d of 200, want a cold backend's share", seen)
+		t.Errorf("after its return it got %d of 200, want the share of a backend in slow start", seen)
 	}
 }
 
-// Dallas rules-3: each of 150 agents sent a server in slow start one request at once, and together they
-// overloaded it. Only a part of them may do so right after its start.
+// Only some of many agents may send a request to a server right after its start. Each of 150 agents sent a server in
+// slow start one request at once, and together they overloaded it (scenario dallas rules-3).
 func TestManyBalancersSpareABackendInSlowStart(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
--- a/decide/state.go
+++ b/decide/state.go
@@ -8,189 +8,189 @@
 	"vetchhaven/decide/quota"
 )
 
-// The records that a balancer keeps, and look-ups in them. Nothing is decided here.
+// This file holds a balancer's state and the look-ups in it. It makes no decisions.
 
-// Balancer decides for one agent. See the package comment for its use.
+// Balancer makes the decisions of one agent. See the package comment for how to use it.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
 	now      time.Duration
-	actions  []Action // of the present step
+	actions  []Action // returned by the current step
 
 	// Backends.
-	backends         []*endpoint // by rank, this agent's own order
+	backends         []*endpoint // sorted by rank, an order that differs between agents
 	byID             map[string]*endpoint
 	byHash           map[uint32]*endpoint
-	listVersion      int                       // counts the lists taken, and the backends enabled by hand
-	disabledByHand   map[string]time.Duration  // when an operator enabled it again, or stillDisabled
-	restoredSlowness map[string]LearnedBackend // by ID, until first listed
+	listVersion      int                       // incremented by each list, and each time an operator enables a backend
+	disabledByHand   map[string]time.Duration  // time at which an operator enabled it again, or stillDisabled
+	restoredSlowness map[string]LearnedBackend // by ID, until the backend is first listed
 
 	// Requests and timers.
 	requests       map[string]*openRequest
 	queue          []*openRequest // waiting for capacity, the oldest first
 	requestTimers  map[int64]*openRequest
-	overdueTimers  map[int64]*openAttempt // by the token of the timer that finds them overdue
+	overdueTimers  map[int64]*openAttempt // by the token of the timer that checks whether the attempt is overdue
 	lastTimerToken int64
 
-	// Capacity, as updateCapacity last summed it up.
-	partitionValid    bool        // settledCount and unsettled are as the backends stand
-	settledCount      int         // backends that are up, warm and healthy
-	unsettled         []*endpoint // the others
-	upCount           int         // backends that the list says are up
-	healthyCount      int         // of those out of slow start, the reachable ones
-	capacity          float64     // healthy backends, each counted by its share of full capacity
+	// Capacity, as last computed by updateCapacity.
+	partitionValid    bool        // settledCount and unsettled are up to date
+	settledCount      int         // backends that are up, not in slow start, and healthy
+	unsettled         []*endpoint // all other backends
+	upCount           int         // backends that are up according to the list
+	healthyCount      int         // of those, backends that are reachable and not in slow start
+	capacity          float64     // sum of the capacity shares of the backends that are up, reachable and not ejected
 	inFlight          int         // attempts in flight
-	inFlightUncounted int         // of these, on backends that are not counted in capacity
+	inFlightUncounted int         // of these, attempts on backends that are not counted in capacity
 	kinds             []*kindState
 
 	// Admission.
-	retryTokens     float64 // in the retry bucket
-	limitPerBackend float64 // attempts that all agents may have in flight together, per backend that is up
+	retryTokens     float64 // tokens in the retry token bucket
+	limitPerBackend float64 // attempts that all agents together may have in flight per backend that is up
 	limitCutAt      time.Duration
-	ownShare        float64 // this agent's share of them
-	minBalancers    int     // agents that certainly share the backends
-	meanDelay       float64 // running mean of latency over objective
-	admissionCredit float64 // work that may start, in ns of expected latency, where admitsByCredit
+	ownShare        float64 // this agent's share of that limit
+	minBalancers    int     // least number of agents that can be sharing the backends
+	meanDelay       float64 // running mean of latency divided by objective
+	admissionCredit float64 // work that may start, in ns of expected latency; used if admitsByCredit
 	classes         []classState
 
-	// What is known of latencies and traffic.
-	classFits      [][]float64   // by class and kind: see classFit
-	maxIdleWeight  float64       // the highest weight of an idle backend at the last scan, or met since
+	// Latencies and traffic.
+	slownessByKind [][]float64   // by class and kind: see kindSlowness
+	maxIdleWeight  float64       // highest weight of an idle backend in the last scan or seen since
 	meanAttemptGap float64       // mean time between attempts, ns
-	lastAttemptAt  time.Duration // 0: none has started
-	firstRequestAt time.Duration // 0: none has come
+	lastAttemptAt  time.Duration // 0: no attempt has started yet
+	firstRequestAt time.Duration // 0: no request has arrived yet
 
 	// Discovery and peers.
-	subscribeFailures int // watches that failed in a row, and one more once a list has come
+	subscribeFailures int // watches that have failed in a row, plus one once a list has arrived
 	subscribeToken    int64
 	peers             []peerState   // by number
-	peerInterval      time.Duration // between two reports to peers: the longest objective
+	peerInterval      time.Duration // time between two reports to peers: the longest objective
 	peerReportToken   int64
-	demand            float64 // decayed work that clients asked for in first tries
+	demand            float64 // decayed sum of the work that clients request in first tries
 	demandUpdatedAt   time.Duration
-	observations      []observation // lately seen of backends, here and by peers; the newest last
+	observations      []observation // recent observations of backends, own and from peers; the newest last
 	outcomeCount      int
 
-	// Leases of the fleet's shared limits.
+	// Leases of the limits that the fleet shares.
 	ledger          quota.Ledger
 	usageReportedAt time.Duration // 0: a report is due
 }
 
-// peerState is what another agent last reported.
+// peerState is the latest report of another agent.
 type peerState struct {
 	demand     float64
 	validUntil time.Duration
 }
 
-// classState is what is known of a class of requests.
+// classState is the state of a class of requests.
 type classState struct {
 	Class
-	meanLatency     float64       // running mean of served latency, ns
-	meanWork        float64       // running mean of the expected work stated with requests, ns
-	unloadedLatency float64       // running mean latency over objective, of backends with nothing else in flight
-	unitValue       float64       // what a unit of work adds to the goal, in this step
+	meanLatency     float64       // running mean latency of successful attempts, ns
+	meanWork        float64       // running mean of the expected work that clients state, ns
+	unloadedLatency float64       // running mean of latency over objective, at backends with nothing else in flight
+	unitValue       float64       // what a unit of work adds to the goal, in the current step
 	arrived         float64       // decayed count of requests
 	answeredInTime  float64       // decayed count of requests answered within the objective
-	usualRemaining  time.Duration // the remaining time that most requests come with
-	usualVotes      int           // votes for it, less those against it
+	usualRemaining  time.Duration // the remaining time that most requests have on arrival
+	usualVotes      int           // votes for usualRemaining minus votes against it: see inferClientRetry
 }
 
-// kindState is what is known of the backends of one kind, or of all.
+// kindState is the state of the backends of one kind, or of all kinds.
 type kindState struct {
-	warmCount    int     // those that are up and not in slow start
-	settledCount int     // of these, those that are healthy, as partitionBackends found them
-	servedWork   float64 // decayed units of work that one of them served
+	warmCount    int     // backends that are up and not in slow start
+	settledCount int     // of these, the healthy ones, as counted by partitionBackends
+	servedWork   float64 // decayed units of work that one warm backend served
 	servedWorkAt time.Duration
 }
 
 // endpoint is a backend that was listed.
 type endpoint struct {
-	Backend                     // as listed; State is Draining while an operator has it disabled
-	listed         BackendState // as the list has it
-	hash           uint32       // names it in observations for peers
-	rank           uint32       // its place in this agent's own order
-	zoneSetAt      int          // the list version that last changed its zone
-	cellSetAt      int          // the same of its cell
-	processSetAt   int          // the same of its process
+	Backend                     // as listed, but State is at least Draining while an operator has it disabled
+	listed         BackendState // the state in the list
+	hash           uint32       // identifies the backend in observations for peers
+	rank           uint32       // position in this agent's own order
+	zoneSetAt      int          // list version that last changed its zone
+	cellSetAt      int          // list version that last changed its cell
+	processSetAt   int          // list version that last changed its process
 	inFlight       []*openAttempt
-	rejectingUntil time.Duration // it rejected an attempt as full
-	unreachable    bool          // connections failed since the last answer
+	rejectingUntil time.Duration // set when the backend rejects an attempt because it is full
+	unreachable    bool          // a connection has failed since the last answer
 
 	// Speed.
-	slowness        float64 // running mean of its latency over the mean of all
-	slownessSamples float64 // answers that slowness rests on
-	hasAnswered     bool    // since its process started, as far as is known
+	slowness        float64 // running mean of its latency divided by the mean of all backends
+	slownessSamples float64 // number of answers in slowness
+	hasAnswered     bool    // since its process started, as far as this agent knows
 	lastSuccessAt   time.Duration
-	observedAt      time.Duration // of the newest observation of it
+	observedAt      time.Duration // time of the newest observation of it
 
 	// Failures and ejection.
 	failureScore        float64 // grows with each ejection, falls with each success
 	errorRate           float64 // running share of attempts that failed
-	consecutiveTimeouts int     // known since its last answer
+	consecutiveTimeouts int     // known time-outs since its last answer
 	lastEjectedAt       time.Duration
-	ejectedUntil        time.Duration // by this agent
-	fleetEjectedUntil   time.Duration // by the fleet's agents together
-	drainedUntil        time.Duration // the fleet announced that it drains: no attempt before
+	ejectedUntil        time.Duration // ejection by this agent
+	fleetEjectedUntil   time.Duration // ejection by the fleet
+	drainedUntil        time.Duration // the fleet reported that it drains: no attempt before this time
 
 	// Slow start.
 	inSlowStart       bool
-	slowStartFrom     time.Duration // when its latest start became known or seen
+	slowStartFrom     time.Duration // latest known or observed start of its process
 	slowStartBudget   float64       // work that may be sent, in mean requests of the first class
 	slowStartBudgetAt time.Duration
 }
 
-// openAttempt is an attempt, with what the list said of its backend when it was sent: a later list may say
-// otherwise by the time its outcome comes.
+// openAttempt is an attempt of an open request. It keeps what the list said about its backend when the
+// attempt was sent, since a later list may have changed that by the time its outcome arrives.
 type openAttempt struct {
 	backend         *endpoint
 	listVersion     int
 	zone            int
 	cell            int
 	kind            int
-	sentAt          time.Duration // of an upload: when its last byte was
+	sentAt          time.Duration // of an upload: when its last byte was sent
 	expectedLatency float64       // ns
-	// workUnits is the same in mean requests of the first class: latencies grow as a fleet fills up, and the
-	// work does not.
+	// workUnits is expectedLatency in mean requests of the first class. Latencies grow with the load of the
+	// fleet; the amount of work does not.
 	workUnits      float64
 	open           bool
-	countsInFlight bool // not while it is uploaded, nor once only bytes of its response are to come
-	overdue        bool // its delay has been counted
+	countsInFlight bool // false during an upload, and once only bytes of the response remain to be sent
+	overdue        bool // its delay has already been counted
 	reservations   []quota.Reservation
-	reuseOnly      bool // for want of a lease it may open no connection
+	reuseOnly      bool // must not open a connection, because it has no lease for one
 }
 
-// openRequest is a request that has no final answer, or attempts that have not ended.
+// openRequest is a request that has no final answer yet, or attempts that have not ended.
 type openRequest struct {
 	id              string
 	class           int
-	onlyBackend     string        // the one backend that may get it; empty: any
+	onlyBackend     string        // the only backend that may get it; empty: any
 	objectiveAt     time.Duration // answers after this time earn less
-	halfTimeAt      time.Duration // half of the client's time is over
+	halfTimeAt      time.Duration // when half of the client's waiting time is over
 	deadline        time.Duration
-	expectedWork    float64 // as stated, ns; 0: unknown
+	expectedWork    float64 // as stated by the client, ns; 0: unknown
 	attempts        []*openAttempt
 	openCount       int          // attempts that have not ended
 	mayHaveRun      int          // attempts that may have run, open ones included
-	firstMayHaveRun *openAttempt // the first of these: sets the deduplication scope and window
+	firstMayHaveRun *openAttempt // the first such attempt: it defines the deduplication scope and window
 	retries         int
-	lastFailed      *endpoint // the backend that failed it last
-	timerToken      int64     // of its latest timer; earlier ones are void
-
-	higherValueShare float64    // share of the work asked for that is worth more than this, in this step
-	noBackend        bool       // found no backend in this step
-	lackingLimit     *quota.Row // the limit that stood in its way, in this step
-	lackReported     bool       // that was counted
-
-	clientRetry     bool // a later try of the client: part of its objective has passed
-	uploading       bool // its last byte is still to come
-	notReplayable   bool // what was sent can't be sent again
-	queued          bool // waits for capacity
-	backingOff      bool // waits for its retry
+	lastFailed      *endpoint // backend of the last failed attempt
+	timerToken      int64     // token of its latest timer; earlier timers are void
+
+	higherValueShare float64    // share of the requested work with a higher value than this, in the current step
+	noBackend        bool       // no backend was found in the current step
+	lackingLimit     *quota.Row // the limit that rejected it in the current step
+	lackReported     bool       // that rejection has been counted
+
+	clientRetry     bool // the client has tried before: part of its objective has passed
+	uploading       bool // its last byte has not been sent yet
+	notReplayable   bool // the part that was sent can't be sent again
+	queued          bool // waiting for capacity
+	backingOff      bool // waiting for its retry
 	responseStarted bool // bytes of the response have reached the client
-	ended           bool // it has its final answer
+	ended           bool // has its final answer
 }
 
-// demandOf is what an attempt of a request at a backend would reserve of the shared limits.
+// demandOf returns what an attempt of a request at a backend would reserve of the shared limits.
 func (b *Balancer) demandOf(request *openRequest, backend *endpoint) *quota.Demand {
 	return &quota.Demand{
 		Class:         request.class,
@@ -204,11 +204,11 @@
 	}
 }
 
-// kind finds the record of a backend's kind; nil: that of all backends.
+// kind returns the state of a backend's kind, or of all backends if backend is nil.
 func (b *Balancer) kind(backend *endpoint) *kindState {
 	index := 0
 	if backend != nil {
-		index = 1 + max(backend.Kind, 0) // the list may name a kind that is not known
+		index = 1 + max(backend.Kind, 0) // the list may name an unknown kind
 	}
 	for len(b.kinds) <= index {
 		b.kinds = append(b.kinds, &kindState{})
@@ -216,7 +216,8 @@
 	return b.kinds[index]
 }
 
-// lackingLimitName is the limit for want of which a request gets its final answer; empty: none.
+// lackingLimitName returns the name of the limit whose missing lease causes a request's final answer; empty
+// if there is none.
 func (r *openRequest) lackingLimitName(reason Reason) string {
 	if reason != NoLease || r.lackingLimit == nil {
 		return ""
@@ -224,7 +225,7 @@
 	return r.lackingLimit.Name()
 }
 
-// removeFirst removes one element, keeping the order.
+// removeFirst removes the first occurrence of an element and keeps the order.
 func removeFirst[T comparable](list []T, element T) []T {
 	if i := slices.Index(list, element); i >= 0 {
 		return slices.Delete(list, i, i+1)
@@ -232,7 +233,7 @@
 	return list
 }
 
-// updateMean takes a sample into a running mean, which begins with the first one.
+// updateMean adds a sample to a running mean. The first sample sets the mean.
 func updateMean(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -8,14 +8,15 @@
 	"vetchhaven/decide"
 )
 
-// serveAt plays an agent that admits by credit alone, whose servers all answer after latency, and counts how
-// many of the last 200 of 400 requests went out. Clients tell work with each; 0: nothing.
+// serveAt simulates an agent that admits by credit, without peers, and whose servers all answer after latency. It
+// returns how many of the last 200 of 400 requests were sent. Clients state the work of each request; 0: they state
+// none.
 func serveAt(t *testing.T, latency, work time.Duration) (sent int) {
 	t.Helper()
 	return serveReporting(t, latency, work, decide.Load{})
 }
 
-// serveReporting is serveAt before servers that report a load with each answer.
+// serveReporting is serveAt with servers that send a load report with each answer.
 func serveReporting(t *testing.T, latency, work time.Duration, load decide.Load) (sent int) {
 	t.Helper()
 	s := creditSettings()
@@ -36,31 +37,33 @@
 	return sent
 }
 
-// Fleet trial, join and herd with some 300 agents: at a mean delay of 0.45 to 0.8 of the objective each agent
-// still let in most of what it was asked, servers held so many that they worked at a part of their speed,
-// and every second attempt timed out. The same agents were to refuse at 0.6 of the objective.
+// An agent must refuse requests at a mean delay of 0.45 of the objective. With some 300 agents that refused only at
+// 0.6, each agent admitted most of its requests at a mean delay of 0.45 to 0.8. The servers held so many requests
+// that they worked at a fraction of their speed, and every second attempt timed out (fleet trial, scenarios join and
+// herd).
 func TestCreditShedsBeforeBackendsFill(t *testing.T) {
-	aim := creditSettings().Classes[idempotent].Objective
-	if sent := serveAt(t, aim*45/100, 0); sent > 100 || sent < 40 {
-		t.Errorf("%d of 200 went out at a delay of 0.45 of the aim, want about a third", sent)
+	objective := creditSettings().Classes[idempotent].Objective
+	if sent := serveAt(t, objective*45/100, 0); sent > 100 || sent < 40 {
+		t.Errorf("%d of 200 requests were sent at a delay of 0.45 of the objective, want about a third", sent)
 	}
-	if sent := serveAt(t, aim/5, 0); sent < 195 {
-		t.Errorf("%d of 200 went out at a delay of a fifth of the aim, want all", sent)
+	if sent := serveAt(t, objective/5, 0); sent < 195 {
+		t.Errorf("%d of 200 requests were sent at a delay of a fifth of the objective, want all", sent)
 	}
 }
 
-// Where the work itself takes nearly half of the objective, a delay of as much is that of empty servers.
+// If the work itself takes nearly half of the objective, a delay of about that length is normal for servers with
+// nothing else to do, and no sign of overload.
 func TestCreditDoesNotTakeLongWorkForOverload(t *testing.T) {
-	aim := creditSettings().Classes[idempotent].Objective
-	if sent := serveAt(t, aim*45/100, aim*40/100); sent < 195 {
-		t.Errorf("%d of 200 went out though no server is crowded", sent)
+	objective := creditSettings().Classes[idempotent].Objective
+	if sent := serveAt(t, objective*45/100, objective*40/100); sent < 195 {
+		t.Errorf("%d of 200 requests were sent although no server is overloaded", sent)
 	}
 }
 
-// Tide-tolls, throng+brink, seed 249848192171: work took 0.3 to 0.4 of short objectives and clients told
-// nothing of it, so that agents refused half of what came while servers held one to three requests each. What
-// a server takes that reports nothing else in hand is what the work takes; what one takes that holds many, or
-// does not say, is not.
+// The target delay must follow the latency of servers that report nothing else in flight, because that is the time
+// that the work takes. Work took 0.3 to 0.4 of short objectives and clients stated no work, so that agents refused
+// half of the requests while servers held one to three requests each. The latency of a server that holds many
+// requests, or does not report, must not count (tide-tolls, scenario throng+brink, seed 249848192171).
 func TestUnloadedLatencyIsLearnedFromIdleBackends(t *testing.T) {
 	latency := creditSettings().Classes[idempotent].Objective * 45 / 100
 	for _, c := range []struct {
@@ -69,21 +72,21 @@
 		work        time.Duration
 		least, most int
 	}{
-		{"none in hand", decide.Load{Valid: true}, 0, 195, 200},
-		{"one, told with noise", decide.Load{Valid: true, InFlight: 1.2}, 0, 195, 200},
-		{"20 in hand", decide.Load{Valid: true, InFlight: 20}, 0, 40, 100},
-		{"none waiting, and not told how many are in hand", decide.Load{Valid: true, InFlight: -1}, 0, 40, 100},
+		{"nothing else in flight", decide.Load{Valid: true}, 0, 195, 200},
+		{"one in flight, reported with noise", decide.Load{Valid: true, InFlight: 1.2}, 0, 195, 200},
+		{"20 in flight", decide.Load{Valid: true, InFlight: 20}, 0, 40, 100},
+		{"none waiting, number in flight not reported", decide.Load{Valid: true, InFlight: -1}, 0, 40, 100},
 		{"no report", decide.Load{}, 0, 40, 100},
-		{"none in hand, but clients tell of short work", decide.Load{Valid: true}, latency / 10, 40, 100},
+		{"nothing else in flight, but clients state short work", decide.Load{Valid: true}, latency / 10, 40, 100},
 	} {
 		if sent := serveReporting(t, latency, c.work, c.load); sent < c.least || sent > c.most {
-			t.Errorf("%s: %d of 200 went out at a delay of 0.45 of the aim, want %d to %d", c.name, sent, c.least, c.most)
+			t.Errorf("%s: %d of 200 requests were sent at a delay of 0.45 of the objective, want %d to %d", c.name, sent, c.least, c.most)
 		}
 	}
 }
 
-// An agent with a few requests a second keeps to a few servers, and so meets each of them again soon and on
-// the connection that it has. When all of those are replaced it goes on with others, as few.
+// An agent with a few requests a second must use only a few servers, so that it soon uses each of them again, on the
+// connection that is open. If all of them are replaced, it must switch to as few others.
 func TestSubsetIsSmallAndReplacesLostBackends(t *testing.T) {
 	s := creditSettings()
 	s.Peers = false
@@ -115,7 +118,7 @@
 	second, sum := used(120, 220), 0
 	for id, n := range second {
 		if sum += n; first[id] > 0 {
-			t.Errorf("%s got %d though it is gone", id, n)
+			t.Errorf("%s got %d requests although it is removed", id, n)
 		}
 	}
 	if len(second) > 4 || sum < 98 {
--- a/decide/tickless_test.go
+++ b/decide/tickless_test.go
@@ -8,8 +8,8 @@
 	"vetchhaven/decide"
 )
 
-// Without a tick, as with one, clients whose told times differ by next to nothing are first attempts, and
-// wait for capacity. They were taken for repeats, which are refused at once where there is none.
+// Requests whose remaining times hardly differ must count as first attempts, with a tick and without, and wait for
+// capacity. They were taken for retries, which are refused at once if there is no capacity.
 func TestFirstAttemptsWithoutATick(t *testing.T) {
 	for _, tick := range []time.Duration{0, 5 * ms} {
 		s := testSettings()
--- a/decide/uploads_test.go
+++ b/decide/uploads_test.go
@@ -12,8 +12,8 @@
 	return h.step(decide.Request{ID: id, Class: class, Remaining: 2000 * ms, Upload: true})
 }
 
-// While their clients still send, uploads are no load: neither on their servers, nor on what may be in
-// flight, and no server looks slow for a slow client.
+// While their clients are still sending, uploads must not count as load, neither at their servers nor in the
+// in-flight limit, and a slow client must not make a server look slow.
 func TestUploadsAreNotInFlightWork(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(2))
 	h.serve(40, idempotent, 10*ms)
@@ -26,14 +26,15 @@
 	}
 	h.advance(time.Minute)
 	if got := h.serve(100, idempotent, 10*ms); got["a"] < 30 || got["b"] < 30 {
-		t.Errorf("beside slow uploads: %v", got)
+		t.Errorf("requests per server during slow uploads: %v", got)
 	}
 	if got := finalAnswer("up0", h.actions); got != "" {
-		t.Errorf("an upload ended by itself: %s", got)
+		t.Errorf("an upload ended without an event: %s", got)
 	}
 }
 
-// An upload's time, and its attempt's, begin with its last byte. Then it is load as any.
+// The time limits of an upload and of its attempt must begin with its last byte. From then on it counts as load like
+// any request.
 func TestUploadTimeCountsFromItsLastByte(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, 1, testBackends(1))
@@ -41,20 +42,22 @@
 	h.upload("up", idempotent)
 	h.advance(time.Minute)
 	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms})
-	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // notified twice
+	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // reported twice
 	h.advance(10 * ms)
-	// It failed: there is time for another attempt, which was not so by the time when it came.
+	// The attempt failed. There is time for another one, because the deadline counts from the last byte of the upload
+	// and not from its arrival.
 	h.outcome("up", decide.Errored, 10*ms)
 	if actions := h.advance(s.Classes[idempotent].Objective); len(h.sent["up"]) != 2 {
 		t.Errorf("sent %v, %v", h.sent["up"], actions)
 	}
 	h.outcome("up", decide.OK, 10*ms)
 	if got := h.serve(50, idempotent, 10*ms); got["a"] != 50 {
-		t.Errorf("afterwards: %v", got)
+		t.Errorf("requests per server afterwards: %v", got)
 	}
 }
 
-// What can't be sent again is not, whatever its class allows; where nothing ran, its client may come again.
+// A request that can't be sent again must not be retried, whatever its class allows. If it did not run, its client
+// may retry.
 func TestNotReplayableRequestIsNotRetried(t *testing.T) {
 	for _, tt := range []struct {
 		class  int
@@ -74,7 +77,7 @@
 	}
 }
 
-// An upload of which nothing was spent is tried again as any request.
+// An upload that is still replayable must be retried like any request.
 func TestReplayableUploadIsRetried(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(3))
 	h.upload("up", nonIdempotent)
@@ -84,9 +87,9 @@
 	}
 }
 
-// A server that is done with a request whose answer's bytes are still on their way is free, and its success
-// counts when the answer began. A break later on ends the request, and another attempt is out of the
-// question.
+// A server that has finished a request must count as free while bytes of the response are still in transit, and its
+// success must count when the response started. If the connection breaks later, the request ends and must not be
+// retried.
 func TestStreamedResponseFreesItsBackend(t *testing.T) {
 	for _, tt := range []struct {
 		result decide.Result
@@ -101,7 +104,7 @@
 		h.step(decide.ResponseStarted{Request: "q", Completed: true, Latency: 10 * ms})
 		h.advance(time.Minute) // a slow client
 		if got := h.serve(100, idempotent, 10*ms); got[to] < 30 {
-			t.Errorf("beside a streaming answer %s got %d of 100", to, got[to])
+			t.Errorf("during a streamed response %s got %d of 100", to, got[to])
 		}
 		actions := h.step(decide.Outcome{Request: "q", Backend: to, Result: tt.result, Latency: time.Minute, Answered: tt.done})
 		actions = append(actions, h.advance(time.Minute)...)
