--- a/decide/settings.go
+++ b/decide/settings.go
@@ -58,9 +58,9 @@
 	MaxRetryAfter  time.Duration // longest Retry-After that clients respect
 	ConnectTimeout time.Duration // after this time without a connection an attempt fails
 
-	DrainGrace       time.Duration // how long a draining backend still tolerates new sends
+	DrainGrace       time.Duration // how long new sends to a draining backend are still tolerated
 	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
-	SubscribeWithin  time.Duration // with Subscribe: longest time between two attempts to subscribe
+	SubscribeWithin  time.Duration // with Subscribe: longest time between two attempts to subscribe, while not subscribed
 	SlowStartShare   float64       // least share of its capacity that a backend starts with; 0: 1
 	SlowStartTime    time.Duration // time after its start by which it has its full capacity
 	OverloadMultiple float64       // a backend in slow start collapses above this multiple of its capacity
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Only some of many agents may send a request to a server right after its start. Each of 150 agents sent a server in
-// slow start one request at once, and together they overloaded it (scenario dallas rules-3).
+// Only some of many agents may send a request to a server right after its start. When each of 150 agents sent a
+// server in slow start one request at once, they overloaded it together (scenario dallas rules-3).
 func TestManyBalancersSpareABackendInSlowStart(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
