--- a/decide/quota/ledger.go
+++ b/decide/quota/ledger.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxIdleRow is how long an unused part of a partitioned limit is kept. A larger value needs more memory; a
+	// idleRowTimeout is how long an unused part of a partitioned limit is kept. A larger value needs more memory; a
 	// smaller one forgets leases that may be used again.
-	maxIdleRow = time.Minute
+	idleRowTimeout = time.Minute
 	// minSpan is the shortest time over which rates are counted, even if a lease says less.
 	minSpan = time.Second
 )
@@ -345,10 +345,10 @@
 	return all
 }
 
-// isIdle reports whether a part of a limit has been neither used nor granted for more than maxIdleRow and has no
+// isIdle reports whether a part of a limit has been neither used nor granted for more than idleRowTimeout and has no
 // lease.
 func (r *Row) isIdle(now time.Duration) bool {
-	if now-r.changedAt <= maxIdleRow || r.key == "" {
+	if now-r.changedAt <= idleRowTimeout || r.key == "" {
 		return false
 	}
 	return !slices.ContainsFunc(r.leases, func(l *heldLease) bool {
