--- a/decide/clientretry_test.go
+++ b/decide/clientretry_test.go
@@ -55,7 +55,8 @@
 	uniform := func(rng *rand.Rand, share float64) time.Duration {
 		return time.Duration(rng.Float64() * share * float64(deadline))
 	}
-	through := func(tiers int, late float64) func(*rand.Rand) time.Duration { // each tier takes 1 to 3 ms; some requests are retried
+	// Each tier takes 1 to 3 ms, and some requests are retried by the tier above.
+	through := func(tiers int, late float64) func(*rand.Rand) time.Duration {
 		return func(rng *rand.Rand) time.Duration {
 			left := deadline
 			for range tiers {
@@ -73,7 +74,8 @@
 	}{
 		{"over a twentieth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.05) }},
 		{"over a fifth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.2) }},
-		{"over four fifths of it", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.8) }}, // with less, waiting does not help
+		// With less time left, waiting does not help.
+		{"over four fifths of it", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.8) }},
 		{"four equally frequent lengths", func(rng *rand.Rand) time.Duration { return deadline - time.Duration(rng.IntN(4))*400*ms }},
 		{"through 4 tiers", through(4, 0)},
 		{"through 16 tiers", through(16, 0)},
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -60,7 +60,7 @@
 
 	DrainGrace       time.Duration // how long new sends to a draining backend are still tolerated
 	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
-	SubscribeWithin  time.Duration // with Subscribe: longest time between two attempts to subscribe, while not subscribed
+	SubscribeWithin  time.Duration // with Subscribe: longest time without an attempt to subscribe, until subscribed
 	SlowStartShare   float64       // least share of its capacity that a backend starts with; 0: 1
 	SlowStartTime    time.Duration // time after its start by which it has its full capacity
 	OverloadMultiple float64       // a backend in slow start collapses above this multiple of its capacity
