--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -44,7 +44,7 @@
 	bitClientRetry = 2 // the client repeats an earlier request
 )
 
-// message holds the fields of all messages. A pointer marks a field that some message must have.
+// message holds the fields of all messages. A pointer marks a field that is required in some message.
 type message struct {
 	Kind       string `json:"msg"`
 	ClockMs    *float64
@@ -56,7 +56,7 @@
 	How        *string  // a key of listKinds
 	Request    *string  `json:"Job"`
 	Class      *int     `json:"TierClass"`
-	GraceMs    *float64 // until the deadline
+	GraceMs    *float64 // time until the deadline
 	WorkHintMs float64
 	StateBits  int
 	Outcome    *string // a key of results
@@ -117,7 +117,7 @@
 	return &Open{Seed: *m.RandomSeed, Settings: settings}, nil
 }
 
-// event decodes a message that is an event for decide and refers to no list.
+// event decodes a message that is an event for decide and does not refer to a list.
 func (m *message) event() (decide.Event, error) {
 	switch m.Kind {
 	case kindRequest:
@@ -198,7 +198,7 @@
 	}, nil
 }
 
-// result decodes Outcome, which must be there.
+// result decodes Outcome, which must be set.
 func (m *message) result() (decide.Result, error) {
 	result, ok := results[*m.Outcome]
 	if !ok {
@@ -242,10 +242,10 @@
 	return list, nil
 }
 
-// notReported marks a figure that a load report lacks.
+// notReported marks a figure that is missing in a load report.
 const notReported = -1
 
-// Load translates a load report; nil: there is none. Figures that it lacks are marked with -1.
+// Load translates a load report; nil: there is none. Figures that are missing in it are -1.
 func Load(usage map[string]float64) decide.Load {
 	load := decide.Load{
 		Valid:        usage != nil,
@@ -269,7 +269,7 @@
 	return load
 }
 
-// milliseconds converts a figure of a message, rounded to the nanosecond.
+// milliseconds converts a number of milliseconds in a message, rounded to the nanosecond.
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -14,11 +14,11 @@
 
 // Batch is everything that happened at one instant.
 type Batch struct {
-	Now    time.Duration // since the simulator's zero
+	Now    time.Duration // since the simulator's time zero
 	Events []Event
 }
 
-// Event is one event of a batch and the instance it belongs to. Exactly one of Open, Retire and Event is set.
+// Event is one event of a batch, and the instance to which it belongs. Exactly one of Open, Retire and Event is set.
 type Event struct {
 	Line   int // line number in the stream, from 1
 	Agent  int // the instance's number
@@ -27,24 +27,25 @@
 	Event  decide.Event
 }
 
-// Open starts an instance without state.
+// Open starts an instance that has no state.
 type Open struct {
 	Seed     uint64
 	Settings decide.Settings
 }
 
-// readBufferSize is in bytes. Longer lines are read in several parts: a larger buffer only saves system calls.
+// readBufferSize is the size of the read buffer in bytes. Longer lines are read in several parts; a larger buffer
+// would only save system calls.
 const readBufferSize = 1 << 16
 
 // Reader reads batches. It keeps the endpoint lists that earlier messages defined.
 type Reader struct {
 	in         *bufio.Reader
-	line       int                      // number of the line last read
+	line       int                      // number of the last line read
 	lists      map[int][]decide.Backend // by their number
 	classCount map[int]int              // request classes of each open instance, by its number
 }
 
-// NewReader returns a Reader on in.
+// NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:         bufio.NewReaderSize(in, readBufferSize),
@@ -53,8 +54,8 @@
 	}
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between batches. Every other error
-// names the line, and the stream must not be read further.
+// Next reads one batch. It returns io.EOF if the input ends between batches. Every other error names the line, and
+// the stream must not be read further.
 func (r *Reader) Next() (*Batch, error) {
 	var batch *Batch
 	for {
@@ -95,7 +96,7 @@
 	}
 }
 
-// isBlank reports whether a line has nothing but JSON's white space.
+// isBlank reports whether a line consists of JSON white space only.
 func isBlank(text []byte) bool {
 	return len(bytes.Trim(text, " \t\r\n")) == 0
 }
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// defineList keeps an endpoint list under its number.
+// defineList stores an endpoint list under its number.
 func (r *Reader) defineList(m *message) error {
 	if m.List == nil || m.Items == nil {
 		return errors.New("missing Sheet or Items")
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,10 +8,10 @@
 	"vetchhaven/decide"
 )
 
-// settingsObject mirrors the simulator's settings object. Where a field's name differs from the key, a tag has
-// the key; keys match in any case. Fields whose names end in Ms, or whose keys do, are in milliseconds.
+// settingsObject mirrors the simulator's settings object. Where a field's name differs from its key, a tag gives the
+// key; keys match in any case. Fields whose names or keys end in Ms are in milliseconds.
 type settingsObject struct {
-	Balancers      int // in the fleet
+	Balancers      int // number of instances in the fleet
 	Self           int `json:"Me"` // this instance's index among them
 	Zone           int
 	CountedBy      string // countedByWork: capacity is counted in work instead of requests
@@ -36,10 +36,10 @@
 	LateValue   float64
 	Semantics   string  // a key of effects
 	DedupScope  string  `json:"Group"` // a key of dedupScopes
-	WindowMs    float64 // for which an idempotency key is remembered
+	WindowMs    float64 // how long an idempotency key is remembered
 }
 
-// limitsObject says what the policy may do.
+// limitsObject holds what the decision module may do.
 type limitsObject struct {
 	MaxAttempts      int  `json:"TryLimit"`
 	Hedging          bool `json:"SecondCopies"`
@@ -53,7 +53,7 @@
 	MaxOpen          float64
 }
 
-// contractObject is what the platform promises and demands in time.
+// contractObject holds the times and load figures that the platform promises or demands.
 type contractObject struct {
 	DrainGraceMs      float64
 	AnswerGraceMs     float64 `json:"GraceToAnswerMs"`
@@ -64,7 +64,7 @@
 	OverloadWindowMs  float64 `json:"FallMs"`
 }
 
-// goalObject weighs the parts of the score.
+// goalObject holds the weights of the parts of the score.
 type goalObject struct {
 	Overall     float64 `json:"Whole"`
 	WorstWindow float64
@@ -76,9 +76,9 @@
 	CrossZone float64
 }
 
-// loadReportObject says how servers report their load.
+// loadReportObject holds how servers report their load.
 type loadReportObject struct {
-	Source string // loadInline, loadOnProbe, or anything else: not at all
+	Source string // loadInline or loadOnProbe; with any other value servers report no load
 }
 
 // Values of the settings object.
@@ -104,19 +104,19 @@
 	"cell": decide.ScopeCell,
 }
 
-// Site is what an agent on sockets needs of the settings object beyond decide.Settings.
+// Site is what an agent on sockets needs of the settings object in addition to decide.Settings.
 type Site struct {
 	Classes    []string      // names, in the order of decide.Settings.Classes
 	Zones      []string      // names, by index
-	Kinds      []string      // of servers: names, by index
-	IdleClose  time.Duration // after which a server closes an idle connection
-	MaxOpen    int           // requests that may be open at once; 0: no limit
+	Kinds      []string      // names of the kinds of servers, by index
+	IdleClose  time.Duration // idle time after which a server closes a connection
+	MaxOpen    int           // bound of the requests that are open at once; 0: no limit
 	LoadInline bool          // responses carry load reports
 	LoadProbed bool          // health checks return load reports
 }
 
-// ParseSettings translates the settings object. Unknown keys are ignored. An error names the key at fault;
-// Site is complete even then, as long as raw is JSON.
+// ParseSettings translates the settings object. Unknown keys are ignored. An error names the invalid key; Site is
+// complete even then, as long as raw is valid JSON.
 func ParseSettings(raw []byte) (decide.Settings, Site, error) {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// Neither a line nor a batch has an upper bound.
+// Lines and batches may have any length.
 func TestBatchOfSeveralMegabytesIsRead(t *testing.T) {
 	var in strings.Builder
 	for i := range 50000 {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -12,17 +12,18 @@
 	"vetchhaven/decide"
 )
 
-// Writer writes replies. A reply is buffered until End writes it in one call: the peer never sees part of one.
+// Writer writes replies. A reply is buffered until End writes it in one call, so that the peer never sees a partial
+// reply.
 type Writer struct {
 	out     io.Writer
 	reply   bytes.Buffer // complete messages of the reply
 	message []byte       // the message being encoded
 }
 
-// NewWriter returns a Writer on out.
+// NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// Actions adds the actions of one instance to the reply. An action without a form on the wire is an error; those
+// Actions adds the actions of one instance to the reply. An action that has no message is an error; the actions
 // before it stay in the reply.
 func (w *Writer) Actions(agent int, actions []decide.Action) error {
 	for _, action := range actions {
@@ -48,16 +49,16 @@
 		case decide.SendToPeer:
 			w.begin("WritePeer", agent).num("Whom", int64(a.To)).str("Msg", hex.EncodeToString(a.Data))
 		case decide.Subscribe:
-			w.begin("KeepInformed", agent).yes("Enable")
+			w.begin("KeepInformed", agent).setTrue("Enable")
 		default:
-			return fmt.Errorf("no wire form for action %T", a)
+			return fmt.Errorf("no message for action %T", a)
 		}
 		w.finish()
 	}
 	return nil
 }
 
-// Broken adds to the reply that the decision code of an instance has failed, with the reason.
+// Broken adds a message to the reply which says that the decision code of an instance has failed, with the reason.
 func (w *Writer) Broken(agent int, text string) {
 	w.begin("Broken", agent).str("Msg", text)
 	w.finish()
@@ -70,7 +71,7 @@
 	return err
 }
 
-// begin starts a message of an instance; finish ends it. The calls between them add one key each.
+// begin starts a message of an instance, and finish ends it. Each call between them adds one key.
 func (w *Writer) begin(kind string, agent int) *Writer {
 	w.message = append(w.message[:0], `{"msg":"`...)
 	w.message = append(w.message, kind...)
@@ -89,7 +90,7 @@
 	w.message = append(w.message, `":`...)
 }
 
-func (w *Writer) yes(name string) *Writer {
+func (w *Writer) setTrue(name string) *Writer {
 	w.key(name)
 	w.message = append(w.message, "true"...)
 	return w
@@ -107,7 +108,7 @@
 	return w
 }
 
-// str adds a string. Printable ASCII that needs no escape is copied without the JSON encoder.
+// str adds a string. Printable ASCII that needs no escaping is copied without the JSON encoder.
 func (w *Writer) str(name, v string) *Writer {
 	w.key(name)
 	for i := range len(v) {
