--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// acceptRetryDelay is waited after an error of accept that says nothing of how long it lasts.
+	// acceptRetryDelay is the wait after an error of accept that does not tell how long it lasts.
 	acceptRetryDelay = 20 * time.Millisecond
-	// maxAcceptFailure is for how long accept may fail without a connection before the listener counts as broken.
+	// maxAcceptFailure is how long accept may fail without a connection before the listener counts as broken.
 	maxAcceptFailure = time.Second
-	// descriptorRetryDelay is waited after the system had no descriptor for a connection, unless a slot is free sooner.
+	// descriptorRetryDelay is the wait after the system had no descriptor for a connection, unless a slot is free
+	// sooner.
 	descriptorRetryDelay = 50 * time.Millisecond
-	// failedAcceptDelay is waited after a connection that could not be accepted, so that many do not take all of a
-	// processor.
+	// failedAcceptDelay is the wait after a connection that could not be accepted, so that many of them do not take
+	// all of a processor.
 	failedAcceptDelay = time.Millisecond
 )
 
-// acceptFailures tells errors of accept that pass from a listener that can't go on. The zero value has seen none.
+// acceptFailures distinguishes errors of accept that pass from a listener that can't go on. The zero value has seen
+// no error.
 type acceptFailures struct{ since time.Time }
 
 // mayRetry reports whether accept is to be tried again after an error, acceptRetryDelay later.
@@ -40,8 +42,8 @@
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// isConnectionError reports whether accept failed for one connection, or for the network under it as it came (accept(2),
-// error handling): the listener is sound.
+// isConnectionError reports whether accept failed because of one connection, or because of the network on which it
+// came (accept(2), error handling). The listener still works then.
 func isConnectionError(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -55,8 +57,8 @@
 	return false
 }
 
-// SteadyListener is a listener whose Accept survives transient errors, whatever they are: net/http ends at those that it
-// does not know. One goroutine accepts.
+// SteadyListener is a listener whose Accept retries all errors that may pass; net/http ends at those that it does
+// not know. Only one goroutine may accept.
 type SteadyListener struct {
 	net.Listener
 	closeOnce sync.Once
--- a/internal/core/accept_test.go
+++ b/internal/core/accept_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// failingListener fails a number of times before its listener accepts; -1: always.
+// failingListener fails the first times calls of Accept, then uses its listener; -1: it always fails.
 type failingListener struct {
 	net.Listener
 	err   error
@@ -26,7 +26,8 @@
 	return l.Listener.Accept()
 }
 
-// An admin endpoint must not close for good because the system was short of memory once.
+// A transient lack of memory or descriptors must not close an admin endpoint for good: net/http ends at accept
+// errors that it does not know.
 func TestSteadyListenerSurvivesTransientErrors(t *testing.T) {
 	for _, err := range []error{
 		syscall.ENOBUFS,
@@ -73,7 +74,7 @@
 		t.Errorf("broken: %v", err)
 	}
 	if time.Since(start) < maxAcceptFailure {
-		t.Error("it ended at once")
+		t.Error("Accept ended before the listener had failed for maxAcceptFailure")
 	}
 }
 
@@ -109,8 +110,8 @@
 type failUntilRecovered struct {
 	net.Listener
 	err       error
-	attempted chan struct{} // receives each failed Accept
-	recovered chan struct{} // closed
+	attempted chan struct{} // receives once for each failed Accept
+	recovered chan struct{} // closed when the listener recovers
 }
 
 func (l failUntilRecovered) Accept() (net.Conn, error) {
@@ -122,8 +123,8 @@
 	}
 }
 
-// acceptOneBehindErrors has a limiter accept a connection although its listener fails at first. whileFailing is called
-// after one failed Accept.
+// acceptOneBehindErrors makes a limiter accept a connection although its listener fails at first. whileFailing is
+// called after one failed Accept.
 func acceptOneBehindErrors(t *testing.T, cl *ConnLimiter, err error, whileFailing func(l failUntilRecovered)) {
 	t.Helper()
 	l := failUntilRecovered{
@@ -147,7 +148,8 @@
 	}
 }
 
-// What accept(2) says of one connection, or of the network under it, ends no agent: the next one is accepted.
+// Errors that accept(2) reports for one connection, or for the network on which it came, do not end the agent: the
+// next connection is accepted.
 func TestAcceptSurvivesFailedConnections(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED,
@@ -165,7 +167,7 @@
 			cl, _ := newTestLimiter(t, 8, 1)
 			acceptOneBehindErrors(t, cl, errno, func(failUntilRecovered) {})
 			if cl.evicting != 0 {
-				t.Error("another connection was evicted for it")
+				t.Error("another connection was evicted because of a failed accept")
 			}
 		})
 	}
@@ -179,12 +181,12 @@
 		cl.mu.Lock()
 		defer cl.mu.Unlock()
 		if !conn.evicting {
-			t.Error("the idle one was not evicted")
+			t.Error("the idle connection was not evicted")
 		}
 	})
 }
 
-// An error of accept that nobody thought of is no reason to end the requests in flight: it is retried after a pause.
+// An unknown error of accept must not end the requests in flight: accept is retried after a pause.
 func TestAcceptSurvivesUnknownTransientErrors(t *testing.T) {
 	for _, err := range []error{
 		syscall.EIO,
--- a/internal/core/acceptqueue.go
+++ b/internal/core/acceptqueue.go
@@ -11,16 +11,16 @@
 // errQueueEmpty says that no connection waits to be accepted.
 var errQueueEmpty = errors.New("no connection in the queue")
 
-// interruptAccept ends a listener's Accept that waits, by a deadline that has passed. It reports false if the listener has
-// none.
+// interruptAccept ends a listener's Accept that waits, by a deadline that has passed. It reports false if the
+// listener supports no deadline.
 func interruptAccept(l net.Listener) bool {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
 	return ok && d.SetDeadline(LongAgo) == nil
 }
 
-// acceptQueued accepts a connection that has come about, without waiting and whatever the listener's deadline. Where there is
-// none the socket stops to listen, for all who hold it, and the result is errQueueEmpty: the look and the end are one step,
-// since a connection that came about in between would be reset.
+// acceptQueued accepts a connection that is in the kernel's queue, without waiting and whatever the listener's
+// deadline. If the queue is empty, it makes the socket stop listening, for all processes that hold it, and returns
+// errQueueEmpty. The check and the stop are one step, because a connection that comes in between would be reset.
 func acceptQueued(l net.Listener) (net.Conn, error) {
 	socket, ok := l.(syscall.Conn)
 	if !ok {
@@ -36,7 +36,7 @@
 		accepted, acceptErr = acceptOrStop(int(fd))
 	})
 	switch {
-	case err != nil: // it was closed
+	case err != nil: // the listener was closed
 		return nil, err
 	case acceptErr == syscall.EAGAIN:
 		return nil, errQueueEmpty
@@ -45,16 +45,16 @@
 	}
 	file := os.NewFile(uintptr(accepted), "accepted")
 	defer file.Close()
-	return net.FileConn(file) // a copy, by which the runtime waits
+	return net.FileConn(file) // a copy, with which the runtime waits for I/O
 }
 
-// acceptOrStop accepts a connection, or has the socket stop to listen and returns EAGAIN.
+// acceptOrStop accepts a connection, or makes the socket stop listening and returns EAGAIN.
 func acceptOrStop(fd int) (accepted int, err error) {
 	for {
 		accepted, _, err = syscall.Accept4(fd, syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK)
 		switch err {
 		case syscall.EAGAIN:
-			_ = syscall.Shutdown(fd, syscall.SHUT_RD) // the close does the same, later
+			_ = syscall.Shutdown(fd, syscall.SHUT_RD) // closing the listener does the same later
 			return 0, err
 		case syscall.EINTR:
 		default:
--- a/internal/core/acceptqueue_test.go
+++ b/internal/core/acceptqueue_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// What stands in a queue is accepted, and from the look on that finds it empty nobody connects: no connection comes about that
-// nobody accepts.
+// All connections in the queue are accepted. Once the check finds the queue empty, no client can connect any more,
+// so no connection is left that nobody accepts.
 func TestEmptyQueueEndsTheListener(t *testing.T) {
 	for _, network := range []string{"tcp", "unix"} {
 		t.Run(network, func(t *testing.T) {
@@ -31,7 +31,7 @@
 				defer c.Close()
 			}
 			if !interruptAccept(l) {
-				t.Fatal("it has no deadline")
+				t.Fatal("the listener supports no deadline")
 			}
 			for range queued {
 				c, err := acceptQueued(l)
@@ -44,7 +44,7 @@
 				}
 			}
 			if _, err := acceptQueued(l); !errors.Is(err, errQueueEmpty) {
-				t.Errorf("%v", err)
+				t.Errorf("accept from an empty queue: %v", err)
 			}
 			if c, err := net.Dial(network, l.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 				if err == nil {
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// refuse gives a request the answer that it was not executed, and a retry does no harm.
+// refuse answers a request as refused: it was not executed, so a retry is safe.
 func (l *Loop) refuse(a decide.Refuse, now time.Duration) {
 	r := l.requests[a.Request]
 	if r == nil || r.done {
@@ -63,7 +63,7 @@
 	l.forget(r)
 }
 
-// fail gives a request the answer that it failed, and may have been executed.
+// fail answers a request as failed: it may have been executed.
 func (l *Loop) fail(a decide.Fail) {
 	r := l.requests[a.Request]
 	if r == nil || r.done {
@@ -77,7 +77,7 @@
 	l.forget(r)
 }
 
-// probe checks a server's health, if no such check of it is under way.
+// probe starts a health check of a server, unless one is under way.
 func (l *Loop) probe(server string) {
 	if !l.cfg.Settings.MayProbe || l.probing[server] {
 		return
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// minShedRetryAfter is the least Retry-After of a request that is shed, and shedRetryAfterJitter what is added at
-	// random, so that clients do not all come back at once.
+	// minShedRetryAfter is the least Retry-After of a request that is shed. Up to shedRetryAfterJitter is added at
+	// random, so that clients do not all retry at once.
 	minShedRetryAfter    = time.Second
 	shedRetryAfterJitter = time.Second
 )
 
-// admissionBound is until when requests are admitted, and why no longer.
+// admissionBound is the time until which requests are admitted, and the reason why none is admitted after it.
 type admissionBound struct {
 	until  time.Time
 	reason string
 }
 
-// AdmitUntil has requests admitted until a moment by the process's own clock, and shed at once from then on, for a
-// reason. Requests admitted by then are finished. The zero time: none is admitted. It does not wait.
+// AdmitUntil admits requests until a time by the process's own clock, and sheds them at once from then on, with the
+// given reason. Requests that were admitted before are finished. With the zero time none is admitted. It does not
+// block.
 func (a *Agent) AdmitUntil(until time.Time, reason string) {
 	a.loop.admission.Store(&admissionBound{until, reason})
 }
 
-// ShortenAdmission has requests admitted no longer than until a moment: an earlier bound stays.
+// ShortenAdmission admits requests no longer than until a time: an earlier bound stays.
 func (a *Agent) ShortenAdmission(until time.Time, reason string) {
 	for {
 		present := a.loop.admission.Load()
@@ -37,14 +38,14 @@
 	}
 }
 
-// AdmitAlways has requests admitted without end.
+// AdmitAlways admits requests without a time limit.
 func (a *Agent) AdmitAlways() { a.loop.admission.Store(nil) }
 
-// Admits reports whether a request that comes now is admitted by that bound.
+// Admits reports whether the admission bound would admit a request that arrives now.
 func (a *Agent) Admits() bool { return a.loop.admissionClosed() == "" }
 
-// admissionClosed is why a request is not admitted now; empty: it is. The clock is read here, so that a process that was
-// paused past the bound notices.
+// admissionClosed returns why a request is not admitted now; empty: it is admitted. The clock is read here, so that
+// a process that was paused past the bound notices.
 func (l *Loop) admissionClosed() string {
 	bound := l.admission.Load()
 	if bound == nil || time.Now().Before(bound.until) {
@@ -53,7 +54,7 @@
 	return bound.reason
 }
 
-// shed refuses a request that is not admitted. The balancer does not learn of it.
+// shed refuses a request that is not admitted. The balancer does not see the request.
 func (l *Loop) shed(r *Request, reason string) {
 	l.counts.requests++
 	l.totals.requests.Add(1)
@@ -64,13 +65,13 @@
 	l.reject(r, Answer{Refused: true, Policy: reason, RetryAfter: minShedRetryAfter + jitter})
 }
 
-// NarrowDedupWindows has admitted requests retried for no longer than these windows after their first attempt, by class;
-// 0: as the agent's own policy says. Another policy with shorter windows has been activated, and servers may follow it.
-// It does not wait.
+// NarrowDedupWindows bounds by class how long after their first attempt admitted requests are retried; 0: as the
+// agent's own policy says. It is called when another policy with shorter windows has been activated, because servers
+// may follow that one. It does not block.
 func (a *Agent) NarrowDedupWindows(windows []time.Duration) { a.loop.dedupWindows.Store(&windows) }
 
-// dedupWindowPassed reports whether a request that may have been executed can't be retried by a window that was
-// narrowed since.
+// dedupWindowPassed reports whether a request with an earlier attempt can't be retried any more because of a
+// deduplication window that was narrowed since.
 func (l *Loop) dedupWindowPassed(r *Request) bool {
 	windows := l.dedupWindows.Load()
 	if windows == nil || r.Class >= len(*windows) || (*windows)[r.Class] == 0 || len(r.attempts) == 0 {
--- a/internal/core/admission_test.go
+++ b/internal/core/admission_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// newBareLoop is a loop without a balancer.
+// newBareLoop returns a loop without a balancer.
 func newBareLoop() *Loop {
 	return &Loop{
 		cfg:        &Config{},
@@ -20,7 +20,8 @@
 	}
 }
 
-// The clock is read as a request arrives, not as the bound was set: an agent that was paused past it admits none.
+// The clock is read when a request arrives, not when the bound is set: an agent that was paused past the bound
+// admits no request.
 func TestNoRequestIsAdmittedPastTheBound(t *testing.T) {
 	l := newBareLoop()
 	a := &Agent{loop: l}
@@ -41,7 +42,7 @@
 		t.Errorf("%+v, admitted %v, %d events for the balancer", answer, admitted, len(l.pending))
 	}
 	if l.requests["a"].done || l.requests["b"].done {
-		t.Error("requests that were admitted before have ended")
+		t.Error("requests that were admitted before the bound have ended")
 	}
 	a.AdmitAlways()
 	if _, admitted := arrive("d"); !admitted {
@@ -52,7 +53,8 @@
 	}
 }
 
-// A request in flight is retried within the shorter window of its own policy and the one that came since.
+// A request in flight is retried within the shorter of two windows: that of its own policy, and the one that has
+// been set since.
 func TestRetriesFollowTheShorterDedupWindow(t *testing.T) {
 	l := newBareLoop()
 	a := &Agent{loop: l}
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -25,56 +25,59 @@
 	protocol  Protocol
 	discovery *listWatcher
 	limiter   *ConnLimiter
-	panics    chan error // holds one: the first panic in any of the agent's goroutines
+	panics    chan error // buffers one: the first panic in any of the agent's goroutines
 
-	hub      *discovery.Hub // the list's source in place of discovery; nil: discovery
-	hubMu    sync.Mutex     // of leaveHub
-	unfollow func()         // unsubscribes from the hub; nil: not subscribed
+	hub         *discovery.Hub // delivers the endpoint list in place of discovery; nil: discovery does
+	hubMu       sync.Mutex     // guards unsubscribe
+	unsubscribe func()         // unsubscribes from the hub; nil: not subscribed
 
-	stopAccepting func() <-chan time.Time // ends the time in which a stopping agent accepts connections; nil: no time
+	stopAccepting func() <-chan time.Time // its channel ends accepting in a stopping agent; nil: at once
 	listWait      time.Duration           // see Parts.ListWait
-	firstListWait time.Duration           // firstPushedListWait but in tests
+	firstListWait time.Duration           // firstPushedListWait, except in tests
 
 	serving  atomic.Bool // clients' connections are accepted
 	stopping atomic.Bool
 
 	queueLeft atomic.Bool // see LeaveQueue
 
-	drainMu    sync.Mutex  // of idleCloser and stopAccepting
-	idleCloser *time.Timer // closes idle connections while an operator drains the agent
+	drainMu    sync.Mutex  // guards idleCloser and stopAccepting
+	idleCloser *time.Timer // closes idle connections while an operator drains the agent; nil: none is scheduled
 }
 
-// Parts are what an agent is given in place of its own; with none it is the platform's agent.
+// Parts replace an agent's own listener, endpoint list and other defaults. The zero value is for an agent that the
+// platform runs in a process of its own.
 type Parts struct {
-	// Listener is a TCP or unix listener, which the agent closes.
+	// Listener is a TCP or unix listener, which the agent closes; nil: the agent opens its own.
 	Listener net.Listener
-	// Hub is the endpoint list, read once for many agents.
+	// Hub reads the endpoint list once for many agents; nil: the agent watches the list itself.
 	Hub *discovery.Hub
-	// NoLateConnections ends accepting at once when the agent is to stop: another one has the listener by then.
+	// NoLateConnections makes a stopping agent end accepting at once, because another agent accepts on the listener
+	// by then.
 	NoLateConnections bool
-	// ListWait is how long the agent waits for a list before it accepts connections: until then they wait in the
-	// kernel's queue, where they would otherwise be refused for want of servers.
+	// ListWait is how long the agent waits for a list before it accepts connections. Meanwhile connections wait in
+	// the kernel's queue; if they were accepted, their requests would be refused because no server is known.
 	ListWait time.Duration
-	// StopAccepting, if set, ends the time in which a stopping agent still accepts connections; else that is
-	// AcceptAfterStop.
+	// StopAccepting, if set, ends the time in which a stopping agent still accepts connections. Without it that time
+	// is AcceptAfterStop.
 	StopAccepting <-chan time.Time
-	// ReportUsage receives the use of the agent's leases. The agent's loop calls it; it must not wait.
+	// ReportUsage receives the usage of the agent's leases. The agent's loop calls it; it must not block.
 	ReportUsage func([]quota.Usage)
-	// ReportOutcomes receives the outcomes of attempts at each server since the last call. The agent's loop calls it;
-	// it must not wait.
+	// ReportOutcomes receives the outcomes of attempts at each server since the last call. The agent's loop calls
+	// it; it must not block.
 	ReportOutcomes func([]OutcomeSample)
-	// HeartbeatTimeout is how long a watch of the list may bring nothing; 0: discovery.Silence.
+	// HeartbeatTimeout is how long a watch of the list may deliver nothing; 0: discovery.HeartbeatTimeout.
 	HeartbeatTimeout time.Duration
 }
 
-// firstPushedListWait is how long a starting agent waits for the first message of a pushed list. Its stored list may be
-// old, and what the list has counts as known from the first moment on: nothing may go to a server that drained long ago.
-// Such a list is on the agent's own machine and answers at once; while it is down the agent serves by what it has. A
-// watch that fails is opened anew within that time: it has said nothing.
+// firstPushedListWait is how long a starting agent waits for the first message of a pushed list. The stored list may
+// be old, while changes in the current list count as known from the agent's start on: nothing may be sent to a
+// server that drained long ago. The list service is on the agent's own machine and answers at once; while it is down
+// the agent serves with the stored list. A watch that fails without a message does not end the wait: another is
+// opened within that time.
 const firstPushedListWait = time.Second
 
-// New returns an agent that serves once Run is called. It listens by itself unless it is given a listener. newProtocol
-// makes the protocol, with the loop to which that gives requests.
+// New returns an agent that serves once Run is called. It opens the listener itself unless parts has one.
+// newProtocol makes the protocol, which submits its requests to the given loop.
 func New(cfg *Config, log *slog.Logger, parts Parts, newProtocol func(*Loop) Protocol) (*Agent, error) {
 	a := &Agent{
 		cfg:           cfg,
@@ -115,7 +118,8 @@
 	return a, nil
 }
 
-// stopAcceptingOf is what ends accepting in a stopping agent; nil: it ends at once.
+// stopAcceptingOf returns the function that gives a stopping agent the channel which ends accepting; nil: accepting
+// ends at once.
 func stopAcceptingOf(parts Parts) func() <-chan time.Time {
 	switch {
 	case parts.NoLateConnections:
@@ -126,32 +130,32 @@
 	return func() <-chan time.Time { return time.After(AcceptAfterStop) }
 }
 
-// Name is the agent's name by its configuration.
+// Name returns the agent's configured name.
 func (a *Agent) Name() string { return a.cfg.Name }
 
-// Limiter is what accepts the clients' connections.
+// Limiter returns the limiter that accepts the clients' connections.
 func (a *Agent) Limiter() *ConnLimiter { return a.limiter }
 
-// Addr is where clients connect.
+// Addr returns the address at which clients connect.
 func (a *Agent) Addr() net.Addr { return a.limiter.Addr() }
 
 // Ready reports whether any server is known.
 func (a *Agent) Ready() bool { return a.loop.ready.Load() }
 
-// Accepting reports whether the agent accepts clients' connections, and is not about to stop.
+// Accepting reports whether the agent accepts clients' connections and is not stopping.
 func (a *Agent) Accepting() bool { return a.serving.Load() && !a.stopping.Load() }
 
-// Reload applies the part of a new configuration that a running agent can change: the address of discovery. The rest
-// holds from the next start.
+// Reload applies the part of a new configuration that can change in a running agent: the address of discovery. The
+// rest takes effect at the next start.
 func (a *Agent) Reload(cfg *Config) {
 	a.log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	a.discovery.moveTo(cfg.Discovery)
 }
 
-// Run serves until stop ends, then drains and returns nil. It returns an error if the listener fails, or one with
-// ErrPanic after a panic.
+// Run serves until stop ends, then drains and returns nil. It returns an error if the listener fails, and one that
+// wraps ErrPanic after a panic.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.Background()) // goes on through the drain
+	ctx, cancel := context.WithCancel(context.Background()) // ends only after the drain
 	var running sync.WaitGroup
 	defer a.protocol.Shutdown()
 	defer running.Wait()
@@ -179,7 +183,7 @@
 	a.log.Info("serving", "listen", a.limiter.Addr().String(), "backends", len(a.storedServers()))
 	select {
 	case err := <-served:
-		a.log.Error("no more clients can be accepted: draining", "error", err)
+		a.log.Error("accepting clients' connections failed; draining", "error", err)
 		a.drain(served)
 		return fmt.Errorf("listen: %w", err)
 	case err := <-a.panics:
@@ -188,10 +192,10 @@
 	case <-stop.Done():
 	}
 	a.drain(served)
-	return nil // a requested stop is no failure
+	return nil // a requested stop is not an error
 }
 
-// storedServers are the servers of the stored list.
+// storedServers returns the servers of the stored list.
 func (a *Agent) storedServers() []discovery.Member {
 	if a.cfg.Known == nil {
 		return nil
@@ -199,7 +203,8 @@
 	return a.cfg.Known.Servers
 }
 
-// useStoredList begins with the stored list. Without one the balancer gets an empty list, and asks for a watch.
+// useStoredList gives the balancer the stored list. Without a stored list the balancer gets an empty one and asks
+// for a watch.
 func (a *Agent) useStoredList() {
 	if len(a.storedServers()) == 0 {
 		a.loop.handle(List{ListUpdate: decide.ListUpdate{Kind: decide.ListCached}})
@@ -209,7 +214,8 @@
 	a.loop.handle(a.discovery.translate(a.cfg.Known, decide.ListCached))
 }
 
-// waitForList waits for the first list as long as the agent should before it accepts connections.
+// waitForList waits for the first list: until it has come, the agent does not accept connections, unless the wait's
+// time limit or a stop ends it.
 func (a *Agent) waitForList(stop context.Context) {
 	if a.listWait > 0 {
 		a.waitFor(stop, a.loop.listed, a.listWait)
@@ -219,7 +225,7 @@
 	}
 }
 
-// waitFor waits until a channel is closed, for so long at most, or until the agent is to stop.
+// waitFor waits until a channel is closed, maxWait has passed, or the agent is to stop.
 func (a *Agent) waitFor(stop context.Context, closed <-chan struct{}, maxWait time.Duration) {
 	limit := time.NewTimer(maxWait)
 	defer limit.Stop()
@@ -227,14 +233,14 @@
 	case <-closed:
 	case <-limit.C:
 	case <-stop.Done():
-	case <-a.loop.stopped: // it panicked, which Run notices
+	case <-a.loop.stopped: // the loop panicked; Run handles that
 	}
 }
 
-// ErrPanic is in the error of an agent that ended by a panic in its own code.
+// ErrPanic is wrapped by the error of an agent that ended because of a panic in its own code.
 var ErrPanic = errors.New("panic")
 
-// containPanic runs f. A panic in it ends this agent, not the process.
+// containPanic runs f and recovers a panic in it, which ends this agent but not the process.
 func (a *Agent) containPanic(f func()) {
 	defer func() {
 		p := recover()
@@ -245,26 +251,26 @@
 		a.log.Error("panic", "error", err, "stack", string(debug.Stack()))
 		select {
 		case a.panics <- err:
-		default: // the first one counts
+		default: // only the first panic is kept
 		}
 	}()
 	f()
 }
 
-// Follow has the loop follow a hub's list, in place of the one followed so far; nil: none. The hub sends its complete
-// list first.
+// Follow makes the loop follow a hub's list in place of the one that it followed so far; nil: none. The hub sends
+// its complete list first.
 func (a *Agent) Follow(hub *discovery.Hub) {
 	a.hubMu.Lock()
 	defer a.hubMu.Unlock()
-	if a.unfollow != nil {
-		a.unfollow()
-		a.unfollow = nil
+	if a.unsubscribe != nil {
+		a.unsubscribe()
+		a.unsubscribe = nil
 	}
 	if hub == nil {
 		return
 	}
 	clk := a.loop.clock
-	a.unfollow = hub.Subscribe(func(m *discovery.Members) {
+	a.unsubscribe = hub.Subscribe(func(m *discovery.Members) {
 		a.loop.post(translate(a.cfg, clk, a.log, m, listKindOf(m)))
 	})
 }
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// oneClientProtocol is a protocol with one client, whose request comes as soon as clients are served. It sends on a
-// channel which server gets it.
+// oneClientProtocol is a protocol with one client, whose request arrives as soon as clients are served. The server
+// that gets the request is sent on a channel.
 type oneClientProtocol struct {
 	idleProtocol
 	loop  *Loop
@@ -33,15 +33,15 @@
 	return decide.OK, "", decide.Load{}
 }
 
-// Where lists are pushed, what the list has counts as known from the first moment of a process: no client is served by a
-// stored list that the first pushed one would change. Where that does not come, or nobody is there, clients are served by
-// the stored one.
+// Where lists are pushed, the changes in the list count as known from a process's start on: no client is served with
+// a stored list that the first pushed one would change. If no list is pushed in time, or the list service is down,
+// clients are served with the stored list.
 func TestFirstPushedListReplacesTheStoredOneBeforeServing(t *testing.T) {
 	for name, row := range map[string]struct {
 		wait     time.Duration
 		pushes   bool
 		dead     bool
-		endFirst func(first *testkit.Watcher) // ends a first watch without a list; nil: it goes on
+		endFirst func(first *testkit.Watcher) // ends the first watch without a list; nil: it goes on
 		want     string                       // the server that gets the request
 	}{
 		"a list is pushed": {
@@ -53,7 +53,7 @@
 			wait: time.Millisecond,
 			want: "one",
 		},
-		"nobody is there": {
+		"the list service is down": {
 			wait: testkit.Patience,
 			dead: true,
 			want: "one",
@@ -107,7 +107,7 @@
 				}
 			}
 			if got := testkit.Receive(t, "attempt", p.sent); got != row.want {
-				t.Errorf("sent to %q", got)
+				t.Errorf("the request was sent to %q", got)
 			}
 			close(p.ended)
 			cancel()
@@ -116,7 +116,7 @@
 	}
 }
 
-// A request that comes late in a drain is answered before the agent ends, and not by its own deadline.
+// A request that arrives late in a drain is answered before the agent ends, even if its own deadline is later.
 func TestLateRequestOfADrainIsAnsweredBeforeItsEnd(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -140,14 +140,15 @@
 			r.Deadline = c.own
 			l.Submit(r.Request)
 			if !r.Deadline.Equal(c.want) {
-				t.Errorf("until %v, want %v", r.Deadline, c.want)
+				t.Errorf("deadline %v, want %v", r.Deadline, c.want)
 			}
 			r.deadlineTimer.Stop()
 		})
 	}
 }
 
-// A drain waits for the longest deadline of the settings, however long, and ends before the platform's kill 0.7 s later.
+// A drain waits for the longest deadline of the settings, however long, and ends before the platform kills the
+// process 0.7 s later.
 func TestDrainWaitsForTheLongestDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{2 * time.Second, 9 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceArrival is how long ago the last data came to a TCP connection's socket, as the kernel has it (tcp(7), TCP_INFO): a
-// connection may have waited to be accepted, with a request on it. It is 0 where that is not known.
+// SinceArrival returns how long ago the last data arrived on a TCP connection's socket, as the kernel reports it
+// (tcp(7), TCP_INFO): a connection that already carries a request may have waited to be accepted. The result is 0
+// where the time is not known.
 func SinceArrival(nc net.Conn) time.Duration {
 	sc, ok := nc.(syscall.Conn)
 	if !ok || nc.LocalAddr().Network() != "tcp" {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -17,42 +17,42 @@
 // Attempt is one attempt of a request at a server.
 type Attempt struct {
 	*Request
-	N       int // attempts of a request count from 0
+	N       int // number of the attempt within its request, from 0
 	Server  string
-	Context context.Context // ends when the attempt has to; its cause is ErrTimedOut or ErrCancelled
+	Context context.Context // ends when the attempt must end; its cause is ErrTimedOut or ErrCancelled
 
 	loop           *Loop
 	timer          *time.Timer // ends the context
 	cancel         context.CancelCauseFunc
-	start          time.Time     // the server's work begins
-	startBy        time.Time     // it may not begin later: see startExpired; zero: at any time
+	start          time.Time     // when the server's work begins
+	startBy        time.Time     // the latest time to begin, see startExpired; zero: any time
 	reuseOnly      bool          // see MayDial
-	processStarted int64         // Unix milliseconds, of its server's process by the list
+	processStarted int64         // start of the server's process by the list, Unix milliseconds
 	dialed         bool          // see MarkDialed
 	notReplayable  bool          // see MarkNotReplayable
 	responseParts  int           // see StartResponse
-	hasResult      bool          // it has ended, and result is valid
+	hasResult      bool          // the attempt has ended, and result is valid
 	result         decide.Result // see hasResult
 }
 
-// ServerProgress says how far the server is with a request when a part of its response is there.
+// ServerProgress says whether the server still works on the response when a part of it has come.
 type ServerProgress bool
 
 // The values of ServerProgress.
 const (
-	ServerWorking ServerProgress = false // more of the response is to be worked out
-	ServerDone    ServerProgress = true  // the response only has to be transferred
+	ServerWorking ServerProgress = false // the server still computes parts of the response
+	ServerDone    ServerProgress = true  // only the transfer of the response remains
 )
 
-// StartResponse says that a part of the attempt's response is about to reach the client. It reports false if it must
-// not: another attempt's response has begun, or the request has its final answer. After true there is no other attempt,
-// and the request's final answer is this one's outcome.
+// StartResponse announces that a part of the attempt's response is about to reach the client. It reports false if
+// the part must not be sent: another attempt's response has begun, or the request has its final answer. After true
+// no other attempt is made, and this attempt's outcome is the request's final answer.
 //
-// With ServerDone the client's deadline no longer ends the attempt, which then has to bound itself: a client that has
+// With ServerDone the client's deadline no longer ends the attempt, so the protocol must bound it: a client that has
 // begun to read a response waits for its end.
 func (a *Attempt) StartResponse(progress ServerProgress) bool {
 	if progress == ServerDone && a.responseParts == 0 && !a.timer.Stop() {
-		return false // its deadline is exceeded
+		return false // its deadline has passed
 	}
 	if !a.guard.startResponse(a.N) {
 		return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// UploadCompleted says that the last byte of the request has gone out with this attempt. The client's deadline, and the
-// attempt's, run from now.
+// UploadCompleted announces that the last byte of the request has been sent with this attempt. The client's deadline
+// and the attempt's run from now.
 func (a *Attempt) UploadCompleted() {
 	now := time.Now()
 	a.start = now
@@ -76,24 +76,26 @@
 	a.loop.post(uploadCompleted{a, now})
 }
 
-// MayDial reports whether the attempt may open a connection. If not, and there is no open one, it ends as NotSent.
+// MayDial reports whether the attempt may open a connection. If it may not, and no connection is open, it ends as
+// NotSent.
 func (a *Attempt) MayDial() bool { return !a.reuseOnly }
 
-// MarkDialed says that the attempt opens a connection.
+// MarkDialed records that the attempt opens a connection.
 func (a *Attempt) MarkDialed() { a.dialed = true }
 
-// MarkNotReplayable says that what was sent can't be sent again.
+// MarkNotReplayable records that what was sent can't be sent again.
 func (a *Attempt) MarkNotReplayable() { a.notReplayable = true }
 
-// Sent counts the attempt as sent: its last byte is written.
+// Sent counts the attempt as sent: the request's last byte is written.
 func (a *Attempt) Sent() { a.loop.ClassCounts(a.Class).Sends.Add(1) }
 
-// startExpired reports whether it is too late to begin: the deduplication window of a retry is about to close, or what
-// it would use of the fleet's limits may be leased to another agent by now.
+// startExpired reports whether it is too late to begin the attempt: the deduplication window of a retry is about to
+// close, or the shares of the fleet's limits that the attempt would use may be leased to another agent by now.
 func (a *Attempt) startExpired() bool { return !a.startBy.IsZero() && !time.Now().Before(a.startBy) }
 
-// serverWithdrawn reports whether an operator has disabled the attempt's server since the attempt was decided, or the
-// list says that it drains or is gone. A connection may take long to come up.
+// serverWithdrawn reports whether the attempt's server must get no more requests: an operator has disabled it, or
+// the list says that it drains or is gone. This may have changed since the attempt was decided, because opening a
+// connection may take long.
 func (a *Attempt) serverWithdrawn() bool {
 	if ready := a.loop.readyServers.Load(); ready != nil && !(*ready)[a.Server] {
 		return true
@@ -102,17 +104,17 @@
 	return disabled != nil && (*disabled)[a.Server]
 }
 
-// attemptContext is a context that knows when its timer ends it. One made by package context would need two timers,
-// each registered with the parent that all attempts share.
+// attemptContext is a context whose Deadline is when the attempt's timer ends it. A context that package context
+// makes for a deadline and a cause would need two timers, each registered with the parent that all attempts share.
 type attemptContext struct {
 	context.Context
 	until time.Time
 }
 
-// Deadline is when the attempt's timer ends it.
+// Deadline returns when the attempt's timer ends it.
 func (c attemptContext) Deadline() (time.Time, bool) { return c.until, true }
 
-// maxUploadTime bounds how long the last byte of a request may take to come, whatever its protocol bounds.
+// maxUploadTime bounds the time until a request's last byte has come, whatever bounds its protocol has.
 const maxUploadTime = time.Hour
 
 // startAttempt executes a Send of the balancer, unless the request has ended or a guard refuses it.
@@ -142,7 +144,7 @@
 	go l.runAttempt(a)
 }
 
-// refuseAttempt books an attempt that a guard has refused as not sent.
+// refuseAttempt records an attempt that a guard has refused as not sent.
 func (l *Loop) refuseAttempt(r *Request, server string) {
 	l.pending = append(l.pending, decide.Outcome{
 		Request:  r.ID,
@@ -161,7 +163,7 @@
 	})
 }
 
-// newAttempt is an attempt whose timer runs.
+// newAttempt returns an attempt whose timer runs.
 func (l *Loop) newAttempt(r *Request, send decide.Send) *Attempt {
 	start := time.Now()
 	until := r.Deadline.Add(-l.answerMargin)
@@ -190,9 +192,9 @@
 	return a
 }
 
-// runAttempt makes an attempt in a goroutine of its own, which ends by the client's deadline. Whatever becomes of it,
-// its outcome is posted: the balancer waits for it. There are no more of these goroutines than MaxAttempts for each
-// open request.
+// runAttempt makes an attempt in a goroutine of its own, which ends by the client's deadline. The outcome is posted
+// in every case, because the balancer waits for it. At most MaxAttempts of these goroutines run for each open
+// request.
 func (l *Loop) runAttempt(a *Attempt) {
 	defer a.cancel(nil)
 	defer a.timer.Stop()
--- a/internal/core/clientconn.go
+++ b/internal/core/clientconn.go
@@ -14,24 +14,24 @@
 	CloseWrite() error
 }
 
-// clientConn is a connection that a ConnLimiter accepted. It keeps the methods of a TCP connection: without CloseWrite a
-// protocol would close at once after a last answer, and a reset could overtake that. Its fields are under the
-// limiter's lock.
+// clientConn is a connection that a ConnLimiter accepted. It keeps the methods of a TCP connection: without
+// CloseWrite a protocol would close the connection right after a last answer, and a reset could overtake that
+// answer. The limiter's lock guards its fields.
 type clientConn struct {
 	streamConn
 	limiter        *ConnLimiter
 	element        *list.Element // in limiter.fresh or limiter.idle; nil while a request is open
-	quietSince     time.Time     // no request has been open since
+	quietSince     time.Time     // no request has been open since then
 	readDeadline   time.Time     // see ConnLimiter.SetReadDeadline
-	hasRequested   bool          // it has sent a request
-	hasSent        bool          // it has sent a byte
+	hasRequested   bool          // its client has sent a request
+	hasSent        bool          // its client has sent a byte
 	evicting       bool          // it was evicted, and its reader has not closed it yet
-	responsesEnded bool          // its last answer is out, and the client is to read it
+	responsesEnded bool          // its last answer has been sent, and the client is to read it
 }
 
-// Read takes the connection out of those that may be evicted as soon as a byte of a request has come. A protocol calls
-// MarkBusy only once it has read all of the head: if the connection were closed in between, the request would be
-// executed although its client, which saw no answer, sends it again elsewhere.
+// Read removes the connection from those that may be evicted as soon as a byte of a request has come. A protocol
+// calls MarkBusy only once it has read all of the head: if the connection were closed in between, the request would
+// be executed although its client, which saw no answer, sends it again elsewhere.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.streamConn.Read(p)
 	if n == 0 {
@@ -41,28 +41,29 @@
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if !cl.conns[c] {
-		return 0, net.ErrClosed // by this side
+		return 0, net.ErrClosed // closed by this side
 	}
 	c.hasSent = true
-	if c.evicting { // too late: the request has the time that it would have had
+	if c.evicting { // too late to evict: the request gets the time that it would have had
 		cl.cancelEviction(c)
 		_ = c.streamConn.SetReadDeadline(c.readDeadline)
 	}
-	if c.hasRequested { // a first request has HeadTimeout from connecting
+	if c.hasRequested { // a first request stays listed as fresh: its HeadTimeout runs from connecting
 		cl.removeFromQuiet(c)
 	}
 	return n, err
 }
 
-// SetLinger is the socket's own: with 0 its close is a reset, which tells the client that its answer is not complete.
+// SetLinger sets the socket's linger time: with 0 its close is a reset, which tells the client that its answer is
+// incomplete.
 func (c *clientConn) SetLinger(seconds int) error {
 	if l, ok := c.streamConn.(interface{ SetLinger(int) error }); ok {
 		return l.SetLinger(seconds)
 	}
-	return errors.ErrUnsupported // a unix socket has none
+	return errors.ErrUnsupported // a unix socket has no linger time
 }
 
-// SyscallConn is the socket's own.
+// SyscallConn returns the socket's raw connection.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	if sc, ok := c.streamConn.(syscall.Conn); ok {
 		return sc.SyscallConn()
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// CloseWrite ends the answers on the connection. It stays open for a while, so that the client can read the last one,
-// and is the first to be evicted if its slot is needed.
+// CloseWrite ends the answers on the connection. The connection stays open for a while, so that the client can read
+// the last answer, and is the first to be evicted if a slot is needed.
 func (c *clientConn) CloseWrite() error {
 	cl := c.limiter
 	cl.mu.Lock()
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -18,11 +18,11 @@
 type Config struct {
 	Name   string
 	Listen string // where clients connect
-	Admin  string // where operators call; empty: nowhere
-	// InheritedFD is the descriptor of a socket that listens there already; 0: none.
+	Admin  string // address of the admin endpoint; empty: none
+	// InheritedFD is the descriptor of a socket that already listens at Listen; 0: none.
 	InheritedFD int
 	Discovery   string // address of the discovery service
-	Seed        uint64 // of the balancer's random choices
+	Seed        uint64 // for the balancer's random choices
 	Cores       float64
 	MemoryMB    int
 	Sockets     int // file descriptors that the process may hold; 0: defaultSockets
@@ -33,18 +33,18 @@
 	Settings decide.Settings
 	Site     wire.Site
 
-	// Margin is kept free before a client's deadline, so that a timeout reaches the balancer in time for the client to
-	// get the final answer. 0: one tick.
+	// Margin is the time kept free before a client's deadline, so that a timeout reaches the balancer in time for
+	// the client to get the final answer. 0: one tick.
 	Margin time.Duration
-	// BodyBytes bounds the bodies of clients, and again those of servers, that are buffered at once. 0: an eighth of the
-	// memory limit.
+	// BodyBytes bounds the bytes of clients' bodies that are buffered at once, and separately those of servers'
+	// bodies. 0: an eighth of the memory limit.
 	BodyBytes int
-	Weight    float64 // of this instance among those of one process, when limits are divided
-	Memory    *Memory // of the instance that ran before; may be absent
+	Weight    float64 // this instance's weight when limits are divided among the instances of a process
+	Memory    *Memory // learned by the instance that ran before; may be absent
 }
 
-// LoadConfig reads the file that PROXY_CONFIG names. The other variables, where set, override it. An error names the
-// file and the field at fault.
+// LoadConfig reads the file that PROXY_CONFIG names. The other variables override it where they are set. An error
+// names the file and the invalid field.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -61,8 +61,8 @@
 	return c, nil
 }
 
-// ReloadConfig reads the file again, for an agent that is running. The file's address of discovery then overrides that
-// in the environment, which is of the start.
+// ReloadConfig reads the file again, for an agent that is running. The file's address of discovery then overrides
+// the one in the environment, which dates from the start.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return LoadConfig(func(name string) string {
 		if name == "PROXY_DISCOVERY" {
@@ -72,7 +72,7 @@
 	})
 }
 
-// configFile is the configuration as the file has it.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Admin                         string `json:"admin_addr"`
@@ -87,8 +87,8 @@
 	Settings   json.RawMessage
 }
 
-// ParseConfig reads a configuration in JSON, overridden by the variables that getenv gives. An error names the field at
-// fault.
+// ParseConfig parses a configuration in JSON, overridden by the variables that getenv returns. An error names the
+// invalid field.
 func ParseConfig(raw []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -138,7 +138,7 @@
 	return c, nil
 }
 
-// override takes what the environment says in place of the file.
+// override replaces fields by the variables that are set in the environment.
 func (c *Config) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"PROXY_NAME":       &c.Name,
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// checkSettings checks what wire.ParseSettings leaves open.
+// checkSettings checks what wire.ParseSettings does not check.
 func (c *Config) checkSettings() error {
 	for i, name := range c.Site.Classes {
 		if name == "" {
@@ -215,7 +215,7 @@
 	}
 	host, _, err := net.SplitHostPort(addr)
 	if err == nil && net.ParseIP(host) == nil {
-		err = fmt.Errorf("%q is not an IP address (there is no DNS)", host)
+		err = fmt.Errorf("%q is not an IP address (host names are not resolved)", host)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", field, err)
@@ -224,13 +224,14 @@
 }
 
 const (
-	// defaultMemoryMB is the memory limit in MiB where none is set: what the platform gives an agent.
+	// defaultMemoryMB is the memory limit in MiB where none is set: the memory that the platform gives an agent.
 	defaultMemoryMB = 192
-	// bodyMemoryDivisor makes this part of the memory limit the bound for bodies of clients, and again of servers.
+	// bodyMemoryDivisor divides the memory limit: the result bounds the buffered bodies of clients, and separately
+	// those of servers.
 	bodyMemoryDivisor = 8
 )
 
-// BodyMemory is how many bytes of bodies may be buffered at once, of clients and again of servers.
+// BodyMemory returns how many bytes of clients' bodies may be buffered at once, and separately of servers' bodies.
 func (c *Config) BodyMemory() int {
 	if c.BodyBytes > 0 {
 		return c.BodyBytes
@@ -241,7 +242,7 @@
 	return c.MemoryMB << 20 / bodyMemoryDivisor
 }
 
-// MaxDeadline is the longest deadline of any class.
+// MaxDeadline returns the longest deadline of any class.
 func (c *Config) MaxDeadline() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -10,7 +10,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A start-up error names the field that is wrong.
+// An error at start names the field that is wrong.
 func TestInvalidConfigIsRejectedWithItsField(t *testing.T) {
 	base := map[string]string{
 		"listen":    `"127.0.0.1:0"`,
@@ -44,8 +44,8 @@
 	}
 	for _, row := range []struct {
 		field string
-		value string // empty: it is missing
-		names string // what the error has to contain
+		value string // empty: the field is missing
+		names string // a part of the error
 	}{
 		{"listen", "", "listen"},
 		{"listen", `"here:80"`, "listen"},
--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -11,20 +11,21 @@
 	"time"
 )
 
-// The file descriptors of the process are shared out here: a fixed part for its own files, discovery and peers, and the
-// rest to clients and servers. Each client connection carries one request at a time, and a request seldom has more than
-// one attempt in flight; the clients' part is the larger one, since they also keep idle connections.
+// The file descriptors of the process are divided here: a fixed number for its own files, discovery and peers, and
+// the rest for connections of clients and to servers. Each client connection carries one request at a time, and a
+// request seldom has more than one attempt in flight; the clients' part is the larger one, because clients also keep
+// idle connections.
 const (
 	// minSockets is the smallest Config.Sockets with which an agent works.
 	minSockets = 64
-	// OwnSockets are those of an agent's Config.Sockets that are neither clients' nor servers'.
+	// OwnSockets is how many of an agent's Config.Sockets are neither for clients nor for servers.
 	OwnSockets = 24
 	// defaultSockets is used where Config.Sockets is not set: the usual soft limit of a process.
 	defaultSockets = 1024
 )
 
-// sharedSockets are what is left for clients and servers. Two processes of one agent may each have less than
-// minSockets.
+// sharedSockets returns how many descriptors are left for clients and servers. Where two processes of one agent
+// share its descriptors, each may have a limit below minSockets.
 func sharedSockets(limit int) int {
 	if limit == 0 {
 		limit = defaultSockets
@@ -32,74 +33,76 @@
 	return max(limit, minSockets) - OwnSockets
 }
 
-// BackendSockets is the number of connections to servers that may be open at once, of a Config.Sockets.
+// BackendSockets returns the number of connections to servers that may be open at once; limit is a Config.Sockets.
 func BackendSockets(limit int) int { return sharedSockets(limit) * 2 / 5 }
 
-// ClientSockets is the number of client connections that may be open at once, of a Config.Sockets.
+// ClientSockets returns the number of client connections that may be open at once; limit is a Config.Sockets.
 func ClientSockets(limit int) int { return sharedSockets(limit) - BackendSockets(limit) }
 
 const (
-	// minQuiet is how long a connection without an open request is left alone at least: its client may be about to send
-	// its first request. Longer lets idle clients keep others out for longer.
+	// minQuiet is how long a connection must have been quiet before it is evicted for new ones, unless all slots are
+	// taken: its client may be about to send its first request. A longer time lets idle clients keep others out for
+	// longer.
 	minQuiet = 2 * time.Second
 	// minSilent is the same for a connection that has sent no byte yet, where all slots are taken: a request on a
-	// connection that is still in the kernel's queue waits behind it.
+	// connection in the kernel's queue waits until the silent connection is evicted.
 	minSilent = 250 * time.Millisecond
-	// HeadTimeout is what a client has from connecting, or from the first byte of a later request, until the head has
-	// come, and again for the body. It is longer than minQuiet, so that eviction comes first.
+	// HeadTimeout is the time limit for the head of a request, from connecting or from the first byte of a later
+	// request, and again for its body. It is longer than minQuiet, so that eviction comes first.
 	HeadTimeout = minQuiet + 200*time.Millisecond
 	// emptyCheckInterval is how often waitUntilEmpty evicts connections that have become idle.
 	emptyCheckInterval = 20 * time.Millisecond
 )
 
-// evictionReason is why a client's connection was evicted. The names are values of a metric's label.
+// evictionReason is why a client's connection was evicted. The names of the reasons are values of a metric's label.
 type evictionReason int
 
 const (
-	evictQuiet   evictionReason = iota // idle for long, past the eviction mark
+	evictQuiet   evictionReason = iota // quiet for minQuiet, while too many connections were open or idle
 	evictForSlot                       // its slot was needed at once
-	evictIdle                          // idle, as the agent stops or is drained
-	evictSilent                        // nothing was ever sent on it, as the agent stops or is drained
+	evictIdle                          // idle while the agent stops or is drained
+	evictSilent                        // no byte was ever sent on it, and the agent stops or is drained
 	evictionReasonCount
 )
 
 var evictionReasonNames = [evictionReasonCount]string{"quiet", "room", "idle", "silent"}
 
-// ConnLimiter accepts clients' connections up to a number of slots. Of the states of a connection: it is fresh before its
-// first request, silent while it is fresh and not one byte has come, idle between two requests, and quiet while it is fresh
-// or idle.
+// ConnLimiter accepts clients' connections up to a number of slots. A connection is fresh before its first request,
+// silent while it is fresh and has sent no byte, idle between two requests, and quiet while it is fresh or idle.
 //
-// Slots are bounded because running out of descriptors would fail attempts at healthy servers too. A connection without an open request keeps its slot only while there are enough. Past the
-// eviction mark (three quarters) those that have been quiet for minQuiet are evicted for new ones. Where all slots are
-// taken, one that has had an answer is evicted at once, since a client that meets the close with a further request
-// sends that again elsewhere; one that has yet to send its first byte is left minSilent, and new ones wait in the
-// kernel's queue.
+// Slots are bounded because running out of descriptors would fail attempts at healthy servers too. A connection
+// without an open request keeps its slot only while there are enough. Past the eviction mark (three quarters of the
+// slots), connections that have been quiet for minQuiet are evicted for new ones. Where all slots are taken, an idle
+// connection is evicted at once: a client whose next request crosses the close sends it again elsewhere. A silent
+// connection is left alone for minSilent, while new ones wait in the kernel's queue.
 //
-// No more than a quarter of the slots are kept for connections between requests: clients that ask once and keep each
-// connection for good would otherwise run out of their own before the limiter does. Past that, quiet ones are evicted as
-// they are past the mark. That costs a burst of requests every few seconds new connections.
+// At most a quarter of the slots are kept for idle connections. Otherwise, clients that send one request on each
+// connection and never close it would run out of descriptors of their own before the limiter runs out of slots.
+// Beyond that quarter, idle connections are evicted once they have been quiet for minQuiet, as past the mark. As a
+// result, a burst of requests every few seconds needs new connections.
 //
-// The limiter never closes a connection by itself. It evicts one by a read deadline that has passed, and the goroutine
-// that reads the connection closes it: it may have read a request by then, which would otherwise be lost.
+// The limiter does not close a connection by itself. It evicts a connection by setting a read deadline that has
+// passed, and the goroutine that reads the connection closes it. That goroutine may have read a request by then,
+// which would be lost if the limiter closed the connection.
 type ConnLimiter struct {
 	net.Listener
 
 	mu           sync.Mutex
-	maxConns     int // slots
-	evictionMark int // connections from which on quiet ones are evicted
-	maxIdle      int // connections between requests from which on they are
+	maxConns     int // number of slots
+	evictionMark int // number of open connections from which on quiet ones are evicted
+	maxIdle      int // number of idle connections from which on those quiet for minQuiet are evicted
 	conns        map[*clientConn]bool
-	fresh        *list.List // of *clientConn that have sent no request yet, the oldest first
-	idle         *list.List // of *clientConn between requests, idle longest first
-	evicting     int        // connections that were evicted and are not closed yet
+	fresh        *list.List // of fresh *clientConn, the oldest first
+	idle         *list.List // of idle *clientConn, the longest idle first
+	evicting     int        // number of connections that were evicted and are not closed yet
 	evictions    [evictionReasonCount]int64
-	slotFreed    chan struct{} // holds one: a slot has become free
+	slotFreed    chan struct{} // buffers one: a slot may have become free
 	closed       chan struct{}
 	closeOnce    sync.Once
 	closing      bool // see CloseAfterQueue
 }
 
-// NewConnLimiter accepts no more than maxConns connections of a listener at once.
+// NewConnLimiter returns a limiter that accepts at most maxConns connections of a listener at once.
 func NewConnLimiter(l net.Listener, maxConns int) *ConnLimiter {
 	cl := &ConnLimiter{
 		Listener:  l,
@@ -113,18 +116,18 @@
 	return cl
 }
 
-// Resize changes the number of slots. Connections past it stay: quiet ones are evicted as they are where all slots are
-// taken.
+// Resize changes the number of slots. Connections beyond the new number stay open; the quiet ones among them are
+// evicted as they are where all slots are taken.
 func (cl *ConnLimiter) Resize(maxConns int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.maxConns = maxConns
 	cl.evictionMark = maxConns * 3 / 4
 	cl.maxIdle = max(1, maxConns/4)
-	cl.signalSlot() // there may be one now
+	cl.signalSlot() // a slot may be free now
 }
 
-// signalSlot wakes whoever waits for a slot.
+// signalSlot wakes the goroutine that waits for a slot.
 func (cl *ConnLimiter) signalSlot() {
 	select {
 	case cl.slotFreed <- struct{}{}:
@@ -132,17 +135,17 @@
 	}
 }
 
-// LongAgo is a deadline that has passed: a read or write that waits ends at once.
+// LongAgo is a deadline that has passed: with it, a read or write that waits ends at once.
 var LongAgo = time.Unix(1, 0)
 
-// Accept waits for a slot, and for a connection. It returns net.ErrClosed once the limiter is closed, and another error
-// only if the listener can't go on. One goroutine may call it.
+// Accept waits for a free slot, and then for a connection. It returns net.ErrClosed once the limiter is closed, and
+// another error only if the listener can't go on. Only one goroutine may call it.
 func (cl *ConnLimiter) Accept() (net.Conn, error) {
 	var failures acceptFailures
 	for {
 		wait := cl.reclaimSlots(time.Now())
 		if wait == 0 {
-			nc, err := cl.acceptNext() // nobody else accepts: the slot is still free
+			nc, err := cl.acceptNext() // no other goroutine accepts, so the slot is still free
 			if err == nil {
 				return cl.add(nc)
 			}
@@ -156,8 +159,8 @@
 	}
 }
 
-// acceptNext waits for a connection; after CloseAfterQueue it takes one from the queue, and closes the listener where that
-// is empty.
+// acceptNext waits for a connection. After CloseAfterQueue it takes a connection from the kernel's queue, or closes
+// the listener if the queue is empty.
 func (cl *ConnLimiter) acceptNext() (net.Conn, error) {
 	if !cl.closesAfterQueue() {
 		nc, err := cl.Listener.Accept()
@@ -179,9 +182,10 @@
 	return cl.closing
 }
 
-// CloseAfterQueue has Accept take what stands in the kernel's queue, for so long at most, and close the listener then: the
-// last close of a listening socket resets the connections in its queue, whose clients may have sent requests. It must not
-// be called where another process or agent accepts on the same socket: what is in its queue is theirs.
+// CloseAfterQueue makes Accept take the connections in the kernel's queue, for at most limit, and then close the
+// listener. Without this, the last close of a listening socket would reset the connections in its queue, whose
+// clients may have sent requests. It must not be called where another process or agent accepts on the same socket:
+// the connections in its queue are accepted there.
 func (cl *ConnLimiter) CloseAfterQueue(limit time.Duration) {
 	cl.mu.Lock()
 	cl.closing = true
@@ -192,10 +196,10 @@
 	}
 }
 
-// retryDelay is how long to wait after an error of accept, or the error if the listener can't go on.
+// retryDelay returns how long to wait after an error of accept, or the error if the listener can't go on.
 func (cl *ConnLimiter) retryDelay(err error, failures *acceptFailures) (time.Duration, error) {
 	switch {
-	case outOfDescriptors(err): // a quiet client is the first to give one back
+	case outOfDescriptors(err): // evicting a quiet connection frees one
 		cl.mu.Lock()
 		defer cl.mu.Unlock()
 		cl.evictQuietest(time.Now())
@@ -208,7 +212,7 @@
 	return 0, err
 }
 
-// add takes a connection that was accepted into the limiter's books.
+// add registers a connection that was accepted.
 func (cl *ConnLimiter) add(nc net.Conn) (net.Conn, error) {
 	stream, ok := nc.(streamConn)
 	if !ok {
@@ -223,7 +227,7 @@
 	return c, nil
 }
 
-// waitForSlot waits until a slot is free, for so long at most. It reports false if the limiter is closed.
+// waitForSlot waits until a slot is free, for at most maxWait. It reports false if the limiter is closed.
 func (cl *ConnLimiter) waitForSlot(maxWait time.Duration) bool {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -241,7 +245,7 @@
 }
 
 // reclaimSlots evicts connections that have been quiet for long enough, down to the eviction mark. It returns 0 if a
-// slot is free, else how long to wait for one at most.
+// slot is free, else the longest time to wait for one before it is called again.
 func (cl *ConnLimiter) reclaimSlots(now time.Time) time.Duration {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -256,7 +260,7 @@
 }
 
 // evictQuiet evicts the connections of a list that have been quiet for minQuiet, as long as there are too many. It
-// returns how long to wait until the next one has been. The lock is held.
+// returns the time until the next connection has been quiet for that long. The lock is held.
 func (cl *ConnLimiter) evictQuiet(quiet *list.List, now time.Time) time.Duration {
 	for e := quiet.Front(); e != nil && cl.tooMany(quiet); e = quiet.Front() {
 		c := e.Value.(*clientConn)
@@ -273,8 +277,9 @@
 	return len(cl.conns)-cl.evicting >= cl.evictionMark || quiet == cl.idle && quiet.Len() >= cl.maxIdle
 }
 
-// evictQuietest evicts one connection at once: the one that has been idle longest, or else the one that has been silent
-// longest. It returns how long to wait until there is a silent one to be evicted. The lock is held.
+// evictQuietest evicts one connection at once: the one that has been idle longest, or else the one that has been
+// silent longest, for at least minSilent. It returns how long to wait until a silent connection may be evicted. The
+// lock is held.
 func (cl *ConnLimiter) evictQuietest(now time.Time) time.Duration {
 	if e := cl.idle.Front(); e != nil {
 		cl.evict(e.Value.(*clientConn), evictForSlot)
@@ -283,7 +288,7 @@
 	for e := cl.fresh.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		if c.hasSent {
-			continue // a part of its request is there
+			continue // a part of its request has come
 		}
 		if remaining := minSilent - now.Sub(c.quietSince); remaining > 0 {
 			return remaining
@@ -294,8 +299,8 @@
 	return minQuiet
 }
 
-// evict has a quiet connection's reader close it, by a read deadline that has passed. A reader that gets bytes all the
-// same goes on with them. The lock is held.
+// evict makes the reader of a quiet connection close it, by a read deadline that has passed. A reader that receives
+// bytes all the same goes on with them. The lock is held.
 func (cl *ConnLimiter) evict(c *clientConn, reason evictionReason) {
 	cl.removeFromQuiet(c)
 	if c.evicting {
@@ -307,7 +312,7 @@
 	_ = c.streamConn.SetReadDeadline(LongAgo) // fails only on a connection that is closed already
 }
 
-// cancelEviction lets a connection go on. The lock is held.
+// cancelEviction lets an evicted connection go on. The lock is held.
 func (cl *ConnLimiter) cancelEviction(c *clientConn) {
 	if c.evicting {
 		c.evicting = false
@@ -328,7 +333,7 @@
 	cl.signalSlot()
 }
 
-// removeFromQuiet takes a connection out of the list that it is in. The lock is held.
+// removeFromQuiet removes a connection from the list that it is in. The lock is held.
 func (cl *ConnLimiter) removeFromQuiet(c *clientConn) {
 	if c.element == nil {
 		return
@@ -338,8 +343,8 @@
 	c.element = nil
 }
 
-// MarkBusy says that a request is open on a connection that the limiter accepted. It reports false if the connection
-// is closed.
+// MarkBusy records that a request is open on a connection that the limiter accepted. It reports false if the
+// connection is closed.
 func (cl *ConnLimiter) MarkBusy(nc net.Conn) bool {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -353,8 +358,8 @@
 	return cl.conns[c]
 }
 
-// SetReadDeadline bounds the reading of a connection on which no request is open, as net.Conn's does, unless it was
-// evicted: then reading ends now.
+// SetReadDeadline sets the read deadline of a connection on which no request is open, as the method of net.Conn
+// does. An evicted connection keeps the deadline that has passed, so that reading ends now.
 func (cl *ConnLimiter) SetReadDeadline(nc net.Conn, deadline time.Time) {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -368,7 +373,7 @@
 	}
 }
 
-// MarkIdle says that no request is open on a connection any more.
+// MarkIdle records that no request is open on a connection any more.
 func (cl *ConnLimiter) MarkIdle(nc net.Conn) {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -382,7 +387,8 @@
 	}
 }
 
-// NearCapacity reports whether so many connections are open, or idle, that none should be kept after its answer.
+// NearCapacity reports whether so many connections are open, or idle, that none should be kept open after its
+// answer.
 func (cl *ConnLimiter) NearCapacity() bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -392,18 +398,18 @@
 // ConnCounts are the numbers of open connections.
 type ConnCounts struct {
 	Open  int
-	Fresh int // of these, with no request yet
-	Idle  int // of these, between requests
+	Fresh int // of these, those with no request yet
+	Idle  int // of these, those between requests
 }
 
-// Counts are the numbers of connections that are open now.
+// Counts returns the numbers of connections that are open now.
 func (cl *ConnLimiter) Counts() ConnCounts {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return ConnCounts{Open: len(cl.conns), Fresh: cl.fresh.Len(), Idle: cl.idle.Len()}
 }
 
-// evictionCounts are the evictions since the start, by the name of their reason.
+// evictionCounts returns the number of evictions since the start, by the name of their reason.
 func (cl *ConnLimiter) evictionCounts() map[string]int64 {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -414,8 +420,8 @@
 	return counts
 }
 
-// CloseIdle evicts the connections between requests. Those whose last answer is out are closed by themselves, once
-// their clients have read it.
+// CloseIdle evicts the idle connections. Those whose last answer has been sent are left out: they are closed anyway
+// once their clients have read it.
 func (cl *ConnLimiter) CloseIdle() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -428,8 +434,8 @@
 	}
 }
 
-// CloseSilent evicts the connections that have been open for so long and on which nothing was ever sent: on a younger
-// one a request may be on its way.
+// CloseSilent evicts the connections that have been open for minAge and on which no byte was ever sent: on a younger
+// connection a request may be on its way.
 func (cl *ConnLimiter) CloseSilent(minAge time.Duration) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -452,7 +458,7 @@
 			return nil
 		}
 		select {
-		case <-cl.slotFreed: // nobody accepts any more: each close signals here
+		case <-cl.slotFreed: // Accept does not run any more, so each close is signalled here
 		case <-check.C:
 		case <-ctx.Done():
 			return fmt.Errorf("%d connections are open: %w", open, ctx.Err())
--- a/internal/core/connlimiter_test.go
+++ b/internal/core/connlimiter_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// newTestLimiter is a limiter on loopback with so many accepted connections, and their clients' ends.
+// newTestLimiter returns a limiter on loopback with so many open connections, and the clients' ends of them.
 func newTestLimiter(t *testing.T, maxConns, open int) (*ConnLimiter, []net.Conn) {
 	t.Helper()
 	cl := NewConnLimiter(testkit.Listen(t), maxConns)
@@ -36,7 +36,7 @@
 	return c
 }
 
-// idleConn is a limiter with one connection between requests, and its client's end.
+// idleConn returns a limiter with one idle connection, that connection, and its client's end.
 func idleConn(t *testing.T) (cl *ConnLimiter, conn *clientConn, client net.Conn) {
 	t.Helper()
 	cl, clients := newTestLimiter(t, 10, 1)
@@ -47,7 +47,7 @@
 	return cl, conn, clients[0]
 }
 
-// freshConns are the connections that have sent no request yet, the oldest first.
+// freshConns returns the connections that have sent no request yet, the oldest first.
 func freshConns(cl *ConnLimiter) []*clientConn {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -58,7 +58,7 @@
 	return conns
 }
 
-// closeEvicted does what the readers of evicted connections do.
+// closeEvicted closes the evicted connections, as their readers do.
 func closeEvicted(t *testing.T, cl *ConnLimiter) {
 	t.Helper()
 	cl.mu.Lock()
@@ -71,13 +71,13 @@
 	cl.mu.Unlock()
 	for _, c := range evicted {
 		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("evicted, it reads %d bytes, %v", n, err)
+			t.Errorf("read on an evicted connection: %d bytes, %v", n, err)
 		}
 		c.Close()
 	}
 }
 
-// writeByte has a client send one byte.
+// writeByte sends one byte from a client.
 func writeByte(t *testing.T, client net.Conn, b byte) {
 	t.Helper()
 	if _, err := client.Write([]byte{b}); err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// requireReadByte reads one byte.
+// requireReadByte fails unless a read returns one byte, which must be want.
 func requireReadByte(t *testing.T, c net.Conn, want byte) {
 	t.Helper()
 	buf := make([]byte, 1)
@@ -94,7 +94,7 @@
 	}
 }
 
-// requireEvicted fails unless a read ends as that of an evicted connection.
+// requireEvicted fails unless a read ends as on an evicted connection.
 func requireEvicted(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -102,28 +102,28 @@
 	}
 }
 
-// The first byte of a request makes an idle connection busy: draining does not close it any more. A request that was
-// read and then cut off would be executed, and sent again elsewhere.
+// The first byte of a request makes an idle connection busy: draining does not close the connection any more. A
+// request that was read before its connection is cut off would be executed, and sent again elsewhere.
 func TestFirstByteMakesAConnectionBusy(t *testing.T) {
 	cl, conn, client := idleConn(t)
 	writeByte(t, client, 'G')
 	requireReadByte(t, conn, 'G')
 	cl.CloseIdle()
 	if _, err := conn.Write([]byte("x")); err != nil {
-		t.Errorf("closed although a request has begun: %v", err)
+		t.Errorf("connection closed although a request has begun: %v", err)
 	}
 	if _, err := io.ReadFull(client, make([]byte, 1)); err != nil {
 		t.Error(err)
 	}
 }
 
-// A connection on which nothing was sent yet is left alone for a while, as a request may be on its way.
+// A connection on which no byte has been sent yet is not evicted for a while, because a request may be on its way.
 func TestYoungSilentConnectionIsNotEvicted(t *testing.T) {
 	cl, conn, _ := idleConn(t)
 	conn.hasRequested = false
 	cl.CloseSilent(testkit.Patience)
 	if cl.evicting != 0 {
-		t.Error("evicted at once")
+		t.Error("a young connection was evicted")
 	}
 	cl.mu.Lock()
 	conn.quietSince = time.Now().Add(-testkit.Patience)
@@ -134,7 +134,7 @@
 	}
 }
 
-// lateRead has read a byte just before its connection was evicted.
+// lateRead is a connection whose reader has read a byte just before the connection was evicted.
 type lateRead struct{ streamConn }
 
 func (lateRead) Read(p []byte) (int, error) {
@@ -142,8 +142,9 @@
 	return 1, nil
 }
 
-// A byte that has been read just before its connection was evicted is a request's: the connection goes on, and is read
-// for as long as it would have been. Bytes that come after that stay unread, and the client sends them again elsewhere.
+// A byte that was read just before its connection was evicted belongs to a request: the connection goes on, with its
+// old read deadline. On an evicted connection from which no byte was read, later bytes stay unread, and the client
+// sends them again elsewhere.
 func TestByteThatCrossesTheEvictionCancelsIt(t *testing.T) {
 	cl, conn, client := idleConn(t)
 	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience))
@@ -161,34 +162,34 @@
 		t.Errorf("%d evicted", cl.evicting)
 	}
 	if !cl.MarkBusy(conn) {
-		t.Error("it was closed")
+		t.Error("the connection was closed")
 	}
 	cl.MarkIdle(conn)
 	cl.CloseIdle()
 	writeByte(t, client, 'G')
 	requireEvicted(t, conn)
-	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience)) // its reader's deadline comes too late
+	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience)) // the reader sets its deadline after the eviction
 	requireEvicted(t, conn)
 	if !cl.conns[conn] {
-		t.Error("the limiter has closed it by itself")
+		t.Error("the limiter has closed the connection by itself")
 	}
 }
 
-// A connection whose last answer is out is closed once its client has read that, and not before, unless its slot is
-// needed. One whose first request has begun to come is not silent.
+// A connection whose last answer has been sent is closed once its client has read the answer, and not before, unless
+// its slot is needed. A connection on which a first request has begun to come is not silent.
 func TestOnlyQuietConnectionsAreEvicted(t *testing.T) {
-	t.Run("last answer out", func(t *testing.T) {
+	t.Run("last answer sent", func(t *testing.T) {
 		cl, conn, _ := idleConn(t)
 		if err := conn.CloseWrite(); err == nil && cl.idle.Len() == 0 {
-			t.Error("not in the list of idle ones")
+			t.Error("the connection is not in the list of idle connections")
 		}
 		cl.CloseIdle()
 		if cl.evicting != 0 {
-			t.Error("its last answer may be lost")
+			t.Error("the connection was evicted: its last answer may be lost")
 		}
 		cl.maxConns = 1
 		if wait := cl.reclaimSlots(time.Now()); wait == 0 || cl.evicting != 1 {
-			t.Errorf("wait %v, %d evicted: its slot is needed", wait, cl.evicting)
+			t.Errorf("wait %v, %d evicted, although the slot is needed", wait, cl.evicting)
 		}
 	})
 	t.Run("first request under way", func(t *testing.T) {
@@ -198,31 +199,31 @@
 		requireReadByte(t, conn, 'G')
 		cl.CloseSilent(0)
 		if cl.evicting != 0 {
-			t.Error("evicted")
+			t.Error("a connection whose request has begun was evicted")
 		}
 	})
 }
 
-// Clients that connect and send nothing once filled the listener for as long as they liked, and no others came in. Past
-// the eviction mark those that were quiet longest are evicted, but none before its time: a client may be about to send
-// its first request. Those with an open request stay.
+// Guards against clients that connect and send nothing: they kept all slots, and no other client was accepted. Past
+// the eviction mark the connections that have been quiet longest are evicted, but none before minQuiet, because its
+// client may be about to send its first request. Connections with an open request stay.
 func TestQuietConnectionsAreEvictedForNewOnes(t *testing.T) {
 	cl, clients := newTestLimiter(t, 8, 8)
 	conns := freshConns(cl)
 	cl.MarkBusy(conns[0])
 	now := conns[7].quietSince
 	if wait := cl.reclaimSlots(now); wait <= 0 || wait > minQuiet || cl.Counts().Open != 8 {
-		t.Fatalf("full of young ones: wait %v, %d open", wait, cl.Counts().Open)
+		t.Fatalf("all slots hold young connections: wait %v, %d open", wait, cl.Counts().Open)
 	}
 	if wait := cl.reclaimSlots(now.Add(minQuiet)); wait == 0 || cl.Counts().Open != 8 {
-		t.Fatalf("wait %v, %d open: no slot is free before their readers have closed them", wait, cl.Counts().Open)
+		t.Fatalf("wait %v, %d open: no slot is free before the readers close", wait, cl.Counts().Open)
 	}
 	closeEvicted(t, cl)
 	if wait := cl.reclaimSlots(now.Add(minQuiet)); wait != 0 || cl.Counts().Open != cl.evictionMark-1 {
 		t.Fatalf("wait %v, %d open, mark %d", wait, cl.Counts().Open, cl.evictionMark)
 	}
 	if !cl.conns[conns[0]] || cl.conns[conns[1]] || cl.conns[conns[3]] || !cl.conns[conns[4]] {
-		t.Error("not those that were quiet longest were closed")
+		t.Error("the closed connections are not those that were quiet longest")
 	}
 	if err := clients[1].SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
 		t.Fatal(err)
@@ -232,14 +233,14 @@
 	}
 	cl.MarkIdle(conns[0])
 	if cl.idle.Back().Value != conns[0] {
-		t.Error("after its answer it is not idle")
+		t.Error("the connection is not idle after its answer")
 	}
 	cl.MarkBusy(conns[4])
 	if err := conns[4].CloseWrite(); err != nil || cl.idle.Front().Value != conns[4] {
-		t.Errorf("%v; one whose last answer is out is not the first to be evicted", err)
+		t.Errorf("%v; the connection whose last answer has been sent is not the first to be evicted", err)
 	}
-	// Full once more: clients that send requests now and then, and so are never quiet for long, must not keep all others
-	// out. Those that have had an answer are evicted at once, those still silent are not.
+	// All slots are taken again. Clients that send requests now and then, and so are never quiet for long, must not
+	// keep all others out: connections that have had an answer are evicted at once, silent ones are not.
 	reclaimOne := func() time.Duration {
 		cl.maxConns = cl.Counts().Open
 		cl.reclaimSlots(time.Now())
@@ -247,14 +248,14 @@
 		return cl.reclaimSlots(time.Now())
 	}
 	if wait := reclaimOne(); wait != 0 || cl.conns[conns[4]] || !cl.conns[conns[0]] {
-		t.Errorf("wait %v; open: closing %v, idle %v", wait, cl.conns[conns[4]], cl.conns[conns[0]])
+		t.Errorf("wait %v; open: closing one %v, idle one %v", wait, cl.conns[conns[4]], cl.conns[conns[0]])
 	}
 	if wait := reclaimOne(); wait != 0 || cl.conns[conns[0]] {
-		t.Errorf("wait %v; the idle one stays", wait)
+		t.Errorf("wait %v; the idle connection stays", wait)
 	}
 	cl.maxConns = cl.Counts().Open
 	if wait := cl.reclaimSlots(conns[5].quietSince); wait == 0 || !cl.conns[conns[5]] {
-		t.Errorf("wait %v; a silent one was evicted before its time", wait)
+		t.Errorf("wait %v; a silent connection was evicted before its time", wait)
 	}
 }
 
@@ -277,13 +278,13 @@
 	first := testkit.Receive(t, "first connection", accepted)
 	dialLimiter(t, cl)
 	if cl.Counts().Open != 1 || len(accepted) != 0 {
-		t.Errorf("%d connections past the limit", len(accepted))
+		t.Errorf("%d connections were accepted past the limit", len(accepted))
 	}
 	first.Close()
-	first.Close() // frees its slot once
+	first.Close() // must not free the slot twice
 	testkit.Receive(t, "second connection", accepted)
 	if open := cl.Counts().Open; open != 1 {
-		t.Errorf("%d counted, one is open", open)
+		t.Errorf("%d connections counted, one is open", open)
 	}
 	cl.Close()
 	if err := testkit.Receive(t, "end", ended); !errors.Is(err, net.ErrClosed) {
@@ -299,17 +300,17 @@
 	}
 	cl.reclaimSlots(time.Now())
 	if idle := cl.Counts().Idle; idle != 8 {
-		t.Errorf("%d are idle, none was quiet for long", idle)
+		t.Errorf("%d connections are idle, although none was quiet for long enough to be evicted", idle)
 	}
 	cl.reclaimSlots(time.Now().Add(minQuiet))
 	closeEvicted(t, cl)
 	if idle := cl.Counts().Idle; idle >= cl.maxIdle {
-		t.Errorf("%d are idle that were quiet for long, fewer than %d should be", idle, cl.maxIdle)
+		t.Errorf("%d connections that were quiet for long are still idle, want fewer than %d", idle, cl.maxIdle)
 	}
 }
 
-// Where all slots are taken, a connection that has sent nothing is evicted soon, so that one behind it is accepted; one
-// that has sent a part of its first request is left its time.
+// Where all slots are taken, a connection that has sent nothing is evicted after minSilent, so that one in the queue
+// is accepted. A connection that has sent a part of its first request keeps its time limit.
 func TestSilentConnectionsAreEvictedSoonWhenAllSlotsAreTaken(t *testing.T) {
 	cl, clients := newTestLimiter(t, 2, 2)
 	conns := freshConns(cl)
@@ -318,14 +319,14 @@
 	writeByte(t, clients[0], 'G')
 	requireReadByte(t, begun, 'G')
 	if wait := cl.reclaimSlots(silent.quietSince.Add(minSilent / 2)); wait > minSilent/2 || cl.evicting != 0 {
-		t.Errorf("wait %v, %d are evicted before their time", wait, cl.evicting)
+		t.Errorf("wait %v, %d connections were evicted before their time", wait, cl.evicting)
 	}
 	cl.reclaimSlots(silent.quietSince.Add(minSilent))
 	if begun.evicting || !silent.evicting {
-		t.Errorf("evicted: one whose request has begun %v, a silent one %v", begun.evicting, silent.evicting)
+		t.Errorf("evicted: connection with a begun request %v, silent connection %v", begun.evicting, silent.evicting)
 	}
 	cl.reclaimSlots(silent.quietSince.Add(minSilent))
 	if cl.evicting != 1 {
-		t.Errorf("%d are evicted for one slot", cl.evicting)
+		t.Errorf("%d connections were evicted for one slot", cl.evicting)
 	}
 }
--- a/internal/core/disable.go
+++ b/internal/core/disable.go
@@ -11,17 +11,17 @@
 // ErrStopped is the error of a call to an agent whose loop has ended.
 var ErrStopped = errors.New("the agent has stopped")
 
-// disableServer has the loop disable a server, or enable it again.
+// disableServer asks the loop to disable a server, or to enable it again.
 type disableServer struct {
 	server        string
 	disabled      bool
 	evenIfUnknown bool
-	known         chan bool // holds one: whether the server is known; nil: nobody waits
+	known         chan bool // buffers one: whether the server is known; nil: the caller does not wait
 }
 
 // SetServerDisabled disables a server, or enables it again. Once it has returned, nothing more is sent to a disabled
-// server, not even by attempts that wait for a connection. It reports whether the server is known, by the list or as
-// disabled: if not, nothing has changed. The error is ErrStopped or ctx's.
+// server, not even by attempts that wait for a connection. It reports whether the server is known, either listed or
+// disabled; if it is not, nothing has changed. The error is ErrStopped or that of ctx.
 func (a *Agent) SetServerDisabled(ctx context.Context, server string, disabled bool) (known bool, err error) {
 	e := disableServer{server: server, disabled: disabled, known: make(chan bool, 1)}
 	if err := a.postDisable(ctx, e); err != nil {
@@ -37,8 +37,9 @@
 	}
 }
 
-// ForceServerDisabled disables a server, or enables it again, whether or not it is known. It waits until the agent's loop
-// has room to take that, and not until it has done so: it may be called before Run. The error is ErrStopped or ctx's.
+// ForceServerDisabled disables a server, or enables it again, whether or not it is known. It waits for room in the
+// loop's queue, but not until the change is made, so it may be called before Run. The error is ErrStopped or that of
+// ctx.
 func (a *Agent) ForceServerDisabled(ctx context.Context, server string, disabled bool) error {
 	return a.postDisable(ctx, disableServer{server: server, disabled: disabled, evenIfUnknown: true})
 }
@@ -54,7 +55,8 @@
 	}
 }
 
-// TryForceServerDisabled is ForceServerDisabled that does not wait: false says that the agent is too busy to take it now.
+// TryForceServerDisabled is ForceServerDisabled without waiting: false says that the agent is too busy to take the
+// change now.
 func (a *Agent) TryForceServerDisabled(server string, disabled bool) bool {
 	return a.loop.tryPost(disableServer{server: server, disabled: disabled, evenIfUnknown: true})
 }
@@ -69,7 +71,7 @@
 	}
 }
 
-// setDisabled changes which servers are disabled. Attempts that have not been written yet see it at once.
+// setDisabled changes which servers are disabled. Attempts that have not been written yet see the change at once.
 func (l *Loop) setDisabled(server string, disabled bool) {
 	all := map[string]bool{}
 	if previous := l.disabled.Load(); previous != nil {
@@ -84,7 +86,8 @@
 	l.log.Info("server disabled or enabled by an operator", "server", server, "out", disabled)
 }
 
-// noteServerStates keeps which servers are ready by the list. Attempts that have not been written yet see it at once.
+// noteServerStates records which servers are ready by the list. Attempts that have not been written yet see the
+// change at once.
 func (l *Loop) noteServerStates(list List) {
 	if list.Kind == decide.ListFailed {
 		return
--- a/internal/core/disconnect.go
+++ b/internal/core/disconnect.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disconnected reports whether the other side of a connection is known to have closed it, whatever is unread on it: by
-// an end of what it sends (FIN) or a reset. A client that closed only its sending side can't be told from one that closed
-// the connection, see docs/design/crossings.md. A client that has sent more than the system buffers is not known to
-// have closed: the end is behind the unread data.
+// Disconnected reports whether the other side of a connection is known to have closed it, by an end of its data
+// (FIN) or a reset, even if data is unread. A client that closed only its sending side can't be told from one that
+// closed the connection, see docs/design/crossings.md. A client that has sent more than the system buffers is not
+// known to have closed the connection, because the end comes after the unread data.
 func Disconnected(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return false // a test's
+		return false // a connection of a test
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -30,11 +30,11 @@
 		}
 		closed = n > 0 && err == nil && fds[0].Revents&closeEvents != 0
 	})
-	return err != nil || closed // an error: it is closed on this side
+	return err != nil || closed // an error means that it is closed on this side
 }
 
-// Disconnected reports whether the request's client has disconnected, and if so tells the loop. It asks the socket:
-// whoever reads the client's connection may be behind, or wait for something else.
+// Disconnected reports whether the request's client has disconnected, and if so tells the loop. It asks the socket,
+// because the goroutine that reads the client's connection may be behind or wait for something else.
 func (a *Attempt) Disconnected() bool {
 	if a.Client == nil || !Disconnected(a.Client) {
 		return false
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -18,15 +18,15 @@
 const (
 	// maxBackoffDoublings bounds the exponent of the reconnect backoff.
 	maxBackoffDoublings = 10
-	// drainGraceDivisor is the part of the drain grace that a wait between two watches may take: what a list that was
-	// down has to say counts as known as soon as it is back.
+	// drainGraceDivisor bounds the wait between two watches to a part of the drain grace: changes made while the
+	// list service was down count as known to the agent as soon as the service is back.
 	drainGraceDivisor = 4
-	// failuresPerLogLine is how many failed watches in a row are one line in the log.
+	// failuresPerLogLine is how many failed watches in a row share one log line.
 	failuresPerLogLine = 20
 )
 
-// reconnectCeiling is the ceiling of the wait after so many failures in a row, where lists are pushed: it doubles, and
-// the wait has full jitter below it.
+// reconnectCeiling returns the upper bound of the wait after so many failures in a row, where lists are pushed. The
+// bound doubles with each failure, and the wait has full jitter below it.
 func reconnectCeiling(failures int, drainGrace time.Duration) time.Duration {
 	if failures == 0 {
 		return 1
@@ -45,12 +45,12 @@
 	log              *slog.Logger
 	client           *http.Client
 	heartbeatTimeout time.Duration
-	version          int64         // of the last list
-	addr             string        // of discovery
-	watchRequests    chan struct{} // holds one: a Subscribe of the balancer
-	addrChanges      chan string   // holds one: the last new address of discovery
-	attempted        chan struct{} // closed once a watch has brought something, or nobody is there to bring it
-	markAttempted    func()        // closes it
+	version          int64         // version of the last list
+	addr             string        // address of discovery
+	watchRequests    chan struct{} // buffers one: a Subscribe of the balancer
+	addrChanges      chan string   // buffers one: the last new address of discovery
+	attempted        chan struct{} // closed once a watch has delivered a list, or discovery has refused a connection
+	markAttempted    func()        // closes attempted
 }
 
 func newListWatcher(cfg *Config, clk clock, post func(any), log *slog.Logger) *listWatcher {
@@ -70,7 +70,7 @@
 	}
 }
 
-// subscribe asks for a watch. While one is being opened a further call adds nothing.
+// subscribe asks for a watch. While a request for one is pending another call has no effect.
 func (d *listWatcher) subscribe() {
 	select {
 	case d.watchRequests <- struct{}{}:
@@ -78,22 +78,22 @@
 	}
 }
 
-// moveTo ends the present watch and opens another at addr, at once and without being asked: what the list said so far
-// goes on to hold, so that to the balancer nothing has happened.
+// moveTo ends the present watch and opens another at addr, at once and without a request of the balancer. The list
+// so far stays in force, so the balancer sees no failure.
 func (d *listWatcher) moveTo(addr string) {
 	select {
-	case <-d.addrChanges: // one that was not followed yet
+	case <-d.addrChanges: // drops an address that was not used yet
 	default:
 	}
 	select {
 	case d.addrChanges <- addr:
-	default: // another call came in between, whose address is as new
+	default: // another call came in between, and its address is as recent
 	}
 }
 
-// run watches until ctx ends. On silence or failure the last list goes on to hold, the balancer gets a failed update, and a
-// new watch is opened after a wait. A change counts as notified discovery.ToldWithin (6 s) after discovery could be reached,
-// whether or not it arrived.
+// run watches until ctx ends. When a watch falls silent or fails, the last list stays in force, the balancer gets a
+// failed update, and a new watch is opened after a wait. A change counts as notified discovery.NotificationDeadline
+// (6 s) after discovery could be reached, whether or not it arrived.
 func (d *listWatcher) run(ctx context.Context) {
 	failures := 0
 	for d.waitToWatch(ctx, failures) {
@@ -112,7 +112,7 @@
 			d.log.Warn("discovery watch ended", "error", err, "failures", failures)
 		}
 		select {
-		case <-d.watchRequests: // made during a watch that a new address had opened: the balancer asks anew now
+		case <-d.watchRequests: // made during a watch that a new address had opened; the balancer now asks again
 		default:
 		}
 		d.post(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFailed}})
@@ -122,7 +122,7 @@
 	}
 }
 
-// waitToWatch waits until a watch is to be opened: because the balancer asks for it, the backoff is over, or the address
+// waitToWatch waits until a watch is to be opened: the balancer asks for one, the backoff is over, or the address
 // has changed. It reports false if ctx has ended.
 func (d *listWatcher) waitToWatch(ctx context.Context, failures int) bool {
 	var backoff <-chan time.Time
@@ -143,11 +143,11 @@
 	return true
 }
 
-// errAddrChanged ends a watch whose address is no longer that of discovery.
-var errAddrChanged = errors.New("discovery has another address")
+// errAddrChanged ends a watch after the address of discovery has changed.
+var errAddrChanged = errors.New("the address of discovery has changed")
 
-// switchTo takes an address over. Another service need not number its versions like the old one, so its complete list
-// is asked for.
+// switchTo sets the address of discovery. Another service may number its versions differently, so the complete list
+// is requested from it.
 func (d *listWatcher) switchTo(addr string) {
 	if d.addr != addr {
 		d.addr = addr
@@ -155,8 +155,8 @@
 	}
 }
 
-// endOnMove ends a watch of an address when discovery has another one, which it sends on changed. It returns, and closes
-// changed, when the watch's ctx ends.
+// endOnMove ends a watch of an address when discovery gets another one, which it sends on changed. It returns, and
+// closes changed, when the watch's ctx ends.
 func (d *listWatcher) endOnMove(ctx context.Context, cancel context.CancelCauseFunc, watched string, changed chan<- string) {
 	defer close(changed)
 	for {
@@ -173,7 +173,7 @@
 	}
 }
 
-// watch follows changes of the list until the connection ends. It reports whether any list came.
+// watch follows changes of the list until the connection ends. It reports whether any list has come.
 func (d *listWatcher) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	changed := make(chan string, 1)
@@ -193,7 +193,7 @@
 	})
 }
 
-// listKindOf is whether a message of discovery is a complete list or a change.
+// listKindOf returns whether a message of discovery is a complete list or a change.
 func listKindOf(m *discovery.Members) decide.ListKind {
 	if m.Full {
 		return decide.ListFull
@@ -201,20 +201,19 @@
 	return decide.ListDelta
 }
 
-// translate puts a list into the balancer's terms.
+// translate converts a list to the balancer's terms.
 func (d *listWatcher) translate(m *discovery.Members, kind decide.ListKind) List {
 	return translate(d.cfg, d.clock, d.log, m, kind)
 }
 
-// serverStates are the states of servers as discovery spells them.
+// serverStates are the states of servers by their names in discovery.
 var serverStates = map[string]decide.BackendState{
 	"ready":    decide.Up,
 	"draining": decide.Draining,
 	"gone":     decide.Removed,
 }
 
-// translate puts a list into the balancer's terms. An entry that makes no sense is left out and logged: the others still
-// count.
+// translate converts a list to the balancer's terms. An invalid entry is left out and logged; the others are used.
 func translate(cfg *Config, clk clock, log *slog.Logger, m *discovery.Members, kind decide.ListKind) List {
 	list := List{
 		ListUpdate: decide.ListUpdate{Kind: kind},
@@ -225,12 +224,12 @@
 	for _, s := range m.Servers {
 		state, ok := serverStates[s.State]
 		if !ok || s.ID == "" {
-			log.Warn("list entry left out", "id", s.ID, "state", s.State)
+			log.Warn("invalid list entry ignored", "id", s.ID, "state", s.State)
 			continue
 		}
 		if state != decide.Removed {
 			if err := checkAddr("addr", s.Addr); err != nil {
-				log.Warn("list entry left out", "id", s.ID, "error", err)
+				log.Warn("invalid list entry ignored", "id", s.ID, "error", err)
 				continue
 			}
 			list.Addrs[s.ID] = s.Addr
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// runListWatcher runs a discovery client on c and returns what it posts.
+// runListWatcher runs a listWatcher at version 41 and returns it, with the channel of the lists that it posts.
 func runListWatcher(t *testing.T, cfg *Config, tune func(*listWatcher)) (*listWatcher, chan List) {
 	t.Helper()
 	events := make(chan List, 100)
@@ -41,7 +41,7 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:9","zone":"b","kind":"m2","cell":3,"state":%q,"weight":1.5,"started_ms":0}]}`, version, full, state)
 }
 
-// The watch goes on from the last version after a failure, and each failure is posted.
+// After a failure the watch goes on from the last version, and each failure is posted.
 func TestWatchReconnects(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
@@ -55,7 +55,7 @@
 	if e.Kind != decide.ListFull || len(e.Backends) != 1 || e.Backends[0] != want || e.Addrs["s"] != "127.0.0.1:9" {
 		t.Errorf("%+v", e)
 	}
-	w.Lines <- "" // nothing has changed
+	w.Lines <- "" // a heartbeat
 	w.Lines <- listLine(43, false, "draining")
 	if e := testkit.Receive(t, "change", events); e.Kind != decide.ListDelta || e.Backends[0].State != decide.Draining {
 		t.Errorf("%+v", e)
@@ -98,8 +98,8 @@
 	testkit.Receive(t, "second watch", c.Watch)
 }
 
-// A request of the balancer during a watch that a new address had opened is void when that watch ends: the balancer
-// learns of the end, and asks anew after its backoff.
+// A request of the balancer during a watch that was opened because of a new address is dropped when that watch ends:
+// the balancer learns of the end, and asks again after its backoff.
 func TestRequestDuringAWatchIsVoidAtItsEnd(t *testing.T) {
 	one, two := testkit.NewCatalog(t), testkit.NewCatalog(t)
 	waiting := make(chan int, 1)
@@ -115,15 +115,15 @@
 	d.subscribe() // after the balancer's backoff since its last failure
 	close(w.Fail)
 	if n := testkit.Receive(t, "requests that wait", waiting); n != 0 {
-		t.Error("it opens a watch without a backoff")
+		t.Error("a request is left that opens a watch without a backoff")
 	}
 	testkit.Receive(t, "failure", events)
 	d.subscribe()
 	testkit.Receive(t, "requested watch", two.Watch)
 }
 
-// Discovery is down, back for as long as it takes to send one list, down again, and then back for good: that list counts,
-// and the next watch goes on from it. Calls go on all the while.
+// Discovery is down, back just long enough to send one list, down again, and then back for good: the list of the
+// short recovery counts, and the next watch goes on from it. The agent keeps making calls all the while.
 func TestListOfABriefRecoveryCounts(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -140,7 +140,7 @@
 					}
 				}
 			}
-			// back serves one call completely, and is down again.
+			// back serves one call completely; after it discovery is down again.
 			back := func(since string, version int, state string) {
 				t.Helper()
 				ln, err := net.Listen("tcp", addr)
@@ -177,7 +177,8 @@
 	}
 }
 
-// A discovery service that is cut off closes nothing: a watch without heartbeats has failed.
+// A discovery service that is cut off by the network does not close connections: a watch without heartbeats has
+// failed.
 func TestWatchWithoutHeartbeatEnds(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) {
@@ -205,7 +206,7 @@
 	if len(e.Backends) != 2 {
 		t.Fatalf("%+v", e.Backends)
 	}
-	// Started before the agent: it may still be cold and must not count as started long ago.
+	// This server started before the agent: it may still be cold, so it must not count as started long ago.
 	age := clk.now() - e.Backends[0].Started
 	if e.Backends[0].Started <= 0 || age < 3*time.Second || age > 3*time.Second+testkit.Patience {
 		t.Errorf("started %v ago", age)
@@ -215,8 +216,8 @@
 	}
 }
 
-// A reload with a new address moves the watch at once, also during the balancer's backoff, and asks for the complete list;
-// the balancer learns of no failure. The same address again changes nothing.
+// A reload with a new address moves the watch at once, also during the balancer's backoff, and asks for the complete
+// list; the balancer sees no failure. A reload with the same address changes nothing.
 func TestWatchFollowsTheAddress(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -232,7 +233,7 @@
 			d.moveTo(two.Addr)
 			w = testkit.Receive(t, "watch at the new address", two.Watch)
 			if w.Since != "0" {
-				t.Errorf("since %q: the versions of another service", w.Since)
+				t.Errorf("since %q: a version of another service", w.Since)
 			}
 			w.Lines <- listLine(7, true, "draining")
 			if e := testkit.Receive(t, "list of the new address", events); e.Kind != decide.ListFull || e.Backends[0].State != decide.Draining {
@@ -251,8 +252,8 @@
 	}
 }
 
-// However often a pushed list could not be watched, an agent tries again well before a drain that counts from its
-// recovery must be followed; and it does not call without a pause.
+// However many watches of a pushed list have failed in a row, the agent tries again well before it must follow a
+// drain that counts as known from discovery's recovery on; and it never calls without a pause.
 func TestReconnectBackoffStaysWithinTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for failures := range 100 {
@@ -260,9 +261,9 @@
 			case wait <= 0 || wait > discovery.MaxReconnectBackoff:
 				t.Errorf("grace %v, %d failures: %v", grace, failures, wait)
 			case wait > max(discovery.MinReconnectBackoff, grace/4):
-				t.Errorf("grace %v, %d failures: waits %v", grace, failures, wait)
+				t.Errorf("grace %v, %d failures: %v is too long for the grace", grace, failures, wait)
 			case failures > 0 && wait < discovery.MinReconnectBackoff:
-				t.Errorf("grace %v, %d failures: only %v", grace, failures, wait)
+				t.Errorf("grace %v, %d failures: %v is too short", grace, failures, wait)
 			}
 		}
 	}
--- a/internal/core/ejections.go
+++ b/internal/core/ejections.go
@@ -8,34 +8,34 @@
 	"vetchhaven/decide"
 )
 
-// Ejection is an ejection of a process of a server by the fleet.
+// Ejection is the ejection of a server's process by the fleet.
 type Ejection struct {
 	Server    string
-	StartedMS int64 // of the process by the list, Unix milliseconds; 0: long ago
-	Draining  bool  // it gets no new requests since it drains, not since it is an outlier
+	StartedMS int64 // start of the process by the list, Unix milliseconds; 0: long ago
+	Draining  bool  // the process gets no new requests because it drains, not because it is an outlier
 	ExpiresAt time.Time
 }
 
-// ejectionsUpdated are the ejections that hold from now on.
+// ejectionsUpdated is posted with the ejections that hold from now on.
 type ejectionsUpdated struct{ ejections []Ejection }
 
-// SetEjections tells the balancer the fleet's ejections, in place of the last ones. It does not wait: false says that
-// the agent is too busy to take them now.
+// SetEjections gives the balancer the fleet's ejections, which replace the last ones. It does not block: false says
+// that the agent is too busy to take them now.
 func (a *Agent) SetEjections(ejections []Ejection) bool {
 	return a.loop.tryPost(ejectionsUpdated{ejections})
 }
 
-// ejectedServers are the servers that get no requests by the present ejections.
+// ejectedServers describes the servers that get no requests because of the present ejections.
 type ejectedServers struct {
-	lastExpiry time.Duration // of the last of them
+	lastExpiry time.Duration // when the last of the ejections expires
 	names      string
-	refusals   int // requests for which there was no server meanwhile, since the last summary
+	refusals   int // requests refused for want of a server while ejections held, since the last summary
 }
 
-// maxNamedServers is how many servers a refusal names.
+// maxNamedServers is how many servers a refusal names at most.
 const maxNamedServers = 5
 
-// ejectedServers names them where a request is refused for want of a server.
+// ejectedServers returns the names of the ejected servers if a request is refused for want of a server.
 func (l *Loop) ejectedServers(reason decide.Reason, now time.Duration) string {
 	if reason != decide.NoBackend || now >= l.ejected.lastExpiry {
 		return ""
@@ -44,7 +44,7 @@
 	return l.ejected.names
 }
 
-// onEjections passes ejections on that are of processes which this agent knows.
+// onEjections passes on the ejections of processes that this agent knows.
 func (l *Loop) onEjections(e ejectionsUpdated) {
 	var ejections []decide.Ejection
 	var names []string
@@ -62,8 +62,8 @@
 	l.pending = append(l.pending, decide.Ejections{Ejections: ejections})
 }
 
-// translateEjection puts an ejection into the balancer's terms. It reports false for one of a process that this agent
-// does not know, or of an earlier one.
+// translateEjection converts an ejection to the balancer's terms. It reports false if the ejected process is unknown
+// to this agent, or an earlier process of the server.
 func (l *Loop) translateEjection(e Ejection) (decide.Ejection, bool) {
 	translated := decide.Ejection{Backend: e.Server, Draining: e.Draining, Until: l.clock.at(e.ExpiresAt)}
 	if e.StartedMS <= 0 {
@@ -74,7 +74,7 @@
 	return translated, known
 }
 
-// name is the server with what happens to it, as answers to clients show it.
+// name returns the server and why it is ejected, as answers to clients show it.
 func (e Ejection) name() string {
 	if e.Draining {
 		return e.Server + " (drains)"
@@ -82,7 +82,7 @@
 	return e.Server + " (out)"
 }
 
-// joinNames lists the first names, and how many more there are.
+// joinNames lists the first maxNamedServers names, and how many more there are.
 func joinNames(names []string) string {
 	if more := len(names) - maxNamedServers; more > 0 {
 		names = append(names[:maxNamedServers], fmt.Sprintf("%d more", more))
--- a/internal/core/ejections_test.go
+++ b/internal/core/ejections_test.go
@@ -7,7 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// A request for which there is no server while ejections hold is answered with the ejected servers; no other is.
+// A request that is refused for want of a server while ejections hold gets an answer that names the ejected servers;
+// no other answer names them.
 func TestRefusalNamesTheEjectedServers(t *testing.T) {
 	l := newBareLoop()
 	requireEjected := func(reason decide.Reason, want string) {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -6,13 +6,14 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// What an instance stores for the next process, and what the admin endpoint shows of it.
+// Memory is what an instance stores for the next process, and the admin endpoint shows Totals: both keep their
+// format.
 func TestStoredMemoryAndTotalsKeepTheirFormat(t *testing.T) {
 	golden.CheckJSON[Memory](t, "memory.json")
 	golden.CheckJSON[Totals](t, "totals.json")
 }
 
-// A configuration with every key of the platform's page.
+// The configuration in testdata has every key that the platform's page lists.
 func TestConfigurationKeepsItsFormat(t *testing.T) {
 	c, err := ParseConfig(golden.Read(t, "config.json"), func(string) string { return "" })
 	if err != nil {
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -35,7 +35,7 @@
 func (idleProtocol) ReapIdle(context.Context) {}
 func (idleProtocol) Shutdown()                {}
 
-// pendingRequest is a request whose answers come on a channel.
+// pendingRequest is a request whose answers are sent on a channel.
 type pendingRequest struct {
 	*Request
 	reply chan Answer
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -11,19 +11,19 @@
 	"vetchhaven/decide"
 )
 
-// Invariant is a rule that a guard of the agent holds whatever the balancer decides. A violation is refused if it can be,
-// counted and logged, and panics in tests.
+// Invariant is a rule that a guard of the agent enforces whatever the balancer decides. A violation is prevented
+// where possible, counted and logged; in tests it panics.
 type Invariant int
 
 // The invariants.
 const (
-	AnsweredOnce   Invariant = iota // a request has one final answer
-	EffectOnce                      // a non-idempotent request is retried only if no attempt can have been executed
-	OneAttemptOut                   // and never has two attempts in flight; no request has, if hedging is off
-	DedupWindow                     // one with an idempotency key is retried only while its first attempt is remembered
-	AttemptBound                    // no more attempts are made than the settings allow
-	WriteMatched                    // each end of a write belongs to one that was admitted
-	AttemptsClosed                  // no more attempts end than were begun
+	AnsweredOnce       Invariant = iota // a request has one final answer
+	EffectOnce                          // a non-idempotent request is retried only if no attempt can have been executed
+	OneAttemptInFlight                  // at most one, if the request is non-idempotent or hedging is off
+	DedupWindow                         // a request with a key is retried only while its first attempt is remembered
+	AttemptBound                        // no more attempts are made than the settings allow
+	WriteMatched                        // each end of a write belongs to a write that was admitted
+	AttemptsClosed                      // no more attempts end than were begun
 	invariantCount
 )
 
@@ -38,7 +38,7 @@
 	"attempts_closed",
 }
 
-// String is the name under which violations are counted.
+// String returns the name under which violations are counted.
 func (i Invariant) String() string { return invariantNames[i] }
 
 // resultNames are decide's results, as values of a metric's label.
@@ -54,7 +54,7 @@
 	"broke",
 }
 
-// counters count an agent's decisions, for any goroutine to read.
+// counters count an agent's decisions. Any goroutine may read them.
 type counters struct {
 	sendRefusals [sendRefusalCount]atomic.Int64
 	violations   [invariantCount]atomic.Int64
@@ -63,17 +63,17 @@
 	retries      atomic.Int64
 }
 
-// Counters are what an agent counted since its start, by the name of each case.
+// Counters are an agent's counts since its start, by the name of each case.
 type Counters struct {
 	SendRefusals map[string]int64 // writes that a send guard refused
 	Violations   map[string]int64 // of invariants
-	Endings      map[string]int64 // requests that the balancer refused or failed, by its reason; those shed by the policy are in Totals alone
+	Endings      map[string]int64 // refused or failed by the balancer, by reason; shed requests are only in Totals
 	Results      map[string]int64 // of attempts
 	Evictions    map[string]int64 // client connections that were evicted, by reason
 	Retries      int64            // attempts after a request's first
 }
 
-// Counters are the present ones. It may be called at any time.
+// Counters returns the present counts. It may be called at any time.
 func (a *Agent) Counters() Counters {
 	n := &a.loop.counters
 	c := Counters{
@@ -111,8 +111,8 @@
 	}
 }
 
-// mayStart holds a further attempt to the rules on repeated execution, whatever the balancer has decided: it looks at
-// the outcomes of the attempts before, and not at the balancer's state. A refusal is a violation.
+// mayStart holds another attempt to the rules on repeated execution, whatever the balancer has decided: it checks
+// the outcomes of the earlier attempts, not the balancer's state. A refusal is a violation.
 func (l *Loop) mayStart(r *Request, server string) bool {
 	settings := &l.cfg.Settings
 	if settings.MaxAttempts > 0 && len(r.attempts) >= settings.MaxAttempts {
@@ -130,24 +130,25 @@
 	return true
 }
 
-// forbidsRetry is the invariant that another attempt beside or after this one would violate, and why; an empty reason:
-// none.
+// forbidsRetry returns the invariant that another attempt beside or after this one would violate, and the reason; an
+// empty reason: none.
 func (a *Attempt) forbidsRetry(class *decide.Class, hedging bool) (Invariant, string) {
 	switch {
 	case !a.hasResult && (class.Effect == decide.NonIdempotent || !hedging):
-		return OneAttemptOut, fmt.Sprintf("attempt %d at %s is still out", a.N, a.Server)
+		return OneAttemptInFlight, fmt.Sprintf("attempt %d at %s is still in flight", a.N, a.Server)
 	case a.hasResult && a.result.NeverRan(), class.Effect == decide.Idempotent:
 		return 0, ""
 	case class.Effect == decide.NonIdempotent:
-		return EffectOnce, fmt.Sprintf("attempt %d at %s may have run: %s", a.N, a.Server, resultNames[a.result])
+		return EffectOnce, fmt.Sprintf("attempt %d at %s may have been executed: %s",
+			a.N, a.Server, resultNames[a.result])
 	case time.Since(a.start) > class.DedupWindow:
-		return DedupWindow, fmt.Sprintf("attempt %d at %s may have run %v ago, %v are remembered",
+		return DedupWindow, fmt.Sprintf("attempt %d at %s may have been executed %v ago, past its window of %v",
 			a.N, a.Server, time.Since(a.start), class.DedupWindow)
 	}
 	return 0, ""
 }
 
-// noteResult keeps and counts an attempt's result.
+// noteResult stores and counts an attempt's result.
 func (l *Loop) noteResult(a *Attempt, result decide.Result) {
 	a.hasResult = true
 	a.result = result
@@ -158,7 +159,7 @@
 	}
 }
 
-// noteEnding counts why the balancer gave a request an answer that is no success.
+// noteEnding counts the reason why the balancer refused or failed a request.
 func (l *Loop) noteEnding(r *Request, answer string, reason decide.Reason) {
 	l.counters.endings[reason].Add(1)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -17,7 +17,7 @@
 	classPay        // non-idempotent
 )
 
-// sendingLoop is a loop whose test sends in the balancer's place, and decides how attempts end.
+// sendingLoop is a loop whose test sends attempts in place of the balancer, and decides how they end.
 type sendingLoop struct {
 	*Loop
 	results chan decide.Result
@@ -43,7 +43,7 @@
 	return s
 }
 
-// endingProtocol's attempts end with the results that come on a channel.
+// endingProtocol is a protocol whose attempts end with the results that arrive on a channel.
 type endingProtocol struct {
 	idleProtocol
 	results chan decide.Result
@@ -57,7 +57,7 @@
 	s.execute(decide.Send{Request: "r", Backend: server}, s.clock.now())
 }
 
-// endAttempt ends the one attempt in flight.
+// endAttempt ends the only attempt in flight.
 func (s *sendingLoop) endAttempt(t *testing.T, result decide.Result) {
 	t.Helper()
 	s.results <- result
@@ -66,16 +66,16 @@
 
 func (s *sendingLoop) violationCount(i Invariant) int64 { return s.counters.violations[i].Load() }
 
-// Whatever the balancer decides, no attempt is made against the rules on repeated execution: it is refused, counted, and
-// the balancer learns that it was not sent.
+// Whatever the balancer decides, no attempt is made against the rules on repeated execution: it is refused and
+// counted, and the balancer learns that it was not sent.
 func TestAttemptsThatViolateTheRetryRulesAreRefused(t *testing.T) {
 	noHedging := func(s *decide.Settings) { s.Hedging = false }
 	shortWindow := func(s *decide.Settings) { s.Classes[classPut].DedupWindow = time.Nanosecond }
 	for name, row := range map[string]struct {
 		class    int
 		change   func(*decide.Settings)
-		earlier  []decide.Result // of the attempts that have ended
-		inFlight bool            // another attempt has not
+		earlier  []decide.Result // results of the attempts that have ended
+		inFlight bool            // another attempt has not ended
 		violates Invariant
 		allowed  bool
 	}{
@@ -84,10 +84,10 @@
 		"non-idempotent, may be executed":    {class: classPay, earlier: []decide.Result{decide.Reset}, violates: EffectOnce},
 		"non-idempotent, timed out":          {class: classPay, earlier: []decide.Result{decide.TimedOut}, violates: EffectOnce},
 		"non-idempotent, errored":            {class: classPay, earlier: []decide.Result{decide.Errored}, violates: EffectOnce},
-		"non-idempotent, one in flight":      {class: classPay, inFlight: true, violates: OneAttemptOut},
+		"non-idempotent, one in flight":      {class: classPay, inFlight: true, violates: OneAttemptInFlight},
 		"idempotent, may be executed":        {class: classGet, earlier: []decide.Result{decide.Reset}, allowed: true},
 		"idempotent, hedged":                 {class: classGet, inFlight: true, allowed: true},
-		"hedging is off":                     {class: classGet, change: noHedging, inFlight: true, violates: OneAttemptOut},
+		"hedging is off":                     {class: classGet, change: noHedging, inFlight: true, violates: OneAttemptInFlight},
 		"with a key, within its window":      {class: classPut, earlier: []decide.Result{decide.Reset}, allowed: true},
 		"with a key, past its window":        {class: classPut, change: shortWindow, earlier: []decide.Result{decide.Reset}, violates: DedupWindow},
 		"with a key, past it, not executed":  {class: classPut, change: shortWindow, earlier: []decide.Result{decide.ConnectFailed}, allowed: true},
@@ -110,7 +110,7 @@
 			made := s.totals.attempts.Load() - before
 			if row.allowed {
 				if made != 1 {
-					t.Error("an attempt that is allowed was not made")
+					t.Error("an allowed attempt was not made")
 				}
 				for i := range s.counters.violations {
 					if s.violationCount(Invariant(i)) != 0 {
@@ -129,7 +129,7 @@
 	}
 }
 
-// A request has one final answer, whoever gives it first; a second one is counted.
+// A request has one final answer, the first one; a second one is counted as a violation.
 func TestSecondFinalAnswerIsCounted(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.finish(s.request.Request, Answer{Refused: true})
@@ -140,7 +140,7 @@
 	}
 }
 
-// A violation panics in a test, and ends nothing in production.
+// A violation panics in tests; in production it ends nothing.
 func TestViolationPanicsInTests(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.toleratesViolations = false
@@ -152,7 +152,7 @@
 	s.violated(AnsweredOnce, "r", 0, "s", "brought about")
 }
 
-// The send guard, event by event: what opens, what is refused, and when the answer is given.
+// Checks the send guard event by event: which writes open, which are refused, and when the answer is given.
 func TestSendGuard(t *testing.T) {
 	interrupted := 0
 	interrupt := func() { interrupted++ }
@@ -190,16 +190,16 @@
 		var g sendGuard
 		g.open(1, func() { go g.end(1) })
 		if !g.startResponse(0) || len(g.writes) > 0 {
-			t.Error("a response begins beside another attempt's write")
+			t.Error("a response begins while another attempt writes")
 		}
 		if g.startResponse(1) || !g.startResponse(0) {
-			t.Error("not the first attempt's alone")
+			t.Error("the connection is not reserved for the first attempt")
 		}
 		if g.open(1, interrupt) || !g.open(0, interrupt) {
 			t.Error("another attempt writes after a response has begun")
 		}
 		if !g.anotherResponds(1) || g.anotherResponds(0) {
-			t.Error("it does not know which attempt responds")
+			t.Error("anotherResponds is wrong about the responding attempt")
 		}
 	})
 	t.Run("no response begins after the answer", func(t *testing.T) {
@@ -207,12 +207,12 @@
 		given := 0
 		g.finish(make(chan struct{}), answer(&given))
 		if g.startResponse(0) || given != 1 {
-			t.Error("it did")
+			t.Error("a response began after the answer, or the answer was lost")
 		}
 	})
 }
 
-// Right before the first byte of an attempt all is checked that may have changed since it was decided.
+// BeginWrite checks everything that may have changed since the attempt was decided, right before its first byte.
 func TestBeginWriteChecksWhatHasChanged(t *testing.T) {
 	list := func(kind decide.ListKind, backends ...decide.Backend) List {
 		return List{ListUpdate: decide.ListUpdate{Kind: kind, Backends: backends}}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -6,10 +6,11 @@
 	"vetchhaven/decide"
 )
 
-// Memory is what an agent has learned that the next one under its name may start with, in names and wall-clock times
-// that both know. Retry budgets and tokens are not part of it. It is stored on disk.
+// Memory is what an agent has learned and its successor of the same name may start with, in names and wall-clock
+// times that both know. Retry budgets and tokens are not part of it. It is stored on disk.
 type Memory struct {
-	// Limit is the limit on requests in flight, for an agent that takes over without a gap; see decide.Learned. 0: none.
+	// Limit is the limit on requests in flight, for an agent that takes over without a gap; 0: none. See
+	// decide.Learned.
 	Limit   float64                `json:"limit,omitempty"`
 	Classes map[string]ClassMemory `json:"classes"`
 	Servers []ServerMemory         `json:"servers"`
@@ -21,7 +22,7 @@
 	Work    float64 `json:"work_ns"`
 }
 
-// ServerMemory is how slow a server process was, as a multiple of the mean of all.
+// ServerMemory is how slow a server's process was, as a multiple of the mean of all.
 type ServerMemory struct {
 	ID      string  `json:"id"`
 	Started int64   `json:"started_ms"` // Unix milliseconds; 0: long ago
@@ -31,7 +32,8 @@
 // learnedQuery asks the loop for what its balancer has learned.
 type learnedQuery struct{ reply chan learnedState }
 
-// learnedState is the answer, with the starts of the servers' processes as the list has them, in Unix milliseconds.
+// learnedState is the reply to a learnedQuery, with the starts of the servers' processes as the list has them, in
+// Unix milliseconds.
 type learnedState struct {
 	decide.Learned
 	startedMS map[string]int64
@@ -45,7 +47,7 @@
 	return state
 }
 
-// Memory is what the balancer has learned. It reports false if the loop has stopped or does not answer in time.
+// Memory returns what the balancer has learned. It reports false if the loop has stopped or does not answer in time.
 func (a *Agent) Memory(timeout time.Duration) (*Memory, bool) {
 	query := learnedQuery{make(chan learnedState, 1)}
 	limit := time.NewTimer(timeout)
@@ -67,7 +69,7 @@
 	}
 }
 
-// memoryOf puts what the balancer has learned into names and wall-clock times.
+// memoryOf converts what the balancer has learned to names and wall-clock times.
 func (a *Agent) memoryOf(state learnedState) *Memory {
 	m := &Memory{Limit: state.Limit, Classes: map[string]ClassMemory{}, Servers: []ServerMemory{}}
 	for i, class := range state.Classes {
@@ -83,7 +85,7 @@
 	return m
 }
 
-// toLearned puts a memory into the balancer's terms.
+// toLearned converts a memory to the balancer's terms.
 func (m *Memory) toLearned(cfg *Config, clk clock, starts *startTimes) decide.Learned {
 	learned := decide.Learned{Limit: m.Limit}
 	for _, name := range cfg.Site.Classes {
--- a/internal/core/listdelay_test.go
+++ b/internal/core/listdelay_test.go
@@ -19,38 +19,38 @@
 	"vetchhaven/internal/testkit"
 )
 
-// callOutcome is what a list service does with a call.
+// callOutcome is how a list service handles a call.
 type callOutcome int
 
 const (
-	callRefused         callOutcome = iota // nobody listens
-	callDropped                            // the connection never comes up: the dialer gives it up
-	callUnanswered                         // it comes up, and nothing comes of it
+	callRefused         callOutcome = iota // the connection is refused
+	callDropped                            // the connection never opens, and the dialer gives it up
+	callUnanswered                         // the connection opens, and no response comes
 	callBusy                               // 503 at once
 	callBusyAfterWait                      // 503 after the call has waited
 	callServedAfterWait                    // served after the call has waited
-	callServedLate                         // the same, and nothing comes for a beat after the head
-	callEndedAfterHead                     // a head, and the end
-	callCutInObject                        // the end within an object
+	callServedLate                         // the same, but after the head nothing comes for one heartbeat interval
+	callEndedAfterHead                     // a head, then the end of the connection
+	callCutInObject                        // the connection ends within an object
 	callServed                             // the complete list, and a heartbeat every 2 s
 )
 
 const (
-	dialTime = 250 * time.Millisecond // a connection that never comes up is given up
-	callWait = 3 * time.Second        // what a call may wait in a crowded service
-	beat     = 2 * time.Second
+	dialTime          = 250 * time.Millisecond // after which a connection that never opens is given up
+	callWait          = 3 * time.Second        // how long a call waits in a crowded service
+	heartbeatInterval = 2 * time.Second
 )
 
-// listScript is a list service by the clock of its run.
+// listScript says how a list service behaves, by the time since the start of its run.
 type listScript struct {
 	call           func(at time.Duration) callOutcome
 	silentAt       time.Duration // open watches fall silent after their next heartbeat; 0: never
 	endsAt         time.Duration // open watches end; 0: never
-	addrMoves      bool          // an agent is sent to another address when it has the change
-	recoversOnHang bool          // it is back right after the first call that hangs, or the watch that fell silent
+	addrMoves      bool          // a reload moves the agent to another address when the service has the change
+	recoversOnHang bool          // it recovers right after the first call that hangs, or after a watch fell silent
 }
 
-// listService is a service that has a change, a complete list without the server that drains, from a moment on.
+// listService is a list service that has a change from some time on: a complete list without the server that drains.
 type listService struct {
 	listScript
 	startedAt time.Time
@@ -61,7 +61,7 @@
 
 func (s *listService) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// restore has the change from now on.
+// restore makes the service have the change from now on.
 func (s *listService) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	return s.changeAt
 }
 
-// dial is what a connection to the service comes to.
+// dial is the dialer of the agent's client: it returns a connection to the service, or fails as the script says.
 func (s *listService) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	at := s.elapsed()
 	s.mu.Lock()
@@ -145,7 +145,7 @@
 		_, _ = io.WriteString(c, object[:len(object)/2])
 		return
 	}
-	if outcome == callServedLate && !wait(beat) {
+	if outcome == callServedLate && !wait(heartbeatInterval) {
 		return
 	}
 	for {
@@ -157,20 +157,21 @@
 			<-disconnected
 			return
 		}
-		if object = "\n"; s.endsAt > s.elapsed() && s.endsAt-s.elapsed() <= beat {
+		if object = "\n"; s.endsAt > s.elapsed() && s.endsAt-s.elapsed() <= heartbeatInterval {
 			wait(s.endsAt - s.elapsed())
 			return
 		}
-		if !wait(beat) {
+		if !wait(heartbeatInterval) {
 			return
 		}
-		if !sent && s.silentAt <= calledAt && s.elapsed() >= s.recoveredAt() { // a watch that was open before, and is sound
+		if !sent && s.silentAt <= calledAt && s.elapsed() >= s.recoveredAt() { // opened before the change
 			object, sent = change, true
 		}
 	}
 }
 
-// firstUpdate is when an agent with this service's address has its change, and how many calls it had made by then.
+// firstUpdate returns when an agent that watches this service has the change, and how many calls the agent had made
+// by then.
 func (s *listService) firstUpdate(t *testing.T, cfg *Config) (at time.Duration, calls int) {
 	t.Helper()
 	s.startedAt = time.Now()
@@ -205,75 +206,76 @@
 	}
 	synctest.Wait()
 	if up := *l.readyServers.Load(); !up["two"] || up["one"] {
-		t.Errorf("ready servers are %v: what a complete list does not name is gone", up)
+		t.Errorf("ready servers are %v, want only those that the complete list names", up)
 	}
 	s.mu.Lock()
 	calls = len(s.calls)
 	s.mu.Unlock()
 	cancel()
 	running.Wait()
-	time.Sleep(callWait) // of the test's clock: the transport's own dials end
+	time.Sleep(callWait) // in virtual time: lets the transport's own dials end
 	return at, calls
 }
 
-// Whatever becomes of the calls before, and however long it was so, an agent has a change within 6 s from when
-// discovery has it and can be reached. The clock is the test's; TestListAfterFailedCalls has it on sockets.
+// Whatever the outcome of earlier calls, and however long they failed, an agent has a change within 6 s from when
+// discovery has it and can be reached. The test runs in virtual time; TestListAfterFailedCalls checks the same on
+// sockets.
 func TestListChangesArriveWithinSixSeconds(t *testing.T) {
-	// recovers has one outcome until a moment, and serves from then on.
+	// recovers returns scripts with one outcome until a time; from then on calls are served.
 	recovers := func(outcome callOutcome) func(time.Duration) listScript {
-		return func(has time.Duration) listScript {
+		return func(changeTime time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
-				if at < has {
+				if at < changeTime {
 					return outcome
 				}
 				return callServed
 			}}
 		}
 	}
-	// open is a watch that ends, or falls silent, so long after the change; 0: it does not.
+	// open returns scripts with a watch that ends, or falls silent, so long after the change; 0: it does not.
 	open := func(ends, silent time.Duration) func(time.Duration) listScript {
-		return func(has time.Duration) listScript {
+		return func(changeTime time.Duration) listScript {
 			s := listScript{call: func(time.Duration) callOutcome { return callServed }}
 			if ends != 0 {
-				s.endsAt = has + ends
+				s.endsAt = changeTime + ends
 			}
 			if silent != 0 {
-				s.silentAt = has + silent
+				s.silentAt = changeTime + silent
 			}
 			return s
 		}
 	}
-	for name, scripted := range map[string]func(has time.Duration) listScript{
+	for name, scripted := range map[string]func(changeTime time.Duration) listScript{
 		"down, refusing":                        recovers(callRefused),
 		"down, dropping":                        recovers(callDropped),
 		"hanging":                               recovers(callUnanswered),
 		"busy":                                  recovers(callBusy),
 		"crowded":                               recovers(callBusyAfterWait),
-		"ending instead of telling":             recovers(callEndedAfterHead),
+		"ending without a list":                 recovers(callEndedAfterHead),
 		"ending in an object":                   recovers(callCutInObject),
 		"an open watch falls silent":            open(0, -time.Millisecond),
 		"an open watch ends without the change": open(-time.Millisecond, 0),
-		"a call waits when it is back": func(has time.Duration) listScript {
+		"a call waits when it is back": func(changeTime time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
-				if at < has {
+				if at < changeTime {
 					return callRefused
 				}
 				return callServedAfterWait
 			}}
 		},
-		"it waits, and its first line comes a beat after its head": func(has time.Duration) listScript {
+		"a call waits, and its first line comes 2 s after its head": func(changeTime time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
-				if at < has {
+				if at < changeTime {
 					return callRefused
 				}
 				return callServedLate
 			}}
 		},
-		"a call hangs from just before, after many refused": func(has time.Duration) listScript {
+		"a call hangs from just before, after many refused": func(changeTime time.Duration) listScript {
 			hung := false
 			return listScript{call: func(at time.Duration) callOutcome {
 				switch {
-				case at < has:
+				case at < changeTime:
 					return callRefused
 				case hung:
 					return callServed
@@ -282,9 +284,9 @@
 				return callUnanswered
 			}, recoversOnHang: true}
 		},
-		"back for a second, and down again": func(has time.Duration) listScript {
+		"back for a second, and down again": func(changeTime time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
-				if at < has || at > has+time.Second {
+				if at < changeTime || at > changeTime+time.Second {
 					return callRefused
 				}
 				return callServed
@@ -300,18 +302,19 @@
 							{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
 						cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), askWithin, askWithin
 						synctest.Test(t, func(t *testing.T) {
-							has := 13*time.Second + time.Duration(i)*217*time.Millisecond
-							s := &listService{listScript: scripted(has), changeAt: has}
+							changeTime := 13*time.Second + time.Duration(i)*217*time.Millisecond
+							s := &listService{listScript: scripted(changeTime), changeAt: changeTime}
 							at, calls := s.firstUpdate(t, cfg)
 							if late := at - s.recoveredAt(); late < 0 || late > discovery.NotificationDeadline {
-								t.Errorf("the change arrives %v after", late)
+								t.Errorf("the change arrives %v after discovery has it", late)
 							}
 							most = max(most, calls)
 						})
 					}
-					// Full jitter below 0.8 s: two and a half calls a second, each seed's 18 s at the most.
+					// With full jitter below 0.8 s an agent makes two and a half calls a second, over at most 18 s
+					// with each seed.
 					if most > 4*18 {
-						t.Errorf("%d calls: a storm", most)
+						t.Errorf("%d calls are too many", most)
 					}
 				})
 			}
@@ -319,8 +322,8 @@
 	}
 }
 
-// A reload names another address while the present one is down, hangs, or has the agent's watch: the new one is watched
-// at that moment, whatever is being waited for.
+// A reload sets another address while the service at the present one is down, hangs, or serves the agent's watch:
+// the new address is watched at that moment, whatever the agent is waiting for.
 func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
 	for name, outcome := range map[string]callOutcome{
 		"during the backoff":           callRefused,
@@ -336,15 +339,15 @@
 						{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
 					cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), time.Hour, time.Hour
 					synctest.Test(t, func(t *testing.T) {
-						has := 13*time.Second + time.Duration(i)*217*time.Millisecond
-						s := &listService{changeAt: has, listScript: listScript{addrMoves: true, call: func(at time.Duration) callOutcome {
-							if at < has {
+						changeTime := 13*time.Second + time.Duration(i)*217*time.Millisecond
+						s := &listService{changeAt: changeTime, listScript: listScript{addrMoves: true, call: func(at time.Duration) callOutcome {
+							if at < changeTime {
 								return outcome
 							}
 							return callServed
 						}}}
-						if at, _ := s.firstUpdate(t, cfg); at != has {
-							t.Errorf("the change arrives %v after", at-has)
+						if at, _ := s.firstUpdate(t, cfg); at != changeTime {
+							t.Errorf("the change arrives %v after discovery has it", at-changeTime)
 						}
 					})
 				}
--- a/internal/core/listen.go
+++ b/internal/core/listen.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// inheritedEnv names the descriptor of the clients' listening socket, where the platform holds it and passes it on to
-// each process of an agent. An old process and a new one then accept from one queue.
+// inheritedEnv is the variable that holds the descriptor of the clients' listening socket, where the platform keeps
+// the socket and passes it on to each process of an agent. An old process and its successor then accept from one
+// queue.
 const inheritedEnv = "PROXY_INHERITED_FD"
 
 const (
@@ -22,26 +23,26 @@
 	minInheritedFD = 3
 	maxInheritedFD = 1 << 20
 
-	// listenRetryInterval is how often an address that is in use is tried, and maxListenRetry for how long: the platform
-	// takes an agent that is not ready by then for failed.
+	// listenRetryInterval is how often an address that is in use is tried, and maxListenRetry for how long: the
+	// platform considers an agent failed that is not ready by then.
 	listenRetryInterval = 10 * time.Millisecond
 	maxListenRetry      = 30 * time.Second
 )
 
-// parseInherited reads the descriptor's number; 0: none is inherited.
+// parseInherited parses the descriptor's number; 0: none is inherited.
 func parseInherited(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < minInheritedFD || fd > maxInheritedFD {
-		return 0, fmt.Errorf("%s: %q is no descriptor above %d", inheritedEnv, text, minInheritedFD-1)
+		return 0, fmt.Errorf("%s: %q is not a descriptor number above %d", inheritedEnv, text, minInheritedFD-1)
 	}
 	return fd, nil
 }
 
-// IsTransient reports whether an error is one of the system's that may pass: an address in use by a process that this
-// one replaces, no descriptor or memory, a disk or a network that fails.
+// IsTransient reports whether an error is one of the system's that may pass: an address in use by a process that
+// this one replaces, no descriptor or memory, a disk or network failure.
 func IsTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -56,8 +57,8 @@
 	return false
 }
 
-// Listen opens the clients' socket. While that fails by a transient error, such as an address in use by the process that
-// this one replaces and that still drains, it tries again, for maxListenRetry or until ctx ends.
+// Listen opens the clients' socket. While that fails with a transient error, such as an address in use by the
+// draining process that this one replaces, Listen tries again, for maxListenRetry or until ctx ends.
 func Listen(ctx context.Context, cfg *Config, log *slog.Logger) (net.Listener, error) {
 	ln, err := listen(cfg)
 	if IsTransient(err) {
@@ -70,7 +71,8 @@
 	return ln, nil
 }
 
-// retryListen tries to listen until the error is not transient. It returns the last error if ctx or the time ends first.
+// retryListen tries to listen until the error is not transient. It returns the last error if ctx or the time ends
+// first.
 func retryListen(ctx context.Context, cfg *Config, err error) (net.Listener, error) {
 	limit, cancel := context.WithTimeout(ctx, maxListenRetry)
 	defer cancel()
@@ -87,8 +89,8 @@
 	return ln, err
 }
 
-// listen opens the clients' socket, or takes the inherited one over. Closing it ends accepting here alone: other
-// processes that hold it go on, and the connections in its queue are theirs.
+// listen opens the clients' socket, or uses the inherited one. Closing an inherited socket ends accepting in this
+// process alone: other processes that hold the socket go on, and accept the connections in its queue.
 func listen(cfg *Config) (net.Listener, error) {
 	if cfg.InheritedFD != 0 {
 		return listenInherited(cfg.InheritedFD)
@@ -101,7 +103,7 @@
 }
 
 func listenInherited(fd int) (net.Listener, error) {
-	// Checked before it is made a file, which would own and close whatever it is.
+	// The descriptor is checked before it becomes an os.File, which would own and close it whatever it is.
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err == nil && listening == 0 {
 		err = syscall.EINVAL
@@ -109,8 +111,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d is no listening socket: %w", inheritedEnv, fd, err)
 	}
-	// The inherited descriptor must not reach a process that this one starts. The copy that FileListener makes is closed
-	// on exec anyway.
+	// The inherited descriptor must not reach a process that this one starts. The copy that FileListener makes is
+	// closed on exec anyway.
 	f := os.NewFile(uintptr(fd), "inherited")
 	defer f.Close()
 	ln, err := net.FileListener(f)
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -12,42 +12,42 @@
 	"vetchhaven/decide/quota"
 )
 
-// Loop owns the balancer, the clock, the timers and the request table. All others post events to it; it never waits for
-// any of them. Its fields belong to the goroutine in run, except where they are atomic.
+// Loop owns the balancer, the clock, the timers and the request table. Other goroutines post events to it; it never
+// waits for them. Its fields belong to the goroutine that executes run, except for the atomic ones.
 type Loop struct {
 	cfg      *Config
 	log      *slog.Logger
 	clock    clock
 	balancer *decide.Balancer
 	protocol Protocol
-	peers    *peers // nil: there are none
+	peers    *peers // nil: the agent has no peers
 
 	events  chan any
 	stopped chan struct{} // closed when run has ended
 
-	// Callbacks; none of them may wait.
+	// Callbacks; none of them may block.
 	requestWatch func()              // asks discovery for a watch
-	reportUsage  func([]quota.Usage) // receives the use of leases; nil: nobody does
-	containPanic func(func())        // runs a goroutine's work and contains its panic in this agent
-	stepHook     func()              // of tests; nil in production
+	reportUsage  func([]quota.Usage) // receives the usage of leases; nil: it is not reported
+	containPanic func(func())        // runs a goroutine's work; a panic in it ends only this agent
+	stepHook     func()              // for tests; nil in production
 
 	// The request table.
 	requests        map[string]*Request
-	recent          recentIDs       // of requests that have ended
-	attemptsContext context.Context // of all attempts: ends with the loop
-	answerMargin    time.Duration   // kept free before a client's deadline, for the answer
+	recent          recentIDs       // IDs of requests that have ended
+	attemptsContext context.Context // parent of all attempts' contexts; ends with the loop
+	answerMargin    time.Duration   // time kept free before a client's deadline for the final answer
 	probing         map[string]bool // servers with a health check under way
 	pending         []decide.Event  // for the next step
 	timers          timerHeap
 
-	// What operators, the list and the fleet have said.
+	// State from operators, the endpoint list and the fleet.
 	starts        startTimes
 	ejected       ejectedServers
-	readyServers  atomic.Pointer[map[string]bool] // by the list; never changed in place; nil: no list has come
+	readyServers  atomic.Pointer[map[string]bool] // ready by the list; never changed in place; nil: no list yet
 	disabled      atomic.Pointer[map[string]bool] // servers disabled by operators; never changed in place
 	drained       atomic.Bool                     // an operator drains the agent
-	drainDeadline atomic.Pointer[time.Time]       // the last answers are given then; nil: the agent does not stop
-	admission     atomic.Pointer[admissionBound]  // nil: requests are admitted without end
+	drainDeadline atomic.Pointer[time.Time]       // when the last answers are given; nil: the agent is not stopping
+	admission     atomic.Pointer[admissionBound]  // nil: requests are admitted without a time limit
 	dedupWindows  atomic.Pointer[[]time.Duration] // by class, see NarrowDedupWindows; nil: the balancer's settings
 
 	// Statistics.
@@ -55,12 +55,12 @@
 	totals        totals
 	counters      counters
 	classCounts   []ClassCounts
-	shedCounts    map[string]int // by shared limit, or the policy, since the last summary
+	shedCounts    map[string]int // by shared limit or the policy's reason, since the last summary
 	outcomes      outcomeReport
 	backendCounts backendCounts
 
-	ready            atomic.Bool   // a list has named servers
-	listed           chan struct{} // closed then
+	ready            atomic.Bool   // a list with servers has come
+	listed           chan struct{} // closed when ready is set
 	stopRequested    bool
 	summaryRequested bool
 
@@ -68,15 +68,16 @@
 }
 
 const (
-	// eventQueueSize is how many events may be posted before posting waits: some milliseconds of a busy agent.
+	// eventQueueSize is how many posted events may be queued before posting blocks: the events of some milliseconds
+	// in a busy agent.
 	eventQueueSize = 1024
-	// summaryInterval is the time between two lines that sum up what the agent did.
+	// summaryInterval is the time between two log lines that summarize the agent's work.
 	summaryInterval = 10 * time.Second
-	// idleTimer is what the step timer is set to at first: any time.
+	// idleTimer is the initial setting of the step timer. Any value works, since a spurious wake-up is harmless.
 	idleTimer = time.Hour
 )
 
-// newLoop returns a loop that run has yet to run. It returns an error if the settings are not valid.
+// newLoop returns a loop, which run starts. It returns an error if the settings are not valid.
 func newLoop(cfg *Config, clk clock, p Protocol, log *slog.Logger) (*Loop, error) {
 	balancer, err := decide.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -97,8 +98,8 @@
 		listed:       make(chan struct{}),
 		requestWatch: func() {},
 		containPanic: func(f func()) { f() },
-		// An attempt that may take until the client's deadline ends one tick before it: its timeout reaches the
-		// balancer in time for the client to get the final answer.
+		// An attempt that may take until the client's deadline ends one tick earlier, so that its timeout reaches
+		// the balancer in time for the client to get the final answer.
 		answerMargin: cmp.Or(cfg.Margin, cfg.Settings.Tick),
 		requests:     map[string]*Request{},
 		recent:       newRecentIDs(cfg.MaxDeadline()),
@@ -109,10 +110,10 @@
 	}, nil
 }
 
-// post hands an event to the loop. After the loop has stopped it is dropped.
+// post sends an event to the loop. After the loop has stopped the event is dropped.
 func (l *Loop) post(event any) {
 	select {
-	case l.events <- event: // nearly always there is room, and one channel is cheaper than two
+	case l.events <- event: // there is nearly always room, and a select on one channel is cheaper than on two
 		return
 	default:
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-// tryPost hands an event to the loop if there is room for it. It does not wait, and reports false if there is none.
+// tryPost sends an event to the loop without waiting. It reports false if the queue is full.
 func (l *Loop) tryPost(event any) bool {
 	select {
 	case l.events <- event:
@@ -134,8 +135,8 @@
 	}
 }
 
-// Submit gives a request to the loop, which owes it one final answer. After the loop has stopped there is none: see
-// Stopped.
+// Submit gives a request to the loop, which answers it exactly once. After the loop has stopped no answer is given:
+// see Stopped.
 func (l *Loop) Submit(r *Request) {
 	r.Deadline = l.capDeadline(r.Deadline)
 	if !r.Upload {
@@ -144,7 +145,7 @@
 	l.post(requestArrived{r})
 }
 
-// capDeadline is a client's deadline, or the time of the last answers if the agent stops before that.
+// capDeadline returns a client's deadline, or the time of the last answers if the agent stops before that.
 func (l *Loop) capDeadline(deadline time.Time) time.Time {
 	if end := l.drainDeadline.Load(); end != nil && end.Before(deadline) {
 		return *end
@@ -152,33 +153,34 @@
 	return deadline
 }
 
-// startDeadlineTimer has the loop notice when a request's deadline and half of the answer grace have passed. A request
-// that arrives with less than a tick left is answered by the step that first sees it; the grace is there for this.
+// startDeadlineTimer starts the timer by which the loop notices that a request's deadline and half of the answer
+// grace have passed. A request that arrives with less than a tick left is answered in the step that first handles
+// it; the grace allows for that.
 func (l *Loop) startDeadlineTimer(r *Request) {
 	after := time.Until(r.Deadline) + l.cfg.Settings.AnswerGrace/2
 	r.deadlineTimer = time.AfterFunc(after, func() { l.post(deadlineExceeded{r}) })
 }
 
-// ClientDisconnected says that a request's client has disconnected, or wants no answer: none is owed any more. Its
-// attempts count as in flight until they end.
+// ClientDisconnected tells the loop that a request's client has disconnected, or wants no answer. The request then
+// needs no answer. Its attempts count as in flight until they end.
 func (l *Loop) ClientDisconnected(r *Request) { l.post(clientDisconnected{r}) }
 
-// Stopped is closed when the loop has ended. Requests that have no answer by then have failed.
+// Stopped returns a channel that is closed when the loop has ended. Requests without an answer by then have failed.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Healthy reports whether clients may come: a server is known, and no operator drains the agent.
+// Healthy reports whether the agent takes clients: a server is known, and no operator drains the agent.
 func (l *Loop) Healthy() bool { return l.ready.Load() && !l.drained.Load() }
 
-// ContainPanic runs f. A panic in it ends this agent, not the process.
+// ContainPanic runs f and recovers a panic in it, which ends this agent but not the process.
 func (l *Loop) ContainPanic(f func()) { l.containPanic(f) }
 
-// stepTimer fires when the balancer is to be stepped.
+// stepTimer fires when the balancer's next step is due.
 type stepTimer struct {
 	timer    *time.Timer
-	armedFor time.Duration // when it fires; 0: it does not
+	armedFor time.Duration // when it fires; 0: never
 }
 
-// arm sets the timer to a time; 0: it does not fire.
+// arm sets the timer to fire at due; 0: never.
 func (t *stepTimer) arm(due time.Duration, clk clock) {
 	switch {
 	case due == t.armedFor:
@@ -190,11 +192,11 @@
 	t.armedFor = due
 }
 
-// run steps the balancer with the events that have come, no more often than the tick, until ctx ends.
+// run steps the balancer with the events that have come, at most once per tick, until ctx ends.
 func (l *Loop) run(ctx context.Context) {
 	defer close(l.stopped)
 	l.attemptsContext = ctx
-	// The end of ctx and the summary come as events too, so that the loop waits for two channels only.
+	// The end of ctx and the summary arrive as events too, so that the loop waits on two channels only.
 	defer context.AfterFunc(ctx, func() { l.post(stopping{}) })()
 	summary := time.AfterFunc(summaryInterval, func() { l.post(summaryDue{}) })
 	defer summary.Stop()
@@ -231,7 +233,7 @@
 	}
 }
 
-// nextStep is when the balancer is to be stepped; 0: there is nothing for it.
+// nextStep returns when the balancer's next step is due; 0: none is.
 func (l *Loop) nextStep(lastStep time.Duration) time.Duration {
 	tick := l.cfg.Settings.Tick
 	switch {
@@ -245,7 +247,7 @@
 	return 0
 }
 
-// handlePosted handles the events that have been posted by now.
+// handlePosted handles the events that are in the queue now.
 func (l *Loop) handlePosted() {
 	for range len(l.events) {
 		l.handle(<-l.events)
@@ -260,7 +262,7 @@
 	}
 }
 
-// step steps the balancer with the pending events, and executes its actions.
+// step runs a step of the balancer with the pending events, and executes its actions.
 func (l *Loop) step(now time.Duration) {
 	if l.stepHook != nil {
 		l.stepHook()
@@ -268,8 +270,8 @@
 	events := l.pending
 	l.pending = nil
 	for i, event := range events {
-		// A request's time has run on since it arrived. It may have left the table already: its client may have
-		// disconnected.
+		// The request's remaining time has shrunk since it arrived. The request may be gone from the table, because
+		// its client has disconnected.
 		if e, ok := event.(decide.Request); ok && l.requests[e.ID] != nil {
 			e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.answerMargin - now
 			events[i] = e
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Where the balancer says nothing, the loop itself keeps the promise of one final answer.
+// If the balancer does not answer a request, the loop itself gives the one final answer.
 func TestLoopAnswersAtTheDeadlineItself(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
@@ -22,7 +22,7 @@
 	r.Deadline = time.Now()
 	l.handle(requestArrived{r.Request})
 	l.handle(deadlineExceeded{r.Request})
-	l.handle(deadlineExceeded{r.Request}) // once only
+	l.handle(deadlineExceeded{r.Request}) // must not answer again
 	l.handle(clientDisconnected{r.Request})
 	if a := testkit.Receive(t, "final answer", r.reply); !a.TimedOut {
 		t.Errorf("%+v", a)
@@ -31,11 +31,11 @@
 		t.Errorf("%d requests, %d more answers", len(l.requests), len(r.reply))
 	}
 	if want := (decide.RequestCancelled{Request: "1"}); !slices.Contains(l.pending, decide.Event(want)) {
-		t.Error("the balancer was not told")
+		t.Error("the balancer was not told that the request was cancelled")
 	}
 }
 
-// A request may have left the table before the step that would have told the balancer its remaining time.
+// A request may leave the table before the step in which its remaining time would be given to the balancer.
 func TestDisconnectBeforeTheFirstStep(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
@@ -60,7 +60,7 @@
 	testkit.Receive(t, "end of the loop", done)
 }
 
-// The client of a request whose ID is taken may disconnect before it has read so.
+// The client of a request whose ID is taken may disconnect before it reads the answer that says so.
 func TestDuplicateMayDisconnectBeforeItsAnswer(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A request's deadline timer may overtake it on its way to the loop, if its deadline is exceeded as it is submitted, as in
-// a drain. It has one answer, and another one of its ID goes on.
+// A request's deadline timer may overtake the request on its way to the loop, if the deadline passes while the
+// request is submitted, as in a drain. The request gets one answer, and another request with its ID goes on.
 func TestDeadlineMayOvertakeItsRequest(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -97,17 +97,17 @@
 		}
 	}
 	if l.requests["1"] != first.Request || first.done || len(l.requests) != 1 {
-		t.Error("the first request is not open any more, or others are")
+		t.Error("the first request is not open any more, or others are open")
 	}
 	for _, e := range l.pending {
 		if _, ok := e.(decide.RequestCancelled); ok {
-			t.Error("the balancer was told of the end of a request that it knows of another client")
+			t.Error("the balancer was told to cancel a request whose ID it knows from another client")
 		}
 	}
 }
 
-// The same with real timers: thousands of requests whose deadline is exceeded as they are submitted, some of which are
-// overtaken. Before it was mended the loop ended after 260 at most.
+// The same with real timers: thousands of requests whose deadline passes while they are submitted, some of which are
+// overtaken by their timers. Such a request once ended the loop, after 260 requests at most.
 func TestRequestsSubmittedPastTheirDeadlineAreAnswered(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -135,7 +135,7 @@
 	testkit.Receive(t, "end of the loop", ended)
 }
 
-// The IDs that are remembered stay bounded, by time and by number.
+// The number of remembered IDs is bounded, by time and by count.
 func TestRecentIDsAreBounded(t *testing.T) {
 	r := newRecentIDs(time.Second)
 	const all = 5*maxRecentIDs + 10
@@ -146,6 +146,6 @@
 		t.Errorf("%d IDs are remembered", n)
 	}
 	if last := fmt.Sprint(all - 1); !r.has(last, 2*time.Second) || r.has(last, 3*time.Second) == r.has(last, 5*time.Second) {
-		t.Error("the last ID is not known, or known for ever")
+		t.Error("the last ID is not remembered, or is never forgotten")
 	}
 }
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -8,25 +8,25 @@
 	"vetchhaven/decide"
 )
 
-// OutcomeSample counts the outcomes of an agent's attempts at one process of a server, as they came: evidence for
-// outlier detection by the fleet.
+// OutcomeSample counts the outcomes of an agent's attempts at one process of a server, without assessing them. It is
+// evidence for outlier detection by the fleet.
 type OutcomeSample struct {
 	Server    string
-	StartedMS int64 // of the process, Unix milliseconds; 0: long ago
+	StartedMS int64 // start of the process, Unix milliseconds; 0: long ago
 	Succeeded int
-	Failed    int // by an error, a connection that was refused or broken, or a timeout
-	// ErrorResponses counts those of Failed that the server answered with an error. The others may be the fault of the
-	// link.
+	Failed    int // errors, refused or broken connections, and timeouts
+	// ErrorResponses counts those of Failed that the server answered with an error. The cause of the others may be
+	// the network link.
 	ErrorResponses int
 }
 
 // outcomeReport collects samples until they are reported.
 type outcomeReport struct {
-	report     func([]OutcomeSample) // nil: nobody wants them
-	starts     map[string]int64      // of servers' processes by the list, Unix milliseconds
+	report     func([]OutcomeSample) // nil: samples are not collected
+	starts     map[string]int64      // starts of the servers' processes by the list, Unix milliseconds
 	samples    map[serverProcess]*OutcomeSample
 	reportedAt time.Time
-	scheduled  bool // an outcomesDue is to come
+	scheduled  bool // an outcomesDue will be posted
 }
 
 type serverProcess struct {
@@ -34,13 +34,13 @@
 	startedMS int64
 }
 
-// outcomesDue has the loop report the samples.
+// outcomesDue makes the loop report the samples.
 type outcomesDue struct{}
 
-// outcomeInterval is the least time between two reports. Longer delays the fleet's ejections.
+// outcomeInterval is the least time between two reports. A longer one delays the fleet's ejections.
 const outcomeInterval = 50 * time.Millisecond
 
-// noteStarts keeps when servers' processes started, by the list.
+// noteStarts records when servers' processes started, by the list.
 func (l *Loop) noteStarts(list List) {
 	o := &l.outcomes
 	if o.report == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordOutcome counts the outcome of an attempt. One that says nothing about its server is left out.
+// recordOutcome counts the outcome of an attempt, unless it says nothing about the server.
 func (l *Loop) recordOutcome(a *Attempt, result decide.Result) {
 	o := &l.outcomes
 	if o.report == nil || o.samples == nil || !concernsServer(result) {
--- a/internal/core/outcomes_test.go
+++ b/internal/core/outcomes_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/decide"
 )
 
-// An attempt's outcome counts for the process to which it went, whatever the list has said since.
+// An attempt's outcome counts for the server process to which the attempt went, whatever the list has said since.
 func TestOutcomesCountForTheProcessThatGotTheAttempt(t *testing.T) {
 	l := &Loop{clock: newClock(), events: make(chan any, 8), stopped: make(chan struct{})}
 	var got []OutcomeSample
@@ -24,16 +24,16 @@
 	secondStart := time.Now().UnixMilli()
 	first := attemptAt(firstStart)
 	second := attemptAt(secondStart)
-	l.recordOutcome(first, decide.ConnectFailed) // reported at once: there was no report lately
+	l.recordOutcome(first, decide.ConnectFailed) // reported at once, because there was no recent report
 	l.recordOutcome(second, decide.OK)
-	l.recordOutcome(second, decide.Rejected) // says nothing about it
+	l.recordOutcome(second, decide.Rejected) // says nothing about the process
 	l.recordOutcome(second, decide.OK)
 	l.recordOutcome(second, decide.Errored)
 	if want := (OutcomeSample{Server: "s", StartedMS: firstStart, Failed: 1}); len(got) != 1 || got[0] != want {
 		t.Fatalf("reported %+v, want %+v", got, want)
 	}
 	if _, ok := (<-l.events).(outcomesDue); !ok {
-		t.Fatal("the rest is not reported after a while")
+		t.Fatal("no report of the remaining outcomes is scheduled")
 	}
 	l.reportOutcomes()
 	want := OutcomeSample{Server: "s", StartedMS: secondStart, Succeeded: 2, Failed: 1, ErrorResponses: 1}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxDatagram is the platform's limit of a datagram in bytes; a longer one is not sent.
+	// maxDatagram is the platform's limit of a datagram in bytes; longer ones are not sent.
 	maxDatagram = 256
 	// peerQueueSize is how many datagrams may wait to be sent; further ones are lost.
 	peerQueueSize = 64
@@ -21,7 +21,7 @@
 // peers exchanges datagrams with the other agents of the tier.
 type peers struct {
 	local   *net.UDPAddr
-	conn    *net.UDPConn // nil: another process, which this one replaces, still has the address
+	conn    *net.UDPConn // nil: the process that this one replaces still uses the address
 	addrs   []netip.AddrPort
 	numbers map[netip.AddrPort]int
 	out     chan datagram
@@ -33,7 +33,8 @@
 	data []byte
 }
 
-// newPeers listens at the agent's peer address. It goes on without if that fails by a transient error: run tries again.
+// newPeers listens at the agent's peer address. If that fails with a transient error, the agent starts without a
+// socket, and run tries again.
 func newPeers(cfg *Config, log *slog.Logger) (*peers, error) {
 	p := &peers{
 		numbers: map[netip.AddrPort]int{},
@@ -58,7 +59,7 @@
 	return p, nil
 }
 
-// send queues a datagram. Datagrams may be lost, so one that finds the queue full is.
+// send queues a datagram. Datagrams may be lost, so a datagram is dropped if the queue is full.
 func (p *peers) send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
@@ -81,7 +82,8 @@
 	p.receive(ctx, post)
 }
 
-// listen waits until the address can be listened at: clients don't wait for it. It reports false if ctx has ended.
+// listen waits until the agent can listen at its peer address; serving clients does not wait for this. It reports
+// false if ctx has ended.
 func (p *peers) listen(ctx context.Context) bool {
 	for p.conn == nil {
 		select {
@@ -117,8 +119,8 @@
 			return
 		}
 		if err != nil {
-			// Usually an earlier datagram's ICMP error: the socket itself is sound. Where it is not, this must not take
-			// all of a processor.
+			// Usually this is the ICMP error of an earlier datagram, and the socket itself works. Where it does not,
+			// the loop must not take all of a processor.
 			select {
 			case <-ctx.Done():
 			case <-time.After(failedAcceptDelay):
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -18,7 +18,7 @@
 	return c
 }
 
-// The balancer's peer messages travel as datagrams, with the sender known by its address.
+// The balancer's peer messages are sent as datagrams, and the sender is identified by its address.
 func TestPeerMessagesAreExchangedByAddress(t *testing.T) {
 	other := listenUDP(t)
 	defer other.Close()
@@ -48,7 +48,8 @@
 	}
 }
 
-// The process that this one replaces may still have the peer address: this one goes on, and receives once it is free.
+// The process that this one replaces may still use the peer address. This one starts all the same, and receives
+// messages once the address is free.
 func TestPeersWaitForTheirAddressToBeFree(t *testing.T) {
 	occupied := listenUDP(t)
 	other := listenUDP(t)
--- a/internal/core/recent.go
+++ b/internal/core/recent.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// recentIDs remembers IDs for at least a span, unless too many come: by a hash, since IDs may be long, in two
-// generations.
+// recentIDs remembers IDs for at least span, unless there are too many. It stores hashes, because IDs may be long,
+// in two generations.
 type recentIDs struct {
 	seed     maphash.Seed
 	span     time.Duration
 	current  map[uint64]struct{}
 	previous map[uint64]struct{}
-	since    time.Duration // of current
+	since    time.Duration // when current was begun
 }
 
-// maxRecentIDs bounds the IDs in each generation: about half a megabyte.
+// maxRecentIDs bounds the IDs in each generation, which takes about half a megabyte.
 const maxRecentIDs = 16 << 10
 
 func newRecentIDs(span time.Duration) recentIDs {
 	return recentIDs{seed: maphash.MakeSeed(), span: span}
 }
 
-// rotate begins a new generation where the present one is old or full.
+// rotate begins a new generation if the present one is old or full.
 func (r *recentIDs) rotate(now time.Duration) {
 	if now-r.since < r.span && len(r.current) < maxRecentIDs {
 		return
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -11,52 +11,53 @@
 type Request struct {
 	ID          string // unique among the requests of an agent
 	Class       int
-	Message     any           // the protocol's own
-	Deadline    time.Time     // the client stops waiting
-	Remaining   time.Duration // until then, as the client said
-	Work        time.Duration // expected, as the client said; 0: unknown
+	Message     any           // the request in the protocol's own form
+	Deadline    time.Time     // when the client stops waiting
+	Remaining   time.Duration // time until Deadline, as the client stated it
+	Work        time.Duration // expected work, as the client stated it; 0: unknown
 	ClientRetry bool          // the client says that it retries
-	OnlyServer  string        // the one server that may get it; empty: any
+	OnlyServer  string        // the only server that may get the request; empty: any
 	Client      net.Conn      // the client's connection, to notice its disconnect; nil: not checked
-	// Upload says that the request's last byte is still to come: its attempt reads what the client sends. Deadline is
-	// then no later than Remaining from now, and set anew by Attempt.UploadCompleted.
+	// Upload says that the request's last byte is still to come: its attempt reads what the client sends. Deadline
+	// is then no later than Remaining from now, and Attempt.UploadCompleted sets it anew.
 	Upload bool
 
 	reply          func(Answer)
 	ended          chan struct{} // closed with the final answer
-	deadlineLifted atomic.Bool   // its response has begun, and the client waits for the end of that
+	deadlineLifted atomic.Bool   // the response has begun, and the client waits for its end
 	guard          sendGuard
 
-	done          bool // it has its final answer, or its client has disconnected
+	done          bool // the request has its final answer, or its client has disconnected
 	open          int  // attempts in flight
 	attempts      []*Attempt
 	timedOut      bool        // an attempt timed out
 	deadlineTimer *time.Timer // see Loop.startDeadlineTimer
 }
 
-// NewRequest is a request whose final answer is given by reply, which is called at most once, from any goroutine, and
-// must not wait.
+// NewRequest returns a request whose final answer is passed to reply. reply is called at most once, from any
+// goroutine, and must not block.
 func NewRequest(id string, class int, reply func(Answer)) *Request {
 	return &Request{ID: id, Class: class, reply: reply, ended: make(chan struct{})}
 }
 
-// Ended is closed when the request has its final answer, or its client has disconnected: nothing is sent for it any
-// more.
+// Ended returns a channel that is closed when the request has its final answer or its client has disconnected:
+// nothing is sent for the request after that.
 func (r *Request) Ended() <-chan struct{} { return r.ended }
 
-// Abort answers a request as failed where the loop has stopped and will not. One that has its answer keeps it.
+// Abort answers a request as failed, for a loop that has stopped and will not answer it. It does nothing if the
+// request already has its final answer.
 func (r *Request) Abort() { r.guard.finish(r.ended, func() { r.reply(Answer{}) }) }
 
-// Answer is a final answer. One of the fields up to ClientDisconnected says which; none: the request failed. An answer
-// with ClientDisconnected may be Refused too.
+// Answer is a final answer. The fields up to ClientDisconnected say which kind it is; if none is set, the request
+// failed. An answer with ClientDisconnected may be Refused too.
 type Answer struct {
 	Served             any           // the response of an attempt
-	Refused            bool          // it was not executed, and a retry does no harm
-	TimedOut           bool          // it failed, since its deadline was exceeded
-	Duplicate          bool          // it failed: another request with this ID is open, or was just now
-	ClientDisconnected bool          // it failed, or was refused if nothing was sent
-	RetryAfter         time.Duration // of Refused: when to come back; 0: no advice
-	Limit              string        // the fleet's shared limit that it ran into; empty: none
-	Ejected            string        // of Refused: the servers that the fleet has ejected; empty: none
-	Policy             string        // of Refused: why the agent's policy admits no requests; empty: it does
+	Refused            bool          // the request was not executed, so a retry is safe
+	TimedOut           bool          // the request failed because its deadline was exceeded
+	Duplicate          bool          // the request failed: another one with this ID is open or has just ended
+	ClientDisconnected bool          // the request failed, or was refused if nothing was sent
+	RetryAfter         time.Duration // for Refused: how long to wait before a retry; 0: no advice
+	Limit              string        // the fleet's shared limit that the request hit; empty: none
+	Ejected            string        // for Refused: the servers that the fleet has ejected; empty: none
+	Policy             string        // for Refused: why the agent's policy admits no requests; empty: it admits them
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -6,8 +6,8 @@
 	"vetchhaven/decide"
 )
 
-// handle processes one event that was posted to the loop, and keeps what the balancer must know for the next step. A
-// served request is answered here: its client need not wait for the step.
+// handle processes one posted event, and records what the balancer must know at its next step. A served request is
+// answered here, so that its client does not wait for the step.
 func (l *Loop) handle(event any) {
 	switch e := event.(type) {
 	case requestArrived:
@@ -53,16 +53,17 @@
 	}
 }
 
-// onRequestArrived enters a request into the table, unless it is not admitted.
+// onRequestArrived adds a request to the table, unless it is not admitted.
 func (l *Loop) onRequestArrived(r *Request) {
-	if r.done { // its deadline was exceeded before it came here: see onDeadlineExceeded
+	if r.done { // its deadline timer overtook it: see onDeadlineExceeded
 		return
 	}
 	if reason := l.admissionClosed(); reason != "" {
 		l.shed(r, reason)
 		return
 	}
-	// The ID belongs to another request. One that has just ended is no better: servers may still know it.
+	// The ID belongs to another request. The ID of a request that has just ended is rejected too, because servers
+	// may still know it.
 	if l.requests[r.ID] != nil || l.recent.has(r.ID, l.clock.now()) {
 		l.reject(r, Answer{Duplicate: true})
 		return
@@ -80,7 +81,7 @@
 	})
 }
 
-// onResponseStarted cancels the other attempts of a request: nothing can come of them any more.
+// onResponseStarted cancels the other attempts of a request, whose responses can't be used any more.
 func (l *Loop) onResponseStarted(e responseStarted) {
 	l.pending = append(l.pending, decide.ResponseStarted{
 		Request:   e.ID,
@@ -95,7 +96,7 @@
 	}
 }
 
-// onUploadCompleted has a request's deadline run from its last byte.
+// onUploadCompleted sets a request's deadline, which runs from its last byte.
 func (l *Loop) onUploadCompleted(e uploadCompleted) {
 	if e.done {
 		return
@@ -109,7 +110,7 @@
 	})
 }
 
-// onAttemptEnded books an attempt's outcome. A served request has its final answer by it, unless another attempt's
+// onAttemptEnded records an attempt's outcome. An OK is the request's final answer, unless another attempt's
 // response is on its way to the client.
 func (l *Loop) onAttemptEnded(e attemptEnded) {
 	e.open--
@@ -133,21 +134,22 @@
 	l.forget(e.Request)
 }
 
-// onClientDisconnected ends a request for which nobody waits.
+// onClientDisconnected ends a request whose client does not wait for an answer any more.
 func (l *Loop) onClientDisconnected(r *Request) {
 	if r.done {
 		return
 	}
 	l.counts.clientDisconnects++
 	l.totals.clientDisconnects.Add(1)
-	// It may have closed only its sending side, and read on. What was never sent may be retried.
+	// The client may have closed only its sending side and still read the answer. If nothing was sent, it may retry
+	// the request.
 	l.finish(r, Answer{ClientDisconnected: true, Refused: len(r.attempts) == 0})
 	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
 
-// onDeadlineExceeded answers a request that has no answer in time. The balancer answers every request before its
-// deadline: this keeps the promise to the client if it does not, and logs that.
+// onDeadlineExceeded answers a request that has no answer by its deadline. The balancer should answer every request
+// before that; if it does not, the client gets its final answer here, and the failure is logged.
 func (l *Loop) onDeadlineExceeded(r *Request) {
 	if r.done || r.deadlineLifted.Load() {
 		return
@@ -157,7 +159,7 @@
 	l.counts.late++
 	l.totals.late.Add(1)
 	answer := Answer{TimedOut: true}
-	if l.requests[r.ID] != r { // it has yet to arrive, and its ID may be another one's
+	if l.requests[r.ID] != r { // it is not in the table yet, and its ID may belong to another request
 		l.reject(r, answer)
 		return
 	}
@@ -166,7 +168,7 @@
 	l.forget(r)
 }
 
-// onList takes an endpoint list, or a change of it.
+// onList applies an endpoint list or a change of it.
 func (l *Loop) onList(list List) {
 	l.starts.observe(&list, l.clock.now())
 	l.noteStarts(list)
@@ -178,7 +180,7 @@
 	}
 }
 
-// finish gives a request its final answer, once.
+// finish gives a request its one final answer.
 func (l *Loop) finish(r *Request, answer Answer) {
 	if r.done {
 		l.violated(AnsweredOnce, r.ID, len(r.attempts), "", "a second final answer")
@@ -191,15 +193,16 @@
 	r.guard.finish(r.ended, func() { r.reply(answer) })
 }
 
-// reject gives a request that never enters the table its final answer. Later events of its connection and its timer (its
-// client's disconnect may be posted already) find it done. The timer is not stopped: Submit, in another goroutine, may
-// still be about to set it.
+// reject gives the final answer to a request that is not in the table. Later events of its connection and its timer
+// (its client's disconnect may be posted already) find the request done. The timer is not stopped: Submit, in
+// another goroutine, may still be about to set it.
 func (l *Loop) reject(r *Request, answer Answer) {
 	r.done = true
 	r.guard.finish(r.ended, func() { r.reply(answer) })
 }
 
-// forget drops a request that is done and has no attempt in flight. Until then its ID stays taken.
+// forget removes a request from the table once it is done and has no attempt in flight. Until then its ID stays
+// taken.
 func (l *Loop) forget(r *Request) {
 	if r.done && r.open == 0 {
 		delete(l.requests, r.ID)
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -9,7 +9,7 @@
 	"vetchhaven/decide"
 )
 
-// SendRefusal is why an attempt must not write to its server.
+// SendRefusal is the reason why an attempt must not write to its server.
 type SendRefusal int
 
 // The reasons, in the order in which they are checked.
@@ -17,9 +17,9 @@
 	SendAllowed        SendRefusal = iota
 	RequestAnswered                // the request has its final answer, or another attempt's response has begun
 	AttemptEnded                   // the attempt timed out or was cancelled, or the agent has ended
-	ServerWithdrawn                // an operator disabled the server, or it drains or is gone by the list
-	WindowClosed                   // the deduplication window or the lease under which it may begin is over
-	ClientDisconnected             // nobody waits for the answer any more
+	ServerWithdrawn                // an operator disabled the server, or the list says that it drains or is gone
+	WindowClosed                   // the deduplication window or the lease under which the attempt may begin has ended
+	ClientDisconnected             // the client does not wait for the answer any more
 	sendRefusalCount
 )
 
@@ -33,41 +33,42 @@
 	"client_disconnected",
 }
 
-// String is the name under which refusals of this kind are counted.
+// String returns the name under which refusals of this kind are counted.
 func (s SendRefusal) String() string { return sendRefusalNames[s] }
 
-// Result is the result of an attempt whose first byte was refused; ctx is the attempt's own.
+// Result returns the result of an attempt whose first byte was refused; ctx is the attempt's own.
 func (s SendRefusal) Result(ctx context.Context) decide.Result {
 	switch {
 	case s == AttemptEnded && errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
 	case s == AttemptEnded, s == ServerWithdrawn:
-		return decide.Incomplete // not sent whole, so never executed: it may be sent to another server
+		return decide.Incomplete // not sent completely, so never executed: it may be sent to another server
 	}
 	return decide.NotSent
 }
 
-// sendGuard is the one place through which each write to a server and the final answer of its request go. A write and
-// the answer exclude each other: while a write is open the answer waits for its end, and after the answer none opens. So
-// a process that is paused between a check and its write sends nothing after the answer.
+// sendGuard is the one place through which each write to a server and the final answer of its request go. A write
+// and the answer exclude each other: while a write is open the answer waits for its end, and after the answer no
+// write can open. A process that is paused between a check and its write therefore sends nothing after the answer.
 //
-// An answer waits no longer than a write takes: the system takes small ones at once, and larger ones are interrupted.
+// An answer waits no longer than a write takes: the kernel takes small writes at once, and larger ones are
+// interrupted.
 type sendGuard struct {
 	mu                sync.Mutex
 	writeEnded        sync.Cond // its Locker is mu, set by startResponse
 	writes            []openWrite
 	answered          bool
-	respondingAttempt int    // the attempt whose response the client has a part of, counted from 1; 0: none
+	respondingAttempt int    // the attempt that sends its response to the client, counted from 1; 0: none
 	deferredAnswer    func() // gives the answer once no write is open
 }
 
 // openWrite is a write that may be under way.
 type openWrite struct {
 	attempt   int
-	interrupt func() // ends a write that waits for its server; must not wait
+	interrupt func() // ends a write that waits for its server; must not block
 }
 
-// open admits a write, which ends with end. It reports false if the request has ended for this attempt.
+// open admits a write, which the caller ends with end. It reports false if the request has ended for this attempt.
 func (g *sendGuard) open(attempt int, interrupt func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -78,8 +79,8 @@
 	return true
 }
 
-// end ends an attempt's write. The last one gives the answer that waited for it. It reports false if no write of the
-// attempt is open.
+// end ends an attempt's write. The end of the last open write gives the answer that waited for it. It reports false
+// if no write of the attempt is open.
 func (g *sendGuard) end(attempt int) bool {
 	found, answer := g.remove(attempt)
 	if answer != nil {
@@ -106,7 +107,8 @@
 	return i >= 0, answer
 }
 
-// finish gives the request its final answer, or has the last open write give it. It reports false if there was one.
+// finish gives the request its final answer, or leaves that to the end of the last open write. It reports false if
+// the request already had one.
 func (g *sendGuard) finish(ended chan struct{}, answer func()) bool {
 	g.mu.Lock()
 	if g.answered {
@@ -133,8 +135,8 @@
 	}
 }
 
-// startResponse gives the client's connection to an attempt's response, once no attempt writes. It reports false if
-// another attempt has it, or the final answer was given.
+// startResponse reserves the client's connection for an attempt's response, once no attempt writes. It reports false
+// if another attempt has the connection, or the final answer was given.
 func (g *sendGuard) startResponse(attempt int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,9 +162,10 @@
 	return g.respondingAttempt != 0 && g.respondingAttempt != attempt+1
 }
 
-// BeginWrite admits the attempt's first byte, right before it is written: all that may have changed since the attempt
-// was decided is checked here, in one step with the final answer. Unless it is refused, EndWrite must follow. interrupt
-// is called, at most once and not after EndWrite, if the request ends meanwhile.
+// BeginWrite admits the attempt's first byte, right before it is written. It checks everything that may have changed
+// since the attempt was decided, and the final answer can't come between the check and the write. Unless the write
+// is refused, EndWrite must follow. interrupt is called, at most once and not after EndWrite, if the request ends
+// meanwhile.
 func (a *Attempt) BeginWrite(interrupt func()) SendRefusal {
 	if !a.guard.open(a.N, interrupt) {
 		return a.refused(RequestAnswered)
@@ -175,7 +178,7 @@
 	return a.refused(refusal)
 }
 
-// checkWrite checks all that may have changed since the attempt was decided, but for the final answer.
+// checkWrite checks everything that may have changed since the attempt was decided, except for the final answer.
 func (a *Attempt) checkWrite() SendRefusal {
 	switch {
 	case a.Context.Err() != nil:
@@ -190,7 +193,7 @@
 	return SendAllowed
 }
 
-// ContinueWrite admits a further part of what BeginWrite began.
+// ContinueWrite admits another part of what BeginWrite began.
 func (a *Attempt) ContinueWrite(interrupt func()) SendRefusal {
 	if !a.guard.open(a.N, interrupt) {
 		return a.refused(RequestAnswered)
@@ -202,14 +205,14 @@
 	return SendAllowed
 }
 
-// EndWrite says that an admitted write has returned.
+// EndWrite announces that an admitted write has returned.
 func (a *Attempt) EndWrite() {
 	if !a.guard.end(a.N) {
 		a.loop.violated(WriteMatched, a.ID, a.N, a.Server, "the end of a write that was not admitted")
 	}
 }
 
-// refused counts a refusal.
+// refused counts a refusal and returns it.
 func (a *Attempt) refused(s SendRefusal) SendRefusal {
 	a.loop.counters.sendRefusals[s].Add(1)
 	return s
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -8,32 +8,32 @@
 	"vetchhaven/decide"
 )
 
-// Reasons for which no connection to a server was even tried.
+// Errors for which no connection to a server is even tried.
 var (
 	ErrNoSocket = errors.New("no file descriptor left for another connection")
 	ErrMoved    = errors.New("the server has no address")
 )
 
-// Addresses are the addresses of servers by the list. Its user locks it.
+// Addresses are the addresses of servers by the list. They are not safe for concurrent use.
 type Addresses struct {
 	byID  map[string]string
 	owner map[string]string // server by address
 }
 
-// Addr is a server's address.
+// Addr returns a server's address.
 func (a *Addresses) Addr(id string) (addr string, known bool) {
 	addr, known = a.byID[id]
 	return addr, known
 }
 
-// Server is the server that has an address; empty: none has.
+// Server returns the server that has an address; empty: none has.
 func (a *Addresses) Server(addr string) string { return a.owner[addr] }
 
-// Len is how many servers and how many addresses are known.
+// Len returns how many servers and how many addresses are known.
 func (a *Addresses) Len() (servers, addresses int) { return len(a.byID), len(a.owner) }
 
-// Update takes a change of the list. It calls forget for each server that is removed or has another address: under its
-// old one another process may answer.
+// Update applies a change of the list. It calls forget for each server that is removed or whose address changes,
+// because another process may answer at its old address.
 func (a *Addresses) Update(l List, forget func(id string)) {
 	if a.byID == nil {
 		a.byID = map[string]string{}
@@ -57,8 +57,8 @@
 	}
 }
 
-// set gives a server an address. Another one that had it before is gone, though its own entry may still be to come:
-// what is meant for that must not reach this one.
+// set gives a server an address. Another server that had the address before is removed, though its own entry may
+// still be to come: what is meant for that server must not reach this one.
 func (a *Addresses) set(id, addr string, forget func(id string)) {
 	if previous, taken := a.owner[addr]; taken && previous != id {
 		a.remove(previous, forget)
@@ -75,17 +75,18 @@
 	forget(id)
 }
 
-// NotConnected is the result of an attempt for which there is no connection, by the error that says why.
+// NotConnected returns the result of an attempt that has no connection, by the error that prevented it.
 //
-// ConnectFailed tells the balancer that the process has ended: its next answer counts as that of a cold one, for all of
-// the slow start. Only a refused connection says so, or that the list has no address for the server. A connection that
-// is reset, even before dial has returned, had a process at its other end: it may be a proxy, a full accept queue or a
-// firewall that answers with resets. A restart behind something that accepts connections meanwhile shows only in the
-// list.
+// ConnectFailed tells the balancer that the server's process has ended: its next answer counts as the answer of a
+// cold process, for all of the slow start. Only a refused connection shows this, or a list that has no address for
+// the server. A connection that is reset, even before dial has returned, had a process at its other end: it may be a
+// proxy, a full accept queue or a firewall that answers with resets. If something else accepts connections while a
+// server restarts, the restart shows only in the list.
 //
-// A timeout of the attempt says nothing about a process, nor does what this machine's network says about itself: a
-// machine that is cut off, or that no route leads to, comes back as it was. Servers that no member reaches are ejected
-// for it all the same; one that vanished, and starts anew before the list says so, counts as warm until it does.
+// A timeout of the attempt says nothing about a process, and neither do errors that this machine's network reports
+// about itself: a machine that was cut off, or had no route, comes back as it was. Servers that no member reaches
+// are ejected for it all the same. A server that vanished, and starts anew before the list says so, counts as warm
+// until it does.
 func NotConnected(ctx context.Context, err error) decide.Result {
 	switch {
 	case errors.Is(err, ErrNoSocket), outOfDescriptors(err), errors.Is(err, syscall.EADDRNOTAVAIL):
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -10,19 +10,20 @@
 	"vetchhaven/internal/testkit"
 )
 
-// newServerCase is a list with one server more than the one before, and the bounds of its age as this process sees it.
+// newServerCase is a list with one more server than the list before it, and the bounds of that server's age as this
+// process sees it.
 type newServerCase struct {
-	started func(now time.Time) time.Time // by the list's clock, seen from this process's
-	saved   bool                          // the list before it was read from a disk
+	started func(now time.Time) time.Time // start by the list's clock; now is by this process's clock
+	saved   bool                          // the list before it was read from disk
 	first   bool                          // there is no list before it
 	minAge  time.Duration
 	maxAge  time.Duration
 }
 
-// A listed start lies between the last list without it and now, whatever the wall clock of this process says; one of a
-// first list is a hint, but not in the future.
+// A start lies between the last list without the server and now, whatever the wall clock of this process says. The
+// listed start in a first list is taken as it is, but not in the future.
 func TestStartTimesLieWithinWhatWasObserved(t *testing.T) {
-	const between = 2 * time.Second // the lists
+	const between = 2 * time.Second // time between the two lists
 	ago := func(d time.Duration) func(time.Time) time.Time {
 		return func(now time.Time) time.Time { return now.Add(-d) }
 	}
@@ -30,7 +31,8 @@
 		"clocks agree":              {started: ago(time.Second), minAge: time.Second, maxAge: time.Second},
 		"own clock an hour behind":  {started: ago(-time.Hour), minAge: 0, maxAge: 0},
 		"own clock a second behind": {started: ago(-time.Second), minAge: 0, maxAge: 0},
-		// The listed time is proved wrong, and nothing says when between the lists it started: it is as cold as it may be.
+		// The listed time is wrong, and when the process started between the lists is unknown: it counts as cold as
+		// it can be.
 		"own clock an hour ahead":         {started: ago(time.Hour), minAge: 0, maxAge: 0},
 		"own clock five seconds ahead":    {started: ago(5 * time.Second), minAge: 0, maxAge: 0},
 		"first list":                      {started: ago(5 * time.Second), first: true, minAge: 5 * time.Second, maxAge: 5 * time.Second},
@@ -62,7 +64,7 @@
 				got := list(decide.ListFull, false, old, m)
 				age := l.clock.now() - got.Started
 				if age < tt.minAge-time.Millisecond || age > tt.maxAge+time.Millisecond {
-					t.Errorf("it counts as started %v ago, want %v to %v", age, tt.minAge, tt.maxAge)
+					t.Errorf("the server counts as started %v ago, want %v to %v", age, tt.minAge, tt.maxAge)
 				}
 				time.Sleep(time.Second)
 				if again := list(decide.ListDelta, false, m); again.Started != got.Started {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,10 +6,10 @@
 )
 
 // ClassCounts count the final answers to clients of one class since the start, and the attempts that were sent for
-// them. Whoever writes an answer, or an attempt's last byte, counts it.
+// them. The code that writes an answer, or an attempt's last byte, counts it.
 type ClassCounts struct{ Answered, Deferred, Errored, Sends atomic.Int64 }
 
-// CountAnswer counts a final answer. One that no client reads is not counted.
+// CountAnswer counts a final answer. An answer whose client has disconnected is not counted.
 func (c *ClassCounts) CountAnswer(a Answer) {
 	switch {
 	case a.ClientDisconnected:
@@ -22,25 +22,25 @@
 	}
 }
 
-// ClassCounts are those of a class.
+// ClassCounts returns the counts of a class.
 func (l *Loop) ClassCounts(class int) *ClassCounts { return &l.classCounts[class] }
 
 // Status is an agent's status for operators.
 type Status struct {
 	Classes []ClassStatus // in the order of the settings
 	Open    int64         // open requests
-	Listed  int           // servers by the list
-	Avoided int           // of these, the ones that get no requests now, disabled or by the balancer's choice
+	Listed  int           // number of listed servers
+	Avoided int           // of these, those that are disabled or that the balancer avoids now
 }
 
-// ClassStatus is a class's ClassCounts at one moment.
+// ClassStatus is a class's ClassCounts at one time.
 type ClassStatus struct {
 	Name                               string
 	Answered, Deferred, Errored, Sends int64
 }
 
-// Status is the agent's status. Of the servers it tells what held when the loop last answered, for which it waits up to
-// the timeout; the rest is of now.
+// Status returns the agent's status. The numbers of servers are from the loop's last reply, for which Status waits
+// up to the timeout; the rest is current.
 func (a *Agent) Status(timeout time.Duration) Status {
 	status := Status{Open: a.protocol.OpenRequests()}
 	for i, name := range a.cfg.Site.Classes {
@@ -59,13 +59,14 @@
 	return status
 }
 
-// backendCounts are how many servers the balancer knew, and avoided, when it was last asked.
+// backendCounts are the numbers of servers that the balancer knew, and avoided, when it was last asked.
 type backendCounts struct{ listed, avoided atomic.Int64 }
 
-// backendCountsQuery has the loop update them.
+// backendCountsQuery asks the loop to update the backendCounts.
 type backendCountsQuery struct{ done chan struct{} }
 
-// refreshBackendCounts has the loop update the counts, and waits for that up to the timeout. Any goroutine may call it.
+// refreshBackendCounts makes the loop update the counts, and waits for that up to the timeout. Any goroutine may
+// call it.
 func (l *Loop) refreshBackendCounts(timeout time.Duration) {
 	limit := time.NewTimer(timeout)
 	defer limit.Stop()
@@ -90,19 +91,19 @@
 	l.backendCounts.avoided.Store(int64(avoided))
 }
 
-// Totals are what an agent did since its start, in requests but for Attempts.
+// Totals count an agent's requests since its start, and its attempts.
 type Totals struct {
-	Requests          int64 // submitted, those shed by the policy included; not duplicates and those past their deadline
+	Requests          int64 // submitted or shed by the policy; without duplicates and those past their deadline
 	Served            int64
 	Refused           int64
 	Failed            int64
-	ClientDisconnects int64 `json:"Gone"` // the key of earlier builds
+	ClientDisconnects int64 `json:"Gone"` // Gone is the key that earlier builds use
 	Attempts          int64
-	Late              int64 // without an answer by the deadline
-	Open              int64 // now
+	Late              int64 // requests without an answer by the deadline
+	Open              int64 // requests that are open now
 }
 
-// Totals is what the agent did. It may be called at any time.
+// Totals returns the agent's totals. It may be called at any time.
 func (a *Agent) Totals() Totals {
 	t := &a.loop.totals
 	return Totals{
@@ -117,12 +118,12 @@
 	}
 }
 
-// totals are Totals as the loop counts them.
+// totals are the Totals as the loop counts them.
 type totals struct{ requests, served, refused, failed, clientDisconnects, attempts, late atomic.Int64 }
 
-// counts are the same since the last summary.
+// counts are the totals since the last summary.
 type counts struct{ requests, served, refused, failed, clientDisconnects, attempts, late int }
 
-// SetStepHook has f called with the agent's totals at each step of the loop: a fault test's way to make it panic. Call
-// it before Run.
+// SetStepHook makes the loop call f with the agent's totals at each step, so that a fault test can make it panic. It
+// must be called before Run.
 func (a *Agent) SetStepHook(f func(Totals)) { a.loop.stepHook = func() { f(a.Totals()) } }
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// policyPrefix marks the reasons among shedCounts that are the policy's; the others are names of shared limits.
+// policyPrefix marks the keys of shedCounts that are the policy's reasons; the others are names of shared limits.
 const policyPrefix = "policy: "
 
-// summarize logs what the agent did since the last summary.
+// summarize logs what the agent has done since the last summary.
 func (l *Loop) summarize() {
 	c := &l.counts
 	l.log.Info("summary", "requests", c.requests, "served", c.served, "refused", c.refused, "failed", c.failed,
@@ -26,7 +26,7 @@
 	l.ejected.refusals = 0
 }
 
-// countSharedLimit counts a request that ran into a shared limit; empty: into none.
+// countSharedLimit counts a request that hit a shared limit; an empty name: none.
 func (l *Loop) countSharedLimit(name string) {
 	if name != "" {
 		l.shedCounts[name]++
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -15,10 +15,10 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push appends a timer, for package heap.
+// Push appends a timer. It implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop removes the last timer, for package heap.
+// Pop removes the last timer. It implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
