--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// scriptedProtocol is a protocol whose attempts follow a script.
+// scriptedProtocol is a protocol whose attempts are made by a function.
 type scriptedProtocol struct {
 	idleProtocol
 	attempt func(a *Attempt) (decide.Result, any)
@@ -22,7 +22,7 @@
 	return result, answer, decide.Load{}
 }
 
-// runWithLoop runs f beside a loop that knows one server, in virtual time.
+// runWithLoop runs f in virtual time, beside a running loop that knows one server.
 func runWithLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
 	t.Helper()
 	server := discovery.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
@@ -54,7 +54,7 @@
 	return r
 }
 
-// The deadline of an upload runs from its last byte, however long that took to come.
+// The deadline of an upload runs from its last byte, however long that byte took to come.
 func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(5 * time.Minute) // the client is slow
@@ -74,7 +74,8 @@
 	})
 }
 
-// From then on it is bounded as any: a server that does not answer costs the client no more than its deadline.
+// From its last byte on an upload is bounded as any request: a server that does not answer costs the client no more
+// than its deadline.
 func TestUploadIsAnsweredByItsDeadline(t *testing.T) {
 	var end time.Time
 	attempt := func(a *Attempt) (decide.Result, any) {
@@ -93,8 +94,8 @@
 	})
 }
 
-// An attempt that broke after bytes had been sent that can't be replayed is not retried, and since nothing was executed,
-// the client learns at once that it may retry.
+// An attempt that broke after sending bytes that can't be replayed is not retried. Since nothing was executed, the
+// client learns at once that it may retry.
 func TestUploadThatCannotBeReplayedIsRefused(t *testing.T) {
 	n := 0
 	attempt := func(a *Attempt) (decide.Result, any) {
@@ -112,8 +113,8 @@
 	})
 }
 
-// Once a response has begun to reach the client and the server is done with it, the client's deadline does not end it. One
-// whose server still works on it is ended.
+// Once a response has begun to reach the client and the server has finished its work, the client's deadline does not
+// end the attempt. While the server still works, the deadline ends it.
 func TestCompletedResponseOutlivesTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -147,14 +148,14 @@
 					t.Errorf("answer %+v", a)
 				}
 				if late := l.totals.late.Load(); late != 0 {
-					t.Errorf("found late %d times", late)
+					t.Errorf("counted as late %d times", late)
 				}
 			})
 		})
 	}
 }
 
-// A response that would begin past the deadline does not.
+// A response does not begin past the deadline.
 func TestResponsePastTheDeadlineDoesNotStart(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		<-a.Context.Done()
