--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -214,8 +214,8 @@
 	a.loop.handle(a.discovery.translate(a.cfg.Known, decide.ListCached))
 }
 
-// waitForList waits for the first list: until it has come, the agent does not accept connections, unless the wait's
-// time limit or a stop ends it.
+// waitForList delays accepting connections until the first list has come, or until a time limit, a refused
+// connection to discovery or a stop ends the wait.
 func (a *Agent) waitForList(stop context.Context) {
 	if a.listWait > 0 {
 		a.waitFor(stop, a.loop.listed, a.listWait)
--- a/internal/core/disable.go
+++ b/internal/core/disable.go
@@ -86,7 +86,7 @@
 	l.log.Info("server disabled or enabled by an operator", "server", server, "out", disabled)
 }
 
-// noteServerStates records which servers are ready by the list. Attempts that have not been written yet see the
+// noteServerStates records which servers the list has as ready. Attempts that have not been written yet see the
 // change at once.
 func (l *Loop) noteServerStates(list List) {
 	if list.Kind == decide.ListFailed {
--- a/internal/core/ejections.go
+++ b/internal/core/ejections.go
@@ -11,7 +11,7 @@
 // Ejection is the ejection of a server's process by the fleet.
 type Ejection struct {
 	Server    string
-	StartedMS int64 // start of the process by the list, Unix milliseconds; 0: long ago
+	StartedMS int64 // listed start of the process, Unix milliseconds; 0: long ago
 	Draining  bool  // the process gets no new requests because it drains, not because it is an outlier
 	ExpiresAt time.Time
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -250,7 +250,7 @@
 			want:   AttemptEnded,
 			result: decide.Cancelled,
 		},
-		"drains by the list": {
+		"drains according to the list": {
 			change: func(l *Loop, _ *Attempt, _ net.Conn) {
 				l.noteServerStates(list(decide.ListDelta, decide.Backend{ID: "s", State: decide.Draining}))
 			},
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -43,7 +43,7 @@
 	// State from operators, the endpoint list and the fleet.
 	starts        startTimes
 	ejected       ejectedServers
-	readyServers  atomic.Pointer[map[string]bool] // ready by the list; never changed in place; nil: no list yet
+	readyServers  atomic.Pointer[map[string]bool] // servers listed as ready; never changed in place; nil: no list yet
 	disabled      atomic.Pointer[map[string]bool] // servers disabled by operators; never changed in place
 	drained       atomic.Bool                     // an operator drains the agent
 	drainDeadline atomic.Pointer[time.Time]       // when the last answers are given; nil: the agent is not stopping
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -23,7 +23,7 @@
 // outcomeReport collects samples until they are reported.
 type outcomeReport struct {
 	report     func([]OutcomeSample) // nil: samples are not collected
-	starts     map[string]int64      // starts of the servers' processes by the list, Unix milliseconds
+	starts     map[string]int64 // listed starts of the servers' processes, Unix milliseconds
 	samples    map[serverProcess]*OutcomeSample
 	reportedAt time.Time
 	scheduled  bool // an outcomesDue will be posted
@@ -40,7 +40,7 @@
 // outcomeInterval is the least time between two reports. A longer one delays the fleet's ejections.
 const outcomeInterval = 50 * time.Millisecond
 
-// noteStarts records when servers' processes started, by the list.
+// noteStarts records the listed starts of servers' processes.
 func (l *Loop) noteStarts(list List) {
 	o := &l.outcomes
 	if o.report == nil {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -14,7 +14,7 @@
 	ErrMoved    = errors.New("the server has no address")
 )
 
-// Addresses are the addresses of servers by the list. They are not safe for concurrent use.
+// Addresses are the listed addresses of servers. They are not safe for concurrent use.
 type Addresses struct {
 	byID  map[string]string
 	owner map[string]string // server by address
