--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -27,7 +27,7 @@
 	start          time.Time     // when the server's work begins
 	startBy        time.Time     // the latest time to begin, see startExpired; zero: any time
 	reuseOnly      bool          // see MayDial
-	processStarted int64 // listed start of the server's process, Unix milliseconds
+	processStarted int64         // listed start of the server's process, Unix milliseconds
 	dialed         bool          // see MarkDialed
 	notReplayable  bool          // see MarkNotReplayable
 	responseParts  int           // see StartResponse
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -23,7 +23,7 @@
 // outcomeReport collects samples until they are reported.
 type outcomeReport struct {
 	report     func([]OutcomeSample) // nil: samples are not collected
-	starts     map[string]int64 // listed starts of the servers' processes, Unix milliseconds
+	starts     map[string]int64      // listed starts of the servers' processes, Unix milliseconds
 	samples    map[serverProcess]*OutcomeSample
 	reportedAt time.Time
 	scheduled  bool // an outcomesDue will be posted
