--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -3,9 +3,9 @@
 // systems: write a temporary file in the same directory, fsync it, rename it, and fsync the directory (Pillai
 // et al., "All File Systems Are Not Created Equal", OSDI 2014, shows what each step prevents).
 //
-// Replace does so once, in the caller's goroutine. Writer does it in a goroutine of its own, for the latest of
-// several contents, and retries: internal/host/daemon saves snapshots and internal/peer/transport the
-// membership with it.
+// Replace does this once, in the caller's goroutine. Writer writes the latest of several contents in a separate
+// goroutine, and retries: internal/host/daemon uses it to save snapshots, and internal/peer/transport to save
+// the membership.
 package atomicfile
 
 import (
@@ -15,15 +15,15 @@
 	"syscall"
 )
 
-// directoryMode lets only the owner in: the files hold the fleet's addresses.
+// directoryMode gives access to the owner only, because the files contain the fleet's addresses.
 const directoryMode = 0o700
 
-// syncDirectory is replaced by tests only.
+// syncDirectory is a variable so that tests can replace it.
 var syncDirectory = (*os.File).Sync
 
-// Replace sets the content of the file called name in dir, and returns once it would survive a crash of the
-// machine. The directory is created if it is missing. After an error the former content is still there, unless
-// it was the sync of the directory that failed: then either may be found after a crash.
+// Replace sets the content of the file called name in dir, and returns once the content would survive a crash
+// of the machine. The directory is created if it is missing. After an error the former content is still there,
+// unless the sync of the directory failed: then a crash may leave either content.
 func Replace(dir, name string, data []byte) error {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return syncParent(dir)
 }
 
-// writeAndClose writes and syncs a file. It is closed in any case; the first error counts.
+// writeAndClose writes and syncs a file, and closes it even after an error. It returns the first error.
 func writeAndClose(f *os.File, data []byte) error {
 	_, err := f.Write(data)
 	if err == nil {
@@ -56,8 +56,8 @@
 	return err
 }
 
-// syncParent syncs a directory, so that a rename within it survives a crash of the machine. A file system that
-// can't sync directories is no error.
+// syncParent syncs a directory, so that a rename within it survives a crash of the machine. On file systems that
+// can't sync directories it returns nil.
 func syncParent(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/atomicfile/writer.go
+++ b/internal/atomicfile/writer.go
@@ -12,34 +12,34 @@
 	// minRetryBackoff is the ceiling of the wait after the first failure. A smaller value loads a disk that
 	// fails, a larger one delays the save after a short failure.
 	minRetryBackoff = 50 * time.Millisecond
-	// maxRetryBackoff is the ceiling at which doubling ends: so late at most is a file saved after the disk has
-	// recovered.
+	// maxRetryBackoff is the ceiling at which doubling ends, and the longest delay between the recovery of the disk
+	// and the next attempt.
 	maxRetryBackoff = 5 * time.Second
-	// maxBackoffDoublings keeps the shift from overflowing; maxRetryBackoff applies before it.
+	// maxBackoffDoublings prevents an overflow of the shift; maxRetryBackoff is reached earlier.
 	maxBackoffDoublings = 10
 )
 
-// Writer saves the latest of several contents to one file, from the goroutine that runs Run: a slow or full disk
-// does not block the callers of Put. The first failed write is logged, and the first that succeeds after it.
-// The methods may be called from any goroutine.
+// Writer saves the latest of several contents to one file, from the goroutine that runs Run, so that a slow or
+// full disk does not block the callers of Put. The first failed write in a row is logged, and so is the first
+// successful one after it. The methods may be called from any goroutine.
 type Writer struct {
 	Dir  string // empty: nothing is written
-	Name string // of the file within Dir
+	Name string // name of the file within Dir
 	What string // what the file holds, for the log
 	Log  *slog.Logger
 
 	mu       sync.Mutex
-	next     []byte        // to be written; nil: nothing
-	wake     chan struct{} // has an element if next was set since Run last looked
+	next     []byte        // the content to be written; nil: there is none
+	wake     chan struct{} // has an element if next was set since Run last checked
 	failures int           // failed writes in a row
 }
 
-// NewWriter returns a Writer of the file called name in dir. Run has to be called for anything to be written.
+// NewWriter returns a Writer of the file called name in dir. It writes nothing until Run is called.
 func NewWriter(dir, name, what string, log *slog.Logger) *Writer {
 	return &Writer{Dir: dir, Name: name, What: what, Log: log, wake: make(chan struct{}, 1)}
 }
 
-// Put sets the content to be written next, in place of one that has not been written yet. It does not block.
+// Put sets the content to be written next. It replaces content that has not been written yet, and does not block.
 // data must not be changed afterwards.
 func (w *Writer) Put(data []byte) {
 	if w.Dir == "" {
@@ -54,10 +54,10 @@
 	}
 }
 
-// Run writes what Put sets until stop is closed, and once more then. Failed writes are retried with exponential
-// backoff and jitter.
+// Run writes the content that Put sets until stop is closed, and then writes pending content once more. Failed
+// writes are retried with exponential backoff and jitter.
 func (w *Writer) Run(stop <-chan struct{}) {
-	retry := time.NewTimer(time.Hour) // runs only after a failure, with the backoff
+	retry := time.NewTimer(time.Hour) // runs only after a failure, for the backoff
 	defer retry.Stop()
 	for {
 		select {
@@ -104,13 +104,14 @@
 	}
 }
 
-// isSameSlice reports whether two contents are the same slice, not merely equal. Empty ones never are.
+// isSameSlice reports whether two contents begin at the same memory address. Equal copies and empty contents do
+// not.
 func isSameSlice(a, b []byte) bool {
 	return len(a) > 0 && len(b) > 0 && &a[0] == &b[0]
 }
 
-// backoff draws the wait until the next attempt of a failed write: between half of a doubling ceiling and all
-// of it.
+// backoff draws the wait until the next attempt of a failed write: between half of the ceiling and the whole
+// ceiling, which doubles with each failure.
 func (w *Writer) backoff() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -11,10 +11,10 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Content that could not be written is written once the disk accepts it, without another Put.
+// Content whose write failed is written once the disk accepts writes again, without another Put.
 func TestFailedWriteIsRetried(t *testing.T) {
 	blocked := filepath.Join(t.TempDir(), "blocked")
-	if err := os.WriteFile(blocked, nil, 0o600); err != nil { // a file where the directory is to be
+	if err := os.WriteFile(blocked, nil, 0o600); err != nil { // a file in place of the directory
 		t.Fatal(err)
 	}
 	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.Quiet)
@@ -26,7 +26,7 @@
 	w.Put([]byte("content"))
 	testkit.WaitFor(t, "the failure", w.Failed)
 	if !w.Pending() {
-		t.Error("nothing is pending, though nothing was written")
+		t.Error("no content is pending although the write failed")
 	}
 	if err := os.Remove(blocked); err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 }
 
 // A file whose directory was not synced may be lost in a crash of the machine, so it does not count as saved. A file
-// system that can't sync directories is no error.
+// system that can't sync directories causes no error.
 func TestFailedDirectorySyncIsAnError(t *testing.T) {
 	defer func() { syncDirectory = (*os.File).Sync }()
 	for _, tt := range []struct {
@@ -58,13 +58,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			syncDirectory = func(*os.File) error { return tt.sync }
 			if err := Replace(t.TempDir(), "file", []byte("x")); !errors.Is(err, tt.want) || tt.want == nil && err != nil {
-				t.Errorf("sync: %v: replace: %v, want %v", tt.sync, err, tt.want)
+				t.Errorf("sync returned %v: Replace returned %v, want %v", tt.sync, err, tt.want)
 			}
 		})
 	}
 }
 
-// Writes to a disk that goes on failing are spaced by a growing backoff.
+// The backoff grows while writes to the disk keep failing.
 func TestRetryBackoffGrowsToItsMaximum(t *testing.T) {
 	blocked := filepath.Join(t.TempDir(), "blocked")
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,6 @@
-// Package eventqueue is the event queue of a discrete-event simulation: functions that are to run at points of virtual time. Those of
-// one point run in the order in which they were added. The simulations of the peers' protocols are built on it.
+// Package eventqueue provides the event queue of a discrete-event simulation. An event is a function that runs at a
+// point of virtual time. Events at the same time run in the order in which they were added. The simulations of the
+// peers' protocols use it.
 package eventqueue
 
 import (
@@ -7,10 +8,10 @@
 	"time"
 )
 
-// Queue is a queue of events. The zero value is empty. It belongs to one goroutine.
+// Queue is a queue of events. The zero value is an empty queue. A Queue must be used by one goroutine only.
 type Queue struct {
 	events   eventHeap
-	sequence int // of the event added last
+	sequence int // sequence number of the event added last
 }
 
 type event struct {
@@ -19,7 +20,7 @@
 	run      func()
 }
 
-// eventHeap is a heap.Interface, by time and then by sequence.
+// eventHeap implements heap.Interface, ordered by time and then by sequence number.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -42,13 +43,14 @@
 	return last
 }
 
-// At has a function run at a point of virtual time.
+// At adds an event that runs a function at a point of virtual time.
 func (q *Queue) At(at time.Duration, run func()) {
 	q.sequence++
 	heap.Push(&q.events, event{at: at, sequence: q.sequence, run: run})
 }
 
-// Next removes the first event before end, and returns its time and function; ok is false where there is none.
+// Next removes the first event if its time is before end, and returns its time and function; ok is false if there is
+// none.
 func (q *Queue) Next(end time.Duration) (at time.Duration, run func(), ok bool) {
 	if len(q.events) == 0 || q.events[0].at >= end {
 		return 0, nil, false
--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -18,12 +18,13 @@
 //	0  "vh"      magic
 //	2  format    1 membership, 2 leases and ejection, 3 policy; a reader rejects others
 //	3  length    of the fleet's name
-//	4  fleet     whose message it is
-//	   CRC-32C   of all before it and of the body, 4 bytes, big endian
+//	4  fleet     name of the sender's fleet
+//	   CRC-32C   of the bytes before it and of the body, 4 bytes, big endian
 //	   body      CBOR (RFC 8949), maps with small integer keys
 //
-// A reader skips keys that it does not know, so that a later version may add some: two versions work together. What a
-// later version must not be misread as changes the format. The checksum finds damage; it is no protection against forgery.
+// A reader skips keys that it does not know, so that a later version can add keys and two versions can work together. A
+// change that an earlier version would misread needs a new format. The checksum detects damage; it does not protect
+// against forgery.
 const (
 	magic            = "vh"
 	membershipFormat = 1
@@ -38,28 +39,28 @@
 )
 
 const (
-	// maxDatagramBytes is the largest datagram that is accepted. Larger ones are fragmented by more networks.
+	// maxDatagramBytes is the largest datagram that is accepted. More networks fragment larger datagrams.
 	maxDatagramBytes = 2048
 	// maxStreamBytes is the largest message on a stream: membership.DefaultMaxMembers records with each field at its
-	// longest are 9.5 MB.
+	// maximum length take 9.5 MB.
 	maxStreamBytes = 10 << 20
-	// frameLengthBytes is the length before a message on a stream, big endian.
+	// frameLengthBytes is the size of the length field in front of a message on a stream, big endian.
 	frameLengthBytes = 4
 
-	// Bounds of the decoder against messages that would exhaust memory: more than any valid message has.
+	// Limits of the decoder against messages that would exhaust memory. No valid message reaches them.
 	maxArrayElements = 1 << 17
 	maxMapPairs      = 64
 	maxNestedLevels  = 16
 )
 
-// Why a message was rejected.
+// Reasons for which a message is rejected.
 var (
-	ErrNotOurs       = errors.New("not a message of vetchhaven's")
-	ErrUnknownFormat = errors.New("of a format that this version does not know")
-	ErrOtherFleet    = errors.New("of another fleet")
-	ErrDamaged       = errors.New("damaged: its checksum does not fit")
-	ErrTooLarge      = errors.New("too large")
-	ErrMalformed     = errors.New("a body that makes no sense")
+	ErrUnknownProtocol = errors.New("not a vetchhaven message")
+	ErrUnknownFormat   = errors.New("unknown message format")
+	ErrOtherFleet      = errors.New("of another fleet")
+	ErrDamaged         = errors.New("damaged: checksum mismatch")
+	ErrTooLarge        = errors.New("message too large")
+	ErrMalformed       = errors.New("malformed body")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -74,7 +75,7 @@
 	}.DecMode())
 )
 
-// mustMode panics where the constant options above are refused.
+// mustMode panics if the cbor package rejects the constant options above.
 func mustMode[T any](mode T, err error) T {
 	if err != nil {
 		panic("transport: " + err.Error())
@@ -102,12 +103,12 @@
 	return append(out, body...), nil
 }
 
-// decodeMembership decodes a message of the view. The error is one of those above.
+// decodeMembership decodes a message of the view. The error wraps one of the Err variables above.
 func decodeMembership(fleet string, data []byte, into any) error {
 	return decodeEnvelope(membershipFormat, fleet, data, into)
 }
 
-// formatOf returns the format of a message, 0 if it is none of ours.
+// formatOf returns the format of a message; 0 if data does not begin with an envelope.
 func formatOf(data []byte) byte {
 	if len(data) < minEnvelopeBytes || string(data[:formatOffset]) != magic {
 		return 0
@@ -115,13 +116,14 @@
 	return data[formatOffset]
 }
 
-// decodeEnvelope decodes a message of a format. The error is one of those above.
+// decodeEnvelope decodes a message of the given format. The error wraps one of the Err variables above.
 func decodeEnvelope(format byte, fleet string, data []byte, into any) error {
 	switch {
 	case len(data) < minEnvelopeBytes || string(data[:formatOffset]) != magic:
-		return ErrNotOurs
+		return ErrUnknownProtocol
 	case data[formatOffset] != format:
-		return fmt.Errorf("%w: %d, known are %d to %d", ErrUnknownFormat, data[formatOffset], membershipFormat, policyFormat)
+		return fmt.Errorf("%w: %d, known formats are %d to %d",
+			ErrUnknownFormat, data[formatOffset], membershipFormat, policyFormat)
 	}
 	fleetEnd := fleetOffset + int(data[fleetLengthOffset])
 	if len(data) < fleetEnd+checksumBytes {
@@ -154,13 +156,13 @@
 	return writeFrame(w, data)
 }
 
-// writeFrame writes an envelope to a stream, after its length.
+// writeFrame writes an envelope to a stream, with its length in front.
 func writeFrame(w io.Writer, data []byte) error {
 	_, err := w.Write(frame(data))
 	return err
 }
 
-// frame returns an envelope after its length.
+// frame returns an envelope with its length in front.
 func frame(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...)
 }
@@ -185,7 +187,7 @@
 	if n > maxStreamBytes {
 		return nil, ErrTooLarge
 	}
-	var data bytes.Buffer // it grows with what arrives, not with the length that was announced
+	var data bytes.Buffer // grows with the data that arrives, not with the length that the sender announced
 	if _, err := io.CopyN(&data, r, int64(n)); err != nil {
 		return nil, err
 	}
--- a/internal/peer/transport/codec_test.go
+++ b/internal/peer/transport/codec_test.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// drawRecord draws a record with any values that a record may have.
+// drawRecord draws a record with arbitrary valid values.
 func drawRecord(t *rapid.T) membership.Record {
 	text := rapid.StringMatching("[a-z]{0,20}")
 	return membership.Record{
@@ -72,7 +72,7 @@
 		at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
 		data[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if err := decodeMembership(fleet, data, back); err == nil {
-			t.Fatalf("accepted with a bit of byte %d changed", at)
+			t.Fatalf("message accepted with a changed bit in byte %d", at)
 		}
 	})
 }
@@ -92,8 +92,8 @@
 		data []byte
 		want error
 	}{
-		{"nothing", nil, ErrNotOurs},
-		{"another protocol", []byte("GET / HTTP/1.1\r\n"), ErrNotOurs},
+		{"nothing", nil, ErrUnknownProtocol},
+		{"another protocol", []byte("GET / HTTP/1.1\r\n"), ErrUnknownProtocol},
 		{"another format", otherFormat, ErrUnknownFormat},
 		{"truncated", encode("f")[:9], ErrDamaged},
 		{"another fleet", encode("g"), ErrOtherFleet},
@@ -122,8 +122,8 @@
 	}
 }
 
-// A member that starts without a view is sent all of one on one stream: as many as are known by default fit, with each
-// field as long as it may be, but UnreachableRegions, which only a region's three watchers have.
+// A member that starts without a view receives a whole view on one stream. A view of DefaultMaxMembers records fits,
+// with each field at its maximum length except UnreachableRegions, which only a region's three watchers set.
 func TestFullViewOfMaxMembersFitsAStream(t *testing.T) {
 	longName := strings.Repeat("x", membership.MaxNameBytes)
 	x := &membership.Exchange{From: longName}
@@ -152,6 +152,6 @@
 	}
 	back, err := readExchange(&stream, "vetchhaven")
 	if err != nil || len(back.Records) != membership.DefaultMaxMembers {
-		t.Fatalf("%d members are not read back: %v", membership.DefaultMaxMembers, err)
+		t.Fatalf("a view of %d members is not decoded completely: %v", membership.DefaultMaxMembers, err)
 	}
 }
--- a/internal/peer/transport/containment_test.go
+++ b/internal/peer/transport/containment_test.go
@@ -10,32 +10,32 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// panickyWriter panics at each write.
-type panickyWriter struct{ writes atomic.Int32 }
+// panickingWriter panics at each write.
+type panickingWriter struct{ writes atomic.Int32 }
 
 // Write implements io.Writer.
-func (w *panickyWriter) Write([]byte) (int, error) {
+func (w *panickingWriter) Write([]byte) (int, error) {
 	w.writes.Add(1)
 	panic("injected")
 }
 
-// A panic of the writer of event lines ends that writer alone. It had a goroutine of its own without recover: the daemon's
-// process ended, with all its instances.
-func TestPanicOfTheEventLogEndsThatAlone(t *testing.T) {
-	w := &panickyWriter{}
+// A panic in the event log's writer ends only the event log. Its goroutine once had no recover, so that a panic ended
+// the daemon's process with all its instances.
+func TestEventLogPanicEndsOnlyTheEventLog(t *testing.T) {
+	w := &panickingWriter{}
 	a := startMember(t, memberOptions{name: "a", change: func(o *Options) { o.Events = w }})
 	await(t, "a line is written", func() bool { return w.writes.Load() > 0 })
 	if _, ok := a.MembershipStatus(); !ok {
-		t.Error("it does not respond")
+		t.Error("the member does not respond")
 	}
 	if err := a.stop(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A call that was given up is not run later: its caller has gone on, and what it writes is nobody's. Freeze froze a member after
-// its handover had been given up.
-func TestCallThatWasGivenUpDoesNotRun(t *testing.T) {
+// A call that its caller abandoned does not run later, when the caller no longer uses the result. Such a late call of
+// Freeze once froze a member after its handover had been abandoned.
+func TestAbandonedCallDoesNotRun(t *testing.T) {
 	var hold atomic.Bool
 	held, release := make(chan struct{}, 1), make(chan struct{})
 	a := startMember(t, memberOptions{name: "a", change: func(o *Options) {
@@ -47,25 +47,26 @@
 		}
 	}})
 	if _, ok := a.MembershipStatus(); !ok {
-		t.Fatal("it does not respond")
+		t.Fatal("the member does not respond")
 	}
 	hold.Store(true)
 	<-held
 	var ran atomic.Bool
 	if a.do(func() { ran.Store(true) }) {
-		t.Error("it ran on a loop that stands")
+		t.Error("the call ran although the loop is blocked")
 	}
 	close(release)
-	if !a.do(func() {}) { // behind the first one
-		t.Error("the loop does not go on")
+	if !a.do(func() {}) { // queued after the abandoned call
+		t.Error("the loop does not continue")
 	}
 	if ran.Load() {
-		t.Error("it ran after it had been given up")
+		t.Error("the call ran after it had been abandoned")
 	}
 }
 
-// Each message that is rejected is counted once, however it came: one about the policy without a sender was not counted in a
-// datagram, and whatever is rejected on a stream was counted twice.
+// Each rejected message is counted once, whether it arrived in a datagram or on a stream. Before, a policy message
+// without a sender was not counted if it arrived in a datagram, and each message rejected on a stream was counted
+// twice.
 func TestRejectedMessagesAreCountedOnce(t *testing.T) {
 	a := startMember(t, memberOptions{name: "a"})
 	anonymous, err := encodeEnvelope(policyFormat, "f", &policyPacket{Message: &policy.Message{}})
@@ -91,31 +92,31 @@
 		if err := writeFrame(conn, data); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = conn.Read(make([]byte, 1)) // until it is closed
+		_, _ = conn.Read(make([]byte, 1)) // returns once the member has closed the stream
 		conn.Close()
-		time.Sleep(20 * time.Millisecond) // for a second count
+		time.Sleep(20 * time.Millisecond) // time in which a second count would show
 		if got := malformed() + a.rejected.unknownFormat.Load() - before; got != 1 {
 			t.Errorf("stream %d: counted %d times", n, got)
 		}
 	}
 }
 
-// A message about the policy counts as sent once it is: it was counted before its stream was opened, and one that nobody took was
-// sent by all that operators saw.
-func TestPolicyMessageThatIsNotTakenIsNotSent(t *testing.T) {
+// A policy message counts as sent only after it has been sent. Before, it was counted before its stream was opened,
+// so that operators saw messages as sent that no member had received.
+func TestPolicyMessageWithoutReceiverCountsAsUnsent(t *testing.T) {
 	a := startMember(t, memberOptions{name: "a"})
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := netip.MustParseAddrPort(nobody.Addr().String())
-	nobody.Close()
+	addr := netip.MustParseAddrPort(closedListener.Addr().String())
+	closedListener.Close()
 	a.do(func() { a.policy.sendOnStream(addr, []byte("message")) })
-	await(t, "it is counted as unsent", func() bool {
+	await(t, "the message is counted as unsent", func() bool {
 		s, ok := a.MembershipStatus()
 		return ok && s.Traffic.PolicyUnsent == 1
 	})
 	if s, _ := a.MembershipStatus(); s.Traffic.PolicyMessages != 0 || s.Traffic.PolicyBytes != 0 {
-		t.Errorf("%d messages, %d bytes sent", s.Traffic.PolicyMessages, s.Traffic.PolicyBytes)
+		t.Errorf("counted %d messages and %d bytes as sent, want none", s.Traffic.PolicyMessages, s.Traffic.PolicyBytes)
 	}
 }
--- a/internal/peer/transport/datagrams.go
+++ b/internal/peer/transport/datagrams.go
@@ -14,14 +14,14 @@
 const (
 	// readBufferBytes is the largest UDP payload.
 	readBufferBytes = 64 << 10
-	// readRetry and acceptRetry are the waits after an error that passes, such as want of memory or descriptors.
+	// readRetry and acceptRetry are the waits after a temporary error, such as a lack of memory or file descriptors.
 	readRetry   = time.Millisecond
 	acceptRetry = 10 * time.Millisecond
-	// logEvery is how many rejected messages of a kind are logged as one line, after the first.
+	// logEvery is how many rejected messages of a kind share one log line, after the first message.
 	logEvery = 1000
 )
 
-// sendDatagram sends a message of the view. Where it is lost, the protocol makes up for it.
+// sendDatagram sends a message of the view. Errors are ignored because the protocol tolerates lost messages.
 func (tr *Transport) sendDatagram(s membership.Send) {
 	to, err := netip.ParseAddrPort(s.To)
 	if err != nil {
@@ -81,7 +81,8 @@
 	}
 }
 
-// waitToRetry waits a little after an error or, while another process has the sockets, until this one has them again.
+// waitToRetry waits for d after an error. While another process uses the sockets, it waits until this one uses them
+// again.
 func (tr *Transport) waitToRetry(ctx context.Context, d time.Duration) {
 	if tr.frozen.Load() {
 		tr.mu.Lock()
@@ -101,14 +102,14 @@
 	}
 }
 
-// reject counts a message that was not accepted, and logs the first and every thousandth of each kind.
+// reject counts a rejected message, and logs the first and every thousandth one of each kind.
 func (tr *Transport) reject(err error) {
 	if n := tr.rejected.counter(err).Add(1); n == 1 || n%logEvery == 0 {
 		tr.log.Warn("fleet: a message was rejected", "why", err, "so_far", n)
 	}
 }
 
-// counter returns the counter of an error of the codec.
+// counter returns the counter for an error of the codec.
 func (r *rejectedCounts) counter(err error) *atomic.Uint64 {
 	switch {
 	case errors.Is(err, ErrTooLarge):
--- a/internal/peer/transport/ejectiondriver.go
+++ b/internal/peer/transport/ejectiondriver.go
@@ -12,11 +12,13 @@
 )
 
 const (
-	// membersInterval is how often the membership is passed on after the view has changed, and membersIdleInterval how
-	// often otherwise: other members' subscriptions may change without a change that the view announces.
+	// membersInterval is the minimum interval between two times at which the membership is passed on, if the view has
+	// changed. Without a change it is passed on after membersIdleInterval, because the subscriptions of other members
+	// may change without an action of the view.
 	membersInterval     = 250 * time.Millisecond
 	membersIdleInterval = 5 * time.Second
-	// localityRetention is how long the locality of a dead member counts: longer than a partition lasts until it is mended.
+	// localityRetention is for how long the locality of a dead member is used. It is longer than partitions usually
+	// last.
 	localityRetention = time.Hour
 )
 
@@ -24,16 +26,16 @@
 type ejectionDriver struct {
 	tr            *Transport
 	member        *ejection.Member  // nil: members exchange no evidence
-	membersAt     time.Duration     // the membership was last passed on
-	membersStale  bool              // the view has changed since
-	lists         map[string]bool   // that this member reads
-	subscriptions []byte            // of these lists, as announced to other members
-	unannounced   bool              // subscriptions have changed since they were announced
-	packets       uint64            // sent
-	written       map[string]string // event state by server, as last written
+	membersAt     time.Duration     // when the membership was last passed on
+	membersStale  bool              // the view has changed since membersAt
+	lists         map[string]bool   // the endpoint lists that this member reads
+	subscriptions []byte            // the filter of these lists that is announced to other members
+	unannounced   bool              // subscriptions have changed since they were last announced
+	packets       uint64            // packets sent
+	written       map[string]string // by server: the state in its last event line
 }
 
-// newEjectionDriver continues with the lists and evidence of the Transport before.
+// newEjectionDriver returns a driver that takes over the lists and evidence of the previous Transport.
 func newEjectionDriver(tr *Transport) (*ejectionDriver, error) {
 	d := &ejectionDriver{tr: tr, membersAt: -time.Hour, lists: map[string]bool{}}
 	if tr.options.Ejection == nil {
@@ -55,7 +57,7 @@
 	return d, nil
 }
 
-// next returns the time by which runDue has to be called.
+// next returns the time at which runDue is due.
 func (d *ejectionDriver) next() time.Duration {
 	if d.member == nil {
 		return math.MaxInt64
@@ -69,7 +71,7 @@
 	}
 }
 
-// step steps the member, with the membership first if that is due, and carries out its actions.
+// step steps the member, and executes its actions. If the membership is due to be passed on, it is the first event.
 func (d *ejectionDriver) step(now time.Duration, events ...ejection.Event) {
 	if d.member == nil || d.tr.frozen.Load() {
 		return
@@ -99,7 +101,7 @@
 	}
 }
 
-// subscribe has it announced to other members that this one reads a list.
+// subscribe records that this member reads a list, and marks its subscriptions to be announced to other members.
 func (d *ejectionDriver) subscribe(list string) {
 	if d.lists[list] {
 		return
@@ -109,7 +111,8 @@
 	d.unannounced = true
 }
 
-// membersChanged returns the live members of a view with their localities and subscriptions, and those that failed lately.
+// membersChanged returns an event with the live members of a view, their localities and subscriptions, and the
+// members that died recently.
 func membersChanged(records []membership.Record) ejection.MembersChanged {
 	var e ejection.MembersChanged
 	for _, r := range records {
@@ -155,10 +158,12 @@
 	d.written = current
 }
 
-// ListUpdated passes on the complete content of an endpoint list. It waits a little where there is no room.
+// ListUpdated passes on the complete content of an endpoint list. If the loop's queue is full, it waits up to
+// streamTimeout.
 func (tr *Transport) ListUpdated(list ejection.ListUpdated) { tr.post(ejectionInput{list}) }
 
-// OutcomesObserved passes on outcomes of the daemon's agents. It does not wait: in a flood some are dropped.
+// OutcomesObserved passes on outcomes of the daemon's agents. It does not wait: if the loop's queue is full, they are
+// dropped.
 func (tr *Transport) OutcomesObserved(samples []ejection.OutcomeSample) {
 	tr.offer(ejectionInput{ejection.OutcomesObserved{Samples: samples}})
 }
--- a/internal/peer/transport/ejectiondriver_test.go
+++ b/internal/peer/transport/ejectiondriver_test.go
@@ -15,7 +15,7 @@
 	o.EjectionsChanged = func([]ejection.Ejection, time.Time) {}
 }
 
-// Subscriptions stay announced when the daemon announces a change of its instances later.
+// A member announces its subscriptions, also after the daemon has announced a change of its instances.
 func TestMembersAnnounceTheirSubscriptions(t *testing.T) {
 	a := startMember(t, memberOptions{name: "a", change: withEjection})
 	b := startMember(t, memberOptions{name: "b", seeds: []string{a.addr}, change: withEjection})
@@ -50,7 +50,7 @@
 	}
 }
 
-// The messages of format 1, as its version knew them.
+// The messages as a version that knows only format 1 defines them.
 type (
 	firstFormatMessage struct {
 		PollNumber uint64                 `cbor:"1,keyasint,omitempty"`
@@ -75,7 +75,8 @@
 	}
 )
 
-// Both formats of messages share one envelope, and each version reads of the other's what it knows.
+// Both formats of ejection messages share one envelope, and each version reads the fields that it knows from messages
+// of the other.
 func TestEjectionMessageFormatsReadOneAnother(t *testing.T) {
 	const fleet = "f"
 	wire := Wire{Fleet: fleet}
--- a/internal/peer/transport/eventlog.go
+++ b/internal/peer/transport/eventlog.go
@@ -13,8 +13,9 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// eventLine is a line of the file of events, one JSON object each: what changed at this member, when by the machine's
-// monotonic clock, which all its processes share, and by its wall clock. Fault tests read it. The JSON keys are those of earlier builds.
+// eventLine is one line of the event file, a JSON object: a change at this member, with the time of the change by the
+// monotonic clock, which all processes of a machine share, and by the wall clock. Fault tests read the file. The JSON
+// keys are those of earlier builds.
 type eventLine struct {
 	MonotonicNanos int64  `json:"t"`    // CLOCK_MONOTONIC
 	WallMS         int64  `json:"wall"` // Unix time
@@ -41,14 +42,14 @@
 	Yielded      bool   `json:"stand_back,omitempty"`
 	PauseMS      int64  `json:"pause_ms,omitempty"`
 	Health       int    `json:"health,omitempty"`
-	MissingLines int    `json:"asked,omitempty"` // of a gap
+	MissingLines int    `json:"asked,omitempty"` // lines dropped, in a line of kind "gap"
 	Server       string `json:"server,omitempty"`
-	ID           string `json:"id,omitempty"`     // of a policy change
-	Number       uint64 `json:"number,omitempty"` // of a policy
+	ID           string `json:"id,omitempty"`     // ID of a policy change
+	Number       uint64 `json:"number,omitempty"` // number of a policy
 }
 
-// eventLog writes event lines in a goroutine of its own. Where that cannot keep up, lines are dropped, and a line says
-// how many. The nil eventLog writes nothing.
+// eventLog writes event lines in a separate goroutine. If that goroutine cannot keep up, lines are dropped, and a later
+// line of kind "gap" has their number. A nil eventLog writes nothing.
 type eventLog struct {
 	log     *slog.Logger
 	member  string
@@ -58,10 +59,10 @@
 	ended   chan struct{}
 }
 
-// maxWaitingLines is how many lines may wait to be written. Larger costs memory.
+// maxWaitingLines is how many lines may wait to be written. A larger value costs memory.
 const maxWaitingLines = 4096
 
-// newEventLog returns an event log that writes to w; nil for a nil w.
+// newEventLog returns an event log that writes to w; nil if w is nil.
 func newEventLog(w io.Writer, member string, pid int, log *slog.Logger) *eventLog {
 	if w == nil {
 		return nil
@@ -71,20 +72,20 @@
 	return l
 }
 
-// run writes lines until close. A panic of the writer ends the writing, and nothing else.
+// run writes lines until close is called. A panic of the writer ends only the writing of events.
 func (l *eventLog) run(w io.Writer) {
 	defer close(l.ended)
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error("fleet: events are no longer written", "error", panicError(p))
-			for range l.lines { // nobody waits for room
+			for range l.lines { // discard lines until close
 			}
 		}
 	}()
 	out := bufio.NewWriter(w)
 	encoder := json.NewEncoder(out)
 	for line := range l.lines {
-		_ = encoder.Encode(line) // a member does not stop for a file that cannot be written
+		_ = encoder.Encode(line) // a failed write must not stop the member
 		if len(l.lines) == 0 {
 			_ = out.Flush()
 		}
@@ -92,14 +93,14 @@
 	_ = out.Flush()
 }
 
-// MonotonicNanos returns CLOCK_MONOTONIC in ns: the same for all processes of a machine.
+// MonotonicNanos returns the time of CLOCK_MONOTONIC in ns, which all processes of a machine share.
 func MonotonicNanos() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return t.Nano()
 }
 
-// write has a line written. It does not wait.
+// write queues a line to be written. It does not wait.
 func (l *eventLog) write(line eventLine) {
 	if l == nil {
 		return
@@ -127,7 +128,7 @@
 	}
 }
 
-// close writes what waits, and ends.
+// close writes the queued lines and ends the writer goroutine.
 func (l *eventLog) close() {
 	if l == nil {
 		return
@@ -136,10 +137,10 @@
 	<-l.ended
 }
 
-// hex returns a number as event lines and the admin endpoint show it.
+// hex formats a number for event lines and the admin endpoint.
 func hex(n uint64) string { return strconv.FormatUint(n, 16) }
 
-// writeAction writes an action of the view that is a change for fault tests to know.
+// writeAction writes an event line for an action of the view that fault tests evaluate; others are ignored.
 func (l *eventLog) writeAction(a membership.Action) {
 	switch a := a.(type) {
 	case membership.MemberChanged:
--- a/internal/peer/transport/golden_test.go
+++ b/internal/peer/transport/golden_test.go
@@ -12,7 +12,7 @@
 
 const goldenFleet = "census"
 
-// A datagram of each form is read and written as earlier builds do.
+// Each kind of datagram is encoded and decoded like in earlier builds.
 func TestDatagramsAreEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[membership.Message]{Name: "view-message.bin",
 		Encode: func(m membership.Message) ([]byte, error) { return encodeMembership(goldenFleet, &m) },
@@ -35,7 +35,7 @@
 	}.Check(t)
 }
 
-// Wire writes each kind of message as a member sends it.
+// Wire encodes each kind of message as a member sends it.
 func TestMessageKindsAreEncodedAsByEarlierBuilds(t *testing.T) {
 	wire := Wire{Fleet: goldenFleet}
 	for name, message := range map[string]any{
@@ -57,12 +57,12 @@
 		}
 		again, err := wire.Marshal("host-1", back)
 		if err != nil || !bytes.Equal(again, data) {
-			t.Errorf("%s is not read to what it says: %v", name, err)
+			t.Errorf("%s: decoding and encoding again gives other bytes: %v", name, err)
 		}
 	}
 }
 
-// A message on a stream has its length before it.
+// A message on a stream is encoded with its length in front, like in earlier builds.
 func TestStreamMessagesAreEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[membership.Exchange]{Name: "exchange.bin",
 		Encode: func(x membership.Exchange) ([]byte, error) {
@@ -80,7 +80,7 @@
 	}.Check(t)
 }
 
-// peers.view, with all that a process leaves for its successor: leases and the policy's state as well.
+// The file peers.view holds the complete state for a successor, including leases and the state of the policy.
 func TestSavedViewIsEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[Saved]{Name: "peers.view",
 		Encode: func(s Saved) ([]byte, error) { return EncodeSaved(&s) },
@@ -94,7 +94,7 @@
 	}.Check(t)
 }
 
-// What the admin endpoint shows of peers, and the lines of the event file.
+// The JSON of the admin endpoint about peers and the lines of the event file keep their keys.
 func TestStatusAndEventLinesKeepTheirKeys(t *testing.T) {
 	golden.CheckJSON[MembershipStatus](t, "shown-view.json")
 	golden.CheckJSON[LimitsStatus](t, "shown-limits.json")
--- a/internal/peer/transport/harness_test.go
+++ b/internal/peer/transport/harness_test.go
@@ -17,9 +17,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// testTimeout bounds each wait for something that has to happen.
+	// testTimeout bounds each wait for a condition.
 	testTimeout = 20 * time.Second
-	// testPoll is how often it is looked for.
+	// testPoll is the interval at which a condition is checked.
 	testPoll = 5 * time.Millisecond
 )
 
@@ -31,10 +31,10 @@
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", testTimeout, what)
+	t.Fatalf("timed out after %v: %s", testTimeout, what)
 }
 
-// openSockets opens the sockets of an address; both have one port.
+// openSockets opens a UDP and a TCP socket at an address, both on the same port.
 func openSockets(addr string) (*net.UDPConn, *net.TCPListener, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	addr := tcp.Addr().String()
 	_ = udp.Close()
 	_ = tcp.Close()
-	if udp, tcp, err = openSockets(addr); err != nil { // the port of the one, for both
+	if udp, tcp, err = openSockets(addr); err != nil { // the port of the TCP socket, now for both
 		t.Fatal(err)
 	}
 	return udp, tcp
@@ -73,19 +73,19 @@
 	*Transport
 	addr  string
 	sizes chan membership.Size
-	stop  func() error // ends it, and returns Run's error
+	stop  func() error // ends the member, and returns Run's error
 }
 
-// memberOptions are what a test's member is started with.
+// memberOptions configure a testMember.
 type memberOptions struct {
 	name   string
 	addr   string // empty: any port
 	dir    string
 	seeds  []string
-	change func(*Options) // nil: nothing
+	change func(*Options) // changes the options before the start; nil: no change
 }
 
-// startMember starts a member, which ends with the test if not before.
+// startMember starts a member, which ends with the test unless it is stopped earlier.
 func startMember(t *testing.T, mo memberOptions) *testMember {
 	t.Helper()
 	m := &testMember{sizes: make(chan membership.Size, 100)}
@@ -158,11 +158,11 @@
 			}
 		}
 	}
-	t.Fatalf("%s never sees %s %s: %+v", m.addr, other, state, last.Members)
+	t.Fatalf("%s does not see %s become %s: %+v", m.addr, other, state, last.Members)
 	return MemberStatus{}
 }
 
-// record returns another member's record in this one's view; ok is false where there is none.
+// record returns another member's record in this member's view; ok is false if there is none.
 func (m *testMember) record(name string) (record membership.Record, ok bool) {
 	m.do(func() {
 		for _, r := range m.view.Members() {
--- a/internal/peer/transport/leasedriver.go
+++ b/internal/peer/transport/leasedriver.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/peer/lease"
 )
 
-// Inputs of the daemon about its agents.
+// Inputs from the daemon about its agents.
 type (
 	agentAdded    struct{ agent uint32 }
 	agentRemoved  struct{ agent uint32 }
@@ -21,20 +21,21 @@
 	}
 )
 
-// leaseDriver drives the lease client and, at a lease server, the server. The transport's loop owns it.
+// leaseDriver drives the lease client and, if this member is a lease server, the server. The transport's loop owns it.
 type leaseDriver struct {
 	tr       *Transport
 	settings *lease.Settings // nil: there are no limits
 	client   *lease.Client   // nil: there are no limits
-	server   *lease.Server   // nil: this member is none
-	packets  uint64          // sent, those of ejection included
-	bytes    uint64          // of these
+	server   *lease.Server   // nil: this member is not a lease server
+	packets  uint64          // packets sent, including those of ejection
+	bytes    uint64          // bytes of these packets
 }
 
-// serverTickInterval is how often a lease server's clock is advanced: one that was paused notices before it grants.
+// serverTickInterval is the interval at which a lease server's clock is advanced, so that a server that was paused
+// detects the pause before it grants leases.
 const serverTickInterval = 250 * time.Millisecond
 
-// newLeaseDriver continues with what the Transport before, or the process before, has leased.
+// newLeaseDriver returns a driver that takes over the leases of the previous Transport or of the previous process.
 func newLeaseDriver(tr *Transport, saved *Saved) (*leaseDriver, error) {
 	d := &leaseDriver{tr: tr, settings: tr.options.Leases}
 	if d.settings == nil {
@@ -66,7 +67,7 @@
 	return d, nil
 }
 
-// handoffState returns what a successor has to know; nil: nothing.
+// handoffState returns the lease server's state for a successor; nil if this member is not a lease server.
 func (d *leaseDriver) handoffState(now time.Duration) *lease.ServerState {
 	if d.server == nil {
 		return nil
@@ -74,7 +75,7 @@
 	return d.server.State(now)
 }
 
-// next returns the time by which runDue has to be called.
+// next returns the time at which runDue is due.
 func (d *leaseDriver) next() time.Duration {
 	if d.client == nil {
 		return math.MaxInt64
@@ -86,7 +87,8 @@
 	return next
 }
 
-// runDue does what is due. A member that yields its name grants nothing.
+// runDue advances the server's clock and sends the client's requests when due. A member that yields its name to another
+// process grants nothing.
 func (d *leaseDriver) runDue(now time.Duration) {
 	if d.server != nil && !d.tr.view.Yields() {
 		d.server.Tick(now)
@@ -102,7 +104,7 @@
 	}
 }
 
-// send sends a packet to a member at the address by which the view last knew it. What is lost is requested again.
+// send sends a packet to a member at its last address in the view. The senders repeat requests whose packets are lost.
 func (d *leaseDriver) send(to string, p *sharedPacket) {
 	tr := d.tr
 	p.From = tr.options.Membership.Name
@@ -135,22 +137,23 @@
 	}
 }
 
-// removeAgent releases an agent's leases, also while another process has the sockets: they are free for that one.
+// removeAgent releases an agent's leases. It does so even while another process uses the sockets, so that the leases
+// are free for that process.
 func (d *leaseDriver) removeAgent(agent uint32) {
 	if d.client != nil {
 		d.sendRequests(d.client.RemoveAgent(agent))
 	}
 }
 
-// handlePacket takes a packet of another member.
+// handlePacket handles a packet from another member.
 func (d *leaseDriver) handlePacket(now time.Duration, p *sharedPacket) {
 	if d.client != nil {
 		d.handleOwnPacket(now, p)
 	}
 }
 
-// handleOwnPacket takes a packet of this member to itself, or of another. A frozen member ignores it: its successor has
-// what was leased.
+// handleOwnPacket handles a packet from this member to itself or from another member. A frozen member ignores packets
+// because its successor has taken over the leases.
 func (d *leaseDriver) handleOwnPacket(now time.Duration, p *sharedPacket) {
 	if d.tr.frozen.Load() {
 		return
@@ -168,11 +171,11 @@
 	}
 }
 
-// AddAgent requests leases for an agent from now on. An agent's number is not used again. It does not wait: where it is
-// dropped, the agent's reports make up for it.
+// AddAgent requests leases for an agent from now on. An agent's number must not be reused. AddAgent does not wait: if
+// its input is dropped, the agent's next usage report adds the agent.
 func (tr *Transport) AddAgent(agent uint32) { tr.offer(agentAdded{agent}) }
 
-// RemoveAgent releases the leases of an agent that has ended with nothing in flight. It may wait a little.
+// RemoveAgent releases the leases of an agent that has ended with nothing in flight. It may wait up to streamTimeout.
 func (tr *Transport) RemoveAgent(agent uint32) { tr.post(agentRemoved{agent}) }
 
 // ReportUsage passes on an agent's usage of its leases. It does not wait.
--- a/internal/peer/transport/lifecycle.go
+++ b/internal/peer/transport/lifecycle.go
@@ -6,11 +6,11 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// SetLocalInfo changes what this member announces of itself. It does not wait: where it is dropped, the next call
-// announces it.
+// SetLocalInfo changes what this member announces about itself. It does not wait: a change that is dropped is announced
+// by the next call.
 func (tr *Transport) SetLocalInfo(info membership.LocalInfo) { tr.offer(viewInput{event: info}) }
 
-// Leave announces to the others that this member leaves, and waits for that up to a bound.
+// Leave announces to the other members that this member leaves, and waits until this has been sent, up to a time limit.
 func (tr *Transport) Leave(within time.Duration) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
@@ -28,8 +28,8 @@
 	}
 }
 
-// Forget removes a dead member for good, as an operator says. It reports that member's state before, and whether it is
-// known.
+// Forget removes a dead member permanently, on an operator's request. It returns the member's previous state, and
+// whether the member is known.
 func (tr *Transport) Forget(name string) (previous membership.State, known bool) {
 	tr.do(func() {
 		for _, r := range tr.view.Members() {
@@ -45,13 +45,13 @@
 	return previous, known
 }
 
-// Freeze stops this member, because another process is about to take its place, and returns what that one continues
-// from; nil: the loop does not respond, and the member goes on.
+// Freeze stops this member because another process is about to replace it, and returns the state for that process;
+// nil if the loop does not respond: the member keeps running then.
 func (tr *Transport) Freeze() *Saved {
 	var s *Saved
 	tr.do(func() {
 		tr.frozen.Store(true)
-		past := time.Unix(1, 0) // readers stop: what arrives from now on is the successor's
+		past := time.Unix(1, 0) // stops the readers: later messages are for the successor
 		_ = tr.options.UDP.SetReadDeadline(past)
 		_ = tr.options.TCP.SetDeadline(past)
 		s = tr.handoffState()
@@ -59,7 +59,7 @@
 	return s
 }
 
-// handoffState returns what a successor continues from.
+// handoffState returns the state from which a successor continues.
 func (tr *Transport) handoffState() *Saved {
 	s := tr.saved()
 	own := tr.view.Local()
@@ -74,7 +74,7 @@
 	return s
 }
 
-// Thaw continues a frozen member, because its successor did not come up.
+// Thaw resumes a frozen member whose successor failed to start.
 func (tr *Transport) Thaw() {
 	tr.do(func() {
 		if !tr.frozen.Swap(false) {
--- a/internal/peer/transport/loop.go
+++ b/internal/peer/transport/loop.go
@@ -11,12 +11,12 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// input is what the loop takes from other goroutines.
+// input is a message from another goroutine to the loop.
 type input interface{ isInput() }
 
 type (
-	// viewInput is an event of the membership view. Where it is a request, the response goes to the channel, which has room
-	// for it.
+	// viewInput is an event of the membership view. If it is a request, the loop sends the response to the channel,
+	// which is buffered so that the loop does not block.
 	viewInput struct {
 		event    membership.Event
 		response chan *membership.Exchange
@@ -34,8 +34,8 @@
 func (*policyPacket) isInput()   {}
 func (policyPersisted) isInput() {}
 
-// Run is a member of the fleet until ctx ends. It returns then, or with what went wrong: a panic of the loop, or of a
-// goroutine that runInBackground starts, is an error here. One of the event log's writer is logged.
+// Run takes part in the fleet until ctx ends, and then returns nil. A panic of the loop, or of a goroutine that
+// runInBackground starts, ends Run with an error. A panic of the event log's writer is only logged.
 func (tr *Transport) Run(ctx context.Context) (err error) {
 	running, cancel := context.WithCancel(ctx)
 	diskStop := make(chan struct{})
@@ -70,7 +70,7 @@
 		var batch []membership.Event
 		select {
 		case <-ctx.Done():
-			if !tr.frozen.Load() { // else the file is the successor's
+			if !tr.frozen.Load() { // otherwise the file belongs to the successor
 				tr.saveView()
 			}
 			return nil
@@ -101,7 +101,7 @@
 	}
 }
 
-// dispatch gives an input to its state machine at once, or adds it to the view's next step.
+// dispatch passes an input to its state machine at once, or appends it to the batch of the view's next step.
 func (tr *Transport) dispatch(batch []membership.Event, i input) []membership.Event {
 	now := tr.now()
 	switch i := i.(type) {
@@ -129,7 +129,7 @@
 	return batch
 }
 
-// prepare completes an event with what only the loop knows.
+// prepare adds the fields that only the loop knows to an event, and updates the loop's state for it.
 func (tr *Transport) prepare(i viewInput) membership.Event {
 	switch e := i.event.(type) {
 	case membership.ExchangeRequest:
@@ -148,13 +148,13 @@
 	return i.event
 }
 
-// stepView steps the membership view, and carries out its actions.
+// stepView steps the membership view, and executes its actions.
 func (tr *Transport) stepView(ctx context.Context, batch []membership.Event) {
 	if tr.options.Inject != nil {
 		tr.options.Inject()
 	}
 	for _, e := range batch {
-		if _, ok := e.(membership.Leave); ok { // before it is sent: what others write of it is later
+		if _, ok := e.(membership.Leave); ok { // written first, so that other members' lines are later
 			tr.eventLog.write(eventLine{Kind: "leave"})
 		}
 	}
@@ -162,7 +162,7 @@
 		tr.carryOut(ctx, a)
 	}
 	for _, e := range batch {
-		if response, ok := e.(membership.ExchangeResponse); ok { // too late, or with nothing to add: the exchange ends
+		if response, ok := e.(membership.ExchangeResponse); ok { // too late, or no last message needed
 			tr.finishExchange(response.ID, nil)
 		}
 	}
@@ -208,7 +208,8 @@
 	}
 }
 
-// finishExchange ends an exchange that this member opened, with a last message or nil. An ended one is ignored.
+// finishExchange ends an exchange that this member opened, with a last message or nil. If the exchange has already
+// ended, the call has no effect.
 func (tr *Transport) finishExchange(id uint64, last *membership.Exchange) {
 	finish := tr.exchanges[id]
 	if finish == nil {
@@ -218,7 +219,7 @@
 	finish <- last
 }
 
-// runInBackground runs f in a goroutine that Run waits for. A panic in it ends the member, and nothing else.
+// runInBackground runs f in a goroutine that Run waits for. A panic in f ends this member, but not the process.
 func (tr *Transport) runInBackground(f func()) {
 	tr.background.Go(func() {
 		defer func() {
@@ -235,7 +236,7 @@
 
 func panicError(p any) error { return fmt.Errorf("panic: %v\n%s", p, debug.Stack()) }
 
-// awaitBootSaved waits a little for the boot number to be on the disk.
+// awaitBootSaved waits until the boot number is on the disk, up to bootSaveTimeout.
 func (tr *Transport) awaitBootSaved() {
 	if tr.options.Dir == "" || tr.options.Membership.TakesOver {
 		return
@@ -248,11 +249,11 @@
 	tr.log.Warn("the disk is slow: this start's boot number is announced before it is saved")
 }
 
-// saveView hands the view to the disk.
+// saveView queues the view to be written to the disk.
 func (tr *Transport) saveView() { tr.viewFile.put(tr.saved()) }
 
-// saveBoot hands the boot number to the disk. It goes with the records that were known when the process started, while
-// there are no others.
+// saveBoot queues the boot number to be written to the disk. While the view has no records of other members, the
+// records known at the start of the process are written with it.
 func (tr *Transport) saveBoot() {
 	s := tr.saved()
 	if !tr.options.Membership.TakesOver && len(s.Records) <= 1 {
@@ -265,7 +266,8 @@
 	return &Saved{Boot: tr.view.Local().Boot, Records: tr.view.Records(), SavedMS: time.Now().UnixMilli()}
 }
 
-// post hands an input to the loop, and waits for room a while. It reports false where there was none.
+// post sends an input to the loop, and waits up to streamTimeout while the queue is full. It reports whether the
+// input was queued.
 func (tr *Transport) post(i input) bool {
 	timer := time.NewTimer(streamTimeout)
 	defer timer.Stop()
@@ -278,7 +280,7 @@
 	return false
 }
 
-// offer hands an input to the loop without waiting. Where there is no room it is dropped and counted.
+// offer sends an input to the loop without waiting. If the queue is full, the input is dropped and counted.
 func (tr *Transport) offer(i input) {
 	select {
 	case tr.inputs <- i:
@@ -287,10 +289,11 @@
 	}
 }
 
-// do has f run on the loop, and waits up to callTimeout for its turn. It reports false if f has not run, and does not run
-// later; or the loop has ended within it: what f writes must not be read then.
+// do runs f on the loop, and waits up to callTimeout for f to start. It reports true once f has returned. It reports
+// false if f has not run and will not run later, or if the loop ended during f: the caller must not read what f
+// writes then.
 func (tr *Transport) do(f func()) bool {
-	var claimed atomic.Bool // by whoever is first: the loop, which runs f, or the caller, who gives it up
+	var claimed atomic.Bool // set by the loop when it runs f, or by the caller when it abandons the call
 	ran := make(chan struct{})
 	timer := time.NewTimer(callTimeout)
 	defer timer.Stop()
@@ -317,7 +320,7 @@
 	if claimed.CompareAndSwap(false, true) {
 		return false
 	}
-	select { // it runs: it ends soon, as all that the loop does
+	select { // f is running; functions on the loop do not block, so it returns soon
 	case <-ran:
 		return true
 	case <-tr.done:
@@ -325,7 +328,7 @@
 	}
 }
 
-// rejectedCounts count received messages by why they were rejected.
+// rejectedCounts counts rejected messages by reason.
 type rejectedCounts struct {
 	malformed, tooLarge, otherFleet, damaged, unknownFormat atomic.Uint64
 }
--- a/internal/peer/transport/memberlog.go
+++ b/internal/peer/transport/memberlog.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// logAction logs a change of the view that operators need to know, once.
+// logAction logs the changes of the view that operators need to know about, with one line for each.
 func (tr *Transport) logAction(a membership.Action) {
 	switch a := a.(type) {
 	case membership.RegionReachability:
@@ -36,8 +36,8 @@
 	}
 }
 
-// logMember logs a member's new state, but no suspicion, and no change that its region's line or that of this member's isolation
-// covers.
+// logMember logs a member's new state. It logs neither suspicions nor changes that are already covered by the log
+// line of the member's region or of this member's isolation.
 func (tr *Transport) logMember(a membership.MemberChanged) {
 	r := &a.Record
 	switch {
--- a/internal/peer/transport/policydriver.go
+++ b/internal/peer/transport/policydriver.go
@@ -13,26 +13,26 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// PolicyDriver is a daemon's node of the replicated policy, with what surrounds it. It outlasts a Transport that another
-// one of the same process replaces.
+// PolicyDriver is a daemon's node of the replicated policy with its callbacks. It stays in use when a new Transport
+// of the same process replaces the current one.
 type PolicyDriver struct {
 	node           *policy.Node
 	persist        func(policy.Persist)
 	servingChanged func(s policy.Serving, base time.Time)
 
 	mu        sync.Mutex
-	persisted []policy.Event            // results of the disk that the loop has not taken; under mu
+	persisted []policy.Event            // results of disk writes that the loop has not taken; guarded by mu
 	transport atomic.Pointer[Transport] // the current one
 }
 
-// NewPolicyDriver returns a driver of a node. Persist is called in order, and its results come by Persisted;
-// servingChanged is called with each change of what to serve by, whose times are after base. Both are called by the
-// transport's loop, and must not wait.
+// NewPolicyDriver returns a driver of a node. persist is called in order, and its results are reported through
+// Persisted. servingChanged is called with each change of the documents to serve by; their times count from base.
+// Both are called by the transport's loop and must not block.
 func NewPolicyDriver(n *policy.Node, persist func(policy.Persist), servingChanged func(s policy.Serving, base time.Time)) *PolicyDriver {
 	return &PolicyDriver{node: n, persist: persist, servingChanged: servingChanged}
 }
 
-// Persisted is the disk's result of what was to be persisted. Any goroutine may call it; it does not wait.
+// Persisted reports the result of writing one policy.Persist to the disk. Any goroutine may call it; it does not wait.
 func (d *PolicyDriver) Persisted(seq uint64, err error) {
 	d.mu.Lock()
 	d.persisted = append(d.persisted, policy.Persisted{Seq: seq, Err: err})
@@ -42,7 +42,7 @@
 	}
 }
 
-// takePersisted returns the results that were not taken yet.
+// takePersisted returns and clears the results that have not been taken yet.
 func (d *PolicyDriver) takePersisted() []policy.Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,10 +51,10 @@
 	return events
 }
 
-// policyPersisted says that the driver has results of the disk.
+// policyPersisted tells the loop that the driver has results of disk writes.
 type policyPersisted struct{}
 
-// policyPacket is a message about the policy, in a datagram or on a stream of its own.
+// policyPacket is a message about the policy, sent in a datagram or on a separate stream.
 type policyPacket struct {
 	From    string          `cbor:"1,keyasint,omitempty"`
 	Message *policy.Message `cbor:"2,keyasint,omitempty"`
@@ -65,15 +65,15 @@
 	tr          *Transport
 	driver      *PolicyDriver // nil: there is no policy
 	started     bool
-	membersAt   time.Duration // the membership was last passed on
-	messages    atomic.Uint64 // sent
-	bytes       atomic.Uint64 // of these
-	unsent      atomic.Uint64 // messages: no address or stream for them, too large, not encodable, or not taken
-	streamSlots chan struct{} // one for each open stream to another member
+	membersAt   time.Duration // when the membership was last passed on
+	messages    atomic.Uint64 // messages sent
+	bytes       atomic.Uint64 // bytes of these messages
+	unsent      atomic.Uint64 // no address or stream, too large, not encodable, or not read
+	streamSlots chan struct{} // holds an element for each open stream to another member
 }
 
-// MaxPolicyStreams is how many streams may be open to other members at a time. Messages beyond it are not sent; the
-// protocol sends them again.
+// MaxPolicyStreams is how many streams may be open to other members at a time. Further messages are not sent; the
+// protocol repeats them.
 const MaxPolicyStreams = 16
 
 func newPolicyLink(tr *Transport) *policyLink {
@@ -113,7 +113,7 @@
 	}
 }
 
-// step steps the node, with the membership first if that is due, and carries out its actions.
+// step steps the node, and executes its actions. If the membership is due to be passed on, it is the first event.
 func (l *policyLink) step(now time.Duration, events ...policy.Event) {
 	if l.driver == nil || l.tr.frozen.Load() {
 		return
@@ -155,7 +155,7 @@
 	}
 }
 
-// handoffState returns what a successor continues from; nil: there is no policy.
+// handoffState returns the state from which a successor continues; nil: there is no policy.
 func (l *policyLink) handoffState() *policy.HandoffState {
 	if l.driver == nil {
 		return nil
@@ -171,7 +171,7 @@
 	eventPreparing  = "both"
 )
 
-// writeEvent writes an event line of what the daemon serves by.
+// writeEvent writes an event line about the documents that the daemon serves by.
 func (l *policyLink) writeEvent(s policy.Serving) {
 	line := eventLine{Kind: "policy", State: eventServing, Reason: s.Blocked}
 	switch {
@@ -189,11 +189,11 @@
 	l.tr.eventLog.write(line)
 }
 
-// send sends a message to a member at the address by which the view last knew it: a small one in a datagram, a large one
-// on a stream of its own. What is lost is sent again by the protocol.
+// send sends a message to a member at its last address in the view: a small message in a datagram, a large one on a
+// separate stream. The protocol repeats lost messages.
 func (l *policyLink) send(s policy.Send) {
 	p := &policyPacket{From: l.tr.options.Membership.Name, Message: s.Message}
-	if s.To == p.From { // it arrives like those of others
+	if s.To == p.From { // a message to this member itself is queued like those of other members
 		l.tr.offer(p)
 		return
 	}
@@ -220,8 +220,8 @@
 	l.bytes.Add(uint64(len(data)))
 }
 
-// sendOnStream sends a message on a stream in a goroutine of its own, which ends with Run. The message counts as sent once
-// the other member has read it.
+// sendOnStream sends a message on a stream in a separate goroutine, which ends with Run. The message counts as sent
+// once the other member has read it.
 func (l *policyLink) sendOnStream(to netip.AddrPort, data []byte) {
 	select {
 	case l.streamSlots <- struct{}{}:
@@ -240,7 +240,7 @@
 	})
 }
 
-// handlePolicyMessage decodes a message about the policy from a stream or a datagram, and hands it to the loop.
+// handlePolicyMessage decodes a message about the policy from a stream or a datagram, and queues it for the loop.
 func (tr *Transport) handlePolicyMessage(data []byte) {
 	p := &policyPacket{}
 	if err := decodeEnvelope(policyFormat, tr.options.Fleet, data, p); err != nil {
@@ -254,8 +254,8 @@
 	tr.offer(p)
 }
 
-// PolicySize returns the bytes of a message about the policy, without those of UDP and TCP; 0 for one that cannot be
-// encoded.
+// PolicySize returns the encoded size of a message about the policy in bytes, without the headers of UDP and TCP; 0
+// if the message cannot be encoded.
 func PolicySize(fleet, from string, m *policy.Message) int {
 	data, err := encodeEnvelope(policyFormat, fleet, &policyPacket{From: from, Message: m})
 	if err != nil {
@@ -264,13 +264,15 @@
 	return len(data)
 }
 
-// ErrNoPolicy says that this daemon has no policy in common with others, or does not respond.
-var ErrNoPolicy = errors.New("this daemon agrees on no policy with others ([policy] is not in its file), or does not answer")
+// ErrNoPolicy is returned if this daemon takes part in no replicated policy or its loop does not respond.
+var ErrNoPolicy = errors.New(
+	"this daemon takes part in no replicated policy ([policy] is not in its file), or does not respond")
 
-// PolicyDriver returns the driver, for the Transport that replaces this one in its process; nil: there is no policy.
+// PolicyDriver returns the driver for the Transport that replaces this one in its process; nil: there is no policy.
 func (tr *Transport) PolicyDriver() *PolicyDriver { return tr.options.PolicyDriver }
 
-// Policy runs f with the node on the loop, and steps the node with the events that f returns. The error is ErrNoPolicy.
+// Policy runs f with the node on the loop, and steps the node with the events that f returns. Its only error is
+// ErrNoPolicy.
 func (tr *Transport) Policy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
 	if tr.options.PolicyDriver == nil {
 		return ErrNoPolicy
--- a/internal/peer/transport/savedview.go
+++ b/internal/peer/transport/savedview.go
@@ -16,23 +16,25 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// Saved is what a member leaves for its next run, or for the process that takes its place. The file is written at the start,
-// seconds after changes, and at the end of Run; while the disk fails the last file stays, and writing is retried every 50 ms
-// to 5 s (atomicfile.Writer; save_fails in the status). Ejection evidence and the leases of this daemon's agents are not in
-// it: a successor in the same process has them by Options.Previous, another one begins without.
+// Saved is the state of a member that is stored for its next run, or passed to the process that replaces it. The file
+// is written at the start, seconds after changes, and at the end of Run. While the disk fails, the last file stays,
+// and writing is retried every 50 ms to 5 s (atomicfile.Writer; save_fails in the status). Ejection evidence and the
+// leases of this daemon's agents are not included: a successor in the same process gets them from Options.Previous,
+// and another process starts without them.
 type Saved struct {
 	Boot    uint64              `cbor:"1,keyasint,omitempty"`
 	Records []membership.Record `cbor:"2,keyasint,omitempty"`
-	SavedMS int64               `cbor:"3,keyasint,omitempty"` // Unix time in ms, for people: nothing reads it
-	// TakesOver marks the state of a process that another replaces without a gap. The fields below are of such only.
+	SavedMS int64               `cbor:"3,keyasint,omitempty"` // Unix time in ms, for operators; no code reads it
+	// TakesOver is set if another process replaces the running one without interruption. The fields below are set only
+	// then.
 	TakesOver      bool   `cbor:"4,keyasint,omitempty"`
 	RunID          uint64 `cbor:"5,keyasint,omitempty"`
 	Incarnation    uint32 `cbor:"6,keyasint,omitempty"`
 	DatagramNumber uint64 `cbor:"7,keyasint,omitempty"`
 	UptimeMS       int64  `cbor:"8,keyasint,omitempty"`
-	// Leases is what it has leased as a lease server.
+	// Leases holds the leases that the process has granted as a lease server.
 	Leases *lease.ServerState `cbor:"9,keyasint,omitempty"`
-	// Policy is its state of the policy, as of PolicyNanos by CLOCK_MONOTONIC.
+	// Policy is the process's state of the policy at the time PolicyNanos of CLOCK_MONOTONIC.
 	Policy      *policy.HandoffState `cbor:"10,keyasint,omitempty"`
 	PolicyNanos int64                `cbor:"11,keyasint,omitempty"`
 }
@@ -55,7 +57,8 @@
 	return append(head, body...), nil
 }
 
-// DecodeSaved decodes what EncodeSaved returned. The error says whether the file is foreign, of another version or torn.
+// DecodeSaved decodes the file content that EncodeSaved returned. The error tells whether the file has another type,
+// is of another version, or is torn.
 func DecodeSaved(data []byte) (*Saved, error) {
 	head, body, found := bytes.Cut(data, []byte{'\n'})
 	var version, length int
@@ -63,11 +66,11 @@
 	_, err := fmt.Sscanf(string(head), savedViewMagic+" %d %x %d", &version, &sum, &length)
 	switch {
 	case !bytes.HasPrefix(head, []byte(savedViewMagic)):
-		return nil, errors.New("not a view of vetchhaven's")
+		return nil, errors.New("not a saved vetchhaven view")
 	case err == nil && version != savedViewVersion:
-		return nil, fmt.Errorf("of version %d, known is %d", version, savedViewVersion)
+		return nil, fmt.Errorf("unsupported version %d, known is %d", version, savedViewVersion)
 	case err != nil || !found || length != len(body) || sum != crc64.Checksum(body, savedViewTable):
-		return nil, errors.New("torn: its checksum does not fit")
+		return nil, errors.New("torn: checksum mismatch")
 	}
 	s := &Saved{}
 	if err := decoding.Unmarshal(body, s); err != nil {
@@ -76,14 +79,14 @@
 	return s, nil
 }
 
-// viewFile is the file of the last view. A goroutine of its own writes it.
+// viewFile is the file of the last view, which a separate goroutine writes.
 type viewFile struct{ *atomicfile.Writer }
 
 func newViewFile(dir string, log *slog.Logger) *viewFile {
 	return &viewFile{atomicfile.NewWriter(dir, savedViewFile, "view of the fleet", log)}
 }
 
-// read returns what was saved; nil if there is nothing, or nothing valid, which is logged.
+// read returns the saved state; nil if there is no file. An invalid file is logged and also gives nil.
 func (f *viewFile) read() *Saved {
 	if f.Dir == "" {
 		return nil
@@ -104,7 +107,7 @@
 	return s
 }
 
-// put has a view written, without waiting.
+// put queues a view to be written, without waiting.
 func (f *viewFile) put(s *Saved) {
 	if f.Dir == "" {
 		return
--- a/internal/peer/transport/savedview_test.go
+++ b/internal/peer/transport/savedview_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// The leases of a lease server go to its successor with the view: maps in arrays in maps, ten deep.
+// The leases of a lease server are passed to its successor with the view. Their CBOR has maps and arrays nested ten
+// deep.
 func TestSavedLeasesAreReadBack(t *testing.T) {
 	limit := lease.Limit{Limit: quota.Limit{Name: "l", Kind: quota.Attempts, Class: -1, Zone: -1, Cell: -1}, Total: 10, Hard: true}
 	settings := lease.Settings{Servers: []string{"k"}, Limits: []lease.Limit{limit}}
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// MembershipStatus is a member's view, as the admin endpoint shows it. The JSON keys are those of earlier builds.
+// MembershipStatus is a member's view for the admin endpoint. The JSON keys are those of earlier builds.
 type MembershipStatus struct {
 	Fleet     string         `json:"fleet"`
 	Name      string         `json:"name"`
@@ -35,7 +35,7 @@
 	FromFile     bool `json:"from_file"`
 }
 
-// TrafficStatus is of this run; rates are means over it, a second.
+// TrafficStatus counts the traffic since the start of this run. Rates are per second, averaged over the run.
 type TrafficStatus struct {
 	Datagrams       uint64  `json:"datagrams"`
 	Bytes           uint64  `json:"bytes"`
@@ -44,17 +44,18 @@
 	Exchanges       uint64  `json:"exchanges"`
 	ExchangeBytes   uint64  `json:"exchange_bytes"`
 	Received        uint64  `json:"heard"`
-	RemoteBytes     uint64  `json:"far_bytes"` // of all bytes, to other regions
+	RemoteBytes     uint64  `json:"far_bytes"` // bytes sent to other regions, included in the totals
 	RemoteBytesRate float64 `json:"far_bytes_s"`
-	Withheld        uint64  `json:"held_back"` // for the budget of bytes
+	Withheld        uint64  `json:"held_back"` // not sent because the byte budget was used up
 	Stale           uint64  `json:"stale"`
-	Dropped         uint64  `json:"dropped"` // because the loop did not keep up
+	Dropped         uint64  `json:"dropped"` // because the loop's queue was full
 	Damaged         uint64  `json:"damaged"`
 	OtherFleet      uint64  `json:"other_fleet"`
 	OtherFormat     uint64  `json:"other_format"`
 	TooLarge        uint64  `json:"huge"`
 	Malformed       uint64  `json:"odd"`
-	// Of the policy, which the above does not include. PolicyUnsent is for want of a stream or an address.
+	// Messages of the policy, which the fields above do not include. PolicyUnsent counts those that
+	// could not be sent, for example without a free stream or a known address.
 	PolicyMessages uint64 `json:"policy_messages"`
 	PolicyBytes    uint64 `json:"policy_bytes"`
 	PolicyUnsent   uint64 `json:"policy_unsent"`
@@ -63,16 +64,16 @@
 // RegionStatus is a region as this member sees it.
 type RegionStatus struct {
 	Name            string   `json:"name"`
-	Members         int      `json:"members"` // alive or suspect by their records
-	Dead            int      `json:"silent"`  // dead by them
+	Members         int      `json:"members"` // members whose records are alive or suspect
+	Dead            int      `json:"silent"`  // members whose records are dead
 	Local           bool     `json:"own,omitempty"`
-	Unreachable     bool     `json:"not_reached,omitempty"` // from any watcher
+	Unreachable     bool     `json:"not_reached,omitempty"` // no watcher reaches it
 	UnreachableForS float64  `json:"since_s,omitempty"`
 	Watchers        []string `json:"watchers,omitempty"`
-	RoundTripMS     float64  `json:"way_ms,omitempty"` // as this member measured it
+	RoundTripMS     float64  `json:"way_ms,omitempty"` // measured by this member
 }
 
-// MemberStatus is one member.
+// MemberStatus is one member of a MembershipStatus.
 type MemberStatus struct {
 	Name        string  `json:"name"`
 	Addr        string  `json:"addr"`
@@ -80,7 +81,7 @@
 	Region      string  `json:"region,omitempty"`
 	Program     string  `json:"program,omitempty"`
 	State       string  `json:"state"`
-	SinceS      float64 `json:"since_s"` // in that state, as seen here
+	SinceS      float64 `json:"since_s"` // for how long this member has seen it in that state
 	Reporter    string  `json:"by,omitempty"`
 	Boot        uint64  `json:"boot"`
 	RunID       string  `json:"life"`
@@ -93,13 +94,13 @@
 const (
 	stateJoined   = "in"
 	stateJoining  = "looking"
-	stateYielding = "standing back" // to another process of its name
+	stateYielding = "standing back" // another process uses its name
 )
 
-// minUptime keeps rates finite.
+// minUptime is a lower bound for the uptime that rates are divided by, so that they are finite.
 const minUptime = time.Millisecond
 
-// MembershipStatus returns the state of the view. ok is false where the loop does not respond.
+// MembershipStatus returns the state of the view. ok is false if the loop does not respond.
 func (tr *Transport) MembershipStatus() (s MembershipStatus, ok bool) {
 	ok = tr.do(func() { s = tr.membershipStatus() })
 	s.SaveFails = tr.viewFile.Failed()
@@ -197,8 +198,8 @@
 	}
 }
 
-// LimitsStatus is the state of the fleet's limits, as the admin endpoint shows it: at this daemon's agents and, at a lease
-// server, of its shares.
+// LimitsStatus is the state of the fleet's limits for the admin endpoint: the leases of this daemon's agents and, if
+// this daemon is a lease server, its shares of the limits.
 type LimitsStatus struct {
 	Name         string               `json:"name"`
 	Leased       []LeasedLimitStatus  `json:"held"`
@@ -209,7 +210,7 @@
 	MaxBalancers int                  `json:"balancers_most"`
 }
 
-// LeasedLimitStatus is what this daemon's agents have of a limit.
+// LeasedLimitStatus is the part of one limit that is leased to this daemon's agents.
 type LeasedLimitStatus struct {
 	Limit    string        `json:"limit"`
 	Key      string        `json:"key,omitempty"`
@@ -218,14 +219,14 @@
 	Leases   []LeaseStatus `json:"rights"`
 }
 
-// LeaseStatus is what a lease server has granted to this daemon's agents.
+// LeaseStatus is a lease that a lease server has granted to this daemon's agents.
 type LeaseStatus struct {
 	Server     string  `json:"keeper"`
 	Amount     int     `json:"amount"`
 	RemainingS float64 `json:"left_s"`
 }
 
-// GrantedLimitStatus is what this daemon has leased as a lease server.
+// GrantedLimitStatus is the part of one limit that this daemon has granted as a lease server.
 type GrantedLimitStatus struct {
 	Limit          string         `json:"limit"`
 	Key            string         `json:"key,omitempty"`
@@ -235,7 +236,7 @@
 	Holders        map[string]int `json:"holders"`
 }
 
-// LimitsStatus returns the state of the fleet's limits. ok is false where there are none, or the loop does not respond.
+// LimitsStatus returns the state of the fleet's limits. ok is false if there are none or the loop does not respond.
 func (tr *Transport) LimitsStatus() (s LimitsStatus, ok bool) {
 	if tr.options.Leases == nil {
 		return s, false
@@ -256,8 +257,9 @@
 	}
 	for _, l := range d.client.Status(now) {
 		leased := LeasedLimitStatus{Limit: l.Limit, Key: l.Key, Used: l.Used, Rejected: l.Rejected}
-		for _, one := range l.Leases {
-			leased.Leases = append(leased.Leases, LeaseStatus{one.Server, one.Amount, one.Remaining.Round(time.Millisecond).Seconds()})
+		for _, lease := range l.Leases {
+			leased.Leases = append(leased.Leases, LeaseStatus{
+				lease.Server, lease.Amount, lease.Remaining.Round(time.Millisecond).Seconds()})
 		}
 		s.Leased = append(s.Leased, leased)
 	}
@@ -277,7 +279,7 @@
 	return s
 }
 
-// EjectionStatus is what a member knows of servers, as the admin endpoint shows it.
+// EjectionStatus is a member's state of outlier ejection for the admin endpoint.
 type EjectionStatus struct {
 	Name    string                  `json:"name"`
 	Servers []ejection.ServerStatus `json:"servers"`
@@ -285,8 +287,8 @@
 	Packets uint64                  `json:"packets"`
 }
 
-// EjectionStatus returns what this member knows of servers. ok is false where no evidence is exchanged, or the loop does
-// not respond.
+// EjectionStatus returns this member's state of outlier ejection. ok is false if members exchange no evidence or the
+// loop does not respond.
 func (tr *Transport) EjectionStatus() (s EjectionStatus, ok bool) {
 	if tr.options.Ejection == nil {
 		return s, false
--- a/internal/peer/transport/streams.go
+++ b/internal/peer/transport/streams.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// acquireStream takes a slot for a stream that another member opened. It reports false where there is none.
+// acquireStream takes a slot for a stream that another member opened. It reports whether a slot was free.
 func (tr *Transport) acquireStream() bool {
 	select {
 	case tr.streamSlots <- struct{}{}:
@@ -34,7 +34,7 @@
 			tr.waitToRetry(ctx, acceptRetry)
 			continue
 		}
-		if !tr.acquireStream() { // the other member tries another
+		if !tr.acquireStream() { // the other member then tries a different member
 			_ = conn.Close()
 			continue
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// serveStream takes one message about the policy, or an exchange: a request, the response, and a last message. What it
-// rejects is counted once, and a stream that ends without a message is not.
+// serveStream handles one message about the policy, or one exchange: a request, the response, and a last message. Each
+// rejected message is counted once; a stream that ends without a message is not counted.
 func (tr *Transport) serveStream(conn *net.TCPConn) {
 	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
 	data, err := readFrame(conn)
@@ -70,7 +70,7 @@
 		return
 	}
 	if writeExchange(conn, tr.options.Fleet, response) != nil {
-		return // the other member has gone: nothing was received
+		return // the stream failed, so the other member has not received the response
 	}
 	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
 	last, err := readExchange(conn, tr.options.Fleet)
@@ -81,14 +81,14 @@
 	tr.post(viewInput{event: membership.ExchangeClosed{Message: last}})
 }
 
-// rejectRead is reject for an error of a read: an end of the stream, or of its time, between two messages is none.
+// rejectRead counts a read error like reject does, unless the stream ended or timed out.
 func (tr *Transport) rejectRead(err error) {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
 		tr.reject(err)
 	}
 }
 
-// awaitResponse returns the view's response to a request; nil: there is none, or not in time.
+// awaitResponse returns the view's response to a request; nil if there is none in time.
 func (tr *Transport) awaitResponse(request *membership.Exchange) *membership.Exchange {
 	response := make(chan *membership.Exchange, 1)
 	if !tr.post(viewInput{event: membership.ExchangeRequest{Message: request}, response: response}) {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// runExchange opens an exchange. Whatever becomes of it, the loop receives one event of it.
+// runExchange opens an exchange and posts one event about its result to the loop, whether it succeeds or fails.
 func (tr *Transport) runExchange(ctx context.Context, o membership.OpenExchange, finish chan *membership.Exchange) {
 	response, conn, err := tr.requestExchange(ctx, o)
 	if conn != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// requestExchange sends a request and returns the response. The connection, where there is one, is the caller's to close.
+// requestExchange sends a request and returns the response. The caller has to close the connection unless it is nil.
 func (tr *Transport) requestExchange(ctx context.Context, o membership.OpenExchange) (*membership.Exchange, net.Conn, error) {
 	conn, err := tr.newDialer(streamTimeout/2).DialContext(ctx, "tcp", o.To)
 	if err != nil {
@@ -149,7 +149,8 @@
 	return response, conn, err
 }
 
-// newDialer returns a dialer from the address that this member listens on: its datagrams come from there too.
+// newDialer returns a dialer whose local address is the one that this member listens on, from which its datagrams
+// come too.
 func (tr *Transport) newDialer(timeout time.Duration) *net.Dialer {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: -1}
 	local := *tr.options.TCP.Addr().(*net.TCPAddr)
@@ -160,7 +161,7 @@
 	return dialer
 }
 
-// sendOnStream sends one message on a stream of its own, and waits until the other member has read it, or ctx ends.
+// sendOnStream sends one message on a new stream, and waits until the other member has read it or ctx ends.
 func (tr *Transport) sendOnStream(ctx context.Context, to string, data []byte) error {
 	conn, err := tr.newDialer(streamTimeout).DialContext(ctx, "tcp", to)
 	if err != nil {
@@ -173,6 +174,6 @@
 		return err
 	}
 	var end [1]byte
-	_, err = conn.Read(end[:]) // the other closes the stream once it has read all
+	_, err = conn.Read(end[:]) // the other member closes the stream once it has read the whole message
 	return err
 }
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -1,17 +1,19 @@
-// Package transport connects a daemon's member of the fleet to the outside: a UDP socket for datagrams, a TCP listener
-// for exchanges of whole views and for large messages, the file of the last view, timers, and the file of event lines.
-// It validates what comes in, decides nothing, and turns each occurrence into one event of the state machines that it
-// drives: membership (SWIM with Lifeguard), leases (drivers in leasedriver.go), outlier ejection (ejectiondriver.go) and
-// replicated policy (policydriver.go).
+// Package transport performs the I/O of a daemon's member of the fleet: a UDP socket for datagrams, a TCP listener for
+// exchanges of whole views and for large messages, the file of the last view, timers, and the file of event lines. The
+// package validates its inputs and passes each one as an event to one of the state machines that it drives: membership
+// (SWIM with Lifeguard), leases (leasedriver.go), outlier ejection (ejectiondriver.go) and replicated policy
+// (policydriver.go). All decisions are made by these state machines.
 //
-// Ownership: the loop of Transport.Run (loop.go) is the one goroutine that calls these state machines. Readers of sockets
-// (datagrams.go, streams.go), the daemon and the disk hand their inputs to it over a channel, and callers that need an
-// answer have a function run on it (Transport.do). Nothing that serves clients ever waits for it.
+// Ownership: only the loop of Transport.Run (loop.go) calls the state machines. The readers of the sockets
+// (datagrams.go, streams.go), the daemon and the disk writers send their inputs to the loop over a channel, and
+// callers that need a result have a function run on the loop (Transport.do). Code that serves clients never waits for
+// the loop.
 //
-// Goroutines: the loop, in Run's own; the writer of the view's file, the reader of datagrams, the acceptor of streams, one
-// for each accepted stream (up to 16) and for each exchange that this member opens, all of which Run ends by closing the
-// sockets and waits for; the writer of the event log, from New on, which Run ends last; and one for each policy message on a
-// stream of its own (up to MaxPolicyStreams), which end by their timeouts and are not waited for.
+// Goroutines: the loop runs in the goroutine that calls Run. Run starts the writer of the view's file, the reader of
+// datagrams, the acceptor of streams, one goroutine for each accepted stream (up to 16) and one for each exchange
+// that this member opens. Each policy message on a separate stream has a goroutine too (up to MaxPolicyStreams). Run
+// ends all of these by cancelling their context and closing the sockets, and waits for them. New starts the writer of
+// the event log, which Run ends last.
 package transport
 
 import (
@@ -32,44 +34,46 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Options are what a Transport is started with. Its callbacks run on its loop, and must not wait.
+// Options configure a Transport. The callbacks run on the Transport's loop and must not block.
 type Options struct {
 	Fleet string
-	// Membership is completed by New: boot number, run ID, and what is known of members.
+	// Membership is completed by New, which sets the boot number, the run ID and the known members.
 	Membership membership.Settings
-	// UDP and TCP are owned by the Transport from New on, and closed at the end of Run.
+	// UDP and TCP belong to the Transport from New on; Run closes them when it ends.
 	UDP *net.UDPConn
 	TCP *net.TCPListener
-	// Dir holds the last view. Empty: it is not saved.
+	// Dir is the directory of the file with the last view. Empty: the view is not saved.
 	Dir string
-	// Saved is from the process that this one replaces. nil: the file is read.
+	// Saved is the state of the process that this one replaces. nil: New reads the saved state from the file.
 	Saved *Saved
 	Log   *slog.Logger
-	// Events receives a JSON line for each change, for fault tests. nil: none.
+	// Events receives a JSON line for each change, for fault tests. nil: no lines are written.
 	Events io.Writer
 	// SizeChanged is called with each change of the fleet's size.
 	SizeChanged func(membership.Size)
-	// Inject is called in each step, for tests.
+	// Inject is called in each step of the membership view, for tests.
 	Inject func()
-	// WallSkew is how far the wall clock is taken to be off, for fault tests.
+	// WallSkew is added to the wall clock's time, for fault tests.
 	WallSkew time.Duration
 
-	// Previous is the ended Transport of this process whose leases, evidence and lists this one continues. nil: none.
+	// Previous is the ended Transport of this process whose leases, evidence and lists this one takes over. nil:
+	// there is none.
 	Previous *Transport
 
-	// Leases are the limits that the fleet shares. nil: none.
+	// Leases configures the limits that the fleet shares. nil: there are none.
 	Leases *lease.Settings
-	// LeasesGranted gives an agent leases, whose times are after base.
+	// LeasesGranted passes an agent its leases; their times count from base.
 	LeasesGranted func(agent uint32, all []quota.Lease, base time.Time)
 
-	// Ejection are the settings of outlier ejection but for name and run ID. nil: members exchange no evidence.
+	// Ejection configures outlier ejection; name and run ID are set by New. nil: members exchange no evidence.
 	Ejection *ejection.Settings
-	// EjectionsChanged gives the complete set of ejections from now on, whose times are after base.
+	// EjectionsChanged passes on the complete set of current ejections; their times count from base.
 	EjectionsChanged func(all []ejection.Ejection, base time.Time)
 
-	// PolicyDriver is that of the Transport before, if the member continues its run. nil: NewPolicyDriver creates one.
+	// PolicyDriver is the driver of the previous Transport, if the member continues its run. nil: NewPolicyDriver
+	// creates one.
 	PolicyDriver *PolicyDriver
-	// NewPolicyDriver returns the driver of the fleet's policy for a member's run. nil: there is no policy.
+	// NewPolicyDriver returns a driver of the fleet's policy for a member's run. nil: there is no policy.
 	NewPolicyDriver func(runID uint64) *PolicyDriver
 }
 
@@ -78,57 +82,60 @@
 	options   Options
 	log       *slog.Logger
 	view      *membership.View
-	running   context.Context      // ends with Run; set there, before the loop
-	base      time.Time            // of all times of the state machines
-	localInfo membership.LocalInfo // as last set
-	eventLog  *eventLog            // nil: none
+	running   context.Context      // ends with Run, which sets it before the loop starts
+	base      time.Time            // the instant from which the times of all state machines count
+	localInfo membership.LocalInfo // the last value passed to SetLocalInfo
+	eventLog  *eventLog            // nil: no event lines are written
 	viewFile  *viewFile
 	leases    *leaseDriver
 	ejection  *ejectionDriver
 	policy    *policyLink
 
 	inputs     chan input
-	calls      chan func()   // to be run on the loop
+	calls      chan func()   // functions to run on the loop
 	done       chan struct{} // closed at the end of Run
 	failed     chan error    // a panic in another goroutine
-	leaveSent  chan struct{} // closed once the view has sent that this member leaves
+	leaveSent  chan struct{} // closed once the view has announced that this member leaves
 	background sync.WaitGroup
 
-	streamSlots  chan struct{}                        // one for each stream that another member may have open
-	streamID     uint64                               // of the last exchange that another member opened
-	responses    map[uint64]chan *membership.Exchange // by stream ID: where the response goes
-	exchanges    map[uint64]chan *membership.Exchange // by ID of the view: where the end of an own exchange goes
-	frozen       atomic.Bool                          // another process has the sockets
+	streamSlots  chan struct{}                        // holds an element for each open stream of another member
+	streamID     uint64                               // ID of the last exchange that another member opened
+	responses    map[uint64]chan *membership.Exchange // by stream ID: receives the view's response
+	exchanges    map[uint64]chan *membership.Exchange // by the view's ID: receives the last message of an own exchange
+	frozen       atomic.Bool                          // another process uses the sockets
 	mu           sync.Mutex
-	thawed       chan struct{} // closed when it is no longer frozen; under mu
-	dropped      atomic.Uint64 // inputs for which there was no room
+	thawed       chan struct{} // closed when frozen becomes false; guarded by mu
+	dropped      atomic.Uint64 // inputs dropped because the queue was full
 	rejected     rejectedCounts
-	datagrams    atomic.Uint64 // written, those of the policy apart
-	bytesWritten atomic.Uint64 // of these
+	datagrams    atomic.Uint64 // datagrams written, without those of the policy
+	bytesWritten atomic.Uint64 // bytes of these datagrams
 }
 
 const (
-	// maxInputs is how many inputs may wait for the loop. Larger costs memory, smaller drops datagrams in a burst.
+	// maxInputs is how many inputs may wait for the loop. A larger value costs memory, a smaller one drops datagrams in
+	// a burst.
 	maxInputs = 512
 	// maxCalls is how many callers may wait for the loop.
 	maxCalls = 16
-	// maxBatch is how many inputs one step takes. Larger delays timers under load, smaller costs a step for each.
+	// maxBatch is how many inputs one step handles. A larger value delays timers under load, a smaller one needs more
+	// steps.
 	maxBatch = 64
-	// maxStreams is how many streams of other members may be open at a time. Further ones are closed at once, and their
-	// members try others. Streams that this member opens are not counted.
+	// maxStreams is how many streams of other members may be open at a time. Further streams are closed at once, and
+	// the members that opened them try another member. Streams that this member opens are not counted.
 	maxStreams = 16
 	// streamTimeout bounds each phase of an exchange.
 	streamTimeout = 3 * time.Second
 	// callTimeout is how long a caller waits for the loop.
 	callTimeout = 2 * time.Second
-	// bootSaveTimeout is how long a start waits for its boot number to be saved. It is announced without, after that: the
-	// number is then less certain to be larger than all before.
+	// bootSaveTimeout is how long a start waits for its boot number to be saved. After that the number is announced
+	// unsaved: it is then less certain that the next start's number will be larger than this one.
 	bootSaveTimeout = 500 * time.Millisecond
-	// bootSavePoll is how often the start looks for that.
+	// bootSavePoll is the interval at which the start checks whether the boot number is saved.
 	bootSavePoll = 2 * time.Millisecond
 )
 
-// New returns a member that is ready to Run. It has a new boot number, unless it replaces a process.
+// New returns a member that is ready to Run. The member has a new boot number, unless it takes over from a running
+// process.
 func New(o Options) (*Transport, error) {
 	if !membership.ValidFleet(o.Fleet) {
 		return nil, fmt.Errorf("fleet %q: 1 to 32 printable characters without spaces are allowed", o.Fleet)
@@ -143,7 +150,7 @@
 	tr.view = view
 	tr.localInfo = membership.LocalInfo{Instances: settings.Instances, Balancers: settings.Balancers}
 	if o.Previous != nil {
-		tr.base = o.Previous.base // the times of what it continues are after that
+		tr.base = o.Previous.base // the state taken over has times that count from there
 	}
 	if tr.leases, err = newLeaseDriver(tr, saved); err != nil {
 		return nil, err
@@ -177,7 +184,8 @@
 	}
 }
 
-// completeSettings sets the membership settings that depend on the run before, and returns what that saved; nil: nothing.
+// completeSettings sets the membership settings that depend on the previous run, and returns the state that this run
+// saved; nil: there is none.
 func (tr *Transport) completeSettings() *Saved {
 	s := &tr.options.Membership
 	saved := tr.options.Saved
@@ -206,7 +214,7 @@
 
 func (tr *Transport) now() time.Duration { return time.Since(tr.base) }
 
-// Sent returns how many datagrams of membership, leases and ejection this member has written, and their bytes.
+// Sent returns how many datagrams of membership, leases and ejection this member has written, and their total bytes.
 func (tr *Transport) Sent() (datagrams, bytes uint64) {
 	return tr.datagrams.Load(), tr.bytesWritten.Load()
 }
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -23,16 +23,16 @@
 	_ = b.stop()
 	a.awaitState(t, "b", "left")
 	c.awaitState(t, "b", "left")
-	_ = c.stop() // it does not leave
+	_ = c.stop() // without Leave
 	a.awaitState(t, "c", "dead")
-	a.awaitSize(t, func(s membership.Size) bool { return s.MaxBalancers == 2 && s.MinBalancers == 1 }) // b is not counted, c may be alive
+	a.awaitSize(t, func(s membership.Size) bool { return s.MaxBalancers == 2 && s.MinBalancers == 1 }) // b does not count, c may be alive
 	if previous, known := a.Forget("c"); !known || previous != membership.Dead {
-		t.Errorf("forgot a member that was %v, known %v", previous, known)
+		t.Errorf("Forget: the member was %v, known %v", previous, known)
 	}
 	a.awaitSize(t, func(s membership.Size) bool { return s.MaxBalancers == 1 })
 }
 
-// awaitSize waits for a size that the member announces.
+// awaitSize waits until the member announces a size that satisfies is.
 func (m *testMember) awaitSize(t *testing.T, is func(membership.Size) bool) {
 	t.Helper()
 	timer := time.NewTimer(testTimeout)
@@ -44,13 +44,13 @@
 				return
 			}
 		case <-timer.C:
-			t.Fatal("the size is never announced")
+			t.Fatal("the expected size is not announced")
 		}
 	}
 }
 
-// A reader of both members' event lines must find the cause before the effect: the line of a leave is not later than
-// that of any member that received it. It is written when the leave is sent, whoever asked for it.
+// The event line of a leave is not later than the lines of members that received the leave, so that a reader of all
+// lines finds the cause before the effect. The line is written before the leave is sent, whatever caused the leave.
 func TestLeaveIsLoggedBeforeItIsSent(t *testing.T) {
 	var linesOfA, linesOfB bytes.Buffer
 	a := startMember(t, memberOptions{name: "a", change: func(o *Options) { o.Events = &linesOfA }})
@@ -58,7 +58,7 @@
 	a.awaitState(t, "b", "alive")
 	b.awaitState(t, "a", "alive")
 	if !a.post(viewInput{event: membership.Leave{}}) {
-		t.Fatal("the loop does not take it")
+		t.Fatal("the loop does not accept the leave")
 	}
 	b.awaitState(t, "a", "left")
 	_ = a.stop() // all lines are written
@@ -114,10 +114,10 @@
 	a := startMember(t, memberOptions{name: "a", change: func(o *Options) { o.Inject = func() { panic("injected") } }})
 	<-a.done
 	if err := a.stop(); err == nil {
-		t.Error("no error")
+		t.Error("Run returned no error after a panic")
 	}
 	if _, ok := a.MembershipStatus(); ok {
-		t.Error("it responds")
+		t.Error("the member responds after its end")
 	}
 }
 
@@ -127,7 +127,7 @@
 	previous := b.awaitState(t, "a", "alive")
 	saved := a.Freeze()
 	if saved == nil {
-		t.Fatal("nothing to continue from")
+		t.Fatal("Freeze returned no state")
 	}
 	_ = a.stop()
 	successor := startMember(t, memberOptions{name: "a", addr: a.addr, change: func(o *Options) { o.Saved = saved }})
@@ -138,7 +138,7 @@
 		return current.Incarnation > previous.Incarnation
 	})
 	if current.RunID != previous.RunID || current.Boot != previous.Boot {
-		t.Errorf("another member: %+v after %+v", current, previous)
+		t.Errorf("run ID or boot number changed: %+v after %+v", current, previous)
 	}
 }
 
--- a/internal/peer/transport/wire.go
+++ b/internal/peer/transport/wire.go
@@ -8,7 +8,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// sharedPacket is a datagram of leases or ejection: one of Request, Grant and Ejection.
+// sharedPacket is a datagram of leases or ejection: exactly one of Request, Grant and Ejection is set.
 type sharedPacket struct {
 	From    string         `cbor:"1,keyasint,omitempty"`
 	Request *lease.Request `cbor:"2,keyasint,omitempty"`
@@ -20,8 +20,9 @@
 // Wire encodes the messages of one fleet's members, for simulations without sockets.
 type Wire struct{ Fleet string }
 
-// Marshal encodes a message as members send it: datagrams of membership, exchanges after their length, and packets of
-// leases and ejection with their sender's name. The error is that of a message of another type, or one that is too large.
+// Marshal encodes a message as members send it: datagrams of membership, exchanges with their length in front, and
+// packets of leases and ejection with their sender's name. It returns an error if the message has another type or is
+// too large.
 func (w Wire) Marshal(from string, message any) ([]byte, error) {
 	switch m := message.(type) {
 	case *membership.Message:
@@ -42,10 +43,10 @@
 	case *lease.Grant:
 		return encodeEnvelope(sharedFormat, w.Fleet, &sharedPacket{From: from, Grant: m})
 	}
-	return nil, fmt.Errorf("marshal: %T is no message of members", message)
+	return nil, fmt.Errorf("marshal: %T is not a message type of members", message)
 }
 
-// Unmarshal decodes what Marshal encoded.
+// Unmarshal decodes a message that Marshal encoded.
 func (w Wire) Unmarshal(data []byte) (any, error) {
 	switch formatOf(data) {
 	case sharedFormat:
@@ -55,7 +56,7 @@
 		return m, decodeMembership(w.Fleet, data, m)
 	}
 	if len(data) < frameLengthBytes {
-		return nil, ErrNotOurs
+		return nil, ErrUnknownProtocol
 	}
 	x := &membership.Exchange{}
 	return x, decodeMembership(w.Fleet, data[frameLengthBytes:], x)
--- a/internal/peer/transport/wire_test.go
+++ b/internal/peer/transport/wire_test.go
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			if back, err := wire.Unmarshal(data); err != nil || !reflect.DeepEqual(back, c.message) {
-				t.Errorf("%+v became %+v, %v", c.message, back, err)
+				t.Errorf("%+v decoded as %+v, %v", c.message, back, err)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestWireRejectsWhatIsNoMessage(t *testing.T) {
+func TestWireRejectsInvalidMessages(t *testing.T) {
 	wire := Wire{Fleet: "f"}
 	if _, err := wire.Marshal("a", 1); err == nil {
 		t.Error("a number was encoded as a message")
--- a/internal/source/discovery/discovery.go
+++ b/internal/source/discovery/discovery.go
@@ -24,7 +24,7 @@
 // Members is one update of the endpoint list, as the list service encodes it: a snapshot if Full is set, else
 // a delta.
 type Members struct {
-	Saved   bool     `json:"-"` // restored from disk: its age is unknown
+	Saved   bool     `json:"-"` // the list was restored from disk, and its age is unknown
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
@@ -39,10 +39,10 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"` // "ready", "draining" or "gone"
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time in ms; 0: unknown, long ago
+	Started int64   `json:"started_ms"` // Unix time in ms; 0: unknown, taken as long ago
 }
 
-// States of a server as the list service spells them. "draining" needs no name here: the hub only asks
+// States of a server as the list service spells them. "draining" needs no constant here: the hub only checks
 // whether a server is ready and whether it is gone.
 const (
 	stateReady   = "ready"
@@ -50,29 +50,30 @@
 )
 
 const (
-	// HeartbeatTimeout is how long a watch may deliver no byte. The list service sends an empty line every
-	// 2 s while nothing changes, so a watch without two of these in a row is taken for dead: a partitioned
-	// peer closes nothing. Larger values leave too little of NotificationDeadline for the next watch; below
-	// 4 s one delayed heartbeat would end a live watch.
+	// HeartbeatTimeout is how long a watch may go without receiving a byte. The list service sends an empty line
+	// every 2 s while the list does not change, so a watch that misses two of these in a row is considered dead: a
+	// partitioned list service does not close its connection. Larger values leave too little of
+	// NotificationDeadline for the next watch; below 4 s one delayed heartbeat would end a live watch.
 	HeartbeatTimeout = 4500 * time.Millisecond
-	// heartbeatTimeoutSpread is by how much some watches time out sooner, so that a fleet whose watches all
-	// fall silent in one moment does not reconnect in one moment. A heartbeat may still be 1.5 s late.
+	// heartbeatTimeoutSpread is the largest random amount by which a watch times out earlier, so that a fleet whose
+	// watches all stop receiving data at the same time does not reconnect at the same time. A heartbeat may still
+	// be 1.5 s late.
 	heartbeatTimeoutSpread = time.Second
-	// NotificationDeadline is the age at which a change in the list counts as known, by the platform's
-	// contract, whether or not it arrived. A watch that hangs from just before the change is detected within
-	// HeartbeatTimeout and the next one starts within MaxReconnectBackoff: 0.7 s remain for its connection
-	// and its first object.
+	// NotificationDeadline is the age at which a change in the list counts as known by the platform's contract,
+	// whether or not the agent has received it. If a watch hangs just before the change, that is detected within
+	// HeartbeatTimeout, and the next watch starts within MaxReconnectBackoff: 0.7 s remain to connect and to
+	// receive the first object.
 	NotificationDeadline = 6 * time.Second
 	// MinReconnectBackoff is the upper bound of the first wait between two watches; the bound doubles with
 	// each failure. A smaller value loads a list service that is failing, a larger one delays recovery.
 	MinReconnectBackoff = 100 * time.Millisecond
-	// MaxReconnectBackoff is the bound at which the doubling ends. See NotificationDeadline for what it has
-	// to leave.
+	// MaxReconnectBackoff is the bound at which the doubling ends. NotificationDeadline explains how much time it
+	// has to leave for the next watch.
 	MaxReconnectBackoff = 800 * time.Millisecond
-	// maxObjectBytes bounds one JSON object, so that a malformed response can't exhaust memory. A list whose
-	// JSON is longer can't be read at all.
+	// maxObjectBytes is the maximum size of one JSON object, so that a malformed response can't exhaust memory. A
+	// list whose JSON is longer can't be read at all.
 	maxObjectBytes = 4 << 20
-	// watchPath is the resource of the list service that delivers updates since a version.
+	// watchPath is the resource of the list service that delivers updates; the version to start from is appended.
 	watchPath = "/catalog/members?follow=1&since="
 )
 
@@ -81,7 +82,7 @@
 func NewClient(connectTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DisableKeepAlives:  true, // a request must not be resent on a connection that was idle
+			DisableKeepAlives:  true, // the transport would resend a request that failed on a reused idle connection
 			DisableCompression: true,
 			DialContext:        (&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext,
 		},
@@ -89,22 +90,22 @@
 	}
 }
 
-// Reasons for which a watch ends. Their texts are part of the admin endpoint's state.
+// Reasons for the end of a watch. The admin endpoint shows their texts.
 var (
 	errHeartbeatTimeout = errors.New("silent")
-	errEnded            = errors.New("ended by the list")
-	errNullObject       = errors.New("null is no object")
+	errEnded            = errors.New("ended by the list service")
+	errNullObject       = errors.New("null instead of a JSON object")
 	errObjectTooLong    = fmt.Errorf("an object of over %d bytes", maxObjectBytes)
 )
 
 // Watch requests the updates since a version from the list service at addr, and passes each to onUpdate until
-// the connection ends. It blocks. received reports whether any update arrived; err is the reason for the end
-// and never nil. If ctx was cancelled with a cause, err is that cause.
+// the connection ends. It blocks. received reports whether any update arrived. err is the reason for the end and
+// is never nil. If ctx was cancelled with a cause, err is that cause.
 //
-// A watch that reads no byte for heartbeatTimeout, less a random part of heartbeatTimeoutSpread, ends. The
-// timer runs from the call, restarts with the response's header, and with each read of the body. (A list
-// service that handles requests one after the other may write the header late, and the first line 2 s after
-// it: both prove that it is alive.) An object may span any number of lines; one that the end of the
+// A watch that reads no byte for heartbeatTimeout, less a random part of heartbeatTimeoutSpread, ends. The timer
+// starts with the call, and restarts with the response's header and with each read of the body. (A list service
+// that handles requests one after the other may write the header late, and the first line 2 s after it: both
+// prove that the service is alive.) An object may span any number of lines. An object that the end of the
 // connection truncates is dropped.
 func Watch(ctx context.Context, client *http.Client, addr string, since int64, heartbeatTimeout time.Duration, onUpdate func(*Members)) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -143,7 +144,7 @@
 	return received, fmt.Errorf("list: %w", err)
 }
 
-// decodeUpdates passes each object of a watch's body to onUpdate until one can't be read. err is never nil.
+// decodeUpdates passes each object of a watch's body to onUpdate until an object can't be read. err is never nil.
 func decodeUpdates(body *watchBody, onUpdate func(*Members)) (received bool, err error) {
 	decoder := json.NewDecoder(body)
 	for {
@@ -165,7 +166,7 @@
 type watchBody struct {
 	body      io.Reader
 	onRead    func()
-	remaining int // bytes that the current object may still have
+	remaining int // number of bytes that may still be read for the current object
 }
 
 // Read fails with errObjectTooLong once the current object has used up its limit.
--- a/internal/source/discovery/hub.go
+++ b/internal/source/discovery/hub.go
@@ -12,46 +12,45 @@
 )
 
 const (
-	// failuresPerLog is how many failed watches in a row share one log line. A smaller value floods the log
-	// while the list service is down; with a larger one the line of an outage is seldom repeated.
+	// failuresPerLog is how many failed watches in a row share one log line. A smaller value floods the log while
+	// the list service is down; with a larger value a long outage is rarely logged again.
 	failuresPerLog = 20
-	// maxBackoffDoublings keeps the shift of the backoff from overflowing; MaxReconnectBackoff applies long
-	// before.
+	// maxBackoffDoublings prevents an overflow of the backoff's shift; MaxReconnectBackoff is reached much earlier.
 	maxBackoffDoublings = 10
 )
 
 // HubOptions configure a Hub.
 type HubOptions struct {
-	Addr             string        // of the list service: IP and port
-	ConnectTimeout   time.Duration // of one watch's connection
+	Addr             string        // IP and port of the list service
+	ConnectTimeout   time.Duration // timeout for the connection of a watch
 	HeartbeatTimeout time.Duration // 0: the package's HeartbeatTimeout
-	// Spread bounds the delay, random for each subscriber, with which it is notified of a server that has
-	// come up, and of the snapshot at its start: otherwise all instances would move to a new server in one
-	// moment. A drained or removed server is notified without delay.
+	// Spread bounds the random delay after which a subscriber is notified of a server that has come up, and of the
+	// snapshot that the subscriber gets at its start: without a delay all instances would move to a new server at the
+	// same time. Each subscriber has its own delay. Draining and removed servers are notified without delay.
 	Spread time.Duration
 	// MaxInitialDelay bounds the random wait before the first watch.
 	MaxInitialDelay time.Duration
-	// OnUrgent is called when an update removed or drained servers; may be nil. It is called with the hub's
-	// lock held, so it must neither block nor call the hub.
+	// OnUrgent is called when an update removed or drained servers. It may be nil. The hub calls it with its lock
+	// held, so it must neither block nor call the hub.
 	OnUrgent func()
 	Log      *slog.Logger
-	Rand     *rand.Rand // nil: seeded at random; the hub's lock guards it
+	Rand     *rand.Rand // guarded by the hub's lock; nil: a randomly seeded source
 }
 
-// Hub follows one endpoint list for many subscribers: each update is read and decoded once, and each
-// subscriber is notified after its own delay. Its methods may be called from any goroutine.
+// Hub follows one endpoint list for many subscribers: it reads and decodes each update once, and notifies each
+// subscriber after the subscriber's own delay. Its methods may be called from any goroutine.
 type Hub struct {
 	options HubOptions
 	client  *http.Client
 
 	mu          sync.Mutex
-	version     int64             // of the last update; the next watch resumes there
+	version     int64             // version of the last update, from which the next watch resumes
 	servers     map[string]Member // the current list, by ID
-	loaded      bool              // a list has been received or restored
+	loaded      bool              // whether a list has been received or restored
 	subscribers map[*subscriber]struct{}
-	watchCount  int           // watches begun
+	watchCount  int           // number of watches started
 	watchError  error         // why the last watch ended; nil: an update has arrived since
-	ready       chan struct{} // closed with the first list
+	ready       chan struct{} // closed when the first list is applied
 }
 
 // subscriber delivers updates to one callback, in order and one at a time. Its lock is taken after the hub's.
@@ -61,12 +60,12 @@
 
 	mu        sync.Mutex
 	queue     []*Members
-	timer     *time.Timer // of the delay; nil: none is running
-	notifying bool        // the delivery goroutine runs
+	timer     *time.Timer // timer of the delay; nil: it is not running
+	notifying bool        // whether the delivery goroutine runs
 	closed    bool
 }
 
-// NewHub returns a hub without a list. Run has to be called to follow one.
+// NewHub returns a hub without a list. Call Run to follow the list.
 func NewHub(options HubOptions) *Hub {
 	if options.HeartbeatTimeout == 0 {
 		options.HeartbeatTimeout = HeartbeatTimeout
@@ -83,8 +82,8 @@
 	}
 }
 
-// Restore sets a list from before the process started, such as a saved snapshot. It is replaced by the first
-// update of the list service, which is requested from version 0 on.
+// Restore sets a list from before the process started, such as a saved snapshot. The first update of the list
+// service, which the hub requests from version 0 on, replaces it.
 func (h *Hub) Restore(m *Members) {
 	full := *m
 	full.Full = true
@@ -92,7 +91,7 @@
 	h.apply(&full, 0)
 }
 
-// Apply merges an update that does not come from the hub's own watch: a snapshot, or a delta.
+// Apply merges a snapshot or a delta into the list. The hub's watch calls it, and so may other code.
 func (h *Hub) Apply(m *Members) { h.apply(m, m.Version) }
 
 // Run keeps a watch open until ctx ends. Failed watches are retried with full jitter.
@@ -114,7 +113,7 @@
 		}
 		failures++
 		if failures == 1 || failures%failuresPerLog == 0 {
-			h.options.Log.Warn("list not followed", "list", h.options.Addr, "error", err, "failures", failures)
+			h.options.Log.Warn("list not followed; retrying", "list", h.options.Addr, "error", err, "failures", failures)
 		}
 		h.mu.Lock()
 		h.watchError = err
@@ -162,7 +161,7 @@
 			h.servers[server.ID] = server
 		}
 	}
-	immediate := h.loaded && isUrgent(m) // the first list of all can't remove a server
+	immediate := h.loaded && isUrgent(m) // the very first list can't remove a server
 	if !h.loaded {
 		h.loaded = true
 		close(h.ready)
@@ -175,12 +174,12 @@
 	}
 }
 
-// isUrgent reports whether an update drains or removes servers. A snapshot may, by what it lacks.
+// isUrgent reports whether an update may drain or remove servers. A snapshot removes the servers that it lacks.
 func isUrgent(m *Members) bool {
 	return m.Full || slices.ContainsFunc(m.Servers, func(server Member) bool { return server.State != stateReady })
 }
 
-// Snapshot returns the current list, sorted by ID; nil before there is one.
+// Snapshot returns the current list, sorted by ID; nil before the first list.
 func (h *Hub) Snapshot() *Members {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -199,16 +198,16 @@
 	return m
 }
 
-// Ready is closed once the hub has a list.
+// Ready returns a channel that is closed once the hub has a list.
 func (h *Hub) Ready() <-chan struct{} { return h.ready }
 
-// HubState is a hub's part of the admin endpoint's state.
+// HubState is the state of a hub for the admin endpoint.
 type HubState struct {
 	Addr    string `json:"list"`
 	Version int64  `json:"version"`
 	Servers int    `json:"servers"`
 	Readers int    `json:"readers"`         // subscribers
-	Reads   int    `json:"reads"`           // watches begun
+	Reads   int    `json:"reads"`           // watches started
 	Error   string `json:"error,omitempty"` // why the last watch ended; empty: an update has arrived since
 }
 
@@ -229,9 +228,9 @@
 	return state
 }
 
-// Subscribe passes the current list and then every update to notify, in order and never two at a time, from a
-// goroutine of the subscriber's own: notify may block without delaying others. After unsubscribe has returned,
-// no further call begins, though one may still be running.
+// Subscribe passes the current list and then every update to notify, in order and never two at a time. Each
+// subscriber has its own goroutine, so that notify may block without delaying others. After unsubscribe has
+// returned, no further call of notify begins, but one may still be running.
 func (h *Hub) Subscribe(notify func(*Members)) (unsubscribe func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -251,7 +250,7 @@
 	}
 }
 
-// close drops what is queued and stops the delay.
+// close drops the queued updates and stops the delay.
 func (s *subscriber) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,8 +261,8 @@
 	}
 }
 
-// enqueue queues an update for delivery after the subscriber's delay; an immediate one is delivered now,
-// after all that is queued before it.
+// enqueue queues an update for delivery after the subscriber's delay. An immediate update is delivered now, after
+// all updates that are queued before it.
 func (s *subscriber) enqueue(update *Members, immediate bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +287,7 @@
 	}
 }
 
-// startDelivery starts the delivery goroutine unless it runs or nothing is queued. The lock is held.
+// startDelivery starts the delivery goroutine unless it is running or no update is queued. The caller holds s.mu.
 func (s *subscriber) startDelivery() {
 	if s.notifying || len(s.queue) == 0 {
 		return
@@ -297,7 +296,7 @@
 	go s.deliver()
 }
 
-// deliver passes updates to the callback until none is queued.
+// deliver passes updates to the callback until the queue is empty.
 func (s *subscriber) deliver() {
 	for {
 		update := s.dequeue()
--- a/internal/source/discovery/hub_test.go
+++ b/internal/source/discovery/hub_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// recorder collects the updates that one subscriber is notified of, with their times.
+// recorder records the updates that a subscriber receives, and their times.
 type recorder struct {
 	mu      sync.Mutex
 	updates []string
@@ -51,8 +51,8 @@
 	return m
 }
 
-// A server that comes up is notified after each subscriber's own delay; a drained or removed one to all at
-// once, after all updates queued before it.
+// Subscribers are notified of a server that comes up after their own delay, and of a draining or removed server at
+// once, after all updates queued before.
 func TestSubscribersAreNotifiedAtTheirOwnTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Addr: "127.0.0.1:1", Spread: 300 * time.Millisecond, Log: quiet})
@@ -75,7 +75,7 @@
 			}
 		}
 		if late < 20 || late > 45 {
-			t.Errorf("%d of 50 notified after a third of the spread", late)
+			t.Errorf("%d of 50 subscribers notified after more than a third of the spread", late)
 		}
 		h.apply(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
 		time.Sleep(10 * time.Millisecond)
@@ -86,7 +86,7 @@
 				t.Fatalf("%q", got)
 			}
 		}
-		// A snapshot that lacks a server removes it, which is notified at once too.
+		// A snapshot that lacks a server removes it, so subscribers are notified at once too.
 		h.apply(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
 		synctest.Wait()
 		if got := subscribers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
@@ -111,7 +111,7 @@
 }
 
 // A subscriber that blocks neither delays the others nor misses an update.
-func TestSlowSubscriberDelaysNobodyAndMissesNothing(t *testing.T) {
+func TestSlowSubscriberNeitherDelaysOthersNorMissesUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Log: quiet})
 		slow, quick := &recorder{}, &recorder{}
@@ -123,7 +123,7 @@
 		}
 		synctest.Wait()
 		if n := len(quick.list()); n != 100 {
-			t.Errorf("%d of 100", n)
+			t.Errorf("the quick subscriber received %d of 100 updates", n)
 		}
 		close(block)
 		synctest.Wait()
@@ -133,7 +133,7 @@
 	})
 }
 
-// One watch serves all subscribers; the next one resumes from the last version received.
+// One watch serves all subscribers, and the next watch resumes from the last version received.
 func TestHubResumesFromItsVersion(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	since := make(chan string, 10)
@@ -161,7 +161,7 @@
 		r.record(m)
 		received <- r.updates[0]
 	})()
-	running.Go(func() { h.Run(ctx) }) // once subscribed: else it may miss the restored list
+	running.Go(func() { h.Run(ctx) }) // after Subscribe, so that the subscriber does not miss the restored list
 	want := []string{"full old:ready", "full a:ready", "b:ready"}
 	for _, w := range want {
 		select {
@@ -170,11 +170,11 @@
 				t.Errorf("%q, want %q", got, w)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("%q never came", w)
+			t.Fatalf("update %q not received", w)
 		}
 	}
 	if a, b := <-since, <-since; a != "0" || b != "7" {
-		t.Errorf("requested since %s, then %s: a restored list's version is not the service's", a, b)
+		t.Errorf("requested since %s, then %s, want 0, then 7: a restored list's version does not count", a, b)
 	}
 	if m := h.Snapshot(); len(m.Servers) != 2 || m.Version != 8 {
 		t.Errorf("%+v", m)
--- a/internal/source/discovery/watch_test.go
+++ b/internal/source/discovery/watch_test.go
@@ -17,13 +17,13 @@
 
 const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 
-// indented is a list as a service may write it: on many lines, with empty ones in between.
+// indented returns an update on many lines with an empty line in between, as a list service may write it.
 func indented(version int, id, state string) string {
 	return fmt.Sprintf("{\r\n  \"version\": %d,\n\n  \"full\": false,\n  \"servers\": [\n    {\n      \"id\": %q,\n      \"state\": %q\n    }\n  ]\n}\n",
 		version, id, state)
 }
 
-// listener is a list service that hands over each connection once its request has come.
+// listener starts a list service that passes on each connection once it has read the request.
 func listener(t *testing.T) (addr string, conns chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	return ln.Addr().String(), conns
 }
 
-// startWatch watches addr until the test ends, and returns the channels of its updates and of its end.
+// startWatch watches addr until the test ends, and returns a channel for the updates and one for the final error.
 func startWatch(t *testing.T, addr string, heartbeatTimeout time.Duration) (received chan *Members, end chan error) {
 	t.Helper()
 	received, end = make(chan *Members, 100), make(chan error, 1)
@@ -77,8 +77,8 @@
 	}
 }
 
-// Each object is applied as soon as its last byte has arrived, however it is laid out. One that the end of the
-// watch or a reset truncates is dropped; empty lines are skipped.
+// Each object is applied as soon as its last byte has arrived, however it is divided into lines. An object that is
+// truncated by the end of the watch or by a reset is dropped. Empty lines are skipped.
 func TestCompleteObjectsAreAppliedAndTruncatedOnesIgnored(t *testing.T) {
 	for name, end := range map[string]func(c net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
@@ -97,13 +97,13 @@
 				write(t, c, string(b))
 			}
 			if len(received) != 0 {
-				t.Error("received before its last byte was written")
+				t.Error("an object was received before its last byte was written")
 			}
-			write(t, c, "}") // no line end comes
+			write(t, c, "}") // without a line end
 			if m := receive(t, "object", received); m.Version != 2 {
 				t.Errorf("%+v", m)
 			}
-			write(t, c, `{"version":3,"full":true,"servers":[]}{"version":4,"servers":[]}`) // two on a line
+			write(t, c, `{"version":3,"full":true,"servers":[]}{"version":4,"servers":[]}`) // two objects on a line
 			if a, b := receive(t, "object", received), receive(t, "object", received); a.Version != 3 || !a.Full || b.Version != 4 || b.Full {
 				t.Errorf("%+v %+v", a, b)
 			}
@@ -117,7 +117,7 @@
 	}
 }
 
-// A response that is no list of JSON objects ends the watch.
+// A response that is not a sequence of JSON objects ends the watch.
 func TestMalformedListEndsTheWatch(t *testing.T) {
 	for name, text := range map[string]string{
 		"null": "null\n", "array": "[]\n", "number": "7\n", "garbage": "}{", "endless": "{\"id\":\"" + strings.Repeat("x", maxObjectBytes+1),
@@ -134,7 +134,7 @@
 	}
 }
 
-// pipeClient is a client whose connections are pipes, for tests in virtual time.
+// pipeClient returns a client whose connections are pipes, for tests in virtual time.
 func pipeClient(served chan<- net.Conn) *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(context.Context, string, string) (net.Conn, error) {
@@ -144,8 +144,9 @@
 		}}}
 }
 
-// A watch without data ends within HeartbeatTimeout and no sooner than the spread allows: before the response's
-// header, within it, right after it, and within an object. Each byte restarts the timer.
+// A watch that receives no data ends within HeartbeatTimeout, and not earlier than the spread allows, in each phase:
+// before the response's header, within it, after it, between objects and within an object. Each byte restarts the
+// timer.
 func TestHeartbeatTimeoutEndsAWatchInEachPhase(t *testing.T) {
 	object := indented(1, "a", "ready")
 	for name, text := range map[string]string{
@@ -171,7 +172,7 @@
 					}
 					_, _ = io.WriteString(c, head)
 					last.Store(time.Now().UnixNano())
-					for _, b := range []byte(body) { // a byte now and then: far longer than HeartbeatTimeout in all
+					for _, b := range []byte(body) { // much longer than HeartbeatTimeout in total
 						time.Sleep(HeartbeatTimeout - heartbeatTimeoutSpread - time.Millisecond)
 						_, _ = c.Write([]byte{b})
 						last.Store(time.Now().UnixNano())
@@ -180,7 +181,7 @@
 				}()
 				_, err := Watch(t.Context(), pipeClient(served), "list", 0, HeartbeatTimeout, func(*Members) {})
 				if took := time.Since(time.Unix(0, last.Load())); err == nil || err.Error() != "silent" || took > HeartbeatTimeout || took < HeartbeatTimeout-heartbeatTimeoutSpread {
-					t.Errorf("%v, %v after the last byte", err, took)
+					t.Errorf("the watch ended with %v, %v after the last byte", err, took)
 				}
 				synctest.Wait()
 			})
@@ -188,7 +189,7 @@
 	}
 }
 
-// Watches that stop receiving data together do not time out together.
+// Watches that stop receiving data at the same time do not time out at the same time.
 func TestHeartbeatTimeoutsAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ends []time.Duration
@@ -203,7 +204,7 @@
 			ends = append(ends, <-done)
 		}
 		if slices.Sort(ends); ends[0] < HeartbeatTimeout-heartbeatTimeoutSpread || ends[49] > HeartbeatTimeout || ends[40]-ends[10] < heartbeatTimeoutSpread/4 {
-			t.Errorf("%v to %v", ends[0], ends[49])
+			t.Errorf("the watches ended after %v to %v", ends[0], ends[49])
 		}
 	})
 }
--- a/internal/source/dnssource/dnssource.go
+++ b/internal/source/dnssource/dnssource.go
@@ -1,9 +1,10 @@
-// Package dnssource reads servers from DNS and reports them to package endpoints, which decides what they are
-// worth. Source reads SRV records (RFC 2782) and services announced by DNS-SD (RFC 6763) from unicast resolvers;
+// Package dnssource reads servers from DNS and reports them to package endpoints, which decides how far to trust
+// them. Source reads SRV records (RFC 2782) and services announced by DNS-SD (RFC 6763) from unicast resolvers;
 // Multicast follows DNS-SD over multicast DNS (RFC 6762).
 //
-// Each owns its state and runs in one goroutine, in which it also calls the report function. internal/host/daemon
-// starts one for each set of names. An incomplete reading is a failure, never a shorter list.
+// A Source or Multicast owns its state and runs in one goroutine, in which it also calls the report function.
+// internal/host/daemon starts one for each set of names. An incomplete reading is reported as a failure, never as a
+// shorter list.
 package dnssource
 
 import (
@@ -21,47 +22,49 @@
 
 // Options configure a Source.
 type Options struct {
-	Name      string         // of the source, in reports and logs
+	Name      string         // name of the source in reports and logs
 	SRV       []string       // names of SRV records, such as _form._tcp.example.org
 	Browse    []string       // service types whose instances are read, such as _form._tcp.example.org
 	Resolvers []string       // IP and port; each is tried until one responds
 	Floor     time.Duration  // minimum interval between readings, whatever the TTL; 0: defaultFloor
 	Ceiling   time.Duration  // maximum interval between readings, whatever the TTL; 0: defaultCeiling
-	Timeout   time.Duration  // of one query; 0: defaultTimeout
+	Timeout   time.Duration  // timeout of one query; 0: defaultTimeout
 	Log       *slog.Logger   // nil: nothing is logged
 	Rand      func() float64 // in [0, 1); nil: rand.Float64
-	// Exchange sends a query to one resolver over "udp" or "tcp"; nil: with the DNS client.
+	// Exchange sends a query to one resolver over "udp" or "tcp"; nil: the DNS client is used.
 	Exchange func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error)
 }
 
 const (
-	// defaultFloor bounds the load on the resolver by records with a tiny TTL. A larger value delays changes.
+	// defaultFloor limits the load that records with a very short TTL cause on the resolver. A larger value delays
+	// changes.
 	defaultFloor = 5 * time.Second
-	// defaultCeiling bounds the age of what was read from records with a long TTL. A larger value saves queries
-	// and delays changes.
+	// defaultCeiling bounds the age of servers that were read from records with a long TTL. A larger value saves
+	// queries and delays changes.
 	defaultCeiling = 5 * time.Minute
-	// defaultTimeout is of one query to one resolver. A smaller value fails on slow resolvers, a larger one
-	// delays the query to the next.
+	// defaultTimeout is the timeout of one query to one resolver. With a smaller value queries to slow resolvers
+	// fail, a larger value delays the query to the next resolver.
 	defaultTimeout = time.Second
-	// minBackoff is the ceiling of the wait after the first failed reading; it doubles with each.
+	// minBackoff is the ceiling of the wait after the first failed reading; it doubles with each further failure.
 	minBackoff = time.Second
-	// maxBackoff is where the doubling ends: so late at most is a recovery of the resolvers noticed.
+	// maxBackoff is the ceiling at which the doubling ends, and the longest delay until a recovery of the resolvers is
+	// noticed.
 	maxBackoff = 30 * time.Second
-	// maxBackoffDoublings keeps the shift from overflowing; maxBackoff applies before it.
+	// maxBackoffDoublings prevents an overflow of the shift; maxBackoff is reached earlier.
 	maxBackoffDoublings = 10
 	// failuresPerLog is how many failures in a row share one log line.
 	failuresPerLog = 20
-	// ttlJitter is the part of the TTL of which a random share is not waited for, so that agents that read
-	// together do not stay together. A larger part costs more queries.
+	// ttlJitter is the divisor of the TTL that gives the maximum jitter: up to 1/ttlJitter of the TTL is subtracted
+	// from the wait, so that agents that read at the same time spread out. A larger jitter costs more queries.
 	ttlJitter = 10
-	// maxLogged bounds the problems that are remembered as logged. Further ones are not logged.
+	// maxLogged bounds the number of problems that are stored as logged. Further problems are not logged.
 	maxLogged = 1000
 )
 
-// Source reads one set of names. It belongs to one goroutine.
+// Source reads one set of names. It must be used by one goroutine only.
 type Source struct {
 	options  Options
-	logged   map[string]bool // problems of records that have been logged, each once
+	logged   map[string]bool // problems of records that have been logged, so that each is logged once
 	failures int             // failed readings in a row
 }
 
@@ -86,9 +89,9 @@
 	return &Source{options: o, logged: map[string]bool{}}
 }
 
-// Run reads until ctx ends, and reports each snapshot and each failure. The wait between two readings is the
-// lowest TTL of what was read, within the options' bounds and with jitter; after a failure it is an exponential
-// backoff with jitter.
+// Run reads the names until ctx ends, and reports each snapshot and each failure. The wait between two readings is
+// the lowest TTL of the records, within the options' bounds and with jitter. After a failure the wait is an
+// exponential backoff with jitter.
 func (s *Source) Run(ctx context.Context, report func(endpoints.Report)) {
 	for ctx.Err() == nil {
 		servers, ttl, err := s.Read(ctx)
@@ -102,7 +105,7 @@
 			wait = s.backoff()
 		} else {
 			if s.failures > 0 {
-				s.options.Log.Info("names read again", "source", s.options.Name, "failures", s.failures)
+				s.options.Log.Info("DNS names read again", "source", s.options.Name, "failures", s.failures)
 			}
 			s.failures = 0
 			report(endpoints.Snapshot{Source: s.options.Name, Servers: servers})
@@ -119,11 +122,13 @@
 func (s *Source) logFailure(err error) {
 	s.failures++
 	if s.failures == 1 || s.failures%failuresPerLog == 0 {
-		s.options.Log.Warn("names not read", "source", s.options.Name, "error", err, "failures", s.failures)
+		s.options.Log.Warn("DNS names not read; retrying",
+			"source", s.options.Name, "error", err, "failures", s.failures)
 	}
 }
 
-// backoff draws the wait after a failure: between half of a doubling ceiling and all of it.
+// backoff draws the wait after a failure: between half of the ceiling and the whole ceiling, which doubles with each
+// failure.
 func (s *Source) backoff() time.Duration {
 	ceiling := min(minBackoff<<min(s.failures-1, maxBackoffDoublings), maxBackoff)
 	return ceiling/2 + time.Duration(s.options.Rand()*float64(ceiling)/2)
@@ -135,10 +140,10 @@
 	return max(s.options.Floor, ttl-time.Duration(s.options.Rand()*float64(ttl)/ttlJitter))
 }
 
-// reading collects the servers of one reading. The first of several with the same ID counts.
+// reading collects the servers of one reading. Of several servers with the same ID it keeps the first.
 type reading struct {
 	servers []endpoints.Server
-	ttl     time.Duration // the lowest so far
+	ttl     time.Duration // the lowest TTL so far
 	seen    map[string]bool
 }
 
@@ -152,8 +157,8 @@
 	r.ttl = min(r.ttl, ttl)
 }
 
-// Read reads all names once. ttl is the lowest of all records, at most Options.Ceiling. If any part can't be
-// read, Read fails: the rest would look like a smaller fleet.
+// Read reads all names once. ttl is the lowest TTL of all records, at most Options.Ceiling. If any name can't be
+// read, Read fails, because the remaining servers would look like a smaller fleet.
 func (s *Source) Read(ctx context.Context) (servers []endpoints.Server, ttl time.Duration, err error) {
 	r := &reading{ttl: s.options.Ceiling, seen: map[string]bool{}}
 	for _, name := range s.options.SRV {
--- a/internal/source/dnssource/dnssource_test.go
+++ b/internal/source/dnssource/dnssource_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Every kind of invalid response is a failure, never a shorter list; a response that there is no record is valid.
+// Every kind of invalid response is a failure, never a shorter list. A response that no record exists is valid.
 func TestInvalidResponsesNeverShrinkTheList(t *testing.T) {
 	for name, row := range map[string]struct {
 		fault func(name, kind, network string) standin.Fault
@@ -93,7 +93,7 @@
 			}
 		})
 	}
-	// A lost or malformed response: the next resolver is queried.
+	// After a lost or malformed response the next resolver is queried.
 	good := server(t)
 	for name, f := range map[string]standin.Fault{"drop": {Drop: true}, "garbage": {Garbage: true}, "wrong id": {WrongID: true}, "SERVFAIL": {Rcode: dns.RcodeServerFailure}} {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 			dnsSource.options.Timeout = 50 * time.Millisecond
 			exchange := dnsSource.options.Exchange
 			dnsSource.options.Exchange = func(ctx context.Context, q *dns.Msg, network, resolver string) (*dns.Msg, error) {
-				if resolver == good.Addr() { // which a slow machine must not make fail
+				if resolver == good.Addr() { // a long timeout, so that it does not fail on a slow machine
 					ctx = context.Background()
 					c := dns.Client{Net: network, Timeout: 20 * time.Second}
 					r, _, err := c.ExchangeContext(ctx, q, resolver)
@@ -130,7 +130,7 @@
 	set(t, s, "real.example.org", "SRV")
 	set(t, s, "real.example.org", "CNAME", "real.example.org. 60 IN CNAME "+service+".")
 	if _, _, err := source(s).Read(t.Context()); !errors.Is(err, errAliasLoop) {
-		t.Errorf("a loop: %v", err)
+		t.Errorf("reading a CNAME loop: %v", err)
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-// A browsed service is described by the keys of its TXT record; each invalid key is logged once.
+// The keys of an instance's TXT record set the attributes of its server. Each invalid key is logged once.
 func TestBrowsedInstancesAreDescribedByTXTKeys(t *testing.T) {
 	s := server(t)
 	inst := `kathmandu\ one._form._tcp.example.org.`
@@ -164,13 +164,13 @@
 			t.Errorf("%+v, %v, %v", all, ttl, err)
 		}
 	}
-	if n := strings.Count(log.String(), "makes no sense"); n != 1 {
+	if n := strings.Count(log.String(), "invalid TXT key ignored"); n != 1 {
 		t.Errorf("%d lines: %s", n, log.String())
 	}
 }
 
-// In virtual time: records are read again as their TTL ends, within the bounds, and after failures with a growing
-// backoff.
+// Records are read again when their TTL ends, within the bounds of the options, and after failures with a growing
+// backoff. The test runs in virtual time.
 func TestReadsFollowTTLsWithinBoundsAndBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -225,9 +225,9 @@
 		}
 		mu.Unlock()
 		ttl.Store(0)
-		time.Sleep(185 * time.Second) // the last TTL read ends in 85 s
+		time.Sleep(185 * time.Second) // the TTL of the last reading ends in 85 s
 		synctest.Wait()
-		if n := count() - 3; n < 18 || n > 22 { // at the floor
+		if n := count() - 3; n < 18 || n > 22 { // the interval is defaultFloor
 			t.Errorf("TTL 0: read %d times in the 100 s after", n)
 		}
 		broken.Store(true)
@@ -235,7 +235,7 @@
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		if n := count() - before; n < 20 || n > 40 || failures.Load() < 20 {
-			t.Errorf("all fails: read %d times in 10 minutes, %d failures", n, failures.Load())
+			t.Errorf("all queries fail: read %d times in 10 minutes, %d failures", n, failures.Load())
 		}
 		cancel()
 		<-done
--- a/internal/source/dnssource/mdns.go
+++ b/internal/source/dnssource/mdns.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// maxPacketBytes bounds a query, so that it fits in an Ethernet frame. Known answers beyond it go in further
-	// packets (RFC 6762, section 7.2).
+	// maxPacketBytes is the maximum size of a query, so that it fits in an Ethernet frame. Known answers that do not
+	// fit are sent in further packets (RFC 6762, section 7.2).
 	maxPacketBytes = 1400
-	// maxReceivedBytes is the largest message of multicast DNS (RFC 6762, section 17).
+	// maxReceivedBytes is the maximum size of a multicast DNS message (RFC 6762, section 17).
 	maxReceivedBytes = 9000
-	// maxInitialQueryDelay bounds the random wait before the first query, so that hosts that start together do not
-	// query together (RFC 6762, section 5.2, asks for 20 to 120 ms).
+	// maxInitialQueryDelay bounds the random wait before the first query, so that hosts that start at the same time do
+	// not query at the same time (RFC 6762, section 5.2, asks for 20 to 120 ms).
 	maxInitialQueryDelay = 100 * time.Millisecond
-	// minQueryInterval is the interval between the first two queries, and between two for the same missing record
-	// (RFC 6762, section 5.2).
+	// minQueryInterval is the interval between the first two queries, and the minimum interval between two queries for
+	// the same missing record (RFC 6762, section 5.2).
 	minQueryInterval = time.Second
-	// queryIntervalFactor is by how much the interval grows with each query. RFC 6762, section 5.2, asks for two
-	// at least.
+	// queryIntervalFactor is the factor by which the interval grows with each query. RFC 6762, section 5.2, requires
+	// at least two.
 	queryIntervalFactor = 3
-	// maxQueryInterval is where the growth ends (RFC 6762, section 5.2: 60 minutes).
+	// maxQueryInterval is the interval at which the growth ends (RFC 6762, section 5.2: 60 minutes).
 	maxQueryInterval = time.Hour
-	// maxQueuedPackets is how many received packets may wait. Further ones are dropped; responders repeat them.
+	// maxQueuedPackets is how many received packets may be queued. Further packets are dropped; responders repeat them.
 	maxQueuedPackets = 64
 )
 
-// Multicast follows services that are announced by DNS-SD over multicast DNS (RFC 6762, RFC 6763). If its group is
-// not a multicast address but that of one responder, only that one is queried. It belongs to one goroutine.
+// Multicast follows services that are announced by DNS-SD over multicast DNS (RFC 6762, RFC 6763). If its group is not
+// a multicast address but the address of a responder, it queries only this responder. It must be used by one goroutine
+// only.
 type Multicast struct {
-	source       *Source // options, and what TXT records mean
+	source       *Source // for its options and its interpretation of TXT records
 	service      string
 	group        string // IP and port
 	cache        cache
-	lastSnapshot []endpoints.Server             // as reported; nil: none yet
-	failed       bool                           // a failure was reported after lastSnapshot
-	lastQueried  map[dns.Question]time.Duration // when a record that an instance lacks was last queried
+	lastSnapshot []endpoints.Server             // the last reported snapshot; nil: none yet
+	failed       bool                           // whether a failure was reported after lastSnapshot
+	lastQueried  map[dns.Question]time.Duration // when each record that an instance lacks was last queried
 }
 
 // NewMulticast returns a Multicast of one service type, such as _form._tcp.local, at a group such as
@@ -50,12 +51,12 @@
 	return &Multicast{source: New(o), service: dns.CanonicalName(service), group: group}
 }
 
-// Run queries and listens until ctx ends, and reports each change. If there is no socket, or it fails, it reports
+// Run queries and listens until ctx ends, and reports each change. If the socket can't be opened or fails, Run reports
 // a failure and retries after maxBackoff.
 func (m *Multicast) Run(ctx context.Context, report func(endpoints.Report)) {
 	for ctx.Err() == nil {
 		if err := m.listen(ctx, report); err != nil && ctx.Err() == nil {
-			m.source.options.Log.Warn("multicast DNS", "source", m.source.options.Name, "error", err)
+			m.source.options.Log.Warn("multicast DNS failed; retrying", "source", m.source.options.Name, "error", err)
 			report(endpoints.Failed{Source: m.source.options.Name})
 			select {
 			case <-time.After(maxBackoff):
@@ -65,8 +66,8 @@
 	}
 }
 
-// encodeQuery returns the packets of a query with its known answers. All but the last have the TC bit: more known
-// answers follow (RFC 6762, section 7.2).
+// encodeQuery returns the packets of a query with its known answers. All packets but the last have the TC bit, which
+// means that more known answers follow (RFC 6762, section 7.2).
 func (m *Multicast) encodeQuery(q dns.Question, now time.Duration) (packets [][]byte) {
 	known := m.cache.knownAnswers(q, now)
 	for first := true; first || len(known) > 0; first = false {
@@ -92,13 +93,13 @@
 	return packets
 }
 
-// instanceServer is a server of a completely known instance.
+// instanceServer is a server of an instance whose SRV and address records are known.
 type instanceServer struct {
 	instance string
 	endpoints.Server
 }
 
-// servers returns the servers of all completely known instances, sorted by ID.
+// servers returns the servers of all instances whose SRV and address records are known, sorted by ID.
 func (m *Multicast) servers() (all []instanceServer) {
 	for _, rr := range m.cache.find(m.service, dns.TypePTR) {
 		instance := dns.CanonicalName(rr.(*dns.PTR).Ptr)
@@ -121,7 +122,7 @@
 	return all
 }
 
-// withdrawnInstances returns the instances of which one of these goodbyes is the PTR or SRV record.
+// withdrawnInstances returns the instances whose PTR or SRV record is among these goodbyes.
 func (m *Multicast) withdrawnInstances(goodbyes []dns.RR) map[string]bool {
 	withdrawn := map[string]bool{}
 	for _, rr := range goodbyes {
@@ -137,7 +138,7 @@
 	return withdrawn
 }
 
-// removedServers returns the servers that goodbyes withdrew, as removed.
+// removedServers returns the servers that goodbyes withdrew, with the state Removed.
 func (m *Multicast) removedServers(goodbyes []dns.RR) (removed []endpoints.Server) {
 	if len(goodbyes) == 0 {
 		return nil
--- a/internal/source/dnssource/mdns_test.go
+++ b/internal/source/dnssource/mdns_test.go
@@ -31,7 +31,8 @@
 	return m
 }
 
-// Expiry, refreshes at 80 to 95% of the TTL, goodbyes, cache flush and known answers, by the figures of RFC 6762.
+// Expiry, refreshes at 80 to 95% of the TTL, goodbyes, cache flush and known answers follow the times that RFC 6762
+// specifies.
 func TestCacheFollowsTheTimesOfRFC6762(t *testing.T) {
 	var c cache
 	ptr := "_form._tcp.local. 100 IN PTR one._form._tcp.local."
@@ -57,20 +58,20 @@
 		t.Error("known answers are those with more than half of their TTL left")
 	}
 	if c.expire(99*time.Second) || !c.expire(100*time.Second) {
-		t.Error("it does not expire with its TTL")
+		t.Error("the record does not expire with its TTL")
 	}
 	c.add(200*time.Second, message(rr(t, ptr)))
 	c.add(250*time.Second, message(rr(t, ptr))) // received again
 	if c.expire(320 * time.Second) {
-		t.Error("it expires though it was received again")
+		t.Error("the record expires although it was received again")
 	}
-	if byes := c.add(321*time.Second, message(rr(t, "_form._tcp.local. 0 IN PTR one._form._tcp.local."))); len(byes) != 1 {
-		t.Errorf("goodbyes %v", byes)
+	if got := c.add(321*time.Second, message(rr(t, "_form._tcp.local. 0 IN PTR one._form._tcp.local."))); len(got) != 1 {
+		t.Errorf("goodbyes %v", got)
 	}
 	if c.expire(321*time.Second+999*time.Millisecond) || !c.expire(322*time.Second) {
-		t.Error("a withdrawn record is kept for one second")
+		t.Error("a withdrawn record is not kept for one second")
 	}
-	// Cache flush: records older than a second expire, those of the same message stay.
+	// A cache flush lets records older than a second expire, and keeps those of the same message.
 	var f cache
 	f.add(0, message(rr(t, "one.local. 100 IN A 10.0.0.1")))
 	flush := rr(t, "one.local. 100 IN A 10.0.0.2")
@@ -84,7 +85,7 @@
 	}
 }
 
-// Known answers that do not fit in one packet go in several, all but the last of which have the TC bit.
+// Known answers that do not fit in one packet are sent in several packets, all but the last of which have the TC bit.
 func TestKnownAnswersAreSplitIntoPackets(t *testing.T) {
 	m := NewMulticast(Options{Name: "m"}, local, "127.0.0.1:1")
 	var all []dns.RR
@@ -106,8 +107,8 @@
 	}
 }
 
-// Over sockets: announced servers are found, a goodbye is reported at once, noise is ignored, and an instance that
-// is announced again is found again.
+// Announced servers are found, a goodbye is reported at once, packets that are not DNS messages are ignored, and an
+// instance that is announced again is found again. The test uses sockets.
 func TestMulticastReportsAnnouncementsAndGoodbyes(t *testing.T) {
 	r, err := standin.NewResponder()
 	if err != nil {
@@ -170,7 +171,7 @@
 			return true
 		}
 	}
-	until("both", func(v endpoints.Report) bool {
+	until("snapshot with both servers", func(v endpoints.Report) bool {
 		w, ok := v.(endpoints.Snapshot)
 		return ok && len(w.Servers) == 2 && w.Servers[1].Pod == 2 && w.Servers[1].Addr == "10.0.0.2:8002"
 	})
@@ -180,11 +181,11 @@
 		w, ok := v.(endpoints.Delta)
 		return ok && len(w.Servers) == 1 && w.Servers[0].ID == "h1.local:8001" && w.Servers[0].State == endpoints.Removed
 	})
-	until("view without it", snapshotOf("h2.local:8002"))
+	until("snapshot without the withdrawn server", snapshotOf("h2.local:8002"))
 	announce(true, instance(1, 600)...)
-	until("view with it", snapshotOf("h1.local:8001", "h2.local:8002"))
+	until("snapshot with the server announced again", snapshotOf("h1.local:8001", "h2.local:8002"))
 	announce(true, "h2.local. 600 IN A 10.0.0.22")
-	until("its new address", func(v endpoints.Report) bool {
+	until("snapshot with the new address", func(v endpoints.Report) bool {
 		w, ok := v.(endpoints.Snapshot)
 		return ok && len(w.Servers) >= 2 && w.Servers[len(w.Servers)-1].Addr == "10.0.0.22:8002"
 	})
@@ -193,24 +194,24 @@
 	}
 }
 
-// If no responder is received any more, that is a failure and not a shorter list.
+// If all records expire without a goodbye, this is a failure and not a shorter list.
 func TestSilenceOfAllRespondersIsAFailure(t *testing.T) {
 	var c cache
 	c.add(0, message(rr(t, "a.local. 10 IN A 10.0.0.1"), rr(t, "b.local. 10 IN A 10.0.0.2")))
 	if !c.allExpiredSilently(10 * time.Second) {
-		t.Error("all expire at once, and none was received again or withdrawn")
+		t.Error("false although all records have expired and none was received again or withdrawn")
 	}
 	c.add(5*time.Second, message(rr(t, "b.local. 10 IN A 10.0.0.2")))
 	if c.allExpiredSilently(10 * time.Second) {
-		t.Error("one was received again")
+		t.Error("true although a record was received again")
 	}
 	c.add(11*time.Second, message(rr(t, "b.local. 0 IN A 10.0.0.2")))
 	if c.allExpiredSilently(20 * time.Second) {
-		t.Error("one was withdrawn")
+		t.Error("true although a record was withdrawn")
 	}
 }
 
-// Packets with any content: nothing panics.
+// Packets with arbitrary content cause no panic.
 func FuzzMulticast(f *testing.F) {
 	good, err := message(rr(f, "_form._tcp.local. 10 IN PTR i._form._tcp.local."), rr(f, "i._form._tcp.local. 10 IN SRV 0 0 80 h.local."),
 		rr(f, `i._form._tcp.local. 10 IN TXT "pod=1" "weight=x"`), rr(f, "h.local. 0 IN A 10.0.0.1")).Pack()
--- a/internal/source/dnssource/mdnscache.go
+++ b/internal/source/dnssource/mdnscache.go
@@ -11,35 +11,35 @@
 const (
 	// goodbyeTime is for how long a record is kept after its goodbye (RFC 6762, section 10.1).
 	goodbyeTime = time.Second
-	// flushTime is for how long records are kept that a cache flush replaces, and how recent a record of the same
-	// name must be not to be replaced (RFC 6762, section 10.2).
+	// flushTime is for how long records that a cache flush replaces are kept. Records of the same name that are not
+	// older than flushTime are not replaced (RFC 6762, section 10.2).
 	flushTime = time.Second
-	// topClassBit of a record's class means cache flush in a response (RFC 6762, section 10.2), and in a question
-	// that a unicast response is wanted (section 5.4).
+	// topClassBit in the class of a record in a response means cache flush (RFC 6762, section 10.2). In a question it
+	// requests a unicast response (section 5.4).
 	topClassBit = 1 << 15
 )
 
-// refreshPercents are the parts of its TTL, in percent, after which a record is queried again (RFC 6762, section
+// refreshPercents are the percentages of a record's TTL after which the record is queried again (RFC 6762, section
 // 5.2).
 var refreshPercents = []int64{80, 85, 90, 95}
 
-// cache is a cache of multicast DNS records (RFC 6762). It is a state machine without I/O and clock: messages and
-// times go in, records and questions come out. The zero value is empty.
+// cache is a cache of multicast DNS records (RFC 6762). It is a state machine without I/O and clock: its methods take
+// messages and times, and return records and questions. The zero value is an empty cache.
 type cache struct {
 	records []*cacheRecord
 }
 
-// cacheRecord is a record with the times of its life.
+// cacheRecord is a record with the times of its receipt and expiry.
 type cacheRecord struct {
 	rr         dns.RR
 	receivedAt time.Duration
 	ttl        time.Duration
 	expiresAt  time.Duration
-	refreshes  int  // queries sent for it, an index of refreshPercents
-	goodbye    bool // it has been withdrawn, and expires soon
+	refreshes  int  // number of refresh queries sent for it, an index of refreshPercents
+	goodbye    bool // whether it has been withdrawn and expires soon
 }
 
-// add caches a message's records. It returns those that the message withdraws.
+// add caches a message's records. It returns the cached records that the message withdraws.
 func (c *cache) add(now time.Duration, m *dns.Msg) (goodbyes []dns.RR) {
 	all := append(slices.Clone(m.Answer), m.Extra...)
 	for _, rr := range all {
@@ -65,12 +65,12 @@
 	return goodbyes
 }
 
-// index returns the index of a record; -1: it is not cached.
+// index returns the index of a record; -1 if it is not cached.
 func (c *cache) index(rr dns.RR) int {
 	return slices.IndexFunc(c.records, func(r *cacheRecord) bool { return r.equals(rr) })
 }
 
-// withdraw handles a goodbye. It returns the cached record; nil: there is none, or it has been withdrawn before.
+// withdraw handles a goodbye. It returns the cached record; nil if there is none or it has been withdrawn before.
 func (c *cache) withdraw(now time.Duration, rr dns.RR) dns.RR {
 	i := c.index(rr)
 	if i < 0 || c.records[i].goodbye {
@@ -82,7 +82,8 @@
 	return record.rr
 }
 
-// flush lets the other records with the name and type of rr expire, but for those that are as recent.
+// flush sets the other records with the name and type of rr to expire after flushTime, except those received within the
+// last flushTime.
 func (c *cache) flush(now time.Duration, rr dns.RR) {
 	for _, r := range c.records {
 		if r.hasKeyOf(rr) && now-r.receivedAt > flushTime && !r.equals(rr) {
@@ -91,7 +92,7 @@
 	}
 }
 
-// store adds a record, or replaces it. A full cache takes no more.
+// store adds or replaces a record. If the cache is full, it adds no new records.
 func (c *cache) store(record *cacheRecord) {
 	i := c.index(record.rr)
 	switch {
@@ -112,7 +113,7 @@
 	return r.rr.Header().Rrtype == kind && strings.EqualFold(r.rr.Header().Name, name)
 }
 
-// equals reports whether a record is rr, whatever the TTL.
+// equals reports whether a record equals rr in everything but the TTL.
 func (r *cacheRecord) equals(rr dns.RR) bool {
 	if !r.hasKeyOf(rr) {
 		return false
@@ -122,7 +123,7 @@
 	return r.rr.String() == sameTTL.String()
 }
 
-// nextRefresh returns when a record is to be queried again; ok is false if it is not.
+// nextRefresh returns when a record is to be queried again; ok is false if it is not to be.
 func (r *cacheRecord) nextRefresh() (at time.Duration, ok bool) {
 	if r.goodbye || r.refreshes >= len(refreshPercents) {
 		return 0, false
@@ -130,14 +131,14 @@
 	return r.receivedAt + r.ttl*time.Duration(refreshPercents[r.refreshes])/100, true
 }
 
-// expire drops expired records, and reports whether there were any.
+// expire drops the expired records, and reports whether there were any.
 func (c *cache) expire(now time.Duration) bool {
 	before := len(c.records)
 	c.records = slices.DeleteFunc(c.records, func(r *cacheRecord) bool { return now >= r.expiresAt })
 	return len(c.records) < before
 }
 
-// dueQuestions returns the questions for records that are to be queried again by now, each once.
+// dueQuestions returns the questions for the records whose refresh is due, without duplicates.
 func (c *cache) dueQuestions(now time.Duration) (questions []dns.Question) {
 	for _, r := range c.records {
 		isDue := false
@@ -153,7 +154,7 @@
 	return questions
 }
 
-// nextEvent returns when the next record expires or is to be queried again; 0: there is none.
+// nextEvent returns when the next record expires or is to be queried again; 0 if the cache is empty.
 func (c *cache) nextEvent() (at time.Duration) {
 	for _, r := range c.records {
 		next := r.expiresAt
@@ -167,8 +168,8 @@
 	return at
 }
 
-// knownAnswers returns the answers to a question that responders need not repeat: those with more than half of
-// their TTL left (RFC 6762, section 7.1).
+// knownAnswers returns the answers to a question that responders need not repeat: the cached records with more than
+// half of their TTL left (RFC 6762, section 7.1).
 func (c *cache) knownAnswers(q dns.Question, now time.Duration) (answers []dns.RR) {
 	for _, r := range c.records {
 		remaining := r.expiresAt - now
@@ -193,7 +194,7 @@
 	return records
 }
 
-// goodbyes returns the records that are withdrawn and not expired yet.
+// goodbyes returns the records that have been withdrawn and have not expired yet.
 func (c *cache) goodbyes() (records []dns.RR) {
 	for _, r := range c.records {
 		if r.goodbye {
@@ -203,8 +204,8 @@
 	return records
 }
 
-// allExpiredSilently reports whether all records have expired and none was withdrawn: then no responder is
-// received any more, rather than one having ended.
+// allExpiredSilently reports whether all records have expired without a goodbye. In this case the agent does not
+// receive any responder, whereas a responder that ends withdraws its records.
 func (c *cache) allExpiredSilently(now time.Duration) bool {
 	for _, r := range c.records {
 		if now < r.expiresAt || r.goodbye {
--- a/internal/source/dnssource/mdnssession.go
+++ b/internal/source/dnssource/mdnssession.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// mdnsSession is a Multicast with its socket and timers. Times are since began.
+// mdnsSession is a Multicast with its socket and timers. Times count from began.
 type mdnsSession struct {
 	*Multicast
 	conn      *net.UDPConn
@@ -20,11 +20,11 @@
 	began     time.Time
 
 	queryTimer    *time.Timer   // for the next query for the service
-	queryInterval time.Duration // between that one and the next
-	cacheTimer    *time.Timer   // for the next time that a cached record needs attention
+	queryInterval time.Duration // interval between that query and the one after it
+	cacheTimer    *time.Timer   // for the next expiry or refresh of a cached record
 }
 
-// listen opens a socket, and queries and listens until ctx ends, which is no error, or the socket fails.
+// listen opens a socket, and queries and listens until ctx ends or the socket fails. If ctx ends, it returns nil.
 func (m *Multicast) listen(ctx context.Context, report func(endpoints.Report)) error {
 	group, err := net.ResolveUDPAddr("udp", m.group)
 	if err != nil {
@@ -51,7 +51,7 @@
 	go func() { ended <- s.receive(packets) }()
 	s.queryTimer = time.NewTimer(time.Duration(m.source.options.Rand() * float64(maxInitialQueryDelay)))
 	defer s.queryTimer.Stop()
-	s.cacheTimer = time.NewTimer(time.Hour) // reset before it is waited for
+	s.cacheTimer = time.NewTimer(time.Hour) // reset before the first select
 	defer s.cacheTimer.Stop()
 	for {
 		s.resetCacheTimer()
@@ -78,8 +78,8 @@
 	return net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 }
 
-// receive passes packets on until the socket is closed or fails. Packets beyond what the channel holds are
-// dropped. It runs in a goroutine of its own.
+// receive passes packets on until the socket is closed or fails. It drops packets while the channel is full. It runs
+// in a separate goroutine.
 func (s *mdnsSession) receive(packets chan<- []byte) error {
 	buffer := make([]byte, maxReceivedBytes)
 	for {
@@ -88,7 +88,7 @@
 			return err
 		}
 		if !s.groupAddr.IP.IsMulticast() && !from.IP.Equal(s.groupAddr.IP) {
-			continue // not the responder that was queried
+			continue // the sender is not the responder that was queried
 		}
 		select {
 		case packets <- slices.Clone(buffer[:n]):
@@ -99,14 +99,14 @@
 
 func (s *mdnsSession) now() time.Duration { return time.Since(s.began) }
 
-// send sends a query. Lost packets are not noticed: the query is repeated in time.
+// send sends a query. It ignores errors because the query is repeated later.
 func (s *mdnsSession) send(q dns.Question, now time.Duration) {
 	for _, data := range s.encodeQuery(q, now) {
 		_, _ = s.conn.WriteToUDP(data, s.groupAddr)
 	}
 }
 
-// resetCacheTimer sets the timer for the next record that expires or is to be refreshed.
+// resetCacheTimer sets the timer to the next expiry or refresh of a cached record.
 func (s *mdnsSession) resetCacheTimer() {
 	now := s.now()
 	next := s.cache.nextEvent()
@@ -117,15 +117,15 @@
 	}
 }
 
-// queryService queries the service's instances, and sets the timer for the next such query.
+// queryService queries the instances of the service, and sets the timer for the next such query.
 func (s *mdnsSession) queryService() {
 	s.send(dns.Question{Name: s.service, Qtype: dns.TypePTR, Qclass: dns.ClassINET}, s.now())
 	s.queryTimer.Reset(s.queryInterval)
 	s.queryInterval = min(queryIntervalFactor*s.queryInterval, maxQueryInterval)
 }
 
-// handlePacket caches a response, reports what it changes, and queries what its instances lack. Anything else is
-// ignored.
+// handlePacket caches the records of a response, reports the resulting changes, and queries the records that instances
+// lack. Packets that are not responses are ignored.
 func (s *mdnsSession) handlePacket(data []byte) {
 	now := s.now()
 	var response dns.Msg
@@ -146,9 +146,9 @@
 	}
 }
 
-// refreshCache queries records that are about to expire, and drops those that have. If all expire although none
-// was withdrawn, the network is at fault and not every responder: that is reported as a failure, and queries
-// start anew.
+// refreshCache queries records that are about to expire, and drops expired ones. If all records expire although none
+// was withdrawn, the cause is taken to be the network and not the end of all responders: refreshCache reports a
+// failure and starts over with the first query.
 func (s *mdnsSession) refreshCache() {
 	now := s.now()
 	if s.cache.allExpiredSilently(now) {
--- a/internal/source/dnssource/records.go
+++ b/internal/source/dnssource/records.go
@@ -14,15 +14,15 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// maxWeight is the largest weight that a TXT record may give, well beyond the 65,535 of an SRV record (RFC 2782).
-// Larger ones are taken for mistakes.
+// maxWeight is the largest weight that a TXT record may have, far above the 65,535 of an SRV record (RFC 2782). Larger
+// weights are rejected as mistakes.
 const maxWeight = 1e6
 
-// noTarget is the target of an SRV record that says that the service is not available (RFC 2782).
+// noTarget is the target of an SRV record for a service that is not available (RFC 2782).
 const noTarget = "."
 
-// lookupService returns the servers of one SRV name, described by the keys of a TXT record. A name without SRV
-// records has no servers.
+// lookupService returns the servers of one SRV name, with the attributes in the keys of a TXT record. A name without
+// SRV records has no servers.
 func (s *Source) lookupService(ctx context.Context, name string, keys []string) (servers []endpoints.Server, ttl time.Duration, err error) {
 	services, err := s.resolve(ctx, name, dns.TypeSRV)
 	if errors.Is(err, errNoRecord) {
@@ -39,7 +39,7 @@
 		}
 		addrs, addrTTL, err := s.lookupAddresses(ctx, record.Target, services.extra)
 		if errors.Is(err, errNoRecord) {
-			s.warnOnce("target "+record.Target, "a target has no address", record.Target)
+			s.warnOnce("target "+record.Target, "SRV target skipped: it has no address", record.Target)
 			continue
 		}
 		if err != nil {
@@ -51,8 +51,8 @@
 	return servers, ttl, nil
 }
 
-// lookupAddresses returns the addresses of a target, sorted: from the extra records of the response that named it,
-// or else by queries for A and AAAA.
+// lookupAddresses returns the sorted addresses of a target. It takes them from the extra records of the response that
+// named the target, or, if these have none, from queries for A and AAAA records.
 func (s *Source) lookupAddresses(ctx context.Context, target string, extra []dns.RR) (addrs []string, ttl time.Duration, err error) {
 	ttl = s.options.Ceiling
 	collect := func(rr dns.RR) {
@@ -106,8 +106,8 @@
 	return ""
 }
 
-// serversOf returns the servers of one SRV record, one for each address of its target, described by the keys of a
-// TXT record.
+// serversOf returns the servers of one SRV record, one for each address of its target, with the attributes in the keys
+// of a TXT record.
 func (s *Source) serversOf(record *dns.SRV, addrs, keys []string) (servers []endpoints.Server) {
 	port := strconv.Itoa(int(record.Port))
 	for i, addr := range addrs {
@@ -119,7 +119,7 @@
 			State:    endpoints.Up,
 		}
 		if i > 0 {
-			server.ID += "#" + addr // a further address of the same name is another server
+			server.ID += "#" + addr // each further address of the same name is another server
 		}
 		s.applyText(&server, record.Hdr.Name, keys)
 		servers = append(servers, server)
@@ -127,16 +127,16 @@
 	return servers
 }
 
-// applyText applies the keys of a TXT record (RFC 6763, section 6) to a server. An invalid one is logged once and
-// left out; the others apply.
+// applyText applies the keys of a TXT record (RFC 6763, section 6) to a server. An invalid key is logged once and
+// ignored; the other keys apply.
 func (s *Source) applyText(server *endpoints.Server, name string, keys []string) {
 	for _, text := range keys {
 		key, value, ok := strings.Cut(text, "=")
 		if !ok || key == "" {
-			continue // no key of ours is without a value
+			continue // all known keys have a value
 		}
 		if err := applyKey(server, strings.ToLower(key), value); err != nil {
-			s.warnOnce(name+" "+text, "a TXT key makes no sense: "+err.Error(), name, "key", key)
+			s.warnOnce(name+" "+text, "invalid TXT key ignored: "+err.Error(), name, "key", key)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 		if err != nil {
 			return err
 		}
-		if !(weight >= 0 && weight <= maxWeight) { // NaN is not either
-			return errors.New("no weight")
+		if !(weight >= 0 && weight <= maxWeight) { // the negated form also rejects NaN
+			return errors.New("weight out of range")
 		}
 		server.Weight = weight
 	case "state":
@@ -190,7 +190,7 @@
 	case "gone":
 		server.State = endpoints.Removed
 	default:
-		return errors.New("none of ready, draining, gone")
+		return errors.New("must be ready, draining or gone")
 	}
 	return nil
 }
--- a/internal/source/dnssource/resolve.go
+++ b/internal/source/dnssource/resolve.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// maxAliases is how many CNAME records are followed. Longer chains are taken for loops.
+	// maxAliases is how many CNAME records are followed. A longer chain is treated as a loop.
 	maxAliases = 8
-	// maxRecords bounds the records of one response, and those that multicast DNS caches, and so the memory that
-	// a resolver or a responder can use up. A service with more servers can't be read.
+	// maxRecords bounds the number of records in one response and in the cache of multicast DNS, and so the memory
+	// that a resolver or a responder can make the agent use. A service with more servers can't be read.
 	maxRecords = 5000
-	// udpSize is the UDP payload size that queries advertise, in bytes: it avoids fragmentation on common paths
-	// (DNS Flag Day 2020). Longer responses are truncated and repeated over TCP.
+	// udpSize is the UDP payload size in bytes that queries advertise. It avoids fragmentation on common paths (DNS
+	// Flag Day 2020). Longer responses are truncated, and the query is repeated over TCP.
 	udpSize = 1232
 )
 
-// Reasons for a query without records. Only errNoRecord is a valid response: the name may exist or not, and has
-// no record of the type.
+// Reasons for a query that returns no records. Only errNoRecord stands for a valid response: the name does not exist
+// or has no record of the type.
 var (
-	errNoRecord      = errors.New("no such record")
-	errAliasLoop     = errors.New("aliases go round, or too far")
-	errMismatch      = errors.New("an answer to another question")
-	errServerFailure = errors.New("the resolver fails")
-	errTruncated     = errors.New("cut short, also over TCP")
+	errNoRecord      = errors.New("no record of this name and type")
+	errAliasLoop     = errors.New("loop of CNAME records, or too many of them")
+	errMismatch      = errors.New("response does not match the query")
+	errServerFailure = errors.New("resolver returned an error")
+	errTruncated     = errors.New("response truncated, also over TCP")
 )
 
 // answer holds the records of a name and type.
 type answer struct {
 	records []dns.RR
-	ttl     time.Duration // the lowest of the records and the aliases before them
-	extra   []dns.RR      // the additional section
+	ttl     time.Duration // the lowest TTL of the records and of the aliases that led to them
+	extra   []dns.RR      // the additional section of the response
 }
 
-// resolve looks up the records of a name and type, and follows aliases. With errNoRecord, the answer has the TTL
-// of that (RFC 2308); with other errors it is empty.
+// resolve looks up the records of a name and type, and follows aliases. With errNoRecord, the answer has the TTL of
+// the negative response (RFC 2308); with other errors it is empty.
 func (s *Source) resolve(ctx context.Context, name string, kind uint16) (answer, error) {
 	name = dns.CanonicalName(name)
 	result := answer{ttl: s.options.Ceiling}
@@ -53,13 +53,13 @@
 		}
 		next := result.follow(response.Answer, name, kind)
 		if len(result.records) > maxRecords {
-			return answer{}, fmt.Errorf("%s: %d records are too many", name, len(result.records))
+			return answer{}, fmt.Errorf("%s: too many records in a response: %d", name, len(result.records))
 		}
 		if len(result.records) > 0 {
 			result.extra = response.Extra
 			return result, nil
 		}
-		if next == name { // records, and none for the question
+		if next == name { // the response has records, but none that matches the query
 			return answer{}, fmt.Errorf("%w: %s", errMismatch, name)
 		}
 		name = next
@@ -77,8 +77,8 @@
 	return ttl
 }
 
-// follow follows aliases within one response, and collects the records behind the last one. It returns the name
-// at which it ended.
+// follow follows aliases within one response, and collects the records of the last alias's target. It returns the
+// name at which it ended.
 func (a *answer) follow(records []dns.RR, name string, kind uint16) string {
 	for range maxAliases + 1 {
 		alias := ""
@@ -102,9 +102,10 @@
 	return name
 }
 
-// queryResolvers queries each resolver until one returns a valid response. The error is that of the last one.
+// queryResolvers queries the resolvers in order until one returns a valid response. If none does, it returns the
+// error of the last one.
 func (s *Source) queryResolvers(ctx context.Context, name string, kind uint16) (*dns.Msg, error) {
-	err := errors.New("no resolver is set")
+	err := errors.New("no resolver is configured")
 	for _, resolver := range s.options.Resolvers {
 		response, resolverErr := s.exchange(ctx, name, kind, resolver)
 		if resolverErr == nil {
@@ -118,7 +119,7 @@
 	return nil, err
 }
 
-// exchange queries one resolver: over UDP, and over TCP if that response is truncated.
+// exchange queries one resolver over UDP, and over TCP if the response over UDP is truncated.
 func (s *Source) exchange(ctx context.Context, name string, kind uint16, resolver string) (*dns.Msg, error) {
 	query := new(dns.Msg)
 	query.SetQuestion(name, kind)
@@ -144,8 +145,8 @@
 	return nil, errTruncated
 }
 
-// isResponseTo reports whether a response has the ID and the question of a query (RFC 5452, section 9.1): others
-// come from a late or a forged response.
+// isResponseTo reports whether a response has the ID and the question of a query (RFC 5452, section 9.1). A response
+// without them is late or forged.
 func isResponseTo(response, query *dns.Msg) bool {
 	if response.Id != query.Id || !response.Response || len(response.Question) != 1 {
 		return false
--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -1,10 +1,11 @@
-// Package endpoints merges what several sources report of servers into one endpoint list: a list service, DNS
-// records, a saved list. It is a state machine without I/O, clock and randomness: reports and the time go into
-// Module.Step, the list and the reason for each entry come out. The merge rule is the table in
+// Package endpoints merges the reports of several sources of servers, such as a list service, DNS records and a
+// saved list, into one endpoint list. It is a state machine without I/O, clock and randomness: Module.Step takes
+// reports and the time, and returns the list and the reason for each entry. The merge rule is the table in
 // docs/design/membership.md, which TestMergeRuleForAllPairsAndTriples checks.
 //
-// A Module owns the sources' last reports, the removals that hold, and the damping of pod changes. It belongs to
-// one goroutine: internal/host/daemon runs one for each list with several sources, the simulator one per agent.
+// A Module holds the sources' last reports, the removals in effect, and the state that damps pod changes. It must
+// be used by one goroutine only: internal/host/daemon runs one Module for each list with several sources, the
+// simulator one per agent.
 package endpoints
 
 import (
@@ -12,23 +13,23 @@
 	"time"
 )
 
-// State is a server's state: as one source reports it, or as merged.
+// State is a server's state, either as one source reports it or after the merge.
 type State uint8
 
-// States of a server. A later one wins where removals contradict each other.
+// States of a server. If removals contradict each other, the state with the larger value applies.
 const (
 	// Absent is the state of a server that a source does not name.
 	Absent State = iota
 	Up
-	// Draining servers finish what they have, and are sent nothing new.
+	// Draining is the state of a server that finishes its requests and gets no new ones.
 	Draining
 	Removed
 )
 
-// String returns the state's name as the admin endpoint and the logs have it.
+// String returns the state's name as the admin endpoint and the logs show it.
 func (s State) String() string { return [...]string{"absent", "up", "draining", "gone"}[s] }
 
-// Server is one server as a source describes it. A zero Zone, Kind, Pod, Weight or Started is not known.
+// Server is one server as a source describes it. A zero value of Zone, Kind, Pod, Weight or Started means unknown.
 type Server struct {
 	ID       string
 	Addr     string // IP and port
@@ -36,31 +37,32 @@
 	Kind     string
 	Pod      int
 	Weight   float64
-	Priority int // as in SRV records (RFC 2782): lower is preferred; others stand by while one of those is up
+	Priority int // as in SRV records (RFC 2782): of the servers that are up, those with the lowest value are used
 	State    State
-	Started  int64 // Unix time of the process's start in ms; compared with other starts only, never with a clock
+	Started  int64 // Unix time of the process's start in ms; compared only with other starts, never with a clock
 }
 
-// Source describes a source and how far it is trusted.
+// Source describes a source and how far its reports are trusted.
 type Source struct {
 	Name string
 	// Exact means that a server missing from a snapshot has been removed. A server missing from the snapshot of
 	// a source that is not exact, such as DNS, has only been withdrawn: another source may still have it.
 	Exact bool
-	// Hold is for how long the last snapshot of a source that fails is still used. Smaller values take servers
-	// out during an outage of the source, larger ones keep stale servers longer.
+	// Hold is for how long the last snapshot of a failing source is still used. Smaller values remove servers
+	// during an outage of the source, larger values keep stale servers longer.
 	Hold time.Duration
 }
 
 // Settings configure a Module.
 type Settings struct {
-	Sources []Source // by precedence: the first that knows an attribute of a server decides it
-	// Guard is for how long servers stay that a snapshot of a source that is not exact suddenly lacks: more than
-	// half of them, and more than two. A snapshot at least that much later is believed. It is also how long a
-	// server must have been missing for a new announcement to overrule a removal. Smaller values believe
-	// truncated answers, larger ones delay real changes.
+	Sources []Source // by precedence: the first source that knows an attribute of a server determines it
+	// Guard is for how long servers are kept that suddenly disappear from the snapshots of a source that is not
+	// exact. A loss counts as sudden if more than half of the servers, and more than two, are missing. A snapshot
+	// that arrives Guard or more after the loss is accepted. Guard is also how long a server must have been
+	// missing for a new announcement to overrule a removal. With smaller values truncated answers are accepted,
+	// larger values delay real changes.
 	Guard time.Duration
-	// Settle is the minimum interval between two changes of a server's pod that take effect.
+	// Settle is the minimum interval between two effective changes of a server's pod.
 	Settle time.Duration
 }
 
@@ -78,7 +80,7 @@
 	}
 	// Reset discards all that a source has reported.
 	Reset struct{ Source string }
-	// Failed says that a source could not be read, or that its response was invalid.
+	// Failed reports that a source could not be read, or that its response was invalid.
 	Failed struct{ Source string }
 )
 
@@ -90,24 +92,24 @@
 func (Failed) report()   {}
 func (Reset) report()    {}
 
-// Member is a server that a source names, as merged.
+// Member is a server that at least one source names, after the merge.
 type Member struct {
 	Server
-	In  bool   // it is part of the endpoint list
-	Why string // the reason, for operators
+	In  bool   // whether it is part of the endpoint list
+	Why string // the reason for In, for operators
 }
 
 // Module merges the reports of its sources. See the package comment.
 type Module struct {
 	settings Settings
 	sources  []*source // in the order of Settings.Sources
-	// removals are the reports of draining and removed servers, oldest first. Each holds until there is newer
+	// removals are the reports of draining and removed servers, oldest first. Each applies until there is newer
 	// evidence.
 	removals []*removal
 	pods     map[string]*pod   // by server ID
 	lastList map[string]Member // as returned by the last Step, by server ID
 	latest   time.Duration     // the latest time of a Step
-	logs     []string          // not yet returned by Logs
+	logs     []string          // log lines not yet returned by Logs
 }
 
 // New returns a Module that has no reports.
@@ -119,10 +121,10 @@
 	return m
 }
 
-// Step applies the reports that arrived by now, and returns every server that any source names, sorted by ID,
-// whether it is in the list or not. Without reports only time passes. now is a time since any fixed base; a time
-// before the latest one counts as the latest. Reports of unknown sources are ignored. changed reports whether the
-// list differs from that of the last Step.
+// Step applies reports, advances the time to now, and returns every server that any source names, sorted by ID,
+// whether it is in the list or not. now counts from any fixed base; a time before the latest one is taken as the
+// latest. Reports of unknown sources are ignored. changed reports whether the list differs from the one that the
+// last Step returned.
 func (m *Module) Step(now time.Duration, reports ...Report) (list []Member, changed bool) {
 	m.latest = max(now, m.latest)
 	for _, report := range reports {
@@ -168,14 +170,14 @@
 	}
 }
 
-// Logs returns lines for operators, each once.
+// Logs returns the log lines for operators since the last call.
 func (m *Module) Logs() []string {
 	logs := m.logs
 	m.logs = nil
 	return logs
 }
 
-// source returns the source of a name; nil: there is none.
+// source returns the source with a name; nil if there is none.
 func (m *Module) source(name string) *source {
 	for _, s := range m.sources {
 		if s.Name == name {
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -40,11 +40,11 @@
 	return Member{}
 }
 
-// serves reports whether new work may go to a server.
+// serves reports whether new requests may be sent to a server.
 func (v Member) serves() bool { return v.In && v.State == Up }
 
-// The merge rule, for every pair and every triple of states that sources can report of one server. "silent" is a
-// source that has failed for longer than its hold, "failing" one that has for less.
+// The merge rule holds for every pair and every triple of states that sources can report of one server. "silent" stands
+// for a source that has failed for longer than its hold, "failing" for a source that has failed for a shorter time.
 func TestMergeRuleForAllPairsAndTriples(t *testing.T) {
 	states := []string{"absent", "up", "draining", "gone", "silent", "failing"}
 	var combos [][]string
@@ -107,12 +107,13 @@
 			t.Errorf("%v: serves %v (%s), want %v", combo, got.serves(), got.Why, want)
 		}
 		if !find(t, list, "keep").serves() {
-			t.Errorf("%v: a server that only one source names is out", combo)
+			t.Errorf("%v: a server that only one source names is not in the list", combo)
 		}
 	}
 }
 
-// A server that a record still names after the list reported its removal stays out until there is newer evidence.
+// A server that DNS records still name after the list reported its removal stays out of the list until there is newer
+// evidence.
 func TestRemovalHoldsUntilNewerEvidence(t *testing.T) {
 	fresh := func() *Module {
 		m := module("list", "records")
@@ -127,23 +128,23 @@
 	}
 	m := fresh()
 	if serves(m, 2*time.Second, Snapshot{"records", up("a", "x")}) || serves(m, time.Hour, Snapshot{"records", up("a", "x")}) {
-		t.Error("the same record brought it back")
+		t.Error("the unchanged record brought the server back")
 	}
 	if serves(m, time.Hour+time.Second, Snapshot{"records", up("a")}) {
-		t.Error("withdrawn, and back")
+		t.Error("the withdrawn server serves again")
 	}
 	if serves(m, time.Hour+2*time.Second, Snapshot{"records", up("a", "x")}) {
-		t.Error("one reading without it, and a whole one, brought it back: readings lose records without a word")
+		t.Error("one reading without the server brought it back later: a reading may lack records by mistake")
 	}
 	if serves(m, time.Hour+3*time.Second, Snapshot{"records", up("a")}) || serves(m, time.Hour+guard+3*time.Second, Snapshot{"records", up("a")}) {
-		t.Error("withdrawn, and back")
+		t.Error("the withdrawn server serves again")
 	}
 	if !serves(m, time.Hour+guard+4*time.Second, Snapshot{"records", up("a", "x")}) {
-		t.Error("withdrawn for as long as the guard and announced again after the list's report: that is newer")
+		t.Error("withdrawn for as long as the guard and announced again after the list's report, but not back")
 	}
 	m = fresh()
 	if !serves(m, 3*time.Second, Snapshot{"list", up("a", "x")}) {
-		t.Error("the list that had it gone has it again")
+		t.Error("the server is not back although the list that reported its removal names it again")
 	}
 	m = module("list", "records")
 	old := up("a", "x")
@@ -152,16 +153,16 @@
 	m.Step(time.Second, Snapshot{"list", old[:1]})
 	next := slices.Clone(old)
 	if next[1].Started = 1000; serves(m, 2*time.Second, Snapshot{"records", next[:1]}, Snapshot{"records", next}) {
-		t.Error("announced again with the start that was reported gone")
+		t.Error("the server is back although it was announced with the start that was reported as removed")
 	}
 	next = slices.Clone(next)
 	if next[1].Started = 2000; !serves(m, 3*time.Second, Snapshot{"records", next}) {
-		t.Error("a new start is newer evidence")
+		t.Error("the server is not back although a later start is newer evidence")
 	}
 }
 
-// Failures neither shorten the list before the hold is over nor empty it afterwards. A sudden empty snapshot is not
-// believed at once, though a drain is.
+// Failures do not shorten the list before the hold is over, and do not empty it afterwards. A sudden empty snapshot is
+// not accepted at once, but a draining server is.
 func TestFailuresAndSuddenLossDoNotEmptyTheList(t *testing.T) {
 	m := module("list", "records")
 	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
@@ -175,34 +176,35 @@
 		return n
 	}
 	if n := count(time.Minute, Failed{"records"}, Failed{"list"}); n != 4 {
-		t.Errorf("%d after a failure", n)
+		t.Errorf("%d servers after a failure", n)
 	}
 	if n := count(3 * hold); n != 4 {
-		t.Errorf("%d long after: failures emptied the fleet", n)
+		t.Errorf("%d servers long after the failures: they shortened the list", n)
 	}
 	at := 3*hold + time.Second
 	if n := count(at, Snapshot{"records", nil}); n != 4 {
-		t.Errorf("%d after a sudden empty answer", n)
+		t.Errorf("%d servers after a sudden empty snapshot", n)
 	}
 	b := up("a", "b")[1]
 	b.State = Draining
 	if n := count(at+time.Second, Delta{"list", []Server{b}}); n != 3 {
-		t.Errorf("%d: the guard overruled a drain", n)
+		t.Errorf("%d servers: the guard overruled a draining server", n)
 	}
 	if n := count(at+guard/2, Snapshot{"records", nil}); n != 3 {
-		t.Errorf("%d: a second answer too soon", n)
+		t.Errorf("%d servers: the second empty snapshot was accepted too early", n)
 	}
 	if n := count(at+guard+time.Second, Snapshot{"records", nil}); n != 0 {
-		t.Errorf("%d: the second answer is not believed", n)
+		t.Errorf("%d servers: the second empty snapshot is not accepted after the guard", n)
 	}
 	m = module("list", "records")
 	m.Step(0, Snapshot{"records", up("a", "b", "c", "d")})
 	if n := count(time.Second, Snapshot{"records", up("a", "b", "c")}); n != 3 {
-		t.Errorf("%d: one that is withdrawn goes at once", n)
+		t.Errorf("%d servers: a single withdrawn server does not leave the list at once", n)
 	}
 }
 
-// One server under two IDs is one; two processes that have an address in turn are two.
+// Two entries with one address and different IDs are one server. Two processes that use an address one after the other
+// are two servers.
 func TestEntriesAreMatchedByIDAddressAndStart(t *testing.T) {
 	m := module("list", "records")
 	named := Server{ID: "formserver-7", Addr: "10.0.0.7:80", State: Up, Zone: "a", Pod: 3}
@@ -214,7 +216,7 @@
 	gone := named
 	gone.State = Removed
 	if list, _ = m.Step(time.Second, Delta{"list", []Server{gone}}); find(t, list, record.ID).serves() {
-		t.Errorf("the same server by its other name: %+v", list)
+		t.Errorf("the removed server still serves under its other ID: %+v", list)
 	}
 	m = module("list", "records")
 	first, second := named, Server{ID: "other", Addr: named.Addr, State: Up}
@@ -225,7 +227,8 @@
 	}
 }
 
-// A first change of the pod takes effect at once, a flapping pod seldom, and each change is logged once.
+// The first change of a server's pod takes effect at once, further changes at most once in each settle interval, and
+// each change is logged once.
 func TestPodChangesAreDamped(t *testing.T) {
 	m := module("list")
 	at := func(now time.Duration, p int) int {
@@ -234,12 +237,12 @@
 		return find(t, list, "x").Pod
 	}
 	if at(0, 1) != 1 || at(time.Minute, 2) != 2 {
-		t.Error("a first move does not take effect at once")
+		t.Error("the first change of the pod does not take effect at once")
 	}
 	m.Logs()
 	moves := 0
 	last := 2
-	for i := range 120 { // it flaps every second
+	for i := range 120 { // the pod changes every second
 		if p := at(time.Minute+time.Duration(i+1)*time.Second, 1+i%2); p != last {
 			moves++
 			last = p
@@ -253,7 +256,7 @@
 	}
 }
 
-// Servers with a higher priority number stand by (RFC 2782).
+// Servers with a higher priority number are on standby (RFC 2782).
 func TestHigherPriorityNumbersStandBy(t *testing.T) {
 	m := module("list", "records")
 	all := up("a", "b", "c")
@@ -270,17 +273,17 @@
 	}
 }
 
-// In any order of reports, no server serves that a source reported as draining or removed, without newer evidence;
-// and failures alone change nothing before the hold is over.
+// Whatever the order of reports, a server that a source reported as draining or removed gets no requests until there is
+// newer evidence, and failures alone do not change the list before the hold is over.
 func TestRemovedServersStayOutInAnyOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"list", "srv", "sd"}
 		m := module(names...)
 		ids := []string{"a", "b", "c", "d", "e"}
 		bad := map[string]map[string]int{}     // by server, by source: the step at which it was last reported as draining or removed
-		lastUp := map[string]map[string]bool{} // by source: the servers that it has up
+		lastUp := map[string]map[string]bool{} // by source: the servers that it reports as up
 		reportedAt := map[string]int{}         // by source: the step of its last report
-		renewed := map[string]int{}            // by server: the last step at which a source that has it now reported without it
+		renewed := map[string]int{}            // by server: the last step at which a source that reports it as up now did not
 		for _, n := range names {
 			lastUp[n] = map[string]bool{}
 		}
@@ -293,7 +296,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 				after, _ := m.Step(now, Failed{by})
 				if fmt.Sprint(serving(before)) != fmt.Sprint(serving(after)) {
-					t.Fatalf("a failure of %s made %v of %v", by, serving(after), serving(before))
+					t.Fatalf("a failure of %s changed the list to %v from %v", by, serving(after), serving(before))
 				}
 				continue
 			}
@@ -325,7 +328,8 @@
 			for _, v := range list {
 				for source, at := range bad[v.ID] {
 					if v.serves() && renewed[v.ID] <= at {
-						t.Fatalf("step %d: %s serves (%s), and %s reported otherwise at step %d", step, v.ID, v.Why, source, at)
+						t.Fatalf("step %d: %s serves (%s), although %s reported it as draining or removed at step %d",
+							step, v.ID, v.Why, source, at)
 					}
 				}
 			}
--- a/internal/source/endpoints/merge.go
+++ b/internal/source/endpoints/merge.go
@@ -16,17 +16,17 @@
 	sources []*source // of the entries, in the same order
 }
 
-// pod is the pod of a server that is in effect.
+// pod is the effective pod of a server.
 type pod struct {
 	number  int
-	changed time.Duration // when it took effect
-	logged  bool          // another one is reported meanwhile, and that has been logged
+	changed time.Duration // when the pod took effect
+	logged  bool          // whether it has been logged that another pod is reported
 }
 
-// whySilent begins the reason for a server of which all sources have failed for longer than their hold.
-const whySilent = "its sources are silent"
+// reasonSourcesFailed begins the reason for a server whose sources have all failed for longer than their hold.
+const reasonSourcesFailed = "its sources have failed"
 
-// merge returns the list as the reports are now.
+// merge returns the list that results from the current reports.
 func (m *Module) merge() []Member {
 	groups, byAddr := m.groupEntries()
 	var list []Member
@@ -40,8 +40,9 @@
 	return list
 }
 
-// groupEntries groups the entries of all sources by server: entries belong together that have the same ID, or the
-// same address unless both know starts that differ. byAddr has the group that an address belongs to now.
+// groupEntries groups the entries of all sources by server. Two entries belong to the same server if they have the
+// same ID, or if they have the same address and not two known start times that differ. byAddr has the group that
+// currently uses each address.
 func (m *Module) groupEntries() (groups []*group, byAddr map[string]*group) {
 	byID := map[string]*group{}
 	byAddr = map[string]*group{}
@@ -72,13 +73,14 @@
 	return groups, byAddr
 }
 
-// isDifferentProcess reports whether an entry is of a process that had the group's address earlier, or has it later.
+// isDifferentProcess reports whether an entry describes a process that used the group's address at another time: both
+// start times are known and differ.
 func (g *group) isDifferentProcess(e *entry) bool {
 	started := g.started()
 	return started > 0 && e.Started > 0 && started != e.Started
 }
 
-// started returns the latest start that a source knows; 0: none does.
+// started returns the latest start that any source knows; 0 if no source knows one.
 func (g *group) started() int64 {
 	var latest int64
 	for _, e := range g.entries {
@@ -87,22 +89,22 @@
 	return latest
 }
 
-// retainIfEmpty puts servers of silent sources back into a list that would be empty: failures alone never remove
-// all servers.
+// retainIfEmpty puts the servers of failed sources back into a list that would otherwise be empty: failures alone
+// never remove all servers.
 func retainIfEmpty(list []Member) {
 	if slices.ContainsFunc(list, func(member Member) bool { return member.In }) {
 		return
 	}
 	for i := range list {
-		if list[i].State == Up && strings.HasPrefix(list[i].Why, whySilent) {
+		if list[i].State == Up && strings.HasPrefix(list[i].Why, reasonSourcesFailed) {
 			list[i].In = true
-			list[i].Why = "kept: nothing else is known"
+			list[i].Why = "kept: the list would be empty without it"
 		}
 	}
 }
 
-// applyPriorities takes out servers that stand by: those with a higher number than the lowest that is up
-// (RFC 2782).
+// applyPriorities takes standby servers out of the list: those whose priority number is higher than the lowest one
+// of the servers that are up (RFC 2782).
 func applyPriorities(list []Member) {
 	lowest := math.MaxInt
 	for _, member := range list {
@@ -113,7 +115,7 @@
 	for i, member := range list {
 		if member.In && member.State == Up && member.Priority > lowest {
 			list[i].In = false
-			list[i].Why = fmt.Sprintf("stands by: one of priority %d is up", lowest)
+			list[i].Why = fmt.Sprintf("on standby: a server of priority %d is up", lowest)
 		}
 	}
 }
@@ -124,40 +126,42 @@
 	member.Pod = m.dampPod(member.ID, member.Pod)
 	var up []string
 	var named []string
-	silentCount := 0
+	failedCount := 0
 	for i, e := range g.entries {
 		switch {
 		case !g.sources[i].isUsable(m.latest):
-			silentCount++
+			failedCount++
 		case e.State == Up:
 			up = append(up, g.sources[i].Name)
 		}
 		named = append(named, g.sources[i].Name)
 	}
 	member.State = Up
-	// A removal wins over any number of sources that have the server up, also if its own source is silent by now.
+	// A removal overrules any number of sources that report the server as up, even if the source of the removal has
+	// failed since.
 	removal := m.removalOf(g.entries)
 	switch {
 	case removal != nil:
 		member.State = removal.state
-		member.In = removal.state == Draining // package decide sends it nothing new
+		member.In = removal.state == Draining // package decide sends no new requests to it
 		member.Why = fmt.Sprintf("%s by %s", removal.state, removal.source)
 	case member.Addr != "" && byAddr[member.Addr] != g && byAddr[member.Addr] != nil:
 		member.State = Removed
 		member.Why = "another process has its address"
-	case len(up) == 0 && silentCount > 0:
-		member.Why = whySilent + ": " + strings.Join(named, ", ")
+	case len(up) == 0 && failedCount > 0:
+		member.Why = reasonSourcesFailed + ": " + strings.Join(named, ", ")
 	case len(up) > 0:
 		member.In = true
 		member.Why = "up by " + strings.Join(up, ", ")
 	default:
 		member.State = Absent
-		member.Why = "nobody says that it is up"
+		member.Why = "no source reports it as up"
 	}
 	return member
 }
 
-// mergeAttributes takes each attribute from the first source that knows it, but the latest start.
+// mergeAttributes takes each attribute from the first source that knows it, except the start, of which it takes the
+// latest.
 func (g *group) mergeAttributes() Server {
 	server := g.entries[0].Server
 	for _, e := range g.entries[1:] {
@@ -170,8 +174,8 @@
 	return server
 }
 
-// dampPod returns the pod of a server that is in effect, given the reported one: a change takes effect at once,
-// and the next one not before Settings.Settle is over.
+// dampPod returns the effective pod of a server, given the reported one. A change takes effect at once unless the
+// last one took effect less than Settings.Settle ago.
 func (m *Module) dampPod(id string, reported int) int {
 	p := m.pods[id]
 	if p == nil {
@@ -182,26 +186,27 @@
 	case reported == p.number:
 		p.logged = false
 	case m.latest-p.changed >= m.settings.Settle:
-		m.logs = append(m.logs, fmt.Sprintf("%s moves from pod %d to pod %d", id, p.number, reported))
+		m.logs = append(m.logs, fmt.Sprintf("server %s moves from pod %d to pod %d", id, p.number, reported))
 		p.number = reported
 		p.changed = m.latest
 		p.logged = false
 	case !p.logged:
-		m.logs = append(m.logs, fmt.Sprintf("%s is said to be in pod %d so soon after its last move: it stays in pod %d for now",
+		m.logs = append(m.logs, fmt.Sprintf(
+			"server %s is reported in pod %d too soon after its last move: it stays in pod %d for now",
 			id, reported, p.number))
 		p.logged = true
 	}
 	return p.number
 }
 
-// Bounds of Module.pods, which pruning keeps below maxPodsPerServer for each listed server and podsSlack more.
-// Larger values prune less often and hold more memory for servers that are gone.
+// Bounds of Module.pods: it is pruned when it has more than maxPodsPerServer elements for each listed server and
+// podsSlack more. With larger values it is pruned less often and uses more memory for removed servers.
 const (
 	maxPodsPerServer = 4
 	podsSlack        = 1000
 )
 
-// prunePods drops the pods of servers that no source names any more, once there are many.
+// prunePods drops the pods of servers that no source names any more, once their number exceeds the bounds.
 func (m *Module) prunePods(list []Member) {
 	if len(m.pods) <= maxPodsPerServer*len(list)+podsSlack {
 		return
