--- a/internal/source/endpoints/removal.go
+++ b/internal/source/endpoints/removal.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxRemovals bounds the removals that are remembered, and so their memory. Beyond it the oldest is dropped: with
-// so many after it, records that still name its server are not expected. A smaller value could let a stale record
-// bring back a removed server in a large fleet.
+// maxRemovals bounds the number of removals that are stored, and so their memory. Beyond it the oldest removal is
+// dropped: after so many later removals, no record is expected to name its server any more. With a smaller value a
+// stale record could bring back a removed server in a large fleet.
 const maxRemovals = 20000
 
-// removal is a source's report that a server drains or was removed.
+// removal is a source's report that a server is draining or was removed.
 type removal struct {
 	id      string
 	addr    string
 	state   State  // Draining or Removed
-	source  string // that reported it
+	source  string // name of the source that reported it
 	at      time.Duration
-	started int64 // of the server, as in Server.Started
+	started int64 // start of the server, as in Server.Started
 }
 
 // recordRemoval records that a source reports a server as draining or removed; other states are ignored.
@@ -28,7 +28,7 @@
 	for _, r := range m.removals {
 		if r.matches(e.Server) && r.source == s.Name {
 			r.state = state
-			r.at = m.latest // a repeated report is as new as a first one
+			r.at = m.latest // a repeated report counts as new
 			r.started = max(r.started, e.Started)
 			return
 		}
@@ -59,10 +59,10 @@
 }
 
 // isOverruledBy reports whether a source's entry is newer evidence than the removal: a later start of the server,
-// or a withdrawal and a new announcement after it.
+// or a withdrawal and a new announcement after the removal.
 //
-// The withdrawal must have lasted for guard. A record that was published before the removal may be read for the
-// first time after it, and a reading may lack records by mistake: neither is a new announcement.
+// The withdrawal must have lasted for guard, because two cases are not new announcements: a record that was
+// published before the removal may be read for the first time after it, and a reading may lack records by mistake.
 func (r *removal) isOverruledBy(e *entry, guard time.Duration) bool {
 	if e.State != Up || e.lost {
 		return false
@@ -73,10 +73,10 @@
 	return e.announced > r.at && e.lastMissing > r.at && e.lastMissing-max(e.missingSince, r.at) >= guard
 }
 
-// removalOf returns the strongest removal of a server that no entry overrules, the oldest of equal ones; nil:
-// there is none.
+// removalOf returns the removal of a server that no entry overrules. If there are several, it returns the oldest one
+// with the largest state; nil if there is none.
 func (m *Module) removalOf(entries []*entry) *removal {
-	var strongest *removal
+	var result *removal
 	for _, r := range m.removals {
 		isMatch := false
 		isOverruled := false
@@ -84,9 +84,9 @@
 			isMatch = isMatch || r.matches(e.Server)
 			isOverruled = isOverruled || r.isOverruledBy(e, m.settings.Guard)
 		}
-		if isMatch && !isOverruled && (strongest == nil || r.state > strongest.state) {
-			strongest = r
+		if isMatch && !isOverruled && (result == nil || r.state > result.state) {
+			result = r
 		}
 	}
-	return strongest
+	return result
 }
--- a/internal/source/endpoints/source.go
+++ b/internal/source/endpoints/source.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// minSuddenLoss is how many servers a snapshot must lack at least for the loss to count as sudden: in a small
-// fleet, one or two that are withdrawn together are more than half and yet nothing unusual.
+// minSuddenLoss is the minimum number of missing servers for a loss to count as sudden. In a small fleet, one or
+// two servers that are withdrawn together may be more than half, but this is not unusual.
 const minSuddenLoss = 3
 
-// maxWithdrawn bounds the withdrawals that are remembered for a source, and so its memory. Beyond it they are
-// forgotten, and count from then on as if the source had just been reset.
+// maxWithdrawn bounds the number of withdrawals that are stored for a source, and so its memory. Beyond it all of
+// them are dropped, and the missing servers are treated as missing since that moment, like after a reset.
 const maxWithdrawn = maxRemovals
 
 // source is the state of one source. Times are those of Module.Step.
 type source struct {
 	Source
-	known          bool // a report has been received since the start or the last reset
-	failing        bool // no report has been received since it last failed
+	known          bool // whether a report has been received since the start or the last reset
+	failing        bool // whether the source has failed and no report has been received since
 	failingSince   time.Duration
-	entries        map[string]*entry        // the servers that it has, by ID
+	entries        map[string]*entry        // the servers that the source names, by ID
 	lastReceived   time.Duration            // when its last report was received
-	withdrawnSince time.Duration            // since when servers without an element in withdrawn are missing
-	withdrawn      map[string]time.Duration // servers that it no longer has: when it was first received without them
+	withdrawnSince time.Duration            // since when servers that are not in withdrawn are missing
+	withdrawn      map[string]time.Duration // when each server that the source no longer names was first missing
 }
 
-// entry is a server of a source.
+// entry is a server that a source names.
 type entry struct {
 	Server
-	announced time.Duration // when the source began to have it, or to have it up
-	// lastMissing is when the source's last report without the server was received, before announced, and
-	// missingSince when the first of these was.
+	announced time.Duration // when the source began to name the server, or to report it as up
+	// Before announced, the source did not name the server: missingSince is when its first report without the
+	// server was received, lastMissing when the last one was.
 	lastMissing  time.Duration
 	missingSince time.Duration
-	lost         bool // a snapshot suddenly lacks it, and is not believed yet
+	lost         bool // whether the server suddenly disappeared from a snapshot and is kept for Settings.Guard
 	lostAt       time.Duration
 }
 
@@ -48,7 +48,7 @@
 	s.lastReceived = now
 }
 
-// withdraw records that the source no longer has a server.
+// withdraw records that the source no longer names a server.
 func (s *source) withdraw(id string, now time.Duration) {
 	delete(s.entries, id)
 	if s.withdrawn == nil || len(s.withdrawn) > maxWithdrawn {
@@ -58,7 +58,7 @@
 	s.withdrawn[id] = now
 }
 
-// announce records that the source has a server again, and for how long it did not.
+// announce records that the source names a server, and since when the server was missing before.
 func (s *source) announce(e *entry, now time.Duration) {
 	e.announced = now
 	e.lastMissing = s.lastReceived
@@ -69,7 +69,8 @@
 	}
 }
 
-// isUsable reports whether a source's reports count: there are some, and it has not failed for too long.
+// isUsable reports whether a source's reports are used: at least one has been received, and the source has not been
+// failing for longer than Hold.
 func (s *source) isUsable(now time.Duration) bool {
 	return s.known && (!s.failing || now-s.failingSince <= s.Hold)
 }
@@ -101,8 +102,8 @@
 	s.markReceived(m.latest)
 }
 
-// checkSuddenLoss reports whether a snapshot with the named servers lacks too many at once to be believed, and
-// logs that.
+// checkSuddenLoss reports whether a snapshot with the named servers lacks so many servers that it is not accepted
+// yet, and logs this.
 func (m *Module) checkSuddenLoss(s *source, named map[string]bool) bool {
 	missing := 0
 	for id, e := range s.entries {
@@ -113,12 +114,12 @@
 	if s.Exact || missing < minSuddenLoss || 2*missing <= len(s.entries) {
 		return false
 	}
-	m.logs = append(m.logs, fmt.Sprintf("%s lacks %d of %d servers at once: they stay for %v",
+	m.logs = append(m.logs, fmt.Sprintf("source %s suddenly lacks %d of %d servers: they are kept for %v",
 		s.Name, missing, len(s.entries), m.settings.Guard))
 	return true
 }
 
-// applyServer applies what a source reports of one server.
+// applyServer applies a source's report of one server.
 func (m *Module) applyServer(s *source, server Server) {
 	e := s.entries[server.ID]
 	if e == nil {
@@ -141,7 +142,7 @@
 		s.withdraw(server.ID, m.latest)
 	case server.State == Draining:
 		m.recordRemoval(s, e, Draining)
-	case oldState != Up: // the source that reported it as draining has it up again
+	case oldState != Up: // the source reported the server as draining, and reports it as up again
 		s.announce(e, m.latest)
 	}
 	if server.State == Up {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,7 @@
 // Package tomlfile reads operators' TOML files strictly into plain structs: an unknown key is an error, and every
-// error names the file, the line and the key. A File keeps the lines of all keys, so that checks after parsing can
-// report errors the same way. It owns no other state and starts no goroutine; the readers of the fleet's
-// configuration, of policies, scenarios and fault tests call it.
+// error names the file, the line and the key. A File keeps the line numbers of all keys, so that checks after parsing
+// can report errors the same way. The package has no other state and starts no goroutine. The readers of the fleet's
+// configuration, of policies, scenarios and fault tests use it.
 package tomlfile
 
 import (
@@ -19,7 +19,7 @@
 // File is a parsed file: its path, and the line of each key.
 type File struct {
 	Path  string
-	lines map[string]int // by key, such as "a.b" or "a[1].b"; from 1
+	lines map[string]int // line numbers from 1, by key such as "a.b" or "a[1].b"
 }
 
 // Read decodes the file at path into a pointer to a plain struct. Struct fields without a toml tag match the key
@@ -27,12 +27,12 @@
 func Read(path string, into any) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the operation and the path
+		return nil, err // err already names the operation and the path
 	}
 	return Parse(path, data, into)
 }
 
-// Parse decodes data like Read. path only appears in errors.
+// Parse decodes data like Read. path is used only in errors.
 func Parse(path string, data []byte, into any) (*File, error) {
 	f := &File{Path: path, lines: map[string]int{}}
 	if err := f.index(data); err != nil {
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// checkField is checkDurations for one field of the struct at key.
+// checkField calls checkDurations for one field of the struct at key.
 func (f *File) checkField(key string, field reflect.StructField, v reflect.Value) error {
-	if field.Anonymous { // its keys stand among those of the struct around it
+	if field.Anonymous { // the keys of an embedded struct belong to the table of the outer struct
 		return f.checkDurations(key, v)
 	}
 	if !field.IsExported() {
@@ -115,7 +115,7 @@
 	parser := unstable.Parser{}
 	parser.Reset(data)
 	table := ""
-	elements := map[string]int{} // of each array of tables, so far
+	elements := map[string]int{} // number of elements so far, by array of tables
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		switch expression.Kind {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// tableKey joins the parts of a table's key. A part that names an array of tables means its latest element.
+// tableKey joins the parts of a table's key. A part that names an array of tables stands for its latest element.
 func tableKey(parts []string, elements map[string]int) string {
 	table := ""
 	for _, part := range parts {
@@ -160,7 +160,7 @@
 	return table
 }
 
-// indexValue records the lines of the keys of inline tables, also of those within arrays.
+// indexValue records the lines of the keys of inline tables, including those within arrays.
 func (f *File) indexValue(parser *unstable.Parser, key string, value *unstable.Node) {
 	children := value.Children()
 	switch value.Kind {
@@ -178,7 +178,7 @@
 	}
 }
 
-// keyOf returns the parts of a dotted key, and the line of the first.
+// keyOf returns the parts of a dotted key, and the line of the first part.
 func keyOf(parser *unstable.Parser, key unstable.Iterator) (parts []string, line int) {
 	for key.Next() {
 		node := key.Node()
@@ -190,7 +190,7 @@
 	return parts, line
 }
 
-// join puts a key behind its table's; the root's is empty.
+// join appends a key to the key of its table, which is empty for the root table.
 func join(table, key string) string {
 	if table == "" {
 		return key
@@ -198,7 +198,8 @@
 	return table + "." + key
 }
 
-// Line returns the line of a key, or of the innermost table around it that the file has; 1 if it has none.
+// Line returns the line of a key. If the file lacks the key, it returns the line of the innermost table around the key;
+// 1 if the file has none of these either.
 func (f *File) Line(key string) int {
 	for {
 		if n := f.lines[key]; n > 0 {
@@ -221,18 +222,18 @@
 	return fmt.Errorf("%s:%d: %s: %s", f.Path, f.Line(key), key, fmt.Sprintf(format, args...))
 }
 
-// Duration is a time.Duration that a file has as text with its unit, as in "250ms" or "1m30s". A bare number is an
-// error: its unit would have to be guessed.
+// Duration is a time.Duration that a file gives as text with its unit, as in "250ms" or "1m30s". A bare number is an
+// error because its unit is unknown.
 type Duration struct {
 	duration  time.Duration
-	malformed string // the quoted text, if it is no duration: Parse turns it into an error
+	malformed string // the quoted text if it is not a duration; Parse returns an error for it
 }
 
-// Of returns the Duration of a time.Duration, for defaults.
+// Of converts a time.Duration to a Duration, for defaults.
 func Of(d time.Duration) Duration { return Duration{duration: d} }
 
-// UnmarshalText accepts the syntax of time.ParseDuration. It returns no error: the decoder would report it without
-// the line. Parse reports it instead.
+// UnmarshalText accepts the syntax of time.ParseDuration. It never returns an error, because the decoder would report
+// the error without the line. Parse reports malformed durations instead.
 func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	d.duration = duration
@@ -242,8 +243,8 @@
 	return nil
 }
 
-// D returns the time.Duration.
+// D converts the Duration to a time.Duration.
 func (d Duration) D() time.Duration { return d.duration }
 
-// String formats the duration like time.Duration does.
+// String formats the Duration like a time.Duration.
 func (d Duration) String() string { return d.duration.String() }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -84,7 +84,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var s sample
 		if _, err := Parse("f", []byte(text), &s); err != nil && !strings.HasPrefix(err.Error(), "f:") {
-			t.Errorf("an error without its place: %v", err)
+			t.Errorf("the error does not begin with file and line: %v", err)
 		}
 	})
 }
