--- a/internal/atomicfile/writer.go
+++ b/internal/atomicfile/writer.go
@@ -25,7 +25,7 @@
 type Writer struct {
 	Dir  string // empty: nothing is written
 	Name string // name of the file within Dir
-	What string // what the file holds, for the log
+	What string // description of the file's content for the log
 	Log  *slog.Logger
 
 	mu       sync.Mutex
--- a/internal/peer/transport/datagrams.go
+++ b/internal/peer/transport/datagrams.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// readBufferBytes is the largest UDP payload.
+	// readBufferBytes is the size of the read buffer. It holds the largest UDP payload.
 	readBufferBytes = 64 << 10
 	// readRetry and acceptRetry are the waits after a temporary error, such as a lack of memory or file descriptors.
 	readRetry   = time.Millisecond
--- a/internal/peer/transport/leasedriver.go
+++ b/internal/peer/transport/leasedriver.go
@@ -109,7 +109,7 @@
 	tr := d.tr
 	p.From = tr.options.Membership.Name
 	if to == p.From && !tr.frozen.Load() {
-		d.handleOwnPacket(tr.now(), p)
+		d.processPacket(tr.now(), p)
 		return
 	}
 	addr, err := netip.ParseAddrPort(tr.view.Addr(to))
@@ -148,13 +148,13 @@
 // handlePacket handles a packet from another member.
 func (d *leaseDriver) handlePacket(now time.Duration, p *sharedPacket) {
 	if d.client != nil {
-		d.handleOwnPacket(now, p)
+		d.processPacket(now, p)
 	}
 }
 
-// handleOwnPacket handles a packet from this member to itself or from another member. A frozen member ignores packets
+// processPacket handles a packet from this member to itself or from another member. A frozen member ignores packets
 // because its successor has taken over the leases.
-func (d *leaseDriver) handleOwnPacket(now time.Duration, p *sharedPacket) {
+func (d *leaseDriver) processPacket(now time.Duration, p *sharedPacket) {
 	if d.tr.frozen.Load() {
 		return
 	}
--- a/internal/peer/transport/loop.go
+++ b/internal/peer/transport/loop.go
@@ -159,7 +159,7 @@
 		}
 	}
 	for _, a := range tr.view.Step(tr.now(), batch...) {
-		tr.carryOut(ctx, a)
+		tr.executeAction(ctx, a)
 	}
 	for _, e := range batch {
 		if response, ok := e.(membership.ExchangeResponse); ok { // too late, or no last message needed
@@ -175,7 +175,7 @@
 	}
 }
 
-func (tr *Transport) carryOut(ctx context.Context, a membership.Action) {
+func (tr *Transport) executeAction(ctx context.Context, a membership.Action) {
 	switch a := a.(type) {
 	case membership.Send:
 		tr.sendDatagram(a)
--- a/internal/peer/transport/policydriver.go
+++ b/internal/peer/transport/policydriver.go
@@ -89,7 +89,7 @@
 	return l
 }
 
-// next returns the time by which runDue has to be called.
+// next returns the time at which runDue is due.
 func (l *policyLink) next() time.Duration {
 	if l.driver == nil {
 		return math.MaxInt64
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -61,7 +61,7 @@
 		t.Fatal("the loop does not accept the leave")
 	}
 	b.awaitState(t, "a", "left")
-	_ = a.stop() // all lines are written
+	_ = a.stop() // returns after all lines have been written
 	_ = b.stop()
 	sent := firstLine(&linesOfA, func(l eventLine) bool { return l.Kind == "leave" })
 	received := firstLine(&linesOfB, func(l eventLine) bool { return l.Kind == "member" && l.Subject == "a" && l.State == "left" })
--- a/internal/source/discovery/watch_test.go
+++ b/internal/source/discovery/watch_test.go
@@ -161,7 +161,7 @@
 					c := <-served
 					defer c.Close()
 					in := bufio.NewReader(c)
-					for { // until the request is complete
+					for { // reads until the request is complete
 						if line, err := in.ReadString('\n'); err != nil || line == "\r\n" {
 							break
 						}
--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -78,7 +78,7 @@
 		Source  string
 		Servers []Server
 	}
-	// Reset discards all that a source has reported.
+	// Reset discards all reports of a source.
 	Reset struct{ Source string }
 	// Failed reports that a source could not be read, or that its response was invalid.
 	Failed struct{ Source string }
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -101,9 +101,9 @@
 		}
 		list, _ := m.Step(now)
 		got := find(t, list, "x")
-		bad := slices.Contains(combo, "draining") || slices.Contains(combo, "gone")
-		alive := slices.Contains(combo, "up") || slices.Contains(combo, "failing")
-		if want := alive && !bad; got.serves() != want {
+		isRemoved := slices.Contains(combo, "draining") || slices.Contains(combo, "gone")
+		isUp := slices.Contains(combo, "up") || slices.Contains(combo, "failing")
+		if want := isUp && !isRemoved; got.serves() != want {
 			t.Errorf("%v: serves %v (%s), want %v", combo, got.serves(), got.Why, want)
 		}
 		if !find(t, list, "keep").serves() {
@@ -280,10 +280,10 @@
 		names := []string{"list", "srv", "sd"}
 		m := module(names...)
 		ids := []string{"a", "b", "c", "d", "e"}
-		bad := map[string]map[string]int{}     // by server, by source: the step at which it was last reported as draining or removed
-		lastUp := map[string]map[string]bool{} // by source: the servers that it reports as up
-		reportedAt := map[string]int{}         // by source: the step of its last report
-		renewed := map[string]int{}            // by server: the last step at which a source that reports it as up now did not
+		removedAt := map[string]map[string]int{} // by server, by source: when it was last reported as draining or removed
+		lastUp := map[string]map[string]bool{}   // by source: the servers that it reports as up
+		reportedAt := map[string]int{}           // by source: the step of its last report
+		renewed := map[string]int{}              // by server: the last step at which a source that reports it as up now did not
 		for _, n := range names {
 			lastUp[n] = map[string]bool{}
 		}
@@ -309,24 +309,24 @@
 				}
 				switch {
 				case s == Up:
-					if bad[id] != nil {
-						delete(bad[id], by)
+					if removedAt[id] != nil {
+						delete(removedAt[id], by)
 					}
 					if !lastUp[by][id] {
 						renewed[id] = max(renewed[id], reportedAt[by])
 					}
 				case s == Draining || s == Removed || s == Absent && by == "list" && lastUp[by][id]:
-					if bad[id] == nil {
-						bad[id] = map[string]int{}
+					if removedAt[id] == nil {
+						removedAt[id] = map[string]int{}
 					}
-					bad[id][by] = step
+					removedAt[id][by] = step
 				}
 				lastUp[by][id] = s == Up
 			}
 			reportedAt[by] = step
 			list, _ := m.Step(now, Snapshot{by, reported})
 			for _, v := range list {
-				for source, at := range bad[v.ID] {
+				for source, at := range removedAt[v.ID] {
 					if v.serves() && renewed[v.ID] <= at {
 						t.Fatalf("step %d: %s serves (%s), although %s reported it as draining or removed at step %d",
 							step, v.ID, v.Why, source, at)
