--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -9,8 +9,8 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// attempt makes one attempt of an operation. The result follows the table in docs/design/ldap.md. The response is nil unless
-// the result is decide.OK.
+// attempt makes one attempt of an operation. The table in docs/design/ldap.md says which result follows from which
+// outcome. The response is nil unless the result is decide.OK.
 func (p *connPool) attempt(a *core.Attempt, o *operation) (decide.Result, *finalResponse) {
 	if !o.retain() {
 		return decide.NotSent, nil
@@ -18,7 +18,8 @@
 	defer o.release()
 	c, result := p.acquireBound(a, o)
 	if c == nil && o.identity != nil && o.identity.rejected.Load() {
-		return decide.OK, rebindResponse(o.message.Op) // a final answer: no other server is to be asked with this bind
+		// OK makes this the final answer: the rejected credentials must not be tried on another server.
+		return decide.OK, rebindResponse(o.message.Op)
 	}
 	if c == nil {
 		return result, nil
@@ -43,13 +44,14 @@
 	return p.awaitResponse(a, o, c, k)
 }
 
-// awaitResponse takes the messages of an attempt's response, until its last one, the connection's end or the attempt's.
+// awaitResponse handles the messages of an attempt's response, until the last message, the end of the connection, or
+// the end of the attempt.
 func (p *connPool) awaitResponse(a *core.Attempt, o *operation, c *serverConn, k *call) (decide.Result, *finalResponse) {
-	// The one entry of a lookup waits for the last message: until then a retry on another server is possible.
+	// The entry of a lookup is held back until the last message: until then a retry on another server is possible.
 	s := responseStream{attempt: a, operation: o, buffering: o.kind == kindLookup}
 	for {
 		select {
-		case got := <-k.parts:
+		case got := <-k.messages:
 			if got.last {
 				return p.finish(c, &s, got)
 			}
@@ -76,12 +78,13 @@
 	}
 }
 
-// connectionEnded is the outcome of an attempt whose connection has ended. Its last message may have come just before.
+// connectionEnded returns the outcome of an attempt whose connection has ended. The last message of the response may
+// have come just before the end.
 func (p *connPool) connectionEnded(c *serverConn, k *call, s *responseStream) (decide.Result, *finalResponse) {
 	p.markSuspect(c)
 	for more := true; more; {
 		select {
-		case got := <-k.parts:
+		case got := <-k.messages:
 			if got.last {
 				return p.finish(c, s, got)
 			}
@@ -94,20 +97,20 @@
 	malformed := errors.Is(c.endErr, ldapmsg.ErrMalformed)
 	c.mu.Unlock()
 	if malformed {
-		return decide.Errored, nil // a process responds, but not with LDAP
+		return decide.Errored, nil // the server process runs, but does not send valid LDAP
 	}
 	return decide.Reset, nil
 }
 
-// finish takes the last message of a response.
-func (p *connPool) finish(c *serverConn, s *responseStream, got part) (decide.Result, *finalResponse) {
+// finish handles the last message of a response, and returns the outcome of the attempt.
+func (p *connPool) finish(c *serverConn, s *responseStream, got responseMessage) (decide.Result, *finalResponse) {
 	o := s.operation
 	code, _ := got.Code()
 	if !s.started {
 		switch code {
-		case ldapmsg.Busy: // the server was too busy to begin it (RFC 4511, A.2)
+		case ldapmsg.Busy: // the server was too busy to begin the operation (RFC 4511, A.2)
 			return decide.Rejected, nil
-		case ldapmsg.Unavailable: // a part that it needs is unavailable: it may have begun
+		case ldapmsg.Unavailable: // a subsystem of the server is unavailable; the operation may have begun
 			return decide.Errored, nil
 		}
 	}
@@ -136,10 +139,11 @@
 	return decide.OK, r
 }
 
-// rebindText is the diagnostic message for a client whose bind is not accepted any more.
-const rebindText = "the bind of this connection is not accepted any more: bind again"
+// rebindText is the diagnostic message for a client whose credentials a server has rejected after its bind.
+const rebindText = "the credentials of this connection are no longer accepted: bind again"
 
-// rebindResponse is the response to an operation of a client whose bind is not accepted any more.
+// rebindResponse returns the response to an operation of a client whose credentials a server has rejected after its
+// bind.
 func rebindResponse(op byte) *finalResponse {
 	m, err := ldapmsg.Parse(ldapmsg.Response(1, ldapmsg.ResponseTo(op), ldapmsg.StrongerAuthRequired, rebindText))
 	if err != nil {
--- a/internal/protocol/ldap/attempt_test.go
+++ b/internal/protocol/ldap/attempt_test.go
@@ -38,13 +38,13 @@
 		"slow drip":           {directory.Fault{Drip: 100 * time.Microsecond}, 0, 0, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
-			var faults, came atomic.Int32
+			one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
+			var faults, arrived atomic.Int32
 			script := func(o directory.Op) directory.Fault {
 				if o.Kind != "modify" && o.Kind != "lookup" {
 					return directory.Fault{}
 				}
-				came.Add(1)
+				arrived.Add(1)
 				if faults.Add(-1) >= 0 {
 					return row.fault
 				}
@@ -52,37 +52,37 @@
 			}
 			one.Script(script)
 			two.Script(script)
-			a := start(t, testConfig(t, one, two), Options{})
+			a := startAgent(t, testConfig(t, one, two), Options{})
 			c := a.dial(t)
 			faults.Store(1)
-			if _, err := c.Search(one2()); code(err) != row.search {
+			if _, err := c.Search(lookupSearch()); resultCode(err) != row.search {
 				t.Errorf("search: %v", err)
 			}
 			faults.Store(1)
-			came.Store(0)
-			if err := c.Modify(modify("v")); code(err) != row.modify {
+			arrived.Store(0)
+			if err := c.Modify(newModify("v")); resultCode(err) != row.modify {
 				t.Errorf("modify: %v", err)
 			}
 			ran := one.Ran()["modify cn=a,dc=ward v"] + two.Ran()["modify cn=a,dc=ward v"]
-			if ran != row.modifiesRan || int(came.Load()) != row.modifyServer {
-				t.Errorf("modified %d times, %d operations reached a server", ran, came.Load())
+			if ran != row.modifiesRan || int(arrived.Load()) != row.modifyServer {
+				t.Errorf("modified %d times, %d operations reached a server", ran, arrived.Load())
 			}
 			faults.Store(0)
-			if _, err := c.Search(one2()); err != nil { // it goes on
+			if _, err := c.Search(lookupSearch()); err != nil { // it goes on
 				t.Errorf("afterwards: %v", err)
 			}
 		})
 	}
 }
 
-var one2 = one // a name that no local hides
+var lookupSearch = baseSearch // a name that no local hides
 
 // Once an entry has gone to the client there is no other attempt, and the search fails.
 func TestStartedStreamIsNotRetried(t *testing.T) {
-	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
-	var faults, came atomic.Int32
+	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
+	var faults, arrived atomic.Int32
 	script := func(o directory.Op) directory.Fault {
-		came.Add(1)
+		arrived.Add(1)
 		if faults.Add(-1) >= 0 {
 			return directory.Fault{KillBetween: 3}
 		}
@@ -90,32 +90,32 @@
 	}
 	one.Script(script)
 	two.Script(script)
-	a := start(t, testConfig(t, one, two), Options{})
+	a := startAgent(t, testConfig(t, one, two), Options{})
 	c := a.dial(t)
 	faults.Store(1)
-	got, err := c.Search(whole())
-	if code(err) != ldapmsg.Other || came.Load() != 1 {
-		t.Errorf("%v, %v; %d attempts", got, err, came.Load())
+	got, err := c.Search(subtreeSearch())
+	if resultCode(err) != ldapmsg.Other || arrived.Load() != 1 {
+		t.Errorf("%v, %v; %d attempts", got, err, arrived.Load())
 	}
 	if got != nil && len(got.Entries) != 3 {
 		t.Errorf("%d entries", len(got.Entries))
 	}
-	if got, err := c.Search(whole()); err != nil || len(got.Entries) != 6 {
+	if got, err := c.Search(subtreeSearch()); err != nil || len(got.Entries) != 6 {
 		t.Errorf("%v, %v", got, err)
 	}
 }
 
 // Nothing new goes to a server once the list calls it draining or gone.
 func TestDrainingServerGetsNothingNew(t *testing.T) {
-	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	list := testkit.NewCatalog(t)
 	cfg := testConfig(t, one, two)
 	cfg.Discovery, cfg.Settings.Subscribe = list.Addr, false
-	a := start(t, cfg, Options{})
+	a := startAgent(t, cfg, Options{})
 	w := testkit.Receive(t, "watch", list.Watch)
 	c := a.dial(t)
 	for range 20 {
-		if _, err := c.Search(one2()); err != nil {
+		if _, err := c.Search(lookupSearch()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -123,7 +123,7 @@
 	testkit.WaitFor(t, "the change", func() bool {
 		before := one.Served("lookup")
 		for range 20 {
-			if _, err := c.Search(one2()); err != nil {
+			if _, err := c.Search(lookupSearch()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -131,7 +131,7 @@
 	})
 	before := one.Served("lookup")
 	for range 50 {
-		if _, err := c.Search(one2()); err != nil {
+		if _, err := c.Search(lookupSearch()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -143,17 +143,17 @@
 // An address that a new server has taken over is no longer the old one's, even before its end is told; and a
 // probe leaves no connection behind.
 func TestReusedAddressGetsNothingOfOldServer(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	a := start(t, testConfig(t, d), Options{})
-	if _, err := a.dial(t).Search(one()); err != nil {
+	d := startDirectory(t, "one", directory.Options{})
+	a := startAgent(t, testConfig(t, d), Options{})
+	if _, err := a.dial(t).Search(baseSearch()); err != nil {
 		t.Fatal(err)
 	}
-	v := a.p.pool
-	v.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
-	if c, _, err := v.acquire("one", "", false); !errors.Is(err, core.ErrMoved) {
+	pool := a.p.pool
+	pool.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
+	if c, _, err := pool.acquire("one", "", false); !errors.Is(err, core.ErrMoved) {
 		t.Errorf("the old one has %+v, %v", c, err)
 	}
-	open := func() int { v.mu.Lock(); defer v.mu.Unlock(); return v.open }
+	open := func() int { pool.mu.Lock(); defer pool.mu.Unlock(); return pool.open }
 	testkit.WaitFor(t, "its connections to close", func() bool { return open() == 0 })
 	if p := a.p.Probe("next"); p.Result != decide.OK || open() != 0 {
 		t.Errorf("%+v, %d connections open", p, open())
--- a/internal/protocol/ldap/bind.go
+++ b/internal/protocol/ldap/bind.go
@@ -5,11 +5,11 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// handleBind handles a BindRequest. It waits for the operations that are open, and no other request is read until the bind
-// has its response (RFC 4511, 4.2.1).
+// handleBind handles a BindRequest. It waits until the open operations have ended, and no other request is read until
+// the response to the bind is queued (RFC 4511, 4.2.1).
 func (s *session) handleBind(raw []byte, m ldapmsg.Message) (more bool, err error) {
 	b, err := ldapmsg.ParseBind(m.Content)
-	defer s.in.Forget()
+	defer s.in.Wipe()
 	if err != nil {
 		return false, err
 	}
@@ -30,17 +30,17 @@
 	s.mu.Unlock()
 	switch {
 	case b.Version != 3:
-		return refuse(ldapmsg.ProtocolErrorCode, "LDAPv3 is served")
+		return refuse(ldapmsg.ProtocolErrorCode, "only LDAPv3 is supported")
 	case b.Simple && len(b.Password) > 0 && s.protocol.tls != nil && !secured:
-		return refuse(ldapmsg.ConfidentialityRequired, "a password is taken under TLS only")
+		return refuse(ldapmsg.ConfidentialityRequired, "passwords are accepted under TLS only")
 	case !b.Simple && b.Mechanism == "EXTERNAL":
-		// The server would take this agent's own certificate or socket for the client's.
-		return refuse(ldapmsg.AuthMethodNotSupported, "EXTERNAL can't be passed on")
+		// The server would authenticate the agent's own certificate or socket in place of the client's.
+		return refuse(ldapmsg.AuthMethodNotSupported, "SASL EXTERNAL can't be forwarded to a server")
 	case !b.Simple && b.Mechanism == ldapmsg.UnknownMechanism:
-		return refuse(ldapmsg.AuthMethodNotSupported, "an authentication choice that is not known")
+		return refuse(ldapmsg.AuthMethodNotSupported, "unknown authentication choice")
 	}
 	for _, o := range open {
-		<-o.done // closed by its deadline
+		<-o.done // closed at the operation's deadline at the latest
 	}
 	own := slices.Clone(raw)
 	m, _ = ldapmsg.Parse(own)
@@ -57,7 +57,7 @@
 		b, _ = ldapmsg.ParseBind(m.Content)
 		o.newIdentity = s.protocol.identity(b.Name, b.Password).retain()
 	} else if stickyConn != nil && !stickyConn.isUnusable() {
-		o.requiredConn = stickyConn // a further step, or a new exchange: the server knows
+		o.requiredConn = stickyConn // a further step or a new SASL exchange: the server can tell
 	}
 	s.submit(o, 0)
 	<-o.done
--- a/internal/protocol/ldap/bind_test.go
+++ b/internal/protocol/ldap/bind_test.go
@@ -18,7 +18,7 @@
 // A server connection serves only the identity that is bound on it, and a bind is made again on each
 // server by the agent. Credentials are in no log.
 func TestOperationsRunAsTheirClient(t *testing.T) {
-	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	var mu sync.Mutex
 	seen := map[string]map[string]bool{} // by DN asked for, who asked
 	for _, d := range []*directory.Directory{one, two} {
@@ -34,23 +34,23 @@
 			return directory.Fault{}
 		})
 	}
-	a := start(t, testConfig(t, one, two), Options{})
-	admin, other, anybody := a.dial(t), a.dial(t), a.dial(t)
+	a := startAgent(t, testConfig(t, one, two), Options{})
+	admin, other, anonymous := a.dial(t), a.dial(t), a.dial(t)
 	if err := admin.Bind("cn=admin", "secret-1"); err != nil {
 		t.Fatal(err)
 	}
 	if err := other.Bind("cn=other", "secret-2"); err != nil {
 		t.Fatal(err)
 	}
-	if err := anybody.Bind("cn=admin", "secret-wrong"); code(err) != client.LDAPResultInvalidCredentials {
+	if err := anonymous.Bind("cn=admin", "secret-wrong"); resultCode(err) != client.LDAPResultInvalidCredentials {
 		t.Fatalf("a wrong password: %v", err)
 	}
 	var all sync.WaitGroup
-	for name, c := range map[string]*client.Conn{"a": admin, "b": other, "c": anybody} {
+	for name, c := range map[string]*client.Conn{"a": admin, "b": other, "c": anonymous} {
 		for range 4 {
 			all.Go(func() {
 				for range 20 {
-					if _, err := c.Search(search("cn="+name+",dc=ward", client.ScopeBaseObject)); err != nil {
+					if _, err := c.Search(newSearch("cn="+name+",dc=ward", client.ScopeBaseObject)); err != nil {
 						t.Errorf("%s: %v", name, err)
 					}
 				}
@@ -65,15 +65,15 @@
 	if one.Served("lookup") == 0 || two.Served("lookup") == 0 {
 		t.Error("one of the two got nothing")
 	}
-	if who, err := admin.WhoAmI(nil); err != nil || who.AuthzID != "dn:cn=admin" {
-		t.Errorf("%+v, %v", who, err)
+	if authz, err := admin.WhoAmI(nil); err != nil || authz.AuthzID != "dn:cn=admin" {
+		t.Errorf("%+v, %v", authz, err)
 	}
 	// After a failed bind a client is anybody (RFC 4511, 4.2.1).
-	if err := admin.Bind("cn=admin", "secret-wrong"); code(err) != client.LDAPResultInvalidCredentials {
+	if err := admin.Bind("cn=admin", "secret-wrong"); resultCode(err) != client.LDAPResultInvalidCredentials {
 		t.Errorf("%v", err)
 	}
-	if who, err := admin.WhoAmI(nil); err != nil || who.AuthzID != "" {
-		t.Errorf("%+v, %v", who, err)
+	if authz, err := admin.WhoAmI(nil); err != nil || authz.AuthzID != "" {
+		t.Errorf("%+v, %v", authz, err)
 	}
 	if text := a.log.String(); strings.Contains(text, "secret") {
 		t.Errorf("a password is in the log: %s", text)
@@ -82,50 +82,50 @@
 
 // A password is wiped from memory with the connection that brought it.
 func TestPasswordsAreWiped(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	a := start(t, testConfig(t, d), Options{})
+	d := startDirectory(t, "one", directory.Options{})
+	a := startAgent(t, testConfig(t, d), Options{})
 	c := a.dial(t)
 	if err := c.Bind("cn=admin", "secret-1"); err != nil {
 		t.Fatal(err)
 	}
 	a.p.mu.Lock()
-	var who *identity
+	var ident *identity
 	for s := range a.p.sessions {
 		s.mu.Lock()
-		who = s.identity
+		ident = s.identity
 		s.mu.Unlock()
 	}
 	a.p.mu.Unlock()
-	if who == nil || string(who.password) != "secret-1" {
-		t.Fatalf("%+v", who)
+	if ident == nil || string(ident.password) != "secret-1" {
+		t.Fatalf("%+v", ident)
 	}
 	c.Close()
-	testkit.WaitFor(t, "the password to be wiped", func() bool { return who.refs.Load() == 0 && who.password[0] == 0 })
-	if strings.Trim(string(who.password), "\x00") != "" {
-		t.Errorf("%q is left", who.password)
+	testkit.WaitFor(t, "the password to be wiped", func() bool { return ident.refs.Load() == 0 && ident.password[0] == 0 })
+	if strings.Trim(string(ident.password), "\x00") != "" {
+		t.Errorf("%q is left", ident.password)
 	}
 }
 
 // An operation whose server connection is not there any more binds a new one by the client's identity.
 func TestBindIsRepeatedOnNewServerConnection(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	a := start(t, testConfig(t, d), Options{})
+	d := startDirectory(t, "one", directory.Options{})
+	a := startAgent(t, testConfig(t, d), Options{})
 	c := a.dial(t)
 	if err := c.Bind("cn=admin", "secret-1"); err != nil {
 		t.Fatal(err)
 	}
 	d.Kill()
 	testkit.WaitFor(t, "the connections to end", func() bool { return d.Conns() == 0 })
-	if who, err := c.WhoAmI(nil); err != nil || who.AuthzID != "dn:cn=admin" {
-		t.Errorf("%+v, %v", who, err)
+	if authz, err := c.WhoAmI(nil); err != nil || authz.AuthzID != "dn:cn=admin" {
+		t.Errorf("%+v, %v", authz, err)
 	}
 	if d.Binds() != 2 {
 		t.Errorf("%d binds", d.Binds())
 	}
 }
 
-// twoStep is a SASL exchange's step.
-func twoStep(id int32) []byte {
+// saslBindStep is a SASL exchange's step.
+func saslBindStep(id int32) []byte {
 	mech := "TWO-STEP"
 	sasl := append([]byte{0x04, byte(len(mech))}, mech...)
 	body := append([]byte{0x02, 1, 3, 0x04, 0, 0xa3, byte(len(sasl))}, sasl...)
@@ -135,9 +135,9 @@
 // A SASL bind of several steps keeps its server connection, for its steps and for what follows; when
 // that ends, the client is told.
 func TestSASLBindKeepsItsServerConnection(t *testing.T) {
-	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
-	a := start(t, testConfig(t, one, two), Options{})
-	c := a.raw(t)
+	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
+	a := startAgent(t, testConfig(t, one, two), Options{})
+	c := a.dialRaw(t)
 	in := ldapmsg.NewReader(c, 1<<20)
 	ask := func(b []byte) ldapmsg.Message {
 		t.Helper()
@@ -154,10 +154,10 @@
 		}
 		return m
 	}
-	if m := ask(twoStep(1)); func() int { n, _ := m.Code(); return n }() != ldapmsg.SASLBindInProgress {
+	if m := ask(saslBindStep(1)); func() int { n, _ := m.Code(); return n }() != ldapmsg.SASLBindInProgress {
 		t.Fatalf("%+v", m)
 	}
-	if m := ask(twoStep(2)); func() int { n, _ := m.Code(); return n }() != ldapmsg.Success {
+	if m := ask(saslBindStep(2)); func() int { n, _ := m.Code(); return n }() != ldapmsg.Success {
 		t.Fatalf("%+v", m)
 	}
 	for i := range int32(20) {
@@ -187,7 +187,7 @@
 		t.Errorf("%v", err)
 	}
 	// EXTERNAL would be this agent's own.
-	c2 := a.raw(t)
+	c2 := a.dialRaw(t)
 	mech := append([]byte{0x04, 8}, "EXTERNAL"...)
 	body := append([]byte{0x02, 1, 3, 0x04, 0, 0xa3, byte(len(mech))}, mech...)
 	if _, err := c2.Write(ldapmsg.WithID(1, append([]byte{ldapmsg.BindRequest, byte(len(body))}, body...))); err != nil {
@@ -205,8 +205,8 @@
 // A password that is changed while its owner is bound: the old one is tried once more at the most, and
 // not over and over until it is locked out.
 func TestRejectedRebindAsksClientToBindAgain(t *testing.T) {
-	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
-	a := start(t, testConfig(t, one, two), Options{})
+	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
+	a := startAgent(t, testConfig(t, one, two), Options{})
 	c := a.dial(t)
 	if err := c.Bind("cn=admin", "secret-1"); err != nil {
 		t.Fatal(err)
@@ -220,7 +220,7 @@
 	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
 	before := binds()
 	for range 10 {
-		if _, err := c.Search(one2()); code(err) != ldapmsg.StrongerAuthRequired {
+		if _, err := c.Search(lookupSearch()); resultCode(err) != ldapmsg.StrongerAuthRequired {
 			t.Errorf("%v", err)
 		}
 	}
@@ -230,7 +230,7 @@
 	if err := c.Bind("cn=admin", "secret-3"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Search(one2()); err != nil {
+	if _, err := c.Search(lookupSearch()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/protocol/ldap/bindserver.go
+++ b/internal/protocol/ldap/bindserver.go
@@ -9,13 +9,14 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// noIdentity is no identity's key: these are "" or 32 bytes long.
+// noIdentity is a key that no identity has, since identity keys are "" or 32 bytes long. No pooled connection matches
+// it.
 const noIdentity = "\x00none"
 
-// acquireBound returns a connection for an operation, bound as the operation's client is, and opens one if needed. Without a
-// connection it returns the attempt's result, which says that nothing ran.
+// acquireBound returns a connection that is bound with the identity of the operation's client, and opens one if
+// needed. If it can't, it returns nil and a result of the attempt, which says that the operation was not executed.
 func (p *connPool) acquireBound(a *core.Attempt, o *operation) (*serverConn, decide.Result) {
-	if o.requiredConn != nil { // of a SASL bind or a paged search
+	if o.requiredConn != nil { // the connection of a SASL bind or of a paged search
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if o.requiredConn.closed || o.requiredConn.suspect || o.requiredConn.server != a.Server {
@@ -28,7 +29,7 @@
 	bind := o.message.Op == ldapmsg.BindRequest
 	identityKey := o.identity.keyOf()
 	if bind {
-		identityKey = noIdentity // on a new connection
+		identityKey = noIdentity // a bind always gets a new connection
 	}
 	c, addr, err := p.acquire(a.Server, identityKey, bind || o.kind == kindSearch)
 	if err == nil && c != nil {
@@ -49,10 +50,10 @@
 			p.log.Warn("attempt not sent", "error", err, "server", a.Server)
 		}
 		if errors.Is(err, errMovedWhileDialling) {
-			return nil, decide.Incomplete // it never ran, and another server may get it
+			return nil, decide.Incomplete // the operation was not sent, and may be sent to another server
 		}
 		if errors.Is(err, errServerTLS) && !errors.Is(context.Cause(a.Context), core.ErrCancelled) {
-			return nil, decide.Incomplete // a process had accepted the connection
+			return nil, decide.Incomplete // a process accepted the connection before TLS failed
 		}
 		return nil, core.NotConnected(a.Context, err)
 	}
@@ -73,11 +74,12 @@
 	return c, 0
 }
 
-// bindAs binds a new connection as a client was bound on another. Nothing of the operation is sent by it.
-func (p *connPool) bindAs(a *core.Attempt, c *serverConn, who *identity) decide.Result {
-	text := ldapmsg.SimpleBind(1, who.name, who.password)
-	defer clear(text)
-	m, err := ldapmsg.Parse(text)
+// bindAs binds a new connection with the credentials that a client's bind on another connection succeeded with. It
+// sends only the BindRequest, nothing of the operation.
+func (p *connPool) bindAs(a *core.Attempt, c *serverConn, ident *identity) decide.Result {
+	encoded := ldapmsg.SimpleBind(1, ident.name, ident.password)
+	defer clear(encoded)
+	m, err := ldapmsg.Parse(encoded)
 	if err != nil {
 		return decide.Incomplete
 	}
@@ -91,14 +93,14 @@
 	}
 	defer close(k.abandoned)
 	select {
-	case got := <-k.parts:
+	case got := <-k.messages:
 		switch code, _ := got.Code(); code {
 		case ldapmsg.Success:
-			p.setIdentity(c, who)
+			p.setIdentity(c, ident)
 			return decide.OK
 		case ldapmsg.InvalidCredentials:
-			// Repeated on one server after the other, the bind might lock its owner out.
-			who.rejected.Store(true)
+			// Repeating the bind on one server after another could lock the account.
+			ident.rejected.Store(true)
 			p.log.Warn("a server does not take a bind that another took", "server", c.server)
 		}
 		return decide.Rejected // the operation was not sent
--- a/internal/protocol/ldap/call.go
+++ b/internal/protocol/ldap/call.go
@@ -9,58 +9,59 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// call is one request on a server connection, until its last message was received.
+// call is one request that was sent on a server connection, until the last message of its response has been received.
 type call struct {
 	id        int32
 	finalOp   byte // the tag of the response's last message
-	parts     chan part
-	abandoned chan struct{} // closed when the attempt waits no more
+	messages  chan responseMessage
+	abandoned chan struct{} // closed when the attempt no longer waits for messages
 	connEnded chan struct{} // closed when the connection has ended
 }
 
-// part is one message of a response.
-type part struct {
+// responseMessage is one message of a server's response.
+type responseMessage struct {
 	ldapmsg.Message
 	raw  []byte
 	last bool
 }
 
-// finalResponse is a response's last message, and what it means for the session.
+// finalResponse is the last message of a response, with the changes that it makes to the session.
 type finalResponse struct {
-	rest   []byte      // the message behind its ID
-	code   int         // its result code
-	cookie []byte      // of a paged search that has further pages
-	conn   *serverConn // reserved for these pages, or for a SASL bind
+	rest   []byte      // the part of the message that follows the message ID
+	code   int         // the result code
+	cookie []byte      // the cookie of a paged search that has further pages
+	conn   *serverConn // the connection that is reserved for further pages or for a SASL bind; nil: none
 }
 
-// maxQueuedParts is how many messages of one response are queued before the connection's reader waits. A larger value takes
-// more memory, a smaller one delays other responses on a shared connection.
-const maxQueuedParts = 16
+// maxQueuedMessages is how many messages of one response are queued before the connection's reader waits. A larger
+// value takes more memory, a smaller one delays other responses on a shared connection.
+const maxQueuedMessages = 16
 
-// writeGuard admits a message of an attempt right before its first byte; EndWrite ends the write that was admitted.
+// writeGuard decides right before the first byte of a message whether the message may be written. EndWrite ends a
+// write that BeginWrite has admitted.
 type writeGuard interface {
 	BeginWrite(interrupt func()) core.SendRefusal
 	EndWrite()
 }
 
-// noGuard admits messages that belong to no request.
+// noGuard admits every message. It is for messages that don't belong to an attempt.
 type noGuard struct{}
 
 func (noGuard) BeginWrite(func()) core.SendRefusal { return core.SendAllowed }
 
 func (noGuard) EndWrite() {}
 
-// sendRefusedError is a message that its guard did not admit: nothing was written.
+// sendRefusedError is the error of a message that its guard did not admit. Nothing of the message was written.
 type sendRefusedError struct{ reason core.SendRefusal }
 
 // Error implements error.
 func (e *sendRefusedError) Error() string { return "not sent: " + e.reason.String() }
 
-// startCall sends a request under a new message ID. A call is returned if its last byte was written.
+// startCall sends a request under a new message ID. It returns the call if the whole request was written.
 func (c *serverConn) startCall(ctx context.Context, guard writeGuard, op byte, rest []byte) (*call, error) {
 	k := &call{
 		finalOp:   ldapmsg.ResponseTo(op),
-		parts:     make(chan part, maxQueuedParts),
+		messages:  make(chan responseMessage, maxQueuedMessages),
 		abandoned: make(chan struct{}),
 		connEnded: make(chan struct{}),
 	}
@@ -69,7 +70,7 @@
 		c.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	for { // IDs start again after MaxID
+	for { // message IDs start again at 1 after MaxID
 		c.lastID++
 		if c.lastID <= 0 || c.lastID >= ldapmsg.MaxID {
 			c.lastID = 1
@@ -81,32 +82,32 @@
 	k.id = c.lastID
 	c.calls[k.id] = k
 	c.mu.Unlock()
-	text := ldapmsg.WithID(k.id, rest)
-	n, err := c.send(ctx, guard, text)
+	encoded := ldapmsg.WithID(k.id, rest)
+	n, err := c.send(ctx, guard, encoded)
 	if op == ldapmsg.BindRequest {
-		clear(text)
+		clear(encoded)
 	}
-	if err != nil && n < len(text) {
+	if err != nil && n < len(encoded) {
 		c.mu.Lock()
 		delete(c.calls, k.id)
 		c.mu.Unlock()
 		if n > 0 {
-			_ = c.conn.Close() // a further message would be taken for the rest of this one
+			_ = c.conn.Close() // the server would read a further message as the rest of this one
 		}
 		return nil, err
 	}
 	return k, nil
 }
 
-// send writes one message, if its guard admits it. It returns how many bytes were written.
-func (c *serverConn) send(ctx context.Context, guard writeGuard, text []byte) (int, error) {
+// send writes one message, if guard admits it. It returns how many bytes were written.
+func (c *serverConn) send(ctx context.Context, guard writeGuard, encoded []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	until, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		until = time.Now().Add(writeTimeout)
+		deadline = time.Now().Add(writeTimeout)
 	}
-	if err := c.conn.SetWriteDeadline(until); err != nil {
+	if err := c.conn.SetWriteDeadline(deadline); err != nil {
 		return 0, err
 	}
 	if err := ctx.Err(); err != nil {
@@ -117,10 +118,11 @@
 		return 0, &sendRefusedError{reason}
 	}
 	defer guard.EndWrite()
-	return c.conn.Write(text)
+	return c.conn.Write(encoded)
 }
 
-// sendAbandon sends an AbandonRequest (RFC 4511, 4.11) without waiting. The server may run the operation nevertheless.
+// sendAbandon sends an AbandonRequest (RFC 4511, 4.11) without waiting. The server may execute the operation all the
+// same.
 func (c *serverConn) sendAbandon(id int32) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), unbindTimeout)
@@ -129,11 +131,12 @@
 		c.lastID++
 		own := c.lastID
 		c.mu.Unlock()
-		_, _ = c.send(ctx, noGuard{}, ldapmsg.Abandon(own, id)) // it has no response
+		_, _ = c.send(ctx, noGuard{}, ldapmsg.Abandon(own, id)) // an AbandonRequest has no response
 	}()
 }
 
-// sendCancel sends a Cancel (RFC 3909), and returns the result code of its response; Other without one.
+// sendCancel sends a Cancel request (RFC 3909) for a message ID, and returns the result code of the response. Without
+// a response it returns Other.
 func (c *serverConn) sendCancel(id int32, timeout time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -147,7 +150,7 @@
 	}
 	defer close(k.abandoned)
 	select {
-	case got := <-k.parts:
+	case got := <-k.messages:
 		code, _ := got.Code()
 		return code
 	case <-k.connEnded:
--- a/internal/protocol/ldap/cancel.go
+++ b/internal/protocol/ldap/cancel.go
@@ -5,8 +5,8 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// handleAbandon abandons an operation (RFC 4511, 4.11): it has no response, and is in flight until its end is seen or its
-// deadline exceeded. Binds can't be abandoned.
+// handleAbandon abandons an operation (RFC 4511, 4.11). The operation gets no response, and counts as in flight until
+// its server has ended it or its deadline is exceeded. Binds can't be abandoned.
 func (s *session) handleAbandon(id int32) {
 	s.mu.Lock()
 	o := s.operations[id]
@@ -25,8 +25,9 @@
 	s.protocol.loop.ClientDisconnected(o.request)
 }
 
-// handleCancel executes a Cancel (RFC 3909). An operation that was sent to a server is cancelled by the server, which gives
-// both responses. One that was not sent is cancelled here.
+// handleCancel executes a Cancel request (RFC 3909). An operation that was sent to a server is cancelled by that
+// server, which sends the response to the operation and the result of the Cancel. An operation that was not sent is
+// cancelled by the agent.
 func (s *session) handleCancel(m ldapmsg.Message, value []byte) {
 	id, err := ldapmsg.ParseCancel(value)
 	if err != nil {
@@ -47,7 +48,7 @@
 	o.mu.Lock()
 	c := o.attemptConn
 	attemptID := o.attemptID
-	beingWritten := c == nil && o.attemptStarted // whether it runs can't be known yet
+	beingWritten := c == nil && o.attemptStarted // it is not known yet whether the operation will be executed
 	if c == nil && !beingWritten {
 		o.cancelled = true
 	}
@@ -71,7 +72,7 @@
 	})
 }
 
-// finishCancel queues the response of a Cancel that was with a server.
+// finishCancel queues the response to a Cancel request that was sent to a server.
 func (s *session) finishCancel(m ldapmsg.Message, code int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/protocol/ldap/cancel_test.go
+++ b/internal/protocol/ldap/cancel_test.go
@@ -10,18 +10,18 @@
 
 // An abandoned operation has no answer, is abandoned at its server, and counts as running until its end.
 func TestAbandonedOperationGetsNoResponse(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 10)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 10)
 	d.Script(func(o directory.Op) directory.Fault {
 		if o.Kind == "search" {
-			came <- struct{}{}
+			arrived <- struct{}{}
 			return directory.Fault{Stall: hold}
 		}
 		return directory.Fault{}
 	})
 	defer close(hold)
-	a := start(t, testConfig(t, d), Options{})
-	c := a.raw(t)
+	a := startAgent(t, testConfig(t, d), Options{})
+	c := a.dialRaw(t)
 	send := func(b []byte) {
 		t.Helper()
 		if _, err := c.Write(b); err != nil {
@@ -29,7 +29,7 @@
 		}
 	}
 	send(rawSearch(7, 2))
-	testkit.Receive(t, "the search", came)
+	testkit.Receive(t, "the search", arrived)
 	send(ldapmsg.Abandon(8, 7))
 	testkit.WaitFor(t, "the abandon at the server", func() bool { return d.Abandoned() == 1 })
 	testkit.WaitFor(t, "the operation to be gone", func() bool { return a.Totals().ClientDisconnects == 1 })
@@ -70,23 +70,24 @@
 
 // A Cancel (RFC 3909) of what is on a server is that server's: both answers are its.
 func TestCancelIsAnswered(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(hold)
 	d.Script(func(o directory.Op) directory.Fault {
 		if o.Kind == "search" {
-			came <- struct{}{}
+			arrived <- struct{}{}
 			return directory.Fault{Stall: hold}
 		}
 		return directory.Fault{}
 	})
-	a := start(t, testConfig(t, d), Options{})
-	c := a.raw(t)
+	a := startAgent(t, testConfig(t, d), Options{})
+	c := a.dialRaw(t)
 	if _, err := c.Write(rawSearch(5, 2)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the search", came)
-	// The server may have the search before the agent knows that all of it was written; until then it can't be cancelled.
+	testkit.Receive(t, "the search", arrived)
+	// The server may have the search before the agent knows that all of it was written; until then it can't be
+	// cancelled.
 	testkit.WaitFor(t, "the attempt", func() bool { return a.hasAttempt(5) })
 	if _, err := c.Write(append(ldapmsg.Cancel(6, 5), ldapmsg.Cancel(7, 99)...)); err != nil {
 		t.Fatal(err)
--- a/internal/protocol/ldap/clientreader.go
+++ b/internal/protocol/ldap/clientreader.go
@@ -8,17 +8,18 @@
 	"syscall"
 )
 
-// clientReader is a client's connection with a second way to read: what has arrived, without waiting. A read whose deadline
-// has passed returns an error though bytes may have arrived; a session that is about to end looks for them. It takes the
-// connection's place under TLS too. Its reading goroutine alone may call Read and setArrivedOnly.
+// clientReader is a client's connection with a second way of reading, which returns the bytes that have arrived and
+// never waits. A session that is about to end needs it, because a read whose deadline has passed returns an error
+// even if bytes have arrived. A TLS connection is layered on top of the clientReader too. Only the session's reader
+// goroutine may call Read and setArrivedOnly.
 type clientReader struct {
 	net.Conn
 	arrivedOnly bool
-	budget      int // bytes that may still be read, where arrivedOnly
+	budget      int // how many bytes may still be read while arrivedOnly is set
 }
 
-// setArrivedOnly has reads return what has arrived, maxBytes at most, and a timeout error where there is nothing; or, with
-// 0, wait as usual.
+// setArrivedOnly sets how Read works from now on. With maxBytes > 0, reads return bytes that have arrived, maxBytes
+// in total at most, and a timeout error if there are none. With 0, reads wait as usual.
 func (r *clientReader) setArrivedOnly(maxBytes int) {
 	r.arrivedOnly = maxBytes > 0
 	r.budget = maxBytes
@@ -37,7 +38,7 @@
 	return n, err
 }
 
-// CloseWrite ends what is sent to the client, if the connection can be half closed.
+// CloseWrite closes the sending side of the connection, if the connection can be half closed.
 func (r *clientReader) CloseWrite() error {
 	if c, ok := r.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
@@ -45,12 +46,12 @@
 	return errors.ErrUnsupported
 }
 
-// readArrived reads from a socket without waiting, whatever its deadline. It returns os.ErrDeadlineExceeded where nothing has
-// arrived.
+// readArrived reads from a socket without waiting, regardless of its read deadline. It returns os.ErrDeadlineExceeded
+// if no bytes have arrived.
 func readArrived(conn net.Conn, p []byte) (n int, err error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
-		return 0, os.ErrDeadlineExceeded // no socket: a test's
+		return 0, os.ErrDeadlineExceeded // not a socket: a test's connection
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -64,7 +65,7 @@
 		}
 	})
 	switch {
-	case err != nil: // it was closed on this side
+	case err != nil: // the socket was closed on this side
 		return 0, err
 	case readErr == syscall.EAGAIN:
 		return 0, os.ErrDeadlineExceeded
--- a/internal/protocol/ldap/clienttls.go
+++ b/internal/protocol/ldap/clienttls.go
@@ -12,19 +12,19 @@
 // startTLS handles a StartTLS request (RFC 4511, 4.14).
 func (s *session) startTLS(m ldapmsg.Message) (more bool, err error) {
 	s.mu.Lock()
-	open := s.hasOpen()
+	open := s.hasOpenRequests()
 	secured := s.secured
 	s.mu.Unlock()
 	switch {
 	case secured || open:
-		s.respond(m.ID, m.Op, ldapmsg.OperationsError, "TLS is there already, or operations are open")
+		s.respond(m.ID, m.Op, ldapmsg.OperationsError, "TLS is already in use, or operations are open")
 		return true, nil
 	case s.protocol.tls == nil:
-		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, "StartTLS is not served here")
+		s.respond(m.ID, m.Op, ldapmsg.ProtocolErrorCode, "StartTLS is not supported")
 		return true, nil
 	case s.in.Buffered() > 0:
-		// Bytes sent in plain must not be taken for bytes under TLS.
-		return false, fmt.Errorf("%w: something came behind StartTLS", ldapmsg.ErrMalformed)
+		// Bytes that were sent in plain text must not be handled as if they had come over TLS.
+		return false, fmt.Errorf("%w: bytes in plain text after the StartTLS request", ldapmsg.ErrMalformed)
 	}
 	if !s.beginHandshake() {
 		s.respond(m.ID, m.Op, ldapmsg.Unavailable, closingText)
@@ -47,7 +47,8 @@
 	return true, nil
 }
 
-// beginHandshake takes note that a TLS handshake follows, which is not interrupted. It reports false if the session closes.
+// beginHandshake records that a TLS handshake follows, so that interruptRead does not interrupt it. It returns false
+// if the session is closing.
 func (s *session) beginHandshake() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,14 +56,14 @@
 	return s.handshaking
 }
 
-// acceptTLS makes the TLS handshake, within core.HeadTimeout.
+// acceptTLS performs the server side of the TLS handshake, within core.HeadTimeout.
 func (s *session) acceptTLS() error {
 	c := tls.Server(s.client, s.protocol.tls)
 	if err := s.raw.SetDeadline(time.Now().Add(core.HeadTimeout)); err != nil {
 		return err
 	}
 	if err := c.Handshake(); err != nil {
-		s.protocol.log.Warn("TLS with a client failed", "client", s.raw.RemoteAddr().String(), "error", err)
+		s.protocol.log.Warn("TLS handshake with a client failed; closing its connection", "client", s.raw.RemoteAddr().String(), "error", err)
 		return err
 	}
 	s.mu.Lock()
@@ -73,7 +74,7 @@
 	s.conn = c
 	s.secured = true
 	s.handshaking = false
-	if s.closing { // meanwhile
+	if s.closing { // the session began to close during the handshake
 		s.interruptRead()
 	}
 	return nil
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -18,16 +18,17 @@
 )
 
 // What these tests show, all of one kind: a session looked whether an operation was open, and then sent the Notice of
-// Disconnection, while a request stood between its last byte and its entry among the operations. It was dropped in silence:
+// Disconnection, while a request stood between its last byte and its entry among the operations. It was dropped in
+// silence:
 //
 //	ldap_test.go:89: after the change: unable to read LDAP response packet: EOF
 //
-// about once in 100 runs of TestLDAPInstance, and for 18 of 10,822 clients that dial, ask once and close over 400 reloads.
-// The session's reader had stored hasRequested, so that drain skipped its fresh period, and had not taken the lock under
-// which the operation is entered. The same gap stood behind each other reason to close a session.
+// about once in 100 runs of TestLDAPInstance, and for 18 of 10,822 clients that dial, ask once and close over 400
+// reloads. The session's reader had stored hasRequested, so that drain skipped its fresh period, and had not taken
+// the lock under which the operation is entered. The same gap stood behind each other reason to close a session.
 
 // onlySession waits for the one session of an agent.
-func (r *running) onlySession(t testing.TB) *session {
+func (r *testAgent) onlySession(t testing.TB) *session {
 	t.Helper()
 	var found *session
 	testkit.WaitFor(t, "the session", func() bool {
@@ -75,8 +76,8 @@
 	return strings.Join(out, " ")
 }
 
-// A request that the reader has in hand as its session begins to close, whatever the reason, has its own response before the
-// notice.
+// A request that the reader has in hand as its session begins to close, whatever the reason, has its own response
+// before the notice.
 func TestRequestReadAsTheSessionClosesIsAnswered(t *testing.T) {
 	requests := map[string][]byte{
 		"search":           rawSearch(1, 0),
@@ -84,10 +85,10 @@
 		"simple bind":      ldapmsg.SimpleBind(1, []byte("cn=admin"), []byte("secret-1")),
 		"extended request": ldapmsg.Extended(1, ldapmsg.OIDWhoAmI, nil),
 	}
-	reasons := map[string]func(*running, *session){
-		"the agent drains": func(r *running, _ *session) { r.p.SetDraining(true) },
+	reasons := map[string]func(*testAgent, *session){
+		"the agent drains": func(r *testAgent, _ *session) { r.p.SetDraining(true) },
 		// evictQuiet's last step, when its look is over
-		"it is evicted": func(_ *running, s *session) {
+		"it is evicted": func(_ *testAgent, s *session) {
 			go s.closeWithNotice(ldapmsg.Unavailable, "too many connections: this one was quiet for longest")
 		},
 	}
@@ -95,9 +96,9 @@
 		for reason, end := range reasons {
 			t.Run(request+" as "+reason, func(t *testing.T) {
 				t.Parallel()
-				r := start(t, testConfig(t, dir(t, "one", directory.Options{})), Options{})
-				for n := 0; n < crossings; {
-					if crossRequestAndClose(t, r, text, end) {
+				r := startAgent(t, testConfig(t, startDirectory(t, "one", directory.Options{})), Options{})
+				for n := 0; n < races; {
+					if raceRequestAndClose(t, r, text, end) {
 						n++
 					}
 				}
@@ -106,15 +107,15 @@
 	}
 }
 
-// crossings is how often a crossing is brought about: which of two goroutines has a lock first is not in the test's hand.
-const crossings = 10
+// races is how often a crossing is brought about: which of two goroutines has a lock first is not in the test's hand.
+const races = 10
 
-// crossRequestAndClose holds a session's lock until its reader has a request in hand, and the session is to end. It reports
-// false if it took the lock before the reader had begun to read, and so there was no crossing.
-func crossRequestAndClose(t *testing.T, r *running, request []byte, end func(*running, *session)) bool {
+// raceRequestAndClose holds a session's lock until its reader has a request in hand, and the session is to end. It
+// reports false if it took the lock before the reader had begun to read, and so there was no crossing.
+func raceRequestAndClose(t *testing.T, r *testAgent, request []byte, end func(*testAgent, *session)) bool {
 	t.Helper()
 	r.p.SetDraining(false)
-	c := r.raw(t)
+	c := r.dialRaw(t)
 	s := r.onlySession(t)
 	s.mu.Lock() // nothing can look at the operations, or enter one
 	if _, err := c.Write(request); err != nil {
@@ -138,8 +139,8 @@
 // A message that comes as the session's wait for one is over is answered.
 func TestRequestThatComesAsTheReadTimesOutIsAnswered(t *testing.T) {
 	const maxIdle = 100 * time.Millisecond
-	r := start(t, testConfig(t, dir(t, "one", directory.Options{})), Options{MaxIdle: maxIdle})
-	c := r.raw(t)
+	r := startAgent(t, testConfig(t, startDirectory(t, "one", directory.Options{})), Options{MaxIdle: maxIdle})
+	c := r.dialRaw(t)
 	s := r.onlySession(t)
 	if _, err := c.Write(rawSearch(1, 0)); err != nil {
 		t.Fatal(err)
@@ -156,24 +157,24 @@
 	}
 }
 
-// On a session that closes and still has an operation open, a further request is rejected at once: nothing was done. It
-// waited unread, and was dropped behind the notice.
+// On a session that closes and still has an operation open, a further request is rejected at once: nothing was done.
+// It waited unread, and was dropped behind the notice.
 func TestRequestOnAClosingSessionIsRejectedAtOnce(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 10)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 10)
 	d.Script(func(o directory.Op) directory.Fault {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		if o.Kind == "search" {
 			return directory.Fault{Stall: hold}
 		}
 		return directory.Fault{}
 	})
-	r := start(t, testConfig(t, d), Options{})
-	c := r.raw(t)
+	r := startAgent(t, testConfig(t, d), Options{})
+	c := r.dialRaw(t)
 	if _, err := c.Write(rawSearch(1, 2)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the search", came)
+	testkit.Receive(t, "the search", arrived)
 	s := r.onlySession(t)
 	r.p.SetDraining(true)
 	testkit.WaitFor(t, "the session to close", s.isClosing)
@@ -218,10 +219,10 @@
 
 // A Cancel that is with the server has its response before the notice.
 func TestCancelIsAnsweredBeforeTheNotice(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan directory.Op, 10)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan directory.Op, 10)
 	d.Script(func(o directory.Op) directory.Fault {
-		came <- o
+		arrived <- o
 		if o.Kind == "extended" {
 			return directory.Fault{Stall: hold}
 		}
@@ -232,17 +233,17 @@
 		cfg.Settings.Classes[i].Deadline = 600 * time.Millisecond
 		cfg.Settings.Classes[i].Objective = 600 * time.Millisecond
 	}
-	r := start(t, cfg, Options{})
-	c := r.raw(t)
+	r := startAgent(t, cfg, Options{})
+	c := r.dialRaw(t)
 	if _, err := c.Write(rawSearch(1, 2)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the search", came)
+	testkit.Receive(t, "the search", arrived)
 	testkit.WaitFor(t, "the attempt", func() bool { return r.hasAttempt(1) })
 	if _, err := c.Write(ldapmsg.Cancel(2, 1)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the cancel", came)
+	testkit.Receive(t, "the cancel", arrived)
 	// The search ends by its deadline; the response to the Cancel ends by the same, some moments later or earlier.
 	r.p.SetDraining(true)
 	got := summary(readUntilEnd(t, c))
@@ -252,16 +253,16 @@
 	}
 }
 
-// A TLS handshake that is under way as the agent drains comes to its end, and the notice comes under TLS. It was cut off: the
-// client saw a broken handshake, or the notice in plain in the midst of it.
+// A TLS handshake that is under way as the agent drains comes to its end, and the notice comes under TLS. It was cut
+// off: the client saw a broken handshake, or the notice in plain in the midst of it.
 func TestHandshakeUnderADrainIsCompleted(t *testing.T) {
-	ca := newAuthority(t)
+	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
 	for name, ldaps := range map[string]bool{"StartTLS": false, "LDAPS": true} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, testConfig(t, dir(t, "one", directory.Options{})), Options{Certificate: cert, Key: key, LDAPS: ldaps})
-			r.p.freshPeriod = time.Millisecond
-			c := r.raw(t)
+			r := startAgent(t, testConfig(t, startDirectory(t, "one", directory.Options{})), Options{Certificate: cert, Key: key, LDAPS: ldaps})
+			r.p.firstRequestGrace = time.Millisecond
+			c := r.dialRaw(t)
 			s := r.onlySession(t)
 			if !ldaps {
 				if _, err := c.Write(ldapmsg.Extended(1, ldapmsg.OIDStartTLS, nil)); err != nil {
@@ -290,17 +291,17 @@
 
 // A step of a SASL bind that is read as the agent drains has its response.
 func TestSASLStepUnderADrainIsAnswered(t *testing.T) {
-	r := start(t, testConfig(t, dir(t, "one", directory.Options{})), Options{})
-	c := r.raw(t)
+	r := startAgent(t, testConfig(t, startDirectory(t, "one", directory.Options{})), Options{})
+	c := r.dialRaw(t)
 	s := r.onlySession(t)
-	if _, err := c.Write(twoStep(1)); err != nil {
+	if _, err := c.Write(saslBindStep(1)); err != nil {
 		t.Fatal(err)
 	}
 	testkit.WaitFor(t, "the first step", func() bool { return r.Totals().Served == 1 })
 	testkit.WaitFor(t, "its end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.operations) == 0 })
 	received := s.lastReceived.Load()
 	s.mu.Lock()
-	if _, err := c.Write(twoStep(2)); err != nil {
+	if _, err := c.Write(saslBindStep(2)); err != nil {
 		t.Fatal(err)
 	}
 	testkit.WaitFor(t, "the second step to be read", func() bool { return s.lastReceived.Load() != received })
@@ -319,7 +320,7 @@
 		deadline = 2 * time.Second
 		queued   = 1500 * time.Millisecond
 	)
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	stall := make(chan struct{})
 	defer close(stall)
 	d.Script(func(directory.Op) directory.Fault { return directory.Fault{Stall: stall} })
@@ -328,8 +329,8 @@
 		cfg.Settings.Classes[i].Objective = deadline
 		cfg.Settings.Classes[i].Deadline = deadline
 	}
-	held := make(chan struct{})
-	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: held}
+	acceptHeld := make(chan struct{})
+	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: acceptHeld}
 	a, _, err := newAgent(cfg, Options{}, testkit.Quiet, core.Parts{Listener: l, NoLateConnections: true})
 	if err != nil {
 		t.Fatal(err)
@@ -348,7 +349,7 @@
 	}
 	sent := time.Now()
 	time.Sleep(queued)
-	close(held)
+	close(acceptHeld)
 	if _, err := ldapmsg.NewReader(c, 1<<20).Next(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ldap/dial.go
+++ b/internal/protocol/ldap/dial.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// dial opens an anonymous connection for a probe.
+// dial opens an anonymous connection for a health check.
 func (p *connPool) dial(ctx context.Context, server string) (*serverConn, error) {
 	p.mu.Lock()
 	addr, ok := p.addresses.Addr(server)
@@ -29,8 +29,8 @@
 	return p.connect(ctx, server, addr)
 }
 
-// connect opens an anonymous connection within the connect timeout. It is already counted as open. After an error of
-// errServerTLS a process had accepted the connection.
+// connect opens an anonymous connection within the connect timeout. The caller has already counted the connection as
+// open. An error that wraps errServerTLS means that a process accepted the TCP connection, and TLS failed.
 func (p *connPool) connect(ctx context.Context, server, addr string) (*serverConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Settings.ConnectTimeout)
 	defer cancel()
@@ -48,7 +48,7 @@
 		p.open--
 		return nil, err
 	}
-	// Another server may have the address by now.
+	// Another server may have taken over the address in the meantime.
 	if current, known := p.addresses.Addr(server); !known || current != addr {
 		p.open--
 		_ = nc.Close()
@@ -69,7 +69,8 @@
 	return c, nil
 }
 
-// connectTLS begins TLS on a connection, by StartTLS (RFC 4511, 4.14) where that is set. There is no fallback to plain.
+// connectTLS begins TLS on a connection, after a StartTLS request (RFC 4511, 4.14) if ServerTLS is "starttls". It
+// never falls back to a connection without TLS.
 func (p *connPool) connectTLS(ctx context.Context, nc net.Conn, addr string) (net.Conn, error) {
 	deadline, _ := ctx.Deadline()
 	if err := nc.SetDeadline(deadline); err != nil {
@@ -89,7 +90,7 @@
 			return nil, err
 		}
 		if code, ok := m.Code(); m.ID != 1 || m.Op != ldapmsg.ExtResponse || !ok || code != ldapmsg.Success || in.Buffered() > 0 {
-			return nil, fmt.Errorf("StartTLS was answered with %d", code)
+			return nil, fmt.Errorf("unexpected response to StartTLS: result code %d", code)
 		}
 	}
 	cfg := p.tls
--- a/internal/protocol/ldap/disconnect_test.go
+++ b/internal/protocol/ldap/disconnect_test.go
@@ -23,11 +23,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const most = 6 // that one server may have at once, as the module has it at its start
-			d := dir(t, "one", directory.Options{})
-			hold, came := make(chan struct{}), make(chan directory.Op, 100)
+			const serverLimit = 6 // that one server may have at once, as the module has it at its start
+			d := startDirectory(t, "one", directory.Options{})
+			hold, arrived := make(chan struct{}), make(chan directory.Op, 100)
 			d.Script(func(o directory.Op) directory.Fault {
-				if came <- o; o.Kind == "search" {
+				if arrived <- o; o.Kind == "search" {
 					return directory.Fault{Stall: hold}
 				}
 				return directory.Fault{}
@@ -36,20 +36,20 @@
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
 			}
-			a := start(t, cfg, Options{})
-			others := make(chan error, most)
-			for range most {
+			a := startAgent(t, cfg, Options{})
+			others := make(chan error, serverLimit)
+			for range serverLimit {
 				c := a.dial(t)
-				go func() { _, err := c.Search(whole()); others <- err }()
+				go func() { _, err := c.Search(subtreeSearch()); others <- err }()
 			}
-			for range most {
-				testkit.Receive(t, "search at the server", came)
+			for range serverLimit {
+				testkit.Receive(t, "search at the server", arrived)
 			}
-			c := a.raw(t)
+			c := a.dialRaw(t)
 			if _, err := c.Write(row.sends); err != nil {
 				t.Fatal(err)
 			}
-			testkit.WaitFor(t, "the operation", func() bool { return a.Totals().Requests == most+row.open })
+			testkit.WaitFor(t, "the operation", func() bool { return a.Totals().Requests == serverLimit+row.open })
 			if row.stops {
 				a.stop()
 				testkit.WaitFor(t, "the stop", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return a.p.draining })
@@ -57,14 +57,14 @@
 			testkit.HalfClose(t, c)
 			c.Close()
 			close(hold)
-			for range most {
+			for range serverLimit {
 				if err := testkit.Receive(t, "answer", others); err != nil {
 					t.Error(err)
 				}
 			}
-			testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(came) > 0 })
-			if len(came) > 0 {
-				t.Errorf("%+v reached the server", <-came)
+			testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(arrived) > 0 })
+			if len(arrived) > 0 {
+				t.Errorf("%+v reached the server", <-arrived)
 			}
 		})
 	}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -17,7 +17,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-const aim, deadline = 5 * time.Second, 60 * time.Second
+const objective, deadline = 5 * time.Second, 60 * time.Second
 
 func testConfig(t testing.TB, servers ...*directory.Directory) *core.Config {
 	t.Helper()
@@ -33,49 +33,49 @@
 	cfg.Settings.MayProbe, cfg.Settings.Hedging = false, false
 	cfg.Site.Classes = []string{"search", "modify"}
 	cfg.Settings.Classes = []decide.Class{
-		{Objective: aim, Deadline: deadline, Value: 1, Effect: decide.Idempotent},
-		{Objective: aim, Deadline: deadline, Value: 1, Effect: decide.NonIdempotent},
+		{Objective: objective, Deadline: deadline, Value: 1, Effect: decide.Idempotent},
+		{Objective: objective, Deadline: deadline, Value: 1, Effect: decide.NonIdempotent},
 	}
 	return cfg
 }
 
-// running is an agent under test.
-type running struct {
+// testAgent is an agent under test.
+type testAgent struct {
 	*core.Agent
 	p    *protocol
 	stop context.CancelFunc
 	done chan error
-	log  *logs
+	log  *logBuffer
 }
 
-// logs keeps what an agent writes.
-type logs struct {
+// logBuffer keeps what an agent writes.
+type logBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (l *logs) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text = append(l.text, p...)
 	return len(p), nil
 }
 
-func (l *logs) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return string(l.text)
 }
 
-func start(t testing.TB, cfg *core.Config, o Options) *running {
+func startAgent(t testing.TB, cfg *core.Config, o Options) *testAgent {
 	t.Helper()
-	log := &logs{}
+	log := &logBuffer{}
 	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Parts{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Agent: a, p: p, stop: cancel, done: make(chan error, 1), log: log}
+	r := &testAgent{Agent: a, p: p, stop: cancel, done: make(chan error, 1), log: log}
 	go func() { r.done <- a.Run(ctx); close(r.done) }()
 	t.Cleanup(func() {
 		cancel()
@@ -91,8 +91,8 @@
 	return r
 }
 
-// dir starts a directory with a few entries.
-func dir(t testing.TB, id string, o directory.Options) *directory.Directory {
+// startDirectory starts a directory with a few entries.
+func startDirectory(t testing.TB, id string, o directory.Options) *directory.Directory {
 	t.Helper()
 	d, err := directory.New(id, o)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return d
 }
 
-func (r *running) dial(t testing.TB) *client.Conn {
+func (r *testAgent) dial(t testing.TB) *client.Conn {
 	t.Helper()
 	c, err := client.DialURL("ldap://" + r.Addr().String())
 	if err != nil {
@@ -119,8 +119,8 @@
 	return c
 }
 
-// raw is a connection to the agent without a library.
-func (r *running) raw(t testing.TB) net.Conn {
+// dialRaw is a connection to the agent without a library.
+func (r *testAgent) dialRaw(t testing.TB) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
@@ -133,8 +133,9 @@
 	return c
 }
 
-// hasAttempt reports whether an operation of the given message ID has been written to a server, which has not answered.
-func (r *running) hasAttempt(id int32) bool {
+// hasAttempt reports whether an operation of the given message ID has been written to a server, which has not
+// answered.
+func (r *testAgent) hasAttempt(id int32) bool {
 	r.p.mu.Lock()
 	defer r.p.mu.Unlock()
 	for s := range r.p.sessions {
@@ -154,21 +155,21 @@
 	return false
 }
 
-func search(base string, scope int) *client.SearchRequest {
+func newSearch(base string, scope int) *client.SearchRequest {
 	return client.NewSearchRequest(base, scope, client.NeverDerefAliases, 0, 0, false, "(objectClass=*)", nil, nil)
 }
 
-var whole = func() *client.SearchRequest { return search("dc=ward", client.ScopeWholeSubtree) }
-var one = func() *client.SearchRequest { return search("cn=a,dc=ward", client.ScopeBaseObject) }
+var subtreeSearch = func() *client.SearchRequest { return newSearch("dc=ward", client.ScopeWholeSubtree) }
+var baseSearch = func() *client.SearchRequest { return newSearch("cn=a,dc=ward", client.ScopeBaseObject) }
 
-func modify(value string) *client.ModifyRequest {
+func newModify(value string) *client.ModifyRequest {
 	m := client.NewModifyRequest("cn=a,dc=ward", nil)
 	m.Replace("description", []string{value})
 	return m
 }
 
-// code is the result code of an error; 0: none.
-func code(err error) int {
+// resultCode is the result resultCode of an error; 0: none.
+func resultCode(err error) int {
 	if err == nil {
 		return 0
 	}
--- a/internal/protocol/ldap/identity.go
+++ b/internal/protocol/ldap/identity.go
@@ -10,39 +10,40 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// identity is as whom a client is bound; nil is anonymous. Its password is in memory only, and wiped with the last reference.
+// identity is the name and password that a client is bound with; nil is anonymous. The password is kept in memory
+// only, and is wiped when the last reference is released.
 type identity struct {
 	key            string // equal for equal credentials
 	name, password []byte
 	refs           atomic.Int32
-	rejected       atomic.Bool // a server did not accept the bind that another had accepted
+	rejected       atomic.Bool // a server has rejected the credentials, which another had accepted
 }
 
 // retain adds a reference.
-func (w *identity) retain() *identity {
-	if w != nil {
-		w.refs.Add(1)
+func (i *identity) retain() *identity {
+	if i != nil {
+		i.refs.Add(1)
 	}
-	return w
+	return i
 }
 
-// release ends a reference. The last one wipes the password.
-func (w *identity) release() {
-	if w != nil && w.refs.Add(-1) == 0 {
-		clear(w.password)
+// release ends a reference. The last release wipes the password.
+func (i *identity) release() {
+	if i != nil && i.refs.Add(-1) == 0 {
+		clear(i.password)
 	}
 }
 
-// keyOf is the identity's key; "" is anonymous.
-func (w *identity) keyOf() string {
-	if w == nil {
+// keyOf returns the identity's key; "" is anonymous.
+func (i *identity) keyOf() string {
+	if i == nil {
 		return ""
 	}
-	return w.key
+	return i.key
 }
 
-// identity returns the identity of a client's credentials. Its key is an HMAC: equal for the same credentials alone, and
-// nothing can be learnt from it.
+// identity returns the identity for a client's credentials. The key is an HMAC of the credentials: it is equal only
+// for equal credentials, and does not reveal them.
 func (p *protocol) identity(name, password []byte) *identity {
 	if len(name) == 0 && len(password) == 0 {
 		return nil // anonymous
@@ -54,8 +55,8 @@
 	return &identity{key: string(h.Sum(nil)), name: slices.Clone(name), password: slices.Clone(password)}
 }
 
-// applyResult takes over what a response changes about its session: the bind, and the pages of a search. The session's lock
-// is held.
+// applyResult applies the changes that a response makes to the session: the identity after a bind, and the connection
+// of a paged search. The caller holds s.mu.
 func (s *session) applyResult(o *operation, got *finalResponse) {
 	switch {
 	case o.message.Op == ldapmsg.BindRequest && got.code == ldapmsg.Success && o.sasl:
@@ -71,7 +72,8 @@
 	}
 }
 
-// keepPagedConn reserves a server connection for a paged search's next page. The session's lock is held.
+// keepPagedConn keeps a reserved server connection for the next page of a paged search, or unreserves it if the
+// session has too many such searches or is closed. The caller holds s.mu.
 func (s *session) keepPagedConn(cookie string, c *serverConn) {
 	if s.pagedConns == nil {
 		s.pagedConns = map[string]*serverConn{}
@@ -83,11 +85,11 @@
 	}
 }
 
-// setIdentity changes as whom the client is bound, and to which server connection. The session's lock is held; who is
-// retained for it.
-func (s *session) setIdentity(who *identity, stickyConn *serverConn) {
+// setIdentity sets the identity that the client is bound as, and the server connection of a SASL bind. The caller
+// holds s.mu, and has retained ident for the session.
+func (s *session) setIdentity(ident *identity, stickyConn *serverConn) {
 	s.identity.release()
-	s.identity = who
+	s.identity = ident
 	if s.stickyConn != nil && s.stickyConn != stickyConn {
 		go s.stickyConn.retire()
 	}
@@ -95,7 +97,7 @@
 	if stickyConn != nil && s.closed {
 		go stickyConn.retire()
 	}
-	for cookie, c := range s.pagedConns { // of the identity before
+	for cookie, c := range s.pagedConns { // paged searches of the previous identity
 		go c.unreserve()
 		delete(s.pagedConns, cookie)
 	}
--- a/internal/protocol/ldap/kind.go
+++ b/internal/protocol/ldap/kind.go
@@ -6,8 +6,8 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// kind is the kind of an operation. It belongs to the class of its name, where the settings have one, else to the class of
-// its fallback kind.
+// kind is the kind of an operation. Its operations belong to the class that has the kind's name, if the settings have
+// such a class, and otherwise to the class of its fallback kind.
 type kind int
 
 const (
@@ -21,11 +21,11 @@
 	kindModDN
 	kindPassword
 	kindExtended
-	kinds // how many there are
+	kindCount // how many there are
 )
 
-// kindNames are the names of kinds, and of their classes in the settings.
-var kindNames = [kinds]string{
+// kindNames are the names of the kinds, and of their classes in the settings.
+var kindNames = [kindCount]string{
 	kindSearch:   "search",
 	kindModify:   "modify",
 	kindBind:     "bind",
@@ -38,8 +38,8 @@
 	kindExtended: "extended",
 }
 
-// kindFallbacks are the kinds whose classes are taken for kinds without a class of their own.
-var kindFallbacks = [kinds]kind{
+// kindFallbacks gives, for each kind, the kind whose class is used if the settings have no class of its own.
+var kindFallbacks = [kindCount]kind{
 	kindSearch:   kindSearch,
 	kindModify:   kindModify,
 	kindBind:     kindSearch,
@@ -52,10 +52,10 @@
 	kindExtended: kindModify,
 }
 
-// RequiredClasses are the classes that every instance must have.
+// RequiredClasses are the classes that every LDAP instance must have: the ones that other kinds fall back to.
 var RequiredClasses = []string{kindNames[kindSearch], kindNames[kindModify]}
 
-// IsClass reports whether a name is that of a class of operations.
+// IsClass reports whether name is the name of a class of operations.
 func IsClass(name string) bool {
 	for _, n := range kindNames {
 		if n == name {
@@ -65,8 +65,8 @@
 	return false
 }
 
-// classesOf returns the index of each kind's class.
-func classesOf(names []string) (all [kinds]int) {
+// classesOf returns, for each kind, the index of its class in names.
+func classesOf(names []string) (all [kindCount]int) {
 	find := func(k kind) int {
 		for i, n := range names {
 			if n == kindNames[k] {
@@ -75,7 +75,7 @@
 		}
 		return -1
 	}
-	for k := range kinds {
+	for k := range kindCount {
 		if all[k] = find(k); all[k] < 0 {
 			all[k] = max(0, find(kindFallbacks[k]))
 		}
@@ -83,7 +83,8 @@
 	return all
 }
 
-// kindOf returns an operation's kind, and its own time limit; 0: none. The error's text goes to the client.
+// kindOf returns the kind of an operation, and the time limit that the client has set in the request (0: none). The
+// text of the error is sent to the client.
 func kindOf(m *ldapmsg.Message) (k kind, limit time.Duration, err error) {
 	switch m.Op {
 	case ldapmsg.SearchRequest:
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -1,19 +1,21 @@
-// Package ldap serves LDAPv3 (RFC 4511) on the core's event loop. Clients' connections are sessions, on which many operations
-// run at once; connections to directory servers each serve the one identity that is bound on them. Which server gets an
-// operation, whether it is retried and what is rejected is decided by package decide alone.
+// Package ldap implements the LDAPv3 (RFC 4511) side of the agent, on the core's event loop. Each client connection
+// is a session, on which many operations can run at once. Each connection to a directory server is bound as one
+// identity and serves only that identity. Package decide alone chooses the server of an operation, and decides on
+// retries and rejections.
 //
-// It owns the sessions, the clients' credentials while they are in use, and the pool of connections to servers; nothing of it
-// outlives the agent. Each session has a reader (protocol.serve), and a writer while something is queued. Each server
-// connection has a reader. The loop's attempts call Attempt and Probe from goroutines of their own, and the agent's goroutine
-// calls Serve, Update, Resize, Shutdown and the like.
+// The package owns the sessions, the clients' credentials while they are in use, and the pool of connections to
+// servers. It keeps no state beyond the life of the agent. Each session has a reader goroutine (protocol.serve), and
+// a writer goroutine while messages are queued. Each server connection has a reader goroutine. Attempt and Probe are
+// called from goroutines of their own, started by the core's loop; Serve, Update, Resize, Shutdown and the like are
+// called by the agent's goroutine.
 //
 //	ldap.go, kind.go, options.go               the protocol, its classes of operations, its settings
 //	session.go, clienttls.go                   a client's connection
-//	sessionread.go, clientreader.go            its reader, and how that ends
-//	sessionwrite.go                            its writer
-//	request.go, bind.go, cancel.go             checks and submits a client's requests
-//	operation.go, identity.go                  an operation, and as whom it runs
-//	attempt.go, responsestream.go              makes one attempt of an operation
+//	sessionread.go, clientreader.go            the reader of a client's connection, and how reading ends
+//	sessionwrite.go                            the writer of a client's connection
+//	request.go, bind.go, cancel.go             checking and submitting a client's requests
+//	operation.go, identity.go                  an operation, and the identity that it runs as
+//	attempt.go, responsestream.go              one attempt of an operation
 //	serverpool.go, dial.go, bindserver.go      the pool of connections to servers
 //	serverconn.go, call.go                     a connection to a server, and the requests on it
 package ldap
@@ -36,20 +38,20 @@
 
 // protocol implements core.Protocol.
 type protocol struct {
-	cfg            *core.Config
-	options        Options
-	log            *slog.Logger
-	loop           *core.Loop
-	limiter        *core.ConnLimiter
-	classes        [kinds]int
-	pool           *connPool
-	tls            *tls.Config // towards clients; nil: plain alone
-	secret         [32]byte    // the key of identities' keys; random, and in memory only
-	lastID         atomic.Uint64
-	openOperations atomic.Int64
-	maxOpen        atomic.Int64  // operations open at once, on all connections
-	startedAt      time.Time     // sessions' times count from here
-	freshPeriod    time.Duration // how long a connection without a request is served while the agent drains; tests change it
+	cfg               *core.Config
+	options           Options
+	log               *slog.Logger
+	loop              *core.Loop
+	limiter           *core.ConnLimiter
+	classOfKind       [kindCount]int
+	pool              *connPool
+	tls               *tls.Config // for client connections; nil: TLS is not offered
+	secret            [32]byte    // HMAC key for identity.key; random, and kept in memory only
+	lastID            atomic.Uint64
+	openOperations    atomic.Int64
+	maxOpen           atomic.Int64  // limit on open operations, on all client connections together
+	startedAt         time.Time     // the zero point of session.lastReceived
+	firstRequestGrace time.Duration // see defaultFirstRequestGrace; tests change it
 
 	mu        sync.Mutex
 	sessions  map[*session]bool
@@ -59,19 +61,21 @@
 }
 
 const (
-	// minQuiet is how long a session must have been quiet before it is evicted for a new one. A smaller value closes sessions
-	// that are about to be used, a larger one refuses more new ones.
+	// minQuiet is how long a session must have received no message before it may be evicted to make room for a new
+	// one. A smaller value closes sessions that are about to be used; a larger one refuses more new connections.
 	minQuiet = 2 * time.Second
-	// defaultFreshPeriod is how long a session without a request is served while the agent drains: it was accepted just
-	// before the next copy would have. A larger value delays the drain.
-	defaultFreshPeriod = 250 * time.Millisecond
+	// defaultFirstRequestGrace is how long a draining agent waits for the first request of a session that has sent
+	// none. Such a session was accepted just before the successor would have accepted it. A larger value delays the
+	// drain.
+	defaultFirstRequestGrace = 250 * time.Millisecond
 )
 
-// operationsPerSocket is how many operations may be open for each client socket, where the site has no max_open. A larger
-// value takes more memory, a smaller one rejects clients that pipeline.
+// operationsPerSocket is how many operations may be open per client socket where the site does not set max_open. A
+// larger value takes more memory; a smaller one rejects operations of clients that pipeline.
 const operationsPerSocket = 4
 
-// New returns an agent that speaks LDAP. It fails if the TLS files can't be read, or as core.New does.
+// New returns an agent that serves LDAP. It returns an error if the TLS files can't be read, or if core.New returns
+// one.
 func New(cfg *core.Config, o Options, log *slog.Logger, parts core.Parts) (*core.Agent, error) {
 	a, _, err := newAgent(cfg, o, log, parts)
 	return a, err
@@ -87,14 +91,14 @@
 	o.MaxShared = cmp.Or(o.MaxShared, defaultMaxShared)
 	o.MaxIdle = cmp.Or(o.MaxIdle, defaultMaxIdle)
 	p := &protocol{
-		cfg:         cfg,
-		options:     o,
-		log:         log,
-		tls:         clients,
-		classes:     classesOf(cfg.Site.Classes),
-		sessions:    map[*session]bool{},
-		freshPeriod: defaultFreshPeriod,
-		startedAt:   time.Now(),
+		cfg:               cfg,
+		options:           o,
+		log:               log,
+		tls:               clients,
+		classOfKind:       classesOf(cfg.Site.Classes),
+		sessions:          map[*session]bool{},
+		firstRequestGrace: defaultFirstRequestGrace,
+		startedAt:         time.Now(),
 	}
 	p.maxOpen.Store(operationsPerSocket * int64(core.ClientSockets(cfg.Sockets)))
 	if cfg.Site.MaxOpen > 0 {
@@ -111,7 +115,7 @@
 	return a, p, err
 }
 
-// Serve takes clients' connections until the limiter is closed.
+// Serve accepts clients' connections until the limiter is closed.
 func (p *protocol) Serve(limiter *core.ConnLimiter) error {
 	p.limiter = limiter
 	go func() {
@@ -120,7 +124,7 @@
 		defer p.mu.Unlock()
 		p.loopEnded = true
 		for s := range p.sessions {
-			go s.abortAll() // answers what was admitted, and the loop has not answered
+			go s.abortAll() // answers the admitted operations that the loop left unanswered
 		}
 	}()
 	for {
@@ -131,14 +135,15 @@
 		if limiter.NearCapacity() {
 			p.evictQuiet()
 		}
-		// The session gives its slot up itself, after a notice to the client: the limiter does not evict it.
+		// Marked busy, the connection is never evicted by the limiter: evictQuiet closes it instead, after a Notice of
+		// Disconnection to the client.
 		limiter.MarkBusy(nc)
 		p.running.Go(func() { p.loop.ContainPanic(func() { p.serve(nc) }) })
 	}
 }
 
-// evictQuiet closes the sessions that have been idle longest: an eighth of all, and none that was quiet for less than
-// minQuiet.
+// evictQuiet closes the sessions that have received no message for longest: about an eighth of all sessions, and none
+// that received a message within the last minQuiet.
 func (p *protocol) evictQuiet() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +160,8 @@
 	}
 }
 
-// SetDraining has each session end once all that was admitted on it is answered; with false, new sessions are served again.
+// SetDraining starts or stops draining. While draining, each session ends once all its admitted operations are
+// answered. After a call with false, new sessions are served normally again.
 func (p *protocol) SetDraining(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +174,8 @@
 	}
 }
 
-// Resize bounds the sockets. Bytes are bounded for each connection, by its messages and operations.
+// Resize sets the limit on sockets. There is no limit on bytes in total: each connection bounds its own, by the size
+// of its messages and the number of its operations.
 func (p *protocol) Resize(sockets, _ int) {
 	if p.cfg.Site.MaxOpen == 0 {
 		p.maxOpen.Store(operationsPerSocket * int64(core.ClientSockets(sockets)))
@@ -178,7 +185,7 @@
 	p.pool.maxConns = core.BackendSockets(sockets)
 }
 
-// Close closes the clients' connections that are left, and waits for their readers.
+// Close closes the remaining client connections, and waits for their readers.
 func (p *protocol) Close() error {
 	p.mu.Lock()
 	for s := range p.sessions {
@@ -189,15 +196,15 @@
 	return nil
 }
 
-// OpenRequests is how many operations have no final answer yet.
+// OpenRequests returns the number of operations that have no final answer yet.
 func (p *protocol) OpenRequests() int64 { return p.openOperations.Load() }
 
-// Attempt sends an operation to a server once. The second result is the last message of the response, nil unless the first
-// is decide.OK.
+// Attempt sends an operation to a server once. The second result is the last message of the response; it is nil
+// unless the first result is decide.OK.
 func (p *protocol) Attempt(a *core.Attempt) (decide.Result, any, decide.Load) {
 	result, final := p.pool.attempt(a, a.Message.(*operation))
 	if final == nil {
-		return result, nil, unknownLoad // an untyped nil
+		return result, nil, unknownLoad // an untyped nil: a nil *finalResponse in an any would not equal nil
 	}
 	return result, final, unknownLoad
 }
@@ -205,7 +212,7 @@
 // unknownLoad is a load report without values: directory servers send none.
 var unknownLoad = decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}
 
-// Probe checks a server's health: it opens an anonymous connection, and sends nothing on it.
+// Probe checks a server's health by opening an anonymous connection. It sends no LDAP operation on the connection.
 func (p *protocol) Probe(server string) decide.ProbeResult {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Settings.ConnectTimeout)
@@ -220,7 +227,7 @@
 	return decide.ProbeResult{Backend: server, Result: result, Latency: time.Since(start), Load: unknownLoad}
 }
 
-// Update takes a change of the endpoint list.
+// Update applies a change of the endpoint list.
 func (p *protocol) Update(l core.List) { p.pool.update(l) }
 
 // ReapIdle closes connections to servers that have been idle for too long, until ctx ends.
@@ -228,5 +235,5 @@
 	core.RunPeriodically(ctx, max(p.pool.maxIdle/reapsPerMaxIdle, minReapInterval), p.pool.reapIdle)
 }
 
-// Shutdown closes the connections to servers, and keeps none from now on.
+// Shutdown closes the connections to servers. From then on, no connection is kept after its use.
 func (p *protocol) Shutdown() { p.pool.shutdown() }
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -16,19 +16,19 @@
 
 // What each operation brings through the agent is what the directory says.
 func TestOperationsAreServed(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	c := start(t, testConfig(t, d), Options{}).dial(t)
-	got, err := c.Search(whole())
+	d := startDirectory(t, "one", directory.Options{})
+	c := startAgent(t, testConfig(t, d), Options{}).dial(t)
+	got, err := c.Search(subtreeSearch())
 	if err != nil || len(got.Entries) != 6 {
 		t.Fatalf("%v, %v", got, err)
 	}
-	if got, err = c.Search(one()); err != nil || len(got.Entries) != 1 || got.Entries[0].GetAttributeValue("cn") != "a" {
+	if got, err = c.Search(baseSearch()); err != nil || len(got.Entries) != 1 || got.Entries[0].GetAttributeValue("cn") != "a" {
 		t.Fatalf("%v, %v", got, err)
 	}
 	if same, err := c.Compare("cn=a,dc=ward", "cn", "a"); err != nil || !same {
 		t.Errorf("compare: %v, %v", same, err)
 	}
-	if err := c.Modify(modify("x")); err != nil {
+	if err := c.Modify(newModify("x")); err != nil {
 		t.Errorf("modify: %v", err)
 	}
 	add := client.NewAddRequest("cn=new,dc=ward", nil)
@@ -36,7 +36,7 @@
 	if err := c.Add(add); err != nil {
 		t.Errorf("add: %v", err)
 	}
-	if err := c.Add(add); code(err) != client.LDAPResultEntryAlreadyExists {
+	if err := c.Add(add); resultCode(err) != client.LDAPResultEntryAlreadyExists {
 		t.Errorf("add of what is there: %v", err)
 	}
 	if err := c.ModifyDN(client.NewModifyDNRequest("cn=new,dc=ward", "cn=newer", true, "")); err != nil {
@@ -59,13 +59,13 @@
 
 // Many operations at once on one connection, answered in any order, and each by its own answer.
 func TestResponsesReachTheirOwnClient(t *testing.T) {
-	one, two := dir(t, "one", directory.Options{}), dir(t, "two", directory.Options{})
+	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	for _, d := range []*directory.Directory{one, two} {
 		d.Script(func(o directory.Op) directory.Fault {
 			return directory.Fault{Wait: time.Duration(o.N%7) * time.Millisecond}
 		})
 	}
-	a := start(t, testConfig(t, one, two), Options{})
+	a := startAgent(t, testConfig(t, one, two), Options{})
 	until := time.Now().Add(testkit.Patience)
 	var all sync.WaitGroup
 	for range 4 {
@@ -74,9 +74,9 @@
 			all.Go(func() {
 				name := string(rune('a' + n%5))
 				for range 10 {
-					got, err := c.Search(search("cn="+name+",dc=ward", client.ScopeBaseObject))
+					got, err := c.Search(newSearch("cn="+name+",dc=ward", client.ScopeBaseObject))
 					for client.IsErrorWithCode(err, client.LDAPResultBusy) && time.Now().Before(until) { // a busy machine's: nothing was done
-						got, err = c.Search(search("cn="+name+",dc=ward", client.ScopeBaseObject))
+						got, err = c.Search(newSearch("cn="+name+",dc=ward", client.ScopeBaseObject))
 					}
 					if err != nil || len(got.Entries) != 1 || got.Entries[0].GetAttributeValue("cn") != name {
 						t.Errorf("asked for %s: %v, %v", name, got, err)
@@ -91,11 +91,11 @@
 
 // What no server takes is refused at once: busy, and when to come back.
 func TestRejectedOperationGetsBusy(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Code: ldapmsg.Busy} })
-	c := start(t, testConfig(t, d), Options{}).dial(t)
-	err := c.Modify(modify("x"))
-	if code(err) != ldapmsg.Busy || !strings.Contains(err.Error(), "nothing was done") {
+	c := startAgent(t, testConfig(t, d), Options{}).dial(t)
+	err := c.Modify(newModify("x"))
+	if resultCode(err) != ldapmsg.Busy || !strings.Contains(err.Error(), "nothing was done") {
 		t.Errorf("%v", err)
 	}
 	if len(d.Ran()) != 0 {
@@ -105,14 +105,14 @@
 
 // A search's own time limit is its client's deadline.
 func TestSearchTimeLimitBoundsDeadline(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	hold := make(chan struct{})
 	defer close(hold)
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Stall: hold} })
-	c := start(t, testConfig(t, d), Options{}).dial(t)
-	s := whole()
+	c := startAgent(t, testConfig(t, d), Options{}).dial(t)
+	s := subtreeSearch()
 	s.TimeLimit = 1
-	if _, err := c.Search(s); code(err) != ldapmsg.TimeLimitExceeded {
+	if _, err := c.Search(s); resultCode(err) != ldapmsg.TimeLimitExceeded {
 		t.Errorf("%v", err)
 	}
 }
@@ -121,15 +121,15 @@
 func TestPagedSearchStaysOnItsConnection(t *testing.T) {
 	var all []*directory.Directory
 	for _, id := range []string{"one", "two", "three"} {
-		all = append(all, dir(t, id, directory.Options{}))
+		all = append(all, startDirectory(t, id, directory.Options{}))
 	}
-	a := start(t, testConfig(t, all...), Options{})
+	a := startAgent(t, testConfig(t, all...), Options{})
 	var asking sync.WaitGroup
 	for range 4 {
 		c := a.dial(t)
 		asking.Go(func() {
 			for range 5 {
-				got, err := c.SearchWithPaging(whole(), 2)
+				got, err := c.SearchWithPaging(subtreeSearch(), 2)
 				if err != nil || len(got.Entries) != 6 {
 					t.Errorf("%v, %v", got, err)
 				}
@@ -139,7 +139,7 @@
 	asking.Wait()
 	// The connection's end ends the search: it can't be gone on with elsewhere.
 	c := a.dial(t)
-	s := whole()
+	s := subtreeSearch()
 	page := client.NewControlPaging(2)
 	s.Controls = []client.Control{page}
 	got, err := c.Search(s)
@@ -154,7 +154,7 @@
 	}
 	page.SetCookie(client.FindControl(got.Controls, client.ControlTypePaging).(*client.ControlPaging).Cookie)
 	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
-	if _, err := c.Search(s); code(err) != ldapmsg.UnwillingToPerform {
+	if _, err := c.Search(s); resultCode(err) != ldapmsg.UnwillingToPerform {
 		t.Errorf("%v", err)
 	}
 }
@@ -168,11 +168,11 @@
 		append([]byte{ldapmsg.Intermediate, 7, 0x80, 5}, "1.2.9"...),
 		append(append([]byte{ldapmsg.SearchEntry, 5, 0x04, 1, 'x', 0x30, 0}, control...), 0xa7, 0), // and a component of a later day
 	}
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Ahead: ahead, Code: 10} })
-	a := start(t, testConfig(t, d), Options{})
+	a := startAgent(t, testConfig(t, d), Options{})
 	for _, scope := range []byte{0, 2} { // kept until the end, and streamed
-		c := a.raw(t)
+		c := a.dialRaw(t)
 		if _, err := c.Write(rawSearch(77, scope)); err != nil {
 			t.Fatal(err)
 		}
@@ -189,7 +189,7 @@
 		}
 	}
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{} })
-	c := a.raw(t)
+	c := a.dialRaw(t)
 	if _, err := c.Write(ldapmsg.Extended(5, "1.2.3.4.5", []byte("v"))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -9,7 +9,7 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// operation is one request of a client.
+// operation is one request of a client that is to be sent to a server.
 type operation struct {
 	session      *session
 	id           int32
@@ -17,25 +17,25 @@
 	raw          []byte
 	kind         kind
 	request      *core.Request
-	identity     *identity   // as whom it runs; retained
-	newIdentity  *identity   // of a bind: whose the session will be; retained
-	sasl         bool        // a bind of more than one step
-	requiredConn *serverConn // the only one on which it may run; nil: any
-	paged        bool
-	cookie       string // of a further page: by which requiredConn was found
-	done         chan struct{}
-	refs         atomic.Int32 // the session's and the attempts'; at 0 passwords are wiped
+	identity     *identity     // the identity that the operation runs as; retained
+	newIdentity  *identity     // of a simple bind: the identity of the session after success; retained
+	sasl         bool          // a SASL bind, which may have several steps
+	requiredConn *serverConn   // the only server connection on which the operation may run; nil: any
+	paged        bool          // a search with a paged results control
+	cookie       string        // of a request for a further page: the cookie, by which requiredConn was found
+	done         chan struct{} // closed when the operation has ended; nil if nothing waits for that
+	refs         atomic.Int32  // references of the session and of attempts; passwords are wiped at 0
 
 	mu             sync.Mutex
-	attemptConn    *serverConn // of its present attempt; nil: none is on a server
-	attemptID      int32
-	attemptStarted bool // an attempt has been admitted to write it: it may run
-	abandoned      bool // its client wants no response
-	cancelled      bool // by a Cancel, before it was sent
+	attemptConn    *serverConn // the connection of the current attempt; nil: no attempt has been sent
+	attemptID      int32       // the message ID of the current attempt on attemptConn
+	attemptStarted bool        // an attempt has been admitted for writing, so the operation may be executed
+	abandoned      bool        // the client wants no response
+	cancelled      bool        // a Cancel request came before the operation was sent
 }
 
-// admitWrite admits the first byte of an attempt, unless the client has abandoned or cancelled the operation. It and
-// handleCancel exclude each other by the lock.
+// admitWrite admits the first byte of an attempt, unless the client has abandoned or cancelled the operation. The
+// lock makes admitWrite and handleCancel exclude each other.
 func (o *operation) admitWrite() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,13 +43,14 @@
 	return o.attemptStarted
 }
 
-// operationGuard guards the writes of an operation's attempt: the request's own guard, and admitWrite.
+// operationGuard is the writeGuard of an operation's attempt: it consults the core's guard of the attempt, and then
+// admitWrite.
 type operationGuard struct {
 	*core.Attempt
 	operation *operation
 }
 
-// BeginWrite admits the attempt's first byte.
+// BeginWrite admits the attempt's first byte, or says why it must not be written.
 func (g operationGuard) BeginWrite(interrupt func()) core.SendRefusal {
 	if reason := g.Attempt.BeginWrite(interrupt); reason != core.SendAllowed {
 		return reason
@@ -61,7 +62,7 @@
 	return core.SendAllowed
 }
 
-// retain keeps an operation's credentials for an attempt. It reports false if they are wiped already.
+// retain keeps an operation's credentials in memory for an attempt. It returns false if they were already wiped.
 func (o *operation) retain() bool {
 	for n := o.refs.Load(); n > 0; n = o.refs.Load() {
 		if o.refs.CompareAndSwap(n, n+1) {
@@ -71,7 +72,7 @@
 	return false
 }
 
-// release ends a retain. The last one wipes passwords.
+// release ends the effect of one retain. The last release wipes the passwords.
 func (o *operation) release() {
 	if o.refs.Add(-1) > 0 {
 		return
@@ -83,7 +84,7 @@
 	o.newIdentity.release()
 }
 
-// discard ends an operation that was not admitted: it has no response.
+// discard ends an operation that was not submitted to the loop, and that gets no response.
 func (o *operation) discard() {
 	s := o.session
 	s.mu.Lock()
@@ -98,27 +99,28 @@
 	}
 }
 
-// setAttempt sets where the present attempt is. An abandon that came just before is sent to the server.
+// setAttempt sets the server connection and message ID of the current attempt. If the client has already abandoned the
+// operation, an AbandonRequest is sent to the server.
 func (o *operation) setAttempt(c *serverConn, id int32) {
 	o.mu.Lock()
 	o.attemptConn = c
 	o.attemptID = id
 	o.attemptStarted = c != nil
-	late := c != nil && o.abandoned
+	abandonedBefore := c != nil && o.abandoned
 	o.mu.Unlock()
-	if late {
+	if abandonedBefore {
 		c.sendAbandon(id)
 	}
 }
 
-// isAbandoned reports whether the client wants no response.
+// isAbandoned reports whether the client has abandoned the operation or disconnected.
 func (o *operation) isAbandoned() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.abandoned
 }
 
-// abandon has the operation end as one whose client has disconnected.
+// abandon ends the operation in the same way as when its client disconnects.
 func (o *operation) abandon() {
 	o.mu.Lock()
 	o.abandoned = true
@@ -126,7 +128,8 @@
 	o.session.protocol.loop.ClientDisconnected(o.request)
 }
 
-// finish takes an operation's final answer, and queues its response. It takes effect once, and never waits.
+// finish takes an operation's final answer, and queues the response to the client. Only its first call has an effect.
+// It never waits.
 func (o *operation) finish(a core.Answer) {
 	s := o.session
 	s.mu.Lock()
@@ -140,36 +143,36 @@
 	abandoned := o.abandoned
 	cancelled := o.cancelled
 	o.mu.Unlock()
-	var text []byte
+	var response []byte
 	op := ldapmsg.ResponseTo(o.message.Op)
 	got, served := a.Served.(*finalResponse)
 	switch {
 	case abandoned:
 	case cancelled:
-		text = ldapmsg.Response(o.id, op, ldapmsg.Canceled, "")
+		response = ldapmsg.Response(o.id, op, ldapmsg.Canceled, "")
 	case served:
-		text = ldapmsg.WithID(o.id, got.rest)
+		response = ldapmsg.WithID(o.id, got.rest)
 		s.applyResult(o, got)
 	case a.Refused:
-		text = ldapmsg.Response(o.id, op, ldapmsg.Busy, s.protocol.refusalText(a))
+		response = ldapmsg.Response(o.id, op, ldapmsg.Busy, s.protocol.refusalText(a))
 	case a.TimedOut && o.message.Op == ldapmsg.SearchRequest:
-		text = ldapmsg.Response(o.id, op, ldapmsg.TimeLimitExceeded, "no answer in time")
+		response = ldapmsg.Response(o.id, op, ldapmsg.TimeLimitExceeded, "no answer in time")
 	case a.TimedOut:
-		text = ldapmsg.Response(o.id, op, ldapmsg.Other, "no answer in time: it may have been done, or may be yet")
+		response = ldapmsg.Response(o.id, op, ldapmsg.Other, "no answer in time: it may have been done, or may be yet")
 	case a.Limit != "":
-		text = ldapmsg.Response(o.id, op, ldapmsg.Other, "failed: it may have been done; no further try, for the fleet's limit "+a.Limit)
+		response = ldapmsg.Response(o.id, op, ldapmsg.Other, "failed: it may have been done; no further try, for the fleet's limit "+a.Limit)
 	default:
-		text = ldapmsg.Response(o.id, op, ldapmsg.Other, "failed: it may have been done")
+		response = ldapmsg.Response(o.id, op, ldapmsg.Other, "failed: it may have been done")
 	}
 	if o.message.Op == ldapmsg.BindRequest && !served {
-		s.setIdentity(nil, nil) // after a failed bind the session is anonymous (RFC 4511, 4.2.1)
+		s.setIdentity(nil, nil) // after a failed bind the client is anonymous (RFC 4511, 4.2.1)
 	}
-	if text != nil {
-		s.enqueue(text)
+	if response != nil {
+		s.enqueue(response)
 	}
 	if o.paged && o.requiredConn != nil && o.requiredConn != s.stickyConn {
 		switch {
-		case a.Refused && !s.closed: // the client may ask for the page again
+		case a.Refused && !s.closed: // the client may request the same page again
 			s.keepPagedConn(o.cookie, o.requiredConn)
 		case got == nil || got.conn != o.requiredConn:
 			go o.requiredConn.unreserve()
@@ -183,7 +186,8 @@
 	}
 }
 
-// refusalText is the diagnostic message of a rejected operation: that a retry is harmless, when, and why it was rejected.
+// refusalText returns the diagnostic message of a refused operation: that a retry is harmless, when to retry, and why
+// the operation was refused.
 func (p *protocol) refusalText(a core.Answer) string {
 	text := "refused: nothing was done, and trying again is harmless"
 	if a.RetryAfter > 0 && p.cfg.Settings.RetryAfter {
--- a/internal/protocol/ldap/options.go
+++ b/internal/protocol/ldap/options.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Options are the settings of an instance that speaks LDAP, besides core.Config. They can be compared.
+// Options are the settings of an instance that serves LDAP, besides core.Config. Options can be compared with ==.
 type Options struct {
-	MaxMessage int           // bytes of one message, both ways; 0: 1 MiB
-	MaxOpen    int           // operations at once on one client connection; 0: 64
-	MaxShared  int           // operations at once on one server connection; 0: 16
+	MaxMessage int           // maximum size of a message in bytes, in both directions; 0: 1 MiB
+	MaxOpen    int           // maximum number of open operations on one client connection; 0: 64
+	MaxShared  int           // maximum number of open operations on one server connection; 0: 16
 	MaxIdle    time.Duration // how long a client connection may be idle; 0: 15 min
 
-	// Towards clients: files with a certificate and its key in PEM. With these StartTLS (RFC 4511, 4.14) is served, and
-	// passwords are accepted under TLS alone; with LDAPS every connection begins with TLS.
+	// For client connections: the files of a certificate and its key in PEM. If they are set, StartTLS (RFC 4511,
+	// 4.14) is offered, and passwords are accepted under TLS only. If LDAPS is set, every connection begins with TLS.
 	Certificate, Key string
 	LDAPS            bool
-	// Towards servers: "" (plain), "starttls" or "ldaps", a file with the CA's certificate in PEM, and the name that a
-	// server's certificate must have. There is no fallback to plain.
+	// For server connections: "" (no TLS), "starttls" or "ldaps"; a file with the CA's certificate in PEM; and the
+	// name that a server's certificate must have. The agent never falls back to a connection without TLS.
 	ServerTLS, ServerCA, ServerName string
 
-	FilesDigest string // a digest of the files' content, so that options differ if a file does
+	FilesDigest string // a digest of the files' contents, so that Options compare unequal when a file has changed
 }
 
 // Defaults of Options.
@@ -35,7 +35,8 @@
 	defaultMaxIdle    = 15 * time.Minute
 )
 
-// tlsConfigs returns the configurations towards clients and towards servers, nil where TLS is not set.
+// tlsConfigs returns the TLS configurations for client connections and for server connections, nil where TLS is not
+// set.
 func (o *Options) tlsConfigs() (clients, servers *tls.Config, err error) {
 	if (o.Certificate == "") != (o.Key == "") {
 		return nil, nil, errors.New("certificate and key go together")
@@ -71,7 +72,7 @@
 	return clients, servers, nil
 }
 
-// Check returns an error if options contradict one another, or a file can't be used.
+// Check returns an error if options contradict each other, or if a file can't be used.
 func (o *Options) Check() error {
 	_, _, err := o.tlsConfigs()
 	return err
--- a/internal/protocol/ldap/property_test.go
+++ b/internal/protocol/ldap/property_test.go
@@ -58,7 +58,7 @@
 		var mu sync.Mutex
 		n := 0
 		for i := range rapid.IntRange(1, 3).Draw(r, "servers") {
-			d := dir(t, fmt.Sprint("s", i), directory.Options{})
+			d := startDirectory(t, fmt.Sprint("s", i), directory.Options{})
 			d.Script(func(directory.Op) directory.Fault {
 				mu.Lock()
 				defer mu.Unlock()
@@ -71,10 +71,11 @@
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].Objective, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 500*time.Millisecond
 		}
-		// The loop answers in the module's place half of this after a deadline. On a busy machine a timer of the module's is
-		// later than the 10 ms that are usual; what it answers when is held to, event by event, in decide.
+		// The loop answers in the module's place half of this after a deadline. On a busy machine a timer of the
+		// module's is later than the 10 ms that are usual; what it answers when is held to, event by event, in
+		// decide.
 		cfg.Settings.AnswerGrace = 2 * testkit.Patience
-		a := start(t, cfg, Options{})
+		a := startAgent(t, cfg, Options{})
 		defer a.stop()
 		var wait sync.WaitGroup
 		type outcome struct {
@@ -84,7 +85,7 @@
 		results := make([]map[int32]*outcome, clients)
 		for c := range clients {
 			results[c] = map[int32]*outcome{}
-			nc := a.raw(t)
+			nc := a.dialRaw(t)
 			for i, k := range kinds {
 				id := int32(i + 1)
 				effect := fmt.Sprintf("%d-%d", c, id)
--- a/internal/protocol/ldap/request.go
+++ b/internal/protocol/ldap/request.go
@@ -10,11 +10,11 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// closingText is the diagnostic message of a request that comes on a session that closes.
+// closingText is the diagnostic message for a request that arrives on a closing session.
 const closingText = "this connection is closed: nothing was done, ask again on a new one"
 
-// handleMessage handles a client's message. more is false where the connection has come to its end; an error is about bytes
-// that make no sense.
+// handleMessage handles a client's message. more is false if no further message of the connection is to be read. An
+// error means that the client violated the protocol.
 func (s *session) handleMessage(raw []byte, m ldapmsg.Message) (more bool, err error) {
 	switch m.Op {
 	case ldapmsg.UnbindRequest:
@@ -23,13 +23,13 @@
 		if id, err := ldapmsg.ParseAbandon(m.Content); err == nil {
 			s.handleAbandon(id)
 		}
-		return true, nil // it has no response, and if it makes no sense no effect (RFC 4511, 4.11)
+		return true, nil // an AbandonRequest has no response; a malformed one is ignored (RFC 4511, 4.11)
 	}
 	if ldapmsg.ResponseTo(m.Op) == 0 {
-		return false, fmt.Errorf("%w: a client sends no message of tag %#x", ldapmsg.ErrMalformed, m.Op)
+		return false, fmt.Errorf("%w: a client must not send a message with tag %#x", ldapmsg.ErrMalformed, m.Op)
 	}
 	if m.ID == 0 { // reserved for unsolicited notifications (RFC 4511, 4.1.1.1)
-		return false, fmt.Errorf("%w: messageID 0", ldapmsg.ErrMalformed)
+		return false, fmt.Errorf("%w: messageID 0 in a request", ldapmsg.ErrMalformed)
 	}
 	s.mu.Lock()
 	_, used := s.operations[m.ID]
@@ -59,7 +59,8 @@
 	return true, nil
 }
 
-// handleExtended handles an extended request (RFC 4511, 4.12): some are for the agent, all others are forwarded.
+// handleExtended handles an extended request (RFC 4511, 4.12). The agent handles StartTLS, Cancel and transaction
+// requests itself, and forwards all others.
 func (s *session) handleExtended(raw []byte, m ldapmsg.Message) (more bool, err error) {
 	name, value, err := ldapmsg.ExtendedName(m.Content)
 	if err != nil {
@@ -72,15 +73,15 @@
 	case ldapmsg.OIDCancel:
 		s.handleCancel(m, value)
 	case ldapmsg.OIDStartTxn, ldapmsg.OIDEndTxn:
-		// A transaction belongs to a server connection, and these are shared.
-		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "transactions are not served here")
+		// A transaction belongs to one server connection, and server connections are shared by clients.
+		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "transactions are not supported")
 	default:
 		s.handleOperation(raw, m)
 	}
 	return true, nil
 }
 
-// handleOperation submits an operation that is to be forwarded.
+// handleOperation submits an operation that is to be forwarded to a server.
 func (s *session) handleOperation(raw []byte, m ldapmsg.Message) {
 	kind, timeLimit, err := kindOf(&m)
 	if err != nil {
@@ -91,7 +92,7 @@
 	m, _ = ldapmsg.Parse(own) // it was parsed before
 	o := &operation{session: s, id: m.ID, message: m, raw: own, kind: kind}
 	if !s.assignPagedConn(o) {
-		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "this cookie's server connection is gone: begin the search anew")
+		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "the server connection of this paged search is closed: restart the search")
 		return
 	}
 	s.mu.Lock()
@@ -108,8 +109,9 @@
 	s.submit(o, timeLimit)
 }
 
-// assignPagedConn has a further page of a paged search (RFC 2696) run on the server connection that has the search's state.
-// It reports false if that has ended.
+// assignPagedConn assigns a request for a further page of a paged search (RFC 2696) to the server connection that
+// returned the cookie, since only that server has the state of the search. It returns false if the connection can't
+// be used any more.
 func (s *session) assignPagedConn(o *operation) bool {
 	cookie, paged := ldapmsg.PagedCookie(o.message.Controls)
 	if !paged || o.message.Op != ldapmsg.SearchRequest {
@@ -127,11 +129,12 @@
 	return o.requiredConn != nil && !o.requiredConn.isUnusable()
 }
 
-// submit admits an operation, and gives it to the loop. timeLimit is the client's own; 0: none.
+// submit enters an operation among the session's open ones, and submits it to the loop. timeLimit is the time limit
+// in the client's request; 0: none.
 func (s *session) submit(o *operation, timeLimit time.Duration) {
 	p := s.protocol
 	o.refs.Store(1)
-	class := p.classes[o.kind]
+	class := p.classOfKind[o.kind]
 	wait := p.cfg.Settings.Classes[class].Deadline
 	if timeLimit > 0 {
 		wait = min(wait, timeLimit)
@@ -156,13 +159,14 @@
 	p.mu.Lock()
 	ended := p.loopEnded
 	p.mu.Unlock()
-	if ended { // the loop may have ended before it saw this one
+	if ended { // the loop may have ended before it received this request
 		o.request.Abort()
 	}
 }
 
-// addOperation enters an operation among the open ones. It reports false behind the Notice of Disconnection, which no response
-// may follow (RFC 4511, 4.4.1), so that nothing may be executed; and where the client has disconnected.
+// addOperation enters an operation among the open ones. It returns false if the client has disconnected, or if the
+// Notice of Disconnection was sent: no response may follow the notice (RFC 4511, 4.4.1), so the operation must not be
+// executed.
 func (s *session) addOperation(o *operation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/protocol/ldap/responsestream.go
+++ b/internal/protocol/ldap/responsestream.go
@@ -4,23 +4,23 @@
 	"vetchhaven/internal/core"
 )
 
-// responseStream is the messages of an attempt's response before its last one.
+// responseStream forwards the messages of an attempt's response that precede the last one to the client.
 type responseStream struct {
 	attempt       *core.Attempt
 	operation     *operation
-	buffering     bool // nothing is forwarded before the last message, or maxBufferedBytes
-	buffered      []part
+	buffering     bool // messages are held back until the last one, or until more than maxBufferedBytes have come
+	buffered      []responseMessage
 	bufferedBytes int
-	started       bool // a message was forwarded: no retry is possible
+	started       bool // a message was forwarded, so no retry is possible any more
 	unwanted      bool // the client has disconnected, or wants no response
 }
 
-// maxBufferedBytes is how many bytes of a lookup's response wait for the last message. A larger value takes more memory, a
-// smaller one leaves longer entries without a retry.
+// maxBufferedBytes is how many bytes of a lookup's response are held back until the last message. A larger value
+// takes more memory; a smaller one excludes lookups of longer entries from retries.
 const maxBufferedBytes = 64 << 10
 
-// add takes a message. It reports false if the attempt's response must not reach the client.
-func (s *responseStream) add(p part) bool {
+// add handles a message. It returns false if the attempt's response must not reach the client.
+func (s *responseStream) add(p responseMessage) bool {
 	if s.buffering && s.bufferedBytes+len(p.raw) <= maxBufferedBytes {
 		s.buffered = append(s.buffered, p)
 		s.bufferedBytes += len(p.raw)
@@ -31,7 +31,7 @@
 	return s.flush()
 }
 
-// flush forwards the buffered messages. It reports false as add does.
+// flush forwards the buffered messages. It returns false if the attempt's response must not reach the client.
 func (s *responseStream) flush() bool {
 	for _, p := range s.buffered {
 		if !s.attempt.StartResponse(core.ServerWorking) {
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -16,19 +16,20 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A write that is held up between its last check and the system call does not follow the final answer of its operation.
+// A write that is held up between its last check and the system call does not follow the final answer of its
+// operation.
 func TestNothingIsWrittenAfterTheFinalAnswer(t *testing.T) {
 	const heldFor = 400 * time.Millisecond
-	cfg := testConfig(t, dir(t, "one", directory.Options{}))
+	cfg := testConfig(t, startDirectory(t, "one", directory.Options{}))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Objective, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 100*time.Millisecond
 	}
-	r := start(t, cfg, Options{})
+	r := startAgent(t, cfg, Options{})
 	held := make(chan *testkit.HeldWrite, 1)
 	r.p.pool.dialer = testkit.HoldWrites(held)
 	c := r.dial(t)
 	answered := make(chan error, 1)
-	go func() { answered <- c.Modify(modify("x")) }()
+	go func() { answered <- c.Modify(newModify("x")) }()
 	h := testkit.Receive(t, "dial", held)
 	testkit.Receive(t, "write", h.Entered)
 	hold := time.NewTimer(heldFor)
@@ -40,36 +41,37 @@
 	case <-hold.C:
 	}
 	close(h.Release)
-	if err := testkit.Receive(t, "final answer", answered); code(err) != client.LDAPResultOther {
+	if err := testkit.Receive(t, "final answer", answered); resultCode(err) != client.LDAPResultOther {
 		t.Errorf("%v", err)
 	}
 }
 
-// A server that moves while a connection to its old address comes up gets nothing there: another one may have that address.
+// A server that moves while a connection to its old address comes up gets nothing there: another one may have that
+// address.
 func TestNothingIsSentToOldAddressOfMovedServer(t *testing.T) {
-	old, now := dir(t, "one", directory.Options{}), dir(t, "one", directory.Options{})
-	r := start(t, testConfig(t, old), Options{})
-	held, going := make(chan struct{}), make(chan struct{}, 4)
+	old, moved := startDirectory(t, "one", directory.Options{}), startDirectory(t, "one", directory.Options{})
+	r := startAgent(t, testConfig(t, old), Options{})
+	held, dialing := make(chan struct{}), make(chan struct{}, 4)
 	dial := r.p.pool.dialer
 	r.p.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == old.Addr() {
-			going <- struct{}{}
+			dialing <- struct{}{}
 			<-held
 		}
 		return dial(ctx, network, addr)
 	}
 	c := r.dial(t)
 	done := make(chan error, 1)
-	go func() { _, err := c.Search(one()); done <- err }()
-	testkit.Receive(t, "dial", going)
+	go func() { _, err := c.Search(baseSearch()); done <- err }()
+	testkit.Receive(t, "dial", dialing)
 	hub := discovery.NewHub(discovery.HubOptions{Log: testkit.Quiet})
-	hub.Apply(&discovery.Members{Version: 42, Full: true, Servers: []discovery.Member{now.Member("ready")}})
+	hub.Apply(&discovery.Members{Version: 42, Full: true, Servers: []discovery.Member{moved.Member("ready")}})
 	r.Follow(hub)
 	testkit.WaitFor(t, "the list", func() bool {
 		r.p.pool.mu.Lock()
 		defer r.p.pool.mu.Unlock()
 		addr, _ := r.p.pool.addresses.Addr("one")
-		return addr == now.Addr()
+		return addr == moved.Addr()
 	})
 	close(held)
 	if err := testkit.Receive(t, "answer", done); err != nil {
@@ -80,36 +82,36 @@
 	}
 }
 
-// An operation that its client abandons, or cancels, while a connection for it comes up goes to no server, though the loop is
-// late to hear of it.
+// An operation that its client abandons, or cancels, while a connection for it comes up goes to no server, though the
+// loop is late to hear of it.
 func TestAbandonedOperationIsNotSent(t *testing.T) {
-	for name, giveUp := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
+	for name, endRequest := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
 		t.Run(name, func(t *testing.T) {
-			d := dir(t, "one", directory.Options{})
+			d := startDirectory(t, "one", directory.Options{})
 			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.Quiet, core.Parts{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
 			if err != nil {
 				t.Fatal(err)
 			}
 			var stop atomic.Bool
-			standing, release := make(chan struct{}), make(chan struct{})
+			paused, release := make(chan struct{}), make(chan struct{})
 			a.SetStepHook(func(core.Totals) {
 				if stop.CompareAndSwap(true, false) {
-					close(standing)
+					close(paused)
 					<-release
 				}
 			})
 			dial := p.pool.dialer
-			dialling, goOn := make(chan struct{}, 4), make(chan struct{})
+			dialing, proceed := make(chan struct{}, 4), make(chan struct{})
 			p.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				dialling <- struct{}{}
-				<-goOn
+				dialing <- struct{}{}
+				<-proceed
 				return dial(ctx, network, addr)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			go func() { ended <- a.Run(ctx) }()
-			r := &running{Agent: a, p: p, log: &logs{}}
-			c := r.raw(t)
+			r := &testAgent{Agent: a, p: p, log: &logBuffer{}}
+			c := r.dialRaw(t)
 			send := func(b []byte) {
 				t.Helper()
 				if _, err := c.Write(b); err != nil {
@@ -117,11 +119,11 @@
 				}
 			}
 			send(rawModify(7, "cn=a,dc=ward", "x"))
-			testkit.Receive(t, "dial", dialling)
+			testkit.Receive(t, "dial", dialing)
 			stop.Store(true)
 			send(rawSearch(6, 0)) // has the loop make a step, at which it stands
-			testkit.Receive(t, "stop of the loop", standing)
-			send(giveUp)
+			testkit.Receive(t, "stop of the loop", paused)
+			send(endRequest)
 			testkit.WaitFor(t, "the client's word", func() bool {
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -138,7 +140,7 @@
 				}
 				return false
 			})
-			close(goOn)
+			close(proceed)
 			testkit.WaitFor(t, "the end of the attempt", func() bool {
 				p.pool.mu.Lock()
 				defer p.pool.mu.Unlock()
@@ -164,9 +166,9 @@
 // A request may be read just before its session begins to close. Behind the Notice of Disconnection it would have no
 // response, so it is not executed.
 func TestNothingIsExecutedBehindNoticeOfDisconnection(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	r := start(t, testConfig(t, d), Options{})
-	c := r.raw(t)
+	d := startDirectory(t, "one", directory.Options{})
+	r := startAgent(t, testConfig(t, d), Options{})
+	c := r.dialRaw(t)
 	var s *session
 	testkit.WaitFor(t, "the session", func() bool {
 		r.p.mu.Lock()
--- a/internal/protocol/ldap/serverconn.go
+++ b/internal/protocol/ldap/serverconn.go
@@ -11,8 +11,9 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// serverConn is one connection to a server. A search that may return many entries has it exclusively, so that a client that
-// reads slowly does not delay other responses; other operations share it.
+// serverConn is one connection to a server. A search that may return many entries has its connection exclusively, so
+// that a client that reads slowly does not delay the responses of other operations. Other operations share
+// connections.
 type serverConn struct {
 	pool    *connPool
 	server  string
@@ -21,17 +22,17 @@
 
 	// Guarded by the pool's lock.
 	identityKey string
-	users       int  // operations that have it
-	exclusive   bool // its operation must not share it
-	reserved    bool // for a paged search's next page, or a SASL bind
-	suspect     bool // takes no further operation, and closes once unused
-	closed      bool // not counted as open any more
+	users       int  // the number of operations that use the connection
+	exclusive   bool // the operation on the connection must not share it
+	reserved    bool // the connection is reserved for the next page of a paged search, or for a SASL bind
+	suspect     bool // the connection takes no further operation, and is closed once unused
+	closed      bool // the connection is not counted in connPool.open any more
 	idleSince   time.Time
 
 	mu     sync.Mutex
 	lastID int32
 	calls  map[int32]*call
-	endErr error // why it has ended; nil: it has not
+	endErr error // why the connection has ended; nil: it has not ended
 }
 
 // unbindTimeout is how long the write of an UnbindRequest or AbandonRequest may take.
@@ -40,7 +41,7 @@
 // unbindAndClose ends a connection with an UnbindRequest (RFC 4511, 4.3), if no other write is under way.
 func (c *serverConn) unbindAndClose() {
 	if c.conn.SetWriteDeadline(time.Now().Add(unbindTimeout)) == nil && c.writeMu.TryLock() {
-		_, _ = c.conn.Write(ldapmsg.Unbind(ldapmsg.MaxID)) // a courtesy: the close alone ends it too
+		_, _ = c.conn.Write(ldapmsg.Unbind(ldapmsg.MaxID)) // optional: closing the connection has the same effect
 		c.writeMu.Unlock()
 	}
 	_ = c.conn.Close()
@@ -70,8 +71,8 @@
 	return c.closed || c.suspect
 }
 
-// read delivers a server's messages, until the connection ends. A message that belongs to no call, or malformed bytes, end
-// it: what comes behind can't be trusted.
+// read delivers a server's messages to their calls, until the connection ends. A message that belongs to no call, or
+// malformed bytes, end the connection, because the bytes that follow can't be trusted.
 func (c *serverConn) read() {
 	in := ldapmsg.NewReader(c.conn, c.pool.options.MaxMessage)
 	var err error
@@ -95,7 +96,7 @@
 	defer c.mu.Unlock()
 	c.endErr = err
 	if errors.Is(err, ldapmsg.ErrMalformed) {
-		c.pool.log.Warn("a server's connection ended", "server", c.server, "error", err)
+		c.pool.log.Warn("server sent a malformed message; connection closed", "server", c.server, "error", err)
 	}
 	for _, k := range c.calls {
 		close(k.connEnded)
@@ -103,7 +104,7 @@
 	c.calls = nil
 }
 
-// deliver passes a message to its call.
+// deliver passes a message to the call that it belongs to.
 func (c *serverConn) deliver(m ldapmsg.Message, raw []byte) error {
 	if m.ID == 0 {
 		return fmt.Errorf("%w: Notice of Disconnection", net.ErrClosed)
@@ -117,22 +118,22 @@
 	c.mu.Unlock()
 	switch {
 	case k == nil:
-		return fmt.Errorf("%w: an answer to nothing that is open", ldapmsg.ErrMalformed)
+		return fmt.Errorf("%w: a response to no open request", ldapmsg.ErrMalformed)
 	case !last && m.Op != ldapmsg.Intermediate && !(k.finalOp == ldapmsg.SearchDone && (m.Op == ldapmsg.SearchEntry || m.Op == ldapmsg.SearchReference)):
-		return fmt.Errorf("%w: an answer of tag %#x to what is answered with %#x", ldapmsg.ErrMalformed, m.Op, k.finalOp)
+		return fmt.Errorf("%w: a response with tag %#x to a request whose final response has tag %#x", ldapmsg.ErrMalformed, m.Op, k.finalOp)
 	}
 	if last {
 		if _, ok := m.Code(); !ok {
 			c.mu.Lock()
-			c.calls[m.ID] = k // it has no response yet
+			c.calls[m.ID] = k // the call has no valid response yet; read ends it with the connection
 			c.mu.Unlock()
-			return fmt.Errorf("%w: an answer without a result", ldapmsg.ErrMalformed)
+			return fmt.Errorf("%w: a final response without an LDAPResult", ldapmsg.ErrMalformed)
 		}
 	}
 	own := slices.Clone(raw)
 	m, _ = ldapmsg.Parse(own) // it was parsed before
 	select {
-	case k.parts <- part{m, own, last}:
+	case k.messages <- responseMessage{m, own, last}:
 	case <-k.abandoned:
 	}
 	return nil
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -16,24 +16,25 @@
 // Errors of connecting to a server.
 var (
 	errServerTLS = errors.New("TLS with a server failed")
-	// errMovedWhileDialling: the server has another address since the dial began.
-	errMovedWhileDialling = errors.New("the server has moved while a connection to it came up")
+	// errMovedWhileDialling means that the server's address has changed since the dial began.
+	errMovedWhileDialling = errors.New("the server's address changed while a connection to it was being opened")
 )
 
 const (
-	// reapsPerMaxIdle is how often idle connections are checked within maxIdle. Fewer checks keep them for longer.
+	// reapsPerMaxIdle is how many times idle connections are checked within maxIdle. With fewer checks, connections
+	// stay open for longer than maxIdle.
 	reapsPerMaxIdle = 8
 	minReapInterval = time.Millisecond
 )
 
-// poolKey names the connections that may serve an operation: those to one server that are bound as one identity.
+// poolKey identifies the connections that may serve an operation: those to one server that are bound as one identity.
 type poolKey struct {
 	server      string
 	identityKey string
 }
 
-// connPool holds the connections to all servers. Its methods may be called from any goroutine; those that say so need the
-// lock.
+// connPool holds the connections to all servers. Its methods may be called from any goroutine. The caller holds p.mu
+// where the comment of a method says so.
 type connPool struct {
 	cfg      *core.Config
 	options  *Options
@@ -46,7 +47,7 @@
 	mu        sync.Mutex
 	addresses core.Addresses
 	conns     map[poolKey][]*serverConn
-	open      int
+	open      int // connections that are open or being opened
 	closed    bool
 }
 
@@ -57,15 +58,16 @@
 		tls:      t,
 		log:      log,
 		maxConns: core.BackendSockets(cfg.Sockets),
-		// Servers may close an idle connection at IdleClose; a quarter of the time is far more than any network takes.
+		// Servers may close an idle connection after IdleClose. The margin of a quarter of that time is far longer
+		// than any network delay.
 		maxIdle: cfg.Site.IdleClose * 3 / 4,
 		dialer:  (&net.Dialer{KeepAlive: -1}).DialContext,
 		conns:   map[poolKey][]*serverConn{},
 	}
 }
 
-// update takes a change of the endpoint list. Connections to a server that was removed, or has another address, take no
-// further operation.
+// update applies a change of the endpoint list. Connections to a server that was removed, or whose address has
+// changed, take no further operation.
 func (p *connPool) update(l core.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +84,7 @@
 	})
 }
 
-// closeIfUnused closes a connection that must not be used any more, once no operation has it. The lock is held.
+// closeIfUnused closes a connection if no operation uses it and it must not be used again. The caller holds p.mu.
 func (p *connPool) closeIfUnused(c *serverConn) {
 	if c.closed || c.users > 0 || !c.suspect && !p.closed {
 		return
@@ -90,19 +92,19 @@
 	p.closeLocked(c)
 }
 
-// closeLocked removes a connection from the pool and closes it. The lock is held.
+// closeLocked removes a connection from the pool and closes it. The caller holds p.mu.
 func (p *connPool) closeLocked(c *serverConn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	p.open--
-	p.unfile(c)
+	p.removeFromList(c)
 	go c.unbindAndClose()
 }
 
-// unfile removes a connection from the list of its server and identity. The lock is held.
-func (p *connPool) unfile(c *serverConn) {
+// removeFromList removes a connection from the list of its server and identity. The caller holds p.mu.
+func (p *connPool) removeFromList(c *serverConn) {
 	key := poolKey{c.server, c.identityKey}
 	list := slices.DeleteFunc(p.conns[key], func(other *serverConn) bool { return other == c })
 	if len(list) > 0 {
@@ -112,8 +114,9 @@
 	}
 }
 
-// acquire returns a connection on which an operation may run, bound already; or nil and the address at which to open a new
-// one, which is counted as open. An operation that is exclusive shares the connection with no other.
+// acquire returns an open connection to a server that is bound as the given identity. If there is none that the
+// operation may use, it returns nil and the address at which to open one, and counts the new connection as open
+// already. An exclusive operation does not share its connection.
 func (p *connPool) acquire(server, identityKey string, exclusive bool) (*serverConn, string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +129,7 @@
 		if c.exclusive || c.reserved || c.suspect || c.users > 0 && (exclusive || c.users >= p.options.MaxShared) {
 			continue
 		}
-		if best == nil || c.users > best.users { // few busy connections rather than many: the others may be closed
+		if best == nil || c.users > best.users { // so that the other connections become idle
 			best = c
 		}
 	}
@@ -142,7 +145,8 @@
 	return nil, addr, nil
 }
 
-// evictOldest closes the connection that has been idle longest. It reports false if none is idle. The lock is held.
+// evictOldest closes the connection that has been idle longest. It returns false if no connection is idle. The caller
+// holds p.mu.
 func (p *connPool) evictOldest() bool {
 	var oldest *serverConn
 	for _, list := range p.conns {
@@ -169,7 +173,7 @@
 	p.closeIfUnused(c)
 }
 
-// markSuspect has a connection take no further operation, and close once no operation has it.
+// markSuspect makes a connection take no further operation, and close once no operation uses it.
 func (p *connPool) markSuspect(c *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,7 +194,7 @@
 	}
 }
 
-// shutdown closes the connections, and keeps none from now on.
+// shutdown closes the connections. From then on, no connection is kept after its use.
 func (p *connPool) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,18 +206,18 @@
 	}
 }
 
-// setIdentity files a connection under the identity that it is bound as now.
-func (p *connPool) setIdentity(c *serverConn, who *identity) {
+// setIdentity moves a connection to the list of the identity that it is bound as now; nil is anonymous.
+func (p *connPool) setIdentity(c *serverConn, ident *identity) {
 	key := ""
-	if who != nil {
-		key = who.key
+	if ident != nil {
+		key = ident.key
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.closed || c.identityKey == key {
 		return
 	}
-	p.unfile(c)
+	p.removeFromList(c)
 	c.identityKey = key
 	p.conns[poolKey{c.server, key}] = append(p.conns[poolKey{c.server, key}], c)
 }
--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxQueuedBytes is how many bytes are queued for a client before attempts wait for it to read. A larger value takes more
-	// memory, a smaller one slows down servers' connections.
+	// maxQueuedBytes is how many bytes are queued for a client before attempts wait for the client to read. A larger
+	// value takes more memory; a smaller one slows down server connections.
 	maxQueuedBytes = 256 << 10
-	// writeTimeout is how long a write to a client, or of a message that belongs to no request to a server, may take.
+	// writeTimeout is how long a write may take: each write to a client, and writes to a server that have no deadline
+	// of their own.
 	writeTimeout = 10 * time.Second
-	// lingerTime is what a client has to read the last message before its connection is closed: a close with unread bytes is
-	// a reset, and the message would be lost.
+	// lingerTime is how long a client has to read the last message before its connection is closed. Closing a socket
+	// that has unread received bytes resets the connection, and the client could lose the message.
 	lingerTime       = 500 * time.Millisecond
 	maxPagedSearches = 8 // paged searches whose server connections are reserved for one client
 )
@@ -28,33 +29,33 @@
 	raw          net.Conn // as the connection limiter accepted it
 	client       *clientReader
 	in           *ldapmsg.Reader
-	queuedFor    time.Duration // what the present message, if it is the first, waited for the connection to be accepted; the reader's
-	lastReceived atomic.Int64  // when a message came, in ns since protocol.startedAt
-	hasRequested atomic.Bool   // a message was received
+	queuedFor    time.Duration // the first message's time in the accept queue, later 0; used by the reader only
+	lastReceived atomic.Int64  // when the last message was received, in ns since protocol.startedAt
+	hasRequested atomic.Bool   // at least one message was received
 
 	mu          sync.Mutex
-	conn        net.Conn // client, or TLS on it
-	secured     bool
+	conn        net.Conn   // client, or the TLS connection on top of it
+	secured     bool       // TLS is in use
 	handshaking bool       // a TLS handshake is under way
-	phase       readPhase  // what the reader does
-	readerEnded bool       // no message is handled any more
-	writeSpace  *sync.Cond // signalled when queuedBytes falls, or the session is closed
+	phase       readPhase  // what the reader does now
+	readerEnded bool       // the reader handles no further message
+	writeSpace  *sync.Cond // signalled when queuedBytes decreases, or the session is closed
 	operations  map[int32]*operation
-	cancels     int // Cancels that are with a server
+	cancels     int // Cancel requests that were sent to a server, and have no response yet
 	writeQueue  [][]byte
 	queuedBytes int
 	writing     bool
 	identity    *identity
-	stickyConn  *serverConn // of a SASL bind: all operations go there; nil: none
-	pagedConns  map[string]*serverConn
-	closing     bool // what has arrived is served, further requests are rejected; closes when all are answered
-	notice      []byte
-	noticeSent  bool // nothing follows it, and nothing may be executed any more
+	stickyConn  *serverConn            // the connection of a SASL bind, to which all operations go; nil: none
+	pagedConns  map[string]*serverConn // the connections that are reserved for paged searches, by cookie
+	closing     bool                   // requests that have arrived are served, later ones are rejected
+	notice      []byte                 // the Notice of Disconnection that a closing session has yet to send
+	noticeSent  bool                   // no response can follow, so no further operation may be executed
 	closed      bool
 	done        chan struct{} // closed when the session is closed
 }
 
-// serve reads a client's messages until its connection ends.
+// serve runs the session of a client's connection: it reads the client's messages until the connection ends.
 func (p *protocol) serve(nc net.Conn) {
 	s := &session{
 		protocol:   p,
@@ -91,16 +92,16 @@
 	}
 }
 
-// markReceived takes note that a message came.
+// markReceived records that a message was received now.
 func (s *session) markReceived() { s.lastReceived.Store(int64(time.Since(s.protocol.startedAt))) }
 
-// quietFor is how long ago the last message came.
+// quietFor returns the time since the last message was received.
 func (s *session) quietFor() time.Duration {
 	return time.Since(s.protocol.startedAt) - time.Duration(s.lastReceived.Load())
 }
 
-// hasOpen reports whether a request has yet to get its response. The lock is held.
-func (s *session) hasOpen() bool { return len(s.operations) > 0 || s.cancels > 0 }
+// hasOpenRequests reports whether a request has no response yet. The caller holds s.mu.
+func (s *session) hasOpenRequests() bool { return len(s.operations) > 0 || s.cancels > 0 }
 
 func (s *session) isClosing() bool {
 	s.mu.Lock()
@@ -108,22 +109,22 @@
 	return s.closing
 }
 
-// drain ends the session once all that was admitted is answered. One without a request is served for freshPeriod: it was
-// accepted just before the next copy would have accepted it.
+// drain ends the session once all its admitted operations are answered. A session that has sent no request is given
+// firstRequestGrace to send one, because it was accepted just before the successor would have accepted it.
 func (s *session) drain() {
 	if !s.hasRequested.Load() {
-		wait := time.NewTimer(s.protocol.freshPeriod)
+		wait := time.NewTimer(s.protocol.firstRequestGrace)
 		defer wait.Stop()
 		select {
 		case <-s.done:
 		case <-wait.C:
 		}
 	}
-	s.closeWithNotice(ldapmsg.Unavailable, "this agent stops: ask again on a new connection")
+	s.closeWithNotice(ldapmsg.Unavailable, "this agent is draining: retry on a new connection")
 }
 
-// closeWithNotice ends the session with a Notice of Disconnection (RFC 4511, 4.4.1), once all that was read is answered. The
-// reader serves what has arrived, rejects what comes later, and ends.
+// closeWithNotice ends the session with a Notice of Disconnection (RFC 4511, 4.4.1), once all requests that were read
+// are answered. The reader serves the requests that have already arrived, rejects later ones, and ends.
 func (s *session) closeWithNotice(code int, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,34 +136,37 @@
 	s.sendNoticeIfIdle()
 }
 
-// evict closes the session if no request is open and none has come for minQuiet: the look and the close are one step.
+// evict closes the session, and reports whether it did, if no request is open and no message was received for
+// minQuiet. The check and the close are one step under the lock, so that a request that is being received can't be
+// dropped between them.
 func (s *session) evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.isQuiet() {
 		return false
 	}
-	s.beginClosing(ldapmsg.Unavailable, "too many connections: this one was quiet for longest")
+	s.beginClosing(ldapmsg.Unavailable, "too many connections: this one was idle for longest")
 	s.interruptRead()
 	return true
 }
 
-// isQuiet reports whether the session may be evicted. The lock is held.
+// isQuiet reports whether the session may be evicted. The caller holds s.mu.
 func (s *session) isQuiet() bool {
-	return !s.closing && !s.closed && !s.hasOpen() && s.quietFor() > minQuiet
+	return !s.closing && !s.closed && !s.hasOpenRequests() && s.quietFor() > minQuiet
 }
 
-// beginClosing has the session end with a notice. The lock is held.
+// beginClosing starts closing the session, and prepares its Notice of Disconnection. The caller holds s.mu.
 func (s *session) beginClosing(code int, text string) {
 	s.closing = true
 	s.notice = ldapmsg.Disconnection(code, text)
 }
 
-// sendNoticeIfIdle sends the notice of a session that is closing, once no request is open and the reader has ended. Where it
-// still reads, it is woken for its last look. The lock is held.
+// sendNoticeIfIdle queues the Notice of Disconnection of a closing session, if no request is open and the reader has
+// ended. If no request is open and the reader still reads, it wakes the reader, which then handles the requests that
+// have arrived and ends. The caller holds s.mu.
 func (s *session) sendNoticeIfIdle() {
 	switch {
-	case !s.closing || s.noticeSent || s.hasOpen():
+	case !s.closing || s.noticeSent || s.hasOpenRequests():
 		return
 	case !s.readerEnded:
 		s.interruptRead()
@@ -174,7 +178,7 @@
 	go s.linger()
 }
 
-// linger lets the client read what is queued, and closes the connection.
+// linger closes the connection after the queued messages are written and the client has had lingerTime to read them.
 func (s *session) linger() {
 	s.mu.Lock()
 	for s.queuedBytes > 0 && !s.closed {
@@ -190,8 +194,8 @@
 		_ = c.CloseWrite()
 	}
 	buf := make([]byte, 1024)
-	end := time.Now().Add(lingerTime)
-	for raw.SetReadDeadline(end) == nil {
+	deadline := time.Now().Add(lingerTime)
+	for raw.SetReadDeadline(deadline) == nil {
 		if _, err := raw.Read(buf); err != nil {
 			break
 		}
@@ -199,20 +203,20 @@
 	s.closeNow()
 }
 
-// abortAll answers the open operations as failed: the loop has ended.
+// abortAll answers all open operations as failed, after the loop has ended.
 func (s *session) abortAll() {
 	s.mu.Lock()
-	var all []*operation
+	var open []*operation
 	for _, o := range s.operations {
-		all = append(all, o)
+		open = append(open, o)
 	}
 	s.mu.Unlock()
-	for _, o := range all {
+	for _, o := range open {
 		o.request.Abort()
 	}
 }
 
-// closeNow closes the connection and cancels the operations that are open on it.
+// closeNow closes the connection at once, and abandons the operations that are open on it.
 func (s *session) closeNow() {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -21,17 +21,17 @@
 // Bad input ends its connection with a notice within a few seconds, in bounded memory, and harms nobody
 // else.
 func TestMalformedMessageEndsConnection(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	a := start(t, testConfig(t, d), Options{})
+	d := startDirectory(t, "one", directory.Options{})
+	a := startAgent(t, testConfig(t, d), Options{})
 	good := a.dial(t)
-	if _, err := good.Search(one()); err != nil {
+	if _, err := good.Search(baseSearch()); err != nil {
 		t.Fatal(err)
 	}
-	bomb := []byte{0xa0, 0} // an AND in an AND ...
+	deepFilter := []byte{0xa0, 0} // an AND in an AND ...
 	for range 200 {
-		bomb = append([]byte{0xa0, 0x82, byte(len(bomb) >> 8), byte(len(bomb))}, bomb...)
+		deepFilter = append([]byte{0xa0, 0x82, byte(len(deepFilter) >> 8), byte(len(deepFilter))}, deepFilter...)
 	}
-	body := append([]byte{0x04, 0, 0x0a, 1, 0, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0}, bomb...)
+	body := append([]byte{0x04, 0, 0x0a, 1, 0, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0}, deepFilter...)
 	nested := ldapmsg.WithID(3, append([]byte{ldapmsg.SearchRequest, 0x82, byte(len(body) >> 8), byte(len(body))}, body...))
 	stall := make(chan struct{})
 	defer close(stall)
@@ -51,7 +51,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := a.raw(t)
+			c := a.dialRaw(t)
 			began := time.Now()
 			if _, err := c.Write(text); err != nil {
 				t.Fatal(err)
@@ -76,7 +76,7 @@
 		}
 		return directory.Fault{}
 	})
-	c := a.raw(t)
+	c := a.dialRaw(t)
 	if _, err := c.Write(append(rawSearch(4, 2), rawSearch(4, 2)...)); err != nil {
 		t.Fatal(err)
 	}
@@ -98,24 +98,24 @@
 		t.Errorf("%d answers, %d notices", dones, notices)
 	}
 	// Garbage behind an Unbind is of no effect.
-	c = a.raw(t)
+	c = a.dialRaw(t)
 	if _, err := c.Write(append(ldapmsg.Unbind(1), "garbage"...)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("an answer to garbage")
 	}
-	if _, err := good.Search(one()); err != nil {
+	if _, err := good.Search(baseSearch()); err != nil {
 		t.Errorf("others are harmed: %v", err)
 	}
 }
 
 // Thousands of silent connections make room for one that asks.
 func TestQuietConnectionsAreEvicted(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	cfg := testConfig(t, d)
 	cfg.Sockets = 64
-	a := start(t, cfg, Options{})
+	a := startAgent(t, cfg, Options{})
 	for range 60 {
 		c, err := net.Dial("tcp", a.Addr().String())
 		if err != nil {
@@ -123,26 +123,26 @@
 		}
 		defer c.Close()
 	}
-	if _, err := a.dial(t).Search(one()); err != nil {
+	if _, err := a.dial(t).Search(baseSearch()); err != nil {
 		t.Error(err)
 	}
 }
 
 // A stop answers what was taken, then says goodbye, and takes nothing more.
 func TestDrainCompletesAdmittedOperations(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
 	d.Script(func(o directory.Op) directory.Fault {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		return directory.Fault{Stall: hold}
 	})
-	a := start(t, testConfig(t, d), Options{})
-	a.p.freshPeriod = 2 * testkit.Patience
-	busy, quiet, fresh := a.raw(t), a.raw(t), a.raw(t) // the last is accepted, and yet to ask
-	nothing := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
+	a := startAgent(t, testConfig(t, d), Options{})
+	a.p.firstRequestGrace = 2 * testkit.Patience
+	busy, quiet, unused := a.dialRaw(t), a.dialRaw(t), a.dialRaw(t) // the last is accepted, and yet to ask
+	cancelOfUnknown := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
 	ask := func(c net.Conn) {
 		t.Helper()
-		if _, err := c.Write(nothing); err != nil {
+		if _, err := c.Write(cancelOfUnknown); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := ldapmsg.NewReader(c, 1<<20).Next()
@@ -157,12 +157,12 @@
 	if _, err := busy.Write(rawSearch(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the search", came)
+	testkit.Receive(t, "the search", arrived)
 	testkit.WaitFor(t, "all connections", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return len(a.p.sessions) == 3 })
 	a.stop()
 	testkit.WaitFor(t, "the stop", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return a.p.draining })
-	ask(fresh) // what a connection asks first, just after the copy began to end, is answered
-	fresh.Close()
+	ask(unused) // what a connection asks first, just after the copy began to end, is answered
+	unused.Close()
 	read := func(c net.Conn) (ops []byte) {
 		in := ldapmsg.NewReader(c, 1<<20)
 		for {
@@ -191,11 +191,11 @@
 
 // A panic in the loop: what was taken is answered failed.
 func TestPanicAnswersAdmittedOperations(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(hold)
 	d.Script(func(o directory.Op) directory.Fault {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		return directory.Fault{Stall: hold}
 	})
 	cfg := testConfig(t, d)
@@ -203,9 +203,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var blow atomic.Bool
+	var panicNow atomic.Bool
 	a.SetStepHook(func(core.Totals) {
-		if blow.Load() {
+		if panicNow.Load() {
 			panic("brought about")
 		}
 	})
@@ -217,12 +217,12 @@
 	}
 	defer c.Close()
 	answered := make(chan error, 2)
-	go func() { answered <- c.Modify(modify("x")) }()
-	testkit.Receive(t, "the modify", came)
-	blow.Store(true)
-	go func() { answered <- c.Modify(modify("y")) }()
+	go func() { answered <- c.Modify(newModify("x")) }()
+	testkit.Receive(t, "the modify", arrived)
+	panicNow.Store(true)
+	go func() { answered <- c.Modify(newModify("y")) }()
 	for range 2 {
-		if err := testkit.Receive(t, "answer", answered); code(err) != ldapmsg.Other {
+		if err := testkit.Receive(t, "answer", answered); resultCode(err) != ldapmsg.Other {
 			t.Errorf("%v", err)
 		}
 	}
@@ -233,13 +233,13 @@
 
 // A client that reads slowly holds up its own search, and nobody else's.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	long := strings.Repeat("x", 8<<10)
 	for n := range 2000 {
 		d.Add(fmt.Sprintf("cn=%d,ou=big", n), map[string][]string{"v": {long}})
 	}
-	a := start(t, testConfig(t, d), Options{})
-	slow := a.raw(t)
+	a := startAgent(t, testConfig(t, d), Options{})
+	slow := a.dialRaw(t)
 	body := append([]byte{0x04, 6}, "ou=big"...)
 	body = append(body, 0x0a, 1, 2, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0, 0x87, 2, 'c', 'n', 0x30, 0)
 	if _, err := slow.Write(ldapmsg.WithID(1, append([]byte{ldapmsg.SearchRequest, byte(len(body))}, body...))); err != nil {
@@ -247,7 +247,7 @@
 	}
 	c := a.dial(t)
 	for range 50 {
-		if _, err := c.Search(one()); err != nil {
+		if _, err := c.Search(baseSearch()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/protocol/ldap/sessionread.go
+++ b/internal/protocol/ldap/sessionread.go
@@ -9,22 +9,23 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// readPhase is what the reader of a session does. It goes through the phases in their order, from phaseWaiting to phaseLast
-// where no operation is open by then, and ends.
+// readPhase is what the reader of a session does now. The reader goes through the phases in their order, and then
+// ends. If no operation is open in phaseArrived, it ends after that phase.
 //
-// The reader alone ends reading, and only then the Notice of Disconnection is sent: a message whose last byte was read is
-// handled before. Whoever closes the session wakes the reader by a read deadline that has passed.
+// Only the reader itself ends reading, and the Notice of Disconnection is sent only after that, so every message that
+// was read completely is handled before the notice. A goroutine that closes the session wakes the reader by setting a
+// read deadline in the past.
 type readPhase int
 
 const (
 	phaseWaiting   readPhase = iota // waits for requests and serves them
-	phaseArrived                    // the session closes: what had arrived by then is served
-	phaseRejecting                  // operations are open: waits for requests, and rejects them
-	phaseLast                       // the last operation has ended: what has arrived is rejected
+	phaseArrived                    // the session is closing: serves the requests that had arrived by then
+	phaseRejecting                  // operations are still open: waits for further requests, and rejects them
+	phaseLast                       // the last operation has ended: rejects the requests that have arrived
 )
 
-// readMessages handles a client's messages until the connection, or the session, ends. It returns the error that ended it;
-// nil: the client, by an UnbindRequest, or handleMessage.
+// readMessages handles a client's messages until the connection or the session ends. It returns the error that ended
+// it. It returns nil if the client ended it by an UnbindRequest, or if handleMessage did.
 func (s *session) readMessages() error {
 	for {
 		raw, err := s.in.Next()
@@ -53,17 +54,17 @@
 	}
 }
 
-// advancePhase has the reader go on after a timeout, in the phase that follows. It reports false where reading is over.
+// advancePhase moves the reader to the next phase after a read has timed out. It returns false if reading is over.
 func (s *session) advancePhase() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.phase == phaseWaiting:
 		if !s.closing {
-			s.beginClosing(ldapmsg.Unavailable, "nothing, or no whole message, has come for long")
+			s.beginClosing(ldapmsg.Unavailable, "idle timeout: no complete message was received in time")
 		}
 		s.setPhase(phaseArrived)
-	case s.phase == phaseArrived && s.hasOpen():
+	case s.phase == phaseArrived && s.hasOpenRequests():
 		s.setPhase(phaseRejecting)
 	case s.phase == phaseRejecting:
 		s.setPhase(phaseLast)
@@ -73,7 +74,7 @@
 	return true
 }
 
-// setPhase sets the phase, and how it reads. The lock is held.
+// setPhase sets the phase, and the way of reading in that phase. The caller holds s.mu.
 func (s *session) setPhase(phase readPhase) {
 	s.phase = phase
 	switch phase {
@@ -81,25 +82,27 @@
 		s.client.setArrivedOnly(s.protocol.options.MaxMessage)
 	case phaseRejecting:
 		s.client.setArrivedOnly(0)
-		_ = s.conn.SetReadDeadline(time.Time{}) // a dead connection shows by its read
+		_ = s.conn.SetReadDeadline(time.Time{}) // on a dead connection the next read fails anyway
 	}
 }
 
-// rejects reports whether requests are rejected by now: the session closes, and those that had arrived by then were read.
+// rejects reports whether requests are rejected now: the session is closing, and the requests that had arrived before
+// were read.
 func (s *session) rejects() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase >= phaseRejecting
 }
 
-// interruptRead wakes the reader from its wait. A TLS handshake is left to end, within its own time. The lock is held.
+// interruptRead wakes the reader if it waits in a read. A TLS handshake is not interrupted; it has its own time
+// limit. The caller holds s.mu.
 func (s *session) interruptRead() {
 	if !s.handshaking {
-		_ = s.conn.SetReadDeadline(core.LongAgo) // fails only on a connection that is closed already
+		_ = s.conn.SetReadDeadline(core.LongAgo) // fails only if the connection is closed already
 	}
 }
 
-// endReading takes note that no message is handled any more: the notice may be sent.
+// endReading records that the reader handles no further message, so that the Notice of Disconnection may be sent.
 func (s *session) endReading() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +110,9 @@
 	s.sendNoticeIfIdle()
 }
 
-// startReader reads from the present connection. A client has core.HeadTimeout for its first message, and for each message
-// from its first byte on; between messages it may be quiet for Options.MaxIdle.
+// startReader creates the message reader on the current connection. A client has core.HeadTimeout to begin its first
+// message, and core.HeadTimeout to complete each message that it has begun. Between messages it may be idle for
+// Options.MaxIdle.
 func (s *session) startReader() {
 	first := s.in == nil
 	s.in = ldapmsg.NewReader(s.conn, s.protocol.options.MaxMessage)
@@ -122,28 +126,30 @@
 	s.in.OnPartial = func() { s.setReadDeadline(time.Now().Add(core.HeadTimeout)) }
 }
 
-// setReadDeadline bounds the next read, unless the session is closing: its reader goes by its phase then.
+// setReadDeadline sets the deadline of the next read, unless the session is closing: then the phase determines how the
+// reader waits.
 func (s *session) setReadDeadline(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closing {
-		_ = s.conn.SetReadDeadline(t) // a dead connection shows by its read
+		_ = s.conn.SetReadDeadline(t) // on a dead connection the next read fails anyway
 	}
 }
 
-// isTimeout reports whether a read ended by its deadline, or found that nothing had arrived.
+// isTimeout reports whether a read failed because its deadline had passed, or because no bytes had arrived (see
+// clientReader.setArrivedOnly).
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// readFailed ends a session after an error of its reader: after malformed bytes with a Notice of Disconnection, and where it
-// is closing anyway, once what was admitted is answered; after the connection's end at once, since nobody is there to get a
-// response.
+// readFailed ends a session after a read error. After malformed bytes, and when the session is closing, it ends once
+// the admitted operations are answered, with a Notice of Disconnection. After the end of the connection it ends at
+// once, since the client can't receive responses any more.
 func (s *session) readFailed(err error) {
 	switch {
 	case errors.Is(err, ldapmsg.ErrMalformed):
-		s.protocol.log.Warn("client connection ended", "client", s.raw.RemoteAddr().String(), "error", err)
+		s.protocol.log.Warn("client sent a malformed message; closing its connection", "client", s.raw.RemoteAddr().String(), "error", err)
 		s.endWithNotice(ldapmsg.ProtocolErrorCode, err.Error())
 	case isTimeout(err):
 		s.endReading()
@@ -151,7 +157,8 @@
 	}
 }
 
-// endWithNotice is closeWithNotice for the reader: it handles no further message, and waits for the session's end.
+// endWithNotice is closeWithNotice for use by the reader: no further message is handled, and it waits until the
+// session is closed.
 func (s *session) endWithNotice(code int, text string) {
 	s.endReading()
 	s.closeWithNotice(code, text)
--- a/internal/protocol/ldap/sessionwrite.go
+++ b/internal/protocol/ldap/sessionwrite.go
@@ -7,17 +7,18 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// respond queues a response that no server took part in.
+// respond queues a response that the agent makes itself, without a server.
 func (s *session) respond(id int32, op byte, code int, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enqueue(ldapmsg.Response(id, ldapmsg.ResponseTo(op), code, text))
 }
 
-// forward queues a message of a response for the client, under the client's own message ID. It waits while the client reads
-// slowly, and reports false if the client has disconnected or wants no response.
+// forward queues a message of a server's response for the client, under the client's message ID. It waits while too
+// many bytes are queued for the client. It returns false if the client has disconnected, or if the operation has had
+// its final answer.
 func (s *session) forward(o *operation, rest []byte) bool {
-	text := ldapmsg.WithID(o.id, rest)
+	encoded := ldapmsg.WithID(o.id, rest)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.queuedBytes > maxQueuedBytes && !s.closed {
@@ -26,27 +27,28 @@
 	if s.closed {
 		return false
 	}
-	if s.operations[o.id] != o { // it has its final answer
+	if s.operations[o.id] != o { // the operation has had its final answer
 		return false
 	}
-	s.enqueue(text)
+	s.enqueue(encoded)
 	return true
 }
 
-// enqueue queues bytes for the client, and starts the writer. Nothing follows the Notice of Disconnection. The lock is held.
-func (s *session) enqueue(text []byte) {
+// enqueue queues an encoded message for the client, and starts the writer if none is running. Messages after the
+// Notice of Disconnection are dropped. The caller holds s.mu.
+func (s *session) enqueue(encoded []byte) {
 	if s.closed || s.noticeSent {
 		return
 	}
-	s.writeQueue = append(s.writeQueue, text)
-	s.queuedBytes += len(text)
+	s.writeQueue = append(s.writeQueue, encoded)
+	s.queuedBytes += len(encoded)
 	if !s.writing {
 		s.writing = true
 		go s.runWriter()
 	}
 }
 
-// runWriter writes what is queued, until nothing is.
+// runWriter writes the queued messages, until the queue is empty or the session is closed.
 func (s *session) runWriter() {
 	for {
 		s.mu.Lock()
@@ -64,13 +66,13 @@
 		n := s.queuedBytes
 		s.writeQueue = nil
 		s.mu.Unlock()
-		text := batch[0]
+		encoded := batch[0]
 		if len(batch) > 1 {
-			text = bytes.Join(batch, nil) // one write, under TLS one record
+			encoded = bytes.Join(batch, nil) // one write instead of many, and fewer TLS records
 		}
 		err := conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if err == nil {
-			_, err = conn.Write(text)
+			_, err = conn.Write(encoded)
 		}
 		s.mu.Lock()
 		s.queuedBytes -= n
--- a/internal/protocol/ldap/shared_test.go
+++ b/internal/protocol/ldap/shared_test.go
@@ -16,18 +16,18 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-// limited starts an agent of which a kind of use is limited, and nothing lent yet.
-func limited(t *testing.T, counts quota.Kind) (*running, *client.Conn, *directory.Directory) {
+// startLimited starts an agent of which a kind of use is startLimited, and nothing lent yet.
+func startLimited(t *testing.T, counts quota.Kind) (*testAgent, *client.Conn, *directory.Directory) {
 	t.Helper()
-	d := dir(t, "one", directory.Options{})
-	r := start(t, testConfig(t, d), Options{})
+	d := startDirectory(t, "one", directory.Options{})
+	r := startAgent(t, testConfig(t, d), Options{})
 	if !r.SetSharedLimits([]quota.Limit{{Name: "shared", Kind: counts, Class: -1, Zone: -1, Cell: -1}}) {
 		t.Fatal("the agent has not heard of its limit")
 	}
 	return r, r.dial(t), d
 }
 
-func lend(t *testing.T, r *running, amount int) {
+func grantLease(t *testing.T, r *testAgent, amount int) {
 	t.Helper()
 	if !r.GrantLeases([]core.Lease{{Lease: quota.Lease{Limit: "shared", Grantor: "k", Number: 1, Amount: amount, Span: time.Minute}, ExpiresAt: time.Now().Add(time.Hour)}}) {
 		t.Fatal("the agent has not heard of its right")
@@ -36,8 +36,8 @@
 
 func TestOperationWithoutLeaseIsRejectedByItsLimit(t *testing.T) {
 	for _, counts := range []quota.Kind{quota.InFlight, quota.Requests, quota.Attempts} {
-		r, c, d := limited(t, counts)
-		_, err := c.Search(one())
+		r, c, d := startLimited(t, counts)
+		_, err := c.Search(baseSearch())
 		var e *client.Error
 		if !errors.As(err, &e) || e.ResultCode != ldapmsg.Busy || !strings.Contains(err.Error(), "the fleet's limit shared") {
 			t.Fatalf("%v: %v", counts, err)
@@ -45,24 +45,24 @@
 		if got := d.Served("search"); got != 0 {
 			t.Errorf("%v: the server had %d searches", counts, got)
 		}
-		lend(t, r, 5)
-		if _, err := c.Search(one()); err != nil {
+		grantLease(t, r, 5)
+		if _, err := c.Search(baseSearch()); err != nil {
 			t.Errorf("%v, with a right: %v", counts, err)
 		}
 	}
 }
 
 func TestNoConnectionIsOpenedWithoutLease(t *testing.T) {
-	r, c, d := limited(t, quota.NewConnections)
-	if _, err := c.Search(one()); err == nil {
+	r, c, d := startLimited(t, quota.NewConnections)
+	if _, err := c.Search(baseSearch()); err == nil {
 		t.Fatal("a search was served with no connection and no right to open one")
 	}
 	if got := d.Conns(); got != 0 {
 		t.Fatalf("%d connections were opened", got)
 	}
-	lend(t, r, 1)
+	grantLease(t, r, 1)
 	for range 3 { // the one connection serves all
-		if _, err := c.Search(one()); err != nil {
+		if _, err := c.Search(baseSearch()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -73,19 +73,19 @@
 
 // A server that is taken out by hand while an operation waits for its connection does not get it.
 func TestServerRemovedMeanwhileGetsNothing(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	r := start(t, testConfig(t, d), Options{})
+	d := startDirectory(t, "one", directory.Options{})
+	r := startAgent(t, testConfig(t, d), Options{})
 	c := r.dial(t)
-	held, going := make(chan struct{}), make(chan struct{}, 4)
+	held, dialing := make(chan struct{}), make(chan struct{}, 4)
 	dial := r.p.pool.dialer
 	r.p.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		going <- struct{}{}
+		dialing <- struct{}{}
 		<-held
 		return dial(ctx, network, addr)
 	}
 	done := make(chan error, 1)
-	go func() { _, err := c.Search(one()); done <- err }()
-	<-going
+	go func() { _, err := c.Search(baseSearch()); done <- err }()
+	<-dialing
 	if known, err := r.SetServerDisabled(t.Context(), "one", true); err != nil || !known {
 		t.Fatal(known, err)
 	}
--- a/internal/protocol/ldap/tls_test.go
+++ b/internal/protocol/ldap/tls_test.go
@@ -22,15 +22,15 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-// authority is a CA made for a test.
-type authority struct {
+// testCA is a CA made for a test.
+type testCA struct {
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	n    int64
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &authority{dir: t.TempDir(), key: key, n: 1}
+	a := &testCA{dir: t.TempDir(), key: key, n: 1}
 	if a.cert, err = x509.ParseCertificate(der); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	return a
 }
 
-func (a *authority) write(t *testing.T, name, kind string, der []byte) string {
+func (a *testCA) write(t *testing.T, name, kind string, der []byte) string {
 	t.Helper()
 	path := filepath.Join(a.dir, name)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -59,10 +59,10 @@
 	return path
 }
 
-func (a *authority) ca() string { return filepath.Join(a.dir, "ca.pem") }
+func (a *testCA) ca() string { return filepath.Join(a.dir, "ca.pem") }
 
 // issue makes a certificate of a name, and its files.
-func (a *authority) issue(t *testing.T, name string) (cert, key string, loaded *tls.Config) {
+func (a *testCA) issue(t *testing.T, name string) (cert, key string, loaded *tls.Config) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return cert, key, &tls.Config{Certificates: []tls.Certificate{pair}}
 }
 
-func (a *authority) trust() *tls.Config {
+func (a *testCA) trust() *tls.Config {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return &tls.Config{RootCAs: pool, ServerName: "agent"}
@@ -95,24 +95,24 @@
 
 // TLS on both sides, by StartTLS and from the start.
 func TestTLSOnBothSides(t *testing.T) {
-	ca := newAuthority(t)
+	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
 	_, _, server := ca.issue(t, "directory")
 	for name, row := range map[string]struct{ ldaps, serverLDAPS bool }{"StartTLS": {false, false}, "LDAPS": {true, true}} {
 		t.Run(name, func(t *testing.T) {
-			d := dir(t, "one", directory.Options{TLS: server, LDAPS: row.serverLDAPS})
+			d := startDirectory(t, "one", directory.Options{TLS: server, LDAPS: row.serverLDAPS})
 			o := Options{Certificate: cert, Key: key, LDAPS: row.ldaps, ServerTLS: "starttls", ServerCA: ca.ca(), ServerName: "directory"}
 			if row.serverLDAPS {
 				o.ServerTLS = "ldaps"
 			}
-			a := start(t, testConfig(t, d), o)
+			a := startAgent(t, testConfig(t, d), o)
 			var c *client.Conn
 			var err error
 			if row.ldaps {
 				c, err = client.DialURL("ldaps://"+a.Addr().String(), client.DialWithTLSConfig(ca.trust()))
 			} else {
 				c = a.dial(t)
-				if err := c.Bind("cn=admin", "secret-1"); code(err) != ldapmsg.ConfidentialityRequired {
+				if err := c.Bind("cn=admin", "secret-1"); resultCode(err) != ldapmsg.ConfidentialityRequired {
 					t.Errorf("a password in plain: %v", err)
 				}
 				if d.Binds() != 0 {
@@ -130,7 +130,7 @@
 			if who, err := c.WhoAmI(nil); err != nil || who.AuthzID != "dn:cn=admin" {
 				t.Errorf("%+v, %v", who, err)
 			}
-			if got, err := c.Search(whole()); err != nil || len(got.Entries) != 6 {
+			if got, err := c.Search(subtreeSearch()); err != nil || len(got.Entries) != 6 {
 				t.Errorf("%v, %v", got, err)
 			}
 		})
@@ -139,17 +139,17 @@
 
 // A server that can't be had under TLS, or shows another's certificate, gets nothing at all.
 func TestTLSIsNeverDowngraded(t *testing.T) {
-	ca, stranger := newAuthority(t), newAuthority(t)
-	_, _, foreign := stranger.issue(t, "directory")
-	_, _, named := ca.issue(t, "somebody-else")
-	for name, server := range map[string]*tls.Config{"no TLS": nil, "another CA": foreign, "another name": named} {
+	ca, otherCA := newTestCA(t), newTestCA(t)
+	_, _, fromOtherCA := otherCA.issue(t, "directory")
+	_, _, otherName := ca.issue(t, "somebody-else")
+	for name, server := range map[string]*tls.Config{"no TLS": nil, "another CA": fromOtherCA, "another name": otherName} {
 		t.Run(name, func(t *testing.T) {
-			d := dir(t, "one", directory.Options{TLS: server})
+			d := startDirectory(t, "one", directory.Options{TLS: server})
 			cfg := testConfig(t, d)
 			cfg.Settings.MaxAttempts = 1
-			a := start(t, cfg, Options{ServerTLS: "starttls", ServerCA: ca.ca(), ServerName: "directory"})
+			a := startAgent(t, cfg, Options{ServerTLS: "starttls", ServerCA: ca.ca(), ServerName: "directory"})
 			c := a.dial(t)
-			if err := c.Modify(modify("x")); code(err) != ldapmsg.Busy {
+			if err := c.Modify(newModify("x")); resultCode(err) != ldapmsg.Busy {
 				t.Errorf("%v", err)
 			}
 			if err := c.Bind("cn=admin", "secret-1"); err == nil {
@@ -164,11 +164,11 @@
 
 // What comes in plain behind a StartTLS is not taken for what comes under TLS.
 func TestBytesAheadOfTLSAreRejected(t *testing.T) {
-	ca := newAuthority(t)
+	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
-	d := dir(t, "one", directory.Options{})
-	a := start(t, testConfig(t, d), Options{Certificate: cert, Key: key})
-	c := a.raw(t)
+	d := startDirectory(t, "one", directory.Options{})
+	a := startAgent(t, testConfig(t, d), Options{Certificate: cert, Key: key})
+	c := a.dialRaw(t)
 	if _, err := c.Write(append(ldapmsg.Extended(1, ldapmsg.OIDStartTLS, nil), rawSearch(2, 0)...)); err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 }
 
 func TestOptionsAreChecked(t *testing.T) {
-	ca := newAuthority(t)
+	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
 	for names, o := range map[string]Options{
 		"go together":  {Certificate: cert},
--- a/internal/protocol/ldapmsg/build.go
+++ b/internal/protocol/ldapmsg/build.go
@@ -3,40 +3,40 @@
 // version is the protocol version of LDAPv3.
 const version = 3
 
-// Response is a message whose protocolOp has tag op and is an LDAPResult alone (RFC 4511, 4.1.9).
+// Response returns a message whose protocolOp has tag op and consists of an LDAPResult only (RFC 4511, 4.1.9).
 func Response(id int32, op byte, code int, text string) []byte {
 	return WithID(id, appendElement(nil, op, appendResult(nil, code, text)))
 }
 
-// appendResult appends the components of an LDAPResult: a code, no matched DN, and a text.
+// appendResult appends the components of an LDAPResult: resultCode, an empty matchedDN, and diagnosticMessage.
 func appendResult(b []byte, code int, text string) []byte {
 	b = appendInt(b, enumerated, int64(code))
 	b = appendElement(b, octetString, nil)
 	return appendElement(b, octetString, []byte(text))
 }
 
-// Disconnection is the Notice of Disconnection (RFC 4511, 4.4.1).
+// Disconnection returns a Notice of Disconnection (RFC 4511, 4.4.1).
 func Disconnection(code int, text string) []byte {
 	result := appendResult(nil, code, text)
 	result = appendElement(result, responseName, []byte(OIDDisconnection))
 	return WithID(0, appendElement(nil, ExtResponse, result))
 }
 
-// Abandon is an AbandonRequest for the operation abandoned (RFC 4511, 4.11).
+// Abandon returns an AbandonRequest for the operation with message ID abandoned (RFC 4511, 4.11).
 func Abandon(id, abandoned int32) []byte {
 	return WithID(id, appendInt(nil, AbandonRequest, int64(abandoned)))
 }
 
-// Unbind is an UnbindRequest, which ends a connection (RFC 4511, 4.3).
+// Unbind returns an UnbindRequest, which ends a connection (RFC 4511, 4.3).
 func Unbind(id int32) []byte { return WithID(id, []byte{UnbindRequest, 0}) }
 
-// Cancel is the extended request for the operation cancelled to be cancelled (RFC 3909).
+// Cancel returns a Cancel request for the operation with message ID cancelled (RFC 3909).
 func Cancel(id, cancelled int32) []byte {
 	value := appendElement(nil, sequence, appendInt(nil, integer, int64(cancelled)))
 	return Extended(id, OIDCancel, value)
 }
 
-// Extended is an ExtendedRequest (RFC 4511, 4.12); a nil value is left out.
+// Extended returns an ExtendedRequest (RFC 4511, 4.12). A nil value is left out.
 func Extended(id int32, name string, value []byte) []byte {
 	body := appendElement(nil, requestName, []byte(name))
 	if value != nil {
@@ -45,7 +45,7 @@
 	return WithID(id, appendElement(nil, ExtRequest, body))
 }
 
-// SimpleBind is a BindRequest with simple authentication, by name and password.
+// SimpleBind returns a BindRequest with simple authentication by name and password.
 func SimpleBind(id int32, name, password []byte) []byte {
 	body := appendInt(nil, integer, version)
 	body = appendElement(body, octetString, name)
--- a/internal/protocol/ldapmsg/element.go
+++ b/internal/protocol/ldapmsg/element.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// ErrMalformed is wrapped by every error about bytes that are no LDAP message.
+// ErrMalformed is wrapped by every error about bytes that are not a valid LDAP message.
 var ErrMalformed = errors.New("malformed")
 
-// malformed returns an error of ErrMalformed.
+// malformed returns an error that wraps ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, args...)...)
 }
@@ -21,8 +21,8 @@
 	length int // of the content, in bytes
 }
 
-// parseHeader reads a tag of one octet and a definite length, the only ones that LDAP has (RFC 4511, 5.1). complete is false
-// where b ends within the header.
+// parseHeader reads a tag of one octet and a definite length, the only forms that LDAP uses (RFC 4511, 5.1). complete
+// is false if b ends within the header.
 func parseHeader(b []byte) (h elementHeader, complete bool, err error) {
 	if len(b) < 2 {
 		return h, false, nil
@@ -52,21 +52,21 @@
 	return h, true, nil
 }
 
-// element reads one complete element, and returns what follows it as rest.
-func element(b []byte) (tag byte, content, rest []byte, err error) {
+// parseElement reads one complete element. rest is the bytes that follow it.
+func parseElement(b []byte) (tag byte, content, rest []byte, err error) {
 	h, complete, err := parseHeader(b)
 	if err != nil {
 		return 0, nil, nil, err
 	}
 	if !complete || h.length > len(b)-h.size {
-		return 0, nil, nil, malformed("an element goes past its end")
+		return 0, nil, nil, malformed("an element exceeds the bytes that contain it")
 	}
 	end := h.size + h.length
 	return h.tag, b[h.size:end], b[end:], nil
 }
 
-// number reads the content of an INTEGER or ENUMERATED of up to 64 bits.
-func number(b []byte) (int64, bool) {
+// parseInt reads the content of an INTEGER or ENUMERATED of up to 64 bits.
+func parseInt(b []byte) (int64, bool) {
 	if len(b) < 1 || len(b) > 8 {
 		return 0, false
 	}
@@ -77,8 +77,8 @@
 	return n, true
 }
 
-// CheckDepth returns an error if nested elements are malformed or nested deeper than maxDepth. No message is forwarded to a
-// server without this check: servers parse recursively.
+// CheckDepth returns an error if nested elements are malformed, or nested deeper than maxDepth. A message must pass
+// this check before it is forwarded to a server, since servers may parse recursively.
 func CheckDepth(b []byte) error {
 	var ends [maxDepth]int
 	depth := 0
@@ -99,7 +99,7 @@
 			end = ends[depth-1]
 		}
 		if !complete || h.length > end-at-h.size {
-			return malformed("an element goes past its end")
+			return malformed("an element exceeds the bytes that contain it")
 		}
 		at += h.size
 		if h.tag&constructed == 0 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// appendLength appends a length in as few octets as 0, 1, 2 or 4 behind the first allow.
+// appendLength appends a length: a first octet, and as few of 0, 1, 2 or 4 further octets as the length needs.
 func appendLength(b []byte, n int) []byte {
 	switch {
 	case n < 0x80:
--- a/internal/protocol/ldapmsg/reader.go
+++ b/internal/protocol/ldapmsg/reader.go
@@ -4,33 +4,35 @@
 	"io"
 )
 
-// minBuffer is how many bytes the buffer of an idle connection has; retainedBuffers times as many are kept between messages.
 const (
-	minBuffer       = 512
+	// minBuffer is the initial size of a reader's buffer in bytes.
+	minBuffer = 512
+	// retainedBuffers limits the buffer that is kept between messages, as a multiple of minBuffer.
 	retainedBuffers = 16
 )
 
-// Reader frames a connection's messages. One goroutine may use it.
+// Reader splits a connection's bytes into messages. Only one goroutine at a time may use it.
 type Reader struct {
-	MaxMessage int    // bytes of one message; a larger one is malformed
+	MaxMessage int    // maximum size of a message in bytes; a larger message is malformed
 	OnWait     func() // called before a read for the first byte of a message
-	OnPartial  func() // called before the first read for more of a message that has begun
+	OnPartial  func() // called before the first read for the rest of a message that has begun
 
 	in         io.Reader
 	buf        []byte
-	start, end int // buf[start:end] was read and not returned
+	start, end int // buf[start:end] was read, and not yet returned
 }
 
-// NewReader returns a reader of messages of at most maxMessage bytes.
+// NewReader returns a reader of messages of up to maxMessage bytes.
 func NewReader(in io.Reader, maxMessage int) *Reader {
 	return &Reader{MaxMessage: maxMessage, in: in, OnWait: func() {}, OnPartial: func() {}}
 }
 
-// Next returns the next message's bytes, which are valid until the next call. An error of ErrMalformed is about the bytes;
-// any other one comes from reading, and is io.ErrUnexpectedEOF for an end within a message.
+// Next returns the bytes of the next message, which are valid until the next call. An error that wraps ErrMalformed
+// means that the bytes are malformed. Any other error comes from reading; it is io.ErrUnexpectedEOF if the input ends
+// within a message.
 func (r *Reader) Next() ([]byte, error) {
 	if r.start == r.end && len(r.buf) > retainedBuffers*minBuffer {
-		// One large message is no reason to keep a large buffer.
+		// The buffer has grown for a large message: it is released, so that idle connections take little memory.
 		r.buf = nil
 		r.start = 0
 		r.end = 0
@@ -65,14 +67,14 @@
 	}
 }
 
-// needed is how many bytes the message that begins with have needs, as far as have shows it: always more than have until the
-// message is complete.
+// needed returns the size in bytes of the message that begins with have. As long as have does not contain the
+// message's whole header, needed returns a lower bound greater than len(have).
 func (r *Reader) needed(have []byte) (int, error) {
 	if len(have) == 0 {
 		return minHeaderSize, nil
 	}
 	if have[0] != sequence {
-		return 0, malformed("tag %#x is no message's", have[0])
+		return 0, malformed("tag %#x does not begin a message", have[0])
 	}
 	h, complete, err := parseHeader(have)
 	if err != nil {
@@ -83,12 +85,12 @@
 	}
 	need := h.size + h.length
 	if need > r.MaxMessage {
-		return 0, malformed("a message of %d bytes: %d are taken", need, r.MaxMessage)
+		return 0, malformed("a message of %d bytes exceeds the limit of %d bytes", need, r.MaxMessage)
 	}
 	return need, nil
 }
 
-// makeSpace moves have to the buffer's beginning, and grows the buffer if it is full or too small for need bytes.
+// makeSpace moves have to the beginning of the buffer, and grows the buffer if it is full or too small for need bytes.
 func (r *Reader) makeSpace(have []byte, need int) {
 	if r.start > 0 {
 		copy(r.buf, have)
@@ -96,15 +98,17 @@
 		r.end = len(have)
 	}
 	if len(r.buf) < need || len(r.buf) == r.end {
-		// It grows by what has come, not by what was announced: to announce a length costs the sender nothing.
+		// The buffer grows with the bytes that were received, not with the announced length: otherwise a sender could
+		// make the agent allocate memory by announcing a length, without sending anything.
 		grown := make([]byte, max(minBuffer, min(need, 2*len(r.buf))))
 		copy(grown, r.buf[:r.end])
 		r.buf = grown
 	}
 }
 
-// Buffered is how many bytes were read behind the last message.
+// Buffered returns how many bytes were read after the end of the last message.
 func (r *Reader) Buffered() int { return r.end - r.start }
 
-// Forget overwrites the bytes of the last message, and all before it: they have a password.
-func (r *Reader) Forget() { clear(r.buf[:r.start]) }
+// Wipe overwrites the bytes of the last message, and all bytes before it in the buffer. It is for messages with a
+// password.
+func (r *Reader) Wipe() { clear(r.buf[:r.start]) }
--- a/internal/protocol/ldapmsg/tags.go
+++ b/internal/protocol/ldapmsg/tags.go
@@ -49,10 +49,10 @@
 	classMask        = 0xc0
 	classApplication = 0x40
 	constructed      = 0x20
-	numberMask       = 0x1f // all set: the tag goes on in the next octet
+	numberMask       = 0x1f // all bits set: the tag continues in the next octet
 )
 
-// Result codes that a proxy returns or acts on (RFC 4511, 4.1.9; RFC 3909).
+// Result codes that a proxy returns or handles specially (RFC 4511, 4.1.9; RFC 3909).
 const (
 	Success                 = 0
 	OperationsError         = 1
@@ -85,7 +85,8 @@
 	OIDPagedResults   = "1.2.840.113556.1.4.319"  // RFC 2696
 )
 
-// ResponseTo is the tag of the last response to a request with tag op; 0: a request without a response, or no request.
+// ResponseTo returns the tag of the last message of the response to a request with tag op. It returns 0 if the
+// request has no response, or op is not the tag of a request.
 func ResponseTo(op byte) byte {
 	switch op {
 	case BindRequest, SearchRequest, ModifyRequest, AddRequest, ModDNRequest, CompareRequest, ExtRequest:
@@ -102,15 +103,16 @@
 const (
 	// MaxID is the largest message ID (RFC 4511, 4.1.1).
 	MaxID = 1<<31 - 1
-	// maxCode bounds result codes, which the standard leaves open: a larger one is taken for malformed.
+	// maxCode is the largest result code that is accepted. The standard sets no upper limit; a larger code is handled
+	// as malformed.
 	maxCode = 1 << 30
-	// maxDepth is how deeply filters and controls may be nested: far more than a sensible client does. A larger value lets
-	// a client have servers recurse more deeply.
+	// maxDepth is how deeply the elements of a message, such as filters and controls, may be nested. It is far more
+	// than reasonable clients need. A larger value lets a client make servers recurse more deeply.
 	maxDepth = 100
-	// maxLengthOctets is how many octets a length may have, behind the first: messages are shorter than 4 GiB.
+	// maxLengthOctets is how many octets of a length may follow the first one: messages are shorter than 4 GiB.
 	maxLengthOctets = 4
-	// minHeaderSize is how many bytes a tag and a length have at least.
+	// minHeaderSize is the minimum size of a tag and a length in bytes.
 	minHeaderSize = 2
-	// maxHeaderSize is how many bytes a tag and a length have at most.
+	// maxHeaderSize is the maximum size of a tag and a length in bytes.
 	maxHeaderSize = minHeaderSize + maxLengthOctets
 )
