--- a/internal/protocol/ldap/attempt_test.go
+++ b/internal/protocol/ldap/attempt_test.go
@@ -13,15 +13,15 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Each way in which an attempt can end, for a safe and for an unsafe operation: what may have run is
-// sent again only where that does no harm, and what is refused has not run.
+// Checks each outcome of an attempt, for an idempotent and for a non-idempotent operation. An operation that may have
+// been executed is retried only if it is idempotent, and a refused operation was not executed.
 func TestOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
 		fault        directory.Fault
-		search       int // result code of a base lookup, of two servers one of which has the fault at first
-		modify       int // of a modify
-		modifiesRan  int
-		modifyServer int // operations that reached servers
+		search       int // result code of a lookup whose first attempt meets the fault
+		modify       int // result code of a modify whose first attempt meets the fault
+		modifiesRan  int // how often the modify was executed
+		modifyServer int // how many attempts of the modify reached a server
 	}{
 		"served":              {directory.Fault{}, 0, 0, 1, 1},
 		"killed before":       {directory.Fault{KillBefore: true}, 0, ldapmsg.Other, 0, 1},
@@ -68,16 +68,16 @@
 				t.Errorf("modified %d times, %d operations reached a server", ran, arrived.Load())
 			}
 			faults.Store(0)
-			if _, err := c.Search(lookupSearch()); err != nil { // it goes on
+			if _, err := c.Search(lookupSearch()); err != nil { // the connection is still usable
 				t.Errorf("afterwards: %v", err)
 			}
 		})
 	}
 }
 
-var lookupSearch = baseSearch // a name that no local hides
+var lookupSearch = baseSearch // named after the kind of such searches
 
-// Once an entry has gone to the client there is no other attempt, and the search fails.
+// Once an entry was forwarded to the client, a broken search is not retried, and fails.
 func TestStartedStreamIsNotRetried(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	var faults, arrived atomic.Int32
@@ -105,7 +105,7 @@
 	}
 }
 
-// Nothing new goes to a server once the list calls it draining or gone.
+// A server gets no new operations once the endpoint list shows it as draining.
 func TestDrainingServerGetsNothingNew(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	list := testkit.NewCatalog(t)
@@ -136,12 +136,12 @@
 		}
 	}
 	if one.Served("lookup") != before {
-		t.Error("a draining server was asked")
+		t.Error("a draining server got an operation")
 	}
 }
 
-// An address that a new server has taken over is no longer the old one's, even before its end is told; and a
-// probe leaves no connection behind.
+// When a new server has taken over the address of an old one, the old server gets no operations at that address, even
+// before the endpoint list says that it is gone. A probe leaves no connection open.
 func TestReusedAddressGetsNothingOfOldServer(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	a := startAgent(t, testConfig(t, d), Options{})
@@ -151,10 +151,10 @@
 	pool := a.p.pool
 	pool.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
 	if c, _, err := pool.acquire("one", "", false); !errors.Is(err, core.ErrMoved) {
-		t.Errorf("the old one has %+v, %v", c, err)
+		t.Errorf("acquire returned a connection to the old server: %+v, %v", c, err)
 	}
 	open := func() int { pool.mu.Lock(); defer pool.mu.Unlock(); return pool.open }
-	testkit.WaitFor(t, "its connections to close", func() bool { return open() == 0 })
+	testkit.WaitFor(t, "the old server's connections to close", func() bool { return open() == 0 })
 	if p := a.p.Probe("next"); p.Result != decide.OK || open() != 0 {
 		t.Errorf("%+v, %d connections open", p, open())
 	}
--- a/internal/protocol/ldap/bind_test.go
+++ b/internal/protocol/ldap/bind_test.go
@@ -15,12 +15,12 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A server connection serves only the identity that is bound on it, and a bind is made again on each
-// server by the agent. Credentials are in no log.
+// A server connection serves only the identity that is bound on it, and the agent repeats a client's bind on each
+// server that it uses. Credentials are never logged.
 func TestOperationsRunAsTheirClient(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	var mu sync.Mutex
-	seen := map[string]map[string]bool{} // by DN asked for, who asked
+	seen := map[string]map[string]bool{} // for each requested DN, the identities of the requests
 	for _, d := range []*directory.Directory{one, two} {
 		d.Script(func(o directory.Op) directory.Fault {
 			if o.Kind == "lookup" {
@@ -63,12 +63,12 @@
 		t.Errorf("%v", seen)
 	}
 	if one.Served("lookup") == 0 || two.Served("lookup") == 0 {
-		t.Error("one of the two got nothing")
+		t.Error("one of the two servers got no lookup")
 	}
 	if authz, err := admin.WhoAmI(nil); err != nil || authz.AuthzID != "dn:cn=admin" {
 		t.Errorf("%+v, %v", authz, err)
 	}
-	// After a failed bind a client is anybody (RFC 4511, 4.2.1).
+	// After a failed bind a client is anonymous (RFC 4511, 4.2.1).
 	if err := admin.Bind("cn=admin", "secret-wrong"); resultCode(err) != client.LDAPResultInvalidCredentials {
 		t.Errorf("%v", err)
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// A password is wiped from memory with the connection that brought it.
+// A password is wiped from memory after the client connection that it was received on is closed.
 func TestPasswordsAreWiped(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	a := startAgent(t, testConfig(t, d), Options{})
@@ -106,7 +106,7 @@
 	}
 }
 
-// An operation whose server connection is not there any more binds a new one by the client's identity.
+// If an operation's server connection has ended, the agent opens a new one and binds it with the client's identity.
 func TestBindIsRepeatedOnNewServerConnection(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	a := startAgent(t, testConfig(t, d), Options{})
@@ -124,7 +124,7 @@
 	}
 }
 
-// saslBindStep is a SASL exchange's step.
+// saslBindStep returns a BindRequest that is one step of a SASL exchange.
 func saslBindStep(id int32) []byte {
 	mech := "TWO-STEP"
 	sasl := append([]byte{0x04, byte(len(mech))}, mech...)
@@ -132,8 +132,8 @@
 	return ldapmsg.WithID(id, append([]byte{ldapmsg.BindRequest, byte(len(body))}, body...))
 }
 
-// A SASL bind of several steps keeps its server connection, for its steps and for what follows; when
-// that ends, the client is told.
+// All steps of a SASL bind and the operations that follow it use one server connection. When that connection ends,
+// the client gets a response to its next request, and a Notice of Disconnection.
 func TestSASLBindKeepsItsServerConnection(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	a := startAgent(t, testConfig(t, one, two), Options{})
@@ -166,7 +166,7 @@
 		}
 	}
 	if one.Served("extended") != 0 && two.Served("extended") != 0 {
-		t.Error("both servers were asked")
+		t.Error("both servers got operations after the SASL bind")
 	}
 	one.Kill()
 	two.Kill()
@@ -174,7 +174,7 @@
 	testkit.WaitFor(t, "the end to be seen", func() bool { a.p.pool.mu.Lock(); defer a.p.pool.mu.Unlock(); return a.p.pool.open == 0 })
 	m := ask(ldapmsg.Extended(50, ldapmsg.OIDWhoAmI, nil))
 	if code, _ := m.Code(); m.ID != 50 || m.Op != ldapmsg.ExtResponse || code != ldapmsg.Unavailable || !strings.Contains(string(m.Content), "nothing was done") {
-		t.Errorf("no response of its own: %+v", m)
+		t.Errorf("the request got no response: %+v", m)
 	}
 	raw, err := in.Next()
 	if err != nil {
@@ -186,7 +186,7 @@
 	if _, err := in.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("%v", err)
 	}
-	// EXTERNAL would be this agent's own.
+	// SASL EXTERNAL is rejected: the server would authenticate the agent instead of the client.
 	c2 := a.dialRaw(t)
 	mech := append([]byte{0x04, 8}, "EXTERNAL"...)
 	body := append([]byte{0x02, 1, 3, 0x04, 0, 0xa3, byte(len(mech))}, mech...)
@@ -202,8 +202,8 @@
 	}
 }
 
-// A password that is changed while its owner is bound: the old one is tried once more at the most, and
-// not over and over until it is locked out.
+// When a password is changed while a client is bound with it, the agent tries the old password only once more.
+// Repeated tries could lock the account.
 func TestRejectedRebindAsksClientToBindAgain(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	a := startAgent(t, testConfig(t, one, two), Options{})
--- a/internal/protocol/ldap/cancel.go
+++ b/internal/protocol/ldap/cancel.go
@@ -6,7 +6,7 @@
 )
 
 // handleAbandon abandons an operation (RFC 4511, 4.11). The operation gets no response, and counts as in flight until
-// its server has ended it or its deadline is exceeded. Binds can't be abandoned.
+// its end is observed or its deadline is exceeded. Binds can't be abandoned.
 func (s *session) handleAbandon(id int32) {
 	s.mu.Lock()
 	o := s.operations[id]
--- a/internal/protocol/ldap/cancel_test.go
+++ b/internal/protocol/ldap/cancel_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// An abandoned operation has no answer, is abandoned at its server, and counts as running until its end.
+// An abandoned operation gets no response. The agent sends an AbandonRequest to its server, and counts a disconnect.
 func TestAbandonedOperationGetsNoResponse(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold, arrived := make(chan struct{}), make(chan struct{}, 10)
@@ -32,8 +32,8 @@
 	testkit.Receive(t, "the search", arrived)
 	send(ldapmsg.Abandon(8, 7))
 	testkit.WaitFor(t, "the abandon at the server", func() bool { return d.Abandoned() == 1 })
-	testkit.WaitFor(t, "the operation to be gone", func() bool { return a.Totals().ClientDisconnects == 1 })
-	send(rawSearch(9, 0)) // a lookup, which is answered; nothing else comes
+	testkit.WaitFor(t, "the operation to be ended", func() bool { return a.Totals().ClientDisconnects == 1 })
+	send(rawSearch(9, 0)) // the lookup is answered; no response to the abandoned search comes before it
 	in := ldapmsg.NewReader(c, 1<<20)
 	for _, want := range []byte{ldapmsg.SearchEntry, ldapmsg.SearchDone} {
 		raw, err := in.Next()
@@ -44,8 +44,8 @@
 			t.Errorf("%+v, %v", m, err)
 		}
 	}
-	send(ldapmsg.Abandon(10, 99)) // of nothing: no effect
-	send(rawSearch(7, 0))         // the id is free again
+	send(ldapmsg.Abandon(10, 99)) // no operation has this message ID: no effect
+	send(rawSearch(7, 0))         // the message ID of the abandoned search can be used again
 	if raw, err := in.Next(); err != nil {
 		t.Error(err)
 	} else if m, _ := ldapmsg.Parse(raw); m.ID != 7 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// rawSearch is a search of an id: scope 0 asks for one entry, 2 for all.
+// rawSearch returns a SearchRequest. Scope 0 requests one entry, scope 2 all entries.
 func rawSearch(id int32, scope byte) []byte {
 	base := "cn=a,dc=ward"
 	if scope > 0 {
@@ -68,7 +68,8 @@
 	return ldapmsg.WithID(id, op)
 }
 
-// A Cancel (RFC 3909) of what is on a server is that server's: both answers are its.
+// A Cancel request (RFC 3909) for an operation that is on a server is sent to that server. The server determines the
+// responses to both requests.
 func TestCancelIsAnswered(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
@@ -86,8 +87,8 @@
 		t.Fatal(err)
 	}
 	testkit.Receive(t, "the search", arrived)
-	// The server may have the search before the agent knows that all of it was written; until then it can't be
-	// cancelled.
+	// The server may receive the search before the agent's write returns, and until then the agent can't cancel the
+	// search.
 	testkit.WaitFor(t, "the attempt", func() bool { return a.hasAttempt(5) })
 	if _, err := c.Write(append(ldapmsg.Cancel(6, 5), ldapmsg.Cancel(7, 99)...)); err != nil {
 		t.Fatal(err)
--- a/internal/protocol/ldap/clienttls.go
+++ b/internal/protocol/ldap/clienttls.go
@@ -63,7 +63,8 @@
 		return err
 	}
 	if err := c.Handshake(); err != nil {
-		s.protocol.log.Warn("TLS handshake with a client failed; closing its connection", "client", s.raw.RemoteAddr().String(), "error", err)
+		s.protocol.log.Warn("TLS handshake with a client failed; closing its connection",
+			"client", s.raw.RemoteAddr().String(), "error", err)
 		return err
 	}
 	s.mu.Lock()
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -17,17 +17,18 @@
 	"vetchhaven/internal/testkit"
 )
 
-// What these tests show, all of one kind: a session looked whether an operation was open, and then sent the Notice of
-// Disconnection, while a request stood between its last byte and its entry among the operations. It was dropped in
-// silence:
+// These tests guard against requests that are dropped without a response as their session closes. A session checked
+// that no operation was open, and then sent the Notice of Disconnection, while its reader had read a request but had
+// not yet entered it among the open operations. The client saw
 //
 //	ldap_test.go:89: after the change: unable to read LDAP response packet: EOF
 //
-// about once in 100 runs of TestLDAPInstance, and for 18 of 10,822 clients that dial, ask once and close over 400
-// reloads. The session's reader had stored hasRequested, so that drain skipped its fresh period, and had not taken
-// the lock under which the operation is entered. The same gap stood behind each other reason to close a session.
+// This happened in about 1 in 100 runs of TestLDAPInstance, and to 18 of 10,822 clients that dial, send one request
+// and close, over 400 reloads. The reader had set hasRequested, so that drain did not wait for a first request, and
+// had not yet taken the lock under which the operation is entered. Every other reason to close a session had the same
+// race.
 
-// onlySession waits for the one session of an agent.
+// onlySession waits until the agent has a session, and returns it. The agent must have no more than one.
 func (r *testAgent) onlySession(t testing.TB) *session {
 	t.Helper()
 	var found *session
@@ -41,7 +42,7 @@
 	return found
 }
 
-// readUntilEnd returns the messages up to the connection's end, which has to be an orderly one.
+// readUntilEnd returns the messages up to the end of the connection, and checks that the connection was not reset.
 func readUntilEnd(t testing.TB, c net.Conn) (all []ldapmsg.Message) {
 	t.Helper()
 	in := ldapmsg.NewReader(c, 1<<20)
@@ -49,7 +50,7 @@
 		raw, err := in.Next()
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				t.Errorf("not an orderly end: %v", err)
+				t.Errorf("the connection did not end with EOF: %v", err)
 			}
 			return all
 		}
@@ -61,7 +62,7 @@
 	}
 }
 
-// summary has each message as its ID and, where it has one, its result code; a notice is "notice".
+// summary returns the final responses among all as ID:resultCode, and a Notice of Disconnection as "notice".
 func summary(all []ldapmsg.Message) string {
 	var out []string
 	for _, m := range all {
@@ -76,8 +77,8 @@
 	return strings.Join(out, " ")
 }
 
-// A request that the reader has in hand as its session begins to close, whatever the reason, has its own response
-// before the notice.
+// A request that the reader has just read when its session begins to close, for whatever reason, gets its response
+// before the Notice of Disconnection.
 func TestRequestReadAsTheSessionClosesIsAnswered(t *testing.T) {
 	requests := map[string][]byte{
 		"search":           rawSearch(1, 0),
@@ -87,9 +88,9 @@
 	}
 	reasons := map[string]func(*testAgent, *session){
 		"the agent drains": func(r *testAgent, _ *session) { r.p.SetDraining(true) },
-		// evictQuiet's last step, when its look is over
+		// the close that follows the check in an eviction
 		"it is evicted": func(_ *testAgent, s *session) {
-			go s.closeWithNotice(ldapmsg.Unavailable, "too many connections: this one was quiet for longest")
+			go s.closeWithNotice(ldapmsg.Unavailable, "too many connections: this one was idle for longest")
 		},
 	}
 	for request, text := range requests {
@@ -107,17 +108,18 @@
 	}
 }
 
-// races is how often a crossing is brought about: which of two goroutines has a lock first is not in the test's hand.
+// races is how many times a test lets a request race with the close: it can't control which goroutine gets the lock
+// first.
 const races = 10
 
-// raceRequestAndClose holds a session's lock until its reader has a request in hand, and the session is to end. It
-// reports false if it took the lock before the reader had begun to read, and so there was no crossing.
+// raceRequestAndClose holds a session's lock until the reader has read a request and the session is told to close. It
+// returns false if it took the lock before the reader had begun to read, so that there was no race.
 func raceRequestAndClose(t *testing.T, r *testAgent, request []byte, end func(*testAgent, *session)) bool {
 	t.Helper()
 	r.p.SetDraining(false)
 	c := r.dialRaw(t)
 	s := r.onlySession(t)
-	s.mu.Lock() // nothing can look at the operations, or enter one
+	s.mu.Lock() // no other goroutine can check the open operations, or enter one
 	if _, err := c.Write(request); err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +128,7 @@
 	}
 	crossed := s.hasRequested.Load()
 	end(r, s)
-	time.Sleep(10 * time.Millisecond) // the closer waits for the lock behind the reader, or ahead of it
+	time.Sleep(10 * time.Millisecond) // the closing goroutine waits for the lock too, after the reader or before it
 	s.mu.Unlock()
 	if got := summary(readUntilEnd(t, c)); got != "1:0 notice" {
 		t.Errorf("%q", got)
@@ -136,7 +138,7 @@
 	return crossed
 }
 
-// A message that comes as the session's wait for one is over is answered.
+// A request that arrives just after the reader's read has timed out is answered.
 func TestRequestThatComesAsTheReadTimesOutIsAnswered(t *testing.T) {
 	const maxIdle = 100 * time.Millisecond
 	r := startAgent(t, testConfig(t, startDirectory(t, "one", directory.Options{})), Options{MaxIdle: maxIdle})
@@ -147,7 +149,7 @@
 	}
 	testkit.WaitFor(t, "the first search", func() bool { return r.Totals().Served == 1 })
 	s.mu.Lock()
-	time.Sleep(3 * maxIdle) // the reader has had its timeout, and waits for the lock
+	time.Sleep(3 * maxIdle) // the reader's read has timed out, and the reader waits for the lock
 	if _, err := c.Write(rawSearch(2, 0)); err != nil {
 		t.Fatal(err)
 	}
@@ -157,8 +159,8 @@
 	}
 }
 
-// On a session that closes and still has an operation open, a further request is rejected at once: nothing was done.
-// It waited unread, and was dropped behind the notice.
+// On a closing session that still has an open operation, a further request is rejected at once, and not executed.
+// Before, such a request stayed unread, and was dropped when the Notice of Disconnection was sent.
 func TestRequestOnAClosingSessionIsRejectedAtOnce(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold, arrived := make(chan struct{}), make(chan struct{}, 10)
@@ -178,7 +180,7 @@
 	s := r.onlySession(t)
 	r.p.SetDraining(true)
 	testkit.WaitFor(t, "the session to close", s.isClosing)
-	time.Sleep(20 * time.Millisecond) // its reader has looked for what had come
+	time.Sleep(20 * time.Millisecond) // the reader has handled the requests that had arrived
 	requests := map[string][]byte{
 		"2": rawModify(2, "cn=a,dc=ward", "x"),
 		"3": ldapmsg.SimpleBind(3, []byte("cn=admin"), []byte("secret-1")),
@@ -217,7 +219,7 @@
 	}
 }
 
-// A Cancel that is with the server has its response before the notice.
+// A Cancel request that was sent to a server gets its response before the Notice of Disconnection.
 func TestCancelIsAnsweredBeforeTheNotice(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold, arrived := make(chan struct{}), make(chan directory.Op, 10)
@@ -243,8 +245,9 @@
 	if _, err := c.Write(ldapmsg.Cancel(2, 1)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the cancel", arrived)
-	// The search ends by its deadline; the response to the Cancel ends by the same, some moments later or earlier.
+	testkit.Receive(t, "the Cancel request", arrived)
+	// The search ends at its deadline, and the wait for the server's response to the Cancel ends at about the same
+	// time.
 	r.p.SetDraining(true)
 	got := summary(readUntilEnd(t, c))
 	close(hold)
@@ -253,9 +256,10 @@
 	}
 }
 
-// A TLS handshake that is under way as the agent drains comes to its end, and the notice comes under TLS. It was cut
-// off: the client saw a broken handshake, or the notice in plain in the midst of it.
-func TestHandshakeUnderADrainIsCompleted(t *testing.T) {
+// A TLS handshake that is under way when the agent begins to drain is completed, and the Notice of Disconnection is
+// sent over TLS. Before, the handshake was interrupted: it failed, or the client got the notice in plain text during
+// the handshake.
+func TestHandshakeDuringDrainIsCompleted(t *testing.T) {
 	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
 	for name, ldaps := range map[string]bool{"StartTLS": false, "LDAPS": true} {
@@ -289,8 +293,8 @@
 	}
 }
 
-// A step of a SASL bind that is read as the agent drains has its response.
-func TestSASLStepUnderADrainIsAnswered(t *testing.T) {
+// A step of a SASL bind that is read as the agent begins to drain gets its response.
+func TestSASLStepDuringDrainIsAnswered(t *testing.T) {
 	r := startAgent(t, testConfig(t, startDirectory(t, "one", directory.Options{})), Options{})
 	c := r.dialRaw(t)
 	s := r.onlySession(t)
@@ -298,7 +302,7 @@
 		t.Fatal(err)
 	}
 	testkit.WaitFor(t, "the first step", func() bool { return r.Totals().Served == 1 })
-	testkit.WaitFor(t, "its end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.operations) == 0 })
+	testkit.WaitFor(t, "the end of the first step", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.operations) == 0 })
 	received := s.lastReceived.Load()
 	s.mu.Lock()
 	if _, err := c.Write(saslBindStep(2)); err != nil {
@@ -313,8 +317,8 @@
 	}
 }
 
-// An operation's deadline runs while its connection waits to be accepted, as over HTTP (see
-// http1: TestTimeInTheAcceptQueueIsNotTheClientsAnyMore).
+// The time that a connection waits in the accept queue counts towards the deadline of its first operation, as over
+// HTTP (see http1: TestAcceptQueueTimeCountsTowardsDeadline).
 func TestDeadlineRunsInTheAcceptQueue(t *testing.T) {
 	const (
 		deadline = 2 * time.Second
--- a/internal/protocol/ldap/disconnect_test.go
+++ b/internal/protocol/ldap/disconnect_test.go
@@ -8,8 +8,9 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A client's connection is not read while a bind of it waits, for what is open before it or for its answer, nor once
-// this agent stops. One that leaves then has no attempt begun for it all the same.
+// The agent does not read a client's connection while a bind of that client waits for earlier operations or for its
+// response, nor once the agent is stopping. If the client disconnects then, no attempt begins for its operations
+// either.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	bind, lookup := ldapmsg.SimpleBind(2, []byte("cn=admin"), []byte("secret-1")), rawSearch(1, 0)
 	for name, row := range map[string]struct {
@@ -23,7 +24,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const serverLimit = 6 // that one server may have at once, as the module has it at its start
+			const serverLimit = 6 // attempts in flight that the balancer allows for one server at its start
 			d := startDirectory(t, "one", directory.Options{})
 			hold, arrived := make(chan struct{}), make(chan directory.Op, 100)
 			d.Script(func(o directory.Op) directory.Fault {
@@ -34,7 +35,8 @@
 			})
 			cfg := testConfig(t, d)
 			for i := range cfg.Settings.Classes {
-				cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
+				// With this objective, queued operations wait for long.
+				cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline
 			}
 			a := startAgent(t, cfg, Options{})
 			others := make(chan error, serverLimit)
@@ -62,7 +64,7 @@
 					t.Error(err)
 				}
 			}
-			testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(arrived) > 0 })
+			testkit.WaitFor(t, "the disconnect, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(arrived) > 0 })
 			if len(arrived) > 0 {
 				t.Errorf("%+v reached the server", <-arrived)
 			}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -48,7 +48,7 @@
 	log  *logBuffer
 }
 
-// logBuffer keeps what an agent writes.
+// logBuffer collects the log output of an agent.
 type logBuffer struct {
 	mu   sync.Mutex
 	text []byte
@@ -91,7 +91,7 @@
 	return r
 }
 
-// startDirectory starts a directory with a few entries.
+// startDirectory starts a stand-in directory server with a few entries and two accounts.
 func startDirectory(t testing.TB, id string, o directory.Options) *directory.Directory {
 	t.Helper()
 	d, err := directory.New(id, o)
@@ -119,7 +119,7 @@
 	return c
 }
 
-// dialRaw is a connection to the agent without a library.
+// dialRaw opens a TCP connection to the agent, on which the test writes and reads the messages itself.
 func (r *testAgent) dialRaw(t testing.TB) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
@@ -133,8 +133,8 @@
 	return c
 }
 
-// hasAttempt reports whether an operation of the given message ID has been written to a server, which has not
-// answered.
+// hasAttempt reports whether the operation with the given message ID has been written to a server that has not
+// answered yet.
 func (r *testAgent) hasAttempt(id int32) bool {
 	r.p.mu.Lock()
 	defer r.p.mu.Unlock()
@@ -168,7 +168,7 @@
 	return m
 }
 
-// resultCode is the result resultCode of an error; 0: none.
+// resultCode returns the LDAP result code of an error: 0 for nil, -1 for an error that is not a client.Error.
 func resultCode(err error) int {
 	if err == nil {
 		return 0
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -212,7 +212,8 @@
 // unknownLoad is a load report without values: directory servers send none.
 var unknownLoad = decide.Load{Queue: -1, InFlight: -1, Service: -1, ErrorsPerSec: -1}
 
-// Probe checks a server's health by opening an anonymous connection. It sends no LDAP operation on the connection.
+// Probe checks a server's health by opening an anonymous connection, with TLS where that is set. It sends no request on
+// the connection.
 func (p *protocol) Probe(server string) decide.ProbeResult {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Settings.ConnectTimeout)
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// What each operation brings through the agent is what the directory says.
+// Each operation through the agent has the result that the directory server gives.
 func TestOperationsAreServed(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	c := startAgent(t, testConfig(t, d), Options{}).dial(t)
@@ -37,7 +37,7 @@
 		t.Errorf("add: %v", err)
 	}
 	if err := c.Add(add); resultCode(err) != client.LDAPResultEntryAlreadyExists {
-		t.Errorf("add of what is there: %v", err)
+		t.Errorf("add of an entry that exists: %v", err)
 	}
 	if err := c.ModifyDN(client.NewModifyDNRequest("cn=new,dc=ward", "cn=newer", true, "")); err != nil {
 		t.Errorf("moddn: %v", err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Many operations at once on one connection, answered in any order, and each by its own answer.
+// Many operations are open at once on one connection, and are answered in any order. Each gets its own response.
 func TestResponsesReachTheirOwnClient(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
 	for _, d := range []*directory.Directory{one, two} {
@@ -75,7 +75,8 @@
 				name := string(rune('a' + n%5))
 				for range 10 {
 					got, err := c.Search(newSearch("cn="+name+",dc=ward", client.ScopeBaseObject))
-					for client.IsErrorWithCode(err, client.LDAPResultBusy) && time.Now().Before(until) { // a busy machine's: nothing was done
+					// On a busy machine, the agent may refuse a search, which is then repeated.
+					for client.IsErrorWithCode(err, client.LDAPResultBusy) && time.Now().Before(until) {
 						got, err = c.Search(newSearch("cn="+name+",dc=ward", client.ScopeBaseObject))
 					}
 					if err != nil || len(got.Entries) != 1 || got.Entries[0].GetAttributeValue("cn") != name {
@@ -89,7 +90,7 @@
 	all.Wait()
 }
 
-// What no server takes is refused at once: busy, and when to come back.
+// An operation that every server rejects gets busy (51), with a diagnostic message that says that nothing was done.
 func TestRejectedOperationGetsBusy(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Code: ldapmsg.Busy} })
@@ -103,7 +104,7 @@
 	}
 }
 
-// A search's own time limit is its client's deadline.
+// The time limit in a search request bounds the deadline of the search.
 func TestSearchTimeLimitBoundsDeadline(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold := make(chan struct{})
@@ -117,7 +118,8 @@
 	}
 }
 
-// A paged search's next page is asked of the connection that gave the cookie, among many.
+// A request for a further page of a paged search goes to the server connection that returned the cookie, among many
+// others.
 func TestPagedSearchStaysOnItsConnection(t *testing.T) {
 	var all []*directory.Directory
 	for _, id := range []string{"one", "two", "three"} {
@@ -137,7 +139,7 @@
 		})
 	}
 	asking.Wait()
-	// The connection's end ends the search: it can't be gone on with elsewhere.
+	// The end of the connection ends the paged search, which can't be continued on another connection.
 	c := a.dial(t)
 	s := subtreeSearch()
 	page := client.NewControlPaging(2)
@@ -159,19 +161,20 @@
 	}
 }
 
-// References, intermediate responses, controls and extended operations that are not known go through
-// unchanged, byte for byte, under the client's id.
+// Search result references, intermediate responses, controls and unknown extended operations are forwarded unchanged,
+// byte for byte, under the client's message ID.
 func TestMessagesPassUnchanged(t *testing.T) {
 	control := append([]byte{0xa0, 9, 0x30, 7, 0x04, 5}, "1.2.3"...)
 	ahead := [][]byte{
 		append([]byte{ldapmsg.SearchReference, 9, 0x04, 7}, "ldap://"...),
 		append([]byte{ldapmsg.Intermediate, 7, 0x80, 5}, "1.2.9"...),
-		append(append([]byte{ldapmsg.SearchEntry, 5, 0x04, 1, 'x', 0x30, 0}, control...), 0xa7, 0), // and a component of a later day
+		// The component after the controls has an unknown tag.
+		append(append([]byte{ldapmsg.SearchEntry, 5, 0x04, 1, 'x', 0x30, 0}, control...), 0xa7, 0),
 	}
 	d := startDirectory(t, "one", directory.Options{})
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Ahead: ahead, Code: 10} })
 	a := startAgent(t, testConfig(t, d), Options{})
-	for _, scope := range []byte{0, 2} { // kept until the end, and streamed
+	for _, scope := range []byte{0, 2} { // held back until the last message, and streamed
 		c := a.dialRaw(t)
 		if _, err := c.Write(rawSearch(77, scope)); err != nil {
 			t.Fatal(err)
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -27,7 +27,7 @@
 	refs         atomic.Int32  // references of the session and of attempts; passwords are wiped at 0
 
 	mu             sync.Mutex
-	attemptConn    *serverConn // the connection of the current attempt; nil: no attempt has been sent
+	attemptConn    *serverConn // the connection of the current attempt; nil: no attempt is at a server
 	attemptID      int32       // the message ID of the current attempt on attemptConn
 	attemptStarted bool        // an attempt has been admitted for writing, so the operation may be executed
 	abandoned      bool        // the client wants no response
--- a/internal/protocol/ldap/property_test.go
+++ b/internal/protocol/ldap/property_test.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// rawModify changes one value of an entry.
+// rawModify returns a ModifyRequest that replaces one attribute of an entry.
 func rawModify(id int32, dn, value string) []byte {
 	el := func(tag byte, parts ...[]byte) []byte {
 		var b []byte
@@ -39,12 +39,13 @@
 	return ldapmsg.WithID(id, el(ldapmsg.AddRequest, el(0x04, []byte(dn)), el(0x30, el(0x30, el(0x04, []byte("cn")), el(0x31, el(0x04, []byte("x")))))))
 }
 
-// Any script of faults and operations: each request has exactly one final answer, an abandoned one at
-// most one, no effect is done twice, a refusal says the truth, and a success too.
+// Checks invariants under random faults and operations: each request gets exactly one final answer, an abandoned
+// request at most one; no change is executed twice; a refused change was not executed, and a successful change was
+// executed.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	checks := flag.Lookup("rapid.checks")
 	before := checks.Value.String()
-	if before == "100" { // each plays real sockets
+	if before == "100" { // fewer checks than the default, since each of them uses real sockets
 		_ = flag.Set("rapid.checks", "25")
 		defer func() { _ = flag.Set("rapid.checks", before) }()
 	}
@@ -71,9 +72,9 @@
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].Objective, cfg.Settings.Classes[i].Deadline = 100*time.Millisecond, 500*time.Millisecond
 		}
-		// The loop answers in the module's place half of this after a deadline. On a busy machine a timer of the
-		// module's is later than the 10 ms that are usual; what it answers when is held to, event by event, in
-		// decide.
+		// If the balancer has not answered a request by half of AnswerGrace after the deadline, the loop answers.
+		// Half of the usual AnswerGrace is 10 ms, and on a busy machine a timer of the balancer can be later than
+		// that. The tests of package decide check, event by event, that the balancer answers in time.
 		cfg.Settings.AnswerGrace = 2 * testkit.Patience
 		a := startAgent(t, cfg, Options{})
 		defer a.stop()
@@ -135,22 +136,22 @@
 				times := ran["modify cn=a,dc=ward "+effect] + ran["add cn="+effect+",dc=ward"]
 				switch {
 				case times > 1:
-					r.Errorf("client %d, id %d was done %d times", c, id, times)
+					r.Errorf("client %d, id %d was executed %d times", c, id, times)
 				case k >= 2 && o.finals == 1 && o.code == ldapmsg.Busy && times > 0:
-					r.Errorf("client %d, id %d was refused, and done", c, id)
+					r.Errorf("client %d, id %d was refused, but executed", c, id)
 				case k >= 2 && o.finals == 1 && o.code == ldapmsg.Success && times != 1:
-					r.Errorf("client %d, id %d succeeded, and was not done", c, id)
+					r.Errorf("client %d, id %d succeeded, but was not executed", c, id)
 				}
 			}
 		}
 		if late := a.Totals().Late; late > 0 {
-			r.Errorf("%d had no answer of the module by their deadline", late)
+			r.Errorf("%d operations had no answer of the balancer by their deadline", late)
 		}
 	})
 }
 
-// read takes messages until so many final answers have come, and for a little after: a second answer to
-// anything would follow.
+// read reads messages until want final answers have come, and then for a short time longer, in which a second answer
+// to a request would come.
 func read[O any](nc net.Conn, of func(int32) *O, want int, final func(*O, int)) {
 	in := ldapmsg.NewReader(nc, 1<<20)
 	for got := 0; ; {
--- a/internal/protocol/ldap/request.go
+++ b/internal/protocol/ldap/request.go
@@ -92,7 +92,8 @@
 	m, _ = ldapmsg.Parse(own) // it was parsed before
 	o := &operation{session: s, id: m.ID, message: m, raw: own, kind: kind}
 	if !s.assignPagedConn(o) {
-		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform, "the server connection of this paged search is closed: restart the search")
+		s.respond(m.ID, m.Op, ldapmsg.UnwillingToPerform,
+			"the server connection of this paged search is closed: restart the search")
 		return
 	}
 	s.mu.Lock()
--- a/internal/protocol/ldap/responsestream.go
+++ b/internal/protocol/ldap/responsestream.go
@@ -20,25 +20,25 @@
 const maxBufferedBytes = 64 << 10
 
 // add handles a message. It returns false if the attempt's response must not reach the client.
-func (s *responseStream) add(p responseMessage) bool {
-	if s.buffering && s.bufferedBytes+len(p.raw) <= maxBufferedBytes {
-		s.buffered = append(s.buffered, p)
-		s.bufferedBytes += len(p.raw)
+func (s *responseStream) add(m responseMessage) bool {
+	if s.buffering && s.bufferedBytes+len(m.raw) <= maxBufferedBytes {
+		s.buffered = append(s.buffered, m)
+		s.bufferedBytes += len(m.raw)
 		return true
 	}
-	s.buffered = append(s.buffered, p)
+	s.buffered = append(s.buffered, m)
 	s.buffering = false
 	return s.flush()
 }
 
 // flush forwards the buffered messages. It returns false if the attempt's response must not reach the client.
 func (s *responseStream) flush() bool {
-	for _, p := range s.buffered {
+	for _, m := range s.buffered {
 		if !s.attempt.StartResponse(core.ServerWorking) {
 			return false
 		}
 		s.started = true
-		if !s.unwanted && !s.operation.session.forward(s.operation, p.Rest) {
+		if !s.unwanted && !s.operation.session.forward(s.operation, m.Rest) {
 			s.unwanted = true
 		}
 	}
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A write that is held up between its last check and the system call does not follow the final answer of its
+// A write that is delayed between its last check and the system call does not come after the final answer of its
 // operation.
 func TestNothingIsWrittenAfterTheFinalAnswer(t *testing.T) {
 	const heldFor = 400 * time.Millisecond
@@ -36,7 +36,7 @@
 	defer hold.Stop()
 	select {
 	case err := <-answered:
-		t.Errorf("the final answer came (%v) while a write for its operation was under way, which follows it", err)
+		t.Errorf("the final answer came (%v) before a write for its operation that was under way", err)
 		answered <- err
 	case <-hold.C:
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// A server that moves while a connection to its old address comes up gets nothing there: another one may have that
-// address.
+// If a server's address changes while a connection to the old address is being opened, nothing is sent to the old
+// address, which may belong to another server by then.
 func TestNothingIsSentToOldAddressOfMovedServer(t *testing.T) {
 	old, moved := startDirectory(t, "one", directory.Options{}), startDirectory(t, "one", directory.Options{})
 	r := startAgent(t, testConfig(t, old), Options{})
@@ -82,8 +82,8 @@
 	}
 }
 
-// An operation that its client abandons, or cancels, while a connection for it comes up goes to no server, though the
-// loop is late to hear of it.
+// An operation that its client abandons or cancels while a server connection for it is being opened is not sent to a
+// server, even if the core's loop handles the abandon or cancel late.
 func TestAbandonedOperationIsNotSent(t *testing.T) {
 	for name, endRequest := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
 		t.Run(name, func(t *testing.T) {
@@ -121,10 +121,10 @@
 			send(rawModify(7, "cn=a,dc=ward", "x"))
 			testkit.Receive(t, "dial", dialing)
 			stop.Store(true)
-			send(rawSearch(6, 0)) // has the loop make a step, at which it stands
-			testkit.Receive(t, "stop of the loop", paused)
+			send(rawSearch(6, 0)) // makes the loop take a step, in which the hook pauses it
+			testkit.Receive(t, "pause of the loop", paused)
 			send(endRequest)
-			testkit.WaitFor(t, "the client's word", func() bool {
+			testkit.WaitFor(t, "the abandon or cancel", func() bool {
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				for s := range p.sessions {
@@ -163,9 +163,9 @@
 	}
 }
 
-// A request may be read just before its session begins to close. Behind the Notice of Disconnection it would have no
-// response, so it is not executed.
-func TestNothingIsExecutedBehindNoticeOfDisconnection(t *testing.T) {
+// A request that was read just before its session closed, and that is handled after the Notice of Disconnection, can
+// have no response, so it is not executed.
+func TestNothingIsExecutedAfterNoticeOfDisconnection(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	r := startAgent(t, testConfig(t, d), Options{})
 	c := r.dialRaw(t)
@@ -189,7 +189,7 @@
 	}
 	s.handleOperation(raw, m)
 	if raw, err := in.Next(); err == nil {
-		t.Errorf("%x behind the notice", raw)
+		t.Errorf("%x after the notice", raw)
 	}
 	if n := r.p.openOperations.Load(); n != 0 {
 		t.Errorf("%d open operations", n)
--- a/internal/protocol/ldap/serverconn.go
+++ b/internal/protocol/ldap/serverconn.go
@@ -120,7 +120,8 @@
 	case k == nil:
 		return fmt.Errorf("%w: a response to no open request", ldapmsg.ErrMalformed)
 	case !last && m.Op != ldapmsg.Intermediate && !(k.finalOp == ldapmsg.SearchDone && (m.Op == ldapmsg.SearchEntry || m.Op == ldapmsg.SearchReference)):
-		return fmt.Errorf("%w: a response with tag %#x to a request whose final response has tag %#x", ldapmsg.ErrMalformed, m.Op, k.finalOp)
+		return fmt.Errorf("%w: a response with tag %#x to a request whose final response has tag %#x",
+			ldapmsg.ErrMalformed, m.Op, k.finalOp)
 	}
 	if last {
 		if _, ok := m.Code(); !ok {
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -125,11 +125,12 @@
 		return nil, "", core.ErrMoved
 	}
 	var best *serverConn
+	// The connection with the most users is chosen, so that the others become idle and can be closed.
 	for _, c := range p.conns[poolKey{server, identityKey}] {
 		if c.exclusive || c.reserved || c.suspect || c.users > 0 && (exclusive || c.users >= p.options.MaxShared) {
 			continue
 		}
-		if best == nil || c.users > best.users { // so that the other connections become idle
+		if best == nil || c.users > best.users {
 			best = c
 		}
 	}
--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -137,8 +137,7 @@
 }
 
 // evict closes the session, and reports whether it did, if no request is open and no message was received for
-// minQuiet. The check and the close are one step under the lock, so that a request that is being received can't be
-// dropped between them.
+// minQuiet. The check and the close are one step under the lock, so that no operation can be entered between them.
 func (s *session) evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -18,8 +18,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Bad input ends its connection with a notice within a few seconds, in bounded memory, and harms nobody
-// else.
+// Malformed input ends its connection with a Notice of Disconnection within a few seconds, takes bounded memory, and
+// does not affect other connections.
 func TestMalformedMessageEndsConnection(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	a := startAgent(t, testConfig(t, d), Options{})
@@ -27,7 +27,7 @@
 	if _, err := good.Search(baseSearch()); err != nil {
 		t.Fatal(err)
 	}
-	deepFilter := []byte{0xa0, 0} // an AND in an AND ...
+	deepFilter := []byte{0xa0, 0} // nested AND filters
 	for range 200 {
 		deepFilter = append([]byte{0xa0, 0x82, byte(len(deepFilter) >> 8), byte(len(deepFilter))}, deepFilter...)
 	}
@@ -69,7 +69,7 @@
 			}
 		})
 	}
-	// An id in use.
+	// A message ID that is in use.
 	d.Script(func(o directory.Op) directory.Fault {
 		if o.Kind == "search" {
 			return directory.Fault{Wait: 50 * time.Millisecond}
@@ -94,23 +94,23 @@
 			notices++
 		}
 	}
-	if dones != 1 || notices != 1 { // what was taken is answered, then comes the notice
+	if dones != 1 || notices != 1 { // the admitted search is answered, then comes the notice
 		t.Errorf("%d answers, %d notices", dones, notices)
 	}
-	// Garbage behind an Unbind is of no effect.
+	// Garbage after an UnbindRequest has no effect.
 	c = a.dialRaw(t)
 	if _, err := c.Write(append(ldapmsg.Unbind(1), "garbage"...)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("an answer to garbage")
+		t.Error("garbage after an UnbindRequest was answered")
 	}
 	if _, err := good.Search(baseSearch()); err != nil {
-		t.Errorf("others are harmed: %v", err)
+		t.Errorf("another connection was affected: %v", err)
 	}
 }
 
-// Thousands of silent connections make room for one that asks.
+// Connections without requests are evicted to make room for a new one that sends a request.
 func TestQuietConnectionsAreEvicted(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	cfg := testConfig(t, d)
@@ -128,7 +128,8 @@
 	}
 }
 
-// A stop answers what was taken, then says goodbye, and takes nothing more.
+// When the agent stops, admitted operations are answered, clients get a Notice of Disconnection, and later requests
+// are not admitted.
 func TestDrainCompletesAdmittedOperations(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
@@ -138,7 +139,7 @@
 	})
 	a := startAgent(t, testConfig(t, d), Options{})
 	a.p.firstRequestGrace = 2 * testkit.Patience
-	busy, quiet, unused := a.dialRaw(t), a.dialRaw(t), a.dialRaw(t) // the last is accepted, and yet to ask
+	busy, quiet, unused := a.dialRaw(t), a.dialRaw(t), a.dialRaw(t) // the last sends no request yet
 	cancelOfUnknown := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
 	ask := func(c net.Conn) {
 		t.Helper()
@@ -161,7 +162,7 @@
 	testkit.WaitFor(t, "all connections", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return len(a.p.sessions) == 3 })
 	a.stop()
 	testkit.WaitFor(t, "the stop", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return a.p.draining })
-	ask(unused) // what a connection asks first, just after the copy began to end, is answered
+	ask(unused) // the first request of a connection is answered, even just after the agent began to drain
 	unused.Close()
 	read := func(c net.Conn) (ops []byte) {
 		in := ldapmsg.NewReader(c, 1<<20)
@@ -169,7 +170,7 @@
 			raw, err := in.Next()
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
-					t.Errorf("not an orderly end: %v", err)
+					t.Errorf("the connection did not end with EOF: %v", err)
 				}
 				return ops
 			}
@@ -178,18 +179,18 @@
 		}
 	}
 	if got := read(quiet); string(got) != string([]byte{ldapmsg.ExtResponse}) {
-		t.Errorf("a quiet connection got %x", got)
+		t.Errorf("the idle connection got %x", got)
 	}
 	close(hold)
 	if got := read(busy); string(got) != string([]byte{ldapmsg.SearchEntry, ldapmsg.SearchDone, ldapmsg.ExtResponse}) {
-		t.Errorf("a busy connection got %x", got)
+		t.Errorf("the busy connection got %x", got)
 	}
 	if err := testkit.Receive(t, "end", a.done); err != nil {
 		t.Error(err)
 	}
 }
 
-// A panic in the loop: what was taken is answered failed.
+// After a panic in the core's loop, all admitted operations are answered as failed.
 func TestPanicAnswersAdmittedOperations(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
@@ -206,7 +207,7 @@
 	var panicNow atomic.Bool
 	a.SetStepHook(func(core.Totals) {
 		if panicNow.Load() {
-			panic("brought about")
+			panic("injected by the test")
 		}
 	})
 	ended := make(chan error, 1)
@@ -231,7 +232,7 @@
 	}
 }
 
-// A client that reads slowly holds up its own search, and nobody else's.
+// A client that reads slowly delays its own search, and no operation of other clients.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	long := strings.Repeat("x", 8<<10)
--- a/internal/protocol/ldap/sessionread.go
+++ b/internal/protocol/ldap/sessionread.go
@@ -149,7 +149,8 @@
 func (s *session) readFailed(err error) {
 	switch {
 	case errors.Is(err, ldapmsg.ErrMalformed):
-		s.protocol.log.Warn("client sent a malformed message; closing its connection", "client", s.raw.RemoteAddr().String(), "error", err)
+		s.protocol.log.Warn("client sent a malformed message; closing its connection",
+			"client", s.raw.RemoteAddr().String(), "error", err)
 		s.endWithNotice(ldapmsg.ProtocolErrorCode, err.Error())
 	case isTimeout(err):
 		s.endReading()
--- a/internal/protocol/ldap/shared_test.go
+++ b/internal/protocol/ldap/shared_test.go
@@ -16,13 +16,13 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-// startLimited starts an agent of which a kind of use is startLimited, and nothing lent yet.
+// startLimited starts an agent with a fleet's limit on a kind of use, and without a lease of that limit.
 func startLimited(t *testing.T, counts quota.Kind) (*testAgent, *client.Conn, *directory.Directory) {
 	t.Helper()
 	d := startDirectory(t, "one", directory.Options{})
 	r := startAgent(t, testConfig(t, d), Options{})
 	if !r.SetSharedLimits([]quota.Limit{{Name: "shared", Kind: counts, Class: -1, Zone: -1, Cell: -1}}) {
-		t.Fatal("the agent has not heard of its limit")
+		t.Fatal("the agent did not take the limit")
 	}
 	return r, r.dial(t), d
 }
@@ -30,7 +30,7 @@
 func grantLease(t *testing.T, r *testAgent, amount int) {
 	t.Helper()
 	if !r.GrantLeases([]core.Lease{{Lease: quota.Lease{Limit: "shared", Grantor: "k", Number: 1, Amount: amount, Span: time.Minute}, ExpiresAt: time.Now().Add(time.Hour)}}) {
-		t.Fatal("the agent has not heard of its right")
+		t.Fatal("the agent did not take the lease")
 	}
 }
 
@@ -47,7 +47,7 @@
 		}
 		grantLease(t, r, 5)
 		if _, err := c.Search(baseSearch()); err != nil {
-			t.Errorf("%v, with a right: %v", counts, err)
+			t.Errorf("%v, with a lease: %v", counts, err)
 		}
 	}
 }
@@ -55,24 +55,25 @@
 func TestNoConnectionIsOpenedWithoutLease(t *testing.T) {
 	r, c, d := startLimited(t, quota.NewConnections)
 	if _, err := c.Search(baseSearch()); err == nil {
-		t.Fatal("a search was served with no connection and no right to open one")
+		t.Fatal("a search was served without a connection, and without a lease to open one")
 	}
 	if got := d.Conns(); got != 0 {
 		t.Fatalf("%d connections were opened", got)
 	}
 	grantLease(t, r, 1)
-	for range 3 { // the one connection serves all
+	for range 3 { // one connection serves all searches
 		if _, err := c.Search(baseSearch()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got := d.Conns(); got != 1 {
-		t.Errorf("%d connections were opened by one right", got)
+		t.Errorf("%d connections were opened with a lease of 1", got)
 	}
 }
 
-// A server that is taken out by hand while an operation waits for its connection does not get it.
-func TestServerRemovedMeanwhileGetsNothing(t *testing.T) {
+// If an operator disables a server while an operation waits for a connection to it, the server does not get the
+// operation.
+func TestServerDisabledDuringDialGetsNothing(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	r := startAgent(t, testConfig(t, d), Options{})
 	c := r.dial(t)
--- a/internal/protocol/ldap/tls_test.go
+++ b/internal/protocol/ldap/tls_test.go
@@ -22,7 +22,7 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-// testCA is a CA made for a test.
+// testCA is a certificate authority that a test creates.
 type testCA struct {
 	dir  string
 	cert *x509.Certificate
@@ -61,7 +61,7 @@
 
 func (a *testCA) ca() string { return filepath.Join(a.dir, "ca.pem") }
 
-// issue makes a certificate of a name, and its files.
+// issue creates a certificate for a name, and writes its files.
 func (a *testCA) issue(t *testing.T, name string) (cert, key string, loaded *tls.Config) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -93,7 +93,7 @@
 	return &tls.Config{RootCAs: pool, ServerName: "agent"}
 }
 
-// TLS on both sides, by StartTLS and from the start.
+// Client and server connections can use TLS, both with StartTLS and with LDAPS.
 func TestTLSOnBothSides(t *testing.T) {
 	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
@@ -113,10 +113,10 @@
 			} else {
 				c = a.dial(t)
 				if err := c.Bind("cn=admin", "secret-1"); resultCode(err) != ldapmsg.ConfidentialityRequired {
-					t.Errorf("a password in plain: %v", err)
+					t.Errorf("bind with a password in plain text: %v", err)
 				}
 				if d.Binds() != 0 {
-					t.Error("it went on to the server")
+					t.Error("the bind in plain text was forwarded to the server")
 				}
 				err = c.StartTLS(ca.trust())
 			}
@@ -137,7 +137,7 @@
 	}
 }
 
-// A server that can't be had under TLS, or shows another's certificate, gets nothing at all.
+// A server that does not support TLS, or whose certificate is not valid for it, gets no operation and no bind.
 func TestTLSIsNeverDowngraded(t *testing.T) {
 	ca, otherCA := newTestCA(t), newTestCA(t)
 	_, _, fromOtherCA := otherCA.issue(t, "directory")
@@ -153,7 +153,7 @@
 				t.Errorf("%v", err)
 			}
 			if err := c.Bind("cn=admin", "secret-1"); err == nil {
-				t.Error("bound")
+				t.Error("a bind succeeded without valid TLS")
 			}
 			if len(d.Ran()) != 0 || d.Binds() != 0 {
 				t.Errorf("%v, %d binds", d.Ran(), d.Binds())
@@ -162,8 +162,8 @@
 	}
 }
 
-// What comes in plain behind a StartTLS is not taken for what comes under TLS.
-func TestBytesAheadOfTLSAreRejected(t *testing.T) {
+// Bytes in plain text after a StartTLS request are not handled as if they had come over TLS.
+func TestPlainBytesAfterStartTLSAreRejected(t *testing.T) {
 	ca := newTestCA(t)
 	cert, key, _ := ca.issue(t, "agent")
 	d := startDirectory(t, "one", directory.Options{})
@@ -180,7 +180,7 @@
 		t.Errorf("no notice: %+v", m)
 	}
 	if d.Served("lookup") != 0 {
-		t.Error("it was handled")
+		t.Error("the search in plain text was forwarded")
 	}
 }
 
--- a/internal/protocol/ldapmsg/ldapmsg_test.go
+++ b/internal/protocol/ldapmsg/ldapmsg_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// What is written here is read by a library, and the other way round.
+// The package and a BER library read each other's messages.
 func TestMessagesAgreeWithGoLDAP(t *testing.T) {
 	p, err := ber.DecodePacketErr(Response(7, ModifyResponse, Busy, "later"))
 	if err != nil {
@@ -47,7 +47,7 @@
 	})
 }
 
-// Messages are framed alike however they come in pieces.
+// The reader returns the same messages whatever pieces the bytes come in.
 func TestReaderFramesMessagesInPieces(t *testing.T) {
 	var all []byte
 	want := 0
@@ -78,14 +78,14 @@
 	}
 }
 
-// A length that is told and not sent costs no memory.
+// An announced length without the bytes does not make the reader allocate memory for it.
 func TestAnnouncedLengthTakesNoMemory(t *testing.T) {
 	r := NewReader(io.MultiReader(bytes.NewReader([]byte{0x30, 0x84, 0, 0x0f, 0, 0}), iotest.ErrReader(io.ErrNoProgress)), 1<<20)
 	if _, err := r.Next(); !errors.Is(err, io.ErrNoProgress) {
 		t.Errorf("%v", err)
 	}
 	if len(r.buf) > 4*minBuffer {
-		t.Errorf("%d bytes for 6", len(r.buf))
+		t.Errorf("the buffer has %d bytes after 6 were received", len(r.buf))
 	}
 }
 
@@ -101,10 +101,10 @@
 		t.Error(err)
 	}
 	if err := CheckDepth(nest(maxDepth + 1)); !errors.Is(err, ErrMalformed) {
-		t.Error("too deep, and taken")
+		t.Error("elements that are nested too deep were accepted")
 	}
 	if err := CheckDepth([]byte{0x30, 4, 0x30, 5, 0x04, 0}); !errors.Is(err, ErrMalformed) {
-		t.Error("past its end, and taken")
+		t.Error("an element that exceeds its container was accepted")
 	}
 }
 
@@ -116,11 +116,11 @@
 		t.Errorf("%q, %v", cookie, found)
 	}
 	if _, found := PagedCookie(other); found {
-		t.Error("found where none is")
+		t.Error("found a cookie without a paged results control")
 	}
 }
 
-// Bytes of anybody: nothing panics, and what is taken keeps its meaning under another id.
+// Arbitrary bytes cause no panic, and a message that is accepted keeps its content under another message ID.
 func FuzzParse(f *testing.F) {
 	f.Add(Response(1, SearchDone, 0, "x"))
 	f.Add(SimpleBind(2, []byte("cn=a"), []byte("p")))
