--- a/internal/protocol/ldap/disconnect_test.go
+++ b/internal/protocol/ldap/disconnect_test.go
@@ -8,8 +8,9 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A client's connection is not read while a bind of it waits, for what is open before it or for its answer, nor once
-// this agent stops. One that leaves then has no attempt begun for it all the same.
+// The agent does not read a client's connection while a bind of that client waits for earlier operations or for its
+// response, nor once the agent is stopping. If the client disconnects then, no attempt begins for its operations
+// either.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	bind, lookup := ldapmsg.SimpleBind(2, []byte("cn=admin"), []byte("secret-1")), rawSearch(1, 0)
 	for name, row := range map[string]struct {
@@ -23,33 +24,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const most = 6 // that one server may have at once, as the module has it at its start
-			d := dir(t, "one", directory.Options{})
-			hold, came := make(chan struct{}), make(chan directory.Op, 100)
+			const serverLimit = 6 // attempts in flight that the balancer allows for one server at its start
+			d := startDirectory(t, "one", directory.Options{})
+			hold, arrived := make(chan struct{}), make(chan directory.Op, 100)
 			d.Script(func(o directory.Op) directory.Fault {
-				if came <- o; o.Kind == "search" {
+				if arrived <- o; o.Kind == "search" {
 					return directory.Fault{Stall: hold}
 				}
 				return directory.Fault{}
 			})
 			cfg := testConfig(t, d)
 			for i := range cfg.Settings.Classes {
-				cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // what waits, waits long
+				// With this objective, queued operations wait for long.
+				cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline
 			}
-			a := start(t, cfg, Options{})
-			others := make(chan error, most)
-			for range most {
+			a := startAgent(t, cfg, Options{})
+			others := make(chan error, serverLimit)
+			for range serverLimit {
 				c := a.dial(t)
-				go func() { _, err := c.Search(whole()); others <- err }()
+				go func() { _, err := c.Search(subtreeSearch()); others <- err }()
 			}
-			for range most {
-				testkit.Receive(t, "search at the server", came)
+			for range serverLimit {
+				testkit.Receive(t, "search at the server", arrived)
 			}
-			c := a.raw(t)
+			c := a.dialRaw(t)
 			if _, err := c.Write(row.sends); err != nil {
 				t.Fatal(err)
 			}
-			testkit.WaitFor(t, "the operation", func() bool { return a.Totals().Requests == most+row.open })
+			testkit.WaitFor(t, "the operation", func() bool { return a.Totals().Requests == serverLimit+row.open })
 			if row.stops {
 				a.stop()
 				testkit.WaitFor(t, "the stop", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return a.p.draining })
@@ -57,14 +59,14 @@
 			testkit.HalfClose(t, c)
 			c.Close()
 			close(hold)
-			for range most {
+			for range serverLimit {
 				if err := testkit.Receive(t, "answer", others); err != nil {
 					t.Error(err)
 				}
 			}
-			testkit.WaitFor(t, "its leaving, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(came) > 0 })
-			if len(came) > 0 {
-				t.Errorf("%+v reached the server", <-came)
+			testkit.WaitFor(t, "the disconnect, or an attempt", func() bool { return a.Totals().ClientDisconnects >= 1 || len(arrived) > 0 })
+			if len(arrived) > 0 {
+				t.Errorf("%+v reached the server", <-arrived)
 			}
 		})
 	}
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -18,20 +18,20 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Bad input ends its connection with a notice within a few seconds, in bounded memory, and harms nobody
-// else.
+// Malformed input ends its connection with a Notice of Disconnection within a few seconds, takes bounded memory, and
+// does not affect other connections.
 func TestMalformedMessageEndsConnection(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	a := start(t, testConfig(t, d), Options{})
+	d := startDirectory(t, "one", directory.Options{})
+	a := startAgent(t, testConfig(t, d), Options{})
 	good := a.dial(t)
-	if _, err := good.Search(one()); err != nil {
+	if _, err := good.Search(baseSearch()); err != nil {
 		t.Fatal(err)
 	}
-	bomb := []byte{0xa0, 0} // an AND in an AND ...
+	deepFilter := []byte{0xa0, 0} // nested AND filters
 	for range 200 {
-		bomb = append([]byte{0xa0, 0x82, byte(len(bomb) >> 8), byte(len(bomb))}, bomb...)
+		deepFilter = append([]byte{0xa0, 0x82, byte(len(deepFilter) >> 8), byte(len(deepFilter))}, deepFilter...)
 	}
-	body := append([]byte{0x04, 0, 0x0a, 1, 0, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0}, bomb...)
+	body := append([]byte{0x04, 0, 0x0a, 1, 0, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0}, deepFilter...)
 	nested := ldapmsg.WithID(3, append([]byte{ldapmsg.SearchRequest, 0x82, byte(len(body) >> 8), byte(len(body))}, body...))
 	stall := make(chan struct{})
 	defer close(stall)
@@ -51,7 +51,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := a.raw(t)
+			c := a.dialRaw(t)
 			began := time.Now()
 			if _, err := c.Write(text); err != nil {
 				t.Fatal(err)
@@ -69,14 +69,14 @@
 			}
 		})
 	}
-	// An id in use.
+	// A message ID that is in use.
 	d.Script(func(o directory.Op) directory.Fault {
 		if o.Kind == "search" {
 			return directory.Fault{Wait: 50 * time.Millisecond}
 		}
 		return directory.Fault{}
 	})
-	c := a.raw(t)
+	c := a.dialRaw(t)
 	if _, err := c.Write(append(rawSearch(4, 2), rawSearch(4, 2)...)); err != nil {
 		t.Fatal(err)
 	}
@@ -94,28 +94,28 @@
 			notices++
 		}
 	}
-	if dones != 1 || notices != 1 { // what was taken is answered, then comes the notice
+	if dones != 1 || notices != 1 { // the admitted search is answered, then comes the notice
 		t.Errorf("%d answers, %d notices", dones, notices)
 	}
-	// Garbage behind an Unbind is of no effect.
-	c = a.raw(t)
+	// Garbage after an UnbindRequest has no effect.
+	c = a.dialRaw(t)
 	if _, err := c.Write(append(ldapmsg.Unbind(1), "garbage"...)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("an answer to garbage")
+		t.Error("garbage after an UnbindRequest was answered")
 	}
-	if _, err := good.Search(one()); err != nil {
-		t.Errorf("others are harmed: %v", err)
+	if _, err := good.Search(baseSearch()); err != nil {
+		t.Errorf("another connection was affected: %v", err)
 	}
 }
 
-// Thousands of silent connections make room for one that asks.
+// Connections without requests are evicted to make room for a new one that sends a request.
 func TestQuietConnectionsAreEvicted(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	cfg := testConfig(t, d)
 	cfg.Sockets = 64
-	a := start(t, cfg, Options{})
+	a := startAgent(t, cfg, Options{})
 	for range 60 {
 		c, err := net.Dial("tcp", a.Addr().String())
 		if err != nil {
@@ -123,26 +123,27 @@
 		}
 		defer c.Close()
 	}
-	if _, err := a.dial(t).Search(one()); err != nil {
+	if _, err := a.dial(t).Search(baseSearch()); err != nil {
 		t.Error(err)
 	}
 }
 
-// A stop answers what was taken, then says goodbye, and takes nothing more.
+// When the agent stops, admitted operations are answered, clients get a Notice of Disconnection, and later requests
+// are not admitted.
 func TestDrainCompletesAdmittedOperations(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
 	d.Script(func(o directory.Op) directory.Fault {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		return directory.Fault{Stall: hold}
 	})
-	a := start(t, testConfig(t, d), Options{})
-	a.p.freshPeriod = 2 * testkit.Patience
-	busy, quiet, fresh := a.raw(t), a.raw(t), a.raw(t) // the last is accepted, and yet to ask
-	nothing := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
+	a := startAgent(t, testConfig(t, d), Options{})
+	a.p.firstRequestGrace = 2 * testkit.Patience
+	busy, quiet, unused := a.dialRaw(t), a.dialRaw(t), a.dialRaw(t) // the last sends no request yet
+	cancelOfUnknown := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
 	ask := func(c net.Conn) {
 		t.Helper()
-		if _, err := c.Write(nothing); err != nil {
+		if _, err := c.Write(cancelOfUnknown); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := ldapmsg.NewReader(c, 1<<20).Next()
@@ -157,19 +158,19 @@
 	if _, err := busy.Write(rawSearch(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Receive(t, "the search", came)
+	testkit.Receive(t, "the search", arrived)
 	testkit.WaitFor(t, "all connections", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return len(a.p.sessions) == 3 })
 	a.stop()
 	testkit.WaitFor(t, "the stop", func() bool { a.p.mu.Lock(); defer a.p.mu.Unlock(); return a.p.draining })
-	ask(fresh) // what a connection asks first, just after the copy began to end, is answered
-	fresh.Close()
+	ask(unused) // the first request of a connection is answered, even just after the agent began to drain
+	unused.Close()
 	read := func(c net.Conn) (ops []byte) {
 		in := ldapmsg.NewReader(c, 1<<20)
 		for {
 			raw, err := in.Next()
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
-					t.Errorf("not an orderly end: %v", err)
+					t.Errorf("the connection did not end with EOF: %v", err)
 				}
 				return ops
 			}
@@ -178,24 +179,24 @@
 		}
 	}
 	if got := read(quiet); string(got) != string([]byte{ldapmsg.ExtResponse}) {
-		t.Errorf("a quiet connection got %x", got)
+		t.Errorf("the idle connection got %x", got)
 	}
 	close(hold)
 	if got := read(busy); string(got) != string([]byte{ldapmsg.SearchEntry, ldapmsg.SearchDone, ldapmsg.ExtResponse}) {
-		t.Errorf("a busy connection got %x", got)
+		t.Errorf("the busy connection got %x", got)
 	}
 	if err := testkit.Receive(t, "end", a.done); err != nil {
 		t.Error(err)
 	}
 }
 
-// A panic in the loop: what was taken is answered failed.
+// After a panic in the core's loop, all admitted operations are answered as failed.
 func TestPanicAnswersAdmittedOperations(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
-	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	d := startDirectory(t, "one", directory.Options{})
+	hold, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(hold)
 	d.Script(func(o directory.Op) directory.Fault {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		return directory.Fault{Stall: hold}
 	})
 	cfg := testConfig(t, d)
@@ -203,10 +204,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var blow atomic.Bool
+	var panicNow atomic.Bool
 	a.SetStepHook(func(core.Totals) {
-		if blow.Load() {
-			panic("brought about")
+		if panicNow.Load() {
+			panic("injected by the test")
 		}
 	})
 	ended := make(chan error, 1)
@@ -217,12 +218,12 @@
 	}
 	defer c.Close()
 	answered := make(chan error, 2)
-	go func() { answered <- c.Modify(modify("x")) }()
-	testkit.Receive(t, "the modify", came)
-	blow.Store(true)
-	go func() { answered <- c.Modify(modify("y")) }()
+	go func() { answered <- c.Modify(newModify("x")) }()
+	testkit.Receive(t, "the modify", arrived)
+	panicNow.Store(true)
+	go func() { answered <- c.Modify(newModify("y")) }()
 	for range 2 {
-		if err := testkit.Receive(t, "answer", answered); code(err) != ldapmsg.Other {
+		if err := testkit.Receive(t, "answer", answered); resultCode(err) != ldapmsg.Other {
 			t.Errorf("%v", err)
 		}
 	}
@@ -231,15 +232,15 @@
 	}
 }
 
-// A client that reads slowly holds up its own search, and nobody else's.
+// A client that reads slowly delays its own search, and no operation of other clients.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
-	d := dir(t, "one", directory.Options{})
+	d := startDirectory(t, "one", directory.Options{})
 	long := strings.Repeat("x", 8<<10)
 	for n := range 2000 {
 		d.Add(fmt.Sprintf("cn=%d,ou=big", n), map[string][]string{"v": {long}})
 	}
-	a := start(t, testConfig(t, d), Options{})
-	slow := a.raw(t)
+	a := startAgent(t, testConfig(t, d), Options{})
+	slow := a.dialRaw(t)
 	body := append([]byte{0x04, 6}, "ou=big"...)
 	body = append(body, 0x0a, 1, 2, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0, 0x87, 2, 'c', 'n', 0x30, 0)
 	if _, err := slow.Write(ldapmsg.WithID(1, append([]byte{ldapmsg.SearchRequest, byte(len(body))}, body...))); err != nil {
@@ -247,7 +248,7 @@
 	}
 	c := a.dial(t)
 	for range 50 {
-		if _, err := c.Search(one()); err != nil {
+		if _, err := c.Search(baseSearch()); err != nil {
 			t.Fatal(err)
 		}
 	}
