--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -15,11 +15,11 @@
 const (
 	adminHeaderTimeout = 5 * time.Second
 	adminIdleTimeout   = 30 * time.Second
-	// maxNotReady bounds the instances that the health endpoint names.
+	// maxNotReady is how many instances that are not ready the health endpoint names at most.
 	maxNotReady = 20
 )
 
-// Reasons for which the admin endpoint has nothing to show.
+// Reasons why the admin endpoint has nothing to show.
 var (
 	errNoMembership = errors.New("this daemon has no view of a fleet: [peers] is not in its file, or is being started")
 	errNoLimits     = errors.New("the fleet shares no limits: there is no [[limit]] in this daemon's file")
@@ -79,7 +79,7 @@
 	reply(w, status, map[string]string{"error": err.Error()})
 }
 
-// replyIfFound sends a body, or says why there is none.
+// replyIfFound sends a body or, if found is false, the reason why there is none.
 func replyIfFound(w http.ResponseWriter, body any, found bool, notFound error) {
 	if !found {
 		replyError(w, http.StatusNotFound, notFound)
--- a/internal/host/daemon/adminpolicy.go
+++ b/internal/host/daemon/adminpolicy.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// maxChangeRequestBytes bounds the body of a proposed change: JSON escapes may make it longer than the texts in it.
+	// maxChangeRequestBytes bounds the body of a request that proposes a change. JSON escapes may make the body
+	// longer than the texts in it.
 	maxChangeRequestBytes = 8 * policy.MaxChangeBytes
-	// historyTimeout is how long a request of the history waits for a voter.
+	// historyTimeout is how long a request for the history waits for a voter.
 	historyTimeout = 5 * time.Second
 )
 
-// PolicyChangeStatus is the status of a change, for programs.
+// PolicyChangeStatus is the status of a change with its state as text, for programs.
 type PolicyChangeStatus struct {
 	policy.ChangeStatus
 	State string `json:"state"` // unknown, under way, in force, dropped
 }
 
-// addPolicyHandlers adds what operators ask about the fleet's policy.
+// addPolicyHandlers adds the handlers of operators' requests about the fleet's policy.
 func (d *Daemon) addPolicyHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /policy", func(w http.ResponseWriter, _ *http.Request) {
 		status, err := d.Policy()
@@ -50,7 +51,7 @@
 	})
 }
 
-// replyOrError sends a body, or an error that the request led to.
+// replyOrError sends a body or, if err is not nil, the error.
 func replyOrError(w http.ResponseWriter, body any, err error) {
 	if err != nil {
 		replyError(w, http.StatusUnprocessableEntity, err)
--- a/internal/host/daemon/admission.go
+++ b/internal/host/daemon/admission.go
@@ -6,7 +6,7 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// Reasons for which instances admit no requests.
+// Reasons why instances admit no requests.
 const (
 	reasonPolicyUnknown  = "the policy in force is not known yet"
 	reasonPolicySwitched = "another policy is in force: come again at once"
@@ -15,20 +15,20 @@
 // servingState is the policy decision under which this daemon serves now.
 type servingState struct {
 	policy.Serving
-	base time.Time // of Until
-	// unservable is why the daemon can't serve by it; empty: it can.
+	base time.Time // the time that Until counts from
+	// unservable is the reason why the daemon can't serve by the policy. It is empty if the daemon can.
 	unservable string
 }
 
-// servesSource reports whether instances of a source may admit requests, as far as the source's part of the policy goes. A
-// source whose name is too long for a part has none.
+// servesSource reports whether the source's part of the policy lets the source's instances admit requests. A source
+// whose name is too long for a part has no part, and its instances may.
 func (s *servingState) servesSource(source string) bool {
 	_, served := s.Lookup(source)
 	return served || len(source) > policy.MaxPartNameBytes
 }
 
-// servingChanged takes by what to serve from now on. The transport's goroutine calls it; it does not block. A lease that was
-// renewed, or has expired, holds at once; another policy as soon as Run's goroutine switches to it.
+// servingChanged takes a new policy decision. The transport's goroutine calls it, and it does not block. The renewal
+// or expiry of a lease takes effect at once. Another policy takes effect as soon as Run's goroutine switches to it.
 func (d *Daemon) servingChanged(s policy.Serving, base time.Time) {
 	next := &servingState{Serving: s, base: base}
 	last := d.serving.Load()
@@ -40,20 +40,20 @@
 	signal(d.servingUpdated)
 }
 
-// policyAdmits reports whether requests are admitted, as far as the fleet's policy goes.
+// policyAdmits reports whether the fleet's policy lets this daemon admit requests.
 func (d *Daemon) policyAdmits() bool {
 	s := d.serving.Load()
 	return s == nil || s.Blocked == "" && s.unservable == ""
 }
 
-// applyAdmission tells an agent until when it may admit requests. One that was built by another policy than the present one
-// admits them no longer than both allow: a renewed lease is for the present policy, not for the one of an agent that is about to
-// be replaced.
+// applyAdmission tells an agent until when it may admit requests. An agent that was built for another policy than the
+// current one admits requests no longer than both policies allow: a renewed lease applies to the current policy, not
+// to the policy of an agent that is about to be replaced.
 func (d *Daemon) applyAdmission(h agentHandle) {
 	s := d.serving.Load()
 	agent := h.agent
-	if _, isReplaced := d.replaced.Load(agent); isReplaced || s == nil { // what it was told as it was replaced holds
-		return
+	if _, isReplaced := d.replaced.Load(agent); isReplaced || s == nil {
+		return // a replaced agent keeps the time that it was given when it was replaced
 	}
 	isCurrent := h.fingerprint == s.Fingerprint()
 	switch {
@@ -73,12 +73,12 @@
 	}
 }
 
-// policyLeaseExpiredReason is why no request is admitted after a lease has expired.
+// policyLeaseExpiredReason returns the reason why no request is admitted after a lease has expired.
 func (d *Daemon) policyLeaseExpiredReason() string {
 	return "no voter of the fleet's policy has answered for " + d.policyLease.String()
 }
 
-// markCurrent records that an agent serves by the present policy, and applies its admission.
+// markCurrent records that an instance's agent serves by the current policy, and applies its admission.
 func (d *Daemon) markCurrent(instance *hostedInstance) {
 	handle := agentHandle{instance.agent, instance.spec.Source, d.policy.fingerprint}
 	d.agents.Store(instance.number, handle)
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -1,13 +1,14 @@
-// Package daemon hosts many agent instances in one process. It keeps each of them running, changes them under load when the
-// file or the fleet's policy changes, hands its sockets over to a successor, and comes back from its last snapshot.
-// Instances share no decisions: each has its own balancer, token bucket, endpoint list and limits. They share what is
-// stated: one reading of each endpoint list, and the process's sockets and memory by weight.
+// Package daemon hosts many agent instances in one process. It keeps each of them running, changes them under load
+// when the settings file or the fleet's policy changes, hands its sockets over to a successor, and restores its state
+// from the last snapshot. Instances make their decisions independently: each has its own balancer, token bucket,
+// endpoint list and limits. They share only the watch of each endpoint list, and the process's sockets and memory,
+// which are split by weight.
 //
 // # State and ownership
 //
-// Run's goroutine owns a Daemon's state; other goroutines pass it functions by call and post. What the goroutine of the
-// transport (internal/peer/transport) and the instances' loops need is in atomic values and sync.Maps. The admin endpoint's
-// handlers run in goroutines of their own and go through call, or through the transport.
+// Run's goroutine owns a Daemon's state. Other goroutines have it run functions with call and post. State that the
+// transport's goroutine (internal/peer/transport) and the instances' loops need is in atomic values and sync.Maps.
+// The admin endpoint's handlers run in goroutines of their own, and use call or the transport.
 package daemon
 
 import (
@@ -29,51 +30,52 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// Options are what a daemon is started with.
+// Options are the options that a daemon is started with.
 type Options struct {
 	Config  *daemonconfig.Config
 	Log     *slog.Logger
-	Inherit map[daemonconfig.Address]*os.File // listening sockets of the daemon before
-	State   []byte                            // the snapshot of the daemon before; nil: that of the state directory is read
-	// Ready is called once every instance runs and has a list, or has waited long enough for one.
+	Inherit map[daemonconfig.Address]*os.File // listening sockets of the predecessor
+	State   []byte                            // the predecessor's snapshot; nil: the one in the state directory is read
+	// Ready is called once every instance runs and has a list, or readyTimeout has passed.
 	Ready func()
-	// Upgrade starts a successor with these sockets and this snapshot, and returns when that is ready; nil: this daemon
-	// can't hand over.
+	// Upgrade starts a successor with these sockets and this snapshot, and returns when the successor is ready. If
+	// Upgrade is nil, this daemon can't hand over.
 	Upgrade func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error
 	// ReloadSuccessor tells the successor that Upgrade has started to read its file again.
 	ReloadSuccessor func() error
-	// Fault may make an instance panic: tests set it.
+	// Fault may make an instance panic. Only tests set it.
 	Fault func(name string) func(core.Totals)
-	// PeerFault is called in each step of failure detection, and may make it panic: tests set it.
+	// PeerFault is called in each step of failure detection and may make it panic. Only tests set it.
 	PeerFault func()
 	Program   string        // the program's version, which peers see
-	WallSkew  time.Duration // by which the wall clock is off: fault tests set it
+	WallSkew  time.Duration // added to the wall clock; only fault tests set it
 }
 
-// Daemon hosts instances. Run's goroutine owns its state, but for what is atomic or a sync.Map.
+// Daemon hosts instances. Run's goroutine owns its state, except for atomic values and sync.Maps.
 type Daemon struct {
 	options   Options
-	cfg       *daemonconfig.Config // the file with the policy that instances serve by
+	cfg       *daemonconfig.Config // the file under the policy that instances serve by
 	log       *slog.Logger
-	startedAt time.Time // of the monotonic time that now returns
+	startedAt time.Time // the start of the monotonic time that now returns
 	rng       *rand.Rand
 
 	// Run's goroutine.
-	calls       chan func() // for it to run
+	calls       chan func() // functions for Run's goroutine to run
 	done        chan struct{}
 	ctx         context.Context // ends when everything admitted is answered
 	reloads     int
 	handingOver bool // a successor is being started, or serves
-	// handoverEnded is closed when the handover that is under way ends, well or not; nil: none is, and none went well.
+	// handoverEnded is closed when the current handover ends, whether it succeeds or fails. It is nil if no handover
+	// has begun, or the last one failed.
 	handoverEnded chan struct{}
-	stopping      bool           // the instances were asked to end: none is started any more
-	running       sync.WaitGroup // instances, draining ones too
+	stopping      bool           // the instances were told to stop, and no more are started
+	running       sync.WaitGroup // instances, including those that drain
 	background    sync.WaitGroup // other goroutines
 
-	reloadMu        sync.Mutex  // one Reload at a time
-	successorServes atomic.Bool // the handover went well
+	reloadMu        sync.Mutex  // allows one Reload at a time
+	successorServes atomic.Bool // the handover succeeded
 
-	// Sockets. Nobody accepts or reads on these: copies are used.
+	// Sockets. No goroutine accepts or reads on these: copies are used.
 	listeners   map[daemonconfig.Address]net.Listener
 	packetConns map[string]*net.UDPConn // for peers, by address
 
@@ -87,23 +89,23 @@
 
 	// Snapshots.
 	snapshots  *snapshotStore
-	memories   map[string]*core.Memory       // of instances, from the last snapshot or their last one
+	memories   map[string]*core.Memory       // by instance: what its agent saved last, or the last snapshot had
 	savedLists map[string]*discovery.Members // from the last snapshot, by daemonconfig.Source.Key
 
-	// The daemon's part in its fleet.
-	peering       *peering                // nil: it stands alone, or this is being started
+	// Membership of the fleet.
+	peering       *peering                // nil: the daemon is not in a fleet, or its peering is being started
 	activePeering atomic.Pointer[peering] // the same, for other goroutines
-	savedPeers    *transport.Saved        // from the daemon before
-	previous      *transport.Transport    // while another takes its place in this process
+	savedPeers    *transport.Saved        // from the predecessor
+	previous      *transport.Transport    // set while another transport replaces this one in this process
 	size          atomic.Pointer[membership.Size]
-	sizeChanged   chan struct{} // instances are to be updated
+	sizeChanged   chan struct{} // wakes Run's goroutine to update the instances
 	ejections     atomic.Pointer[ejectionSet]
 
 	// The fleet's policy.
 	policy         policyState
 	policyLease    time.Duration
-	serving        atomic.Pointer[servingState] // nil: no policy is agreed on
-	servingUpdated chan struct{}                // Run's goroutine is to look at serving
+	serving        atomic.Pointer[servingState] // nil: the daemon takes part in no policy
+	servingUpdated chan struct{}                // wakes Run's goroutine to read serving
 	heldParts      atomic.Pointer[[]string]     // the parts that the daemon is to hold
 	ownFile        atomic.Pointer[ownFile]      // the daemon's own file
 }
@@ -111,7 +113,7 @@
 // maxQueuedCalls bounds the functions that wait for Run's goroutine before callers block.
 const maxQueuedCalls = 64
 
-// New opens what a daemon needs: sockets, inherited or new, and its last snapshot. Nothing runs yet.
+// New opens the sockets of a daemon, inherited or new, and reads its last snapshot. Nothing runs yet.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{
 		options:        o,
@@ -146,14 +148,15 @@
 	return d, nil
 }
 
-// warnOfUnusedKeys names the keys of a file that are read and have no effect: they stay, so that files of earlier builds load.
+// warnOfUnusedKeys logs the keys of a file that have no effect. Such keys are still accepted, so that files of
+// earlier builds load.
 func (d *Daemon) warnOfUnusedKeys(cfg *daemonconfig.Config) {
 	if cfg.Drain > 0 {
 		d.log.Warn("the key drain has no effect: a drain lasts for the longest deadline and 0.6 s", "file", cfg.Path, "drain", cfg.Drain)
 	}
 }
 
-// openSockets takes over the inherited sockets, and opens those that are missing.
+// openSockets takes over the inherited sockets and opens those that are missing.
 func (d *Daemon) openSockets() error {
 	for address, file := range d.options.Inherit {
 		if err := d.inheritSocket(address, file); err != nil {
@@ -182,10 +185,10 @@
 	return nil
 }
 
-// now returns the daemon's monotonic time.
+// now returns the monotonic time since the daemon started.
 func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
-// call runs f on Run's goroutine, and waits. It reports false if the daemon has ended.
+// call runs f on Run's goroutine and waits until f has returned. It reports false if the daemon has ended.
 func (d *Daemon) call(f func()) bool {
 	ran := make(chan struct{})
 	run := func() {
@@ -205,7 +208,7 @@
 	}
 }
 
-// post runs f on Run's goroutine, without waiting for it.
+// post has Run's goroutine run f, and does not wait until f has returned.
 func (d *Daemon) post(f func()) {
 	select {
 	case d.calls <- f:
@@ -213,7 +216,7 @@
 	}
 }
 
-// signal wakes a receiver of a channel with a buffer of one, which may be woken already.
+// signal wakes the receiver of a channel with a buffer of one. It does not block if the receiver was already woken.
 func signal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/host/daemon/ejections.go
+++ b/internal/host/daemon/ejections.go
@@ -10,11 +10,11 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// fleetServerID names a server in the fleet: by its source's name, a slash, and its ID in the list. Sources of one name are
-// one list, whatever the address at which each daemon reads it.
+// fleetServerID returns a server's name in the fleet: the name of its source, a slash, and its ID in the list.
+// Sources with the same name are the same list, whatever the address at which each daemon reads it.
 func fleetServerID(source, server string) string { return source + "/" + server }
 
-// watchLists has each list's changes reported to the transport, where that is not so yet.
+// watchLists makes each hub report changes of its list to the transport, unless it does so already.
 func (d *Daemon) watchLists() {
 	if d.cfg.Peers == nil || d.cfg.Peers.Ejection == nil {
 		return
@@ -51,7 +51,7 @@
 	return servers
 }
 
-// outcomeSamples translates what an instance observed of a source's servers into the fleet's terms.
+// outcomeSamples translates an instance's outcome samples of a source's servers: servers get their names in the fleet.
 func outcomeSamples(source string, observed []core.OutcomeSample) []ejection.OutcomeSample {
 	samples := make([]ejection.OutcomeSample, 0, len(observed))
 	for _, o := range observed {
@@ -66,13 +66,13 @@
 	return samples
 }
 
-// ejectionSet are all ejections that hold.
+// ejectionSet holds all current ejections.
 type ejectionSet struct {
 	ejections []ejection.Ejection
-	base      time.Time // of their times
+	base      time.Time // the time that the ejections' times count from
 }
 
-// forSource returns the ejections of a source's servers, as its instances take them.
+// forSource returns the ejections of a source's servers, in the form for its instances.
 func (e *ejectionSet) forSource(source string) []core.Ejection {
 	var ejections []core.Ejection
 	for _, one := range e.ejections {
@@ -88,15 +88,15 @@
 	return ejections
 }
 
-// ejectionsChanged has all instances go by these ejections. The transport's goroutine calls it; it does not block.
+// ejectionsChanged makes all instances use these ejections. The transport's goroutine calls it, and it does not block.
 func (d *Daemon) ejectionsChanged(ejections []ejection.Ejection, base time.Time) {
 	set := &ejectionSet{ejections, base}
 	d.ejections.Store(set)
 	d.applyEjections(set)
 }
 
-// applyEjections passes ejections to all instances, and again later to those that were too busy to take them, unless there
-// are newer ones by then.
+// applyEjections passes ejections to all instances. If an instance was too busy to take them, it tries again later,
+// unless there are newer ejections by then.
 func (d *Daemon) applyEjections(set *ejectionSet) {
 	retry := false
 	d.rangeAgents(func(h agentHandle) {
@@ -114,8 +114,8 @@
 	})
 }
 
-// EjectionStatus returns what this daemon knows of servers; ok is false if nothing is shared, or the transport does not
-// respond.
+// EjectionStatus returns what this daemon knows of ejections. ok is false if members share none, or the transport
+// does not respond.
 func (d *Daemon) EjectionStatus() (s transport.EjectionStatus, ok bool) {
 	p := d.activePeering.Load()
 	if p == nil {
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -12,11 +12,11 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// handoverGrace is how long this process admits requests after its successor is ready: those that come on connections that it
-// still has. It learns of no other policy meanwhile.
+// handoverGrace is how long this process admits requests after its successor is ready: those that arrive on
+// connections that it still has. During this time it does not learn of policy changes.
 const handoverGrace = time.Second
 
-// policyReopenInterval is after which the policy's file is tried again that another process has.
+// policyReopenInterval is the interval between attempts to open the policy's file while another process has it open.
 const policyReopenInterval = time.Second
 
 // Errors of a handover.
@@ -29,18 +29,18 @@
 	errHandoverBegun = errors.New("a successor is being started already")
 )
 
-// Handover starts a successor that takes over the sockets, and ends this daemon once that one is ready. A successor that
-// fails to get ready leaves this one serving. The steps:
+// Handover starts a successor that takes over the sockets, and ends this daemon once the successor is ready. If the
+// successor fails to become ready, this daemon goes on serving. The steps:
 //
-//  1. Policy switches are held off. Reloads wait for the end, and are applied by whichever process serves then.
-//  2. The transport is frozen: it is silent from here on. policy.db is closed.
+//  1. Policy switches are postponed. Reloads wait until the handover ends, and the process that serves then applies them.
+//  2. The transport is frozen: it sends nothing from here on. policy.db is closed.
 //  3. The sockets are duplicated, and the state is encoded.
 //  4. The successor is started with a pipe, the state and the sockets. It accepts connections before it is ready.
-//  5. This one waits for its byte on the pipe, ReadyWithin at most.
-//  6. This one drains, and ends. Under a policy it admits requests for a second more.
+//  5. This daemon waits for the successor's byte on the pipe, at most for ReadyTimeout.
+//  6. This daemon drains and ends. Under a policy it admits requests for a second more.
 //
-// If step 4 or 5 fails, the successor is killed, with the connections that it has accepted, policy.db is opened again, the
-// transport thaws, and this daemon goes on.
+// If step 4 or 5 fails, the successor is killed and the connections that it has accepted are lost. Then policy.db is
+// opened again, the transport is thawed, and this daemon goes on serving.
 func (d *Daemon) Handover(ctx context.Context) error {
 	if d.options.Upgrade == nil {
 		return errNoHandover
@@ -70,8 +70,9 @@
 	return nil
 }
 
-// beginHandover returns the daemon's part in its fleet, which may be nil. From here on the configuration does not change, and
-// a daemon that is stopped waits until background.Done is called: it ends after the successor that it has killed.
+// beginHandover returns the daemon's peering, which may be nil. From here on the configuration does not change. A
+// daemon that is stopped now waits until background.Done is called, so that it ends after the successor that it
+// kills.
 func (d *Daemon) beginHandover() (p *peering, err error) {
 	running := d.call(func() {
 		switch {
@@ -93,8 +94,8 @@
 	return p, err
 }
 
-// freezePeering has the daemon's part in its fleet send nothing more, and returns what the successor goes on from as the same
-// member.
+// freezePeering makes the peering send nothing more, and returns the state from which the successor goes on as the
+// same member.
 func (d *Daemon) freezePeering(p *peering) (saved []byte, err error) {
 	if p == nil {
 		return nil, nil
@@ -129,7 +130,7 @@
 	return snapshot.Encode(s)
 }
 
-// abortHandover has this daemon go on: the successor did not come up.
+// abortHandover makes this daemon go on serving after the successor failed to become ready.
 func (d *Daemon) abortHandover(p *peering) {
 	d.call(func() {
 		d.handingOver = false
@@ -140,15 +141,15 @@
 			d.background.Go(func() { d.reopenPolicy(store, closes) })
 		}
 		d.scheduleSwitch()
-		d.startPeering(nil, 0) // if it failed meanwhile
+		d.startPeering(nil, 0) // has an effect only if the peering failed during the handover
 	})
 	if p != nil {
 		p.transport.Thaw()
 	}
 }
 
-// reopenPolicy opens the policy's file again, and tries until it can: another process may still have it. Until then a voter's
-// writes fail, and are repeated.
+// reopenPolicy opens the policy's file again. It retries until it succeeds, since another process may still have the
+// file open. Until then a voter's writes fail and are repeated.
 func (d *Daemon) reopenPolicy(store *policystore.Store, closes int) {
 	for failed := false; ; failed = true {
 		err := store.Reopen(closes)
@@ -166,9 +167,9 @@
 	}
 }
 
-// completeHandover has Run end: the successor serves.
+// completeHandover makes Run end, since the successor serves.
 func (d *Daemon) completeHandover() {
-	d.log.Info("a successor is ready")
+	d.log.Info("the successor is ready; this daemon drains and ends")
 	d.successorServes.Store(true)
 	close(d.handoverEnded)
 	if d.cfg.Policy != nil {
@@ -177,7 +178,7 @@
 			h.agent.ShortenAdmission(time.Now().Add(handoverGrace), reasonPolicySwitched)
 		})
 	}
-	d.options.Upgrade = nil // Run's loop sees that it is over
+	d.options.Upgrade = nil // ends Run's loop
 }
 
 func closeFiles(files map[daemonconfig.Address]*os.File) {
--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/standin"
 )
 
-// A handover with the successor in this process: it gets the sockets and the snapshot, the old daemon drains what it has
-// admitted, and no connection attempt fails.
+// A handover with the successor in this process: it gets the sockets and the snapshot, the old daemon drains what it
+// has admitted, and no connection attempt fails.
 func TestHandoverLosesNoRequests(t *testing.T) {
 	s, came, release := newHoldingServer()
 	defer s.Close()
@@ -101,8 +101,8 @@
 	(<-next).end()
 }
 
-// A daemon that is stopped while a successor starts ends after that one has been killed: whoever sees its end finds no process
-// that serves on in its place.
+// A daemon that is stopped while a successor starts ends after that one has been killed: whoever sees its end finds
+// no process that serves on in its place.
 func TestStopDuringHandoverEndsTheSuccessorFirst(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -136,8 +136,9 @@
 	}
 }
 
-// A stop that comes in the moment in which the successor gets ready leaves the successor its sockets. Run went by what it knew
-// as it left its loop, and removed the Unix sockets' paths: the successor served on, and nobody could connect to it.
+// A stop that comes in the moment in which the successor gets ready leaves the successor its sockets. Run went by
+// what it knew as it left its loop, and removed the Unix sockets' paths: the successor served on, and nobody could
+// connect to it.
 func TestStopAsTheSuccessorGetsReadyLeavesItsSockets(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -173,7 +174,8 @@
 			t.Errorf("the successor's socket: %v", err)
 		}
 	}
-	// Nor is the socket shut down that both have: the old agents took what was in its queue, and ended it for the successor.
+	// Nor is the socket shut down that both have: the old agents took what was in its queue, and ended it for the
+	// successor.
 	l := <-successors
 	defer l.Close()
 	c, err := net.DialTimeout("unix", tb.socketPath("a"), patience)
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -18,25 +18,25 @@
 // hostedInstance is one instance, running or not. Run's goroutine owns it.
 type hostedInstance struct {
 	spec       daemonconfig.Instance
-	agent      *core.Agent        // nil: it does not run
-	stop       context.CancelFunc // has the agent end once everything it admitted is answered
-	number     uint32             // of the agent, towards the transport; never used again
-	pastTotals core.Totals        // of earlier agents
+	agent      *core.Agent        // nil: no agent runs
+	stop       context.CancelFunc // makes the agent end once everything it admitted is answered
+	number     uint32             // identifies the agent to the transport; never reused
+	pastTotals core.Totals        // the totals of earlier agents
 
-	// What the agent was last passed.
+	// What was last passed to the agent.
 	limits          []quota.Limit
-	floorAgents     int      // how many agents its floors are for
-	disabledServers []string // out of use by the file or the policy
+	floorAgents     int      // the number of agents that its floors were computed for
+	disabledServers []string // servers that the file or the policy disables
 }
 
-// agentHandle is a running agent, for goroutines besides Run's.
+// agentHandle is a running agent, for goroutines other than Run's.
 type agentHandle struct {
 	agent       *core.Agent
 	source      string
-	fingerprint string // of the policy that it was built by: see policy.Serving.Fingerprint
+	fingerprint string // of the policy that the agent was built for: see policy.Serving.Fingerprint
 }
 
-// rangeAgents calls f with all running agents. It may be called from any goroutine.
+// rangeAgents calls f with each running agent. It may be called from any goroutine.
 func (d *Daemon) rangeAgents(f func(agentHandle)) {
 	d.agents.Range(func(_, handle any) bool {
 		f(handle.(agentHandle))
@@ -44,7 +44,7 @@
 	})
 }
 
-// start starts an agent of an instance. The supervisor decides what happens if that fails.
+// start starts an agent for an instance. If that fails, the supervisor decides what happens next.
 func (d *Daemon) start(name string) {
 	instance := d.instances[name]
 	if instance == nil {
@@ -58,13 +58,13 @@
 	d.supervisor.Step(d.now(), supervise.Started{Name: name})
 }
 
-// launch makes an agent of an instance, passes it what it is to know before it serves, and runs it.
+// launch makes an agent for an instance, passes it everything that it needs before it serves, and runs it.
 func (d *Daemon) launch(instance *hostedInstance) error {
 	listener, err := d.listenerFor(instance)
 	if err != nil {
 		return err
 	}
-	var size *membership.Size // of the fleet; nil: not known
+	var size *membership.Size // the size of the fleet; nil: not known
 	if d.cfg.Peers != nil {
 		size = d.size.Load()
 	}
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// listenerFor returns a copy of an instance's listener. The listener was closed if the instance was left down.
+// listenerFor returns a copy of an instance's listener. It opens the listener again if it was closed because the
+// instance was left down.
 func (d *Daemon) listenerFor(instance *hostedInstance) (net.Listener, error) {
 	address := instance.spec.Listen
 	if d.listeners[address] == nil {
@@ -96,7 +97,7 @@
 	return copyOf(d.listeners[address])
 }
 
-// newAgent makes an agent that speaks the instance's protocol.
+// newAgent makes an agent for the instance's protocol.
 func (d *Daemon) newAgent(instance *hostedInstance, size *membership.Size, parts core.Parts) (*core.Agent, error) {
 	spec := &instance.spec
 	cfg := spec.Agent
@@ -112,7 +113,7 @@
 	return http1.New(&cfg, log, parts)
 }
 
-// agentParts returns what an agent shares with the daemon. Its loop calls the functions.
+// agentParts returns what an agent shares with the daemon. The agent's loop calls the functions in it.
 func (d *Daemon) agentParts(instance *hostedInstance, number uint32, listener net.Listener) core.Parts {
 	source := instance.spec.Source
 	parts := core.Parts{
@@ -136,7 +137,7 @@
 	return parts
 }
 
-// prepareAgent passes a new agent what it is to know before it serves. Its loop takes this first.
+// prepareAgent passes a new agent everything that it needs before it serves. The agent's loop handles this first.
 func (d *Daemon) prepareAgent(instance *hostedInstance, size *membership.Size) {
 	agent := instance.agent
 	if d.options.Fault != nil {
@@ -159,13 +160,13 @@
 	d.applyAdmission(handle)
 	instance.limits = nil
 	instance.floorAgents = 0
-	d.applyLimits(instance) // before it serves: nothing that is limited goes without a lease
+	d.applyLimits(instance) // before the agent serves, so that it sends no limited request without a lease
 	if p := d.activePeering.Load(); p != nil && d.cfg.Limits != nil {
 		p.transport.AddAgent(instance.number)
 	}
 }
 
-// runAgent runs an agent in a goroutine of its own, and reports its end to Run's.
+// runAgent runs an agent in a goroutine of its own, and reports the agent's end to Run's goroutine.
 func (d *Daemon) runAgent(ctx context.Context, instance *hostedInstance) {
 	name := instance.spec.Name
 	agent := instance.agent
@@ -178,25 +179,27 @@
 		d.agents.Delete(number)
 		d.replaced.Delete(agent)
 		d.post(func() { d.agentEnded(agentEnd{name, agent, err, stopped}) })
-		if p := d.activePeering.Load(); p != nil && err == nil { // nothing of it is in flight
+		if p := d.activePeering.Load(); p != nil && err == nil { // the agent has nothing in flight
 			p.transport.RemoveAgent(number)
 		}
 	})
 }
 
-// agentEnd is the end of an agent.
+// agentEnd describes the end of an agent.
 type agentEnd struct {
-	name    string // of its instance
+	name    string // of the agent's instance
 	agent   *core.Agent
 	err     error
-	stopped bool // it was asked to end
+	stopped bool // the agent was told to stop
 }
 
-// agentEnded takes note of the end of an agent.
+// agentEnded handles the end of an agent.
 func (d *Daemon) agentEnded(end agentEnd) {
 	instance := d.instances[end.name]
 	if instance == nil || instance.agent != end.agent {
-		return // the instance was removed, or the agent replaced, and it has drained; another instance may have its name
+		// The agent has drained after its instance was removed or the agent replaced. Another instance may have the
+		// name now.
+		return
 	}
 	instance.pastTotals = addTotals(instance.pastTotals, end.agent.Totals())
 	instance.agent = nil
@@ -212,16 +215,16 @@
 	d.execute(d.supervisor.Step(d.now(), supervise.Failed{Name: end.name, Reason: err.Error()}))
 }
 
-// supervise starts the instances whose wait is over.
+// supervise starts the instances whose backoff is over.
 func (d *Daemon) supervise() { d.execute(d.supervisor.Step(d.now())) }
 
-// execute does what the supervisor decided.
+// execute carries out the supervisor's actions.
 func (d *Daemon) execute(actions []supervise.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case supervise.ReportDown:
 			d.log.Error("instance left down: it keeps failing", "instance", action.Name, "error", action.Reason)
-			// Clients are refused a connection rather than kept waiting for one.
+			// Without the socket, clients' connections are refused at once instead of waiting in its queue.
 			if instance := d.instances[action.Name]; instance != nil && d.listeners[instance.spec.Listen] != nil {
 				d.closeSocket(instance.spec.Listen)
 			}
--- a/internal/host/daemon/instances_test.go
+++ b/internal/host/daemon/instances_test.go
@@ -52,8 +52,8 @@
 	tb.list.Close()
 }
 
-// A panic in one instance ends that one alone. The requests that it had admitted fail, it starts again, and the others lose
-// nothing.
+// A panic in one instance ends that one alone. The requests that it had admitted fail, it starts again, and the
+// others lose nothing.
 func TestPanicEndsOnlyItsInstance(t *testing.T) {
 	s, came, release := newHoldingServer()
 	defer s.Close()
@@ -122,8 +122,8 @@
 	}
 }
 
-// An instance that keeps failing is left down, and the status says so; its clients are refused a connection; a reload tries it
-// again.
+// An instance that keeps failing is left down, and the status says so; its clients are refused a connection; a reload
+// tries it again.
 func TestInstanceThatKeepsFailingIsLeftDown(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -219,10 +219,11 @@
 	}
 }
 
-// The end of a removed instance's agent is not taken for the end of the agent of a new instance with its name. Agents were told
-// apart by a count that began anew with each instance: the first agent of the new one had the number of the first of the removed
-// one. As that ended, the daemon forgot the agent that served: no reload replaced it, and a stop never ended it. A goroutine
-// dump of a daemon that did not end showed it: eight agents in core.(*Agent).Run, waiting for a stop, after 25 removals.
+// The end of a removed instance's agent is not taken for the end of the agent of a new instance with its name. Agents
+// were told apart by a count that began anew with each instance: the first agent of the new one had the number of the
+// first of the removed one. As that ended, the daemon forgot the agent that served: no reload replaced it, and a stop
+// never ended it. A goroutine dump of a daemon that did not end showed it: eight agents in core.(*Agent).Run, waiting
+// for a stop, after 25 removals.
 func TestEndOfARemovedInstanceLeavesItsNamesakeAlone(t *testing.T) {
 	s, came, release := newHoldingServer()
 	defer s.Close()
--- a/internal/host/daemon/ldap_test.go
+++ b/internal/host/daemon/ldap_test.go
@@ -27,8 +27,8 @@
 	return operations + fmt.Sprintf("[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"unix:%s\"\n", tb.socketPath("dir")) + more
 }
 
-// An instance that speaks LDAP beside ones that speak HTTP/1.1, and its change under load: what is admitted is answered, then
-// the client is notified, and the next connection finds the new agent.
+// An instance that speaks LDAP beside ones that speak HTTP/1.1, and its change under load: what is admitted is
+// answered, then the client is notified, and the next connection finds the new agent.
 func TestLDAPInstance(t *testing.T) {
 	d, err := directory.New("one", directory.Options{})
 	if err != nil {
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -10,8 +10,8 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// applyLimits passes an instance the shared limits, and its floors (what it may use when no lease server is reached). It
-// reports false if the instance was too busy to take them.
+// applyLimits passes an instance the shared limits and its floors, which are the amounts that it may use when it
+// reaches no lease server. It reports false if the instance was too busy to take them.
 func (d *Daemon) applyLimits(instance *hostedInstance) bool {
 	if instance.agent == nil {
 		return true
@@ -40,7 +40,8 @@
 	return true
 }
 
-// maxBalancers returns how many agents the fleet may have: as the peers count them, else as the file says.
+// maxBalancers returns how many agents the fleet may have: the number that the peers count or, if that is not known,
+// the file's.
 func (d *Daemon) maxBalancers() int {
 	if size := d.size.Load(); size != nil {
 		return size.MaxBalancers
@@ -48,15 +49,15 @@
 	return max(1, d.cfg.Balancers)
 }
 
-// leasesGranted passes an agent what a lease server granted. The transport's goroutine calls it; it does not block: an agent
-// that is too busy goes by the leases that it has, which expire by themselves.
+// leasesGranted passes an agent the leases that a lease server granted. The transport's goroutine calls it, and it
+// does not block: an agent that is too busy goes on with the leases that it has, which expire by themselves.
 func (d *Daemon) leasesGranted(agent uint32, leases []quota.Lease, base time.Time) {
 	if h, ok := d.agents.Load(agent); ok {
 		h.(agentHandle).agent.GrantLeases(limitLeases(leases, base))
 	}
 }
 
-// limitLeases translates leases whose times count from base.
+// limitLeases translates leases whose times count from base into leases with absolute times.
 func limitLeases(leases []quota.Lease, base time.Time) []core.Lease {
 	expiring := make([]core.Lease, len(leases))
 	for i, lease := range leases {
@@ -65,15 +66,15 @@
 	return expiring
 }
 
-// LimitsStatus is the state of the shared limits: what the file says, and what is leased now.
+// LimitsStatus is the state of the shared limits: what the file sets, and what is leased now.
 type LimitsStatus struct {
-	Agents   int                         `json:"agents"` // by which the limits are split
+	Agents   int                         `json:"agents"` // the number of agents among which the limits are split
 	Limits   []daemonconfig.LimitSummary `json:"limits"`
 	Status   transport.LimitsStatus      `json:"now"`
 	Isolated bool                        `json:"alone,omitempty"` // the transport does not run or respond
 }
 
-// Limits returns the state of the shared limits; ok is false if the file has none.
+// Limits returns the state of the shared limits. ok is false if the file has none.
 func (d *Daemon) Limits() (status LimitsStatus, ok bool) {
 	var limits *daemonconfig.Limits
 	var p *peering
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// Names of a source's origins, as membership and logs have them.
+// Names of a source's origins, as they appear in lists of members and in logs.
 const (
 	fromList      = "the list"
 	fromRecords   = "records"
@@ -21,41 +21,42 @@
 )
 
 const (
-	// removalGuard is how long endpoints stay that a complete view of records suddenly lacks: see endpoints.Settings.
+	// removalGuard is how long endpoints are kept that are suddenly missing from a complete view of records: see
+	// endpoints.Settings.
 	removalGuard = 30 * time.Second
-	// settleSpan is the least time between two changes of an endpoint's pod that take effect: the deduplication window of
-	// requests in a pod.
+	// settleSpan is the minimum time between two changes of an endpoint's pod that take effect: the deduplication
+	// window of requests in a pod.
 	settleSpan = 12 * time.Second
-	// unlimitedHold has the last list hold while the list service is silent, as it does without other origins.
+	// unlimitedHold keeps the last list valid while the list service is silent, as for a source without other origins.
 	unlimitedHold = 100 * 365 * 24 * time.Hour
-	// mergeInterval is how often what is held back for a while is looked at.
+	// mergeInterval is how often the merger checks whether a delayed change is due.
 	mergeInterval = time.Second
-	// maxQueuedReports bounds the reports that wait for the merge before their origins block.
+	// maxQueuedReports bounds the reports that wait to be merged before their origins block.
 	maxQueuedReports = 16
 )
 
-// Merger makes one endpoint list of what a source's list service and its records say, and applies it to a hub. The
-// goroutine of Merger.Run drives it; Members may be called from any.
+// Merger makes one endpoint list from a source's list service and its records, and applies it to a hub. The goroutine
+// of Merger.Run drives it. Members may be called from any goroutine.
 type Merger struct {
 	source    daemonconfig.Source
 	log       *slog.Logger
 	hub       *discovery.Hub
 	startedAt time.Time
 	reports   chan endpoints.Report
-	required  []string                 // the origins, without the saved list
+	required  []string                 // the names of the origins, without the saved list
 	onChange  func([]endpoints.Member) // may be nil
 
 	mu        sync.Mutex
 	module    *endpoints.Module
 	list      []endpoints.Member
-	reported  map[string]bool             // origins that have said what they have
+	reported  map[string]bool             // origins that have reported a complete view
 	version   int64                       // of the published list
 	published map[string]discovery.Member // by ID
-	usesSaved bool                        // until all origins have reported
+	usesSaved bool                        // the saved list is used, until all origins have reported
 }
 
-// NewMerger returns a merger that does not run yet. saved is the list of before, and may be nil. onChange, which may be nil,
-// is called with each new list.
+// NewMerger returns a merger that does not run yet. saved is an earlier list, and may be nil. onChange, which may be
+// nil, is called with each new list.
 func NewMerger(source daemonconfig.Source, hub *discovery.Hub, saved *discovery.Members, log *slog.Logger, onChange func([]endpoints.Member)) *Merger {
 	origins := originsOf(source)
 	var required []string
@@ -83,7 +84,7 @@
 	return m
 }
 
-// originsOf returns where a source's endpoints come from.
+// originsOf returns the origins of a source's endpoints.
 func originsOf(source daemonconfig.Source) []endpoints.Source {
 	var origins []endpoints.Source
 	if source.List != "" {
@@ -98,14 +99,14 @@
 	return origins
 }
 
-// endpointStates are the states of a list's members; members in another state are ignored.
+// endpointStates translates the states of a list's members. Members in another state are ignored.
 var endpointStates = map[string]endpoints.State{
 	"ready":    endpoints.Up,
 	"draining": endpoints.Draining,
 	"gone":     endpoints.Removed,
 }
 
-// endpointsOf translates a list.
+// endpointsOf translates a list into endpoints.
 func endpointsOf(list *discovery.Members) []endpoints.Server {
 	var servers []endpoints.Server
 	for _, listed := range list.Servers {
@@ -171,7 +172,7 @@
 	}
 }
 
-// listReport translates what the list service says: a complete list, or a change of it.
+// listReport translates an update from the list service: a complete list (a snapshot) or a change of it (a delta).
 func listReport(list *discovery.Members) endpoints.Report {
 	if list.Full {
 		return endpoints.Snapshot{Source: fromList, Servers: endpointsOf(list)}
@@ -179,7 +180,8 @@
 	return endpoints.Delta{Source: fromList, Servers: endpointsOf(list)}
 }
 
-// apply merges a report, or with nil looks at what was held back, and publishes what has changed.
+// apply merges a report and publishes what has changed. With a nil report it only checks whether delayed changes are
+// due.
 func (m *Merger) apply(r endpoints.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -190,7 +192,7 @@
 	if view, ok := r.(endpoints.Snapshot); ok {
 		m.reported[view.Source] = true
 	}
-	if m.usesSaved && m.isComplete() { // all origins speak for themselves now
+	if m.usesSaved && m.isComplete() { // all origins have reported: the saved list is no longer needed
 		m.usesSaved = false
 		reports = append(reports, endpoints.Reset{Source: fromSaved})
 	}
@@ -208,7 +210,7 @@
 	}
 }
 
-// publish applies to the hub what differs from the list published last.
+// publish applies to the hub the differences from the last published list.
 func (m *Merger) publish(list []endpoints.Member) {
 	next := map[string]discovery.Member{}
 	for _, endpoint := range list {
@@ -252,14 +254,14 @@
 	}
 }
 
-// Members returns the present list, with the reasons, and whether every origin has reported.
+// Members returns the current list, with the reasons for each member's state, and whether every origin has reported.
 func (m *Merger) Members() (list []endpoints.Member, complete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list, m.isComplete()
 }
 
-// isComplete reports whether every origin has reported. The lock is held.
+// isComplete reports whether every origin has reported. The caller holds the lock.
 func (m *Merger) isComplete() bool {
 	for _, name := range m.required {
 		if !m.reported[name] {
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -46,8 +46,8 @@
 	data := strings.Replace(mustRead(t, text), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [%q]\nresolvers = [%q]\n", service, names.Addr()), 1)
 	writeFile(t, tb.dir, data)
 	r := tb.start(Options{})
-	// seen are those who have answered since it was last emptied. Which of them a request meets is up to how fast each has
-	// been: on a busy machine one may have none of sixty.
+	// seen are those who have answered since it was last emptied. Which of them a request meets is up to how fast
+	// each has been: on a busy machine one may have none of sixty.
 	seen := map[string]bool{}
 	asks := func() {
 		t.Helper()
--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -14,40 +14,44 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// peering is the daemon's part in its fleet while it runs. Run's goroutine owns it; the transport has goroutines of its own.
+// peering is the daemon's membership in its fleet while the membership runs. Run's goroutine owns it. The transport
+// has goroutines of its own.
 type peering struct {
 	spec      *daemonconfig.Peers
 	transport *transport.Transport
 	stop      context.CancelFunc
 	ended     chan struct{}
-	events    io.Closer // nil: events are not written
-	failures  int       // consecutive ones before this start
+	events    io.Closer // the event log; nil: events are not written
+	failures  int       // consecutive failures before this start
 }
 
 const (
-	// minPeeringBackoff is after which a part that has failed is started again; it doubles with each failure. Instances
-	// serve on meanwhile.
+	// minPeeringBackoff is the time before a peering that has failed is started again. It doubles with each failure.
+	// Instances go on serving meanwhile.
 	minPeeringBackoff = time.Second
-	// maxPeeringBackoff ends the doubling. A part that ran for longer begins anew with minPeeringBackoff.
+	// maxPeeringBackoff bounds the backoff. After a peering that ran for longer than this, the backoff is
+	// minPeeringBackoff again.
 	maxPeeringBackoff = time.Minute
 	// maxBackoffDoublings keeps the shift from overflowing.
 	maxBackoffDoublings = 10
-	// leaveTimeout is how long a member that leaves may take to tell others. Longer ones delay the daemon's end.
+	// leaveTimeout is how long a member that leaves may take to tell others. A longer timeout delays the daemon's end.
 	leaveTimeout = 400 * time.Millisecond
-	// busyRetryInterval is after which limits, ejections and bans are offered again to an instance that was too busy for them.
+	// busyRetryInterval is the time before limits, ejections and bans are passed again to an instance that was too
+	// busy to take them.
 	busyRetryInterval = 200 * time.Millisecond
 )
 
-// startPeering starts the daemon's part in its fleet, if the file has one, from what the last one saved, which may be nil.
-// Whatever goes wrong is logged and tried again: the daemon serves without. failures is how often it went wrong before.
+// startPeering starts the peering, if the file has [peers] and no peering runs. saved is the state of the last one,
+// and may be nil. A failure is logged and retried, and the daemon serves without a peering meanwhile. failures is the
+// number of failures before.
 func (d *Daemon) startPeering(saved *transport.Saved, failures int) {
-	// During a handover the sockets are the successor's.
+	// During a handover the sockets belong to the successor.
 	if d.cfg.Peers == nil || d.peering != nil || d.handingOver || d.ctx.Err() != nil {
 		return
 	}
 	p, err := d.newPeering(saved)
 	if err != nil {
-		d.log.Error("fleet: this daemon stands alone for now", "error", err)
+		d.log.Error("fleet: peering not started; this daemon serves without it and retries", "error", err)
 		d.retryPeering(failures + 1)
 		return
 	}
@@ -74,17 +78,17 @@
 	})
 }
 
-// peeringEnded takes note of the end of the daemon's part in its fleet, and has it started again if it has failed.
+// peeringEnded handles the end of a peering, and schedules another start if the peering has failed.
 func (d *Daemon) peeringEnded(p *peering, startedAt time.Duration, err error) {
 	if d.peering != p {
-		return // another has taken its place, or it was stopped
+		return // the peering was replaced or stopped
 	}
 	d.peering = nil
 	d.activePeering.CompareAndSwap(p, nil)
 	if err == nil || d.ctx.Err() != nil {
 		return
 	}
-	d.log.Error("fleet: membership and its transport have failed; instances serve on", "error", err)
+	d.log.Error("fleet: membership and its transport have failed and are started again; instances go on serving", "error", err)
 	d.saveHandoff()
 	if d.now()-startedAt > maxPeeringBackoff {
 		p.failures = 0
@@ -99,7 +103,7 @@
 	})
 }
 
-// newPeering makes the daemon's part in its fleet, which does not run yet.
+// newPeering makes a peering that does not run yet.
 func (d *Daemon) newPeering(saved *transport.Saved) (*peering, error) {
 	spec := d.cfg.Peers
 	takesOver := d.previous != nil && saved != nil && saved.TakesOver
@@ -120,7 +124,7 @@
 	if spec.Events != "" {
 		file, err := os.OpenFile(spec.Events, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
-			d.log.Error("fleet: events are not written", "error", err)
+			d.log.Error("fleet: events are not written, since their file can't be opened", "error", err)
 		} else {
 			options.Events = file
 			p.events = file
@@ -142,7 +146,7 @@
 	}
 }
 
-// copyPeerSockets returns copies of the sockets of an address.
+// copyPeerSockets returns copies of the stream and datagram sockets of an address.
 func (d *Daemon) copyPeerSockets(listen string) (*net.TCPListener, *net.UDPConn, error) {
 	tcp, err := copyOf(d.listeners[daemonconfig.Address{Network: "tcp", Addr: listen}])
 	if err != nil {
@@ -156,7 +160,8 @@
 	return tcp.(*net.TCPListener), udp, nil
 }
 
-// transportOptions are those that the configuration gives. With takesOver the member goes on in this process.
+// transportOptions returns the transport's options that follow from the configuration. If takesOver is true, the new
+// transport goes on as the member of the previous transport in this process.
 func (d *Daemon) transportOptions(takesOver bool) transport.Options {
 	spec := d.cfg.Peers
 	o := transport.Options{
@@ -186,23 +191,23 @@
 		o.NewPolicyDriver = d.newPolicyDriver
 		if takesOver {
 			o.PolicyDriver = d.previous.PolicyDriver()
-			o.Previous = d.previous // its times go on by the same clock
+			o.Previous = d.previous // the policy driver's times keep the same clock
 		}
 	}
 	return o
 }
 
-// fleetSizeChanged takes how many agents the fleet has. The transport's goroutine calls it; it does not block.
+// fleetSizeChanged takes the number of agents in the fleet. The transport's goroutine calls it, and it does not block.
 func (d *Daemon) fleetSizeChanged(size membership.Size) {
 	d.size.Store(&size)
 	d.scheduleUpdate()
 }
 
-// scheduleUpdate has Run's goroutine call updateInstances. It does not block.
+// scheduleUpdate makes Run's goroutine call updateInstances. It does not block.
 func (d *Daemon) scheduleUpdate() { signal(d.sizeChanged) }
 
-// updateInstances passes the instances their bans, the size of the fleet, and the shared limits, and again later to those
-// that were too busy to take them.
+// updateInstances passes the instances their bans, the size of the fleet, and the shared limits. If an instance was
+// too busy to take them, it tries again later.
 func (d *Daemon) updateInstances() {
 	size := d.size.Load()
 	retry := false
@@ -225,8 +230,8 @@
 	}
 }
 
-// updatePeering follows a change of the configuration: the same member goes on with other settings, or it leaves and another
-// one comes.
+// updatePeering adapts the peering to a change of the configuration: the same member goes on with other settings, or
+// the old member leaves and another one joins.
 func (d *Daemon) updatePeering(oldPeers *daemonconfig.Peers, oldLimits *daemonconfig.Limits) {
 	peers := d.cfg.Peers
 	p := d.peering
@@ -242,7 +247,7 @@
 	d.activePeering.Store(nil)
 	isSameMember := peers != nil && peers.Fleet == oldPeers.Fleet && peers.Name == oldPeers.Name && peers.Advertise == oldPeers.Advertise
 	d.background.Go(func() { d.restartPeering(p, isSameMember) })
-	if peers == nil || peers.Ejection == nil { // each daemon goes by its own evidence
+	if peers == nil || peers.Ejection == nil { // the daemon uses only its own evidence from now on
 		d.ejectionsChanged(nil, d.startedAt)
 	}
 	if peers == nil {
@@ -250,7 +255,7 @@
 	}
 }
 
-// restartPeering ends the daemon's part in its fleet, and has another one started by the present configuration.
+// restartPeering ends a peering and starts another one with the current configuration.
 func (d *Daemon) restartPeering(p *peering, isSameMember bool) {
 	var saved *transport.Saved
 	if isSameMember {
@@ -271,7 +276,7 @@
 	})
 }
 
-// resetFleetSize has the instances go by the file's number of balancers.
+// resetFleetSize makes the instances use the file's number of balancers.
 func (d *Daemon) resetFleetSize() {
 	d.size.Store(nil)
 	for _, instance := range d.instances {
@@ -281,14 +286,14 @@
 	}
 }
 
-// currentPeering returns the daemon's part in its fleet; nil: there is none.
+// currentPeering returns the daemon's peering, or nil if there is none.
 func (d *Daemon) currentPeering() (p *peering) {
 	d.call(func() { p = d.peering })
 	return p
 }
 
-// MembershipStatus returns what the daemon knows of its fleet; ok is false if it stands alone, or its transport does not
-// respond.
+// MembershipStatus returns what the daemon knows of its fleet. ok is false if the daemon has no peering, or its
+// transport does not respond.
 func (d *Daemon) MembershipStatus() (s transport.MembershipStatus, ok bool) {
 	p := d.currentPeering()
 	if p == nil {
@@ -297,7 +302,7 @@
 	return p.transport.MembershipStatus()
 }
 
-// ForgetMember passes on an operator's decision that a dead member has gone for good.
+// ForgetMember passes on an operator's decision that a dead member will not come back.
 func (d *Daemon) ForgetMember(name string) error {
 	p := d.currentPeering()
 	if p == nil {
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -12,27 +12,29 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// policyState is the daemon's part in the fleet's policy, besides what is atomic in Daemon. Run's goroutine owns it.
+// policyState is the daemon's state for the fleet's policy, without the atomic values in Daemon. Run's goroutine owns
+// it.
 type policyState struct {
-	store      *policystore.Store // nil: no policy is agreed on
+	store      *policystore.Store // nil: the daemon takes part in no policy
 	disk       policy.StoredState
-	diskUnused bool // disk is as it was read, and no member has begun with it
-	// handoff is for the member that takes the place of one of this process, or of the daemon before; nil: none.
+	diskUnused bool // disk is as it was read, and no member has started from it
+	// handoff is the state for the next member, which replaces an earlier one of this process or of the predecessor.
+	// It is nil if there is none.
 	handoff *policy.HandoffState
-	// handoffSeq is at least the number of the last lease request of any member before.
+	// handoffSeq is not lower than the number of the last lease request of any earlier member.
 	handoffSeq  uint64
 	applied     appliedPolicy
-	fingerprint string // of the policy by which agents are built now: the applied one, or the one about to be
+	fingerprint string // of the policy for which agents are built now: the applied one, or the one that is being applied
 }
 
-// ownFile is the daemon's own file as it was last read.
+// ownFile is the daemon's own file as it was read last.
 type ownFile struct {
 	path string
 	text []byte
 }
 
-// openPolicy opens what was agreed on before, and takes the configuration under the policy that was active. Whatever goes
-// wrong leaves the instances admitting nothing until the fleet says by what to serve.
+// openPolicy opens the stored policy and applies the configuration under the policy that was active. After an error
+// the instances admit no requests until the fleet tells the daemon which policy to serve by.
 func (d *Daemon) openPolicy() {
 	if d.cfg.Policy == nil {
 		return
@@ -71,7 +73,7 @@
 	}
 }
 
-// serveHandedOff has requests admitted at once, by the policy and the lease of the daemon before.
+// serveHandedOff lets requests be admitted at once, by the predecessor's policy and lease.
 func (d *Daemon) serveHandedOff(first *servingState, last policy.Serving, h *policy.HandoffState) {
 	first.Blocked = ""
 	first.Document = last.Document
@@ -87,8 +89,8 @@
 	}
 }
 
-// hasPreparedChange reports whether the member on the disk has prepared a change that is not active: it may have been
-// committed.
+// hasPreparedChange reports whether the stored member has prepared a change that is not active. The fleet may have
+// committed that change.
 func (d *Daemon) hasPreparedChange(last *policy.Serving) bool {
 	active := servedDocuments(last)
 	return slices.ContainsFunc(policy.StoredChanges(d.policy.disk.Member), func(id string) bool {
@@ -96,8 +98,8 @@
 	})
 }
 
-// checkPolicy reports whether this daemon could serve by these documents of the parts that it holds. The transport's
-// goroutine calls it. A panic is an error like any other: the daemon rejects the change, and goes on.
+// checkPolicy returns an error if this daemon could not serve by these documents of the parts that it holds. The
+// transport's goroutine calls it. A panic is returned as an error, so that the daemon rejects the change and goes on.
 func (d *Daemon) checkPolicy(documents []policy.Document) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -108,8 +110,8 @@
 	return daemonconfig.CheckUnder(own.path, own.text, documents)
 }
 
-// reloadPolicy reads what the last member left on the disk. Without that no member begins: a voter would forget its vote and
-// what it acknowledged.
+// reloadPolicy reads the state that the last member stored on the disk. No member starts without it: a voter would
+// forget its vote and what it acknowledged.
 func (d *Daemon) reloadPolicy() error {
 	if d.policy.diskUnused {
 		return nil
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// newPolicyDriver returns the daemon's part in the policy for a run of the member; nil: there is none.
+// newPolicyDriver returns the policy driver for a run of the member, or nil if the daemon can't take part in a policy.
 func (d *Daemon) newPolicyDriver(runID uint64) *transport.PolicyDriver {
 	if d.cfg.Policy == nil {
 		return nil
@@ -137,7 +139,7 @@
 	disk := d.policy.disk
 	if h := d.policy.handoff; h != nil {
 		d.policy.handoffSeq = max(d.policy.handoffSeq, h.Seq)
-		disk.ProvenCurrent = true // it is this very file: no other process had it meanwhile
+		disk.ProvenCurrent = true // no other process had the file meanwhile
 	}
 	d.policy.diskUnused = false
 	d.policy.handoff = nil
@@ -157,12 +159,13 @@
 	return driver
 }
 
-// handoffSeqStep exceeds the lease requests of one run of a member. The next run's are numbered from that far on, so that the
-// numbers of two runs never overlap and no response to the earlier one is taken for one to the later.
+// handoffSeqStep is more than the number of lease requests of one run of a member. The next run's numbers start that
+// much higher, so that the numbers of two runs never overlap and a response to the earlier run is not taken for a
+// response to the later one.
 const handoffSeqStep = 1 << 32
 
-// saveHandoff keeps what a member that has failed knew of the policy, for the one that is started in its place: requests are
-// admitted meanwhile, as long as its last lease allows.
+// saveHandoff keeps what a member that has ended knew of the policy, for the member that is started in its place.
+// Requests are admitted meanwhile, as long as the last lease allows.
 func (d *Daemon) saveHandoff() {
 	s := d.serving.Load()
 	if s == nil || s.Blocked != "" || s.Document == nil || s.Standalone {
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -20,8 +20,8 @@
 	"vetchhaven/internal/standin"
 )
 
-// An agent that is being replaced under another policy finishes what it admitted, and admits nothing more, whatever leases its
-// daemon gets later: they are for the agents that serve by the new policy.
+// An agent that is being replaced under another policy finishes what it admitted, and admits nothing more, whatever
+// leases its daemon gets later: they are for the agents that serve by the new policy.
 func TestReplacedAgentIsNotAdmittedByNextLease(t *testing.T) {
 	s, came, release := newHoldingServer()
 	defer s.Close()
@@ -64,8 +64,9 @@
 	}
 }
 
-// A member that was cut off past its lease hears of another policy: its copies go by the one before until they are replaced,
-// and take nothing by the lease that comes with the new one. So do those that a handover or a change leaves behind.
+// A member that was cut off past its lease hears of another policy: its copies go by the one before until they are
+// replaced, and take nothing by the lease that comes with the new one. So do those that a handover or a change leaves
+// behind.
 func TestLeaseOfAnotherPolicyDoesNotExtendAdmission(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -122,8 +123,8 @@
 	})
 }
 
-// A server that a policy keeps out gets nothing from an instance that was too busy to hear of it at first; without the ban
-// it is back.
+// A server that a policy keeps out gets nothing from an instance that was too busy to hear of it at first; without
+// the ban it is back.
 func TestPolicyBanReachesABusyInstance(t *testing.T) {
 	s1, s2 := standin.NewForm("s-1", nil), standin.NewForm("s-2", nil)
 	defer s1.Close()
@@ -176,8 +177,8 @@
 	eventually(t, "the server is back", both)
 }
 
-// A part for peers that fails while no other voter answers leaves the policy as it was: requests are taken on, before, between
-// and after its lives.
+// A part for peers that fails while no other voter answers leaves the policy as it was: requests are taken on,
+// before, between and after its lives.
 func TestPolicySurvivesATransportFailure(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
@@ -242,9 +243,9 @@
 	}
 }
 
-// After a handover that failed the policy's file is opened again, also where another process has it for some seconds more, as a
-// successor that is slow to die. It was tried once: a voter could write nothing from then on, and no policy was agreed on until
-// the daemon was started again.
+// After a handover that failed the policy's file is opened again, also where another process has it for some seconds
+// more, as a successor that is slow to die. It was tried once: a voter could write nothing from then on, and no
+// policy was agreed on until the daemon was started again.
 func TestPolicyFileIsOpenedAgainAfterAFailedHandover(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
--- a/internal/host/daemon/policyrequests.go
+++ b/internal/host/daemon/policyrequests.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// changeIDBytes of randomness make up the ID of a change that has none.
+	// changeIDBytes is the number of random bytes in a generated change ID.
 	changeIDBytes = 8
-	// historyPollInterval is how often PolicyHistory looks whether a voter has responded.
+	// historyPollInterval is how often PolicyHistory checks whether a voter has responded.
 	historyPollInterval = 20 * time.Millisecond
-	// historyRequestPolls is after how many of these looks it requests the history again.
+	// historyRequestPolls is the number of these checks after which the history is requested again.
 	historyRequestPolls = 20
 )
 
 // PolicyChange is a change that is proposed at a daemon.
 type PolicyChange struct {
-	ID       string   `json:"id"` // empty: a new one is given
+	ID       string   `json:"id"` // empty: an ID is generated
 	Body     string   `json:"body"`
 	Reason   string   `json:"reason"`
 	Author   string   `json:"author"`
 	Excluded []string `json:"without"`
-	Base     *uint64  `json:"base"` // the active number that its author saw; nil: the daemon's
-	// Parts are the texts of several parts, by name ("" for the global one), with the numbers that their author saw, in
-	// place of Body and Base. A number that is missing is the daemon's, which has to hold that part.
+	Base     *uint64  `json:"base"` // the active number that the author saw; nil: the daemon's active number
+	// Parts are the texts of several parts by name ("" for the global one), and Bases the numbers that the author
+	// saw. They replace Body and Base. If a number is missing, the daemon's active number is used, and the daemon has
+	// to hold that part.
 	Parts map[string]string `json:"parts,omitempty"`
 	Bases map[string]uint64 `json:"bases,omitempty"`
 }
 
-// PolicyStatus is the state of a daemon's part in the fleet's policy.
+// PolicyStatus is the state of the fleet's policy at a daemon.
 type PolicyStatus struct {
 	policy.Status
 	Body    string            `json:"body"`
-	Bodies  map[string]string `json:"bodies,omitempty"` // of services' parts that it holds
+	Bodies  map[string]string `json:"bodies,omitempty"` // the texts of the services' parts that the daemon holds
 	Applied uint64            `json:"instances_serve_by"`
-	// OutsideRoster are members that failure detection holds for alive and that are not in the roster: they serve by their
-	// own files, or admit nothing. Known at voters.
+	// OutsideRoster are members that failure detection considers alive, but that are not in the roster: they serve by
+	// their own files, or admit no requests. Only voters know them.
 	OutsideRoster []string `json:"not_in_the_roster,omitempty"`
 	Unservable    string   `json:"unfit,omitempty"` // why the daemon can't serve by the policy
 }
 
-// Policy returns the state of the daemon's part in the fleet's policy.
+// Policy returns the state of the fleet's policy at this daemon.
 func (d *Daemon) Policy() (s PolicyStatus, err error) {
 	err = d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
 		s.Status = n.Status()
@@ -75,8 +76,8 @@
 	return s, err
 }
 
-// onPolicy runs f on the transport's goroutine, which passes the events that it returns to the node. It returns
-// transport.ErrNoPolicy if no policy is agreed on, or the transport does not run.
+// onPolicy runs f on the transport's goroutine, which passes the events that f returns to the node. It returns
+// transport.ErrNoPolicy if the daemon takes part in no policy, or the transport does not run.
 func (d *Daemon) onPolicy(f func(n *policy.Node, now time.Duration) []policy.Event) error {
 	p := d.activePeering.Load()
 	if p == nil {
@@ -90,8 +91,8 @@
 	return d.onPolicy(func(*policy.Node, time.Duration) []policy.Event { return []policy.Event{e} })
 }
 
-// ProposePolicy proposes a change to the fleet, if this daemon could serve by it, and returns its ID. ChangeStatus says what
-// becomes of it.
+// ProposePolicy proposes a change to the fleet, if this daemon could serve by it, and returns the change's ID.
+// ChangeStatus returns its outcome.
 func (d *Daemon) ProposePolicy(c PolicyChange) (id string, err error) {
 	if c.Parts == nil {
 		c.Parts = map[string]string{"": c.Body}
@@ -115,7 +116,7 @@
 	return c.ID, errors.Join(err, rejected)
 }
 
-// checkedProposal returns the proposal of a change that this daemon could serve by.
+// checkedProposal returns the proposal of a change, or an error if this daemon could not serve by it.
 func (d *Daemon) checkedProposal(n *policy.Node, c *PolicyChange) (policy.Proposal, error) {
 	proposal, err := c.proposal(n)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return proposal, nil
 }
 
-// proposal returns the change as the fleet takes it.
+// proposal returns the change as a proposal to the fleet.
 func (c *PolicyChange) proposal(n *policy.Node) (policy.Proposal, error) {
 	held := n.Status().ConfiguredParts
 	proposal := policy.Proposal{Excluded: c.Excluded}
@@ -156,8 +157,8 @@
 	return proposal, proposal.Check()
 }
 
-// checkChange reports whether this daemon could serve by a change: with the active documents, as far as it holds the change's
-// parts. Documents of other parts are checked by themselves.
+// checkChange returns an error if this daemon could not serve by a change. Documents of parts that the daemon holds
+// are checked together with the active documents. Documents of other parts are checked separately.
 func (d *Daemon) checkChange(n *policy.Node, change *policy.Document) error {
 	status := n.Status()
 	var held []policy.Document
@@ -180,7 +181,8 @@
 	return d.checkPolicy(documents)
 }
 
-// ChangeStatus returns the status of a change, as far as this daemon knows it, and has it requested from now on.
+// ChangeStatus returns the status of a change, as far as this daemon knows it. The daemon requests the status from
+// the fleet from now on.
 func (d *Daemon) ChangeStatus(id string) (status policy.ChangeStatus, err error) {
 	err = d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
 		status = n.ChangeStatus(id)
@@ -189,7 +191,7 @@
 	return status, err
 }
 
-// AbortPolicy has the fleet abort a change, also one that no voter has received yet.
+// AbortPolicy asks the fleet to abort a change, even one that no voter has received yet.
 func (d *Daemon) AbortPolicy(id, author, reason string) error {
 	if id == "" {
 		return errors.New("no change is named")
@@ -198,8 +200,8 @@
 	return d.sendPolicyEvent(policy.Propose{Proposal: abort})
 }
 
-// PolicyHistory returns the last changes, and the document of a part with a number; 0: of a service's part the active one. It
-// blocks until a voter responds, up to the timeout.
+// PolicyHistory returns the last changes, and the document of a part with the given number. For a service's part, 0
+// stands for the active document. PolicyHistory blocks until a voter responds, up to the timeout.
 func (d *Daemon) PolicyHistory(part string, number uint64, timeout time.Duration) (history *policy.History, err error) {
 	request := policy.History{Part: part, Number: number}
 	if err := d.sendPolicyEvent(request); err != nil {
@@ -225,7 +227,7 @@
 	return nil, errors.New("no voter answers")
 }
 
-// PolicyVoters requests one voter in place of another.
+// PolicyVoters requests that a voter is replaced by another one.
 func (d *Daemon) PolicyVoters(request policy.ReplaceVoter) error { return d.sendPolicyEvent(request) }
 
 // PolicyCommand passes on an operator's decision: policy.Rescue or policy.TrustDisk.
--- a/internal/host/daemon/policyswitch.go
+++ b/internal/host/daemon/policyswitch.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// replacedGrace is how long an agent that is replaced admits requests that come on connections of its own. Longer ones
-	// have two policies in use for longer; shorter ones reject more requests at a switch.
+	// replacedGrace is how long an agent that is replaced goes on admitting requests on its connections. With a
+	// longer time, two policies are in use for longer. With a shorter time, more requests are rejected at a switch.
 	replacedGrace = 100 * time.Millisecond
-	// switchRetryInterval is after which a switch is tried again that met a newer policy.
+	// switchRetryInterval is the time before a switch is tried again if the policy changed during it.
 	switchRetryInterval = time.Second
-	// announceInterval is how often the daemon looks whether the transport has the parts that it holds.
+	// announceInterval is how often the daemon checks whether the transport knows the parts that the daemon holds.
 	announceInterval = 50 * time.Millisecond
-	// noWindow is a deduplication window in which no retry fits: 0 would mean that nothing is narrowed.
+	// noWindow is a deduplication window (1 ns) that is too short for any retry. 0 would mean that the window is not
+	// shortened.
 	noWindow = 1
 )
 
-// appliedPolicy is by which policy the instances serve.
+// appliedPolicy identifies the policy by which the instances serve.
 type appliedPolicy struct {
 	number      uint64 // of the global document
-	fingerprint string // of all documents, and of the changes that may be active besides
+	fingerprint string // of all documents, and of the changes that may also be active
 }
 
-// switchPolicy has all instances serve by the present policy. Whatever is wrong with it leaves them admitting nothing, and
-// is the reason that they give.
+// switchPolicy makes all instances serve by the current policy. If the daemon can't serve by it, the instances admit
+// no requests and give the error as the reason.
 func (d *Daemon) switchPolicy() {
 	s := d.serving.Load()
 	if s == nil || s.Document == nil || d.cfg.Policy == nil || d.handingOver {
@@ -50,7 +51,7 @@
 		return
 	}
 	d.policy.applied = next
-	for _, instance := range d.instances { // those that did not change serve by it as well
+	for _, instance := range d.instances { // includes instances that the policy did not change
 		if instance.agent != nil {
 			d.markCurrent(instance)
 		}
@@ -58,7 +59,8 @@
 	d.log.Info("instances serve by policy", "number", next.number, "texts", next.fingerprint)
 }
 
-// markUnservable records that this daemon can't serve by a policy. If there is a newer one already the switch is tried again.
+// markUnservable records that this daemon can't serve by a policy. If there is a newer policy already, the switch is
+// tried again.
 func (d *Daemon) markUnservable(s *servingState, err error) {
 	reason := "this daemon can't serve by policy " + s.Fingerprint()
 	if len(s.Preparing) > 0 {
@@ -74,16 +76,16 @@
 	d.rangeAgents(d.applyAdmission)
 }
 
-// scheduleSwitch has Run's goroutine call switchPolicy. It does not block.
+// scheduleSwitch makes Run's goroutine call switchPolicy. It does not block.
 func (d *Daemon) scheduleSwitch() { signal(d.servingUpdated) }
 
-// servedDocuments returns the documents by which a member serves, the global one first.
+// servedDocuments returns the documents by which a member serves. The global one is the first.
 func servedDocuments(s *policy.Serving) []policy.Document {
 	return append([]policy.Document{*s.Document}, s.Parts...)
 }
 
-// switchTo changes instances over to another configuration at once. What they have admitted is finished by the old agents,
-// and retried by the shorter deduplication window of the two.
+// switchTo changes the instances to another configuration at once. The old agents finish the requests that they have
+// admitted, and retry them only within the shorter of the two deduplication windows.
 func (d *Daemon) switchTo(cfg *daemonconfig.Config) error {
 	replaced := map[*core.Agent]daemonconfig.Instance{}
 	for _, instance := range d.instances {
@@ -109,8 +111,8 @@
 	return nil
 }
 
-// shortenedWindows returns the deduplication windows to which retries of requests in flight are held besides their own, by
-// class of the old configuration; 0: none.
+// shortenedWindows returns the shorter deduplication windows that apply to retries of requests in flight, by class of
+// the old configuration. 0 means that the class keeps its window.
 func shortenedWindows(before, after *core.Config) []time.Duration {
 	windows := make([]time.Duration, len(before.Settings.Classes))
 	for i, class := range before.Settings.Classes {
@@ -132,8 +134,8 @@
 	return windows
 }
 
-// announceParts has the fleet know which parts this daemon holds from now on. It repeats that until the transport has them:
-// the one that is asked first may be being replaced.
+// announceParts tells the fleet which parts this daemon holds from now on. It retries until the transport knows them,
+// since the current transport may just be being replaced.
 func (d *Daemon) announceParts() {
 	if d.cfg.Policy == nil {
 		return
@@ -150,15 +152,15 @@
 				}
 				return []policy.Event{policy.SetParts{Parts: wanted}}
 			})
-			if err != nil { // the next transport begins with what the daemon holds then
+			if err != nil { // no transport runs: the next one starts with the parts that the daemon holds then
 				return
 			}
 		}
 	})
 }
 
-// applyBans has an instance use no server that the file or the policy bans, and use again those that they no longer ban. It
-// reports false if the instance was too busy.
+// applyBans makes an instance stop using the servers that the file or the policy bans, and use again those that are
+// no longer banned. It reports false if the instance was too busy.
 func (d *Daemon) applyBans(instance *hostedInstance) bool {
 	if instance.agent == nil {
 		return true
--- a/internal/host/daemon/ready_test.go
+++ b/internal/host/daemon/ready_test.go
@@ -8,10 +8,10 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A daemon is ready after the one limit, however many of its lists are down and not saved. The limit's timer fired once, and
-// ended the wait for one list: with two, awaitLists waited for the second for ever. The instances served after 5 s, and ready
-// never came, with one line "no list yet" for two lists; whoever waits for it, a service manager or the daemon before in a
-// handover, takes the restart for failed.
+// A daemon is ready after the one limit, however many of its lists are down and not saved. The limit's timer fired
+// once, and ended the wait for one list: with two, awaitLists waited for the second for ever. The instances served
+// after 5 s, and ready never came, with one line "no list yet" for two lists; whoever waits for it, a service manager
+// or the daemon before in a handover, takes the restart for failed.
 func TestReadyAfterOneLimitHoweverManyListsAreDown(t *testing.T) {
 	for _, sources := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint(sources), func(t *testing.T) {
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -12,24 +12,25 @@
 	"vetchhaven/internal/host/supervise"
 )
 
-// ReloadResult counts what a change of the configuration did to instances.
+// ReloadResult counts the instances by what a change of the configuration did to them.
 type ReloadResult struct {
 	Added     int `json:"added"`
 	Removed   int `json:"removed"`
 	Replaced  int `json:"replaced"`
-	Moved     int `json:"moved"` // follow another list, and go on
+	Moved     int `json:"moved"` // the running agent follows another list from now on
 	Unchanged int `json:"unchanged"`
-	Revived   int `json:"revived"` // were left down, and are tried again as a configuration is applied
+	Revived   int `json:"revived"` // the instance was left down, and is started again
 }
 
 // ErrReloadPassedOn says that this daemon has handed over, and that its successor was told to read the file again.
 var ErrReloadPassedOn = errors.New("a successor serves by now: it was told to apply the file, and logs what becomes of that")
 
-// Reload reads the file again and changes what differs. If it has a mistake, or an address can't be opened, nothing changes.
-// One that comes during a handover waits for its end, 30 s at most, and is applied by whichever process serves then: the
-// successor may have read the file before. If that is the successor, the error is ErrReloadPassedOn.
+// Reload reads the file again and changes what differs. If the file has an error, or an address can't be opened,
+// nothing changes. A reload during a handover waits until the handover has ended, at most 30 s. The process that
+// serves then applies the file, since the successor may have read the file before it changed. If that is the
+// successor, the error is ErrReloadPassedOn.
 func (d *Daemon) Reload() (result ReloadResult, err error) {
-	d.reloadMu.Lock() // the file that is read last is applied last
+	d.reloadMu.Lock() // ensures that the file that is read last is applied last
 	defer d.reloadMu.Unlock()
 	for {
 		if d.successorServes.Load() {
@@ -84,7 +85,7 @@
 	return result, err
 }
 
-// apply changes the running daemon over to a configuration. After an error nothing has changed.
+// apply changes the running daemon to a configuration. If it returns an error, nothing has changed.
 func (d *Daemon) apply(cfg *daemonconfig.Config) (ReloadResult, error) {
 	var result ReloadResult
 	if err := d.checkChangeable(cfg); err != nil {
@@ -124,7 +125,7 @@
 	return result, nil
 }
 
-// checkChangeable returns an error for what can't change in a running daemon.
+// checkChangeable returns an error if a running daemon can't change to a configuration now.
 func (d *Daemon) checkChangeable(cfg *daemonconfig.Config) error {
 	switch {
 	case d.stopping:
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// movedSources returns a function that reports whether an instance that followed one source, and is to follow another,
-// gets another hub by that: the source differs, or its hub was dropped for another one of its name.
+// movedSources returns a function that reports whether an instance whose source changes from one name to another gets
+// another hub: either the names differ, or the source's hub was dropped and replaced by one of the same name.
 func movedSources(old, cfg *daemonconfig.Config, dropped []*hub) func(from, to string) bool {
 	return func(from, to string) bool {
 		return from != to || slices.ContainsFunc(dropped, func(h *hub) bool {
@@ -149,8 +150,8 @@
 	}
 }
 
-// applyInstance starts, replaces or moves an instance as its settings ask for. Its shares of descriptors and memory are among
-// them: where the number of instances or a weight changes, all are replaced.
+// applyInstance starts, replaces or moves an instance as its settings require. The settings include its shares of
+// descriptors and memory: if the number of instances or a weight changes, all instances are replaced.
 func (d *Daemon) applyInstance(spec daemonconfig.Instance, isMoved func(from, to string) bool, result *ReloadResult) {
 	instance := d.instances[spec.Name]
 	if instance == nil {
@@ -181,9 +182,10 @@
 	}
 }
 
-// replaceInstance starts an agent with other settings. It accepts connections before the old one ends: both have the socket,
-// or each its own. The old one answers its open requests, for the longest deadline and 0.6 s at most. It ends also where the new
-// one fails to start, which the supervisor then tries again.
+// replaceInstance starts an agent with other settings. The new agent accepts connections before the old one ends:
+// both have a copy of the socket or, if the address changed, each has its own. The old agent answers its open
+// requests, for at most the longest deadline and 0.6 s. It ends even if the new agent fails to start; the supervisor
+// then starts the new one again.
 func (d *Daemon) replaceInstance(instance *hostedInstance, spec daemonconfig.Instance) {
 	stop := instance.stop
 	previous := instance.agent
@@ -198,8 +200,9 @@
 	}
 }
 
-// removeInstances ends the instances that a configuration does not have. What they have admitted is answered; and once
-// socketsClosed is closed, what is in the queue of a socket that no other instance has.
+// removeInstances stops the instances that a configuration does not have. They answer what they have admitted. If no
+// other instance uses an instance's socket, its agent accepts connections until socketsClosed is closed, and then
+// those left in the socket's queue.
 func (d *Daemon) removeInstances(cfg *daemonconfig.Config, socketsClosed <-chan time.Time, result *ReloadResult) {
 	addresses := listenAddresses(cfg)
 	configured := map[string]bool{}
--- a/internal/host/daemon/run.go
+++ b/internal/host/daemon/run.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// readyTimeout is how long a start waits for lists: the list service may be down, and the saved list, or none, serves
-	// then. Longer ones delay a restart of the daemon while the list service is down.
+	// readyTimeout is how long a start waits for lists. The list service may be down; the daemon then serves from the
+	// saved list, if it has one. A longer timeout delays a restart of the daemon while the list service is down.
 	readyTimeout = 5 * time.Second
-	// readyPollInterval is how often a start looks whether the instances have their lists.
+	// readyPollInterval is how often a start checks whether the instances have their lists.
 	readyPollInterval = 2 * time.Millisecond
-	// adminShutdownTimeout is how long operators' requests in progress may take at the end: who asked for a handover learns
-	// that it worked.
+	// adminShutdownTimeout is how long open admin requests may take when the daemon ends, so that an operator who
+	// requested a handover learns that it succeeded.
 	adminShutdownTimeout = time.Second
-	// backgroundTimeout is how long other goroutines may take at the end. Everything is answered by then.
+	// backgroundTimeout is how long other goroutines may take when the daemon ends. All requests are answered by then.
 	backgroundTimeout = 3 * time.Second
 )
 
-// Run serves until stop ends or a successor has taken over; then everything that was admitted is answered. It returns
-// ErrHandedOver if there is a successor.
+// Run serves until stop ends or a successor has taken over, and returns after everything that was admitted is
+// answered. It returns ErrHandedOver if there is a successor.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.ctx = ctx
@@ -41,7 +41,7 @@
 		d.saveSnapshot()
 	}
 	handedOver = d.stopServing(handedOver)
-	if p := d.peering; p != nil && !handedOver { // nothing is sent from here any more
+	if p := d.peering; p != nil && !handedOver { // after a handover this process sends nothing to peers
 		p.transport.Leave(leaveTimeout)
 	}
 	cancel()
@@ -50,7 +50,7 @@
 	}
 	close(d.done)
 	closeAdmin(admin)
-	if !waitFor(&d.background, backgroundTimeout) { // everything is answered: nothing else may keep the process
+	if !waitFor(&d.background, backgroundTimeout) { // everything is answered, so nothing else may delay the end
 		d.log.Warn("ending although not all background work has ended")
 	}
 	d.log.Info("stopped")
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// startAll starts the sources, the instances, the daemon's part in its fleet, and the goroutines besides.
+// startAll starts the hubs of the sources, the instances, the peering, and the other goroutines.
 func (d *Daemon) startAll(ctx context.Context) {
 	d.followSources(d.cfg)
 	for _, spec := range d.cfg.Instances {
@@ -74,7 +74,7 @@
 	d.background.Go(func() { d.snapshots.Run(ctx.Done()) })
 }
 
-// loop runs what other goroutines and timers ask for, until stop ends or a successor has taken over.
+// loop handles calls of other goroutines and timers, until stop ends or a successor has taken over.
 func (d *Daemon) loop(stop context.Context) (handedOver bool) {
 	save := time.NewTicker(saveInterval)
 	defer save.Stop()
@@ -104,10 +104,11 @@
 	return handedOver
 }
 
-// stopServing has the instances end once they have answered, closes the sockets, and returns when all have ended. A successor
-// has copies of the sockets, and accepts what is in their queues. Without one the instances accept as long as an agent of the
-// platform does, and take what is in the queues before the last copies are closed. It reports whether there is a successor: one
-// that gets ready in the moment of the stop keeps its sockets.
+// stopServing stops the instances, closes the sockets, and returns when all instances have answered what they
+// admitted and have ended. A successor has copies of the sockets and accepts the connections in their queues. Without
+// a successor the instances go on accepting for core.AcceptAfterStop, as an agent that runs alone does, and accept
+// what is in the queues before the last copies are closed. stopServing reports whether there is a successor: one that
+// becomes ready just as the daemon is stopped keeps its sockets.
 func (d *Daemon) stopServing(handedOver bool) bool {
 	d.stopping = true
 	acceptEnded := make(chan time.Time)
@@ -125,14 +126,15 @@
 		defer cancel()
 		d.runCalls(accepting.Done())
 		if ended := d.handoverEnded; ended != nil {
-			d.runCalls(ended) // at once: a successor that is not ready is killed by the stop
+			d.runCalls(ended) // ends soon: the stop kills a successor that is not ready
 		}
 		handedOver = d.successorServes.Load()
 	}
 	if handedOver {
-		d.rangeAgents(func(h agentHandle) { h.agent.LeaveQueue() }) // the successor has it
+		d.rangeAgents(func(h agentHandle) { h.agent.LeaveQueue() }) // the successor accepts what is in the queues
 	}
-	d.closeListeners(handedOver) // a Unix socket's path goes first: nobody connects while its queue is taken
+	// A Unix socket's path is removed first, so that no client connects while the socket's queue is emptied.
+	d.closeListeners(handedOver)
 	close(acceptEnded)
 	drained := make(chan struct{})
 	go func() {
@@ -156,7 +158,8 @@
 	}
 }
 
-// runCalls handles instances' ends and operators' requests until a channel is closed.
+// runCalls runs the calls of other goroutines, such as ends of instances and operators' requests, until a channel is
+// closed.
 func (d *Daemon) runCalls(until <-chan struct{}) {
 	for {
 		select {
@@ -175,7 +178,7 @@
 	_ = admin.Close()
 }
 
-// waitFor reports whether a group has ended within a time.
+// waitFor waits for a group, and reports whether it ended within the timeout.
 func waitFor(group *sync.WaitGroup, timeout time.Duration) bool {
 	ended := make(chan struct{})
 	go func() {
@@ -190,7 +193,8 @@
 	}
 }
 
-// awaitReady calls Ready once each hub has a list and each instance that runs has it, or after readyTimeout.
+// awaitReady calls Ready once each hub has its list and each running instance has taken the list, or after
+// readyTimeout.
 func (d *Daemon) awaitReady(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -201,7 +205,7 @@
 	}
 }
 
-// awaitLists waits until each hub has a list, or the limit has passed: then it says of each list that is missing.
+// awaitLists waits until each hub has a list, or limited ends. After a timeout it logs each list that is missing.
 func (d *Daemon) awaitLists(limited context.Context) {
 	var hubs []*hub
 	d.call(func() {
@@ -220,7 +224,7 @@
 	}
 }
 
-// awaitInstances waits until each instance has its list, and the policy lets it admit requests, or the limit has passed.
+// awaitInstances waits until each instance has its list and the policy lets it admit requests, or limited ends.
 func (d *Daemon) awaitInstances(limited context.Context) {
 	poll := time.NewTicker(readyPollInterval)
 	defer poll.Stop()
@@ -237,8 +241,8 @@
 	}
 }
 
-// instancesReady reports whether each instance that runs has its list, unless that is empty, and the policy lets
-// instances admit requests.
+// instancesReady reports whether each running instance is ready and the policy lets instances admit requests. An
+// instance whose list is missing or empty counts as ready.
 func (d *Daemon) instancesReady() bool {
 	for _, instance := range d.instances {
 		list := d.hubs[instance.spec.Source].Snapshot()
--- a/internal/host/daemon/snapshots.go
+++ b/internal/host/daemon/snapshots.go
@@ -19,20 +19,22 @@
 )
 
 const (
-	// saveInterval is how often a snapshot is saved. A daemon that crashes loses what it learned since.
+	// saveInterval is how often a snapshot is saved. A daemon that crashes loses what it learned after the last one.
 	saveInterval = 5 * time.Second
-	// snapshotFile is the file in the state directory.
+	// snapshotFile is the name of the snapshot in the state directory.
 	snapshotFile = "last.state"
-	// memoryTimeout is how long all instances together may take to give their memories: one that is busy keeps its last.
+	// memoryTimeout is how long all instances together may take to return their memories. For an instance that is too
+	// busy, the last memory is saved again.
 	memoryTimeout = 50 * time.Millisecond
-	// minMemoryTimeout is how long each of them may take at the least.
+	// minMemoryTimeout is the minimum time that each instance is given.
 	minMemoryTimeout = time.Millisecond
 )
 
-// bootFile names the present boot of the machine (proc(5), random).
+// bootFile holds the ID of the machine's current boot (proc(5), random).
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
-// currentMoment returns the time by the wall clock and, where the system says so, since the machine's start.
+// currentMoment returns the wall clock's time and, if the system provides them, the boot ID and the time since the
+// boot.
 func currentMoment() snapshot.Moment {
 	moment := snapshot.Moment{Wall: time.Now()}
 	bootID, err := os.ReadFile(bootFile)
@@ -48,9 +50,9 @@
 	return moment
 }
 
-// restoreSnapshot takes the snapshot of the daemon before, or the last one that was saved, as far as it may be believed.
+// restoreSnapshot restores the predecessor's snapshot, or the last one that was saved, as far as it is valid.
 func (d *Daemon) restoreSnapshot() {
-	data, from := d.options.State, "the daemon before"
+	data, from := d.options.State, "the predecessor"
 	handedOver := data != nil
 	if !handedOver {
 		data, from = d.snapshots.read()
@@ -76,11 +78,11 @@
 			d.memories[name] = memory
 		}
 	}
-	d.log.Info("last state", "from", from, "lists", len(s.Sources), "instances", len(s.Instances),
+	d.log.Info("last state restored", "from", from, "lists", len(s.Sources), "instances", len(s.Instances),
 		"saved", time.UnixMilli(s.SavedMS).Format(time.RFC3339))
 }
 
-// restorePeers takes what the daemon before knew of the fleet, with the lease of its policy.
+// restorePeers restores what the predecessor knew of the fleet, including the lease of its policy.
 func (d *Daemon) restorePeers(data []byte) {
 	if len(data) == 0 {
 		return
@@ -95,11 +97,12 @@
 		return
 	}
 	handoff := *saved.Policy
-	handoff.LeaseRemaining -= time.Duration(transport.MonotonicNanos() - saved.PolicyNanos) // the time since it was written
+	// The lease has gone on running since the predecessor saved it.
+	handoff.LeaseRemaining -= time.Duration(transport.MonotonicNanos() - saved.PolicyNanos)
 	d.policy.handoff = &handoff
 }
 
-// snapshot returns what would be saved now.
+// snapshot returns a snapshot of the current state.
 func (d *Daemon) snapshot() *snapshot.State {
 	moment := currentMoment()
 	s := &snapshot.State{
@@ -129,7 +132,7 @@
 	return s
 }
 
-// saveSnapshot gives a snapshot to the store, if the daemon has a state directory.
+// saveSnapshot passes a snapshot to the store, if the daemon has a state directory.
 func (d *Daemon) saveSnapshot() {
 	if d.snapshots.Dir == "" {
 		return
@@ -142,15 +145,14 @@
 	d.snapshots.Put(data)
 }
 
-// snapshotStore keeps the last snapshot in the state directory. One that can't be written never keeps the daemon from
-// serving.
+// snapshotStore keeps the last snapshot in the state directory. A failed write never stops the daemon from serving.
 type snapshotStore struct{ *atomicfile.Writer }
 
 func newSnapshotStore(dir string, log *slog.Logger) *snapshotStore {
 	return &snapshotStore{atomicfile.NewWriter(dir, snapshotFile, "state", log)}
 }
 
-// read returns the saved snapshot and its path; nil: there is none.
+// read returns the saved snapshot and its path. The snapshot is nil if there is none.
 func (s *snapshotStore) read() (data []byte, path string) {
 	if s.Dir == "" {
 		return nil, ""
--- a/internal/host/daemon/snapshots_test.go
+++ b/internal/host/daemon/snapshots_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/internal/standin"
 )
 
-// A daemon that was killed starts from its last snapshot: the saved list serves while the list service is down, and once that
-// says that servers are gone, they get nothing.
+// A daemon that was killed starts from its last snapshot: the saved list serves while the list service is down, and
+// once that says that servers are gone, they get nothing.
 func TestStartUsesTheLastSnapshot(t *testing.T) {
 	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
 	defer one.Close()
--- a/internal/host/daemon/sockets.go
+++ b/internal/host/daemon/sockets.go
@@ -12,10 +12,11 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// dialTimeout is how long a Unix socket may take that somebody may listen on.
+// dialTimeout is how long a connection to a Unix socket may take when the daemon checks whether a process listens on
+// it.
 const dialTimeout = time.Second
 
-// listenAddresses returns the stream addresses that a configuration names.
+// listenAddresses returns the stream addresses of a configuration.
 func listenAddresses(cfg *daemonconfig.Config) []daemonconfig.Address {
 	addresses := []daemonconfig.Address{cfg.Admin}
 	for _, instance := range cfg.Instances {
@@ -24,7 +25,7 @@
 	return append(addresses, cfg.PeerAddresses()...)
 }
 
-// listen opens the sockets of a configuration that are not open yet. After an error nothing has changed.
+// listen opens the sockets of a configuration that are not open yet. If it returns an error, nothing has changed.
 func (d *Daemon) listen(cfg *daemonconfig.Config) error {
 	packets, err := d.openPackets(cfg)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// openPackets opens the datagram socket that a configuration names, and returns its address; empty: it was open.
+// openPackets opens the datagram socket of a configuration and returns its address. It returns an empty address if
+// there is nothing to open.
 func (d *Daemon) openPackets(cfg *daemonconfig.Config) (opened string, err error) {
 	if cfg.Peers == nil || d.packetConns[cfg.Peers.Listen] != nil {
 		return "", nil
@@ -69,7 +71,7 @@
 	return cfg.Peers.Listen, nil
 }
 
-// closeUnusedPackets closes the datagram sockets that the configuration does not name.
+// closeUnusedPackets closes the datagram sockets that are not in the configuration.
 func (d *Daemon) closeUnusedPackets() {
 	for address, conn := range d.packetConns {
 		if d.cfg.Peers == nil || d.cfg.Peers.Listen != address {
@@ -79,36 +81,36 @@
 	}
 }
 
-// listenOn opens one address. A Unix socket that nobody listens on any more was left by a daemon that was killed: it is
-// removed.
+// listenOn opens a listener at an address. A Unix socket on which no process listens any more was left by a daemon
+// that was killed, and is removed.
 func listenOn(address daemonconfig.Address) (net.Listener, error) {
 	listener, err := net.Listen(address.Network, address.Addr)
 	if err != nil && address.Network == "unix" && removeAbandoned(address.Addr) {
 		listener, err = net.Listen(address.Network, address.Addr)
 	}
 	if unix, ok := listener.(*net.UnixListener); ok {
-		unix.SetUnlinkOnClose(false) // a successor may listen on it
+		unix.SetUnlinkOnClose(false) // a successor may listen on the same path
 	}
 	return listener, err
 }
 
-// removeAbandoned removes a Unix socket that nobody listens on, and reports whether it did.
+// removeAbandoned removes a Unix socket on which no process listens, and reports whether it did.
 func removeAbandoned(path string) bool {
 	info, err := os.Stat(path)
 	if err != nil || info.Mode()&os.ModeSocket == 0 {
 		return false
 	}
 	conn, err := net.DialTimeout("unix", path, dialTimeout)
-	if err == nil { // somebody listens
+	if err == nil { // a process listens
 		_ = conn.Close()
 		return false
 	}
-	// Any other error is of the moment, as with a queue that is full.
+	// Any other error is temporary, for example a full queue.
 	return errors.Is(err, syscall.ECONNREFUSED) && os.Remove(path) == nil
 }
 
-// copyOf returns another descriptor of the same socket. Accepting on it, and closing it, leaves the first one alone, and with
-// it the connections that wait to be accepted.
+// copyOf returns a listener with another descriptor of the same socket. Closing the copy does not affect the
+// original, nor the connections that wait to be accepted.
 func copyOf(listener net.Listener) (net.Listener, error) {
 	file, err := fileOf(listener, listener.Addr().String())
 	if err != nil {
@@ -118,7 +120,7 @@
 	return net.FileListener(file)
 }
 
-// copyOfUDP is copyOf for datagrams.
+// copyOfUDP is like copyOf for a datagram socket.
 func copyOfUDP(conn *net.UDPConn) (*net.UDPConn, error) {
 	if conn == nil {
 		return nil, errors.New("the socket for datagrams is not open")
@@ -135,9 +137,9 @@
 	return copied.(*net.UDPConn), nil
 }
 
-// fileOf returns a copy of a socket's descriptor. The listener's own File would do, but for what exec makes of it: it passes
-// such a file on in blocking mode, which holds for every copy, and an accept that begins then waits in the kernel, where
-// closing its descriptor does not wake it.
+// fileOf returns a copy of a socket's descriptor. The listener's own File method can't be used: os/exec passes such a
+// file on in blocking mode, which then applies to every copy of the socket. An accept that begins after that blocks
+// in the kernel, and closing its descriptor does not wake it.
 func fileOf(socket any, name string) (*os.File, error) {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
@@ -150,7 +152,7 @@
 	var copied int
 	var dupErr error
 	err = raw.Control(func(fd uintptr) {
-		syscall.ForkLock.RLock() // no child is started before it is marked
+		syscall.ForkLock.RLock() // prevents a child from being started before the copy is marked close-on-exec
 		defer syscall.ForkLock.RUnlock()
 		copied, dupErr = syscall.Dup(int(fd))
 		if dupErr == nil {
@@ -166,7 +168,7 @@
 	return os.NewFile(uintptr(copied), name), nil
 }
 
-// closeSocket closes the listener of an address for good.
+// closeSocket closes the daemon's listener of an address and removes a Unix socket's path.
 func (d *Daemon) closeSocket(address daemonconfig.Address) {
 	listener := d.listeners[address]
 	if unix, ok := listener.(*net.UnixListener); ok {
@@ -176,7 +178,7 @@
 	delete(d.listeners, address)
 }
 
-// closeSockets closes all sockets of a daemon that does not start.
+// closeSockets closes all sockets of a daemon that could not be started.
 func (d *Daemon) closeSockets() {
 	for _, listener := range d.listeners {
 		_ = listener.Close()
--- a/internal/host/daemon/sockets_test.go
+++ b/internal/host/daemon/sockets_test.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/standin"
 )
 
-// A unix socket whose queue is full refuses connections for a moment: it is somebody's all the same, and stays. One that
-// nobody listens on any more goes.
+// A unix socket whose queue is full refuses connections for a moment: it is somebody's all the same, and stays. One
+// that nobody listens on any more goes.
 func TestUnixSocketWithAFullQueueIsNotReplaced(t *testing.T) {
 	dir, err := os.MkdirTemp("", "sock")
 	if err != nil {
--- a/internal/host/daemon/sources.go
+++ b/internal/host/daemon/sources.go
@@ -8,12 +8,12 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// hub is a source that the daemon follows.
+// hub follows one source for the instances.
 type hub struct {
 	*discovery.Hub
 	source  daemonconfig.Source
 	stop    func()
-	unwatch func() // ends the transport's watch of the list; nil: there is none
+	unwatch func() // ends the reports of list changes to the transport; nil: changes are not reported
 }
 
 // hasList reports whether the hub has a list.
@@ -26,8 +26,8 @@
 	}
 }
 
-// followSources has a hub for each source of a configuration, and for no others. It returns those that are dropped:
-// instances that follow them are moved, and then they are stopped.
+// followSources makes d.hubs match the sources of a configuration: one hub for each. It returns the hubs that it
+// dropped. The caller moves the instances that follow a dropped hub, and then stops the hub.
 func (d *Daemon) followSources(cfg *daemonconfig.Config) (dropped []*hub) {
 	for name, source := range cfg.Sources {
 		previous := d.hubs[name]
@@ -37,7 +37,7 @@
 		saved := d.savedLists[source.Key()]
 		if previous != nil {
 			dropped = append(dropped, previous)
-			saved = previous.Snapshot() // holds until the new list is received
+			saved = previous.Snapshot() // used until the new list is received
 		}
 		d.hubs[name] = d.newHub(cfg, source, saved)
 	}
@@ -50,7 +50,7 @@
 	return dropped
 }
 
-// newHub starts to follow a source, from a saved list, which may be nil.
+// newHub returns a hub that follows a source, and starts it from a saved list, which may be nil.
 func (d *Daemon) newHub(cfg *daemonconfig.Config, source daemonconfig.Source, saved *discovery.Members) *hub {
 	options := discovery.HubOptions{
 		Addr:            source.List,
@@ -77,7 +77,7 @@
 	}
 	var list *discovery.Hub
 	if source.List != "" {
-		options.Spread = 0 // the merged list is spread, not its parts
+		options.Spread = 0 // only the merged list is spread over time
 		options.OnUrgent = nil
 		list = discovery.NewHub(options)
 	}
--- a/internal/host/daemon/status.go
+++ b/internal/host/daemon/status.go
@@ -17,9 +17,9 @@
 	PID       int                  `json:"pid"`
 	Up        float64              `json:"up_s"`
 	State     string               `json:"state"`   // serving, or handing over
-	Ready     int                  `json:"ready"`   // instances that know servers
-	Running   int                  `json:"running"` // instances
-	Waiting   int                  `json:"waiting"` // instances that failed, and start again
+	Ready     int                  `json:"ready"`   // running instances that know servers
+	Running   int                  `json:"running"` // instances that run
+	Waiting   int                  `json:"waiting"` // instances that failed and will be started again
 	Down      int                  `json:"down"`    // instances that are left down
 	Reloads   int                  `json:"reloads"`
 	Memory    uint64               `json:"heap_bytes"`
@@ -42,9 +42,9 @@
 // The states of an instance.
 const (
 	instanceReady    = "ready"
-	instanceStarting = "starting" // it runs, and knows no servers yet
-	instanceWaiting  = "waiting"  // it failed, and starts again
-	instanceDown     = "down"     // it is left down
+	instanceStarting = "starting" // the instance runs, but knows no servers yet
+	instanceWaiting  = "waiting"  // the instance failed and will be started again
+	instanceDown     = "down"     // the instance is left down after repeated failures
 )
 
 // Status returns the state of the daemon; ok is false if it has ended.
@@ -81,7 +81,7 @@
 	return s
 }
 
-// add counts an instance.
+// add adds an instance to the status and its counts.
 func (s *Status) add(instance InstanceStatus) {
 	switch instance.State {
 	case instanceDown:
@@ -123,7 +123,7 @@
 	return status
 }
 
-// agentCounters returns what the agents that run have counted since their starts.
+// agentCounters returns the counters of the running agents since their starts.
 func (d *Daemon) agentCounters() []metrics.Agent {
 	var agents []metrics.Agent
 	d.call(func() {
--- a/internal/host/daemon/stop_test.go
+++ b/internal/host/daemon/stop_test.go
@@ -22,10 +22,10 @@
 	"vetchhaven/internal/testkit"
 )
 
-// At a stop the daemon closed its listeners at once, where an agent of the platform accepts for 450 ms, since clients learn of
-// a planned restart 0.2 to 0.4 s late. Connections that waited in a listener's queue were reset, and later ones refused. Of
-// clients that go on for 300 ms after a stop, 8 of 1,312 connections over HTTP and 6 of 878 over LDAP were made and then saw a
-// reset or a broken pipe; hardly any came about after the stop.
+// At a stop the daemon closed its listeners at once, where an agent of the platform accepts for 450 ms, since clients
+// learn of a planned restart 0.2 to 0.4 s late. Connections that waited in a listener's queue were reset, and later
+// ones refused. Of clients that go on for 300 ms after a stop, 8 of 1,312 connections over HTTP and 6 of 878 over
+// LDAP were made and then saw a reset or a broken pipe; hardly any came about after the stop.
 
 // noticedWithin is how long clients may go on to connect after a planned stop (BENCH: notified up to 0.4 s late).
 const noticedWithin = 400 * time.Millisecond
@@ -173,10 +173,11 @@
 	}
 }
 
-// A connection that was made is not reset: what waits in a queue as a listener is closed is accepted before. On a Unix socket,
-// whose path goes first, that holds whenever it was made. A TCP listener can't be kept from taking one more connection between
-// the last look at its queue and its end (a filter of SYNs is "operation not supported" here): beside five more runs of this test
-// 3 of 360 stops reset some, all made 452 to 473 ms after the stop. Clients may connect until 400 ms after it.
+// A connection that was made is not reset: what waits in a queue as a listener is closed is accepted before. On a
+// Unix socket, whose path goes first, that holds whenever it was made. A TCP listener can't be kept from taking one
+// more connection between the last look at its queue and its end (a filter of SYNs is "operation not supported"
+// here): beside five more runs of this test 3 of 360 stops reset some, all made 452 to 473 ms after the stop. Clients
+// may connect until 400 ms after it.
 func TestNoConnectionIsResetByAStop(t *testing.T) {
 	for _, network := range []string{"unix", "tcp"} {
 		t.Run(network, func(t *testing.T) {
@@ -224,8 +225,9 @@
 	}
 }
 
-// isRefusedConnect reports whether connect failed since nobody listens any more: nothing was sent. On TCP that may also be a
-// reset, where the client was not run between its SYN and its ACK, for longer than the agent waits for handshakes.
+// isRefusedConnect reports whether connect failed since nobody listens any more: nothing was sent. On TCP that may
+// also be a reset, where the client was not run between its SYN and its ACK, for longer than the agent waits for
+// handshakes.
 func isRefusedConnect(network string, err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ENOENT) || network == "tcp" && errors.Is(err, syscall.ECONNRESET)
 }
@@ -262,8 +264,8 @@
 	clients.Wait()
 }
 
-// A reload that comes while the daemon stops is refused, and changes nothing. It was applied by the loop that waits for the
-// instances' ends: what it added was started, nobody stopped that, and the daemon did not end.
+// A reload that comes while the daemon stops is refused, and changes nothing. It was applied by the loop that waits
+// for the instances' ends: what it added was started, nobody stopped that, and the daemon did not end.
 func TestReloadWhileStoppingIsRefused(t *testing.T) {
 	s, came, release := newHoldingServer()
 	defer s.Close()
--- a/internal/host/daemon/successor.go
+++ b/internal/host/daemon/successor.go
@@ -15,10 +15,10 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// A successor is the same program with the same arguments. It inherits, from descriptor 3 on: the pipe on which it says that
-// it is ready, a file with the snapshot, and the sockets, which the environment names in their order. cloudflare/tableflip
-// does much the same, and was considered: it never gives up a socket that was once opened, so that an address that a reload
-// took out would go on accepting connections that nobody handles.
+// A successor is the same program with the same arguments. From descriptor 3 on it inherits the pipe on which it
+// reports that it is ready, a file with the snapshot, and the sockets, whose addresses an environment variable lists
+// in the same order. cloudflare/tableflip is similar, but never closes a socket that was opened once: an address that
+// a reload removes would go on accepting connections that nothing handles.
 const (
 	handoverVariable = "VETCHHAVEN_HANDOVER"
 
@@ -27,10 +27,12 @@
 	firstSocketDescriptor = 5
 )
 
-// ReadyTimeout is how long a successor may take to get ready. A longer one keeps operators waiting for one that hangs.
+// ReadyTimeout is how long a successor may take to become ready. With a longer timeout, operators wait longer for a
+// successor that hangs.
 const ReadyTimeout = 30 * time.Second
 
-// Successor starts a successor with the given command, and waits until it is ready. After an error none is left.
+// Successor starts a successor with the given command and waits until it is ready. If Successor returns an error, no
+// successor is running.
 func Successor(ctx context.Context, cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, state []byte, timeout time.Duration) error {
 	ready, readyWriter, err := os.Pipe()
 	if err != nil {
@@ -49,10 +51,10 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	_ = readyWriter.Close() // the successor's copy is the last: its end ends the pipe
+	_ = readyWriter.Close() // leaves only the successor's copy, so that the pipe ends when the successor ends
 	err = awaitSuccessor(ctx, ready, timeout)
 	if err == nil {
-		go func() { _ = cmd.Wait() }() // this process ends first; if not, no zombie is left
+		go func() { _ = cmd.Wait() }() // prevents a zombie if the successor ends before this process
 		return nil
 	}
 	_ = cmd.Process.Kill()
@@ -60,8 +62,8 @@
 	return err
 }
 
-// unlinkedFile returns a file with the content, at its beginning, that no directory has. A pipe would not do: it does not
-// hold everything before somebody reads.
+// unlinkedFile returns a file with the content, positioned at its beginning, that has been removed from its
+// directory. A pipe can't be used: it does not hold the whole content before it is read.
 func unlinkedFile(content []byte) (*os.File, error) {
 	file, err := os.CreateTemp("", "vetchhaven-handover")
 	if err != nil {
@@ -81,7 +83,7 @@
 	return file, nil
 }
 
-// passSockets has a command inherit the pipe, the snapshot and the sockets.
+// passSockets makes a command inherit the pipe, the snapshot and the sockets.
 func passSockets(cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, ready, state *os.File) error {
 	var addresses []daemonconfig.Address
 	for address := range sockets {
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// awaitSuccessor waits for a byte on the pipe.
+// awaitSuccessor waits for the successor's byte on the pipe.
 func awaitSuccessor(ctx context.Context, ready *os.File, timeout time.Duration) error {
 	read := make(chan error, 1)
 	go func() {
@@ -125,14 +127,14 @@
 	}
 }
 
-// Inherited is what a daemon gets from the one before; nothing, if it is the first.
+// Inherited is what a daemon inherits from its predecessor. It is empty for a daemon without a predecessor.
 type Inherited struct {
 	Sockets map[daemonconfig.Address]*os.File
-	State   []byte // the snapshot of the daemon before
+	State   []byte // the predecessor's snapshot
 	ready   *os.File
 }
 
-// Inherit takes over what this process was started with. Processes that it starts do not see it.
+// Inherit takes over what the predecessor passed to this process. Processes that this one starts do not inherit it.
 func Inherit() (*Inherited, error) {
 	text := os.Getenv(handoverVariable)
 	if text == "" {
@@ -177,7 +179,7 @@
 	return inherited, nil
 }
 
-// Ready tells the daemon before that this one serves.
+// Ready tells the predecessor that this daemon serves.
 func (i *Inherited) Ready() error {
 	if i.ready == nil {
 		return nil
--- a/internal/host/daemon/testbed_test.go
+++ b/internal/host/daemon/testbed_test.go
@@ -128,7 +128,8 @@
 	return out
 }
 
-// newHoldingServer is a server that holds what is paid until release, and says that it came. Release it before it is closed, also
+// newHoldingServer is a server that holds what is paid until release, and says that it came. Release it before it is
+// closed, also
 
 // where the test fails: it waits for its answers.
 func newHoldingServer() (s *standin.Form, came chan struct{}, release func()) {
--- a/internal/host/daemonconfig/policy.go
+++ b/internal/host/daemonconfig/policy.go
@@ -8,10 +8,11 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// Text is the file's own text, without the policy.
+// Text returns the file's own text, without the policy.
 func (c *Config) Text() []byte { return c.text }
 
-// HeldParts returns the parts of the policy that a daemon of this configuration holds: those of its instances' sources.
+// HeldParts returns the parts of the policy that a daemon with this configuration holds: those of its instances'
+// sources.
 func (c *Config) HeldParts() []string {
 	var parts []string
 	for _, instance := range c.Instances {
@@ -26,8 +27,9 @@
 // Reparse reads and checks another text of the file under the same policy.
 func (c *Config) Reparse(text []byte) (*Config, error) { return parse(c.Path, text, c.overlay) }
 
-// Under returns the configuration under documents of the policy or, with changes being prepared, under what both these
-// documents and the documents with the changes allow: a member that does not know which of the two is active serves so.
+// Under returns the configuration with documents of the policy laid over the file. If changes are being prepared, the
+// configuration allows only what both the documents and the changed documents allow: a member that does not know
+// which of the two are active serves by it.
 func (c *Config) Under(documents []policy.Document, preparing []*policy.Document) (*Config, error) {
 	active, err := overlayOf(documents)
 	if err != nil {
@@ -51,7 +53,7 @@
 	return parse(c.Path, c.text, both)
 }
 
-// CheckUnder reports whether a file's text is a configuration under documents of the policy.
+// CheckUnder returns an error if a file's text with documents of the policy laid over it is not a valid configuration.
 func CheckUnder(path string, text []byte, documents []policy.Document) error {
 	over, err := overlayOf(documents)
 	if err != nil {
@@ -61,15 +63,15 @@
 	return err
 }
 
-// CheckServiceDocument reports whether a document is one of a service's part, as far as that can be said without a
-// daemon that holds the part.
+// CheckServiceDocument returns an error if a document is not a valid part of a service. It checks what can be checked
+// without a daemon that holds the part.
 func CheckServiceDocument(d *policy.Document) error {
 	_, err := readServicePart(documentName(d), d.Part, d.Body)
 	return err
 }
 
-// CheckPolicy reports whether the daemon of a file could serve by texts of parts, by part, without a daemon. names are what
-// errors call the texts.
+// CheckPolicy returns an error if a daemon with the settings file at path could not serve by the texts of a policy.
+// No daemon has to run. texts has the texts by part, and names has the names that errors call them, also by part.
 func CheckPolicy(path string, texts, names map[string]string) error {
 	cfg, err := Load(path)
 	if err != nil {
--- a/internal/host/daemonconfig/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -10,25 +10,26 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// servicePart is a service's part of the policy: its source, classes that only requests of its instances have, and bans of its
-// servers. A service is what a source names; a daemon holds the parts of the sources of its instances.
+// servicePart is a service's part of the policy: its source, classes that only requests of its instances have, and
+// bans of its servers. Each source stands for one service, of the same name. A daemon holds the parts of the sources
+// of its instances.
 type servicePart struct {
 	name     string         // of the service
-	file     *tomlfile.File // nil: it was made of two policies
+	file     *tomlfile.File // nil: the part is the intersection of two policies
 	Source   []sourceTable
 	Class    []classTable
 	Ban      []banTable
-	complete bool // Class lists all classes of the service: it is the intersection of two policies
+	complete bool // Class lists all classes of the service, since the part is the intersection of two policies
 }
 
-// tableOrigin is where a table in a list comes from. file is nil for the daemon's file and the global part.
+// tableOrigin says where a table in a list comes from. file is nil for the daemon's file and the global part.
 type tableOrigin struct {
 	file *tomlfile.File
 	key  string
 }
 
-// readServicePart reads the text of a service's part. All of it is the service's alone, so that two parts never change the
-// same thing.
+// readServicePart reads the text of a service's part. The part may only set what belongs to the service, so that two
+// parts never change the same settings.
 func readServicePart(name, service string, body []byte) (*servicePart, error) {
 	var tables struct {
 		Source []sourceTable
@@ -44,20 +45,20 @@
 		source := &p.Source[i]
 		source.Name = cmp.Or(source.Name, service)
 		if source.Name != service || i > 0 {
-			return nil, file.Errorf(fmt.Sprintf("source[%d].name", i), "%q: the part of %s has one source at the most, which has its name or none", source.Name, service)
+			return nil, file.Errorf(fmt.Sprintf("source[%d].name", i), "%q: the part of %s may have one source, with the service's name or without a name", source.Name, service)
 		}
 	}
 	for i := range p.Ban {
 		ban := &p.Ban[i]
 		ban.Source = cmp.Or(ban.Source, service)
 		if ban.Source != service {
-			return nil, file.Errorf(fmt.Sprintf("ban[%d].source", i), "%q: the part of %s bans servers of its own source", ban.Source, service)
+			return nil, file.Errorf(fmt.Sprintf("ban[%d].source", i), "%q: the part of %s may ban servers of its own source only", ban.Source, service)
 		}
 	}
 	return p, nil
 }
 
-// part returns a service's part; nil: it has none.
+// part returns a service's part, or nil if there is none.
 func (s *sharedTables) part(service string) *servicePart {
 	for _, p := range s.services {
 		if p.name == service {
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// applyServices puts the services' sources and bans among the others. Their classes are used for each service by itself: see
-// sharedTables.classes.
+// applyServices merges the services' sources and bans into the other sources and bans. Classes are not merged here,
+// since they apply to one service only: see sharedTables.classes.
 func (o *Overlay) applyServices(s *sharedTables) {
 	o.origins = map[string]tableOrigin{}
 	s.services = o.services
@@ -91,7 +92,8 @@
 	}
 }
 
-// checkConflicts returns an error if a service's part has what the global part has as well: neither could be preferred.
+// checkConflicts returns an error if a service's part and the global part define the same class or source: neither
+// has priority.
 func (o *Overlay) checkConflicts() error {
 	for _, p := range o.services {
 		if p.file == nil {
@@ -100,19 +102,19 @@
 		for i, class := range p.Class {
 			isSame := func(x classTable) bool { return x.Name == class.Name }
 			if o.tables["class"] && slices.ContainsFunc(o.Class, isSame) {
-				return p.file.Errorf(fmt.Sprintf("class[%d].name", i), "%q is a class of the part for all", class.Name)
+				return p.file.Errorf(fmt.Sprintf("class[%d].name", i), "%q is a class of the global part already", class.Name)
 			}
 		}
 		isSame := func(x sourceTable) bool { return x.Name == p.name }
 		if len(p.Source) > 0 && o.tables["source"] && slices.ContainsFunc(o.Source, isSame) {
-			return p.file.Errorf("source[0].name", "%q is a source of the part for all", p.name)
+			return p.file.Errorf("source[0].name", "%q is a source of the global part already", p.name)
 		}
 	}
 	return nil
 }
 
-// classes returns the classes that a service's instances may have: those of its part in the place of others of their name, or
-// besides. origins say where each comes from.
+// classes returns the classes that a service's instances may have. Classes of its part replace classes of the same
+// name, or are added. origins say where the classes of the part come from.
 func (s *sharedTables) classes(service string) (classes []classTable, origins map[string]tableOrigin) {
 	p := s.part(service)
 	if p == nil {
@@ -136,7 +138,8 @@
 	return classes, origins
 }
 
-// ReplaceDocuments returns documents with those of changes in their place, or besides.
+// ReplaceDocuments returns documents after changes: a change's document replaces the one of the same part, or is
+// added.
 func ReplaceDocuments(documents []policy.Document, changes []*policy.Document) []policy.Document {
 	replaced := slices.Clone(documents)
 	for _, change := range changes {
@@ -152,7 +155,7 @@
 	return replaced
 }
 
-// documentName is what errors call a document.
+// documentName returns the name that errors call a document.
 func documentName(d *policy.Document) string {
 	name := "policy"
 	if d.Number > 0 {
@@ -164,7 +167,7 @@
 	return name
 }
 
-// overlayOf reads documents of the policy; nil: none has a text.
+// overlayOf reads documents of the policy. It returns nil if none of them has a text.
 func overlayOf(documents []policy.Document) (*Overlay, error) {
 	var o *Overlay
 	var services []*servicePart
--- a/internal/host/daemonconfig/tables.go
+++ b/internal/host/daemonconfig/tables.go
@@ -4,7 +4,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// fileTables is a daemon's settings file. A key is a tag or, without one, the field's name in any case.
+// fileTables is a daemon's settings file. A key is the field's tag or, without a tag, the field's name in any case.
 type fileTables struct {
 	Admin       string
 	StateDir    string            `toml:"state_dir"`
@@ -62,14 +62,14 @@
 	Hold      tomlfile.Duration
 }
 
-// siteTable is [site]: what all daemons have to agree on of zones and kinds.
+// siteTable is [site]: the zones and kinds, on which all daemons have to agree.
 type siteTable struct {
 	Zones  []string
 	Kinds  []string
 	ByWork bool `toml:"by_work"`
 }
 
-// rulesTable is [rules]: by what the balancers decide.
+// rulesTable is [rules]: the settings by which the balancers decide.
 type rulesTable struct {
 	Balancers        int
 	MaxAttempts      int               `toml:"max_attempts"`
@@ -98,7 +98,7 @@
 	DedupWindow tomlfile.Duration `toml:"window"`
 }
 
-// ldapTable is [ldap]: for all instances that speak LDAP.
+// ldapTable is [ldap]: the settings of all instances that speak LDAP.
 type ldapTable struct {
 	MaxMessage    int `toml:"max_message"`
 	MaxOperations int `toml:"max_operations"`
@@ -112,7 +112,7 @@
 	ServerName    string `toml:"server_name"`
 }
 
-// instanceTable is [[instance]], and [defaults] for all of them.
+// instanceTable is [[instance]], and also [defaults], which sets defaults for all instances.
 type instanceTable struct {
 	Name     string
 	Protocol string
@@ -125,8 +125,8 @@
 	Weight   float64
 }
 
-// templateTable is [[template]]: it stands for many instances. In names and addresses {n} counts from first, {port} from
-// port.
+// templateTable is [[template]], which stands for count instances. In names and addresses {n} counts up from first,
+// and {port} from port.
 type templateTable struct {
 	instanceTable
 	Count int
