--- a/internal/host/daemon/admin_test.go
+++ b/internal/host/daemon/admin_test.go
@@ -22,11 +22,11 @@
 	defer resp.Body.Close()
 	var st Status
 	if err := json.NewDecoder(resp.Body).Decode(&st); err != nil || len(st.Instances) != 1 || st.PID != os.Getpid() {
-		t.Errorf("%+v %v", st, err)
+		t.Errorf("status %+v, error %v", st, err)
 	}
 	post, err := client(tb.socketPath("admin"), false).Post("http://x/handover", "", nil)
 	if err != nil || post.StatusCode != http.StatusConflict {
-		t.Errorf("a daemon that can't hand over: %v %v", post, err)
+		t.Errorf("handover of a daemon that can't hand over: %v %v", post, err)
 	} else {
 		post.Body.Close()
 	}
--- a/internal/host/daemon/golden_test.go
+++ b/internal/host/daemon/golden_test.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// last.state and peers.view, as daemons of an earlier build left them.
+// The golden files are last.state and peers.view as daemons of an earlier build wrote them.
 func TestSnapshotsOfEarlierBuildsAreRead(t *testing.T) {
 	for _, name := range []string{"last-voter.state", "last-member.state"} {
 		data := golden.Read(t, name)
@@ -43,12 +43,12 @@
 		}
 		again, err := transport.EncodeSaved(s)
 		if err != nil || !bytes.Equal(again, data) {
-			t.Errorf("%s is not written as it was read: %v", name, err)
+			t.Errorf("%s is not encoded as it was read: %v", name, err)
 		}
 	}
 }
 
-// The bodies of the admin endpoint, and the list of sockets that a successor inherits.
+// The keys of the admin endpoint's bodies, and of the list of sockets that a successor inherits, do not change.
 func TestAdminBodiesKeepTheirKeys(t *testing.T) {
 	for name, v := range map[string]any{
 		"status.json": &Status{}, "reload.json": &ReloadResult{}, "limits.json": &LimitsStatus{}, "policy.json": &PolicyStatus{},
--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -14,10 +14,10 @@
 	"vetchhaven/internal/standin"
 )
 
-// A handover with the successor in this process: it gets the sockets and the snapshot, the old daemon drains what it
-// has admitted, and no connection attempt fails.
+// A handover to a successor that runs in this process. The successor gets the sockets and the snapshot, the old
+// daemon answers what it has admitted, and no connection attempt fails.
 func TestHandoverLosesNoRequests(t *testing.T) {
-	s, came, release := newHoldingServer()
+	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
 	drained := standin.NewForm("drained", nil)
@@ -25,48 +25,48 @@
 	tb := newTestbed(t, s.Member("ready"), drained.Member("draining"))
 	tb.writeConfig(tb.instanceText("a"))
 	next := make(chan *testDaemon, 1)
-	fail := errors.New("not this time")
-	tries := 0
+	fail := errors.New("injected failure")
+	upgrades := 0
 	old := tb.start(Options{Upgrade: func(_ context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
-		if tries++; tries == 1 {
+		if upgrades++; upgrades == 1 {
 			return fail
 		}
-		own := map[daemonconfig.Address]*os.File{}
-		for a, f := range sockets { // a process of its own would inherit copies
+		copies := map[daemonconfig.Address]*os.File{}
+		for a, f := range sockets { // makes copies, as a successor in another process would inherit them
 			ln, err := net.FileListener(f)
 			if err != nil {
 				return err
 			}
-			if own[a], err = fileOf(ln, a.String()); err != nil {
+			if copies[a], err = fileOf(ln, a.String()); err != nil {
 				return err
 			}
 			ln.Close()
 		}
-		tb.list.SetDown(true) // what the old one was told has to do
-		r := tb.start(Options{Inherit: own, State: state})
+		tb.list.SetDown(true) // the successor has to use the old daemon's list
+		r := tb.start(Options{Inherit: copies, State: state})
 		next <- r
 		return nil
 	}})
 	tb.expectServed("a")
 	if err := old.Handover(context.Background()); !errors.Is(err, fail) {
-		t.Fatalf("%v", err)
+		t.Fatalf("the first handover: %v, want the injected failure", err)
 	}
-	tb.expectServed("a") // it goes on
-	long := make(chan string, 1)
+	tb.expectServed("a") // the old daemon goes on
+	paid := make(chan string, 1)
 	go func() {
 		status, body, err := sendRequest(client(tb.socketPath("a"), false), "pay")
-		long <- fmt.Sprint(status, body, err)
+		paid <- fmt.Sprint(status, body, err)
 	}()
 	select {
-	case <-came:
-	case <-time.After(patience):
+	case <-received:
+	case <-time.After(testTimeout):
 		t.Fatal("the request did not arrive")
 	}
 	stop := make(chan struct{})
-	var askers sync.WaitGroup
+	var requesters sync.WaitGroup
 	for i := range 4 {
 		c := client(tb.socketPath("a"), i%2 == 0)
-		askers.Go(func() {
+		requesters.Go(func() {
 			defer c.CloseIdleConnections()
 			for {
 				select {
@@ -75,7 +75,7 @@
 				default:
 				}
 				if status, body, err := sendRequest(c, "get"); err != nil || status != 200 {
-					t.Errorf("during the handover: %d %q %v", status, body, err)
+					t.Errorf("a request during the handover: %d %q %v", status, body, err)
 				}
 			}
 		})
@@ -84,25 +84,25 @@
 		t.Fatal(err)
 	}
 	release()
-	if got := <-long; got != "200done<nil>" {
-		t.Errorf("taken by the old one: %s", got)
+	if got := <-paid; got != "200done<nil>" {
+		t.Errorf("a request that the old daemon admitted: %s", got)
 	}
 	if err := <-old.ended; !errors.Is(err, ErrHandedOver) {
-		t.Errorf("the old one ended with %v", err)
+		t.Errorf("the old daemon ended with %v", err)
 	} else {
 		old.ended <- err
 	}
 	close(stop)
-	askers.Wait()
+	requesters.Wait()
 	tb.expectServed("a")
 	if drained.Got() > 0 {
-		t.Error("the successor sent to a server that its forerunner was told drains")
+		t.Error("the successor sent to a server that its predecessor knew to be draining")
 	}
 	(<-next).end()
 }
 
-// A daemon that is stopped while a successor starts ends after that one has been killed: whoever sees its end finds
-// no process that serves on in its place.
+// A daemon that is stopped while a successor starts ends only after the successor has been killed, so that no process
+// serves in its place after its end.
 func TestStopDuringHandoverEndsTheSuccessorFirst(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -112,33 +112,33 @@
 	r := tb.start(Options{Upgrade: func(ctx context.Context, _ map[daemonconfig.Address]*os.File, _ []byte) error {
 		close(started)
 		<-ctx.Done()
-		<-kill // a kill is late on a busy machine
+		<-kill // on a busy machine a kill takes a while
 		return ctx.Err()
 	}})
 	ctx, stop := context.WithCancel(context.Background())
-	handed := make(chan error, 1)
-	go func() { handed <- r.Handover(ctx) }()
+	handoverEnded := make(chan error, 1)
+	go func() { handoverEnded <- r.Handover(ctx) }()
 	<-started
 	stop()
 	r.stop()
 	select {
 	case err := <-r.ended:
-		t.Errorf("it ended before: %v", err)
+		t.Errorf("the daemon ended before the successor was killed: %v", err)
 		r.ended <- err
-	case <-time.After(300 * time.Millisecond): // far more than the end takes that does not wait
+	case <-time.After(300 * time.Millisecond): // far longer than a daemon that does not wait takes to end
 	}
 	close(kill)
 	if err := r.end(); err != nil {
 		t.Error(err)
 	}
-	if err := <-handed; !errors.Is(err, context.Canceled) {
+	if err := <-handoverEnded; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 }
 
-// A stop that comes in the moment in which the successor gets ready leaves the successor its sockets. Run went by
-// what it knew as it left its loop, and removed the Unix sockets' paths: the successor served on, and nobody could
-// connect to it.
+// A stop at the moment in which the successor becomes ready leaves the successor its sockets. The fault: Run decided
+// when it left its loop that there was no successor, and removed the Unix sockets' paths. The successor went on, and
+// no client could connect to it.
 func TestStopAsTheSuccessorGetsReadyLeavesItsSockets(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -155,32 +155,32 @@
 		successors <- copied
 		close(started)
 		<-stopping
-		return nil // its byte was read before the stop was seen
+		return nil // stands for a successor whose byte is read before the stop is noticed
 	}})
-	handed := make(chan error, 1)
-	go func() { handed <- r.Handover(context.Background()) }()
+	handoverEnded := make(chan error, 1)
+	go func() { handoverEnded <- r.Handover(context.Background()) }()
 	<-started
 	r.stop()
-	eventually(t, "the stop", func() bool { return tb.log.count("msg=stopping") > 0 })
+	eventually(t, "the daemon stops", func() bool { return tb.log.count("msg=stopping") > 0 })
 	close(stopping)
-	if err := <-handed; err != nil {
+	if err := <-handoverEnded; err != nil {
 		t.Error(err)
 	}
 	if err := r.end(); !errors.Is(err, ErrHandedOver) {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the daemon ended with %v", err)
 	}
 	for _, name := range []string{"a", "admin"} {
 		if _, err := os.Stat(tb.socketPath(name)); err != nil {
-			t.Errorf("the successor's socket: %v", err)
+			t.Errorf("the path of the successor's socket: %v", err)
 		}
 	}
-	// Nor is the socket shut down that both have: the old agents took what was in its queue, and ended it for the
-	// successor.
+	// The socket that both processes have is not shut down either. The fault: the old agents emptied its queue and
+	// shut it down, also for the successor.
 	l := <-successors
 	defer l.Close()
-	c, err := net.DialTimeout("unix", tb.socketPath("a"), patience)
+	c, err := net.DialTimeout("unix", tb.socketPath("a"), testTimeout)
 	if err != nil {
-		t.Fatalf("nobody can connect to the successor: %v", err)
+		t.Fatalf("a client can't connect to the successor: %v", err)
 	}
 	c.Close()
 }
--- a/internal/host/daemon/instances_test.go
+++ b/internal/host/daemon/instances_test.go
@@ -20,7 +20,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-func TestInstancesShareOneReadingOfTheList(t *testing.T) {
+func TestInstancesShareOneListWatch(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -35,11 +35,11 @@
 		})
 	}
 	if n := tb.list.Calls(); n != 1 {
-		t.Errorf("%d readings of the list for 40 instances", n)
+		t.Errorf("%d watches of the list for 40 instances, want 1", n)
 	}
 	st, _ := r.Status()
 	if st.Ready != 40 || st.Totals.Served < 40 || st.Lists[0].Readers != 40 {
-		t.Errorf("%+v", st)
+		t.Errorf("status %+v", st)
 	}
 	if resp, err := client(tb.socketPath("admin"), false).Get("http://x/_health"); err != nil || resp.StatusCode != 200 {
 		t.Errorf("health: %v %v", resp, err)
@@ -52,21 +52,21 @@
 	tb.list.Close()
 }
 
-// A panic in one instance ends that one alone. The requests that it had admitted fail, it starts again, and the
-// others lose nothing.
+// A panic in one instance ends only that instance. The requests that it had admitted fail, and it is started again.
+// The other instances lose no requests.
 func TestPanicEndsOnlyItsInstance(t *testing.T) {
-	s, came, release := newHoldingServer()
+	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("bad", "good"))
-	var blow atomic.Bool
+	var mustPanic atomic.Bool
 	r := tb.start(Options{Fault: func(name string) func(core.Totals) {
 		if name != "bad" {
 			return nil
 		}
 		return func(core.Totals) {
-			if blow.CompareAndSwap(true, false) {
+			if mustPanic.CompareAndSwap(true, false) {
 				panic("brought about")
 			}
 		}
@@ -89,59 +89,59 @@
 	}
 	for range 10 {
 		select {
-		case <-came:
-		case <-time.After(patience):
+		case <-received:
+		case <-time.After(testTimeout):
 			t.Fatal("requests did not arrive")
 		}
 	}
-	blow.Store(true)
-	go func() { _, _, _ = sendRequest(client(tb.socketPath("bad"), false), "pay") }() // makes it step
+	mustPanic.Store(true)
+	go func() { _, _, _ = sendRequest(client(tb.socketPath("bad"), false), "pay") }() // makes the agent's loop run a step
 	for range 5 {
 		select {
 		case a := <-answers["bad"]:
 			if a.err != nil || a.status != http.StatusBadGateway {
-				t.Errorf("taken by the one that panicked: %d %v, want it failed", a.status, a.err)
+				t.Errorf("a request that the instance had admitted before its panic: %d %v, want 502", a.status, a.err)
 			}
-		case <-time.After(patience):
-			t.Fatal("what it had taken was never answered")
+		case <-time.After(testTimeout):
+			t.Fatal("a request that the instance had admitted was never answered")
 		}
 	}
 	release()
 	for range 5 {
 		if a := <-answers["good"]; a.err != nil || a.status != 200 {
-			t.Errorf("the other: %d %v", a.status, a.err)
+			t.Errorf("a request of the other instance: %d %v", a.status, a.err)
 		}
 	}
-	eventually(t, "it serves again", func() bool {
+	eventually(t, "the instance serves again", func() bool {
 		status, _, err := sendRequest(client(tb.socketPath("bad"), false), "get")
 		return err == nil && status == 200
 	})
 	st, _ := r.Status()
 	if st.Instances[0].Failures != 1 || !strings.Contains(st.Instances[0].Reason, "brought about") || st.Instances[1].Failures != 0 {
-		t.Errorf("%+v", st.Instances)
+		t.Errorf("status of the instances: %+v", st.Instances)
 	}
 }
 
-// An instance that keeps failing is left down, and the status says so; its clients are refused a connection; a reload
-// tries it again.
+// An instance that keeps failing is left down, and the status shows that. Connections to it are refused. A reload
+// starts it again.
 func TestInstanceThatKeepsFailingIsLeftDown(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("bad", "good"))
-	var sick atomic.Bool
-	sick.Store(true)
+	var failing atomic.Bool
+	failing.Store(true)
 	r := tb.start(Options{Fault: func(name string) func(core.Totals) {
 		return func(core.Totals) {
-			if name == "bad" && sick.Load() {
+			if name == "bad" && failing.Load() {
 				panic("every time")
 			}
 		}
 	}})
 	down := func() bool { st, _ := r.Status(); return st.Down == 1 }
-	eventually(t, "it is left down", down)
+	eventually(t, "the instance is left down", down)
 	if _, _, err := sendRequest(client(tb.socketPath("bad"), false), "get"); err == nil {
-		t.Error("one that is down takes connections")
+		t.Error("an instance that is down accepts connections")
 	}
 	tb.expectServed("good")
 	resp, err := client(tb.socketPath("admin"), false).Get("http://x/_health")
@@ -154,19 +154,19 @@
 		t.Errorf("health: %d %s", resp.StatusCode, body)
 	}
 	if n := tb.log.count("left down"); n != 1 {
-		t.Errorf("said %d times", n)
+		t.Errorf("%d log lines say that the instance is left down, want 1", n)
 	}
-	sick.Store(false)
+	failing.Store(false)
 	if res, err := r.Reload(); err != nil || res.Revived != 1 {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("reload: %+v %v", res, err)
 	}
-	eventually(t, "it serves after a reload", func() bool {
+	eventually(t, "the instance serves after a reload", func() bool {
 		status, _, err := sendRequest(client(tb.socketPath("bad"), false), "get")
 		return err == nil && status == 200
 	})
 }
 
-// An instance whose clients use all its sockets leaves the others theirs.
+// An instance whose clients use up all its sockets does not take sockets from other instances.
 func TestInstanceOutOfSocketsDoesNotStarveOthers(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -184,7 +184,7 @@
 			c.Close()
 		}
 	}()
-	for range 4 * daemonconfig.MinSocketShare { // silent ones: most wait in the kernel's queue
+	for range 4 * daemonconfig.MinSocketShare { // these connections send nothing, and most wait in the kernel's queue
 		c, err := net.DialTimeout("unix", tb.socketPath("flooded"), time.Second)
 		if err != nil {
 			break
@@ -213,19 +213,19 @@
 	r := tb.start(Options{})
 	tb.expectServed("a")
 	tb.list.Set(many...)
-	eventually(t, "the list is taken", func() bool { st, _ := r.Status(); return st.Lists[0].Servers == 1000 })
+	eventually(t, "the daemon has the new list", func() bool { st, _ := r.Status(); return st.Lists[0].Servers == 1000 })
 	for range 30 {
 		tb.expectServed("a")
 	}
 }
 
-// The end of a removed instance's agent is not taken for the end of the agent of a new instance with its name. Agents
-// were told apart by a count that began anew with each instance: the first agent of the new one had the number of the
-// first of the removed one. As that ended, the daemon forgot the agent that served: no reload replaced it, and a stop
-// never ended it. A goroutine dump of a daemon that did not end showed it: eight agents in core.(*Agent).Run, waiting
-// for a stop, after 25 removals.
-func TestEndOfARemovedInstanceLeavesItsNamesakeAlone(t *testing.T) {
-	s, came, release := newHoldingServer()
+// The end of a removed instance's agent is not mistaken for the end of the agent of a new instance with the same
+// name. The fault: agents were identified by a counter that started again with each instance, so the first agent of
+// the new instance had the same number as the first agent of the removed one. When the old agent ended, the daemon
+// forgot the agent that served: no reload replaced it, and a stop never ended it. After 25 removals, a goroutine dump
+// of a daemon that did not end showed eight agents in core.(*Agent).Run that waited for a stop.
+func TestEndOfARemovedInstanceDoesNotAffectANewOneOfItsName(t *testing.T) {
+	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
 	tb := newTestbed(t, s.Member("ready"))
@@ -236,7 +236,7 @@
 		_, _, err := sendRequest(client(tb.socketPath("b"), false), "pay")
 		answered <- err
 	}()
-	testkit.Receive(t, "the request", came)
+	testkit.Receive(t, "the request", received)
 	for _, names := range [][]string{{"a"}, {"a", "b"}} {
 		tb.writeConfig(tb.instanceText(names...))
 		if _, err := r.Reload(); err != nil {
@@ -252,14 +252,14 @@
 	if err := testkit.Receive(t, "the answer", answered); err != nil {
 		t.Error(err)
 	}
-	eventually(t, "the end of the removed instance's agent", func() bool {
+	eventually(t, "the removed instance's agent ends", func() bool {
 		agents := 0
 		r.rangeAgents(func(agentHandle) { agents++ })
 		return agents == 2
 	})
-	r.call(func() {}) // what the end posted was run
+	r.call(func() {}) // returns after the function that the agent's end posted
 	if now := running(); now == nil || now != before {
-		t.Errorf("the daemon knows of %p as b's agent; %p serves", now, before)
+		t.Errorf("the daemon has %p as b's agent, but %p serves", now, before)
 	}
 	tb.expectServed("b")
 	if err := r.end(); err != nil {
--- a/internal/host/daemon/ldap_test.go
+++ b/internal/host/daemon/ldap_test.go
@@ -10,7 +10,7 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-const operations = `[[class]]
+const ldapClassTables = `[[class]]
 name = "search"
 repeats = "safe"
 aim = "5s"
@@ -23,12 +23,12 @@
 worth = 1.0
 `
 
-func ldapInstance(tb *testbed, more string) string {
-	return operations + fmt.Sprintf("[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"unix:%s\"\n", tb.socketPath("dir")) + more
+func ldapInstanceText(tb *testbed, more string) string {
+	return ldapClassTables + fmt.Sprintf("[[instance]]\nname = \"dir\"\nprotocol = \"ldap\"\nlisten = \"unix:%s\"\n", tb.socketPath("dir")) + more
 }
 
-// An instance that speaks LDAP beside ones that speak HTTP/1.1, and its change under load: what is admitted is
-// answered, then the client is notified, and the next connection finds the new agent.
+// An instance that speaks LDAP instead of HTTP/1.1 is replaced under load: the operation that was admitted is
+// answered, then the old connection is closed, and a new connection reaches the new agent.
 func TestLDAPInstance(t *testing.T) {
 	d, err := directory.New("one", directory.Options{})
 	if err != nil {
@@ -36,16 +36,16 @@
 	}
 	defer d.Close()
 	d.Add("cn=a", map[string][]string{"cn": {"a"}})
-	hold, came := make(chan struct{}), make(chan struct{}, 1)
+	hold, received := make(chan struct{}), make(chan struct{}, 1)
 	d.Script(func(o directory.Op) directory.Fault {
 		if o.Kind == "modify" {
-			came <- struct{}{}
+			received <- struct{}{}
 			return directory.Fault{Stall: hold}
 		}
 		return directory.Fault{}
 	})
 	tb := newTestbed(t, d.Member("ready"))
-	tb.writeConfig(ldapInstance(tb, ""))
+	tb.writeConfig(ldapInstanceText(tb, ""))
 	r := tb.start(Options{})
 	dial := func() *goldap.Conn {
 		t.Helper()
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetTimeout(patience)
+		c.SetTimeout(testTimeout)
 		return c
 	}
 	lookup := func(c *goldap.Conn) error {
@@ -75,27 +75,27 @@
 		answered <- c.Modify(m)
 	}()
 	select {
-	case <-came:
-	case <-time.After(patience):
+	case <-received:
+	case <-time.After(testTimeout):
 		t.Fatal("the modify did not arrive")
 	}
-	tb.writeConfig(ldapInstance(tb, "max_open = 77\n"))
+	tb.writeConfig(ldapInstanceText(tb, "max_open = 77\n"))
 	if got, err := r.Reload(); err != nil || got.Replaced != 1 {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("reload: %+v, %v", got, err)
 	}
 	again := dial()
 	defer again.Close()
 	if err := lookup(again); err != nil {
-		t.Errorf("after the change: %v", err)
+		t.Errorf("a search at the new agent: %v", err)
 	}
 	close(hold)
 	select {
 	case err := <-answered:
 		if err != nil {
-			t.Errorf("taken by the old copy: %v", err)
+			t.Errorf("the modify that the old agent admitted: %v", err)
 		}
-	case <-time.After(patience):
-		t.Fatal("no answer")
+	case <-time.After(testTimeout):
+		t.Fatal("the modify was not answered")
 	}
-	eventually(t, "the old connection to end", func() bool { return c.IsClosing() })
+	eventually(t, "the old connection is closed", func() bool { return c.IsClosing() })
 }
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -13,7 +13,8 @@
 	return fmt.Sprintf("[[limit]]\nname = %q\ncounts = %q\nkind = %q\nfigure = %d\n%s", name, counts, kind, figure, more)
 }
 
-// A shared limit is leased, rejects at once what is over it, names itself, and follows the file.
+// A shared limit is leased to the agents. Requests over the limit are rejected at once, and the answer names the
+// limit. A reload changes and removes the limit.
 func TestSharedLimitRejectsExcessAndFollowsReload(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
@@ -32,9 +33,9 @@
 		return status, body
 	}
 	if status, body := get(); status != 503 || !strings.Contains(body, "limit total") {
-		t.Errorf("before any right was lent: %d %q", status, body)
+		t.Errorf("before the first lease: %d %q", status, body)
 	}
-	eventually(t, "a right", func() bool { status, _ := get(); return status == 200 })
+	eventually(t, "a lease is granted", func() bool { status, _ := get(); return status == 200 })
 	served, refused := 0, 0
 	for begin := time.Now(); time.Since(begin) < 3*time.Second; time.Sleep(5 * time.Millisecond) {
 		switch status, _ := get(); status {
@@ -48,18 +49,18 @@
 		t.Errorf("%d served and %d refused in three seconds at 2 a second", served, refused)
 	}
 	if status, _, err := sendRequest(client(tb.socketPath("one"), false), "pay"); err != nil || status != 200 {
-		t.Errorf("a class that is not limited: %d %v", status, err)
+		t.Errorf("a request of a class that is not limited: %d %v", status, err)
 	}
 	now, ok := r.Limits()
 	if !ok || now.Limits[0].Max != 2 || len(now.Status.Granted) != 1 || now.Status.Granted[0].Leased > 2 || now.Status.Leased[0].Rejected == 0 {
-		t.Errorf("%+v", now)
+		t.Errorf("status of the limits: %+v", now)
 	}
 
 	config(100000)
 	if _, err := r.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "twenty in a row", func() bool {
+	eventually(t, "twenty requests in a row are served", func() bool {
 		for range 20 {
 			if status, _ := get(); status != 200 {
 				return false
@@ -71,13 +72,13 @@
 	if _, err := r.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "no limit", func() bool { status, _ := get(); return status == 200 })
+	eventually(t, "the limit is gone", func() bool { status, _ := get(); return status == 200 })
 	if _, ok := r.Limits(); ok {
-		t.Error("limits are shown that the file does not have")
+		t.Error("the status shows limits that the file does not have")
 	}
 }
 
-// Soft limits have their floor while nobody talks to peers; hard ones have what can be proved: nothing.
+// While no lease server is reached, a soft limit admits requests up to its floor, and a hard limit admits none.
 func TestFloorAdmitsWithoutPeers(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
@@ -88,6 +89,6 @@
 	tb.start(Options{})
 	tb.expectServed("one")
 	if status, body, err := sendRequest(client(tb.socketPath("one"), false), "pay"); err != nil || status != 503 || !strings.Contains(body, "limit hard") {
-		t.Errorf("%d %q %v", status, body, err)
+		t.Errorf("a request under the hard limit: %d %q %v", status, body, err)
 	}
 }
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -12,9 +12,9 @@
 	"vetchhaven/internal/standin/dns"
 )
 
-// A list and SRV records that contradict each other, over sockets: nothing new goes to what either had drain
-// or gone, a failing resolver and a truncated answer take nobody away, and a server that only the records
-// know is served by.
+// A list service and SRV records, over sockets, that contradict each other. No new request goes to a server that
+// either of them calls draining or gone. A failing resolver and truncated answers remove no server. A server that
+// only the records have is used.
 func TestMergerServesFromListAndRecords(t *testing.T) {
 	both, listed, recorded := standin.NewForm("both", nil), standin.NewForm("listed", nil), standin.NewForm("recorded", nil)
 	for _, f := range []*standin.Form{both, listed, recorded} {
@@ -43,62 +43,62 @@
 	publish(both, recorded)
 	tb := newTestbed(t, both.Member("ready"), listed.Member("ready"))
 	text := tb.writeConfig(tb.instanceText("a"))
-	data := strings.Replace(mustRead(t, text), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [%q]\nresolvers = [%q]\n", service, names.Addr()), 1)
+	data := strings.Replace(readFile(t, text), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [%q]\nresolvers = [%q]\n", service, names.Addr()), 1)
 	writeFile(t, tb.dir, data)
 	r := tb.start(Options{})
-	// seen are those who have answered since it was last emptied. Which of them a request meets is up to how fast
-	// each has been: on a busy machine one may have none of sixty.
+	// seen are the servers that have answered since it was last cleared. Which server gets a request depends on how
+	// fast each has been: on a busy machine a server may get none of sixty requests.
 	seen := map[string]bool{}
-	asks := func() {
+	sendOne := func() {
 		t.Helper()
 		status, body, err := sendRequest(client(tb.socketPath("a"), false), "get")
 		if err != nil || status != 200 {
-			t.Fatalf("%d %q %v", status, body, err)
+			t.Fatalf("request: %d %q %v", status, body, err)
 		}
 		seen[body] = true
 	}
-	// served asks until all have answered.
+	// served sends requests until all the named servers have answered.
 	served := func(what string, names ...string) {
 		t.Helper()
 		clear(seen)
 		eventually(t, what, func() bool {
-			asks()
+			sendOne()
 			return !slices.ContainsFunc(names, func(n string) bool { return !seen[n] })
 		})
 	}
 	listedNow := func() (n int) {
-		r.agents.Range(func(_, a any) bool { n = a.(agentHandle).agent.Status(patience).Listed; return true })
+		r.agents.Range(func(_, a any) bool { n = a.(agentHandle).agent.Status(testTimeout).Listed; return true })
 		return n
 	}
-	served("all three to be served by", "both", "listed", "recorded")
-	tb.list.Set(both.Member("gone")) // the record still advertises it
-	eventually(t, "the gone one to be left", func() bool { return listedNow() == 2 })
+	served("all three servers answer", "both", "listed", "recorded")
+	tb.list.Set(both.Member("gone")) // the records still have it
+	eventually(t, "the server that is gone leaves the list", func() bool { return listedNow() == 2 })
 	n := both.Got()
 	names.Script(func(string, string, string) dns.Fault { return dns.Fault{Rcode: 2} })
-	asked := names.Asked()
-	eventually(t, "the resolver to fail", func() bool { asks(); return names.Asked() > asked })
+	lookups := names.Asked()
+	eventually(t, "a lookup fails", func() bool { sendOne(); return names.Asked() > lookups })
 	names.Script(func(string, string, string) dns.Fault { return dns.Fault{Truncate: true, CutTCP: true} })
-	asked = names.Asked()
-	eventually(t, "the answer to be cut, over UDP and over TCP", func() bool { asks(); return names.Asked() > asked+1 })
-	served("the other two, with records cut", "listed", "recorded")
+	lookups = names.Asked()
+	eventually(t, "answers are truncated over UDP and over TCP", func() bool { sendOne(); return names.Asked() > lookups+1 })
+	served("the other two servers answer while records are truncated", "listed", "recorded")
 	tb.list.SetDown(true)
 	for range 60 {
-		asks()
+		sendOne()
 	}
-	served("the other two, with both sources away", "listed", "recorded")
+	served("the other two servers answer while the list and the records fail", "listed", "recorded")
 	if got := both.Got(); got != n {
-		t.Errorf("the gone one got %d more", got-n)
+		t.Errorf("the server that is gone got %d more requests", got-n)
 	}
 }
 
-// Merged anew after a restart with all sources away: the saved list serves, with its drains.
+// After a restart while the list service is down and no resolver answers, the daemon serves from the saved list.
 func TestMergerStartsFromTheSavedList(t *testing.T) {
 	f := standin.NewForm("s", nil)
 	defer f.Close()
 	tb := newTestbed(t, f.Member("ready"))
 	tb.head = `state_dir = "state"`
 	path := tb.writeConfig(tb.instanceText("a"))
-	data := strings.Replace(mustRead(t, path), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [\"_form._tcp.example.org\"]\nresolvers = [%q]\n", deadPort(t)), 1)
+	data := strings.Replace(readFile(t, path), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [\"_form._tcp.example.org\"]\nresolvers = [%q]\n", unusedUDPAddr(t)), 1)
 	writeFile(t, tb.dir, data)
 	r := tb.start(Options{})
 	tb.expectServed("a")
@@ -111,7 +111,7 @@
 	tb.expectServed("a")
 }
 
-func deadPort(t *testing.T) string {
+func unusedUDPAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -121,7 +121,7 @@
 	return ln.LocalAddr().String()
 }
 
-func mustRead(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -130,7 +130,8 @@
 	return string(text)
 }
 
-// A server that only a responder announces is served by, and left at its goodbye.
+// A server that only a multicast responder announces is used, and no longer after its goodbye (an announcement with
+// TTL 0).
 func TestMulticastEndpointIsServedUntilItsGoodbye(t *testing.T) {
 	listed, nearby := standin.NewForm("listed", nil), standin.NewForm("nearby", nil)
 	defer listed.Close()
@@ -150,7 +151,7 @@
 	}
 	announce(3600)
 	tb := newTestbed(t, listed.Member("ready"))
-	data := strings.Replace(mustRead(t, tb.writeConfig(tb.instanceText("a"))), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nmulticast = \"_form._tcp.local\"\ngroup = %q\n", r.Addr()), 1)
+	data := strings.Replace(readFile(t, tb.writeConfig(tb.instanceText("a"))), "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nmulticast = \"_form._tcp.local\"\ngroup = %q\n", r.Addr()), 1)
 	writeFile(t, tb.dir, data)
 	tb.start(Options{})
 	got := func(want string) bool {
@@ -161,11 +162,11 @@
 		}
 		return false
 	}
-	eventually(t, "the nearby one", func() bool { return got("nearby") })
+	eventually(t, "the announced server answers", func() bool { return got("nearby") })
 	announce(0)
-	eventually(t, "the goodbye", func() bool { return !got("nearby") })
+	eventually(t, "the announced server is no longer used", func() bool { return !got("nearby") })
 	n := nearby.Got()
 	if !got("listed") || nearby.Got() != n {
-		t.Error("sent to one that said goodbye")
+		t.Error("a request was sent to a server after its goodbye")
 	}
 }
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/standin"
 )
 
-// freeAddr is an address on which nobody listens, for streams and datagrams.
+// freeAddr returns an address on which no process listens, for streams and datagrams.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("[peers]\nfleet = \"f\"\nname = %q\nlisten = %q\nseeds = [\"%s\"]\nevery = \"50ms\"\n", name, listen, strings.Join(seeds, `", "`))
 }
 
-// Whatever the daemon's part in its fleet does, fails at or hangs in never keeps an instance from serving.
+// A peering that panics or hangs never stops an instance from serving.
 func TestPeeringFailuresDoNotStopInstances(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
@@ -47,10 +47,10 @@
 			var steps atomic.Int64
 			end := make(chan struct{})
 			r := tb.start(Options{PeerFault: func() { fault(steps.Add(1), end) }})
-			eventually(t, "the fault", func() bool { return steps.Load() > 0 })
+			eventually(t, "the fault occurs", func() bool { return steps.Load() > 0 })
 			tb.expectServed("one")
 			if name == "panics" {
-				eventually(t, "a restart", func() bool { return steps.Load() > 3 })
+				eventually(t, "the peering is started again", func() bool { return steps.Load() > 3 })
 				tb.expectServed("one")
 			}
 			close(end)
@@ -65,30 +65,30 @@
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	addr := freeAddr(t)
-	y, z := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
-	y.writeConfig(y.instanceText("one") + peersText("a", addr, addr))
-	z.writeConfig(z.instanceText("one", "two") + peersText("b", freeAddr(t), addr))
-	a, b := y.start(Options{}), z.start(Options{})
+	tbA, tbB := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
+	tbA.writeConfig(tbA.instanceText("one") + peersText("a", addr, addr))
+	tbB.writeConfig(tbB.instanceText("one", "two") + peersText("b", freeAddr(t), addr))
+	a, b := tbA.start(Options{}), tbB.start(Options{})
 	sees := func(r *testDaemon, most, least int) func() bool {
 		return func() bool {
 			c := r.size.Load()
 			return c != nil && c.MaxBalancers == most && c.MinBalancers == least && !c.FromFile
 		}
 	}
-	eventually(t, "three balancers", sees(a, 3, 3))
-	eventually(t, "three balancers", sees(b, 3, 3))
-	y.expectServed("one")
+	eventually(t, "the daemon counts three balancers", sees(a, 3, 3))
+	eventually(t, "the daemon counts three balancers", sees(b, 3, 3))
+	tbA.expectServed("one")
 
-	// Another instance is told of, one that leaves in order too.
-	z.writeConfig(z.instanceText("one", "two", "three") + b.peersText(t))
+	// The other daemon learns of an added instance, and of a member that leaves in order.
+	tbB.writeConfig(tbB.instanceText("one", "two", "three") + b.peersText(t))
 	if _, err := b.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "four balancers", sees(a, 4, 4))
+	eventually(t, "the daemon counts four balancers", sees(a, 4, 4))
 	if err := b.end(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "one balancer", sees(a, 1, 1))
+	eventually(t, "the daemon counts one balancer", sees(a, 1, 1))
 }
 
 func (d *testDaemon) peersText(t *testing.T) string {
@@ -100,13 +100,13 @@
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	addr := freeAddr(t)
-	y, z := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
-	z.writeConfig(z.instanceText("one") + peersText("b", addr, addr))
-	b := z.start(Options{})
-	y.writeConfig(y.instanceText("one"))
-	a := y.start(Options{})
+	tbA, tbB := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
+	tbB.writeConfig(tbB.instanceText("one") + peersText("b", addr, addr))
+	b := tbB.start(Options{})
+	tbA.writeConfig(tbA.instanceText("one"))
+	a := tbA.start(Options{})
 	if _, ok := a.MembershipStatus(); ok {
-		t.Error("a view without [peers]")
+		t.Error("a daemon without [peers] has a membership status")
 	}
 	state := func(of string) func() string {
 		return func() string {
@@ -119,31 +119,31 @@
 			return ""
 		}
 	}
-	y.writeConfig(y.instanceText("one") + peersText("a", freeAddr(t), addr))
+	tbA.writeConfig(tbA.instanceText("one") + peersText("a", freeAddr(t), addr))
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a is alive", func() bool { return state("a")() == "alive" })
-	was, _ := a.MembershipStatus()
+	before, _ := a.MembershipStatus()
 	text := strings.Replace(a.peersText(t), "50ms", "60ms", 1) // the same member with another setting
-	y.writeConfig(y.instanceText("one") + text)
+	tbA.writeConfig(tbA.instanceText("one") + text)
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the same member goes on", func() bool {
 		now, ok := a.MembershipStatus()
-		return ok && now.RunID == was.RunID && len(now.Members) == 2
+		return ok && now.RunID == before.RunID && len(now.Members) == 2
 	})
-	y.writeConfig(y.instanceText("one"))
+	tbA.writeConfig(tbA.instanceText("one"))
 	if _, err := a.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a has left", func() bool { return state("a")() == "left" })
-	y.expectServed("one")
+	tbA.expectServed("one")
 }
 
-// A second handover while the first goes on is refused, and leaves the view to the first: it would talk on sockets
-// that a successor reads.
+// A second handover during the first one fails, and does not thaw the membership: the membership would use sockets
+// that the successor reads.
 func TestSecondHandoverDoesNotTouchMembership(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
@@ -155,30 +155,30 @@
 		<-end
 		return errors.New("no successor")
 	}})
-	inc := func() uint32 {
+	incarnation := func() uint32 {
 		s, ok := r.MembershipStatus()
 		if !ok || len(s.Members) != 1 {
-			t.Fatalf("%+v", s)
+			t.Fatalf("membership status %+v", s)
 		}
 		return s.Members[0].Incarnation
 	}
-	eventually(t, "a view", func() bool { _, ok := r.MembershipStatus(); return ok })
+	eventually(t, "the membership runs", func() bool { _, ok := r.MembershipStatus(); return ok })
 	first := make(chan error, 1)
 	go func() { first <- r.Handover(context.Background()) }()
 	<-begun
-	was := inc()
+	before := incarnation()
 	if err := r.Handover(context.Background()); err == nil || !strings.Contains(err.Error(), "already") {
 		t.Error(err)
 	}
-	for range 5 { // each goes through the view's loop, and would find that it went on
-		if now := inc(); now != was {
-			t.Fatalf("it goes on: incarnation %d after %d", now, was)
+	for range 5 { // each status comes from the transport's loop, and would show a membership that was thawed
+		if now := incarnation(); now != before {
+			t.Fatalf("the membership was thawed: incarnation %d after %d", now, before)
 		}
 	}
 	close(end)
 	if err := <-first; err == nil {
-		t.Error("no error")
+		t.Error("the first handover returned no error")
 	}
-	eventually(t, "it goes on", func() bool { return inc() == was+1 })
+	eventually(t, "the membership goes on", func() bool { return incarnation() == before+1 })
 	tb.expectServed("one")
 }
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -20,10 +20,10 @@
 	"vetchhaven/internal/standin"
 )
 
-// An agent that is being replaced under another policy finishes what it admitted, and admits nothing more, whatever
-// leases its daemon gets later: they are for the agents that serve by the new policy.
+// An agent that is being replaced because of another policy answers what it has admitted and admits no more requests.
+// Leases that the daemon gets later apply only to agents that serve by the new policy.
 func TestReplacedAgentIsNotAdmittedByNextLease(t *testing.T) {
-	s, came, release := newHoldingServer()
+	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
 	tb := newTestbed(t, s.Member("ready"))
@@ -34,7 +34,7 @@
 		status, body, err := sendRequest(client(tb.socketPath("a"), false), "pay")
 		out <- fmt.Sprint(status, body, err)
 	}()
-	<-came
+	<-received
 	var old, now *core.Agent
 	r.call(func() {
 		old = r.instances["a"].agent
@@ -49,13 +49,13 @@
 		now = r.instances["a"].agent
 	})
 	if old == now {
-		t.Fatal("nothing was replaced")
+		t.Fatal("the agent was not replaced")
 	}
-	for _, until := range []time.Duration{policy.Never, time.Hour} { // with vetoes, with stops
+	for _, until := range []time.Duration{policy.Never, time.Hour} { // as with cut_off = "vetoes" and "stops"
 		r.servingChanged(policy.Serving{Document: &policy.Document{Number: 1}, Until: until, ServedParts: []string{"main"}}, time.Now())
-		eventually(t, "the replaced copy takes nothing", func() bool { return !old.Admits() })
+		eventually(t, "the replaced agent admits no requests", func() bool { return !old.Admits() })
 		if !now.Admits() {
-			t.Error("the copy in its place takes nothing")
+			t.Error("the new agent admits no requests")
 		}
 	}
 	release()
@@ -64,48 +64,48 @@
 	}
 }
 
-// A member that was cut off past its lease hears of another policy: its copies go by the one before until they are
-// replaced, and take nothing by the lease that comes with the new one. So do those that a handover or a change leaves
-// behind.
+// A member that was isolated for longer than its lease learns of another policy. Its agents serve by the earlier
+// policy until they are replaced, and the lease of the new policy does not let them admit requests. The same holds
+// for agents that a handover or a change of the configuration replaces.
 func TestLeaseOfAnotherPolicyDoesNotExtendAdmission(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
 	r := tb.start(Options{})
-	var a *core.Agent
-	r.call(func() { a = r.instances["a"].agent })
-	word := func(number uint64, until time.Duration) {
+	var agent *core.Agent
+	r.call(func() { agent = r.instances["a"].agent })
+	serveBy := func(number uint64, until time.Duration) {
 		r.servingChanged(policy.Serving{Document: &policy.Document{Number: number}, Until: until, ServedParts: []string{"main"}}, time.Now())
 	}
 	r.call(func() {
 		r.policy.fingerprint = (&policy.Serving{Document: &policy.Document{Number: 1}}).Fingerprint()
 		r.markCurrent(r.instances["a"])
 	})
-	word(1, time.Hour)
-	if !a.Admits() {
-		t.Fatal("within its lease it takes nothing")
+	serveBy(1, time.Hour)
+	if !agent.Admits() {
+		t.Fatal("within its lease the agent admits no requests")
 	}
-	word(2, time.Hour)
-	if !a.Admits() {
-		t.Error("within the lease of its own policy it takes nothing")
+	serveBy(2, time.Hour)
+	if !agent.Admits() {
+		t.Error("within the lease of its own policy the agent admits no requests")
 	}
-	word(1, -time.Millisecond)
+	serveBy(1, -time.Millisecond)
 	for _, until := range []time.Duration{time.Hour, policy.Never} {
-		if word(2, until); a.Admits() {
-			t.Errorf("its lease is over, and it takes requests by that of another policy (%v)", until)
+		if serveBy(2, until); agent.Admits() {
+			t.Errorf("the agent's lease has expired, and it admits requests by the lease of another policy (%v)", until)
 		}
 	}
-	a.ShortenAdmission(time.Now().Add(time.Hour), reasonPolicySwitched)
-	if a.Admits() {
-		t.Error("it was to take no longer, and takes again")
+	agent.ShortenAdmission(time.Now().Add(time.Hour), reasonPolicySwitched)
+	if agent.Admits() {
+		t.Error("shortening the admission of an agent made it admit requests again")
 	}
-	if word(1, policy.Never); !a.Admits() {
-		t.Error("by its own policy it takes nothing")
+	if serveBy(1, policy.Never); !agent.Admits() {
+		t.Error("under its own policy the agent admits no requests")
 	}
 }
 
-// policyText is the part of a daemon's file with which it agrees on policies, as a, with these voters.
+// policyText returns the tables [peers] and [policy] of a daemon's file, for member a and these voters.
 func policyText(listen, seed string, voters string) string {
 	return peersText("a", listen, seed) + fmt.Sprintf("[policy]\nvoters = [%s]\ncut_off = \"vetoes\"\n", voters)
 }
@@ -117,14 +117,14 @@
 	if _, err := d.ProposePolicy(PolicyChange{Body: body, Reason: "a test"}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it is in force", func() (in bool) {
+	eventually(t, "the policy is in force", func() (in bool) {
 		d.call(func() { in = d.policy.applied.number == number })
 		return in
 	})
 }
 
-// A server that a policy keeps out gets nothing from an instance that was too busy to hear of it at first; without
-// the ban it is back.
+// A server that a policy bans gets no requests from an instance that was too busy to take the ban at first. Without
+// the ban it gets requests again.
 func TestPolicyBanReachesABusyInstance(t *testing.T) {
 	s1, s2 := standin.NewForm("s-1", nil), standin.NewForm("s-2", nil)
 	defer s1.Close()
@@ -134,39 +134,39 @@
 	addr := freeAddr(t)
 	tb.writeConfig(tb.instanceText("one") + policyText(addr, addr, `"a"`))
 	var busy atomic.Bool
-	free, stuck := make(chan struct{}), make(chan struct{})
-	release, held := sync.OnceFunc(func() { close(free) }), sync.OnceFunc(func() { close(stuck) })
+	unblock, blocked := make(chan struct{}), make(chan struct{})
+	release, reportBlocked := sync.OnceFunc(func() { close(unblock) }), sync.OnceFunc(func() { close(blocked) })
 	defer release()
 	r := tb.start(Options{Fault: func(string) func(core.Totals) {
 		return func(core.Totals) {
 			if busy.Load() {
-				held()
-				<-free
+				reportBlocked()
+				<-unblock
 			}
 		}
 	}})
 	eventually(t, "the policy in force is known", r.policyAdmits)
 	tb.expectServed("one")
-	both := func() (all bool) {
+	bothServe := func() (all bool) {
 		was1, was2 := s1.Got(), s2.Got()
 		for range 30 {
 			tb.expectServed("one")
 		}
 		return s1.Got() > was1 && s2.Got() > was2
 	}
-	eventually(t, "both servers get requests", both)
-	var a *core.Agent
-	r.call(func() { a = r.instances["one"].agent })
+	eventually(t, "both servers get requests", bothServe)
+	var agent *core.Agent
+	r.call(func() { agent = r.instances["one"].agent })
 	busy.Store(true)
-	for a.TryForceServerDisabled("nobody", false) { // until it has no room to hear more
+	for agent.TryForceServerDisabled("nobody", false) { // until the agent's queue of commands is full
 	}
-	<-stuck
-	for a.TryForceServerDisabled("nobody", false) {
+	<-blocked
+	for agent.TryForceServerDisabled("nobody", false) {
 	}
 	r.apply(t, 1, "[[ban]]\nserver = \"s-2\"\nreason = \"a test\"\n")
 	busy.Store(false)
 	release()
-	eventually(t, "the server that is out gets nothing", func() bool {
+	eventually(t, "the banned server gets no requests", func() bool {
 		was := s2.Got()
 		for range 30 {
 			tb.expectServed("one")
@@ -174,25 +174,25 @@
 		return s2.Got() == was
 	})
 	r.apply(t, 2, "ban = []\n")
-	eventually(t, "the server is back", both)
+	eventually(t, "both servers get requests again", bothServe)
 }
 
-// A part for peers that fails while no other voter answers leaves the policy as it was: requests are taken on,
-// before, between and after its lives.
+// A peering that fails while no other voter answers leaves the policy as it was: requests are admitted before the
+// failure, while the peering is down, and after it is started again.
 func TestPolicySurvivesATransportFailure(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
 	addrs := map[string]string{"a": freeAddr(t), "b": freeAddr(t), "c": freeAddr(t)}
 	var fault atomic.Bool
-	y, all := map[string]*testbed{}, map[string]*testDaemon{}
+	testbeds, daemons := map[string]*testbed{}, map[string]*testDaemon{}
 	for name, addr := range addrs {
 		seed := addrs["b"]
 		if name == "b" {
 			seed = addrs["a"]
 		}
-		y[name] = newTestbed(t, f.Member("ready"))
-		y[name].head = `state_dir = "state"`
-		y[name].writeConfig(y[name].instanceText("one") + strings.Replace(policyText(addr, seed, `"a", "b", "c"`), `name = "a"`, fmt.Sprintf("name = %q", name), 1))
+		testbeds[name] = newTestbed(t, f.Member("ready"))
+		testbeds[name].head = `state_dir = "state"`
+		testbeds[name].writeConfig(testbeds[name].instanceText("one") + strings.Replace(policyText(addr, seed, `"a", "b", "c"`), `name = "a"`, fmt.Sprintf("name = %q", name), 1))
 		o := Options{}
 		if name == "a" {
 			o.PeerFault = func() {
@@ -201,14 +201,14 @@
 				}
 			}
 		}
-		r, err := y[name].tryStart(o) // none is ready before it hears of others
+		r, err := testbeds[name].tryStart(o) // a daemon becomes ready only after it reaches other voters
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[name] = r
+		daemons[name] = r
 	}
-	r := all["a"]
-	eventually(t, "it is ready", func() bool {
+	r := daemons["a"]
+	eventually(t, "the daemon is ready", func() bool {
 		select {
 		case <-r.ready:
 			return true
@@ -217,35 +217,35 @@
 		}
 	})
 	r.apply(t, 1, "[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n")
-	y["a"].expectServed("one")
+	testbeds["a"].expectServed("one")
 	if v, ok := r.MembershipStatus(); !ok || v.Traffic.PolicyMessages == 0 || v.Traffic.PolicyBytes < 20*v.Traffic.PolicyMessages {
-		t.Errorf("what it sent about the policy is not counted: %+v", v.Traffic)
+		t.Errorf("messages about the policy are not counted: %+v", v.Traffic)
 	}
 	for _, other := range []string{"b", "c"} {
-		if err := all[other].end(); err != nil {
+		if err := daemons[other].end(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 2 {
-		at := r.activePeering.Load()
+		before := r.activePeering.Load()
 		fault.Store(true)
-		eventually(t, "another life of the part", func() bool {
-			y["a"].expectServed("one")
+		eventually(t, "the peering is started again", func() bool {
+			testbeds["a"].expectServed("one")
 			now := r.activePeering.Load()
-			return now != nil && now != at
+			return now != nil && now != before
 		})
-		for range 200 { // and while it comes to what it knows
-			y["a"].expectServed("one")
+		for range 200 { // while the new peering restores its state
+			testbeds["a"].expectServed("one")
 		}
 		if p, err := r.Policy(); err != nil || p.Active.Number != 1 {
-			t.Errorf("%v, %+v", err, p)
+			t.Errorf("error %v, policy %+v", err, p)
 		}
 	}
 }
 
-// After a handover that failed the policy's file is opened again, also where another process has it for some seconds
-// more, as a successor that is slow to die. It was tried once: a voter could write nothing from then on, and no
-// policy was agreed on until the daemon was started again.
+// After a failed handover the policy's file is opened again, even if another process, such as a successor that ends
+// slowly, keeps it open for some seconds more. The fault: opening was tried only once, after which a voter could
+// write nothing, and no policy was agreed on until the daemon was started again.
 func TestPolicyFileIsOpenedAgainAfterAFailedHandover(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
@@ -253,17 +253,17 @@
 	tb.head = `state_dir = "state"`
 	addr := freeAddr(t)
 	tb.writeConfig(tb.instanceText("one") + policyText(addr, addr, `"a"`))
-	fail := errors.New("not this time")
+	fail := errors.New("injected failure")
 	var taken *bbolt.DB
 	r := tb.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) (err error) {
-		if taken, err = bbolt.Open(filepath.Join(tb.dir, "state", "policy.db"), 0o600, &bbolt.Options{Timeout: patience}); err != nil {
+		if taken, err = bbolt.Open(filepath.Join(tb.dir, "state", "policy.db"), 0o600, &bbolt.Options{Timeout: testTimeout}); err != nil {
 			return err
 		}
 		return fail
 	}})
 	r.apply(t, 1, "[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n")
 	if err := r.Handover(context.Background()); !errors.Is(err, fail) {
-		t.Fatalf("%v", err)
+		t.Fatalf("the handover: %v, want the injected failure", err)
 	}
 	eventually(t, "the file can't be opened", func() bool { return tb.log.count("can't be opened again") > 0 })
 	if err := taken.Close(); err != nil {
--- a/internal/host/daemon/ready_test.go
+++ b/internal/host/daemon/ready_test.go
@@ -8,11 +8,11 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A daemon is ready after the one limit, however many of its lists are down and not saved. The limit's timer fired
-// once, and ended the wait for one list: with two, awaitLists waited for the second for ever. The instances served
-// after 5 s, and ready never came, with one line "no list yet" for two lists; whoever waits for it, a service manager
-// or the daemon before in a handover, takes the restart for failed.
-func TestReadyAfterOneLimitHoweverManyListsAreDown(t *testing.T) {
+// A daemon is ready after readyTimeout, however many of its lists are down and not saved. The fault: the timeout's
+// timer fired once and ended the wait for one list, so with two lists awaitLists waited for the second one for ever.
+// The instances served after 5 s, but the daemon never became ready, and logged one line "no list yet" for two lists.
+// A service manager, or the predecessor in a handover, then considers the restart failed.
+func TestReadyAfterOneTimeoutHoweverManyListsAreDown(t *testing.T) {
 	for _, sources := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint(sources), func(t *testing.T) {
 			t.Parallel()
@@ -32,10 +32,10 @@
 			select {
 			case <-r.ready:
 			case <-time.After(2 * readyTimeout):
-				t.Fatalf("not ready after %v; the limit is %v", time.Since(began), readyTimeout)
+				t.Fatalf("not ready after %v; the timeout is %v", time.Since(began), readyTimeout)
 			}
-			if got := tb.log.count("no list yet"); got != sources+1 { // and the testbed's own
-				t.Errorf("%d lists of %d are said to be missing", got, sources+1)
+			if got := tb.log.count("no list yet"); got != sources+1 { // one more for the testbed's own list
+				t.Errorf("%d of %d missing lists are logged", got, sources+1)
 			}
 		})
 	}
--- a/internal/host/daemon/reload_test.go
+++ b/internal/host/daemon/reload_test.go
@@ -22,12 +22,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A file that makes no sense changes nothing.
+	// A file with an error changes nothing.
 	writeFile(t, tb.dir, string(before)+"[[instance]]\nname = \"a\"\nlisten = \"unix:/x\"\n")
 	if _, err := r.Reload(); err == nil || !strings.Contains(err.Error(), `"a" is used twice`) {
 		t.Error(err)
 	}
-	// Nor does one whose addresses can't be had.
+	// A file with an address that can't be opened changes nothing either.
 	writeFile(t, tb.dir, string(before)+"[[instance]]\nname = \"z\"\nlisten = \"unix:/no/such/place/z.sock\"\n"+tb.instanceText("y"))
 	if _, err := r.Reload(); err == nil || !strings.Contains(err.Error(), "/no/such/place") {
 		t.Error(err)
@@ -38,12 +38,12 @@
 	for _, n := range []string{"a", "b", "c"} {
 		tb.expectServed(n)
 	}
-	// One goes, one comes, one changes, one stays.
+	// One instance is removed, one added, one replaced, and one stays unchanged.
 	tb.writeConfig(tb.instanceText("a") + strings.Replace(tb.instanceText("b"), "\nlisten", "\nmax_open = 7\nlisten", 1) + tb.instanceText("d"))
 	res, err := r.Reload()
 	if err != nil || res != (ReloadResult{Added: 1, Removed: 1, Replaced: 1, Unchanged: 1}) {
-		// Shares of sockets changed too, if the number of instances did: it did not.
-		t.Errorf("%+v %v", res, err)
+		// The shares of sockets do not change, since the number of instances is the same.
+		t.Errorf("reload: %+v %v", res, err)
 	}
 	for _, n := range []string{"a", "b", "d"} {
 		eventually(t, n+" serves", func() bool {
@@ -52,12 +52,12 @@
 		})
 	}
 	if _, _, err := sendRequest(client(tb.socketPath("c"), false), "get"); err == nil {
-		t.Error("a removed one takes connections")
+		t.Error("a removed instance accepts connections")
 	}
 }
 
-// Many reloads under load, each of which moves one address from one instance to another: no request and no connection
-// attempt is lost.
+// Many reloads under load, each of which moves an address from one instance to another, lose no request and no
+// connection attempt.
 func TestReloadsLoseNoRequests(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -75,11 +75,11 @@
 	}
 	stop := make(chan struct{})
 	var asked, bad atomic.Int64
-	var askers sync.WaitGroup
+	var requesters sync.WaitGroup
 	for _, n := range []string{"steady", "turn"} {
 		for i := range 4 {
 			c := client(tb.socketPath(n), i%2 == 0)
-			askers.Go(func() {
+			requesters.Go(func() {
 				defer c.CloseIdleConnections()
 				for {
 					select {
@@ -88,8 +88,9 @@
 					default:
 					}
 					asked.Add(1)
-					// Kept connections may end between requests; net/http then asks again on another, as the
-					// protocol says that clients do. A refusal is honest: a fresh copy may not know servers yet.
+					// A kept connection may be closed between requests. net/http then sends the request again on
+					// another one, as the protocol tells clients to do. A 503 is allowed: a new agent may not know
+					// servers yet.
 					if status, body, err := sendRequest(c, "get"); err != nil || status != 200 && status != 503 {
 						bad.Add(1)
 						t.Errorf("%s: %d %q %v", n, status, body, err)
@@ -105,18 +106,18 @@
 		}
 	}
 	close(stop)
-	askers.Wait()
+	requesters.Wait()
 	if asked.Load() < 100 {
-		t.Errorf("only %d asked", asked.Load())
+		t.Errorf("only %d requests were sent", asked.Load())
 	}
 	if st, _ := r.Status(); st.Reloads != 100 || len(st.Instances) != 2 {
-		t.Errorf("%+v", st)
+		t.Errorf("status %+v", st)
 	}
 }
 
 // An instance that is removed answers everything that it has admitted.
 func TestRemovedInstanceAnswersAdmittedRequests(t *testing.T) {
-	s, came, release := newHoldingServer()
+	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
 	tb := newTestbed(t, s.Member("ready"))
@@ -128,13 +129,13 @@
 		out <- fmt.Sprint(status, body, err)
 	}()
 	select {
-	case <-came:
-	case <-time.After(patience):
+	case <-received:
+	case <-time.After(testTimeout):
 		t.Fatal("the request did not arrive")
 	}
 	tb.writeConfig(tb.instanceText("a"))
 	if res, err := r.Reload(); err != nil || res.Removed != 1 {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("reload: %+v %v", res, err)
 	}
 	release()
 	if got := <-out; got != "200done<nil>" {
@@ -142,8 +143,8 @@
 	}
 }
 
-// A list at another address is followed in place: nothing drains. What the old list said holds until the new one is
-// received, a drain included.
+// If the address of a list changes, the running agent follows the new list and nothing drains. The old list,
+// including the servers that it calls draining, is used until the new one is received.
 func TestSourceChangeKeepsConnections(t *testing.T) {
 	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
 	defer one.Close()
@@ -164,13 +165,13 @@
 	other.SetDown(true)
 	writeFile(t, tb.dir, strings.Replace(string(text), tb.list.Addr(), other.Addr(), 1))
 	if res, err := r.Reload(); err != nil || res.Moved != 1 {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("reload: %+v %v", res, err)
 	}
 	for range 20 {
 		tb.expectServed("a")
 	}
 	if two.Got() > 0 {
-		t.Error("a draining server was sent to after the list moved")
+		t.Error("a draining server got a request after the list's address changed")
 	}
 	other.SetDown(false)
 	eventually(t, "the new list is followed", func() bool {
@@ -179,8 +180,8 @@
 	})
 }
 
-// Nothing new goes to a server once this daemon knows that it drains, by whichever way it learned that and whatever
-// happens to the daemon in between.
+// Once a daemon knows that a server is draining, it sends no new request to it, even if the list service is down and
+// reloads replace the agent.
 func TestDrainingServerStaysOutAcrossReload(t *testing.T) {
 	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
 	defer one.Close()
@@ -190,7 +191,7 @@
 	r := tb.start(Options{})
 	tb.expectServed("a")
 	tb.list.Set(two.Member("draining"))
-	eventually(t, "the drain is heard", func() bool {
+	eventually(t, "the agent knows that the server is draining", func() bool {
 		n := two.Got()
 		for range 10 {
 			tb.expectServed("a")
@@ -209,12 +210,12 @@
 		}
 	}
 	if two.Got() != n {
-		t.Errorf("%d were sent to a draining server after reloads", two.Got()-n)
+		t.Errorf("%d requests were sent to a draining server after reloads", two.Got()-n)
 	}
 }
 
-// An operator who sets a key that nothing goes by is told so. `drain` was taken without a word, and no drain went by
-// it.
+// The daemon warns an operator who sets a key that has no effect. The fault: the key drain was accepted silently, and
+// had no effect.
 func TestKeyWithoutEffectIsNamed(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -223,6 +224,6 @@
 	tb.writeConfig(tb.instanceText("a"))
 	tb.start(Options{})
 	if n := tb.log.count("the key drain has no effect"); n != 1 {
-		t.Errorf("said %d times", n)
+		t.Errorf("%d warnings, want 1", n)
 	}
 }
--- a/internal/host/daemon/run.go
+++ b/internal/host/daemon/run.go
@@ -196,17 +196,17 @@
 // awaitReady calls Ready once each hub has its list and each running instance has taken the list, or after
 // readyTimeout.
 func (d *Daemon) awaitReady(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, readyTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	d.awaitLists(limited)
-	d.awaitInstances(limited)
+	d.awaitLists(timeoutCtx)
+	d.awaitInstances(timeoutCtx)
 	if ctx.Err() == nil && d.options.Ready != nil {
 		d.options.Ready()
 	}
 }
 
-// awaitLists waits until each hub has a list, or limited ends. After a timeout it logs each list that is missing.
-func (d *Daemon) awaitLists(limited context.Context) {
+// awaitLists waits until each hub has a list, or timeoutCtx ends. After a timeout it logs each list that is missing.
+func (d *Daemon) awaitLists(timeoutCtx context.Context) {
 	var hubs []*hub
 	d.call(func() {
 		for _, h := range d.hubs {
@@ -216,19 +216,19 @@
 	for _, h := range hubs {
 		select {
 		case <-h.Ready():
-		case <-limited.Done():
+		case <-timeoutCtx.Done():
 		}
-		if !h.hasList() && errors.Is(limited.Err(), context.DeadlineExceeded) {
+		if !h.hasList() && errors.Is(timeoutCtx.Err(), context.DeadlineExceeded) {
 			d.log.Warn("no list yet; instances refuse until there is one", "list", h.source.List)
 		}
 	}
 }
 
-// awaitInstances waits until each instance has its list and the policy lets it admit requests, or limited ends.
-func (d *Daemon) awaitInstances(limited context.Context) {
+// awaitInstances waits until each instance has its list and the policy lets it admit requests, or timeoutCtx ends.
+func (d *Daemon) awaitInstances(timeoutCtx context.Context) {
 	poll := time.NewTicker(readyPollInterval)
 	defer poll.Stop()
-	for limited.Err() == nil {
+	for timeoutCtx.Err() == nil {
 		ready := false
 		d.call(func() { ready = d.instancesReady() })
 		if ready {
@@ -236,7 +236,7 @@
 		}
 		select {
 		case <-poll.C:
-		case <-limited.Done():
+		case <-timeoutCtx.Done():
 		}
 	}
 }
--- a/internal/host/daemon/snapshots_test.go
+++ b/internal/host/daemon/snapshots_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/internal/standin"
 )
 
-// A daemon that was killed starts from its last snapshot: the saved list serves while the list service is down, and
-// once that says that servers are gone, they get nothing.
+// A daemon that was killed starts from its last snapshot. It uses the saved list while the list service is down. Once
+// the list service reports servers as gone, they get no requests.
 func TestStartUsesTheLastSnapshot(t *testing.T) {
 	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
 	defer one.Close()
@@ -23,7 +23,7 @@
 	tb.expectServed("a")
 	r.call(r.saveSnapshot)
 	saved := filepath.Join(tb.dir, "state", snapshotFile)
-	eventually(t, "a state", func() bool { _, err := os.Stat(saved); return err == nil })
+	eventually(t, "a snapshot is saved", func() bool { _, err := os.Stat(saved); return err == nil })
 	data, err := os.ReadFile(saved) // what a kill would have left
 	if err != nil {
 		t.Fatal(err)
@@ -40,14 +40,14 @@
 		tb.expectServed("a")
 	}
 	if two.Got() > 0 {
-		t.Error("one that was draining before the kill was sent to")
+		t.Error("a server that was draining before the kill got a request")
 	}
 	three := standin.NewForm("three", nil)
 	defer three.Close()
 	gone := one.Member("gone")
 	tb.list.Set(gone, two.Member("gone"), three.Member("ready"))
 	tb.list.SetDown(false)
-	eventually(t, "the list is heard", func() bool {
+	eventually(t, "the new list is used", func() bool {
 		_, body, _ := sendRequest(client(tb.socketPath("a"), false), "get")
 		return body == "three"
 	})
@@ -56,11 +56,11 @@
 		tb.expectServed("a")
 	}
 	if one.Got() != n {
-		t.Error("a server that the list calls gone was sent to")
+		t.Error("a server that is gone got a request")
 	}
 }
 
-// A snapshot that can't be believed, or not be written, is logged once and never keeps the daemon from serving.
+// A snapshot that is invalid or can't be written is logged once, and never stops the daemon from serving.
 func TestDamagedSnapshotsAreIgnored(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -82,7 +82,7 @@
 			if err := os.MkdirAll(filepath.Dir(saved), 0o700); err != nil {
 				t.Fatal(err)
 			}
-			if name == "directory" { // where the file should be: it can be neither read nor written
+			if name == "directory" { // a directory in place of the file: the snapshot can be neither read nor written
 				if err := os.MkdirAll(filepath.Join(saved, "x"), 0o700); err != nil {
 					t.Fatal(err)
 				}
@@ -96,13 +96,13 @@
 				r.snapshots.Flush()
 			}
 			if n := tb.log.count("last state is not used") + tb.log.count("last state can't be read"); n != 1 {
-				t.Errorf("said %d times", n)
+				t.Errorf("%d log lines about the unusable snapshot, want 1", n)
 			}
 			if n := tb.log.count("state not saved"); (n == 1) != (name == "directory") {
-				t.Errorf("a write that fails is said %d times", n)
+				t.Errorf("%d log lines about failed writes", n)
 			}
 			if st, _ := r.Status(); (st.Saving != "") != (name == "directory") {
-				t.Errorf("status says %q of saving", st.Saving)
+				t.Errorf("the status has %q for saving", st.Saving)
 			}
 		})
 	}
--- a/internal/host/daemon/sockets_test.go
+++ b/internal/host/daemon/sockets_test.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/standin"
 )
 
-// A unix socket whose queue is full refuses connections for a moment: it is somebody's all the same, and stays. One
-// that nobody listens on any more goes.
+// A Unix socket whose queue is full refuses connections for a moment, but still belongs to a process, and is not
+// removed. A Unix socket on which no process listens any more is removed.
 func TestUnixSocketWithAFullQueueIsNotReplaced(t *testing.T) {
 	dir, err := os.MkdirTemp("", "sock")
 	if err != nil {
@@ -47,15 +47,15 @@
 		if ln != nil {
 			ln.Close()
 		}
-		t.Errorf("listening where another does: %v", err)
+		t.Errorf("listening on a path on which another process listens: %v", err)
 	}
 	if _, err := os.Stat(path); err != nil {
-		t.Errorf("the other's socket: %v", err)
+		t.Errorf("the path of the other process's socket: %v", err)
 	}
 	_ = syscall.Close(fd)
 	ln, err := listenOn(daemonconfig.Address{Network: "unix", Addr: path})
 	if err != nil {
-		t.Fatalf("where nobody listens any more: %v", err)
+		t.Fatalf("listening on a path on which no process listens any more: %v", err)
 	}
 	ln.Close()
 }
@@ -67,12 +67,12 @@
 	tb.writeConfig(tb.instanceText("a"))
 	tb.start(Options{})
 	if _, err := tb.tryStart(Options{}); err == nil || !strings.Contains(err.Error(), "admin.sock") {
-		t.Errorf("a second daemon at the same addresses: %v", err)
+		t.Errorf("starting a second daemon with the same addresses: %v", err)
 	}
 	tb.expectServed("a")
 }
 
-// A socket file that a killed daemon left belongs to nobody.
+// A daemon replaces a Unix socket that a killed daemon has left behind.
 func TestAbandonedUnixSocketIsReplaced(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
--- a/internal/host/daemon/stop_test.go
+++ b/internal/host/daemon/stop_test.go
@@ -22,26 +22,27 @@
 	"vetchhaven/internal/testkit"
 )
 
-// At a stop the daemon closed its listeners at once, where an agent of the platform accepts for 450 ms, since clients
-// learn of a planned restart 0.2 to 0.4 s late. Connections that waited in a listener's queue were reset, and later
-// ones refused. Of clients that go on for 300 ms after a stop, 8 of 1,312 connections over HTTP and 6 of 878 over
-// LDAP were made and then saw a reset or a broken pipe; hardly any came about after the stop.
+// The tests in this file guard against this fault: at a stop the daemon closed its listeners at once, whereas an
+// agent that runs alone goes on accepting for 450 ms, since clients learn of a planned restart 0.2 to 0.4 s late.
+// Connections in a listener's queue were reset, and later ones were refused. With clients that went on for 300 ms
+// after a stop, 8 of 1,312 connections over HTTP and 6 of 878 over LDAP were established and then ended with a reset
+// or a broken pipe. Hardly any connection was established after the stop.
 
-// noticedWithin is how long clients may go on to connect after a planned stop (BENCH: notified up to 0.4 s late).
-const noticedWithin = 400 * time.Millisecond
+// noticeDelay is how long clients may go on connecting after a planned stop: they are notified up to 0.4 s late (BENCH).
+const noticeDelay = 400 * time.Millisecond
 
-// asker makes a connection and asks once on it. connected is false where there was no connection.
-type asker func() (connected bool, err error)
+// requester connects and sends one request. connected is false if the connection was not established.
+type requester func() (connected bool, err error)
 
-// askHTTP asks an HTTP instance.
-func askHTTP(network, address string) asker {
+// requestHTTP returns a requester that sends a request to an HTTP instance.
+func requestHTTP(network, address string) requester {
 	return func() (bool, error) {
 		c, err := dialOnce(network, address)
 		if err != nil {
 			return false, err
 		}
 		defer c.Close()
-		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: stop%d\r\n\r\n", ids.Add(1)); err != nil {
+		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: stop%d\r\n\r\n", traceIDs.Add(1)); err != nil {
 			return true, err
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -52,8 +53,8 @@
 	}
 }
 
-// askLDAP asks an LDAP instance for a base object.
-func askLDAP(network, address string) asker {
+// requestLDAP returns a requester that sends a search for a base object to an LDAP instance.
+func requestLDAP(network, address string) requester {
 	body := append([]byte{0x04, 4}, "cn=a"...)
 	body = append(body, 0x0a, 1, 0, 0x0a, 1, 0, 0x02, 1, 0, 0x02, 1, 0, 0x01, 1, 0, 0x87, 11)
 	body = append(body, "objectClass\x30\x00"...)
@@ -71,7 +72,7 @@
 	}
 }
 
-// readSearchResult reads up to the result of message 1.
+// readSearchResult reads the answers up to the search result of message 1.
 func readSearchResult(c net.Conn) error {
 	for in := ldapmsg.NewReader(c, 1<<20); ; {
 		raw, err := in.Next()
@@ -86,22 +87,22 @@
 			continue
 		}
 		if code, ok := m.Code(); m.ID != 1 || !ok || code != 0 {
-			return fmt.Errorf("message %d, code %d", m.ID, code)
+			return fmt.Errorf("unexpected result: message %d, code %d", m.ID, code)
 		}
 		return nil
 	}
 }
 
 func dialOnce(network, address string) (net.Conn, error) {
-	c, err := net.DialTimeout(network, address, patience)
+	c, err := net.DialTimeout(network, address, testTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return c, c.SetDeadline(time.Now().Add(patience))
+	return c, c.SetDeadline(time.Now().Add(testTimeout))
 }
 
-// twoProtocols is a testbed whose configuration has an HTTP and an LDAP instance, on Unix sockets or on TCP.
-func twoProtocols(t *testing.T, network string) (tb *testbed, askers map[string]asker) {
+// newTwoProtocolTestbed returns a testbed whose configuration has an HTTP and an LDAP instance, on Unix sockets or on TCP.
+func newTwoProtocolTestbed(t *testing.T, network string) (tb *testbed, requesters map[string]requester) {
 	t.Helper()
 	d, err := directory.New("one", directory.Options{})
 	if err != nil {
@@ -121,7 +122,7 @@
 	if network == "tcp" {
 		addresses = map[string]string{"web": testkit.DownAddr(t), "dir": testkit.DownAddr(t)}
 	}
-	tb.writeConfig(operations + fmt.Sprintf(`
+	tb.writeConfig(ldapClassTables + fmt.Sprintf(`
 [[source]]
 name = "forms"
 list = %q
@@ -138,29 +139,29 @@
 listen = %q
 `, other.Addr(), addresses["web"], addresses["dir"]))
 	plain := func(name string) string { return strings.TrimPrefix(addresses[name], "unix:") }
-	return tb, map[string]asker{"HTTP": askHTTP(network, plain("web")), "LDAP": askLDAP(network, plain("dir"))}
+	return tb, map[string]requester{"HTTP": requestHTTP(network, plain("web")), "LDAP": requestLDAP(network, plain("dir"))}
 }
 
-// For as long after a stop as clients may go on to connect, each has its connection and its answer.
+// As long after a stop as clients may go on connecting, each gets a connection and an answer.
 func TestStoppedDaemonAcceptsWhileClientsLearnOfIt(t *testing.T) {
 	for _, network := range []string{"unix", "tcp"} {
 		t.Run(network, func(t *testing.T) {
 			t.Parallel()
-			tb, askers := twoProtocols(t, network)
+			tb, requesters := newTwoProtocolTestbed(t, network)
 			r := tb.start(Options{})
-			for name, ask := range askers {
-				if _, err := ask(); err != nil {
+			for name, sendOne := range requesters {
+				if _, err := sendOne(); err != nil {
 					t.Fatalf("%s before the stop: %v", name, err)
 				}
 			}
 			r.stop()
 			stopped := time.Now()
 			var clients sync.WaitGroup
-			for name, ask := range askers {
+			for name, sendOne := range requesters {
 				clients.Go(func() {
-					for time.Since(stopped) < noticedWithin {
+					for time.Since(stopped) < noticeDelay {
 						after := time.Since(stopped)
-						if _, err := ask(); err != nil && after < noticedWithin {
+						if _, err := sendOne(); err != nil && after < noticeDelay {
 							t.Errorf("%s, %v after the stop: %v", name, after, err)
 							return
 						}
@@ -173,35 +174,35 @@
 	}
 }
 
-// A connection that was made is not reset: what waits in a queue as a listener is closed is accepted before. On a
-// Unix socket, whose path goes first, that holds whenever it was made. A TCP listener can't be kept from taking one
-// more connection between the last look at its queue and its end (a filter of SYNs is "operation not supported"
-// here): beside five more runs of this test 3 of 360 stops reset some, all made 452 to 473 ms after the stop. Clients
-// may connect until 400 ms after it.
+// A connection that was established is not reset by a stop: connections in a listener's queue are accepted before the
+// listener is closed. On a Unix socket, whose path is removed first, that holds for every connection. A TCP listener
+// can't be prevented from taking one more connection between the last check of its queue and its end (a filter of
+// SYNs is "operation not supported" here): with five more runs of this test at the same time, 3 of 360 stops reset
+// connections, all of them established 452 to 473 ms after the stop. Clients may connect until 400 ms after the stop.
 func TestNoConnectionIsResetByAStop(t *testing.T) {
 	for _, network := range []string{"unix", "tcp"} {
 		t.Run(network, func(t *testing.T) {
 			t.Parallel()
 			for range 4 {
-				tb, askers := twoProtocols(t, network)
+				tb, requesters := newTwoProtocolTestbed(t, network)
 				r := tb.start(Options{})
-				var over atomic.Bool
-				var made atomic.Int64
+				var done atomic.Bool
+				var established atomic.Int64
 				var stoppedAt atomic.Value
 				stoppedAt.Store(time.Now())
 				var clients sync.WaitGroup
-				for name, ask := range askers {
+				for name, sendOne := range requesters {
 					for range 4 {
 						clients.Go(func() {
-							for !over.Load() {
+							for !done.Load() {
 								after := time.Since(stoppedAt.Load().(time.Time))
-								connected, err := ask()
+								connected, err := sendOne()
 								if connected {
-									made.Add(1)
+									established.Add(1)
 								}
-								promised := network == "unix" || after < noticedWithin
+								promised := network == "unix" || after < noticeDelay
 								if connected && err != nil && promised {
-									t.Errorf("%s: connected %v after the stop, and then %v", name, after, err)
+									t.Errorf("%s: connection established %v after the stop: %v", name, after, err)
 								}
 								if err != nil && !connected && !isRefusedConnect(network, err) {
 									t.Errorf("%s: %v", name, err)
@@ -215,38 +216,38 @@
 				if err := r.end(); err != nil {
 					t.Error(err)
 				}
-				over.Store(true)
+				done.Store(true)
 				clients.Wait()
-				if made.Load() == 0 {
-					t.Error("no connection was made")
+				if established.Load() == 0 {
+					t.Error("no connection was established")
 				}
 			}
 		})
 	}
 }
 
-// isRefusedConnect reports whether connect failed since nobody listens any more: nothing was sent. On TCP that may
-// also be a reset, where the client was not run between its SYN and its ACK, for longer than the agent waits for
-// handshakes.
+// isRefusedConnect reports whether connect failed because no process listens any more, in which case nothing was
+// sent. On TCP the error may also be a reset, if the client was not scheduled between its SYN and its ACK for longer
+// than the agent waits for handshakes.
 func isRefusedConnect(network string, err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ENOENT) || network == "tcp" && errors.Is(err, syscall.ECONNRESET)
 }
 
-// An instance that a reload removes accepts what waits in its queue before its listener is closed.
+// An instance that a reload removes accepts the connections in its queue before its listener is closed.
 func TestNoConnectionIsResetByTheRemovalOfItsInstance(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a", "b"))
 	r := tb.start(Options{})
-	var over atomic.Bool
+	var done atomic.Bool
 	var clients sync.WaitGroup
-	ask := askHTTP("unix", tb.socketPath("b"))
+	sendOne := requestHTTP("unix", tb.socketPath("b"))
 	for range 4 {
 		clients.Go(func() {
-			for !over.Load() {
-				if connected, err := ask(); connected && err != nil {
-					t.Errorf("connected, and then %v", err)
+			for !done.Load() {
+				if connected, err := sendOne(); connected && err != nil {
+					t.Errorf("established connection: %v", err)
 				}
 			}
 		})
@@ -260,14 +261,15 @@
 			}
 		}
 	}
-	over.Store(true)
+	done.Store(true)
 	clients.Wait()
 }
 
-// A reload that comes while the daemon stops is refused, and changes nothing. It was applied by the loop that waits
-// for the instances' ends: what it added was started, nobody stopped that, and the daemon did not end.
+// A reload while the daemon stops fails and changes nothing. The fault: the loop that waits for the ends of the
+// instances applied the reload. The instances that it added were started and never stopped, so the daemon did not
+// end.
 func TestReloadWhileStoppingIsRefused(t *testing.T) {
-	s, came, release := newHoldingServer()
+	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
 	tb := newTestbed(t, s.Member("ready"))
@@ -278,12 +280,12 @@
 		_, _, err := sendRequest(client(tb.socketPath("a"), false), "pay")
 		answered <- err
 	}()
-	testkit.Receive(t, "the request", came)
+	testkit.Receive(t, "the request", received)
 	r.stop()
-	eventually(t, "the stop", func() bool { return tb.log.count("msg=stopping") > 0 })
+	eventually(t, "the daemon stops", func() bool { return tb.log.count("msg=stopping") > 0 })
 	tb.writeConfig(tb.instanceText("a", "b"))
 	if got, err := r.Reload(); !errors.Is(err, errStopping) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("reload: %+v, %v", got, err)
 	}
 	if err := r.Handover(context.Background()); !errors.Is(err, errStopping) {
 		t.Errorf("handover: %v", err)
@@ -296,6 +298,6 @@
 		t.Error(err)
 	}
 	if _, err := os.Stat(tb.socketPath("b")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a socket is left: %v", err)
+		t.Errorf("the socket of an instance from the failed reload exists: %v", err)
 	}
 }
--- a/internal/host/daemon/successor.go
+++ b/internal/host/daemon/successor.go
@@ -17,8 +17,8 @@
 
 // A successor is the same program with the same arguments. From descriptor 3 on it inherits the pipe on which it
 // reports that it is ready, a file with the snapshot, and the sockets, whose addresses an environment variable lists
-// in the same order. cloudflare/tableflip is similar, but never closes a socket that was opened once: an address that
-// a reload removes would go on accepting connections that nothing handles.
+// in the same order. cloudflare/tableflip is similar, but is not used, because it never closes a socket that was
+// opened once: an address that a reload removes would go on accepting connections that nothing handles.
 const (
 	handoverVariable = "VETCHHAVEN_HANDOVER"
 
--- a/internal/host/daemon/switch_test.go
+++ b/internal/host/daemon/switch_test.go
@@ -56,16 +56,17 @@
 			after := under(t, "[[class]]\nname = \"close\"\naim = \"1s\"\ndeadline = \"20s\"\n"+test.class)
 			got := shortenedWindows(&before.Instances[0].Agent, &after.Instances[0].Agent)
 			if got[0] != test.want {
-				t.Errorf("%v, want %v", got[0], test.want)
+				t.Errorf("window %v, want %v", got[0], test.want)
 			}
 		})
 	}
 }
 
-// While one part is not known, requests of its instances are rejected, and those of others are admitted.
-func TestUnknownPartStopsItsInstancesAlone(t *testing.T) {
+// While a part of the policy is not known, requests of its instances are rejected, and requests of other instances
+// are admitted.
+func TestUnknownPartStopsOnlyItsInstances(t *testing.T) {
 	s := &servingState{Serving: policy.Serving{Document: &policy.Document{}, ServedParts: []string{"labs"}, Until: policy.Never}}
 	if s.servesSource("beds") || !s.servesSource("labs") || !s.servesSource("") || !s.servesSource(strings.Repeat("n", policy.MaxPartNameBytes+1)) {
-		t.Errorf("%v", s.ServedParts)
+		t.Errorf("served parts %v", s.ServedParts)
 	}
 }
--- a/internal/host/daemon/testbed_test.go
+++ b/internal/host/daemon/testbed_test.go
@@ -21,10 +21,10 @@
 	"vetchhaven/internal/standin"
 )
 
-// patience is how long a test waits for what must come: far more than it takes anywhere.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for an expected event. It is far longer than any event takes on any machine.
+const testTimeout = 20 * time.Second
 
-// logBuffer keeps what is logged.
+// logBuffer stores what is logged.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -36,20 +36,20 @@
 	return l.b.Write(p)
 }
 
-// count returns how often the lines have a text.
+// count returns how often a text occurs in the log.
 func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.b.String(), text)
 }
 
-// testbed is where daemons are tried: a list, form servers, a directory for sockets and files.
+// testbed is an environment for daemons under test: a list service, a log, and a directory for sockets and files.
 type testbed struct {
 	t    *testing.T
 	dir  string
 	list *standin.List
 	log  *logBuffer
-	head string // more of the configuration's head
+	head string // more lines for the beginning of the configuration
 }
 
 // writeFile writes a settings file, and returns its path.
@@ -62,7 +62,7 @@
 	return path
 }
 
-// newTestbed returns a testbed whose list has the servers.
+// newTestbed returns a testbed whose list contains the servers.
 func newTestbed(t *testing.T, servers ...discovery.Member) *testbed {
 	t.Helper()
 	list, err := standin.NewList("", servers...)
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	dir, err := os.MkdirTemp("", "fleet") // short: paths of unix sockets are
+	dir, err := os.MkdirTemp("", "fleet") // a short path, since the paths of Unix sockets have to be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,8 @@
 // socketPath returns the path of an instance's Unix socket, or of the admin endpoint's.
 func (tb *testbed) socketPath(name string) string { return filepath.Join(tb.dir, name+".sock") }
 
-// writeConfig writes the file: one class of each kind, and what follows.
+// writeConfig writes the settings file: a class get that is safe to repeat, a class pay that is not, and the tables
+// in rest.
 func (tb *testbed) writeConfig(rest string) string {
 	tb.t.Helper()
 	text := fmt.Sprintf(`admin = "unix:%s"
@@ -128,20 +129,19 @@
 	return out
 }
 
-// newHoldingServer is a server that holds what is paid until release, and says that it came. Release it before it is
-// closed, also
-
-// where the test fails: it waits for its answers.
-func newHoldingServer() (s *standin.Form, came chan struct{}, release func()) {
-	hold, came := make(chan struct{}), make(chan struct{}, 100)
+// newHoldingServer returns a server that reports each pay request on a channel and does not answer it until release
+// is called. release must be called before the server is closed, even if the test fails: closing waits for the
+// answers.
+func newHoldingServer() (s *standin.Form, received chan struct{}, release func()) {
+	hold, received := make(chan struct{}), make(chan struct{}, 100)
 	s = standin.NewForm("s", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/pay") {
-			came <- struct{}{}
+			received <- struct{}{}
 			<-hold
 		}
 		fmt.Fprint(w, "done")
 	})
-	return s, came, sync.OnceFunc(func() { close(hold) })
+	return s, received, sync.OnceFunc(func() { close(hold) })
 }
 
 // testDaemon is a daemon under test.
@@ -153,7 +153,7 @@
 	ready   chan struct{}
 }
 
-// start starts a daemon, and waits until it is ready.
+// start starts a daemon and waits until it is ready.
 func (tb *testbed) start(o Options) *testDaemon {
 	tb.t.Helper()
 	r, err := tb.tryStart(o)
@@ -163,14 +163,14 @@
 	select {
 	case <-r.ready:
 	case err := <-r.ended:
-		tb.t.Fatalf("it ended: %v", err)
-	case <-time.After(patience):
-		tb.t.Fatal("not ready")
+		tb.t.Fatalf("the daemon ended before it was ready: %v", err)
+	case <-time.After(testTimeout):
+		tb.t.Fatal("the daemon is not ready")
 	}
 	return r
 }
 
-// tryStart starts a daemon. An error is one of New.
+// tryStart starts a daemon and returns the error of New, if there is one.
 func (tb *testbed) tryStart(o Options) (*testDaemon, error) {
 	tb.t.Helper()
 	if o.Config == nil {
@@ -184,10 +184,10 @@
 		o.Log = slog.New(slog.NewTextHandler(tb.log, nil))
 	}
 	r := &testDaemon{testbed: tb, ended: make(chan error, 1), ready: make(chan struct{})}
-	tell := o.Ready
+	onReady := o.Ready
 	o.Ready = func() {
-		if tell != nil {
-			tell()
+		if onReady != nil {
+			onReady()
 		}
 		close(r.ready)
 	}
@@ -203,30 +203,31 @@
 	return r, nil
 }
 
-// end stops the daemon and waits for its end.
+// end stops the daemon and waits until it has ended.
 func (d *testDaemon) end() error {
 	d.stop()
 	select {
 	case err := <-d.ended:
 		d.ended <- err
 		return err
-	case <-time.After(2 * patience):
+	case <-time.After(2 * testTimeout):
 		d.testbed.t.Error("the daemon did not stop")
 		return nil
 	}
 }
 
-// client asks the instance at a unix socket, each time on a new connection unless kept.
+// client returns a client of the instance at a Unix socket. It opens a new connection for each request, unless keep
+// is true.
 func client(path string, keep bool) *http.Client {
-	return &http.Client{Timeout: 2 * patience, Transport: &http.Transport{DisableKeepAlives: !keep, MaxIdleConnsPerHost: 100,
+	return &http.Client{Timeout: 2 * testTimeout, Transport: &http.Transport{DisableKeepAlives: !keep, MaxIdleConnsPerHost: 100,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
 		}}}
 }
 
-var ids atomic.Int64
+var traceIDs atomic.Int64
 
-// sendRequest sends one request and returns its status and body, or an error.
+// sendRequest sends one request and returns the status and the body of its answer, or an error.
 func sendRequest(c *http.Client, class string) (int, string, error) {
 	method := http.MethodGet
 	if class != "get" {
@@ -236,8 +237,8 @@
 	if err != nil {
 		return 0, "", err
 	}
-	// With a list value that net/http does not take for a sign that a request may be sent again.
-	req.Header["X-Trace-Id"] = []string{fmt.Sprint("t", ids.Add(1))}
+	// The header is not one from which net/http concludes that it may send the request again.
+	req.Header["X-Trace-Id"] = []string{fmt.Sprint("t", traceIDs.Add(1))}
 	resp, err := c.Do(req)
 	if err != nil {
 		return 0, "", err
@@ -258,9 +259,9 @@
 // eventually waits until f is true.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/host/daemonconfig/config_test.go
+++ b/internal/host/daemonconfig/config_test.go
@@ -83,11 +83,11 @@
 	}
 	want := "many-10@tcp:127.0.0.1:7010 many-11@tcp:127.0.0.1:7011 many-12@tcp:127.0.0.1:7012 one@tcp:127.0.0.1:7001 sock-0@unix:/tmp/v-0.sock sock-1@unix:/tmp/v-1.sock"
 	if got := strings.Join(names, " "); got != want {
-		t.Errorf("%s\nwant %s", got, want)
+		t.Errorf("instances %s\nwant %s", got, want)
 	}
 	one, many := cfg.Instances[3].Agent, cfg.Instances[0].Agent
 	if one.Settings.Zone != 0 || many.Settings.Zone != 1 || len(one.Settings.Classes) != 1 || len(many.Settings.Classes) != 2 {
-		t.Errorf("%+v", one.Settings)
+		t.Errorf("settings %+v", one.Settings)
 	}
 	if one.Settings.Tick != 0 || one.Margin != 5*time.Millisecond || one.Settings.Balancers != 3 {
 		t.Errorf("tick %v, margin %v", one.Settings.Tick, one.Margin)
@@ -152,7 +152,7 @@
 		all, err := Shares(total, floor, weights)
 		if err != nil {
 			if total >= floor*len(weights) {
-				t.Fatalf("%v", err)
+				t.Fatalf("the total covers the floors: %v", err)
 			}
 			return
 		}
--- a/internal/host/daemonconfig/overlay_test.go
+++ b/internal/host/daemonconfig/overlay_test.go
@@ -9,7 +9,7 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-const ownFileText = `
+const policyMemberFile = `
 admin = "127.0.0.1:7900"
 state_dir = "state"
 [[source]]
@@ -41,7 +41,7 @@
 cut_off = "vetoes"
 `
 
-// under returns the configuration of ownFileText with a policy laid over it or, if both is not empty, with what that
+// under returns the configuration of policyMemberFile with a policy laid over it or, if both is not empty, with what that
 // policy and the policy in both allow.
 func under(t *testing.T, text, both string) (*Config, error) {
 	t.Helper()
@@ -49,7 +49,7 @@
 	if both != "" {
 		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return loadText(t, ownFileText).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
+	return loadText(t, policyMemberFile).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
 func TestPolicyTablesReplaceTheFiles(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 	c := cfg.Instances[0].Agent.Settings
 	if c.Classes[0].DedupWindow != 6*time.Second || c.MaxAttempts != 3 || len(cfg.Bans) != 1 || cfg.Limits == nil || cfg.Instances[0].Listen.Addr != "127.0.0.1:7001" {
-		t.Errorf("%+v, bans %v, limits %v", c, cfg.Bans, cfg.Limits)
+		t.Errorf("settings %+v, bans %v, limits %v", c, cfg.Bans, cfg.Limits)
 	}
 }
 
@@ -94,10 +94,10 @@
 	}
 	s := cfg.Instances[0].Agent.Settings
 	if k := s.Classes[0]; k.DedupWindow != 6*time.Second || k.Scope != decide.DedupScope(2) || s.MaxAttempts != 2 || !s.Hedging || len(cfg.Bans) != 2 || cfg.Limits.Settings.Limits[0].Total != 5 {
-		t.Errorf("%+v, attempts %d, bans %v", k, s.MaxAttempts, cfg.Bans)
+		t.Errorf("class %+v, attempts %d, bans %v", k, s.MaxAttempts, cfg.Bans)
 	}
 	if cfg, err = under(t, class("safe", ""), class("keyed", "window = \"6s\"\n")); err != nil || cfg.Instances[0].Agent.Settings.Classes[0].Effect != decide.NonIdempotent {
-		t.Errorf("%v", err)
+		t.Errorf("an idempotent and a keyed class are not intersected to a non-idempotent one: %v", err)
 	}
 	for _, other := range []string{"[rules]\nramp_time = \"9s\"\n", "[site]\nzones = [\"south\"]\n", strings.Replace(class("safe", ""), "close", "other", 1)} {
 		if _, err := under(t, class("safe", ""), other); err == nil {
--- a/internal/host/daemonconfig/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -9,7 +9,7 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-const twoServices = `
+const twoServicesFile = `
 admin = "127.0.0.1:7900"
 state_dir = "state"
 [[source]]
@@ -54,7 +54,7 @@
 // configuration allows what these texts and the changed texts in both allow.
 func underParts(t *testing.T, texts, both map[string]string) (*Config, error) {
 	t.Helper()
-	cfg := loadText(t, twoServices)
+	cfg := loadText(t, twoServicesFile)
 	if got := strings.Join(cfg.HeldParts(), " "); got != "beds labs" {
 		t.Fatalf("the daemon holds the parts %s", got)
 	}
@@ -93,7 +93,7 @@
 		t.Errorf("labs has %s: %+v", got, labs.Settings.Classes)
 	}
 	if cfg.Sources["beds"].List != "127.0.0.1:9999" || cfg.Sources["labs"].List != "127.0.0.1:8501" || len(cfg.Bans) != 2 || cfg.Bans[0] != (Ban{"s3", "beds", ""}) || cfg.Bans[1].Source != "labs" {
-		t.Errorf("%+v, %+v", cfg.Sources, cfg.Bans)
+		t.Errorf("sources %+v, bans %+v", cfg.Sources, cfg.Bans)
 	}
 	was, err := underParts(t, nil, nil)
 	if err != nil || !was.one("labs").EqualExceptSource(*cfg.one("labs")) {
@@ -139,13 +139,13 @@
 		t.Fatal(err)
 	}
 	if k := cfg.one("beds").Agent.Settings.Classes[0]; k.DedupWindow != 6*time.Second || len(cfg.Bans) != 3 {
-		t.Errorf("%+v, bans %v", k, cfg.Bans)
+		t.Errorf("class %+v, bans %v", k, cfg.Bans)
 	}
 	// A part that is added: the intersection is of the file's classes and the part's.
 	if cfg, err = underParts(t, nil, map[string]string{"beds": class("safe", "")}); err != nil || cfg.one("beds").Agent.Settings.Classes[0].Effect != decide.NonIdempotent || cfg.one("labs").Agent.Settings.Classes[0].Effect != decide.Keyed {
-		t.Errorf("%v", err)
+		t.Errorf("the added part is not intersected with the file's classes: %v", err)
 	}
 	if _, err := underParts(t, nil, map[string]string{"beds": "[[source]]\nlist = \"127.0.0.1:9\"\n"}); err == nil || !strings.Contains(err.Error(), "differ in [source]") {
-		t.Errorf("another list for beds: %v", err)
+		t.Errorf("a part with another list for beds: %v", err)
 	}
 }
--- a/internal/host/daemonconfig/shares.go
+++ b/internal/host/daemonconfig/shares.go
@@ -65,7 +65,7 @@
 // Shares splits a total into one share for each weight: each share gets the floor, and the rest is split by weight.
 // It returns an error if the floors exceed the total.
 func Shares(total, floor int, weights []float64) ([]int, error) {
-	const tiny = 1e-9 // prevents a division by 0 if all weights are 0
+	const minSum = 1e-9 // prevents a division by 0 if all weights are 0
 	rest := total - floor*len(weights)
 	if rest < 0 {
 		return nil, fmt.Errorf("%d are left for the instances, and each needs %d", max(0, total), floor)
@@ -76,7 +76,7 @@
 	}
 	shares := make([]int, len(weights))
 	for i, weight := range weights {
-		shares[i] = floor + int(float64(rest)*weight/max(sum, tiny))
+		shares[i] = floor + int(float64(rest)*weight/max(sum, minSum))
 	}
 	return shares, nil
 }
--- a/internal/host/daemonconfig/tables_test.go
+++ b/internal/host/daemonconfig/tables_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ldapOperations defines the classes that an instance needs to speak LDAP.
-const ldapOperations = `[[class]]
+// ldapClassTables defines the classes that an instance needs to speak LDAP.
+const ldapClassTables = `[[class]]
 name = "search"
 repeats = "safe"
 aim = "5s"
@@ -54,7 +54,7 @@
 	} {
 		_, err := Load(writeFile(t, dir, validFile+strings.Replace(text, `seeds = [""]`, `seeds = []`, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
-			t.Errorf("%s\n%v, not %s", text, err, want)
+			t.Errorf("%s\nerror %v, want %s", text, err, want)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	} {
 		_, err := Load(writeFile(t, dir, validFile+text))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "fleet.toml:") {
-			t.Errorf("%s\n%v, not %s", text, err, want)
+			t.Errorf("%s\nerror %v, want %s", text, err, want)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 func TestRegionAndItsBandwidthReachMembership(t *testing.T) {
 	cfg, err := Load(writeFile(t, t.TempDir(), validFile+"[peers]\nfleet = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7946\"\nregion = \"west\"\nfar_bytes_per_s = 5000\n"))
 	if err != nil || cfg.Peers.Membership.Region != "west" || cfg.Peers.Membership.RemoteBytesPerSecond != 5000 {
-		t.Errorf("%v: %+v", err, cfg)
+		t.Errorf("error %v, configuration %+v", err, cfg)
 	}
 }
 
@@ -98,12 +98,12 @@
 		"source[0].group":                        with("multicast = \"_form._tcp.local\"\n"),
 	} {
 		if _, err := Load(writeFile(t, dir, text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want %s, got %v", want, err)
 		}
 	}
 	cfg, err := Load(writeFile(t, dir, with("srv = [\"_form._tcp.example.org\"]\nresolvers = [\"127.0.0.1:53\"]\nhold = \"10m\"\n")))
 	if err != nil || cfg.Sources["main"].Hold != 10*time.Minute || !cfg.Sources["main"].Records() {
-		t.Errorf("%+v, %v", cfg, err)
+		t.Errorf("configuration %+v, error %v", cfg, err)
 	}
 }
 
@@ -114,24 +114,24 @@
 	for want, text := range map[string]string{
 		"needs a class \"search\"":       validFile + inst,
 		"none of http, ldap":             validFile + strings.Replace(inst, "\"ldap\"", "\"smtp\"", 1),
-		"not a class of LDAP operations": validFile + ldapOperations + inst + "classes = [\"search\", \"modify\", \"get\"]\n",
-		"is keyed":                       validFile + strings.Replace(ldapOperations, "\"modify\"", "\"modify\"\nrepeats = \"keyed\"\nwindow = \"1s\"", 1) + inst,
-		"go together":                    validFile + ldapOperations + inst + "[ldap]\ncertificate = \"x\"\n",
-		"none of starttls, ldaps":        validFile + ldapOperations + inst + "[ldap]\nserver_tls = \"some\"\n",
-		"no such file":                   validFile + ldapOperations + inst + "[ldap]\nserver_tls = \"ldaps\"\nserver_ca = \"none.pem\"\n",
-		"ldap.max_message":               validFile + ldapOperations + inst + "[ldap]\nmax_message = -1\n",
+		"not a class of LDAP operations": validFile + ldapClassTables + inst + "classes = [\"search\", \"modify\", \"get\"]\n",
+		"is keyed":                       validFile + strings.Replace(ldapClassTables, "\"modify\"", "\"modify\"\nrepeats = \"keyed\"\nwindow = \"1s\"", 1) + inst,
+		"go together":                    validFile + ldapClassTables + inst + "[ldap]\ncertificate = \"x\"\n",
+		"none of starttls, ldaps":        validFile + ldapClassTables + inst + "[ldap]\nserver_tls = \"some\"\n",
+		"no such file":                   validFile + ldapClassTables + inst + "[ldap]\nserver_tls = \"ldaps\"\nserver_ca = \"none.pem\"\n",
+		"ldap.max_message":               validFile + ldapClassTables + inst + "[ldap]\nmax_message = -1\n",
 	} {
 		if _, err := Load(writeFile(t, dir, text)); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), filepath.Join(dir, "")) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want %s, got %v", want, err)
 		}
 	}
-	cfg, err := Load(writeFile(t, dir, validFile+ldapOperations+inst))
+	cfg, err := Load(writeFile(t, dir, validFile+ldapClassTables+inst))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, i := range cfg.Instances {
 		if i.Name == "dir" && (i.LDAP == nil || fmt.Sprint(i.Agent.Site.Classes) != "[search modify]") || i.Name == "one" && i.LDAP != nil {
-			t.Errorf("%+v", i)
+			t.Errorf("instance %+v", i)
 		}
 	}
 }
