--- a/internal/host/daemon/admission.go
+++ b/internal/host/daemon/admission.go
@@ -53,7 +53,7 @@
 	s := d.serving.Load()
 	agent := h.agent
 	if _, isReplaced := d.replaced.Load(agent); isReplaced || s == nil {
-		return // a replaced agent keeps the time that it was given when it was replaced
+		return // there is no policy, or the agent is replaced and keeps the time that it was given then
 	}
 	isCurrent := h.fingerprint == s.Fingerprint()
 	switch {
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -139,7 +139,7 @@
 	disk := d.policy.disk
 	if h := d.policy.handoff; h != nil {
 		d.policy.handoffSeq = max(d.policy.handoffSeq, h.Seq)
-		disk.ProvenCurrent = true // no other process had the file meanwhile
+		disk.ProvenCurrent = true // the earlier member wrote this file, and no other process had it meanwhile
 	}
 	d.policy.diskUnused = false
 	d.policy.handoff = nil
