--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -88,7 +88,7 @@
 	if err == nil || d.ctx.Err() != nil {
 		return
 	}
-	d.log.Error("fleet: membership and its transport have failed and are started again; instances go on serving", "error", err)
+	d.log.Error("fleet: membership and its transport have failed; they are started again, and instances go on serving", "error", err)
 	d.saveHandoff()
 	if d.now()-startedAt > maxPeeringBackoff {
 		p.failures = 0
