--- a/internal/host/daemonconfig/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -9,7 +9,7 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-const twoServices = `
+const twoServicesFile = `
 admin = "127.0.0.1:7900"
 state_dir = "state"
 [[source]]
@@ -50,13 +50,13 @@
 cut_off = "vetoes"
 `
 
-// underParts returns the configuration of a host with two services under texts of parts, or under what these and changes of
-// them both allow.
+// underParts returns the configuration of a host with two services under texts of parts. If both is not empty, the
+// configuration allows what these texts and the changed texts in both allow.
 func underParts(t *testing.T, texts, both map[string]string) (*Config, error) {
 	t.Helper()
-	cfg := loadText(t, twoServices)
+	cfg := loadText(t, twoServicesFile)
 	if got := strings.Join(cfg.HeldParts(), " "); got != "beds labs" {
-		t.Fatalf("it holds the parts of %s", got)
+		t.Fatalf("the daemon holds the parts %s", got)
 	}
 	var docs []policy.Document
 	var changes []*policy.Document
@@ -93,11 +93,11 @@
 		t.Errorf("labs has %s: %+v", got, labs.Settings.Classes)
 	}
 	if cfg.Sources["beds"].List != "127.0.0.1:9999" || cfg.Sources["labs"].List != "127.0.0.1:8501" || len(cfg.Bans) != 2 || cfg.Bans[0] != (Ban{"s3", "beds", ""}) || cfg.Bans[1].Source != "labs" {
-		t.Errorf("%+v, %+v", cfg.Sources, cfg.Bans)
+		t.Errorf("sources %+v, bans %+v", cfg.Sources, cfg.Bans)
 	}
 	was, err := underParts(t, nil, nil)
 	if err != nil || !was.one("labs").EqualExceptSource(*cfg.one("labs")) {
-		t.Errorf("%v: an instance of labs is replaced for a change of beds", err)
+		t.Errorf("%v: an instance of labs is replaced because of a change of beds", err)
 	}
 }
 
@@ -139,13 +139,13 @@
 		t.Fatal(err)
 	}
 	if k := cfg.one("beds").Agent.Settings.Classes[0]; k.DedupWindow != 6*time.Second || len(cfg.Bans) != 3 {
-		t.Errorf("%+v, bans %v", k, cfg.Bans)
+		t.Errorf("class %+v, bans %v", k, cfg.Bans)
 	}
-	// The part comes to be: by the file, and by it.
+	// A part that is added: the intersection is of the file's classes and the part's.
 	if cfg, err = underParts(t, nil, map[string]string{"beds": class("safe", "")}); err != nil || cfg.one("beds").Agent.Settings.Classes[0].Effect != decide.NonIdempotent || cfg.one("labs").Agent.Settings.Classes[0].Effect != decide.Keyed {
-		t.Errorf("%v", err)
+		t.Errorf("the added part is not intersected with the file's classes: %v", err)
 	}
 	if _, err := underParts(t, nil, map[string]string{"beds": "[[source]]\nlist = \"127.0.0.1:9\"\n"}); err == nil || !strings.Contains(err.Error(), "differ in [source]") {
-		t.Errorf("another list for beds: %v", err)
+		t.Errorf("a part with another list for beds: %v", err)
 	}
 }
