--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays decide balancers on the bench's wire: batches of
-// events on standard input, one reply per batch on standard output.
+// Command adapter runs decide balancers for the simulator: it reads batches of events from standard input and writes
+// one reply per batch to standard output.
 package main
 
 import (
@@ -15,14 +15,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // short-lived garbage and a small heap: collect seldom
+	debug.SetGCPercent(800) // the heap is small and most garbage is short-lived, so infrequent collection is cheap
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// stepper is what an instance does; in service a *decide.Balancer.
+// stepper is the interface of an instance: a *decide.Balancer, or a fake in tests.
 type stepper interface {
 	Step(now time.Duration, events []decide.Event) []decide.Action
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// answer gives each instance its events of the batch in one step. A start or
-// stop within the batch ends the step before it.
+// answer passes each instance its events of the batch in one step, and writes the actions. If an instance is started
+// within the batch, the events before the start form a step of their own.
 func answer(batch *wire.Batch, instances map[int]stepper, w *wire.Writer) error {
 	var order []int
 	pending := map[int][]decide.Event{}
@@ -84,7 +84,7 @@
 		case instances[e.Agent] == nil:
 			return fmt.Errorf("line %d: instance %d is not open", e.Line, e.Agent)
 		case e.Retire:
-			pending[e.Agent] = nil // killed: what came just before has no one to act on it
+			pending[e.Agent] = nil // the instance is killed, so its preceding events in this batch are dropped
 			delete(instances, e.Agent)
 		default:
 			pending[e.Agent] = append(pending[e.Agent], e.Event)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// step turns a panic of the decision code into its text.
+// step calls b.Step and returns the text of a panic in it as fault.
 func step(b stepper, now time.Duration, events []decide.Event) (acts []decide.Action, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestRunFaults(t *testing.T) {
-	var many []string // a start, again and again, so that each ends a step with replies
+	var many []string // repeated starts: each one ends a step that has replies
 	for i := range 2000 {
 		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), open, lists)
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// A panic of the decision code is reported with its text, and the link goes on.
-func TestPanicIsBroken(t *testing.T) {
+// A panic of the decision code is reported with its text, and the connection stays in use.
+func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
 	b := &wire.Batch{Events: []wire.Event{{Agent: 2, Event: decide.Request{ID: "x"}}}}
--- a/internal/host/admin/figures.go
+++ b/internal/host/admin/figures.go
@@ -14,16 +14,16 @@
 	Sends    int64 `json:"sends"`
 }
 
-// figures is the body of GET /metrics, by the names of the platform's protocol page.
+// figures is the body of GET /metrics, with the names that the platform's protocol defines.
 type figures struct {
-	Transactions map[string]classFigures `json:"transactions"` // by the class's name
-	Sends        int64                   `json:"sends"`        // of all classes
+	Transactions map[string]classFigures `json:"transactions"` // by class name
+	Sends        int64                   `json:"sends"`        // sum over all classes
 	Current      int64                   `json:"current"`
 	Listed       int                     `json:"cluster_size"`
 	Avoided      int                     `json:"cluster_unhealthy"`
 }
 
-// EncodeFigures is the body of GET /metrics: JSON and a line feed.
+// EncodeFigures returns the body of GET /metrics: JSON and a line feed.
 func EncodeFigures(f core.Status) []byte {
 	out := figures{
 		Transactions: map[string]classFigures{},
@@ -36,7 +36,7 @@
 		out.Sends += c.Sends
 	}
 	text, err := json.Marshal(out)
-	if err != nil { // it holds numbers and names alone
+	if err != nil { // cannot happen: the value holds only numbers and names
 		panic(err)
 	}
 	return append(text, '\n')
--- a/internal/host/admin/golden_test.go
+++ b/internal/host/admin/golden_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// The body of GET /metrics, which the platform reads.
+// The body of GET /metrics must not change: the platform reads it.
 func TestFiguresStayAsThePlatformReadsThem(t *testing.T) {
 	var f core.Status
 	golden.Fill(&f)
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -1,8 +1,9 @@
-// Package admin is the admin endpoint of one agent: an HTTP/1.1 listener of its own for readiness, figures, endpoints disabled by
-// hand, and draining of clients. A connection serves one call.
+// Package admin implements the admin endpoint of one agent: a separate HTTP/1.1 listener that reports readiness and
+// counters, and through which operators disable endpoints and drain clients. A connection serves one call.
 //
-// It decides nothing and holds none of the agent's state: each call is passed to the agent, and what an operator changed to a
-// Publisher, which makes it hold in the agent's other processes too. Handlers run in goroutines of net/http.
+// The package makes no decisions and holds none of the agent's state: it passes each call to the agent, and each
+// change by an operator to a Publisher, which applies the change in the agent's other processes too. Handlers run in
+// goroutines of net/http.
 package admin
 
 import (
@@ -23,31 +24,33 @@
 
 // Agent is the agent that the endpoint serves. Its methods are called from several goroutines at once.
 type Agent interface {
-	// Accepting reports whether the agent takes clients.
+	// Accepting reports whether the agent accepts clients.
 	Accepting() bool
-	// Status returns what the agent counts, after at most wait.
+	// Status returns the agent's counters, after at most wait.
 	Status(wait time.Duration) core.Status
-	// SetServerDisabled disables an endpoint or enables it. known is false where no list names it: then nothing changes.
+	// SetServerDisabled disables or enables an endpoint. If no endpoint list contains it, known is false and nothing
+	// changes.
 	SetServerDisabled(ctx context.Context, server string, disabled bool) (known bool, err error)
-	// SetDrained has clients sent to other agents, or taken again.
+	// SetDrained makes the agent send its clients to other agents, or accept clients again.
 	SetDrained(drained bool)
 }
 
-// Publisher makes an operator's change hold in the agent's other processes, and in the one that replaces this one. Publish
-// returns once the others have applied the change, or with an error after handoff.AckTimeout: then the change may be stored all
-// the same.
+// Publisher shares an operator's change with the agent's other processes and with the process that replaces this one.
+// Publish returns once the others have applied the change, or an error after handoff.AckTimeout; in that case the
+// change may have been stored nevertheless.
 type Publisher interface{ Publish(c handoff.Change) error }
 
 const (
-	// callTimeout bounds reading a call, header and body; handling it and writing its response may take twice as long.
+	// callTimeout bounds reading a call (header and body). Handling the call and writing its response may take twice
+	// as long.
 	callTimeout = time.Second
-	// agentTimeout bounds disabling or enabling an endpoint in the agent, so that a caller learns of a busy agent before it gives
-	// up itself. Publishing the change takes up to handoff.AckTimeout more.
+	// agentTimeout bounds disabling or enabling an endpoint in the agent, so that a caller is told of a busy agent
+	// before the caller itself times out. Publishing the change takes up to handoff.AckTimeout more.
 	agentTimeout = 700 * time.Millisecond
-	// figuresTimeout bounds counting the endpoints; after it the figures are those of an earlier moment.
+	// figuresTimeout bounds the wait for current endpoint counts; after it the response contains earlier counts.
 	figuresTimeout = 200 * time.Millisecond
-	// maxIdleConns bounds the connections that have not sent the complete header of a call. Past it the oldest is closed, so that idle
-	// connections never keep a call out.
+	// maxIdleConns bounds the connections that have not sent the complete header of a call. Beyond the bound the
+	// oldest one is closed, so that idle connections never prevent a call.
 	maxIdleConns = 24
 	// maxHeaderBytes bounds the header of a call.
 	maxHeaderBytes = 8 << 10
@@ -62,19 +65,19 @@
 	server    *http.Server
 
 	mu           sync.Mutex
-	idle         *list.List // of net.Conn that have not sent a complete call, the oldest first
+	idle         *list.List // of net.Conn that have not sent a complete call, oldest first
 	idleElements map[net.Conn]*list.Element
 }
 
-// noPublisher is for an agent that has no other processes.
+// noPublisher is the Publisher of an agent that has no other processes.
 type noPublisher struct{}
 
 func (noPublisher) Publish(handoff.Change) error { return nil }
 
-// connKey is the key of a call's connection in its context.
+// connKey is the context key under which a call's connection is stored.
 type connKey struct{}
 
-// Listen listens at addr and serves calls until Close. publisher may be nil.
+// Listen listens on addr and serves calls until Close. publisher may be nil.
 func Listen(addr string, agent Agent, publisher Publisher, log *slog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -114,13 +117,14 @@
 	}
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Close stops listening. Calls that are being served are completed.
+// Close stops listening. Calls in progress are completed.
 func (s *Server) Close() error { return s.ln.Close() }
 
-// trackConn notes which connections have not sent a complete call yet, and closes the oldest past maxIdleConns.
+// trackConn records the connections that have not sent a complete call yet, and closes the oldest one beyond
+// maxIdleConns.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +133,7 @@
 		s.idleElements[c] = s.idle.PushBack(c)
 		if s.idle.Len() > maxIdleConns {
 			oldest := s.idle.Front().Value.(net.Conn)
-			_ = oldest.Close() // what it still has to say is not wanted
+			_ = oldest.Close() // an error on closing does not matter: the connection is discarded
 			s.untrackConn(oldest)
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -137,7 +141,7 @@
 	}
 }
 
-// untrackConn forgets a connection. s.mu is held.
+// untrackConn removes a connection from the idle connections. The caller holds s.mu.
 func (s *Server) untrackConn(c net.Conn) {
 	if e := s.idleElements[c]; e != nil {
 		s.idle.Remove(e)
@@ -145,14 +149,14 @@
 	}
 }
 
-// Counted is an Agent that has counters for GET /metrics?format=prometheus.
+// Counted is implemented by an Agent that has counters for GET /metrics?format=prometheus.
 type Counted interface {
 	Name() string
 	Totals() core.Totals
 	Counters() core.Counters
 }
 
-// metricsHandler shows the agent's counters; nil: it has none.
+// metricsHandler returns a handler that exposes the agent's counters, or nil if the agent has none.
 func (s *Server) metricsHandler() http.Handler {
 	a, counts := s.agent.(Counted)
 	if !counts {
@@ -172,7 +176,7 @@
 	mux.HandleFunc("PUT /drain", func(w http.ResponseWriter, _ *http.Request) { s.setDraining(w, true) })
 	mux.HandleFunc("PUT /undrain", func(w http.ResponseWriter, _ *http.Request) { s.setDraining(w, false) })
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connKey{}).(net.Conn); ok { // its call is complete
+		if c, ok := r.Context().Value(connKey{}).(net.Conn); ok { // the header of the call is complete
 			s.mu.Lock()
 			s.untrackConn(c)
 			s.mu.Unlock()
@@ -181,14 +185,15 @@
 	})
 }
 
-// ready answers 200 while the agent takes clients.
+// ready answers 200 while the agent accepts clients.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.agent.Accepting() {
 		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
 	}
 }
 
-// metrics answers with the platform's figures as JSON, or, where that is asked for, with counters for Prometheus (nil: none).
+// metrics answers with the platform's figures as JSON, or with counters for Prometheus if the query asks for them and
+// prometheus is not nil.
 func (s *Server) metrics(prometheus http.Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if prometheus != nil && r.URL.Query().Get("format") == "prometheus" {
@@ -216,17 +221,19 @@
 	}
 }
 
-// setDraining has the agent drain, or take clients again.
+// setDraining makes the agent drain, or accept clients again.
 func (s *Server) setDraining(w http.ResponseWriter, on bool) {
 	s.agent.SetDrained(on)
 	s.publish(w, handoff.Change{On: on})
 }
 
-// publish passes on a change that is in effect here, and answers 200 also if that fails: the operator's change holds in this
-// process all the same, and the log says that others may not have applied it.
+// publish shares a change that is already in effect in this process, and answers 200 even if that fails: the
+// operator's change is in effect in this process anyway, and the log says that other processes may not have applied
+// it.
 func (s *Server) publish(w http.ResponseWriter, c handoff.Change) {
 	if err := s.publisher.Publish(c); err != nil {
-		s.log.Error("what an operator said holds here, and is not kept for another process", "error", err)
+		s.log.Error("an operator's change is in effect in this process, but could not be shared with the agent's other processes",
+			"error", err)
 	}
 	w.WriteHeader(http.StatusOK)
 }
--- a/internal/host/admin/server_test.go
+++ b/internal/host/admin/server_test.go
@@ -56,7 +56,7 @@
 	a.calls = append(a.calls, fmt.Sprint("drain", on))
 }
 
-// failingPublisher can publish nothing.
+// failingPublisher is a Publisher whose Publish always fails.
 type failingPublisher struct{}
 
 func (failingPublisher) Publish(handoff.Change) error { return errors.New("disk full") }
@@ -84,14 +84,14 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || !resp.Close {
-		t.Errorf("%s %s: %v, and the connection is kept: %v", method, url, err, !resp.Close)
+		t.Errorf("%s %s: error %v, connection kept open: %v", method, url, err, !resp.Close)
 	}
 	return resp.StatusCode, string(text)
 }
 
 func TestEachCallReachesTheAgent(t *testing.T) {
 	a := &fakeAgent{known: map[string]bool{"s-1": true, "a/b": true}}
-	base := startServer(t, a, failingPublisher{}) // a change that can't be published holds all the same
+	base := startServer(t, a, failingPublisher{}) // a change that can't be published is in effect nevertheless
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -114,7 +114,7 @@
 	a.accepting = true
 	a.mu.Unlock()
 	if status, _ := call(t, "GET", base+"/ready"); status != 200 {
-		t.Errorf("ready: %d", status)
+		t.Errorf("ready: status %d, want 200", status)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// Connections with no call, or half of one, keep no call waiting, however many they are.
+// Connections that have sent no call or half a call don't delay other calls, however many such connections there are.
 func TestIdleConnectionsAreEvictedForACall(t *testing.T) {
 	base := startServer(t, &fakeAgent{accepting: true}, nil)
 	for i := range 4 * maxIdleConns {
@@ -150,7 +150,7 @@
 		}
 		if i%8 == 0 {
 			if status, _ := call(t, "GET", base+"/ready"); status != 200 {
-				t.Fatalf("ready beside %d idle connections: %d", i+1, status)
+				t.Fatalf("ready with %d idle connections open: status %d", i+1, status)
 			}
 		}
 	}
@@ -168,13 +168,13 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(bufio.NewReader(c)); err != nil {
-		t.Errorf("not closed: %v", err)
+		t.Errorf("connection was not closed: %v", err)
 	}
 }
 
-// An agent that does not answer is reported as unavailable, before the caller gives up.
+// If the agent does not answer, the call is answered with 503 before the caller times out.
 func TestBusyAgentIsReportedInTime(t *testing.T) {
 	if status, text := call(t, "PUT", startServer(t, &fakeAgent{stuck: true}, nil)+"/backends/disable/x"); status != 503 {
-		t.Errorf("%d %q", status, text)
+		t.Errorf("status %d %q, want 503", status, text)
 	}
 }
--- a/internal/host/handoff/dir.go
+++ b/internal/host/handoff/dir.go
@@ -19,39 +19,41 @@
 )
 
 const (
-	// sharedSyncInterval is the time between two looks at the state file while another process is alive: an operator's call
-	// waits for the other process to have looked.
+	// sharedSyncInterval is the time between two reads of the state file while another process is alive. It is short
+	// because an operator's call waits until the other process has read the file.
 	sharedSyncInterval = 25 * time.Millisecond
-	// aloneSyncInterval is the same while no other process is alive. Then nobody else changes the file, so the only cost is that a
-	// new process is noticed late by as much.
+	// aloneSyncInterval is the interval while no other process is alive. No other process changes the file then, so
+	// the only cost of a long interval is that a new process is noticed that much later.
 	aloneSyncInterval = 250 * time.Millisecond
-	// AckTimeout is how long Publish waits for the other processes once the change is stored. The caller of the admin endpoint
-	// waits 1 s.
+	// AckTimeout is how long Publish waits for the other processes after the change has been stored. It is below the
+	// 1 s for which the caller of the admin endpoint waits.
 	AckTimeout = 400 * time.Millisecond
 
 	stateFileName  = "said.json"
 	lockFileName   = "lock"
 	liveFileSuffix = ".live"
-	// maxFileBytes bounds what is read of the state file: ten times what maxDisabled endpoints take.
+	// maxFileBytes bounds the size of a state file that is read: ten times the size of a state with maxDisabled
+	// endpoints.
 	maxFileBytes = 4 << 20
 )
 
-var errNotAcknowledged = errors.New("another process has not heard of it yet")
+var errNotAcknowledged = errors.New("another process has not applied the change yet")
 
-// Dir is one process's part in the directory that all processes of an agent share. Its methods may be called from any
-// goroutine.
+// Dir is one process's handle on the directory that all processes of an agent share. Its methods may be called from
+// any goroutine.
 type Dir struct {
 	path       string
-	ackTimeout time.Duration // AckTimeout, but for tests
-	liveFile   *os.File      // locked while this process is alive; holds the version of the state that it has applied
+	ackTimeout time.Duration // AckTimeout, except in tests
+	liveFile   *os.File      // locked while this process is alive; contains publishedVersion
 
 	mu               sync.Mutex
 	applied          OperatorState // in effect in this process
-	publishedVersion int64         // the version of it that liveFile holds
+	publishedVersion int64         // the version of applied that liveFile contains
 }
 
-// Open joins the directory at path, which it makes if it is missing. The state in it holds where another process is alive; else
-// it is left over from an earlier run, and removed. An error says that the directory can't be used, or is another user's.
+// Open joins the directory at path and creates it if it is missing. The state in the directory is valid if another
+// process is alive. Otherwise it is left over from an earlier run and is removed. Open returns an error if the
+// directory can't be used or belongs to another user.
 func Open(path string) (d *Dir, err error) {
 	if err := os.Mkdir(path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
@@ -78,7 +80,7 @@
 	return d, nil
 }
 
-// checkPrivate refuses a directory that another user may have made: its parent may be writable by all.
+// checkPrivate rejects a directory that another user may have created, since the parent may be writable by everyone.
 func checkPrivate(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
@@ -87,15 +89,15 @@
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	ownedByOther := ok && int(stat.Uid) != os.Geteuid()
 	if !info.IsDir() || info.Mode().Perm()&0o077 != 0 || ownedByOther {
-		return fmt.Errorf("%s: is not a directory of this user's alone", path)
+		return fmt.Errorf("%s: not a directory that only this user can access", path)
 	}
 	return nil
 }
 
 func (d *Dir) file(name string) string { return filepath.Join(d.path, name) }
 
-// createLiveFile makes the file whose lock says that this process is alive. It is locked before it gets the name by which other
-// processes look for it.
+// createLiveFile creates the file whose lock shows that this process is alive. The file is locked before it gets the
+// name by which other processes look for it.
 func (d *Dir) createLiveFile() error {
 	f, err := os.CreateTemp(d.path, "new")
 	if err != nil {
@@ -114,19 +116,19 @@
 	return nil
 }
 
-// Close leaves the directory: other processes wait for this one no more.
+// Close leaves the directory: other processes no longer wait for this one.
 func (d *Dir) Close() error {
 	_ = os.Remove(d.liveFile.Name() + liveFileSuffix)
 	return d.liveFile.Close()
 }
 
-// withLock runs f while no other process runs one.
+// withLock runs f while it holds the directory's lock, so that only one process at a time runs such a function.
 func (d *Dir) withLock(f func() error) error {
 	lock, err := os.OpenFile(d.file(lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	defer lock.Close() // frees it
+	defer lock.Close() // releases the lock
 	for {
 		err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX)
 		if !errors.Is(err, syscall.EINTR) {
@@ -139,7 +141,8 @@
 	return f()
 }
 
-// otherVersions lists the versions that the other live processes have applied. The files of ended ones are removed.
+// otherVersions lists the versions that the other live processes have applied. It removes the files of processes that
+// have ended.
 func (d *Dir) otherVersions() (versions []int64, err error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -158,15 +161,15 @@
 	return versions, nil
 }
 
-// readVersion is the version that the process of a live file has applied; alive is false, and the file removed, once that
-// process has ended.
+// readVersion returns the version that the process of a live file has applied. If that process has ended, alive is
+// false and the file is removed.
 func readVersion(name string) (v int64, alive bool) {
 	f, err := os.OpenFile(name, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
-		return 0, false // it has just ended
+		return 0, false // the process has just ended
 	}
 	if err != nil {
-		return 0, true // it can't be read now, for want of a descriptor perhaps: the process counts as alive
+		return 0, true // can't be opened now, perhaps for lack of a file descriptor: the process counts as alive
 	}
 	defer f.Close()
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); err == nil {
@@ -175,12 +178,12 @@
 	}
 	var text [8]byte
 	if _, err := f.ReadAt(text[:], 0); err != nil {
-		return 0, true // it has applied nothing yet
+		return 0, true // the process has not applied any state yet
 	}
 	return int64(binary.BigEndian.Uint64(text[:])), true
 }
 
-// read is the state in the file; the zero state where there is none.
+// read returns the state in the file, or the zero state if there is no file.
 func (d *Dir) read() (OperatorState, error) {
 	text, err := readBounded(d.file(stateFileName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -196,20 +199,21 @@
 	return state, nil
 }
 
-// readBounded reads a file of up to maxFileBytes.
+// readBounded reads a file of at most maxFileBytes.
 func readBounded(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%d bytes are too many", info.Size())
+		return nil, fmt.Errorf("state file of %d bytes is too large", info.Size())
 	}
 	return os.ReadFile(path)
 }
 
-// Publish stores a change that this process has applied, and returns once every other live process has applied it too. After
-// AckTimeout it returns an error: the change is stored, and another process may apply it later.
+// Publish stores a change that this process has applied, and returns once every other live process has applied it too.
+// If that takes longer than AckTimeout, Publish returns an error: the change is stored, and the other processes may
+// apply it later.
 func (d *Dir) Publish(change Change) error {
 	stored, err := d.store(change)
 	if err != nil {
@@ -230,7 +234,7 @@
 	}
 }
 
-// store writes the state after a change to the file, and returns it.
+// store adds a change to the state in the file, and returns the new state.
 func (d *Dir) store(change Change) (stored OperatorState, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -255,8 +259,9 @@
 	return stored, err
 }
 
-// recordApplied notes that this process has applied a change. It keeps the old version number: the file may hold changes of
-// other processes that are not applied here yet, and the next sync takes the file's version. d.mu is held.
+// recordApplied records that this process has applied a change. It keeps the old version number: the file may contain
+// changes of other processes that this process has not applied yet, and the next sync takes over the file's version.
+// The caller holds d.mu.
 func (d *Dir) recordApplied(change Change) error {
 	after, err := d.applied.Apply(change)
 	if err != nil {
@@ -267,8 +272,8 @@
 	return nil
 }
 
-// Sync applies the changes that other processes have stored, and returns how many other processes are alive. apply returns once
-// a change is in effect in this process.
+// Sync applies the changes that other processes have stored, and returns the number of other live processes. apply
+// must return once a change is in effect in this process.
 func (d *Dir) Sync(apply func(Change) error) (otherProcesses int, err error) {
 	if err := d.applyNew(apply); err != nil {
 		return 0, err
@@ -278,7 +283,7 @@
 }
 
 func (d *Dir) applyNew(apply func(Change) error) error {
-	d.mu.Lock() // a change of this process between reading and applying would be undone
+	d.mu.Lock() // without the lock, a change of this process between reading and applying would be undone
 	defer d.mu.Unlock()
 	stored, err := d.read()
 	if err != nil {
@@ -296,8 +301,8 @@
 	return d.publishVersion()
 }
 
-// publishVersion writes the applied version into the live file, where the other processes see it. A write that fails is retried
-// at the next sync. d.mu is held.
+// publishVersion writes the applied version into the live file, where the other processes read it. A failed write is
+// retried at the next sync. The caller holds d.mu.
 func (d *Dir) publishVersion() error {
 	if d.publishedVersion == d.applied.Version {
 		return nil
@@ -311,8 +316,8 @@
 	return nil
 }
 
-// Follow syncs until ctx ends. It calls changed whenever the number of other processes differs from the last one, which is
-// otherProcesses at first, and report with the first error of each row of errors.
+// Follow calls Sync repeatedly until ctx ends. It calls changed whenever the number of other processes changes;
+// otherProcesses is the initial number. It calls report with the first of several consecutive errors.
 func (d *Dir) Follow(ctx context.Context, otherProcesses int, apply func(Change) error, changed func(int), report func(error)) {
 	failed := false
 	for {
@@ -338,7 +343,7 @@
 	}
 }
 
-// sleep waits for a while; false: ctx has ended.
+// sleep waits for d. It returns false if ctx has ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/host/handoff/dir_test.go
+++ b/internal/host/handoff/dir_test.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// process stands for one process of an agent that shares the directory.
+// process simulates one process of an agent that shares the directory.
 type process struct {
 	*Dir
 	mu             sync.Mutex
@@ -69,46 +69,46 @@
 	return strings.Join(p.received, " ")
 }
 
-// A change is in effect in the other process once Publish has returned, both ways; it is not applied again by the process that
-// published it; and a process that joins later has it from the start.
+// Once Publish has returned, the change is in effect in the other process, in both directions. The process that
+// published a change does not apply it again. A process that joins later has all changes from the start.
 func TestChangeOfOneProcessIsAppliedByAll(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
-	old := join(t, path)
-	if err := old.Publish(Change{"a", true}); err != nil {
+	first := join(t, path)
+	if err := first.Publish(Change{"a", true}); err != nil {
 		t.Fatal(err)
 	}
-	young := join(t, path)
-	if got := young.describeState(); got != "atrue" {
-		t.Errorf("the new one knows %q", got)
+	second := join(t, path)
+	if got := second.describeState(); got != "atrue" {
+		t.Errorf("the second process has %q", got)
 	}
-	testkit.Receive(t, "word of the other", old.otherProcesses)
-	if err := young.Publish(Change{"b", true}); err != nil {
+	testkit.Receive(t, "notice of the other process", first.otherProcesses)
+	if err := second.Publish(Change{"b", true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := young.Publish(Change{"a", false}); err != nil {
+	if err := second.Publish(Change{"a", false}); err != nil {
 		t.Fatal(err)
 	}
-	if err := old.Publish(Change{"", true}); err != nil {
+	if err := first.Publish(Change{"", true}); err != nil {
 		t.Fatal(err)
 	}
-	if o, y := old.describeState(), young.describeState(); o != "btrue afalse" || y != "atrue true" {
-		t.Errorf("old received %q, new received %q", o, y)
+	if f, s := first.describeState(), second.describeState(); f != "btrue afalse" || s != "atrue true" {
+		t.Errorf("first received %q, second received %q", f, s)
 	}
-	old.leave()
-	if n := testkit.Receive(t, "word that it is alone", young.otherProcesses); n != 0 {
-		t.Errorf("%d beside", n)
+	first.leave()
+	if n := testkit.Receive(t, "notice that no other process is alive", second.otherProcesses); n != 0 {
+		t.Errorf("%d other processes, want 0", n)
 	}
 	third := join(t, path)
 	if got := third.describeState(); got != "true btrue" {
-		t.Errorf("the third knows %q", got)
+		t.Errorf("the third process has %q", got)
 	}
 }
 
-// Two that speak at once: both words hold in both.
+// Changes that two processes publish at the same time are applied by both.
 func TestConcurrentChangesAreBothApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	one, two := join(t, path), join(t, path)
-	testkit.Receive(t, "word of the other", one.otherProcesses)
+	testkit.Receive(t, "notice of the other process", one.otherProcesses)
 	var both sync.WaitGroup
 	for _, p := range []*process{one, two} {
 		both.Go(func() {
@@ -121,10 +121,10 @@
 	}
 	both.Wait()
 	for _, p := range []*process{one, two} {
-		testkit.WaitFor(t, "the other's words", func() bool { return len(strings.Fields(p.describeState())) == 20 })
+		testkit.WaitFor(t, "the other process's changes", func() bool { return len(strings.Fields(p.describeState())) == 20 })
 	}
 	if s, err := one.read(); err != nil || len(s.Disabled) != 40 || s.Version != 40 {
-		t.Errorf("%d kept, version %d, %v", len(s.Disabled), s.Version, err)
+		t.Errorf("%d servers stored, version %d, error %v", len(s.Disabled), s.Version, err)
 	}
 }
 
@@ -133,7 +133,7 @@
 	return err
 }
 
-// A process that is alone discards the state of an earlier run.
+// A process discards the state of an earlier run if no other process is alive.
 func TestStateOfEarlierRunIsDiscarded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	first := join(t, path)
@@ -142,11 +142,11 @@
 	}
 	first.leave()
 	if got := join(t, path).describeState(); got != "" {
-		t.Errorf("it knows %q", got)
+		t.Errorf("state of the earlier run was kept: %q", got)
 	}
 }
 
-// A killed process leaves its live file, unlocked: Publish does not wait for it.
+// A killed process leaves its live file behind, unlocked. Publish does not wait for such a process.
 func TestPublishDoesNotWaitForKilledProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	killed, err := Open(path)
@@ -154,16 +154,16 @@
 		t.Fatal(err)
 	}
 	alive := join(t, path)
-	killed.liveFile.Close() // as the kernel does at its end; its file stays
+	killed.liveFile.Close() // as the kernel does when the process ends; the file itself stays
 	if err := alive.Publish(Change{"a", true}); err != nil {
 		t.Error(err)
 	}
 	if n, err := alive.Sync(alive.apply); n != 0 || err != nil {
-		t.Errorf("%d beside, %v", n, err)
+		t.Errorf("%d other processes, error %v", n, err)
 	}
 }
 
-// Publish fails in time while another process does not apply the change; once that process can, it does.
+// Publish returns an error in time if another process does not apply the change. That process applies it once it can.
 func TestPublishReportsProcessThatDoesNotAck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	stuck, other := join(t, path), join(t, path)
@@ -172,16 +172,16 @@
 	stuck.refuses = true
 	stuck.mu.Unlock()
 	if err := other.Publish(Change{"a", true}); err == nil {
-		t.Error("published, though one process has not applied it")
+		t.Error("published, although one process has not applied the change")
 	}
 	testkit.Receive(t, "error", stuck.failed)
 	stuck.mu.Lock()
 	stuck.refuses = false
 	stuck.mu.Unlock()
-	testkit.WaitFor(t, "the change to hold", func() bool { return stuck.describeState() == "atrue" })
+	testkit.WaitFor(t, "the change to be applied", func() bool { return stuck.describeState() == "atrue" })
 }
 
-// A state file that can't be read is reported, and changes nothing.
+// A state file that can't be read is reported, and no state changes.
 func TestCorruptStateFileIsReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent")
 	p, _ := join(t, path), join(t, path)
@@ -192,17 +192,17 @@
 		t.Fatal(err)
 	}
 	if err := testkit.Receive(t, "error", p.failed); !strings.Contains(err.Error(), stateFileName) {
-		t.Errorf("%v does not name the file", err)
+		t.Errorf("error %v does not name the file", err)
 	}
 	if err := p.Publish(Change{"b", true}); err == nil {
-		t.Error("kept over a file that can't be read")
+		t.Error("a state file that can't be read was overwritten")
 	}
 	if p.describeState() != "" {
-		t.Errorf("it received %q", p.describeState())
+		t.Errorf("a change was applied: %q", p.describeState())
 	}
 }
 
-// A directory that other users can write to, or a path that is none, is refused.
+// A directory that other users can write to, or a path that is not a directory, is rejected.
 func TestDirectoryOfAnotherUserIsRejected(t *testing.T) {
 	open := filepath.Join(t.TempDir(), "open")
 	if err := os.Mkdir(open, 0o700); err != nil {
@@ -218,13 +218,13 @@
 	for _, path := range []string{open, link, filepath.Join(open, "none", "deeper")} {
 		if d, err := Open(path); err == nil {
 			d.Close()
-			t.Errorf("%s was taken", path)
+			t.Errorf("%s was accepted", path)
 		}
 	}
 }
 
-// A version that could not be written to the live file is written at the next sync: the process that published the change
-// waits for it.
+// A version that could not be written to the live file is written at the next sync. The process that published the
+// change waits for that version.
 func TestFailedVersionWriteIsRetriedAtNextSync(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	one, err := Open(path)
@@ -242,11 +242,11 @@
 	}
 	apply := func(Change) error { return nil }
 	live := other.liveFile
-	if other.liveFile, err = os.Open(live.Name() + liveFileSuffix); err != nil { // for reading: a write fails
+	if other.liveFile, err = os.Open(live.Name() + liveFileSuffix); err != nil { // opened read-only, so that a write fails
 		t.Fatal(err)
 	}
 	if _, err := other.Sync(apply); err == nil {
-		t.Error("a version that could not be written is no error")
+		t.Error("no error although the version could not be written")
 	}
 	other.liveFile.Close()
 	other.liveFile = live
@@ -259,7 +259,7 @@
 	}
 }
 
-// A process whose live file can't be opened for want of a descriptor is not taken for ended.
+// A process whose live file can't be opened for lack of a file descriptor counts as alive.
 func TestProcessWhoseLiveFileCannotBeOpenedCountsAsAlive(t *testing.T) {
 	d, err := Open(filepath.Join(t.TempDir(), "kept"))
 	if err != nil {
@@ -284,9 +284,9 @@
 		t.Fatal(err)
 	}
 	if !alive {
-		t.Error("it counts as ended: this one would take its descriptors and its memory")
+		t.Error("counts as ended: this process would use the descriptors and the memory reserved for it")
 	}
 	if _, alive := readVersion(name + "not"); alive {
-		t.Error("one without a file counts as alive")
+		t.Error("a process without a live file counts as alive")
 	}
 }
--- a/internal/host/handoff/golden_test.go
+++ b/internal/host/handoff/golden_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// The file that the processes of an agent share.
+// The format of the file that the processes of an agent share must not change.
 func TestStateFileStaysAsEarlierBuildsWriteIt(t *testing.T) {
 	var s OperatorState
 	golden.Fill(&s)
--- a/internal/host/handoff/state.go
+++ b/internal/host/handoff/state.go
@@ -1,10 +1,11 @@
-// Package handoff shares what operators set between the processes of one agent, which run beside each other while a new one
-// replaces an old one: a change that is made at one of them (an endpoint disabled, clients drained) is applied by all. It passes
-// on no listener and no client, and signals no readiness.
+// Package handoff shares what operators set between the processes of one agent, which run at the same time while a new
+// process replaces an old one: a change that is made at one of them (an endpoint disabled, clients drained) is applied
+// by all. The package does not pass on listeners or clients, and does not signal readiness.
 //
-// OperatorState (state.go) is the decision: which changes lead from one state to another. It does no I/O. Dir (dir.go) shares it
-// through a directory that all processes of the agent see: a state file, a lock, and for each live process a file that it keeps
-// locked and in which it publishes the version of the state that it has applied.
+// OperatorState (state.go) determines which changes lead from one state to another. It does no I/O. Dir (dir.go)
+// shares the state through a directory that all processes of the agent use: a state file, a lock file, and for each
+// live process a file that this process keeps locked and in which it publishes the version of the state that it has
+// applied.
 package handoff
 
 import (
@@ -14,28 +15,28 @@
 	"slices"
 )
 
-// OperatorState is what operators have set and not taken back. Its keys are those of earlier builds.
+// OperatorState holds the settings of operators that are in effect. Its JSON keys are those of earlier builds.
 type OperatorState struct {
 	Version  int64    `json:"version"` // grows by one with each change
-	Disabled []string `json:"out"`     // IDs of endpoints taken out of use by hand, sorted
+	Disabled []string `json:"out"`     // IDs of endpoints disabled by operators, sorted
 	Draining bool     `json:"drained"` // clients are sent to other agents
 }
 
-// Change is one thing that an operator sets: an endpoint is disabled (On) or enabled; where Server is empty, the agent drains
-// (On) or takes clients again.
+// Change is one change by an operator: the endpoint Server is disabled (On) or enabled. If Server is empty, the agent
+// drains (On) or accepts clients again.
 type Change struct {
 	Server string
 	On     bool
 }
 
-// maxDisabled bounds the endpoints that are out of use by hand: far more than anyone disables. A larger bound would let a script
-// gone wrong fill the state file, which all processes read at each sync.
+// maxDisabled bounds the endpoints disabled by operators; it is far more than operators need. A larger bound would let
+// a faulty script fill the state file, which all processes read at each sync.
 const maxDisabled = 10000
 
-var errTooManyDisabled = errors.New("too many servers are out by hand")
+var errTooManyDisabled = errors.New("too many servers are disabled by operators")
 
-// Apply returns the state after a change, with the next version. A change that is in effect already returns the same state with
-// the same version. The error is errTooManyDisabled.
+// Apply returns the state after a change, with the next version. For a change that is already in effect it returns the
+// same state with the same version. The only error is errTooManyDisabled.
 func (s OperatorState) Apply(change Change) (OperatorState, error) {
 	next := OperatorState{Version: s.Version + 1, Disabled: slices.Clone(s.Disabled), Draining: s.Draining}
 	if change.Server == "" {
@@ -59,7 +60,7 @@
 	return next, nil
 }
 
-// ChangesSince lists the changes that lead from an earlier state to s, whatever happened in between.
+// ChangesSince lists the changes that lead from an earlier state to s. Intermediate states don't matter.
 func (s OperatorState) ChangesSince(before OperatorState) (changes []Change) {
 	if s.Draining != before.Draining {
 		changes = append(changes, Change{On: s.Draining})
@@ -89,7 +90,7 @@
 		!slices.Contains(state.Disabled, "") &&
 		len(distinct) == len(state.Disabled)
 	if !valid {
-		return OperatorState{}, fmt.Errorf("version %d with %d servers makes no sense", state.Version, len(state.Disabled))
+		return OperatorState{}, fmt.Errorf("invalid state: version %d, %d servers", state.Version, len(state.Disabled))
 	}
 	return state, nil
 }
--- a/internal/host/handoff/state_test.go
+++ b/internal/host/handoff/state_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// After any changes the state has the last one for each endpoint and for draining; a process that applies the difference from an
-// earlier state comes to the same, and so does one that reads the state from a file.
+// After any sequence of changes, the state holds the last change for each endpoint and for draining. A process that
+// applies the difference from an earlier state reaches the same state, and so does a process that reads the state from
+// a file.
 func TestLastChangeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		change := rapid.Custom(func(t *rapid.T) Change {
@@ -51,7 +52,7 @@
 			}
 		}
 		if late.Draining != now.Draining || !slices.Equal(late.Disabled, now.Disabled) {
-			t.Fatalf("%+v after the difference, not %+v", late, now)
+			t.Fatalf("%+v after applying the difference, want %+v", late, now)
 		}
 		text, err := json.Marshal(now)
 		if err != nil {
@@ -67,7 +68,7 @@
 func TestParseRejects(t *testing.T) {
 	for _, text := range []string{"", "{", `{"version":-1}`, `{"out":["b","a"]}`, `{"out":["a","a"]}`, `{"out":[""]}`, `[]`, `{"out":3}`} {
 		if s, err := parse([]byte(text)); err == nil {
-			t.Errorf("%s read as %+v", text, s)
+			t.Errorf("%s was parsed as %+v, want an error", text, s)
 		}
 	}
 }
--- a/internal/host/metrics/golden_test.go
+++ b/internal/host/metrics/golden_test.go
@@ -13,7 +13,7 @@
 
 var sample = regexp.MustCompile(`(?m)^vetchhaven_[a-z_]+\{[^}]*\} .*$`)
 
-// Names, labels and values, as operators' dashboards have them. Help texts may change.
+// Names, labels and values must not change, since operators' dashboards use them. Help texts may change.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	one := Agent{Name: "one"}
 	golden.Fill(&one.Totals)
--- a/internal/host/metrics/metrics.go
+++ b/internal/host/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics exposes the counters of agents in the text format of Prometheus. It keeps no state: each scrape asks the agents.
-// The platform's figures in JSON are internal/host/admin's.
+// Package metrics exposes the counters of agents in the text format of Prometheus. It keeps no state: each scrape
+// queries the agents. The platform's figures in JSON are in internal/host/admin.
 package metrics
 
 import (
@@ -18,25 +18,26 @@
 	Counters core.Counters
 }
 
-// collector is a prometheus.Collector that asks for the agents at each scrape.
+// collector is a prometheus.Collector that queries the agents at each scrape.
 type collector struct{ agents func() []Agent }
 
-// Handler serves the counters of the agents that the function returns. The function is called at each scrape, from any goroutine.
+// Handler serves the counters of the agents that the function returns. The function is called at each scrape, from any
+// goroutine.
 func Handler(agents func() []Agent) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{agents})
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Describe sends nothing: which labels there are is known at a scrape only, so the collector is an unchecked one.
+// Describe sends no descriptions, which makes the collector an unchecked one: the labels are known only at a scrape.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 func counter(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("vetchhaven_"+name, help, append([]string{"agent"}, labels...), nil)
 }
 
-// Dashboards use these names and the label values: add, never rename (golden_test.go). A new counter is a description here, a
-// put in Collect, and a field of core.Totals or core.Counters.
+// Dashboards use these names and the label values, so add to them but never rename them (golden_test.go checks this).
+// A new counter needs a description here, a call of send in Collect, and a field of core.Totals or core.Counters.
 var (
 	requests     = counter("requests_total", "Requests admitted to the agent's loop.")
 	answers      = counter("answers_total", "Final answers, and requests whose clients disconnected.", "kind")
@@ -54,25 +55,25 @@
 // Collect sends the counters of all agents.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	for _, a := range c.agents() {
-		put := func(d *prometheus.Desc, n int64, labels ...string) {
+		send := func(d *prometheus.Desc, n int64, labels ...string) {
 			out <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), append([]string{a.Name}, labels...)...)
 		}
 		t := a.Totals
-		put(requests, t.Requests)
-		put(answers, t.Served, "served")
-		put(answers, t.Refused, "refused")
-		put(answers, t.Failed, "failed")
-		put(answers, t.ClientDisconnects, "client_disconnected")
-		put(late, t.Late)
-		put(attempts, t.Attempts)
-		put(retries, a.Counters.Retries)
+		send(requests, t.Requests)
+		send(answers, t.Served, "served")
+		send(answers, t.Refused, "refused")
+		send(answers, t.Failed, "failed")
+		send(answers, t.ClientDisconnects, "client_disconnected")
+		send(late, t.Late)
+		send(attempts, t.Attempts)
+		send(retries, a.Counters.Retries)
 		for _, of := range []struct {
 			desc  *prometheus.Desc
 			cases map[string]int64
 		}{{results, a.Counters.Results}, {endings, a.Counters.Endings}, {sendRefusals, a.Counters.SendRefusals},
 			{closes, a.Counters.Evictions}, {violations, a.Counters.Violations}} {
 			for name, n := range of.cases {
-				put(of.desc, n, name)
+				send(of.desc, n, name)
 			}
 		}
 		out <- prometheus.MustNewConstMetric(open, prometheus.GaugeValue, float64(t.Open), a.Name)
--- a/internal/host/metrics/metrics_test.go
+++ b/internal/host/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/internal/core"
 )
 
-func TestWhatIsCountedIsShown(t *testing.T) {
+func TestCountersAreExposed(t *testing.T) {
 	h := Handler(func() []Agent {
 		return []Agent{{"one", core.Totals{Requests: 7, Served: 5, Open: 2}, core.Counters{Retries: 3, Violations: map[string]int64{"effect_once": 0, "answered_once": 1},
 			SendRefusals: map[string]int64{"server_withdrawn": 4}}}, {Name: "two"}}
--- a/internal/host/policystore/database.go
+++ b/internal/host/policystore/database.go
@@ -18,13 +18,13 @@
 	keySnapshot  = []byte("snapshot")
 	keyMember    = []byte("member")
 	keyEpoch     = []byte("epoch")
-	keyWrites    = []byte("writes") // how often the file was written
-	keyID        = []byte("id")     // of the file, for its witness
+	keyWrites    = []byte("writes") // number of writes to the file
+	keyID        = []byte("id")     // the file's ID, which the witness repeats
 )
 
 const numberBytes = 8
 
-// content is what a file holds.
+// content is the content of a file.
 type content struct {
 	state  policy.StoredState
 	id     string
@@ -40,7 +40,7 @@
 			if value == nil {
 				return nil
 			}
-			return append([]byte{}, value...) // valid after the transaction
+			return append([]byte{}, value...) // a copy, which stays valid after the transaction
 		}
 		c.state.HardState = get(keyHardState)
 		c.state.Snapshot = get(keySnapshot)
@@ -56,7 +56,7 @@
 	return c, err
 }
 
-// decodeNumber returns 0 for what is no number.
+// decodeNumber returns 0 for a value that is not a number.
 func decodeNumber(b []byte) uint64 {
 	if len(b) != numberBytes {
 		return 0
@@ -66,7 +66,7 @@
 
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// putBatch writes a batch, and returns the file's ID and how often it was written with this one.
+// putBatch writes a batch. It returns the file's ID and the number of writes to the file, including this one.
 func putBatch(tx *bbolt.Tx, batch *policy.Batch) (id string, writes uint64, err error) {
 	meta := tx.Bucket(bucketMeta)
 	if batch.Wipe {
@@ -89,7 +89,7 @@
 	return id, writes, nil
 }
 
-// metaOf returns what a batch changes in the bucket meta, by key.
+// metaOf returns the values that a batch sets in the bucket meta, by key.
 func metaOf(batch *policy.Batch) map[string][]byte {
 	values := map[string][]byte{}
 	if batch.HardState != nil {
@@ -107,7 +107,7 @@
 	return values
 }
 
-// wipeVoter removes all that a voter stored.
+// wipeVoter removes everything that a voter has stored.
 func wipeVoter(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	for _, key := range [][]byte{keyHardState, keySnapshot, keyEpoch} {
@@ -122,7 +122,7 @@
 	return err
 }
 
-// putLog replaces the entries from the batch's first one on, and removes those that it compacts.
+// putLog replaces the entries from the batch's first index on, and removes the entries that the batch compacts.
 func putLog(log *bbolt.Bucket, batch *policy.Batch) error {
 	if batch.FirstIndex > 0 {
 		replaced := keysFrom(log, batch.FirstIndex)
@@ -141,7 +141,8 @@
 	return nil
 }
 
-// keysFrom returns the keys of the entries from an index on. They are copies: the bucket may be changed meanwhile.
+// keysFrom returns the keys of the entries from an index on. The keys are copies, so that the caller can change the
+// bucket while it uses them.
 func keysFrom(log *bbolt.Bucket, index uint64) [][]byte {
 	var keys [][]byte
 	cursor := log.Cursor()
--- a/internal/host/policystore/golden_test.go
+++ b/internal/host/policystore/golden_test.go
@@ -20,7 +20,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// storedBuckets returns the keys and values of a database, one a line.
+// storedBuckets returns the keys and values of a database, one per line.
 func storedBuckets(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openTimeout})
@@ -61,8 +61,8 @@
 	return path
 }
 
-// The databases of a voter and of a member, as daemons of an earlier build left them: three changes are committed, of the
-// global part and of two services' parts, and one is being prepared.
+// The databases that daemons of an earlier build wrote, one of a voter and one of a member, can be read. In them three
+// changes are committed (of the global part and of two services' parts) and one is being prepared.
 func TestPolicyDatabasesOfEarlierBuildsAreRead(t *testing.T) {
 	for name, settings := range map[string]policy.Settings{
 		"voter":  {Name: "d1", RunID: 7, Voters: []string{"d1", "d2", "d3"}},
@@ -77,7 +77,7 @@
 			}
 			s, disk := openStore(t, dir, dir)
 			if !disk.ProvenCurrent {
-				t.Error("the witness of an earlier build proves nothing any more")
+				t.Error("the witness of an earlier build does not prove the file current")
 			}
 			node, err := policy.New(settings, disk, 1)
 			if err != nil {
@@ -89,19 +89,20 @@
 				t.Fatal(err)
 			}
 			golden.Check(t, "policy-"+name+".shown", shown)
-			// What was read is written again as it was.
+			// The state that was read is written back unchanged.
 			writeNow(t, s, policy.Batch{HardState: disk.HardState, Snapshot: disk.Snapshot, Member: disk.Member, Epoch: disk.Epoch})
 			s.Close()
 			before := comparableLines(golden.Read(t, "policy-"+name+".keys"))
 			after := comparableLines(storedBuckets(t, path))
 			if !reflect.DeepEqual(before, after) {
-				t.Errorf("written again:\n%s\nbefore:\n%s", strings.Join(after, "\n"), strings.Join(before, "\n"))
+				t.Errorf("after writing back:\n%s\nbefore:\n%s", strings.Join(after, "\n"), strings.Join(before, "\n"))
 			}
 		})
 	}
 }
 
-// comparableLines leaves out what a write changes: the count of writes, and an epoch of 0, which may not be there.
+// comparableLines leaves out the values that a write changes: the number of writes, and an epoch of 0, which may be
+// missing from the file.
 func comparableLines(stored []byte) []string {
 	writes := fmt.Sprintf("meta %x", "writes")
 	noEpoch := fmt.Sprintf("meta %x = 0000000000000000", "epoch")
--- a/internal/host/policystore/store.go
+++ b/internal/host/policystore/store.go
@@ -1,13 +1,14 @@
-// Package policystore keeps what a daemon's part in the fleet's policy has to remember: the log and votes of a voter (the
-// promises that Raft rests on), and what a member has prepared. It is one bbolt file in the state directory, written in a
-// goroutine of its own, each batch atomically.
+// Package policystore stores the persistent state of a daemon that takes part in the fleet's policy: the log and the
+// votes of a voter (the promises that Raft relies on), and the changes that a member has prepared. The state is one
+// bbolt file in the state directory. A separate goroutine writes it, each batch atomically.
 //
-// A witness, a small file in a directory that is emptied at reboot, such as /run, and is in no backup, counts the writes
-// of the file. With it a process that starts proves that the file is the one that the last process left, and not an
-// earlier copy that was restored. Without proof a voter asks the others before it votes: see internal/peer/policy.
+// A witness is a small file that counts the writes to the store's file. It lies in a directory that is emptied at
+// reboot, such as /run, and is not part of backups. With the witness a starting process proves that the file is the
+// one that the last process left, and not an earlier copy that was restored. Without this proof a voter asks the other
+// voters before it votes: see internal/peer/policy.
 //
-// internal/host/daemon owns the Store: it opens it, has Run called in a goroutine, and passes Writer's function to the
-// transport, whose goroutine calls it.
+// internal/host/daemon owns the Store: it opens the Store, calls Run in a goroutine, and passes Writer's function to
+// the transport, whose goroutine calls it.
 package policystore
 
 import (
@@ -28,49 +29,51 @@
 )
 
 const (
-	// fileName is the file's name in the state directory.
+	// fileName is the name of the store's file in the state directory.
 	fileName = "policy.db"
-	// damagedSuffix is appended to the name of a file that the system can read and bbolt rejects.
+	// damagedSuffix is appended to the name of a file that the operating system can read but bbolt rejects.
 	damagedSuffix = ".bad"
-	// witnessSuffix is appended to the member's name.
+	// witnessSuffix is appended to the member's name to form the name of the witness.
 	witnessSuffix = ".witness"
-	// openTimeout is how long to wait for the lock of the file: the process before may still have it.
+	// openTimeout is how long to wait for the lock of the file, which the previous process may still hold.
 	openTimeout = 5 * time.Second
-	// maxQueuedWrites bounds the batches that wait for the disk. If the disk hangs, further batches fail with errQueueFull.
+	// maxQueuedWrites bounds the batches that wait for the disk. If the disk hangs, further batches fail with
+	// errQueueFull.
 	maxQueuedWrites = 256
 )
 
-// Errors of a batch that is not written. What a failed write leads to is decided in package policy: a voter writes it again
+// Errors of a batch that is not written. Package policy handles a failed write: a voter retries it
 // (raftnode_storage.go), a member rejects the change (member_changes.go).
 var (
-	errClosed     = errors.New("the policy's file is not open")
-	errSuperseded = errors.New("another has taken over")
-	errQueueFull  = errors.New("the disk has not taken anything for too long")
+	errClosed     = errors.New("the policy file is not open")
+	errSuperseded = errors.New("a later call of Reload has superseded this writer")
+	errQueueFull  = errors.New("too many policy writes are waiting for the disk")
 )
 
-// Store is the file. Its methods may be called from any goroutine, but Run from one only.
+// Store is the store's file. Its methods may be called from any goroutine, except that Run must be called from only
+// one.
 type Store struct {
 	path        string
-	witnessPath string // empty: none
+	witnessPath string // empty: no witness is kept
 	log         *slog.Logger
 	writes      chan write
 
 	mu     sync.Mutex
-	db     *bbolt.DB // nil: it is not open
-	closes int       // counts the calls of Close
-	writer int       // counts the writers: what an earlier one left is not written any more
+	db     *bbolt.DB // nil if the file is not open
+	closes int       // number of calls of Close
+	writer int       // number of the current writer: batches that earlier writers have queued are no longer written
 
-	failing bool // of Run: the last write failed, and that was logged
+	failing bool // used by Run: the last write failed, and the failure was logged
 }
 
-// write is a batch to be written, and who is notified.
+// write is a batch to be written, and the function to call with the result.
 type write struct {
 	policy.Persist
 	writer int
 	done   func(seq uint64, err error)
 }
 
-// New returns a store in a state directory, which is not opened yet. witnessDir may be empty: no witness is kept then.
+// New returns a store in a state directory without opening it. If witnessDir is empty, no witness is kept.
 func New(dir, witnessDir, memberName string, log *slog.Logger) *Store {
 	s := &Store{
 		path:   filepath.Join(dir, fileName),
@@ -83,14 +86,15 @@
 	return s
 }
 
-// Open opens the file, and reads what is there. A file that the system can read and bbolt does not accept as a database is
-// set aside and logged, beside earlier ones that were: its member begins anew. Any other failure, transient or permanent,
-// also one to read the entries of a database, leaves the file as it is and is returned.
+// Open opens the file and reads the stored state. A file that the operating system can read but bbolt does not accept
+// as a database is logged and renamed, next to any that were renamed earlier; its member starts with an empty state.
+// Any other failure, transient or permanent, including a failure to read the entries of a database, is returned and
+// leaves the file as it is.
 func (s *Store) Open() (policy.StoredState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.db != nil {
-		return policy.StoredState{}, errors.New("the policy's file is open already")
+		return policy.StoredState{}, errors.New("the policy file is already open")
 	}
 	if err := os.MkdirAll(filepath.Dir(s.path), 0o700); err != nil {
 		return policy.StoredState{}, err
@@ -115,7 +119,7 @@
 		return db, err
 	}
 	aside := unusedName(s.path + damagedSuffix)
-	s.log.Error("the policy's file is damaged: it is set aside, and its content is fetched anew from other members",
+	s.log.Error("policy file is damaged; renaming it, and fetching its content from other members",
 		"file", s.path, "as", aside, "error", err)
 	if err := os.Rename(s.path, aside); err != nil {
 		return nil, err
@@ -123,7 +127,7 @@
 	return openDatabase(s.path)
 }
 
-// unusedName returns a name that no file has: the given one, or that with a number.
+// unusedName returns a name that no file has: the given name, or the name with a number appended.
 func unusedName(name string) string {
 	candidate := name
 	for n := 2; ; n++ {
@@ -134,17 +138,17 @@
 	}
 }
 
-// isDamaged reports whether an error is bbolt's own, for content that it rejects: any error but the system's and a lock that
-// was not free in time. A failure of the system, transient or permanent (no descriptor, no space, a bad sector, another
-// process that has the file), says nothing of the content.
+// isDamaged reports whether an error is bbolt's own, for content that it rejects: any error except those of the
+// operating system and a lock that was not released in time. A failure of the system, transient or permanent (no file
+// descriptor, no space, a bad sector, another process that has the file open), says nothing about the content.
 func isDamaged(err error) bool {
 	var system syscall.Errno
 	return !errors.As(err, &system) && !errors.Is(err, bberrors.ErrTimeout)
 }
 
-// openDatabase opens the file, and writes to it only if something is missing that every store has.
+// openDatabase opens the file. It writes to the file only if a bucket or key is missing that every store has.
 func openDatabase(path string) (db *bbolt.DB, err error) {
-	defer func() { // a file that was cut short can make bbolt panic
+	defer func() { // a truncated file can make bbolt panic
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%v", p)
 		}
@@ -169,7 +173,7 @@
 	return db, nil
 }
 
-// initialize writes what every store has.
+// initialize creates the buckets and the ID that every store has.
 func initialize(db *bbolt.DB) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
@@ -186,7 +190,8 @@
 	})
 }
 
-// isProven reports whether the witness counts all writes of the file. The last one may have come before its count.
+// isProven reports whether the witness counts all writes of the file. The process may have ended between the last
+// write and its count, so the file may be one write ahead.
 func (s *Store) isProven(read content) bool {
 	if s.witnessPath == "" || read.writes == 0 {
 		return false
@@ -203,7 +208,7 @@
 	return id == read.id && (read.writes == counted || read.writes == counted+1)
 }
 
-// writeWitness counts a write.
+// writeWitness records the number of writes in the witness.
 func (s *Store) writeWitness(id string, writes uint64) error {
 	if err := os.WriteFile(s.witnessPath, fmt.Appendf(nil, "%s %d\n", id, writes), 0o600); err != nil {
 		return fmt.Errorf("witness: %w", err)
@@ -211,7 +216,7 @@
 	return nil
 }
 
-// Close closes the file, once a write in progress has ended.
+// Close waits for a write in progress to end, then closes the file.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +227,7 @@
 	}
 }
 
-// Closes counts the calls of Close.
+// Closes returns the number of calls of Close.
 func (s *Store) Closes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,8 +240,9 @@
 	return s.db != nil
 }
 
-// Reopen opens the file again as it is, unless it is open, or was closed after so many closes: whoever did that needs it
-// closed. What is read is known to the member that goes on.
+// Reopen opens the file again. It does nothing if the file is open, or if Close has been called since Closes returned
+// closes: the caller of that Close needs the file closed. Reopen does not return the stored state, since the member
+// that continues to run knows it.
 func (s *Store) Reopen(closes int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -251,8 +257,8 @@
 	return nil
 }
 
-// Reload reads again what is there, for a member that begins anew in this process. What its predecessor has queued is not
-// written any more.
+// Reload reads the stored state again, for a member that is restarted in this process. Batches that the previous
+// member has queued are no longer written.
 func (s *Store) Reload() (policy.StoredState, error) {
 	s.mu.Lock()
 	closed := s.db == nil
@@ -264,7 +270,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	read, err := load(s.db)
-	read.state.ProvenCurrent = err == nil // no other process has the file
+	read.state.ProvenCurrent = err == nil // no other process has the file open
 	return read.state, err
 }
 
@@ -285,15 +291,16 @@
 // logOutcome logs the first failure of a write, and the first success after it.
 func (s *Store) logOutcome(err error) {
 	if err != nil && !s.failing {
-		s.log.Error("the fleet's policy is not saved; this is logged once until it is", "file", s.path, "error", err)
+		s.log.Error("saving the fleet's policy failed; further failures are not logged until a write succeeds",
+			"file", s.path, "error", err)
 	} else if err == nil && s.failing {
-		s.log.Info("the fleet's policy is saved again", "file", s.path)
+		s.log.Info("saving the fleet's policy succeeded again", "file", s.path)
 	}
 	s.failing = err != nil
 }
 
-// Writer returns a function that queues batches for Run, and does not block. done is called with the outcome of each: by
-// Run's goroutine, or at once where too many wait.
+// Writer returns a function that queues batches for Run, and does not block. done is called with the result of each
+// batch: by Run's goroutine, or immediately if too many batches are queued.
 func (s *Store) Writer(done func(seq uint64, err error)) func(policy.Persist) {
 	s.mu.Lock()
 	writer := s.writer
@@ -307,7 +314,8 @@
 	}
 }
 
-// write writes a batch, and counts it at the witness before anything is promised by it.
+// write writes a batch and counts it in the witness. It returns only then, so that the count precedes every promise
+// that relies on the batch.
 func (s *Store) write(w *write) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/host/policystore/store_test.go
+++ b/internal/host/policystore/store_test.go
@@ -73,7 +73,7 @@
 	}
 	s, d := openStore(t, dir, witnessDir)
 	if !d.ProvenCurrent {
-		t.Error("the file as it was left is not proven")
+		t.Error("the file that the last process left is not proven current")
 	}
 	writeNow(t, s, policy.Batch{Member: []byte("2")})
 	writeNow(t, s, policy.Batch{Member: []byte("3")})
@@ -83,14 +83,14 @@
 	}
 	s, d = openStore(t, dir, witnessDir)
 	if d.ProvenCurrent || string(d.Member) != "1" {
-		t.Errorf("a file restored from an earlier copy is proven: %q", d.Member)
+		t.Errorf("a file restored from an earlier copy is proven current: %q", d.Member)
 	}
 	s.Close()
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	if _, d = openStore(t, dir, witnessDir); d.ProvenCurrent {
-		t.Error("a lost file is proven")
+		t.Error("a new file that replaces a lost one is proven current")
 	}
 }
 
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	if _, d := openStore(t, dir, ""); d.Member != nil {
-		t.Errorf("%q", d.Member)
+		t.Errorf("read %q from a truncated file", d.Member)
 	}
 	if _, err := os.Stat(path + damagedSuffix); err != nil {
 		t.Error(err)
@@ -118,18 +118,19 @@
 		t.Fatal(err)
 	}
 	if err := s.write(&write{Persist: policy.Persist{Batch: policy.Batch{Member: []byte("late")}}, writer: previous}); err == nil {
-		t.Error("written")
+		t.Error("a superseded writer wrote a batch")
 	}
 }
 
-// exhaustDescriptors leaves the process no file descriptor to open until the function that it returns is called.
+// exhaustDescriptors lowers the limit so that the process can't open a file descriptor, until the returned function is
+// called.
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var previous unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	next, err := unix.Dup(0) // the lowest that is free
+	next, err := unix.Dup(0) // the lowest free descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +145,8 @@
 	}
 }
 
-// A voter must not forget its vote because of a failure of the moment: only a file whose content was read and is wrong is
-// set aside, and a sound one is not written as it is opened.
+// A voter must not lose its vote because of a transient failure: only a file whose content could be read and is
+// invalid is renamed. Opening an intact file does not write to it.
 func TestOnlyDamagedContentIsSetAside(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -166,7 +167,7 @@
 	}
 	s.Close()
 	if _, err := os.Stat(path + damagedSuffix); err == nil {
-		t.Fatal("a sound file was set aside for want of a descriptor")
+		t.Fatal("an intact file was renamed for lack of a descriptor")
 	}
 	s, d := openStore(t, dir, "")
 	s.Close()
@@ -174,7 +175,7 @@
 		t.Errorf("the vote is %q", d.HardState)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
-		t.Errorf("opening a sound file wrote to it: on a full disk it could not be opened (%v)", err)
+		t.Errorf("opening an intact file wrote to it, so it could not be opened on a full disk (%v)", err)
 	}
 
 	if err := os.WriteFile(path, bytes.Repeat([]byte("x"), len(before)), 0o600); err != nil {
@@ -184,12 +185,12 @@
 		t.Errorf("%+v", d)
 	}
 	if _, err := os.Stat(path + damagedSuffix); err != nil {
-		t.Errorf("a damaged file was not set aside: %v", err)
+		t.Errorf("a damaged file was not renamed: %v", err)
 	}
 }
 
-// A damaged file that was set aside is not overwritten by the next one: it may be all that is left of what a voter promised. The
-// second one took its name.
+// A damaged file that was renamed is not overwritten by the next damaged file: it may be the only remaining record of
+// a voter's promises. Earlier, the second file was given the name of the first one and replaced it.
 func TestSecondDamagedFileDoesNotReplaceTheFirst(t *testing.T) {
 	dir := t.TempDir()
 	for _, damage := range []string{"first", "second", "third"} {
@@ -207,13 +208,13 @@
 		t.Errorf("%v, %v", kept, err)
 	}
 	if text, err := os.ReadFile(filepath.Join(dir, fileName+damagedSuffix)); err != nil || !strings.HasPrefix(string(text), "first") {
-		t.Errorf("the first one: %.10q, %v", text, err)
+		t.Errorf("the first damaged file: %.10q, %v", text, err)
 	}
 }
 
-// A store is opened again where it was closed, and left alone where it is open: a handover that fails before it closes the store
-// logged that it could not be opened again.
-func TestReopenLeavesAnOpenStoreAlone(t *testing.T) {
+// Reopen opens a store that was closed, and does nothing for a store that is open. Earlier, a handover that failed
+// before it closed the store logged that the store could not be opened again.
+func TestReopenDoesNothingForAnOpenStore(t *testing.T) {
 	s := New(t.TempDir(), "", "m", slog.New(slog.DiscardHandler))
 	defer s.Close()
 	for range 2 {
@@ -224,9 +225,9 @@
 	before := s.Closes()
 	s.Close()
 	if err := s.Reopen(before); err != nil || s.isOpen() {
-		t.Errorf("open %v, %v, although it was closed since", s.isOpen(), err)
+		t.Errorf("open %v, error %v, although the store was closed again since", s.isOpen(), err)
 	}
 	if err := s.Reopen(s.Closes()); err != nil || !s.isOpen() {
-		t.Errorf("open %v, %v", s.isOpen(), err)
+		t.Errorf("open %v, error %v, want an open store", s.isOpen(), err)
 	}
 }
--- a/internal/host/snapshot/golden_test.go
+++ b/internal/host/snapshot/golden_test.go
@@ -6,7 +6,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// last.state, with every field set.
+// The format of last.state, with every field set, must not change.
 func TestStateStaysAsEarlierBuildsWriteIt(t *testing.T) {
 	golden.Codec[State]{Name: "last.state", Encode: func(s State) ([]byte, error) { return Encode(&s) }}.Check(t)
 	var want State
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for addr, list := range want.Sources { // it holds until the list itself is read
+	for addr, list := range want.Sources { // a saved list is used until the list itself is read
 		list.Full, list.Version = true, 0
 		if len(got.Sources[addr].Servers) != len(list.Servers) {
 			t.Errorf("%+v", got.Sources[addr])
--- a/internal/host/snapshot/pause_test.go
+++ b/internal/host/snapshot/pause_test.go
@@ -6,8 +6,9 @@
 	"vetchhaven/internal/core"
 )
 
-// A limit holds for one that takes over at once; what is learnt holds on.
-func TestAfterPause(t *testing.T) {
+// Limits apply only to a successor that takes over without a pause, so DropTransient removes them. It keeps the
+// learned values.
+func TestDropTransientRemovesLimitsOnly(t *testing.T) {
 	s := &State{Instances: map[string]*core.Memory{"a": {Limit: 9, Classes: map[string]core.ClassMemory{"c": {Latency: 5}}}, "b": nil}}
 	s.DropTransient()
 	if m := s.Instances["a"]; m.Limit != 0 || m.Classes["c"].Latency != 5 {
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -1,11 +1,12 @@
-// Package snapshot encodes the state that a daemon saves for the one that starts after it (the file last.state), and decides what
-// of it that one may use. It does no I/O: internal/host/daemon reads and writes the file.
+// Package snapshot encodes the state that a daemon saves for the daemon that starts after it (the file last.state),
+// and decides which parts of the state the next daemon may use. It does no I/O: internal/host/daemon reads and writes
+// the file.
 //
-// The file holds the last good endpoint lists, which are used until the list service has been read, and the measured durations. It
-// does not hold retry tokens, slow-start budgets, failure counts and ejections: they allowed or forbade something at a moment that
-// is over, and each could break a rule when restored (a slow-start budget that was spent would be spent again) or keep a recovered
-// endpoint out. The limit on requests in flight passes only to a successor that serves the same clients at once, see
-// State.DropTransient.
+// The file contains the last valid endpoint lists, which are used until the list service has been read, and the
+// measured durations. It does not contain retry tokens, slow-start budgets, failure counts and ejections: these were
+// valid only at the time of saving, and restoring them could break a rule (a slow-start budget that was spent would be
+// spent again) or keep a recovered endpoint out of use. The limit on requests in flight is passed only to a successor
+// that immediately serves the same clients, see State.DropTransient.
 package snapshot
 
 import (
@@ -23,15 +24,15 @@
 // State is the content of the file.
 type State struct {
 	SavedMS     int64                         `json:"saved_ms"`          // Unix time
-	BootID      string                        `json:"boot,omitempty"`    // of the machine: the boot that SinceBootMS counts from
+	BootID      string                        `json:"boot,omitempty"`    // ID of the boot from which SinceBootMS counts
 	SinceBootMS int64                         `json:"boot_ms,omitempty"` // ms, monotonic
-	Sources     map[string]*discovery.Members `json:"sources"`           // by the list's address
+	Sources     map[string]*discovery.Members `json:"sources"`           // by list address
 	Instances   map[string]*core.Memory       `json:"instances"`         // by name
 	// Peers is the daemon's membership state (transport.EncodeSaved), for a successor that takes over without a gap.
 	Peers []byte `json:"peers,omitempty"`
 }
 
-// DropTransient removes what holds only for a successor that takes over without a pause: the limits on requests in flight.
+// DropTransient removes the state that only a successor without a pause may use: the limits on requests in flight.
 func (s *State) DropTransient() {
 	for _, m := range s.Instances {
 		if m != nil {
@@ -40,13 +41,13 @@
 	}
 }
 
-// Reasons for which Decode rejects a file. ErrCorrupt stands for any damage, also a header that is cut off or JSON that does not
-// parse; ErrTooOld also for a state that seems to be saved that far in the future.
+// Reasons for which Decode rejects a file. ErrCorrupt stands for any damage, including a truncated header or invalid
+// JSON. ErrTooOld also stands for a state whose time of saving lies too far in the future.
 var (
-	ErrNotSnapshot = errors.New("not a state of vetchhaven")
-	ErrVersion     = errors.New("of a version that this program does not know")
-	ErrCorrupt     = errors.New("torn: its checksum does not fit")
-	ErrTooOld      = errors.New("too old")
+	ErrNotSnapshot = errors.New("not a state file of vetchhaven")
+	ErrVersion     = errors.New("unknown version of the state file")
+	ErrCorrupt     = errors.New("corrupt state file")
+	ErrTooOld      = errors.New("saved state is too old")
 )
 
 const (
@@ -54,9 +55,10 @@
 	version = 1
 )
 
-// age is the time since the state was saved. Within one boot of the machine it is the difference of the boot clock, which nothing
-// steps. Across boots it is taken from the wall clock, which may have been stepped by any span, but is at least the time since this
-// boot. Where either boot is not known it is taken from the wall clock alone.
+// age returns the time since the state was saved. Within one boot of the machine it is the difference of the boot
+// clock, which is never stepped. Across boots it is the difference of the wall clock, which may have been stepped by
+// any amount, but at least the time since this boot. If either boot ID is unknown, it is the difference of the wall
+// clock.
 func (s *State) age(now Moment) time.Duration {
 	if now.BootID != "" && now.BootID == s.BootID {
 		return now.SinceBoot - time.Duration(s.SinceBootMS)*time.Millisecond
@@ -70,7 +72,8 @@
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// Encode returns the file's content: a line with name, version, CRC-64 and length of the body, then the body as JSON.
+// Encode returns the file's content: a line with the name, the version, and the CRC-64 and length of the body, then
+// the body as JSON.
 func Encode(state *State) ([]byte, error) {
 	body, err := json.Marshal(state)
 	if err != nil {
@@ -82,15 +85,15 @@
 	return out.Bytes(), nil
 }
 
-// Moment is the present time as the machine has it.
+// Moment is the current time on the clocks of the machine.
 type Moment struct {
 	Wall      time.Time     // may be stepped
-	BootID    string        // names the machine's start; empty: it is not known
-	SinceBoot time.Duration // monotonic, suspended time included
+	BootID    string        // identifies the machine's boot; empty if unknown
+	SinceBoot time.Duration // monotonic, including suspended time
 }
 
-// Decode reads a file, and refuses one whose age is over maxAge, or that lies further than maxAge in the future. The error wraps
-// ErrNotSnapshot, ErrVersion, ErrCorrupt or ErrTooOld.
+// Decode parses the content of a file. It rejects a state that is older than maxAge, or was saved more than maxAge in
+// the future. The error wraps ErrNotSnapshot, ErrVersion, ErrCorrupt or ErrTooOld.
 func Decode(data []byte, now Moment, maxAge time.Duration) (*State, error) {
 	body, err := openEnvelope(data)
 	if err != nil {
@@ -101,13 +104,14 @@
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if age := state.age(now); age > maxAge || age < -maxAge {
-		return nil, fmt.Errorf("%w: saved %v ago, at most %v are believed", ErrTooOld, age.Round(time.Second), maxAge)
+		return nil, fmt.Errorf("%w: saved %v ago, the maximum age is %v", ErrTooOld, age.Round(time.Second), maxAge)
 	}
 	state.restoreLists()
 	return state, nil
 }
 
-// restoreLists makes the saved lists hold until each list itself is read: version 0 has the complete list asked for.
+// restoreLists marks the saved lists as complete lists with version 0. They are used until each list itself is read;
+// version 0 makes the reader request the complete list.
 func (s *State) restoreLists() {
 	for addr, list := range s.Sources {
 		if list == nil {
@@ -118,12 +122,12 @@
 	}
 }
 
-// openEnvelope checks the first line of a file, and returns its body.
+// openEnvelope checks the first line of a file and returns the body.
 func openEnvelope(data []byte) ([]byte, error) {
 	head, body, found := bytes.Cut(data, []byte{'\n'})
 	if !bytes.HasPrefix(head, []byte(magic+" ")) {
 		if len(data) <= len(magic) && bytes.HasPrefix([]byte(magic+" "), data) {
-			return nil, ErrCorrupt // cut off within the name
+			return nil, ErrCorrupt // truncated within the name
 		}
 		return nil, ErrNotSnapshot
 	}
@@ -132,7 +136,7 @@
 	n, err := fmt.Sscanf(string(head[len(magic):]), " %d %x %d", &fileVersion, &sum, &length)
 	switch {
 	case n >= 1 && fileVersion != version && (found || n > 1):
-		return nil, fmt.Errorf("%w: %d, known is %d", ErrVersion, fileVersion, version)
+		return nil, fmt.Errorf("%w: got %d, want %d", ErrVersion, fileVersion, version)
 	case err != nil || !found || length != len(body) || sum != crc64.Checksum(body, crcTable):
 		return nil, ErrCorrupt
 	}
--- a/internal/host/snapshot/snapshot_test.go
+++ b/internal/host/snapshot/snapshot_test.go
@@ -38,28 +38,28 @@
 	}
 }
 
-// A file that was cut at any byte, or with any byte changed, is never believed.
-func TestTornAtEachByte(t *testing.T) {
+// A file that was truncated at any byte, or in which any byte was changed, is rejected.
+func TestDamageAtAnyByteIsRejected(t *testing.T) {
 	whole := encoded(t)
 	for n := range whole {
 		if s, err := Decode(whole[:n], Moment{Wall: now}, time.Hour); err == nil || s != nil {
-			t.Fatalf("cut at %d of %d: believed", n, len(whole))
+			t.Fatalf("truncated at %d of %d: accepted", n, len(whole))
 		}
 		if s, err := Decode(append(bytes.Clone(whole[:n]), whole[n]^0x20), Moment{Wall: now}, time.Hour); err == nil || s != nil {
-			t.Fatalf("cut after a changed byte at %d: believed", n)
+			t.Fatalf("truncated after a changed byte at %d: accepted", n)
 		}
 		bad := bytes.Clone(whole)
 		bad[n] ^= 0x01
 		if s, err := Decode(bad, Moment{Wall: now}, time.Hour); err == nil || s != nil {
-			t.Fatalf("byte %d changed: believed", n)
+			t.Fatalf("byte %d changed: accepted", n)
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(whole), 'x'), Moment{Wall: now}, time.Hour); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("with more behind: %v", err)
+		t.Errorf("with an extra byte at the end: %v", err)
 	}
 }
 
-func TestWhyNot(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	whole := encoded(t)
 	for _, tt := range []struct {
 		name string
@@ -92,9 +92,10 @@
 	})
 }
 
-// The age of a snapshot of this boot of the machine is monotonic: a step of the wall clock neither discards a good one nor
-// makes an old one fresh. That of another boot is a hint, and no less than the time since this boot.
-func TestASnapshotsAgeOutlastsAClockStep(t *testing.T) {
+// The age of a snapshot of the current boot is measured by a monotonic clock: a step of the wall clock neither makes a
+// recent snapshot too old nor an old one recent. The age of a snapshot of another boot comes from the wall clock, and
+// is at least the time since the current boot.
+func TestSnapshotAgeIsUnaffectedByClockSteps(t *testing.T) {
 	s := sample()
 	s.BootID, s.SinceBootMS = "boot-1", (10 * time.Hour).Milliseconds()
 	data, err := Encode(s)
--- a/internal/host/supervise/supervise.go
+++ b/internal/host/supervise/supervise.go
@@ -1,7 +1,7 @@
-// Package supervise decides when a part of the daemon that ended by itself starts again: after an exponential backoff with
-// jitter, and not at all once it keeps failing. It owns the State of each part. It does
-// no I/O and reads no clock: the daemon's goroutine passes in what happened with its time, and executes the actions that come
-// back.
+// Package supervise decides when a part of the daemon that ended by itself is started again: after an exponential
+// backoff with jitter, and not at all once it has failed too many times in a row. The package owns the State of each
+// part. It does no I/O and reads no clock: the daemon's goroutine passes in events and the current time, and executes
+// the returned actions.
 package supervise
 
 import (
@@ -12,31 +12,31 @@
 )
 
 const (
-	// defaultFirstWait makes the restart after a passing fault hardly noticeable. Shorter restarts a part while the cause
-	// of its failure still lasts.
+	// defaultFirstWait makes the restart after a transient fault hardly noticeable. A shorter wait restarts a part
+	// while the cause of its failure still exists.
 	defaultFirstWait = 200 * time.Millisecond
-	// defaultMaxWait has an operator see a repaired part come back soon. A longer one loads the host less while a part keeps
-	// failing. With the other defaults it is never reached: the seventh and last wait is 12.8 s at most.
+	// defaultMaxWait is short enough for a repaired part to be restarted soon. A longer wait loads the host less while
+	// a part keeps failing. With the other defaults it is never reached: the seventh and last wait is 12.8 s at most.
 	defaultMaxWait = 30 * time.Second
-	// defaultHealthyAfter is a minute of running: far more than a part takes that fails at its start.
+	// defaultHealthyAfter is far longer than a part runs that fails at its start.
 	defaultHealthyAfter = time.Minute
-	// defaultMaxFailures is reached after 13 to 26 s of waiting with the other defaults: seven waits of up to 0.2, 0.4, and so on
-	// to 12.8 s. A larger number keeps restarting a part for longer.
+	// defaultMaxFailures is reached after 13 to 26 s of waiting with the other defaults: seven waits of up to 0.2,
+	// 0.4, and so on to 12.8 s. With a larger number a failing part is restarted for longer.
 	defaultMaxFailures = 8
 
-	// minWaitShare is the smallest fraction of the ceiling that a wait takes; the rest is jitter. Less lets a part that fails at
-	// once be started in a busy loop by low draws.
+	// minWaitShare is the smallest fraction of the ceiling that a wait lasts; the rest is jitter. With a smaller
+	// fraction, low random values would restart a part that fails immediately in a busy loop.
 	minWaitShare = 0.5
-	// seedStream separates the supervisor's random numbers from others of the same seed.
+	// seedStream separates the supervisor's random numbers from others that use the same seed.
 	seedStream = 3
 )
 
-// Settings are the supervisor's; the zero value of each field is replaced by its default.
+// Settings configure the supervisor. The zero value of each field is replaced by its default.
 type Settings struct {
-	FirstWait    time.Duration // ceiling of the wait after the first failure; it doubles with each further one
-	MaxWait      time.Duration // the highest ceiling
-	HealthyAfter time.Duration // the next failure of a part that ran for so long counts as the first
-	MaxFailures  int           // failures in a row after which a part is left down
+	FirstWait    time.Duration // ceiling of the wait after the first failure; it doubles with each further failure
+	MaxWait      time.Duration // maximum of the ceiling
+	HealthyAfter time.Duration // after a part has run for this long, its next failure counts as the first
+	MaxFailures  int           // failures in a row after which a part stays down
 }
 
 func (s Settings) withDefaults() Settings {
@@ -59,13 +59,14 @@
 type Event interface{ event() }
 
 type (
-	// Started says that a part runs.
+	// Started reports that a part runs.
 	Started struct{ Name string }
-	// Failed says that a part ended by itself, or could not start.
+	// Failed reports that a part ended by itself, or could not start.
 	Failed struct{ Name, Reason string }
-	// Removed says that a part is not wanted any more.
+	// Removed reports that a part is no longer needed.
 	Removed struct{ Name string }
-	// Revived says that a part that is down is to be started again: an operator or a change of policy had a configuration applied.
+	// Revived reports that a part that is down is to be started again, because an operator or a change of policy
+	// applied a configuration.
 	Revived struct{ Name string }
 )
 
@@ -74,35 +75,35 @@
 func (Removed) event() {}
 func (Revived) event() {}
 
-// Action is something to do.
+// Action is something that the caller of Step must do.
 type Action interface{ action() }
 
 type (
-	// Start is to start a part now; Started or Failed follows.
+	// Start asks for a part to be started now. Started or Failed must follow.
 	Start struct{ Name string }
-	// ReportDown is to report that a part is not started any more, and why it failed last.
+	// ReportDown asks for a report that a part is no longer started, with the reason of its last failure.
 	ReportDown struct{ Name, Reason string }
 )
 
 func (Start) action()      {}
 func (ReportDown) action() {}
 
-// Phase is where a part is in its life.
+// Phase is the phase of a part's life cycle.
 type Phase uint8
 
-// The phases of a part. Started leads to Running; Failed leads from Running, or from Waiting where the start itself failed, to
-// Waiting or, after too many failures, to Down; Revived leads from Down to Waiting.
+// The phases of a part. Started leads to Running; Failed leads from Running, or from Waiting where the start itself
+// failed, to Waiting or, after too many failures, to Down; Revived leads from Down to Waiting.
 const (
-	Waiting Phase = iota // until NextStartAt, and until an ordered start has succeeded or failed
+	Waiting Phase = iota // until NextStartAt, and then until the requested start has succeeded or failed
 	Running
-	Down // not started any more until a configuration is applied
+	Down // no longer started until a configuration is applied
 )
 
 // State is the state of a part.
 type State struct {
 	Phase               Phase
 	ConsecutiveFailures int
-	TotalFailures       int           // since it was added
+	TotalFailures       int           // since the part was added
 	NextStartAt         time.Duration // while Waiting
 	LastReason          string        // of the last failure
 	runningSince        time.Duration
@@ -115,7 +116,7 @@
 	parts    map[string]*State
 }
 
-// New returns a supervisor without parts. Its jitter comes from seed.
+// New returns a supervisor without parts. seed determines its jitter.
 func New(s Settings, seed uint64) *Supervisor {
 	return &Supervisor{
 		settings: s.withDefaults(),
@@ -124,7 +125,8 @@
 	}
 }
 
-// Step takes what happened by now, and returns what to do now, starts in order of the parts' names.
+// Step processes the events that happened until now, and returns the actions to execute now, with starts in order of
+// the parts' names.
 func (s *Supervisor) Step(now time.Duration, events ...Event) []Action {
 	var actions []Action
 	for _, e := range events {
@@ -160,13 +162,13 @@
 	}
 	slices.Sort(due)
 	for _, name := range due {
-		s.parts[name].NextStartAt = math.MaxInt64 // until Started or Failed comes
+		s.parts[name].NextStartAt = math.MaxInt64 // until Started or Failed arrives
 		actions = append(actions, Start{Name: name})
 	}
 	return actions
 }
 
-// fail notes a failure, and reports whether the part is down by it.
+// fail records a failure, and reports whether the part is down because of it.
 func (s *Supervisor) fail(now time.Duration, e Failed) (isDown bool) {
 	part := s.part(e.Name)
 	if part.Phase == Down {
@@ -187,7 +189,7 @@
 	return false
 }
 
-// wait is the backoff after so many failures in a row, with jitter.
+// wait returns the backoff, with jitter, after the given number of failures in a row.
 func (s *Supervisor) wait(failures int) time.Duration {
 	ceiling := float64(s.settings.FirstWait) * math.Exp2(float64(failures-1))
 	ceiling = min(ceiling, float64(s.settings.MaxWait))
@@ -201,7 +203,7 @@
 	return s.parts[name]
 }
 
-// State returns the state of a part; the zero State where it is not known.
+// State returns the state of a part, or the zero State if the part is not known.
 func (s *Supervisor) State(name string) State {
 	if part := s.parts[name]; part != nil {
 		return *part
@@ -209,7 +211,7 @@
 	return State{}
 }
 
-// NextAt is when Step is to be called again at the latest; waiting is false where no part waits.
+// NextAt returns the latest time at which Step must be called again. waiting is false if no part waits.
 func (s *Supervisor) NextAt() (at time.Duration, waiting bool) {
 	at = math.MaxInt64
 	for _, part := range s.parts {
--- a/internal/host/supervise/supervise_test.go
+++ b/internal/host/supervise/supervise_test.go
@@ -16,13 +16,13 @@
 		v.Step(now, Failed{"a", "boom"})
 		at, ok := v.NextAt()
 		if !ok {
-			t.Fatal("it does not start again")
+			t.Fatal("the part is not restarted")
 		}
 		if acts := v.Step(at - 1); len(acts) > 0 {
 			t.Fatalf("started too early: %v", acts)
 		}
 		if acts := v.Step(at); len(acts) != 1 || acts[0] != (Start{"a"}) {
-			t.Fatalf("%v at its time", acts)
+			t.Fatalf("%v when the wait is over", acts)
 		}
 		if acts := v.Step(at + time.Hour); len(acts) > 0 {
 			t.Fatalf("started twice: %v", acts)
@@ -38,9 +38,9 @@
 			t.Errorf("wait %d is %v, want %v to %v", i, w, ceiling/2, ceiling)
 		}
 	}
-	now += 60 * second // healthy for so long
+	now += 60 * second // runs long enough to count as healthy
 	if w := fail(); w > second {
-		t.Errorf("after a healthy time it waits %v", w)
+		t.Errorf("after a healthy run the wait is %v", w)
 	}
 }
 
@@ -54,7 +54,7 @@
 		}
 	}
 	if _, waits := v.NextAt(); waits || v.State("a").Phase != Down {
-		t.Error("it is not down")
+		t.Error("the part is not down")
 	}
 	if acts := v.Step(time.Hour, Failed{"a", "again"}); len(acts) > 0 {
 		t.Error(acts)
@@ -68,8 +68,8 @@
 	}
 }
 
-// Whatever happens in whatever order: no part that runs or is down is started, one part's failures change nothing for
-// another, and a part that failed is either down or starts again.
+// In any order of events, a part that runs or is down is not started, the failures of one part don't affect another
+// part, and a part that failed is either down or restarted.
 func TestPartsAreIndependentInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := New(Settings{FirstWait: second, MaxWait: 10 * second, HealthyAfter: 20 * second, MaxFailures: 4}, rapid.Uint64().Draw(t, "seed"))
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,4 +1,5 @@
-// Package layers holds the order of layers: docs/design/architecture.md draws it, these tests keep it.
+// Package layers checks that packages import only from their own layer or a lower one. docs/design/architecture.md
+// shows the layers.
 package layers
 
 import (
@@ -14,8 +15,8 @@
 	"testing"
 )
 
-// layers go from the lowest up. A package belongs to the layer of the longest prefix that fits, and imports only
-// from its own layer or below.
+// layers lists the layers from the lowest to the highest. A package belongs to the layer with the longest matching
+// prefix, and may import only from its own layer or a lower one.
 var layers = [][]string{
 	{"decide"},
 	{"internal/wire", "internal/tomlfile", "internal/atomicfile", "internal/eventqueue", "internal/protocol/ldapmsg", "internal/source/discovery", "internal/source/endpoints", "internal/testkit", "internal/standin"},
@@ -29,8 +30,9 @@
 	{"cmd", "tools"},
 }
 
-// free import nothing of this program but what is named: decisions and judges.
-var free = map[string][]string{
+// isolated maps each package that makes decisions or checks results, without I/O, to the only packages of this module
+// that it may import.
+var isolated = map[string][]string{
 	"decide":                        {"decide/quota"},
 	"internal/source/endpoints":     nil,
 	"internal/host/supervise":       nil,
@@ -59,7 +61,8 @@
 	return layer, ok
 }
 
-// The diagram in the architecture page: a line for each layer from the top, its name and its packages.
+// The diagram in the architecture page has one line for each layer, from the highest to the lowest, with its name and
+// packages.
 func TestDiagramShowsTheLayers(t *testing.T) {
 	page, err := os.ReadFile("../../docs/design/architecture.md")
 	if err != nil {
@@ -76,7 +79,7 @@
 	}
 	slices.Reverse(drawn)
 	if !reflect.DeepEqual(drawn, layers) {
-		t.Errorf("drawn from the lowest up:\n%v\nheld by this test:\n%v", drawn, layers)
+		t.Errorf("layers in the diagram, lowest first:\n%v\nlayers in this test:\n%v", drawn, layers)
 	}
 }
 
@@ -106,10 +109,10 @@
 		if !ok {
 			t.Errorf("%s is in no layer", path)
 		}
-		allowed, pure := free[path]
+		allowed, isIsolated := isolated[path]
 		for _, i := range p.Imports {
-			if pure && (i == "net" || i == "os" || i == "net/http" || i == "sync") {
-				t.Errorf("%s is free of I/O, and imports %s", path, i)
+			if isIsolated && (i == "net" || i == "os" || i == "net/http" || i == "sync") {
+				t.Errorf("%s must do no I/O, but imports %s", path, i)
 			}
 			i, ours := strings.CutPrefix(i, module)
 			if !ours {
@@ -117,14 +120,14 @@
 			}
 			seen++
 			if below, _ := layerOf(i); below > own {
-				t.Errorf("%s imports %s, which is above it", path, i)
+				t.Errorf("%s imports %s, which is in a higher layer", path, i)
 			}
-			if pure && !strings.Contains(" "+strings.Join(allowed, " ")+" ", " "+i+" ") {
-				t.Errorf("%s imports %s, and is to be free of it", path, i)
+			if isIsolated && !strings.Contains(" "+strings.Join(allowed, " ")+" ", " "+i+" ") {
+				t.Errorf("%s imports %s, which is not in its list of allowed imports", path, i)
 			}
 		}
 	}
 	if seen < 50 {
-		t.Errorf("%d imports looked at: the list is not read", seen)
+		t.Errorf("only %d imports were checked: the output of go list was not read completely", seen)
 	}
 }
--- a/internal/layers/tags_test.go
+++ b/internal/layers/tags_test.go
@@ -15,9 +15,9 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// Every key that a struct's tag spells, in a file, a message or an endpoint's body, is spelled as earlier builds do.
-// More may come.
-func TestTagsOfEarlierBuildsAreThere(t *testing.T) {
+// Every struct tag of earlier builds still exists, since tags name the keys in files, messages and admin bodies. New
+// tags may be added.
+func TestTagsOfEarlierBuildsExist(t *testing.T) {
 	tags := map[string]bool{}
 	for _, dir := range []string{"../../cmd", "../../decide", "../../internal"} {
 		if err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -10,15 +10,16 @@
 	"testing"
 )
 
-// wallClockUses are the files that may read or make a wall-clock time, by which function, and why no span is taken from it.
+// wallClockUses lists the files and functions that may read or create a wall-clock time, each with the reason why no
+// duration is computed from it.
 var wallClockUses = map[string]string{
-	"internal/core/clock.go UnixMilli":                  "the hint that starttimes.go bounds",
+	"internal/core/clock.go UnixMilli":                  "a hint, which starttimes.go bounds",
 	"internal/core/connlimiter.go Unix":                 "LongAgo, a deadline that has passed",
-	"internal/protocol/http1/render.go Unix":            "the Date field",
-	"internal/host/snapshot/snapshot.go UnixMilli":      "the age of a snapshot of another boot, a hint with a bound",
+	"internal/protocol/http1/render.go Unix":            "the Date header field",
+	"internal/host/snapshot/snapshot.go UnixMilli":      "the age of a snapshot of another boot, a bounded hint",
 	"internal/host/daemon/snapshots.go UnixMilli":       "the moment at which a snapshot is saved; a log line",
 	"internal/host/daemon/policyrequests.go UnixMilli":  "when an operator made a change, for people to read",
-	"internal/peer/transport/transport.go Unix":         "a number of boots that grows, with the last one's",
+	"internal/peer/transport/transport.go Unix":         "a boot number that exceeds the last one",
 	"internal/peer/transport/lifecycle.go Unix":         "a deadline that has passed",
 	"internal/peer/transport/loop.go UnixMilli":         "saved for people to read",
 	"internal/peer/transport/eventlog.go UnixMilli":     "event lines, for people to read",
@@ -31,7 +32,7 @@
 	"cmd/vetchhaven/policy.go UnixMilli":                "printed",
 }
 
-// A span is monotonic: no file but those that are named above reads Unix time or makes a time of it.
+// Durations are measured with a monotonic clock: only the files listed above convert to or from Unix time.
 func TestNoSpanIsTakenFromTheWallClock(t *testing.T) {
 	wall := map[string]bool{"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true}
 	root := "../.."
@@ -57,7 +58,7 @@
 				return true
 			}
 			if s, ok := call.Fun.(*ast.SelectorExpr); ok && wall[s.Sel.Name] && wallClockUses[filepath.ToSlash(rel)+" "+s.Sel.Name] == "" {
-				t.Errorf("%s: %s: a wall-clock time; take spans from a monotonic clock, or say here why this is none", files.Position(call.Pos()), s.Sel.Name)
+				t.Errorf("%s: %s: a wall-clock time; measure durations with a monotonic clock, or add the use to wallClockUses with a reason", files.Position(call.Pos()), s.Sel.Name)
 			}
 			return true
 		})
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory is a small in-memory LDAP directory on loopback (RFC 4511), for tests and tools: it
-// keeps a ledger of what truly ran, and does wrong what a script tells it to.
+// Package directory implements a small in-memory LDAP directory on loopback (RFC 4511), for tests and tools. It counts
+// the operations that were executed, and a script can make it misbehave.
 package directory
 
 import (
@@ -18,33 +18,33 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// Fault is what a script has the directory do with an operation.
+// Fault is the misbehavior that a script requests for an operation.
 type Fault struct {
-	Stall       <-chan struct{} // nothing happens until it is closed
-	Wait        time.Duration   // before it is begun
-	KillBefore  bool            // the connection is reset before anything ran
-	KillAfter   bool            // it ran, and then the connection is reset
-	KillBetween int             // of a search: reset after so many entries
-	Code        int             // answered with this, and nothing ran
-	WrongID     bool            // the answer has an id that was not asked
-	Double      bool            // the answer comes twice
+	Stall       <-chan struct{} // the operation is held until this is closed
+	Wait        time.Duration   // delay before the operation is executed
+	KillBefore  bool            // the connection is reset before the operation is executed
+	KillAfter   bool            // the operation is executed, then the connection is reset
+	KillBetween int             // number of search entries after which the connection is reset
+	Code        int             // result code of the answer; the operation is not executed
+	WrongID     bool            // the answer has a message ID that no request had
+	Double      bool            // the answer is sent twice
 	WrongTag    bool            // the answer is of another operation
-	Garbage     bool            // bytes that are no message, in place of the answer
-	Notice      bool            // a Notice of Disconnection, in place of the answer
-	Drip        time.Duration   // between the bytes of the answer
-	Ahead       [][]byte        // protocolOps, with what follows them, that are sent ahead of the answer
+	Garbage     bool            // invalid bytes are sent instead of the answer
+	Notice      bool            // a Notice of Disconnection is sent instead of the answer
+	Drip        time.Duration   // delay before each byte of the answer
+	Ahead       [][]byte        // protocolOps, with any controls after them, that are sent before the answer
 }
 
-// Op is an operation as it came.
+// Op is an operation that the directory received.
 type Op struct {
 	Kind string // bind, search, lookup, modify, add, delete, moddn, compare, extended
 	DN   string
-	Who  string // as whom its connection is bound
+	Who  string // the identity to which the connection is bound
 	ID   int64
-	N    int // operations of this directory so far
+	N    int // number of operations that this directory has received so far
 }
 
-// Directory is one server.
+// Directory is one LDAP server.
 type Directory struct {
 	ID string
 
@@ -55,7 +55,7 @@
 	mu        sync.Mutex
 	entries   map[string]map[string][]string
 	passwords map[string]string
-	ran       map[string]int // the ledger: how often each effect was done, by kind, DN and value
+	ran       map[string]int // how often each effect was executed, by kind, DN and value
 	binds     int
 	script    func(Op) Fault
 	n         int
@@ -64,17 +64,17 @@
 	abandoned int
 	open      int
 	mostOpen  int
-	served    map[string]int // operations answered, by kind
+	served    map[string]int // number of operations answered, by kind
 }
 
-// Options of a directory; the zero value is plain LDAP.
+// Options configure a directory. The zero value is plain LDAP.
 type Options struct {
 	TLS   *tls.Config // for StartTLS, or LDAPS
 	LDAPS bool
 	Addr  string // empty: a free port of loopback
 }
 
-// New starts one.
+// New starts a directory.
 func New(id string, o Options) (*Directory, error) {
 	if o.Addr == "" {
 		o.Addr = "127.0.0.1:0"
@@ -89,15 +89,15 @@
 	return d, nil
 }
 
-// Member is its entry on a list.
+// Member returns the directory's entry for a list.
 func (d *Directory) Member(state string) discovery.Member {
 	return discovery.Member{ID: d.ID, Addr: d.listener.Addr().String(), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the directory listens.
 func (d *Directory) Addr() string { return d.listener.Addr().String() }
 
-// Close ends it, with its connections.
+// Close stops the directory and resets its connections.
 func (d *Directory) Close() {
 	d.mu.Lock()
 	d.down = true
@@ -106,7 +106,7 @@
 	d.Kill()
 }
 
-// Kill resets all its connections, as the end of a process does. It goes on accepting.
+// Kill resets all connections, as the end of a process does. The directory continues to accept connections.
 func (d *Directory) Kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,28 +125,28 @@
 	_ = c.Close()
 }
 
-// Script has f say what is done with each operation.
+// Script sets the function that chooses the fault for each operation.
 func (d *Directory) Script(f func(Op) Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.script = f
 }
 
-// Add puts an entry there.
+// Add adds an entry.
 func (d *Directory) Add(dn string, attributes map[string][]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.entries[strings.ToLower(dn)] = attributes
 }
 
-// Password lets a name bind.
+// Password sets the password with which a DN can bind.
 func (d *Directory) Password(dn, password string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.passwords[strings.ToLower(dn)] = password
 }
 
-// Ran is a copy of the ledger: how often each effect was done here.
+// Ran returns a copy of the counts of how often each effect was executed.
 func (d *Directory) Ran() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,28 +157,28 @@
 	return all
 }
 
-// Served is how many operations of a kind were answered.
+// Served returns the number of answered operations of a kind.
 func (d *Directory) Served(kind string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.served[kind]
 }
 
-// Binds is the number of bind requests received.
+// Binds returns the number of bind requests received.
 func (d *Directory) Binds() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.binds
 }
 
-// Abandoned is the number of operations that clients abandoned (RFC 4511, section 4.11).
+// Abandoned returns the number of operations that clients abandoned (RFC 4511, section 4.11).
 func (d *Directory) Abandoned() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.abandoned
 }
 
-// Conns is the number of open connections.
+// Conns returns the number of open connections.
 func (d *Directory) Conns() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,16 +207,16 @@
 	}
 }
 
-// link is one connection.
+// link is one client connection.
 type link struct {
 	d    *Directory
 	top  net.Conn // as accepted
 	conn net.Conn
 
-	mu    sync.Mutex // of writing, and what follows
+	mu    sync.Mutex // guards writing and the following fields
 	who   string
-	live  map[int64]chan struct{} // closed when abandoned or cancelled
-	paged map[string][]string     // what is left of paged searches, by cookie
+	live  map[int64]chan struct{} // by message ID; closed when the operation is abandoned or cancelled
+	paged map[string][]string     // remaining entries of paged searches, by cookie
 	pages int
 }
 
@@ -233,7 +233,7 @@
 		if err != nil {
 			return
 		}
-		raw = append([]byte(nil), raw...) // operations run beside each other
+		raw = append([]byte(nil), raw...) // a copy, since operations run concurrently
 		p, err := ber.DecodePacketErr(raw)
 		if err != nil || len(p.Children) < 2 {
 			return
@@ -252,12 +252,12 @@
 			}
 			continue
 		case ldapmsg.BindRequest:
-			l.handle(id, m, op) // alone
+			l.handle(id, m, op) // not concurrently with later operations
 			continue
 		case ldapmsg.ExtRequest:
 			if name, _, _ := ldapmsg.ExtendedName(m.Content); name == ldapmsg.OIDStartTLS {
 				if l.d.tls == nil {
-					l.write(ldapmsg.Response(m.ID, ldapmsg.ExtResponse, ldapmsg.ProtocolErrorCode, "no TLS here"), 0)
+					l.write(ldapmsg.Response(m.ID, ldapmsg.ExtResponse, ldapmsg.ProtocolErrorCode, "no TLS support"), 0)
 					continue
 				}
 				l.write(ldapmsg.Response(m.ID, ldapmsg.ExtResponse, ldapmsg.Success, ""), 0)
@@ -310,7 +310,7 @@
 	}
 }
 
-// text is a packet's value as a string.
+// text returns a packet's value as a string.
 func text(p *ber.Packet) string {
 	if p.Data == nil {
 		return ""
@@ -341,7 +341,7 @@
 	return "extended"
 }
 
-// handle does one operation, as the script says.
+// handle processes one operation with the fault that the script chooses.
 func (l *link) handle(id int64, m ldapmsg.Message, op *ber.Packet) {
 	d := l.d
 	kind, dn := kindName(&m), ""
@@ -413,7 +413,7 @@
 		out = ldapmsg.Response(m.ID, ldapmsg.CompareResponse, 6, "")
 	}
 	select {
-	case <-gone: // abandoned: it has no answer
+	case <-gone: // an abandoned operation gets no answer
 		return
 	default:
 	}
@@ -429,7 +429,7 @@
 	}
 }
 
-// do carries an operation out, and returns its last message; nil: none.
+// do executes an operation and returns its last message, or nil if there is none.
 func (l *link) do(m ldapmsg.Message, op *ber.Packet, kind, dn string, f Fault, gone chan struct{}) []byte {
 	d := l.d
 	result := func(code int, text string) []byte {
@@ -530,8 +530,8 @@
 	return all
 }
 
-// bind takes simple binds, and a SASL exchange of two steps of the mechanism "TWO-STEP", whose second
-// step names the one who binds.
+// bind accepts simple binds, and a two-step SASL exchange with the mechanism "TWO-STEP", whose second step binds as
+// "sasl".
 func (l *link) bind(m ldapmsg.Message, key string, result func(int, string) []byte) []byte {
 	b, err := ldapmsg.ParseBind(m.Content)
 	if err != nil {
@@ -565,7 +565,7 @@
 	return result(ldapmsg.Success, "")
 }
 
-// search answers with what lies at or below its base. Filters are not looked at.
+// search answers with the entries at or below the base, depending on the scope. Filters are ignored.
 func (l *link) search(m ldapmsg.Message, op *ber.Packet, key string, f Fault, gone chan struct{}) []byte {
 	scope, _ := op.Children[1].Value.(int64)
 	cookie, paged := ldapmsg.PagedCookie(m.Controls)
@@ -585,7 +585,7 @@
 			left, known := l.paged[string(cookie)]
 			delete(l.paged, string(cookie))
 			l.mu.Unlock()
-			if !known { // it belongs to another connection
+			if !known { // the cookie belongs to another connection
 				return ldapmsg.Response(m.ID, ldapmsg.SearchDone, ldapmsg.UnwillingToPerform, "unknown cookie")
 			}
 			names = left
--- a/internal/standin/dns/dns.go
+++ b/internal/standin/dns/dns.go
@@ -1,5 +1,5 @@
-// Package dns is a stand-in name server on loopback, over UDP and TCP, that answers by its records and does
-// wrong what its script tells it to.
+// Package dns implements a stand-in name server on loopback, over UDP and TCP. It answers from its records, and a
+// script can make it misbehave.
 package dns
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/miekg/dns"
 )
 
-// Fault is what is done with a query.
+// Fault is the misbehavior that a script requests for a query.
 type Fault struct {
-	Rcode     int  // answered with this
+	Rcode     int  // response code of the answer
 	Drop      bool // no answer
-	Truncate  bool // over UDP: cut short
-	CutTCP    bool // over TCP too
+	Truncate  bool // the answer is truncated over UDP
+	CutTCP    bool // the answer is truncated over TCP
 	WrongID   bool
-	WrongName bool // the answer is to another question
-	Foreign   bool // records of another name
-	Garbage   bool // bytes that are no message
+	WrongName bool // the answer repeats another question
+	Foreign   bool // the answer has records of another name
+	Garbage   bool // the answer is not a DNS message
 }
 
 // Server is a name server.
@@ -34,9 +34,9 @@
 	asked   int
 }
 
-// New starts one on a free port.
+// New starts a name server on a free port.
 func New() (*Server, error) {
-	for range 20 { // both must have the same port
+	for range 20 { // the UDP and the TCP listener must have the same port
 		pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -53,19 +53,19 @@
 		go func() { _ = s.tcp.ActivateAndServe() }()
 		return s, nil
 	}
-	return nil, fmt.Errorf("no port that is free for UDP and TCP")
+	return nil, fmt.Errorf("found no port that is free for both UDP and TCP")
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends it.
+// Close stops the server.
 func (s *Server) Close() {
 	_ = s.udp.PacketConn.Close()
 	_ = s.tcp.Listener.Close()
 }
 
-// Set puts the records of a name and type there, in the form of zone files, in place of those before.
+// Set replaces the records of a name and type. The records are in zone file format.
 func (s *Server) Set(name, kind string, records ...string) error {
 	all, err := parse(records)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// parse reads records in the form of zone files.
+// parse parses records in zone file format.
 func parse(records []string) (all []dns.RR, err error) {
 	for _, text := range records {
 		rr, err := dns.NewRR(text)
@@ -89,14 +89,14 @@
 	return all, nil
 }
 
-// Script has f say what is done with each query.
+// Script sets the function that chooses the fault for each query.
 func (s *Server) Script(f func(name, kind, network string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = f
 }
 
-// Asked is how many queries came.
+// Asked returns the number of queries received.
 func (s *Server) Asked() int { s.mu.Lock(); defer s.mu.Unlock(); return s.asked }
 
 func key(name, kind string) string { return strings.ToLower(dns.Fqdn(name)) + " " + kind }
--- a/internal/standin/dns/responder.go
+++ b/internal/standin/dns/responder.go
@@ -7,20 +7,20 @@
 	"github.com/miekg/dns"
 )
 
-// Responder announces services by DNS-SD at an address of its own on loopback, as one over multicast DNS
-// does: whoever asked last hears what it announces and takes back.
+// Responder announces services by DNS-SD like a multicast DNS responder, but at its own unicast address on loopback.
+// It sends announcements and withdrawals to the sender of the last query.
 type Responder struct {
 	conn *net.UDPConn
 
 	mu      sync.Mutex
 	records []dns.RR
 	asker   *net.UDPAddr
-	asked   map[string]int // by type and name
-	known   int            // known answers in the last query
+	asked   map[string]int // number of questions, by type and name
+	known   int            // number of known answers in the last query
 	mute    bool
 }
 
-// NewResponder starts one.
+// NewResponder starts a responder.
 func NewResponder() (*Responder, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -31,31 +31,31 @@
 	return r, nil
 }
 
-// Addr is where it is asked.
+// Addr returns the address to which queries are sent.
 func (r *Responder) Addr() string { return r.conn.LocalAddr().String() }
 
-// Close ends it, without a goodbye.
+// Close stops the responder without withdrawing its records.
 func (r *Responder) Close() { _ = r.conn.Close() }
 
-// Mute has it answer nothing, or ends that.
+// Mute makes the responder ignore queries, or answer them again.
 func (r *Responder) Mute(mute bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mute = mute
 }
 
-// Asked is how many questions of a type and name came.
+// Asked returns the number of questions received for a type and name.
 func (r *Responder) Asked(kind, name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.asked[kind+" "+dns.CanonicalName(name)]
 }
 
-// Known is how many known answers the last query carried.
+// Known returns the number of known answers in the last query.
 func (r *Responder) Known() int { r.mu.Lock(); defer r.mu.Unlock(); return r.known }
 
-// Announce puts records there, in the form of zone files, and tells who asked last. Records of a lifetime
-// of 0 are taken back.
+// Announce adds records in zone file format, and sends them to the sender of the last query. Records with a TTL of 0
+// are withdrawn.
 func (r *Responder) Announce(flush bool, records ...string) error {
 	all, err := parse(records)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Say sends bytes to who asked last.
+// Say sends bytes to the sender of the last query.
 func (r *Responder) Say(data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-in servers on loopback for tests and tools: the platform's list
-// and form servers that do as they are told. The emulator has the faithful ones.
+// Package standin contains small stand-in servers on loopback for tests and tools: the platform's list service, and
+// form servers whose answers a test scripts. The simulation (internal/simulate) has realistic models of both.
 package standin
 
 import (
@@ -16,16 +16,16 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-const keepAlive = 2 * time.Second // while nothing changes
+const keepAlive = 2 * time.Second // interval of empty lines in a watch while no entry changes
 
-// List is a list service: the whole list, and watches that hear each change at once.
+// List is a list service. It returns the complete list, and sends each change immediately to all watches.
 type List struct {
 	server *httptest.Server
 
 	mu      sync.Mutex
 	version int64
 	servers map[string]discovery.Member
-	changed map[string]int64 // at which version, gone ones too
+	changed map[string]int64 // version of each entry's last change, including entries that are gone
 	bump    chan struct{}    // closed at each change
 	down    bool
 	calls   atomic.Int64
@@ -48,20 +48,20 @@
 	return l, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the list service listens.
 func (l *List) Addr() string { return l.server.Listener.Addr().String() }
 
-// Close ends it, and all watches.
+// Close stops the list service and ends all watches.
 func (l *List) Close() {
 	l.SetDown(true)
 	l.server.CloseClientConnections()
 	l.server.Close()
 }
 
-// Calls is how many calls came.
+// Calls returns the number of calls received.
 func (l *List) Calls() int { return int(l.calls.Load()) }
 
-// Set changes entries. One that is gone stays known as gone.
+// Set changes entries. An entry that is gone is kept, with that state.
 func (l *List) Set(servers ...discovery.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +74,7 @@
 	l.bump = make(chan struct{})
 }
 
-// SetDown has all calls fail and all watches end, or ends that.
+// SetDown makes all calls fail and ends all watches, or makes the service available again.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +118,7 @@
 		alive := time.NewTimer(keepAlive)
 		select {
 		case <-next:
-		case <-alive.C: // an empty line, as the protocol says
+		case <-alive.C: // an empty line, as the protocol requires
 			if _, err := w.Write([]byte{'\n'}); err != nil || http.NewResponseController(w).Flush() != nil {
 				return
 			}
@@ -129,10 +129,10 @@
 	}
 }
 
-// Form is a form server: it counts what comes and answers 200, unless Handle says otherwise.
+// Form is a form server: it counts requests and answers 200, unless Handle is set.
 type Form struct {
 	ID     string
-	Handle http.HandlerFunc // in place of the answer; may be nil
+	Handle http.HandlerFunc // writes the answer instead; may be nil
 
 	server *httptest.Server
 	got    atomic.Int64
@@ -147,21 +147,21 @@
 	return f
 }
 
-// Close ends it: connections to it are reset.
+// Close stops the server: connections to it are reset.
 func (f *Form) Close() {
 	f.server.CloseClientConnections()
 	f.server.Close()
 }
 
-// Member is its entry in a list.
+// Member returns the server's entry for a list.
 func (f *Form) Member(state string) discovery.Member {
 	return discovery.Member{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
-// Got is how many requests came.
+// Got returns the number of requests received.
 func (f *Form) Got() int { return int(f.got.Load()) }
 
-// Times is how often a request of an id came.
+// Times returns how many requests with the given X-Trace-Id were received.
 func (f *Form) Times(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/disconnect.go
+++ b/internal/testkit/disconnect.go
@@ -7,14 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// HalfClose ends a client's sending on a TCP connection, and returns once the other system has said that it knows.
+// HalfClose closes the sending side of a client's TCP connection, and returns once the peer's TCP stack has
+// acknowledged the FIN.
 func HalfClose(t testing.TB, c net.Conn) {
 	t.Helper()
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	const established, finWait1 = 1, 4 // of Linux's states of TCP
-	WaitFor(t, "the end to be known", func() bool {
+	const established, finWait1 = 1, 4 // TCP states as numbered by Linux
+	WaitFor(t, "the FIN to be acknowledged", func() bool {
 		state := tcpState(t, c.(*net.TCPConn))
 		return state != established && state != finWait1
 	})
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden holds an encoder to bytes that an earlier build wrote: stored data, messages on the wire and the bodies
-// of the admin endpoints stay readable however the code is renamed. A golden file is written once and never again.
+// Package golden compares the output of an encoder with bytes that an earlier build wrote, so that stored data,
+// messages on the wire and the bodies of the admin endpoints stay readable when identifiers are renamed. A golden file
+// is written once and never again.
 package golden
 
 import (
@@ -16,14 +17,14 @@
 	"time"
 )
 
-// createVariable is the environment variable that has missing golden files written. A file that is there is never
-// written again: a build whose bytes differ is wrong, not the file.
+// createVariable is the environment variable that makes the tests write missing golden files. An existing file is
+// never overwritten: if the bytes differ, the build is wrong, not the file.
 const createVariable = "GOLDEN_CREATE"
 
-// Path is where the golden file of a name lies, relative to the test's package.
+// Path returns the path of the golden file with the given name, relative to the test's package.
 func Path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Read is the content of a golden file.
+// Read returns the content of a golden file.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(Path(name))
@@ -33,7 +34,7 @@
 	return data
 }
 
-// Check compares what this build writes with a golden file.
+// Check compares the output of this build with a golden file.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	create(t, name, got)
@@ -43,13 +44,13 @@
 	}
 }
 
-// CheckContains has every line of a golden file be among those of this build, which may have more.
+// CheckContains checks that this build has every line of a golden file. It may have further lines.
 func CheckContains(t *testing.T, name string, lines []string) {
 	t.Helper()
 	create(t, name, []byte(strings.Join(lines, "\n")+"\n"))
 	for _, l := range strings.Split(strings.TrimSpace(string(Read(t, name))), "\n") {
 		if !slices.Contains(lines, l) {
-			t.Errorf("%s: %s is not there any more", Path(name), l)
+			t.Errorf("%s: line %s is missing", Path(name), l)
 		}
 	}
 }
@@ -70,7 +71,7 @@
 	}
 }
 
-// difference shows the first line, or the first byte of a binary file, that differs.
+// difference describes the first line that differs.
 func difference(want, got []byte) string {
 	wantLines, gotLines := bytes.Split(want, []byte{'\n'}), bytes.Split(got, []byte{'\n'})
 	for i := range max(len(wantLines), len(gotLines)) {
@@ -95,7 +96,8 @@
 	Decode func([]byte) (T, error)
 }
 
-// Check has a value with every field set encoded to the golden bytes, and the golden bytes decoded to that value.
+// Check checks that a value with every field set is encoded to the golden bytes, and that the golden bytes are decoded
+// to that value.
 func (c Codec[T]) Check(t *testing.T) {
 	t.Helper()
 	var value T
@@ -110,10 +112,10 @@
 	}
 	old, err := c.Decode(Read(t, c.Name))
 	if err != nil {
-		t.Fatalf("%s can't be read any more: %v", Path(c.Name), err)
+		t.Fatalf("%s can't be decoded: %v", Path(c.Name), err)
 	}
 	if !reflect.DeepEqual(old, value) {
-		t.Errorf("%s is read to other values:\ngot  %+v\nwant %+v", Path(c.Name), old, value)
+		t.Errorf("%s is decoded to other values:\ngot  %+v\nwant %+v", Path(c.Name), old, value)
 	}
 }
 
@@ -140,22 +142,23 @@
 
 func encodeJSON[T any](v T) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
 
-// CheckKeys compares the keys of a settings file, in lower case, with a golden file: a key without a tag is its field's
-// name, whatever its case.
+// CheckKeys compares the keys of a settings file, in lower case, with a golden file. A field without a tag has its
+// name as its key, in any case.
 func CheckKeys(t *testing.T, name string, settings reflect.Type) {
 	t.Helper()
 	Check(t, name, []byte(strings.ToLower(strings.Join(Keys(settings), "\n"))+"\n"))
 }
 
-// maxNesting bounds how deep a type that holds itself is filled.
+// maxNesting bounds how deep a recursive type is filled.
 const maxNesting = 3
 
-// Fill sets every exported field below a pointer to a value that follows from the path of encoded names that leads there:
-// a struct's fields may be renamed or reordered as long as their encoded names stay.
+// Fill sets every exported field below a pointer to a value derived from the path of encoded names that leads to the
+// field. A struct's fields may therefore be renamed or reordered as long as their encoded names stay the same.
 func Fill(pointer any) { FillEmbedded(pointer, nil) }
 
-// FillEmbedded is Fill where types that are embedded without a tag had other names when the golden file was written:
-// formerly has the earlier names by today's. An embedded type's name is no key, but part of the path of values below it.
+// FillEmbedded is like Fill, for types that are embedded without a tag and had other names when the golden file was
+// written. formerly maps their current names to the earlier ones. An embedded type's name is not an encoded key, but
+// it is part of the path from which values below it are derived.
 func FillEmbedded(pointer any, formerly map[string]string) {
 	f := filler{formerly: formerly}
 	f.fill(reflect.ValueOf(pointer).Elem(), "", map[reflect.Type]int{})
@@ -246,7 +249,7 @@
 	return next
 }
 
-// encodedName is the name that a field has in an encoding, by its tag; without one, its name in Go.
+// encodedName returns the name that a field's tag gives it in an encoding, or its Go name if there is no such tag.
 func encodedName(f reflect.StructField) string {
 	for _, kind := range []string{"cbor", "json", "toml"} {
 		if name, _, _ := strings.Cut(f.Tag.Get(kind), ","); name != "" {
@@ -258,11 +261,11 @@
 
 func number(path string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(path)) // a hash takes all
+	_, _ = h.Write([]byte(path)) // writing to a hash never fails
 	return h.Sum64()
 }
 
-// Keys are the names of a type's encoded fields, as paths in order: "records/addr".
+// Keys returns the names of a type's encoded fields as sorted paths, such as "records/addr".
 func Keys(t reflect.Type) []string {
 	var all []string
 	keys(t, "", map[reflect.Type]bool{}, &all)
@@ -295,8 +298,8 @@
 	}
 }
 
-// Values are the values of all leaves below v, sorted: what was read, whatever its fields are named and however they are
-// ordered. Unset values are left out.
+// Values returns the sorted values of all leaves below v, independent of the names and the order of the fields. Zero
+// values are left out.
 func Values(v any) []byte {
 	var all []string
 	leaves(reflect.ValueOf(v), &all)
--- a/internal/testkit/heldlistener.go
+++ b/internal/testkit/heldlistener.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// HeldListener accepts nothing until Held is closed: connections wait in the kernel's queue.
+// HeldListener accepts no connection until Held is closed: connections wait in the kernel's queue.
 type HeldListener struct {
 	*net.TCPListener
 	Held <-chan struct{}
--- a/internal/testkit/heldwrite.go
+++ b/internal/testkit/heldwrite.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// HeldWrite is a connection whose first write stands still between its checks and the system call, as that of a process
-// which the machine does not run in that moment. A deadline that is set meanwhile comes too late for that write.
+// HeldWrite is a connection whose first write is held between its deadline check and the system call, as happens when
+// the machine does not schedule the process at that moment. A deadline that is set in the meantime is too late for
+// that write.
 type HeldWrite struct {
 	net.Conn
-	Entered chan struct{} // closed as the write begins
-	Release chan struct{} // the test closes it
+	Entered chan struct{} // closed when the write begins
+	Release chan struct{} // closed by the test to let the write continue
 
 	mu      sync.Mutex
 	once    sync.Once
 	holding bool
 }
 
-// NewHeldWrite wraps a connection on which nothing has been written.
+// NewHeldWrite wraps a connection on which nothing has been written yet.
 func NewHeldWrite(c net.Conn) *HeldWrite {
 	return &HeldWrite{Conn: c, Entered: make(chan struct{}), Release: make(chan struct{})}
 }
 
-// HoldWrites is a dialer that hands each of its connections to the test, with its first write to be held.
+// HoldWrites returns a dialer that wraps each of its connections in a HeldWrite and sends the HeldWrite to the test.
 func HoldWrites(held chan<- *HeldWrite) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
@@ -59,7 +60,7 @@
 	return h.holding
 }
 
-// SetDeadline does not reach the write that is held.
+// SetDeadline has no effect while the first write is held.
 func (h *HeldWrite) SetDeadline(t time.Time) error {
 	if h.isHolding() {
 		return nil
@@ -67,7 +68,7 @@
 	return h.Conn.SetDeadline(t)
 }
 
-// SetWriteDeadline does not reach the write that is held.
+// SetWriteDeadline has no effect while the first write is held.
 func (h *HeldWrite) SetWriteDeadline(t time.Time) error {
 	if h.isHolding() {
 		return nil
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit is what tests of several packages share.
+// Package testkit contains helpers that the tests of several packages share.
 package testkit
 
 import (
@@ -14,14 +14,16 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// Patience is how long a test waits for what must come: far more than it takes anywhere.
+// Patience is how long a test waits for an event that must happen. It is far longer than the event takes on any
+// machine.
 const Patience = 30 * time.Second
 
-// Quiet writes nothing.
+// Quiet is a logger that discards all lines.
 var Quiet = slog.New(slog.DiscardHandler)
 
-// Settings is a platform's settings object: the mode of the list and all deadlines in milliseconds go in.
-// It has one class of each effect, and deadlines long enough for a slow machine.
+// Settings is the format of a settings object of the platform. Its arguments are the mode of the endpoint list and the
+// deadline of all classes in milliseconds. It has one class for each kind of semantics, and time limits long enough
+// for a slow machine.
 const Settings = `{
  "Balancers": 1, "Me": 0, "Zone": 0, "Dcs": ["a", "b"], "Kinds": ["m1", "m2"], "MembershipMode": "%s",
  "TickMs": 1, "CountedBy": "request",
@@ -34,15 +36,15 @@
  "Contract": {"AskWithinMs": 1000, "DrainGraceMs": 1000, "GraceToAnswerMs": 20, "ColdFrom": 0.5, "RampTimeMs": 1000, "FallMultiple": 3, "FallMs": 1000},
  "Goal": {"Whole": 1}, "Report": {"Source": "inline"}}`
 
-// Setup is what a test's agent is told.
+// Setup is the part of a test agent's configuration that tests choose.
 type Setup struct {
-	Mode      string // of discovery; "" is automatic
-	Deadline  int    // of all classes, ms; 0: 60 s
+	Mode      string // of discovery; empty: automatic
+	Deadline  int    // of all classes, in ms; 0: 60 s
 	Discovery string
 	Servers   []discovery.Member
 }
 
-// Config is a platform's configuration file.
+// Config returns a configuration file of the platform.
 func Config(t testing.TB, s Setup) []byte {
 	t.Helper()
 	if s.Mode == "" {
@@ -77,14 +79,14 @@
 	return ln
 }
 
-// DeadAddr is an address at which nothing listens until the test ends: connections are refused. It is kept, or another
-// test's server could get the port, and what is meant for nobody.
+// DeadAddr returns an address at which no process listens until the test ends, so that connections are refused. The
+// port stays bound: otherwise another test's server could get the port and receive connections that must be refused.
 func DeadAddr(t testing.TB) string {
 	t.Helper()
 	return bound(t, 0)
 }
 
-// DownAddr is a DeadAddr at which the test itself may listen, by net.Listen, whenever it likes.
+// DownAddr returns an address like that of DeadAddr, at which the test itself may later listen with net.Listen.
 func DownAddr(t testing.TB) string {
 	t.Helper()
 	return bound(t, 1)
@@ -110,29 +112,31 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 }
 
-// Receive waits for what must come on a channel.
+// Receive waits for a value on a channel, and fails the test if none arrives. what names the value in the failure
+// message.
 func Receive[T any](t testing.TB, what string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
 	case <-time.After(Patience):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out: no %s", what)
 		panic("unreachable")
 	}
 }
 
-// WaitFor polls what has no channel to wait on.
+// WaitFor polls ok until it returns true, and fails the test if that takes too long. It is for conditions without a
+// channel.
 func WaitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// Catalog is a list service that hands each watch to the test, which writes to it line by line.
+// Catalog is a list service that passes each watch to the test. The test writes the lines of the watch.
 type Catalog struct {
 	Addr  string
 	Watch chan *Watcher
@@ -141,18 +145,18 @@
 // Watcher is one watch of a Catalog.
 type Watcher struct {
 	Since string
-	Lines chan string // closed: the watch ends
+	Lines chan string // the watch ends when this is closed
 	Fail  chan struct{}
 }
 
-// NewCatalog runs one until the test ends.
+// NewCatalog runs a Catalog until the test ends.
 func NewCatalog(t testing.TB) *Catalog {
 	t.Helper()
 	ln := Listen(t)
 	c := &Catalog{Addr: ln.Addr().String(), Watch: make(chan *Watcher, 10)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
-			t.Errorf("discovery was asked for %s", r.URL)
+			t.Errorf("the list service received a request for %s", r.URL)
 		}
 		me := &Watcher{Since: r.URL.Query().Get("since"), Lines: make(chan string), Fail: make(chan struct{})}
 		c.Watch <- me
@@ -179,7 +183,7 @@
 	return c
 }
 
-// ToLine is a change of the list as a watch brings it.
+// ToLine returns a change of the list as a line of a watch.
 func ToLine(t testing.TB, version int64, servers ...discovery.Member) string {
 	t.Helper()
 	raw, err := json.Marshal(discovery.Members{Version: version, Servers: servers})
