--- a/cmd/vetchhaven/ask.go
+++ b/cmd/vetchhaven/adminclient.go
@@ -18,17 +18,17 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// askCommands talk to a running daemon, at the admin address of its file.
-func askCommands() []*cobra.Command {
+// adminCommands returns the commands that call a running daemon at the admin address in its file.
+func adminCommands() []*cobra.Command {
 	command := func(use, short string, run func(config string) error) *cobra.Command {
 		var config string
 		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return run(config) }}
-		c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
+		c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's configuration file")
 		return c
 	}
 	printResponse := func(method, path string, wait time.Duration) func(string) error {
 		return func(config string) error {
-			body, err := ask(config, method, path, wait)
+			body, err := callAdmin(config, method, path, wait)
 			if err == nil {
 				_, err = os.Stdout.Write(body)
 			}
@@ -36,67 +36,68 @@
 		}
 	}
 	var asJSON bool
-	status := command("status", "Show how a running daemon and its instances stand", func(config string) error {
+	status := command("status", "Show the state of a running daemon and its instances", func(config string) error {
 		if asJSON {
 			return printResponse(http.MethodGet, "/status", 10*time.Second)(config)
 		}
 		return status(config, os.Stdout)
 	})
-	status.Flags().BoolVar(&asJSON, "json", false, "all of it, as JSON")
+	status.Flags().BoolVar(&asJSON, "json", false, "print the complete response as JSON")
 	return []*cobra.Command{status,
-		command("reload", "Have a running daemon apply its changed file", printResponse(http.MethodPost, "/reload", time.Minute)),
-		command("handover", "Have a running daemon replaced by a fresh process without a gap", printResponse(http.MethodPost, "/handover", time.Minute))}
+		command("reload", "Make a running daemon apply its changed configuration file", printResponse(http.MethodPost, "/reload", time.Minute)),
+		command("handover", "Replace a running daemon by a new process without interrupting service", printResponse(http.MethodPost, "/handover", time.Minute))}
 }
 
-// ask calls a running daemon. An answer that is no success ends with status 1 and its words.
-func ask(config, method, path string, wait time.Duration) ([]byte, error) {
-	return askWith(config, method, path, nil, wait)
+// callAdmin calls a running daemon. If the response is not a success, it returns an error with status 1 and the
+// response's text.
+func callAdmin(config, method, path string, wait time.Duration) ([]byte, error) {
+	return callAdminWithBody(config, method, path, nil, wait)
 }
 
-// askWith calls it with a body.
-func askWith(config, method, path string, with []byte, wait time.Duration) ([]byte, error) {
+// callAdminWithBody is callAdmin with a request body.
+func callAdminWithBody(config, method, path string, requestBody []byte, wait time.Duration) ([]byte, error) {
 	cfg, err := daemonconfig.Load(config)
 	if err != nil {
-		return nil, exit{2, err}
+		return nil, exitError{2, err}
 	}
 	client := &http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, cfg.Admin.Network, cfg.Admin.Addr)
 		}}}
-	req, err := http.NewRequest(method, "http://daemon"+path, bytes.NewReader(with))
+	req, err := http.NewRequest(method, "http://daemon"+path, bytes.NewReader(requestBody))
 	if err != nil {
-		return nil, exit{1, err}
+		return nil, exitError{1, err}
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, exit{1, fmt.Errorf("no daemon answers at %s: %w", cfg.Admin, err)}
+		return nil, exitError{1, fmt.Errorf("no daemon answers at %s: %w", cfg.Admin, err)}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		var said struct{ Error string }
-		if json.Unmarshal(body, &said) == nil && said.Error != "" {
-			err = fmt.Errorf("%s", said.Error)
+		var failure struct{ Error string }
+		if json.Unmarshal(body, &failure) == nil && failure.Error != "" {
+			err = fmt.Errorf("%s", failure.Error)
 		} else {
 			err = fmt.Errorf("%s: %s", resp.Status, bytes.TrimSpace(body))
 		}
 	}
 	if err != nil {
-		return nil, exit{1, err}
+		return nil, exitError{1, err}
 	}
 	return body, nil
 }
 
-const statusShown = 30 // instances that are well: all others are shown
+const maxReadyShown = 30 // number of instances without problems to print; all other instances are printed
 
 func status(config string, out io.Writer) error {
-	body, err := ask(config, http.MethodGet, "/status", 10*time.Second)
+	body, err := callAdmin(config, http.MethodGet, "/status", 10*time.Second)
 	if err != nil {
 		return err
 	}
 	var s daemon.Status
 	if err := json.Unmarshal(body, &s); err != nil {
-		return exit{1, err}
+		return exitError{1, err}
 	}
 	fmt.Fprintf(out, "pid %d, up %v, %s: %d instances ready, %d running, %d waiting, %d down; %d reloads, %.1f MB heap\n", s.PID,
 		(time.Duration(s.Up) * time.Second), s.State, s.Ready, s.Running, s.Waiting, s.Down, s.Reloads, float64(s.Memory)/1e6)
@@ -108,10 +109,10 @@
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "instance\tlisten\tstate\topen\trequests\tserved\trefused\tfailed\tattempts\t")
-	well := 0
+	ready := 0
 	for _, i := range s.Instances {
 		if i.State == "ready" && i.Failures == 0 {
-			if well++; well > statusShown {
+			if ready++; ready > maxReadyShown {
 				continue
 			}
 		}
@@ -123,8 +124,8 @@
 			i.Totals.Refused, i.Totals.Failed, i.Totals.Attempts, reason)
 	}
 	t.Flush()
-	if well > statusShown {
-		fmt.Fprintf(out, "and %d more that are ready\n", well-statusShown)
+	if ready > maxReadyShown {
+		fmt.Fprintf(out, "and %d more that are ready\n", ready-maxReadyShown)
 	}
 	return nil
 }
--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -36,28 +36,28 @@
 	var f drillFlags
 	c := &cobra.Command{
 		Use:   "drill FILE",
-		Short: "Play faults between real daemons on loopback, or in virtual time, and judge what happened",
-		Long: "drill starts daemons, stand-in servers, a list and clients on loopback, with a relay on every link, and has befall\n" +
-			"them what the file says: kills, pauses, restarts with old or no disks, broken links. A judge reads only what\n" +
-			"happened, and says of each claim how often it was put to the test. It ends with status 0, 1 where a claim is\n" +
-			"broken or one that the file names was not tried, 2 where the file or the rig is at fault.",
+		Short: "Run a fault test of real daemons on loopback, or in virtual time, and check the result",
+		Long: "drill starts daemons, stand-in servers, a list and clients on loopback, with a relay on every link, and\n" +
+			"injects the faults of the file: kills, pauses, restarts with old or no disks, broken links. A checker reads only\n" +
+			"the recorded events, and reports for each claim how often it was tested. The exit status is 0, 1 if a claim is\n" +
+			"broken or a claim that the file names was not tested, 2 if the file or the test setup is at fault.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return playDrill(args[0], &f, os.Stdout, os.Stderr) },
 	}
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of all chance in it")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "the report as JSON")
-	c.Flags().StringVar(&f.keep, "keep", "", "a directory for the daemons' files, logs and lines.jsonl, which stays")
-	c.Flags().BoolVar(&f.virtual, "virtual", false, "the same schedule in virtual time")
-	c.Flags().IntVar(&f.daemons, "daemons", 0, "how many, in place of the file's (groups keep their members)")
-	c.Flags().BoolVar(&f.quiet, "quiet", false, "say nothing while it plays")
-	c.Flags().BoolVar(&f.alone, "alone", false, "without [peers]: each daemon for itself, to compare its service")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random numbers")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the report as JSON")
+	c.Flags().StringVar(&f.keep, "keep", "", "a directory for the daemons' files, logs and lines.jsonl, which is kept")
+	c.Flags().BoolVar(&f.virtual, "virtual", false, "run the same schedule in virtual time")
+	c.Flags().IntVar(&f.daemons, "daemons", 0, "number of daemons, if larger than the file's (groups keep their members)")
+	c.Flags().BoolVar(&f.quiet, "quiet", false, "print nothing while the test runs")
+	c.Flags().BoolVar(&f.alone, "alone", false, "without [peers]: each daemon works alone, to compare the service")
 	return c
 }
 
 func playDrill(path string, f *drillFlags, out, errs io.Writer) error {
 	p, err := plan.Load(path)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
 	if f.daemons > 0 {
 		p.Daemons = max(f.daemons, p.Daemons)
@@ -66,13 +66,13 @@
 	if f.virtual && p.Policy != nil {
 		r, err := policymodel.Play(p, policymodel.Options{Seed: f.seed, Witness: p.Policy.Witness})
 		if err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 		lines = r.Lines
 	} else if f.virtual {
 		r, err := virtual.Play(p, virtual.Options{Seed: f.seed})
 		if err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 		lines = r.Lines
 	} else {
@@ -80,7 +80,7 @@
 		defer cancel()
 		self, err := os.Executable()
 		if err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 		o := harness.Options{Program: self, Seed: f.seed, Tell: errs, Bare: f.alone}
 		if f.quiet {
@@ -88,23 +88,23 @@
 		}
 		if f.keep != "" {
 			if o.Keep, err = filepath.Abs(f.keep); err != nil {
-				return exit{2, err}
+				return exitError{2, err}
 			}
 		}
 		if lines, err = harness.Play(ctx, p, o); err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 	}
 	if f.keep != "" {
-		if err := keepLines(f.keep, lines); err != nil {
-			return exit{2, err}
+		if err := writeLines(f.keep, lines); err != nil {
+			return exitError{2, err}
 		}
 	}
 	report := checker.Check(p.Bounds, lines)
-	if f.virtual && p.Policy != nil { // nothing else is played there
+	if f.virtual && p.Policy != nil { // only the policy is simulated in this case
 		report = checker.Policy(p.Bounds, lines)
 	}
-	missed := report.NotTried(p.Tries)
+	notTried := report.NotTried(p.Tries)
 	if f.asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", " ")
@@ -113,22 +113,22 @@
 			Seed   uint64   `json:"seed"`
 			Missed []string `json:"not_tried,omitempty"`
 			*checker.Report
-		}{p.Name, f.seed, missed, report}); err != nil {
-			return exit{2, err}
+		}{p.Name, f.seed, notTried, report}); err != nil {
+			return exitError{2, err}
 		}
 	} else {
 		showReport(p, report, out)
-		if len(missed) > 0 {
-			fmt.Fprintln(out, "this drill is to try, and did not:", strings.Join(missed, ", "))
+		if len(notTried) > 0 {
+			fmt.Fprintln(out, "claims that this drill should test but did not:", strings.Join(notTried, ", "))
 		}
 	}
-	if report.Broken() > 0 || len(missed) > 0 && !f.virtual && !f.alone {
-		return exit{status: 1}
+	if report.Broken() > 0 || len(notTried) > 0 && !f.virtual && !f.alone {
+		return exitError{status: 1}
 	}
 	return nil
 }
 
-func keepLines(dir string, lines []checker.Line) error {
+func writeLines(dir string, lines []checker.Line) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
--- a/cmd/vetchhaven/drill_test.go
+++ b/cmd/vetchhaven/drill_test.go
@@ -39,7 +39,7 @@
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := playDrill(drillFile(t, c.text), &drillFlags{seed: 1, virtual: true}, &out, io.Discard)
-			var e exit
+			var e exitError
 			if errors.As(err, &e); e.status != c.status || err == nil != (c.status == 0) {
 				t.Errorf("%v", err)
 			}
--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -21,50 +21,50 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// fleetCommand is what operators ask a daemon about its fleet.
+// fleetCommand returns the commands with which operators query a daemon about its fleet.
 func fleetCommand() *cobra.Command {
-	root := &cobra.Command{Use: "fleet", Short: "Show how daemons see their fleet, and say what has gone for good", Args: cobra.NoArgs}
+	root := &cobra.Command{Use: "fleet", Short: "Show how daemons see their fleet, and remove members that are permanently gone", Args: cobra.NoArgs}
 	var config string
 	var asJSON bool
 	view := &cobra.Command{Use: "view", Short: "Show the members that a daemon knows", Args: cobra.NoArgs,
-		Long: "view asks the daemon of the given file for the members that it knows: their state, since when and by whose\nword, the digest of its view (two daemons with one digest know the same), and how it stands itself.",
+		Long: "view queries the daemon of the given file for the members that it knows: their state, since when and on whose\nreport, the digest of its view (daemons with the same digest have the same view), and its own state.",
 		RunE: func(*cobra.Command, []string) error {
-			body, err := ask(config, http.MethodGet, "/fleet/view", 10*time.Second)
+			body, err := callAdmin(config, http.MethodGet, "/fleet/view", 10*time.Second)
 			if err != nil || asJSON {
 				_, _ = os.Stdout.Write(body)
 				return err
 			}
 			var s transport.MembershipStatus
 			if err := json.Unmarshal(body, &s); err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 			return showView(&s, os.Stdout)
 		}}
-	view.Flags().BoolVar(&asJSON, "json", false, "all of it, as JSON")
-	forget := &cobra.Command{Use: "forget NAME", Short: "Say that a dead member has gone for good, and is not to be counted any more", Args: cobra.ExactArgs(1),
-		Long: "forget is an operator's word, logged and told to all: the daemon of that name does not run and sends nothing.\nSilence alone never takes a member out of the count, since an agent behind a broken link goes on sending. One\nthat is forgotten and does run says so, and is counted again.",
+	view.Flags().BoolVar(&asJSON, "json", false, "print the complete response as JSON")
+	forget := &cobra.Command{Use: "forget NAME", Short: "Declare a dead member permanently gone, so that it is no longer counted", Args: cobra.ExactArgs(1),
+		Long: "forget is an operator's statement, logged and sent to all members: the daemon of that name does not run and sends\nnothing. Silence alone never removes a member from the count, since an agent behind a broken link continues to send.\nA forgotten member that does run announces itself and is counted again.",
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := ask(config, http.MethodPost, "/fleet/forget?name="+url.QueryEscape(args[0]), 10*time.Second)
+			_, err := callAdmin(config, http.MethodPost, "/fleet/forget?name="+url.QueryEscape(args[0]), 10*time.Second)
 			return err
 		}}
 	for _, c := range []*cobra.Command{view, forget} {
-		c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
+		c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's configuration file")
 	}
-	diff := &cobra.Command{Use: "diff A B", Short: "Show where two daemons see different things; A and B are their files", Args: cobra.ExactArgs(2),
-		Long: "diff asks the daemons of two files for their views, and prints the members of which they do not think the same.\nIt ends with status 1 where there are any.",
+	diff := &cobra.Command{Use: "diff A B", Short: "Show where the views of two daemons differ; A and B are their configuration files", Args: cobra.ExactArgs(2),
+		Long: "diff queries the daemons of two files for their views, and prints the members on which the views differ.\nIts exit status is 1 if there are any.",
 		RunE: func(_ *cobra.Command, args []string) error {
-			var two [2]transport.MembershipStatus
+			var pair [2]transport.MembershipStatus
 			for i, path := range args {
-				body, err := ask(path, http.MethodGet, "/fleet/view", 10*time.Second)
+				body, err := callAdmin(path, http.MethodGet, "/fleet/view", 10*time.Second)
 				if err != nil {
 					return err
 				}
-				if err := json.Unmarshal(body, &two[i]); err != nil {
-					return exit{1, err}
+				if err := json.Unmarshal(body, &pair[i]); err != nil {
+					return exitError{1, err}
 				}
 			}
-			if n := diffViews(&two[0], &two[1], os.Stdout); n > 0 {
-				return exit{status: 1}
+			if n := diffViews(&pair[0], &pair[1], os.Stdout); n > 0 {
+				return exitError{status: 1}
 			}
 			return nil
 		}}
@@ -75,17 +75,17 @@
 func verdictsCommand() *cobra.Command {
 	var config string
 	var asJSON bool
-	c := &cobra.Command{Use: "verdicts", Short: "Show what the fleet's agents together hold against servers", Args: cobra.NoArgs,
-		Long: "verdicts asks the daemon of the given file for the servers against which something is said: whether one is out, by\nwhose evidence and since when, which share of the members uses it now, and why this daemon does not follow.",
+	c := &cobra.Command{Use: "verdicts", Short: "Show the fleet's shared verdicts on servers", Args: cobra.NoArgs,
+		Long: "verdicts queries the daemon of the given file for the servers with evidence against them: whether a server is ejected,\non whose evidence and since when, which share of the members uses it now, and why this daemon does not follow.",
 		RunE: func(*cobra.Command, []string) error {
-			body, err := ask(config, http.MethodGet, "/fleet/verdicts", 10*time.Second)
+			body, err := callAdmin(config, http.MethodGet, "/fleet/verdicts", 10*time.Second)
 			if err != nil || asJSON {
 				_, _ = os.Stdout.Write(body)
 				return err
 			}
 			var s transport.EjectionStatus
 			if err := json.Unmarshal(body, &s); err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 			c := s.Counts
 			fmt.Printf("seen by %s: %d out so far, %d of them back, %d lapsed, %d held back since too many were out\n", s.Name, c.Ejected, c.Readmitted, c.Expired, c.Capped)
@@ -100,8 +100,8 @@
 			}
 			return w.Flush()
 		}}
-	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
-	c.Flags().BoolVar(&asJSON, "json", false, "all of it, as JSON")
+	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's configuration file")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the complete response as JSON")
 	return c
 }
 
@@ -109,27 +109,27 @@
 	var config string
 	var asJSON, file bool
 	var agents int
-	c := &cobra.Command{Use: "limits", Short: "Show the limits that the fleet shares: bounds, use, and where the rights are", Args: cobra.NoArgs,
-		Long: "limits prints what follows from the file for each limit (the most that all agents together ever use, what one may\nuse that is cut off), and, from the running daemon, what it holds and, as a keeper, lends. With --file no daemon is\nasked: it is the file's word alone, for as many agents as are given.",
+	c := &cobra.Command{Use: "limits", Short: "Show the limits that the fleet shares: bounds, use, and who holds leases", Args: cobra.NoArgs,
+		Long: "limits prints what follows from the file for each limit (the most that all agents together ever use, and what an\nisolated agent may use), and what the running daemon holds and, as a lease server, lends. With --file no daemon is\nqueried: the output follows from the file alone, for the given number of agents.",
 		RunE: func(*cobra.Command, []string) error {
 			var s daemon.LimitsStatus
 			if file {
 				cfg, err := daemonconfig.Load(config)
 				if err != nil {
-					return exit{1, err}
+					return exitError{1, err}
 				}
 				if cfg.Limits == nil {
-					return exit{1, fmt.Errorf("%s: there is no [[limit]]", config)}
+					return exitError{1, fmt.Errorf("%s: there is no [[limit]]", config)}
 				}
 				s.Agents = cmp.Or(agents, cfg.Balancers)
 				s.Limits = cfg.Limits.Summary(s.Agents)
 			} else {
-				body, err := ask(config, http.MethodGet, "/fleet/limits", 10*time.Second)
+				body, err := callAdmin(config, http.MethodGet, "/fleet/limits", 10*time.Second)
 				if err != nil {
 					return err
 				}
 				if err := json.Unmarshal(body, &s); err != nil {
-					return exit{1, err}
+					return exitError{1, err}
 				}
 			}
 			if asJSON {
@@ -139,10 +139,10 @@
 			}
 			return showLimits(&s, file, os.Stdout)
 		}}
-	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
-	c.Flags().BoolVar(&asJSON, "json", false, "all of it, as JSON")
-	c.Flags().BoolVar(&file, "file", false, "what follows from the file, without asking the daemon")
-	c.Flags().IntVar(&agents, "agents", 0, "with --file: so many agents in all (default: rules.balancers)")
+	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's configuration file")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the complete response as JSON")
+	c.Flags().BoolVar(&file, "file", false, "print what follows from the file, without querying the daemon")
+	c.Flags().IntVar(&agents, "agents", 0, "with --file: total number of agents (default: rules.balancers)")
 	return c
 }
 
@@ -157,7 +157,7 @@
 		return err
 	}
 	if s.Isolated {
-		fmt.Fprintln(out, "\nthe part that talks to peers does not run: floors of soft limits hold, and of hard ones nothing once rights have lapsed")
+		fmt.Fprintln(out, "\nthe part that talks to peers does not run: soft limits admit their floors; hard limits admit nothing once leases have expired")
 		return nil
 	}
 	fmt.Fprintf(out, "\nheld by %s\n", s.Status.Name)
@@ -194,11 +194,11 @@
 	c := s.Size
 	from := ""
 	if c.FromFile {
-		from = ", from the file until the fleet is met"
+		from = ", from the file until other members are found"
 	}
 	fmt.Fprintf(out, "balancers: at most %d, at least %d%s; %d members, %d alive\n", c.MaxBalancers, c.MinBalancers, from, c.Members, c.Live)
 	t := s.Traffic
-	fmt.Fprintf(out, "sent: %.1f datagrams and %.0f bytes a second, %d exchanges (%d bytes); not taken: %d damaged, %d of another fleet, %d of another format\n",
+	fmt.Fprintf(out, "sent: %.1f datagrams and %.0f bytes a second, %d exchanges (%d bytes); rejected: %d damaged, %d of another fleet, %d of another format\n",
 		t.DatagramsRate, t.BytesRate, t.Exchanges, t.ExchangeBytes, t.Damaged, t.OtherFleet, t.OtherFormat)
 	if t.PolicyMessages+t.PolicyUnsent > 0 {
 		fmt.Fprintf(out, "about the policy, since the start: %d messages, %d bytes; %d not sent\n", t.PolicyMessages, t.PolicyBytes, t.PolicyUnsent)
@@ -207,7 +207,7 @@
 		fmt.Fprintln(out, "the view can't be saved: see the log")
 	}
 	if s.Isolated {
-		fmt.Fprintln(out, "nobody is heard: all others are shown as dead, whatever their records say")
+		fmt.Fprintln(out, "no other member is reachable: all others are shown as dead, regardless of their records")
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(s.Regions) > 0 {
@@ -235,7 +235,7 @@
 	return w.Flush()
 }
 
-// diffViews prints the members that two views do not think the same of, and says how many.
+// diffViews prints the members on which two views differ, and returns their number.
 func diffViews(a, b *transport.MembershipStatus, out io.Writer) int {
 	if a.Fleet != b.Fleet {
 		fmt.Fprintf(out, "%s is of fleet %s, %s of fleet %s\n", a.Name, a.Fleet, b.Name, b.Fleet)
@@ -244,14 +244,14 @@
 	all := map[string][2]*transport.MemberStatus{}
 	for i, s := range []*transport.MembershipStatus{a, b} {
 		for n := range s.Members {
-			two := all[s.Members[n].Name]
-			two[i] = &s.Members[n]
-			all[s.Members[n].Name] = two
+			pair := all[s.Members[n].Name]
+			pair[i] = &s.Members[n]
+			all[s.Members[n].Name] = pair
 		}
 	}
 	var names []string
-	for n, two := range all {
-		if x, y := two[0], two[1]; x == nil || y == nil || x.State != y.State || x.RunID != y.RunID || x.Incarnation != y.Incarnation || x.Addr != y.Addr {
+	for n, pair := range all {
+		if x, y := pair[0], pair[1]; x == nil || y == nil || x.State != y.State || x.RunID != y.RunID || x.Incarnation != y.Incarnation || x.Addr != y.Addr {
 			names = append(names, n)
 		}
 	}
@@ -262,14 +262,14 @@
 	slices.SortFunc(names, strings.Compare)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "member\tseen by %s\tseen by %s\n", a.Name, b.Name)
-	word := func(m *transport.MemberStatus) string {
+	describe := func(m *transport.MemberStatus) string {
 		if m == nil {
 			return "unknown"
 		}
 		return fmt.Sprintf("%s for %v, boot %d, inc %d, at %s", m.State, time.Duration(m.SinceS*float64(time.Second)).Round(100*time.Millisecond), m.Boot, m.Incarnation, m.Addr)
 	}
 	for _, n := range names {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", n, word(all[n][0]), word(all[n][1]))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", n, describe(all[n][0]), describe(all[n][1]))
 	}
 	_ = w.Flush()
 	return len(names)
--- a/cmd/vetchhaven/golden_test.go
+++ b/cmd/vetchhaven/golden_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// commandLines are all commands below c with their flags, a line each: path, flag, shorthand, type, default.
+// commandLines returns a line for each command below c and each of its flags: path, flag, shorthand, type, default.
 func commandLines(c *cobra.Command) (lines []string) {
 	lines = append(lines, c.CommandPath())
 	c.Flags().VisitAll(func(f *pflag.Flag) {
@@ -29,14 +29,15 @@
 	return lines
 }
 
-// Every command and flag of earlier builds is there. More may come; a renamed command keeps its old name as an alias.
-func TestCommandsAndFlagsOfEarlierBuildsAreThere(t *testing.T) {
+// Every command and flag of earlier builds still exists. New ones may be added; a renamed command keeps its old name
+// as an alias.
+func TestCommandsAndFlagsOfEarlierBuildsExist(t *testing.T) {
 	lines := commandLines(rootCommand())
 	slices.Sort(lines)
 	golden.CheckContains(t, "flags.txt", lines)
 }
 
-// The statuses that scripts go by.
+// Exit statuses must not change, since scripts depend on them.
 func TestExitStatusesStay(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -72,7 +73,7 @@
 			root := rootCommand()
 			root.SetArgs(c.args)
 			if got := statusFor(root.Execute()); got != c.status {
-				t.Errorf("%v ended with %d, not with %d", c.args, got, c.status)
+				t.Errorf("%v ended with status %d, want %d", c.args, got, c.status)
 			}
 		})
 	}
--- a/cmd/vetchhaven/handover_test.go
+++ b/cmd/vetchhaven/handover_test.go
@@ -14,22 +14,23 @@
 	"vetchhaven/internal/testkit"
 )
 
-// A reload that comes during a handover is in force afterwards, whichever process serves then. It was refused with "a successor
-// is being started: it reads the file itself", but the successor had read the file before: nobody served the new instance, and
-// nothing said so. The successor's reading and the refusal of the old process were two steps with a gap of up to 30 s between.
+// A reload during a handover is in effect after the handover, whichever process serves then. Earlier, the old process
+// rejected the reload with "a successor is being started: it reads the file itself", although the successor might have
+// read the file before the change: then no process served the new instance, and no line was logged. Up to 30 s could
+// pass between the successor's reading of the file and the rejected reload.
 func TestReloadDuringAHandoverTakesEffect(t *testing.T) {
 	for name, successorFails := range map[string]bool{"the successor gets ready": false, "the successor is killed": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, list := form(t)
-			s := serveFleet(t, list.Addr())
+			_, list := startFormAndList(t)
+			s := startDaemon(t, list.Addr())
 			before, _ := s.status()
 			text, err := os.ReadFile(s.path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			// The successor reads its file from a pipe: it has read it once the pipe is closed. A list that is down keeps it from
-			// being ready for 5 s.
+			// The successor reads its file from a pipe; it has read the file once the pipe is closed. A list service
+			// that is down delays its readiness by 5 s.
 			if err := os.Remove(s.path); err != nil {
 				t.Fatal(err)
 			}
@@ -58,29 +59,29 @@
 					t.Fatal(err)
 				}
 				_ = pipe.Close()
-				time.Sleep(500 * time.Millisecond) // the successor has parsed it; it is ready 5 s later
+				time.Sleep(500 * time.Millisecond) // the successor parses the file; it is ready 5 s later
 			}
 			if err := s.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
 			if successorFails {
-				time.Sleep(200 * time.Millisecond) // the reload has come, and the handover is still under way
+				time.Sleep(200 * time.Millisecond) // the reload arrives while the handover is still in progress
 				for _, pid := range starting {
 					_ = syscall.Kill(pid, syscall.SIGKILL)
 				}
 				defer pipe.Close()
 			}
-			s.until("the end of the handover", func(st daemon.Status) bool {
+			s.waitFor("the end of the handover", func(st daemon.Status) bool {
 				return st.State == "serving" && (st.PID != before.PID) == !successorFails
 			})
 			late := filepath.Join(s.dir, "late.sock")
-			for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+			for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 				if _, err := os.Stat(late); err == nil {
 					break
 				}
 				if time.Now().After(end) {
 					log, _ := os.ReadFile(s.log.Name())
-					t.Fatalf("nobody serves the instance that the reload added\n%s", log)
+					t.Fatalf("no process serves the instance that the reload added\n%s", log)
 				}
 			}
 			req, err := http.NewRequest(http.MethodGet, "http://x/get", nil)
--- a/cmd/vetchhaven/herd_test.go
+++ b/cmd/vetchhaven/herd_test.go
@@ -86,8 +86,9 @@
 after = "50ms"
 `
 
-// Real daemons, each killed outright with what it had open, and half of them once more before they are
-// up: the cold server that joins at that moment is not pushed over, and nothing has its effect twice.
+// All daemons are real processes that are killed with open requests and restarted at the same time; half of them are
+// killed again before they are up. The cold server that joins at that moment is not overloaded, and no request takes
+// effect twice.
 func TestHerdOfDaemons(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "herd.toml")
 	write(t, path, smallHerd)
@@ -109,7 +110,7 @@
 	}
 	for _, v := range p.Day.Servers {
 		if v.Fell {
-			t.Errorf("%s was pushed over", v.Name)
+			t.Errorf("%s was overloaded and failed", v.Name)
 		}
 	}
 	after := 0
@@ -117,6 +118,6 @@
 		after += w.InTime + w.Late
 	}
 	if after == 0 || strings.Contains(log.String(), "panic") {
-		t.Errorf("nothing was served after the restart\n%s", log)
+		t.Errorf("no request was served after the restart, or a process panicked\n%s", log)
 	}
 }
--- a/cmd/vetchhaven/crowd_test.go
+++ b/cmd/vetchhaven/idleclients_test.go
@@ -18,11 +18,12 @@
 	"vetchhaven/internal/testkit"
 )
 
-// listService is a discovery that is up, or resets each connection. A watch begins with the list.
+// listService is a discovery service that is either up or resets each connection. A watch starts with the complete
+// list.
 type listService struct {
 	addr    string
 	down    atomic.Bool
-	watches chan net.Conn // of those that are up
+	watches chan net.Conn // connections of the watches that were accepted while the service was up
 	list    atomic.Pointer[string]
 }
 
@@ -59,14 +60,14 @@
 		return
 	}
 	s.watches <- c
-	_, _ = in.ReadByte() // until the agent, or the test, ends it
+	_, _ = in.ReadByte() // until the agent or the test closes the connection
 }
 
-// Clients that ask nothing fill the descriptors of an agent while discovery is down: what was taken is answered, the watch
-// is opened anew when discovery is back, and servers that it names then get attempts. The process has no more descriptors
-// than its settings say.
+// Clients that send no request use up the descriptors of an agent while discovery is down. The admitted requests are
+// answered, the watch is opened again once discovery is back, and servers that discovery then lists get attempts. The
+// process has no more descriptors than its settings allow.
 func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
-	const sockets, held = 64, 3 // fewer than the server may have at once
+	const sockets, held = 64, 3 // held: fewer requests than the server may have at once
 	list := newListService(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,7 +82,7 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	late, err := net.Listen("tcp", "127.0.0.1:0") // a server that the list names once it is back
+	late, err := net.Listen("tcp", "127.0.0.1:0") // a server that is listed once discovery is back
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +92,7 @@
 	entry := `{"version":%d,"full":%t,"servers":[{"id":%q,"addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]}` + "\n"
 	first := fmt.Sprintf(entry, 2, true, "s", ln.Addr())
 	list.list.Store(&first)
-	cmd, log := program(t, text)
+	cmd, log := startProgram(t, text)
 	watch := <-list.watches
 	waitReady(t, listen)
 	most := unix.Rlimit{Cur: sockets, Max: sockets}
@@ -99,7 +100,7 @@
 		t.Fatal(err)
 	}
 	ask := func(id string) (int, error) {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 		req, err := http.NewRequest("GET", "http://"+listen+"/get/x", nil)
 		if err != nil {
 			return 0, err
@@ -131,7 +132,7 @@
 	var idle sync.WaitGroup
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop); idle.Wait() })
-	for range sockets { // they come again as often as they are closed
+	for range sockets { // the clients connect again whenever they are closed
 		idle.Go(func() {
 			for {
 				c, err := net.Dial("tcp", listen)
@@ -155,22 +156,22 @@
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 		return err == nil && len(open) >= core.ClientSockets(sockets)+2*held
 	})
-	if status, err := ask("down"); status != 200 { // by the list that is known
+	if status, err := ask("down"); status != 200 { // served from the last known list
 		t.Errorf("while discovery is down: %d, %v", status, err)
 	}
 	more := first + fmt.Sprintf(entry, 3, false, "late", late.Addr())
 	list.list.Store(&more)
 	list.down.Store(false)
-	testkit.Receive(t, "watch, anew", list.watches)
+	testkit.Receive(t, "second watch", list.watches)
 	close(release)
 	for range held {
-		if err := testkit.Receive(t, "answer of what was taken", answers); err != nil {
+		if err := testkit.Receive(t, "answer to an admitted request", answers); err != nil {
 			t.Error(err)
 		}
 	}
 	for n := range 2 {
 		if status, err := ask(fmt.Sprintf("back%d", n)); status != 200 {
-			t.Errorf("once it is back: %d, %v", status, err)
+			t.Errorf("after discovery is back: %d, %v", status, err)
 		}
 	}
 	if err := cmd.Process.Signal(unix.SIGTERM); err != nil {
--- a/cmd/vetchhaven/log.go
+++ b/cmd/vetchhaven/log.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	logLines = 1024                   // that wait to be written; past them lines are dropped and counted
-	logFlush = 500 * time.Millisecond // what is left is written for so long at an end
+	maxQueuedLogLines = 1024                   // further lines are dropped and counted
+	logFlushTimeout   = 500 * time.Millisecond // how long flush waits at the end of the process
 )
 
-// logEnv sets the least level of the lines that are logged: debug adds one for each attempt and each request that ends
-// without being served.
+// logEnv is the environment variable that sets the lowest level that is logged. Level debug adds a line for each
+// attempt and for each request that ends without being served.
 const logEnv = "VETCHHAVEN_LOG"
 
-// logLevel is what it says, or info.
+// logLevel returns the level that logEnv sets, or info if it is not set.
 func logLevel(getenv func(string) string) (level slog.Level, err error) {
 	text := getenv(logEnv)
 	if text == "" {
 		return slog.LevelInfo, nil
 	}
 	if err := level.UnmarshalText([]byte(text)); err != nil {
-		return level, fmt.Errorf("%s: %q: debug, info, warn and error are allowed", logEnv, text)
+		return level, fmt.Errorf("%s: invalid level %q; the levels are debug, info, warn and error", logEnv, text)
 	}
 	return level, nil
 }
 
-// logWriter has a log written by a goroutine of its own: whoever logs never waits for a slow disk, or for a pipe that
-// nobody reads.
+// logWriter writes a log in a separate goroutine, so that callers never wait for a slow disk or for a pipe that no
+// process reads.
 type logWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -38,7 +38,7 @@
 }
 
 func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{lines: make(chan []byte, logLines), done: make(chan struct{})}
+	w := &logWriter{lines: make(chan []byte, maxQueuedLogLines), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		for line := range w.lines {
@@ -54,7 +54,7 @@
 	return w
 }
 
-// Write takes a line. It does not wait, and does not fail.
+// Write queues a line. It does not block and does not fail.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -64,9 +64,10 @@
 	return len(line), nil
 }
 
-// flush writes what waits, for logFlush at the most. What is logged after it is not written.
+// flush waits until the queued lines are written, for at most logFlushTimeout. Lines that are logged later are not
+// written.
 func (w *logWriter) flush() {
-	limit := time.NewTimer(logFlush)
+	limit := time.NewTimer(logFlushTimeout)
 	defer limit.Stop()
 	select {
 	case w.lines <- nil:
--- a/cmd/vetchhaven/log_test.go
+++ b/cmd/vetchhaven/log_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// gatedLog writes once it is let.
-type gatedLog struct {
-	logged
+// blockedLog is a log whose writes block until open is closed.
+type blockedLog struct {
+	syncLog
 	open chan struct{}
 }
 
-func (g *gatedLog) Write(p []byte) (int, error) { <-g.open; return g.logged.Write(p) }
+func (g *blockedLog) Write(p []byte) (int, error) { <-g.open; return g.syncLog.Write(p) }
 
-// Whoever logs never waits. What there is no room for is counted, and the rest comes in order.
+// Writers of log lines never block. Lines for which there is no room are counted, and the others are written in order.
 func TestLogWriterNeverWaits(t *testing.T) {
-	to := &gatedLog{open: make(chan struct{})}
+	to := &blockedLog{open: make(chan struct{})}
 	w := newLogWriter(to)
-	const all = 2 * logLines
+	const all = 2 * maxQueuedLogLines
 	for i := range all {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	lost := w.dropped.Load()
-	if lost < all-logLines-1 || lost > all-logLines {
+	if lost < all-maxQueuedLogLines-1 || lost > all-maxQueuedLogLines {
 		t.Errorf("%d of %d lines dropped", lost, all)
 	}
 	close(to.open)
--- a/cmd/vetchhaven/main.go
+++ b/cmd/vetchhaven/main.go
@@ -1,5 +1,5 @@
-// Command vetchhaven is a client-side load balancer. With no arguments it is one agent of the
-// platform; its other jobs are subcommands.
+// Command vetchhaven is a client-side load balancer. Without arguments it runs one agent of the platform; its other
+// functions are subcommands.
 package main
 
 import (
@@ -10,30 +10,30 @@
 	"github.com/spf13/cobra"
 )
 
-// exit is an error that carries the status to end with. A nil text was said already.
-type exit struct {
+// exitError is an error with the exit status of the process. If err is nil, the error has been reported already.
+type exitError struct {
 	status int
 	err    error
 }
 
-func (e exit) Error() string {
+func (e exitError) Error() string {
 	if e.err == nil {
 		return fmt.Sprintf("status %d", e.status)
 	}
 	return e.err.Error()
 }
 
-// version is told to other daemons of a fleet, and printed by --version.
+// version is sent to other daemons of a fleet, and printed by --version.
 const version = "0.8.0"
 
 func main() { os.Exit(execute()) }
 
-// rootCommand is the program with all its subcommands.
+// rootCommand returns the program's command with all subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "vetchhaven",
 		Short: "a client-side load balancer: agent and tools",
-		Long: "vetchhaven with no arguments is the platform's agent, as `vetchhaven run` is: it serves the\n" +
+		Long: "vetchhaven without arguments is the platform's agent, like `vetchhaven run`: it serves the\n" +
 			"clients of one process, with the configuration that PROXY_CONFIG names, until SIGTERM.",
 		Version:       version,
 		Args:          cobra.NoArgs,
@@ -42,16 +42,16 @@
 		SilenceUsage:  true,
 	}
 	root.AddCommand(runCommand(), rehearseCommand(), serveCommand(), membersCommand())
-	root.AddCommand(askCommands()...)
+	root.AddCommand(adminCommands()...)
 	root.AddCommand(fleetCommand(), policyCommand(), drillCommand())
 	return root
 }
 
 func execute() int { return statusFor(rootCommand().Execute()) }
 
-// statusFor says an error, and is the status that the process ends with.
+// statusFor prints an error, and returns the exit status of the process.
 func statusFor(err error) int {
-	var e exit
+	var e exitError
 	switch {
 	case err == nil:
 		return 0
@@ -60,7 +60,7 @@
 			fmt.Fprintln(os.Stderr, "vetchhaven:", e.err)
 		}
 		return e.status
-	default: // cobra's own: a wrong flag or argument
+	default: // an error of cobra: a wrong flag or argument
 		fmt.Fprintln(os.Stderr, "vetchhaven:", err)
 		return 2
 	}
--- a/cmd/vetchhaven/main_test.go
+++ b/cmd/vetchhaven/main_test.go
@@ -17,13 +17,14 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program instead of the tests if the environment asks for it, so that tests can start the test
+// binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("VETCHHAVEN_TEST_MAIN") == "1" {
 		if n, err := strconv.ParseUint(os.Getenv("VETCHHAVEN_TEST_FILE_LIMIT"), 10, 64); err == nil {
-			signal.Ignore(syscall.SIGXFSZ) // writes past the limit then fail as they do on a full disk
+			signal.Ignore(syscall.SIGXFSZ) // writes beyond the limit then fail as they do on a full disk
 			if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
 				panic(err)
 			}
@@ -33,11 +34,11 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+func startProgram(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	write(t, path, config)
-	return programAt(t, path)
+	return startProgramAt(t, path)
 }
 
 func write(t *testing.T, path, config string) {
@@ -47,7 +48,7 @@
 	}
 }
 
-func programAt(t *testing.T, path string) (*exec.Cmd, *bytes.Buffer) {
+func startProgramAt(t *testing.T, path string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1", "PROXY_CONFIG="+path)
@@ -77,7 +78,7 @@
   "PolicyLimits":{"TryLimit":2,"ConnectTimeoutMs":10000,"IdleCloseMs":60000},"Contract":{"AskWithinMs":1000}}}`
 
 func TestBadConfigEndsTheProgram(t *testing.T) {
-	cmd, log := program(t, `{"listen":"nowhere"}`)
+	cmd, log := startProgram(t, `{"listen":"nowhere"}`)
 	if err := cmd.Wait(); err == nil || cmd.ProcessState.ExitCode() != 1 || !strings.Contains(log.String(), "seed") {
 		t.Errorf("%v, log %q", err, log)
 	}
@@ -85,7 +86,7 @@
 
 func waitReady(t *testing.T, addr string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/_health"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
@@ -93,13 +94,13 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("never ready")
+			t.Fatalf("the agent did not become ready")
 		}
 	}
 }
 
-// watches is a discovery that reports each watch and keeps it open.
-func watches(t *testing.T) (string, chan string) {
+// startWatchService starts a discovery service that reports each watch on the channel and keeps it open.
+func startWatchService(t *testing.T) (string, chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,13 +119,13 @@
 	return ln.Addr().String(), since
 }
 
-// SIGHUP moves the watch to the address in the new file, also where the environment named the
-// first one. A file that makes no sense, further SIGHUPs and those of a program that is stopping
-// do no harm. The default of SIGHUP ended the program.
+// SIGHUP moves the watch to the address in the new file, even if the environment set the first address. An invalid
+// file, further SIGHUPs, and SIGHUPs while the program stops do no harm. Earlier, the program did not catch SIGHUP,
+// whose default action ends the process.
 func TestSighup(t *testing.T) {
-	one, first := watches(t)
-	two, second := watches(t)
-	three, third := watches(t)
+	one, first := startWatchService(t)
+	two, second := startWatchService(t)
+	three, third := startWatchService(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	listen := freeAddr(t)
 	with := func(discovery string) string { return fmt.Sprintf(config, listen, discovery, freeAddr(t)) }
@@ -137,13 +138,13 @@
 		t.Helper()
 		select {
 		case <-ch:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no watch at the %s address", what)
 		}
 	}
 	write(t, path, with(one))
 	t.Setenv("PROXY_DISCOVERY", one)
-	cmd, log := programAt(t, path)
+	cmd, log := startProgramAt(t, path)
 	waitReady(t, listen)
 	watch("first", first)
 	write(t, path, with(two))
@@ -152,7 +153,7 @@
 	write(t, path, `{"seed":"1f","listen"`)
 	hup(cmd)
 	hup(cmd)
-	time.Sleep(50 * time.Millisecond) // lets it meet the bad file; without this the test is weaker, not wrong
+	time.Sleep(50 * time.Millisecond) // lets the program read the invalid file; without this the test is weaker, but not wrong
 	write(t, path, with(three))
 	hup(cmd)
 	watch("third", third)
@@ -162,7 +163,7 @@
 	}
 	for range 3 {
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			break // it has ended already
+			break // the program has already ended
 		}
 	}
 	if err := cmd.Wait(); err != nil {
@@ -170,19 +171,19 @@
 	}
 }
 
-// A configuration that can't be read as SIGHUP comes, since its file is being replaced or there is no descriptor for it, is
-// read again: the order was given once.
-func TestAReloadOutlastsAFileThatIsNotThere(t *testing.T) {
-	one, first := watches(t)
-	two, second := watches(t)
+// A configuration that can't be read when SIGHUP arrives, because its file is being replaced or no descriptor is free,
+// is read again, since SIGHUP is sent only once.
+func TestReloadIsRetriedWhileTheFileIsMissing(t *testing.T) {
+	one, first := startWatchService(t)
+	two, second := startWatchService(t)
 	path, listen := filepath.Join(t.TempDir(), "config.json"), freeAddr(t)
 	with := func(discovery string) string { return fmt.Sprintf(config, listen, discovery, freeAddr(t)) }
 	write(t, path, with(one))
-	cmd, log := programAt(t, path)
+	cmd, log := startProgramAt(t, path)
 	waitReady(t, listen)
 	select {
 	case <-first:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no watch at the first address")
 	}
 	if err := os.Remove(path); err != nil {
@@ -191,7 +192,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200 * time.Millisecond) // lets it meet the file that is not there; without this the test is weaker, not wrong
+	time.Sleep(200 * time.Millisecond) // lets the program find the file missing; without this the test is weaker, but not wrong
 	write(t, path, with(two))
 	select {
 	case <-second:
@@ -200,8 +201,8 @@
 	}
 }
 
-// SIGTERM with a request in flight: it gets its answer, and the program ends with status 0. So it does where SIGTERM
-// comes again, and SIGHUP with it, before the answer, and where the list has fallen silent by then.
+// After SIGTERM with a request in flight, the request is answered and the program ends with status 0. This also holds
+// if SIGTERM is repeated, or mixed with SIGHUP, before the answer, and if the list service sends nothing.
 func TestSigtermWithARequestInFlight(t *testing.T) {
 	for name, signals := range map[string][]os.Signal{
 		"once":            {syscall.SIGTERM},
@@ -213,7 +214,7 @@
 }
 
 func sigtermInFlight(t *testing.T, signals []os.Signal) {
-	list, watched := watches(t) // a watch that says nothing
+	list, watched := startWatchService(t) // a watch on which nothing is sent
 	came, hold := make(chan struct{}), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,7 +228,7 @@
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
 	addr := freeAddr(t)
-	cmd, log := program(t, fmt.Sprintf(config, addr, list, ln.Addr().String()))
+	cmd, log := startProgram(t, fmt.Sprintf(config, addr, list, ln.Addr().String()))
 	waitReady(t, addr)
 	<-watched
 	answered := make(chan string, 1)
@@ -245,7 +246,7 @@
 	}()
 	select {
 	case <-came:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("the request did not arrive; log %q", log)
 	}
 	for _, s := range signals {
@@ -262,10 +263,10 @@
 	}
 }
 
-// SIGTERM at any moment of a start ends the program: by the signal itself, or with status 0.
+// SIGTERM at any moment of the start ends the program, either by the signal itself or with status 0.
 func TestSigtermBeforeReady(t *testing.T) {
 	for range 10 {
-		cmd, log := program(t, fmt.Sprintf(config, freeAddr(t), freeAddr(t), freeAddr(t)))
+		cmd, log := startProgram(t, fmt.Sprintf(config, freeAddr(t), freeAddr(t), freeAddr(t)))
 		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/vetchhaven/members.go
+++ b/cmd/vetchhaven/members.go
@@ -27,33 +27,33 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "members",
-		Short: "Print the servers that a fleet's sources name, and why each is in or out",
-		Long: "members reads each source of the file as a daemon would, by itself, and prints the merged view: once, when\n" +
-			"all parts have been heard or the wait is over (status 1), or with --watch with each change.",
+		Short: "Print the servers of a fleet's sources, and why each one is in or out",
+		Long: "members reads each source of the file directly, as a daemon does, and prints the merged view: once, when all\n" +
+			"parts have been received or the wait is over (status 1), or after each change with --watch.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return members(config, source, watch, wait, c.OutOrStdout()) },
 	}
-	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
-	c.Flags().StringVar(&source, "source", "", "only this source")
+	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's configuration file")
+	c.Flags().StringVar(&source, "source", "", "read only this source")
 	c.Flags().BoolVar(&watch, "watch", false, "print each change, until Ctrl-C")
-	c.Flags().DurationVar(&wait, "wait", 5*time.Second, "for the parts of a source")
+	c.Flags().DurationVar(&wait, "wait", 5*time.Second, "how long to wait for the parts of a source")
 	return c
 }
 
-func members(config, only string, watch bool, wait time.Duration, out io.Writer) error {
+func members(config, onlySource string, watch bool, wait time.Duration, out io.Writer) error {
 	cfg, err := daemonconfig.Load(config)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
 	var names []string
 	for n := range cfg.Sources {
-		if only == "" || n == only {
+		if onlySource == "" || n == onlySource {
 			names = append(names, n)
 		}
 	}
 	slices.Sort(names)
 	if len(names) == 0 {
-		return exit{2, fmt.Errorf("%s: there is no source %q", config, only)}
+		return exitError{2, fmt.Errorf("%s: there is no source %q", config, onlySource)}
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
@@ -77,19 +77,19 @@
 		go m.Run(ctx, list)
 	}
 	limit := time.After(wait)
-	whole := false
-	look := time.NewTicker(10 * time.Millisecond)
-	defer look.Stop()
-	for over := false; !over && !whole; {
+	complete := false
+	poll := time.NewTicker(10 * time.Millisecond)
+	defer poll.Stop()
+	for timedOut := false; !timedOut && !complete; {
 		select {
-		case <-look.C:
-			whole = true
+		case <-poll.C:
+			complete = true
 			for _, m := range mergers {
 				_, w := m.Members()
-				whole = whole && w
+				complete = complete && w
 			}
 		case <-limit:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return nil
 		}
@@ -97,12 +97,12 @@
 	for _, n := range names {
 		list, w := mergers[n].Members()
 		if err := printMembers(out, n, list, w); err != nil {
-			return exit{1, err}
+			return exitError{1, err}
 		}
 	}
 	if !watch {
-		if !whole {
-			return exit{status: 1}
+		if !complete {
+			return exitError{status: 1}
 		}
 		return nil
 	}
@@ -112,7 +112,7 @@
 			list, w := mergers[n].Members()
 			fmt.Fprintf(out, "\n%s\n", time.Now().Format(time.TimeOnly))
 			if err := printMembers(out, n, list, w); err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 		case <-ctx.Done():
 			return nil
@@ -120,10 +120,10 @@
 	}
 }
 
-func printMembers(out io.Writer, name string, list []endpoints.Member, whole bool) error {
+func printMembers(out io.Writer, name string, list []endpoints.Member, complete bool) error {
 	note := ""
-	if !whole {
-		note = " (not all of its parts have been heard)"
+	if !complete {
+		note = " (incomplete: not all of its parts have been received)"
 	}
 	fmt.Fprintf(out, "source %s: %d servers%s\n", name, len(list), note)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
--- a/cmd/vetchhaven/members_test.go
+++ b/cmd/vetchhaven/members_test.go
@@ -9,9 +9,9 @@
 	"vetchhaven/internal/standin/dns"
 )
 
-// The merged view, and why each server is in or out.
+// The command prints the merged view, and why each server is in or out.
 func TestMembers(t *testing.T) {
-	_, list := form(t) // lists "s"
+	_, list := startFormAndList(t) // lists "s"
 	names, err := dns.New()
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	path := filepath.Join(dir, "fleet.toml")
 	text := fmt.Sprintf(fleetFile, dir, list.Addr())
 	write(t, path, strings.Replace(text, "name = \"main\"\n", fmt.Sprintf("name = \"main\"\nsrv = [%q]\nresolvers = [%q]\n", service, names.Addr()), 1))
-	status, out, errs := vetchhaven(t, "members", "--config", path, "--wait", "20s")
+	status, out, errs := runProgram(t, "members", "--config", path, "--wait", "20s")
 	for _, want := range []string{"source main: 2 servers", "up by the list", "one.example.org:8001", "127.0.0.77:8001", "up by records"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in %s", want, out)
@@ -37,7 +37,7 @@
 	if status != 0 {
 		t.Errorf("status %d: %s", status, errs)
 	}
-	if status, _, errs = vetchhaven(t, "members", "--config", path, "--source", "other"); status != 2 || !strings.Contains(errs, "no source") {
-		t.Errorf("%d %s", status, errs)
+	if status, _, errs = runProgram(t, "members", "--config", path, "--source", "other"); status != 2 || !strings.Contains(errs, "no source") {
+		t.Errorf("status %d, want 2: %s", status, errs)
 	}
 }
--- a/cmd/vetchhaven/policy_test.go
+++ b/cmd/vetchhaven/policy_test.go
@@ -16,23 +16,23 @@
 	"vetchhaven/internal/testkit"
 )
 
-// agreeing starts a daemon that agrees on policies with itself alone.
-func agreeing(t *testing.T, rest string) *served {
+// startPolicyVoter starts a daemon that is the only voter of its fleet.
+func startPolicyVoter(t *testing.T, rest string) *daemonProcess {
 	t.Helper()
-	_, list := form(t)
-	return serveWith(t, list.Addr(), fmt.Sprintf("[peers]\nfleet = \"f\"\nname = \"host-1\"\nlisten = \"%s\"\n[policy]\nvoters = [\"host-1\"]\ncut_off = \"vetoes\"\n%s", freeAddr(t), rest))
+	_, list := startFormAndList(t)
+	return startDaemonWith(t, list.Addr(), fmt.Sprintf("[peers]\nfleet = \"f\"\nname = \"host-1\"\nlisten = \"%s\"\n[policy]\nvoters = [\"host-1\"]\ncut_off = \"vetoes\"\n%s", freeAddr(t), rest))
 }
 
-const aPolicy = "[[class]]\nname = \"get\"\nrepeats = \"safe\"\naim = \"5s\"\ndeadline = \"60s\"\n[[class]]\nname = \"new\"\nrepeats = \"safe\"\naim = \"5s\"\ndeadline = \"60s\"\n"
+const twoClassPolicy = "[[class]]\nname = \"get\"\nrepeats = \"safe\"\naim = \"5s\"\ndeadline = \"60s\"\n[[class]]\nname = \"new\"\nrepeats = \"safe\"\naim = \"5s\"\ndeadline = \"60s\"\n"
 
-var asked atomic.Int64
+var requestCount atomic.Int64
 
-func (s *served) asks(class string) int {
+func (s *daemonProcess) requestStatus(class string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://daemon/"+class, nil)
 	if err != nil {
 		return 0
 	}
-	req.Header.Set("X-Trace-Id", fmt.Sprint(s.t.Name(), asked.Add(1)))
+	req.Header.Set("X-Trace-Id", fmt.Sprint(s.t.Name(), requestCount.Add(1)))
 	resp, err := s.client("one").Do(req)
 	if err != nil {
 		return 0
@@ -41,18 +41,18 @@
 	return resp.StatusCode
 }
 
-func (s *served) untilAnswers(class string, status int) {
+func (s *daemonProcess) waitForStatus(class string, status int) {
 	s.t.Helper()
 	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if s.asks(class) == status {
+		if s.requestStatus(class) == status {
 			return
 		}
 	}
-	s.t.Fatalf("%s is not answered with %d", class, status)
+	s.t.Fatalf("class %s is not answered with status %d", class, status)
 }
 
-func statusOf(err error) int {
-	var e exit
+func exitStatus(err error) int {
+	var e exitError
 	if err == nil {
 		return 0
 	}
@@ -60,53 +60,53 @@
 	return e.status
 }
 
-func TestAPolicyIsAppliedShownTakenBackAndDropped(t *testing.T) {
-	s := agreeing(t, "")
-	s.untilAnswers("get", http.StatusOK)
-	s.untilAnswers("new", http.StatusNotFound)
+func TestPolicyIsAppliedShownRevertedAndDropped(t *testing.T) {
+	s := startPolicyVoter(t, "")
+	s.waitForStatus("get", http.StatusOK)
+	s.waitForStatus("new", http.StatusNotFound)
 	var out bytes.Buffer
 	flags := &applyFlags{reason: "a class more", wait: testkit.Patience}
-	if err := applyPolicy(s.path, map[string]string{"": aPolicy}, flags, &out); err != nil || !strings.Contains(out.String(), "+ class[new].deadline = 60s") || !strings.Contains(out.String(), "policy 1 is in force") {
+	if err := applyPolicy(s.path, map[string]string{"": twoClassPolicy}, flags, &out); err != nil || !strings.Contains(out.String(), "+ class[new].deadline = 60s") || !strings.Contains(out.String(), "policy 1 is in force") {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	s.untilAnswers("new", http.StatusOK)
+	s.waitForStatus("new", http.StatusOK)
 	out.Reset()
-	if err := applyPolicy(s.path, map[string]string{"": aPolicy}, flags, &out); err != nil || !strings.Contains(out.String(), "it was in force already") {
-		t.Errorf("the same once more: %v\n%s", err, out.String())
+	if err := applyPolicy(s.path, map[string]string{"": twoClassPolicy}, flags, &out); err != nil || !strings.Contains(out.String(), "it was in force already") {
+		t.Errorf("applying the same policy again: %v\n%s", err, out.String())
 	}
-	bad := strings.Replace(aPolicy, "5s", "90s", 1)
-	if err := applyPolicy(s.path, map[string]string{"": bad}, flags, &out); statusOf(err) == 0 || !strings.Contains(err.Error(), "policy:4: class[0].aim") {
-		t.Errorf("an aim past its deadline: %v", err)
+	bad := strings.Replace(twoClassPolicy, "5s", "90s", 1)
+	if err := applyPolicy(s.path, map[string]string{"": bad}, flags, &out); exitStatus(err) == 0 || !strings.Contains(err.Error(), "policy:4: class[0].aim") {
+		t.Errorf("an aim above its deadline: %v", err)
 	}
-	if err := applyPolicy(s.path, map[string]string{"": strings.Replace(aPolicy, "new", "newer", 1)}, flags, &out); err != nil {
+	if err := applyPolicy(s.path, map[string]string{"": strings.Replace(twoClassPolicy, "new", "newer", 1)}, flags, &out); err != nil {
 		t.Fatal(err)
 	}
-	s.untilAnswers("new", http.StatusNotFound)
-	p, err := past(s.path, "", 1)
-	if err != nil || p.Document == nil || string(p.Document.Body) != aPolicy || len(p.Changes) != 3 {
+	s.waitForStatus("new", http.StatusNotFound)
+	p, err := fetchHistory(s.path, "", 1)
+	if err != nil || p.Document == nil || string(p.Document.Body) != twoClassPolicy || len(p.Changes) != 3 {
 		t.Fatalf("%v, %+v", err, p)
 	}
 	if err := applyPolicy(s.path, map[string]string{"": string(p.Document.Body)}, flags, &out); err != nil {
 		t.Fatal(err)
 	}
-	s.untilAnswers("new", http.StatusOK)
-	// One of which nobody has heard is dropped, and can't come any more.
-	if _, err := ask(s.path, http.MethodPost, "/policy/drop?id=never&by=me&reason=no", 10*time.Second); err != nil {
+	s.waitForStatus("new", http.StatusOK)
+	// A change that no member has received is dropped, and can't come into force later.
+	if _, err := callAdmin(s.path, http.MethodPost, "/policy/drop?id=never&by=me&reason=no", 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := await(s.path, "never", testkit.Patience, &out); statusOf(err) != 1 || !strings.Contains(err.Error(), "dropped by me: no") {
+	if err := await(s.path, "never", testkit.Patience, &out); exitStatus(err) != 1 || !strings.Contains(err.Error(), "dropped by me: no") {
 		t.Errorf("%v", err)
 	}
-	if err := await(s.path, "unheard-of", 0, &out); statusOf(err) != 2 {
+	if err := await(s.path, "unheard-of", 0, &out); exitStatus(err) != 2 {
 		t.Errorf("%v", err)
 	}
-	now, err := inForce(s.path)
+	now, err := fetchPolicy(s.path)
 	if err != nil || now.Active.Number != 3 {
 		t.Fatalf("%v, %+v", err, now)
 	}
 	out.Reset()
 	showPolicy(now, "", &out)
-	showPast(p, &out)
+	showHistory(p, &out)
 	for _, want := range []string{"policy 3", "a class more", "host-1 serves by the policy in force", "votes: leads", "roster: host-1", "in force"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is not shown:\n%s", want, out.String())
@@ -114,8 +114,8 @@
 	}
 }
 
-// killed kills it, and starts it again.
-func (s *served) killed() {
+// killAndRestart kills the daemon and starts it again.
+func (s *daemonProcess) killAndRestart() {
 	s.t.Helper()
 	st, _ := s.status()
 	if p, err := os.FindProcess(st.PID); err == nil {
@@ -129,42 +129,42 @@
 	s.start()
 }
 
-// What was agreed on holds over a kill, a handover and a reload; a file that does not go with it is refused.
-func TestAPolicyHoldsOverStarts(t *testing.T) {
-	s := agreeing(t, "")
-	s.untilAnswers("get", http.StatusOK)
+// The agreed policy stays in force after a kill, a handover and a reload.
+func TestPolicySurvivesRestarts(t *testing.T) {
+	s := startPolicyVoter(t, "")
+	s.waitForStatus("get", http.StatusOK)
 	var out bytes.Buffer
-	if err := applyPolicy(s.path, map[string]string{"": aPolicy}, &applyFlags{wait: testkit.Patience}, &out); err != nil {
+	if err := applyPolicy(s.path, map[string]string{"": twoClassPolicy}, &applyFlags{wait: testkit.Patience}, &out); err != nil {
 		t.Fatal(err)
 	}
-	s.untilAnswers("new", http.StatusOK)
-	if _, err := ask(s.path, http.MethodPost, "/reload", time.Minute); err != nil {
+	s.waitForStatus("new", http.StatusOK)
+	if _, err := callAdmin(s.path, http.MethodPost, "/reload", time.Minute); err != nil {
 		t.Error(err)
 	}
-	if got := s.asks("new"); got != http.StatusOK {
+	if got := s.requestStatus("new"); got != http.StatusOK {
 		t.Errorf("after a reload: %d", got)
 	}
-	if _, err := ask(s.path, http.MethodPost, "/handover", time.Minute); err != nil {
+	if _, err := callAdmin(s.path, http.MethodPost, "/handover", time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	s.untilAnswers("new", http.StatusOK)
-	s.killed()
-	s.untilAnswers("new", http.StatusOK)
-	if now, err := inForce(s.path); err != nil || now.Active.Number != 1 || now.Applied != 1 {
+	s.waitForStatus("new", http.StatusOK)
+	s.killAndRestart()
+	s.waitForStatus("new", http.StatusOK)
+	if now, err := fetchPolicy(s.path); err != nil || now.Active.Number != 1 || now.Applied != 1 {
 		t.Errorf("%v, %+v", err, now)
 	}
 }
 
 func TestPoliciesAreComparedByKey(t *testing.T) {
 	var out bytes.Buffer
-	if err := printDiff(aPolicy, strings.Replace(aPolicy, "60s", "30s", 1)+"[[ban]]\nserver = \"s1\"\n", &out); err != nil {
+	if err := printDiff(twoClassPolicy, strings.Replace(twoClassPolicy, "60s", "30s", 1)+"[[ban]]\nserver = \"s1\"\n", &out); err != nil {
 		t.Fatal(err)
 	}
 	if want := "+ ban[s1].server = s1\n~ class[get].deadline = 30s, was 60s\n"; out.String() != want {
-		t.Errorf("%q, not %q", out.String(), want)
+		t.Errorf("got %q, want %q", out.String(), want)
 	}
 	out.Reset()
-	if err := printDiff(aPolicy, aPolicy, &out); err != nil || out.String() != "it changes nothing\n" {
+	if err := printDiff(twoClassPolicy, twoClassPolicy, &out); err != nil || out.String() != "it changes nothing\n" {
 		t.Errorf("%v, %q", err, out.String())
 	}
 	dir := t.TempDir()
@@ -179,59 +179,59 @@
 	return "[[class]]\nname = \"" + name + "\"\nrepeats = \"safe\"\naim = \"5s\"\ndeadline = \"60s\"\n"
 }
 
-// A service's part by itself, a folder of parts as one change, what is shown of them, and one taken back; all of it holds over
-// a kill, and a reload by which the daemon comes to hold another part.
-func TestPartsOfServicesAreAppliedShownAndTakenBack(t *testing.T) {
-	s := agreeing(t, "")
-	s.untilAnswers("get", http.StatusOK)
-	s.untilAnswers("new", http.StatusNotFound)
+// A single service's part and a folder of parts as one change are applied and shown, and a part is reverted. The parts
+// stay in force after a kill, and after a reload through which the daemon gets a further part.
+func TestPartsOfServicesAreAppliedShownAndReverted(t *testing.T) {
+	s := startPolicyVoter(t, "")
+	s.waitForStatus("get", http.StatusOK)
+	s.waitForStatus("new", http.StatusNotFound)
 	var out bytes.Buffer
 	flags := &applyFlags{reason: "a class more", wait: testkit.Patience}
 	if err := applyPolicy(s.path, map[string]string{"main": classNamed("new")}, flags, &out); err != nil || !strings.Contains(out.String(), "+ class[new].deadline = 60s") || !strings.Contains(out.String(), "policy 1 of main is in force") {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	s.untilAnswers("new", http.StatusOK)
-	s.untilAnswers("get", http.StatusOK)
+	s.waitForStatus("new", http.StatusOK)
+	s.waitForStatus("get", http.StatusOK)
 	dir := t.TempDir()
-	write(t, filepath.Join(dir, allFile), classNamed("look"))
+	write(t, filepath.Join(dir, globalPartFile), classNamed("look"))
 	write(t, filepath.Join(dir, "main.toml"), classNamed("newer"))
 	write(t, filepath.Join(dir, "far.toml"), "[[ban]]\nserver = \"s1\"\n")
 	texts, names, err := readParts(dir, "")
-	if err != nil || len(texts) != 3 || texts["main"] != classNamed("newer") || names[""] != filepath.Join(dir, allFile) {
+	if err != nil || len(texts) != 3 || texts["main"] != classNamed("newer") || names[""] != filepath.Join(dir, globalPartFile) {
 		t.Fatalf("%v, %v", err, names)
 	}
 	out.Reset()
-	if err := applyPolicy(s.path, texts, flags, &out); err != nil || !strings.Contains(out.String(), "for all:\n+ class[look]") || !strings.Contains(out.String(), "main:\n- class[new]") {
+	if err := applyPolicy(s.path, texts, flags, &out); err != nil || !strings.Contains(out.String(), "global part:\n+ class[look]") || !strings.Contains(out.String(), "main:\n- class[new]") {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	s.untilAnswers("newer", http.StatusOK)
-	s.untilAnswers("look", http.StatusOK)
-	s.untilAnswers("new", http.StatusNotFound)
-	s.untilAnswers("get", http.StatusNotFound)
+	s.waitForStatus("newer", http.StatusOK)
+	s.waitForStatus("look", http.StatusOK)
+	s.waitForStatus("new", http.StatusNotFound)
+	s.waitForStatus("get", http.StatusNotFound)
 	out.Reset()
 	if err := applyPolicy(s.path, texts, flags, &out); err != nil || out.String() != "it changes nothing\n" {
-		t.Errorf("the same once more: %v\n%s", err, out.String())
+		t.Errorf("applying the same policy again: %v\n%s", err, out.String())
 	}
-	p, err := past(s.path, "main", 1)
+	p, err := fetchHistory(s.path, "main", 1)
 	if err != nil || p.Document == nil || string(p.Document.Body) != classNamed("new") {
 		t.Fatalf("%v, %+v", err, p)
 	}
-	if p, err := past(s.path, "far", 0); err != nil || p.Document == nil || p.Document.Number != 1 { // of a service that this daemon does not have
+	if p, err := fetchHistory(s.path, "far", 0); err != nil || p.Document == nil || p.Document.Number != 1 { // the part of a service that this daemon does not have
 		t.Errorf("%v, %+v", err, p)
 	}
-	now, err := inForce(s.path)
+	now, err := fetchPolicy(s.path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out.Reset()
 	showPolicy(now, "main", &out)
-	showPast(p, &out)
+	showHistory(p, &out)
 	for _, want := range []string{"policy 1, change", "main: policy 2, change", "name = \"newer\"", "1 of main", "1, 1 of far, 2 of main"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is not shown:\n%s", want, out.String())
 		}
 	}
-	// The daemon comes to have an instance of far, whose part is in force already.
+	// The daemon gets an instance of far, whose part is already in force.
 	text, err := os.ReadFile(s.path)
 	if err != nil {
 		t.Fatal(err)
@@ -239,30 +239,30 @@
 	more := strings.Replace(string(text), "[site]", "[[source]]\nname = \"far\"\nlist = \"127.0.0.1:1\"\n[site]", 1)
 	more = strings.Replace(more, "name = \"one\"", "name = \"one\"\nsource = \"main\"", 1) + fmt.Sprintf("[[instance]]\nname = \"two\"\nlisten = \"unix:%s/two.sock\"\nsource = \"far\"\n", s.dir)
 	write(t, s.path, more)
-	if _, err := ask(s.path, http.MethodPost, "/reload", time.Minute); err != nil {
+	if _, err := callAdmin(s.path, http.MethodPost, "/reload", time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(testkit.Patience); ; time.Sleep(10 * time.Millisecond) {
-		if now, err = inForce(s.path); err == nil && len(now.Parts) == 2 && len(now.NotYetServed) == 0 && now.Bodies["far"] != "" {
+		if now, err = fetchPolicy(s.path); err == nil && len(now.Parts) == 2 && len(now.NotYetServed) == 0 && now.Bodies["far"] != "" {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatalf("%v, %+v", err, now)
 		}
 	}
-	s.untilAnswers("newer", http.StatusOK)
-	s.killed()
-	s.untilAnswers("newer", http.StatusOK)
+	s.waitForStatus("newer", http.StatusOK)
+	s.killAndRestart()
+	s.waitForStatus("newer", http.StatusOK)
 	if err := applyPolicy(s.path, map[string]string{"main": string(p.Document.Body)}, flags, &out); err != nil {
 		t.Fatal(err)
 	}
-	s.untilAnswers("new", http.StatusOK)
+	s.waitForStatus("new", http.StatusOK)
 }
 
-func TestFoldersOfPartsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestInvalidPartFoldersAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	if _, _, err := readParts(dir, ""); err == nil || !strings.Contains(err.Error(), "has no parts") {
-		t.Errorf("an empty one: %v", err)
+		t.Errorf("an empty folder: %v", err)
 	}
 	write(t, filepath.Join(dir, "main.toml"), "[[ban]]\nserver = 3\n")
 	if _, _, err := readParts(dir, "main"); err == nil || !strings.Contains(err.Error(), "--part main goes with a file") {
@@ -275,10 +275,10 @@
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	write(t, path, fmt.Sprintf(fleetFile, dir, "127.0.0.1:1"))
 	if err := daemonconfig.CheckPolicy(path, texts, names); err == nil || !strings.Contains(err.Error(), "main.toml:2: ban") {
-		t.Errorf("a part that does not do: %v", err)
+		t.Errorf("an invalid part: %v", err)
 	}
 	write(t, filepath.Join(dir, "notes.txt"), "")
-	if _, _, err := readParts(dir, ""); err == nil || !strings.Contains(err.Error(), "notes.txt is no part of a policy") {
-		t.Errorf("a file that is none: %v", err)
+	if _, _, err := readParts(dir, ""); err == nil || !strings.Contains(err.Error(), "notes.txt is not a part of a policy") {
+		t.Errorf("a file that is not a part: %v", err)
 	}
 }
--- a/cmd/vetchhaven/rehearse.go
+++ b/cmd/vetchhaven/rehearse.go
@@ -24,7 +24,7 @@
 	"vetchhaven/internal/simulate/statistics"
 )
 
-// ownPolicy is the name of the project's decision module among policies.
+// ownPolicy is the name of this project's decision module among the policies.
 const ownPolicy = "vetchhaven"
 
 type rehearseFlags struct {
@@ -42,28 +42,28 @@
 	var f rehearseFlags
 	c := &cobra.Command{
 		Use:   "rehearse SCENARIO.toml",
-		Short: "Play an incident against the real decisions, and show how it goes",
-		Long: "rehearse plays a scenario (see scenarios/) with emulated form servers, server list, network and\n" +
-			"clients round the decision module: in virtual time, where the same seed gives the same report, or\n" +
-			"with --sockets in real time on loopback, round real agent processes.\n\n" +
-			"Exit status: 0; 1 a rule was broken; 2 the scenario or a flag makes no sense. Ctrl-C ends it with\n" +
-			"the report up to there.",
+		Short: "Simulate an incident with the real decision module, and report the results",
+		Long: "rehearse simulates a scenario (see scenarios/) with emulated form servers, server list, network and\n" +
+			"clients around the decision module: in virtual time, where the same seed gives the same report, or\n" +
+			"with --sockets in real time on loopback, around real agent processes.\n\n" +
+			"Exit status: 0; 1 a rule was broken; 2 the scenario or a flag is invalid. Ctrl-C ends it with\n" +
+			"the report so far.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return rehearse(args[0], f, os.Stdout, os.Stderr) },
 	}
-	c.Flags().BoolVar(&f.sockets, "sockets", false, "play on loopback sockets and in real time")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "all chance comes from it")
-	c.Flags().StringVar(&f.policy, "policy", ownPolicy, "who decides: "+ownPolicy+", "+strings.Join(baseline.Names, ", "))
-	c.Flags().StringSliceVar(&f.against, "against", nil, "policies to play the same arrivals and faults against")
+	c.Flags().BoolVar(&f.sockets, "sockets", false, "run on loopback sockets and in real time")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random numbers")
+	c.Flags().StringVar(&f.policy, "policy", ownPolicy, "the policy that decides: "+ownPolicy+", "+strings.Join(baseline.Names, ", "))
+	c.Flags().StringSliceVar(&f.against, "against", nil, "further policies to simulate with the same arrivals and faults")
 	c.Flags().StringVar(&f.json, "json", "", "also write the report to this file as JSON")
 	c.Flags().StringVar(&f.html, "html", "", "also write the report to this file as a page with plots")
-	c.Flags().StringVar(&f.listAt, "list-at", "", "with --sockets: where the list listens for agents that run already")
-	c.Flags().StringSliceVar(&f.agentsAt, "agents-at", nil, "with --sockets: addresses of agents that run already, as a fleet's instances")
-	c.Flags().BoolVar(&f.quiet, "quiet", false, "no progress on a terminal")
+	c.Flags().StringVar(&f.listAt, "list-at", "", "with --sockets: address of the list for agents that already run")
+	c.Flags().StringSliceVar(&f.agentsAt, "agents-at", nil, "with --sockets: addresses of agents that already run, such as a fleet's instances")
+	c.Flags().BoolVar(&f.quiet, "quiet", false, "print no progress on a terminal")
 	return c
 }
 
-// policyMaker is what makes a policy of a name for one agent.
+// policyMaker returns the function that creates the named policy for one agent.
 func policyMaker(name string) (func(decide.Settings, uint64) (virtual.Policy, error), error) {
 	if name == ownPolicy {
 		return virtual.Decide, nil
@@ -78,47 +78,47 @@
 func rehearse(path string, f rehearseFlags, out, errs io.Writer) error {
 	s, err := scenario.Load(path)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
 	names := append([]string{f.policy}, f.against...)
 	for _, n := range names {
 		if _, err := policyMaker(n); err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 	}
 	if (f.listAt == "") != (len(f.agentsAt) == 0) || f.listAt != "" && !f.sockets {
-		return exit{2, errors.New("--list-at and --agents-at go together, and with --sockets")}
+		return exitError{2, errors.New("--list-at and --agents-at must be given together, and only with --sockets")}
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	told := &report.Report{Scenario: s, Seed: f.seed, Driver: "virtual time"}
+	summary := &report.Report{Scenario: s, Seed: f.seed, Driver: "virtual time"}
 	if f.sockets {
 		if len(f.against) > 0 || f.policy != ownPolicy {
-			return exit{2, errors.New("--sockets plays the real agents: --policy and --against need virtual time")}
+			return exitError{2, errors.New("--sockets runs the real agents: --policy and --against need virtual time")}
 		}
-		told.Driver = "sockets"
-		told.Results, err = playSockets(ctx, s, f, errs)
+		summary.Driver = "sockets"
+		summary.Results, err = playSockets(ctx, s, f, errs)
 	} else {
-		told.Results, err = playVirtual(ctx, s, f, names, errs)
+		summary.Results, err = playVirtual(ctx, s, f, names, errs)
 	}
 	if err != nil {
-		return exit{1, err}
+		return exitError{1, err}
 	}
-	if err := told.Text(out); err != nil {
-		return exit{1, err}
+	if err := summary.Text(out); err != nil {
+		return exitError{1, err}
 	}
 	for _, o := range []struct {
 		path  string
 		write func(io.Writer) error
-	}{{f.json, told.JSON}, {f.html, told.HTML}} {
+	}{{f.json, summary.JSON}, {f.html, summary.HTML}} {
 		if o.path != "" {
 			if err := writeFile(o.path, o.write); err != nil {
-				return exit{1, err}
+				return exitError{1, err}
 			}
 		}
 	}
-	if told.Broken() > 0 {
-		return exit{status: 1}
+	if summary.Broken() > 0 {
+		return exitError{status: 1}
 	}
 	return nil
 }
@@ -135,16 +135,16 @@
 	return file.Close()
 }
 
-// playVirtual plays all policies side by side: each is a world of its own.
+// playVirtual simulates all policies concurrently, each one independent of the others.
 func playVirtual(ctx context.Context, s *model.Scenario, f rehearseFlags, names []string, errs io.Writer) ([]report.Result, error) {
 	results := make([]report.Result, len(names))
-	fails := make([]error, len(names))
+	failures := make([]error, len(names))
 	var running sync.WaitGroup
 	for i, name := range names {
 		running.Go(func() {
 			newPolicy, err := policyMaker(name)
 			if err != nil {
-				fails[i] = err
+				failures[i] = err
 				return
 			}
 			o := virtual.Options{Scenario: s, Seed: f.seed, New: newPolicy, Stop: func() bool { return ctx.Err() != nil }}
@@ -153,17 +153,17 @@
 			}
 			p, err := virtual.Play(o)
 			if err != nil {
-				fails[i] = err
+				failures[i] = err
 				return
 			}
 			results[i] = report.Result{Policy: name, Day: p.Day, Judge: p.Judge, CutShort: p.CutShort}
 		})
 	}
 	running.Wait()
-	return results, errors.Join(fails...)
+	return results, errors.Join(failures...)
 }
 
-// progress writes one line over and over, on a terminal only.
+// progress returns a function that repeatedly overwrites one line, or nil if errs is not a terminal.
 func progress(s *model.Scenario, f rehearseFlags, errs io.Writer) func(time.Duration, *statistics.Day) {
 	file, ok := errs.(*os.File)
 	if !ok || f.quiet {
--- a/cmd/vetchhaven/rehearse_test.go
+++ b/cmd/vetchhaven/rehearse_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// vetchhaven runs the program with arguments, as a user does.
-func vetchhaven(t *testing.T, args ...string) (status int, out, errs string) {
+// runProgram runs the program with the given arguments, and returns its exit status and output.
+func runProgram(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1")
@@ -27,7 +27,7 @@
 func TestRehearse(t *testing.T) {
 	dir := t.TempDir()
 	page, data := filepath.Join(dir, "r.html"), filepath.Join(dir, "r.json")
-	status, out, errs := vetchhaven(t, "rehearse", "../../scenarios/fast-errors.toml", "--against", "p2c,random", "--html", page, "--json", data)
+	status, out, errs := runProgram(t, "rehearse", "../../scenarios/fast-errors.toml", "--against", "p2c,random", "--html", page, "--json", data)
 	if status != 0 || errs != "" || !strings.Contains(out, "vetchhaven kept all four") || !strings.Contains(out, "p2c") {
 		t.Errorf("status %d, %s\n%s", status, errs, out)
 	}
@@ -36,13 +36,13 @@
 			t.Errorf("%v %v", info, err)
 		}
 	}
-	_, again, _ := vetchhaven(t, "rehearse", "../../scenarios/fast-errors.toml", "--against", "p2c,random")
+	_, again, _ := runProgram(t, "rehearse", "../../scenarios/fast-errors.toml", "--against", "p2c,random")
 	if again != out {
-		t.Error("the same seed, and another report")
+		t.Error("the same seed gave another report")
 	}
 }
 
-func TestRehearseEndsWithAStatusThatTells(t *testing.T) {
+func TestRehearseExitStatus(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	write(t, bad, "title = \"x\"\nlenght = \"1s\"\n")
@@ -59,19 +59,19 @@
 		{[]string{"rehearse", "../../scenarios/calm.toml", "--nope"}, 2, "--nope"},
 		{[]string{"rehears"}, 2, "rehears"},
 	} {
-		status, out, errs := vetchhaven(t, tt.args...)
+		status, out, errs := runProgram(t, tt.args...)
 		if status != tt.status || !strings.Contains(errs, tt.want) || strings.Count(errs, "\n") != 1 || out != "" {
 			t.Errorf("%v: status %d, %q, %q", tt.args, status, errs, out)
 		}
 	}
-	// A policy that breaks a rule: with the request or server, and the time.
-	status, out, _ := vetchhaven(t, "rehearse", "../../scenarios/cold-start.toml", "--policy", "random")
+	// If a policy breaks a rule, the report names the request or server and the time.
+	status, out, _ := runProgram(t, "rehearse", "../../scenarios/cold-start.toml", "--policy", "random")
 	if status != 1 || !strings.Contains(out, "rule 4 at ") || !strings.Contains(out, "server fresh-") {
 		t.Errorf("status %d\n%s", status, out)
 	}
 }
 
-// Ctrl-C ends it with the report up to there, marked, and no agent is left.
+// Ctrl-C ends the command with the report so far, marked as cut short.
 func TestRehearseIsCutShort(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -100,11 +100,11 @@
 }
 
 func TestHelp(t *testing.T) {
-	status, out, _ := vetchhaven(t, "--help")
+	status, out, _ := runProgram(t, "--help")
 	if status != 0 || !strings.Contains(out, "rehearse") || !strings.Contains(out, "PROXY_CONFIG") {
 		t.Errorf("status %d\n%s", status, out)
 	}
-	if status, out, _ := vetchhaven(t, "rehearse", "--help"); status != 0 || !strings.Contains(out, "--against") {
+	if status, out, _ := runProgram(t, "rehearse", "--help"); status != 0 || !strings.Contains(out, "--against") {
 		t.Errorf("status %d\n%s", status, out)
 	}
 }
--- a/cmd/vetchhaven/restart_test.go
+++ b/cmd/vetchhaven/restart_test.go
@@ -17,14 +17,14 @@
 	"vetchhaven/internal/standin"
 )
 
-// restarting starts a program whose log may be read while it runs.
-func restarting(t *testing.T, config string, env ...string) (*exec.Cmd, *logged) {
+// startAgent starts the program with a log that can be read while the program runs.
+func startAgent(t *testing.T, config string, env ...string) (*exec.Cmd, *syncLog) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	write(t, path, config)
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1", "PROXY_CONFIG="+path), env...)
-	log := &logged{}
+	log := &syncLog{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -33,8 +33,8 @@
 	return cmd, log
 }
 
-// terminated is how a program ends that is told to.
-func terminated(t *testing.T, cmd *exec.Cmd) {
+// terminate sends SIGTERM to a program, and checks that it ends with status 0.
+func terminate(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -44,15 +44,15 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the program ended with %v", err)
 		}
-	case <-time.After(patience):
-		t.Error("it did not end")
+	case <-time.After(testTimeout):
+		t.Error("the program did not end")
 	}
 }
 
-// A new process that starts while the old one still drains on the port waits for it, and serves once it is free; it is
-// not ended by an address in use. The old one's request is answered meanwhile.
+// A new process that starts while the old one still uses the port waits for the port instead of ending with "address
+// in use", and serves once the port is free. The old process answers its request in flight.
 func TestNewProcessWaitsForThePortOfTheOldOne(t *testing.T) {
 	came, hold := make(chan struct{}), make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -69,7 +69,7 @@
 	text := fmt.Sprintf(config, freeAddr(t), freeAddr(t), ln.Addr())
 	listen := text[strings.Index(text, "127.0.0.1"):]
 	listen = listen[:strings.Index(listen, `"`)]
-	old, _ := restarting(t, text)
+	old, _ := startAgent(t, text)
 	waitReady(t, listen)
 	answered := make(chan string, 1)
 	go func() {
@@ -84,12 +84,12 @@
 		answered <- resp.Status
 	}()
 	<-came
-	next, log := restarting(t, text)
+	next, log := startAgent(t, text)
 	log.wait(t, "in use")
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	log.wait(t, "msg=serving") // the old one still has its request
+	log.wait(t, "msg=serving") // the old process still has its request in flight
 	waitReady(t, listen)
 	close(hold)
 	if got := <-answered; got != "200 OK" {
@@ -98,14 +98,15 @@
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	terminated(t, next)
+	terminate(t, next)
 }
 
-// A process that is killed leaves connections of its clients behind that are half open: the next one has the port at once.
+// A killed process leaves half-open client connections behind. The next process can still listen on the port
+// immediately.
 func TestReadyRightAfterAKill(t *testing.T) {
 	listen := freeAddr(t)
 	text := fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t))
-	old, _ := restarting(t, text)
+	old, _ := startAgent(t, text)
 	waitReady(t, listen)
 	c, err := net.Dial("tcp", listen)
 	if err != nil {
@@ -118,29 +119,29 @@
 	}
 	_ = old.Process.Kill()
 	_ = old.Wait()
-	next, log := restarting(t, text)
+	next, log := startAgent(t, text)
 	waitReady(t, listen)
 	if strings.Contains(log.String(), "in use") {
-		t.Error("it waited for the port")
+		t.Error("the new process waited for the port")
 	}
-	terminated(t, next)
+	terminate(t, next)
 }
 
-// A process that is told to end while it waits for the port ends with status 0.
+// A process that receives SIGTERM while it waits for the port ends with status 0.
 func TestSigtermWhileThePortIsInUse(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	cmd, log := restarting(t, fmt.Sprintf(config, ln.Addr(), freeAddr(t), freeAddr(t)))
+	cmd, log := startAgent(t, fmt.Sprintf(config, ln.Addr(), freeAddr(t), freeAddr(t)))
 	log.wait(t, "in use")
-	terminated(t, cmd)
+	terminate(t, cmd)
 }
 
-// Whatever discovery does, in both modes, a process is ready by its stored list.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts: calls hang
+// In any state of discovery and in both modes, a process becomes ready with its stored list.
+func TestReadyInAnyStateOfDiscovery(t *testing.T) {
+	mute, err := net.Listen("tcp", "127.0.0.1:0") // connections are not accepted, so calls hang
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,15 +161,15 @@
 				t.Parallel()
 				listen := freeAddr(t)
 				text := strings.Replace(fmt.Sprintf(config, listen, discovery, freeAddr(t)), `"subscribe"`, `"`+mode+`"`, 1)
-				cmd, _ := restarting(t, text)
+				cmd, _ := startAgent(t, text)
 				waitReady(t, listen)
-				terminated(t, cmd)
+				terminate(t, cmd)
 			})
 		}
 	}
 }
 
-// fullPipe is a pipe that nobody reads, with no room left: a write to it blocks.
+// fullPipe returns the write end of a full pipe that is not read, so that a write blocks.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
 	in, out, err := os.Pipe()
@@ -181,7 +182,7 @@
 		t.Fatal(err)
 	}
 	full := false
-	_ = raw.Write(func(fd uintptr) bool { // the descriptor does not block yet
+	_ = raw.Write(func(fd uintptr) bool { // the descriptor is still in non-blocking mode
 		for {
 			if _, err := syscall.Write(int(fd), make([]byte, 4096)); err != nil {
 				full = err == syscall.EAGAIN
@@ -190,30 +191,30 @@
 		}
 	})
 	if !full {
-		t.Fatal("the pipe never filled up")
+		t.Fatal("the pipe did not fill up")
 	}
 	return out
 }
 
-// Nobody reads the log, and there is no room for more of it: a process is ready, and ends when it is told to.
-func TestReadyWithALogThatIsNotWritten(t *testing.T) {
+// A process whose log is a full pipe becomes ready, and ends on SIGTERM.
+func TestReadyWhileTheLogBlocks(t *testing.T) {
 	out := fullPipe(t)
 	listen := freeAddr(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	write(t, path, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)))
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1", "PROXY_CONFIG="+path)
-	cmd.Stderr = out // blocks from here on
+	cmd.Stderr = out // writes to the log block from the start
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	waitReady(t, listen)
-	terminated(t, cmd)
+	terminate(t, cmd)
 }
 
-// The same for a daemon: none of its instances waits for the log.
-func TestDaemonServesWithALogThatIsNotWritten(t *testing.T) {
+// The instances of a daemon whose log is a full pipe serve requests and don't wait for the log.
+func TestDaemonServesWhileTheLogBlocks(t *testing.T) {
 	server := standin.NewForm("s", nil)
 	defer server.Close()
 	list, err := standin.NewList("", server.Member("ready"))
@@ -221,7 +222,7 @@
 		t.Fatal(err)
 	}
 	defer list.Close()
-	dir, err := os.MkdirTemp("", "serve") // short: a path of a socket has a bound
+	dir, err := os.MkdirTemp("", "serve") // a short path, since the length of a socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +231,7 @@
 	write(t, path, fmt.Sprintf(fleetFile, dir, list.Addr()))
 	cmd := exec.Command(os.Args[0], "serve", "--config", path)
 	cmd.Env = append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1")
-	cmd.Stderr = fullPipe(t) // blocks from here on
+	cmd.Stderr = fullPipe(t) // writes to the log block from the start
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +240,7 @@
 		return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(dir, "one.sock"))
 	}}}
 	served := 0
-	for end := time.Now().Add(patience); time.Now().Before(end) && served < 5; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end) && served < 5; time.Sleep(20 * time.Millisecond) {
 		req, err := http.NewRequest(http.MethodGet, "http://one/get/x", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -255,21 +256,22 @@
 	if served < 5 {
 		t.Errorf("%d requests were served", served)
 	}
-	terminated(t, cmd)
+	terminate(t, cmd)
 }
 
-// The directory in which operators' calls are kept can't be opened as a process starts: they are kept once it can be.
-func TestOperatorsCallsAreKeptOnceTheirDirectoryOpens(t *testing.T) {
-	listen, door, tmp := freeAddr(t), freeAddr(t), t.TempDir()
+// If the directory for operators' changes can't be opened when a process starts, changes are stored once it can be
+// opened.
+func TestOperatorChangesAreStoredOnceTheDirectoryOpens(t *testing.T) {
+	listen, adminAddr, tmp := freeAddr(t), freeAddr(t), t.TempDir()
 	dir := filepath.Join(tmp, "vetchhaven-"+url.PathEscape("n0-"+listen))
 	write(t, dir, "a file where the directory is to be")
-	restarting(t, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)), "PROXY_ADMIN_ADDR="+door, "TMPDIR="+tmp)
+	startAgent(t, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)), "PROXY_ADMIN_ADDR="+adminAddr, "TMPDIR="+tmp)
 	waitReady(t, listen)
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		req, err := http.NewRequest(http.MethodPut, "http://"+door+"/drain", nil)
+		req, err := http.NewRequest(http.MethodPut, "http://"+adminAddr+"/drain", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -281,14 +283,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("what operators say is not kept, though it could be")
+			t.Fatal("operators' changes are not stored, although the directory can be opened")
 		}
 	}
 }
 
-// The disk on which operators' calls are kept hangs: a process is ready all the same, and its operators' door opens.
+// If the disk that stores operators' changes hangs, a process still becomes ready, and its admin endpoint is served.
 func TestReadyWhileTheDiskHangs(t *testing.T) {
-	listen, door, tmp := freeAddr(t), freeAddr(t), t.TempDir()
+	listen, adminAddr, tmp := freeAddr(t), freeAddr(t), t.TempDir()
 	dir := filepath.Join(tmp, "vetchhaven-"+url.PathEscape("n0-"+listen))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -298,40 +300,41 @@
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil { // whoever opens the directory waits for it
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil { // opening the directory waits for this lock
 		t.Fatal(err)
 	}
-	cmd, log := restarting(t, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)), "TMPDIR="+tmp, "PROXY_ADMIN_ADDR="+door)
+	cmd, log := startAgent(t, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)), "TMPDIR="+tmp, "PROXY_ADMIN_ADDR="+adminAddr)
 	waitReady(t, listen)
-	log.wait(t, "not known yet")
-	resp, err := http.Get("http://" + door + "/ready")
+	log.wait(t, "could not be read yet")
+	resp, err := http.Get("http://" + adminAddr + "/ready")
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	terminated(t, cmd)
+	terminate(t, cmd)
 }
 
-// The operators' address is still held by the old process: clients don't wait for it, and it opens once it is free.
-func TestReadyWhileTheOperatorsAddressIsInUse(t *testing.T) {
+// If the old process still uses the admin address, clients don't wait for it, and the admin endpoint starts once the
+// address is free.
+func TestReadyWhileTheAdminAddressIsInUse(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen, door := freeAddr(t), held.Addr().String()
-	cmd, log := restarting(t, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)), "TMPDIR="+t.TempDir(), "PROXY_ADMIN_ADDR="+door)
+	listen, adminAddr := freeAddr(t), held.Addr().String()
+	cmd, log := startAgent(t, fmt.Sprintf(config, listen, freeAddr(t), freeAddr(t)), "TMPDIR="+t.TempDir(), "PROXY_ADMIN_ADDR="+adminAddr)
 	waitReady(t, listen)
 	log.wait(t, "in use")
 	held.Close()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		resp, err := http.Get("http://" + door + "/ready")
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		resp, err := http.Get("http://" + adminAddr + "/ready")
 		if err == nil {
 			resp.Body.Close()
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never opened")
+			t.Fatal("the admin endpoint did not start")
 		}
 	}
-	terminated(t, cmd)
+	terminate(t, cmd)
 }
--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -27,27 +27,27 @@
 func runCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "run",
-		Short: "Serve the clients of one process, as the platform starts it",
+		Short: "Serve the clients of one process; the platform starts the agent with this command",
 		Long: "run reads the configuration that PROXY_CONFIG names (PROXY_NAME, PROXY_LISTEN and\n" +
-			"PROXY_DISCOVERY go before it), serves until SIGTERM and reads it again at SIGHUP.",
+			"PROXY_DISCOVERY override it), serves until SIGTERM, and reads it again on SIGHUP.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return runAgent() },
 	}
 }
 
-// runAgent serves until SIGTERM. It ends with status 1 where the configuration makes no sense.
+// runAgent serves until SIGTERM. It returns status 1 if the configuration is invalid or serving fails.
 func runAgent() error {
 	level, err := logLevel(os.Getenv)
 	if err != nil {
 		slog.Error("vetchhaven", "error", err)
-		return exit{status: 1}
+		return exitError{status: 1}
 	}
 	w := newLogWriter(os.Stderr)
 	defer w.flush()
 	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 	if err := serveAgent(log); err != nil {
 		log.Error("vetchhaven", "error", err)
-		return exit{status: 1}
+		return exitError{status: 1}
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 func serveAgent(log *slog.Logger) error {
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	// Caught from the very start: the default of SIGHUP is to end the process.
+	// SIGHUP is caught before anything else, since its default action ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	cfg, err := loadConfig(stop, log)
@@ -65,12 +65,13 @@
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	}
-	// The heap is small: collect seldom, but well before the memory limit kills the process.
+	// The heap is small, so the collector runs less often, but still well before the memory limit at which the process
+	// is killed.
 	debug.SetGCPercent(400)
 	limitMemory(cfg.MemoryMB)
 	ln, err := core.Listen(stop, cfg, log)
 	if stop.Err() != nil {
-		return nil // told to end while it waited for the address
+		return nil // stopped while it waited for the address
 	}
 	if err != nil {
 		return err
@@ -80,61 +81,63 @@
 		return err
 	}
 	if cfg.Admin != "" {
-		leave, err := openDoor(cfg, a, log)
+		closeAdmin, err := startAdmin(cfg, a, log)
 		if err != nil {
 			return err
 		}
-		defer leave()
+		defer closeAdmin()
 	}
 	go reload(a, hup, log)
 	return a.Run(stop)
 }
 
-// keptWait is how long a start waits for what operators said to the process before it. On a slow disk clients are served
-// without it, and it holds as soon as it is read.
-const keptWait = time.Second
+// operatorStateTimeout is how long a start waits for the operators' changes that the previous process stored. If the
+// disk is slower, clients are served without these changes, which take effect as soon as they are read.
+const operatorStateTimeout = time.Second
 
-// keptAgain is how often it is tried to open the directory of what operators say.
-const keptAgain = time.Second
+// openRetryInterval is the time between attempts to open the directory of the operators' changes.
+const openRetryInterval = time.Second
 
-// operatorChanges is where what operators say is kept for other processes of the agent, once the disk has answered.
-type operatorChanges struct{ dir atomic.Pointer[handoff.Dir] }
+// changePublisher is the Publisher of the operators' changes. dir is nil until the directory has been opened.
+type changePublisher struct{ dir atomic.Pointer[handoff.Dir] }
 
-var errNotKept = errors.New("its directory does not answer")
+var errDirNotOpen = errors.New("the directory of the operators' changes is not open")
 
-// Publish keeps a change.
-func (p *operatorChanges) Publish(c handoff.Change) error {
+// Publish stores a change for the agent's other processes.
+func (p *changePublisher) Publish(c handoff.Change) error {
 	if dir := p.dir.Load(); dir != nil {
 		return dir.Publish(c)
 	}
-	return errNotKept
+	return errDirNotOpen
 }
 
-// openDoor opens the operators' door. What they say there holds in a process that replaces this one too.
-func openDoor(cfg *core.Config, a *core.Agent, log *slog.Logger) (leave func(), err error) {
+// startAdmin starts the admin endpoint. Changes that operators make there also apply in a process that replaces this
+// one.
+func startAdmin(cfg *core.Config, a *core.Agent, log *slog.Logger) (closeAdmin func(), err error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	kept := &operatorChanges{}
-	looked := make(chan struct{})
-	go follow(ctx, cfg, a, kept, looked, log)
-	limit := time.NewTimer(keptWait)
+	publisher := &changePublisher{}
+	loaded := make(chan struct{})
+	go followChanges(ctx, cfg, a, publisher, loaded, log)
+	limit := time.NewTimer(operatorStateTimeout)
 	defer limit.Stop()
 	select {
-	case <-looked: // before any client is served, what was said to the old process holds in this one
+	case <-loaded: // the changes made at the old process are in effect here before any client is served
 	case <-limit.C:
-		log.Error("what operators said is not known yet", "waited", keptWait)
+		log.Error("operators' changes could not be read yet; serving without them until they are read",
+			"waited", operatorStateTimeout)
 	}
-	door, err := admin.Listen(cfg.Admin, a, kept, log)
-	late := make(chan *admin.Server, 1)
+	server, err := admin.Listen(cfg.Admin, a, publisher, log)
+	started := make(chan *admin.Server, 1)
 	switch {
 	case err == nil:
-		late <- door
-	case core.IsTransient(err): // in use by the process that this one replaces, as a rule: clients need not wait
-		log.Warn("the operators' address can't be listened at yet, and is tried again", "admin_addr", cfg.Admin, "error", err)
+		started <- server
+	case core.IsTransient(err): // usually the replaced process still has the address; clients need not wait
+		log.Warn("listening at the admin address failed and is retried", "admin_addr", cfg.Admin, "error", err)
 		go func() {
 			for ctx.Err() == nil {
-				time.Sleep(doorAgain)
-				if door, err := admin.Listen(cfg.Admin, a, kept, log); err == nil {
-					late <- door
+				time.Sleep(adminRetryInterval)
+				if server, err := admin.Listen(cfg.Admin, a, publisher, log); err == nil {
+					started <- server
 					return
 				}
 			}
@@ -146,41 +149,42 @@
 	return func() {
 		cancel()
 		select {
-		case door := <-late:
-			_ = door.Close()
+		case server := <-started:
+			_ = server.Close()
 		default:
 		}
-		if dir := kept.dir.Load(); dir != nil {
+		if dir := publisher.dir.Load(); dir != nil {
 			_ = dir.Close()
 		}
 	}, nil
 }
 
-// doorAgain is how often the operators' address is tried while it is in use.
-const doorAgain = 250 * time.Millisecond
+// adminRetryInterval is the time between attempts to listen on the admin address while it is in use.
+const adminRetryInterval = 250 * time.Millisecond
 
-// follow takes over what operators say to other processes of the agent, until ctx ends. It closes looked once it has looked
-// for the first time, or can't.
-func follow(ctx context.Context, cfg *core.Config, a *core.Agent, kept *operatorChanges, looked chan<- struct{}, log *slog.Logger) {
-	look := sync.OnceFunc(func() { close(looked) })
-	defer look()
+// followChanges applies the operators' changes that other processes of the agent store, until ctx ends. It closes
+// loaded once it has read the stored changes for the first time, or has failed to open the directory.
+func followChanges(ctx context.Context, cfg *core.Config, a *core.Agent, publisher *changePublisher, loaded chan<- struct{}, log *slog.Logger) {
+	markLoaded := sync.OnceFunc(func() { close(loaded) })
+	defer markLoaded()
 	path := filepath.Join(os.TempDir(), "vetchhaven-"+url.PathEscape(cfg.Name+"-"+cfg.Listen))
 	dir, err := handoff.Open(path)
-	if err != nil { // it serves all the same
-		log.Error("what operators say holds in this process alone, until its directory can be opened", "error", err)
-		look()
+	if err != nil { // clients are served nevertheless
+		log.Error("operators' changes apply in this process only, until the directory for sharing them can be opened",
+			"error", err)
+		markLoaded()
 	}
 	for err != nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(keptAgain):
+		case <-time.After(openRetryInterval):
 		}
 		if dir, err = handoff.Open(path); err == nil {
-			log.Info("what operators say is kept", "directory", path)
+			log.Info("operators' changes are now shared with other processes", "directory", path)
 		}
 	}
-	kept.dir.Store(dir)
+	publisher.dir.Store(dir)
 	apply := func(c handoff.Change) error {
 		if c.Server == "" {
 			a.SetDrained(c.On)
@@ -192,89 +196,92 @@
 	}
 	n, err := dir.Sync(apply)
 	if err != nil {
-		log.Error("what operators said is not known", "error", err)
+		log.Error("operators' changes could not be read", "error", err)
 	}
-	share := func(n int) {
+	setOtherProcesses := func(n int) {
 		a.SetOtherProcesses(n)
 		limitMemory(cfg.MemoryMB / (n + 1))
 	}
 	if n > 0 {
-		share(n)
+		setOtherProcesses(n)
 	}
-	look()
-	dir.Follow(ctx, n, apply, share, func(err error) { log.Error("what operators said is not known", "error", err) })
+	markLoaded()
+	dir.Follow(ctx, n, apply, setOtherProcesses, func(err error) { log.Error("operators' changes could not be read", "error", err) })
 }
 
-// limitMemory keeps the heap well below the limit that kills the process.
+// limitMemory keeps the heap well below the limit at which the process is killed.
 func limitMemory(mb int) {
 	if mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * 3 / 4)
 	}
 }
 
-// A configuration that can't be read, or makes no sense, as SIGHUP comes may be about to be replaced: it is read again, so
-// often and for so long. What the new one says counts as told 4 s after the signal.
+// A configuration that can't be read or is invalid when SIGHUP arrives may be about to be replaced. It is read again
+// at reloadRetryInterval, for at most reloadRetryTimeout. The new configuration counts as received 4 s after the
+// signal.
 const (
-	reloadAgain = 100 * time.Millisecond
-	reloadMost  = 3 * time.Second
+	reloadRetryInterval = 100 * time.Millisecond
+	reloadRetryTimeout  = 3 * time.Second
 )
 
-// reload reads the configuration again at each SIGHUP. Those that come meanwhile count as one. A
-// file that makes no sense changes nothing.
+// reload reads the configuration again on each SIGHUP. Signals that arrive during a reload count as one. An invalid
+// file changes nothing.
 func reload(a *core.Agent, hup <-chan os.Signal, log *slog.Logger) {
-	again := time.NewTimer(reloadAgain)
-	defer again.Stop()
-	var asked time.Time // by the last signal that has not been carried out; zero: there is none
+	retry := time.NewTimer(reloadRetryInterval)
+	defer retry.Stop()
+	var requestedAt time.Time // time of the last signal that has not been handled; zero if there is none
 	for {
 		select {
 		case <-hup:
-			asked = time.Now()
-		case <-again.C:
-			if asked.IsZero() {
+			requestedAt = time.Now()
+		case <-retry.C:
+			if requestedAt.IsZero() {
 				continue
 			}
 		}
 		cfg, err := core.ReloadConfig(os.Getenv)
 		if err == nil {
 			a.Reload(cfg)
-			asked = time.Time{}
+			requestedAt = time.Time{}
 			continue
 		}
-		if time.Since(asked) < reloadAgain { // once for each signal
-			log.Error("configuration not reloaded, the old one holds", "error", err, "tried_again_for", reloadMost)
+		if time.Since(requestedAt) < reloadRetryInterval { // log once for each signal
+			log.Error("configuration not reloaded yet; the previous one stays in effect",
+				"error", err, "tried_again_for", reloadRetryTimeout)
 		}
-		if time.Since(asked) >= reloadMost {
-			log.Error("configuration not reloaded, and not tried again", "error", err)
-			asked = time.Time{}
+		if time.Since(requestedAt) >= reloadRetryTimeout {
+			log.Error("configuration not reloaded; giving up until the next signal", "error", err)
+			requestedAt = time.Time{}
 			continue
 		}
-		again.Reset(reloadAgain)
+		retry.Reset(reloadRetryInterval)
 	}
 }
 
-// startAgain is how often a start that fails for want of descriptors, memory or a disk is tried again, and startMost for how
-// long: the platform takes an agent that is not ready after 30 s for failed.
+// A start that fails for lack of descriptors, memory or a disk is retried at startRetryInterval, for at most
+// startRetryTimeout. The timeout is below the 30 s after which the platform treats an agent that is not ready as
+// failed.
 const (
-	startAgain = 50 * time.Millisecond
-	startMost  = 10 * time.Second
+	startRetryInterval = 50 * time.Millisecond
+	startRetryTimeout  = 10 * time.Second
 )
 
-// loadConfig reads the configuration. A failure of the system that may pass is tried again; a file that is not there, or
-// makes no sense, is not.
+// loadConfig reads the configuration. It retries after a transient failure of the system, but not if the file is
+// missing or invalid.
 func loadConfig(stop context.Context, log *slog.Logger) (*core.Config, error) {
 	began := time.Now()
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		cfg, err := core.LoadConfig(os.Getenv)
-		if err == nil || !core.IsTransient(err) || time.Since(began) > startMost {
+		if err == nil || !core.IsTransient(err) || time.Since(began) > startRetryTimeout {
 			return cfg, err
 		}
-		if try == 0 { // not a line for every try
-			log.Warn("the configuration can't be read yet", "error", err, "tried_again_for", startMost)
+		if attempt == 0 { // log only the first attempt
+			log.Warn("reading the configuration failed and is retried", "error", err, "tried_again_for", startRetryTimeout)
 		}
 		select {
 		case <-stop.Done():
 			return nil, err
-		case <-time.After(startAgain):
+		case <-time.After(startRetryInterval):
 		}
 	}
 }
--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -19,7 +19,8 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// clockEnv moves the wall clock by which a member of a fleet numbers its starts: drills set it.
+// clockEnv is the environment variable that shifts the wall clock from which a member of a fleet derives its boot
+// number. Drills set it.
 const clockEnv = "VETCHHAVEN_CLOCK_OFF"
 
 const defaultFleet = "deploy/fleet.toml"
@@ -28,20 +29,20 @@
 	var config string
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Run a fleet of instances in one process, as a configuration file says",
-		Long: "serve hosts the instances that the file names until SIGTERM. SIGHUP, or vetchhaven reload, applies a\n" +
-			"changed file; SIGUSR2, or vetchhaven handover, hands the sockets over to a fresh process without a gap.",
+		Short: "Run the instances of a configuration file in one process",
+		Long: "serve runs the instances that the file names until SIGTERM. SIGHUP, or vetchhaven reload, applies a changed\n" +
+			"file. SIGUSR2, or vetchhaven handover, hands the sockets over to a new process without a gap in service.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return serve(config) },
 	}
-	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's file")
+	c.Flags().StringVar(&config, "config", defaultFleet, "the fleet's configuration file")
 	return c
 }
 
 func serve(path string) error {
 	level, err := logLevel(os.Getenv)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
 	w := newLogWriter(os.Stderr)
 	defer w.flush()
@@ -52,27 +53,27 @@
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR2)
 	before, err := daemon.Inherit()
 	if err != nil {
-		return exit{1, err}
+		return exitError{1, err}
 	}
 	cfg, err := daemonconfig.Load(path)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
 	clockOff, err := time.ParseDuration(cmp.Or(os.Getenv(clockEnv), "0s"))
 	if err != nil {
-		return exit{2, fmt.Errorf("%s: %w", clockEnv, err)}
+		return exitError{2, fmt.Errorf("%s: %w", clockEnv, err)}
 	}
-	// Heaps are small and many: collect seldom, but well before a memory limit.
+	// The instances' heaps are small, so the collector runs less often, but still well before the memory limit.
 	debug.SetGCPercent(400)
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
-	var successor *exec.Cmd // set by Upgrade
+	var successor *exec.Cmd // set by the Upgrade function
 	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, WallSkew: clockOff, Inherit: before.Sockets, State: before.State,
 		Ready: func() {
 			log.Info("ready", "instances", len(cfg.Instances), "pid", os.Getpid())
 			if err := before.Ready(); err != nil {
-				log.Warn("the daemon before was not told", "error", err)
+				log.Warn("could not notify the predecessor that this daemon is ready", "error", err)
 			}
 		},
 		Upgrade: func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
@@ -91,21 +92,21 @@
 		ReloadSuccessor: func() error { return successor.Process.Signal(syscall.SIGHUP) },
 	})
 	if err != nil {
-		return exit{1, err}
+		return exitError{1, err}
 	}
 	go func() {
 		for s := range signals {
 			if s == syscall.SIGHUP {
 				if _, err := d.Reload(); err != nil && !errors.Is(err, daemon.ErrReloadPassedOn) {
-					log.Error("configuration not applied, the old one holds", "error", err)
+					log.Error("configuration not applied; the previous one stays in effect", "error", err)
 				}
 			} else {
-				go func() { _ = d.Handover(stop) }() // it says itself what becomes of it
+				go func() { _ = d.Handover(stop) }() // Handover logs its own result
 			}
 		}
 	}()
 	if err := d.Run(stop); err != nil && !errors.Is(err, daemon.ErrHandedOver) {
-		return exit{1, err}
+		return exitError{1, err}
 	}
 	return nil
 }
--- a/cmd/vetchhaven/serve_test.go
+++ b/cmd/vetchhaven/serve_test.go
@@ -23,14 +23,14 @@
 	"vetchhaven/internal/standin"
 )
 
-// served is a daemon in a process of its own.
-type served struct {
-	t    *testing.T
-	dir  string
-	path string
-	cmd  *exec.Cmd
-	log  *os.File
-	gone chan struct{}
+// daemonProcess is a daemon that runs in a separate process.
+type daemonProcess struct {
+	t      *testing.T
+	dir    string
+	path   string
+	cmd    *exec.Cmd
+	log    *os.File
+	exited chan struct{}
 }
 
 const fleetFile = `admin = "unix:%[1]s/admin.sock"
@@ -57,22 +57,22 @@
 listen = "unix:%[1]s/one.sock"
 `
 
-func serveFleet(t *testing.T, list string) *served { return serveWith(t, list, "") }
+func startDaemon(t *testing.T, list string) *daemonProcess { return startDaemonWith(t, list, "") }
 
-// serveWith starts a daemon with more in its file.
-func serveWith(t *testing.T, list, more string) *served {
+// startDaemonWith starts a daemon whose file has more appended.
+func startDaemonWith(t *testing.T, list, more string) *daemonProcess {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &served{t: t, dir: dir, path: filepath.Join(dir, "fleet.toml")}
+	s := &daemonProcess{t: t, dir: dir, path: filepath.Join(dir, "fleet.toml")}
 	write(t, s.path, fmt.Sprintf(fleetFile, dir, list)+more)
 	if s.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if st, ok := s.status(); ok { // whichever process serves now
+		if st, ok := s.status(); ok { // the process that serves now, which may be a successor
 			_ = syscall.Kill(st.PID, syscall.SIGKILL)
 		}
 		_ = s.cmd.Process.Kill()
@@ -80,34 +80,34 @@
 		os.RemoveAll(dir)
 	})
 	s.start()
-	s.until("ready", func(st daemon.Status) bool { return st.Ready == 1 })
+	s.waitFor("ready", func(st daemon.Status) bool { return st.Ready == 1 })
 	return s
 }
 
-func (s *served) start(env ...string) {
+func (s *daemonProcess) start(env ...string) {
 	s.t.Helper()
 	s.cmd = exec.Command(os.Args[0], "serve", "--config", s.path)
 	s.cmd.Env = append(append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1"), env...)
 	s.cmd.Stderr = s.log
 	if len(env) > 0 {
-		s.cmd.Stderr = io.MultiWriter(s.log) // not the file itself: a limit on files would hold for it
+		s.cmd.Stderr = io.MultiWriter(s.log) // not the file itself, to which the limit on file sizes would apply
 	}
 	if err := s.cmd.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	cmd, gone := s.cmd, make(chan struct{})
-	s.gone = gone
-	go func() { _ = cmd.Wait(); close(gone) }()
+	cmd, exited := s.cmd, make(chan struct{})
+	s.exited = exited
+	go func() { _ = cmd.Wait(); close(exited) }()
 }
 
-func (s *served) client(name string) *http.Client {
-	return &http.Client{Timeout: 2 * patience, Transport: &http.Transport{DisableKeepAlives: true,
+func (s *daemonProcess) client(name string) *http.Client {
+	return &http.Client{Timeout: 2 * testTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(s.dir, name+".sock"))
 		}}}
 }
 
-func (s *served) status() (st daemon.Status, ok bool) {
+func (s *daemonProcess) status() (st daemon.Status, ok bool) {
 	resp, err := s.client("admin").Get("http://x/status")
 	if err != nil {
 		return st, false
@@ -116,20 +116,20 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-func (s *served) until(what string, f func(daemon.Status) bool) daemon.Status {
+func (s *daemonProcess) waitFor(what string, f func(daemon.Status) bool) daemon.Status {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if st, ok := s.status(); ok && f(st) {
 			return st
 		}
 		if time.Now().After(end) {
 			text, _ := os.ReadFile(s.log.Name())
-			s.t.Fatalf("never %s\n%s", what, text)
+			s.t.Fatalf("timed out waiting for: %s\n%s", what, text)
 		}
 	}
 }
 
-func (s *served) get(n int) (int, string, error) {
+func (s *daemonProcess) get(n int) (int, string, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://x/get", nil)
 	if err != nil {
 		return 0, "", err
@@ -144,7 +144,7 @@
 	return resp.StatusCode, string(body), err
 }
 
-func form(t *testing.T) (*standin.Form, *standin.List) {
+func startFormAndList(t *testing.T) (*standin.Form, *standin.List) {
 	t.Helper()
 	f := standin.NewForm("s", nil)
 	t.Cleanup(f.Close)
@@ -157,11 +157,11 @@
 	return f, l
 }
 
-// A handover between processes, under load: nothing is refused, lost or failed. The old process ends
-// with status 0, and the new one goes on with the state.
+// In a handover between processes under load, no request is refused, lost or failed. The old process ends with status
+// 0, and the successor serves.
 func TestHandoverBetweenProcesses(t *testing.T) {
-	_, list := form(t)
-	s := serveFleet(t, list.Addr())
+	_, list := startFormAndList(t)
+	s := startDaemon(t, list.Addr())
 	old, _ := s.status()
 	stop := make(chan struct{})
 	var askers sync.WaitGroup
@@ -179,38 +179,38 @@
 			}
 		})
 	}
-	if status, out, errs := vetchhaven(t, "handover", "--config", s.path); status != 0 || !strings.Contains(out, "a successor serves") {
+	if status, out, errs := runProgram(t, "handover", "--config", s.path); status != 0 || !strings.Contains(out, "a successor serves") {
 		t.Fatalf("%d %s %s", status, out, errs)
 	}
 	select {
-	case <-s.gone:
-	case <-time.After(patience):
-		t.Error("the old process does not end")
+	case <-s.exited:
+	case <-time.After(testTimeout):
+		t.Error("the old process did not end")
 	}
 	if code := s.cmd.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("it ended with status %d", code)
+		t.Errorf("the old process ended with status %d", code)
 	}
-	st := s.until("the successor serves", func(st daemon.Status) bool { return st.PID != old.PID && st.Ready == 1 })
+	st := s.waitFor("the successor serves", func(st daemon.Status) bool { return st.PID != old.PID && st.Ready == 1 })
 	close(stop)
 	askers.Wait()
 	if status, _, err := s.get(-1); err != nil || status != 200 {
 		t.Errorf("%d %v", status, err)
 	}
-	if status, out, _ := vetchhaven(t, "status", "--config", s.path); status != 0 || !strings.Contains(out, fmt.Sprint("pid ", st.PID)) {
+	if status, out, _ := runProgram(t, "status", "--config", s.path); status != 0 || !strings.Contains(out, fmt.Sprint("pid ", st.PID)) {
 		t.Errorf("%d %s", status, out)
 	}
 }
 
-// A successor that fails to get ready leaves the old one serving: here its file makes no sense.
+// If a successor fails to get ready, here because of an invalid file, the old process continues to serve.
 func TestSuccessorThatFails(t *testing.T) {
-	_, list := form(t)
-	s := serveFleet(t, list.Addr())
+	_, list := startFormAndList(t)
+	s := startDaemon(t, list.Addr())
 	before, _ := s.status()
 	text, err := os.ReadFile(s.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The admin address stays for those who ask; the rest is wrong.
+	// The admin address stays valid, so that the status can be queried; the added key is unknown.
 	write(t, s.path, string(text)+"lisen = \"x\"\n")
 	resp, err := s.client("admin").Post("http://x/handover", "", nil)
 	if err != nil {
@@ -229,11 +229,11 @@
 	}
 }
 
-// SIGTERM while a successor starts: the old process ends, and leaves none behind that is not ready.
+// After SIGTERM while a successor starts, the old process ends and leaves no successor behind that is not ready.
 func TestSigtermDuringHandover(t *testing.T) {
 	t.Run("a successor that does not get ready", func(t *testing.T) {
-		_, list := form(t)
-		s := serveFleet(t, list.Addr())
+		_, list := startFormAndList(t)
+		s := startDaemon(t, list.Addr())
 		before, _ := s.status()
 		if err := os.Remove(s.path); err != nil {
 			t.Fatal(err)
@@ -246,99 +246,99 @@
 		}
 		opened := make(chan *os.File, 1)
 		go func() {
-			f, _ := os.OpenFile(s.path, os.O_WRONLY, 0) // until it reads its configuration, of which nothing comes
+			f, _ := os.OpenFile(s.path, os.O_WRONLY, 0) // returns once the successor opens its configuration, to which nothing is written
 			opened <- f
 		}()
 		select {
 		case f := <-opened:
 			defer f.Close()
-		case <-time.After(patience):
-			t.Fatal("no successor reads the configuration")
+		case <-time.After(testTimeout):
+			t.Fatal("no successor opened the configuration")
 		}
 		starting := children(t, before.PID)
 		if st, ok := s.status(); !ok || st.State != "handing over" || len(starting) == 0 {
 			t.Fatalf("%+v, successors %v", st, starting)
 		}
-		s.term()
+		s.terminate()
 		for _, pid := range starting {
 			if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil && !strings.Contains(string(text), ") Z ") {
-				t.Errorf("left behind: %s", text)
+				t.Errorf("successor left behind: %s", text)
 			}
 		}
 		if st, ok := s.status(); ok {
-			t.Errorf("somebody serves: %+v", st)
+			t.Errorf("a process still serves: %+v", st)
 		}
 	})
 	t.Run("a successor that gets ready at any moment", func(t *testing.T) {
-		_, list := form(t)
-		s := serveFleet(t, list.Addr())
+		_, list := startFormAndList(t)
+		s := startDaemon(t, list.Addr())
 		before, _ := s.status()
 		if err := s.cmd.Process.Signal(syscall.SIGUSR2); err != nil {
 			t.Fatal(err)
 		}
-		// On a busy machine it may be over before anybody has asked how it goes.
-		s.until("handing over", func(st daemon.Status) bool { return st.State == "handing over" || st.PID != before.PID })
-		s.term()
-		// Either the successor was ready just before, and serves, or nobody listens any more.
+		// On a busy machine the handover may be over before the status is queried.
+		s.waitFor("handing over", func(st daemon.Status) bool { return st.State == "handing over" || st.PID != before.PID })
+		s.terminate()
+		// Either the successor became ready just before and serves, or no process listens.
 		if st, ok := s.status(); ok && st.PID == before.PID {
 			t.Errorf("%+v", st)
 		}
 	})
 }
 
-// term ends it by SIGTERM, unless it has ended, and waits for that.
-func (s *served) term() {
+// terminate sends SIGTERM to the daemon, unless it has ended, and waits for its end.
+func (s *daemonProcess) terminate() {
 	s.t.Helper()
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		s.t.Fatal(err)
 	}
 	select {
-	case <-s.gone:
-	case <-time.After(patience):
-		_ = s.cmd.Process.Signal(syscall.SIGQUIT) // it tells where it hangs
-		<-s.gone
+	case <-s.exited:
+	case <-time.After(testTimeout):
+		_ = s.cmd.Process.Signal(syscall.SIGQUIT) // makes the daemon print its goroutines
+		<-s.exited
 		text, _ := os.ReadFile(s.log.Name())
-		s.t.Fatalf("it does not end\n%s", text)
+		s.t.Fatalf("the daemon did not end\n%s", text)
 	}
 }
 
-// Killed outright with the list down, it serves again from its last state.
-func TestKilledOutright(t *testing.T) {
-	_, list := form(t)
-	s := serveFleet(t, list.Addr())
+// A daemon that was killed serves again from its saved state while the list service is down.
+func TestRestartAfterAKillUsesTheSavedState(t *testing.T) {
+	_, list := startFormAndList(t)
+	s := startDaemon(t, list.Addr())
 	state := filepath.Join(s.dir, "state", "last.state")
-	s.untilFile(state)
+	s.waitForFile(state)
 	list.SetDown(true)
 	_ = s.cmd.Process.Kill()
-	<-s.gone
+	<-s.exited
 	s.start()
-	s.until("ready", func(st daemon.Status) bool { return st.Ready == 1 })
+	s.waitFor("ready", func(st daemon.Status) bool { return st.Ready == 1 })
 	if status, _, err := s.get(2); err != nil || status != 200 {
 		t.Errorf("%d %v", status, err)
 	}
 }
 
-func TestServeSaysWhatIsWrong(t *testing.T) {
+func TestServeReportsConfigErrors(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.toml")
 	write(t, path, "admin = \"127.0.0.1:1\"\nadmn = 1\n")
 	for _, args := range [][]string{{"serve", "--config", path}, {"reload", "--config", path}, {"status", "--config", path}} {
-		if status, _, errs := vetchhaven(t, args...); status != 2 || !strings.Contains(errs, "fleet.toml:2: admn: there is no such key") {
+		if status, _, errs := runProgram(t, args...); status != 2 || !strings.Contains(errs, "fleet.toml:2: admn: there is no such key") {
 			t.Errorf("%v: %d %s", args, status, errs)
 		}
 	}
 	write(t, path, fmt.Sprintf(fleetFile, dir, "127.0.0.1:1"))
-	if status, _, errs := vetchhaven(t, "reload", "--config", path); status != 1 || !strings.Contains(errs, "no daemon answers at unix:") {
+	if status, _, errs := runProgram(t, "reload", "--config", path); status != 1 || !strings.Contains(errs, "no daemon answers at unix:") {
 		t.Errorf("%d %s", status, errs)
 	}
 }
 
-// A successor that is killed while it starts leaves the old one serving, and a further handover works.
+// If a successor is killed while it starts, the old process continues to serve, and a further handover works.
 func TestSuccessorKilledWhileItStarts(t *testing.T) {
-	_, list := form(t)
-	s := serveFleet(t, list.Addr())
+	_, list := startFormAndList(t)
+	s := startDaemon(t, list.Addr())
 	before, _ := s.status()
-	// It reads its configuration from a pipe into which nobody writes: so far, and no further, it gets.
+	// The successor reads its configuration from a pipe to which nothing is written, so its start stops there.
 	kept := s.path + ".kept"
 	if err := os.Rename(s.path, kept); err != nil {
 		t.Fatal(err)
@@ -357,8 +357,9 @@
 		body, _ := io.ReadAll(resp.Body)
 		asked <- fmt.Sprint(resp.StatusCode, " ", string(body))
 	}()
-	// Until the old one has seen it die: before its first one a Go program starts, and ends, a child of its own to
-	// learn what the kernel can do, and that may be the one that was met.
+	// Kill children until the old process reports that the successor ended. The first child that is found may not be
+	// the successor: before a Go program starts its first child, it starts and ends another one to test kernel
+	// features.
 	got := ""
 	for got == "" {
 		for _, pid := range children(t, before.PID) {
@@ -389,10 +390,10 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Errorf("a further handover: %d", resp.StatusCode)
 	}
-	s.until("another process", func(st daemon.Status) bool { return st.PID != before.PID && st.Ready == 1 })
+	s.waitFor("another process", func(st daemon.Status) bool { return st.PID != before.PID && st.Ready == 1 })
 }
 
-// children are the processes that a process has started.
+// children returns the IDs of the child processes of a process.
 func children(t *testing.T, pid int) []int {
 	t.Helper()
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
@@ -411,55 +412,55 @@
 	return all
 }
 
-// Writes that fail part way, as on a full disk, leave the last whole state in place; it is said once, and
-// the daemon serves on.
+// A write that fails partway, as on a full disk, leaves the last complete state file in place, and the daemon
+// continues to serve.
 func TestDiskFull(t *testing.T) {
-	f, list := form(t)
-	s := serveFleet(t, list.Addr())
+	f, list := startFormAndList(t)
+	s := startDaemon(t, list.Addr())
 	state := filepath.Join(s.dir, "state", "last.state")
-	s.untilFile(state)
+	s.waitForFile(state)
 	_ = s.cmd.Process.Signal(syscall.SIGTERM)
-	<-s.gone // it has written its last
+	<-s.exited // the daemon has written its last state
 	whole, err := os.ReadFile(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.start("VETCHHAVEN_TEST_FILE_LIMIT=64") // bytes: less than a state has
-	s.until("ready", func(st daemon.Status) bool { return st.Ready == 1 })
-	other := f.Member("draining") // a server that drains is saved at once
+	s.start("VETCHHAVEN_TEST_FILE_LIMIT=64") // bytes, less than the size of a state
+	s.waitFor("ready", func(st daemon.Status) bool { return st.Ready == 1 })
+	other := f.Member("draining") // a draining server is saved immediately
 	for range 3 {
 		list.Set(other)
 		list.Set(f.Member("ready"))
 	}
-	s.until("a write has failed", func(st daemon.Status) bool { return st.Saving != "" })
+	s.waitFor("a write has failed", func(st daemon.Status) bool { return st.Saving != "" })
 	if now, err := os.ReadFile(state); err != nil || !bytes.Equal(now, whole) {
-		t.Errorf("the last state is now %d bytes, %v", len(now), err)
+		t.Errorf("the state file has changed: %d bytes, error %v", len(now), err)
 	}
 	if left, _ := filepath.Glob(filepath.Join(s.dir, "state", "*.tmp")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files left behind: %v", left)
 	}
 	if status, _, err := s.get(1); err != nil || status != 200 {
 		t.Errorf("%d %v", status, err)
 	}
 }
 
-func (s *served) untilFile(path string) {
+func (s *daemonProcess) waitForFile(path string) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := os.Stat(path); err == nil {
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatal("there is no ", path)
+			s.t.Fatal("timed out waiting for ", path)
 		}
 	}
 }
 
-// Handing descriptors to a process leaves the sockets of this one non-blocking: else an accept begun
-// while the successor starts would wait in the kernel, where a stop does not reach it.
+// Handing descriptors to a successor leaves the sockets of the old process in non-blocking mode. In blocking mode, an
+// accept that begins while the successor starts would block in the kernel, where a stop can't interrupt it.
 func TestSocketsStayNonBlocking(t *testing.T) {
-	_, list := form(t)
-	s := serveFleet(t, list.Addr())
+	_, list := startFormAndList(t)
+	s := startDaemon(t, list.Addr())
 	before, _ := s.status()
 	list.SetDown(true)
 	if err := s.cmd.Process.Signal(syscall.SIGUSR2); err != nil {
@@ -468,7 +469,7 @@
 	seen := 0
 	for over := false; !over; {
 		select {
-		case <-s.gone:
+		case <-s.exited:
 			over = true
 		default:
 		}
--- a/cmd/vetchhaven/upgrade_test.go
+++ b/cmd/vetchhaven/upgrade_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// upgrading starts agents as the platform does on days of upgrades: each inherits the clients' socket, and all
-// have the same TMPDIR.
-type upgrading struct {
+// upgradeEnv starts agents as the platform does during upgrades: each process inherits the clients' listening socket,
+// and all have the same TMPDIR.
+type upgradeEnv struct {
 	t      *testing.T
 	socket *os.File
 	listen string
@@ -25,7 +25,7 @@
 	config string
 }
 
-func newUpgrading(t *testing.T, backend string) *upgrading {
+func newUpgradeEnv(t *testing.T, backend string) *upgradeEnv {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,19 +37,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close() })
-	u := &upgrading{t: t, socket: f, listen: ln.Addr().String(), tmp: t.TempDir()}
+	u := &upgradeEnv{t: t, socket: f, listen: ln.Addr().String(), tmp: t.TempDir()}
 	u.config = filepath.Join(t.TempDir(), "config.json")
 	write(t, u.config, fmt.Sprintf(config, u.listen, freeAddr(t), backend))
 	return u
 }
 
-func (u *upgrading) start(env ...string) (*exec.Cmd, *logged) {
+func (u *upgradeEnv) start(env ...string) (*exec.Cmd, *syncLog) {
 	u.t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.ExtraFiles = []*os.File{u.socket}
 	cmd.Env = append(append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1", "PROXY_CONFIG="+u.config, "TMPDIR="+u.tmp,
 		"PROXY_INHERITED_FD=3"), env...)
-	log := &logged{}
+	log := &syncLog{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		u.t.Fatal(err)
@@ -58,8 +58,8 @@
 	return cmd, log
 }
 
-// stop ends an agent and waits until it has.
-func (u *upgrading) stop(cmd *exec.Cmd, log *logged) {
+// stop sends SIGTERM to an agent and waits for its end.
+func (u *upgradeEnv) stop(cmd *exec.Cmd, log *syncLog) {
 	u.t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		u.t.Fatal(err)
@@ -69,29 +69,29 @@
 	}
 }
 
-// logged is a log that may be read while it is written.
-type logged struct {
+// syncLog is a log that can be read while it is written.
+type syncLog struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *syncLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logged) String() string {
+func (l *syncLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func (l *logged) wait(t *testing.T, text string) {
+func (l *syncLog) wait(t *testing.T, text string) {
 	t.Helper()
-	for end := time.Now().Add(patience); !strings.Contains(l.String(), text); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(l.String(), text); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%q was never logged: %q", text, l)
+			t.Fatalf("timed out waiting for %q in the log: %q", text, l)
 		}
 	}
 }
@@ -110,17 +110,17 @@
 	return ln.Addr().String()
 }
 
-// Three processes one after the other, under steady requests on connections that are kept and on new ones:
-// each is answered, and none meets a closed door.
+// Three processes run one after the other under continuous requests, on kept and on new connections. Each request is
+// answered, and no connection is refused.
 func TestUpgradeUnderLoad(t *testing.T) {
-	u := newUpgrading(t, echo(t))
+	u := newUpgradeEnv(t, echo(t))
 	old, oldLog := u.start()
 	waitReady(t, u.listen)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 8 {
 		clients.Go(func() {
-			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: patience}
+			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: testTimeout}
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -155,7 +155,7 @@
 	u.stop(old, oldLog)
 }
 
-// call makes an operator's call and returns its status.
+// call sends an operator's call and returns the response's status.
 func call(t *testing.T, method, addr, path string) int {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -170,9 +170,9 @@
 	return resp.StatusCode
 }
 
-// What operators said at the old process's door holds in the new one from its first request, and what they say
-// at either door holds in both.
-func TestWhatOperatorsSaidHoldsOverAnUpgrade(t *testing.T) {
+// Changes that operators made at the old process's admin endpoint apply in the new process from its first request.
+// Changes at the admin endpoint of either process apply in both.
+func TestOperatorChangesSurviveAnUpgrade(t *testing.T) {
 	servers := map[string]string{"one": "", "two": ""}
 	var mu sync.Mutex
 	got := map[string]int{}
@@ -190,7 +190,7 @@
 		t.Cleanup(func() { server.Close() })
 		servers[id] = ln.Addr().String()
 	}
-	u := newUpgrading(t, servers["one"])
+	u := newUpgradeEnv(t, servers["one"])
 	text, err := os.ReadFile(u.config)
 	if err != nil {
 		t.Fatal(err)
@@ -220,56 +220,56 @@
 		defer mu.Unlock()
 		return got["one"], got["two"]
 	}
-	oldDoor, newDoor := freeAddr(t), freeAddr(t)
-	old, oldLog := u.start("PROXY_ADMIN_ADDR=" + oldDoor)
+	oldAdmin, newAdmin := freeAddr(t), freeAddr(t)
+	old, oldLog := u.start("PROXY_ADMIN_ADDR=" + oldAdmin)
 	waitReady(t, u.listen)
-	if status := call(t, "GET", oldDoor, "/ready"); status != 200 {
+	if status := call(t, "GET", oldAdmin, "/ready"); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
-	// One whose first answer was slow by chance is chosen seldom.
-	for end := time.Now().Add(patience); ; {
+	// A server whose first answer was slow by chance is chosen rarely, so several rounds may be needed.
+	for end := time.Now().Add(testTimeout); ; {
 		if one, two := ask(200); one > 0 && two > 0 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatalf("before: one got %d, two %d", one, two)
+			t.Fatalf("before disabling: one got %d requests, two got %d", one, two)
 		}
 	}
-	if status := call(t, "PUT", oldDoor, "/backends/disable/two"); status != 200 {
+	if status := call(t, "PUT", oldAdmin, "/backends/disable/two"); status != 200 {
 		t.Fatalf("disable: %d", status)
 	}
-	if status := call(t, "PUT", oldDoor, "/backends/disable/nobody"); status != 404 {
-		t.Errorf("disable of an unknown one: %d", status)
+	if status := call(t, "PUT", oldAdmin, "/backends/disable/nobody"); status != 404 {
+		t.Errorf("disable of an unknown server: %d", status)
 	}
 	if _, two := ask(40); two != 0 {
-		t.Errorf("out by hand, two got %d", two)
+		t.Errorf("while two is disabled, it got %d requests", two)
 	}
-	next, nextLog := u.start("PROXY_ADMIN_ADDR=" + newDoor)
+	next, nextLog := u.start("PROXY_ADMIN_ADDR=" + newAdmin)
 	nextLog.wait(t, "msg=serving")
 	if _, two := ask(40); two != 0 {
-		t.Errorf("beside each other, two got %d", two)
+		t.Errorf("while both processes run, two got %d requests", two)
 	}
 	u.stop(old, oldLog)
 	if _, two := ask(40); two != 0 {
-		t.Errorf("in the new process, two got %d", two)
+		t.Errorf("in the new process, two got %d requests", two)
 	}
-	third, thirdLog := u.start("PROXY_ADMIN_ADDR=" + oldDoor)
+	third, thirdLog := u.start("PROXY_ADMIN_ADDR=" + oldAdmin)
 	thirdLog.wait(t, "msg=serving")
-	if status := call(t, "PUT", newDoor, "/backends/enable/two"); status != 200 {
+	if status := call(t, "PUT", newAdmin, "/backends/enable/two"); status != 200 {
 		t.Errorf("enable: %d", status)
 	}
-	if status := call(t, "PUT", oldDoor, "/backends/disable/s"); status != 200 {
+	if status := call(t, "PUT", oldAdmin, "/backends/disable/s"); status != 200 {
 		t.Errorf("disable: %d", status)
 	}
 	if one, _ := ask(40); one != 0 {
-		t.Errorf("out at the third one's door, one got %d", one)
+		t.Errorf("after one was disabled at the third process, it got %d requests", one)
 	}
 	u.stop(next, nextLog)
 	u.stop(third, thirdLog)
 }
 
-// A descriptor that is no listening socket ends the program with a line that names the variable.
-func TestInheritedDescriptorThatIsNone(t *testing.T) {
-	u := newUpgrading(t, "127.0.0.1:1")
+// An inherited descriptor that is not a listening socket ends the program with a log line that names the variable.
+func TestInvalidInheritedDescriptorIsReported(t *testing.T) {
+	u := newUpgradeEnv(t, "127.0.0.1:1")
 	file, err := os.CreateTemp(t.TempDir(), "")
 	if err != nil {
 		t.Fatal(err)
