--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -371,7 +371,7 @@
 	}
 	isolated := "continues to serve, and vetoes changes"
 	if s.StopsWhenIsolated {
-		isolated = "stops serving"
+		isolated = "stops"
 	}
 	fmt.Fprintf(out, "voters: %s; %s leads, and answered %v ago; an isolated member %s\n", strings.Join(s.Voters, ", "), cmp.Or(s.Leader, "no known voter"), s.LastResponseAgo.Round(time.Millisecond), isolated)
 	if s.Votes != "" {
--- a/cmd/vetchhaven/policy_test.go
+++ b/cmd/vetchhaven/policy_test.go
@@ -129,7 +129,8 @@
 	s.start()
 }
 
-// The agreed policy stays in force after a kill, a handover and a reload.
+// The agreed policy stays in force after a kill, a handover and a reload. A configuration file that does not fit the
+// policy is rejected.
 func TestPolicySurvivesRestarts(t *testing.T) {
 	s := startPolicyVoter(t, "")
 	s.waitForStatus("get", http.StatusOK)
--- a/cmd/vetchhaven/serve_test.go
+++ b/cmd/vetchhaven/serve_test.go
@@ -158,15 +158,15 @@
 }
 
 // In a handover between processes under load, no request is refused, lost or failed. The old process ends with status
-// 0, and the successor serves.
+// 0, and the successor continues with its state.
 func TestHandoverBetweenProcesses(t *testing.T) {
 	_, list := startFormAndList(t)
 	s := startDaemon(t, list.Addr())
 	old, _ := s.status()
 	stop := make(chan struct{})
-	var askers sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 3 {
-		askers.Go(func() {
+		clients.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -192,7 +192,7 @@
 	}
 	st := s.waitFor("the successor serves", func(st daemon.Status) bool { return st.PID != old.PID && st.Ready == 1 })
 	close(stop)
-	askers.Wait()
+	clients.Wait()
 	if status, _, err := s.get(-1); err != nil || status != 200 {
 		t.Errorf("%d %v", status, err)
 	}
@@ -412,8 +412,8 @@
 	return all
 }
 
-// A write that fails partway, as on a full disk, leaves the last complete state file in place, and the daemon
-// continues to serve.
+// A write that fails partway, as on a full disk, leaves the last complete state file in place. The failure is logged
+// once, and the daemon continues to serve.
 func TestDiskFull(t *testing.T) {
 	f, list := startFormAndList(t)
 	s := startDaemon(t, list.Addr())
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Counted is implemented by an Agent that has counters for GET /metrics?format=prometheus.
-type Counted interface {
+// CounterSource is implemented by an Agent that has counters for GET /metrics?format=prometheus.
+type CounterSource interface {
 	Name() string
 	Totals() core.Totals
 	Counters() core.Counters
@@ -158,7 +158,7 @@
 
 // metricsHandler returns a handler that exposes the agent's counters, or nil if the agent has none.
 func (s *Server) metricsHandler() http.Handler {
-	a, counts := s.agent.(Counted)
+	a, counts := s.agent.(CounterSource)
 	if !counts {
 		return nil
 	}
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -73,13 +73,13 @@
 		t.Fatal("the page has no section Layers")
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
-	var drawn [][]string
+	var inDiagram [][]string
 	for _, m := range regexp.MustCompile(`(?m)^    \w[\w ]*?  +(\S.*)$`).FindAllStringSubmatch(section, -1) {
-		drawn = append(drawn, strings.Fields(m[1]))
+		inDiagram = append(inDiagram, strings.Fields(m[1]))
 	}
-	slices.Reverse(drawn)
-	if !reflect.DeepEqual(drawn, layers) {
-		t.Errorf("layers in the diagram, lowest first:\n%v\nlayers in this test:\n%v", drawn, layers)
+	slices.Reverse(inDiagram)
+	if !reflect.DeepEqual(inDiagram, layers) {
+		t.Errorf("layers in the diagram, lowest first:\n%v\nlayers in this test:\n%v", inDiagram, layers)
 	}
 }
 
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	const module = "vetchhaven/"
-	seen := 0
+	checked := 0
 	for d := json.NewDecoder(strings.NewReader(string(out))); ; {
 		var p struct {
 			ImportPath string
@@ -118,7 +118,7 @@
 			if !ours {
 				continue
 			}
-			seen++
+			checked++
 			if below, _ := layerOf(i); below > own {
 				t.Errorf("%s imports %s, which is in a higher layer", path, i)
 			}
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	if seen < 50 {
-		t.Errorf("only %d imports were checked: the output of go list was not read completely", seen)
+	if checked < 50 {
+		t.Errorf("only %d imports were checked: the output of go list was not read completely", checked)
 	}
 }
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -55,7 +55,7 @@
 	mu        sync.Mutex
 	entries   map[string]map[string][]string
 	passwords map[string]string
-	ran       map[string]int // how often each effect was executed, by kind, DN and value
+	executed  map[string]int // how often each effect was executed, by kind, DN and value
 	binds     int
 	script    func(Op) Fault
 	n         int
@@ -63,7 +63,7 @@
 	down      bool
 	abandoned int
 	open      int
-	mostOpen  int
+	maxOpen   int
 	served    map[string]int // number of operations answered, by kind
 }
 
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	d := &Directory{ID: id, listener: ln, tls: o.TLS, ldaps: o.LDAPS, entries: map[string]map[string][]string{}, passwords: map[string]string{},
-		ran: map[string]int{}, conns: map[net.Conn]bool{}, served: map[string]int{}, script: func(Op) Fault { return Fault{} }}
+		executed: map[string]int{}, conns: map[net.Conn]bool{}, served: map[string]int{}, script: func(Op) Fault { return Fault{} }}
 	go d.accept()
 	return d, nil
 }
@@ -151,7 +151,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := map[string]int{}
-	for k, n := range d.ran {
+	for k, n := range d.executed {
 		all[k] = n
 	}
 	return all
@@ -202,25 +202,25 @@
 		}
 		d.conns[c] = true
 		d.mu.Unlock()
-		l := &link{d: d, conn: c, top: c, live: map[int64]chan struct{}{}, paged: map[string][]string{}}
+		l := &session{d: d, conn: c, top: c, live: map[int64]chan struct{}{}, paged: map[string][]string{}}
 		go l.run()
 	}
 }
 
-// link is one client connection.
-type link struct {
+// session is one client connection.
+type session struct {
 	d    *Directory
 	top  net.Conn // as accepted
 	conn net.Conn
 
-	mu    sync.Mutex // guards writing and the following fields
-	who   string
-	live  map[int64]chan struct{} // by message ID; closed when the operation is abandoned or cancelled
-	paged map[string][]string     // remaining entries of paged searches, by cookie
-	pages int
+	mu       sync.Mutex // guards writing and the following fields
+	identity string
+	live     map[int64]chan struct{} // by message ID; closed when the operation is abandoned or cancelled
+	paged    map[string][]string     // remaining entries of paged searches, by cookie
+	pages    int
 }
 
-func (l *link) run() {
+func (l *session) run() {
 	defer func() {
 		_ = l.conn.Close()
 		l.d.mu.Lock()
@@ -272,30 +272,30 @@
 				continue
 			}
 		}
-		gone := make(chan struct{})
+		stopped := make(chan struct{})
 		l.mu.Lock()
-		l.live[id] = gone
+		l.live[id] = stopped
 		l.mu.Unlock()
 		go l.handle(id, m, op)
 	}
 }
 
-func (l *link) stop(id int64) bool {
+func (l *session) stop(id int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gone := l.live[id]
-	if gone == nil {
+	stopped := l.live[id]
+	if stopped == nil {
 		return false
 	}
 	delete(l.live, id)
-	close(gone)
+	close(stopped)
 	l.d.mu.Lock()
 	l.d.abandoned++
 	l.d.mu.Unlock()
 	return true
 }
 
-func (l *link) write(text []byte, drip time.Duration) {
+func (l *session) write(text []byte, drip time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if drip == 0 {
@@ -342,7 +342,7 @@
 }
 
 // handle processes one operation with the fault that the script chooses.
-func (l *link) handle(id int64, m ldapmsg.Message, op *ber.Packet) {
+func (l *session) handle(id int64, m ldapmsg.Message, op *ber.Packet) {
 	d := l.d
 	kind, dn := kindName(&m), ""
 	switch {
@@ -354,13 +354,13 @@
 		dn = text(op.Children[0])
 	}
 	l.mu.Lock()
-	gone, who := l.live[id], l.who
+	stopped, identity := l.live[id], l.identity
 	l.mu.Unlock()
 	d.mu.Lock()
 	d.n++
 	d.open++
-	d.mostOpen = max(d.mostOpen, d.open)
-	f := d.script(Op{Kind: kind, DN: dn, Who: who, ID: id, N: d.n})
+	d.maxOpen = max(d.maxOpen, d.open)
+	f := d.script(Op{Kind: kind, DN: dn, Who: identity, ID: id, N: d.n})
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
@@ -373,7 +373,7 @@
 	if f.Stall != nil {
 		select {
 		case <-f.Stall:
-		case <-gone:
+		case <-stopped:
 			return
 		}
 	}
@@ -392,7 +392,7 @@
 	if f.Code != 0 {
 		out = ldapmsg.Response(m.ID, answer, f.Code, "by the script")
 	} else {
-		out = l.do(m, op, kind, dn, f, gone)
+		out = l.do(m, op, kind, dn, f, stopped)
 	}
 	if out == nil {
 		return
@@ -413,7 +413,7 @@
 		out = ldapmsg.Response(m.ID, ldapmsg.CompareResponse, 6, "")
 	}
 	select {
-	case <-gone: // an abandoned operation gets no answer
+	case <-stopped: // an abandoned operation gets no answer
 		return
 	default:
 	}
@@ -430,7 +430,7 @@
 }
 
 // do executes an operation and returns its last message, or nil if there is none.
-func (l *link) do(m ldapmsg.Message, op *ber.Packet, kind, dn string, f Fault, gone chan struct{}) []byte {
+func (l *session) do(m ldapmsg.Message, op *ber.Packet, kind, dn string, f Fault, stopped chan struct{}) []byte {
 	d := l.d
 	result := func(code int, text string) []byte {
 		return ldapmsg.Response(m.ID, ldapmsg.ResponseTo(m.Op), code, text)
@@ -440,7 +440,7 @@
 	case "bind":
 		return l.bind(m, key, result)
 	case "search", "lookup":
-		return l.search(m, op, key, f, gone)
+		return l.search(m, op, key, f, stopped)
 	case "compare":
 		return result(6, "") // compareTrue
 	}
@@ -460,54 +460,54 @@
 			return result(ldapmsg.Success, "")
 		case ldapmsg.OIDWhoAmI:
 			l.mu.Lock()
-			who := l.who
+			identity := l.identity
 			l.mu.Unlock()
 			p := ber.Encode(ber.ClassApplication, ber.TypeConstructed, 24, nil, "")
 			p.AppendChild(ber.NewInteger(ber.ClassUniversal, ber.TypePrimitive, ber.TagEnumerated, 0, ""))
 			p.AppendChild(ber.NewString(ber.ClassUniversal, ber.TypePrimitive, ber.TagOctetString, "", ""))
 			p.AppendChild(ber.NewString(ber.ClassUniversal, ber.TypePrimitive, ber.TagOctetString, "", ""))
 			authz := ""
-			if who != "" {
-				authz = "dn:" + who
+			if identity != "" {
+				authz = "dn:" + identity
 			}
 			p.AppendChild(ber.NewString(ber.ClassContext, ber.TypePrimitive, 11, authz, ""))
 			return ldapmsg.WithID(m.ID, p.Bytes())
 		case ldapmsg.OIDPasswordModify:
-			d.note("password")
+			d.recordEffect("password")
 			return result(ldapmsg.Success, "")
 		}
-		d.note("extended " + name)
+		d.recordEffect("extended " + name)
 		return result(ldapmsg.Success, "")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch kind {
 	case "add":
-		d.ran["add "+key]++
+		d.executed["add "+key]++
 		if d.entries[key] != nil {
 			return result(68, "") // entryAlreadyExists
 		}
 		d.entries[key] = attributes(op.Children[1])
 	case "delete":
-		d.ran["delete "+key]++
+		d.executed["delete "+key]++
 		if d.entries[key] == nil {
 			return result(32, "") // noSuchObject
 		}
 		delete(d.entries, key)
 	case "modify":
 		for _, change := range op.Children[1].Children {
-			d.ran["modify "+key+" "+strings.Join(values(change.Children[1]), ",")]++
+			d.executed["modify "+key+" "+strings.Join(values(change.Children[1]), ",")]++
 		}
 	case "moddn":
-		d.ran["moddn "+key]++
+		d.executed["moddn "+key]++
 	}
 	return result(ldapmsg.Success, "")
 }
 
-func (d *Directory) note(what string) {
+func (d *Directory) recordEffect(what string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ran[what]++
+	d.executed[what]++
 }
 
 func attributes(list *ber.Packet) map[string][]string {
@@ -532,7 +532,7 @@
 
 // bind accepts simple binds, and a two-step SASL exchange with the mechanism "TWO-STEP", whose second step binds as
 // "sasl".
-func (l *link) bind(m ldapmsg.Message, key string, result func(int, string) []byte) []byte {
+func (l *session) bind(m ldapmsg.Message, key string, result func(int, string) []byte) []byte {
 	b, err := ldapmsg.ParseBind(m.Content)
 	if err != nil {
 		return result(ldapmsg.ProtocolErrorCode, "")
@@ -547,26 +547,26 @@
 		if b.Mechanism != "TWO-STEP" {
 			return result(ldapmsg.AuthMethodNotSupported, "")
 		}
-		if l.who != "half" {
-			l.who = "half"
+		if l.identity != "half" {
+			l.identity = "half"
 			return result(ldapmsg.SASLBindInProgress, "")
 		}
-		l.who = "sasl"
+		l.identity = "sasl"
 		return result(ldapmsg.Success, "")
 	}
-	l.who = ""
+	l.identity = ""
 	if len(b.Name) == 0 && len(b.Password) == 0 {
 		return result(ldapmsg.Success, "")
 	}
 	if !known || want != string(b.Password) {
 		return result(ldapmsg.InvalidCredentials, "")
 	}
-	l.who = key
+	l.identity = key
 	return result(ldapmsg.Success, "")
 }
 
 // search answers with the entries at or below the base, depending on the scope. Filters are ignored.
-func (l *link) search(m ldapmsg.Message, op *ber.Packet, key string, f Fault, gone chan struct{}) []byte {
+func (l *session) search(m ldapmsg.Message, op *ber.Packet, key string, f Fault, stopped chan struct{}) []byte {
 	scope, _ := op.Children[1].Value.(int64)
 	cookie, paged := ldapmsg.PagedCookie(m.Controls)
 	var names []string
@@ -606,7 +606,7 @@
 			return nil
 		}
 		select {
-		case <-gone:
+		case <-stopped:
 			return nil
 		default:
 		}
--- a/internal/standin/dns/dns.go
+++ b/internal/standin/dns/dns.go
@@ -114,9 +114,9 @@
 		if alias := s.records[key(name, "CNAME")]; len(found) == 0 && len(alias) > 0 {
 			found, known = alias, true
 		}
-		there := known
+		exists := known
 		for k := range s.records {
-			there = there || strings.HasPrefix(k, strings.ToLower(name)+" ")
+			exists = exists || strings.HasPrefix(k, strings.ToLower(name)+" ")
 		}
 		s.mu.Unlock()
 		r := new(dns.Msg)
@@ -130,7 +130,7 @@
 			return
 		case f.Rcode != 0:
 			r.Rcode, r.Answer = f.Rcode, nil
-		case !there:
+		case !exists:
 			r.Rcode = dns.RcodeNameError
 		}
 		if f.Foreign {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -22,18 +22,18 @@
 type List struct {
 	server *httptest.Server
 
-	mu      sync.Mutex
-	version int64
-	servers map[string]discovery.Member
-	changed map[string]int64 // version of each entry's last change, including entries that are gone
-	bump    chan struct{}    // closed at each change
-	down    bool
-	calls   atomic.Int64
+	mu         sync.Mutex
+	version    int64
+	servers    map[string]discovery.Member
+	changed    map[string]int64 // version of each entry's last change, including entries that are gone
+	nextChange chan struct{}    // closed at each change
+	down       bool
+	calls      atomic.Int64
 }
 
 // NewList starts a list on a free port of loopback, or on the given address.
 func NewList(addr string, servers ...discovery.Member) (*List, error) {
-	l := &List{servers: map[string]discovery.Member{}, changed: map[string]int64{}, bump: make(chan struct{})}
+	l := &List{servers: map[string]discovery.Member{}, changed: map[string]int64{}, nextChange: make(chan struct{})}
 	l.Set(servers...)
 	l.server = httptest.NewUnstartedServer(l)
 	if addr != "" {
@@ -70,8 +70,8 @@
 		l.servers[s.ID] = s
 		l.changed[s.ID] = l.version
 	}
-	close(l.bump)
-	l.bump = make(chan struct{})
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 }
 
 // SetDown makes all calls fail and ends all watches, or makes the service available again.
@@ -79,8 +79,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	close(l.bump)
-	l.bump = make(chan struct{})
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 }
 
 func (l *List) since(version int64) (m discovery.Members, next chan struct{}, down bool) {
@@ -92,7 +92,7 @@
 			m.Servers = append(m.Servers, s)
 		}
 	}
-	return m, l.bump, l.down
+	return m, l.nextChange, l.down
 }
 
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -134,15 +134,15 @@
 	ID     string
 	Handle http.HandlerFunc // writes the answer instead; may be nil
 
-	server *httptest.Server
-	got    atomic.Int64
-	mu     sync.Mutex
-	ids    map[string]int
+	server       *httptest.Server
+	received     atomic.Int64
+	mu           sync.Mutex
+	receivedByID map[string]int
 }
 
 // NewForm starts a form server on a free port of loopback.
 func NewForm(id string, handle http.HandlerFunc) *Form {
-	f := &Form{ID: id, Handle: handle, ids: map[string]int{}}
+	f := &Form{ID: id, Handle: handle, receivedByID: map[string]int{}}
 	f.server = httptest.NewServer(f)
 	return f
 }
@@ -159,19 +159,19 @@
 }
 
 // Got returns the number of requests received.
-func (f *Form) Got() int { return int(f.got.Load()) }
+func (f *Form) Got() int { return int(f.received.Load()) }
 
 // Times returns how many requests with the given X-Trace-Id were received.
 func (f *Form) Times(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ids[id]
+	return f.receivedByID[id]
 }
 
 func (f *Form) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.got.Add(1)
+	f.received.Add(1)
 	f.mu.Lock()
-	f.ids[r.Header.Get("X-Trace-Id")]++
+	f.receivedByID[r.Header.Get("X-Trace-Id")]++
 	f.mu.Unlock()
 	if f.Handle != nil {
 		f.Handle(w, r)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -83,16 +83,16 @@
 // port stays bound: otherwise another test's server could get the port and receive connections that must be refused.
 func DeadAddr(t testing.TB) string {
 	t.Helper()
-	return bound(t, 0)
+	return boundAddr(t, 0)
 }
 
 // DownAddr returns an address like that of DeadAddr, at which the test itself may later listen with net.Listen.
 func DownAddr(t testing.TB) string {
 	t.Helper()
-	return bound(t, 1)
+	return boundAddr(t, 1)
 }
 
-func bound(t testing.TB, reuse int) string {
+func boundAddr(t testing.TB, reuse int) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -158,14 +158,14 @@
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
 			t.Errorf("the list service received a request for %s", r.URL)
 		}
-		me := &Watcher{Since: r.URL.Query().Get("since"), Lines: make(chan string), Fail: make(chan struct{})}
-		c.Watch <- me
+		watcher := &Watcher{Since: r.URL.Query().Get("since"), Lines: make(chan string), Fail: make(chan struct{})}
+		c.Watch <- watcher
 		for {
 			select {
-			case <-me.Fail:
+			case <-watcher.Fail:
 				http.Error(w, "overloaded", http.StatusServiceUnavailable)
 				return
-			case line, more := <-me.Lines:
+			case line, more := <-watcher.Lines:
 				if !more {
 					return
 				}
