--- a/internal/simulate/baseline/baseline.go
+++ b/internal/simulate/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline holds small balancers as textbooks describe them, to play beside the decision
-// module: random, round-robin, least-request and p2c (the better of two random choices), each with
-// plain retries: at once, elsewhere, as often as the site allows. They keep the repeat rule, the
-// drains and the deadlines; they know nothing of queues, cold servers, worth or budgets.
+// Package baseline implements simple textbook balancers to compare with the decision module: random,
+// round-robin, least-request and p2c (the better of two random choices), each with plain retries: at
+// once, at another server, up to the maximum number of attempts. They respect the classes' repeat
+// rules, draining and deadlines; they ignore queues, cold servers, request values and retry budgets.
 package baseline
 
 import (
@@ -13,91 +13,91 @@
 	"vetchhaven/decide"
 )
 
-// Names are the policies that Maker knows.
+// Names lists the policies that Maker knows.
 var Names = []string{"random", "round-robin", "least-request", "p2c", SeesNow, SeesLate}
 
-const askAgain = time.Second // after a failed call to the list
+const resubscribeDelay = time.Second // delay after a failed call to the list
 
-// Policy is one textbook balancer for one agent.
+// Policy is a textbook balancer for one agent.
 type Policy struct {
-	name     string
-	s        decide.Settings
-	rng      *rand.Rand
-	servers  []*server
-	requests map[string]*request
-	turn     int
-	token    int64
-	due      map[int64]bool // timers that ask the list
-	actions  []decide.Action
-	eyes     *eyes // of those that see; else nil
+	name              string
+	s                 decide.Settings
+	rng               *rand.Rand
+	servers           []*server
+	requests          map[string]*request
+	position          int
+	token             int64
+	resubscribeTimers map[int64]bool // tokens of timers for a new call to the list
+	actions           []decide.Action
+	oracle            *oracle // nil for policies that are no oracles
 }
 
 type server struct {
 	decide.Backend
-	out int
+	inFlight int
 }
 
 type request struct {
 	decide.Request
-	deadline time.Duration
-	first    *sent // the first that may have run
-	sent     []*sent
-	open     int
-	risky    int
+	deadline   time.Duration
+	first      *sent // the first attempt that may have run
+	sent       []*sent
+	open       int
+	mayHaveRun int
 }
 
 type sent struct {
-	to   decide.Backend // as it was then
+	to   decide.Backend // as it was when the attempt was sent
 	s    *server
 	at   time.Duration
 	open bool
 }
 
-// Maker makes policies of a name, one for each agent of one play.
+// Maker returns a function that makes the policies of the given name, one for each agent of a simulation.
 func Maker(name string) (func(s decide.Settings, seed uint64) (*Policy, error), error) {
 	if !slices.Contains(Names, name) {
-		return nil, fmt.Errorf("%q is no policy: vetchhaven and %v are", name, Names)
+		return nil, fmt.Errorf("%q is no policy: the policies are vetchhaven and %v", name, Names)
 	}
-	shared := &ledger{sent: map[string][]load{}}
+	shared := &sentWork{byServer: map[string][]sentLoad{}}
 	return func(s decide.Settings, seed uint64) (*Policy, error) {
 		p, err := New(name, s, seed)
-		if err == nil && p.eyes != nil && name == SeesNow {
-			p.eyes.ledger = shared
+		if err == nil && p.oracle != nil && name == SeesNow {
+			p.oracle.sentWork = shared
 		}
 		return p, err
 	}, nil
 }
 
-// New makes a policy by its name.
+// New returns the policy of the given name.
 func New(name string, s decide.Settings, seed uint64) (*Policy, error) {
 	if !slices.Contains(Names, name) {
-		return nil, fmt.Errorf("%q is no policy: vetchhaven and %v are", name, Names)
+		return nil, fmt.Errorf("%q is no policy: the policies are vetchhaven and %v", name, Names)
 	}
-	var e *eyes
+	var e *oracle
 	switch name {
 	case SeesNow:
-		e = &eyes{}
+		e = &oracle{}
 	case SeesLate:
-		e = &eyes{late: seenLate}
+		e = &oracle{delay: oracleDelay}
 	}
 	if e != nil {
-		e.ledger = &ledger{sent: map[string][]load{}}
+		e.sentWork = &sentWork{byServer: map[string][]sentLoad{}}
 	}
-	return &Policy{eyes: e, name: name, s: s, rng: rand.New(rand.NewPCG(seed, 2)), requests: map[string]*request{},
-		due: map[int64]bool{}}, nil
+	return &Policy{oracle: e, name: name, s: s, rng: rand.New(rand.NewPCG(seed, 2)), requests: map[string]*request{},
+		resubscribeTimers: map[int64]bool{}}, nil
 }
 
-// Step takes what has happened and returns what to do, as decide.Balancer does.
+// Step handles events and returns actions, as decide.Balancer does.
 func (p *Policy) Step(now time.Duration, events []decide.Event) []decide.Action {
 	p.actions = nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case decide.ListUpdate:
-			p.list(e)
+			p.updateList(e)
 		case decide.Request:
 			r := &request{Request: e, deadline: now + e.Remaining}
 			p.requests[e.ID] = r
-			if p.eyes != nil && !p.admits(r) {
+			if p.oracle != nil && !p.admits(r) {
 				delete(p.requests, r.ID)
 				p.actions = append(p.actions, decide.Refuse{Request: r.ID})
 				continue
@@ -108,8 +108,8 @@
 		case decide.RequestCancelled:
 			delete(p.requests, e.Request)
 		case decide.TimerFired:
-			if p.due[e.Token] {
-				delete(p.due, e.Token)
+			if p.resubscribeTimers[e.Token] {
+				delete(p.resubscribeTimers, e.Token)
 				p.actions = append(p.actions, decide.Subscribe{})
 			}
 		}
@@ -117,13 +117,13 @@
 	return p.actions
 }
 
-func (p *Policy) list(e decide.ListUpdate) {
+func (p *Policy) updateList(e decide.ListUpdate) {
 	switch e.Kind {
 	case decide.ListFailed:
 		if p.s.Subscribe {
 			p.token++
-			p.due[p.token] = true
-			p.actions = append(p.actions, decide.SetTimer{After: askAgain, Token: p.token})
+			p.resubscribeTimers[p.token] = true
+			p.actions = append(p.actions, decide.SetTimer{After: resubscribeDelay, Token: p.token})
 		}
 		return
 	case decide.ListCached:
@@ -152,10 +152,10 @@
 	}
 	a := r.sent[e.Attempt]
 	a.open = false
-	a.s.out--
+	a.s.inFlight--
 	r.open--
 	if e.Result.NeverRan() {
-		if r.risky--; r.risky == 0 {
+		if r.mayHaveRun--; r.mayHaveRun == 0 {
 			r.first = nil
 		}
 	}
@@ -168,67 +168,67 @@
 	}
 }
 
-// send makes the next attempt, not at the server that has just failed if there is another, or
-// ends the request.
+// send makes the next attempt or ends the request. It avoids the server that has just failed if
+// there is another one.
 func (p *Policy) send(now time.Duration, r *request, failed *server) {
-	var may []*server
+	var candidates []*server
 	for _, s := range p.servers {
 		if s.State == decide.Up && p.mayRepeat(now, r, s) {
-			may = append(may, s)
+			candidates = append(candidates, s)
 		}
 	}
-	if len(may) > 1 {
-		may = slices.DeleteFunc(may, func(s *server) bool { return s == failed })
+	if len(candidates) > 1 {
+		candidates = slices.DeleteFunc(candidates, func(s *server) bool { return s == failed })
 	}
-	if len(may) == 0 || now >= r.deadline || len(r.sent) >= max(1, p.s.MaxAttempts) {
-		if delete(p.requests, r.ID); r.risky == 0 {
+	if len(candidates) == 0 || now >= r.deadline || len(r.sent) >= max(1, p.s.MaxAttempts) {
+		if delete(p.requests, r.ID); r.mayHaveRun == 0 {
 			p.actions = append(p.actions, decide.Refuse{Request: r.ID})
 		} else {
 			p.actions = append(p.actions, decide.Fail{Request: r.ID})
 		}
 		return
 	}
-	s := p.pick(may)
-	if p.eyes != nil {
-		s = p.see(now, r, may)
+	s := p.pick(candidates)
+	if p.oracle != nil {
+		s = p.pickByState(now, r, candidates)
 	}
 	a := &sent{to: s.Backend, s: s, at: now, open: true}
-	s.out++
+	s.inFlight++
 	r.sent = append(r.sent, a)
 	r.open++
-	if r.risky++; r.first == nil {
+	if r.mayHaveRun++; r.first == nil {
 		r.first = a
 	}
 	p.actions = append(p.actions, decide.Send{Request: r.ID, Backend: s.ID})
 }
 
-func (p *Policy) pick(may []*server) *server {
+func (p *Policy) pick(candidates []*server) *server {
 	switch p.name {
 	case "round-robin":
-		p.turn++
-		return may[p.turn%len(may)]
+		p.position++
+		return candidates[p.position%len(candidates)]
 	case "least-request":
-		start := p.rng.IntN(len(may))
-		best := may[start]
-		for i := range may {
-			if s := may[(start+i)%len(may)]; s.out < best.out {
+		start := p.rng.IntN(len(candidates))
+		best := candidates[start]
+		for i := range candidates {
+			if s := candidates[(start+i)%len(candidates)]; s.inFlight < best.inFlight {
 				best = s
 			}
 		}
 		return best
 	case "p2c":
-		a, b := may[p.rng.IntN(len(may))], may[p.rng.IntN(len(may))]
-		if b.out < a.out {
+		a, b := candidates[p.rng.IntN(len(candidates))], candidates[p.rng.IntN(len(candidates))]
+		if b.inFlight < a.inFlight {
 			return b
 		}
 		return a
 	}
-	return may[p.rng.IntN(len(may))]
+	return candidates[p.rng.IntN(len(candidates))]
 }
 
 func (p *Policy) mayRepeat(now time.Duration, r *request, s *server) bool {
 	c := p.s.Classes[r.Class]
-	if r.risky == 0 || c.Effect == decide.Idempotent {
+	if r.mayHaveRun == 0 || c.Effect == decide.Idempotent {
 		return true
 	}
 	if c.Effect == decide.NonIdempotent || now+p.s.ConnectTimeout-r.first.at >= c.DedupWindow {
--- a/internal/simulate/baseline/baseline_test.go
+++ b/internal/simulate/baseline/baseline_test.go
@@ -34,7 +34,7 @@
 	return ""
 }
 
-func TestEachPicksItsWay(t *testing.T) {
+func TestEachPolicyPicks(t *testing.T) {
 	for _, name := range Names {
 		p := start(t, name)
 		got := map[string]int{}
@@ -50,7 +50,7 @@
 		}
 	}
 	if _, err := New("magic", settings(), 1); err == nil {
-		t.Error("no such policy, and no error")
+		t.Error("an unknown policy gives no error")
 	}
 }
 
@@ -58,19 +58,19 @@
 	p := start(t, "random")
 	first := sendOf(t, p.Step(0, []decide.Event{decide.Request{ID: "q", Remaining: time.Second}}))
 	if second := sendOf(t, p.Step(1, []decide.Event{decide.Outcome{Request: "q", Backend: first, Result: decide.Errored}})); second == first {
-		t.Error("again at the one that failed")
+		t.Error("the retry went to the server that had failed")
 	}
 	first = sendOf(t, p.Step(2, []decide.Event{decide.Request{ID: "u", Class: 1, Remaining: time.Second}}))
 	acts := p.Step(3, []decide.Event{decide.Outcome{Request: "u", Backend: first, Result: decide.Reset}})
 	if len(acts) != 1 || acts[0] != (decide.Fail{Request: "u"}) {
-		t.Errorf("an unsafe one that may have run: %v", acts)
+		t.Errorf("a non-idempotent request that may have run: %v", acts)
 	}
 	sendOf(t, p.Step(4, []decide.Event{decide.Request{ID: "v", Class: 1, Remaining: time.Second}}))
 	sendOf(t, p.Step(5, []decide.Event{decide.Outcome{Request: "v", Result: decide.Rejected}}))
 	sendOf(t, p.Step(6, []decide.Event{decide.Outcome{Request: "v", Attempt: 1, Result: decide.Rejected}}))
 	acts = p.Step(7, []decide.Event{decide.Outcome{Request: "v", Attempt: 2, Result: decide.Rejected}})
 	if len(acts) != 1 || acts[0] != (decide.Refuse{Request: "v"}) {
-		t.Errorf("after its last attempt: %v", acts)
+		t.Errorf("after the last attempt: %v", acts)
 	}
 }
 
@@ -81,13 +81,13 @@
 	}
 	acts := p.Step(0, []decide.Event{decide.ListUpdate{Kind: decide.ListFailed}})
 	timer, ok := acts[0].(decide.SetTimer)
-	if !ok || timer.After != askAgain {
+	if !ok || timer.After != resubscribeDelay {
 		t.Fatal(acts)
 	}
-	if acts := p.Step(askAgain, []decide.Event{decide.TimerFired{Token: timer.Token}}); len(acts) != 1 {
+	if acts := p.Step(resubscribeDelay, []decide.Event{decide.TimerFired{Token: timer.Token}}); len(acts) != 1 {
 		t.Error(acts)
 	}
-	if acts := p.Step(askAgain, []decide.Event{decide.TimerFired{Token: timer.Token}}); len(acts) != 0 {
-		t.Error("a timer twice")
+	if acts := p.Step(resubscribeDelay, []decide.Event{decide.TimerFired{Token: timer.Token}}); len(acts) != 0 {
+		t.Error("one timer subscribed twice")
 	}
 }
--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -1,6 +1,7 @@
-// Package chain plays calls in tiers in simulated time: each process of a tier works on a request and calls the next
-// tier through an agent of its own, down to the last tier. It shows what retries at each tier come to there, and what
-// is done for clients that have left. The servers' model is that of package emulate. The same seed gives the same play.
+// Package chain simulates calls through several tiers in virtual time: each process of a tier works on a request and
+// calls the next tier through an agent of its own, down to the last tier. It shows how retries at each tier add up at
+// the last one, and how much work is done for clients that have left. Servers are those of package model. The same
+// seed gives the same result.
 package chain
 
 import (
@@ -14,75 +15,76 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// The policies that are played: the agent's own, and least-request with plain retries of three or with none.
+// The policies: the agent's own, and least-request with at most three attempts per request or with no retries.
 const (
 	Agent  = "vetchhaven"
 	Threes = "threes"
 	None   = "none"
 )
 
-// Config says what to play. Clients call tier 1 through agents of their own, one beside each client process.
+// Config describes a simulation. Clients call tier 1 through agents of their own, one for each client process.
 type Config struct {
 	Tiers     int
-	Processes int           // of each tier, and client processes
-	Rate      float64       // calls a second of one client process
-	Work      time.Duration // in the mean, for one attempt at a process
+	Processes int           // number of processes of each tier, and of client processes
+	Rate      float64       // calls per second of one client process
+	Work      time.Duration // mean work of one attempt at a process
 	Cores     int
-	Way       time.Duration // one way, between two processes
-	Aim       time.Duration
-	Deadline  time.Duration // the time that a client waits
-	Margin    time.Duration // an agent answers so long before its caller's time is up
-	Leave     float64       // share of clients that leave early, at any moment of their deadline
+	Way       time.Duration // one-way delay between two processes
+	Aim       time.Duration // latency objective
+	Deadline  time.Duration // time that a client waits
+	Margin    time.Duration // an agent answers this much before its caller's deadline
+	Leave     float64       // share of clients that leave early, at a random time before their deadline
 	Policy    string
-	Deadlines bool // what is left of a client's time is handed down; else each tier waits for Deadline anew
-	Cancels   bool // that a caller has left or given up is handed down
+	Deadlines bool // the remaining time of a client is passed down; else each tier waits for Deadline again
+	Cancels   bool // cancellations by callers are passed down
 
-	Errors   float64 // share of attempts that the last tier fails during the incident
-	Slow     float64 // speed of the middle tier during it; 0: as ever
+	Errors   float64 // share of attempts that fail at the last tier during the incident
+	Slow     float64 // speed factor of the middle tier during the incident; 0: unchanged
 	Begin    time.Duration
-	Incident time.Duration // how long it takes
+	Incident time.Duration // length of the incident
 	Length   time.Duration
-	Events   int // at the most; 0: no bound
+	Events   int // maximum number of simulated events; 0: unlimited
 	Seed     uint64
 }
 
-// Default is a chain of processes at 408 calls a second each, a quarter busy, a millisecond apart.
+// Default returns a chain of processes with 408 calls per second each, which uses about a fifth of their capacity. The
+// call of a process to the next one and its answer take half a millisecond together.
 func Default(tiers int) Config {
 	return Config{Tiers: tiers, Processes: 4, Rate: 408, Work: 2 * time.Millisecond, Cores: 4, Way: 250 * time.Microsecond,
 		Aim: 300 * time.Millisecond, Deadline: time.Second, Margin: 5 * time.Millisecond, Leave: 0.05, Policy: Agent, Deadlines: true,
 		Begin: 15 * time.Second, Incident: 5 * time.Second, Length: 26 * time.Second, Seed: 1}
 }
 
-// Result is how it went. Calls are those of clients, by when they began.
+// Result is the result of a simulation. Clients' calls count by the time at which they began.
 type Result struct {
-	Before       Span          // in the second before the incident
-	First, Later Span          // in its first second; from then on, as long as their time is up before its end
-	Settled      time.Duration // from the start of all, cold, until 99 in 100 calls are served for a second on end; negative: later than the incident
-	Recovered    time.Duration // the same, from the incident's end; negative: not in the play
-	Retries      []int         // during the incident, of the agents that call tier 1, 2, ...
-	Most         int           // retries of one agent during it, the highest
-	Unanswered   int           // calls of any tier without an answer by their deadline, though nobody had left
-	CutShort     bool          // the bound on events was met: what is counted is less than would have been
+	Before       Span          // the second before the incident
+	First, Later Span          // the incident's first second; later calls whose deadline is before its end
+	Settled      time.Duration // time from the cold start until 99 in 100 calls are served for one second; negative: not before the incident
+	Recovered    time.Duration // the same from the incident's end; negative: not within the simulation
+	Retries      []int         // during the incident, by the agents that call tier 1, 2, ...
+	Most         int           // highest number of retries of one agent during the incident
+	Unanswered   int           // calls at any tier without an answer by their deadline, though no caller had left
+	CutShort     bool          // Events was reached, so the counts are incomplete
 }
 
-// Span counts clients' calls and what the last tier did for them, whenever it did.
+// Span counts the clients' calls that began in a time span, and the work of the last tier for them at any time.
 type Span struct {
-	Calls, Served int // of clients that did not leave early
-	All           int // with those that did
+	Calls, Served int // by clients that did not leave early
+	All           int // calls, with those of clients that left early
 	Attempts      int // at the last tier
-	Void          int // of these, ended after their client had left or given up
+	Void          int // attempts that ended after their client had left or stopped waiting
 }
 
-// PerCall is attempts at the last tier for one call of a client.
+// PerCall returns the attempts at the last tier for each call of a client.
 func (s Span) PerCall() float64 { return float64(s.Attempts) / float64(max(s.All, 1)) }
 
-// Share is the share of calls that were served.
+// Share returns the share of calls that were served.
 func (s Span) Share() float64 { return float64(s.Served) / float64(max(s.Calls, 1)) }
 
-// VoidShare is the share of attempts at the last tier that ended for nobody.
+// VoidShare returns the share of attempts at the last tier that ended after their client had left.
 func (s Span) VoidShare() float64 { return float64(s.Void) / float64(max(s.Attempts, 1)) }
 
-// Sum is two spans together.
+// Sum returns the sum of two spans.
 func (s Span) Sum(o Span) Span {
 	return Span{s.Calls + o.Calls, s.Served + o.Served, s.All + o.All, s.Attempts + o.Attempts, s.Void + o.Void}
 }
@@ -92,27 +94,27 @@
 }
 
 const (
-	clockOffset = time.Hour              // a policy's time at the start of the play
-	window      = 100 * time.Millisecond // by which recovery is told
-	wellAt      = 0.99
-	wellFor     = time.Second
+	clockOffset    = time.Hour              // a policy's time at the start of the simulation
+	window         = 100 * time.Millisecond // time resolution of the recovery
+	recoveredShare = 0.99
+	recoveredFor   = time.Second
 )
 
-type player struct {
+type simulation struct {
 	Config
 	now    time.Duration
 	agenda eventqueue.Queue
 	rng    *rand.Rand
-	tiers  [][]*process // from the clients on
-	calls  int          // so far, of all agents
-	last   [4]Span      // none, before, first, later
-	served [][2]int     // of calls begun in a window: asked, served
+	tiers  [][]*process // tier 0 holds the clients
+	calls  int          // number of calls so far, by all agents
+	spans  [4]Span      // none, before, first, later
+	served [][2]int     // numbers of calls that began in each window, and of those that were served
 	result Result
 }
 
-// process is one of a tier: a server (not at the clients), and an agent (not at the last tier).
+// process is a process of a tier: a server (except client processes) with an agent (except at the last tier).
 type process struct {
-	p       *player
+	p       *simulation
 	tier, n int
 	id      string
 	server  *model.Server
@@ -123,38 +125,38 @@
 	retries int
 }
 
-// client is one client's call, which all that is done for it belongs to.
+// client is one call of a client; all calls at lower tiers for it refer to it.
 type client struct {
-	span   int
-	window int
-	early  bool // leaves before its time is up
-	gone   bool // has left, or its time is up, or it was told that it is not served
+	span        int
+	window      int
+	leavesEarly bool // leaves before its deadline
+	left        bool // has left, its deadline has passed, or it has its final answer
 }
 
-// call is a request as an agent has it.
+// call is a request at an agent.
 type call struct {
 	id       string
-	by       *process
+	caller   *process
 	client   *client
-	above    *attempt // that it is made for; nil: the client's own
+	parent   *attempt // attempt at the tier above for which it is made; nil: the client's own call
 	deadline time.Duration
 	attempts []*attempt
 	done     bool
 }
 
 type attempt struct {
-	of        *call
+	call      *call
 	n         int
 	to        *process
 	sent      time.Duration
-	over      bool
-	cancelled bool // its process knows that nobody waits
-	below     *call
+	ended     bool
+	cancelled bool // its process has been told that the caller no longer waits
+	child     *call
 }
 
-// Play plays a chain to its end.
+// Play runs a simulation to its end.
 func Play(c Config) (Result, error) {
-	p := &player{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 38)), served: make([][2]int, c.Length/window+1)}
+	p := &simulation{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 38)), served: make([][2]int, c.Length/window+1)}
 	p.result.Retries = make([]int, c.Tiers)
 	if err := p.build(); err != nil {
 		return Result{}, err
@@ -172,8 +174,8 @@
 		p.now = at
 		do()
 	}
-	p.result.Before, p.result.First, p.result.Later = p.last[1], p.last[2], p.last[3]
-	p.result.Settled, p.result.Recovered = p.well(0, p.Begin-p.Deadline), p.well(p.Begin+p.Incident, p.Length)
+	p.result.Before, p.result.First, p.result.Later = p.spans[1], p.spans[2], p.spans[3]
+	p.result.Settled, p.result.Recovered = p.timeToRecover(0, p.Begin-p.Deadline), p.timeToRecover(p.Begin+p.Incident, p.Length)
 	for _, t := range p.tiers[:c.Tiers] {
 		for _, q := range t {
 			p.result.Most = max(p.result.Most, q.retries)
@@ -182,7 +184,7 @@
 	return p.result, nil
 }
 
-func (p *player) build() error {
+func (p *simulation) build() error {
 	s := &model.Scenario{Agents: p.Processes, Zones: []string{"z"},
 		Kinds:   []model.Kind{{Cores: p.Cores, Speed: 1, Slots: p.Cores, Queue: 2000, ThrashAt: 1e9, ColdShare: 1, Connections: 1 << 20}},
 		Classes: []model.Class{{Work: p.Work, Class: decide.Class{Objective: p.Aim, Deadline: p.Deadline, Value: 1}}},
@@ -191,14 +193,14 @@
 	if p.Policy == None {
 		s.Rules.MaxAttempts = 1
 	}
-	chance := model.Chance(p.Seed)
+	root := model.Seed(p.Seed)
 	for tier := range p.Tiers + 1 {
 		var all []*process
 		for n := range p.Processes {
 			q := &process{p: p, tier: tier, n: n, id: fmt.Sprintf("t%d-%d", tier, n), jobs: map[string]*attempt{}, open: map[string]*call{}}
 			if tier > 0 {
-				q.server = model.NewServer(model.ServerSpec{Name: q.id}, s, model.NewKeys(s.Classes), chance, 0, false)
-				for from := range p.Processes { // the connections stay
+				q.server = model.NewServer(model.ServerSpec{Name: q.id}, s, model.NewKeys(s.Classes), root, 0, false)
+				for from := range p.Processes { // connections stay open
 					q.server.Step(0, model.Dial{Conn: from, Agent: from})
 				}
 			}
@@ -213,7 +215,7 @@
 		}
 		for n, q := range all {
 			var err error
-			seed := uint64(chance.Sub(model.Name("agent"), uint64(tier), uint64(n)))
+			seed := uint64(root.Derive(model.HashName("agent"), uint64(tier), uint64(n)))
 			if q.policy, err = p.newPolicy(s.Settings(n), seed); err != nil {
 				return err
 			}
@@ -223,7 +225,7 @@
 	return nil
 }
 
-func (p *player) newPolicy(s decide.Settings, seed uint64) (policy, error) {
+func (p *simulation) newPolicy(s decide.Settings, seed uint64) (policy, error) {
 	switch p.Policy {
 	case Agent:
 		return decide.New(s, seed)
@@ -233,7 +235,7 @@
 	return nil, fmt.Errorf("%q is none of %s, %s, %s", p.Policy, Agent, Threes, None)
 }
 
-func (p *player) incident(errors, slow float64) {
+func (p *simulation) incident(errors, slow float64) {
 	for _, q := range p.tiers[p.Tiers] {
 		q.serve(model.SetErrors{Rate: errors})
 	}
@@ -246,7 +248,7 @@
 
 // ---- Clients ----
 
-func (p *player) nextCall(q *process) {
+func (p *simulation) nextCall(q *process) {
 	at := p.now + time.Duration(p.rng.ExpFloat64()/p.Rate*float64(time.Second))
 	if at >= p.Length {
 		return
@@ -263,33 +265,33 @@
 		}
 		left := p.Deadline
 		if p.rng.Float64() < p.Leave {
-			c.early, left = true, time.Duration(p.rng.Float64()*float64(p.Deadline))
+			c.leavesEarly, left = true, time.Duration(p.rng.Float64()*float64(p.Deadline))
 		}
-		p.last[c.span].All++
-		if !c.early {
-			p.last[c.span].Calls++
+		p.spans[c.span].All++
+		if !c.leavesEarly {
+			p.spans[c.span].Calls++
 			p.served[c.window][0]++
 		}
 		r := q.call(c, nil, p.now+p.Deadline)
 		p.at(p.now+left, func() {
-			c.gone = true
+			c.left = true
 			q.abandon(r)
 		})
 		p.nextCall(q)
 	})
 }
 
-// well is how long after a time calls are served again, of those that begin before another.
-func (p *player) well(from, until time.Duration) time.Duration {
+// timeToRecover returns how long after time from calls are served again, considering calls that begin before until.
+func (p *simulation) timeToRecover(from, until time.Duration) time.Duration {
 	since := time.Duration(-1)
 	for w := int(from / window); w < int(until/window); w++ {
 		asked, at := p.served[w], time.Duration(w)*window
 		switch {
-		case float64(asked[1]) < wellAt*float64(asked[0]):
+		case float64(asked[1]) < recoveredShare*float64(asked[0]):
 			since = -1
 		case since < 0:
 			since = at
-		case at-since >= wellFor:
+		case at-since >= recoveredFor:
 			return since - from
 		}
 	}
@@ -298,11 +300,11 @@
 
 // ---- Agents ----
 
-// call has a process call the next tier.
-func (q *process) call(c *client, above *attempt, deadline time.Duration) *call {
+// call makes a call of a process to the next tier.
+func (q *process) call(c *client, parent *attempt, deadline time.Duration) *call {
 	p := q.p
 	p.calls++
-	r := &call{id: fmt.Sprintf("%x", p.calls), by: q, client: c, above: above, deadline: deadline}
+	r := &call{id: fmt.Sprintf("%x", p.calls), caller: q, client: c, parent: parent, deadline: deadline}
 	q.open[r.id] = r
 	p.at(deadline-p.Margin, func() {
 		for _, a := range r.attempts {
@@ -310,7 +312,7 @@
 		}
 	})
 	p.at(deadline, func() {
-		if !r.done { // a policy that has not answered by now is not waited for
+		if !r.done { // the policy has not answered in time
 			p.result.Unanswered++
 			q.abandon(r)
 		}
@@ -346,7 +348,7 @@
 		})
 		return
 	}
-	a := &attempt{of: r, n: len(r.attempts), sent: p.now}
+	a := &attempt{call: r, n: len(r.attempts), sent: p.now}
 	for _, t := range p.tiers[q.tier+1] {
 		if t.id == s.Backend {
 			a.to = t
@@ -360,26 +362,26 @@
 	p.at(p.now+p.Way, a.arrive)
 }
 
-// finish is a call's answer to whoever it is for.
+// finish delivers a call's answer to the attempt at the tier above, or to the client.
 func (q *process) finish(r *call, result decide.Result) {
 	if r == nil || r.done {
 		return
 	}
 	p := q.p
 	r.done = true
-	q.forget(r)
-	if a := r.above; a != nil {
+	q.removeIfDone(r)
+	if a := r.parent; a != nil {
 		a.to.reply(a, result)
 		return
 	}
-	if result == decide.OK && !r.client.early && !r.client.gone {
-		p.last[r.client.span].Served++
+	if result == decide.OK && !r.client.leavesEarly && !r.client.left {
+		p.spans[r.client.span].Served++
 		p.served[r.client.window][1]++
 	}
-	r.client.gone = true // it waits no longer: what is still done for it is for nobody
+	r.client.left = true // the client no longer waits: any further work for it is void
 }
 
-// abandon ends a call whose caller has left. Its attempts run on, unless that is handed down.
+// abandon ends a call whose caller has left. Its attempts run on unless cancellations are passed down.
 func (q *process) abandon(r *call) {
 	if r.done {
 		return
@@ -391,25 +393,25 @@
 			a.end(decide.Cancelled)
 		}
 	}
-	q.forget(r)
+	q.removeIfDone(r)
 }
 
-func (q *process) forget(r *call) {
+func (q *process) removeIfDone(r *call) {
 	for _, a := range r.attempts {
-		if !a.over {
+		if !a.ended {
 			return
 		}
 	}
 	delete(q.open, r.id)
 }
 
-// end is an attempt's one outcome, at the agent that made it.
+// end records the one outcome of an attempt at the agent that made it.
 func (a *attempt) end(result decide.Result) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
-	r, q := a.of, a.of.by
+	a.ended = true
+	r, q := a.call, a.call.caller
 	p := q.p
 	if p.Cancels && (result == decide.Cancelled || result == decide.TimedOut) {
 		p.at(p.now+p.Way, a.cancel)
@@ -419,37 +421,37 @@
 	}
 	q.step(decide.Outcome{Request: r.id, Attempt: a.n, Backend: a.to.id, Result: result, Latency: p.now - a.sent, Answered: r.done})
 	if r.done {
-		q.forget(r)
+		q.removeIfDone(r)
 	}
 }
 
 // ---- Servers ----
 
-// arrive is an attempt at its process.
+// arrive handles the arrival of an attempt at its process.
 func (a *attempt) arrive() {
 	q, p := a.to, a.to.p
-	id := fmt.Sprintf("%s/%d", a.of.id, a.n)
+	id := fmt.Sprintf("%s/%d", a.call.id, a.n)
 	q.jobs[id] = a
 	work := time.Duration((0.5 + p.rng.Float64()) * float64(p.Work))
-	q.serve(model.Arrive{Conn: a.of.by.n, Job: model.Job{ID: id, Agent: a.of.by.n, Work: work, Luck: p.rng.Float64(), Sent: a.sent}})
+	q.serve(model.Arrive{Conn: a.call.caller.n, Job: model.Job{ID: id, Agent: a.call.caller.n, Work: work, Draw: p.rng.Float64(), Sent: a.sent}})
 }
 
-// cancel tells an attempt's process that nobody waits for it. What it works on itself it finishes.
+// cancel tells an attempt's process that its caller no longer waits. The process finishes its own work on it.
 func (a *attempt) cancel() {
 	a.cancelled = true
-	if a.below != nil {
-		a.to.abandon(a.below)
+	if a.child != nil {
+		a.to.abandon(a.child)
 	}
 }
 
-// serve gives a process's server one event, and goes on with what it has done.
+// serve passes an event to a process's server and handles the answers.
 func (q *process) serve(e model.ServerEvent) {
 	p := q.p
 	type did struct {
 		a   *attempt
 		how decide.Result
 	}
-	var all []did // the server's own slice is good until its next step
+	var all []did // the slice that Step returns is valid only until the next Step
 	for _, f := range q.server.Step(p.now, e) {
 		if f.Kind == model.Replied {
 			all = append(all, did{q.jobs[f.Job.ID], f.Result})
@@ -457,12 +459,12 @@
 		}
 	}
 	for _, d := range all {
-		q.worked(d.a, d.how)
+		q.processed(d.a, d.how)
 	}
-	q.wake()
+	q.scheduleWake()
 }
 
-func (q *process) wake() {
+func (q *process) scheduleWake() {
 	p := q.p
 	next := q.server.NextWake()
 	if next == 0 || q.wakeAt >= p.now && q.wakeAt <= next && q.wakeAt > 0 {
@@ -477,13 +479,13 @@
 	})
 }
 
-// worked is when a process's own part is done: the last tier answers, the others call on.
-func (q *process) worked(a *attempt, result decide.Result) {
+// processed handles the end of a process's own work: the last tier answers, the others call the next tier.
+func (q *process) processed(a *attempt, result decide.Result) {
 	p := q.p
 	if q.tier == p.Tiers {
-		s := &p.last[a.of.client.span]
+		s := &p.spans[a.call.client.span]
 		s.Attempts++
-		if a.of.client.gone {
+		if a.call.client.left {
 			s.Void++
 		}
 	}
@@ -495,18 +497,18 @@
 		return
 	}
 	deadline := p.now + p.Deadline
-	if p.Deadlines { // told as what is left: the way there is not seen
-		if deadline = a.of.deadline - p.Margin + p.Way; deadline-p.Margin <= p.now {
+	if p.Deadlines { // passed as remaining time, so the receiver does not account for the network delay
+		if deadline = a.call.deadline - p.Margin + p.Way; deadline-p.Margin <= p.now {
 			q.reply(a, decide.Errored)
 			return
 		}
 	}
-	a.below = q.call(a.of.client, a, deadline)
+	a.child = q.call(a.call.client, a, deadline)
 }
 
-// reply carries a process's answer to the agent that asked.
+// reply sends a process's answer to the agent that made the attempt.
 func (q *process) reply(a *attempt, result decide.Result) {
 	q.p.at(q.p.now+q.p.Way, func() { a.end(result) })
 }
 
-func (p *player) at(t time.Duration, do func()) { p.agenda.At(max(t, p.now), do) }
+func (p *simulation) at(t time.Duration, do func()) { p.agenda.At(max(t, p.now), do) }
--- a/internal/simulate/chain/chain_test.go
+++ b/internal/simulate/chain/chain_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// small is a chain with little traffic, that CI can afford.
+// small returns a chain with little traffic, which keeps the tests short.
 func small(tiers int, policy string) Config {
 	c := Default(tiers)
 	c.Processes, c.Rate, c.Policy = 2, 25, policy
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if r.Later.All < 20 {
-		t.Fatalf("%d calls in the incident: nothing is put to the test", r.Later.All)
+		t.Fatalf("%d calls in the incident: too few for the test", r.Later.All)
 	}
 	return r
 }
@@ -37,27 +37,27 @@
 	}
 }
 
-// Where all fails at the last of eight tiers, the private buckets are soon empty and each call is one attempt there.
-// Plain retries of three multiply until time runs out.
+// When all attempts fail at the last of eight tiers, the agents' buckets are soon empty and each call makes one
+// attempt there. With the policy Threes, retries multiply until the deadline.
 func TestRetriesOfEightTiersDoNotMultiply(t *testing.T) {
 	c := small(8, Agent)
 	c.Errors = 1
 	agent := play(t, c)
-	c.Policy, c.Rate = Threes, 8 // it needs no burst to be over, and makes hundreds of attempts for each call
+	c.Policy, c.Rate = Threes, 8 // this policy has no initial burst, and makes hundreds of attempts for each call
 	threes := play(t, c)
 	if a := agent.Later.PerCall(); a > 1.1 {
 		t.Errorf("%.2f attempts at the last tier for a call after the burst, 1.1 at the most", a)
 	}
 	if agent.Most > Burst(1, 1) {
-		t.Errorf("an agent retried %d times with nothing served, %d at the most", agent.Most, Burst(1, 1))
+		t.Errorf("an agent retried %d times though nothing was served, %d at the most", agent.Most, Burst(1, 1))
 	}
 	if a, b := agent.Later.PerCall(), threes.Later.PerCall(); b < 20*a {
-		t.Errorf("plain threes make %.2f attempts, the agent %.2f: this load puts nothing to the test", b, a)
+		t.Errorf("the policy threes makes %.2f attempts, the agent %.2f: this load does not show a difference", b, a)
 	}
 }
 
-// The slope: twice as many tiers cost no more attempts for a call after the burst, and in the first second no more than
-// the buckets hold.
+// Twice as many tiers cost no more attempts for a call after the initial burst, and in the first second no more than
+// the buckets allow.
 func TestBurstsOfTiersAddUp(t *testing.T) {
 	var later, burst [2]float64
 	for i, tiers := range []int{4, 8} {
@@ -74,19 +74,20 @@
 	}
 }
 
-// What is worked out is what is played, for each policy: with half of the attempts failing there is a success to pay
-// for every retry, and buckets bound them. (With more tiers the upper buckets would take longer to empty than this play.)
-func TestPlayedIsWorkedOut(t *testing.T) {
+// The simulation of each policy gives the result that Worked computes: with half of the attempts failing there are
+// successes that refill the buckets, and the buckets limit the retries. (With more tiers the upper buckets would take
+// longer to empty than this simulation.)
+func TestSimulationMatchesWorked(t *testing.T) {
 	for _, policy := range []string{Agent, Threes, None} {
 		c := small(3, policy)
 		c.Rate, c.Errors, c.Incident, c.Length = 150, 0.5, 8*time.Second, 10*time.Second
 		r := play(t, c)
 		attempts, served := Worked(policy, 3, 0.5)
 		if got := r.Later.PerCall(); math.Abs(got/attempts-1) > 0.08 {
-			t.Errorf("%s: %.3f attempts for a call, %.3f worked out", policy, got, attempts)
+			t.Errorf("%s: %.3f attempts for a call, %.3f computed", policy, got, attempts)
 		}
 		if got := r.Later.Share(); math.Abs(got-served) > 0.06 {
-			t.Errorf("%s: %.3f served, %.3f worked out", policy, got, served)
+			t.Errorf("%s: %.3f served, %.3f computed", policy, got, served)
 		}
 	}
 }
@@ -110,14 +111,14 @@
 			t.Errorf("%s, %d tiers, %.0f%%: %.4f attempts and %.4f served, want %.4f and %.4f", row.policy, row.tiers, 100*row.errors, a, s, row.attempts, row.served)
 		}
 	}
-	if a, _ := Worst(Agent, 16); a > 1+16*refill/cost {
-		t.Errorf("at the worst %.2f attempts for a call with 16 tiers, more than 1/s can fall", a)
+	if a, _ := Worst(Agent, 16); a > 1+16*successRefill/retryCost {
+		t.Errorf("at the worst %.2f attempts for a call with 16 tiers, above the bound", a)
 	}
 }
 
-// Every call of every tier has its answer in time, and what is handed down keeps the last tier from working for
-// clients that left.
-func TestNothingIsDoneForThoseWhoLeft(t *testing.T) {
+// Each call at each tier has its answer in time, and passed-down deadlines and cancellations keep the last tier from
+// working for clients that have left.
+func TestNoWorkForClientsThatLeft(t *testing.T) {
 	c := small(6, Agent)
 	c.Rate, c.Slow, c.Leave = 60, 0.02, 0.3
 	c.Incident = 3 * time.Second
@@ -130,13 +131,13 @@
 		}
 	}
 	if void[0] == 0 || void[2] > void[1]/4 {
-		t.Errorf("for clients that had left: %.4f of all with nothing handed down, %.4f with deadlines, %.4f with cancellation too", void[0], void[1], void[2])
+		t.Errorf("attempts for clients that had left: %.4f with nothing passed down, %.4f with deadlines, %.4f with cancellation too", void[0], void[1], void[2])
 	}
 }
 
-// A cold chain warms up whether deadlines are handed down or not. Its lower tiers get requests with different times left,
-// and each counts as a first try there; taken for clients' repeats they were turned away, for seconds.
-func TestHandedDownDeadlinesDoNotSlowTheStart(t *testing.T) {
+// A cold chain warms up whether deadlines are passed down or not. The lower tiers get requests with different remaining
+// times, and each counts as a first try there. A policy that takes them for clients' retries rejects them for seconds.
+func TestPassedDownDeadlinesDoNotSlowTheStart(t *testing.T) {
 	for seed := range uint64(2) {
 		c := Default(16)
 		c.Processes, c.Rate, c.Seed = 2, 300, 1+seed
--- a/internal/simulate/checker/checker.go
+++ b/internal/simulate/checker/checker.go
@@ -1,11 +1,11 @@
-// Package checker holds a balancer to the four rules. It sees only what happened, each thing with
-// its time, and knows nothing of how the balancer works: what agents took and answered, what
-// reached servers, what the list told whom. It is free of I/O and of any clock.
+// Package checker checks that a balancer keeps four rules. Its input is events with their times:
+// which requests agents accepted and answered, what reached servers, and what the list told each
+// agent. It knows nothing about how the balancer works, and has no I/O and no clock.
 //
-// The rules: (1) everything taken gets exactly one final answer before the client's time is up,
-// and nothing is sent for it after that; (2) no effect happens twice, and a refusal says that
-// trying again is harmless; (3) nothing new goes to a server a stated grace after this agent was
-// told that it drains or is gone; (4) no cold server is pushed over.
+// The rules: (1) each accepted request gets exactly one final answer before the client's deadline,
+// and nothing is sent for it after that; (2) no effect happens twice, and a refusal promises that
+// a retry is harmless; (3) no new request goes to a server later than the drain grace after this
+// agent was told that it drains or is gone; (4) no cold server is overloaded.
 package checker
 
 import (
@@ -16,20 +16,20 @@
 	"vetchhaven/decide"
 )
 
-// Config is what the rules say in figures.
+// Config holds the parameters of the rules.
 type Config struct {
 	Classes     []decide.Class
-	Names       []string // of the classes, for people
+	Names       []string // of the classes, for messages
 	DrainGrace  time.Duration
-	AnswerSlack time.Duration // a final answer may come so long after the client's time
-	Slack       time.Duration // by which the times told here may be off from the agent's
-	MaxAttempts int           // 0: any number
-	// Guilt is the share of the work that pushed a cold server over which informed agents must have
-	// sent for it to count against them.
-	Guilt float64
+	AnswerSlack time.Duration // a final answer may come this much after the client's deadline
+	Slack       time.Duration // maximum difference between the times given here and the agent's
+	MaxAttempts int           // 0: unlimited
+	// InformedLimit is the share of the work sent to an overloaded cold server that must have come
+	// from agents that knew of its start, for the overload to count as a breach of rule 4.
+	InformedLimit float64
 }
 
-// Breach is a rule that was broken, in words for people.
+// Breach describes a breach of a rule.
 type Breach struct {
 	Rule    int
 	At      time.Duration
@@ -40,9 +40,9 @@
 }
 
 func (b Breach) String() string {
-	s := fmt.Sprintf("rule %d at %s: agent %d", b.Rule, sec(b.At), b.Agent)
+	s := fmt.Sprintf("rule %d at %s: agent %d", b.Rule, seconds(b.At), b.Agent)
 	if b.Agent < 0 {
-		s = fmt.Sprintf("rule %d at %s", b.Rule, sec(b.At))
+		s = fmt.Sprintf("rule %d at %s", b.Rule, seconds(b.At))
 	}
 	if b.Request != "" {
 		s += ", request " + b.Request
@@ -58,68 +58,68 @@
 	return s + ": " + b.Text
 }
 
-func sec(t time.Duration) string { return fmt.Sprintf("%.3f s", t.Seconds()) }
+func seconds(t time.Duration) string { return fmt.Sprintf("%.3f s", t.Seconds()) }
 
-// Kind is a final answer as the client sees it.
+// Kind is the kind of a final answer as the client sees it.
 type Kind uint8
 
-// Final answers.
+// The kinds of final answers.
 const (
 	Served  Kind = iota
-	Refused      // a new try does no harm
-	Failed       // promises nothing
+	Refused      // a retry is harmless
+	Failed       // promises nothing about effects
 )
 
 func (k Kind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
-// Judge keeps what it needs to hold agents to the rules: open requests, and ended ones for as
-// long as something of them may still turn up.
-type Judge struct {
-	c        Config
-	requests map[string]*request
-	told     map[serverOf]*told
-	taken    []expiry // in order of taking
-	retain   time.Duration
-	breaches []Breach
-	count    [5]int // by rule
-	doubled  int
-	unblamed []Breach
-	blamed   map[string]bool // requests whose repeat broke rule 2
+// Checker keeps the state that is needed to check the rules: open requests, and ended requests for
+// as long as events about them may still come.
+type Checker struct {
+	config    Config
+	requests  map[string]*request
+	listed    map[agentServer]*listing
+	taken     []expiry // in the order of acceptance
+	retain    time.Duration
+	breaches  []Breach
+	count     [5]int // by rule
+	doubled   int
+	faultless []Breach
+	atFault   map[string]bool // IDs of requests whose repeat broke rule 2
 }
 
-type serverOf struct {
+type agentServer struct {
 	agent  int
 	server string
 }
 
-type told struct {
-	state     decide.BackendState
-	zone, pod int
-	started   time.Duration
-	offAt     time.Duration // told to drain or be gone at; negative: it is up
-	zoned     time.Duration // told its zone at
-	celled    time.Duration // and its pod
-	startedAt time.Duration // told of its latest start at; negative: never
-	wasZone   int           // before that
-	wasPod    int
+type listing struct {
+	state       decide.BackendState
+	zone, pod   int
+	started     time.Duration
+	withdrawnAt time.Duration // when the agent was told that the server drains or is gone; negative: it is up
+	zoneAt      time.Duration // when the agent was told the present zone
+	podAt       time.Duration // when the agent was told the present pod
+	startedAt   time.Duration // when the agent was told of the latest start; negative: never
+	oldZone     int           // the zone before zoneAt; oldPod is the pod before podAt
+	oldPod      int
 }
 
 type request struct {
-	agent    int
-	class    int
-	deadline time.Duration
-	arrivals []arrival
-	answered time.Duration // negative: not yet
-	void     bool          // nothing is owed: the client left or the agent was stopped
-	stopped  bool          // the agent was: what was on its way still arrives, and is nobody's fault
-	named    bool          // its want of an answer is in the breaches
+	agent        int
+	class        int
+	deadline     time.Duration
+	arrivals     []arrival
+	answered     time.Duration // time of the final answer; negative: none yet
+	noAnswerDue  bool          // the client left or the agent was stopped
+	agentStopped bool          // the agent was stopped: attempts on their way still arrive, which is no breach
+	reported     bool          // the missing answer is in the breaches already
 }
 
 type arrival struct {
 	server    string
 	began, at time.Duration
-	zone, pod int           // as told to the agent when it was sent
-	neverRan  time.Duration // the server said so at; negative: it may have run
+	zone, pod int           // as the agent knew them when it sent the request
+	neverRan  time.Duration // when the server said that the request never ran; negative: it may have run
 	ran       bool
 }
 
@@ -128,126 +128,126 @@
 	id string
 }
 
-const breachesKept = 100 // of each rule: more are only counted
+const maxBreaches = 100 // for each rule; further breaches are only counted
 
-// New returns a judge that has seen nothing.
-func New(c Config) *Judge {
-	j := &Judge{c: c, requests: map[string]*request{}, told: map[serverOf]*told{}, blamed: map[string]bool{}, retain: 5 * time.Second}
-	if c.Guilt == 0 {
-		j.c.Guilt = 2.0 / 3
+// New returns a checker without events.
+func New(c Config) *Checker {
+	ch := &Checker{config: c, requests: map[string]*request{}, listed: map[agentServer]*listing{}, atFault: map[string]bool{}, retain: 5 * time.Second}
+	if c.InformedLimit == 0 {
+		ch.config.InformedLimit = 2.0 / 3
 	}
 	for _, k := range c.Classes {
-		j.retain = max(j.retain, 2*k.Deadline, k.Deadline+k.DedupWindow)
+		ch.retain = max(ch.retain, 2*k.Deadline, k.Deadline+k.DedupWindow)
 	}
-	return j
+	return ch
 }
 
-// Breaches are the rules broken so far, up to a bound for each rule.
-func (j *Judge) Breaches() []Breach { return j.breaches }
+// Breaches returns the breaches so far, up to a maximum for each rule.
+func (ch *Checker) Breaches() []Breach { return ch.breaches }
 
-// Count is how often a rule was broken.
-func (j *Judge) Count(rule int) int { return j.count[rule] }
+// Count returns how often a rule was broken.
+func (ch *Checker) Count(rule int) int { return ch.count[rule] }
 
-// Total is how often any was.
-func (j *Judge) Total() int { return j.count[1] + j.count[2] + j.count[3] + j.count[4] }
+// Total returns how often all rules were broken.
+func (ch *Checker) Total() int { return ch.count[1] + ch.count[2] + ch.count[3] + ch.count[4] }
 
-func (j *Judge) breach(b Breach) {
-	if j.count[b.Rule]++; j.count[b.Rule] <= breachesKept {
-		j.breaches = append(j.breaches, b)
+func (ch *Checker) breach(b Breach) {
+	if ch.count[b.Rule]++; ch.count[b.Rule] <= maxBreaches {
+		ch.breaches = append(ch.breaches, b)
 	}
 }
 
-// Took says that an agent has taken a request, whose client waits until deadline.
-func (j *Judge) Took(now time.Duration, agent int, id string, class int, deadline time.Duration) {
-	j.Advance(now)
-	if j.requests[id] != nil {
-		return // clients give new ids; a second one is not this agent's fault
+// Took records that an agent has accepted a request, whose client waits until deadline.
+func (ch *Checker) Took(now time.Duration, agent int, id string, class int, deadline time.Duration) {
+	ch.Advance(now)
+	if ch.requests[id] != nil {
+		return // IDs come from clients; a duplicate is not this agent's fault
 	}
-	j.requests[id] = &request{agent: agent, class: class, deadline: deadline, answered: -1}
-	j.taken = append(j.taken, expiry{deadline, id})
+	ch.requests[id] = &request{agent: agent, class: class, deadline: deadline, answered: -1}
+	ch.taken = append(ch.taken, expiry{deadline, id})
 }
 
-// Arrived says that a request has reached a server. The agent began to send it at began.
-func (j *Judge) Arrived(now, began time.Duration, agent int, id, server string) {
-	j.Advance(now)
-	r := j.requests[id]
+// Arrived records that a request has reached a server. The agent began to send it at began.
+func (ch *Checker) Arrived(now, began time.Duration, agent int, id, server string) {
+	ch.Advance(now)
+	r := ch.requests[id]
 	if r == nil {
-		j.breach(Breach{1, now, agent, id, []string{server}, "arrived, and no open or recent request has this id"})
+		ch.breach(Breach{1, now, agent, id, []string{server}, "arrived, but no open or recent request has this ID"})
 		return
 	}
-	if r.stopped {
+	if r.agentStopped {
 		return
 	}
 	switch {
-	case r.answered >= 0 && began > r.answered+j.c.Slack:
-		j.breach(Breach{1, now, agent, id, []string{server},
+	case r.answered >= 0 && began > r.answered+ch.config.Slack:
+		ch.breach(Breach{1, now, agent, id, []string{server},
 			fmt.Sprintf("was sent %s after its final answer", began-r.answered)})
-	case j.c.MaxAttempts > 0 && len(r.arrivals) >= j.c.MaxAttempts:
-		j.breach(Breach{2, now, agent, id, []string{server}, fmt.Sprintf("is attempt %d of at most %d", len(r.arrivals)+1, j.c.MaxAttempts)})
+	case ch.config.MaxAttempts > 0 && len(r.arrivals) >= ch.config.MaxAttempts:
+		ch.breach(Breach{2, now, agent, id, []string{server}, fmt.Sprintf("is attempt %d of at most %d", len(r.arrivals)+1, ch.config.MaxAttempts)})
 	}
-	t := j.told[serverOf{agent, server}]
+	t := ch.listed[agentServer{agent, server}]
 	if t == nil {
-		j.breach(Breach{3, now, agent, id, []string{server}, "was sent to a server that this agent was never told of"})
-		t = &told{offAt: -1}
-	} else if t.offAt >= 0 && began > t.offAt+j.c.DrainGrace+j.c.Slack {
-		j.breach(Breach{3, now, agent, id, []string{server}, fmt.Sprintf("was sent %s after the agent was told that it %s (%s allowed)",
-			began-t.offAt, map[bool]string{true: "drains", false: "is gone"}[t.state == decide.Draining], j.c.DrainGrace)})
+		ch.breach(Breach{3, now, agent, id, []string{server}, "was sent to a server that this agent was never told of"})
+		t = &listing{withdrawnAt: -1}
+	} else if t.withdrawnAt >= 0 && began > t.withdrawnAt+ch.config.DrainGrace+ch.config.Slack {
+		ch.breach(Breach{3, now, agent, id, []string{server}, fmt.Sprintf("was sent %s after the agent was told that it %s (%s allowed)",
+			began-t.withdrawnAt, map[bool]string{true: "drains", false: "is gone"}[t.state == decide.Draining], ch.config.DrainGrace)})
 	}
 	a := arrival{server: server, began: began, at: now, zone: t.zone, pod: t.pod, neverRan: -1}
-	if began < t.zoned+j.c.Slack { // told at about the same time: it may have been sent before
-		a.zone = t.wasZone
+	if began < t.zoneAt+ch.config.Slack { // told at about the same time: the request may have been sent before
+		a.zone = t.oldZone
 	}
-	if began < t.celled+j.c.Slack {
-		a.pod = t.wasPod
+	if began < t.podAt+ch.config.Slack {
+		a.pod = t.oldPod
 	}
-	j.repeat(r, a, t, agent, id)
+	ch.checkRepeat(r, a, t, agent, id)
 	r.arrivals = append(r.arrivals, a)
 }
 
-// repeat checks that a further attempt does no harm.
-func (j *Judge) repeat(r *request, a arrival, t *told, agent int, id string) {
+// checkRepeat checks that a further attempt is harmless.
+func (ch *Checker) checkRepeat(r *request, a arrival, t *listing, agent int, id string) {
 	var first *arrival
 	for i := range r.arrivals {
-		if o := &r.arrivals[i]; o.neverRan < 0 || o.neverRan > a.began+j.c.Slack {
+		if o := &r.arrivals[i]; o.neverRan < 0 || o.neverRan > a.began+ch.config.Slack {
 			first = o
 			break
 		}
 	}
-	c := j.c.Classes[r.class]
+	c := ch.config.Classes[r.class]
 	if first == nil || c.Effect == decide.Idempotent {
 		return
 	}
 	servers := []string{first.server, a.server}
 	gap := a.at - first.at
-	fault := func(text string) {
-		j.blamed[id] = true
-		j.breach(Breach{2, a.at, agent, id, servers, fmt.Sprintf("(%s) was sent again after %s, %s", j.name(r.class), gap, text)})
+	report := func(text string) {
+		ch.atFault[id] = true
+		ch.breach(Breach{2, a.at, agent, id, servers, fmt.Sprintf("(%s) was sent again after %s, %s", ch.name(r.class), gap, text)})
 	}
-	// One that was told to have come to the group after the first attempt was sent need not know it.
-	came := func(at time.Duration) bool { return at > first.began+j.c.Slack && at+j.c.Slack < a.began }
+	// A server that moved into the group after the first attempt was sent may not know the key.
+	movedIn := func(at time.Duration) bool { return at > first.began+ch.config.Slack && at+ch.config.Slack < a.began }
 	switch {
 	case c.Effect == decide.NonIdempotent:
-		fault("though it may have run and is unsafe to repeat")
-	case gap > c.DedupWindow+j.c.Slack:
-		fault(fmt.Sprintf("past the window of %s in which its repeat is dropped", c.DedupWindow))
-	case c.Scope == decide.ScopeZone && (a.zone != first.zone || came(t.zoned)):
-		fault(fmt.Sprintf("from zone %d to zone %d, which does not drop its repeat", first.zone, a.zone))
-	case c.Scope == decide.ScopeCell && (a.pod != first.pod || came(t.celled)):
-		fault(fmt.Sprintf("from pod %d to pod %d, which does not drop its repeat", first.pod, a.pod))
+		report("though it may have run and is unsafe to repeat")
+	case gap > c.DedupWindow+ch.config.Slack:
+		report(fmt.Sprintf("past the window of %s in which its repeat is dropped", c.DedupWindow))
+	case c.Scope == decide.ScopeZone && (a.zone != first.zone || movedIn(t.zoneAt)):
+		report(fmt.Sprintf("from zone %d to zone %d, which does not drop its repeat", first.zone, a.zone))
+	case c.Scope == decide.ScopeCell && (a.pod != first.pod || movedIn(t.podAt)):
+		report(fmt.Sprintf("from pod %d to pod %d, which does not drop its repeat", first.pod, a.pod))
 	}
 }
 
-func (j *Judge) name(class int) string {
-	if class < len(j.c.Names) {
-		return j.c.Names[class]
+func (ch *Checker) name(class int) string {
+	if class < len(ch.config.Names) {
+		return ch.config.Names[class]
 	}
 	return fmt.Sprint("class ", class)
 }
 
-// Moved says that the latest arrival, at a server as the agent names it, reached another one: it
-// has the address now.
-func (j *Judge) Moved(id, named, server string) {
-	if r := j.requests[id]; r != nil {
+// Moved records that the latest arrival at a server, by the name that the agent used, reached another
+// server, which has the address now.
+func (ch *Checker) Moved(id, named, server string) {
+	if r := ch.requests[id]; r != nil {
 		for i := len(r.arrivals) - 1; i >= 0; i-- {
 			if a := &r.arrivals[i]; a.server == named {
 				a.server = server
@@ -257,9 +257,9 @@
 	}
 }
 
-// TurnedAway says that a server has told the agent that a request never ran there.
-func (j *Judge) TurnedAway(now time.Duration, id, server string) {
-	if r := j.requests[id]; r != nil {
+// TurnedAway records that a server has rejected a request, which never ran there.
+func (ch *Checker) TurnedAway(now time.Duration, id, server string) {
+	if r := ch.requests[id]; r != nil {
 		for i := len(r.arrivals) - 1; i >= 0; i-- {
 			if a := &r.arrivals[i]; a.server == server && a.neverRan < 0 {
 				a.neverRan = now
@@ -269,12 +269,13 @@
 	}
 }
 
-// Ran says that a request had its effect on a server. A second effect of one request that came of
-// sends within the rules, by what the agent had been told, is nobody's breach: it is noted apart.
-// Such come of what a late list can't tell in time, as of a server that moved to another pod.
-func (j *Judge) Ran(now time.Duration, id, server string) {
-	r := j.requests[id]
-	if r == nil || j.c.Classes[r.class].Effect == decide.Idempotent {
+// Ran records that a request had its effect on a server. If a request has a second effect although
+// all sends kept the rules, by what the agent had been told, that is no breach: it is recorded
+// separately. This happens when a late list can't tell a change in time, such as a server's move to
+// another pod.
+func (ch *Checker) Ran(now time.Duration, id, server string) {
+	r := ch.requests[id]
+	if r == nil || ch.config.Classes[r.class].Effect == decide.Idempotent {
 		return
 	}
 	before := slices.IndexFunc(r.arrivals, func(a arrival) bool { return a.ran })
@@ -286,154 +287,155 @@
 	if before < 0 {
 		return
 	}
-	j.doubled++
+	ch.doubled++
 	b := Breach{0, now, r.agent, id, []string{r.arrivals[before].server, server},
-		fmt.Sprintf("(%s) had its effect twice", j.name(r.class))}
-	if j.blamed[id] {
-		return // the send that led to it is in the breaches
+		fmt.Sprintf("(%s) had its effect twice", ch.name(r.class))}
+	if ch.atFault[id] {
+		return // the send that caused it is in the breaches already
 	}
-	if len(j.unblamed) < breachesKept {
-		j.unblamed = append(j.unblamed, b)
+	if len(ch.faultless) < maxBreaches {
+		ch.faultless = append(ch.faultless, b)
 	}
 }
 
-// Doubled is how many requests had their effect twice, and those of them for which no agent is to
-// blame, up to a bound.
-func (j *Judge) Doubled() (n int, unblamed []Breach) { return j.doubled, j.unblamed }
+// Doubled returns the number of requests that had their effect twice, and those of them for which
+// no agent is to blame, up to a maximum.
+func (ch *Checker) Doubled() (n int, unblamed []Breach) { return ch.doubled, ch.faultless }
 
-// Answered says that a client has a final answer.
-func (j *Judge) Answered(now time.Duration, agent int, id string, kind Kind) {
-	j.Advance(now)
-	r := j.requests[id]
+// Answered records that a client has got a final answer.
+func (ch *Checker) Answered(now time.Duration, agent int, id string, kind Kind) {
+	ch.Advance(now)
+	r := ch.requests[id]
 	switch {
 	case r == nil:
-		j.breach(Breach{1, now, agent, id, nil, "was answered, and no open or recent request has this id"})
+		ch.breach(Breach{1, now, agent, id, nil, "was answered, but no open or recent request has this ID"})
 		return
 	case r.answered >= 0:
-		j.breach(Breach{1, now, agent, id, nil, fmt.Sprintf("was answered a second time (%s)", kind)})
+		ch.breach(Breach{1, now, agent, id, nil, fmt.Sprintf("was answered a second time (%s)", kind)})
 		return
-	case now > r.deadline+j.c.AnswerSlack && !r.void && !r.named:
-		j.breach(Breach{1, now, agent, id, nil, fmt.Sprintf("was answered %s after its client's time", now-r.deadline)})
+	case now > r.deadline+ch.config.AnswerSlack && !r.noAnswerDue && !r.reported:
+		ch.breach(Breach{1, now, agent, id, nil, fmt.Sprintf("was answered %s after its client's deadline", now-r.deadline)})
 	}
 	r.answered = now
-	c := j.c.Classes[r.class]
-	open := func(a arrival) bool { return a.neverRan < 0 || a.neverRan > now+j.c.Slack }
+	c := ch.config.Classes[r.class]
+	open := func(a arrival) bool { return a.neverRan < 0 || a.neverRan > now+ch.config.Slack }
 	switch i := slices.IndexFunc(r.arrivals, open); {
 	case kind == Served && i < 0:
-		j.breach(Breach{1, now, agent, id, nil, "was served, and no server has run it"})
+		ch.breach(Breach{1, now, agent, id, nil, "was served, but no server has run it"})
 	case kind == Refused && i >= 0 && c.Effect != decide.Idempotent && (c.Effect == decide.NonIdempotent || c.Scope != decide.ScopeAll):
-		j.breach(Breach{2, now, agent, id, []string{r.arrivals[i].server},
-			fmt.Sprintf("(%s) was refused, which says that a new try does no harm, though it may have run", j.name(r.class))})
+		ch.breach(Breach{2, now, agent, id, []string{r.arrivals[i].server},
+			fmt.Sprintf("(%s) was refused, which says that a new try does no harm, though it may have run", ch.name(r.class))})
 	}
 }
 
-// GaveUp says that a client has left: nothing is owed any more.
-func (j *Judge) GaveUp(now time.Duration, id string) {
-	j.Advance(now)
-	if r := j.requests[id]; r != nil {
-		r.void = true
+// ClientLeft records that a client has left, so that it needs no answer any more.
+func (ch *Checker) ClientLeft(now time.Duration, id string) {
+	ch.Advance(now)
+	if r := ch.requests[id]; r != nil {
+		r.noAnswerDue = true
 	}
 }
 
-// Lost says that a connection ended without the answer that was owed on it.
-func (j *Judge) Lost(now time.Duration, agent int, id string) {
-	if r := j.requests[id]; r != nil && r.answered < 0 && !r.void && !r.named {
-		r.named = true
-		j.breach(Breach{1, now, agent, id, nil, "lost: its connection ended without an answer"})
+// ConnectionLost records that a client's connection ended without the final answer.
+func (ch *Checker) ConnectionLost(now time.Duration, agent int, id string) {
+	if r := ch.requests[id]; r != nil && r.answered < 0 && !r.noAnswerDue && !r.reported {
+		r.reported = true
+		ch.breach(Breach{1, now, agent, id, nil, "lost: its connection ended without an answer"})
 	}
 }
 
-// Stopped says that an agent was killed: what it held is its clients' to try again. It has to be
-// told of servers anew.
-func (j *Judge) Stopped(now time.Duration, agent int) {
-	j.Advance(now)
-	for _, r := range j.requests {
+// Stopped records that an agent was killed: its requests need no answer any more, and it has to be
+// told of all servers again.
+func (ch *Checker) Stopped(now time.Duration, agent int) {
+	ch.Advance(now)
+	for _, r := range ch.requests {
 		if r.agent == agent {
-			r.void, r.stopped = true, true
+			r.noAnswerDue, r.agentStopped = true, true
 		}
 	}
-	for key := range j.told {
+	for key := range ch.listed {
 		if key.agent == agent {
-			delete(j.told, key)
+			delete(ch.listed, key)
 		}
 	}
 }
 
-// Told says that the list has told an agent of a server.
-func (j *Judge) Told(now time.Duration, agent int, server string, state decide.BackendState, zone, pod int, started time.Duration) {
-	key := serverOf{agent, server}
-	t := j.told[key]
+// Listed records that the list has told an agent of a server.
+func (ch *Checker) Listed(now time.Duration, agent int, server string, state decide.BackendState, zone, pod int, started time.Duration) {
+	key := agentServer{agent, server}
+	t := ch.listed[key]
 	if t == nil {
-		t = &told{zone: zone, pod: pod, wasZone: zone, wasPod: pod, offAt: -1, zoned: -1 << 40, celled: -1 << 40, startedAt: -1}
-		j.told[key] = t
+		t = &listing{zone: zone, pod: pod, oldZone: zone, oldPod: pod, withdrawnAt: -1, zoneAt: -1 << 40, podAt: -1 << 40, startedAt: -1}
+		ch.listed[key] = t
 	}
 	if t.zone != zone {
-		t.wasZone, t.zone, t.zoned = t.zone, zone, now
+		t.oldZone, t.zone, t.zoneAt = t.zone, zone, now
 	}
 	if t.pod != pod {
-		t.wasPod, t.pod, t.celled = t.pod, pod, now
+		t.oldPod, t.pod, t.podAt = t.pod, pod, now
 	}
 	if started > t.started {
 		t.started, t.startedAt = started, now
 	}
 	switch {
 	case state == decide.Up:
-		t.offAt = -1
-	case t.offAt < 0:
-		t.offAt = now
+		t.withdrawnAt = -1
+	case t.withdrawnAt < 0:
+		t.withdrawnAt = now
 	}
 	t.state = state
 }
 
-// Missing says that a whole list did not name a server that was told of: it is gone.
-func (j *Judge) Missing(now time.Duration, agent int, listed func(server string) bool) {
-	for key, t := range j.told {
-		if key.agent == agent && t.offAt < 0 && !listed(key.server) {
-			t.offAt, t.state = now, decide.Removed
+// Unlisted records that an agent got a whole list: known servers that are not on it count as gone.
+func (ch *Checker) Unlisted(now time.Duration, agent int, listed func(server string) bool) {
+	for key, t := range ch.listed {
+		if key.agent == agent && t.withdrawnAt < 0 && !listed(key.server) {
+			t.withdrawnAt, t.state = now, decide.Removed
 		}
 	}
 }
 
-// Knows reports whether an agent was told, by now, of a server's start at a time.
-func (j *Judge) Knows(agent int, server string, started time.Duration) bool {
-	t := j.told[serverOf{agent, server}]
+// KnowsStart reports whether an agent has been told of a server's start at a time.
+func (ch *Checker) KnowsStart(agent int, server string, started time.Duration) bool {
+	t := ch.listed[agentServer{agent, server}]
 	return t != nil && t.startedAt >= 0 && t.started >= started
 }
 
-// Fell says that a cold server was pushed over, and by which share of the work sent to it agents
-// that knew of its start did that.
-func (j *Judge) Fell(now time.Duration, server string, informed float64) {
-	if informed >= j.c.Guilt {
-		j.breach(Breach{4, now, -1, "", []string{server},
-			fmt.Sprintf("was pushed over while cold: %.0f%% of its work came from agents that knew of its start", 100*informed)})
+// Overloaded records that a cold server was overloaded. informed is the share of the work sent to it
+// that came from agents that knew of its start.
+func (ch *Checker) Overloaded(now time.Duration, server string, informed float64) {
+	if informed >= ch.config.InformedLimit {
+		ch.breach(Breach{4, now, -1, "", []string{server},
+			fmt.Sprintf("was overloaded while cold: %.0f%% of its work came from agents that knew of its start", 100*informed)})
 	}
 }
 
-// Advance lets the judge find what is overdue, and forget what nothing can follow.
-func (j *Judge) Advance(now time.Duration) {
-	for len(j.taken) > 0 && now > j.taken[0].at+j.retain {
-		id := j.taken[0].id
-		j.taken = j.taken[1:]
-		if r := j.requests[id]; r != nil {
-			j.overdue(now, id, r)
-			delete(j.requests, id)
-			delete(j.blamed, id)
+// Advance finds overdue answers, and drops requests about which no more events can come.
+func (ch *Checker) Advance(now time.Duration) {
+	for len(ch.taken) > 0 && now > ch.taken[0].at+ch.retain {
+		id := ch.taken[0].id
+		ch.taken = ch.taken[1:]
+		if r := ch.requests[id]; r != nil {
+			ch.checkOverdue(now, id, r)
+			delete(ch.requests, id)
+			delete(ch.atFault, id)
 		}
 	}
 }
 
-func (j *Judge) overdue(now time.Duration, id string, r *request) {
-	if r.answered < 0 && !r.void && !r.named && now > r.deadline+j.c.AnswerSlack {
-		r.named = true
-		j.breach(Breach{1, r.deadline + j.c.AnswerSlack, r.agent, id, nil, "never got a final answer"})
+func (ch *Checker) checkOverdue(now time.Duration, id string, r *request) {
+	if r.answered < 0 && !r.noAnswerDue && !r.reported && now > r.deadline+ch.config.AnswerSlack {
+		r.reported = true
+		ch.breach(Breach{1, r.deadline + ch.config.AnswerSlack, r.agent, id, nil, "never got a final answer"})
 	}
 }
 
-// End finds what is still unanswered past its time. The driver plays on until all time is over.
-func (j *Judge) End(now time.Duration) {
-	for _, e := range j.taken {
-		if r := j.requests[e.id]; r != nil {
-			j.overdue(now, e.id, r)
+// End finds requests that are still unanswered after their deadline. The driver calls it after the
+// last deadline.
+func (ch *Checker) End(now time.Duration) {
+	for _, e := range ch.taken {
+		if r := ch.requests[e.id]; r != nil {
+			ch.checkOverdue(now, e.id, r)
 		}
 	}
 }
--- a/internal/simulate/model/list.go
+++ b/internal/simulate/model/list.go
@@ -8,18 +8,18 @@
 	"vetchhaven/decide"
 )
 
-// ListSpec is how the server list behaves.
+// ListSpec describes the behaviour of the server list.
 type ListSpec struct {
-	Asked   bool          // agents ask for a watch; else they are told unasked
-	Up      time.Duration // how late it knows of a server that has come up or moved
-	Drain   time.Duration // and of one that drains or was stopped
-	Silent  time.Duration // and of one that vanished
-	Spread  time.Duration // by which some agents hear later than others
-	Calls   float64       // calls answered a second, for all agents together; 0: any number
-	Timeout time.Duration // a call that waits longer fails
+	Asked   bool          // agents subscribe to a watch; else the list sends them updates without that
+	Up      time.Duration // delay until it knows of a server that has come up or moved
+	Drain   time.Duration // delay until it knows of a server that drains or was stopped
+	Silent  time.Duration // delay until it knows of a server that became unreachable
+	Spread  time.Duration // maximum of the extra delay that some agents have
+	Calls   float64       // calls answered per second, for all agents together; 0: unlimited
+	Timeout time.Duration // calls that wait longer fail
 }
 
-// Entry is what the list says of one server.
+// Entry is the list's information about one server.
 type Entry struct {
 	Server  ServerSpec
 	State   decide.BackendState
@@ -27,87 +27,87 @@
 	Version int64         // of the list that last changed it
 }
 
-// What happens to the list.
+// The events of the list.
 type (
-	// Truth tells the list's own watchers how a server is now; After is how long they need.
-	Truth struct {
-		Entry   Entry
-		After   time.Duration
-		Instead bool // what they have not noticed yet of this server never comes out
+	// ServerChange is a change of a server's state, which the list notices after the delay After.
+	ServerChange struct {
+		Entry      Entry
+		After      time.Duration
+		Supersedes bool // earlier changes of this server that are still unnoticed are dropped
 	}
-	// Ask is an agent's call for a watch: what changed after Since, then each change.
-	Ask struct {
+	// Subscribe is an agent's call for a watch: it gets the changes after version Since, then each new change.
+	Subscribe struct {
 		Agent int
 		Since int64
 	}
-	// Leave ends an agent's watch, or its call.
-	Leave struct{ Agent int }
-	// SetDown takes the service down or up.
+	// Unsubscribe ends an agent's watch or its waiting call.
+	Unsubscribe struct{ Agent int }
+	// SetDown makes the service unavailable, or available again.
 	SetDown struct{ Down bool }
-	// SetLate puts it further behind.
+	// SetLate delays updates further.
 	SetLate struct{ By time.Duration }
-	// SetRefuse has it turn that share of calls away at once.
+	// SetRefuse makes the list reject a share of calls at once.
 	SetRefuse struct{ Share float64 }
 )
 
-// ListEvent is one of the above, or Wake.
+// ListEvent is one of the events above, or Wake.
 type ListEvent interface{ listEvent() }
 
-func (Truth) listEvent()     {}
-func (Ask) listEvent()       {}
-func (Leave) listEvent()     {}
-func (SetDown) listEvent()   {}
-func (SetLate) listEvent()   {}
-func (SetRefuse) listEvent() {}
-func (Wake) listEvent()      {}
+func (ServerChange) listEvent() {}
+func (Subscribe) listEvent()    {}
+func (Unsubscribe) listEvent()  {}
+func (SetDown) listEvent()      {}
+func (SetLate) listEvent()      {}
+func (SetRefuse) listEvent()    {}
+func (Wake) listEvent()         {}
 
-// Tell is what the list does: it tells an agent, at a time, or ends its watch or call.
-type Tell struct {
+// ListMessage is a message to an agent at a time: entries, or the end of its watch or call.
+type ListMessage struct {
 	At      time.Duration
 	Agent   int
 	Failed  bool // the call fails or the watch ends
-	Full    bool // all entries; else those that changed
+	Full    bool // Entries is the whole list; else the changes
 	Version int64
 	Entries []Entry
 }
 
-// List is the model of the service that lists servers.
+// List simulates the discovery service that lists servers.
 type List struct {
-	spec    ListSpec
-	rng     *rand.Rand
-	version int64
-	entries []Entry // published, gone ones too
-	pending []pendingTruth
-	calls   []call
-	freeAt  time.Duration
-	down    bool
-	late    time.Duration
-	refuse  float64
-	watches map[int]*watch
-	reads   int
-	tells   []Tell
+	spec     ListSpec
+	rng      *rand.Rand
+	version  int64
+	entries  []Entry // published, with removed servers
+	pending  []pendingChange
+	calls    []call
+	freeAt   time.Duration
+	down     bool
+	late     time.Duration
+	refuse   float64
+	watches  map[int]*watch
+	reads    int
+	messages []ListMessage
 }
 
-type pendingTruth struct {
+type pendingChange struct {
 	entry Entry
-	base  time.Duration // published at, while nothing is late
+	base  time.Duration // time of publication without SetLate
 }
 
 type call struct {
 	agent  int
 	since  int64
-	at     time.Duration // when it is answered
+	at     time.Duration // time of its answer
 	failed bool
 }
 
 type watch struct {
-	spread time.Duration // this agent hears so much later
-	last   time.Duration // no message overtakes another
+	spread time.Duration // extra delay of this agent
+	last   time.Duration // time of the latest message: messages keep their order
 }
 
-// NewList begins with servers that have been up for long.
-func NewList(spec ListSpec, servers []ServerSpec, agents int, chance Chance) *List {
-	l := &List{spec: spec, rng: chance.Sub(Name("list")).Rand(), version: 1, watches: map[int]*watch{}}
+// NewList returns a list of servers that have been up for a long time.
+func NewList(spec ListSpec, servers []ServerSpec, agents int, seed Seed) *List {
+	l := &List{spec: spec, rng: seed.Derive(HashName("list")).Rand(), version: 1, watches: map[int]*watch{}}
 	for _, s := range servers {
 		l.entries = append(l.entries, Entry{Server: s, State: decide.Up, Version: 1})
 	}
@@ -119,7 +119,7 @@
 	return l
 }
 
-// Snapshot is all that is published and not gone.
+// Snapshot returns the version and all published servers that are not removed.
 func (l *List) Snapshot() (int64, []Entry) {
 	var all []Entry
 	for _, e := range l.entries {
@@ -130,30 +130,30 @@
 	return l.version, all
 }
 
-// Reads is how many calls were answered.
+// Reads returns the number of answered calls.
 func (l *List) Reads() int { return l.reads }
 
-// Step takes one event and returns what is told; the slice is good until the next Step.
-func (l *List) Step(now time.Duration, e ListEvent) []Tell {
-	l.tells = l.tells[:0]
+// Step handles one event and returns the messages to agents; the slice is valid until the next Step.
+func (l *List) Step(now time.Duration, e ListEvent) []ListMessage {
+	l.messages = l.messages[:0]
 	l.advance(now)
 	switch e := e.(type) {
-	case Truth:
+	case ServerChange:
 		base := now + e.After
-		if e.Instead {
-			l.pending = slices.DeleteFunc(l.pending, func(p pendingTruth) bool {
+		if e.Supersedes {
+			l.pending = slices.DeleteFunc(l.pending, func(p pendingChange) bool {
 				return p.entry.Server.Name == e.Entry.Server.Name
 			})
 		}
-		for _, p := range l.pending { // of one server, what happened later is told later
+		for _, p := range l.pending { // the changes of one server are published in their order
 			if p.entry.Server.Name == e.Entry.Server.Name {
 				base = max(base, p.base)
 			}
 		}
-		l.pending = append(l.pending, pendingTruth{e.Entry, base})
-	case Ask:
-		l.ask(now, e)
-	case Leave:
+		l.pending = append(l.pending, pendingChange{e.Entry, base})
+	case Subscribe:
+		l.subscribe(now, e)
+	case Unsubscribe:
 		delete(l.watches, e.Agent)
 		l.calls = slices.DeleteFunc(l.calls, func(c call) bool { return c.agent == e.Agent })
 	case SetDown:
@@ -164,10 +164,10 @@
 		l.refuse = e.Share
 	}
 	l.advance(now)
-	return l.tells
+	return l.messages
 }
 
-// NextWake is when something is due next by itself; 0: nothing is.
+// NextWake returns the time of the next action without an event; 0: there is none.
 func (l *List) NextWake() time.Duration {
 	next := time.Duration(0)
 	add := func(at time.Duration) {
@@ -186,7 +186,7 @@
 	return next
 }
 
-func (l *List) ask(now time.Duration, e Ask) {
+func (l *List) subscribe(now time.Duration, e Subscribe) {
 	delete(l.watches, e.Agent)
 	l.calls = slices.DeleteFunc(l.calls, func(c call) bool { return c.agent == e.Agent })
 	c := call{agent: e.Agent, since: e.Since, at: now}
@@ -213,7 +213,7 @@
 		l.calls[i].at, l.calls[i].failed = now, true
 	}
 	if !l.spec.Asked {
-		return // what tells agents is silent, and goes on where it was
+		return // pushed updates pause, and go on later where they stopped
 	}
 	var agents []int
 	for a := range l.watches {
@@ -221,12 +221,12 @@
 	}
 	slices.Sort(agents)
 	for _, a := range agents {
-		l.tells = append(l.tells, Tell{At: now, Agent: a, Failed: true})
+		l.messages = append(l.messages, ListMessage{At: now, Agent: a, Failed: true})
 		delete(l.watches, a)
 	}
 }
 
-// advance answers calls and publishes what is due, in order of time.
+// advance answers calls and publishes changes that are due, in order of time.
 func (l *List) advance(now time.Duration) {
 	for {
 		next, due := -1, now
@@ -271,19 +271,19 @@
 	}
 	slices.Sort(agents)
 	for _, a := range agents {
-		l.tell(now, a, Tell{Version: l.version, Entries: []Entry{e}})
+		l.send(now, a, ListMessage{Version: l.version, Entries: []Entry{e}})
 	}
 }
 
 func (l *List) reply(c call) {
 	if c.failed {
-		l.tells = append(l.tells, Tell{At: c.at, Agent: c.agent, Failed: true})
+		l.messages = append(l.messages, ListMessage{At: c.at, Agent: c.agent, Failed: true})
 		return
 	}
 	l.reads++
 	l.watches[c.agent] = l.newWatch()
-	t := Tell{Version: l.version}
-	if c.since <= 0 || c.since > l.version { // nothing to count from
+	t := ListMessage{Version: l.version}
+	if c.since <= 0 || c.since > l.version { // no known version to start from
 		t.Full = true
 		_, t.Entries = l.Snapshot()
 	} else {
@@ -293,16 +293,16 @@
 			}
 		}
 	}
-	l.tell(c.at, c.agent, t)
+	l.send(c.at, c.agent, t)
 }
 
 func (l *List) newWatch() *watch {
 	return &watch{spread: time.Duration(l.rng.Float64() * float64(l.spec.Spread))}
 }
 
-func (l *List) tell(now time.Duration, agent int, t Tell) {
+func (l *List) send(now time.Duration, agent int, t ListMessage) {
 	w := l.watches[agent]
 	w.last = max(w.last, now+w.spread)
 	t.At, t.Agent = w.last, agent
-	l.tells = append(l.tells, t)
+	l.messages = append(l.messages, t)
 }
--- a/internal/simulate/model/list_test.go
+++ b/internal/simulate/model/list_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// listBench is a list whose tells are kept as words.
+// listBench steps a list and records its messages as text.
 type listBench struct {
 	l    *List
 	now  time.Duration
@@ -46,8 +46,8 @@
 	b.now = max(b.now, at)
 }
 
-func (b *listBench) truth(name string, state decide.BackendState, after time.Duration) {
-	b.step(Truth{Entry: Entry{Server: ServerSpec{Name: name}, State: state}, After: after})
+func (b *listBench) change(name string, state decide.BackendState, after time.Duration) {
+	b.step(ServerChange{Entry: Entry{Server: ServerSpec{Name: name}, State: state}, After: after})
 }
 
 func (b *listBench) want(t *testing.T, want ...string) {
@@ -57,19 +57,19 @@
 	}
 }
 
-func TestListIsLateAndFurtherBehindOnScript(t *testing.T) {
+func TestListDelayAndScriptedDelay(t *testing.T) {
 	b := newListBench(ListSpec{}, 2)
-	b.truth("s-1", decide.Draining, 2*time.Second)
+	b.change("s-1", decide.Draining, 2*time.Second)
 	b.until(time.Second)
 	b.step(SetLate{By: 5 * time.Second})
-	b.truth("s-2", decide.Draining, 2*time.Second)
+	b.change("s-2", decide.Draining, 2*time.Second)
 	b.until(7999 * ms)
 	b.want(t, "7000 to 0 v2 s-1:draining", "7000 to 1 v2 s-1:draining")
 	b.until(20 * time.Second)
 	b.want(t, "7000 to 0 v2 s-1:draining", "7000 to 1 v2 s-1:draining", "8000 to 0 v3 s-2:draining", "8000 to 1 v3 s-2:draining")
-	// At its end, what is due by then comes at once.
+	// When the delay ends, changes that are due are published at once.
 	b.seen = nil
-	b.truth("s-3", decide.Removed, time.Second)
+	b.change("s-3", decide.Removed, time.Second)
 	b.until(23 * time.Second)
 	b.step(SetLate{})
 	if len(b.seen) != 2 {
@@ -77,18 +77,18 @@
 	}
 }
 
-func TestListTellsOneServersStoryInOrder(t *testing.T) {
+func TestListPublishesChangesOfOneServerInOrder(t *testing.T) {
 	b := newListBench(ListSpec{}, 1)
-	b.truth("s-1", decide.Removed, 5*time.Second)
+	b.change("s-1", decide.Removed, 5*time.Second)
 	b.now = time.Second
-	b.truth("s-1", decide.Up, time.Second) // it is back before the list has missed it
+	b.change("s-1", decide.Up, time.Second) // it is back before the list has noticed its end
 	b.until(time.Minute)
 	b.want(t, "5000 to 0 v2 s-1:gone", "5000 to 0 v3 s-1:up")
 
 	b = newListBench(ListSpec{}, 1)
-	b.truth("s-1", decide.Removed, 5*time.Second)
+	b.change("s-1", decide.Removed, 5*time.Second)
 	b.now = time.Second
-	b.step(Truth{Entry: Entry{Server: ServerSpec{Name: "s-1"}, State: decide.Up}, After: time.Second, Instead: true})
+	b.step(ServerChange{Entry: Entry{Server: ServerSpec{Name: "s-1"}, State: decide.Up}, After: time.Second, Supersedes: true})
 	b.until(time.Minute)
 	b.want(t, "2000 to 0 v2 s-1:up")
 }
@@ -96,39 +96,39 @@
 func TestListAnswersCallsInTurnAndFailsLateOnes(t *testing.T) {
 	b := newListBench(ListSpec{Asked: true, Calls: 2, Timeout: 1200 * ms}, 4)
 	for a := range 4 {
-		b.step(Ask{Agent: a})
+		b.step(Subscribe{Agent: a})
 	}
 	b.until(time.Minute)
 	b.want(t, "500 to 0 full v1 4", "1000 to 1 full v1 4", "1200 to 2 failed", "1200 to 3 failed")
 	if b.l.Reads() != 2 {
 		t.Errorf("%d reads", b.l.Reads())
 	}
-	// What changed since is told to one that asks again; nobody else hears it twice.
+	// An agent that subscribes again gets the changes since its version; no other agent gets them twice.
 	b.seen = nil
-	b.truth("s-4", decide.Removed, 0)
-	b.step(Ask{Agent: 2, Since: 1})
+	b.change("s-4", decide.Removed, 0)
+	b.step(Subscribe{Agent: 2, Since: 1})
 	b.until(2 * time.Minute)
 	b.want(t, "60000 to 0 v2 s-4:gone", "60000 to 1 v2 s-4:gone", "60500 to 2 v2 s-4:gone")
 }
 
 func TestListDown(t *testing.T) {
 	b := newListBench(ListSpec{Asked: true}, 2)
-	b.step(Ask{Agent: 0})
-	b.step(Ask{Agent: 1})
+	b.step(Subscribe{Agent: 0})
+	b.step(Subscribe{Agent: 1})
 	b.seen = nil
 	b.now = time.Second
 	b.step(SetDown{true})
-	b.step(Ask{Agent: 0})
-	b.truth("s-1", decide.Removed, 0)
+	b.step(Subscribe{Agent: 0})
+	b.change("s-1", decide.Removed, 0)
 	b.until(10 * time.Second)
 	b.want(t, "1000 to 0 failed", "1000 to 1 failed", "1000 to 0 failed")
 	b.seen = nil
 	b.step(SetDown{false})
-	b.step(Ask{Agent: 0, Since: 1})
+	b.step(Subscribe{Agent: 0, Since: 1})
 	b.want(t, "10000 to 0 v2 s-1:gone")
 	b.seen = nil
-	b.step(Leave{0})
-	b.truth("s-2", decide.Removed, 0)
+	b.step(Unsubscribe{0})
+	b.change("s-2", decide.Removed, 0)
 	b.want(t)
 }
 
@@ -136,7 +136,7 @@
 	b := newListBench(ListSpec{Spread: time.Second}, 20)
 	for i := range 30 {
 		b.now = time.Duration(i) * 10 * ms
-		b.truth("s-1", decide.BackendState(i%3), 0)
+		b.change("s-1", decide.BackendState(i%3), 0)
 	}
 	last := map[int]time.Duration{}
 	for _, text := range b.seen {
--- a/internal/simulate/model/load_test.go
+++ b/internal/simulate/model/load_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-func tasks(s *Scenario, seed Chance) (all []Task) {
+func tasks(s *Scenario, seed Seed) (all []Task) {
 	l := NewLoad(s, seed)
 	for t, ok := l.Next(); ok; t, ok = l.Next() {
 		all = append(all, t)
@@ -34,7 +34,7 @@
 		agents[x.Agent]++
 		if late := x.At >= 50*time.Second && x.At < 90*time.Second; x.Work > time.Second {
 			if !late || x.Class != 1 {
-				t.Fatalf("a heavy one at %v of class %d", x.At, x.Class)
+				t.Fatalf("a heavy request at %v of class %d", x.At, x.Class)
 			}
 			heavy++
 		} else if late && x.Class == 1 {
@@ -50,18 +50,18 @@
 			want = 6000
 		}
 		if math.Abs(n-want) > 6*math.Sqrt(want) {
-			t.Errorf("%v arrivals in the %d. ten seconds, want about %v", n, i+1, want)
+			t.Errorf("%v arrivals in ten-second window %d, want about %v", n, i+1, want)
 		}
 	}
 	if share := float64(heavy) / float64(heavy+submits); share < 0.07 || share > 0.13 {
-		t.Errorf("%v of them are heavy, want 0.1", share)
+		t.Errorf("a share of %v is heavy, want 0.1", share)
 	}
 	if agents[0] < 3*agents[3] {
 		t.Errorf("uneven traffic: %v", agents)
 	}
 }
 
-// Arrivals depend on scenario and seed alone, and a request is as heavy wherever it goes.
+// Arrivals depend on the scenario and the seed alone, and a request costs the same work at any server.
 func TestLoadIsTheSameAgain(t *testing.T) {
 	s := small()
 	a, b, other := tasks(s, 1), tasks(s, 1), tasks(s, 2)
@@ -79,7 +79,7 @@
 		}
 	}
 	if len(a) == len(other) && a[0] == other[0] {
-		t.Error("two seeds give the same")
+		t.Error("two seeds give the same tasks")
 	}
 }
 
@@ -110,17 +110,17 @@
 		}
 	}
 	c := NewClient(s, Task{Heed: true})
-	if got := c.Left(0); got != 1500*ms {
-		t.Errorf("waits %v at first", got)
+	if got := c.Remaining(0); got != 1500*ms {
+		t.Errorf("waits %v for the first try", got)
 	}
 	if wait, again := c.Next(100*ms, Refused, 700*ms); wait != 700*ms || !again {
-		t.Errorf("waits %v before the next, though told 700 ms", wait)
+		t.Errorf("waits %v before the next try, though told 700 ms", wait)
 	}
 	if wait, again := c.Next(time.Second, Refused, 50*ms); wait != 100*ms || !again {
 		t.Errorf("waits %v", wait)
 	}
-	if got := c.Left(2 * time.Second); got != time.Second {
-		t.Errorf("waits %v at last, want all that is left", got)
+	if got := c.Remaining(2 * time.Second); got != time.Second {
+		t.Errorf("waits %v for the last try, want all the remaining time", got)
 	}
 	if _, again := c.Next(2*time.Second, Refused, 0); again {
 		t.Error("a fourth try of three")
--- a/internal/simulate/model/network.go
+++ b/internal/simulate/model/network.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Network is the model of the way between agents and servers.
+// Network simulates the network between agents and servers.
 type Network struct {
 	spec   NetworkSpec
 	rng    *rand.Rand
@@ -14,21 +14,21 @@
 	lost   float64
 }
 
-// NewNetwork begins whole.
-func NewNetwork(spec NetworkSpec, chance Chance) *Network {
-	return &Network{spec: spec, rng: chance.Sub(Name("network")).Rand(), cut: map[[2]int]bool{}}
+// NewNetwork returns a network without faults.
+func NewNetwork(spec NetworkSpec, seed Seed) *Network {
+	return &Network{spec: spec, rng: seed.Derive(HashName("network")).Rand(), cut: map[[2]int]bool{}}
 }
 
 func pair(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
-// Cut parts two zones, or joins them again.
+// Cut disconnects two zones, or connects them again.
 func (n *Network) Cut(a, b int, on bool) { n.cut[pair(a, b)] = on }
 
-// Open reports whether messages between two zones arrive.
-func (n *Network) Open(a, b int) bool { return !n.cut[pair(a, b)] }
+// Connected reports whether messages between two zones arrive.
+func (n *Network) Connected(a, b int) bool { return !n.cut[pair(a, b)] }
 
-// Way is how long the next message between two zones takes.
-func (n *Network) Way(a, b int) time.Duration {
+// Delay draws how long the next message between two zones takes.
+func (n *Network) Delay(a, b int) time.Duration {
 	d := n.spec.Across
 	if a == b {
 		d = n.spec.Within
@@ -36,15 +36,15 @@
 	return d + time.Duration(n.rng.Float64()*n.spec.Jitter*float64(d))
 }
 
-// Loses reports whether the answer to the next attempt never comes: the connection stays open and silent.
-func (n *Network) Loses() bool { return n.lost > 0 && n.rng.Float64() < n.lost }
+// LosesAnswer reports whether the answer to the next attempt is lost: the connection stays open and silent.
+func (n *Network) LosesAnswer() bool { return n.lost > 0 && n.rng.Float64() < n.lost }
 
-// Breaks reports whether the connection of the next attempt breaks, and whether that is before
+// Breaks reports whether the connection of the next attempt breaks, and whether it breaks before
 // the request has arrived.
 func (n *Network) Breaks() (breaks, before bool) {
 	if n.resets <= 0 {
 		return false, false
 	}
-	luck := n.rng.Float64()
-	return luck < n.resets, luck < n.resets/2
+	draw := n.rng.Float64()
+	return draw < n.resets, draw < n.resets/2
 }
--- a/internal/simulate/model/server.go
+++ b/internal/simulate/model/server.go
@@ -13,34 +13,34 @@
 	ID    string // of the request
 	Agent int
 	Class int
-	Key   string        // what a repeat is known by; empty: nothing
+	Key   string        // idempotency key; empty: none
 	Work  time.Duration // on a standard core, this attempt's noise included
-	Luck  float64       // in [0, 1): below the present rate of errors it fails
+	Draw  float64       // random number in [0, 1): the attempt fails if it is below the present error rate
 	Sent  time.Duration // when the agent began to send it
 }
 
-// What happens to a server.
+// The events of a server.
 type (
-	// Dial asks for a connection. Conn is new.
+	// Dial opens a connection. Conn is a new number.
 	Dial struct{ Conn, Agent int }
-	// Hangup ends a connection from the other side. Work that it brought goes on.
+	// Hangup closes a connection from the agent's side. Work on its requests goes on.
 	Hangup struct{ Conn int }
-	// Arrive brings a request's last byte on a connection.
+	// Arrive is the arrival of a complete request on a connection.
 	Arrive struct {
 		Conn int
 		Job  Job
 	}
-	// Wake lets the server do what is due.
+	// Wake makes the server do what is due.
 	Wake struct{}
-	// DrainNow asks it to finish what it has and take nothing new.
+	// DrainNow makes the server finish its requests and reject new ones.
 	DrainNow struct{}
-	// SetErrors sets the share of requests that fail fast, besides the kind's own.
+	// SetErrors sets the share of requests that fail fast, in addition to the kind's error rate.
 	SetErrors struct{ Rate float64 }
-	// SetSpeed makes all work take so many times as fast.
+	// SetSpeed multiplies the server's speed by Factor.
 	SetSpeed struct{ Factor float64 }
 )
 
-// ServerEvent is one of the above.
+// ServerEvent is one of the events above.
 type ServerEvent interface{ serverEvent() }
 
 func (Dial) serverEvent()      {}
@@ -51,36 +51,36 @@
 func (SetErrors) serverEvent() {}
 func (SetSpeed) serverEvent()  {}
 
-// EffectKind says what an Effect is.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
-// What a server does.
+// The effects of a server.
 const (
-	Accepted EffectKind = iota // the connection is up
-	Rejected                   // it is not: too many
-	Replied                    // an answer to Job goes out on Conn, if that is still there
-	Closed                     // Conn stood idle for too long, and ends
-	Ran                        // Job's work was done: it has had its effect
-	Dropped                    // Job was a repeat: its effect was there, and nothing was done
-	Fell                       // pushed over while cold: it is gone for good
+	Accepted   EffectKind = iota // the connection is established
+	Rejected                     // the connection is refused: there are too many
+	Replied                      // an answer to Job is sent on Conn, which is still open
+	Closed                       // the server closes Conn, which was idle for too long
+	Ran                          // Job was executed and has had its effect
+	Dropped                      // Job was a repeat of a keyed request and was not executed again
+	Overloaded                   // the server was overloaded while cold: its process ends
 )
 
-// Effect is one thing that a server does.
+// Effect is one action of a server.
 type Effect struct {
 	Kind   EffectKind
 	Conn   int
 	Job    Job
-	Result decide.Result // of Replied: OK, Errored or Full
-	Load   decide.Load   // of Replied, if servers report
+	Result decide.Result // of Replied: OK, Errored or Rejected
+	Load   decide.Load   // of Replied, if servers report their load
 }
 
 const (
-	quickWork  = 0.02             // share of its work that a fast error or a dropped repeat takes
-	quickReply = time.Millisecond // what saying no takes
-	pauseLoad  = 4.0              // held requests a slot past which pauses grow no longer
+	fastWorkShare = 0.02             // share of a request's work that a fast error or a dropped repeat takes
+	fastReplyTime = time.Millisecond // time that a rejection takes
+	maxPauseLoad  = 4.0              // held requests per slot above which pauses don't get longer
 )
 
-// Server is the model of one server process. It is born running.
+// Server simulates one server process, which runs from its creation on.
 type Server struct {
 	Spec    ServerSpec
 	kind    *Kind
@@ -90,16 +90,16 @@
 	classes []Class
 	rng     *rand.Rand
 
-	speed    float64 // of a core of this one
-	factor   float64
-	errors   float64
-	draining bool
-	fallen   bool
+	speed      float64 // of one core of this machine
+	factor     float64
+	errors     float64
+	draining   bool
+	overloaded bool
 
-	born      time.Duration
+	startedAt time.Duration
 	cold      bool
 	workDone  float64
-	recent    []arrival // work that came within the last fall window, while cold
+	recent    []arrival // work that arrived within the last fall window, while cold
 	recentSum float64
 
 	conns    map[int]*serverConn
@@ -109,35 +109,35 @@
 	running  []*run
 	pauseAt  time.Duration // the next pause begins
 	pausedTo time.Duration
-	quick    []reply // answers that need no core, in order of time
+	replies  []reply // answers that need no core, in order of time
 	sweepAt  time.Duration
 
-	failed     float64 // decayed count of errors
-	failedAt   time.Duration
-	told, next decide.Load
-	toldAt     time.Duration
-	effects    []Effect
+	failed               float64 // count of errors, which decays with time
+	failedAt             time.Duration
+	reported, nextReport decide.Load
+	reportedAt           time.Duration
+	effects              []Effect
 }
 
 type serverConn struct {
-	agent int
-	busy  int
-	since time.Duration // idle since
-	extra time.Duration // work of its handshake, for its first request
+	agent         int
+	busy          int
+	idleSince     time.Duration // start of the idle time
+	handshakeWork time.Duration // work of the handshake, added to the first request
 }
 
-// waiting is a connection in the backlog, with what has come on it.
+// waiting is a connection in the backlog, with the requests that have arrived on it.
 type waiting struct {
 	dial Dial
 	jobs []Job
 }
 
 type run struct {
-	conn         int
-	job          Job
-	left         float64 // work, on a standard core
-	ends         time.Duration
-	dropped, bad bool
+	conn            int
+	job             Job
+	remaining       float64 // work, as time on a standard core
+	ends            time.Duration
+	dropped, failed bool
 }
 
 type reply struct {
@@ -153,24 +153,24 @@
 	agent int
 }
 
-// NewServer starts a server process at a time. A cold one must warm up first.
-func NewServer(spec ServerSpec, s *Scenario, keys *Keys, chance Chance, now time.Duration, cold bool) *Server {
+// NewServer starts a server process at time now. A cold process has to warm up.
+func NewServer(spec ServerSpec, s *Scenario, keys *Keys, seed Seed, now time.Duration, cold bool) *Server {
 	kind := &s.Kinds[spec.Kind]
-	// Speed is the machine's, not the process's: the same after a restart.
+	// The speed belongs to the machine, so it is the same after a restart.
 	v := &Server{Spec: spec, kind: kind, rules: &s.Rules, report: s.Report, keys: keys, classes: s.Classes,
-		rng:   chance.Sub(Name(spec.Name), uint64(now)).Rand(),
-		speed: kind.Speed * chance.Sub(Name(spec.Name)).around(kind.Spread), factor: 1,
-		born: now, cold: cold, conns: map[int]*serverConn{}}
-	v.next.Queue, v.next.ErrorsPerSec, v.next.Service, v.told = 0, 0, -1, v.next
-	v.plan(now)
+		rng:   seed.Derive(HashName(spec.Name), uint64(now)).Rand(),
+		speed: kind.Speed * seed.Derive(HashName(spec.Name)).logNormal(kind.Spread), factor: 1,
+		startedAt: now, cold: cold, conns: map[int]*serverConn{}}
+	v.nextReport.Queue, v.nextReport.ErrorsPerSec, v.nextReport.Service, v.reported = 0, 0, -1, v.nextReport
+	v.planPause(now)
 	return v
 }
 
-// Step takes one event and returns what follows; the slice is good until the next Step.
+// Step handles one event and returns its effects; the slice is valid until the next Step.
 func (v *Server) Step(now time.Duration, e ServerEvent) []Effect {
 	v.effects = v.effects[:0]
 	v.advance(now)
-	if v.fallen {
+	if v.overloaded {
 		return v.effects
 	}
 	switch e := e.(type) {
@@ -191,7 +191,7 @@
 	return v.effects
 }
 
-// NextWake is when something is due next by itself; 0: nothing is.
+// NextWake returns the time of the next action without an event; 0: there is none.
 func (v *Server) NextWake() time.Duration {
 	next := time.Duration(0)
 	add := func(at time.Duration) {
@@ -199,34 +199,34 @@
 			next = at
 		}
 	}
-	if v.fallen {
+	if v.overloaded {
 		return 0
 	}
 	for _, r := range v.running {
 		add(r.ends)
 	}
 	if len(v.running) > 0 {
-		add(v.pauseAt) // an idle one's pauses are made up for when it has work again
+		add(v.pauseAt) // an idle server catches up on its pauses when it has work again
 	}
-	if len(v.quick) > 0 {
-		add(v.quick[0].at)
+	if len(v.replies) > 0 {
+		add(v.replies[0].at)
 	}
 	add(v.sweepAt)
 	return next
 }
 
-// Held is how many requests it has, in work and waiting.
+// Held returns the number of requests that run or wait.
 func (v *Server) Held() int { return len(v.running) + len(v.queue) - v.head }
 
-// Queue is how many requests wait.
+// Queue returns the number of requests that wait.
 func (v *Server) Queue() int { return len(v.queue) - v.head }
 
-// Ahead is the work that it holds, on a standard core, and the work that it does of it in a unit of time as it
-// is: cold or warm, crowded or not.
-func (v *Server) Ahead(now time.Duration) (work, rate float64) {
+// PendingWork returns the work of all held requests, as time on a standard core, and the work done in a unit of
+// time at the server's present warmth and load.
+func (v *Server) PendingWork(now time.Duration) (work, rate float64) {
 	each := v.rate(now)
 	for _, r := range v.queue[v.head:] {
-		work += r.left
+		work += r.remaining
 	}
 	for _, r := range v.running {
 		work += max(0, float64(r.ends-now)) * each
@@ -234,21 +234,21 @@
 	return work, each * float64(v.kind.Slots)
 }
 
-// Draining reports whether it finishes what it has and takes nothing new.
+// Draining reports whether the server finishes its requests and rejects new ones.
 func (v *Server) Draining() bool { return v.draining }
 
-// Born is when the process started; 0: before the scenario.
-func (v *Server) Born() time.Duration { return v.born }
+// StartedAt returns the time at which the process started; 0: before the scenario.
+func (v *Server) StartedAt() time.Duration { return v.startedAt }
 
-// Fallen reports whether it was pushed over.
-func (v *Server) Fallen() bool { return v.fallen }
+// Overloaded reports whether the server was overloaded while cold, which ended its process.
+func (v *Server) Overloaded() bool { return v.overloaded }
 
-// Warmth is the share of its capacity that it has by now.
+// Warmth returns the share of its capacity that the server has by now.
 func (v *Server) Warmth(now time.Duration) float64 {
 	if !v.cold {
 		return 1
 	}
-	part := float64(now-v.born) / float64(max(v.kind.ColdFor, 1))
+	part := float64(now-v.startedAt) / float64(max(v.kind.ColdFor, 1))
 	if v.kind.WarmByWork {
 		part = max(part, v.workDone/(v.kind.Capacity()*float64(max(v.kind.ColdFor, 1))/2))
 	}
@@ -259,19 +259,19 @@
 	return v.kind.ColdShare + (1-v.kind.ColdShare)*part
 }
 
-// Pressure is the work sent to a cold server in the last fall window, over what it can do in one;
-// 0 for a warm one.
+// Pressure returns the work sent to a cold server in the last fall window, as a multiple of the work
+// that it can do in one; 0 for a warm server.
 func (v *Server) Pressure(now time.Duration) float64 {
 	w := v.Warmth(now)
 	if !v.cold {
 		return 0
 	}
-	v.forget(now)
+	v.dropOldArrivals(now)
 	return v.recentSum / (w * float64(min(v.kind.Cores, v.kind.Slots)) * v.speed * float64(v.rules.FallWindow))
 }
 
-// Blame is the share of that work which agents sent for which informed holds.
-func (v *Server) Blame(informed func(agent int) bool) float64 {
+// InformedShare returns the share of the recently sent work that came from agents for which informed is true.
+func (v *Server) InformedShare(informed func(agent int) bool) float64 {
 	part, sum := 0.0, 0.0
 	for _, a := range v.recent {
 		sum += a.work
@@ -282,7 +282,7 @@
 	return part / max(sum, 1)
 }
 
-func (v *Server) forget(now time.Duration) {
+func (v *Server) dropOldArrivals(now time.Duration) {
 	n := 0
 	for n < len(v.recent) && v.recent[n].at <= now-v.rules.FallWindow {
 		v.recentSum -= v.recent[n].work
@@ -298,17 +298,17 @@
 			return
 		}
 		v.backlog = append(v.backlog, &waiting{dial: e})
-		v.effects = append(v.effects, Effect{Kind: Accepted, Conn: e.Conn}) // by its kernel, not by itself
+		v.effects = append(v.effects, Effect{Kind: Accepted, Conn: e.Conn}) // the kernel accepts it, the process does not yet
 		return
 	}
-	v.conns[e.Conn] = &serverConn{agent: e.Agent, since: now, extra: v.kind.Handshake}
+	v.conns[e.Conn] = &serverConn{agent: e.Agent, idleSince: now, handshakeWork: v.kind.Handshake}
 	if v.sweepAt == 0 {
 		v.sweepAt = now + v.rules.IdleClose
 	}
 	v.effects = append(v.effects, Effect{Kind: Accepted, Conn: e.Conn})
 }
 
-// hangup ends a connection. One from the backlog takes its place. What a connection had sent is worked on all the same.
+// hangup ends a connection and accepts one from the backlog instead. Requests of the ended connection still run.
 func (v *Server) hangup(now time.Duration, conn int) {
 	if i := slices.IndexFunc(v.backlog, func(w *waiting) bool { return w.dial.Conn == conn }); i >= 0 {
 		v.backlog = slices.Delete(v.backlog, i, i+1)
@@ -318,7 +318,7 @@
 	for len(v.backlog) > 0 && len(v.conns) < v.kind.Connections {
 		w := v.backlog[0]
 		v.backlog = v.backlog[1:]
-		v.conns[w.dial.Conn] = &serverConn{agent: w.dial.Agent, since: now, extra: v.kind.Handshake}
+		v.conns[w.dial.Conn] = &serverConn{agent: w.dial.Agent, idleSince: now, handshakeWork: v.kind.Handshake}
 		for _, job := range w.jobs {
 			v.arrive(now, Arrive{Conn: w.dial.Conn, Job: job})
 		}
@@ -328,54 +328,54 @@
 func (v *Server) arrive(now time.Duration, e Arrive) {
 	for _, w := range v.backlog {
 		if w.dial.Conn == e.Conn {
-			w.jobs = append(w.jobs, e.Job) // in its kernel's buffer: it may have run only once it is accepted
+			w.jobs = append(w.jobs, e.Job) // kept in the kernel's buffer: the request can't run before its connection is accepted
 			return
 		}
 	}
 	c := v.conns[e.Conn]
 	if c == nil {
-		return // its connection has ended: nobody reads this
+		return // the connection has ended, so the server does not read the request
 	}
 	c.busy++
-	work := float64(e.Job.Work + c.extra)
-	c.extra = 0
+	work := float64(e.Job.Work + c.handshakeWork)
+	c.handshakeWork = 0
 	if v.Warmth(now); v.cold {
 		v.recent = append(v.recent, arrival{now, work, e.Job.Agent})
 		v.recentSum += work
 		if v.rules.FallMultiple > 0 && v.Pressure(now) > v.rules.FallMultiple {
-			v.fallen = true
-			v.effects = append(v.effects, Effect{Kind: Fell})
+			v.overloaded = true
+			v.effects = append(v.effects, Effect{Kind: Overloaded})
 			return
 		}
 	}
-	r := &run{conn: e.Conn, job: e.Job, left: work}
+	r := &run{conn: e.Conn, job: e.Job, remaining: work}
 	switch {
 	case v.draining || v.Queue() >= v.kind.Queue && len(v.running) >= v.kind.Slots:
-		v.reply(now+quickReply, e.Conn, e.Job, decide.Rejected)
+		v.reply(now+fastReplyTime, e.Conn, e.Job, decide.Rejected)
 		return
-	case e.Job.Luck < v.errors:
-		v.reply(now+max(quickReply, time.Duration(quickWork*work/v.speed)), e.Conn, e.Job, decide.Errored)
+	case e.Job.Draw < v.errors:
+		v.reply(now+max(fastReplyTime, time.Duration(fastWorkShare*work/v.speed)), e.Conn, e.Job, decide.Errored)
 		return
 	case v.keys.Seen(now, v.Spec, &v.classes[e.Job.Class], e.Job):
 		r.dropped = true
-		r.left *= quickWork
-	case e.Job.Luck < v.errors+v.kind.ErrorRate:
-		r.bad = true
+		r.remaining *= fastWorkShare
+	case e.Job.Draw < v.errors+v.kind.ErrorRate:
+		r.failed = true
 	}
 	v.queue = append(v.queue, r)
 }
 
 func (v *Server) reply(at time.Duration, conn int, job Job, result decide.Result) {
-	i := len(v.quick)
-	for i > 0 && v.quick[i-1].at > at {
+	i := len(v.replies)
+	for i > 0 && v.replies[i-1].at > at {
 		i--
 	}
-	v.quick = append(v.quick, reply{})
-	copy(v.quick[i+1:], v.quick[i:])
-	v.quick[i] = reply{at, conn, job, result}
+	v.replies = append(v.replies, reply{})
+	copy(v.replies[i+1:], v.replies[i:])
+	v.replies[i] = reply{at, conn, job, result}
 }
 
-// rate is the work that one slot does now in a unit of time.
+// rate returns the work that one slot does now in a unit of time.
 func (v *Server) rate(now time.Duration) float64 {
 	cores := float64(v.kind.Cores)
 	crowd := max(0, float64(v.Held())/cores-v.kind.ThrashAt)
@@ -383,8 +383,8 @@
 	return v.speed * v.factor * each * v.Warmth(now) / (1 + v.kind.Thrash*crowd)
 }
 
-// serve starts what there are free slots for. The rate of a run is that of its start: they are
-// short against all that changes it, but for scripted changes, which rescale.
+// serve starts waiting requests on free slots. A run keeps the rate that it starts with: runs are
+// short compared with changes of the rate, except for scripted changes, which call rescale.
 func (v *Server) serve(now time.Duration) {
 	for len(v.running) < v.kind.Slots && v.head < len(v.queue) {
 		r := v.queue[v.head]
@@ -395,11 +395,11 @@
 			v.queue, v.head = append(v.queue[:0], v.queue[v.head:]...), 0
 		}
 		v.running = append(v.running, r)
-		r.ends = max(now, v.pausedTo) + time.Duration(r.left/v.rate(now)) + 1
+		r.ends = max(now, v.pausedTo) + time.Duration(r.remaining/v.rate(now)) + 1
 	}
 }
 
-// rescale changes the speed of what runs.
+// rescale changes the speed of the running requests.
 func (v *Server) rescale(now time.Duration, factor float64) {
 	for _, r := range v.running {
 		left := float64(r.ends - max(now, v.pausedTo))
@@ -408,9 +408,9 @@
 	v.factor = factor
 }
 
-// advance does what was due until now, in order.
+// advance does what is due by now, in order of time.
 func (v *Server) advance(now time.Duration) {
-	for !v.fallen {
+	for !v.overloaded {
 		next := -1
 		for i, r := range v.running {
 			if r.ends <= now && (next < 0 || r.ends < v.running[next].ends) {
@@ -427,7 +427,7 @@
 			v.finish(r)
 			v.serve(r.ends)
 		default:
-			v.answer(now)
+			v.sendDueReplies(now)
 			v.sweep(now)
 			return
 		}
@@ -439,39 +439,39 @@
 	switch {
 	case r.dropped:
 		v.effects = append(v.effects, Effect{Kind: Dropped, Job: r.job})
-	default: // a failed one may have had its effect: this one has
+	default: // a failed attempt may have had its effect; here it always has
 		v.effects = append(v.effects, Effect{Kind: Ran, Job: r.job})
 	}
 	result := decide.OK
-	if r.bad {
+	if r.failed {
 		result = decide.Errored
 	}
-	v.out(r.ends, r.conn, r.job, result)
+	v.sendReply(r.ends, r.conn, r.job, result)
 }
 
-func (v *Server) answer(now time.Duration) {
-	for len(v.quick) > 0 && v.quick[0].at <= now {
-		q := v.quick[0]
-		v.quick = v.quick[1:]
-		v.out(q.at, q.conn, q.job, q.result)
+func (v *Server) sendDueReplies(now time.Duration) {
+	for len(v.replies) > 0 && v.replies[0].at <= now {
+		q := v.replies[0]
+		v.replies = v.replies[1:]
+		v.sendReply(q.at, q.conn, q.job, q.result)
 	}
 }
 
-func (v *Server) out(now time.Duration, conn int, job Job, result decide.Result) {
+func (v *Server) sendReply(now time.Duration, conn int, job Job, result decide.Result) {
 	if result == decide.Errored {
 		v.failed = v.failed*decay(now-v.failedAt) + 1
 		v.failedAt = now
 	}
 	c := v.conns[conn]
 	if c == nil {
-		return // the client side has gone: the work was done for nobody
+		return // the connection has ended, so there is no answer
 	}
 	c.busy--
-	c.since = now
+	c.idleSince = now
 	v.effects = append(v.effects, Effect{Kind: Replied, Conn: conn, Job: job, Result: result, Load: v.load(now)})
 }
 
-// decay is what is left after a time of a count over about a second.
+// decay returns the share of a count that is left after time d; the count covers about one second.
 func decay(d time.Duration) float64 {
 	if d >= 5*time.Second {
 		return 0
@@ -480,41 +480,41 @@
 	return x * x * x * x * x
 }
 
-// load is the report that goes with an answer: that of one or two periods ago, with noise.
+// load returns the load report of an answer. It is one or two periods old, and noisy.
 func (v *Server) load(now time.Duration) decide.Load {
 	if !v.report.Answers {
 		return decide.Load{}
 	}
-	if now-v.toldAt >= v.report.Every {
+	if now-v.reportedAt >= v.report.Every {
 		noisy := func(x float64) float64 { return max(0, x*(1+v.report.Noise*v.rng.NormFloat64())) }
-		v.told = v.next
-		v.next = decide.Load{Valid: true, Queue: noisy(float64(v.Queue())), InFlight: noisy(float64(v.Held())),
+		v.reported = v.nextReport
+		v.nextReport = decide.Load{Valid: true, Queue: noisy(float64(v.Queue())), InFlight: noisy(float64(v.Held())),
 			Service: -1, ErrorsPerSec: noisy(v.failed * decay(now-v.failedAt))}
-		v.toldAt = now
+		v.reportedAt = now
 	}
-	v.told.Valid = true
-	return v.told
+	v.reported.Valid = true
+	return v.reported
 }
 
-// pause holds all work for a while, longer the more is held.
+// pause delays all work for a time that grows with the number of held requests.
 func (v *Server) pause(at time.Duration) {
-	load := min(float64(v.Held())/float64(v.kind.Slots), pauseLoad)
+	load := min(float64(v.Held())/float64(v.kind.Slots), maxPauseLoad)
 	length := time.Duration((0.5 + v.rng.Float64()) * float64(v.kind.Pause) * (1 + v.kind.PauseGrow*load))
 	v.pausedTo = max(v.pausedTo, at+length)
 	for _, r := range v.running {
 		r.ends += length
 	}
-	v.plan(at)
+	v.planPause(at)
 }
 
-func (v *Server) plan(now time.Duration) {
+func (v *Server) planPause(now time.Duration) {
 	v.pauseAt = 0
 	if v.kind.PauseEvery > 0 && v.kind.Pause > 0 {
 		v.pauseAt = now + exponential(v.rng, v.kind.PauseEvery) + 1
 	}
 }
 
-// sweep closes connections that have stood idle for too long.
+// sweep closes connections that were idle for too long.
 func (v *Server) sweep(now time.Duration) {
 	if v.sweepAt == 0 || now < v.sweepAt {
 		return
@@ -522,53 +522,53 @@
 	v.sweepAt = 0
 	var old []int
 	for id, c := range v.conns {
-		if c.busy == 0 && now-c.since >= v.rules.IdleClose {
+		if c.busy == 0 && now-c.idleSince >= v.rules.IdleClose {
 			old = append(old, id)
 			continue
 		}
 		due := now + v.rules.IdleClose
 		if c.busy == 0 {
-			due = c.since + v.rules.IdleClose
+			due = c.idleSince + v.rules.IdleClose
 		}
 		if v.sweepAt == 0 || due < v.sweepAt {
 			v.sweepAt = due
 		}
 	}
-	slices.Sort(old) // a map has no order
+	slices.Sort(old) // the order of a map is random
 	for _, id := range old {
 		v.hangup(now, id)
 		v.effects = append(v.effects, Effect{Kind: Closed, Conn: id})
 	}
 }
 
-// Keys is what servers remember of keyed requests: those of one group drop each other's repeats.
+// Keys holds the idempotency keys that servers remember. The servers of one group drop each other's repeats.
 type Keys struct {
-	seen  map[keyOf]time.Duration
-	swept time.Duration
-	most  time.Duration
+	seen      map[keyID]time.Duration
+	swept     time.Duration
+	maxWindow time.Duration
 }
 
-type keyOf struct {
+type keyID struct {
 	class, group int
 	key          string
 }
 
-// NewKeys remembers for as long as the classes say.
+// NewKeys returns a store without keys; the classes give the time for which keys are kept.
 func NewKeys(classes []Class) *Keys {
-	k := &Keys{seen: map[keyOf]time.Duration{}}
+	k := &Keys{seen: map[keyID]time.Duration{}}
 	for _, c := range classes {
-		k.most = max(k.most, c.DedupWindow)
+		k.maxWindow = max(k.maxWindow, c.DedupWindow)
 	}
 	return k
 }
 
-// Seen reports whether a server drops this request as a repeat, and remembers it if not: for the
-// window from its first arrival.
+// Seen reports whether a server drops this request as a repeat. If not, it remembers the key for
+// the deduplication window.
 func (k *Keys) Seen(now time.Duration, s ServerSpec, c *Class, j Job) bool {
 	if c.Effect != decide.Keyed || j.Key == "" {
 		return false
 	}
-	id := keyOf{class: j.Class, key: j.Key}
+	id := keyID{class: j.Class, key: j.Key}
 	switch c.Scope {
 	case decide.ScopeZone:
 		id.group = s.Zone
@@ -579,9 +579,9 @@
 		return true
 	}
 	k.seen[id] = now
-	if now-k.swept > k.most {
+	if now-k.swept > k.maxWindow {
 		for id, at := range k.seen {
-			if now-at > k.most {
+			if now-at > k.maxWindow {
 				delete(k.seen, id)
 			}
 		}
--- a/internal/simulate/model/server_test.go
+++ b/internal/simulate/model/server_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// small is a scenario of one kind of server, with nothing left to chance.
+// small returns a scenario of one kind of server, without random variation.
 func small() *Scenario {
 	class := func(name string, e decide.Effect, g decide.DedupScope, window time.Duration) Class {
 		return Class{Name: name, Share: 1, Work: 100 * ms, Hint: -1, Class: decide.Class{Objective: 600 * ms, Deadline: 3 * time.Second,
@@ -33,7 +33,7 @@
 	return s
 }
 
-// bench is one server with a connection, stepped whenever something is due.
+// bench is one server with a connection; it steps the server whenever something is due.
 type bench struct {
 	t    *testing.T
 	s    *Scenario
@@ -59,7 +59,7 @@
 				decide.OK: "ok", decide.Errored: "error", decide.Rejected: "full"}[f.Result]))
 		case Ran, Dropped:
 			b.seen = append(b.seen, fmt.Sprintf("%d %s %s", at, f.Job.ID, map[EffectKind]string{Ran: "ran", Dropped: "dropped"}[f.Kind]))
-		case Fell:
+		case Overloaded:
 			b.seen = append(b.seen, fmt.Sprintf("%d fell", at))
 		case Rejected:
 			b.seen = append(b.seen, fmt.Sprintf("%d rejected", at))
@@ -69,7 +69,7 @@
 	}
 }
 
-// until plays what is due by itself.
+// until steps the server until the given time.
 func (b *bench) until(at time.Duration) {
 	end := time.Minute + at
 	for next := b.v.NextWake(); next > 0 && next <= end; next = b.v.NextWake() {
@@ -82,7 +82,7 @@
 func (b *bench) send(work time.Duration) string {
 	b.n++
 	id := fmt.Sprint("j", b.n)
-	b.step(Arrive{Conn: 1, Job: Job{ID: id, Work: work, Luck: 0.5}})
+	b.step(Arrive{Conn: 1, Job: Job{ID: id, Work: work, Draw: 0.5}})
 	return id
 }
 
@@ -95,7 +95,7 @@
 
 func TestServerQueuesAndTurnsAway(t *testing.T) {
 	b := newBench(t, small(), false)
-	for range 6 { // two in work, three wait
+	for range 6 { // two run, three wait
 		b.send(100 * ms)
 	}
 	b.until(time.Second)
@@ -108,22 +108,22 @@
 	s.Kinds[0].Queue, s.Kinds[0].ThrashAt, s.Kinds[0].Thrash = 100, 1, 0.5
 	b := newBench(t, s, false)
 	b.send(100 * ms)
-	b.send(100 * ms) // at one a core, nothing is lost yet
+	b.send(100 * ms) // with one request per core, no efficiency is lost
 	for range 4 {
-		b.send(100 * ms) // these start with four held: 2 a core, 1 past the mark, half as much again
+		b.send(100 * ms) // these start with four held: 2 per core, 1 above ThrashAt, so they take half as long again
 	}
 	b.until(240 * ms)
 	b.want("100 j1 ran", "100 j1 ok", "100 j2 ran", "100 j2 ok")
 	b.seen = nil
 	b.until(251 * ms)
 	if len(b.seen) == 0 || b.seen[0][:3] != "250" {
-		t.Errorf("%q: crowded, the third should be done at 250 ms", b.seen)
+		t.Errorf("%q: the third request should end at 250 ms", b.seen)
 	}
 
 	b = newBench(t, small(), false)
 	b.send(100 * ms)
 	b.until(50 * ms)
-	b.step(SetSpeed{0.5}) // the half that is left takes twice as long
+	b.step(SetSpeed{0.5}) // the remaining half takes twice as long
 	b.until(time.Second)
 	b.want("150 j1 ran", "150 j1 ok")
 }
@@ -140,14 +140,14 @@
 		plain.until(plain.now - time.Minute + 100*ms)
 	}
 	if len(busy.seen) >= len(plain.seen)*9/10 {
-		t.Errorf("%d things done with pauses, %d without", len(busy.seen), len(plain.seen))
+		t.Errorf("%d effects with pauses, %d without", len(busy.seen), len(plain.seen))
 	}
 }
 
 func TestErrorsAreFast(t *testing.T) {
 	b := newBench(t, small(), false)
 	b.step(SetErrors{0.6})
-	b.send(100 * ms) // its luck is 0.5
+	b.send(100 * ms) // its draw is 0.5
 	b.until(time.Second)
 	b.want("2 j1 error")
 	b.seen = nil
@@ -166,7 +166,7 @@
 	b.want("1 j2 full", "100 j1 ran", "100 j1 ok")
 }
 
-// A cancel stops no work: the effect comes all the same, and nobody hears of it.
+// A cancellation does not stop the work: the request has its effect, and there is no answer.
 func TestWorkGoesOnAfterHangup(t *testing.T) {
 	b := newBench(t, small(), false)
 	b.send(100 * ms)
@@ -180,15 +180,15 @@
 	s.Kinds[0].Connections, s.Kinds[0].Handshake = 1, 50*ms
 	b := newBench(t, s, false)
 	b.step(Dial{Conn: 2})
-	b.send(100 * ms) // with the work of the handshake
-	b.send(100 * ms) // without
+	b.send(100 * ms) // includes the work of the handshake
+	b.send(100 * ms) // has no handshake
 	b.until(4 * time.Second)
 	b.want("0 rejected", "100 j2 ran", "100 j2 ok", "150 j1 ran", "150 j1 ok")
 	b.seen = nil
 	b.until(10 * time.Second)
 	b.want("5150 closed")
 	b.step(Dial{Conn: 3})
-	b.want("5150 closed") // there is room again
+	b.want("5150 closed") // a connection is free again
 }
 
 func TestWarmth(t *testing.T) {
@@ -214,24 +214,24 @@
 	}
 }
 
-// The fall-over threshold to the edge: 2.5 times what it can do for one window, and no more.
-func TestFallsJustPastTheThreshold(t *testing.T) {
+// The exact overload threshold: 2.5 times the work that the server can do in one window.
+func TestOverloadedJustAboveTheThreshold(t *testing.T) {
 	for _, tt := range []struct {
 		last time.Duration
 		fell bool
 	}{{99 * ms, false}, {100 * ms, false}, {101 * ms, true}} {
 		s := small()
-		s.Kinds[0].Queue, s.Kinds[0].ColdFor = 100, 1000*time.Hour // its warmth stands still
+		s.Kinds[0].Queue, s.Kinds[0].ColdFor = 100, 1000*time.Hour // its warmth does not change
 		b := newBench(t, s, true)
-		for range 24 { // it can do one unit of work in a window: 2 cores at half
+		for range 24 { // it can do one second of work in a window: 2 cores at half capacity
 			b.send(100 * ms)
 		}
 		b.send(tt.last)
-		if b.v.Fallen() != tt.fell {
-			t.Errorf("2.4 s and %v of work in a window: fallen %v", tt.last, b.v.Fallen())
+		if b.v.Overloaded() != tt.fell {
+			t.Errorf("2.4 s and %v of work in a window: overloaded %v", tt.last, b.v.Overloaded())
 		}
 	}
-	// The same with the first of it just out of the window, and just in.
+	// The same with the first request just outside the window, and just inside.
 	for _, tt := range []struct {
 		gap  time.Duration
 		fell bool
@@ -244,30 +244,30 @@
 		for range 25 {
 			b.send(100 * ms)
 		}
-		if b.v.Fallen() != tt.fell {
-			t.Errorf("after %v: fallen %v", tt.gap, b.v.Fallen())
+		if b.v.Overloaded() != tt.fell {
+			t.Errorf("after %v: overloaded %v", tt.gap, b.v.Overloaded())
 		}
 	}
-	// A warm one is slow, and stands.
+	// A warm server is slow, but is not overloaded.
 	b := newBench(t, small(), false)
 	for range 1000 {
 		b.send(time.Second)
 	}
-	if b.v.Fallen() {
-		t.Error("a warm one fell")
+	if b.v.Overloaded() {
+		t.Error("a warm server was overloaded")
 	}
 }
 
-// Work that is turned away presses too, and a fallen one is silent for good.
-func TestRefusedWorkPressesToo(t *testing.T) {
+// Rejected work counts for the overload too, and an overloaded server does nothing any more.
+func TestRejectedWorkCountsForOverload(t *testing.T) {
 	s := small()
 	s.Kinds[0].ColdFor = 1000 * time.Hour
 	b := newBench(t, s, true)
 	for range 26 {
 		b.send(100 * ms)
 	}
-	if !b.v.Fallen() {
-		t.Error("five are held, the others were turned away, and it stands")
+	if !b.v.Overloaded() {
+		t.Error("five requests are held, the others were rejected, and the server was not overloaded")
 	}
 	b.seen = nil
 	b.send(ms)
@@ -281,7 +281,7 @@
 	for _, tt := range []struct {
 		name  string
 		class int
-		other int // server by place
+		other int // index of the server
 		after time.Duration
 		drop  bool
 	}{
@@ -307,7 +307,7 @@
 		k.Seen(time.Duration(i)*10*ms, s.Servers[0], &s.Classes[1], j)
 	}
 	if len(k.seen) > 3000 {
-		t.Errorf("%d keys are kept", len(k.seen))
+		t.Errorf("%d keys are still stored", len(k.seen))
 	}
 }
 
@@ -323,7 +323,7 @@
 	}
 	b.until(100 * ms)
 	if q := queue(); q != 0 {
-		t.Errorf("a report shows %v at once", q)
+		t.Errorf("a new queue of %v shows in the report at once", q)
 	}
 	b.until(450 * ms)
 	queue()
--- a/internal/simulate/model/sockets/agent.go
+++ b/internal/simulate/model/sockets/agent.go
@@ -15,56 +15,56 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// agent is a real agent process, its list and its clients.
+// agent is a real agent process, with its list service and its clients.
 type agent struct {
-	g       *stage
-	n       int
-	dir     string
-	listen  string
-	release func() // of the address
-	lists   *http.Server
-	listsAt string
-	clients *http.Client
+	g          *driver
+	n          int
+	dir        string
+	listen     string
+	release    func() // releases the address
+	listServer *http.Server
+	listAddr   string
+	clients    *http.Client
 
-	life  int  // starts and ends so far, under the stage's lock
-	dying bool // it is being killed, under the same
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	done  chan struct{} // closed when the process has ended
-	told  bool          // it was to end
+	generation int  // number of starts and ends so far, guarded by the driver's lock
+	killing    bool // the process is being killed, guarded by the driver's lock
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	done       chan struct{} // closed when the process has ended
+	stopping   bool          // the end of the process is intended
 }
 
-func newAgent(g *stage, n int, dir string) (*agent, error) {
+func newAgent(g *driver, n int, dir string) (*agent, error) {
 	a := &agent{g: g, n: n, dir: dir}
 	at := "127.0.0.1:0"
 	var err error
-	if g.outside() {
+	if g.external() {
 		a.listen, a.release, at = g.o.AgentsAt[n], func() {}, g.o.ListAt
-	} else if a.listen, a.release, err = hold(); err != nil {
+	} else if a.listen, a.release, err = reserveAddr(); err != nil {
 		return nil, err
 	}
-	a.lists = &http.Server{Handler: g.list(n), ReadHeaderTimeout: 5 * time.Second}
-	if n == 0 || !g.outside() { // agents that run already have one list
+	a.listServer = &http.Server{Handler: g.list(n), ReadHeaderTimeout: 5 * time.Second}
+	if n == 0 || !g.external() { // external agents share one list service
 		ln, err := net.Listen("tcp", at)
 		if err != nil {
 			return nil, err
 		}
-		a.listsAt = ln.Addr().String()
-		g.running.Go(func() { _ = a.lists.Serve(ln) })
+		a.listAddr = ln.Addr().String()
+		g.running.Go(func() { _ = a.listServer.Serve(ln) })
 	}
 	a.clients = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second, KeepAlive: -1}).DialContext}}
 	return a, nil
 }
 
-// config is what the platform tells an agent, by its own names.
+// config returns an agent's configuration, with the keys that the platform uses.
 func (a *agent) config() ([]byte, error) {
 	g, s := a.g, a.g.s
 	g.mu.Lock()
 	version, entries := g.world.List.Snapshot()
 	known := g.members(a.n, version, true, entries)
-	g.told(a.n, true, entries)
-	seed := model.Chance(g.o.Seed).Sub(model.Name("agent"), uint64(a.n), uint64(a.life))
+	g.recordListed(a.n, true, entries)
+	seed := model.Seed(g.o.Seed).Derive(model.HashName("agent"), uint64(a.n), uint64(a.generation))
 	g.mu.Unlock()
 	ms := func(d time.Duration) float64 { return float64(d) / 1e6 }
 	var profiles []map[string]any
@@ -92,14 +92,14 @@
 		"Goal":   map[string]any{"Whole": d.GoalWhole, "WorstWindow": d.GoalWindow, "WorstClass": d.GoalClass},
 		"Prices": map[string]any{"CrossZone": d.CrossZonePrice}, "Dcs": s.Zones, "Kinds": kinds, "Report": map[string]any{"Source": report},
 	}
-	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", a.n), "listen": a.listen, "discovery": a.listsAt,
+	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", a.n), "listen": a.listen, "discovery": a.listAddr,
 		"seed": strconv.FormatUint(uint64(seed), 16), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known": known, "settings": settings})
 }
 
 // start runs the process.
 func (a *agent) start() error {
-	if a.g.outside() {
+	if a.g.external() {
 		return nil
 	}
 	cmd, err := a.command()
@@ -117,14 +117,14 @@
 		return fmt.Errorf("agent %d: %w", a.n, err)
 	}
 	done := make(chan struct{})
-	a.cmd, a.done, a.told = cmd, done, false
+	a.cmd, a.done, a.stopping = cmd, done, false
 	a.g.running.Go(func() {
 		err := cmd.Wait()
 		close(done)
 		a.mu.Lock()
-		told := a.told
+		stopping := a.stopping
 		a.mu.Unlock()
-		if !told {
+		if !stopping {
 			a.g.mu.Lock()
 			a.g.fail(fmt.Errorf("agent %d ended by itself: %w", a.n, err))
 			a.g.mu.Unlock()
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// ready waits until the agent takes requests.
+// ready waits until the agent accepts requests.
 func (a *agent) ready(ctx context.Context) error {
 	limit, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
@@ -153,24 +153,24 @@
 		case <-limit.Done():
 			return fmt.Errorf("agent %d is not ready: %w", a.n, limit.Err())
 		case <-a.done:
-			return fmt.Errorf("agent %d has ended at its start", a.n)
+			return fmt.Errorf("agent %d ended at its start", a.n)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// kill ends the process outright, as the script says.
+// kill ends the process at once, as the script demands.
 func (a *agent) kill() {
-	// What is asked of it between this and its end goes down with it, though it was asked after the word.
+	// Requests that arrive between now and the end of the process are lost with it, so they count as stopped too.
 	a.g.mu.Lock()
-	a.life++
-	a.dying = true
-	a.g.judge.Stopped(a.g.now(), a.n)
+	a.generation++
+	a.killing = true
+	a.g.checker.Stopped(a.g.now(), a.n)
 	a.g.mu.Unlock()
 	a.end(syscall.SIGKILL, 5*time.Second)
 	a.g.mu.Lock()
-	a.life++
-	a.dying = false
+	a.generation++
+	a.killing = false
 	a.g.mu.Unlock()
 	a.clients.CloseIdleConnections()
 }
@@ -179,12 +179,12 @@
 func (a *agent) end(sig syscall.Signal, wait time.Duration) {
 	a.mu.Lock()
 	cmd, done := a.cmd, a.done
-	a.cmd, a.told = nil, true
+	a.cmd, a.stopping = nil, true
 	a.mu.Unlock()
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Signal(sig) // it may have ended
+	_ = cmd.Process.Signal(sig) // an error means that it has ended already
 	select {
 	case <-done:
 	case <-time.After(wait):
@@ -193,13 +193,13 @@
 	}
 }
 
-// stopAgents ends all processes and their lists.
-func (g *stage) stopAgents() {
+// stopAgents ends all agent processes and their list services.
+func (g *driver) stopAgents() {
 	var all sync.WaitGroup
 	for _, a := range g.agents {
 		all.Go(func() {
 			a.end(syscall.SIGTERM, 5*time.Second)
-			_ = a.lists.Close()
+			_ = a.listServer.Close()
 			a.release()
 			a.clients.CloseIdleConnections()
 		})
--- a/internal/simulate/model/sockets/backlog_linux.go
+++ b/internal/simulate/model/sockets/backlog_linux.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// backlog changes how many connections may wait to be accepted: listening again does that on Linux.
+// backlog changes how many connections may wait to be accepted. On Linux a second listen call does that.
 func backlog(ln *net.TCPListener, n int) {
 	raw, err := ln.SyscallConn()
 	if err != nil {
@@ -16,9 +16,9 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
-// hold takes a free address on loopback without listening there: connections to it are refused, and
-// no outgoing connection gets its port. Others that allow the reuse, as package net does, can listen.
-func hold() (addr string, release func(), err error) {
+// reserveAddr reserves a free address on loopback without listening there: connections to it are refused, and
+// no outgoing connection gets its port. Sockets that allow address reuse, as package net's do, can listen on it.
+func reserveAddr() (addr string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", nil, os.NewSyscallError("socket", err)
@@ -38,7 +38,7 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*syscall.SockaddrInet4).Port)), release, nil
 }
 
-// childProcess ends agents with the rehearsal, whatever ends that, and keeps a Ctrl-C for it alone.
+// childProcess makes agents end with the simulation however it ends, and keeps Ctrl-C signals from them.
 func childProcess() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 }
--- a/internal/simulate/model/sockets/backlog_other.go
+++ b/internal/simulate/model/sockets/backlog_other.go
@@ -7,11 +7,11 @@
 	"syscall"
 )
 
-// backlog can't be changed here: connections to a silent server come up, and are silent then.
+// backlog does nothing on this system: connections to a silent server are established, but get no answers.
 func backlog(*net.TCPListener, int) {}
 
-// hold finds a free address; it may be taken again until something listens there.
-func hold() (addr string, release func(), err error) {
+// reserveAddr finds a free address; another process may take it until a server listens there.
+func reserveAddr() (addr string, release func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -15,32 +15,32 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// try is what a server needs to know of a request that comes by an id.
+// try is what the stand-in servers know about the request with an ID.
 type try struct {
 	task     *model.Task
-	chance   model.Chance
+	seed     model.Seed
 	try      int
 	attempts int
 }
 
-// keepTries is how long an id is known after its try has ended: an attempt may still be under way.
-const keepTries = 20 * time.Second
+// tryRetention is how long an ID is known after the end of its try, since attempts may still be under way.
+const tryRetention = 20 * time.Second
 
-// client wants one task done, with all its tries.
-func (g *stage) client(ctx context.Context, c *model.Client, chance model.Chance) {
+// client simulates the client of one task, with all its tries.
+func (g *driver) client(ctx context.Context, c *model.Client, seed model.Seed) {
 	for {
-		kind, after := g.ask(ctx, c, chance)
+		kind, after := g.ask(ctx, c, seed)
 		if ctx.Err() != nil {
-			return // cut short: neither asked to the end nor answered
+			return // the simulation is cut short: the task has no result
 		}
 		g.mu.Lock()
 		now := g.now()
 		if kind == model.Refused {
-			g.day.Refusal(now, c.Task.Class)
+			g.stats.Refusal(now, c.Task.Class)
 		}
 		wait, again := c.Next(now, kind, after)
 		if !again {
-			g.day.End(now, &c.Task, kind)
+			g.stats.End(now, &c.Task, kind)
 			g.mu.Unlock()
 			return
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// ask is one try.
-func (g *stage) ask(ctx context.Context, c *model.Client, chance model.Chance) (model.Answer, time.Duration) {
+// ask makes one try.
+func (g *driver) ask(ctx context.Context, c *model.Client, seed model.Seed) (model.Answer, time.Duration) {
 	a := g.agents[c.Task.Agent]
 	class := &g.s.Classes[c.Task.Class]
 	id := c.ID()
@@ -64,18 +64,18 @@
 	}
 	g.mu.Lock()
 	now := g.now()
-	left := c.Left(now)
-	g.day.Try(now, &c.Task, c.Try)
-	g.tries[id] = &try{task: &c.Task, chance: chance, try: c.Try}
-	g.judge.Took(now, a.n, id, c.Task.Class, now+left)
-	life := a.life
+	left := c.Remaining(now)
+	g.stats.Try(now, &c.Task, c.Try)
+	g.tries[id] = &try{task: &c.Task, seed: seed, try: c.Try}
+	g.checker.Took(now, a.n, id, c.Task.Class, now+left)
+	generation := a.generation
 	g.mu.Unlock()
-	defer time.AfterFunc(keepTries, func() {
+	defer time.AfterFunc(tryRetention, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		delete(g.tries, id)
 	})
-	// The client's own patience; what is answered in the grace after it is for the judge alone.
+	// The client's deadline plus a grace; an answer within the grace only matters to the checker.
 	patience, cancel := context.WithTimeout(ctx, left+g.s.Rules.AnswerSlack+slack)
 	defer cancel()
 	req, err := http.NewRequestWithContext(patience, method, "http://"+a.listen+"/"+class.Name, body)
@@ -103,16 +103,16 @@
 	now = g.now()
 	var dial *net.OpError
 	switch {
-	case a.life != life || a.dying || ctx.Err() != nil: // the agent was killed, or all is being ended
-		g.judge.GaveUp(now, id)
+	case a.generation != generation || a.killing || ctx.Err() != nil: // the agent was killed, or the simulation is ending
+		g.checker.ClientLeft(now, id)
 		return model.Failed, 0
 	case errors.Is(err, context.DeadlineExceeded):
-		return model.NoAnswer, 0 // the judge finds that nothing came
+		return model.NoAnswer, 0 // the checker finds that there was no answer
 	case errors.As(err, &dial) && dial.Op == "dial":
-		g.judge.GaveUp(now, id) // it was never taken
+		g.checker.ClientLeft(now, id) // the agent never accepted it
 		return model.Unreachable, 0
 	case err != nil:
-		g.judge.Lost(now, a.n, id)
+		g.checker.ConnectionLost(now, a.n, id)
 		return model.Failed, 0
 	}
 	kind, told := checker.Failed, model.Failed
@@ -122,7 +122,7 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		kind, told = checker.Refused, model.Refused
 	}
-	g.judge.Answered(now, a.n, id, kind)
+	g.checker.Answered(now, a.n, id, kind)
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	return told, time.Duration(after * float64(time.Second))
 }
--- a/internal/simulate/model/sockets/daemon.go
+++ b/internal/simulate/model/sockets/daemon.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// serveFile writes the configuration of a fleet daemon with one instance in an agent's place, by
-// the same rules that the platform's configuration would tell it. A naive one knows no warming up
-// of servers and spreads nothing over time.
+// serveFile writes the configuration of a fleet daemon with one instance in place of an agent, with
+// the same rules that the platform's configuration would give. A naive daemon has no slow start of
+// servers and spreads no calls over time.
 func (a *agent) serveFile(naive bool) (path string, err error) {
 	s := a.g.s
 	d := s.Settings(a.n)
@@ -25,7 +25,7 @@
 	}
 	var t bytes.Buffer
 	fmt.Fprintf(&t, "admin = %q\nstate_dir = %q\n[[source]]\nname = \"list\"\nlist = %q\nspread = %q\nfirst = %q\n",
-		"unix:"+filepath.Join(dir, "admin"), dir, a.listsAt, spread, first)
+		"unix:"+filepath.Join(dir, "admin"), dir, a.listAddr, spread, first)
 	var kinds []string
 	for _, k := range s.Kinds {
 		kinds = append(kinds, k.Name)
@@ -47,7 +47,7 @@
 	return path, os.WriteFile(path, t.Bytes(), 0o600)
 }
 
-// list is a TOML array of strings.
+// list formats a TOML array of strings.
 func list(all []string) string {
 	var t bytes.Buffer
 	for i, s := range all {
@@ -59,7 +59,7 @@
 	return "[" + t.String() + "]"
 }
 
-// command is what is run for the agent, told its configuration.
+// command returns the command that runs the agent with its configuration.
 func (a *agent) command() (*exec.Cmd, error) {
 	if a.g.o.Daemon != nil {
 		path, err := a.serveFile(a.g.o.Naive)
--- a/internal/simulate/model/sockets/list.go
+++ b/internal/simulate/model/sockets/list.go
@@ -11,10 +11,10 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// watch is what one agent has been told, and its present call, if there is one.
+// watch holds what one agent has been told, and its present call.
 type watch struct {
-	names map[int]string  // by place
-	out   chan model.Tell // of the present call; nil: none
+	names map[int]string         // names of servers by place
+	out   chan model.ListMessage // of the present call; nil: none
 }
 
 type member struct {
@@ -34,12 +34,12 @@
 	Servers []member `json:"servers"`
 }
 
-// members puts entries into the list's own form, with the addresses that are this agent's. The
-// lock is held.
-func (g *stage) members(agent int, version int64, full bool, entries []model.Entry) members {
+// members converts entries into the list's message format, with this agent's addresses of the servers.
+// The lock is held.
+func (g *driver) members(agent int, version int64, full bool, entries []model.Entry) members {
 	m := members{Version: version, Full: full, Servers: []member{}}
 	for _, e := range entries {
-		s := member{ID: e.Server.Name, Addr: g.places[e.Server.Place].doors[min(agent, g.doors()-1)].addr, Zone: g.s.Zones[e.Server.Zone],
+		s := member{ID: e.Server.Name, Addr: g.places[e.Server.Place].listeners[min(agent, g.listenersPerPlace()-1)].addr, Zone: g.s.Zones[e.Server.Zone],
 			Kind: g.s.Kinds[e.Server.Kind].Name, Cell: e.Server.Pod, Weight: 1, State: [...]string{"ready", "draining", "gone"}[e.State]}
 		if e.Started > 0 {
 			s.Started = g.wall(e.Started).UnixMilli()
@@ -49,8 +49,8 @@
 	return m
 }
 
-// told books what an agent is told. The lock is held.
-func (g *stage) told(agent int, full bool, entries []model.Entry) {
+// recordListed records what an agent is told. The lock is held.
+func (g *driver) recordListed(agent int, full bool, entries []model.Entry) {
 	now := g.now()
 	w := g.watches[agent]
 	if w == nil {
@@ -60,8 +60,8 @@
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.Server.Name] = true
-		for _, a := range g.hearers(agent) {
-			g.judge.Told(now, a, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
+		for _, a := range g.agentsToldBy(agent) {
+			g.checker.Listed(now, a, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
 		}
 		if e.State == decide.Removed {
 			if w.names[e.Server.Place] == e.Server.Name {
@@ -72,15 +72,15 @@
 		}
 	}
 	if full {
-		for _, a := range g.hearers(agent) {
-			g.judge.Missing(now, a, func(name string) bool { return listed[name] })
+		for _, a := range g.agentsToldBy(agent) {
+			g.checker.Unlisted(now, a, func(name string) bool { return listed[name] })
 		}
 	}
 }
 
-// hearers are the agents that hear what the reader of a number is told: a daemon reads for all.
-func (g *stage) hearers(reader int) []int {
-	if !g.outside() {
+// agentsToldBy returns the agents that learn what one reader is told: an external daemon reads for all agents.
+func (g *driver) agentsToldBy(reader int) []int {
+	if !g.external() {
 		return []int{reader}
 	}
 	all := make([]int, g.s.Agents)
@@ -90,9 +90,9 @@
 	return all
 }
 
-// tells passes on what the list tells, each at its time. The lock is held.
-func (g *stage) tells(tells []model.Tell) {
-	for _, t := range tells {
+// deliver sends the list's messages, each at its time. The lock is held.
+func (g *driver) deliver(messages []model.ListMessage) {
+	for _, t := range messages {
 		w := g.watches[t.Agent]
 		if w == nil || w.out == nil {
 			continue
@@ -108,24 +108,24 @@
 			}
 		})
 	}
-	if g.listAt != nil {
-		g.listAt.Stop()
+	if g.listTimer != nil {
+		g.listTimer.Stop()
 	}
 	if next := g.world.List.NextWake(); next > 0 && g.quit.Err() == nil {
-		g.listAt = time.AfterFunc(next-g.now(), func() {
+		g.listTimer = time.AfterFunc(next-g.now(), func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			if g.quit.Err() == nil {
-				g.tells(g.world.List.Step(g.now(), model.Wake{}))
+				g.deliver(g.world.List.Step(g.now(), model.Wake{}))
 			}
 		})
 	}
 }
 
-const keepAlive = 2 * time.Second // an empty line while nothing changes
+const keepAlive = 2 * time.Second // interval of empty lines while nothing changes
 
-// list answers one agent's calls.
-func (g *stage) list(agent int) http.Handler {
+// list returns the handler of one agent's calls.
+func (g *driver) list(agent int) http.Handler {
 	var one sync.Mutex
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/catalog/members" {
@@ -135,7 +135,7 @@
 		if r.URL.Query().Get("follow") != "1" {
 			g.mu.Lock()
 			version, entries := g.world.List.Snapshot()
-			g.told(agent, true, entries)
+			g.recordListed(agent, true, entries)
 			m := g.members(agent, version, true, entries)
 			g.mu.Unlock()
 			_ = json.NewEncoder(w).Encode(m)
@@ -143,30 +143,30 @@
 		}
 		since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 		if err != nil {
-			http.Error(w, "since: a version is needed", http.StatusBadRequest)
+			http.Error(w, "since: a version number is needed", http.StatusBadRequest)
 			return
 		}
-		one.Lock() // a new watch begins when the one before has ended
+		one.Lock() // a new watch begins when the previous one has ended
 		defer one.Unlock()
-		out := make(chan model.Tell, 64)
+		out := make(chan model.ListMessage, 64)
 		g.mu.Lock()
-		if !g.started() { // the model's time stands still, and its waits with it: the first list comes at once
+		if !g.started() { // the scenario's time has not begun, so its delays would not pass: the first list is sent at once
 			version, entries := g.world.List.Snapshot()
-			out <- model.Tell{Agent: agent, Version: version, Full: true, Entries: entries}
+			out <- model.ListMessage{Agent: agent, Version: version, Full: true, Entries: entries}
 			since = version
 		}
 		if g.watches[agent] == nil {
 			g.watches[agent] = &watch{names: map[int]string{}}
 		}
 		g.watches[agent].out = out
-		g.tells(g.world.List.Step(g.now(), model.Ask{Agent: agent, Since: since}))
+		g.deliver(g.world.List.Step(g.now(), model.Subscribe{Agent: agent, Since: since}))
 		g.mu.Unlock()
 		defer func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			if x := g.watches[agent]; x.out == out {
 				x.out = nil
-				g.world.List.Step(g.now(), model.Leave{Agent: agent})
+				g.world.List.Step(g.now(), model.Unsubscribe{Agent: agent})
 			}
 		}()
 		begun := false
@@ -183,7 +183,7 @@
 					return
 				}
 				g.mu.Lock()
-				g.told(agent, t.Full, t.Entries)
+				g.recordListed(agent, t.Full, t.Entries)
 				line, err = json.Marshal(g.members(agent, t.Version, t.Full, t.Entries))
 				g.mu.Unlock()
 				if err != nil {
@@ -193,7 +193,7 @@
 			case <-alive.C:
 				if !begun {
 					alive.Reset(keepAlive)
-					continue // it waits in turn
+					continue // the call is still waiting for its answer
 				}
 			case <-r.Context().Done():
 				return
--- a/internal/simulate/model/sockets/server.go
+++ b/internal/simulate/model/sockets/server.go
@@ -15,74 +15,74 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// place is a server's address, or rather one for each agent: by it the way to the server is that
-// agent's own.
+// place is a server's address. It has a listener for each agent, so that the network between the server
+// and each agent can be simulated separately.
 type place struct {
-	doors []*door // by agent
+	listeners []*listener // by agent
 }
 
 func (p *place) close(running *sync.WaitGroup) {
-	for _, d := range p.doors {
-		d.want(shut, running, func(error) {})
+	for _, d := range p.listeners {
+		d.setAsync(closed, running, func(error) {})
 	}
 }
 
-// open makes a place's doors; they stay shut until settle. Addresses are fixed here for good.
-func (g *stage) open(n int) error {
+// openPlace creates the listeners of a place, with their final addresses; they are closed until updateListeners.
+func (g *driver) openPlace(n int) error {
 	if g.places[n] != nil {
 		return nil
 	}
 	p := &place{}
 	g.places[n] = p
-	for a := range g.doors() {
-		d, err := newDoor(func(nc net.Conn) { g.serve(n, a, nc) })
+	for a := range g.listenersPerPlace() {
+		d, err := newListener(func(nc net.Conn) { g.serve(n, a, nc) })
 		if err != nil {
-			return fmt.Errorf("a stand-in server's address: %w", err)
+			return fmt.Errorf("open a stand-in server's address: %w", err)
 		}
-		p.doors = append(p.doors, d)
+		p.listeners = append(p.listeners, d)
 	}
 	return nil
 }
 
-// settle opens, shuts or silences all doors as the world is now. The lock is held.
-func (g *stage) settle() {
+// updateListeners opens, closes or silences all listeners according to the state of the world. The lock is held.
+func (g *driver) updateListeners() {
 	for n, p := range g.places {
 		proc := g.world.At(n)
-		for a, d := range p.doors {
-			state := shut
+		for a, d := range p.listeners {
+			state := closed
 			if proc != nil {
 				if state = open; g.silent(proc, a) {
 					state = silent
 				}
 			}
-			d.want(state, &g.running, func(err error) {
+			d.setAsync(state, &g.running, func(err error) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				if g.quit.Err() == nil {
-					g.fail(fmt.Errorf("a stand-in server's address: %w", err))
+					g.fail(fmt.Errorf("change a stand-in server's address: %w", err))
 				}
 			})
 		}
 	}
 }
 
-// silent reports whether nothing passes between a process and an agent. The lock is held.
-func (g *stage) silent(p *model.Proc, agent int) bool {
-	return p.Silent || !g.world.Net.Open(g.s.ZoneOf(agent), p.Spec.Zone)
+// silent reports whether the network between a process and an agent is interrupted. The lock is held.
+func (g *driver) silent(p *model.Proc, agent int) bool {
+	return p.Silent || !g.world.Net.Connected(g.s.ZoneOf(agent), p.Spec.Zone)
 }
 
 // conn is a connection of an agent to a process.
 type conn struct {
-	g        *stage
+	g        *driver
 	id       int
 	agent    int
 	proc     *model.Proc
 	net      *net.TCPConn
 	accepted bool
 	answers  chan answer
-	lost     bool // something on it vanished on its way: nothing comes on it any more
+	lost     bool // a message on it was lost: the connection stays silent
 	gone     bool
-	idle     bool // closed by the server, which has had no request on it for long
+	idle     bool // closed by the server after a long time without a request
 }
 
 type answer struct {
@@ -95,14 +95,14 @@
 func (c *conn) reply(a answer) {
 	select {
 	case c.answers <- a:
-	default: // one request at a time is on a connection
+	default: // a connection has only one request at a time
 	}
 }
 
 // abort ends the connection with a reset. The lock is held.
 func (c *conn) abort() {
 	c.gone = true
-	_ = c.net.SetLinger(0) // a reset, not an end
+	_ = c.net.SetLinger(0) // closes with a reset
 	_ = c.net.Close()
 	select {
 	case c.answers <- answer{result: decide.Reset}:
@@ -110,7 +110,7 @@
 	}
 }
 
-// idleClose ends a connection that has stood idle. The lock is held.
+// idleClose ends a connection that was idle for too long. The lock is held.
 func (c *conn) idleClose() {
 	c.idle = true
 	_ = c.net.Close()
@@ -118,8 +118,8 @@
 
 var errEnd = errors.New("the connection has ended")
 
-// serve is the goroutine of one connection.
-func (g *stage) serve(n, agent int, nc net.Conn) {
+// serve handles one connection; it runs in a goroutine of its own.
+func (g *driver) serve(n, agent int, nc net.Conn) {
 	defer nc.Close()
 	tcp, ok := nc.(*net.TCPConn)
 	g.mu.Lock()
@@ -131,10 +131,10 @@
 	g.lastID++
 	c := &conn{g: g, id: g.lastID, agent: agent, proc: proc, net: tcp, answers: make(chan answer, 1)}
 	g.conns[c.id] = c
-	if g.silent(proc, agent) { // it was in the kernel's queue when the silence began
+	if g.silent(proc, agent) { // it was in the accept queue when the silence began
 		c.lost = true
 	} else {
-		g.did(proc, proc.Step(g.now(), model.Dial{Conn: c.id, Agent: agent}))
+		g.applyEffects(proc, proc.Step(g.now(), model.Dial{Conn: c.id, Agent: agent}))
 		if !c.accepted {
 			_ = tcp.SetLinger(0)
 			delete(g.conns, c.id)
@@ -143,11 +143,11 @@
 		}
 	}
 	kind := &g.s.Kinds[proc.Spec.Kind]
-	trips := time.Duration(kind.HandshakeRTT * 2 * float64(g.way(proc, agent)))
+	trips := time.Duration(kind.HandshakeRTT * 2 * float64(g.delay(proc, agent)))
 	g.mu.Unlock()
 	reader := bufio.NewReader(nc)
 	for first := true; ; first = false {
-		if err := c.one(reader, first, trips); err != nil {
+		if err := c.serveOne(reader, first, trips); err != nil {
 			break
 		}
 	}
@@ -155,17 +155,17 @@
 	defer g.mu.Unlock()
 	delete(g.conns, c.id)
 	if !c.proc.Dead && !c.lost {
-		g.did(c.proc, c.proc.Step(g.now(), model.Hangup{Conn: c.id}))
+		g.applyEffects(c.proc, c.proc.Step(g.now(), model.Hangup{Conn: c.id}))
 	}
 }
 
-// way is how long the next message takes. The lock is held.
-func (g *stage) way(p *model.Proc, agent int) time.Duration {
-	return g.world.Net.Way(g.s.ZoneOf(agent), p.Spec.Zone)
+// delay draws how long the next message takes. The lock is held.
+func (g *driver) delay(p *model.Proc, agent int) time.Duration {
+	return g.world.Net.Delay(g.s.ZoneOf(agent), p.Spec.Zone)
 }
 
-// one takes one request on a connection and answers it.
-func (c *conn) one(reader *bufio.Reader, first bool, trips time.Duration) error {
+// serveOne reads one request from a connection and answers it.
+func (c *conn) serveOne(reader *bufio.Reader, first bool, trips time.Duration) error {
 	if _, err := reader.Peek(1); err != nil {
 		return err
 	}
@@ -182,15 +182,15 @@
 	if g.silent(c.proc, c.agent) || c.lost {
 		c.lost = true
 		g.mu.Unlock()
-		return c.hush(reader)
+		return c.discard(reader)
 	}
-	way := g.way(c.proc, c.agent)
+	delay := g.delay(c.proc, c.agent)
 	if first {
-		way += trips
+		delay += trips
 	}
 	breaks, before := g.world.Net.Breaks()
 	g.mu.Unlock()
-	time.Sleep(way)
+	time.Sleep(delay)
 	g.mu.Lock()
 	if breaks && before || c.gone {
 		c.abort()
@@ -206,10 +206,10 @@
 		g.mu.Unlock()
 		return errEnd
 	}
-	c.lost = c.lost || g.world.Net.Loses()
+	c.lost = c.lost || g.world.Net.LosesAnswer()
 	g.mu.Unlock()
 	hungUp := make(chan struct{})
-	go func() { // a client that gives up ends its connection: then nobody waits for the answer
+	go func() { // an agent that cancels ends its connection and does not wait for the answer
 		defer close(hungUp)
 		_, _ = reader.Peek(1)
 	}()
@@ -224,60 +224,60 @@
 		return errEnd
 	}
 	if a.result == decide.Reset {
-		<-hungUp // abort has closed it
+		<-hungUp // abort has closed the connection
 		return errEnd
 	}
 	g.mu.Lock()
-	way = g.way(c.proc, c.agent)
-	hushed := g.silent(c.proc, c.agent) || c.lost
-	c.lost = hushed
+	delay = g.delay(c.proc, c.agent)
+	lost := g.silent(c.proc, c.agent) || c.lost
+	c.lost = lost
 	g.mu.Unlock()
-	if hushed {
+	if lost {
 		<-hungUp
 		return errEnd
 	}
-	time.Sleep(way)
+	time.Sleep(delay)
 	if err := c.write(a); err != nil {
 		<-hungUp
 		return err
 	}
-	<-hungUp // the next request's first byte, or the end
+	<-hungUp // the first byte of the next request, or the end of the connection
 	return nil
 }
 
-// hush keeps a connection open and silent until the other side ends it.
-func (c *conn) hush(reader *bufio.Reader) error {
+// discard keeps a connection open and silent until the agent ends it.
+func (c *conn) discard(reader *bufio.Reader) error {
 	_, _ = io.Copy(io.Discard, reader)
 	return errEnd
 }
 
-// arrive gives a request to the model. It reports whether there will be an answer. The lock is held.
-func (g *stage) arrive(c *conn, req *http.Request, began time.Duration) bool {
+// arrive passes a request to the model. It reports whether there will be an answer. The lock is held.
+func (g *driver) arrive(c *conn, req *http.Request, began time.Duration) bool {
 	now := g.now()
 	id := req.Header.Get("X-Trace-Id")
 	t := g.tries[id]
-	named, from := g.named(c), c.agent
-	if t != nil && g.outside() {
+	named, from := g.namedServer(c), c.agent
+	if t != nil && g.external() {
 		from = t.task.Agent
 	}
-	g.judge.Arrived(now, began, from, id, named)
+	g.checker.Arrived(now, began, from, id, named)
 	if named != c.proc.Name {
-		g.judge.Moved(id, named, c.proc.Name)
+		g.checker.Moved(id, named, c.proc.Name)
 	}
 	if t == nil || c.proc.Dead {
 		return false
 	}
-	work, luck := t.task.Attempt(g.s, t.chance, t.try, t.attempts)
+	work, draw := t.task.Attempt(g.s, t.seed, t.try, t.attempts)
 	t.attempts++
-	g.day.Attempt(now, t.task.Class, named)
-	g.did(c.proc, c.proc.Step(now, model.Arrive{Conn: c.id, Job: model.Job{ID: id, Agent: from, Class: t.task.Class,
-		Key: req.Header.Get("Idempotency-Key"), Work: work, Luck: luck, Sent: began}}))
+	g.stats.Attempt(now, t.task.Class, named)
+	g.applyEffects(c.proc, c.proc.Step(now, model.Arrive{Conn: c.id, Job: model.Job{ID: id, Agent: from, Class: t.task.Class,
+		Key: req.Header.Get("Idempotency-Key"), Work: work, Draw: draw, Sent: began}}))
 	return !c.proc.Dead
 }
 
-// named is the server that the agent means by this connection's address: the latest that it was
-// told of there. The lock is held.
-func (g *stage) named(c *conn) string {
+// namedServer returns the server that the agent expects at this connection's address: the latest one
+// that the list has told it. The lock is held.
+func (g *driver) namedServer(c *conn) string {
 	if w := g.watches[c.agent]; w != nil {
 		if name, ok := w.names[c.proc.Spec.Place]; ok {
 			return name
@@ -286,7 +286,7 @@
 	return c.proc.Name
 }
 
-// write sends an answer in the protocol's words.
+// write sends an answer in the protocol's form.
 func (c *conn) write(a answer) error {
 	status, head := "200 OK", ""
 	body := "done " + a.id + "\n"
--- a/internal/simulate/model/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -1,6 +1,6 @@
-// Package sockets plays a scenario in real time on loopback: stand-in servers, list and clients,
-// driven by the same model as in virtual time, round real agent processes, by the protocol as
-// published. It is bounded in time, in connections and in requests at once, and ends by itself.
+// Package sockets simulates a scenario in real time on loopback: stand-in servers, list and clients,
+// driven by the same model as in virtual time, around real agent processes that use the published
+// protocol. Its time, connections and concurrent requests are limited, and it ends by itself.
 package sockets
 
 import (
@@ -22,113 +22,115 @@
 	"vetchhaven/internal/simulate/statistics"
 )
 
-// Bounds on what is played on one machine.
+// Limits of a simulation on one machine.
 const (
-	mostListeners = 2400 // servers times agents: each agent reaches each server at an address of its own
-	mostRate      = 3000.0
-	mostLength    = 30 * time.Minute
-	mostOpen      = 4000 // clients' requests at once
+	maxListeners = 2400   // servers times agents: each agent reaches each server at a separate address
+	maxRate      = 3000.0 // requests per second
+	maxLength    = 30 * time.Minute
+	maxOpen      = 4000 // concurrent requests of clients
 )
 
-// slack is by how much the times seen here may be off from an agent's, on a busy machine.
+// slack is the maximum difference between times measured here and in an agent, on a busy machine.
 const slack = 50 * time.Millisecond
 
-// Options say what to play.
+// Options describe a simulation.
 type Options struct {
 	Scenario *model.Scenario
 	Seed     uint64
-	Agent    func() *exec.Cmd // runs one agent, told its configuration by PROXY_CONFIG
-	// Daemon, if set, runs a fleet daemon of one instance in each agent's place, told its file. Naive ones
-	// spread nothing over time and know no warming up of servers.
+	Agent    func() *exec.Cmd // runs one agent, which gets its configuration by PROXY_CONFIG
+	// Daemon, if set, runs a fleet daemon with one instance in place of each agent, with the given configuration
+	// file. Naive daemons spread no calls over time and have no slow start of servers.
 	Daemon func(config string) *exec.Cmd
 	Naive  bool
-	Log    io.Writer // what agents write; may be nil
-	// ListAt and AgentsAt put the stand-ins round agents that run already, such as a fleet daemon's
-	// instances: the list listens at ListAt, clients ask at AgentsAt, one address for each agent in
-	// place of the scenario's count. All agents then reach servers at the same addresses, by the ways
-	// of the first one's zone.
+	Log    io.Writer // receives the agents' standard error; may be nil
+	// ListAt and AgentsAt make the simulation use agents that run already, such as a fleet daemon's
+	// instances: the list listens at ListAt, and clients send to AgentsAt, one address for each agent,
+	// which replaces the scenario's count. All agents then reach servers at the same addresses, with the
+	// network delays of the first agent's zone.
 	ListAt   string
 	AgentsAt []string
 	Progress func(now time.Duration, d *statistics.Day)
-	// Trace, if set, is told what each server has every 100 ms: what it holds and, while it is cold, its
-	// load as a multiple of what it can do.
+	// Trace, if set, is called for each server every 100 ms, with its held requests and, while it is cold,
+	// its load as a multiple of what it can do.
 	Trace func(now time.Duration, server string, held int, pressure float64)
 }
 
-// Played is how it went.
+// Played is the result of a simulation.
 type Played struct {
 	Day      *statistics.Day
-	Judge    *checker.Judge
+	Judge    *checker.Checker
 	CutShort bool
 }
 
-// stage is where it is played. Its lock guards the model, the judge and the books; who holds it
-// never waits for anything.
-type stage struct {
+// driver runs a simulation. Its lock guards the model, the checker and the statistics; no goroutine
+// waits for anything while it holds the lock.
+type driver struct {
 	o     Options
 	s     *model.Scenario
 	base  time.Time
-	begun atomic.Int64    // when the scenario's time began, after base; it stands at 0 until then
-	quit  context.Context // everything ends with it
+	begun atomic.Int64    // start of the scenario's time, after base; the scenario's time is 0 until then
+	quit  context.Context // ends all goroutines
 
-	mu      sync.Mutex
-	world   *model.World
-	judge   *checker.Judge
-	day     *statistics.Day
-	places  map[int]*place
-	conns   map[int]*conn
-	lastID  int
-	wakes   map[*model.Proc]*time.Timer
-	listAt  *time.Timer
-	tries   map[string]*try // by request id
-	watches map[int]*watch  // by agent
-	fault   error
+	mu        sync.Mutex
+	world     *model.World
+	checker   *checker.Checker
+	stats     *statistics.Day
+	places    map[int]*place
+	conns     map[int]*conn
+	lastID    int
+	wakes     map[*model.Proc]*time.Timer
+	listTimer *time.Timer
+	tries     map[string]*try // by request id
+	watches   map[int]*watch  // by agent
+	err       error
 
 	agents  []*agent
 	running sync.WaitGroup
 }
 
-// now is the scenario's time.
-func (g *stage) now() time.Duration { return max(0, time.Since(g.base)-time.Duration(g.begun.Load())) }
+// now returns the scenario's time.
+func (g *driver) now() time.Duration { return max(0, time.Since(g.base)-time.Duration(g.begun.Load())) }
 
-// started reports whether the scenario's time runs.
-func (g *stage) started() bool { return g.begun.Load() != math.MaxInt64/2 }
+// started reports whether the scenario's time has begun.
+func (g *driver) started() bool { return g.begun.Load() != math.MaxInt64/2 }
 
-// wall is the real time of a scenario's time.
-func (g *stage) wall(t time.Duration) time.Time { return g.base.Add(time.Duration(g.begun.Load()) + t) }
+// wall converts a scenario's time into real time.
+func (g *driver) wall(t time.Duration) time.Time {
+	return g.base.Add(time.Duration(g.begun.Load()) + t)
+}
 
-// fail ends the play with an error. The lock is held.
-func (g *stage) fail(err error) {
-	if g.fault == nil {
-		g.fault = err
+// fail ends the simulation with an error. The lock is held.
+func (g *driver) fail(err error) {
+	if g.err == nil {
+		g.err = err
 	}
 }
 
-// Play plays a scenario. It ends early, marked as cut short, when ctx ends.
+// Play simulates a scenario. When ctx ends, it ends early and the result is marked as cut short.
 func Play(ctx context.Context, o Options) (*Played, error) {
 	s := o.Scenario
 	if len(o.AgentsAt) > 0 {
 		own := *s
 		own.Agents = len(o.AgentsAt)
-		// They hear their first list from here, before the scenario's time runs, and read it for all:
-		// neither waiting in turn nor a spread among agents is this stand-in's to play.
+		// These agents get their first list before the scenario's time begins, and one reader may read it
+		// for all of them, so the list simulates neither limited calls nor a spread among agents.
 		own.List.Calls, own.List.Spread = 0, 0
 		s = &own
 		for _, c := range s.Timeline {
 			if _, ok := c.What.(model.Agents); ok {
-				return nil, errors.New("agents-restart: agents that run already are not this rehearsal's to restart")
+				return nil, errors.New("agents-restart: agents that run already can not be restarted by the simulation")
 			}
 		}
 	}
 	if s.Records.Every > 0 {
-		return nil, errors.New("records beside the list are played in virtual time only")
+		return nil, errors.New("records beside the list are simulated in virtual time only")
 	}
 	for _, c := range s.Timeline {
 		if op, ok := c.What.(model.Agents); ok && op.Drain {
-			return nil, errors.New("agents-restart with drain is played in virtual time only")
+			return nil, errors.New("agents-restart with drain is simulated in virtual time only")
 		}
 	}
-	g := &stage{o: o, s: s, base: time.Now(), judge: checker.New(virtual.JudgeConfig(s, slack)), day: statistics.New(s), places: map[int]*place{},
+	g := &driver{o: o, s: s, base: time.Now(), checker: checker.New(virtual.CheckerConfig(s, slack)), stats: statistics.New(s), places: map[int]*place{},
 		conns: map[int]*conn{}, wakes: map[*model.Proc]*time.Timer{}, tries: map[string]*try{}, watches: map[int]*watch{}}
 	g.begun.Store(math.MaxInt64 / 2)
 	most := 0
@@ -136,14 +138,14 @@
 		most = max(most, v.Place+1)
 	}
 	switch {
-	case most*g.doors() > mostListeners:
-		return nil, fmt.Errorf("%d servers and %d agents are too many for sockets: their product may be %d", most, s.Agents, mostListeners)
-	case s.Peak() > mostRate:
-		return nil, fmt.Errorf("%g requests a second are too many for sockets: %g may be", s.Peak(), mostRate)
-	case s.Length > mostLength:
-		return nil, fmt.Errorf("%v are too long for sockets: %v may be", s.Length, mostLength)
+	case most*g.listenersPerPlace() > maxListeners:
+		return nil, fmt.Errorf("%d servers and %d agents are too many for sockets: their product must not exceed %d", most, s.Agents, maxListeners)
+	case s.PeakRate() > maxRate:
+		return nil, fmt.Errorf("%g requests a second are too many for sockets: the maximum is %g", s.PeakRate(), maxRate)
+	case s.Length > maxLength:
+		return nil, fmt.Errorf("a length of %v is too long for sockets: the maximum is %v", s.Length, maxLength)
 	case s.Tick <= 0:
-		return nil, errors.New("agents.tick: agents on sockets need one above 0")
+		return nil, errors.New("agents.tick: agents on sockets need a tick above 0")
 	}
 	dir, err := os.MkdirTemp("", "rehearse")
 	if err != nil {
@@ -154,7 +156,7 @@
 	defer os.RemoveAll(dir)
 	defer func() {
 		for _, p := range g.places {
-			for _, d := range p.doors {
+			for _, d := range p.listeners {
 				d.free()
 			}
 		}
@@ -162,15 +164,15 @@
 	defer g.running.Wait()
 	defer g.close()
 	defer end()
-	chance := model.Chance(o.Seed).Sub(model.Name("rehearsal")) // the same world as in virtual time
-	g.world = model.NewWorld(s, chance)
+	seed := model.Seed(o.Seed).Derive(model.HashName("rehearsal")) // the same seed as in virtual time
+	g.world = model.NewWorld(s, seed)
 	for _, v := range g.specs() {
-		if err := g.open(v.Place); err != nil {
+		if err := g.openPlace(v.Place); err != nil {
 			return nil, err
 		}
 	}
 	g.mu.Lock()
-	g.settle()
+	g.updateListeners()
 	g.mu.Unlock()
 	for n := range s.Agents {
 		a, err := newAgent(g, n, dir)
@@ -188,39 +190,39 @@
 	for _, a := range g.agents {
 		if err := a.ready(ctx); err != nil {
 			if ctx.Err() != nil {
-				g.day.Finish(0)
-				return &Played{g.day, g.judge, true}, nil
+				g.stats.Finish(0)
+				return &Played{g.stats, g.checker, true}, nil
 			}
 			return nil, err
 		}
 	}
 	g.begun.Store(int64(time.Since(g.base)))
-	cut := g.play(ctx, chance)
+	cut := g.play(ctx, seed)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	length := min(g.now(), s.Length)
-	g.judge.End(g.now())
-	g.day.Reads = g.world.List.Reads()
-	g.day.Finish(length)
-	if g.fault != nil {
-		return nil, g.fault
+	g.checker.End(g.now())
+	g.stats.Reads = g.world.List.Reads()
+	g.stats.Finish(length)
+	if g.err != nil {
+		return nil, g.err
 	}
-	return &Played{g.day, g.judge, cut}, nil
+	return &Played{g.stats, g.checker, cut}, nil
 }
 
-// outside reports whether the agents run already.
-func (g *stage) outside() bool { return len(g.o.AgentsAt) > 0 }
+// external reports whether the agents run already and are not started here.
+func (g *driver) external() bool { return len(g.o.AgentsAt) > 0 }
 
-// doors is how many addresses each server has.
-func (g *stage) doors() int {
-	if g.outside() {
+// listenersPerPlace returns the number of addresses of each server.
+func (g *driver) listenersPerPlace() int {
+	if g.external() {
 		return 1
 	}
 	return g.s.Agents
 }
 
-// specs is every server that ever runs.
-func (g *stage) specs() []model.ServerSpec {
+// specs returns all servers that ever run.
+func (g *driver) specs() []model.ServerSpec {
 	all := g.s.Servers
 	for _, c := range g.s.Timeline {
 		if op, ok := c.What.(model.Start); ok {
@@ -230,14 +232,14 @@
 	return all
 }
 
-// play runs the script and the load, then waits for what is open.
-func (g *stage) play(ctx context.Context, chance model.Chance) (cut bool) {
+// play runs the script and the load, then waits for open requests.
+func (g *driver) play(ctx context.Context, seed model.Seed) (cut bool) {
 	var clients sync.WaitGroup
-	load := model.NewLoad(g.s, chance)
+	load := model.NewLoad(g.s, seed)
 	task, more := load.Next()
 	script := g.s.Timeline
 	sample := time.Duration(0)
-	open := make(chan struct{}, mostOpen)
+	openRequests := make(chan struct{}, maxOpen)
 	for {
 		next := g.s.Length
 		if more {
@@ -256,7 +258,7 @@
 		}
 		now := g.now()
 		g.mu.Lock()
-		faulty := g.fault != nil
+		faulty := g.err != nil
 		g.mu.Unlock()
 		if cut || faulty || now >= g.s.Length {
 			break
@@ -267,16 +269,16 @@
 		}
 		for ; more && task.At <= now; task, more = load.Next() {
 			c := model.NewClient(g.s, task)
-			c.Task.At = now // asked now: what the driver is late by is not the agent's
+			c.Task.At = now // the agent must not be charged for the driver's delay
 			select {
-			case open <- struct{}{}:
+			case openRequests <- struct{}{}:
 				clients.Go(func() {
-					g.client(ctx, &c, chance)
-					<-open
+					g.client(ctx, &c, seed)
+					<-openRequests
 				})
 			default:
 				g.mu.Lock()
-				g.fail(fmt.Errorf("%d requests are open at once: too many for sockets", mostOpen))
+				g.fail(fmt.Errorf("%d requests are open at once: too many for sockets", maxOpen))
 				g.mu.Unlock()
 			}
 		}
@@ -285,37 +287,37 @@
 			sample = now + g.every()
 		}
 	}
-	clients.Wait() // each ends by its deadline, and at once when ctx ends
+	clients.Wait() // each client ends by its deadline, or at once when ctx ends
 	return cut
 }
 
-// every is how long it is from one sample to the next.
-func (g *stage) every() time.Duration {
+// every returns the interval between samples.
+func (g *driver) every() time.Duration {
 	if g.o.Trace != nil {
 		return 100 * time.Millisecond
 	}
 	return 250 * time.Millisecond
 }
 
-func (g *stage) sample(now time.Duration) {
+func (g *driver) sample(now time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.world.Procs {
 		if !p.Dead {
-			g.day.Sample(now, p.Spec, p.Held(), p.Pressure(now))
+			g.stats.Sample(now, p.Spec, p.Held(), p.Pressure(now))
 			if g.o.Trace != nil {
 				g.o.Trace(now, p.Name, p.Held(), p.Pressure(now))
 			}
 		}
 	}
-	g.judge.Advance(now)
+	g.checker.Advance(now)
 	if g.o.Progress != nil {
-		g.o.Progress(now.Truncate(time.Millisecond), g.day)
+		g.o.Progress(now.Truncate(time.Millisecond), g.stats)
 	}
 }
 
-// apply does one change of the script.
-func (g *stage) apply(what any) {
+// apply makes one change of the script.
+func (g *driver) apply(what any) {
 	if op, ok := what.(model.Agents); ok {
 		for n := op.From; n < op.To; n++ {
 			if a := g.agents[n]; !op.Up {
@@ -332,18 +334,18 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	r := g.world.Apply(now, what)
-	for _, did := range r.Did {
-		g.did(did.Proc, did.Effects)
+	for _, did := range r.Effects {
+		g.applyEffects(did.Proc, did.Effects)
 	}
 	for _, p := range r.Died {
-		g.died(p)
+		g.resetConns(p)
 	}
-	g.tells(r.Tells)
-	g.settle()
+	g.deliver(r.Messages)
+	g.updateListeners()
 }
 
-// did carries out what a server does. The lock is held.
-func (g *stage) did(p *model.Proc, effects []model.Effect) {
+// applyEffects carries out the effects of a server. The lock is held.
+func (g *driver) applyEffects(p *model.Proc, effects []model.Effect) {
 	now := g.now()
 	for _, e := range effects {
 		switch e.Kind {
@@ -352,13 +354,13 @@
 				c.accepted = e.Kind == model.Accepted
 			}
 		case model.Replied:
-			row := g.day.Server(p.Spec)
+			row := g.stats.Server(p.Spec)
 			switch e.Result {
 			case decide.OK:
 				row.Served++
 			case decide.Rejected:
 				row.Full++
-				g.judge.TurnedAway(now, e.Job.ID, p.Name)
+				g.checker.TurnedAway(now, e.Job.ID, p.Name)
 			default:
 				row.Errors++
 			}
@@ -370,24 +372,24 @@
 				c.idleClose()
 			}
 		case model.Ran:
-			g.judge.Ran(now, e.Job.ID, p.Name)
-		case model.Fell:
-			informed := p.Blame(func(agent int) bool { return g.judge.Knows(agent, p.Name, p.Born()) })
-			row := g.day.Server(p.Spec)
+			g.checker.Ran(now, e.Job.ID, p.Name)
+		case model.Overloaded:
+			informed := p.InformedShare(func(agent int) bool { return g.checker.KnowsStart(agent, p.Name, p.StartedAt()) })
+			row := g.stats.Server(p.Spec)
 			row.Fell = true
 			row.Pressure = max(row.Pressure, p.Pressure(now))
-			g.judge.Fell(now, p.Name, informed)
-			tells := g.world.Fallen(now, p)
-			g.died(p)
-			g.tells(tells)
-			g.settle()
+			g.checker.Overloaded(now, p.Name, informed)
+			messages := g.world.EndOverloaded(now, p)
+			g.resetConns(p)
+			g.deliver(messages)
+			g.updateListeners()
 		}
 	}
 	g.wake(p)
 }
 
-// wake sees to it that a process is stepped when something is due. The lock is held.
-func (g *stage) wake(p *model.Proc) {
+// wake schedules the next step of a process for the time when something is due. The lock is held.
+func (g *driver) wake(p *model.Proc) {
 	next := p.NextWake()
 	if t := g.wakes[p]; t != nil {
 		t.Stop()
@@ -399,13 +401,13 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if !p.Dead && g.quit.Err() == nil {
-			g.did(p, p.Step(g.now(), model.Wake{}))
+			g.applyEffects(p, p.Step(g.now(), model.Wake{}))
 		}
 	})
 }
 
-// died resets the connections to a process. The lock is held.
-func (g *stage) died(p *model.Proc) {
+// resetConns resets the connections to a process. The lock is held.
+func (g *driver) resetConns(p *model.Proc) {
 	if t := g.wakes[p]; t != nil {
 		t.Stop()
 		delete(g.wakes, p)
@@ -415,11 +417,12 @@
 			c.abort()
 		}
 	}
-	g.settle()
+	g.updateListeners()
 }
 
-// close ends what is left. Connections' and listeners' goroutines end with them.
-func (g *stage) close() {
+// close closes all connections and listeners and stops all timers. The goroutines of the connections and listeners
+// end with them.
+func (g *driver) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, c := range g.conns {
@@ -428,8 +431,8 @@
 	for _, t := range g.wakes {
 		t.Stop()
 	}
-	if g.listAt != nil {
-		g.listAt.Stop()
+	if g.listTimer != nil {
+		g.listTimer.Stop()
 	}
 	for _, p := range g.places {
 		p.close(&g.running)
--- a/internal/simulate/model/sockets/sockets_test.go
+++ b/internal/simulate/model/sockets/sockets_test.go
@@ -25,7 +25,7 @@
 	"vetchhaven/internal/simulate/statistics"
 )
 
-// TestMain lets the test binary stand in for an agent's process.
+// TestMain lets the test binary run as an agent process.
 func TestMain(m *testing.M) {
 	if os.Getenv("REHEARSED_AGENT") == "1" {
 		if err := runAgent(); err != nil {
@@ -37,7 +37,7 @@
 	os.Exit(m.Run())
 }
 
-const day = `
+const baseScenario = `
 title = "test"
 length = "3s"
 [agents]
@@ -129,13 +129,13 @@
 	return l.b.Write(p)
 }
 
-// pids are those of the agents that were started.
-type pids struct {
+// agentProcs holds the agent processes that were started.
+type agentProcs struct {
 	mu   sync.Mutex
 	cmds []*exec.Cmd
 }
 
-func (p *pids) agent() *exec.Cmd {
+func (p *agentProcs) agent() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = []string{"REHEARSED_AGENT=1"}
 	p.mu.Lock()
@@ -144,12 +144,12 @@
 	return cmd
 }
 
-// checkGone makes sure that no process is left: each was waited for, and none of its name answers.
-func (p *pids) checkGone(t *testing.T) {
+// checkGone checks that no process is left: each was waited for, and none can be signalled.
+func (p *agentProcs) checkGone(t *testing.T) {
 	t.Helper()
 	for _, c := range p.cmds {
 		if c.ProcessState == nil {
-			t.Errorf("an agent was not waited for")
+			t.Errorf("the test did not wait for an agent")
 		} else if err := c.Process.Signal(syscall.Signal(0)); !errors.Is(err, os.ErrProcessDone) {
 			t.Errorf("agent %d is left: %v", c.ProcessState.Pid(), err)
 		}
@@ -158,7 +158,7 @@
 
 func play(t *testing.T, ctx context.Context, s *model.Scenario) *Played {
 	t.Helper()
-	p, log := &pids{}, &logs{}
+	p, log := &agentProcs{}, &logs{}
 	played, err := Play(ctx, Options{Scenario: s, Seed: 1, Agent: p.agent, Log: log})
 	p.checkGone(t)
 	if err != nil {
@@ -167,8 +167,8 @@
 	return played
 }
 
-// A day with most of what can happen, round real agents. On a machine that is busy answers may be
-// late, but nothing is lost and no rule is broken: that holds at any speed.
+// A scenario with most kinds of incidents, with real agents. On a busy machine answers may be late,
+// but no request is lost and no rule is broken at any speed.
 func TestRealAgentsKeepTheRules(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -183,7 +183,7 @@
 		"what = \"resets\"\nat = \"500ms\"\nfor = \"1s\"\nshare = 0.1",
 		"what = \"agents-restart\"\nat = \"2s\"\nagents = [1, 2]\nafter = \"100ms\"",
 	}
-	text := day
+	text := baseScenario
 	for _, i := range incidents {
 		text += "[[incident]]\n" + i + "\n"
 	}
@@ -204,15 +204,15 @@
 	}
 }
 
-// Ctrl-C in the middle ends it at once, marked, and leaves nothing behind.
+// A cancellation in the middle ends the simulation at once, marks the result and leaves no process behind.
 func TestCutShort(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
 	}
 	defer goleak.VerifyNone(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := load(t, strings.Replace(day, `length = "3s"`, `length = "10m"`, 1))
-	p := &pids{}
+	s := load(t, strings.Replace(baseScenario, `length = "3s"`, `length = "10m"`, 1))
+	p := &agentProcs{}
 	played, err := Play(ctx, Options{Scenario: s, Seed: 1, Agent: p.agent, Log: io.Discard, Progress: func(_ time.Duration, d *statistics.Day) {
 		if len(d.Windows) > 0 && d.Windows[0].Offered > 5 {
 			cancel()
@@ -224,12 +224,12 @@
 	}
 }
 
-func TestAnAgentThatDiesIsToldOf(t *testing.T) {
+func TestDeadAgentIsReported(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
 	}
 	defer goleak.VerifyNone(t)
-	_, err := Play(context.Background(), Options{Scenario: load(t, day), Seed: 1, Log: io.Discard, Agent: func() *exec.Cmd { return exec.Command("false") }})
+	_, err := Play(context.Background(), Options{Scenario: load(t, baseScenario), Seed: 1, Log: io.Discard, Agent: func() *exec.Cmd { return exec.Command("false") }})
 	if err == nil || !strings.Contains(err.Error(), "ended at its start") {
 		t.Error(err)
 	}
@@ -238,27 +238,27 @@
 func TestBounds(t *testing.T) {
 	for _, tt := range []struct{ old, new, want string }{
 		{"rate = 40.0", "rate = 4000.0", "too many for sockets"},
-		{"count = 2\ntick", "count = 700\ntick", "their product may be"},
+		{"count = 2\ntick", "count = 700\ntick", "their product must not exceed"},
 		{`length = "3s"`, `length = "31m"`, "too long for sockets"},
 		{`tick = "2ms"`, ``, "agents.tick"},
 	} {
-		_, err := Play(context.Background(), Options{Scenario: load(t, strings.Replace(day, tt.old, tt.new, 1))})
+		_, err := Play(context.Background(), Options{Scenario: load(t, strings.Replace(baseScenario, tt.old, tt.new, 1))})
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%s: %v", tt.new, err)
 		}
 	}
 }
 
-// An address can be open, shut and silent in turn: a connection comes up, is refused, or never
-// comes up.
-func TestDoor(t *testing.T) {
+// An address can be open, closed and silent in turn: a connection is accepted, refused, or never
+// established.
+func TestListener(t *testing.T) {
 	hello := make(chan struct{}, 100)
-	d, err := newDoor(func(c net.Conn) { hello <- struct{}{}; c.Close() })
+	d, err := newListener(func(c net.Conn) { hello <- struct{}{}; c.Close() })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.free()
-	defer func() { _ = d.set(shut) }()
+	defer func() { _ = d.set(closed) }()
 	dial := func(patience time.Duration) error {
 		c, err := net.DialTimeout("tcp", d.addr, patience)
 		if err == nil {
@@ -268,7 +268,7 @@
 	}
 	refused := func(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 	if err := dial(5 * time.Second); !refused(err) {
-		t.Errorf("shut: %v", err)
+		t.Errorf("closed: %v", err)
 	}
 	for range 3 {
 		if err := d.set(open); err != nil {
@@ -292,13 +292,13 @@
 		}
 		<-hello
 		if n := len(hello); n > 0 {
-			t.Errorf("%d connections from the time of silence were served", n)
+			t.Errorf("%d connections from the silent time were served", n)
 		}
-		if err := d.set(shut); err != nil {
+		if err := d.set(closed); err != nil {
 			t.Fatal(err)
 		}
 		if err := dial(5 * time.Second); !refused(err) {
-			t.Errorf("shut again: %v", err)
+			t.Errorf("closed again: %v", err)
 		}
 	}
 }
--- a/internal/simulate/model/sockets/tail.go
+++ b/internal/simulate/model/sockets/tail.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Tail keeps the last of what agents write, for when one of them fails.
+// Tail keeps the last bytes that agents write, to show them when an agent fails.
 type Tail struct {
 	mu  sync.Mutex
 	buf []byte
--- a/internal/simulate/model/spec.go
+++ b/internal/simulate/model/spec.go
@@ -6,49 +6,49 @@
 	"vetchhaven/decide"
 )
 
-// Kind is a kind of machine. Work is counted in time on a standard core.
+// Kind is a kind of server machine. Work is measured as time on a standard core.
 type Kind struct {
 	Name         string
 	Cores        int
-	Speed        float64 // of one core, in standard cores
-	Spread       float64 // coefficient of variation of Speed among servers of the kind
-	Slots        int     // requests in work at once
-	Queue        int     // requests that wait at the most; more are turned away unseen
-	Thrash       float64 // efficiency lost for each held request a core past ThrashAt
-	ThrashAt     float64 // held requests a core
-	ColdShare    float64 // capacity of a process that has just started
-	ColdFor      time.Duration
-	WarmByWork   bool          // warms with the work done, and evenly with time at the latest
+	Speed        float64       // of one core, in standard cores
+	Spread       float64       // coefficient of variation of Speed among servers of the kind
+	Slots        int           // requests processed at once
+	Queue        int           // maximum of waiting requests; further ones are rejected without being processed
+	Thrash       float64       // efficiency lost for each held request per core above ThrashAt
+	ThrashAt     float64       // held requests per core
+	ColdShare    float64       // share of the capacity that a process has when it has just started
+	ColdFor      time.Duration // time until it is warm
+	WarmByWork   bool          // warms up with the work done, but no slower than evenly over ColdFor
 	PauseEvery   time.Duration // mean time between pauses; 0: none
-	Pause        time.Duration // mean length of a pause of an idle server
-	PauseGrow    float64       // how much longer for each held request a slot, up to 4
-	ErrorRate    float64       // share of requests that fail at any time
-	Connections  int           // held at the most
-	Backlog      int           // beyond these, so many wait to be accepted: they are up for who opened them, and silent
-	Handshake    time.Duration // work of a new connection
-	HandshakeRTT float64       // round trips before the first request on it
+	Pause        time.Duration // mean length of a pause while the server is idle
+	PauseGrow    float64       // relative growth of a pause for each held request per slot, up to 4 requests
+	ErrorRate    float64       // share of requests that fail without any incident
+	Connections  int           // maximum of accepted connections
+	Backlog      int           // maximum of further connections, which are established but wait to be accepted
+	Handshake    time.Duration // work that a new connection costs
+	HandshakeRTT float64       // round trips before the first request on a new connection
 }
 
-// Capacity is the work that a warm, healthy server of the kind does in a unit of time.
+// Capacity returns the work that a warm, healthy server of the kind does in a unit of time.
 func (k *Kind) Capacity() float64 { return float64(min(k.Cores, k.Slots)) * k.Speed }
 
-// Class is a class of requests: what the policy is told of it, and what it is made of.
+// Class is a class of requests: what the policy is told about it, and how its requests are generated.
 type Class struct {
 	decide.Class
 	Name  string
-	Share float64 // of the first tries
+	Share float64 // of the clients' first tries
 	Work  time.Duration
 	Vary  float64 // coefficient of variation of the work among requests
-	Noise float64 // and among the attempts of one
-	Hint  float64 // and of the hint round the work; negative: no hint
+	Noise float64 // coefficient of variation of the work among the attempts of one request
+	Hint  float64 // coefficient of variation of the work hint around the work; negative: no hint
 }
 
-// Rules are the figures of the four rules, and what agents are told besides.
+// Rules are the parameters of the four rules that package checker describes, and further settings of agents.
 type Rules struct {
 	MaxAttempts    int
 	SecondCopies   bool
 	ConnectTimeout time.Duration
-	IdleClose      time.Duration // servers close a connection that has had no request for so long
+	IdleClose      time.Duration // servers close a connection after this time without a request
 	DrainGrace     time.Duration
 	AnswerSlack    time.Duration
 	AskWithin      time.Duration
@@ -57,51 +57,51 @@
 	FallMultiple   float64
 	FallWindow     time.Duration
 	CrossZonePrice float64
-	MaxRetryAfter  time.Duration // 0: clients are not told when to come back
+	MaxRetryAfter  time.Duration // 0: refusals carry no Retry-After
 }
 
-// ServerSpec is a server that exists at some time.
+// ServerSpec describes a server that exists at some time of the simulation.
 type ServerSpec struct {
-	Name  string // its id
-	Place int    // its address: one that replaces another may have the same
+	Name  string // its ID
+	Place int    // its address; a server that replaces another may have the same
 	Kind  int
 	Zone  int
 	Pod   int
 }
 
-// Clients is how clients ask again.
+// Clients describes how clients retry.
 type Clients struct {
-	Tries    int           // at the most, the first included
-	Wait     time.Duration // before the next one; 0: at once
-	Heed     float64       // share of clients that wait as long as a refusal says
-	Patience float64       // share of the class's deadline that a try waits which is not the last
+	Tries    int           // maximum number of tries, the first included
+	Wait     time.Duration // time before the next try; 0: at once
+	Heed     float64       // share of clients that obey the Retry-After of a refusal
+	Patience float64       // share of the class's deadline that a client waits for a try other than the last one
 }
 
-// Scenario is all that a rehearsal plays.
+// Scenario describes a whole simulation.
 type Scenario struct {
 	Title    string
 	Length   time.Duration
 	Agents   int
-	Uneven   float64 // how unevenly traffic is spread over agents: 0 even, 1 the first has most
-	Vary     float64 // coefficient of variation of the traffic among agents, besides
+	Uneven   float64 // how unevenly traffic is spread over agents: 0 even, 1 in inverse proportion to the agent's position
+	Vary     float64 // coefficient of variation of a further random factor on each agent's traffic
 	Tick     time.Duration
-	ByWork   bool // worth counts by the work of a request
+	ByWork   bool // the value of a request is multiplied by its work
 	Zones    []string
 	Kinds    []Kind
 	Classes  []Class
 	Servers  []ServerSpec // at the start
 	Rules    Rules
 	Clients  Clients
-	Rate     float64 // first tries a second
+	Rate     float64 // first tries per second
 	List     ListSpec
 	Records  RecordsSpec
 	Network  NetworkSpec
 	Report   ReportSpec
 	Timeline []Change // in order of time
-	Marks    []Mark   // the incidents as written, for people
+	Marks    []Mark   // the incidents as readable text
 }
 
-// Mark is an incident on the page.
+// Mark is an incident as reports show it.
 type Mark struct {
 	From, To time.Duration
 	Text     string
@@ -109,32 +109,33 @@
 
 // NetworkSpec is the network between agents and servers.
 type NetworkSpec struct {
-	Within time.Duration // one way, within a zone
-	Across time.Duration // and between two
-	Jitter float64       // share by which a message may be later
+	Within time.Duration // one-way delay within a zone
+	Across time.Duration // one-way delay between two zones
+	Jitter float64       // maximum of the random extra delay, as a share of the delay
 }
 
-// ReportSpec is how servers tell their load with answers.
+// ReportSpec describes how servers report their load with their answers.
 type ReportSpec struct {
 	Answers bool
-	Every   time.Duration // a report is that old at the most, and one more
+	Every   time.Duration // reporting period; a report is between one and two periods old
 	Noise   float64
 }
 
-// RecordsSpec is a second source that all agents read beside the list: published records, that come late and are
-// sometimes wrong. They tell no drains: a server that drains or is gone is withdrawn from them, later.
+// RecordsSpec describes a second discovery source that all agents read besides the list: published records, which
+// are late and sometimes wrong. They don't show draining: a server that drains or is removed disappears from them
+// later.
 type RecordsSpec struct {
-	Every  time.Duration // read so often; 0: there are none
-	Late   time.Duration // published so long after the truth
+	Every  time.Duration // interval between readings; 0: there are no records
+	Late   time.Duration // how late changes are published
 	Fail   float64       // share of readings that fail
-	Cut    float64       // that lose half of the records and do not say so
-	Empty  float64       // that come empty
-	Hold   time.Duration // how long the last good reading of failing records holds
-	Guard  time.Duration // how long servers stay that a reading suddenly lacks, if they are many
-	Settle time.Duration // the least time between two changes of a server's pod that take effect
+	Cut    float64       // share of readings that silently lack half of the records
+	Empty  float64       // share of readings that are empty
+	Hold   time.Duration // how long the last good reading stays valid while readings fail
+	Guard  time.Duration // how long servers are kept when many are suddenly missing from a reading
+	Settle time.Duration // minimum time between two changes of a server's pod that take effect
 }
 
-// Settings are what the policy of one agent is told.
+// Settings returns the settings of one agent's policy.
 func (s *Scenario) Settings(agent int) decide.Settings {
 	d := decide.Settings{
 		Balancers: s.Agents, Self: agent, Zone: s.ZoneOf(agent), ByWork: s.ByWork, Subscribe: s.List.Asked, Tick: s.Tick,
@@ -151,5 +152,5 @@
 	return d
 }
 
-// ZoneOf is the zone of an agent: they are spread over the zones in turn.
+// ZoneOf returns the zone of an agent. Agents are assigned to the zones in turn.
 func (s *Scenario) ZoneOf(agent int) int { return agent % len(s.Zones) }
