--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -12,28 +12,28 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// agent stands in for the real agent: the same loop, table of requests, attempts and pool of
-// connections as in package agent, on the driver's clock.
+// agent simulates the real agent: the same loop, table of requests, attempts and pool of
+// connections as in package core, on the driver's clock.
 type agent struct {
-	counted  decide.FleetSize // what it was last told of the fleet's size
-	d        *driver
-	n, zone  int
-	up       bool
-	leaving  bool // takes nothing new, and ends once it has answered what it took
-	life     int  // starts so far: what was planned for an earlier one is void
-	policy   Policy
-	pending  []decide.Event
-	stepped  time.Duration // the last step
-	stepping time.Duration // the next one that is planned; negative: none
-	timers   timers
-	requests map[string]*request
-	view     view
-	members  *endpoints.Module  // merges list and records; nil: there are no records
-	share    *sharer            // nil: it sees servers by itself
-	pools    map[string][]*conn // idle connections by server, the latest used last
-}
-
-// request is one that an agent has taken, until its attempts are in.
+	fleetSize  decide.FleetSize // the fleet size that the policy was told last
+	d          *driver
+	n, zone    int
+	up         bool
+	draining   bool // accepts no new requests, and ends once it has answered its open ones
+	generation int  // number of starts so far; events scheduled for an earlier one are ignored
+	policy     Policy
+	pending    []decide.Event
+	lastStep   time.Duration // time of the last step
+	nextStep   time.Duration // time of the next scheduled step; negative: none
+	timers     timers
+	requests   map[string]*request
+	view       view
+	merger     *endpoints.Module  // merges the list and the records; nil: there are no records
+	reporter   *reporter          // nil: outcomes are not shared
+	pools      map[string][]*conn // idle connections by server, the most recently used one last
+}
+
+// request is a request that an agent has accepted, until its attempts have ended.
 type request struct {
 	id       string
 	task     *model.Task
@@ -47,19 +47,19 @@
 }
 
 type attempt struct {
-	agent   *agent
-	life    int
-	r       *request
-	n       int
-	server  string
-	sent    time.Duration
-	process int64 // start of its server's process, as the agent's list had it
-	conn    *conn
-	written bool
-	over    bool
-}
-
-// view is the list as the agent has it.
+	agent      *agent
+	generation int
+	r          *request
+	n          int
+	server     string
+	sent       time.Duration
+	process    int64 // start time of the server's process according to the agent's list
+	conn       *conn
+	written    bool
+	ended      bool
+}
+
+// view is the agent's copy of the list.
 type view struct {
 	version int64
 	entries []model.Entry
@@ -93,60 +93,60 @@
 	}
 }
 
-// start begins anew with the list as the agent had it last.
+// start starts the agent with the last list that it had.
 func (a *agent) start(now time.Duration) (err error) {
-	if a.leaving {
+	if a.draining {
 		a.kill()
 	}
 	if a.up {
 		return nil
 	}
-	a.up, a.life = true, a.life+1
+	a.up, a.generation = true, a.generation+1
 	a.pending, a.timers, a.requests, a.pools = nil, nil, map[string]*request{}, map[string][]*conn{}
-	a.stepped, a.stepping = now-a.d.s.Tick, -1
-	seed := a.d.chance.Sub(model.Name("agent"), uint64(a.n), uint64(a.life))
+	a.lastStep, a.nextStep = now-a.d.s.Tick, -1
+	seed := a.d.seed.Derive(model.HashName("agent"), uint64(a.n), uint64(a.generation))
 	settings := a.d.s.Settings(a.n)
 	settings.Peers = a.d.o.Notes
-	settings.Balancers, a.counted = cmp.Or(a.d.o.Balancers, settings.Balancers), decide.FleetSize{}
+	settings.Balancers, a.fleetSize = cmp.Or(a.d.o.Balancers, settings.Balancers), decide.FleetSize{}
 	if a.policy, err = a.d.o.New(settings, uint64(seed)); err != nil {
 		return err
 	}
-	if p, ok := a.policy.(seer); ok {
-		p.Sees(a.d.truth)
+	if p, ok := a.policy.(oraclePolicy); ok {
+		p.SetServerStates(a.d.serverStates)
 	}
 	for _, e := range a.view.entries {
-		a.tell(e)
+		a.recordListed(e)
 	}
 	if a.d.s.Records.Every > 0 {
-		a.members = newMembers(a.d.s.Records)
+		a.merger = newMerger(a.d.s.Records)
 		var all []endpoints.Server
 		for _, e := range a.view.entries {
-			all = append(all, member(e))
+			all = append(all, endpointOf(e))
 		}
-		a.members.Step(a.d.now, endpoints.Snapshot{Source: fromList, Servers: all})
+		a.merger.Step(a.d.now, endpoints.Snapshot{Source: fromList, Servers: all})
 	}
 	a.post(decide.ListUpdate{Kind: decide.ListCached, Backends: backends(a.view.entries)})
-	if a.share != nil {
-		a.share.tell()
+	if a.reporter != nil {
+		a.reporter.postEjections()
 	}
 	return nil
 }
 
-// leave ends the agent's process once it has nothing open.
-func (a *agent) leave() {
-	if a.leaving = a.up; a.leaving && len(a.requests) == 0 {
+// drain ends the agent's process once it has no open requests.
+func (a *agent) drain() {
+	if a.draining = a.up; a.draining && len(a.requests) == 0 {
 		a.kill()
 	}
 }
 
-// kill ends the agent's process: what it holds is void, its clients' connections break.
+// kill ends the agent's process: its requests are lost, and its clients' connections break.
 func (a *agent) kill() {
 	if !a.up {
 		return
 	}
-	a.up, a.leaving = false, false
-	a.d.judge.Stopped(a.d.now, a.n)
-	for _, c := range a.d.sorted() {
+	a.up, a.draining = false, false
+	a.d.checker.Stopped(a.d.now, a.n)
+	for _, c := range a.d.sortedConns() {
 		if c.agent == a {
 			c.close()
 		}
@@ -169,7 +169,7 @@
 		}
 	}
 	a.requests = nil
-	a.d.list(model.Leave{Agent: a.n})
+	a.d.list(model.Unsubscribe{Agent: a.n})
 }
 
 func backends(entries []model.Entry) []decide.Backend {
@@ -184,39 +184,39 @@
 	return list
 }
 
-func (a *agent) tell(e model.Entry) {
-	a.d.judge.Told(a.d.now, a.n, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
+func (a *agent) recordListed(e model.Entry) {
+	a.d.checker.Listed(a.d.now, a.n, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
 }
 
-// told takes a message of the list.
-func (a *agent) told(t model.Tell) {
+// receiveList handles a message of the list.
+func (a *agent) receiveList(t model.ListMessage) {
 	if t.Failed {
 		a.post(decide.ListUpdate{Kind: decide.ListFailed})
 		return
 	}
 	for _, e := range t.Entries {
-		a.tell(e)
+		a.recordListed(e)
 	}
-	if a.members != nil {
+	if a.merger != nil {
 		if t.Full {
-			a.d.judge.Missing(a.d.now, a.n, func(server string) bool {
+			a.d.checker.Unlisted(a.d.now, a.n, func(server string) bool {
 				return slices.ContainsFunc(t.Entries, func(e model.Entry) bool { return e.Server.Name == server })
 			})
 		}
-		a.listed(t)
+		a.mergeList(t)
 		return
 	}
 	kind := decide.ListDelta
 	if t.Full {
 		kind = decide.ListFull
 		a.view.set(t.Version, t.Entries)
-		a.d.judge.Missing(a.d.now, a.n, func(server string) bool { _, ok := a.view.places[server]; return ok })
+		a.d.checker.Unlisted(a.d.now, a.n, func(server string) bool { _, ok := a.view.places[server]; return ok })
 	} else {
 		a.view.change(t.Version, t.Entries)
 	}
 	a.post(decide.ListUpdate{Kind: kind, Backends: backends(t.Entries)})
-	if a.share != nil {
-		a.share.listed(t.Entries, t.Full)
+	if a.reporter != nil {
+		a.reporter.updateList(t.Entries, t.Full)
 	}
 }
 
@@ -224,19 +224,19 @@
 
 func (a *agent) post(e decide.Event) {
 	a.pending = append(a.pending, e)
-	a.plan(a.d.now)
+	a.scheduleStep(a.d.now)
 }
 
-// plan sees to a step at a time, or as soon after as the tick allows.
-func (a *agent) plan(at time.Duration) {
-	at = max(at, a.stepped+a.d.s.Tick)
-	if a.stepping >= 0 && a.stepping <= at {
+// scheduleStep schedules a step at a time, or as soon after it as the tick allows.
+func (a *agent) scheduleStep(at time.Duration) {
+	at = max(at, a.lastStep+a.d.s.Tick)
+	if a.nextStep >= 0 && a.nextStep <= at {
 		return
 	}
-	a.stepping = at
-	life := a.life
+	a.nextStep = at
+	generation := a.generation
 	a.d.at(at, func() {
-		if a.up && a.life == life && a.stepping == at {
+		if a.up && a.generation == generation && a.nextStep == at {
 			a.step()
 		}
 	})
@@ -244,12 +244,12 @@
 
 func (a *agent) step() {
 	now := a.d.now
-	a.stepping = -1
+	a.nextStep = -1
 	for len(a.timers) > 0 && a.timers[0].at <= now {
 		a.pending = append(a.pending, decide.TimerFired{Token: heap.Pop(&a.timers).(timer).token})
 	}
 	if len(a.pending) > 0 {
-		a.stepped = now
+		a.lastStep = now
 		events := a.pending
 		a.pending = nil
 		for i, e := range events {
@@ -263,15 +263,15 @@
 		}
 	}
 	if len(a.pending) > 0 {
-		a.plan(now)
+		a.scheduleStep(now)
 	}
 	if len(a.timers) > 0 {
-		a.plan(a.timers[0].at)
+		a.scheduleStep(a.timers[0].at)
 	}
 }
 
-// margin is kept free before the client's time is up: a time-out at its end reaches the policy in
-// time for the client to hear the final answer.
+// margin returns the time that is kept free before the client's deadline: a time-out of an attempt
+// reaches the policy early enough for the client to get the final answer.
 func (a *agent) margin() time.Duration { return a.d.s.Tick }
 
 func (a *agent) execute(act decide.Action) {
@@ -283,10 +283,10 @@
 			r.attempts[act.Attempt].end(decide.Cancelled, decide.Load{})
 		}
 	case decide.Refuse:
-		a.turnedAway(act.Request, act.Reason)
+		a.countTurnedAway(act.Request, act.Reason)
 		a.answer(act.Request, checker.Refused, model.Refused, act.RetryAfter)
 	case decide.Fail:
-		a.turnedAway(act.Request, act.Reason)
+		a.countTurnedAway(act.Request, act.Reason)
 		a.answer(act.Request, checker.Failed, model.Failed, 0)
 	case decide.SendToPeer:
 		if to := act.To; a.d.o.Notes && to >= 0 && to < len(a.d.agents) {
@@ -301,53 +301,53 @@
 	case decide.SetTimer:
 		heap.Push(&a.timers, timer{a.d.now + act.After, act.Token})
 	case decide.Subscribe:
-		a.d.day.Call(a.d.now)
-		a.d.list(model.Ask{Agent: a.n, Since: a.view.version})
+		a.d.stats.Call(a.d.now)
+		a.d.list(model.Subscribe{Agent: a.n, Since: a.view.version})
 	}
 }
 
-func (a *agent) turnedAway(id string, why decide.Reason) {
+func (a *agent) countTurnedAway(id string, why decide.Reason) {
 	if r := a.requests[id]; r != nil {
-		a.d.day.TurnedAway(a.d.now, r.class, why)
+		a.d.stats.TurnedAway(a.d.now, r.class, why)
 	}
 }
 
 func (a *agent) take(r *request) {
 	a.requests[r.id] = r
 	a.post(decide.Request{ID: r.id, Class: r.class, Work: r.task.Hint})
-	life := a.life
-	alive := func() bool { return a.up && a.life == life && !r.done }
-	a.d.at(r.deadline, func() { // the client leaves; what it may still be told is nobody's any more
+	generation := a.generation
+	alive := func() bool { return a.up && a.generation == generation && !r.done }
+	a.d.at(r.deadline, func() { // the client leaves and reads no later answer
 		if alive() && r.answer != nil {
 			answer := r.answer
 			r.answer = nil
 			answer(model.NoAnswer, 0)
 		}
 	})
-	// The real agent answers in the policy's stead half a slack later. Here the policy has to, or the
-	// judge says so.
+	// The real agent answers instead of the policy half of AnswerSlack after the deadline. Here the policy
+	// must answer, or the checker reports a breach.
 	a.d.at(r.deadline+a.d.s.Rules.AnswerSlack, func() {
 		if alive() {
 			r.done = true
 			a.post(decide.RequestCancelled{Request: r.id})
-			a.forget(r)
+			a.removeIfDone(r)
 		}
 	})
 }
 
-// answer carries a final answer of the policy out. One for a request that has ended is for the
-// judge alone: on a connection there is no room for a second.
+// answer delivers a final answer of the policy. An answer to a request that has ended goes to the
+// checker only, since a connection can't carry a second answer.
 func (a *agent) answer(id string, kind checker.Kind, told model.Answer, after time.Duration) {
 	if r := a.requests[id]; r != nil {
 		a.finish(r, kind, told, after)
 	} else {
-		a.d.judge.Answered(a.d.now, a.n, id, kind)
+		a.d.checker.Answered(a.d.now, a.n, id, kind)
 	}
 }
 
-// finish gives a final answer. That there is only one is the policy's to see to, and the judge's.
+// finish delivers a final answer. The policy has to give only one, and the checker verifies that.
 func (a *agent) finish(r *request, kind checker.Kind, told model.Answer, after time.Duration) {
-	a.d.judge.Answered(a.d.now, a.n, r.id, kind)
+	a.d.checker.Answered(a.d.now, a.n, r.id, kind)
 	if !r.done {
 		r.done = true
 		if answer := r.answer; answer != nil {
@@ -355,16 +355,16 @@
 			answer(told, after)
 		}
 	}
-	a.forget(r)
+	a.removeIfDone(r)
 }
 
-func (a *agent) forget(r *request) {
+func (a *agent) removeIfDone(r *request) {
 	if r.done && r.open == 0 {
 		delete(a.requests, r.id)
-		if a.leaving && len(a.requests) == 0 {
-			life := a.life // not now: whoever forgets is in the midst of it
+		if a.draining && len(a.requests) == 0 {
+			generation := a.generation // scheduled, since the caller still uses the request
 			a.d.at(a.d.now, func() {
-				if a.life == life && a.leaving {
+				if a.generation == generation && a.draining {
 					a.kill()
 				}
 			})
@@ -381,13 +381,13 @@
 		return
 	}
 	now := a.d.now
-	t := &attempt{agent: a, life: a.life, r: r, n: len(r.attempts), server: s.Backend, sent: now}
-	if a.share != nil {
-		t.process = a.share.starts[s.Backend]
+	t := &attempt{agent: a, generation: a.generation, r: r, n: len(r.attempts), server: s.Backend, sent: now}
+	if a.reporter != nil {
+		t.process = a.reporter.starts[s.Backend]
 	}
 	r.attempts = append(r.attempts, t)
 	r.open++
-	a.d.day.Attempt(now, r.class, s.Backend)
+	a.d.stats.Attempt(now, r.class, s.Backend)
 	until := r.deadline - a.margin()
 	if s.Timeout > 0 {
 		until = min(until, now+s.Timeout)
@@ -405,26 +405,26 @@
 		return
 	}
 	if c := a.idle(s.Backend); c != nil {
-		c.use(t)
+		c.assign(t)
 		c.write()
 		return
 	}
 	a.dial(t, place)
 }
 
-// end is an attempt's one outcome.
+// end records the one outcome of an attempt.
 func (t *attempt) end(result decide.Result, load decide.Load) {
 	a := t.agent
-	if t.over || a.life != t.life || !a.up {
+	if t.ended || a.generation != t.generation || !a.up {
 		return
 	}
-	t.over = true
+	t.ended = true
 	r := t.r
 	r.open--
 	if c := t.conn; c != nil {
 		t.conn, c.attempt = nil, nil
 		if result == decide.OK || result == decide.Errored || result == decide.Rejected {
-			c.rest()
+			c.putIdle()
 		} else {
 			c.close()
 		}
@@ -434,33 +434,33 @@
 	}
 	a.post(decide.Outcome{Request: r.id, Attempt: t.n, Backend: t.server, Result: result,
 		Latency: a.d.now - t.sent, Answered: r.done, Load: load})
-	if a.share != nil {
-		a.share.saw(t, result)
+	if a.reporter != nil {
+		a.reporter.observe(t, result)
 	}
 	if a.d.o.Ended != nil {
 		a.d.o.Ended(a.d.now, a.n, t.server, result)
 	}
-	a.forget(r)
+	a.removeIfDone(r)
 }
 
 // ---- Connections ----
 
-// conn is one connection of an agent to a process.
+// conn is a connection of an agent to a process.
 type conn struct {
-	id      int
-	agent   *agent
-	server  string // as the agent names it: another may have its address by now
-	proc    *model.Proc
-	attempt *attempt
-	ready   bool
-	over    bool
-	mute    bool // what comes back is lost
-	since   time.Duration
+	id          int
+	agent       *agent
+	server      string // the agent's name for it; another server may have its address by now
+	proc        *model.Proc
+	attempt     *attempt
+	ready       bool
+	closed      bool
+	answersLost bool // answers are lost
+	idleSince   time.Duration
 }
 
-const restTime = 20 * time.Millisecond // as in package agent
+const minIdleTime = 20 * time.Millisecond // as in the real agent
 
-// inView is how many servers it has a connection to.
+// inView returns the number of servers that the agent has connections to.
 func (a *agent) inView() int {
 	seen := map[string]bool{}
 	for server, list := range a.pools {
@@ -470,7 +470,7 @@
 	}
 	for _, r := range a.requests {
 		for _, t := range r.attempts {
-			if !t.over {
+			if !t.ended {
 				seen[t.server] = true
 			}
 		}
@@ -478,11 +478,11 @@
 	return len(seen)
 }
 
-// idle takes the connection used last of those that have rested, else the last one.
+// idle takes the most recently used connection that has been idle for minIdleTime, else the most recently used one.
 func (a *agent) idle(server string) *conn {
 	list := a.pools[server]
-	keep := a.d.s.Rules.IdleClose * 3 / 4 // as the real agent
-	for len(list) > 0 && a.d.now-list[0].since >= keep {
+	keep := a.d.s.Rules.IdleClose * 3 / 4 // as in the real agent
+	for len(list) > 0 && a.d.now-list[0].idleSince >= keep {
 		list[0].close()
 		list = a.pools[server]
 	}
@@ -490,10 +490,10 @@
 		return nil
 	}
 	i := len(list) - 1
-	for i > 0 && a.d.now-list[i].since < restTime {
+	for i > 0 && a.d.now-list[i].idleSince < minIdleTime {
 		i--
 	}
-	if a.d.now-list[i].since < restTime {
+	if a.d.now-list[i].idleSince < minIdleTime {
 		i = len(list) - 1
 	}
 	c := list[i]
@@ -510,35 +510,35 @@
 		}
 	})
 	if p == nil {
-		// Nothing listens there: its machine says so, if it can be reached.
-		d.at(d.now+2*d.world.Net.Way(a.zone, a.zone), func() { t.end(decide.ConnectFailed, decide.Load{}) })
+		// No process listens there, so its machine refuses the connection.
+		d.at(d.now+2*d.world.Net.Delay(a.zone, a.zone), func() { t.end(decide.ConnectFailed, decide.Load{}) })
 		return
 	}
-	d.conn++
-	d.day.Dial(d.now, t.r.class)
-	c := &conn{id: d.conn, agent: a, server: t.server, proc: p}
+	d.lastConn++
+	d.stats.Dial(d.now, t.r.class)
+	c := &conn{id: d.lastConn, agent: a, server: t.server, proc: p}
 	d.conns[c.id] = c
-	c.use(t)
-	c.forth(func() { d.step(p, model.Dial{Conn: c.id, Agent: a.n}) })
+	c.assign(t)
+	c.toServer(func() { d.step(p, model.Dial{Conn: c.id, Agent: a.n}) })
 }
 
-func (c *conn) use(t *attempt) { c.attempt, t.conn = t, c }
+func (c *conn) assign(t *attempt) { c.attempt, t.conn = t, c }
 
-// forth carries something to the server, if the way is open.
-func (c *conn) forth(f func()) {
+// toServer delivers something to the server, if the network connects them.
+func (c *conn) toServer(f func()) {
 	d, p := c.agent.d, c.proc
-	if p.Silent || !d.world.Net.Open(c.agent.zone, p.Spec.Zone) {
+	if p.Silent || !d.world.Net.Connected(c.agent.zone, p.Spec.Zone) {
 		return
 	}
-	d.at(d.now+d.world.Net.Way(c.agent.zone, p.Spec.Zone), func() {
+	d.at(d.now+d.world.Net.Delay(c.agent.zone, p.Spec.Zone), func() {
 		if !p.Dead && !p.Silent {
 			f()
 		}
 	})
 }
 
-// came says that the connection is up, or refused.
-func (c *conn) came(up bool) {
+// opened handles the result of the dial: the connection is established or refused.
+func (c *conn) opened(up bool) {
 	t, d := c.attempt, c.agent.d
 	if t == nil {
 		return
@@ -548,9 +548,9 @@
 		return
 	}
 	c.ready = true
-	trips := time.Duration(max(0, d.s.Kinds[c.proc.Spec.Kind].HandshakeRTT-1) * 2 * float64(d.world.Net.Way(c.agent.zone, c.proc.Spec.Zone)))
+	trips := time.Duration(max(0, d.s.Kinds[c.proc.Spec.Kind].HandshakeRTT-1) * 2 * float64(d.world.Net.Delay(c.agent.zone, c.proc.Spec.Zone)))
 	d.at(d.now+trips, func() {
-		if !c.over && c.attempt == t {
+		if !c.closed && c.attempt == t {
 			c.write()
 		}
 	})
@@ -563,28 +563,28 @@
 	began := d.now
 	breaks, before := d.world.Net.Breaks()
 	if breaks {
-		d.at(d.now+d.world.Net.Way(c.agent.zone, c.proc.Spec.Zone), c.reset)
+		d.at(d.now+d.world.Net.Delay(c.agent.zone, c.proc.Spec.Zone), c.reset)
 		if before {
 			return
 		}
 	}
-	if d.world.Net.Loses() {
-		c.mute = true
+	if d.world.Net.LosesAnswer() {
+		c.answersLost = true
 	}
-	work, luck := t.r.task.Attempt(d.s, d.chance, t.r.try, t.n)
-	job := model.Job{ID: t.r.id, Agent: c.agent.n, Class: t.r.class, Key: t.r.task.Key, Work: work, Luck: luck, Sent: began}
+	work, draw := t.r.task.Attempt(d.s, d.seed, t.r.try, t.n)
+	job := model.Job{ID: t.r.id, Agent: c.agent.n, Class: t.r.class, Key: t.r.task.Key, Work: work, Draw: draw, Sent: began}
 	p := c.proc
-	c.forth(func() {
-		d.judge.Arrived(d.now, began, c.agent.n, job.ID, c.server)
-		if p.Name != c.server { // another process has the address: it is that one that runs it
-			d.judge.Moved(job.ID, c.server, p.Name)
+	c.toServer(func() {
+		d.checker.Arrived(d.now, began, c.agent.n, job.ID, c.server)
+		if p.Name != c.server { // another process has the address now and runs the request
+			d.checker.Moved(job.ID, c.server, p.Name)
 		}
 		d.step(p, model.Arrive{Conn: c.id, Job: job})
 	})
 }
 
 func (c *conn) replied(result decide.Result, load decide.Load) {
-	if c.mute {
+	if c.answersLost {
 		return
 	}
 	if t := c.attempt; t != nil {
@@ -592,7 +592,7 @@
 	}
 }
 
-// reset ends the connection from the other side.
+// reset handles the end of the connection by the server.
 func (c *conn) reset() {
 	t := c.attempt
 	switch {
@@ -605,34 +605,34 @@
 	}
 }
 
-// rest keeps the connection for the next attempt.
-func (c *conn) rest() {
+// putIdle keeps the connection for a later attempt.
+func (c *conn) putIdle() {
 	a := c.agent
-	if c.over || a.view.places[c.server] != c.proc.Spec.Place {
+	if c.closed || a.view.places[c.server] != c.proc.Spec.Place {
 		c.close()
 		return
 	}
-	c.since = a.d.now
+	c.idleSince = a.d.now
 	a.pools[c.server] = append(a.pools[c.server], c)
 }
 
 // close ends the connection from the agent's side.
 func (c *conn) close() {
-	if c.over {
+	if c.closed {
 		return
 	}
-	c.over = true
+	c.closed = true
 	delete(c.agent.d.conns, c.id)
 	if list := c.agent.pools[c.server]; len(list) > 0 {
 		if i := slices.Index(list, c); i >= 0 {
 			c.agent.pools[c.server] = slices.Delete(list, i, i+1)
 		}
 	}
-	c.forth(func() { c.agent.d.step(c.proc, model.Hangup{Conn: c.id}) })
+	c.toServer(func() { c.agent.d.step(c.proc, model.Hangup{Conn: c.id}) })
 }
 
-// sorted is all connections, oldest first: a map has no order.
-func (d *driver) sorted() []*conn {
+// sortedConns returns all connections, oldest first, since the order of a map is random.
+func (d *driver) sortedConns() []*conn {
 	all := make([]*conn, 0, len(d.conns))
 	for _, c := range d.conns {
 		all = append(all, c)
--- a/internal/simulate/model/virtual/many_test.go
+++ b/internal/simulate/model/virtual/many_test.go
@@ -6,24 +6,25 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// What is harmless in one agent adds up over a hundred: new connections, servers looked at, cold budgets, delays
-// believed. Each row brings one such case about (testdata/many-NAME.toml: 100 agents, 66 servers, 12 s) and asks for a
-// service and for a bound on connections opened. Before the mends of the fleet trial each opened nearly twice as many
-// as it may, and burst, replaced and zone served less than asked too; throng, of a day of 32 agents, served half.
+// Behaviour that is harmless in one agent adds up over a hundred agents: new connections, servers considered, slow-start
+// budgets, trusted delays. Each row is such a case (testdata/many-NAME.toml: 100 agents, 66 servers, 12 s) with a
+// minimum service and a maximum of opened connections. The tests guard against a fleet that opens nearly twice as many
+// connections as allowed, and against too little service in burst, replaced and zone; with the fault, throng (32
+// agents) served half of its requests.
 func TestManyAgentsServeAsOne(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		service float64 // at least
 		dials   int     // at most
 	}{
-		{"restart", 0.93, 5500},     // all agents restart at once into a fleet half of which is cold
-		{"burst", 0.955, 4500},      // half as much again over a fleet near its limit
+		{"restart", 0.93, 5500},     // all agents restart at once while half of the servers are cold
+		{"burst", 0.955, 4500},      // 50% more load on a fleet near its limit
 		{"busy", 0.98, 3500},        // one agent with ten times the mean traffic
-		{"zone", 0.97, 4500},        // a zone lost and back cold while the others are full
-		{"replaced", 0.68, 6000},    // all that an agent keeps to is replaced within 7 s
+		{"zone", 0.97, 4500},        // a zone fails and comes back cold while the others are full
+		{"replaced", 0.68, 6000},    // all servers that an agent uses are replaced within 7 s
 		{"late", 0.98, 4000},        // the list is 6 s late while connections break
-		{"turned-away", 0.92, 5500}, // the list turns seven calls in ten away as all restart
-		{"throng", 0.62, 600},       // 32 agents whose clients tell nothing of work that takes 0.3 of its aim
+		{"turned-away", 0.92, 5500}, // the list rejects seven calls in ten while all agents restart
+		{"throng", 0.62, 600},       // 32 agents, no work hints; the work takes 0.3 of the latency objective
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -11,13 +11,13 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// records plays a second source beside the list: one reading for all agents, of what was true a while ago, that
-// fails, is cut short or comes empty now and then.
+// records simulates a second discovery source besides the list: one reading for all agents, of the state some time
+// ago, which sometimes fails, is truncated or is empty.
 type records struct {
-	d     *driver
-	spec  model.RecordsSpec
-	past  []published
-	drawn int
+	d       *driver
+	spec    model.RecordsSpec
+	history []published
+	reads   int
 }
 
 type published struct {
@@ -30,30 +30,30 @@
 	fromRecords = "records"
 )
 
-// look keeps what is true now, and gives agents what they read of it. It comes again by itself.
-func (r *records) look() {
+// read stores the present state and passes the published one to the agents. It schedules the next reading.
+func (r *records) read() {
 	d := r.d
 	var all []endpoints.Server
 	for _, p := range d.world.Procs {
 		if p.Dead || p.Draining() || d.world.Find(p.Name) != p {
 			continue
 		}
-		all = append(all, member(model.Entry{Server: p.Spec, State: decide.Up, Started: p.Born()}))
+		all = append(all, endpointOf(model.Entry{Server: p.Spec, State: decide.Up, Started: p.StartedAt()}))
 	}
-	r.past = append(r.past, published{d.now, all})
-	for len(r.past) > 1 && r.past[1].at <= d.now-r.spec.Late {
-		r.past = r.past[1:]
+	r.history = append(r.history, published{d.now, all})
+	for len(r.history) > 1 && r.history[1].at <= d.now-r.spec.Late {
+		r.history = r.history[1:]
 	}
-	r.drawn++
-	c := d.chance.Sub(model.Name("records"), uint64(r.drawn))
-	luck, s := c.Float(), r.spec
-	var report endpoints.Report = endpoints.Snapshot{Source: fromRecords, Servers: r.past[0].all}
+	r.reads++
+	c := d.seed.Derive(model.HashName("records"), uint64(r.reads))
+	draw, s := c.Float(), r.spec
+	var report endpoints.Report = endpoints.Snapshot{Source: fromRecords, Servers: r.history[0].all}
 	switch {
-	case luck < s.Fail:
+	case draw < s.Fail:
 		report = endpoints.Failed{Source: fromRecords}
-	case luck < s.Fail+s.Cut:
-		report = endpoints.Snapshot{Source: fromRecords, Servers: r.past[0].all[:len(r.past[0].all)/2]}
-	case luck < s.Fail+s.Cut+s.Empty:
+	case draw < s.Fail+s.Cut:
+		report = endpoints.Snapshot{Source: fromRecords, Servers: r.history[0].all[:len(r.history[0].all)/2]}
+	case draw < s.Fail+s.Cut+s.Empty:
 		report = endpoints.Snapshot{Source: fromRecords}
 	}
 	for _, a := range d.agents {
@@ -61,11 +61,11 @@
 			a.merge(report)
 		}
 	}
-	d.at(d.now+s.Every, r.look)
+	d.at(d.now+s.Every, r.read)
 }
 
-// member is a server as a source tells of it. Places stand for addresses.
-func member(e model.Entry) endpoints.Server {
+// endpointOf converts an entry into a source's form. Places stand for addresses.
+func endpointOf(e model.Entry) endpoints.Server {
 	v := endpoints.Server{ID: e.Server.Name, Addr: "place:" + strconv.Itoa(e.Server.Place), Zone: strconv.Itoa(e.Server.Zone),
 		Kind: strconv.Itoa(e.Server.Kind), Pod: e.Server.Pod, Weight: 1, Started: e.Started.Milliseconds()}
 	switch e.State {
@@ -79,8 +79,8 @@
 	return v
 }
 
-// entry is the way back.
-func entry(m endpoints.Member) (model.Entry, error) {
+// entryOf converts a merged member back into an entry.
+func entryOf(m endpoints.Member) (model.Entry, error) {
 	e := model.Entry{Server: model.ServerSpec{Name: m.ID, Pod: m.Pod}, Started: time.Duration(m.Started) * time.Millisecond}
 	if m.State == endpoints.Draining {
 		e.State = decide.Draining
@@ -91,24 +91,24 @@
 	}{{m.Zone, &e.Server.Zone}, {m.Kind, &e.Server.Kind}, {m.Addr[len("place:"):], &e.Server.Place}} {
 		n, err := strconv.Atoi(x.text)
 		if err != nil {
-			return e, fmt.Errorf("a member of the rehearsal: %w", err)
+			return e, fmt.Errorf("convert a member of the simulation: %w", err)
 		}
 		*x.to = n
 	}
 	return e, nil
 }
 
-// newMembers is what merges for one agent, which is told the list as it had it last.
-func newMembers(s model.RecordsSpec) *endpoints.Module {
+// newMerger returns the module that merges the sources of one agent.
+func newMerger(s model.RecordsSpec) *endpoints.Module {
 	return endpoints.New(endpoints.Settings{Guard: s.Guard, Settle: s.Settle, Sources: []endpoints.Source{
 		{Name: fromList, Exact: true, Hold: 100 * time.Hour}, {Name: fromRecords, Hold: s.Hold}}})
 }
 
-// merge gives an agent what a source said, and its policy the list that comes of it.
+// merge passes a source's report to an agent, and the merged list to its policy.
 func (a *agent) merge(report endpoints.Report) {
 	var list []endpoints.Member
 	changed := false
-	if a.d.o.Believe { // a resolver that believes each answer, and knows of nothing else
+	if a.d.o.Believe { // like a resolver that uses each answer as it is, without other sources
 		v, whole := report.(endpoints.Snapshot)
 		if !whole || v.Source != fromRecords {
 			return
@@ -118,7 +118,7 @@
 		}
 		changed = true
 	} else {
-		list, changed = a.members.Step(a.d.now, report)
+		list, changed = a.merger.Step(a.d.now, report)
 	}
 	if !changed {
 		return
@@ -128,7 +128,7 @@
 		if !m.In {
 			continue
 		}
-		e, err := entry(m)
+		e, err := entryOf(m)
 		if err != nil {
 			a.d.err = err
 			return
@@ -142,11 +142,11 @@
 	a.post(decide.ListUpdate{Kind: decide.ListFull, Backends: backends(entries)})
 }
 
-// listed passes on what the list told, as a report.
-func (a *agent) listed(t model.Tell) {
+// mergeList passes on a message of the list as a report.
+func (a *agent) mergeList(t model.ListMessage) {
 	all := make([]endpoints.Server, 0, len(t.Entries))
 	for _, e := range t.Entries {
-		all = append(all, member(e))
+		all = append(all, endpointOf(e))
 	}
 	a.view.version = t.Version
 	if t.Full {
--- a/internal/simulate/model/virtual/records_test.go
+++ b/internal/simulate/model/virtual/records_test.go
@@ -6,13 +6,14 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// Records are published 45 s late, fail, are cut short or come empty, while servers drain, go, come back and move.
-// Merged with the list they bring nothing to what it called drained, double no ward-close and leave nobody without
-// servers. Who believes each reading does all three: the day has room for it.
+// Records are published 45 s late, fail, are truncated or are empty, while servers drain, end, come back and move.
+// When they are merged with the list, no request goes to a drained server, no ward-close has its effect twice and no
+// agent is left without servers. An agent that uses each reading as it is sends to drained servers and is left without
+// servers, so the scenario can show the fault.
 //
-// An effect may come twice with no agent to blame, where a server has moved and the list itself tells of it late: on one
-// day in fourteen, once, and any change of what is drawn moves it to another day. The judge tells it from a repeat of an
-// agent's own, of which there may be none.
+// An effect may come twice without an agent's fault if a server has moved and the list itself reports that late: once
+// in one run out of fourteen, and a different order of random draws moves it to another seed. The checker distinguishes
+// this from a repeat by an agent, which must not happen.
 func TestContradictingSourcesAreMerged(t *testing.T) {
 	s, err := scenario.Load("../../../../scenarios/two-sources.toml")
 	if err != nil {
@@ -30,14 +31,14 @@
 		t.Errorf("rule broken: %v", b)
 	}
 	if twice, free := p.Judge.Doubled(); twice > len(free) || len(free) > 1 || p.Emptied > 0 {
-		t.Errorf("%d effects twice by agents' repeats, %v by nobody's, %d times without a server, want none, at most one, none",
+		t.Errorf("%d effects twice by agents' repeats, %v without an agent's fault, %d times without a server; want none, at most one, none",
 			twice-len(free), free, p.Emptied)
 	}
 	if got := p.Day.Total.Service(); got < 0.99 {
 		t.Errorf("service %.3f, want 0.99", got)
 	}
 	if p := play(true); p.Judge.Count(3) < 100 || p.Emptied == 0 {
-		t.Errorf("believing all sent %d to what drains and was left without a server %d times: the day tries nothing",
+		t.Errorf("using each reading as it is sent %d requests to draining servers and left agents without a server %d times: the scenario shows no fault",
 			p.Judge.Count(3), p.Emptied)
 	}
 }
--- a/internal/simulate/model/virtual/share.go
+++ b/internal/simulate/model/virtual/share.go
@@ -10,47 +10,47 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// Sharing is how agents tell one another what they see of servers.
+// Sharing describes how agents share the outcomes of their attempts at servers.
 type Sharing struct {
 	Lost float64       // share of messages that are lost
-	Late time.Duration // how long the rest takes
+	Late time.Duration // delay of the other messages
 }
 
-// Ended is told of the end of each attempt.
+// Ended is called at the end of each attempt.
 type Ended func(now time.Duration, agent int, server string, r decide.Result)
 
-// sharer is an agent's part in it.
-type sharer struct {
-	a      *agent
-	m      *ejection.Member
-	wake   time.Duration
-	starts map[string]int64
-	list   map[string]ejection.Server
-	judged []ejection.Ejection
+// reporter shares the outcomes of one agent and gets the ejections that result.
+type reporter struct {
+	a         *agent
+	member    *ejection.Member
+	wakeAt    time.Duration
+	starts    map[string]int64
+	list      map[string]ejection.Server
+	ejections []ejection.Ejection
 }
 
 func memberName(n int) string { return fmt.Sprint("m", n) }
 
-// shareFrom has all agents share what they see.
-func (d *driver) shareFrom() error {
+// startReporters makes all agents share their outcomes.
+func (d *driver) startReporters() error {
 	var names []string
 	for n := range d.agents {
 		names = append(names, memberName(n))
 	}
 	for n, a := range d.agents {
-		m, err := ejection.New(ejection.Settings{Name: memberName(n), RunID: 1}, uint64(d.chance.Sub(model.Name("verdicts"), uint64(n))))
+		m, err := ejection.New(ejection.Settings{Name: memberName(n), RunID: 1}, uint64(d.seed.Derive(model.HashName("verdicts"), uint64(n))))
 		if err != nil {
 			return err
 		}
-		a.share = &sharer{a: a, m: m, wake: -1, starts: map[string]int64{}, list: map[string]ejection.Server{}}
-		a.share.listed(a.view.entries, true)
-		a.share.step(ejection.MembersChanged{Names: names})
+		a.reporter = &reporter{a: a, member: m, wakeAt: -1, starts: map[string]int64{}, list: map[string]ejection.Server{}}
+		a.reporter.updateList(a.view.entries, true)
+		a.reporter.step(ejection.MembersChanged{Names: names})
 	}
 	return nil
 }
 
-// listed takes what the agent's own list says.
-func (s *sharer) listed(entries []model.Entry, full bool) {
+// updateList handles an update of the agent's own list.
+func (s *reporter) updateList(entries []model.Entry, full bool) {
 	if full {
 		clear(s.list)
 	}
@@ -74,8 +74,8 @@
 	s.step(ejection.ListUpdated{Source: "main", Servers: all})
 }
 
-// saw passes on the end of an attempt.
-func (s *sharer) saw(t *attempt, r decide.Result) {
+// observe passes on the outcome of an attempt.
+func (s *reporter) observe(t *attempt, r decide.Result) {
 	x := ejection.OutcomeSample{Server: "main/" + t.server, StartedMS: t.process}
 	switch r {
 	case decide.OK:
@@ -90,46 +90,46 @@
 	s.step(ejection.OutcomesObserved{Samples: []ejection.OutcomeSample{x}})
 }
 
-func (s *sharer) step(events ...ejection.Event) {
+func (s *reporter) step(events ...ejection.Event) {
 	d := s.a.d
-	for _, act := range s.m.Step(d.now+clockOffset, events...) {
+	for _, act := range s.member.Step(d.now+clockOffset, events...) {
 		switch act := act.(type) {
 		case ejection.Send:
 			d.messages++
 			d.bytes += 40 + 64*len(act.Message.Evidence) + 32*len(act.Message.Drains)
 			var to int
-			if _, err := fmt.Sscanf(act.To, "m%d", &to); err != nil || d.roll.Float64() < d.o.Share.Lost {
+			if _, err := fmt.Sscanf(act.To, "m%d", &to); err != nil || d.lossRand.Float64() < d.o.Share.Lost {
 				continue
 			}
 			other, from := d.agents[to], memberName(s.a.n)
 			d.at(d.now+d.o.Share.Late, func() {
 				if other.up {
-					other.share.step(ejection.Received{From: from, Message: act.Message})
+					other.reporter.step(ejection.Received{From: from, Message: act.Message})
 				}
 			})
 		case ejection.EjectionsChanged:
-			s.judged = act.Ejections
-			s.tell()
+			s.ejections = act.Ejections
+			s.postEjections()
 		}
 	}
-	if next := s.m.Next() - clockOffset; next != s.wake {
-		s.wake = next
+	if next := s.member.Next() - clockOffset; next != s.wakeAt {
+		s.wakeAt = next
 		d.at(next, func() {
-			if s.wake == next && d.now <= d.s.Length {
-				s.wake = -1
+			if s.wakeAt == next && d.now <= d.s.Length {
+				s.wakeAt = -1
 				s.step()
 			}
 		})
 	}
 }
 
-// tell gives the agent's policy the verdicts.
-func (s *sharer) tell() {
+// postEjections passes the ejections to the agent's policy.
+func (s *reporter) postEjections() {
 	if !s.a.up {
 		return
 	}
 	var all []decide.Ejection
-	for _, v := range s.judged {
+	for _, v := range s.ejections {
 		name := strings.TrimPrefix(v.Server, "main/")
 		x := decide.Ejection{Backend: name, Draining: v.Draining, Until: v.Until}
 		for _, e := range s.a.view.entries {
--- a/internal/simulate/model/virtual/virtual.go
+++ b/internal/simulate/model/virtual/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual plays a scenario in simulated time: discrete events drive the servers, the list,
-// the network and the clients of package emulate round instances of a policy, without I/O and
-// without waiting. The same scenario, seed and policy give the same day, whatever the machine does.
+// Package virtual simulates a scenario in virtual time: discrete events drive the servers, the list,
+// the network and the clients of package model around instances of a policy, without I/O and
+// without waiting. The same scenario, seed and policy give the same result on any machine.
 package virtual
 
 import (
@@ -14,126 +14,127 @@
 	"vetchhaven/internal/simulate/statistics"
 )
 
-// Policy is what decides for one agent; in service a *decide.Balancer.
+// Policy makes the decisions of one agent; in production it is a *decide.Balancer.
 type Policy interface {
 	Step(now time.Duration, events []decide.Event) []decide.Action
 }
 
-// Options say what to play.
+// Options describe a simulation.
 type Options struct {
 	Scenario *model.Scenario
 	Seed     uint64
 	New      func(s decide.Settings, seed uint64) (Policy, error)
-	Believe  bool                                       // agents believe each reading of records, and nothing else: a plain resolver, to compare with
-	Progress func(now time.Duration, d *statistics.Day) // each simulated second; may be nil
-	Stop     func() bool                                // asked now and then; may be nil
-	// Balancers is what agents are told of their number at their start; 0: the truth.
+	Believe  bool                                       // for comparison: agents use only the records, as read
+	Progress func(now time.Duration, d *statistics.Day) // called each simulated second; may be nil
+	Stop     func() bool                                // polled; ends the simulation early; may be nil
+	// Balancers is the number of agents that agents are told at their start; 0: the real number.
 	Balancers int
-	// Count is what an agent's own view of the fleet says of it from then on; nil: it has none. Asked five times a
-	// second.
+	// Count returns the number of agents according to an agent's own view of the fleet, which replaces Balancers
+	// after the start; nil: agents have no such view. It is called five times a second.
 	Count func(agent int, now time.Duration) (most, least int)
-	Share *Sharing // nil: each agent sees servers by itself
-	Notes bool     // agents pass the policy's own messages to one another, on links that lose nothing
-	Ended Ended    // may be nil
+	Share *Sharing // how agents share outcomes; nil: each agent only uses its own outcomes
+	Notes bool     // agents pass the policies' messages to one another, without losses
+	Ended Ended    // called at the end of each attempt; may be nil
 }
 
-const countEvery = 200 * time.Millisecond
+const fleetSizeInterval = 200 * time.Millisecond
 
-// count has agents told what their views say, where that has changed.
-func (d *driver) count() {
+// updateFleetSizes tells agents the fleet size of their own view, if it has changed.
+func (d *driver) updateFleetSizes() {
 	for _, a := range d.agents {
 		most, least := d.o.Count(a.n, d.now)
-		if now := (decide.FleetSize{Max: most, Min: least}); a.up && most > 0 && now != a.counted {
-			a.counted = now
+		if now := (decide.FleetSize{Max: most, Min: least}); a.up && most > 0 && now != a.fleetSize {
+			a.fleetSize = now
 			a.post(now)
 		}
 	}
 	if d.now < d.s.Length {
-		d.at(d.now+countEvery, d.count)
+		d.at(d.now+fleetSizeInterval, d.updateFleetSizes)
 	}
 }
 
-// Played is how it went.
+// Played is the result of a simulation.
 type Played struct {
 	Day      *statistics.Day
-	Judge    *checker.Judge
+	Judge    *checker.Checker
 	CutShort bool
-	Emptied  int // times that an agent was left with no server by what list and records said
-	Messages int // between agents, and their bytes
-	Bytes    int
+	Emptied  int // times that an agent's list, merged of list and records, became empty
+	Messages int // between agents
+	Bytes    int // of these messages
 }
 
-// seer is a policy that is shown how all servers truly are, now or as they were a while ago: no agent can be
-// such a one. It is there to compare with.
-type seer interface {
-	Sees(truth func(late time.Duration) []model.Sight)
+// oraclePolicy is a policy that gets the exact states of all servers, of now or of some time ago, which no real
+// agent can. It is for comparison.
+type oraclePolicy interface {
+	SetServerStates(states func(late time.Duration) []model.ServerState)
 }
 
 const (
-	truthEvery = 20 * time.Millisecond // how often the truth is kept for those that see it late
-	truthKept  = 2 * time.Second
+	stateInterval  = 20 * time.Millisecond // interval between stored states, for oracles with a delay
+	stateRetention = 2 * time.Second
 )
 
-// truth is how all servers were, as shown to seers. The slice stays as it is.
-func (d *driver) truth(late time.Duration) []model.Sight {
+// serverStates returns the states of all servers as they were some time ago, for oracles. The slice does not change
+// later.
+func (d *driver) serverStates(late time.Duration) []model.ServerState {
 	if late <= 0 {
-		return d.world.Sights(d.now)
+		return d.world.ServerStates(d.now)
 	}
-	if n := len(d.truths); n == 0 || d.now >= d.truths[n-1].at+truthEvery {
-		d.truths = append(d.truths, past{d.now, d.world.Sights(d.now)})
-		for d.truths[0].at < d.now-truthKept {
-			d.truths = d.truths[1:]
+	if n := len(d.history); n == 0 || d.now >= d.history[n-1].at+stateInterval {
+		d.history = append(d.history, pastStates{d.now, d.world.ServerStates(d.now)})
+		for d.history[0].at < d.now-stateRetention {
+			d.history = d.history[1:]
 		}
 	}
-	i := len(d.truths) - 1
-	for i > 0 && d.truths[i].at > d.now-late {
+	i := len(d.history) - 1
+	for i > 0 && d.history[i].at > d.now-late {
 		i--
 	}
-	return d.truths[i].sight
+	return d.history[i].states
 }
 
-type past struct {
-	at    time.Duration
-	sight []model.Sight
+type pastStates struct {
+	at     time.Duration
+	states []model.ServerState
 }
 
-// clockOffset is the policy's time at the scenario's start, so that all starts lie after zero.
+// clockOffset is the policy's time at the scenario's start, so that the start times of all servers are above zero.
 const clockOffset = time.Hour
 
-// sampleEvery is how often servers' queues are looked at.
+// sampleEvery is the interval between samples of the servers' queues.
 const sampleEvery = 250 * time.Millisecond
 
 type driver struct {
-	o      Options
-	s      *model.Scenario
-	chance model.Chance
-	now    time.Duration
-	queue  eventQueue
-	world  *model.World
-	judge  *checker.Judge
-	day    *statistics.Day
-	agents []*agent
-	load   *model.Load
-	conns  map[int]*conn
-	conn   int // the last number given
-	wakes  map[*model.Proc]time.Duration
-	listAt time.Duration
-	open   int // tasks
-	truths []past
-	// emptied is how often an agent's merged list came out empty.
+	o        Options
+	s        *model.Scenario
+	seed     model.Seed
+	now      time.Duration
+	queue    eventQueue
+	world    *model.World
+	checker  *checker.Checker
+	stats    *statistics.Day
+	agents   []*agent
+	load     *model.Load
+	conns    map[int]*conn
+	lastConn int // the number of the newest connection
+	wakes    map[*model.Proc]time.Duration
+	listAt   time.Duration
+	open     int // number of open tasks
+	history  []pastStates
+	// emptied is how often an agent's merged list became empty.
 	emptied         int
 	messages, bytes int
-	roll            *rand.Rand
+	lossRand        *rand.Rand
 	err             error
 }
 
-// Play plays a scenario to its end, or until Stop says so.
+// Play simulates a scenario to its end, or until Stop returns true.
 func Play(o Options) (*Played, error) {
 	s := o.Scenario
-	chance := model.Chance(o.Seed).Sub(model.Name("rehearsal"))
-	d := &driver{o: o, s: s, chance: chance, world: model.NewWorld(s, chance), load: model.NewLoad(s, chance),
-		judge: checker.New(JudgeConfig(s, 0)), day: statistics.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
-		roll: rand.New(rand.NewPCG(o.Seed, 51))}
+	seed := model.Seed(o.Seed).Derive(model.HashName("rehearsal"))
+	d := &driver{o: o, s: s, seed: seed, world: model.NewWorld(s, seed), load: model.NewLoad(s, seed),
+		checker: checker.New(CheckerConfig(s, 0)), stats: statistics.New(s), conns: map[int]*conn{}, wakes: map[*model.Proc]time.Duration{},
+		lossRand: rand.New(rand.NewPCG(o.Seed, 51))}
 	for i := range s.Agents {
 		a := &agent{d: d, n: i, zone: s.ZoneOf(i)}
 		d.agents = append(d.agents, a)
@@ -143,7 +144,7 @@
 		}
 	}
 	if o.Share != nil {
-		if err := d.shareFrom(); err != nil {
+		if err := d.startReporters(); err != nil {
 			return nil, err
 		}
 	}
@@ -152,25 +153,25 @@
 	}
 	d.at(0, d.sample)
 	if o.Count != nil {
-		d.at(0, d.count)
+		d.at(0, d.updateFleetSizes)
 	}
 	if s.Records.Every > 0 {
 		r := &records{d: d, spec: s.Records}
-		d.at(0, r.look)
+		d.at(0, r.read)
 	}
 	d.nextTask()
 	cut := d.run()
 	if d.err != nil {
 		return nil, d.err
 	}
-	d.judge.End(d.now)
-	d.day.Reads = d.world.List.Reads()
-	d.day.Finish(min(d.now, s.Length))
-	return &Played{d.day, d.judge, cut, d.emptied, d.messages, d.bytes}, nil
+	d.checker.End(d.now)
+	d.stats.Reads = d.world.List.Reads()
+	d.stats.Finish(min(d.now, s.Length))
+	return &Played{d.stats, d.checker, cut, d.emptied, d.messages, d.bytes}, nil
 }
 
-// JudgeConfig is what a scenario's rules say to the judge; times may be off by slack.
-func JudgeConfig(s *model.Scenario, slack time.Duration) checker.Config {
+// CheckerConfig returns the checker's configuration for a scenario; times may be off by slack.
+func CheckerConfig(s *model.Scenario, slack time.Duration) checker.Config {
 	c := checker.Config{DrainGrace: s.Rules.DrainGrace, AnswerSlack: s.Rules.AnswerSlack + slack, Slack: slack,
 		MaxAttempts: s.Rules.MaxAttempts}
 	for _, k := range s.Classes {
@@ -182,7 +183,7 @@
 
 func (d *driver) at(t time.Duration, f func()) { d.queue.push(max(t, d.now), f) }
 
-// run plays events in order until nothing is owed any more.
+// run handles events in order until the scenario is over and no task is open.
 func (d *driver) run() (cut bool) {
 	end := d.s.Length + 10*time.Second
 	for _, c := range d.s.Classes {
@@ -206,7 +207,7 @@
 func (d *driver) sample() {
 	for _, p := range d.world.Procs {
 		if !p.Dead {
-			d.day.Sample(d.now, p.Spec, p.Held(), p.Pressure(d.now))
+			d.stats.Sample(d.now, p.Spec, p.Held(), p.Pressure(d.now))
 		}
 	}
 	view, up := 0, 0
@@ -216,10 +217,10 @@
 			up++
 		}
 	}
-	d.day.InView(d.now, float64(view)/float64(max(up, 1)))
-	d.judge.Advance(d.now)
+	d.stats.InView(d.now, float64(view)/float64(max(up, 1)))
+	d.checker.Advance(d.now)
 	if d.o.Progress != nil && d.now%time.Second == 0 {
-		d.o.Progress(d.now, d.day)
+		d.o.Progress(d.now, d.stats)
 	}
 	if d.now+sampleEvery <= d.s.Length {
 		d.at(d.now+sampleEvery, d.sample)
@@ -241,30 +242,30 @@
 	})
 }
 
-// try sends a client's present try to its agent, on the same machine.
+// try sends a client's present try to its agent, which is on the same machine.
 func (d *driver) try(c *model.Client) {
-	d.day.Try(d.now, &c.Task, c.Try)
+	d.stats.Try(d.now, &c.Task, c.Try)
 	a := d.agents[c.Task.Agent]
-	if !a.up || a.leaving {
-		d.answered(c, model.Unreachable, 0)
+	if !a.up || a.draining {
+		d.tryAnswered(c, model.Unreachable, 0)
 		return
 	}
-	left := c.Left(d.now)
+	left := c.Remaining(d.now)
 	r := &request{id: c.ID(), task: &c.Task, try: c.Try, class: c.Task.Class, deadline: d.now + left}
-	r.answer = func(kind model.Answer, after time.Duration) { d.answered(c, kind, after) }
-	d.judge.Took(d.now, a.n, r.id, r.class, r.deadline)
+	r.answer = func(kind model.Answer, after time.Duration) { d.tryAnswered(c, kind, after) }
+	d.checker.Took(d.now, a.n, r.id, r.class, r.deadline)
 	a.take(r)
 }
 
-// answered ends a try: the client is done, or tries again.
-func (d *driver) answered(c *model.Client, kind model.Answer, after time.Duration) {
+// tryAnswered ends a try: the client is done or retries.
+func (d *driver) tryAnswered(c *model.Client, kind model.Answer, after time.Duration) {
 	if kind == model.Refused {
-		d.day.Refusal(d.now, c.Task.Class)
+		d.stats.Refusal(d.now, c.Task.Class)
 	}
 	wait, again := c.Next(d.now, kind, after)
 	if !again {
 		d.open--
-		d.day.End(d.now, &c.Task, kind)
+		d.stats.End(d.now, &c.Task, kind)
 		return
 	}
 	d.at(d.now+wait, func() { d.try(c) })
@@ -272,23 +273,23 @@
 
 // ---- Servers and the list ----
 
-// step gives a process one event and carries out what it does.
+// step passes an event to a process and carries out its effects.
 func (d *driver) step(p *model.Proc, e model.ServerEvent) {
-	d.did(p, p.Step(d.now, e))
+	d.applyEffects(p, p.Step(d.now, e))
 }
 
-func (d *driver) did(p *model.Proc, effects []model.Effect) {
+func (d *driver) applyEffects(p *model.Proc, effects []model.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case model.Accepted, model.Rejected:
 			c := d.conns[e.Conn]
-			d.back(c, func() { c.came(e.Kind == model.Accepted) })
+			d.toAgent(c, func() { c.opened(e.Kind == model.Accepted) })
 		case model.Replied:
 			c := d.conns[e.Conn]
-			if e.Result == decide.Rejected { // from when it is said: the agent can't know sooner
-				d.judge.TurnedAway(d.now, e.Job.ID, p.Name)
+			if e.Result == decide.Rejected { // from now on; the agent can't know it earlier
+				d.checker.TurnedAway(d.now, e.Job.ID, p.Name)
 			}
-			row := d.day.Server(p.Spec)
+			row := d.stats.Server(p.Spec)
 			switch e.Result {
 			case decide.OK:
 				row.Served++
@@ -297,27 +298,27 @@
 			default:
 				row.Errors++
 			}
-			d.back(c, func() { c.replied(e.Result, e.Load) })
+			d.toAgent(c, func() { c.replied(e.Result, e.Load) })
 		case model.Closed:
 			c := d.conns[e.Conn]
-			d.back(c, c.reset)
+			d.toAgent(c, c.reset)
 		case model.Ran:
-			d.judge.Ran(d.now, e.Job.ID, p.Name)
-		case model.Fell:
-			informed := p.Blame(func(agent int) bool { return d.judge.Knows(agent, p.Name, p.Born()) })
-			row := d.day.Server(p.Spec)
+			d.checker.Ran(d.now, e.Job.ID, p.Name)
+		case model.Overloaded:
+			informed := p.InformedShare(func(agent int) bool { return d.checker.KnowsStart(agent, p.Name, p.StartedAt()) })
+			row := d.stats.Server(p.Spec)
 			row.Fell = true
 			row.Pressure = max(row.Pressure, p.Pressure(d.now))
-			d.judge.Fell(d.now, p.Name, informed)
-			tells := d.world.Fallen(d.now, p)
-			d.died(p)
-			d.tells(tells)
+			d.checker.Overloaded(d.now, p.Name, informed)
+			messages := d.world.EndOverloaded(d.now, p)
+			d.resetConns(p)
+			d.deliver(messages)
 		}
 	}
 	d.wake(p)
 }
 
-// wake sees to it that a process is stepped when something is due.
+// wake schedules the next step of a process for the time when something is due.
 func (d *driver) wake(p *model.Proc) {
 	next := p.NextWake()
 	if p.Dead || next == 0 || d.wakes[p] > 0 && d.wakes[p] <= next && d.wakes[p] >= d.now {
@@ -332,24 +333,24 @@
 	})
 }
 
-// back carries something from a connection's server to its agent, if the way is open.
-func (d *driver) back(c *conn, f func()) {
-	if c == nil || c.over || c.proc.Silent || !d.world.Net.Open(c.agent.zone, c.proc.Spec.Zone) {
+// toAgent delivers something from a connection's server to its agent, if the network connects them.
+func (d *driver) toAgent(c *conn, f func()) {
+	if c == nil || c.closed || c.proc.Silent || !d.world.Net.Connected(c.agent.zone, c.proc.Spec.Zone) {
 		return
 	}
-	d.at(d.now+d.world.Net.Way(c.agent.zone, c.proc.Spec.Zone), func() {
-		if !c.over {
+	d.at(d.now+d.world.Net.Delay(c.agent.zone, c.proc.Spec.Zone), func() {
+		if !c.closed {
 			f()
 		}
 	})
 }
 
-// died resets all connections to a process.
-func (d *driver) died(p *model.Proc) {
+// resetConns resets all connections to a process.
+func (d *driver) resetConns(p *model.Proc) {
 	delete(d.wakes, p)
-	for _, c := range d.sorted() {
+	for _, c := range d.sortedConns() {
 		if c.proc == p {
-			d.back(c, c.reset)
+			d.toAgent(c, c.reset)
 		}
 	}
 }
@@ -358,7 +359,7 @@
 	if op, ok := what.(model.Agents); ok {
 		for n := op.From; n < op.To; n++ {
 			if !op.Up && op.Drain {
-				d.agents[n].leave()
+				d.agents[n].drain()
 			} else if !op.Up {
 				d.agents[n].kill()
 			} else if err := d.agents[n].start(d.now); err != nil {
@@ -368,25 +369,25 @@
 		return
 	}
 	r := d.world.Apply(d.now, what)
-	for _, did := range r.Did {
-		d.did(did.Proc, did.Effects)
+	for _, did := range r.Effects {
+		d.applyEffects(did.Proc, did.Effects)
 	}
 	for _, p := range r.Died {
-		d.died(p)
+		d.resetConns(p)
 	}
-	d.tells(r.Tells)
+	d.deliver(r.Messages)
 }
 
-// list gives the list one event.
-func (d *driver) list(e model.ListEvent) { d.tells(d.world.List.Step(d.now, e)) }
+// list passes an event to the list.
+func (d *driver) list(e model.ListEvent) { d.deliver(d.world.List.Step(d.now, e)) }
 
-func (d *driver) tells(tells []model.Tell) {
-	for _, t := range tells {
+func (d *driver) deliver(messages []model.ListMessage) {
+	for _, t := range messages {
 		a := d.agents[t.Agent]
-		life := a.life
+		generation := a.generation
 		d.at(t.At, func() {
-			if a.up && a.life == life {
-				a.told(t)
+			if a.up && a.generation == generation {
+				a.receiveList(t)
 			}
 		})
 	}
@@ -405,7 +406,7 @@
 
 // ---- Events ----
 
-// eventQueue is a heap of what is to happen, by time and then in the order in which it was put in.
+// eventQueue is a heap of future events, by time and then in the order of insertion.
 type eventQueue struct {
 	heap []event
 	seq  uint64
@@ -457,7 +458,7 @@
 	return top.at, top.f, true
 }
 
-// Decide is the project's own policy.
+// Decide returns the agent's own policy.
 func Decide(s decide.Settings, seed uint64) (Policy, error) {
 	b, err := decide.New(s, seed)
 	if err != nil {
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -18,7 +18,7 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// base is a fleet of four in two pods, with room to spare.
+// base is a scenario of four servers in two pods, with spare capacity.
 const base = `
 title = "test"
 length = "20s"
@@ -110,50 +110,50 @@
 	return p
 }
 
-func honest(s decide.Settings, seed uint64) (Policy, error) {
+func correct(s decide.Settings, seed uint64) (Policy, error) {
 	return baseline.New("least-request", s, seed)
 }
 
-// broken is an honest policy whose actions are spoilt.
-type broken struct {
-	inner  Policy
-	spoil  func(b *broken, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action
-	s      decide.Settings
-	class  map[string]int
-	first  map[string]string // the server of each request's first attempt
-	sentAt map[string]time.Duration
-	list   map[string]decide.Backend
-	off    map[string]time.Duration
-	later  map[time.Duration][]decide.Action
-	n      int
+// faultyPolicy is a correct policy whose actions are altered.
+type faultyPolicy struct {
+	inner       Policy
+	alter       func(b *faultyPolicy, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action
+	s           decide.Settings
+	class       map[string]int
+	first       map[string]string // the server of each request's first attempt
+	sentAt      map[string]time.Duration
+	list        map[string]decide.Backend
+	withdrawnAt map[string]time.Duration
+	later       map[time.Duration][]decide.Action
+	n           int
 }
 
-func breaks(spoil func(b *broken, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action) func(decide.Settings, uint64) (Policy, error) {
+func newFaulty(alter func(b *faultyPolicy, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action) func(decide.Settings, uint64) (Policy, error) {
 	return func(s decide.Settings, seed uint64) (Policy, error) {
-		inner, err := honest(s, seed)
-		return &broken{inner: inner, spoil: spoil, s: s, class: map[string]int{}, first: map[string]string{},
-			sentAt: map[string]time.Duration{}, list: map[string]decide.Backend{}, off: map[string]time.Duration{},
+		inner, err := correct(s, seed)
+		return &faultyPolicy{inner: inner, alter: alter, s: s, class: map[string]int{}, first: map[string]string{},
+			sentAt: map[string]time.Duration{}, list: map[string]decide.Backend{}, withdrawnAt: map[string]time.Duration{},
 			later: map[time.Duration][]decide.Action{}}, err
 	}
 }
 
 const wakeToken = 1 << 50
 
-func (b *broken) Step(now time.Duration, events []decide.Event) []decide.Action {
+func (b *faultyPolicy) Step(now time.Duration, events []decide.Event) []decide.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case decide.Request:
 			b.class[e.ID] = e.Class
 		case decide.ListUpdate:
 			for _, n := range e.Backends {
-				if n.State != decide.Up && b.off[n.ID] == 0 {
-					b.off[n.ID] = now
+				if n.State != decide.Up && b.withdrawnAt[n.ID] == 0 {
+					b.withdrawnAt[n.ID] = now
 				}
 				b.list[n.ID] = n
 			}
 		}
 	}
-	acts := b.spoil(b, now, events, b.inner.Step(now, events))
+	acts := b.alter(b, now, events, b.inner.Step(now, events))
 	for at, more := range b.later {
 		if at <= now {
 			delete(b.later, at)
@@ -168,21 +168,21 @@
 	return acts
 }
 
-// wait has actions carried out after a while.
-func (b *broken) wait(now, d time.Duration, acts ...decide.Action) decide.Action {
+// wait schedules actions for later.
+func (b *faultyPolicy) wait(now, d time.Duration, acts ...decide.Action) decide.Action {
 	b.n++
 	b.later[now+d] = append(b.later[now+d], acts...)
 	return decide.SetTimer{After: d, Token: wakeToken + int64(b.n)}
 }
 
-// Each of these broken balancers is found, and its rule named; the honest ones raise nothing on the
-// same days.
-func TestBrokenBalancersAreFound(t *testing.T) {
+// The checker reports each faulty policy with the rule that it breaks, and reports nothing for correct
+// policies in the same scenarios.
+func TestFaultyPoliciesAreReported(t *testing.T) {
 	resets := base + incident(`what = "resets"`, `at = "1s"`, `for = "15s"`, `share = 0.3`)
 	drains := base + incident(`what = "drain"`, `at = "5s"`, `servers = ["s-2"]`)
 	joins := base + incident(`what = "join"`, `at = "5s"`, `name = "new"`, `kind = "k"`, `pod = 3`)
-	resend := func(class int, far bool, wait time.Duration) func(b *broken, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
-		return func(b *broken, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
+	resend := func(class int, far bool, wait time.Duration) func(b *faultyPolicy, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
+		return func(b *faultyPolicy, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
 			for _, e := range events {
 				o, ok := e.(decide.Outcome)
 				if !ok || o.Result != decide.Reset || b.class[o.Request] != class || o.Attempt > 0 {
@@ -203,10 +203,10 @@
 			return acts
 		}
 	}
-	toDrained := func(after time.Duration) func(b *broken, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
-		return func(b *broken, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
+	toDrained := func(after time.Duration) func(b *faultyPolicy, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
+		return func(b *faultyPolicy, now time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
 			for i, a := range acts {
-				if s, ok := a.(decide.Send); ok && b.off["s-2"] > 0 && now-b.off["s-2"] >= after-100*time.Millisecond && now-b.off["s-2"] <= after {
+				if s, ok := a.(decide.Send); ok && b.withdrawnAt["s-2"] > 0 && now-b.withdrawnAt["s-2"] >= after-100*time.Millisecond && now-b.withdrawnAt["s-2"] <= after {
 					acts[i] = decide.Send{Request: s.Request, Backend: "s-2"}
 				}
 			}
@@ -214,24 +214,24 @@
 		}
 	}
 	tests := []struct {
-		name, day string
-		make      func(decide.Settings, uint64) (Policy, error)
-		rule      int // 0: none
-		want      string
+		name, scenarioText string
+		make               func(decide.Settings, uint64) (Policy, error)
+		rule               int // 0: no rule is broken
+		want               string
 	}{
-		{"honest, resets", resets, honest, 0, ""},
-		{"honest, drains", drains, honest, 0, ""},
+		{"correct, resets", resets, correct, 0, ""},
+		{"correct, drains", drains, correct, 0, ""},
 		{"decide, resets", resets, Decide, 0, ""},
 		{"decide, drains", drains, Decide, 0, ""},
 		{"decide, joins", joins, Decide, 0, ""},
-		{"loses an answer", base, breaks(func(b *broken, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
+		{"loses an answer", base, newFaulty(func(b *faultyPolicy, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
 			return slices.DeleteFunc(acts, func(a decide.Action) bool {
 				_, send := a.(decide.Send)
 				b.n++
 				return send && b.n%50 == 0
 			})
 		}), 1, "never got a final answer"},
-		{"answers twice", resets, breaks(func(_ *broken, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
+		{"answers twice", resets, newFaulty(func(_ *faultyPolicy, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
 			for _, a := range acts {
 				if f, ok := a.(decide.Fail); ok {
 					acts = append(acts, f)
@@ -239,7 +239,7 @@
 			}
 			return acts
 		}), 1, "a second time"},
-		{"answers after serving", base, breaks(func(_ *broken, _ time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
+		{"answers after serving", base, newFaulty(func(_ *faultyPolicy, _ time.Duration, events []decide.Event, acts []decide.Action) []decide.Action {
 			for _, e := range events {
 				if o, ok := e.(decide.Outcome); ok && o.Result == decide.OK {
 					acts = append(acts, decide.Fail{Request: o.Request})
@@ -247,11 +247,11 @@
 			}
 			return acts
 		}), 1, "a second time"},
-		{"resends a keyed request to another pod", resets, breaks(resend(2, true, 0)), 2, "which does not drop its repeat"},
-		{"resends within the pod", resets, breaks(resend(2, false, 0)), 0, ""},
-		{"resends after the window", resets, breaks(resend(1, false, 1600*time.Millisecond)), 2, "past the window"},
-		{"resends within the window", resets, breaks(resend(1, true, 1300*time.Millisecond)), 0, ""},
-		{"refuses what may have run", resets, breaks(func(b *broken, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
+		{"resends a keyed request to another pod", resets, newFaulty(resend(2, true, 0)), 2, "which does not drop its repeat"},
+		{"resends within the pod", resets, newFaulty(resend(2, false, 0)), 0, ""},
+		{"resends after the window", resets, newFaulty(resend(1, false, 1600*time.Millisecond)), 2, "past the window"},
+		{"resends within the window", resets, newFaulty(resend(1, true, 1300*time.Millisecond)), 0, ""},
+		{"refuses what may have run", resets, newFaulty(func(b *faultyPolicy, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
 			for i, a := range acts {
 				if f, ok := a.(decide.Fail); ok && b.class[f.Request] == 2 {
 					acts[i] = decide.Refuse{Request: f.Request}
@@ -259,26 +259,26 @@
 			}
 			return acts
 		}), 2, "was refused"},
-		{"sends to a drained server after 2.1 s", drains, breaks(toDrained(2100 * time.Millisecond)), 3, "told that it drains"},
-		{"sends to a drained server until 1.9 s", drains, breaks(toDrained(1900 * time.Millisecond)), 0, ""},
+		{"sends to a drained server after 2.1 s", drains, newFaulty(toDrained(2100 * time.Millisecond)), 3, "told that it drains"},
+		{"sends to a drained server until 1.9 s", drains, newFaulty(toDrained(1900 * time.Millisecond)), 0, ""},
 		{"floods a cold one", strings.Replace(joins, "rate = 30.0", "rate = 120.0", 1),
-			breaks(func(b *broken, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
+			newFaulty(func(b *faultyPolicy, _ time.Duration, _ []decide.Event, acts []decide.Action) []decide.Action {
 				for i, a := range acts {
 					if s, ok := a.(decide.Send); ok && b.list["new"].ID != "" {
 						acts[i] = decide.Send{Request: s.Request, Backend: "new"}
 					}
 				}
 				return acts
-			}), 4, "pushed over"},
+			}), 4, "overloaded while cold"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := load(t, tt.day)
+			s := load(t, tt.scenarioText)
 			p := play(t, s, 3, tt.make)
 			all := p.Judge.Breaches()
 			if tt.rule == 0 {
 				if len(all) > 0 {
-					t.Fatalf("blamed: %v", all[0])
+					t.Fatalf("a correct policy is reported: %v", all[0])
 				}
 				return
 			}
@@ -289,7 +289,7 @@
 			}
 			for _, b := range all {
 				if b.Rule != tt.rule {
-					t.Errorf("blamed for another rule too: %v", b)
+					t.Errorf("another rule is reported too: %v", b)
 					break
 				}
 			}
@@ -297,14 +297,14 @@
 	}
 }
 
-// The same seed gives the same day, whatever else runs and on however many cores.
+// The same seed gives the same result on any number of cores.
 func TestSameSeedSameDay(t *testing.T) {
-	day := base + incident(`what = "fast-errors"`, `at = "3s"`, `for = "5s"`, `servers = ["s-1"]`, `share = 0.5`) +
+	scenarioText := base + incident(`what = "fast-errors"`, `at = "3s"`, `for = "5s"`, `servers = ["s-1"]`, `share = 0.5`) +
 		incident(`what = "restart"`, `at = "6s"`, `servers = ["s-3"]`, `after = "1s"`) +
 		incident(`what = "agents-restart"`, `at = "9s"`, `after = "500ms"`) +
 		incident(`what = "zone-cut"`, `at = "12s"`, `for = "3s"`, `zones = ["a", "b"]`)
 	described := func(seed uint64) string {
-		p := play(t, load(t, day), seed, Decide)
+		p := play(t, load(t, scenarioText), seed, Decide)
 		var text bytes.Buffer
 		fmt.Fprintf(&text, "%+v %+v %v", p.Day.Total, p.Day.Windows, p.Judge.Breaches())
 		for _, s := range p.Day.Servers {
@@ -318,36 +318,36 @@
 	four := described(5)
 	runtime.GOMAXPROCS(old)
 	if one != four {
-		t.Error("1 and 4 cores give two days")
+		t.Error("1 and 4 cores give different results")
 	}
 	if described(6) == one {
-		t.Error("two seeds give the same day")
+		t.Error("two seeds give the same result")
 	}
 }
 
-// What different policies meet is the same: arrivals, keys, work.
+// Different policies get the same arrivals, keys and work.
 func TestPoliciesMeetTheSameArrivals(t *testing.T) {
 	s := load(t, base)
-	a, b := play(t, s, 1, Decide), play(t, s, 1, honest)
+	a, b := play(t, s, 1, Decide), play(t, s, 1, correct)
 	if a.Day.Total.Offered != b.Day.Total.Offered || a.Day.Total.Asked != b.Day.Total.Asked {
 		t.Errorf("%+v, %+v", a.Day.Total, b.Day.Total)
 	}
 }
 
-// checkSums holds the books to their own rules: everything offered ended in one way.
+// checkSums checks that the counts are consistent: each offered request has exactly one result.
 func checkSums(t *testing.T, p *Played) {
 	t.Helper()
 	c := p.Day.Total
 	if c.Offered == 0 || c.Offered != c.InTime+c.Late+c.Refused+c.Failed || c.Tries < c.Offered {
-		t.Errorf("the books do not balance: %+v", c)
+		t.Errorf("the counts are inconsistent: %+v", c)
 	}
 	if n := p.Judge.Total(); n > 0 {
 		t.Errorf("%d rules broken, first %v", n, p.Judge.Breaches()[0])
 	}
 }
 
-func TestHardDays(t *testing.T) {
-	for _, tt := range []struct{ name, day string }{
+func TestHardScenarios(t *testing.T) {
+	for _, tt := range []struct{ name, scenarioText string }{
 		{"two incidents that overlap", base + incident(`what = "fast-errors"`, `at = "3s"`, `for = "8s"`, `servers = ["s-1"]`, `share = 0.9`) +
 			incident(`what = "silent"`, `at = "5s"`, `for = "8s"`, `servers = ["s-1", "s-2"]`)},
 		{"a server that dies while cold", base + incident(`what = "join"`, `at = "3s"`, `name = "new"`, `kind = "k"`, `pod = 1`) +
@@ -368,27 +368,27 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 5; seed++ {
-				checkSums(t, play(t, load(t, tt.day), seed, Decide))
+				checkSums(t, play(t, load(t, tt.scenarioText), seed, Decide))
 			}
 		})
 	}
 }
 
-// A change of the script at the very instant of an answer comes after it: the answer is out.
+// A change of the script at the instant of an answer takes effect after the answer was sent.
 func TestScriptComesAfterWhatIsDueAtItsInstant(t *testing.T) {
 	one := strings.Replace(base, "count = 2\ntick", "count = 1\ntick", 1)
 	one = one[:strings.LastIndex(one, "[[servers]]")]
 	one = strings.Replace(one, "count = 2\n[[", "count = 1\n[[", 1)
 	one = strings.TrimSuffix(one, "count = 2\n") + "count = 1\n"
-	// The first answer's instant, from a play without the incident.
+	// The time of the first answer, without the incident.
 	s := load(t, one)
 	w := model.NewWorld(s, 1)
 	p := w.Procs[0]
 	p.Step(0, model.Dial{Conn: 1})
-	p.Step(0, model.Arrive{Conn: 1, Job: model.Job{ID: "q", Work: 40 * time.Millisecond, Luck: 0.5}})
+	p.Step(0, model.Arrive{Conn: 1, Job: model.Job{ID: "q", Work: 40 * time.Millisecond, Draw: 0.5}})
 	at := p.NextWake()
 	r := w.Apply(at, model.Kill{Server: p.Name})
-	if len(r.Died) != 1 || len(r.Did) != 1 || !slices.ContainsFunc(r.Did[0].Effects, func(e model.Effect) bool {
+	if len(r.Died) != 1 || len(r.Effects) != 1 || !slices.ContainsFunc(r.Effects[0].Effects, func(e model.Effect) bool {
 		return e.Kind == model.Replied && e.Result == decide.OK
 	}) {
 		t.Errorf("killed at the instant of its answer: %+v", r)
@@ -396,23 +396,23 @@
 	w = model.NewWorld(s, 1)
 	p = w.Procs[0]
 	p.Step(0, model.Dial{Conn: 1})
-	p.Step(0, model.Arrive{Conn: 1, Job: model.Job{ID: "q", Work: 40 * time.Millisecond, Luck: 0.5}})
-	if r := w.Apply(at-1, model.Kill{Server: p.Name}); len(r.Did[0].Effects) > 0 {
+	p.Step(0, model.Arrive{Conn: 1, Job: model.Job{ID: "q", Work: 40 * time.Millisecond, Draw: 0.5}})
+	if r := w.Apply(at-1, model.Kill{Server: p.Name}); len(r.Effects[0].Effects) > 0 {
 		t.Errorf("killed just before its answer: %+v", r)
 	}
 }
 
-// A request sent in the name of a dead server reaches what has its address now.
+// A request sent to a dead server reaches the server that has its address now.
 func TestAddressOutlivesItsServer(t *testing.T) {
-	day := base + incident(`what = "list-late"`, `at = "2s"`, `for = "15s"`, `by = "8s"`) +
+	scenarioText := base + incident(`what = "list-late"`, `at = "2s"`, `for = "15s"`, `by = "8s"`) +
 		incident(`what = "replace"`, `at = "4s"`, `servers = ["s-1"]`, `after = "50ms"`)
-	p := play(t, load(t, day), 1, honest)
+	p := play(t, load(t, scenarioText), 1, correct)
 	for _, s := range p.Day.Servers {
 		if s.Name == "s-1-new" && s.Served > s.Attempts {
-			return // it served what was sent to its forerunner
+			return // it served requests that were sent to its predecessor
 		}
 	}
-	t.Error("nothing that was sent to s-1 reached the process at its address")
+	t.Error("no request that was sent to s-1 reached the process at its address")
 }
 
 func TestCutShort(t *testing.T) {
@@ -439,7 +439,7 @@
 	checkSums(t, play(t, load(t, strings.Replace(agents, "rate = 30.0", "rate = 200.0", 1)), 1, Decide))
 }
 
-// BenchmarkDay is the cost of a request in virtual time: it and the memory do not grow with the day.
+// BenchmarkDay measures the cost of a request in virtual time. The cost and the memory don't grow with the length.
 func BenchmarkDay(b *testing.B) {
 	for _, length := range []string{"1m", "4m", "16m"} {
 		b.Run(length, func(b *testing.B) {
@@ -453,9 +453,9 @@
 	}
 }
 
-// A fresh server joins just as 200 agents restart, each reading a list that is seconds late; half of
-// them are killed once more as it is heard. The fresh one stays up, what it holds stays bounded, and
-// no rule is broken.
+// A cold server joins while 200 agents restart, each reading a list that is seconds late; half of
+// the agents are killed again when they learn of the server. The server is not overloaded, its queue
+// stays bounded, and no rule is broken.
 func TestHerd(t *testing.T) {
 	s, err := scenario.Load("../../../../scenarios/herd.toml")
 	if err != nil {
@@ -470,12 +470,12 @@
 				most = max(most, q)
 			}
 			if v.Name == "cold" && (v.Fell || v.Pressure > s.Rules.FallMultiple || most > 20 || v.Attempts == 0) {
-				t.Errorf("seed %d: the cold one got %d attempts, at most %.2f times what it could do, and held %.1f; fell %v", seed,
+				t.Errorf("seed %d: the cold server got %d attempts, at most %.2f times its capacity, and held %.1f; overloaded %v", seed,
 					v.Attempts, v.Pressure, most, v.Fell)
 			}
 		}
 		if g := p.Day.Total.Service(); g < 0.9 {
-			t.Errorf("seed %d: service %.3f through it", seed, g)
+			t.Errorf("seed %d: service %.3f", seed, g)
 		}
 	}
 }
--- a/internal/simulate/model/world.go
+++ b/internal/simulate/model/world.go
@@ -7,69 +7,69 @@
 	"vetchhaven/decide"
 )
 
-// Change is one thing that the script does at a time.
+// Change is one step of the script.
 type Change struct {
 	At   time.Duration
 	What any // one of the types below
 }
 
-// What a script does. Servers are named by their ids.
+// The changes that a script can make. Servers are named by their IDs.
 type (
 	// ServerErrors sets the share of a server's requests that fail fast.
 	ServerErrors struct {
 		Server string
 		Rate   float64
 	}
-	// ServerSpeed makes a server so many times as fast.
+	// ServerSpeed multiplies a server's speed by Factor.
 	ServerSpeed struct {
 		Server string
 		Factor float64
 	}
-	// Silence takes a server's machine off the network without a word, or puts it back.
+	// Silence disconnects a server's machine from the network without closing its connections, or reconnects it.
 	Silence struct {
 		Server string
 		On     bool
 	}
-	// Drain makes a server finish what it has.
+	// Drain makes a server finish its requests and accept no new ones.
 	Drain struct{ Server string }
-	// Kill ends a server's process: its connections are reset.
+	// Kill ends a server's process; its connections are reset.
 	Kill struct{ Server string }
-	// Start starts a cold process, under a new name or again under one that has ended.
+	// Start starts a cold process, under a new name or under the name of a process that has ended.
 	Start struct{ Server ServerSpec }
 	// MovePod moves a running server to another pod.
 	MovePod struct {
 		Server string
 		Pod    int
 	}
-	// ListLate puts the list further behind.
+	// ListLate delays the list's updates further.
 	ListLate struct{ By time.Duration }
-	// ListDown takes the list down or up.
+	// ListDown makes the list service unavailable, or available again.
 	ListDown struct{ On bool }
-	// Cut parts two zones, or joins them.
+	// Cut disconnects two zones, or connects them again.
 	Cut struct {
 		A, B int
 		On   bool
 	}
-	// Resets makes that share of attempts end with a broken connection.
+	// Resets makes a share of attempts end with a broken connection.
 	Resets struct{ Share float64 }
-	// Lost makes the answers of that share of attempts never come.
+	// Lost makes the answers to a share of attempts get lost.
 	Lost struct{ Share float64 }
-	// ListRefuse makes the list turn that share of calls away at once.
+	// ListRefuse makes the list reject a share of calls at once.
 	ListRefuse struct{ Share float64 }
 	// Burst multiplies the load.
 	Burst struct{ Factor float64 }
-	// Shift gives the agents of a zone so many times their part of the load; the whole stays as it is.
+	// Shift multiplies the load share of a zone's agents by Factor; the total load stays the same.
 	Shift struct {
 		Zone   int
 		Factor float64
 	}
-	// Heavy makes a share of a class's requests cost so many times more.
+	// Heavy multiplies the work of a share of a class's requests by Factor.
 	Heavy struct {
 		Class         int
 		Share, Factor float64
 	}
-	// Agents stops the agents numbered from From to below To, or starts them anew. With Drain they take nothing
-	// new, finish what they have, and end then, or when they are started anew.
+	// Agents stops the agents numbered from From to below To, or starts them again. With Drain they accept no new
+	// requests, finish those that they have, and then end, at the latest when they are started again.
 	Agents struct {
 		From, To int
 		Up       bool
@@ -77,7 +77,7 @@
 	}
 )
 
-// Proc is a process at a place.
+// Proc is a server process at an address.
 type Proc struct {
 	*Server
 	Name   string
@@ -85,30 +85,30 @@
 	Dead   bool
 }
 
-// World holds the servers, the list and the network of a rehearsal.
+// World holds the servers, the list and the network of a simulation.
 type World struct {
 	S     *Scenario
 	Net   *Network
 	List  *List
-	Procs []*Proc // that ever ran, in order of their start
+	Procs []*Proc // all processes that ever ran, in order of their start
 
-	chance Chance
+	seed   Seed
 	keys   *Keys
 	places map[int]*Proc
-	names  map[string]*Proc // the latest of each name
+	names  map[string]*Proc // the latest process of each name
 }
 
-// NewWorld starts with the scenario's servers, warm.
-func NewWorld(s *Scenario, chance Chance) *World {
-	w := &World{S: s, Net: NewNetwork(s.Network, chance), List: NewList(s.List, s.Servers, s.Agents, chance),
-		chance: chance, keys: NewKeys(s.Classes), places: map[int]*Proc{}, names: map[string]*Proc{}}
+// NewWorld returns a world in which the scenario's initial servers run and are warm.
+func NewWorld(s *Scenario, seed Seed) *World {
+	w := &World{S: s, Net: NewNetwork(s.Network, seed), List: NewList(s.List, s.Servers, s.Agents, seed),
+		seed: seed, keys: NewKeys(s.Classes), places: map[int]*Proc{}, names: map[string]*Proc{}}
 	for _, spec := range s.Servers {
 		w.start(0, spec, false)
 	}
 	return w
 }
 
-// At is the process that listens at a place, or nil.
+// At returns the process that listens at a place, or nil.
 func (w *World) At(place int) *Proc {
 	if p := w.places[place]; p != nil && !p.Dead {
 		return p
@@ -116,75 +116,75 @@
 	return nil
 }
 
-// Sight is how a server is that runs and can be reached: what no agent can see.
-type Sight struct {
-	ID     string
-	Zone   int
-	Ahead  float64 // work that it holds, on a standard core
-	Rate   float64 // work that it does in a unit of time
-	Core   float64 // the part of it that one request gets
-	Errors float64 // share of requests that fail fast
+// ServerState is the exact state of a server that runs and can be reached, which no real agent can observe.
+type ServerState struct {
+	ID        string
+	Zone      int
+	Pending   float64 // work of all held requests, as time on a standard core
+	Rate      float64 // work done in a unit of time
+	SlotRate  float64 // the part of Rate that one request gets
+	ErrorRate float64 // share of requests that fail fast
 }
 
-// Sights is how all servers are that take new work.
-func (w *World) Sights(now time.Duration) []Sight {
-	var all []Sight
+// ServerStates returns the states of all servers that accept new requests.
+func (w *World) ServerStates(now time.Duration) []ServerState {
+	var all []ServerState
 	for _, p := range w.Procs {
 		if p.Dead || p.Silent || p.draining || w.names[p.Name] != p {
 			continue
 		}
-		ahead, rate := p.Ahead(now)
-		all = append(all, Sight{ID: p.Name, Zone: p.Spec.Zone, Ahead: ahead, Rate: rate, Core: rate / float64(p.kind.Slots), Errors: p.errors})
+		pending, rate := p.PendingWork(now)
+		all = append(all, ServerState{ID: p.Name, Zone: p.Spec.Zone, Pending: pending, Rate: rate, SlotRate: rate / float64(p.kind.Slots), ErrorRate: p.errors})
 	}
 	return all
 }
 
-// Find is the latest process of a name, or nil.
+// Find returns the latest process of a name, or nil.
 func (w *World) Find(name string) *Proc { return w.names[name] }
 
 func (w *World) start(now time.Duration, spec ServerSpec, cold bool) *Proc {
-	p := &Proc{Name: spec.Name, Server: NewServer(spec, w.S, w.keys, w.chance, now, cold)}
+	p := &Proc{Name: spec.Name, Server: NewServer(spec, w.S, w.keys, w.seed, now, cold)}
 	w.Procs = append(w.Procs, p)
 	w.places[spec.Place], w.names[spec.Name] = p, p
 	return p
 }
 
-// Result is what follows from a change besides what World itself keeps.
+// Result holds the consequences of a change that the driver must carry out.
 type Result struct {
-	Did   []Did   // what servers did: first what was due by then, then what the change made them do
-	Died  []*Proc // their connections are reset after that
-	Tells []Tell
+	Effects  []ProcEffects // of servers: first what was due by now, then what the change caused
+	Died     []*Proc       // processes that ended; their connections are reset after Effects
+	Messages []ListMessage
 }
 
-// Did is what one process did.
-type Did struct {
+// ProcEffects are the effects of one process.
+type ProcEffects struct {
 	Proc    *Proc
 	Effects []Effect
 }
 
-// Apply does one change of the script.
+// Apply makes one change of the script.
 func (w *World) Apply(now time.Duration, what any) Result {
 	var r Result
-	truth := func(p *Proc, state decide.BackendState, after time.Duration) {
+	updateList := func(p *Proc, state decide.BackendState, after time.Duration) {
 		e := Entry{Server: p.Spec, State: state}
-		if p.born > 0 {
-			e.Started = p.born
+		if p.startedAt > 0 {
+			e.Started = p.startedAt
 		}
-		r.Tells = append(r.Tells, w.List.Step(now, Truth{Entry: e, After: after})...)
+		r.Messages = append(r.Messages, w.List.Step(now, ServerChange{Entry: e, After: after})...)
 	}
 	do := func(p *Proc, e ServerEvent) {
-		r.Did = append(r.Did, Did{p, slices.Clone(p.Step(now, e))})
+		r.Effects = append(r.Effects, ProcEffects{p, slices.Clone(p.Step(now, e))})
 	}
 	step := func(name string, e ServerEvent) {
 		if p := w.running(name); p != nil {
 			do(p, e)
 		}
 	}
-	die := func(p *Proc) {
-		do(p, Wake{}) // an answer that is due at this very instant goes out first
+	terminate := func(p *Proc) {
+		do(p, Wake{}) // an answer that is due at this instant is sent first
 		p.Dead = true
 		r.Died = append(r.Died, p)
-		truth(p, decide.Removed, w.S.List.Drain)
+		updateList(p, decide.Removed, w.S.List.Drain)
 	}
 	switch op := what.(type) {
 	case ServerErrors:
@@ -196,36 +196,36 @@
 			do(p, Wake{})
 			p.Silent = op.On
 			if op.On {
-				truth(p, decide.Removed, w.S.List.Silent)
+				updateList(p, decide.Removed, w.S.List.Silent)
 			} else {
-				e := Entry{Server: p.Spec, State: decide.Up, Started: p.born}
-				r.Tells = append(r.Tells, w.List.Step(now, Truth{Entry: e, After: w.S.List.Up, Instead: true})...)
+				e := Entry{Server: p.Spec, State: decide.Up, Started: p.startedAt}
+				r.Messages = append(r.Messages, w.List.Step(now, ServerChange{Entry: e, After: w.S.List.Up, Supersedes: true})...)
 			}
 		}
 	case Drain:
 		if p := w.running(op.Server); p != nil {
 			step(op.Server, DrainNow{})
-			truth(p, decide.Draining, w.S.List.Drain)
+			updateList(p, decide.Draining, w.S.List.Drain)
 		}
 	case Kill:
 		if p := w.running(op.Server); p != nil {
-			die(p)
+			terminate(p)
 		}
 	case Start:
-		if old := w.At(op.Server.Place); old != nil { // one address, one process
-			die(old)
+		if old := w.At(op.Server.Place); old != nil { // at most one process listens at an address
+			terminate(old)
 		}
 		p := w.start(now, op.Server, true)
-		truth(p, decide.Up, w.S.List.Up)
+		updateList(p, decide.Up, w.S.List.Up)
 	case MovePod:
 		if p := w.running(op.Server); p != nil {
 			p.Spec.Pod = op.Pod
-			truth(p, decide.Up, w.S.List.Up)
+			updateList(p, decide.Up, w.S.List.Up)
 		}
 	case ListLate:
-		r.Tells = append(r.Tells, w.List.Step(now, SetLate(op))...)
+		r.Messages = append(r.Messages, w.List.Step(now, SetLate(op))...)
 	case ListDown:
-		r.Tells = append(r.Tells, w.List.Step(now, SetDown{op.On})...)
+		r.Messages = append(r.Messages, w.List.Step(now, SetDown{op.On})...)
 	case Cut:
 		w.Net.Cut(op.A, op.B, op.On)
 	case Resets:
@@ -233,16 +233,16 @@
 	case Lost:
 		w.Net.lost = op.Share
 	case ListRefuse:
-		r.Tells = append(r.Tells, w.List.Step(now, SetRefuse(op))...)
+		r.Messages = append(r.Messages, w.List.Step(now, SetRefuse(op))...)
 	}
 	return r
 }
 
-// Fallen is what follows from a server that was pushed over: its process ends for good.
-func (w *World) Fallen(now time.Duration, p *Proc) []Tell {
+// EndOverloaded ends the process of a server that was overloaded while cold. It does not come back by itself.
+func (w *World) EndOverloaded(now time.Duration, p *Proc) []ListMessage {
 	p.Dead = true
-	e := Entry{Server: p.Spec, State: decide.Removed, Started: p.born}
-	return w.List.Step(now, Truth{Entry: e, After: w.S.List.Drain})
+	e := Entry{Server: p.Spec, State: decide.Removed, Started: p.startedAt}
+	return w.List.Step(now, ServerChange{Entry: e, After: w.S.List.Drain})
 }
 
 func (w *World) running(name string) *Proc {
--- a/internal/simulate/report/html.go
+++ b/internal/simulate/report/html.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/simulate/statistics"
 )
 
-// HTML writes one page that needs nothing else: tables, and plots as SVG.
+// HTML writes a self-contained page with tables, and plots as SVG.
 func (r *Report) HTML(w io.Writer) error {
 	p := page{Report: r, Title: r.Scenario.Title, Rules: rules[1:]}
 	for i, res := range r.Results {
@@ -24,7 +24,7 @@
 			Failed: percent(float64(d.Total.Failed) / n), Tries: fmt.Sprintf("%.2f", float64(d.Total.Tries)/n),
 			Attempts: fmt.Sprintf("%.2f", float64(d.Total.Attempts)/n), Broken: res.Judge.Total(), CutShort: res.CutShort})
 		for j, b := range res.Judge.Breaches() {
-			if j == breachesShown {
+			if j == maxBreachesShown {
 				break
 			}
 			p.Breaches = append(p.Breaches, res.Policy+": "+b.String())
@@ -60,7 +60,7 @@
 	Service, P50, P99 string
 }
 
-// colours are told apart also by those who see few (after Okabe and Ito), then by dashes.
+// colours can also be distinguished by colour-blind readers (palette of Okabe and Ito); further lines differ by dashes.
 var colours = []string{"#0072b2", "#d55e00", "#009e73", "#cc79a7", "#8a6d00", "#56b4e9", "#7a4fbf", "#a33b3b"}
 
 func colour(i int) string { return colours[i%len(colours)] }
@@ -69,7 +69,7 @@
 	return [...]string{"", "6 3", "2 3", "8 3 2 3"}[i/len(colours)%4]
 }
 
-// charts are the plots: service, attempts and refusals by policy, what servers hold by server.
+// charts returns the plots: service, attempts and refusals by policy, and held requests by server.
 func (r *Report) charts() []chart {
 	var service, attempts, refusals, asked, held []line
 	for i, res := range r.Results {
@@ -95,9 +95,9 @@
 			asked = append(asked, o)
 		}
 	}
-	const linesMost = 24
+	const maxLines = 24
 	for i, s := range r.Results[0].Day.Servers {
-		if i == linesMost {
+		if i == maxLines {
 			break
 		}
 		l := line{Name: s.Name, Colour: colour(i), Dash: dash(i)}
@@ -151,12 +151,12 @@
 	bandRow             = 13.0
 )
 
-// chart lays lines out over the scenario's time. top is the highest value, or 0 to find it.
+// chart lays out lines over the scenario's time. top is the highest value of the y axis; 0: computed from the lines.
 func (r *Report) chart(title string, top float64, lines []line) chart {
 	c := chart{Title: title}
 	length := r.Scenario.Length.Seconds()
 	x := func(t float64) float64 { return plotLeft + (plotRight-plotLeft)*t/length }
-	var ends []float64 // of the labels in each row: those that would overlap go below one another
+	var ends []float64 // right ends of the labels in each row; a label that would overlap goes into the next row
 	for _, m := range r.Scenario.Marks {
 		b := band{X: x(m.From.Seconds()), Text: m.Text, Anchor: "start"}
 		b.W = max(2, x(m.To.Seconds())-b.X)
@@ -208,7 +208,7 @@
 	return c
 }
 
-// nice is a round number not below v.
+// nice returns a round number not below v.
 func nice(v float64) float64 {
 	if v <= 0 {
 		return 1
--- a/internal/simulate/report/report.go
+++ b/internal/simulate/report/report.go
@@ -15,15 +15,15 @@
 	"vetchhaven/internal/simulate/statistics"
 )
 
-// Result is how one policy did.
+// Result is the result of one policy.
 type Result struct {
 	Policy   string
 	Day      *statistics.Day
-	Judge    *checker.Judge
+	Judge    *checker.Checker
 	CutShort bool
 }
 
-// Report is all that was played of a scenario.
+// Report holds the results of all policies that were simulated with a scenario.
 type Report struct {
 	Scenario *model.Scenario
 	Seed     uint64
@@ -31,7 +31,7 @@
 	Results  []Result
 }
 
-// Broken is how often rules were broken by the first policy: the others are for comparison.
+// Broken returns how often the first policy broke rules. The other policies are for comparison.
 func (r *Report) Broken() int { return r.Results[0].Judge.Total() }
 
 func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%d:%04.1f", int(d.Minutes()), (d % time.Minute).Seconds())
 }
 
-// Text writes the report for people.
+// Text writes the report as plain text.
 func (r *Report) Text(w io.Writer) error {
 	s := r.Scenario
 	fmt.Fprintf(w, "%s: %d servers, %d agents, %g requests a second, %v, %s, seed %d\n", s.Title, len(s.Servers), s.Agents,
@@ -50,7 +50,7 @@
 	}
 	for _, res := range r.Results {
 		if res.CutShort {
-			fmt.Fprintf(w, "CUT SHORT at %s: what follows is the report up to there\n", clock(res.Day.Length))
+			fmt.Fprintf(w, "CUT SHORT at %s: this report covers the time until then\n", clock(res.Day.Length))
 		}
 	}
 	if len(r.Results) > 1 {
@@ -66,7 +66,7 @@
 	serversTable(w, res.Day)
 	for _, res := range r.Results {
 		fmt.Fprintln(w)
-		verdict(w, res)
+		rulesSummary(w, res)
 	}
 	return nil
 }
@@ -141,13 +141,13 @@
 
 func ms(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
 
-const serversShown = 40
+const maxServersShown = 40
 
 func serversTable(w io.Writer, d *statistics.Day) {
 	t := table(w)
 	fmt.Fprintln(t, "server\tkind\tzone\tpod\tattempts\tshare\tserved\terrors\tfull\tmost held\tcold load\t")
 	for i, s := range d.Servers {
-		if i == serversShown {
+		if i == maxServersShown {
 			fmt.Fprintf(t, "and %d more\t\t\t\t\t\t\t\t\t\t\t\n", len(d.Servers)-i)
 			break
 		}
@@ -168,16 +168,16 @@
 	t.Flush()
 }
 
-var rules = [...]string{1: "one final answer in time, nothing sent after it", 2: "no effect twice, refusals harmless",
-	3: "nothing new to what drains or is gone", 4: "no cold server pushed over"}
+var rules = [...]string{1: "one final answer in time, nothing sent after it", 2: "no effect twice, retries after refusals harmless",
+	3: "nothing new to servers that drain or are gone", 4: "no cold server overloaded"}
 
-const breachesShown = 5
+const maxBreachesShown = 5
 
-func verdict(w io.Writer, res Result) {
+func rulesSummary(w io.Writer, res Result) {
 	if n, free := res.Judge.Doubled(); n > 0 {
 		fmt.Fprintf(w, "effects: %s: %d had their effect twice, %d of them by sends within the rules\n", res.Policy, n, len(free))
 		if len(free) > 0 {
-			fmt.Fprintln(w, "  (the list told too late of what had changed), the first", free[0].Request, "on", strings.Join(free[0].Servers, " and "))
+			fmt.Fprintln(w, "  (the list reported a change too late), the first", free[0].Request, "on", strings.Join(free[0].Servers, " and "))
 		}
 	}
 	if res.Judge.Total() == 0 {
@@ -193,7 +193,7 @@
 	fmt.Fprintf(w, "rules: %s BROKE %s\n", res.Policy, strings.Join(n, ", "))
 	shown := map[int]int{}
 	for _, b := range res.Judge.Breaches() {
-		if shown[b.Rule]++; shown[b.Rule] <= breachesShown {
+		if shown[b.Rule]++; shown[b.Rule] <= maxBreachesShown {
 			fmt.Fprintln(w, " ", b)
 		}
 	}
@@ -241,7 +241,7 @@
 	P99     float64 `json:"p99_ms"`
 }
 
-// JSON writes all of the report. It holds no time of the real clock: the same play gives the same bytes.
+// JSON writes the whole report. It contains no real time, so the same simulation gives the same bytes.
 func (r *Report) JSON(w io.Writer) error {
 	out := jsonReport{Title: r.Scenario.Title, Driver: r.Driver, Seed: r.Seed, Length: r.Scenario.Length.Seconds(),
 		Window: statistics.Window.Seconds(), Incidents: []jsonMark{}}
--- a/internal/simulate/report/report_test.go
+++ b/internal/simulate/report/report_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if r.Broken() != 0 {
-		t.Error("rules that others broke count")
+		t.Error("rules that other policies broke are counted")
 	}
 }
 
@@ -61,7 +61,7 @@
 	r := report(t)
 	var a, b bytes.Buffer
 	if r.JSON(&a) != nil || r.JSON(&b) != nil || a.String() != b.String() {
-		t.Error("two texts of one report")
+		t.Error("one report gives two different texts")
 	}
 	var back jsonReport
 	if err := json.Unmarshal(a.Bytes(), &back); err != nil || len(back.Results) != 2 || back.Results[1].Broken["4"] == 0 || !back.Results[1].CutShort {
@@ -76,7 +76,7 @@
 	}
 }
 
-// The page needs nothing else, hides nothing in markup, and its plots are drawn.
+// The page loads nothing from elsewhere, escapes markup in texts, and its plots are drawn.
 func TestHTML(t *testing.T) {
 	r := report(t)
 	var page bytes.Buffer
@@ -85,13 +85,13 @@
 	}
 	text := page.String()
 	if strings.Contains(text, `<b>"a`) || regexp.MustCompile(`(src|href)=|https?:|@import|url\(`).MatchString(text) {
-		t.Error("a title as markup, or something from elsewhere")
+		t.Error("the page contains a title as markup, or loads something from elsewhere")
 	}
 	if n := strings.Count(text, "<path d=\"M"); n < 10 {
 		t.Errorf("%d lines are drawn", n)
 	}
 	if strings.Contains(text, "NaN") || strings.Contains(text, "Inf") {
-		t.Error("a plot without numbers")
+		t.Error("a plot contains values that are no numbers")
 	}
 	d := xml.NewDecoder(strings.NewReader(text[strings.Index(text, "<svg"):strings.Index(text, "</svg>")] + "</svg>"))
 	for {
--- a/internal/simulate/scenario/golden_test.go
+++ b/internal/simulate/scenario/golden_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// Keys without a tag are their fields' names, whatever their case.
+// Keys without a tag are the names of their fields, in any case.
 func TestFilesKeepTheirKeys(t *testing.T) {
 	golden.CheckKeys(t, "scenario.toml.keys", reflect.TypeFor[file]())
 }
--- a/internal/simulate/scenario/incident.go
+++ b/internal/simulate/scenario/incident.go
@@ -12,7 +12,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// incident is one thing that goes wrong, or is done, at a time.
+// incident is one fault or operator action at a given time.
 type incident struct {
 	What     string
 	At       tomlfile.Duration
@@ -35,7 +35,7 @@
 	Drain    bool
 }
 
-// fields says what each incident takes: those after the bar are not needed.
+// fields lists the fields of each incident; those after the bar are optional.
 var fields = map[string]string{
 	"fast-errors":    "for servers share",
 	"slow":           "for servers factor",
@@ -59,15 +59,15 @@
 	"agents-restart": "| agents after over drain",
 }
 
-// incidents turns them into changes in order of time.
-func (c *checker) incidents(f *file, s *model.Scenario) {
+// incidents converts the file's incidents into changes in order of time.
+func (c *validator) incidents(f *file, s *model.Scenario) {
 	known := map[string]model.ServerSpec{}
 	places := len(s.Servers)
 	for _, v := range s.Servers {
 		known[v.Name] = v
 	}
 	add := func(at time.Duration, what any) { s.Timeline = append(s.Timeline, model.Change{At: at, What: what}) }
-	order := make([]int, len(f.Incident)) // by time, so that what joins is known to what comes later
+	order := make([]int, len(f.Incident)) // by time, so that later incidents can name servers that have joined
 	for i := range order {
 		order[i] = i
 	}
@@ -75,7 +75,7 @@
 	for _, i := range order {
 		in := &f.Incident[i]
 		at := func(field string) string { return fmt.Sprintf("incident[%d].%s", i, field) }
-		if !c.fits(in.What, at) {
+		if !c.checkFields(in.What, at) {
 			return
 		}
 		from, until := in.At.D(), in.At.D()+in.For.D()
@@ -92,7 +92,7 @@
 			v, ok := known[name]
 			some := []model.ServerSpec{v}
 			if !ok {
-				some, ok = c.matching(at("servers"), name, known)
+				some, ok = c.matchServers(at("servers"), name, known)
 			}
 			if !ok {
 				return
@@ -100,7 +100,7 @@
 			list = append(list, some...)
 		}
 		if c.own.Has(at("servers")) && len(list) == 0 {
-			c.fail(at("servers"), "none is named")
+			c.fail(at("servers"), "no server is named")
 		}
 		c.share(at("share"), in.Share)
 		if c.own.Has(at("factor")) {
@@ -110,7 +110,7 @@
 			field string
 			d     tomlfile.Duration
 		}{{"by", in.By}, {"over", in.Over}, {"drain_for", in.DrainFor}, {"after", in.After}} {
-			if c.wait(at(v.field), v.d); from+v.d.D() > s.Length {
+			if c.nonNegativeTime(at(v.field), v.d); from+v.d.D() > s.Length {
 				c.fail(at(v.field), "%v from %v is past the %v that the scenario takes", v.d, in.At, s.Length)
 			}
 		}
@@ -119,7 +119,7 @@
 		}
 		label := in.What
 		if len(in.Servers) > 0 {
-			label += " " + brief(in.Servers)
+			label += " " + abbreviate(in.Servers)
 		}
 		each := func(on, off func(v model.ServerSpec) any) {
 			for _, v := range list {
@@ -169,7 +169,7 @@
 		case "restart", "replace":
 			until = from + in.Over.D() + in.DrainFor.D() + in.After.D()
 			if until > s.Length {
-				c.fail(at("after"), "it ends at %v, past the %v that the scenario takes", until, s.Length)
+				c.fail(at("after"), "the incident ends at %v, past the %v that the scenario takes", until, s.Length)
 			}
 			for n, v := range list {
 				from := from + in.Over.D()*time.Duration(n)/time.Duration(len(list))
@@ -178,7 +178,7 @@
 					from += in.DrainFor.D()
 				}
 				add(from, model.Kill{Server: v.Name})
-				if in.What == "replace" { // under a new id, at the old address
+				if in.What == "replace" { // the new process has a new ID and the old address
 					v.Name += "-new"
 					for known[v.Name] != (model.ServerSpec{}) {
 						v.Name += "-new"
@@ -191,8 +191,8 @@
 			kind := c.name(at("kind"), in.Kind, names(s.Kinds, func(k model.Kind) string { return k.Name }))
 			zone := c.name(at("zone"), cmp.Or(in.Zone, s.Zones[0]), s.Zones)
 			count := cmp.Or(in.Count, 1)
-			if count < 1 || places+count > mostServers {
-				c.fail(at("count"), "%d: at least 1, and %d servers in all, are allowed", count, mostServers)
+			if count < 1 || places+count > maxServers {
+				c.fail(at("count"), "%d: at least 1, and %d servers in all, are allowed", count, maxServers)
 				return
 			}
 			for n := range count {
@@ -231,7 +231,7 @@
 			}
 			a, b := c.name(at("zones"), in.Zones[0], s.Zones), c.name(at("zones"), in.Zones[1], s.Zones)
 			if a == b {
-				c.fail(at("zones"), "a zone is not cut from itself")
+				c.fail(at("zones"), "a zone can not be cut off from itself")
 			}
 			add(from, model.Cut{A: a, B: b, On: true})
 			add(until, model.Cut{A: a, B: b})
@@ -252,12 +252,12 @@
 			first, end := 0, s.Agents
 			if len(in.Agents) > 0 {
 				if len(in.Agents) != 2 || in.Agents[0] < 0 || in.Agents[1] > s.Agents || in.Agents[0] >= in.Agents[1] {
-					c.fail(at("agents"), "%v: the first and one past the last are needed, within 0 to %d", in.Agents, s.Agents)
+					c.fail(at("agents"), "%v: the first agent and the one after the last are needed, within 0 to %d", in.Agents, s.Agents)
 					return
 				}
 				first, end = in.Agents[0], in.Agents[1]
 			}
-			// Over: a tenth after the other.
+			// With over, the agents restart one tenth after the other.
 			steps := 1
 			if in.Over.D() > 0 {
 				steps = min(10, end-first)
@@ -269,7 +269,7 @@
 				add(at+in.After.D(), model.Agents{From: a, To: z, Up: true})
 			}
 			if until = from + in.Over.D() + in.After.D(); until > s.Length {
-				c.fail(at("over"), "it ends at %v, past the %v that the scenario takes", until, s.Length)
+				c.fail(at("over"), "the incident ends at %v, past the %v that the scenario takes", until, s.Length)
 			}
 		}
 		s.Marks = append(s.Marks, model.Mark{From: from, To: until, Text: label})
@@ -277,12 +277,12 @@
 	slices.SortStableFunc(s.Timeline, func(a, b model.Change) int { return cmp.Compare(a.At, b.At) })
 }
 
-// matching is the servers whose names match a pattern (path.Match), in order of their names.
-func (c *checker) matching(key, pattern string, known map[string]model.ServerSpec) (list []model.ServerSpec, ok bool) {
+// matchServers returns the servers whose names match a pattern (path.Match), in order of their names.
+func (c *validator) matchServers(key, pattern string, known map[string]model.ServerSpec) (list []model.ServerSpec, ok bool) {
 	for name, v := range known {
 		hit, err := path.Match(pattern, name)
 		if err != nil {
-			c.fail(key, "%q is no pattern: %v", pattern, err)
+			c.fail(key, "%q is not a valid pattern: %v", pattern, err)
 			return nil, false
 		}
 		if _, replaced := known[name+"-new"]; hit && !replaced {
@@ -297,8 +297,8 @@
 	return list, true
 }
 
-// fits checks that an incident is known and has just the fields that it takes.
-func (c *checker) fits(what string, at func(string) string) bool {
+// checkFields checks that an incident is known, has all required fields and no fields that it does not take.
+func (c *validator) checkFields(what string, at func(string) string) bool {
 	takes, ok := fields[what]
 	if !ok {
 		var all []string
@@ -312,20 +312,20 @@
 	needed, also, _ := strings.Cut(takes, "|")
 	for _, field := range strings.Fields(needed) {
 		if !c.own.Has(at(field)) {
-			c.fail(at(field), "is needed by %s, and missing", what)
+			c.fail(at(field), "is required by %s and missing", what)
 		}
 	}
 	allowed := append(strings.Fields(needed+" "+also), "what", "at")
 	for _, field := range []string{"for", "servers", "share", "factor", "class", "zones", "by", "over", "drain_for",
 		"after", "name", "kind", "zone", "pod", "count", "agents", "drain"} {
 		if c.own.Has(at(field)) && !slices.Contains(allowed, field) {
-			c.fail(at(field), "%s takes none; it takes %s", what, strings.Join(allowed, ", "))
+			c.fail(at(field), "%s does not take this field; it takes %s", what, strings.Join(allowed, ", "))
 		}
 	}
 	return c.err == nil
 }
 
-func brief(list []string) string {
+func abbreviate(list []string) string {
 	if len(list) > 3 {
 		return fmt.Sprintf("%s and %d more", strings.Join(list[:2], ", "), len(list)-2)
 	}
--- a/internal/simulate/scenario/scenario.go
+++ b/internal/simulate/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads the files that say what a rehearsal plays: a fleet, classes of requests,
-// load, and a script of timed incidents. The whole file is checked before anything runs; errors
-// name file, line and field.
+// Package scenario reads the files that describe a simulation: a fleet of servers, classes of
+// requests, load, and a script of timed incidents. The whole file is checked before anything runs;
+// errors name the file, the line and the field.
 package scenario
 
 import (
@@ -19,7 +19,7 @@
 
 type file struct {
 	Title  string
-	Site   string // a file beside this one with what several scenarios share
+	Site   string // path of a file with the settings that several scenarios share, relative to this file
 	Length tomlfile.Duration
 	Agents struct {
 		Count  int
@@ -116,28 +116,28 @@
 }
 
 type servers struct {
-	Name  string // a prefix: servers are numbered through the file
+	Name  string // prefix; servers with the same prefix are numbered on through the file
 	Kind  string
 	Zone  string
 	Pod   int
-	Pods  int // so many, from Pod on, in turn
+	Pods  int // number of pods that the servers are assigned to in turn, starting at Pod
 	Count int
 }
 
-// Load reads the scenario at path, and the site file that it names.
+// Load reads the scenario at path and the site file that it names.
 func Load(path string) (*model.Scenario, error) {
 	var f file
 	own, err := tomlfile.Read(path, &f)
 	if err != nil {
 		return nil, err
 	}
-	c := &checker{own: own, site: own}
+	c := &validator{own: own, site: own}
 	if f.Site != "" {
-		// What the scenario says goes before what the site says; a whole list of kinds, classes,
-		// servers replaces the site's.
-		var both file
+		// Settings of the scenario override those of the site. A list of kinds, classes or servers
+		// replaces the site's whole list.
+		var merged file
 		at := filepath.Join(filepath.Dir(path), f.Site)
-		if c.site, err = tomlfile.Read(at, &both); err != nil {
+		if c.site, err = tomlfile.Read(at, &merged); err != nil {
 			return nil, fmt.Errorf("%w (the site of %s)", err, path)
 		}
 		for _, key := range []string{"title", "site", "length", "incident"} {
@@ -145,33 +145,33 @@
 				return nil, c.site.Errorf(key, "belongs in a scenario, not in a site")
 			}
 		}
-		kinds, classes, fleet := both.Kind, both.Class, both.Servers
-		both.Kind, both.Class, both.Servers = nil, nil, nil
-		if _, err := tomlfile.Read(path, &both); err != nil {
+		kinds, classes, fleet := merged.Kind, merged.Class, merged.Servers
+		merged.Kind, merged.Class, merged.Servers = nil, nil, nil
+		if _, err := tomlfile.Read(path, &merged); err != nil {
 			return nil, err
 		}
-		if both.Kind == nil {
-			both.Kind = kinds
+		if merged.Kind == nil {
+			merged.Kind = kinds
 		}
-		if both.Class == nil {
-			both.Class = classes
+		if merged.Class == nil {
+			merged.Class = classes
 		}
-		if both.Servers == nil {
-			both.Servers = fleet
+		if merged.Servers == nil {
+			merged.Servers = fleet
 		}
-		f = both
+		f = merged
 	}
 	return c.scenario(&f)
 }
 
-// checker keeps the first thing that is wrong.
-type checker struct {
+// validator checks a scenario and keeps the first error that it finds.
+type validator struct {
 	own, site *tomlfile.File
 	err       error
 }
 
-// fail notes an error about a key, at the file that sets it.
-func (c *checker) fail(key, format string, args ...any) {
+// fail records an error about a key, positioned in the file that sets the key.
+func (c *validator) fail(key, format string, args ...any) {
 	if c.err != nil {
 		return
 	}
@@ -182,39 +182,39 @@
 	c.err = f.Errorf(key, format, args...)
 }
 
-func (c *checker) positive(key string, v float64) {
+func (c *validator) positive(key string, v float64) {
 	if !(v > 0) || math.IsInf(v, 0) {
 		c.fail(key, "%v is not above 0", v)
 	}
 }
 
-func (c *checker) notNegative(key string, v float64) {
+func (c *validator) notNegative(key string, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
-		c.fail(key, "%v is negative or no number", v)
+		c.fail(key, "%v is negative or not a number", v)
 	}
 }
 
-func (c *checker) share(key string, v float64) {
+func (c *validator) share(key string, v float64) {
 	if !(v >= 0 && v <= 1) {
-		c.fail(key, "%v is no share: 0 to 1 is allowed", v)
+		c.fail(key, "%v is not a share: 0 to 1 is allowed", v)
 	}
 }
 
-func (c *checker) wait(key string, d tomlfile.Duration) time.Duration {
+func (c *validator) nonNegativeTime(key string, d tomlfile.Duration) time.Duration {
 	if d.D() < 0 {
 		c.fail(key, "%v is negative", d)
 	}
 	return d.D()
 }
 
-func (c *checker) span(key string, d tomlfile.Duration) time.Duration {
+func (c *validator) positiveTime(key string, d tomlfile.Duration) time.Duration {
 	if d.D() <= 0 {
 		c.fail(key, "%v: a time above 0 is needed", d)
 	}
 	return d.D()
 }
 
-func (c *checker) name(key, name string, known []string) int {
+func (c *validator) name(key, name string, known []string) int {
 	i := slices.Index(known, name)
 	if i < 0 {
 		c.fail(key, "%q is none of %s", name, strings.Join(known, ", "))
@@ -224,19 +224,19 @@
 }
 
 const (
-	mostServers = 20000
-	mostAgents  = 5000
+	maxServers = 20000
+	maxAgents  = 5000
 )
 
-func (c *checker) scenario(f *file) (*model.Scenario, error) {
-	s := &model.Scenario{Title: f.Title, Length: c.span("length", f.Length),
-		Agents: f.Agents.Count, Uneven: f.Agents.Uneven, Vary: f.Agents.Vary, Tick: c.wait("agents.tick", f.Agents.Tick),
+func (c *validator) scenario(f *file) (*model.Scenario, error) {
+	s := &model.Scenario{Title: f.Title, Length: c.positiveTime("length", f.Length),
+		Agents: f.Agents.Count, Uneven: f.Agents.Uneven, Vary: f.Agents.Vary, Tick: c.nonNegativeTime("agents.tick", f.Agents.Tick),
 		Rate: f.Load.Rate, ByWork: f.Load.ByWork, Zones: f.Network.Zones}
 	if s.Length > 24*time.Hour {
 		c.fail("length", "%v is more than a day", s.Length)
 	}
-	if s.Agents < 1 || s.Agents > mostAgents {
-		c.fail("agents.count", "%d: 1 to %d are allowed", s.Agents, mostAgents)
+	if s.Agents < 1 || s.Agents > maxAgents {
+		c.fail("agents.count", "%d: 1 to %d are allowed", s.Agents, maxAgents)
 	}
 	c.share("agents.uneven", s.Uneven)
 	c.notNegative("agents.vary", s.Vary)
@@ -249,7 +249,7 @@
 			c.fail("network.zones", "%q is empty or named twice", z)
 		}
 	}
-	c.world(f, s)
+	c.environment(f, s)
 	c.classes(f, s)
 	c.kinds(f, s)
 	c.fleet(f, s)
@@ -262,31 +262,31 @@
 	return s, nil
 }
 
-// world reads the list, the network, the clients and the rules.
-func (c *checker) world(f *file, s *model.Scenario) {
+// environment reads the list, the records, the network, the load reports, the clients and the rules.
+func (c *validator) environment(f *file, s *model.Scenario) {
 	mode := c.name("list.mode", cmp.Or(f.List.Mode, "asked"), []string{"asked", "pushed"})
-	s.List = model.ListSpec{Asked: mode == 0, Up: c.wait("list.up", f.List.Up), Drain: c.wait("list.drain", f.List.Drain),
-		Silent: c.wait("list.silent", f.List.Silent), Spread: c.wait("list.spread", f.List.Spread), Calls: f.List.Calls,
-		Timeout: c.wait("list.timeout", f.List.Timeout)}
+	s.List = model.ListSpec{Asked: mode == 0, Up: c.nonNegativeTime("list.up", f.List.Up), Drain: c.nonNegativeTime("list.drain", f.List.Drain),
+		Silent: c.nonNegativeTime("list.silent", f.List.Silent), Spread: c.nonNegativeTime("list.spread", f.List.Spread), Calls: f.List.Calls,
+		Timeout: c.nonNegativeTime("list.timeout", f.List.Timeout)}
 	c.notNegative("list.calls", f.List.Calls)
 	r := &f.Records
-	s.Records = model.RecordsSpec{Every: c.wait("records.every", r.Every), Late: c.wait("records.late", r.Late),
+	s.Records = model.RecordsSpec{Every: c.nonNegativeTime("records.every", r.Every), Late: c.nonNegativeTime("records.late", r.Late),
 		Fail: r.Fail, Cut: r.Cut, Empty: r.Empty,
-		Hold:   c.span("records.hold", cmp.Or(r.Hold, tomlfile.Of(time.Hour))),
-		Guard:  c.span("records.guard", cmp.Or(r.Guard, tomlfile.Of(30*time.Second))),
-		Settle: c.span("records.settle", cmp.Or(r.Settle, tomlfile.Of(12*time.Second)))}
+		Hold:   c.positiveTime("records.hold", cmp.Or(r.Hold, tomlfile.Of(time.Hour))),
+		Guard:  c.positiveTime("records.guard", cmp.Or(r.Guard, tomlfile.Of(30*time.Second))),
+		Settle: c.positiveTime("records.settle", cmp.Or(r.Settle, tomlfile.Of(12*time.Second)))}
 	c.share("records.fail", r.Fail)
 	c.share("records.cut", r.Cut)
 	c.share("records.empty", r.Empty)
 	if c.own.Has("records") && s.Records.Every == 0 {
 		c.fail("records.every", "a time above 0 is needed where there are records")
 	}
-	s.Network = model.NetworkSpec{Within: c.wait("network.within", f.Network.Within),
-		Across: c.wait("network.across", f.Network.Across), Jitter: f.Network.Jitter}
+	s.Network = model.NetworkSpec{Within: c.nonNegativeTime("network.within", f.Network.Within),
+		Across: c.nonNegativeTime("network.across", f.Network.Across), Jitter: f.Network.Jitter}
 	c.notNegative("network.jitter", f.Network.Jitter)
-	s.Report = model.ReportSpec{Answers: f.Report.Answers, Every: c.wait("report.every", f.Report.Every), Noise: f.Report.Noise}
+	s.Report = model.ReportSpec{Answers: f.Report.Answers, Every: c.nonNegativeTime("report.every", f.Report.Every), Noise: f.Report.Noise}
 	c.notNegative("report.noise", f.Report.Noise)
-	s.Clients = model.Clients{Tries: cmp.Or(f.Clients.Tries, 1), Wait: c.wait("clients.wait", f.Clients.Wait),
+	s.Clients = model.Clients{Tries: cmp.Or(f.Clients.Tries, 1), Wait: c.nonNegativeTime("clients.wait", f.Clients.Wait),
 		Heed: f.Clients.Heed, Patience: cmp.Or(f.Clients.Patience, 1)}
 	if s.Clients.Tries < 1 || s.Clients.Tries > 10 {
 		c.fail("clients.tries", "%d: 1 to 10 are allowed", s.Clients.Tries)
@@ -297,14 +297,14 @@
 	}
 	rules := &f.Rules
 	s.Rules = model.Rules{MaxAttempts: cmp.Or(rules.MaxAttempts, 3), SecondCopies: rules.SecondCopies,
-		ConnectTimeout: c.span("rules.connect_timeout", cmp.Or(rules.ConnectTimeout, tomlfile.Of(250*time.Millisecond))),
-		IdleClose:      c.span("rules.idle_close", cmp.Or(rules.IdleClose, tomlfile.Of(5*time.Second))),
-		DrainGrace:     c.span("rules.drain_grace", cmp.Or(rules.DrainGrace, tomlfile.Of(2*time.Second))),
-		AnswerSlack:    c.wait("rules.answer_slack", cmp.Or(rules.AnswerSlack, tomlfile.Of(20*time.Millisecond))),
-		AskWithin:      c.span("rules.ask_within", cmp.Or(rules.AskWithin, tomlfile.Of(10*time.Second))),
-		ColdShare:      cmp.Or(rules.ColdShare, 0.31), RampTime: c.span("rules.ramp_time", cmp.Or(rules.RampTime, tomlfile.Of(8600*time.Millisecond))),
-		FallMultiple: cmp.Or(rules.FallMultiple, 2.5), FallWindow: c.span("rules.fall_window", cmp.Or(rules.FallWindow, tomlfile.Of(time.Second))),
-		CrossZonePrice: rules.CrossZonePrice, MaxRetryAfter: c.wait("rules.max_retry_after", rules.MaxRetryAfter)}
+		ConnectTimeout: c.positiveTime("rules.connect_timeout", cmp.Or(rules.ConnectTimeout, tomlfile.Of(250*time.Millisecond))),
+		IdleClose:      c.positiveTime("rules.idle_close", cmp.Or(rules.IdleClose, tomlfile.Of(5*time.Second))),
+		DrainGrace:     c.positiveTime("rules.drain_grace", cmp.Or(rules.DrainGrace, tomlfile.Of(2*time.Second))),
+		AnswerSlack:    c.nonNegativeTime("rules.answer_slack", cmp.Or(rules.AnswerSlack, tomlfile.Of(20*time.Millisecond))),
+		AskWithin:      c.positiveTime("rules.ask_within", cmp.Or(rules.AskWithin, tomlfile.Of(10*time.Second))),
+		ColdShare:      cmp.Or(rules.ColdShare, 0.31), RampTime: c.positiveTime("rules.ramp_time", cmp.Or(rules.RampTime, tomlfile.Of(8600*time.Millisecond))),
+		FallMultiple: cmp.Or(rules.FallMultiple, 2.5), FallWindow: c.positiveTime("rules.fall_window", cmp.Or(rules.FallWindow, tomlfile.Of(time.Second))),
+		CrossZonePrice: rules.CrossZonePrice, MaxRetryAfter: c.nonNegativeTime("rules.max_retry_after", rules.MaxRetryAfter)}
 	if s.Rules.MaxAttempts < 1 {
 		c.fail("rules.max_attempts", "%d: at least 1 is needed", s.Rules.MaxAttempts)
 	}
@@ -313,23 +313,23 @@
 	c.notNegative("rules.cross_zone_price", rules.CrossZonePrice)
 }
 
-func (c *checker) classes(f *file, s *model.Scenario) {
+func (c *validator) classes(f *file, s *model.Scenario) {
 	if len(f.Class) == 0 {
 		c.fail("class", "at least one [[class]] is needed")
 	}
 	for i, k := range f.Class {
 		at := func(field string) string { return fmt.Sprintf("class[%d].%s", i, field) }
 		if k.Name == "" || strings.ContainsAny(k.Name, "/ ?#%") {
-			c.fail(at("name"), "%q is no name for the first part of a path", k.Name)
+			c.fail(at("name"), "%q can not be used as the first part of a path", k.Name)
 		}
 		if slices.ContainsFunc(s.Classes, func(o model.Class) bool { return o.Name == k.Name }) {
 			c.fail(at("name"), "%q is named twice", k.Name)
 		}
 		effect := c.name(at("repeats"), cmp.Or(k.Repeats, "safe"), []string{"safe", "keyed", "unsafe"})
 		group := c.name(at("group"), cmp.Or(k.Group, "all"), []string{"all", "zone", "pod"})
-		e := model.Class{Name: k.Name, Share: k.Share, Work: c.span(at("work"), k.Work), Vary: k.Vary, Noise: k.Noise, Hint: -1,
-			Class: decide.Class{Objective: c.span(at("aim"), k.Aim), Deadline: c.span(at("deadline"), k.Deadline), Value: k.Worth,
-				LateValue: k.Late, Effect: decide.Effect(effect), Scope: decide.DedupScope(group), DedupWindow: c.wait(at("window"), k.Window)}}
+		e := model.Class{Name: k.Name, Share: k.Share, Work: c.positiveTime(at("work"), k.Work), Vary: k.Vary, Noise: k.Noise, Hint: -1,
+			Class: decide.Class{Objective: c.positiveTime(at("aim"), k.Aim), Deadline: c.positiveTime(at("deadline"), k.Deadline), Value: k.Worth,
+				LateValue: k.Late, Effect: decide.Effect(effect), Scope: decide.DedupScope(group), DedupWindow: c.nonNegativeTime(at("window"), k.Window)}}
 		if k.Hint != nil {
 			e.Hint = *k.Hint
 			c.notNegative(at("hint"), e.Hint)
@@ -349,7 +349,7 @@
 	}
 }
 
-func (c *checker) kinds(f *file, s *model.Scenario) {
+func (c *validator) kinds(f *file, s *model.Scenario) {
 	if len(f.Kind) == 0 {
 		c.fail("kind", "at least one [[kind]] is needed")
 	}
@@ -360,14 +360,14 @@
 		}
 		e := model.Kind{Name: k.Name, Cores: k.Cores, Speed: k.Speed, Spread: k.Spread, Slots: cmp.Or(k.Slots, k.Cores),
 			Queue: k.Queue, Thrash: k.Thrash, ThrashAt: k.ThrashAt, ColdShare: cmp.Or(k.ColdShare, 1),
-			ColdFor: c.wait(at("cold_for"), k.ColdFor), PauseEvery: c.wait(at("pause_every"), k.PauseEvery),
-			Pause: c.wait(at("pause"), k.Pause), PauseGrow: k.PauseGrow, ErrorRate: k.ErrorRate,
-			Connections: cmp.Or(k.Connections, 10000), Backlog: k.Backlog, Handshake: c.wait(at("handshake"), k.Handshake), HandshakeRTT: k.HandshakeRTT}
+			ColdFor: c.nonNegativeTime(at("cold_for"), k.ColdFor), PauseEvery: c.nonNegativeTime(at("pause_every"), k.PauseEvery),
+			Pause: c.nonNegativeTime(at("pause"), k.Pause), PauseGrow: k.PauseGrow, ErrorRate: k.ErrorRate,
+			Connections: cmp.Or(k.Connections, 10000), Backlog: k.Backlog, Handshake: c.nonNegativeTime(at("handshake"), k.Handshake), HandshakeRTT: k.HandshakeRTT}
 		e.WarmByWork = c.name(at("warm_by"), cmp.Or(k.WarmBy, "time"), []string{"time", "work"}) == 1
 		for _, f := range []struct {
 			name string
 			v    int
-		}{{"cores", e.Cores}, {"slots", e.Slots}, {"connections", e.Connections}} { // slots are cores where none are named
+		}{{"cores", e.Cores}, {"slots", e.Slots}, {"connections", e.Connections}} { // slots default to the number of cores
 			if f.v < 1 {
 				c.fail(at(f.name), "%d: at least 1 is needed", f.v)
 			}
@@ -394,16 +394,16 @@
 	}
 }
 
-func (c *checker) fleet(f *file, s *model.Scenario) {
+func (c *validator) fleet(f *file, s *model.Scenario) {
 	kinds := names(s.Kinds, func(k model.Kind) string { return k.Name })
 	number := map[string]int{}
 	for i, g := range f.Servers {
 		at := func(field string) string { return fmt.Sprintf("servers[%d].%s", i, field) }
 		if g.Name == "" || strings.ContainsAny(g.Name, " \"\\/") {
-			c.fail(at("name"), "%q is no name for servers", g.Name)
+			c.fail(at("name"), "%q can not be used as a name of servers", g.Name)
 		}
-		if g.Count < 1 || g.Count+len(s.Servers) > mostServers {
-			c.fail(at("count"), "%d: at least 1, and %d in all, are allowed", g.Count, mostServers)
+		if g.Count < 1 || g.Count+len(s.Servers) > maxServers {
+			c.fail(at("count"), "%d: at least 1, and %d in all, are allowed", g.Count, maxServers)
 			return
 		}
 		kind := c.name(at("kind"), g.Kind, kinds)
--- a/internal/simulate/scenario/scenario_test.go
+++ b/internal/simulate/scenario/scenario_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Every mistake is told with its line and its field, before anything runs.
+// Each mistake is reported with its line and its field.
 func TestMistakesAreNamed(t *testing.T) {
 	for _, tt := range []struct{ old, new, want string }{
 		{`rate = 10.0`, `rate = -1.0`, "s.toml:6: load.rate: -1 is not above 0"},
@@ -74,10 +74,10 @@
 		{`at = "5s"`, `at = "30s"`, "s.toml:27: incident[0].at: 30s is not within the 30s"},
 		{`at = "5s"`, `at = "-1s"`, "s.toml:27: incident[0].at: -1s is not within"},
 		{`servers = ["s-1"]`, `servers = ["s-1", "s-9"]`, `s.toml:29: incident[0].servers: "s-9" is not in the fleet`},
-		{`servers = ["s-1"]`, `servers = []`, "s.toml:29: incident[0].servers: none is named"},
-		{`servers = ["s-1"]`, ``, "s.toml:25: incident[0].servers: is needed by fast-errors"},
-		{`share = 0.5`, `share = 1.5`, "s.toml:30: incident[0].share: 1.5 is no share"},
-		{`share = 0.5`, "share = 0.5\nfactor = 2.0", "s.toml:31: incident[0].factor: fast-errors takes none"},
+		{`servers = ["s-1"]`, `servers = []`, "s.toml:29: incident[0].servers: no server is named"},
+		{`servers = ["s-1"]`, ``, "s.toml:25: incident[0].servers: is required by fast-errors"},
+		{`share = 0.5`, `share = 1.5`, "s.toml:30: incident[0].share: 1.5 is not a share"},
+		{`share = 0.5`, "share = 0.5\nfactor = 2.0", "s.toml:31: incident[0].factor: fast-errors does not take this field"},
 		{`what = "fast-errors"`, `what = "fast-error"`, `s.toml:26: incident[0].what: "fast-error" is none of`},
 		{`count = 2` + "\n[load]", `count = 0` + "\n[load]", "s.toml:4: agents.count: 0: 1 to 5000"},
 		{`zones = ["a", "b"]`, `zones = ["a", "a"]`, `s.toml:8: network.zones: "a" is empty or named twice`},
@@ -92,7 +92,7 @@
 		{`[[servers]]`, `[[server]]`, "s.toml:21: server: there is no such key"},
 	} {
 		if !strings.Contains(good, tt.old) {
-			t.Fatalf("%q is not in the good one", tt.old)
+			t.Fatalf("%q is not in the valid scenario", tt.old)
 		}
 		_, err := Load(write(t, t.TempDir(), "s.toml", strings.Replace(good, tt.old, tt.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
@@ -101,7 +101,7 @@
 	}
 }
 
-// What is wrong in a site is told as of the site, and a scenario goes before it.
+// Errors in a site file name the site file, and a scenario's settings override the site's.
 func TestSite(t *testing.T) {
 	dir := t.TempDir()
 	cut := strings.Index(good, "[[incident]]")
@@ -128,11 +128,11 @@
 		t.Errorf("%v", err)
 	}
 	if _, err = Load(write(t, dir, "s.toml", strings.Replace(own, "site.toml", "none.toml", 1))); err == nil {
-		t.Error("a site that is not there")
+		t.Error("a site file that does not exist gives no error")
 	}
 }
 
-// The scenarios that are shipped load, and each of their incidents is one that the model plays.
+// All shipped scenarios load, and each of their incidents is one that the model knows.
 func TestShippedScenarios(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 10 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// What joins has an address of its own; what replaces another has the same.
+// A server that joins has its own address; a server that replaces another has the same address.
 func TestPlaces(t *testing.T) {
 	s, err := Load(write(t, t.TempDir(), "s.toml", good+`[[incident]]
 what = "replace"
@@ -190,14 +190,14 @@
 	dir := f.TempDir()
 	f.Fuzz(func(t *testing.T, text string) {
 		if strings.Contains(text, "site") {
-			return // no other file is to be read
+			return // the fuzzer must not read other files
 		}
 		path := filepath.Join(dir, "f.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Load(path); err != nil && !strings.HasPrefix(err.Error(), path+":") {
-			t.Errorf("an error without its place: %v", err)
+			t.Errorf("an error without its file: %v", err)
 		}
 	})
 }
--- a/internal/simulate/statistics/statistics.go
+++ b/internal/simulate/statistics/statistics.go
@@ -1,5 +1,5 @@
-// Package statistics counts how a rehearsal goes: service as operators count it, by windows of time, by
-// class and by server. A client's retries belong to its first try.
+// Package statistics collects the statistics of a simulation: the service that clients got, by time
+// window, by class and by server. A client's retries count with its first try.
 package statistics
 
 import (
@@ -12,11 +12,11 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// Window is the length of the spans that are counted.
+// Window is the length of the time windows.
 const Window = 5 * time.Second
 
-// Counts are what became of the requests that were first asked in a window, and what was sent in
-// it. A request ends in exactly one of InTime, Late, Refused and Failed.
+// Counts holds the results of the requests whose first try was in a window, and what was sent in
+// the window. Each request ends in exactly one of InTime, Late, Refused and Failed.
 type Counts struct {
 	Offered  int     `json:"offered"`
 	InTime   int     `json:"in_time"`
@@ -25,19 +25,19 @@
 	Failed   int     `json:"failed"`
 	Tries    int     `json:"tries"`
 	Attempts int     `json:"attempts"`
-	Refusals int     `json:"refusals"`       // given, of tries that may have had a better end later
-	Why      Reasons `json:"turned_away_by"` // refusals and failures of the policy, by its reason
+	Refusals int     `json:"refusals"`       // of tries; a later try of the same request may have been served
+	Why      Reasons `json:"turned_away_by"` // refusals and failures by the policy, by reason
 	Dials    int     `json:"connections_opened"`
 	Calls    int     `json:"list_calls"`
-	View     float64 `json:"servers_in_view"` // mean number of servers that an agent has a connection to
+	View     float64 `json:"servers_in_view"` // mean number of servers that an agent has connections to
 	Asked    float64 `json:"worth_asked"`
 	Got      float64 `json:"worth_got"`
 }
 
-// Reasons counts by decide.Reason.
+// Reasons holds counts by decide.Reason.
 type Reasons [decide.ReasonCount]int
 
-// MarshalJSON gives counts by the names of reasons.
+// MarshalJSON encodes the counts by the names of the reasons.
 func (r Reasons) MarshalJSON() ([]byte, error) {
 	m := map[string]int{}
 	for i, n := range r {
@@ -46,7 +46,7 @@
 	return json.Marshal(m)
 }
 
-// UnmarshalJSON takes what MarshalJSON gives.
+// UnmarshalJSON decodes what MarshalJSON encodes.
 func (r *Reasons) UnmarshalJSON(text []byte) error {
 	m := map[string]int{}
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Service is the worth got over the worth asked for; 1 where nothing was.
+// Service returns the value earned over the value asked for; 1 if nothing was asked for.
 func (c Counts) Service() float64 {
 	if c.Asked == 0 {
 		return 1
@@ -84,7 +84,7 @@
 	c.Got += o.Got
 }
 
-// Server is what one server had.
+// Server holds the statistics of one server.
 type Server struct {
 	Name     string    `json:"name"`
 	Kind     string    `json:"kind"`
@@ -95,30 +95,30 @@
 	Served   int       `json:"served"`
 	Errors   int       `json:"errors"`
 	Full     int       `json:"full"`
-	Queue    []float64 `json:"queue"`    // held requests, mean of each window; negative: it was not there
-	Pressure float64   `json:"pressure"` // the most while it was cold, as a multiple of what it could do
+	Queue    []float64 `json:"queue"`    // mean number of held requests in each window; negative: the server did not run
+	Pressure float64   `json:"pressure"` // maximum load while cold, as a multiple of what it could do
 	Fell     bool      `json:"fell"`
 
 	sum []float64
 	n   []int
 }
 
-// Day is the whole count.
+// Day holds all statistics of a simulation.
 type Day struct {
-	Length  time.Duration
-	Total   Counts
-	Windows []Counts
-	Classes []Counts
-	ByClass [][]Counts // by window, then class
-	Servers []*Server
-	Reads   int // of the list
-	s       *model.Scenario
-	byName  map[string]*Server
-	viewed  []int                     // samples of InView in each window
-	latency []*hdrhistogram.Histogram // of served requests in microseconds, by class
+	Length      time.Duration
+	Total       Counts
+	Windows     []Counts
+	Classes     []Counts
+	ByClass     [][]Counts // by window, then class
+	Servers     []*Server
+	Reads       int // calls that the list answered
+	s           *model.Scenario
+	byName      map[string]*Server
+	viewSamples []int                     // samples of InView in each window
+	latency     []*hdrhistogram.Histogram // of served requests in microseconds, by class
 }
 
-// New counts nothing yet.
+// New returns empty statistics.
 func New(s *model.Scenario) *Day {
 	d := &Day{s: s, byName: map[string]*Server{}, Classes: make([]Counts, len(s.Classes))}
 	for range s.Classes {
@@ -130,7 +130,7 @@
 	return d
 }
 
-// Server is the row of a server, which may be new.
+// Server returns the statistics of a server and creates them if necessary.
 func (d *Day) Server(v model.ServerSpec) *Server {
 	row := d.byName[v.Name]
 	if row == nil {
@@ -141,7 +141,7 @@
 	return row
 }
 
-func (d *Day) at(now time.Duration, class int) (all, one *Counts) {
+func (d *Day) window(now time.Duration, class int) (all, one *Counts) {
 	i := max(0, int(now/Window))
 	for len(d.Windows) <= i {
 		d.Windows = append(d.Windows, Counts{})
@@ -151,12 +151,12 @@
 }
 
 func (d *Day) count(now time.Duration, class int, f func(*Counts)) {
-	all, one := d.at(now, class)
+	all, one := d.window(now, class)
 	f(all)
 	f(one)
 }
 
-// Try counts a try of a client; the first one offers its task.
+// Try counts a try of a client; the first try also counts as an offered request.
 func (d *Day) Try(now time.Duration, t *model.Task, try int) {
 	d.count(now, t.Class, func(c *Counts) {
 		c.Tries++
@@ -166,7 +166,7 @@
 	})
 }
 
-// Attempt counts one that an agent sends.
+// Attempt counts an attempt that an agent sends.
 func (d *Day) Attempt(now time.Duration, class int, server string) {
 	d.count(now, class, func(c *Counts) { c.Attempts++ })
 	if row := d.byName[server]; row != nil {
@@ -174,7 +174,7 @@
 	}
 }
 
-// TurnedAway counts a final answer of the policy that is not a success.
+// TurnedAway counts a request that the policy refuses or fails.
 func (d *Day) TurnedAway(now time.Duration, class int, why decide.Reason) {
 	if why < decide.ReasonCount {
 		d.count(now, class, func(c *Counts) { c.Why[why]++ })
@@ -188,27 +188,27 @@
 
 // Call counts a call for the list.
 func (d *Day) Call(now time.Duration) {
-	all, _ := d.at(now, 0)
+	all, _ := d.window(now, 0)
 	all.Calls++
 }
 
-// InView notes how many servers an agent has a connection to, on the mean over agents.
+// InView records the number of servers that an agent has connections to, as the mean over agents.
 func (d *Day) InView(now time.Duration, mean float64) {
-	all, _ := d.at(now, 0)
+	all, _ := d.window(now, 0)
 	i := int(now / Window)
-	for len(d.viewed) <= i {
-		d.viewed = append(d.viewed, 0)
+	for len(d.viewSamples) <= i {
+		d.viewSamples = append(d.viewSamples, 0)
 	}
-	d.viewed[i]++
-	all.View += (mean - all.View) / float64(d.viewed[i])
+	d.viewSamples[i]++
+	all.View += (mean - all.View) / float64(d.viewSamples[i])
 }
 
-// Refusal counts a refusal that a client is given.
+// Refusal counts a refusal that a client gets.
 func (d *Day) Refusal(now time.Duration, class int) {
 	d.count(now, class, func(c *Counts) { c.Refusals++ })
 }
 
-// End counts how a task ended, in the window in which it was first asked.
+// End counts the result of a task, in the window of its first try.
 func (d *Day) End(now time.Duration, t *model.Task, last model.Answer) {
 	got, asked := d.s.Worth(t, now, last == model.Served)
 	class := &d.s.Classes[t.Class]
@@ -231,12 +231,12 @@
 	}
 }
 
-// Latency is the latency below which a share of a class's served requests stayed, within 1%.
+// Latency returns a quantile of the latency of a class's served requests, with a precision of 1%.
 func (d *Day) Latency(class int, share float64) time.Duration {
 	return time.Duration(d.latency[class].ValueAtQuantile(100*share)) * time.Microsecond
 }
 
-// Sample notes what a server holds.
+// Sample records the number of requests that a server holds, and its load while it is cold.
 func (d *Day) Sample(now time.Duration, v model.ServerSpec, held int, pressure float64) {
 	row, i := d.Server(v), int(now/Window)
 	for len(row.sum) <= i {
@@ -247,11 +247,11 @@
 	row.Pressure = max(row.Pressure, pressure)
 }
 
-// Finish sums up. A day that was cut short counts what was asked until then.
+// Finish computes the totals. length is the simulated time, which is shorter if the simulation was cut short.
 func (d *Day) Finish(length time.Duration) {
 	d.Length = length
 	if d.Total = (Counts{}); len(d.Windows) == 0 {
-		d.at(0, 0)
+		d.window(0, 0)
 	}
 	for i := range d.Classes {
 		d.Classes[i] = Counts{}
@@ -259,9 +259,9 @@
 	viewed := 0
 	for i, w := range d.Windows {
 		d.Total.add(w)
-		if i < len(d.viewed) {
-			d.Total.View += w.View * float64(d.viewed[i])
-			viewed += d.viewed[i]
+		if i < len(d.viewSamples) {
+			d.Total.View += w.View * float64(d.viewSamples[i])
+			viewed += d.viewSamples[i]
 		}
 		for c, k := range d.ByClass[i] {
 			d.Classes[c].add(k)
@@ -285,7 +285,7 @@
 	}
 }
 
-// Worst is the service of the worst window in which at least a tenth of the mean was asked.
+// Worst returns the service of the worst window, among those with at least a tenth of the mean value asked for.
 func (d *Day) Worst() (service float64, at time.Duration) {
 	service = 1
 	for i, w := range d.Windows {
