--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A panic of the decision code is reported with its text, and the connection stays in use.
+// A panic of the decision code is reported with its text, and the adapter continues.
 func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
