--- a/internal/faulttest/checker/atomicity.go
+++ b/internal/faulttest/checker/atomicity.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// noteMultiPartUse takes note of a request, for changes of several parts.
+// noteMultiPartUse records a request for the check of changes of several parts.
 func (p *policyChecker) noteMultiPartUse(l *Line) {
-	went := p.multiPartUses[l.PID]
-	if len(p.partsOfChange[l.ID]) > 1 && went[l.ID] == 0 {
-		if went == nil {
-			went = map[string]int64{}
-			p.multiPartUses[l.PID] = went
+	uses := p.multiPartUses[l.PID]
+	if len(p.partsOfChange[l.ID]) > 1 && uses[l.ID] == 0 {
+		if uses == nil {
+			uses = map[string]int64{}
+			p.multiPartUses[l.PID] = uses
 		}
-		went[l.ID] = l.T
+		uses[l.ID] = l.T
 	}
-	for id, since := range went {
+	for id, since := range uses {
 		if id != l.ID && l.T-since > int64(p.checker.bounds.PolicySpread) && slices.Contains(p.partsOfChange[id], l.Part) {
 			p.mixedUses[partUse{l.PID, l.Part, l.Number, id}] = true
 		}
 	}
 }
 
-// checkAtomicity looks at changes of several parts once all is known.
+// checkAtomicity checks changes of several parts at the end of the history.
 func (p *policyChecker) checkAtomicity(t int64) {
 	numbers := map[string]map[string]uint64{} // by change and part
 	for part, q := range p.parts {
@@ -32,26 +32,27 @@
 			}
 		}
 	}
-	for id, of := range numbers {
+	for id, numberOf := range numbers {
 		p.atomic.Tried++
 		for _, part := range p.partsOfChange[id] {
-			if of[part] > 0 {
+			if numberOf[part] > 0 {
 				continue
 			}
-			// Nobody used it: then those that used the other part went on to what came after it. Of two changes of one part that
-			// both came into force the one that was asked for later is the later one, for it was made of the other.
+			// No process used the change in this part. This is allowed if a later change replaced it there first. If
+			// both changes of one part came into force, the one that was proposed later was based on the other. So a
+			// process that used the change elsewhere must not go on here by one that was proposed before it.
 			for pid := range p.multiPartUses {
 				q := p.part(part)
 				if k := q.users[pid]; p.multiPartUses[pid][id] > 0 && k != nil && k.lastUsedAt > p.multiPartUses[pid][id]+int64(p.checker.bounds.PolicySpread) && p.proposedAt[q.used[k.number].id] < p.proposedAt[id] {
-					p.atomic.recordBreak(t, p.checker.base, "change %s is used in a part, and never in %q, where process %d goes on by policy %d", id, part, pid, k.number)
+					p.atomic.recordBreak(t, p.checker.base, "change %s is used in one part but never in %q, where process %d still uses policy %d", id, part, pid, k.number)
 				}
 			}
 		}
 	}
-	for w := range p.mixedUses {
+	for use := range p.mixedUses {
 		p.atomic.Tried++
-		if n := numbers[w.change][w.part]; w.number < n {
-			p.atomic.recordBreak(t, p.checker.base, "process %d takes by policy %d of %q after it took by change %s, which made that %d", w.pid, w.number, w.part, w.change, n)
+		if n := numbers[use.change][use.part]; use.number < n {
+			p.atomic.recordBreak(t, p.checker.base, "process %d uses policy %d of %q after it used change %s, which made that part %d", use.pid, use.number, use.part, use.change, n)
 		}
 	}
 }
--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -1,8 +1,8 @@
 // Package checker checks the recorded history of a fault test against claims about the fleet, as the checker of a
-// Jepsen test does. It reads only lines: what the fault test did, which is the truth, and what each process wrote of
-// its own changes. It knows nothing of how the daemons work, has no I/O but Read, and starts no goroutine. For each
-// claim it reports the occasions, the nearest miss and the breaks; a claim without an occasion was not tried, which
-// is not the same as kept.
+// Jepsen test does. It reads only lines: those of the fault test, which are the truth, and those in which each process
+// reports changes of its own state. It does not depend on how the daemons work, does no I/O except in Read, and starts
+// no goroutine. For each claim it reports how often the claim was tried, the nearest miss and the breaks. A claim that
+// was never tried is reported as not tried, not as kept.
 //
 // Check is called with the complete history by cmd/vetchhaven, the tools, and the tests of the harness, of virtual
 // time and of the policy model. All times are nanoseconds of Line.T, except the bounds.
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// process is one of a daemon's.
+// process is one process of a daemon.
 type process struct {
 	pid              int
 	name             string
@@ -23,20 +23,20 @@
 	incarnation      string
 	balancers        int
 	up               bool
-	leaving          bool // it said that it goes
+	leaving          bool // it announced that it leaves
 	duplicate        bool
 	standingBy       bool
-	pausedAt         int64 // since then; 0: it is not
+	pausedAt         int64 // start of the current pause; 0: not paused
 	longPauseEndedAt int64 // when a pause longer than the bound ended
 	resumedAt        int64 // when any pause ended
-	terminating      bool  // it was told to
-	starvedUntil     int64 // until then it has little of a core
+	terminating      bool  // it was told to shut down
+	starvedUntil     int64 // until then it gets little CPU time
 	startedAt        int64
 	view             map[string]*memberView
-	knownProcesses   map[int]bool // processes of which it has known the life
+	knownProcesses   map[int]bool // processes whose run ID it has known
 	countedBalancers int
 	hasCounted       bool
-	countChangedAt   int64 // when its count or what it knows last changed, until it was looked at
+	countChangedAt   int64 // last change of its count or of knownProcesses that is still to be checked; 0: none
 }
 
 // checker is the state of Check: the truth as the fault test made it, the daemons' views, and the claims.
@@ -47,7 +47,7 @@
 
 	processes     map[int]*process
 	order         []int                 // process IDs, by their first line
-	byIncarnation map[string][]*process // with the same incarnation, of different daemons
+	byIncarnation map[string][]*process // by run ID; different daemons may have the same
 
 	lossRates          map[pair]float64
 	oneWayDelays       map[pair]time.Duration // that links add
@@ -62,7 +62,7 @@
 	isSettled        bool  // views were checked, and the truth has not changed since
 	crashTimes       []int64
 	lastDownAt       int64            // when a process last ended
-	serverCutUntil   map[string]int64 // by daemon cut off from its servers: until when; never: it still is
+	serverCutUntil   map[string]int64 // by daemon cut off from its servers: end of the cut; never: it lasts
 
 	expectations  []*expectation          // by deadline
 	idleTraffic   map[string]idleTraffic  // by daemon
@@ -73,48 +73,48 @@
 	policy  policyChecker
 
 	// Claims, in the order in which they are reported.
-	crashKnown   *Claim
-	leaveKnown   *Claim
-	joinKnown    *Claim
-	settle       *Claim
-	wrongDeath   *Claim
-	name         *Claim
-	countEnough  *Claim
-	countFollows *Claim
-	served       *Claim
-	maxBytes     *Claim
-	idleBytes    *Claim
-	remoteBytes  *Claim
-	regionCalm   *Claim
+	crashKnown        *Claim
+	leaveKnown        *Claim
+	joinKnown         *Claim
+	settle            *Claim
+	wrongDeath        *Claim
+	name              *Claim
+	countEnough       *Claim
+	countExact        *Claim
+	served            *Claim
+	maxBytes          *Claim
+	idleBytes         *Claim
+	remoteBytes       *Claim
+	noRegionSuspicion *Claim
 }
 
-// maxStepTime is how long a daemon may take to write all that one step of its view changed.
+// maxStepTime is how long a daemon may take to write the lines for all changes of one step of its view.
 const maxStepTime = int64(50 * time.Millisecond)
 
-// Check holds the lines, which must be in the order of their times, to all claims.
+// Check checks all claims against the lines, which must be in order of time.
 func Check(b Bounds, lines []Line) *Report {
-	j := newChecker(b)
-	r := &Report{Claims: j.beginClaims(), Lines: len(lines)}
+	ck := newChecker(b)
+	r := &Report{Claims: ck.beginClaims(), Lines: len(lines)}
 	if len(lines) > 0 {
-		j.base = lines[0].T
-		j.now = j.base
-		j.lastDownAt = j.base - longAgo
-		j.truthChangedAt = j.base
-		j.linksChangedAt = j.base - longAgo
+		ck.base = lines[0].T
+		ck.now = ck.base
+		ck.lastDownAt = ck.base - longAgo
+		ck.truthChangedAt = ck.base
+		ck.linksChangedAt = ck.base - longAgo
 	}
 	for i := range lines {
 		l := &lines[i]
-		j.advanceTo(l.T)
+		ck.advanceTo(l.T)
 		if l.What == Gap {
 			r.Gaps += l.Asked
 		}
-		j.apply(l)
+		ck.apply(l)
 	}
-	j.advanceTo(j.now + maxStepTime + 1)
-	j.checkIdleTraffic()
-	j.checkService()
-	j.limits.end(j.now, j.base)
-	j.policy.end(j.now)
+	ck.advanceTo(ck.now + maxStepTime + 1)
+	ck.checkIdleTraffic()
+	ck.checkService()
+	ck.limits.end(ck.now, ck.base)
+	ck.policy.end(ck.now)
 	for _, c := range r.Claims {
 		slices.Sort(c.Durations)
 	}
@@ -138,45 +138,45 @@
 }
 
 // beginClaims makes all claims, in the order in which they are reported.
-func (j *checker) beginClaims() []*Claim {
-	b := j.bounds
+func (ck *checker) beginClaims() []*Claim {
+	b := ck.bounds
 	claim := func(name, format string, args ...any) *Claim {
 		return &Claim{Name: name, Text: fmt.Sprintf(format, args...)}
 	}
-	j.crashKnown = claim(CrashKnown, "a killed daemon is dead to each that runs and is linked within %v, where links are whole", b.Crash)
-	j.leaveKnown = claim(LeaveKnown, "one that leaves in order is gone to each of these within %v", b.Leave)
-	j.joinKnown = claim(JoinKnown, "one that starts is alive to each of these within %v", b.Join)
-	j.settle = claim(Settled, "%v after the last change, each daemon sees alive just who runs and can be reached by any way, and goes on to", b.Settle)
-	j.wrongDeath = claim(NoWrongDeath, "nobody who runs, can be reached and was not paused for more than %v is held for dead", b.Pause)
-	j.name = claim(OneName, "of two processes with one name one alone stands back within %v, and the name stays with the other", b.Settle)
-	j.countEnough = claim(CountEnough, "no daemon divides by fewer balancers than run that it has known, whoever is silent")
-	j.countFollows = claim(CountFollows, "at rest each daemon divides by what runs and what is silent, neither more nor less")
-	j.served = claim(Serving, "whatever happens to peers, each daemon that runs and reaches its servers serves %.1f%% of its requests", 100*b.MinServed)
-	j.maxBytes = claim(BytesMaximum, "no daemon sends its peers more than %d bytes in datagrams in a second", b.MaxBytes)
-	j.idleBytes = claim(BytesIdle, "at rest a daemon sends its peers no more than %d bytes in datagrams a second", b.MaxIdleBytes)
-	j.remoteBytes = claim(BytesFar, "no daemon sends other regions more than %d bytes in datagrams in a second", b.MaxRemoteBytes)
-	j.regionCalm = claim(NearCalm, "while regions are cut off from one another, nobody doubts one of its own region who runs and was not paused, where links inside it are whole, for more than %v", b.MaxSuspicion)
+	ck.crashKnown = claim(CrashKnown, "each running, linked daemon considers a killed daemon dead within %v, where links are healthy", b.Crash)
+	ck.leaveKnown = claim(LeaveKnown, "each of these considers a daemon that leaves gracefully departed within %v", b.Leave)
+	ck.joinKnown = claim(JoinKnown, "each of these considers a daemon that starts alive within %v", b.Join)
+	ck.settle = claim(Settled, "from %v after the last change on, each daemon considers exactly those members alive that run and can be reached over any path", b.Settle)
+	ck.wrongDeath = claim(NoWrongDeath, "no member that runs, can be reached and was not paused for more than %v is considered dead", b.Pause)
+	ck.name = claim(OneName, "of two processes with the same name, exactly one yields within %v, and the other keeps the name", b.Settle)
+	ck.countEnough = claim(CountEnough, "no daemon divides by fewer balancers than those that run and that it has known, whichever members are silent")
+	ck.countExact = claim(CountExact, "at rest each daemon divides by exactly the number of balancers that run or are silent")
+	ck.served = claim(Serving, "whatever happens to its peers, each daemon that runs and reaches its servers serves %.1f%% of its requests", 100*b.MinServed)
+	ck.maxBytes = claim(BytesMaximum, "no daemon sends its peers more than %d bytes in datagrams in any second", b.MaxBytes)
+	ck.idleBytes = claim(BytesIdle, "at rest a daemon sends its peers at most %d bytes in datagrams per second", b.MaxIdleBytes)
+	ck.remoteBytes = claim(BytesRemote, "no daemon sends other regions more than %d bytes in datagrams in any second", b.MaxRemoteBytes)
+	ck.noRegionSuspicion = claim(NoSuspicionInRegion, "while regions are partitioned, no daemon suspects a member of its own region that runs and was not paused, where the links inside the region are healthy, for more than %v", b.MaxSuspicion)
 	claims := []*Claim{
-		j.crashKnown, j.leaveKnown, j.joinKnown, j.settle, j.wrongDeath, j.name, j.countEnough, j.countFollows, j.served, j.maxBytes, j.idleBytes, j.remoteBytes, j.regionCalm,
+		ck.crashKnown, ck.leaveKnown, ck.joinKnown, ck.settle, ck.wrongDeath, ck.name, ck.countEnough, ck.countExact, ck.served, ck.maxBytes, ck.idleBytes, ck.remoteBytes, ck.noRegionSuspicion,
 	}
-	claims = append(claims, j.limits.begin(b)...)
-	claims = append(claims, j.servers.begin(j, b)...)
-	return append(claims, j.policy.begin(j)...)
+	claims = append(claims, ck.limits.begin(b)...)
+	claims = append(claims, ck.servers.begin(ck, b)...)
+	return append(claims, ck.policy.begin(ck)...)
 }
 
-// apply applies one line: of the fault test, which is the truth, or of a daemon.
-func (j *checker) apply(l *Line) {
+// apply applies one line of the fault test, which is the truth, or of a daemon.
+func (ck *checker) apply(l *Line) {
 	if l.By != FaultTest {
 		if l.What == EjectionState {
-			j.servers.applyReport(l)
+			ck.servers.applyReport(l)
 		} else {
-			j.applyReport(l)
+			ck.applyReport(l)
 		}
 		return
 	}
-	j.policy.noteDisturbance(l)
-	if !j.policy.applyLine(l) {
-		j.applyTruth(l)
+	ck.policy.noteDisturbance(l)
+	if !ck.policy.applyLine(l) {
+		ck.applyTruth(l)
 	}
 }
 
@@ -189,47 +189,47 @@
 	return all
 }
 
-// advanceTo looks at what was due before t, and at counts once the steps that changed them are over.
-func (j *checker) advanceTo(t int64) {
-	if t > j.now {
-		for _, pid := range j.order {
-			if p := j.processes[pid]; p.countChangedAt > 0 && t > p.countChangedAt+maxStepTime {
+// advanceTo runs the checks that are due before t. A count is checked once the step that changed it is over.
+func (ck *checker) advanceTo(t int64) {
+	if t > ck.now {
+		for _, pid := range ck.order {
+			if p := ck.processes[pid]; p.countChangedAt > 0 && t > p.countChangedAt+maxStepTime {
 				p.countChangedAt = 0
-				j.checkCountIsEnough(p)
+				ck.checkCountIsEnough(p)
 			}
 		}
 	}
-	for len(j.expectations) > 0 && j.expectations[0].deadline < t {
-		d := j.expectations[0]
-		j.expectations = j.expectations[1:]
+	for len(ck.expectations) > 0 && ck.expectations[0].deadline < t {
+		d := ck.expectations[0]
+		ck.expectations = ck.expectations[1:]
 		d.claim.Tried++
-		d.claim.recordBreak(d.deadline, j.base, "%s: %s does not know it after %v", d.event, d.observer.name, time.Duration(d.deadline-d.since))
+		d.claim.recordBreak(d.deadline, ck.base, "%s: %s has not learned of it after %v", d.event, d.observer.name, time.Duration(d.deadline-d.since))
 	}
-	if at := j.truthChangedAt + int64(j.bounds.Settle); at < t && j.viewsCheckedFor != j.truthChangedAt {
-		j.viewsCheckedFor = j.truthChangedAt
-		j.checkViews(at)
-		j.checkNames(at)
+	if at := ck.truthChangedAt + int64(ck.bounds.Settle); at < t && ck.viewsCheckedFor != ck.truthChangedAt {
+		ck.viewsCheckedFor = ck.truthChangedAt
+		ck.checkViews(at)
+		ck.checkNames(at)
 	}
-	if at := j.truthChangedAt + int64(j.bounds.Settle+20*time.Second); at < t && j.countsCheckedFor != j.truthChangedAt {
-		j.countsCheckedFor = j.truthChangedAt
-		j.checkCounts(at)
+	if at := ck.truthChangedAt + int64(ck.bounds.Settle+20*time.Second); at < t && ck.countsCheckedFor != ck.truthChangedAt {
+		ck.countsCheckedFor = ck.truthChangedAt
+		ck.checkCounts(at)
 	}
-	j.now = max(j.now, t)
+	ck.now = max(ck.now, t)
 }
 
-func (j *checker) process(pid int) *process {
-	p := j.processes[pid]
+func (ck *checker) process(pid int) *process {
+	p := ck.processes[pid]
 	if p == nil {
-		p = &process{pid: pid, view: map[string]*memberView{}, knownProcesses: map[int]bool{}, longPauseEndedAt: j.base - int64(time.Hour)}
-		j.processes[pid] = p
-		j.order = append(j.order, pid)
+		p = &process{pid: pid, view: map[string]*memberView{}, knownProcesses: map[int]bool{}, longPauseEndedAt: ck.base - int64(time.Hour)}
+		ck.processes[pid] = p
+		ck.order = append(ck.order, pid)
 	}
 	return p
 }
 
-// findIncarnation is the process with a life.
-func (j *checker) findIncarnation(name, incarnation string) *process {
-	for _, p := range j.byIncarnation[incarnation] {
+// findIncarnation returns the process of a daemon with a run ID; nil: there is none.
+func (ck *checker) findIncarnation(name, incarnation string) *process {
+	for _, p := range ck.byIncarnation[incarnation] {
 		if p.name == name {
 			return p
 		}
@@ -237,130 +237,130 @@
 	return nil
 }
 
-// markTruthChanged takes note that the truth is another one.
-func (j *checker) markTruthChanged(t int64) {
-	j.truthChangedAt = t
-	j.isSettled = false
+// markTruthChanged records that the true state of the fleet changed.
+func (ck *checker) markTruthChanged(t int64) {
+	ck.truthChangedAt = t
+	ck.isSettled = false
 }
 
 // applyTruth applies what the fault test did.
-func (j *checker) applyTruth(l *Line) {
+func (ck *checker) applyTruth(l *Line) {
 	switch l.What {
 	case Up, Twin, Ending, Down:
-		j.applyLifecycle(l)
+		ck.applyLifecycle(l)
 	case Starve, Pause, Resume:
-		j.applyPause(l)
+		ck.applyPause(l)
 	case Handing, Handed, Disk:
-		j.markTruthChanged(l.T)
+		ck.markTruthChanged(l.T)
 	case Link:
-		j.applyLink(l)
+		ck.applyLink(l)
 	case Cut:
-		j.applyServerCut(l)
+		ck.applyServerCut(l)
 	case Sent:
-		j.applyTraffic(l)
+		ck.applyTraffic(l)
 	case Service:
-		j.applyService(l)
+		ck.applyService(l)
 	case Fault, Got:
-		j.servers.applyTruth(l)
+		ck.servers.applyTruth(l)
 	case Limited, Used, Wanted:
-		j.limits.applyTruth(l, j.base, j.truthChangedAt)
+		ck.limits.applyTruth(l, ck.base, ck.truthChangedAt)
 	}
 }
 
 // applyLifecycle applies the start or the end of a process.
-func (j *checker) applyLifecycle(l *Line) {
-	p := j.process(l.PID)
+func (ck *checker) applyLifecycle(l *Line) {
+	p := ck.process(l.PID)
 	switch l.What {
 	case Up:
 		p.region = l.Region
-		j.markStarted(p, l)
-		j.partitionedRegions = nil
-		j.expectJoinKnown(p, l.T)
+		ck.markStarted(p, l)
+		ck.partitionedRegions = nil
+		ck.expectJoinKnown(p, l.T)
 	case Twin:
 		p.duplicate = true
-		j.markStarted(p, l)
-		j.name.Tried++
+		ck.markStarted(p, l)
+		ck.name.Tried++
 	case Ending:
 		p.terminating = true
 	case Down:
-		j.applyDown(p, l)
+		ck.applyDown(p, l)
 	}
 }
 
-func (j *checker) markStarted(p *process, l *Line) {
+func (ck *checker) markStarted(p *process, l *Line) {
 	p.name = l.Of
 	p.balancers = l.Balancers
 	p.up = true
 	p.startedAt = l.T
-	j.markTruthChanged(l.T)
-	j.componentOf = nil
+	ck.markTruthChanged(l.T)
+	ck.componentOf = nil
 }
 
 // applyDown applies the end of a process.
-func (j *checker) applyDown(p *process, l *Line) {
-	observers := j.linkedObservers(p)
+func (ck *checker) applyDown(p *process, l *Line) {
+	observers := ck.linkedObservers(p)
 	p.up = false
 	p.pausedAt = 0
-	j.lastDownAt = l.T
-	j.markTruthChanged(l.T)
-	j.componentOf = nil
-	leftInOrder := p.leaving && l.Why == "term" // all have to learn of it, though the process has ended since
-	j.dropExpectations(func(d *expectation) bool {
-		return d.observer == p || d.subject == p && !(leftInOrder && d.claim == j.leaveKnown)
+	ck.lastDownAt = l.T
+	ck.markTruthChanged(l.T)
+	ck.componentOf = nil
+	leftInOrder := p.leaving && l.Why == "term" // all must still learn of the leave after the process has ended
+	ck.dropExpectations(func(d *expectation) bool {
+		return d.observer == p || d.subject == p && !(leftInOrder && d.claim == ck.leaveKnown)
 	})
 	if l.Why == "kill" && !p.leaving && !p.duplicate {
-		j.crashTimes = append(j.crashTimes, l.T)
-		j.expectCrashKnown(p, observers, l.T)
+		ck.crashTimes = append(ck.crashTimes, l.T)
+		ck.expectCrashKnown(p, observers, l.T)
 	}
 }
 
 // applyPause applies that a process is stopped, resumed, or has little processor time.
-func (j *checker) applyPause(l *Line) {
-	p := j.process(l.PID)
+func (ck *checker) applyPause(l *Line) {
+	p := ck.process(l.PID)
 	switch l.What {
 	case Starve:
 		p.starvedUntil = l.T + l.PauseMS*int64(time.Millisecond)
 	case Pause:
 		p.pausedAt = l.T
 	case Resume:
-		if p.pausedAt > 0 && l.T-p.pausedAt > int64(j.bounds.Pause) {
+		if p.pausedAt > 0 && l.T-p.pausedAt > int64(ck.bounds.Pause) {
 			p.longPauseEndedAt = l.T
 		}
 		p.pausedAt = 0
 		p.resumedAt = l.T
 	}
-	j.markTruthChanged(l.T)
-	j.dropExpectations(func(d *expectation) bool { return d.observer == p || d.subject == p })
+	ck.markTruthChanged(l.T)
+	ck.dropExpectations(func(d *expectation) bool { return d.observer == p || d.subject == p })
 }
 
 // applyLink applies a change of a link.
-func (j *checker) applyLink(l *Line) {
+func (ck *checker) applyLink(l *Line) {
 	link := pair{l.From, l.To}
-	j.lossRates[link] = l.Drop
-	j.impairedLinks[link] = l.Rough
-	j.oneWayDelays[link] = time.Duration(l.WayUS) * time.Microsecond
-	j.markTruthChanged(l.T)
-	j.linksChangedAt = l.T
-	j.componentOf = nil
-	j.partitionedRegions = nil
-	j.dropExpectations(func(*expectation) bool { return true })
+	ck.lossRates[link] = l.Drop
+	ck.impairedLinks[link] = l.Rough
+	ck.oneWayDelays[link] = time.Duration(l.WayUS) * time.Microsecond
+	ck.markTruthChanged(l.T)
+	ck.linksChangedAt = l.T
+	ck.componentOf = nil
+	ck.partitionedRegions = nil
+	ck.dropExpectations(func(*expectation) bool { return true })
 }
 
-// applyServerCut applies that a daemon is cut off from its servers, or no longer.
-func (j *checker) applyServerCut(l *Line) {
+// applyServerCut applies that a daemon is cut off from its servers, or reconnected.
+func (ck *checker) applyServerCut(l *Line) {
 	if l.Why != "servers" {
 		return
 	}
 	if l.Drop > 0 {
-		j.serverCutUntil[l.Of] = never
+		ck.serverCutUntil[l.Of] = never
 	} else {
-		j.serverCutUntil[l.Of] = l.T + serviceSettleTime
+		ck.serverCutUntil[l.Of] = l.T + serviceSettleTime
 	}
 }
 
 const (
-	// longAgo, in ns, is before anything that a bound could still cover.
+	// longAgo, in ns, is longer than any bound.
 	longAgo = int64(time.Hour)
-	// never is a time that no line has.
+	// never is later than the time of any line.
 	never = int64(1) << 62
 )
--- a/internal/faulttest/checker/expectations.go
+++ b/internal/faulttest/checker/expectations.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// expectation is something that must have come about by a time.
+// expectation is a change that an observer must see in its view of a subject before the deadline.
 type expectation struct {
 	claim    *Claim
 	since    int64
@@ -17,55 +17,55 @@
 	event    string
 }
 
-func (j *checker) dropExpectations(which func(*expectation) bool) {
-	j.expectations = slices.DeleteFunc(j.expectations, which)
+func (ck *checker) dropExpectations(which func(*expectation) bool) {
+	ck.expectations = slices.DeleteFunc(ck.expectations, which)
 }
 
-func (j *checker) expect(d *expectation) {
-	i, _ := slices.BinarySearchFunc(j.expectations, d, func(a, b *expectation) int {
+func (ck *checker) expect(d *expectation) {
+	i, _ := slices.BinarySearchFunc(ck.expectations, d, func(a, b *expectation) int {
 		if c := cmp.Compare(a.deadline, b.deadline); c != 0 {
 			return c
 		}
 		return -1
 	})
-	j.expectations = slices.Insert(j.expectations, i, d)
+	ck.expectations = slices.Insert(ck.expectations, i, d)
 }
 
-func (j *checker) expectCrashKnown(p *process, by []*process, t int64) {
+func (ck *checker) expectCrashKnown(p *process, by []*process, t int64) {
 	lately := 0
-	for _, d := range j.crashTimes {
+	for _, d := range ck.crashTimes {
 		if t-d < int64(2*time.Second) {
 			lately++
 		}
 	}
-	if lately > max(1, len(by)/4) { // a storm: it may take longer, and is Settled's
-		j.dropExpectations(func(d *expectation) bool { return d.claim == j.crashKnown })
+	if lately > max(1, len(by)/4) { // with many crashes at once it may take longer; claim Settled covers this case
+		ck.dropExpectations(func(d *expectation) bool { return d.claim == ck.crashKnown })
 		return
 	}
-	if !j.areLinksHealthy(t) || p.incarnation == "" || t-p.startedAt < int64(j.bounds.Join) {
+	if !ck.areLinksHealthy(t) || p.incarnation == "" || t-p.startedAt < int64(ck.bounds.Join) {
 		return
 	}
 	incarnation := p.incarnation
 	for _, o := range by {
-		if o.pausedAt > 0 || t-o.longPauseEndedAt < int64(j.bounds.Settle) || t-o.startedAt < int64(j.bounds.Join) {
+		if o.pausedAt > 0 || t-o.longPauseEndedAt < int64(ck.bounds.Settle) || t-o.startedAt < int64(ck.bounds.Join) {
 			continue
 		}
-		j.expect(&expectation{claim: j.crashKnown, since: t, deadline: t + int64(j.bounds.Crash) + j.delayAllowance(o, p), observer: o, subject: p, event: p.name + " was killed",
+		ck.expect(&expectation{claim: ck.crashKnown, since: t, deadline: t + int64(ck.bounds.Crash) + ck.delayAllowance(o, p), observer: o, subject: p, event: p.name + " was killed",
 			isMet: func(s *memberView) bool {
 				return s.incarnation != incarnation || s.state == "dead" || s.state == "left"
 			}})
 	}
 }
 
-func (j *checker) expectJoinKnown(p *process, t int64) {
-	if !j.areLinksHealthy(t) {
+func (ck *checker) expectJoinKnown(p *process, t int64) {
+	if !ck.areLinksHealthy(t) {
 		return
 	}
-	for _, o := range j.linkedObservers(p) {
+	for _, o := range ck.linkedObservers(p) {
 		if o.pausedAt > 0 {
 			continue
 		}
-		j.expect(&expectation{claim: j.joinKnown, since: t, deadline: t + int64(j.bounds.Join) + j.delayAllowance(o, p), observer: o, subject: p, event: p.name + " started",
+		ck.expect(&expectation{claim: ck.joinKnown, since: t, deadline: t + int64(ck.bounds.Join) + ck.delayAllowance(o, p), observer: o, subject: p, event: p.name + " started",
 			isMet: func(s *memberView) bool {
 				return p.incarnation != "" && s.incarnation == p.incarnation && s.state == "alive"
 			}})
--- a/internal/faulttest/checker/isolation.go
+++ b/internal/faulttest/checker/isolation.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// isolationChecker checks that a change waits only for the members that have its parts: if these, its author and all
-// voters run and are linked, it comes into force in time, whatever faults others have meanwhile.
+// isolationChecker checks that a change waits only for the members that hold its parts: if these, the author and all
+// voters run and are linked, the change comes into force in time, whatever faults other members have meanwhile.
 type isolationChecker struct {
 	policy        *policyChecker
-	disturbedAt   map[string]int64 // by member: it ended, started, was paused, or its disk was touched
+	disturbedAt   map[string]int64 // by member: its last start, end, pause, resume or disk fault
 	down          map[string]bool
-	linkChangedAt map[pair]int64 // it was changed
+	linkChangedAt map[pair]int64
 	impaired      map[pair]bool
 	claim         *Claim
 }
 
-// maxIsolatedChangeTime is how long such a change takes at the most: the time of all that a change of a whole fleet has on whole links
-// under 5% loss.
+// maxIsolatedChangeTime bounds the time of such a change. It is the time that a change of a whole fleet has on links
+// with up to 5% loss.
 const maxIsolatedChangeTime = 3 * time.Second
 
 func (a *isolationChecker) begin(p *policyChecker) *Claim {
@@ -27,11 +27,11 @@
 	a.down = map[string]bool{}
 	a.linkChangedAt = map[pair]int64{}
 	a.impaired = map[pair]bool{}
-	a.claim = &Claim{Name: PolicyIsolated, Text: "a change of services' parts whose members, author and voters are whole comes into force, whatever is cut off or down elsewhere"}
+	a.claim = &Claim{Name: PolicyIsolated, Text: "a change of services' parts whose members, author and voters are healthy comes into force, whatever is partitioned or down elsewhere"}
 	return a.claim
 }
 
-// noteDisturbance takes what befalls members and links.
+// noteDisturbance records faults of members and links.
 func (p *policyChecker) noteDisturbance(l *Line) {
 	a := &p.isolation
 	switch l.What {
@@ -46,7 +46,8 @@
 	}
 }
 
-// authorNotified takes what became of a change.
+// authorNotified checks a change whose author has been notified of its outcome. Changes whose reason is another change
+// are not counted; the texts searched for are those of package policy.
 func (a *isolationChecker) authorNotified(l *Line) {
 	p := a.policy
 	parts, proposedAt := p.partsOfChange[l.ID], p.proposedAt[l.ID]
@@ -60,7 +61,7 @@
 	for _, pid := range p.checker.order {
 		if o := p.checker.processes[pid]; slices.ContainsFunc(parts, func(part string) bool { return p.hasPart(pid, part) }) {
 			if a.down[o.name] {
-				return // it is waited for, as far as its lease goes, or for ever
+				return // the change waits for this member until its lease ends, or forever
 			}
 			among[o.name] = true
 		}
@@ -92,7 +93,7 @@
 	a.claim.recordDuration(took)
 	switch {
 	case l.State != "in force":
-		a.claim.recordBreak(l.T, p.checker.base, "change %s of %v was dropped: %s", l.ID, parts, l.Why)
+		a.claim.recordBreak(l.T, p.checker.base, "change %s of %v was aborted: %s", l.ID, parts, l.Why)
 	case took > maxIsolatedChangeTime:
 		a.claim.recordBreak(l.T, p.checker.base, "change %s of %v took %v", l.ID, parts, took.Round(time.Millisecond))
 	}
--- a/internal/faulttest/checker/limits.go
+++ b/internal/faulttest/checker/limits.go
@@ -9,37 +9,37 @@
 type limited struct {
 	capacity, bound  int
 	hard, rate       bool
-	demandPerSecond  int   // a second, of all daemons
-	changedAt        int64 // something last changed
+	demandPerSecond  int   // over all daemons
+	changedAt        int64 // last change of the limit or of its demand
 	begunCount       int
-	saturatedSeconds float64 // in which more was wanted than it allows, and nothing was broken
+	saturatedSeconds float64 // seconds without faults in which the demand exceeded the limit
 	lastLineAt       int64
 }
 
-// limitsChecker checks shared limits by what servers saw.
+// limitsChecker checks the use of shared limits as the servers saw it.
 type limitsChecker struct {
 	bounds           Bounds
 	limits           map[string]*limited
 	hard, soft, used *Claim
 }
 
-func (j *limitsChecker) begin(b Bounds) []*Claim {
-	j.bounds, j.limits = b, map[string]*limited{}
-	j.hard = &Claim{Name: LimitHard, Text: "no hard limit is ever passed: at servers, at once, or in a second less what arrivals are late by"}
-	j.soft = &Claim{Name: LimitSoft, Text: "no soft limit is used beyond its bound"}
-	j.used = &Claim{Name: LimitUsed, Text: "where more is wanted than a limit allows, and nothing is broken, it is used"}
-	return []*Claim{j.hard, j.soft, j.used}
+func (lc *limitsChecker) begin(b Bounds) []*Claim {
+	lc.bounds, lc.limits = b, map[string]*limited{}
+	lc.hard = &Claim{Name: LimitHard, Text: "no hard limit is ever exceeded at servers: in flight, or begun within a second less the possible delay of arrivals"}
+	lc.soft = &Claim{Name: LimitSoft, Text: "the use of a soft limit never exceeds its bound"}
+	lc.used = &Claim{Name: LimitUsed, Text: "where the demand exceeds a limit and there is no fault, the limit is used"}
+	return []*Claim{lc.hard, lc.soft, lc.used}
 }
 
-// applyTruth takes a line about limits; changed is when the truth about daemons last changed.
-func (j *limitsChecker) applyTruth(l *Line, base, changed int64) {
+// applyTruth applies a line about limits; changed is when the true state of the daemons last changed.
+func (lc *limitsChecker) applyTruth(l *Line, base, changed int64) {
 	if l.What == Limited {
-		j.limits[l.Limit] = &limited{capacity: l.Figure, bound: l.Bound, hard: l.Hard, rate: l.Rate, changedAt: l.T, lastLineAt: l.T}
+		lc.limits[l.Limit] = &limited{capacity: l.Figure, bound: l.Bound, hard: l.Hard, rate: l.Rate, changedAt: l.T, lastLineAt: l.T}
 		return
 	}
-	x := j.limits[l.Limit]
+	x := lc.limits[l.Limit]
 	if l.What == Wanted {
-		for _, x := range j.limits {
+		for _, x := range lc.limits {
 			x.demandPerSecond, x.changedAt = l.Wanted, l.T
 		}
 		return
@@ -47,28 +47,28 @@
 	if x == nil {
 		return
 	}
-	c, allowed := j.soft, x.bound
+	c, allowed := lc.soft, x.bound
 	if x.hard {
-		c, allowed = j.hard, x.capacity
+		c, allowed = lc.hard, x.capacity
 	}
-	if 10*l.Used >= 9*x.capacity { // it was tried: else any number would have kept it
+	if 10*l.Used >= 9*x.capacity { // only near the limit is the claim tried: a low use would always keep it
 		c.Tried++
 		c.recordMargin(float64(l.Used)/float64(allowed), "%d of %d (%s)", l.Used, allowed, l.Limit)
 	}
 	if l.Used > allowed {
-		c.recordBreak(l.T, base, "%s: %d in use, and %d is the most", l.Limit, l.Used, allowed)
+		c.recordBreak(l.T, base, "%s: %d in use, maximum %d", l.Limit, l.Used, allowed)
 	}
-	quiet := max(x.changedAt, changed) + int64(j.bounds.Settle)
-	if j.isBinding(x) && 5*x.demandPerSecond >= 6*x.capacity && x.lastLineAt > quiet {
+	quiet := max(x.changedAt, changed) + int64(lc.bounds.Settle)
+	if lc.isBinding(x) && 5*x.demandPerSecond >= 6*x.capacity && x.lastLineAt > quiet {
 		x.begunCount += l.Begun
 		x.saturatedSeconds += float64(l.T-x.lastLineAt) / float64(time.Second)
 	}
 	x.lastLineAt = l.T
 }
 
-// isBinding reports whether a limit is the one that turns requests away: another may leave less.
-func (j *limitsChecker) isBinding(x *limited) bool {
-	for _, o := range j.limits {
+// isBinding reports whether a limit is the one that causes rejections: all limits are rate limits and none is lower.
+func (lc *limitsChecker) isBinding(x *limited) bool {
+	for _, o := range lc.limits {
 		if !o.rate || o.capacity < x.capacity {
 			return false
 		}
@@ -76,22 +76,22 @@
 	return x.rate
 }
 
-func (j *limitsChecker) end(now, base int64) {
+func (lc *limitsChecker) end(now, base int64) {
 	var names []string
-	for n := range j.limits {
+	for n := range lc.limits {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	for _, n := range names {
-		x := j.limits[n]
+		x := lc.limits[n]
 		if x.saturatedSeconds < 5 {
 			continue
 		}
-		j.used.Tried += int(x.saturatedSeconds)
+		lc.used.Tried += int(x.saturatedSeconds)
 		share := float64(x.begunCount) / x.saturatedSeconds / float64(x.capacity)
-		j.used.recordMargin(-share, "%.0f%% (%s)", 100*share, n)
-		if share < j.bounds.MinLimitUse {
-			j.used.recordBreak(now, base, "%s: %.0f%% of %d a second over %.0f s", n, 100*share, x.capacity, x.saturatedSeconds)
+		lc.used.recordMargin(-share, "%.0f%% (%s)", 100*share, n)
+		if share < lc.bounds.MinLimitUse {
+			lc.used.recordBreak(now, base, "%s: %.0f%% of %d per second used over %.0f s", n, 100*share, x.capacity, x.saturatedSeconds)
 		}
 	}
 }
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -8,19 +8,19 @@
 	"io"
 )
 
-// Line is one thing that happened: what a daemon says that changed in it, or what the drill did, which is the
-// truth. One JSON object a line.
+// Line is one event of a recorded history. Lines of the fault test say what it did and are taken as the truth; lines of
+// a daemon report a change of its own state. Each line is one JSON object.
 type Line struct {
-	T    int64  `json:"t"`              // ns on the machine's monotonic clock, which all its processes share
-	Wall int64  `json:"wall,omitempty"` // ms, Unix
-	By   string `json:"by"`             // a daemon's name, or Drill
-	PID  int    `json:"pid,omitempty"`  // of the process it is about, or that says it
+	T    int64  `json:"t"`              // ns on the machine's monotonic clock, which all processes on the machine share
+	Wall int64  `json:"wall,omitempty"` // Unix time in ms
+	By   string `json:"by"`             // a daemon's name, or FaultTest
+	PID  int    `json:"pid,omitempty"`  // process that the line is about or that wrote it
 	What string `json:"what"`
 
-	Region string `json:"region,omitempty"` // in which the daemon of Up stands
-	Of     string `json:"of,omitempty"`     // the member, of a daemon's line; the daemon, of the drill's
+	Region string `json:"region,omitempty"` // of the daemon, in Up lines
+	Of     string `json:"of,omitempty"`     // in lines of a daemon: the member; in lines of the fault test: the daemon
 	Addr   string `json:"addr,omitempty"`
-	Life   string `json:"life,omitempty"` // of Of
+	Life   string `json:"life,omitempty"` // run ID of Of
 	Boot   uint64 `json:"boot,omitempty"`
 	Inc    uint32 `json:"inc,omitempty"`
 
@@ -39,87 +39,88 @@
 	PauseMS   int64 `json:"pause_ms,omitempty"`
 	Health    int   `json:"health,omitempty"`
 
-	From  string  `json:"from,omitempty"` // of a link
+	From  string  `json:"from,omitempty"` // sending end of a link
 	To    string  `json:"to,omitempty"`
 	Drop  float64 `json:"drop,omitempty"`
-	WayUS int64   `json:"way_us,omitempty"` // microseconds that the link adds, one way
-	// Rough: the link also doubles, reorders, damages, slows or breaks.
+	WayUS int64   `json:"way_us,omitempty"` // one-way delay that the link adds, in microseconds
+	// Rough: the link also duplicates, reorders, damages, slows down or breaks traffic.
 	Rough bool `json:"rough,omitempty"`
 
-	Asked     int `json:"asked,omitempty"` // in the second before
+	Asked     int `json:"asked,omitempty"` // requests in the last second
 	Served    int `json:"served,omitempty"`
 	Refused   int `json:"refused,omitempty"`
 	Failed    int `json:"failed,omitempty"`
 	Datagrams int `json:"datagrams,omitempty"`
 	Bytes     int `json:"bytes,omitempty"`
-	Far       int `json:"far,omitempty"`      // of Bytes, to other regions
-	Streamed  int `json:"streamed,omitempty"` // bytes on streams
-	CPUMS     int `json:"cpu_ms,omitempty"`   // that the process has used since it started
+	Far       int `json:"far,omitempty"`      // part of Bytes that went to other regions
+	Streamed  int `json:"streamed,omitempty"` // bytes sent on streams
+	CPUMS     int `json:"cpu_ms,omitempty"`   // CPU time that the process has used since its start, in ms
 
 	Limit  string `json:"limit,omitempty"`
 	Figure int    `json:"figure,omitempty"`
 	Bound  int    `json:"bound,omitempty"`
 	Hard   bool   `json:"hard,omitempty"`
-	Rate   bool   `json:"per_s,omitempty"` // it counts what begins in a second
-	Used   int    `json:"used,omitempty"`  // at servers, at the most since the line before: at once, or begun in a second
-	Begun  int    `json:"begun,omitempty"` // at servers, since the line before
+	Rate   bool   `json:"per_s,omitempty"` // the limit counts requests that begin within a second
+	Used   int    `json:"used,omitempty"`  // at servers, maximum since the last line: in flight, or begun in a second
+	Begun  int    `json:"begun,omitempty"` // requests that began at servers since the previous line
 	Wanted int    `json:"wanted,omitempty"`
-	Server string `json:"server,omitempty"` // as the list names it; a daemon says it with its source before
+	Server string `json:"server,omitempty"` // name in the server list; in lines of a daemon, the source precedes the name
 
-	ID     string `json:"id,omitempty"`     // of a change of policy
-	Number uint64 `json:"number,omitempty"` // of a policy
-	Both   string `json:"both,omitempty"`   // it went by what this change allows as well
-	Alone  bool   `json:"alone,omitempty"`  // it found nobody, and served by the last policy that it knew
-	Part   string `json:"part,omitempty"`   // of the policy: a service; empty: what holds for all
-	Parts  string `json:"parts,omitempty"`  // several, by spaces; what holds for all is "-"
+	ID     string `json:"id,omitempty"`     // of a policy change
+	Number uint64 `json:"number,omitempty"` // of a policy version
+	Both   string `json:"both,omitempty"`   // change that is being prepared and that also allows the request
+	Alone  bool   `json:"alone,omitempty"`  // the daemon reached no peer and served by the last policy that it knew
+	Part   string `json:"part,omitempty"`   // part of the policy: a service; empty: the global part
+	Parts  string `json:"parts,omitempty"`  // several parts, separated by spaces; "-" is the global part
 }
 
-// FaultTest is By of what the drill itself did.
+// FaultTest is the value of By in lines of the fault test itself.
 const FaultTest = "drill"
 
-// What lines say.
+// Values of Line.What. Each comment names the writer: "daemon" or "test" (the fault test).
 const (
-	Start     = "start"     // a daemon: its view begins, with Life, Boot, Balancers
-	Member    = "member"    // a daemon: Of is in State now
-	Counted   = "count"     // a daemon: how many balancers it divides by
-	Contested = "contested" // a daemon: another process has its name
-	SelfDoubt = "doubt"     // a daemon: it was paused, or hears too little
-	Leaving   = "leave"     // a daemon: it says that it goes
-	Gap       = "gap"       // a daemon: so many lines were not written (Asked)
+	Start     = "start"     // daemon: its view starts, with Life, Boot, Balancers
+	Member    = "member"    // daemon: member Of is now in State
+	Counted   = "count"     // daemon: number of balancers by which it divides shared limits
+	Contested = "contested" // daemon: another process has the same name
+	SelfDoubt = "doubt"     // daemon: it suspects itself, because it was paused or receives too little
+	Leaving   = "leave"     // daemon: it announces that it leaves
+	Gap       = "gap"       // daemon: number of lines that could not be written (Asked)
 
-	Up            = "up"      // the drill: process PID of daemon Of runs, with Balancers
-	Down          = "down"    // the drill: it was ended; Why is kill or term
-	Pause         = "pause"   // the drill
-	Resume        = "resume"  // the drill
-	Link          = "link"    // the drill: From hears To so much less
-	Cut           = "cut"     // the drill: Of is cut off from its servers or list (Why) by Drop
-	Sent          = "sent"    // the drill: what Of sent to peers in the last second
-	Service       = "service" // the drill: what Of's clients got in the last second
-	Twin          = "twin"    // the drill: PID runs with the name of another
-	Ending        = "ending"  // the drill: PID was told to end in order
-	Handing       = "handing" // the drill: another process is to take the place of PID
-	Handed        = "handed"  // the drill: PID serves in the place of the process before
-	Starve        = "starve"  // the drill: PID has little of a core for PauseMS
-	Limited       = "limited" // the drill: the daemons share a limit
-	Used          = "used"    // the drill: what servers saw of it
-	Wanted        = "wanted"  // the drill: so much is asked for from now on, a second, of all daemons together
-	EjectionState = "verdict" // a daemon: Server is out, drains or is free (State)
-	Fault         = "fault"   // the drill: Server fails Drop of its requests; of one daemon's (Of) alone, it is their link
-	Got           = "got"     // the drill: so many requests reached Server in the last second (Asked), of Wanted at all servers
-	StrayDatagram = "odd"     // the drill: a stray datagram; Why is its kind
-	End           = "end"     // the drill
+	Up            = "up"      // test: process PID of daemon Of runs, with Balancers
+	Down          = "down"    // test: the process was ended; Why is kill or term
+	Pause         = "pause"   // test: process PID was paused
+	Resume        = "resume"  // test: process PID was resumed
+	Link          = "link"    // test: traffic from From to To has these faults from now on
+	Cut           = "cut"     // test: Of loses the share Drop of its traffic with its servers or its list (Why)
+	Sent          = "sent"    // test: traffic that Of sent to peers in the last second
+	Service       = "service" // test: outcomes of the requests of Of's clients in the last second
+	Twin          = "twin"    // test: process PID runs under the name of another process
+	Ending        = "ending"  // test: process PID was told to shut down gracefully
+	Handing       = "handing" // test: a handover from process PID to a successor starts
+	Handed        = "handed"  // test: process PID has taken over from its predecessor
+	Starve        = "starve"  // test: process PID gets little CPU time for PauseMS
+	Limited       = "limited" // test: the daemons share a limit
+	Used          = "used"    // test: use of the limit as the servers saw it
+	Wanted        = "wanted"  // test: requests per second, over all daemons, from now on
+	EjectionState = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
+	Fault         = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
+	Got           = "got"     // test: requests that reached Server (Asked) and all servers (Wanted) in the last second
+	StrayDatagram = "odd"     // test: it sent a stray datagram; Why is its kind
+	End           = "end"     // test: the history ends
 
-	Agreed         = "agreed"   // the drill: a policy is agreed on; Hard: who is cut off stops, after PauseMS; Why: voters; Parts: who may vote later
-	Proposed       = "proposed" // the drill: change ID of these Parts (none: what holds for all) is asked for at Of, without those in Why
-	AuthorNotified = "told"     // the drill: the author of change ID is told its State, and Number
-	Took           = "took"     // the drill: Of took a request by policy Number, which change ID made
-	PolicyRejected = "turned"   // the drill: Of turned a request away for the policy
-	Disk           = "disk"     // the drill: the disk of Of is full, slow or well (State)
-	OnDisk         = "on-disk"  // the drill: change ID is on the disk of Of
-	Holds          = "holds"    // the drill: PID holds these Parts of the policy, besides what holds for all
+	Agreed         = "agreed"   // test: a policy is agreed on; Hard: isolated members stop after PauseMS; Why, Parts: voters now, later
+	Proposed       = "proposed" // test: change ID of Parts (none: the global part) is proposed at Of, excluding Why
+	AuthorNotified = "told"     // test: the author of change ID is notified of its State and Number
+	Took           = "took"     // test: Of admitted a request by policy Number, which change ID made
+	PolicyRejected = "turned"   // test: Of rejected a request because of the policy
+	Disk           = "disk"     // test: the disk of Of is full, slow or healthy (State: full, slow, well)
+	OnDisk         = "on-disk"  // test: change ID is on the disk of Of
+	Holds          = "holds"    // test: process PID holds these Parts of the policy, besides the global part
 )
 
-// Read reads lines until the end of r. A line that is no line is an error that names it.
+// Read reads lines until the end of r. For a line that can't be parsed, it returns an error with the line's number,
+// and the lines before.
 func Read(r io.Reader) ([]Line, error) {
 	var all []Line
 	s := bufio.NewScanner(r)
--- a/internal/faulttest/checker/links.go
+++ b/internal/faulttest/checker/links.go
@@ -4,42 +4,43 @@
 	"slices"
 )
 
-// brokenLinkLoss is the share of datagrams from which on a link counts as broken.
+// brokenLinkLoss is the share of lost datagrams from which a link counts as broken.
 const brokenLinkLoss = 0.35
 
-// partitionLoss is the share from which on nothing is to be heard through it.
+// partitionLoss is the share of lost datagrams from which a link is expected to carry nothing.
 const partitionLoss = 0.95
 
 type pair struct{ from, to string }
 
-// components finds who can reach whom by any way, in both directions; pauses are not counted.
-func (j *checker) components() {
-	j.componentOf = map[string]int{}
+// components finds the connected components of the running daemons, over links that work in both directions. Paused
+// daemons count as running.
+func (ck *checker) components() {
+	ck.componentOf = map[string]int{}
 	var names []string
-	for _, pid := range j.order {
-		if p := j.processes[pid]; p.up && !slices.Contains(names, p.name) {
+	for _, pid := range ck.order {
+		if p := ck.processes[pid]; p.up && !slices.Contains(names, p.name) {
 			names = append(names, p.name)
 		}
 	}
-	if len(j.lossRates) == 0 {
+	if len(ck.lossRates) == 0 {
 		for _, n := range names {
-			j.componentOf[n] = 1
+			ck.componentOf[n] = 1
 		}
 		return
 	}
 	next := 0
 	for _, n := range names {
-		if j.componentOf[n] > 0 {
+		if ck.componentOf[n] > 0 {
 			continue
 		}
 		next++
-		j.componentOf[n] = next
+		ck.componentOf[n] = next
 		for todo := []string{n}; len(todo) > 0; {
 			a := todo[0]
 			todo = todo[1:]
 			for _, b := range names {
-				if j.componentOf[b] == 0 && j.lossRates[pair{a, b}] < brokenLinkLoss && j.lossRates[pair{b, a}] < brokenLinkLoss {
-					j.componentOf[b] = next
+				if ck.componentOf[b] == 0 && ck.lossRates[pair{a, b}] < brokenLinkLoss && ck.lossRates[pair{b, a}] < brokenLinkLoss {
+					ck.componentOf[b] = next
 					todo = append(todo, b)
 				}
 			}
@@ -47,29 +48,29 @@
 	}
 }
 
-func (j *checker) canReach(a, b *process) bool {
-	if j.componentOf == nil {
-		j.components()
+func (ck *checker) canReach(a, b *process) bool {
+	if ck.componentOf == nil {
+		ck.components()
 	}
-	return j.componentOf[a.name] > 0 && j.componentOf[a.name] == j.componentOf[b.name]
+	return ck.componentOf[a.name] > 0 && ck.componentOf[a.name] == ck.componentOf[b.name]
 }
 
-func (j *checker) linkedObservers(p *process) []*process {
+func (ck *checker) linkedObservers(p *process) []*process {
 	var all []*process
-	for _, pid := range j.order {
-		if o := j.processes[pid]; o != p && o.name != p.name && o.up && !o.leaving && !o.duplicate && !o.standingBy && j.canReach(o, p) {
+	for _, pid := range ck.order {
+		if o := ck.processes[pid]; o != p && o.name != p.name && o.up && !o.leaving && !o.duplicate && !o.standingBy && ck.canReach(o, p) {
 			all = append(all, o)
 		}
 	}
 	return all
 }
 
-// areLinksHealthy reports whether links have been whole for a while.
-func (j *checker) areLinksHealthy(t int64) bool {
-	if t-j.linksChangedAt < int64(j.bounds.Settle) {
+// areLinksHealthy reports whether no link changed within the settle time and none loses more than 10% of datagrams.
+func (ck *checker) areLinksHealthy(t int64) bool {
+	if t-ck.linksChangedAt < int64(ck.bounds.Settle) {
 		return false
 	}
-	for _, d := range j.lossRates {
+	for _, d := range ck.lossRates {
 		if d > 0.1 {
 			return false
 		}
@@ -77,40 +78,40 @@
 	return true
 }
 
-// areLinksUndisturbed reports whether no link costs its daemons more than rest does: what is lost is sent again, what is doubled
-// is answered twice.
-func (j *checker) areLinksUndisturbed() bool {
-	for p, d := range j.lossRates {
-		if d > 0.01 || j.impairedLinks[p] {
+// areLinksUndisturbed reports whether no link causes additional traffic: lost messages are sent again, and duplicated
+// ones are answered twice.
+func (ck *checker) areLinksUndisturbed() bool {
+	for p, d := range ck.lossRates {
+		if d > 0.01 || ck.impairedLinks[p] {
 			return false
 		}
 	}
 	return true
 }
 
-// isPartitioned reports whether a region is cut off from another one.
-func (j *checker) isPartitioned(region string) bool {
-	if j.partitionedRegions == nil {
+// isPartitioned reports whether a region is cut off from another region.
+func (ck *checker) isPartitioned(region string) bool {
+	if ck.partitionedRegions == nil {
 		of := map[string]string{}
-		for _, p := range j.processes {
+		for _, p := range ck.processes {
 			of[p.name] = p.region
 		}
-		j.partitionedRegions = map[string]bool{}
-		for l, d := range j.lossRates {
+		ck.partitionedRegions = map[string]bool{}
+		for l, d := range ck.lossRates {
 			if a, b := of[l.from], of[l.to]; d >= partitionLoss && a != "" && b != "" && a != b {
-				j.partitionedRegions[a], j.partitionedRegions[b] = true, true
+				ck.partitionedRegions[a], ck.partitionedRegions[b] = true, true
 			}
 		}
 	}
-	return j.partitionedRegions[region]
+	return ck.partitionedRegions[region]
 }
 
-// delayAllowance is how much links add there and back between two daemons, as often as the bounds have it.
-func (j *checker) delayAllowance(o, p *process) int64 {
-	return int64(j.bounds.RoundTrips) * int64(j.oneWayDelays[pair{o.name, p.name}]+j.oneWayDelays[pair{p.name, o.name}])
+// delayAllowance returns the round-trip time that links add between two daemons, times Bounds.RoundTrips.
+func (ck *checker) delayAllowance(o, p *process) int64 {
+	return int64(ck.bounds.RoundTrips) * int64(ck.oneWayDelays[pair{o.name, p.name}]+ck.oneWayDelays[pair{p.name, o.name}])
 }
 
-// couldReachForLong reports whether two could reach each other for long enough.
-func (j *checker) couldReachForLong(o, p *process, t int64) bool {
-	return t-j.linksChangedAt > int64(j.bounds.Settle) && t-p.startedAt > int64(j.bounds.Join) && t-o.startedAt > int64(j.bounds.Join) && j.canReach(o, p)
+// couldReachForLong reports whether two processes have been running and linked for long enough to know each other.
+func (ck *checker) couldReachForLong(o, p *process, t int64) bool {
+	return t-ck.linksChangedAt > int64(ck.bounds.Settle) && t-p.startedAt > int64(ck.bounds.Join) && t-o.startedAt > int64(ck.bounds.Join) && ck.canReach(o, p)
 }
--- a/internal/faulttest/checker/members.go
+++ b/internal/faulttest/checker/members.go
@@ -8,55 +8,56 @@
 // memberView is how one process sees one member.
 type memberView struct {
 	incarnation, state string
-	aliveChangedAt     int64 // it is alive or not
+	aliveChangedAt     int64 // last change between alive and not alive
 	suspectedAt        int64
-	regionSuspectedAt  int64 // since then, by one of its own region while that is cut off; 0: it is not
+	regionSuspectedAt  int64 // start of a suspicion by one of its own region during a partition; 0: none
 }
 
-// applyReport takes what a daemon wrote.
-func (j *checker) applyReport(l *Line) {
-	o := j.process(l.PID)
+// applyReport applies a line of a daemon.
+func (ck *checker) applyReport(l *Line) {
+	o := ck.process(l.PID)
 	switch l.What {
 	case Start:
-		if old := j.findIncarnation(l.By, l.Life); old != nil && old != o { // it took over from that one, and is the same member
-			j.processes[l.PID] = old
-			j.order = slices.DeleteFunc(j.order, func(pid int) bool { return pid == l.PID })
+		if old := ck.findIncarnation(l.By, l.Life); old != nil && old != o {
+			// A successor after a handover is the same member.
+			ck.processes[l.PID] = old
+			ck.order = slices.DeleteFunc(ck.order, func(pid int) bool { return pid == l.PID })
 			return
 		}
 		o.name, o.incarnation = l.By, l.Life
-		j.byIncarnation[l.Life] = append(j.byIncarnation[l.Life], o)
+		ck.byIncarnation[l.Life] = append(ck.byIncarnation[l.Life], o)
 	case Leaving:
 		if o.leaving {
 			return
 		}
 		o.leaving = true
-		j.markTruthChanged(l.T)
-		j.dropExpectations(func(d *expectation) bool { return d.observer == o || d.subject == o })
-		if !j.areLinksHealthy(l.T) || l.T-o.startedAt < int64(j.bounds.Join) {
+		ck.markTruthChanged(l.T)
+		ck.dropExpectations(func(d *expectation) bool { return d.observer == o || d.subject == o })
+		if !ck.areLinksHealthy(l.T) || l.T-o.startedAt < int64(ck.bounds.Join) {
 			return
 		}
 		incarnation, at := o.incarnation, l.T
-		for _, w := range j.linkedObservers(o) {
-			if w.pausedAt > 0 || l.T-w.startedAt <= int64(j.bounds.Join) || l.T-w.longPauseEndedAt <= int64(j.bounds.Settle) {
+		for _, w := range ck.linkedObservers(o) {
+			if w.pausedAt > 0 || l.T-w.startedAt <= int64(ck.bounds.Join) || l.T-w.longPauseEndedAt <= int64(ck.bounds.Settle) {
 				continue
 			}
-			d := &expectation{claim: j.leaveKnown, since: l.T, deadline: l.T + int64(j.bounds.Leave) + j.delayAllowance(w, o), observer: w, subject: o, event: o.name + " left",
+			d := &expectation{claim: ck.leaveKnown, since: l.T, deadline: l.T + int64(ck.bounds.Leave) + ck.delayAllowance(w, o), observer: w, subject: o, event: o.name + " left",
 				isMet: func(s *memberView) bool {
 					if s.incarnation == incarnation {
 						return s.state == "left"
 					}
-					next := j.findIncarnation(o.name, s.incarnation)
+					next := ck.findIncarnation(o.name, s.incarnation)
 					return next != nil && next.startedAt > at
 				}}
-			if s := w.view[o.name]; s != nil && d.isMet(s) { // the line was written late
-				j.leaveKnown.Tried++
-				j.leaveKnown.recordDuration(0)
+			if s := w.view[o.name]; s != nil && d.isMet(s) { // the observer's line was written before that of the leave
+				ck.leaveKnown.Tried++
+				ck.leaveKnown.recordDuration(0)
 				continue
 			}
-			j.expect(d)
+			ck.expect(d)
 		}
 	case Member:
-		j.applyMember(o, l)
+		ck.applyMember(o, l)
 	case Counted:
 		o.countedBalancers = l.Most
 		o.hasCounted = true
@@ -64,12 +65,12 @@
 	case Contested:
 		o.standingBy = l.StandBack
 		if l.StandBack && o.duplicate {
-			j.name.recordDuration(time.Duration(l.T - o.startedAt))
+			ck.name.recordDuration(time.Duration(l.T - o.startedAt))
 		}
 	}
 }
 
-func (j *checker) applyMember(o *process, l *Line) {
+func (ck *checker) applyMember(o *process, l *Line) {
 	s := o.view[l.Of]
 	if s == nil {
 		s = &memberView{}
@@ -83,71 +84,71 @@
 	if l.State == "suspect" {
 		s.suspectedAt = l.T
 	} else if s.regionSuspectedAt > 0 {
-		j.regionCalm.recordMargin(time.Duration(l.T-s.regionSuspectedAt).Seconds(), "suspect for %v", time.Duration(l.T-s.regionSuspectedAt).Round(time.Millisecond))
-		if l.T-s.regionSuspectedAt > int64(j.bounds.MaxSuspicion) {
-			j.regionCalm.recordBreak(l.T, j.base, "%s doubted %s, of its region, for more than %v", o.name, l.Of, j.bounds.MaxSuspicion)
+		ck.noRegionSuspicion.recordMargin(time.Duration(l.T-s.regionSuspectedAt).Seconds(), "suspect for %v", time.Duration(l.T-s.regionSuspectedAt).Round(time.Millisecond))
+		if l.T-s.regionSuspectedAt > int64(ck.bounds.MaxSuspicion) {
+			ck.noRegionSuspicion.recordBreak(l.T, ck.base, "%s suspected %s, of its own region, for more than %v", o.name, l.Of, ck.bounds.MaxSuspicion)
 		}
 		s.regionSuspectedAt = 0
 	}
-	p := j.findIncarnation(l.Of, l.Life)
+	p := ck.findIncarnation(l.Of, l.Life)
 	if p != nil && p != o {
 		o.knownProcesses[p.pid] = true
 		o.countChangedAt = l.T
 	}
-	if p != nil && p.up && !p.leaving && j.couldReachForLong(o, p, l.T) {
-		rested := p.pausedAt == 0 && l.T-p.longPauseEndedAt > int64(j.bounds.Settle) || p.pausedAt > 0 && l.T-p.pausedAt < int64(j.bounds.Pause)
-		if p.pausedAt == 0 && o.pausedAt == 0 && l.T-p.longPauseEndedAt > int64(j.bounds.Settle) && l.T-o.longPauseEndedAt > int64(j.bounds.Settle) {
-			j.checkSuspicion(o, p, l)
+	if p != nil && p.up && !p.leaving && ck.couldReachForLong(o, p, l.T) {
+		rested := p.pausedAt == 0 && l.T-p.longPauseEndedAt > int64(ck.bounds.Settle) || p.pausedAt > 0 && l.T-p.pausedAt < int64(ck.bounds.Pause)
+		if p.pausedAt == 0 && o.pausedAt == 0 && l.T-p.longPauseEndedAt > int64(ck.bounds.Settle) && l.T-o.longPauseEndedAt > int64(ck.bounds.Settle) {
+			ck.checkSuspicion(o, p, l)
 		}
 		switch {
 		case !rested:
 		case l.State == "suspect":
-			j.wrongDeath.Tried++
+			ck.wrongDeath.Tried++
 		case l.State == "dead":
-			j.wrongDeath.Tried++
-			j.wrongDeath.recordBreak(l.T, j.base, "%s holds %s for dead: %s", o.name, p.name, l.Why)
+			ck.wrongDeath.Tried++
+			ck.wrongDeath.recordBreak(l.T, ck.base, "%s considers %s dead: %s", o.name, p.name, l.Why)
 		case l.State == "alive" && was.state == "suspect" && was.incarnation == l.Life:
 			d := time.Duration(l.T - was.suspectedAt)
-			j.wrongDeath.recordMargin(d.Seconds(), "suspect for %v", d.Round(time.Millisecond))
+			ck.wrongDeath.recordMargin(d.Seconds(), "suspect for %v", d.Round(time.Millisecond))
 		}
 	}
-	for i := 0; i < len(j.expectations); {
-		d := j.expectations[i]
+	for i := 0; i < len(ck.expectations); {
+		d := ck.expectations[i]
 		if d.observer != o || d.subject.name != l.Of || !d.isMet(s) {
 			i++
 			continue
 		}
-		j.expectations = slices.Delete(j.expectations, i, i+1)
+		ck.expectations = slices.Delete(ck.expectations, i, i+1)
 		d.claim.Tried++
 		d.claim.recordDuration(time.Duration(l.T - d.since))
 	}
-	// At rest nothing changes any more, but for suspicions that are refuted.
-	if j.isSettled && l.State != "suspect" && was.state != "suspect" && j.expectedIncarnation(o, l.Of) != aliveIncarnation(s) {
-		j.settle.recordBreak(l.T, j.base, "%s says at rest that %s is %s", o.name, l.Of, l.State)
+	// At rest no view changes any more, except for suspicions that are refuted.
+	if ck.isSettled && l.State != "suspect" && was.state != "suspect" && ck.expectedIncarnation(o, l.Of) != aliveIncarnation(s) {
+		ck.settle.recordBreak(l.T, ck.base, "%s reports at rest that %s is %s", o.name, l.Of, l.State)
 	}
 }
 
-// checkSuspicion looks at a doubt about one of the same region.
-func (j *checker) checkSuspicion(o, p *process, l *Line) {
-	if o.region == "" || o.region != p.region || l.State != "suspect" && l.State != "dead" || !j.isPartitioned(o.region) {
+// checkSuspicion checks a suspicion of a member of the observer's own region while the region is partitioned.
+func (ck *checker) checkSuspicion(o, p *process, l *Line) {
+	if o.region == "" || o.region != p.region || l.State != "suspect" && l.State != "dead" || !ck.isPartitioned(o.region) {
 		return
 	}
-	for _, pid := range j.order { // what is broken inside, may be doubted
-		for _, other := range j.order {
-			a, b := j.processes[pid], j.processes[other]
-			if k := (pair{a.name, b.name}); a.region == o.region && b.region == o.region && (j.lossRates[k] > 0.01 || j.impairedLinks[k]) {
+	for _, pid := range ck.order { // with a broken link inside the region, a suspicion is allowed
+		for _, other := range ck.order {
+			a, b := ck.processes[pid], ck.processes[other]
+			if k := (pair{a.name, b.name}); a.region == o.region && b.region == o.region && (ck.lossRates[k] > 0.01 || ck.impairedLinks[k]) {
 				return
 			}
 		}
 	}
-	if l.State == "suspect" && j.bounds.MaxSuspicion > 0 {
+	if l.State == "suspect" && ck.bounds.MaxSuspicion > 0 {
 		o.view[p.name].regionSuspectedAt = l.T
 		return
 	}
-	j.regionCalm.recordBreak(l.T, j.base, "%s says that %s, of its region, is %s: %s", o.name, p.name, l.State, l.Why)
+	ck.noRegionSuspicion.recordBreak(l.T, ck.base, "%s reports that %s, of its own region, is %s: %s", o.name, p.name, l.State, l.Why)
 }
 
-// aliveIncarnation is the life that is alive, or nothing.
+// aliveIncarnation returns the run ID that a view considers alive; empty: none.
 func aliveIncarnation(s *memberView) string {
 	if s == nil || s.state == "dead" || s.state == "left" {
 		return ""
@@ -155,14 +156,14 @@
 	return s.incarnation
 }
 
-// expectedIncarnation is the life of a name that o should hold for alive; empty: none.
-func (j *checker) expectedIncarnation(o *process, name string) string {
-	for _, pid := range j.order {
-		p := j.processes[pid]
-		if p.name != name || !p.up || p.leaving || p.standingBy || !j.canReach(o, p) {
+// expectedIncarnation returns the run ID that o should consider alive for a name; empty: none.
+func (ck *checker) expectedIncarnation(o *process, name string) string {
+	for _, pid := range ck.order {
+		p := ck.processes[pid]
+		if p.name != name || !p.up || p.leaving || p.standingBy || !ck.canReach(o, p) {
 			continue
 		}
-		if p.pausedAt > 0 && j.now-p.pausedAt >= int64(j.bounds.Settle) {
+		if p.pausedAt > 0 && ck.now-p.pausedAt >= int64(ck.bounds.Settle) {
 			continue
 		}
 		return p.incarnation
@@ -170,21 +171,21 @@
 	return ""
 }
 
-// checkViews looks at every view once nothing has happened for long enough.
-func (j *checker) checkViews(t int64) {
-	for _, d := range j.lossRates {
-		if d >= brokenLinkLoss && d < partitionLoss { // who hears whom is up to chance
+// checkViews checks every view once the fleet has been at rest for the settle time.
+func (ck *checker) checkViews(t int64) {
+	for _, d := range ck.lossRates {
+		if d >= brokenLinkLoss && d < partitionLoss { // reachability depends on chance
 			return
 		}
 	}
 	names := map[string]bool{}
-	for _, pid := range j.order {
-		names[j.processes[pid].name] = true
+	for _, pid := range ck.order {
+		names[ck.processes[pid].name] = true
 	}
-	was := j.now
-	j.now = max(j.now, t)
-	for _, pid := range j.order {
-		o := j.processes[pid]
+	was := ck.now
+	ck.now = max(ck.now, t)
+	for _, pid := range ck.order {
+		o := ck.processes[pid]
 		if !o.up || o.leaving || o.standingBy || o.pausedAt > 0 || o.incarnation == "" {
 			continue
 		}
@@ -192,43 +193,43 @@
 			if name == o.name {
 				continue
 			}
-			j.settle.Tried++
-			expected, actual := j.expectedIncarnation(o, name), aliveIncarnation(o.view[name])
+			ck.settle.Tried++
+			expected, actual := ck.expectedIncarnation(o, name), aliveIncarnation(o.view[name])
 			if expected == actual {
-				if s := o.view[name]; s != nil && s.aliveChangedAt > j.truthChangedAt {
-					j.settle.recordDuration(time.Duration(s.aliveChangedAt - j.truthChangedAt))
+				if s := o.view[name]; s != nil && s.aliveChangedAt > ck.truthChangedAt {
+					ck.settle.recordDuration(time.Duration(s.aliveChangedAt - ck.truthChangedAt))
 				}
 				continue
 			}
 			switch {
 			case expected == "":
-				j.settle.recordBreak(t, j.base, "%s holds %s for alive, which does not run or can't be reached", o.name, name)
+				ck.settle.recordBreak(t, ck.base, "%s considers %s alive, which does not run or can't be reached", o.name, name)
 			case actual == "":
-				j.settle.recordBreak(t, j.base, "%s does not hold %s for alive, which runs", o.name, name)
+				ck.settle.recordBreak(t, ck.base, "%s does not consider %s alive, which runs", o.name, name)
 			default:
-				j.settle.recordBreak(t, j.base, "%s holds an earlier process of %s for alive", o.name, name)
+				ck.settle.recordBreak(t, ck.base, "%s considers an earlier process of %s alive", o.name, name)
 			}
 		}
 	}
-	j.now = was
-	j.isSettled = true
+	ck.now = was
+	ck.isSettled = true
 }
 
-// checkNames looks at names with two processes.
-func (j *checker) checkNames(t int64) {
-	for _, pid := range j.order {
-		tw := j.processes[pid]
+// checkNames checks that each name that two processes use is held by exactly one of them.
+func (ck *checker) checkNames(t int64) {
+	for _, pid := range ck.order {
+		tw := ck.processes[pid]
 		if !tw.duplicate || !tw.up {
 			continue
 		}
 		holds := 0
-		for _, other := range j.order {
-			if p := j.processes[other]; p.name == tw.name && p.up && !p.leaving && !p.standingBy {
+		for _, other := range ck.order {
+			if p := ck.processes[other]; p.name == tw.name && p.up && !p.leaving && !p.standingBy {
 				holds++
 			}
 		}
 		if holds != 1 {
-			j.name.recordBreak(t, j.base, "%d processes hold the name %s", holds, tw.name)
+			ck.name.recordBreak(t, ck.base, "%d processes hold the name %s", holds, tw.name)
 		}
 	}
 }
--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// used is the first use of a policy, and the change that made it.
+// used is the first use of a policy version, and the change that made it.
 type used struct {
 	id    string
 	first int64
 }
 
-// partUser is a process that takes requests by a part of the policy.
+// partUser is a process that admits requests by a part of the policy.
 type partUser struct {
 	number         uint64
 	hasUsed        bool
-	checkedFor     uint64 // the highest policy for which it has been looked at
+	checkedFor     uint64 // highest version for which a delay has been checked
 	failedFor      uint64
-	numberSince    int64 // it takes by its number since
+	numberSince    int64 // since when it uses number
 	lastUsedAt     int64
 	lastRejectedAt int64
-	missingOnDisk  map[uint64]bool // policies that it had not on its disk as they came into force
+	missingOnDisk  map[uint64]bool // versions that were not on its disk when they came into force
 }
 
-// policyChecker checks the policy that a fleet agrees on, by the policies by which requests were taken.
+// policyChecker checks the policy that a fleet agrees on, by the versions by which requests were admitted.
 type policyChecker struct {
 	checker           *checker
 	isAgreed          bool
 	stopsWhenIsolated bool
-	leaseTerm         time.Duration // a member that is cut off takes nothing so long after it heard last
+	leaseTerm         time.Duration // an isolated member admits no requests from so long after its last contact on
 	parts             map[string]*partChecker
-	partsOf           map[int]map[string]bool // by process, besides what holds for all
+	partsOf           map[int]map[string]bool // by process, besides the global part
 	onDisk            map[string]map[string]bool
-	excluded          map[string][]string // by change
+	excluded          map[string][]string // by change: members that its author excluded
 	partsOfChange     map[string][]string // by change: its parts
-	proposedAt        map[string]int64    // changes, and since when
-	notifications     map[string]*Line    // what authors were told
+	proposedAt        map[string]int64    // by change
+	notifications     map[string]*Line    // by change: what its author was notified of
 	voters            []string
-	futureVoters      []string // who may vote later
-	changedAt         int64    // a change was asked for, or decided
-	// Changes of which nobody has been told yet.
+	futureVoters      []string // members that may become voters
+	changedAt         int64    // a change was last proposed or decided
+	// Changes whose authors have not been notified yet.
 	pending    map[string]bool
-	lastUseAt  int64 // a request was taken
-	disksKnown bool  // what is on disks is known
+	lastUseAt  int64 // a request was last admitted
+	disksKnown bool  // the history contains OnDisk lines
 
 	mixedUses     map[partUse]bool
-	multiPartUses map[int]map[string]int64 // by process: changes of several parts by which it took, and since when
+	multiPartUses map[int]map[string]int64 // by process and change of several parts: first use
 	isolation     isolationChecker
 
 	one, all, start, serves, durable, notified, atomic *Claim
@@ -62,7 +62,8 @@
 	users   map[int]*partUser // by process
 }
 
-// partUse is a request that a process took by one part, after it had taken one of another by a change of both.
+// partUse is a request that a process admitted by one part after it had admitted one by a change of that part and
+// another one.
 type partUse struct {
 	pid    int
 	part   string
@@ -70,8 +71,8 @@
 	change string
 }
 
-func (p *policyChecker) begin(j *checker) []*Claim {
-	p.checker = j
+func (p *policyChecker) begin(ck *checker) []*Claim {
+	p.checker = ck
 	p.parts = map[string]*partChecker{}
 	p.partsOf = map[int]map[string]bool{}
 	p.onDisk = map[string]map[string]bool{}
@@ -82,13 +83,13 @@
 	p.partsOfChange = map[string][]string{}
 	p.mixedUses = map[partUse]bool{}
 	p.multiPartUses = map[int]map[string]int64{}
-	p.one = &Claim{Name: PolicyOne, Text: "once a policy is used anywhere, no request is taken by an earlier one: on whole links after 'spread', else after the lease"}
-	p.all = &Claim{Name: PolicyAll, Text: "a policy is used by all whom it concerns or by nobody: who had it not on its disk takes nothing by an earlier one, a dropped one is never used"}
-	p.start = &Claim{Name: PolicyStart, Text: "the first request of a process by a part is taken by what is in force"}
-	p.serves = &Claim{Name: PolicyServes, Text: "no request is turned away for the policy where nothing is broken; nor, if cut_off is \"vetoes\", where no change is under way"}
-	p.durable = &Claim{Name: PolicyDurable, Text: "what came into force stays: one change a number, never an earlier one again, whatever disks are lost"}
-	p.notified = &Claim{Name: PolicyAuthorNotified, Text: "authors are told what became of their change"}
-	p.atomic = &Claim{Name: PolicyAtomic, Text: "a change of several parts is in force in all of them or in none: who takes a request by one of them takes none by what was before in another, after 'spread'"}
+	p.one = &Claim{Name: PolicyOne, Text: "once a policy is used anywhere, no request is admitted by an earlier one: on healthy links after 'spread', else after the lease"}
+	p.all = &Claim{Name: PolicyAll, Text: "a policy is used by all members that it concerns or by none: a member that lacks it on its disk admits no request by an earlier one, and an aborted one is never used"}
+	p.start = &Claim{Name: PolicyStart, Text: "the first request of a process by a part is admitted by the policy in force"}
+	p.serves = &Claim{Name: PolicyServes, Text: "no request is rejected because of the policy where there is no fault; nor, if cut_off is \"vetoes\", where no change is under way"}
+	p.durable = &Claim{Name: PolicyDurable, Text: "a policy in force is durable: each number has one change, and no process returns to an earlier one, whatever disks are lost"}
+	p.notified = &Claim{Name: PolicyAuthorNotified, Text: "authors are notified of the outcome of their change"}
+	p.atomic = &Claim{Name: PolicyAtomic, Text: "a change of several parts is in force in all of them or in none: a process that admits a request by one of them admits none by an earlier policy of another, after 'spread'"}
 	return []*Claim{p.one, p.all, p.start, p.serves, p.durable, p.notified, p.atomic, p.isolation.begin(p)}
 }
 
@@ -101,10 +102,10 @@
 	return q
 }
 
-// hasPart reports whether a process has to do with a part.
+// hasPart reports whether a process holds a part. All processes hold the global part.
 func (p *policyChecker) hasPart(pid int, part string) bool { return part == "" || p.partsOf[pid][part] }
 
-// describe names a policy for people.
+// describe returns the text by which reports name a version of the part.
 func (q *partChecker) describe(n uint64) string {
 	if q.name == "" {
 		return fmt.Sprintf("policy %d", n)
@@ -112,7 +113,7 @@
 	return fmt.Sprintf("policy %d of %s", n, q.name)
 }
 
-// PartsText is how a line names parts.
+// PartsText returns the value of Line.Parts for a list of parts.
 func PartsText(parts []string) string {
 	all := slices.Clone(parts)
 	for i, p := range all {
@@ -133,7 +134,7 @@
 	return all
 }
 
-// applyLine takes a line about the policy. It reports whether it was one.
+// applyLine applies a line about the policy. It reports whether the line was about the policy.
 func (p *policyChecker) applyLine(l *Line) bool {
 	switch l.What {
 	case Agreed:
@@ -180,8 +181,8 @@
 	return t
 }
 
-// firstLaterUse is when anything later than a number was first used, and what; 0: never. Of those of one instant it is the
-// earliest number.
+// firstLaterUse returns when a version later than n was first used, and which one; 0: never. If several were first used
+// at the same time, it returns the lowest number.
 func (q *partChecker) firstLaterUse(n uint64) (at int64, by uint64) {
 	for m, u := range q.used {
 		if m <= n {
@@ -194,33 +195,33 @@
 	return at, by
 }
 
-// maxLag is how late a process may take by an earlier policy.
+// maxLag returns how long a process may go on with an earlier policy after the first use of a later one.
 func (p *policyChecker) maxLag(o *process, t int64) time.Duration {
-	j := p.checker
-	calm := o.pausedAt == 0 && t-o.resumedAt > int64(j.bounds.Settle) && t > o.starvedUntil+int64(j.bounds.Settle) && t-j.lastDownAt > int64(j.bounds.Settle) && j.areLinksHealthy(t)
-	for _, v := range slices.Concat(p.voters, p.futureVoters) { // one that leads may be paused just as it has decided
-		for _, pid := range j.order {
-			if q := j.processes[pid]; q.up && q.name == v && (q.pausedAt > 0 || t-q.resumedAt <= int64(j.bounds.Settle)) {
+	ck := p.checker
+	calm := o.pausedAt == 0 && t-o.resumedAt > int64(ck.bounds.Settle) && t > o.starvedUntil+int64(ck.bounds.Settle) && t-ck.lastDownAt > int64(ck.bounds.Settle) && ck.areLinksHealthy(t)
+	for _, v := range slices.Concat(p.voters, p.futureVoters) { // a leader may have been paused just after its decision
+		for _, pid := range ck.order {
+			if q := ck.processes[pid]; q.up && q.name == v && (q.pausedAt > 0 || t-q.resumedAt <= int64(ck.bounds.Settle)) {
 				calm = false
 			}
 		}
 	}
 	switch {
-	case calm && j.areLinksUndisturbed():
-		return j.bounds.PolicySpread
+	case calm && ck.areLinksUndisturbed():
+		return ck.bounds.PolicySpread
 	case calm:
-		return 4 * j.bounds.PolicySpread
+		return 4 * ck.bounds.PolicySpread
 	}
-	return p.leaseTerm + j.bounds.PolicySpread
+	return p.leaseTerm + ck.bounds.PolicySpread
 }
 
-// isExcluded reports whether an operator has said that a member is down.
+// isExcluded reports whether the author of a change excluded a member, as an operator does for one that is down.
 func (q *partChecker) isExcluded(name string, n uint64) bool {
 	u := q.used[n]
 	return u != nil && slices.Contains(q.policy.excluded[u.id], name)
 }
 
-// applyUse applies that a process took a request by a policy.
+// applyUse applies that a process admitted a request by a policy.
 func (p *policyChecker) applyUse(l *Line) {
 	o := p.checker.processes[l.PID]
 	if o == nil || !p.isAgreed {
@@ -229,7 +230,7 @@
 	q := p.part(l.Part)
 	t := q.user(l.PID)
 	p.lastUseAt = l.T
-	if l.Alone { // the daemon's file allows it: recorded, not checked
+	if l.Alone { // the daemon's configuration allows it: recorded, not checked
 		return
 	}
 	p.checkChange(q, l)
@@ -246,7 +247,7 @@
 	}
 	late := p.checkLag(q, t, o, l)
 	if late != nil && isFirst {
-		p.start.recordBreak(l.T, p.checker.base, "%s begins with %s, and %d is in force for %v", l.Of, q.describe(l.Number), late.later, late.lag.Round(time.Millisecond))
+		p.start.recordBreak(l.T, p.checker.base, "%s starts with %s, but %d has been in force for %v", l.Of, q.describe(l.Number), late.later, late.lag.Round(time.Millisecond))
 	}
 	p.noteMultiPartUse(l)
 	if !p.stopsWhenIsolated && p.isIsolated(o) {
@@ -254,10 +255,10 @@
 	}
 }
 
-// checkChange checks that a policy is used as one change made it, and that the change was not dropped. With the
-// first use of a policy it records which processes lack it on their disks.
+// checkChange checks that each version comes from one change, and that the change was not aborted. At the first use of
+// a version it records which processes lack it on their disks.
 func (p *policyChecker) checkChange(q *partChecker, l *Line) {
-	j := p.checker
+	ck := p.checker
 	n := l.Number
 	u := q.used[n]
 	switch {
@@ -271,14 +272,14 @@
 			p.noteMissingOnDisk(q, l)
 		}
 	case u.id != l.ID:
-		p.durable.recordBreak(l.T, j.base, "%s takes by %s as change %s made it, and %s was used", l.Of, q.describe(n), l.ID, u.id)
+		p.durable.recordBreak(l.T, ck.base, "%s uses %s of change %s, but that of change %s was used before", l.Of, q.describe(n), l.ID, u.id)
 	}
 	if notified := p.notifications[l.ID]; notified != nil && notified.State == "dropped" && n > 0 {
-		p.all.recordBreak(l.T, j.base, "%s takes by change %s, of which its author was told that it was dropped", l.Of, l.ID)
+		p.all.recordBreak(l.T, ck.base, "%s uses change %s, whose author was notified that it was aborted", l.Of, l.ID)
 	}
 }
 
-// noteMissingOnDisk records which processes with the part lack a policy on their disks.
+// noteMissingOnDisk records which processes that hold the part lack a version on their disks.
 func (p *policyChecker) noteMissingOnDisk(q *partChecker, l *Line) {
 	for _, pid := range p.checker.order {
 		o := p.checker.processes[pid]
@@ -295,7 +296,7 @@
 		return
 	}
 	if n < t.number {
-		p.durable.recordBreak(l.T, p.checker.base, "%s takes by %s, and took by %d before", l.Of, q.describe(n), t.number)
+		p.durable.recordBreak(l.T, p.checker.base, "%s uses %s, but used %d before", l.Of, q.describe(n), t.number)
 	}
 	if t.hasUsed && p.checker.areLinksUndisturbed() && o.pausedAt == 0 {
 		p.serves.Tried++
@@ -312,23 +313,23 @@
 }
 
 // checkLag checks for how long a process goes on with an earlier policy than one that is used elsewhere. It returns
-// a use that is too late, once for each later policy; nil: it is not.
+// a use that is too late, once for each later policy; nil: none.
 func (p *policyChecker) checkLag(q *partChecker, t *partUser, o *process, l *Line) *lateUse {
-	j := p.checker
+	ck := p.checker
 	n := l.Number
 	at, later := q.firstLaterUse(n)
 	if at == 0 || later <= t.failedFor || q.isExcluded(l.Of, later) {
 		return nil
 	}
-	if l.Both != "" && q.used[later].id == l.Both && later == n+1 { // it went by what both allow
+	if l.Both != "" && q.used[later].id == l.Both && later == n+1 { // the request was allowed by both versions
 		return nil
 	}
 	lag := time.Duration(l.T - at)
 	bound := p.maxLag(o, l.T)
 	if t.missingOnDisk[later] {
-		bound = j.bounds.PolicySpread
+		bound = ck.bounds.PolicySpread
 		if lag > bound {
-			p.all.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used, which it had not on its disk", l.Of, q.describe(n), lag, later)
+			p.all.recordBreak(l.T, ck.base, "%s uses %s %v after %d was first used, which it lacks on its disk", l.Of, q.describe(n), lag, later)
 			t.failedFor = later
 		}
 	}
@@ -337,11 +338,11 @@
 		return nil
 	}
 	t.failedFor = later
-	p.one.recordBreak(l.T, j.base, "%s takes by %s %v after %d was first used; %v is the most", l.Of, q.describe(n), lag.Round(time.Millisecond), later, bound)
+	p.one.recordBreak(l.T, ck.base, "%s uses %s %v after %d was first used; maximum %v", l.Of, q.describe(n), lag.Round(time.Millisecond), later, bound)
 	return &lateUse{later: later, lag: lag}
 }
 
-// reachesMajority reports whether a process reaches most of the voters.
+// reachesMajority reports whether a process reaches a majority of the voters.
 func (p *policyChecker) reachesMajority(o *process) bool {
 	n := 0
 	for _, v := range p.voters {
@@ -370,21 +371,22 @@
 	return true
 }
 
-// undisturbed is how long nothing may have happened before a turned request is the policy's fault.
+// undisturbed is how long the fleet must have been without faults for a rejected request to break the claim.
 const undisturbed = 20 * time.Second
 
 func (p *policyChecker) applyRejection(l *Line) {
-	j := p.checker
-	o := j.processes[l.PID]
+	ck := p.checker
+	o := ck.processes[l.PID]
 	t := p.part(l.Part).user(l.PID)
-	if o == nil || !p.isAgreed || !t.hasUsed || l.T-t.lastRejectedAt < int64(time.Second) { // one a second is told
+	if o == nil || !p.isAgreed || !t.hasUsed || l.T-t.lastRejectedAt < int64(time.Second) {
+		// Rejections are checked at most once a second.
 		return
 	}
 	t.lastRejectedAt = l.T
-	quiet := l.T-j.truthChangedAt > int64(undisturbed) && j.areLinksUndisturbed() && l.T-j.linksChangedAt > int64(undisturbed)
+	quiet := l.T-ck.truthChangedAt > int64(undisturbed) && ck.areLinksUndisturbed() && l.T-ck.linksChangedAt > int64(undisturbed)
 	free := !p.stopsWhenIsolated && len(p.pending) == 0 && l.T-p.changedAt > int64(undisturbed)+int64(p.leaseTerm)
 	if (quiet && p.reachesMajority(o)) || free && o.pausedAt == 0 {
-		p.serves.recordBreak(l.T, j.base, "%s turns requests away: %s", l.Of, l.Why)
+		p.serves.recordBreak(l.T, ck.base, "%s rejects requests: %s", l.Of, l.Why)
 	}
 }
 
@@ -396,7 +398,7 @@
 	for _, q := range p.parts {
 		for n, u := range q.used {
 			if u.id == l.ID && n > 0 && l.State == "dropped" {
-				p.notified.recordBreak(l.T, p.checker.base, "%s is told that change %s was dropped, and it is used as %s", l.Of, l.ID, q.describe(n))
+				p.notified.recordBreak(l.T, p.checker.base, "%s is notified that change %s was aborted, but it is used as %s", l.Of, l.ID, q.describe(n))
 			}
 		}
 	}
@@ -406,9 +408,9 @@
 	}
 }
 
-// end looks at where all have come to.
+// end checks the final state: all use the highest version, and all authors have been notified.
 func (p *policyChecker) end(t int64) {
-	j := p.checker
+	ck := p.checker
 	if !p.isAgreed {
 		return
 	}
@@ -418,36 +420,36 @@
 		}
 		q := p.part(p.firstPart(id))
 		if u := q.used[l.Number]; u != nil && u.id != id && !strings.HasPrefix(l.Why, "it was in force") {
-			p.durable.recordBreak(t, j.base, "%s was told that change %s is %s, and that is %s", l.Of, id, q.describe(l.Number), u.id)
+			p.durable.recordBreak(t, ck.base, "%s was notified that change %s is %s, but that is change %s", l.Of, id, q.describe(l.Number), u.id)
 		}
 		if l.Number > q.highest && q.isInUse() {
-			p.all.recordBreak(t, j.base, "%s was told that change %s is in force as %d, and nobody uses it", l.Of, id, l.Number)
+			p.all.recordBreak(t, ck.base, "%s was notified that change %s is in force as %d, but no process uses it", l.Of, id, l.Number)
 		}
 	}
 	p.checkAtomicity(t)
-	if p.lastUseAt-j.truthChangedAt < int64(j.bounds.Settle) || p.lastUseAt-p.changedAt < int64(j.bounds.Settle) {
+	if p.lastUseAt-ck.truthChangedAt < int64(ck.bounds.Settle) || p.lastUseAt-p.changedAt < int64(ck.bounds.Settle) {
 		return
 	}
 	for _, part := range sortedKeys(p.parts) {
 		q := p.parts[part]
-		for _, pid := range j.order {
-			o, k := j.processes[pid], q.users[pid]
+		for _, pid := range ck.order {
+			o, k := ck.processes[pid], q.users[pid]
 			if !o.up || o.leaving || o.pausedAt > 0 || k == nil || p.lastUseAt-k.lastUsedAt > int64(2*time.Second) {
 				continue
 			}
 			p.all.Tried++
 			p.all.recordMargin(0, "all use %s", q.describe(q.highest))
 			if k.number != q.highest {
-				p.all.recordBreak(t, j.base, "%s takes by %s in the end, and %d is in force", o.name, q.describe(k.number), q.highest)
+				p.all.recordBreak(t, ck.base, "%s uses %s at the end, but %d is in force", o.name, q.describe(k.number), q.highest)
 			}
 		}
 	}
 	for _, id := range sortedKeys(p.pending) {
-		p.notified.recordBreak(t, j.base, "of change %s nobody was told what became", id)
+		p.notified.recordBreak(t, ck.base, "the author of change %s was never notified of its outcome", id)
 	}
 }
 
-// firstPart is the part whose number authors are told.
+// firstPart returns the part of a change whose number its author is notified of.
 func (p *policyChecker) firstPart(id string) string {
 	if all := p.partsOfChange[id]; len(all) > 0 {
 		return all[0]
@@ -464,7 +466,7 @@
 	return false
 }
 
-// Switches are, for each policy, how long it took from its first use to the last process that came to it.
+// Switches returns, for each policy version, the time from its first use until the last process switched to it.
 func Switches(lines []Line) map[uint64]time.Duration {
 	first := map[uint64]int64{}
 	last := map[uint64]int64{}
@@ -490,7 +492,7 @@
 	return all
 }
 
-// Policy checks a run whose lines are only about policies, and returns only the claims about these.
+// Policy checks a history of policies only, and returns only the claims about policies.
 func Policy(b Bounds, lines []Line) *Report {
 	r := Check(b, lines)
 	r.Claims = slices.DeleteFunc(r.Claims, func(c *Claim) bool { return !strings.HasPrefix(c.Name, "policy-") })
--- a/internal/faulttest/checker/propagation.go
+++ b/internal/faulttest/checker/propagation.go
@@ -7,11 +7,11 @@
 	Crash   []time.Duration
 	Leave   []time.Duration
 	Join    []time.Duration
-	Unknown int // events that some daemon did not learn of although it went on running
+	Unknown int // number of events that some daemon did not learn of although it continued to run
 }
 
-// MeasurePropagation measures the lines until a time. Daemons that start up to from join together, and are not
-// counted. Times are those of Line.T.
+// MeasurePropagation measures the lines up to the time until. Joins up to the time from are not counted, because the
+// daemons then start together. Times are those of Line.T.
 func MeasurePropagation(lines []Line, from, until int64) PropagationTimes {
 	p := &propagation{from: from, daemons: map[int]*observedDaemon{}}
 	for _, l := range lines {
@@ -48,8 +48,8 @@
 	name        string // of the daemon that it happened to
 	incarnation string
 	state       string       // in which the others have to see it
-	unaware     map[int]bool // processes that have not learned of it
-	lastLearned int64        // 0: nobody has, or the time has been recorded
+	unaware     map[int]bool // processes that have not learned of the event
+	lastLearned int64        // 0: no process has learned of it, or the time has been recorded
 	times       *[]time.Duration
 }
 
@@ -104,7 +104,7 @@
 	p.events = append(p.events, e)
 }
 
-// forgetObserver takes a process that ended off the list of those that have to learn.
+// forgetObserver removes a process that ended from those that have to learn of events.
 func (p *propagation) forgetObserver(pid int) {
 	for _, e := range p.events {
 		delete(e.unaware, pid)
@@ -114,7 +114,7 @@
 	}
 }
 
-// learn applies how a daemon sees a member now.
+// learn applies a change of a daemon's view of a member.
 func (p *propagation) learn(l Line) {
 	for _, e := range p.events {
 		if !e.unaware[l.PID] || e.name != l.Of || e.incarnation != l.Life {
@@ -131,7 +131,7 @@
 	}
 }
 
-// finish records the event's time.
+// finish records the time until the last daemon learned of the event.
 func (e *propagatedEvent) finish() {
 	*e.times = append(*e.times, time.Duration(e.lastLearned-e.at))
 	e.lastLearned = 0
--- a/internal/faulttest/checker/report.go
+++ b/internal/faulttest/checker/report.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// Bounds are the limits that the claims hold the fleet to. A looser bound lets faults pass, a tighter one breaks
-// claims on a busy machine.
+// Bounds are the limits of the claims. A looser bound lets faults pass, a tighter one breaks claims on a busy machine.
 type Bounds struct {
 	Crash           time.Duration // until a crash is known to all linked daemons
-	Leave           time.Duration // until an orderly end is
-	Join            time.Duration // until a start is
+	Leave           time.Duration // until a graceful leave is known
+	Join            time.Duration // until a start is known
 	Settle          time.Duration // after the last change, until all views agree with the truth
-	Pause           time.Duration // a process may be paused for so long and must not be held for dead
-	MinServed       float64       // share of requests
-	MaxIdleBytes    int           // a second, to peers, at rest
-	MaxBytes        int           // in any second, to peers
-	MaxRemoteBytes  int           // in any second, to other regions
-	MaxSuspicion    time.Duration // suspicions within a region that end so soon are ignored: a busy machine's
-	RoundTrips      int           // between two daemons, that are added to Crash, Leave and Join
+	Pause           time.Duration // a process that is paused for at most this long must not be considered dead
+	MinServed       float64       // share of requests that are served
+	MaxIdleBytes    int           // bytes per second to peers, at rest
+	MaxBytes        int           // bytes in any second to peers
+	MaxRemoteBytes  int           // bytes in any second to other regions
+	MaxSuspicion    time.Duration // shorter suspicions within a region are ignored: a busy machine causes them
+	RoundTrips      int           // number of round trips between two daemons that is added to Crash, Leave and Join
 	Ejection        time.Duration // until a failing server is ejected by all daemons
-	MaxEjectedShare float64       // of an even share of requests, for an ejected server
+	MaxEjectedShare float64       // for an ejected server, relative to an even share of requests
 	PolicySpread    time.Duration // from a policy's first use until all use it, on healthy links
-	MinLimitUse     float64       // share of a limit that is used where more is wanted
+	MinLimitUse     float64       // share of a limit that is used where the demand exceeds it
 }
 
-// Claim is one of them, and what became of it.
+// Claim is a property that a history must have, and the result of its check.
 type Claim struct {
 	Name    string   `json:"name"`
 	Text    string   `json:"text"`
 	Tried   int      `json:"tried"`
 	Nearest string   `json:"nearest,omitempty"`
-	Breaks  []string `json:"breaks,omitempty"` // at the most breaksMost
+	Breaks  []string `json:"breaks,omitempty"` // at most maxBreaks
 	Broken  int      `json:"broken"`
-	// Durations are the times of all occasions that have one, sorted.
+	// Durations are the measured times, sorted, of claims about times.
 	Durations []time.Duration `json:"-"`
 
 	nearestMargin float64
@@ -42,7 +41,7 @@
 
 const maxBreaks = 20
 
-// Outcome is a word for people.
+// Outcome returns the result as reports show it.
 func (c *Claim) Outcome() string {
 	switch {
 	case c.Broken > 0:
@@ -60,7 +59,7 @@
 	}
 }
 
-// recordMargin keeps the nearest miss: the highest of how near, in words.
+// recordMargin keeps the text of the nearest miss, which is the one with the highest margin.
 func (c *Claim) recordMargin(margin float64, format string, args ...any) {
 	if !c.hasNearest || margin > c.nearestMargin {
 		c.hasNearest, c.nearestMargin = true, margin
@@ -73,14 +72,14 @@
 	c.recordMargin(d.Seconds(), "%v", d.Round(time.Millisecond))
 }
 
-// Report is all of them.
+// Report is the result of a check of a history.
 type Report struct {
 	Claims []*Claim `json:"claims"`
 	Lines  int      `json:"lines"`
-	Gaps   int      `json:"gaps"` // lines that daemons could not write: what was in them is not judged
+	Gaps   int      `json:"gaps"` // lines that daemons could not write; what they contained is not checked
 }
 
-// Broken counts claims that were broken.
+// Broken returns the number of broken claims.
 func (r *Report) Broken() int {
 	n := 0
 	for _, c := range r.Claims {
@@ -91,7 +90,7 @@
 	return n
 }
 
-// NotTried are those of some claims that were not tried.
+// NotTried returns those of the named claims that were not tried.
 func (r *Report) NotTried(names []string) []string {
 	var missed []string
 	for _, n := range names {
@@ -102,7 +101,7 @@
 	return missed
 }
 
-// Find is the claim of a name.
+// Find returns the claim of a name; nil: there is none.
 func (r *Report) Find(name string) *Claim {
 	for _, c := range r.Claims {
 		if c.Name == name {
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// Claims' names.
+// Names of claims.
 const (
 	CrashKnown           = "crash-known"
 	LeaveKnown           = "leave-known"
@@ -121,19 +120,19 @@
 	NoWrongDeath         = "no-wrong-death"
 	OneName              = "one-name"
 	CountEnough          = "count-enough"
-	CountFollows         = "count-follows"
+	CountExact           = "count-follows"
 	Serving              = "serving"
 	BytesMaximum         = "bytes-most"
 	BytesIdle            = "bytes-idle"
-	BytesFar             = "bytes-far"
-	NearCalm             = "near-calm"
+	BytesRemote          = "bytes-far"
+	NoSuspicionInRegion  = "near-calm"
 	LimitHard            = "limit-hard"
 	LimitSoft            = "limit-soft"
 	LimitUsed            = "limit-used"
 	EjectionKnown        = "verdict-known"
 	EjectionKept         = "kept-off"
-	NoWrongOut           = "no-wrong-out"
-	BackAgain            = "back-again"
+	NoWrongEjection      = "no-wrong-out"
+	ServerReadmitted     = "back-again"
 	PolicyOne            = "policy-one"
 	PolicyAll            = "policy-all"
 	PolicyStart          = "policy-start"
@@ -144,6 +143,6 @@
 	PolicyIsolated       = "policy-apart"
 )
 
-// Names are all of them.
-var Names = []string{CrashKnown, LeaveKnown, JoinKnown, Settled, NoWrongDeath, OneName, CountEnough, CountFollows, Serving, BytesMaximum, BytesIdle, BytesFar, NearCalm, LimitHard, LimitSoft, LimitUsed, EjectionKnown, EjectionKept, NoWrongOut, BackAgain,
+// Names are the names of all claims.
+var Names = []string{CrashKnown, LeaveKnown, JoinKnown, Settled, NoWrongDeath, OneName, CountEnough, CountExact, Serving, BytesMaximum, BytesIdle, BytesRemote, NoSuspicionInRegion, LimitHard, LimitSoft, LimitUsed, EjectionKnown, EjectionKept, NoWrongEjection, ServerReadmitted,
 	PolicyOne, PolicyAll, PolicyStart, PolicyServes, PolicyDurable, PolicyAuthorNotified, PolicyAtomic, PolicyIsolated}
--- a/internal/faulttest/topology/topology.go
+++ b/internal/faulttest/topology/topology.go
@@ -1,5 +1,5 @@
-// Package topology says where members stand, in regions and zones, and how long and how lossy the ways between them
-// are. It is drawn from a seed, holds no clock, and is the same for all that read it.
+// Package topology places members in regions and zones and gives the delay and loss of the network paths between them.
+// A layout is drawn from a seed and has no clock, so all its readers see the same one.
 package topology
 
 import (
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// Path is what one way between two regions adds to the way within a site.
+// Path is the delay and loss that one direction between two regions adds to those within a site.
 type Path struct {
-	Delay, Jitter time.Duration // one way; a datagram takes Delay and up to Jitter more
-	Loss          float64       // share of datagrams
+	Delay, Jitter time.Duration // one way; a datagram takes Delay plus up to Jitter
+	Loss          float64       // share of datagrams that are lost
 }
 
-// Cut takes all that goes from one region to another from Start until End.
+// Cut drops all traffic from one region to another from Start until End.
 type Cut struct {
-	From, To   int // regions, from 0
+	From, To   int // regions, numbered from 0
 	Both       bool
 	Start, End time.Duration
 }
 
-// Layout is where each member stands. Members are numbered from 0, and so are regions and zones; zones are numbered
-// through all regions.
+// Layout is the placement of all members. Members, regions and zones are numbered from 0; zones are numbered across all
+// regions.
 type Layout struct {
 	regions int
 	zones   int // in each region
 	zone    []int
-	paths   [][]Path // by region from and to
+	paths   [][]Path // by sending and receiving region
 	cuts    []Cut
 }
 
-// Spec says what to draw.
+// Spec describes the layout to draw.
 type Spec struct {
 	Members int
 	Regions int           // 0: 1
 	Zones   int           // in each region; 0: 1
-	RTT     time.Duration // there and back between any two regions; Set changes one pair
+	RTT     time.Duration // round trip between any two regions; Set changes one pair
 	Jitter  time.Duration // one way, between regions
 	Loss    float64       // between regions
-	// Seed shuffles who stands where; 0: member n stands in region n modulo Regions. Zones are even either way, to
-	// one member.
+	// Seed shuffles the placement; 0: member n is in region n modulo Regions. In both cases the sizes of zones differ
+	// by at most one member.
 	Seed uint64
 }
 
@@ -49,7 +49,7 @@
 func New(s Spec) (*Layout, error) {
 	l := &Layout{regions: max(1, s.Regions), zones: max(1, s.Zones)}
 	if s.Members < 1 || s.Loss < 0 || s.Loss > 1 || s.RTT < 0 || s.Jitter < 0 {
-		return nil, fmt.Errorf("topology: members %d, there and back %v, jitter %v, loss %v make no sense", s.Members, s.RTT, s.Jitter, s.Loss)
+		return nil, fmt.Errorf("topology: invalid spec: members %d, RTT %v, jitter %v, loss %v", s.Members, s.RTT, s.Jitter, s.Loss)
 	}
 	places := make([]int, s.Members)
 	for n := range places {
@@ -92,52 +92,55 @@
 	}
 }
 
-// Mixed is five regions whose pairs lie 20 to 250 ms apart, there and back: two near each other, one across an
-// ocean, and two far from all.
+// Mixed returns a layout of five regions with round trips of 20 to 250 ms between them: two regions are near each
+// other, one is across an ocean, and two are far from all others.
 func Mixed(members, zones int, seed uint64) (*Layout, error) {
-	l, err := New(Spec{Members: members, Regions: len(mixed), Zones: zones, Seed: seed})
+	l, err := New(Spec{Members: members, Regions: len(mixedRTTs), Zones: zones, Seed: seed})
 	if err != nil {
 		return nil, err
 	}
-	for a := range mixed {
+	for a := range mixedRTTs {
 		for b := range a {
-			l.Set(a, b, Path{Delay: time.Duration(mixed[a][b]) * time.Millisecond / 2})
+			l.Set(a, b, Path{Delay: time.Duration(mixedRTTs[a][b]) * time.Millisecond / 2})
 		}
 	}
 	return l, nil
 }
 
-var mixed = [...][4]int{{}, {20}, {80, 80}, {120, 120, 160}, {160, 160, 250, 250}} // ms there and back, below the diagonal
+// mixedRTTs are the round-trip times between the regions of Mixed in ms, below the diagonal.
+var mixedRTTs = [...][4]int{{}, {20}, {80, 80}, {120, 120, 160}, {160, 160, 250, 250}}
 
-// Regions is the number of regions.
+// Regions returns the number of regions.
 func (l *Layout) Regions() int { return l.regions }
 
-// Zones is the number of zones of all regions.
+// Zones returns the number of zones of all regions.
 func (l *Layout) Zones() int { return l.regions * l.zones }
 
-// Region is a member's region. Members past the last one begin anew with the first.
+// Region returns a member's region. Numbers past the last member wrap around to the first.
 func (l *Layout) Region(n int) int { return l.Zone(n) / l.zones }
 
-// Zone is a member's zone, counted over all regions. Members past the last one begin anew with the first.
+// Zone returns a member's zone, numbered across all regions. Numbers past the last member wrap around to the first.
 func (l *Layout) Zone(n int) int { return l.zone[n%len(l.zone)] }
 
-// RegionName is the name of a member's region, such as r2.
+// RegionName returns the name of a member's region, such as r2.
 func (l *Layout) RegionName(n int) string { return "r" + strconv.Itoa(l.Region(n)+1) }
 
-// ZoneName is the name of a member's zone, such as r2-z1.
+// ZoneName returns the name of a member's zone, such as r2-z1.
 func (l *Layout) ZoneName(n int) string {
 	return l.RegionName(n) + "-z" + strconv.Itoa(l.Zone(n)%l.zones+1)
 }
 
 // InRegion lists the members of a region, ascending.
 func (l *Layout) InRegion(region int) []int {
-	return l.where(func(zone int) bool { return zone/l.zones == region })
+	return l.membersInZones(func(zone int) bool { return zone/l.zones == region })
 }
 
 // InZone lists the members of a zone, ascending.
-func (l *Layout) InZone(zone int) []int { return l.where(func(z int) bool { return z == zone }) }
+func (l *Layout) InZone(zone int) []int {
+	return l.membersInZones(func(z int) bool { return z == zone })
+}
 
-func (l *Layout) where(is func(zone int) bool) (all []int) {
+func (l *Layout) membersInZones(is func(zone int) bool) (all []int) {
 	for n, zone := range l.zone {
 		if is(zone) {
 			all = append(all, n)
@@ -146,7 +149,7 @@
 	return all
 }
 
-// Between is the path from one member to another at a time; a cut one loses all.
+// Between returns the path from one member to another at a time. A path that is cut loses all datagrams.
 func (l *Layout) Between(from, to int, now time.Duration) Path {
 	a, b := l.Region(from), l.Region(to)
 	if a == b {
--- a/internal/faulttest/topology/topology_test.go
+++ b/internal/faulttest/topology/topology_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestZonesAreEvenAndDrawnFromTheSeed(t *testing.T) {
+func TestZonesAreEvenAndDependOnSeed(t *testing.T) {
 	draw := func(seed uint64) *Layout {
 		l, err := New(Spec{Members: 151, Regions: 5, Zones: 3, RTT: 80 * time.Millisecond, Seed: seed})
 		if err != nil {
@@ -29,18 +29,18 @@
 			}
 		}
 		if total != 151 || !slices.Equal(l.zone, draw(seed).zone) {
-			t.Errorf("seed %d: %d members placed, or others in a second draw", seed, total)
+			t.Errorf("seed %d: %d members placed, want 151, or a second draw differs", seed, total)
 		}
 	}
 	if slices.Equal(draw(1).zone, draw(2).zone) {
-		t.Error("two seeds place all alike")
+		t.Error("two seeds give the same placement")
 	}
 	if l := draw(0); l.Region(7) != 2 || l.RegionName(7) != "r3" || l.ZoneName(7) != "r3-z2" {
-		t.Errorf("member 7 stands in %s, %s", l.RegionName(7), l.ZoneName(7))
+		t.Errorf("member 7 is in %s, %s, want r3, r3-z2", l.RegionName(7), l.ZoneName(7))
 	}
 }
 
-func TestPathsAndCutsHoldForTheirPairsAlone(t *testing.T) {
+func TestPathsAndCutsApplyToTheirPairsOnly(t *testing.T) {
 	l, err := New(Spec{Members: 10, Regions: 5, RTT: 80 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 		now      time.Duration
 		want     Path
 	}{
-		{0, 5, 0, Path{}}, // of one region
+		{0, 5, 0, Path{}}, // same region
 		{0, 2, 0, far},
 		{6, 0, 0, Path{Delay: time.Millisecond, Loss: 0.5}},
 		{4, 0, 0, far},
@@ -70,14 +70,14 @@
 		}
 	}
 	if m, err := Mixed(10, 3, 0); err != nil || m.Between(0, 1, 0).Delay != 10*time.Millisecond || m.Between(4, 3, 0).Delay != 125*time.Millisecond || m.Between(1, 2, 0) != m.Between(2, 1, 0) {
-		t.Errorf("mixed: %v, %+v", err, m)
+		t.Errorf("mixed layout: error %v, %+v", err, m)
 	}
 }
 
-func TestNonsenseIsNotDrawn(t *testing.T) {
+func TestInvalidSpecIsRejected(t *testing.T) {
 	for _, s := range []Spec{{}, {Members: 3, Loss: 2}, {Members: 3, RTT: -1}} {
 		if _, err := New(s); err == nil {
-			t.Errorf("%+v was drawn", s)
+			t.Errorf("%+v was accepted", s)
 		}
 	}
 }
--- a/internal/faulttest/virtual/load.go
+++ b/internal/faulttest/virtual/load.go
@@ -7,17 +7,17 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Codec writes messages as members send them, and reads them back. carrier.Wire is the daemons' own.
+// Codec encodes and decodes messages between members. transport.Wire is the codec of the daemons.
 type Codec interface {
 	Marshal(from string, message any) ([]byte, error)
 	Unmarshal(data []byte) (any, error)
 }
 
-// Flow is what went one way. Bytes are those of the messages, without the heads of UDP, TCP and IP.
+// Flow counts the traffic of one direction. Bytes are those of the messages, without the headers of UDP, TCP and IP.
 type Flow struct {
 	Bytes, Messages uint64
-	Most            uint64 // bytes in any one second of the run's clock
-	Second          uint64 // of the last second in which there were any; not part of the sum
+	Most            uint64 // maximum number of bytes in one second of the run's clock
+	Second          uint64 // number of the last second with traffic; not part of sums of flows
 	inSecond        uint64
 }
 
@@ -32,41 +32,41 @@
 	f.Most = max(f.Most, f.inSecond)
 }
 
-// Load is what one daemon sent and took in a phase of the run. Datagrams that were lost on the way, or came to a
-// process that was not there, were sent and not taken.
+// Load counts what one daemon sent and received in a phase of the run. Datagrams that were lost, or whose receiver was
+// not running, are counted only as sent.
 type Load struct {
 	Out, In Flow
-	Told    uint64 // records that came with datagrams
+	Told    uint64 // records received in datagrams
 }
 
-// load is where a daemon's traffic at a time is counted.
-func (w *world) load(a *agent, at time.Duration) *Load {
-	for a.phase < len(w.o.Marks) && at >= w.o.Marks[a.phase] {
+// loadAt returns the counter of a daemon's traffic at a time.
+func (w *simulation) loadAt(a *daemon, at time.Duration) *Load {
+	for a.phase < len(w.options.Marks) && at >= w.options.Marks[a.phase] {
 		a.phase++
 	}
 	return &a.loads[a.phase]
 }
 
-// written counts what a daemon sends, and is how large it is and what its receiver will read.
-func (w *world) written(a *agent, at time.Duration, size int, message any) (int, any) {
-	if w.o.Codec == nil {
-		w.load(a, at).Out.Add(at, size)
+// encode counts a message that a daemon sends. It returns its size and the message as its receiver decodes it.
+func (w *simulation) encode(a *daemon, at time.Duration, size int, message any) (int, any) {
+	if w.options.Codec == nil {
+		w.loadAt(a, at).Out.Add(at, size)
 		return size, message
 	}
-	data, err := w.o.Codec.Marshal(a.name, message)
+	data, err := w.options.Codec.Marshal(a.name, message)
 	if err != nil {
-		panic(fmt.Sprintf("virtual: %T that cannot be written: %v", message, err)) // members' own messages
+		panic(fmt.Sprintf("virtual: %T can't be encoded: %v", message, err)) // the messages come from the modules themselves
 	}
-	w.load(a, at).Out.Add(at, len(data))
-	read, err := w.o.Codec.Unmarshal(data)
+	w.loadAt(a, at).Out.Add(at, len(data))
+	read, err := w.options.Codec.Unmarshal(data)
 	if err != nil {
-		panic(fmt.Sprintf("virtual: %T that cannot be read: %v", message, err))
+		panic(fmt.Sprintf("virtual: %T can't be decoded: %v", message, err))
 	}
 	return len(data), read
 }
 
-// exchanged is written, for a message on a stream.
-func (w *world) exchanged(a *agent, at time.Duration, x *membership.Exchange) (int, *membership.Exchange) {
-	size, read := w.written(a, at, 100+80*len(x.Records)+9*len(x.BucketDigests), x)
+// encodeExchange does what encode does, for a message on a stream.
+func (w *simulation) encodeExchange(a *daemon, at time.Duration, x *membership.Exchange) (int, *membership.Exchange) {
+	size, read := w.encode(a, at, 100+80*len(x.Records)+9*len(x.BucketDigests), x)
 	return size, read.(*membership.Exchange)
 }
--- a/internal/faulttest/virtual/regions_test.go
+++ b/internal/faulttest/virtual/regions_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// drawRegions draws a fleet in regions, and what befalls the links between them and some of its daemons.
+// drawRegions draws a fleet in regions, and faults of the links between regions and of some daemons.
 func drawRegions(seed uint64) *plan.Plan {
 	rng := rand.New(rand.NewPCG(seed, 38))
 	regions, each := 2+rng.IntN(4), 3+rng.IntN(5)
@@ -46,15 +46,15 @@
 		lasts := time.Duration(12+rng.IntN(30)) * time.Second
 		e := plan.Event{At: at, Do: "link", Who: in(a), To: in(b), Both: true, Link: p.Between}
 		switch rng.IntN(8) {
-		case 0, 1: // a region is cut off from all
+		case 0, 1: // one region is partitioned from all others
 			e.To, e.Link.Drop = rest(a), 1
-		case 2: // two from each other
+		case 2: // two regions are partitioned from each other
 			e.Link.Drop = 1
-		case 3: // one way
+		case 3: // a one-way cut
 			e.Both, e.Link.Drop = false, 1
-		case 4: // one way loses some
+		case 4: // one direction is lossy
 			e.Both, e.Link.Drop = false, 0.2
-		case 5: // 300 ms by turns
+		case 5: // 300 ms more delay, on and off
 			e.Link.Delay += 300 * time.Millisecond
 			for k := time.Duration(0); k*6*time.Second < lasts; k++ {
 				f, g := e, e
@@ -62,14 +62,14 @@
 				p.Events = append(p.Events, f, g)
 			}
 			e.Do = "heal"
-		case 6: // some are killed, and start
+		case 6: // some daemons are killed and restart
 			who := []int{a*each + rng.IntN(each)}
 			if rng.IntN(3) == 0 { // a whole region
 				who = in(a)
 			}
 			e = plan.Event{At: at, Do: "kill", Who: who}
 			p.Events = append(p.Events, plan.Event{At: at + lasts, Do: "start", Who: who, State: "kept"})
-		case 7: // one is cut off from all, or a few
+		case 7: // one or two daemons are isolated from all others
 			few := in(a)[:1+rng.IntN(2)]
 			e.Who, e.To, e.Link.Drop = few, nil, 1
 			for n := range p.Daemons {
@@ -91,9 +91,9 @@
 	return p
 }
 
-func TestRegionsKeepEveryClaimUnderDrawnFaults(t *testing.T) {
+func TestDrawnRegionFaultsKeepAllClaims(t *testing.T) {
 	seeds, first := uint64(4), uint64(1)
-	if n, err := strconv.ParseUint(os.Getenv("REGION_SEEDS"), 10, 32); err == nil { // for longer runs by hand
+	if n, err := strconv.ParseUint(os.Getenv("REGION_SEEDS"), 10, 32); err == nil { // for longer manual runs
 		seeds = n
 	}
 	if n, err := strconv.ParseUint(os.Getenv("REGION_FIRST"), 10, 32); err == nil {
@@ -109,7 +109,7 @@
 			}
 			for _, c := range checker.Check(p.Bounds, r.Lines).Claims {
 				if c.Broken > 0 {
-					t.Errorf("%s: %d of %d: %q", c.Name, c.Broken, c.Tried, c.Breaks[:min(3, len(c.Breaks))])
+					t.Errorf("%s: broken %d of %d times: %q", c.Name, c.Broken, c.Tried, c.Breaks[:min(3, len(c.Breaks))])
 				}
 			}
 		})
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -1,7 +1,7 @@
-// Package virtual plays a drill in virtual time: the very modules that daemons run, a model of the links between
-// them, and of their disks and pauses. The same seed gives the same lines, on any number of cores: time goes in
-// steps no longer than the shortest way between two daemons, so that what happens within one can't tell on
-// another.
+// Package virtual runs a fault test in virtual time. It runs the modules that daemons run, with models of their links,
+// disks and pauses. The same seed gives the same lines on any number of cores: time advances in steps no longer than
+// the shortest delay between two daemons, so that what one daemon does within a step can't affect another one in the
+// same step.
 package virtual
 
 import (
@@ -21,64 +21,67 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// Options say how to play.
+// Options are the parameters of a simulation.
 type Options struct {
 	Seed    uint64
-	Daemons int                     // instead of the plan's; 0: the plan's. Groups keep their members
-	Workers int                     // 0: one for each core
-	Plain   membership.BaselineMode // for baselines
-	// Each is called with each daemon's change, from one goroutine, in order of time and daemon. Lines are then not kept.
+	Daemons int                     // replaces the plan's number of daemons; 0: the plan's. Groups keep their members
+	Workers int                     // number of goroutines; 0: one per core
+	Plain   membership.BaselineMode // membership protocol of a baseline
+	// Each is called with each action of a daemon, from one goroutine, in order of time and daemon. No lines are kept
+	// then.
 	Each func(at time.Duration, daemon int, a membership.Action)
-	// Warm starts all daemons as if they had known one another for long.
+	// Warm starts all daemons with complete views of one another.
 	Warm bool
-	// Instances that each daemon says it runs; 0: 1.
+	// Instances is the number of instances that each daemon reports; 0: 1.
 	Instances int
-	FileCount int // balancers that the daemons' files name; 0: 1
-	// Layout places the daemons in regions and zones: what lies between two is added to the plan's links. nil: one site,
-	// and the plan's zones.
+	FileCount int // number of balancers in the daemons' configuration files; 0: 1
+	// Layout places the daemons in regions and zones, and its paths are added to the plan's links. nil: one site, and
+	// the plan's zones.
 	Layout *topology.Layout
-	// Codec has each message written and read as on a wire, and its bytes counted; nil: sizes are the module's own bound.
+	// Codec encodes and decodes each message, whose bytes are then counted; nil: sizes are the module's own bound.
 	Codec Codec
-	// Marks part the run into phases, by which loads are counted: the first ends at the first mark.
+	// Marks divides the run into phases, by which loads are counted: the first phase ends at the first mark.
 	Marks []time.Duration
-	// Passed is called once a phase has begun, from one goroutine, with its number from 1. It may look at a clock.
+	// Passed is called from one goroutine when a phase after the first has begun, with its number, starting with 1. It
+	// may read a real clock.
 	Passed func(phase int)
-	// Agreed is called from one goroutine whenever all daemons that run have come to the same view, or no longer have it:
-	// at steps of the run, so within base of when it was so.
+	// Agreed is called from one goroutine when the views of all running daemons have become the same, or no longer are.
+	// It is called at steps of the run, so at most minDelay after the change.
 	Agreed func(at time.Duration, same bool)
-	// OneRegion has the daemons know nothing of the layout's regions: for comparison.
+	// OneRegion hides the layout's regions from the daemons, for comparison.
 	OneRegion bool
 }
 
-// Result is what happened.
+// Result is the outcome of a simulation.
 type Result struct {
 	Lines   []checker.Line
-	Traffic []membership.Traffic // by daemon, of those that ran at the end
-	Events  uint64               // deliveries and timers
-	Views   []*membership.View   // by daemon; nil: it does not run
+	Traffic []membership.Traffic // by daemon; of a daemon that ended, as of its end
+	Events  uint64               // number of deliveries and timers
+	Views   []*membership.View   // by daemon; nil: not running
 	Loads   [][]Load             // by daemon, and phase (Options.Marks)
 }
 
-// The model: a datagram takes base to base+spread one way on a whole link. It is a site's, not loopback's: 1 to 3 ms.
+// The link model: a datagram takes minDelay to minDelay+maxExtraDelay one way on a healthy link. This is 1 to 3 ms, as
+// in a site, not as on loopback.
 const (
-	base       = time.Millisecond
-	spread     = 2 * time.Millisecond
-	reorderMax = 50 * time.Millisecond
-	rto        = 200 * time.Millisecond // a stream's lost segment comes again after so long
-	streamWait = 3 * time.Second
-	backlog    = 500 // datagrams that wait for a paused process; of more, the later ones are lost
-	starveUnit = 100 * time.Millisecond
-	wallBase   = 1_790_000_000 // seconds, Unix, at the beginning
-	streamRate = 10e6          // bytes a second of a stream
+	minDelay          = time.Millisecond
+	maxExtraDelay     = 2 * time.Millisecond
+	maxReorderDelay   = 50 * time.Millisecond
+	retransmitTimeout = 200 * time.Millisecond // time after which a lost segment of a stream is sent again
+	streamTimeout     = 3 * time.Second
+	backlog           = 500 // datagrams that are kept for a paused process; further ones are lost
+	starvePeriod      = 100 * time.Millisecond
+	wallBase          = 1_790_000_000 // Unix time in seconds at the start
+	streamRate        = 10e6          // of a stream, in bytes per second
 )
 
 type delivery struct {
-	at   time.Duration
-	from int
-	seq  uint64
-	ev   membership.Event
-	life uint64 // only for this life of the receiver; 0: any
-	size int    // on the wire
+	at    time.Duration
+	from  int
+	seq   uint64
+	ev    membership.Event
+	runID uint64 // run ID of the receiver for which it is meant; 0: any
+	size  int    // on the wire
 }
 
 type inbox []delivery
@@ -113,65 +116,65 @@
 	d  delivery
 }
 
-type agent struct {
-	n       int
-	name    string
-	addr    string
-	rng     *rand.Rand
-	v       *membership.View
-	pid     int
-	life    uint64
-	paused  bool
-	in      inbox
-	next    time.Duration
-	out     []outgoing
-	seq     uint64
-	disk    disk
-	old     disk
-	acts    []seenAct
-	leaving bool
-	gone    bool
-	twin    bool
-	sent    membership.Traffic
-	far     int // bytes to other regions since they were last told
-	opened  int // whom its last exchange is with
-	events  uint64
-	moves   int
-	loads   []Load
-	phase   int // in which its last message was
+type daemon struct {
+	n              int
+	name           string
+	addr           string
+	rng            *rand.Rand
+	view           *membership.View
+	pid            int
+	runID          uint64
+	paused         bool
+	in             inbox
+	nextAt         time.Duration
+	out            []outgoing
+	seq            uint64
+	disk           disk
+	savedDisk      disk
+	actions        []timedAction
+	leaving        bool
+	hasLeft        bool
+	duplicate      bool
+	sent           membership.Traffic
+	remoteBytes    int // bytes sent to other regions since the last Sent line
+	exchangePeer   int // daemon with which it opened its last exchange
+	events         uint64
+	addressChanges int
+	loads          []Load
+	phase          int // phase of its last message
 }
 
-type seenAct struct {
+type timedAction struct {
 	at time.Duration
 	a  membership.Action
 }
 
 type rule struct {
-	who, to map[int]bool
-	both    bool
-	usual   bool // they are as they were from the start
-	link    plan.Link
+	from, to  map[int]bool
+	both      bool
+	isDefault bool // the plan's default links apply instead of link
+	link      plan.Link
 }
 
-type world struct {
-	o      Options
-	p      *plan.Plan
-	now    time.Duration
-	agents []*agent
-	byAddr map[string]int
-	rules  []rule
-	lines  []checker.Line
-	pids   int
-	chance *rand.Rand
-	clocks map[int]time.Duration
-	todo   []plan.Event
-	starts map[int]bool // daemons that start at some time later: nobody reads the disks of others
+type simulation struct {
+	options  Options
+	plan     *plan.Plan
+	now      time.Duration
+	daemons  []*daemon
+	byAddr   map[string]int
+	rules    []rule
+	lines    []checker.Line
+	lastPID  int
+	rng      *rand.Rand
+	clocks   map[int]time.Duration
+	pending  []plan.Event
+	restarts map[int]bool // daemons that an event starts; the disks of others are never read
 }
 
-// Play plays a plan to its end.
+// Play simulates a plan to its end.
 func Play(p *plan.Plan, o Options) (*Result, error) {
 	if p.Real {
-		return nil, fmt.Errorf("%s: it has strays, handovers or other builds, which need real processes", p.Name)
+		return nil, fmt.Errorf("%s: plan has stray datagrams, handovers or other builds, which need real processes", p.Name)
 	}
 	if o.Daemons == 0 {
 		o.Daemons = p.Daemons
@@ -182,10 +185,10 @@
 	if o.Instances == 0 {
 		o.Instances = 1
 	}
-	w := &world{o: o, p: p, byAddr: map[string]int{}, chance: rand.New(rand.NewPCG(o.Seed, 1)), todo: slices.Clone(p.Events), clocks: map[int]time.Duration{}, starts: map[int]bool{}}
+	w := &simulation{options: o, plan: p, byAddr: map[string]int{}, rng: rand.New(rand.NewPCG(o.Seed, 1)), pending: slices.Clone(p.Events), clocks: map[int]time.Duration{}, restarts: map[int]bool{}}
 	for _, e := range p.Events {
 		for _, n := range e.Who {
-			w.starts[n] = w.starts[n] || e.Do == "start"
+			w.restarts[n] = w.restarts[n] || e.Do == "start"
 		}
 	}
 	for n := range o.Daemons {
@@ -194,45 +197,45 @@
 	var known []membership.Record
 	if o.Warm {
 		for n := range o.Daemons {
-			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, RunID: w.lifeOf(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
+			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, RunID: w.initialRunID(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
 		}
 	}
 	var starts []plan.Event
 	for n := range o.Daemons {
 		if p.First(n) {
-			at := time.Duration(w.chance.Float64() * float64(p.Spread))
+			at := time.Duration(w.rng.Float64() * float64(p.Spread))
 			starts = append(starts, plan.Event{At: at, Do: "start", Who: []int{n}, State: "kept"})
 		}
 	}
 	for _, e := range p.Events {
 		if e.Do == "starve" {
-			run := time.Duration(e.Share * float64(starveUnit))
-			for at := e.At; at < e.At+e.For; at += starveUnit {
-				starts = append(starts, plan.Event{At: at, Do: "stop", Who: e.Who}, plan.Event{At: at + starveUnit - run, Do: "cont", Who: e.Who})
+			run := time.Duration(e.Share * float64(starvePeriod))
+			for at := e.At; at < e.At+e.For; at += starvePeriod {
+				starts = append(starts, plan.Event{At: at, Do: "stop", Who: e.Who}, plan.Event{At: at + starvePeriod - run, Do: "cont", Who: e.Who})
 			}
 		}
 	}
-	w.todo = append(starts, w.todo...)
-	slices.SortStableFunc(w.todo, func(a, b plan.Event) int { return int(a.At - b.At) })
+	w.pending = append(starts, w.pending...)
+	slices.SortStableFunc(w.pending, func(a, b plan.Event) int { return int(a.At - b.At) })
 	if p.Link != (plan.Link{}) || p.Between != (plan.Link{}) {
-		w.heal(plan.Event{Who: all(o.Daemons), To: all(o.Daemons), Both: true})
+		w.heal(plan.Event{Who: firstDaemons(o.Daemons), To: firstDaemons(o.Daemons), Both: true})
 	}
 	w.run(known)
 	r := &Result{Lines: w.lines}
-	for _, a := range w.agents {
+	for _, a := range w.daemons {
 		r.Events += a.events
 		t := a.sent
-		if a.v != nil {
-			t = a.v.Traffic()
+		if a.view != nil {
+			t = a.view.Traffic()
 		}
 		r.Traffic = append(r.Traffic, t)
-		r.Views = append(r.Views, a.v)
+		r.Views = append(r.Views, a.view)
 		r.Loads = append(r.Loads, a.loads)
 	}
 	return r, nil
 }
 
-func all(n int) []int {
+func firstDaemons(n int) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = i
@@ -244,127 +247,127 @@
 	return "127.77." + strconv.Itoa(n/250) + "." + strconv.Itoa(n%250+1) + ":7946"
 }
 
-func (w *world) zone(n int) string {
-	if w.o.Layout != nil {
-		return w.o.Layout.ZoneName(n)
+func (w *simulation) zone(n int) string {
+	if w.options.Layout != nil {
+		return w.options.Layout.ZoneName(n)
 	}
-	return "z" + strconv.Itoa(n%max(1, w.p.Zones)+1)
+	return "z" + strconv.Itoa(n%max(1, w.plan.Zones)+1)
 }
 
-func (w *world) region(n int) string {
-	if w.o.Layout != nil && !w.o.OneRegion {
-		return w.o.Layout.RegionName(n)
+func (w *simulation) region(n int) string {
+	if w.options.Layout != nil && !w.options.OneRegion {
+		return w.options.Layout.RegionName(n)
 	}
-	return w.p.Region(n)
+	return w.plan.Region(n)
 }
 
-func (w *world) lifeOf(n int) uint64 { return uint64(n)*2654435761 + 1 }
+func (w *simulation) initialRunID(n int) uint64 { return uint64(n)*2654435761 + 1 }
 
-func (w *world) add(n int, name, addr string) *agent {
-	a := &agent{n: n, name: name, addr: addr, rng: rand.New(rand.NewPCG(w.o.Seed, uint64(n)+2)), next: never, loads: make([]Load, len(w.o.Marks)+1)}
-	w.agents = append(w.agents, a)
+func (w *simulation) add(n int, name, addr string) *daemon {
+	a := &daemon{n: n, name: name, addr: addr, rng: rand.New(rand.NewPCG(w.options.Seed, uint64(n)+2)), nextAt: never, loads: make([]Load, len(w.options.Marks)+1)}
+	w.daemons = append(w.daemons, a)
 	w.byAddr[addr] = n
 	return a
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// run goes through the time.
-func (w *world) run(known []membership.Record) {
+// run simulates the plan from the start to its length.
+func (w *simulation) run(known []membership.Record) {
 	nextSent, phase, same := time.Second, 0, false
-	for w.now < w.p.Length {
-		if w.o.Agreed != nil && w.agree() != same {
+	for w.now < w.plan.Length {
+		if w.options.Agreed != nil && w.viewsAgree() != same {
 			same = !same
-			w.o.Agreed(w.now, same)
+			w.options.Agreed(w.now, same)
 		}
-		for phase < len(w.o.Marks) && w.now >= w.o.Marks[phase] {
-			if phase++; w.o.Passed != nil {
-				w.o.Passed(phase)
+		for phase < len(w.options.Marks) && w.now >= w.options.Marks[phase] {
+			if phase++; w.options.Passed != nil {
+				w.options.Passed(phase)
 			}
 		}
-		for len(w.todo) > 0 && w.todo[0].At <= w.now {
-			e := w.todo[0]
-			w.todo = w.todo[1:]
-			w.befall(e, known)
+		for len(w.pending) > 0 && w.pending[0].At <= w.now {
+			e := w.pending[0]
+			w.pending = w.pending[1:]
+			w.applyEvent(e, known)
 		}
-		end := w.now + base
-		var busy []*agent
+		end := w.now + minDelay
+		var busy []*daemon
 		soonest := never
-		for _, a := range w.agents {
-			if a.next < end {
+		for _, a := range w.daemons {
+			if a.nextAt < end {
 				busy = append(busy, a)
 			} else {
-				soonest = min(soonest, a.next)
+				soonest = min(soonest, a.nextAt)
 			}
 		}
 		w.step(busy, end)
 		for _, a := range busy {
 			for _, o := range a.out {
-				t := w.agents[o.to]
-				if t.v == nil || t.paused && len(t.in) >= backlog {
+				t := w.daemons[o.to]
+				if t.view == nil || t.paused && len(t.in) >= backlog {
 					continue
 				}
 				heap.Push(&t.in, o.d)
-				if !t.paused && t.v != nil {
-					t.next = min(t.next, o.d.at)
-					soonest = min(soonest, t.next)
+				if !t.paused && t.view != nil {
+					t.nextAt = min(t.nextAt, o.d.at)
+					soonest = min(soonest, t.nextAt)
 				}
 			}
 			a.out = a.out[:0]
-			soonest = min(soonest, a.next)
+			soonest = min(soonest, a.nextAt)
 		}
 		w.collect(busy)
 		for _, a := range busy {
-			if a.gone {
+			if a.hasLeft {
 				w.down(a, "term")
 			}
 		}
 		w.now = end
-		if soonest > end { // nothing happens meanwhile
-			to := min(soonest, w.p.Length, nextSent)
-			if len(w.todo) > 0 {
-				to = min(to, w.todo[0].At)
+		if soonest > end { // no events until then
+			to := min(soonest, w.plan.Length, nextSent)
+			if len(w.pending) > 0 {
+				to = min(to, w.pending[0].At)
 			}
-			if phase < len(w.o.Marks) {
-				to = min(to, w.o.Marks[phase])
+			if phase < len(w.options.Marks) {
+				to = min(to, w.options.Marks[phase])
 			}
 			w.now = max(end, to)
 		}
 		if w.now >= nextSent {
 			nextSent += time.Second
-			w.tellSent()
+			w.recordTraffic()
 		}
 	}
-	w.line(checker.Line{What: checker.End})
+	w.record(checker.Line{What: checker.End})
 }
 
-// agree reports whether all that run have the same view. It ends at the first that differs.
-func (w *world) agree() bool {
+// viewsAgree reports whether all running daemons have the same view.
+func (w *simulation) viewsAgree() bool {
 	var first *membership.View
-	for _, a := range w.agents {
+	for _, a := range w.daemons {
 		switch {
-		case a.v == nil:
+		case a.view == nil:
 		case first == nil:
-			first = a.v
-		case a.v.Digest() != first.Digest():
+			first = a.view
+		case a.view.Digest() != first.Digest():
 			return false
 		}
 	}
 	return true
 }
 
-// step has all that are busy do what is due before end, side by side.
-func (w *world) step(busy []*agent, end time.Duration) {
-	if len(busy) < 24 || w.o.Workers < 2 {
+// step advances all busy daemons to end, in parallel if there are many.
+func (w *simulation) step(busy []*daemon, end time.Duration) {
+	if len(busy) < 24 || w.options.Workers < 2 {
 		for _, a := range busy {
 			w.advance(a, end)
 		}
 		return
 	}
 	var wg sync.WaitGroup
-	for i := range w.o.Workers {
+	for i := range w.options.Workers {
 		wg.Go(func() {
-			for k := i; k < len(busy); k += w.o.Workers {
+			for k := i; k < len(busy); k += w.options.Workers {
 				w.advance(busy[k], end)
 			}
 		})
@@ -372,27 +375,27 @@
 	wg.Wait()
 }
 
-// advance has one agent do what is due before end. It touches nothing of others.
-func (w *world) advance(a *agent, end time.Duration) {
-	for a.v != nil && !a.paused && !a.gone {
-		at := a.v.Next()
+// advance processes one daemon's events that are due before end. It does not access state of other daemons.
+func (w *simulation) advance(a *daemon, end time.Duration) {
+	for a.view != nil && !a.paused && !a.hasLeft {
+		at := a.view.Next()
 		if len(a.in) > 0 {
 			at = min(at, a.in[0].at)
 		}
 		at = max(at, w.now)
 		if at >= end {
-			a.next = at
+			a.nextAt = at
 			return
 		}
 		var events []membership.Event
 		for len(a.in) > 0 && a.in[0].at <= at {
 			d := heap.Pop(&a.in).(delivery)
-			if d.life != 0 && d.life != a.life {
+			if d.runID != 0 && d.runID != a.runID {
 				continue
 			}
 			events = append(events, d.ev)
 			if d.size > 0 {
-				l := w.load(a, at)
+				l := w.loadAt(a, at)
 				l.In.Add(at, d.size)
 				if m, ok := d.ev.(membership.DatagramReceived); ok {
 					l.Told += uint64(len(m.Message.Updates))
@@ -400,19 +403,19 @@
 			}
 		}
 		a.events += uint64(max(1, len(events)))
-		w.carry(a, at, a.v.Step(at, events...))
-		if a.leaving && a.v.HasLeft() {
-			a.gone = true
+		w.perform(a, at, a.view.Step(at, events...))
+		if a.leaving && a.view.HasLeft() {
+			a.hasLeft = true
 		}
 	}
-	a.next = never
+	a.nextAt = never
 }
 
-// linkOf is the link from one to another: the last rule that holds, on the path that lies between them.
-func (w *world) linkOf(from, to int) plan.Link {
-	l := w.ruled(from, to)
-	if w.o.Layout != nil {
-		p := w.o.Layout.Between(from, to, w.now)
+// linkOf returns the link from one daemon to another: that of the last matching rule, plus the path of the layout.
+func (w *simulation) linkOf(from, to int) plan.Link {
+	l := w.linkByRules(from, to)
+	if w.options.Layout != nil {
+		p := w.options.Layout.Between(from, to, w.now)
 		l.Delay += p.Delay
 		l.Jitter += p.Jitter
 		l.Drop = 1 - (1-l.Drop)*(1-p.Loss)
@@ -420,12 +423,12 @@
 	return l
 }
 
-func (w *world) ruled(from, to int) plan.Link {
+func (w *simulation) linkByRules(from, to int) plan.Link {
 	for i := len(w.rules) - 1; i >= 0; i-- {
 		r := &w.rules[i]
-		if r.who[from] && r.to[to] || r.both && r.to[from] && r.who[to] {
-			if r.usual {
-				return w.p.Usual(from, to)
+		if r.from[from] && r.to[to] || r.both && r.to[from] && r.from[to] {
+			if r.isDefault {
+				return w.plan.Usual(from, to)
 			}
 			return r.link
 		}
@@ -433,23 +436,23 @@
 	return plan.Link{}
 }
 
-// way is how long one datagram takes, and whether it comes.
-func (w *world) way(a *agent, l plan.Link, size int) (time.Duration, bool) {
-	d := base + time.Duration(a.rng.Float64()*float64(spread)) + l.Delay + time.Duration(a.rng.Float64()*float64(l.Jitter))
+// datagramDelay draws the delay of one datagram, and whether it arrives.
+func (w *simulation) datagramDelay(a *daemon, l plan.Link, size int) (time.Duration, bool) {
+	d := minDelay + time.Duration(a.rng.Float64()*float64(maxExtraDelay)) + l.Delay + time.Duration(a.rng.Float64()*float64(l.Jitter))
 	if l.Slow > 0 {
 		d += time.Duration(float64(size) / float64(l.Slow) * float64(time.Second))
 	}
 	if l.Reorder > 0 && a.rng.Float64() < l.Reorder {
-		d += time.Duration(a.rng.Float64() * float64(reorderMax))
+		d += time.Duration(a.rng.Float64() * float64(maxReorderDelay))
 	}
 	return d, !(l.Drop > 0 && a.rng.Float64() < l.Drop) && !(l.Damage > 0 && a.rng.Float64() < l.Damage)
 }
 
-// carry does what a view wants done.
-func (w *world) carry(a *agent, at time.Duration, actions []membership.Action) {
-	post := func(to int, after time.Duration, ev membership.Event, life uint64, size int) {
+// perform executes the actions of a daemon's view.
+func (w *simulation) perform(a *daemon, at time.Duration, actions []membership.Action) {
+	post := func(to int, after time.Duration, ev membership.Event, runID uint64, size int) {
 		a.seq++
-		a.out = append(a.out, outgoing{to, delivery{at + max(base, after), a.n, a.seq, ev, life, size}})
+		a.out = append(a.out, outgoing{to, delivery{at + max(minDelay, after), a.n, a.seq, ev, runID, size}})
 	}
 	for _, x := range actions {
 		switch x := x.(type) {
@@ -459,12 +462,12 @@
 				continue
 			}
 			if w.region(a.n) != w.region(to) {
-				a.far += x.Size
+				a.remoteBytes += x.Size
 			}
 			l := w.linkOf(a.n, to)
-			size, read := w.written(a, at, x.Size, x.Message)
+			size, read := w.encode(a, at, x.Size, x.Message)
 			for range 1 + b2i(l.Duplicate > 0 && a.rng.Float64() < l.Duplicate) {
-				if d, ok := w.way(a, l, size); ok {
+				if d, ok := w.datagramDelay(a, l, size); ok {
 					post(to, d, membership.DatagramReceived{Message: read.(*membership.Message), Size: size}, 0, size)
 				}
 			}
@@ -474,22 +477,23 @@
 			if ok {
 				there, back = w.linkOf(a.n, to), w.linkOf(to, a.n)
 			}
-			if ok && (w.agents[to].v == nil || w.agents[to].gone) {
+			if ok && (w.daemons[to].view == nil || w.daemons[to].hasLeft) {
 				ok = false
 			}
 			if !ok || there.Drop >= 1 || back.Drop >= 1 || there.Break || back.Break {
-				wait := streamWait
+				wait := streamTimeout
 				if !ok {
-					wait = 2 * base // refused
+					wait = 2 * minDelay // connection refused
 				}
-				post(a.n, wait, membership.ExchangeFailed{ID: x.ID}, a.life, 0)
+				post(a.n, wait, membership.ExchangeFailed{ID: x.ID}, a.runID, 0)
 				continue
 			}
 			id := uint64(a.n)<<32 | x.ID
-			a.opened = to
-			size, read := w.exchanged(a, at, x.Message)
-			post(to, w.stream(a, there, back, 3), membership.ExchangeRequest{Stream: id, Message: read}, 0, size)
-			post(a.n, streamWait, membership.ExchangeFailed{ID: x.ID}, a.life, 0) // does nothing if the answer came before
+			a.exchangePeer = to
+			size, read := w.encodeExchange(a, at, x.Message)
+			post(to, w.streamDelay(a, there, back, 3), membership.ExchangeRequest{Stream: id, Message: read}, 0, size)
+			// The timeout has no effect if the response has arrived before.
+			post(a.n, streamTimeout, membership.ExchangeFailed{ID: x.ID}, a.runID, 0)
 		case membership.ExchangeReply:
 			to := int(x.Stream >> 32)
 			there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
@@ -497,36 +501,36 @@
 				continue
 			}
 			if x.Message == nil {
-				post(to, w.stream(a, there, back, 1), membership.ExchangeFailed{ID: x.Stream & (1<<32 - 1)}, 0, 0)
+				post(to, w.streamDelay(a, there, back, 1), membership.ExchangeFailed{ID: x.Stream & (1<<32 - 1)}, 0, 0)
 				continue
 			}
-			size, read := w.exchanged(a, at, x.Message)
-			post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.ExchangeResponse{ID: x.Stream & (1<<32 - 1), Message: read}, 0, size)
+			size, read := w.encodeExchange(a, at, x.Message)
+			post(to, w.streamDelay(a, there, back, 1)+transferTime(len(x.Message.Records)), membership.ExchangeResponse{ID: x.Stream & (1<<32 - 1), Message: read}, 0, size)
 		case membership.FinishExchange:
-			if to := a.opened; x.Message != nil {
+			if to := a.exchangePeer; x.Message != nil {
 				there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
 				if there.Drop < 1 && back.Drop < 1 && !there.Break && !back.Break {
-					size, read := w.exchanged(a, at, x.Message)
-					post(to, w.stream(a, there, back, 1)+sized(len(x.Message.Records)), membership.ExchangeClosed{Message: read}, 0, size)
+					size, read := w.encodeExchange(a, at, x.Message)
+					post(to, w.streamDelay(a, there, back, 1)+transferTime(len(x.Message.Records)), membership.ExchangeClosed{Message: read}, 0, size)
 				}
 			}
 		case membership.SaveView:
-			a.disk.boot = a.v.Local().Boot
-			if !x.KeepKnownMembers && w.starts[a.n] {
-				a.disk.known = a.v.Records()
+			a.disk.boot = a.view.Local().Boot
+			if !x.KeepKnownMembers && w.restarts[a.n] {
+				a.disk.known = a.view.Records()
 			}
 		default:
-			a.acts = append(a.acts, seenAct{at, x})
+			a.actions = append(a.actions, timedAction{at, x})
 		}
 	}
 }
 
-func sized(records int) time.Duration {
+func transferTime(records int) time.Duration {
 	return time.Duration(float64(records) * 80 / streamRate * float64(time.Second))
 }
 
-// stream is how long so many ways take on a stream: what is lost comes again later.
-func (w *world) stream(a *agent, there, back plan.Link, ways int) time.Duration {
+// streamDelay draws the time of a number of one-way transfers on a stream, with retransmissions.
+func (w *simulation) streamDelay(a *daemon, there, back plan.Link, ways int) time.Duration {
 	d := time.Duration(0)
 	for i := range ways {
 		l := there
@@ -534,11 +538,11 @@
 			l = back
 		}
 		for try := 0; ; try++ {
-			one, ok := w.way(a, l, 500)
+			one, ok := w.datagramDelay(a, l, 500)
 			if d += one; ok || try > 10 {
 				break
 			}
-			d += rto << min(try, 4)
+			d += retransmitTimeout << min(try, 4)
 		}
 	}
 	return d
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-func shipped(t *testing.T) []*plan.Plan {
+func loadShippedPlans(t *testing.T) []*plan.Plan {
 	t.Helper()
 	paths, err := filepath.Glob("../../../drills/*.toml")
 	if err != nil || len(paths) < 15 {
@@ -32,21 +32,23 @@
 	return all
 }
 
-// What drills with real processes try besides: there are no requests here.
-func tries(p *plan.Plan) []string {
+// claimsWithoutService returns the claims that a plan tries, except Serving, which needs real processes: there are no
+// requests in virtual time.
+func claimsWithoutService(p *plan.Plan) []string {
 	return slices.DeleteFunc(slices.Clone(p.Tries), func(c string) bool { return c == checker.Serving })
 }
 
-func TestShippedDrillsKeepEveryClaimTheyTry(t *testing.T) {
-	for _, p := range shipped(t) {
-		if p.Real || p.Policy != nil { // policies are played in agree
+func TestShippedPlansKeepTheirClaims(t *testing.T) {
+	for _, p := range loadShippedPlans(t) {
+		if p.Real || p.Policy != nil { // package policymodel runs plans of policies
 			continue
 		}
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			p.Bounds.MaxSuspicion = 0 // there is no busy machine here
+			p.Bounds.MaxSuspicion = 0 // virtual time doesn't depend on how busy the machine is
 			seeds := uint64(8)
-			if len(p.Regions) > 0 && !strings.HasPrefix(p.Name, "short") { // long, and what is drawn tries the same
+			// Plans with regions are long, and the drawn plans try the same claims.
+			if len(p.Regions) > 0 && !strings.HasPrefix(p.Name, "short") {
 				seeds = 1
 			}
 			for seed := range seeds {
@@ -57,10 +59,10 @@
 				report := checker.Check(p.Bounds, r.Lines)
 				for _, c := range report.Claims {
 					if c.Broken > 0 {
-						t.Errorf("seed %d: %s: %d of %d: %v", seed+1, c.Name, c.Broken, c.Tried, c.Breaks)
+						t.Errorf("seed %d: %s: broken %d of %d times: %v", seed+1, c.Name, c.Broken, c.Tried, c.Breaks)
 					}
 				}
-				if missed := report.NotTried(tries(p)); len(missed) > 0 {
+				if missed := report.NotTried(claimsWithoutService(p)); len(missed) > 0 {
 					t.Errorf("seed %d: not tried: %v", seed+1, missed)
 				}
 			}
@@ -68,7 +70,7 @@
 	}
 }
 
-func TestSameSeedSameBytesOnAnyNumberOfCores(t *testing.T) {
+func TestSameSeedGivesSameLinesOnAnyNumberOfWorkers(t *testing.T) {
 	p, err := plan.Load("../../../drills/halves.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -86,18 +88,18 @@
 		if first == nil {
 			first = text
 		} else if !bytes.Equal(first, text) {
-			t.Errorf("other lines with %d workers", workers)
+			t.Errorf("different lines with %d workers", workers)
 		}
 	}
 }
 
-func TestARegionCutOffIsSilentToAllOthersAndComesBack(t *testing.T) {
+func TestPartitionedRegionIsDeadToOthersAndRejoins(t *testing.T) {
 	l, err := topology.New(topology.Spec{Members: 15, Regions: 5, RTT: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.CutOff(4, 5*time.Second, 25*time.Second)
-	held := map[[2]int]bool{} // who held whom for dead in the cut
+	held := map[[2]int]bool{} // pairs of daemons of which the first considered the second dead during the partition
 	r, err := Play(&plan.Plan{Name: "regions", Daemons: 15, Seeds: []int{0, 1}, Length: 60 * time.Second}, Options{Seed: 3, Warm: true, Layout: l,
 		Each: func(_ time.Duration, daemon int, a membership.Action) {
 			if c, ok := a.(membership.MemberChanged); ok && c.Record.State == membership.Dead {
@@ -114,11 +116,11 @@
 	for a := range 15 {
 		for b := range 15 {
 			if apart := (l.Region(a) == 4) != (l.Region(b) == 4); a != b && held[[2]int{a, b}] != apart {
-				t.Errorf("%d holds %d for dead: %v, cut apart: %v", a, b, held[[2]int{a, b}], apart)
+				t.Errorf("%d considers %d dead: %v, partitioned: %v", a, b, held[[2]int{a, b}], apart)
 			}
 		}
 		if r.Views[a].Digest() != r.Views[0].Digest() || r.Views[a].Local().Zone != l.ZoneName(a) {
-			t.Errorf("%d sees another fleet at the end, or has zone %s", a, r.Views[a].Local().Zone)
+			t.Errorf("%d has a different view at the end, or is in zone %s", a, r.Views[a].Local().Zone)
 		}
 	}
 }
