--- a/internal/faulttest/policymodel/draw.go
+++ b/internal/faulttest/policymodel/draw.go
@@ -9,17 +9,18 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// Draw makes a plan by chance: a fleet, its settings, a change every few seconds, and faults that overlap: links that
-// are cut in halves, one way, or lossy; crashes and restarts, with the disk as it was, and, of a minority of voters, none,
-// torn or an earlier one; pauses; slow and full disks; leaves. It ends with all healed and all that ran running again.
+// Draw draws a random plan: a fleet, its settings, a change every few seconds, and overlapping faults. The faults are
+// partitions, one-way cuts and lossy links; crashes and restarts with the disk unchanged, or with an empty, torn or
+// earlier disk, of voters for at most a minority; pauses; slow and full disks; and leaves. At the end of the plan all
+// links and disks are healthy and all members that ran are running again.
 func Draw(seed uint64, most int) (*plan.Plan, Options) {
 	rng := rand.New(rand.NewPCG(seed, 73))
 	voters := []int{3, 3, 5, 1}[rng.IntN(4)]
 	n := voters + rng.IntN(max(1, most-voters))
 	length := 90 * time.Second
-	quiet := 40 * time.Second // at the end nothing more befalls anyone
+	quiet := 40 * time.Second // time without faults at the end
 	p := &plan.Plan{Name: "drawn", Daemons: n, Zones: 1, Length: length,
-		Policy: &plan.Policy{Voters: everyone(voters), Stops: rng.IntN(2) == 0, Lease: time.Duration(2+rng.IntN(6)) * time.Second, Within: time.Duration(3+rng.IntN(8)) * time.Second, Last: rng.IntN(4) == 0},
+		Policy: &plan.Policy{Voters: firstMembers(voters), Stops: rng.IntN(2) == 0, Lease: time.Duration(2+rng.IntN(6)) * time.Second, Within: time.Duration(3+rng.IntN(8)) * time.Second, Last: rng.IntN(4) == 0},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 15 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 	if rng.IntN(3) == 0 {
 		p.Link = plan.Link{Drop: 0.1 * rng.Float64(), Duplicate: 0.1 * rng.Float64(), Reorder: 0.2 * rng.Float64()}
@@ -42,7 +43,7 @@
 	for range 3 + rng.IntN(6) {
 		t, span := when(), time.Duration(1+rng.IntN(10))*time.Second
 		switch rng.IntN(8) {
-		case 0, 1: // cut in two
+		case 0, 1: // partition in two
 			side := some(1 + rng.IntN(n))
 			var rest []int
 			for i := range n {
@@ -61,11 +62,11 @@
 			who := some(1 + rng.IntN(2))
 			add(plan.Event{At: t, Do: "pause", Who: who})
 			add(plan.Event{At: t + span, Do: "resume", Who: who})
-		case 3: // a disk
+		case 3: // disk fault
 			who := some(1 + rng.IntN(2))
 			add(plan.Event{At: t, Do: "disk", Who: who, Kind: []string{"full", "slow"}[rng.IntN(2)]})
 			add(plan.Event{At: t + span, Do: "disk", Who: who, Kind: "well"})
-		case 4: // leaves
+		case 4: // graceful leave
 			x := rng.IntN(n)
 			if down[x] {
 				continue
@@ -73,7 +74,7 @@
 			down[x] = true
 			add(plan.Event{At: t, Do: "term", Who: []int{x}})
 			add(plan.Event{At: t + span, Do: "start", Who: []int{x}, State: "kept"})
-		default: // ends
+		default: // crash
 			k := 1
 			if rng.IntN(5) == 0 {
 				k = n
@@ -97,8 +98,8 @@
 		}
 	}
 	add(plan.Event{At: length - quiet + 5*time.Second, Do: "heal"})
-	add(plan.Event{At: length - quiet + 5*time.Second, Do: "disk", Who: everyone(n), Kind: "well"})
-	add(plan.Event{At: length - quiet + 5*time.Second, Do: "resume", Who: everyone(n)})
+	add(plan.Event{At: length - quiet + 5*time.Second, Do: "disk", Who: firstMembers(n), Kind: "well"})
+	add(plan.Event{At: length - quiet + 5*time.Second, Do: "resume", Who: firstMembers(n)})
 	for x := range n {
 		if down[x] {
 			add(plan.Event{At: length - quiet + 5*time.Second, Do: "start", Who: []int{x}, State: "kept"})
--- a/internal/faulttest/policymodel/drawparts.go
+++ b/internal/faulttest/policymodel/drawparts.go
@@ -9,9 +9,10 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// DrawParts makes a plan by chance as Draw does, of a policy in parts: members stand in two or three regions, services are
-// held by some members of one region or of several, changes come two a second in the mean, of one part, of several, or of what
-// holds for all, and a region is cut off from the others, once or twice. Where no disk is lost voters are moved as well.
+// DrawParts draws a random plan as Draw does, with a policy in parts. Members are in two or three regions, and services
+// are held by some members of one region or of several. On average there are two changes per second, of one part, of
+// several, or of the global part. Once or twice a region is partitioned from the others. If no disk is lost, a voter
+// may be replaced as well.
 func DrawParts(seed uint64, most int) (*plan.Plan, Options) {
 	p, o := Draw(seed, most)
 	rng := rand.New(rand.NewPCG(seed, 79))
@@ -48,7 +49,7 @@
 			if rng.IntN(4) == 0 {
 				e.Parts = append([]string{""}, e.Parts...)
 			}
-		case k == 3: // of a service that the author may have nothing to do with
+		case k == 3: // a part of a service that the author may not hold
 			e.Parts = []string{fmt.Sprint("s", rng.IntN(8))}
 			if p.Policy.Holds[e.Parts[0]] == nil {
 				continue
@@ -58,7 +59,7 @@
 		}
 		p.Events = append(p.Events, e)
 	}
-	for range 1 + rng.IntN(2) { // a region is cut off
+	for range 1 + rng.IntN(2) { // partition of a region
 		off := rng.IntN(regions)
 		var in, rest []int
 		for m := range n {
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -10,17 +10,18 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// A member is cut off just after its lease was renewed, its clock as slow as clocks may be and the voters' as fast, and the
-// change that comes goes on without it once its lease is over. That is over for the leader only after T (1 + d) / (1 - d) of
-// its own time: after T of it the member takes by the old policy for 2% of T more, beside others who take by the new.
-// The same where the leader that renewed it ends at that moment: the next one counts from its election, which the leases
-// here are long enough to outlast. And the other way round nothing happens but a longer wait.
-func TestALeaseIsOverForTheLeaderAfterItIsOverForTheMember(t *testing.T) {
+// Guards against a leader that counts a member's lease as expired too early. A member is isolated just after the
+// renewal of its lease. Its clock has the lowest rate that clock drift d allows, and the clocks of the voters have the
+// highest. A change then commits without the member once its lease T is over. The leader must wait T (1 + d) / (1 - d)
+// by its own clock. After only T, the member would admit requests by the old policy for 2% of T more, while others use
+// the new one. The same holds if the leader that renewed the lease ends at that moment: the next leader counts from its
+// election, and the leases here outlast the election. With the rates swapped, only the wait is longer.
+func TestLeaseExpiresForMemberBeforeLeader(t *testing.T) {
 	const drift = policy.DefaultClockDrift
 	for name, c := range map[string]struct {
 		lease         time.Duration
-		voters, other float64 // rates of clocks
-		ends          bool    // the leader, as it has renewed the lease
+		voters, other float64 // clock drifts
+		ends          bool    // the leader ends after it renewed the lease
 	}{
 		"voters fast, the member slow": {20 * time.Second, drift, -drift, false},
 		"voters slow, the member fast": {20 * time.Second, -drift, drift, false},
@@ -29,11 +30,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			lead := ""
-			o := Options{Seed: 1, Witness: true, Take: 40 * time.Millisecond, Say: func(_ time.Duration, who, text string) {
+			o := Options{Seed: 1, Witness: true, Take: 40 * time.Millisecond, Log: func(_ time.Duration, who, text string) {
 				if lead == "" && strings.HasPrefix(text, "this voter leads") {
 					lead = who
 				}
-			}, Rate: func(n int) float64 {
+			}, ClockDrift: func(n int) float64 {
 				if n < 3 {
 					return c.voters
 				}
@@ -41,13 +42,13 @@
 			}}
 			p := fleet(5, 3, true)
 			p.Policy.Lease, p.Length, p.Bounds.PolicySpread = c.lease, 2*time.Second, 20*time.Millisecond
-			if _, err := Play(p, o); err != nil { // it leads in the next run as well, which is the same so far
+			if _, err := Play(p, o); err != nil { // the next run is identical up to here, so it has the same leader
 				t.Fatal(err)
 			}
 			p.Length = c.lease*11/10 + 10*time.Second
-			p.Events = join(cut(2, []int{4}, []int{0, 1, 2, 3}, false, 2*p.Length.Seconds()), each(2.1, 1, 1, "apply", 3))
+			p.Events = join(cut(2, []int{4}, []int{0, 1, 2, 3}, false, 2*p.Length.Seconds()), repeat(2.1, 1, 1, "apply", 3))
 			if c.ends {
-				p.Events = join(each(2, 1, 1, "kill", int(lead[1]-'1')), p.Events)
+				p.Events = join(repeat(2, 1, 1, "kill", int(lead[1]-'1')), p.Events)
 			}
 			r, err := Play(p, o)
 			if err != nil {
@@ -56,7 +57,8 @@
 			for _, b := range checker.Policy(p.Bounds, r.Lines).Find(checker.PolicyAll).Breaks {
 				t.Error(b)
 			}
-			// What the case is made of: the member took to the end of its lease, and the change came into force without it.
+			// Precondition of the case: the member admitted requests until the end of its lease, and the change came
+			// into force without it.
 			var last, first time.Duration
 			for _, l := range r.Lines {
 				switch at := time.Duration(l.T); {
@@ -67,20 +69,20 @@
 				}
 			}
 			if end := time.Duration(float64(c.lease) / (1 + c.other)); last < end-time.Second || first < last || first > last+end/20+5*time.Second {
-				t.Errorf("the member took by its file up to %v, and the first by the change was at %v", last, first)
+				t.Errorf("the member admitted requests by its file until %v, and the first use of the change was at %v", last, first)
 			}
 		})
 	}
 }
 
-// With stops a change goes on without who is cut off, also where its lease ends after the time that the change has to be
-// on all disks: the leader waits for the lease before it drops the change.
-func TestAChangeGoesOnWithoutWhoIsCutOffHoweverShortItsTime(t *testing.T) {
+// With stops, a change commits without an isolated member even if the member's lease ends after the prepare timeout of
+// the change: the leader waits for the end of the lease before it would abort the change.
+func TestChangeCommitsWithoutIsolatedMemberForAnyLease(t *testing.T) {
 	for _, lease := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
-		p := fleet(5, 3, true, join(cut(6, []int{4}, []int{0, 1, 2, 3}, false, 40), each(7, 1, 1, "apply", 0))...)
+		p := fleet(5, 3, true, join(cut(6, []int{4}, []int{0, 1, 2, 3}, false, 40), repeat(7, 1, 1, "apply", 0))...)
 		p.Policy.Lease, p.Policy.Within = lease, 3*time.Second
 		r, rep := play(t, p, Options{Seed: 1, Witness: true})
-		kept(t, lease.String(), rep, checker.PolicyAuthorNotified)
+		checkClaims(t, lease.String(), rep, checker.PolicyAuthorNotified)
 		for _, l := range r.Lines {
 			if l.What == checker.AuthorNotified && l.State != "in force" {
 				t.Errorf("lease %v: the change is %s: %s", lease, l.State, l.Why)
--- a/internal/faulttest/policymodel/measure_test.go
+++ b/internal/faulttest/policymodel/measure_test.go
@@ -8,8 +8,9 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// everywhere is how long one change of forty members takes from the question to the last that serves by it.
-func everywhere(t *testing.T, o Options) (took time.Duration, r *Result) {
+// measureChange returns the time of one change in a fleet of forty members, from the proposal until the last member
+// serves by it.
+func measureChange(t *testing.T, o Options) (took time.Duration, r *Result) {
 	t.Helper()
 	p := fleet(40, 3, true, at(6, "apply", 0))
 	p.Length = 12 * time.Second
@@ -22,27 +23,27 @@
 		}
 	}
 	r, rep := play(t, p, o)
-	kept(t, "forty members", rep, checker.PolicyAuthorNotified)
+	checkClaims(t, "forty members", rep, checker.PolicyAuthorNotified)
 	if served != p.Daemons {
-		t.Errorf("%d serve by the change", served)
+		t.Errorf("%d members serve by the change", served)
 	}
 	return took, r
 }
 
-// A voter that has 16 streams open sends no more texts: who is left asks again, 300 ms later.
-func TestStreamsAreBoundedWhereTheyAreCounted(t *testing.T) {
-	free, _ := everywhere(t, Options{})
-	few, _ := everywhere(t, Options{Streams: 16})
+// A voter with 16 open streams sends no further documents; the remaining members ask again 300 ms later.
+func TestOpenStreamsAreLimited(t *testing.T) {
+	free, _ := measureChange(t, Options{})
+	few, _ := measureChange(t, Options{Streams: 16})
 	if free > 200*time.Millisecond || few < 300*time.Millisecond || few > 2*time.Second {
-		t.Errorf("%v without a bound, %v with 16 streams", free, few)
+		t.Errorf("change took %v without a limit, %v with 16 streams", free, few)
 	}
 }
 
-// What a member sends another receives, from the moment on that is asked for; a way that is longer makes a change later;
-// who is cut off hears nothing.
-func TestWhatMeasurementsAreTold(t *testing.T) {
+// Traffic is counted from the time in Since on, and what is sent is received. A longer delay makes a change slower. A
+// member that Cut isolates receives nothing.
+func TestMeasurementOptions(t *testing.T) {
 	steps := 0
-	near, r := everywhere(t, Options{Since: 5 * time.Second, Size: func(int, *policy.Message) int { return 100 }, Viewers: 3,
+	near, r := measureChange(t, Options{Since: 5 * time.Second, Size: func(int, *policy.Message) int { return 100 }, Viewers: 3,
 		Around: func(_ time.Duration, _ int, step func()) { steps++; step() }})
 	var out, in Traffic
 	for _, x := range r.Traffic {
@@ -52,12 +53,12 @@
 	if steps == 0 || out.MessagesOut == 0 || out.MessagesOut >= r.Messages || out.BytesOut != 100*out.MessagesOut || in.BytesIn != 100*in.MessagesIn {
 		t.Errorf("%d steps, %d messages in all, %+v out, %+v in", steps, r.Messages, out, in)
 	}
-	if d := out.MessagesOut - in.MessagesIn; d < -5 || d > 5 { // on their way at either end
+	if d := out.MessagesOut - in.MessagesIn; d < -5 || d > 5 { // in transit at the start or the end of the count
 		t.Errorf("%d sent, %d received", out.MessagesOut, in.MessagesIn)
 	}
-	far, _ := everywhere(t, Options{Delay: func(a, b int) time.Duration { return 30 * time.Millisecond }})
+	far, _ := measureChange(t, Options{Delay: func(a, b int) time.Duration { return 30 * time.Millisecond }})
 	if far < near+6*30*time.Millisecond {
-		t.Errorf("%v near, %v with 30 ms more a way", near, far)
+		t.Errorf("change took %v, and %v with 30 ms more delay each way", near, far)
 	}
 	p := fleet(5, 3, true, at(6, "apply", 0))
 	p.Length = 12 * time.Second
@@ -67,6 +68,6 @@
 		t.Fatal(err)
 	}
 	if told[4] || !told[0] {
-		t.Errorf("serving by the change, which goes on without one that is cut off: %v", told)
+		t.Errorf("members that serve by the change, want the first but not the isolated one: %v", told)
 	}
 }
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -1,6 +1,7 @@
-// Package policymodel plays a fleet that agrees on its policy, in virtual time: the modules that daemons run, and models of the
-// links between them, their disks, clocks, pauses and ends. Each member takes requests all the time, by what it was last
-// told to serve by, and the judge reads by which policy each was taken. The same seed gives the same lines.
+// Package policymodel simulates a fleet that agrees on its policy, in virtual time. It runs the modules that daemons
+// run, with models of their links, disks, clocks, pauses and crashes. Each member admits requests all the time by the
+// policy that its module last reported, and the checker reads by which policy each request was admitted. The same seed
+// gives the same lines.
 package policymodel
 
 import (
@@ -21,73 +22,81 @@
 	"vetchhaven/internal/peer/policy"
 )
 
-// Options say how to play.
+// Options are the parameters of a simulation.
 type Options struct {
 	Seed    uint64
-	Take    time.Duration                            // between two requests of a member, in the mean; default 20 ms
-	Check   func(member int, body []byte) error      // nil: every policy does
-	Witness bool                                     // a process that is started again proves that its disk is as it was
-	Rates   float64                                  // rates of clocks differ by up to so much each way; default 1%
-	Rate    func(member int) float64                 // a member's; nil: by chance
-	Kill    []int                                    // ends whoever acts at these points, once each; see Result.Points
-	Back    time.Duration                            // and starts it again so long after; default 1.5 s
-	Lose    []int                                    // messages sent at these points are lost
-	From    time.Duration                            // points are counted from then on
-	Say     func(at time.Duration, who, text string) // nil: nobody
-	Point   func(n int, at time.Duration, who, what string)
-	// Way replaces the policy's own protocol, for baselines: see ways.go.
+	Take    time.Duration                       // mean time between two requests of a member; default 20 ms
+	Check   func(member int, body []byte) error // validates a policy at a member; nil: all are valid
+	Witness bool                                // a restarted process proves that its disk is unchanged
+	// MaxClockDrift is the largest share by which the rate of a clock differs from real time, either way; default 1%.
+	MaxClockDrift float64
+	ClockDrift    func(member int) float64 // drift of a member's clock; nil: random
+	// Kill lists points at each of which the member that acts is killed; see Result.Points.
+	Kill  []int
+	Back  time.Duration                            // from a kill by Kill until the member starts again; default 1.5 s
+	Lose  []int                                    // points at which the message sent is lost
+	From  time.Duration                            // time from which points are counted
+	Log   func(at time.Duration, who, text string) // receives log lines; nil: they are discarded
+	Point func(n int, at time.Duration, who, what string)
+	// Way replaces the policy's own protocol with a baseline: see baselines.go.
 	Way Way
-	// What measurements want besides; nil: nothing.
-	Size    func(from int, m *policy.Message) int                          // bytes of a message on its way; nil: an estimate
-	Around  func(now time.Duration, member int, step func())               // runs each step of a member's module
-	Since   time.Duration                                                  // traffic is counted from then on
-	Serves  func(at time.Duration, member int, part string, number uint64) // a member serves by a part's text, or (0: by its file) again
-	Streams int                                                            // a member has so many open towards others, and sends nothing more on one; 0: any number
-	Viewers int                                                            // only so many members are told what the view knows; 0: all
-	Delay   func(from, to int) time.Duration                               // more on a way between two members
-	Cut     func(now time.Duration, from, to int) (nothing bool)           // nothing gets through
-}
-
-// Way is by which means a change is brought to all.
+
+	// The options below serve measurements.
+
+	// Size returns the size of a message on the wire, in bytes; nil: an estimate is used.
+	Size func(from int, m *policy.Message) int
+	// Around wraps each step of a member's module; nil: steps run directly.
+	Around func(now time.Duration, member int, step func())
+	Since  time.Duration // time from which traffic is counted
+	// Serves is called when a member starts to serve by a version of a part. Version 0 is its configuration file.
+	Serves func(at time.Duration, member int, part string, number uint64)
+	// Streams limits the open streams of a sender: further messages that need a stream are dropped. 0: no limit.
+	Streams int
+	Viewers int                                                  // number of members that get the membership view; 0: all
+	Delay   func(from, to int) time.Duration                     // additional one-way delay between two members
+	Cut     func(now time.Duration, from, to int) (nothing bool) // drops all messages between two members
+}
+
+// Way is the method by which a change is distributed to all members.
 type Way uint8
 
-// The ways that are compared.
+// The methods of distribution that are compared.
 const (
-	Agreed   Way = iota // the policy's own protocol: everywhere or nowhere
-	OneByOne            // a file on each host, reloaded one after the other
-	Gossip              // the newest that anyone has, told round
+	Agreed   Way = iota // the policy's own protocol: a change is in force everywhere or nowhere
+	OneByOne            // a file on each host; hosts are reloaded one after another
+	Gossip              // each member gossips the newest version that it has
 )
 
-// Result is what happened.
+// Result is the outcome of a simulation.
 type Result struct {
 	Lines    []checker.Line
-	Points   int // at which somebody wrote to a disk or sent or took a message
+	Points   int // number of points at which a member wrote to its disk, or sent or received a message
 	Messages int
 	Bytes    int
 	Persists int
-	Shown    []policy.Status // in the end, by member
-	Refused  int             // requests turned away for the policy
+	Shown    []policy.Status // final state, by member
+	Refused  int             // requests rejected because of the policy
 	Taken    int
 	Traffic  []Traffic // by member
-	Disks    []int     // bytes on each member's disk in the end
+	Disks    []int     // bytes on each member's disk at the end
 }
 
-// Traffic is what a member sent and was sent, itself apart.
+// Traffic counts what a member sent to and received from other members.
 type Traffic struct{ MessagesOut, MessagesIn, BytesOut, BytesIn int }
 
 const (
-	base     = 300 * time.Microsecond // one way
-	more     = 700 * time.Microsecond
-	syncLow  = time.Millisecond // a write that is on the disk
-	syncMore = 4 * time.Millisecond
-	applying = 5 * time.Millisecond // a daemon's instances change over within it
-	again    = 200 * time.Millisecond
-	patience = 5 * time.Second // of operators whose daemon has ended
-	viewing  = 250 * time.Millisecond
-	streams  = 3 * time.Second
-	atOnce   = 12e6 // bytes a second of a stream
-	// messages a second of each member; with a change a second and losses it is 100
-	stormMost = 500
+	minDelay         = 300 * time.Microsecond // minimum one-way delay
+	maxExtraDelay    = 700 * time.Microsecond
+	minSyncTime      = time.Millisecond // minimum time of a synced write
+	maxExtraSyncTime = 4 * time.Millisecond
+	maxApplyTime     = 5 * time.Millisecond   // time within which all instances of a daemon switch to a new policy
+	retryDelay       = 200 * time.Millisecond // also the time from a graceful leave to the end of the process
+	abortInterval    = 5 * time.Second        // after a restart: time between attempts to abort a change of unknown state
+	viewInterval     = 250 * time.Millisecond
+	streamTimeout    = 3 * time.Second
+	streamRate       = 12e6 // of a stream, in bytes per second
+	// maxMessageRate is in messages per second and member. One change per second with losses takes 100.
+	maxMessageRate = 500
 )
 
 type disk struct {
@@ -105,8 +114,8 @@
 	return &c
 }
 
-// put is what a batch does to it.
-func (d *disk) put(b *policy.Batch) {
+// apply applies a batch to the disk.
+func (d *disk) apply(b *policy.Batch) {
 	if b.Wipe {
 		d.hard, d.snapshot, d.entries = nil, nil, map[uint64][]byte{}
 	}
@@ -161,129 +170,129 @@
 }
 
 type member struct {
-	n       int
-	name    string
-	node    *policy.Node
-	pid     int
-	life    uint64
-	paused  bool
-	held    []func() // what came while it was paused
-	began   time.Duration
-	clock   time.Duration // at began, by its own clock
-	rate    float64
-	wake    time.Duration
-	disk    *disk
-	old     *disk
-	full    bool
-	slow    time.Duration
-	queue   time.Duration // its disk is busy until then
-	torn    int           // a write of this process was lost at its end
-	serving policy.Serving
-	told    uint64 // of what it was told to serve by
-	left    bool
-	streams int      // that it has open towards others
-	ids     []string // changes that its operators watch
-	parts   []string // of the policy, that it holds besides what holds for all
-}
-
-type world struct {
-	o       Options
-	p       *plan.Plan
-	now     time.Duration
-	rng     *mathrand.Rand
-	agenda  eventqueue.Queue
-	all     []*member
-	byName  map[string]*member
-	links   map[[2]int]plan.Link
-	lines   []checker.Line
-	r       Result
-	pids    int
-	changes int
-	kill    []int
-	gone    map[string]uint64 // who left: its last life
-	simple  simple
-}
-
-// zeros is all the chance that Raft gets: its own would be another in each run. It has what it needs of it from the
-// seed: see policy's election ticks.
-type zeros struct{}
-
-func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
-
-var playing struct {
+	n              int
+	name           string
+	node           *policy.Node
+	pid            int
+	runID          uint64
+	paused         bool
+	deferred       []func() // work that arrived while the member was paused
+	startedAt      time.Duration
+	clockAtStart   time.Duration // its own clock at startedAt
+	clockDrift     float64
+	nextStep       time.Duration
+	disk           *disk
+	savedDisk      *disk
+	diskFull       bool
+	extraSyncTime  time.Duration
+	diskBusyUntil  time.Duration
+	lostWritePID   int // process that ended and lost a write, so that its later writes are lost too
+	serving        policy.Serving
+	servingSeq     uint64 // sequence number of its serving state
+	leaving        bool
+	openStreams    int      // streams that it has open to others
+	watchedChanges []string // IDs of changes that its operators wait for
+	parts          []string // parts of the policy that it holds besides the global part
+}
+
+type simulation struct {
+	options  Options
+	plan     *plan.Plan
+	now      time.Duration
+	rng      *mathrand.Rand
+	queue    eventqueue.Queue
+	members  []*member
+	byName   map[string]*member
+	links    map[[2]int]plan.Link
+	lines    []checker.Line
+	result   Result
+	lastPID  int
+	changes  int
+	kill     []int
+	departed map[string]uint64 // members that left, with their last run IDs
+	baseline baselineState
+}
+
+// zeroReader replaces the source of random bytes of Raft, which would otherwise make each run different. The randomness
+// that Raft needs comes from the seed: see the election ticks in package policy.
+type zeroReader struct{}
+
+func (zeroReader) Read(p []byte) (int, error) { clear(p); return len(p), nil }
+
+var randomSource struct {
 	sync.Mutex
 	n   int
 	was io.Reader
 }
 
-func steady() (end func()) {
-	playing.Lock()
-	defer playing.Unlock()
-	if playing.n++; playing.n == 1 {
-		playing.was, rand.Reader = rand.Reader, zeros{}
+func fixRandom() (end func()) {
+	randomSource.Lock()
+	defer randomSource.Unlock()
+	if randomSource.n++; randomSource.n == 1 {
+		randomSource.was, rand.Reader = rand.Reader, zeroReader{}
 	}
 	return func() {
-		playing.Lock()
-		defer playing.Unlock()
-		if playing.n--; playing.n == 0 {
-			rand.Reader = playing.was
+		randomSource.Lock()
+		defer randomSource.Unlock()
+		if randomSource.n--; randomSource.n == 0 {
+			rand.Reader = randomSource.was
 		}
 	}
 }
 
-// Play plays a plan to its end.
+// Play simulates a plan to its end.
 func Play(p *plan.Plan, o Options) (*Result, error) {
 	if p.Policy == nil {
-		return nil, fmt.Errorf("%s: it has no [policy]", p.Name)
+		return nil, fmt.Errorf("%s: plan has no [policy]", p.Name)
 	}
 	if p.Real {
-		return nil, fmt.Errorf("%s: it has handovers, strays, limits or the like, which need real processes", p.Name)
+		return nil, fmt.Errorf("%s: plan has handovers, stray datagrams, limits or similar, which need real processes", p.Name)
 	}
-	defer steady()()
-	o.Take, o.Rates, o.Back = cmp.Or(o.Take, 20*time.Millisecond), cmp.Or(o.Rates, 0.01), cmp.Or(o.Back, 1500*time.Millisecond)
-	w := &world{o: o, p: p, rng: mathrand.New(mathrand.NewPCG(o.Seed, 71)), byName: map[string]*member{}, links: map[[2]int]plan.Link{}, kill: slices.Clone(o.Kill), gone: map[string]uint64{}}
-	w.r.Traffic = make([]Traffic, p.Daemons)
+	defer fixRandom()()
+	o.Take, o.MaxClockDrift, o.Back = cmp.Or(o.Take, 20*time.Millisecond), cmp.Or(o.MaxClockDrift, 0.01), cmp.Or(o.Back, 1500*time.Millisecond)
+	w := &simulation{options: o, plan: p, rng: mathrand.New(mathrand.NewPCG(o.Seed, 71)), byName: map[string]*member{}, links: map[[2]int]plan.Link{}, kill: slices.Clone(o.Kill), departed: map[string]uint64{}}
+	w.result.Traffic = make([]Traffic, p.Daemons)
 	set := p.Policy
 	back := policy.Settings{Lease: set.Lease, ClockDrift: policy.DefaultClockDrift}
-	w.line(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.later()})
+	w.record(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.futureVoters()})
 	for n := range p.Daemons {
-		m := &member{n: n, name: plan.Name(n), disk: &disk{entries: map[uint64][]byte{}}, wake: -1}
-		w.all = append(w.all, m)
+		m := &member{n: n, name: plan.Name(n), disk: &disk{entries: map[uint64][]byte{}}, nextStep: -1}
+		w.members = append(w.members, m)
 		w.byName[m.name] = m
 	}
 	if p.Link.Drop > 0 || p.Link != (plan.Link{}) {
-		w.link(plan.Event{Who: everyone(p.Daemons), To: everyone(p.Daemons), Both: true, Link: p.Link})
+		w.setLink(plan.Event{Who: firstMembers(p.Daemons), To: firstMembers(p.Daemons), Both: true, Link: p.Link})
 	}
 	for n := range p.Daemons {
 		if p.First(n) {
-			w.at(time.Duration(w.rng.Float64()*float64(p.Spread)), func() { w.start(w.all[n], plan.Event{State: "kept"}) })
+			w.schedule(time.Duration(w.rng.Float64()*float64(p.Spread)), func() { w.start(w.members[n], plan.Event{State: "kept"}) })
 		}
 	}
 	for _, e := range p.Events {
-		w.at(e.At, func() { w.befall(e) })
+		w.schedule(e.At, func() { w.applyEvent(e) })
 	}
-	w.at(viewing, w.view)
-	for at, do, ok := w.agenda.Next(p.Length); ok; at, do, ok = w.agenda.Next(p.Length) {
+	w.schedule(viewInterval, w.distributeMembers)
+	for at, do, ok := w.queue.Next(p.Length); ok; at, do, ok = w.queue.Next(p.Length) {
 		w.now = at
-		if do(); w.r.Messages > 50_000+stormMost*p.Daemons*(1+int(w.now/time.Second)) {
-			return nil, fmt.Errorf("%s, seed %d: %d messages by %v: a storm", p.Name, o.Seed, w.r.Messages, w.now)
+		if do(); w.result.Messages > 50_000+maxMessageRate*p.Daemons*(1+int(w.now/time.Second)) {
+			return nil, fmt.Errorf("%s, seed %d: message storm: %d messages by %v", p.Name, o.Seed, w.result.Messages, w.now)
 		}
 	}
 	w.now = p.Length
-	w.line(checker.Line{What: checker.End})
-	w.r.Lines = w.lines
-	for _, m := range w.all {
-		w.r.Disks = append(w.r.Disks, m.disk.size())
+	w.record(checker.Line{What: checker.End})
+	w.result.Lines = w.lines
+	for _, m := range w.members {
+		w.result.Disks = append(w.result.Disks, m.disk.size())
 		var s policy.Status
 		if m.node != nil {
 			s = m.node.Status()
 		}
-		w.r.Shown = append(w.r.Shown, s)
+		w.result.Shown = append(w.result.Shown, s)
 	}
-	return &w.r, nil
+	return &w.result, nil
 }
 
-func everyone(n int) []int {
+func firstMembers(n int) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = i
@@ -291,18 +300,18 @@
 	return list
 }
 
-func (w *world) voters() []string {
+func (w *simulation) voters() []string {
 	var all []string
-	for _, n := range w.p.Policy.Voters {
+	for _, n := range w.plan.Policy.Voters {
 		all = append(all, plan.Name(n))
 	}
 	return all
 }
 
-// later are members that may vote later.
-func (w *world) later() string {
+// futureVoters returns the members that may become voters during the plan.
+func (w *simulation) futureVoters() string {
 	var all []string
-	for _, e := range w.p.Events {
+	for _, e := range w.plan.Events {
 		if e.Do == "voters" {
 			for _, x := range e.To {
 				all = append(all, plan.Name(x))
@@ -312,81 +321,81 @@
 	return strings.Join(all, " ")
 }
 
-func (w *world) at(t time.Duration, do func()) { w.agenda.At(max(t, w.now), do) }
+func (w *simulation) schedule(t time.Duration, do func()) { w.queue.At(max(t, w.now), do) }
 
-func (w *world) line(l checker.Line) {
+func (w *simulation) record(l checker.Line) {
 	l.T, l.By = int64(w.now), checker.FaultTest
 	w.lines = append(w.lines, l)
 }
 
-// point is passed by whoever acts. It reports whether that one ends here.
-func (w *world) point(m *member, what string) bool {
-	if w.now < w.o.From || m.node == nil {
+// atPoint counts a point at which a member acts. It reports whether the member is killed there.
+func (w *simulation) atPoint(m *member, what string) bool {
+	if w.now < w.options.From || m.node == nil {
 		return false
 	}
-	w.r.Points++
-	if w.o.Point != nil {
-		w.o.Point(w.r.Points, w.now, m.name, what)
+	w.result.Points++
+	if w.options.Point != nil {
+		w.options.Point(w.result.Points, w.now, m.name, what)
 	}
-	if i := slices.Index(w.kill, w.r.Points); i >= 0 {
+	if i := slices.Index(w.kill, w.result.Points); i >= 0 {
 		w.kill = slices.Delete(w.kill, i, i+1)
 		w.down(m, "kill")
-		w.at(w.now+w.o.Back, func() { w.start(m, plan.Event{State: "kept"}) })
+		w.schedule(w.now+w.options.Back, func() { w.start(m, plan.Event{State: "kept"}) })
 		return true
 	}
 	return false
 }
 
-// own is a moment by a member's own clock, and real the other way round.
-func (m *member) own(t time.Duration) time.Duration {
-	return m.clock + time.Duration(float64(t-m.began)*(1+m.rate))
+// localTime converts a time of the simulation to the member's own clock, and globalTime does the reverse.
+func (m *member) localTime(t time.Duration) time.Duration {
+	return m.clockAtStart + time.Duration(float64(t-m.startedAt)*(1+m.clockDrift))
 }
 
-func (m *member) real(own time.Duration) time.Duration {
-	if own >= policy.Never/2 {
+func (m *member) globalTime(local time.Duration) time.Duration {
+	if local >= policy.Never/2 {
 		return policy.Never / 2
 	}
-	return m.began + time.Duration(float64(own-m.clock)/(1+m.rate)) + 1
+	return m.startedAt + time.Duration(float64(local-m.clockAtStart)/(1+m.clockDrift)) + 1
 }
 
-func (w *world) start(m *member, e plan.Event) {
+func (w *simulation) start(m *member, e plan.Event) {
 	if m.node != nil {
 		return
 	}
-	proved := w.o.Witness && m.pid > 0
+	proved := w.options.Witness && m.pid > 0
 	switch e.State {
 	case "none", "torn":
 		m.disk, proved = &disk{entries: map[uint64][]byte{}}, false
 	case "old":
 		proved = false
-		if m.old != nil {
-			m.disk = m.old.clone()
+		if m.savedDisk != nil {
+			m.disk = m.savedDisk.clone()
 		}
 	}
-	w.pids++
-	m.pid, m.paused, m.left, m.held = w.pids, false, false, nil
-	m.began, m.clock, m.rate = w.now, time.Hour+time.Duration(w.rng.Float64()*float64(time.Hour)), (2*w.rng.Float64()-1)*w.o.Rates
-	if w.o.Rate != nil {
-		m.rate = w.o.Rate(m.n)
+	w.lastPID++
+	m.pid, m.paused, m.leaving, m.deferred = w.lastPID, false, false, nil
+	m.startedAt, m.clockAtStart, m.clockDrift = w.now, time.Hour+time.Duration(w.rng.Float64()*float64(time.Hour)), (2*w.rng.Float64()-1)*w.options.MaxClockDrift
+	if w.options.ClockDrift != nil {
+		m.clockDrift = w.options.ClockDrift(m.n)
 	}
-	m.life, m.queue, m.streams, m.serving, m.told = w.rng.Uint64()|1, 0, 0, policy.Serving{Blocked: "just started"}, m.told+1
-	delete(w.gone, m.name)
-	w.line(checker.Line{What: checker.Up, Of: m.name, PID: m.pid})
-	if w.o.Way != Agreed {
-		w.simpleStart(m)
+	m.runID, m.diskBusyUntil, m.openStreams, m.serving, m.servingSeq = w.rng.Uint64()|1, 0, 0, policy.Serving{Blocked: "just started"}, m.servingSeq+1
+	delete(w.departed, m.name)
+	w.record(checker.Line{What: checker.Up, Of: m.name, PID: m.pid})
+	if w.options.Way != Agreed {
+		w.startBaseline(m)
 		return
 	}
-	set := w.p.Policy
+	set := w.plan.Policy
 	if m.parts = set.Of(m.n); len(m.parts) > 0 {
-		w.line(checker.Line{What: checker.Holds, Of: m.name, PID: m.pid, Parts: strings.Join(m.parts, " ")})
+		w.record(checker.Line{What: checker.Holds, Of: m.name, PID: m.pid, Parts: strings.Join(m.parts, " ")})
 	}
 	d := m.disk.load()
 	d.ProvenCurrent = proved
-	s := policy.Settings{Name: m.name, RunID: m.life, Voters: w.voters(), StopWhenIsolated: set.Stops, ServeLastKnown: set.Last, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
-	if w.o.Check != nil {
+	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.Stops, ServeLastKnown: set.Last, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
+	if w.options.Check != nil {
 		s.Check = func(all []policy.Document) error {
 			for _, d := range all {
-				if err := w.o.Check(m.n, d.Body); err != nil {
+				if err := w.options.Check(m.n, d.Body); err != nil {
 					return err
 				}
 			}
@@ -394,112 +403,113 @@
 		}
 	}
 	node, err := policy.New(s, d, w.rng.Uint64())
-	if err != nil { // such as a member's part that makes no sense: it serves by its file, and takes no part
-		if w.o.Say != nil {
-			w.o.Say(w.now, m.name, err.Error())
+	if err != nil { // such as an invalid part in its state: the daemon serves by its file and does not participate
+		if w.options.Log != nil {
+			w.options.Log(w.now, m.name, err.Error())
 		}
 		return
 	}
 	m.node = node
 	pid := m.pid
-	for _, id := range m.ids {
-		w.at(w.now+again, func() {
+	for _, id := range m.watchedChanges {
+		w.schedule(w.now+retryDelay, func() {
 			if m.pid == pid {
 				w.step(m, policy.WatchChange{ID: id})
 			}
 		})
-		w.giveUp(m, pid, id)
+		w.abortUnknown(m, pid, id)
 	}
 	w.step(m, policy.NameOwnership{Exclusive: true})
-	w.takes(m, pid)
+	w.scheduleRequest(m, pid)
 }
 
-// giveUp has the operators of a daemon that has ended drop a change of which nobody has heard since, again and again.
-func (w *world) giveUp(m *member, pid int, id string) {
-	w.at(w.now+patience, func() {
-		if m.pid != pid || m.node == nil || !slices.Contains(m.ids, id) {
+// abortUnknown lets the operators of a restarted daemon abort a change whose state is unknown, repeatedly until it is
+// decided.
+func (w *simulation) abortUnknown(m *member, pid int, id string) {
+	w.schedule(w.now+abortInterval, func() {
+		if m.pid != pid || m.node == nil || !slices.Contains(m.watchedChanges, id) {
 			return
 		}
 		if m.node.ChangeStatus(id).State == policy.ChangeUnknown && !m.paused {
 			w.step(m, policy.Propose{Proposal: policy.Proposal{AbortID: id, Document: policy.Document{Author: m.name, Reason: "given up"}}})
 		}
-		w.giveUp(m, pid, id)
+		w.abortUnknown(m, pid, id)
 	})
 }
 
-func (w *world) down(m *member, why string) {
-	if m.node == nil && w.o.Way == Agreed || m.pid == 0 {
+func (w *simulation) down(m *member, why string) {
+	if m.node == nil && w.options.Way == Agreed || m.pid == 0 {
 		return
 	}
-	w.line(checker.Line{What: checker.Down, Of: m.name, PID: m.pid, Why: why})
-	m.node, m.paused, m.held, m.wake = nil, false, nil, -1
+	w.record(checker.Line{What: checker.Down, Of: m.name, PID: m.pid, Why: why})
+	m.node, m.paused, m.deferred, m.nextStep = nil, false, nil, -1
 	m.serving = policy.Serving{Blocked: "down"}
-	m.told++
+	m.servingSeq++
 }
 
-// step steps a member, and does what it wants done.
-func (w *world) step(m *member, events ...policy.Event) {
+// step runs one step of a member's module and executes its actions.
+func (w *simulation) step(m *member, events ...policy.Event) {
 	if m.node == nil {
 		return
 	}
 	node, pid := m.node, m.pid
 	var actions []policy.Action
-	step := func() { actions = node.Step(m.own(w.now), events...) }
-	if w.o.Around != nil {
-		w.o.Around(w.now, m.n, step)
+	step := func() { actions = node.Step(m.localTime(w.now), events...) }
+	if w.options.Around != nil {
+		w.options.Around(w.now, m.n, step)
 	} else {
 		step()
 	}
 	for _, a := range actions {
 		if m.pid != pid || m.node == nil {
-			return // it ended meanwhile
+			return // the member ended in between
 		}
 		switch a := a.(type) {
 		case policy.Send:
-			if w.point(m, "send") {
+			if w.atPoint(m, "send") {
 				return
 			}
-			if slices.Contains(w.o.Lose, w.r.Points) && w.now >= w.o.From {
+			if slices.Contains(w.options.Lose, w.result.Points) && w.now >= w.options.From {
 				continue
 			}
 			w.send(m, a)
 		case policy.Persist:
-			if w.point(m, "write") {
+			if w.atPoint(m, "write") {
 				return
 			}
 			w.persist(m, a)
 		case policy.ServingChanged:
-			w.serve(m, a.Serving)
+			w.applyServing(m, a.Serving)
 		case policy.Log:
-			if w.o.Say != nil {
-				w.o.Say(w.now, m.name, a.Text)
+			if w.options.Log != nil {
+				w.options.Log(w.now, m.name, a.Text)
 			}
 		}
 	}
-	w.look(m)
-	if at := m.real(node.Next()); at != m.wake {
-		m.wake = at
-		w.at(at, func() {
-			if m.pid == pid && m.node == node && m.wake == at {
-				m.wake = -1
-				w.act(m, func() { w.step(m) })
+	w.reportChanges(m)
+	if at := m.globalTime(node.Next()); at != m.nextStep {
+		m.nextStep = at
+		w.schedule(at, func() {
+			if m.pid == pid && m.node == node && m.nextStep == at {
+				m.nextStep = -1
+				w.whenRunning(m, func() { w.step(m) })
 			}
 		})
 	}
 }
 
-// act has a member do something now, or once it is no longer paused.
-func (w *world) act(m *member, do func()) {
+// whenRunning runs do now, or once the member is resumed.
+func (w *simulation) whenRunning(m *member, do func()) {
 	if m.paused {
-		m.held = append(m.held, do)
+		m.deferred = append(m.deferred, do)
 		return
 	}
 	do()
 }
 
-// look sees what the operators at a member are told.
-func (w *world) look(m *member) {
-	m.ids = slices.DeleteFunc(m.ids, func(id string) bool {
+// reportChanges records the outcomes of changes for which the operators at a member wait.
+func (w *simulation) reportChanges(m *member) {
+	m.watchedChanges = slices.DeleteFunc(m.watchedChanges, func(id string) bool {
 		f := m.node.ChangeStatus(id)
 		if f.State < policy.ChangeCommitted {
 			return false
@@ -508,79 +518,80 @@
 		if f.AbortedBy != "" {
 			why = f.AbortedBy + ": " + why
 		}
-		w.line(checker.Line{What: checker.AuthorNotified, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
+		w.record(checker.Line{What: checker.AuthorNotified, Of: m.name, ID: id, State: f.State.String(), Number: f.Number, Why: why})
 		return true
 	})
 }
 
-// serve has a member's instances serve by something else, soon; a lease that is longer or over, at once.
-func (w *world) serve(m *member, s policy.Serving) {
-	m.told++
+// applyServing changes by what a member's instances serve. A new policy takes effect within maxApplyTime; a renewed or
+// expired lease takes effect at once.
+func (w *simulation) applyServing(m *member, s policy.Serving) {
+	m.servingSeq++
 	if m.serving.Document != nil && s.Document.ID == m.serving.Document.ID && s.Fingerprint() == m.serving.Fingerprint() || s.Blocked != "" {
-		w.serves(m, &m.serving, &s)
+		w.reportServing(m, &m.serving, &s)
 		m.serving = s
 		return
 	}
-	told, pid := m.told, m.pid
-	w.at(w.now+time.Duration(w.rng.Float64()*float64(applying)), func() {
-		if m.pid == pid && m.told == told {
-			w.serves(m, &m.serving, &s)
+	told, pid := m.servingSeq, m.pid
+	w.schedule(w.now+time.Duration(w.rng.Float64()*float64(maxApplyTime)), func() {
+		if m.pid == pid && m.servingSeq == told {
+			w.reportServing(m, &m.serving, &s)
 			m.serving = s
 		}
 	})
-	if m.serving.Document != nil { // until then by the lease that it has, and by the parts that both words have
+	if m.serving.Document != nil { // until then the earlier end of lease and the parts that both states serve apply
 		m.serving.Until = min(m.serving.Until, s.Until)
 		m.serving.ServedParts = slices.DeleteFunc(slices.Clone(m.serving.ServedParts), func(p string) bool { return !slices.Contains(s.ServedParts, p) })
 	}
 }
 
-// serves tells who measures by which texts a member serves that it did not before.
-func (w *world) serves(m *member, was, now *policy.Serving) {
-	if w.o.Serves == nil || now.Blocked != "" {
+// reportServing calls Options.Serves for each part by whose version the member did not serve before.
+func (w *simulation) reportServing(m *member, was, now *policy.Serving) {
+	if w.options.Serves == nil || now.Blocked != "" {
 		return
 	}
 	for _, part := range append([]string{""}, m.parts...) {
 		d, held := now.Lookup(part)
 		before, had := was.Lookup(part)
 		if held && (was.Blocked != "" || !had || before == nil || before.Number != d.Number) {
-			w.o.Serves(w.now, m.n, part, d.Number)
+			w.options.Serves(w.now, m.n, part, d.Number)
 		}
 	}
 }
 
-// takes has a member take requests, from now on.
-func (w *world) takes(m *member, pid int) {
-	w.at(w.now+time.Duration(w.rng.ExpFloat64()*float64(w.o.Take)), func() {
-		if m.pid != pid || m.node == nil && w.o.Way == Agreed {
+// scheduleRequest schedules the member's next request, which schedules the one after it.
+func (w *simulation) scheduleRequest(m *member, pid int) {
+	w.schedule(w.now+time.Duration(w.rng.ExpFloat64()*float64(w.options.Take)), func() {
+		if m.pid != pid || m.node == nil && w.options.Way == Agreed {
 			return
 		}
-		w.takes(m, pid)
-		if m.paused || m.left {
+		w.scheduleRequest(m, pid)
+		if m.paused || m.leaving {
 			return
 		}
 		s, part := &m.serving, ""
-		if len(m.parts) > 0 { // a request is one of a service, or goes by what holds for all alone
+		if len(m.parts) > 0 { // the request belongs to a service, or only the global part applies to it
 			part = append([]string{""}, m.parts...)[w.rng.IntN(1+len(m.parts))]
 		}
 		d, held := s.Lookup(part)
-		if s.Blocked != "" || d == nil || !held || m.own(w.now) >= s.Until {
-			w.r.Refused++
-			w.line(checker.Line{What: checker.PolicyRejected, Of: m.name, PID: m.pid, Why: s.Blocked, Part: part})
+		if s.Blocked != "" || d == nil || !held || m.localTime(w.now) >= s.Until {
+			w.result.Refused++
+			w.record(checker.Line{What: checker.PolicyRejected, Of: m.name, PID: m.pid, Why: s.Blocked, Part: part})
 			return
 		}
-		w.r.Taken++
+		w.result.Taken++
 		l := checker.Line{What: checker.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Alone: s.Standalone, Part: part}
 		if b := s.PreparingChange(part); b != nil {
 			l.Both = b.ID
 		}
-		w.line(l)
+		w.record(l)
 	})
 }
 
-func (w *world) linkOf(a, b int) plan.Link { return w.links[[2]int{a, b}] }
+func (w *simulation) linkOf(a, b int) plan.Link { return w.links[[2]int{a, b}] }
 
-// send brings a message to a member, or not.
-func (w *world) send(m *member, s policy.Send) {
+// send delivers a message to a member, unless the link loses it.
+func (w *simulation) send(m *member, s policy.Send) {
 	to := w.byName[s.To]
 	if to == nil {
 		return
@@ -591,126 +602,127 @@
 			size += len(d.Body)
 		}
 	}
-	if w.o.Size != nil {
-		size = w.o.Size(m.n, s.Message)
+	if w.options.Size != nil {
+		size = w.options.Size(m.n, s.Message)
 	}
 	from := m.name
 	deliver := func() {
 		pid := to.pid
-		if to != m && w.now >= w.o.Since {
-			w.r.Traffic[to.n].MessagesIn++
-			w.r.Traffic[to.n].BytesIn += size
+		if to != m && w.now >= w.options.Since {
+			w.result.Traffic[to.n].MessagesIn++
+			w.result.Traffic[to.n].BytesIn += size
 		}
-		w.act(to, func() {
-			if to.node == nil || to.pid != pid || w.point(to, "take") {
+		w.whenRunning(to, func() {
+			if to.node == nil || to.pid != pid || w.atPoint(to, "take") {
 				return
 			}
 			w.step(to, policy.Received{From: from, Message: s.Message})
 		})
 	}
-	w.r.Messages++
-	w.r.Bytes += size
+	w.result.Messages++
+	w.result.Bytes += size
 	if to == m {
-		w.at(w.now, deliver)
+		w.schedule(w.now, deliver)
 		return
 	}
 	stream := s.Message.Large()
-	if stream && w.o.Streams > 0 && m.streams >= w.o.Streams {
+	if stream && w.options.Streams > 0 && m.openStreams >= w.options.Streams {
 		return
 	}
-	if w.now >= w.o.Since {
-		w.r.Traffic[m.n].MessagesOut++
-		w.r.Traffic[m.n].BytesOut += size
+	if w.now >= w.options.Since {
+		w.result.Traffic[m.n].MessagesOut++
+		w.result.Traffic[m.n].BytesOut += size
 	}
-	if w.o.Cut != nil && w.o.Cut(w.now, m.n, to.n) {
+	if w.options.Cut != nil && w.options.Cut(w.now, m.n, to.n) {
 		if stream {
-			w.opens(m, streams)
+			w.openStream(m, streamTimeout)
 		}
 		return
 	}
 	l := w.linkOf(m.n, to.n)
-	if w.o.Delay != nil {
-		l.Delay += w.o.Delay(m.n, to.n)
+	if w.options.Delay != nil {
+		l.Delay += w.options.Delay(m.n, to.n)
 	}
 	way := func() time.Duration {
-		return base + time.Duration(w.rng.Float64()*float64(more)) + l.Delay + time.Duration(w.rng.Float64()*float64(l.Jitter))
+		return minDelay + time.Duration(w.rng.Float64()*float64(maxExtraDelay)) + l.Delay + time.Duration(w.rng.Float64()*float64(l.Jitter))
 	}
 	if !stream {
-		for range 1 + w.chance(l.Duplicate) {
+		for range 1 + w.drawOne(l.Duplicate) {
 			if w.rng.Float64() >= l.Drop {
 				d := way()
 				if w.rng.Float64() < l.Reorder {
 					d += time.Duration(w.rng.Float64() * float64(50*time.Millisecond))
 				}
-				w.at(w.now+d, deliver)
+				w.schedule(w.now+d, deliver)
 			}
 		}
 		return
 	}
-	// A stream: three ways, and what is lost comes again.
+	// A stream takes three one-way delays, and lost segments are retransmitted.
 	r := w.linkOf(to.n, m.n)
 	if l.Drop >= 1 || r.Drop >= 1 {
-		w.opens(m, streams)
+		w.openStream(m, streamTimeout)
 		return
 	}
-	d := time.Duration(float64(size) / atOnce * float64(time.Second))
+	d := time.Duration(float64(size) / streamRate * float64(time.Second))
 	for range 3 {
 		d += way()
 		for w.rng.Float64() < max(l.Drop, r.Drop) {
-			d += again
+			d += retryDelay
 		}
 	}
-	w.opens(m, min(d, streams))
-	if d < streams {
-		w.at(w.now+d, deliver)
+	w.openStream(m, min(d, streamTimeout))
+	if d < streamTimeout {
+		w.schedule(w.now+d, deliver)
 	}
 }
 
-// opens has a member have one stream more open for a while, where they are counted.
-func (w *world) opens(m *member, d time.Duration) {
-	if w.o.Streams == 0 {
+// openStream counts one more open stream of a member for a while, if streams are limited.
+func (w *simulation) openStream(m *member, d time.Duration) {
+	if w.options.Streams == 0 {
 		return
 	}
-	m.streams++
+	m.openStreams++
 	pid := m.pid
-	w.at(w.now+d, func() {
+	w.schedule(w.now+d, func() {
 		if m.pid == pid {
-			m.streams--
+			m.openStreams--
 		}
 	})
 }
 
-func (w *world) chance(share float64) int {
+func (w *simulation) drawOne(share float64) int {
 	if share > 0 && w.rng.Float64() < share {
 		return 1
 	}
 	return 0
 }
 
-// persist puts something on a member's disk, after what it is busy with.
-func (w *world) persist(m *member, p policy.Persist) {
-	w.r.Persists++
+// persist writes a batch to a member's disk after the writes that are pending.
+func (w *simulation) persist(m *member, p policy.Persist) {
+	w.result.Persists++
 	pid, d := m.pid, m.disk
-	m.queue = max(m.queue, w.now) + syncLow + time.Duration(w.rng.Float64()*float64(syncMore)) + m.slow
-	w.at(m.queue, func() {
-		if m.pid != pid || m.node == nil { // it ended: it may be there or not, and nothing after one that is not
-			if m.disk != d || m.node != nil || m.torn == pid || m.full || w.rng.IntN(2) == 0 {
-				m.torn = pid
+	m.diskBusyUntil = max(m.diskBusyUntil, w.now) + minSyncTime + time.Duration(w.rng.Float64()*float64(maxExtraSyncTime)) + m.extraSyncTime
+	w.schedule(m.diskBusyUntil, func() {
+		if m.pid != pid || m.node == nil {
+			// The process ended: the write may be on the disk or not, but no write after a lost one is.
+			if m.disk != d || m.node != nil || m.lostWritePID == pid || m.diskFull || w.rng.IntN(2) == 0 {
+				m.lostWritePID = pid
 				return
 			}
-			d.put(&p.Batch)
+			d.apply(&p.Batch)
 			w.onDisk(m, &p.Batch)
 			return
 		}
 		var err error
-		if m.full {
+		if m.diskFull {
 			err = errors.New("no space left on device")
 		} else {
-			d.put(&p.Batch)
+			d.apply(&p.Batch)
 			w.onDisk(m, &p.Batch)
 		}
-		w.act(m, func() {
-			if m.pid != pid || m.node == nil || w.point(m, "written") {
+		w.whenRunning(m, func() {
+			if m.pid != pid || m.node == nil || w.atPoint(m, "written") {
 				return
 			}
 			w.step(m, policy.Persisted{Seq: p.Seq, Err: err})
@@ -718,60 +730,60 @@
 	})
 }
 
-func (w *world) onDisk(m *member, b *policy.Batch) {
+func (w *simulation) onDisk(m *member, b *policy.Batch) {
 	for _, id := range policy.StoredChanges(b.Member) {
-		w.line(checker.Line{What: checker.OnDisk, Of: m.name, ID: id})
+		w.record(checker.Line{What: checker.OnDisk, Of: m.name, ID: id})
 	}
 }
 
-// view tells all who has left.
-func (w *world) view() {
+// distributeMembers tells the members which members there are and which have left.
+func (w *simulation) distributeMembers() {
 	var all []policy.MemberInfo
-	for _, m := range w.all {
-		life, left := w.gone[m.name]
+	for _, m := range w.members {
+		life, left := w.departed[m.name]
 		switch {
 		case left:
 			all = append(all, policy.MemberInfo{Name: m.name, RunID: life, Departed: true})
 		case m.pid > 0:
-			all = append(all, policy.MemberInfo{Name: m.name, RunID: m.life})
+			all = append(all, policy.MemberInfo{Name: m.name, RunID: m.runID})
 		}
 	}
-	viewers := w.all
-	if w.o.Viewers > 0 {
-		viewers = w.all[:min(w.o.Viewers, len(w.all))]
+	viewers := w.members
+	if w.options.Viewers > 0 {
+		viewers = w.members[:min(w.options.Viewers, len(w.members))]
 	}
 	for _, m := range viewers {
 		if m.node == nil || m.paused {
 			continue
 		}
 		seen := all
-		if len(w.links) > 0 { // what it can't hear it does not know
+		if len(w.links) > 0 { // a member doesn't know of those that it can't receive from
 			seen = slices.DeleteFunc(slices.Clone(all), func(x policy.MemberInfo) bool { return w.linkOf(w.byName[x.Name].n, m.n).Drop >= 1 })
 		}
 		w.step(m, policy.MembersChanged{Members: seen})
 	}
-	w.at(w.now+viewing, w.view)
+	w.schedule(w.now+viewInterval, w.distributeMembers)
 }
 
-// befall does one event.
-func (w *world) befall(e plan.Event) {
+// applyEvent applies one event of the plan.
+func (w *simulation) applyEvent(e plan.Event) {
 	switch e.Do {
 	case "link":
-		w.link(e)
+		w.setLink(e)
 		return
 	case "heal":
 		if len(e.Who) == 0 {
-			e.Who, e.Both = everyone(len(w.all)), true
+			e.Who, e.Both = firstMembers(len(w.members)), true
 		}
 		if len(e.To) == 0 {
-			e.To = everyone(len(w.all))
+			e.To = firstMembers(len(w.members))
 		}
-		e.Link = w.p.Link
-		w.link(e)
+		e.Link = w.plan.Link
+		w.setLink(e)
 		return
 	}
 	for _, n := range e.Who {
-		m := w.all[n]
+		m := w.members[n]
 		switch e.Do {
 		case "kill":
 			w.down(m, "kill")
@@ -779,10 +791,10 @@
 			w.start(m, e)
 		case "term":
 			if m.node != nil {
-				m.left = true
-				w.line(checker.Line{What: checker.Ending, Of: m.name, PID: m.pid})
-				w.at(w.now+again, func() {
-					w.gone[m.name] = m.life
+				m.leaving = true
+				w.record(checker.Line{What: checker.Ending, Of: m.name, PID: m.pid})
+				w.schedule(w.now+retryDelay, func() {
+					w.departed[m.name] = m.runID
 					w.down(m, "term")
 				})
 			}
@@ -795,25 +807,25 @@
 			if !m.paused {
 				what = checker.Resume
 			}
-			w.line(checker.Line{What: what, Of: m.name, PID: m.pid})
+			w.record(checker.Line{What: what, Of: m.name, PID: m.pid})
 			if !m.paused {
-				held := m.held
-				m.held = nil
+				held := m.deferred
+				m.deferred = nil
 				for _, do := range held {
 					do()
 				}
 				w.step(m)
 			}
 		case "keep":
-			m.old = m.disk.clone()
+			m.savedDisk = m.disk.clone()
 		case "disk":
-			w.line(checker.Line{What: checker.Disk, Of: m.name, State: e.Kind})
-			m.full, m.slow = e.Kind == "full", 0
+			w.record(checker.Line{What: checker.Disk, Of: m.name, State: e.Kind})
+			m.diskFull, m.extraSyncTime = e.Kind == "full", 0
 			if e.Kind == "slow" {
-				m.slow = 500 * time.Millisecond
+				m.extraSyncTime = 500 * time.Millisecond
 			}
 		case "apply":
-			w.apply(m, e)
+			w.propose(m, e)
 		case "voters":
 			for _, x := range e.To {
 				w.step(m, policy.ReplaceVoter{Add: plan.Name(x), Remove: e.Remove})
@@ -826,9 +838,9 @@
 	}
 }
 
-// apply has a member's operator ask for a change.
-func (w *world) apply(m *member, e plan.Event) {
-	if m.node == nil && w.o.Way == Agreed || m.paused {
+// propose lets an operator at a member propose a change.
+func (w *simulation) propose(m *member, e plan.Event) {
+	if m.node == nil && w.options.Way == Agreed || m.paused {
 		return
 	}
 	w.changes++
@@ -845,9 +857,9 @@
 	if len(e.Parts) > 0 {
 		l.Parts = checker.PartsText(e.Parts)
 	}
-	w.line(l)
-	if w.o.Way != Agreed {
-		w.simpleApply(m, id)
+	w.record(l)
+	if w.options.Way != Agreed {
+		w.proposeBaseline(m, id)
 		return
 	}
 	body := []byte(fmt.Sprintf("# %s\n%s", id, e.Kind))
@@ -857,21 +869,21 @@
 		p.Document.AdditionalParts = append(p.Document.AdditionalParts, policy.Document{Part: part, Body: body, Digest: policy.DigestOf(body)})
 		p.Bases = append(p.Bases, m.node.ActiveDocument(part).Number)
 	}
-	m.ids = append(m.ids, id)
+	m.watchedChanges = append(m.watchedChanges, id)
 	w.step(m, policy.Propose{Proposal: p})
 }
 
-func (w *world) link(e plan.Event) {
+func (w *simulation) setLink(e plan.Event) {
 	for _, a := range e.Who {
 		for _, b := range e.To {
 			if a == b {
 				continue
 			}
 			w.links[[2]int{a, b}] = e.Link
-			w.line(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Rough: e.Link.Rough()})
+			w.record(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Rough: e.Link.Rough()})
 			if e.Both {
 				w.links[[2]int{b, a}] = e.Link
-				w.line(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Rough: e.Link.Rough()})
+				w.record(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Rough: e.Link.Rough()})
 			}
 		}
 	}
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -16,7 +16,7 @@
 
 func fleet(n, voters int, stops bool, events ...plan.Event) *plan.Plan {
 	p := &plan.Plan{Name: "test", Daemons: n, Zones: 1, Length: 60 * time.Second, Bounds: bounds, Events: events,
-		Policy: &plan.Policy{Voters: everyone(voters), Stops: stops, Lease: 5 * time.Second, Within: 10 * time.Second}}
+		Policy: &plan.Policy{Voters: firstMembers(voters), Stops: stops, Lease: 5 * time.Second, Within: 10 * time.Second}}
 	return p
 }
 
@@ -27,7 +27,7 @@
 func play(t *testing.T, p *plan.Plan, o Options) (*Result, *checker.Report) {
 	t.Helper()
 	if os.Getenv("SAY") != "" {
-		o.Say = func(at time.Duration, who, text string) { fmt.Printf("%8.3f %s: %s\n", at.Seconds(), who, text) }
+		o.Log = func(at time.Duration, who, text string) { fmt.Printf("%8.3f %s: %s\n", at.Seconds(), who, text) }
 	}
 	r, err := Play(p, o)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return r, checker.Policy(p.Bounds, r.Lines)
 }
 
-// kept fails the test for each claim that was broken, and for those that were to be tried and were not.
-func kept(t *testing.T, what string, rep *checker.Report, tries ...string) {
+// checkClaims reports an error for each broken claim, and for each claim in tries that was not tried.
+func checkClaims(t *testing.T, what string, rep *checker.Report, tries ...string) {
 	t.Helper()
 	for _, c := range rep.Claims {
 		if c.Broken > 0 {
@@ -51,35 +51,35 @@
 	}
 }
 
-// Schedules by chance: links, ends, disks, pauses, leaves, and a change every few seconds.
-func TestDrawnSchedulesBreakNoClaim(t *testing.T) {
+// Random schedules: link faults, crashes, disk faults, pauses, leaves, and a change every few seconds.
+func TestDrawnSchedulesKeepAllClaims(t *testing.T) {
 	tried := map[string]int{}
 	for seed := range uint64(24) {
 		p, o := Draw(seed, 8)
 		_, rep := play(t, p, o)
-		kept(t, fmt.Sprint("schedule ", seed), rep)
+		checkClaims(t, fmt.Sprint("schedule ", seed), rep)
 		for _, c := range rep.Claims {
 			tried[c.Name] += c.Tried
 		}
 	}
 	for name, least := range map[string]int{checker.PolicyOne: 1000, checker.PolicyAll: 60, checker.PolicyStart: 100, checker.PolicyServes: 1000, checker.PolicyDurable: 1000, checker.PolicyAuthorNotified: 250} {
 		if tried[name] < least {
-			t.Errorf("%s was tried %d times", name, tried[name])
+			t.Errorf("%s was tried only %d times", name, tried[name])
 		}
 	}
 }
 
-func TestTheSameSeedPlaysTheSame(t *testing.T) {
+func TestSameSeedGivesSameLines(t *testing.T) {
 	p, o := Draw(7, 8)
 	a, _ := play(t, p, o)
 	b, _ := play(t, p, o)
 	if len(a.Lines) < 1000 || !slices.Equal(a.Lines, b.Lines) {
-		t.Errorf("%d and %d lines, not the same", len(a.Lines), len(b.Lines))
+		t.Errorf("%d and %d lines, which differ or are too few", len(a.Lines), len(b.Lines))
 	}
 }
 
-// Whoever acts is killed at each write and each message of a change, one point at a time.
-func TestKilledAtEachPointOfAChange(t *testing.T) {
+// The acting member is killed at each write and each message of a change, at one point per run.
+func TestMemberKilledAtEachPointOfAChange(t *testing.T) {
 	const asked = 5 * time.Second
 	for _, stops := range []bool{true, false} {
 		p := fleet(4, 3, stops, at(5, "apply", 3))
@@ -93,19 +93,19 @@
 		}
 		play(t, p, o)
 		if points < 60 {
-			t.Fatalf("%d points", points)
+			t.Fatalf("only %d points", points)
 		}
 		o.Point = nil
 		for k := 1; k <= points; k += 4 {
 			o.Kill = []int{k}
 			_, rep := play(t, p, o)
-			kept(t, fmt.Sprintf("stops %v, point %d", stops, k), rep, checker.PolicyDurable)
+			checkClaims(t, fmt.Sprintf("stops %v, point %d", stops, k), rep, checker.PolicyDurable)
 		}
 	}
 }
 
-// What shows that the judge sees: the plain ways break what is claimed.
-func TestPlainWaysHaveTwoPoliciesAtOnce(t *testing.T) {
+// Shows that the checker detects violations: the baselines break the claim of one policy at a time.
+func TestBaselinesBreakOnePolicyClaim(t *testing.T) {
 	for _, w := range []Way{OneByOne, Gossip} {
 		broken := 0
 		for seed := range uint64(6) {
@@ -116,12 +116,12 @@
 			}
 		}
 		if broken < 3 {
-			t.Errorf("way %d: %d of 6 schedules broke the claim of one policy at a time", w, broken)
+			t.Errorf("method %d: only %d of 6 schedules broke the claim of one policy at a time", w, broken)
 		}
 	}
 }
 
-// Voters are replaced one by one while changes go on, and each new one catches up without a flood.
+// Voters are replaced one by one while changes continue, and each new one catches up with little traffic.
 func TestVotersAreReplacedOneByOne(t *testing.T) {
 	var events []plan.Event
 	for i := range 20 {
@@ -140,14 +140,14 @@
 		}
 	}
 	if got := r.Shown[6].Voters; !slices.Equal(got, []string{"d4", "d5", "d6"}) || r.Shown[6].Active.Number < 10 {
-		t.Errorf("%v vote, policy %d", got, r.Shown[6].Active.Number)
+		t.Errorf("voters %v, policy %d", got, r.Shown[6].Active.Number)
 	}
 	if rate := float64(r.Bytes) / p.Length.Seconds() / 7; rate > 3000 {
-		t.Errorf("%.0f bytes a second of each", rate)
+		t.Errorf("%.0f bytes per second and member", rate)
 	}
 }
 
-func TestShippedDrillsOfPoliciesKeepEveryClaimTheyTry(t *testing.T) {
+func TestShippedPolicyPlansKeepTheirClaims(t *testing.T) {
 	paths, err := filepath.Glob("../../../drills/*policy*.toml")
 	if err != nil || len(paths) < 8 {
 		t.Fatal(paths, err)
@@ -162,17 +162,18 @@
 		}
 		for seed := range uint64(2) {
 			_, rep := play(t, p, Options{Seed: seed + 1, Witness: p.Policy.Witness})
-			kept(t, fmt.Sprintf("%s, seed %d", p.Name, seed+1), rep, p.Tries...)
+			checkClaims(t, fmt.Sprintf("%s, seed %d", p.Name, seed+1), rep, p.Tries...)
 		}
 	}
 }
 
-// Found by the 1,077th schedule: a voter's disk is torn while its words reach nobody, and the leader counts on what it had.
-// Raft sent it the same again and again, as fast as the link took it.
-func TestAVoterThatHasLessThanItSaidIsNoStorm(t *testing.T) {
+// Found by the 1,077th schedule: the disk of a voter is torn while its messages reach no member, and the leader counts
+// on entries that the voter acknowledged and lost. Raft then sent it the same entries repeatedly, as fast as the link
+// allowed.
+func TestVoterThatLostAcknowledgedEntriesCausesNoMessageStorm(t *testing.T) {
 	p, o := Draw(1076, 10)
 	r, rep := play(t, p, o)
-	kept(t, "schedule 1076", rep)
+	checkClaims(t, "schedule 1076", rep)
 	if r.Messages > 100*p.Daemons*90 {
 		t.Errorf("%d messages", r.Messages)
 	}
