--- a/tools/capacity/chain.go
+++ b/tools/capacity/chain.go
@@ -15,13 +15,13 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// chainCommand is calls in tiers: what retries at each come to at the last one.
+// chainCommand measures calls through a chain of tiers: how many attempts reach the last tier if each tier retries.
 func chainCommand() *cobra.Command {
 	var sizes string
 	var seed uint64
 	var cores int
 	var asTOML bool
-	c := &cobra.Command{Use: "chain", Short: "Calls in tiers: attempts at the last one, share served, work for clients that left", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "chain", Short: "Chains of tiers: attempts at the last tier, share served, work for clients that have left", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			tiers, err := chainSizes(sizes)
 			if err != nil {
@@ -29,26 +29,26 @@
 			}
 			return chains(tiers, seed, cores, asTOML)
 		}}
-	c.Flags().StringVar(&sizes, "sizes", "1,4,8,16", "tiers, in turn")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of all chance")
-	c.Flags().IntVar(&cores, "cores", 2, "plays at once")
-	c.Flags().BoolVar(&asTOML, "toml", false, "print entries of docs/capacity/slopes.toml, and the tables on standard error")
+	c.Flags().StringVar(&sizes, "sizes", "1,4,8,16", "numbers of tiers, one run after another")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of all random numbers")
+	c.Flags().IntVar(&cores, "cores", 2, "number of concurrent simulations")
+	c.Flags().BoolVar(&asTOML, "toml", false, "print entries for docs/capacity/slopes.toml, and the tables on standard error")
 	return c
 }
 
-// chainSizes reads numbers of at least 1.
+// chainSizes parses a list of numbers of at least 1.
 func chainSizes(text string) (all []int, err error) {
 	for _, s := range strings.Split(text, ",") {
 		n, err := strconv.Atoi(strings.TrimSpace(s))
 		if err != nil || n < 1 {
-			return nil, fmt.Errorf("%q is no number of at least 1", s)
+			return nil, fmt.Errorf("%q is not a number of at least 1", s)
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// chainCase is one incident.
+// chainCase is one incident: a share of errors at the last tier, or a slow tier.
 type chainCase struct {
 	name         string
 	errors, slow float64
@@ -56,14 +56,14 @@
 
 var chainCases = []chainCase{{"10% errors", 0.1, 0}, {"50% errors", 0.5, 0}, {"75% errors", 0.75, 0}, {"100% errors", 1, 0}, {"a slow tier", 0, 0.15}}
 
-// chainPlay is one play, and what came of it.
+// chainRun is one simulation and its result.
 type chainPlay struct {
 	of     chainCase
 	config chain.Config
 	result chain.Result
 }
 
-const chainEvents = 20_000_000 // of one play: a minute and some GB of memory at the most
+const chainEvents = 20_000_000 // most events of one simulation: bounds it to a minute and some GB of memory
 
 func chains(tiers []int, seed uint64, cores int, asTOML bool) error {
 	var plays []*chainPlay
@@ -164,7 +164,7 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 1, 64) + " s"
 }
 
-// chainLeast marks what a play that was cut short has counted.
+// chainAtLeast formats a figure, marked as a lower bound if the simulation was cut short.
 func chainLeast(r chain.Result, v float64) string {
 	text := strconv.FormatFloat(v, 'f', 2, 64)
 	if r.CutShort {
@@ -173,7 +173,7 @@
 	return text
 }
 
-// chainSlopes are the agent's own, and plain threes' beside them.
+// chainSlopes returns the entries of the agent and, for comparison, of clients that simply retry up to three attempts.
 func chainSlopes(tiers []int, seed uint64, main, start []*chainPlay) []slopes.Slope {
 	command := fmt.Sprintf("go run ./tools/capacity chain --seed %d --toml", seed)
 	var all []slopes.Slope
@@ -239,7 +239,7 @@
 	return all
 }
 
-// measuredOn tells what a figure was measured on.
+// measuredOn describes the machine and its load.
 func measuredOn() string {
 	load := "unknown"
 	if b, err := os.ReadFile("/proc/loadavg"); err == nil {
--- a/tools/capacity/changes.go
+++ b/tools/capacity/changes.go
@@ -16,7 +16,7 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// changesCommand measures what a change of policy costs whom.
+// changesCommand measures the cost of a policy change for members, voters and the leader.
 func changesCommand() *cobra.Command {
 	var (
 		f      plainFlags
@@ -24,13 +24,13 @@
 		what   []string
 		length time.Duration
 	)
-	c := &cobra.Command{Use: "changes", Short: "What a change of the agreed policy costs, in virtual time", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "changes", Short: "The cost of a change of the agreed policy, in virtual time", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			m := &measuring{seed: f.seed, sizes: f.sizes, texts: texts, length: length, book: f.book("go run ./tools/capacity changes --what "), table: f.table(c)}
 			for _, w := range what {
 				run, ok := map[string]func(string) error{"even": m.even, "day": m.day, "minute": m.minute, "rest": m.rest, "text": m.text, "died": m.died, "cut": m.cutOff, "size": m.size, "stream": m.stream}[w]
 				if !ok {
-					return fmt.Errorf("--what %q is none of even, day, minute, rest, text, died, cut, size, stream", w)
+					return fmt.Errorf("--what %q is not one of even, day, minute, rest, text, died, cut, size, stream", w)
 				}
 				m.what = w
 				if err := run(w); err != nil {
@@ -40,13 +40,13 @@
 			return f.end(c, &m.book)
 		}}
 	f.add(c, "members", 10, 30, 100, 300, 1000, 3000, 12000)
-	c.Flags().DurationVar(&length, "length", 126*time.Second, "of a day's play, of stream")
-	c.Flags().IntSliceVar(&texts, "texts", []int{512, 4096, 16384, 65536}, "bytes of a policy, of text")
-	c.Flags().StringSliceVar(&what, "what", []string{"even", "day", "minute", "rest", "text", "died", "cut", "size"}, "which")
+	c.Flags().DurationVar(&length, "length", 126*time.Second, "stream: length of the run of a day")
+	c.Flags().IntSliceVar(&texts, "texts", []int{512, 4096, 16384, 65536}, "text: sizes of a policy in bytes")
+	c.Flags().StringSliceVar(&what, "what", []string{"even", "day", "minute", "rest", "text", "died", "cut", "size"}, "the measurements to run")
 	return c
 }
 
-// plainFlags are those of each measurement that runs by itself.
+// plainFlags are the flags of the measurements that don't use flags: changes, list and operator.
 type plainFlags struct {
 	sizes   []int
 	seed    uint64
@@ -56,14 +56,14 @@
 
 func (f *plainFlags) add(c *cobra.Command, of string, sizes ...int) {
 	c.Flags().IntSliceVar(&f.sizes, "sizes", sizes, of)
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of chance, where there is any")
-	c.Flags().BoolVar(&f.toml, "toml", false, "entries of docs/capacity/slopes.toml; the table goes to standard error")
-	c.Flags().StringVar(&f.machine, "machine", machineName(), "for the entries")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of random numbers, where they are used")
+	c.Flags().BoolVar(&f.toml, "toml", false, "print entries for docs/capacity/slopes.toml, and the table on standard error")
+	c.Flags().StringVar(&f.machine, "machine", machineName(), "description of the machine in the entries")
 }
 
 func (f *plainFlags) book(command string) book { return book{command: command, machine: f.machine} }
 
-// table is where rows for people go.
+// table returns the table that people read: on standard error where standard output has the entries.
 func (f *plainFlags) table(c *cobra.Command) table {
 	if f.toml {
 		return table{c.ErrOrStderr()}
@@ -71,7 +71,7 @@
 	return table{c.OutOrStdout()}
 }
 
-// end prints the entries, if they are asked for.
+// end prints the entries if --toml is set.
 func (f *plainFlags) end(c *cobra.Command, b *book) error {
 	if !f.toml {
 		return nil
@@ -79,7 +79,7 @@
 	return slopes.Write(c.OutOrStdout(), b.all()...)
 }
 
-// machineName says where a figure comes from.
+// machineName describes the machine that a figure is measured on.
 func machineName() string {
 	return fmt.Sprintf("%d cores, shared, GOMAXPROCS=%d, %s", runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.Version())
 }
@@ -100,13 +100,14 @@
 	fmt.Fprintln(t.to, "|"+strings.Repeat(" --- |", len(cells)))
 }
 
-// book collects points into entries.
+// entryBook collects points into entries.
 type book struct {
 	command, machine string
 	list             []*slopes.Slope
 }
 
-// note adds a point to an entry, which the first point makes. What is no number was not measured.
+// note adds a point to the entry of e's name, which the first point creates. A value that is NaN was not measured and is
+// left out.
 func (b *book) note(e slopes.Slope, size, value float64) {
 	if math.IsNaN(value) {
 		return
@@ -127,13 +128,13 @@
 	return all
 }
 
-// measuring plays what is asked for, and keeps what it gives.
+// measuring runs the requested measurements and collects their entries.
 type measuring struct {
 	book
 	seed         uint64
 	sizes, texts []int
 	what         string
-	length       time.Duration // of a day's play in parts
+	length       time.Duration // of the run of a day, in stream
 	table        table
 	headed       string
 }
@@ -168,12 +169,12 @@
 	return r, nil
 }
 
-// entry is one of a quantity in the subject of this run.
+// entry returns an entry of the mechanism policy with the command of this measurement.
 func (m *measuring) entry(name, role, load, quantity, unit, variable, form, note string) slopes.Slope {
 	return slopes.Slope{Name: name, Role: role, Load: load, Quantity: quantity, Unit: unit, Mechanism: "policy", Variable: variable, Form: form, Command: m.command + m.what + m.flags(), Note: note}
 }
 
-// flags are those that say which sizes were played.
+// flags returns the flags that select the measured sizes.
 func (m *measuring) flags() string {
 	list := func(all []int) string { return strings.Trim(strings.Join(strings.Fields(fmt.Sprint(all)), ","), "[]") }
 	switch m.what {
@@ -185,7 +186,7 @@
 	return " --sizes " + list(m.sizes)
 }
 
-// loads notes what member, leader and another voter do.
+// loads adds the traffic and CPU time of a member, the leader and another voter to their entries.
 func (m *measuring) loads(r *changed, when, variable string, size float64, note string) {
 	for _, who := range []struct {
 		role, name string
@@ -211,7 +212,7 @@
 	}
 }
 
-// even is a change each 2 s, as tools/policy times has it.
+// even measures one change every 2 s, as tools/policy times does.
 func (m *measuring) even(string) error {
 	for _, streams := range []int{-1, transport.MaxPolicyStreams} {
 		for _, n := range m.sizes {
@@ -232,7 +233,7 @@
 	return nil
 }
 
-// day is the mean rate of the ordinary day.
+// day measures changes at the mean rate of the ordinary day.
 func (m *measuring) day(string) error {
 	for _, n := range m.sizes {
 		r, err := m.run(changing{members: n, stops: true, every: perSecond(0.74), drawn: true, length: 126 * time.Second}, "0.74 a second, drawn")
@@ -253,7 +254,7 @@
 
 func perSecond(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
-// minute is ten times the mean rate, for a minute.
+// minute measures changes at ten times the mean rate, for a minute.
 func (m *measuring) minute(string) error {
 	for _, n := range m.sizes {
 		r, err := m.run(changing{members: n, stops: true, every: perSecond(7.4), drawn: true, length: 76 * time.Second}, "7.4 a second, drawn")
@@ -267,7 +268,7 @@
 	return nil
 }
 
-// rest is without any change.
+// rest measures a fleet without any change.
 func (m *measuring) rest(string) error {
 	for _, stops := range []bool{true, false} {
 		for _, n := range m.sizes {
@@ -286,7 +287,7 @@
 	return nil
 }
 
-// text is by the size of a policy, at one size of fleet.
+// text measures changes by the size of a policy, at one size of fleet.
 func (m *measuring) text(string) error {
 	n := 300
 	for _, text := range m.texts {
@@ -294,7 +295,7 @@
 		if err != nil {
 			return err
 		}
-		// By one change a second: each goes whole to every member.
+		// Scaled to the rate of the ordinary day, as each change is sent completely to every member.
 		rate := float64(r.inForce) / (70 - 6)
 		per := func(x float64) float64 { return x / rate * 0.74 }
 		note := fmt.Sprintf("by the size of a policy's text at 0.74 changes a second, %d members", n)
@@ -305,7 +306,7 @@
 	return nil
 }
 
-// died has one member end, and not come back.
+// died measures changes while one member is killed and does not come back.
 func (m *measuring) died(string) error {
 	for _, stops := range []bool{true, false} {
 		for _, n := range m.sizes {
@@ -323,7 +324,7 @@
 	return nil
 }
 
-// cutOff has one region of five cut off for 20 s, with a way of 40 ms between regions.
+// cutOff measures changes while one region of five is cut off for 20 s, with a one-way delay of 40 ms between regions.
 func (m *measuring) cutOff(string) error {
 	for _, stops := range []bool{true, false} {
 		for _, n := range m.sizes {
@@ -351,7 +352,7 @@
 	return nil
 }
 
-// stream is the ordinary day and the worst minute with one text for all, and with parts of services beside it.
+// stream measures the ordinary day and the worst minute, with one policy for all and with parts for services.
 func (m *measuring) stream(string) error {
 	for _, rate := range []float64{0.74, 7.4} {
 		for _, n := range m.sizes {
@@ -388,7 +389,7 @@
 	return nil
 }
 
-// policyOf is a policy's text that has a class, two limits and a source for each of n services.
+// policyOf returns the text of a policy with a class, two limits and a source for each of n services.
 func policyOf(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -402,7 +403,7 @@
 	return b.String()
 }
 
-// size is how large a policy for all services is.
+// size measures the size of a policy, by the number of services.
 func (m *measuring) size(string) error {
 	fmt.Fprint(m.table.to, "\n## size\n\n")
 	m.table.head("services", "bytes of a policy")
--- a/tools/capacity/changes_test.go
+++ b/tools/capacity/changes_test.go
@@ -15,8 +15,9 @@
 	return r
 }
 
-// Four times the members cost a member no more, and whoever leads no more than in proportion, at rest and while changes
-// go on. In virtual time: counts and bytes, which are the same on each machine.
+// With four times the members, the cost of a member stays the same and the cost of the leader grows no more than in
+// proportion, at rest and during changes. The test compares counts and bytes in virtual time, which are the same on each
+// machine.
 func TestFourTimesTheMembersCostAMemberNoMore(t *testing.T) {
 	for name, c := range map[string]changing{
 		"at rest":           {length: 16 * time.Second},
@@ -38,7 +39,7 @@
 			{"the leader's state", a.leader.disk, b.leader.disk, 4},
 		} {
 			if x.a <= 0 || x.b > x.times*x.a {
-				t.Errorf("%s: %s: %.0f with 20 members, %.0f with 80: up to %.1f times", name, x.what, x.a, x.b, x.times)
+				t.Errorf("%s: %s: %.0f with 20 members, %.0f with 80: want at most %.1f times", name, x.what, x.a, x.b, x.times)
 			}
 		}
 		if c.every > 0 && (a.inForce != a.asked || b.inForce != b.asked || a.asked < 4) {
@@ -55,7 +56,8 @@
 	}
 }
 
-// Each change goes to all or is dropped, and a fleet that is asked for one while another is under way drops it.
+// Each change comes into force at all members or is dropped; a change that is proposed while another is under way is
+// dropped.
 func TestWhatIsAskedForIsInForceOrDropped(t *testing.T) {
 	r := played(t, changing{members: 20, length: 24 * time.Second, every: 200 * time.Millisecond, drawn: true})
 	if r.asked != r.inForce+r.dropped || len(r.everywhere) != r.inForce || r.why["another change is under way"] == 0 {
@@ -63,8 +65,8 @@
 	}
 }
 
-// At a rate at which one text for all drops most changes, parts of services drop none; and ten times the members cost a member
-// no more, and are waited for no longer.
+// At a rate at which a fleet with one policy for all drops many changes, changes to parts of services are not dropped. With
+// ten times the members, a member's bytes stay the same and changes take no longer.
 func TestPartsOfServicesCostAMemberNoMore(t *testing.T) {
 	c := changing{members: 100, length: 22 * time.Second, every: 300 * time.Millisecond, drawn: true}
 	whole := played(t, c)
@@ -73,17 +75,17 @@
 	c.members = 10
 	a := played(t, c)
 	if whole.dropped < whole.asked/3 || a.dropped+b.dropped > 0 || a.asked < 20 || b.asked < 20 || len(b.everywhere) != b.asked {
-		t.Errorf("one text: %d of %d dropped; parts: %d of %d and %d of %d, in force at all whom they concern %d", whole.dropped, whole.asked, a.dropped, a.asked, b.dropped, b.asked, len(b.everywhere))
+		t.Errorf("one text: %d of %d dropped; parts: %d of %d and %d of %d dropped, in force at all members concerned: %d", whole.dropped, whole.asked, a.dropped, a.asked, b.dropped, b.asked, len(b.everywhere))
 	}
 	if b.member.bytesIn > 1.3*a.member.bytesIn || b.member.bytesIn > whole.member.bytesIn/2 {
-		t.Errorf("a member is sent %.0f bytes a second among 10, %.0f among 100, %.0f there with one text", a.member.bytesIn, b.member.bytesIn, whole.member.bytesIn)
+		t.Errorf("a member receives %.0f bytes a second among 10, %.0f among 100, and %.0f among 100 with one text", a.member.bytesIn, b.member.bytesIn, whole.member.bytesIn)
 	}
 	if p50 := quantile(b.everywhere, 0.5); p50 > quantile(whole.everywhere, 0.5)/2 {
 		t.Errorf("half of the changes take %.2f s", p50)
 	}
 }
 
-// The list's bytes are in proportion to its servers.
+// The size of the list is in proportion to the number of its servers.
 func TestTheListGrowsInProportion(t *testing.T) {
 	a, err := wholeList(100)
 	if err != nil {
@@ -94,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if r := float64(len(b)) / float64(len(a)); r < 9.5 || r > 10.5 {
-		t.Errorf("ten times the servers are %.1f times the bytes", r)
+		t.Errorf("ten times the servers take %.1f times the bytes", r)
 	}
 	read, err := readList(b, 100)
 	if err != nil || read.memory <= float64(len(b))/10 {
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -21,40 +21,40 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// fleetName stands in each message; one of this length is usual.
+// fleetName is in each message, so its length counts; this length is usual.
 const fleetName = "fleet"
 
-// changing is one play of a fleet whose policy is changed.
+// policyRun describes one simulation of a fleet whose policy is changed.
 type changing struct {
 	members, voters int
 	stops           bool
-	every           time.Duration // between two changes, in the mean; 0: there are none
-	drawn           bool          // by chance, each by another member; else at even times, all by one
-	text            int           // bytes of a policy
-	from, length    time.Duration // changes and figures begin then; the play ends
+	every           time.Duration // mean time between two changes; 0: no changes
+	drawn           bool          // changes at random times, each by a random member; else at regular times, all by one member
+	text            int           // size of a policy, in bytes
+	from, length    time.Duration // when changes and measurements begin; when the simulation ends
 	streams         int
-	regions         int           // members are by turns in one of so many; 0: all in one
-	delay           time.Duration // one way between two regions
-	cut             int           // this region is cut off, -1: none
+	regions         int           // number of regions, to which members are assigned in turn; 0: all in one
+	delay           time.Duration // one-way delay between two regions
+	cut             int           // the region that is cut off; -1: none
 	cutAt, cutFor   time.Duration
-	kill            []int // end then, for good
+	kill            []int // members that are killed at killAt and do not come back
 	killAt          time.Duration
-	parts           bool // each change is of a service's part, one in a hundred of what holds for all; else all are of that
+	parts           bool // a change is to one service's part, and one in a hundred to the policy for all; else all are to the policy for all
 	seed            uint64
 }
 
-// changed is what came of it.
+// policyResult is the result of a policyRun.
 type changed struct {
 	asked, inForce, dropped int
-	why                     map[string]int  // of what was dropped, by the kind of reason
-	prepared, everywhere    []time.Duration // from the question: to the first that serves by it, to the last
-	leader, voter, member   load            // the leader, the mean of other voters, the mean of others
-	heap                    float64         // bytes, for each member
-	started                 time.Duration   // until the last member served, from the start of all at once; 0: not all did before the first change was in force
-	serving, turned         int             // of who was cut off: served to the end of it, or not
+	why                     map[string]int  // number of dropped changes, by the kind of reason
+	prepared, everywhere    []time.Duration // from the proposal until the first member serves by the change, and until the last one does
+	leader, voter, member   load            // of the leader, the mean of the other voters, the mean of the other members
+	heap                    float64         // heap of the simulation for each member, in bytes
+	started                 time.Duration   // from the start of all members until the last one served; 0: not all did before the first change was in force
+	serving, turned         int             // requests in the region that is cut off, during that time: served, rejected
 }
 
-// load is what one member has to do with it, a second.
+// load is the traffic and CPU time of one member, per second, and its bytes on disk.
 type load struct{ messagesIn, messagesOut, bytesIn, bytesOut, cpu, disk float64 }
 
 func (c changing) play() (*changed, error) {
@@ -74,7 +74,7 @@
 		p.Policy.Holds = holders
 		names = slices.Sorted(maps.Keys(holders))
 	}
-	last := c.length - 10*time.Second // what is asked for later can't be told
+	last := c.length - 10*time.Second // the result of a later change might not be known at the end
 	for t := c.from; c.every > 0 && t < last; {
 		who := min(1, c.members-1)
 		if c.drawn {
@@ -157,7 +157,7 @@
 			o.Take = 500 * time.Millisecond
 		}
 	}
-	runtime.LockOSThread() // its time is what a step costs, whatever else the machine does
+	runtime.LockOSThread() // threadTime then measures this work alone, even on a busy machine
 	defer runtime.UnlockOSThread()
 	r, err := policymodel.Play(p, o)
 	if err != nil {
@@ -227,11 +227,11 @@
 	return out, nil
 }
 
-// forAll: one change in so many is of what holds for all.
+// forAll is the number of changes of which one is to the policy for all, when changes are to parts.
 const forAll = 100
 
-// holding is who holds which services' parts: each member is one of the agents of the size aimed at, evenly taken, and holds
-// the part of the service that it has and of those that it calls.
+// holding returns which members hold the part of which service. The members are evenly chosen from the agents of the
+// target size; each holds the part of its own service and those of the services that it calls.
 func holding(members int, seed uint64) (map[string][]int, error) {
 	const agents = 12000
 	g, err := hollow.DrawGraph(hollow.GraphSpec{Agents: agents, Seed: seed})
@@ -249,22 +249,22 @@
 	return all, nil
 }
 
-// threadTime is the processor time of this thread so far.
+// threadTime returns the CPU time of this thread so far.
 func threadTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(err) // there is none without it
+		panic(err) // nothing can be measured without this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// add takes one of n into a mean.
+// add adds one of n loads to a mean.
 func (l *load) add(x load, n int) {
 	f := 1 / float64(n)
 	l.messagesIn, l.messagesOut, l.bytesIn, l.bytesOut, l.cpu, l.disk = l.messagesIn+f*x.messagesIn, l.messagesOut+f*x.messagesOut, l.bytesIn+f*x.bytesIn, l.bytesOut+f*x.bytesOut, l.cpu+f*x.cpu, l.disk+f*x.disk
 }
 
-// kindOf is a reason without its names.
+// kindOf returns the kind of a reason, without the names in it.
 func kindOf(why string) string {
 	if strings.Contains(why, "another change of part") {
 		return "another change is under way"
@@ -284,7 +284,7 @@
 	return all
 }
 
-// quantile is one of sorted times, in seconds; NaN: there are none.
+// quantile returns the quantile q of sorted times, in seconds; NaN for an empty list.
 func quantile(all []time.Duration, q float64) float64 {
 	if len(all) == 0 {
 		return math.NaN()
--- a/tools/capacity/entries_test.go
+++ b/tools/capacity/entries_test.go
@@ -10,7 +10,7 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// What chain and path print with --toml is what docs/capacity/slopes.toml takes.
+// The entries that chain and path print with --toml are valid in docs/capacity/slopes.toml.
 func TestEntriesOfChainAndPathAreTaken(t *testing.T) {
 	var main, start []*chainPlay
 	for _, of := range chainCases {
@@ -42,21 +42,21 @@
 	}
 	for _, s := range back {
 		if len(s.Points) != 2 {
-			t.Errorf("%s has the points %v, two were measured", s.Name, s.Points)
+			t.Errorf("%s has the points %v, want the two that were measured", s.Name, s.Points)
 		}
 	}
 	o.calm = 0
 	for _, s := range pathSlopes(o, rows) {
 		if s.Quantity == "added_p99" {
-			t.Errorf("%s: the 99th of a hundred is told though busy rounds were not set aside", s.Name)
+			t.Errorf("%s: there is a p99 although busy rounds were not discarded", s.Name)
 		}
 	}
 	if len(back) < 15 {
-		t.Errorf("%d entries", len(back))
+		t.Errorf("%d entries, want at least 15", len(back))
 	}
 }
 
-// So is what view, verdicts and limits print, by whichever size and variable.
+// So are the entries that view, verdicts and limits print, for each variable.
 func TestEntriesOfWhatMembersShareAreTaken(t *testing.T) {
 	f := &flags{sizes: "30,100", seed: 1, workers: 1}
 	p := hollow.Phase{Out: hollow.Rate{Bytes: 2, Messages: 1, Most: 3}, In: hollow.Rate{Bytes: 2, Messages: 1, Most: 3}, Processor: 0.001}
@@ -76,7 +76,8 @@
 	}
 }
 
-// A ceiling is one of bytes in the mean; how long all take to agree is an entry of its own, without who never do.
+// A ceiling applies to the mean of bytes only. The time until all views agree is an entry of its own, without a point for a
+// size at which they never agree.
 func TestEntriesOfWorstMinutesHaveTheirCeilingAndTheirEnd(t *testing.T) {
 	f := &flags{sizes: "30,100,300", seed: 1, workers: 1}
 	s := f.series("view", "worst", "agents", "a zone")
@@ -98,6 +99,6 @@
 		}
 	}
 	if agreed != 1 {
-		t.Errorf("%d entries say when all agree", agreed)
+		t.Errorf("%d entries of the time until all views agree, want 1", agreed)
 	}
 }
--- a/tools/capacity/flags.go
+++ b/tools/capacity/flags.go
@@ -16,7 +16,7 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// flags are those of each slope of what members share.
+// flags are the flags that the commands view, verdicts and limits share.
 type flags struct {
 	sizes   string
 	seed    uint64
@@ -25,18 +25,18 @@
 }
 
 func (f *flags) add(c *cobra.Command) {
-	c.Flags().StringVar(&f.sizes, "sizes", f.sizes, "how many agents, in turn")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of all chance")
-	c.Flags().BoolVar(&f.toml, "toml", false, "print entries for docs/capacity/slopes.toml, and no table")
-	c.Flags().IntVar(&f.workers, "workers", 3, "cores that the members are stepped on")
+	c.Flags().StringVar(&f.sizes, "sizes", f.sizes, "numbers of agents, one run after another")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random numbers")
+	c.Flags().BoolVar(&f.toml, "toml", false, "print entries for docs/capacity/slopes.toml instead of a table")
+	c.Flags().IntVar(&f.workers, "workers", 3, "number of cores that run the members")
 	c.PreRun = func(*cobra.Command, []string) {
 		runtime.GOMAXPROCS(f.workers)
-		debug.SetGCPercent(25) // large views: memory is dearer than time
+		debug.SetGCPercent(25) // large views need much memory, which is scarcer here than CPU time
 		debug.SetMemoryLimit(memoryMost)
 	}
 }
 
-// memoryMost is what a run may use of the machine, in bytes.
+// maxMemory is the memory limit of a run, in bytes.
 const memoryMost = 6 << 30
 
 func (f *flags) numbers() ([]int, error) {
@@ -44,17 +44,17 @@
 	for _, s := range strings.Split(f.sizes, ",") {
 		n, err := strconv.Atoi(strings.TrimSpace(s))
 		if err != nil || n < 20 {
-			return nil, fmt.Errorf("--sizes: %q is no number of at least 20", s)
+			return nil, fmt.Errorf("--sizes: %q is not a number of at least 20", s)
 		}
 		all = append(all, n)
 	}
 	if !slices.IsSorted(all) {
-		return nil, fmt.Errorf("--sizes: %v are not ascending", all)
+		return nil, fmt.Errorf("--sizes: %v are not in ascending order", all)
 	}
 	return all, nil
 }
 
-// entry completes an entry by what all of a run have in common.
+// entry fills in the command, date and machine, which all entries of a run share.
 func (f *flags) entry(s slopes.Slope, command string) slopes.Slope {
 	s.Command = fmt.Sprintf("go run ./tools/capacity %s --sizes %s --seed %d --toml", command, f.sizes, f.seed)
 	s.Date = time.Now().Format(time.DateOnly)
@@ -62,20 +62,20 @@
 	return s
 }
 
-// series are points of each quantity over one variable.
+// series holds the points of each quantity over one variable.
 type series struct {
 	f                         *flags
 	mechanism, load, variable string
 	note                      string
 	points                    map[string][][2]float64
-	ceiling                   float64 // of bytes a second in the mean; 0: none
+	ceiling                   float64 // upper bound of the mean bytes per second; 0: none
 }
 
 func (f *flags) series(mechanism, load, variable, note string) *series {
 	return &series{f: f, mechanism: mechanism, load: load, variable: variable, note: note, points: map[string][][2]float64{}}
 }
 
-// quantities are what is kept of a phase, with units.
+// quantities are the figures that are kept of a phase, with their units.
 var quantities = []struct {
 	name, unit string
 	of         func(hollow.Phase) float64
@@ -95,17 +95,17 @@
 	}
 }
 
-// agreed adds how long all members took to have the same view. Who never had has no point.
+// agreed adds the time until all members had the same view. If they never agreed (took is negative), no point is added.
 func (s *series) agreed(size float64, took time.Duration) {
 	if took >= 0 {
 		s.points[settled] = append(s.points[settled], [2]float64{size, figures(took.Seconds())})
 	}
 }
 
-// settled is the quantity of agreed: a time, by members.
+// settled is the name of the quantity that agreed adds: a time, by the number of members.
 const settled = "time_agreed"
 
-// entries are one for each quantity, named mechanism.quantity.which.
+// entries returns an entry for each quantity, named mechanism.quantity.which.
 func (s *series) entries(which, command, form string) (all []slopes.Slope) {
 	for _, q := range quantities {
 		e := slopes.Slope{Name: s.mechanism + "." + q.name + "." + which, Role: "agent", Load: s.load, Quantity: q.name, Unit: q.unit,
@@ -126,7 +126,7 @@
 	return all
 }
 
-// figures is a number to four figures, or whole where it has more.
+// figures rounds a number to four significant figures, or to an integer if it has more digits before the point.
 func figures(x float64) float64 {
 	if x == 0 {
 		return 0
--- a/tools/capacity/held.go
+++ b/tools/capacity/held.go
@@ -23,10 +23,10 @@
 
 func heldCommand() *cobra.Command {
 	sizes, crashes, seed, direct, toml := "20,50", 10, uint64(1), time.Duration(0), false
-	c := &cobra.Command{Use: "held", Short: "Hollow members beside as many real daemons: bytes, messages and times", Args: cobra.NoArgs,
-		Long: "held plays the same plan with real daemons (relays on their links) and with hollow members on sockets, side by side, and\n" +
-			"then in virtual time: rest, and one after another killed and started. It ends with status 1 where a rate of the\n" +
-			"hollow is off by more than 15% from the real one's, and says where a time is."}
+	c := &cobra.Command{Use: "held", Short: "Compare hollow members with as many real daemons: bytes, messages and times", Args: cobra.NoArgs,
+		Long: "held runs the same plan with real daemons (relays on their links) and with hollow members on sockets, side by side, and\n" +
+			"then in virtual time: rest, and one member after another killed and started. It exits with status 1 if a rate of\n" +
+			"the hollow members is off by more than 15% from the real daemons', and reports a time that is."}
 	c.RunE = func(*cobra.Command, []string) error {
 		ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer cancel()
@@ -45,7 +45,7 @@
 		for _, text := range strings.Split(sizes, ",") {
 			n, err := strconv.Atoi(text)
 			if err != nil || n < 4 {
-				return fmt.Errorf("--sizes: %q is no number of at least 4", text)
+				return fmt.Errorf("--sizes: %q is not a number of at least 4", text)
 			}
 			h := hollow.Held{Program: bin, Dir: filepath.Join(dir, text), Members: n, Crashes: crashes, Seed: seed, Rest: [2]time.Duration{20 * time.Second, 45 * time.Second},
 				Peers: plan.Peers{Direct: direct, Indirect: direct + direct/2}}
@@ -86,10 +86,10 @@
 		}
 		return nil
 	}
-	c.Flags().StringVar(&sizes, "sizes", sizes, "how many members, in turn")
-	c.Flags().IntVar(&crashes, "crashes", crashes, "how many crashes and joins")
-	c.Flags().DurationVar(&direct, "direct", 0, "how long a probe waits for its answer, and half as long again for helpers; 0: the default. With 1s what a busy machine delays is no failure")
-	c.Flags().BoolVar(&toml, "toml", false, "after the table, print the entry for docs/capacity/slopes.toml: processor time of real daemons")
-	c.Flags().Uint64Var(&seed, "seed", seed, "of all chance")
+	c.Flags().StringVar(&sizes, "sizes", sizes, "numbers of members, one run after another")
+	c.Flags().IntVar(&crashes, "crashes", crashes, "number of crashes and joins")
+	c.Flags().DurationVar(&direct, "direct", 0, "time that a direct probe waits for its answer; an indirect one waits 1.5 times as long; 0: the default. With 1s, delays of a busy machine cause no failures")
+	c.Flags().BoolVar(&toml, "toml", false, "after the table, print the entry for docs/capacity/slopes.toml: CPU time of real daemons")
+	c.Flags().Uint64Var(&seed, "seed", seed, "seed of all random numbers")
 	return c
 }
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -15,21 +15,21 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// What the list is held against: see docs/capacity/size.toml.
+// Target size and bound with which the list is compared: see docs/capacity/size.toml.
 const (
 	agents         = 12000
 	restartsPerDay = 710
-	budget         = 11000 // bytes a second for an agent's control
+	budget         = 11000 // bytes a second for an agent's control traffic
 	secondsOfDay   = 86400
 )
 
-// served is a server as the list service writes it.
+// listedServer returns a server as the list service encodes it.
 func served(i int, state string) discovery.Member {
 	return discovery.Member{ID: fmt.Sprintf("s%03d-%05d", i%990, i), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, 20000+i%1000),
 		Zone: fmt.Sprintf("zone-%02d", i%15), Kind: "standard", Cell: i % 150, State: state, Weight: 1, Started: 1764633600000 + int64(i)}
 }
 
-// wholeList is the list of n servers as it is on its way.
+// wholeList returns the encoded list of n servers, as it is sent.
 func wholeList(n int) ([]byte, error) {
 	m := discovery.Members{Version: 1, Full: true}
 	for i := range n {
@@ -39,7 +39,7 @@
 	return append(data, '\n'), err
 }
 
-// oneRestart is what all agents are told of one: it drains, it is gone, it is there again.
+// oneRestart returns the number of bytes that each agent receives for one restart of a server: draining, gone, ready.
 func oneRestart() (size int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
 		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{served(11999, state)}})
@@ -51,11 +51,11 @@
 	return size, nil
 }
 
-// reading is what a whole list costs the agent that reads it.
+// listCost is the cost of a whole list for the agent that reads it.
 type reading struct {
-	decode, take time.Duration // JSON; the module's step that takes it
-	memory       float64       // heap of what stays
-	step         time.Duration // a request and its outcome
+	decode, take time.Duration // decoding the JSON; the module's step that applies the list
+	memory       float64       // heap that stays in use, in bytes
+	step         time.Duration // the module's time for a request and its outcome
 }
 
 func readList(data []byte, requests int) (*reading, error) {
@@ -125,10 +125,10 @@
 	return &r, nil
 }
 
-// listCommand measures what the list of servers costs whom.
+// listCommand measures the cost of the list of servers, for agents and for the list service.
 func listCommand() *cobra.Command {
 	var f plainFlags
-	c := &cobra.Command{Use: "list", Short: "What the list of servers costs, by their number", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "list", Short: "The cost of the list of servers, by their number", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			b, out := f.book("go run ./tools/capacity list"), f.table(c)
 			delta, err := oneRestart()
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures what one more agent, service, region or change costs whom, a sub-command for each slope,
-// and prints the tables of docs/CAPACITY.md from docs/capacity/size.toml (the size aimed at) and
-// docs/capacity/slopes.toml (what was measured).
+// Command capacity measures how the cost of each role grows with each additional agent, service, region or change, with a
+// sub-command for each mechanism. It also prints the tables of docs/CAPACITY.md from docs/capacity/size.toml (the target
+// size) and docs/capacity/slopes.toml (the measurements).
 //
 //	go run ./tools/capacity --help
 package main
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "capacity", Short: "What one more agent, service, region or change costs whom",
+	root := &cobra.Command{Use: "capacity", Short: "Measure how costs grow with agents, services, regions and changes",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(commands()...)
 	if err := root.Execute(); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// commands are one a slope, a line each.
+// commands returns the sub-commands.
 func commands() []*cobra.Command {
 	return []*cobra.Command{
 		pageCommand(),
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -16,7 +16,7 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// shownView is what `fleet view --json` is told by a daemon that knows n members.
+// viewStatus returns the status that `fleet view --json` receives from a daemon that knows n members.
 func shownView(n int) *transport.MembershipStatus {
 	s := &transport.MembershipStatus{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, RunID: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UpS: 86400.123,
 		Size: transport.SizeStatus{MaxBalancers: n, MinBalancers: n, Members: n, Live: n}}
@@ -27,7 +27,7 @@
 	return s
 }
 
-// shownPolicy is what `policy show --json` is told by a voter of n members.
+// policyStatus returns the status that `policy show --json` receives from a voter with n members in its roster.
 func shownPolicy(n int) *daemon.PolicyStatus {
 	s := &daemon.PolicyStatus{Status: policy.Status{Name: "host-00000", Serving: "by the policy in force", Voters: []string{"host-00000", "host-00001", "host-00002"}, Leader: "host-00001"}, Body: policyOf(100)}
 	for i := range n {
@@ -36,7 +36,7 @@
 	return s
 }
 
-// read is the size of a JSON document, and the processor time to read it.
+// read returns the size of v as a JSON document, and the CPU time to decode it.
 func read[T any](v *T) (size int, took time.Duration, err error) {
 	data, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -56,10 +56,10 @@
 	return len(data) + 1, all[2], nil
 }
 
-// operatorCommand measures what an operator's own tools are told.
+// operatorCommand measures the documents that an operator's tools read.
 func operatorCommand() *cobra.Command {
 	var f plainFlags
-	c := &cobra.Command{Use: "operator", Short: "What an operator's tools are told, by the size of the fleet", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "operator", Short: "The documents that an operator's tools read, by the size of the fleet", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			b, out := f.book("go run ./tools/capacity operator"), f.table(c)
 			out.head("members", "fleet view --json, bytes", "read in", "policy show --json at a voter, bytes", "read in")
--- a/tools/capacity/page.go
+++ b/tools/capacity/page.go
@@ -9,11 +9,11 @@
 	"vetchhaven/tools/capacity/page"
 )
 
-// pageCommand prints docs/CAPACITY.md with its tables, or writes them into it.
+// pageCommand prints docs/CAPACITY.md and docs/capacity/tables.md with their tables, or writes the tables into them.
 func pageCommand() *cobra.Command {
 	var write bool
 	var size, slopes, path, fullPath string
-	c := &cobra.Command{Use: "page", Short: "The tables of docs/CAPACITY.md, from the size aimed at and what was measured", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "page", Short: "The tables of docs/CAPACITY.md, from the target size and the measurements", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			brief, full, err := page.Load(size, slopes)
 			if err != nil {
@@ -42,8 +42,8 @@
 			return nil
 		}}
 	c.Flags().BoolVar(&write, "write", false, "write the tables into the pages")
-	c.Flags().StringVar(&size, "size", "docs/capacity/size.toml", "the size aimed at, and the bounds")
-	c.Flags().StringVar(&slopes, "slopes", "docs/capacity/slopes.toml", "what was measured")
+	c.Flags().StringVar(&size, "size", "docs/capacity/size.toml", "the file of the target size and the bounds")
+	c.Flags().StringVar(&slopes, "slopes", "docs/capacity/slopes.toml", "the file of measurements")
 	c.Flags().StringVar(&path, "page", "docs/CAPACITY.md", "the page")
 	c.Flags().StringVar(&fullPath, "full", "docs/capacity/tables.md", "the page with every entry")
 	return c
--- a/tools/capacity/page/brief.go
+++ b/tools/capacity/page/brief.go
@@ -8,16 +8,17 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// Of docs/CAPACITY.md, which a person reads whole:
+// Limits that keep docs/CAPACITY.md short enough to be read completely.
 const (
-	lineMost    = 150 // characters of a line of text
-	small       = 0.1 // of a bound that it shares: what a mechanism takes below that has no row of its own
-	breaksAfter = 2   // bounds that are met at the size aimed at, after those that are not
+	lineMost    = 150 // longest line of text, in characters
+	small       = 0.1 // share of a bound on a sum below which a mechanism has no row of its own
+	breaksAfter = 2   // number of rows for bounds that are met at the target size, after those that are not
 )
 
-// Brief are the tables of docs/CAPACITY.md, by name: those that Tables has, but the runs, in short. A role's table has of
-// each load, mechanism and quantity what is greatest at the size aimed at, of what is asked for or bounded; of bytes in and
-// out the greater, with its messages; and all that a bound holds for together. What is played as incidents is by size.
+// Brief returns the tables of docs/CAPACITY.md, by name: short forms of those that Tables returns, except the runs. A
+// role's table has, for each load, mechanism and quantity that is required or bounded, the entry that is greatest at the
+// target size; of bytes in and out only the greater one, with its messages; and the sum of all figures that a bound applies
+// to. Simulated incidents have tables by size.
 func Brief(s *Size, all []slopes.Slope) map[string]string {
 	p := printerOf(s, all)
 	tables := map[string]string{"size": p.sizeLine(), "breaks": p.firstBreaks(), "chain": p.tiers(), "minutes": p.minutes()}
@@ -29,7 +30,7 @@
 	return tables
 }
 
-// sizeLine is the size aimed at as text.
+// sizeLine returns the target size as text.
 func (p *printer) sizeLine() string {
 	var sizes []string
 	for i := range p.size.Variable {
@@ -43,7 +44,7 @@
 	return wrap("**The size aimed at:** " + strings.Join(sizes, "; ") + ".")
 }
 
-// wrap breaks a text into lines.
+// wrap breaks a text into lines of at most lineMost characters.
 func wrap(text string) string {
 	var b strings.Builder
 	at := 0
@@ -61,7 +62,7 @@
 	return b.String() + "\n"
 }
 
-// brief is the short table of one role.
+// brief returns the short table of one role.
 func (p *printer) brief(role string) string {
 	t := table("load", "figure", "slope", "at the size", "measured over", "times beyond", "bound", "met", "run")
 	var gaps []string
@@ -86,12 +87,12 @@
 	return text
 }
 
-// bothWays has one word for what is missing out and in.
+// bothWays uses one word for a figure that is missing in both directions.
 func bothWays(missing string) string {
 	return strings.NewReplacer("messages out, messages in", "messages", "bytes out, bytes in", "bytes").Replace(missing)
 }
 
-// other is the entry of the same case with a word of its name replaced; nil: there is none.
+// other returns the entry whose name has is in place of was; nil: there is none.
 func (p *printer) other(e *slopes.Slope, was, is string) *slopes.Slope {
 	name := strings.Replace(e.Name, "."+was, "."+is, 1)
 	if i := slices.IndexFunc(p.all, func(o slopes.Slope) bool { return o.Name == name }); i >= 0 && name != e.Name {
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// way is a quantity's own word, of two ways: bytes of bytes_out. Empty: it has no ways.
+// direction splits a quantity that has a direction: for bytes_out, word is bytes and other is bytes_in. Both are empty if
+// the quantity has no direction.
 func way(quantity string) (word, other string) {
 	if w, ok := strings.CutSuffix(quantity, "_in"); ok {
 		return w, w + "_out"
@@ -111,7 +113,7 @@
 	return "", ""
 }
 
-// opposite is the greatest entry of the other way, of the same load and mechanism.
+// opposite returns the greatest entry of the other direction, of the same load and mechanism; nil: there is none.
 func (p *printer) opposite(e *slopes.Slope) *slopes.Slope {
 	_, other := way(e.Quantity)
 	if other == "" {
@@ -125,8 +127,8 @@
 	return nil
 }
 
-// beside reports whether an entry is told beside another, and has no row: messages beside the bytes that they are, and of
-// two ways the lesser.
+// inOtherRow reports whether an entry has no row of its own because another row covers it: messages are in the row of
+// their bytes, and of two directions only the greater has a row.
 func (p *printer) beside(e *slopes.Slope) bool {
 	word, _ := way(e.Quantity)
 	if word == "messages" && slices.ContainsFunc(p.all, func(o slopes.Slope) bool {
@@ -142,7 +144,7 @@
 	return false
 }
 
-// isSmall reports whether an entry, both ways together, is little of a bound that it shares with others.
+// isSmall reports whether an entry, with both directions added, is a small share of a bound on a sum.
 func (p *printer) isSmall(e *slopes.Slope) bool {
 	value := p.aimed(e)
 	if o := p.opposite(e); o != nil {
@@ -153,7 +155,7 @@
 	})
 }
 
-// isFarther reports whether an entry keeps a bound that holds for each by itself, and another of its load is nearer to it.
+// isFarther reports whether an entry meets a bound on single entries, and another entry of its load is closer to the bound.
 func (p *printer) isFarther(e *slopes.Slope) bool {
 	return slices.ContainsFunc(p.size.Bound, func(b Bound) bool {
 		by := scale(b.Unit, e.Unit)
@@ -163,10 +165,10 @@
 	})
 }
 
-// workedOut begins the note of an entry whose points are not measured, but worked out from others that are.
+// workedOut begins the note of an entry whose points are calculated from measurements of others.
 const workedOut = "worked out"
 
-// short is an entry's row.
+// short adds the short row of an entry to a table.
 func (p *printer) short(t *grid, e *slopes.Slope) {
 	v := p.size.variable(e.Variable)
 	f, x := e.Fit(), v.at(e.Load)
@@ -197,7 +199,7 @@
 	t.row(e.Load, p.figure(e), form, there, over(e, v), beyond, bound, kept, p.number(e))
 }
 
-// farther is how many times beyond what was measured a figure is, marked where that is far.
+// farther formats the factor by which a figure is extrapolated beyond the measured sizes, in bold above Far.
 func farther(times float64) string {
 	text := fmt.Sprintf("%.1f", times)
 	if times > Far {
@@ -206,7 +208,7 @@
 	return text
 }
 
-// over is which sizes an entry was measured over.
+// over returns the range of sizes over which an entry was measured, as text.
 func over(e *slopes.Slope, v *Variable) string {
 	low, high := e.Range()
 	if low == high {
@@ -215,10 +217,10 @@
 	return fmt.Sprintf("%s to %s %s", count(low), count(high), v.Words)
 }
 
-// forAll marks a bound that all mechanisms of a role share.
+// forAll is the suffix of a bound that all mechanisms of a role share.
 const forAll = " for all"
 
-// boundOf is the bound on an entry, and whether the entry keeps it alone.
+// boundOf returns the bound on an entry as text, and whether the entry by itself meets it.
 func (p *printer) boundOf(e *slopes.Slope, value float64) (bound, kept string) {
 	for i := range p.size.Bound {
 		if b := &p.size.Bound[i]; b.of(e) && b.in(e.Load) {
@@ -231,7 +233,7 @@
 	return bound, kept
 }
 
-// figure is an entry's name, and its quantity where the name has another word.
+// figure returns an entry's name, preceded by its quantity if the name does not contain it.
 func (p *printer) figure(e *slopes.Slope) string {
 	if strings.Contains(e.Name, "."+e.Quantity) {
 		return "`" + e.Name + "`"
@@ -239,7 +241,7 @@
 	return words(e.Quantity) + " `" + e.Name + "`"
 }
 
-// shortFormula is a fit in few words; n is the size.
+// shortFormula returns a fit as short text, in which n is the size.
 func shortFormula(e *slopes.Slope, f slopes.Fit) string {
 	one := func(x float64) string { return strings.TrimSuffix(unit(x, e.Unit), " of a core") }
 	plus := func(term string) string {
@@ -268,7 +270,8 @@
 	return text
 }
 
-// together is the row of what bounds on sums hold for, of a load that has figures of its own, and how many mechanisms are in it.
+// together adds a row with the sums that a role's bounds apply to, at a load that has figures of its own, and with the
+// number of mechanisms in them.
 func (p *printer) together(t *grid, role, load string) {
 	var values, bounds, kept []string
 	who := map[string]bool{}
@@ -292,7 +295,7 @@
 	}
 }
 
-// firstBreaks are the bounds that are not met, and the first of those that are.
+// firstBreaks returns the table of bounds that are not met, and of the first breaksAfter that are.
 func (p *printer) firstBreaks() string {
 	all := p.crossings()
 	if len(all) == 0 {
@@ -316,7 +319,7 @@
 	return t.String()
 }
 
-// tiers are the incidents of calls in tiers, the second word of a name.
+// tiers returns the table of incidents in chains of tiers; the second word of an entry's name is the incident.
 func (p *printer) tiers() string {
 	var all []*slopes.Slope
 	for _, load := range slopes.Loads {
@@ -325,16 +328,17 @@
 	return p.incidents(all, nil, func(e *slopes.Slope) string { return strings.Split(e.Name, ".")[1] })
 }
 
-// minutes are the view's worst minutes, each the last word of its names.
+// minutes returns the table of the membership view's worst minutes; the last word of an entry's name is the incident.
 func (p *printer) minutes() string {
 	all := slices.DeleteFunc(p.of("agent", "worst"), func(e *slopes.Slope) bool { return e.Mechanism != "view" })
 	return p.incidents(all, []string{"bytes_out", "bytes_out_most", "time_agreed"}, func(e *slopes.Slope) string {
-		return strings.TrimSuffix(e.Name[strings.LastIndex(e.Name, ".")+1:], "_80ms") // all are played at that distance
+		return strings.TrimSuffix(e.Name[strings.LastIndex(e.Name, ".")+1:], "_80ms") // all of them are simulated with that round-trip time
 	})
 }
 
-// incidents is the short table of figures by a few sizes: a row an incident, a column a quantity (no list: all), of its
-// entries the one that is named for it.
+// incidents returns a short table of figures at a few sizes, with a row for each incident and a column for each quantity;
+// an empty list of quantities means all. If an incident has several entries of a quantity, the one whose name ends in the
+// quantity is used.
 func (p *printer) incidents(all []*slopes.Slope, quantities []string, of func(*slopes.Slope) string) string {
 	given := len(quantities) > 0
 	var incidents []string
@@ -393,7 +397,7 @@
 	return t.String()
 }
 
-// bySize are an entry's values at sizes; -: not measured there. A unit that all have stands once.
+// bySize returns an entry's values at sizes; "-" means not measured. A unit that all values share is written once.
 func bySize(e *slopes.Slope, sizes []float64) string {
 	var all, units []string
 	for _, x := range sizes {
@@ -415,5 +419,5 @@
 	return strings.Join(all, " / ") + " " + units[0]
 }
 
-// perCall is the unit of attempts, which go without it.
+// perCall is the unit of attempts, which is not printed.
 const perCall = "1/call"
--- a/tools/capacity/page/brief_test.go
+++ b/tools/capacity/page/brief_test.go
@@ -17,17 +17,17 @@
 	return Brief(s, all)
 }
 
-// hasNot fails the test where a table names what it is not to.
+// hasNot fails the test if a table contains any of the texts.
 func hasNot(t *testing.T, table string, texts ...string) {
 	t.Helper()
 	for _, text := range texts {
 		if strings.Contains(table, text) {
-			t.Errorf("it has %q:\n%s", text, table)
+			t.Errorf("the table has %q:\n%s", text, table)
 		}
 	}
 }
 
-// The page is one that a person reads: so many lines, so wide. What does not fit goes to tables.md.
+// CAPACITY.md must be short enough for a person to read. What does not fit belongs in tables.md.
 func TestThePageIsShort(t *testing.T) {
 	text, err := os.ReadFile(docs + "CAPACITY.md")
 	if err != nil {
@@ -49,12 +49,12 @@
 	has(t, got["agent"], "| rest | `view.bytes_out.rest` |", "| 100 B/s + 1 B/s n |", "| 12.1 KB/s |", "| 100 to 1,000 agents |", "| **12.0** |", "| 11 KB/s |", "| **no** |", "| [1] |")
 	has(t, got["agent"], "| rest | **all together**, of 1 |", "| 12.1 KB/s |", "| 11 KB/s |", "| **no** |")
 	if !strings.Contains(got["agent"], "\nNot measured: at rest view: memory.\n") {
-		t.Errorf("what is missing is not named:\n%s", got["agent"])
+		t.Errorf("missing figures are not named:\n%s", got["agent"])
 	}
 	has(t, got["breaks"], "| 1 | bytes | rest |", "10,900 agents (0.91 of the size)", "`view.bytes_out.rest`", "| 12.1 KB/s | 11 KB/s | **no** |")
 }
 
-// Of two ways there is the greater, with its own messages; a sum counts both.
+// Of two directions only the greater has a row, with its own messages; a sum counts both.
 func TestOfTwoWaysTheGreaterIsToldWithItsMessages(t *testing.T) {
 	of := func(quantity string, unit string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -67,7 +67,8 @@
 	hasNot(t, got["agent"], "bytes_out", "`view.messages")
 }
 
-// Little of a shared bound has no row, and is in the sum. What alone is past its bound, or has none, always has one.
+// An entry that is a small share of a bound on a sum has no row, but is counted in the sum. An entry without a bound always
+// has a row.
 func TestWhatIsLittleOfASharedBoundHasNoRow(t *testing.T) {
 	flat := func(mechanism, quantity string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -81,7 +82,7 @@
 	has(t, got["agent"], "**all together**, of 3 |", "| 2.8 KB/s |")
 }
 
-// Of figures that keep a bound each by itself there is the nearest to it; those that don't are all there.
+// Of the entries that meet a bound on single entries only the closest to it has a row; all that exceed it have one.
 func TestOfWhatKeepsItsBoundTheNearestIsTold(t *testing.T) {
 	time := func(name, mechanism string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -96,7 +97,7 @@
 	has(t, got["agent"], "`b.time.rest`", "**no**")
 }
 
-// Points that are worked out from others are not called measured.
+// Points that are calculated from others are not shown as measured.
 func TestWhatIsWorkedOutSaysSo(t *testing.T) {
 	got := briefOf(t, slope(func(s *slopes.Slope) {
 		s.Points, s.Note = append(s.Points, [2]float64{12000, 5000}), "worked out: so many times so much"
@@ -110,7 +111,7 @@
 	has(t, got["agent"], "| 100: 200 B/s; 1,000: 1.1 KB/s |", "| not extrapolated |", "| **12.0** |")
 }
 
-// What breaks is there as far as it is not met, then two more; of the rest there is how many.
+// All bounds that are not met have a row, then the next two that are; the rest is one row with their numbers.
 func TestBriefBreaksAreThoseThatAreNotMetAndTheNextTwo(t *testing.T) {
 	var all []slopes.Slope
 	for _, c := range []struct {
@@ -128,7 +129,7 @@
 	hasNot(t, got, "`d.time.rest`")
 }
 
-// Incidents stand one a row with a column a quantity, by size; a point that is missing is told.
+// Each incident has a row, with a column for each quantity and the values by size; a missing point is shown as "-".
 func TestTiersAreOneRowAnIncident(t *testing.T) {
 	of := func(name, quantity, unit string, points ...[2]float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -143,7 +144,7 @@
 	has(t, got, "| by agents: 1 / 16 | attempts | share | time | run |")
 }
 
-// So do the view's worst minutes, of bytes out, the most in a second, and until all agree.
+// The view's worst minutes have the same form: bytes out, the most bytes in a second, and the time until all views agree.
 func TestTheViewsWorstMinutesStandBySize(t *testing.T) {
 	of := func(name, quantity, unit string, points ...[2]float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
--- a/tools/capacity/page/grid.go
+++ b/tools/capacity/page/grid.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// grid is a table of Markdown.
+// grid is a Markdown table.
 type grid struct {
 	head []any
 	rows [][]any
@@ -38,7 +38,7 @@
 	return b.String()
 }
 
-// count is a number for people: 12,000; 0.74.
+// count formats a number for people, such as 12,000 or 0.74.
 func count(x float64) string {
 	if x != math.Trunc(x) || math.Abs(x) < 1000 {
 		return strconv.FormatFloat(round(x), 'f', -1, 64)
@@ -50,7 +50,7 @@
 	return text
 }
 
-// unit is a figure with its unit, in one that people read easily, with three figures.
+// unit formats a figure with three significant figures, in a unit of the same kind that makes it short.
 func unit(x float64, u string) string {
 	short := func(x float64) string { return count(round(x)) }
 	step := func(x float64, names ...string) string {
@@ -78,7 +78,7 @@
 	return short(x) + " " + u
 }
 
-// round leaves three figures.
+// round rounds to three significant figures.
 func round(x float64) float64 {
 	v, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64)
 	return v
--- a/tools/capacity/page/page.go
+++ b/tools/capacity/page/page.go
@@ -10,7 +10,8 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// Load reads both files, and prints the tables of both pages.
+// Load reads the files of the target size and the slopes, and returns the tables of docs/CAPACITY.md (brief) and of
+// docs/capacity/tables.md (full), by name.
 func Load(sizePath, slopesPath string) (brief, full map[string]string, err error) {
 	size, err := ReadSize(sizePath)
 	if err != nil {
@@ -34,7 +35,8 @@
 
 const end = "<!-- end -->"
 
-// Insert puts the tables between their markers. Each table has a place on the page, and each place a table.
+// Insert puts the tables between their markers in text. It returns an error unless each table has exactly one place on the
+// page, and each place a table. Errors name the page as path.
 func Insert(path, text string, tables map[string]string) (string, error) {
 	var out []string
 	var missing []string
--- a/tools/capacity/page/page_test.go
+++ b/tools/capacity/page/page_test.go
@@ -11,7 +11,7 @@
 
 const docs = "../../../docs/"
 
-// The pages have the tables that both files give, byte by byte.
+// The pages contain exactly the tables that the files of the target size and the slopes produce, byte by byte.
 func TestThePagesHoldWhatTheFilesSay(t *testing.T) {
 	brief, full, err := Load(docs+"capacity/size.toml", docs+"capacity/slopes.toml")
 	if err != nil {
@@ -29,11 +29,11 @@
 		a, b := strings.Split(string(was), "\n"), strings.Split(text, "\n")
 		for i := range min(len(a), len(b)) {
 			if a[i] != b[i] {
-				t.Fatalf("docs/%s:%d:\n%s\nis to be\n%s\n(go run ./tools/capacity page --write)", name, i+1, a[i], b[i])
+				t.Fatalf("docs/%s:%d:\n%s\nwant\n%s\n(go run ./tools/capacity page --write)", name, i+1, a[i], b[i])
 			}
 		}
 		if len(a) != len(b) {
-			t.Errorf("docs/%s has %d lines, and is to have %d (go run ./tools/capacity page --write)", name, len(a), len(b))
+			t.Errorf("docs/%s has %d lines, want %d (go run ./tools/capacity page --write)", name, len(a), len(b))
 		}
 	}
 }
@@ -112,7 +112,8 @@
 	t.Errorf("no row has %q:\n%s", cells, table)
 }
 
-// 100 + 1 x agents: 12.1 KB/s at 12,000, twelve times as far as was measured; the bound is crossed at 10,900.
+// The curve 100 + 1 x agents gives 12.1 KB/s at 12,000 agents, twelve times the largest measured size, and crosses the
+// bound at 10,900.
 func TestAnEntryIsExtrapolatedAndHeldToItsBound(t *testing.T) {
 	got := tables(t, slope(func(*slopes.Slope) {}))
 	has(t, got["agent"], "at rest", "`view.bytes_out.rest`", "| view |", "| 100 B/s + 1 B/s x agents |", "| 12.1 KB/s |", "| 0.0% |", "| 100 to 1,000 agents |", "| **12.0** |", "| 11 KB/s for all |", "| **no** |", "[1]")
@@ -121,7 +122,7 @@
 	has(t, got["breaks"], "| 1 | bytes |", "10,900 agents (0.91 of the size)", "**no**")
 	has(t, got["runs"], "[1]", "`c`", "2026-12-02", "| m |")
 	if strings.Contains(got["breaks"], "in time") {
-		t.Errorf("nothing was measured of it:\n%s", got["breaks"])
+		t.Errorf("a bound without measurements is in the table:\n%s", got["breaks"])
 	}
 }
 
@@ -130,7 +131,7 @@
 	has(t, got["agent"], "| 4.0 |")
 }
 
-// Where the size aimed at was measured itself, that counts, and not the curve.
+// A value measured at the target size is used instead of the curve.
 func TestWhatWasMeasuredAtTheSizeCounts(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) { s.Points = append(s.Points, [2]float64{12000, 5000}) }))
 	has(t, got["agent"], "| 5 KB/s, measured |", "| within |", "| yes |")
@@ -138,7 +139,7 @@
 	has(t, got["breaks"], "| 1 | bytes |", "| 5 KB/s |", "| yes |")
 }
 
-// What a load has no figure of counts as it is at rest; of two entries of one quantity the greater counts.
+// A figure that was not measured at a load counts with its value at rest; of two entries of one quantity the greater counts.
 func TestABoundOnASumTakesTheGreatestOfEachMechanism(t *testing.T) {
 	flat := func(name, load, quantity, mechanism string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -152,7 +153,8 @@
 	has(t, got["breaks"], "worst minute", "not up to 1,200,000 agents", "9.1 KB/s", "yes")
 }
 
-// Times in other units are held to the same bound, and what breaks at the smaller share of its size comes first.
+// Times in other units are compared with the same bound, and the bound that is crossed at the smaller share of its size
+// comes first.
 func TestWhatBreaksFirstComesFirst(t *testing.T) {
 	got := tables(t,
 		slope(func(s *slopes.Slope) {}),
@@ -166,12 +168,12 @@
 	lines := strings.Split(got["breaks"], "\n")
 	for i, want := range []string{"1,100 agents (0.092 of the size)", "110 ms there and back (0.44 of the size)", "10,900 agents"} {
 		if !strings.Contains(lines[2+i], want) {
-			t.Errorf("row %d is to have %s:\n%s", i+1, want, got["breaks"])
+			t.Errorf("row %d, want %s:\n%s", i+1, want, got["breaks"])
 		}
 	}
 }
 
-// A bound that is crossed below the smallest size measured is not said to be crossed at a size that nobody measured.
+// A bound that is crossed below the smallest measured size is reported so, without an extrapolated size.
 func TestACrossingBelowWhatWasMeasuredSaysSo(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) {
 		s.Name, s.Quantity, s.Unit, s.Points = "policy.time.day", "time", "s", [][2]float64{{100, 100}, {300, 300}, {1000, 1000}}
@@ -179,7 +181,7 @@
 	has(t, got["breaks"], "| 1 | in time |", "below 100 agents, the smallest size measured", "**no**")
 }
 
-// The same of a sum: by the mechanism that has a part in it and was measured least far down.
+// The same holds for a sum. The size named is that of the growing mechanism whose smallest measured size is the largest.
 func TestASumCrossedBelowWhatWasMeasuredSaysSo(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) { s.Points = [][2]float64{{300, 30000}, {1000, 100000}} }),
 		slope(func(s *slopes.Slope) {
@@ -188,7 +190,8 @@
 	has(t, got["breaks"], "| 1 | bytes |", "below 300 agents, the smallest size measured", "**no**")
 }
 
-// A figure that grows with distance is in the sum at the distance aimed at, and by itself where it alone crosses the bound.
+// A figure that grows with the distance is in the sum at the target distance, and has a row of its own if it crosses the
+// bound by itself.
 func TestWhatGrowsWithDistanceBreaksByItself(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) {
 		s.Variable, s.Form, s.Points = "rtt_ms", "steps", [][2]float64{{0, 700}, {120, 5000}, {200, 23000}}
@@ -197,7 +200,7 @@
 	has(t, got["breaks"], "| 2 | bytes |", "200 ms there and back (0.8 of the size)", "23 KB/s", "**no**")
 }
 
-// Of two entries of one quantity the page has the greater, and the other page both.
+// Of two entries of one quantity CAPACITY.md has the greater, and tables.md has both.
 func TestThePageHasTheGreatestOfEachQuantity(t *testing.T) {
 	all := []slopes.Slope{slope(func(*slopes.Slope) {}), slope(func(s *slopes.Slope) {
 		s.Name, s.Points = "view.bytes_out.less", [][2]float64{{100, 20}, {300, 40}, {1000, 110}}
@@ -219,7 +222,8 @@
 	}
 }
 
-// What another mechanism carries since is kept beside it with its name, and held to no bound; the page has the other alone.
+// An entry that another mechanism replaces is kept in tables.md with the name of its replacement, without a bound;
+// CAPACITY.md has only the replacement.
 func TestWhatIsCarriedOtherwiseSinceIsHeldToNoBound(t *testing.T) {
 	old, now := slope(func(s *slopes.Slope) { s.Instead = "view.bytes_out.now" }), slope(func(s *slopes.Slope) {
 		s.Name, s.Points = "view.bytes_out.now", [][2]float64{{100, 20}, {300, 40}, {1000, 110}}
@@ -233,7 +237,7 @@
 	has(t, full["agent"], "**all together: bytes**", "| 1.21 KB/s |", "yes")
 	has(t, full["breaks"], "| 1 | bytes |", "`view.bytes_out.now`", "yes")
 	if strings.Contains(brief["agent"], "view.bytes_out.rest") || !strings.Contains(brief["agent"], "view.bytes_out.now") {
-		t.Errorf("the page has what is no more, or not what is:\n%s", brief["agent"])
+		t.Errorf("the page has the replaced entry, or not its replacement:\n%s", brief["agent"])
 	}
 	for _, instead := range []string{"view.bytes_out.none", "view.bytes_out.rest"} {
 		old.Instead = instead
@@ -253,7 +257,7 @@
 		t.Errorf("%v, want 0.5", got)
 	}
 	if got := cross(func(float64) float64 { return 3 }, 2); got != 0 {
-		t.Errorf("%v: it is over its bound at any size", got)
+		t.Errorf("%v, want 0: the curve is above its bound at any size", got)
 	}
 }
 
@@ -301,7 +305,7 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	if again, err := Insert("p.md", got, all); err != nil || again != got {
-		t.Errorf("%q, %v: the same once more", again, err)
+		t.Errorf("%q, %v: a second insertion changes the text", again, err)
 	}
 	for _, c := range []struct{ was, is, want string }{
 		{"begin agent", "begin agnet", "p.md:2: there is no table \"agnet\""},
--- a/tools/capacity/page/size.go
+++ b/tools/capacity/page/size.go
@@ -1,4 +1,5 @@
-// Package page prints the tables of docs/CAPACITY.md from the size aimed at and the slopes that were measured.
+// Package page prints the tables of docs/CAPACITY.md and docs/capacity/tables.md from the target size and the measured
+// slopes.
 package page
 
 import (
@@ -11,26 +12,26 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// Size is docs/capacity/size.toml.
+// Size is the content of docs/capacity/size.toml: the target size, the bounds, and the figures that are required.
 type Size struct {
 	Variable []Variable `toml:"variable"`
 	Bound    []Bound    `toml:"bound"`
 	Asked    []Asked    `toml:"asked"`
 }
 
-// Variable is what figures grow with, and how large it is to become.
+// Variable is a quantity that figures grow with, and its target value.
 type Variable struct {
 	Name   string   `toml:"name"`
 	Words  string   `toml:"words"`
-	Value  *float64 `toml:"value"` // at all loads; or by load:
+	Value  *float64 `toml:"value"` // at all loads; otherwise there is a value for each load:
 	Rest   *float64 `toml:"rest"`
 	Day    *float64 `toml:"day"`
 	Worst  *float64 `toml:"worst"`
-	Grows  bool     `toml:"grows"` // with the size of the fleet
+	Grows  bool     `toml:"grows"` // whether it grows with the size of the fleet
 	Source string   `toml:"source"`
 }
 
-// at is the value aimed at.
+// at returns the target value at a load.
 func (v *Variable) at(load string) float64 {
 	if v.Value != nil {
 		return *v.Value
@@ -38,27 +39,28 @@
 	return *map[string]*float64{"rest": v.Rest, "day": v.Day, "worst": v.Worst}[load]
 }
 
-// Bound is what a role has to meet.
+// Bound is an upper bound on figures of a role.
 type Bound struct {
 	Name       string   `toml:"name"`
 	Role       string   `toml:"role"`
 	Quantities []string `toml:"quantities"`
-	Mechanisms []string `toml:"mechanisms"` // none: all
-	Loads      []string `toml:"loads"`      // none: all
+	Mechanisms []string `toml:"mechanisms"` // empty: all
+	Loads      []string `toml:"loads"`      // empty: all
 	Unit       string   `toml:"unit"`
 	Most       float64  `toml:"most"`
-	Sum        bool     `toml:"sum"` // all that it holds for together
+	Sum        bool     `toml:"sum"` // the bound is on the sum of all figures that it applies to
 	Source     string   `toml:"source"`
 }
 
-// of reports whether a bound holds for an entry, its load apart. What another mechanism carries since is held to none.
+// of reports whether the bound applies to an entry, regardless of its load. An entry that another one replaces has no
+// bound.
 func (b *Bound) of(s *slopes.Slope) bool {
 	return s.Instead == "" && b.Role == s.Role && slices.Contains(b.Quantities, s.Quantity) && (len(b.Mechanisms) == 0 || slices.Contains(b.Mechanisms, s.Mechanism))
 }
 
 func (b *Bound) in(load string) bool { return len(b.Loads) == 0 || slices.Contains(b.Loads, load) }
 
-// Asked is what a role is asked for.
+// Asked is a set of figures that must be measured for a role.
 type Asked struct {
 	Role       string   `toml:"role"`
 	Mechanisms []string `toml:"mechanisms"`
@@ -66,7 +68,7 @@
 	Quantities []string `toml:"quantities"`
 }
 
-// ReadSize reads the size aimed at, strictly.
+// ReadSize reads the file of the target size, strictly.
 func ReadSize(path string) (*Size, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return ParseSize(path, data)
 }
 
-// ParseSize reads the size from data, which errors call path.
+// ParseSize parses the target size from data. Errors name the file as path.
 func ParseSize(path string, data []byte) (*Size, error) {
 	s := &Size{}
 	f, err := tomlfile.Parse(path, data, s)
@@ -129,7 +131,7 @@
 	return s, nil
 }
 
-// variable is one by name; nil: there is none.
+// variable returns the variable of that name; nil: there is none.
 func (s *Size) variable(name string) *Variable {
 	for i := range s.Variable {
 		if s.Variable[i].Name == name {
@@ -139,7 +141,8 @@
 	return nil
 }
 
-// Fits checks that each entry grows with something that has a value, in units that its bound knows.
+// Fits checks that each entry's variable has a target value, that an entry which replaces another exists, and that units
+// can be converted to those of the bounds.
 func (s *Size) Fits(path string, data []byte, all []slopes.Slope) error {
 	f, err := tomlfile.Parse(path, data, &struct {
 		Slope []slopes.Slope `toml:"slope"`
@@ -164,7 +167,7 @@
 	return nil
 }
 
-// units are those that can be turned into one another, by kind, in the smallest.
+// units are the units that can be converted to others of the same kind, with their size in the base unit (s, B or B/s).
 var units = map[string]struct {
 	kind string
 	of   float64
@@ -174,7 +177,7 @@
 	"B/s": {"rate", 1}, "KB/s": {"rate", 1e3}, "MB/s": {"rate", 1e6},
 }
 
-// scale is what a figure in the unit from is multiplied by to be one in the unit to; 0: they have nothing in common.
+// scale returns the factor that converts a figure from one unit to another; 0: the units are of different kinds.
 func scale(to, from string) float64 {
 	a, b := units[to], units[from]
 	switch {
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -10,11 +10,12 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// Far is by how many times the largest measured size a figure may be extrapolated without a mark.
+// Far is the factor beyond the largest measured size up to which an extrapolated figure has no mark.
 const Far = 4
 
-// Tables are those of docs/capacity/tables.md, by name, with every entry: the size, one for each role, what breaks as the
-// size grows, and the runs behind them. Brief are those of docs/CAPACITY.md.
+// Tables returns the tables of docs/capacity/tables.md, by name, with every entry: the target size, a table for each role,
+// the bounds in the order in which they are crossed as the size grows, and the runs. Brief returns those of
+// docs/CAPACITY.md.
 func Tables(s *Size, all []slopes.Slope) map[string]string {
 	p := printerOf(s, all)
 	tables := map[string]string{"size": p.sizes(), "breaks": p.breaks(), "runs": p.runs()}
@@ -40,12 +41,12 @@
 	return p
 }
 
-// run is a command with its date and machine.
+// run is a measuring command with its date and machine.
 type run struct{ command, date, machine string }
 
 func runOf(s *slopes.Slope) run { return run{s.Command, s.Date, s.Machine} }
 
-// number is the run's in the table of runs.
+// number returns the number that an entry's run has in the table of runs.
 func (p *printer) number(s *slopes.Slope) string {
 	return fmt.Sprintf("[%d]", slices.Index(p.list, runOf(s))+1)
 }
@@ -71,7 +72,7 @@
 
 var loads = map[string]string{"rest": "at rest", "day": "ordinary day", "worst": "worst minute"}
 
-// role is the table of one role.
+// role returns the table of one role.
 func (p *printer) role(role string) string {
 	t := table("load", "figure", "carried by", "slope", "at the size", "residual", "measured over", "times beyond", "bound", "met", "run")
 	for _, load := range slopes.Loads {
@@ -96,7 +97,7 @@
 	return t.String()
 }
 
-// of are a role's entries of a load, in order.
+// of returns a role's entries at a load, sorted by mechanism and name.
 func (p *printer) of(role, load string) (rows []*slopes.Slope) {
 	for i := range p.all {
 		if e := &p.all[i]; e.Role == role && e.Load == load {
@@ -109,8 +110,9 @@
 	return rows
 }
 
-// governs reports whether an entry is asked for or bounded, and the greatest of its kind at the size aimed at; same: of
-// those that grow with the same, and of path and chain all, for these are cases beside one another.
+// governs reports whether an entry is required or bounded, and has the greatest value among its alternatives (entries of
+// the same role, load, mechanism and quantity) at the target size. With same, only alternatives with the same variable are
+// compared, and all entries of path and chain govern, as these are separate cases.
 func (p *printer) governs(e *slopes.Slope, same bool) bool {
 	if e.Instead != "" {
 		return false
@@ -138,13 +140,13 @@
 	return true
 }
 
-// aimed is an entry's value at the size aimed at.
+// targetValue returns an entry's value at the target size.
 func (p *printer) aimed(e *slopes.Slope) float64 {
 	value, _ := at(e, e.Fit(), p.size.variable(e.Variable).at(e.Load))
 	return value
 }
 
-// at is an entry's value at a size: what was measured there, or the curve's.
+// at returns an entry's value at a size: the measured one, if there is one, or else the value of the curve.
 func at(e *slopes.Slope, f slopes.Fit, x float64) (value float64, measured bool) {
 	for _, p := range e.Points {
 		if p[0] == x {
@@ -154,7 +156,7 @@
 	return f.Value(x), false
 }
 
-// gaps are what a role is asked for in a load and has no entry of, a text for each mechanism.
+// gaps returns the figures that a role must have at a load and has not, as a text for each mechanism.
 func (p *printer) gaps(role, load string) (gaps []string) {
 	for i := range p.size.Asked {
 		if a := &p.size.Asked[i]; a.Role == role && slices.Contains(a.Loads, load) {
@@ -168,10 +170,10 @@
 	return gaps
 }
 
-// missing are the quantities of which a role has no entry.
+// missing returns the required quantities for which a role has no entry.
 func (p *printer) missing(a *Asked, load, mechanism string) (missing []string) {
 	for _, q := range a.Quantities {
-		if q == "state" && load != "rest" { // it is the same at all loads
+		if q == "state" && load != "rest" { // state is the same at all loads
 			continue
 		}
 		if !slices.ContainsFunc(p.all, func(e slopes.Slope) bool {
@@ -185,7 +187,7 @@
 
 func words(quantity string) string { return strings.ReplaceAll(quantity, "_", " ") }
 
-// entry is the row of one.
+// entry adds the row of an entry to a table.
 func (p *printer) entry(t *grid, e *slopes.Slope) {
 	v := p.size.variable(e.Variable)
 	f, x := e.Fit(), v.at(e.Load)
@@ -229,7 +231,7 @@
 	return "**no**"
 }
 
-// formula is a fit in words, and its ceiling.
+// formula returns a fit as text, with its ceiling.
 func formula(e *slopes.Slope, f slopes.Fit, v *Variable) string {
 	if e.Ceiling > 0 {
 		return curve(e, f, v) + ", at most " + unit(e.Ceiling, e.Unit)
@@ -258,16 +260,16 @@
 	return strings.Join(all, "; ")
 }
 
-// part is a mechanism's share of a sum.
+// part is an entry's share of a sum.
 type part struct {
 	e   *slopes.Slope
 	fit slopes.Fit
-	x   float64 // the size aimed at
-	by  float64 // to the bound's unit
-	as  string  // the load whose figure it is
+	x   float64 // the target size
+	by  float64 // factor that converts to the bound's unit
+	as  string  // the load at which the figure was measured
 }
 
-// at is its value where the fleet has so many times the size aimed at.
+// at returns the value in a fleet of share times the target size.
 func (p *part) at(share float64, grows bool) float64 {
 	x := p.x
 	if grows {
@@ -277,8 +279,8 @@
 	return value * p.by
 }
 
-// parts are what a bound on a sum holds for: of each mechanism and quantity the greatest figure, of the load itself, or
-// where it has none, of the next quieter.
+// parts returns the terms of the sum that a bound applies to. For each mechanism and quantity that is the greatest figure
+// at the load itself or, if there is none, at the next lower load.
 func (p *printer) parts(b *Bound, load string) (all []term) {
 	type key struct{ mechanism, quantity string }
 	best := map[key]term{}
@@ -333,22 +335,22 @@
 	return strings.Join(list, ", ")
 }
 
-// crossing is where a curve crosses its bound.
+// crossing is the size at which a curve crosses its bound.
 type crossing struct {
-	share   float64 // of the size aimed at; +Inf: not up to most times it
+	share   float64 // of the target size; +Inf: not up to most times the target size
 	bound   *Bound
 	load    string
-	carried string // mechanisms
-	top     string // the entry, or of a sum the one with the greatest part
-	at      string // where it crosses, in words
+	carried string // the mechanisms that the figure comes from
+	top     string // the entry, or the greatest term of a sum
+	at      string // the size at which the curve crosses the bound, as text
 	value   float64
 }
 
 func (c *crossing) met() bool { return c.value <= c.bound.Most }
 
-const most = 100 // times the size aimed at: farther is not looked
+const most = 100 // largest multiple of the target size that is searched for a crossing
 
-// crossings are those of all bounds, the first one first.
+// crossings returns the crossings of all bounds, in ascending order of size.
 func (p *printer) crossings() (all []crossing) {
 	seen := map[string]bool{}
 	for i := range p.size.Bound {
@@ -364,7 +366,7 @@
 				}
 				share := cross(func(x float64) float64 { return total(parts, x) }, b.Most)
 				top := slices.MaxFunc(parts, func(a, b term) int { return cmp.Compare(a.value(1), b.value(1)) })
-				low := 0.0 // of what grows most at the crossing, the smallest that was measured, as agents
+				low := 0.0 // largest of the smallest measured sizes, in agents, among the terms that matter at the crossing
 				agents := p.size.variable("agents").at(load)
 				for _, t := range parts {
 					if first := t.e.Points[0][0] / t.x * agents; t.grows && t.x > 0 && t.e.Form != "constant" && !math.IsInf(share, 1) && t.value(share) > total(parts, share)/20 {
@@ -372,7 +374,7 @@
 					}
 				}
 				at := where(share, agents, "agents", math.Round(low))
-				if share == 0 { // what does not grow is too much alone
+				if share == 0 { // the terms that do not grow exceed the bound by themselves
 					top = slices.MaxFunc(parts, func(a, b term) int { return cmp.Compare(a.value(0), b.value(0)) })
 					v := p.size.variable(top.e.Variable)
 					at = fmt.Sprintf("at any size, with %s %s", count(v.at(top.as)), v.Words)
@@ -386,7 +388,7 @@
 				}
 				seen[e.Name] = true
 				v, f := p.size.variable(e.Variable), e.Fit()
-				if b.Sum && v.Grows { // it is in the sum
+				if b.Sum && v.Grows { // the entry is a term of the sum
 					continue
 				}
 				aim, by := v.at(load), scale(b.Unit, e.Unit)
@@ -405,7 +407,7 @@
 	return all
 }
 
-// breaks are the crossings.
+// breaks returns the table of crossings.
 func (p *printer) breaks() string {
 	all := p.crossings()
 	if len(all) == 0 {
@@ -422,7 +424,7 @@
 	return t.String()
 }
 
-// where says at which size a bound is crossed; low: the smallest that was measured.
+// where returns the size at which a bound is crossed, as text; low is the smallest measured size.
 func where(share, aim float64, words string, low float64) string {
 	switch {
 	case math.IsInf(share, 1):
@@ -435,7 +437,8 @@
 	return fmt.Sprintf("%s %s (%.2g of the size)", count(round(share*aim)), words, share)
 }
 
-// cross is the share of the size at which a curve that grows passes a bound.
+// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if it is above the bound at
+// any size, +Inf if it is not above it up to most times the target size.
 func cross(value func(share float64) float64, bound float64) float64 {
 	low, high := 1e-6, float64(most)
 	if value(low) > bound {
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -33,24 +33,25 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// pathOptions say how the request path is measured.
+// pathOptions are the options for measuring the request path.
 type pathOptions struct {
 	services, servers []int
-	rate              float64 // calls a second through the agent, and as many directly
+	rate              float64 // calls a second through the agent, and the same number directly
 	rounds            int
 	length            time.Duration // of a round
-	calm              time.Duration // a round in which calls start later than that by p99 is set aside; 0: none is
-	tries             int           // rounds tried for one that counts, at the most
+	calm              time.Duration // a round whose p99 of late starts is above this is discarded; 0: no round is
+	tries             int           // most rounds that are run for each one that counts
 	seed              uint64
 	program           string
 	asTOML            bool
 }
 
-// pathCommand is the request path on loopback sockets: what one agent adds to a call, and what it takes.
+// pathCommand measures the request path on loopback sockets: the latency that one agent adds to a call, and its CPU time
+// and memory.
 func pathCommand() *cobra.Command {
 	var services, servers string
 	o := pathOptions{}
-	c := &cobra.Command{Use: "path", Short: "The request path on loopback: added p50, p99 and processor time, beside a direct connection", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "path", Short: "The request path on loopback: added p50, p99 and CPU time, compared with a direct connection", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) (err error) {
 			if o.services, err = chainSizes(services); err != nil {
 				return err
@@ -60,48 +61,48 @@
 			}
 			return paths(o)
 		}}
-	c.Flags().StringVar(&services, "sizes", "2,12,50", "services called, in turn")
-	c.Flags().StringVar(&servers, "servers", "12,200", "servers of each, in turn")
-	c.Flags().Float64Var(&o.rate, "rate", 408, "calls a second through the agent, and as many directly")
-	c.Flags().IntVar(&o.rounds, "rounds", 5, "rounds, whose median, least and most are told")
-	c.Flags().DurationVar(&o.length, "length", 6*time.Second, "of a round")
-	c.Flags().DurationVar(&o.calm, "calm", 0, "set rounds aside in which calls start later than that by p99: the machine was busy; 0: none")
-	c.Flags().IntVar(&o.tries, "tries", 12, "rounds tried for one that counts, at the most")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "of when calls are made and which service they are for")
-	c.Flags().StringVar(&o.program, "program", "", "the daemon's binary; else it is built")
-	c.Flags().BoolVar(&o.asTOML, "toml", false, "print entries of docs/capacity/slopes.toml, and the table on standard error")
+	c.Flags().StringVar(&services, "sizes", "2,12,50", "numbers of services called, one run after another")
+	c.Flags().StringVar(&servers, "servers", "12,200", "numbers of servers of each service, one run after another")
+	c.Flags().Float64Var(&o.rate, "rate", 408, "calls a second through the agent, and the same number directly")
+	c.Flags().IntVar(&o.rounds, "rounds", 5, "number of rounds, whose median, least and most are printed")
+	c.Flags().DurationVar(&o.length, "length", 6*time.Second, "length of a round")
+	c.Flags().DurationVar(&o.calm, "calm", 0, "discard rounds whose p99 of late starts is above this, as the machine was busy; 0: discard none")
+	c.Flags().IntVar(&o.tries, "tries", 12, "most rounds that are run for each one that counts")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the times of calls and of their services")
+	c.Flags().StringVar(&o.program, "program", "", "the daemon's binary; default: build it first")
+	c.Flags().BoolVar(&o.asTOML, "toml", false, "print entries for docs/capacity/slopes.toml, and the table on standard error")
 	return c
 }
 
 const (
-	pathCores  = 2               // processors of the agent's process, and of this one
-	pathWarmup = 3 * time.Second // connections come up, servers become known
-	pathIdle   = 5 * time.Second // over which a quiet agent is measured
-	pathAnswer = 200             // bytes
-	pathMost   = 5 * time.Second // a call takes no longer
+	pathCores  = 2               // GOMAXPROCS of the agent's process, and of this one
+	pathWarmup = 3 * time.Second // until connections are open and the agent knows the servers
+	pathIdle   = 5 * time.Second // time over which an idle agent is measured
+	pathAnswer = 200             // size of an answer, in bytes
+	pathMost   = 5 * time.Second // time limit of a call
 	pathEarly  = 300 * time.Microsecond
-	pathLeast  = 3 // rounds that an entry rests on
+	pathLeast  = 3 // fewest rounds for a point of an entry
 )
 
-// pathRow is what one size came to, a figure for each round.
+// pathRow is the result for one size, with a figure for each round.
 type pathRow struct {
 	services, servers       int
-	direct, agent           *hdrhistogram.Histogram // of the rounds that count, in microseconds
-	allDirect, allAgent     *hdrhistogram.Histogram // and of those set aside, too
+	direct, agent           *hdrhistogram.Histogram // latencies of the rounds that count, in microseconds
+	allDirect, allAgent     *hdrhistogram.Histogram // the same, including discarded rounds
 	direct50, added50       []float64               // ms
 	direct99, added99       []float64
-	late99                  float64   // ms, between the time meant for a call and its start
-	cpu, waited             []float64 // cores; seconds a second that the agent waited for one
-	idle                    float64   // cores, of a quiet agent
+	late99                  float64   // p99 of the delay between the scheduled time of a call and its start, in ms
+	cpu, waited             []float64 // cores used; seconds a second that the agent's threads waited for a core
+	idle                    float64   // cores used by an idle agent
 	resident, quietResident float64   // bytes
 	aside                   int
-	failed                  [2]int // directly, and through the agent, in all rounds
+	failed                  [2]int // failed calls, directly and through the agent, in all rounds
 	last                    error
 }
 
 func paths(o pathOptions) error {
 	runtime.GOMAXPROCS(pathCores)
-	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM) // the daemon must not outlive this
+	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM) // so that the daemon is stopped before this process ends
 	defer cancel()
 	dir, err := os.MkdirTemp("", "path")
 	if err != nil {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// pathFailed tells of calls that failed.
+// pathFailed returns the numbers of failed calls as text, with the last error.
 func pathFailed(r pathRow) string {
 	text := fmt.Sprintf("%d, %d", r.failed[0], r.failed[1])
 	if r.last != nil {
@@ -160,12 +161,12 @@
 	return text
 }
 
-// pathAdded is how much more a share of calls takes through the agent, in ms.
+// pathAdded returns the difference of a percentile between calls through the agent and direct ones, in ms.
 func pathAdded(direct, agent *hdrhistogram.Histogram, share float64) float64 {
 	return float64(agent.ValueAtQuantile(share)-direct.ValueAtQuantile(share)) / 1000
 }
 
-// measurePath starts servers, lists and the agent, and asks both ways.
+// measurePath starts servers, lists and the agent, and measures calls directly and through the agent.
 func measurePath(ctx context.Context, o pathOptions, dir string, services, servers int) (row pathRow, err error) {
 	row = pathRow{services: services, servers: servers, direct: newPathLatency(), agent: newPathLatency(),
 		allDirect: newPathLatency(), allAgent: newPathLatency()}
@@ -176,7 +177,7 @@
 		defer f.Close()
 		forms = append(forms, f.Member("ready"))
 	}
-	// Services share the servers' processes, not the agent's knowledge of them.
+	// Services share the server processes, but the agent sees separate servers for each service.
 	var lists []*standin.List
 	for s := range services {
 		var own []discovery.Member
@@ -196,7 +197,7 @@
 		return row, err
 	}
 	defer a.stop()
-	time.Sleep(time.Second) // readings of lists at the start are over
+	time.Sleep(time.Second) // until the agent has read the lists
 	used, _, err := a.used()
 	if err != nil {
 		return row, err
@@ -298,7 +299,7 @@
 worth = 1.0
 `)
 	for i := range lists {
-		// An address of this process's own on loopback: nobody else can have taken the port.
+		// A loopback address derived from this process's ID, so that no other process uses the port.
 		at := fmt.Sprintf("127.%d.%d.%d:7000", 64+os.Getpid()%64, os.Getpid()/64%256, i+1)
 		a.listens = append(a.listens, at)
 		fmt.Fprintf(&t, "[[instance]]\nname = \"v%d\"\nlisten = %q\nsource = \"s%d\"\n", i, at, i)
@@ -321,10 +322,10 @@
 		}
 	}
 	a.stop()
-	return nil, fmt.Errorf("the daemon does not start\n%s", log)
+	return nil, fmt.Errorf("the daemon did not become ready\n%s", log)
 }
 
-// stop ends it by its id.
+// stop stops the daemon: with SIGTERM, and after 15 s with SIGKILL.
 func (a *pathAgent) stop() {
 	_ = a.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -335,7 +336,7 @@
 	}
 }
 
-// used is the processor time of all its threads by now, and for how long they waited for a processor.
+// used returns the CPU time of all the daemon's threads so far, and how long they waited for a core.
 func (a *pathAgent) used() (used, waited time.Duration, err error) {
 	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", a.cmd.Process.Pid))
 	if err != nil || len(all) == 0 {
@@ -344,7 +345,7 @@
 	for _, path := range all {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return 0, 0, err // a thread that ended would take its time with it: Go keeps its own
+			return 0, 0, err // Go keeps its threads, so none should end and take its time out of the sum
 		}
 		var u, w, n int64
 		if _, err := fmt.Sscan(string(text), &u, &w, &n); err != nil {
@@ -356,7 +357,7 @@
 	return used, waited, nil
 }
 
-// resident is its memory in bytes.
+// resident returns the daemon's resident memory in bytes.
 func (a *pathAgent) resident() (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", a.cmd.Process.Pid))
 	if err != nil {
@@ -371,13 +372,14 @@
 
 // ---- Clients ----
 
-// pathCaller makes calls at times drawn beforehand, one way and the other in turn, whether earlier ones are back or not.
+// pathCaller makes calls at random scheduled times (an open loop), directly and through the agent in turn. It does not
+// wait for earlier calls.
 type pathCaller struct {
 	rate   float64
 	rng    *rand.Rand
 	client *http.Client
 	direct []string // addresses of servers
-	agent  []string // of the agent, one a service
+	agent  []string // addresses of the agent, one for each service
 	serial atomic.Int64
 }
 
@@ -391,17 +393,17 @@
 	return c
 }
 
-// pathRound is what a while of calls came to. Latency counts from the time that was meant for a call.
+// pathRound is the result of one round of calls. Latency is counted from the scheduled time of a call.
 type pathRound struct {
 	mu                  sync.Mutex
 	direct, agent, late *hdrhistogram.Histogram
 	calls               int    // through the agent
-	failed              [2]int // directly, and through the agent
+	failed              [2]int // failed calls, directly and through the agent
 	last                error
 }
 
 func (c *pathCaller) round(ctx context.Context, length time.Duration) (*pathRound, error) {
-	runtime.LockOSThread() // the last part of each wait is spent looking at the clock
+	runtime.LockOSThread() // the last part of each wait is a busy wait on the clock
 	defer runtime.UnlockOSThread()
 	r := &pathRound{direct: newPathLatency(), agent: newPathLatency(), late: newPathLatency()}
 	ctx, cancel := context.WithTimeout(ctx, length+2*pathMost)
@@ -432,7 +434,7 @@
 			if err != nil {
 				r.failed[way]++
 				r.last = err
-				took = pathMost // it counts as one that took as long as any may
+				took = pathMost // a failed call counts with the longest time allowed
 			}
 			_ = into.RecordValue(min(took, 2*pathMost).Microseconds())
 		})
@@ -442,7 +444,7 @@
 		return nil, err
 	}
 	if r.failed[0]+r.failed[1] > r.calls {
-		return nil, fmt.Errorf("half of all calls failed: %d of %d directly, %d of %d through the agent, the last: %w", r.failed[0], n-r.calls, r.failed[1], r.calls, r.last)
+		return nil, fmt.Errorf("more than half of all calls failed: %d of %d directly, %d of %d through the agent, the last: %w", r.failed[0], n-r.calls, r.failed[1], r.calls, r.last)
 	}
 	return r, nil
 }
@@ -486,7 +488,7 @@
 	return all[len(all)/2]
 }
 
-// pathSpread is the median, with the least and the most.
+// pathSpread returns the median, the least and the most as text.
 func pathSpread(all []float64, digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, pathMedian(all), digits, slices.Min(all), digits, slices.Max(all))
 }
@@ -520,7 +522,7 @@
 			all = append(all, s)
 		}
 		entry("added_p50", "rest", "added_p50", "ms", "constant", 3, func(r pathRow) []float64 { return r.added50 })
-		if o.calm > 0 { // else it may be the machine's
+		if o.calm > 0 { // otherwise the added p99 may come from a busy machine
 			entry("added_p99", "rest", "added_p99", "ms", "constant", 3, func(r pathRow) []float64 { return r.added99 })
 		}
 		entry("cpu", "rest", "cpu", "core", "linear", 4, func(r pathRow) []float64 { return r.cpu })
--- a/tools/capacity/path_test.go
+++ b/tools/capacity/path_test.go
@@ -12,15 +12,16 @@
 	"vetchhaven/internal/standin"
 )
 
-// Calls that were meant for the time of a stall count as long as it held them up (no coordinated omission): on one
-// connection that stands still for the first 300 ms, those of its first 200 ms took 100 ms at the least.
+// The latency of a call counts from its scheduled time, so that calls scheduled during a stall include their waiting time
+// (no coordinated omission). On a single connection that stalls for the first 300 ms, calls scheduled in the first 200 ms
+// take at least 100 ms.
 func TestLatencyCountsFromWhenACallWasMeant(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	var first atomic.Bool
 	began := time.Now()
 	form := standin.NewForm("s", func(w http.ResponseWriter, _ *http.Request) {
 		if first.CompareAndSwap(false, true) {
-			time.Sleep(time.Until(began.Add(stall))) // the load of this test, not its synchronisation
+			time.Sleep(time.Until(began.Add(stall))) // this sleep is the stall under test; it synchronizes nothing
 		}
 		_, _ = w.Write(bytes.Repeat([]byte("x"), pathAnswer))
 	})
@@ -45,9 +46,9 @@
 		}
 	}
 	if all < 20 {
-		t.Fatalf("%d calls in %v: nothing is put to the test", all, stall)
+		t.Fatalf("%d calls in %v: too few for the test", all, stall)
 	}
 	if share := float64(quick) / float64(all); share > 0.6 { // a third is expected
-		t.Errorf("%d of %d calls were quick beside a stall of %v", quick, all, stall)
+		t.Errorf("%d of %d calls were quick during a stall of %v", quick, all, stall)
 	}
 }
--- a/tools/capacity/put.go
+++ b/tools/capacity/put.go
@@ -8,10 +8,10 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// putCommand puts entries that others of these commands printed into docs/capacity/slopes.toml.
+// putCommand puts entries that the other commands printed into docs/capacity/slopes.toml.
 func putCommand() *cobra.Command {
 	var path string
-	c := &cobra.Command{Use: "put FILE...", Short: "Put entries that --toml printed into the file of slopes, by name", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "put FILE...", Short: "Put entries that --toml printed into the file of slopes; entries of the same name are replaced", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
 			var added []slopes.Slope
 			for _, name := range files {
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -14,13 +14,13 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// part is one table of a command, and its entries.
+// part is one measurement of a command, with a table and entries of its own.
 type part struct {
 	name string
 	run  func(sizes []int, f *flags) ([]slopes.Slope, error)
 }
 
-// measures is a command of several parts.
+// measures returns a command with several parts.
 func measures(use, short, long, sizes string, parts ...part) *cobra.Command {
 	f := flags{sizes: sizes}
 	var at string
@@ -51,26 +51,26 @@
 			}
 		}
 		if !found {
-			return fmt.Errorf("--part %q: there are%s", at, names)
+			return fmt.Errorf("--part %q is not one of%s", at, names)
 		}
 		return nil
 	}
-	c.Flags().StringVar(&at, "part", "", "one of:"+names+"; empty: all")
+	c.Flags().StringVar(&at, "part", "", "the part to run, one of:"+names+"; empty: all")
 	f.add(c)
 	return c
 }
 
 func verdictsCommand() *cobra.Command {
-	return measures("verdicts", "Verdicts about servers: bytes, messages and processor time of an agent",
-		"At rest over sizes and over requests a second; the ordinary day; a zone of fifteen whose servers all fail for a minute. Each agent is a\n"+
-			"server too, and sends to those of the services that its own calls, by a graph drawn from the seed.",
+	return measures("verdicts", "Shared ejections of servers: bytes, messages and CPU time of an agent",
+		"At rest over sizes and over requests a second; on the ordinary day; when all servers of one of fifteen zones fail for a minute. Each\n"+
+			"agent is a server too, and sends to the services that its own service calls, by a graph drawn from the seed.",
 		"100,300,1000", part{"rest", verdictsRest}, part{"rate", verdictsRate}, part{"day", verdictsDay}, part{"worst", verdictsWorst})
 }
 
-// Of requests on an ordinary day.
+// Requests on an ordinary day.
 const (
-	callsEach = 408.0 // a second of each agent
-	badShare  = 0.001 // of them by chance, whatever it is: as in tools/verdicts
+	callsEach = 408.0 // requests a second of each agent
+	badShare  = 0.001 // share of requests that fail at random, as in tools/verdicts
 )
 
 func verdictsRun(n int, rate float64, f *flags, change func(*hollow.Verdicts)) (hollow.Phase, error) {
@@ -93,7 +93,7 @@
 	return phases[1], nil
 }
 
-// onceCounted has a run measured once holders have counted what fails by chance.
+// onceCounted makes a run measure from 20 s on, when agents have counted random failures for long enough.
 func onceCounted(v *hollow.Verdicts) {
 	v.Marks, v.Length = []time.Duration{20 * time.Second}, 25*time.Second
 }
@@ -133,7 +133,8 @@
 	return s.entries(fmt.Sprintf("rate_%d", n), "verdicts --part rate", "power"), nil
 }
 
-// verdictsDay is rest, and what a failed server and a drained one cost beyond it times their rates of a day.
+// verdictsDay measures the ordinary day: the cost at rest, and the additional cost of a failed server and of a drained
+// one, multiplied by their daily rates.
 func verdictsDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	s := f.series("verdicts", "day", "agents", fmt.Sprintf("%v requests a second; rest, and what a failure and a drain cost beyond it times their rates of a day", callsEach))
@@ -164,7 +165,7 @@
 	return s.entries("day", "verdicts --part day", "log"), nil
 }
 
-// verdictsWorst is all servers of a zone that fail at once.
+// verdictsWorst measures all servers of a zone failing together.
 func verdictsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	s := f.series("verdicts", "worst", "agents", fmt.Sprintf("%v requests a second, %s; all servers of a zone of 15 fail at once; the 10 s from then", callsEach, apart.name))
@@ -183,12 +184,13 @@
 }
 
 func limitsCommand() *cobra.Command {
-	return measures("limits", "Limits for the whole fleet: bytes, messages and processor time of a holder and of a keeper",
-		"One limit by the second, lent by three keepers, whose holders all use it: at rest, and as a zone of fifteen starts at once.",
+	return measures("limits", "Limits for the whole fleet: bytes, messages and CPU time of a lease client and of a lease server",
+		"One limit of requests a second, leased by three lease servers to clients that all use it: at rest, and when one of fifteen zones starts.",
 		"120,1200,12000", part{"rest", limitsRest}, part{"worst", limitsWorst}, part{"keeper", limitsKeeper})
 }
 
-// limitsBusy is requests a second of each holder: enough that it asks as often as it ever does at rest.
+// limitsBusy is the number of requests a second of each lease client, enough that it asks its lease servers as often as
+// it ever does at rest.
 const limitsBusy = 8
 
 func limitsRun(n int, f *flags, change func(*hollow.Limits)) (holder, keeper hollow.Phase, err error) {
@@ -224,7 +226,7 @@
 	all := holders.entries(which, command, "constant")
 	for _, s := range keepers.entries(which+"_keeper", command, "linear") {
 		if s.Quantity == "cpu" {
-			continue // all members' processor time together: a keeper's own is limits.cpu.keeper
+			continue // this is the CPU time of all members together; that of a lease server is limits.cpu.keeper
 		}
 		s.Role = "keeper"
 		all = append(all, s)
@@ -242,7 +244,7 @@
 	})
 }
 
-// limitsKeeper is what one keeper's processor does for so many holders.
+// limitsKeeper measures the CPU time of one lease server for one message, by the number of lease clients.
 func limitsKeeper(sizes []int, f *flags) ([]slopes.Slope, error) {
 	if !f.toml {
 		bench.Head("holders", "a question, with its encoding")
--- a/tools/capacity/slopes/fit.go
+++ b/tools/capacity/slopes/fit.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// Fit is the curve through an entry's points: Value(x) = A + B f(x), or A x^B of a power, by least squares (of logarithms
-// for a power). Steps and tables have none: they are read off.
+// Fit is the curve that is fitted to an entry's points by least squares: Value(x) = A + B f(x), or A x^B for a power, which
+// is fitted to logarithms. Steps and tables have no curve; their values are looked up.
 type Fit struct {
 	s    *Slope
 	A, B float64
-	// Residual is the root of the mean square of what the curve leaves, as a share of the largest value; NaN: the points
-	// are as many as the unknowns, or nothing was fitted.
+	// Residual is the root mean square of the differences between points and curve, as a share of the largest value;
+	// NaN: there are only as many points as unknowns, or nothing was fitted.
 	Residual float64
 }
 
@@ -44,7 +44,7 @@
 	return f
 }
 
-// unknowns are how many numbers a form's fit finds.
+// unknowns returns the number of parameters that the form's fit determines.
 func (s *Slope) unknowns() int {
 	switch s.Form {
 	case "linear", "log", "nlogn", "power":
@@ -53,7 +53,7 @@
 	return 1
 }
 
-// basis is what a straight form is straight in.
+// basis returns f(x), in which the form is linear.
 func (s *Slope) basis(x float64) float64 {
 	switch s.Form {
 	case "log":
@@ -64,7 +64,7 @@
 	return x
 }
 
-// line is the straight line by least squares through points whose axes are bent by fx and fy.
+// line returns the straight line, by least squares, through points whose coordinates are transformed by fx and fy.
 func line(points [][2]float64, fx, fy func(float64) float64) (a, b float64) {
 	n := float64(len(points))
 	var mx, my, xx, xy float64
@@ -81,7 +81,8 @@
 	return my - b*mx, b
 }
 
-// Value is the curve's at a size, up to the entry's ceiling. Steps hold from a measured size to the next; so do tables.
+// Value returns the value of the curve at a size, up to the entry's ceiling. The value of steps and tables holds from a
+// measured size to the next.
 func (f Fit) Value(x float64) float64 {
 	if v := f.curve(x); f.s.Ceiling == 0 || v < f.s.Ceiling {
 		return v
@@ -110,7 +111,7 @@
 	return f.A + f.B*f.s.basis(x)
 }
 
-// Range is between which sizes it was measured.
+// Range returns the smallest and the largest measured size.
 func (s *Slope) Range() (low, high float64) { return s.Points[0][0], s.Points[len(s.Points)-1][0] }
 
 func number(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
--- a/tools/capacity/slopes/put.go
+++ b/tools/capacity/slopes/put.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// Put is the text of a file of entries with new ones in it: one whose name is there takes that one's place, another comes
-// behind the last of its mechanism, or at the end. Comments, and all else, stay as they are. Errors call the file path.
+// Put returns the text of a file of entries with the added ones in it. An added entry replaces one of the same name; an
+// entry with a new name is put after the last one of its mechanism, or at the end. Comments and all other entries are
+// kept. Errors name the file as path.
 func Put(path string, data []byte, added ...Slope) ([]byte, error) {
 	was, err := Parse(path, data)
 	if err != nil {
 		return nil, err
 	}
 	lines := strings.Split(strings.TrimRight(string(data), "\n"), "\n")
-	blocks := blocksOf(lines) // one an entry, in order
+	blocks := blocksOf(lines) // one for each entry, in order
 	for _, s := range added {
 		var b bytes.Buffer
 		if err := Write(&b, s); err != nil {
@@ -46,7 +47,7 @@
 	return out, err
 }
 
-// blocksOf are the lines of each entry, the first and the one behind the last.
+// blocksOf returns the line range of each entry: its first line and the line after its last.
 func blocksOf(lines []string) (blocks [][2]int) {
 	open := false
 	for i, line := range lines {
--- a/tools/capacity/slopes/put_test.go
+++ b/tools/capacity/slopes/put_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An entry of a name that is there takes its place, a new one comes behind those of its mechanism; comments stay.
+// An added entry replaces one of the same name, and one with a new name is put after those of its mechanism; comments stay.
 func TestPutReplacesByNameAndAddsBesideItsMechanism(t *testing.T) {
 	other := strings.NewReplacer("view.bytes_out.rest", "policy.bytes_out.rest", `"view"`, `"policy"`).Replace(entry)
 	text := "# what this is\n" + entry + "\n# ---- policy ----\n" + other
@@ -33,20 +33,20 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	if got[0].Points[1] != [2]float64{100, 211} || len(got[0].Points) != 2 {
-		t.Errorf("the new points are not there: %v", got[0].Points)
+		t.Errorf("the entry does not have the new points: %v", got[0].Points)
 	}
 	at := func(part string) int { return strings.Index(string(out), part) }
 	if at("# what this is") != 0 || at("view.bytes_in.rest") > at("# ---- policy ----") || at("# ---- policy ----") > at("policy.bytes_out.rest") {
-		t.Errorf("sections are not kept:\n%s", out)
+		t.Errorf("sections and comments are not kept:\n%s", out)
 	}
 	if same, err := Put("f.toml", []byte(text)); err != nil || strings.TrimSpace(string(same)) != strings.TrimSpace(text) {
-		t.Errorf("with nothing new it is another text, %v:\n%s", err, same)
+		t.Errorf("Put without added entries changes the text, %v:\n%s", err, same)
 	}
 }
 
 func TestPutRefusesWhatWouldBeNoEntry(t *testing.T) {
 	bad := Slope{Name: "view.bytes_out.rest", Role: "agent"}
 	if out, err := Put("f.toml", []byte(entry), bad); err == nil {
-		t.Errorf("taken:\n%s", out)
+		t.Errorf("an invalid entry is accepted:\n%s", out)
 	}
 }
--- a/tools/capacity/slopes/read.go
+++ b/tools/capacity/slopes/read.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// What the fields of an entry may be.
+// Allowed values of the fields of an entry.
 var (
 	Roles = []string{"agent", "voter", "keeper", "source", "operator", "path", "chain"}
 	Loads = []string{"rest", "day", "worst"}
@@ -20,7 +20,7 @@
 	name  = regexp.MustCompile(`^[a-z][a-z0-9_]*(\.[a-z0-9_]+)+$`)
 )
 
-// Read reads a file of entries strictly: each error names the file, the line and the field.
+// Read reads a file of entries strictly. Each error names the file, the line and the field.
 func Read(path string) ([]Slope, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads entries from data, which errors call path.
+// Parse parses entries from data. Errors name the file as path.
 func Parse(path string, data []byte) ([]Slope, error) {
 	var in struct {
 		Slope []Slope `toml:"slope"`
@@ -83,7 +83,7 @@
 	return in.Slope, nil
 }
 
-// check says what is wrong with the points of an entry for its form; empty: nothing.
+// check returns what is wrong with the points of an entry for its form; empty: nothing.
 func (s *Slope) check() string {
 	if len(s.Points) == 0 {
 		return "there are none: what was not measured has no entry"
--- a/tools/capacity/slopes/slopes_test.go
+++ b/tools/capacity/slopes/slopes_test.go
@@ -45,7 +45,7 @@
 	} {
 		text := strings.Replace(entry, c.was, c.is, 1)
 		if text == entry {
-			t.Fatalf("%q is not there", c.was)
+			t.Fatalf("%q is not in the entry", c.was)
 		}
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s instead of %s: %v, want %s...", c.is, c.was, err, c.want)
@@ -68,7 +68,8 @@
 	}
 }
 
-// Points on a curve of each form give back its numbers, leave nothing, and are met again where they were not measured.
+// A fit to points that lie on a curve of each form finds the curve: it has no residual, and gives the curve's value at a
+// size that was not measured.
 func TestFitsFindTheCurveThatPointsAreOn(t *testing.T) {
 	for form, f := range map[string]func(x float64) float64{
 		"constant": func(float64) float64 { return 7 },
@@ -89,13 +90,13 @@
 }
 
 func TestResidualSaysWhatTheFormLeaves(t *testing.T) {
-	s := Slope{Form: "linear", Points: [][2]float64{{0, 0}, {1, 5}, {2, 0}}} // the line is 5/3; it leaves 5/3, 10/3, 5/3, and the largest value is 5
+	s := Slope{Form: "linear", Points: [][2]float64{{0, 0}, {1, 5}, {2, 0}}} // the fitted line is 5/3; the differences are 5/3, 10/3, 5/3, and the largest value is 5
 	if got, want := s.Fit().Residual, math.Sqrt(6.0/9/3); math.Abs(got-want) > 1e-9 {
 		t.Errorf("%v, want %v", got, want)
 	}
 	s.Points = s.Points[:2]
 	if got := s.Fit().Residual; !math.IsNaN(got) {
-		t.Errorf("two points and a line leave %v: nothing can be said", got)
+		t.Errorf("residual of a line through two points is %v, want NaN", got)
 	}
 }
 
@@ -108,7 +109,7 @@
 	}
 }
 
-// What bounds a figure by construction bounds its curve, and is no part of the fit.
+// A ceiling bounds the curve and does not affect the fit.
 func TestACeilingBoundsTheCurve(t *testing.T) {
 	s := Slope{Form: "linear", Ceiling: 50, Points: [][2]float64{{1, 10}, {2, 20}, {3, 30}}}
 	f := s.Fit()
@@ -118,6 +119,6 @@
 		}
 	}
 	if math.Abs(f.B-10) > 1e-9 {
-		t.Errorf("the curve is no longer that of its points: %v", f.B)
+		t.Errorf("the ceiling changes the fit: %v", f.B)
 	}
 }
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -18,27 +18,27 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// rounds are the round-trip times between regions that the view is measured at, in ms. 0: all in one place.
+// roundTrips are the round-trip times between regions at which the view is measured, in ms. 0: all members in one place.
 var rounds = []float64{0, 20, 80, 120, 160, 250}
 
 func viewCommand() *cobra.Command {
 	return measures("view", "The view of the fleet: bytes, messages, processor time and memory of an agent, with regions",
-		"At rest over sizes (one place, five regions 80 ms apart, five regions 20 to 250 ms apart), over round-trip times at one size; the\n"+
-			"ordinary day; a zone and a region that come back; the memory of one member; the figures of the issue.",
+		"At rest over sizes (one place, five regions 80 ms apart, five regions 20 to 250 ms apart), over round-trip times at one size; on\n"+
+			"the ordinary day; when a zone or a region comes back; the memory of one member; the figures of the issue.",
 		"100,300,1000", part{"issue", viewIssue}, part{"rest", viewRest}, part{"rounds", viewRounds}, part{"day", viewDay}, part{"worst", viewWorst}, part{"zone", viewZone}, part{"region_restart", viewRegion}, part{"cut", viewCut}, part{"release", viewRelease}, part{"memory", viewMemory}, part{"few", viewFew})
 }
 
 const (
 	regions = 5
-	zones   = 3 // of each region
+	zones   = 3 // in each region
 	settle  = 20 * time.Second
 	measure = 40 * time.Second
 )
 
-// place is how the regions lie.
+// place is a placement of the members: the round-trip times between their regions.
 type place struct {
 	key, name string
-	rtt       float64 // ms, there and back between any two; below 0: topology.Mixed
+	rtt       float64 // round-trip time between any two regions, in ms; below 0: topology.Mixed
 }
 
 var (
@@ -47,7 +47,7 @@
 	mixed    = place{"mixed", "five regions, 20 to 250 ms there and back", -1}
 )
 
-// between is five regions, all as far from one another, in ms there and back.
+// between returns five regions with the same round-trip time between any two of them, in ms.
 func between(rtt float64) place {
 	if rtt == 0 {
 		return together
@@ -62,7 +62,7 @@
 	return topology.New(topology.Spec{Members: members, Regions: regions, Zones: zones, RTT: time.Duration(p.rtt * float64(time.Millisecond)), Seed: seed})
 }
 
-// atRest plays a fleet that nothing befalls, and is the phase after it has settled.
+// atRest simulates a fleet without any event, and returns the phase after it has settled.
 func atRest(members int, p place, f *flags) (hollow.Phase, error) {
 	l, err := p.layout(members, f.seed)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// viewIssue plays the figures of the issue again: one of them is killed at 24 s, and the regions are delayed.
+// viewIssue repeats the measurements of the issue: one member is killed at 24 s, and the links between regions are delayed.
 func viewIssue(_ []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var points [][2]float64
@@ -118,7 +118,7 @@
 		Form: "table", Points: points, Note: "50 agents in five regions, one killed at 24 s; bytes encoded, no heads of UDP and IP"}, "view --part issue")}, nil
 }
 
-// viewRest is the cost at rest over sizes, in one place and with regions 80 ms apart.
+// viewRest measures the cost at rest over sizes: in one place, with regions 80 ms apart, and with mixed distances.
 func viewRest(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
@@ -138,7 +138,7 @@
 	return all, nil
 }
 
-// viewRounds is the cost at rest over round-trip times, for the largest size but one.
+// viewRounds measures the cost at rest over round-trip times, at the second largest size.
 func viewRounds(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	n := sizes[max(0, len(sizes)-2)]
@@ -155,19 +155,20 @@
 	return s.entries(fmt.Sprintf("rounds_%d", n), "view --part rounds", "table"), nil
 }
 
-// Of 12,000 agents, on an ordinary day.
+// Events of an ordinary day among 12,000 agents.
 const (
 	dayAgents   = 12000
 	dayFailures = 20.0
 	dayRestarts = 710.0
 )
 
-// viewDay is the ordinary day: what one failure and one restart cost each agent beyond rest, times as many as befall so
-// many agents in a day. They come far oftener here than on that day, each after the last is over.
+// viewDay measures the ordinary day: the cost of one failure and of one restart for each agent beyond the cost at rest,
+// multiplied by the daily rates of a fleet of that size. Events are far more frequent here than on that day, but each one
+// is over before the next begins.
 func viewDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
-	for _, at := range []place{apart} { // where regions lie past direct, rest alone is past all bounds
+	for _, at := range []place{apart} { // with round trips longer than the probe timeout, rest alone exceeds all bounds
 		s := f.series("view", "day", "agents", at.name+"; rest, and what a failure and a restart cost beyond it times their rates of a day")
 		for _, n := range sizes {
 			began := time.Now()
@@ -208,24 +209,26 @@
 	return all, nil
 }
 
-// after is the worst minutes' phase: from when members start, or a region is back.
+// after is the length of the measured phase of a worst minute, from when members start or a region is back.
 const after = 15 * time.Second
 
-// worst is the length of a play from when that phase begins, so that all have time to agree: all of 1,000 that start at
-// once took 33 s, and past 300 the time grows with the fleet, since bytes_per_s bounds what each sends.
+// worst returns the length of a run from the beginning of that phase, long enough for all members to agree: 1,000 members
+// that start together take 33 s, and above 300 members the time grows with the fleet, since bytes_per_s bounds the bytes
+// that each member sends.
 func worst(members int) time.Duration {
 	return max(3*after, time.Duration(members)*45*time.Millisecond)
 }
 
-// ceiling is what a member sends at the most, in the mean over that phase, in a fleet of the size aimed at: bytes_per_s of
-// datagrams, as much on streams, and of each what may come at once: a second's, and one whole view (the drills' claim
-// bytes-most). Past it a fleet takes longer.
+// ceiling returns the most bytes per second that a member sends, as the mean over that phase, in a fleet of the target
+// size: bytes_per_s of datagrams, the same on streams, and the allowed burst of each, which is one second's bytes and, on
+// streams, one whole view (the claim bytes-most of the fault tests). With more to send, a fleet takes longer to agree.
 func ceiling() (float64, error) {
 	whole, err := hollow.Whole(dayAgents)
 	return 2*membership.DefaultBytesPerSecond + (2*membership.DefaultBytesPerSecond+float64(whole))/after.Seconds(), err
 }
 
-// viewWorst is a zone of fifteen that is lost and comes back at once, and a region that comes back after five minutes.
+// viewWorst measures one of fifteen zones that is lost and comes back together, and a region that is cut off and comes
+// back after five minutes.
 func viewWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	zone, err := viewZone(sizes, f)
 	if err != nil {
@@ -235,19 +238,19 @@
 	return append(zone, cut...), err
 }
 
-// viewZone is a zone of fifteen that is lost, and whose members start at once a minute later.
+// viewZone measures one of fifteen zones that is lost and whose members all start together a minute later.
 func viewZone(sizes []int, f *flags) ([]slopes.Slope, error) {
-	return viewBack(sizes, f, "zone", "linear", "a zone of 15", func(l *topology.Layout) []int { return l.InZone(zones) }) // the first of the second region
+	return viewBack(sizes, f, "zone", "linear", "a zone of 15", func(l *topology.Layout) []int { return l.InZone(zones) }) // the first zone of the second region
 }
 
-// viewRegion is the same of a whole region.
+// viewRegion measures the same with a whole region.
 func viewRegion(sizes []int, f *flags) ([]slopes.Slope, error) {
 	return viewBack(sizes, f, "region_restart", "power", "a region of 5", func(l *topology.Layout) []int { return l.InRegion(1) })
 }
 
 func viewBack(sizes []int, f *flags, which, form, words string, of func(*topology.Layout) []int) ([]slopes.Slope, error) {
 	f.head()
-	at := apart // where regions lie past direct, rest alone is past all bounds
+	at := apart // with round trips longer than the probe timeout, rest alone exceeds all bounds
 	back := f.series("view", "worst", "agents", at.name+"; "+words+" starts at once after 60 s; the 15 s from then. bytes_per_s bounds datagrams, and streams in the mean: past it a fleet takes longer")
 	var err error
 	if back.ceiling, err = ceiling(); err != nil {
@@ -276,7 +279,7 @@
 	return back.entries(which+"_"+at.key, "view --part "+which, form), nil
 }
 
-// agreed says when all had the same view, from the beginning of what befell them.
+// agreed returns a text with the time from the event until all members had the same view.
 func agreed(v *hollow.View, r *virtual.Result, from time.Duration) string {
 	if v.Agreed < 0 {
 		return fmt.Sprintf("%d different views at the end", hollow.Differ(r))
@@ -284,7 +287,7 @@
 	return fmt.Sprintf("all the same after %v", (v.Agreed - from).Round(time.Millisecond))
 }
 
-// viewCut is a region that is cut off for five minutes.
+// viewCut measures a region that is cut off for five minutes.
 func viewCut(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	at := apart
@@ -312,7 +315,7 @@
 	return append(during.entries("region_cut_"+at.key, "view --part cut", "linear"), cut.entries("region_back_"+at.key, "view --part cut", "linear")...), nil
 }
 
-// viewRelease is all agents that end at once and start within a second, with what they knew on their disks.
+// viewRelease measures all agents being killed together and starting within a second, with their state kept on disk.
 func viewRelease(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	at := apart
@@ -343,10 +346,10 @@
 		s.add(float64(n), phases[1])
 		s.agreed(float64(n), v.Agreed-startAt)
 	}
-	return s.entries("release_"+at.key, "view --part release", "log"), nil // past 300 it flattens: bytes_per_s
+	return s.entries("release_"+at.key, "view --part release", "log"), nil // flatter above 300 members, where bytes_per_s bounds the bytes
 }
 
-// viewMemory is what one member holds, by itself: any size fits.
+// viewMemory measures the memory of one member's view. It needs no fleet, so it has sizes of its own.
 func viewMemory(_ []int, f *flags) ([]slopes.Slope, error) {
 	if !f.toml {
 		bench.Head("members known", "heap of one view", "for each member", "on a stream, whole")
@@ -373,9 +376,10 @@
 			Note: "a whole view on a stream: what a member that starts without one is sent by one other, whose streams are held to bytes_per_s (32 KB) in the mean"}, "view --part memory")}, nil
 }
 
-// viewFew is a few whole members of a large fleet whose rest is played: at rest, and on the ordinary day. How often each
-// hears of one event is measured in a whole fleet of the first size, and grows with the digits of the fleet's size, as
-// often as the view tells it.
+// viewFew measures a few complete members of a large fleet, whose other members are only simulated as traffic: at rest,
+// and on the ordinary day. The number of copies of one event's news that each member receives is measured in a complete
+// fleet of the first size, and grows with the logarithm of the fleet's size, as the number of times that the view sends
+// it does.
 func viewFew(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	const each, gap = 4, 15 * time.Second
@@ -412,7 +416,7 @@
 	return append(rests.entries("few_rest", "view --part few", "log"), days.entries("few_day", "view --part few", "log")...), nil
 }
 
-// copiesOf is how many datagrams tell each member of one death, in a whole fleet.
+// copiesOf returns how many datagrams with the news of one death each member receives, in a complete fleet.
 func copiesOf(n, each int, gap time.Duration, f *flags) (float64, error) {
 	l, err := apart.layout(n, f.seed)
 	if err != nil {
--- a/tools/directory/main.go
+++ b/tools/directory/main.go
@@ -1,7 +1,7 @@
-// Command directory measures the agent before directory servers (LDAP). It prints Markdown.
+// Command directory measures the agent in front of directory servers (LDAP). It prints Markdown.
 //
 //	go run ./tools/directory storm          5 servers, one killed mid-operation every 100 ms
-//	go run ./tools/directory stall          searches while one of 5 servers stands still, against round robin
+//	go run ./tools/directory stall          searches while one of 5 servers stalls, compared with round robin
 //	go run ./tools/directory cost           cost and latency of an operation: direct, bare relay, this agent
 //	go run ./tools/directory idle           memory of 1,000 idle client connections
 package main
@@ -89,7 +89,7 @@
 listen = "unix:%[1]s/ward.sock"
 `
 
-// site is directories with an agent before them.
+// site is a set of directory servers with an agent in front of them.
 type site struct {
 	dir  string
 	all  []*directory.Directory
@@ -141,7 +141,7 @@
 
 func (s *site) agent() (net.Conn, error) { return net.Dial("unix", filepath.Join(s.dir, "ward.sock")) }
 
-// conn is a client's connection, on which one operation is asked at a time.
+// conn is a client's connection, with one operation in flight at a time.
 type conn struct {
 	net.Conn
 	in *ldapmsg.Reader
@@ -165,9 +165,9 @@
 	return ldapmsg.WithID(id, element(ldapmsg.ModifyRequest, element(4, []byte(dn)), element(0x30, change)))
 }
 
-var errCrossed = errors.New("an answer to something else")
+var errCrossed = errors.New("answer to another operation")
 
-// ask sends one operation and reads to its end: the result code.
+// ask sends one operation, reads its answer to the end, and returns the result code.
 func (c *conn) ask(text func(id int32) []byte, within time.Duration) (code int, err error) {
 	c.id++
 	if err := c.SetDeadline(time.Now().Add(within)); err != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-// storm kills a server in the midst of what it does, over and over.
+// storm kills a random server every 100 ms while clients send operations, and checks that each operation gets one answer.
 func storm() error {
 	s, err := newSite(5)
 	if err != nil {
@@ -263,7 +263,7 @@
 				}
 				mu.Unlock()
 			}
-			// A second answer to the last would come now.
+			// A second answer to the last operation would arrive now.
 			_ = c.SetDeadline(time.Now().Add(100 * time.Millisecond))
 			if _, err := c.in.Next(); err == nil {
 				crossed.Add(1)
@@ -307,7 +307,7 @@
 	return nil
 }
 
-// stall has one server stand still: its connections stay open, and nothing comes.
+// stall makes one server stop answering while its connections stay open.
 func stall(length time.Duration) error {
 	s, err := newSite(5)
 	if err != nil {
@@ -392,7 +392,7 @@
 	return nil
 }
 
-// relay copies bytes between clients and one server each, in turn.
+// relay copies bytes between each client and one server, chosen by round robin.
 func relay(s *site) (net.Listener, error) {
 	ln, err := net.Listen("unix", filepath.Join(s.dir, "relay.sock"))
 	if err != nil {
@@ -420,9 +420,9 @@
 	return ln, nil
 }
 
-// cost compares a direct client, a bare relay and this agent, all in this process, in turn.
+// cost compares a direct client, a plain relay and this agent, all in this process, one after another.
 func cost(length time.Duration) error {
-	debug.SetGCPercent(400) // as serve has it; for all ways alike
+	debug.SetGCPercent(400) // as in serve; the same for all ways
 	s, err := newSite(5)
 	if err != nil {
 		return err
@@ -509,7 +509,7 @@
 	return took, used, after.Mallocs - before.Mallocs, bad, nil
 }
 
-// idle measures what an idle client connection takes.
+// idle measures the memory of an idle client connection.
 func idle() error {
 	s, err := newSite(1)
 	if err != nil {
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -1,5 +1,6 @@
-// Command endpoints measures what one agent of `run` needs beside few and beside many servers, with the same traffic, and
-// holds it to the operators' table; see docs/measure/endpoints.md. It is bounded in time, and stays on loopback.
+// Command endpoints measures the resources that one agent of `run` needs with few and with many servers at the same
+// traffic, and checks them against the operators' table; see docs/measure/endpoints.md. The command is bounded in time and
+// uses loopback only.
 package main
 
 import (
@@ -40,38 +41,38 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	o := options{}
-	c := &cobra.Command{Use: "endpoints", Short: "What an agent needs beside few and many servers", Args: cobra.NoArgs, SilenceUsage: true,
+	c := &cobra.Command{Use: "endpoints", Short: "Resources that an agent needs with few and with many servers", Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(c *cobra.Command, _ []string) error { return run(ctx, o, c.OutOrStdout()) }}
 	f := c.Flags()
 	f.StringVar(&o.program, "program", "bin/vetchhaven", "the built program")
 	f.IntVar(&o.few, "few", 200, "servers of the usual size")
 	f.IntVar(&o.many, "many", 3200, "servers of the large size, up to 3200")
-	f.IntVar(&o.agents, "agents", 56, "agents that the usual size's settings tell of; the large size's are more in proportion, up to 900")
+	f.IntVar(&o.agents, "agents", 56, "number of agents in the settings of the usual size; in proportion more for the large size, up to 900")
 	f.Float64Var(&o.rate, "rate", 40, "requests a second, up to 1000")
-	f.Float64Var(&o.churn, "churn", 0.005, "part of the servers that is replaced each second")
-	f.DurationVar(&o.length, "length", 30*time.Second, "of each run, up to 10m")
+	f.Float64Var(&o.churn, "churn", 0.005, "share of the servers that is replaced each second")
+	f.DurationVar(&o.length, "length", 30*time.Second, "length of each run, up to 10m")
 	if err := c.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
 }
 
-// figures are what an agent needed.
+// figures are the resources that an agent used in one run.
 type figures struct {
 	servers     int
 	cpu         float64 // seconds
 	memory      float64 // MB, peak resident
-	descriptors int     // at most
+	descriptors int     // peak of open file descriptors
 	connections int64   // to servers
 	listBytes   int64
-	served      float64 // part of the requests
+	served      float64 // share of the requests
 }
 
-// bound is a row of the operators' table: of the figure at the large size, by that at the usual one.
+// bound is a row of the operators' table: it bounds the figure at the large size, given the one at the usual size.
 type bound struct {
 	name      string
 	few, many float64
 	most      float64
-	least     bool // it is a lower bound
+	least     bool // the bound is a lower one
 }
 
 func bounds(few, many figures) []bound {
@@ -88,7 +89,7 @@
 
 func run(ctx context.Context, o options, out io.Writer) error {
 	if o.few < 1 || o.many < o.few || o.many > 3200 || o.rate <= 0 || o.rate > 1000 || o.length < time.Second || o.length > 10*time.Minute {
-		return fmt.Errorf("flags out of bounds: %+v", o)
+		return fmt.Errorf("flags are out of bounds: %+v", o)
 	}
 	few, err := measure(ctx, o, o.few, o.agents)
 	if err != nil {
@@ -109,12 +110,12 @@
 		fmt.Fprintf(out, "| %s | %.2f | %.2f | %.2f | %s |\n", b.name, b.few, b.many, b.most, word)
 	}
 	if over > 0 {
-		return fmt.Errorf("%d bounds are not kept", over)
+		return fmt.Errorf("%d bounds are exceeded", over)
 	}
 	return nil
 }
 
-// site is the servers and the list of one run.
+// site is the stand-in servers and the list service of one run.
 type site struct {
 	server      *http.Server
 	list        *standin.List
@@ -165,7 +166,7 @@
 	return discovery.Member{ID: fmt.Sprintf("s-%04d", n), Addr: s.addrs[n], Zone: []string{"a", "b"}[n%2], Kind: "k", Cell: n % 8, State: "ready", Weight: 1, Started: started}
 }
 
-// churn replaces a part of the servers each second, until ctx ends: each drains, and is back a second later.
+// churn drains a share of the servers each second, until ctx ends; each of them comes back one second later.
 func (s *site) churn(ctx context.Context, part float64) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	each := time.NewTicker(time.Second)
@@ -197,7 +198,7 @@
 	s.list.Close()
 }
 
-// countingWriter counts what is written.
+// countingWriter counts the bytes that are written.
 type countingWriter struct {
 	http.ResponseWriter
 	n *atomic.Int64
@@ -217,7 +218,7 @@
  "Contract": {"AskWithinMs": 5000, "DrainGraceMs": 2000, "GraceToAnswerMs": 20, "ColdFrom": 0.3, "RampTimeMs": 8000, "FallMultiple": 2.5, "FallMs": 1000},
  "Goal": {"Whole": 1}, "Report": {"Source": "off"}}`
 
-// measure runs an agent beside so many servers.
+// measure runs an agent with the given number of servers, and returns the resources that it used.
 func measure(ctx context.Context, o options, servers, agents int) (f figures, err error) {
 	s, err := newSite(servers)
 	if err != nil {
@@ -275,7 +276,7 @@
 	ended = true
 	usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage)
 	if err != nil || !ok {
-		return f, fmt.Errorf("the agent ended with %v", err)
+		return f, fmt.Errorf("the agent exited with an error: %v", err)
 	}
 	f.servers = servers
 	f.cpu = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
@@ -305,10 +306,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the agent is not ready")
+	return fmt.Errorf("the agent did not become ready")
 }
 
-// watchDescriptors is how many a process had open at most.
+// watchDescriptors returns the largest number of file descriptors that a process had open until ctx ended.
 func watchDescriptors(ctx context.Context, pid int) (most int) {
 	each := time.NewTicker(50 * time.Millisecond)
 	defer each.Stop()
@@ -324,7 +325,7 @@
 	}
 }
 
-// ask sends requests at a rate until ctx ends, and waits for their answers.
+// ask sends requests at a rate until ctx ends, and then waits for their answers.
 func ask(ctx context.Context, listen string, rate float64, asked, served *atomic.Int64) {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -38,7 +38,7 @@
 	var servers []discovery.Member
 	for i := range 8 {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(20 * time.Millisecond) // what a form takes
+			time.Sleep(20 * time.Millisecond) // service time of a stand-in server
 			_, _ = io.WriteString(w, "done")
 		})
 		defer f.Close()
@@ -66,7 +66,7 @@
 	if err := await(func() bool { return healthy(admin) }); err != nil {
 		return fmt.Errorf("the daemon does not start\n%s", log)
 	}
-	defer func() { // whichever process serves at the end
+	defer func() { // the process that serves at the end is not cmd
 		stopLast(admin)
 	}()
 	type one struct {
--- a/tools/fleet/herd.go
+++ b/tools/fleet/herd.go
@@ -26,14 +26,14 @@
 	return path, nil
 }
 
-// step is what one server had at one time.
+// step is the load of one server at one time: the requests that it holds, and its load relative to its capacity.
 type step struct {
 	held     int
 	pressure float64
 }
 
-// herd plays a scenario round real daemons, as they are and then naive, and prints what the server
-// that joins had every 100 ms.
+// herd runs a scenario with real daemons, first with their own slow start and then with a naive start. It prints the load
+// of the server that joins, every 100 ms.
 func herd(path string) error {
 	s, err := scenario.Load(path)
 	if err != nil {
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -1,10 +1,10 @@
 // Command fleet measures the fleet daemon. It prints Markdown.
 //
-//	go run ./tools/fleet instances [-n 1000]    one process with n quiet instances, against n list readers
+//	go run ./tools/fleet instances [-n 1000]    one process with n idle instances, compared with n list readers
 //	go run ./tools/fleet cost [-rounds 7]       cost and latency of a request: direct, reverse proxy, this agent
-//	go run ./tools/fleet steps                  cost of a decision by the number of servers
-//	go run ./tools/fleet herd [-file F]         a herd of real daemons beside one that starts naively
-//	go run ./tools/fleet handover               a real daemon handed over three times under 500 requests a second
+//	go run ./tools/fleet steps                  cost of a decision, by the number of servers
+//	go run ./tools/fleet herd [-file F]         real daemons and a cold server, with slow start and without it
+//	go run ./tools/fleet handover               a real daemon that is handed over three times under 500 requests a second
 package main
 
 import (
@@ -108,7 +108,7 @@
 	return all
 }
 
-// instances measures what a quiet instance takes.
+// instances measures the memory and CPU time of an idle instance.
 func instances(n int, profile string) error {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
@@ -149,10 +149,10 @@
 	return nil
 }
 
-// cost compares a direct client, the standard library's reverse proxy and this agent: all in this
-// process, in turn, each asked by the same clients.
+// cost compares a direct client, the standard library's reverse proxy and this agent. All of them run in this process, one
+// after another, with the same clients.
 func cost(length time.Duration, rounds int, profile string) error {
-	debug.SetGCPercent(400) // as serve has it; for all ways alike
+	debug.SetGCPercent(400) // as in serve; the same for all ways
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
@@ -204,7 +204,7 @@
 		{"(b) reverse proxy", unix("proxy.sock"), func() string { return "x" }},
 		{"(c) this agent", unix("0.sock"), func() string { return "x" }},
 	}
-	// The machine's speed drifts: the ways take turns, and what is compared comes of one round.
+	// The machine's speed drifts, so the ways take turns, and only figures of the same round are compared.
 	figures := make([][costFigures][]float64, len(ways))
 	bad := 0
 	for range rounds {
@@ -252,14 +252,15 @@
 
 const costFigures = 5
 
-// middle is the median of some figures, with the least and the most.
+// median returns the median of some figures as text, with the least and the most.
 func middle(all []float64, digits int) string {
 	all = slices.Clone(all)
 	slices.Sort(all)
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, all[len(all)/2], digits, all[0], digits, all[len(all)-1])
 }
 
-// load asks for a while, with so many clients; at a rate, or at full speed where it is 0.
+// load sends requests for the given time from this many clients, at the given rate in total; rate 0: at full speed. It
+// returns the sorted latencies, the CPU time that the process used, and the number of failed requests.
 func load(c *http.Client, host func() string, clients, rate int, length time.Duration) (latency []time.Duration, used time.Duration, bad int) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -306,7 +307,7 @@
 	return latency, used, bad
 }
 
-// steps measures a request with its outcome by the number of servers.
+// steps measures the time of a decision (a request and its outcome), by the number of servers.
 func steps() error {
 	fmt.Println("| servers | a request and its outcome |\n| --- | --- |")
 	for _, n := range []int{12, 100, 1000, 5000} {
--- a/tools/internal/bench/bench.go
+++ b/tools/internal/bench/bench.go
@@ -1,4 +1,4 @@
-// Package bench is what the measuring commands share: tables in Markdown, and jobs on several cores.
+// Package bench holds helpers that the measuring commands share: Markdown tables, and jobs on several cores.
 package bench
 
 import (
@@ -12,10 +12,10 @@
 	"sync"
 )
 
-// Out is where tables go.
+// Out receives the tables.
 var Out io.Writer = os.Stdout
 
-// Row prints a row of a table. A float64 has two decimals.
+// Row prints a row of a table. A float64 is printed with two decimals.
 func Row(cells ...any) {
 	text := make([]string, len(cells))
 	for i, c := range cells {
@@ -29,13 +29,13 @@
 	fmt.Fprintln(Out, "| "+strings.Join(text, " | ")+" |")
 }
 
-// Head prints a table's head.
+// Head prints the header of a table.
 func Head(cells ...any) {
 	Row(cells...)
 	fmt.Fprintln(Out, "|"+strings.Repeat(" --- |", len(cells)))
 }
 
-// Each runs a job for each number from 0, so many at a time, and returns all their errors.
+// Each runs job for each number from 0 to n-1, up to at of them concurrently, and returns their errors, joined.
 func Each(n, at int, job func(i int) error) error {
 	errs := make([]error, n)
 	places := make(chan struct{}, at)
@@ -57,13 +57,13 @@
 	Run  func() error
 }
 
-// Main runs the job that the command's first argument names, after f has read what follows it. A wrong name or the job's
-// error ends the program with status 1.
+// Main runs the job that the command's first argument names, after f has parsed the arguments that follow. An unknown
+// name or an error of the job ends the program with status 1.
 func Main(f *flag.FlagSet, jobs ...Job) {
 	what := ""
 	if len(os.Args) > 1 {
 		what = os.Args[1]
-		_ = f.Parse(os.Args[2:]) // it ends the program itself
+		_ = f.Parse(os.Args[2:]) // on an error, Parse ends the program itself
 	}
 	names := make([]string, len(jobs))
 	for i, j := range jobs {
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -1,9 +1,9 @@
-// Command limits measures limits that a fleet shares. It prints Markdown.
+// Command limits measures limits that a whole fleet shares. It prints Markdown.
 //
-//	go run ./tools/limits ways                     ways of sharing a limit, side by side
-//	go run ./tools/limits schedules [-n 1000]      random faults: how far over, against the bound
+//	go run ./tools/limits ways                     strategies for sharing a limit, side by side
+//	go run ./tools/limits schedules [-n 1000]      random faults: how far use exceeds the limit, compared with the bound
 //	go run ./tools/limits real [-n 50] [-at 6]     the same with 8 real processes
-//	go run ./tools/limits cost                     messages and time of an agent, by size of the fleet
+//	go run ./tools/limits cost                     messages and CPU time of an agent, by size of the fleet
 package main
 
 import (
@@ -50,7 +50,7 @@
 	return 12
 }
 
-// ways plays each way of sharing 120 a second among ten agents.
+// ways simulates each strategy for sharing 120 requests a second among ten agents.
 func ways() error {
 	cases := []struct {
 		name string
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// schedules plays random fleets among random faults, and holds each to its bound.
+// schedules simulates random fleets with random faults, and compares the use of each with its bound.
 func schedules(n int) error {
 	type sum struct {
 		n, begun, near, over, crashes, pauses int
@@ -121,7 +121,7 @@
 			wanted /= o.MeanAttemptTime.Seconds()
 		}
 		wanted = min(wanted, 3000)
-		// Who has the traffic changes every few seconds.
+		// The share of the traffic that each agent has changes every few seconds.
 		weight := make([]float64, 64)
 		for j := range weight {
 			weight[j] = rng.ExpFloat64() * rng.ExpFloat64()
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// cost is what an agent sends, and takes of a core.
+// cost prints the messages and bytes that an agent sends, and its share of a core.
 func cost() error {
 	bench.Head("agents", "wanted of the figure", "messages a second of each", "bytes a second of each", "time of a core of each")
 	for _, n := range []int{10, 100, 300, 1000, 5000} {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// playRealProcesses plays random drills with 8 real processes each.
+// playRealProcesses runs random fault tests with 8 real processes each.
 func playRealProcesses(n, at int) error {
 	bin := filepath.Join(os.TempDir(), fmt.Sprint("limits-", os.Getpid()))
 	defer os.Remove(bin)
@@ -254,7 +254,8 @@
 	return nil
 }
 
-// random is a drill of 40 s in which daemons are killed, stopped, handed over and cut off, and demand moves.
+// random returns the plan of a fault test of 40 s in which daemons are killed, paused, handed over and partitioned, and
+// the request rate changes.
 func random(seed uint64) *plan.Plan {
 	rng := rand.New(rand.NewPCG(seed, 81))
 	p := &plan.Plan{Name: fmt.Sprint("random-", seed), Daemons: 8, Servers: 3, Rate: 20, Zones: 1, Seeds: []int{0, 1}, Length: 40 * time.Second, Takes: 60 * time.Millisecond,
@@ -300,7 +301,7 @@
 		at += time.Duration(500+rng.IntN(3000)) * time.Millisecond
 	}
 	slices.SortStableFunc(p.Events, func(a, b plan.Event) int { return int(a.At - b.At) })
-	// What is done to one that does not run, or twice, is left out.
+	// Drops events that do not apply to the daemon's state: it is not running, or the event has already happened.
 	state := map[int]string{}
 	p.Events = slices.DeleteFunc(p.Events, func(e plan.Event) bool {
 		w := e.Who[0]
--- a/tools/measure/measure.go
+++ b/tools/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure is what the measuring commands share.
+// Package measure holds helpers that several measuring commands share: a daemon in this process, CPU time, and percentiles.
 package measure
 
 import (
@@ -13,7 +13,8 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// Daemon runs a fleet of this configuration in this process, its file in dir, and returns once it is ready.
+// Daemon runs a daemon with this configuration in this process. It writes the configuration file into dir and returns
+// once the daemon is ready.
 func Daemon(dir string, config []byte) (d *daemon.Daemon, stop func(), err error) {
 	path := filepath.Join(dir, "fleet.toml")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
@@ -35,14 +36,14 @@
 	return d, func() { cancel(); <-ended }, nil
 }
 
-// CPU is what this process has used.
+// CPU returns the CPU time that this process has used so far, user and system time together.
 func CPU() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// At is the value in milliseconds below which a share of sorted ones lies; 0 of none.
+// At returns the quantile of sorted durations, in milliseconds: share is 0.5 for the median. It returns 0 for an empty list.
 func At(all []time.Duration, share float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/tools/members/agents.go
+++ b/tools/members/agents.go
@@ -7,15 +7,15 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// agents plays a scenario with records beside the list: agents that merge both, and agents that believe each
-// reading of the records and hear of nothing else. The judge counts what both do by what the list had told.
+// agents simulates a scenario with DNS records in addition to the list: once with agents that merge both sources, and once
+// with agents that use only the latest answer of the resolver. The checker judges both by what the list had announced.
 func agents(path string, seeds int) error {
 	s, err := scenario.Load(path)
 	if err != nil {
 		return err
 	}
 	if s.Records.Every == 0 {
-		return fmt.Errorf("%s has no [records]", path)
+		return fmt.Errorf("scenario %s has no [records]", path)
 	}
 	fmt.Printf("seeds 1 to %d, %v each\n\n", seeds, s.Length)
 	fmt.Println("| way | requests | service | worst 5 s | attempts | sent over 2 s after a drain was told | ward-closes doubled | rules broken | left with no server |")
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -1,9 +1,9 @@
-// Command members measures membership. It prints Markdown.
+// Command members measures how a daemon merges its sources of servers into one list. It prints Markdown.
 //
-//	go run ./tools/members hour [-seeds 5]     an hour of trouble in virtual time, beside a resolver that believes all
-//	go run ./tools/members fleet [-seeds 6] SCENARIO.toml   agents on two sources that contradict each other, beside the same
-//	                                           agents on a resolver that believes all
-//	go run ./tools/members sockets [-for 5m]   the same round a daemon, servers, a list and a resolver on loopback
+//	go run ./tools/members hour [-seeds 5]     an hour of faults in virtual time, compared with a resolver that trusts each answer
+//	go run ./tools/members fleet [-seeds 6] SCENARIO.toml   agents with two sources that contradict each other, compared with the same
+//	                                           agents on a resolver that trusts each answer
+//	go run ./tools/members sockets [-for 5m]   the same with a daemon, servers, a list and a resolver on loopback
 //	go run ./tools/members merge               time and memory to merge three sources of 1,000 servers
 //	go run ./tools/members goodbye             time from a goodbye by multicast DNS to a list without the server
 //	go run ./tools/members queries             queries at the resolver for 1, 100 and 1,000 instances of one daemon
@@ -66,25 +66,25 @@
 	return fmt.Errorf("%q is none of hour, fleet, sockets, merge, queries, goodbye", args[0])
 }
 
-// world is the truth: which servers there are, and when the list told that one drains or is gone.
+// world is the true state: which servers are running, and when the list announced that one drains or is removed.
 type world struct {
 	rng     *rand.Rand
 	now     time.Duration
 	alive   []bool
-	told    []time.Duration // when the list told that it drains or is gone; 0: it did not
+	told    []time.Duration // when the list announced that the server drains or is removed; 0: not announced
 	pods    []int
-	records []endpoints.Server // as published
+	records []endpoints.Server // the DNS records as published
 }
 
 func server(i int, w *world) endpoints.Server {
 	return endpoints.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: endpoints.Up, Pod: w.pods[i]}
 }
 
-// tally is how one way of believing went.
+// tally counts the results of one way of choosing servers.
 type tally struct{ sent, late, dead, emptied, none int }
 
-// hours plays hours: 12 servers of which one drains, goes and comes back every minute or so; records that
-// are published 45 s late, read every 20 s, and fail, are cut short or come empty one time in four.
+// hours simulates n hours with 12 servers. About once a minute a server drains, is removed and comes back. DNS records are
+// published 45 s late and read every 20 s; one reading in four fails, is truncated or returns an empty answer.
 func hours(n int) error {
 	fmt.Println("| way | requests | to a server over 2 s after its drain was told | to a server that is gone | seconds with no server | not sent |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
@@ -130,12 +130,12 @@
 	backAt := make([]time.Duration, servers)
 	dueDead := make([]time.Duration, servers)
 	for w.now = time.Second; w.now < time.Hour; w.now += time.Second {
-		if w.rng.IntN(300) == 0 { // the list is away for a while
+		if w.rng.IntN(300) == 0 { // the list is unavailable for a while
 			listDown = w.now + time.Duration(10+w.rng.IntN(60))*time.Second
 		}
 		up := w.now >= listDown
 		var said []endpoints.Server
-		if i := w.rng.IntN(servers); up && w.rng.IntN(40) == 0 && w.alive[i] && w.told[i] == 0 { // one drains, and is gone 10 s later
+		if i := w.rng.IntN(servers); up && w.rng.IntN(40) == 0 && w.alive[i] && w.told[i] == 0 { // one server drains, and is removed 10 s later
 			w.told[i] = w.now
 			v := server(i, w)
 			v.State = endpoints.Draining
@@ -160,19 +160,19 @@
 		if len(said) > 0 {
 			m.Step(w.now, endpoints.Delta{Source: "list", Servers: said})
 		}
-		for len(coming) > 0 && coming[0].at <= w.now { // records follow late
+		for len(coming) > 0 && coming[0].at <= w.now { // the records are published late
 			w.records = truth()
 			coming = coming[1:]
 		}
 		if w.now%(20*time.Second) == 0 {
 			switch w.rng.IntN(16) {
-			case 0: // SERVFAIL: a resolver that believes all has no server
+			case 0: // SERVFAIL: a resolver that trusts each answer has no server
 				m.Step(w.now, endpoints.Failed{Source: "records"})
 				believed = nil
-			case 1, 2: // cut short: half of them; the resolver knows that it was cut, and fails
+			case 1, 2: // a truncated answer with half of the records: membership treats it as a failure
 				m.Step(w.now, endpoints.Failed{Source: "records"})
 				believed = w.records[:len(w.records)/2]
-			case 3: // a true empty answer
+			case 3: // a valid empty answer
 				m.Step(w.now, endpoints.Snapshot{Source: "records"})
 				believed = nil
 			default:
@@ -192,7 +192,7 @@
 	}
 }
 
-// send sends a second's requests to servers at random.
+// send sends the requests of one second to random servers of the list in, and counts them in t.
 func (w *world) send(in []endpoints.Server, t *tally) {
 	const rate = 50
 	if len(in) == 0 {
@@ -284,7 +284,8 @@
 	return nil
 }
 
-// goodbye has a server announced and taken back, over and over.
+// goodbye measures the time from a multicast DNS goodbye (a record with a TTL of 0) until the list has no such server. It
+// announces a server and withdraws it, 50 times.
 func goodbye() error {
 	r, err := dns.NewResponder()
 	if err != nil {
@@ -342,7 +343,7 @@
 			return err
 		}
 		took = append(took, time.Since(began))
-		time.Sleep(1200 * time.Millisecond) // its records have ended
+		time.Sleep(1200 * time.Millisecond) // until the withdrawn records have expired
 		if err := announce(1, 3600); err != nil {
 			return err
 		}
--- a/tools/members/sockets.go
+++ b/tools/members/sockets.go
@@ -25,13 +25,13 @@
 
 const (
 	offices     = 8
-	dropsFor    = 12 * time.Second // how long a pod drops repeats of a ward-close
+	dropsFor    = 12 * time.Second // deduplication window of a pod for a ward-close
 	grace       = 2 * time.Second
 	publishLate = 15 * time.Second
 	closesASec  = 40
 )
 
-// office is a form server on a port of its own, which it keeps when it comes back.
+// formServer is a stand-in server on a port of its own, which it keeps when it restarts.
 type office struct {
 	id, addr string
 	pod      int
@@ -39,20 +39,20 @@
 
 	mu      sync.Mutex
 	server  *http.Server
-	told    time.Time // when the list told that it drains or is gone; zero: it did not
-	started int64     // Unix ms; 0: long ago
+	told    time.Time // when the list announced that the server drains or is removed; zero: not announced
+	started int64     // start time in Unix ms; 0: long ago
 }
 
-// ledger is what ran, for the whole fleet, by which way it came.
+// ledger records which operations ran on all servers, by the way in which they came (agent or plain).
 type ledger struct {
 	mu      sync.Mutex
-	seen    map[string]time.Time // by pod and key: what a pod drops
-	effects map[string]int       // by way and key
-	late    map[string]int       // by way: arrivals more than the grace after a drain was told
+	seen    map[string]time.Time // by pod, way and key: when the pod first saw the key
+	effects map[string]int       // by way and key: how often the operation ran
+	late    map[string]int       // by way: arrivals later than grace after a drain was announced
 	rng     *rand.Rand
 }
 
-// open begins to listen, at the office's old address if it has one.
+// open listens on the server's earlier address if it has one, and serves.
 func (o *office) open() error {
 	at := o.addr
 	if at == "" {
@@ -60,7 +60,7 @@
 	}
 	var ln net.Listener
 	var err error
-	for range 50 { // the port may be in use for a moment
+	for range 50 { // the port may still be in use for a moment
 		if ln, err = net.Listen("tcp", at); err == nil {
 			break
 		}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// tell notes that the list tells now that it drains or is gone.
+// announceRemoval records that the list announces now that the server drains or is removed.
 func (o *office) tell() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -108,7 +108,7 @@
 		l.seen[known] = time.Now()
 		l.effects[way+" "+key]++
 	}
-	lost := l.rng.IntN(50) == 0 // it has run, and its answer is lost
+	lost := l.rng.IntN(50) == 0 // the operation has run, but its answer is lost
 	l.mu.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
@@ -143,11 +143,11 @@
 count = 3
 `
 
-// outcome counts what clients saw.
+// outcome counts the answers that clients received.
 type outcome struct{ asked, served, refused, failed atomic.Int64 }
 
-// onSockets plays servers that drain, go and come back before a daemon that reads a list and SRV records, and before
-// a plain resolver that believes each answer; both are asked to close wards.
+// onSockets runs servers that drain, stop and restart. It sends ward-closes through a daemon that reads a list and SRV
+// records, and through a plain client that trusts each answer of the resolver.
 func onSockets(length time.Duration) error {
 	names, err := dns.New()
 	if err != nil {
@@ -272,7 +272,8 @@
 	return nil
 }
 
-// trouble has one server after the other drain, go 4 s later, and come back cold 8 s after that; records follow late.
+// restartServers makes one server after another drain, stop 4 s later, and restart cold 8 s after that. The DNS records
+// follow with a delay.
 func trouble(ctx context.Context, all []*office, up []bool, list *standin.List, publish func([]bool)) {
 	wait := func(d time.Duration) bool {
 		select {
@@ -316,7 +317,7 @@
 	}
 }
 
-// closeWard asks once, and counts.
+// closeWard sends one ward-close and counts its outcome. It returns the status code; 0: there was no answer.
 func closeWard(o *outcome, c *http.Client, url, way, key string) (status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
@@ -348,12 +349,13 @@
 	return resp.StatusCode
 }
 
-// believer resolves the name every 5 s, believes what comes, and sends to any of it; what fails goes once to another.
+// trustingClient resolves the name every 5 s, trusts each answer, and sends to any server in it. A request that fails is
+// retried once on any server.
 type believer struct {
 	at   string
 	mu   sync.Mutex
 	now  []string
-	none atomic.Int64 // seconds without a server
+	none atomic.Int64 // seconds without any server
 }
 
 func (b *believer) run(ctx context.Context) {
--- a/tools/peers/main.go
+++ b/tools/peers/main.go
@@ -1,5 +1,5 @@
-// Command peers measures the fleet's view: how soon crashes, joins and leaves are known, what it costs, how often it
-// is wrong, in virtual time and with real processes. docs/measure/view.md has its figures.
+// Command peers measures the fleet's membership view, in virtual time and with real processes: how soon members know of
+// crashes, joins and leaves, what the view costs, and how often it is wrong. docs/measure/view.md has its figures.
 package main
 
 import (
@@ -29,10 +29,10 @@
 		}}
 		c.Flags().StringVarP(&sizes, "daemons", "n", many, "how many daemons, in turn")
 		c.Flags().IntVar(&crashes, "crashes", n, "how many crashes, joins and leaves")
-		c.Flags().Uint64Var(&seed, "seed", 1, "of all chance")
-		c.Flags().IntVar(&minutes, "minutes", 60, "of hour")
-		c.Flags().IntVar(&bytes, "bytes", 0, "bytes_per_s of hour; 0: the default")
-		c.PreRun = func(c *cobra.Command, _ []string) { // flags of several commands share their variables
+		c.Flags().Uint64Var(&seed, "seed", 1, "seed of all random numbers")
+		c.Flags().IntVar(&minutes, "minutes", 60, "hour: length in minutes")
+		c.Flags().IntVar(&bytes, "bytes", 0, "hour: bytes_per_s; 0: the default")
+		c.PreRun = func(c *cobra.Command, _ []string) { // the commands share the variables of their flags, so each sets its own defaults
 			if !c.Flags().Changed("daemons") {
 				sizes = many
 			}
@@ -42,13 +42,13 @@
 		}
 		root.AddCommand(c)
 	}
-	add("virtual", "From crash, leave and join to known by all, against the formulas, in virtual time", "10,30,100,300,1000,5000", 30, virtualSizes)
-	add("partition", "Two halves for 60 s, and what it takes until all see the same again, in virtual time", "10,50,300,1000", 1, virtualPartition)
-	add("hour", "An hour with 5 and 25% loss, a tenth paused 1.5 s at a time: wrong confirmations, beside baselines", "100", 0, func(sizes []int, _ int, seed uint64) error {
+	add("virtual", "Times from a crash, leave or join until all members know of it, compared with the formulas, in virtual time", "10,30,100,300,1000,5000", 30, virtualSizes)
+	add("partition", "A partition into halves for 60 s, and the time until all views agree again, in virtual time", "10,50,300,1000", 1, virtualPartition)
+	add("hour", "An hour with 5 and 25% loss, a tenth paused 1.5 s at a time: false confirmations, compared with baselines", "100", 0, func(sizes []int, _ int, seed uint64) error {
 		return virtualHour(sizes, time.Duration(minutes)*time.Minute, bytes, seed)
 	})
-	add("storm", "200 that die and come back at once: bytes, and how long it takes", "300", 200, virtualStorm)
-	add("service", "Service of 300 agents with the count followed, beside one that is fixed: right, half, double", "300", 3, service)
+	add("storm", "200 members that crash and restart together: bytes, and time until all know", "300", 200, virtualStorm)
+	add("service", "Service of 300 agents that take their number from the view, compared with a fixed number: right, half, double", "300", 3, service)
 	add("real", "The same with real processes: crashes, joins, leaves, CPU and bytes", "5,20,50", 30, realSizes)
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
@@ -60,14 +60,14 @@
 	for _, s := range strings.Split(text, ",") {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 2 {
-			return nil, fmt.Errorf("-n: %q is no number of at least 2", s)
+			return nil, fmt.Errorf("-n: %q is not a number of at least 2", s)
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// at is the time below which a share of some lies.
+// at returns the quantile of durations, which it sorts; 0 for an empty list.
 func at(all []time.Duration, share float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -17,16 +17,17 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// When things befall real daemons. Between two of them all settles.
+// Times of the plan for real daemons. Views agree again between two events.
 const (
-	realStart = 40 * time.Second // at rest before
+	realStart = 40 * time.Second // the fleet is at rest until then
 	realDown  = 5 * time.Second
 	realGap   = 8 * time.Second
 	realCut   = 60 * time.Second
-	realRest  = 20 * time.Second // what is measured at rest begins here
+	realRest  = 20 * time.Second // measurements at rest begin then and end at realStart
 )
 
-// realPlan has one daemon after another killed and started, then some leave, then halves are cut apart.
+// realPlan returns a plan in which single daemons are killed and restarted, then some leave and restart, and then the
+// fleet is partitioned into halves. cut is the time of the partition.
 func realPlan(n, times int, seed uint64) (p *plan.Plan, cut time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	p = &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Spread: 500 * time.Millisecond}
@@ -128,7 +129,7 @@
 		all.Unknown, settled.Round(time.Millisecond), float64(datagrams) / float64(seconds), bytes / seconds, cpu(lines), cpu(alone), most}, nil
 }
 
-// cpu is what a daemon uses at rest, in % of a core: the mean over all of them.
+// cpu returns the CPU time that a daemon uses at rest, in % of a core, as the mean over all daemons.
 func cpu(lines []checker.Line) float64 {
 	type span struct{ from, to checker.Line }
 	by := map[string]*span{}
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// counts are what each agent's view said, by time.
+// counts holds, for each agent, the numbers of agents that its view reported, in the order of time.
 type counts [][]counted
 
 type counted struct {
@@ -33,8 +33,9 @@
 	return all[i-1].most, all[i-1].least
 }
 
-// followDay plays the fleet's views for a day: all start at its beginning with a wrong figure in their files, and what
-// befalls agents or the links between them befalls them.
+// followDay simulates the membership views of a day and returns the numbers of agents that they reported. All members
+// start at the beginning of the day with the number file in their settings, and the given events happen to members and
+// links.
 func followDay(s *model.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
 	c := make(counts, s.Agents)
@@ -46,7 +47,8 @@
 	return c, err
 }
 
-// service plays days with the agents' number known, wrong, and followed by their own view.
+// service simulates days in which the number of agents is configured correctly, configured wrongly, or taken from the
+// membership view.
 func service(_ []int, seeds int, seed uint64) error {
 	bench.Head("day", "agents' number", "service", "worst 5 s", "refused", "rules broken", "most load on a cold server", "count told at the end")
 	for _, path := range []string{"scenarios/fleet-herd.toml", "scenarios/fleet-roll.toml", "scenarios/cold-start.toml", "scenarios/fleet-join.toml"} {
@@ -56,7 +58,7 @@
 		}
 		n := s.Agents
 		var roll []plan.Event
-		if path == "scenarios/fleet-roll.toml" { // as its agents-restart does: a part at a time from 5 s on, over 12 s
+		if path == "scenarios/fleet-roll.toml" { // like agents-restart of the scenario: one after another from 5 s on, over 12 s
 			for i := range n {
 				at := 5*time.Second + 12*time.Second*time.Duration(i)/time.Duration(n)
 				roll = append(roll, plan.Event{At: at, Do: "term", Who: []int{i}}, plan.Event{At: at + 300*time.Millisecond, Do: "start", Who: []int{i}, State: "kept"})
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// befallen is one thing whose news is followed.
+// memberEvent is one event of a member, and the times until other members know of it.
 type befallen struct {
 	at     time.Duration
 	who    int
@@ -23,10 +23,10 @@
 	knower map[int]bool
 }
 
-// follow notes when each daemon knows of what befell another.
+// follow records when each daemon learns of the events of other daemons.
 type follow struct {
-	of    map[string]*befallen // by name: the latest
-	wrong int                  // dead though nobody killed it
+	of    map[string]*befallen // the latest event of each member, by name
+	wrong int                  // members confirmed dead that were not killed
 	dead  map[string]bool
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// timeline is a plan made of things that befall one daemon after another.
+// timeline returns a plan in which single daemons are killed or leave and restart, and its events in order.
 func timeline(n, times int, gap time.Duration, seed uint64) (*plan.Plan, []*befallen) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	p := &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Bounds: checker.Bounds{}}
@@ -76,7 +76,7 @@
 	return p, all
 }
 
-// watch plays a plan and follows it.
+// watch simulates a plan and records when daemons learn of the events in all.
 func watch(p *plan.Plan, all []*befallen, o virtual.Options) (*follow, *virtual.Result, error) {
 	f := &follow{of: map[string]*befallen{}, dead: map[string]bool{}}
 	next := 0
@@ -94,12 +94,13 @@
 	return f, r, err
 }
 
-// formula is the time by which a crash is known to all but one in a hundred, by the module's own constants: the first
-// probe, its two stages, the least suspicion, and the news through the fleet. See docs/design/view.md.
+// formula returns the expected 99th percentile of the time until all know of a crash, from the module's own constants:
+// the wait for the first probe, the two stages of the probe, the shortest suspicion, and the spread of the rumor through
+// the fleet. See docs/design/view.md.
 func formula(n int) time.Duration {
-	first := 4.6 * membership.DefaultProbeInterval.Seconds() // a probe by anyone: chance of none in k periods is exp(-k)
+	first := 4.6 * membership.DefaultProbeInterval.Seconds() // the probability that no member probes it in k periods is exp(-k)
 	if n < 8 {
-		first = float64(n-1) * membership.DefaultProbeInterval.Seconds() // each goes round the others
+		first = float64(n-1) * membership.DefaultProbeInterval.Seconds() // each member probes all others in turn
 	}
 	suspect := membership.DefaultMinSuspicion.Seconds() * max(1, math.Log10(float64(n))/2)
 	news := 0.1 * math.Log2(float64(n)) / 2
@@ -189,7 +190,8 @@
 	return nil
 }
 
-// pauses has a tenth of the daemons paused for 1.5 s each, at random times, in every ten seconds.
+// pauses returns events that pause a tenth of the daemons for the time each, at random times in every ten seconds; the
+// caller passes 1.5 s. windows are the times of the pauses, and who the daemons.
 func pauses(n int, length, each time.Duration, seed uint64) (events []plan.Event, windows [][2]time.Duration, who []int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for t := 5 * time.Second; t < length-15*time.Second; t += 10 * time.Second {
@@ -214,7 +216,7 @@
 			}{{"this view", membership.BaselineMode{}}, {"SWIM without local health", membership.BaselineMode{NoLifeguard: true}}, {"SWIM without suspicion", membership.BaselineMode{NoSuspicion: true, NoLifeguard: true}}} {
 				p := &plan.Plan{Name: "hour", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Length: length, Events: events, Link: plan.Link{Drop: loss}, Peers: plan.Peers{Bytes: bytes}}
 				if way.plain.NoSuspicion {
-					p.Length = min(length, 5*time.Minute) // it is wrong so often that an hour tells no more
+					p.Length = min(length, 5*time.Minute) // this baseline is wrong so often that an hour shows nothing more
 				}
 				wrong, suspicions := 0, 0
 				members := map[string]bool{}
@@ -253,8 +255,8 @@
 	return nil
 }
 
-// heartbeats is the plainest baseline: each tells each of the others every 200 ms that it is there; who is not heard
-// for 2 s, about as soon as this view confirms, is dead. A message of 60 bytes is taken for its cost.
+// heartbeats is the simplest baseline: each member sends each other one a heartbeat every 200 ms, and a member that is not
+// heard for 2 s is confirmed dead. That is about as soon as this view confirms a death. A message counts as 60 bytes.
 func heartbeats(n int, loss float64, length time.Duration, windows [][2]time.Duration, who []int, seed uint64) (wrong, members int) {
 	rng := rand.New(rand.NewPCG(seed, 78))
 	byWho := map[int][][2]time.Duration{}
@@ -274,7 +276,7 @@
 				for next < len(w) && w[next][1] <= t {
 					next++
 				}
-				if next < len(w) && t >= w[next][0] { // paused: it says nothing
+				if next < len(w) && t >= w[next][0] { // a paused member sends no heartbeat
 					continue
 				}
 				if t-last > limit && !down {
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -1,11 +1,11 @@
-// Command policy measures how a fleet changes what it decides by. It prints Markdown; docs/measure/policy.md has its figures.
+// Command policy measures changes of the fleet's agreed policy. It prints Markdown; docs/measure/policy.md has its figures.
 //
-//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim, and how often it was tried
-//	go run ./tools/policy parts [-n 2000]       the same of a policy in parts: two changes a second, regions cut, voters moved
-//	go run ./tools/policy points [-pairs 2000]  whoever acts is killed at each write and message of a change, one at a time, then two
-//	go run ./tools/policy times                 from the question to in force at all, in virtual time
-//	go run ./tools/policy real                  the same with real processes, and what it costs at rest
-//	go run ./tools/policy ways                  beside a reload host by host, and gossip of the newest file
+//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim, and how often it was exercised
+//	go run ./tools/policy parts [-n 2000]       the same with a policy in parts: two changes a second, partitioned regions, new voters
+//	go run ./tools/policy points [-pairs 2000]  the acting member is killed at each write and message of a change, one kill at a time, then two
+//	go run ./tools/policy times                 time from a proposal until the change is in force at all members, in virtual time
+//	go run ./tools/policy real                  the same with real processes, and the cost at rest
+//	go run ./tools/policy ways                  compared with a reload host by host, and with gossip of the newest file
 package main
 
 import (
@@ -42,7 +42,7 @@
 		bench.Job{Name: "ways", Run: ways})
 }
 
-// each does n jobs on all cores, and takes their results one after the other.
+// each runs n jobs on all cores, and passes their results to take, one call at a time.
 func each[T any](n int, job func(i int) (T, error), take func(i int, v T)) error {
 	var mu sync.Mutex
 	return bench.Each(n, runtime.NumCPU(), func(i int) error {
@@ -56,7 +56,7 @@
 	})
 }
 
-// sums adds up what became of claims.
+// sums adds up the results of the checker's claims over many runs.
 type sums struct {
 	tried, broken map[string]int
 	breaks        []string
@@ -134,14 +134,14 @@
 	return err
 }
 
-// played is what came of a schedule.
+// played is the result of one schedule.
 type played struct {
 	r              *checker.Report
 	taken, changes int
 	told, befell   map[string]int
 }
 
-// kindOf is what a change came to, and for what kind of reason.
+// kindOf returns the final state of a change and, if it was dropped, the kind of reason.
 func kindOf(l checker.Line) string {
 	if l.State != "dropped" {
 		return l.State
@@ -170,7 +170,7 @@
 	return plan.Event{At: at, Do: "apply", Who: []int{who}, State: "kept"}
 }
 
-// points ends whoever acts at each point of a change.
+// points kills the acting member at each point of a change.
 func points(pairs int, whole bool) error {
 	const asked = 5 * time.Second
 	bench.Head("fleet", "cut off", "kills", "points", "runs", "broke", "told in force", "told dropped", "nobody told")
@@ -268,7 +268,8 @@
 	return nil
 }
 
-// took are how long changes took from the question to the last member that serves by them, and what was turned away.
+// took returns the sorted times from the proposal of a change until the last member first serves by it, and how many
+// changes were dropped.
 func took(p *plan.Plan, lines []checker.Line) (all []time.Duration, dropped int) {
 	asked, number := map[string]int64{}, map[string]uint64{}
 	last := map[uint64]int64{}
@@ -363,7 +364,7 @@
 		slices.Sort(spread)
 		turned, starting := 0, map[string]bool{}
 		began := map[string]bool{}
-		for _, l := range g.r.Lines { // not those of a start
+		for _, l := range g.r.Lines { // rejections before a process first serves are not counted
 			switch key := fmt.Sprint(l.Of, l.PID); l.What {
 			case checker.Took:
 				began[key] = true
@@ -453,7 +454,7 @@
 	return nil
 }
 
-// ways plays the same schedules by other means.
+// ways simulates the same schedules with other ways of distributing a policy.
 func ways() error {
 	bench.Head("way", "schedules", "changes asked for", "with two policies in use at once for over 0.5 s", "seconds of that", "schedules in which it was so at the end", "requests turned away of all")
 	for _, w := range []struct {
@@ -481,7 +482,8 @@
 	return nil
 }
 
-// atOnce says how often, and for how long, requests were taken by an earlier policy after a later one was first used.
+// atOnce returns the number of changes, and for how many policies, and how long in total, requests were still served by an
+// earlier policy more than 0.5 s after the later one was first used. end reports whether members still differ at the end.
 func atOnce(lines []checker.Line) (changes, many int, span time.Duration, end bool) {
 	first, late := map[uint64]int64{}, map[uint64]int64{}
 	var most uint64
--- a/tools/rehearsal/fleet.go
+++ b/tools/rehearsal/fleet.go
@@ -11,8 +11,9 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// fleet plays each scenario with the project's policy and with the two that see all servers as they truly are.
-// It prints service, and what the whole fleet of agents costs servers and list for it, on the mean over seeds.
+// fleet simulates each scenario with this project's balancer and with the two oracles that see the true state of all
+// servers. It prints the service, and the load that the whole fleet of agents puts on servers and on the list service,
+// as means over the seeds.
 func fleet(paths []string, seeds int) error {
 	policies := []string{"vetchhaven", baseline.SeesLate, baseline.SeesNow}
 	fmt.Printf("%d cores, mean of seeds 1 to %d\n\n", runtime.NumCPU(), seeds)
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -1,9 +1,9 @@
-// Command rehearsal measures the rehearsal emulator and the policies in it. It prints Markdown.
+// Command rehearsal measures the simulator and compares the balancing policies in it. It prints Markdown.
 //
-//	go run ./tools/rehearsal table [-seeds 5] SCENARIO.toml...   service by policy, with its spread over seeds
-//	go run ./tools/rehearsal fleet [-seeds 2] SCENARIO.toml...   beside what sees all servers truly, late and at once
+//	go run ./tools/rehearsal table [-seeds 5] SCENARIO.toml...   service by policy, with its range over the seeds
+//	go run ./tools/rehearsal fleet [-seeds 2] SCENARIO.toml...   compared with oracles that see the true state of all servers, late and immediately
 //	go run ./tools/rehearsal grow SCENARIO.toml                  time and memory at 1, 4 and 16 times the length
-//	go run ./tools/rehearsal compare VIRTUAL.json SOCKETS.json   how far two reports are apart
+//	go run ./tools/rehearsal compare VIRTUAL.json SOCKETS.json   differences between two reports
 package main
 
 import (
@@ -78,13 +78,13 @@
 	}
 	newPolicy, err := baseline.Maker(name)
 	if err != nil {
-		panic(err) // the names are textbook's own
+		panic(err) // all names come from package baseline
 	}
 	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }
 }
 
-// plays plays a scenario with each policy and seed, as many at once as there are cores, and hands on each play, one at a
-// time: the policy by its place, the seed less one, and how long it took.
+// plays simulates a scenario with each policy and seed, one run for each core at a time. It passes each result to played,
+// one call at a time: the index of the policy, the seed minus one, the result, and how long the run took.
 func plays(s *model.Scenario, policies []string, seeds int, played func(policy, seed int, p *virtual.Played, took time.Duration)) error {
 	slots := make(chan struct{}, runtime.NumCPU())
 	var mu sync.Mutex
@@ -111,7 +111,7 @@
 	return fail
 }
 
-// table plays every scenario with every policy and seed.
+// table simulates every scenario with every policy and seed, and prints the service of each policy.
 func table(paths []string, seeds int) error {
 	policies := append([]string{"vetchhaven"}, baseline.Names...)
 	fmt.Printf("%d cores, seeds 1 to %d; service in %% of the worth asked for: mean (least to most); in brackets rules broken, over all seeds\n\n",
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// grow plays the scenario at several lengths, each in a process of its own on one core.
+// grow simulates the scenario at several lengths, each in a process of its own on one core.
 func grow(path string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -219,7 +219,7 @@
 	return r, err
 }
 
-// compare prints service and the shares of attempts by server of two reports.
+// compare prints the service of two reports, and how far their shares of attempts by server differ.
 func compare(a, b string) error {
 	x, err := read(a)
 	if err != nil {
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays seeds of trouble round real processes of the program, and checks the recorded histories; see
-// docs/operate/soak.md.
+// Command soak runs random fault tests, one for each seed, against real processes of the program, and checks the recorded
+// histories; see docs/operate/soak.md.
 package main
 
 import (
@@ -40,27 +40,27 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	o := options{}
-	c := &cobra.Command{Use: "soak", Short: "Play seeds of trouble round real processes, and check what happened", Args: cobra.NoArgs, SilenceUsage: true,
+	c := &cobra.Command{Use: "soak", Short: "Run random fault tests against real processes, and check the recorded histories", Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(c *cobra.Command, _ []string) error { return run(ctx, o, c.OutOrStdout()) }}
 	f := c.Flags()
-	f.StringVar(&o.seeds, "seeds", "1-10", "a seed, or the first and the last of many")
-	f.DurationVar(&o.most, "for", 30*time.Minute, "no play begins after so long")
+	f.StringVar(&o.seeds, "seeds", "1-10", "a seed, or the first and the last seed of a range")
+	f.DurationVar(&o.most, "for", 30*time.Minute, "start no further run after this time")
 	f.IntVar(&o.size.Agents, "agents", 16, "processes of run, up to 60")
 	f.IntVar(&o.size.Daemons, "daemons", 4, "processes of serve, up to 20")
 	f.IntVar(&o.size.Servers, "servers", 10, "stand-in servers, up to 100")
-	f.DurationVar(&o.size.Length, "length", 12*time.Second, "of a play, up to 10m")
-	f.StringVar(&o.program, "program", "", "a program that was built by --build-only; default: it is built first")
-	f.StringVar(&o.buildOnly, "build-only", "", "build the program with faults as this file, and play nothing")
-	f.StringVar(&o.keep, "keep", "", "a directory for plans, histories and logs of plays that fail")
-	f.IntVar(&o.shrink, "shrink", 0, "plays at most that look for a smaller plan that fails too")
-	f.StringArrayVar(&o.faults, "fault", nil, "a fault of all processes, NAME=VALUE as in internal/faulttest/faultbuild, in place of those that seeds draw")
-	f.StringVar(&o.plan, "plan", "", "play this plan, as --keep wrote it, in place of seeds")
+	f.DurationVar(&o.size.Length, "length", 12*time.Second, "length of a run, up to 10m")
+	f.StringVar(&o.program, "program", "", "a program built with --build-only; default: build it first")
+	f.StringVar(&o.buildOnly, "build-only", "", "build the program with faults as this file, and run nothing")
+	f.StringVar(&o.keep, "keep", "", "a directory for plans, histories and logs of runs that fail")
+	f.IntVar(&o.shrink, "shrink", 0, "most runs that search for a smaller plan that fails too")
+	f.StringArrayVar(&o.faults, "fault", nil, "a fault in all processes, NAME=VALUE as in internal/faulttest/faultbuild, instead of those that seeds draw")
+	f.StringVar(&o.plan, "plan", "", "run this plan, as --keep wrote it, instead of seeds")
 	if err := c.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
 }
 
-// check reports flags that are out of bounds.
+// check returns an error if a flag is out of bounds.
 func (o *options) check() error {
 	for _, b := range []struct {
 		name        string
@@ -164,7 +164,8 @@
 	return nil
 }
 
-// play plays a plan in a directory of its own, and keeps what is wanted of one that failed.
+// play runs a plan in a directory of its own. If the run fails, it copies the plan, history, report and logs to the
+// directory of --keep.
 func (o *options) play(ctx context.Context, p soak.Plan, dir string) (check.Report, error) {
 	files, err := os.MkdirTemp(dir, "play")
 	if err != nil {
@@ -181,9 +182,9 @@
 	return report, err
 }
 
-const toldMost = 12 // violations that are printed of one play
+const toldMost = 12 // most violations printed for one run
 
-// tell prints what failed, and a smaller plan that fails too.
+// tell prints the violations of a failed run and, with --shrink, a smaller plan that violates the same invariant.
 func (o *options) tell(ctx context.Context, out io.Writer, p soak.Plan, dir string, report check.Report, err error) {
 	fmt.Fprintf(out, "seed %d: FAILED, %d violations, error %v\n%s\n", p.Seed, len(report.Violations), err, p)
 	for i, v := range report.Violations {
@@ -211,7 +212,7 @@
 	fmt.Fprintf(out, "a smaller plan that breaks %s:\n%s\n", wanted, smaller)
 }
 
-// keep copies what shows a failure.
+// keep writes the plan, history and report of a failed run, and copies the logs of its processes.
 func keep(to, files string, p soak.Plan, history []check.Event, report check.Report) error {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return err
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -1,9 +1,10 @@
-// Command verdicts measures what it is worth that agents judge servers together. It prints Markdown.
+// Command verdicts measures the benefit of agents sharing evidence about servers and ejecting them together. It prints
+// Markdown.
 //
-//	go run ./tools/verdicts worth [-seeds 1] [-agents 300] [-only verdicts] [-rate 10] [-fault silent]   requests spoilt until all keep off, beside other ways
-//	go run ./tools/verdicts links [-days 100]                 wrong verdicts under random faults of links
-//	go run ./tools/verdicts found [-seeds 12]                 how soon a failing server is out
-//	go run ./tools/verdicts bytes                             messages and time of an agent, by size of the fleet
+//	go run ./tools/verdicts worth [-seeds 1] [-agents 300] [-only verdicts] [-rate 10] [-fault silent]   attempts lost until all agents avoid the server, compared with other methods
+//	go run ./tools/verdicts links [-days 100]                 wrong ejections under random link faults
+//	go run ./tools/verdicts found [-seeds 12]                 how soon a failing server is ejected
+//	go run ./tools/verdicts bytes                             messages and CPU time of an agent, by size of the fleet
 package main
 
 import (
@@ -47,7 +48,7 @@
 	dayLength = 40 * time.Second
 )
 
-// fault is what befalls servers.
+// fault is a fault of one or more servers: hit selects them, and on and off return the changes that start and end it.
 type fault struct {
 	name    string
 	hit     func(s *model.Scenario) []string
@@ -157,7 +158,8 @@
 	})
 }
 
-// inOrder runs jobs on all cores, and hands over each result as soon as it and those before it are there.
+// inOrder runs jobs on all cores, and passes their results to take in the order of the jobs, each as soon as it and all
+// earlier ones are available.
 func inOrder[T any](jobs []func() (T, error), take func(int, T)) error {
 	type one struct {
 		got T
@@ -236,10 +238,10 @@
 	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }, nil
 }
 
-// why is told of each verdict, where set.
+// why receives a line for each ejection; nil: none is reported.
 var why func(string)
 
-// links plays days in which links break and no server fails: any verdict is a wrong one.
+// links simulates days in which links fail and no server does, so that every ejection is wrong.
 func links(days int) error {
 	type got struct {
 		r    *ejectionsim.Result
@@ -285,7 +287,7 @@
 	return nil
 }
 
-// bytes is what an agent sends and takes of a core, at rest and while a server fails.
+// bytes prints the messages and bytes that an agent sends and its share of a core, at rest and while a server fails.
 func bytes() error {
 	bench.Head("agents", "state", "messages a second of each", "bytes a second of each", "time of a core of each")
 	for _, agents := range []int{10, 100, 300, 1000, 2000, 5000} {
