--- a/tools/capacity/chain.go
+++ b/tools/capacity/chain.go
@@ -57,7 +57,7 @@
 var chainCases = []chainCase{{"10% errors", 0.1, 0}, {"50% errors", 0.5, 0}, {"75% errors", 0.75, 0}, {"100% errors", 1, 0}, {"a slow tier", 0, 0.15}}
 
 // chainRun is one simulation and its result.
-type chainPlay struct {
+type chainRun struct {
 	of     chainCase
 	config chain.Config
 	result chain.Result
@@ -66,12 +66,12 @@
 const chainEvents = 20_000_000 // most events of one simulation: bounds it to a minute and some GB of memory
 
 func chains(tiers []int, seed uint64, cores int, asTOML bool) error {
-	var plays []*chainPlay
+	var plays []*chainRun
 	add := func(of chainCase, n int, policy string, change func(*chain.Config)) {
 		c := chain.Default(n)
 		c.Errors, c.Slow, c.Policy, c.Seed, c.Events = of.errors, of.slow, policy, seed, chainEvents
 		change(&c)
-		plays = append(plays, &chainPlay{of: of, config: c})
+		plays = append(plays, &chainRun{of: of, config: c})
 	}
 	for _, of := range chainCases {
 		for _, n := range tiers {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func printChains(main, down, start []*chainPlay) {
+func printChains(main, down, start []*chainRun) {
 	bench.Head("tiers", "incident", "policy", "attempts at the last tier for a call: first second", "then", "worked out",
 		"served: first second", "then", "worked out", "of the last tier's attempts, for clients that had left", "well again after", "most retries of an agent")
 	for _, p := range main {
@@ -121,8 +121,8 @@
 			a, s := chain.Worked(c.Policy, c.Tiers, p.of.errors)
 			attempts, served = strconv.FormatFloat(a, 'g', 3, 64), chainPercent(s)
 		}
-		bench.Row(c.Tiers, p.of.name, c.Policy, chainLeast(r, r.First.PerCall()), chainLeast(r, r.Later.PerCall()), attempts,
-			chainPercent(r.First.Share()), chainPercent(r.Later.Share()), served, chainPercent(r.First.Sum(r.Later).VoidShare()), chainSpan(r.Recovered), r.Most)
+		bench.Row(c.Tiers, p.of.name, c.Policy, chainAtLeast(r, r.First.PerCall()), chainAtLeast(r, r.Later.PerCall()), attempts,
+			chainPercent(r.First.Share()), chainPercent(r.Later.Share()), served, chainPercent(r.First.Sum(r.Later).VoidShare()), chainDuration(r.Recovered), r.Most)
 	}
 	fmt.Fprintln(bench.Out)
 	bench.Head("tiers", "incident", "policy", "deadlines handed down", "clients' leaving handed down", "attempts at the last tier for a call",
@@ -130,8 +130,8 @@
 	for _, p := range down {
 		c, r := p.config, p.result
 		all := r.First.Sum(r.Later)
-		bench.Row(c.Tiers, p.of.name, c.Policy, chainYes(c.Deadlines), chainYes(c.Cancels), chainLeast(r, all.PerCall()), chainPercent(all.Share()),
-			chainPercent(all.VoidShare()), chainSpan(r.Recovered))
+		bench.Row(c.Tiers, p.of.name, c.Policy, chainYesNo(c.Deadlines), chainYesNo(c.Cancels), chainAtLeast(r, all.PerCall()), chainPercent(all.Share()),
+			chainPercent(all.VoidShare()), chainDuration(r.Recovered))
 	}
 	fmt.Fprintln(bench.Out)
 	bench.Head("tiers", "worked out: most attempts for a call, full buckets apart", "at errors", "full buckets bring besides, of each agent")
@@ -144,11 +144,11 @@
 	fmt.Fprintln(bench.Out)
 	bench.Head("tiers", "deadlines handed down", "all started at once: 99 in 100 served after")
 	for _, p := range start {
-		bench.Row(p.config.Tiers, chainYes(p.config.Deadlines), chainSpan(p.result.Settled))
+		bench.Row(p.config.Tiers, chainYesNo(p.config.Deadlines), chainDuration(p.result.Settled))
 	}
 }
 
-func chainYes(b bool) string {
+func chainYesNo(b bool) string {
 	if b {
 		return "yes"
 	}
@@ -157,7 +157,7 @@
 
 func chainPercent(share float64) string { return strconv.FormatFloat(100*share, 'f', 1, 64) + "%" }
 
-func chainSpan(d time.Duration) string {
+func chainDuration(d time.Duration) string {
 	if d < 0 {
 		return "not in the play"
 	}
@@ -165,7 +165,7 @@
 }
 
 // chainAtLeast formats a figure, marked as a lower bound if the simulation was cut short.
-func chainLeast(r chain.Result, v float64) string {
+func chainAtLeast(r chain.Result, v float64) string {
 	text := strconv.FormatFloat(v, 'f', 2, 64)
 	if r.CutShort {
 		return "at least " + text
@@ -174,10 +174,10 @@
 }
 
 // chainSlopes returns the entries of the agent and, for comparison, of clients that simply retry up to three attempts.
-func chainSlopes(tiers []int, seed uint64, main, start []*chainPlay) []slopes.Slope {
+func chainSlopes(tiers []int, seed uint64, main, start []*chainRun) []slopes.Slope {
 	command := fmt.Sprintf("go run ./tools/capacity chain --seed %d --toml", seed)
 	var all []slopes.Slope
-	entry := func(name, load, quantity, unit, form, note string, plays []*chainPlay, pick func(p *chainPlay) (float64, bool)) {
+	entry := func(name, load, quantity, unit, form, note string, plays []*chainRun, pick func(p *chainRun) (float64, bool)) {
 		s := slopes.Slope{Name: "chain." + name, Role: "chain", Load: load, Quantity: quantity, Unit: unit, Mechanism: "chain", Variable: "tiers",
 			Form: form, Command: command, Date: time.Now().Format(time.DateOnly), Machine: "virtual time: any", Note: note}
 		for _, p := range plays {
@@ -189,8 +189,8 @@
 			all = append(all, s)
 		}
 	}
-	of := func(name, policy string, value func(chain.Result) float64) func(p *chainPlay) (float64, bool) {
-		return func(p *chainPlay) (float64, bool) {
+	of := func(name, policy string, value func(chain.Result) float64) func(p *chainRun) (float64, bool) {
+		return func(p *chainRun) (float64, bool) {
 			return value(p.result), p.of.name == name && p.config.Policy == policy && !p.result.CutShort
 		}
 	}
@@ -223,7 +223,7 @@
 		}
 	}
 	entry("worst_errors.attempts", "worst", "attempts", "1/call", "table", "worked out: at the share of errors where they are most, full buckets apart", start,
-		func(p *chainPlay) (float64, bool) {
+		func(p *chainRun) (float64, bool) {
 			attempts, _ := chain.Worst(chain.Agent, p.config.Tiers)
 			return toDigits(attempts, 4), p.config.Deadlines
 		})
@@ -232,7 +232,7 @@
 		if !deadlines {
 			name, note = "start.settled_without_deadlines", "the same, each tier waits for the whole deadline anew"
 		}
-		entry(name, "worst", "time", "s", "table", note, start, func(p *chainPlay) (float64, bool) {
+		entry(name, "worst", "time", "s", "table", note, start, func(p *chainRun) (float64, bool) {
 			return p.result.Settled.Seconds(), p.config.Deadlines == deadlines && p.result.Settled >= 0
 		})
 	}
--- a/tools/capacity/changes_test.go
+++ b/tools/capacity/changes_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func played(t *testing.T, c changing) *changed {
+func played(t *testing.T, c policyRun) *policyResult {
 	t.Helper()
 	c.voters, c.stops, c.text, c.from, c.streams, c.seed = 3, true, 512, 4*time.Second, 16, 1
-	r, err := c.play()
+	r, err := c.simulate()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -16,10 +16,10 @@
 }
 
 // With four times the members, the cost of a member stays the same and the cost of the leader grows no more than in
-// proportion, at rest and during changes. The test compares counts and bytes in virtual time, which are the same on each
-// machine.
+// proportion, at rest and during changes. The test compares counts and bytes in virtual time, which are the same on
+// each machine.
 func TestFourTimesTheMembersCostAMemberNoMore(t *testing.T) {
-	for name, c := range map[string]changing{
+	for name, c := range map[string]policyRun{
 		"at rest":           {length: 16 * time.Second},
 		"a change each 3 s": {length: 24 * time.Second, every: 3 * time.Second},
 	} {
@@ -49,7 +49,7 @@
 }
 
 func TestTheSameSeedMeasuresTheSame(t *testing.T) {
-	c := changing{members: 8, length: 24 * time.Second, every: time.Second, drawn: true}
+	c := policyRun{members: 8, length: 24 * time.Second, every: time.Second, randomTimes: true}
 	a, b := played(t, c), played(t, c)
 	if a.member.bytesIn != b.member.bytesIn || a.leader.messagesOut != b.leader.messagesOut || len(a.everywhere) < 5 || a.everywhere[0] != b.everywhere[0] || a.dropped != b.dropped {
 		t.Errorf("%+v\n%+v", a, b)
@@ -58,17 +58,17 @@
 
 // Each change comes into force at all members or is dropped; a change that is proposed while another is under way is
 // dropped.
-func TestWhatIsAskedForIsInForceOrDropped(t *testing.T) {
-	r := played(t, changing{members: 20, length: 24 * time.Second, every: 200 * time.Millisecond, drawn: true})
+func TestEachChangeComesIntoForceOrIsDropped(t *testing.T) {
+	r := played(t, policyRun{members: 20, length: 24 * time.Second, every: 200 * time.Millisecond, randomTimes: true})
 	if r.asked != r.inForce+r.dropped || len(r.everywhere) != r.inForce || r.why["another change is under way"] == 0 {
 		t.Errorf("asked %d, in force %d (everywhere %d), dropped %d: %v", r.asked, r.inForce, len(r.everywhere), r.dropped, r.why)
 	}
 }
 
-// At a rate at which a fleet with one policy for all drops many changes, changes to parts of services are not dropped. With
-// ten times the members, a member's bytes stay the same and changes take no longer.
+// At a rate at which a fleet with one policy for all drops many changes, changes to parts of services are not
+// dropped. With ten times the members, a member's bytes stay the same and changes take no longer.
 func TestPartsOfServicesCostAMemberNoMore(t *testing.T) {
-	c := changing{members: 100, length: 22 * time.Second, every: 300 * time.Millisecond, drawn: true}
+	c := policyRun{members: 100, length: 22 * time.Second, every: 300 * time.Millisecond, randomTimes: true}
 	whole := played(t, c)
 	c.parts = true
 	b := played(t, c)
@@ -87,11 +87,11 @@
 
 // The size of the list is in proportion to the number of its servers.
 func TestTheListGrowsInProportion(t *testing.T) {
-	a, err := wholeList(100)
+	a, err := encodedList(100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := wholeList(1000)
+	b, err := encodedList(1000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -25,11 +25,11 @@
 const fleetName = "fleet"
 
 // policyRun describes one simulation of a fleet whose policy is changed.
-type changing struct {
+type policyRun struct {
 	members, voters int
 	stops           bool
 	every           time.Duration // mean time between two changes; 0: no changes
-	drawn           bool          // changes at random times, each by a random member; else at regular times, all by one member
+	randomTimes     bool          // changes at random times, each by a random member; else at regular times, all by one member
 	text            int           // size of a policy, in bytes
 	from, length    time.Duration // when changes and measurements begin; when the simulation ends
 	streams         int
@@ -44,7 +44,7 @@
 }
 
 // policyResult is the result of a policyRun.
-type changed struct {
+type policyResult struct {
 	asked, inForce, dropped int
 	why                     map[string]int  // number of dropped changes, by the kind of reason
 	prepared, everywhere    []time.Duration // from the proposal until the first member serves by the change, and until the last one does
@@ -57,8 +57,8 @@
 // load is the traffic and CPU time of one member, per second, and its bytes on disk.
 type load struct{ messagesIn, messagesOut, bytesIn, bytesOut, cpu, disk float64 }
 
-func (c changing) play() (*changed, error) {
-	out := &changed{why: map[string]int{}}
+func (c policyRun) simulate() (*policyResult, error) {
+	out := &policyResult{why: map[string]int{}}
 	rng := rand.New(rand.NewPCG(c.seed, uint64(c.members)))
 	p := &plan.Plan{Name: "changes", Daemons: c.members, Zones: 1, Length: c.length,
 		Policy: &plan.Policy{Voters: upTo(c.voters), Stops: c.stops, Lease: 5 * time.Second, Within: 10 * time.Second},
@@ -68,7 +68,7 @@
 	var names []string
 	if c.parts {
 		var err error
-		if holders, err = holding(c.members, c.seed); err != nil {
+		if holders, err = partHolders(c.members, c.seed); err != nil {
 			return nil, err
 		}
 		p.Policy.Holds = holders
@@ -77,7 +77,7 @@
 	last := c.length - 10*time.Second // the result of a later change might not be known at the end
 	for t := c.from; c.every > 0 && t < last; {
 		who := min(1, c.members-1)
-		if c.drawn {
+		if c.randomTimes {
 			who = rng.IntN(c.members)
 		}
 		e := plan.Event{At: t, Do: "apply", Who: []int{who}, Kind: text}
@@ -86,7 +86,7 @@
 			e.Parts, e.Who = []string{part}, []int{holders[part][rng.IntN(len(holders[part]))]}
 		}
 		p.Events = append(p.Events, e)
-		if gap := c.every; c.drawn {
+		if gap := c.every; c.randomTimes {
 			t += time.Duration(rng.ExpFloat64() * float64(gap))
 		} else {
 			t += gap
@@ -230,9 +230,9 @@
 // forAll is the number of changes of which one is to the policy for all, when changes are to parts.
 const forAll = 100
 
-// holding returns which members hold the part of which service. The members are evenly chosen from the agents of the
-// target size; each holds the part of its own service and those of the services that it calls.
-func holding(members int, seed uint64) (map[string][]int, error) {
+// partHolders returns which members hold the part of which service. The members are evenly chosen from the agents of
+// the target size; each holds the part of its own service and those of the services that it calls.
+func partHolders(members int, seed uint64) (map[string][]int, error) {
 	const agents = 12000
 	g, err := hollow.DrawGraph(hollow.GraphSpec{Agents: agents, Seed: seed})
 	if err != nil {
--- a/tools/capacity/entries_test.go
+++ b/tools/capacity/entries_test.go
@@ -11,19 +11,19 @@
 )
 
 // The entries that chain and path print with --toml are valid in docs/capacity/slopes.toml.
-func TestEntriesOfChainAndPathAreTaken(t *testing.T) {
-	var main, start []*chainPlay
+func TestChainAndPathEntriesAreValid(t *testing.T) {
+	var main, start []*chainRun
 	for _, of := range chainCases {
 		for _, n := range []int{1, 4} {
 			for _, policy := range []string{chain.Agent, chain.Threes} {
 				c := chain.Default(n)
 				c.Policy = policy
-				main = append(main, &chainPlay{of, c, chain.Result{}})
+				main = append(main, &chainRun{of, c, chain.Result{}})
 			}
 		}
 	}
 	for _, n := range []int{1, 4} {
-		start = append(start, &chainPlay{config: chain.Default(n)})
+		start = append(start, &chainRun{config: chain.Default(n)})
 	}
 	o := pathOptions{servers: []int{12, 200}, rate: 408, rounds: 3, length: time.Second, calm: time.Millisecond}
 	three := []float64{1, 2, 3}
@@ -57,7 +57,7 @@
 }
 
 // So are the entries that view, verdicts and limits print, for each variable.
-func TestEntriesOfWhatMembersShareAreTaken(t *testing.T) {
+func TestViewVerdictsAndLimitsEntriesAreValid(t *testing.T) {
 	f := &flags{sizes: "30,100", seed: 1, workers: 1}
 	p := hollow.Phase{Out: hollow.Rate{Bytes: 2, Messages: 1, Most: 3}, In: hollow.Rate{Bytes: 2, Messages: 1, Most: 3}, Processor: 0.001}
 	var all []slopes.Slope
@@ -76,9 +76,9 @@
 	}
 }
 
-// A ceiling applies to the mean of bytes only. The time until all views agree is an entry of its own, without a point for a
-// size at which they never agree.
-func TestEntriesOfWorstMinutesHaveTheirCeilingAndTheirEnd(t *testing.T) {
+// A ceiling applies to the mean of bytes only. The time until all views agree is an entry of its own, without a point
+// for a size at which they never agree.
+func TestWorstMinuteEntriesHaveCeilingAndAgreementTime(t *testing.T) {
 	f := &flags{sizes: "30,100,300", seed: 1, workers: 1}
 	s := f.series("view", "worst", "agents", "a zone")
 	s.ceiling = 500
--- a/tools/capacity/flags.go
+++ b/tools/capacity/flags.go
@@ -32,12 +32,12 @@
 	c.PreRun = func(*cobra.Command, []string) {
 		runtime.GOMAXPROCS(f.workers)
 		debug.SetGCPercent(25) // large views need much memory, which is scarcer here than CPU time
-		debug.SetMemoryLimit(memoryMost)
+		debug.SetMemoryLimit(maxMemory)
 	}
 }
 
 // maxMemory is the memory limit of a run, in bytes.
-const memoryMost = 6 << 30
+const maxMemory = 6 << 30
 
 func (f *flags) numbers() ([]int, error) {
 	var all []int
@@ -91,19 +91,20 @@
 
 func (s *series) add(size float64, p hollow.Phase) {
 	for _, q := range quantities {
-		s.points[q.name] = append(s.points[q.name], [2]float64{size, figures(q.of(p))})
+		s.points[q.name] = append(s.points[q.name], [2]float64{size, fourDigits(q.of(p))})
 	}
 }
 
-// agreed adds the time until all members had the same view. If they never agreed (took is negative), no point is added.
+// agreed adds the time until all members had the same view. If they never agreed (took is negative), no point is
+// added.
 func (s *series) agreed(size float64, took time.Duration) {
 	if took >= 0 {
-		s.points[settled] = append(s.points[settled], [2]float64{size, figures(took.Seconds())})
+		s.points[timeAgreed] = append(s.points[timeAgreed], [2]float64{size, fourDigits(took.Seconds())})
 	}
 }
 
-// settled is the name of the quantity that agreed adds: a time, by the number of members.
-const settled = "time_agreed"
+// timeAgreed is the name of the quantity that agreed adds: a time, by the number of members.
+const timeAgreed = "time_agreed"
 
 // entries returns an entry for each quantity, named mechanism.quantity.which.
 func (s *series) entries(which, command, form string) (all []slopes.Slope) {
@@ -115,19 +116,19 @@
 		}
 		all = append(all, s.f.entry(e, command))
 	}
-	if points := s.points[settled]; len(points) > 0 {
+	if points := s.points[timeAgreed]; len(points) > 0 {
 		form := "linear"
 		if len(points) == 1 {
 			form = "table"
 		}
-		all = append(all, s.f.entry(slopes.Slope{Name: s.mechanism + "." + settled + "." + which, Role: "agent", Load: s.load, Quantity: settled, Unit: "s",
+		all = append(all, s.f.entry(slopes.Slope{Name: s.mechanism + "." + timeAgreed + "." + which, Role: "agent", Load: s.load, Quantity: timeAgreed, Unit: "s",
 			Mechanism: s.mechanism, Variable: s.variable, Form: form, Points: points, Note: s.note + ". Until all that run have the same view"}, command))
 	}
 	return all
 }
 
-// figures rounds a number to four significant figures, or to an integer if it has more digits before the point.
-func figures(x float64) float64 {
+// fourDigits rounds a number to four significant figures, or to an integer if it has more digits before the point.
+func fourDigits(x float64) float64 {
 	if x == 0 {
 		return 0
 	}
--- a/tools/capacity/held.go
+++ b/tools/capacity/held.go
@@ -56,7 +56,7 @@
 			for _, s := range sides {
 				bench.Row(n, s.Name, s.Datagrams, s.Bytes, s.EachBytes, fmt.Sprintf("%.3f%%", 100*s.Processor), s.Crashes, s.Crash, s.Joins, s.Join, s.Unknown, s.Suspicions, s.Doubts)
 			}
-			used = append(used, [2]float64{float64(n), figures(sides[0].Processor)})
+			used = append(used, [2]float64{float64(n), fourDigits(sides[0].Processor)})
 			for _, s := range sides[1:] {
 				for _, q := range []struct {
 					name       string
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -24,25 +24,26 @@
 )
 
 // listedServer returns a server as the list service encodes it.
-func served(i int, state string) discovery.Member {
+func listedServer(i int, state string) discovery.Member {
 	return discovery.Member{ID: fmt.Sprintf("s%03d-%05d", i%990, i), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, 20000+i%1000),
 		Zone: fmt.Sprintf("zone-%02d", i%15), Kind: "standard", Cell: i % 150, State: state, Weight: 1, Started: 1764633600000 + int64(i)}
 }
 
-// wholeList returns the encoded list of n servers, as it is sent.
-func wholeList(n int) ([]byte, error) {
+// encodedList returns the encoded list of n servers, as it is sent.
+func encodedList(n int) ([]byte, error) {
 	m := discovery.Members{Version: 1, Full: true}
 	for i := range n {
-		m.Servers = append(m.Servers, served(i, "ready"))
+		m.Servers = append(m.Servers, listedServer(i, "ready"))
 	}
 	data, err := json.Marshal(&m)
 	return append(data, '\n'), err
 }
 
-// oneRestart returns the number of bytes that each agent receives for one restart of a server: draining, gone, ready.
-func oneRestart() (size int, err error) {
+// restartBytes returns the number of bytes that each agent receives for one restart of a server: draining, gone,
+// ready.
+func restartBytes() (size int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
-		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{served(11999, state)}})
+		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{listedServer(11999, state)}})
 		if err != nil {
 			return 0, err
 		}
@@ -52,16 +53,16 @@
 }
 
 // listCost is the cost of a whole list for the agent that reads it.
-type reading struct {
+type listCost struct {
 	decode, take time.Duration // decoding the JSON; the module's step that applies the list
 	memory       float64       // heap that stays in use, in bytes
 	step         time.Duration // the module's time for a request and its outcome
 }
 
-func readList(data []byte, requests int) (*reading, error) {
+func readList(data []byte, requests int) (*listCost, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var r reading
+	var r listCost
 	var decodes, takes []time.Duration
 	var lb *decide.Balancer
 	var m *discovery.Members
@@ -131,14 +132,14 @@
 	c := &cobra.Command{Use: "list", Short: "The cost of the list of servers, by their number", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			b, out := f.book("go run ./tools/capacity list"), f.table(c)
-			delta, err := oneRestart()
+			delta, err := restartBytes()
 			if err != nil {
 				return err
 			}
 			out.head("servers", "bytes of the list", "at 11 KB/s", "all agents at once", "read", "taken", "memory", "a request", "against the first")
 			var first time.Duration
 			for _, n := range f.sizes {
-				data, err := wholeList(n)
+				data, err := encodedList(n)
 				if err != nil {
 					return err
 				}
@@ -152,7 +153,7 @@
 				size, x := float64(len(data)), float64(n)
 				out.row(n, len(data), fmt.Sprintf("%.1f s", size/budget), fmt.Sprintf("%.2f GB", size*x/1e9), r.decode, r.take, fmt.Sprintf("%.0f", r.memory), r.step, fmt.Sprintf("%.2f", float64(r.step)/float64(first)))
 				e := func(name, role, load, quantity, unit, form, note string, value float64) {
-					b.note(slopes.Slope{Name: name, Role: role, Load: load, Quantity: quantity, Unit: unit, Mechanism: "list", Variable: "servers", Form: form, Command: b.command, Note: note}, x, value)
+					b.addPoint(slopes.Slope{Name: name, Role: role, Load: load, Quantity: quantity, Unit: unit, Mechanism: "list", Variable: "servers", Form: form, Command: b.command, Note: note}, x, value)
 				}
 				e("list.size", "source", "rest", "list_size", "B", "linear", "the whole list as JSON", size)
 				e("list.bytes_in.day", "agent", "day", "bytes_in", "B/s", "linear", fmt.Sprintf("worked out: %d restarts a day of %d, each told to all in three lines (%d bytes), and the whole list to who restarts", restartsPerDay, agents, delta),
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures how the cost of each role grows with each additional agent, service, region or change, with a
-// sub-command for each mechanism. It also prints the tables of docs/CAPACITY.md from docs/capacity/size.toml (the target
-// size) and docs/capacity/slopes.toml (the measurements).
+// Command capacity measures how the cost of each role grows with each additional agent, service, region or change,
+// with a sub-command for each mechanism. It also prints the tables of docs/CAPACITY.md from docs/capacity/size.toml
+// (the target size) and docs/capacity/slopes.toml (the measurements).
 //
 //	go run ./tools/capacity --help
 package main
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -17,7 +17,7 @@
 )
 
 // viewStatus returns the status that `fleet view --json` receives from a daemon that knows n members.
-func shownView(n int) *transport.MembershipStatus {
+func viewStatus(n int) *transport.MembershipStatus {
 	s := &transport.MembershipStatus{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, RunID: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UpS: 86400.123,
 		Size: transport.SizeStatus{MaxBalancers: n, MinBalancers: n, Members: n, Live: n}}
 	for i := range n {
@@ -28,7 +28,7 @@
 }
 
 // policyStatus returns the status that `policy show --json` receives from a voter with n members in its roster.
-func shownPolicy(n int) *daemon.PolicyStatus {
+func policyStatus(n int) *daemon.PolicyStatus {
 	s := &daemon.PolicyStatus{Status: policy.Status{Name: "host-00000", Serving: "by the policy in force", Voters: []string{"host-00000", "host-00001", "host-00002"}, Leader: "host-00001"}, Body: policyOf(100)}
 	for i := range n {
 		s.Roster = append(s.Roster, fmt.Sprintf("host-%05d", i))
@@ -36,8 +36,8 @@
 	return s
 }
 
-// read returns the size of v as a JSON document, and the CPU time to decode it.
-func read[T any](v *T) (size int, took time.Duration, err error) {
+// documentCost returns the size of v as a JSON document, and the CPU time to decode it.
+func documentCost[T any](v *T) (size int, took time.Duration, err error) {
 	data, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return 0, 0, err
@@ -64,11 +64,11 @@
 			b, out := f.book("go run ./tools/capacity operator"), f.table(c)
 			out.head("members", "fleet view --json, bytes", "read in", "policy show --json at a voter, bytes", "read in")
 			for _, n := range f.sizes {
-				vs, vt, err := read(shownView(n))
+				vs, vt, err := documentCost(viewStatus(n))
 				if err != nil {
 					return err
 				}
-				ps, pt, err := read(shownPolicy(n))
+				ps, pt, err := documentCost(policyStatus(n))
 				if err != nil {
 					return err
 				}
@@ -82,7 +82,7 @@
 					{"policy", "bytes_in", "B", "each time that policy show is asked at a voter, with a policy of 100 services", float64(ps)},
 					{"policy", "time", "ms", "processor time to read it", float64(pt) / 1e6},
 				} {
-					b.note(slopes.Slope{Name: "operator." + e.mechanism + "." + e.quantity, Role: "operator", Load: "rest", Quantity: e.quantity, Unit: e.unit, Mechanism: e.mechanism, Variable: "agents",
+					b.addPoint(slopes.Slope{Name: "operator." + e.mechanism + "." + e.quantity, Role: "operator", Load: "rest", Quantity: e.quantity, Unit: e.unit, Mechanism: e.mechanism, Variable: "agents",
 						Form: "linear", Command: b.command, Note: e.note}, float64(n), e.value)
 				}
 			}
--- a/tools/capacity/page/brief.go
+++ b/tools/capacity/page/brief.go
@@ -10,17 +10,17 @@
 
 // Limits that keep docs/CAPACITY.md short enough to be read completely.
 const (
-	lineMost    = 150 // longest line of text, in characters
-	small       = 0.1 // share of a bound on a sum below which a mechanism has no row of its own
+	maxLine     = 150 // longest line of text, in characters
+	smallShare  = 0.1 // share of a bound on a sum below which a mechanism has no row of its own
 	breaksAfter = 2   // number of rows for bounds that are met at the target size, after those that are not
 )
 
 // Brief returns the tables of docs/CAPACITY.md, by name: short forms of those that Tables returns, except the runs. A
-// role's table has, for each load, mechanism and quantity that is required or bounded, the entry that is greatest at the
-// target size; of bytes in and out only the greater one, with its messages; and the sum of all figures that a bound applies
-// to. Simulated incidents have tables by size.
+// role's table has, for each load, mechanism and quantity that is required or bounded, the entry that is greatest at
+// the target size; of bytes in and out only the greater one, with its messages; and the sum of all figures that a
+// bound applies to. Simulated incidents have tables by size.
 func Brief(s *Size, all []slopes.Slope) map[string]string {
-	p := printerOf(s, all)
+	p := newPrinter(s, all)
 	tables := map[string]string{"size": p.sizeLine(), "breaks": p.firstBreaks(), "chain": p.tiers(), "minutes": p.minutes()}
 	for _, role := range slopes.Roles {
 		if role != "chain" {
@@ -49,7 +49,7 @@
 	var b strings.Builder
 	at := 0
 	for _, word := range strings.Fields(text) {
-		if n := len([]rune(word)); at > 0 && at+1+n > lineMost {
+		if n := len([]rune(word)); at > 0 && at+1+n > maxLine {
 			b.WriteString("\n")
 			at = 0
 		} else if at > 0 {
@@ -68,7 +68,7 @@
 	var gaps []string
 	for _, load := range slopes.Loads {
 		for _, e := range p.of(role, load) {
-			if p.governs(e, false) && !p.beside(e) && !p.isSmall(e) && !p.isFarther(e) {
+			if p.governs(e, false) && !p.inOtherRow(e) && !p.isSmall(e) && !p.isFarther(e) {
 				p.short(t, e)
 			}
 		}
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// direction splits a quantity that has a direction: for bytes_out, word is bytes and other is bytes_in. Both are empty if
-// the quantity has no direction.
-func way(quantity string) (word, other string) {
+// direction splits a quantity that has a direction: for bytes_out, word is bytes and other is bytes_in. Both are
+// empty if the quantity has no direction.
+func direction(quantity string) (word, other string) {
 	if w, ok := strings.CutSuffix(quantity, "_in"); ok {
 		return w, w + "_out"
 	}
@@ -115,7 +115,7 @@
 
 // opposite returns the greatest entry of the other direction, of the same load and mechanism; nil: there is none.
 func (p *printer) opposite(e *slopes.Slope) *slopes.Slope {
-	_, other := way(e.Quantity)
+	_, other := direction(e.Quantity)
 	if other == "" {
 		return nil
 	}
@@ -129,16 +129,16 @@
 
 // inOtherRow reports whether an entry has no row of its own because another row covers it: messages are in the row of
 // their bytes, and of two directions only the greater has a row.
-func (p *printer) beside(e *slopes.Slope) bool {
-	word, _ := way(e.Quantity)
+func (p *printer) inOtherRow(e *slopes.Slope) bool {
+	word, _ := direction(e.Quantity)
 	if word == "messages" && slices.ContainsFunc(p.all, func(o slopes.Slope) bool {
-		w, _ := way(o.Quantity)
+		w, _ := direction(o.Quantity)
 		return w == "bytes" && o.Role == e.Role && o.Load == e.Load && o.Mechanism == e.Mechanism && p.other(&o, o.Quantity, strings.Replace(o.Quantity, "bytes", "messages", 1)) != nil
 	}) {
 		return true
 	}
 	if o := p.opposite(e); o != nil {
-		a, b := p.aimed(e), p.aimed(o)
+		a, b := p.targetValue(e), p.targetValue(o)
 		return b > a || b == a && o.Name < e.Name
 	}
 	return false
@@ -146,21 +146,22 @@
 
 // isSmall reports whether an entry, with both directions added, is a small share of a bound on a sum.
 func (p *printer) isSmall(e *slopes.Slope) bool {
-	value := p.aimed(e)
+	value := p.targetValue(e)
 	if o := p.opposite(e); o != nil {
-		value += p.aimed(o)
+		value += p.targetValue(o)
 	}
 	return slices.ContainsFunc(p.size.Bound, func(b Bound) bool {
-		return b.Sum && b.of(e) && b.in(e.Load) && value*scale(b.Unit, e.Unit) < small*b.Most
+		return b.Sum && b.of(e) && b.in(e.Load) && value*scale(b.Unit, e.Unit) < smallShare*b.Most
 	})
 }
 
-// isFarther reports whether an entry meets a bound on single entries, and another entry of its load is closer to the bound.
+// isFarther reports whether an entry meets a bound on single entries, and another entry of its load is closer to the
+// bound.
 func (p *printer) isFarther(e *slopes.Slope) bool {
 	return slices.ContainsFunc(p.size.Bound, func(b Bound) bool {
 		by := scale(b.Unit, e.Unit)
-		return !b.Sum && b.of(e) && b.in(e.Load) && by*p.aimed(e) <= b.Most && slices.ContainsFunc(p.all, func(o slopes.Slope) bool {
-			return b.of(&o) && o.Load == e.Load && o.Role == e.Role && scale(b.Unit, o.Unit)*p.aimed(&o) > by*p.aimed(e)
+		return !b.Sum && b.of(e) && b.in(e.Load) && by*p.targetValue(e) <= b.Most && slices.ContainsFunc(p.all, func(o slopes.Slope) bool {
+			return b.of(&o) && o.Load == e.Load && o.Role == e.Role && scale(b.Unit, o.Unit)*p.targetValue(&o) > by*p.targetValue(e)
 		})
 	})
 }
@@ -181,14 +182,14 @@
 	case measured:
 		beyond = "measured"
 	case x > high:
-		beyond = farther(x / high)
+		beyond = extrapolation(x / high)
 		if e.Form == "table" {
 			there = "not extrapolated"
 		}
 	}
-	word, _ := way(e.Quantity)
+	word, _ := direction(e.Quantity)
 	if m := p.other(e, e.Quantity, strings.Replace(e.Quantity, "bytes", "messages", 1)); m != nil && word == "bytes" && there != "not extrapolated" {
-		there += fmt.Sprintf(", %s msg/s", count(round(p.aimed(m))))
+		there += fmt.Sprintf(", %s msg/s", count(round(p.targetValue(m))))
 	}
 	bound, kept := p.boundOf(e, value)
 	bound = strings.TrimSuffix(bound, forAll)
@@ -199,8 +200,8 @@
 	t.row(e.Load, p.figure(e), form, there, over(e, v), beyond, bound, kept, p.number(e))
 }
 
-// farther formats the factor by which a figure is extrapolated beyond the measured sizes, in bold above Far.
-func farther(times float64) string {
+// extrapolation formats the factor by which a figure is extrapolated beyond the measured sizes, in bold above Far.
+func extrapolation(times float64) string {
 	text := fmt.Sprintf("%.1f", times)
 	if times > Far {
 		return "**" + text + "**"
@@ -336,9 +337,9 @@
 	})
 }
 
-// incidents returns a short table of figures at a few sizes, with a row for each incident and a column for each quantity;
-// an empty list of quantities means all. If an incident has several entries of a quantity, the one whose name ends in the
-// quantity is used.
+// incidents returns a short table of figures at a few sizes, with a row for each incident and a column for each
+// quantity; an empty list of quantities means all. If an incident has several entries of a quantity, the one whose
+// name ends in the quantity is used.
 func (p *printer) incidents(all []*slopes.Slope, quantities []string, of func(*slopes.Slope) string) string {
 	given := len(quantities) > 0
 	var incidents []string
--- a/tools/capacity/page/brief_test.go
+++ b/tools/capacity/page/brief_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestABriefRowSaysSlopeRangeDistanceBoundAndRun(t *testing.T) {
+func TestABriefRowShowsSlopeRangeDistanceBoundAndRun(t *testing.T) {
 	got := briefOf(t, slope(func(*slopes.Slope) {}))
 	has(t, got["agent"], "| rest | `view.bytes_out.rest` |", "| 100 B/s + 1 B/s n |", "| 12.1 KB/s |", "| 100 to 1,000 agents |", "| **12.0** |", "| 11 KB/s |", "| **no** |", "| [1] |")
 	has(t, got["agent"], "| rest | **all together**, of 1 |", "| 12.1 KB/s |", "| 11 KB/s |", "| **no** |")
@@ -55,7 +55,7 @@
 }
 
 // Of two directions only the greater has a row, with its own messages; a sum counts both.
-func TestOfTwoWaysTheGreaterIsToldWithItsMessages(t *testing.T) {
+func TestTheGreaterDirectionIsShownWithItsMessages(t *testing.T) {
 	of := func(quantity string, unit string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
 			s.Name, s.Quantity, s.Unit, s.Form, s.Points = "view."+quantity+".rest", quantity, unit, "constant", [][2]float64{{12000, value}}
@@ -67,9 +67,9 @@
 	hasNot(t, got["agent"], "bytes_out", "`view.messages")
 }
 
-// An entry that is a small share of a bound on a sum has no row, but is counted in the sum. An entry without a bound always
-// has a row.
-func TestWhatIsLittleOfASharedBoundHasNoRow(t *testing.T) {
+// An entry that is a small share of a bound on a sum has no row, but is counted in the sum. An entry without a bound
+// always has a row.
+func TestASmallShareOfASharedBoundHasNoRow(t *testing.T) {
 	flat := func(mechanism, quantity string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
 			s.Name, s.Mechanism, s.Quantity, s.Form, s.Points = mechanism+"."+quantity+".rest", mechanism, quantity, "constant", [][2]float64{{100, value}}
@@ -83,7 +83,7 @@
 }
 
 // Of the entries that meet a bound on single entries only the closest to it has a row; all that exceed it have one.
-func TestOfWhatKeepsItsBoundTheNearestIsTold(t *testing.T) {
+func TestTheEntryClosestToItsBoundIsShown(t *testing.T) {
 	time := func(name, mechanism string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
 			s.Name, s.Mechanism, s.Quantity, s.Unit, s.Form, s.Points = name, mechanism, "time", "s", "constant", [][2]float64{{100, value}}
@@ -98,7 +98,7 @@
 }
 
 // Points that are calculated from others are not shown as measured.
-func TestWhatIsWorkedOutSaysSo(t *testing.T) {
+func TestCalculatedPointsAreMarked(t *testing.T) {
 	got := briefOf(t, slope(func(s *slopes.Slope) {
 		s.Points, s.Note = append(s.Points, [2]float64{12000, 5000}), "worked out: so many times so much"
 	}))
@@ -130,7 +130,7 @@
 }
 
 // Each incident has a row, with a column for each quantity and the values by size; a missing point is shown as "-".
-func TestTiersAreOneRowAnIncident(t *testing.T) {
+func TestTiersHaveOneRowPerIncident(t *testing.T) {
 	of := func(name, quantity, unit string, points ...[2]float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
 			s.Name, s.Role, s.Load, s.Quantity, s.Unit, s.Form, s.Mechanism, s.Points = "chain."+name, "chain", "worst", quantity, unit, "table", "chain", points
@@ -144,8 +144,9 @@
 	has(t, got, "| by agents: 1 / 16 | attempts | share | time | run |")
 }
 
-// The view's worst minutes have the same form: bytes out, the most bytes in a second, and the time until all views agree.
-func TestTheViewsWorstMinutesStandBySize(t *testing.T) {
+// The view's worst minutes have the same form: bytes out, the most bytes in a second, and the time until all views
+// agree.
+func TestTheViewsWorstMinutesAreListedBySize(t *testing.T) {
 	of := func(name, quantity, unit string, points ...[2]float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
 			s.Name, s.Load, s.Quantity, s.Unit, s.Form, s.Points = "view."+quantity+"."+name, "worst", quantity, unit, "table", points
@@ -159,7 +160,7 @@
 	hasNot(t, got, "7 B/s")
 }
 
-func TestACeilingIsToldBesideTheSlope(t *testing.T) {
+func TestACeilingIsShownNextToTheSlope(t *testing.T) {
 	e := slope(func(s *slopes.Slope) { s.Ceiling = 9000 })
 	has(t, briefOf(t, e)["agent"], "| 100 B/s + 1 B/s n, at most 9 KB/s | 9 KB/s |", "| **12.0** |", "yes")
 	has(t, tables(t, e)["agent"], "| 100 B/s + 1 B/s x agents, at most 9 KB/s | 9 KB/s |")
--- a/tools/capacity/page/page.go
+++ b/tools/capacity/page/page.go
@@ -35,8 +35,8 @@
 
 const end = "<!-- end -->"
 
-// Insert puts the tables between their markers in text. It returns an error unless each table has exactly one place on the
-// page, and each place a table. Errors name the page as path.
+// Insert puts the tables between their markers in text. It returns an error unless each table has exactly one place
+// on the page, and each place a table. Errors name the page as path.
 func Insert(path, text string, tables map[string]string) (string, error) {
 	var out []string
 	var missing []string
--- a/tools/capacity/page/page_test.go
+++ b/tools/capacity/page/page_test.go
@@ -12,7 +12,7 @@
 const docs = "../../../docs/"
 
 // The pages contain exactly the tables that the files of the target size and the slopes produce, byte by byte.
-func TestThePagesHoldWhatTheFilesSay(t *testing.T) {
+func TestThePagesMatchTheirSourceFiles(t *testing.T) {
 	brief, full, err := Load(docs+"capacity/size.toml", docs+"capacity/slopes.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -126,20 +126,21 @@
 	}
 }
 
-func TestAFigureMeasuredAsFarIsNotMarked(t *testing.T) {
+func TestAShortExtrapolationIsNotMarked(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) { s.Points = [][2]float64{{300, 400}, {1000, 1100}, {3000, 3100}} }))
 	has(t, got["agent"], "| 4.0 |")
 }
 
 // A value measured at the target size is used instead of the curve.
-func TestWhatWasMeasuredAtTheSizeCounts(t *testing.T) {
+func TestAMeasurementAtTheTargetSizeIsUsed(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) { s.Points = append(s.Points, [2]float64{12000, 5000}) }))
 	has(t, got["agent"], "| 5 KB/s, measured |", "| within |", "| yes |")
 	has(t, got["agent"], "all together", "| 5 KB/s |", "| yes |")
 	has(t, got["breaks"], "| 1 | bytes |", "| 5 KB/s |", "| yes |")
 }
 
-// A figure that was not measured at a load counts with its value at rest; of two entries of one quantity the greater counts.
+// A figure that was not measured at a load counts with its value at rest; of two entries of one quantity the greater
+// counts.
 func TestABoundOnASumTakesTheGreatestOfEachMechanism(t *testing.T) {
 	flat := func(name, load, quantity, mechanism string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -153,9 +154,9 @@
 	has(t, got["breaks"], "worst minute", "not up to 1,200,000 agents", "9.1 KB/s", "yes")
 }
 
-// Times in other units are compared with the same bound, and the bound that is crossed at the smaller share of its size
-// comes first.
-func TestWhatBreaksFirstComesFirst(t *testing.T) {
+// Times in other units are compared with the same bound, and the bound that is crossed at the smaller share of its
+// size comes first.
+func TestCrossingsAreSortedBySize(t *testing.T) {
 	got := tables(t,
 		slope(func(s *slopes.Slope) {}),
 		slope(func(s *slopes.Slope) {
@@ -181,7 +182,8 @@
 	has(t, got["breaks"], "| 1 | in time |", "below 100 agents, the smallest size measured", "**no**")
 }
 
-// The same holds for a sum. The size named is that of the growing mechanism whose smallest measured size is the largest.
+// The same holds for a sum. The size named is that of the growing mechanism whose smallest measured size is the
+// largest.
 func TestASumCrossedBelowWhatWasMeasuredSaysSo(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) { s.Points = [][2]float64{{300, 30000}, {1000, 100000}} }),
 		slope(func(s *slopes.Slope) {
@@ -190,9 +192,9 @@
 	has(t, got["breaks"], "| 1 | bytes |", "below 300 agents, the smallest size measured", "**no**")
 }
 
-// A figure that grows with the distance is in the sum at the target distance, and has a row of its own if it crosses the
-// bound by itself.
-func TestWhatGrowsWithDistanceBreaksByItself(t *testing.T) {
+// A figure that grows with the distance is in the sum at the target distance, and has a row of its own if it crosses
+// the bound by itself.
+func TestAFigureThatGrowsWithDistanceHasItsOwnCrossing(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) {
 		s.Variable, s.Form, s.Points = "rtt_ms", "steps", [][2]float64{{0, 700}, {120, 5000}, {200, 23000}}
 	}))
@@ -224,7 +226,7 @@
 
 // An entry that another mechanism replaces is kept in tables.md with the name of its replacement, without a bound;
 // CAPACITY.md has only the replacement.
-func TestWhatIsCarriedOtherwiseSinceIsHeldToNoBound(t *testing.T) {
+func TestAReplacedEntryHasNoBound(t *testing.T) {
 	old, now := slope(func(s *slopes.Slope) { s.Instead = "view.bytes_out.now" }), slope(func(s *slopes.Slope) {
 		s.Name, s.Points = "view.bytes_out.now", [][2]float64{{100, 20}, {300, 40}, {1000, 110}}
 	})
@@ -282,7 +284,7 @@
 	}
 }
 
-func TestAnEntryGrowsWithSomethingThatHasASize(t *testing.T) {
+func TestTheVariableOfAnEntryMustHaveATargetSize(t *testing.T) {
 	s, err := ParseSize("size.toml", []byte(size))
 	if err != nil {
 		t.Fatal(err)
--- a/tools/capacity/page/size.go
+++ b/tools/capacity/page/size.go
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// Fits checks that each entry's variable has a target value, that an entry which replaces another exists, and that units
-// can be converted to those of the bounds.
+// Fits checks that each entry's variable has a target value, that an entry which replaces another exists, and that
+// units can be converted to those of the bounds.
 func (s *Size) Fits(path string, data []byte, all []slopes.Slope) error {
 	f, err := tomlfile.Parse(path, data, &struct {
 		Slope []slopes.Slope `toml:"slope"`
@@ -167,7 +167,8 @@
 	return nil
 }
 
-// units are the units that can be converted to others of the same kind, with their size in the base unit (s, B or B/s).
+// units are the units that can be converted to others of the same kind, with their size in the base unit (s, B or
+// B/s).
 var units = map[string]struct {
 	kind string
 	of   float64
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -13,11 +13,11 @@
 // Far is the factor beyond the largest measured size up to which an extrapolated figure has no mark.
 const Far = 4
 
-// Tables returns the tables of docs/capacity/tables.md, by name, with every entry: the target size, a table for each role,
-// the bounds in the order in which they are crossed as the size grows, and the runs. Brief returns those of
+// Tables returns the tables of docs/capacity/tables.md, by name, with every entry: the target size, a table for each
+// role, the bounds in the order in which they are crossed as the size grows, and the runs. Brief returns those of
 // docs/CAPACITY.md.
 func Tables(s *Size, all []slopes.Slope) map[string]string {
-	p := printerOf(s, all)
+	p := newPrinter(s, all)
 	tables := map[string]string{"size": p.sizes(), "breaks": p.breaks(), "runs": p.runs()}
 	for _, role := range slopes.Roles {
 		tables[role] = p.role(role)
@@ -31,7 +31,7 @@
 	list []run
 }
 
-func printerOf(s *Size, all []slopes.Slope) *printer {
+func newPrinter(s *Size, all []slopes.Slope) *printer {
 	p := &printer{size: s, all: all}
 	for i := range all {
 		if r := runOf(&all[i]); !slices.Contains(p.list, r) {
@@ -110,9 +110,9 @@
 	return rows
 }
 
-// governs reports whether an entry is required or bounded, and has the greatest value among its alternatives (entries of
-// the same role, load, mechanism and quantity) at the target size. With same, only alternatives with the same variable are
-// compared, and all entries of path and chain govern, as these are separate cases.
+// governs reports whether an entry is required or bounded, and has the greatest value among its alternatives (entries
+// of the same role, load, mechanism and quantity) at the target size. With same, only alternatives with the same
+// variable are compared, and all entries of path and chain govern, as these are separate cases.
 func (p *printer) governs(e *slopes.Slope, same bool) bool {
 	if e.Instead != "" {
 		return false
@@ -132,7 +132,7 @@
 			continue
 		}
 		if by := scale(e.Unit, o.Unit); by > 0 {
-			if a, b := p.aimed(e), by*p.aimed(o); b > a || b == a && o.Name < e.Name {
+			if a, b := p.targetValue(e), by*p.targetValue(o); b > a || b == a && o.Name < e.Name {
 				return false
 			}
 		}
@@ -141,7 +141,7 @@
 }
 
 // targetValue returns an entry's value at the target size.
-func (p *printer) aimed(e *slopes.Slope) float64 {
+func (p *printer) targetValue(e *slopes.Slope) float64 {
 	value, _ := at(e, e.Fit(), p.size.variable(e.Variable).at(e.Load))
 	return value
 }
@@ -198,7 +198,7 @@
 		there += ", measured"
 	}
 	if x > high {
-		beyond = farther(x / high)
+		beyond = extrapolation(x / high)
 		if e.Form == "table" {
 			there = "not extrapolated; " + unit(f.Value(high), e.Unit) + " at " + count(high)
 		}
@@ -279,8 +279,8 @@
 	return value * p.by
 }
 
-// parts returns the terms of the sum that a bound applies to. For each mechanism and quantity that is the greatest figure
-// at the load itself or, if there is none, at the next lower load.
+// parts returns the terms of the sum that a bound applies to. For each mechanism and quantity that is the greatest
+// figure at the load itself or, if there is none, at the next lower load.
 func (p *printer) parts(b *Bound, load string) (all []term) {
 	type key struct{ mechanism, quantity string }
 	best := map[key]term{}
@@ -399,7 +399,7 @@
 				if b.Sum && share > 1 {
 					continue
 				}
-				all = append(all, crossing{share, b, load, e.Mechanism, e.Name, where(share, aim, v.Words, e.Points[0][0]), p.aimed(e) * by})
+				all = append(all, crossing{share, b, load, e.Mechanism, e.Name, where(share, aim, v.Words, e.Points[0][0]), p.targetValue(e) * by})
 			}
 		}
 	}
@@ -437,8 +437,8 @@
 	return fmt.Sprintf("%s %s (%.2g of the size)", count(round(share*aim)), words, share)
 }
 
-// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if it is above the bound at
-// any size, +Inf if it is not above it up to most times the target size.
+// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if it is above the bound
+// at any size, +Inf if it is not above it up to most times the target size.
 func cross(value func(share float64) float64, bound float64) float64 {
 	low, high := 1e-6, float64(most)
 	if value(low) > bound {
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -46,8 +46,8 @@
 	asTOML            bool
 }
 
-// pathCommand measures the request path on loopback sockets: the latency that one agent adds to a call, and its CPU time
-// and memory.
+// pathCommand measures the request path on loopback sockets: the latency that one agent adds to a call, and its CPU
+// time and memory.
 func pathCommand() *cobra.Command {
 	var services, servers string
 	o := pathOptions{}
@@ -75,13 +75,13 @@
 }
 
 const (
-	pathCores  = 2               // GOMAXPROCS of the agent's process, and of this one
-	pathWarmup = 3 * time.Second // until connections are open and the agent knows the servers
-	pathIdle   = 5 * time.Second // time over which an idle agent is measured
-	pathAnswer = 200             // size of an answer, in bytes
-	pathMost   = 5 * time.Second // time limit of a call
-	pathEarly  = 300 * time.Microsecond
-	pathLeast  = 3 // fewest rounds for a point of an entry
+	pathCores       = 2                      // GOMAXPROCS of the agent's process, and of this one
+	pathWarmup      = 3 * time.Second        // until connections are open and the agent knows the servers
+	pathIdle        = 5 * time.Second        // time over which an idle agent is measured
+	pathAnswerBytes = 200                    // size of an answer, in bytes
+	pathTimeout     = 5 * time.Second        // time limit of a call
+	pathBusyWait    = 300 * time.Microsecond // busy wait before a call's scheduled time, for an exact start
+	pathMinRounds   = 3                      // fewest rounds for a point of an entry
 )
 
 // pathRow is the result for one size, with a figure for each round.
@@ -95,7 +95,7 @@
 	cpu, waited             []float64 // cores used; seconds a second that the agent's threads waited for a core
 	idle                    float64   // cores used by an idle agent
 	resident, quietResident float64   // bytes
-	aside                   int
+	discarded               int
 	failed                  [2]int // failed calls, directly and through the agent, in all rounds
 	last                    error
 }
@@ -133,13 +133,13 @@
 		"starts late by p99", "agent's CPU", "a call", "quiet", "waited for a core", "memory", "quiet", "failed directly, through the agent, in all rounds")
 	for _, r := range rows {
 		if len(r.cpu) == 0 {
-			bench.Row(r.services, r.servers, fmt.Sprintf("0, %d: the machine was too busy", r.aside), pathFailed(r))
+			bench.Row(r.services, r.servers, fmt.Sprintf("0, %d: the machine was too busy", r.discarded), pathFailed(r))
 			continue
 		}
 		ms := func(share float64, direct, agent *hdrhistogram.Histogram) string {
 			return fmt.Sprintf("%.3f ms", pathAdded(direct, agent, share))
 		}
-		bench.Row(r.services, r.servers, fmt.Sprintf("%d, %d", len(r.cpu), r.aside), pathSpread(r.direct50, 3)+" ms", pathSpread(r.direct99, 3)+" ms",
+		bench.Row(r.services, r.servers, fmt.Sprintf("%d, %d", len(r.cpu), r.discarded), pathSpread(r.direct50, 3)+" ms", pathSpread(r.direct99, 3)+" ms",
 			pathSpread(r.added50, 3)+" ms", pathSpread(r.added99, 3)+" ms", ms(50, r.direct, r.agent), ms(99, r.direct, r.agent),
 			ms(50, r.allDirect, r.allAgent), ms(99, r.allDirect, r.allAgent), fmt.Sprintf("%.3f ms", r.late99),
 			pathSpread(pathPercents(r.cpu), 2)+"% of a core", pathSpread(pathScaled(r.cpu, 1e6/o.rate), 0)+" us", fmt.Sprintf("%.2f%%", 100*r.idle),
@@ -170,7 +170,7 @@
 func measurePath(ctx context.Context, o pathOptions, dir string, services, servers int) (row pathRow, err error) {
 	row = pathRow{services: services, servers: servers, direct: newPathLatency(), agent: newPathLatency(),
 		allDirect: newPathLatency(), allAgent: newPathLatency()}
-	body := bytes.Repeat([]byte("x"), pathAnswer)
+	body := bytes.Repeat([]byte("x"), pathAnswerBytes)
 	var forms []discovery.Member
 	for i := range servers {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
@@ -238,7 +238,7 @@
 		}
 		row.last = cmp.Or(r.last, row.last)
 		if o.calm > 0 && r.late.ValueAtQuantile(99) > o.calm.Microseconds() {
-			row.aside++
+			row.discarded++
 			continue
 		}
 		row.cpu = append(row.cpu, (usedThen-used).Seconds()/took)
@@ -258,7 +258,7 @@
 }
 
 func newPathLatency() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, 2*pathMost.Microseconds(), 3)
+	return hdrhistogram.New(1, 2*pathTimeout.Microseconds(), 3)
 }
 
 // ---- The agent ----
@@ -385,7 +385,7 @@
 
 func newPathCaller(o pathOptions, forms []discovery.Member, agent []string) *pathCaller {
 	c := &pathCaller{rate: o.rate, rng: rand.New(rand.NewPCG(o.seed, 408)), agent: agent,
-		client: &http.Client{Timeout: pathMost, Transport: &http.Transport{MaxIdleConnsPerHost: 200,
+		client: &http.Client{Timeout: pathTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 200,
 			DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}}
 	for _, m := range forms {
 		c.direct = append(c.direct, m.Addr)
@@ -406,7 +406,7 @@
 	runtime.LockOSThread() // the last part of each wait is a busy wait on the clock
 	defer runtime.UnlockOSThread()
 	r := &pathRound{direct: newPathLatency(), agent: newPathLatency(), late: newPathLatency()}
-	ctx, cancel := context.WithTimeout(ctx, length+2*pathMost)
+	ctx, cancel := context.WithTimeout(ctx, length+2*pathTimeout)
 	defer cancel()
 	var open sync.WaitGroup
 	began, at, n := time.Now(), time.Duration(0), 0
@@ -419,14 +419,14 @@
 		if n%2 == 1 {
 			way, host, into = 1, c.agent[c.rng.IntN(len(c.agent))], r.agent
 		}
-		meant := began.Add(at)
-		time.Sleep(time.Until(meant) - pathEarly)
-		for time.Now().Before(meant) {
+		scheduled := began.Add(at)
+		time.Sleep(time.Until(scheduled) - pathBusyWait)
+		for time.Now().Before(scheduled) {
 		}
 		open.Go(func() {
-			started := time.Since(meant)
+			started := time.Since(scheduled)
 			err := c.call(ctx, host)
-			took := time.Since(meant)
+			took := time.Since(scheduled)
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			_ = r.late.RecordValue(started.Microseconds())
@@ -434,9 +434,9 @@
 			if err != nil {
 				r.failed[way]++
 				r.last = err
-				took = pathMost // a failed call counts with the longest time allowed
+				took = pathTimeout // a failed call counts with the longest time allowed
 			}
-			_ = into.RecordValue(min(took, 2*pathMost).Microseconds())
+			_ = into.RecordValue(min(took, 2*pathTimeout).Microseconds())
 		})
 	}
 	open.Wait()
@@ -465,7 +465,7 @@
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode != http.StatusOK || got != pathAnswer {
+	if resp.StatusCode != http.StatusOK || got != pathAnswerBytes {
 		return fmt.Errorf("status %d with %d bytes", resp.StatusCode, got)
 	}
 	return nil
@@ -501,11 +501,11 @@
 			s := slopes.Slope{Name: fmt.Sprintf("path.%s.servers_%d", name, servers), Role: "path", Load: load, Quantity: quantity, Unit: unit,
 				Mechanism: "path", Variable: "services_called", Form: form, Command: command, Date: time.Now().Format(time.DateOnly), Machine: measuredOn()}
 			var ranges []string
-			aside := 0
+			discarded := 0
 			for _, r := range rows {
-				if r.servers == servers && len(r.cpu) >= pathLeast {
+				if r.servers == servers && len(r.cpu) >= pathMinRounds {
 					v := pick(r)
-					aside += r.aside
+					discarded += r.discarded
 					s.Points = append(s.Points, [2]float64{float64(r.services), toDigits(pathMedian(v), digits)})
 					ranges = append(ranges, fmt.Sprintf("%.*f to %.*f", digits, slices.Min(v), digits, slices.Max(v)))
 				}
@@ -515,7 +515,7 @@
 			}
 			busy := "busy ones count too"
 			if o.calm > 0 {
-				busy = fmt.Sprintf("%d set aside as the machine was busy", aside)
+				busy = fmt.Sprintf("%d set aside as the machine was busy", discarded)
 			}
 			s.Note = fmt.Sprintf("one agent at %g calls a second, %d servers of each service; median of rounds of %s, %s; least to most: %s",
 				o.rate, servers, o.length, busy, strings.Join(ranges, ", "))
--- a/tools/capacity/path_test.go
+++ b/tools/capacity/path_test.go
@@ -12,10 +12,10 @@
 	"vetchhaven/internal/standin"
 )
 
-// The latency of a call counts from its scheduled time, so that calls scheduled during a stall include their waiting time
-// (no coordinated omission). On a single connection that stalls for the first 300 ms, calls scheduled in the first 200 ms
-// take at least 100 ms.
-func TestLatencyCountsFromWhenACallWasMeant(t *testing.T) {
+// The latency of a call counts from its scheduled time, so that calls scheduled during a stall include their waiting
+// time (no coordinated omission). On a single connection that stalls for the first 300 ms, calls scheduled in the
+// first 200 ms take at least 100 ms.
+func TestLatencyCountsFromTheScheduledTime(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	var first atomic.Bool
 	began := time.Now()
@@ -23,7 +23,7 @@
 		if first.CompareAndSwap(false, true) {
 			time.Sleep(time.Until(began.Add(stall))) // this sleep is the stall under test; it synchronizes nothing
 		}
-		_, _ = w.Write(bytes.Repeat([]byte("x"), pathAnswer))
+		_, _ = w.Write(bytes.Repeat([]byte("x"), pathAnswerBytes))
 	})
 	defer form.Close()
 	c := newPathCaller(pathOptions{rate: 100, seed: 1}, []discovery.Member{form.Member("ready")}, []string{strings.TrimPrefix(form.Member("ready").Addr, "http://")})
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -20,8 +20,8 @@
 	run  func(sizes []int, f *flags) ([]slopes.Slope, error)
 }
 
-// measures returns a command with several parts.
-func measures(use, short, long, sizes string, parts ...part) *cobra.Command {
+// multiPartCommand returns a command with several parts.
+func multiPartCommand(use, short, long, sizes string, parts ...part) *cobra.Command {
 	f := flags{sizes: sizes}
 	var at string
 	c := &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs}
@@ -61,7 +61,7 @@
 }
 
 func verdictsCommand() *cobra.Command {
-	return measures("verdicts", "Shared ejections of servers: bytes, messages and CPU time of an agent",
+	return multiPartCommand("verdicts", "Shared ejections of servers: bytes, messages and CPU time of an agent",
 		"At rest over sizes and over requests a second; on the ordinary day; when all servers of one of fifteen zones fail for a minute. Each\n"+
 			"agent is a server too, and sends to the services that its own service calls, by a graph drawn from the seed.",
 		"100,300,1000", part{"rest", verdictsRest}, part{"rate", verdictsRate}, part{"day", verdictsDay}, part{"worst", verdictsWorst})
@@ -69,12 +69,12 @@
 
 // Requests on an ordinary day.
 const (
-	callsEach = 408.0 // requests a second of each agent
-	badShare  = 0.001 // share of requests that fail at random, as in tools/verdicts
+	requestRate = 408.0 // requests a second of each agent
+	errorShare  = 0.001 // share of requests that fail at random, as in tools/verdicts
 )
 
 func verdictsRun(n int, rate float64, f *flags, change func(*hollow.Verdicts)) (hollow.Phase, error) {
-	l, err := apart.layout(n, f.seed)
+	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
 		return hollow.Phase{}, err
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return hollow.Phase{}, err
 	}
-	v := hollow.Verdicts{Seed: f.seed, Layout: l, Graph: g, Rate: rate, Error: badShare, Marks: []time.Duration{5 * time.Second}, Length: 15 * time.Second}
+	v := hollow.Verdicts{Seed: f.seed, Layout: l, Graph: g, Rate: rate, Error: errorShare, Marks: []time.Duration{5 * time.Second}, Length: 15 * time.Second}
 	if change != nil {
 		change(&v)
 	}
@@ -93,19 +93,19 @@
 	return phases[1], nil
 }
 
-// onceCounted makes a run measure from 20 s on, when agents have counted random failures for long enough.
-func onceCounted(v *hollow.Verdicts) {
+// measureAfterWarmup makes a run measure from 20 s on, when agents have counted random failures for long enough.
+func measureAfterWarmup(v *hollow.Verdicts) {
 	v.Marks, v.Length = []time.Duration{20 * time.Second}, 25*time.Second
 }
 
 func verdictsRest(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
-	for _, rate := range []float64{1, callsEach} {
-		s := f.series("verdicts", "rest", "agents", fmt.Sprintf("%v requests a second of each, 0.1%% fail by chance, from 20 s on, %s", rate, apart.name))
+	for _, rate := range []float64{1, requestRate} {
+		s := f.series("verdicts", "rest", "agents", fmt.Sprintf("%v requests a second of each, 0.1%% fail by chance, from 20 s on, %s", rate, regions80ms.name))
 		for _, n := range sizes {
 			began := time.Now()
-			p, err := verdictsRun(n, rate, f, onceCounted)
+			p, err := verdictsRun(n, rate, f, measureAfterWarmup)
 			if err != nil {
 				return nil, err
 			}
@@ -120,10 +120,10 @@
 func verdictsRate(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	n := sizes[max(0, len(sizes)-2)]
-	s := f.series("verdicts", "rest", "calls_per_s", fmt.Sprintf("%d agents, 0.1%% fail by chance, from 20 s on, %s", n, apart.name))
-	for _, rate := range []float64{1, 10, 40, callsEach} {
+	s := f.series("verdicts", "rest", "calls_per_s", fmt.Sprintf("%d agents, 0.1%% fail by chance, from 20 s on, %s", n, regions80ms.name))
+	for _, rate := range []float64{1, 10, 40, requestRate} {
 		began := time.Now()
-		p, err := verdictsRun(n, rate, f, onceCounted)
+		p, err := verdictsRun(n, rate, f, measureAfterWarmup)
 		if err != nil {
 			return nil, err
 		}
@@ -137,21 +137,21 @@
 // one, multiplied by their daily rates.
 func verdictsDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
-	s := f.series("verdicts", "day", "agents", fmt.Sprintf("%v requests a second; rest, and what a failure and a drain cost beyond it times their rates of a day", callsEach))
+	s := f.series("verdicts", "day", "agents", fmt.Sprintf("%v requests a second; rest, and what a failure and a drain cost beyond it times their rates of a day", requestRate))
 	const gap = 10 * time.Second
 	for _, n := range sizes {
 		began := time.Now()
-		rest, err := verdictsRun(n, callsEach, f, nil)
+		rest, err := verdictsRun(n, requestRate, f, nil)
 		if err != nil {
 			return nil, err
 		}
-		failed, err := verdictsRun(n, callsEach, f, func(v *hollow.Verdicts) {
+		failed, err := verdictsRun(n, requestRate, f, func(v *hollow.Verdicts) {
 			v.Failing = []hollow.Failing{{Servers: []int{n / 2}, Share: 1, Start: 5 * time.Second, End: time.Hour}}
 		})
 		if err != nil {
 			return nil, err
 		}
-		drained, err := verdictsRun(n, callsEach, f, func(v *hollow.Verdicts) { v.Drains = []verdicts.Drain{{Server: n / 2, At: 5 * time.Second}} })
+		drained, err := verdictsRun(n, requestRate, f, func(v *hollow.Verdicts) { v.Drains = []verdicts.Drain{{Server: n / 2, At: 5 * time.Second}} })
 		if err != nil {
 			return nil, err
 		}
@@ -168,10 +168,10 @@
 // verdictsWorst measures all servers of a zone failing together.
 func verdictsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
-	s := f.series("verdicts", "worst", "agents", fmt.Sprintf("%v requests a second, %s; all servers of a zone of 15 fail at once; the 10 s from then", callsEach, apart.name))
+	s := f.series("verdicts", "worst", "agents", fmt.Sprintf("%v requests a second, %s; all servers of a zone of 15 fail at once; the 10 s from then", requestRate, regions80ms.name))
 	for _, n := range sizes {
 		began := time.Now()
-		p, err := verdictsRun(n, callsEach, f, func(v *hollow.Verdicts) {
+		p, err := verdictsRun(n, requestRate, f, func(v *hollow.Verdicts) {
 			v.Failing = []hollow.Failing{{Servers: v.Layout.InZone(zones), Share: 1, Start: 5 * time.Second, End: time.Hour}}
 		})
 		if err != nil {
@@ -184,21 +184,21 @@
 }
 
 func limitsCommand() *cobra.Command {
-	return measures("limits", "Limits for the whole fleet: bytes, messages and CPU time of a lease client and of a lease server",
+	return multiPartCommand("limits", "Limits for the whole fleet: bytes, messages and CPU time of a lease client and of a lease server",
 		"One limit of requests a second, leased by three lease servers to clients that all use it: at rest, and when one of fifteen zones starts.",
-		"120,1200,12000", part{"rest", limitsRest}, part{"worst", limitsWorst}, part{"keeper", limitsKeeper})
+		"120,1200,12000", part{"rest", limitsRest}, part{"worst", limitsWorst}, part{"keeper", limitsLeaseServer})
 }
 
-// limitsBusy is the number of requests a second of each lease client, enough that it asks its lease servers as often as
-// it ever does at rest.
-const limitsBusy = 8
+// limitsRequestRate is the number of requests a second of each lease client, enough that it asks its lease servers as
+// often as it ever does at rest.
+const limitsRequestRate = 8
 
 func limitsRun(n int, f *flags, change func(*hollow.Limits)) (holder, keeper hollow.Phase, err error) {
-	l, err := apart.layout(n, f.seed)
+	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
 		return holder, keeper, err
 	}
-	v := hollow.Limits{Seed: f.seed, Layout: l, Members: n, Rate: limitsBusy, Marks: []time.Duration{8 * time.Second}, Length: 14 * time.Second}
+	v := hollow.Limits{Seed: f.seed, Layout: l, Members: n, Rate: limitsRequestRate, Marks: []time.Duration{8 * time.Second}, Length: 14 * time.Second}
 	if change != nil {
 		change(&v)
 	}
@@ -235,7 +235,7 @@
 }
 
 func limitsRest(sizes []int, f *flags) ([]slopes.Slope, error) {
-	return limitsTable(sizes, f, "rest", "rest", "one limit by the second, three keepers, every agent busy, "+apart.name, "limits --part rest", nil)
+	return limitsTable(sizes, f, "rest", "rest", "one limit by the second, three keepers, every agent busy, "+regions80ms.name, "limits --part rest", nil)
 }
 
 func limitsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
@@ -244,8 +244,8 @@
 	})
 }
 
-// limitsKeeper measures the CPU time of one lease server for one message, by the number of lease clients.
-func limitsKeeper(sizes []int, f *flags) ([]slopes.Slope, error) {
+// limitsLeaseServer measures the CPU time of one lease server for one message, by the number of lease clients.
+func limitsLeaseServer(sizes []int, f *flags) ([]slopes.Slope, error) {
 	if !f.toml {
 		bench.Head("holders", "a question, with its encoding")
 	}
@@ -258,7 +258,7 @@
 		if !f.toml {
 			bench.Row(n, each)
 		}
-		points = append(points, [2]float64{float64(n), figures(float64(each) / 1000)})
+		points = append(points, [2]float64{float64(n), fourDigits(float64(each) / 1000)})
 	}
 	return []slopes.Slope{f.entry(slopes.Slope{Name: "limits.cpu.keeper", Role: "keeper", Load: "rest", Quantity: "time", Unit: "us", Mechanism: "limits", Variable: "agents", Form: "linear", Points: points,
 		Note: "processor time of one question at a keeper, encoding and decoding included, no system calls; a busy holder asks each keeper four times a second"}, "limits --part keeper")}, nil
--- a/tools/capacity/slopes/fit.go
+++ b/tools/capacity/slopes/fit.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// Fit is the curve that is fitted to an entry's points by least squares: Value(x) = A + B f(x), or A x^B for a power, which
-// is fitted to logarithms. Steps and tables have no curve; their values are looked up.
+// Fit is the curve that is fitted to an entry's points by least squares: Value(x) = A + B f(x), or A x^B for a power,
+// which is fitted to logarithms. Steps and tables have no curve; their values are looked up.
 type Fit struct {
 	s    *Slope
 	A, B float64
@@ -81,8 +81,8 @@
 	return my - b*mx, b
 }
 
-// Value returns the value of the curve at a size, up to the entry's ceiling. The value of steps and tables holds from a
-// measured size to the next.
+// Value returns the value of the curve at a size, up to the entry's ceiling. The value of steps and tables holds from
+// a measured size to the next.
 func (f Fit) Value(x float64) float64 {
 	if v := f.curve(x); f.s.Ceiling == 0 || v < f.s.Ceiling {
 		return v
--- a/tools/capacity/slopes/put_test.go
+++ b/tools/capacity/slopes/put_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// An added entry replaces one of the same name, and one with a new name is put after those of its mechanism; comments stay.
+// An added entry replaces one of the same name, and one with a new name is put after those of its mechanism; comments
+// stay.
 func TestPutReplacesByNameAndAddsBesideItsMechanism(t *testing.T) {
 	other := strings.NewReplacer("view.bytes_out.rest", "policy.bytes_out.rest", `"view"`, `"policy"`).Replace(entry)
 	text := "# what this is\n" + entry + "\n# ---- policy ----\n" + other
@@ -44,7 +45,7 @@
 	}
 }
 
-func TestPutRefusesWhatWouldBeNoEntry(t *testing.T) {
+func TestPutRejectsAnInvalidEntry(t *testing.T) {
 	bad := Slope{Name: "view.bytes_out.rest", Role: "agent"}
 	if out, err := Put("f.toml", []byte(entry), bad); err == nil {
 		t.Errorf("an invalid entry is accepted:\n%s", out)
--- a/tools/capacity/slopes/slopes.go
+++ b/tools/capacity/slopes/slopes.go
@@ -1,5 +1,5 @@
-// Package slopes reads, writes and fits measurements: points of a quantity over the size that it grows with, and the run
-// that produced them.
+// Package slopes reads, writes and fits measurements: points of a quantity over the size that it grows with, and the
+// run that produced them.
 package slopes
 
 import (
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Slope is one entry of docs/capacity/slopes.toml. It holds raw points only; the fitted curve is computed and never written.
+// Slope is one entry of docs/capacity/slopes.toml. It holds raw points only; the fitted curve is computed and never
+// written.
 type Slope struct {
 	Name      string       `toml:"name"`      // unique, such as "view.bytes_out.rest"
 	Role      string       `toml:"role"`      // agent, voter, keeper, source (hands out lists and changes), operator, path, chain
--- a/tools/capacity/slopes/slopes_test.go
+++ b/tools/capacity/slopes/slopes_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestWrittenEntriesCanBeRead(t *testing.T) {
 	all, err := Parse("f.toml", []byte(entry))
 	if err != nil {
 		t.Fatal(err)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A fit to points that lie on a curve of each form finds the curve: it has no residual, and gives the curve's value at a
-// size that was not measured.
+// A fit to points that lie on a curve of each form finds the curve: it has no residual, and gives the curve's value
+// at a size that was not measured.
 func TestFitsFindTheCurveThatPointsAreOn(t *testing.T) {
 	for form, f := range map[string]func(x float64) float64{
 		"constant": func(float64) float64 { return 7 },
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestResidualSaysWhatTheFormLeaves(t *testing.T) {
+func TestResidualMeasuresTheDeviationFromTheFit(t *testing.T) {
 	s := Slope{Form: "linear", Points: [][2]float64{{0, 0}, {1, 5}, {2, 0}}} // the fitted line is 5/3; the differences are 5/3, 10/3, 5/3, and the largest value is 5
 	if got, want := s.Fit().Residual, math.Sqrt(6.0/9/3); math.Abs(got-want) > 1e-9 {
 		t.Errorf("%v, want %v", got, want)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestStepsHoldToTheNext(t *testing.T) {
+func TestAStepHoldsUntilTheNextSize(t *testing.T) {
 	f := (&Slope{Form: "steps", Points: [][2]float64{{10, 1}, {20, 5}}}).Fit()
 	for x, want := range map[float64]float64{10: 1, 19: 1, 20: 5, 1000: 5} {
 		if got := f.Value(x); got != want {
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -18,11 +18,12 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// roundTrips are the round-trip times between regions at which the view is measured, in ms. 0: all members in one place.
-var rounds = []float64{0, 20, 80, 120, 160, 250}
+// roundTrips are the round-trip times between regions at which the view is measured, in ms. 0: all members in one
+// place.
+var roundTrips = []float64{0, 20, 80, 120, 160, 250}
 
 func viewCommand() *cobra.Command {
-	return measures("view", "The view of the fleet: bytes, messages, processor time and memory of an agent, with regions",
+	return multiPartCommand("view", "The view of the fleet: bytes, messages, processor time and memory of an agent, with regions",
 		"At rest over sizes (one place, five regions 80 ms apart, five regions 20 to 250 ms apart), over round-trip times at one size; on\n"+
 			"the ordinary day; when a zone or a region comes back; the memory of one member; the figures of the issue.",
 		"100,300,1000", part{"issue", viewIssue}, part{"rest", viewRest}, part{"rounds", viewRounds}, part{"day", viewDay}, part{"worst", viewWorst}, part{"zone", viewZone}, part{"region_restart", viewRegion}, part{"cut", viewCut}, part{"release", viewRelease}, part{"memory", viewMemory}, part{"few", viewFew})
@@ -35,27 +36,27 @@
 	measure = 40 * time.Second
 )
 
-// place is a placement of the members: the round-trip times between their regions.
-type place struct {
+// placement says where the members are: the round-trip times between their regions.
+type placement struct {
 	key, name string
 	rtt       float64 // round-trip time between any two regions, in ms; below 0: topology.Mixed
 }
 
 var (
-	together = place{"0ms", "in one place", 0}
-	apart    = between(80)
-	mixed    = place{"mixed", "five regions, 20 to 250 ms there and back", -1}
+	onePlace     = placement{"0ms", "in one place", 0}
+	regions80ms  = between(80)
+	mixedRegions = placement{"mixed", "five regions, 20 to 250 ms there and back", -1}
 )
 
 // between returns five regions with the same round-trip time between any two of them, in ms.
-func between(rtt float64) place {
+func between(rtt float64) placement {
 	if rtt == 0 {
-		return together
+		return onePlace
 	}
-	return place{fmt.Sprintf("%vms", rtt), fmt.Sprintf("five regions, %v ms there and back", rtt), rtt}
+	return placement{fmt.Sprintf("%vms", rtt), fmt.Sprintf("five regions, %v ms there and back", rtt), rtt}
 }
 
-func (p place) layout(members int, seed uint64) (*topology.Layout, error) {
+func (p placement) layout(members int, seed uint64) (*topology.Layout, error) {
 	if p.rtt < 0 {
 		return topology.Mixed(members, zones, seed)
 	}
@@ -63,7 +64,7 @@
 }
 
 // atRest simulates a fleet without any event, and returns the phase after it has settled.
-func atRest(members int, p place, f *flags) (hollow.Phase, error) {
+func atRest(members int, p placement, f *flags) (hollow.Phase, error) {
 	l, err := p.layout(members, f.seed)
 	if err != nil {
 		return hollow.Phase{}, err
@@ -90,7 +91,8 @@
 	}
 }
 
-// viewIssue repeats the measurements of the issue: one member is killed at 24 s, and the links between regions are delayed.
+// viewIssue repeats the measurements of the issue: one member is killed at 24 s, and the links between regions are
+// delayed.
 func viewIssue(_ []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var points [][2]float64
@@ -122,7 +124,7 @@
 func viewRest(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
-	for _, at := range []place{together, apart, mixed} {
+	for _, at := range []placement{onePlace, regions80ms, mixedRegions} {
 		s := f.series("view", "rest", "agents", fmt.Sprintf("%s, seed %d", at.name, f.seed))
 		for _, n := range sizes {
 			began := time.Now()
@@ -143,7 +145,7 @@
 	f.head()
 	n := sizes[max(0, len(sizes)-2)]
 	s := f.series("view", "rest", "rtt_ms", fmt.Sprintf("%d agents in five regions, seed %d", n, f.seed))
-	for _, rtt := range rounds {
+	for _, rtt := range roundTrips {
 		began, at := time.Now(), between(rtt)
 		p, err := atRest(n, at, f)
 		if err != nil {
@@ -162,13 +164,13 @@
 	dayRestarts = 710.0
 )
 
-// viewDay measures the ordinary day: the cost of one failure and of one restart for each agent beyond the cost at rest,
-// multiplied by the daily rates of a fleet of that size. Events are far more frequent here than on that day, but each one
-// is over before the next begins.
+// viewDay measures the ordinary day: the cost of one failure and of one restart for each agent beyond the cost at
+// rest, multiplied by the daily rates of a fleet of that size. Events are far more frequent here than on that day,
+// but each one is over before the next begins.
 func viewDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
-	for _, at := range []place{apart} { // with round trips longer than the probe timeout, rest alone exceeds all bounds
+	for _, at := range []placement{regions80ms} { // with round trips longer than the probe timeout, rest alone exceeds all bounds
 		s := f.series("view", "day", "agents", at.name+"; rest, and what a failure and a restart cost beyond it times their rates of a day")
 		for _, n := range sizes {
 			began := time.Now()
@@ -212,16 +214,17 @@
 // after is the length of the measured phase of a worst minute, from when members start or a region is back.
 const after = 15 * time.Second
 
-// worst returns the length of a run from the beginning of that phase, long enough for all members to agree: 1,000 members
-// that start together take 33 s, and above 300 members the time grows with the fleet, since bytes_per_s bounds the bytes
-// that each member sends.
-func worst(members int) time.Duration {
+// worstLength returns the length of a run from the beginning of that phase, long enough for all members to agree:
+// 1,000 members that start together take 33 s, and above 300 members the time grows with the fleet, since bytes_per_s
+// bounds the bytes that each member sends.
+func worstLength(members int) time.Duration {
 	return max(3*after, time.Duration(members)*45*time.Millisecond)
 }
 
-// ceiling returns the most bytes per second that a member sends, as the mean over that phase, in a fleet of the target
-// size: bytes_per_s of datagrams, the same on streams, and the allowed burst of each, which is one second's bytes and, on
-// streams, one whole view (the claim bytes-most of the fault tests). With more to send, a fleet takes longer to agree.
+// ceiling returns the most bytes per second that a member sends, as the mean over that phase, in a fleet of the
+// target size: bytes_per_s of datagrams, the same on streams, and the allowed burst of each, which is one second's
+// bytes and, on streams, one whole view (the claim bytes-most of the fault tests). With more to send, a fleet takes
+// longer to agree.
 func ceiling() (float64, error) {
 	whole, err := hollow.Whole(dayAgents)
 	return 2*membership.DefaultBytesPerSecond + (2*membership.DefaultBytesPerSecond+float64(whole))/after.Seconds(), err
@@ -250,7 +253,7 @@
 
 func viewBack(sizes []int, f *flags, which, form, words string, of func(*topology.Layout) []int) ([]slopes.Slope, error) {
 	f.head()
-	at := apart // with round trips longer than the probe timeout, rest alone exceeds all bounds
+	at := regions80ms // with round trips longer than the probe timeout, rest alone exceeds all bounds
 	back := f.series("view", "worst", "agents", at.name+"; "+words+" starts at once after 60 s; the 15 s from then. bytes_per_s bounds datagrams, and streams in the mean: past it a fleet takes longer")
 	var err error
 	if back.ceiling, err = ceiling(); err != nil {
@@ -263,7 +266,7 @@
 			return nil, err
 		}
 		who, startAt := of(l), settle+time.Minute
-		v := hollow.View{Seed: f.seed, Layout: l, Members: n, Marks: []time.Duration{settle, startAt, startAt + after}, Length: startAt + worst(n), Workers: f.workers,
+		v := hollow.View{Seed: f.seed, Layout: l, Members: n, Marks: []time.Duration{settle, startAt, startAt + after}, Length: startAt + worstLength(n), Workers: f.workers,
 			Events: []plan.Event{{At: settle, Do: "kill", Who: who}, {At: startAt, Do: "start", Who: who, State: "kept"}}}
 		phases, r, err := v.Play()
 		if err != nil {
@@ -290,7 +293,7 @@
 // viewCut measures a region that is cut off for five minutes.
 func viewCut(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
-	at := apart
+	at := regions80ms
 	cut, during := f.series("view", "worst", "agents", at.name+"; a region of 5 after five minutes cut off; the 15 s from then"), f.series("view", "worst", "agents", at.name+"; a region of 5 cut off; the third minute of it")
 	for _, n := range sizes {
 		began := time.Now()
@@ -301,7 +304,7 @@
 		cutAt := settle
 		healAt := cutAt + 5*time.Minute
 		l.CutOff(regions-1, cutAt, healAt)
-		v := hollow.View{Seed: f.seed, Layout: l, Members: n, Marks: []time.Duration{cutAt + 2*time.Minute, cutAt + 3*time.Minute, healAt, healAt + after}, Length: healAt + worst(n), Workers: f.workers}
+		v := hollow.View{Seed: f.seed, Layout: l, Members: n, Marks: []time.Duration{cutAt + 2*time.Minute, cutAt + 3*time.Minute, healAt, healAt + after}, Length: healAt + worstLength(n), Workers: f.workers}
 		phases, r, err := v.Play()
 		if err != nil {
 			return nil, err
@@ -318,7 +321,7 @@
 // viewRelease measures all agents being killed together and starting within a second, with their state kept on disk.
 func viewRelease(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
-	at := apart
+	at := regions80ms
 	s := f.series("view", "worst", "agents", at.name+"; all agents start within a second, with their disks; the 15 s from then. bytes_per_s bounds datagrams, and streams in the mean: past it a fleet takes longer")
 	var err error
 	if s.ceiling, err = ceiling(); err != nil {
@@ -337,7 +340,7 @@
 				plan.Event{At: settle + time.Second + time.Duration(rng.Float64()*float64(time.Second)), Do: "start", Who: []int{who}, State: "kept"})
 		}
 		startAt := settle + time.Second
-		v := hollow.View{Seed: f.seed, Layout: l, Members: n, Marks: []time.Duration{startAt, startAt + after}, Length: startAt + worst(n), Workers: f.workers, Events: events}
+		v := hollow.View{Seed: f.seed, Layout: l, Members: n, Marks: []time.Duration{startAt, startAt + after}, Length: startAt + worstLength(n), Workers: f.workers, Events: events}
 		phases, r, err := v.Play()
 		if err != nil {
 			return nil, err
@@ -368,7 +371,7 @@
 			bench.Row(n, fmt.Sprintf("%.2f MB", float64(bytes)/1e6), fmt.Sprintf("%d B", int(bytes)/n), whole)
 		}
 		streams = append(streams, [2]float64{float64(n), float64(whole)})
-		points = append(points, [2]float64{float64(n), figures(float64(bytes))})
+		points = append(points, [2]float64{float64(n), fourDigits(float64(bytes))})
 	}
 	return []slopes.Slope{f.entry(slopes.Slope{Name: "view.memory.rest", Role: "agent", Load: "rest", Quantity: "memory", Unit: "B", Mechanism: "view", Variable: "agents",
 		Form: "linear", Points: points, Note: fmt.Sprintf("heap of one whole view of so many members, whose records came off the wire; the default most is %d members", membership.DefaultMaxMembers)}, "view --part memory"),
@@ -376,22 +379,22 @@
 			Note: "a whole view on a stream: what a member that starts without one is sent by one other, whose streams are held to bytes_per_s (32 KB) in the mean"}, "view --part memory")}, nil
 }
 
-// viewFew measures a few complete members of a large fleet, whose other members are only simulated as traffic: at rest,
-// and on the ordinary day. The number of copies of one event's news that each member receives is measured in a complete
-// fleet of the first size, and grows with the logarithm of the fleet's size, as the number of times that the view sends
-// it does.
+// viewFew measures a few complete members of a large fleet, whose other members are only simulated as traffic: at
+// rest, and on the ordinary day. The number of copies of one event's news that each member receives is measured in a
+// complete fleet of the first size, and grows with the logarithm of the fleet's size, as the number of times that the
+// view sends it does.
 func viewFew(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	const each, gap = 4, 15 * time.Second
-	copies, err := copiesOf(sizes[0], each, gap, f)
+	copies, err := newsCopies(sizes[0], each, gap, f)
 	if err != nil {
 		return nil, err
 	}
-	note := fmt.Sprintf("four whole members beside the traffic of the rest, played; %s; what the rest concludes from them is not there; an event's news came %.1f times to each of %d", apart.name, copies, sizes[0])
+	note := fmt.Sprintf("four whole members beside the traffic of the rest, played; %s; what the rest concludes from them is not there; an event's news came %.1f times to each of %d", regions80ms.name, copies, sizes[0])
 	rests, days := f.series("view", "rest", "agents", note), f.series("view", "day", "agents", note)
 	for _, n := range sizes {
 		began := time.Now()
-		l, err := apart.layout(n, f.seed)
+		l, err := regions80ms.layout(n, f.seed)
 		if err != nil {
 			return nil, err
 		}
@@ -407,7 +410,7 @@
 			return nil, err
 		}
 		day := rest[1].Plus(rest[1], busy[1], (dayFailures+dayRestarts)*float64(n)/dayAgents/(24*3600)*gap.Seconds())
-		f.row(n, "at rest, four whole, "+apart.name, rest[1], began)
+		f.row(n, "at rest, four whole, "+regions80ms.name, rest[1], began)
 		f.row(n, "an event each 15 s", busy[1], began)
 		f.row(n, "the day", day, began)
 		rests.add(float64(n), rest[1])
@@ -416,9 +419,9 @@
 	return append(rests.entries("few_rest", "view --part few", "log"), days.entries("few_day", "view --part few", "log")...), nil
 }
 
-// copiesOf returns how many datagrams with the news of one death each member receives, in a complete fleet.
-func copiesOf(n, each int, gap time.Duration, f *flags) (float64, error) {
-	l, err := apart.layout(n, f.seed)
+// newsCopies returns how many datagrams with the news of one death each member receives, in a complete fleet.
+func newsCopies(n, each int, gap time.Duration, f *flags) (float64, error) {
+	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
 		return 0, err
 	}
--- a/tools/directory/main.go
+++ b/tools/directory/main.go
@@ -165,7 +165,7 @@
 	return ldapmsg.WithID(id, element(ldapmsg.ModifyRequest, element(4, []byte(dn)), element(0x30, change)))
 }
 
-var errCrossed = errors.New("answer to another operation")
+var errWrongAnswer = errors.New("answer to another operation")
 
 // ask sends one operation, reads its answer to the end, and returns the result code.
 func (c *conn) ask(text func(id int32) []byte, within time.Duration) (code int, err error) {
@@ -186,7 +186,7 @@
 			return 0, err
 		}
 		if m.ID != c.id {
-			return 0, fmt.Errorf("%w: id %d for %d", errCrossed, m.ID, c.id)
+			return 0, fmt.Errorf("%w: id %d for %d", errWrongAnswer, m.ID, c.id)
 		}
 		if m.Op == ldapmsg.SearchEntry {
 			continue
@@ -196,7 +196,7 @@
 	}
 }
 
-// storm kills a random server every 100 ms while clients send operations, and checks that each operation gets one answer.
+// storm kills a random server every 100 ms while clients send operations, and counts lost, repeated and wrong answers.
 func storm() error {
 	s, err := newSite(5)
 	if err != nil {
@@ -207,7 +207,7 @@
 		return directory.Fault{Wait: time.Duration(1+o.N%8) * time.Millisecond}
 	})
 	const clients, each = 200, 100
-	var lost, crossed, none atomic.Int64
+	var lost, wrongAnswers, none atomic.Int64
 	var mu sync.Mutex
 	codes := map[string]map[int]int{"lookup": {}, "search": {}, "modify": {}}
 	refusedModifies := map[string]bool{}
@@ -249,8 +249,8 @@
 				}
 				code, err := c.ask(text, 20*time.Second)
 				switch {
-				case errors.Is(err, errCrossed):
-					crossed.Add(1)
+				case errors.Is(err, errWrongAnswer):
+					wrongAnswers.Add(1)
 					return
 				case err != nil:
 					lost.Add(1)
@@ -266,7 +266,7 @@
 			// A second answer to the last operation would arrive now.
 			_ = c.SetDeadline(time.Now().Add(100 * time.Millisecond))
 			if _, err := c.in.Next(); err == nil {
-				crossed.Add(1)
+				wrongAnswers.Add(1)
 			} else {
 				none.Add(1)
 			}
@@ -303,7 +303,7 @@
 		fmt.Printf("| %s | %d | %d | %d | %d |\n", k, c[0], c[ldapmsg.Busy], c[ldapmsg.Other], c[ldapmsg.TimeLimitExceeded])
 	}
 	fmt.Printf("\nOperations answered: %d of %d; lost: %d; second answers, or answers to something else: %d; effects twice: %d; refused and yet done: %d.\n",
-		total, clients*each, lost.Load(), crossed.Load(), twice, refusedAndRan)
+		total, clients*each, lost.Load(), wrongAnswers.Load(), twice, refusedAndRan)
 	return nil
 }
 
@@ -314,8 +314,8 @@
 		return err
 	}
 	defer s.end()
-	still := make(chan struct{})
-	defer close(still)
+	stalled := make(chan struct{})
+	defer close(stalled)
 	fmt.Println("| way | searches | p50 | p99 | most | not served |\n| --- | --- | --- | --- | --- | --- |")
 	for _, way := range []string{"this agent", "round robin, 600 ms and then the next"} {
 		s.script(func(directory.Op) directory.Fault { return directory.Fault{Wait: 3 * time.Millisecond} })
@@ -332,7 +332,7 @@
 		var all sync.WaitGroup
 		end := time.Now().Add(length)
 		time.AfterFunc(length/5, func() {
-			s.all[0].Script(func(directory.Op) directory.Fault { return directory.Fault{Stall: still} })
+			s.all[0].Script(func(directory.Op) directory.Fault { return directory.Fault{Stall: stalled} })
 		})
 		for n := range 32 {
 			all.Go(func() {
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -1,6 +1,6 @@
 // Command endpoints measures the resources that one agent of `run` needs with few and with many servers at the same
-// traffic, and checks them against the operators' table; see docs/measure/endpoints.md. The command is bounded in time and
-// uses loopback only.
+// traffic, and checks them against the operators' table; see docs/measure/endpoints.md. The command is bounded in
+// time and uses loopback only.
 package main
 
 import (
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	bin, err := program(dir)
+	bin, err := buildDaemon(dir)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	}
 	defer list.Close()
 	path := filepath.Join(dir, "fleet.toml")
-	if err := os.WriteFile(path, fmt.Appendf(nil, head, dir, list.Addr(), 3), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configText, dir, list.Addr(), 3), 0o600); err != nil {
 		return err
 	}
 	log := &sockets.Tail{}
--- a/tools/fleet/herd.go
+++ b/tools/fleet/herd.go
@@ -16,8 +16,8 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// program builds the daemon into dir.
-func program(dir string) (string, error) {
+// buildDaemon builds the daemon into dir.
+func buildDaemon(dir string) (string, error) {
 	path := filepath.Join(dir, "vetchhaven")
 	out, err := exec.Command("go", "build", "-o", path, "./cmd/vetchhaven").CombinedOutput()
 	if err != nil {
@@ -26,14 +26,14 @@
 	return path, nil
 }
 
-// step is the load of one server at one time: the requests that it holds, and its load relative to its capacity.
-type step struct {
+// serverLoad is the load of one server at one time: the requests that it holds, and its load relative to its capacity.
+type serverLoad struct {
 	held     int
 	pressure float64
 }
 
-// herd runs a scenario with real daemons, first with their own slow start and then with a naive start. It prints the load
-// of the server that joins, every 100 ms.
+// herd runs a scenario with real daemons, first with their own slow start and then with a naive start. It prints the
+// load of the server that joins, every 100 ms.
 func herd(path string) error {
 	s, err := scenario.Load(path)
 	if err != nil {
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	bin, err := program(dir)
+	bin, err := buildDaemon(dir)
 	if err != nil {
 		return err
 	}
@@ -58,11 +58,11 @@
 	defer cancel()
 	ways := []string{"vetchhaven", "naive"}
 	breaches := make([][]checker.Breach, len(ways))
-	traces := make([]map[time.Duration]step, len(ways))
+	traces := make([]map[time.Duration]serverLoad, len(ways))
 	fmt.Println("| start | asked | in time | late | refused | failed | refusals | service | worst 5 s | rules broken | cold: most held | cold: most load | fell |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i, way := range ways {
-		trace := map[time.Duration]step{}
+		trace := map[time.Duration]serverLoad{}
 		traces[i] = trace
 		log := &sockets.Tail{}
 		p, err := sockets.Play(ctx, sockets.Options{Scenario: s, Seed: 1, Log: log, Naive: way == "naive",
@@ -70,7 +70,7 @@
 			Trace: func(now time.Duration, server string, held int, pressure float64) {
 				if server == cold {
 					at := now.Truncate(100 * time.Millisecond)
-					trace[at] = step{max(held, trace[at].held), max(pressure, trace[at].pressure)}
+					trace[at] = serverLoad{max(held, trace[at].held), max(pressure, trace[at].pressure)}
 				}
 			}})
 		if err != nil {
@@ -79,9 +79,9 @@
 		if p.CutShort {
 			return context.Canceled
 		}
-		most := step{}
+		most := serverLoad{}
 		for _, v := range trace {
-			most = step{max(most.held, v.held), max(most.pressure, v.pressure)}
+			most = serverLoad{max(most.held, v.held), max(most.pressure, v.pressure)}
 		}
 		fell := "no"
 		for _, v := range p.Day.Servers {
@@ -114,7 +114,7 @@
 	slices.Sort(all)
 	for _, at := range all {
 		a, b := traces[0][at], traces[1][at]
-		if a != (step{}) || b != (step{}) {
+		if a != (serverLoad{}) || b != (serverLoad{}) {
 			fmt.Printf("| %.1f s | %d | %.2f | %d | %.2f |\n", (at - joins).Seconds(), a.held, a.pressure, b.held, b.pressure)
 		}
 	}
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -70,7 +70,7 @@
 	return fmt.Errorf("%q is none of instances, cost, steps, herd, handover", args[0])
 }
 
-const head = `admin = "unix:%[1]s/admin.sock"
+const configText = `admin = "unix:%[1]s/admin.sock"
 [[source]]
 name = "main"
 list = "%[2]s"
@@ -122,7 +122,7 @@
 	defer list.Close()
 	before := heap()
 	began := time.Now()
-	d, stop, err := measure.Daemon(dir, fmt.Appendf(nil, head, dir, list.Addr(), n))
+	d, stop, err := measure.Daemon(dir, fmt.Appendf(nil, configText, dir, list.Addr(), n))
 	if err != nil {
 		return err
 	}
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// cost compares a direct client, the standard library's reverse proxy and this agent. All of them run in this process, one
-// after another, with the same clients.
+// cost compares a direct client, the standard library's reverse proxy and this agent. All of them run in this
+// process, one after another, with the same clients.
 func cost(length time.Duration, rounds int, profile string) error {
 	debug.SetGCPercent(400) // as in serve; the same for all ways
 	dir, err := os.MkdirTemp("", "fleet")
@@ -173,7 +173,7 @@
 		return err
 	}
 	defer list.Close()
-	_, stop, err := measure.Daemon(dir, fmt.Appendf(nil, head, dir, list.Addr(), 1))
+	_, stop, err := measure.Daemon(dir, fmt.Appendf(nil, configText, dir, list.Addr(), 1))
 	if err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	for i, w := range ways {
 		f := figures[i]
-		fmt.Printf("| %s | %s ms | %s ms | %s us | %s | %s us |\n", w.name, middle(f[0], 2), middle(f[1], 2), middle(f[2], 0), middle(f[3], 0), middle(f[4], 0))
+		fmt.Printf("| %s | %s ms | %s ms | %s us | %s | %s us |\n", w.name, median(f[0], 2), median(f[1], 2), median(f[2], 0), median(f[3], 0), median(f[4], 0))
 	}
 	var cores, p50, p99 []float64
 	for n := range rounds {
@@ -243,7 +243,7 @@
 		p99 = append(p99, c[1][n]-b[1][n])
 	}
 	fmt.Printf("\n%d rounds: median, least and most. CPU is the whole process's: clients, servers and what is between them. What\n", rounds)
-	fmt.Printf("the proxy adds to (a) at full speed is %s times what the agent adds; the agent's p50 is %s ms more, its p99 %s ms.\n", middle(cores, 2), middle(p50, 2), middle(p99, 2))
+	fmt.Printf("the proxy adds to (a) at full speed is %s times what the agent adds; the agent's p50 is %s ms more, its p99 %s ms.\n", median(cores, 2), median(p50, 2), median(p99, 2))
 	if bad > 0 {
 		fmt.Printf("%d requests were not served.\n", bad)
 	}
@@ -253,7 +253,7 @@
 const costFigures = 5
 
 // median returns the median of some figures as text, with the least and the most.
-func middle(all []float64, digits int) string {
+func median(all []float64, digits int) string {
 	all = slices.Clone(all)
 	slices.Sort(all)
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, all[len(all)/2], digits, all[0], digits, all[len(all)-1])
--- a/tools/internal/bench/bench.go
+++ b/tools/internal/bench/bench.go
@@ -38,12 +38,12 @@
 // Each runs job for each number from 0 to n-1, up to at of them concurrently, and returns their errors, joined.
 func Each(n, at int, job func(i int) error) error {
 	errs := make([]error, n)
-	places := make(chan struct{}, at)
+	slots := make(chan struct{}, at)
 	var running sync.WaitGroup
 	for i := range n {
 		running.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			errs[i] = job(i)
 		})
 	}
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -1,7 +1,7 @@
 // Command limits measures limits that a whole fleet shares. It prints Markdown.
 //
 //	go run ./tools/limits ways                     strategies for sharing a limit, side by side
-//	go run ./tools/limits schedules [-n 1000]      random faults: how far use exceeds the limit, compared with the bound
+//	go run ./tools/limits schedules [-n 1000]      random faults: use beyond the limit, compared with the bound
 //	go run ./tools/limits real [-n 50] [-at 6]     the same with 8 real processes
 //	go run ./tools/limits cost                     messages and CPU time of an agent, by size of the fleet
 package main
@@ -209,7 +209,7 @@
 	sums := map[string]*checker.Claim{}
 	kept, events := 0, 0
 	err := bench.Each(n, at, func(i int) error {
-		p := random(uint64(i))
+		p := randomPlan(uint64(i))
 		lines, err := harness.Play(context.Background(), p, harness.Options{Program: bin, Seed: uint64(i)})
 		if err != nil {
 			return err
@@ -254,9 +254,9 @@
 	return nil
 }
 
-// random returns the plan of a fault test of 40 s in which daemons are killed, paused, handed over and partitioned, and
-// the request rate changes.
-func random(seed uint64) *plan.Plan {
+// randomPlan returns the plan of a fault test of 40 s in which daemons are killed, paused, handed over and
+// partitioned, and the request rate changes.
+func randomPlan(seed uint64) *plan.Plan {
 	rng := rand.New(rand.NewPCG(seed, 81))
 	p := &plan.Plan{Name: fmt.Sprint("random-", seed), Daemons: 8, Servers: 3, Rate: 20, Zones: 1, Seeds: []int{0, 1}, Length: 40 * time.Second, Takes: 60 * time.Millisecond,
 		Keepers: []int{0, 1, 2}[:1+2*rng.IntN(2)], Term: 2 * time.Second, Real: true,
--- a/tools/measure/measure.go
+++ b/tools/measure/measure.go
@@ -1,4 +1,5 @@
-// Package measure holds helpers that several measuring commands share: a daemon in this process, CPU time, and percentiles.
+// Package measure holds helpers that several measuring commands share: a daemon in this process, CPU time, and
+// percentiles.
 package measure
 
 import (
@@ -43,7 +44,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// At returns the quantile of sorted durations, in milliseconds: share is 0.5 for the median. It returns 0 for an empty list.
+// At returns the quantile of sorted durations, in milliseconds: share is 0.5 for the median. It returns 0 for an
+// empty list.
 func At(all []time.Duration, share float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/tools/members/agents.go
+++ b/tools/members/agents.go
@@ -7,8 +7,9 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// agents simulates a scenario with DNS records in addition to the list: once with agents that merge both sources, and once
-// with agents that use only the latest answer of the resolver. The checker judges both by what the list had announced.
+// agents simulates a scenario with DNS records in addition to the list: once with agents that merge both sources, and
+// once with agents that use only the latest answer of the resolver. The checker judges both by what the list had
+// announced.
 func agents(path string, seeds int) error {
 	s, err := scenario.Load(path)
 	if err != nil {
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -61,19 +61,19 @@
 	case "queries":
 		return queries()
 	case "goodbye":
-		return goodbye()
+		return multicastGoodbye()
 	}
 	return fmt.Errorf("%q is none of hour, fleet, sockets, merge, queries, goodbye", args[0])
 }
 
 // world is the true state: which servers are running, and when the list announced that one drains or is removed.
 type world struct {
-	rng     *rand.Rand
-	now     time.Duration
-	alive   []bool
-	told    []time.Duration // when the list announced that the server drains or is removed; 0: not announced
-	pods    []int
-	records []endpoints.Server // the DNS records as published
+	rng       *rand.Rand
+	now       time.Duration
+	alive     []bool
+	announced []time.Duration // when the list announced that the server drains or is removed; 0: not announced
+	pods      []int
+	records   []endpoints.Server // the DNS records as published
 }
 
 func server(i int, w *world) endpoints.Server {
@@ -83,19 +83,20 @@
 // tally counts the results of one way of choosing servers.
 type tally struct{ sent, late, dead, emptied, none int }
 
-// hours simulates n hours with 12 servers. About once a minute a server drains, is removed and comes back. DNS records are
-// published 45 s late and read every 20 s; one reading in four fails, is truncated or returns an empty answer.
+// hours simulates n hours with 12 servers. About once a minute a server drains, is removed and comes back. DNS
+// records are published 45 s late and read every 20 s; one reading in four fails, is truncated or returns an empty
+// answer.
 func hours(n int) error {
 	fmt.Println("| way | requests | to a server over 2 s after its drain was told | to a server that is gone | seconds with no server | not sent |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
-	var ours, plain tally
+	var merged, plain tally
 	for seed := range n {
-		play(uint64(seed+1), &ours, &plain)
+		play(uint64(seed+1), &merged, &plain)
 	}
 	for _, row := range []struct {
 		name string
 		t    tally
-	}{{"membership", ours}, {"a resolver that believes all", plain}} {
+	}{{"membership", merged}, {"a resolver that believes all", plain}} {
 		fmt.Printf("| %s | %d | %d | %d | %d | %d |\n", row.name, row.t.sent, row.t.late, row.t.dead, row.t.emptied, row.t.none)
 	}
 	return nil
@@ -103,8 +104,8 @@
 
 const servers = 12
 
-func play(seed uint64, ours, plain *tally) {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), alive: make([]bool, servers), told: make([]time.Duration, servers), pods: make([]int, servers)}
+func play(seed uint64, merged, plain *tally) {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), alive: make([]bool, servers), announced: make([]time.Duration, servers), pods: make([]int, servers)}
 	for i := range servers {
 		w.alive[i], w.pods[i] = true, 1+i%3
 	}
@@ -112,7 +113,7 @@
 		{Name: "list", Exact: true, Hold: 100 * time.Hour}, {Name: "records", Hold: time.Hour}}})
 	truth := func() (all []endpoints.Server) {
 		for i := range servers {
-			if w.alive[i] && w.told[i] == 0 {
+			if w.alive[i] && w.announced[i] == 0 {
 				all = append(all, server(i, w))
 			}
 		}
@@ -120,7 +121,7 @@
 	}
 	w.records = truth()
 	m.Step(0, endpoints.Snapshot{Source: "list", Servers: truth()}, endpoints.Snapshot{Source: "records", Servers: w.records})
-	believed := w.records
+	resolved := w.records
 	type publish struct {
 		at  time.Duration
 		all []endpoints.Server
@@ -134,12 +135,12 @@
 			listDown = w.now + time.Duration(10+w.rng.IntN(60))*time.Second
 		}
 		up := w.now >= listDown
-		var said []endpoints.Server
-		if i := w.rng.IntN(servers); up && w.rng.IntN(40) == 0 && w.alive[i] && w.told[i] == 0 { // one server drains, and is removed 10 s later
-			w.told[i] = w.now
+		var delta []endpoints.Server
+		if i := w.rng.IntN(servers); up && w.rng.IntN(40) == 0 && w.alive[i] && w.announced[i] == 0 { // one server drains, and is removed 10 s later
+			w.announced[i] = w.now
 			v := server(i, w)
 			v.State = endpoints.Draining
-			said = append(said, v)
+			delta = append(delta, v)
 			dueDead[i] = w.now + 10*time.Second
 			backAt[i] = w.now + time.Duration(60+w.rng.IntN(120))*time.Second
 			coming = append(coming, publish{w.now + 45*time.Second, nil})
@@ -149,16 +150,16 @@
 				dueDead[i], w.alive[i] = 0, false
 				v := server(i, w)
 				v.State = endpoints.Removed
-				said = append(said, v)
+				delta = append(delta, v)
 			}
 			if backAt[i] > 0 && w.now >= backAt[i] && up && !w.alive[i] {
-				backAt[i], w.alive[i], w.told[i] = 0, true, 0
-				said = append(said, server(i, w))
+				backAt[i], w.alive[i], w.announced[i] = 0, true, 0
+				delta = append(delta, server(i, w))
 				coming = append(coming, publish{w.now + 45*time.Second, nil})
 			}
 		}
-		if len(said) > 0 {
-			m.Step(w.now, endpoints.Delta{Source: "list", Servers: said})
+		if len(delta) > 0 {
+			m.Step(w.now, endpoints.Delta{Source: "list", Servers: delta})
 		}
 		for len(coming) > 0 && coming[0].at <= w.now { // the records are published late
 			w.records = truth()
@@ -168,16 +169,16 @@
 			switch w.rng.IntN(16) {
 			case 0: // SERVFAIL: a resolver that trusts each answer has no server
 				m.Step(w.now, endpoints.Failed{Source: "records"})
-				believed = nil
+				resolved = nil
 			case 1, 2: // a truncated answer with half of the records: membership treats it as a failure
 				m.Step(w.now, endpoints.Failed{Source: "records"})
-				believed = w.records[:len(w.records)/2]
+				resolved = w.records[:len(w.records)/2]
 			case 3: // a valid empty answer
 				m.Step(w.now, endpoints.Snapshot{Source: "records"})
-				believed = nil
+				resolved = nil
 			default:
 				m.Step(w.now, endpoints.Snapshot{Source: "records", Servers: w.records})
-				believed = w.records
+				resolved = w.records
 			}
 		}
 		list, _ := m.Step(w.now)
@@ -187,8 +188,8 @@
 				in = append(in, v.Server)
 			}
 		}
-		w.send(in, ours)
-		w.send(believed, plain)
+		w.send(in, merged)
+		w.send(resolved, plain)
 	}
 }
 
@@ -204,7 +205,7 @@
 		var i int
 		_, _ = fmt.Sscanf(in[w.rng.IntN(len(in))].ID, "s-%d", &i)
 		t.sent++
-		if w.told[i] > 0 && w.now-w.told[i] > 2*time.Second {
+		if w.announced[i] > 0 && w.now-w.announced[i] > 2*time.Second {
 			t.late++
 		}
 		if !w.alive[i] {
@@ -284,9 +285,9 @@
 	return nil
 }
 
-// goodbye measures the time from a multicast DNS goodbye (a record with a TTL of 0) until the list has no such server. It
-// announces a server and withdraws it, 50 times.
-func goodbye() error {
+// multicastGoodbye measures the time from a multicast DNS goodbye (a record with a TTL of 0) until the list has no
+// such server. It announces a server and withdraws it, 50 times.
+func multicastGoodbye() error {
 	r, err := dns.NewResponder()
 	if err != nil {
 		return err
--- a/tools/members/sockets.go
+++ b/tools/members/sockets.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	offices     = 8
-	dropsFor    = 12 * time.Second // deduplication window of a pod for a ward-close
-	grace       = 2 * time.Second
-	publishLate = 15 * time.Second
-	closesASec  = 40
+	formServerCount = 8
+	dedupWindow     = 12 * time.Second // deduplication window of a pod for a ward-close
+	grace           = 2 * time.Second
+	publishLate     = 15 * time.Second
+	closesPerSecond = 40
 )
 
 // formServer is a stand-in server on a port of its own, which it keeps when it restarts.
-type office struct {
+type formServer struct {
 	id, addr string
 	pod      int
 	ledger   *ledger
 
-	mu      sync.Mutex
-	server  *http.Server
-	told    time.Time // when the list announced that the server drains or is removed; zero: not announced
-	started int64     // start time in Unix ms; 0: long ago
+	mu        sync.Mutex
+	server    *http.Server
+	announced time.Time // when the list announced that the server drains or is removed; zero: not announced
+	started   int64     // start time in Unix ms; 0: long ago
 }
 
 // ledger records which operations ran on all servers, by the way in which they came (agent or plain).
@@ -53,7 +53,7 @@
 }
 
 // open listens on the server's earlier address if it has one, and serves.
-func (o *office) open() error {
+func (o *formServer) open() error {
 	at := o.addr
 	if at == "" {
 		at = "127.0.0.1:0"
@@ -71,32 +71,32 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.addr, o.told = ln.Addr().String(), time.Time{}
+	o.addr, o.announced = ln.Addr().String(), time.Time{}
 	o.server = &http.Server{Handler: o}
 	go func(s *http.Server) { _ = s.Serve(ln) }(o.server)
 	return nil
 }
 
 // announceRemoval records that the list announces now that the server drains or is removed.
-func (o *office) tell() {
+func (o *formServer) announceRemoval() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.told.IsZero() {
-		o.told = time.Now()
+	if o.announced.IsZero() {
+		o.announced = time.Now()
 	}
 }
 
-func (o *office) shut() {
+func (o *formServer) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_ = o.server.Close()
 }
 
-func (o *office) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (o *formServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	way, key := r.Header.Get("X-Customer"), r.Header.Get("Idempotency-Key")
 	o.mu.Lock()
-	late := !o.told.IsZero() && time.Since(o.told) > grace
+	late := !o.announced.IsZero() && time.Since(o.announced) > grace
 	o.mu.Unlock()
 	l := o.ledger
 	l.mu.Lock()
@@ -104,7 +104,7 @@
 		l.late[way]++
 	}
 	known := fmt.Sprint(o.pod, " ", way, " ", key)
-	if at, ok := l.seen[known]; !ok || time.Since(at) >= dropsFor {
+	if at, ok := l.seen[known]; !ok || time.Since(at) >= dedupWindow {
 		l.seen[known] = time.Now()
 		l.effects[way+" "+key]++
 	}
@@ -116,7 +116,7 @@
 	_, _ = w.Write([]byte("closed\n"))
 }
 
-func (o *office) member(state string) discovery.Member {
+func (o *formServer) member(state string) discovery.Member {
 	return discovery.Member{ID: o.id, Addr: o.addr, Zone: "a", Kind: "k", Cell: o.pod, State: state, Weight: 1, Started: o.started}
 }
 
@@ -155,13 +155,13 @@
 	}
 	defer names.Close()
 	book := &ledger{seen: map[string]time.Time{}, effects: map[string]int{}, late: map[string]int{}, rng: rand.New(rand.NewPCG(1, 1))}
-	var all []*office
-	for i := range offices {
-		o := &office{id: fmt.Sprint("s-", i), pod: 1 + i%2, ledger: book}
+	var all []*formServer
+	for i := range formServerCount {
+		o := &formServer{id: fmt.Sprint("s-", i), pod: 1 + i%2, ledger: book}
 		if err := o.open(); err != nil {
 			return err
 		}
-		defer o.shut()
+		defer o.close()
 		all = append(all, o)
 	}
 	var members []discovery.Member
@@ -173,7 +173,7 @@
 		return err
 	}
 	defer list.Close()
-	up := make([]bool, offices)
+	up := make([]bool, formServerCount)
 	for i := range up {
 		up[i] = true
 	}
@@ -190,10 +190,10 @@
 	_ = names.Set("here.example.org", "A", "here.example.org. 5 IN A 127.0.0.1")
 	publish(up)
 	faults := rand.New(rand.NewPCG(2, 2))
-	var guard sync.Mutex
+	var faultsMu sync.Mutex
 	names.Script(func(_, kind, _ string) dns.Fault {
-		guard.Lock()
-		defer guard.Unlock()
+		faultsMu.Lock()
+		defer faultsMu.Unlock()
 		if kind != "SRV" {
 			return dns.Fault{}
 		}
@@ -222,37 +222,37 @@
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
 	var running sync.WaitGroup
-	running.Go(func() { trouble(ctx, all, up, list, publish) })
-	plain := &believer{at: names.Addr()}
+	running.Go(func() { restartServers(ctx, all, up, list, publish) })
+	plain := &trustingClient{at: names.Addr()}
 	running.Go(func() { plain.run(ctx) })
-	ours, theirs := &outcome{}, &outcome{}
-	tick := time.NewTicker(time.Second / closesASec)
+	merged, theirs := &outcome{}, &outcome{}
+	tick := time.NewTicker(time.Second / closesPerSecond)
 	defer tick.Stop()
-	var doors [3]*http.Client
-	for n := range doors {
+	var clients [3]*http.Client
+	for n := range clients {
 		path := fmt.Sprintf("%s/%d.sock", dir, n)
 		if _, err := os.Stat(path); err != nil {
 			path = fmt.Sprintf("%s/%d.sock", dir, n+1)
 		}
-		doors[n] = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		clients[n] = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
 		}}}
 	}
 	for n := 0; ctx.Err() == nil; n++ {
 		<-tick.C
 		key := strconv.Itoa(n)
-		running.Go(func() { closeWard(ours, doors[n%len(doors)], "http://agent/ward-close", "agent", key) })
+		running.Go(func() { closeWard(merged, clients[n%len(clients)], "http://agent/ward-close", "agent", key) })
 		running.Go(func() { plain.closeWard(theirs, key) })
 	}
 	running.Wait()
-	fmt.Printf("%v, %d servers, %d ward-closes a second each way\n\n", length, offices, closesASec)
+	fmt.Printf("%v, %d servers, %d ward-closes a second each way\n\n", length, formServerCount, closesPerSecond)
 	fmt.Println("| way | asked | served | refused | failed | sent over 2 s after a drain was told | ward-closes doubled | left with no server |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, row := range []struct {
 		way, name string
 		o         *outcome
 		none      int64
-	}{{"agent", "daemon on list and records", ours, -1}, {"plain", "a resolver that believes all", theirs, plain.none.Load()}} {
+	}{{"agent", "daemon on list and records", merged, -1}, {"plain", "a resolver that believes all", theirs, plain.none.Load()}} {
 		doubled := 0
 		book.mu.Lock()
 		for key, times := range book.effects {
@@ -272,9 +272,9 @@
 	return nil
 }
 
-// restartServers makes one server after another drain, stop 4 s later, and restart cold 8 s after that. The DNS records
-// follow with a delay.
-func trouble(ctx context.Context, all []*office, up []bool, list *standin.List, publish func([]bool)) {
+// restartServers makes one server after another drain, stop 4 s later, and restart cold 8 s after that. The DNS
+// records follow with a delay.
+func restartServers(ctx context.Context, all []*formServer, up []bool, list *standin.List, publish func([]bool)) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-ctx.Done():
@@ -294,7 +294,7 @@
 	for n := 0; wait(3 * time.Second); n++ {
 		i := (n * 3) % len(all)
 		o := all[i]
-		o.tell()
+		o.announceRemoval()
 		list.Set(o.member("draining"))
 		up[i] = false
 		later()
@@ -302,7 +302,7 @@
 			return
 		}
 		list.Set(o.member("gone"))
-		o.shut()
+		o.close()
 		if !wait(8 * time.Second) {
 			return
 		}
@@ -349,16 +349,16 @@
 	return resp.StatusCode
 }
 
-// trustingClient resolves the name every 5 s, trusts each answer, and sends to any server in it. A request that fails is
-// retried once on any server.
-type believer struct {
+// trustingClient resolves the name every 5 s, trusts each answer, and sends to any server in it. A request that fails
+// is retried once on any server.
+type trustingClient struct {
 	at   string
 	mu   sync.Mutex
 	now  []string
 	none atomic.Int64 // seconds without any server
 }
 
-func (b *believer) run(ctx context.Context) {
+func (b *trustingClient) run(ctx context.Context) {
 	c := &mdns.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
 		q := new(mdns.Msg).SetQuestion("_form._tcp.example.org.", mdns.TypeSRV)
@@ -387,7 +387,7 @@
 	}
 }
 
-func (b *believer) any() (string, error) {
+func (b *trustingClient) any() (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.now) == 0 {
@@ -396,7 +396,7 @@
 	return b.now[rand.IntN(len(b.now))], nil
 }
 
-func (b *believer) closeWard(o *outcome, key string) {
+func (b *trustingClient) closeWard(o *outcome, key string) {
 	c := &http.Client{}
 	for try := range 2 {
 		to, err := b.any()
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -32,17 +32,17 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	p = &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Spread: 500 * time.Millisecond}
 	at := realStart
-	befall := func(do string) {
+	addEvent := func(do string) {
 		who := []int{2 + rng.IntN(n-2)}
 		t := at + time.Duration(rng.Float64()*float64(time.Second))
 		p.Events = append(p.Events, plan.Event{At: t, Do: do, Who: who}, plan.Event{At: t + realDown, Do: "start", Who: who, State: "kept"})
 		at += realGap
 	}
 	for range times {
-		befall("kill")
+		addEvent("kill")
 	}
 	for range max(1, times/3) {
-		befall("term")
+		addEvent("term")
 	}
 	var left, right []int
 	for i := range n {
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -17,9 +17,9 @@
 )
 
 // counts holds, for each agent, the numbers of agents that its view reported, in the order of time.
-type counts [][]counted
+type counts [][]agentCount
 
-type counted struct {
+type agentCount struct {
 	at          time.Duration
 	most, least int
 }
@@ -33,15 +33,15 @@
 	return all[i-1].most, all[i-1].least
 }
 
-// followDay simulates the membership views of a day and returns the numbers of agents that they reported. All members
-// start at the beginning of the day with the number file in their settings, and the given events happen to members and
-// links.
-func followDay(s *model.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
+// simulateViews simulates the membership views of a day and returns the numbers of agents that they reported. All
+// members start at the beginning of the day with the number file in their settings, and the given events happen to
+// members and links.
+func simulateViews(s *model.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
 	c := make(counts, s.Agents)
 	_, err := drill.Play(p, drill.Options{Seed: seed, FileCount: file, Each: func(at time.Duration, daemon int, a membership.Action) {
 		if n, ok := a.(membership.SizeChanged); ok {
-			c[daemon] = append(c[daemon], counted{at, n.Size.MaxBalancers, min(n.Size.MinBalancers, n.Size.MaxBalancers)})
+			c[daemon] = append(c[daemon], agentCount{at, n.Size.MaxBalancers, min(n.Size.MinBalancers, n.Size.MaxBalancers)})
 		}
 	}})
 	return c, err
@@ -86,7 +86,7 @@
 				o := virtual.Options{Scenario: s, Seed: seed + uint64(i), Balancers: way.told,
 					New: func(s decide.Settings, seed uint64) (virtual.Policy, error) { return decide.New(s, seed) }}
 				if way.follow {
-					c, err := followDay(s, way.told, seed+uint64(i), way.events)
+					c, err := simulateViews(s, way.told, seed+uint64(i), way.events)
 					if err != nil {
 						return err
 					}
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -15,22 +15,22 @@
 )
 
 // memberEvent is one event of a member, and the times until other members know of it.
-type befallen struct {
-	at     time.Duration
-	who    int
-	want   membership.State
-	knows  []time.Duration
-	knower map[int]bool
+type memberEvent struct {
+	at         time.Duration
+	who        int
+	want       membership.State
+	knownAfter []time.Duration
+	knownBy    map[int]bool
 }
 
-// follow records when each daemon learns of the events of other daemons.
-type follow struct {
-	of    map[string]*befallen // the latest event of each member, by name
-	wrong int                  // members confirmed dead that were not killed
+// eventTracker records when each daemon learns of the events of other daemons.
+type eventTracker struct {
+	of    map[string]*memberEvent // the latest event of each member, by name
+	wrong int                     // members confirmed dead that were not killed
 	dead  map[string]bool
 }
 
-func (f *follow) each(at time.Duration, daemon int, a membership.Action) {
+func (f *eventTracker) each(at time.Duration, daemon int, a membership.Action) {
 	c, ok := a.(membership.MemberChanged)
 	if !ok {
 		return
@@ -40,20 +40,20 @@
 		f.wrong++
 	}
 	b := f.of[r.Name]
-	if b == nil || at < b.at || b.knower[daemon] {
+	if b == nil || at < b.at || b.knownBy[daemon] {
 		return
 	}
 	if r.State == b.want || b.want == membership.Dead && r.State == membership.Left {
-		b.knower[daemon] = true
-		b.knows = append(b.knows, at-b.at)
+		b.knownBy[daemon] = true
+		b.knownAfter = append(b.knownAfter, at-b.at)
 	}
 }
 
 // timeline returns a plan in which single daemons are killed or leave and restart, and its events in order.
-func timeline(n, times int, gap time.Duration, seed uint64) (*plan.Plan, []*befallen) {
+func timeline(n, times int, gap time.Duration, seed uint64) (*plan.Plan, []*memberEvent) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	p := &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Bounds: checker.Bounds{}}
-	var all []*befallen
+	var all []*memberEvent
 	at := 20 * time.Second
 	for i := range times {
 		who := 2 + rng.IntN(max(1, n-2))
@@ -66,19 +66,19 @@
 		}
 		t := at + time.Duration(rng.Float64()*float64(time.Second))
 		p.Events = append(p.Events, plan.Event{At: t, Do: do, Who: []int{who}})
-		all = append(all, &befallen{at: t, who: who, want: want, knower: map[int]bool{}})
+		all = append(all, &memberEvent{at: t, who: who, want: want, knownBy: map[int]bool{}})
 		t += gap
 		p.Events = append(p.Events, plan.Event{At: t, Do: "start", Who: []int{who}, State: "kept"})
-		all = append(all, &befallen{at: t, who: who, want: membership.Alive, knower: map[int]bool{}})
+		all = append(all, &memberEvent{at: t, who: who, want: membership.Alive, knownBy: map[int]bool{}})
 		at += 2*gap + time.Second
 	}
 	p.Length = at + gap
 	return p, all
 }
 
-// watch simulates a plan and records when daemons learn of the events in all.
-func watch(p *plan.Plan, all []*befallen, o virtual.Options) (*follow, *virtual.Result, error) {
-	f := &follow{of: map[string]*befallen{}, dead: map[string]bool{}}
+// trackEvents simulates a plan and records when daemons learn of the events in all.
+func trackEvents(p *plan.Plan, all []*memberEvent, o virtual.Options) (*eventTracker, *virtual.Result, error) {
+	f := &eventTracker{of: map[string]*memberEvent{}, dead: map[string]bool{}}
 	next := 0
 	o.Warm = true
 	o.Each = func(at time.Duration, daemon int, a membership.Action) {
@@ -94,9 +94,9 @@
 	return f, r, err
 }
 
-// formula returns the expected 99th percentile of the time until all know of a crash, from the module's own constants:
-// the wait for the first probe, the two stages of the probe, the shortest suspicion, and the spread of the rumor through
-// the fleet. See docs/design/view.md.
+// formula returns the expected 99th percentile of the time until all know of a crash, from the module's own
+// constants: the wait for the first probe, the two stages of the probe, the shortest suspicion, and the spread of the
+// rumor through the fleet. See docs/design/view.md.
 func formula(n int) time.Duration {
 	first := 4.6 * membership.DefaultProbeInterval.Seconds() // the probability that no member probes it in k periods is exp(-k)
 	if n < 8 {
@@ -116,17 +116,17 @@
 			count = min(times, max(4, times/3))
 		}
 		p, all := timeline(n, 2*count, 6*time.Second, seed)
-		f, r, err := watch(p, all, virtual.Options{Seed: seed})
+		f, r, err := trackEvents(p, all, virtual.Options{Seed: seed})
 		if err != nil {
 			return err
 		}
 		by := map[membership.State][]time.Duration{}
 		for _, b := range all {
-			if len(b.knows) < n-1 && b.want != membership.Alive {
-				fmt.Printf("%d of %d know that %s of %v is %v\n", len(b.knows), n-1, plan.Name(b.who), b.at, b.want)
+			if len(b.knownAfter) < n-1 && b.want != membership.Alive {
+				fmt.Printf("%d of %d know that %s of %v is %v\n", len(b.knownAfter), n-1, plan.Name(b.who), b.at, b.want)
 			}
-			if len(b.knows) > 0 {
-				by[b.want] = append(by[b.want], slices.Max(b.knows))
+			if len(b.knownAfter) > 0 {
+				by[b.want] = append(by[b.want], slices.Max(b.knownAfter))
 			}
 		}
 		var datagrams, bytes uint64
@@ -255,8 +255,9 @@
 	return nil
 }
 
-// heartbeats is the simplest baseline: each member sends each other one a heartbeat every 200 ms, and a member that is not
-// heard for 2 s is confirmed dead. That is about as soon as this view confirms a death. A message counts as 60 bytes.
+// heartbeats is the simplest baseline: each member sends each other one a heartbeat every 200 ms, and a member that
+// is not heard for 2 s is confirmed dead. That is about as soon as this view confirms a death. A message counts as 60
+// bytes.
 func heartbeats(n int, loss float64, length time.Duration, windows [][2]time.Duration, who []int, seed uint64) (wrong, members int) {
 	rng := rand.New(rand.NewPCG(seed, 78))
 	byWho := map[int][][2]time.Duration{}
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -1,8 +1,9 @@
-// Command policy measures changes of the fleet's agreed policy. It prints Markdown; docs/measure/policy.md has its figures.
+// Command policy measures changes of the fleet's agreed policy. It prints Markdown; docs/measure/policy.md has its
+// figures.
 //
-//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim, and how often it was exercised
-//	go run ./tools/policy parts [-n 2000]       the same with a policy in parts: two changes a second, partitioned regions, new voters
-//	go run ./tools/policy points [-pairs 2000]  the acting member is killed at each write and message of a change, one kill at a time, then two
+//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim and how often it was tested
+//	go run ./tools/policy parts [-n 2000]       the same with parts: two changes a second, partitioned regions, new voters
+//	go run ./tools/policy points [-pairs 2000]  the acting member is killed at each write and message of a change, once, then twice
 //	go run ./tools/policy times                 time from a proposal until the change is in force at all members, in virtual time
 //	go run ./tools/policy real                  the same with real processes, and the cost at rest
 //	go run ./tools/policy ways                  compared with a reload host by host, and with gossip of the newest file
@@ -90,7 +91,7 @@
 func schedules(n int, draw func(seed uint64, most int) (*plan.Plan, policymodel.Options)) error {
 	s := newSums()
 	var taken, changes int
-	told, befell := map[string]int{}, map[string]int{}
+	told, faults := map[string]int{}, map[string]int{}
 	began := time.Now()
 	err := each(n, func(i int) (played, error) {
 		p, o := draw(uint64(i), 10)
@@ -99,7 +100,7 @@
 			return played{}, err
 		}
 		c := checker.Policy(p.Bounds, r.Lines)
-		x := played{r: c, taken: r.Taken, told: map[string]int{}, befell: map[string]int{}}
+		x := played{r: c, taken: r.Taken, told: map[string]int{}, faults: map[string]int{}}
 		for _, l := range r.Lines {
 			switch l.What {
 			case checker.Proposed:
@@ -111,11 +112,11 @@
 		for _, e := range p.Events {
 			switch {
 			case e.Do == "link" || e.Do == "kill" || e.Do == "term" || e.Do == "pause" || e.Do == "voters":
-				x.befell[e.Do]++
+				x.faults[e.Do]++
 			case e.Do == "start" && e.State != "kept":
-				x.befell["disk "+e.State]++
+				x.faults["disk "+e.State]++
 			case e.Do == "disk" && e.Kind != "well":
-				x.befell["disk "+e.Kind]++
+				x.faults["disk "+e.Kind]++
 			}
 		}
 		return x, nil
@@ -124,12 +125,12 @@
 		for k, n := range x.told {
 			told[k] += n
 		}
-		for k, n := range x.befell {
-			befell[k] += n
+		for k, n := range x.faults {
+			faults[k] += n
 		}
 		s.add(fmt.Sprint("schedule ", i), x.r)
 	})
-	fmt.Printf("%d schedules of 90 s, %d changes asked for, %d requests taken, in %v\n\ntold: %v\n\nbefell: %v\n\n", n, changes, taken, time.Since(began).Round(time.Second), told, befell)
+	fmt.Printf("%d schedules of 90 s, %d changes asked for, %d requests taken, in %v\n\ntold: %v\n\nbefell: %v\n\n", n, changes, taken, time.Since(began).Round(time.Second), told, faults)
 	s.show()
 	return err
 }
@@ -138,7 +139,7 @@
 type played struct {
 	r              *checker.Report
 	taken, changes int
-	told, befell   map[string]int
+	told, faults   map[string]int
 }
 
 // kindOf returns the final state of a change and, if it was dropped, the kind of reason.
@@ -154,7 +155,7 @@
 	return l.State
 }
 
-func everyone(n int) (all []int) {
+func firstMembers(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
@@ -162,7 +163,7 @@
 }
 
 func fleet(n, voters int, stops bool, length time.Duration, events ...plan.Event) *plan.Plan {
-	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: everyone(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
+	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: firstMembers(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 }
 
@@ -268,9 +269,9 @@
 	return nil
 }
 
-// took returns the sorted times from the proposal of a change until the last member first serves by it, and how many
-// changes were dropped.
-func took(p *plan.Plan, lines []checker.Line) (all []time.Duration, dropped int) {
+// changeTimes returns the sorted times from the proposal of a change until the last member first serves by it, and
+// how many changes were dropped.
+func changeTimes(p *plan.Plan, lines []checker.Line) (all []time.Duration, dropped int) {
 	asked, number := map[string]int64{}, map[string]uint64{}
 	last := map[uint64]int64{}
 	at := map[string]uint64{}
@@ -356,7 +357,7 @@
 	}
 	for i, x := range rows {
 		g := results[i]
-		all, dropped := took(g.p, g.r.Lines)
+		all, dropped := changeTimes(g.p, g.r.Lines)
 		var spread []time.Duration
 		for _, d := range checker.Switches(g.r.Lines) {
 			spread = append(spread, d)
@@ -414,7 +415,7 @@
 			if err != nil {
 				return err
 			}
-			all, dropped := took(p, lines)
+			all, dropped := changeTimes(p, lines)
 			var spread []time.Duration
 			for _, d := range checker.Switches(lines) {
 				spread = append(spread, d)
@@ -482,8 +483,9 @@
 	return nil
 }
 
-// atOnce returns the number of changes, and for how many policies, and how long in total, requests were still served by an
-// earlier policy more than 0.5 s after the later one was first used. end reports whether members still differ at the end.
+// atOnce returns the number of changes, and for how many policies, and how long in total, requests were still served
+// by an earlier policy more than 0.5 s after the later one was first used. end reports whether members still differ
+// at the end.
 func atOnce(lines []checker.Line) (changes, many int, span time.Duration, end bool) {
 	first, late := map[uint64]int64{}, map[uint64]int64{}
 	var most uint64
--- a/tools/rehearsal/fleet.go
+++ b/tools/rehearsal/fleet.go
@@ -30,7 +30,7 @@
 			took                                                   time.Duration
 		}
 		sums := make([]sum, len(policies))
-		if err := plays(s, policies, seeds, func(i, _ int, p *virtual.Played, took time.Duration) {
+		if err := simulateAll(s, policies, seeds, func(i, _ int, p *virtual.Played, took time.Duration) {
 			t, n, part := p.Day.Total, float64(max(1, p.Day.Total.Offered)), 1/float64(seeds)
 			worst, _ := p.Day.Worst()
 			x := &sums[i]
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -72,7 +72,7 @@
 	return fmt.Errorf("%q is none of table, fleet, grow, compare", args[0])
 }
 
-func maker(name string) func(decide.Settings, uint64) (virtual.Policy, error) {
+func policyMaker(name string) func(decide.Settings, uint64) (virtual.Policy, error) {
 	if name == "vetchhaven" {
 		return virtual.Decide
 	}
@@ -83,9 +83,9 @@
 	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }
 }
 
-// plays simulates a scenario with each policy and seed, one run for each core at a time. It passes each result to played,
-// one call at a time: the index of the policy, the seed minus one, the result, and how long the run took.
-func plays(s *model.Scenario, policies []string, seeds int, played func(policy, seed int, p *virtual.Played, took time.Duration)) error {
+// simulateAll simulates a scenario with each policy and seed, one run for each core at a time. It passes each result
+// to played, one call at a time: the index of the policy, the seed minus one, the result, and how long the run took.
+func simulateAll(s *model.Scenario, policies []string, seeds int, played func(policy, seed int, p *virtual.Played, took time.Duration)) error {
 	slots := make(chan struct{}, runtime.NumCPU())
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -96,7 +96,7 @@
 				slots <- struct{}{}
 				defer func() { <-slots }()
 				start := time.Now()
-				p, err := virtual.Play(virtual.Options{Scenario: s, Seed: uint64(seed + 1), New: maker(name)})
+				p, err := virtual.Play(virtual.Options{Scenario: s, Seed: uint64(seed + 1), New: policyMaker(name)})
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -128,7 +128,7 @@
 		for i := range policies {
 			service[i] = make([]float64, seeds)
 		}
-		if err := plays(s, policies, seeds, func(i, seed int, p *virtual.Played, _ time.Duration) {
+		if err := simulateAll(s, policies, seeds, func(i, seed int, p *virtual.Played, _ time.Duration) {
 			service[i][seed] = 100 * p.Day.Total.Service()
 			broken[i] += p.Judge.Total()
 		}); err != nil {
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs random fault tests, one for each seed, against real processes of the program, and checks the recorded
-// histories; see docs/operate/soak.md.
+// Command soak runs random fault tests, one for each seed, against real processes of the program, and checks the
+// recorded histories; see docs/operate/soak.md.
 package main
 
 import (
@@ -145,7 +145,7 @@
 			fmt.Fprintf(out, "seed %d: kept, %d requests\n", plans[0].Seed, report.Exercised[check.OneAnswer])
 		} else {
 			failed++
-			o.tell(ctx, out, plans[0], dir, report, err)
+			o.printFailure(ctx, out, plans[0], dir, report, err)
 		}
 		for i, n := range report.Exercised {
 			total[i] += n
@@ -182,14 +182,15 @@
 	return report, err
 }
 
-const toldMost = 12 // most violations printed for one run
+const maxPrinted = 12 // most violations printed for one run
 
-// tell prints the violations of a failed run and, with --shrink, a smaller plan that violates the same invariant.
-func (o *options) tell(ctx context.Context, out io.Writer, p soak.Plan, dir string, report check.Report, err error) {
+// printFailure prints the violations of a failed run and, with --shrink, a smaller plan that violates the same
+// invariant.
+func (o *options) printFailure(ctx context.Context, out io.Writer, p soak.Plan, dir string, report check.Report, err error) {
 	fmt.Fprintf(out, "seed %d: FAILED, %d violations, error %v\n%s\n", p.Seed, len(report.Violations), err, p)
 	for i, v := range report.Violations {
-		if i == toldMost {
-			fmt.Fprintf(out, "  and %d more\n", len(report.Violations)-toldMost)
+		if i == maxPrinted {
+			fmt.Fprintf(out, "  and %d more\n", len(report.Violations)-maxPrinted)
 			break
 		}
 		fmt.Fprintf(out, "  %s\n", v)
--- a/tools/verdicts/found.go
+++ b/tools/verdicts/found.go
@@ -20,7 +20,7 @@
 		lost  float64
 		mute  bool
 	}{{"fails outright", 1, 0, false}, {"fails a third", 0.33, 0, false}, {"fails outright, half of news is lost", 1, 0.5, false}, {"says nothing", 1, 0, true}} {
-		n, first, middle, worst, wrong, spoilt, bytes := 0, time.Duration(0), time.Duration(0), time.Duration(0), 0, 0, 0
+		n, first, middle, worst, wrong, lostAttempts, bytes := 0, time.Duration(0), time.Duration(0), time.Duration(0), 0, 0, 0
 		for seed := range seeds {
 			late := time.Duration(0)
 			if c.lost > 0 {
@@ -39,7 +39,7 @@
 				return err
 			}
 			slices.Sort(r.EjectionDelays)
-			n, wrong, spoilt, bytes = n+len(r.EjectionDelays), wrong+r.WrongEjections, spoilt+r.FailedByServer, bytes+r.Bytes
+			n, wrong, lostAttempts, bytes = n+len(r.EjectionDelays), wrong+r.WrongEjections, lostAttempts+r.FailedByServer, bytes+r.Bytes
 			if len(r.EjectionDelays) > 16 {
 				first, middle, worst = first+r.EjectionDelays[0], middle+r.EjectionDelays[12], max(worst, r.EjectionDelays[16])
 			} else {
@@ -47,7 +47,7 @@
 			}
 		}
 		k := time.Duration(seeds)
-		bench.Row(c.name, seeds, fmt.Sprintf("%.1f", float64(n)/float64(seeds)), (first / k).Round(10*time.Millisecond), (middle / k).Round(10*time.Millisecond), worst.Round(10*time.Millisecond), wrong, spoilt,
+		bench.Row(c.name, seeds, fmt.Sprintf("%.1f", float64(n)/float64(seeds)), (first / k).Round(10*time.Millisecond), (middle / k).Round(10*time.Millisecond), worst.Round(10*time.Millisecond), wrong, lostAttempts,
 			fmt.Sprintf("%.0f", float64(bytes)/float64(seeds)/agents/length.Seconds()))
 	}
 	return nil
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -28,13 +28,13 @@
 func main() {
 	f := flag.NewFlagSet("verdicts", flag.ExitOnError)
 	seeds, agents, days := f.Int("seeds", 1, "days of each kind"), f.Int("agents", 300, "agents"), f.Int("days", 100, "days of a minute")
-	befalls := f.String("fault", "", "of worth: the faults with this in their name; empty: all")
+	faultFilter := f.String("fault", "", "of worth: the faults with this in their name; empty: all")
 	only, rate := f.String("only", "", "of worth: the ways with this in their name; empty: all"), f.Float64("rate", 0, "of worth: this many requests a second of each; 0: 1 and 10")
 	bench.Main(f,
-		bench.Job{Name: "worth", Run: func() error { return worth(*seeds, *agents, *only, *befalls, *rate) }},
+		bench.Job{Name: "worth", Run: func() error { return worth(*seeds, *agents, *only, *faultFilter, *rate) }},
 		bench.Job{Name: "links", Run: func() error {
 			if os.Getenv("WHY") != "" {
-				why = func(s string) { fmt.Fprintln(os.Stderr, s) }
+				reportEjection = func(s string) { fmt.Fprintln(os.Stderr, s) }
 			}
 			return links(*days)
 		}},
@@ -81,7 +81,7 @@
 	return func(v string) any { return model.ServerErrors{Server: v, Rate: rate} }, func(v string) any { return model.ServerErrors{Server: v} }
 }
 
-func silence() (on, off func(string) any) {
+func silent() (on, off func(string) any) {
 	return func(v string) any { return model.Silence{Server: v, On: true} }, func(v string) any { return model.Silence{Server: v} }
 }
 
@@ -90,13 +90,13 @@
 }
 
 type outcome struct {
-	spoilt, after5 int
-	service        float64
-	broken         int
-	bytes          float64
+	lostAttempts, after5 int
+	service              float64
+	broken               int
+	bytes                float64
 }
 
-func worth(seeds, agents int, only, befalls string, just float64) error {
+func worth(seeds, agents int, only, faultFilter string, just float64) error {
 	base, err := scenario.Load("scenarios/fleet-calm.toml")
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 	add("half fail (a bad release)", every(2), on, off)
 	on, off = errorsOf(0.3)
 	add("one fails 30%", one, on, off)
-	on, off = silence()
+	on, off = silent()
 	add("one is silent", one, on, off)
 	add("a zone is silent", zone, on, off)
 	on, off = slow()
@@ -129,7 +129,7 @@
 		}
 		for _, f := range faults {
 			for _, way := range ways {
-				if !strings.Contains(way, only) || !strings.Contains(f.name, befalls) {
+				if !strings.Contains(way, only) || !strings.Contains(f.name, faultFilter) {
 					continue
 				}
 				cells = append(cells, cell{f, rate, way})
@@ -140,7 +140,7 @@
 						if err != nil {
 							return sum, err
 						}
-						sum.spoilt += o.spoilt
+						sum.lostAttempts += o.lostAttempts
 						sum.after5 += o.after5
 						sum.service += o.service / float64(seeds)
 						sum.broken += o.broken
@@ -154,12 +154,12 @@
 	bench.Head("fault", "requests a second of each", "way", "attempts spoilt", "of these later than 5 s", "service", "rules broken", "bytes a second of each")
 	return inOrder(jobs, func(i int, o outcome) {
 		c := cells[i]
-		bench.Row(c.f.name, fmt.Sprint(c.rate), c.way, o.spoilt, o.after5, fmt.Sprintf("%.2f%%", 100*o.service), o.broken, fmt.Sprintf("%.0f", o.bytes))
+		bench.Row(c.f.name, fmt.Sprint(c.rate), c.way, o.lostAttempts, o.after5, fmt.Sprintf("%.2f%%", 100*o.service), o.broken, fmt.Sprintf("%.0f", o.bytes))
 	})
 }
 
-// inOrder runs jobs on all cores, and passes their results to take in the order of the jobs, each as soon as it and all
-// earlier ones are available.
+// inOrder runs jobs on all cores, and passes their results to take in the order of the jobs, each as soon as it and
+// all earlier ones are available.
 func inOrder[T any](jobs []func() (T, error), take func(int, T)) error {
 	type one struct {
 		got T
@@ -204,7 +204,7 @@
 	o := virtual.Options{Scenario: &s, Seed: seed, New: virtual.Decide,
 		Ended: func(now time.Duration, _ int, server string, r decide.Result) {
 			if now >= faultAt && now < faultAt+faultFor+2*time.Second && r != decide.OK && r != decide.Rejected && r != decide.Cancelled && r != decide.NotSent && slices.Contains(hit, server) {
-				out.spoilt++
+				out.lostAttempts++
 				if now > faultAt+5*time.Second {
 					out.after5++
 				}
@@ -217,7 +217,7 @@
 		o.Share = &virtual.Sharing{Late: time.Millisecond}
 	case baseline.SeesNow:
 		var err error
-		if o.New, err = seer(); err != nil {
+		if o.New, err = newOracle(); err != nil {
 			return out, err
 		}
 	}
@@ -230,7 +230,7 @@
 	return out, nil
 }
 
-func seer() (func(decide.Settings, uint64) (virtual.Policy, error), error) {
+func newOracle() (func(decide.Settings, uint64) (virtual.Policy, error), error) {
 	newPolicy, err := baseline.Maker(baseline.SeesNow)
 	if err != nil {
 		return nil, err
@@ -238,8 +238,8 @@
 	return func(s decide.Settings, seed uint64) (virtual.Policy, error) { return newPolicy(s, seed) }, nil
 }
 
-// why receives a line for each ejection; nil: none is reported.
-var why func(string)
+// reportEjection receives a line for each ejection; nil: none is reported.
+var reportEjection func(string)
 
 // links simulates days in which links fail and no server does, so that every ejection is wrong.
 func links(days int) error {
@@ -252,9 +252,9 @@
 		jobs = append(jobs, func() (got, error) {
 			o := ejectionsim.BrokenLinks(uint64(d))
 			o.OnLog = func(now time.Duration, a int, text string) {
-				if why != nil && strings.Contains(text, " is ejected: ") {
+				if reportEjection != nil && strings.Contains(text, " is ejected: ") {
 					lost, late := o.PeerPath(0, a, now)
-					why(fmt.Sprintf("day %d, %v, member %d of %d: %s (%.0f%% lost, %v late)", d, now.Round(time.Millisecond), a, o.Agents, text, 100*lost, late))
+					reportEjection(fmt.Sprintf("day %d, %v, member %d of %d: %s (%.0f%% lost, %v late)", d, now.Round(time.Millisecond), a, o.Agents, text, 100*lost, late))
 				}
 			}
 			r, err := ejectionsim.Run(o)
