--- a/tools/capacity/changes_test.go
+++ b/tools/capacity/changes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func played(t *testing.T, c policyRun) *policyResult {
+func simulated(t *testing.T, c policyRun) *policyResult {
 	t.Helper()
 	c.voters, c.stops, c.text, c.from, c.streams, c.seed = 3, true, 512, 4*time.Second, 16, 1
 	r, err := c.simulate()
@@ -24,9 +24,9 @@
 		"a change each 3 s": {length: 24 * time.Second, every: 3 * time.Second},
 	} {
 		c.members = 20
-		a := played(t, c)
+		a := simulated(t, c)
 		c.members = 80
-		b := played(t, c)
+		b := simulated(t, c)
 		for _, x := range []struct {
 			what  string
 			a, b  float64
@@ -50,7 +50,7 @@
 
 func TestTheSameSeedMeasuresTheSame(t *testing.T) {
 	c := policyRun{members: 8, length: 24 * time.Second, every: time.Second, randomTimes: true}
-	a, b := played(t, c), played(t, c)
+	a, b := simulated(t, c), simulated(t, c)
 	if a.member.bytesIn != b.member.bytesIn || a.leader.messagesOut != b.leader.messagesOut || len(a.everywhere) < 5 || a.everywhere[0] != b.everywhere[0] || a.dropped != b.dropped {
 		t.Errorf("%+v\n%+v", a, b)
 	}
@@ -59,7 +59,7 @@
 // Each change comes into force at all members or is dropped; a change that is proposed while another is under way is
 // dropped.
 func TestEachChangeComesIntoForceOrIsDropped(t *testing.T) {
-	r := played(t, policyRun{members: 20, length: 24 * time.Second, every: 200 * time.Millisecond, randomTimes: true})
+	r := simulated(t, policyRun{members: 20, length: 24 * time.Second, every: 200 * time.Millisecond, randomTimes: true})
 	if r.asked != r.inForce+r.dropped || len(r.everywhere) != r.inForce || r.why["another change is under way"] == 0 {
 		t.Errorf("asked %d, in force %d (everywhere %d), dropped %d: %v", r.asked, r.inForce, len(r.everywhere), r.dropped, r.why)
 	}
@@ -69,11 +69,11 @@
 // dropped. With ten times the members, a member's bytes stay the same and changes take no longer.
 func TestPartsOfServicesCostAMemberNoMore(t *testing.T) {
 	c := policyRun{members: 100, length: 22 * time.Second, every: 300 * time.Millisecond, randomTimes: true}
-	whole := played(t, c)
+	whole := simulated(t, c)
 	c.parts = true
-	b := played(t, c)
+	b := simulated(t, c)
 	c.members = 10
-	a := played(t, c)
+	a := simulated(t, c)
 	if whole.dropped < whole.asked/3 || a.dropped+b.dropped > 0 || a.asked < 20 || b.asked < 20 || len(b.everywhere) != b.asked {
 		t.Errorf("one text: %d of %d dropped; parts: %d of %d and %d of %d dropped, in force at all members concerned: %d", whole.dropped, whole.asked, a.dropped, a.asked, b.dropped, b.asked, len(b.everywhere))
 	}
--- a/tools/capacity/entries_test.go
+++ b/tools/capacity/entries_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if back, err := slopes.Parse("entries", out.Bytes()); err != nil || len(back) != 3*len(quantities) {
-		t.Errorf("%d entries of %d, %v", len(back), 3*len(quantities), err)
+		t.Errorf("%d entries, want %d, %v", len(back), 3*len(quantities), err)
 	}
 }
 
--- a/tools/capacity/page/brief.go
+++ b/tools/capacity/page/brief.go
@@ -92,9 +92,9 @@
 	return strings.NewReplacer("messages out, messages in", "messages", "bytes out, bytes in", "bytes").Replace(missing)
 }
 
-// other returns the entry whose name has is in place of was; nil: there is none.
-func (p *printer) other(e *slopes.Slope, was, is string) *slopes.Slope {
-	name := strings.Replace(e.Name, "."+was, "."+is, 1)
+// other returns the entry whose name has newWord in place of oldWord; nil: there is none.
+func (p *printer) other(e *slopes.Slope, oldWord, newWord string) *slopes.Slope {
+	name := strings.Replace(e.Name, "."+oldWord, "."+newWord, 1)
 	if i := slices.IndexFunc(p.all, func(o slopes.Slope) bool { return o.Name == name }); i >= 0 && name != e.Name {
 		return &p.all[i]
 	}
--- a/tools/capacity/page/page.go
+++ b/tools/capacity/page/page.go
@@ -58,7 +58,7 @@
 			missing = slices.Delete(missing, at, at+1)
 			out = append(out, line, strings.TrimSuffix(tables[open], "\n"), end)
 		case line == end && open == "":
-			return "", fmt.Errorf("%s:%d: the end of a table that has no begin", path, i+1)
+			return "", fmt.Errorf("%s:%d: this end marker has no begin marker", path, i+1)
 		case line == end:
 			open = ""
 		case open == "":
--- a/tools/capacity/page/page_test.go
+++ b/tools/capacity/page/page_test.go
@@ -276,7 +276,7 @@
 	} {
 		text := strings.Replace(size, c.was, c.is, 1)
 		if text == size {
-			t.Fatalf("%q is not there", c.was)
+			t.Fatalf("%q is not in the file", c.was)
 		}
 		if _, err := ParseSize("s.toml", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s instead of %s: %v, want %s...", c.is, c.was, err, c.want)
@@ -313,7 +313,7 @@
 		{"begin agent", "begin agnet", "p.md:2: there is no table \"agnet\""},
 		{"begin voter", "begin agent", "p.md:6: there is no table \"agent\", or it is here twice"},
 		{"old\n<!-- end -->\n", "old\n", "p.md:5: the table agent that begins on line 2 has no end"},
-		{"a\n", "<!-- end -->\n", "p.md:1: the end of a table that has no begin"},
+		{"a\n", "<!-- end -->\n", "p.md:1: this end marker has no begin marker"},
 		{"<!-- tables: begin voter -->\n<!-- end -->\n", "", "p.md: no place for the tables voter"},
 	} {
 		if _, err := Insert("p.md", strings.Replace(text, c.was, c.is, 1), all); err == nil || !strings.HasPrefix(err.Error(), c.want) {
--- a/tools/capacity/page/size.go
+++ b/tools/capacity/page/size.go
@@ -91,7 +91,7 @@
 		byLoad := v.Rest != nil && v.Day != nil && v.Worst != nil
 		switch {
 		case v.Name == "" || seen[v.Name]:
-			return nil, f.Errorf(at+"name", "%q is empty, or there twice", v.Name)
+			return nil, f.Errorf(at+"name", "%q is empty or used twice", v.Name)
 		case v.Words == "" || v.Source == "":
 			return nil, f.Errorf(at+"source", "%s needs words and a source", v.Name)
 		case (v.Value != nil) == byLoad, v.Value != nil && (v.Rest != nil || v.Day != nil || v.Worst != nil):
@@ -101,15 +101,15 @@
 	}
 	lists := func(at string, role string, loads, quantities []string) error {
 		if !slices.Contains(slopes.Roles, role) {
-			return f.Errorf(at+"role", "%q is none of %s", role, strings.Join(slopes.Roles, ", "))
+			return f.Errorf(at+"role", "%q is not one of %s", role, strings.Join(slopes.Roles, ", "))
 		}
 		for _, l := range loads {
 			if !slices.Contains(slopes.Loads, l) {
-				return f.Errorf(at+"loads", "%q is none of %s", l, strings.Join(slopes.Loads, ", "))
+				return f.Errorf(at+"loads", "%q is not one of %s", l, strings.Join(slopes.Loads, ", "))
 			}
 		}
 		if len(quantities) == 0 {
-			return f.Errorf(at+"quantities", "there are none")
+			return f.Errorf(at+"quantities", "the list is empty")
 		}
 		return nil
 	}
@@ -153,14 +153,14 @@
 	for i := range all {
 		e := &all[i]
 		if s.variable(e.Variable) == nil {
-			return f.Errorf(fmt.Sprintf("slope[%d].variable", i), "%q is none of docs/capacity/size.toml's: add it there, with its value and source", e.Variable)
+			return f.Errorf(fmt.Sprintf("slope[%d].variable", i), "%q is not a variable of docs/capacity/size.toml: add it there, with its value and source", e.Variable)
 		}
 		if e.Instead != "" && !slices.ContainsFunc(all, func(o slopes.Slope) bool { return o.Name == e.Instead && o.Instead == "" }) {
-			return f.Errorf(fmt.Sprintf("slope[%d].instead", i), "%q is no entry that holds today", e.Instead)
+			return f.Errorf(fmt.Sprintf("slope[%d].instead", i), "%q is not an entry, or is itself replaced", e.Instead)
 		}
 		for j := range s.Bound {
 			if b := &s.Bound[j]; b.of(e) && b.in(e.Load) && scale(b.Unit, e.Unit) == 0 {
-				return f.Errorf(fmt.Sprintf("slope[%d].unit", i), "%q: the bound on it (%s) is in %s", e.Unit, b.Name, b.Unit)
+				return f.Errorf(fmt.Sprintf("slope[%d].unit", i), "%q can't be converted to the unit of its bound (%s), %s", e.Unit, b.Name, b.Unit)
 			}
 		}
 	}
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -340,7 +340,7 @@
 func (a *pathAgent) used() (used, waited time.Duration, err error) {
 	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", a.cmd.Process.Pid))
 	if err != nil || len(all) == 0 {
-		return 0, 0, errors.Join(err, errors.New("the daemon has ended, or there is no schedstat"))
+		return 0, 0, errors.Join(err, errors.New("the daemon has exited, or /proc has no schedstat"))
 	}
 	for _, path := range all {
 		text, err := os.ReadFile(path)
@@ -466,7 +466,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK || got != pathAnswerBytes {
-		return fmt.Errorf("status %d with %d bytes", resp.StatusCode, got)
+		return fmt.Errorf("unexpected answer: status %d with %d bytes", resp.StatusCode, got)
 	}
 	return nil
 }
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -193,10 +193,10 @@
 // often as it ever does at rest.
 const limitsRequestRate = 8
 
-func limitsRun(n int, f *flags, change func(*hollow.Limits)) (holder, keeper hollow.Phase, err error) {
+func limitsRun(n int, f *flags, change func(*hollow.Limits)) (leaseClient, leaseServer hollow.Phase, err error) {
 	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
-		return holder, keeper, err
+		return leaseClient, leaseServer, err
 	}
 	v := hollow.Limits{Seed: f.seed, Layout: l, Members: n, Rate: limitsRequestRate, Marks: []time.Duration{8 * time.Second}, Length: 14 * time.Second}
 	if change != nil {
@@ -204,14 +204,14 @@
 	}
 	h, k, _, err := v.Play()
 	if err != nil {
-		return holder, keeper, err
+		return leaseClient, leaseServer, err
 	}
 	return h[1], k[1], nil
 }
 
 func limitsTable(sizes []int, f *flags, load, which, note, command string, change func(*hollow.Limits)) ([]slopes.Slope, error) {
 	f.head()
-	holders, keepers := f.series("limits", load, "agents", note), f.series("limits", load, "agents", note+"; one keeper of three")
+	leaseClients, leaseServers := f.series("limits", load, "agents", note), f.series("limits", load, "agents", note+"; one keeper of three")
 	for _, n := range sizes {
 		began := time.Now()
 		h, k, err := limitsRun(n, f, change)
@@ -220,11 +220,11 @@
 		}
 		f.row(n, which+", a holder", h, began)
 		f.row(n, which+", a keeper", k, began)
-		holders.add(float64(n), h)
-		keepers.add(float64(n), k)
+		leaseClients.add(float64(n), h)
+		leaseServers.add(float64(n), k)
 	}
-	all := holders.entries(which, command, "constant")
-	for _, s := range keepers.entries(which+"_keeper", command, "linear") {
+	all := leaseClients.entries(which, command, "constant")
+	for _, s := range leaseServers.entries(which+"_keeper", command, "linear") {
 		if s.Quantity == "cpu" {
 			continue // this is the CPU time of all members together; that of a lease server is limits.cpu.keeper
 		}
--- a/tools/capacity/slopes/read.go
+++ b/tools/capacity/slopes/read.go
@@ -43,10 +43,10 @@
 		s := &in.Slope[i]
 		at := func(field string) string { return "slope[" + itoa(i) + "]." + field }
 		if !name.MatchString(s.Name) {
-			return nil, f.Errorf(at("name"), "%q is no name such as \"view.bytes_out.rest\"", s.Name)
+			return nil, f.Errorf(at("name"), "%q is not a name such as \"view.bytes_out.rest\"", s.Name)
 		}
 		if line, twice := seen[s.Name]; twice {
-			return nil, f.Errorf(at("name"), "%q stands on line %d already", s.Name, line)
+			return nil, f.Errorf(at("name"), "%q is already on line %d", s.Name, line)
 		}
 		seen[s.Name] = f.Line(at("name"))
 		for _, c := range []struct {
@@ -54,24 +54,24 @@
 			of           []string
 		}{{"role", s.Role, Roles}, {"load", s.Load, Loads}, {"form", s.Form, Forms}} {
 			if !slices.Contains(c.of, c.value) {
-				return nil, f.Errorf(at(c.field), "%q is none of %s", c.value, strings.Join(c.of, ", "))
+				return nil, f.Errorf(at(c.field), "%q is not one of %s", c.value, strings.Join(c.of, ", "))
 			}
 		}
 		for _, c := range []struct{ field, value string }{{"quantity", s.Quantity}, {"mechanism", s.Mechanism}, {"variable", s.Variable}} {
 			if !word.MatchString(c.value) {
-				return nil, f.Errorf(at(c.field), "%q is no word of small letters, digits and _", c.value)
+				return nil, f.Errorf(at(c.field), "%q is not a word of lower-case letters, digits and _", c.value)
 			}
 		}
 		if _, err := time.Parse(time.DateOnly, s.Date); err != nil {
-			return nil, f.Errorf(at("date"), "%q is no date such as 2026-12-02", s.Date)
+			return nil, f.Errorf(at("date"), "%q is not a date such as 2026-12-02", s.Date)
 		}
 		for _, c := range []struct{ field, value string }{{"command", s.Command}, {"machine", s.Machine}} {
 			if strings.TrimSpace(c.value) == "" || strings.ContainsAny(c.value, "|\n") {
-				return nil, f.Errorf(at(c.field), "%q: a line of text is needed, without |", c.value)
+				return nil, f.Errorf(at(c.field), "%q is not a non-empty line of text without |", c.value)
 			}
 		}
 		if strings.ContainsAny(s.Unit+s.Note, "|\n") {
-			return nil, f.Errorf(at("note"), "unit and note are lines of text without |")
+			return nil, f.Errorf(at("note"), "unit and note must be lines of text without |")
 		}
 		if err := s.check(); err != "" {
 			return nil, f.Errorf(at("points"), "%s", err)
@@ -86,12 +86,12 @@
 // check returns what is wrong with the points of an entry for its form; empty: nothing.
 func (s *Slope) check() string {
 	if len(s.Points) == 0 {
-		return "there are none: what was not measured has no entry"
+		return "there are no points: a quantity that was not measured has no entry"
 	}
 	for i, p := range s.Points {
 		switch {
 		case i > 0 && p[0] <= s.Points[i-1][0]:
-			return "size " + number(p[0]) + " comes after " + number(s.Points[i-1][0]) + ": sizes ascend"
+			return "size " + number(p[0]) + " comes after " + number(s.Points[i-1][0]) + ": sizes must ascend"
 		case p[0] <= 0 && slices.Contains([]string{"log", "nlogn", "power"}, s.Form):
 			return "size " + number(p[0]) + " has no logarithm"
 		case p[1] <= 0 && s.Form == "power":
@@ -99,7 +99,7 @@
 		}
 	}
 	if n := s.unknowns(); len(s.Points) < n {
-		return "a fit by " + s.Form + " needs " + itoa(n) + " points at the least"
+		return "a fit by " + s.Form + " needs at least " + itoa(n) + " points"
 	}
 	return ""
 }
--- a/tools/capacity/slopes/slopes_test.go
+++ b/tools/capacity/slopes/slopes_test.go
@@ -26,14 +26,14 @@
 func TestErrorsNameLineAndField(t *testing.T) {
 	for _, c := range []struct{ was, is, want string }{
 		{"role =", "rule =", "f.toml:4: slope.rule: there is no such key"},
-		{`"agent"`, `"agnet"`, "f.toml:4: slope[0].role: \"agnet\" is none of agent, voter"},
+		{`"agent"`, `"agnet"`, "f.toml:4: slope[0].role: \"agnet\" is not one of agent, voter"},
 		{`"rest"`, `"night"`, "f.toml:5: slope[0].load: "},
 		{`"linear"`, `"cubic"`, "f.toml:10: slope[0].form: "},
 		{`"bytes_out"`, `"Bytes out"`, "f.toml:6: slope[0].quantity: "},
-		{"[100, 210], [1000, 2010]", "[1000, 2010], [100, 210]", "f.toml:11: slope[0].points: size 100 comes after 1000: sizes ascend"},
+		{"[100, 210], [1000, 2010]", "[1000, 2010], [100, 210]", "f.toml:11: slope[0].points: size 100 comes after 1000: sizes must ascend"},
 		{"[100, 210]", "[10, 210]", "f.toml:11: slope[0].points: size 10 comes after 10"},
-		{"[[10, 30], [100, 210], [1000, 2010]]", "[]", "f.toml:11: slope[0].points: there are none"},
-		{", [100, 210], [1000, 2010]", "", "f.toml:11: slope[0].points: a fit by linear needs 2 points"},
+		{"[[10, 30], [100, 210], [1000, 2010]]", "[]", "f.toml:11: slope[0].points: there are no points"},
+		{", [100, 210], [1000, 2010]", "", "f.toml:11: slope[0].points: a fit by linear needs at least 2 points"},
 		{"[10, 30]", "[10, \"x\"]", "f.toml:11: "},
 		{`"go run ./tools/capacity view"`, `""`, "f.toml:12: slope[0].command: "},
 		{`"2026-12-02"`, `"2 December"`, "f.toml:13: slope[0].date: "},
@@ -41,7 +41,7 @@
 		{`"view.bytes_out.rest"`, `"view"`, "f.toml:3: slope[0].name: "},
 		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\nceiling = 2009\n", "f.toml:15: slope[0].ceiling: 2009 is below a point of 2010"},
 		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\nceiling = -1\n", "f.toml:15: slope[0].ceiling: -1 is below"},
-		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\n" + entry, "f.toml:17: slope[1].name: \"view.bytes_out.rest\" stands on line 3 already"},
+		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\n" + entry, "f.toml:17: slope[1].name: \"view.bytes_out.rest\" is already on line 3"},
 	} {
 		text := strings.Replace(entry, c.was, c.is, 1)
 		if text == entry {
--- a/tools/directory/main.go
+++ b/tools/directory/main.go
@@ -39,7 +39,7 @@
 
 func run(args []string) error {
 	if len(args) < 1 {
-		return errors.New("storm, stall, cost or idle is needed")
+		return errors.New("missing command: storm, stall, cost or idle")
 	}
 	f := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	seconds := f.Int("seconds", 5, "seconds of each run")
@@ -57,7 +57,7 @@
 	case "idle":
 		return idle()
 	}
-	return fmt.Errorf("%q is none of storm, stall, cost, idle", args[0])
+	return fmt.Errorf("%q is not one of storm, stall, cost, idle", args[0])
 }
 
 const config = `admin = "unix:%[1]s/admin.sock"
@@ -535,7 +535,7 @@
 		c := newConn(nc)
 		all = append(all, c)
 		if code, err := c.ask(func(id int32) []byte { return searchOf(id, "cn=3,dc=ward", 0) }, 5*time.Second); err != nil || code != 0 {
-			return fmt.Errorf("%d, %v", code, err)
+			return fmt.Errorf("search over an idle connection: result code %d, %v", code, err)
 		}
 	}
 	after := heap()
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -110,7 +110,7 @@
 		fmt.Fprintf(out, "| %s | %.2f | %.2f | %.2f | %s |\n", b.name, b.few, b.many, b.most, word)
 	}
 	if over > 0 {
-		return fmt.Errorf("%d bounds are exceeded", over)
+		return fmt.Errorf("%d bounds are not met", over)
 	}
 	return nil
 }
@@ -276,7 +276,7 @@
 	ended = true
 	usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage)
 	if err != nil || !ok {
-		return f, fmt.Errorf("the agent exited with an error: %v", err)
+		return f, fmt.Errorf("the agent did not exit cleanly: %v", err)
 	}
 	f.servers = servers
 	f.cpu = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -64,7 +64,7 @@
 		return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(dir, "admin.sock"))
 	}, DisableKeepAlives: true}}
 	if err := await(func() bool { return healthy(admin) }); err != nil {
-		return fmt.Errorf("the daemon does not start\n%s", log)
+		return fmt.Errorf("the daemon did not become ready\n%s", log)
 	}
 	defer func() { // the process that serves at the end is not cmd
 		stopLast(admin)
@@ -170,7 +170,7 @@
 			return nil
 		}
 	}
-	return errors.New("it takes too long")
+	return errors.New("the condition is not met within 20 s")
 }
 
 // stopLast ends the process that serves the admin socket.
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -44,14 +44,14 @@
 
 func run(args []string) error {
 	if len(args) < 1 {
-		return errors.New("instances, cost, steps, herd or handover is needed")
+		return errors.New("missing command: instances, cost, steps, herd or handover")
 	}
 	f := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	n := f.Int("n", 1000, "instances")
 	seconds := f.Int("seconds", 2, "cost: seconds of each run")
-	rounds := f.Int("rounds", 7, "cost: rounds, of which medians are told")
+	rounds := f.Int("rounds", 7, "cost: number of rounds, whose medians are printed")
 	profile := f.String("profile", "", "cost: write a CPU profile of the agent at full speed to this file; instances: one of the heap")
-	file := f.String("file", "scenarios/herd.toml", "the scenario of herd")
+	file := f.String("file", "scenarios/herd.toml", "herd: the scenario file")
 	if err := f.Parse(args[1:]); err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	case "handover":
 		return handover()
 	}
-	return fmt.Errorf("%q is none of instances, cost, steps, herd, handover", args[0])
+	return fmt.Errorf("%q is not one of instances, cost, steps, herd, handover", args[0])
 }
 
 const configText = `admin = "unix:%[1]s/admin.sock"
--- a/tools/internal/bench/bench.go
+++ b/tools/internal/bench/bench.go
@@ -69,7 +69,7 @@
 	for i, j := range jobs {
 		names[i] = j.Name
 	}
-	err := fmt.Errorf("%q is none of %s", what, strings.Join(names, ", "))
+	err := fmt.Errorf("%q is not one of %s", what, strings.Join(names, ", "))
 	for _, j := range jobs {
 		if j.Name == what {
 			err = j.Run()
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -31,7 +31,7 @@
 
 func main() {
 	f := flag.NewFlagSet("limits", flag.ExitOnError)
-	n, at := f.Int("n", 0, "how many: 1000 schedules, 50 real ones"), f.Int("at", 6, "real ones at a time")
+	n, at := f.Int("n", 0, "number of runs; 0: 1000 schedules, 50 with real processes"), f.Int("at", 6, "real: concurrent runs")
 	bench.Main(f,
 		bench.Job{Name: "ways", Run: ways},
 		bench.Job{Name: "schedules", Run: func() error { return schedules(cmp.Or(*n, 1000)) }},
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -38,11 +38,11 @@
 
 func run(args []string) error {
 	if len(args) < 1 {
-		return errors.New("hour, fleet, sockets, merge, queries or goodbye is needed")
+		return errors.New("missing command: hour, fleet, sockets, merge, queries or goodbye")
 	}
 	f := flag.NewFlagSet(args[0], flag.ContinueOnError)
-	length := f.Duration("for", 5*time.Minute, "sockets: how long to play")
-	seeds := f.Int("seeds", 5, "hours to play")
+	length := f.Duration("for", 5*time.Minute, "sockets: length of the run")
+	seeds := f.Int("seeds", 5, "number of hours to simulate")
 	if err := f.Parse(args[1:]); err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 		return hours(*seeds)
 	case "fleet":
 		if f.NArg() != 1 {
-			return errors.New("fleet needs a scenario")
+			return errors.New("fleet needs one scenario file")
 		}
 		return agents(f.Arg(0), *seeds)
 	case "sockets":
@@ -63,7 +63,7 @@
 	case "goodbye":
 		return multicastGoodbye()
 	}
-	return fmt.Errorf("%q is none of hour, fleet, sockets, merge, queries, goodbye", args[0])
+	return fmt.Errorf("%q is not one of hour, fleet, sockets, merge, queries, goodbye", args[0])
 }
 
 // world is the true state: which servers are running, and when the list announced that one drains or is removed.
@@ -91,7 +91,7 @@
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	var merged, plain tally
 	for seed := range n {
-		play(uint64(seed+1), &merged, &plain)
+		simulateHour(uint64(seed+1), &merged, &plain)
 	}
 	for _, row := range []struct {
 		name string
@@ -104,7 +104,7 @@
 
 const servers = 12
 
-func play(seed uint64, merged, plain *tally) {
+func simulateHour(seed uint64, merged, plain *tally) {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), alive: make([]bool, servers), announced: make([]time.Duration, servers), pods: make([]int, servers)}
 	for i := range servers {
 		w.alive[i], w.pods[i] = true, 1+i%3
@@ -327,7 +327,7 @@
 					return nil
 				}
 			case <-limit:
-				return fmt.Errorf("no list of %d servers", want)
+				return fmt.Errorf("no list of %d servers within 10 s", want)
 			}
 		}
 	}
--- a/tools/members/sockets.go
+++ b/tools/members/sockets.go
@@ -391,7 +391,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.now) == 0 {
-		return "", errors.New("no server")
+		return "", errors.New("the resolver has no server")
 	}
 	return b.now[rand.IntN(len(b.now))], nil
 }
--- a/tools/peers/main.go
+++ b/tools/peers/main.go
@@ -27,8 +27,8 @@
 			}
 			return run(all, crashes, seed)
 		}}
-		c.Flags().StringVarP(&sizes, "daemons", "n", many, "how many daemons, in turn")
-		c.Flags().IntVar(&crashes, "crashes", n, "how many crashes, joins and leaves")
+		c.Flags().StringVarP(&sizes, "daemons", "n", many, "numbers of daemons, one run after another")
+		c.Flags().IntVar(&crashes, "crashes", n, "number of crashes, joins and leaves")
 		c.Flags().Uint64Var(&seed, "seed", 1, "seed of all random numbers")
 		c.Flags().IntVar(&minutes, "minutes", 60, "hour: length in minutes")
 		c.Flags().IntVar(&bytes, "bytes", 0, "hour: bytes_per_s; 0: the default")
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -31,9 +31,9 @@
 
 func main() {
 	f := flag.NewFlagSet("policy", flag.ExitOnError)
-	sizes := f.String("daemons", "3,5,20", "sizes of fleets of real processes")
-	whole := f.Bool("all", false, "of points: all pairs, of the smallest fleet alone")
-	n, pairs, program := f.Int("n", 2000, "schedules"), f.Int("pairs", 2000, "pairs of points, by chance"), f.String("program", "bin/vetchhaven", "for real processes")
+	sizes := f.String("daemons", "3,5,20", "real: sizes of the fleets")
+	whole := f.Bool("all", false, "points: all pairs, with the smallest fleet only")
+	n, pairs, program := f.Int("n", 2000, "number of schedules"), f.Int("pairs", 2000, "points: number of random pairs"), f.String("program", "bin/vetchhaven", "real: the built program")
 	bench.Main(f,
 		bench.Job{Name: "schedules", Run: func() error { return schedules(*n, policymodel.Draw) }},
 		bench.Job{Name: "parts", Run: func() error { return schedules(*n, policymodel.DrawParts) }},
@@ -387,7 +387,7 @@
 	for _, size := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil || n < 3 {
-			return fmt.Errorf("%q is no number of at least 3", size)
+			return fmt.Errorf("%q is not a number of at least 3", size)
 		}
 		for _, state := range []string{"at rest, no [policy]", "at rest", "whole links", "5% lost", "leader killed"} {
 			var events []plan.Event
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -38,19 +38,19 @@
 
 func run(args []string) error {
 	if len(args) < 2 {
-		return errors.New("table, fleet, grow or compare, and files, are needed")
+		return errors.New("missing arguments: table, fleet, grow or compare, and files")
 	}
 	switch args[0] {
 	case "table":
 		f := flag.NewFlagSet("table", flag.ContinueOnError)
-		seeds := f.Int("seeds", 5, "seeds to play, from 1")
+		seeds := f.Int("seeds", 5, "number of seeds to simulate, from 1")
 		if err := f.Parse(args[1:]); err != nil {
 			return err
 		}
 		return table(f.Args(), *seeds)
 	case "fleet":
 		f := flag.NewFlagSet("fleet", flag.ContinueOnError)
-		seeds := f.Int("seeds", 2, "seeds to play, from 1")
+		seeds := f.Int("seeds", 2, "number of seeds to simulate, from 1")
 		if err := f.Parse(args[1:]); err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 		}
 		return compare(args[1], args[2])
 	}
-	return fmt.Errorf("%q is none of table, fleet, grow, compare", args[0])
+	return fmt.Errorf("%q is not one of table, fleet, grow, compare", args[0])
 }
 
 func policyMaker(name string) func(decide.Settings, uint64) (virtual.Policy, error) {
@@ -214,7 +214,7 @@
 		err = json.Unmarshal(data, &r)
 	}
 	if err == nil && len(r.Results) == 0 {
-		err = fmt.Errorf("%s: no results", path)
+		err = fmt.Errorf("report %s has no results", path)
 	}
 	return r, err
 }
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -67,14 +67,14 @@
 		value, most int
 	}{{"agents", o.size.Agents, 60}, {"daemons", o.size.Daemons, 20}, {"servers", o.size.Servers, 100}, {"shrink", o.shrink, 200}} {
 		if b.value < 0 || b.value > b.most {
-			return fmt.Errorf("--%s: %d: 0 to %d are allowed", b.name, b.value, b.most)
+			return fmt.Errorf("--%s: %d is not within 0 to %d", b.name, b.value, b.most)
 		}
 	}
 	if o.size.Servers == 0 || o.size.Agents+o.size.Daemons == 0 {
 		return errors.New("--servers, --agents, --daemons: at least one server and one process are needed")
 	}
 	if o.size.Length < 2*time.Second || o.size.Length > 10*time.Minute {
-		return fmt.Errorf("--length: %v: 2s to 10m are allowed", o.size.Length)
+		return fmt.Errorf("--length: %v is not within 2s to 10m", o.size.Length)
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 		to, err = strconv.ParseUint(last, 10, 32)
 	}
 	if err != nil || to < from || to-from >= 100_000 {
-		return nil, fmt.Errorf("--seeds: %q: a number, or two as in 1-200, are wanted", o.seeds)
+		return nil, fmt.Errorf("--seeds: %q is not a seed or a range such as 1-200", o.seeds)
 	}
 	var all []soak.Plan
 	for seed := from; seed <= to; seed++ {
@@ -159,7 +159,7 @@
 		fmt.Fprintf(out, "%-22s %d\n", i, total[i])
 	}
 	if failed > 0 || ctx.Err() != nil {
-		return fmt.Errorf("%d of %d plays failed", failed, played)
+		return fmt.Errorf("%d of %d runs failed", failed, played)
 	}
 	return nil
 }
--- a/tools/verdicts/main.go
+++ b/tools/verdicts/main.go
@@ -27,9 +27,9 @@
 
 func main() {
 	f := flag.NewFlagSet("verdicts", flag.ExitOnError)
-	seeds, agents, days := f.Int("seeds", 1, "days of each kind"), f.Int("agents", 300, "agents"), f.Int("days", 100, "days of a minute")
-	faultFilter := f.String("fault", "", "of worth: the faults with this in their name; empty: all")
-	only, rate := f.String("only", "", "of worth: the ways with this in their name; empty: all"), f.Float64("rate", 0, "of worth: this many requests a second of each; 0: 1 and 10")
+	seeds, agents, days := f.Int("seeds", 1, "seeds of each case"), f.Int("agents", 300, "number of agents"), f.Int("days", 100, "links: number of days, of a minute each")
+	faultFilter := f.String("fault", "", "worth: only faults whose name contains this; empty: all")
+	only, rate := f.String("only", "", "worth: only ways whose name contains this; empty: all"), f.Float64("rate", 0, "worth: requests a second of each agent, 1 or 10; 0: both")
 	bench.Main(f,
 		bench.Job{Name: "worth", Run: func() error { return worth(*seeds, *agents, *only, *faultFilter, *rate) }},
 		bench.Job{Name: "links", Run: func() error {
@@ -96,7 +96,7 @@
 	bytes                float64
 }
 
-func worth(seeds, agents int, only, faultFilter string, just float64) error {
+func worth(seeds, agents int, only, faultFilter string, onlyRate float64) error {
 	base, err := scenario.Load("scenarios/fleet-calm.toml")
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	var cells []cell
 	var jobs []func() (outcome, error)
 	for _, rate := range []float64{1, 10} {
-		if just != 0 && just != rate {
+		if onlyRate != 0 && onlyRate != rate {
 			continue
 		}
 		for _, f := range faults {
