--- a/tools/capacity/page/brief.go
+++ b/tools/capacity/page/brief.go
@@ -44,7 +44,7 @@
 	return wrap("**The size aimed at:** " + strings.Join(sizes, "; ") + ".")
 }
 
-// wrap breaks a text into lines of at most lineMost characters.
+// wrap breaks a text into lines of at most maxLine characters.
 func wrap(text string) string {
 	var b strings.Builder
 	at := 0
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -66,7 +66,7 @@
 	if err := await(func() bool { return healthy(admin) }); err != nil {
 		return fmt.Errorf("the daemon did not become ready\n%s", log)
 	}
-	defer func() { // the process that serves at the end is not cmd
+	defer func() { // after the handovers, the serving process is not cmd
 		stopLast(admin)
 	}()
 	type one struct {
