--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -31,14 +31,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	bin, err := program(dir)
+	bin, err := buildDaemon(dir)
 	if err != nil {
 		return err
 	}
 	var servers []discovery.Member
 	for i := range 8 {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(20 * time.Millisecond) // what a form takes
+			time.Sleep(20 * time.Millisecond) // service time of a stand-in server
 			_, _ = io.WriteString(w, "done")
 		})
 		defer f.Close()
@@ -50,7 +50,7 @@
 	}
 	defer list.Close()
 	path := filepath.Join(dir, "fleet.toml")
-	if err := os.WriteFile(path, fmt.Appendf(nil, head, dir, list.Addr(), 3), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configText, dir, list.Addr(), 3), 0o600); err != nil {
 		return err
 	}
 	log := &sockets.Tail{}
@@ -64,9 +64,9 @@
 		return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(dir, "admin.sock"))
 	}, DisableKeepAlives: true}}
 	if err := await(func() bool { return healthy(admin) }); err != nil {
-		return fmt.Errorf("the daemon does not start\n%s", log)
+		return fmt.Errorf("the daemon did not become ready\n%s", log)
 	}
-	defer func() { // whichever process serves at the end
+	defer func() { // after the handovers, the serving process is not cmd
 		stopLast(admin)
 	}()
 	type one struct {
@@ -170,7 +170,7 @@
 			return nil
 		}
 	}
-	return errors.New("it takes too long")
+	return errors.New("the condition is not met within 20 s")
 }
 
 // stopLast ends the process that serves the admin socket.
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -1,11 +1,12 @@
-// Command policy measures how a fleet changes what it decides by. It prints Markdown; docs/measure/policy.md has its figures.
+// Command policy measures changes of the fleet's agreed policy. It prints Markdown; docs/measure/policy.md has its
+// figures.
 //
-//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim, and how often it was tried
-//	go run ./tools/policy parts [-n 2000]       the same of a policy in parts: two changes a second, regions cut, voters moved
-//	go run ./tools/policy points [-pairs 2000]  whoever acts is killed at each write and message of a change, one at a time, then two
-//	go run ./tools/policy times                 from the question to in force at all, in virtual time
-//	go run ./tools/policy real                  the same with real processes, and what it costs at rest
-//	go run ./tools/policy ways                  beside a reload host by host, and gossip of the newest file
+//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim and how often it was tested
+//	go run ./tools/policy parts [-n 2000]       the same with parts: two changes a second, partitioned regions, new voters
+//	go run ./tools/policy points [-pairs 2000]  the acting member is killed at each write and message of a change, once, then twice
+//	go run ./tools/policy times                 time from a proposal until the change is in force at all members, in virtual time
+//	go run ./tools/policy real                  the same with real processes, and the cost at rest
+//	go run ./tools/policy ways                  compared with a reload host by host, and with gossip of the newest file
 package main
 
 import (
@@ -30,9 +31,9 @@
 
 func main() {
 	f := flag.NewFlagSet("policy", flag.ExitOnError)
-	sizes := f.String("daemons", "3,5,20", "sizes of fleets of real processes")
-	whole := f.Bool("all", false, "of points: all pairs, of the smallest fleet alone")
-	n, pairs, program := f.Int("n", 2000, "schedules"), f.Int("pairs", 2000, "pairs of points, by chance"), f.String("program", "bin/vetchhaven", "for real processes")
+	sizes := f.String("daemons", "3,5,20", "real: sizes of the fleets")
+	whole := f.Bool("all", false, "points: all pairs, with the smallest fleet only")
+	n, pairs, program := f.Int("n", 2000, "number of schedules"), f.Int("pairs", 2000, "points: number of random pairs"), f.String("program", "bin/vetchhaven", "real: the built program")
 	bench.Main(f,
 		bench.Job{Name: "schedules", Run: func() error { return schedules(*n, policymodel.Draw) }},
 		bench.Job{Name: "parts", Run: func() error { return schedules(*n, policymodel.DrawParts) }},
@@ -42,7 +43,7 @@
 		bench.Job{Name: "ways", Run: ways})
 }
 
-// each does n jobs on all cores, and takes their results one after the other.
+// each runs n jobs on all cores, and passes their results to take, one call at a time.
 func each[T any](n int, job func(i int) (T, error), take func(i int, v T)) error {
 	var mu sync.Mutex
 	return bench.Each(n, runtime.NumCPU(), func(i int) error {
@@ -56,7 +57,7 @@
 	})
 }
 
-// sums adds up what became of claims.
+// sums adds up the results of the checker's claims over many runs.
 type sums struct {
 	tried, broken map[string]int
 	breaks        []string
@@ -90,7 +91,7 @@
 func schedules(n int, draw func(seed uint64, most int) (*plan.Plan, policymodel.Options)) error {
 	s := newSums()
 	var taken, changes int
-	told, befell := map[string]int{}, map[string]int{}
+	told, faults := map[string]int{}, map[string]int{}
 	began := time.Now()
 	err := each(n, func(i int) (played, error) {
 		p, o := draw(uint64(i), 10)
@@ -99,7 +100,7 @@
 			return played{}, err
 		}
 		c := checker.Policy(p.Bounds, r.Lines)
-		x := played{r: c, taken: r.Taken, told: map[string]int{}, befell: map[string]int{}}
+		x := played{r: c, taken: r.Taken, told: map[string]int{}, faults: map[string]int{}}
 		for _, l := range r.Lines {
 			switch l.What {
 			case checker.Proposed:
@@ -111,11 +112,11 @@
 		for _, e := range p.Events {
 			switch {
 			case e.Do == "link" || e.Do == "kill" || e.Do == "term" || e.Do == "pause" || e.Do == "voters":
-				x.befell[e.Do]++
+				x.faults[e.Do]++
 			case e.Do == "start" && e.State != "kept":
-				x.befell["disk "+e.State]++
+				x.faults["disk "+e.State]++
 			case e.Do == "disk" && e.Kind != "well":
-				x.befell["disk "+e.Kind]++
+				x.faults["disk "+e.Kind]++
 			}
 		}
 		return x, nil
@@ -124,24 +125,24 @@
 		for k, n := range x.told {
 			told[k] += n
 		}
-		for k, n := range x.befell {
-			befell[k] += n
+		for k, n := range x.faults {
+			faults[k] += n
 		}
 		s.add(fmt.Sprint("schedule ", i), x.r)
 	})
-	fmt.Printf("%d schedules of 90 s, %d changes asked for, %d requests taken, in %v\n\ntold: %v\n\nbefell: %v\n\n", n, changes, taken, time.Since(began).Round(time.Second), told, befell)
+	fmt.Printf("%d schedules of 90 s, %d changes asked for, %d requests taken, in %v\n\ntold: %v\n\nbefell: %v\n\n", n, changes, taken, time.Since(began).Round(time.Second), told, faults)
 	s.show()
 	return err
 }
 
-// played is what came of a schedule.
+// played is the result of one schedule.
 type played struct {
 	r              *checker.Report
 	taken, changes int
-	told, befell   map[string]int
+	told, faults   map[string]int
 }
 
-// kindOf is what a change came to, and for what kind of reason.
+// kindOf returns the final state of a change and, if it was dropped, the kind of reason.
 func kindOf(l checker.Line) string {
 	if l.State != "dropped" {
 		return l.State
@@ -154,7 +155,7 @@
 	return l.State
 }
 
-func everyone(n int) (all []int) {
+func firstMembers(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
@@ -162,7 +163,7 @@
 }
 
 func fleet(n, voters int, stops bool, length time.Duration, events ...plan.Event) *plan.Plan {
-	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: everyone(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
+	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: firstMembers(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 }
 
@@ -170,7 +171,7 @@
 	return plan.Event{At: at, Do: "apply", Who: []int{who}, State: "kept"}
 }
 
-// points ends whoever acts at each point of a change.
+// points kills the acting member at each point of a change.
 func points(pairs int, whole bool) error {
 	const asked = 5 * time.Second
 	bench.Head("fleet", "cut off", "kills", "points", "runs", "broke", "told in force", "told dropped", "nobody told")
@@ -268,8 +269,9 @@
 	return nil
 }
 
-// took are how long changes took from the question to the last member that serves by them, and what was turned away.
-func took(p *plan.Plan, lines []checker.Line) (all []time.Duration, dropped int) {
+// changeTimes returns the sorted times from the proposal of a change until the last member first serves by it, and
+// how many changes were dropped.
+func changeTimes(p *plan.Plan, lines []checker.Line) (all []time.Duration, dropped int) {
 	asked, number := map[string]int64{}, map[string]uint64{}
 	last := map[uint64]int64{}
 	at := map[string]uint64{}
@@ -355,7 +357,7 @@
 	}
 	for i, x := range rows {
 		g := results[i]
-		all, dropped := took(g.p, g.r.Lines)
+		all, dropped := changeTimes(g.p, g.r.Lines)
 		var spread []time.Duration
 		for _, d := range checker.Switches(g.r.Lines) {
 			spread = append(spread, d)
@@ -363,7 +365,7 @@
 		slices.Sort(spread)
 		turned, starting := 0, map[string]bool{}
 		began := map[string]bool{}
-		for _, l := range g.r.Lines { // not those of a start
+		for _, l := range g.r.Lines { // rejections before a process first serves are not counted
 			switch key := fmt.Sprint(l.Of, l.PID); l.What {
 			case checker.Took:
 				began[key] = true
@@ -385,7 +387,7 @@
 	for _, size := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil || n < 3 {
-			return fmt.Errorf("%q is no number of at least 3", size)
+			return fmt.Errorf("%q is not a number of at least 3", size)
 		}
 		for _, state := range []string{"at rest, no [policy]", "at rest", "whole links", "5% lost", "leader killed"} {
 			var events []plan.Event
@@ -413,7 +415,7 @@
 			if err != nil {
 				return err
 			}
-			all, dropped := took(p, lines)
+			all, dropped := changeTimes(p, lines)
 			var spread []time.Duration
 			for _, d := range checker.Switches(lines) {
 				spread = append(spread, d)
@@ -453,7 +455,7 @@
 	return nil
 }
 
-// ways plays the same schedules by other means.
+// ways simulates the same schedules with other ways of distributing a policy.
 func ways() error {
 	bench.Head("way", "schedules", "changes asked for", "with two policies in use at once for over 0.5 s", "seconds of that", "schedules in which it was so at the end", "requests turned away of all")
 	for _, w := range []struct {
@@ -481,7 +483,9 @@
 	return nil
 }
 
-// atOnce says how often, and for how long, requests were taken by an earlier policy after a later one was first used.
+// atOnce returns the number of changes, and for how many policies, and how long in total, requests were still served
+// by an earlier policy more than 0.5 s after the later one was first used. end reports whether members still differ
+// at the end.
 func atOnce(lines []checker.Line) (changes, many int, span time.Duration, end bool) {
 	first, late := map[uint64]int64{}, map[uint64]int64{}
 	var most uint64
