--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -57,14 +57,16 @@
 
 // Result is the result of a simulation. Clients' calls count by the time at which they began.
 type Result struct {
-	Before       Span          // the second before the incident
-	First, Later Span          // the incident's first second; later calls whose deadline is before its end
-	Settled      time.Duration // time from the cold start until 99 in 100 calls are served for one second; negative: not before the incident
-	Recovered    time.Duration // the same from the incident's end; negative: not within the simulation
-	Retries      []int         // during the incident, by the agents that call tier 1, 2, ...
-	Most         int           // highest number of retries of one agent during the incident
-	Unanswered   int           // calls at any tier without an answer by their deadline, though no caller had left
-	CutShort     bool          // Events was reached, so the counts are incomplete
+	Before       Span // the second before the incident
+	First, Later Span // the incident's first second; later calls whose deadline is before its end
+	// Settled is the time from the cold start until 99 in 100 calls are served for one second; negative: not before the
+	// incident.
+	Settled    time.Duration
+	Recovered  time.Duration // the same from the incident's end; negative: not within the simulation
+	Retries    []int         // during the incident, by the agents that call tier 1, 2, ...
+	Most       int           // highest number of retries of one agent during the incident
+	Unanswered int           // calls at any tier without an answer by their deadline, though no caller had left
+	CutShort   bool          // Events was reached, so the counts are incomplete
 }
 
 // Span counts the clients' calls that began in a time span, and the work of the last tier for them at any time.
