--- a/internal/faulttest/faultbuild/faultbuild.go
+++ b/internal/faulttest/faultbuild/faultbuild.go
@@ -1,11 +1,11 @@
-// Package faultbuild builds the program with faults in the standard library: a wall clock that is off or steps, writes to
-// sockets that are held up, system calls that fail for a moment, disks that fail for a while. `go build -overlay` replaces
-// files of the toolchain for that one build, so that the product's code has no path of its own for tests. The built program
-// behaves as usual until the environment asks for a fault; see Faults.
+// Package faultbuild builds the program with fault injection in the standard library: a wall clock that is off or
+// steps, delayed socket writes, system calls that fail occasionally, and disks that fail for a while.
+// `go build -overlay` replaces files of the toolchain for that one build, so the product's code needs no test-only paths. The
+// built program behaves as usual until an environment variable (VETCHHAVEN_FAULT_*, read in faults/) enables a fault.
 //
-// Seams in the product's code were weighed against this: they would reach only the calls that go through them, and each new
-// call could pass them by. The price is that the patches depend on the toolchain's sources: where one does not fit exactly
-// once, Build fails.
+// The alternative, injection points in the product's code, would reach only the calls that go through them, and each
+// new call could bypass them. The cost of patching is that the patches depend on the toolchain's sources: Build fails
+// where a patch does not match exactly once.
 package faultbuild
 
 import (
@@ -25,7 +25,7 @@
 	old, new string
 }
 
-// patches are where faults are asked for. What answers is in the files of faults/.
+// patches insert the calls to the fault functions, which are in the files of faults/.
 var patches = []patch{
 	{"time/time.go", "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {", "\tsec, nsec, mono := runtimeNow()\n\tsec += faultClock(mono)\n\tif mono == 0 {"},
 	{"internal/poll/fd_unix.go", // Write
@@ -47,19 +47,20 @@
 //go:embed faults/*.txt
 var added embed.FS
 
-// additions are files that the standard library gets besides, by the name under faults/.
+// additions maps files under faults/ to the paths in the standard library at which they are added.
 var additions = map[string]string{"poll.txt": "internal/poll/fault_injected.go", "time.txt": "time/fault_injected.go"}
 
-// Apply is the text with a patch in it. A toolchain whose text has changed, so that the patch does not fit exactly once, is
-// an error.
+// apply returns text with the patch applied. It fails unless the text to replace occurs exactly once, which detects a
+// toolchain whose sources have changed.
 func (p patch) apply(text string) (string, error) {
 	if n := strings.Count(text, p.old); n != 1 {
-		return "", fmt.Errorf("%s: the patch fits %d times, once is needed: this toolchain's file is another one; look at\n%s", p.file, n, p.old)
+		return "", fmt.Errorf("%s: the patch fits %d times, once is needed: the toolchain's file has changed; the text to replace is\n%s", p.file, n, p.old)
 	}
 	return strings.Replace(text, p.old, p.new, 1), nil
 }
 
-// Overlay writes the replaced files of the standard library into dir, and returns the file for `go build -overlay`.
+// Overlay writes the patched files of the standard library into dir and returns the path of the file for
+// `go build -overlay`.
 func Overlay(goroot, dir string) (path string, err error) {
 	replace := map[string]string{}
 	texts := map[string]string{}
@@ -98,7 +99,8 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// Build builds a package of this module with faults, as the file program. Its working directory is in the module.
+// Build builds the package pkg of this module with fault injection and writes the executable to program. The current
+// directory must be inside the module.
 func Build(ctx context.Context, pkg, program string, flags ...string) error {
 	dir, err := os.MkdirTemp("", "vetchhaven-fault-build")
 	if err != nil {
--- a/internal/faulttest/faultbuild/faultbuild_test.go
+++ b/internal/faulttest/faultbuild/faultbuild_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A toolchain whose sources have changed is an error, not a build without its faults.
+// A patch that does not match the toolchain's sources must be an error, not a build without the fault.
 func TestAPatchThatDoesNotFitFails(t *testing.T) {
 	p := patch{"f.go", "a", "b"}
 	for _, text := range []string{"", "x", "aa"} {
@@ -21,12 +21,12 @@
 	}
 	root := t.TempDir()
 	if _, err := Overlay(root, t.TempDir()); err == nil {
-		t.Error("without the toolchain's sources there is an overlay")
+		t.Error("Overlay succeeded without the toolchain's sources")
 	}
 }
 
-// Each fault is one that a program meets: asked for, it is there, and not asked for, it is not.
-func TestFaultsAreThere(t *testing.T) {
+// Each fault occurs in a program when the environment enables it, and does not occur otherwise.
+func TestFaultsAreInjected(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "probe")
 	if err := Build(t.Context(), "./testdata/probe", program); err != nil {
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -1,6 +1,7 @@
-// Package harness plays a drill with real processes: daemons started by exec on loopback addresses of their own, relays
-// on every link between them, stand-in servers and lists, clients. What the drill does itself is the truth; what
-// the daemons write of their own changes is what they believe. Both come back as lines for the judge.
+// Package harness runs a fault test with real processes: daemons started by exec on loopback addresses of their own,
+// relays on every link between them, stand-in servers and lists, and clients. The harness records its own actions,
+// which are the ground truth; the daemons record the changes that they observe. Both are returned as history lines
+// for the checker.
 package harness
 
 import (
@@ -35,65 +36,67 @@
 	"vetchhaven/internal/standin"
 )
 
-// Options say how to play.
+// Options configure a run.
 type Options struct {
-	Program string // of the daemons
+	Program string // path of the daemons' executable
 	Seed    uint64
-	Keep    string    // a directory for files, logs and events, which stays; empty: a temporary one
-	Tell    io.Writer // how it goes, for people; nil: nobody
-	Bare    bool      // without [peers]: each daemon alone, for comparison
-	Blind   bool      // nobody looks by which policy each serves: what daemons cost at rest
+	Keep    string    // directory for files, logs and events, kept after the run; empty: a temporary one
+	Tell    io.Writer // progress output for people; nil: none
+	Bare    bool      // without [peers]: each daemon runs alone, for comparison
+	Blind   bool      // the policy that each daemon serves is not polled, to measure what daemons cost at rest
 }
 
-// daemon is one of the plan's, or a second process with the name of one.
+// daemon is a daemon of the plan, or a second process with the name of one.
 type daemon struct {
-	n       int
-	name    string
-	dir     string
-	listen  netip.AddrPort
-	relay   netip.AddrPort
-	site    *site
-	clients *clients
-	pid     int          // of the process that serves; 0: none
-	seen    atomic.Int64 // the same, for others to read
-	exited  chan struct{}
-	twin    bool
-	moves   int
-	paused  bool
+	n         int
+	name      string
+	dir       string
+	listen    netip.AddrPort
+	relay     netip.AddrPort
+	upstream  *upstream
+	clients   *clients
+	pid       int          // of the serving process; 0: none
+	sharedPID atomic.Int64 // copy of pid for other goroutines
+	exited    chan struct{}
+	twin      bool
+	moves     int
+	paused    bool
 }
 
-type rig struct {
-	o        Options
-	p        *plan.Plan
-	dir      string
-	net      byte // 127.net.x.y
-	relays   *relays
-	daemons  []*daemon
-	servers  []*standin.Form
-	ledger   *ledger
-	policies policies
-	faults   []*fault // of servers
-	begin    time.Time
-	mu       sync.Mutex
-	lines    []checker.Line
-	others   sync.WaitGroup
+type runner struct {
+	o          Options
+	p          *plan.Plan
+	dir        string
+	net        byte // 127.net.x.y
+	relays     *relays
+	daemons    []*daemon
+	servers    []*standin.Form
+	load       *loadRecorder
+	policies   policies
+	states     []*serverState // of servers
+	begin      time.Time
+	mu         sync.Mutex
+	lines      []checker.Line
+	background sync.WaitGroup
 }
 
-// Play plays a plan. The error is of the rig, not of what the daemons did.
+// Play runs a plan and returns its history. An error means that the harness failed; the daemons' behaviour is left to
+// the checker.
 func Play(ctx context.Context, p *plan.Plan, o Options) ([]checker.Line, error) {
 	if p.Modelled {
-		return nil, fmt.Errorf("%s: it has disks that are full or slow, which are there in virtual time only", p.Name)
+		return nil, fmt.Errorf("%s: plan has full or slow disks, which only virtual time supports", p.Name)
 	}
-	if p.Daemons > plan.DaemonsMost {
-		return nil, fmt.Errorf("%s: %d daemons: up to %d real processes are allowed", p.Name, p.Daemons, plan.DaemonsMost)
+	if p.Daemons > plan.MaxRealDaemons {
+		return nil, fmt.Errorf("%s: plan has %d daemons; at most %d real processes are allowed", p.Name, p.Daemons, plan.MaxRealDaemons)
 	}
-	// Successors of handovers are left by their parents: they become this process's, which sees to their end.
+	// The parent of a handover's successor exits first. As a subreaper, this process becomes the successor's parent
+	// and can wait for its exit.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
-		return nil, fmt.Errorf("subreaper: %w", err)
+		return nil, fmt.Errorf("set child subreaper: %w", err)
 	}
-	r := &rig{o: o, p: p, net: byte(64 + rand.IntN(60)), relays: newRelays(o.Seed, p), ledger: newLedger()}
+	r := &runner{o: o, p: p, net: byte(64 + rand.IntN(60)), relays: newRelays(o.Seed, p), load: newLoadRecorder()}
 	if r.dir = o.Keep; r.dir == "" {
-		dir, err := os.MkdirTemp("", "drill") // short: paths of unix sockets are
+		dir, err := os.MkdirTemp("", "drill") // a short path: those of unix sockets are limited in length
 		if err != nil {
 			return nil, err
 		}
@@ -102,11 +105,11 @@
 	}
 	defer r.close()
 	for i := range p.Servers {
-		r.faults = append(r.faults, &fault{})
-		f := r.faults[i]
+		r.states = append(r.states, &serverState{})
+		f := r.states[i]
 		r.servers = append(r.servers, standin.NewForm(fmt.Sprint("s", i+1), func(w http.ResponseWriter, _ *http.Request) {
-			defer r.ledger.begin(i)()
-			f.got.Add(1)
+			defer r.load.begin(i)()
+			f.received.Add(1)
 			if rand.Float64() < f.share() {
 				w.WriteHeader(http.StatusInternalServerError)
 				return
@@ -126,27 +129,27 @@
 	return r.collect()
 }
 
-// ip is an address of a daemon: its own (part 1), its relay's (2), and further ones when it moves.
-func (r *rig) ip(part, n int) netip.Addr {
+// ip returns an address of a daemon: its own (part 1), its relay's (part 2), and further parts when it moves.
+func (r *runner) ip(part, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, r.net, byte(part), byte(n + 1)})
 }
 
-// add makes a daemon ready to be started.
-func (r *rig) add(n int, name string) (*daemon, error) {
+// add prepares a daemon to be started.
+func (r *runner) add(n int, name string) (*daemon, error) {
 	d := &daemon{n: n, name: name, dir: filepath.Join(r.dir, fmt.Sprint("d", n+1))}
 	if err := os.MkdirAll(filepath.Join(d.dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
 	var err error
-	if d.site, err = newSite(r.servers); err != nil {
+	if d.upstream, err = newUpstream(r.servers); err != nil {
 		return nil, err
 	}
 	r.daemons = append(r.daemons, d)
 	return d, r.place(d)
 }
 
-// place gives a daemon addresses that it did not have before.
-func (r *rig) place(d *daemon) error {
+// place assigns a daemon addresses that it has not had before.
+func (r *runner) place(d *daemon) error {
 	own, at := r.ip(1+2*d.moves, d.n), r.ip(2+2*d.moves, d.n)
 	d.moves++
 	probe, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(netip.AddrPortFrom(own, 0)))
@@ -159,8 +162,8 @@
 	return err
 }
 
-// line notes what the drill does.
-func (r *rig) line(l checker.Line) {
+// record records an action of the harness.
+func (r *runner) record(l checker.Line) {
 	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.FaultTest
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
@@ -170,8 +173,8 @@
 	}
 }
 
-// config is a daemon's file.
-func (r *rig) config(d *daemon) string {
+// config returns a daemon's configuration file.
+func (r *runner) config(d *daemon) string {
 	var seeds []string
 	for _, n := range r.p.Seeds {
 		seeds = append(seeds, fmt.Sprintf("%q", r.daemons[n].relay.String()))
@@ -207,10 +210,10 @@
 name = "%s-1"
 source = "main"
 listen = "unix:%s/client"
-`, d.dir, d.site.list.Addr(), r.ramp(), plan.Deadline, r.marker(), d.name, d.dir)
-	for _, part := range r.held(d) { // a service of the same servers, with an instance of its own
+`, d.dir, d.upstream.list.Addr(), r.ramp(), plan.Deadline, r.ownMarker(), d.name, d.dir)
+	for _, part := range r.heldParts(d) { // a service on the same servers, with an instance of its own
 		fmt.Fprintf(b, "\n[[source]]\nname = %q\nlist = %q\nspread = \"50ms\"\nfirst = \"50ms\"\n\n[[instance]]\nname = \"%s-%s\"\nsource = %q\nlisten = \"unix:%s/%s\"\n",
-			part, d.site.list.Addr(), d.name, part, part, d.dir, part)
+			part, d.upstream.list.Addr(), d.name, part, part, d.dir, part)
 	}
 	if !r.o.Bare {
 		fmt.Fprintf(b, `
@@ -249,31 +252,31 @@
 
 func (d *daemon) setPID(pid int) {
 	d.pid = pid
-	d.seen.Store(int64(pid))
+	d.sharedPID.Store(int64(pid))
 }
 
-func (d *daemon) pidNow() int { return int(d.seen.Load()) }
+func (d *daemon) currentPID() int { return int(d.sharedPID.Load()) }
 
-// play starts what is there at the beginning, and goes through the events.
-func (r *rig) play(ctx context.Context) error {
+// play starts the daemons that run from the beginning and applies the plan's events at their times.
+func (r *runner) play(ctx context.Context) error {
 	stop, cancel := context.WithCancel(ctx)
-	defer r.others.Wait()
+	defer r.background.Wait()
 	defer cancel()
 	if r.p.Link.Drop > 0 || r.p.Between != (plan.Link{}) {
 		for i := range r.daemons {
 			for j := range r.daemons {
 				if i != j {
-					r.tellLink(i, j, r.p.Usual(i, j))
+					r.recordLink(i, j, r.p.Usual(i, j))
 				}
 			}
 		}
 	}
 	r.begin = time.Now()
-	chance := rand.New(rand.NewPCG(r.o.Seed, 5))
+	rng := rand.New(rand.NewPCG(r.o.Seed, 5))
 	var todo []plan.Event
 	for n := range r.p.Daemons {
 		if r.p.First(n) {
-			todo = append(todo, plan.Event{At: time.Duration(chance.Float64() * float64(r.p.Spread)), Do: "start", Who: []int{n}, State: "kept"})
+			todo = append(todo, plan.Event{At: time.Duration(rng.Float64() * float64(r.p.Spread)), Do: "start", Who: []int{n}, State: "kept"})
 		}
 	}
 	todo = append(todo, r.p.Events...)
@@ -283,22 +286,22 @@
 		for _, d := range slices.Clone(r.daemons) {
 			d.clients = newClients(filepath.Join(d.dir, "client"))
 			d.clients.rate.Store(math.Float64bits(r.p.Rate))
-			r.others.Go(func() { d.clients.run(stop, d.name, r.o.Seed+uint64(d.n), r.begin) })
+			r.background.Go(func() { d.clients.run(stop, d.name, r.o.Seed+uint64(d.n), r.begin) })
 		}
 	}
-	r.others.Go(func() { r.eachSecond(stop) })
+	r.background.Go(func() { r.recordTraffic(stop) })
 	if r.p.Policy != nil && !r.o.Bare {
-		r.agreed(stop)
+		r.startPolling(stop)
 	}
 	if len(r.p.Limits) > 0 && !r.o.Bare {
-		r.limited()
-		r.others.Go(func() { r.eachTenth(stop) })
+		r.recordLimits()
+		r.background.Go(func() { r.recordLimitUse(stop) })
 	}
 	for _, e := range todo {
 		if err := sleep(ctx, time.Until(r.begin.Add(e.At))); err != nil {
 			return err
 		}
-		if err := r.befall(ctx, e); err != nil {
+		if err := r.applyEvent(ctx, e); err != nil {
 			return fmt.Errorf("at %v: %s: %w", e.At, e.Do, err)
 		}
 	}
@@ -306,9 +309,9 @@
 		return err
 	}
 	cancel()
-	r.others.Wait()
-	r.services(first)
-	r.line(checker.Line{What: checker.End})
+	r.background.Wait()
+	r.recordService(first)
+	r.record(checker.Line{What: checker.End})
 	return nil
 }
 
@@ -323,8 +326,8 @@
 	}
 }
 
-// eachSecond notes what each sent.
-func (r *rig) eachSecond(ctx context.Context) {
+// recordTraffic records once a second what each daemon sent to its peers and what each server received.
+func (r *runner) recordTraffic(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -334,23 +337,24 @@
 		case <-tick.C:
 		}
 		total := 0
-		got := make([]int, len(r.faults))
-		for n, f := range r.faults {
-			got[n] = int(f.got.Swap(0))
+		got := make([]int, len(r.states))
+		for n, f := range r.states {
+			got[n] = int(f.received.Swap(0))
 			total += got[n]
 		}
-		for n := range r.faults {
-			r.line(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Asked: got[n], Wanted: total, Members: len(r.faults)})
+		for n := range r.states {
+			r.record(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Asked: got[n], Wanted: total, Members: len(r.states)})
 		}
 		for n := range r.p.Daemons {
 			s := r.relays.take(n)
-			r.line(checker.Line{What: checker.Sent, Of: r.daemons[n].name, Datagrams: s.datagrams, Bytes: s.bytes, Far: s.far, Streamed: s.streamed, CPUMS: used(r.daemons[n].pidNow())})
+			r.record(checker.Line{What: checker.Sent, Of: r.daemons[n].name, Datagrams: s.datagrams, Bytes: s.bytes, Far: s.far, Streamed: s.streamed, CPUMS: cpuTimeMS(r.daemons[n].currentPID())})
 		}
 	}
 }
 
-// used is how long a process has run on a core, in ms, by the system's accounting (in ticks of 10 ms); 0: it is not there.
-func used(pid int) int {
+// cpuTimeMS returns the CPU time that a process has used, in ms, from the system's accounting (in ticks of 10 ms); 0
+// if the process does not exist.
+func cpuTimeMS(pid int) int {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil || pid == 0 {
 		return 0
@@ -368,39 +372,40 @@
 	return (user + system) * 10
 }
 
-// services notes what became of each second's requests, three seconds later: by then each has its answer.
-func (r *rig) services(first int64) {
+// recordService records the outcomes of each second's requests under a time three seconds after that second's end: by
+// then each request has its answer.
+func (r *runner) recordService(first int64) {
 	for _, d := range r.daemons {
 		if d.clients == nil {
 			continue
 		}
 		for s := range int(r.p.Length / time.Second) {
 			if c := d.clients.of(s); c.asked > 0 {
-				r.line(checker.Line{T: first + int64(time.Duration(s+4)*time.Second), What: checker.Service, Of: d.name,
+				r.record(checker.Line{T: first + int64(time.Duration(s+4)*time.Second), What: checker.Service, Of: d.name,
 					Asked: c.asked, Served: c.served, Refused: c.refused, Failed: c.failed})
 			}
 		}
 	}
 }
 
-// befall does one event.
-func (r *rig) befall(ctx context.Context, e plan.Event) error {
+// applyEvent applies one event.
+func (r *runner) applyEvent(ctx context.Context, e plan.Event) error {
 	switch e.Do {
 	case "link", "heal":
-		r.change(e)
+		r.changeLinks(e)
 		return nil
 	case "fresh":
 		for _, n := range e.Names {
-			r.ledger.fresh(n)
+			r.load.serverStarted(n)
 			for _, d := range r.daemons {
-				d.site.fresh(n, r.servers[n])
+				d.upstream.serverStarted(n, r.servers[n])
 			}
 		}
 		return nil
 	case "fail":
 		for _, n := range e.Names {
-			r.faults[n].fails.Store(math.Float64bits(e.Fail))
-			r.line(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Drop: e.Fail})
+			r.states[n].failShare.Store(math.Float64bits(e.Fail))
+			r.record(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Drop: e.Fail})
 		}
 		return nil
 	case "apply":
@@ -461,15 +466,15 @@
 		case "kill":
 			r.end(d, syscall.SIGKILL)
 		case "term":
-			r.line(checker.Line{What: checker.Ending, Of: d.name, PID: d.pid})
+			r.record(checker.Line{What: checker.Ending, Of: d.name, PID: d.pid})
 			pid, exited := d.pid, d.exited
 			_ = syscall.Kill(pid, syscall.SIGTERM)
 			d.setPID(0)
-			r.others.Go(func() {
+			r.background.Go(func() {
 				if !wait(exited, 15*time.Second) {
 					_ = syscall.Kill(pid, syscall.SIGKILL)
 				}
-				r.line(checker.Line{What: checker.Down, Of: d.name, PID: pid, Why: "term"})
+				r.record(checker.Line{What: checker.Down, Of: d.name, PID: pid, Why: "term"})
 			})
 		case "pause", "resume":
 			if d.pid == 0 || d.paused == (e.Do == "pause") {
@@ -480,11 +485,11 @@
 			if !d.paused {
 				sig, what = syscall.SIGCONT, checker.Resume
 			}
-			r.line(checker.Line{What: what, Of: d.name, PID: d.pid})
+			r.record(checker.Line{What: what, Of: d.name, PID: d.pid})
 			_ = syscall.Kill(d.pid, sig)
 		case "rate":
 			d.clients.rate.Store(math.Float64bits(e.Rate))
-			r.wanted()
+			r.recordDemand()
 		case "starve":
 			r.starve(d, e)
 		case "handover":
@@ -500,33 +505,33 @@
 				return err
 			}
 		case "list":
-			d.site.list.SetDown(e.Link.Drop >= 1)
-			r.line(checker.Line{What: checker.Cut, Of: d.name, Why: "list", Drop: e.Link.Drop})
+			d.upstream.list.SetDown(e.Link.Drop >= 1)
+			r.record(checker.Line{What: checker.Cut, Of: d.name, Why: "list", Drop: e.Link.Drop})
 		case "servers":
-			for n, g := range d.site.gates {
+			for n, g := range d.upstream.relays {
 				if len(e.Names) > 0 && !slices.Contains(e.Names, n) {
 					continue
 				}
-				g.set(e.Link.Drop >= 1)
+				g.setBlocked(e.Link.Drop >= 1)
 				if e.Link.Drop > 0 {
-					r.line(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Of: d.name, Drop: e.Link.Drop})
+					r.record(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Of: d.name, Drop: e.Link.Drop})
 				}
 			}
-			r.line(checker.Line{What: checker.Cut, Of: d.name, Why: "servers", Drop: e.Link.Drop})
+			r.record(checker.Line{What: checker.Cut, Of: d.name, Why: "servers", Drop: e.Link.Drop})
 		case "stray":
 			r.relays.stray(n, e.Kind, e.Count)
-			r.line(checker.Line{What: checker.StrayDatagram, Of: d.name, Why: e.Kind, Asked: e.Count})
+			r.record(checker.Line{What: checker.StrayDatagram, Of: d.name, Why: e.Kind, Asked: e.Count})
 		}
 	}
 	return nil
 }
 
-func (r *rig) tellLink(from, to int, l plan.Link) {
-	r.line(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Rough: l.Rough(), WayUS: l.Way()})
+func (r *runner) recordLink(from, to int, l plan.Link) {
+	r.record(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Rough: l.Rough(), WayUS: l.Way()})
 }
 
-// change changes links.
-func (r *rig) change(e plan.Event) {
+// changeLinks sets links to an event's state, or back to their usual state.
+func (r *runner) changeLinks(e plan.Event) {
 	all := make([]int, len(r.daemons))
 	for i := range all {
 		all[i] = i
@@ -546,7 +551,7 @@
 			l = r.p.Usual(a, b)
 		}
 		r.relays.set(a, b, l)
-		r.tellLink(a, b, l)
+		r.recordLink(a, b, l)
 	}
 	for _, a := range e.Who {
 		for _, b := range e.To {
@@ -560,7 +565,7 @@
 	}
 }
 
-func (r *rig) start(d *daemon, e plan.Event) error {
+func (r *runner) start(d *daemon, e plan.Event) error {
 	if d.pid != 0 {
 		return nil
 	}
@@ -572,7 +577,7 @@
 		}
 		if e.State == "old" {
 			if err := os.CopyFS(state, os.DirFS(filepath.Join(d.dir, "kept"))); err != nil {
-				return fmt.Errorf("%s has no kept disk: %w", d.name, err)
+				return fmt.Errorf("start %s with an old disk: no copy of its state: %w", d.name, err)
 			}
 		}
 	case "torn":
@@ -615,20 +620,20 @@
 	if d.twin {
 		what = checker.Twin
 	}
-	held := r.held(d)
-	r.line(checker.Line{T: at, What: what, Of: d.name, PID: d.pid, Balancers: 1 + len(held), Region: r.p.Region(d.n)})
+	held := r.heldParts(d)
+	r.record(checker.Line{T: at, What: what, Of: d.name, PID: d.pid, Balancers: 1 + len(held), Region: r.p.Region(d.n)})
 	if len(held) > 0 {
-		r.line(checker.Line{T: at, What: checker.Holds, Of: d.name, PID: d.pid, Parts: checker.PartsText(held)})
+		r.record(checker.Line{T: at, What: checker.Holds, Of: d.name, PID: d.pid, Parts: checker.PartsText(held)})
 	}
 	return nil
 }
 
-// end ends a daemon's process at once.
-func (r *rig) end(d *daemon, sig syscall.Signal) {
+// end kills a daemon's process at once.
+func (r *runner) end(d *daemon, sig syscall.Signal) {
 	if d.pid == 0 {
 		return
 	}
-	r.line(checker.Line{What: checker.Down, Of: d.name, PID: d.pid, Why: "kill"})
+	r.record(checker.Line{What: checker.Down, Of: d.name, PID: d.pid, Why: "kill"})
 	_ = syscall.Kill(d.pid, sig)
 	wait(d.exited, 10*time.Second)
 	d.setPID(0)
@@ -645,16 +650,16 @@
 	}
 }
 
-// starve gives a daemon a share of a core, by stopping it for the rest of each tenth of a second.
-func (r *rig) starve(d *daemon, e plan.Event) {
+// starve limits a daemon to a share of a core by stopping its process for the rest of each tenth of a second.
+func (r *runner) starve(d *daemon, e plan.Event) {
 	pid := d.pid
 	if pid == 0 {
 		return
 	}
 	const unit = 100 * time.Millisecond
 	runs := time.Duration(e.Share * float64(unit))
-	r.line(checker.Line{What: checker.Starve, Of: d.name, PID: pid, PauseMS: e.For.Milliseconds()})
-	r.others.Go(func() {
+	r.record(checker.Line{What: checker.Starve, Of: d.name, PID: pid, PauseMS: e.For.Milliseconds()})
+	r.background.Go(func() {
 		for end := time.Now().Add(e.For); time.Now().Before(end); {
 			_ = syscall.Kill(pid, syscall.SIGSTOP)
 			time.Sleep(unit - runs)
@@ -664,12 +669,12 @@
 	})
 }
 
-// admin asks a daemon at its door.
-func (r *rig) admin(ctx context.Context, d *daemon, method, path string, into func(io.Reader) error) error {
+// admin sends a request to a daemon's admin endpoint.
+func (r *runner) admin(ctx context.Context, d *daemon, method, path string, into func(io.Reader) error) error {
 	return r.adminWith(ctx, d, method, path, nil, into)
 }
 
-func (r *rig) adminWith(ctx context.Context, d *daemon, method, path string, with []byte, into func(io.Reader) error) error {
+func (r *runner) adminWith(ctx context.Context, d *daemon, method, path string, with []byte, into func(io.Reader) error) error {
 	client := &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(d.dir, "admin"))
@@ -693,18 +698,19 @@
 	return err
 }
 
-// handover has a daemon replaced, and finds out by which process: its child, which becomes this process's.
-func (r *rig) handover(ctx context.Context, d *daemon) error {
+// handover makes a daemon hand over to a successor and finds the successor's process, which becomes a child of this
+// process when the old one exits.
+func (r *runner) handover(ctx context.Context, d *daemon) error {
 	old, exited := d.pid, d.exited
 	if old == 0 {
-		return errors.New("it does not run")
+		return errors.New("daemon is not running")
 	}
-	r.line(checker.Line{What: checker.Handing, Of: d.name, PID: old})
+	r.record(checker.Line{What: checker.Handing, Of: d.name, PID: old})
 	if err := r.admin(ctx, d, http.MethodPost, "/handover", nil); err != nil {
 		return err
 	}
 	if !wait(exited, 20*time.Second) {
-		return fmt.Errorf("process %d of %s has not ended", old, d.name)
+		return fmt.Errorf("process %d of %s did not exit after the handover", old, d.name)
 	}
 	pid, err := r.serving(ctx, d)
 	if err != nil {
@@ -722,11 +728,11 @@
 		}
 		close(ended)
 	}()
-	r.line(checker.Line{What: checker.Handed, Of: d.name, PID: pid})
+	r.record(checker.Line{What: checker.Handed, Of: d.name, PID: pid})
 	return nil
 }
 
-func (r *rig) close() {
+func (r *runner) close() {
 	for _, d := range r.daemons {
 		if d.pid != 0 {
 			_ = syscall.Kill(d.pid, syscall.SIGCONT)
@@ -738,8 +744,8 @@
 			_ = syscall.Kill(d.pid, syscall.SIGKILL)
 			wait(d.exited, 5*time.Second)
 		}
-		if d.site != nil {
-			d.site.close()
+		if d.upstream != nil {
+			d.upstream.close()
 		}
 	}
 	r.relays.close()
@@ -748,20 +754,20 @@
 	}
 }
 
-// collect joins what the daemons wrote to what the drill did, in order of time.
-func (r *rig) collect() ([]checker.Line, error) {
-	all := append(slices.Clone(r.lines), r.taken()...)
+// collect merges the daemons' event files with the harness's records, ordered by time.
+func (r *runner) collect() ([]checker.Line, error) {
+	all := append(slices.Clone(r.lines), r.pollResults()...)
 	for _, d := range r.daemons {
 		f, err := os.Open(filepath.Join(d.dir, "events"))
 		if errors.Is(err, os.ErrNotExist) {
-			continue // it never started, or stands alone
+			continue // the daemon never started, or runs without peers
 		}
 		if err != nil {
 			return nil, err
 		}
 		said, err := checker.Read(f)
 		_ = f.Close()
-		if err != nil && len(said) == 0 { // one that was killed may have left half a line
+		if err != nil && len(said) == 0 { // a daemon that was killed may have left a partial line
 			return nil, fmt.Errorf("events of %s: %w", d.name, err)
 		}
 		all = append(all, said...)
--- a/internal/faulttest/harness/harness_test.go
+++ b/internal/faulttest/harness/harness_test.go
@@ -11,14 +11,14 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// TestRealProcesses plays the short drills with real daemons. Their bounds are wide: what is tight on time is
-// measured, not tested.
+// TestRealProcesses runs the short fault tests with real daemons. Their time bounds are wide: this test does not check
+// tight timing.
 func TestRealProcesses(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "vetchhaven")
 	if out, err := exec.Command("go", "build", "-o", bin, "vetchhaven/cmd/vetchhaven").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	// All at once, and in the same test: their end is this one's.
+	// The parallel subtests share a parent, so that the test ends only after all of them.
 	t.Run("drills", func(t *testing.T) {
 		for _, name := range []string{"short-crash", "short-cut", "short-pause", "short-limits", "short-fails", "short-policy"} {
 			t.Run(name, func(t *testing.T) {
--- a/internal/faulttest/harness/ledger.go
+++ b/internal/faulttest/harness/ledger.go
@@ -15,56 +15,59 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// late is by how much a request may come to its server later than another that was sent after it, on a busy machine:
-// what begins in a second is counted over so much less.
-const late = 100 * time.Millisecond
-
-// ledger is what the servers see: the truth about limits.
-type ledger struct {
-	mu     sync.Mutex
-	flight int
-	most   int // in flight, since it was last read
-	all    window
-	each   map[int]*window
-	cold   map[int]time.Time // servers that have just started
-	count  int
+// arrivalSkew is by how much a request may reach its server later than another that was sent after it, on a busy
+// machine. Requests a second are counted over windows that are shorter by it.
+const arrivalSkew = 100 * time.Millisecond
+
+// loadRecorder counts the requests at the servers: the ground truth for the checks of limits.
+type loadRecorder struct {
+	mu          sync.Mutex
+	inFlight    int
+	maxInFlight int // most in flight since the last read
+	all         window
+	each        map[int]*window
+	cold        map[int]time.Time // servers that have just started
+	count       int
 }
 
-// window is what began within a second less late.
+// window counts the requests that began within the last second less arrivalSkew.
 type window struct {
 	begun []time.Time
-	most  int // since it was last read
+	most  int // largest count since the last read
 }
 
 func (w *window) add(now time.Time) {
-	for len(w.begun) > 0 && now.Sub(w.begun[0]) >= time.Second-late {
+	for len(w.begun) > 0 && now.Sub(w.begun[0]) >= time.Second-arrivalSkew {
 		w.begun = w.begun[1:]
 	}
 	w.begun = append(w.begun, now)
 	w.most = max(w.most, len(w.begun))
 }
 
-func newLedger() *ledger { return &ledger{each: map[int]*window{}, cold: map[int]time.Time{}} }
+func newLoadRecorder() *loadRecorder {
+	return &loadRecorder{each: map[int]*window{}, cold: map[int]time.Time{}}
+}
 
-// fresh notes that a server has just started. Lists tell daemons of it a moment later.
-func (l *ledger) fresh(server int) {
+// serverStarted notes that a server has just started. Lists notify the daemons a moment later.
+func (l *loadRecorder) serverStarted(server int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold[server] = time.Now()
 }
 
-// known is by when daemons know that a server has just started: what is under way then is over, too.
-const known = 3 * time.Second
+// startKnownAfter is the time by which daemons know that a server has just started, and by which the requests in
+// flight at the start have ended.
+const startKnownAfter = 3 * time.Second
 
-// begin books a request; what it returns books its end.
-func (l *ledger) begin(server int) (end func()) {
+// begin counts a request as in flight; the returned function counts its end.
+func (l *loadRecorder) begin(server int) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.flight++
-	l.most = max(l.most, l.flight)
+	l.inFlight++
+	l.maxInFlight = max(l.maxInFlight, l.inFlight)
 	l.all.add(now)
-	if since := now.Sub(l.cold[server]); since > known && since < plan.Ramp {
+	if since := now.Sub(l.cold[server]); since > startKnownAfter && since < plan.RampTime {
 		w := l.each[server]
 		if w == nil {
 			w = &window{}
@@ -75,17 +78,17 @@
 	l.count++
 	return func() {
 		l.mu.Lock()
-		l.flight--
+		l.inFlight--
 		l.mu.Unlock()
 	}
 }
 
-// read is what was seen since the last time; cold is the most at any one cold server.
-func (l *ledger) read() (flight, rate, cold, count int) {
+// read returns the maxima since the last read; cold is the largest count at any one cold server.
+func (l *loadRecorder) read() (flight, rate, cold, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	flight, rate, count = l.most, l.all.most, l.count
-	l.most, l.all.most, l.count = l.flight, 0, 0
+	flight, rate, count = l.maxInFlight, l.all.most, l.count
+	l.maxInFlight, l.all.most, l.count = l.inFlight, 0, 0
 	for _, w := range l.each {
 		cold = max(cold, w.most)
 		w.most = 0
@@ -93,29 +96,29 @@
 	return flight, rate, cold, count
 }
 
-// limited notes which limits the daemons share, and what follows from that.
-func (r *rig) limited() {
+// recordLimits records the limits that the daemons share, with their bounds.
+func (r *runner) recordLimits() {
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
-		r.line(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
+		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
 			Bound: s.Bounds(s.Limits[i], len(r.daemons)).Max})
 	}
-	r.wanted()
+	r.recordDemand()
 }
 
-// wanted notes what clients ask for.
-func (r *rig) wanted() {
+// recordDemand records the request rate of all clients together.
+func (r *runner) recordDemand() {
 	sum := 0.0
 	for _, d := range r.daemons {
 		if d.clients != nil {
 			sum += math.Float64frombits(d.clients.rate.Load())
 		}
 	}
-	r.line(checker.Line{What: checker.Wanted, Wanted: int(sum)})
+	r.record(checker.Line{What: checker.Wanted, Wanted: int(sum)})
 }
 
-// eachTenth notes what servers saw in each tenth of a second.
-func (r *rig) eachTenth(ctx context.Context) {
+// recordLimitUse records what the servers saw in each tenth of a second.
+func (r *runner) recordLimitUse(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -124,7 +127,7 @@
 			return
 		case <-tick.C:
 		}
-		flight, rate, cold, count := r.ledger.read()
+		flight, rate, cold, count := r.load.read()
 		for _, l := range r.p.Limits {
 			used := flight
 			switch {
@@ -133,21 +136,21 @@
 			case l.Counts.IsRate():
 				used = rate
 			}
-			r.line(checker.Line{What: checker.Used, Limit: l.Name, Used: used, Begun: count})
+			r.record(checker.Line{What: checker.Used, Limit: l.Name, Used: used, Begun: count})
 		}
 	}
 }
 
-// ramp is what a daemon's file says of cold servers, where the drill is about them.
-func (r *rig) ramp() string {
+// ramp returns the slow start settings of a daemon's file, if the plan has a limit of that kind.
+func (r *runner) ramp() string {
 	if !slices.ContainsFunc(r.p.Limits, func(l plan.Limit) bool { return l.Counts == quota.SlowStart }) {
 		return ""
 	}
-	return fmt.Sprintf("ramp_time = \"%v\"\ncold_share = 0.3\nfall_multiple = 2.5\n", plan.Ramp)
+	return fmt.Sprintf("ramp_time = \"%v\"\ncold_share = 0.3\nfall_multiple = 2.5\n", plan.RampTime)
 }
 
-// limits is what a daemon's file says of them.
-func (r *rig) limits(b *strings.Builder) {
+// limits writes the shared limits into a daemon's file.
+func (r *runner) limits(b *strings.Builder) {
 	if len(r.p.Limits) == 0 {
 		return
 	}
@@ -172,10 +175,10 @@
 	}
 }
 
-// fault is a server as it truly is.
-type fault struct {
-	fails atomic.Uint64 // a share of its requests, as the bits of a float64
-	got   atomic.Int64  // requests since it was last read
+// serverState is the true state of a stand-in server.
+type serverState struct {
+	failShare atomic.Uint64 // share of requests that fail, as the bits of a float64
+	received  atomic.Int64  // requests since the last read
 }
 
-func (f *fault) share() float64 { return math.Float64frombits(f.fails.Load()) }
+func (f *serverState) share() float64 { return math.Float64frombits(f.failShare.Load()) }
--- a/internal/faulttest/harness/pid.go
+++ b/internal/faulttest/harness/pid.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// serving is the process that answers at a daemon's door.
-func (r *rig) serving(ctx context.Context, d *daemon) (int, error) {
+// serving returns the ID of the process that answers at a daemon's admin endpoint.
+func (r *runner) serving(ctx context.Context, d *daemon) (int, error) {
 	var s struct{ PID int }
 	var err error
 	for range 50 {
@@ -21,5 +21,5 @@
 			return 0, err
 		}
 	}
-	return 0, fmt.Errorf("nobody answers for %s: %w", d.name, err)
+	return 0, fmt.Errorf("no process answers at the admin endpoint of %s: %w", d.name, err)
 }
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -20,26 +20,26 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// policies are the changes that a drill asks for. Each text of a part has one class of its own, a marker, besides those of
-// all: which marker an instance serves tells from outside by which text it takes requests.
+// policies are the policy changes that a fault test proposes. Each version of a part's text has one class of its own, a
+// marker, besides the common classes: the marker that an instance serves shows from outside which version it applies.
 type policies struct {
 	mu      sync.Mutex
 	changes int
-	markers map[string][]string          // by part, oldest first; for all from the daemons' own files on
-	numbers map[string]map[string]uint64 // of changes that came into force, by part
-	lines   []checker.Line               // what was taken; numbers are filled in at the end
+	markers map[string][]string          // by part, oldest first; those of the common part begin with that of the daemons' files
+	numbers map[string]map[string]uint64 // policy numbers of the committed changes, by change ID and part
+	lines   []checker.Line               // poll results; policy numbers are filled in at the end
 }
 
 const (
-	lookEvery  = 30 * time.Millisecond // between two looks at a daemon
-	lookWaits  = 2 * time.Second
-	askEvery   = 100 * time.Millisecond
-	givesUp    = 5 * time.Second  // operators have a change dropped of which nobody has heard for so long
-	askLongest = 90 * time.Second // and ask no longer what became of it
+	pollInterval    = 30 * time.Millisecond // between two polls of a daemon
+	pollTimeout     = 2 * time.Second
+	outcomeInterval = 100 * time.Millisecond
+	dropAfter       = 5 * time.Second  // operators drop a change of which no daemon has reported for so long
+	outcomeTimeout  = 90 * time.Second // after which operators stop asking for a change's outcome
 )
 
-// policy writes [policy] and the classes of a policy into a daemon's file.
-func (r *rig) policy(b *strings.Builder, d *daemon) {
+// policy writes the [policy] section into a daemon's file.
+func (r *runner) policy(b *strings.Builder, d *daemon) {
 	p := r.p.Policy
 	if p == nil {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// marked is a part's text.
-func marked(part, marker string) string {
+// partText returns a part's text with its marker class.
+func partText(part, marker string) string {
 	one := func(name string) string {
 		return fmt.Sprintf("[[class]]\nname = %q\nrepeats = \"safe\"\naim = \"500ms\"\ndeadline = \"%v\"\nworth = 1.0\n\n", name, plan.Deadline)
 	}
@@ -68,48 +68,48 @@
 	return one("get") + one(marker)
 }
 
-// held are the services that a daemon has besides, and whose parts of the policy it holds.
-func (r *rig) held(d *daemon) []string {
+// heldParts returns the additional services of a daemon, whose parts of the policy it holds.
+func (r *runner) heldParts(d *daemon) []string {
 	if r.p.Policy == nil {
 		return nil
 	}
 	return r.p.Policy.Of(d.n)
 }
 
-// marker is the class by which a daemon's own file is told from a policy.
-func (r *rig) marker() string {
+// ownMarker returns the class that distinguishes a daemon's own file from a policy.
+func (r *runner) ownMarker() string {
 	if r.p.Policy == nil {
 		return ""
 	}
-	_, text, _ := strings.Cut(marked("", "p0"), "\n\n")
+	_, text, _ := strings.Cut(partText("", "p0"), "\n\n")
 	return "\n" + text
 }
 
-// agreed notes how the daemons agree, and looks at each from now on.
-func (r *rig) agreed(ctx context.Context) {
+// startPolling records how the daemons agree on policies and starts to poll each of them.
+func (r *runner) startPolling(ctx context.Context) {
 	p := r.p.Policy
 	var voters []string
 	for _, n := range p.Voters {
 		voters = append(voters, plan.Name(n))
 	}
 	back := policy.Settings{Lease: p.Lease, ClockDrift: policy.DefaultClockDrift}
-	r.line(checker.Line{What: checker.Agreed, Hard: p.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(voters, " ")})
+	r.record(checker.Line{What: checker.Agreed, Hard: p.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(voters, " ")})
 	r.policies = policies{markers: map[string][]string{"": {"p0"}}, numbers: map[string]map[string]uint64{}}
 	for _, d := range slices.Clone(r.daemons) {
 		if r.o.Blind {
 			break
 		}
-		for _, part := range append([]string{""}, r.held(d)...) {
-			r.others.Go(func() { r.look(ctx, d, part) })
+		for _, part := range append([]string{""}, r.heldParts(d)...) {
+			r.background.Go(func() { r.poll(ctx, d, part) })
 		}
 	}
 }
 
-// look asks a daemon again and again which marker of a part it serves.
-func (r *rig) look(ctx context.Context, d *daemon, part string) {
+// poll asks a daemon repeatedly which marker of a part it serves.
+func (r *runner) poll(ctx context.Context, d *daemon, part string) {
 	c := newClients(filepath.Join(d.dir, cmp.Or(part, "client")))
 	defer c.http.CloseIdleConnections()
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	now := 0
 	for n := 0; ; n++ {
@@ -118,7 +118,7 @@
 			return
 		case <-tick.C:
 		}
-		pid := d.pidNow()
+		pid := d.currentPID()
 		if pid == 0 {
 			continue
 		}
@@ -135,7 +135,8 @@
 			}
 		}
 		begun := transport.MonotonicNanos()
-		if part != "" { // none of them in two looks, and yet it serves: by its own file, when the first of them began
+		// If two passes find no marker and the daemon still serves, it applied its own file when the first pass began.
+		if part != "" {
 			for k := len(markers) - 1; k >= 0; k-- {
 				order = append(order, k)
 			}
@@ -161,7 +162,7 @@
 			default:
 				l.What = ""
 			}
-			if l.What != "" && d.pidNow() == pid {
+			if l.What != "" && d.currentPID() == pid {
 				r.policies.mu.Lock()
 				r.policies.lines = append(r.policies.lines, l)
 				r.policies.mu.Unlock()
@@ -172,7 +173,7 @@
 }
 
 func (c *clients) probe(ctx context.Context, path string) (status int, body string) {
-	ctx, end := context.WithTimeout(ctx, lookWaits)
+	ctx, end := context.WithTimeout(ctx, pollTimeout)
 	defer end()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://daemon/"+path, nil)
 	if err != nil {
@@ -188,13 +189,13 @@
 	return resp.StatusCode, string(text)
 }
 
-// apply has a daemon's operator ask for a change, and follows what becomes of it: at that daemon, or at any other once it
-// has ended.
-func (r *rig) apply(ctx context.Context, d *daemon, e plan.Event) error {
+// apply proposes a policy change at a daemon, as its operator would, and follows the change's outcome: at that
+// daemon, or at any other once that daemon has ended.
+func (r *runner) apply(ctx context.Context, d *daemon, e plan.Event) error {
 	if d.pid == 0 || d.paused {
 		return nil
 	}
-	parts := slices.Sorted(slices.Values(e.Parts)) // the daemon's order: authors are told the first one's number
+	parts := slices.Sorted(slices.Values(e.Parts)) // the daemon's order: authors are notified of the first part's number
 	if len(parts) == 0 {
 		parts = []string{""}
 	}
@@ -204,14 +205,14 @@
 	texts := map[string]string{}
 	for _, part := range parts {
 		r.policies.markers[part] = append(r.policies.markers[part], marker)
-		texts[part] = marked(part, marker)
+		texts[part] = partText(part, marker)
 	}
 	r.policies.mu.Unlock()
 	var without []string
 	for _, n := range e.To {
 		without = append(without, plan.Name(n))
 	}
-	r.line(checker.Line{What: checker.Proposed, Of: d.name, ID: id, Why: strings.Join(without, " "), Parts: checker.PartsText(parts)})
+	r.record(checker.Line{What: checker.Proposed, Of: d.name, ID: id, Why: strings.Join(without, " "), Parts: checker.PartsText(parts)})
 	if e.Kind != "" {
 		texts = map[string]string{"": e.Kind}
 	}
@@ -219,10 +220,10 @@
 	if err != nil {
 		return err
 	}
-	r.others.Go(func() {
+	r.background.Go(func() {
 		err := r.adminWith(ctx, d, http.MethodPost, "/policy/apply", data, nil)
 		if err != nil && strings.Contains(err.Error(), "not asked for") {
-			r.line(checker.Line{What: checker.AuthorNotified, Of: d.name, ID: id, State: "dropped", Why: err.Error()})
+			r.record(checker.Line{What: checker.AuthorNotified, Of: d.name, ID: id, State: "dropped", Why: err.Error()})
 			return
 		}
 		r.follow(ctx, d, id, time.Now())
@@ -230,14 +231,14 @@
 	return nil
 }
 
-func (r *rig) follow(ctx context.Context, d *daemon, id string, began time.Time) {
+func (r *runner) follow(ctx context.Context, d *daemon, id string, began time.Time) {
 	heard := time.Now()
-	for at := d; time.Since(began) < askLongest; {
-		if sleep(ctx, askEvery) != nil {
+	for at := d; time.Since(began) < outcomeTimeout; {
+		if sleep(ctx, outcomeInterval) != nil {
 			return
 		}
-		if at.pidNow() == 0 {
-			if i := slices.IndexFunc(r.daemons, func(o *daemon) bool { return o.pidNow() != 0 }); i >= 0 {
+		if at.currentPID() == 0 {
+			if i := slices.IndexFunc(r.daemons, func(o *daemon) bool { return o.currentPID() != 0 }); i >= 0 {
 				at = r.daemons[i]
 			}
 			continue
@@ -261,19 +262,20 @@
 				}
 			}
 			r.policies.mu.Unlock()
-			r.line(checker.Line{What: checker.AuthorNotified, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
+			r.record(checker.Line{What: checker.AuthorNotified, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
 			return
 		case f.State == "under way":
 			heard = time.Now()
-		case time.Since(heard) > givesUp && at != d:
+		case time.Since(heard) > dropAfter && at != d:
 			_ = r.admin(ctx, at, http.MethodPost, "/policy/drop?id="+url.QueryEscape(id)+"&by=drill&reason=given+up", nil)
 			heard = time.Now()
 		}
 	}
 }
 
-// taken are the looks, with numbers: by now it is known which change made which policy.
-func (r *rig) taken() []checker.Line {
+// pollResults returns the poll results with their policy numbers: at the end it is known which change made which
+// policy.
+func (r *runner) pollResults() []checker.Line {
 	r.policies.mu.Lock()
 	defer r.policies.mu.Unlock()
 	var all []checker.Line
@@ -284,7 +286,7 @@
 				id = ""
 			}
 			n, ok := r.policies.numbers[id][l.Part]
-			if !ok && id != "" { // of which nobody was told that it came into force
+			if !ok && id != "" { // no operator was notified that this change came into force
 				n = 1 << 32
 			}
 			l.ID, l.Number = id, n
--- a/internal/faulttest/harness/relay.go
+++ b/internal/faulttest/harness/relay.go
@@ -12,51 +12,51 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// relays stand between all daemons. A daemon advertises its relay's address, so that all that is sent to it comes
-// here first; who sends is told by the address it sends from. Each direction of each pair is a link of its own.
+// relays forward all traffic between daemons. A daemon advertises its relay's address, so that everything sent to it
+// passes its relay; the source address identifies the sender. Each direction of each pair is a link of its own.
 type relays struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	byIP    map[netip.Addr]int
-	ends    map[int]*end
-	links   map[[2]int]plan.Link
-	usual   func(from, to int) plan.Link
-	region  func(n int) string
-	sent    map[int]sent // since it was last asked
-	closed  chan struct{}
-	running sync.WaitGroup
+	mu        sync.Mutex
+	rng       *rand.Rand
+	byIP      map[netip.Addr]int
+	endpoints map[int]*relayEndpoint
+	links     map[[2]int]plan.Link
+	usual     func(from, to int) plan.Link
+	region    func(n int) string
+	sent      map[int]sent // since the last take
+	closed    chan struct{}
+	running   sync.WaitGroup
 }
 
-// sent is what a daemon sent to peers.
+// sent counts what a daemon sent to peers.
 type sent struct{ datagrams, bytes, streamed, far int }
 
-// end is where what is meant for one daemon comes.
-type end struct {
+// relayEndpoint receives the traffic for one daemon.
+type relayEndpoint struct {
 	n      int
 	to     netip.AddrPort
 	udp    *net.UDPConn
 	tcp    *net.TCPListener
-	recent [][]byte // datagrams that passed, for strays
+	recent [][]byte // recently forwarded datagrams, for strays
 	first  [][]byte
 }
 
 const (
-	recentKept = 64
-	reorderMax = 50 * time.Millisecond
-	lostAgain  = 200 * time.Millisecond // a segment that a stream loses comes again after so long
-	breakAfter = 300                    // bytes after which a stream breaks on a link that breaks them
+	recentKept      = 64
+	reorderMax      = 50 * time.Millisecond
+	retransmitDelay = 200 * time.Millisecond // until a lost segment of a stream is sent again
+	breakAfter      = 300                    // bytes after which a stream breaks on a link with Break
 )
 
 func newRelays(seed uint64, p *plan.Plan) *relays {
-	return &relays{rng: rand.New(rand.NewPCG(seed, 9)), byIP: map[netip.Addr]int{}, ends: map[int]*end{}, links: map[[2]int]plan.Link{}, usual: p.Usual, region: p.Region,
+	return &relays{rng: rand.New(rand.NewPCG(seed, 9)), byIP: map[netip.Addr]int{}, endpoints: map[int]*relayEndpoint{}, links: map[[2]int]plan.Link{}, usual: p.Usual, region: p.Region,
 		sent: map[int]sent{}, closed: make(chan struct{})}
 }
 
-// open opens the relay of a daemon, or of its new address, at an IP, and says where it is.
+// open opens the relay of a daemon, or of its new address, at an IP and returns the relay's address.
 func (r *relays) open(n int, at, from netip.Addr, to netip.AddrPort) (netip.AddrPort, error) {
-	e := &end{n: n, to: to}
+	e := &relayEndpoint{n: n, to: to}
 	var err error
-	for range 20 { // one port for both
+	for range 20 { // TCP and UDP need the same port
 		if e.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(netip.AddrPortFrom(at, 0))); err != nil {
 			return netip.AddrPort{}, fmt.Errorf("relay: %w", err)
 		}
@@ -72,11 +72,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.byIP[from] = n
-	if old := r.ends[n]; old != nil {
+	if old := r.endpoints[n]; old != nil {
 		_ = old.udp.Close()
 		_ = old.tcp.Close()
 	}
-	r.ends[n] = e
+	r.endpoints[n] = e
 	r.running.Go(func() { r.datagrams(e) })
 	r.running.Go(func() { r.streams(e) })
 	return netip.AddrPortFrom(at, uint16(e.tcp.Addr().(*net.TCPAddr).Port)), nil
@@ -85,7 +85,7 @@
 func (r *relays) close() {
 	close(r.closed)
 	r.mu.Lock()
-	for _, e := range r.ends {
+	for _, e := range r.endpoints {
 		_ = e.udp.Close()
 		_ = e.tcp.Close()
 	}
@@ -127,7 +127,7 @@
 	return time.Duration(r.rng.Float64() * float64(d))
 }
 
-// take is what a daemon has sent since it was last asked.
+// take returns what a daemon has sent since the last call.
 func (r *relays) take(n int) sent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,8 +136,8 @@
 	return s
 }
 
-// datagrams passes them on, as the link is.
-func (r *relays) datagrams(e *end) {
+// datagrams forwards the datagrams for a daemon with the faults of their links.
+func (r *relays) datagrams(e *relayEndpoint) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, src, err := e.udp.ReadFromUDPAddrPort(buf)
@@ -150,10 +150,10 @@
 			if _, again := err.(net.Error); again && err.(net.Error).Timeout() {
 				continue
 			}
-			if r.gone(e) {
+			if r.replaced(e) {
 				return
 			}
-			continue // such as a refusal of what was sent to a daemon that is down
+			continue // for example the ICMP refusal of a datagram sent to a daemon that is down
 		}
 		data := append([]byte(nil), buf[:n]...)
 		r.mu.Lock()
@@ -205,18 +205,18 @@
 	}
 }
 
-func (r *relays) gone(e *end) bool {
+func (r *relays) replaced(e *relayEndpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends[e.n] != e
+	return r.endpoints[e.n] != e
 }
 
-func (r *relays) deliver(e *end, data []byte) { _, _ = e.udp.WriteToUDPAddrPort(data, e.to) }
+func (r *relays) deliver(e *relayEndpoint, data []byte) { _, _ = e.udp.WriteToUDPAddrPort(data, e.to) }
 
-// stray sends a daemon datagrams that should tell it nothing.
+// stray sends a daemon datagrams that it should ignore.
 func (r *relays) stray(n int, kind string, count int) {
 	r.mu.Lock()
-	e := r.ends[n]
+	e := r.endpoints[n]
 	var from [][]byte
 	if e != nil {
 		if from = e.recent; kind == "old" {
@@ -238,7 +238,7 @@
 			data[int(r.random(time.Duration(len(data))))] ^= 1 << r.random(8)
 		case "foreign":
 			if len(data) > 5 {
-				data[4] ^= 1 // the first letter of the fleet's name
+				data[4] ^= 1 // the first letter of the fleet name
 			}
 		case "future":
 			data[2] = 200
@@ -250,8 +250,8 @@
 	}
 }
 
-// streams passes them on.
-func (r *relays) streams(e *end) {
+// streams forwards the streams to a daemon.
+func (r *relays) streams(e *relayEndpoint) {
 	for {
 		in, err := e.tcp.AcceptTCP()
 		if err != nil {
@@ -266,12 +266,12 @@
 		}
 		r.running.Go(func() {
 			defer in.Close()
-			if r.stalled(from, e.n, in) {
+			if r.holdIfCut(from, e.n, in) {
 				return
 			}
 			conn, err := net.DialTimeout("tcp", e.to.String(), 2*time.Second)
 			if err != nil {
-				_ = in.SetLinger(0) // refused, not ended
+				_ = in.SetLinger(0) // a reset, as of a refused connection, not an orderly close
 				return
 			}
 			out := conn.(*net.TCPConn)
@@ -286,7 +286,7 @@
 	}
 }
 
-// onClose has f run when the relays are closed.
+// onClose runs f when the relays are closed.
 func (r *relays) onClose(f func()) (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -299,8 +299,8 @@
 	return func() { close(done) }
 }
 
-// stalled holds a new stream on a link that brings nothing, until the caller gives up.
-func (r *relays) stalled(from, to int, in *net.TCPConn) bool {
+// holdIfCut reports whether a link drops everything; if so, it first holds the new stream until the caller gives up.
+func (r *relays) holdIfCut(from, to int, in *net.TCPConn) bool {
 	if r.link(from, to).Drop < 1 && r.link(to, from).Drop < 1 {
 		return false
 	}
@@ -311,7 +311,7 @@
 	return true
 }
 
-// pump copies one direction of a stream, as the link is.
+// pump copies one direction of a stream with the faults of its link.
 func (r *relays) pump(from, to int, in, out *net.TCPConn) {
 	buf := make([]byte, 4096)
 	passed := 0
@@ -323,12 +323,12 @@
 			r.sent[from] = sent{s.datagrams, s.bytes, s.streamed + n, s.far}
 			r.mu.Unlock()
 			l := r.link(from, to)
-			for tries := 0; r.chance(l.Drop); tries++ { // all is lost, or comes again later
+			for tries := 0; r.chance(l.Drop); tries++ { // the data is lost, or sent again later
 				if l.Drop >= 1 && tries > 50 {
 					_, _ = in.Close(), out.Close()
 					return
 				}
-				time.Sleep(lostAgain)
+				time.Sleep(retransmitDelay)
 				l = r.link(from, to)
 			}
 			wait := l.Delay + r.random(l.Jitter)
--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -16,52 +16,53 @@
 	"vetchhaven/internal/standin"
 )
 
-// clientWaits is how long a client waits; the classes' deadline is a little shorter.
-const clientWaits = 2500 * time.Millisecond
+// clientTimeout is how long a client waits; the classes' deadline is a little shorter.
+const clientTimeout = 2500 * time.Millisecond
 
-// site is a daemon's own way to the servers and the list: the same servers for all, each over relays of its own.
-type site struct {
-	list  *standin.List
-	gates []*gate
+// upstream is a daemon's access to the servers and its list. All daemons use the same servers, each over relays of
+// its own.
+type upstream struct {
+	list   *standin.List
+	relays []*serverRelay
 }
 
-// gate is a relay to one server that can be shut: what is on it stands still, and what comes new does not come
-// through.
-type gate struct {
-	ln    net.Listener
-	to    string
-	mu    sync.Mutex
-	shut  chan struct{} // nil: it is open; else closed when it opens again
-	conns map[net.Conn]bool
-	ended bool
+// serverRelay is a relay to one server that can be blocked: while it is blocked, open connections stall and new ones
+// are not forwarded.
+type serverRelay struct {
+	ln      net.Listener
+	to      string
+	mu      sync.Mutex
+	blocked chan struct{} // nil: forwards; otherwise closed when the relay forwards again
+	conns   map[net.Conn]bool
+	closed  bool
 }
 
-func newGate(to string) (*gate, error) {
+func newServerRelay(to string) (*serverRelay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	g := &gate{ln: ln, to: to, conns: map[net.Conn]bool{}}
+	g := &serverRelay{ln: ln, to: to, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			in, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if !g.keep(in) {
+			if !g.track(in) {
 				return
 			}
-			go g.pass(in)
+			go g.forward(in)
 		}
 	}()
 	return g, nil
 }
 
-// keep books a connection, unless the gate has ended.
-func (g *gate) keep(c net.Conn) bool {
+// track registers a connection, unless the relay is closed.
+func (g *serverRelay) track(c net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ended {
+	if g.closed {
 		_ = c.Close()
 		return false
 	}
@@ -69,28 +70,28 @@
 	return true
 }
 
-func (g *gate) drop(c net.Conn) {
+func (g *serverRelay) untrack(c net.Conn) {
 	g.mu.Lock()
 	delete(g.conns, c)
 	g.mu.Unlock()
 	_ = c.Close()
 }
 
-func (g *gate) pass(in net.Conn) {
-	defer g.drop(in)
-	g.await()
+func (g *serverRelay) forward(in net.Conn) {
+	defer g.untrack(in)
+	g.awaitUnblocked()
 	out, err := net.Dial("tcp", g.to)
-	if err != nil || !g.keep(out) {
+	if err != nil || !g.track(out) {
 		return
 	}
-	defer g.drop(out)
+	defer g.untrack(out)
 	var both sync.WaitGroup
 	for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
 		both.Go(func() {
 			buf := make([]byte, 8192)
 			for {
 				n, err := way[0].Read(buf)
-				g.await()
+				g.awaitUnblocked()
 				if n > 0 {
 					if _, werr := way[1].Write(buf[:n]); werr != nil {
 						err = werr
@@ -106,32 +107,32 @@
 	both.Wait()
 }
 
-// await waits while the gate is shut.
-func (g *gate) await() {
+// awaitUnblocked waits while the relay is blocked.
+func (g *serverRelay) awaitUnblocked() {
 	g.mu.Lock()
-	shut := g.shut
+	shut := g.blocked
 	g.mu.Unlock()
 	if shut != nil {
 		<-shut
 	}
 }
 
-func (g *gate) set(shut bool) {
+func (g *serverRelay) setBlocked(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case shut && g.shut == nil && !g.ended:
-		g.shut = make(chan struct{})
-	case !shut && g.shut != nil:
-		close(g.shut)
-		g.shut = nil
+	case shut && g.blocked == nil && !g.closed:
+		g.blocked = make(chan struct{})
+	case !shut && g.blocked != nil:
+		close(g.blocked)
+		g.blocked = nil
 	}
 }
 
-func (g *gate) close() {
-	g.set(false)
+func (g *serverRelay) close() {
+	g.setBlocked(false)
 	g.mu.Lock()
-	g.ended = true
+	g.closed = true
 	for c := range g.conns {
 		_ = c.Close()
 	}
@@ -139,18 +140,18 @@
 	_ = g.ln.Close()
 }
 
-// newSite gives a daemon its own list of the servers, at addresses of its own.
-func newSite(servers []*standin.Form) (*site, error) {
-	s := &site{}
+// newUpstream returns a daemon's own relays to the servers and a list that names the relays' addresses.
+func newUpstream(servers []*standin.Form) (*upstream, error) {
+	s := &upstream{}
 	var members []discovery.Member
 	for _, f := range servers {
 		m := f.Member("ready")
-		g, err := newGate(m.Addr)
+		g, err := newServerRelay(m.Addr)
 		if err != nil {
 			s.close()
 			return nil, err
 		}
-		s.gates = append(s.gates, g)
+		s.relays = append(s.relays, g)
 		m.Addr = g.ln.Addr().String()
 		members = append(members, m)
 	}
@@ -163,16 +164,16 @@
 	return s, nil
 }
 
-// fresh has the list say that a server has just started.
-func (s *site) fresh(n int, f *standin.Form) {
+// serverStarted makes the list report that a server has just started.
+func (s *upstream) serverStarted(n int, f *standin.Form) {
 	m := f.Member("ready")
-	m.Addr = s.gates[n].ln.Addr().String()
+	m.Addr = s.relays[n].ln.Addr().String()
 	m.Started = time.Now().UnixMilli()
 	s.list.Set(m)
 }
 
-func (s *site) close() {
-	for _, g := range s.gates {
+func (s *upstream) close() {
+	for _, g := range s.relays {
 		g.close()
 	}
 	if s.list != nil {
@@ -180,10 +181,10 @@
 	}
 }
 
-// counts are of the requests that were begun in one second.
+// counts are the outcomes of the requests that began in one second.
 type counts struct{ asked, served, refused, failed int }
 
-// clients ask one daemon.
+// clients send requests to one daemon.
 type clients struct {
 	mu      sync.Mutex
 	seconds map[int]counts
@@ -193,13 +194,13 @@
 }
 
 func newClients(socket string) *clients {
-	return &clients{seconds: map[int]counts{}, http: &http.Client{Timeout: clientWaits, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
+	return &clients{seconds: map[int]counts{}, http: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 		}}}}
 }
 
-// run asks at a rate, by chance, until ctx ends.
+// run sends requests at random times at the current rate until ctx ends.
 func (c *clients) run(ctx context.Context, name string, seed uint64, begin time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	timer := time.NewTimer(0)
@@ -208,7 +209,7 @@
 	defer c.asking.Wait()
 	next := time.Now()
 	for i := 0; ; i++ {
-		// With a rate that may change at any time: no gap is longer than a tenth of a second.
+		// The rate may change at any time, so no wait is longer than a tenth of a second.
 		rate := math.Float64frombits(c.rate.Load())
 		gap := rng.ExpFloat64() / max(rate, 1e-9)
 		next = next.Add(time.Duration(min(gap, 0.1) * float64(time.Second)))
@@ -258,7 +259,7 @@
 	return resp.StatusCode
 }
 
-// of is what became of the requests of a second.
+// of returns the outcomes of the requests that began in a second.
 func (c *clients) of(second int) counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -12,41 +12,42 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Few is a few whole members beside a fleet whose rest is played: who is not whole answers probes as members do, and
-// probes the whole ones as often as that many members would. News of one event comes to each whole member as often as
-// Copies says, over the time that News says: both are measured where all are whole.
+// Few simulates a fleet in which a few members are complete and the rest are modelled: modelled members answer probes
+// as members do, and probe the complete ones as often as that many members would. The rumors about one event reach
+// each complete member in as many datagrams as Copies says, spread over the duration News; both values come from runs in
+// which all members are complete.
 //
-// What it can't show: what the rest concludes from what the whole ones say (their accusations are heard by nobody), what
-// news costs those that pass it on to one another, and a storm, in which all that depends on each other.
+// Not covered: what the modelled members conclude from what the complete ones report (no member receives their
+// suspicions), the cost of passing rumors on from member to member, and an overload in which these effects add up.
 type Few struct {
 	Seed    uint64
 	Layout  *topology.Layout
 	Members int
-	Whole   int // the first
+	Whole   int // how many members, from the first, are complete
 	Marks   []time.Duration
 	Length  time.Duration
-	Events  float64       // deaths and returns of played members a second
-	Copies  float64       // datagrams by which a whole member hears of one
-	News    time.Duration // from the first to the last of them
+	Events  float64       // crashes and restarts of modelled members a second
+	Copies  float64       // datagrams by which a complete member is notified of one event
+	News    time.Duration // time from the first to the last of these datagrams
 }
 
-type few struct {
+type fewRun struct {
 	f      *Few
 	rng    *rand.Rand
 	now    time.Duration
-	agenda eventqueue.Queue
+	queue  eventqueue.Queue
 	m      *meter
 	wire   transport.Wire
 	all    []membership.Record
-	number []uint64 // datagrams of each played member
+	number []uint64 // number of datagrams sent by each modelled member
 	whole  []*membership.View
 	wake   []time.Duration
 	byAddr map[string]int
 }
 
-// Play plays it, and is what it cost a whole member.
+// Play runs the simulation and returns what it cost a complete member.
 func (f *Few) Play() ([]Phase, error) {
-	w := &few{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: transport.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
+	w := &fewRun{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: transport.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
 		wake: make([]time.Duration, f.Whole), byAddr: map[string]int{}}
 	for n := range f.Members {
 		r := membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Program: "virtual",
@@ -59,63 +60,64 @@
 		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Program: r.Program, Boot: r.Boot, RunID: r.RunID, Instances: 1, Balancers: 1,
 			KnownMembers: w.all, TakesOver: true, MaxMembers: f.Members + 1, ConfiguredBalancers: 1}, w.rng.Uint64())
 		if err != nil {
-			return nil, fmt.Errorf("a whole member of %d: %w", f.Members, err)
+			return nil, fmt.Errorf("create a complete member of a fleet of %d: %w", f.Members, err)
 		}
 		w.whole = append(w.whole, v)
 	}
 	for n := range w.whole {
 		w.step(n)
-		w.probed(n)
+		w.scheduleProbes(n)
 	}
 	if f.Events > 0 {
-		w.befall()
+		w.scheduleChurn()
 	}
-	for at, do, ok := w.agenda.Next(f.Length); ok; at, do, ok = w.agenda.Next(f.Length) {
+	for at, do, ok := w.queue.Next(f.Length); ok; at, do, ok = w.queue.Next(f.Length) {
 		w.now = at
 		do()
 	}
 	return w.m.phases(f.Length, nil), nil
 }
 
-func (w *few) after(d time.Duration, do func()) { w.agenda.At(w.now+d, do) }
+func (w *fewRun) after(d time.Duration, do func()) { w.queue.At(w.now+d, do) }
 
-// way is one way between two members: 1 to 3 ms, and what lies between their regions.
-func (w *few) way(from, to int) time.Duration {
+// delay returns the one-way delay between two members: 1 to 3 ms plus the delay between their regions.
+func (w *fewRun) delay(from, to int) time.Duration {
 	return time.Millisecond + time.Duration(w.rng.Float64()*float64(2*time.Millisecond)) + w.f.Layout.Between(from, to, w.now).Delay
 }
 
-// played sends a whole member a datagram of one that is not.
-func (w *few) played(from, to int, after time.Duration, m *membership.Message) {
+// sendFromModelled sends a complete member a datagram from a modelled one.
+func (w *fewRun) sendFromModelled(from, to int, after time.Duration, m *membership.Message) {
 	w.after(after, func() {
 		r := &w.all[from]
 		w.number[from]++
 		m.From, m.Boot, m.RunID, m.Number, m.Digest = r.Name, r.Boot, r.RunID, w.number[from], w.whole[to].Digest()
 		data, err := w.wire.Marshal(m.From, m)
 		if err != nil {
-			panic("hollow: " + err.Error()) // the model's own message
+			panic("hollow: " + err.Error()) // the message was built by the model
 		}
 		read, err := w.wire.Unmarshal(data)
 		if err != nil {
 			panic("hollow: " + err.Error())
 		}
-		w.m.took(w.now, to, len(data))
+		w.m.received(w.now, to, len(data))
 		w.step(to, membership.DatagramReceived{Message: read.(*membership.Message), Size: len(data)})
 	})
 }
 
-// probed has a whole member probed as often as each member is: once in Every, in the mean.
-func (w *few) probed(to int) {
+// scheduleProbes makes modelled members probe a complete member as often as each member is probed: once per probe
+// interval on average.
+func (w *fewRun) scheduleProbes(to int) {
 	w.after(time.Duration(w.rng.ExpFloat64()*float64(membership.DefaultProbeInterval)), func() {
 		from := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 		if w.all[from].State == membership.Alive {
-			w.played(from, to, w.way(from, to), &membership.Message{Kind: membership.Ping, Seq: w.rng.Uint32(), Target: plan.Name(to), Addr: w.all[from].Addr})
+			w.sendFromModelled(from, to, w.delay(from, to), &membership.Message{Kind: membership.Ping, Seq: w.rng.Uint32(), Target: plan.Name(to), Addr: w.all[from].Addr})
 		}
-		w.probed(to)
+		w.scheduleProbes(to)
 	})
 }
 
-// befall has a played member die, or come back in another life, and its news come round.
-func (w *few) befall() {
+// scheduleChurn makes a modelled member crash, or restart with a new boot number, and sends the rumors about it.
+func (w *fewRun) scheduleChurn() {
 	w.after(time.Duration(w.rng.ExpFloat64()/w.f.Events*float64(time.Second)), func() {
 		n := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 		r := &w.all[n]
@@ -124,32 +126,32 @@
 		} else {
 			r.State, r.Reporter, r.Boot, r.RunID = membership.Alive, "", r.Boot+1, w.rng.Uint64()|1
 		}
-		told := *r
+		rumor := *r
 		for to := range w.whole {
 			for range int(w.f.Copies + w.rng.Float64()) {
 				from := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
 				if w.all[from].State == membership.Alive {
-					w.played(from, to, time.Duration(w.rng.Float64()*float64(w.f.News)), &membership.Message{Kind: membership.Gossip, Updates: []membership.Record{told}})
+					w.sendFromModelled(from, to, time.Duration(w.rng.Float64()*float64(w.f.News)), &membership.Message{Kind: membership.Gossip, Updates: []membership.Record{rumor}})
 				}
 			}
 		}
-		w.befall()
+		w.scheduleChurn()
 	})
 }
 
-func (w *few) step(n int, events ...membership.Event) {
+func (w *fewRun) step(n int, events ...membership.Event) {
 	v := w.whole[n]
 	for _, a := range v.Step(w.now, events...) {
 		switch a := a.(type) {
 		case membership.Send:
 			w.sent(n, a)
-		case membership.OpenExchange: // the other's view is the same
+		case membership.OpenExchange: // the other member's view is the same
 			w.exchange(n, a)
 		}
 	}
 	if next := v.Next(); next != w.wake[n] {
 		w.wake[n] = next
-		w.agenda.At(next, func() {
+		w.queue.At(next, func() {
 			if w.wake[n] == next {
 				w.wake[n] = 0
 				w.step(n)
@@ -158,25 +160,25 @@
 	}
 }
 
-// sent is what a whole member sends: another whole one gets it, a played one answers it.
-func (w *few) sent(from int, a membership.Send) {
+// sent handles a message of a complete member: a complete receiver gets it, a modelled one answers it.
+func (w *fewRun) sent(from int, a membership.Send) {
 	data, err := w.wire.Marshal(plan.Name(from), a.Message)
 	if err != nil {
-		panic("hollow: " + err.Error()) // a member's own message
+		panic("hollow: " + err.Error()) // the message comes from a member
 	}
 	w.m.sent(w.now, from, len(data))
 	to, ok := w.byAddr[a.To]
 	if !ok {
 		return
 	}
-	there := w.way(from, to)
+	there := w.delay(from, to)
 	if to < len(w.whole) {
 		read, err := w.wire.Unmarshal(data)
 		if err != nil {
 			panic("hollow: " + err.Error())
 		}
 		w.after(there, func() {
-			w.m.took(w.now, to, len(data))
+			w.m.received(w.now, to, len(data))
 			w.step(to, membership.DatagramReceived{Message: read.(*membership.Message), Size: len(data)})
 		})
 		return
@@ -186,15 +188,15 @@
 	}
 	switch m := a.Message; m.Kind {
 	case membership.Ping:
-		w.played(to, from, there+w.way(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
+		w.sendFromModelled(to, from, there+w.delay(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
 	case membership.IndirectPing:
 		if t, ok := w.byAddr[m.Addr]; ok && w.all[t].State == membership.Alive {
-			w.played(to, from, there+w.way(to, t)+w.way(t, to)+w.way(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
+			w.sendFromModelled(to, from, there+w.delay(to, t)+w.delay(t, to)+w.delay(to, from), &membership.Message{Kind: membership.Ack, Seq: m.Seq, Target: m.Target})
 		}
 	}
 }
 
-func (w *few) exchange(from int, a membership.OpenExchange) {
+func (w *fewRun) exchange(from int, a membership.OpenExchange) {
 	data, err := w.wire.Marshal(plan.Name(from), a.Message)
 	if err != nil {
 		panic("hollow: " + err.Error())
@@ -207,10 +209,10 @@
 	}
 	r := &w.all[to]
 	x := &membership.Exchange{From: r.Name, Boot: r.Boot, RunID: r.RunID}
-	w.after(2*w.way(from, to)+2*w.way(to, from), func() { w.step(from, membership.ExchangeResponse{ID: a.ID, Message: x}) })
+	w.after(2*w.delay(from, to)+2*w.delay(to, from), func() { w.step(from, membership.ExchangeResponse{ID: a.ID, Message: x}) })
 }
 
-// Whole is what a whole view of so many members takes on a stream: what one that has lost its own is sent.
+// Whole returns the size in bytes of a full membership view on a stream, as sent to a member that has lost its own.
 func Whole(members int) (int, error) {
 	x := &membership.Exchange{From: plan.Name(0), Boot: 1, RunID: 1}
 	for n := range members {
--- a/internal/faulttest/hollow/graph.go
+++ b/internal/faulttest/hollow/graph.go
@@ -8,25 +8,26 @@
 	"slices"
 )
 
-// Graph is which services there are, how many agents (one a backend) each has, and whom it calls. Services stand in
-// tiers, and call none of their own tier or above: calls end after as many as there are tiers.
+// Graph is a call graph of services, each with its agents (one for each backend) and the services that it calls.
+// Services are arranged in tiers and call only services of lower tiers, so a chain of calls is at most as long as
+// there are tiers.
 type Graph struct {
-	Services [][]int // agents of each
+	Services [][]int // agents of each service
 	Of       []int   // service of each agent
 	Tier     []int   // of each service, from 0
-	Calls    [][]int // services that each calls, ascending
+	Calls    [][]int // services that each service calls, ascending
 }
 
-// GraphSpec says what to draw.
+// GraphSpec describes the graph to draw.
 type GraphSpec struct {
 	Agents   int
-	Services int     // 0: as many for each agent as 990 for 12,000, and 2 at the least
+	Services int     // 0: in the proportion of 990 services to 12,000 agents, at least 2
 	Tiers    int     // 0: 16
-	Calls    float64 // services that one calls in the mean; 0: 12. Fewer where few lie below it
+	Calls    float64 // mean number of services that a service calls; 0: 12. Fewer where few services are in lower tiers
 	Seed     uint64
 }
 
-// Of the size aimed at.
+// The target size of a fleet.
 const (
 	sizeAgents   = 12000
 	sizeServices = 990
@@ -34,17 +35,17 @@
 	meanCalls    = 12
 )
 
-// DrawGraph draws one. Sizes of services are skewed: the largest of 990 has a tenth of all agents, most have a few. So is
-// who calls how many: most few, some fifty.
+// DrawGraph draws a graph from the seed. The sizes of services are skewed: the largest of 990 has a tenth of all
+// agents, and most have a few. So are the numbers of called services: most services call few others, some call fifty.
 func DrawGraph(s GraphSpec) (*Graph, error) {
 	s.Services = cmp.Or(s.Services, max(2, s.Agents*sizeServices/sizeAgents))
 	s.Tiers, s.Calls = min(cmp.Or(s.Tiers, sizeTiers), s.Services), cmp.Or(s.Calls, meanCalls)
 	if s.Agents < s.Services || s.Services < 2 || s.Tiers < 2 || s.Calls <= 0 {
-		return nil, fmt.Errorf("graph: %d agents, %d services, %d tiers, %v calls make no sense", s.Agents, s.Services, s.Tiers, s.Calls)
+		return nil, fmt.Errorf("draw graph: invalid specification: %d agents, %d services, %d tiers, %v calls", s.Agents, s.Services, s.Tiers, s.Calls)
 	}
 	rng := rand.New(rand.NewPCG(s.Seed, 61))
 	g := &Graph{Services: make([][]int, s.Services), Of: make([]int, s.Agents), Tier: make([]int, s.Services), Calls: make([][]int, s.Services)}
-	// Zipf's law: the weight of the k-th largest is 1/k^0.8, and each has one agent at the least.
+	// Zipf's law: the weight of the k-th largest service is 1/k^0.8, and each service has at least one agent.
 	weight := make([]float64, s.Services)
 	sum := 0.0
 	for k, place := range rng.Perm(s.Services) {
@@ -68,7 +69,9 @@
 		g.Tier[k] = min(s.Tiers-1, k*s.Tiers/s.Services)
 	}
 	for k := range g.Calls {
-		below := make([]int, 0, s.Services) // those of lower tiers; the next tier for certain, so that chains are as long as can be
+		// The services of lower tiers. One of the next tier is always called, so that chains reach their greatest
+		// length.
+		below := make([]int, 0, s.Services)
 		first := -1
 		for o := k + 1; o < s.Services; o++ {
 			if g.Tier[o] > g.Tier[k] {
@@ -85,7 +88,7 @@
 		calls := map[int]bool{first: first >= 0}
 		for tries := 0; len(calls) < many && tries < 20*many; tries++ {
 			o := below[rng.IntN(len(below))]
-			if rng.IntN(2) == 0 { // half of them go to what is large: shared stores, sign-in
+			if rng.IntN(2) == 0 { // half of the calls go to large services such as shared stores and sign-in
 				for range 2 {
 					if p := below[rng.IntN(len(below))]; len(g.Services[p]) > len(g.Services[o]) {
 						o = p
@@ -104,7 +107,7 @@
 	return g, nil
 }
 
-// Servers are those that an agent's requests go to: all of the services that its own calls.
+// Servers returns the servers that an agent's requests go to: all servers of the services that its own service calls.
 func (g *Graph) Servers(agent int) (all []int) {
 	for _, o := range g.Calls[g.Of[agent]] {
 		all = append(all, g.Services[o]...)
@@ -112,7 +115,7 @@
 	return all
 }
 
-// Callers is how many agents call each service.
+// Callers returns how many agents call each service.
 func (g *Graph) Callers() []int {
 	all := make([]int, len(g.Services))
 	for k, calls := range g.Calls {
@@ -123,11 +126,11 @@
 	return all
 }
 
-// Deepest is the length of the longest chain of calls, in services.
+// Deepest returns the length of the longest chain of calls, in services.
 func (g *Graph) Deepest() int {
 	depth := make([]int, len(g.Services))
 	most := 0
-	for k := len(g.Services) - 1; k >= 0; k-- { // what is called has a higher number
+	for k := len(g.Services) - 1; k >= 0; k-- { // called services have higher numbers
 		depth[k] = 1
 		for _, o := range g.Calls[k] {
 			depth[k] = max(depth[k], depth[o]+1)
--- a/internal/faulttest/hollow/graph_test.go
+++ b/internal/faulttest/hollow/graph_test.go
@@ -16,7 +16,7 @@
 	}
 	g := draw(1)
 	if len(g.Services) != 990 || !reflect.DeepEqual(g, draw(1)) || reflect.DeepEqual(g, draw(2)) {
-		t.Errorf("%d services, or another graph from the same seed, or the same from another", len(g.Services))
+		t.Errorf("%d services, or the same seed gave different graphs, or different seeds gave the same graph", len(g.Services))
 	}
 	agents, calls := 0, 0
 	var sizes []int
@@ -37,10 +37,10 @@
 	}
 	slices.Sort(sizes)
 	if agents != 12000 || sizes[0] < 1 || sizes[495] > 10 || sizes[989] < 500 {
-		t.Errorf("%d agents; services of %d, %d in the middle, %d at the most", agents, sizes[0], sizes[495], sizes[989])
+		t.Errorf("%d agents; service sizes: smallest %d, median %d, largest %d", agents, sizes[0], sizes[495], sizes[989])
 	}
 	if mean := float64(calls) / 990; mean < 7 || mean > 14 {
-		t.Errorf("a service calls %.1f others in the mean", mean)
+		t.Errorf("a service calls %.1f others on average", mean)
 	}
 	if g.Deepest() != 16 {
 		t.Errorf("calls are up to %d deep, want 16", g.Deepest())
--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -16,38 +16,39 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Held plays the same plan with real daemons, with hollow members on sockets, and in virtual time.
+// Held runs the same plan with real daemons, with lightweight members on sockets, and in virtual time, so that the
+// three can be compared.
 type Held struct {
-	Program string // of the daemons
-	Dir     string // for what hollow members keep
+	Program string // path of the daemons' executable
+	Dir     string // directory for the stored views of lightweight members
 	Members int
 	Crashes int
 	Seed    uint64
-	// Rest is from when to when all is at rest, before the first crash.
+	// Rest is the span before the first crash in which no event happens.
 	Rest [2]time.Duration
-	// Peers are the members' settings. With a longer Direct a busy machine, which lets processes wait, has no part in it.
+	// Peers are the members' settings. A longer Direct keeps the delays of a busy machine out of the comparison.
 	Peers plan.Peers
 }
 
-// Side is what one of the three cost and did.
+// Side is the result of one of the three runs.
 type Side struct {
 	Name             string
-	Datagrams, Bytes float64 // a second of each, at rest
-	EachBytes        float64 // of a datagram
-	Processor        float64 // share of a core of each, at rest; 0: not known
+	Datagrams, Bytes float64 // of each member a second, at rest
+	EachBytes        float64 // mean size of a datagram
+	Processor        float64 // share of a core for each member, at rest; 0: unknown
 	Crash, Join      time.Duration
-	Crashes, Joins   int // that all learnt
+	Crashes, Joins   int // events that all members observed
 	Unknown          int
-	// Each member's, at rest: how often it found that it had been paused, and how often it took another for a suspect.
+	// Per member, at rest: how often it found that it had been paused, and how often it suspected another member.
 	Doubts, Suspicions float64
 }
 
 const (
-	heldDown = 4 * time.Second
-	heldGap  = 6500 * time.Millisecond
+	crashDowntime = 4 * time.Second
+	crashInterval = 6500 * time.Millisecond
 )
 
-// Plan is what befalls them: one after another is killed, and starts again.
+// Plan returns the plan of the three runs: members are killed and restarted one after another.
 func (h *Held) Plan() *plan.Plan {
 	rng := rand.New(rand.NewPCG(h.Seed, uint64(h.Members)))
 	p := &plan.Plan{Name: "held", Daemons: h.Members, Zones: 1, Seeds: []int{0, 1}, Spread: 500 * time.Millisecond, Peers: h.Peers}
@@ -55,14 +56,14 @@
 	for range h.Crashes {
 		who := []int{2 + rng.IntN(h.Members-2)}
 		t := at + time.Duration(rng.Float64()*float64(time.Second))
-		p.Events = append(p.Events, plan.Event{At: t, Do: "kill", Who: who}, plan.Event{At: t + heldDown, Do: "start", Who: who, State: "kept"})
-		at += heldGap
+		p.Events = append(p.Events, plan.Event{At: t, Do: "kill", Who: who}, plan.Event{At: t + crashDowntime, Do: "start", Who: who, State: "kept"})
+		at += crashInterval
 	}
 	p.Length = at + time.Second
 	return p
 }
 
-// Play plays the real and the hollow ones side by side, then the virtual ones.
+// Play runs the real daemons and the lightweight members at the same time, then the run in virtual time.
 func (h *Held) Play(ctx context.Context) ([]Side, error) {
 	p := h.Plan()
 	sides := make([]Side, 3)
@@ -83,7 +84,7 @@
 	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
-			return nil, fmt.Errorf("held, %s: %w", [...]string{"real", "sockets"}[i], err)
+			return nil, fmt.Errorf("compare with real daemons, run over %s: %w", [...]string{"real", "sockets"}[i], err)
 		}
 	}
 	l, err := topology.New(topology.Spec{Members: h.Members})
@@ -95,7 +96,7 @@
 		return nil, err
 	}
 	sides[2] = h.side("hollow, virtual time", r.Lines)
-	sides[2].Datagrams, sides[2].Bytes, sides[2].Processor = 0, 0, 0 // lines have the module's bound on sizes
+	sides[2].Datagrams, sides[2].Bytes, sides[2].Processor = 0, 0, 0 // the lines count the membership module's upper bound of sizes
 	for _, x := range r.Loads {
 		span := (h.Rest[1] - h.Rest[0]).Seconds() * float64(h.Members)
 		sides[2].Datagrams += float64(x[1].Out.Messages) / span
@@ -105,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	shared, _, err := (&Verdicts{Seed: h.Seed, Fleet: "drill", Graph: g, Rate: 0.001, Marks: h.Rest[:1], Length: h.Rest[1]}).Play() // no requests, as there
+	shared, _, err := (&Verdicts{Seed: h.Seed, Fleet: "drill", Graph: g, Rate: 0.001, Marks: h.Rest[:1], Length: h.Rest[1]}).Play() // no requests, as in the other runs
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +116,8 @@
 	return sides, nil
 }
 
-// side reads what lines tell. Processor time is of each process that tells it, shared out over all members.
+// side computes the result of a run from its history lines. The CPU time of all processes that report it is divided
+// by the number of members.
 func (h *Held) side(name string, lines []checker.Line) Side {
 	s := Side{Name: name}
 	first := lines[0].T
@@ -154,14 +156,14 @@
 		}
 	}
 	news := checker.MeasurePropagation(lines, to, lines[len(lines)-1].T)
-	s.Crash, s.Crashes = middle(news.Crash), len(news.Crash)
-	s.Join, s.Joins = middle(news.Join), len(news.Join)
+	s.Crash, s.Crashes = median(news.Crash), len(news.Crash)
+	s.Join, s.Joins = median(news.Join), len(news.Join)
 	s.Unknown = news.Unknown
 	return s
 }
 
-// middle is the median.
-func middle(all []time.Duration) time.Duration {
+// median returns the median, rounded to milliseconds.
+func median(all []time.Duration) time.Duration {
 	if len(all) == 0 {
 		return 0
 	}
--- a/internal/faulttest/hollow/held_test.go
+++ b/internal/faulttest/hollow/held_test.go
@@ -11,9 +11,9 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// Probes wait for ten times as long here as they do by default: on a busy machine processes wait for a core, and what real
-// members then ask anew is the machine's doing. tools/capacity held has the defaults.
-func TestHollowMembersSendWhatRealDaemonsSend(t *testing.T) {
+// The probe timeouts are ten times the defaults: on a busy machine processes wait for a core, and the additional
+// probes of real members would be caused by the machine. tools/capacity held uses the defaults.
+func TestLightweightMembersSendWhatRealDaemonsSend(t *testing.T) {
 	t.Parallel()
 	bin := filepath.Join(t.TempDir(), "vetchhaven")
 	if out, err := exec.Command("go", "build", "-o", bin, "vetchhaven/cmd/vetchhaven").CombinedOutput(); err != nil {
@@ -27,11 +27,11 @@
 	}
 	daemons := sides[0]
 	for _, s := range sides {
-		if r := s.Datagrams / daemons.Datagrams; !(r > 0.6 && r < 1.7) { // a member that waits for a core probes less
+		if r := s.Datagrams / daemons.Datagrams; !(r > 0.6 && r < 1.7) { // a member that waits for a core sends fewer probes
 			t.Errorf("%s: %.1f datagrams a second, real daemons send %.1f", s.Name, s.Datagrams, daemons.Datagrams)
 		}
 		if r := s.EachBytes / daemons.EachBytes; r < 0.85 || r > 1.15 {
-			t.Errorf("%s: %.1f bytes a datagram, real daemons' have %.1f", s.Name, s.EachBytes, daemons.EachBytes)
+			t.Errorf("%s: %.1f bytes a datagram, those of real daemons have %.1f", s.Name, s.EachBytes, daemons.EachBytes)
 		}
 	}
 }
@@ -46,9 +46,9 @@
 	}
 	news := checker.MeasurePropagation(lines, lines[0].T+int64(4*time.Second), lines[len(lines)-1].T)
 	if len(news.Crash) != 1 || len(news.Join) != 1 || news.Unknown > 0 {
-		t.Errorf("of a crash and a start all learnt %+v", news)
+		t.Errorf("not all members observed the crash and the start: %+v", news)
 	}
-	if _, err := (&Sockets{Plan: &plan.Plan{Daemons: socketsMost + 1}}).Play(context.Background()); err == nil {
-		t.Error("more members were played than one process may have")
+	if _, err := (&Sockets{Plan: &plan.Plan{Daemons: maxSocketMembers + 1}}).Play(context.Background()); err == nil {
+		t.Error("a run with more members than one process may have was accepted")
 	}
 }
--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -12,35 +12,36 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Limits says what is played of the limits that members share.
+// Limits configures a simulation of the limits that members share.
 type Limits struct {
 	Seed    uint64
 	Layout  *topology.Layout
 	Members int
-	Keepers int     // the first members; 0: 3
-	Rate    float64 // requests a second of each agent, all of which count towards the one limit
+	Keepers int     // number of lease servers, which are the first members; 0: 3
+	Rate    float64 // requests a second of each agent, all of which count towards a single limit
 	Marks   []time.Duration
 	Length  time.Duration
 	Down    []leasesim.Outage
 }
 
-// Play plays it, and is what it cost a holder, and what a keeper.
+// Play runs the simulation and returns what it cost a lease client (holder) and a lease server (keeper).
 func (l *Limits) Play() (holder, keeper []Phase, r *leasesim.Result, err error) {
 	keepers := cmp.Or(l.Keepers, 3)
 	m := newMeter(l.Members, l.Marks)
 	wire := transport.Wire{Fleet: Fleet}
 	o := leasesim.Options{Seed: l.Seed, Clients: l.Members, Servers: keepers, Total: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Kind: quota.Requests, Soft: true,
-		Duration: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, MeanAttemptTime: 100 * time.Millisecond, CountFrom: 2 * l.Length, // what is served is not counted: it takes long
-		MessageSize: func(from string, x any) int { return size(wire, from, x) }, OnSent: m.sent, OnReceived: m.took, PeerPath: path(l.Layout), Outages: l.Down}
+		Duration: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, MeanAttemptTime: 100 * time.Millisecond, CountFrom: 2 * l.Length, // no counting of served requests, which is slow
+		MessageSize: func(from string, x any) int { return size(wire, from, x) }, OnSent: m.sent, OnReceived: m.received, PeerPath: peerPath(l.Layout), Outages: l.Down}
 	if r, err = leasesim.Run(o); err != nil {
-		return nil, nil, nil, fmt.Errorf("play the limits of %d members: %w", l.Members, err)
+		return nil, nil, nil, fmt.Errorf("simulate the limits of %d members: %w", l.Members, err)
 	}
 	holder = m.phases(l.Length, func(n int) bool { return n >= keepers })
 	keeper = m.phases(l.Length, func(n int) bool { return n < keepers })
 	return holder, keeper, r, nil
 }
 
-// KeeperTime is the processor time that one question costs a keeper of so many holders, its encoding and decoding included.
+// KeeperTime returns the processor time that one lease request costs a lease server with so many clients, including
+// encoding and decoding.
 func KeeperTime(holders int) (time.Duration, error) {
 	s := lease.Settings{Servers: []string{"k"}, MaxAttemptTime: time.Second, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Kind: quota.Requests, Class: -1, Zone: -1, Cell: -1}, Total: 10 * holders}}}
 	k, err := lease.NewServer(s, "k", 1)
@@ -66,7 +67,7 @@
 	}
 	var used time.Duration
 	asked := 0
-	const step, steps, counted = 50 * time.Millisecond, 400, 300 // a first term passes before it lends anything
+	const step, steps, counted = 50 * time.Millisecond, 400, 300 // a lease server grants nothing during its first term
 	for i := range steps {
 		now = time.Duration(i) * step
 		k.Tick(now)
@@ -107,7 +108,7 @@
 		}
 	}
 	if asked == 0 {
-		return 0, fmt.Errorf("%d holders asked nothing", holders)
+		return 0, fmt.Errorf("lease server time: %d lease clients sent no requests", holders)
 	}
 	return used / time.Duration(asked), nil
 }
--- a/internal/faulttest/hollow/meter.go
+++ b/internal/faulttest/hollow/meter.go
@@ -6,7 +6,7 @@
 	"vetchhaven/internal/faulttest/virtual"
 )
 
-// meter counts what members send and take, by phases, for plays that call it in order of time.
+// meter counts what members send and receive, by phase. It must be called in order of time.
 type meter struct {
 	marks []time.Duration
 	loads [][]virtual.Load // by member and phase
@@ -34,17 +34,18 @@
 	m.loads[member][m.at(now)].Out.Add(now, bytes)
 }
 
-func (m *meter) took(now time.Duration, member, bytes int) {
+func (m *meter) received(now time.Duration, member, bytes int) {
 	m.loads[member][m.at(now)].In.Add(now, bytes)
 }
 
-// phases closes the books at the end of a run, over some of the members.
+// phases returns the load of some of the members in each phase of a finished run.
 func (m *meter) phases(length time.Duration, of func(member int) bool) []Phase {
 	m.at(length)
 	return phases(m.marks, length, m.used, m.loads, of)
 }
 
-// phases are a run's, of those members that are asked for. Processor time is shared out over all.
+// phases returns the load in each phase of a run, averaged over the members for which of is true. Processor time is
+// divided among all members.
 func phases(marks []time.Duration, length time.Duration, used []time.Duration, loads [][]virtual.Load, of func(member int) bool) []Phase {
 	used = append(used, processor())
 	var some [][]virtual.Load
--- a/internal/faulttest/hollow/shared_test.go
+++ b/internal/faulttest/hollow/shared_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ofVerdicts plays services of ten agents, each of which calls the next three: the same to an agent however many there are.
-func ofVerdicts(t *testing.T, agents int, rate float64) Phase {
+// ejectionLoad simulates services of ten agents, each of which calls the next three services, so that an agent's
+// surroundings are the same at any fleet size.
+func ejectionLoad(t *testing.T, agents int, rate float64) Phase {
 	t.Helper()
 	const size, calls = 10, 3
 	g := &Graph{Of: make([]int, agents), Services: make([][]int, agents/size), Calls: make([][]int, agents/size), Tier: make([]int, agents/size)}
@@ -27,9 +28,10 @@
 	return phases[1]
 }
 
-// What is told follows a server's subscribers, and chance is told to a few: twice the fleet costs an agent hardly more.
-func TestWhatVerdictsCostIsFlat(t *testing.T) {
-	small, large := ofVerdicts(t, 80, 100), ofVerdicts(t, 160, 100)
+// Ejection messages go to a server's subscribers only, and chance errors to a few of them, so twice the fleet costs
+// an agent hardly more.
+func TestEjectionCostIsFlat(t *testing.T) {
+	small, large := ejectionLoad(t, 80, 100), ejectionLoad(t, 160, 100)
 	t.Logf("%.0f and %.0f bytes, %.2f and %.2f messages a second, %.4f and %.4f of a core", small.Out.Bytes, large.Out.Bytes, small.Out.Messages, large.Out.Messages, small.Processor, large.Processor)
 	if r := large.Out.Bytes / small.Out.Bytes; r > 1.3 {
 		t.Errorf("160 agents send %.0f bytes a second each, 80 send %.0f", large.Out.Bytes, small.Out.Bytes)
@@ -38,15 +40,16 @@
 		t.Errorf("160 agents send %.2f messages a second each, 80 send %.2f", large.Out.Messages, small.Out.Messages)
 	}
 	if large.Out.Bytes > 1000 {
-		t.Errorf("%.0f bytes a second of each at rest", large.Out.Bytes)
+		t.Errorf("each agent sends %.0f bytes a second at rest", large.Out.Bytes)
 	}
-	if a, b := ofVerdicts(t, 40, 40), ofVerdicts(t, 40, 40); a.Out != b.Out || a.In != b.In {
+	if a, b := ejectionLoad(t, 40, 40), ejectionLoad(t, 40, 40); a.Out != b.Out || a.In != b.In {
 		t.Errorf("the same seed sent %+v, then %+v", a.Out, b.Out)
 	}
 }
 
-// On a drawn graph, where more agents also call more, twice the fleet costs an agent less than twice, from the start.
-func TestWhatVerdictsCostGrowsSlowerThanTheFleet(t *testing.T) {
+// In a drawn graph a larger fleet also has more calls per agent. Twice the fleet must cost an agent less than twice
+// as much, from the start.
+func TestEjectionCostGrowsSlowerThanTheFleet(t *testing.T) {
 	drawn := func(agents int) Phase {
 		g, err := DrawGraph(GraphSpec{Agents: agents, Seed: 3})
 		if err != nil {
@@ -66,7 +69,7 @@
 	}
 }
 
-func ofLimits(t *testing.T, members int) (holder, keeper Phase) {
+func limitLoad(t *testing.T, members int) (holder, keeper Phase) {
 	t.Helper()
 	l := Limits{Seed: 3, Members: members, Rate: 8, Marks: []time.Duration{5 * time.Second}, Length: 7 * time.Second}
 	h, k, _, err := l.Play()
@@ -76,19 +79,19 @@
 	return h[1], k[1]
 }
 
-func TestLimitsAreFlatForAHolderAndLinearForAKeeper(t *testing.T) {
-	h1, k1 := ofLimits(t, 20)
-	h2, k2 := ofLimits(t, 40)
+func TestLimitCostIsFlatForALeaseClientAndLinearForALeaseServer(t *testing.T) {
+	h1, k1 := limitLoad(t, 20)
+	h2, k2 := limitLoad(t, 40)
 	if r := h2.Out.Bytes / h1.Out.Bytes; r > 1.1 {
-		t.Errorf("a holder of 40 sends %.0f bytes a second, one of 20 %.0f", h2.Out.Bytes, h1.Out.Bytes)
+		t.Errorf("a lease client among 40 members sends %.0f bytes a second, one among 20 sends %.0f", h2.Out.Bytes, h1.Out.Bytes)
 	}
 	if r := k2.In.Bytes / k1.In.Bytes; r < 1.5 || r > 2.3 {
-		t.Errorf("a keeper of 40 takes %.0f bytes a second, one of 20 %.0f", k2.In.Bytes, k1.In.Bytes)
+		t.Errorf("a lease server for 40 members receives %.0f bytes a second, one for 20 receives %.0f", k2.In.Bytes, k1.In.Bytes)
 	}
 }
 
-func TestAKeeperAnswersHoldersOfAnyNumber(t *testing.T) {
+func TestALeaseServerAnswersAnyNumberOfClients(t *testing.T) {
 	if each, err := KeeperTime(20); err != nil || each <= 0 {
-		t.Errorf("a question takes %v, %v", each, err)
+		t.Errorf("a lease request takes %v, error %v", each, err)
 	}
 }
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -22,41 +22,43 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Sockets is members on loopback sockets, all in this process: the daemons' own carrier, with no daemon round it. It
-// plays starts, kills (a member that stops without a word) and ends of a plan, in real time.
+// Sockets runs members on loopback sockets, all in this process: the daemons' own transport without the rest of a
+// daemon. It applies the starts and kills (a member stops without notice) of a plan in real time, and stops all
+// members at the end.
 type Sockets struct {
 	Plan *plan.Plan
 	Seed uint64
-	Dir  string // where their last views are kept; it must be there
+	Dir  string // existing directory for the members' stored views
 }
 
-// socketsMost is the most that one process plays: each has two sockets, and a few goroutines.
-const socketsMost = 300
+// maxSocketMembers is how many members one process runs: each has two sockets and a few goroutines.
+const maxSocketMembers = 300
 
-type hollowMember struct {
-	n       int
-	tcp     *net.TCPAddr
-	udp     *net.UDPConn
-	ln      *net.TCPListener
-	c       *transport.Transport
-	end     context.CancelFunc
-	ended   chan struct{}
-	pid     int
-	said    *said
-	before  sent // of lives that have ended
-	told    sent
-	running bool
+type socketMember struct {
+	n        int
+	tcp      *net.TCPAddr
+	udp      *net.UDPConn
+	ln       *net.TCPListener
+	c        *transport.Transport
+	end      context.CancelFunc
+	done     chan struct{}
+	pid      int
+	events   *eventBuffer
+	earlier  sent // total of earlier runs of this member
+	reported sent
+	running  bool
 }
 
 type sent struct{ datagrams, bytes uint64 }
 
-// said is what a member writes of its own changes; one goroutine writes, another reads after its end.
-type said struct {
+// eventBuffer collects the event lines that a member writes. One goroutine writes, another reads after the member has
+// ended.
+type eventBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *said) Write(p []byte) (int, error) {
+func (s *eventBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
@@ -64,26 +66,26 @@
 
 type sockets struct {
 	s       *Sockets
-	members []*hollowMember
+	members []*socketMember
 	lines   []checker.Line
 	pids    int
 	seeds   []string
 }
 
-// Play plays it to its end, and is what happened, as a drill's lines: each life of a member has a number as its process.
-// CPUMS of Sent lines is this whole process's, of the first member alone.
+// Play runs the plan to its end and returns the history lines of a fault test. Each run of a member has a number in
+// place of a process ID. CPUMS is set in the Sent lines of the first member only, and covers this whole process.
 func (s *Sockets) Play(ctx context.Context) ([]checker.Line, error) {
-	if s.Plan.Daemons > socketsMost {
-		return nil, fmt.Errorf("%d members over sockets: up to %d in one process are allowed", s.Plan.Daemons, socketsMost)
+	if s.Plan.Daemons > maxSocketMembers {
+		return nil, fmt.Errorf("run %d members over sockets: at most %d are allowed in one process", s.Plan.Daemons, maxSocketMembers)
 	}
 	w := &sockets{s: s}
 	defer w.close()
 	block := byte(124 + rand.IntN(3))
 	for n := range s.Plan.Daemons {
-		m := &hollowMember{n: n, tcp: &net.TCPAddr{IP: net.IPv4(127, block, byte(1+n/250), byte(n%250+1))}}
+		m := &socketMember{n: n, tcp: &net.TCPAddr{IP: net.IPv4(127, block, byte(1+n/250), byte(n%250+1))}}
 		w.members = append(w.members, m)
 		if err := m.listen(); err != nil {
-			return nil, fmt.Errorf("sockets of member %d: %w", n, err)
+			return nil, fmt.Errorf("open sockets of member %d: %w", n, err)
 		}
 	}
 	for _, n := range s.Plan.Seeds {
@@ -92,8 +94,8 @@
 	return w.play(ctx)
 }
 
-// listen opens a member's sockets, at the port that it had before, if it had one.
-func (m *hollowMember) listen() (err error) {
+// listen opens a member's sockets, at its previous port if it had one.
+func (m *socketMember) listen() (err error) {
 	for range 20 { // a port that is free for TCP may not be for UDP
 		if m.ln, err = net.ListenTCP("tcp", m.tcp); err != nil {
 			continue
@@ -110,11 +112,11 @@
 
 func (w *sockets) play(ctx context.Context) ([]checker.Line, error) {
 	p := w.s.Plan
-	chance := rand.New(rand.NewPCG(w.s.Seed, 5))
+	rng := rand.New(rand.NewPCG(w.s.Seed, 5))
 	var todo []plan.Event
 	for n := range p.Daemons {
 		if p.First(n) {
-			todo = append(todo, plan.Event{At: time.Duration(chance.Float64() * float64(p.Spread)), Do: "start", Who: []int{n}})
+			todo = append(todo, plan.Event{At: time.Duration(rng.Float64() * float64(p.Spread)), Do: "start", Who: []int{n}})
 		}
 	}
 	todo = append(todo, p.Events...)
@@ -135,7 +137,7 @@
 			due.Stop()
 			return nil, ctx.Err()
 		case <-second.C:
-			w.tellSent()
+			w.recordSent()
 		case <-end.C:
 			due.Stop()
 			return w.collect()
@@ -146,7 +148,7 @@
 			e := todo[0]
 			todo = todo[1:]
 			for _, n := range e.Who {
-				if err := w.befall(ctx, e.Do, w.members[n]); err != nil {
+				if err := w.applyEvent(ctx, e.Do, w.members[n]); err != nil {
 					return nil, fmt.Errorf("at %v: %s of member %d: %w", e.At, e.Do, n, err)
 				}
 			}
@@ -155,24 +157,24 @@
 	}
 }
 
-func (w *sockets) befall(ctx context.Context, do string, m *hollowMember) error {
+func (w *sockets) applyEvent(ctx context.Context, do string, m *socketMember) error {
 	switch do {
 	case "start":
 		return w.start(ctx, m)
 	case "kill":
 		w.stop(m, "kill")
 	default:
-		return errors.New("no such thing befalls a hollow member")
+		return errors.New("event is not supported for lightweight members")
 	}
 	return nil
 }
 
-func (w *sockets) line(l checker.Line) {
+func (w *sockets) record(l checker.Line) {
 	l.T, l.Wall, l.By = cmp.Or(l.T, transport.MonotonicNanos()), time.Now().UnixMilli(), checker.FaultTest
 	w.lines = append(w.lines, l)
 }
 
-func (w *sockets) start(ctx context.Context, m *hollowMember) error {
+func (w *sockets) start(ctx context.Context, m *socketMember) error {
 	if m.running {
 		return nil
 	}
@@ -186,70 +188,70 @@
 		return err
 	}
 	p := w.s.Plan.Peers
-	m.said = &said{}
-	c, err := transport.New(transport.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.said,
-		Ejection: &ejection.Settings{}, EjectionsChanged: func([]ejection.Ejection, time.Time) {}, // as daemons have them, with no requests to judge by
+	m.events = &eventBuffer{}
+	c, err := transport.New(transport.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.events,
+		Ejection: &ejection.Settings{}, EjectionsChanged: func([]ejection.Ejection, time.Time) {}, // configured as in daemons, but without requests to observe
 		Membership: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Program: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
 			ProbeInterval: p.Every, ProbeTimeout: p.Direct, IndirectTimeout: p.Indirect, MinSuspicion: p.SuspectLeast, BytesPerSecond: p.Bytes, ConfiguredBalancers: 1}})
 	if err != nil {
 		return err
 	}
 	w.pids++
-	m.c, m.pid, m.running, m.ended = c, w.pids, true, make(chan struct{})
-	w.line(checker.Line{What: checker.Up, Of: plan.Name(m.n), PID: m.pid, Balancers: 1})
+	m.c, m.pid, m.running, m.done = c, w.pids, true, make(chan struct{})
+	w.record(checker.Line{What: checker.Up, Of: plan.Name(m.n), PID: m.pid, Balancers: 1})
 	run, cancel := context.WithCancel(ctx)
 	m.end = cancel
 	go func() {
-		defer close(m.ended)
-		_ = c.Run(run) // its end is this play's doing, or shows as silence
+		defer close(m.done)
+		_ = c.Run(run) // the member ends with its context; an earlier end shows in the history as a silent member
 	}()
 	return nil
 }
 
-// stop ends a member without a word.
-func (w *sockets) stop(m *hollowMember, why string) {
+// stop ends a member without notice to the others.
+func (w *sockets) stop(m *socketMember, why string) {
 	if !m.running {
 		return
 	}
-	w.line(checker.Line{What: checker.Down, Of: plan.Name(m.n), PID: m.pid, Why: why})
+	w.record(checker.Line{What: checker.Down, Of: plan.Name(m.n), PID: m.pid, Why: why})
 	m.end()
-	<-m.ended
+	<-m.done
 	d, b := m.c.Sent()
-	m.before.datagrams, m.before.bytes = m.before.datagrams+d, m.before.bytes+b
-	m.running, m.udp, m.ln = false, nil, nil // the carrier has closed them
-	w.take(m)
+	m.earlier.datagrams, m.earlier.bytes = m.earlier.datagrams+d, m.earlier.bytes+b
+	m.running, m.udp, m.ln = false, nil, nil // the transport has closed them
+	w.collectEvents(m)
 }
 
-// take reads what a life of a member has written.
-func (w *sockets) take(m *hollowMember) {
-	m.said.mu.Lock()
-	defer m.said.mu.Unlock()
-	all, _ := checker.Read(&m.said.buf) // a half line at the end of one that was stopped is not missed
+// collectEvents reads the event lines of a member's run.
+func (w *sockets) collectEvents(m *socketMember) {
+	m.events.mu.Lock()
+	defer m.events.mu.Unlock()
+	all, _ := checker.Read(&m.events.buf) // a partial last line of a stopped member is ignored
 	for _, l := range all {
 		l.PID = m.pid
 		w.lines = append(w.lines, l)
 	}
 }
 
-func (w *sockets) tellSent() {
+func (w *sockets) recordSent() {
 	for _, m := range w.members {
-		now := m.before
+		now := m.earlier
 		if m.running {
 			d, b := m.c.Sent()
 			now.datagrams, now.bytes = now.datagrams+d, now.bytes+b
 		}
-		l := checker.Line{What: checker.Sent, Of: plan.Name(m.n), PID: m.pid, Datagrams: int(now.datagrams - m.told.datagrams), Bytes: int(now.bytes - m.told.bytes)}
+		l := checker.Line{What: checker.Sent, Of: plan.Name(m.n), PID: m.pid, Datagrams: int(now.datagrams - m.reported.datagrams), Bytes: int(now.bytes - m.reported.bytes)}
 		if m.n == 0 {
 			l.CPUMS = int(processor().Milliseconds())
 		}
-		w.line(l)
-		m.told = now
+		w.record(l)
+		m.reported = now
 	}
 }
 
 func (w *sockets) collect() ([]checker.Line, error) {
 	w.close()
-	w.line(checker.Line{What: checker.End})
+	w.record(checker.Line{What: checker.End})
 	slices.SortStableFunc(w.lines, func(a, b checker.Line) int { return cmp.Compare(a.T, b.T) })
 	return w.lines, nil
 }
--- a/internal/faulttest/hollow/verdicts.go
+++ b/internal/faulttest/hollow/verdicts.go
@@ -11,32 +11,32 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Verdicts says what is played of what members share about servers. Each agent is a server as well, and sends to those
-// of the services that its own calls.
+// Verdicts configures a simulation of the ejection evidence that members share about servers. Each agent is a server
+// as well, and sends requests to the servers of the services that its own service calls.
 type Verdicts struct {
 	Seed    uint64
-	Fleet   string // its name; empty: Fleet
+	Fleet   string // name of the fleet; empty: Fleet
 	Layout  *topology.Layout
 	Graph   *Graph
 	Rate    float64 // requests a second of each agent
-	Error   float64 // share of all requests that fails on an ordinary day, by chance
+	Error   float64 // share of all requests that fail by chance while no server is faulty
 	Marks   []time.Duration
 	Length  time.Duration
 	Failing []Failing
 	Drains  []ejectionsim.Drain
 }
 
-// Failing is servers that fail a share of their requests for a while.
+// Failing describes servers that fail a share of their requests for a while.
 type Failing struct {
 	Servers    []int
 	Share      float64
 	Start, End time.Duration
 }
 
-// batch is how often the daemon's agents tell what they saw (internal/core).
-const batch = 50 * time.Millisecond
+// sampleInterval is how often the daemon's agents report their outcome samples (internal/core).
+const sampleInterval = 50 * time.Millisecond
 
-// Play plays it.
+// Play runs the simulation.
 func (v *Verdicts) Play() ([]Phase, *ejectionsim.Result, error) {
 	n := len(v.Graph.Of)
 	m := newMeter(n, v.Marks)
@@ -47,9 +47,9 @@
 			failing[s] = append(failing[s], f)
 		}
 	}
-	servers := make([][]int, len(v.Graph.Services)) // shared by the agents of a service
-	o := ejectionsim.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Duration: v.Length, ShareEvidence: true, LocalEjection: true, ErrorRate: v.Error, SampleInterval: batch,
-		OnSent: m.sent, OnReceived: m.took, MessageSize: func(from string, x *ejection.Message) int { return size(wire, from, x) },
+	servers := make([][]int, len(v.Graph.Services)) // by service; the agents of a service share one list
+	o := ejectionsim.Options{Seed: v.Seed, Agents: n, Servers: n, Rate: v.Rate, Duration: v.Length, ShareEvidence: true, LocalEjection: true, ErrorRate: v.Error, SampleInterval: sampleInterval,
+		OnSent: m.sent, OnReceived: m.received, MessageSize: func(from string, x *ejection.Message) int { return size(wire, from, x) },
 		ServersOf: func(agent int) []int {
 			k := v.Graph.Of[agent]
 			if servers[k] == nil {
@@ -67,20 +67,20 @@
 			return 0
 		},
 		LinkLoss: func(int, int, time.Duration) float64 { return 0 },
-		PeerPath: path(v.Layout),
+		PeerPath: peerPath(v.Layout),
 		Drains:   v.Drains}
 	if l := v.Layout; l != nil {
 		o.LocalityOf = func(n int) (string, string) { return l.RegionName(n), l.ZoneName(n) }
 	}
 	r, err := ejectionsim.Run(o)
 	if err != nil {
-		return nil, nil, fmt.Errorf("play the verdicts of %d members: %w", n, err)
+		return nil, nil, fmt.Errorf("simulate the ejections of %d members: %w", n, err)
 	}
 	return m.phases(v.Length, nil), r, nil
 }
 
-// path is what a layout adds to a message between two members.
-func path(l *topology.Layout) func(from, to int, now time.Duration) (float64, time.Duration) {
+// peerPath returns the loss and delay that a layout adds to a message between two members.
+func peerPath(l *topology.Layout) func(from, to int, now time.Duration) (float64, time.Duration) {
 	return func(from, to int, now time.Duration) (float64, time.Duration) {
 		if l == nil {
 			return 0, 0
@@ -93,7 +93,7 @@
 func size(wire transport.Wire, from string, x any) int {
 	data, err := wire.Marshal(from, x)
 	if err != nil {
-		panic(fmt.Sprintf("hollow: %T that cannot be written: %v", x, err)) // members' own messages
+		panic(fmt.Sprintf("hollow: encode %T: %v", x, err)) // the message comes from a member
 	}
 	return len(data)
 }
--- a/internal/faulttest/hollow/view.go
+++ b/internal/faulttest/hollow/view.go
@@ -1,6 +1,7 @@
-// Package hollow plays many members in one process: the very modules that daemons run (view, verdicts, limits) and
-// their encoding, in regions and zones, over a graph of services, in virtual time or over loopback sockets. What is
-// hollow is the rest of a daemon: no requests, no lists, no disks. tools/capacity measures slopes with it.
+// Package hollow simulates many lightweight members in one process: the modules that daemons run (membership view,
+// ejection, limits) and their encoding, in regions and zones, over a graph of services, in virtual time or over
+// loopback sockets. The rest of a daemon is left out: there are no requests, lists or disks. tools/capacity uses it
+// to measure how costs grow with the size of a fleet.
 package hollow
 
 import (
@@ -18,40 +19,41 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Fleet is the name of the hollow members' fleet, in each message: as long as a real one's may well be.
+// Fleet is the name of the lightweight members' fleet. Each message contains it, so it is about as long as a real name.
 const Fleet = "vetchhaven"
 
-// View says what is played of the view.
+// View configures a simulation of the membership view.
 type View struct {
 	Seed    uint64
 	Layout  *topology.Layout
 	Members int
-	Events  []plan.Event // what befalls members
+	Events  []plan.Event // what happens to members
 	Marks   []time.Duration
 	Length  time.Duration
 	Peers   plan.Peers
 	Workers int
-	// Each hears of each change, in order.
+	// Each is called for each change of a member's view, in order.
 	Each func(at time.Duration, member int, a membership.Action)
-	// Agreed is the last time from which all members that run had the same view, to the end; below 0: they differ at the end.
+	// Agreed is the time from which on all running members had the same view until the end; below 0: their views
+	// differ at the end.
 	Agreed time.Duration
 }
 
-// Phase is what a run cost an agent between two marks: means over agents and time, but where it says most.
+// Phase is what a run cost an agent between two marks: means over agents and time, except P99 and Most.
 type Phase struct {
 	From, To  time.Duration
 	Out, In   Rate
-	Processor float64 // share of a core: decisions, encoding, and the model; no system calls
+	Processor float64 // share of a core, for decisions, encoding and the model, but no system calls
 }
 
-// Rate is of messages one way.
+// Rate is the rate of messages in one direction.
 type Rate struct {
-	Bytes, Messages float64 // a second, the mean
-	P99             float64 // bytes a second, the mean over the phase of the agent that stands at 99 in 100
-	Most            uint64  // bytes in any one second of any agent
+	Bytes, Messages float64 // mean, a second
+	P99             float64 // bytes a second: of the agents' means over the phase, the one that 99 in 100 do not exceed
+	Most            uint64  // largest number of bytes in one second of any agent
 }
 
-// Play plays it, from a fleet that has known itself for long.
+// Play runs the simulation, starting from a fleet whose members all know each other.
 func (v *View) Play() ([]Phase, *virtual.Result, error) {
 	v.Agreed = -1
 	p := &plan.Plan{Name: "hollow", Daemons: v.Members, Zones: 1, Seeds: seeds(v.Layout, v.Members), Length: v.Length, Events: v.Events, Peers: v.Peers}
@@ -68,12 +70,12 @@
 	}
 	r, err := virtual.Play(p, o)
 	if err != nil {
-		return nil, nil, fmt.Errorf("play the view of %d members: %w", v.Members, err)
+		return nil, nil, fmt.Errorf("simulate the view of %d members: %w", v.Members, err)
 	}
 	return phases(v.Marks, v.Length, used, r.Loads, nil), r, nil
 }
 
-// Plus is p and so many times what another phase cost beyond a rest.
+// Plus returns p plus times the difference between the costs of the phases other and rest.
 func (p Phase) Plus(rest, other Phase, times float64) Phase {
 	more := func(r *Rate, rest, other Rate) {
 		r.Bytes += times * (other.Bytes - rest.Bytes)
@@ -87,7 +89,7 @@
 	return p
 }
 
-// Differ is how many different views there are at the end of a run.
+// Differ returns the number of different views at the end of a run.
 func Differ(r *virtual.Result) int {
 	all := map[uint64]bool{}
 	for _, v := range r.Views {
@@ -98,7 +100,7 @@
 	return len(all)
 }
 
-// seeds are two members of each region, by which those that restart find the fleet.
+// seeds returns two members of each region as the addresses by which restarted members find the fleet.
 func seeds(l *topology.Layout, members int) []int {
 	if l == nil {
 		return []int{0, min(1, members-1)}
@@ -127,7 +129,7 @@
 	return r
 }
 
-// processor is the processor time that this process has used.
+// processor returns the processor time that this process has used.
 func processor() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -136,7 +138,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Memory is what one member of a fleet holds on the heap, by a view that is made of records as they come off the wire.
+// Memory returns the heap size of one member's view of a fleet, built from records decoded from the wire format.
 func Memory(members int) (bytes uint64, err error) {
 	wire := transport.Wire{Fleet: Fleet}
 	x := &membership.Exchange{From: plan.Name(0)}
@@ -160,7 +162,7 @@
 		return 0, err
 	}
 	v.Step(0)
-	bytes = heap() - before + uint64(len(data)) // the records' own texts and numbers, which it goes on holding
+	bytes = heap() - before + uint64(len(data)) // the texts and numbers of the records, which the view keeps in memory
 	if got := len(v.Members()); got != members {
 		return 0, fmt.Errorf("a view of %d members holds %d", members, got)
 	}
@@ -170,7 +172,7 @@
 
 func heap() uint64 {
 	runtime.GC()
-	runtime.GC() // what pools held is free after the second
+	runtime.GC() // objects in sync.Pools are freed only by the second run
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
--- a/internal/faulttest/hollow/view_test.go
+++ b/internal/faulttest/hollow/view_test.go
@@ -28,7 +28,7 @@
 	for _, workers := range []int{1, 3} {
 		phases := rest(t, 10, 120*time.Millisecond, 7, workers)
 		for i := range phases {
-			phases[i].Processor = 0 // the machine's
+			phases[i].Processor = 0 // depends on the machine
 		}
 		if first == nil {
 			first = phases
@@ -37,11 +37,11 @@
 		}
 	}
 	if other := rest(t, 10, 120*time.Millisecond, 8, 1); other[1].Out == first[1].Out {
-		t.Error("another seed sent the very same")
+		t.Error("another seed sent the same bytes")
 	}
 }
 
-// At rest the view costs each member the same at any size: a double size may cost a tenth more.
+// At rest the view costs each member the same at any fleet size; a fleet of twice the size may cost a tenth more.
 func TestTheViewAtRestIsFlatInTheFleet(t *testing.T) {
 	small, large := rest(t, 30, 20*time.Millisecond, 1, 2)[1], rest(t, 60, 20*time.Millisecond, 1, 2)[1]
 	if r := large.Out.Bytes / small.Out.Bytes; r > 1.1 {
@@ -52,7 +52,8 @@
 	}
 }
 
-// What a member holds grows with those it knows, and no faster. Both sizes fill the same share of a map's tables, which grow by steps.
+// A member's memory grows linearly with the number of members that it knows. Both sizes fill the same share of a map's
+// tables, which grow in steps.
 func TestAViewsMemoryIsLinear(t *testing.T) {
 	small, err := Memory(800)
 	if err != nil {
@@ -67,8 +68,8 @@
 	}
 }
 
-// A few whole members beside the played rest cost what they cost among whole ones.
-func TestAFewWholeMembersCostWhatTheyCostInAWholeFleet(t *testing.T) {
+// A few complete members in a modelled fleet cost as much as in a fleet of complete members.
+func TestAFewCompleteMembersCostWhatTheyCostInACompleteFleet(t *testing.T) {
 	whole := rest(t, 60, 20*time.Millisecond, 1, 2)[1]
 	l, err := topology.New(topology.Spec{Members: 60, Regions: 5, Zones: 3, RTT: 20 * time.Millisecond, Seed: 1})
 	if err != nil {
@@ -81,23 +82,24 @@
 	for name, r := range map[string]float64{"bytes out": few[1].Out.Bytes / whole.Out.Bytes, "messages out": few[1].Out.Messages / whole.Out.Messages,
 		"bytes in": few[1].In.Bytes / whole.In.Bytes} {
 		if r < 0.85 || r > 1.15 {
-			t.Errorf("%s: %.2f of a whole fleet's", name, r)
+			t.Errorf("%s: %.2f of the value in a complete fleet", name, r)
 		}
 	}
 }
 
-// How far regions are from one another costs nothing at rest: probes of far members wait as long as their answers take.
+// The distance between regions adds no cost at rest: probes of remote members wait for as long as their answers take.
 func TestFarRegionsCostNoMoreAtRest(t *testing.T) {
 	near, far := rest(t, 30, 20*time.Millisecond, 1, 2)[1], rest(t, 30, 250*time.Millisecond, 1, 2)[1]
 	if r := far.Out.Bytes / near.Out.Bytes; r > 1.15 {
-		t.Errorf("250 ms there and back %.0f bytes a second each, 20 ms %.0f: %.2f times as much", far.Out.Bytes, near.Out.Bytes, r)
+		t.Errorf("with a round trip of 250 ms each member sends %.0f bytes a second, with 20 ms %.0f: %.2f times as much", far.Out.Bytes, near.Out.Bytes, r)
 	}
 	if r := far.Out.Messages / near.Out.Messages; r > 1.15 {
-		t.Errorf("250 ms there and back %.1f messages a second each, 20 ms %.1f", far.Out.Messages, near.Out.Messages)
+		t.Errorf("with a round trip of 250 ms each member sends %.1f messages a second, with 20 ms %.1f", far.Out.Messages, near.Out.Messages)
 	}
 }
 
-// Agreed is when the last of them learnt what befell another, and says where they don't agree at the end.
+// Agreed is the time at which the last member has the same view as the others, and is negative if views differ at the
+// end.
 func TestAgreedIsWhenTheLastHasTheSameView(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -106,7 +108,7 @@
 	}{
 		{"nothing befalls them", time.Hour, 6 * time.Second, 0, time.Second},
 		{"one dies, and time is enough", 2 * time.Second, 20 * time.Second, 3 * time.Second, 12 * time.Second},
-		{"one dies, and they do not know it yet", 2 * time.Second, 2500 * time.Millisecond, 0, time.Second}, // a suspect is not held for dead
+		{"one dies, and they do not know it yet", 2 * time.Second, 2500 * time.Millisecond, 0, time.Second}, // a suspected member is not yet considered dead
 	} {
 		l, err := topology.New(topology.Spec{Members: 12, Regions: 2, Zones: 1, RTT: 20 * time.Millisecond, Seed: 1})
 		if err != nil {
@@ -117,7 +119,7 @@
 			t.Fatal(err)
 		}
 		if v.Agreed < c.least || v.Agreed > c.most {
-			t.Errorf("%s: all have the same view from %v on, want %v to %v", c.name, v.Agreed, c.least, c.most)
+			t.Errorf("%s: all members have the same view from %v on, want %v to %v", c.name, v.Agreed, c.least, c.most)
 		}
 	}
 	l, err := topology.New(topology.Spec{Members: 12, Regions: 2, Zones: 1, RTT: 20 * time.Millisecond, Seed: 1})
@@ -127,6 +129,6 @@
 	l.CutOff(1, 0, time.Hour)
 	v := View{Seed: 1, Layout: l, Members: 12, Length: 25 * time.Second, Events: []plan.Event{{At: 2 * time.Second, Do: "kill", Who: []int{5}}, {At: 2 * time.Second, Do: "kill", Who: []int{6}}}}
 	if _, r, err := v.Play(); err != nil || v.Agreed >= 0 || Differ(r) < 2 {
-		t.Errorf("with a cut between them all have the same view from %v on, %d views, %v", v.Agreed, Differ(r), err)
+		t.Errorf("with a cut between the regions all members have the same view from %v on; %d views, error %v", v.Agreed, Differ(r), err)
 	}
 }
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -1,4 +1,5 @@
-// Package plan reads drills: which daemons there are, and what befalls them and the links between them, when.
+// Package plan reads the plan files of fault tests: the daemons, and the faults and other events that happen to them
+// and to the links between them, with their times.
 package plan
 
 import (
@@ -19,7 +20,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// Plan is a drill, checked whole.
+// Plan is a fault test, fully validated.
 type Plan struct {
 	Name     string
 	Daemons  int
@@ -30,32 +31,32 @@
 	Spread   time.Duration
 	Peers    Peers
 	Bounds   checker.Bounds
-	Link     Link     // of all links from the start
-	Regions  []string // of daemons by number; nil: there are none
-	Between  Link     // of all links between two regions from the start, in place of Link
+	Link     Link     // state of all links from the start
+	Regions  []string // region of each daemon by number; nil: there are no regions
+	Between  Link     // state of all links between two regions from the start, in place of Link
 	Events   []Event
-	Real     bool // it needs real processes: something in it has no model
+	Real     bool // needs real processes: something in the plan has no model
 	Why      string
-	Tries    []string // claims that it must put to the test
+	Tries    []string // claims that the run must exercise
 	Zones    int
-	Takes    time.Duration // a server needs so long for a request
+	Takes    time.Duration // how long a server works on a request
 	Limits   []Limit
 	Keepers  []int
 	Term     time.Duration
-	Policy   *Policy // nil: none is agreed on
-	Modelled bool    // only in virtual time
+	Policy   *Policy // nil: the daemons agree on no policy
+	Modelled bool    // runs in virtual time only
 }
 
-// Policy is how the daemons agree on what they decide by.
+// Policy is how the daemons agree on a policy.
 type Policy struct {
 	Voters        []int
 	Stops, Last   bool
 	Lease, Within time.Duration
 	Witness       bool
-	Holds         map[string][]int // by service: the daemons that serve it, and hold its part
+	Holds         map[string][]int // by service: the daemons that serve it and hold its part
 }
 
-// Of are the parts that a daemon holds, by name.
+// Of returns the names of the parts that a daemon holds, sorted.
 func (p *Policy) Of(daemon int) (all []string) {
 	for part, who := range p.Holds {
 		if slices.Contains(who, daemon) {
@@ -66,8 +67,7 @@
 	return all
 }
 
-// Limit is one that the daemons share, of all their requests. Late is by how much arrivals at servers may differ from
-// what was sent: a limit by the second is held to windows that are shorter by it.
+// Limit is a limit that the daemons share, over all their requests.
 type Limit struct {
 	Name   string
 	Counts quota.Kind
@@ -77,38 +77,38 @@
 	Each   bool // one for each server
 }
 
-// Settings are the limits as daemons have them.
+// Settings returns the limits as daemons are configured with them.
 func (p *Plan) Settings() lease.Settings {
 	s := lease.Settings{Term: p.Term, MaxAttemptTime: Deadline}
 	for _, k := range p.Keepers {
 		s.Servers = append(s.Servers, Name(k))
 	}
 	for _, l := range p.Limits {
-		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: each(l.Each)}, Total: l.Figure, Hard: l.Hard, FloorShare: l.Floor})
+		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: partition(l.Each)}, Total: l.Figure, Hard: l.Hard, FloorShare: l.Floor})
 	}
 	return s
 }
 
-func each(server bool) quota.Partition {
+func partition(server bool) quota.Partition {
 	if server {
 		return quota.PerServer
 	}
 	return quota.NotPartitioned
 }
 
-// Ramp is how long a server is cold after its start, as daemons have it.
-const Ramp = 15 * time.Second
+// RampTime is how long a server is cold after its start, as configured in the daemons.
+const RampTime = 15 * time.Second
 
-// Deadline is the classes'.
+// Deadline is the deadline of the classes.
 const Deadline = 2 * time.Second
 
-// Peers are the settings of the daemons' view; 0: the default.
+// Peers are the settings of the daemons' membership view; 0: the default.
 type Peers struct {
 	Every, Direct, Indirect, SuspectLeast time.Duration
 	Bytes, FarBytes                       int
 }
 
-// Region is a daemon's; empty where it is in none.
+// Region returns a daemon's region; empty if it is in none.
 func (p *Plan) Region(n int) string {
 	if n < len(p.Regions) {
 		return p.Regions[n]
@@ -116,7 +116,7 @@
 	return ""
 }
 
-// Usual is how the link from one to another is while nothing befalls it.
+// Usual returns the state of the link from one daemon to another while no event changes it.
 func (p *Plan) Usual(from, to int) Link {
 	if p.Region(from) != p.Region(to) {
 		return p.Between
@@ -124,26 +124,26 @@
 	return p.Link
 }
 
-// Link is how one direction of one pair is.
+// Link is the state of one direction between a pair of daemons.
 type Link struct {
 	Drop, Duplicate, Reorder, Damage float64 // shares of datagrams
 	Delay, Jitter                    time.Duration
-	Slow                             int  // bytes a second; 0: not slowed
+	Slow                             int  // bandwidth in bytes a second; 0: unlimited
 	Break                            bool // streams break after some bytes
 }
 
-// Way is what it adds one way in the mean, in microseconds.
+// Way returns the mean one-way delay that the link adds, in microseconds.
 func (l Link) Way() int64 { return (l.Delay + l.Jitter/2).Microseconds() }
 
-// Whole reports whether it does nothing.
+// Whole reports whether the link has no faults.
 func (l Link) Whole() bool { return l == Link{} }
 
-// Rough reports whether it does more than lose and delay.
+// Rough reports whether the link does more than drop and delay traffic.
 func (l Link) Rough() bool {
 	return l.Duplicate > 0 || l.Reorder > 0 || l.Damage > 0 || l.Slow > 0 || l.Break
 }
 
-// Event is something that happens to daemons or links.
+// Event is something that happens to daemons, servers or links.
 type Event struct {
 	At     time.Duration
 	Do     string
@@ -152,19 +152,19 @@
 	Both   bool
 	Link   Link
 	State  string        // of a start: kept, none, old, torn
-	Clock  time.Duration // of a start: its wall clock is off by so much
-	Share  float64       // of a starved daemon's core
-	Count  int           // of strays
-	Kind   string        // of strays
-	Build  string        // of a start: another program
+	Clock  time.Duration // of a start: offset of the daemon's wall clock
+	Share  float64       // of a starved daemon: its share of a core
+	Count  int           // of strays: how many
+	Kind   string        // of strays, disks and changes of policy
+	Build  string        // of a start: path of another executable
 	Move   bool          // of a start: at a new address
 	Twin   bool          // of a start: a second process with this daemon's name, at another address
-	For    time.Duration // of a starved daemon
+	For    time.Duration // of a starved daemon: duration
 	Rate   float64       // of clients: requests a second from now on
-	Fail   float64       // of a server's requests
+	Fail   float64       // share of a server's requests that fail
 	Names  []int         // servers by number, from 0
-	Remove string        // of voters: the one that goes
-	Parts  []string      // of a change of policy; none: what holds for all
+	Remove string        // of voters: the voter to remove
+	Parts  []string      // of a change of policy; empty: the common part
 }
 
 type file struct {
@@ -182,7 +182,7 @@
 	Keepers []string
 	Term    tomlfile.Duration
 	Limit   []limit
-	Policy  *agreement
+	Policy  *policySection
 	Groups  map[string][]string
 	Regions map[string][]string
 	Between *link
@@ -232,8 +232,8 @@
 	Each   string
 }
 
-// agreement is [policy] of a drill's file.
-type agreement struct {
+// policySection is the [policy] section of a plan file.
+type policySection struct {
 	Voters    []string
 	CutOff    string `toml:"cut_off"`
 	WhenAlone string `toml:"when_alone"`
@@ -268,8 +268,8 @@
 	link
 }
 
-// deeds are what an event may do, and which of its keys it may have besides at, do, every and times.
-var deeds = map[string][]string{
+// eventKeys maps each action of an event to the keys that it allows besides at, do, every and times.
+var eventKeys = map[string][]string{
 	"start":    {"who", "state", "clock", "build", "move", "twin"},
 	"kill":     {"who"},
 	"term":     {"who"},
@@ -277,30 +277,30 @@
 	"resume":   {"who"},
 	"starve":   {"who", "for", "share"},
 	"handover": {"who"},
-	"keep":     {"who"}, // its disk as it is now is what state = "old" starts with
+	"keep":     {"who"}, // copies the daemon's disk; a start with state = "old" uses the copy
 	"link":     {"who", "to", "one_way", "for", "drop", "duplicate", "reorder", "damage", "delay", "jitter", "slow", "break"},
 	"heal":     {"who", "to", "one_way"},
 	"list":     {"who", "for", "drop"},
-	"servers":  {"who", "for", "drop", "servers"}, // links of the first to servers, or to some of them
+	"servers":  {"who", "for", "drop", "servers"}, // the links of the daemons in who to all servers, or to those named
 	"fail":     {"servers", "fail", "for"},
-	"fresh":    {"servers"}, // the list says that they have just started: they are cold
+	"fresh":    {"servers"}, // the list reports that they have just started, so they are cold
 	"rate":     {"who", "rate"},
 	"stray":    {"who", "kind", "count"},
-	"forget":   {"who", "to"},                  // the operator of the first says that the others are gone
-	"apply":    {"who", "to", "kind", "parts"}, // the operator of the first asks for a change of policy, of these parts, without the others
+	"forget":   {"who", "to"},                  // the operator at who reports that the daemons in to are gone
+	"apply":    {"who", "to", "kind", "parts"}, // the operator at who proposes a change of the parts, without the daemons in to
 	"voters":   {"who", "to", "remove"},
 	"rescue":   {"who"},
 	"trust":    {"who"},
-	"disk":     {"who", "kind", "for"}, // full, slow or well; in virtual time
+	"disk":     {"who", "kind", "for"}, // full, slow or well; in virtual time only
 }
 
-// Strays are the datagrams that come out of nowhere.
-var Strays = []string{"damaged", "doubled", "old", "foreign", "future", "huge"}
+// StrayKinds are the kinds of unexpected datagrams that a stray event sends.
+var StrayKinds = []string{"damaged", "doubled", "old", "foreign", "future", "huge"}
 
-// DaemonsMost is how many real processes a drill may have.
-const DaemonsMost = 64
+// MaxRealDaemons is how many real processes a fault test may have.
+const MaxRealDaemons = 64
 
-// Load reads and checks the file at path.
+// Load reads and validates the plan file at path.
 func Load(path string) (*Plan, error) {
 	var f file
 	t, err := tomlfile.Read(path, &f)
@@ -324,7 +324,7 @@
 	}
 }
 
-func (r *reader) span(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
+func (r *reader) duration(key string, d tomlfile.Duration, instead time.Duration) time.Duration {
 	if d.D() < 0 {
 		r.fail(key, "%v is negative", d)
 	}
@@ -333,7 +333,7 @@
 
 func (r *reader) share(key string, v float64) {
 	if !(v >= 0 && v <= 1) {
-		r.fail(key, "%v is no share: 0 to 1 is allowed", v)
+		r.fail(key, "%v is not a share: 0 to 1 is allowed", v)
 	}
 }
 
@@ -346,13 +346,13 @@
 		r.fail(at+"slow", "%d is negative", l.Slow)
 	}
 	return Link{Drop: l.Drop, Duplicate: l.Duplicate, Reorder: l.Reorder, Damage: l.Damage, Slow: l.Slow, Break: l.Break,
-		Delay: r.span(at+"delay", l.Delay, 0), Jitter: r.span(at+"jitter", l.Jitter, 0)}
+		Delay: r.duration(at+"delay", l.Delay, 0), Jitter: r.duration(at+"jitter", l.Jitter, 0)}
 }
 
-var oneOf = regexp.MustCompile(`^d([0-9]+)(?:-d([0-9]+))?$`)
+var daemonRange = regexp.MustCompile(`^d([0-9]+)(?:-d([0-9]+))?$`)
 
-// who reads "d3", "d2-d5", "all" and groups.
-func (r *reader) who(key string, names []string) []int {
+// daemons returns the daemons named by "d3", "d2-d5", "all" and groups.
+func (r *reader) daemons(key string, names []string) []int {
 	in := make([]bool, r.p.Daemons)
 	var add func(names []string, deep bool)
 	add = func(names []string, deep bool) {
@@ -371,7 +371,7 @@
 				add(group, true)
 				continue
 			}
-			m := oneOf.FindStringSubmatch(n)
+			m := daemonRange.FindStringSubmatch(n)
 			if m == nil {
 				r.fail(key, "%q: d1 to d%d, ranges such as d2-d5, all, or a group are allowed", n, r.p.Daemons)
 				return
@@ -379,7 +379,7 @@
 			from, _ := strconv.Atoi(m[1])
 			to, _ := strconv.Atoi(cmp.Or(m[2], m[1]))
 			if from < 1 || to > r.p.Daemons || to < from {
-				r.fail(key, "%q: there are d1 to d%d", n, r.p.Daemons)
+				r.fail(key, "%q is not a daemon of this plan, which has d1 to d%d", n, r.p.Daemons)
 				return
 			}
 			for i := from; i <= to; i++ {
@@ -401,44 +401,44 @@
 	p := &Plan{Name: f.Name, Why: f.Why, Tries: f.Tries, Daemons: f.Daemons, Servers: f.Servers, Rate: f.Rate, Zones: cmp.Or(f.Zones, 1)}
 	r := &reader{File: t, f: f, p: p}
 	if f.Daemons < 1 || f.Daemons > 5000 {
-		return nil, t.Errorf("daemons", "%d: 1 to 5000 are allowed, and up to %d as real processes", f.Daemons, DaemonsMost)
+		return nil, t.Errorf("daemons", "%d: 1 to 5000 are allowed, and up to %d as real processes", f.Daemons, MaxRealDaemons)
 	}
 	if f.Servers < 0 || f.Servers > 100 || !(f.Rate >= 0 && f.Rate <= 10000) || f.Zones < 0 || f.Zones > 16 {
 		r.fail("servers", "%d servers, rate %v, zones %d: up to 100, 10000 and 16 are allowed", f.Servers, f.Rate, f.Zones)
 	}
 	if f.Rate > 0 && f.Servers == 0 {
-		r.fail("rate", "%v requests a second and no servers", f.Rate)
+		r.fail("rate", "%v requests a second but no servers", f.Rate)
 	}
-	p.Length = r.span("length", f.Length, 30*time.Second)
-	p.Spread = r.span("spread", f.Spread, 0)
-	p.Peers = Peers{Every: r.span("peers.every", f.Peers.Every, 0), Direct: r.span("peers.direct", f.Peers.Direct, 0),
-		Indirect: r.span("peers.indirect", f.Peers.Indirect, 0), SuspectLeast: r.span("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
+	p.Length = r.duration("length", f.Length, 30*time.Second)
+	p.Spread = r.duration("spread", f.Spread, 0)
+	p.Peers = Peers{Every: r.duration("peers.every", f.Peers.Every, 0), Direct: r.duration("peers.direct", f.Peers.Direct, 0),
+		Indirect: r.duration("peers.indirect", f.Peers.Indirect, 0), SuspectLeast: r.duration("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
 	b := &f.Bounds
-	p.Bounds = checker.Bounds{Crash: r.span("bounds.crash", b.Crash, 8*time.Second), Leave: r.span("bounds.leave", b.Leave, 2*time.Second),
-		Join: r.span("bounds.join", b.Join, 5*time.Second), Settle: r.span("bounds.settle", b.Settle, 10*time.Second),
-		Pause: r.span("bounds.pause", b.Pause, 1500*time.Millisecond), MinServed: cmp.Or(b.Served, 0.99),
-		MaxIdleBytes: cmp.Or(b.BytesIdle, 2<<10), MaxBytes: cmp.Or(b.BytesMost, 80<<10), MaxRemoteBytes: cmp.Or(b.BytesFar, 20<<10), RoundTrips: b.Ways, MaxSuspicion: r.span("bounds.doubt", b.Doubt, 0), MinLimitUse: cmp.Or(b.Used, 0.8),
-		PolicySpread: r.span("bounds.spread", b.Spread, 500*time.Millisecond), Ejection: r.span("bounds.verdict", b.Verdict, 5*time.Second), MaxEjectedShare: cmp.Or(b.Kept, 0.25)}
+	p.Bounds = checker.Bounds{Crash: r.duration("bounds.crash", b.Crash, 8*time.Second), Leave: r.duration("bounds.leave", b.Leave, 2*time.Second),
+		Join: r.duration("bounds.join", b.Join, 5*time.Second), Settle: r.duration("bounds.settle", b.Settle, 10*time.Second),
+		Pause: r.duration("bounds.pause", b.Pause, 1500*time.Millisecond), MinServed: cmp.Or(b.Served, 0.99),
+		MaxIdleBytes: cmp.Or(b.BytesIdle, 2<<10), MaxBytes: cmp.Or(b.BytesMost, 80<<10), MaxRemoteBytes: cmp.Or(b.BytesFar, 20<<10), RoundTrips: b.Ways, MaxSuspicion: r.duration("bounds.doubt", b.Doubt, 0), MinLimitUse: cmp.Or(b.Used, 0.8),
+		PolicySpread: r.duration("bounds.spread", b.Spread, 500*time.Millisecond), Ejection: r.duration("bounds.verdict", b.Verdict, 5*time.Second), MaxEjectedShare: cmp.Or(b.Kept, 0.25)}
 	r.share("bounds.served", b.Served)
 	p.Link = r.link("link.", &f.Link)
 	r.regions(f)
-	p.Takes, p.Term = r.span("takes", f.Takes, 5*time.Millisecond), r.span("term", f.Term, lease.DefaultTerm)
+	p.Takes, p.Term = r.duration("takes", f.Takes, 5*time.Millisecond), r.duration("term", f.Term, lease.DefaultTerm)
 	r.limits(f)
 	r.policy(f)
 	if f.Seeds == nil {
 		f.Seeds = []string{"d1", "d" + strconv.Itoa(min(2, f.Daemons))}
 	}
-	p.Seeds = r.who("seeds", f.Seeds)
+	p.Seeds = r.daemons("seeds", f.Seeds)
 	for i, c := range f.Tries {
 		if !slices.Contains(checker.Names, c) {
 			r.fail(fmt.Sprintf("tries[%d]", i), "%q is none of %s", c, strings.Join(checker.Names, ", "))
 		}
 	}
 	for name, members := range f.Groups {
-		if oneOf.MatchString(name) || name == "all" {
-			r.fail("groups."+name, "a daemon has this name")
+		if daemonRange.MatchString(name) || name == "all" {
+			r.fail("groups."+name, "the name is reserved for daemons")
 		}
-		r.who("groups."+name, members)
+		r.daemons("groups."+name, members)
 	}
 	for i := range f.Event {
 		r.event(fmt.Sprintf("event[%d].", i), &f.Event[i])
@@ -450,13 +450,13 @@
 	return p, nil
 }
 
-// regions reads where the daemons stand. A region is a group as well.
+// regions reads the daemons' regions. A region can be used as a group as well.
 func (r *reader) regions(f *file) {
 	if r.p.Between = r.p.Link; f.Between != nil {
 		r.p.Between = r.link("between.", f.Between)
 	}
 	if f.Between != nil && (len(f.Regions) == 0 || f.Policy != nil) {
-		r.fail("between", "it needs [regions], and goes with no [policy]")
+		r.fail("between", "[between] needs [regions] and cannot be combined with [policy]")
 	}
 	if len(f.Regions) == 0 {
 		return
@@ -469,25 +469,25 @@
 	slices.Sort(names)
 	for _, name := range names {
 		at := "regions." + name
-		if _, ok := f.Groups[name]; ok || oneOf.MatchString(name) || name == "all" || len(name) > 64 {
-			r.fail(at, "a group or a daemon has this name, or it is longer than 64")
+		if _, ok := f.Groups[name]; ok || daemonRange.MatchString(name) || name == "all" || len(name) > 64 {
+			r.fail(at, "a group or a daemon has this name, or the name is longer than 64 bytes")
 		}
-		for _, n := range r.who(at, f.Regions[name]) {
+		for _, n := range r.daemons(at, f.Regions[name]) {
 			if r.p.Regions[n] != "" {
-				r.fail(at, "%s is in %s", Name(n), r.p.Regions[n])
+				r.fail(at, "%s is already in region %s", Name(n), r.p.Regions[n])
 			}
 			r.p.Regions[n] = name
 		}
 	}
 }
 
-// policy reads how the daemons agree on a policy.
+// policy reads the [policy] section.
 func (r *reader) policy(f *file) {
 	in := f.Policy
 	if in == nil {
 		return
 	}
-	p := &Policy{Voters: r.who("policy.voters", in.Voters), Lease: r.span("policy.lease", in.Lease, policy.DefaultLease), Within: r.span("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
+	p := &Policy{Voters: r.daemons("policy.voters", in.Voters), Lease: r.duration("policy.lease", in.Lease, policy.DefaultLease), Within: r.duration("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
 	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		r.fail("policy.voters", "%d voters: 1, 3 or 5 are allowed", n)
 	}
@@ -499,24 +499,24 @@
 	}
 	for _, part := range slices.Sorted(maps.Keys(in.Holds)) {
 		if part == "" || strings.ContainsAny(part, " /-") {
-			r.fail("policy.holds", "%q: a service's name has no spaces, slashes or dashes", part)
+			r.fail("policy.holds", "%q: a service name must not be empty or contain spaces, slashes or dashes", part)
 		}
 		if p.Holds == nil {
 			p.Holds = map[string][]int{}
 		}
-		p.Holds[part] = r.who("policy.holds."+part, in.Holds[part])
+		p.Holds[part] = r.daemons("policy.holds."+part, in.Holds[part])
 	}
 	r.p.Policy = p
 }
 
-// limits reads what the daemons share.
+// limits reads the limits that the daemons share.
 func (r *reader) limits(f *file) {
-	r.p.Keepers = r.who("keepers", f.Keepers)
+	r.p.Keepers = r.daemons("keepers", f.Keepers)
 	for i, l := range f.Limit {
 		at := fmt.Sprintf("limit[%d].", i)
 		counts := slices.Index(quota.KindNames, l.Counts)
 		if l.Each != "" && l.Each != "server" {
-			r.fail(at+"each", "%q: server is allowed, or nothing", l.Each)
+			r.fail(at+"each", "%q: only server is allowed, or no value", l.Each)
 		}
 		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.Keepers) == 0 {
 			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(quota.KindNames, ", "))
@@ -533,10 +533,10 @@
 }
 
 func (r *reader) event(at string, e *event) {
-	allowed, ok := deeds[e.Do]
+	allowed, ok := eventKeys[e.Do]
 	if !ok {
 		var all []string
-		for d := range deeds {
+		for d := range eventKeys {
 			all = append(all, d)
 		}
 		slices.Sort(all)
@@ -546,27 +546,27 @@
 	for _, key := range []string{"who", "to", "one_way", "for", "state", "clock", "share", "count", "kind", "build", "move", "twin", "rate", "fail", "servers", "remove", "parts", "drop",
 		"duplicate", "reorder", "damage", "delay", "jitter", "slow", "break"} {
 		if r.Has(at+key) && !slices.Contains(allowed, key) {
-			r.fail(at+key, "%s does not know this key", e.Do)
+			r.fail(at+key, "action %s does not allow this key", e.Do)
 		}
 	}
-	ev := Event{At: r.span(at+"at", e.At, 0), Do: e.Do, Who: r.who(at+"who", e.Who), To: r.who(at+"to", e.To), Both: !e.One,
+	ev := Event{At: r.duration(at+"at", e.At, 0), Do: e.Do, Who: r.daemons(at+"who", e.Who), To: r.daemons(at+"to", e.To), Both: !e.One,
 		State: cmp.Or(e.State, "kept"), Clock: e.Clock.D(), Share: e.Share, Count: cmp.Or(e.Count, 20), Kind: e.Kind, Build: e.Build, Move: e.Move, Twin: e.Twin, For: e.For.D(), Rate: e.Rate, Fail: e.Fail, Remove: e.Remove, Parts: e.Parts}
 	for _, n := range e.Names {
 		k, err := strconv.Atoi(strings.TrimPrefix(n, "s"))
 		if err != nil || k < 1 || k > r.p.Servers || n[0] != 's' {
-			r.fail(at+"servers", "%q: s1 to s%d are there", n, r.p.Servers)
+			r.fail(at+"servers", "%q is not a server of this plan, which has s1 to s%d", n, r.p.Servers)
 		}
 		ev.Names = append(ev.Names, k-1)
 	}
 	ev.Link = r.link(at, &e.link)
 	if len(ev.Who) == 0 && !(e.Do == "heal" && e.Who == nil) && e.Do != "fail" && e.Do != "fresh" {
-		r.fail(at+"who", "nobody is named")
+		r.fail(at+"who", "no daemon is named")
 	}
 	r.share(at+"share", e.Share)
 	switch e.Do {
 	case "link":
 		if len(ev.To) == 0 {
-			r.fail(at+"to", "nobody is named")
+			r.fail(at+"to", "no daemon is named")
 		}
 	case "start":
 		if !slices.Contains([]string{"kept", "none", "old", "torn"}, ev.State) {
@@ -574,16 +574,16 @@
 		}
 	case "starve":
 		if e.Share <= 0 || e.Share >= 1 || e.For.D() <= 0 {
-			r.fail(at+"share", "%v: a share between 0 and 1 is needed, and for how long", e.Share)
+			r.fail(at+"share", "%v: a share between 0 and 1 and a duration are needed", e.Share)
 		}
 	case "apply", "voters", "rescue", "trust":
 		if r.p.Policy == nil {
-			r.fail(at+"do", "%s: there is no [policy]", e.Do)
+			r.fail(at+"do", "%s: the plan has no [policy]", e.Do)
 			break
 		}
 		for _, part := range e.Parts {
 			if part != "" && r.p.Policy.Holds[part] == nil {
-				r.fail(at+"parts", "%q is none of policy.holds", part)
+				r.fail(at+"parts", "%q is not in policy.holds", part)
 			}
 		}
 	case "disk":
@@ -592,23 +592,23 @@
 		}
 		r.p.Modelled = true
 	case "stray":
-		if !slices.Contains(Strays, e.Kind) {
-			r.fail(at+"kind", "%q is none of %s", e.Kind, strings.Join(Strays, ", "))
+		if !slices.Contains(StrayKinds, e.Kind) {
+			r.fail(at+"kind", "%q is none of %s", e.Kind, strings.Join(StrayKinds, ", "))
 		}
 		r.p.Real = true
 	case "fresh":
 		if len(ev.Names) == 0 {
-			r.fail(at+"servers", "none is named")
+			r.fail(at+"servers", "no server is named")
 		}
 		r.p.Real = true
 	case "fail":
 		if len(ev.Names) == 0 || !(e.Fail >= 0 && e.Fail <= 1) {
-			r.fail(at+"fail", "%v: a share from 0 to 1 is needed, and servers", e.Fail)
+			r.fail(at+"fail", "%v: a share from 0 to 1 and servers are needed", e.Fail)
 		}
 		r.p.Real = true
 	case "rate":
 		if !(e.Rate >= 0 && e.Rate <= 10000) || r.p.Rate == 0 {
-			r.fail(at+"rate", "%v: up to 10000 are allowed, where there are clients from the start", e.Rate)
+			r.fail(at+"rate", "%v: up to 10000 are allowed, and only if rate is set for the whole plan", e.Rate)
 		}
 		r.p.Real = true
 	case "list", "servers", "handover":
@@ -618,14 +618,14 @@
 		r.p.Real = true
 	}
 	if e.Times < 0 || e.Times > 1000 || e.Times > 1 && e.Every.D() <= 0 {
-		r.fail(at+"times", "%d: up to 1000 are allowed, each every so long", e.Times)
+		r.fail(at+"times", "%d: up to 1000 are allowed, and every must be set", e.Times)
 	}
 	undo := map[string]string{"pause": "resume", "link": "heal", "list": "list", "servers": "servers", "fail": "fail", "disk": "disk"}
 	for n := range max(1, e.Times) {
 		one := ev
 		one.At += time.Duration(n) * e.Every.D()
 		if one.At > r.p.Length {
-			r.fail(at+"at", "%v is past the end at %v", one.At, r.p.Length)
+			r.fail(at+"at", "%v is past the end of the plan at %v", one.At, r.p.Length)
 		}
 		r.p.Events = append(r.p.Events, one)
 		if back := undo[e.Do]; e.For.D() > 0 && back != "" {
@@ -637,7 +637,7 @@
 	}
 }
 
-// First is whether a daemon starts at the beginning: its first event is not its start.
+// First reports whether a daemon runs from the beginning, that is, whether its first event is not its own start.
 func (p *Plan) First(n int) bool {
 	for _, e := range p.Events {
 		if slices.Contains(e.Who, n) && slices.Contains([]string{"start", "kill", "term", "pause"}, e.Do) {
@@ -647,5 +647,5 @@
 	return true
 }
 
-// Name is a daemon's.
+// Name returns the name of daemon n.
 func Name(n int) string { return "d" + strconv.Itoa(n+1) }
--- a/internal/faulttest/plan/plan_test.go
+++ b/internal/faulttest/plan/plan_test.go
@@ -36,7 +36,7 @@
 		"daemons = 3\n[[event]]\nat = \"1s\"\ndo = \"kill\"\nwho = [\"d1\"]\ntimes = 3":                 "event[0].times",
 	} {
 		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %s", text, err, want)
+			t.Errorf("%q: got %v, want %s", text, err, want)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		t.Error(s)
 	}
 	if p.First(3) || !p.First(0) {
-		t.Error("who starts at the beginning is not as its first event says")
+		t.Error("First: d4 must start with its event and d1 at the beginning")
 	}
 	if p.Bounds.Settle != 10*time.Second || len(p.Events[1].To) != 2 {
 		t.Error(p.Bounds, p.Events[1])
--- a/internal/faulttest/soak/check/check.go
+++ b/internal/faulttest/soak/check/check.go
@@ -8,69 +8,69 @@
 	"time"
 )
 
-// Invariant names what must hold.
+// Invariant is the name of a property that must hold.
 type Invariant string
 
-// The invariants, each with the term that it holds.
+// The invariants and their meaning.
 const (
-	OneAnswer              Invariant = "one_answer"           // each request read has one final answer, in time
-	OwnAnswer              Invariant = "own_answer"           // a served answer is one that a server made for this request
-	NothingAfterAnswer     Invariant = "nothing_after_answer" // nothing is sent for a request behind its final answer
-	NothingAfterDisconnect Invariant = "nothing_for_left"     // no attempt begins over 0.1 s after its client has left
-	EffectOnce             Invariant = "effect_once"          // a request that is not idempotent runs once
-	KeyedScope             Invariant = "keyed_scope"          // a keyed repeat keeps to its scope and window
-	RefusalNoEffect        Invariant = "refusal_no_effect"    // what was refused has not run
-	NothingToWithdrawn     Invariant = "nothing_to_withdrawn" // nothing new to a server past the grace after its withdrawal was told
-	SlowStartBudget        Invariant = "slow_start_budget"    // a cold server gets no more than it stands, of all agents
-	DeadlinePassedOn       Invariant = "deadline_passed_on"   // the deadline told to a server is at most what the client has left
-	StalledAnswered        Invariant = "stalled_answered"     // a client that stops within a request gets its error or close
-	CleanStop              Invariant = "clean_stop"           // a process ends by a signal alone, in time, with status 0
-	ReadyInTime            Invariant = "ready_in_time"        // a process that was started takes clients
-	NoGuardViolation       Invariant = "no_guard_violation"   // no guard of the program counted a violation
-	ConnectedIsRead        Invariant = "connected_is_read"    // a process that serves, or ended less than 0.4 s ago, takes connections
-	NothingBehind          Invariant = "nothing_behind"       // no message follows a Notice of Disconnection
+	OneAnswer              Invariant = "one_answer"           // each request that was read has exactly one final answer, in time
+	OwnAnswer              Invariant = "own_answer"           // a served answer was produced by a server for this request
+	NothingAfterAnswer     Invariant = "nothing_after_answer" // nothing is sent for a request after its final answer
+	NothingAfterDisconnect Invariant = "nothing_for_left"     // no attempt begins more than 0.1 s after its client has disconnected
+	EffectOnce             Invariant = "effect_once"          // a non-idempotent request runs once
+	KeyedScope             Invariant = "keyed_scope"          // a retry with a key stays within its deduplication scope and window
+	RefusalNoEffect        Invariant = "refusal_no_effect"    // a refused request has not run
+	NothingToWithdrawn     Invariant = "nothing_to_withdrawn" // no attempt begins after the drain grace of a withdrawn server
+	SlowStartBudget        Invariant = "slow_start_budget"    // all agents together respect the capacity of a cold server
+	DeadlinePassedOn       Invariant = "deadline_passed_on"   // the remaining time sent to a server is at most the client's
+	StalledAnswered        Invariant = "stalled_answered"     // a client that stalls within a request gets an error or a close
+	CleanStop              Invariant = "clean_stop"           // a process ends only after a signal, in time and with status 0
+	ReadyInTime            Invariant = "ready_in_time"        // a started process becomes ready in time
+	NoGuardViolation       Invariant = "no_guard_violation"   // no invariant check inside the program reported a violation
+	ConnectedIsRead        Invariant = "connected_is_read"    // connections are accepted until 0.4 s after SIGTERM
+	NothingAfterNotice     Invariant = "nothing_behind"       // no message follows a Notice of Disconnection
 )
 
-// What is counted besides, under the same heading of a report.
+// Counts of events that are not invariants; reports list them under the same heading.
 const (
 	DirectoryRequests Invariant = "ldap_requests"
-	FirstRequests     Invariant = "ldap_first_requests" // of their connections
-	SentInDrain       Invariant = "sent_in_drain"       // requests of any protocol between SIGTERM and the process's end
-	MadeInDrain       Invariant = "made_in_drain"       // connections
+	FirstRequests     Invariant = "ldap_first_requests" // LDAP requests that are the first of their connection
+	SentInDrain       Invariant = "sent_in_drain"       // requests of any protocol sent between SIGTERM and the process's exit
+	MadeInDrain       Invariant = "made_in_drain"       // connections made between SIGTERM and the process's exit
 	Crowds            Invariant = "crowds"
 )
 
-// Counts are all that is counted besides.
+// Counts are all counts that are not invariants.
 var Counts = []Invariant{DirectoryRequests, FirstRequests, SentInDrain, MadeInDrain, Crowds}
 
-// Invariants are all of them, in the order of reports.
+// Invariants are all invariants, in the order of reports.
 var Invariants = []Invariant{OneAnswer, OwnAnswer, NothingAfterAnswer, NothingAfterDisconnect, EffectOnce, KeyedScope, RefusalNoEffect,
 	NothingToWithdrawn, SlowStartBudget, DeadlinePassedOn, StalledAnswered, CleanStop, ReadyInTime, NoGuardViolation,
-	ConnectedIsRead, NothingBehind}
+	ConnectedIsRead, NothingAfterNotice}
 
-// Rules are the figures by which a history is checked.
+// Rules are the parameters of a check.
 type Rules struct {
-	Slack                   time.Duration // by which recorded times may be off on a busy machine
-	HoldUp                  time.Duration // for which a process may stand still between a look and its act; 0: nothing holds it up
-	MaxLateAnswer           time.Duration // a final answer may come so long after the deadline; later it is lost
-	MaxStartAfterDisconnect time.Duration // an attempt may begin so long after its client has left
-	MaxStallTime            time.Duration // a stalled client has its error or close by then
-	MaxStopTime             time.Duration // after SIGTERM
-	MinAcceptTime           time.Duration // after SIGTERM connections are taken for so long
-	MinStartTime            time.Duration // a process that gets SIGTERM sooner after its start may end by the signal
+	Slack                   time.Duration // by how much recorded times may be off on a busy machine
+	MaxPause                time.Duration // longest pause of a process between a check and its action; 0: none
+	MaxLateAnswer           time.Duration // a final answer may come this long after the deadline; a later one counts as missing
+	MaxStartAfterDisconnect time.Duration // an attempt may begin this long after its client has disconnected
+	MaxStallTime            time.Duration // a stalled client gets its error or close within this time
+	MaxStopTime             time.Duration // a process may take this long to exit after SIGTERM
+	MinAcceptTime           time.Duration // a process accepts connections for this long after SIGTERM
+	MinStartTime            time.Duration // a process that gets SIGTERM sooner after its start may be terminated by the signal
 	MaxReadyTime            time.Duration
 	DrainGrace              time.Duration
-	DeadlineOver            time.Duration // the deadline passed on may exceed what is left by so much
+	DeadlineOver            time.Duration // the remaining time passed on may exceed the client's by this much
 	Classes                 map[string]ClassRules
-	Zones                   map[string]string // of servers
-	ColdShare               float64           // of a server's capacity at its start
+	Zones                   map[string]string // zone of each server
+	ColdShare               float64           // share of a server's capacity at its start
 	RampTime                time.Duration
 	FallMultiple            float64
 	FallWindow              time.Duration
-	Capacity                float64 // of a warm server, requests a second
+	Capacity                float64 // requests a second of a warm server
 }
 
-// Effect is what a repeat of a request does.
+// Effect says how a request may be retried.
 type Effect int
 
 // Effects.
@@ -80,14 +80,14 @@
 	Once
 )
 
-// ClassRules are a class's.
+// ClassRules are the rules of a class.
 type ClassRules struct {
 	Effect Effect
-	Window time.Duration // of Keyed
-	Zone   bool          // of Keyed: the scope is the first attempt's zone; else all servers
+	Window time.Duration // deduplication window of a Keyed class
+	Zone   bool          // of a Keyed class: the deduplication scope is the first attempt's zone; otherwise all servers
 }
 
-// Violation is an invariant that did not hold, with what shows it.
+// Violation is a violated invariant, with the evidence.
 type Violation struct {
 	Invariant Invariant     `json:"invariant"`
 	At        time.Duration `json:"at"`
@@ -101,23 +101,23 @@
 	return fmt.Sprintf("%s at %.3f s: agent %d request %q server %q: %s", v.Invariant, v.At.Seconds(), v.Agent, v.Request, v.Server, v.Text)
 }
 
-// Report is what a checker found, and how often each invariant was at stake.
+// Report is the result of a check, with how often each invariant was exercised.
 type Report struct {
 	Violations []Violation       `json:"violations"`
 	Exercised  map[Invariant]int `json:"exercised"`
 }
 
-// checker gathers what belongs together.
+// checker groups the events of a history by request, agent and server.
 type checker struct {
 	rules    Rules
 	report   Report
 	requests map[string]*requestHistory
-	agents   map[int][]Event // of processes, in order
+	agents   map[int][]Event // events of the agents' processes, in order
 	notified map[notificationKey][]Event
-	arrivals map[string][]Event // by server's process
+	arrivals map[string][]Event // by process of a server
 	starts   map[string]time.Duration
 
-	crowds      map[int][]Event // of agents
+	crowds      map[int][]Event // by agent
 	connections []Event
 }
 
@@ -126,7 +126,7 @@
 	server string
 }
 
-// requestHistory is what happened to one request.
+// requestHistory holds the events of one request.
 type requestHistory struct {
 	sent     Event
 	resent   bool
@@ -136,7 +136,7 @@
 	arrivals []Event
 }
 
-// Check reads a history.
+// Check checks a history against the rules.
 func Check(rules Rules, history []Event) Report {
 	c := &checker{rules: rules, report: Report{Exercised: map[Invariant]int{}}, requests: map[string]*requestHistory{}, agents: map[int][]Event{},
 		notified: map[notificationKey][]Event{}, arrivals: map[string][]Event{}, starts: map[string]time.Duration{}, crowds: map[int][]Event{}}
@@ -211,21 +211,22 @@
 	case ConnectionMade, ConnectFailed, ConnectionLost:
 		c.connections = append(c.connections, e)
 	case NoticeRead:
-		c.exercised(NothingBehind)
-	case BehindNotice:
-		c.violated(NothingBehind, e.At, e.Agent, "", "", "behind a Notice of Disconnection: %q", e.Note)
+		c.exercised(NothingAfterNotice)
+	case AfterNotice:
+		c.violated(NothingAfterNotice, e.At, e.Agent, "", "", "after a Notice of Disconnection: %q", e.Note)
 	case InvariantLogged:
 		c.violated(NoGuardViolation, e.At, e.Agent, "", "", "%s", e.Note)
 	}
 }
 
-// heldUp is how long a process may have stood still between a look and its act: by its build, by a signal, or by a machine
-// that did not run it. What the machine adds to a hold comes on top of it.
-func (c *checker) heldUp(agent int, at time.Duration) time.Duration {
-	held, waited := c.rules.HoldUp, time.Duration(0)
+// pauseAllowance returns how long a process may have been paused between a check and the action that depends on it:
+// by an injected write delay, by a signal, or by a machine that did not run it. Time lost to the machine adds to an
+// injected pause.
+func (c *checker) pauseAllowance(agent int, at time.Duration) time.Duration {
+	held, waited := c.rules.MaxPause, time.Duration(0)
 	for _, e := range c.agents[agent] {
 		switch {
-		case e.Kind != ProcessHeld || e.At > at || at > e.At+e.Left+c.rules.HoldUp+c.rules.Slack:
+		case e.Kind != ProcessHeld || e.At > at || at > e.At+e.Left+c.rules.MaxPause+c.rules.Slack:
 		case e.Note == "":
 			held = max(held, e.Left)
 		default:
@@ -235,14 +236,14 @@
 	return held + waited
 }
 
-// killedBefore reports whether an agent was killed within a span.
+// killedWithin reports whether an agent was killed within a time span.
 func (c *checker) killedWithin(agent int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.agents[agent], func(e Event) bool { return e.Kind == ProcessKilled && e.At >= from && e.At <= to })
 }
 
 func (c *checker) checkRequest(r *requestHistory) {
 	s := r.sent
-	if s.Kind == "" { // it was not sent whole: a client that stalled or left within it
+	if s.Kind == "" { // the request was not sent completely: its client stalled or disconnected within it
 		return
 	}
 	class := c.rules.Classes[s.Class]
@@ -257,12 +258,12 @@
 	for i, a := range r.arrivals {
 		c.checkArrival(r, a)
 		if i > 0 {
-			c.checkRepeat(r, class, i)
+			c.checkRetry(r, class, i)
 		}
 	}
 }
 
-// aliveSince is when its client last knew that the process at the other end of its connection was alive.
+// aliveSince returns when the request's client last knew that the process at the other end of its connection was alive.
 func (r *requestHistory) aliveSince() time.Duration {
 	if r.ended != nil && r.ended.Began > 0 {
 		return min(r.sent.At, r.ended.Began)
@@ -270,7 +271,7 @@
 	return r.sent.At
 }
 
-// checkAnswer holds a request to its one final answer.
+// checkAnswer checks that a request has exactly one final answer.
 func (c *checker) checkAnswer(r *requestHistory) {
 	s, due := r.sent, r.sent.At+r.sent.Left+c.rules.MaxLateAnswer+c.rules.Slack
 	c.exercised(OneAnswer)
@@ -278,12 +279,12 @@
 	case len(r.answers) > 1:
 		c.violated(OneAnswer, r.answers[1].At, s.Agent, s.Request, "", "%d final answers", len(r.answers))
 	case len(r.answers) == 1 && r.answers[0].At > due:
-		c.violated(OneAnswer, r.answers[0].At, s.Agent, s.Request, "", "its answer came %v after its deadline", r.answers[0].At-s.At-s.Left)
-	case r.ended != nil && c.crowdedAt(s.Agent, r.ended.At): // a new connection may be shut unread then
+		c.violated(OneAnswer, r.answers[0].At, s.Agent, s.Request, "", "final answer came %v after the deadline", r.answers[0].At-s.At-s.Left)
+	case r.ended != nil && c.crowdedAt(s.Agent, r.ended.At): // a crowded agent may close a new connection unread
 	case len(r.answers) == 0 && r.left == nil && !c.killedWithin(s.Agent, r.aliveSince()-c.rules.Slack, due):
 		text := "no final answer"
 		if r.ended != nil {
-			text = "its new connection was closed without an answer: " + r.ended.Note
+			text = "new connection was closed without an answer: " + r.ended.Note
 		}
 		c.violated(OneAnswer, due, s.Agent, s.Request, "", "%s", text)
 	}
@@ -292,20 +293,20 @@
 		case a.Status == 200 && !a.Broken:
 			c.exercised(OwnAnswer)
 			if !a.Own {
-				c.violated(OwnAnswer, a.At, s.Agent, s.Request, "", "served with what no server made for it: %s", a.Note)
+				c.violated(OwnAnswer, a.At, s.Agent, s.Request, "", "served with an answer that no server produced for it: %s", a.Note)
 			}
 		case a.Status == 429 || a.Status == 503:
 			c.exercised(RefusalNoEffect)
 			for _, x := range r.arrivals {
 				if x.Ran {
-					c.violated(RefusalNoEffect, a.At, s.Agent, s.Request, x.Server, "refused, though it ran at %.3f s", x.At.Seconds())
+					c.violated(RefusalNoEffect, a.At, s.Agent, s.Request, x.Server, "refused although it ran at %.3f s", x.At.Seconds())
 				}
 			}
 		}
 	}
 }
 
-// checkArrival holds one attempt to what is known of its request, its client and its server.
+// checkArrival checks one attempt against its request, its client and its server.
 func (c *checker) checkArrival(r *requestHistory, a Event) {
 	s, slack := r.sent, c.rules.Slack
 	for _, answer := range r.answers {
@@ -315,20 +316,20 @@
 		}
 	}
 	if r.left != nil && a.Began > r.left.At {
-		if late := a.Began - r.left.At; late > c.rules.MaxStartAfterDisconnect+slack+c.heldUp(s.Agent, a.Began) {
-			c.violated(NothingAfterDisconnect, a.Began, s.Agent, s.Request, a.Server, "an attempt began %v after its client had left", late)
+		if late := a.Began - r.left.At; late > c.rules.MaxStartAfterDisconnect+slack+c.pauseAllowance(s.Agent, a.Began) {
+			c.violated(NothingAfterDisconnect, a.Began, s.Agent, s.Request, a.Server, "attempt began %v after its client had disconnected", late)
 		}
 	}
 	c.exercised(DeadlinePassedOn)
-	if over := a.Left - (s.At + s.Left - a.At); a.Left > 0 && over > max(c.rules.DeadlineOver, c.heldUp(s.Agent, a.Began))+slack {
-		c.violated(DeadlinePassedOn, a.At, s.Agent, s.Request, a.Server, "told that it has %v, the client has %v", a.Left, s.At+s.Left-a.At)
+	if over := a.Left - (s.At + s.Left - a.At); a.Left > 0 && over > max(c.rules.DeadlineOver, c.pauseAllowance(s.Agent, a.Began))+slack {
+		c.violated(DeadlinePassedOn, a.At, s.Agent, s.Request, a.Server, "server was sent a remaining time of %v, the client has %v", a.Left, s.At+s.Left-a.At)
 	}
 	c.checkWithdrawn(s, a)
 }
 
-// checkWithdrawn holds an attempt to what its agent's present process was told of the server.
+// checkWithdrawn checks an attempt against the states of the server of which the agent's current process was notified.
 func (c *checker) checkWithdrawn(s, a Event) {
-	var began time.Duration // of the process that sent it
+	var began time.Duration // start of the process that sent the attempt
 	for _, e := range c.agents[s.Agent] {
 		if e.Kind == ProcessStarted && e.At <= a.Began {
 			began = e.At
@@ -337,25 +338,25 @@
 	var last *Event
 	for _, e := range c.notified[notificationKey{s.Agent, a.Server}] {
 		until := a.Began
-		if e.State == Ready { // a word is recorded once it is written: its agent may have acted on it by then
+		if e.State == Ready { // a notification is recorded after its write, so the agent may already have acted on it
 			until += c.rules.Slack
 		}
 		if e.At >= began && e.At <= until && (last == nil || (last.State == Ready) != (e.State == Ready)) {
-			last = &e // the first word of the state that holds
+			last = &e // the first notification of the state that applies
 		}
 	}
 	if last == nil || last.State == Ready {
 		return
 	}
 	if late := a.Began - last.At; late > c.rules.DrainGrace+c.rules.Slack {
-		c.violated(NothingToWithdrawn, a.Began, s.Agent, s.Request, a.Server, "an attempt began %v after it was told %s", late, last.State)
+		c.violated(NothingToWithdrawn, a.Began, s.Agent, s.Request, a.Server, "attempt began %v after the agent was notified that the server is %s", late, last.State)
 	}
 }
 
-// checkRepeat holds a further attempt to the class's rule on repeats.
-func (c *checker) checkRepeat(r *requestHistory, class ClassRules, i int) {
+// checkRetry checks a further attempt against the class's rule on retries.
+func (c *checker) checkRetry(r *requestHistory, class ClassRules, i int) {
 	s, a := r.sent, r.arrivals[i]
-	var first *Event // that may have run
+	var first *Event // first attempt that may have run
 	for k := range r.arrivals[:i] {
 		if r.arrivals[k].Ran && first == nil {
 			first = &r.arrivals[k]
@@ -372,15 +373,15 @@
 		}
 		c.exercised(KeyedScope)
 		if class.Zone && c.rules.Zones[first.Server] != c.rules.Zones[a.Server] {
-			c.violated(KeyedScope, a.At, s.Agent, s.Request, a.Server, "sent to zone %s, ran first in %s", c.rules.Zones[a.Server], c.rules.Zones[first.Server])
+			c.violated(KeyedScope, a.At, s.Agent, s.Request, a.Server, "sent to zone %s, but ran first in zone %s", c.rules.Zones[a.Server], c.rules.Zones[first.Server])
 		}
 		if gap := a.At - first.At; gap > class.Window+c.rules.Slack {
-			c.violated(KeyedScope, a.At, s.Agent, s.Request, a.Server, "sent again after %v, remembered for %v", gap, class.Window)
+			c.violated(KeyedScope, a.At, s.Agent, s.Request, a.Server, "sent again after %v, beyond the deduplication window of %v", gap, class.Window)
 		}
 	}
 }
 
-// checkStalls holds the agent to ending clients that stop within a request.
+// checkStalls checks that the agent ends clients that stall within a request.
 func (c *checker) checkStalls(events []Event) {
 	open := map[string]Event{}
 	for _, e := range events {
@@ -395,13 +396,13 @@
 			delete(open, e.Note)
 			c.exercised(StalledAnswered)
 			if took := e.At - began.At; took > c.rules.MaxStallTime+c.rules.Slack && !c.killedWithin(e.Agent, began.At, e.At) {
-				c.violated(StalledAnswered, e.At, e.Agent, "", "", "a client that stopped within a request was left for %v", took)
+				c.violated(StalledAnswered, e.At, e.Agent, "", "", "client that stalled within a request was not answered or closed for %v", took)
 			}
 		}
 	}
 }
 
-// checkProcesses holds processes to a clean start and stop.
+// checkProcesses checks that processes start and stop cleanly.
 func (c *checker) checkProcesses() {
 	type life struct{ started, ready, terminated, killed, handedOver *Event }
 	for agent, events := range c.agents {
@@ -433,9 +434,9 @@
 				case killed != nil && terminated == nil, l.handedOver != nil && e.Status == 0:
 				case terminated != nil && l.ready == nil && terminated.At-l.started.At < c.rules.MinStartTime+c.rules.Slack:
 				case terminated == nil:
-					c.violated(CleanStop, e.At, agent, "", "", "ended by itself, status %d", e.Status)
+					c.violated(CleanStop, e.At, agent, "", "", "exited without a signal, status %d", e.Status)
 				case killed != nil || e.At-terminated.At > c.rules.MaxStopTime+c.rules.Slack:
-					c.violated(CleanStop, e.At, agent, "", "", "still there %v after SIGTERM", e.At-terminated.At)
+					c.violated(CleanStop, e.At, agent, "", "", "still running %v after SIGTERM", e.At-terminated.At)
 				case e.Status != 0:
 					c.violated(CleanStop, e.At, agent, "", "", "status %d after SIGTERM", e.Status)
 				}
@@ -444,8 +445,9 @@
 	}
 }
 
-// checkSlowStart holds all agents together to what a cold server stands in any window of the rule: with N what the settings
-// allow it then, N + 2 roots of N + 2, under 30 N + 3 roots of N + 3. Only what agents sent that had been told counts.
+// checkSlowStart checks that all agents together respect a cold server's budget in every window of the rule. With N
+// the number of requests that the settings allow at that age, the bound is N + 2*sqrt(N) + 2, or N + 3*sqrt(N) + 3 if
+// N is under 30. Only requests of agents that were notified of the server's start count.
 func (c *checker) checkSlowStart() {
 	for key, all := range c.arrivals {
 		start, cold := c.starts[key]
@@ -475,13 +477,13 @@
 			c.exercised(SlowStartBudget)
 			if float64(len(window)) > most && !broken {
 				broken = true
-				c.violated(SlowStartBudget, a.At, -1, "", a.Server, "%d requests in %v, %v after its start: it stands %.1f", len(window), c.rules.FallWindow, age, most)
+				c.violated(SlowStartBudget, a.At, -1, "", a.Server, "%d requests in %v, %v after the server's start: the bound is %.1f", len(window), c.rules.FallWindow, age, most)
 			}
 		}
 	}
 }
 
-// notifiedOfStart reports whether an arrival's agent had been told of the server's present process.
+// notifiedOfStart reports whether the agent that sent an attempt had been notified of the server's current process.
 func (c *checker) notifiedOfStart(a Event) bool {
 	r := c.requests[a.Request]
 	return slices.ContainsFunc(c.notified[notificationKey{r.sent.Agent, a.Server}], func(e Event) bool {
--- a/internal/faulttest/soak/check/check_test.go
+++ b/internal/faulttest/soak/check/check_test.go
@@ -27,7 +27,7 @@
 	return Event{Kind: AnswerRead, At: at, Request: "r", Status: status, Own: true}
 }
 
-// Each invariant, by a history that breaks it and the nearest one that does not.
+// Each invariant is tested with a history that violates it and with the closest history that does not.
 func TestCheckerFindsWhatIsBroken(t *testing.T) {
 	neverRan := arrived("s", 1010*ms)
 	neverRan.Ran = false
@@ -59,7 +59,7 @@
 	}
 	for _, row := range []struct {
 		name   string
-		want   Invariant // empty: none is broken
+		want   Invariant // empty: no violation
 		events []Event
 	}{
 		{"served", "", []Event{sent("get"), arrived("s", 1010*ms), answered(1100*ms, 200)}},
@@ -112,7 +112,7 @@
 			got := Check(testRules(), row.events).Violations
 			switch {
 			case row.want == "" && len(got) > 0:
-				t.Errorf("nothing is broken: %v", got)
+				t.Errorf("no invariant is violated, got: %v", got)
 			case row.want != "" && (len(got) == 0 || got[0].Invariant != row.want):
 				t.Errorf("%v, want %s", got, row.want)
 			}
@@ -120,24 +120,24 @@
 	}
 }
 
-// A process that is held up has that much more time, at that moment and no other.
+// A paused process has that much more time, at the time of the pause only.
 func TestHeldUpProcessHasItsHold(t *testing.T) {
 	events := func(held time.Duration) []Event {
 		return []Event{sent("get"), {Kind: ClientDisconnected, At: 1050 * ms, Request: "r"}, {Kind: ProcessHeld, At: held, Left: 150 * ms}, arrived("s", 1250*ms)}
 	}
 	if got := Check(testRules(), events(1100*ms)).Violations; len(got) > 0 {
-		t.Errorf("held as it happened: %v", got)
+		t.Errorf("paused at the time of the attempt: %v", got)
 	}
 	if got := Check(testRules(), events(100*ms)).Violations; len(got) != 1 {
-		t.Errorf("held long before: %v", got)
+		t.Errorf("paused long before: %v", got)
 	}
 }
 
-// A machine that did not run the process holds its deadlines up too, at that moment and as long as it did, and on top of a
-// hold of the play's own.
+// A time in which the machine did not run the process is allowed for too, at that time and for as long as it lasted, in
+// addition to a pause that the run injected.
 func TestWhatTheMachineHeldUpIsAllowedFor(t *testing.T) {
 	late := arrived("s", 1250*ms)
-	late.Left = 550 * ms // the client has 250
+	late.Left = 550 * ms // the client has 250 ms left
 	held := func(at, left time.Duration) Event {
 		return Event{Kind: ProcessHeld, At: at, Left: left, Note: "ready to run, and not run by the machine"}
 	}
@@ -153,7 +153,7 @@
 	} {
 		rules := testRules()
 		if name == "on top of its build" {
-			rules.HoldUp = 150 * ms
+			rules.MaxPause = 150 * ms
 		}
 		got := Check(rules, []Event{sent("get"), row.held, late, answered(1300*ms, 200)}).Violations
 		if (len(got) == 0) != row.kept {
--- a/internal/faulttest/soak/check/connections.go
+++ b/internal/faulttest/soak/check/connections.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// crowdedAt reports whether idle clients filled an agent's descriptors at a time, or had just gone.
+// crowdedAt reports whether idle clients filled an agent's descriptors at a time, or had just disconnected.
 func (c *checker) crowdedAt(agent int, at time.Duration) bool {
 	crowded := false
 	for _, e := range c.crowds[agent] {
@@ -19,7 +19,7 @@
 	return crowded
 }
 
-// countRequest counts what a request adds to Counts.
+// countRequest adds a request to Counts.
 func (c *checker) countRequest(sent Event) {
 	if sent.Class == "search" || sent.Class == "modify" {
 		c.exercised(DirectoryRequests)
@@ -32,8 +32,8 @@
 	}
 }
 
-// servingAt reports whether an agent's process was ready at a time and had got no signal to end. stoppedAt is when it got
-// SIGTERM, if that was the last that happened to it; else 0.
+// servingAt reports whether an agent's process was ready at a time and had got no signal to end. stoppedAt is when it
+// got SIGTERM, if that is the latest change of its state, and otherwise 0.
 func (c *checker) servingAt(agent int, at time.Duration) (serving bool, stoppedAt time.Duration) {
 	handedOver := map[int]bool{}
 	for _, e := range c.agents[agent] {
@@ -65,8 +65,8 @@
 	return serving, stoppedAt
 }
 
-// checkConnections holds an agent to taking the connections of its clients while it serves, and for a while after SIGTERM:
-// clients learn of a planned restart late.
+// checkConnections checks that an agent accepts its clients' connections while it serves and for a while after
+// SIGTERM, since clients are notified late of a planned restart.
 func (c *checker) checkConnections() {
 	for _, agent := range sortedAgents(c.crowds) {
 		for _, e := range c.crowds[agent] {
--- a/internal/faulttest/soak/check/connections_test.go
+++ b/internal/faulttest/soak/check/connections_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Each check of connections and notices, by a history that breaks it and the nearest one that does not.
+// Each check of connections and notices is tested with a history that violates it and with the closest one that does
+// not.
 func TestCheckerFindsRefusedConnections(t *testing.T) {
 	rules := testRules()
 	rules.MinAcceptTime = 400 * ms
@@ -20,7 +21,7 @@
 	request := Event{Kind: RequestSent, At: 1000 * ms, Request: "r", Class: "get", Left: 500 * ms}
 	for _, row := range []struct {
 		name   string
-		want   Invariant // empty: none is broken
+		want   Invariant // empty: no violation
 		events []Event
 	}{
 		{"made while it serves", "", with(serving, connect(ConnectionMade, 500*ms))},
@@ -33,7 +34,7 @@
 		{"refused in a crowd", "", with(serving, Event{Kind: CrowdBegan, At: 400 * ms}, connect(ConnectFailed, 500*ms))},
 		{"refused after a handover", ConnectedIsRead, with(serving, life(ProcessHandedOver, 300*ms, 1, 0), life(ProcessStarted, 400*ms, 2, 0),
 			life(ProcessReady, 400*ms, 2, 0), life(ProcessExited, 450*ms, 1, 0), connect(ConnectFailed, 500*ms))},
-		{"a message behind a notice", NothingBehind, []Event{{Kind: NoticeRead, At: ms}, {Kind: BehindNotice, At: 2 * ms}}},
+		{"a message behind a notice", NothingAfterNotice, []Event{{Kind: NoticeRead, At: ms}, {Kind: AfterNotice, At: 2 * ms}}},
 		{"a notice", "", []Event{{Kind: NoticeRead, At: ms}}},
 		{"no answer on a new connection in a crowd", "", []Event{{Kind: CrowdBegan, At: 400 * ms}, request, {Kind: ConnectionEnded, At: 1100 * ms, Request: "r"}}},
 		{"no answer on a connection whose process was killed while it was idle", "", []Event{life(ProcessKilled, 700*ms, 1, 0), request,
@@ -47,7 +48,7 @@
 			got := Check(rules, row.events).Violations
 			switch {
 			case row.want == "" && len(got) > 0:
-				t.Errorf("nothing is broken: %v", got)
+				t.Errorf("no invariant is violated, got: %v", got)
 			case row.want != "" && (len(got) == 0 || got[0].Invariant != row.want):
 				t.Errorf("%v, want %s", got, row.want)
 			}
--- a/internal/faulttest/soak/client.go
+++ b/internal/faulttest/soak/client.go
@@ -16,21 +16,21 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// ClientFault is what clients do besides asking and waiting.
+// ClientFault is how clients misbehave.
 type ClientFault int
 
-// The ways of clients.
+// The faults of clients.
 const (
-	ClientsBehave     ClientFault = iota
-	ClientsDisconnect             // close, half close or reset while they wait, at any moment
-	ClientsHurry                  // have milliseconds, or next to nothing, left
-	ClientsStall                  // stop within a request, and stay
-	ClientsRude                   // send what is no request, too much, or leave within it
-	ClientsBurst                  // all ask at once, again and again
-	ClientsDribble                // write requests in small pieces
+	ClientsBehave        ClientFault = iota
+	ClientsDisconnect                // close or reset the connection while they wait, at a random time
+	ClientsShortDeadline             // have a remaining time of some milliseconds
+	ClientsStall                     // stop within a request and keep the connection open
+	ClientsMalformed                 // send malformed or oversized requests, or disconnect within a request
+	ClientsBurst                     // all send at the same time, repeatedly
+	ClientsTrickle                   // write requests in small pieces
 )
 
-// class is one that clients ask for.
+// class is a class of requests that clients send.
 type class struct {
 	name   string
 	method string
@@ -40,30 +40,31 @@
 
 var classes = []class{{"get", http.MethodGet, false, 0.5}, {"put", http.MethodPost, true, 0.2}, {"pin", http.MethodPost, true, 0.15}, {"pay", http.MethodPost, false, 0.15}}
 
-// clients are those of one agent. Each has at most one connection, on which it asks one thing after the other.
+// clients are the HTTP clients of one agent. Each has at most one connection, on which it sends one request after
+// another.
 type clients struct {
 	agent int
 	addr  string
 	rec   *Recorder
 	fault atomic.Int32
-	pause time.Duration // between a client's requests, in the mean
+	pause time.Duration // mean time between a client's requests
 	last  atomic.Int64
-	// open ends where no new connection comes any more, 0.4 s after the agent was told to end, and begins anew with the
-	// next process.
+	// open is false while clients make no new connections: from 0.4 s after the agent got SIGTERM until the next
+	// process is ready.
 	open       atomic.Bool
-	quietUntil atomic.Int64  // in the play's time: until then no request is sent
-	deadline   time.Duration // the longest that a client waits
+	quietUntil atomic.Int64  // run time until which no request is sent
+	deadline   time.Duration // longest time that a client waits
 	all        sync.WaitGroup
 }
 
-// clientConn is a client's connection, with what has come on it.
+// clientConn is a client's connection with its read buffer.
 type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
-	used bool // a request on it has had its answer
+	used bool // a request on this connection has been answered
 }
 
-// run has so many clients ask until ctx ends, and returns once each has its answer.
+// run runs count clients until ctx ends and returns once each has its answer.
 func (c *clients) run(ctx context.Context, count int, seed uint64) {
 	for n := range count {
 		c.all.Go(func() {
@@ -75,8 +76,8 @@
 				switch {
 				case fault == ClientsStall && rng.Float64() < 0.3:
 					c.stall(rng)
-				case fault == ClientsRude && rng.Float64() < 0.4:
-					c.rude(rng)
+				case fault == ClientsMalformed && rng.Float64() < 0.4:
+					c.sendMalformed(rng)
 				default:
 					conn = c.ask(rng, conn, fault)
 				}
@@ -101,7 +102,7 @@
 	return &clientConn{Conn: nc, in: bufio.NewReader(nc)}
 }
 
-// dialAddr connects to an address of the agent, and records what became of it; nil: there is no connection.
+// dialAddr connects to an address of the agent and records the outcome; it returns nil if there is no connection.
 func (c *clients) dialAddr(addr string) net.Conn {
 	if !c.open.Load() {
 		return nil
@@ -116,17 +117,17 @@
 	return nc
 }
 
-// lostUnread records that a new connection took no request.
-func (c *clients) lostUnread(conn net.Conn) {
+// recordConnectionLost records that a request could not be written to a new connection.
+func (c *clients) recordConnectionLost(conn net.Conn) {
 	c.rec.Put(check.Event{Kind: check.ConnectionLost, Agent: c.agent, Note: "from " + conn.LocalAddr().String()})
 }
 
-// nextName is the name of a client's next request.
+// nextName returns the name of a client's next request.
 func (c *clients) nextName(kind string) string {
 	return fmt.Sprintf("%s%d-%d", kind, c.agent, c.last.Add(1))
 }
 
-// awaitTurn waits until a client is to send its next request.
+// awaitTurn waits until it is time for a client's next request.
 func (c *clients) awaitTurn(rng *rand.Rand) {
 	pause := time.Duration(rng.ExpFloat64() * float64(c.pause))
 	if ClientFault(c.fault.Load()) == ClientsBurst {
@@ -139,7 +140,7 @@
 	}
 }
 
-// request is one that is asked.
+// request is a request of a client.
 type request struct {
 	id, class string
 	text      string
@@ -156,7 +157,7 @@
 	}
 	const least = 300 * time.Millisecond
 	r := request{id: c.nextName("a"), class: k.name, left: least + time.Duration(rng.Float64()*float64(c.deadline-least))}
-	if fault == ClientsHurry {
+	if fault == ClientsShortDeadline {
 		r.left = time.Millisecond + time.Duration(rng.ExpFloat64()*float64(40*time.Millisecond))
 	}
 	body := ""
@@ -177,7 +178,8 @@
 	return r
 }
 
-// ask sends one request and waits for its answer. It returns the connection for the next one; nil: it has ended.
+// ask sends one request and waits for its answer. It returns the connection for the next request, or nil if it has
+// ended.
 func (c *clients) ask(rng *rand.Rand, conn *clientConn, fault ClientFault) *clientConn {
 	if conn == nil {
 		if conn = c.dial(); conn == nil {
@@ -188,7 +190,7 @@
 	sent := false
 	for {
 		if err := c.send(rng, conn, r, fault); err != nil {
-			if conn.used && !sent { // an end that crossed it
+			if conn.used && !sent { // the agent closed the connection while the request was being written
 				_ = conn.Close()
 				if conn = c.dial(); conn == nil {
 					return nil
@@ -196,7 +198,7 @@
 				continue
 			}
 			if !sent {
-				c.lostUnread(conn)
+				c.recordConnectionLost(conn)
 			}
 			_ = conn.Close()
 			return nil
@@ -216,7 +218,7 @@
 		}
 		_ = conn.Close()
 		if conn = c.dial(); conn == nil {
-			// Nobody takes it any more: it was never read, and its client knows.
+			// No agent accepts connections any more: the request was never read, and the client knows this.
 			c.rec.Put(check.Event{Kind: check.ClientDisconnected, Agent: c.agent, Request: r.id, Note: "no agent to ask again"})
 			return nil
 		}
@@ -228,7 +230,7 @@
 func (c *clients) send(rng *rand.Rand, conn *clientConn, r request, fault ClientFault) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	text := r.text
-	if fault == ClientsDribble {
+	if fault == ClientsTrickle {
 		for len(text) > 200 && len(r.text) < 2000 {
 			n := 1 + rng.IntN(200)
 			if _, err := io.WriteString(conn, text[:n]); err != nil {
@@ -242,11 +244,11 @@
 	return err
 }
 
-// leave may have the client go while it waits. It reports whether it has.
+// leave may make the client disconnect while it waits, and reports whether it did.
 func (c *clients) leave(rng *rand.Rand, conn *clientConn, r request) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(time.Duration(rng.Float64() * 0.2 * float64(time.Second))))
 	if _, err := conn.in.Peek(1); err == nil {
-		return false // its answer was there first
+		return false // the answer came first
 	}
 	left := check.Event{Kind: check.ClientDisconnected, Agent: c.agent, Request: r.id}
 	if rng.Float64() < 0.3 {
@@ -258,10 +260,11 @@
 	return true
 }
 
-// maxAnswerWait is how long a client that does not leave waits for the end of an answer.
+// maxAnswerWait is how long a client that does not disconnect waits for the end of an answer.
 const maxAnswerWait = 20 * time.Second
 
-// await reads the answer. again: the connection ended without one, as an end between requests may.
+// await reads the answer. again is true if a connection that was used before ended without an answer: the agent may
+// close a connection between requests, and the client then sends the request again.
 func (c *clients) await(conn *clientConn, r request) (again bool, next *clientConn) {
 	_ = conn.SetReadDeadline(time.Now().Add(maxAnswerWait))
 	if _, err := conn.in.Peek(1); err != nil {
@@ -296,10 +299,10 @@
 	return string(body[:min(len(body), 60)])
 }
 
-// maxStallWait is when a client that has stopped within a request gives up waiting to be told.
+// maxStallWait is how long a client that has stalled within a request waits for an error or a close.
 const maxStallWait = 6 * time.Second
 
-// stall sends a part of a request, and stays until it is told or its connection ends.
+// stall sends a part of a request and waits until an error comes or the connection ends.
 func (c *clients) stall(rng *rand.Rand) {
 	conn := c.dial()
 	if conn == nil {
@@ -308,7 +311,7 @@
 	defer conn.Close()
 	r := c.request(rng, ClientsBehave)
 	text := r.text
-	if rng.Float64() < 0.5 { // within a body
+	if rng.Float64() < 0.5 { // stall within a body
 		text = strings.Replace(r.text, "GET", "POST", 1)
 	}
 	if _, err := io.WriteString(conn, text[:rng.IntN(len(text))]); err != nil {
@@ -321,8 +324,8 @@
 	c.rec.Put(check.Event{Kind: check.StallEnded, Agent: c.agent, Note: mark})
 }
 
-// rude sends what is no request, or a request and goes, or a flood.
-func (c *clients) rude(rng *rand.Rand) {
+// sendMalformed sends an invalid or oversized request, nothing, or a request that it aborts.
+func (c *clients) sendMalformed(rng *rand.Rand) {
 	conn := c.dial()
 	if conn == nil {
 		return
@@ -334,9 +337,9 @@
 		_, _ = io.WriteString(conn, "GET / HTTP/9\r\nwhat: is\x00 this\r\n\r\n")
 	case 1:
 		_, _ = io.WriteString(conn, strings.Repeat("GET /get/x HTTP/1.1\r\n", 4000))
-	case 2: // nothing at all
+	case 2: // send nothing
 		time.Sleep(300 * time.Millisecond)
-	case 3: // a head, and gone within the body
+	case 3: // send a head and abort within the body
 		_, _ = io.WriteString(conn, "POST /put/x HTTP/1.1\r\nHost: soak\r\nX-Trace-Id: rude\r\nIdempotency-Key: k\r\nContent-Length: 5000\r\n\r\nhalf")
 		abort(conn.Conn)
 		return
--- a/internal/faulttest/soak/coverage_test.go
+++ b/internal/faulttest/soak/coverage_test.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// coverage names what a set of plans plays of the troubles that are drawn apart (crossings.go).
+// coverage returns the extra incidents (extraincidents.go) that a set of plans contains.
 func coverage(plans []Plan) map[string]bool {
 	have := map[string]bool{}
 	for _, p := range plans {
-		if p.deadline() == pageDeadline {
-			have["the pages' deadline"] = true
+		if p.deadline() == documentedDeadline {
+			have["the documented deadline"] = true
 		}
 		for _, t := range p.Incidents {
 			switch t.Kind {
 			case AgentSignals:
 				have[fmt.Sprint("series ", t.Way)] = true
-			case DirectoriesTroubled:
+			case DirectoriesFaulty:
 				have[fmt.Sprint("directory fault ", t.Way)] = true
 			case Crowd, Quiet:
 				have[string(t.Kind)] = true
--- a/internal/faulttest/soak/crowd.go
+++ b/internal/faulttest/soak/crowd.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	crowdSize  = 560                    // more than an agent's descriptors (agentSockets)
-	crowdRetry = 100 * time.Millisecond // after which an idle client that was closed comes again
+	crowdSize  = 560                    // more than an agent may open (agentSockets)
+	crowdRetry = 100 * time.Millisecond // until an idle client that was closed connects again
 )
 
-// crowd has idle clients fill an agent's descriptors for a while, and come again as often as they are closed.
-func (s *stage) crowd(ctx context.Context, a *agentProcess, length time.Duration) {
+// crowd fills an agent's descriptors with idle clients for a while; closed clients connect again.
+func (s *testbed) crowd(ctx context.Context, a *agentProcess, length time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	s.rec.Put(check.Event{Kind: check.CrowdBegan, Agent: a.n})
@@ -27,7 +27,7 @@
 	s.rec.Put(check.Event{Kind: check.CrowdEnded, Agent: a.n})
 }
 
-// idleClient connects and says nothing, again and again.
+// idleClient connects repeatedly and sends nothing.
 func idleClient(ctx context.Context, addr string) {
 	var dialer net.Dialer
 	for ctx.Err() == nil {
--- a/internal/faulttest/soak/directories.go
+++ b/internal/faulttest/soak/directories.go
@@ -13,29 +13,29 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-// DirectoryFault is what a directory server does with some of the operations that come.
+// DirectoryFault is how a directory server mishandles some of its operations.
 type DirectoryFault int
 
 // The faults of directory servers.
 const (
 	DirectoryServes DirectoryFault = iota
-	DirectorySlow                  // answers up to a second and a half late
+	DirectorySlow                  // answers up to 1.5 s late
 	DirectoryStalls                // answers nothing until the fault ends
 	DirectoryResets                // resets connections before an operation has run
 	DirectoryRunsAndResets
-	DirectorySpoils   // answers twice, under another ID, or with garbage
+	DirectoryCorrupts // answers twice, under another ID, or with garbage
 	DirectoryNotifies // a Notice of Disconnection in place of an answer
-	directoryFaults   // how many there are
+	directoryFaults   // number of values
 )
 
 const (
 	directoryServers = 3
-	faultyOperations = 0.3 // share of a directory's operations that its fault has
+	faultyOperations = 0.3 // share of a directory server's operations that its fault affects
 	entrySuffix      = ",ou=soak"
 	sharedEntry      = "cn=shared" + entrySuffix
 )
 
-// directoryServer is a stand-in directory server, whose operations are recorded under the request that their DN names.
+// directoryServer is a stand-in directory server that records its operations under the request named by their DN.
 type directoryServer struct {
 	*directory.Directory
 	rec *Recorder
@@ -46,7 +46,7 @@
 	rng   *rand.Rand
 }
 
-// directories are a play's directory servers, and the list that names them.
+// directories are the directory servers of a run and the list that names them.
 type directories struct {
 	list    *standin.List
 	servers []*directoryServer
@@ -76,7 +76,7 @@
 	return all, nil
 }
 
-// setFault has a server do something else from now on.
+// setFault changes the server's fault.
 func (d *directoryServer) setFault(fault DirectoryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,7 +87,7 @@
 	d.fault = fault
 }
 
-// script draws what is done with an operation, and records its arrival.
+// script draws the fault of an operation and records its arrival.
 func (d *directoryServer) script(o directory.Op) directory.Fault {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,7 +101,7 @@
 	return fault
 }
 
-// drawFault is the fault of one operation. The lock is held.
+// drawFault draws the fault of one operation. The lock must be held.
 func (d *directoryServer) drawFault() directory.Fault {
 	usual := directory.Fault{Wait: time.Duration(d.rng.Float64() * float64(30*time.Millisecond))}
 	if d.rng.Float64() >= faultyOperations {
@@ -116,7 +116,7 @@
 		return directory.Fault{KillBefore: true}
 	case DirectoryRunsAndResets:
 		return directory.Fault{KillAfter: true}
-	case DirectorySpoils:
+	case DirectoryCorrupts:
 		return []directory.Fault{{Double: true}, {WrongID: true}, {Garbage: true}}[d.rng.IntN(3)]
 	case DirectoryNotifies:
 		return directory.Fault{Notice: true}
@@ -124,7 +124,7 @@
 	return usual
 }
 
-// entryOf is the DN that a request's operation is about; requestOf finds the request again.
+// entryOf returns the DN of a request's operation; requestOf is its inverse.
 func entryOf(request string) string { return "cn=" + request + entrySuffix }
 
 func requestOf(dn string) string {
