--- a/internal/faulttest/soak/history.go
+++ b/internal/faulttest/soak/history.go
@@ -1,7 +1,8 @@
-// Package soak plays seconds of trouble with a few dozen real processes, agents of `run` and daemons of `serve`, between
-// clients, servers and list services of its own on loopback. What troubles a play has is drawn from a seed: signals, faults in
-// the processes (package faultbuild), servers, lists and clients that misbehave, two or three at once. The checker
-// (check.go) reads nothing but the history that clients, servers, lists and the process table recorded.
+// Package soak runs a few dozen real processes, agents of `run` and daemons of `serve`, for some seconds under
+// faults, with clients, servers and list services of its own on loopback. The incidents of a run are drawn from a
+// seed: signals, faults in the processes (package faultbuild), and servers, lists and clients that misbehave, two or
+// three at once. The checker (package check) reads only the history that clients, servers, lists and the process
+// table recorded.
 package soak
 
 import (
@@ -11,7 +12,7 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// Recorder keeps a history. Its methods may be called by any goroutine.
+// Recorder keeps the history of a run. It is safe for concurrent use.
 type Recorder struct {
 	base time.Time
 
@@ -19,10 +20,10 @@
 	events []check.Event
 }
 
-// NewRecorder is one whose time begins now.
+// NewRecorder returns a recorder whose run time begins now.
 func NewRecorder() *Recorder { return &Recorder{base: time.Now()} }
 
-// Now is the play's time.
+// Now returns the run time.
 func (r *Recorder) Now() time.Duration { return time.Since(r.base) }
 
 // Put records an event that has just happened.
@@ -35,7 +36,7 @@
 	r.events = append(r.events, e)
 }
 
-// History is what was recorded so far.
+// History returns the events recorded so far.
 func (r *Recorder) History() []check.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulttest/soak/ldapclient.go
+++ b/internal/faulttest/soak/ldapclient.go
@@ -14,10 +14,10 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// Of the clients of an LDAP instance.
+// Parameters of the clients of an LDAP instance.
 const (
-	rawLDAPClients     = 3 // that write and read messages by themselves
-	libraryLDAPClients = 1 // that use go-ldap
+	rawLDAPClients     = 3 // clients that encode and decode messages themselves
+	libraryLDAPClients = 1 // clients that use go-ldap
 	maxPipelined       = 3 // requests that a raw client writes at once
 	ldapWriteTimeout   = 5 * time.Second
 	maxLDAPMessage     = 1 << 20
@@ -29,34 +29,34 @@
 	classModify = "modify"
 )
 
-// ldapClients are those of one instance. They connect while the instance's HTTP clients do.
+// ldapClients are the clients of one LDAP instance. They connect while the HTTP clients of the same process do.
 type ldapClients struct {
-	*clients // of the same process
+	*clients // the HTTP clients of the same process
 	addr     string
 	deadline time.Duration
-	all      sync.WaitGroup // its own: those of HTTP have another
+	all      sync.WaitGroup // separate from the wait group of the HTTP clients
 }
 
-// ldapConn is a client's connection.
+// ldapConn is the connection of an LDAP client.
 type ldapConn struct {
 	net.Conn
 	in     *ldapmsg.Reader
 	lastID int32
-	used   bool // requests on it have been answered, or abandoned
+	used   bool // requests on this connection have been answered or abandoned
 
-	aliveAt time.Duration // in the play's time: the last message came, or it was opened
+	aliveAt time.Duration // run time of the last message, or of the connection's opening
 }
 
-// ldapRequest is one operation that a client has asked for.
+// ldapRequest is one operation of a client.
 type ldapRequest struct {
 	id        int32
 	name      string
 	class     string
 	sent      bool // recorded as sent
-	abandoned bool // its client wants no response
+	abandoned bool // the client expects no response
 }
 
-// run has the clients ask until ctx ends, and returns once each has its responses.
+// run runs the clients until ctx ends and returns once each has its responses.
 func (c *ldapClients) run(ctx context.Context, seed uint64) {
 	for n := range rawLDAPClients {
 		c.all.Go(func() { c.runRaw(ctx, rand.New(rand.NewPCG(seed, 100+uint64(n)))) })
@@ -83,7 +83,7 @@
 	}
 }
 
-// connect opens a connection; nil: there is none.
+// connect opens a connection, or returns nil if there is none.
 func (c *ldapClients) connect() *ldapConn {
 	nc := c.dialAddr(c.addr)
 	if nc == nil {
@@ -92,8 +92,8 @@
 	return &ldapConn{Conn: nc, in: ldapmsg.NewReader(nc, maxLDAPMessage), aliveAt: c.rec.Now()}
 }
 
-// ask writes one to maxPipelined requests at once and reads their responses. It returns the connection for the next ones;
-// nil: it has ended.
+// ask writes one to maxPipelined requests at once and reads their responses. It returns the connection for the next
+// requests, or nil if it has ended.
 func (c *ldapClients) ask(rng *rand.Rand, conn *ldapConn) *ldapConn {
 	requests := make([]*ldapRequest, 1+rng.IntN(maxPipelined))
 	for i := range requests {
@@ -108,13 +108,13 @@
 		}
 		if !c.write(conn, requests) {
 			if !conn.used {
-				c.lostUnread(conn.Conn)
+				c.recordConnectionLost(conn.Conn)
 				c.giveUp(requests)
 				_ = conn.Close()
 				return nil
 			}
 			_ = conn.Close()
-			conn = nil // an end that crossed them: none was read, or a notice says that none has run
+			conn = nil // closed by the agent: no request was read, or a notice says that none has run
 			continue
 		}
 		if c.disturb(rng, conn, requests) {
@@ -140,7 +140,7 @@
 	return r
 }
 
-// write writes requests under new message IDs in one piece, and records those that were not sent before.
+// write writes requests with new message IDs in a single write and records those that were not sent before.
 func (c *ldapClients) write(conn *ldapConn, requests []*ldapRequest) bool {
 	var text []byte
 	for _, r := range requests {
@@ -163,7 +163,7 @@
 	return true
 }
 
-// encode is a search of the base object, or a modify that replaces a description.
+// encode returns a search of the base object, or a modify that replaces a description.
 func (r *ldapRequest) encode() []byte {
 	dn := entryOf(r.name)
 	if r.class == classSearch {
@@ -180,12 +180,13 @@
 	return ldapmsg.WithID(r.id, berElement(ldapmsg.ModifyRequest, body))
 }
 
-// berElement is an element of fewer than 128 bytes of content.
+// berElement returns a BER element with fewer than 128 bytes of content.
 func berElement(tag byte, content []byte) []byte {
 	return append([]byte{tag, byte(len(content))}, content...)
 }
 
-// disturb may have the client leave, or abandon or cancel a request. It reports whether it has left.
+// disturb may make the client disconnect, or abandon or cancel a request. It reports whether the client has
+// disconnected.
 func (c *ldapClients) disturb(rng *rand.Rand, conn *ldapConn, requests []*ldapRequest) (left bool) {
 	r := requests[rng.IntN(len(requests))]
 	switch draw := rng.Float64(); {
@@ -204,12 +205,12 @@
 		}
 	case draw < 0.06:
 		conn.lastID++
-		_, _ = conn.Write(ldapmsg.Cancel(conn.lastID, r.id)) // its response is read and skipped: r has its own
+		_, _ = conn.Write(ldapmsg.Cancel(conn.lastID, r.id)) // its response is read and skipped: r has its own response
 	}
 	return false
 }
 
-// giveUp records that a client waits no longer.
+// giveUp records that a client no longer waits for its requests.
 func (c *ldapClients) giveUp(requests []*ldapRequest) {
 	for _, r := range requests {
 		if r.sent && !r.abandoned {
@@ -218,8 +219,8 @@
 	}
 }
 
-// await reads the responses to requests. It returns those that are to be asked again on a new connection: a notice came
-// before they had one, so that nothing was done. ended: the connection is over.
+// await reads the responses to requests. It returns those that are to be sent again on a new connection: a notice
+// came before their responses, so they have not run. ended reports whether the connection has ended.
 func (c *ldapClients) await(conn *ldapConn, requests []*ldapRequest) (again []*ldapRequest, ended bool) {
 	open := map[int32]*ldapRequest{}
 	for _, r := range requests {
@@ -237,7 +238,7 @@
 			}
 			return nil, true
 		case m.ID == 0:
-			return c.noticed(conn, open), true
+			return c.handleNotice(conn, open), true
 		}
 		conn.aliveAt = c.rec.Now()
 		r := open[m.ID]
@@ -252,7 +253,7 @@
 	return nil, false
 }
 
-// next reads a message.
+// next reads one message.
 func (conn *ldapConn) next() (ldapmsg.Message, error) {
 	raw, err := conn.in.Next()
 	if err != nil {
@@ -261,24 +262,25 @@
 	return ldapmsg.Parse(append([]byte{}, raw...))
 }
 
-// noticed handles a Notice of Disconnection: nothing may follow it. Requests on a connection that was used may have crossed
-// it; those on a new one were sent long before.
-func (c *ldapClients) noticed(conn *ldapConn, open map[int32]*ldapRequest) (again []*ldapRequest) {
+// handleNotice handles a Notice of Disconnection, which no message may follow. Requests on a used connection may have
+// been sent at the same time as the notice, so they are sent again; those on a new connection were sent long before
+// it.
+func (c *ldapClients) handleNotice(conn *ldapConn, open map[int32]*ldapRequest) (again []*ldapRequest) {
 	c.rec.Put(check.Event{Kind: check.NoticeRead, Agent: c.agent})
 	for _, r := range open {
 		if conn.used {
 			again = append(again, r)
 			continue
 		}
-		c.rec.Put(check.Event{Kind: check.ConnectionEnded, Agent: c.agent, Request: r.name, Note: "a notice and no response"})
+		c.rec.Put(check.Event{Kind: check.ConnectionEnded, Agent: c.agent, Request: r.name, Note: "a notice instead of a response"})
 	}
 	if m, err := conn.next(); err == nil {
-		c.rec.Put(check.Event{Kind: check.BehindNotice, Agent: c.agent, Note: string(m.Content)})
+		c.rec.Put(check.Event{Kind: check.AfterNotice, Agent: c.agent, Note: string(m.Content)})
 	}
 	return again
 }
 
-// statusOf is the status of HTTP that says the same as a result code.
+// statusOf returns the HTTP status that corresponds to a result code.
 func statusOf(code int) int {
 	switch code {
 	case ldapmsg.Success, goldap.LDAPResultNoSuchObject:
@@ -289,8 +291,8 @@
 	return 502
 }
 
-// runLibrary asks through go-ldap, one request after the other. What it gives up over a connection that was used it does not
-// ask again: the library does not tell a notice from another end.
+// runLibrary sends requests through go-ldap, one after the other. A request that fails on a used connection is not
+// sent again, since the library does not distinguish a notice from another end of the connection.
 func (c *ldapClients) runLibrary(ctx context.Context, rng *rand.Rand) {
 	var conn *goldap.Conn
 	used := false
@@ -317,7 +319,7 @@
 	}
 }
 
-// askLibrary makes one request. It reports whether the connection goes on.
+// askLibrary sends one request and reports whether the connection can be used further.
 func (c *ldapClients) askLibrary(rng *rand.Rand, conn *goldap.Conn, used bool) bool {
 	r := c.newRequest(rng)
 	c.rec.Put(check.Event{Kind: check.RequestSent, Agent: c.agent, Request: r.name, Class: r.class, Left: c.deadline, First: !used})
--- a/internal/faulttest/soak/list.go
+++ b/internal/faulttest/soak/list.go
@@ -14,44 +14,44 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// ListFault is what a list service does with calls.
+// ListFault is how a list service misbehaves.
 type ListFault int
 
-// The ways of lists.
+// The faults of list services.
 const (
 	ListServes ListFault = iota
 	ListDown             // calls are reset, watches end
-	ListSilent           // open watches bring nothing, not even empty lines
-	ListSlow             // calls and changes wait for a second
-	ListBusy             // 503 after a wait
-	ListCuts             // watches end within an object
+	ListSilent           // open watches send nothing, not even heartbeats
+	ListSlow             // calls and changes are delayed by a second
+	ListBusy             // calls get 503 after a delay
+	ListCuts             // watches end within a JSON object
 )
 
 const (
 	heartbeat = 2 * time.Second
-	listWait  = time.Second // of ListSlow and ListBusy
+	listDelay = time.Second // delay of ListSlow and ListBusy
 )
 
-// catalog is the one truth about servers, of which each agent has a list service of its own.
+// catalog is the true state of all servers. Each agent has a list service of its own that serves it.
 type catalog struct {
 	mu      sync.Mutex
 	version int64
 	members map[string]entry
-	changed map[string]int64 // at which version, of servers that are gone too
+	changed map[string]int64 // version of each server's last change, also of removed servers
 	bump    chan struct{}    // closed at each change
 }
 
 type entry struct {
 	discovery.Member
 	process int
-	began   time.Duration // of that process, in the play's time
+	began   time.Duration // run time at which that process began
 }
 
 func newCatalog() *catalog {
 	return &catalog{members: map[string]entry{}, changed: map[string]int64{}, bump: make(chan struct{})}
 }
 
-// set tells a server's state.
+// set changes a server's state.
 func (d *catalog) set(e entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +64,8 @@
 	d.bump = make(chan struct{})
 }
 
-// since is what has changed after a version, or the whole list after 0, and what to wait for.
+// since returns the changes after a version, or the full list for version 0, and a channel that is closed at the next
+// change.
 func (d *catalog) since(version int64) (m discovery.Members, entries map[string]entry, bump chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,13 +86,13 @@
 	return m, maps.Clone(d.members), d.bump
 }
 
-// known is the whole list.
-func (d *catalog) known() discovery.Members {
+// full returns the full list.
+func (d *catalog) full() discovery.Members {
 	m, _, _ := d.since(0)
 	return m
 }
 
-// ids are all servers that ever were.
+// ids returns the IDs of all servers, including removed ones.
 func (d *catalog) ids() (all []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,15 +108,15 @@
 	dir   *catalog
 	rec   *Recorder
 
-	mu     sync.Mutex
-	server *http.Server
-	addrs  []string // it listens at each: an agent may be told to go from one to another
-	fault  ListFault
-	turned chan struct{} // closed when the fault changes
+	mu           sync.Mutex
+	server       *http.Server
+	addrs        []string // all listening addresses; a reload may move an agent from one to another
+	fault        ListFault
+	faultChanged chan struct{} // closed when the fault changes
 }
 
 func newList(agent int, dir *catalog, rec *Recorder) (*list, error) {
-	l := &list{agent: agent, dir: dir, rec: rec, turned: make(chan struct{})}
+	l := &list{agent: agent, dir: dir, rec: rec, faultChanged: make(chan struct{})}
 	l.server = &http.Server{Handler: l, ReadHeaderTimeout: 10 * time.Second}
 	for range listAddrs {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,19 +131,19 @@
 
 const listAddrs = 2
 
-// behave has it do something else from now on.
-func (l *list) behave(t ListFault) {
+// setFault changes the list service's fault.
+func (l *list) setFault(t ListFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = t
-	close(l.turned)
-	l.turned = make(chan struct{})
+	close(l.faultChanged)
+	l.faultChanged = make(chan struct{})
 }
 
 func (l *list) now() (ListFault, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fault, l.turned
+	return l.fault, l.faultChanged
 }
 
 func (l *list) close() { _ = l.server.Close() }
@@ -155,16 +156,16 @@
 		l.reset(w)
 		return
 	case ListBusy:
-		time.Sleep(listWait)
+		time.Sleep(listDelay)
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 		return
 	case ListSlow:
-		time.Sleep(listWait)
+		time.Sleep(listDelay)
 	}
 	version, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	for first := true; ; first = false {
 		m, entries, bump := l.dir.since(version)
-		fault, turned := l.now()
+		fault, faultChanged := l.now()
 		switch fault {
 		case ListDown:
 			l.reset(w)
@@ -172,16 +173,17 @@
 		case ListSilent:
 			if !first {
 				select {
-				case <-turned:
+				case <-faultChanged:
 				case <-r.Context().Done():
 					return
 				}
 				continue
 			}
 		case ListSlow:
-			time.Sleep(listWait)
+			time.Sleep(listDelay)
 		}
-		if r.Context().Err() != nil { // the agent has ended this call meanwhile, to watch elsewhere: it hears nothing here
+		// The agent may have ended this call, to watch at another address, and receives nothing here.
+		if r.Context().Err() != nil {
 			return
 		}
 		if first || len(m.Servers) > 0 {
@@ -198,7 +200,7 @@
 			if _, err := w.Write(append(raw, '\n')); err != nil || out.Flush() != nil {
 				return
 			}
-			l.told(m, entries)
+			l.recordNotified(m, entries)
 			version = m.Version
 		} else if _, err := w.Write([]byte("\n")); err != nil || out.Flush() != nil {
 			return
@@ -206,28 +208,28 @@
 		if r.URL.Query().Get("follow") == "" {
 			return
 		}
-		beat := time.NewTimer(heartbeat)
+		heartbeatTimer := time.NewTimer(heartbeat)
 		select {
 		case <-bump:
-		case <-beat.C:
-		case <-turned:
+		case <-heartbeatTimer.C:
+		case <-faultChanged:
 		case <-r.Context().Done():
-			beat.Stop()
+			heartbeatTimer.Stop()
 			return
 		}
-		beat.Stop()
+		heartbeatTimer.Stop()
 	}
 }
 
-// reset ends a call without a word.
+// reset ends a call with a connection reset.
 func (l *list) reset(w http.ResponseWriter) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		abort(c)
 	}
 }
 
-// told records what was written. What a whole list does not name is gone.
-func (l *list) told(m discovery.Members, entries map[string]entry) {
+// recordNotified records the states that were written. A server that a full list does not name is gone.
+func (l *list) recordNotified(m discovery.Members, entries map[string]entry) {
 	named := map[string]bool{}
 	for _, s := range m.Servers {
 		named[s.ID] = true
--- a/internal/faulttest/soak/plan.go
+++ b/internal/faulttest/soak/plan.go
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// IncidentKind says what kind of trouble one is.
+// IncidentKind is the kind of an incident.
 type IncidentKind string
 
-// Kinds of trouble. Those of processes hold for one that is drawn, those of servers and lists for some, those of clients for
-// all of some agents.
+// Kinds of incidents. Each applies to the picked agents or servers; incidents of clients apply to all clients of the
+// picked agents.
 const (
-	AgentTerm   IncidentKind = "agent-term"   // SIGTERM, and a new process
-	AgentKill   IncidentKind = "agent-kill"   // SIGKILL, and a new process
-	AgentReload IncidentKind = "agent-reload" // SIGHUPs in a row
-	AgentHold   IncidentKind = "agent-hold"   // SIGSTOP for up to 0.15 s, again and again
-	DaemonHand  IncidentKind = "daemon-handover"
-
-	ServersMisbehave IncidentKind = "servers"
-	ServersCrash     IncidentKind = "servers-crash"  // and come back at another address, cold
-	ServersDrain     IncidentKind = "servers-drain"  // by the list, and come back later
-	ServersRejoin    IncidentKind = "servers-rejoin" // are gone by the list, and come back with a new process
-	ListTroubled     IncidentKind = "list"
-	ClientsTroubled  IncidentKind = "clients"
-
-	AgentSignals        IncidentKind = "agent-signals" // a SignalSeries
-	Crowd               IncidentKind = "crowd"         // idle clients fill an agent's descriptors
-	Quiet               IncidentKind = "quiet"         // no client sends anything
-	DirectoriesTroubled IncidentKind = "directories"   // a DirectoryFault
+	AgentTerm      IncidentKind = "agent-term"   // SIGTERM, then a new process
+	AgentKill      IncidentKind = "agent-kill"   // SIGKILL, then a new process
+	AgentReload    IncidentKind = "agent-reload" // repeated SIGHUP
+	AgentHold      IncidentKind = "agent-hold"   // SIGSTOP for up to 0.15 s, repeatedly
+	DaemonHandover IncidentKind = "daemon-handover"
+
+	ServersFaulty IncidentKind = "servers"
+	ServersCrash  IncidentKind = "servers-crash"  // and restart at another address, cold
+	ServersDrain  IncidentKind = "servers-drain"  // the list reports them as draining, and later as ready
+	ServersRejoin IncidentKind = "servers-rejoin" // the list removes them, and they come back with a new process
+	ListFaulty    IncidentKind = "list"
+	ClientsFaulty IncidentKind = "clients"
+
+	AgentSignals      IncidentKind = "agent-signals" // a SignalSeries
+	Crowd             IncidentKind = "crowd"         // idle clients fill an agent's descriptors
+	Quiet             IncidentKind = "quiet"         // no client sends anything
+	DirectoriesFaulty IncidentKind = "directories"   // a DirectoryFault
 )
 
-// Incident is one trouble of a play.
+// Incident is one incident of a run.
 type Incident struct {
 	Kind  IncidentKind  `json:"what"`
 	At    time.Duration `json:"at"`
 	For   time.Duration `json:"for"`
-	Picks []int         `json:"picks"` // the agents or servers that have it
-	Way   int           `json:"way"`   // Misbehaviour, ListFault, ClientFault, SignalSeries or DirectoryFault
+	Picks []int         `json:"picks"` // numbers of the affected agents or servers
+	Way   int           `json:"way"`   // ServerFault, ListFault, ClientFault, SignalSeries or DirectoryFault
 }
 
 func (t Incident) String() string {
 	return fmt.Sprintf("%s way %d at %.1f s for %.1f s: %v", t.Kind, t.Way, t.At.Seconds(), t.For.Seconds(), t.Picks)
 }
 
-// Plan is a play as its seed draws it.
+// Plan is the plan of a run, drawn from its seed.
 type Plan struct {
 	Seed      uint64        `json:"seed"`
-	Agents    int           `json:"agents"`  // processes of run
-	Daemons   int           `json:"daemons"` // of serve
+	Agents    int           `json:"agents"`  // processes of `run`
+	Daemons   int           `json:"daemons"` // processes of `serve`
 	Servers   int           `json:"servers"`
 	Length    time.Duration `json:"length"`
-	Deadline  time.Duration `json:"deadline,omitempty"` // the longest of all classes; 0: shortDeadline
-	Faults    []string      `json:"faults"`             // of all processes: the environment of a build with faults
+	Deadline  time.Duration `json:"deadline,omitempty"` // longest deadline of all classes; 0: shortDeadline
+	Faults    []string      `json:"faults"`             // environment variables of all processes, which enable injected faults
 	Incidents []Incident    `json:"troubles"`
 }
 
@@ -67,16 +67,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// deadline is the longest of all classes.
+// deadline returns the longest deadline of all classes.
 func (p Plan) deadline() time.Duration { return cmp.Or(p.Deadline, shortDeadline) }
 
-// Size is how large plays are.
+// Size is the size of a run.
 type Size struct {
 	Agents, Daemons, Servers int
 	Length                   time.Duration
 }
 
-// processFaults are sets of faults, of which a play has one or two, or none.
+// processFaults are the sets of process faults. A run has one or two of them; some are empty.
 var processFaults = [][]string{
 	nil, nil,
 	{"VETCHHAVEN_FAULT_WRITE_HOLD=30", "VETCHHAVEN_FAULT_WRITE_HOLD_MS=150"},
@@ -93,7 +93,8 @@
 	{"VETCHHAVEN_FAULT_DISK_FROM_MS=1000", "VETCHHAVEN_FAULT_DISK_TO_MS=6000"},
 }
 
-// Draw is the plan of a seed: moments at which two or three troubles begin, which last into the next one.
+// Draw draws a plan from a seed: at several times, two or three incidents begin, which may last beyond the next such
+// time.
 func Draw(seed uint64, size Size) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	p := Plan{Seed: seed, Agents: size.Agents, Daemons: size.Daemons, Servers: size.Servers, Length: size.Length}
@@ -109,13 +110,14 @@
 			p.Incidents = append(p.Incidents, t)
 		}
 	}
-	p.addCrossings(size)
+	p.addExtraIncidents(size)
 	slices.SortStableFunc(p.Incidents, func(a, b Incident) int { return int(a.At - b.At) })
 	return p.WithFaults(p.Faults)
 }
 
-// WithFaults is the plan with these faults of its processes. A process is held up for 0.15 s by one means alone: what the
-// rules allow for is one hold between a look and its act.
+// WithFaults returns the plan with these process faults. If writes are delayed, SIGSTOP incidents are dropped: a
+// process may be paused for 0.15 s by only one of the two, since the rules allow for one pause between a check and
+// its action.
 func (p Plan) WithFaults(faults []string) Plan {
 	p.Faults = faults
 	if p.holdsWrites() {
@@ -124,7 +126,7 @@
 	return p
 }
 
-// holdsWrites reports whether writes of its processes are held up.
+// holdsWrites reports whether the writes of the processes are delayed.
 func (p Plan) holdsWrites() bool {
 	return slices.ContainsFunc(p.Faults, func(f string) bool { return strings.HasPrefix(f, "VETCHHAVEN_FAULT_WRITE_HOLD_MS") })
 }
@@ -146,7 +148,7 @@
 		return Incident{Kind: AgentHold, For: span(0.5, 2), Picks: agents(2)}
 	case 6:
 		if size.Daemons > 0 {
-			return Incident{Kind: DaemonHand, Picks: []int{size.Agents + rng.IntN(size.Daemons)}}
+			return Incident{Kind: DaemonHandover, Picks: []int{size.Agents + rng.IntN(size.Daemons)}}
 		}
 		return Incident{Kind: AgentReload, For: span(0.2, 1.5), Picks: agents(3)}
 	case 7:
@@ -156,11 +158,11 @@
 	case 9:
 		return Incident{Kind: ServersRejoin, For: span(0.3, 1.5), Picks: servers()}
 	case 10, 11:
-		return Incident{Kind: ServersMisbehave, For: span(0.5, 3), Picks: servers(), Way: 1 + rng.IntN(int(Silent))}
+		return Incident{Kind: ServersFaulty, For: span(0.5, 3), Picks: servers(), Way: 1 + rng.IntN(int(ServerSilent))}
 	case 12, 13:
-		return Incident{Kind: ListTroubled, For: span(0.5, 5), Picks: pick(rng, size.Agents+size.Daemons, size.Agents+size.Daemons), Way: 1 + rng.IntN(int(ListCuts))}
+		return Incident{Kind: ListFaulty, For: span(0.5, 5), Picks: pick(rng, size.Agents+size.Daemons, size.Agents+size.Daemons), Way: 1 + rng.IntN(int(ListCuts))}
 	default:
-		return Incident{Kind: ClientsTroubled, For: span(1, 4), Picks: agents(size.Agents + size.Daemons), Way: 1 + rng.IntN(int(ClientsDribble))}
+		return Incident{Kind: ClientsFaulty, For: span(1, 4), Picks: agents(size.Agents + size.Daemons), Way: 1 + rng.IntN(int(ClientsTrickle))}
 	}
 }
 
--- a/internal/faulttest/soak/plan_test.go
+++ b/internal/faulttest/soak/plan_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A plan shrinks to the troubles that are needed.
+// A plan shrinks to the incidents that are needed for the failure.
 func TestShrink(t *testing.T) {
 	p := Draw(7, Size{Agents: 4, Servers: 4, Length: 20 * time.Second})
 	if len(p.Incidents) < 6 {
-		t.Fatalf("%d troubles", len(p.Incidents))
+		t.Fatalf("%d incidents", len(p.Incidents))
 	}
 	needed := p.Incidents[3].String()
 	has := func(p Plan) bool {
@@ -26,11 +26,11 @@
 	plays := 0
 	Shrink(p, 5, func(Plan) bool { plays++; return false })
 	if plays > 5 {
-		t.Errorf("%d plays, 5 were allowed", plays)
+		t.Errorf("%d runs, 5 were allowed", plays)
 	}
 }
 
-// The same seed draws the same plan, and two or three troubles overlap.
+// The same seed draws the same plan, and two or three incidents overlap.
 func TestPlansOverlap(t *testing.T) {
 	size := Size{Agents: 8, Daemons: 2, Servers: 6, Length: 12 * time.Second}
 	overlaps := 0
--- a/internal/faulttest/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -15,18 +15,18 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// Of a play's servers and clients.
+// Parameters of a run's servers and clients.
 const (
-	workers         = 4
-	service         = 60 * time.Millisecond
-	clientsEach     = 4
-	clientPause     = 90 * time.Millisecond
-	cellsOfServers  = 2
-	measurementSlip = 60 * time.Millisecond // by which recorded times may be off, besides what the recorder itself was late
+	workers          = 4
+	service          = 60 * time.Millisecond
+	clientsEach      = 4
+	clientPause      = 90 * time.Millisecond
+	serverCells      = 2
+	measurementError = 60 * time.Millisecond // error of recorded times besides the recorder's own lateness
 )
 
-// stage is what a play runs on.
-type stage struct {
+// testbed holds the processes, servers and services of a run.
+type testbed struct {
 	plan    Plan
 	rec     *Recorder
 	dir     *catalog
@@ -35,22 +35,23 @@
 	files   string
 	release []func()
 
-	directories *directories // nil: no daemon, no LDAP
+	directories *directories // nil: the run has no daemons and no LDAP
 
 	mu     sync.Mutex
-	late   time.Duration // the most that this process was run late
+	late   time.Duration // largest scheduling delay of this process
 	failed error
-	busy   map[int]bool // agents of which one fault has the process
+	busy   map[int]bool // agents whose process is reserved by an incident
 }
 
-// Play runs a plan's processes under its troubles, with the built program and files in a directory of the play's own. It
-// returns the history and the rules to check it by.
+// Play runs a plan with the executable program and keeps the files of the run in the directory files. It returns the
+// history and the rules for checking it.
 func Play(ctx context.Context, p Plan, program, files string) (history []check.Event, rules check.Rules, err error) {
-	// A successor of a daemon that hands over is its child: it comes to this process when that one ends.
+	// The successor of a daemon that hands over is the daemon's child. As a subreaper, this process becomes its
+	// parent when the daemon exits.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
-		return nil, rules, fmt.Errorf("soak: %w", err)
+		return nil, rules, fmt.Errorf("soak: set child subreaper: %w", err)
 	}
-	s := &stage{plan: p, rec: NewRecorder(), dir: newCatalog(), files: files, busy: map[int]bool{}}
+	s := &testbed{plan: p, rec: NewRecorder(), dir: newCatalog(), files: files, busy: map[int]bool{}}
 	defer s.close()
 	if err := s.build(program); err != nil {
 		return nil, rules, err
@@ -94,9 +95,9 @@
 	return s.rec.History(), s.rules(), s.failed
 }
 
-func (s *stage) rules() check.Rules {
-	r := check.Rules{Slack: measurementSlip, MaxLateAnswer: 500 * time.Millisecond, MaxStartAfterDisconnect: 100 * time.Millisecond, MaxStallTime: 3 * time.Second, MaxStopTime: s.plan.deadline() + stopSlack,
-		MinAcceptTime: lateConnections, MinStartTime: termBeforeReady,
+func (s *testbed) rules() check.Rules {
+	r := check.Rules{Slack: measurementError, MaxLateAnswer: 500 * time.Millisecond, MaxStartAfterDisconnect: 100 * time.Millisecond, MaxStallTime: 3 * time.Second, MaxStopTime: s.plan.deadline() + stopSlack,
+		MinAcceptTime: connectsAfterTerm, MinStartTime: termBeforeReady,
 		MaxReadyTime: maxReadyTime, DrainGrace: drainGrace, DeadlineOver: 150 * time.Millisecond, Zones: map[string]string{},
 		Classes: map[string]check.ClassRules{"get": {}, "put": {Effect: check.Keyed, Window: keyedWindow}, "pin": {Effect: check.Keyed, Window: keyedWindow, Zone: true}, "pay": {Effect: check.Once},
 			classSearch: {}, classModify: {Effect: check.Once}},
@@ -105,7 +106,7 @@
 	r.Slack += s.late
 	s.mu.Unlock()
 	if s.plan.holdsWrites() {
-		r.HoldUp = 150 * time.Millisecond
+		r.MaxPause = 150 * time.Millisecond
 	}
 	for _, x := range s.servers {
 		r.Zones[x.id] = x.zone
@@ -113,8 +114,8 @@
 	return r
 }
 
-// watchLateness measures by how much this process runs late: what it records is off by as much.
-func (s *stage) watchLateness(ctx context.Context) {
+// watchLateness measures the scheduling delay of this process: recorded times are off by as much.
+func (s *testbed) watchLateness(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -126,9 +127,9 @@
 	}
 }
 
-func (s *stage) build(program string) error {
+func (s *testbed) build(program string) error {
 	for n := range s.plan.Servers {
-		x, err := newServer(fmt.Sprintf("s%d", n), []string{"a", "b"}[n%2], n%cellsOfServers, workers, service, s.rec, s.plan.Seed<<8+uint64(n))
+		x, err := newServer(fmt.Sprintf("s%d", n), []string{"a", "b"}[n%2], n%serverCells, workers, service, s.rec, s.plan.Seed<<8+uint64(n))
 		if err != nil {
 			return err
 		}
@@ -153,7 +154,7 @@
 		a := &agentProcess{n: n, serve: n >= s.plan.Agents, pushed: n%2 == 1, program: program, dir: filepath.Join(s.files, fmt.Sprintf("n%d", n)),
 			listen: addr, env: s.plan.Faults, rec: s.rec, list: l, deadline: s.plan.deadline(),
 			clients: &clients{agent: n, addr: addr, rec: s.rec, pause: clientPause, deadline: s.plan.deadline()}}
-		a.writeConfig = func() error { return a.configure(s.plan.Agents+s.plan.Daemons, s.dir.known()) }
+		a.writeConfig = func() error { return a.configure(s.plan.Agents+s.plan.Daemons, s.dir.full()) }
 		if a.serve {
 			if a.ldapListen, err = s.reservePort(); err != nil {
 				return err
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// reservePort holds a port until the play's end.
-func (s *stage) reservePort() (addr string, err error) {
+// reservePort reserves a port until the end of the run.
+func (s *testbed) reservePort() (addr string, err error) {
 	addr, release, err := reservePort()
 	if err == nil {
 		s.release = append(s.release, release)
@@ -181,7 +182,7 @@
 	return addr, err
 }
 
-func (s *stage) startAll(ctx context.Context) error {
+func (s *testbed) startAll(ctx context.Context) error {
 	var all sync.WaitGroup
 	for _, a := range s.agents {
 		all.Go(func() { s.fail(a.start(ctx)) })
@@ -192,7 +193,7 @@
 	return s.failed
 }
 
-func (s *stage) fail(err error) {
+func (s *testbed) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil && s.failed == nil {
@@ -200,20 +201,20 @@
 	}
 }
 
-// list tells all agents a server's state.
-func (s *stage) list(x *server, state string) {
+// list sets a server's state in the lists of all agents.
+func (s *testbed) list(x *server, state string) {
 	addr, process, started := x.member()
 	e := entry{Member: discovery.Member{ID: x.id, Addr: addr, Zone: x.zone, Kind: "k", Cell: x.cell, State: state, Weight: 1}, process: process}
 	if !started.IsZero() {
 		e.Started, e.began = started.UnixMilli(), started.Sub(s.rec.base)
 	} else {
-		e.process = 0 // long ago: warm
+		e.process = 0 // started long ago, so the server is warm
 	}
 	s.dir.set(e)
 }
 
-// take books an agent's process for one fault.
-func (s *stage) take(n int) bool {
+// acquireAgent reserves an agent's process for one incident.
+func (s *testbed) acquireAgent(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy[n] {
@@ -223,14 +224,14 @@
 	return true
 }
 
-func (s *stage) give(n int) {
+func (s *testbed) releaseAgent(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy[n] = false
 }
 
-// inject brings one about, and returns when it is over.
-func (s *stage) inject(ctx context.Context, t Incident) {
+// inject injects an incident and returns when it is over.
+func (s *testbed) inject(ctx context.Context, t Incident) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	for _, n := range t.Picks {
@@ -240,23 +241,23 @@
 				s.crowd(ctx, s.agents[n], t.For)
 			case Quiet:
 				s.agents[n].clients.quietUntil.Store(int64(s.rec.Now() + t.For))
-			case DirectoriesTroubled:
+			case DirectoriesFaulty:
 				s.directories.servers[n].setFault(DirectoryFault(t.Way))
 				time.Sleep(t.For)
 				s.directories.servers[n].setFault(DirectoryServes)
-			case AgentTerm, AgentKill, AgentReload, AgentHold, DaemonHand, AgentSignals:
-				if !s.take(n) {
+			case AgentTerm, AgentKill, AgentReload, AgentHold, DaemonHandover, AgentSignals:
+				if !s.acquireAgent(n) {
 					return
 				}
-				defer s.give(n)
+				defer s.releaseAgent(n)
 				s.disturbAgent(ctx, t, s.agents[n])
-			case ServersMisbehave, ServersCrash, ServersDrain, ServersRejoin:
+			case ServersFaulty, ServersCrash, ServersDrain, ServersRejoin:
 				s.disturbServer(t, s.servers[n])
-			case ListTroubled:
-				s.agents[n].list.behave(ListFault(t.Way))
+			case ListFaulty:
+				s.agents[n].list.setFault(ListFault(t.Way))
 				time.Sleep(t.For)
-				s.agents[n].list.behave(ListServes)
-			case ClientsTroubled:
+				s.agents[n].list.setFault(ListServes)
+			case ClientsFaulty:
 				s.agents[n].clients.fault.Store(int32(t.Way))
 				time.Sleep(t.For)
 				s.agents[n].clients.fault.Store(int32(ClientsBehave))
@@ -265,7 +266,7 @@
 	}
 }
 
-func (s *stage) disturbAgent(ctx context.Context, t Incident, a *agentProcess) {
+func (s *testbed) disturbAgent(ctx context.Context, t Incident, a *agentProcess) {
 	switch t.Kind {
 	case AgentTerm:
 		a.terminate()
@@ -284,41 +285,41 @@
 		for end := s.rec.Now() + t.For; s.rec.Now() < end; time.Sleep(200 * time.Millisecond) {
 			a.hold(150 * time.Millisecond)
 		}
-	case DaemonHand:
+	case DaemonHandover:
 		s.fail(a.handOver(ctx))
 	case AgentSignals:
 		s.playSeries(ctx, t, a)
 	}
 }
 
-func (s *stage) disturbServer(t Incident, x *server) {
+func (s *testbed) disturbServer(t Incident, x *server) {
 	switch t.Kind {
-	case ServersMisbehave:
-		x.behave(Misbehaviour(t.Way))
+	case ServersFaulty:
+		x.setFault(ServerFault(t.Way))
 		time.Sleep(t.For)
-		x.behave(Behaves)
-	case ServersCrash: // the list hears of it when it is back
-		if !x.take() {
+		x.setFault(ServerServes)
+	case ServersCrash: // the list is updated only after the restart
+		if !x.acquire() {
 			return
 		}
-		defer x.give()
+		defer x.release()
 		x.crash()
 		time.Sleep(t.For)
 		s.fail(x.start(time.Now()))
 		s.list(x, check.Ready)
 	case ServersDrain:
-		if !x.take() {
+		if !x.acquire() {
 			return
 		}
-		defer x.give()
+		defer x.release()
 		s.list(x, check.Draining)
 		time.Sleep(t.For)
 		s.list(x, check.Ready)
 	case ServersRejoin:
-		if !x.take() {
+		if !x.acquire() {
 			return
 		}
-		defer x.give()
+		defer x.release()
 		s.list(x, check.Gone)
 		x.crash()
 		time.Sleep(t.For)
@@ -327,7 +328,7 @@
 	}
 }
 
-func (s *stage) close() {
+func (s *testbed) close() {
 	for _, a := range s.agents {
 		a.signal(syscall.SIGKILL)
 		a.list.close()
--- a/internal/faulttest/soak/play_test.go
+++ b/internal/faulttest/soak/play_test.go
@@ -10,14 +10,14 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// shortPlay is a play of CI: a seed, and the faults of its processes where they are not its own.
+// shortPlay is a run for CI: a seed, and the process faults where they differ from those that the seed draws.
 type shortPlay struct {
 	seed   uint64
 	faults []string // nil: those that the seed draws
 }
 
-// shortPlays are what CI plays: one with writes that are held up, one with a wall clock that is off, and three that have the
-// rest of what is drawn. The last one is quiet for half a minute.
+// shortPlays are the runs of CI: one with delayed writes, one with a wall clock that is off, and three that cover the
+// other incidents. The last one has a quiet time of half a minute.
 var shortPlays = []shortPlay{
 	{1, []string{"VETCHHAVEN_FAULT_WRITE_HOLD=20", "VETCHHAVEN_FAULT_WRITE_HOLD_MS=150"}},
 	{2, []string{"VETCHHAVEN_FAULT_CLOCK_S=-3600", "VETCHHAVEN_FAULT_ACCEPT=10", "VETCHHAVEN_FAULT_SHORT=4"}},
@@ -28,7 +28,7 @@
 
 var shortSize = Size{Agents: 4, Daemons: 1, Servers: 5, Length: 6 * time.Second}
 
-// plan is the play's plan.
+// plan returns the run's plan.
 func (p shortPlay) plan() Plan {
 	plan := Draw(p.seed, shortSize)
 	if p.faults != nil {
@@ -37,7 +37,7 @@
 	return plan
 }
 
-// A few fixed seeds with real processes keep to all invariants.
+// Runs with real processes and fixed seeds violate no invariant.
 func TestShortPlays(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "vetchhaven")
 	if err := faultbuild.Build(t.Context(), "vetchhaven/cmd/vetchhaven", program); err != nil {
@@ -55,21 +55,21 @@
 				t.Errorf("%s\n%s", v, p)
 			}
 			if report.Exercised[check.OneAnswer] < 100 || report.Exercised[check.CleanStop] < 5 {
-				t.Errorf("too little happened: %v", report.Exercised)
+				t.Errorf("invariants were exercised too rarely: %v", report.Exercised)
 			}
 		})
 	}
 }
 
-// What CI plays has each of the troubles that are drawn apart: series of signals, faults of directory servers, a crowd, a quiet
-// time, the pages' deadline.
-func TestShortPlaysHaveAllCrossings(t *testing.T) {
+// The runs of CI cover all extra incidents: each series of signals, each fault of directory servers, a crowd, a quiet
+// time and the documented deadline.
+func TestShortPlaysCoverAllExtraIncidents(t *testing.T) {
 	var plans []Plan
 	for _, p := range shortPlays {
 		plans = append(plans, p.plan())
 	}
 	have := coverage(plans)
-	wanted := []string{"crowd", "quiet", "the pages' deadline"}
+	wanted := []string{"crowd", "quiet", "the documented deadline"}
 	for series := range int(afterLastSeries) - 1 {
 		wanted = append(wanted, fmt.Sprint("series ", 1+series))
 	}
@@ -78,7 +78,7 @@
 	}
 	for _, name := range wanted {
 		if !have[name] {
-			t.Errorf("no play has: %s", name)
+			t.Errorf("no run has: %s", name)
 		}
 	}
 }
--- a/internal/faulttest/soak/process.go
+++ b/internal/faulttest/soak/process.go
@@ -21,12 +21,11 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// agentProcess is an agent of `run`, or a daemon of `serve` with one instance, and the processes that it is one after the
-// other.
+// agentProcess is an agent of `run`, or a daemon of `serve` with one HTTP instance, and its successive processes.
 type agentProcess struct {
 	n       int
 	serve   bool
-	pushed  bool // its list is pushed; else it asks
+	pushed  bool // its list is pushed (mode automatic); otherwise the agent asks for it (subscribe)
 	program string
 	dir     string
 	listen  string
@@ -35,29 +34,29 @@
 	clients *clients
 	list    *list
 
-	deadline    time.Duration // the longest of all classes
-	ldapListen  string        // of a daemon's LDAP instance; empty: none
-	directories string        // the address of the list of directory servers
+	deadline    time.Duration // longest deadline of all classes
+	ldapListen  string        // address of a daemon's LDAP instance; empty: none
+	directories string        // address of the list of directory servers
 	ldapClients *ldapClients  // nil: none
 
 	mu      sync.Mutex
 	exited  chan struct{}
 	process int
 	pid     int
-	at      int // the list's address that its configuration names
+	at      int // number of the current configuration; selects the list address or limit in it
 	config  string
 
-	writeConfig func() error // configures it as its play knows it
+	writeConfig func() error // writes the configuration file for the current state of the run
 }
 
-// shortDeadline is the longest of all classes in most plays, pageDeadline in some: those of the pages. A process has that and
-// a little more to stop.
+// shortDeadline is the longest deadline of all classes in most runs; documentedDeadline, the one that the
+// documentation gives, is used in the others. A process has the deadline and stopSlack to stop.
 const (
-	shortDeadline = 1000 * time.Millisecond
-	pageDeadline  = 3 * time.Second
+	shortDeadline      = 1000 * time.Millisecond
+	documentedDeadline = 3 * time.Second
 )
 
-// Of the settings that agents are told.
+// Values in the agents' configuration.
 const (
 	drainGrace     = 800 * time.Millisecond
 	keyedWindow    = 900 * time.Millisecond
@@ -114,7 +113,7 @@
 late = 0.3
 `
 
-// configure writes its configuration.
+// configure writes the agent's configuration file.
 func (a *agentProcess) configure(agents int, known discovery.Members) error {
 	if a.serve {
 		return a.configureServe(agents)
@@ -150,7 +149,8 @@
 	return os.WriteFile(a.config, []byte(text), 0o600)
 }
 
-// instances are those of a daemon's file. A limit of theirs differs from one configuration to the next: they are replaced.
+// instances returns the instances of a daemon's file. Their max_open differs from one configuration to the next, so
+// that a reload replaces them.
 func (a *agentProcess) instances() string {
 	maxOpen := 300 + a.variant()
 	text := fmt.Sprintf("[[instance]]\nname = \"n%d\"\nsource = \"list\"\nlisten = %q\nzone = %q\nmax_open = %d\n", a.n, a.listen,
@@ -166,7 +166,7 @@
 		a.n, a.ldapListen, maxOpen)
 }
 
-// start begins a process, and returns once it takes clients.
+// start starts a process and returns once it is ready.
 func (a *agentProcess) start(ctx context.Context) error {
 	if err := a.launch(); err != nil {
 		return err
@@ -177,7 +177,7 @@
 	return a.awaitReady(ctx, exited)
 }
 
-// launch begins a process.
+// launch starts a process.
 func (a *agentProcess) launch() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -201,7 +201,7 @@
 
 func (a *agentProcess) logPath() string { return filepath.Join(a.dir, "log") }
 
-// begin takes a process for the present one. The lock is held.
+// begin makes a process the current one. The lock must be held.
 func (a *agentProcess) begin(pid int) (exited chan struct{}) {
 	a.process++
 	a.pid, a.exited = pid, make(chan struct{})
@@ -215,8 +215,9 @@
 	return exited
 }
 
-// await returns a process's exit status once it has ended, -1 for an end by a signal. A successor is not this process's
-// child before its parent has ended; of one that ended before it, the status is not known, and counts as 0.
+// await waits for a process to end and returns its exit status, or -1 if a signal ended it. A successor becomes this
+// process's child only after its parent has ended; if the successor ended earlier, its status is unknown and counts
+// as 0.
 func await(pid int) int {
 	for {
 		var status syscall.WaitStatus
@@ -226,33 +227,33 @@
 		case err == nil && status.Signaled():
 			return -1
 		case errors.Is(err, syscall.ECHILD) && syscall.Kill(pid, 0) != nil:
-			return 0 // it ended before its parent, which alone knows how
+			return 0 // the process ended before its parent, so its status is not available here
 		case errors.Is(err, syscall.ECHILD):
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// variant differs between a configuration and the next.
+// variant returns 0 or 1, alternating from one configuration to the next.
 func (a *agentProcess) variant() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.at % 2
 }
 
-// present is the number of the present process.
-func (a *agentProcess) present() int {
+// current returns the number of the current process.
+func (a *agentProcess) current() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.process
 }
 
-// handOver has a daemon hand over to a successor, which is the present process from then on.
+// handOver makes a daemon hand over to a successor, which becomes the current process.
 func (a *agentProcess) handOver(ctx context.Context) error {
 	a.mu.Lock()
 	old := a.pid
 	a.mu.Unlock()
-	a.rec.Put(check.Event{Kind: check.ProcessHandedOver, Agent: a.n, Process: a.present()})
+	a.rec.Put(check.Event{Kind: check.ProcessHandedOver, Agent: a.n, Process: a.current()})
 	a.signal(syscall.SIGUSR2)
 	for end := time.Now().Add(maxReadyTime); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		text, err := os.ReadFile(a.logPath())
@@ -270,18 +271,18 @@
 		a.mu.Lock()
 		a.begin(pid)
 		a.mu.Unlock()
-		a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.present()})
+		a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.current()})
 		return nil
 	}
-	if strings.Contains(strings.Join(a.env, " "), "FAULT_DISK") { // no room for what the successor has to know: the old one goes on
+	if strings.Contains(strings.Join(a.env, " "), "FAULT_DISK") { // no space for the handover state: the old process stays
 		return nil
 	}
-	return fmt.Errorf("agent %d has not handed over after %v", a.n, maxReadyTime)
+	return fmt.Errorf("agent %d did not hand over within %v", a.n, maxReadyTime)
 }
 
 var readyLine = regexp.MustCompile(`msg=ready .*pid=([0-9]+)`)
 
-// maxReadyTime is how long a process may take to be ready.
+// maxReadyTime is how long a process may take to become ready.
 const maxReadyTime = 10 * time.Second
 
 func (a *agentProcess) awaitReady(ctx context.Context, exited chan struct{}) error {
@@ -291,7 +292,7 @@
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.present()})
+				a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.current()})
 				a.clients.open.Store(true)
 				return nil
 			}
@@ -304,11 +305,11 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.present(), Note: "never"})
-	return fmt.Errorf("agent %d is not ready after %v", a.n, 2*maxReadyTime)
+	a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.current(), Note: "never"})
+	return fmt.Errorf("agent %d was not ready within %v", a.n, 2*maxReadyTime)
 }
 
-// readLog records the violations that the guards of its processes counted.
+// readLog records the invariant violations and panics in the log of the agent's processes.
 func (a *agentProcess) readLog() error {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
@@ -326,26 +327,28 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.pid != 0 {
-		_ = syscall.Kill(a.pid, s) // one that has ended needs none
+		_ = syscall.Kill(a.pid, s) // fails only if the process has ended
 	}
 }
 
-// lateConnections is for how long clients still connect after SIGTERM, and maxStopTime when the platform kills.
+// Times around the end of a process. connectsAfterTerm is how long clients still connect after SIGTERM; a process
+// that runs for longer than the deadline and stopSlack after SIGTERM is killed.
 const (
-	lateConnections = 400 * time.Millisecond
-	stopSlack       = 700 * time.Millisecond
-	dumpTime        = 500 * time.Millisecond // for a process that does not end to write its goroutines
-	agentSockets    = 512                    // descriptors that an agent may hold
+	connectsAfterTerm = 400 * time.Millisecond
+	stopSlack         = 700 * time.Millisecond
+	dumpTime          = 500 * time.Millisecond // for a process that does not end to dump its goroutines
+	agentSockets      = 512                    // descriptors that an agent may open
 )
 
-// maxStopTime is after SIGTERM when the platform kills, at the earliest.
+// maxStopTime returns how long after SIGTERM a platform kills a process, at the earliest.
 func (a *agentProcess) maxStopTime() time.Duration { return a.deadline + stopSlack }
 
-// terminate has the present process end, and kills it where it does not. Further signals may follow the first.
+// terminate sends SIGTERM to the current process, followed by the signals in after, and kills it if it does not end
+// in time.
 func (a *agentProcess) terminate(after ...timedSignal) {
-	a.rec.Put(check.Event{Kind: check.ProcessTerminated, Agent: a.n, Process: a.present()})
+	a.rec.Put(check.Event{Kind: check.ProcessTerminated, Agent: a.n, Process: a.current()})
 	a.signal(syscall.SIGTERM)
-	late := time.AfterFunc(lateConnections, func() { a.clients.open.Store(false) })
+	late := time.AfterFunc(connectsAfterTerm, func() { a.clients.open.Store(false) })
 	defer late.Stop()
 	a.mu.Lock()
 	exited := a.exited
@@ -356,8 +359,8 @@
 	select {
 	case <-exited:
 	case <-killAt.C:
-		a.rec.Put(check.Event{Kind: check.ProcessKilled, Agent: a.n, Process: a.present()})
-		a.signal(syscall.SIGQUIT) // the log has what it stands at
+		a.rec.Put(check.Event{Kind: check.ProcessKilled, Agent: a.n, Process: a.current()})
+		a.signal(syscall.SIGQUIT) // makes the process log its goroutines
 		select {
 		case <-exited:
 		case <-time.After(dumpTime):
@@ -368,7 +371,7 @@
 	a.clients.open.Store(false)
 }
 
-// signalAll sends signals one after the other, until the process has ended.
+// signalAll sends signals one after the other until the process has ended.
 func (a *agentProcess) signalAll(signals []timedSignal, exited <-chan struct{}) {
 	for _, next := range signals {
 		select {
@@ -383,9 +386,9 @@
 	}
 }
 
-// kill ends the present process at once.
+// kill kills the current process.
 func (a *agentProcess) kill() {
-	a.rec.Put(check.Event{Kind: check.ProcessKilled, Agent: a.n, Process: a.present()})
+	a.rec.Put(check.Event{Kind: check.ProcessKilled, Agent: a.n, Process: a.current()})
 	a.signal(syscall.SIGKILL)
 	a.mu.Lock()
 	exited := a.exited
@@ -394,7 +397,7 @@
 	a.clients.open.Store(false)
 }
 
-// hold stops the present process for a moment, as a machine that does not run it.
+// hold pauses the current process, like a machine that does not run it.
 func (a *agentProcess) hold(d time.Duration) {
 	a.rec.Put(check.Event{Kind: check.ProcessHeld, Agent: a.n, Left: d})
 	a.signal(syscall.SIGSTOP)
@@ -402,7 +405,8 @@
 	a.signal(syscall.SIGCONT)
 }
 
-// reservePort holds a port that nobody else gets, and at which a process may listen.
+// reservePort reserves a port: no other process gets it by chance, but a process that sets SO_REUSEADDR can listen on
+// it.
 func reservePort() (addr string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/faulttest/soak/sched.go
+++ b/internal/faulttest/soak/sched.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// schedEvery is how often the machine's scheduler is asked for how long threads have waited to run.
-	schedEvery = 50 * time.Millisecond
-	// schedLeast is the least wait that is recorded.
-	schedLeast = 40 * time.Millisecond
+	// schedInterval is the interval at which the scheduler's statistics of waiting threads are read.
+	schedInterval = 50 * time.Millisecond
+	// minSchedWait is the shortest wait that is recorded.
+	minSchedWait = 40 * time.Millisecond
 )
 
-// watchScheduling records for how long threads of an agent's processes were ready to run and did not (proc(5), schedstat): on
-// a busy machine a process is held up by more than a play's own troubles. It is the trace of such a hold, and no guess.
+// watchScheduling records how long threads of an agent's processes were ready to run but did not run (proc(5),
+// schedstat). On a busy machine such waits add to the incidents of a run; the checker allows only for the recorded
+// ones.
 func (a *agentProcess) watchScheduling(ctx context.Context) {
 	type thread struct {
-		waited time.Duration // since its start
-		since  time.Duration // in the play's time: its present wait began
-		wait   time.Duration // of its present wait
+		waited time.Duration // total since the thread's start
+		since  time.Duration // run time at which the current wait began
+		wait   time.Duration // length of the current wait so far
 	}
 	threads := map[string]*thread{}
-	each := time.NewTicker(schedEvery)
+	each := time.NewTicker(schedInterval)
 	defer each.Stop()
 	for {
 		select {
@@ -54,12 +55,12 @@
 			delta := waited - t.waited
 			t.waited = waited
 			switch {
-			case delta >= schedEvery/2 && t.wait == 0:
-				t.since, t.wait = now-schedEvery, delta
-			case delta >= schedEvery/2:
+			case delta >= schedInterval/2 && t.wait == 0:
+				t.since, t.wait = now-schedInterval, delta
+			case delta >= schedInterval/2:
 				t.wait += delta
 			case t.wait > 0:
-				if t.wait += delta; t.wait >= schedLeast {
+				if t.wait += delta; t.wait >= minSchedWait {
 					a.rec.Put(check.Event{At: t.since, Kind: check.ProcessHeld, Agent: a.n, Left: t.wait, Note: "ready to run, and not run by the machine"})
 				}
 				t.wait = 0
@@ -68,7 +69,7 @@
 	}
 }
 
-// runDelay is how long a thread has waited on a run queue.
+// runDelay returns how long a thread has waited on a run queue.
 func runDelay(file string) (time.Duration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/faulttest/soak/server.go
+++ b/internal/faulttest/soak/server.go
@@ -15,65 +15,65 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// Misbehaviour is what a server does with the requests that come.
-type Misbehaviour int
+// ServerFault is how a server misbehaves.
+type ServerFault int
 
-// The ways of servers.
+// The faults of servers.
 const (
-	Behaves    Misbehaviour = iota
-	Hangs                   // takes requests and answers none
-	Resets                  // resets connections under requests that have begun
-	Errs                    // 500, or 503 with word that nothing ran
-	Spoils                  // sends more behind an answer, at once or some milliseconds later
-	ClosesIdle              // closes or resets connections soon after an answer, and forgets them without a word
-	Drips                   // sends answers in small pieces, some of them never to the end
-	Silent                  // reads nothing, as a machine that has vanished
+	ServerServes     ServerFault = iota
+	ServerHangs                  // reads requests and answers none
+	ServerResets                 // resets connections while requests are in progress
+	ServerErrors                 // answers 500, or 503 with the header that the request never ran
+	ServerSendsExtra             // sends extra bytes after an answer, at once or some milliseconds later
+	ServerClosesIdle             // closes or resets connections soon after an answer, without notice
+	ServerTrickles               // sends answers in small pieces, some of them incomplete
+	ServerSilent                 // reads nothing, like an unreachable machine
 )
 
-// server is a stand-in server. Its process may end and start anew at another address.
+// server is a stand-in server. Its simulated process may end and start again at another address.
 type server struct {
 	id, zone string
 	cell     int
 	rec      *Recorder
 	workers  chan struct{}
-	service  time.Duration // in the mean
+	service  time.Duration // mean service time
 
-	mu      sync.Mutex
-	ln      net.Listener
-	process int
-	started time.Time // of its process; zero: long ago
-	conns   map[net.Conn]bool
-	ways    Misbehaviour
-	silence chan struct{} // closed when Silent ends
-	rng     *rand.Rand
-	running sync.WaitGroup
-	taken   bool // its process is one trouble's
+	mu          sync.Mutex
+	ln          net.Listener
+	process     int
+	started     time.Time // start of the process; zero: long ago
+	conns       map[net.Conn]bool
+	fault       ServerFault
+	silentUntil chan struct{} // closed when ServerSilent ends
+	rng         *rand.Rand
+	running     sync.WaitGroup
+	reserved    bool // the process is reserved by an incident
 }
 
-// take books its process for one trouble.
-func (s *server) take() bool {
+// acquire reserves the server's process for one incident.
+func (s *server) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.taken {
+	if s.reserved {
 		return false
 	}
-	s.taken = true
+	s.reserved = true
 	return true
 }
 
-func (s *server) give() {
+func (s *server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken = false
+	s.reserved = false
 }
 
 func newServer(id, zone string, cell, workers int, service time.Duration, rec *Recorder, seed uint64) (*server, error) {
 	s := &server{id: id, zone: zone, cell: cell, rec: rec, workers: make(chan struct{}, workers), service: service, conns: map[net.Conn]bool{},
-		rng: rand.New(rand.NewPCG(seed, 11)), silence: make(chan struct{})}
+		rng: rand.New(rand.NewPCG(seed, 11)), silentUntil: make(chan struct{})}
 	return s, s.start(time.Time{})
 }
 
-// start begins a process of it.
+// start starts a process of the server.
 func (s *server) start(at time.Time) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// crash ends its process: connections are reset, new ones refused.
+// crash ends the server's process: connections are reset, and new ones are refused.
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,27 +116,27 @@
 	_ = c.Close()
 }
 
-// behave has it do something else from now on.
-func (s *server) behave(way Misbehaviour) {
+// setFault changes the server's fault.
+func (s *server) setFault(way ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ways == Silent && way != Silent { // the machine is back: what it knew nothing of is reset
-		close(s.silence)
-		s.silence = make(chan struct{})
+	if s.fault == ServerSilent && way != ServerSilent { // the machine is back and resets connections unknown to it
+		close(s.silentUntil)
+		s.silentUntil = make(chan struct{})
 		for c := range s.conns {
 			abort(c)
 		}
 	}
-	s.ways = way
+	s.fault = way
 }
 
-func (s *server) way() (Misbehaviour, chan struct{}) {
+func (s *server) currentFault() (ServerFault, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ways, s.silence
+	return s.fault, s.silentUntil
 }
 
-// chance draws by the server's seed.
+// chance returns true with probability p, drawn from the server's seed.
 func (s *server) chance(p float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +164,7 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		if way, over := s.way(); way == Silent {
+		if way, over := s.currentFault(); way == ServerSilent {
 			<-over
 			return
 		}
@@ -179,7 +179,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		if way, over := s.way(); way == Silent {
+		if way, over := s.currentFault(); way == ServerSilent {
 			<-over
 			return
 		}
@@ -189,16 +189,16 @@
 	}
 }
 
-// answer handles one request. It reports whether the connection goes on.
+// answer handles one request and reports whether the connection can be used further.
 func (s *server) answer(c net.Conn, in *bufio.Reader, req *http.Request, process int, began time.Duration) bool {
 	if req.URL.Path == "/ping" || req.URL.Path == "/_load" {
 		return write(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
-	way, _ := s.way()
+	way, _ := s.currentFault()
 	id := req.Header.Get("X-Trace-Id")
 	left, _ := strconv.ParseFloat(req.Header.Get("X-Expires-In"), 64)
-	neverRan := way == Errs && s.chance(0.5)
-	// Its time is that of its last byte, whenever a worker is free for it.
+	neverRan := way == ServerErrors && s.chance(0.5)
+	// The arrival time is that of the last byte, however long the request waits for a worker.
 	arrived := check.Event{Kind: check.RequestArrived, At: s.rec.Now(), Request: id, Server: s.id, Process: process, Began: began, Left: time.Duration(left * float64(time.Second)),
 		Class: strings.SplitN(strings.TrimPrefix(req.URL.Path, "/"), "/", 2)[0], Ran: !neverRan}
 	select {
@@ -215,23 +215,23 @@
 	s.rec.Put(arrived)
 	defer s.rec.Put(check.Event{Kind: check.RequestDone, Request: id, Server: s.id, Process: process})
 	switch way {
-	case Hangs:
-		_, _ = in.Peek(1) // until the agent gives up
+	case ServerHangs:
+		_, _ = in.Peek(1) // until the agent closes the connection
 		return false
-	case Resets:
+	case ServerResets:
 		time.Sleep(s.between(0, s.service))
 		if s.chance(0.5) {
 			abort(c)
 			return false
 		}
-	case Errs:
+	case ServerErrors:
 		if neverRan {
 			return write(c, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 		}
 		return write(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	}
 	time.Sleep(s.between(s.service/4, s.service*7/4))
-	return s.served(c, way, id)
+	return s.writeAnswer(c, way, id)
 }
 
 // maxQueueWait is how long a request waits for a worker.
@@ -248,8 +248,8 @@
 	}
 }
 
-// served writes an answer, in one of the framings that the protocol allows.
-func (s *server) served(c net.Conn, way Misbehaviour, id string) bool {
+// writeAnswer writes a served answer in one of the framings that the protocol allows.
+func (s *server) writeAnswer(c net.Conn, way ServerFault, id string) bool {
 	body := bodyOf(id) + strings.Repeat("x", int(s.between(0, 2000)))
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	goesOn := true
@@ -260,7 +260,7 @@
 		text, goesOn = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+body, false
 	}
 	switch way {
-	case Drips:
+	case ServerTrickles:
 		for len(text) > 0 {
 			n := min(len(text), 400)
 			if !write(c, text[:n]) || s.chance(0.05) {
@@ -270,13 +270,13 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		return goesOn
-	case Spoils:
+	case ServerSendsExtra:
 		if !write(c, text) {
 			return false
 		}
 		time.Sleep(s.between(0, 15*time.Millisecond))
 		return write(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray") && goesOn
-	case ClosesIdle:
+	case ServerClosesIdle:
 		if !write(c, text) {
 			return false
 		}
@@ -289,7 +289,7 @@
 	return write(c, text) && goesOn
 }
 
-// bodyOf begins the answer to a request: its client knows by it that it is its own.
+// bodyOf returns the beginning of the answer to a request, by which the client recognizes its own answer.
 func bodyOf(id string) string { return "done " + id + "\n" }
 
 func write(c net.Conn, text string) bool {
@@ -298,7 +298,7 @@
 }
 
 func (s *server) close() {
-	s.behave(Behaves)
+	s.setFault(ServerServes)
 	s.crash()
 	s.running.Wait()
 }
--- a/internal/faulttest/soak/shrink.go
+++ b/internal/faulttest/soak/shrink.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// Shrink drops from a plan what is not needed for it to fail: first one trouble after the other, then the faults of its
-// processes. fails plays a plan and reports whether it still fails; it is called at most so many times. Plays with real
-// processes differ from run to run: a trouble that was dropped by luck of one play may be needed in the next.
+// Shrink removes from a plan the parts that are not needed for it to fail: first one incident after the other, then
+// the process faults. fails runs a plan and reports whether it still fails; it is called at most tries times. Real
+// processes behave differently from run to run: an incident that was removed because one run failed without it by
+// chance may be needed in the next.
 func Shrink(p Plan, tries int, fails func(Plan) bool) Plan {
 	for i := len(p.Incidents) - 1; i >= 0 && tries > 0; i-- {
 		smaller := p
--- a/internal/faulttest/soak/signals.go
+++ b/internal/faulttest/soak/signals.go
@@ -10,24 +10,24 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// SignalSeries is an order of signals to one process.
+// SignalSeries is a sequence of signals to one process.
 type SignalSeries int
 
 // The series.
 const (
 	TermTwice         SignalSeries = 1 + iota
-	TermThrice                     // and two more
-	HangupThenTerm                 // in one instant
-	TermThenHangup                 // in one instant
-	HangupsInDrain                 // with a changed configuration, until its end
-	TermBeforeReady                // of a process that has just been started
+	TermThrice                     // SIGTERM and two more
+	HangupThenTerm                 // without a pause
+	TermThenHangup                 // without a pause
+	HangupsInDrain                 // each with a changed configuration, until the process ends
+	TermBeforeReady                // to a process that has just been started
 	TermInHandover                 // to the old process, while a successor starts
 	TermAfterHandover              // to the new process, as soon as it is ready
 	ReloadsInARow                  // each with a changed configuration, back to back
 	afterLastSeries
 )
 
-// Of series of signals.
+// Times in a series of signals.
 const (
 	betweenSignals  = 120 * time.Millisecond
 	betweenReloads  = 20 * time.Millisecond
@@ -35,8 +35,8 @@
 	termBeforeReady = 250 * time.Millisecond // after the start, at most
 )
 
-// playSeries sends a series to an agent's process, and has a process serve again where that one ends.
-func (s *stage) playSeries(ctx context.Context, t Incident, a *agentProcess) {
+// playSeries sends a series of signals to an agent's process and starts a new process if that one ends.
+func (s *testbed) playSeries(ctx context.Context, t Incident, a *agentProcess) {
 	var after []timedSignal
 	switch SignalSeries(t.Way) {
 	case TermTwice:
@@ -57,11 +57,11 @@
 		s.fail(a.launch())
 		time.Sleep(min(t.For, termBeforeReady))
 	case TermInHandover:
-		a.rec.Put(check.Event{Kind: check.ProcessHandedOver, Agent: a.n, Process: a.present()})
+		a.rec.Put(check.Event{Kind: check.ProcessHandedOver, Agent: a.n, Process: a.current()})
 		a.signal(syscall.SIGUSR2)
 		time.Sleep(min(t.For, termBeforeReady))
 		a.terminate()
-		if a.adoptSuccessor() { // it was ready before the old one saw its signal
+		if a.adoptSuccessor() { // the successor was ready before the old process handled its signal
 			a.terminate()
 		}
 		s.fail(a.start(ctx))
@@ -79,24 +79,24 @@
 	s.fail(a.start(ctx))
 }
 
-// timedSignal is a signal some time after the one before.
+// timedSignal is a signal that is sent some time after the previous one.
 type timedSignal struct {
 	wait        time.Duration
 	signal      syscall.Signal
-	reconfigure bool // the configuration is changed before
+	reconfigure bool // change the configuration before the signal
 }
 
-// reconfigure changes the process's configuration: the address of its list, or a limit of its instances.
+// reconfigure changes the agent's configuration: the address of its list, or a limit of its instances.
 func (a *agentProcess) reconfigure() {
 	a.mu.Lock()
 	a.at++
 	a.mu.Unlock()
 	if err := a.writeConfig(); err != nil {
-		a.rec.Put(check.Event{Kind: check.InvariantLogged, Agent: a.n, Note: "the play could not write a configuration: " + err.Error()})
+		a.rec.Put(check.Event{Kind: check.InvariantLogged, Agent: a.n, Note: "the soak test could not write a configuration: " + err.Error()})
 	}
 }
 
-// adoptSuccessor takes a successor that serves for the present process. It reports false if there is none.
+// adoptSuccessor makes a ready successor the current process. It reports false if there is none.
 func (a *agentProcess) adoptSuccessor() bool {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
