--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-in servers on loopback for tests and tools: the platform's list
-// and form servers that do as they are told. The emulator has the faithful ones.
+// Package standin contains small stand-in servers on loopback for tests and tools: the platform's list service, and
+// form servers whose answers a test scripts. The simulation (internal/simulate) has realistic models of both.
 package standin
 
 import (
@@ -16,24 +16,24 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-const keepAlive = 2 * time.Second // while nothing changes
+const keepAlive = 2 * time.Second // interval of empty lines in a watch while no entry changes
 
-// List is a list service: the whole list, and watches that hear each change at once.
+// List is a list service. It returns the complete list, and sends each change immediately to all watches.
 type List struct {
 	server *httptest.Server
 
-	mu      sync.Mutex
-	version int64
-	servers map[string]discovery.Member
-	changed map[string]int64 // at which version, gone ones too
-	bump    chan struct{}    // closed at each change
-	down    bool
-	calls   atomic.Int64
+	mu         sync.Mutex
+	version    int64
+	servers    map[string]discovery.Member
+	changed    map[string]int64 // version of each entry's last change, including entries that are gone
+	nextChange chan struct{}    // closed at each change
+	down       bool
+	calls      atomic.Int64
 }
 
 // NewList starts a list on a free port of loopback, or on the given address.
 func NewList(addr string, servers ...discovery.Member) (*List, error) {
-	l := &List{servers: map[string]discovery.Member{}, changed: map[string]int64{}, bump: make(chan struct{})}
+	l := &List{servers: map[string]discovery.Member{}, changed: map[string]int64{}, nextChange: make(chan struct{})}
 	l.Set(servers...)
 	l.server = httptest.NewUnstartedServer(l)
 	if addr != "" {
@@ -48,20 +48,20 @@
 	return l, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the list service listens.
 func (l *List) Addr() string { return l.server.Listener.Addr().String() }
 
-// Close ends it, and all watches.
+// Close stops the list service and ends all watches.
 func (l *List) Close() {
 	l.SetDown(true)
 	l.server.CloseClientConnections()
 	l.server.Close()
 }
 
-// Calls is how many calls came.
+// Calls returns the number of calls received.
 func (l *List) Calls() int { return int(l.calls.Load()) }
 
-// Set changes entries. One that is gone stays known as gone.
+// Set changes entries. An entry that is gone is kept, with that state.
 func (l *List) Set(servers ...discovery.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,17 +70,17 @@
 		l.servers[s.ID] = s
 		l.changed[s.ID] = l.version
 	}
-	close(l.bump)
-	l.bump = make(chan struct{})
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 }
 
-// SetDown has all calls fail and all watches end, or ends that.
+// SetDown makes all calls fail and ends all watches, or makes the service available again.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	close(l.bump)
-	l.bump = make(chan struct{})
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 }
 
 func (l *List) since(version int64) (m discovery.Members, next chan struct{}, down bool) {
@@ -92,7 +92,7 @@
 			m.Servers = append(m.Servers, s)
 		}
 	}
-	return m, l.bump, l.down
+	return m, l.nextChange, l.down
 }
 
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -118,7 +118,7 @@
 		alive := time.NewTimer(keepAlive)
 		select {
 		case <-next:
-		case <-alive.C: // an empty line, as the protocol says
+		case <-alive.C: // an empty line, as the protocol requires
 			if _, err := w.Write([]byte{'\n'}); err != nil || http.NewResponseController(w).Flush() != nil {
 				return
 			}
@@ -129,49 +129,49 @@
 	}
 }
 
-// Form is a form server: it counts what comes and answers 200, unless Handle says otherwise.
+// Form is a form server: it counts requests and answers 200, unless Handle is set.
 type Form struct {
 	ID     string
-	Handle http.HandlerFunc // in place of the answer; may be nil
+	Handle http.HandlerFunc // writes the answer instead; may be nil
 
-	server *httptest.Server
-	got    atomic.Int64
-	mu     sync.Mutex
-	ids    map[string]int
+	server       *httptest.Server
+	received     atomic.Int64
+	mu           sync.Mutex
+	receivedByID map[string]int
 }
 
 // NewForm starts a form server on a free port of loopback.
 func NewForm(id string, handle http.HandlerFunc) *Form {
-	f := &Form{ID: id, Handle: handle, ids: map[string]int{}}
+	f := &Form{ID: id, Handle: handle, receivedByID: map[string]int{}}
 	f.server = httptest.NewServer(f)
 	return f
 }
 
-// Close ends it: connections to it are reset.
+// Close stops the server: connections to it are reset.
 func (f *Form) Close() {
 	f.server.CloseClientConnections()
 	f.server.Close()
 }
 
-// Member is its entry in a list.
+// Member returns the server's entry for a list.
 func (f *Form) Member(state string) discovery.Member {
 	return discovery.Member{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
-// Got is how many requests came.
-func (f *Form) Got() int { return int(f.got.Load()) }
+// Got returns the number of requests received.
+func (f *Form) Got() int { return int(f.received.Load()) }
 
-// Times is how often a request of an id came.
+// Times returns how many requests with the given X-Trace-Id were received.
 func (f *Form) Times(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ids[id]
+	return f.receivedByID[id]
 }
 
 func (f *Form) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.got.Add(1)
+	f.received.Add(1)
 	f.mu.Lock()
-	f.ids[r.Header.Get("X-Trace-Id")]++
+	f.receivedByID[r.Header.Get("X-Trace-Id")]++
 	f.mu.Unlock()
 	if f.Handle != nil {
 		f.Handle(w, r)
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -33,24 +33,25 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// pathOptions say how the request path is measured.
+// pathOptions are the options for measuring the request path.
 type pathOptions struct {
 	services, servers []int
-	rate              float64 // calls a second through the agent, and as many directly
+	rate              float64 // calls a second through the agent, and the same number directly
 	rounds            int
 	length            time.Duration // of a round
-	calm              time.Duration // a round in which calls start later than that by p99 is set aside; 0: none is
-	tries             int           // rounds tried for one that counts, at the most
+	calm              time.Duration // a round whose p99 of late starts is above this is discarded; 0: no round is
+	tries             int           // most rounds that are run for each one that counts
 	seed              uint64
 	program           string
 	asTOML            bool
 }
 
-// pathCommand is the request path on loopback sockets: what one agent adds to a call, and what it takes.
+// pathCommand measures the request path on loopback sockets: the latency that one agent adds to a call, and its CPU
+// time and memory.
 func pathCommand() *cobra.Command {
 	var services, servers string
 	o := pathOptions{}
-	c := &cobra.Command{Use: "path", Short: "The request path on loopback: added p50, p99 and processor time, beside a direct connection", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "path", Short: "The request path on loopback: added p50, p99 and CPU time, compared with a direct connection", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) (err error) {
 			if o.services, err = chainSizes(services); err != nil {
 				return err
@@ -60,48 +61,48 @@
 			}
 			return paths(o)
 		}}
-	c.Flags().StringVar(&services, "sizes", "2,12,50", "services called, in turn")
-	c.Flags().StringVar(&servers, "servers", "12,200", "servers of each, in turn")
-	c.Flags().Float64Var(&o.rate, "rate", 408, "calls a second through the agent, and as many directly")
-	c.Flags().IntVar(&o.rounds, "rounds", 5, "rounds, whose median, least and most are told")
-	c.Flags().DurationVar(&o.length, "length", 6*time.Second, "of a round")
-	c.Flags().DurationVar(&o.calm, "calm", 0, "set rounds aside in which calls start later than that by p99: the machine was busy; 0: none")
-	c.Flags().IntVar(&o.tries, "tries", 12, "rounds tried for one that counts, at the most")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "of when calls are made and which service they are for")
-	c.Flags().StringVar(&o.program, "program", "", "the daemon's binary; else it is built")
-	c.Flags().BoolVar(&o.asTOML, "toml", false, "print entries of docs/capacity/slopes.toml, and the table on standard error")
+	c.Flags().StringVar(&services, "sizes", "2,12,50", "numbers of services called, one run after another")
+	c.Flags().StringVar(&servers, "servers", "12,200", "numbers of servers of each service, one run after another")
+	c.Flags().Float64Var(&o.rate, "rate", 408, "calls a second through the agent, and the same number directly")
+	c.Flags().IntVar(&o.rounds, "rounds", 5, "number of rounds, whose median, least and most are printed")
+	c.Flags().DurationVar(&o.length, "length", 6*time.Second, "length of a round")
+	c.Flags().DurationVar(&o.calm, "calm", 0, "discard rounds whose p99 of late starts is above this, as the machine was busy; 0: discard none")
+	c.Flags().IntVar(&o.tries, "tries", 12, "most rounds that are run for each one that counts")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the times of calls and of their services")
+	c.Flags().StringVar(&o.program, "program", "", "the daemon's binary; default: build it first")
+	c.Flags().BoolVar(&o.asTOML, "toml", false, "print entries for docs/capacity/slopes.toml, and the table on standard error")
 	return c
 }
 
 const (
-	pathCores  = 2               // processors of the agent's process, and of this one
-	pathWarmup = 3 * time.Second // connections come up, servers become known
-	pathIdle   = 5 * time.Second // over which a quiet agent is measured
-	pathAnswer = 200             // bytes
-	pathMost   = 5 * time.Second // a call takes no longer
-	pathEarly  = 300 * time.Microsecond
-	pathLeast  = 3 // rounds that an entry rests on
+	pathCores       = 2                      // GOMAXPROCS of the agent's process, and of this one
+	pathWarmup      = 3 * time.Second        // until connections are open and the agent knows the servers
+	pathIdle        = 5 * time.Second        // time over which an idle agent is measured
+	pathAnswerBytes = 200                    // size of an answer, in bytes
+	pathTimeout     = 5 * time.Second        // time limit of a call
+	pathBusyWait    = 300 * time.Microsecond // busy wait before a call's scheduled time, for an exact start
+	pathMinRounds   = 3                      // fewest rounds for a point of an entry
 )
 
-// pathRow is what one size came to, a figure for each round.
+// pathRow is the result for one size, with a figure for each round.
 type pathRow struct {
 	services, servers       int
-	direct, agent           *hdrhistogram.Histogram // of the rounds that count, in microseconds
-	allDirect, allAgent     *hdrhistogram.Histogram // and of those set aside, too
+	direct, agent           *hdrhistogram.Histogram // latencies of the rounds that count, in microseconds
+	allDirect, allAgent     *hdrhistogram.Histogram // the same, including discarded rounds
 	direct50, added50       []float64               // ms
 	direct99, added99       []float64
-	late99                  float64   // ms, between the time meant for a call and its start
-	cpu, waited             []float64 // cores; seconds a second that the agent waited for one
-	idle                    float64   // cores, of a quiet agent
+	late99                  float64   // p99 of the delay between the scheduled time of a call and its start, in ms
+	cpu, waited             []float64 // cores used; seconds a second that the agent's threads waited for a core
+	idle                    float64   // cores used by an idle agent
 	resident, quietResident float64   // bytes
-	aside                   int
-	failed                  [2]int // directly, and through the agent, in all rounds
+	discarded               int
+	failed                  [2]int // failed calls, directly and through the agent, in all rounds
 	last                    error
 }
 
 func paths(o pathOptions) error {
 	runtime.GOMAXPROCS(pathCores)
-	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM) // the daemon must not outlive this
+	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM) // so that the daemon is stopped before this process ends
 	defer cancel()
 	dir, err := os.MkdirTemp("", "path")
 	if err != nil {
@@ -132,13 +133,13 @@
 		"starts late by p99", "agent's CPU", "a call", "quiet", "waited for a core", "memory", "quiet", "failed directly, through the agent, in all rounds")
 	for _, r := range rows {
 		if len(r.cpu) == 0 {
-			bench.Row(r.services, r.servers, fmt.Sprintf("0, %d: the machine was too busy", r.aside), pathFailed(r))
+			bench.Row(r.services, r.servers, fmt.Sprintf("0, %d: the machine was too busy", r.discarded), pathFailed(r))
 			continue
 		}
 		ms := func(share float64, direct, agent *hdrhistogram.Histogram) string {
 			return fmt.Sprintf("%.3f ms", pathAdded(direct, agent, share))
 		}
-		bench.Row(r.services, r.servers, fmt.Sprintf("%d, %d", len(r.cpu), r.aside), pathSpread(r.direct50, 3)+" ms", pathSpread(r.direct99, 3)+" ms",
+		bench.Row(r.services, r.servers, fmt.Sprintf("%d, %d", len(r.cpu), r.discarded), pathSpread(r.direct50, 3)+" ms", pathSpread(r.direct99, 3)+" ms",
 			pathSpread(r.added50, 3)+" ms", pathSpread(r.added99, 3)+" ms", ms(50, r.direct, r.agent), ms(99, r.direct, r.agent),
 			ms(50, r.allDirect, r.allAgent), ms(99, r.allDirect, r.allAgent), fmt.Sprintf("%.3f ms", r.late99),
 			pathSpread(pathPercents(r.cpu), 2)+"% of a core", pathSpread(pathScaled(r.cpu, 1e6/o.rate), 0)+" us", fmt.Sprintf("%.2f%%", 100*r.idle),
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// pathFailed tells of calls that failed.
+// pathFailed returns the numbers of failed calls as text, with the last error.
 func pathFailed(r pathRow) string {
 	text := fmt.Sprintf("%d, %d", r.failed[0], r.failed[1])
 	if r.last != nil {
@@ -160,23 +161,23 @@
 	return text
 }
 
-// pathAdded is how much more a share of calls takes through the agent, in ms.
+// pathAdded returns the difference of a percentile between calls through the agent and direct ones, in ms.
 func pathAdded(direct, agent *hdrhistogram.Histogram, share float64) float64 {
 	return float64(agent.ValueAtQuantile(share)-direct.ValueAtQuantile(share)) / 1000
 }
 
-// measurePath starts servers, lists and the agent, and asks both ways.
+// measurePath starts servers, lists and the agent, and measures calls directly and through the agent.
 func measurePath(ctx context.Context, o pathOptions, dir string, services, servers int) (row pathRow, err error) {
 	row = pathRow{services: services, servers: servers, direct: newPathLatency(), agent: newPathLatency(),
 		allDirect: newPathLatency(), allAgent: newPathLatency()}
-	body := bytes.Repeat([]byte("x"), pathAnswer)
+	body := bytes.Repeat([]byte("x"), pathAnswerBytes)
 	var forms []discovery.Member
 	for i := range servers {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
 		defer f.Close()
 		forms = append(forms, f.Member("ready"))
 	}
-	// Services share the servers' processes, not the agent's knowledge of them.
+	// Services share the server processes, but the agent sees separate servers for each service.
 	var lists []*standin.List
 	for s := range services {
 		var own []discovery.Member
@@ -196,7 +197,7 @@
 		return row, err
 	}
 	defer a.stop()
-	time.Sleep(time.Second) // readings of lists at the start are over
+	time.Sleep(time.Second) // until the agent has read the lists
 	used, _, err := a.used()
 	if err != nil {
 		return row, err
@@ -237,7 +238,7 @@
 		}
 		row.last = cmp.Or(r.last, row.last)
 		if o.calm > 0 && r.late.ValueAtQuantile(99) > o.calm.Microseconds() {
-			row.aside++
+			row.discarded++
 			continue
 		}
 		row.cpu = append(row.cpu, (usedThen-used).Seconds()/took)
@@ -257,7 +258,7 @@
 }
 
 func newPathLatency() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, 2*pathMost.Microseconds(), 3)
+	return hdrhistogram.New(1, 2*pathTimeout.Microseconds(), 3)
 }
 
 // ---- The agent ----
@@ -298,7 +299,7 @@
 worth = 1.0
 `)
 	for i := range lists {
-		// An address of this process's own on loopback: nobody else can have taken the port.
+		// A loopback address derived from this process's ID, so that no other process uses the port.
 		at := fmt.Sprintf("127.%d.%d.%d:7000", 64+os.Getpid()%64, os.Getpid()/64%256, i+1)
 		a.listens = append(a.listens, at)
 		fmt.Fprintf(&t, "[[instance]]\nname = \"v%d\"\nlisten = %q\nsource = \"s%d\"\n", i, at, i)
@@ -321,10 +322,10 @@
 		}
 	}
 	a.stop()
-	return nil, fmt.Errorf("the daemon does not start\n%s", log)
+	return nil, fmt.Errorf("the daemon did not become ready\n%s", log)
 }
 
-// stop ends it by its id.
+// stop stops the daemon: with SIGTERM, and after 15 s with SIGKILL.
 func (a *pathAgent) stop() {
 	_ = a.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -335,16 +336,16 @@
 	}
 }
 
-// used is the processor time of all its threads by now, and for how long they waited for a processor.
+// used returns the CPU time of all the daemon's threads so far, and how long they waited for a core.
 func (a *pathAgent) used() (used, waited time.Duration, err error) {
 	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", a.cmd.Process.Pid))
 	if err != nil || len(all) == 0 {
-		return 0, 0, errors.Join(err, errors.New("the daemon has ended, or there is no schedstat"))
+		return 0, 0, errors.Join(err, errors.New("the daemon has exited, or /proc has no schedstat"))
 	}
 	for _, path := range all {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return 0, 0, err // a thread that ended would take its time with it: Go keeps its own
+			return 0, 0, err // Go keeps its threads, so none should end and take its time out of the sum
 		}
 		var u, w, n int64
 		if _, err := fmt.Sscan(string(text), &u, &w, &n); err != nil {
@@ -356,7 +357,7 @@
 	return used, waited, nil
 }
 
-// resident is its memory in bytes.
+// resident returns the daemon's resident memory in bytes.
 func (a *pathAgent) resident() (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", a.cmd.Process.Pid))
 	if err != nil {
@@ -371,19 +372,20 @@
 
 // ---- Clients ----
 
-// pathCaller makes calls at times drawn beforehand, one way and the other in turn, whether earlier ones are back or not.
+// pathCaller makes calls at random scheduled times (an open loop), directly and through the agent in turn. It does not
+// wait for earlier calls.
 type pathCaller struct {
 	rate   float64
 	rng    *rand.Rand
 	client *http.Client
 	direct []string // addresses of servers
-	agent  []string // of the agent, one a service
+	agent  []string // addresses of the agent, one for each service
 	serial atomic.Int64
 }
 
 func newPathCaller(o pathOptions, forms []discovery.Member, agent []string) *pathCaller {
 	c := &pathCaller{rate: o.rate, rng: rand.New(rand.NewPCG(o.seed, 408)), agent: agent,
-		client: &http.Client{Timeout: pathMost, Transport: &http.Transport{MaxIdleConnsPerHost: 200,
+		client: &http.Client{Timeout: pathTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 200,
 			DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}}
 	for _, m := range forms {
 		c.direct = append(c.direct, m.Addr)
@@ -391,20 +393,20 @@
 	return c
 }
 
-// pathRound is what a while of calls came to. Latency counts from the time that was meant for a call.
+// pathRound is the result of one round of calls. Latency is counted from the scheduled time of a call.
 type pathRound struct {
 	mu                  sync.Mutex
 	direct, agent, late *hdrhistogram.Histogram
 	calls               int    // through the agent
-	failed              [2]int // directly, and through the agent
+	failed              [2]int // failed calls, directly and through the agent
 	last                error
 }
 
 func (c *pathCaller) round(ctx context.Context, length time.Duration) (*pathRound, error) {
-	runtime.LockOSThread() // the last part of each wait is spent looking at the clock
+	runtime.LockOSThread() // the last part of each wait is a busy wait on the clock
 	defer runtime.UnlockOSThread()
 	r := &pathRound{direct: newPathLatency(), agent: newPathLatency(), late: newPathLatency()}
-	ctx, cancel := context.WithTimeout(ctx, length+2*pathMost)
+	ctx, cancel := context.WithTimeout(ctx, length+2*pathTimeout)
 	defer cancel()
 	var open sync.WaitGroup
 	began, at, n := time.Now(), time.Duration(0), 0
@@ -417,14 +419,14 @@
 		if n%2 == 1 {
 			way, host, into = 1, c.agent[c.rng.IntN(len(c.agent))], r.agent
 		}
-		meant := began.Add(at)
-		time.Sleep(time.Until(meant) - pathEarly)
-		for time.Now().Before(meant) {
+		scheduled := began.Add(at)
+		time.Sleep(time.Until(scheduled) - pathBusyWait)
+		for time.Now().Before(scheduled) {
 		}
 		open.Go(func() {
-			started := time.Since(meant)
+			started := time.Since(scheduled)
 			err := c.call(ctx, host)
-			took := time.Since(meant)
+			took := time.Since(scheduled)
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			_ = r.late.RecordValue(started.Microseconds())
@@ -432,9 +434,9 @@
 			if err != nil {
 				r.failed[way]++
 				r.last = err
-				took = pathMost // it counts as one that took as long as any may
+				took = pathTimeout // a failed call counts with the longest time allowed
 			}
-			_ = into.RecordValue(min(took, 2*pathMost).Microseconds())
+			_ = into.RecordValue(min(took, 2*pathTimeout).Microseconds())
 		})
 	}
 	open.Wait()
@@ -442,7 +444,7 @@
 		return nil, err
 	}
 	if r.failed[0]+r.failed[1] > r.calls {
-		return nil, fmt.Errorf("half of all calls failed: %d of %d directly, %d of %d through the agent, the last: %w", r.failed[0], n-r.calls, r.failed[1], r.calls, r.last)
+		return nil, fmt.Errorf("more than half of all calls failed: %d of %d directly, %d of %d through the agent, the last: %w", r.failed[0], n-r.calls, r.failed[1], r.calls, r.last)
 	}
 	return r, nil
 }
@@ -463,8 +465,8 @@
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode != http.StatusOK || got != pathAnswer {
-		return fmt.Errorf("status %d with %d bytes", resp.StatusCode, got)
+	if resp.StatusCode != http.StatusOK || got != pathAnswerBytes {
+		return fmt.Errorf("unexpected answer: status %d with %d bytes", resp.StatusCode, got)
 	}
 	return nil
 }
@@ -486,7 +488,7 @@
 	return all[len(all)/2]
 }
 
-// pathSpread is the median, with the least and the most.
+// pathSpread returns the median, the least and the most as text.
 func pathSpread(all []float64, digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, pathMedian(all), digits, slices.Min(all), digits, slices.Max(all))
 }
@@ -499,11 +501,11 @@
 			s := slopes.Slope{Name: fmt.Sprintf("path.%s.servers_%d", name, servers), Role: "path", Load: load, Quantity: quantity, Unit: unit,
 				Mechanism: "path", Variable: "services_called", Form: form, Command: command, Date: time.Now().Format(time.DateOnly), Machine: measuredOn()}
 			var ranges []string
-			aside := 0
+			discarded := 0
 			for _, r := range rows {
-				if r.servers == servers && len(r.cpu) >= pathLeast {
+				if r.servers == servers && len(r.cpu) >= pathMinRounds {
 					v := pick(r)
-					aside += r.aside
+					discarded += r.discarded
 					s.Points = append(s.Points, [2]float64{float64(r.services), toDigits(pathMedian(v), digits)})
 					ranges = append(ranges, fmt.Sprintf("%.*f to %.*f", digits, slices.Min(v), digits, slices.Max(v)))
 				}
@@ -513,14 +515,14 @@
 			}
 			busy := "busy ones count too"
 			if o.calm > 0 {
-				busy = fmt.Sprintf("%d set aside as the machine was busy", aside)
+				busy = fmt.Sprintf("%d set aside as the machine was busy", discarded)
 			}
 			s.Note = fmt.Sprintf("one agent at %g calls a second, %d servers of each service; median of rounds of %s, %s; least to most: %s",
 				o.rate, servers, o.length, busy, strings.Join(ranges, ", "))
 			all = append(all, s)
 		}
 		entry("added_p50", "rest", "added_p50", "ms", "constant", 3, func(r pathRow) []float64 { return r.added50 })
-		if o.calm > 0 { // else it may be the machine's
+		if o.calm > 0 { // otherwise the added p99 may come from a busy machine
 			entry("added_p99", "rest", "added_p99", "ms", "constant", 3, func(r pathRow) []float64 { return r.added99 })
 		}
 		entry("cpu", "rest", "cpu", "core", "linear", 4, func(r pathRow) []float64 { return r.cpu })
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -14,14 +14,14 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// part is one table of a command, and its entries.
+// part is one measurement of a command, with a table and entries of its own.
 type part struct {
 	name string
 	run  func(sizes []int, f *flags) ([]slopes.Slope, error)
 }
 
-// measures is a command of several parts.
-func measures(use, short, long, sizes string, parts ...part) *cobra.Command {
+// multiPartCommand returns a command with several parts.
+func multiPartCommand(use, short, long, sizes string, parts ...part) *cobra.Command {
 	f := flags{sizes: sizes}
 	var at string
 	c := &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs}
@@ -51,30 +51,30 @@
 			}
 		}
 		if !found {
-			return fmt.Errorf("--part %q: there are%s", at, names)
+			return fmt.Errorf("--part %q is not one of%s", at, names)
 		}
 		return nil
 	}
-	c.Flags().StringVar(&at, "part", "", "one of:"+names+"; empty: all")
+	c.Flags().StringVar(&at, "part", "", "the part to run, one of:"+names+"; empty: all")
 	f.add(c)
 	return c
 }
 
 func verdictsCommand() *cobra.Command {
-	return measures("verdicts", "Verdicts about servers: bytes, messages and processor time of an agent",
-		"At rest over sizes and over requests a second; the ordinary day; a zone of fifteen whose servers all fail for a minute. Each agent is a\n"+
-			"server too, and sends to those of the services that its own calls, by a graph drawn from the seed.",
+	return multiPartCommand("verdicts", "Shared ejections of servers: bytes, messages and CPU time of an agent",
+		"At rest over sizes and over requests a second; on the ordinary day; when all servers of one of fifteen zones fail for a minute. Each\n"+
+			"agent is a server too, and sends to the services that its own service calls, by a graph drawn from the seed.",
 		"100,300,1000", part{"rest", verdictsRest}, part{"rate", verdictsRate}, part{"day", verdictsDay}, part{"worst", verdictsWorst})
 }
 
-// Of requests on an ordinary day.
+// Requests on an ordinary day.
 const (
-	callsEach = 408.0 // a second of each agent
-	badShare  = 0.001 // of them by chance, whatever it is: as in tools/verdicts
+	requestRate = 408.0 // requests a second of each agent
+	errorShare  = 0.001 // share of requests that fail at random, as in tools/verdicts
 )
 
 func verdictsRun(n int, rate float64, f *flags, change func(*hollow.Verdicts)) (hollow.Phase, error) {
-	l, err := apart.layout(n, f.seed)
+	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
 		return hollow.Phase{}, err
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return hollow.Phase{}, err
 	}
-	v := hollow.Verdicts{Seed: f.seed, Layout: l, Graph: g, Rate: rate, Error: badShare, Marks: []time.Duration{5 * time.Second}, Length: 15 * time.Second}
+	v := hollow.Verdicts{Seed: f.seed, Layout: l, Graph: g, Rate: rate, Error: errorShare, Marks: []time.Duration{5 * time.Second}, Length: 15 * time.Second}
 	if change != nil {
 		change(&v)
 	}
@@ -93,19 +93,19 @@
 	return phases[1], nil
 }
 
-// onceCounted has a run measured once holders have counted what fails by chance.
-func onceCounted(v *hollow.Verdicts) {
+// measureAfterWarmup makes a run measure from 20 s on, when agents have counted random failures for long enough.
+func measureAfterWarmup(v *hollow.Verdicts) {
 	v.Marks, v.Length = []time.Duration{20 * time.Second}, 25*time.Second
 }
 
 func verdictsRest(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
-	for _, rate := range []float64{1, callsEach} {
-		s := f.series("verdicts", "rest", "agents", fmt.Sprintf("%v requests a second of each, 0.1%% fail by chance, from 20 s on, %s", rate, apart.name))
+	for _, rate := range []float64{1, requestRate} {
+		s := f.series("verdicts", "rest", "agents", fmt.Sprintf("%v requests a second of each, 0.1%% fail by chance, from 20 s on, %s", rate, regions80ms.name))
 		for _, n := range sizes {
 			began := time.Now()
-			p, err := verdictsRun(n, rate, f, onceCounted)
+			p, err := verdictsRun(n, rate, f, measureAfterWarmup)
 			if err != nil {
 				return nil, err
 			}
@@ -120,10 +120,10 @@
 func verdictsRate(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	n := sizes[max(0, len(sizes)-2)]
-	s := f.series("verdicts", "rest", "calls_per_s", fmt.Sprintf("%d agents, 0.1%% fail by chance, from 20 s on, %s", n, apart.name))
-	for _, rate := range []float64{1, 10, 40, callsEach} {
+	s := f.series("verdicts", "rest", "calls_per_s", fmt.Sprintf("%d agents, 0.1%% fail by chance, from 20 s on, %s", n, regions80ms.name))
+	for _, rate := range []float64{1, 10, 40, requestRate} {
 		began := time.Now()
-		p, err := verdictsRun(n, rate, f, onceCounted)
+		p, err := verdictsRun(n, rate, f, measureAfterWarmup)
 		if err != nil {
 			return nil, err
 		}
@@ -133,24 +133,25 @@
 	return s.entries(fmt.Sprintf("rate_%d", n), "verdicts --part rate", "power"), nil
 }
 
-// verdictsDay is rest, and what a failed server and a drained one cost beyond it times their rates of a day.
+// verdictsDay measures the ordinary day: the cost at rest, and the additional cost of a failed server and of a drained
+// one, multiplied by their daily rates.
 func verdictsDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
-	s := f.series("verdicts", "day", "agents", fmt.Sprintf("%v requests a second; rest, and what a failure and a drain cost beyond it times their rates of a day", callsEach))
+	s := f.series("verdicts", "day", "agents", fmt.Sprintf("%v requests a second; rest, and what a failure and a drain cost beyond it times their rates of a day", requestRate))
 	const gap = 10 * time.Second
 	for _, n := range sizes {
 		began := time.Now()
-		rest, err := verdictsRun(n, callsEach, f, nil)
+		rest, err := verdictsRun(n, requestRate, f, nil)
 		if err != nil {
 			return nil, err
 		}
-		failed, err := verdictsRun(n, callsEach, f, func(v *hollow.Verdicts) {
+		failed, err := verdictsRun(n, requestRate, f, func(v *hollow.Verdicts) {
 			v.Failing = []hollow.Failing{{Servers: []int{n / 2}, Share: 1, Start: 5 * time.Second, End: time.Hour}}
 		})
 		if err != nil {
 			return nil, err
 		}
-		drained, err := verdictsRun(n, callsEach, f, func(v *hollow.Verdicts) { v.Drains = []verdicts.Drain{{Server: n / 2, At: 5 * time.Second}} })
+		drained, err := verdictsRun(n, requestRate, f, func(v *hollow.Verdicts) { v.Drains = []verdicts.Drain{{Server: n / 2, At: 5 * time.Second}} })
 		if err != nil {
 			return nil, err
 		}
@@ -164,13 +165,13 @@
 	return s.entries("day", "verdicts --part day", "log"), nil
 }
 
-// verdictsWorst is all servers of a zone that fail at once.
+// verdictsWorst measures all servers of a zone failing together.
 func verdictsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
-	s := f.series("verdicts", "worst", "agents", fmt.Sprintf("%v requests a second, %s; all servers of a zone of 15 fail at once; the 10 s from then", callsEach, apart.name))
+	s := f.series("verdicts", "worst", "agents", fmt.Sprintf("%v requests a second, %s; all servers of a zone of 15 fail at once; the 10 s from then", requestRate, regions80ms.name))
 	for _, n := range sizes {
 		began := time.Now()
-		p, err := verdictsRun(n, callsEach, f, func(v *hollow.Verdicts) {
+		p, err := verdictsRun(n, requestRate, f, func(v *hollow.Verdicts) {
 			v.Failing = []hollow.Failing{{Servers: v.Layout.InZone(zones), Share: 1, Start: 5 * time.Second, End: time.Hour}}
 		})
 		if err != nil {
@@ -183,33 +184,34 @@
 }
 
 func limitsCommand() *cobra.Command {
-	return measures("limits", "Limits for the whole fleet: bytes, messages and processor time of a holder and of a keeper",
-		"One limit by the second, lent by three keepers, whose holders all use it: at rest, and as a zone of fifteen starts at once.",
-		"120,1200,12000", part{"rest", limitsRest}, part{"worst", limitsWorst}, part{"keeper", limitsKeeper})
+	return multiPartCommand("limits", "Limits for the whole fleet: bytes, messages and CPU time of a lease client and of a lease server",
+		"One limit of requests a second, leased by three lease servers to clients that all use it: at rest, and when one of fifteen zones starts.",
+		"120,1200,12000", part{"rest", limitsRest}, part{"worst", limitsWorst}, part{"keeper", limitsLeaseServer})
 }
 
-// limitsBusy is requests a second of each holder: enough that it asks as often as it ever does at rest.
-const limitsBusy = 8
+// limitsRequestRate is the number of requests a second of each lease client, enough that it asks its lease servers as
+// often as it ever does at rest.
+const limitsRequestRate = 8
 
-func limitsRun(n int, f *flags, change func(*hollow.Limits)) (holder, keeper hollow.Phase, err error) {
-	l, err := apart.layout(n, f.seed)
+func limitsRun(n int, f *flags, change func(*hollow.Limits)) (leaseClient, leaseServer hollow.Phase, err error) {
+	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
-		return holder, keeper, err
+		return leaseClient, leaseServer, err
 	}
-	v := hollow.Limits{Seed: f.seed, Layout: l, Members: n, Rate: limitsBusy, Marks: []time.Duration{8 * time.Second}, Length: 14 * time.Second}
+	v := hollow.Limits{Seed: f.seed, Layout: l, Members: n, Rate: limitsRequestRate, Marks: []time.Duration{8 * time.Second}, Length: 14 * time.Second}
 	if change != nil {
 		change(&v)
 	}
 	h, k, _, err := v.Play()
 	if err != nil {
-		return holder, keeper, err
+		return leaseClient, leaseServer, err
 	}
 	return h[1], k[1], nil
 }
 
 func limitsTable(sizes []int, f *flags, load, which, note, command string, change func(*hollow.Limits)) ([]slopes.Slope, error) {
 	f.head()
-	holders, keepers := f.series("limits", load, "agents", note), f.series("limits", load, "agents", note+"; one keeper of three")
+	leaseClients, leaseServers := f.series("limits", load, "agents", note), f.series("limits", load, "agents", note+"; one keeper of three")
 	for _, n := range sizes {
 		began := time.Now()
 		h, k, err := limitsRun(n, f, change)
@@ -218,13 +220,13 @@
 		}
 		f.row(n, which+", a holder", h, began)
 		f.row(n, which+", a keeper", k, began)
-		holders.add(float64(n), h)
-		keepers.add(float64(n), k)
+		leaseClients.add(float64(n), h)
+		leaseServers.add(float64(n), k)
 	}
-	all := holders.entries(which, command, "constant")
-	for _, s := range keepers.entries(which+"_keeper", command, "linear") {
+	all := leaseClients.entries(which, command, "constant")
+	for _, s := range leaseServers.entries(which+"_keeper", command, "linear") {
 		if s.Quantity == "cpu" {
-			continue // all members' processor time together: a keeper's own is limits.cpu.keeper
+			continue // this is the CPU time of all members together; that of a lease server is limits.cpu.keeper
 		}
 		s.Role = "keeper"
 		all = append(all, s)
@@ -233,7 +235,7 @@
 }
 
 func limitsRest(sizes []int, f *flags) ([]slopes.Slope, error) {
-	return limitsTable(sizes, f, "rest", "rest", "one limit by the second, three keepers, every agent busy, "+apart.name, "limits --part rest", nil)
+	return limitsTable(sizes, f, "rest", "rest", "one limit by the second, three keepers, every agent busy, "+regions80ms.name, "limits --part rest", nil)
 }
 
 func limitsWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
@@ -242,8 +244,8 @@
 	})
 }
 
-// limitsKeeper is what one keeper's processor does for so many holders.
-func limitsKeeper(sizes []int, f *flags) ([]slopes.Slope, error) {
+// limitsLeaseServer measures the CPU time of one lease server for one message, by the number of lease clients.
+func limitsLeaseServer(sizes []int, f *flags) ([]slopes.Slope, error) {
 	if !f.toml {
 		bench.Head("holders", "a question, with its encoding")
 	}
@@ -256,7 +258,7 @@
 		if !f.toml {
 			bench.Row(n, each)
 		}
-		points = append(points, [2]float64{float64(n), figures(float64(each) / 1000)})
+		points = append(points, [2]float64{float64(n), fourDigits(float64(each) / 1000)})
 	}
 	return []slopes.Slope{f.entry(slopes.Slope{Name: "limits.cpu.keeper", Role: "keeper", Load: "rest", Quantity: "time", Unit: "us", Mechanism: "limits", Variable: "agents", Form: "linear", Points: points,
 		Note: "processor time of one question at a keeper, encoding and decoding included, no system calls; a busy holder asks each keeper four times a second"}, "limits --part keeper")}, nil
--- a/tools/capacity/slopes/slopes_test.go
+++ b/tools/capacity/slopes/slopes_test.go
@@ -26,14 +26,14 @@
 func TestErrorsNameLineAndField(t *testing.T) {
 	for _, c := range []struct{ was, is, want string }{
 		{"role =", "rule =", "f.toml:4: slope.rule: there is no such key"},
-		{`"agent"`, `"agnet"`, "f.toml:4: slope[0].role: \"agnet\" is none of agent, voter"},
+		{`"agent"`, `"agnet"`, "f.toml:4: slope[0].role: \"agnet\" is not one of agent, voter"},
 		{`"rest"`, `"night"`, "f.toml:5: slope[0].load: "},
 		{`"linear"`, `"cubic"`, "f.toml:10: slope[0].form: "},
 		{`"bytes_out"`, `"Bytes out"`, "f.toml:6: slope[0].quantity: "},
-		{"[100, 210], [1000, 2010]", "[1000, 2010], [100, 210]", "f.toml:11: slope[0].points: size 100 comes after 1000: sizes ascend"},
+		{"[100, 210], [1000, 2010]", "[1000, 2010], [100, 210]", "f.toml:11: slope[0].points: size 100 comes after 1000: sizes must ascend"},
 		{"[100, 210]", "[10, 210]", "f.toml:11: slope[0].points: size 10 comes after 10"},
-		{"[[10, 30], [100, 210], [1000, 2010]]", "[]", "f.toml:11: slope[0].points: there are none"},
-		{", [100, 210], [1000, 2010]", "", "f.toml:11: slope[0].points: a fit by linear needs 2 points"},
+		{"[[10, 30], [100, 210], [1000, 2010]]", "[]", "f.toml:11: slope[0].points: there are no points"},
+		{", [100, 210], [1000, 2010]", "", "f.toml:11: slope[0].points: a fit by linear needs at least 2 points"},
 		{"[10, 30]", "[10, \"x\"]", "f.toml:11: "},
 		{`"go run ./tools/capacity view"`, `""`, "f.toml:12: slope[0].command: "},
 		{`"2026-12-02"`, `"2 December"`, "f.toml:13: slope[0].date: "},
@@ -41,11 +41,11 @@
 		{`"view.bytes_out.rest"`, `"view"`, "f.toml:3: slope[0].name: "},
 		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\nceiling = 2009\n", "f.toml:15: slope[0].ceiling: 2009 is below a point of 2010"},
 		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\nceiling = -1\n", "f.toml:15: slope[0].ceiling: -1 is below"},
-		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\n" + entry, "f.toml:17: slope[1].name: \"view.bytes_out.rest\" stands on line 3 already"},
+		{"machine = \"8 cores\"\n", "machine = \"8 cores\"\n" + entry, "f.toml:17: slope[1].name: \"view.bytes_out.rest\" is already on line 3"},
 	} {
 		text := strings.Replace(entry, c.was, c.is, 1)
 		if text == entry {
-			t.Fatalf("%q is not there", c.was)
+			t.Fatalf("%q is not in the entry", c.was)
 		}
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s instead of %s: %v, want %s...", c.is, c.was, err, c.want)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestWrittenEntriesCanBeRead(t *testing.T) {
 	all, err := Parse("f.toml", []byte(entry))
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,8 @@
 	}
 }
 
-// Points on a curve of each form give back its numbers, leave nothing, and are met again where they were not measured.
+// A fit to points that lie on a curve of each form finds the curve: it has no residual, and gives the curve's value
+// at a size that was not measured.
 func TestFitsFindTheCurveThatPointsAreOn(t *testing.T) {
 	for form, f := range map[string]func(x float64) float64{
 		"constant": func(float64) float64 { return 7 },
@@ -88,18 +89,18 @@
 	}
 }
 
-func TestResidualSaysWhatTheFormLeaves(t *testing.T) {
-	s := Slope{Form: "linear", Points: [][2]float64{{0, 0}, {1, 5}, {2, 0}}} // the line is 5/3; it leaves 5/3, 10/3, 5/3, and the largest value is 5
+func TestResidualMeasuresTheDeviationFromTheFit(t *testing.T) {
+	s := Slope{Form: "linear", Points: [][2]float64{{0, 0}, {1, 5}, {2, 0}}} // the fitted line is 5/3; the differences are 5/3, 10/3, 5/3, and the largest value is 5
 	if got, want := s.Fit().Residual, math.Sqrt(6.0/9/3); math.Abs(got-want) > 1e-9 {
 		t.Errorf("%v, want %v", got, want)
 	}
 	s.Points = s.Points[:2]
 	if got := s.Fit().Residual; !math.IsNaN(got) {
-		t.Errorf("two points and a line leave %v: nothing can be said", got)
+		t.Errorf("residual of a line through two points is %v, want NaN", got)
 	}
 }
 
-func TestStepsHoldToTheNext(t *testing.T) {
+func TestAStepHoldsUntilTheNextSize(t *testing.T) {
 	f := (&Slope{Form: "steps", Points: [][2]float64{{10, 1}, {20, 5}}}).Fit()
 	for x, want := range map[float64]float64{10: 1, 19: 1, 20: 5, 1000: 5} {
 		if got := f.Value(x); got != want {
@@ -108,7 +109,7 @@
 	}
 }
 
-// What bounds a figure by construction bounds its curve, and is no part of the fit.
+// A ceiling bounds the curve and does not affect the fit.
 func TestACeilingBoundsTheCurve(t *testing.T) {
 	s := Slope{Form: "linear", Ceiling: 50, Points: [][2]float64{{1, 10}, {2, 20}, {3, 30}}}
 	f := s.Fit()
@@ -118,6 +119,6 @@
 		}
 	}
 	if math.Abs(f.B-10) > 1e-9 {
-		t.Errorf("the curve is no longer that of its points: %v", f.B)
+		t.Errorf("the ceiling changes the fit: %v", f.B)
 	}
 }
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays seeds of trouble round real processes of the program, and checks the recorded histories; see
-// docs/operate/soak.md.
+// Command soak runs random fault tests, one for each seed, against real processes of the program, and checks the
+// recorded histories; see docs/operate/soak.md.
 package main
 
 import (
@@ -40,41 +40,41 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	o := options{}
-	c := &cobra.Command{Use: "soak", Short: "Play seeds of trouble round real processes, and check what happened", Args: cobra.NoArgs, SilenceUsage: true,
+	c := &cobra.Command{Use: "soak", Short: "Run random fault tests against real processes, and check the recorded histories", Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(c *cobra.Command, _ []string) error { return run(ctx, o, c.OutOrStdout()) }}
 	f := c.Flags()
-	f.StringVar(&o.seeds, "seeds", "1-10", "a seed, or the first and the last of many")
-	f.DurationVar(&o.most, "for", 30*time.Minute, "no play begins after so long")
+	f.StringVar(&o.seeds, "seeds", "1-10", "a seed, or the first and the last seed of a range")
+	f.DurationVar(&o.most, "for", 30*time.Minute, "start no further run after this time")
 	f.IntVar(&o.size.Agents, "agents", 16, "processes of run, up to 60")
 	f.IntVar(&o.size.Daemons, "daemons", 4, "processes of serve, up to 20")
 	f.IntVar(&o.size.Servers, "servers", 10, "stand-in servers, up to 100")
-	f.DurationVar(&o.size.Length, "length", 12*time.Second, "of a play, up to 10m")
-	f.StringVar(&o.program, "program", "", "a program that was built by --build-only; default: it is built first")
-	f.StringVar(&o.buildOnly, "build-only", "", "build the program with faults as this file, and play nothing")
-	f.StringVar(&o.keep, "keep", "", "a directory for plans, histories and logs of plays that fail")
-	f.IntVar(&o.shrink, "shrink", 0, "plays at most that look for a smaller plan that fails too")
-	f.StringArrayVar(&o.faults, "fault", nil, "a fault of all processes, NAME=VALUE as in internal/faulttest/faultbuild, in place of those that seeds draw")
-	f.StringVar(&o.plan, "plan", "", "play this plan, as --keep wrote it, in place of seeds")
+	f.DurationVar(&o.size.Length, "length", 12*time.Second, "length of a run, up to 10m")
+	f.StringVar(&o.program, "program", "", "a program built with --build-only; default: build it first")
+	f.StringVar(&o.buildOnly, "build-only", "", "build the program with faults as this file, and run nothing")
+	f.StringVar(&o.keep, "keep", "", "a directory for plans, histories and logs of runs that fail")
+	f.IntVar(&o.shrink, "shrink", 0, "most runs that search for a smaller plan that fails too")
+	f.StringArrayVar(&o.faults, "fault", nil, "a fault in all processes, NAME=VALUE as in internal/faulttest/faultbuild, instead of those that seeds draw")
+	f.StringVar(&o.plan, "plan", "", "run this plan, as --keep wrote it, instead of seeds")
 	if err := c.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
 }
 
-// check reports flags that are out of bounds.
+// check returns an error if a flag is out of bounds.
 func (o *options) check() error {
 	for _, b := range []struct {
 		name        string
 		value, most int
 	}{{"agents", o.size.Agents, 60}, {"daemons", o.size.Daemons, 20}, {"servers", o.size.Servers, 100}, {"shrink", o.shrink, 200}} {
 		if b.value < 0 || b.value > b.most {
-			return fmt.Errorf("--%s: %d: 0 to %d are allowed", b.name, b.value, b.most)
+			return fmt.Errorf("--%s: %d is not within 0 to %d", b.name, b.value, b.most)
 		}
 	}
 	if o.size.Servers == 0 || o.size.Agents+o.size.Daemons == 0 {
 		return errors.New("--servers, --agents, --daemons: at least one server and one process are needed")
 	}
 	if o.size.Length < 2*time.Second || o.size.Length > 10*time.Minute {
-		return fmt.Errorf("--length: %v: 2s to 10m are allowed", o.size.Length)
+		return fmt.Errorf("--length: %v is not within 2s to 10m", o.size.Length)
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 		to, err = strconv.ParseUint(last, 10, 32)
 	}
 	if err != nil || to < from || to-from >= 100_000 {
-		return nil, fmt.Errorf("--seeds: %q: a number, or two as in 1-200, are wanted", o.seeds)
+		return nil, fmt.Errorf("--seeds: %q is not a seed or a range such as 1-200", o.seeds)
 	}
 	var all []soak.Plan
 	for seed := from; seed <= to; seed++ {
@@ -145,7 +145,7 @@
 			fmt.Fprintf(out, "seed %d: kept, %d requests\n", plans[0].Seed, report.Exercised[check.OneAnswer])
 		} else {
 			failed++
-			o.tell(ctx, out, plans[0], dir, report, err)
+			o.printFailure(ctx, out, plans[0], dir, report, err)
 		}
 		for i, n := range report.Exercised {
 			total[i] += n
@@ -159,12 +159,13 @@
 		fmt.Fprintf(out, "%-22s %d\n", i, total[i])
 	}
 	if failed > 0 || ctx.Err() != nil {
-		return fmt.Errorf("%d of %d plays failed", failed, played)
+		return fmt.Errorf("%d of %d runs failed", failed, played)
 	}
 	return nil
 }
 
-// play plays a plan in a directory of its own, and keeps what is wanted of one that failed.
+// play runs a plan in a directory of its own. If the run fails, it copies the plan, history, report and logs to the
+// directory of --keep.
 func (o *options) play(ctx context.Context, p soak.Plan, dir string) (check.Report, error) {
 	files, err := os.MkdirTemp(dir, "play")
 	if err != nil {
@@ -181,14 +182,15 @@
 	return report, err
 }
 
-const toldMost = 12 // violations that are printed of one play
+const maxPrinted = 12 // most violations printed for one run
 
-// tell prints what failed, and a smaller plan that fails too.
-func (o *options) tell(ctx context.Context, out io.Writer, p soak.Plan, dir string, report check.Report, err error) {
+// printFailure prints the violations of a failed run and, with --shrink, a smaller plan that violates the same
+// invariant.
+func (o *options) printFailure(ctx context.Context, out io.Writer, p soak.Plan, dir string, report check.Report, err error) {
 	fmt.Fprintf(out, "seed %d: FAILED, %d violations, error %v\n%s\n", p.Seed, len(report.Violations), err, p)
 	for i, v := range report.Violations {
-		if i == toldMost {
-			fmt.Fprintf(out, "  and %d more\n", len(report.Violations)-toldMost)
+		if i == maxPrinted {
+			fmt.Fprintf(out, "  and %d more\n", len(report.Violations)-maxPrinted)
 			break
 		}
 		fmt.Fprintf(out, "  %s\n", v)
@@ -211,7 +213,7 @@
 	fmt.Fprintf(out, "a smaller plan that breaks %s:\n%s\n", wanted, smaller)
 }
 
-// keep copies what shows a failure.
+// keep writes the plan, history and report of a failed run, and copies the logs of its processes.
 func keep(to, files string, p soak.Plan, history []check.Event, report check.Report) error {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return err
