--- a/internal/faulttest/harness/relay.go
+++ b/internal/faulttest/harness/relay.go
@@ -299,7 +299,8 @@
 	return func() { close(done) }
 }
 
-// holdIfCut reports whether a link drops everything; if so, it first holds the new stream until the caller gives up.
+// holdIfCut reports whether a link drops everything in either direction; if so, it first holds the new stream until the
+// caller gives up.
 func (r *relays) holdIfCut(from, to int, in *net.TCPConn) bool {
 	if r.link(from, to).Drop < 1 && r.link(to, from).Drop < 1 {
 		return false
