--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -157,7 +157,7 @@
 		return err
 	}
 	d.listen = netip.AddrPortFrom(own, uint16(probe.Addr().(*net.TCPAddr).Port))
-	_ = probe.Close() // nobody else uses this address of loopback
+	_ = probe.Close() // nothing else uses this loopback address
 	d.relay, err = r.relays.open(d.n, at, own, d.listen)
 	return err
 }
--- a/tools/capacity/entries_test.go
+++ b/tools/capacity/entries_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// So are the entries that view, verdicts and limits print, for each variable.
+// The entries that view, verdicts and limits print for each variable pass the checks of slopes.Parse, and none is missing.
 func TestViewVerdictsAndLimitsEntriesAreValid(t *testing.T) {
 	f := &flags{sizes: "30,100", seed: 1, workers: 1}
 	p := hollow.Phase{Out: hollow.Rate{Bytes: 2, Messages: 1, Most: 3}, In: hollow.Rate{Bytes: 2, Messages: 1, Most: 3}, Processor: 0.001}
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -261,8 +261,6 @@
 	return hdrhistogram.New(1, 2*pathTimeout.Microseconds(), 3)
 }
 
-// ---- The agent ----
-
 // pathAgent is a daemon with an instance for each service that is called.
 type pathAgent struct {
 	cmd     *exec.Cmd
@@ -370,8 +368,6 @@
 	return pages * float64(os.Getpagesize()), nil
 }
 
-// ---- Clients ----
-
 // pathCaller makes calls at random scheduled times (an open loop), directly and through the agent in turn. It does not
 // wait for earlier calls.
 type pathCaller struct {
@@ -471,8 +467,6 @@
 	return nil
 }
 
-// ---- Figures ----
-
 func pathScaled(all []float64, by float64) []float64 {
 	out := slices.Clone(all)
 	for i := range out {
