--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -140,7 +140,7 @@
 func (d *Daemon) handleReload(w http.ResponseWriter, _ *http.Request) {
 	result, err := d.Reload()
 	if err != nil {
-		d.log.Error("configuration not applied, the old one holds", "error", err)
+		d.log.Error("configuration not applied; the previous one stays in effect", "error", err)
 		replyError(w, http.StatusUnprocessableEntity, err)
 		return
 	}
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -46,7 +46,7 @@
 var (
 	ErrNotSnapshot = errors.New("not a state file of vetchhaven")
 	ErrVersion     = errors.New("unknown version of the state file")
-	ErrCorrupt     = errors.New("corrupt state file")
+	ErrCorrupt     = errors.New("damaged state file")
 	ErrTooOld      = errors.New("saved state is too old")
 )
 
--- a/internal/peer/transport/savedview.go
+++ b/internal/peer/transport/savedview.go
@@ -58,7 +58,7 @@
 }
 
 // DecodeSaved decodes the file content that EncodeSaved returned. The error tells whether the file has another type,
-// is of another version, or is torn.
+// is of another version, or is damaged.
 func DecodeSaved(data []byte) (*Saved, error) {
 	head, body, found := bytes.Cut(data, []byte{'\n'})
 	var version, length int
@@ -70,11 +70,11 @@
 	case err == nil && version != savedViewVersion:
 		return nil, fmt.Errorf("unsupported version %d, known is %d", version, savedViewVersion)
 	case err != nil || !found || length != len(body) || sum != crc64.Checksum(body, savedViewTable):
-		return nil, errors.New("torn: checksum mismatch")
+		return nil, errors.New("damaged: checksum mismatch")
 	}
 	s := &Saved{}
 	if err := decoding.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("torn: %w", err)
+		return nil, fmt.Errorf("damaged: %w", err)
 	}
 	return s, nil
 }
--- a/internal/simulate/model/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -118,7 +118,7 @@
 		s = &own
 		for _, c := range s.Timeline {
 			if _, ok := c.What.(model.Agents); ok {
-				return nil, errors.New("agents-restart: agents that run already cannot be restarted by the simulation")
+				return nil, errors.New("agents-restart: agents that run already can't be restarted by the simulation")
 			}
 		}
 	}
--- a/internal/simulate/scenario/incident.go
+++ b/internal/simulate/scenario/incident.go
@@ -231,7 +231,7 @@
 			}
 			a, b := c.name(at("zones"), in.Zones[0], s.Zones), c.name(at("zones"), in.Zones[1], s.Zones)
 			if a == b {
-				c.fail(at("zones"), "a zone cannot be cut off from itself")
+				c.fail(at("zones"), "a zone can't be cut off from itself")
 			}
 			add(from, model.Cut{A: a, B: b, On: true})
 			add(until, model.Cut{A: a, B: b})
--- a/internal/simulate/scenario/scenario.go
+++ b/internal/simulate/scenario/scenario.go
@@ -320,7 +320,7 @@
 	for i, k := range f.Class {
 		at := func(field string) string { return fmt.Sprintf("class[%d].%s", i, field) }
 		if k.Name == "" || strings.ContainsAny(k.Name, "/ ?#%") {
-			c.fail(at("name"), "%q cannot be used as the first part of a path", k.Name)
+			c.fail(at("name"), "%q can't be used as the first part of a path", k.Name)
 		}
 		if slices.ContainsFunc(s.Classes, func(o model.Class) bool { return o.Name == k.Name }) {
 			c.fail(at("name"), "%q is named twice", k.Name)
@@ -400,7 +400,7 @@
 	for i, g := range f.Servers {
 		at := func(field string) string { return fmt.Sprintf("servers[%d].%s", i, field) }
 		if g.Name == "" || strings.ContainsAny(g.Name, " \"\\/") {
-			c.fail(at("name"), "%q cannot be used as a name of servers", g.Name)
+			c.fail(at("name"), "%q can't be used as a name of servers", g.Name)
 		}
 		if g.Count < 1 || g.Count+len(s.Servers) > maxServers {
 			c.fail(at("count"), "%d: at least 1, and %d in all, are allowed", g.Count, maxServers)
