--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := http1.New(cfg, log.With("agent", cfg.Name), core.Parts{Listener: ln})
+	a, err := http1.New(cfg, log.With("agent", cfg.Name), core.Options{Listener: ln})
 	if err != nil {
 		return err
 	}
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -32,7 +32,7 @@
 	unsubscribe func()         // unsubscribes from the hub; nil: not subscribed
 
 	stopAccepting func() <-chan time.Time // its channel ends accepting in a stopping agent; nil: at once
-	listWait      time.Duration           // see Parts.ListWait
+	listWait      time.Duration           // see Options.ListWait
 	firstListWait time.Duration           // firstPushedListWait, except in tests
 
 	serving  atomic.Bool // clients' connections are accepted
@@ -44,9 +44,9 @@
 	idleCloser *time.Timer // closes idle connections while an operator drains the agent; nil: none is scheduled
 }
 
-// Parts replace an agent's own listener, endpoint list and other defaults. The zero value is for an agent that the
+// Options replace an agent's own listener, endpoint list and other defaults. The zero value is for an agent that the
 // platform runs in a process of its own.
-type Parts struct {
+type Options struct {
 	// Listener is a TCP or unix listener, which the agent closes; nil: the agent opens its own.
 	Listener net.Listener
 	// Hub reads the endpoint list once for many agents; nil: the agent watches the list itself.
@@ -78,7 +78,7 @@
 
 // New returns an agent that serves once Run is called. It opens the listener itself unless parts has one.
 // newProtocol makes the protocol, which submits its requests to the given loop.
-func New(cfg *Config, log *slog.Logger, parts Parts, newProtocol func(*Loop) Protocol) (*Agent, error) {
+func New(cfg *Config, log *slog.Logger, parts Options, newProtocol func(*Loop) Protocol) (*Agent, error) {
 	a := &Agent{
 		cfg:           cfg,
 		log:           log,
@@ -120,7 +120,7 @@
 
 // stopAcceptingOf returns the function that gives a stopping agent the channel which ends accepting; nil: accepting
 // ends at once.
-func stopAcceptingOf(parts Parts) func() <-chan time.Time {
+func stopAcceptingOf(parts Options) func() <-chan time.Time {
 	switch {
 	case parts.NoLateConnections:
 		return nil
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -82,7 +82,7 @@
 			}
 			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Member{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
-			parts := Parts{HeartbeatTimeout: 2 * testkit.Patience}
+			parts := Options{HeartbeatTimeout: 2 * testkit.Patience}
 			a, err := New(cfg, testkit.Quiet, parts, func(l *Loop) Protocol {
 				p.loop = l
 				return p
@@ -156,7 +156,7 @@
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Deadline = longest
 			}
-			parts := Parts{Listener: testkit.Listen(t)}
+			parts := Options{Listener: testkit.Listen(t)}
 			a, err := New(cfg, testkit.Quiet, parts, func(*Loop) Protocol { return idleProtocol{} })
 			if err != nil {
 				t.Fatal(err)
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -98,7 +98,7 @@
 }
 
 // newAgent makes an agent for the instance's protocol.
-func (d *Daemon) newAgent(instance *hostedInstance, size *membership.Size, parts core.Parts) (*core.Agent, error) {
+func (d *Daemon) newAgent(instance *hostedInstance, size *membership.Size, parts core.Options) (*core.Agent, error) {
 	spec := &instance.spec
 	cfg := spec.Agent
 	cfg.Seed = d.rng.Uint64()
@@ -114,9 +114,9 @@
 }
 
 // agentParts returns what an agent shares with the daemon. The agent's loop calls the functions in it.
-func (d *Daemon) agentParts(instance *hostedInstance, number uint32, listener net.Listener) core.Parts {
+func (d *Daemon) agentParts(instance *hostedInstance, number uint32, listener net.Listener) core.Options {
 	source := instance.spec.Source
-	parts := core.Parts{
+	parts := core.Options{
 		Listener:          listener,
 		Hub:               d.hubs[source].Hub,
 		NoLateConnections: true,
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -107,7 +107,7 @@
 	}
 	now := make(chan time.Time)
 	close(now)
-	l.runningAgent = startParts(t, cfg, core.Parts{Listener: l.listener, StopAccepting: now}, nil)
+	l.runningAgent = startParts(t, cfg, core.Options{Listener: l.listener, StopAccepting: now}, nil)
 	t.Cleanup(sync.OnceFunc(func() { close(l.listener.release) }))
 	return l
 }
--- a/internal/protocol/http1/discovery_test.go
+++ b/internal/protocol/http1/discovery_test.go
@@ -113,7 +113,7 @@
 				}()
 				cfg := testConfig(t, testkit.Setup{Mode: mode, Discovery: ln.Addr().String(), Servers: []discovery.Member{one.member("one")}})
 				cfg.Settings.SubscribeWithin = 1000 * time.Hour
-				a := startParts(t, cfg, core.Parts{HeartbeatTimeout: 200 * time.Millisecond}, nil)
+				a := startParts(t, cfg, core.Options{HeartbeatTimeout: 200 * time.Millisecond}, nil)
 				a.waitListed(t, "two")
 				expectNoRequests(t, a, one)
 			})
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -46,11 +46,11 @@
 // startUntil runs an agent that, once stopped, accepts connections until accept is closed.
 func startUntil(t *testing.T, cfg *core.Config, accept <-chan time.Time) *runningAgent {
 	t.Helper()
-	return startParts(t, cfg, core.Parts{StopAccepting: accept}, nil)
+	return startParts(t, cfg, core.Options{StopAccepting: accept}, nil)
 }
 
 // startParts runs an agent with these parts. It first calls ready with the agent, if ready is not nil.
-func startParts(t *testing.T, cfg *core.Config, p core.Parts, ready func(*core.Agent)) *runningAgent {
+func startParts(t *testing.T, cfg *core.Config, p core.Options, ready func(*core.Agent)) *runningAgent {
 	t.Helper()
 	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.Patience) // a slow machine is no failure of discovery
 	a, proto, err := newAgent(cfg, testkit.Quiet, p)
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -34,12 +34,12 @@
 }
 
 // New returns an agent that speaks HTTP/1.1. Its errors are those of core.New.
-func New(cfg *core.Config, log *slog.Logger, p core.Parts) (*core.Agent, error) {
+func New(cfg *core.Config, log *slog.Logger, p core.Options) (*core.Agent, error) {
 	a, _, err := newAgent(cfg, log, p)
 	return a, err
 }
 
-func newAgent(cfg *core.Config, log *slog.Logger, p core.Parts) (*core.Agent, *protocol, error) {
+func newAgent(cfg *core.Config, log *slog.Logger, p core.Options) (*core.Agent, *protocol, error) {
 	var proto *protocol
 	a, err := core.New(cfg, log, p, func(l *core.Loop) core.Protocol {
 		proto = &protocol{newFrontend(cfg, l, log), newConnPool(cfg, log)}
--- a/internal/protocol/http1/races_test.go
+++ b/internal/protocol/http1/races_test.go
@@ -88,7 +88,7 @@
 	s := serveRaw(t, func(int) string { <-release; return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}})
 	var loop *loopBlocker
-	a := startParts(t, cfg, core.Parts{}, func(a *core.Agent) { loop = blockableLoop(a) })
+	a := startParts(t, cfg, core.Options{}, func(a *core.Agent) { loop = blockableLoop(a) })
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	testkit.Receive(t, "first request", s.seen)
@@ -121,7 +121,7 @@
 				t.Parallel()
 				s := serveRaw(t, func(int) string { return ok200 })
 				var loop *loopBlocker
-				a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
+				a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Options{},
 					func(a *core.Agent) { loop = blockableLoop(a) })
 				loop.stop(t, a)
 				before := a.readers()
@@ -277,7 +277,7 @@
 	t.Cleanup(func() { server.Close() })
 	s := &standIn{addr: ln.Addr().String()}
 	var loop *loopBlocker
-	a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Parts{},
+	a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}), core.Options{},
 		func(a *core.Agent) { loop = blockableLoop(a) })
 	end, _ := watchOverflow(a)
 	c := a.connect(t)
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -35,7 +35,7 @@
 			cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}, Deadline: 31000})
 			var panicNow atomic.Bool
 			held := make(chan *testkit.HeldWrite, 1)
-			r := startParts(t, cfg, core.Parts{NoLateConnections: true}, func(a *core.Agent) {
+			r := startParts(t, cfg, core.Options{NoLateConnections: true}, func(a *core.Agent) {
 				a.SetStepHook(func(core.Totals) {
 					if panicNow.Load() {
 						panic("injected panic")
@@ -96,7 +96,7 @@
 			l := &breakableListener{Listener: testkit.Listen(t), broken: make(chan struct{}), err: err}
 			now := make(chan time.Time)
 			close(now)
-			a, _, e := newAgent(cfg, testkit.Quiet, core.Parts{Listener: l, StopAccepting: now})
+			a, _, e := newAgent(cfg, testkit.Quiet, core.Options{Listener: l, StopAccepting: now})
 			if e != nil {
 				t.Fatal(e)
 			}
@@ -166,7 +166,7 @@
 	server := serveRaw(t, func(int) string { <-silent; return "" })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}, Deadline: 300})
 	accept := make(chan time.Time)
-	r := startParts(t, cfg, core.Parts{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, StopAccepting: accept}, nil)
+	r := startParts(t, cfg, core.Options{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, StopAccepting: accept}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
 	r.stop()
 	time.Sleep(500 * time.Millisecond) // so late in the drain that the request's deadline is after the drain's end
@@ -216,7 +216,7 @@
 	defer close(silent)
 	server := serveRaw(t, func(int) string { <-silent; return "" })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Member{server.member("s")}, Deadline: int(deadline.Milliseconds())})
-	r := startParts(t, cfg, core.Parts{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, NoLateConnections: true}, nil)
+	r := startParts(t, cfg, core.Options{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, NoLateConnections: true}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
 	began := time.Now()
 	if got := r.do("GET", "/get/x", ""); got.err != nil || got.status == 200 {
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -70,7 +70,7 @@
 func startAgent(t testing.TB, cfg *core.Config, o Options) *testAgent {
 	t.Helper()
 	log := &logBuffer{}
-	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Parts{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
+	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -76,12 +76,12 @@
 
 // New returns an agent that serves LDAP. It returns an error if the TLS files can't be read, or if core.New returns
 // one.
-func New(cfg *core.Config, o Options, log *slog.Logger, parts core.Parts) (*core.Agent, error) {
+func New(cfg *core.Config, o Options, log *slog.Logger, parts core.Options) (*core.Agent, error) {
 	a, _, err := newAgent(cfg, o, log, parts)
 	return a, err
 }
 
-func newAgent(cfg *core.Config, o Options, log *slog.Logger, parts core.Parts) (*core.Agent, *protocol, error) {
+func newAgent(cfg *core.Config, o Options, log *slog.Logger, parts core.Options) (*core.Agent, *protocol, error) {
 	clients, servers, err := o.tlsConfigs()
 	if err != nil {
 		return nil, nil, err
--- a/internal/simulate/model/sockets/sockets_test.go
+++ b/internal/simulate/model/sockets/sockets_test.go
@@ -310,7 +310,7 @@
 	}
 	stop, cancel := signalContext()
 	defer cancel()
-	a, err := http1.New(cfg, quiet(), real.Parts{})
+	a, err := http1.New(cfg, quiet(), real.Options{})
 	if err != nil {
 		return err
 	}
