--- a/internal/core/acceptqueue.go
+++ b/internal/core/acceptqueue.go
@@ -15,7 +15,7 @@
 // listener supports no deadline.
 func interruptAccept(l net.Listener) bool {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
-	return ok && d.SetDeadline(LongAgo) == nil
+	return ok && d.SetDeadline(PastDeadline) == nil
 }
 
 // acceptQueued accepts a connection that is in the kernel's queue, without waiting and whatever the listener's
--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// LongAgo is a deadline that has passed: with it, a read or write that waits ends at once.
-var LongAgo = time.Unix(1, 0)
+// PastDeadline is a deadline that has passed: with it, a read or write that waits ends at once.
+var PastDeadline = time.Unix(1, 0)
 
 // Accept waits for a free slot, and then for a connection. It returns net.ErrClosed once the limiter is closed, and
 // another error only if the listener can't go on. Only one goroutine may call it.
@@ -309,7 +309,7 @@
 	c.evicting = true
 	cl.evictions[reason]++
 	cl.evicting++
-	_ = c.streamConn.SetReadDeadline(LongAgo) // fails only on a connection that is closed already
+	_ = c.streamConn.SetReadDeadline(PastDeadline) // fails only on a connection that is closed already
 }
 
 // cancelEviction lets an evicted connection go on. The lock is held.
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -139,9 +139,9 @@
 	case c.closing:
 		// The reader's pending read fails; the reader then gives the client time to read this response (see linger).
 		c.closeWrite()
-		_ = c.conn.SetReadDeadline(core.LongAgo)
+		_ = c.conn.SetReadDeadline(core.PastDeadline)
 	case c.watchingDisconnect: // the reader continues with the request whose head it has
-		_ = c.conn.SetReadDeadline(core.LongAgo)
+		_ = c.conn.SetReadDeadline(core.PastDeadline)
 	case c.nextStarted:
 		_ = c.conn.SetReadDeadline(time.Now().Add(core.HeadTimeout))
 	default:
--- a/internal/protocol/http1/forward.go
+++ b/internal/protocol/http1/forward.go
@@ -22,7 +22,7 @@
 // the last byte of m was written. After an error the connection must be closed, unless a sendRefusedError says
 // otherwise.
 func (p *connPool) exchange(ctx context.Context, owner attemptOwner, c *serverConn, m *message) (a *response, fullyWritten bool, err error) {
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(core.LongAgo) })
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(core.PastDeadline) })
 	defer func() {
 		if !stop() && err == nil {
 			a.reusable = false // the connection's deadline is, or is being, set to the past
@@ -75,7 +75,7 @@
 
 // interruptWrite ends a write that waits for its server. Once the client has its response, or has disconnected, the
 // server must not get the request's last byte.
-func (c *serverConn) interruptWrite() { _ = c.SetWriteDeadline(core.LongAgo) }
+func (c *serverConn) interruptWrite() { _ = c.SetWriteDeadline(core.PastDeadline) }
 
 // sendUpload streams the rest of m's body. A server may reject the request before the body's last byte (RFC 9110,
 // 10.1.1, and RFC 9112, 9.5): early is that response.
--- a/internal/protocol/ldap/call.go
+++ b/internal/protocol/ldap/call.go
@@ -113,7 +113,7 @@
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	interrupt := func() { _ = c.conn.SetWriteDeadline(core.LongAgo) }
+	interrupt := func() { _ = c.conn.SetWriteDeadline(core.PastDeadline) }
 	if reason := guard.BeginWrite(interrupt); reason != core.SendAllowed {
 		return 0, &sendRefusedError{reason}
 	}
--- a/internal/protocol/ldap/sessionread.go
+++ b/internal/protocol/ldap/sessionread.go
@@ -98,7 +98,7 @@
 // limit. The caller holds s.mu.
 func (s *session) interruptRead() {
 	if !s.handshaking {
-		_ = s.conn.SetReadDeadline(core.LongAgo) // fails only if the connection is closed already
+		_ = s.conn.SetReadDeadline(core.PastDeadline) // fails only if the connection is closed already
 	}
 }
 
