--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -57,21 +57,21 @@
 	return false
 }
 
-// SteadyListener is a listener whose Accept retries all errors that may pass; net/http ends at those that it does
+// RetryingListener is a listener whose Accept retries all errors that may pass; net/http ends at those that it does
 // not know. Only one goroutine may accept.
-type SteadyListener struct {
+type RetryingListener struct {
 	net.Listener
 	closeOnce sync.Once
 	closed    chan struct{}
 }
 
 // NewSteadyListener wraps a listener.
-func NewSteadyListener(l net.Listener) *SteadyListener {
-	return &SteadyListener{Listener: l, closed: make(chan struct{})}
+func NewSteadyListener(l net.Listener) *RetryingListener {
+	return &RetryingListener{Listener: l, closed: make(chan struct{})}
 }
 
 // Accept waits for a connection. It fails if the listener is closed, or has failed for maxAcceptFailure.
-func (l *SteadyListener) Accept() (net.Conn, error) {
+func (l *RetryingListener) Accept() (net.Conn, error) {
 	var failures acceptFailures
 	for {
 		c, err := l.Listener.Accept()
@@ -87,7 +87,7 @@
 }
 
 // Close closes the listener, and ends an Accept.
-func (l *SteadyListener) Close() error {
+func (l *RetryingListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
