--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -65,8 +65,8 @@
 	closed    chan struct{}
 }
 
-// NewSteadyListener wraps a listener.
-func NewSteadyListener(l net.Listener) *RetryingListener {
+// NewRetryingListener wraps a listener.
+func NewRetryingListener(l net.Listener) *RetryingListener {
 	return &RetryingListener{Listener: l, closed: make(chan struct{})}
 }
 
--- a/internal/core/accept_test.go
+++ b/internal/core/accept_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(err.Error(), func(t *testing.T) {
 			ln := testkit.Listen(t)
-			l := NewSteadyListener(&failingListener{Listener: ln, err: err, times: 3})
+			l := NewRetryingListener(&failingListener{Listener: ln, err: err, times: 3})
 			c, dialErr := net.Dial("tcp", ln.Addr().String())
 			if dialErr != nil {
 				t.Fatal(dialErr)
@@ -63,13 +63,13 @@
 
 func TestSteadyListenerEndsWhenClosedOrBroken(t *testing.T) {
 	ln := testkit.Listen(t)
-	l := NewSteadyListener(ln)
+	l := NewRetryingListener(ln)
 	ln.Close()
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("closed: %v", err)
 	}
 	start := time.Now()
-	broken := NewSteadyListener(&failingListener{err: syscall.EBADF, times: -1})
+	broken := NewRetryingListener(&failingListener{err: syscall.EBADF, times: -1})
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("broken: %v", err)
 	}
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -112,7 +112,7 @@
 
 // serve runs until the listener is closed.
 func (s *Server) serve() {
-	if err := s.server.Serve(core.NewSteadyListener(s.ln)); !errors.Is(err, net.ErrClosed) {
+	if err := s.server.Serve(core.NewRetryingListener(s.ln)); !errors.Is(err, net.ErrClosed) {
 		s.log.Error("admin", "error", err)
 	}
 }
--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -35,7 +35,7 @@
 		return server
 	}
 	d.background.Go(func() {
-		if err := server.Serve(core.NewSteadyListener(copied)); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(core.NewRetryingListener(copied)); !errors.Is(err, http.ErrServerClosed) {
 			d.log.Error("admin", "error", err)
 		}
 	})
