--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -10,8 +10,8 @@
 
 // Errors for which no connection to a server is even tried.
 var (
-	ErrNoSocket = errors.New("no file descriptor left for another connection")
-	ErrMoved    = errors.New("the server has no address")
+	ErrNoSocket  = errors.New("no file descriptor left for another connection")
+	ErrNoAddress = errors.New("the server has no address")
 )
 
 // Addresses are the listed addresses of servers. They are not safe for concurrent use.
@@ -93,7 +93,7 @@
 		return decide.NotSent // this machine had no descriptor, memory or port for it
 	case errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
-	case errors.Is(err, syscall.ECONNREFUSED) && ctx.Err() == nil, errors.Is(err, ErrMoved):
+	case errors.Is(err, syscall.ECONNREFUSED) && ctx.Err() == nil, errors.Is(err, ErrNoAddress):
 		return decide.ConnectFailed
 	}
 	return decide.Incomplete
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -123,7 +123,7 @@
 	defer p.mu.Unlock()
 	addr, ok := p.addresses.Addr(id)
 	if !ok {
-		return nil, "", core.ErrMoved
+		return nil, "", core.ErrNoAddress
 	}
 	// Connections are in the order in which they were put back: under load, reuseDelay has not passed yet for the last
 	// ones.
--- a/internal/protocol/ldap/attempt_test.go
+++ b/internal/protocol/ldap/attempt_test.go
@@ -150,7 +150,7 @@
 	}
 	pool := a.p.pool
 	pool.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "next"}}}, Addrs: map[string]string{"next": d.Addr()}})
-	if c, _, err := pool.acquire("one", "", false); !errors.Is(err, core.ErrMoved) {
+	if c, _, err := pool.acquire("one", "", false); !errors.Is(err, core.ErrNoAddress) {
 		t.Errorf("acquire returned a connection to the old server: %+v, %v", c, err)
 	}
 	open := func() int { pool.mu.Lock(); defer pool.mu.Unlock(); return pool.open }
--- a/internal/protocol/ldap/dial.go
+++ b/internal/protocol/ldap/dial.go
@@ -22,7 +22,7 @@
 	p.mu.Unlock()
 	switch {
 	case !ok:
-		return nil, core.ErrMoved
+		return nil, core.ErrNoAddress
 	case full:
 		return nil, core.ErrNoSocket
 	}
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -122,7 +122,7 @@
 	defer p.mu.Unlock()
 	addr, ok := p.addresses.Addr(server)
 	if !ok {
-		return nil, "", core.ErrMoved
+		return nil, "", core.ErrNoAddress
 	}
 	var best *serverConn
 	// The connection with the most users is chosen, so that the others become idle and can be closed.
