--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -18,8 +18,8 @@
 const (
 	// minSockets is the smallest Config.Sockets with which an agent works.
 	minSockets = 64
-	// OwnSockets is how many of an agent's Config.Sockets are neither for clients nor for servers.
-	OwnSockets = 24
+	// ReservedSockets is how many of an agent's Config.Sockets are neither for clients nor for servers.
+	ReservedSockets = 24
 	// defaultSockets is used where Config.Sockets is not set: the usual soft limit of a process.
 	defaultSockets = 1024
 )
@@ -30,7 +30,7 @@
 	if limit == 0 {
 		limit = defaultSockets
 	}
-	return max(limit, minSockets) - OwnSockets
+	return max(limit, minSockets) - ReservedSockets
 }
 
 // BackendSockets returns the number of connections to servers that may be open at once; limit is a Config.Sockets.
--- a/internal/host/daemonconfig/shares.go
+++ b/internal/host/daemonconfig/shares.go
@@ -48,7 +48,7 @@
 	}
 	for i := range cfg.Instances {
 		agent := &cfg.Instances[i].Agent
-		agent.Sockets = sockets[i] + core.OwnSockets
+		agent.Sockets = sockets[i] + core.ReservedSockets
 		agent.BodyBytes = memoryKiB[i] << 10 / bodyMemoryShare
 	}
 }
