--- a/internal/host/daemonconfig/rules.go
+++ b/internal/host/daemonconfig/rules.go
@@ -62,7 +62,7 @@
 		SlowStartTime:    c.duration("rules.ramp_time", r.SlowStartTime, 0),
 		OverloadMultiple: r.OverloadMultiple,
 		OverloadWindow:   c.duration("rules.fall_window", r.OverloadWindow, defaultOverloadWindow),
-		GoalWhole:        goalOverall,
+		GoalOverall:      goalOverall,
 		GoalWindow:       goalWindow,
 		GoalClass:        goalClass,
 		CrossZonePrice:   r.CrossZonePrice,
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -164,7 +164,7 @@
 		SlowStartTime:    milliseconds(o.Contract.SlowStartTimeMs),
 		OverloadMultiple: o.Contract.OverloadMultiple,
 		OverloadWindow:   milliseconds(o.Contract.OverloadWindowMs),
-		GoalWhole:        o.Goal.Overall,
+		GoalOverall:      o.Goal.Overall,
 		GoalWindow:       o.Goal.WorstWindow,
 		GoalClass:        o.Goal.WorstClass,
 		CrossZonePrice:   o.Prices.CrossZone,
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -312,7 +312,7 @@
 	fmt.Println("| servers | a request and its outcome |\n| --- | --- |")
 	for _, n := range []int{12, 100, 1000, 5000} {
 		b, err := decide.New(decide.Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: 8600 * time.Millisecond, SlowStartShare: 0.31, OverloadMultiple: 2.5,
-			OverloadWindow: time.Second, GoalWhole: 1, Classes: []decide.Class{{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
+			OverloadWindow: time.Second, GoalOverall: 1, Classes: []decide.Class{{Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}}}, 1)
 		if err != nil {
 			return err
 		}
