--- a/internal/host/daemonconfig/rules.go
+++ b/internal/host/daemonconfig/rules.go
@@ -63,7 +63,7 @@
 		OverloadMultiple: r.OverloadMultiple,
 		OverloadWindow:   c.duration("rules.fall_window", r.OverloadWindow, defaultOverloadWindow),
 		GoalOverall:      goalOverall,
-		GoalWindow:       goalWindow,
+		GoalWorstWindow:  goalWindow,
 		GoalClass:        goalClass,
 		CrossZonePrice:   r.CrossZonePrice,
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -165,7 +165,7 @@
 		OverloadMultiple: o.Contract.OverloadMultiple,
 		OverloadWindow:   milliseconds(o.Contract.OverloadWindowMs),
 		GoalOverall:      o.Goal.Overall,
-		GoalWindow:       o.Goal.WorstWindow,
+		GoalWorstWindow:  o.Goal.WorstWindow,
 		GoalClass:        o.Goal.WorstClass,
 		CrossZonePrice:   o.Prices.CrossZone,
 	}
