--- a/decide/admission.go
+++ b/decide/admission.go
@@ -94,7 +94,7 @@
 	goal := b.settings.GoalOverall + b.settings.GoalWorstWindow
 	value := goal * class.Value * b.workPerRequest(class) / class.meanLatency / max(total, 1e-9)
 	if index == worst {
-		value += b.settings.GoalClass / (max(class.arrived, 1) * class.meanLatency)
+		value += b.settings.GoalWorstClass / (max(class.arrived, 1) * class.meanLatency)
 	}
 	return value
 }
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -31,7 +31,7 @@
 		},
 		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
 		OverloadMultiple: 2.5, OverloadWindow: time.Second, SubscribeWithin: 10 * time.Second,
-		GoalOverall: 0.6, GoalWorstWindow: 0.2, GoalClass: 0.2,
+		GoalOverall: 0.6, GoalWorstWindow: 0.2, GoalWorstClass: 0.2,
 	}
 }
 
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -66,11 +66,11 @@
 	OverloadMultiple float64       // a backend in slow start collapses above this multiple of its capacity
 	OverloadWindow   time.Duration // time over which that load is measured
 
-	// GoalOverall, GoalWorstWindow and GoalClass are the operator's weights for the result over the whole time, in
+	// GoalOverall, GoalWorstWindow and GoalWorstClass are the operator's weights for the result over the whole time, in
 	// the worst time window, and for the worst class.
 	GoalOverall     float64
 	GoalWorstWindow float64
-	GoalClass       float64
+	GoalWorstClass  float64
 	CrossZonePrice  float64 // cost of crossing zones, as a share of the result
 }
 
@@ -99,8 +99,8 @@
 		return &settingError{"SlowStartShare", s.SlowStartShare}
 	case !(s.OverloadMultiple >= 0):
 		return &settingError{"OverloadMultiple", s.OverloadMultiple}
-	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalClass >= 0):
-		return &settingError{"Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalClass}}
+	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalWorstClass >= 0):
+		return &settingError{"Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass}}
 	}
 	if err := s.checkSpans(); err != nil {
 		return err
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -327,7 +327,7 @@
 	set := decide.Settings{Balancers: max(1, int(math.Round(d.countFactor*float64(d.agents)))), Self: i, Tick: 5 * ms,
 		MaxAttempts: s.attempts, Hedging: s.hedging, RetryAfter: true, MaxRetryAfter: 1500 * ms, ConnectTimeout: 700 * ms,
 		DrainGrace: time.Second, AnswerGrace: 20 * ms, SubscribeWithin: 4 * time.Second, SlowStartShare: s.share, SlowStartTime: s.slowStartTime,
-		OverloadMultiple: s.multiple, OverloadWindow: s.window, GoalOverall: 0.5, GoalWorstWindow: 0.25, GoalClass: 0.25}
+		OverloadMultiple: s.multiple, OverloadWindow: s.window, GoalOverall: 0.5, GoalWorstWindow: 0.25, GoalWorstClass: 0.25}
 	for _, c := range s.classes {
 		set.Classes = append(set.Classes, decide.Class{Objective: w.span(c.objectiveMs), Deadline: w.span(c.deadlineMs), Value: 1, LateValue: 0.3,
 			Effect: c.effect, Scope: c.scope, DedupWindow: time.Second})
--- a/internal/host/daemonconfig/rules.go
+++ b/internal/host/daemonconfig/rules.go
@@ -64,7 +64,7 @@
 		OverloadWindow:   c.duration("rules.fall_window", r.OverloadWindow, defaultOverloadWindow),
 		GoalOverall:      goalOverall,
 		GoalWorstWindow:  goalWindow,
-		GoalClass:        goalClass,
+		GoalWorstClass:   goalClass,
 		CrossZonePrice:   r.CrossZonePrice,
 	}
 	if s.Balancers < 1 {
--- a/internal/simulate/model/sockets/agent.go
+++ b/internal/simulate/model/sockets/agent.go
@@ -89,7 +89,7 @@
 			"MaxRetryAfterMs": ms(d.MaxRetryAfter), "ConnectTimeoutMs": ms(d.ConnectTimeout), "IdleCloseMs": ms(s.Rules.IdleClose)},
 		"Contract": map[string]any{"DrainGraceMs": ms(d.DrainGrace), "GraceToAnswerMs": ms(d.AnswerGrace), "AskWithinMs": ms(d.SubscribeWithin),
 			"ColdFrom": d.SlowStartShare, "RampTimeMs": ms(d.SlowStartTime), "FallMultiple": d.OverloadMultiple, "FallMs": ms(d.OverloadWindow)},
-		"Goal":   map[string]any{"Whole": d.GoalOverall, "WorstWindow": d.GoalWorstWindow, "WorstClass": d.GoalClass},
+		"Goal":   map[string]any{"Whole": d.GoalOverall, "WorstWindow": d.GoalWorstWindow, "WorstClass": d.GoalWorstClass},
 		"Prices": map[string]any{"CrossZone": d.CrossZonePrice}, "Dcs": s.Zones, "Kinds": kinds, "Report": map[string]any{"Source": report},
 	}
 	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", a.n), "listen": a.listen, "discovery": a.listAddr,
--- a/internal/simulate/model/spec.go
+++ b/internal/simulate/model/spec.go
@@ -144,7 +144,7 @@
 		ConnectTimeout: s.Rules.ConnectTimeout, DrainGrace: s.Rules.DrainGrace, AnswerGrace: s.Rules.AnswerSlack,
 		SubscribeWithin: s.Rules.AskWithin, SlowStartShare: s.Rules.ColdShare, SlowStartTime: s.Rules.RampTime,
 		OverloadMultiple: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallWindow,
-		GoalOverall: 0.45, GoalWorstWindow: 0.35, GoalClass: 0.2, CrossZonePrice: s.Rules.CrossZonePrice,
+		GoalOverall: 0.45, GoalWorstWindow: 0.35, GoalWorstClass: 0.2, CrossZonePrice: s.Rules.CrossZonePrice,
 	}
 	for _, c := range s.Classes {
 		d.Classes = append(d.Classes, c.Class)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -166,7 +166,7 @@
 		OverloadWindow:   milliseconds(o.Contract.OverloadWindowMs),
 		GoalOverall:      o.Goal.Overall,
 		GoalWorstWindow:  o.Goal.WorstWindow,
-		GoalClass:        o.Goal.WorstClass,
+		GoalWorstClass:   o.Goal.WorstClass,
 		CrossZonePrice:   o.Prices.CrossZone,
 	}
 	for i, object := range o.Profiles {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -86,7 +86,7 @@
 		MaxAttempts: 4, Hedging: true, Peers: true, MaxRetryAfter: 1500 * ms,
 		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, SubscribeWithin: 10 * time.Second, SlowStartShare: 0.16,
 		SlowStartTime: 20 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second,
-		GoalOverall: 0.55, GoalWorstWindow: 0.15, GoalClass: 0.3, CrossZonePrice: 0.02,
+		GoalOverall: 0.55, GoalWorstWindow: 0.15, GoalWorstClass: 0.3, CrossZonePrice: 0.02,
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 77 || !reflect.DeepEqual(o.Settings, want) {
 		t.Errorf("got %+v\nwant %+v", o, want)
