--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -157,8 +157,8 @@
 	})
 }
 
-// Knows reports whether a backend is in the list, or disabled by an operator.
-func (b *Balancer) Knows(id string) bool {
+// KnowsBackend reports whether a backend is in the list, or disabled by an operator.
+func (b *Balancer) KnowsBackend(id string) bool {
 	return b.byID[id] != nil || b.disabledByHand[id] == stillDisabled
 }
 
