--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -57,7 +57,7 @@
 	}
 	for n := range f.Whole {
 		r := w.all[n]
-		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Program: r.Program, Boot: r.Boot, RunID: r.RunID, Instances: 1, Balancers: 1,
+		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Version: r.Program, Boot: r.Boot, RunID: r.RunID, Instances: 1, Balancers: 1,
 			KnownMembers: w.all, TakesOver: true, MaxMembers: f.Members + 1, ConfiguredBalancers: 1}, w.rng.Uint64())
 		if err != nil {
 			return nil, fmt.Errorf("create a complete member of a fleet of %d: %w", f.Members, err)
--- a/internal/faulttest/hollow/view.go
+++ b/internal/faulttest/hollow/view.go
@@ -156,7 +156,7 @@
 	}
 	before := heap()
 	first := x.Records[0]
-	v, err := membership.New(membership.Settings{Name: first.Name, Addr: first.Addr, Zone: first.Zone, Program: first.Program, Boot: first.Boot, RunID: first.RunID,
+	v, err := membership.New(membership.Settings{Name: first.Name, Addr: first.Addr, Zone: first.Zone, Version: first.Program, Boot: first.Boot, RunID: first.RunID,
 		Instances: 1, Balancers: 1, TakesOver: true, KnownMembers: read.(*membership.Exchange).Records, MaxMembers: cmp.Or(members, membership.DefaultMaxMembers)}, 1)
 	if err != nil {
 		return 0, err
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -164,7 +164,7 @@
 	boot := membership.NextBootNumber(a.disk.boot, wallBase+int64((w.now+e.Clock)/time.Second))
 	a.disk.boot = boot
 	a.runID = w.rng.Uint64() | 1
-	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Program: "virtual", Boot: boot, RunID: a.runID,
+	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Version: "virtual", Boot: boot, RunID: a.runID,
 		Instances: w.options.Instances, Balancers: w.options.Instances, KnownMembers: a.disk.known, ConfiguredBalancers: max(1, w.options.FileCount), Baseline: w.options.Plain,
 		ProbeInterval: w.plan.Peers.Every, ProbeTimeout: w.plan.Peers.Direct, IndirectTimeout: w.plan.Peers.Indirect, MinSuspicion: w.plan.Peers.SuspectLeast, BytesPerSecond: w.plan.Peers.Bytes, RemoteBytesPerSecond: w.plan.Peers.FarBytes}
 	if known != nil && w.now == 0 {
--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -176,7 +176,7 @@
 	o.Membership.Instances = len(d.cfg.Instances)
 	o.Membership.Balancers = len(d.cfg.Instances)
 	o.Membership.ConfiguredBalancers = d.cfg.Balancers
-	o.Membership.Program = d.options.Program
+	o.Membership.Version = d.options.Program
 	if spec.Ejection != nil {
 		o.Ejection = spec.Ejection
 		o.EjectionsChanged = d.ejectionsChanged
--- a/internal/peer/membership/settings.go
+++ b/internal/peer/membership/settings.go
@@ -12,7 +12,7 @@
 	Addr         string // host:port under which other members reach this one
 	Zone         string
 	Region       string // all members without a region form one region
-	Program      string // version of the program
+	Version      string // version of the program
 	Boot         uint64 // see NextBootNumber
 	RunID        uint64 // random
 	Instances    int
@@ -111,7 +111,7 @@
 		Addr:        s.Addr,
 		Zone:        s.Zone,
 		Region:      s.Region,
-		Program:     s.Program,
+		Program:     s.Version,
 		Boot:        s.Boot,
 		RunID:       s.RunID,
 		Incarnation: s.Incarnation,
