--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -50,14 +50,14 @@
 	w := &fewRun{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: transport.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
 		wake: make([]time.Duration, f.Whole), byAddr: map[string]int{}}
 	for n := range f.Members {
-		r := membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Program: "virtual",
+		r := membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.%d.%d.%d:7946", 77+n/62500, n/250%250, n%250+1), Zone: f.Layout.ZoneName(n), Version: "virtual",
 			Boot: 1_790_000_000, RunID: uint64(n)*2654435761 + 1, Instances: 1, Balancers: 1}
 		w.all = append(w.all, r)
 		w.byAddr[r.Addr] = n
 	}
 	for n := range f.Whole {
 		r := w.all[n]
-		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Version: r.Program, Boot: r.Boot, RunID: r.RunID, Instances: 1, Balancers: 1,
+		v, err := membership.New(membership.Settings{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Version: r.Version, Boot: r.Boot, RunID: r.RunID, Instances: 1, Balancers: 1,
 			KnownMembers: w.all, TakesOver: true, MaxMembers: f.Members + 1, ConfiguredBalancers: 1}, w.rng.Uint64())
 		if err != nil {
 			return nil, fmt.Errorf("create a complete member of a fleet of %d: %w", f.Members, err)
@@ -216,7 +216,7 @@
 func Whole(members int) (int, error) {
 	x := &membership.Exchange{From: plan.Name(0), Boot: 1, RunID: 1}
 	for n := range members {
-		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Program: "virtual",
+		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Version: "virtual",
 			Boot: 1_790_000_000, RunID: uint64(n)*0x9e3779b97f4a7c15 + 1, Instances: 1, Balancers: 1, NameVerified: true})
 	}
 	data, err := transport.Wire{Fleet: Fleet}.Marshal(x.From, x)
--- a/internal/faulttest/hollow/view.go
+++ b/internal/faulttest/hollow/view.go
@@ -143,7 +143,7 @@
 	wire := transport.Wire{Fleet: Fleet}
 	x := &membership.Exchange{From: plan.Name(0)}
 	for n := range members {
-		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: fmt.Sprintf("r%d-z%d", n%5+1, n%3+1), Program: "1.0.0",
+		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: fmt.Sprintf("r%d-z%d", n%5+1, n%3+1), Version: "1.0.0",
 			Boot: 1_790_000_000 + uint64(n), RunID: uint64(n)*2654435761 + 1, Instances: 1, Balancers: 1})
 	}
 	data, err := wire.Marshal(plan.Name(0), x)
@@ -156,7 +156,7 @@
 	}
 	before := heap()
 	first := x.Records[0]
-	v, err := membership.New(membership.Settings{Name: first.Name, Addr: first.Addr, Zone: first.Zone, Version: first.Program, Boot: first.Boot, RunID: first.RunID,
+	v, err := membership.New(membership.Settings{Name: first.Name, Addr: first.Addr, Zone: first.Zone, Version: first.Version, Boot: first.Boot, RunID: first.RunID,
 		Instances: 1, Balancers: 1, TakesOver: true, KnownMembers: read.(*membership.Exchange).Records, MaxMembers: cmp.Or(members, membership.DefaultMaxMembers)}, 1)
 	if err != nil {
 		return 0, err
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -197,7 +197,7 @@
 	var known []membership.Record
 	if o.Warm {
 		for n := range o.Daemons {
-			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Program: "virtual", Boot: wallBase, RunID: w.initialRunID(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
+			known = append(known, membership.Record{Name: plan.Name(n), Addr: address(n), Zone: w.zone(n), Region: w.region(n), Version: "virtual", Boot: wallBase, RunID: w.initialRunID(n), Instances: uint32(o.Instances), Balancers: uint32(o.Instances)})
 		}
 	}
 	var starts []plan.Event
--- a/internal/peer/membership/message.go
+++ b/internal/peer/membership/message.go
@@ -91,7 +91,7 @@
 }
 
 func (r *Record) size() int {
-	size := maxRecordOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Program) + len(r.Reporter) + len(r.Metadata)
+	size := maxRecordOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Version) + len(r.Reporter) + len(r.Metadata)
 	if r.Region != "" {
 		size += regionHeadBytes + len(r.Region)
 	}
--- a/internal/peer/membership/record.go
+++ b/internal/peer/membership/record.go
@@ -51,7 +51,7 @@
 	Name         string `cbor:"1,keyasint,omitempty"`
 	Addr         string `cbor:"2,keyasint,omitempty"` // host:port for datagrams and streams
 	Zone         string `cbor:"3,keyasint,omitempty"`
-	Program      string `cbor:"4,keyasint,omitempty"` // version of the program
+	Version      string `cbor:"4,keyasint,omitempty"` // version of the program
 	Boot         uint64 `cbor:"5,keyasint,omitempty"` // boot number: increases with each start of the process
 	RunID        uint64 `cbor:"6,keyasint,omitempty"` // random per process: tells apart two with the same boot number
 	Incarnation  uint32 `cbor:"7,keyasint,omitempty"` // grows when the member refutes a report or changes its record
@@ -79,8 +79,8 @@
 		return fmt.Errorf("region %q: up to %d printable characters are allowed", r.Region, MaxNameBytes)
 	case len(r.UnreachableRegions) > maxRegions:
 		return fmt.Errorf("%d unreachable regions: up to %d are allowed", len(r.UnreachableRegions), maxRegions)
-	case len(r.Program) > MaxNameBytes || !printable(r.Program):
-		return fmt.Errorf("version %q: up to %d printable characters are allowed", r.Program, MaxNameBytes)
+	case len(r.Version) > MaxNameBytes || !printable(r.Version):
+		return fmt.Errorf("version %q: up to %d printable characters are allowed", r.Version, MaxNameBytes)
 	case len(r.Reporter) > MaxNameBytes || !printable(r.Reporter):
 		return fmt.Errorf("reporter %q: up to %d printable characters are allowed", r.Reporter, MaxNameBytes)
 	case len(r.Metadata) > MaxMetadataBytes:
--- a/internal/peer/membership/settings.go
+++ b/internal/peer/membership/settings.go
@@ -111,7 +111,7 @@
 		Addr:        s.Addr,
 		Zone:        s.Zone,
 		Region:      s.Region,
-		Program:     s.Version,
+		Version:     s.Version,
 		Boot:        s.Boot,
 		RunID:       s.RunID,
 		Incarnation: s.Incarnation,
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -186,7 +186,7 @@
 		Addr:        r.Addr,
 		Zone:        r.Zone,
 		Region:      r.Region,
-		Program:     r.Program,
+		Program:     r.Version,
 		State:       r.State.String(),
 		SinceS:      since.Round(time.Millisecond).Seconds(),
 		Reporter:    r.Reporter,
