--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -52,7 +52,7 @@
 		return checker.Line{What: checker.Counted, Most: c.MaxBalancers, Least: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile}, true
 	case membership.NameConflict:
 		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, Life: formatRunID(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
-	case membership.SelfSuspected:
+	case membership.PauseDetected:
 		return checker.Line{What: checker.SelfDoubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
 	return checker.Line{}, false
--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -93,9 +93,9 @@
 		Yield  bool   // this member yields
 		Reason string // for logs
 	}
-	// SelfSuspected reports that this process was paused or starved of CPU time, and has raised its local health
+	// PauseDetected reports that this process was paused or starved of CPU time, and has raised its local health
 	// multiplier.
-	SelfSuspected struct {
+	PauseDetected struct {
 		Pause  time.Duration
 		Health int // see View.Health
 	}
@@ -123,7 +123,7 @@
 func (MemberChanged) action()      {}
 func (SizeChanged) action()        {}
 func (NameConflict) action()       {}
-func (SelfSuspected) action()      {}
+func (PauseDetected) action()      {}
 func (SaveView) action()           {}
 func (RegionReachability) action() {}
 func (Isolated) action()           {}
--- a/internal/peer/membership/health.go
+++ b/internal/peer/membership/health.go
@@ -57,7 +57,7 @@
 	if pause < longPause {
 		return
 	}
-	v.emit(SelfSuspected{Pause: pause, Health: v.localHealth})
+	v.emit(PauseDetected{Pause: pause, Health: v.localHealth})
 	v.exchange.scheduleIn(v, 0)
 	v.updates.removeAbout(func(m *member) bool { return m.State == Suspect || m.State == Dead })
 }
--- a/internal/peer/transport/eventlog.go
+++ b/internal/peer/transport/eventlog.go
@@ -156,7 +156,7 @@
 		})
 	case membership.NameConflict:
 		l.write(eventLine{Kind: "contested", Addr: a.Other.Addr, RunID: hex(a.Other.RunID), Yielded: a.Yield, Reason: a.Reason})
-	case membership.SelfSuspected:
+	case membership.PauseDetected:
 		l.write(eventLine{Kind: "doubt", PauseMS: a.Pause.Milliseconds(), Health: a.Health})
 	}
 }
--- a/internal/peer/transport/memberlog.go
+++ b/internal/peer/transport/memberlog.go
@@ -22,7 +22,7 @@
 		tr.logMember(a)
 	case membership.NameConflict:
 		tr.logNameConflict(a)
-	case membership.SelfSuspected:
+	case membership.PauseDetected:
 		tr.log.Warn("fleet: this process was paused or starved", "for", a.Pause.Round(time.Millisecond), "health", a.Health)
 	}
 }
