--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -511,7 +511,7 @@
 				there, back := w.linkOf(a.n, to), w.linkOf(to, a.n)
 				if there.Drop < 1 && back.Drop < 1 && !there.Break && !back.Break {
 					size, read := w.encodeExchange(a, at, x.Message)
-					post(to, w.streamDelay(a, there, back, 1)+transferTime(len(x.Message.Records)), membership.ExchangeClosed{Message: read}, 0, size)
+					post(to, w.streamDelay(a, there, back, 1)+transferTime(len(x.Message.Records)), membership.ExchangeFinished{Message: read}, 0, size)
 				}
 			}
 		case membership.SaveView:
--- a/internal/peer/membership/bookkeeping_test.go
+++ b/internal/peer/membership/bookkeeping_test.go
@@ -82,7 +82,7 @@
 	other.Addr = "127.0.0.3:1"
 	other.RunID = 99
 	other.Boot = 50
-	requests := sentOfKind(v.Step(0, ExchangeClosed{&Exchange{From: "m0", Records: []Record{other}}}), IdentityRequest)
+	requests := sentOfKind(v.Step(0, ExchangeFinished{&Exchange{From: "m0", Records: []Record{other}}}), IdentityRequest)
 	for v.now < time.Second {
 		requests = append(requests, sentOfKind(v.Step(v.Next()), IdentityRequest)...)
 	}
--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -22,9 +22,9 @@
 		ID      uint64
 		Message *Exchange
 	}
-	// ExchangeClosed is the last message of an exchange that another member opened: the records that this member
+	// ExchangeFinished is the last message of an exchange that another member opened: the records that this member
 	// requested.
-	ExchangeClosed struct{ Message *Exchange }
+	ExchangeFinished struct{ Message *Exchange }
 	// ExchangeFailed reports that the OpenExchange with this ID failed.
 	ExchangeFailed struct{ ID uint64 }
 	// LocalInfo changes the fields of the local member's record that the daemon sets.
@@ -43,7 +43,7 @@
 func (DatagramReceived) event() {}
 func (ExchangeRequest) event()  {}
 func (ExchangeResponse) event() {}
-func (ExchangeClosed) event()   {}
+func (ExchangeFinished) event() {}
 func (ExchangeFailed) event()   {}
 func (LocalInfo) event()        {}
 func (Leave) event()            {}
--- a/internal/peer/membership/exchange.go
+++ b/internal/peer/membership/exchange.go
@@ -8,7 +8,7 @@
 //	opener                          answerer
 //	OpenExchange: bucket digests -> ExchangeRequest
 //	ExchangeResponse             <- ExchangeReply: its records of the buckets that differ, and the buckets it wants
-//	FinishExchange: records      -> ExchangeClosed
+//	FinishExchange: records      -> ExchangeFinished
 
 const (
 	// minExchangeInterval is the minimum time between two exchanges that a member opens, for every 500 members
--- a/internal/peer/membership/helpers_test.go
+++ b/internal/peer/membership/helpers_test.go
@@ -61,12 +61,12 @@
 	for i := range n {
 		x.Records = append(x.Records, testRecord(i))
 	}
-	v.Step(0, ExchangeClosed{x})
+	v.Step(0, ExchangeFinished{x})
 }
 
 // learn passes records to a view by an exchange.
 func learn(v *View, records ...Record) []Action {
-	return v.Step(v.now+ms, ExchangeClosed{exchangeFrom(records...)})
+	return v.Step(v.now+ms, ExchangeFinished{exchangeFrom(records...)})
 }
 
 // datagramFrom returns a datagram from a member.
@@ -186,7 +186,7 @@
 			x.Records = append(x.Records, regionRecord(region, i))
 		}
 	}
-	v.Step(0, ExchangeClosed{x})
+	v.Step(0, ExchangeFinished{x})
 	v.joined = true
 	v.updates = updateQueue{}
 	return v
--- a/internal/peer/membership/nameconflict_test.go
+++ b/internal/peer/membership/nameconflict_test.go
@@ -22,7 +22,7 @@
 			other.Addr = "127.0.0.3:1"
 			other.RunID = 99
 			other.Boot = 50
-			requests := sentOfKind(v.Step(v.now, ExchangeClosed{&Exchange{From: "m0", Records: []Record{other}}}), IdentityRequest)
+			requests := sentOfKind(v.Step(v.now, ExchangeFinished{&Exchange{From: "m0", Records: []Record{other}}}), IdentityRequest)
 			if len(requests) != 1 || requests[0].To != other.Addr {
 				t.Fatalf("requests %+v", requests)
 			}
--- a/internal/peer/membership/region_test.go
+++ b/internal/peer/membership/region_test.go
@@ -33,7 +33,7 @@
 	})
 	t.Run("by an exchange", func(t *testing.T) {
 		v := newRegionView(t, 4, 4, 0)
-		v.Step(v.now+ms, ExchangeClosed{&Exchange{From: "b1", Records: []Record{dead}}})
+		v.Step(v.now+ms, ExchangeFinished{&Exchange{From: "b1", Records: []Record{dead}}})
 		requireState(t, v, "b0", Dead)
 	})
 	t.Run("not of a recent sender", func(t *testing.T) {
--- a/internal/peer/membership/roundtrip_test.go
+++ b/internal/peer/membership/roundtrip_test.go
@@ -124,7 +124,7 @@
 		r.Zone = zone
 		x.Records = append(x.Records, r)
 	}
-	v.Step(0, ExchangeClosed{x})
+	v.Step(0, ExchangeFinished{x})
 	for range 60 {
 		v.recordRoundTrip(v.members["m0"], 2*ms)
 		v.recordRoundTrip(v.members["m1"], 160*ms)
--- a/internal/peer/membership/view.go
+++ b/internal/peer/membership/view.go
@@ -218,7 +218,7 @@
 		v.onExchangeRequest(e)
 	case ExchangeResponse:
 		v.onExchangeResponse(e)
-	case ExchangeClosed:
+	case ExchangeFinished:
 		v.mergeAll(e.Message, reasonExchange)
 	case ExchangeFailed:
 		v.onExchangeFailed(e)
--- a/internal/peer/membership/view_test.go
+++ b/internal/peer/membership/view_test.go
@@ -107,7 +107,7 @@
 	case 1:
 		return ExchangeResponse{ID: uint64(rapid.IntRange(0, 3).Draw(t, "id")), Message: x}
 	case 2:
-		return ExchangeClosed{x}
+		return ExchangeFinished{x}
 	case 3:
 		return ForgetMember{drawName().Draw(t, "forget")}
 	}
--- a/internal/peer/membership/watcher_test.go
+++ b/internal/peer/membership/watcher_test.go
@@ -29,7 +29,7 @@
 	for i := 8; i > 0; i-- {
 		x.Records = append(x.Records, regionRecord(0, i))
 	}
-	other.Step(0, ExchangeClosed{x})
+	other.Step(0, ExchangeFinished{x})
 	if got := watcherNames(other); !slices.Equal(first, got) {
 		t.Errorf("one member selects %v, another %v", first, got)
 	}
--- a/internal/peer/transport/streams.go
+++ b/internal/peer/transport/streams.go
@@ -78,7 +78,7 @@
 		tr.rejectRead(err)
 		return
 	}
-	tr.post(viewInput{event: membership.ExchangeClosed{Message: last}})
+	tr.post(viewInput{event: membership.ExchangeFinished{Message: last}})
 }
 
 // rejectRead counts a read error like reject does, unless the stream ended or timed out.
