--- a/internal/host/daemonconfig/shares_test.go
+++ b/internal/host/daemonconfig/shares_test.go
@@ -9,7 +9,7 @@
 )
 
 // The instances' connections fit into the sockets of the process. Known to fail: an instance with a share of 16 to 39
-// sockets takes 40, because core works with at least 64 descriptors (minSockets, less OwnSockets). With 6 instances
+// sockets takes 40, because core works with at least 64 descriptors (minSockets, less ReservedSockets). With 6 instances
 // of 16 sockets each, clients and servers may take 240 sockets where 96 are left for them.
 func TestInstancesTakeNoMoreSocketsThanThereAre(t *testing.T) {
 	const instances = 6 // of validFile
--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -14,7 +14,7 @@
 // duration is computed from it.
 var wallClockUses = map[string]string{
 	"internal/core/clock.go UnixMilli":                  "a hint, which starttimes.go bounds",
-	"internal/core/connlimiter.go Unix":                 "LongAgo, a deadline that has passed",
+	"internal/core/connlimiter.go Unix":                 "PastDeadline, a deadline that has passed",
 	"internal/protocol/http1/render.go Unix":            "the Date header field",
 	"internal/host/snapshot/snapshot.go UnixMilli":      "the age of a snapshot of another boot, a bounded hint",
 	"internal/host/daemon/snapshots.go UnixMilli":       "the moment at which a snapshot is saved; a log line",
