--- a/internal/host/daemonconfig/rules.go
+++ b/internal/host/daemonconfig/rules.go
@@ -62,9 +62,9 @@
 		SlowStartTime:    c.duration("rules.ramp_time", r.SlowStartTime, 0),
 		OverloadMultiple: r.OverloadMultiple,
 		OverloadWindow:   c.duration("rules.fall_window", r.OverloadWindow, defaultOverloadWindow),
-		GoalWhole:        goalOverall,
-		GoalWindow:       goalWindow,
-		GoalClass:        goalClass,
+		GoalOverall:      goalOverall,
+		GoalWorstWindow:  goalWindow,
+		GoalWorstClass:   goalClass,
 		CrossZonePrice:   r.CrossZonePrice,
 	}
 	if s.Balancers < 1 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -164,9 +164,9 @@
 		SlowStartTime:    milliseconds(o.Contract.SlowStartTimeMs),
 		OverloadMultiple: o.Contract.OverloadMultiple,
 		OverloadWindow:   milliseconds(o.Contract.OverloadWindowMs),
-		GoalWhole:        o.Goal.Overall,
-		GoalWindow:       o.Goal.WorstWindow,
-		GoalClass:        o.Goal.WorstClass,
+		GoalOverall:      o.Goal.Overall,
+		GoalWorstWindow:  o.Goal.WorstWindow,
+		GoalWorstClass:   o.Goal.WorstClass,
 		CrossZonePrice:   o.Prices.CrossZone,
 	}
 	for i, object := range o.Profiles {
