--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -22,9 +22,9 @@
 		ID      uint64
 		Message *Exchange
 	}
-	// ExchangeClosed is the last message of an exchange that another member opened: the records that this member
+	// ExchangeFinished is the last message of an exchange that another member opened: the records that this member
 	// requested.
-	ExchangeClosed struct{ Message *Exchange }
+	ExchangeFinished struct{ Message *Exchange }
 	// ExchangeFailed reports that the OpenExchange with this ID failed.
 	ExchangeFailed struct{ ID uint64 }
 	// LocalInfo changes the fields of the local member's record that the daemon sets.
@@ -43,7 +43,7 @@
 func (DatagramReceived) event() {}
 func (ExchangeRequest) event()  {}
 func (ExchangeResponse) event() {}
-func (ExchangeClosed) event()   {}
+func (ExchangeFinished) event() {}
 func (ExchangeFailed) event()   {}
 func (LocalInfo) event()        {}
 func (Leave) event()            {}
@@ -93,9 +93,9 @@
 		Yield  bool   // this member yields
 		Reason string // for logs
 	}
-	// SelfSuspected reports that this process was paused or starved of CPU time, and has raised its local health
+	// PauseDetected reports that this process was paused or starved of CPU time, and has raised its local health
 	// multiplier.
-	SelfSuspected struct {
+	PauseDetected struct {
 		Pause  time.Duration
 		Health int // see View.Health
 	}
@@ -123,7 +123,7 @@
 func (MemberChanged) action()      {}
 func (SizeChanged) action()        {}
 func (NameConflict) action()       {}
-func (SelfSuspected) action()      {}
+func (PauseDetected) action()      {}
 func (SaveView) action()           {}
 func (RegionReachability) action() {}
 func (Isolated) action()           {}
