--- a/decide/actions.go
+++ b/decide/actions.go
@@ -6,12 +6,13 @@
 	"vetchhaven/decide/quota"
 )
 
-// Action is something that the agent must do now, in the order given. This package returns no Cancel and no
-// Probe, but agents should be able to execute them.
+// Action is an output of Step. The agent must execute the actions at once, in the order given. This package
+// returns no Cancel and no Probe, but agents should be able to execute them.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request. A Timeout of 0 means until the client stops waiting.
+	// Send starts the next attempt of a request. With a Timeout of 0 the attempt may last until the client's
+	// deadline.
 	Send struct {
 		Request   string
 		Backend   string
@@ -32,15 +33,16 @@
 		Reason     Reason
 		Limit      string // if Reason is NoLease
 	}
-	// Fail is a final answer that promises nothing: the request may have been executed.
+	// Fail is a final answer after which the effect of the request is unknown: it may have been executed.
 	Fail struct {
 		Request string
 		Reason  Reason
 		Limit   string // if Reason is NoLease
 	}
-	// LeaseUsage reports the state of the leases to the lease client, and what was rejected for lack of one.
+	// LeaseUsage reports to the lease client the state of the leases, and the demands that were rejected for
+	// lack of a lease.
 	LeaseUsage struct{ Usages []quota.Usage }
-	// SetTimer asks for a TimerFired after the given time. Timers are never cancelled.
+	// SetTimer requests a TimerFired event after the given time. Timers are never cancelled.
 	SetTimer struct {
 		After time.Duration
 		Token int64
@@ -52,7 +54,7 @@
 		To   int // that agent's number
 		Data []byte
 	}
-	// Subscribe asks discovery to deliver list changes from now on.
+	// Subscribe requests that discovery deliver changes of the endpoint list from now on.
 	Subscribe struct{}
 )
 
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -9,8 +9,9 @@
 // hasCapacity reports whether one more attempt may start.
 //
 // A balancer that admits by credit seldom has two requests to choose from. Therefore each class leaves some
-// credit for the more valuable classes, according to their share of arrivals. After a long gap one attempt
-// starts without credit, because an agent that sends nothing observes nothing that would earn it credit.
+// credit for the classes of higher value, in proportion to their share of the requested work. After a gap of
+// maxCreditlessGap one attempt starts without credit, because an agent that sends no attempts gets no answers
+// that would show a lower delay.
 func (b *Balancer) hasCapacity(request *openRequest) bool {
 	if !b.admitsByCredit() {
 		return float64(b.inFlight-b.inFlightUncounted) < b.inFlightLimit()
@@ -19,7 +20,8 @@
 	return b.admissionCredit > reserved || b.now-b.lastAttemptAt >= maxCreditlessGap
 }
 
-// higherValueShare returns the share of the requested work that has a higher value than a request.
+// higherValueShare returns the share of the requested work that belongs to classes whose unit of work has a
+// higher value than that of a request.
 func (b *Balancer) higherValueShare(request *openRequest) float64 {
 	higher, all := 0.0, 0.0
 	for _, class := range b.classes {
@@ -31,19 +33,20 @@
 	return higher / max(all, 1)
 }
 
-// admitsByCredit reports whether an even share of the in-flight limit is too small to count attempts against.
+// admitsByCredit reports whether an even share of the in-flight limit is too small to bound this agent's
+// attempts in flight.
 //
-// Departure from the design page: if each of many agents may have one attempt in flight, they have too many
-// together. In that case an agent admits by credit instead: each first try earns credit for its own work,
-// times the square of target delay over current delay, and each attempt spends its work. All agents see the
-// delay of the same fleet, so that all of them admit the same share of their requests.
+// Departure from the design page: if each of many agents may have one attempt in flight, all of them together
+// have too many. In that case an agent admits by credit instead. Each first try earns credit: its own work
+// times the square of the ratio of target delay to current delay. Each attempt costs its work. All agents
+// observe the delay of the same fleet, so that all of them admit the same share of their requests.
 func (b *Balancer) admitsByCredit() bool {
 	evenLimit := initialLimitPerBackend * float64(b.upCount)
 	return b.settings.Balancers > 1 && evenLimit < minCountedShare*float64(b.settings.Balancers)
 }
 
-// sharesObservations reports whether agents that admit by credit exchange observations, so that all of them
-// soon know what one has observed.
+// sharesObservations reports whether agents exchange observations of backends. They do if they admit by
+// credit and may send messages to peers.
 func (b *Balancer) sharesObservations() bool { return b.settings.Peers && b.admitsByCredit() }
 
 // earnCredit adds the credit that a first try earns.
@@ -57,12 +60,13 @@
 // targetDelay returns the mean latency, as a share of the objective, that a balancer which admits by credit
 // aims for.
 //
-// A backend that holds many requests works less efficiently. It does not recover while equally many agents
-// keep sending to it, each of them seldom, because clients give up on the requests that it holds before they
-// are served. No agent can see one backend fill up, so the mean of all backends must stay close to the
-// latency of an empty one. Where the work itself takes a large share of the objective, the target follows the
-// work: as stated by clients, or else as observed at backends that had nothing else in flight. Until there
-// are such answers the target is the lowest one, which leaves some backends idle.
+// A backend that holds many requests works less efficiently. It does not recover while many agents continue
+// to send to it, even if each of them sends few requests, because clients stop waiting for the requests that
+// it holds before these are served. No agent can detect that one backend fills up, so the mean delay of all
+// backends must stay close to the latency of an idle one. If the work itself takes a large share of the
+// objective, the target follows the work: as given in requests, or else as observed at backends that had no
+// other request in flight. Until there are such answers the target is minTargetDelay, which leaves some
+// backends idle.
 func (b *Balancer) targetDelay() float64 {
 	if b.sharesObservations() {
 		return defaultTargetDelay
@@ -75,8 +79,9 @@
 	return max(minTargetDelay, min(targetDelayFactor*work/max(arrived, 1e-9), maxTargetDelay))
 }
 
-// valueOfWork returns what a unit of work spent on a class now adds to the operator's goal: its value
-// relative to the value of all requests, and more for the class that is served worst.
+// valueOfWork returns the contribution of a unit of work for a class to the operator's goal at present: its
+// value relative to the value of all requests, plus an amount for the class with the lowest share of answers
+// in time.
 func (b *Balancer) valueOfWork(index int) float64 {
 	total := 0.0
 	worst := -1
@@ -99,7 +104,8 @@
 	return value
 }
 
-// workPerRequest returns the amount of work that a request of a class counts as in the operator's goal.
+// workPerRequest returns the factor with which the value of a class applies to a request: its work if values
+// count per unit of work, otherwise 1.
 func (b *Balancer) workPerRequest(class *classState) float64 {
 	if b.settings.ByWork {
 		return class.meanLatency
@@ -107,16 +113,17 @@
 	return 1
 }
 
-// inFlightLimit returns the number of attempts that may be in flight now. It follows the list, in which a
-// backend in slow start counts by its share of capacity.
+// inFlightLimit returns the number of this agent's attempts that may be in flight now. It is proportional to
+// the capacity of the listed backends, where a backend in slow start counts with its share of capacity.
 func (b *Balancer) inFlightLimit() float64 { return max(1, b.limitPerBackend*b.ownShare*b.capacity) }
 
 // adjustLimit adjusts the limit on attempts in flight to an observed latency, given as a share of the
-// objective. The limit falls when the running mean exceeds the target, and rises while the limit is binding.
+// objective. The limit falls when the running mean exceeds the target, and rises while the mean is below the
+// target and the limit is binding.
 //
 // Departure from the design page: requests beyond the limit are queued and then refused, because answers are
 // useless if the queue at the backends takes longer than the objectives. The lowest limit is a few attempts
-// per backend, so that a fleet that is slow without a queue stays in use.
+// per backend, so that a fleet that is slow without a queue remains in use.
 func (b *Balancer) adjustLimit(latencyShare float64) {
 	// The mean covers as many answers as may be in flight at once. Over fewer answers, random variation would
 	// lower the limit of a busy agent.
@@ -124,7 +131,8 @@
 	b.meanDelay += weight * (min(latencyShare, 2) - b.meanDelay)
 	target, floor := defaultTargetDelay, minLimitPerBackend
 	if b.settings.Balancers > b.upCount {
-		// One busy agent of many may have several times its share in flight, and so may others.
+		// A busy agent may have several times its share in flight, and several agents may be busy at once.
+		// Therefore the target is at most defaultTargetDelay, and the floor is lower.
 		target = min(defaultTargetDelay, b.targetDelay())
 		floor = minLimitManyBalancers
 	}
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// startAttempt sends a request to a backend. No other function starts an attempt, and the rules are checked
-// here for the last time. pick has already excluded backends that are draining or may not get the request, so
-// that normally only the check of the remaining time can fail here.
+// startAttempt sends a request to a backend. No other function starts an attempt, and this is the last check
+// of the rules. pick has already excluded backends that are draining or may not get the request, so that
+// normally only the check of the deadline can fail here.
 func (b *Balancer) startAttempt(request *openRequest, backend *endpoint) {
 	mayStart := backend.State == Up && b.now >= backend.drainedUntil && b.mayAttempt(request, backend)
 	switch {
@@ -43,14 +43,15 @@
 	}
 	backend.slowStartBudget -= attempt.workUnits // has an effect only during slow start
 	send := Send{Request: request.id, Backend: backend.ID, ReuseOnly: attempt.reuseOnly}
-	if startBy < math.MaxInt64 { // otherwise there is no bound
+	if startBy < math.MaxInt64 { // math.MaxInt64 means that there is no bound
 		send.StartBy = startBy
 	}
 	b.actions = append(b.actions, send)
 }
 
-// addAttempt adds an attempt to its request, and returns the time by which the attempt must start: a repeat
-// of a keyed request must not start after the deduplication window of the first attempt that may have run.
+// addAttempt adds an attempt to its request, and returns the time by which the attempt must start: startBy,
+// or earlier for a repeat of a keyed request, which must start within the deduplication window of the first
+// attempt that may have run.
 func (b *Balancer) addAttempt(
 	request *openRequest, attempt *openAttempt, startBy time.Duration,
 ) time.Duration {
@@ -68,10 +69,13 @@
 	return startBy
 }
 
-// chargeCredit subtracts an attempt's work from the credit, and records the gap since the last attempt. An
-// attempt that starts without credit adds no debt. The gap is measured between attempts instead of requests:
-// an agent that refuses requests gets more of them, because clients retry. Counting those, it would widen its
-// subset, connect to more backends, and find their connection tables full, as would all other agents.
+// chargeCredit subtracts an attempt's work from the credit, and records the gap since the last attempt. The
+// credit does not fall below the negative of that work, so that attempts without credit do not add up to a
+// larger debt.
+//
+// The gap is measured between attempts instead of requests. An agent that refuses requests gets more of them,
+// because clients retry. If these counted, all agents would use larger subsets and connect to more backends,
+// whose connection tables would become full.
 func (b *Balancer) chargeCredit(attempt *openAttempt) {
 	b.admissionCredit = max(b.admissionCredit-attempt.expectedLatency, -attempt.expectedLatency)
 	if b.lastAttemptAt > 0 {
@@ -80,7 +84,8 @@
 	b.lastAttemptAt = b.now
 }
 
-// findOpenAttempt returns an attempt that has not ended, with its request, or nil if there is none.
+// findOpenAttempt returns attempt n of a request, with the request, or nil if there is no such attempt or it
+// has ended.
 func (b *Balancer) findOpenAttempt(id string, n int) (*openRequest, *openAttempt) {
 	request := b.requests[id]
 	if request == nil || n < 0 || n >= len(request.attempts) || !request.attempts[n].open {
@@ -105,7 +110,8 @@
 	}
 }
 
-// beginWork counts an attempt as in flight, from the time when its backend has the whole request.
+// beginWork counts an attempt as in flight. It is called when the request is sent, or once the last byte of
+// an upload has been sent.
 func (b *Balancer) beginWork(request *openRequest, attempt *openAttempt) {
 	attempt.countsInFlight = true
 	attempt.sentAt = b.now
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -7,8 +7,8 @@
 // Reading order: Step below; requests.go (a request from its arrival to its final answer); queue.go and
 // admission.go (when a request may start); pick.go (which backend it goes to); attempt.go (the only place
 // that starts attempts, with the last check of the rules); retry.go (with the rule on repeating requests).
-// Then the files that learn from outcomes: observe.go, ejection.go, capacity.go, slowstart.go. Then
-// endpoints.go, peers.go and learned.go. tuning.go holds all constants.
+// The files that learn from outcomes come next: observe.go, ejection.go, capacity.go and slowstart.go. They
+// are followed by endpoints.go, peers.go and learned.go. tuning.go holds the constants of the policy.
 
 import (
 	"math/rand/v2"
@@ -103,7 +103,7 @@
 }
 
 // reportLeaseUsage reports the state of the leases to the lease client: once after new leases have arrived,
-// and then at intervals while demand was rejected or little is left.
+// and then at intervals if a demand was rejected or the leases are nearly used up.
 func (b *Balancer) reportLeaseUsage() {
 	if b.ledger.Empty() {
 		return
@@ -131,7 +131,7 @@
 	case attempt != nil:
 		b.onOverdue(attempt)
 	case request != nil && !request.ended && token == request.timerToken:
-		request.timerToken = 0 // its shed time may be later by now: without a new timer it gets no answer
+		request.timerToken = 0 // makes shedOrWait set a new timer if the shed time has moved to a later time
 		if request.backingOff {
 			request.backingOff = false
 			b.enqueue(request)
@@ -139,13 +139,14 @@
 	}
 }
 
-// setRequestTimer sets the time at which a request is checked again. Its earlier timers become void.
+// setRequestTimer sets the time at which a request is checked again. Its earlier timers are ignored from now
+// on.
 func (b *Balancer) setRequestTimer(request *openRequest, at time.Duration) {
 	request.timerToken = b.setTimer(at - b.now)
 	b.requestTimers[request.timerToken] = request
 }
 
-// setTimer asks for a timer and returns its token.
+// setTimer adds a SetTimer action and returns the token of the timer.
 func (b *Balancer) setTimer(wait time.Duration) int64 {
 	b.lastTimerToken++
 	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastTimerToken})
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -2,12 +2,12 @@
 
 // updateCapacity computes the total capacity of the backends that are up, reachable and not ejected.
 //
-// Backends that are up, not in slow start and healthy ("settled") count the same until something happens to
-// them. Every change that may affect one of them clears partitionValid. Only the other backends, whose slow
-// start and ejections change with time, are checked on each call.
+// Backends that are up, not in slow start and healthy ("settled") add the same capacity until an event
+// changes their state. Every change that may affect one of them clears partitionValid. Only the other
+// backends, whose slow start and ejections end with time, are checked on each call.
 func (b *Balancer) updateCapacity() {
 	if b.partitionValid && len(b.unsettled) == 0 {
-		return // nothing has changed
+		return // all backends are settled, and none has changed
 	}
 	if !b.partitionValid {
 		b.partitionBackends()
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -6,7 +6,7 @@
 )
 
 // isEjected reports whether a backend gets no ordinary traffic at present, because this agent or the fleet
-// has ejected it or the fleet has reported that it drains.
+// has ejected it or the fleet has reported it as draining.
 func (b *Balancer) isEjected(backend *endpoint) bool {
 	return b.now < max(backend.ejectedUntil, backend.fleetEjectedUntil, backend.drainedUntil)
 }
@@ -33,15 +33,15 @@
 	return e.ejectedUntil + (e.ejectedUntil - e.lastEjectedAt)
 }
 
-// recordFailure ejects a backend, for a time that doubles with each further failure, unless the failures are
-// likely to be chance.
+// recordFailure ejects a backend, for a time that doubles with each further failure, unless its error rate
+// may be due to chance.
 //
 // Departure from the design page (outlier detection): a backend that fails fast is always idle and would
-// attract all traffic. It is therefore ejected at its first error, because errors are rare when nothing is
-// wrong. Attempts that were sent before its last ejection add nothing. If all backends fail occasionally,
-// ejection takes more errors than the error rate of the others gives by chance; otherwise some backends would
-// be ejected at any time for errors that none of them can avoid. This could do harm if most backends fail at
-// once, because the worst of them then takes longer to stand out.
+// attract all traffic. It is therefore ejected at its first error, because errors are rare in normal
+// operation. Failures of attempts that were sent before its last ejection are ignored. If all backends fail
+// occasionally, a backend is ejected only if its error rate exceeds what the error rate of the others gives
+// by chance; otherwise some backends would always be ejected for errors that occur at all of them. This could
+// do harm if most backends fail at once, because it then takes longer until the worst of them stands out.
 func (b *Balancer) recordFailure(backend *endpoint, attempt *openAttempt, class *classState) {
 	standsOut := backend.unreachable || backend.errorRate >= b.chanceErrorRate(backend)
 	if attempt.sentAt < backend.lastEjectedAt || !standsOut {
@@ -51,8 +51,8 @@
 	b.eject(backend, class.Objective)
 }
 
-// chanceErrorRate returns the error rate up to which a backend may be failing by chance, at the error rate of
-// the others.
+// chanceErrorRate returns the lowest error rate of a backend that is unlikely to be due to chance, given the
+// error rate of the others.
 func (b *Balancer) chanceErrorRate(backend *endpoint) float64 {
 	mean := 0.0
 	for _, other := range b.backends {
@@ -72,11 +72,11 @@
 	backend.ejectedUntil = b.now + time.Duration(math.Exp2(backend.failureScore-1)*jitter*float64(unit))
 }
 
-// onOverdue counts an attempt that has been in flight for most of its objective as delayed, without waiting
-// for its outcome.
+// onOverdue records a long delay for an attempt that has been in flight for most of its objective, without
+// waiting for its outcome.
 //
 // Departure from the design page: an agent that admits by credit gets few answers. In an overloaded fleet the
-// answers arrive after clients have given up, which is too late to react.
+// answers arrive after clients have stopped waiting, which is too late to reduce the load.
 func (b *Balancer) onOverdue(attempt *openAttempt) {
 	backend := attempt.backend
 	if !attempt.open || attempt.listVersion < backend.processSetAt {
@@ -89,12 +89,12 @@
 	b.adjustLimit(1)
 }
 
-// onEjections replaces the ejections that the fleet's agents have agreed on.
+// onEjections replaces the ejections on which the fleet's agents have agreed.
 //
-// Departure from the design page: an agent that detects a failing backend by itself pays with its own
-// requests, and each of many agents pays again. Fleet ejections only narrow the choice: none of them brings a
-// backend back, and each expires by itself. This could do harm if the failure that several agents see does
-// not affect this agent: it then prefers other backends without need.
+// Departure from the design page: without fleet ejections, each of many agents detects a failing backend only
+// at the cost of some of its own requests. Fleet ejections only exclude backends: none of them ends an
+// ejection by this agent, and each expires without a further message. This could do harm if the failure that
+// several agents observe does not affect this agent: it then avoids the backend without need.
 func (b *Balancer) onEjections(e Ejections) {
 	for _, backend := range b.backends {
 		backend.fleetEjectedUntil = 0
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// scheduleSubscribe asks for the list again after a failure, with exponential backoff and full jitter,
-// because all agents may start, or reach discovery again, at the same time.
+// scheduleSubscribe sets the timer for the next Subscribe after a failure or a cached list, with exponential
+// backoff and full jitter, because all agents may start, or reach discovery again, at the same time.
 func (b *Balancer) scheduleSubscribe(kind ListKind) {
 	if kind != ListCached && kind != ListFailed {
 		b.subscribeFailures = 1
@@ -77,7 +77,7 @@
 	b.applyState(backend)
 }
 
-// updateBackend applies a list entry to a backend that is already known.
+// updateBackend applies a list entry to a backend that was listed before.
 func (b *Balancer) updateBackend(backend *endpoint, entry Backend) {
 	if entry.Started > backend.Started {
 		b.resetProcess(backend, max(entry.Started, backend.slowStartFrom))
@@ -93,8 +93,8 @@
 	b.applyState(backend)
 }
 
-// forget drops a removed backend once its attempts have ended, and reports whether it did. Until then the
-// next list checks it again.
+// forget deletes a backend that is removed from the list and has no attempt in flight, and reports whether it
+// did. If it did not, it is called again with the next list.
 func (b *Balancer) forget(backend *endpoint) bool {
 	if backend.State != Removed || len(backend.inFlight) > 0 {
 		return false
@@ -106,8 +106,8 @@
 	return true
 }
 
-// applyState sets the state that applies to a backend. A backend that an operator has disabled is treated as
-// draining, whatever the list says.
+// applyState sets the state of a backend from the list and the operators. A backend that an operator has
+// disabled is treated as draining even if the list has it as up.
 func (b *Balancer) applyState(backend *endpoint) {
 	backend.State = backend.listed
 	if b.disabledByHand[backend.ID] == stillDisabled {
@@ -127,8 +127,9 @@
 	backend.processSetAt = b.listVersion
 }
 
-// onBackendDisabled disables a backend for an operator, or enables it again. A backend was most likely
-// restarted while it was disabled, and the list reports that late or never, so it comes back in slow start.
+// onBackendDisabled disables a backend for an operator, or enables it again. An enabled backend is in slow
+// start, because its process was most likely restarted while it was disabled, and the list may report the
+// restart late or not at all.
 func (b *Balancer) onBackendDisabled(e BackendDisabled) {
 	b.forgetEnabled()
 	backend := b.byID[e.Backend]
@@ -150,7 +151,7 @@
 	}
 }
 
-// forgetEnabled drops the records of backends that were enabled again and whose slow start is over.
+// forgetEnabled deletes the records of backends that were enabled again and whose slow start is over.
 func (b *Balancer) forgetEnabled() {
 	maps.DeleteFunc(b.disabledByHand, func(_ string, enabledAt time.Duration) bool {
 		return enabledAt != stillDisabled && b.now-enabledAt >= b.settings.SlowStartTime
@@ -162,8 +163,8 @@
 	return b.byID[id] != nil || b.disabledByHand[id] == stillDisabled
 }
 
-// BackendCounts returns the number of listed backends, and how many of them get no ordinary traffic now
-// because they drain, are disabled by an operator, refuse connections, or are ejected.
+// BackendCounts returns the number of listed backends, and the number of those that get no ordinary traffic
+// now because they are draining, disabled by an operator, unreachable, or ejected.
 func (b *Balancer) BackendCounts() (listed, avoided int) {
 	for _, backend := range b.backends {
 		if backend.listed == Removed {
--- a/decide/events.go
+++ b/decide/events.go
@@ -12,7 +12,7 @@
 // The states of a backend in its list.
 const (
 	Up       BackendState = iota
-	Draining              // finishing its work: it gets nothing new
+	Draining              // finishing its work: it gets no new attempts
 	Removed               // no longer in the list
 )
 
@@ -27,10 +27,10 @@
 	Started time.Duration // when its process last started; 0: long ago
 }
 
-// Event is something that has happened by the time of a Step.
+// Event is an input of Step: it reports something that has happened before the step.
 type Event interface{ event() }
 
-// ListKind says how to read a ListUpdate.
+// ListKind specifies how the entries of a ListUpdate are to be applied.
 type ListKind uint8
 
 // The kinds of list updates.
@@ -73,8 +73,8 @@
 		Latency       time.Duration // since the attempt was sent; of an upload: since its last byte was sent
 		Answered      bool          // the request has its final answer, by this outcome or an earlier one
 		Load          Load
-		NotReplayable bool // the part that was sent can't be sent again
-		Dialed        bool // the attempt opened a connection
+		NotReplayable bool // the part of the request that was sent can't be sent again
+		Dialed        bool // the attempt opened a new connection
 	}
 	// ResponseStarted reports that the response of an attempt has begun to reach the client.
 	ResponseStarted struct {
@@ -83,7 +83,7 @@
 		Completed bool          // the backend has finished its work; only response bytes are still in transit
 		Latency   time.Duration // if Completed: since the attempt was sent
 	}
-	// RequestCancelled reports that the client has disconnected; the request needs no answer any more.
+	// RequestCancelled reports that the client has disconnected, so that the request needs no final answer.
 	RequestCancelled struct{ Request string }
 	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
@@ -94,30 +94,30 @@
 	}
 	// TimerFired reports that a timer set by SetTimer is due.
 	TimerFired struct{ Token int64 }
-	// BackendDisabled reports that an operator has disabled a backend, so that it gets nothing new whatever
-	// the list says, or has enabled it again (Disabled is false). A backend that is enabled again counts as
-	// just started.
+	// BackendDisabled reports that an operator has disabled a backend, or has enabled it again (Disabled is
+	// false). A disabled backend gets no new attempts, whatever its state in the list. A backend that is
+	// enabled again counts as just started.
 	BackendDisabled struct {
 		Backend  string
 		Disabled bool
 	}
-	// FleetSize says how many agents share these backends from now on, this one included: at most Max and at
-	// least Min, as far as the membership protocol can tell. It has no effect if Settings.Peers is set,
-	// because the number of agents is fixed there.
+	// FleetSize sets the bounds of the number of agents that share these backends from now on, this one
+	// included: at most Max and at least Min, according to the membership protocol. It has no effect if
+	// Settings.Peers is set, because the number of agents is fixed in that case.
 	FleetSize struct{ Max, Min int }
-	// SharedLimits are the limits that the fleet shares from now on. An attempt that a limit applies to does
-	// not start without a lease.
+	// SharedLimits replaces the limits that the fleet shares. An attempt to which a limit applies does not
+	// start without a lease of that limit.
 	SharedLimits struct{ Limits []quota.Limit }
-	// LeasesGranted carries leases that this agent was granted; each replaces the earlier lease of the same
-	// grantor. The balancer answers with LeaseUsage, also if the event carries no lease.
+	// LeasesGranted carries leases that were granted to this agent; each replaces the earlier lease of the
+	// same grantor. The balancer replies with LeaseUsage even if the event carries no lease.
 	LeasesGranted struct{ Leases []quota.Lease }
-	// Ejections are all ejections that the fleet's agents have agreed on; they replace the last ones. An
-	// ejection only restricts what this agent may do, until a given time. It never allows what the agent's
-	// own list or an operator forbids.
+	// Ejections are all ejections on which the fleet's agents have agreed; they replace the previous ones. An
+	// ejection restricts which backends this agent may use, until a given time. It never permits a backend
+	// that the agent's own list or an operator excludes.
 	Ejections struct{ Ejections []Ejection }
-	// Ejection excludes one process of a backend until a given time. The backend gets no ordinary traffic or,
-	// with Draining, nothing at all, as if it drained in the list. Afterwards it gets ordinary traffic again
-	// at once, unlike after an ejection by this agent.
+	// Ejection excludes one process of a backend until a given time. Until then the backend gets no ordinary
+	// traffic; with Draining it gets no attempts at all, as if the list reported it as draining. Afterwards
+	// it gets ordinary traffic again at once, unlike after an ejection by this agent.
 	Ejection struct {
 		Backend  string
 		Started  time.Duration // as listed: the ejection does not apply to a later process
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -3,16 +3,16 @@
 import "time"
 
 // Learned is the state that a balancer may take over from its predecessor: how long requests take. It holds
-// no budgets, tokens or failures, because these apply only to their moment.
+// no budgets, tokens or failures, because these are soon out of date.
 type Learned struct {
 	Classes  []LearnedClass // by class
 	Backends []LearnedBackend
-	// Limit is the in-flight limit of all agents together, per backend. It is for a successor that takes over
-	// at once with the same clients. After a pause it is meaningless; 0 leaves it out.
+	// Limit is the in-flight limit of all agents together, per backend. It is valid only for a successor that
+	// takes over the same clients at once, not after a pause. 0: no limit is restored.
 	Limit float64
 }
 
-// LearnedClass holds a class's running means, in nanoseconds.
+// LearnedClass holds the running means of a class, in nanoseconds: latency, and expected work of requests.
 type LearnedClass struct{ Latency, Work float64 }
 
 // LearnedBackend is the slowness of a backend's process, as a multiple of the mean of all backends.
@@ -38,7 +38,7 @@
 }
 
 // Restore takes over the state that another balancer has learned; it must be called before the first Step.
-// The slowness of a backend applies only to the process that showed it, and loses its weight after a few
+// The slowness of a backend applies only to the process at which it was observed, and is outweighed by a few
 // answers. Invalid values are ignored.
 func (b *Balancer) Restore(l Learned) {
 	for i, class := range l.Classes {
--- a/decide/message.go
+++ b/decide/message.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// This file holds the messages between agents and their encoding in at most maxMessageBytes. It makes no
-// decisions.
+// This file holds the messages between agents and their encoding in at most maxMessageBytes bytes. It makes
+// no decisions.
 
 const (
 	// maxMessageBytes is the largest size of a message.
 	maxMessageBytes = 256
 	// messageHeaderBytes is the size of demand and delay, which precede the observations.
 	messageHeaderBytes = 8
-	// observationBytes is the size of an observation: 3 bytes of hash, 1 of value, 1 of age.
+	// observationBytes is the size of an observation: 3 bytes for the hash, 1 for the value, 1 for the age.
 	observationBytes = 5
-	// slownessSteps is the number of value steps per expected latency: 8 expected latencies fit below
-	// observedOverdue.
+	// slownessSteps is the number of steps of an observation's value per expected latency: 8 expected
+	// latencies fit below observedOverdue.
 	slownessSteps = 31.0
 	// observedOverdue is the value for an attempt that is overdue.
 	observedOverdue = 254
 	// observedFailure is the value for an attempt that failed.
 	observedFailure = 255
-	// ageSteps is the number of age steps per interval. The age is one byte, so that an observation is
-	// dropped after eight intervals.
+	// ageSteps is the number of steps of an observation's age per reporting interval. The age is one byte, so
+	// that an observation is dropped after eight intervals.
 	ageSteps = 32
 )
 
@@ -81,7 +81,7 @@
 	return m, isFloat32(m.demand) && isFloat32(m.delay)
 }
 
-// isFloat32 reports whether a number is one that encode can write: not negative, infinite or NaN.
+// isFloat32 reports whether a number is valid in a message: not negative, infinite or NaN.
 func isFloat32(x float64) bool { return x >= 0 && x <= math.MaxFloat32 }
 
 // hashID returns a 24-bit hash (FNV-1a) of a backend's ID. Two backends with the same hash share their
--- a/decide/observe.go
+++ b/decide/observe.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// observe learns from the outcome of an attempt.
+// observe updates the statistics of a backend and of the fleet with the outcome of an attempt.
 func (b *Balancer) observe(request *openRequest, attempt *openAttempt, e Outcome) {
 	if attempt.listVersion < attempt.backend.processSetAt {
-		return // the outcome belongs to a process that has been replaced since
+		return // the outcome belongs to a process that has since been replaced
 	}
 	switch e.Result {
 	case OK:
@@ -24,7 +24,7 @@
 	class := &b.classes[request.class]
 	latency := float64(e.Latency)
 	if backend.unreachable && backend.slowStartFrom < attempt.sentAt {
-		b.beginSlowStart(backend, b.now) // it restarted before the list says so
+		b.beginSlowStart(backend, b.now) // it has restarted, and the list has not reported that yet
 	}
 	backend.unreachable = false
 	backend.errorRate -= meanWeight * backend.errorRate
@@ -39,7 +39,8 @@
 	relative := latency / attempt.expectedLatency
 	steps := byte(min(relative, maxSlownessSample-0.1) * slownessSteps)
 	b.recordObservation(observation{hash: backend.hash, value: steps, at: b.now})
-	// The latency is scaled to mean work, because a heavy request does not indicate a queue.
+	// The latency is scaled to the mean work of the class, because the long latency of a heavy request does
+	// not indicate a queue.
 	meanLatency := latency * class.meanLatency / b.expectedLatency(request)
 	class.meanLatency = updateMean(class.meanLatency, max(meanLatency, 1))
 	if attempt.overdue {
@@ -48,7 +49,8 @@
 	kindSlowness := b.kindSlowness(attempt.kind, request.class)
 	*kindSlowness += meanWeight * (min(relative, maxSlownessSample) - *kindSlowness)
 	b.updateSlowness(backend, relative / *kindSlowness)
-	// Divided by slowness, because the latency of a slow backend says little about the other backends.
+	// The latency is divided by slowness, because that of a slow backend is not typical of the other
+	// backends.
 	share := min(latency, meanLatency) / max(1, backend.slowness) / float64(class.Objective)
 	if e.Load.Valid && e.Load.InFlight >= 0 && e.Load.InFlight < maxUnloadedInFlight {
 		class.unloadedLatency = updateMean(class.unloadedLatency, share)
@@ -56,8 +58,8 @@
 	b.adjustLimit(share)
 }
 
-// observeRejection records that a backend rejected an attempt: its queue is longer than those of the backends
-// that accepted their attempts.
+// observeRejection records that a backend rejected an attempt because it is full. The backend counts as slow,
+// and gets no request for a random part of the mean latency.
 func (b *Balancer) observeRejection(request *openRequest, attempt *openAttempt) {
 	backend := attempt.backend
 	b.updateSlowness(backend, overdueSlowness)
@@ -66,9 +68,9 @@
 	b.adjustLimit(1)
 }
 
-// observeTimeout counts a time-out as a failure if no success came from the backend since the attempt was
-// sent: this indicates neither a single slow request nor a queue. If balancers share observations, slow
-// answers accumulate from all of them, so that several time-outs in a row are required.
+// observeTimeout counts a time-out as a failure if the backend has had no success since the attempt was sent:
+// in that case the cause is neither a single slow request nor a queue. If balancers share observations, the
+// time-outs of all of them are counted, so that silentTimeouts in a row are required.
 func (b *Balancer) observeTimeout(request *openRequest, attempt *openAttempt, e Outcome) {
 	backend := attempt.backend
 	class := &b.classes[request.class]
@@ -86,7 +88,7 @@
 	}
 }
 
-// observeError counts an error. Only a refused connection shows that the backend's process is not running;
+// observeError records an error. Only a refused connection proves that the backend's process is not running;
 // established connections also break for other reasons.
 func (b *Balancer) observeError(request *openRequest, attempt *openAttempt, e Outcome) {
 	backend := attempt.backend
@@ -99,17 +101,18 @@
 }
 
 // updateSlowness adds one latency, as a multiple of the expected latency, to a backend's slowness. The first
-// few samples weigh more, because an agent with little traffic seldom gets an answer from each backend.
+// few samples have a higher weight, because an agent with little traffic gets few answers from each backend.
 func (b *Balancer) updateSlowness(backend *endpoint, sample float64) {
 	backend.slownessSamples++
 	weight := max(meanWeight, 1/(backend.slownessSamples+priorSamples))
 	backend.slowness += weight * (min(sample, maxSlownessSample) - backend.slowness)
 }
 
-// kindSlowness returns how much slower than the mean the backends of a kind serve a class.
+// kindSlowness returns the mean latency of a class at the backends of a kind, as a multiple of the expected
+// latency.
 //
-// Departure from the design page: an agent with little traffic has few answers per backend and class, so it
-// learns this ratio per kind of backend.
+// Departure from the design page: an agent with little traffic has few answers per backend and class, so this
+// ratio is measured per kind of backend.
 func (b *Balancer) kindSlowness(kindIndex, classIndex int) *float64 {
 	kindIndex = max(kindIndex, 0) // the list may name an unknown kind
 	for len(b.slownessByKind[classIndex]) <= kindIndex {
@@ -118,8 +121,9 @@
 	return &b.slownessByKind[classIndex][kindIndex]
 }
 
-// currentSlowness returns how many times longer than the mean a backend takes: by its answers, or by the
-// waiting time of its oldest attempt if that is worse. A stalled backend is thus noticed before it answers.
+// currentSlowness returns a backend's latency as a multiple of the mean: its measured slowness, or a higher
+// value if its oldest attempt has been waiting for long. A stalled backend is thus detected before it
+// answers.
 func (b *Balancer) currentSlowness(backend *endpoint) float64 {
 	for _, attempt := range backend.inFlight {
 		if attempt.listVersion < backend.processSetAt {
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -21,17 +21,17 @@
 	if !b.sharesObservations() {
 		return
 	}
-	b.meanDelay = updateMean(b.meanDelay, min(m.delay, 1)) // own figures come too late with little traffic
+	b.meanDelay = updateMean(b.meanDelay, min(m.delay, 1)) // with little traffic, own answers come too late
 	for _, o := range m.observations {
 		b.mergeObservation(o)
 	}
 }
 
-// recordObservation keeps an observation for peers.
+// recordObservation stores an observation, to be sent to peers.
 //
-// Departure from the design page: an agent that admits by credit uses each backend too seldom to learn its
-// speed or a failure by itself. Where agents may exchange messages, it forwards its own observations and
-// those that it received, for a few objectives: one message to one peer for every few outcomes.
+// Departure from the design page: an agent that admits by credit uses each backend too seldom to measure its
+// speed or to detect a failure alone. Where agents may exchange messages, it sends its own observations and
+// those that it has received, until they are a few objectives old: see countOutcome.
 func (b *Balancer) recordObservation(o observation) {
 	if backend := b.byHash[o.hash]; backend != nil {
 		backend.observedAt = o.at
@@ -42,8 +42,9 @@
 	}
 }
 
-// mergeObservation applies a peer's observation unless a newer one is known. The same observation arrives by
-// several ways, and counting it each time would make every backend look slow.
+// mergeObservation applies an observation from a peer, unless it is not newer than the last one of its
+// backend. The same observation arrives from several peers, and counting it each time would make every
+// backend look slow.
 func (b *Balancer) mergeObservation(o observation) {
 	backend := b.byHash[o.hash]
 	if backend == nil || backend.State != Up || o.at <= backend.slowStartFrom || o.at <= backend.observedAt {
@@ -68,9 +69,8 @@
 	b.recordObservation(o)
 }
 
-// onFleetSize applies the number of agents according to membership. Each use takes the safe bound: shares and
-// limits use the largest number of agents that may be sending, and the multiple for backends in slow start
-// uses the smallest.
+// onFleetSize applies the bounds of the number of agents. Each use takes the safe bound: shares and limits
+// use the upper bound, and the multiple for backends in slow start uses the lower bound.
 func (b *Balancer) onFleetSize(e FleetSize) {
 	if b.settings.Peers || e.Min < 1 || e.Max < e.Min {
 		return
@@ -79,7 +79,7 @@
 	b.settings.Balancers = e.Max
 	b.minBalancers = e.Min
 	b.ownShare = 1 / float64(e.Max)
-	if b.admitsByCredit() != before { // attempts from before credit was in use leave no debt
+	if b.admitsByCredit() != before { // attempts that started while credit was not in use must leave no debt
 		b.admissionCredit = max(b.admissionCredit, 0)
 	}
 }
@@ -91,10 +91,10 @@
 	b.actions = append(b.actions, SendToPeer{To: to, Data: m.encode(b.now, b.peerInterval)})
 }
 
-// reportToPeers reports this agent's demand to peers, and recomputes its share. If there are more than
-// peerFanout peers, a random sample of them gets the report, and the peers that were heard from recently
-// represent the rest: reports to all peers would need a number of messages that grows with the square of the
-// number of agents.
+// reportToPeers reports this agent's demand to peers, and recomputes its share of the limit. If there are
+// more than peerFanout peers, a random sample of them gets the report, and the peers whose reports have
+// arrived recently represent the rest: with reports to all peers, the number of messages would grow with the
+// square of the number of agents.
 func (b *Balancer) reportToPeers() {
 	elapsed := float64(b.now - b.demandUpdatedAt)
 	b.demand *= math.Exp(-elapsed / (peerTimeoutIntervals * float64(b.peerInterval)))
@@ -108,9 +108,9 @@
 	b.updateOwnShare(peerCount > peerFanout)
 }
 
-// updateOwnShare divides the in-flight limit, partly equally and partly by demand. With sampled set, peers
-// that were not heard from count as average ones. Otherwise they count as stopped, and their clients use
-// other agents.
+// updateOwnShare recomputes this agent's share of the in-flight limit, which is divided partly equally and
+// partly by demand. If sampled is set, peers without a recent report count as average ones. Otherwise peers
+// whose reports have ceased count as stopped, since their clients use other agents.
 func (b *Balancer) updateOwnShare(sampled bool) {
 	total := b.demand
 	reporting := 1.0
--- a/decide/pick.go
+++ b/decide/pick.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// pick chooses a backend: a random one of those that have nothing of this balancer in flight, or else the one
-// with the fewest attempts in flight. It does not choose the backend that has just failed the request, unless
-// that is the only one. It returns nil if no backend may be used now.
+// pick chooses a backend: a random one, weighted by idleWeight, of the idle ones, at which this balancer has
+// no attempt in flight, or else the one with the lowest loadScore. It does not choose the backend that has
+// just failed the request, unless that is the only one. It returns nil if no backend may be used now.
 func (b *Balancer) pick(request *openRequest) *endpoint {
 	if n := min(len(b.backends), b.subsetSize()); n > maxScanned {
 		if backend := b.sampleIdle(request, b.backends[:n]); backend != nil {
@@ -18,10 +18,10 @@
 }
 
 // sampleIdle chooses among the idle backends as scanAll does, but by drawing random backends and accepting
-// each with a probability that follows its weight (rejection sampling). This gives the same distribution
-// without looking at all of them. The sampled subset includes backends that may not be used now, so that the
-// choice is a little narrower than with scanAll. It returns nil if that takes too many draws, as when few
-// backends are idle.
+// each with a probability proportional to its weight (rejection sampling). This gives the same distribution
+// without a scan of all backends. The sampled subset includes backends that may not be used now, so that
+// there are slightly fewer backends to choose from than with scanAll. It returns nil if none was accepted in
+// maxDraws draws, as when few backends are idle.
 func (b *Balancer) sampleIdle(request *openRequest, among []*endpoint) *endpoint {
 	maxWeight := b.maxIdleWeight
 	for range maxDraws {
@@ -34,7 +34,7 @@
 			continue
 		}
 		weight := b.idleWeight(backend, request)
-		if weight > maxWeight { // earlier draws used too low a bound, which favours other backends
+		if weight > maxWeight { // the bound was too low, so that earlier draws favoured the other backends
 			b.maxIdleWeight = weight
 			maxWeight = weight
 			continue
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// eligible reports whether a backend may get a request at all. The order of the checks matters, because the
-// last two change state.
+// eligible reports whether a backend may get a request, regardless of ejections. The order of the checks
+// matters, because the last two change state.
 func (b *Balancer) eligible(request *openRequest, backend *endpoint) bool {
 	if backend.State != Up || !b.mayAttempt(request, backend) {
 		return false
@@ -66,8 +66,8 @@
 }
 
 // leaseAllows reports whether this agent's leases of the fleet's limits allow a request at a backend, and
-// records the limit that does not. A rejection is counted once per request, so that the lease server learns
-// which agent needs more.
+// records the limit that does not. A rejection is counted once per request. The counts are reported, so that
+// the lease servers grant more to the agents that need more.
 func (b *Balancer) leaseAllows(request *openRequest, backend *endpoint) bool {
 	if b.ledger.Empty() {
 		return true
@@ -86,13 +86,13 @@
 
 // idleWeight returns the relative probability with which an idle backend is chosen.
 //
-// Departure from the design page: an even choice among idle backends would put as much load on slow ones as
-// on fast ones. Each backend is therefore weighted by the inverse cube of its observed slowness. This matters
-// if backends differ in speed.
+// Departure from the design page: an unweighted choice among idle backends would send the same load to slow
+// backends as to fast ones. Each backend is therefore weighted by the inverse cube of its observed slowness.
+// This makes a difference if backends differ in speed.
 func (b *Balancer) idleWeight(backend *endpoint, request *openRequest) float64 {
 	slowness := b.currentSlowness(backend) * *b.kindSlowness(backend.Kind, request.class)
 	weight := b.capacityShare(backend) / (slowness * slowness * slowness)
-	if b.sharesObservations() { // all agents know the same: the cube would send all to the same few
+	if b.sharesObservations() { // with shared observations the cube would make all agents use the same few
 		weight = b.capacityShare(backend) / slowness
 	}
 	if backend.failureScore > 0 && b.admitsByCredit() {
@@ -106,8 +106,8 @@
 }
 
 // scanAll chooses among all backends of the subset: an idle one by weight, or else the one with the lowest
-// score, or else, if all are ejected, the one that has failed least, because a first attempt is sent in any
-// case.
+// loadScore. If all are ejected, it chooses one with a low failure score and few attempts in flight, because
+// a first attempt is sent in any case.
 func (b *Balancer) scanAll(request *openRequest) *endpoint {
 	var idle, leastLoaded, leastFailing *endpoint
 	totalWeight := 0.0
@@ -149,8 +149,9 @@
 	return cmp.Or(idle, leastLoaded, leastFailing)
 }
 
-// loadOf returns the number of this agent's attempts that a backend has in flight. A backend that has not
-// answered yet counts as having the mean of all, so that a new backend does not attract a burst of requests.
+// loadOf returns the number of this agent's attempts in flight at a backend. For a backend that has not
+// answered yet it returns the mean over all backends, so that a new backend does not attract a burst of
+// requests.
 func (b *Balancer) loadOf(backend *endpoint) float64 {
 	if backend.hasAnswered {
 		return float64(len(backend.inFlight))
@@ -162,8 +163,8 @@
 func (b *Balancer) loadScore(backend *endpoint, request *openRequest, load float64) float64 {
 	slowness := b.currentSlowness(backend) * *b.kindSlowness(backend.Kind, request.class)
 	if backend.hasAnswered {
-		// Otherwise load is the mean of all backends, which already accounts for slow start. Dividing by the
-		// share of capacity as well would keep a busy fleet from using the backend.
+		// For a backend that has not answered, load is the mean of all backends instead. If that was divided
+		// by the share of capacity too, a busy fleet would not use the backend.
 		slowness /= b.capacityShare(backend)
 	}
 	return (load + 1) * slowness * (1 + 0.01*b.rng.Float64())
@@ -172,13 +173,14 @@
 // subsetSize returns the number of idle backends to choose from: the first usable ones in this agent's own
 // order.
 //
-// Departure from the design page (subsetting): an agent with little traffic that is spread over all backends
-// would observe each of them once a day and open a connection for nearly every attempt. It therefore uses
-// only so many that it uses each one again within half an objective; what it knows of a backend is then about
-// as old as a request may be. The order is a hash that differs between agents, so that all agents together
-// load all backends evenly, and the loss of one backend adds one other. This could do harm if one agent has
-// most of the traffic of a large fleet, but then the gap between attempts is small and the subset large. It
-// applies only if peers share no observations of the other backends.
+// Departure from the design page (subsetting): if an agent with little traffic used all backends, it would
+// observe each of them once a day and open a connection for nearly every attempt. It therefore limits its
+// subset so that it uses each backend again within half an objective (revisitObjectives); its observations of
+// a backend are then about as old as a request may be. The order is by a hash that differs between agents, so
+// that all agents together load all backends evenly, and a backend that is lost is replaced by one other.
+// This could do harm if one agent has most of the traffic of a large fleet, but then the gap between attempts
+// is small and the subset large. Subsetting is used only if peers do not share observations of the other
+// backends.
 func (b *Balancer) subsetSize() int {
 	if b.meanAttemptGap == 0 || b.sharesObservations() {
 		return len(b.backends)
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -3,7 +3,7 @@
 import "time"
 
 // enqueue queues a request until there is capacity for it. If there is capacity already, the request leaves
-// the queue in the same step.
+// the queue at the end of the same step.
 func (b *Balancer) enqueue(request *openRequest) {
 	request.queued = true
 	b.queue = append(b.queue, request)
@@ -14,8 +14,8 @@
 	b.queue = removeFirst(b.queue, request)
 }
 
-// dispatchQueue starts queued requests while there is capacity, and sheds those that can no longer be
-// answered within their objective. Queueing here puts no load on the backends.
+// dispatchQueue starts queued requests while there is capacity, and sheds those that are unlikely to be
+// answered within their objective. Requests in this queue put no load on the backends.
 func (b *Balancer) dispatchQueue() {
 	if len(b.queue) == 0 {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// startQueued starts the most valuable requests as long as there are capacity and a backend for them.
+// startQueued starts queued requests in the order of nextQueued, as long as there is capacity.
 func (b *Balancer) startQueued() {
 	for {
 		request := b.nextQueued()
@@ -48,9 +48,10 @@
 	}
 }
 
-// nextQueued returns the queued request to start next: first tries before clients' retries, then the most
-// valuable class, and within a class the newest request. Requests that found no backend in this step are left
-// out. It returns nil if there is none.
+// nextQueued returns the queued request to start next: the one whose unit of work has the highest value,
+// where clients' retries and requests that will be answered late count less. Of requests with equal values it
+// returns the one that was queued last. Requests that found no backend in this step are left out. It returns
+// nil if no request remains.
 func (b *Balancer) nextQueued() *openRequest {
 	var best *openRequest
 	bestValue := 0.0
@@ -74,9 +75,10 @@
 	return best
 }
 
-// shedOrWait handles a request that found no capacity or no backend in this step. It refuses the request if
-// it can wait no longer, and otherwise sets a timer for that time. A client's retry does not wait, and
-// neither does a request that lacks a lease, because waiting does not bring one.
+// shedOrWait handles a request that found no capacity or no backend in this step. It ends the request if its
+// shed time has come, and otherwise sets a timer for that time. A client's retry does not wait, and neither
+// does a request that lacks a lease, unless it is one of a slow-start limit: waiting does not make a lease
+// available.
 func (b *Balancer) shedOrWait(request *openRequest) {
 	reason := NoCapacity
 	switch {
@@ -97,8 +99,8 @@
 	}
 }
 
-// shedAt returns when a queued request is shed: while it can still be answered within its objective, and
-// before half of the client's time is over, because a later refusal costs the client more.
+// shedAt returns when a queued request is shed: queueMargin mean latencies before its objective, but before
+// half of the client's time is over, because a later refusal costs the client more.
 func (b *Balancer) shedAt(request *openRequest) time.Duration {
 	objective := float64(b.classes[request.class].Objective)
 	margin := min(queueMargin*b.expectedLatency(request), maxQueueMargin*objective)
--- a/decide/quota/ledger.go
+++ b/decide/quota/ledger.go
@@ -9,9 +9,9 @@
 
 const (
 	// idleRowTimeout is how long an unused part of a partitioned limit is kept. A larger value needs more memory; a
-	// smaller one forgets leases that may be used again.
+	// smaller one drops leases that may be used again.
 	idleRowTimeout = time.Minute
-	// minSpan is the shortest time over which rates are counted, even if a lease says less.
+	// minSpan is the shortest time over which rates are counted, even if a lease has a shorter span.
 	minSpan = time.Second
 )
 
@@ -21,7 +21,7 @@
 	rows   map[rowKey]*Row
 	order  []*Row           // in the order of first use
 	floors map[string]Lease // by limit; each part of the limit has this floor
-	active bool             // since the last report a demand was rejected or little is left
+	active bool             // since the last report a demand was rejected, or a lease was nearly used up
 }
 
 type rowKey struct{ limit, part string }
@@ -31,15 +31,16 @@
 	limit     Limit
 	key       string
 	leases    []*heldLease
-	rejected  int           // demands since the last report
-	started   int           // demands since the last report
+	rejected  int           // demands that were rejected since the last report
+	started   int           // demands that reserved a lease since the last report
 	changedAt time.Duration // time of the last use or grant
 }
 
 // Name returns the limit's name.
 func (r *Row) Name() string { return r.limit.Name }
 
-// SlowStart reports whether the limit counts attempts at servers in slow start; other servers may serve instead.
+// SlowStart reports whether the limit counts attempts at servers in slow start. Servers that are warm may serve a
+// request instead.
 func (r *Row) SlowStart() bool { return r.limit.Kind == SlowStart }
 
 // heldLease is the lease of one grantor, with its current use.
@@ -61,13 +62,13 @@
 	at    time.Duration
 }
 
-// Reserved is what an attempt has reserved of all limits that apply to it.
+// Reserved holds the reservations of an attempt under all limits that apply to it.
 type Reserved struct {
 	Reservations []Reservation
-	// StartBy is the time by which the attempt must have started, because another agent may be granted the leases
+	// StartBy is the time by which the attempt must have started, because the leases may be granted to another agent
 	// after that. math.MaxInt64: no bound.
 	StartBy time.Duration
-	// MayConnect is false if no lease allows the attempt to open a connection.
+	// MayConnect is false if a limit on new connections applies and no lease allows the attempt to open one.
 	MayConnect bool
 }
 
@@ -92,7 +93,7 @@
 // Empty reports whether there are no limits.
 func (lg *Ledger) Empty() bool { return len(lg.limits) == 0 }
 
-// rowFor returns the row of a part of a limit, and creates it if there is none.
+// rowFor returns the row of a part of a limit, and creates it if necessary.
 func (lg *Ledger) rowFor(l *Limit, part string, now time.Duration) *Row {
 	key := rowKey{l.Name, part}
 	r := lg.rows[key]
@@ -164,14 +165,15 @@
 	return nil
 }
 
-// CountRejection counts a demand that was rejected for lack of a lease, so that the agent requests more.
+// CountRejection counts a demand that was rejected for lack of a lease. It is part of the next report, so that the
+// agent requests more.
 func (lg *Ledger) CountRejection(now time.Duration, r *Row) {
 	r.rejected++
 	r.changedAt = now
 	lg.active = true
 }
 
-// bestLease returns the lease with the largest amount available for a demand, or nil if no lease has any.
+// bestLease returns the lease with the largest unused amount that a demand may use, or nil if there is no such lease.
 func (r *Row) bestLease(now time.Duration, d *Demand) *heldLease {
 	used := r.inUse(now)
 	var largest *heldLease
@@ -181,7 +183,7 @@
 			continue
 		}
 		inUse := l.inUse(now, r.limit.Kind)
-		if l.grantor == "" { // the use of all leases counts against the floor
+		if l.grantor == "" { // l is the floor, against which the use of all leases counts
 			inUse = max(used, inUse)
 		} else {
 			leased += l.amount
@@ -197,8 +199,8 @@
 	return largest
 }
 
-// isReserved reports whether the amount that is left is reserved for more important demands, if such demands can come
-// under the same limit.
+// isReserved reports whether the unused amount is reserved for more important demands. Nothing is reserved under a
+// limit for one class, because more important demands do not use it.
 func (r *Row) isReserved(d *Demand, leased, used int) bool {
 	return r.limit.Class < 0 && d.ReservedShare > 0 && float64(leased-used) <= d.ReservedShare*math.Sqrt(float64(leased))
 }
@@ -224,8 +226,8 @@
 	return len(l.started)
 }
 
-// Reserve uses a lease of each limit that applies to a demand. If one of the limits has nothing left, it reports
-// false and uses no lease. Limits on new connections are the exception: see Reserved.MayConnect.
+// Reserve uses one unit of a lease of each limit that applies to a demand. If there is no usable lease of one of the
+// limits, it reports false and uses none. Limits on new connections are the exception: see Reserved.MayConnect.
 func (lg *Ledger) Reserve(now time.Duration, d *Demand) (Reserved, bool) {
 	reservations := make([]Reservation, 0, len(lg.limits))
 	startBy := time.Duration(math.MaxInt64)
@@ -286,7 +288,8 @@
 	}
 }
 
-// isLow reports whether so little is left that one of the next few demands may be rejected.
+// isLow reports whether the unused amount of the row's leases is so small that one of the next few demands may be
+// rejected.
 func (r *Row) isLow(now time.Duration) bool {
 	leased := 0
 	for _, l := range r.leases {
@@ -298,8 +301,8 @@
 	return leased-used <= 1+int(math.Sqrt(float64(used))/2)
 }
 
-// Release returns what an attempt that has ended had in flight. If it opened no connection (connected is false), its
-// reservation of a new connection is returned too.
+// Release returns the reservations of an attempt that has ended under limits on attempts in flight. If the attempt
+// opened no connection (connected is false), its reservation of a new connection is returned too.
 func (lg *Ledger) Release(reservations []Reservation, connected bool) {
 	for _, r := range reservations {
 		kind := r.row.limit.Kind
@@ -309,8 +312,8 @@
 	}
 }
 
-// ConnectionRefusedBy returns the limit that did not allow an attempt with this demand to open a connection, or nil
-// if there is none. It counts the rejection.
+// ConnectionRefusedBy returns the first limit on new connections that applies to a demand, or nil if none does, and
+// counts a rejection under it. It is called for an attempt that was not allowed to open a connection.
 func (lg *Ledger) ConnectionRefusedBy(now time.Duration, d *Demand) *Row {
 	for i := range lg.limits {
 		l := &lg.limits[i]
@@ -323,7 +326,7 @@
 	return nil
 }
 
-// Active reports whether since the last report a demand was rejected or little was left.
+// Active reports whether a demand was rejected, or a lease was nearly used up, since the last report.
 func (lg *Ledger) Active() bool { return lg.active }
 
 // Usages returns the state of all leases for a report, sorted by limit and key. It resets the counts since the last
@@ -356,7 +359,8 @@
 	})
 }
 
-// appendUsages appends the state of the row's leases. The counts since the last report are in the first of them.
+// appendUsages appends the state of the row's leases to all. The counts since the last report are only in the first
+// one.
 func (r *Row) appendUsages(all []Usage, now time.Duration) []Usage {
 	counted := Usage{Limit: r.limit.Name, Key: r.key, Rejected: r.rejected, Started: r.started}
 	r.rejected = 0
--- a/decide/quota/quota.go
+++ b/decide/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota is an agent's side of the limits that a whole fleet shares. It keeps a ledger of the leases that the
-// agent was granted, when they expire, and how much of them is in use. It decides whether a lease allows a demand.
-// Package decide decides whether a request without a lease waits or is refused, and which request goes first. Package
+// Package quota implements an agent's side of the limits that a whole fleet shares. It keeps a ledger of the leases
+// that were granted to the agent, with their expiry and use, and decides whether a lease allows a demand. Package
+// decide determines whether a request without a lease waits or is refused, and which request is started first. Package
 // internal/peer/lease grants the leases (Gray & Cheriton 1989).
 //
 // Ownership: a Ledger is kept in memory only and must be used by one goroutine, that of the agent. It has no clock;
@@ -46,7 +46,7 @@
 // IsRate reports whether the limit counts starts per second instead of attempts in flight.
 func (k Kind) IsRate() bool { return k != InFlight }
 
-// Partition says whether a limit applies as a whole or separately to each server, zone or cell.
+// Partition specifies whether a limit applies as a whole or separately to each server, zone or cell.
 type Partition uint8
 
 const (
@@ -64,8 +64,8 @@
 type Limit struct {
 	Name              string
 	Kind              Kind
-	Class, Zone, Cell int    // the only ones it applies to; -1: all
-	Server            string // the only one it applies to; empty: all
+	Class, Zone, Cell int    // the class, zone and cell to which the limit applies; -1: all
+	Server            string // the server to which the limit applies; empty: all
 	Partition         Partition
 }
 
@@ -78,8 +78,8 @@
 	SlowStart    bool          // the server is in slow start
 	FirstAttempt bool          // this is the first attempt of its request
 	EndsBy       time.Duration // time by which the attempt has ended
-	// ReservedShare is the share of demand that is more important than this one. That share of the square root of the
-	// leased amount stays reserved for the more important demand.
+	// ReservedShare is the share of all demand that is more important than this one. An amount of this share, times the
+	// square root of the leased amount, stays reserved for the more important demand.
 	ReservedShare float64
 }
 
@@ -124,14 +124,14 @@
 	Limit string
 	// Key names the part of a partitioned limit.
 	Key string
-	// Grantor is the lease server. An empty Grantor marks the floor of a soft limit: an amount that may be used even
-	// without a lease, and against which the use of all leases counts.
+	// Grantor is the lease server. If it is empty, the Lease is the floor of a soft limit: an amount that may be used
+	// even without a lease, and against which the use of all leases counts.
 	Grantor string
 	// Number identifies the grant.
 	Number uint64
 	Amount int
-	// Expires is the time by which attempts in flight must have ended, and by which attempts counted per second must
-	// have started.
+	// Expires is the time by which attempts must have ended if the limit counts attempts in flight, and by which they
+	// must have started if it counts attempts per second.
 	Expires time.Duration
 	// Span is the time over which Amount counts, for rates.
 	Span time.Duration
@@ -145,7 +145,7 @@
 	Limit   string
 	Key     string
 	Grantor string // empty: the floor, or demand that was rejected because there is no lease
-	Number  uint64 // number of the last grant that was adopted
+	Number  uint64 // Lease.Number of the last lease that was adopted
 	Used    int    // attempts in flight, or started within the span
 	// Rejected and Started count the demands since the last report that found no lease, and those that found one.
 	// They are reported once per limit and key.
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -6,10 +6,11 @@
 )
 
 // arrivalDecay is the factor by which each new arrival reduces the weight of earlier ones: the last few
-// hundred arrivals count.
+// hundred arrivals determine the counts.
 const arrivalDecay = 1 - meanWeight/20
 
-// onRequest admits a request to the queue.
+// onRequest adds a request to the queue, unless its class is invalid, its ID is taken, or the only backend
+// that may get it is not up.
 func (b *Balancer) onRequest(e Request) {
 	if e.Class < 0 || e.Class >= len(b.classes) || b.requests[e.ID] != nil {
 		return
@@ -37,7 +38,7 @@
 		b.earnCredit(request)
 	}
 	if request.onlyBackend != "" && !b.isUp(request.onlyBackend) {
-		b.finish(request, NoBackend) // no other backend may get it, and waiting does not help
+		b.finish(request, NoBackend) // no other backend may get it, so waiting would not help
 		return
 	}
 	b.enqueue(request)
@@ -66,20 +67,20 @@
 //
 // A client gives each of its tries the same time, except the last one, which gets all the time that the
 // client has left. If most requests arrive with one remaining time, a different remaining time shows how long
-// ago the client made its first try. Where callers pass on what is left of their own deadline, remaining
-// times are spread around the usual one and show nothing. Therefore the usual remaining time is found by
-// majority vote (Boyer and Moore). A request with the usual remaining time counts twice, because a last try
-// follows at least one such request. A remaining time close to the usual one, which clients' last tries
-// seldom have, starts the vote anew.
+// ago the client made its first try. If callers pass on the rest of their own deadline, remaining times vary
+// around the usual one and do not indicate retries. Therefore the usual remaining time is found by majority
+// vote (Boyer and Moore). A request with the usual remaining time adds two votes, because a last try, which
+// takes away one, follows at least one such request. A remaining time that differs only a little from the
+// usual one, as clients' last tries seldom do, restarts the vote.
 //
 // Departure from the design page: the design does not infer retries. The inference could do harm if first
-// tries come with two remaining times that are far apart.
+// tries have two different remaining times with a large difference between them.
 func (b *Balancer) inferClientRetry(class *classState, e Request) bool {
 	jitter := max(b.settings.Tick, time.Duration(remainingJitter*float64(class.Objective)), 1)
 	difference := e.Remaining - class.usualRemaining
 	distance := max(difference, -difference) / (2 * jitter)
 	switch {
-	case e.ClientRetry: // marked as a retry: says nothing about the remaining time of first tries
+	case e.ClientRetry: // it does not indicate the remaining time of first tries
 	case distance == 0:
 		class.usualVotes = min(class.usualVotes+2, 2*confidentVotes)
 		class.usualRemaining += difference / 8
@@ -120,7 +121,7 @@
 	}
 }
 
-// onOutcome ends an attempt, learns from it, and retries the request or ends it.
+// onOutcome ends an attempt, updates the statistics of its backend, and retries the request or ends it.
 func (b *Balancer) onOutcome(e Outcome) {
 	request, attempt := b.findOpenAttempt(e.Request, e.Attempt)
 	if request == nil {
@@ -155,7 +156,8 @@
 	}
 }
 
-// countOutcome sends the recent observations to a random peer after every few outcomes.
+// countOutcome counts an outcome. If balancers share observations, it sends the recent ones to a random peer
+// after every outcomesPerMessage outcomes.
 func (b *Balancer) countOutcome() {
 	b.outcomeCount++
 	if b.sharesObservations() && b.outcomeCount%outcomesPerMessage == 0 {
@@ -163,8 +165,8 @@
 	}
 }
 
-// finish gives a request its final answer. No other function does. If no attempt may have run, the answer is
-// a refusal, after which any client may retry; otherwise it is a failure.
+// finish gives a request a final answer other than success; no other function does this. If no attempt may
+// have run, the answer is a refusal, after which any client may retry; otherwise it is a failure.
 func (b *Balancer) finish(request *openRequest, reason Reason) {
 	if request.ended {
 		return
@@ -185,8 +187,9 @@
 	b.closeRequest(request)
 }
 
-// retryAfter returns when a refused client may retry: a random time of a few times the time that the requests
-// now queued and in flight take. Earlier retries would meet the same load.
+// retryAfter returns the time after which a refused client may retry; 0: no advice. It is a random multiple
+// (two to four times) of the time that the requests which are queued and in flight now are expected to take,
+// because earlier retries would find the same load. For lack of a lease, it is based on leaseRetryAfter.
 func (b *Balancer) retryAfter(request *openRequest, reason Reason) time.Duration {
 	if !b.settings.RetryAfter {
 		return 0
@@ -199,7 +202,7 @@
 	return min(time.Duration((2+2*b.rng.Float64())*rounds*latency), b.settings.MaxRetryAfter)
 }
 
-// closeRequest ends a request, and forgets it once its attempts have ended too.
+// closeRequest ends a request, and removes it if all its attempts have ended.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.ended = true
 	if request.queued {
--- a/decide/result.go
+++ b/decide/result.go
@@ -1,6 +1,6 @@
 package decide
 
-// Result says how an attempt or a probe ended.
+// Result is the way in which an attempt or a probe ended.
 type Result uint8
 
 // The results of attempts and probes.
@@ -13,7 +13,7 @@
 	Reset                       // the connection broke; may have run
 	Cancelled                   // cancelled by the agent; may have run
 	NotSent                     // the attempt was not sent; never ran
-	Incomplete                  // the connection broke, or time ran out, before the whole request was sent; never ran
+	Incomplete                  // the connection broke, or the attempt timed out, before all of the request was sent; never ran
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
@@ -32,18 +32,20 @@
 // and the debug log show.
 const (
 	// NoCapacity ("no room"): the limit of attempts in flight is reached, or an agent that admits by credit
-	// has no credit left. Also the reason for a client's retry that found no capacity at once, since such a
-	// request does not wait.
+	// has no credit left. A client's retry that finds no capacity on arrival ends for this reason too, since
+	// such a request does not wait.
 	NoCapacity Reason = iota
 	// NoBackend ("no server"): no backend may get the request. Each one is down, ejected, in slow start
-	// without budget, has rejected an attempt because it is full, holds this agent's share of attempts in
-	// flight, has just failed the request, or is excluded by the rule on repeating requests.
+	// without budget, has rejected an attempt because it is full, has as many of this agent's attempts in
+	// flight as one backend may have, has just failed the request, or is excluded by the rule on repeating
+	// requests.
 	NoBackend
 	// NoRetryToken ("no token"): the retry bucket is too low.
 	NoRetryToken
 	// DeadlineTooClose ("no time"): a further attempt would start too late.
 	DeadlineTooClose
-	// NoAttemptLeft ("no attempt"): all attempts are used up, or the part that was sent can't be sent again.
+	// NoAttemptLeft ("no attempt"): all attempts are used up, the part of the request that was sent can't be
+	// sent again, or the agent could not send the attempt.
 	NoAttemptLeft
 	// NoLease ("no right"): this agent has no lease left of a limit that the fleet shares.
 	NoLease
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -7,7 +7,8 @@
 )
 
 // retry schedules the next attempt of a request after a failed one, with exponential backoff and full jitter.
-// Without enough retry tokens, attempts or time, the request ends with that failure.
+// If the request may not be retried, or there are not enough retry tokens, attempts or time, it ends the
+// request.
 func (b *Balancer) retry(request *openRequest, result Result) {
 	cost := retryCost
 	if result == TimedOut {
@@ -49,8 +50,8 @@
 	})
 }
 
-// mayAttempt enforces rule 2, no duplicate execution: it reports whether an attempt of a request, the first
-// or a further one, may go to a backend.
+// mayAttempt enforces rule 2 of the package comment, no duplicate execution: it reports whether an attempt of
+// a request, the first or a further one, may be sent to a backend.
 func (b *Balancer) mayAttempt(request *openRequest, backend *endpoint) bool {
 	if request.ended || request.responseStarted || request.notReplayable {
 		return false
@@ -71,15 +72,15 @@
 	return b.inDedupWindow(request, class) && inDedupScope(request, class, backend)
 }
 
-// inDedupWindow reports whether backends still drop a repeat that starts now. The repeat may reach its
-// backend a connect time-out after it is sent, and the window must not have ended by then.
+// inDedupWindow reports whether backends still drop a repeat that is sent now. The repeat may reach its
+// backend as late as ConnectTimeout after it is sent, and the window must not have ended by then.
 func (b *Balancer) inDedupWindow(request *openRequest, class *classState) bool {
 	return b.now+b.settings.ConnectTimeout-request.firstMayHaveRun.sentAt < class.DedupWindow
 }
 
-// inDedupScope reports whether a backend drops repeats of a keyed request. The scope is that of the backend
-// of the first attempt, as listed at that time. A backend that has joined the scope since, because it moved
-// or is new, may not know the key.
+// inDedupScope reports whether a backend drops repeats of a keyed request. The scope is the zone or cell of
+// the backend of the first attempt that may have run, as listed when that was sent. A backend that has joined
+// the scope since, because it moved or is new, may not have received the key.
 func inDedupScope(request *openRequest, class *classState, backend *endpoint) bool {
 	first := request.firstMayHaveRun
 	switch class.Scope {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Effect says whether a request may be repeated.
+// Effect specifies whether a request may be repeated.
 type Effect uint8
 
 // The effects of requests.
@@ -15,7 +15,7 @@
 	NonIdempotent               // may be repeated only if no attempt can have run
 )
 
-// DedupScope says which backends drop repeats of a keyed request.
+// DedupScope specifies which backends drop repeats of a keyed request.
 type DedupScope uint8
 
 // The deduplication scopes of a keyed request.
@@ -33,23 +33,23 @@
 	LateValue   float64       // share of the value that an answer between objective and deadline earns
 	Effect      Effect
 	Scope       DedupScope    // only for Keyed
-	DedupWindow time.Duration // only for Keyed: how long after the first send a repeat is dropped
+	DedupWindow time.Duration // only for Keyed: time after the first send during which backends drop repeats
 }
 
-// Settings are fixed for the life of a Balancer. Where a field may be left out, its comment says what its
-// zero value means. A price, a goal or a duration of zero switches off the function that uses it. MayProbe,
-// MayCancel, RetryAfter and its bound say what agents may do at a site. Probe and Cancel are part of the
-// interface, but this package does not return them.
+// Settings do not change during the lifetime of a Balancer. Where a field may be left out, its comment gives
+// the meaning of the zero value. A price, a goal or a duration of zero switches off the function that uses
+// it. MayProbe, MayCancel, RetryAfter and MaxRetryAfter specify what agents may do at a site. Probe and
+// Cancel are part of the interface, but this package does not return them.
 type Settings struct {
 	Balancers int // number of agents that share these backends, this one included; at least 1
 	Self      int // this agent's number, counted from 0
 	Zone      int // this agent's zone
 	Classes   []Class
 	ByWork    bool          // Value counts per unit of work instead of per request
-	Subscribe bool          // the agent must subscribe to the list; otherwise the list is pushed
-	Tick      time.Duration // shortest time between two steps; 0: no minimum
+	Subscribe bool          // the agent must subscribe to the endpoint list; otherwise the list is pushed to it
+	Tick      time.Duration // minimum time between two steps; 0: no minimum
 
-	MaxAttempts    int           // most attempts for one request; 0: 1
+	MaxAttempts    int           // maximum number of attempts for one request; 0: 1
 	Hedging        bool          // two attempts of one request may be open at once
 	MayProbe       bool          // Probe actions are allowed
 	MayCancel      bool          // Cancel actions are allowed
@@ -60,18 +60,18 @@
 
 	DrainGrace       time.Duration // how long new sends to a draining backend are still tolerated
 	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
-	SubscribeWithin  time.Duration // with Subscribe: longest time without an attempt to subscribe, until subscribed
-	SlowStartShare   float64       // least share of its capacity that a backend starts with; 0: 1
+	SubscribeWithin  time.Duration // with Subscribe: longest time between two attempts to subscribe, until subscribed
+	SlowStartShare   float64       // least share of its full capacity that a backend has at its start; 0: 1
 	SlowStartTime    time.Duration // time after its start by which it has its full capacity
 	OverloadMultiple float64       // a backend in slow start collapses above this multiple of its capacity
 	OverloadWindow   time.Duration // time over which that load is measured
 
-	// GoalOverall, GoalWorstWindow and GoalWorstClass are the operator's weights for the result over the whole time, in
-	// the worst time window, and for the worst class.
+	// GoalOverall, GoalWorstWindow and GoalWorstClass are the operator's weights for the result over the
+	// whole time, in the worst time window, and for the worst class.
 	GoalOverall     float64
 	GoalWorstWindow float64
 	GoalWorstClass  float64
-	CrossZonePrice  float64 // cost of crossing zones, as a share of the result
+	CrossZonePrice  float64 // cost of requests to other zones, as a share of the result
 }
 
 // settingError names an invalid setting.
--- a/decide/state.go
+++ b/decide/state.go
@@ -27,30 +27,30 @@
 
 	// Requests and timers.
 	requests       map[string]*openRequest
-	queue          []*openRequest // waiting for capacity, the oldest first
+	queue          []*openRequest // waiting for capacity, in the order in which they were queued
 	requestTimers  map[int64]*openRequest
 	overdueTimers  map[int64]*openAttempt // by the token of the timer that checks whether the attempt is overdue
 	lastTimerToken int64
 
 	// Capacity, as last computed by updateCapacity.
-	partitionValid    bool        // settledCount and unsettled are up to date
-	settledCount      int         // backends that are up, not in slow start, and healthy
-	unsettled         []*endpoint // all other backends
-	upCount           int         // backends that are up according to the list
-	healthyCount      int         // of those, backends that are reachable and not in slow start
-	capacity          float64     // sum of the capacity shares of the backends that are up, reachable and not ejected
-	inFlight          int         // attempts in flight
-	inFlightUncounted int         // of these, attempts on backends that are not counted in capacity
-	kinds             []*kindState
+	partitionValid    bool         // settledCount and unsettled are up to date
+	settledCount      int          // backends that are up, not in slow start, and healthy
+	unsettled         []*endpoint  // all other backends
+	upCount           int          // backends that are up according to the list
+	healthyCount      int          // of those, backends that are reachable and not in slow start
+	capacity          float64      // sum of the capacity shares of the backends that are up, reachable and not ejected
+	inFlight          int          // attempts in flight
+	inFlightUncounted int          // of these, attempts on backends that are not counted in capacity
+	kinds             []*kindState // index 0: all backends; index 1+k: the backends of kind k
 
 	// Admission.
 	retryTokens     float64 // tokens in the retry token bucket
 	limitPerBackend float64 // attempts that all agents together may have in flight per backend that is up
 	limitCutAt      time.Duration
 	ownShare        float64 // this agent's share of that limit
-	minBalancers    int     // least number of agents that can be sharing the backends
+	minBalancers    int     // lower bound of the number of agents that share the backends
 	meanDelay       float64 // running mean of latency divided by objective
-	admissionCredit float64 // work that may start, in ns of expected latency; used if admitsByCredit
+	admissionCredit float64 // work that may start, in ns of expected latency; see admitsByCredit
 	classes         []classState
 
 	// Latencies and traffic.
@@ -87,8 +87,8 @@
 	Class
 	meanLatency     float64       // running mean latency of successful attempts, ns
 	meanWork        float64       // running mean of the expected work that clients state, ns
-	unloadedLatency float64       // running mean of latency over objective, at backends with nothing else in flight
-	unitValue       float64       // what a unit of work adds to the goal, in the current step
+	unloadedLatency float64       // running mean of latency over objective, at backends with no other request in flight
+	unitValue       float64       // contribution of a unit of work to the operator's goal, in the current step
 	arrived         float64       // decayed count of requests
 	answeredInTime  float64       // decayed count of requests answered within the objective
 	usualRemaining  time.Duration // the remaining time that most requests have on arrival
@@ -119,14 +119,14 @@
 	// Speed.
 	slowness        float64 // running mean of its latency divided by the mean of all backends
 	slownessSamples float64 // number of answers in slowness
-	hasAnswered     bool    // since its process started, as far as this agent knows
+	hasAnswered     bool    // it has answered since the last start of its process that this agent has noticed
 	lastSuccessAt   time.Duration
 	observedAt      time.Duration // time of the newest observation of it
 
 	// Failures and ejection.
 	failureScore        float64 // grows with each ejection, falls with each success
 	errorRate           float64 // running share of attempts that failed
-	consecutiveTimeouts int     // known time-outs since its last answer
+	consecutiveTimeouts int     // time-outs and overdue attempts since its last answer, own and reported by peers
 	lastEjectedAt       time.Duration
 	ejectedUntil        time.Duration // ejection by this agent
 	fleetEjectedUntil   time.Duration // ejection by the fleet
@@ -134,13 +134,13 @@
 
 	// Slow start.
 	inSlowStart       bool
-	slowStartFrom     time.Duration // latest known or observed start of its process
+	slowStartFrom     time.Duration // latest start of its process, as listed or as observed
 	slowStartBudget   float64       // work that may be sent, in mean requests of the first class
 	slowStartBudgetAt time.Duration
 }
 
-// openAttempt is an attempt of an open request. It keeps what the list said about its backend when the
-// attempt was sent, since a later list may have changed that by the time its outcome arrives.
+// openAttempt is an attempt of an open request. It keeps the listed properties of its backend as they were
+// when the attempt was sent, since a later list may change them before the outcome arrives.
 type openAttempt struct {
 	backend         *endpoint
 	listVersion     int
@@ -153,7 +153,7 @@
 	// fleet; the amount of work does not.
 	workUnits      float64
 	open           bool
-	countsInFlight bool // false during an upload, and once only bytes of the response remain to be sent
+	countsInFlight bool // false during an upload, and once only the transfer of the response remains
 	overdue        bool // its delay has already been counted
 	reservations   []quota.Reservation
 	reuseOnly      bool // must not open a connection, because it has no lease for one
@@ -167,25 +167,25 @@
 	objectiveAt     time.Duration // answers after this time earn less
 	halfTimeAt      time.Duration // when half of the client's waiting time is over
 	deadline        time.Duration
-	expectedWork    float64 // as stated by the client, ns; 0: unknown
+	expectedWork    float64 // as given in the request, ns; 0: unknown
 	attempts        []*openAttempt
 	openCount       int          // attempts that have not ended
 	mayHaveRun      int          // attempts that may have run, open ones included
 	firstMayHaveRun *openAttempt // the first such attempt: it defines the deduplication scope and window
 	retries         int
 	lastFailed      *endpoint // backend of the last failed attempt
-	timerToken      int64     // token of its latest timer; earlier timers are void
+	timerToken      int64     // token of its latest timer; earlier timers are ignored
 
 	higherValueShare float64    // share of the requested work with a higher value than this, in the current step
 	noBackend        bool       // no backend was found in the current step
 	lackingLimit     *quota.Row // the limit that rejected it in the current step
 	lackReported     bool       // that rejection has been counted
 
-	clientRetry     bool // the client has tried before: part of its objective has passed
+	clientRetry     bool // this is a client's retry: part of the objective has already passed
 	uploading       bool // its last byte has not been sent yet
-	notReplayable   bool // the part that was sent can't be sent again
+	notReplayable   bool // the part of the request that was sent can't be sent again
 	queued          bool // waiting for capacity
-	backingOff      bool // waiting for its retry
+	backingOff      bool // waiting for the end of its retry backoff
 	responseStarted bool // bytes of the response have reached the client
 	ended           bool // has its final answer
 }
@@ -216,8 +216,8 @@
 	return b.kinds[index]
 }
 
-// lackingLimitName returns the name of the limit whose missing lease causes a request's final answer; empty
-// if there is none.
+// lackingLimitName returns the name of the limit whose missing lease causes a request's final answer, or an
+// empty string if the answer has another reason.
 func (r *openRequest) lackingLimitName(reason Reason) string {
 	if reason != NoLease || r.lackingLimit == nil {
 		return ""
--- a/decide/tuning.go
+++ b/decide/tuning.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// The constants of the policy. Shares, factors and counts are dimensionless: all scales come from the
-// settings or from observation, so that no constant is fitted to one deployment. Where it is not obvious, a
-// comment says what a larger value would do.
+// This file holds the constants of the policy. Shares, factors and counts are dimensionless: all scales come
+// from the settings or from observation, so that no constant is fitted to one deployment. Where the effect of
+// a larger value is not obvious, a comment describes it.
 
-// The retry bucket (Smithy retry guidance, standard mode) and the backoff with full jitter.
+// These constants configure the retry token bucket (Smithy retry guidance, standard mode) and the backoff
+// with full jitter.
 const (
-	// retryBucketSize is the largest and the initial number of retry tokens of a balancer. With the 500 of
-	// the retry guidance an idle balancer could send 100 retries at once; 100 tokens allow 20.
+	// retryBucketSize is the initial number of retry tokens of a balancer, and the maximum. With the 500
+	// tokens of the retry guidance an idle balancer could send 100 retries at once; 100 tokens allow 20.
 	retryBucketSize = 100.0
 	// retryCost is the number of tokens that a retry costs. A larger value makes retries stop earlier when
 	// backends fail.
@@ -29,89 +30,92 @@
 	backoffCeiling = 8.0
 )
 
-// Running means and the speed of backends.
+// These constants configure the running means and the measurement of the backends' speed.
 const (
-	// meanWeight is the weight of a new sample in a running mean: about the last 20 samples count. A larger
-	// value follows changes sooner, but also random variation.
+	// meanWeight is the weight of a new sample in a running mean: about the last 20 samples determine the
+	// mean. With a larger value the mean follows changes sooner, but also random variation.
 	meanWeight = 0.1
-	// priorSamples is the number of samples that the mean of all backends counts for in the slowness of a new
-	// backend.
+	// priorSamples is the weight, in samples, of the initial slowness of a backend: 1, the mean of all
+	// backends, or the restored value.
 	priorSamples = 2.0
 	// maxSlownessSample bounds one sample of slowness, so that a single outlier can't keep a backend out of
 	// use for long.
 	maxSlownessSample = 8.0
 )
 
-// Ejection of backends that fail (outlier detection).
+// These constants configure the ejection of backends that fail (outlier detection).
 const (
 	// failureScoreRecovery is the amount by which a successful attempt lowers the failure score. The score
-	// keeps growing at one error in five attempts.
+	// keeps growing if more than one attempt in five ejects the backend.
 	failureScoreRecovery = 0.25
-	// maxFailureScore bounds the score. The longest ejection is 2^(maxFailureScore-1) times the first.
+	// maxFailureScore bounds the score. Apart from jitter, the longest ejection is 2^(maxFailureScore-1)
+	// times the first.
 	maxFailureScore = 5.0
 	// outlierDeviations is the number of standard deviations by which a backend's error rate must exceed the
-	// error rate of the others before an error ejects it. A larger value ejects later. A smaller one ejects
-	// backends by chance where all of them fail occasionally.
+	// error rate of the others before an error ejects it. With a larger value backends are ejected later.
+	// With a smaller one backends are ejected by chance where all of them fail occasionally.
 	outlierDeviations = 3.0
-	// maxPeerErrorRate bounds how much one other backend adds to the error rate of the others, since that
-	// backend may be failing itself.
+	// maxPeerErrorRate bounds the error rate with which each of the other backends counts in their mean error
+	// rate, since that backend may be failing itself.
 	maxPeerErrorRate = 0.25
-	// recoveringWeight is the weight of an idle backend that was ejected and has not recovered yet, if many
-	// balancers admit by credit: they must not all try it at once.
+	// recoveringWeight is the factor on the weight of an idle backend that was ejected and has not recovered
+	// yet, if balancers admit by credit: the many balancers must not all try it at once.
 	recoveringWeight = 0.1
 	// silentTimeouts is the number of consecutive time-outs, own or reported by peers, after which a backend
 	// counts as not answering.
 	silentTimeouts = 8
 	// overdueObjective is the share of the objective after which an attempt is overdue, unless
-	// overdueLatencies gives a later time.
+	// overdueLatencies gives a later time. After the whole objective every attempt is overdue.
 	overdueObjective = 0.6
 	// overdueLatencies is the multiple of the expected latency after which an attempt is overdue, unless
 	// overdueObjective gives a later time.
 	overdueLatencies = 3.0
-	// overdueSlowness is the slowness sample that an overdue or rejected attempt counts as.
+	// overdueSlowness is the slowness sample that is recorded for an overdue or rejected attempt.
 	overdueSlowness = 3.0
 )
 
-// Choice of a backend.
+// These constants configure the choice of a backend.
 const (
-	// revisitObjectives is the time, in longest objectives, within which an agent aims to use each backend of
-	// its subset again. A larger value makes the subset larger: more connections, and older measurements.
+	// revisitObjectives is the time within which an agent aims to use each backend of its subset again, as a
+	// multiple of the longest objective of any class. A larger value makes the subset larger, so that the
+	// agent has more connections and older measurements.
 	revisitObjectives = 0.5
-	// minSubsetSize is the least number of idle backends to choose from.
+	// minSubsetSize is the minimum number of idle backends in a subset.
 	minSubsetSize = 3
-	// maxScanned is the largest number of backends that are all scanned for a choice. Of a larger number, a
-	// random sample is drawn.
+	// maxScanned is the largest number of backends that are scanned completely for a choice. From a larger
+	// number, a random sample is drawn.
 	maxScanned = 64
 	// maxDraws bounds the number of draws. After that, all backends are scanned.
 	maxDraws = 48
-	// crossZoneWeight is the weight of an idle backend in another zone, if crossing zones has a price.
+	// crossZoneWeight is the factor on the weight of an idle backend in another zone, if
+	// Settings.CrossZonePrice is set and the in-flight limit has not been cut recently.
 	crossZoneWeight = 0.25
-	// maxBackendShares bounds how many of this agent's attempts one backend holds, in mean shares of the
-	// in-flight limit.
+	// maxBackendShares bounds the number of attempts that this agent may have in flight at one backend, as a
+	// multiple of the mean per backend at the in-flight limit.
 	maxBackendShares = 3.0
 )
 
-// maxSlowStartWork is the largest request that is sent to a backend in slow start, in mean requests of its
-// class.
+// maxSlowStartWork is the work of the largest request that is sent to a backend in slow start, as a multiple
+// of the mean work of the request's class.
 const maxSlowStartWork = 2.0
 
-// The limit on attempts in flight, which follows the observed delay.
+// These constants configure the limit on attempts in flight, which follows the observed delay.
 const (
 	// defaultTargetDelay is the mean latency, as a share of the objective, above which the limit falls. A
 	// larger value allows longer queues at the backends.
 	defaultTargetDelay = 0.35
-	// minTargetDelay is the lowest target delay of an agent that admits by credit: with hundreds of such
-	// agents, none of them can see that one backend fills up.
+	// minTargetDelay is the lowest target delay of an agent that admits by credit. It is below
+	// defaultTargetDelay because none of hundreds of such agents can detect that one backend fills up.
 	minTargetDelay = 0.26
-	// targetDelayFactor is the ratio of the target delay of such an agent to the work that clients state, as
-	// a share of the objective.
+	// targetDelayFactor is the ratio of the target delay of such an agent to the work of a request, both as
+	// shares of the objective.
 	targetDelayFactor = 1.3
 	// maxTargetDelay is the highest target delay of such an agent.
 	maxTargetDelay = 0.6
-	// maxUnloadedInFlight is the load report below which a backend counts as having only the one request in
-	// flight. It is above 1 because reports are noisy.
+	// maxUnloadedInFlight is the reported number of requests in flight below which a backend counts as having
+	// had only the answered request in flight. It is above 1 because reports are noisy.
 	maxUnloadedInFlight = 1.5
-	// limitDecrease is the factor by which one decrease changes the limit.
+	// limitDecrease is the factor by which the limit is multiplied in each decrease.
 	limitDecrease = 0.9
 	// limitIncrease is the growth of the limit, in attempts per backend for each round of answers.
 	limitIncrease = 0.7
@@ -120,20 +124,21 @@
 	// minLimitPerBackend is the lowest limit per backend: a lower one would leave cores idle.
 	minLimitPerBackend = 4.0
 	// minLimitManyBalancers is the lowest limit per backend if there are more balancers than backends. It is
-	// lower because several balancers may choose the same backend at once.
+	// below minLimitPerBackend because several balancers may choose the same backend at once.
 	minLimitManyBalancers = 3.0
 	// maxRestoredLimit is the highest limit that is taken over from an earlier process.
 	maxRestoredLimit = 60.0
 	// headCountShare is the share of the limit that is divided equally among balancers. The rest is divided
-	// by traffic.
+	// in proportion to their traffic.
 	headCountShare = 0.25
 )
 
-// Admission by credit, used if a balancer's even share of the limit is too small to count attempts against.
+// These constants configure admission by credit, which is used if a balancer's even share of the limit is too
+// small to bound its attempts in flight.
 const (
 	// minCountedShare is the even share, in attempts, below which a balancer admits by credit.
 	minCountedShare = 3.0
-	// creditBurst is the number of mean requests that the credit can hold: so many may start in a burst.
+	// creditBurst is the maximum of the credit, in mean requests: the number that may start in a burst.
 	creditBurst = 4.0
 	// maxCreditPerRequest bounds the credit that a first attempt earns, in multiples of its own work. It is
 	// above 1 because retries need credit too.
@@ -143,61 +148,63 @@
 	maxCreditlessGap = 2 * time.Second
 )
 
-// The queue of requests that wait for capacity.
+// These constants configure the queue of requests that wait for capacity.
 const (
 	// queueMargin is the number of mean latencies before its objective at which a queued request is shed.
 	queueMargin = 2.0
-	// maxQueueMargin bounds that margin, as a share of the objective. A request may always wait for the rest
-	// of its objective.
+	// maxQueueMargin bounds that margin, as a share of the objective: a request may wait for the rest of the
+	// objective, unless half of its client's time is over sooner.
 	maxQueueMargin = 0.75
-	// clientRetryValue is the value of a client's retry relative to a first attempt: most of its objective
-	// has passed.
+	// clientRetryValue is the factor on the value of a client's retry. It is low because most of the
+	// objective has passed.
 	clientRetryValue = 0.1
 )
 
-// Messages between balancers.
+// These constants configure the messages between balancers.
 const (
-	// peerFanout is the number of peers that get each report: all of them at a small site, a random sample at
-	// a large one.
+	// peerFanout is the maximum number of peers to which each report is sent: all peers at a small site, a
+	// random sample at a large one.
 	peerFanout = 8
 	// peerTimeoutIntervals is the number of reporting intervals without a report after which a peer counts as
 	// stopped.
 	peerTimeoutIntervals = 4.0
-	// outcomesPerMessage is the number of outcomes per message with observations. It halves the cost of one
-	// message a request.
+	// outcomesPerMessage is the number of outcomes after which a message with observations is sent. The cost
+	// is half of that of one message per outcome.
 	outcomesPerMessage = 2
-	// maxObservations bounds the observations that are kept for peers: enough for about two messages.
+	// maxObservations bounds the number of observations that are kept for peers; they fill about two
+	// messages.
 	maxObservations = 96
 )
 
-// Detection of clients' retries by their remaining time.
+// These constants configure the detection of clients' retries by their remaining time: see inferClientRetry.
 const (
-	// remainingJitter is how much remaining times of the same nominal length differ, as a share of the
+	// remainingJitter is the random variation of remaining times that are nominally equal, as a share of the
 	// objective.
 	remainingJitter = 0.004
-	// minOtherLength is the difference, in double jitters, from which a remaining time counts as one of
-	// another length. The remaining time of a last try is seldom closer to the usual one.
+	// minOtherLength is the difference from the usual remaining time, in units of twice the jitter, from
+	// which a remaining time is nominally another one. The remaining time of a client's last try seldom
+	// differs by less.
 	minOtherLength = 8
-	// confidentVotes is the number of votes from which the usual remaining time is relied on. Votes are
-	// counted up to twice this number.
+	// confidentVotes is the number of votes (classState.usualVotes) from which the usual remaining time
+	// counts as established. The number of votes is bounded to twice this number.
 	confidentVotes = 20
 )
 
-// Leases of the fleet's shared limits.
+// These constants configure the use of leases of the fleet's shared limits.
 const (
 	// usageReportInterval is the least time between two reports of lease usage.
 	usageReportInterval = 50 * time.Millisecond
-	// leaseRetryAfter is the least Retry-After of a request that was rejected for lack of a lease: leases
-	// count over a second.
+	// leaseRetryAfter is the minimum Retry-After of a request that was rejected for lack of a lease. Rates of
+	// leases are counted over at least a second.
 	leaseRetryAfter = time.Second
 )
 
-// maxSubscribeBackoff is the longest wait before the agent asks discovery again. A change counts as notified
-// 6 s after discovery becomes reachable. A call that hangs since before that takes up to 4.5 s of this time,
-// and the next call needs time too.
+// maxSubscribeBackoff is the longest wait before the agent subscribes to discovery again. 6 s after discovery
+// becomes reachable, a change of the list counts as notified. A call that was already hanging at that time
+// takes up to 4.5 s of them, and the next call needs time too.
 const maxSubscribeBackoff = 800 * time.Millisecond
 
-// maxPause is the longest time, as stated by the platform, for which an agent may be paused between reading
-// its clock and the write that depends on it. A deduplication window that ends sooner than this counts as
-// over.
+// maxPause is the longest time for which an agent may be paused between reading its clock and the write that
+// depends on it, according to the platform. A keyed repeat must therefore start at least this long before the
+// end of its deduplication window.
 const maxPause = 150 * time.Millisecond
