--- a/decide/admission.go
+++ b/decide/admission.go
@@ -46,7 +46,7 @@
 }
 
 // sharesObservations reports whether agents exchange observations of backends. They do if they admit by
-// credit and may send messages to peers.
+// credit and may send messages to peers; an observation by one agent then soon reaches all others.
 func (b *Balancer) sharesObservations() bool { return b.settings.Peers && b.admitsByCredit() }
 
 // earnCredit adds the credit that a first try earns.
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// acceptRetryDelay is the wait after an error of accept that does not tell how long it lasts.
+	// acceptRetryDelay is the wait after an error of accept whose duration is unknown.
 	acceptRetryDelay = 20 * time.Millisecond
 	// maxAcceptFailure is how long accept may fail without a connection before the listener counts as broken.
 	maxAcceptFailure = time.Second
-	// descriptorRetryDelay is the wait after the system had no descriptor for a connection, unless a slot is free
-	// sooner.
+	// descriptorRetryDelay is the wait after the system had no descriptor for a connection, unless a slot becomes free
+	// earlier.
 	descriptorRetryDelay = 50 * time.Millisecond
-	// failedAcceptDelay is the wait after a connection that could not be accepted, so that many of them do not take
-	// all of a processor.
+	// failedAcceptDelay is the wait after a connection that could not be accepted, so that many such connections do
+	// not keep a processor fully busy.
 	failedAcceptDelay = time.Millisecond
 )
 
-// acceptFailures distinguishes errors of accept that pass from a listener that can't go on. The zero value has seen
-// no error.
+// acceptFailures distinguishes transient errors of accept from a listener that has failed permanently. The zero value
+// is the state without an error.
 type acceptFailures struct{ since time.Time }
 
-// mayRetry reports whether accept is to be tried again after an error, acceptRetryDelay later.
+// mayRetry reports whether accept is to be retried after an error. The caller waits for acceptRetryDelay first.
 func (f *acceptFailures) mayRetry(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
@@ -57,8 +57,8 @@
 	return false
 }
 
-// RetryingListener is a listener whose Accept retries all errors that may pass; net/http ends at those that it does
-// not know. Only one goroutine may accept.
+// RetryingListener is a listener whose Accept retries all errors that may be transient. An HTTP server of net/http ends
+// at errors that are not marked as temporary. Only one goroutine may call Accept.
 type RetryingListener struct {
 	net.Listener
 	closeOnce sync.Once
@@ -86,7 +86,7 @@
 	}
 }
 
-// Close closes the listener, and ends an Accept.
+// Close closes the listener, and ends an Accept that is waiting.
 func (l *RetryingListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/core/acceptqueue.go
+++ b/internal/core/acceptqueue.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// errQueueEmpty says that no connection waits to be accepted.
+// errQueueEmpty is returned if no connection is in the queue, or if it can't be read.
 var errQueueEmpty = errors.New("no connection in the queue")
 
-// interruptAccept ends a listener's Accept that waits, by a deadline that has passed. It reports false if the
-// listener supports no deadline.
+// interruptAccept ends an Accept of a listener that is waiting, by setting a deadline that has passed. It reports
+// false if the listener does not support deadlines.
 func interruptAccept(l net.Listener) bool {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
 	return ok && d.SetDeadline(PastDeadline) == nil
 }
 
-// acceptQueued accepts a connection that is in the kernel's queue, without waiting and whatever the listener's
-// deadline. If the queue is empty, it makes the socket stop listening, for all processes that hold it, and returns
-// errQueueEmpty. The check and the stop are one step, because a connection that comes in between would be reset.
+// acceptQueued accepts a connection that is in the kernel's queue, without waiting and regardless of the listener's
+// deadline. If the queue is empty, it makes the socket stop listening, for all processes that have it open, and
+// returns errQueueEmpty. The stop follows right after the check, because a connection that arrives between the two is
+// reset.
 func acceptQueued(l net.Listener) (net.Conn, error) {
 	socket, ok := l.(syscall.Conn)
 	if !ok {
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// refuse answers a request as refused: it was not executed, so a retry is safe.
+// refuse gives a request the final answer that it was refused: it was not executed, so a retry is safe.
 func (l *Loop) refuse(a decide.Refuse, now time.Duration) {
 	r := l.requests[a.Request]
 	if r == nil || r.done {
@@ -63,7 +63,7 @@
 	l.forget(r)
 }
 
-// fail answers a request as failed: it may have been executed.
+// fail gives a request the final answer that it failed: it may have been executed.
 func (l *Loop) fail(a decide.Fail) {
 	r := l.requests[a.Request]
 	if r == nil || r.done {
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minShedRetryAfter is the least Retry-After of a request that is shed. Up to shedRetryAfterJitter is added at
-	// random, so that clients do not all retry at once.
+	// minShedRetryAfter is the minimum Retry-After of a request that is shed. A random time of up to
+	// shedRetryAfterJitter is added, so that clients do not all retry at once.
 	minShedRetryAfter    = time.Second
 	shedRetryAfterJitter = time.Second
 )
@@ -18,14 +18,14 @@
 	reason string
 }
 
-// AdmitUntil admits requests until a time by the process's own clock, and sheds them at once from then on, with the
-// given reason. Requests that were admitted before are finished. With the zero time none is admitted. It does not
-// block.
+// AdmitUntil makes the agent admit requests until a time by the process's own clock, and shed later requests at once,
+// with the given reason. Requests that were admitted before that time are completed. With the zero time no request is
+// admitted. AdmitUntil does not block.
 func (a *Agent) AdmitUntil(until time.Time, reason string) {
 	a.loop.admission.Store(&admissionBound{until, reason})
 }
 
-// ShortenAdmission admits requests no longer than until a time: an earlier bound stays.
+// ShortenAdmission is AdmitUntil, except that an earlier bound remains in force.
 func (a *Agent) ShortenAdmission(until time.Time, reason string) {
 	for {
 		present := a.loop.admission.Load()
@@ -38,14 +38,14 @@
 	}
 }
 
-// AdmitAlways admits requests without a time limit.
+// AdmitAlways removes the bound: requests are admitted without a time limit.
 func (a *Agent) AdmitAlways() { a.loop.admission.Store(nil) }
 
 // Admits reports whether the admission bound would admit a request that arrives now.
 func (a *Agent) Admits() bool { return a.loop.admissionClosed() == "" }
 
-// admissionClosed returns why a request is not admitted now; empty: it is admitted. The clock is read here, so that
-// a process that was paused past the bound notices.
+// admissionClosed returns why a request is not admitted now; empty: it is admitted. It reads the clock, so that the
+// bound is also observed after a pause of the process.
 func (l *Loop) admissionClosed() string {
 	bound := l.admission.Load()
 	if bound == nil || time.Now().Before(bound.until) {
@@ -54,7 +54,7 @@
 	return bound.reason
 }
 
-// shed refuses a request that is not admitted. The balancer does not see the request.
+// shed refuses a request that is not admitted. The request is not passed to the balancer.
 func (l *Loop) shed(r *Request, reason string) {
 	l.counts.requests++
 	l.totals.requests.Add(1)
@@ -65,13 +65,13 @@
 	l.reject(r, Answer{Refused: true, Policy: reason, RetryAfter: minShedRetryAfter + jitter})
 }
 
-// NarrowDedupWindows bounds by class how long after their first attempt admitted requests are retried; 0: as the
-// agent's own policy says. It is called when another policy with shorter windows has been activated, because servers
-// may follow that one. It does not block.
+// NarrowDedupWindows bounds, by class, the time after their first attempt in which admitted requests are retried; 0:
+// only the agent's own policy applies. It is called when another policy with shorter windows has been activated,
+// because servers may already apply that policy. It does not block.
 func (a *Agent) NarrowDedupWindows(windows []time.Duration) { a.loop.dedupWindows.Store(&windows) }
 
-// dedupWindowPassed reports whether a request with an earlier attempt can't be retried any more because of a
-// deduplication window that was narrowed since.
+// dedupWindowPassed reports whether a request with an earlier attempt must not be retried any more because of
+// NarrowDedupWindows.
 func (l *Loop) dedupWindowPassed(r *Request) bool {
 	windows := l.dedupWindows.Load()
 	if windows == nil || r.Class >= len(*windows) || (*windows)[r.Class] == 0 || len(r.attempts) == 0 {
--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -27,11 +27,11 @@
 	limiter   *ConnLimiter
 	panics    chan error // buffers one: the first panic in any of the agent's goroutines
 
-	hub         *discovery.Hub // delivers the endpoint list in place of discovery; nil: discovery does
+	hub         *discovery.Hub // delivers the endpoint list instead of the listWatcher; nil: the listWatcher does
 	hubMu       sync.Mutex     // guards unsubscribe
 	unsubscribe func()         // unsubscribes from the hub; nil: not subscribed
 
-	stopAccepting func() <-chan time.Time // its channel ends accepting in a stopping agent; nil: at once
+	stopAccepting func() <-chan time.Time // see stopAcceptingOf
 	listWait      time.Duration           // see Options.ListWait
 	firstListWait time.Duration           // firstPushedListWait, except in tests
 
@@ -44,18 +44,19 @@
 	idleCloser *time.Timer // closes idle connections while an operator drains the agent; nil: none is scheduled
 }
 
-// Options replace an agent's own listener, endpoint list and other defaults. The zero value is for an agent that the
-// platform runs in a process of its own.
+// Options replace an agent's own listener, endpoint list and other defaults. The zero value is for an agent that runs
+// in a process of its own.
 type Options struct {
-	// Listener is a TCP or unix listener, which the agent closes; nil: the agent opens its own.
+	// Listener is a TCP or Unix listener, which the agent will close; nil: the agent opens its own.
 	Listener net.Listener
 	// Hub reads the endpoint list once for many agents; nil: the agent watches the list itself.
 	Hub *discovery.Hub
-	// NoLateConnections makes a stopping agent end accepting at once, because another agent accepts on the listener
-	// by then.
+	// NoLateConnections makes a stopping agent accept no more connections at once, because another agent accepts
+	// connections on the listener at that time.
 	NoLateConnections bool
-	// ListWait is how long the agent waits for a list before it accepts connections. Meanwhile connections wait in
-	// the kernel's queue; if they were accepted, their requests would be refused because no server is known.
+	// ListWait is the maximum time for which the agent waits for a list before it accepts connections. Until then,
+	// connections wait in the kernel's queue; if they were accepted, their requests would be refused for lack of a
+	// server.
 	ListWait time.Duration
 	// StopAccepting, if set, ends the time in which a stopping agent still accepts connections. Without it that time
 	// is AcceptAfterStop.
@@ -65,15 +66,16 @@
 	// ReportOutcomes receives the outcomes of attempts at each server since the last call. The agent's loop calls
 	// it; it must not block.
 	ReportOutcomes func([]OutcomeSample)
-	// HeartbeatTimeout is how long a watch of the list may deliver nothing; 0: discovery.HeartbeatTimeout.
+	// HeartbeatTimeout is the time without data after which a watch of the list has failed; 0:
+	// discovery.HeartbeatTimeout.
 	HeartbeatTimeout time.Duration
 }
 
 // firstPushedListWait is how long a starting agent waits for the first message of a pushed list. The stored list may
-// be old, while changes in the current list count as known from the agent's start on: nothing may be sent to a
-// server that drained long ago. The list service is on the agent's own machine and answers at once; while it is down
-// the agent serves with the stored list. A watch that fails without a message does not end the wait: another is
-// opened within that time.
+// be old, while changes in the current list count as notified from the agent's start on: no request may be sent to a
+// server that drained long ago. The list service is on the agent's own machine and normally answers at once; while it
+// is down the agent serves with the stored list. A watch that fails without a message does not end the wait, because
+// another watch is opened within that time.
 const firstPushedListWait = time.Second
 
 // New returns an agent that serves once Run is called. It opens the listener itself unless parts has one.
@@ -118,8 +120,8 @@
 	return a, nil
 }
 
-// stopAcceptingOf returns the function that gives a stopping agent the channel which ends accepting; nil: accepting
-// ends at once.
+// stopAcceptingOf returns a function that a stopping agent calls. The agent accepts connections until the channel that
+// the function returns delivers a value or is closed. If the function is nil, it accepts no more connections at once.
 func stopAcceptingOf(parts Options) func() <-chan time.Time {
 	switch {
 	case parts.NoLateConnections:
@@ -139,7 +141,7 @@
 // Addr returns the address at which clients connect.
 func (a *Agent) Addr() net.Addr { return a.limiter.Addr() }
 
-// Ready reports whether any server is known.
+// Ready reports whether a list with servers has been received.
 func (a *Agent) Ready() bool { return a.loop.ready.Load() }
 
 // Accepting reports whether the agent accepts clients' connections and is not stopping.
@@ -152,8 +154,8 @@
 	a.discovery.moveTo(cfg.Discovery)
 }
 
-// Run serves until stop ends, then drains and returns nil. It returns an error if the listener fails, and one that
-// wraps ErrPanic after a panic.
+// Run serves until stop is cancelled, then drains and returns nil. It returns an error if the listener fails, and an
+// error that wraps ErrPanic after a panic.
 func (a *Agent) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background()) // ends only after the drain
 	var running sync.WaitGroup
@@ -203,8 +205,8 @@
 	return a.cfg.Known.Servers
 }
 
-// useStoredList gives the balancer the stored list. Without a stored list the balancer gets an empty one and asks
-// for a watch.
+// useStoredList passes the stored list to the balancer. If there is none, it passes an empty list, after which the
+// balancer requests a watch.
 func (a *Agent) useStoredList() {
 	if len(a.storedServers()) == 0 {
 		a.loop.handle(List{ListUpdate: decide.ListUpdate{Kind: decide.ListCached}})
@@ -214,8 +216,8 @@
 	a.loop.handle(a.discovery.translate(a.cfg.Known, decide.ListCached))
 }
 
-// waitForList delays accepting connections until the first list has come, or until a time limit, a refused
-// connection to discovery or a stop ends the wait.
+// waitForList waits until the first list has been received, so that connections are accepted only then. A time limit,
+// a refused connection to discovery, or a stop of the agent ends the wait too.
 func (a *Agent) waitForList(stop context.Context) {
 	if a.listWait > 0 {
 		a.waitFor(stop, a.loop.listed, a.listWait)
@@ -240,7 +242,7 @@
 // ErrPanic is wrapped by the error of an agent that ended because of a panic in its own code.
 var ErrPanic = errors.New("panic")
 
-// containPanic runs f and recovers a panic in it, which ends this agent but not the process.
+// containPanic runs f and recovers a panic in it. The panic ends this agent but not the process.
 func (a *Agent) containPanic(f func()) {
 	defer func() {
 		p := recover()
@@ -257,8 +259,8 @@
 	f()
 }
 
-// Follow makes the loop follow a hub's list in place of the one that it followed so far; nil: none. The hub sends
-// its complete list first.
+// Follow subscribes the loop to the list of a hub, and cancels its subscription to the previous hub. With nil it only
+// cancels the previous subscription. The hub sends its complete list first.
 func (a *Agent) Follow(hub *discovery.Hub) {
 	a.hubMu.Lock()
 	defer a.hubMu.Unlock()
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -24,8 +24,8 @@
 	loop           *Loop
 	timer          *time.Timer // ends the context
 	cancel         context.CancelCauseFunc
-	start          time.Time     // when the server's work begins
-	startBy        time.Time     // the latest time to begin, see startExpired; zero: any time
+	start          time.Time     // start of the attempt; of an upload, once sent: when its last byte was sent
+	startBy        time.Time     // latest time at which the first byte may be written, see startExpired; zero: no bound
 	reuseOnly      bool          // see MayDial
 	processStarted int64         // listed start of the server's process, Unix milliseconds
 	dialed         bool          // see MarkDialed
@@ -35,21 +35,21 @@
 	result         decide.Result // see hasResult
 }
 
-// ServerProgress says whether the server still works on the response when a part of it has come.
+// ServerProgress specifies whether the server is still working on the response when a part of it has arrived.
 type ServerProgress bool
 
 // The values of ServerProgress.
 const (
-	ServerWorking ServerProgress = false // the server still computes parts of the response
+	ServerWorking ServerProgress = false // the server is still computing parts of the response
 	ServerDone    ServerProgress = true  // only the transfer of the response remains
 )
 
-// StartResponse announces that a part of the attempt's response is about to reach the client. It reports false if
-// the part must not be sent: another attempt's response has begun, or the request has its final answer. After true
-// no other attempt is made, and this attempt's outcome is the request's final answer.
+// StartResponse records that a part of the attempt's response is about to be sent to the client. It reports false if
+// the part must not be sent: another attempt's response has begun, the request has its final answer, or its deadline
+// has passed. If it reports true, no other attempt is made, and this attempt's outcome is the request's final answer.
 //
-// With ServerDone the client's deadline no longer ends the attempt, so the protocol must bound it: a client that has
-// begun to read a response waits for its end.
+// With ServerDone in the first call the client's deadline no longer ends the attempt, because a client that has begun
+// to read a response waits for its end. The protocol must bound the time of the transfer.
 func (a *Attempt) StartResponse(progress ServerProgress) bool {
 	if progress == ServerDone && a.responseParts == 0 && !a.timer.Stop() {
 		return false // its deadline has passed
@@ -65,8 +65,8 @@
 	return true
 }
 
-// UploadCompleted announces that the last byte of the request has been sent with this attempt. The client's deadline
-// and the attempt's run from now.
+// UploadCompleted records that the last byte of the request has been sent with this attempt. The time limits of the
+// request and of the attempt run from now on.
 func (a *Attempt) UploadCompleted() {
 	now := time.Now()
 	a.start = now
@@ -76,26 +76,26 @@
 	a.loop.post(uploadCompleted{a, now})
 }
 
-// MayDial reports whether the attempt may open a connection. If it may not, and no connection is open, it ends as
-// NotSent.
+// MayDial reports whether the attempt may open a connection. If it may not, and there is no open connection that it
+// can use, the protocol must end it as NotSent.
 func (a *Attempt) MayDial() bool { return !a.reuseOnly }
 
 // MarkDialed records that the attempt opens a connection.
 func (a *Attempt) MarkDialed() { a.dialed = true }
 
-// MarkNotReplayable records that what was sent can't be sent again.
+// MarkNotReplayable records that the part of the request that was sent can't be sent again.
 func (a *Attempt) MarkNotReplayable() { a.notReplayable = true }
 
-// Sent counts the attempt as sent: the request's last byte is written.
+// Sent counts the attempt as sent. It is called when the request's last byte has been written.
 func (a *Attempt) Sent() { a.loop.ClassCounts(a.Class).Sends.Add(1) }
 
 // startExpired reports whether it is too late to begin the attempt: the deduplication window of a retry is about to
-// close, or the shares of the fleet's limits that the attempt would use may be leased to another agent by now.
+// end, or the leases that the attempt has reserved may by now be granted to another agent.
 func (a *Attempt) startExpired() bool { return !a.startBy.IsZero() && !time.Now().Before(a.startBy) }
 
-// serverWithdrawn reports whether the attempt's server must get no more requests: an operator has disabled it, or
-// the list says that it drains or is gone. This may have changed since the attempt was decided, because opening a
-// connection may take long.
+// serverWithdrawn reports whether the attempt's server must get no more requests: an operator has disabled it, or the
+// list has it as draining or does not contain it. This may have changed since the balancer decided on the attempt,
+// because opening a connection may take long.
 func (a *Attempt) serverWithdrawn() bool {
 	if ready := a.loop.readyServers.Load(); ready != nil && !(*ready)[a.Server] {
 		return true
@@ -104,23 +104,24 @@
 	return disabled != nil && (*disabled)[a.Server]
 }
 
-// attemptContext is a context whose Deadline is when the attempt's timer ends it. A context that package context
-// makes for a deadline and a cause would need two timers, each registered with the parent that all attempts share.
+// attemptContext is a context whose Deadline is the time at which the attempt's timer ends it. With package context
+// alone, an attempt with a deadline and a cause would need two contexts, each of them registered with the parent that
+// all attempts share.
 type attemptContext struct {
 	context.Context
 	until time.Time
 }
 
-// Deadline returns when the attempt's timer ends it.
+// Deadline returns the time at which the attempt's timer ends the context.
 func (c attemptContext) Deadline() (time.Time, bool) { return c.until, true }
 
-// maxUploadTime bounds the time until a request's last byte has come, whatever bounds its protocol has.
+// maxUploadTime bounds the time until a request's last byte has been sent, independently of the protocol's own bounds.
 const maxUploadTime = time.Hour
 
 // startAttempt executes a Send of the balancer, unless the request has ended or a guard refuses it.
 func (l *Loop) startAttempt(send decide.Send) {
 	r := l.requests[send.Request]
-	if r == nil || r.done { // nothing is sent after a final answer
+	if r == nil || r.done { // no attempt is sent after the final answer
 		l.pending = append(l.pending, decide.Outcome{
 			Request:  send.Request,
 			Backend:  send.Backend,
@@ -163,7 +164,7 @@
 	})
 }
 
-// newAttempt returns an attempt whose timer runs.
+// newAttempt returns an attempt and starts its timer.
 func (l *Loop) newAttempt(r *Request, send decide.Send) *Attempt {
 	start := time.Now()
 	until := r.Deadline.Add(-l.answerMargin)
@@ -192,9 +193,9 @@
 	return a
 }
 
-// runAttempt makes an attempt in a goroutine of its own, which ends by the client's deadline. The outcome is posted
-// in every case, because the balancer waits for it. At most MaxAttempts of these goroutines run for each open
-// request.
+// runAttempt makes an attempt. It runs in a goroutine of its own, which the end of the attempt's context ends. It posts
+// an outcome in every case, even after a panic, because the balancer waits for it. At most MaxAttempts of these
+// goroutines run for each open request.
 func (l *Loop) runAttempt(a *Attempt) {
 	defer a.cancel(nil)
 	defer a.timer.Stop()
--- a/internal/core/bytebudget.go
+++ b/internal/core/bytebudget.go
@@ -5,15 +5,15 @@
 // ByteBudget bounds the bytes that its users buffer at once. It may be used from any goroutine.
 type ByteBudget struct{ free, total atomic.Int64 }
 
-// NewByteBudget returns a budget of so many bytes.
+// NewByteBudget returns a budget of the given number of bytes.
 func NewByteBudget(bytes int) *ByteBudget {
 	b := &ByteBudget{}
 	b.Resize(bytes)
 	return b
 }
 
-// Resize changes the size of the budget. Bytes that were acquired beyond the new size stay acquired, and no more can
-// be acquired until enough are free.
+// Resize changes the size of the budget. If more bytes are acquired than the new size, they remain acquired, and no
+// more can be acquired until enough are released.
 func (b *ByteBudget) Resize(bytes int) { b.free.Add(int64(bytes) - b.total.Swap(int64(bytes))) }
 
 // Acquire acquires n bytes, and reports false if fewer are free.
@@ -25,8 +25,9 @@
 	return false
 }
 
-// Release gives acquired bytes back.
+// Release returns acquired bytes to the budget.
 func (b *ByteBudget) Release(n int) { b.free.Add(int64(n)) }
 
-// Free returns how many bytes can be acquired.
+// Free returns the number of bytes that can be acquired. It is negative after the budget was made smaller than the
+// acquired bytes.
 func (b *ByteBudget) Free() int64 { return b.free.Load() }
--- a/internal/core/clientconn.go
+++ b/internal/core/clientconn.go
@@ -14,8 +14,8 @@
 	CloseWrite() error
 }
 
-// clientConn is a connection that a ConnLimiter accepted. It keeps the methods of a TCP connection: without
-// CloseWrite a protocol would close the connection right after a last answer, and a reset could overtake that
+// clientConn is a connection that a ConnLimiter has accepted. It provides CloseWrite as a TCP connection does. Without
+// it a protocol would have to close the connection right after the last answer, and a reset could overtake that
 // answer. The limiter's lock guards its fields.
 type clientConn struct {
 	streamConn
@@ -26,12 +26,13 @@
 	hasRequested   bool          // its client has sent a request
 	hasSent        bool          // its client has sent a byte
 	evicting       bool          // it was evicted, and its reader has not closed it yet
-	responsesEnded bool          // its last answer has been sent, and the client is to read it
+	responsesEnded bool          // its last answer has been sent, but the client may not have read it yet
 }
 
-// Read removes the connection from those that may be evicted as soon as a byte of a request has come. A protocol
-// calls MarkBusy only once it has read all of the head: if the connection were closed in between, the request would
-// be executed although its client, which saw no answer, sends it again elsewhere.
+// Read cancels a pending eviction of the connection as soon as a byte of a request has arrived, and excludes it from
+// later ones; during its first request a connection can still be evicted after minQuiet. A protocol calls MarkBusy only
+// once it has read all of the head. If the connection were closed before that, the request would be executed, and the
+// client, which got no answer, would send it again on another connection.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.streamConn.Read(p)
 	if n == 0 {
@@ -44,18 +45,18 @@
 		return 0, net.ErrClosed // closed by this side
 	}
 	c.hasSent = true
-	if c.evicting { // too late to evict: the request gets the time that it would have had
+	if c.evicting { // it is too late to evict the connection: its previous read deadline applies again
 		cl.cancelEviction(c)
 		_ = c.streamConn.SetReadDeadline(c.readDeadline)
 	}
-	if c.hasRequested { // a first request stays listed as fresh: its HeadTimeout runs from connecting
+	if c.hasRequested { // before its first request a connection stays in limiter.fresh: HeadTimeout runs from connecting
 		cl.removeFromQuiet(c)
 	}
 	return n, err
 }
 
-// SetLinger sets the socket's linger time: with 0 its close is a reset, which tells the client that its answer is
-// incomplete.
+// SetLinger sets the socket's linger time. With 0 the socket is closed by a reset, which shows the client that its
+// answer is incomplete.
 func (c *clientConn) SetLinger(seconds int) error {
 	if l, ok := c.streamConn.(interface{ SetLinger(int) error }); ok {
 		return l.SetLinger(seconds)
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// CloseWrite ends the answers on the connection. The connection stays open for a while, so that the client can read
-// the last answer, and is the first to be evicted if a slot is needed.
+// CloseWrite closes the sending side of the connection after the last answer. The connection itself stays open, so
+// that the client can read that answer. It is the first one to be evicted if a slot is needed.
 func (c *clientConn) CloseWrite() error {
 	cl := c.limiter
 	cl.mu.Lock()
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock is the agent's monotonic clock. It does not start at zero, so that the start of a server that started before
-// the agent is a positive time too.
+// clock is the agent's monotonic clock. Its reading at the agent's start is above zero, so that the start of a server
+// that started before the agent is a positive time too.
 type clock struct{ base time.Time }
 
 // clockOffset is the clock's reading at the agent's start.
@@ -22,7 +22,7 @@
 func (c clock) wall(d time.Duration) time.Time { return c.base.Add(d - clockOffset) }
 
 // hint converts a server's start time in the list (Unix milliseconds, above 0) to a reading of this clock, by the
-// process's wall clock as it was at the agent's start. The result may be wrong by any amount: see startTimes.
+// process's wall clock as it was at the agent's start. The error of the result is not bounded: see startTimes.
 func (c clock) hint(unixMS int64) time.Duration {
 	since := time.UnixMilli(unixMS).Sub(c.base)
 	return max(0, min(since, math.MaxInt64-clockOffset)+clockOffset)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -19,7 +19,7 @@
 	Name   string
 	Listen string // where clients connect
 	Admin  string // address of the admin endpoint; empty: none
-	// InheritedFD is the descriptor of a socket that already listens at Listen; 0: none.
+	// InheritedFD is the descriptor of an inherited socket that already listens at Listen; 0: there is none.
 	InheritedFD int
 	Discovery   string // address of the discovery service
 	Seed        uint64 // for the balancer's random choices
@@ -28,7 +28,7 @@
 	Sockets     int // file descriptors that the process may hold; 0: defaultSockets
 	PeerListen  string
 	Peers       []string           // addresses by agent number
-	Known       *discovery.Members // the stored endpoint list; may be absent
+	Known       *discovery.Members // the stored endpoint list; nil: there is none
 
 	Settings decide.Settings
 	Site     wire.Site
@@ -40,7 +40,7 @@
 	// bodies. 0: an eighth of the memory limit.
 	BodyBytes int
 	Weight    float64 // this instance's weight when limits are divided among the instances of a process
-	Memory    *Memory // learned by the instance that ran before; may be absent
+	Memory    *Memory // learned by the previous instance of this name; nil: there is none
 }
 
 // LoadConfig reads the file that PROXY_CONFIG names. The other variables override it where they are set. An error
@@ -61,8 +61,8 @@
 	return c, nil
 }
 
-// ReloadConfig reads the file again, for an agent that is running. The file's address of discovery then overrides
-// the one in the environment, which dates from the start.
+// ReloadConfig is LoadConfig for an agent that is running, except that PROXY_DISCOVERY is ignored: the address of
+// discovery is that of the file, because the environment is that of the process's start.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return LoadConfig(func(name string) string {
 		if name == "PROXY_DISCOVERY" {
@@ -138,7 +138,7 @@
 	return c, nil
 }
 
-// override replaces fields by the variables that are set in the environment.
+// override replaces fields by the values of the variables that are set in the environment.
 func (c *Config) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"PROXY_NAME":       &c.Name,
--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// The file descriptors of the process are divided here: a fixed number for its own files, discovery and peers, and
-// the rest for connections of clients and to servers. Each client connection carries one request at a time, and a
-// request seldom has more than one attempt in flight; the clients' part is the larger one, because clients also keep
-// idle connections.
+// The file descriptors of an agent are divided into three parts: a fixed number for its own files, discovery and peers,
+// and the rest for connections of clients and connections to servers. Each client connection carries one request at a
+// time, and a request seldom has more than one attempt in flight. The clients' part is larger than the servers' part,
+// because clients also keep idle connections.
 const (
-	// minSockets is the smallest Config.Sockets with which an agent works.
+	// minSockets is the smallest Config.Sockets with which an agent can work.
 	minSockets = 64
 	// ReservedSockets is how many of an agent's Config.Sockets are neither for clients nor for servers.
 	ReservedSockets = 24
-	// defaultSockets is used where Config.Sockets is not set: the usual soft limit of a process.
+	// defaultSockets is used if Config.Sockets is not set. It is the usual soft limit of a process.
 	defaultSockets = 1024
 )
 
-// sharedSockets returns how many descriptors are left for clients and servers. Where two processes of one agent
-// share its descriptors, each may have a limit below minSockets.
+// sharedSockets returns how many descriptors are left for clients and servers. If two processes of one agent share its
+// descriptors, the limit of each may be below minSockets; minSockets applies then.
 func sharedSockets(limit int) int {
 	if limit == 0 {
 		limit = defaultSockets
@@ -41,25 +41,27 @@
 
 const (
 	// minQuiet is how long a connection must have been quiet before it is evicted for new ones, unless all slots are
-	// taken: its client may be about to send its first request. A longer time lets idle clients keep others out for
-	// longer.
+	// taken: its client may be about to send its first request. With a longer time, idle clients prevent others from
+	// connecting for longer.
 	minQuiet = 2 * time.Second
-	// minSilent is the same for a connection that has sent no byte yet, where all slots are taken: a request on a
-	// connection in the kernel's queue waits until the silent connection is evicted.
+	// minSilent is how long a connection must have been silent before it is evicted while all slots are taken. It is
+	// shorter than minQuiet, because a request on a connection in the kernel's queue waits for the eviction.
 	minSilent = 250 * time.Millisecond
-	// HeadTimeout is the time limit for the head of a request, from connecting or from the first byte of a later
-	// request, and again for its body. It is longer than minQuiet, so that eviction comes first.
+	// HeadTimeout is the time limit for the head of a request, and again for its body. For the head it runs from the
+	// connection's start or, for later requests, from the first byte. It is longer than minQuiet, so that a connection
+	// is evicted before its time limit.
 	HeadTimeout = minQuiet + 200*time.Millisecond
 	// emptyCheckInterval is how often waitUntilEmpty evicts connections that have become idle.
 	emptyCheckInterval = 20 * time.Millisecond
 )
 
-// evictionReason is why a client's connection was evicted. The names of the reasons are values of a metric's label.
+// evictionReason is the reason why a client's connection was evicted. The names of the reasons are label values of a
+// metric.
 type evictionReason int
 
 const (
 	evictQuiet   evictionReason = iota // quiet for minQuiet, while too many connections were open or idle
-	evictForSlot                       // its slot was needed at once
+	evictForSlot                       // its slot was needed, because all slots were taken
 	evictIdle                          // idle while the agent stops or is drained
 	evictSilent                        // no byte was ever sent on it, and the agent stops or is drained
 	evictionReasonCount
@@ -70,27 +72,28 @@
 // ConnLimiter accepts clients' connections up to a number of slots. A connection is fresh before its first request,
 // silent while it is fresh and has sent no byte, idle between two requests, and quiet while it is fresh or idle.
 //
-// Slots are bounded because running out of descriptors would fail attempts at healthy servers too. A connection
-// without an open request keeps its slot only while there are enough. Past the eviction mark (three quarters of the
-// slots), connections that have been quiet for minQuiet are evicted for new ones. Where all slots are taken, an idle
-// connection is evicted at once: a client whose next request crosses the close sends it again elsewhere. A silent
-// connection is left alone for minSilent, while new ones wait in the kernel's queue.
+// The number of slots is bounded because attempts at healthy servers would fail if the process ran out of descriptors.
+// A connection without an open request keeps its slot only while enough slots are free. Past the eviction mark (three
+// quarters of the slots), connections that have been quiet for minQuiet are evicted for new ones. While all slots are
+// taken, an idle connection is evicted at once: a client that sends its next request just before it receives the close
+// sends it again on another connection. A silent connection is not evicted before minSilent, and new ones wait in the
+// kernel's queue until then.
 //
-// At most a quarter of the slots are kept for idle connections. Otherwise, clients that send one request on each
-// connection and never close it would run out of descriptors of their own before the limiter runs out of slots.
-// Beyond that quarter, idle connections are evicted once they have been quiet for minQuiet, as past the mark. As a
-// result, a burst of requests every few seconds needs new connections.
+// Idle connections may hold at most a quarter of the slots. Otherwise, clients that send one request on each connection
+// and never close it would run out of descriptors of their own before the limiter runs out of slots. Beyond that
+// quarter, idle connections are evicted once they have been quiet for minQuiet, as past the eviction mark. As a result,
+// a burst of requests every few seconds needs new connections.
 //
-// The limiter does not close a connection by itself. It evicts a connection by setting a read deadline that has
-// passed, and the goroutine that reads the connection closes it. That goroutine may have read a request by then,
-// which would be lost if the limiter closed the connection.
+// The limiter does not close the connections that it evicts. It sets a read deadline that has passed, and the goroutine
+// that reads the connection closes it. That goroutine may already have read a request, which would be lost if the
+// limiter closed the connection.
 type ConnLimiter struct {
 	net.Listener
 
 	mu           sync.Mutex
 	maxConns     int // number of slots
-	evictionMark int // number of open connections from which on quiet ones are evicted
-	maxIdle      int // number of idle connections from which on those quiet for minQuiet are evicted
+	evictionMark int // number of open connections from which those quiet for minQuiet are evicted
+	maxIdle      int // number of idle connections from which those quiet for minQuiet are evicted
 	conns        map[*clientConn]bool
 	fresh        *list.List // of fresh *clientConn, the oldest first
 	idle         *list.List // of idle *clientConn, the longest idle first
@@ -116,8 +119,8 @@
 	return cl
 }
 
-// Resize changes the number of slots. Connections beyond the new number stay open; the quiet ones among them are
-// evicted as they are where all slots are taken.
+// Resize changes the number of slots. If more connections are open than the new number, they stay open, and Accept
+// evicts quiet ones as if all slots were taken.
 func (cl *ConnLimiter) Resize(maxConns int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -127,7 +130,7 @@
 	cl.signalSlot() // a slot may be free now
 }
 
-// signalSlot wakes the goroutine that waits for a slot.
+// signalSlot wakes the goroutine that is waiting for a slot.
 func (cl *ConnLimiter) signalSlot() {
 	select {
 	case cl.slotFreed <- struct{}{}:
@@ -135,11 +138,11 @@
 	}
 }
 
-// PastDeadline is a deadline that has passed: with it, a read or write that waits ends at once.
+// PastDeadline is a deadline that has passed. If it is set, a read or write that is waiting ends at once.
 var PastDeadline = time.Unix(1, 0)
 
 // Accept waits for a free slot, and then for a connection. It returns net.ErrClosed once the limiter is closed, and
-// another error only if the listener can't go on. Only one goroutine may call it.
+// another error only if the listener has failed permanently. Only one goroutine may call it.
 func (cl *ConnLimiter) Accept() (net.Conn, error) {
 	var failures acceptFailures
 	for {
@@ -183,9 +186,9 @@
 }
 
 // CloseAfterQueue makes Accept take the connections in the kernel's queue, for at most limit, and then close the
-// listener. Without this, the last close of a listening socket would reset the connections in its queue, whose
-// clients may have sent requests. It must not be called where another process or agent accepts on the same socket:
-// the connections in its queue are accepted there.
+// listener. Without this, the last close of a listening socket would reset the connections in its queue, whose clients
+// may have sent requests. It must not be called if another process or agent accepts connections on the same socket,
+// because it accepts those in the queue.
 func (cl *ConnLimiter) CloseAfterQueue(limit time.Duration) {
 	cl.mu.Lock()
 	cl.closing = true
@@ -196,10 +199,10 @@
 	}
 }
 
-// retryDelay returns how long to wait after an error of accept, or the error if the listener can't go on.
+// retryDelay returns how long to wait after an error of accept, or the error if the listener has failed permanently.
 func (cl *ConnLimiter) retryDelay(err error, failures *acceptFailures) (time.Duration, error) {
 	switch {
-	case outOfDescriptors(err): // evicting a quiet connection frees one
+	case outOfDescriptors(err): // the eviction of a quiet connection will free a descriptor
 		cl.mu.Lock()
 		defer cl.mu.Unlock()
 		cl.evictQuietest(time.Now())
@@ -227,7 +230,7 @@
 	return c, nil
 }
 
-// waitForSlot waits until a slot is free, for at most maxWait. It reports false if the limiter is closed.
+// waitForSlot waits until a slot may be free, for at most maxWait. It reports false if the limiter is closed.
 func (cl *ConnLimiter) waitForSlot(maxWait time.Duration) bool {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -244,8 +247,8 @@
 	}
 }
 
-// reclaimSlots evicts connections that have been quiet for long enough, down to the eviction mark. It returns 0 if a
-// slot is free, else the longest time to wait for one before it is called again.
+// reclaimSlots evicts connections that have been quiet for long enough, as long as there are too many. It returns 0 if
+// a slot is free, and otherwise the maximum time to wait for one before it must be called again.
 func (cl *ConnLimiter) reclaimSlots(now time.Time) time.Duration {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -260,7 +263,7 @@
 }
 
 // evictQuiet evicts the connections of a list that have been quiet for minQuiet, as long as there are too many. It
-// returns the time until the next connection has been quiet for that long. The lock is held.
+// returns the time until the next one is due, or minQuiet if there are not too many. The lock must be held.
 func (cl *ConnLimiter) evictQuiet(quiet *list.List, now time.Time) time.Duration {
 	for e := quiet.Front(); e != nil && cl.tooMany(quiet); e = quiet.Front() {
 		c := e.Value.(*clientConn)
@@ -278,8 +281,8 @@
 }
 
 // evictQuietest evicts one connection at once: the one that has been idle longest, or else the one that has been
-// silent longest, for at least minSilent. It returns how long to wait until a silent connection may be evicted. The
-// lock is held.
+// silent longest, if that is at least minSilent. If the next silent connection may be evicted only later, it
+// returns the time until then, and otherwise minQuiet. The lock must be held.
 func (cl *ConnLimiter) evictQuietest(now time.Time) time.Duration {
 	if e := cl.idle.Front(); e != nil {
 		cl.evict(e.Value.(*clientConn), evictForSlot)
@@ -288,7 +291,7 @@
 	for e := cl.fresh.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		if c.hasSent {
-			continue // a part of its request has come
+			continue // a part of its first request has arrived
 		}
 		if remaining := minSilent - now.Sub(c.quietSince); remaining > 0 {
 			return remaining
@@ -299,8 +302,8 @@
 	return minQuiet
 }
 
-// evict makes the reader of a quiet connection close it, by a read deadline that has passed. A reader that receives
-// bytes all the same goes on with them. The lock is held.
+// evict makes the reader of a quiet connection close it, by setting a read deadline that has passed. A reader that has
+// just received bytes processes them instead: see clientConn.Read. The lock must be held.
 func (cl *ConnLimiter) evict(c *clientConn, reason evictionReason) {
 	cl.removeFromQuiet(c)
 	if c.evicting {
@@ -312,7 +315,7 @@
 	_ = c.streamConn.SetReadDeadline(PastDeadline) // fails only on a connection that is closed already
 }
 
-// cancelEviction lets an evicted connection go on. The lock is held.
+// cancelEviction marks an evicted connection as in use again. The lock must be held.
 func (cl *ConnLimiter) cancelEviction(c *clientConn) {
 	if c.evicting {
 		c.evicting = false
@@ -320,25 +323,25 @@
 	}
 }
 
-// release closes a connection and frees its slot. The lock is held; closing a socket does not block, and a second close
-// does no harm.
+// release closes a connection and frees its slot. A second call has no effect. The lock must be held; closing a socket
+// does not block.
 func (cl *ConnLimiter) release(c *clientConn) {
 	if !cl.conns[c] {
 		return
 	}
-	_ = c.streamConn.Close() // nothing can be done about a socket that does not close
+	_ = c.streamConn.Close() // there is no remedy if it fails
 	delete(cl.conns, c)
 	cl.removeFromQuiet(c)
 	cl.cancelEviction(c)
 	cl.signalSlot()
 }
 
-// removeFromQuiet removes a connection from the list that it is in. The lock is held.
+// removeFromQuiet removes a connection from the list that contains it, fresh or idle. The lock must be held.
 func (cl *ConnLimiter) removeFromQuiet(c *clientConn) {
 	if c.element == nil {
 		return
 	}
-	cl.fresh.Remove(c.element) // does nothing where the element is in the other list
+	cl.fresh.Remove(c.element) // has no effect if the element is in the other list
 	cl.idle.Remove(c.element)
 	c.element = nil
 }
@@ -358,8 +361,8 @@
 	return cl.conns[c]
 }
 
-// SetReadDeadline sets the read deadline of a connection on which no request is open, as the method of net.Conn
-// does. An evicted connection keeps the deadline that has passed, so that reading ends now.
+// SetReadDeadline sets the read deadline of a connection on which no request is open, as the method of net.Conn does.
+// An evicted connection keeps the deadline that has passed, so that reading ends at once.
 func (cl *ConnLimiter) SetReadDeadline(nc net.Conn, deadline time.Time) {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -373,7 +376,7 @@
 	}
 }
 
-// MarkIdle records that no request is open on a connection any more.
+// MarkIdle records that a request on a connection has ended and that none is open on it.
 func (cl *ConnLimiter) MarkIdle(nc net.Conn) {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -387,8 +390,8 @@
 	}
 }
 
-// NearCapacity reports whether so many connections are open, or idle, that none should be kept open after its
-// answer.
+// NearCapacity reports whether the number of open or idle connections is so high that a connection should be closed
+// after its answer.
 func (cl *ConnLimiter) NearCapacity() bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -398,8 +401,8 @@
 // ConnCounts are the numbers of open connections.
 type ConnCounts struct {
 	Open  int
-	Fresh int // of these, those with no request yet
-	Idle  int // of these, those between requests
+	Fresh int // of these, connections with no request yet
+	Idle  int // of these, connections between two requests
 }
 
 // Counts returns the numbers of connections that are open now.
@@ -409,7 +412,7 @@
 	return ConnCounts{Open: len(cl.conns), Fresh: cl.fresh.Len(), Idle: cl.idle.Len()}
 }
 
-// evictionCounts returns the number of evictions since the start, by the name of their reason.
+// evictionCounts returns the numbers of evictions since the start, by name of the reason.
 func (cl *ConnLimiter) evictionCounts() map[string]int64 {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -420,7 +423,7 @@
 	return counts
 }
 
-// CloseIdle evicts the idle connections. Those whose last answer has been sent are left out: they are closed anyway
+// CloseIdle evicts the idle connections, except for those on which the last answer has been sent: these are closed
 // once their clients have read it.
 func (cl *ConnLimiter) CloseIdle() {
 	cl.mu.Lock()
@@ -434,8 +437,8 @@
 	}
 }
 
-// CloseSilent evicts the connections that have been open for minAge and on which no byte was ever sent: on a younger
-// connection a request may be on its way.
+// CloseSilent evicts the connections that are at least minAge old and on which no byte has arrived. On a younger
+// connection a request may be in transit.
 func (cl *ConnLimiter) CloseSilent(minAge time.Duration) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -446,8 +449,8 @@
 	}
 }
 
-// waitUntilEmpty evicts connections as they become idle, and returns once none is open, or with an error when ctx ends.
-// Accept must not be called any more.
+// waitUntilEmpty evicts connections as they become idle, and returns once no connection is open, or with an error when
+// ctx ends. Accept must not be called any more.
 func (cl *ConnLimiter) waitUntilEmpty(ctx context.Context) error {
 	check := time.NewTicker(emptyCheckInterval)
 	defer check.Stop()
@@ -458,7 +461,7 @@
 			return nil
 		}
 		select {
-		case <-cl.slotFreed: // Accept does not run any more, so each close is signalled here
+		case <-cl.slotFreed: // no call of Accept takes this signal, so the close of a connection is noticed here
 		case <-check.C:
 		case <-ctx.Done():
 			return fmt.Errorf("%d connections are open: %w", open, ctx.Err())
@@ -466,7 +469,7 @@
 	}
 }
 
-// Close closes the listener, and ends an Accept. Connections stay open.
+// Close closes the listener, and ends an Accept that is waiting. Connections stay open.
 func (cl *ConnLimiter) Close() error {
 	cl.closeOnce.Do(func() { close(cl.closed) })
 	return cl.Listener.Close()
--- a/internal/core/disable.go
+++ b/internal/core/disable.go
@@ -11,17 +11,18 @@
 // ErrStopped is the error of a call to an agent whose loop has ended.
 var ErrStopped = errors.New("the agent has stopped")
 
-// disableServer asks the loop to disable a server, or to enable it again.
+// disableServer is posted to make the loop disable a server, or enable it again.
 type disableServer struct {
 	server        string
 	disabled      bool
 	evenIfUnknown bool
-	known         chan bool // buffers one: whether the server is known; nil: the caller does not wait
+	known         chan bool // receives whether the server is known; buffers one value; nil: the caller does not wait
 }
 
-// SetServerDisabled disables a server, or enables it again. Once it has returned, nothing more is sent to a disabled
-// server, not even by attempts that wait for a connection. It reports whether the server is known, either listed or
-// disabled; if it is not, nothing has changed. The error is ErrStopped or that of ctx.
+// SetServerDisabled disables a server, or enables it again. Once it has returned, no further request is sent to a
+// disabled server, not even by attempts that are waiting for a connection. It reports whether the server is known: it
+// is listed, or was disabled before. If it is not known, the call has no effect. The error is ErrStopped or that of
+// ctx.
 func (a *Agent) SetServerDisabled(ctx context.Context, server string, disabled bool) (known bool, err error) {
 	e := disableServer{server: server, disabled: disabled, known: make(chan bool, 1)}
 	if err := a.postDisable(ctx, e); err != nil {
@@ -37,9 +38,9 @@
 	}
 }
 
-// ForceServerDisabled disables a server, or enables it again, whether or not it is known. It waits for room in the
-// loop's queue, but not until the change is made, so it may be called before Run. The error is ErrStopped or that of
-// ctx.
+// ForceServerDisabled disables a server, or enables it again, whether or not it is known. It waits until the loop's
+// queue has accepted the change, but not until the change is made, so it may be called before Run. The error is
+// ErrStopped or that of ctx.
 func (a *Agent) ForceServerDisabled(ctx context.Context, server string, disabled bool) error {
 	return a.postDisable(ctx, disableServer{server: server, disabled: disabled, evenIfUnknown: true})
 }
@@ -55,8 +56,7 @@
 	}
 }
 
-// TryForceServerDisabled is ForceServerDisabled without waiting: false says that the agent is too busy to take the
-// change now.
+// TryForceServerDisabled is ForceServerDisabled without waiting: it reports false if the loop's queue is full.
 func (a *Agent) TryForceServerDisabled(server string, disabled bool) bool {
 	return a.loop.tryPost(disableServer{server: server, disabled: disabled, evenIfUnknown: true})
 }
@@ -71,7 +71,8 @@
 	}
 }
 
-// setDisabled changes which servers are disabled. Attempts that have not been written yet see the change at once.
+// setDisabled changes the set of disabled servers. The change applies at once to attempts whose first byte has not been
+// written yet.
 func (l *Loop) setDisabled(server string, disabled bool) {
 	all := map[string]bool{}
 	if previous := l.disabled.Load(); previous != nil {
@@ -86,8 +87,8 @@
 	l.log.Info("server disabled or enabled by an operator", "server", server, "out", disabled)
 }
 
-// noteServerStates records which servers the list has as ready. Attempts that have not been written yet see the
-// change at once.
+// noteServerStates records which servers the list has as ready. The change applies at once to attempts whose first byte
+// has not been written yet.
 func (l *Loop) noteServerStates(list List) {
 	if list.Kind == decide.ListFailed {
 		return
--- a/internal/core/disconnect.go
+++ b/internal/core/disconnect.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disconnected reports whether the other side of a connection is known to have closed it, by an end of its data
-// (FIN) or a reset, even if data is unread. A client that closed only its sending side can't be told from one that
-// closed the connection, see docs/design/crossings.md. A client that has sent more than the system buffers is not
-// known to have closed the connection, because the end comes after the unread data.
+// Disconnected reports whether the end of the other side's data (FIN), or a reset, has been received on a connection,
+// even if there is unread data. A client that has closed only its sending side can't be distinguished from one that has
+// closed the connection: see docs/design/crossings.md. If a client has sent more data than the system buffers, its
+// close is not detected, because the end arrives only after the unread data.
 func Disconnected(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -33,8 +33,8 @@
 	return err != nil || closed // an error means that it is closed on this side
 }
 
-// Disconnected reports whether the request's client has disconnected, and if so tells the loop. It asks the socket,
-// because the goroutine that reads the client's connection may be behind or wait for something else.
+// Disconnected reports whether the request's client has disconnected, and if so notifies the loop. It checks the socket
+// itself, because the goroutine that reads the client's connection may be delayed or waiting for something else.
 func (a *Attempt) Disconnected() bool {
 	if a.Client == nil || !Disconnected(a.Client) {
 		return false
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -18,15 +18,15 @@
 const (
 	// maxBackoffDoublings bounds the exponent of the reconnect backoff.
 	maxBackoffDoublings = 10
-	// drainGraceDivisor bounds the wait between two watches to a part of the drain grace: changes made while the
-	// list service was down count as known to the agent as soon as the service is back.
+	// drainGraceDivisor bounds the wait between two watches to a part of the drain grace, because changes that are
+	// made while the list service is down count as notified as soon as the service is available again.
 	drainGraceDivisor = 4
 	// failuresPerLogLine is how many failed watches in a row share one log line.
 	failuresPerLogLine = 20
 )
 
-// reconnectCeiling returns the upper bound of the wait after so many failures in a row, where lists are pushed. The
-// bound doubles with each failure, and the wait has full jitter below it.
+// reconnectCeiling returns the upper bound of the wait after a number of failures in a row, if lists are pushed. The
+// bound doubles with each failure up to a maximum, and the wait has full jitter below it.
 func reconnectCeiling(failures int, drainGrace time.Duration) time.Duration {
 	if failures == 0 {
 		return 1
@@ -36,8 +36,8 @@
 	return min(backoff, max(discovery.MinReconnectBackoff, ceiling))
 }
 
-// listWatcher watches the endpoint list. With Settings.Subscribe the balancer says when to watch, and when to try again
-// after a failure; where lists are pushed it reconnects by itself.
+// listWatcher watches the endpoint list. With Settings.Subscribe it opens a watch, also after a failure, only if the
+// balancer requests one; if lists are pushed it reconnects without a request.
 type listWatcher struct {
 	cfg              *Config
 	clock            clock
@@ -47,8 +47,8 @@
 	heartbeatTimeout time.Duration
 	version          int64         // version of the last list
 	addr             string        // address of discovery
-	watchRequests    chan struct{} // buffers one: a Subscribe of the balancer
-	addrChanges      chan string   // buffers one: the last new address of discovery
+	watchRequests    chan struct{} // buffers one value: a pending Subscribe of the balancer
+	addrChanges      chan string   // buffers one value: the latest address of discovery
 	attempted        chan struct{} // closed once a watch has delivered a list, or discovery has refused a connection
 	markAttempted    func()        // closes attempted
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// subscribe asks for a watch. While a request for one is pending another call has no effect.
+// subscribe requests a watch. While a request is pending, another call has no effect.
 func (d *listWatcher) subscribe() {
 	select {
 	case d.watchRequests <- struct{}{}:
@@ -82,18 +82,18 @@
 // so far stays in force, so the balancer sees no failure.
 func (d *listWatcher) moveTo(addr string) {
 	select {
-	case <-d.addrChanges: // drops an address that was not used yet
+	case <-d.addrChanges: // discards an address that has not been used yet
 	default:
 	}
 	select {
 	case d.addrChanges <- addr:
-	default: // another call came in between, and its address is as recent
+	default: // a concurrent call has set an address, which is as recent
 	}
 }
 
-// run watches until ctx ends. When a watch falls silent or fails, the last list stays in force, the balancer gets a
-// failed update, and a new watch is opened after a wait. A change counts as notified discovery.NotificationDeadline
-// (6 s) after discovery could be reached, whether or not it arrived.
+// run watches until ctx ends. When a watch receives no heartbeats or fails, the last list stays in force, the balancer
+// gets a ListFailed update, and a new watch is opened after a wait. A change counts as notified
+// discovery.NotificationDeadline (6 s) after discovery could be reached, whether or not it arrived.
 func (d *listWatcher) run(ctx context.Context) {
 	failures := 0
 	for d.waitToWatch(ctx, failures) {
@@ -112,7 +112,7 @@
 			d.log.Warn("discovery watch ended", "error", err, "failures", failures)
 		}
 		select {
-		case <-d.watchRequests: // made during a watch that a new address had opened; the balancer now asks again
+		case <-d.watchRequests: // discards one made during the watch: the balancer requests another after ListFailed
 		default:
 		}
 		d.post(List{ListUpdate: decide.ListUpdate{Kind: decide.ListFailed}})
@@ -122,7 +122,7 @@
 	}
 }
 
-// waitToWatch waits until a watch is to be opened: the balancer asks for one, the backoff is over, or the address
+// waitToWatch waits until a watch is to be opened: the balancer has requested one, the backoff is over, or the address
 // has changed. It reports false if ctx has ended.
 func (d *listWatcher) waitToWatch(ctx context.Context, failures int) bool {
 	var backoff <-chan time.Time
@@ -143,7 +143,7 @@
 	return true
 }
 
-// errAddrChanged ends a watch after the address of discovery has changed.
+// errAddrChanged is the error of a watch that was ended because the address of discovery has changed.
 var errAddrChanged = errors.New("the address of discovery has changed")
 
 // switchTo sets the address of discovery. Another service may number its versions differently, so the complete list
@@ -155,8 +155,8 @@
 	}
 }
 
-// endOnMove ends a watch of an address when discovery gets another one, which it sends on changed. It returns, and
-// closes changed, when the watch's ctx ends.
+// endOnMove cancels the watch of an address when discovery gets another address, which it sends on changed. It closes
+// changed and returns then, or when the watch's ctx ends.
 func (d *listWatcher) endOnMove(ctx context.Context, cancel context.CancelCauseFunc, watched string, changed chan<- string) {
 	defer close(changed)
 	for {
@@ -173,7 +173,7 @@
 	}
 }
 
-// watch follows changes of the list until the connection ends. It reports whether any list has come.
+// watch receives the list and its changes until the connection ends. It reports whether any list has been received.
 func (d *listWatcher) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	changed := make(chan string, 1)
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,10 +1,10 @@
 // Package core implements an agent around the balancer of package decide, independently of the protocol. It turns
 // requests, outcomes, list changes and timers into the balancer's events, and executes the balancer's actions in
-// order. It makes no decisions about requests that it admits: choosing servers, retrying, queueing and refusing is
-// up to the balancer. By itself it rejects only requests that arrive past the policy's admission bound (they are
-// shed, see admission.go), requests with duplicate IDs, and requests whose deadline has passed.
+// order. It makes no decisions about requests that it admits: the balancer chooses servers, retries, queues and
+// refuses. The package itself rejects only requests that arrive past the policy's admission bound (they are shed, see
+// admission.go), requests with duplicate IDs, and requests whose deadline has passed.
 //
-// The parts of an Agent, and who owns their state:
+// An Agent consists of these parts, which own their state:
 //
 //   - Loop (loop.go) owns the balancer, the clock, the timers and the request table. One goroutine runs it; all others
 //     post events to it (events.go).
@@ -15,8 +15,8 @@
 //     internal/protocol/http1 and internal/protocol/ldap. A protocol runs a goroutine for each client connection, and
 //     the loop calls it in a goroutine for each attempt.
 //
-// Two guards apply whatever the balancer decides. Each write to a server and the final answer of its request go
-// through sendGuard (sendguard.go). mayStart (invariants.go) holds retries to the rules on repeated execution. An
+// Two guards apply whatever the balancer decides. sendGuard (sendguard.go) orders each write to a server and the final
+// answer of its request. mayStart (invariants.go) refuses retries that violate the rules on repeated execution. An
 // Agent's exported methods may be called from any goroutine and do not wait for the loop unless they take a context
 // or a time limit.
 package core
--- a/internal/core/ejections.go
+++ b/internal/core/ejections.go
@@ -12,15 +12,15 @@
 type Ejection struct {
 	Server    string
 	StartedMS int64 // listed start of the process, Unix milliseconds; 0: long ago
-	Draining  bool  // the process gets no new requests because it drains, not because it is an outlier
+	Draining  bool  // the process gets no new requests because it is draining, not because it is an outlier
 	ExpiresAt time.Time
 }
 
-// ejectionsUpdated is posted with the ejections that hold from now on.
+// ejectionsUpdated is posted with the ejections that are in force from now on.
 type ejectionsUpdated struct{ ejections []Ejection }
 
-// SetEjections gives the balancer the fleet's ejections, which replace the last ones. It does not block: false says
-// that the agent is too busy to take them now.
+// SetEjections passes the fleet's ejections to the balancer; they replace the previous ones. It does not block: it
+// reports false if the loop's queue is full.
 func (a *Agent) SetEjections(ejections []Ejection) bool {
 	return a.loop.tryPost(ejectionsUpdated{ejections})
 }
@@ -29,13 +29,14 @@
 type ejectedServers struct {
 	lastExpiry time.Duration // when the last of the ejections expires
 	names      string
-	refusals   int // requests refused for want of a server while ejections held, since the last summary
+	refusals   int // requests refused for lack of a server while ejections were in force, since the last summary
 }
 
-// maxNamedServers is how many servers a refusal names at most.
+// maxNamedServers is the maximum number of servers that a refusal names.
 const maxNamedServers = 5
 
-// ejectedServers returns the names of the ejected servers if a request is refused for want of a server.
+// ejectedServers returns the names of the ejected servers for a request that is refused for lack of a server, and
+// counts that refusal. It returns an empty string if the reason is another one or no ejection is in force.
 func (l *Loop) ejectedServers(reason decide.Reason, now time.Duration) string {
 	if reason != decide.NoBackend || now >= l.ejected.lastExpiry {
 		return ""
@@ -44,7 +45,7 @@
 	return l.ejected.names
 }
 
-// onEjections passes on the ejections of processes that this agent knows.
+// onEjections passes the ejections to the balancer, except those of processes that this agent's lists have not had.
 func (l *Loop) onEjections(e ejectionsUpdated) {
 	var ejections []decide.Ejection
 	var names []string
@@ -62,8 +63,8 @@
 	l.pending = append(l.pending, decide.Ejections{Ejections: ejections})
 }
 
-// translateEjection converts an ejection to the balancer's terms. It reports false if the ejected process is unknown
-// to this agent, or an earlier process of the server.
+// translateEjection converts an ejection to the balancer's terms. It reports false if the ejected process is not the
+// latest one of its server in this agent's lists.
 func (l *Loop) translateEjection(e Ejection) (decide.Ejection, bool) {
 	translated := decide.Ejection{Backend: e.Server, Draining: e.Draining, Until: l.clock.at(e.ExpiresAt)}
 	if e.StartedMS <= 0 {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -6,11 +6,12 @@
 	"vetchhaven/decide"
 )
 
-// Events that are posted to the loop, besides List and the balancer's own ProbeResult and PeerMessage.
+// These events are posted to the loop. Others are declared near the code that posts them, such as List and
+// disableServer; some events of package decide are posted too.
 type (
 	// requestArrived reports that a protocol has read a request.
 	requestArrived struct{ *Request }
-	// clientDisconnected reports that a request's client has disconnected, or wants no answer.
+	// clientDisconnected reports that a request's client has disconnected, or does not need an answer any more.
 	clientDisconnected struct{ *Request }
 	// deadlineExceeded reports that a request's deadline and half of the answer grace have passed without an answer.
 	deadlineExceeded struct{ *Request }
@@ -33,7 +34,7 @@
 	}
 )
 
-// Events that the loop posts to itself.
+// These events are posted by the loop's own timers and by the end of its context.
 type (
 	stopping   struct{}
 	summaryDue struct{}
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -11,19 +11,19 @@
 	"vetchhaven/decide"
 )
 
-// Invariant is a rule that a guard of the agent enforces whatever the balancer decides. A violation is prevented
-// where possible, counted and logged; in tests it panics.
+// Invariant is a rule that a guard of the agent enforces, whatever the balancer decides. A violation is prevented where
+// possible, counted and logged; in tests it causes a panic.
 type Invariant int
 
 // The invariants.
 const (
 	AnsweredOnce       Invariant = iota // a request has one final answer
 	EffectOnce                          // a non-idempotent request is retried only if no attempt can have been executed
-	OneAttemptInFlight                  // at most one, if the request is non-idempotent or hedging is off
-	DedupWindow                         // a request with a key is retried only while its first attempt is remembered
+	OneAttemptInFlight                  // no two attempts in flight if the request is non-idempotent or hedging is off
+	DedupWindow                         // a keyed request is retried only within the deduplication window
 	AttemptBound                        // no more attempts are made than the settings allow
 	WriteMatched                        // each end of a write belongs to a write that was admitted
-	AttemptsClosed                      // no more attempts end than were begun
+	AttemptsClosed                      // no more attempts end than were started
 	invariantCount
 )
 
@@ -41,7 +41,7 @@
 // String returns the name under which violations are counted.
 func (i Invariant) String() string { return invariantNames[i] }
 
-// resultNames are decide's results, as values of a metric's label.
+// resultNames are the names of decide.Result, as values of a metric's label.
 var resultNames = [...]string{
 	"ok",
 	"errored",
@@ -58,19 +58,19 @@
 type counters struct {
 	sendRefusals [sendRefusalCount]atomic.Int64
 	violations   [invariantCount]atomic.Int64
-	endings      [decide.ReasonCount]atomic.Int64 // of requests that were refused or failed, by the balancer's reason
+	endings      [decide.ReasonCount]atomic.Int64 // requests that were refused or failed, by the balancer's reason
 	results      [decide.Incomplete + 1]atomic.Int64
 	retries      atomic.Int64
 }
 
-// Counters are an agent's counts since its start, by the name of each case.
+// Counters are an agent's counts since its start, by name.
 type Counters struct {
-	SendRefusals map[string]int64 // writes that a send guard refused
-	Violations   map[string]int64 // of invariants
-	Endings      map[string]int64 // refused or failed by the balancer, by reason; shed requests are only in Totals
-	Results      map[string]int64 // of attempts
-	Evictions    map[string]int64 // client connections that were evicted, by reason
-	Retries      int64            // attempts after a request's first
+	SendRefusals map[string]int64 // writes that a send guard refused, by SendRefusal
+	Violations   map[string]int64 // violations, by Invariant
+	Endings      map[string]int64 // requests refused or failed by the balancer, by reason; without shed requests
+	Results      map[string]int64 // ended attempts, by result
+	Evictions    map[string]int64 // evicted client connections, by reason
+	Retries      int64            // attempts after the first one of their request
 }
 
 // Counters returns the present counts. It may be called at any time.
@@ -111,8 +111,9 @@
 	}
 }
 
-// mayStart holds another attempt to the rules on repeated execution, whatever the balancer has decided: it checks
-// the outcomes of the earlier attempts, not the balancer's state. A refusal is a violation.
+// mayStart reports whether another attempt of a request obeys the rules on repeated execution, whatever the balancer
+// has decided. It checks the outcomes of the earlier attempts, not the balancer's state. If it reports false, it has
+// counted a violation.
 func (l *Loop) mayStart(r *Request, server string) bool {
 	settings := &l.cfg.Settings
 	if settings.MaxAttempts > 0 && len(r.attempts) >= settings.MaxAttempts {
@@ -130,8 +131,8 @@
 	return true
 }
 
-// forbidsRetry returns the invariant that another attempt beside or after this one would violate, and the reason; an
-// empty reason: none.
+// forbidsRetry returns the invariant that a further attempt, during or after this one, would violate, and the reason.
+// If the reason is empty, it would violate none.
 func (a *Attempt) forbidsRetry(class *decide.Class, hedging bool) (Invariant, string) {
 	switch {
 	case !a.hasResult && (class.Effect == decide.NonIdempotent || !hedging):
@@ -148,7 +149,7 @@
 	return 0, ""
 }
 
-// noteResult stores and counts an attempt's result.
+// noteResult stores, counts and logs an attempt's result.
 func (l *Loop) noteResult(a *Attempt, result decide.Result) {
 	a.hasResult = true
 	a.result = result
@@ -159,7 +160,7 @@
 	}
 }
 
-// noteEnding counts the reason why the balancer refused or failed a request.
+// noteEnding counts and logs the reason for which the balancer refused or failed a request.
 func (l *Loop) noteEnding(r *Request, answer string, reason decide.Reason) {
 	l.counters.endings[reason].Add(1)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -6,11 +6,11 @@
 	"vetchhaven/decide"
 )
 
-// Memory is what an agent has learned and its successor of the same name may start with, in names and wall-clock
-// times that both know. Retry budgets and tokens are not part of it. It is stored on disk.
+// Memory is the state that an agent has learned and with which its successor of the same name may start. It uses names
+// and wall-clock times, which are valid in both. Retry budgets and tokens are not part of it. It is stored on disk.
 type Memory struct {
-	// Limit is the limit on requests in flight, for an agent that takes over without a gap; 0: none. See
-	// decide.Learned.
+	// Limit is the limit on attempts in flight, for a successor that takes over the clients without a pause; 0: there
+	// is none. See decide.Learned.
 	Limit   float64                `json:"limit,omitempty"`
 	Classes map[string]ClassMemory `json:"classes"`
 	Servers []ServerMemory         `json:"servers"`
@@ -22,18 +22,18 @@
 	Work    float64 `json:"work_ns"`
 }
 
-// ServerMemory is how slow a server's process was, as a multiple of the mean of all.
+// ServerMemory is the slowness of a server's process: its latency as a multiple of the mean of all servers.
 type ServerMemory struct {
 	ID      string  `json:"id"`
 	Started int64   `json:"started_ms"` // Unix milliseconds; 0: long ago
 	Slow    float64 `json:"slow"`
 }
 
-// learnedQuery asks the loop for what its balancer has learned.
+// learnedQuery is posted to request the state that the balancer has learned.
 type learnedQuery struct{ reply chan learnedState }
 
-// learnedState is the reply to a learnedQuery, with the starts of the servers' processes as the list has them, in
-// Unix milliseconds.
+// learnedState is the reply to a learnedQuery. startedMS holds the listed starts of the servers' processes in Unix
+// milliseconds, by server.
 type learnedState struct {
 	decide.Learned
 	startedMS map[string]int64
@@ -47,7 +47,8 @@
 	return state
 }
 
-// Memory returns what the balancer has learned. It reports false if the loop has stopped or does not answer in time.
+// Memory returns the state that the balancer has learned. It reports false if the loop has stopped or does not reply
+// within the timeout.
 func (a *Agent) Memory(timeout time.Duration) (*Memory, bool) {
 	query := learnedQuery{make(chan learnedState, 1)}
 	limit := time.NewTimer(timeout)
@@ -69,7 +70,7 @@
 	}
 }
 
-// memoryOf converts what the balancer has learned to names and wall-clock times.
+// memoryOf converts the state that the balancer has learned to names and wall-clock times.
 func (a *Agent) memoryOf(state learnedState) *Memory {
 	m := &Memory{Limit: state.Limit, Classes: map[string]ClassMemory{}, Servers: []ServerMemory{}}
 	for i, class := range state.Classes {
--- a/internal/core/listen.go
+++ b/internal/core/listen.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// inheritedEnv is the variable that holds the descriptor of the clients' listening socket, where the platform keeps
-// the socket and passes it on to each process of an agent. An old process and its successor then accept from one
-// queue.
+// inheritedEnv is the variable that holds the descriptor of the clients' listening socket, if the platform keeps the
+// socket open and passes it to each process of an agent. In that case an old process and its successor accept
+// connections from the same queue.
 const inheritedEnv = "PROXY_INHERITED_FD"
 
 const (
@@ -23,13 +23,13 @@
 	minInheritedFD = 3
 	maxInheritedFD = 1 << 20
 
-	// listenRetryInterval is how often an address that is in use is tried, and maxListenRetry for how long: the
-	// platform considers an agent failed that is not ready by then.
+	// listenRetryInterval is the time between two attempts to listen, and maxListenRetry the time after which no more
+	// are made: the platform considers an agent failed if it is not ready by then.
 	listenRetryInterval = 10 * time.Millisecond
 	maxListenRetry      = 30 * time.Second
 )
 
-// parseInherited parses the descriptor's number; 0: none is inherited.
+// parseInherited parses the number of the inherited descriptor; an empty text gives 0, which means that there is none.
 func parseInherited(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -41,8 +41,8 @@
 	return fd, nil
 }
 
-// IsTransient reports whether an error is one of the system's that may pass: an address in use by a process that
-// this one replaces, no descriptor or memory, a disk or network failure.
+// IsTransient reports whether an error is a system error that may be transient: an address in use by a process that
+// this one replaces, a lack of descriptors or memory, or a disk or network failure.
 func IsTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -71,8 +71,8 @@
 	return ln, nil
 }
 
-// retryListen tries to listen until the error is not transient. It returns the last error if ctx or the time ends
-// first.
+// retryListen tries to listen until it succeeds or the error is not transient. It returns the last error if ctx ends or
+// maxListenRetry passes first.
 func retryListen(ctx context.Context, cfg *Config, err error) (net.Listener, error) {
 	limit, cancel := context.WithTimeout(ctx, maxListenRetry)
 	defer cancel()
@@ -89,8 +89,8 @@
 	return ln, err
 }
 
-// listen opens the clients' socket, or uses the inherited one. Closing an inherited socket ends accepting in this
-// process alone: other processes that hold the socket go on, and accept the connections in its queue.
+// listen opens the clients' socket, or uses the inherited one. Closing an inherited socket affects only this process:
+// other processes that have the socket open continue to accept, also the connections in its queue.
 func listen(cfg *Config) (net.Listener, error) {
 	if cfg.InheritedFD != 0 {
 		return listenInherited(cfg.InheritedFD)
@@ -103,7 +103,8 @@
 }
 
 func listenInherited(fd int) (net.Listener, error) {
-	// The descriptor is checked before it becomes an os.File, which would own and close it whatever it is.
+	// The descriptor is checked before it becomes an os.File, which would own and close it even if it is no listening
+	// socket.
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err == nil && listening == 0 {
 		err = syscall.EINVAL
@@ -111,8 +112,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d is no listening socket: %w", inheritedEnv, fd, err)
 	}
-	// The inherited descriptor must not reach a process that this one starts. The copy that FileListener makes is
-	// closed on exec anyway.
+	// The inherited descriptor is closed, so that processes which this one starts do not inherit it. The copy that
+	// FileListener makes is closed on exec.
 	f := os.NewFile(uintptr(fd), "inherited")
 	defer f.Close()
 	ln, err := net.FileListener(f)
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -13,7 +13,7 @@
 )
 
 // Loop owns the balancer, the clock, the timers and the request table. Other goroutines post events to it; it never
-// waits for them. Its fields belong to the goroutine that executes run, except for the atomic ones.
+// waits for these goroutines. Only the goroutine that executes run may use its fields, except for the atomic ones.
 type Loop struct {
 	cfg      *Config
 	log      *slog.Logger
@@ -26,9 +26,9 @@
 	stopped chan struct{} // closed when run has ended
 
 	// Callbacks; none of them may block.
-	requestWatch func()              // asks discovery for a watch
+	requestWatch func()              // requests a watch of the endpoint list
 	reportUsage  func([]quota.Usage) // receives the usage of leases; nil: it is not reported
-	containPanic func(func())        // runs a goroutine's work; a panic in it ends only this agent
+	containPanic func(func())        // runs a function; a panic in it ends only this agent
 	stepHook     func()              // for tests; nil in production
 
 	// The request table.
@@ -36,44 +36,44 @@
 	recent          recentIDs       // IDs of requests that have ended
 	attemptsContext context.Context // parent of all attempts' contexts; ends with the loop
 	answerMargin    time.Duration   // time kept free before a client's deadline for the final answer
-	probing         map[string]bool // servers with a health check under way
+	probing         map[string]bool // servers with a health check in progress
 	pending         []decide.Event  // for the next step
 	timers          timerHeap
 
 	// State from operators, the endpoint list and the fleet.
 	starts        startTimes
 	ejected       ejectedServers
-	readyServers  atomic.Pointer[map[string]bool] // servers listed as ready; never changed in place; nil: no list yet
-	disabled      atomic.Pointer[map[string]bool] // servers disabled by operators; never changed in place
-	drained       atomic.Bool                     // an operator drains the agent
-	drainDeadline atomic.Pointer[time.Time]       // when the last answers are given; nil: the agent is not stopping
+	readyServers  atomic.Pointer[map[string]bool] // servers listed as ready; never modified in place; nil: no list yet
+	disabled      atomic.Pointer[map[string]bool] // servers disabled by operators; never modified in place
+	drained       atomic.Bool                     // an operator has drained the agent
+	drainDeadline atomic.Pointer[time.Time]       // latest deadline of new requests; nil: the agent is not stopping
 	admission     atomic.Pointer[admissionBound]  // nil: requests are admitted without a time limit
-	dedupWindows  atomic.Pointer[[]time.Duration] // by class, see NarrowDedupWindows; nil: the balancer's settings
+	dedupWindows  atomic.Pointer[[]time.Duration] // by class, see NarrowDedupWindows; nil: only the settings apply
 
 	// Statistics.
 	counts        counts
 	totals        totals
 	counters      counters
 	classCounts   []ClassCounts
-	shedCounts    map[string]int // by shared limit or the policy's reason, since the last summary
+	shedCounts    map[string]int // by shared limit, or by policyPrefix and the policy's reason; since the last summary
 	outcomes      outcomeReport
 	backendCounts backendCounts
 
-	ready            atomic.Bool   // a list with servers has come
+	ready            atomic.Bool   // a list with servers has been received
 	listed           chan struct{} // closed when ready is set
 	stopRequested    bool
 	summaryRequested bool
 
-	toleratesViolations bool // set by tests of the invariants only
+	toleratesViolations bool // a violation does not panic in tests; set only by tests of the invariants
 }
 
 const (
-	// eventQueueSize is how many posted events may be queued before posting blocks: the events of some milliseconds
+	// eventQueueSize is the number of posted events that may be queued before post blocks: those of a few milliseconds
 	// in a busy agent.
 	eventQueueSize = 1024
 	// summaryInterval is the time between two log lines that summarize the agent's work.
 	summaryInterval = 10 * time.Second
-	// idleTimer is the initial setting of the step timer. Any value works, since a spurious wake-up is harmless.
+	// idleTimer is the initial duration of the step timer. Any value works, since an unnecessary wake-up is harmless.
 	idleTimer = time.Hour
 )
 
@@ -98,8 +98,8 @@
 		listed:       make(chan struct{}),
 		requestWatch: func() {},
 		containPanic: func(f func()) { f() },
-		// An attempt that may take until the client's deadline ends one tick earlier, so that its timeout reaches
-		// the balancer in time for the client to get the final answer.
+		// An attempt that may last until the client's deadline ends earlier by this margin, one tick by default, so
+		// that its timeout reaches the balancer in time for the client to get the final answer.
 		answerMargin: cmp.Or(cfg.Margin, cfg.Settings.Tick),
 		requests:     map[string]*Request{},
 		recent:       newRecentIDs(cfg.MaxDeadline()),
@@ -110,10 +110,10 @@
 	}, nil
 }
 
-// post sends an event to the loop. After the loop has stopped the event is dropped.
+// post sends an event to the loop, and waits while its queue is full. After the loop has stopped the event is dropped.
 func (l *Loop) post(event any) {
 	select {
-	case l.events <- event: // there is nearly always room, and a select on one channel is cheaper than on two
+	case l.events <- event: // the queue is seldom full, and a select on one channel is cheaper than on two
 		return
 	default:
 	}
@@ -123,7 +123,8 @@
 	}
 }
 
-// tryPost sends an event to the loop without waiting. It reports false if the queue is full.
+// tryPost sends an event to the loop without waiting. It reports false if the queue is full. After the loop has stopped
+// it drops the event and reports true.
 func (l *Loop) tryPost(event any) bool {
 	select {
 	case l.events <- event:
@@ -135,7 +136,7 @@
 	}
 }
 
-// Submit gives a request to the loop, which answers it exactly once. After the loop has stopped no answer is given:
+// Submit passes a request to the loop, which answers it exactly once. After the loop has stopped it gives no answer:
 // see Stopped.
 func (l *Loop) Submit(r *Request) {
 	r.Deadline = l.capDeadline(r.Deadline)
@@ -153,25 +154,26 @@
 	return deadline
 }
 
-// startDeadlineTimer starts the timer by which the loop notices that a request's deadline and half of the answer
-// grace have passed. A request that arrives with less than a tick left is answered in the step that first handles
-// it; the grace allows for that.
+// startDeadlineTimer starts the timer that notifies the loop when a request's deadline and half of the answer grace
+// have passed. The grace is for a request that arrives less than a tick before its deadline: it is answered in the step
+// that first handles it.
 func (l *Loop) startDeadlineTimer(r *Request) {
 	after := time.Until(r.Deadline) + l.cfg.Settings.AnswerGrace/2
 	r.deadlineTimer = time.AfterFunc(after, func() { l.post(deadlineExceeded{r}) })
 }
 
-// ClientDisconnected tells the loop that a request's client has disconnected, or wants no answer. The request then
-// needs no answer. Its attempts count as in flight until they end.
+// ClientDisconnected notifies the loop that a request's client has disconnected, or does not need an answer any more.
+// The request's attempts count as in flight until they end.
 func (l *Loop) ClientDisconnected(r *Request) { l.post(clientDisconnected{r}) }
 
-// Stopped returns a channel that is closed when the loop has ended. Requests without an answer by then have failed.
+// Stopped returns a channel that is closed when the loop has ended. Requests without an answer have failed then.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Healthy reports whether the agent takes clients: a server is known, and no operator drains the agent.
+// Healthy reports whether the agent should get clients: it has received a list with servers, and no operator has
+// drained it.
 func (l *Loop) Healthy() bool { return l.ready.Load() && !l.drained.Load() }
 
-// ContainPanic runs f and recovers a panic in it, which ends this agent but not the process.
+// ContainPanic runs f and recovers a panic in it. The panic ends this agent but not the process.
 func (l *Loop) ContainPanic(f func()) { l.containPanic(f) }
 
 // stepTimer fires when the balancer's next step is due.
@@ -192,7 +194,7 @@
 	t.armedFor = due
 }
 
-// run steps the balancer with the events that have come, at most once per tick, until ctx ends.
+// run handles events and steps the balancer with them, at most once per tick, until ctx ends.
 func (l *Loop) run(ctx context.Context) {
 	defer close(l.stopped)
 	l.attemptsContext = ctx
@@ -233,7 +235,7 @@
 	}
 }
 
-// nextStep returns when the balancer's next step is due; 0: none is.
+// nextStep returns when the balancer's next step is due; 0: no step is due.
 func (l *Loop) nextStep(lastStep time.Duration) time.Duration {
 	tick := l.cfg.Settings.Tick
 	switch {
@@ -270,8 +272,8 @@
 	events := l.pending
 	l.pending = nil
 	for i, event := range events {
-		// The request's remaining time has shrunk since it arrived. The request may be gone from the table, because
-		// its client has disconnected.
+		// The request's remaining time is computed here, because it has become shorter since the request arrived. The
+		// request may have been removed from the table, because its client has disconnected.
 		if e, ok := event.(decide.Request); ok && l.requests[e.ID] != nil {
 			e.Remaining = l.clock.at(l.requests[e.ID].Deadline) - l.answerMargin - now
 			events[i] = e
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -8,15 +8,15 @@
 	"vetchhaven/decide"
 )
 
-// OutcomeSample counts the outcomes of an agent's attempts at one process of a server, without assessing them. It is
-// evidence for outlier detection by the fleet.
+// OutcomeSample holds the counts of the outcomes of an agent's attempts at one process of a server. They are the input
+// of outlier detection by the fleet.
 type OutcomeSample struct {
 	Server    string
 	StartedMS int64 // start of the process, Unix milliseconds; 0: long ago
 	Succeeded int
 	Failed    int // errors, refused or broken connections, and timeouts
-	// ErrorResponses counts those of Failed that the server answered with an error. The cause of the others may be
-	// the network link.
+	// ErrorResponses is the number of attempts in Failed that the server answered with an error. The others may have
+	// failed because of the network.
 	ErrorResponses int
 }
 
@@ -26,7 +26,7 @@
 	starts     map[string]int64      // listed starts of the servers' processes, Unix milliseconds
 	samples    map[serverProcess]*OutcomeSample
 	reportedAt time.Time
-	scheduled  bool // an outcomesDue will be posted
+	scheduled  bool // a timer will post outcomesDue
 }
 
 type serverProcess struct {
@@ -34,10 +34,10 @@
 	startedMS int64
 }
 
-// outcomesDue makes the loop report the samples.
+// outcomesDue is posted to make the loop report the samples.
 type outcomesDue struct{}
 
-// outcomeInterval is the least time between two reports. A longer one delays the fleet's ejections.
+// outcomeInterval is the minimum time between two reports. A longer interval delays the fleet's ejections.
 const outcomeInterval = 50 * time.Millisecond
 
 // noteStarts records the listed starts of servers' processes.
@@ -58,7 +58,8 @@
 	}
 }
 
-// recordOutcome counts the outcome of an attempt, unless it says nothing about the server.
+// recordOutcome counts the outcome of an attempt, unless it is independent of the server's health. It reports the
+// samples at once, or schedules a report if the last one was less than outcomeInterval ago.
 func (l *Loop) recordOutcome(a *Attempt, result decide.Result) {
 	o := &l.outcomes
 	if o.report == nil || o.samples == nil || !concernsServer(result) {
@@ -101,7 +102,7 @@
 	return sample
 }
 
-// reportOutcomes reports the samples so far.
+// reportOutcomes reports the samples since the last report.
 func (l *Loop) reportOutcomes() {
 	o := &l.outcomes
 	o.scheduled = false
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// maxDatagram is the platform's limit of a datagram in bytes; longer ones are not sent.
+	// maxDatagram is the platform's limit on the size of a datagram in bytes. Longer ones are neither sent nor
+	// accepted.
 	maxDatagram = 256
-	// peerQueueSize is how many datagrams may wait to be sent; further ones are lost.
+	// peerQueueSize is how many datagrams may be queued for sending; further ones are dropped.
 	peerQueueSize = 64
 )
 
 // peers exchanges datagrams with the other agents of the tier.
 type peers struct {
 	local   *net.UDPAddr
-	conn    *net.UDPConn // nil: the process that this one replaces still uses the address
+	conn    *net.UDPConn // nil: not open yet, because the process that this one replaces may still use the address
 	addrs   []netip.AddrPort
 	numbers map[netip.AddrPort]int
 	out     chan datagram
@@ -59,7 +60,7 @@
 	return p, nil
 }
 
-// send queues a datagram. Datagrams may be lost, so a datagram is dropped if the queue is full.
+// send queues a datagram. If the queue is full, the datagram is dropped; peers tolerate the loss of datagrams.
 func (p *peers) send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
@@ -110,7 +111,7 @@
 	}
 }
 
-// receive posts the datagrams of known agents until ctx ends.
+// receive posts the datagrams that come from the peers' addresses until ctx ends.
 func (p *peers) receive(ctx context.Context, post func(any)) {
 	buf := make([]byte, maxDatagram+1)
 	for {
@@ -119,8 +120,8 @@
 			return
 		}
 		if err != nil {
-			// Usually this is the ICMP error of an earlier datagram, and the socket itself works. Where it does not,
-			// the loop must not take all of a processor.
+			// Usually this is the ICMP error of an earlier datagram, and the socket itself works. The pause prevents
+			// this goroutine from keeping a processor busy if the socket does not work.
 			select {
 			case <-ctx.Done():
 			case <-time.After(failedAcceptDelay):
--- a/internal/core/processes.go
+++ b/internal/core/processes.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// SetOtherProcesses tells the agent how many other processes of the same agent are alive. All of them share the
-// descriptors and the memory of one process.
+// SetOtherProcesses sets the number of other running processes of the same agent. The descriptors and the memory of one
+// process are divided equally among all of them.
 func (a *Agent) SetOtherProcesses(count int) {
 	parts := max(0, count) + 1
 	sockets := cmp.Or(a.cfg.Sockets, defaultSockets) / parts
--- a/internal/core/protocol.go
+++ b/internal/core/protocol.go
@@ -13,18 +13,19 @@
 	Serve(l *ConnLimiter) error
 	// SetDraining sets whether each client connection is closed once all requests on it are answered.
 	SetDraining(draining bool)
-	// Resize bounds the descriptors of clients and servers together, and the bytes of buffered bodies: clients' and
-	// servers' bodies may each have that many. It may be called at any time; see Agent.SetOtherProcesses.
+	// Resize sets the total number of descriptors for clients and servers, and the maximum number of bytes of buffered
+	// bodies, separately for clients' and for servers' bodies. It may be called at any time; see
+	// Agent.SetOtherProcesses.
 	Resize(sockets, bytes int)
 	// Close closes the remaining client connections.
 	Close() error
 	// OpenRequests returns how many requests are open.
 	OpenRequests() int64
 
-	// Attempt sends a request to a server, once, and returns the outcome. It returns soon after the attempt's
-	// context has ended, and sends nothing once the request has ended. A result other than OK follows decide's table
-	// of outcomes: it says that the request may have been executed unless it is certain that it was not. If the
-	// result is OK, the response becomes Answer.Served.
+	// Attempt sends a request to a server, once, and returns the outcome. It returns soon after the attempt's context
+	// has ended, and sends nothing once the request has ended. A result for which decide.Result.NeverRan reports true
+	// may be returned only if it is certain that the request was not executed. If the result is OK, the response
+	// becomes Answer.Served.
 	Attempt(a *Attempt) (result decide.Result, response any, load decide.Load)
 	// Probe checks a server's health outside any request.
 	Probe(server string) decide.ProbeResult
@@ -32,14 +33,15 @@
 	Update(l List)
 	// ReapIdle closes connections to servers that have been idle for too long, until ctx ends.
 	ReapIdle(ctx context.Context)
-	// Shutdown closes the connections to servers, and from then on none is kept.
+	// Shutdown closes the connections to servers. Connections that are used later are not kept open either.
 	Shutdown()
 }
 
-// List is an endpoint list or a change of it in the balancer's terms, with the servers' addresses and start times.
+// List is an endpoint list, or a change of it, as the balancer represents it, with the servers' addresses and start
+// times.
 type List struct {
 	decide.ListUpdate
 	Addrs  map[string]string // by server; removed servers have none
 	Starts map[string]int64  // start times of the servers' processes, Unix milliseconds; 0: long ago
-	Saved  bool              // the list was read from disk, so its age is not known
+	Saved  bool              // the list was read from disk, so its age is unknown
 }
--- a/internal/core/recent.go
+++ b/internal/core/recent.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recentIDs remembers IDs for at least span, unless there are too many. It stores hashes, because IDs may be long,
-// in two generations.
+// recentIDs holds the IDs that were added within at least the last span, unless there are more than maxRecentIDs. It
+// stores hashes, because IDs may be long, in two generations: the older one is dropped when a new one begins.
 type recentIDs struct {
 	seed     maphash.Seed
 	span     time.Duration
@@ -15,14 +15,14 @@
 	since    time.Duration // when current was begun
 }
 
-// maxRecentIDs bounds the IDs in each generation, which takes about half a megabyte.
+// maxRecentIDs bounds the number of IDs in each generation, which takes about half a megabyte.
 const maxRecentIDs = 16 << 10
 
 func newRecentIDs(span time.Duration) recentIDs {
 	return recentIDs{seed: maphash.MakeSeed(), span: span}
 }
 
-// rotate begins a new generation if the present one is old or full.
+// rotate begins a new generation if the current one is older than span or full.
 func (r *recentIDs) rotate(now time.Duration) {
 	if now-r.since < r.span && len(r.current) < maxRecentIDs {
 		return
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,24 +7,26 @@
 )
 
 // Request is a client's request, from Loop.Submit until its attempts have ended. Its exported fields are set before
-// Submit; after that, only the loop touches the fields that are not exported.
+// Submit, which may shorten Deadline. The fields from done on belong to the loop, except that Submit may set
+// deadlineTimer.
 type Request struct {
 	ID          string // unique among the requests of an agent
 	Class       int
-	Message     any           // the request in the protocol's own form
+	Message     any           // the request in the protocol's own representation
 	Deadline    time.Time     // when the client stops waiting
-	Remaining   time.Duration // time until Deadline, as the client stated it
-	Work        time.Duration // expected work, as the client stated it; 0: unknown
-	ClientRetry bool          // the client says that it retries
+	Remaining   time.Duration // time until Deadline, as given by the client
+	Work        time.Duration // expected work, as given by the client; 0: unknown
+	ClientRetry bool          // the client marks the request as a retry
 	OnlyServer  string        // the only server that may get the request; empty: any
 	Client      net.Conn      // the client's connection, to notice its disconnect; nil: not checked
-	// Upload says that the request's last byte is still to come: its attempt reads what the client sends. Deadline
-	// is then no later than Remaining from now, and Attempt.UploadCompleted sets it anew.
+	// Upload is set if the request's last byte has not arrived yet: its attempt reads the rest from the client.
+	// Deadline is then at most Remaining from now, and Attempt.UploadCompleted sets it again, to Remaining from the
+	// last byte.
 	Upload bool
 
 	reply          func(Answer)
 	ended          chan struct{} // closed with the final answer
-	deadlineLifted atomic.Bool   // the response has begun, and the client waits for its end
+	deadlineLifted atomic.Bool   // the deadline has ceased to apply: only the transfer of the response remains
 	guard          sendGuard
 
 	done          bool // the request has its final answer, or its client has disconnected
@@ -40,24 +42,24 @@
 	return &Request{ID: id, Class: class, reply: reply, ended: make(chan struct{})}
 }
 
-// Ended returns a channel that is closed when the request has its final answer or its client has disconnected:
-// nothing is sent for the request after that.
+// Ended returns a channel that is closed when the request has its final answer or its client has disconnected. Nothing
+// is sent to a server for the request after that.
 func (r *Request) Ended() <-chan struct{} { return r.ended }
 
-// Abort answers a request as failed, for a loop that has stopped and will not answer it. It does nothing if the
-// request already has its final answer.
+// Abort answers a request as failed if the loop has stopped and will not answer it. It has no effect if the request
+// already has its final answer.
 func (r *Request) Abort() { r.guard.finish(r.ended, func() { r.reply(Answer{}) }) }
 
-// Answer is a final answer. The fields up to ClientDisconnected say which kind it is; if none is set, the request
+// Answer is a final answer. The fields up to ClientDisconnected determine its kind; if none of them is set, the request
 // failed. An answer with ClientDisconnected may be Refused too.
 type Answer struct {
 	Served             any           // the response of an attempt
 	Refused            bool          // the request was not executed, so a retry is safe
 	TimedOut           bool          // the request failed because its deadline was exceeded
 	Duplicate          bool          // the request failed: another one with this ID is open or has just ended
-	ClientDisconnected bool          // the request failed, or was refused if nothing was sent
+	ClientDisconnected bool          // the client has disconnected; if Refused is set too, no attempt was made
 	RetryAfter         time.Duration // for Refused: how long to wait before a retry; 0: no advice
 	Limit              string        // the fleet's shared limit that the request hit; empty: none
-	Ejected            string        // for Refused: the servers that the fleet has ejected; empty: none
-	Policy             string        // for Refused: why the agent's policy admits no requests; empty: it admits them
+	Ejected            string        // for Refused: names of the servers that the fleet has ejected; empty: none
+	Policy             string        // for Refused: why the agent's policy does not admit requests; empty: it does
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -6,8 +6,8 @@
 	"vetchhaven/decide"
 )
 
-// handle processes one posted event, and records what the balancer must know at its next step. A served request is
-// answered here, so that its client does not wait for the step.
+// handle processes one posted event, and adds the balancer's events that follow from it to pending. A served request is
+// answered here, so that its client does not wait for the next step.
 func (l *Loop) handle(event any) {
 	switch e := event.(type) {
 	case requestArrived:
@@ -55,15 +55,15 @@
 
 // onRequestArrived adds a request to the table, unless it is not admitted.
 func (l *Loop) onRequestArrived(r *Request) {
-	if r.done { // its deadline timer overtook it: see onDeadlineExceeded
+	if r.done { // its deadline timer was handled before it: see onDeadlineExceeded
 		return
 	}
 	if reason := l.admissionClosed(); reason != "" {
 		l.shed(r, reason)
 		return
 	}
-	// The ID belongs to another request. The ID of a request that has just ended is rejected too, because servers
-	// may still know it.
+	// A duplicate ID is rejected. The ID of a request that has ended recently is rejected too, because servers may
+	// still have it in their records.
 	if l.requests[r.ID] != nil || l.recent.has(r.ID, l.clock.now()) {
 		l.reject(r, Answer{Duplicate: true})
 		return
@@ -81,7 +81,8 @@
 	})
 }
 
-// onResponseStarted cancels the other attempts of a request, whose responses can't be used any more.
+// onResponseStarted notifies the balancer, and cancels the other attempts of the request, because their responses can't
+// be used any more.
 func (l *Loop) onResponseStarted(e responseStarted) {
 	l.pending = append(l.pending, decide.ResponseStarted{
 		Request:   e.ID,
@@ -96,7 +97,7 @@
 	}
 }
 
-// onUploadCompleted sets a request's deadline, which runs from its last byte.
+// onUploadCompleted sets a request's deadline, which is measured from its last byte.
 func (l *Loop) onUploadCompleted(e uploadCompleted) {
 	if e.done {
 		return
@@ -110,8 +111,8 @@
 	})
 }
 
-// onAttemptEnded records an attempt's outcome. An OK is the request's final answer, unless another attempt's
-// response is on its way to the client.
+// onAttemptEnded records an attempt's outcome. With the result OK, its response is the request's final answer, unless
+// the response of another attempt is being sent to the client.
 func (l *Loop) onAttemptEnded(e attemptEnded) {
 	e.open--
 	if e.open < 0 {
@@ -134,22 +135,22 @@
 	l.forget(e.Request)
 }
 
-// onClientDisconnected ends a request whose client does not wait for an answer any more.
+// onClientDisconnected ends a request whose client has disconnected or does not need an answer any more.
 func (l *Loop) onClientDisconnected(r *Request) {
 	if r.done {
 		return
 	}
 	l.counts.clientDisconnects++
 	l.totals.clientDisconnects.Add(1)
-	// The client may have closed only its sending side and still read the answer. If nothing was sent, it may retry
-	// the request.
+	// The client gets an answer, because it may have closed only its sending side. If no attempt was made, the answer
+	// is a refusal, after which the client may retry.
 	l.finish(r, Answer{ClientDisconnected: true, Refused: len(r.attempts) == 0})
 	l.pending = append(l.pending, decide.RequestCancelled{Request: r.ID})
 	l.forget(r)
 }
 
-// onDeadlineExceeded answers a request that has no answer by its deadline. The balancer should answer every request
-// before that; if it does not, the client gets its final answer here, and the failure is logged.
+// onDeadlineExceeded answers a request that has no answer when its deadline has passed. The balancer should answer
+// every request before that; if it does not, the client gets its final answer here, and the failure is logged.
 func (l *Loop) onDeadlineExceeded(r *Request) {
 	if r.done || r.deadlineLifted.Load() {
 		return
@@ -159,7 +160,7 @@
 	l.counts.late++
 	l.totals.late.Add(1)
 	answer := Answer{TimedOut: true}
-	if l.requests[r.ID] != r { // it is not in the table yet, and its ID may belong to another request
+	if l.requests[r.ID] != r { // r is not in the table yet, and its ID may be that of another request
 		l.reject(r, answer)
 		return
 	}
@@ -180,7 +181,7 @@
 	}
 }
 
-// finish gives a request its one final answer.
+// finish gives a request its only final answer.
 func (l *Loop) finish(r *Request, answer Answer) {
 	if r.done {
 		l.violated(AnsweredOnce, r.ID, len(r.attempts), "", "a second final answer")
@@ -193,16 +194,16 @@
 	r.guard.finish(r.ended, func() { r.reply(answer) })
 }
 
-// reject gives the final answer to a request that is not in the table. Later events of its connection and its timer
-// (its client's disconnect may be posted already) find the request done. The timer is not stopped: Submit, in
-// another goroutine, may still be about to set it.
+// reject gives the final answer to a request that is not in the table. Later events of its connection and of its timer
+// are ignored because done is set; a disconnect of its client may already have been posted. The timer is not stopped,
+// because Submit may be setting it at this time in another goroutine.
 func (l *Loop) reject(r *Request, answer Answer) {
 	r.done = true
 	r.guard.finish(r.ended, func() { r.reply(answer) })
 }
 
-// forget removes a request from the table once it is done and has no attempt in flight. Until then its ID stays
-// taken.
+// forget removes a request from the table if it is done and has no attempt in flight. Until then its ID is taken, and
+// after that it is one of the recent IDs.
 func (l *Loop) forget(r *Request) {
 	if r.done && r.open == 0 {
 		delete(l.requests, r.ID)
--- a/internal/core/sendguard.go
+++ b/internal/core/sendguard.go
@@ -17,13 +17,13 @@
 	SendAllowed        SendRefusal = iota
 	RequestAnswered                // the request has its final answer, or another attempt's response has begun
 	AttemptEnded                   // the attempt timed out or was cancelled, or the agent has ended
-	ServerWithdrawn                // an operator disabled the server, or the list says that it drains or is gone
-	WindowClosed                   // the deduplication window or the lease under which the attempt may begin has ended
-	ClientDisconnected             // the client does not wait for the answer any more
+	ServerWithdrawn                // see Attempt.serverWithdrawn
+	WindowClosed                   // the deduplication window or the lease within which the attempt must begin has ended
+	ClientDisconnected             // the client has disconnected
 	sendRefusalCount
 )
 
-// sendRefusalNames are values of a metric's label.
+// sendRefusalNames are the names of the reasons, which are values of a metric's label.
 var sendRefusalNames = [sendRefusalCount]string{
 	"allowed",
 	"request_answered",
@@ -42,33 +42,34 @@
 	case s == AttemptEnded && errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
 	case s == AttemptEnded, s == ServerWithdrawn:
-		return decide.Incomplete // not sent completely, so never executed: it may be sent to another server
+		return decide.Incomplete // never executed, because it was not sent completely; it may be sent to another server
 	}
 	return decide.NotSent
 }
 
-// sendGuard is the one place through which each write to a server and the final answer of its request go. A write
-// and the answer exclude each other: while a write is open the answer waits for its end, and after the answer no
-// write can open. A process that is paused between a check and its write therefore sends nothing after the answer.
+// sendGuard admits each write to a server and the final answer of its request. A write and the answer exclude each
+// other: while a write is open the answer is deferred, and after the answer no write is admitted. Therefore a process
+// that is paused between a check and its write sends nothing after the answer.
 //
-// An answer waits no longer than a write takes: the kernel takes small writes at once, and larger ones are
+// An answer is deferred only for a short time: the kernel accepts small writes at once, and larger ones are
 // interrupted.
 type sendGuard struct {
 	mu                sync.Mutex
-	writeEnded        sync.Cond // its Locker is mu, set by startResponse
+	writeEnded        sync.Cond // signals the end of a write; its Locker is mu, which startResponse sets
 	writes            []openWrite
 	answered          bool
-	respondingAttempt int    // the attempt that sends its response to the client, counted from 1; 0: none
+	respondingAttempt int    // number, from 1, of the attempt whose response is sent to the client; 0: none
 	deferredAnswer    func() // gives the answer once no write is open
 }
 
-// openWrite is a write that may be under way.
+// openWrite is a write that was admitted and has not ended.
 type openWrite struct {
 	attempt   int
-	interrupt func() // ends a write that waits for its server; must not block
+	interrupt func() // ends a write that is waiting for its server; must not block
 }
 
-// open admits a write, which the caller ends with end. It reports false if the request has ended for this attempt.
+// open admits a write, whose end the caller must report with end. It reports false if the write is not admitted: the
+// request has its final answer, or the response of another attempt has begun.
 func (g *sendGuard) open(attempt int, interrupt func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,7 +80,7 @@
 	return true
 }
 
-// end ends an attempt's write. The end of the last open write gives the answer that waited for it. It reports false
+// end records the end of an attempt's write. After the last open write it gives the deferred answer. It reports false
 // if no write of the attempt is open.
 func (g *sendGuard) end(attempt int) bool {
 	found, answer := g.remove(attempt)
@@ -89,7 +90,7 @@
 	return found
 }
 
-// remove removes an attempt's write, and returns the answer that is to be given now, or nil.
+// remove removes an attempt's write, and returns the deferred answer if it is to be given now, or nil.
 func (g *sendGuard) remove(attempt int) (found bool, answer func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,8 +108,8 @@
 	return i >= 0, answer
 }
 
-// finish gives the request its final answer, or leaves that to the end of the last open write. It reports false if
-// the request already had one.
+// finish gives the request its final answer, or defers it to the end of the last open write. It reports false if the
+// request already had a final answer.
 func (g *sendGuard) finish(ended chan struct{}, answer func()) bool {
 	g.mu.Lock()
 	if g.answered {
@@ -128,15 +129,15 @@
 	return true
 }
 
-// interruptWrites interrupts all open writes. The lock is held.
+// interruptWrites interrupts all open writes. The lock must be held.
 func (g *sendGuard) interruptWrites() {
 	for _, w := range g.writes {
 		w.interrupt()
 	}
 }
 
-// startResponse reserves the client's connection for an attempt's response, once no attempt writes. It reports false
-// if another attempt has the connection, or the final answer was given.
+// startResponse reserves the client's connection for an attempt's response, and waits until no attempt writes. It
+// reports false if another attempt has the connection, or the request has its final answer.
 func (g *sendGuard) startResponse(attempt int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -155,17 +156,17 @@
 	return true
 }
 
-// anotherResponds reports whether another attempt's response is on its way to the client.
+// anotherResponds reports whether the response of another attempt has begun.
 func (g *sendGuard) anotherResponds(attempt int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.respondingAttempt != 0 && g.respondingAttempt != attempt+1
 }
 
-// BeginWrite admits the attempt's first byte, right before it is written. It checks everything that may have changed
-// since the attempt was decided, and the final answer can't come between the check and the write. Unless the write
-// is refused, EndWrite must follow. interrupt is called, at most once and not after EndWrite, if the request ends
-// meanwhile.
+// BeginWrite admits the attempt's first byte. It must be called right before the write, because it checks everything
+// that may have changed since the balancer decided on the attempt; no final answer is given between the check and the
+// end of the write. Unless the write is refused, EndWrite must follow. interrupt is called, at most once and not after
+// EndWrite, if the request ends during the write.
 func (a *Attempt) BeginWrite(interrupt func()) SendRefusal {
 	if !a.guard.open(a.N, interrupt) {
 		return a.refused(RequestAnswered)
@@ -178,7 +179,8 @@
 	return a.refused(refusal)
 }
 
-// checkWrite checks everything that may have changed since the attempt was decided, except for the final answer.
+// checkWrite checks everything that may have changed since the balancer decided on the attempt, except for the final
+// answer.
 func (a *Attempt) checkWrite() SendRefusal {
 	switch {
 	case a.Context.Err() != nil:
@@ -193,7 +195,8 @@
 	return SendAllowed
 }
 
-// ContinueWrite admits another part of what BeginWrite began.
+// ContinueWrite admits the write of another part of the request after BeginWrite. EndWrite must follow as for
+// BeginWrite.
 func (a *Attempt) ContinueWrite(interrupt func()) SendRefusal {
 	if !a.guard.open(a.N, interrupt) {
 		return a.refused(RequestAnswered)
@@ -205,7 +208,7 @@
 	return SendAllowed
 }
 
-// EndWrite announces that an admitted write has returned.
+// EndWrite records that an admitted write has returned.
 func (a *Attempt) EndWrite() {
 	if !a.guard.end(a.N) {
 		a.loop.violated(WriteMatched, a.ID, a.N, a.Server, "the end of a write that was not admitted")
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// Errors for which no connection to a server is even tried.
+// These errors prevent an attempt from opening a connection to its server.
 var (
 	ErrNoSocket  = errors.New("no file descriptor left for another connection")
 	ErrNoAddress = errors.New("the server has no address")
@@ -26,10 +26,10 @@
 	return addr, known
 }
 
-// Server returns the server that has an address; empty: none has.
+// Server returns the server that has an address, or an empty string if there is none.
 func (a *Addresses) Server(addr string) string { return a.owner[addr] }
 
-// Len returns how many servers and how many addresses are known.
+// Len returns the number of servers that have an address, and the number of addresses.
 func (a *Addresses) Len() (servers, addresses int) { return len(a.byID), len(a.owner) }
 
 // Update applies a change of the list. It calls forget for each server that is removed or whose address changes,
@@ -57,8 +57,8 @@
 	}
 }
 
-// set gives a server an address. Another server that had the address before is removed, though its own entry may
-// still be to come: what is meant for that server must not reach this one.
+// set sets the address of a server. Another server that had the address before is removed, even if its own new entry
+// follows later in the list, because requests for that server must not reach this one.
 func (a *Addresses) set(id, addr string, forget func(id string)) {
 	if previous, taken := a.owner[addr]; taken && previous != id {
 		a.remove(previous, forget)
@@ -75,18 +75,18 @@
 	forget(id)
 }
 
-// NotConnected returns the result of an attempt that has no connection, by the error that prevented it.
+// NotConnected returns the result of an attempt that got no connection, for the error that prevented it.
 //
-// ConnectFailed tells the balancer that the server's process has ended: its next answer counts as the answer of a
-// cold process, for all of the slow start. Only a refused connection shows this, or a list that has no address for
-// the server. A connection that is reset, even before dial has returned, had a process at its other end: it may be a
-// proxy, a full accept queue or a firewall that answers with resets. If something else accepts connections while a
-// server restarts, the restart shows only in the list.
+// With ConnectFailed the balancer assumes that the server's process has ended, and begins a complete slow start with
+// its next answer. Only a refused connection proves that the process has ended, or a list that has no address for the
+// server. A reset, even before dial has returned, proves nothing about the process: it may come from a proxy, a full
+// accept queue or a firewall. If something else accepts connections while a server restarts, only the list shows the
+// restart.
 //
-// A timeout of the attempt says nothing about a process, and neither do errors that this machine's network reports
-// about itself: a machine that was cut off, or had no route, comes back as it was. Servers that no member reaches
-// are ejected for it all the same. A server that vanished, and starts anew before the list says so, counts as warm
-// until it does.
+// A timeout of the attempt is no evidence about the process. Neither are errors of this machine's own network: after a
+// loss of the network or of a route, the server's process is the same. Servers that no member can reach are ejected in
+// these cases too. If a server became unreachable without refusing a connection and was restarted, it counts as warm
+// until the list reports the start.
 func NotConnected(ctx context.Context, err error) decide.Result {
 	switch {
 	case errors.Is(err, ErrNoSocket), outOfDescriptors(err), errors.Is(err, syscall.EADDRNOTAVAIL):
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -7,40 +7,40 @@
 	"vetchhaven/decide"
 )
 
-// startTimes are when servers' processes started, by the agent's monotonic clock. A list has a start in Unix time by
-// the clock of another machine, which may differ from this one's by any amount. What this process has observed
-// bounds the start: a start that a list has for the first time lies between the last list without it and now. If the
-// listed time lies in that range too it is taken as correct; otherwise the process counts as started now, which
-// makes it as cold as it can be. A list that has a start later than other changes makes the server colder by that
-// delay.
+// startTimes holds the times at which servers' processes started, by the agent's monotonic clock. A list contains
+// starts in Unix time by the clock of another machine, which may differ from this machine's clock by any amount. The
+// agent's own observations bound a start: one that a list contains for the first time lies between the last list
+// without it and now. If the listed time lies in that range too, it is taken as correct. Otherwise the process counts
+// as started now, so that it gets the complete slow start. If the list contains a start later than other changes, the
+// slow start ends later by that delay.
 //
-// A start in the first list that was read, or in the first one after a list that was saved, has no such lower bound.
-// The listed time is then taken as correct unless it lies in the future. If the wall clock is ahead by d, a server
-// that started less than one warm-up before this agent counts as warmer by d, at worst as warm. If the wall clock is
-// behind, it counts as colder for at most one warm-up.
+// For a start in the first list that was read, or in the first one after a saved list, there is no such lower bound.
+// The listed time is then taken as correct unless it lies in the future. If this machine's wall clock is ahead by d,
+// the slow start of a server that started less than one slow-start time before this agent ends earlier by d, at worst
+// at once. If the wall clock is behind, the slow start ends later, by at most one slow-start time.
 type startTimes struct {
 	known    map[string]startTime
-	listedAt time.Duration // when the last list was read; 0: none was
+	listedAt time.Duration // when the last list that was not a stored one was received; 0: none was
 	prunedAt time.Duration
 }
 
 // startTime is one start.
 type startTime struct {
-	listedMS     int64         // Unix milliseconds, as the list has it
+	listedMS     int64         // listed start, Unix milliseconds
 	at           time.Duration // start by the agent's clock
-	missingSince time.Duration // since when the server is missing in the list; 0: it is listed
+	missingSince time.Duration // time since which the server is missing in the list; 0: it is listed
 }
 
 const (
-	// missingRetention is how long the start of a server is kept after the server has left the list. A server that
-	// comes back as the same process, after the list has flapped, has not started anew.
+	// missingRetention is how long the start of a server is kept after the server was removed from the list. If the
+	// server is listed again as the same process, because the list was temporarily incomplete, it has not restarted.
 	missingRetention = 10 * time.Minute
-	// pruneInterval is the time between two searches for starts that are past missingRetention.
+	// pruneInterval is the minimum time between two searches for starts that are older than missingRetention.
 	pruneInterval = time.Minute
 )
 
-// observe bounds the starts of a list. The start of a process that is known already does not change, because the
-// process would then count as another one.
+// observe replaces the starts in a list by those according to startTimes, and records them. The start of a process that
+// has already been recorded does not change, because the process would then count as another one.
 func (s *startTimes) observe(l *List, now time.Duration) {
 	if l.Kind == decide.ListFailed {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// markUnlisted marks the servers that a complete list does not have as missing.
+// markUnlisted marks the servers that a complete list does not contain as missing.
 func (s *startTimes) markUnlisted(l *List, now time.Duration) {
 	for id := range s.known {
 		if _, listed := l.Starts[id]; !listed {
@@ -76,7 +76,7 @@
 	}
 }
 
-// markMissing records that the list does not have a server.
+// markMissing records that the list does not contain a server any more.
 func (s *startTimes) markMissing(id string, now time.Duration) {
 	if start, known := s.known[id]; known && start.missingSince == 0 {
 		start.missingSince = now
@@ -105,27 +105,27 @@
 		return previous.at
 	}
 	at := min(hint, now)
-	if at < s.listedAt { // the listed time is wrong, or was listed late; when in between it started is unknown
+	if at < s.listedAt { // the listed time is wrong, or was listed late, so that the actual start is unknown
 		at = now
 	}
 	if known {
-		at = max(at, previous.at+1) // it must count as another process, whatever the bounds
+		at = max(at, previous.at+1) // it must count as another process in any case
 	}
 	s.known[id] = startTime{listedMS: listedMS, at: at}
 	return at
 }
 
-// startedAt returns when the process of a server started whose listed start is listedMS, or false if no such process
-// is known.
+// startedAt returns the start, by the agent's clock, of the process of a server whose listed start is listedMS, or
+// false if that is not the latest recorded process of the server.
 func (s *startTimes) startedAt(id string, listedMS int64) (time.Duration, bool) {
 	start, known := s.known[id]
 	return start.at, known && start.listedMS == listedMS
 }
 
-// listedMS returns a server's start as the list has it, in Unix milliseconds; 0: it is not known.
+// listedMS returns the listed start of a server in Unix milliseconds; 0: it is unknown.
 func (s *startTimes) listedMS(id string) int64 { return s.known[id].listedMS }
 
-// restore records the start of a process that an earlier agent of this name knew.
+// restore records the start of a process from the stored Memory, and returns it by the agent's clock.
 func (s *startTimes) restore(id string, listedMS int64, hint, now time.Duration) time.Duration {
 	if s.known == nil {
 		s.known = map[string]startTime{}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ClassCounts count the final answers to clients of one class since the start, and the attempts that were sent for
-// them. The code that writes an answer, or an attempt's last byte, counts it.
+// ClassCounts holds the numbers of final answers for one class of requests since the start, and of attempts that were
+// sent for them. They are counted where an answer, or the last byte of an attempt, is written.
 type ClassCounts struct{ Answered, Deferred, Errored, Sends atomic.Int64 }
 
 // CountAnswer counts a final answer. An answer whose client has disconnected is not counted.
@@ -39,7 +39,7 @@
 	Answered, Deferred, Errored, Sends int64
 }
 
-// Status returns the agent's status. The numbers of servers are from the loop's last reply, for which Status waits
+// Status returns the agent's status. The numbers of servers are those of the loop's last update, for which Status waits
 // up to the timeout; the rest is current.
 func (a *Agent) Status(timeout time.Duration) Status {
 	status := Status{Open: a.protocol.OpenRequests()}
@@ -59,10 +59,10 @@
 	return status
 }
 
-// backendCounts are the numbers of servers that the balancer knew, and avoided, when it was last asked.
+// backendCounts holds the results of the last call of decide.Balancer.BackendCounts.
 type backendCounts struct{ listed, avoided atomic.Int64 }
 
-// backendCountsQuery asks the loop to update the backendCounts.
+// backendCountsQuery is posted to make the loop update the backendCounts.
 type backendCountsQuery struct{ done chan struct{} }
 
 // refreshBackendCounts makes the loop update the counts, and waits for that up to the timeout. Any goroutine may
@@ -91,13 +91,13 @@
 	l.backendCounts.avoided.Store(int64(avoided))
 }
 
-// Totals count an agent's requests since its start, and its attempts.
+// Totals holds the numbers of an agent's requests and attempts since its start.
 type Totals struct {
-	Requests          int64 // submitted or shed by the policy; without duplicates and those past their deadline
+	Requests          int64 // submitted requests, also shed ones; without those rejected as duplicate or too late
 	Served            int64
 	Refused           int64
 	Failed            int64
-	ClientDisconnects int64 `json:"Gone"` // Gone is the key that earlier builds use
+	ClientDisconnects int64 `json:"Gone"` // the key of earlier builds
 	Attempts          int64
 	Late              int64 // requests without an answer by the deadline
 	Open              int64 // requests that are open now
@@ -118,12 +118,12 @@
 	}
 }
 
-// totals are the Totals as the loop counts them.
+// totals holds the counters of Totals, which the loop increments.
 type totals struct{ requests, served, refused, failed, clientDisconnects, attempts, late atomic.Int64 }
 
-// counts are the totals since the last summary.
+// counts holds the same counters since the last summary.
 type counts struct{ requests, served, refused, failed, clientDisconnects, attempts, late int }
 
-// SetStepHook makes the loop call f with the agent's totals at each step, so that a fault test can make it panic. It
-// must be called before Run.
+// SetStepHook makes the loop call f with the agent's totals at each step, so that a fault test can cause a panic in the
+// loop. It must be called before Run.
 func (a *Agent) SetStepHook(f func(Totals)) { a.loop.stepHook = func() { f(a.Totals()) } }
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// policyPrefix marks the keys of shedCounts that are the policy's reasons; the others are names of shared limits.
+// policyPrefix is the prefix of the keys of shedCounts that are reasons of the policy. The other keys are names of
+// shared limits.
 const policyPrefix = "policy: "
 
 // summarize logs what the agent has done since the last summary.
@@ -26,7 +27,7 @@
 	l.ejected.refusals = 0
 }
 
-// countSharedLimit counts a request that hit a shared limit; an empty name: none.
+// countSharedLimit counts a request that a shared limit has ended. With an empty name it has no effect.
 func (l *Loop) countSharedLimit(name string) {
 	if name != "" {
 		l.shedCounts[name]++
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -28,7 +28,7 @@
 	kindPeerMessage     = "Peer"
 )
 
-// Keys of the simulator's messages, as errors name them.
+// These are the keys of the simulator's messages that errors name.
 const (
 	keySettings = "Facts"
 	keyText     = "Msg"
@@ -198,7 +198,7 @@
 	}, nil
 }
 
-// result decodes Outcome, which must be set.
+// result decodes Outcome, which must not be nil.
 func (m *message) result() (decide.Result, error) {
 	result, ok := results[*m.Outcome]
 	if !ok {
@@ -242,10 +242,11 @@
 	return list, nil
 }
 
-// notReported marks a figure that is missing in a load report.
+// notReported is the value of a figure that is missing in a load report.
 const notReported = -1
 
-// Load translates a load report; nil: there is none. Figures that are missing in it are -1.
+// Load translates a load report. If usage is nil, there is no report, and the result is not valid. Figures that are
+// missing are -1.
 func Load(usage map[string]float64) decide.Load {
 	load := decide.Load{
 		Valid:        usage != nil,
@@ -269,7 +270,7 @@
 	return load
 }
 
-// milliseconds converts a number of milliseconds in a message, rounded to the nanosecond.
+// milliseconds converts a number of milliseconds in a message to a duration, rounded to the nanosecond.
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -12,13 +12,13 @@
 	"vetchhaven/decide"
 )
 
-// Batch is everything that happened at one instant.
+// Batch holds the events of one instant.
 type Batch struct {
 	Now    time.Duration // since the simulator's time zero
 	Events []Event
 }
 
-// Event is one event of a batch, and the instance to which it belongs. Exactly one of Open, Retire and Event is set.
+// Event is one event of a batch, with the instance to which it belongs. Exactly one of Open, Retire and Event is set.
 type Event struct {
 	Line   int // line number in the stream, from 1
 	Agent  int // the instance's number
@@ -27,7 +27,7 @@
 	Event  decide.Event
 }
 
-// Open starts an instance that has no state.
+// Open starts an instance without state.
 type Open struct {
 	Seed     uint64
 	Settings decide.Settings
@@ -41,11 +41,11 @@
 type Reader struct {
 	in         *bufio.Reader
 	line       int                      // number of the last line read
-	lists      map[int][]decide.Backend // by their number
-	classCount map[int]int              // request classes of each open instance, by its number
+	lists      map[int][]decide.Backend // by number of the list
+	classCount map[int]int              // number of request classes of each open instance, by number of the instance
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:         bufio.NewReaderSize(in, readBufferSize),
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -36,10 +36,10 @@
 	LateValue   float64
 	Semantics   string  // a key of effects
 	DedupScope  string  `json:"Group"` // a key of dedupScopes
-	WindowMs    float64 // how long an idempotency key is remembered
+	WindowMs    float64 // how long servers keep an idempotency key
 }
 
-// limitsObject holds what the decision module may do.
+// limitsObject specifies what the decision module may do.
 type limitsObject struct {
 	MaxAttempts      int  `json:"TryLimit"`
 	Hedging          bool `json:"SecondCopies"`
@@ -53,7 +53,7 @@
 	MaxOpen          float64
 }
 
-// contractObject holds the times and load figures that the platform promises or demands.
+// contractObject holds the times and load figures that the platform guarantees or requires.
 type contractObject struct {
 	DrainGraceMs      float64
 	AnswerGraceMs     float64 `json:"GraceToAnswerMs"`
@@ -71,12 +71,12 @@
 	WorstClass  float64
 }
 
-// pricesObject holds what an action costs in the score.
+// pricesObject holds the costs of actions in the score.
 type pricesObject struct {
 	CrossZone float64
 }
 
-// loadReportObject holds how servers report their load.
+// loadReportObject specifies how servers report their load.
 type loadReportObject struct {
 	Source string // loadInline or loadOnProbe; with any other value servers report no load
 }
@@ -104,13 +104,13 @@
 	"cell": decide.ScopeCell,
 }
 
-// Site is what an agent on sockets needs of the settings object in addition to decide.Settings.
+// Site holds the values of the settings object that an agent on sockets needs in addition to decide.Settings.
 type Site struct {
 	Classes    []string      // names, in the order of decide.Settings.Classes
 	Zones      []string      // names, by index
 	Kinds      []string      // names of the kinds of servers, by index
 	IdleClose  time.Duration // idle time after which a server closes a connection
-	MaxOpen    int           // bound of the requests that are open at once; 0: no limit
+	MaxOpen    int           // maximum number of requests that may be open at once; 0: no limit
 	LoadInline bool          // responses carry load reports
 	LoadProbed bool          // health checks return load reports
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -12,19 +12,19 @@
 	"vetchhaven/decide"
 )
 
-// Writer writes replies. A reply is buffered until End writes it in one call, so that the peer never sees a partial
-// reply.
+// Writer writes replies. A reply is buffered until End writes it in one call, so that the simulator does not receive a
+// partial reply.
 type Writer struct {
 	out     io.Writer
 	reply   bytes.Buffer // complete messages of the reply
 	message []byte       // the message being encoded
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// Actions adds the actions of one instance to the reply. An action that has no message is an error; the actions
-// before it stay in the reply.
+// Actions adds the actions of one instance to the reply. It returns an error for an action that has no message; the
+// actions before it remain in the reply.
 func (w *Writer) Actions(agent int, actions []decide.Action) error {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// Broken adds a message to the reply which says that the decision code of an instance has failed, with the reason.
+// Broken adds a message to the reply, which reports that the decision code of an instance has failed. text is the
+// reason.
 func (w *Writer) Broken(agent int, text string) {
 	w.begin("Broken", agent).str("Msg", text)
 	w.finish()
@@ -71,7 +72,7 @@
 	return err
 }
 
-// begin starts a message of an instance, and finish ends it. Each call between them adds one key.
+// begin starts a message of an instance, and finish ends it. Each call between the two adds one key.
 func (w *Writer) begin(kind string, agent int) *Writer {
 	w.message = append(w.message[:0], `{"msg":"`...)
 	w.message = append(w.message, kind...)
