--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -14,7 +14,7 @@
 	s := testSettings()
 	s.Balancers = 2
 	h := newHarness(t, s, 1, testBackends(2))
-	for i := range 200 { // slow answers
+	for i := range 200 { // these requests are answered slowly
 		id := fmt.Sprint("s", i)
 		h.request(id, idempotent)
 		h.now += 350 * ms
@@ -43,8 +43,8 @@
 	}
 }
 
-// Each agent's share of the limit must shrink with the number of agents, also if backends are idle: many agents that
-// each use the whole limit overload the backends (incident i6c6372).
+// Each agent's share of the limit must become smaller with the number of agents, even if backends are idle: many agents
+// that each use the complete limit overload the backends (incident i6c6372).
 func TestInFlightLimitIsDividedAmongBalancers(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := testSettings()
@@ -77,7 +77,7 @@
 	}
 }
 
-// While the list still names unreachable backends, the load that they carried must not move to the reachable ones
+// While the list still contains unreachable backends, the load that they served must not move to the reachable ones
 // (incidents idacc77 and i574e74).
 func TestInFlightLimitExcludesUnreachableBackends(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(10))
@@ -148,8 +148,8 @@
 	}
 }
 
-// The limit of a busy agent must not fall by chance when the mean latency is well within the objective but single
-// answers vary widely (incident ieeee80).
+// The limit of a busy agent must not fall by chance if the mean latency is well within the objective but the latencies
+// of single answers vary widely (incident ieeee80).
 func TestLimitOfBusyBalancerIsNotCutByChance(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 2
@@ -165,7 +165,7 @@
 		h.now += ms
 		if len(queue) > 75 {
 			if len(h.sent[queue[0]]) > 0 {
-				// Latencies come in runs, so that twenty answers in a row can all be slow.
+				// 25 answers in a row have the same latency, so that twenty answers in a row can all be slow.
 				h.outcome(queue[0], decide.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
@@ -205,9 +205,9 @@
 	}
 }
 
-// The latency of a server that is known to be slow must not lower the limit, because it says little about the other
-// servers. With a noisy neighbour on a third of the servers, the mean delay exceeded the target, and 40 in 100
-// requests were refused although the other servers had capacity (scenario houston big-1).
+// The latency of a server that has been measured as slow must not lower the limit, because the other servers may have
+// capacity. With other load on the machines of a third of the servers, the mean delay exceeded the target, and 40 in
+// 100 requests were refused although the other servers had capacity (scenario houston big-1).
 func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
 	h := newHarness(t, creditSettings(), 1, testBackends(8))
 	sent := 0
--- a/decide/anyorder_test.go
+++ b/decide/anyorder_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/decide"
 )
 
-// checkRandomEvents feeds a balancer valid events in a random, adverse order and checks the rules.
+// checkRandomEvents passes valid events in a random order to a balancer, and checks its actions against the rules.
 func checkRandomEvents(t *testing.T, seed uint64, steps int) *ruleChecker {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -181,7 +181,7 @@
 	})
 }
 
-// Each check of ruleChecker must be able to fail: these recorded actions break a rule.
+// Each check of ruleChecker must be able to fail: each of these sequences of events and actions violates a rule.
 func TestRuleCheckerRejects(t *testing.T) {
 	send := func(b string) decide.Action { return decide.Send{Request: "q", Backend: b} }
 	ended := func(n int, res decide.Result) decide.Event {
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -32,8 +32,8 @@
 	runtime.KeepAlive(lb)
 }
 
-// BenchmarkStepWithLeases is BenchmarkStep with limits that the fleet shares and for which there is always a lease:
-// twelve limits of all kinds, one of them per server, with leases from three lease servers.
+// BenchmarkStepWithLeases is BenchmarkStep with shared limits that never reject a request: twelve limits of all kinds,
+// one of them per server, each with a large lease from each of three lease servers.
 func BenchmarkStepWithLeases(b *testing.B) {
 	lb, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// playOne plays request i until it has ended.
+// playOne runs request i, with its outcome and possibly a retry, until it has ended.
 func playOne(lb *decide.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []decide.Event{decide.Request{ID: id, Class: idempotent, Remaining: time.Second}}
--- a/decide/clientretry_test.go
+++ b/decide/clientretry_test.go
@@ -28,7 +28,7 @@
 	}
 	g := &remainingHarness{t: t, b: b, now: time.Hour}
 	g.b.Step(g.now, []decide.Event{decide.ListUpdate{Kind: decide.ListFull, Backends: []decide.Backend{{ID: "a"}}}})
-	for range 50 { // two different lengths, which establish no usual one
+	for range 50 { // two alternating remaining times, so that none becomes the usual one
 		g.refused(1300*ms + time.Duration(g.next%2)*300*ms)
 	}
 	return g
@@ -48,8 +48,8 @@
 	return refused
 }
 
-// First attempts are not taken for clients' retries if their remaining times differ because their callers pass on
-// what is left of their own deadline.
+// First attempts must not count as clients' retries if their remaining times differ because their callers pass on the
+// rest of their own deadline.
 func TestSpreadRemainingTimesAreNoClientRetries(t *testing.T) {
 	const deadline = 2000 * ms
 	uniform := func(rng *rand.Rand, share float64) time.Duration {
@@ -74,7 +74,7 @@
 	}{
 		{"over a twentieth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.05) }},
 		{"over a fifth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.2) }},
-		// With less time left, waiting does not help.
+		// Requests with even less time left would be refused for lack of time.
 		{"over four fifths of it", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.8) }},
 		{"four equally frequent lengths", func(rng *rand.Rand) time.Duration { return deadline - time.Duration(rng.IntN(4))*400*ms }},
 		{"through 4 tiers", through(4, 0)},
@@ -97,8 +97,8 @@
 	}
 }
 
-// If clients give all their tries the same time, a request with a different remaining time is a last try. This also
-// holds in an overload in which half of the requests are last tries.
+// If clients give all their tries the same time, a request with a different remaining time must count as a last try,
+// also in an overload in which half of the requests are last tries.
 func TestOtherRemainingTimeIsAClientRetry(t *testing.T) {
 	const usual = 1000 * ms
 	for _, row := range []struct {
@@ -120,7 +120,7 @@
 			first, last, firstRefused, lastRefused := 0, 0, 0, 0
 			for i := range 1000 {
 				isRetry, left := i%(row.every+1) == row.every, usual-time.Duration(rng.Float64()*float64(tick))
-				if isRetry { // what its client has left after it has waited for part of a try or nearly all of it
+				if isRetry { // a last try gets the rest of its client's time: here 1.1 to 1.9 times the usual one
 					left = usual + time.Duration((0.1+0.8*rng.Float64())*float64(usual))
 				}
 				refused := g.refused(left)
--- a/decide/credit_test.go
+++ b/decide/credit_test.go
@@ -8,9 +8,9 @@
 	"vetchhaven/decide"
 )
 
-// Hundreds of agents that may each have one attempt in flight overload the servers. An agent that admits by credit
-// must admit fewer requests as the delay passes the target, and all of them while there is no queue, however many
-// they are (incident ie43f64, scenario dallas big-1).
+// Hundreds of agents that may each have one attempt in flight overload the servers. An agent that admits by credit must
+// admit fewer requests when the delay exceeds the target, and all of them while there is no queue, however many
+// requests there are (incident ie43f64, scenario dallas big-1).
 func TestCreditFollowsDelay(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
 		h := newHarness(t, creditSettings(), 1, testBackends(8))
@@ -35,9 +35,9 @@
 	}
 }
 
-// In an overloaded fleet answers arrive after clients have given up. An attempt that is in flight for most of its
-// objective must therefore count as delayed at once, so that fewer requests are admitted before it ends (scenario
-// dallas rough-1).
+// In an overloaded fleet answers arrive after clients have stopped waiting. An attempt that has been in flight for most
+// of its objective must therefore count as delayed at once, so that fewer requests are admitted before it ends
+// (scenario dallas rough-1).
 func TestOverdueAttemptCountsAtOnce(t *testing.T) {
 	s := creditSettings()
 	s.Balancers = 1000
@@ -49,7 +49,7 @@
 		h.outcome(id, decide.OK, 20*ms)
 	}
 	sent := 0
-	for i := range 60 { // no request is answered any more
+	for i := range 60 { // none of these requests is answered
 		id := fmt.Sprint("q", i)
 		h.request(id, idempotent)
 		h.advance(60 * ms)
@@ -62,8 +62,9 @@
 	}
 }
 
-// Without peers nothing limited 893 agents that admit by credit, and all server queues stayed full. An agent that is
-// rejected by full servers must admit fewer requests even if no peer reports anything (incident i8cbe41).
+// An agent whose attempts are rejected by full servers must admit fewer requests even without reports from peers.
+// Without peers, 893 agents that admitted by credit were not limited, and the queues of all servers stayed full
+// (incident i8cbe41).
 func TestCreditWithoutPeersAdmitsLess(t *testing.T) {
 	s := creditSettings()
 	s.Peers, s.MaxAttempts = false, 1
--- a/decide/dedupscope_test.go
+++ b/decide/dedupscope_test.go
@@ -9,23 +9,24 @@
 )
 
 // A keyed request that may have run may be repeated only at backends that were in its deduplication scope when it was
-// sent, whatever the list has said since. Backends that joined later may not know its key and would execute it a
-// second time. The current record of a backend may differ from the one at the time of the attempt.
+// sent, even if the list has changed since. Backends that joined the scope later may not have received its key, and
+// would execute it a second time. The current list entry of a backend may differ from that at the time of the attempt.
 func TestDedupScopeIsThatOfTheFirstAttempt(t *testing.T) {
 	zone := func(n int) func(*decide.Backend) { return func(b *decide.Backend) { b.Zone = n } }
 	cell := func(n int) func(*decide.Backend) { return func(b *decide.Backend) { b.Cell = n } }
 	gone := func(b *decide.Backend) { b.State = decide.Removed }
 	type change struct {
-		name string // "first": the backend of the first attempt; "other": the other one of its scope; or an ID
+		name string // an ID, or "first": the backend of the first attempt, or "other": the other backend of its scope
 		edit func(*decide.Backend)
 	}
-	// There are four backends. The first attempt goes to a or b (scope 0); c and d are in scope 1.
+	// There are four backends: a and b are in zone 0 and cell 0, c and d are in zone 1 and cell 1. In each test the
+	// first attempt goes to a or b.
 	tests := []struct {
 		name   string
 		class  int
 		before []change // listed before the first attempt
 		moves  []change // listed one after the other between the first attempt and its reset
-		want   []string // backends that may get the repeat; none: the request must fail
+		want   []string // backends that may get the repeat; empty: the request must fail
 	}{
 		{"no backend moves", keyedCell, nil, nil, []string{"other"}},
 		{"no backend moves, zones", keyedZone, nil, nil, []string{"other"}},
@@ -73,11 +74,11 @@
 				h.request("q", tt.class)
 				first := h.sent["q"][0]
 				if first == "c" || first == "d" {
-					continue // the table assumes scope 0
+					continue // the test cases require that the first attempt goes to a or b
 				}
 				name := map[string]string{"first": first, "other": map[string]string{"a": "b", "b": "a"}[first], "c": "c", "d": "d"}
 				for _, c := range tt.moves {
-					apply(c, name[c.name]) // at the time of the attempt: only the order of events tells them apart
+					apply(c, name[c.name]) // the clock has not moved since the attempt, so that only the order of events counts
 				}
 				h.now += 10 * ms
 				actions := h.outcome("q", decide.Reset, 10*ms)
@@ -103,14 +104,15 @@
 }
 
 // An outcome belongs to the process that the attempt was sent to. After the list has reported a new start, failures
-// of earlier attempts must not count against the new process, and their answers must not make it known or warm.
+// of earlier attempts must not count against the new process. Their answers must not make it count as warm either; this
+// test does not check that.
 func TestOutcomesOfAnEndedProcessDoNotCountForTheNext(t *testing.T) {
 	restart := func(h *harness) {
 		h.step(decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "a", Started: h.now}}})
 	}
 	play := func(res decide.Result, before bool) int {
 		s := testSettings()
-		s.SlowStartTime = 0 // this test is not about slow start
+		s.SlowStartTime = 0 // without slow start, which would limit the requests too
 		h := newHarness(t, s, 1, testBackends(1))
 		for _, id := range []string{"p1", "p2", "p3"} {
 			h.request(id, idempotent)
--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// A backend that an operator has disabled gets nothing until it is enabled again, whatever the list says in between.
+// A backend that an operator has disabled must get no requests until it is enabled again, whatever its listed state.
 func TestDisabledBackendGetsNothing(t *testing.T) {
 	disable, enable := decide.BackendDisabled{Backend: "a", Disabled: true}, decide.BackendDisabled{Backend: "a"}
 	listDelta := func(state decide.BackendState, started time.Duration) decide.Event {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A request that is backing off must not go to a backend that was disabled in the meantime, even if no other is left.
+// A request in retry backoff must not be sent to a backend that has been disabled since, even if there is no other.
 func TestBackendDisabledDuringBackoff(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		h := newHarness(t, testSettings(), seed, testBackends(2))
--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -26,7 +26,7 @@
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
 	}
-	// Once it works again it gets requests again, at first those that may be repeated.
+	// Once it works again it gets requests again, at first only requests that may be repeated.
 	h.advance(20 * time.Second)
 	if counts := h.serve(400, idempotent, 30*ms); counts["a"] < 20 {
 		t.Errorf("after its recovery it got %d of 400", counts["a"])
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -73,7 +73,7 @@
 		if n := countSubscribes(h.advance(s.SubscribeWithin / 10)); n != 1 {
 			t.Fatalf("subscribed %d times at the start, want once", n)
 		}
-		for range 8 { // each failure is followed by one more try within the bound
+		for range 8 { // after each failure there is one more Subscribe within the bound
 			h.step(decide.ListUpdate{Kind: decide.ListFailed})
 			if n := countSubscribes(h.advance(s.SubscribeWithin / 2)); n != 1 {
 				t.Fatalf("subscribed %d times after a failure, want once", n)
--- a/decide/errorrate_test.go
+++ b/decide/errorrate_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Backends may come with ever new IDs. The balancer must forget a removed backend that has no attempt in flight, and
-// must keep one that has until that attempt ends, because its loops run over all backends that it keeps.
+// New backends may have IDs that were never listed before. The balancer must delete a removed backend without attempts
+// in flight, because its loops run over all backends that it keeps. It must keep a removed backend with an attempt in
+// flight until that attempt ends.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, SlowStartShare: 1,
 		Classes: []Class{{Objective: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1)
@@ -98,12 +99,12 @@
 }
 
 // One error must eject a backend if the others have none, but not if another one has just had an error too. In that
-// case several errors eject it, and one refused connection does so at once.
+// case several errors must eject it, or one refused connection.
 func TestErrorRateBeyondChanceEjects(t *testing.T) {
 	for _, row := range []struct {
 		result Result
 		others bool
-		least  int // fewest and most such results until the ejection
+		least  int // minimum and maximum number of such results until the ejection
 		most   int
 	}{{Errored, false, 1, 1}, {Errored, true, 2, 4}, {Reset, true, 2, 4}, {ConnectFailed, true, 1, 1}} {
 		now := time.Hour
@@ -131,8 +132,8 @@
 	}
 }
 
-// A broken connection does not mean that the process has ended. In a network where many connections break, backends
-// counted as just started again and again and got only the share of a backend in slow start.
+// A broken connection must not count as the end of the process. In a network where many connections broke, backends
+// repeatedly counted as just started, and got only the share of a backend in slow start.
 func TestBrokenConnectionDoesNotBeginSlowStart(t *testing.T) {
 	for res, wantSlowStart := range map[Result]bool{Reset: false, Incomplete: false, ConnectFailed: true} {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: time.Minute,
@@ -155,8 +156,8 @@
 	}
 }
 
-// If all backends are in slow start, there are no warm ones to measure. Each backend must still get some work, at
-// most what a backend in slow start can do for certain, and more as it warms up.
+// If all backends are in slow start, no rate of a warm one can be measured. Each backend must still get some work, at
+// most what a backend in slow start can certainly serve, and more as its slow start proceeds.
 func TestAllBackendsInSlowStartStillServe(t *testing.T) {
 	b, err := New(Settings{Balancers: 2, MaxAttempts: 1, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: 10 * time.Second,
 		OverloadMultiple: 2.5, OverloadWindow: time.Second,
@@ -178,7 +179,7 @@
 		sent[i] = map[string]float64{}
 	}
 	for n := 0; now < start+9900*time.Millisecond; n++ {
-		now += 2 * time.Millisecond // 500 a second, 20 in flight: more than all three can serve
+		now += 2 * time.Millisecond // 500 requests a second, 20 in flight: more than the three backends can serve
 		events := []Event{Request{ID: fmt.Sprint(n), Remaining: time.Second}}
 		for len(pending) > 0 && now >= pending[0].at+latency {
 			events = append(events, Outcome{Request: pending[0].Request, Backend: pending[0].Backend, Result: OK, Latency: latency})
@@ -193,7 +194,8 @@
 	}
 	for i, by := range sent {
 		for _, id := range []string{"a", "b", "c"} {
-			// Two agents each send it this much. It has at least two cores and collapses at 2.5 times its capacity.
+			// Two agents each send a backend this much work. It has at least two cores, and collapses above 2.5 times
+			// its capacity.
 			certain := 0.3 + 0.7*float64(i)/10
 			if by[id] < 0.5*certain || i < 9 && 2*by[id] > 2.5*2*(certain+0.07) {
 				t.Errorf("second %d: backend %s got %.2f of work, it can certainly do %.2f per core", i, id, by[id], certain)
--- a/decide/export_test.go
+++ b/decide/export_test.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// CheckCapacity returns an error if the incrementally updated sums of a balancer differ from a full count.
+// CheckCapacity returns an error if the incrementally updated sums of a balancer differ from those of a complete
+// recount.
 func (b *Balancer) CheckCapacity() error {
 	type sums struct {
 		up, healthy, uncounted int
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// StartAttemptAtDrainingBackend starts an attempt of an open request at a backend that has begun to drain, and
-// returns the reason of the request's final answer.
+// StartAttemptAtDrainingBackend starts an attempt of an open request at a backend that has begun to drain, and returns
+// the reason of the request's final answer.
 func (b *Balancer) StartAttemptAtDrainingBackend(request, backend string) Reason {
 	e := b.byID[backend]
 	e.State = Draining
--- a/decide/fleetejection_test.go
+++ b/decide/fleetejection_test.go
@@ -20,7 +20,7 @@
 	if n := sentTo(h, "a", 100); n != 0 {
 		t.Errorf("%d of 100 requests went to the ejected backend", n)
 	}
-	h.step(decide.Ejections{}) // the ejection is lifted
+	h.step(decide.Ejections{}) // ends the ejection
 	if n := sentTo(h, "a", 100); n == 0 {
 		t.Error("no request went to the backend after its ejection was lifted")
 	}
@@ -35,8 +35,7 @@
 	}
 }
 
-// If all backends are ejected, a first attempt must still be sent: a fleet ejection does not take away the last
-// choice.
+// If all backends are ejected, a first attempt must still be sent: fleet ejections must not exclude the last backend.
 func TestEjectionOfAllLeavesAllInUse(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(2))
 	h.step(decide.Ejections{Ejections: []decide.Ejection{{Backend: "a", Until: h.now + time.Minute}, {Backend: "b", Until: h.now + time.Minute}}})
@@ -62,7 +61,8 @@
 	if n := sentTo(h, "a", 100); n != 0 {
 		t.Errorf("%d of 100 requests went to a backend that drains according to the list", n)
 	}
-	// The other two backends are reported as draining: nothing may go to them, and the request is refused at once.
+	// The other two backends are reported as draining: no attempt may be sent to them, and the request is refused at
+	// once.
 	h.step(decide.Ejections{Ejections: []decide.Ejection{{Backend: "b", Draining: true, Until: h.now + 10*time.Second}, {Backend: "c", Draining: true, Until: h.now + 10*time.Second}}})
 	if s, ok := findAction[decide.Send](h.request("y", idempotent)); ok {
 		t.Errorf("an attempt was sent to a draining backend: %+v", s)
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -8,8 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// The learned state must be restored for the processes that showed it. Invalid values and budgets for backends in
-// slow start must not be restored.
+// The learned state must be restored for the processes at which it was observed. Invalid values must not be restored.
 func TestLearnedStateIsRestored(t *testing.T) {
 	s := testSettings()
 	list := []decide.Backend{{ID: "fast"}, {ID: "slow"}, {ID: "new", Started: time.Minute}}
@@ -34,8 +33,8 @@
 			b.Restore(*l)
 		}
 		n := 0
-		// With one seed, the first choice of many balancers would always be the same. So one balancer is asked often,
-		// without answers from which it could learn.
+		// The first choice of balancers with the same seed is always the same. Therefore one balancer chooses many
+		// times, and all attempts are cancelled, so that their latencies do not change the learned state.
 		h := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
 		h.step(decide.ListUpdate{Kind: decide.ListCached, Backends: list})
 		for i := range 100 {
--- a/decide/learnedlimit_test.go
+++ b/decide/learnedlimit_test.go
@@ -13,7 +13,7 @@
 func TestLimitIsHandedToASuccessor(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
-		same  bool // as without a restored limit
+		same  bool // the balancer behaves as without a restored limit
 	}{{0, true}, {20, false}, {1, true}, {1e9, true}, {math.NaN(), true}, {math.Inf(1), true}} {
 		sent := func(limit float64) int {
 			b, err := decide.New(testSettings(), 1)
--- a/decide/leases_test.go
+++ b/decide/leases_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("after a reset: %+v", all)
 	}
 	h.request("b", idempotent)
-	h.outcome("b", decide.Rejected, ms) // never ran
+	h.outcome("b", decide.Rejected, ms) // this attempt never ran
 	all = h.advance(3 * time.Second)
 	if no, ok := findAction[decide.Refuse](all); !ok || no.Limit != "again" {
 		t.Errorf("after a refusal: %+v", all)
@@ -95,7 +95,7 @@
 	if _, ok := findAction[decide.Send](h.request("c", idempotent)); !ok {
 		t.Error("no attempt was sent after the first one had ended")
 	}
-	// An attempt that may not have ended when the lease expires does not start.
+	// An attempt that may still be in flight when the lease expires must not start.
 	h.outcome("c", decide.OK, ms)
 	h.step(decide.LeasesGranted{Leases: []quota.Lease{{Limit: "at-once", Grantor: "k", Number: 2, Amount: 1, Expires: h.now + ms}}})
 	if _, ok := findAction[decide.Refuse](h.request("d", idempotent)); !ok {
--- a/decide/message_test.go
+++ b/decide/message_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A message must keep its numbers and observations. Observations may become older in transit, never younger. Failures
-// go first, and observations that do not fit or are too old are left out.
+// A decoded message must have the numbers and observations of the original. The age of an observation may become larger
+// by the encoding, but not smaller. Failures are encoded first, and observations that do not fit or are too old are
+// left out.
 func TestPeerMessageRoundTrip(t *testing.T) {
 	const now, unit = time.Hour, time.Second
 	m := peerMessage{demand: 12.5, delay: 0.25}
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/decide"
 )
 
-// If agents may exchange messages, an agent with most of the traffic must get most of the limit. An agent that hears
-// from no peer must keep an equal share (incidents ieeee80 and i24a18c).
+// If agents may exchange messages, an agent with most of the traffic must get most of the limit. An agent that gets no
+// messages must keep an equal share (incidents ieeee80 and i24a18c).
 func TestPeersDivideTheLimitByDemand(t *testing.T) {
 	demand := func(busyCores float32) []byte {
 		return binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(busyCores))<<32)
@@ -84,7 +84,7 @@
 				}
 			}
 		}
-		for i := range 100 { // a request every tenth of a period
+		for i := range 100 { // ten requests per reporting interval
 			id := fmt.Sprint("q", i)
 			count(h.request(id, idempotent))
 			count(h.outcome(id, decide.OK, 20*ms))
@@ -125,7 +125,7 @@
 		h.advance(50 * ms)
 	}
 	before := inFlight(0)
-	for range 60 { // three seconds without a message: more than four reporting intervals
+	for range 60 { // for three seconds, more than four reporting intervals, no message arrives
 		h.serve(1, idempotent, 20*ms)
 		h.advance(50 * ms)
 	}
@@ -134,14 +134,14 @@
 	}
 }
 
-// An agent that admits by credit uses an unreachable server so seldom that it detects the failure too late. It must
-// learn the failure and the speed of a server from the messages of its peers. The same observation received again
-// must change nothing (scenario dallas big-1).
+// An agent that admits by credit uses an unreachable server so seldom that it detects the failure too late. It must use
+// the observations of failures and speed in the messages of its peers. An observation that is received again must have
+// no effect (scenario dallas big-1).
 func TestObservationsSpreadThroughPeers(t *testing.T) {
 	s := creditSettings()
 	sender := newHarness(t, s, 1, testBackends(4))
 	var data [][]byte
-	for i := range 60 { // a fails at once, b is slow, c and d are fast
+	for i := range 60 { // a fails immediately, b is slow, c and d are fast
 		id := fmt.Sprint("q", i)
 		acts := sender.request(id, nonIdempotent)
 		if len(sender.sent[id]) == 0 {
--- a/decide/pick_test.go
+++ b/decide/pick_test.go
@@ -101,7 +101,7 @@
 func TestStalledBackendIsAvoided(t *testing.T) {
 	h := newHarness(t, testSettings(), 4, testBackends(3))
 	h.serve(60, idempotent, 20*ms)
-	for i := range 3 { // one per backend
+	for i := range 3 { // one request for each backend
 		h.request(fmt.Sprint("hang", i), idempotent)
 	}
 	for i := range 3 {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A time-out shows at least how slow a backend is. A backend that answers only its light requests must not count as
-// fast because of these.
+// The time until a time-out is a lower bound of a backend's latency. A backend that answers only light requests must
+// not count as fast because of these.
 func TestTimeoutsRaiseSlowness(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
@@ -158,8 +158,8 @@
 	}
 }
 
-// When a fleet grows fivefold, the new backends are in slow start. The load that they can't take yet must not move to
-// the warm backends, nor to a single backend (incident i37feae).
+// If the number of backends becomes five times as large, the new backends are in slow start. The load that they can't
+// serve yet must not move to the warm backends, nor to a single backend (incident i37feae).
 func TestNewBackendsDoNotShiftLoadToWarmOnes(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(4))
 	h.serve(100, idempotent, 50*ms)
@@ -179,7 +179,7 @@
 		}
 	}
 	for id, n := range warm {
-		if n > 18 { // three mean shares of six
+		if n > 18 { // maxBackendShares (3) times the initial limit per backend (6)
 			t.Errorf("%s holds %d in flight", id, n)
 		}
 	}
@@ -188,9 +188,8 @@
 	}
 }
 
-// An agent with little traffic that is spread over all servers gets an answer from each of them once a day. It must
-// use a few servers, in an order that differs between agents, and switch to others when those fail (scenario satx
-// big-1).
+// An agent with little traffic would get an answer from each server only once a day if it used all of them. It must use
+// a few servers, in an order that differs between agents, and switch to others when those fail (scenario satx big-1).
 func TestQuietBalancerUsesASubset(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 500
@@ -228,8 +227,8 @@
 	}
 }
 
-// Some kinds of machines are faster for one class, some for another. What an agent has learned of a kind must apply
-// to the servers of that kind that it has hardly used (scenario satx rough-1).
+// Some kinds of machines are faster for one class, some for another. The slowness that an agent has measured for a kind
+// must also apply to the servers of that kind that it has hardly used (scenario satx rough-1).
 func TestKindSlownessIsLearnedPerClass(t *testing.T) {
 	list := testBackends(20)
 	for i := range list {
@@ -255,13 +254,13 @@
 	if byFasterKind[0] < 85 || byFasterKind[1] < 85 {
 		t.Errorf("%d and %d of 100 went to the kind that is faster for the class, want most", byFasterKind[0], byFasterKind[1])
 	}
-	unknownKind := testBackends(2) // unknown kinds must do no harm
+	unknownKind := testBackends(2) // backends of unknown kinds must be accepted
 	unknownKind[0].Kind = -3
 	newHarness(t, testSettings(), 1, unknownKind).serve(10, idempotent, 10*ms)
 }
 
-// A server that rejects an attempt is overloaded for longer than one latency. It used to get as many requests right
-// after a rejection as before (scenario satx rough-2).
+// A server that has rejected an attempt must get fewer requests, because it is overloaded for longer than one latency.
+// It used to get as many requests after a rejection as before (scenario satx rough-2).
 func TestBackendThatRejectsIsChosenLess(t *testing.T) {
 	hits := 0
 	for seed := range uint64(100) {
--- a/decide/pinned_test.go
+++ b/decide/pinned_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// A request that only one backend may get must go to that backend, again after a failure which proves that it has not
-// run, and never to another one. It is refused at once if that backend takes no requests.
+// A request that only one backend may get must be sent to that backend, and to the same one again after a failure which
+// proves that it has not run. It must be refused at once if that backend is not up.
 func TestRequestPinnedToOneBackend(t *testing.T) {
 	b, err := decide.New(testSettings(), 1)
 	if err != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// A list may name kinds and zones that the settings do not know. A balancer used to panic if such a backend came
-// first.
+// A list may contain kinds and zones that are not in the settings. A balancer used to panic if the first backend had an
+// unknown kind.
 func TestUnknownBackendKindIsAccepted(t *testing.T) {
 	b, err := decide.New(testSettings(), 1)
 	if err != nil {
--- a/decide/policyfiles_test.go
+++ b/decide/policyfiles_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The files listed under policy in deploy/balancer.toml must stay easy to read during an incident: at most 400 lines
-// per file, 60 per function and 110 characters per line. The list must name every file that makes decisions.
+// The files listed under policy in deploy/balancer.toml must be easy to read during an incident: they have at most 400
+// lines per file, 60 per function and 110 characters per line. The list must contain every file that makes decisions.
 func TestPolicyFilesStayReadable(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/decide/quota/ledger_test.go
+++ b/decide/quota/ledger_test.go
@@ -21,7 +21,7 @@
 	return lg
 }
 
-// ledgerModel is a simple model of what a ledger of one limit has to count.
+// ledgerModel is a simple model of the counts of a ledger with one limit.
 type ledgerModel struct {
 	kind         Kind
 	amount       map[string]int           // by grantor
@@ -161,7 +161,7 @@
 	}
 }
 
-// Less important demands must leave a reserve for more important ones, unless only the former come under the limit.
+// Less important demands must leave a reserve for more important ones, unless the limit does not apply to the latter.
 func TestLessImportantDemandLeavesAReserve(t *testing.T) {
 	lg := newLedger(unrestricted("l", InFlight))
 	now := testStart
--- a/decide/reason_test.go
+++ b/decide/reason_test.go
@@ -7,7 +7,7 @@
 )
 
 // A request whose backend starts to drain just before its attempt must end for lack of a server, and not for lack of
-// time: the wrong reason in the metric made operators look at deadlines.
+// time: because of the wrong reason in the metric, operators searched for a problem with deadlines.
 func TestDrainingBackendIsReportedAsNoBackend(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(4))
 	h.request("q", idempotent)
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -10,8 +10,8 @@
 )
 
 // longestRejection simulates an agent that gets perSecond requests a second at random times, for 20 s. It returns the
-// longest time in which the agent rejected all requests, fifteen or more, and sent no attempt. answer says how its
-// servers answer, and change modifies the requests of its clients; both get the time since the start.
+// longest time in which the agent rejected fifteen or more requests in a row and sent no attempt. answer returns how
+// its servers answer, and change modifies the requests of its clients; both get the time since the start.
 func longestRejection(t *testing.T, s decide.Settings, seed uint64, perSecond float64,
 	answer func(at time.Duration) (decide.Result, time.Duration), change func(at time.Duration, q *decide.Request)) (longest time.Duration) {
 	t.Helper()
@@ -56,10 +56,10 @@
 	return longest
 }
 
-// An agent must not reject all of fifteen or more requests for 4 s without sending an attempt, because operators then
-// count it as out of service. One of hundreds of agents sent nothing for a minute, because the first request after
-// its start was a client's retry. All other requests had another remaining time, were taken for retries, and earned
-// no credit. Without attempts the agent could not notice that its servers were idle.
+// An agent must not reject fifteen or more requests in a row, for 4 s, without sending an attempt, because operators
+// then count it as out of service. One of hundreds of agents sent no attempt for a minute, because the first request
+// after its start was a client's retry. All other requests had another remaining time, counted as retries, and earned
+// no credit. Without attempts the agent could not detect that its servers were idle.
 func TestBalancerNeverRejectsEverythingForLong(t *testing.T) {
 	objective := creditSettings().Classes[idempotent].Objective
 	answerFast := func(time.Duration) (decide.Result, time.Duration) { return decide.OK, objective / 10 }
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// If the list is empty at the start, requests wait and are refused in time.
+// If the list is empty at the start, requests must wait, and be refused before their deadline.
 func TestRequestIsRefusedWithoutBackend(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent, keyedZone} {
 		h := newHarness(t, testSettings(), 1, nil)
@@ -79,8 +79,8 @@
 	})
 }
 
-// A try whose remaining time is cut short by the client's deadline is a retry. It does not wait for capacity, as a
-// first attempt does.
+// A try whose remaining time is shortened by the client's deadline must count as a retry. Unlike a first attempt, it
+// does not wait for capacity.
 func TestClientRetryIsInferredFromRemainingTime(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(1))
 	submit := func(id string, left time.Duration) []decide.Action {
@@ -132,7 +132,7 @@
 	}
 }
 
-// A cancelled request must get nothing more, although its attempt still counts.
+// No further attempt and no answer must be sent for a cancelled request, although its open attempt still counts.
 func TestCancelledRequestIsForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(2))
 	h.request("q", idempotent)
@@ -181,8 +181,8 @@
 	}
 }
 
-// A queued request must always have a timer. If its timer fired while the time at which it is shed had moved later,
-// it never got another timer, and no answer (scenario satx-returns).
+// A queued request must always have a timer. If its timer fired after its shed time had moved to a later time, it got
+// neither another timer nor an answer (scenario satx-returns).
 func TestQueuedRequestAlwaysHasATimer(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, testBackends(1))
 	var acts []decide.Action
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Waits have full jitter: they are between 0 and a unit (a share of the objective) that doubles with each retry up to
-// a maximum.
+// Backoffs must have full jitter: they are random between 0 and an upper bound, which is a share of the objective and
+// doubles with each retry up to a maximum.
 func TestBackoffIsFullyJitteredAndBounded(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 7
@@ -162,9 +162,9 @@
 	}
 }
 
-// A retry of a keyed request must say by when it has to start: as long as backends drop repeats of its first attempt,
-// from the time when that was sent. First attempts, idempotent requests, and requests whose first attempt never ran
-// have no such bound.
+// A retry of a keyed request must have a StartBy that is before the end of the deduplication window, which begins when
+// the first attempt is sent. First attempts, idempotent requests, and requests whose first attempt never ran must have
+// no such bound.
 func TestKeyedRetryStartsWithinTheDedupWindow(t *testing.T) {
 	startBounds := func(acts []decide.Action) (all []time.Duration) {
 		for _, a := range acts {
@@ -196,16 +196,16 @@
 	}
 }
 
-// A repeat may have to wait for its connection, at most for the connect time-out. It must reach the backend while
-// that still drops repeats of the first attempt. With real sockets, a repeat that was sent at the end of the window
-// could run twice if its connection had to be opened first.
+// A repeat may have to wait for its connection, at most for the connect time-out. It must reach the backend while the
+// backend still drops repeats of the first attempt. With real sockets, a repeat that was sent at the end of the window
+// could be executed a second time if its connection had to be opened first.
 func TestKeyedRetryReachesTheBackendWithinTheDedupWindow(t *testing.T) {
 	for _, row := range []struct {
 		failed time.Duration
 		sends  int
 	}{{100 * ms, 2}, {250 * ms, 1}} {
 		s := testSettings()
-		s.ConnectTimeout = 100 * ms // the window is 300 ms
+		s.ConnectTimeout = 100 * ms // the deduplication window is 300 ms
 		h := newHarness(t, s, 1, testBackends(4))
 		h.request("x", keyedAll)
 		h.now += row.failed
--- a/decide/rulechecker_test.go
+++ b/decide/rulechecker_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// ruleChecker checks the four rules of the platform from events and actions alone. It has no model of a backend; it
-// only records what the balancer was notified of and what it did.
+// ruleChecker checks the four rules of the platform (see the package comment of decide). It uses only the events that
+// the balancer has received and the actions that it has returned, and no model of a backend.
 type ruleChecker struct {
 	s          decide.Settings
 	now        time.Duration
@@ -25,8 +25,8 @@
 	deadline        time.Duration
 	sends           []checkedAttempt
 	ended           bool
-	uploading       bool          // its last byte is still to come: no deadline applies
-	notReplayable   bool          // can't be sent again
+	uploading       bool          // its last byte has not been sent yet, so that no deadline applies
+	notReplayable   bool          // the part of it that was sent can't be sent again
 	cancelledAt     time.Duration // when the client disconnected; an answer in the same step is allowed
 	responseStarted bool
 }
@@ -45,8 +45,8 @@
 	withdrawnAt time.Duration // when it was reported as draining or removed
 	started     time.Duration // the start that was last reported; 0: warm
 	sends       []time.Duration
-	zoneSetAt   int // the list that first named it or last changed its zone
-	cellSetAt   int // the list that first named it or last changed its cell
+	zoneSetAt   int // number of the list that first contained it or last changed its zone
+	cellSetAt   int // number of the list that first contained it or last changed its cell
 }
 
 func newRuleChecker(s decide.Settings) *ruleChecker {
@@ -208,7 +208,7 @@
 		}
 	}
 	if firstMayHaveRun != nil {
-		from := firstMayHaveRun.listed // a later list may have changed this and other backends
+		from := firstMayHaveRun.listed // the entry at the time of that attempt: a later list may have changed it
 		switch {
 		case r.class.Effect == decide.NonIdempotent:
 			a.report("%s is non-idempotent and may have run, but is sent again", act.Request)
@@ -227,10 +227,10 @@
 	a.checkSlowStart(b)
 }
 
-// checkSlowStart checks the load that this agent sends to a backend in slow start. The capacity of backends is not
-// known. The number of attempts that the busiest warm backend got in three times the span bounds what the balancer
-// may have measured. A backend in slow start may get the overload multiple of its capacity share of that number, plus
-// a slack of a few light requests.
+// checkSlowStart checks the load that this agent sends to a backend in slow start. The capacity of backends is unknown.
+// The number of attempts that the busiest warm backend got in three times the overload window is an upper bound of the
+// rate that the balancer may have measured. A backend in slow start may get that number, times its capacity share,
+// times the overload multiple, plus a few light requests, within one overload window.
 func (a *ruleChecker) checkSlowStart(b *checkedBackend) {
 	if b.started == 0 || a.now-b.started >= a.s.SlowStartTime || a.s.SlowStartTime == 0 {
 		return
@@ -251,10 +251,10 @@
 			up = up || o.withdrawnAt == 0 && !a.disabled[o.ID]
 		}
 	}
-	if most == 0 { // nothing was measured: use the lowest in-flight limit per backend
+	if most == 0 { // no attempt was measured: use the lowest in-flight limit per backend
 		most = 4
 	}
-	if !up { // all agents together may send that many per mean latency
+	if !up { // all agents together may send the lowest limit of 4 in each mean latency of 100 ms
 		most = max(most, int(4*span/(100*ms))/a.s.Balancers)
 	}
 	capacityShare := a.s.SlowStartShare + (1-a.s.SlowStartShare)*max(0, float64(a.now-b.started)/float64(a.s.SlowStartTime))
--- a/decide/sampling_test.go
+++ b/decide/sampling_test.go
@@ -60,15 +60,15 @@
 	got := float64(draws - none)
 	for _, s := range b.backends {
 		p, q := scanned[s.ID]/draws, sampled[s.ID]/got
-		// This is the standard deviation of the difference of the two shares. All 200 differences must stay within
-		// five of them.
+		// The square root is the standard deviation of the difference of the two shares. All 200 differences must be
+		// within five standard deviations.
 		if d := math.Sqrt(p*(1-p)/draws + q*(1-q)/got); math.Abs(p-q) > 5*d+1e-5 {
 			t.Errorf("%s: %.5f of the choices by scanning, %.5f by sampling", s.ID, p, q)
 		}
 	}
 }
 
-// The computed capacity is reused only while nothing has changed: each of these changes must be noticed.
+// The computed capacity is reused as long as no backend has changed: each of these changes must cause a recomputation.
 func TestCapacityFollowsEachChange(t *testing.T) {
 	plain := func() (*Balancer, *endpoint) {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, SlowStartTime: time.Minute, SlowStartShare: 0.5, Classes: []Class{
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Under overload a backend in slow start must get more than its certain share of what a warm one serves, and stay
-// well below the overload multiple of that share (incidents i37feae and i28e3f7).
+// Under overload a backend in slow start must get more than its share of capacity times what a warm one serves, but
+// at most the overload multiple of that (incidents i37feae and i28e3f7).
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := testBackends(5)
 	h := newHarness(t, testSettings(), 9, list)
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	drive := func(n int) { // each 5 ms: all answers of the backend in slow start, one of the others, two requests
+	drive := func(n int) { // every 5 ms: all answers of the backend in slow start, one of the others, and two requests
 		for range n {
 			h.advance(5 * ms)
 			was := out
@@ -141,8 +141,8 @@
 	}
 }
 
-// Only some of many agents may send a request to a server right after its start. When each of 150 agents sent a
-// server in slow start one request at once, they overloaded it together (scenario dallas rules-3).
+// Only some of many agents may send a request to a server right after its start. 150 agents that each sent one request
+// at once to a server in slow start overloaded it (scenario dallas rules-3).
 func TestManyBalancersSpareABackendInSlowStart(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -22,26 +22,31 @@
 // hardSeeds are seeds of scenarios in which a server in slow start collapses if a protection of slowstart.go is
 // removed. Any collapse in them fails the test. The comments name the protections that each seed checks.
 var hardSeeds = []uint64{
-	175,      // the site's own work: rate per kind, division by the warm servers, capacity share, budget
-	46,       // the same with longer requests
-	110, 166, // longer requests: also the budget's maximum of 1, its random start below zero
-	14, // the budget's random start below zero
+	175,      // requests of the site file: rate per kind, division by the warm servers, capacity share, budget
+	46,       // the same protections with longer requests
+	110, 166, // longer requests: also the budget's maximum of 1 and its random initial value below zero
+	14, // the budget's random initial value below zero
 	70, // the square root of the multiple if there are fewer agents than servers
 }
 
 // All agents together must not overload a server that has just started. A collapse counts if more than two thirds of
-// the load came from agents that had been notified of the start. With the settings and the work of four site files,
-// where a backend in slow start can take 12 requests per window or more, no server may collapse. One start in fifty
-// may end in a collapse if requests are so much longer that the backend can take one to ten, and one in twenty if
-// servers in slow start answer at once, as in a quarter of the scenarios: then only the budget limits the load, and
-// the allowance for chance is two standard deviations. The bound is derived in docs/design/many-agents.md. To run
-// more scenarios: go test ./decide -run SlowStartHolds -v -colddays 3000
+// the load came from agents that had been notified of the start. There are three kinds of scenarios:
+//
+//   - With the settings and requests of four site files, a server in slow start can take 12 requests per window or
+//     more. None may collapse.
+//   - With longer requests, it can take one to ten requests per window. One start in fifty may end in a collapse.
+//   - In a quarter of the scenarios, servers in slow start answer at once, so that only the budget limits the load. One
+//     start in twenty may end in a collapse, because the allowance for chance is two standard deviations.
+//
+// The bound is derived in docs/design/many-agents.md. This command runs more scenarios:
+//
+//	go test ./decide -run SlowStartHolds -v -colddays 3000
 func TestSlowStartHoldsAgainstAllBalancersTogether(t *testing.T) {
 	seeds := slices.Clone(hardSeeds)
 	for seed := *firstSeed; seed < *firstSeed+uint64(*randomScenarios); seed++ {
 		seeds = append(seeds, seed)
 	}
-	const own, longer, quick = 0, 1, 2 // the sites' own work; longer requests; immediate answers
+	const own, longer, quick = 0, 1, 2 // requests of the site files; longer requests; immediate answers
 	var starts, collapses [3]int
 	var worst [3]float64
 	for _, seed := range seeds {
@@ -85,7 +90,7 @@
 	agents, servers        int
 	scale                  float64 // factor on the durations of the site's requests
 	load, burst            float64 // load as a share of the capacity of all warm servers, and its factor in the burst
-	countFactor            float64 // number of agents that each agent assumes, as a multiple of the real number
+	countFactor            float64 // Settings.Balancers of the agents, as a multiple of the real number of agents
 	starting               int     // number of servers that start
 	lateAgents             float64 // share of agents that start in the first seconds after the servers' start
 	lateNotified           float64 // share of agents that are notified seconds late
@@ -94,7 +99,7 @@
 	slowdown, hangingShare float64 // factor by which old servers slow down from the burst on, and the share that hangs
 	instantAnswers         bool    // servers in slow start answer at once, so that only the budget limits their load
 	draining               int     // old servers that drain from when the starts are notified
-	weakest                bool    // the starting servers are as weak and as slow to warm up as any at the site
+	weakest                bool    // the starting servers have the weakest kind and the longest slow start of the site
 }
 
 func (d coldScenario) String() string {
@@ -154,7 +159,7 @@
 		d.agents = 20 + rng.IntN(13)
 	}
 	if seed%2 == 0 {
-		d.scale = math.Exp(between(math.Log(0.8), math.Log(12))) // budgets (simServer.budget, N in docs/design/many-agents.md) from about 50 down to 1
+		d.scale = math.Exp(between(math.Log(0.8), math.Log(12))) // gives a simServer.budget from about 50 down to 1
 	}
 	d.load, d.burst = between(0.15, 0.75), between(1, 2.8)
 	if rng.IntN(3) == 0 {
@@ -196,7 +201,7 @@
 type simAgent struct {
 	b          *decide.Balancer
 	weight     float64
-	notifiedAt time.Duration // when it is notified of the starts
+	notifiedAt time.Duration // when it is notified of the servers' starts
 	requests   map[string]*simRequest
 }
 
@@ -221,7 +226,7 @@
 	collapsed          bool
 	collapsedAt        time.Duration
 	sum, notifiedShare float64
-	budget             float64 // requests per window that it can take at its start: N in docs/design/many-agents.md
+	budget             float64 // requests per window that it can take at its start or collapse: N in docs/design/many-agents.md
 	maxLoadShare       float64 // highest load from notified agents, as a share of the load that it can take
 }
 
@@ -348,8 +353,8 @@
 	return time.Duration(millis * w.d.scale * float64(ms))
 }
 
-// list returns the backends that an agent knows. Before it is notified of the starts, it knows these servers as old
-// ones, which are down.
+// list returns the endpoint list of an agent. Before the agent is notified of the starts, its list has the starting
+// servers as if they had started long ago, although they are down.
 func (w *simulation) list(notified bool) []decide.Backend {
 	var all []decide.Backend
 	for i, s := range w.servers {
@@ -442,7 +447,7 @@
 	}
 	ends := starts + time.Duration(slower*r.work/(s.speed*s.capacityShare(starts)))
 	switch {
-	case ends > r.deadline: // the client gives up, before the attempt's turn or during its work
+	case ends > r.deadline: // the client stops waiting, before the work of the attempt begins or during it
 		s.free[core] = max(s.free[core], min(ends, max(starts, r.deadline)))
 		outcome(r.deadline-w.now, decide.TimedOut)
 	case w.rng.Float64() < w.d.retries:
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -9,8 +9,8 @@
 )
 
 // serveAt simulates an agent that admits by credit, without peers, and whose servers all answer after latency. It
-// returns how many of the last 200 of 400 requests were sent. Clients state the work of each request; 0: they state
-// none.
+// returns how many of the last 200 of 400 requests were sent. work is the expected work given in each request; 0: it is
+// not given.
 func serveAt(t *testing.T, latency, work time.Duration) (sent int) {
 	t.Helper()
 	return serveReporting(t, latency, work, decide.Load{})
@@ -37,10 +37,10 @@
 	return sent
 }
 
-// An agent must refuse requests at a mean delay of 0.45 of the objective. With some 300 agents that refused only at
-// 0.6, each agent admitted most of its requests at a mean delay of 0.45 to 0.8. The servers held so many requests
-// that they worked at a fraction of their speed, and every second attempt timed out (fleet trial, scenarios join and
-// herd).
+// An agent must refuse requests at a mean delay of 0.45 of the objective. In a fleet of about 300 agents that refused
+// requests only at 0.6, each agent admitted most of its requests at a mean delay of 0.45 to 0.8. The servers had so
+// many requests in flight that they worked at a fraction of their speed, and every second attempt timed out (fleet
+// trial, scenarios join and herd).
 func TestCreditShedsBeforeBackendsFill(t *testing.T) {
 	objective := creditSettings().Classes[idempotent].Objective
 	if sent := serveAt(t, objective*45/100, 0); sent > 100 || sent < 40 {
@@ -51,8 +51,8 @@
 	}
 }
 
-// If the work itself takes nearly half of the objective, a delay of about that length is normal for servers with
-// nothing else to do, and no sign of overload.
+// If the work itself takes nearly half of the objective, a delay of about that length is normal for idle servers. It
+// must not count as a sign of overload.
 func TestCreditDoesNotTakeLongWorkForOverload(t *testing.T) {
 	objective := creditSettings().Classes[idempotent].Objective
 	if sent := serveAt(t, objective*45/100, objective*40/100); sent < 195 {
@@ -60,10 +60,11 @@
 	}
 }
 
-// The target delay must follow the latency of servers that report nothing else in flight, because that is the time
-// that the work takes. Work took 0.3 to 0.4 of short objectives and clients stated no work, so that agents refused
-// half of the requests while servers held one to three requests each. The latency of a server that holds many
-// requests, or does not report, must not count (tide-tolls, scenario throng+brink, seed 249848192171).
+// The target delay must follow the latency of servers that report no other request in flight, because that is the time
+// that the work takes. In a case where work took 0.3 to 0.4 of short objectives and requests did not give their work,
+// agents refused half of the requests while servers had one to three requests in flight each. The latency of a server
+// with many requests in flight, or without a load report, must not count (tide-tolls, scenario throng+brink, seed
+// 249848192171).
 func TestUnloadedLatencyIsLearnedFromIdleBackends(t *testing.T) {
 	latency := creditSettings().Classes[idempotent].Objective * 45 / 100
 	for _, c := range []struct {
@@ -86,7 +87,7 @@
 }
 
 // An agent with a few requests a second must use only a few servers, so that it soon uses each of them again, on the
-// connection that is open. If all of them are replaced, it must switch to as few others.
+// connection that is still open. If all of them are replaced, it must switch to an equally small number of others.
 func TestSubsetIsSmallAndReplacesLostBackends(t *testing.T) {
 	s := creditSettings()
 	s.Peers = false
--- a/decide/tickless_test.go
+++ b/decide/tickless_test.go
@@ -9,7 +9,7 @@
 )
 
 // Requests whose remaining times hardly differ must count as first attempts, with a tick and without, and wait for
-// capacity. They were taken for retries, which are refused at once if there is no capacity.
+// capacity. They used to count as retries, which are refused at once if there is no capacity.
 func TestFirstAttemptsWithoutATick(t *testing.T) {
 	for _, tick := range []time.Duration{0, 5 * ms} {
 		s := testSettings()
--- a/decide/uploads_test.go
+++ b/decide/uploads_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// The time limits of an upload and of its attempt must begin with its last byte. From then on it counts as load like
-// any request.
+// The time limits of an upload and of its attempt must begin with its last byte. From then on it must count as load, as
+// any other request.
 func TestUploadTimeCountsFromItsLastByte(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, 1, testBackends(1))
@@ -42,7 +42,7 @@
 	h.upload("up", idempotent)
 	h.advance(time.Minute)
 	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms})
-	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // reported twice
+	h.step(decide.UploadCompleted{Request: "up", Remaining: 2000 * ms}) // the event is repeated
 	h.advance(10 * ms)
 	// The attempt failed. There is time for another one, because the deadline counts from the last byte of the upload
 	// and not from its arrival.
@@ -87,8 +87,8 @@
 	}
 }
 
-// A server that has finished a request must count as free while bytes of the response are still in transit, and its
-// success must count when the response started. If the connection breaks later, the request ends and must not be
+// A server that has finished a request must not count as busy while bytes of the response are still in transit, and the
+// success must be counted when the response starts. If the connection breaks later, the request ends and must not be
 // retried.
 func TestStreamedResponseFreesItsBackend(t *testing.T) {
 	for _, tt := range []struct {
--- a/internal/core/accept_test.go
+++ b/internal/core/accept_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// failingListener fails the first times calls of Accept, then uses its listener; -1: it always fails.
+// failingListener is a listener whose first calls of Accept fail. times is their number; -1: all calls fail.
 type failingListener struct {
 	net.Listener
 	err   error
@@ -26,8 +26,8 @@
 	return l.Listener.Accept()
 }
 
-// A transient lack of memory or descriptors must not close an admin endpoint for good: net/http ends at accept
-// errors that it does not know.
+// A transient lack of memory or descriptors must not end an admin endpoint: an HTTP server of net/http ends at errors
+// of accept that are not marked as temporary.
 func TestSteadyListenerSurvivesTransientErrors(t *testing.T) {
 	for _, err := range []error{
 		syscall.ENOBUFS,
@@ -106,7 +106,7 @@
 	}
 }
 
-// failUntilRecovered is a listener that fails, such as that of a process with no descriptor left, until it recovers.
+// failUntilRecovered is a listener whose Accept fails until it recovers, as in a process that has no descriptor left.
 type failUntilRecovered struct {
 	net.Listener
 	err       error
@@ -123,8 +123,8 @@
 	}
 }
 
-// acceptOneBehindErrors makes a limiter accept a connection although its listener fails at first. whileFailing is
-// called after one failed Accept.
+// acceptOneBehindErrors makes a limiter accept a connection although its listener fails at first. It calls whileFailing
+// after the first failed Accept of the listener.
 func acceptOneBehindErrors(t *testing.T, cl *ConnLimiter, err error, whileFailing func(l failUntilRecovered)) {
 	t.Helper()
 	l := failUntilRecovered{
@@ -148,8 +148,8 @@
 	}
 }
 
-// Errors that accept(2) reports for one connection, or for the network on which it came, do not end the agent: the
-// next connection is accepted.
+// Errors that accept(2) reports for one connection, or for its network, must not end the agent: the next connection is
+// accepted.
 func TestAcceptSurvivesFailedConnections(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED,
@@ -173,7 +173,7 @@
 	}
 }
 
-// A process that has no descriptor left goes on, and an idle connection is evicted for the next one.
+// A process that has no descriptor left must continue to accept: an idle connection is evicted for the next one.
 func TestAcceptSurvivesExhaustedDescriptors(t *testing.T) {
 	cl, conn, _ := idleConn(t)
 	acceptOneBehindErrors(t, cl, syscall.EMFILE, func(l failUntilRecovered) {
--- a/internal/core/acceptqueue_test.go
+++ b/internal/core/acceptqueue_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// All connections in the queue are accepted. Once the check finds the queue empty, no client can connect any more,
-// so no connection is left that nobody accepts.
+// All connections in the queue must be accepted. Once acceptQueued has found the queue empty, no client can connect any
+// more, so that no connection remains in the queue.
 func TestEmptyQueueEndsTheListener(t *testing.T) {
 	for _, network := range []string{"tcp", "unix"} {
 		t.Run(network, func(t *testing.T) {
--- a/internal/core/admission_test.go
+++ b/internal/core/admission_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// The clock is read when a request arrives, not when the bound is set: an agent that was paused past the bound
-// admits no request.
+// The clock must be read when a request arrives, and not when the bound is set: an agent that was paused past the bound
+// must not admit a request.
 func TestNoRequestIsAdmittedPastTheBound(t *testing.T) {
 	l := newBareLoop()
 	a := &Agent{loop: l}
@@ -53,8 +53,8 @@
 	}
 }
 
-// A request in flight is retried within the shorter of two windows: that of its own policy, and the one that has
-// been set since.
+// A request in flight may be retried only within the shorter of two windows: that of the agent's own policy, and the
+// one that was set by NarrowDedupWindows.
 func TestRetriesFollowTheShorterDedupWindow(t *testing.T) {
 	l := newBareLoop()
 	a := &Agent{loop: l}
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -10,8 +10,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// oneClientProtocol is a protocol with one client, whose request arrives as soon as clients are served. The server
-// that gets the request is sent on a channel.
+// oneClientProtocol is a protocol with one client, whose request arrives as soon as clients are served. The name of the
+// server that gets the request is sent on a channel.
 type oneClientProtocol struct {
 	idleProtocol
 	loop  *Loop
@@ -33,15 +33,15 @@
 	return decide.OK, "", decide.Load{}
 }
 
-// Where lists are pushed, the changes in the list count as known from a process's start on: no client is served with
-// a stored list that the first pushed one would change. If no list is pushed in time, or the list service is down,
-// clients are served with the stored list.
+// If lists are pushed, the changes in the list count as notified from a process's start on: no client may be served
+// with the stored list before the first pushed one has arrived. If no list is pushed in time, or the list service is
+// down, clients are served with the stored list.
 func TestFirstPushedListReplacesTheStoredOneBeforeServing(t *testing.T) {
 	for name, row := range map[string]struct {
 		wait     time.Duration
 		pushes   bool
 		dead     bool
-		endFirst func(first *testkit.Watcher) // ends the first watch without a list; nil: it goes on
+		endFirst func(first *testkit.Watcher) // ends the first watch without a list; nil: it is not ended
 		want     string                       // the server that gets the request
 	}{
 		"a list is pushed": {
@@ -116,7 +116,7 @@
 	}
 }
 
-// A request that arrives late in a drain is answered before the agent ends, even if its own deadline is later.
+// A request that arrives late in a drain must be answered before the agent ends, even if its own deadline is later.
 func TestLateRequestOfADrainIsAnsweredBeforeItsEnd(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// A drain waits for the longest deadline of the settings, however long, and ends before the platform kills the
-// process 0.7 s later.
+// A drain must wait for the longest deadline of the settings, however long, and end before the platform kills the
+// process, which is 0.7 s later.
 func TestDrainWaitsForTheLongestDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{2 * time.Second, 9 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -105,8 +105,8 @@
 }
 
 // attemptContext is a context whose Deadline is the time at which the attempt's timer ends it. With package context
-// alone, an attempt with a deadline and a cause would need two contexts, each of them registered with the parent that
-// all attempts share.
+// alone, a deadline and a cause would need two contexts below the parent that all attempts share, and the deadline
+// would need a second timer.
 type attemptContext struct {
 	context.Context
 	until time.Time
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -10,7 +10,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// An error at start names the field that is wrong.
+// The error for an invalid configuration must name the invalid field.
 func TestInvalidConfigIsRejectedWithItsField(t *testing.T) {
 	base := map[string]string{
 		"listen":    `"127.0.0.1:0"`,
--- a/internal/core/connlimiter_test.go
+++ b/internal/core/connlimiter_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// newTestLimiter returns a limiter on loopback with so many open connections, and the clients' ends of them.
+// newTestLimiter returns a limiter on loopback with the given number of open connections, and their clients' ends.
 func newTestLimiter(t *testing.T, maxConns, open int) (*ConnLimiter, []net.Conn) {
 	t.Helper()
 	cl := NewConnLimiter(testkit.Listen(t), maxConns)
@@ -85,7 +85,7 @@
 	}
 }
 
-// requireReadByte fails unless a read returns one byte, which must be want.
+// requireReadByte fails the test unless a read returns exactly the byte want.
 func requireReadByte(t *testing.T, c net.Conn, want byte) {
 	t.Helper()
 	buf := make([]byte, 1)
@@ -94,7 +94,7 @@
 	}
 }
 
-// requireEvicted fails unless a read ends as on an evicted connection.
+// requireEvicted fails the test unless a read ends as on an evicted connection.
 func requireEvicted(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// The first byte of a request makes an idle connection busy: draining does not close the connection any more. A
-// request that was read before its connection is cut off would be executed, and sent again elsewhere.
+// The first byte of a request must make an idle connection busy, so that a drain does not close it any more. Otherwise
+// the request could be executed although its connection is closed, and its client would send it again on another one.
 func TestFirstByteMakesAConnectionBusy(t *testing.T) {
 	cl, conn, client := idleConn(t)
 	writeByte(t, client, 'G')
@@ -117,7 +117,7 @@
 	}
 }
 
-// A connection on which no byte has been sent yet is not evicted for a while, because a request may be on its way.
+// A young connection on which no byte has arrived yet must not be evicted, because a request may be in transit.
 func TestYoungSilentConnectionIsNotEvicted(t *testing.T) {
 	cl, conn, _ := idleConn(t)
 	conn.hasRequested = false
@@ -134,7 +134,7 @@
 	}
 }
 
-// lateRead is a connection whose reader has read a byte just before the connection was evicted.
+// lateRead is a connection whose Read returns a byte even after the connection was evicted.
 type lateRead struct{ streamConn }
 
 func (lateRead) Read(p []byte) (int, error) {
@@ -142,9 +142,9 @@
 	return 1, nil
 }
 
-// A byte that was read just before its connection was evicted belongs to a request: the connection goes on, with its
-// old read deadline. On an evicted connection from which no byte was read, later bytes stay unread, and the client
-// sends them again elsewhere.
+// If a byte was read just before its connection was evicted, it belongs to a request: the connection must stay open,
+// with its previous read deadline. On an evicted connection from which no byte was read, later bytes must stay unread,
+// and the client sends them again on another connection.
 func TestByteThatCrossesTheEvictionCancelsIt(t *testing.T) {
 	cl, conn, client := idleConn(t)
 	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience))
@@ -175,8 +175,8 @@
 	}
 }
 
-// A connection whose last answer has been sent is closed once its client has read the answer, and not before, unless
-// its slot is needed. A connection on which a first request has begun to come is not silent.
+// A connection whose last answer has been sent must not be evicted before its client has read the answer, unless its
+// slot is needed. A connection on which a part of the first request has arrived must not count as silent.
 func TestOnlyQuietConnectionsAreEvicted(t *testing.T) {
 	t.Run("last answer sent", func(t *testing.T) {
 		cl, conn, _ := idleConn(t)
@@ -204,9 +204,9 @@
 	})
 }
 
-// Guards against clients that connect and send nothing: they kept all slots, and no other client was accepted. Past
+// Clients that connect and send no request must not keep all slots, which prevented other clients from connecting. Past
 // the eviction mark the connections that have been quiet longest are evicted, but none before minQuiet, because its
-// client may be about to send its first request. Connections with an open request stay.
+// client may be about to send its first request. Connections with an open request must not be evicted.
 func TestQuietConnectionsAreEvictedForNewOnes(t *testing.T) {
 	cl, clients := newTestLimiter(t, 8, 8)
 	conns := freshConns(cl)
@@ -239,8 +239,8 @@
 	if err := conns[4].CloseWrite(); err != nil || cl.idle.Front().Value != conns[4] {
 		t.Errorf("%v; the connection whose last answer has been sent is not the first to be evicted", err)
 	}
-	// All slots are taken again. Clients that send requests now and then, and so are never quiet for long, must not
-	// keep all others out: connections that have had an answer are evicted at once, silent ones are not.
+	// All slots are taken again. Clients that send requests from time to time, so that they are never quiet for long,
+	// must not prevent all others from connecting: idle connections are evicted at once, silent ones are not.
 	reclaimOne := func() time.Duration {
 		cl.maxConns = cl.Counts().Open
 		cl.reclaimSlots(time.Now())
@@ -309,8 +309,8 @@
 	}
 }
 
-// Where all slots are taken, a connection that has sent nothing is evicted after minSilent, so that one in the queue
-// is accepted. A connection that has sent a part of its first request keeps its time limit.
+// If all slots are taken, a silent connection must be evicted after minSilent, so that one in the queue is accepted. A
+// connection on which a part of the first request has arrived keeps its time limit.
 func TestSilentConnectionsAreEvictedSoonWhenAllSlotsAreTaken(t *testing.T) {
 	cl, clients := newTestLimiter(t, 2, 2)
 	conns := freshConns(cl)
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:9","zone":"b","kind":"m2","cell":3,"state":%q,"weight":1.5,"started_ms":0}]}`, version, full, state)
 }
 
-// After a failure the watch goes on from the last version, and each failure is posted.
+// After a failure the next watch must continue from the last version, and each failure must be posted.
 func TestWatchReconnects(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
@@ -84,7 +84,7 @@
 	testkit.Receive(t, "fourth watch", c.Watch)
 }
 
-// With Settings.Subscribe the balancer says when to watch: the agent opens no watch by itself.
+// With Settings.Subscribe the agent must open a watch only if the balancer requests it.
 func TestWatchIsOpenedOnlyOnRequest(t *testing.T) {
 	c := testkit.NewCatalog(t)
 	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}), nil)
@@ -98,8 +98,8 @@
 	testkit.Receive(t, "second watch", c.Watch)
 }
 
-// A request of the balancer during a watch that was opened because of a new address is dropped when that watch ends:
-// the balancer learns of the end, and asks again after its backoff.
+// If the balancer requests a watch during one that was opened because of a new address, the request must be dropped
+// when that watch ends: the balancer is notified of the end, and makes another request after its backoff.
 func TestRequestDuringAWatchIsVoidAtItsEnd(t *testing.T) {
 	one, two := testkit.NewCatalog(t), testkit.NewCatalog(t)
 	waiting := make(chan int, 1)
@@ -112,7 +112,7 @@
 	})
 	d.moveTo(two.Addr)
 	w := testkit.Receive(t, "watch at the new address", two.Watch)
-	d.subscribe() // after the balancer's backoff since its last failure
+	d.subscribe() // as the balancer does at the end of the backoff after its last failure
 	close(w.Fail)
 	if n := testkit.Receive(t, "requests that wait", waiting); n != 0 {
 		t.Error("a request is left that opens a watch without a backoff")
@@ -122,8 +122,9 @@
 	testkit.Receive(t, "requested watch", two.Watch)
 }
 
-// Discovery is down, back just long enough to send one list, down again, and then back for good: the list of the
-// short recovery counts, and the next watch goes on from it. The agent keeps making calls all the while.
+// Discovery is down, then available just long enough to send one list, down again, and then available permanently: the
+// list of the short recovery must be used, and the next watch must continue from its version. The agent makes calls
+// during all of this time.
 func TestListOfABriefRecoveryCounts(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -140,7 +141,7 @@
 					}
 				}
 			}
-			// back serves one call completely; after it discovery is down again.
+			// back makes discovery serve one call completely; after that discovery is down again.
 			back := func(since string, version int, state string) {
 				t.Helper()
 				ln, err := net.Listen("tcp", addr)
@@ -177,7 +178,7 @@
 	}
 }
 
-// A discovery service that is cut off by the network does not close connections: a watch without heartbeats has
+// If the network to the discovery service fails, connections are not closed: a watch without heartbeats must count as
 // failed.
 func TestWatchWithoutHeartbeatEnds(t *testing.T) {
 	c := testkit.NewCatalog(t)
@@ -206,7 +207,8 @@
 	if len(e.Backends) != 2 {
 		t.Fatalf("%+v", e.Backends)
 	}
-	// This server started before the agent: it may still be cold, so it must not count as started long ago.
+	// This server started before the agent. It may still be in slow start, so that it must not count as started long
+	// ago.
 	age := clk.now() - e.Backends[0].Started
 	if e.Backends[0].Started <= 0 || age < 3*time.Second || age > 3*time.Second+testkit.Patience {
 		t.Errorf("started %v ago", age)
@@ -216,8 +218,8 @@
 	}
 }
 
-// A reload with a new address moves the watch at once, also during the balancer's backoff, and asks for the complete
-// list; the balancer sees no failure. A reload with the same address changes nothing.
+// A reload with a new address must move the watch at once, also during the balancer's backoff, and request the complete
+// list; the balancer is not notified of a failure. A reload with the same address must have no effect.
 func TestWatchFollowsTheAddress(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -252,8 +254,9 @@
 	}
 }
 
-// However many watches of a pushed list have failed in a row, the agent tries again well before it must follow a
-// drain that counts as known from discovery's recovery on; and it never calls without a pause.
+// However many watches of a pushed list have failed in a row, the agent must open the next one well within the drain
+// grace, because a drain in the list counts as notified from discovery's recovery on. There must be a pause before each
+// call.
 func TestReconnectBackoffStaysWithinTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for failures := range 100 {
--- a/internal/core/ejections_test.go
+++ b/internal/core/ejections_test.go
@@ -7,8 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// A request that is refused for want of a server while ejections hold gets an answer that names the ejected servers;
-// no other answer names them.
+// The answer to a request that is refused for lack of a server while ejections are in force must name the ejected
+// servers; no other answer must name them.
 func TestRefusalNamesTheEjectedServers(t *testing.T) {
 	l := newBareLoop()
 	requireEjected := func(reason decide.Reason, want string) {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -6,8 +6,8 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// Memory is what an instance stores for the next process, and the admin endpoint shows Totals: both keep their
-// format.
+// The formats of Memory, which an instance stores for the next process, and of Totals, which the admin endpoint shows,
+// must not change.
 func TestStoredMemoryAndTotalsKeepTheirFormat(t *testing.T) {
 	golden.CheckJSON[Memory](t, "memory.json")
 	golden.CheckJSON[Totals](t, "totals.json")
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -10,14 +10,14 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Classes of testkit.Settings, in their order.
+// Indices of the classes in testkit.Settings.
 const (
 	classGet = iota // idempotent
 	classPut        // with an idempotency key
 	classPay        // non-idempotent
 )
 
-// sendingLoop is a loop whose test sends attempts in place of the balancer, and decides how they end.
+// sendingLoop is a loop for tests that start attempts instead of the balancer and determine their results.
 type sendingLoop struct {
 	*Loop
 	results chan decide.Result
@@ -66,8 +66,8 @@
 
 func (s *sendingLoop) violationCount(i Invariant) int64 { return s.counters.violations[i].Load() }
 
-// Whatever the balancer decides, no attempt is made against the rules on repeated execution: it is refused and
-// counted, and the balancer learns that it was not sent.
+// Whatever the balancer decides, no attempt may be made that violates the rules on repeated execution: it must be
+// refused and counted, and its outcome for the balancer must be that it was not sent.
 func TestAttemptsThatViolateTheRetryRulesAreRefused(t *testing.T) {
 	noHedging := func(s *decide.Settings) { s.Hedging = false }
 	shortWindow := func(s *decide.Settings) { s.Classes[classPut].DedupWindow = time.Nanosecond }
@@ -129,7 +129,7 @@
 	}
 }
 
-// A request has one final answer, the first one; a second one is counted as a violation.
+// A request must get only one final answer, the first one; a second one must be counted as a violation.
 func TestSecondFinalAnswerIsCounted(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.finish(s.request.Request, Answer{Refused: true})
@@ -140,7 +140,7 @@
 	}
 }
 
-// A violation panics in tests; in production it ends nothing.
+// A violation must cause a panic in tests. In production it must not end the loop.
 func TestViolationPanicsInTests(t *testing.T) {
 	s := newSendingLoop(t, classGet, nil)
 	s.toleratesViolations = false
@@ -152,7 +152,7 @@
 	s.violated(AnsweredOnce, "r", 0, "s", "brought about")
 }
 
-// Checks the send guard event by event: which writes open, which are refused, and when the answer is given.
+// TestSendGuard checks, step by step, which writes the send guard admits and when it gives the answer.
 func TestSendGuard(t *testing.T) {
 	interrupted := 0
 	interrupt := func() { interrupted++ }
@@ -212,7 +212,7 @@
 	})
 }
 
-// BeginWrite checks everything that may have changed since the attempt was decided, right before its first byte.
+// BeginWrite must check everything that may have changed since the balancer decided on the attempt.
 func TestBeginWriteChecksWhatHasChanged(t *testing.T) {
 	list := func(kind decide.ListKind, backends ...decide.Backend) List {
 		return List{ListUpdate: decide.ListUpdate{Kind: kind, Backends: backends}}
--- a/internal/core/listdelay_test.go
+++ b/internal/core/listdelay_test.go
@@ -23,34 +23,35 @@
 type callOutcome int
 
 const (
-	callRefused         callOutcome = iota // the connection is refused
-	callDropped                            // the connection never opens, and the dialer gives it up
+	callRefused         callOutcome = iota // the service refuses the connection
+	callDropped                            // the connection is never established, and the dialer fails after dialTime
 	callUnanswered                         // the connection opens, and no response comes
 	callBusy                               // 503 at once
-	callBusyAfterWait                      // 503 after the call has waited
-	callServedAfterWait                    // served after the call has waited
-	callServedLate                         // the same, but after the head nothing comes for one heartbeat interval
-	callEndedAfterHead                     // a head, then the end of the connection
+	callBusyAfterWait                      // 503 after callWait
+	callServedAfterWait                    // served after callWait
+	callServedLate                         // the same, but the first line follows one heartbeat interval after the head
+	callEndedAfterHead                     // the head of the response, then the end of the connection
 	callCutInObject                        // the connection ends within an object
 	callServed                             // the complete list, and a heartbeat every 2 s
 )
 
 const (
-	dialTime          = 250 * time.Millisecond // after which a connection that never opens is given up
-	callWait          = 3 * time.Second        // how long a call waits in a crowded service
+	dialTime          = 250 * time.Millisecond // time limit for establishing a connection
+	callWait          = 3 * time.Second        // how long a call waits in a service with too many clients
 	heartbeatInterval = 2 * time.Second
 )
 
-// listScript says how a list service behaves, by the time since the start of its run.
+// listScript specifies how a list service behaves. Its times are measured from the start of the run.
 type listScript struct {
 	call           func(at time.Duration) callOutcome
-	silentAt       time.Duration // open watches fall silent after their next heartbeat; 0: never
-	endsAt         time.Duration // open watches end; 0: never
+	silentAt       time.Duration // when open watches deliver their last heartbeat; the change follows right after it; 0: never
+	endsAt         time.Duration // when open watches end; 0: never
 	addrMoves      bool          // a reload moves the agent to another address when the service has the change
-	recoversOnHang bool          // it recovers right after the first call that hangs, or after a watch fell silent
+	recoversOnHang bool          // the service has the change right after the first call that hangs
 }
 
-// listService is a list service that has a change from some time on: a complete list without the server that drains.
+// listService is a list service whose list changes at changeAt: from then on it is a complete list without the server
+// that drains.
 type listService struct {
 	listScript
 	startedAt time.Time
@@ -61,7 +62,7 @@
 
 func (s *listService) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// restore makes the service have the change from now on.
+// restore makes the service have the change one millisecond from now.
 func (s *listService) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,7 @@
 	return s.changeAt
 }
 
-// dial is the dialer of the agent's client: it returns a connection to the service, or fails as the script says.
+// dial is the dialer of the agent's client: it returns a connection to the service, or fails as the script specifies.
 func (s *listService) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	at := s.elapsed()
 	s.mu.Lock()
@@ -164,14 +165,14 @@
 		if !wait(heartbeatInterval) {
 			return
 		}
-		if !sent && s.silentAt <= calledAt && s.elapsed() >= s.recoveredAt() { // opened before the change
+		if !sent && s.silentAt <= calledAt && s.elapsed() >= s.recoveredAt() { // the watch was opened before the change
 			object, sent = change, true
 		}
 	}
 }
 
-// firstUpdate returns when an agent that watches this service has the change, and how many calls the agent had made
-// by then.
+// firstUpdate runs an agent that watches this service. It returns when the agent has the change, and how many calls it
+// has made.
 func (s *listService) firstUpdate(t *testing.T, cfg *Config) (at time.Duration, calls int) {
 	t.Helper()
 	s.startedAt = time.Now()
@@ -213,15 +214,15 @@
 	s.mu.Unlock()
 	cancel()
 	running.Wait()
-	time.Sleep(callWait) // in virtual time: lets the transport's own dials end
+	time.Sleep(callWait) // waits, in virtual time, until the dials of the transport have ended
 	return at, calls
 }
 
-// Whatever the outcome of earlier calls, and however long they failed, an agent has a change within 6 s from when
-// discovery has it and can be reached. The test runs in virtual time; TestListAfterFailedCalls checks the same on
-// sockets.
+// Whatever the outcome of earlier calls, and however long they failed, an agent must have a change of the list within 6
+// s from the time at which discovery has it and can be reached. The test runs in virtual time; TestListAfterFailedCalls
+// checks the same with sockets.
 func TestListChangesArriveWithinSixSeconds(t *testing.T) {
-	// recovers returns scripts with one outcome until a time; from then on calls are served.
+	// recovers returns scripts in which calls have one outcome until the change, and are served from then on.
 	recovers := func(outcome callOutcome) func(time.Duration) listScript {
 		return func(changeTime time.Duration) listScript {
 			return listScript{call: func(at time.Duration) callOutcome {
@@ -232,7 +233,8 @@
 			}}
 		}
 	}
-	// open returns scripts with a watch that ends, or falls silent, so long after the change; 0: it does not.
+	// open returns scripts with open watches that end, or become silent, at these times after the change; 0: they do
+	// not.
 	open := func(ends, silent time.Duration) func(time.Duration) listScript {
 		return func(changeTime time.Duration) listScript {
 			s := listScript{call: func(time.Duration) callOutcome { return callServed }}
@@ -311,8 +313,8 @@
 							most = max(most, calls)
 						})
 					}
-					// With full jitter below 0.8 s an agent makes two and a half calls a second, over at most 18 s
-					// with each seed.
+					// With full jitter below 0.8 s an agent makes two and a half calls a second on average, during at
+					// most 18 s with each seed.
 					if most > 4*18 {
 						t.Errorf("%d calls are too many", most)
 					}
@@ -322,8 +324,8 @@
 	}
 }
 
-// A reload sets another address while the service at the present one is down, hangs, or serves the agent's watch:
-// the new address is watched at that moment, whatever the agent is waiting for.
+// If a reload sets another address while the service at the current one is down, hangs, or serves the agent's watch,
+// the agent must watch the new address at that moment, whatever it is waiting for.
 func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
 	for name, outcome := range map[string]callOutcome{
 		"during the backoff":           callRefused,
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// If the balancer does not answer a request, the loop itself gives the one final answer.
+// If the balancer does not answer a request, the loop itself must give the only final answer.
 func TestLoopAnswersAtTheDeadlineItself(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
@@ -22,7 +22,7 @@
 	r.Deadline = time.Now()
 	l.handle(requestArrived{r.Request})
 	l.handle(deadlineExceeded{r.Request})
-	l.handle(deadlineExceeded{r.Request}) // must not answer again
+	l.handle(deadlineExceeded{r.Request}) // a second event must not cause another answer
 	l.handle(clientDisconnected{r.Request})
 	if a := testkit.Receive(t, "final answer", r.reply); !a.TimedOut {
 		t.Errorf("%+v", a)
@@ -35,7 +35,7 @@
 	}
 }
 
-// A request may leave the table before the step in which its remaining time would be given to the balancer.
+// The loop must handle a request that is removed from the table before the step in which the balancer would get it.
 func TestDisconnectBeforeTheFirstStep(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
@@ -60,7 +60,7 @@
 	testkit.Receive(t, "end of the loop", done)
 }
 
-// The client of a request whose ID is taken may disconnect before it reads the answer that says so.
+// The client of a request that is rejected as a duplicate may disconnect before it reads the answer.
 func TestDuplicateMayDisconnectBeforeItsAnswer(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -79,8 +79,9 @@
 	}
 }
 
-// A request's deadline timer may overtake the request on its way to the loop, if the deadline passes while the
-// request is submitted, as in a drain. The request gets one answer, and another request with its ID goes on.
+// The event of a request's deadline timer may reach the loop before the request, if the deadline passes while the
+// request is submitted, as in a drain. The request must get one answer, and another open request with the same ID must
+// not be affected.
 func TestDeadlineMayOvertakeItsRequest(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -106,8 +107,9 @@
 	}
 }
 
-// The same with real timers: thousands of requests whose deadline passes while they are submitted, some of which are
-// overtaken by their timers. Such a request once ended the loop, after 260 requests at most.
+// This is TestDeadlineMayOvertakeItsRequest with real timers: the deadline of thousands of requests passes while they
+// are submitted, and the events of some timers reach the loop before their requests. Such a request used to end the
+// loop, after 260 requests at most.
 func TestRequestsSubmittedPastTheirDeadlineAreAnswered(t *testing.T) {
 	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
 	if err != nil {
@@ -135,7 +137,7 @@
 	testkit.Receive(t, "end of the loop", ended)
 }
 
-// The number of remembered IDs is bounded, by time and by count.
+// The number of stored recent IDs must be bounded by time and by count.
 func TestRecentIDsAreBounded(t *testing.T) {
 	r := newRecentIDs(time.Second)
 	const all = 5*maxRecentIDs + 10
--- a/internal/core/outcomes_test.go
+++ b/internal/core/outcomes_test.go
@@ -7,7 +7,8 @@
 	"vetchhaven/decide"
 )
 
-// An attempt's outcome counts for the server process to which the attempt went, whatever the list has said since.
+// An attempt's outcome must count for the server process to which the attempt was sent, even if the list has changed
+// since.
 func TestOutcomesCountForTheProcessThatGotTheAttempt(t *testing.T) {
 	l := &Loop{clock: newClock(), events: make(chan any, 8), stopped: make(chan struct{})}
 	var got []OutcomeSample
@@ -26,7 +27,7 @@
 	second := attemptAt(secondStart)
 	l.recordOutcome(first, decide.ConnectFailed) // reported at once, because there was no recent report
 	l.recordOutcome(second, decide.OK)
-	l.recordOutcome(second, decide.Rejected) // says nothing about the process
+	l.recordOutcome(second, decide.Rejected) // is not counted, because it is independent of the process's health
 	l.recordOutcome(second, decide.OK)
 	l.recordOutcome(second, decide.Errored)
 	if want := (OutcomeSample{Server: "s", StartedMS: firstStart, Failed: 1}); len(got) != 1 || got[0] != want {
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -18,7 +18,7 @@
 	return c
 }
 
-// The balancer's peer messages are sent as datagrams, and the sender is identified by its address.
+// The balancer's peer messages must be sent as datagrams, and a sender must be identified by its address.
 func TestPeerMessagesAreExchangedByAddress(t *testing.T) {
 	other := listenUDP(t)
 	defer other.Close()
@@ -48,8 +48,8 @@
 	}
 }
 
-// The process that this one replaces may still use the peer address. This one starts all the same, and receives
-// messages once the address is free.
+// An agent must start even if the process that it replaces still uses the peer address, and receive messages once the
+// address is free.
 func TestPeersWaitForTheirAddressToBeFree(t *testing.T) {
 	occupied := listenUDP(t)
 	other := listenUDP(t)
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -10,18 +10,18 @@
 	"vetchhaven/internal/testkit"
 )
 
-// newServerCase is a list with one more server than the list before it, and the bounds of that server's age as this
-// process sees it.
+// newServerCase describes a list with one server more than the previous list, and the expected bounds of that server's
+// age by the agent's clock.
 type newServerCase struct {
 	started func(now time.Time) time.Time // start by the list's clock; now is by this process's clock
-	saved   bool                          // the list before it was read from disk
-	first   bool                          // there is no list before it
+	saved   bool                          // the previous list was read from disk
+	first   bool                          // there is no previous list
 	minAge  time.Duration
 	maxAge  time.Duration
 }
 
-// A start lies between the last list without the server and now, whatever the wall clock of this process says. The
-// listed start in a first list is taken as it is, but not in the future.
+// A start must lie between the last list without the server and now, even if the wall clock of this process is wrong.
+// In a first list, the listed start must be used unchanged, unless it is in the future.
 func TestStartTimesLieWithinWhatWasObserved(t *testing.T) {
 	const between = 2 * time.Second // time between the two lists
 	ago := func(d time.Duration) func(time.Time) time.Time {
@@ -31,8 +31,8 @@
 		"clocks agree":              {started: ago(time.Second), minAge: time.Second, maxAge: time.Second},
 		"own clock an hour behind":  {started: ago(-time.Hour), minAge: 0, maxAge: 0},
 		"own clock a second behind": {started: ago(-time.Second), minAge: 0, maxAge: 0},
-		// The listed time is wrong, and when the process started between the lists is unknown: it counts as cold as
-		// it can be.
+		// The listed time is wrong, and the time between the two lists at which the process started is unknown: the
+		// process must count as started now.
 		"own clock an hour ahead":         {started: ago(time.Hour), minAge: 0, maxAge: 0},
 		"own clock five seconds ahead":    {started: ago(5 * time.Second), minAge: 0, maxAge: 0},
 		"first list":                      {started: ago(5 * time.Second), first: true, minAge: 5 * time.Second, maxAge: 5 * time.Second},
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// scriptedProtocol is a protocol whose attempts are made by a function.
+// scriptedProtocol is a protocol that makes attempts by calling a function of the test.
 type scriptedProtocol struct {
 	idleProtocol
 	attempt func(a *Attempt) (decide.Result, any)
@@ -22,7 +22,7 @@
 	return result, answer, decide.Load{}
 }
 
-// runWithLoop runs f in virtual time, beside a running loop that knows one server.
+// runWithLoop runs f in virtual time, with a running loop whose list has one server.
 func runWithLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
 	t.Helper()
 	server := discovery.Member{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
@@ -54,7 +54,7 @@
 	return r
 }
 
-// The deadline of an upload runs from its last byte, however long that byte took to come.
+// The deadline of an upload must be measured from its last byte, however late that byte arrives.
 func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		time.Sleep(5 * time.Minute) // the client is slow
@@ -74,8 +74,8 @@
 	})
 }
 
-// From its last byte on an upload is bounded as any request: a server that does not answer costs the client no more
-// than its deadline.
+// From its last byte on an upload must be bounded like any request: if the server does not answer, the client must get
+// an answer by its deadline.
 func TestUploadIsAnsweredByItsDeadline(t *testing.T) {
 	var end time.Time
 	attempt := func(a *Attempt) (decide.Result, any) {
@@ -94,8 +94,8 @@
 	})
 }
 
-// An attempt that broke after sending bytes that can't be replayed is not retried. Since nothing was executed, the
-// client learns at once that it may retry.
+// An attempt that failed after it had sent bytes that can't be sent again must not be retried. Since the request was
+// not executed, it must be refused at once, so that the client may retry.
 func TestUploadThatCannotBeReplayedIsRefused(t *testing.T) {
 	n := 0
 	attempt := func(a *Attempt) (decide.Result, any) {
@@ -113,8 +113,8 @@
 	})
 }
 
-// Once a response has begun to reach the client and the server has finished its work, the client's deadline does not
-// end the attempt. While the server still works, the deadline ends it.
+// Once a response has begun to reach the client and the server has finished its work, the client's deadline must not
+// end the attempt. While the server is still working, the deadline must end it.
 func TestCompletedResponseOutlivesTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -155,7 +155,7 @@
 	}
 }
 
-// A response does not begin past the deadline.
+// A response must not start after the deadline.
 func TestResponsePastTheDeadlineDoesNotStart(t *testing.T) {
 	attempt := func(a *Attempt) (decide.Result, any) {
 		<-a.Context.Done()
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// The settings object is read by the names and tags of its fields, in any case.
+// The keys of the settings object, which are the names or tags of its fields in any case, must not change.
 func TestSettingsKeepTheirKeys(t *testing.T) {
 	golden.CheckKeys(t, "settings.keys", reflect.TypeFor[settingsObject]())
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// Lines and batches may have any length.
+// The length of lines and batches must not be limited.
 func TestBatchOfSeveralMegabytesIsRead(t *testing.T) {
 	var in strings.Builder
 	for i := range 50000 {
