--- a/decide/doc.go
+++ b/decide/doc.go
@@ -5,8 +5,9 @@
 // connections. It passes events (events.go) to Step and executes the actions that Step returns (actions.go)
 // in order. A Balancer must be used by one goroutine only. All times are durations on the agent's own
 // monotonic clock, whose zero point does not matter; they must not go backwards. The memory of a Balancer is
-// bounded by the number of open requests and attempts, of pending timers and of all backends that were ever
-// listed. All randomness comes from the seed that is given to New: the same events give the same actions.
+// bounded by the number of open requests and attempts, of pending timers, and of backends that are listed,
+// have attempts in flight, are disabled by an operator, or were in the restored state. All randomness comes
+// from the seed that is given to New: the same events give the same actions.
 //
 // The design follows the Smithy retry guidance (AWS standard mode): each balancer has its own token bucket,
 // which is charged for each retry and refilled by each success; first attempts are sent whatever the bucket
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -133,7 +133,8 @@
 	return counts
 }
 
-// finalAnswer returns the kind of the final answer to a request among the actions, or "" if there is none.
+// finalAnswer returns the kind of the final answer to a request among the actions, or "" if they contain no answer to
+// it.
 func finalAnswer(id string, actions []decide.Action) string {
 	found := ""
 	for _, a := range actions {
--- a/decide/quota/ledger_test.go
+++ b/decide/quota/ledger_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// testStart is a clock reading within the life of a process.
+	// testStart is the clock reading at which tests start.
 	testStart = time.Hour
 	// never is a time after the end of every test.
 	never = 100 * time.Hour
--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -79,10 +79,10 @@
 // sends it again on another connection. A silent connection is not evicted before minSilent, and new ones wait in the
 // kernel's queue until then.
 //
-// Idle connections may hold at most a quarter of the slots. Otherwise, clients that send one request on each connection
-// and never close it would run out of descriptors of their own before the limiter runs out of slots. Beyond that
-// quarter, idle connections are evicted once they have been quiet for minQuiet, as past the eviction mark. As a result,
-// a burst of requests every few seconds needs new connections.
+// Only in a quarter of the slots are idle connections kept for longer. Otherwise, clients that send one request on each
+// connection and never close it would run out of descriptors of their own before the limiter runs out of slots. Beyond
+// that quarter, idle connections are evicted once they have been quiet for minQuiet, as past the eviction mark. As a
+// result, a burst of requests every few seconds needs new connections.
 //
 // The limiter does not close the connections that it evicts. It sets a read deadline that has passed, and the goroutine
 // that reads the connection closes it. That goroutine may already have read a request, which would be lost if the
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -40,7 +40,8 @@
 //     or as long as Options.StopAccepting specifies, and after that those in the listener's queue.
 //  3. The listener is closed. Each connection is closed once it has its answer. Connections on which no byte has
 //     arrived are closed after closeSilentAfterStop.
-//  4. drain returns when no connection is open, or at the latest at its end.
+//  4. drain returns when no connection is open, or at the latest after maxDrain, shortly before the platform kills the
+//     process.
 func (a *Agent) drain(served <-chan error) {
 	a.log.Info("stopping")
 	end := time.Now().Add(a.maxDrain())
