--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -78,17 +78,17 @@
 // another watch is opened within that time.
 const firstPushedListWait = time.Second
 
-// New returns an agent that serves once Run is called. It opens the listener itself unless parts has one.
+// New returns an agent that serves once Run is called. It opens the listener itself unless options has one.
 // newProtocol makes the protocol, which submits its requests to the given loop.
-func New(cfg *Config, log *slog.Logger, parts Options, newProtocol func(*Loop) Protocol) (*Agent, error) {
+func New(cfg *Config, log *slog.Logger, options Options, newProtocol func(*Loop) Protocol) (*Agent, error) {
 	a := &Agent{
 		cfg:           cfg,
 		log:           log,
-		hub:           parts.Hub,
-		listWait:      parts.ListWait,
+		hub:           options.Hub,
+		listWait:      options.ListWait,
 		firstListWait: firstPushedListWait,
 		panics:        make(chan error, 1),
-		stopAccepting: stopAcceptingOf(parts),
+		stopAccepting: stopAcceptingOf(options),
 	}
 	clk := newClock()
 	var err error
@@ -96,13 +96,13 @@
 		return nil, err
 	}
 	a.loop.containPanic = a.containPanic
-	a.loop.reportUsage = parts.ReportUsage
-	a.loop.outcomes.report = parts.ReportOutcomes
+	a.loop.reportUsage = options.ReportUsage
+	a.loop.outcomes.report = options.ReportOutcomes
 	a.protocol = newProtocol(a.loop)
 	a.loop.protocol = a.protocol
 	a.discovery = newListWatcher(cfg, clk, a.loop.post, log)
-	a.discovery.heartbeatTimeout = cmp.Or(parts.HeartbeatTimeout, a.discovery.heartbeatTimeout)
-	if parts.Hub == nil {
+	a.discovery.heartbeatTimeout = cmp.Or(options.HeartbeatTimeout, a.discovery.heartbeatTimeout)
+	if options.Hub == nil {
 		a.loop.requestWatch = a.discovery.subscribe
 	}
 	if cfg.Settings.Peers {
@@ -110,7 +110,7 @@
 			return nil, err
 		}
 	}
-	ln := parts.Listener
+	ln := options.Listener
 	if ln == nil {
 		if ln, err = listen(cfg); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
