--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -122,12 +122,12 @@
 
 // stopAcceptingOf returns a function that a stopping agent calls. The agent accepts connections until the channel that
 // the function returns delivers a value or is closed. If the function is nil, it accepts no more connections at once.
-func stopAcceptingOf(parts Options) func() <-chan time.Time {
+func stopAcceptingOf(options Options) func() <-chan time.Time {
 	switch {
-	case parts.NoLateConnections:
+	case options.NoLateConnections:
 		return nil
-	case parts.StopAccepting != nil:
-		return func() <-chan time.Time { return parts.StopAccepting }
+	case options.StopAccepting != nil:
+		return func() <-chan time.Time { return options.StopAccepting }
 	}
 	return func() <-chan time.Time { return time.After(AcceptAfterStop) }
 }
