--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -82,8 +82,8 @@
 			}
 			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Member{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
-			parts := Options{HeartbeatTimeout: 2 * testkit.Patience}
-			a, err := New(cfg, testkit.Quiet, parts, func(l *Loop) Protocol {
+			options := Options{HeartbeatTimeout: 2 * testkit.Patience}
+			a, err := New(cfg, testkit.Quiet, options, func(l *Loop) Protocol {
 				p.loop = l
 				return p
 			})
