--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -156,8 +156,8 @@
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Deadline = longest
 			}
-			parts := Options{Listener: testkit.Listen(t)}
-			a, err := New(cfg, testkit.Quiet, parts, func(*Loop) Protocol { return idleProtocol{} })
+			options := Options{Listener: testkit.Listen(t)}
+			a, err := New(cfg, testkit.Quiet, options, func(*Loop) Protocol { return idleProtocol{} })
 			if err != nil {
 				t.Fatal(err)
 			}
