--- a/decide/pick.go
+++ b/decide/pick.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// eligible reports whether a backend may get a request, regardless of ejections. The order of the checks
-// matters, because the last two change state.
+// eligible reports whether a backend may get a request; isHealthy, which covers ejections, is checked
+// separately. The order of the checks matters, because the last two change state.
 func (b *Balancer) eligible(request *openRequest, backend *endpoint) bool {
 	if backend.State != Up || !b.mayAttempt(request, backend) {
 		return false
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -49,9 +49,9 @@
 }
 
 // nextQueued returns the queued request to start next: the one whose unit of work has the highest value,
-// where clients' retries and requests that will be answered late count less. Of requests with equal values it
-// returns the one that was queued last. Requests that found no backend in this step are left out. It returns
-// nil if no request remains.
+// where clients' retries and requests that are expected to be answered late count less. Of requests with
+// equal values it returns the one that was queued last. Requests that found no backend in this step are left
+// out. It returns nil if no request remains.
 func (b *Balancer) nextQueued() *openRequest {
 	var best *openRequest
 	bestValue := 0.0
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -10,7 +10,7 @@
 
 // SinceArrival returns how long ago the last data arrived on a TCP connection's socket, as the kernel reports it
 // (tcp(7), TCP_INFO): a connection that already carries a request may have waited to be accepted. The result is 0
-// where the time is not known.
+// if the time is unknown.
 func SinceArrival(nc net.Conn) time.Duration {
 	sc, ok := nc.(syscall.Conn)
 	if !ok || nc.LocalAddr().Network() != "tcp" {
