--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -205,9 +205,9 @@
 	}
 }
 
-// The latency of a server that has been measured as slow must not lower the limit, because the other servers may have
-// capacity. With other load on the machines of a third of the servers, the mean delay exceeded the target, and 40 in
-// 100 requests were refused although the other servers had capacity (scenario houston big-1).
+// The latency of a server that has been measured as slow must not lower the limit, because it does not indicate a queue
+// at the other servers. With other load on the machines of a third of the servers, the mean delay exceeded the target,
+// and 40 in 100 requests were refused although the other servers had capacity (scenario houston big-1).
 func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
 	h := newHarness(t, creditSettings(), 1, testBackends(8))
 	sent := 0
--- a/decide/clientretry_test.go
+++ b/decide/clientretry_test.go
@@ -74,7 +74,7 @@
 	}{
 		{"over a twentieth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.05) }},
 		{"over a fifth of the deadline", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.2) }},
-		// Requests with even less time left would be refused for lack of time.
+		// With even less time left, a first try would be refused at once too, because waiting would not help.
 		{"over four fifths of it", func(rng *rand.Rand) time.Duration { return deadline - uniform(rng, 0.8) }},
 		{"four equally frequent lengths", func(rng *rand.Rand) time.Duration { return deadline - time.Duration(rng.IntN(4))*400*ms }},
 		{"through 4 tiers", through(4, 0)},
--- a/decide/credit_test.go
+++ b/decide/credit_test.go
@@ -9,8 +9,8 @@
 )
 
 // Hundreds of agents that may each have one attempt in flight overload the servers. An agent that admits by credit must
-// admit fewer requests when the delay exceeds the target, and all of them while there is no queue, however many
-// requests there are (incident ie43f64, scenario dallas big-1).
+// admit fewer requests when the delay exceeds the target, and all of them while there is no queue, however many agents
+// there are (incident ie43f64, scenario dallas big-1).
 func TestCreditFollowsDelay(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
 		h := newHarness(t, creditSettings(), 1, testBackends(8))
--- a/decide/observe.go
+++ b/decide/observe.go
@@ -58,8 +58,9 @@
 	b.adjustLimit(share)
 }
 
-// observeRejection records that a backend rejected an attempt because it is full. The backend counts as slow,
-// and gets no request for a random part of the mean latency.
+// observeRejection records that a backend rejected an attempt. The backend counts as slow, because its queue
+// is longer than those of the backends that accepted their attempts. It gets no request for a random part of
+// the mean latency.
 func (b *Balancer) observeRejection(request *openRequest, attempt *openAttempt) {
 	backend := attempt.backend
 	b.updateSlowness(backend, overdueSlowness)
--- a/decide/pinned_test.go
+++ b/decide/pinned_test.go
@@ -7,7 +7,7 @@
 	"vetchhaven/decide"
 )
 
-// A request that only one backend may get must be sent to that backend, and to the same one again after a failure which
+// A request that only one backend may get must be sent only to that backend, also when it is retried after a failure which
 // proves that it has not run. It must be refused at once if that backend is not up.
 func TestRequestPinnedToOneBackend(t *testing.T) {
 	b, err := decide.New(testSettings(), 1)
