--- a/internal/peer/policy/cluster_test.go
+++ b/internal/peer/policy/cluster_test.go
@@ -129,7 +129,7 @@
 // stop ends the process of a member.
 func (c *cluster) stop(name string) { c.nodes[name] = nil }
 
-// delivery has events that are to be passed to a member.
+// delivery contains the events to pass to a member.
 type delivery struct {
 	to     string
 	events []Event
@@ -230,13 +230,13 @@
 	c.step(at, Propose{Proposal{Base: c.nodes[at].ActivePolicy().Number, Document: *globalChange(id)}})
 }
 
-// proposeParts proposes a change of parts at a member. bases has the number of the document that each part is based
-// on.
+// proposeParts proposes a change of parts at a member. bases contains, for each part, the number of the document that
+// the change is based on.
 func (c *cluster) proposeParts(at string, change *Document, bases ...uint64) {
 	c.step(at, Propose{Proposal{Document: *change, Base: bases[0], Bases: bases[1:]}})
 }
 
-// status returns the status of a change that a member knows.
+// status returns the status that a member has received for a change.
 func (c *cluster) status(at, id string) ChangeStatus { return c.nodes[at].ChangeStatus(id) }
 
 // isolate blocks all links of a member.
@@ -285,7 +285,7 @@
 	return d.Number
 }
 
-// expectServed fails the test unless a member serves a part by the document with a number.
+// expectServed fails the test unless a member serves a part by the document with the given number.
 func (c *cluster) expectServed(at, part string, number uint64) {
 	c.t.Helper()
 	if got := c.servedNumber(at, part); got != number {
@@ -293,8 +293,8 @@
 	}
 }
 
-// expectAborted fails the test unless a member knows that a change was aborted by a given member, for a reason that
-// contains a text.
+// expectAborted fails the test unless a member has received the status that a change was aborted by a given member,
+// for a reason that contains a text.
 func (c *cluster) expectAborted(at, id, by, reason string) {
 	c.t.Helper()
 	status := c.status(at, id)
@@ -303,7 +303,7 @@
 	}
 }
 
-// expectState fails the test unless a member knows that a change has a state.
+// expectState fails the test unless a member has received the given state of a change.
 func (c *cluster) expectState(at, id string, state ChangeState) {
 	c.t.Helper()
 	if status := c.status(at, id); status.State != state {
--- a/internal/peer/policy/coordinator.go
+++ b/internal/peer/policy/coordinator.go
@@ -31,7 +31,7 @@
 
 	members       map[string]*memberProgress // by name
 	progress      map[string]*changeProgress // progress of the changes being prepared, by ID
-	recentCommits []recentCommit             // commits that some members may not know yet
+	recentCommits []recentCommit             // commits that some members may not have received yet
 	rosterChanges map[string]rosterChange    // roster changes that are proposed but not applied, by member name
 
 	reviewAt         time.Duration // when the roster and all changes are reviewed next
@@ -47,19 +47,19 @@
 	from    string
 }
 
-// confirmedRead has requests that may be answered once the log is applied up to an index.
+// confirmedRead is a group of requests that may be answered once the log is applied up to an index.
 type confirmedRead struct {
 	index    uint64
 	requests []receivedRequest
 }
 
-// memberProgress is the state of a member as a leader knows it from the member's requests.
+// memberProgress is the state of a member as reported in its requests to this leader.
 type memberProgress struct {
 	runID         uint64
 	format        uint8
 	lastRequestAt time.Duration
 	grantedAt     time.Duration // when this leader last granted a lease; 0: never
-	knownUpTo     uint64        // CommitIndex up to which the member knows all documents
+	knownUpTo     uint64        // CommitIndex up to which the member has all documents
 	prepared      []string      // IDs of the changes that the member has prepared
 	rejectedID    string
 	rejectReason  string
@@ -95,15 +95,15 @@
 	// readIndexTimeout is the time after which an unconfirmed read index is abandoned together with its requests. The
 	// next read index is for later requests only.
 	readIndexTimeout = 2 * time.Second
-	// leaseExpirySlack is how long after its calculated end a lease counts as expired.
+	// leaseExpirySlack is added to the calculated end of a lease before the lease counts as expired.
 	leaseExpirySlack = 20 * time.Millisecond
-	// memberAliveSpan is how long after its last request a member counts as running.
+	// memberAliveSpan is the time without a request after which a member no longer counts as running.
 	memberAliveSpan = 2 * time.Second
 	// maxUnreceivedResponses is the number of responses lost on the way to a member after which changes continue
 	// without the member. With a smaller number, a few lost messages remove a member.
 	maxUnreceivedResponses = 3
-	// maxUnconfirmedRequests bounds the requests that wait for a read index. Further requests are dropped; members
-	// send them again.
+	// maxUnconfirmedRequests bounds the requests that wait for a read index. Further requests are dropped; members retry
+	// them.
 	maxUnconfirmedRequests = 4096
 )
 
@@ -173,8 +173,8 @@
 	return binary.BigEndian.AppendUint64(context, c.readRequestID)
 }
 
-// receiveReadState handles Raft's confirmation. All entries that were committed when it was requested are in the log
-// up to its index.
+// receiveReadState handles Raft's confirmation. Its index covers all entries that were committed when it was
+// requested.
 func (c *coordinator) receiveReadState(r *raftNode, state raft.ReadState) {
 	if !slices.Equal(state.RequestCtx, c.readContext()) || !r.isLeader() || c.members == nil {
 		return
@@ -185,7 +185,7 @@
 	c.requestReadIndex(r)
 }
 
-// answerConfirmed answers the confirmed requests up to whose index the log is applied.
+// answerConfirmed answers those confirmed requests whose index the applied log has reached.
 func (c *coordinator) answerConfirmed(r *raftNode) {
 	for len(c.confirmedReads) > 0 && c.confirmedReads[0].index <= r.appliedIndex && c.members != nil {
 		requests := c.confirmedReads[0].requests
@@ -196,7 +196,7 @@
 	}
 }
 
-// commandApplied updates the leader's records after the log has applied a command.
+// commandApplied updates the leader's records after the state machine has applied a command.
 func (c *coordinator) commandApplied(r *raftNode, cmd *command) {
 	switch cmd.Kind {
 	case commandBatch:
@@ -220,7 +220,8 @@
 	c.nextStepAt = now
 }
 
-// canReadLog reports whether a member is known to be able to read the log in its current format.
+// canReadLog reports whether a member can read the log in its current format, by its roster entry or its requests.
+// Every build can read format 1.
 func (c *coordinator) canReadLog(r *raftNode, name string) bool {
 	format := r.state.Format
 	if i, ok := r.state.findMember(name); ok && r.state.Roster[i].Format >= format {
@@ -230,9 +231,9 @@
 	return format == 0 || m != nil && m.format >= format
 }
 
-// proposeFormat proposes to raise the format of the log to the format of this build. This is final, so it is done
-// only when the first change of a service's part is proposed: until then, operators can return to an earlier build.
-// It reports whether all voters are known to be able to read the new format.
+// proposeFormat proposes to raise the format of the log to the format of this build. This is final, so it is done only
+// when the first change of a service's part is proposed: until then, operators can return to an earlier build. It
+// reports whether all voters have reported that they can read the new format.
 func (c *coordinator) proposeFormat(r *raftNode) bool {
 	if !c.allVotersHaveFormat(r, FormatVersion) {
 		return false
@@ -244,7 +245,7 @@
 	return true
 }
 
-// allVotersHaveFormat reports whether all voters are known to have a format, or a later one.
+// allVotersHaveFormat reports whether all voters have reported a format or a later one to this leader.
 func (c *coordinator) allVotersHaveFormat(r *raftNode, format uint8) bool {
 	for _, name := range r.state.Voters {
 		if m := c.members[name]; m == nil || m.format < format {
--- a/internal/peer/policy/coordinator_changes.go
+++ b/internal/peer/policy/coordinator_changes.go
@@ -17,13 +17,13 @@
 	decidedAbort
 )
 
-// changeProgress is the progress of a change being prepared, as a leader knows it.
+// changeProgress is a leader's record of the progress of a change being prepared.
 type changeProgress struct {
 	since         time.Duration // when this leader first saw the change
 	affected      []rosterEntry // members that the change affects, in the roster of rosterVersion
 	rosterVersion uint64
-	// unprepared is the number of affected members that had not prepared the change at the last review, less those
-	// that have reported since then that they have prepared it.
+	// unprepared is the number of affected members that had not prepared the change at the last review, minus those that
+	// have reported since then that they prepared it.
 	unprepared int
 	decision   changeDecision
 	proposedAt time.Duration // when the decision was proposed
@@ -137,7 +137,7 @@
 }
 
 // objection reports whether and why a member makes it impossible to commit a change: the member rejects the change, or
-// runs an earlier build that does not know the parts of services.
+// runs an earlier build that does not support the parts of services.
 func (c *coordinator) objection(r *raftNode, pending *pendingChange, name string) (reason string, objects bool) {
 	m := c.members[name]
 	if m == nil {
@@ -188,8 +188,8 @@
 	}
 }
 
-// abortChange aborts a change as requested by an operator, or by the member that proposed it. It also aborts a change
-// that no voter has received yet.
+// abortChange aborts a change as requested by an operator, or by the member that proposed it. The abort is also
+// recorded for a change that no voter has received yet.
 func (c *coordinator) abortChange(r *raftNode, p *Proposal) {
 	if r.state.changeStatus(p.AbortID).State > ChangePreparing {
 		return
--- a/internal/peer/policy/coordinator_leases.go
+++ b/internal/peer/policy/coordinator_leases.go
@@ -65,7 +65,7 @@
 	return member
 }
 
-// updateMember records the state that a request reports.
+// updateMember records the member's state from a request.
 func (c *coordinator) updateMember(r *raftNode, m *memberProgress, request *LeaseRequest) {
 	now := r.node.now
 	m.lastRequestAt = now
@@ -137,7 +137,7 @@
 	if x.Format > 0 {
 		x.answerDocuments(r.state, response)
 		if rosterPending {
-			response.PartsHash = mismatchingHash(x.PartsHash) // so that the response confirms no parts to the member
+			response.PartsHash = mismatchingHash(x.PartsHash) // so that the response confirms no parts
 		}
 	}
 	for _, pending := range x.affecting {
@@ -148,7 +148,7 @@
 
 // answerRoster fills in the member's state in the roster, and proposes the member's roster entry if that is missing or
 // has to change. It reports whether a change of the entry has been proposed and not applied yet: the present entry may
-// then become invalid at any moment, so the response must not confirm its parts.
+// then become outdated at any moment, so the response must not confirm its parts.
 func (c *coordinator) answerRoster(r *raftNode, x *leaseExchange, response *LeaseResponse) (rosterPending bool) {
 	settings := &r.node.settings
 	proposePlace := false
@@ -211,7 +211,7 @@
 	response.Changed = state.committedSince(x.KnownUpTo, holds)
 }
 
-// legacyResponse reduces a response to format 1, which knows only the global part.
+// legacyResponse reduces a response to format 1, which has only the global part.
 func legacyResponse(r *raftNode, x *leaseExchange, response *LeaseResponse) *LeaseResponse {
 	legacy := &LeaseResponse{
 		Seq:          response.Seq,
--- a/internal/peer/policy/coordinator_roster.go
+++ b/internal/peer/policy/coordinator_roster.go
@@ -12,7 +12,7 @@
 	proposedAt time.Duration
 }
 
-// reviewRoster removes the members that left in order, and repeats the proposals of removals that may have been lost.
+// reviewRoster removes the members that have departed, and repeats the proposals of removals that may have been lost.
 func (c *coordinator) reviewRoster(r *raftNode) {
 	for _, name := range sortedKeys(r.node.membership) {
 		if info := r.node.membership[name]; info.Departed && r.state.inRoster(name, info.RunID) {
@@ -64,8 +64,8 @@
 	return r.node.now > grantedAt+r.node.settings.LeaseExpiry()+leaseExpirySlack
 }
 
-// notifyMembers notifies members that may not know all changes being prepared or committed, or this leader, so that
-// they send a lease request.
+// notifyMembers notifies members that may lack a change being prepared or committed, or that have sent this leader no
+// request, so that they send a lease request.
 func (c *coordinator) notifyMembers(r *raftNode) {
 	now := r.node.now
 	if now < c.notifyAt {
@@ -77,7 +77,7 @@
 	c.addUnawareOfCommits(r, uninformed)
 	c.addUnknown(r, uninformed)
 	names := sortedKeys(uninformed)
-	if len(names) > maxNotifications { // the members are notified in turn
+	if len(names) > maxNotifications { // each round notifies the next group of members
 		first := c.notifyOffset % len(names)
 		names = append(names[first:], names[:first]...)[:maxNotifications]
 		c.notifyOffset += maxNotifications
@@ -88,8 +88,8 @@
 	}
 }
 
-// addUnprepared adds the members that have not prepared a change. A member that this leader knows is notified only
-// until the prepare timeout; if it runs, it sends requests by itself after that.
+// addUnprepared adds the members that have not prepared a change. A member that has sent this leader a request is
+// notified only until the prepare timeout; after that, a running member sends requests without being notified.
 func (c *coordinator) addUnprepared(r *raftNode, names map[string]bool) {
 	for i := range r.state.PendingChanges {
 		pending := &r.state.PendingChanges[i]
@@ -105,7 +105,7 @@
 	}
 }
 
-// addUnawareOfCommits adds the running members that do not know a recent commit which affects them.
+// addUnawareOfCommits adds the running members that have not received a recent commit that affects them.
 func (c *coordinator) addUnawareOfCommits(r *raftNode, names map[string]bool) {
 	now := r.node.now
 	recent := 2 * r.node.settings.Lease
--- a/internal/peer/policy/document.go
+++ b/internal/peer/policy/document.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Document is the text of one part, with a description of the change that made it. A Document that represents a whole
-// change also contains the texts of the change's other parts.
+// Document is the text of one part, with a description of the change that made it. A Document that represents a change
+// of several parts also contains the texts of the change's other parts.
 type Document struct {
 	// Number counts the part's committed texts, from 1. 0 means that none was committed: each daemon uses its own
 	// file.
@@ -87,7 +87,7 @@
 	return size
 }
 
-// changeIDs returns the IDs of the changes in the given order.
+// changeIDs returns the IDs of changes, in the order of the argument.
 func changeIDs(changes []*Document) []string {
 	var ids []string
 	for _, change := range changes {
--- a/internal/peer/policy/events.go
+++ b/internal/peer/policy/events.go
@@ -15,11 +15,11 @@
 		Seq uint64
 		Err error
 	}
-	// MembersChanged has the current view that failure detection has of the fleet's members.
+	// MembersChanged reports the members of the fleet, as failure detection currently lists them.
 	MembersChanged struct{ Members []MemberInfo }
 	// Propose sends a change, or the abort of a change, to the voters.
 	Propose struct{ Proposal Proposal }
-	// WatchChange has the member request the status of a change for the next 10 minutes (watchDuration).
+	// WatchChange makes the member request the status of a change for the next 10 minutes (watchDuration).
 	WatchChange struct{ ID string }
 	// ReplaceVoter adds the voter Add and removes the voter Remove in one step. If one of the names is empty, the
 	// event only removes or only adds a voter.
@@ -27,12 +27,12 @@
 		Add    string `cbor:"Add"`
 		Remove string `cbor:"Remove"`
 	}
-	// Rescue makes this voter the only one, by an operator's decision (unsafe recovery, like etcd's
-	// --force-new-cluster). Whatever only the other voters knew is lost. Node.epoch counts the rescues.
+	// Rescue makes this voter the only one, by an operator's decision (unsafe recovery, like etcd's --force-new-cluster).
+	// Entries that only the other voters had are lost. Node.epoch counts the rescues.
 	Rescue struct{}
 	// TrustDisk lets a voter take part although it can't prove that its disk is current, by an operator's decision.
 	TrustDisk struct{}
-	// RenewNow has the member send a lease request at once.
+	// RenewNow makes the member send a lease request at once.
 	RenewNow struct{}
 	// SetParts sets the parts that this member holds from now on, besides the global one. A new part must not be
 	// served until Serving lists it. A part that Parts no longer lists must not be served any more when this event is
@@ -64,7 +64,7 @@
 func (SetParts) event()       {}
 func (History) event()        {}
 
-// MemberInfo is the information that failure detection has about a member.
+// MemberInfo is what failure detection reports about a member.
 type MemberInfo struct {
 	Name     string
 	RunID    uint64
@@ -110,7 +110,7 @@
 	FirstIndex    uint64   // index of the first of Entries
 	CompactBefore uint64   // entries before this index may be removed
 	Member        []byte   // the member's data: an encoded savedMember
-	Epoch         uint64   // epoch of the voter's data, if the batch has any
+	Epoch         uint64   // epoch of the voter's data, if the batch contains any
 }
 
 // StoredState is the data on the disk at the start: the last value of each item.
--- a/internal/peer/policy/format_test.go
+++ b/internal/peer/policy/format_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// As long as only the global part was changed, operators can return to an earlier build: it can read the data that
-// voters and members write, and the fields that it does not know may be dropped.
+// As long as only the global part has been changed, operators can return to an earlier build: it can read the data
+// that voters and members write, and dropping the fields that it does not have is safe.
 func TestWithoutPartsFormatOneBuildsReadWhatIsWritten(t *testing.T) {
 	c := newSettledCluster(t, servesWhenIsolated)
 	c.propose("a", "x")
--- a/internal/peer/policy/golden_test.go
+++ b/internal/peer/policy/golden_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// The data that voters and members store, and the messages between them, are encoded and decoded as by earlier builds.
+// The data that voters and members store, and the messages between them, keep the encoding of earlier builds, and data
+// of earlier builds can be decoded.
 func TestStoredEncodingsMatchEarlierBuilds(t *testing.T) {
 	cborCodec[replicatedState]("state.cbor").Check(t)
 	cborCodec[command]("command.cbor").Check(t)
@@ -24,7 +25,7 @@
 }
 
 // A state in which one change of only the global part is being prepared is written in format 1. A state with parts is
-// not.
+// written in format 2.
 func TestBothStateFormatsMatchEarlierBuilds(t *testing.T) {
 	var full replicatedState
 	golden.Fill(&full)
--- a/internal/peer/policy/lease_test.go
+++ b/internal/peer/policy/lease_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A member has prepared a change and does not know the outcome. It serves unchanged until its lease expires, and from
-// then on only what both the active policy and the change allow.
+// A member has prepared a change and has not received the outcome. It serves by the active policy until its lease
+// expires, and from then on serves only what both the active policy and the change allow.
 func TestUncertainMemberServesIntersection(t *testing.T) {
 	c := newSettledCluster(t, servesWhenIsolated)
 	c.stalledDisks["e"] = true // the change waits for e
@@ -64,8 +64,8 @@
 	}
 }
 
-// A member that does not know the outcome of a change of one part serves what both documents of that part allow, and
-// serves its other part unchanged.
+// A member that has not received the outcome of a change of one part serves what both documents of that part allow,
+// and serves its other part unchanged.
 func TestUncertainPartServesIntersectionOnly(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	c.stalledDisks["d"] = true // the change waits for d
@@ -80,7 +80,8 @@
 	}
 }
 
-// A leader that reaches no quorum grants no lease, because it may not know what the next leader has decided.
+// A leader that reaches no quorum grants no lease, because another voter may have been elected and have decided
+// changes meanwhile.
 func TestIsolatedLeaderGrantsNoLease(t *testing.T) {
 	c := newSettledCluster(t, stopsWhenIsolated)
 	isolated := c.leader()
@@ -142,8 +143,8 @@
 	}
 }
 
-// A new leader does not know which leases its predecessor granted. It waits until all of them have certainly expired
-// before it commits a change without their members.
+// A new leader has no record of the leases that its predecessor granted. It waits until all of them have certainly
+// expired before it commits a change without their members.
 func TestNewLeaderWaitsForLeasesOfItsPredecessor(t *testing.T) {
 	c := newSettledCluster(t, stopsWhenIsolated)
 	predecessor := c.leader()
--- a/internal/peer/policy/member.go
+++ b/internal/peer/policy/member.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// member is the role that every daemon has in the replication of the policy. It knows the active documents of the
+// member is the role that every daemon has in the replication of the policy. It stores the active documents of the
 // parts that it holds, persists the changes being prepared, renews its lease at the leader, and decides what its
 // daemon serves by.
 //
@@ -23,14 +23,14 @@
 	// Active documents, and the parts that this member holds.
 	active      Document            // active global document
 	activeParts map[string]Document // active documents of the other parts that have one
-	// knownUpTo is the CommitIndex up to which it knows all committed documents of its parts; 0: it knows none.
+	// knownUpTo is the CommitIndex up to which it has all committed documents of its parts; 0: all are requested anew.
 	knownUpTo       uint64
 	configuredParts []string // sorted parts that it is configured to hold, besides the global one
 	// servedParts are those configured parts that the roster lists for this member, and whose active document, if
 	// there is one, this member has.
 	servedParts     []string
 	rosterPartsHash uint64 // hash of the parts that the roster lists for this member, from the last response
-	partsRequested  bool   // the last response asks that the next request lists the parts
+	partsRequested  bool   // the last response requires that the next request lists the parts
 
 	// Changes being prepared.
 	prepared   []*Document              // changes that are on the disk, and that this member can serve by
@@ -50,8 +50,8 @@
 
 	// The lease.
 	exclusiveName bool // this process is the only one that uses its name
-	inRoster      bool // the last response said that this run is in the roster
-	everInRoster  bool // some response to this run has said so
+	inRoster      bool // this run is in the roster, by the last response
+	everInRoster  bool // some response to this run has confirmed inRoster
 	leaseExpiry   time.Duration
 	startedAt     time.Duration
 	serving       Serving // the last one emitted
@@ -66,12 +66,12 @@
 	lastRequestAt      time.Duration
 	unansweredRequests int    // number of requests since the last response
 	requestTarget      string // receiver of the last request
-	voterOffset        int    // selects the voter while the leader is not known
-	leader             string // leader that the last response named; empty: it is not known
+	voterOffset        int    // selects the voter while no leader is on record
+	leader             string // leader named in the last response; empty: none on record
 	relay              string // voter that forwarded the last forwarded response
 	avoidedLeader      string // leader that did not respond directly, avoided until avoidUntil
 	avoidUntil         time.Duration
-	rotation           int // advances with each request, to report by turns what one request has no room for
+	rotation           int // increases with each request, to report in turn what does not fit into one request
 
 	// Requests of operators.
 	watches   []watchedChange
@@ -146,7 +146,7 @@
 		m.preparedAt[change.ID] = n.now
 	}
 	if n.epoch > 0 && m.knownUpTo == 0 {
-		// The last process may have ended before it knew which documents a rescue had lost.
+		// The previous process may have ended before it determined which documents a rescue had lost.
 		n.epochChangedAt = max(1, n.now)
 	}
 	if h := n.settings.Handoff; h != nil && h.Number == m.active.Number {
@@ -234,8 +234,8 @@
 	m.requestSoon()
 }
 
-// resetKnowledge discards what this member knows from the voters, and what it knows of their records about it: after a
-// rescue both may be wrong.
+// resetKnowledge discards the commit index received from the voters, and what their roster lists for this member:
+// after a rescue both may be wrong.
 func (m *member) resetKnowledge() {
 	m.knownUpTo = 0
 	m.rosterPartsHash = 0
--- a/internal/peer/policy/member_changes.go
+++ b/internal/peer/policy/member_changes.go
@@ -17,7 +17,7 @@
 	saveRetryInterval = 5 * time.Second
 )
 
-// fetch requests the documents of a change, unless they were requested lately or are being written already.
+// fetch requests the documents of a change, unless they were requested recently or are being written already.
 func (m *member) fetch(id string) {
 	n := m.node
 	hasID := func(d *Document) bool { return d.ID == id }
@@ -30,7 +30,7 @@
 	}
 	voter := m.preferredVoter()
 	if again && voter == m.leader {
-		voter = m.leaderOrRandomVoter() // this member may not reach the leader; every voter has the documents soon
+		voter = m.leaderOrRandomVoter() // this member may not reach the leader; every voter receives the documents soon
 	}
 	m.fetching[id] = n.now
 	if n.raftNode != nil {
@@ -40,7 +40,7 @@
 		}
 	}
 	request := &Message{Fetch: id}
-	if !m.inRoster || m.rosterPartsHash != partsHash(m.configuredParts) { // the voters may not know the member's parts
+	if !m.inRoster || m.rosterPartsHash != partsHash(m.configuredParts) { // the roster may not list the member's parts
 		request.Parts = m.configuredParts
 	}
 	n.send(voter, request)
@@ -206,7 +206,7 @@
 	delete(m.fetching, change.ID)
 }
 
-// saveQueued writes the queued changes, unless a write is in progress, whose end calls saveQueued again.
+// saveQueued writes the queued changes, unless a write is in progress: when that ends, saveQueued is called again.
 func (m *member) saveQueued() {
 	if m.savingSeq == 0 && len(m.queuedChanges) > 0 {
 		m.save()
@@ -273,7 +273,7 @@
 	}
 }
 
-// changeNotPersisted handles a change that could not be written to the disk. An active change is served all the same,
+// changeNotPersisted handles a change that could not be written to the disk. An active change is served nevertheless,
 // since after a restart the member requests the active documents anyway. A change being prepared is rejected.
 func (m *member) changeNotPersisted(change *Document, err error) {
 	if m.isMissing(change.ID) {
--- a/internal/peer/policy/member_proposals.go
+++ b/internal/peer/policy/member_proposals.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// watchDuration is how long the status of a change is requested. It is much longer than any change takes.
+	// watchDuration is the time for which the status of a change is requested. It is much longer than any change takes.
 	watchDuration = 10 * time.Minute
 	// maxWatchedChanges bounds the number of watches of one member. The oldest watch is dropped.
 	maxWatchedChanges = 64
-	// proposalTimeout is how long a proposal is sent to the voters: longer than several elections. The change is
-	// aborted afterwards, so that it does not take effect at some later time.
+	// proposalTimeout is the time for which a proposal is sent to the voters: longer than several elections. The change
+	// is aborted afterwards, so that it does not take effect at some later time.
 	proposalTimeout = 30 * time.Second
 	// proposalRetryInterval is the time after which a proposal is sent again. It covers several writes of the voters'
 	// disks.
@@ -30,7 +30,7 @@
 // outgoingProposal is a proposal that the member sends to the voters until the log has it.
 type outgoingProposal struct {
 	proposal  Proposal
-	sendAt    time.Duration // when it is sent the next time
+	sendAt    time.Duration // when it is sent next
 	expiresAt time.Duration
 }
 
--- a/internal/peer/policy/member_requests.go
+++ b/internal/peer/policy/member_requests.go
@@ -14,8 +14,8 @@
 	urgentRequestInterval = 200 * time.Millisecond
 	// maxUrgentInterval limits this backoff for a member that needs a response, or that stops without one.
 	maxUrgentInterval = 5 * urgentRequestInterval
-	// maxBackoffDoublings keeps the shift from overflowing. It allows 12.8 s, but a third of the usual lease is a
-	// lower limit by then.
+	// maxBackoffDoublings keeps the shift from overflowing. It allows 12.8 s, but a third of the default lease limits the
+	// interval before that.
 	maxBackoffDoublings = 6
 	// renewalsPerLease is how often a member that needs no response renews its lease during the lease: two consecutive
 	// requests may be lost.
@@ -23,24 +23,24 @@
 	// urgentLeaseFraction sets when a member that stops at lease expiry needs a response: in the last quarter of the
 	// lease.
 	urgentLeaseFraction = 4
-	// minRequestInterval bounds the rate of requests that events cause, to 100 a second for one member.
+	// minRequestInterval limits the requests that events cause to 100 a second for each member.
 	minRequestInterval = 10 * time.Millisecond
 	// voterTimeout is how long a voter may take to respond before the member sends its requests to another voter.
 	// With a shorter timeout, one slow disk write makes members leave a leader; a longer one wastes a part of the
 	// lease.
 	voterTimeout = 2 * urgentRequestInterval
-	// responseTimeout is how long after its request a response is accepted. A later response is outdated, and
-	// remembering the request takes memory.
+	// responseTimeout is how long after its request a response is accepted. A later response is outdated, and the records
+	// of outstanding requests take memory.
 	responseTimeout = 3 * time.Second
 	// avoidLeaderDuration is how long requests go through another voter after the leader did not respond directly.
 	// With a longer duration, voters carry the load of forwarding for longer after a short network fault.
 	avoidLeaderDuration = 5 * time.Second
-	// maxStatusQueries bounds the number of changes whose status one request asks for, so that the response fits a
+	// maxStatusQueries bounds the number of changes whose status one request queries, so that the response fits a
 	// datagram.
 	maxStatusQueries = 8
 )
 
-// needsResponse reports whether the member waits for information that a response contains.
+// needsResponse reports whether the member needs information that a response contains.
 func (m *member) needsResponse() bool {
 	switch {
 	case !m.inRoster, m.rosterPartsHash != partsHash(m.configuredParts):
@@ -113,7 +113,7 @@
 }
 
 // preferredVoter returns the leader or, while the leader does not respond to this member directly, the voter that last
-// forwarded a response. It returns an empty name if neither is known.
+// forwarded a response. It returns an empty name if neither is on record.
 func (m *member) preferredVoter() string {
 	avoided := m.leader != "" && m.leader == m.avoidedLeader && m.node.now < m.avoidUntil
 	if avoided && m.relay != "" {
@@ -122,7 +122,7 @@
 	return m.leader
 }
 
-// leaderOrAny returns the leader or, while the leader is not known, a random voter, which forwards messages to the
+// leaderOrAny returns the leader or, while no leader is on record, a random voter, which forwards messages to the
 // leader.
 func (m *member) leaderOrAny() string {
 	if m.leader != "" {
@@ -171,7 +171,7 @@
 	if !m.inRoster || m.rosterPartsHash != request.PartsHash || m.partsRequested {
 		request.Parts = m.configuredParts
 	}
-	for i := range m.watches { // more watches than one request has room for are reported in turn
+	for i := range m.watches { // watches that do not fit into one request are queried in turn
 		watch := m.watches[(m.rotation+i)%len(m.watches)]
 		if watch.isOpen() && len(request.StatusOf) < maxStatusQueries {
 			request.StatusOf = append(request.StatusOf, watch.status.ID)
--- a/internal/peer/policy/member_responses.go
+++ b/internal/peer/policy/member_responses.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// rejoinInterval is the time after which a member that is not in the roster, and so admits nothing, sends the next
-// request. A longer interval delays its start; a shorter one sends requests while the log has not applied its join
-// yet.
+// rejoinInterval is the time after which a member that is not in the roster, and so admits no requests, sends the next
+// lease request. A longer interval delays its start; a shorter one sends requests while the log has not applied its
+// join yet.
 const rejoinInterval = urgentRequestInterval / 4
 
 // leaseTerms is the information about the member's documents in a response of either format.
 type leaseTerms struct {
-	requestedAt time.Duration // when the request was sent; the response was true at some time after that
+	requestedAt time.Duration // when the request was sent; the response was valid at some time after that
 	changed     []DocumentRef // active documents that may differ from the member's
 	pendingIDs  []string      // IDs of the changes being prepared that affect the member
 	partsHash   uint64        // hash of the parts that the roster has for the member
@@ -21,7 +21,7 @@
 	coversParts bool
 }
 
-// receiveLeaseResponse handles the leader's response to a request. The response was true at some time after the
+// receiveLeaseResponse handles the leader's response to a request. The response was valid at some time after the
 // request was sent.
 func (m *member) receiveLeaseResponse(from string, response *LeaseResponse) {
 	requestedAt, ok := m.outstanding[response.Seq]
@@ -71,7 +71,8 @@
 	m.node.learnVoters(response.Voters)
 }
 
-// updateRefusal records why the leader does not add this member to the roster. An empty refusal means that it does.
+// updateRefusal records why the leader does not add this member to the roster. An empty refusal means that there is no
+// obstacle.
 func (m *member) updateRefusal(refusal string) {
 	if refusal == m.refusal {
 		return
@@ -92,7 +93,7 @@
 		partsHash:   response.PartsHash,
 	}
 	if response.Format == 0 {
-		// A leader of format 1 knows only the global part, and counts this member for every change.
+		// A leader of format 1 supports only the global part, and counts this member for every change.
 		terms.changed = nil
 		terms.pendingIDs = nil
 		terms.partsHash = ownHash
--- a/internal/peer/policy/messages.go
+++ b/internal/peer/policy/messages.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// Message is a message between members. Exactly one of its pointers, Raft, Notify and Fetch is set. A build skips the
-// fields that it does not know.
+// Message is a message between members. Exactly one of Raft, Notify, Fetch and the pointer fields is set. A build
+// skips fields that it does not have.
 type Message struct {
 	Epoch         uint64         `cbor:"1,keyasint,omitempty"` // epoch of the sender's voters; see Node.epoch
 	Raft          []byte         `cbor:"2,keyasint,omitempty"` // a Raft message (protobuf)
@@ -13,7 +13,7 @@
 	LeaseResponse *LeaseResponse `cbor:"4,keyasint,omitempty"`
 	// To is the member to which a voter forwards a LeaseResponse.
 	To string `cbor:"5,keyasint,omitempty"`
-	// Notify asks the receiver to send a lease request, because something has changed.
+	// Notify requests that the receiver send a lease request, because something has changed.
 	Notify           bool              `cbor:"6,keyasint,omitempty"`
 	PositionRequest  *PositionRequest  `cbor:"7,keyasint,omitempty"`
 	PositionResponse *PositionResponse `cbor:"8,keyasint,omitempty"`
@@ -38,7 +38,7 @@
 	return len(m.Raft) > maxDatagramRaftBytes || m.Document != nil || m.Proposal != nil || m.History != nil
 }
 
-// LeaseRequest asks the leader to renew a member's lease, and reports the member's state.
+// LeaseRequest requests the renewal of a member's lease from the leader, and reports the member's state.
 type LeaseRequest struct {
 	Name         string `cbor:"1,keyasint,omitempty"`
 	RunID        uint64 `cbor:"2,keyasint,omitempty"`
@@ -56,10 +56,10 @@
 	LeaseExpired     bool     `cbor:"13,keyasint,omitempty"` // the member's lease has expired
 	// Format and the fields after it exist since format 2.
 	Format      uint8    `cbor:"14,keyasint,omitempty"`
-	KnownUpTo   uint64   `cbor:"15,keyasint,omitempty"` // CommitIndex up to which it knows all documents; 0: none
+	KnownUpTo   uint64   `cbor:"15,keyasint,omitempty"` // CommitIndex up to which it has all documents; 0: none
 	PreparedIDs []string `cbor:"16,keyasint,omitempty"` // IDs of all changes that it has prepared; replaces Prepared
 	PartsHash   uint64   `cbor:"17,keyasint,omitempty"` // hash of the parts that it holds: see partsHash
-	Parts       []string `cbor:"18,keyasint,omitempty"` // the parts that it holds, if the voters may not know them
+	Parts       []string `cbor:"18,keyasint,omitempty"` // the parts that it holds, if the roster may not list them
 }
 
 // LeaseResponse is the leader's response to a LeaseRequest. After the request arrived, a quorum confirmed that the
@@ -83,8 +83,7 @@
 	Complete   bool          `cbor:"13,keyasint,omitempty"` // Changed has all active documents of the member's parts
 	PendingIDs []string      `cbor:"14,keyasint,omitempty"` // IDs of the changes being prepared that affect the member
 	PartsHash  uint64        `cbor:"15,keyasint,omitempty"` // hash of the parts that the roster has for the member
-	// CountsForAllParts reports that the roster does not know the member's parts, so every change waits for the
-	// member.
+	// CountsForAllParts reports that the roster does not list the member's parts, so every change waits for the member.
 	CountsForAllParts bool `cbor:"16,keyasint,omitempty"`
 	PartsRequested    bool `cbor:"17,keyasint,omitempty"` // the member's next request has to list its parts
 }
@@ -190,7 +189,7 @@
 	return nil
 }
 
-// PositionRequest is sent by a voter that has started, to ask another voter how far its log reaches. See
+// PositionRequest is sent by a voter that has started, to query how far the log of another voter reaches. See
 // raftnode_recovery.go.
 type PositionRequest struct {
 	Number    uint64 `cbor:"1,keyasint,omitempty"` // identifies this start
@@ -201,7 +200,7 @@
 // PositionResponse reports how far a voter's log reaches.
 type PositionResponse struct {
 	Number        uint64   `cbor:"1,keyasint,omitempty"` // Number of the request
-	ProvenCurrent bool     `cbor:"2,keyasint,omitempty"` // it takes part in Raft, or its disk is certainly current
+	ProvenCurrent bool     `cbor:"2,keyasint,omitempty"` // the voter takes part in Raft, or its disk is certainly current
 	Term          uint64   `cbor:"3,keyasint,omitempty"`
 	LastTerm      uint64   `cbor:"4,keyasint,omitempty"`
 	LastIndex     uint64   `cbor:"5,keyasint,omitempty"`
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -21,12 +21,12 @@
 	raftNode *raftNode // nil: this process is not a voter
 
 	persistSeq uint64            // Seq of the last batch passed to the disk
-	voters     []string          // the voters that this process knows; never empty
+	voters     []string          // the last list of voters that this process received; never empty
 	voterNames map[uint64]string // names, by Raft's IDs, of voters and of members that have sent a message
 	// epoch is the number of rescues since the fleet began. Voters of an earlier epoch are ignored.
 	epoch          uint64
 	epochChangedAt time.Duration         // 0: the epoch has not changed since this process started
-	membership     map[string]MemberInfo // members that failure detection knows, by name
+	membership     map[string]MemberInfo // members that failure detection last reported, by name
 	stats          Stats
 }
 
@@ -61,7 +61,7 @@
 	return n, nil
 }
 
-// start restores the stored data in the first step.
+// start restores the stored data. It is called in the first step.
 func (n *Node) start() {
 	stored := n.stored
 	n.started = true
@@ -189,7 +189,7 @@
 	}
 }
 
-// isCurrentRun reports whether failure detection knows a member under this run ID.
+// isCurrentRun reports whether failure detection lists a member with this run ID.
 func (n *Node) isCurrentRun(name string, runID uint64) bool { return n.membership[name].RunID == runID }
 
 // becomeVoter makes this member a voter, because a voter has sent it a Raft message.
@@ -213,7 +213,8 @@
 	n.errorf("this member is no longer a voter, and removes its log: %s", reason)
 }
 
-// rescue makes this voter the only one.
+// rescue makes this voter the only voter and starts a new epoch, by an operator's decision after the other voters were
+// lost.
 func (n *Node) rescue() {
 	if n.raftNode == nil {
 		n.errorf("rescue failed: this member is not a voter, and has no log")
--- a/internal/peer/policy/node_messages.go
+++ b/internal/peer/policy/node_messages.go
@@ -4,8 +4,8 @@
 	// maxResponseHops bounds how often a LeaseResponse is forwarded. The voter that forwarded the request forwards the
 	// response, so one hop is needed; the bound prevents loops.
 	maxResponseHops = 2
-	// maxReplaceVoterHops bounds how often a ReplaceVoter is forwarded on its way to the leader. It takes more than
-	// one hop if a voter still names an earlier leader. An operator can repeat a request that was dropped.
+	// maxReplaceVoterHops bounds how often a ReplaceVoter is forwarded on its way to the leader. More than one hop is
+	// needed if a voter still has an earlier leader on record. An operator can repeat a request that was dropped.
 	maxReplaceVoterHops = 2
 )
 
@@ -57,9 +57,9 @@
 // message has to be handled.
 func (n *Node) acceptEpoch(from string, m *Message) bool {
 	switch {
-	case m.Epoch < n.epoch: // the sender does not know of a rescue
+	case m.Epoch < n.epoch: // the sender has not received the epoch of a rescue
 		if m.Raft != nil || m.PositionRequest != nil || m.LeaseResponse != nil {
-			n.send(from, &Message{Notify: true}) // informs the sender of the rescue, and has it request a lease
+			n.send(from, &Message{Notify: true}) // informs the sender of the epoch, and makes it request a lease
 			return false
 		}
 	case m.Epoch > n.epoch:
@@ -161,7 +161,7 @@
 				Reason:    "services have no parts yet: not all voters have been heard to be of this version",
 			})
 		}
-		return // the change is proposed once the log has this format: its member sends the proposal again
+		return // the change is proposed once the log has this format: the proposing member retries
 	}
 	change.Number = 0
 	r.propose(&command{
@@ -173,8 +173,8 @@
 	})
 }
 
-// replaceVoter changes the voters if this voter leads, or else forwards the request to the leader. hops is how often
-// the request was forwarded.
+// replaceVoter changes the voters if this voter leads, or else forwards the request to the leader. hops is the number
+// of times that the request was forwarded.
 func (n *Node) replaceVoter(request *ReplaceVoter, hops int) {
 	r := n.raftNode
 	if r != nil && r.isLeader() {
--- a/internal/peer/policy/parts_test.go
+++ b/internal/peer/policy/parts_test.go
@@ -52,7 +52,7 @@
 }
 
 // A member stops holding a part, and holds it again before the log has applied the first change. The roster still
-// lists the part, but is about to lose it.
+// lists the part, but the proposed change of its entry removes the part.
 func TestPartNotServedWhileRosterChangeIsPending(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	leader := c.leader()
@@ -83,8 +83,8 @@
 	c.expectServed("d", "y", 1)
 }
 
-// The active documents of two parts pass the check only together. A member that joins without either of them serves by
-// both.
+// The active documents of two parts pass the check only together. A member that joins without either of them fetches
+// both, and then serves by both.
 func TestJoiningMemberActivatesDependentPartsTogether(t *testing.T) {
 	c := newPartsCluster(t, servesWhenIsolated)
 	c.proposeParts("b", partsChange("two", "", "x"), 0, 1)
--- a/internal/peer/policy/policy.go
+++ b/internal/peer/policy/policy.go
@@ -39,10 +39,10 @@
 //	savedMember                    CBOR in policy.db, "member"     New refuses a later format
 //	replicatedState, rosterEntry   CBOR in snapshots of the log    read by the coordinator; the log's format rises
 //	                                                               for good with the first change of a service's
-//	                                                               part, once all voters know format 2
+//	                                                               part, once all voters have format 2
 //	command                        CBOR in entries of the log      a join contains its parts from format 2 on
 //
-// Message has no format of its own: a build skips the fields that it does not know. A build does not refuse a
+// Message has no format of its own: a build skips fields that it does not have. A build does not refuse a
 // replicatedState of a later format, and applies a command of an unknown kind without effect. This is safe because a
 // leader proposes what needs a format only once all voters have that format (proposeFormat).
 const FormatVersion = 2
--- a/internal/peer/policy/raftnode.go
+++ b/internal/peer/policy/raftnode.go
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftNode is the role of a voter in the log. It drives go.etcd.io/raft, which performs no I/O by itself: it passes
+// raftNode is the role of a voter in the log. It drives go.etcd.io/raft, which performs no I/O itself: raftNode passes
 // ticks and messages to Raft, stores what Raft requires to be stored, and sends each of Raft's messages once the data
 // that the message depends on is on the disk.
 //
-// A voter whose disk may be older than its promises first recovers: see raftnode_recovery.go.
+// A voter whose disk may be older than the promises that it has made first recovers: see raftnode_recovery.go.
 type raftNode struct {
 	node    *Node
 	id      uint64        // Raft's ID of this voter: see raftID
@@ -59,7 +59,7 @@
 	pendingCommands []command
 	groupCommitAt   time.Duration
 
-	regressions    map[string]regression    // voters that report less than they acknowledged, by name
+	regressions    map[string]regression    // voters that report a shorter log than they acknowledged, by name
 	snapshotSentAt map[uint64]time.Duration // when snapshots were sent, by Raft's ID of the receiver
 }
 
@@ -77,8 +77,8 @@
 	return p.term < o.term || p.term == o.term && p.index < o.index
 }
 
-// Raft's timing. An election takes one election timeout. Its base value is 1.2 to 1.6 s, and Raft randomizes it up to
-// twice that.
+// Raft's timing. An election takes one election timeout. Its base value is 1.2 to 1.6 s; Raft randomizes it between
+// the base value and twice the base value.
 const (
 	// tickInterval is Raft's unit of time. A shorter interval costs more messages when idle.
 	tickInterval = 200 * time.Millisecond
@@ -91,7 +91,7 @@
 	// electionJitterTicks is the range of the random addition to a voter's election timeout, in ticks: 0 to one less
 	// than this. It depends on the voter's seed.
 	electionJitterTicks = 3
-	// minCampaignDelay is the shortest delay after its start at which a voter campaigns if there is no leader.
+	// minCampaignDelay is the shortest delay after the start before a voter campaigns if there is no leader.
 	minCampaignDelay = 100 * time.Millisecond
 	// campaignDelayJitter spreads these campaigns, so that they don't split the votes.
 	campaignDelayJitter = 300 * time.Millisecond
@@ -143,7 +143,7 @@
 	switch {
 	case stored.ProvenCurrent && stored.Snapshot != nil:
 		return r, r.startRaft()
-	case len(r.state.Voters) <= 1: // there is no other voter that could know more
+	case len(r.state.Voters) <= 1: // there is no other voter that could have more entries
 		return r, r.persistBaseAndStart()
 	}
 	return r, nil // the voter recovers first
@@ -271,7 +271,7 @@
 }
 
 // restart restarts Raft from the data on the disk, as at the start of a process: this voter no longer leads, and
-// forgets what others acknowledged. If a write is outstanding, the restart waits for it.
+// discards its record of what others acknowledged. If a write is outstanding, the restart waits for it.
 func (r *raftNode) restart() {
 	r.restartPending = r.hasPendingWrites()
 	if r.restartPending {
@@ -301,14 +301,14 @@
 	return r.startRaft()
 }
 
-// isLeader reports whether this voter is the leader, as far as it knows.
+// isLeader reports whether Raft has this voter in the leader state. Another voter may have been elected meanwhile.
 func (r *raftNode) isLeader() bool {
 	return r.rawNode != nil && r.status().RaftState == raft.StateLeader
 }
 
 func (r *raftNode) status() raft.BasicStatus { return r.rawNode.BasicStatus() }
 
-// leaderName returns the name of the leader that this voter knows, or an empty name if it knows none.
+// leaderName returns the name of the current leader according to Raft, or an empty name if there is none.
 func (r *raftNode) leaderName() string {
 	if r.rawNode == nil {
 		return ""
@@ -327,7 +327,7 @@
 		r.writeSeq = r.node.persist(r.writeBatch)
 	}
 	if now >= r.nextTickAt {
-		r.rawNode.Tick() // one tick, however late: a process that was paused has received no messages meanwhile
+		r.rawNode.Tick() // one tick even if several are due: a paused process has received no messages meanwhile
 		r.nextTickAt = now + tickInterval
 	}
 	if r.campaignAt > 0 && now >= r.campaignAt {
@@ -341,8 +341,9 @@
 	r.processReady()
 }
 
-// campaignOnce campaigns soon after a start, so that a fleet that restarts need not wait for an election timeout. With
-// PreVote, Raft first asks the others whether they would vote for this voter: if there is a leader, they would not.
+// campaignOnce campaigns soon after a start, so that a fleet that restarts need not wait for an election timeout. This
+// does not disturb an existing leader: with PreVote, Raft first requests pre-votes, which voters that have a leader do
+// not grant.
 func (r *raftNode) campaignOnce() {
 	if r.status().Lead == raft.None && !r.catchingUp && r.voteFloor == (position{}) {
 		_ = r.rawNode.Campaign()
--- a/internal/peer/policy/raftnode_messages.go
+++ b/internal/peer/policy/raftnode_messages.go
@@ -54,7 +54,7 @@
 	case raftpb.MsgVote, raftpb.MsgPreVote:
 		candidate := position{m.GetLogTerm(), m.GetIndex()}
 		return !r.catchingUp && !candidate.less(r.voteFloor)
-	case raftpb.MsgHeartbeat: // the leader may count on entries that this disk has lost
+	case raftpb.MsgHeartbeat: // the commit index may include entries that this disk has lost
 		if m.GetCommit() > last.index {
 			m.Commit = new(last.index)
 		}
@@ -63,7 +63,7 @@
 	case raftpb.MsgAppResp:
 		if match := r.matchIndex(from); m.GetReject() && m.GetRejectHint() < match {
 			r.countRegression(from)
-			return false // Raft would send the same entries again and again
+			return false // Raft would send the same entries repeatedly
 		}
 		delete(r.regressions, from)
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// sendRaftMessage sends a Raft message, unless it asks for votes that this voter must not ask for.
+// sendRaftMessage sends a Raft message. It drops vote requests of a voter that must not become the leader.
 func (r *raftNode) sendRaftMessage(m *raftpb.Message) {
 	to := r.node.voterNames[m.GetTo()]
 	if to == "" || to == r.node.settings.Name {
--- a/internal/peer/policy/raftnode_proposals.go
+++ b/internal/peer/policy/raftnode_proposals.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// groupSize returns how many of the commands go into one entry: at least one, up to the one with which the texts reach
-// MaxChangeBytes.
+// groupSize returns how many of the commands go into one entry: at least one, and up to and including the one with
+// which the texts reach MaxChangeBytes.
 func groupSize(commands []command) int {
 	count := 0
 	size := 0
@@ -99,7 +99,7 @@
 	switch {
 	case !r.isLeader():
 		return errors.New("this voter does not lead")
-	case add == remove: // both may be empty
+	case add == remove: // also if both are empty
 		return errors.New("there is no member to add or to remove")
 	case add != "" && slices.Contains(r.state.Voters, add):
 		return fmt.Errorf("%s is a voter already", add)
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// rescue makes this voter the only one, with the state that it has. The changes being prepared are aborted. The new
-// log begins after the last entry of the old log, in a later term, so that no entry of the old log can be taken for
-// an entry of the new one.
+// rescue makes this voter the only voter, with its present state. The changes being prepared are aborted. The new log
+// begins after the last entry of the old log, in a later term, so that no entry of the old log can be mistaken for an
+// entry of the new one.
 func (r *raftNode) rescue(epoch uint64) error {
 	name := r.node.settings.Name
 	state := *r.state
--- a/internal/peer/policy/raftnode_recovery.go
+++ b/internal/peer/policy/raftnode_recovery.go
@@ -10,15 +10,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Recovery of a voter whose disk may be older than what it promised.
+// Recovery of a voter whose disk may be older than the promises that it has made to other voters.
 //
-// A voter's promises are on its disk: which candidate it voted for, and which entries it acknowledged. If the disk
-// was lost, damaged or restored from an earlier copy, the voter would break its promises without knowing it.
-// Therefore a voter that can't prove that its disk is current first queries the positions of the other voters. It
-// needs responses of so many voters whose disks are proven current that every quorum in which it ever took part has
-// one of them besides itself. If too few voters can prove that, it needs responses of all others. From then on it
+// A voter's promises are on its disk: which candidate it voted for, and which entries it acknowledged. If the disk was
+// lost, damaged or restored from an earlier copy, the voter would break its promises unintentionally. Therefore a
+// voter that can't prove that its disk is current first queries the positions of the other voters. It needs enough
+// responses of voters with proven disks that each quorum in which it ever took part contains at least one of these
+// voters. If too few voters can prove that their disks are current, it needs responses of all others. From then on it
 // does not vote in any term up to the highest one that it learned of, and it votes for no candidate whose log is
-// behind the furthest position that it learned of (voteFloor): any entry that it has forgotten is known to one of the
+// behind the furthest position that it learned of (voteFloor): any entry that it has lost is in the log of one of the
 // voters that responded.
 
 // positionQueryInterval is the interval at which voters that have not responded are queried again.
@@ -36,8 +36,8 @@
 	clear(r.positions)
 }
 
-// queryPositions asks the other voters how far their logs reach, and ends the recovery if enough of them have
-// responded.
+// queryPositions queries the other voters for the last positions of their logs, and ends the recovery if enough of
+// them have responded.
 func (r *raftNode) queryPositions() {
 	n := r.node
 	if n.now < r.nextQueryAt {
@@ -66,7 +66,8 @@
 	}
 }
 
-// trust applies an operator's decision that this voter may take part by the positions that it knows.
+// trust ends the recovery by an operator's decision: this voter takes part on the basis of its own log position and of
+// those that other voters have reported so far.
 func (r *raftNode) trust() {
 	if r.rawNode == nil {
 		r.trustDisk = true
@@ -77,7 +78,7 @@
 // quorumPositions combines the responses of the other voters.
 type quorumPositions struct {
 	responses int
-	proven    int      // responses of voters that can prove that their disks are current
+	proven    int      // responses of voters whose disks are proven current
 	term      uint64   // highest term, including this voter's
 	furthest  position // furthest position, including this voter's
 }
@@ -125,8 +126,8 @@
 		r.node.infof("this voter's disk is behind what others know (%d entries here, %d there): it catches up, and supports no candidate that is behind",
 			own.index, known.furthest.index)
 	}
-	// It may have voted in this term or an earlier one and have forgotten that. Its vote for itself keeps it from
-	// voting for another candidate.
+	// This voter may have voted in this term or an earlier one without a record of it on its disk. A recorded vote for
+	// itself keeps it from voting for another candidate in this term.
 	vote := r.id
 	if known.term == 0 { // in a new fleet no voter has voted
 		vote = 0
@@ -188,11 +189,11 @@
 	}
 }
 
-// forgetEarlierStart drops the position that another voter reported before it restarted. The other voter may have
-// lost these entries with its disk, and a vote floor that no log reaches any more would never be lifted. If this
-// voter takes part with a vote floor, it queries all voters again, as at its own start: perhaps it learned of the
-// entries up to the floor only from the restarted voter, and it must not vote for a log without them before it knows
-// that the other voters have not acknowledged them.
+// forgetEarlierStart drops the position that another voter reported before it restarted. The other voter may have lost
+// these entries with its disk, and a vote floor that no log reaches any more would never be lifted. If this voter
+// takes part with a vote floor, it queries all voters again, as at its own start: the restarted voter may have been
+// the only one that reported the entries up to the floor, and this voter must not vote for a log without them until
+// the other voters have reported that they have not acknowledged them.
 func (r *raftNode) forgetEarlierStart(from string, startNumber uint64) {
 	known := r.positions[from]
 	if known == nil || known.Start == 0 || known.Start == startNumber {
--- a/internal/peer/policy/raftnode_storage.go
+++ b/internal/peer/policy/raftnode_storage.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// compactAfterEntries is the number of entries in the log at which a snapshot replaces most of them. A larger
-	// number costs memory and time at a start; with a smaller one, the whole state is written more often.
+	// compactAfterEntries is the number of entries in the log at which a snapshot replaces most of them. A larger number
+	// costs memory and time at a start; with a smaller one, the complete state is written more often.
 	compactAfterEntries = 256
 	// retainedEntries is the number of entries that stay in the log, so that a voter that is only a little behind
 	// needs no snapshot.
@@ -207,7 +207,7 @@
 		return
 	}
 	r.confState = r.rawNode.ApplyConfChange(change)
-	r.snapshotDue = true // a new voter accepts only a snapshot in which it votes
+	r.snapshotDue = true // a new voter accepts only a snapshot that lists it as a voter
 	context := change.GetContext()
 	var request ReplaceVoter
 	if len(context) == 0 || decoding.Unmarshal(context, &request) != nil {
--- a/internal/peer/policy/raftnode_test.go
+++ b/internal/peer/policy/raftnode_test.go
@@ -14,8 +14,8 @@
 	return node.Step(now, Received{from, &Message{PositionResponse: &response}})
 }
 
-// countVotes asks a voter once to vote for a candidate whose log ends at a position, and returns the number of its
-// votes.
+// countVotes requests the vote of a voter once, for a candidate whose log ends at a position, and returns the number
+// of votes granted.
 func countVotes(c *cluster, voter, candidate string, log position) int {
 	node := c.nodes[voter]
 	request := &raftpb.Message{
--- a/internal/peer/policy/replicatedstate.go
+++ b/internal/peer/policy/replicatedstate.go
@@ -9,8 +9,8 @@
 )
 
 // replicatedState is the state of the log's state machine. It is the same at all voters that have applied the same
-// entries. As long as only the global part was changed it is written in format 1, so that voters of an earlier build
-// can read it.
+// entries. As long as only the global part has been changed, it is written in format 1, so that voters of an earlier
+// build can read it.
 type replicatedState struct {
 	Voters         []string      `cbor:"1,keyasint,omitempty"`
 	Active         Document      `cbor:"2,keyasint,omitempty"` // active global document
@@ -19,7 +19,7 @@
 	Roster         []rosterEntry `cbor:"5,keyasint,omitempty"` // sorted by name
 	RosterVersion  uint64        `cbor:"6,keyasint,omitempty"` // increases with each change of the roster
 	EndedChanges   []EndedChange `cbor:"7,keyasint,omitempty"` // the last changes that ended, oldest first
-	// Retained has the last committed documents with their texts, oldest first.
+	// Retained contains the last committed documents with their texts, oldest first.
 	Retained       []Document      `cbor:"8,keyasint,omitempty"`
 	ActiveParts    []Document      `cbor:"9,keyasint,omitempty"`  // active documents of other parts, sorted by part
 	PendingChanges []pendingChange `cbor:"10,keyasint,omitempty"` // changes being prepared, oldest first
@@ -73,8 +73,8 @@
 	maxRosterSize = 20000
 	// maxPartNames bounds the number of names of parts that were ever held.
 	maxPartNames = 1 << 16
-	// maxPendingChanges bounds the number of changes being prepared at once: ten times as many as occur in the busiest
-	// minute.
+	// maxPendingChanges bounds the number of changes being prepared at once: ten times the number of changes in the
+	// busiest minute.
 	maxPendingChanges = 512
 )
 
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// partsHash returns a hash of the sorted names of parts, or 0 if there are none.
+// partsHash returns a hash of the sorted names of parts, or 0 if the list is empty.
 func partsHash(parts []string) uint64 {
 	if len(parts) == 0 {
 		return 0
@@ -219,7 +219,7 @@
 	return slices.BinarySearchFunc(s.ActiveParts, part, func(d Document, p string) int { return strings.Compare(d.Part, p) })
 }
 
-// findPending returns the change being prepared that has the ID, or nil if there is none.
+// findPending returns the change being prepared that has an ID, or nil if no such change is being prepared.
 func (s *replicatedState) findPending(id string) *pendingChange {
 	for i := range s.PendingChanges {
 		if s.PendingChanges[i].Document.ID == id {
@@ -259,7 +259,7 @@
 }
 
 // changeDocuments returns a change, reduced to the parts that a member holds and to the documents that are still
-// retained. It returns nil if there are none.
+// retained. It returns nil if no document remains.
 func (s *replicatedState) changeDocuments(id string, holds func(part string) bool) *Document {
 	if pending := s.findPending(id); pending != nil {
 		return pending.Document.filterParts(holds)
@@ -281,9 +281,9 @@
 	return joinDocuments(documents)
 }
 
-// partFilter returns a function that reports whether a member that fetches a change is sent a part of it. These are
-// the parts that the member names; if it names none, the parts that the roster has for it; if it is not in the
-// roster, all.
+// partFilter returns a function that selects the parts of a change to send to a member that fetches the change: the
+// global part and the parts that the member lists; if it lists none, the parts that its roster entry has; if it is not
+// in the roster, all parts.
 func (s *replicatedState) partFilter(name string, named []string) func(part string) bool {
 	if len(named) > 0 {
 		return func(part string) bool { return part == "" || slices.Contains(named, part) }
@@ -334,8 +334,8 @@
 	}
 }
 
-// history returns the last changes, and the document of a part that has a number. For a part other than the global
-// one, number 0 means its active document.
+// history returns the last changes, and the document of a part with the given number. For a part other than the global
+// one, number 0 selects the active document.
 func (s *replicatedState) history(part string, number uint64) *History {
 	h := &History{IsResponse: true, Part: part, Number: number, Changes: s.EndedChanges}
 	active := *s.activeDocument(part)
--- a/internal/peer/policy/serving.go
+++ b/internal/peer/policy/serving.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Serving has the documents and terms by which a member serves. The member admits requests while Blocked is empty and
-// the time is before Until.
+// Serving contains the documents and terms by which a member serves. The member admits requests while Blocked is empty
+// and the time is before Until.
 type Serving struct {
 	Document    *Document  // active global document; Number 0: the member serves by the daemon's own file
 	Parts       []Document // active documents of the other parts that the member holds, sorted by part
 	ServedParts []string   // parts besides the global one that it may serve, by their document or by its own file
-	// Preparing has changes that may have been committed. If it is not empty, the member admits only what both the
+	// Preparing contains changes that may have been committed. If it is not empty, the member admits only what both the
 	// active documents and these changes allow.
 	Preparing  []*Document
 	Until      time.Duration // time by this member's clock from which on it admits no request
--- a/internal/peer/policy/settings.go
+++ b/internal/peer/policy/settings.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Settings are fixed for the life of a Node.
+// Settings are the settings of a Node. They do not change while it runs.
 type Settings struct {
 	Name   string
 	RunID  uint64   // run ID of this process; it is new at each start
-	Voters []string // initial voters of a new fleet; the log has the later ones
+	Voters []string // initial voters of a new fleet; the log contains later changes of the voters
 	// StopWhenIsolated selects what happens to a member that can't reach the voters. If true, the member stops
 	// admitting requests when its lease expires, and changes are committed without it. If false, it continues to
 	// serve, and a change is aborted if a member can't be reached in time.
 	StopWhenIsolated bool
-	// ServeLastKnown has a member that starts and reaches no voter serve by the last policy on its disk.
+	// If ServeLastKnown is set, a member that starts and reaches no voter serves by the last policy on its disk.
 	ServeLastKnown bool
 	Lease          time.Duration // default DefaultLease, at least minLease
 	// PrepareTimeout is the time within which all members have to persist a change; default DefaultPrepareTimeout.
@@ -34,7 +34,7 @@
 	Handoff *HandoffState // state of the process that this one replaces without a gap; nil: it replaces none
 }
 
-// HandoffState is the state that a process passes to its successor.
+// HandoffState is the state that a process passes to the process that replaces it.
 type HandoffState struct {
 	Number         uint64        `cbor:"1,keyasint,omitempty"` // number of the active global document
 	LeaseRemaining time.Duration `cbor:"2,keyasint,omitempty"`
--- a/internal/peer/policy/statemachine.go
+++ b/internal/peer/policy/statemachine.go
@@ -9,9 +9,11 @@
 type commandKind uint8
 
 const (
-	// commandJoin adds a run of a member to the roster, or changes the parts that its roster entry lists.
+	// commandJoin adds a run of a member (one process: see Settings.RunID) to the roster, or changes the parts that its
+	// roster entry lists.
 	commandJoin commandKind = iota + 1
-	// commandRemove removes a run of a member from the roster. The member is fenced: it certainly admits no requests.
+	// commandRemove removes a run of a member from the roster. It is proposed only once that run is fenced, that is
+	// certainly admits no requests: its leases have expired, or the member has departed.
 	commandRemove
 	// commandPropose adds a change to the changes being prepared.
 	commandPropose
@@ -40,8 +42,8 @@
 	Reason        string   `cbor:"10,keyasint,omitempty"` // reason of an abort or a removal
 	Bases         []uint64 `cbor:"11,keyasint,omitempty"` // see Proposal
 	Parts         []string `cbor:"12,keyasint,omitempty"` // parts that a joining member holds
-	// Format of a join is the format of the member; 0 means that its parts are not known. Format of commandSetFormat
-	// is the new format of the log.
+	// Format of a join is the format of the member; 0 means that the command does not list its parts. Format of
+	// commandSetFormat is the new format of the log.
 	Format   uint8     `cbor:"13,keyasint,omitempty"`
 	Commands []command `cbor:"14,keyasint,omitempty"` // commands of a commandBatch
 }
@@ -115,8 +117,8 @@
 	}
 }
 
-// isCoveredBy reports whether a join would not change the entry: it is of the same run, and it lists the same parts or
-// its parts are not known.
+// isCoveredBy reports whether a join would not change the entry: it is of the same run, and it lists the same parts
+// or, in format 1, none.
 func (e *rosterEntry) isCoveredBy(joining *rosterEntry) bool {
 	if e.RunID != joining.RunID {
 		return false
@@ -176,7 +178,8 @@
 	}
 }
 
-// findPendingOfPart returns the change being prepared that has a text for the part, or nil if there is none.
+// findPendingOfPart returns the change being prepared that has a text for a part, or nil if no such change is being
+// prepared.
 func (s *replicatedState) findPendingOfPart(part string) *Document {
 	for i := range s.PendingChanges {
 		if change := &s.PendingChanges[i].Document; change.Includes(part) {
@@ -207,10 +210,10 @@
 	return " of part " + part
 }
 
-// applyCommit commits a change being prepared. It does nothing if a member that may not have prepared the change has
+// applyCommit commits a change being prepared. It has no effect if a member that may not have prepared the change has
 // joined the roster since the coordinator's decision: the coordinator then decides again. Members that joined but are
 // not affected, and members that left, do not void the decision. Voters of format 1 void it for any change of the
-// roster, so for a change of only the global part, which format 1 knows, all voters do the same.
+// roster, so for a change of only the global part, which format 1 supports, all voters do the same.
 func (s *replicatedState) applyCommit(c *command) {
 	pending := s.findPending(c.ID)
 	if pending == nil {
--- a/internal/peer/policy/statemachine_test.go
+++ b/internal/peer/policy/statemachine_test.go
@@ -161,7 +161,7 @@
 }
 
 // committedSince also returns the documents that were committed before a snapshot was restored. Otherwise a member
-// that knows no documents would not learn of them (found by the 873rd random schedule).
+// without documents would not receive them (found by the 873rd random schedule).
 func TestCommittedSinceIsComplete(t *testing.T) {
 	s := &replicatedState{}
 	commit := func(change *Document) {
--- a/internal/peer/policy/status.go
+++ b/internal/peer/policy/status.go
@@ -25,7 +25,7 @@
 	Leader            string        `json:"leader,omitempty"` // leader that the last response named
 	LastResponseAgo   time.Duration `json:"answered_ago_ns"`
 	Epoch             uint64        `json:"rescues"`
-	Votes             string        `json:"votes,omitempty"`  // description of how a voter takes part; empty: no voter
+	Votes             string        `json:"votes,omitempty"`  // description of how a voter takes part; empty: not a voter
 	Roster            []string      `json:"roster,omitempty"` // members in the roster, if this member is a voter
 	Stats             Stats         `json:"stats"`
 }
@@ -134,7 +134,7 @@
 // not hold the part.
 func (n *Node) ActiveDocument(part string) Document { return n.member.activeDocument(part) }
 
-// ChangeStatus returns the last status that this member knows of a watched change.
+// ChangeStatus returns the last status that this member received for a watched change.
 func (n *Node) ChangeStatus(id string) ChangeStatus {
 	for _, watch := range n.member.watches {
 		if watch.status.ID == id {
