--- a/internal/peer/lease/allocation.go
+++ b/internal/peer/lease/allocation.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// rotationTerms is the number of terms after which the remainder of an uneven division goes to other holders. A
+	// rotationTerms is the number of terms after which the remainder of an uneven division is given to other holders. A
 	// smaller number moves leases more often, and each lease that moves is unused for up to a second.
 	rotationTerms = 2
 	// overcommitInterval is the time between two changes of the overcommitment, and overcommitStep the fraction of
@@ -14,9 +14,9 @@
 )
 
 // divide divides the server's share among holders: first the amounts that they need, or a proportional part of these
-// if the share is too small; then what each holder desires beyond its need; then half of what is left, in proportion.
-// The rest remains for new holders. The division is proportional and not max-min fair, because a request at a busy
-// agent has no less value than one at another agent.
+// if the share is too small; then what each holder desires beyond its need; then half of the remainder, in proportion
+// to the desired amounts. The other half remains for new holders. The division is proportional and not max-min fair,
+// because a request at a busy agent has no less value than one at another agent.
 func (r *serverRow) divide(now time.Duration, l *serverLimit) {
 	active, used := r.activeHolders(now, l)
 	r.adjustOvercommit(now, l, used)
@@ -51,8 +51,8 @@
 	return active, used
 }
 
-// adjustOvercommit adjusts the overcommitment of a soft limit such that the use approaches the server's share. It
-// takes more leases than the share to use the share fully, since leases are never all in use at once.
+// adjustOvercommit adjusts the overcommitment of a soft limit such that the use approaches the server's share. Full
+// use of the share requires that more than the share is leased, since leases are never all in use at once.
 func (r *serverRow) adjustOvercommit(now time.Duration, l *serverLimit, used int) {
 	if l.Hard || now-r.overcommitAt < overcommitInterval {
 		return
@@ -62,9 +62,9 @@
 	r.overcommit = min(MaxOvercommit, max(0, r.overcommit+change))
 }
 
-// spread adds to each holder's share the amount that the holder wants. If the total is too small for that, it adds
-// proportional parts: at least one to each holder as far as the total suffices, and the remainder of the division to
-// the first holders. It returns the amount that it added.
+// spread adds to each holder's share the amount that wanted returns for it. If the total is too small for that, it
+// adds proportional parts: at least one to each holder as far as the total suffices, and the remainder of the division
+// to the first holders. It returns the amount that it added.
 func spread(total int, holders []*holder, wanted func(*holder) int) (added int) {
 	sum := 0
 	for _, h := range holders {
--- a/internal/peer/lease/client.go
+++ b/internal/peer/lease/client.go
@@ -24,7 +24,7 @@
 	// leaseNumber is the number of the last lease passed to an agent. The client numbers leases itself, because a
 	// server's numbers begin again with each of its runs.
 	leaseNumber uint64
-	pending     map[uint64]pendingRequest // by Seq
+	pending     map[uint64]pendingRequest // requests without a response, by Seq
 }
 
 // serverSession is the state of a client's exchanges with one server.
@@ -34,8 +34,8 @@
 	lastResponse time.Duration
 	lastRequest  time.Duration
 	nextRequest  time.Duration
-	// promptInterval is the shortest time between two requests that a need prompted. It grows while the server has no
-	// more to grant.
+	// promptInterval is the shortest time between two requests that are sent early because of a need. It grows while the
+	// server grants no larger amounts.
 	promptInterval time.Duration
 }
 
@@ -63,7 +63,7 @@
 	need        float64       // smoothed amount that the agent uses or would use
 	used        int           // amount in use in the last report
 	attempts    []attempts    // reported within the last rateWindow
-	lastNeed    time.Duration // when the agent last needed anything
+	lastNeed    time.Duration // when the agent last needed an amount above minNeed
 	estimatedAt time.Duration
 }
 
@@ -86,14 +86,15 @@
 	issued        []issuedLease
 }
 
-// issuedLease maps the number of a lease that an agent knows to the number of the server's grant.
+// issuedLease maps the number of a lease that was passed to an agent to the number of the server's grant.
 type issuedLease struct {
 	leaseNumber uint64
 	serverRunID uint64
 	grantNumber uint64
 }
 
-// AgentLeases are leases for one agent.
+// AgentLeases contains the new leases of one agent, each replaces the agent's earlier lease of the same limit, part
+// and server.
 type AgentLeases struct {
 	Agent  uint32
 	Leases []quota.Lease
@@ -106,23 +107,22 @@
 }
 
 const (
-	// idleRenewals is the number of renew intervals between two requests of a client whose agents use nothing.
+	// idleRenewals is the number of renew intervals between two requests of a client whose agents are all idle.
 	idleRenewals = 4
-	// minPromptInterval is the shortest time between two requests to a server that a need prompted. A shorter time
-	// follows a burst faster, and costs messages.
+	// minPromptInterval is the smallest promptInterval. A smaller value follows a burst faster, and costs more messages.
 	minPromptInterval = 50 * time.Millisecond
 	// needSmoothing is the time constant with which the need of a limit in flight decreases, because the number of
-	// attempts in flight varies by chance. With a larger one, leases that are no longer needed are kept for longer.
+	// attempts in flight varies by chance. With a larger value, leases that are no longer needed are kept for longer.
 	needSmoothing = 200 * time.Millisecond
-	// rowIdleTimeout is the time after which no lease is requested for an unused part of a partitioned limit. The
-	// part is forgotten after twice this time.
+	// rowIdleTimeout is the time after which no lease is requested for an unused part of a partitioned limit. The part is
+	// dropped after twice this time.
 	rowIdleTimeout = 30 * time.Second
-	// maxIssued bounds the issued leases that are remembered for an agent that adopts none.
+	// maxIssued bounds the issued leases that are kept for an agent that adopts none.
 	maxIssued = 64
 	// droppedIssued is the number of the oldest issued leases that are dropped above maxIssued. The agent can still
 	// adopt a later one.
 	droppedIssued = 32
-	// minNeed is the need up to which an agent counts as needing nothing.
+	// minNeed is the need up to which an agent's need counts as 0.
 	minNeed = 0.5
 )
 
@@ -145,8 +145,8 @@
 	}, nil
 }
 
-// ApplySettings replaces the limits, and keeps the leases of unchanged limits. If servers or terms differ, it changes
-// nothing and returns false: such settings need a new client.
+// ApplySettings replaces the limits, and keeps the leases of unchanged limits. If servers or terms differ, it makes no
+// change and returns false: such settings need a new client.
 func (c *Client) ApplySettings(s Settings) bool {
 	s, err := s.withDefaults()
 	if err != nil || s.Fingerprint() != c.fingerprint {
@@ -165,7 +165,7 @@
 	return true
 }
 
-// renumberLimits moves rows to their limits' new indexes, and drops those of limits that have none.
+// renumberLimits moves rows to their limits' new indexes, and drops the rows of limits that no longer exist.
 func (a *agent) renumberLimits(newIndex func(limit int) int) {
 	rows := map[rowID]*clientRow{}
 	var order []rowID
@@ -182,7 +182,7 @@
 	a.order = order
 }
 
-// AddAgent starts to request leases for an agent. An agent's ID is not used again in a client's run.
+// AddAgent starts to request leases for an agent. An agent's ID must not be reused during a run of the client.
 func (c *Client) AddAgent(now time.Duration, id uint32) {
 	if c.agents[id] != nil {
 		return
@@ -216,8 +216,8 @@
 	return r
 }
 
-// RemoveAgent forgets an agent that has ended with nothing in flight. It returns requests that release the agent's
-// leases to others at once. If such a request is lost, the leases expire.
+// RemoveAgent removes an agent that has ended and has no attempts in flight. It returns requests that release the
+// agent's leases to others at once. If such a request is lost, the leases expire.
 func (c *Client) RemoveAgent(id uint32) []OutgoingRequest {
 	a := c.agents[id]
 	if a == nil {
@@ -255,7 +255,7 @@
 	return max(l.used, l.amount)
 }
 
-// newRequests returns as many requests as are needed for the items.
+// newRequests returns requests for the items, with at most MaxItems in each.
 func (c *Client) newRequests(server int, items []RequestItem) []OutgoingRequest {
 	var all []OutgoingRequest
 	for part := range slices.Chunk(items, MaxItems) {
@@ -281,7 +281,7 @@
 	return next
 }
 
-// promptRequest schedules the next request to a server soon.
+// promptRequest schedules the next request to a server as early as promptInterval allows.
 func (c *Client) promptRequest(server int, now time.Duration) {
 	s := &c.servers[server]
 	s.nextRequest = min(s.nextRequest, max(now, s.lastRequest+max(minPromptInterval, s.promptInterval)))
@@ -333,7 +333,8 @@
 	return responding
 }
 
-// dropOldPending forgets requests that are so old that the leases of their responses would have expired.
+// dropOldPending drops requests that are older than the longest lease: a lease granted by their responses would have
+// expired.
 func (c *Client) dropOldPending(now time.Duration) {
 	for seq, p := range c.pending {
 		if now-p.sentAt > c.settings.MaxAttemptTime+c.settings.Term {
@@ -342,7 +343,8 @@
 	}
 }
 
-// requestItems returns the items to request from a server for all agents, and whether any agent uses anything.
+// requestItems returns the items to request from a server for all agents, and whether any agent uses an amount or has
+// recently started or rejected attempts.
 func (c *Client) requestItems(now time.Duration, server int, responding []int) (items []RequestItem, busy bool) {
 	for _, agentID := range c.agentIDs {
 		a := c.agents[agentID]
@@ -362,7 +364,7 @@
 	return items, busy
 }
 
-// fillItem sets the amounts of an item such that each responding server is asked for an even part of the need.
+// fillItem sets the amounts of an item such that the need is divided evenly among the responding servers.
 func (c *Client) fillItem(item *RequestItem, r *clientRow, server int, responding []int, rotation int) {
 	need := int(math.Ceil(r.need))
 	desired := need + 1 + int(2*math.Sqrt(r.need))
@@ -381,7 +383,7 @@
 	}
 }
 
-// dropIdleRows forgets the parts that the agent has not needed for twice rowIdleTimeout.
+// dropIdleRows drops the parts that the agent has not needed for twice rowIdleTimeout.
 func (a *agent) dropIdleRows(now time.Duration) {
 	a.order = slices.DeleteFunc(a.order, func(id rowID) bool {
 		idle := id.key != "" && now-a.rows[id].lastNeed > 2*rowIdleTimeout
@@ -393,8 +395,8 @@
 }
 
 // HandleGrant applies a server's response, and returns the leases that agents may use from now on. It ignores a
-// response without a pending request, which may be of any age, or a duplicate. It also ignores an item that is not
-// newer than the last one applied.
+// response without a pending request, since that response may be arbitrarily old or a duplicate. It also ignores an
+// item that is not newer than the last one applied.
 func (c *Client) HandleGrant(now time.Duration, server int, g *Grant) []AgentLeases {
 	if g == nil || server < 0 || server >= len(c.servers) {
 		return nil
@@ -460,7 +462,7 @@
 	return lease, true
 }
 
-// issue remembers a lease that is passed to the agent.
+// issue records a lease that is passed to the agent.
 func (l *clientLease) issue(issued issuedLease) {
 	l.issued = append(l.issued, issued)
 	if len(l.issued) > maxIssued {
--- a/internal/peer/lease/handover.go
+++ b/internal/peer/lease/handover.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ServerState is the state that a successor needs to take a server's place without a gap.
+// ServerState is the state that the process that replaces a server needs to continue without a gap.
 type ServerState struct {
 	RunID       uint64       `cbor:"1,keyasint,omitempty"`
 	Count       uint64       `cbor:"2,keyasint,omitempty"` // number of the last grant
@@ -17,7 +17,7 @@
 // LimitState is the state of one limit.
 type LimitState struct {
 	Fingerprint   uint64        `cbor:"1,keyasint,omitempty"`
-	WaitRemaining time.Duration `cbor:"2,keyasint,omitempty"` // the server still grants nothing for this time
+	WaitRemaining time.Duration `cbor:"2,keyasint,omitempty"` // remaining time during which the server grants no leases
 	Rows          []RowState    `cbor:"3,keyasint,omitempty"`
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// State returns the state for the process that takes this one's place. This server must not grant anything after that.
+// State returns the state for the process that replaces this one. This server must not grant leases after that.
 func (s *Server) State(now time.Duration) *ServerState {
 	state := &ServerState{RunID: s.runID, Count: s.grants, Fingerprint: s.settings.Fingerprint()}
 	for _, l := range s.limits {
--- a/internal/peer/lease/harness_test.go
+++ b/internal/peer/lease/harness_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// testStart is a clock reading in the middle of a process's life.
+	// testStart is a clock reading at which the process has been running for a while.
 	testStart = time.Hour
 	// testRunID is the run ID of the server under test.
 	testRunID = 7
--- a/internal/peer/lease/lease.go
+++ b/internal/peer/lease/lease.go
@@ -1,16 +1,16 @@
-// Package lease divides limits that hold for a whole fleet by leases (Gray & Cheriton 1989). A limit bounds the sum
-// over all agents of the attempts that are in flight, or that begin in a second: those of one class, at one server,
-// in one zone, or all.
+// Package lease enforces limits that apply to a whole fleet, by dividing them into leases (Gray & Cheriton 1989). A
+// limit bounds the attempts of all agents together: those in flight at once, or those that begin in a second. It
+// counts the attempts of one class, at one server, in one zone, or all attempts.
 //
 // A limit is divided among a few lease servers, which are members that the configuration names. A Server (server.go)
 // leases its share for a term to clients, which are all members; a Client (client.go) requests leases for the agents
 // of its daemon. A client counts the term by its own clock from the moment at which it requested the lease, and uses
-// the lease until the term ends. The server counts the term by its own clock from the later moment at which it
-// granted the lease, and adds the difference that the rates of two clocks may cause. It counts the amount as leased
-// until then. So no amount is leased twice, whatever failures of links, crashes, pauses and restarts occur; the only
-// assumption is Settings.ClockDrift. A server that starts, or was paused, does not know which leases another process
-// may have granted in its place: it grants none until all of these have expired. The other servers do not take over
-// the share of a server that fails: the limit is smaller by this share until that server has restarted and has
+// the lease until the term ends. The server counts the term by its own clock from the later moment at which it granted
+// the lease, and adds the difference that the rates of two clocks may cause. It counts the amount as leased until
+// then. So no amount is leased twice, whatever failures of links, crashes, pauses and restarts occur; the only
+// assumption is Settings.ClockDrift. A server that starts, or was paused, has no record of the leases that another
+// process may have granted in its place: it grants none until all of these have expired. The other servers do not take
+// over the share of a server that fails: the limit is smaller by this share until that server has restarted and has
 // waited. No state is kept on disk.
 //
 // Each Client and each Server holds its state in memory, and one goroutine owns it (the transport's loop, or a
@@ -44,10 +44,11 @@
 	FloorShare float64
 }
 
-// Settings are fixed for the life of a Server or Client. Zero values are replaced by the defaults below.
+// Settings do not change during the lifetime of a Server, or of a Client except by ApplySettings. Zero values are
+// replaced by the defaults below.
 type Settings struct {
 	Limits []Limit
-	// Servers has the names of the lease servers (keepers, in the configuration), in the same order at all members.
+	// Servers lists the names of the lease servers (keepers, in the configuration), in the same order at all members.
 	// There is at least one.
 	Servers []string
 	// Term is the duration of a lease of a rate.
@@ -62,8 +63,8 @@
 }
 
 const (
-	// DefaultTerm is longer than a pause that is not a crash, and shorter than an operator notices. A longer term
-	// covers longer pauses, but returns the leases of failed clients later.
+	// DefaultTerm is longer than a pause that is not a crash, and shorter than an operator notices. A longer term covers
+	// longer pauses, but the leases of failed clients become available later.
 	DefaultTerm = 3 * time.Second
 	// DefaultRenewInterval lets leases follow a shift of demand within a few intervals and a second. A shorter
 	// interval follows faster and costs proportionally more messages.
@@ -74,16 +75,17 @@
 	// DefaultFloorShare is the share that remains usable for agents that reach no server. With a larger share, a soft
 	// limit is exceeded by more in the worst case.
 	DefaultFloorShare = 0.25
-	// MaxOvercommit is the largest fraction of its share by which a server leases a soft limit beyond that share. It
-	// gives each client a little more than it uses, since the clients do not all need it at once.
+	// MaxOvercommit is the largest fraction of its share by which a server leases a soft limit beyond that share. Each
+	// client thereby has a little more than it uses, since the clients do not all need it at once.
 	MaxOvercommit = 0.25
 
-	// rateWindow is the time over which rates are counted.
+	// rateWindow is the window in which the attempts of a rate limit are counted. The need of an agent is estimated over
+	// the same window.
 	rateWindow = time.Second
-	// startWithin is how long after it was counted an attempt that counts towards a hard limit of a rate may still be
-	// sent. Without this bound, a process that is paused in between would send an attempt after the second for which
-	// it was counted. It is a little longer than an open connection takes to send the attempt. A larger value wastes
-	// more of the limit, a smaller one refuses attempts on busy machines.
+	// startWithin is the time within which an attempt has to be sent after it was counted towards a hard limit of a rate.
+	// Without this bound, a process that is paused in between would send an attempt after the second for which it was
+	// counted. It is a little longer than an open connection takes to send the attempt. A larger value wastes more of the
+	// limit, a smaller one refuses attempts on busy machines.
 	startWithin = 50 * time.Millisecond
 
 	// maxClockDrift keeps the conversion of times between two clocks finite.
--- a/internal/peer/lease/leasesim/faults.go
+++ b/internal/peer/lease/leasesim/faults.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawDelivery draws how often a message arrives, and its delay.
+// drawDelivery draws the number of copies of a message that arrive, and the delay.
 func (w *world) drawDelivery() (copies int, delay time.Duration) {
 	copies = 1
 	delay = time.Duration(1+w.rng.IntN(maxBaseDelayMS)) * time.Millisecond
--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -24,16 +24,16 @@
 	// PartitionedServers divides the limit among servers, each of which leases its share. Package lease uses this
 	// strategy.
 	PartitionedServers Strategy = iota
-	// SingleServer has one server lease the whole limit.
+	// SingleServer uses one server, which leases the whole limit.
 	SingleServer
-	// QuorumOfServers has three servers that each lease the whole limit. A client may use the leases that two of them
-	// have granted.
+	// QuorumOfServers uses three servers, each of which leases the whole limit. A client may use the leases that two of
+	// them have granted.
 	QuorumOfServers
 	// StaticShares gives each client a constant even share.
 	StaticShares
-	// GossipedUse has each client report its use to all others, and decide by the last reports that it received.
+	// GossipedUse makes each client report its use to all others, and decide by the last reports that it received.
 	GossipedUse
-	// EscrowedTokens has clients pass tokens to each other. The tokens have no term.
+	// EscrowedTokens lets clients transfer tokens to each other. The tokens have no term.
 	EscrowedTokens
 	// StrategyCount is the number of strategies.
 	StrategyCount
@@ -192,8 +192,8 @@
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
-// AdaptationTime returns how long after a moment it takes until a client begins attempts at a share of a rate, which
-// is in attempts a second, measured over half a second. It returns 0 if the client never reaches that.
+// AdaptationTime returns the time from a moment until a client begins attempts at a given share of a rate (in attempts
+// a second), measured over half a second. It returns 0 if the client never reaches that.
 func (r *Result) AdaptationTime(client int, from time.Duration, rate, share float64) time.Duration {
 	const (
 		intervals    = 5
--- a/internal/peer/lease/leasesim/members.go
+++ b/internal/peer/lease/leasesim/members.go
@@ -54,7 +54,7 @@
 	return s
 }
 
-// start starts a member's process, which has no memory of an earlier run.
+// start starts a member's process, without the state of an earlier run.
 func (w *world) start(m *member) error {
 	m.runID = w.rng.Uint64() | 1
 	m.clients = nil
@@ -83,7 +83,7 @@
 	return err
 }
 
-// restart restarts a process. Its earlier attempts stay in flight, but the new process does not know of them.
+// restart restarts a process. Its earlier attempts stay in flight, but the new process does not count them.
 func (w *world) restart(m *member) {
 	m.running = 0
 	m.recent = nil
--- a/internal/peer/lease/leasesim/requests.go
+++ b/internal/peer/lease/leasesim/requests.go
@@ -13,7 +13,7 @@
 	maxArrivalWait = 250 * time.Millisecond
 	// minDemand is the smallest demand that is simulated, in requests a second.
 	minDemand = 0.01
-	// minRequestInterval is the shortest time between two requests for leases or tokens that a rejection prompted.
+	// minRequestInterval is the shortest time between two requests for leases or tokens that rejections cause.
 	minRequestInterval = 50 * time.Millisecond
 )
 
@@ -81,7 +81,7 @@
 	})
 }
 
-// admit reports whether a request may start by the strategy, and returns a function to call at its end.
+// admit reports whether the strategy admits a request, and returns a function to call at its end.
 func (w *world) admit(m *member) (release func(), ok bool) {
 	noop := func() {}
 	switch w.options.Strategy {
@@ -99,7 +99,7 @@
 	return w.admitByLease(m)
 }
 
-// gossipedUse returns the use of all members, as far as a member knows it.
+// gossipedUse returns the use of all members by the last reports that a member received.
 func (w *world) gossipedUse(m *member) int {
 	sum := w.usedBy(m)
 	for n, used := range m.gossiped {
--- a/internal/peer/lease/message.go
+++ b/internal/peer/lease/message.go
@@ -9,7 +9,7 @@
 	Fingerprint uint64 `cbor:"3,keyasint,omitempty"`
 	// Seq increases with each request of a client.
 	Seq uint64 `cbor:"4,keyasint,omitempty"`
-	// ServerRunID is the server's run ID in its last response. The items' LastGrant are numbers of that run.
+	// ServerRunID is the server's run ID in its last response. LastGrant of each item is a number of that run.
 	ServerRunID uint64        `cbor:"5,keyasint,omitempty"`
 	Items       []RequestItem `cbor:"6,keyasint,omitempty"`
 }
@@ -23,7 +23,7 @@
 	Key string `cbor:"3,keyasint,omitempty"`
 	// Need is the amount that the agent uses, or would use if it had a lease for it.
 	Need int `cbor:"4,keyasint,omitempty"`
-	// Desired is an amount with which the agent would seldom reject anything.
+	// Desired is an amount with which the agent would seldom reject an attempt.
 	Desired int `cbor:"5,keyasint,omitempty"`
 	// LastGrant is the number of the last grant that the agent adopted: it no longer uses any earlier grant. It is
 	// releasedGrants for an agent that has ended.
--- a/internal/peer/lease/server.go
+++ b/internal/peer/lease/server.go
@@ -28,7 +28,7 @@
 	position    int      // position of the server
 	fingerprint uint64
 	share       int           // this server's share of the total
-	grantsFrom  time.Duration // the server grants nothing before this time
+	grantsFrom  time.Duration // the server grants no leases before this time
 	rows        map[string]*serverRow
 }
 
@@ -42,7 +42,7 @@
 	overcommitAt time.Duration // when overcommit was last adjusted
 }
 
-// holderID identifies one agent of one client's run.
+// holderID identifies one agent of one run of a client.
 type holderID struct {
 	name  string
 	runID uint64
@@ -74,7 +74,7 @@
 }
 
 const (
-	// maxRows is the largest number of parts of a partitioned limit that a server keeps. It grants nothing of further
+	// maxRows is the largest number of parts of a partitioned limit that a server keeps. It grants no leases for further
 	// parts.
 	maxRows = 4096
 	// fewHolders is the number of holders up to which a row is refreshed with each request. A larger number costs
@@ -82,14 +82,14 @@
 	fewHolders = 32
 	// refreshInterval is the time between two refreshes of a row with more than fewHolders holders.
 	refreshInterval = 25 * time.Millisecond
-	// holderIdleTimeout is the time after which a holder that has no lease and requests none is forgotten.
+	// holderIdleTimeout is the time after which a holder that has no lease and requests none is dropped.
 	holderIdleTimeout = 10 * time.Second
 	// maxRequestItems is the largest number of items in a request. A request with more items is ignored.
 	maxRequestItems = 4 * MaxItems
 )
 
-// NewServer returns a server that has granted nothing in this run, or an error if a setting is out of its range or the
-// name is not among Settings.Servers.
+// NewServer returns a server that has granted no leases in this run, or an error if a setting is out of its range or
+// the name is not among Settings.Servers.
 func NewServer(s Settings, name string, runID uint64) (*Server, error) {
 	s, err := s.withDefaults()
 	if err != nil {
@@ -126,7 +126,8 @@
 	s.lastTick = max(now, s.lastTick)
 }
 
-// HandleRequest handles a client's request, and returns the response, or nil if there is none.
+// HandleRequest handles a client's request and returns the response. It returns nil for a request that is invalid or
+// comes from a client with other settings.
 func (s *Server) HandleRequest(now time.Duration, request *Request) *Grant {
 	s.Tick(now)
 	if request == nil || request.From == "" || request.Fingerprint != s.settings.Fingerprint() || len(request.Items) > maxRequestItems {
@@ -276,7 +277,7 @@
 	return highest
 }
 
-// refresh sums up the leased amounts, forgets idle holders, and divides the server's share again.
+// refresh sums up the leased amounts, drops idle holders, and divides the server's share again.
 func (r *serverRow) refresh(now time.Duration, l *serverLimit) {
 	r.refreshedAt = max(now, 1)
 	r.leased = 0
--- a/internal/peer/lease/server_test.go
+++ b/internal/peer/lease/server_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// The encoded state that a successor gets must be the same bytes each time. Without sorting, its rows had the random
+// The encoded state for a successor must consist of the same bytes each time. Without sorting, its rows had the random
 // order of a map.
 func TestHandedOverRowsAreInOrder(t *testing.T) {
 	l := &serverLimit{rows: map[string]*serverRow{}}
--- a/internal/peer/lease/status.go
+++ b/internal/peer/lease/status.go
@@ -83,7 +83,7 @@
 	Limit, Key    string
 	Share         int
 	Leased        int
-	WaitRemaining time.Duration  // the server still grants nothing for this time
+	WaitRemaining time.Duration  // remaining time during which the server grants no leases
 	Holders       map[string]int // leased amount by client
 }
 
--- a/internal/peer/lease/terms.go
+++ b/internal/peer/lease/terms.go
@@ -7,7 +7,7 @@
 	"vetchhaven/decide/quota"
 )
 
-// clientTerm returns how long a lease lasts at its client, from when it was requested. Attempts that count in flight
+// clientTerm returns the duration of a lease at its client, counted from the request. Attempts that count in flight
 // have to end by then.
 func (s Settings) clientTerm(kind quota.Kind) time.Duration {
 	if kind.IsRate() {
@@ -16,7 +16,7 @@
 	return s.MaxAttemptTime + s.Term
 }
 
-// serverTerm returns how long an amount counts as leased at its server, from when it was granted.
+// serverTerm returns the duration for which an amount counts as leased at its server, counted from the grant.
 func (s Settings) serverTerm(kind quota.Kind) time.Duration {
 	term := s.clientTerm(kind)
 	if kind.IsRate() { // attempts that begin at the end of the lease count for another window
@@ -42,8 +42,8 @@
 }
 
 // floor returns the amount of a soft limit that each of a number of agents may use within each span without a lease.
-// For a rate, less than one a second becomes one within a longer span. For attempts in flight, less than one becomes
-// none.
+// For a rate, an amount below one is returned as one within a proportionally longer span. For attempts in flight, an
+// amount below one is returned as 0.
 func (s Settings) floor(l *Limit, agents int) (amount int, span time.Duration) {
 	perAgent := l.FloorShare * float64(l.Total) / float64(max(1, agents))
 	span, _ = s.rateSpan(l)
@@ -75,7 +75,7 @@
 	return all
 }
 
-// Bounds has the bounds of a limit that follow from its settings and the number of agents alone.
+// Bounds contains the bounds of a limit, which depend only on the settings and the number of agents.
 type Bounds struct {
 	Total int
 	// MaxLeased is the largest amount that is leased at once, and MaxFloors the largest amount that all agents use
@@ -87,9 +87,10 @@
 	Term time.Duration
 	// Reclaim is the longest time until the lease of a failed client can be granted to others.
 	Reclaim time.Duration
-	// StartupWait is how long a server that starts, or was paused, grants no leases.
+	// StartupWait is the time for which a server that starts, or was paused, grants no leases.
 	StartupWait time.Duration
-	// Shares are the servers' shares. One side of a partition may use the shares of its servers, and its floors.
+	// Shares are the servers' shares. One side of a network partition may use the shares of the servers on that side, and
+	// the floors of its agents.
 	Shares []int
 	// IsolatedAmount is the amount that an agent that reaches no server may use within each IsolatedSpan.
 	IsolatedAmount int
--- a/internal/peer/lease/usage.go
+++ b/internal/peer/lease/usage.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide/quota"
 )
 
-// ReportUsage records an agent's complete report. If the agent has rejected something, or if little of its leases is
+// ReportUsage records an agent's complete report. If the agent has rejected an attempt, or if little of its leases is
 // left, the next requests to the servers are sent soon.
 func (c *Client) ReportUsage(now time.Duration, agentID uint32, usages []quota.Usage) {
 	if c.agents[agentID] == nil {
@@ -18,7 +18,7 @@
 		c.AddAgent(now, agentID) // the event that announced it was lost
 	}
 	short := false
-	shrunk := make([]bool, len(c.servers)) // the agent adopted a reduced lease: others may get the rest
+	shrunk := make([]bool, len(c.servers)) // the agent adopted a reduced lease: the difference may be granted to others
 	used := map[rowID]int{}
 	for _, u := range usages {
 		limit := slices.IndexFunc(c.settings.Limits, func(l Limit) bool { return l.Name == u.Limit })
