--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -34,7 +34,7 @@
 	}
 	// Leave starts an orderly leave (Serf's term). See View.HasLeft.
 	Leave struct{}
-	// ForgetMember reports that an operator declared a dead member gone for good.
+	// ForgetMember reports that an operator declared a dead member permanently removed.
 	ForgetMember struct{ Name string }
 	// TakeoverFailed reports that the successor of this process failed: this process continues.
 	TakeoverFailed struct{}
@@ -73,7 +73,7 @@
 		Message *Exchange
 	}
 	// FinishExchange ends an exchange that this member opened, with the records that the other member requested; a nil
-	// Message means that there are none.
+	// Message means that no records are to be sent.
 	FinishExchange struct {
 		ID      uint64
 		Message *Exchange
@@ -82,7 +82,7 @@
 	MemberChanged struct {
 		Record    Record
 		Previous  State
-		FirstSeen bool   // the member was not known before
+		FirstSeen bool   // the member was not in the view before
 		Reason    string // for logs
 	}
 	// SizeChanged reports the number of balancers that share the servers from now on.
@@ -111,8 +111,8 @@
 		Ended   bool
 		Members int // other members that are alive or suspect by their records
 	}
-	// SaveView requests that Records be written to disk. With KeepKnownMembers, if Records has no other members, the
-	// members known at the start are written too.
+	// SaveView requests that Records be written to disk. With KeepKnownMembers, if Records has no other members,
+	// Settings.KnownMembers are written too.
 	SaveView struct{ KeepKnownMembers bool }
 )
 
--- a/internal/peer/membership/exchange.go
+++ b/internal/peer/membership/exchange.go
@@ -7,7 +7,7 @@
 //
 //	opener                          answerer
 //	OpenExchange: bucket digests -> ExchangeRequest
-//	ExchangeResponse             <- ExchangeReply: its records of the buckets that differ, and the buckets it wants
+//	ExchangeResponse             <- ExchangeReply: its records of the buckets that differ, and the buckets it requests
 //	FinishExchange: records      -> ExchangeFinished
 
 const (
@@ -22,7 +22,7 @@
 	exchangeTimeout = 5 * time.Second
 	// exchangeJitter bounds a random delay before an exchange, so that many members don't open exchanges at once.
 	exchangeJitter = 50 * time.Millisecond
-	// digestGrace is how long digests may differ, although all updates were sent, before an exchange is opened.
+	// digestGrace is the time for which digests may differ, although all updates were sent, before an exchange is opened.
 	digestGrace = time.Second
 
 	// maxBuckets and namesPerBucket determine the number of buckets that a view is divided into.
@@ -175,7 +175,7 @@
 	}
 }
 
-// exchangePartner returns the address to open an exchange with, or "" if there is none.
+// exchangePartner returns the address to open an exchange with, or "" if no exchange can be opened now.
 func (v *View) exchangePartner(preferred string) string {
 	if !v.joined {
 		return v.nextJoinAddr()
@@ -277,8 +277,8 @@
 	v.contacted = true
 }
 
-// openerRegion returns the region of an exchange's opener, by the opener's own record in the request. It returns nil if
-// the request has no such record, or if no known member of that region is live.
+// openerRegion returns the region of an exchange's opener, by the opener's own record in the request. It returns nil
+// if the request has no such record, or if the view has no live member of that region.
 func (v *View) openerRegion(request *Exchange) *region {
 	if len(request.Records) == 0 {
 		return nil
@@ -293,7 +293,7 @@
 	return nil
 }
 
-// busyResponse returns a response that tells the opener to retry later and refers it to other members. When hundreds of
+// busyResponse returns a response with a retry time, which refers the opener to other members. When hundreds of
 // members join at once, all that have already joined share the load.
 func (v *View) busyResponse(referrals []*member) *Exchange {
 	response := v.newExchange()
@@ -324,8 +324,8 @@
 	return response
 }
 
-// onExchangeResponse merges the response to this member's exchange, and finishes the exchange with the records that the
-// other member wants and does not have.
+// onExchangeResponse merges the response to this member's exchange, and finishes the exchange with the records that
+// the other member requests and does not have.
 func (v *View) onExchangeResponse(e ExchangeResponse) {
 	exchange := &v.exchange
 	response := e.Message
@@ -400,7 +400,7 @@
 		return
 	}
 	for _, r := range x.Records {
-		// A member that the sender holds for dead may be alive on this side of a broken link. It becomes a suspect, so
+		// A member that is dead by the sender's record may be alive on this side of a broken link. It becomes a suspect, so
 		// that it can refute its death (as in hashicorp/memberlist).
 		m := v.members[r.Name]
 		if m != nil && r.State == Dead && m.State <= Suspect && r.RunID == m.RunID && !v.isRemote(m) {
--- a/internal/peer/membership/health.go
+++ b/internal/peer/membership/health.go
@@ -3,8 +3,8 @@
 import "time"
 
 // A member that is slow, was paused or is badly connected misses answers, and would suspect healthy members. With
-// Lifeguard it first suspects itself: its local health multiplier grows with each sign of such a condition and shrinks
-// with each direct answer. Timeouts and intervals are scaled by the multiplier.
+// Lifeguard such a member first assumes that it is itself at fault: its local health multiplier grows with each sign
+// of such a condition and shrinks with each direct answer. Timeouts and intervals are scaled by the multiplier.
 
 const (
 	// maxLocalHealth bounds the multiplier: timeouts grow up to ninefold (Lifeguard's default). A larger bound delays
--- a/internal/peer/membership/helpers_test.go
+++ b/internal/peer/membership/helpers_test.go
@@ -175,8 +175,8 @@
 func everybody(string) bool { return true }
 func nobody(string) bool    { return false }
 
-// newRegionView returns the view of a member of region a that knows a, b and c other members of the regions of these
-// names. The members are named a0, a1, ..., b0, ...
+// newRegionView returns the view of a member of region a. The view has a, b and c other members of the regions of
+// these names. The members are named a0, a1, ..., b0, ...
 func newRegionView(t testing.TB, a, b, c int) *View {
 	t.Helper()
 	v := mustNew(t, Settings{Region: "a"})
--- a/internal/peer/membership/indirect.go
+++ b/internal/peer/membership/indirect.go
@@ -12,7 +12,8 @@
 	chosen map[*member]bool // the helpers selected so far, and the target itself
 }
 
-// send asks a member to ping the target, unless the member is not alive or already chosen, or the limit is reached.
+// send sends a member the request to ping the target, unless the member is not alive or is already chosen, or the
+// limit is reached.
 func (h *helperRequests) send(helper *member) {
 	if helper == nil || helper.State != Alive || h.chosen[helper] || len(h.chosen) > h.limit {
 		return
@@ -147,7 +148,8 @@
 	ping := &Message{Kind: Ping, Seq: r.seq, Target: m.Target}
 	about := unlessAlive(v.members[m.Target])
 	for i := range m.Updates {
-		// This member ignores suspicions of members of other regions, but the suspect must learn that it is suspected.
+		// This member ignores suspicions of members of other regions, but the suspect must receive the suspicion in order to
+		// refute it.
 		u := &m.Updates[i]
 		if about == nil && u.Name == m.Target && u.State == Suspect && u.check() == nil {
 			ping.Updates = []Record{*u}
--- a/internal/peer/membership/isolation.go
+++ b/internal/peer/membership/isolation.go
@@ -30,11 +30,11 @@
 	// maxSweepProbes is the number of probes in each interval during a partition. A larger number detects the members
 	// behind the partition sooner and uses more of the budget.
 	maxSweepProbes = 10
-	// minOnTimePeriod is how long all steps must have been on time before missed probes count as a sign of a partition:
-	// a slow process misses answers too.
+	// minOnTimePeriod is the time for which all steps must have been on time before missed probes count as a sign of a
+	// partition: a slow process misses answers too.
 	minOnTimePeriod = 3 * time.Second
-	// partitionedPeriod is how long a partition is taken into account after its last sign. By then the members behind
-	// it are dead, or there was no partition.
+	// partitionedPeriod is the time for which a partition is taken into account after its last sign. By then the members
+	// behind it are dead, or there was no partition.
 	partitionedPeriod = 10 * time.Second
 )
 
--- a/internal/peer/membership/isolation_test.go
+++ b/internal/peer/membership/isolation_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// A member that has not joined yet, but knows other members from a received record, is not isolated. Its timers must
-// not include the isolation timeout, which would make it step continuously.
+// A member that has not joined yet, but has received records of other members, is not isolated. Its timers must not
+// include the isolation timeout, which would make it step continuously.
 func TestJoiningMemberIsNotSteppedForIsolation(t *testing.T) {
 	v := newTestView(t, "127.0.0.9:1")
 	learnMembers(v, 5)
--- a/internal/peer/membership/join.go
+++ b/internal/peer/membership/join.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A member joins the fleet by an exchange with any of the known addresses: the operator's seeds and the members known
-// in its last run. Some of these members may have left or moved in the meantime; one that answers is enough.
+// A member joins the fleet by an exchange with any of several addresses: the operator's seeds and the members of its
+// last run. Some of these members may have left or moved in the meantime; one successful exchange is sufficient.
 
 const (
 	// maxJoinAddrs is the maximum number of addresses through which a member tries to join.
@@ -27,7 +27,7 @@
 	// joined: the members that contacted it are its fleet.
 	minJoinRounds = 2
 
-	// joinRetryInterval is the time between two attempts, after joining, at addresses where no member is known.
+	// joinRetryInterval is the time between two attempts, after joining, at addresses without a live member in the view.
 	joinRetryInterval = time.Second
 
 	// seedRetryInterval is the mean time between two such attempts after each address has been tried twice. It holds
@@ -37,11 +37,11 @@
 
 	// maxReconnectsPerSecond is the maximum number of dead members that one member contacts in a second.
 	maxReconnectsPerSecond = 2.0
-	// reconnectIdleDelay is the time until a member that knows no dead members checks again, with the same amount of
-	// jitter.
+	// reconnectIdleDelay is the time until a member without dead members in its region checks again, with the same amount
+	// of jitter.
 	reconnectIdleDelay = 500 * time.Millisecond
-	// slowReconnectAfter is how long after its death a member is contacted less often: of slowReconnectDivisor
-	// attempts, one is made.
+	// slowReconnectAfter is the time after its death from which a member is contacted less often: one of
+	// slowReconnectDivisor attempts is made.
 	slowReconnectAfter   = 10 * time.Minute
 	slowReconnectDivisor = 5
 )
@@ -119,7 +119,7 @@
 	}
 }
 
-// retrySeeds opens an exchange with an address where no live member is known, so that two fleets that started
+// retrySeeds opens an exchange with an address at which the view has no live member, so that two fleets that started
 // separately merge. Seeds and members of the last run are each contacted twice soon after the start; later only seeds
 // are contacted, at a lower rate.
 func (v *View) retrySeeds() {
--- a/internal/peer/membership/leave.go
+++ b/internal/peer/membership/leave.go
@@ -42,7 +42,7 @@
 	v.self.State = Left
 	v.self.Reporter = v.settings.Name
 	v.self.diedAt = v.now
-	if v.yielding { // other members don't know this process
+	if v.yielding { // other members have no record of this process
 		v.leaveRoundsLeft = 0
 	}
 	v.updateDigest(v.self)
@@ -50,8 +50,8 @@
 	v.emit(SaveView{})
 }
 
-// runLeave gossips the leave in the next round. Other regions learn of it from this region's watchers, which may
-// include this member. If there is no other live member in this region, this member tells them itself.
+// runLeave gossips the leave in the next round. Other regions receive it from this region's watchers, which may
+// include this member. If there is no other live member in this region, this member sends it to them itself.
 func (v *View) runLeave() {
 	if v.leaveRoundsLeft == 0 || v.now < v.leaveRoundAt {
 		return
@@ -72,7 +72,7 @@
 	}
 }
 
-// forgetMember marks a dead member as left because an operator declared it gone. If the member comes back, it refutes
+// forgetMember marks a dead member as left because an operator declared it gone. If the member returns, it refutes
 // that in the same way as a death.
 func (v *View) forgetMember(name string) {
 	m := v.members[name]
--- a/internal/peer/membership/member.go
+++ b/internal/peer/membership/member.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// member is an entry of the view: a member's record and what this member knows of it. The local member has one too.
+// member is an entry of the view: a member's record and the state that this member maintains about it. The local
+// member has an entry too.
 type member struct {
 	Record
 	digest     uint64        // contribution of the record to the view's digest
@@ -18,7 +19,7 @@
 	listIndex   int // index in View.live or View.dead
 	region      *region
 	regionIndex int  // index in region.live or region.dead
-	unreachable bool // the member can't be reached, whatever its record says: see effectiveState
+	unreachable bool // the member can't be reached, whatever state its record has: see effectiveState
 
 	// State of the member's current process; forgetProcess resets it.
 	highestNumber     uint64        // highest datagram number received
@@ -73,8 +74,8 @@
 // anyMember is a filter for View.sample.
 func anyMember(*member) bool { return true }
 
-// unlessAlive returns the member if it is known and not Alive, else nil. Datagrams to such a member carry its record,
-// so that it can refute its state.
+// unlessAlive returns m if it is in the view (not nil) and not Alive, else nil. Datagrams to such a member carry its
+// record, so that it can refute its state.
 func unlessAlive(m *member) *member {
 	if m != nil && m.State != Alive {
 		return m
--- a/internal/peer/membership/merge.go
+++ b/internal/peer/membership/merge.go
@@ -5,19 +5,20 @@
 // recordChange describes the cause of a change of a member's record.
 type recordChange struct {
 	reason    string // for logs
-	firstSeen bool   // the member was not known before
+	firstSeen bool   // the member was not in the view before
 }
 
 const (
 	// conflictNoticeInterval is the minimum time between two notices to a member that another process uses its name.
 	conflictNoticeInterval = time.Second
-	// leftRetention is how long a member that left is kept, so that an older update does not bring it back.
+	// leftRetention is the time for which the record of a member that left is kept, so that an older update does not add
+	// the member again.
 	leftRetention = time.Hour
 )
 
 // merge merges a received record into the view. The newest record of a name wins, so that the order in which records
 // arrive does not matter. There is one exception: the name of a live process passes to a process at another address
-// only after that process has verified that the first one is gone.
+// only after that process has verified that the first one no longer runs.
 func (v *View) merge(r Record, reason string) {
 	if r.check() != nil {
 		return
@@ -39,7 +40,8 @@
 	case m.isSameStateAs(&r):
 		v.mergeSameState(m, r, reason)
 	case r.State == Dead && v.isRemoteRegion(r.Region) && v.contradictsDeath(m, &r):
-		// Members near it declared it dead, but this member receives its datagrams: it gets the record, and refutes it.
+		// Members of its region declared it dead, but this member receives its datagrams: the record is sent to it, so that
+		// it can refute it.
 		v.send(m.Addr, &Message{Kind: Gossip, Updates: []Record{r}}, reserveForProbes)
 	case r.State == Dead && v.contradictsDeath(m, &r):
 		r.State = Suspect
@@ -73,7 +75,7 @@
 	return r.sameProcess(&m.Record) && r.Incarnation == m.Incarnation && r.State == m.State
 }
 
-// mergeSameState merges the parts of a record that may be new although its state is known: another reporter of a
+// mergeSameState merges the parts of a record that may be new although its state is not: another reporter of a
 // suspicion, and the regions, which members of versions without regions omit.
 func (v *View) mergeSameState(m *member, r Record, reason string) {
 	if r.State == Suspect && m.suspicion != nil {
@@ -93,7 +95,7 @@
 }
 
 // isUnverifiedClaim reports whether a record belongs to another process that claims the name of a live member without
-// having verified that the member is gone.
+// having verified that the member no longer runs.
 func isUnverifiedClaim(m *member, r *Record) bool {
 	return m.State <= Suspect && r.State <= Suspect && r.RunID != m.RunID && r.Addr != m.Addr && !r.NameVerified
 }
@@ -141,7 +143,7 @@
 	}
 	v.updateSuspicion(m, &previous)
 	if !change.firstSeen && previous.State == Dead && r.State <= Suspect && (!v.isRemote(m) || m.region.watched) {
-		v.exchange.requestWith(v, m.Addr) // a link works again, so the views probably differ in more records
+		v.exchange.requestWith(v, m.Addr) // a link has been restored, so the views probably differ in more records
 	}
 	if change.firstSeen || previousState != m.effectiveState() || !sameProcess || previous.Addr != r.Addr {
 		v.emit(MemberChanged{
@@ -155,8 +157,8 @@
 }
 
 // indexAddr updates the index of addresses in other regions, and schedules a new selection of watchers if a member of
-// this region changed. An address belongs to the member that was last known there, but a member that is dead or has
-// left does not take it from a live one.
+// this region changed. An address belongs to the member that last had it, but a member that is dead or has left does
+// not take it from a live one.
 func (v *View) indexAddr(m *member, previousAddr string) {
 	if previousAddr != m.Addr {
 		v.unindexAddr(m, previousAddr)
--- a/internal/peer/membership/message.go
+++ b/internal/peer/membership/message.go
@@ -9,12 +9,12 @@
 const (
 	Ping                    Kind = iota + 1 // a probe of Target, answered by an Ack
 	Ack                                     // Target is alive; sent by Target, or by a helper that received its Ack
-	IndirectPing                            // asks a helper to probe Target at Addr and to send the answer to Reply
-	Nack                                    // from a helper that works, but got no answer from Target (Lifeguard)
+	IndirectPing                            // requests that a helper probe Target at Addr and send the answer to Reply
+	Nack                                    // from a helper that runs, but received no answer from Target (Lifeguard)
 	Gossip                                  // carries updates only
-	IdentityRequest                         // asks the process at an address to identify itself
+	IdentityRequest                         // requests the identity of the process at an address
 	IdentityResponse                        // identifies a process by SubjectRunID and UptimeMS
-	IndirectIdentityRequest                 // asks a helper to send an IdentityRequest to Addr and the answer to Reply
+	IndirectIdentityRequest                 // requests that a helper send an IdentityRequest to Addr and the answer to Reply
 	kindCount
 )
 
@@ -62,7 +62,7 @@
 	return m.Kind == IdentityRequest || m.Kind == IdentityResponse || m.Kind == IndirectIdentityRequest
 }
 
-// replyAddr returns the address for responses to a message whose sender is not known.
+// replyAddr returns the address for responses to a message whose sender has no record in the view.
 func (m *Message) replyAddr() string {
 	if m.Kind == IndirectPing {
 		return m.Reply
--- a/internal/peer/membership/nameconflict.go
+++ b/internal/peer/membership/nameconflict.go
@@ -13,7 +13,7 @@
 //     the other process does not answer, this process takes the name.
 //
 // A name therefore passes to another process only if its holder yields or does not answer. Each further attempt of a
-// process waits twice as long.
+// process is preceded by a wait, which doubles each time.
 
 // nameClaim is the state of a conflict about this member's name. While View.yielding is set, it is the state of the
 // checks whether the other process still answers.
@@ -32,10 +32,11 @@
 	// take the name of a process that is merely slow.
 	identityTimeout  = 500 * time.Millisecond
 	identityRequests = 2
-	// identityHelpers is the number of helpers that also ask the other process, because this process may be the only
-	// one that can't reach it.
+	// identityHelpers is the number of helpers that also send an identity request to the other process, because this
+	// process may be the only one that can't reach it.
 	identityHelpers = 2
-	// yieldCheckInterval is the minimum time between two checks of a process that yields; as much jitter is added.
+	// yieldCheckInterval is the minimum time between two checks of a process that yields; up to the same time is added as
+	// jitter.
 	yieldCheckInterval = 3 * time.Second
 	// maxUnansweredChecks is the number of consecutive unanswered checks after which a process that yields takes the
 	// name.
@@ -148,7 +149,7 @@
 	v.claimName(reasonHolderSilent)
 }
 
-// requestIdentity asks the other process to identify itself, directly and through helpers.
+// requestIdentity sends an identity request to the other process, directly and through helpers.
 func (v *View) requestIdentity() {
 	claim := &v.nameClaim
 	if claim.seq == 0 {
--- a/internal/peer/membership/probe.go
+++ b/internal/peer/membership/probe.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// zonePool returns a filter that accepts the members of this member's zone. A member that is alone in its zone is
-// assigned to the first zone, by name, that has several members: with 5 members in zone a, 1 in b and 4 in c, the
+// zonePool returns a filter that accepts the members of this member's zone. A member that is the only one of its zone
+// is assigned to the first zone, by name, that has several members: with 5 members in zone a, 1 in b and 4 in c, the
 // member of b is probed like a member of a. Otherwise such members would be probed half as often. Members with equal
 // views assign them alike.
 func (v *View) zonePool() func(*member) bool {
--- a/internal/peer/membership/receive.go
+++ b/internal/peer/membership/receive.go
@@ -1,7 +1,8 @@
 package membership
 
-// replayWindow is how far a datagram's number may lag behind its sender's highest number. Datagrams may be reordered,
-// but replayed ones must not count. 4096 datagrams correspond to some minutes when idle and to seconds during a storm.
+// replayWindow is the amount by which a datagram's number may be below its sender's highest number. Datagrams may be
+// reordered, but replayed ones must be ignored. 4096 datagrams correspond to some minutes when idle and to seconds
+// during a storm.
 const replayWindow = 4096
 
 // maxCorrections is the maximum number of refuted suspicions in one datagram that its sender is notified of.
@@ -11,10 +12,10 @@
 type senderStatus uint8
 
 const (
-	senderCurrent  senderStatus = iota // from the known process of the member
-	senderUnknown                      // from an unknown member, or from a newer process than the known one
-	senderReplaced                     // from an earlier process than the known one, or one that lost its disk
-	senderReplayed                     // from the known process, but with too old a number
+	senderCurrent  senderStatus = iota // from the process in the member's record
+	senderUnknown                      // from a member without a record, or from a newer process than the recorded one
+	senderReplaced                     // from an earlier process than the recorded one, or one that lost its disk
+	senderReplayed                     // from the recorded process, but with too old a number
 )
 
 func senderStatusOf(sender *member, m *Message) senderStatus {
@@ -52,7 +53,7 @@
 }
 
 // onDatagramOfOwnName handles a datagram from a sender with this member's name. If it is a ping of another process,
-// that process is told that this one exists.
+// this member's record is sent to that process.
 func (v *View) onDatagramOfOwnName(m *Message) {
 	if m.RunID != v.self.RunID && m.Kind == Ping {
 		v.send(m.Addr, &Message{Kind: Gossip}, reserveForProbes, v.self)
@@ -67,7 +68,7 @@
 		v.exchange.requestWith(v, replyTo)
 	case senderReplaced:
 		v.traffic.Stale++
-		if m.Kind == Ping { // tells the earlier process about its successor
+		if m.Kind == Ping { // sends the earlier process its successor's record
 			v.send(replyTo, &Message{Kind: Gossip}, reserveForProbes, sender)
 		}
 		return
@@ -96,8 +97,8 @@
 	}
 }
 
-// mergeUpdates merges a datagram's updates. If the sender still has suspicions or deaths that the members have refuted,
-// it gets their current records at once.
+// mergeUpdates merges a datagram's updates. If the sender still has suspicions or deaths that the members have
+// refuted, their current records are sent to it at once.
 func (v *View) mergeUpdates(sender *member, m *Message) {
 	var refuted []*member
 	for i := range m.Updates {
@@ -113,8 +114,7 @@
 	}
 }
 
-// hasRefuted reports whether r holds a member for suspect, dead or left while a newer record of the same process is
-// Alive.
+// hasRefuted reports whether a member is suspect, dead or left by r while a newer record of the same process is Alive.
 func hasRefuted(m *member, r *Record) bool {
 	return r.State >= Suspect && r.RunID == m.RunID && m.State == Alive && m.newer(r)
 }
--- a/internal/peer/membership/record.go
+++ b/internal/peer/membership/record.go
@@ -18,7 +18,7 @@
 	Alive   State = iota // the member answers probes
 	Suspect              // a probe of the member failed; it can still refute the suspicion
 	Dead                 // the suspicion was not refuted in time; the process may still run behind a broken link
-	Left                 // the member left in an orderly way, or an operator declared it gone (Serf's term)
+	Left                 // the member left in an orderly way (Serf's term), or an operator declared it gone
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
@@ -53,7 +53,7 @@
 	Zone         string `cbor:"3,keyasint,omitempty"`
 	Version      string `cbor:"4,keyasint,omitempty"` // version of the program
 	Boot         uint64 `cbor:"5,keyasint,omitempty"` // boot number: increases with each start of the process
-	RunID        uint64 `cbor:"6,keyasint,omitempty"` // random per process: tells apart two with the same boot number
+	RunID        uint64 `cbor:"6,keyasint,omitempty"` // random per process: distinguishes two with the same boot number
 	Incarnation  uint32 `cbor:"7,keyasint,omitempty"` // grows when the member refutes a report or changes its record
 	State        State  `cbor:"8,keyasint,omitempty"`
 	Reporter     string `cbor:"9,keyasint,omitempty"`  // member that suspects this one, or declared it dead or left
--- a/internal/peer/membership/region.go
+++ b/internal/peer/membership/region.go
@@ -11,12 +11,12 @@
 //
 // Traffic between regions is limited to watchers: a few members of each region for each other region. All members of a
 // region select the same watchers by rank. Watchers probe the other region, send it the updates of their own region,
-// and compare digests. If no watcher reaches the other region any more, directly or through third regions, the watchers
-// report that in their own records. All members of their region then consider it unreachable: its members are shown as
-// dead while their records stay unchanged. Once a watcher gets an answer again, the members are shown by their records
-// again.
+// and compare digests. If no watcher reaches the other region any more, directly or through third regions, the
+// watchers report that in their own records. All members of their region then consider it unreachable: its members are
+// shown as dead while their records stay unchanged. Once a watcher receives an answer again, the members are again
+// shown as in their records.
 
-// region is a region as this member knows it.
+// region is the state of a region in this member's view.
 type region struct {
 	name        string
 	hash        uint32    // hash of the name, as used in Record.UnreachableRegions
@@ -40,10 +40,10 @@
 	differsSince        time.Duration // since when digests from the region differ; 0: they agree
 }
 
-// maxRegions is the maximum number of known regions; members of further regions count as members without a region.
+// maxRegions is the maximum number of regions in a view; members of further regions count as members without a region.
 const maxRegions = 64
 
-// regionNamed returns the region with this name, and adds it if it is not known.
+// regionNamed returns the region with this name, and adds it if it does not exist.
 func (v *View) regionNamed(name string) *region {
 	r := v.regions[name]
 	if r == nil && len(v.regions) >= maxRegions {
@@ -88,7 +88,7 @@
 	return r
 }
 
-// isUnreachable reports whether a member can't be reached, whatever its record says.
+// isUnreachable reports whether a member can't be reached, whatever state its record has.
 func (v *View) isUnreachable(m *member) bool {
 	return m != v.self && (v.isolated || m.region.unreachable)
 }
@@ -143,9 +143,9 @@
 }
 
 // isUnreachableByReports determines from the watchers' reports whether a region is unreachable. A single watcher that
-// reaches the region makes it reachable. The lack of a report by a new watcher counts as reaching it only after the
-// watcher had time to find out. The region becomes unreachable if all watchers report it; while some are undecided, or
-// without watchers, its state stays unchanged.
+// reaches the region makes it reachable. A new watcher that has not reported the region counts as reaching it only
+// after watcherSettleTime. The region becomes unreachable if all watchers report it; while some of them are undecided,
+// or if there are no watchers, its state stays unchanged.
 func (v *View) isUnreachableByReports(r *region) bool {
 	reached := false
 	reportedUnreachable := false
@@ -182,7 +182,7 @@
 	Unreachable    bool
 	UnreachableFor time.Duration
 	Watchers       []string      // names of the watchers in the local member's region
-	RoundTrip      time.Duration // smoothed; 0: not known
+	RoundTrip      time.Duration // smoothed; 0: no estimate
 }
 
 // Regions returns all regions with members, by name, or nil if there is only one.
--- a/internal/peer/membership/region_test.go
+++ b/internal/peer/membership/region_test.go
@@ -49,7 +49,7 @@
 
 func TestProbesStayInTheRegionAndAreEvenlyShared(t *testing.T) {
 	v := newRegionView(t, 9, 9, 9)
-	for i := range 9 { // three members in this member's zone, three in another zone, and three that are alone in theirs
+	for i := range 9 { // three members in this member's zone, three in another zone, and three that are the only ones of theirs
 		r := regionRecord(0, i)
 		r.Incarnation = 1
 		r.Zone = []string{"z1", "z2", fmt.Sprint("alone", i)}[i%3]
@@ -67,7 +67,7 @@
 		}
 	}
 	for name, n := range probes {
-		least, most := 70, 95 // of 600: half of them go to the three members of the zone and the three that are alone
+		least, most := 70, 95 // of 600: half of them go to the three members of the zone and the three single members
 		switch {
 		case !onlyLocalRegion(name):
 			least, most = 0, 2*120
@@ -170,7 +170,7 @@
 }
 
 // requireOnlyRegionShownDead returns the number of members of region b that are shown as dead. It fails the test if a
-// gossiped record says so, or if other members are shown as not alive.
+// gossiped record has that state, or if other members are shown as not alive.
 func requireOnlyRegionShownDead(t *testing.T, actions []Action) int {
 	t.Helper()
 	shown := 0
--- a/internal/peer/membership/roundtrip.go
+++ b/internal/peer/membership/roundtrip.go
@@ -16,8 +16,8 @@
 	// maxRoundTripTimeout bounds the timeout of a probe, unless ProbeTimeout is longer. A longer bound delays the
 	// detection of crashes of remote members.
 	maxRoundTripTimeout = time.Second
-	// roundTripFreshSeconds is how long a member's own estimate is used alone; after that, the estimate of its locality
-	// is used too.
+	// roundTripFreshSeconds is the time for which only a member's own estimate is used; after that, the estimate of its
+	// locality is used too.
 	roundTripFreshSeconds = 60
 	// maxLocalities is the maximum number of zones and regions with an estimate.
 	maxLocalities = 256
--- a/internal/peer/membership/settings.go
+++ b/internal/peer/membership/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Settings configure a View and don't change during its life. Settings that have a default take it if they are zero.
+// Settings configure a View, and don't change while it runs. A zero value selects the default if the setting has one.
 type Settings struct {
 	Name         string
 	Addr         string // host:port under which other members reach this one
@@ -18,7 +18,7 @@
 	Instances    int
 	Balancers    int
 	Seeds        []string // addresses used to join the fleet; they may include the member's own
-	KnownMembers []Record // members known in the last run: contacted first, trusted only after they answer
+	KnownMembers []Record // members of the last run: used to join and for the first Size, not added to the view
 
 	// TakesOver marks this process as the successor of another one, without a gap and with the same RunID. KnownMembers
 	// are then the predecessor's current records, and are trusted. Incarnation, DatagramNumber and Uptime continue the
@@ -30,13 +30,13 @@
 
 	// The comment of a setting with a default ends with the default.
 	ProbeInterval        time.Duration // time between two probes; DefaultProbeInterval
-	ProbeTimeout         time.Duration // timeout of a direct probe, before helpers are asked; DefaultProbeTimeout
+	ProbeTimeout         time.Duration // timeout of a direct probe, before helpers are used; DefaultProbeTimeout
 	IndirectTimeout      time.Duration // timeout of the indirect probe that follows; DefaultIndirectTimeout
 	MinSuspicion         time.Duration // time for a suspect to refute in fleets up to 100; DefaultMinSuspicion
 	ReconnectFor         time.Duration // how long dead members are contacted again; DefaultReconnectFor
 	BytesPerSecond       int           // for datagrams, and again for streams: twice this in all; DefaultBytesPerSecond
 	RemoteBytesPerSecond int           // part of these limits for traffic to other regions; a quarter
-	MaxMembers           int           // maximum number of known members; DefaultMaxMembers
+	MaxMembers           int           // maximum number of members in the view; DefaultMaxMembers
 	ConfiguredBalancers  int           // balancers of the fleet by the operator's file; used until the view has settled
 
 	// Baseline disables protections, for the baseline measurements in docs/measure/view.md. Leave it zero otherwise.
@@ -55,7 +55,7 @@
 	// percentile (4.6 intervals). A shorter interval detects crashes sooner and costs more datagrams.
 	DefaultProbeInterval = 200 * time.Millisecond
 	// DefaultProbeTimeout is five round trips between the site's data centers (20 ms). With a shorter timeout, helpers
-	// are asked needlessly.
+	// are used needlessly.
 	DefaultProbeTimeout = 100 * time.Millisecond
 	// DefaultIndirectTimeout is two such round trips each way, plus a margin for a busy host.
 	DefaultIndirectTimeout = 150 * time.Millisecond
@@ -87,7 +87,7 @@
 	return s
 }
 
-// minBytesPerSecond is the smallest byte rate that allows a full datagram and its response.
+// minBytesPerSecond is the smallest byte rate that is accepted: a full datagram and its response in one second.
 const minBytesPerSecond = 2 * maxDatagramBytes
 
 // check returns an error if a duration or limit is out of range. Names and addresses are checked in the member's own
--- a/internal/peer/membership/size.go
+++ b/internal/peer/membership/size.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Size is the number of balancers that share the servers, as an upper and a lower bound, because the exact number is
-// not known.
+// Size is the number of balancers that share the servers, as an upper and a lower bound, because the exact number
+// can't be determined.
 //
 // A member that can't be reached may still run and send requests behind a broken link. MaxBalancers, by which shares
 // and limits are divided, therefore includes dead members. It decreases only when a member leaves in an orderly way, an
@@ -17,7 +17,7 @@
 	FromFile                   bool // MaxBalancers is the operator's figure, because the view has not settled yet
 }
 
-// sizeTracker sums up balancers. It publishes changes that allow this member more in small steps.
+// sizeTracker sums up balancers. Changes that allow this member more load are published in small steps.
 type sizeTracker struct {
 	configured   int // the operator's figure
 	maxBalancers int // balancers of members that have not left
--- a/internal/peer/membership/status.go
+++ b/internal/peer/membership/status.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// Members returns the records of all known members, the local one included, by name, as the daemon and its operators
-// see them: members that can't be reached, because their region is unreachable or this member is isolated, are shown as
-// dead. Ages are as of the last step.
+// Members returns the records of all members, the local one included, by name, as shown to the daemon and its
+// operators: members that can't be reached, because their region is unreachable or this member is isolated, are shown
+// as dead. Ages are as of the last step.
 func (v *View) Members() []Record { return v.records(v.effectiveRecord) }
 
-// Records returns the records of all known members, without regard to reachability, for another process to continue
-// from.
+// Records returns the records of all members, without regard to reachability. Another process can continue from them.
 func (v *View) Records() []Record { return v.records(v.outgoingRecord) }
 
 func (v *View) records(recordOf func(*member) Record) []Record {
@@ -28,7 +27,7 @@
 	return r
 }
 
-// effectiveRecord returns a member's record as the daemon and its operators see it.
+// effectiveRecord returns a member's record as shown to the daemon and its operators.
 func (v *View) effectiveRecord(m *member) Record {
 	r := v.outgoingRecord(m)
 	if m.effectiveState() != m.State {
@@ -41,7 +40,7 @@
 
 func ageSeconds(age time.Duration) uint32 { return uint32(max(0, age) / time.Second) }
 
-// Addr returns the address of a member, or "" if the member is not known.
+// Addr returns the address of a member, or "" if the member is not in the view.
 func (v *View) Addr(name string) string {
 	if name == v.self.Name {
 		return v.self.Addr
@@ -53,7 +52,7 @@
 }
 
 // Since returns when a member's current state, as Members shows it, began in this view. It returns 0 if the member is
-// not known.
+// not in the view.
 func (v *View) Since(name string) time.Duration {
 	m := v.members[name]
 	if m == nil {
@@ -85,8 +84,8 @@
 // protocol.
 func (v *View) Yields() bool { return v.yielding }
 
-// OwnsName reports whether, to this member's knowledge, no other process uses its name: it has joined the fleet or has
-// tried to for a while, and knows of no other process with the name.
+// OwnsName reports whether this member has found no other process that uses its name, after it has joined the fleet or
+// has run for yieldCheckInterval.
 func (v *View) OwnsName() bool {
 	if v.yielding || v.nameClaim.dueAt != 0 {
 		return false
@@ -106,5 +105,5 @@
 // Isolated reports whether this member receives datagrams from no other member.
 func (v *View) Isolated() bool { return v.isolated }
 
-// HasLeft reports whether the leave has been gossiped as often as it should be.
+// HasLeft reports whether the leave has been gossiped in all of its rounds.
 func (v *View) HasLeft() bool { return v.isLeaving && v.leaveRoundsLeft == 0 }
--- a/internal/peer/membership/suspicion.go
+++ b/internal/peer/membership/suspicion.go
@@ -17,11 +17,12 @@
 const (
 	// maxSuspicionFactor is the ratio of the longest suspicion timeout, with one reporter, to the shortest. A larger
 	// factor protects better against a reporter that is itself at fault, and delays the detection of crashes that few
-	// members notice.
+	// members report.
 	maxSuspicionFactor = 3
 	// maxExtraReporters is the number of further reporters that reduce the timeout to the shortest (Lifeguard's k).
 	maxExtraReporters = 3
-	// maxRefutedSuspicions bounds the exponent of the backoff before this member suspects the same member again: 16 s.
+	// maxRefutedSuspicions bounds the exponent of the backoff before this member suspects the same member again: the
+	// backoff doubles from 2 s up to 16 s.
 	maxRefutedSuspicions = 4
 	// minMembersForBackoff is the minimum number of other live members for that backoff.
 	minMembersForBackoff = 2
@@ -69,7 +70,7 @@
 	}
 }
 
-// addReporter adds a reporter to a suspicion, if it is new and not one too many, and gossips its report.
+// addReporter adds a reporter to a suspicion, unless it is listed already or the list is full, and gossips its report.
 func (v *View) addReporter(m *member, reporter string) {
 	s := m.suspicion
 	if reporter == "" || reporter == m.Name || slices.Contains(s.reporters, reporter) || len(s.reporters) > maxExtraReporters {
@@ -115,7 +116,7 @@
 	v.suspicionsAt = never
 	for i := 0; i < len(v.suspects); {
 		m := v.suspects[i]
-		if !v.settings.Baseline.NoLifeguard { // if the suspect has answered since, its refutation is still under way
+		if !v.settings.Baseline.NoLifeguard { // if the suspect has answered meanwhile, its refutation has not arrived yet
 			m.suspicion.startedAt = max(m.suspicion.startedAt, m.lastConfirmed())
 		}
 		end := m.suspicion.startedAt + v.suspicionTimeout(m)
@@ -141,9 +142,9 @@
 }
 
 // suspicionRefuted handles a suspect's refutation. If this member reported the suspicion, it waits longer before it
-// suspects the same member again. This covers pairs of members that can't reach each other while others reach both: the
-// others notice if one of the pair dies. In a fleet of only two members there are no others, so that the backoff would
-// only delay the detection of a crash.
+// suspects the same member again. This covers pairs of members that can't reach each other while others reach both:
+// the others detect the crash of either of the pair. A fleet of two has no other members, so the backoff would only
+// delay the detection of a crash.
 func (v *View) suspicionRefuted(m *member, s *suspicion) {
 	if !s.reportedHere || len(v.live) < minMembersForBackoff {
 		return
--- a/internal/peer/membership/view.go
+++ b/internal/peer/membership/view.go
@@ -58,7 +58,7 @@
 	lastHelper      string            // the last helper through which any member was reached
 	localities      map[locality]*roundTrip
 	suspects        []*member
-	suspicionsAt    time.Duration // when suspicions are checked: no later than the first one ends
+	suspicionsAt    time.Duration // when suspicions are checked next: at the end of the first one, or earlier
 	regionsCheckAt  time.Duration // when watchers and reachability of regions are checked
 
 	// This member's own condition.
@@ -74,7 +74,7 @@
 	// Gossip and budgets for sending.
 	updates            updateQueue
 	gossipAt           time.Duration
-	recentSenders      []string // names of members whose datagrams arrived last, the latest first
+	recentSenders      []string // names of the members that sent the last received datagrams, the latest first
 	datagramNumber     uint64   // number of the last datagram sent
 	budget             tokenBucket
 	remoteBudget       tokenBucket        // budget for datagrams to other regions
@@ -109,8 +109,8 @@
 	RemoteBytes, RemoteExchangeBytes uint64 // of the bytes sent, those to other regions
 }
 
-// New returns a View that knows only the local member. With Settings.TakesOver its first step adds the members that the
-// predecessor knew. New returns an error if a setting is out of range.
+// New returns a View that contains only the local member. With Settings.TakesOver its first step adds the members of
+// the predecessor's view. New returns an error if a setting is out of range.
 func New(settings Settings, seed uint64) (*View, error) {
 	settings = settings.withDefaults()
 	own := settings.ownRecord()
@@ -147,7 +147,7 @@
 	return v, nil
 }
 
-// start sets all timers, in the first step.
+// start sets all timers. It is called in the first step.
 func (v *View) start() {
 	v.budget.start(v.now)
 	v.remoteBudget.start(v.now)
@@ -179,7 +179,7 @@
 			v.merge(r, reasonHandoff)
 		}
 	}
-	v.updates = updateQueue{} // other members already know these records
+	v.updates = updateQueue{} // other members already have these records
 }
 
 // randomUpTo returns a random duration from 0 up to a limit.
@@ -187,7 +187,7 @@
 	return time.Duration(v.rng.Float64() * float64(limit))
 }
 
-// Next returns the latest time for the next step if no event occurs before.
+// Next returns the time by which Step has to be called if no event occurs earlier.
 func (v *View) Next() time.Duration { return v.wakeAt }
 
 // Step handles the events in order, and then the timers that are due at now. It returns the actions to execute.
--- a/internal/peer/membership/watcher.go
+++ b/internal/peer/membership/watcher.go
@@ -9,8 +9,8 @@
 type watcher struct {
 	member *member
 	since  time.Duration // when it became a watcher
-	// hasReported means that the watcher has reported the region as unreachable since then. If it no longer does, it
-	// reaches the region.
+	// hasReported means that the watcher has reported the region as unreachable since then. If its record no longer
+	// reports that, it reaches the region.
 	hasReported bool
 }
 
@@ -24,12 +24,12 @@
 	// time while the last probe is unanswered. Shorter intervals detect an unreachable region sooner.
 	remoteProbeInterval = 2 * time.Second
 	remoteRetryInterval = 400 * time.Millisecond
-	// maxRemoteHelpers is the number of members of third regions that are asked to probe the region.
+	// maxRemoteHelpers is the number of members of third regions that receive requests to probe the region.
 	maxRemoteHelpers = 2
 	// minRemoteMisses is the number of consecutive probes that must fail before a region is reported as unreachable.
 	// The failures must also span the longest pause after which a member is not declared dead.
 	minRemoteMisses = 4
-	// watcherSettleTime is the time in which a new watcher finds out whether it reaches the region.
+	// watcherSettleTime is the time that a new watcher has to determine whether it reaches the region.
 	watcherSettleTime = 6 * time.Second
 
 	// watcherRankMultiplier is 2^64 divided by the golden ratio; it spreads the bits of a region's hash.
@@ -42,7 +42,7 @@
 	return mix(m.nameHash ^ uint64(r.hash)*watcherRankMultiplier)
 }
 
-// reportsUnreachable reports whether a member's record says that it can't reach a region.
+// reportsUnreachable reports whether a member's record lists a region as one that the member can't reach.
 func reportsUnreachable(m *member, r *region) bool {
 	return slices.Contains(m.UnreachableRegions, r.hash)
 }
@@ -96,8 +96,8 @@
 	return top
 }
 
-// setWatched sets whether this member watches a region. A new watcher first reports the region as its own region sees
-// it.
+// setWatched sets whether this member watches a region. A new watcher first reports the region's present state in this
+// view.
 func (v *View) setWatched(r *region, watched bool) {
 	r.watched = watched
 	r.missedProbes = 0
