--- a/internal/peer/ejection/baseline.go
+++ b/internal/peer/ejection/baseline.go
@@ -12,11 +12,12 @@
 	// them to all subscribers. A smaller value reports later; a larger one costs more messages in normal operation.
 	maxOwnLikelihood = 1e-4
 	// maxPooledLikelihood is the same for the failures of several members together, which are tested with each failure
-	// that a collector learns of. maxGuessedLikelihood is used while no collector has counted the server's baseline.
+	// that is reported to a collector. maxGuessedLikelihood is used while no collector's count of the server's baseline
+	// is available.
 	maxPooledLikelihood  = 1e-3
 	maxGuessedLikelihood = 1e-5
-	// minBaselineShare and maxBaselineShare bound the share of requests that is assumed to fail normally. A smaller
-	// share can't be measured in a minute; a larger one is a fault itself, such as a bad release.
+	// minBaselineShare and maxBaselineShare bound the share of requests that is assumed to fail normally. A smaller share
+	// can't be measured in a minute; a larger one is itself a fault, such as a bad release.
 	minBaselineShare = 0.001
 	maxBaselineShare = 0.01
 	// minBackgroundRequests is the minimum number of requests for a measured share.
@@ -80,7 +81,7 @@
 	return max(own, 2*m.baselineShare(s.source)*mean*float64(len(m.subscriberNames(s)))), false
 }
 
-// hasReceivedBaseline reports whether a collector stated the baseline failure rate recently.
+// hasReceivedBaseline reports whether a baseline failure rate was received recently.
 func (s *server) hasReceivedBaseline(now time.Duration) bool {
 	return s.receivedBaselineAt > 0 && now-s.receivedBaselineAt < baselineSpans*baselineSpan
 }
--- a/internal/peer/ejection/cap.go
+++ b/internal/peer/ejection/cap.go
@@ -7,7 +7,7 @@
 
 // overCap returns the ejected servers that agents use nevertheless, because otherwise more than MaxEjectedShare of
 // their zone or pod would be ejected. The servers with the highest failure shares stay ejected and, among equal ones,
-// those that were ejected first. One server of several may always be ejected.
+// those that were ejected first. If a zone or pod has several servers, one of them may always be ejected.
 func (m *Member) overCap() map[string]bool {
 	var ejected []*server
 	for _, s := range m.active {
--- a/internal/peer/ejection/collectors.go
+++ b/internal/peer/ejection/collectors.go
@@ -15,7 +15,7 @@
 	// repeated because half of the messages may be lost.
 	minBroadcastInterval = 2 * time.Second
 	// maxNoticePollsPerSecond is the maximum number of polls that notices of all members prompt. Further notices are
-	// ignored, because failures are then frequent enough to be found without them.
+	// ignored, because failures are then frequent enough to be detected without them.
 	maxNoticePollsPerSecond = 64
 )
 
@@ -58,7 +58,7 @@
 	name string
 }
 
-// collectorsOf returns a server's collectors without this member. Collectors are the subscribers with the highest
+// collectorsOf returns a server's collectors other than this member. Collectors are the subscribers with the highest
 // rendezvous ranks.
 func (m *Member) collectorsOf(s *server) []string {
 	if s.collectorsEpoch == m.membershipEpoch {
--- a/internal/peer/ejection/detect.go
+++ b/internal/peer/ejection/detect.go
@@ -13,8 +13,8 @@
 	// at least two. With a quorum of 2, two broken links would eject a server; a larger quorum detects failing servers
 	// later.
 	ejectionQuorum = 3
-	// unresponsiveQuorum is the same if the reporters had no response; in smaller fleets it is two thirds of the
-	// members. If half of the members are partitioned from a server, the probability of that many reports is 1 in
+	// unresponsiveQuorum is the corresponding number if the reporters had no response; in smaller fleets it is two thirds
+	// of the members. If half of the members are partitioned from a server, the probability of that many reports is 1 in
 	// 1,024, and other members are polled in addition.
 	unresponsiveQuorum = 10
 	// maxChanceLikelihood is the maximum probability that the reporters' failures occur by chance, given each
@@ -23,15 +23,15 @@
 	maxChanceLikelihood = 0.05
 
 	// corroborationWait is the time in which other members can contradict the reports of an outage before the server is
-	// ejected: several rounds of polls. With fastReporters reports it is fastCorroborationWait. A longer wait means
-	// more failed requests; a shorter one means more wrong ejections (25 a minute at 0.5% errors in a trial that
-	// waited 300 ms without polling).
+	// ejected: several rounds of polls. With fastReporters reports it is fastCorroborationWait. A longer wait means more
+	// failed requests; a shorter one means more wrong ejections: 25 a minute at 0.5% errors with a wait of 300 ms without
+	// polling.
 	corroborationWait     = 700 * time.Millisecond
 	fastReporters         = 6
 	fastCorroborationWait = 250 * time.Millisecond
 
 	// minPartialShare is the minimum share of failed requests, over all reports, for a partial failure. A smaller share
-	// finds lighter faults and mistakes overload for them.
+	// detects lighter faults, but also ejects servers that are only overloaded.
 	minPartialShare = 0.15
 	// minPartialFailures is the minimum number of failures for a partial failure.
 	minPartialFailures = 8
@@ -57,7 +57,7 @@
 type pooledOutcomes struct {
 	successes, failures, errorResponses float64
 	otherSuccesses, otherFailures       float64
-	reporters                           []*report // with error responses, and more failures than elsewhere
+	reporters                           []*report // with error responses, and a larger share of failures than at other servers
 }
 
 func poolOutcomes(reports []*report) pooledOutcomes {
@@ -132,8 +132,8 @@
 }
 
 // detectPartialFailure detects a server that answers a share of all requests with errors. Failures without a response,
-// and failures that some members always have and others never, may be caused by links; they are no reason for an
-// ejection here.
+// and failures that some members always have and others never have, may be caused by links; they don't count as a
+// partial failure.
 func (m *Member) detectPartialFailure(s *server, reports []*report, pool pooledOutcomes) (finding, bool) {
 	minShare := max(minPartialShare, 2*failureShare(pool.otherFailures, pool.otherSuccesses)+minPartialExcess)
 	if 2*pool.errorResponses < pool.failures ||
--- a/internal/peer/ejection/ejection.go
+++ b/internal/peer/ejection/ejection.go
@@ -1,20 +1,20 @@
-// Package ejection implements outlier ejection that the members of a fleet agree on. Members exchange what their own
-// agents observed of servers. From the reports of several members, each member decides by itself which servers its
-// agents avoid. The rules follow Envoy's outlier detection (consecutive failures, success rate, max_ejection_percent,
-// growing ejection time), with evidence pooled over members. As in Lifeguard, a member first considers its own link as
-// the cause.
+// Package ejection implements outlier ejection that the members of a fleet agree on. Members exchange the outcomes
+// that their own agents observed at servers. From the reports of several members, each member decides independently
+// which servers its agents avoid. The rules follow Envoy's outlier detection (consecutive failures, success rate,
+// max_ejection_percent, growing ejection time), with evidence pooled over members. As in Lifeguard, a member first
+// considers its own link as the cause.
 //
 // A Member holds all state, in memory only. A single goroutine calls Step and Next (the transport's loop, or a
 // simulation). The package has no clock, socket, goroutine or global state, and draws random numbers only from its
 // seed: Step takes the time and events, and returns actions (events.go).
 //
-// Evidence (outcomes.go, report.go) is counted by the member that observed it and forwarded unchanged, so that evidence
-// received from ten members still is one report. Members poll for evidence (poll.go, response.go). The age of evidence
-// is at most the age stated in the response plus the time since the poll, whatever the delays in the network. Evidence
-// older than Settings.MaxEvidenceAge is ignored.
+// Evidence (outcomes.go, report.go) is counted by the member that observed it and forwarded unchanged, so that the
+// evidence of one origin counts as one report, even if ten members forward it. Members poll for evidence (poll.go,
+// response.go). The age of evidence is at most the age stated in the response plus the time since the poll, whatever
+// the delays in the network. Evidence older than Settings.MaxEvidenceAge is ignored.
 //
 // Reports about a server go to the subscribers of its list (subscription.go). Isolated failures, which occur in normal
-// operation, go only to the server's three collectors, which know its baseline failure rate (baseline.go,
+// operation, go only to the server's three collectors, which count its baseline failure rate (baseline.go,
 // collectors.go).
 //
 // A server is ejected when several members report it whose other servers respond (detect.go), and after other members
@@ -23,9 +23,9 @@
 // server. When it responds to them, the number of members that use it doubles every second (readmission.go).
 //
 // A member that is partitioned from the others keeps an ejection until the newest observed failure is MaxEvidenceAge
-// old, and its agents respect the ejection no longer than its Until. Once its membership shows all other subscribers as
-// dead, it is the only subscriber and uses the server at once (mayUse). It can't eject a server alone, because at least
-// two reporters are required.
+// old, and its agents respect the ejection no longer than its Until. Once its membership shows all other subscribers
+// as dead, it is the only subscriber and uses the server at once (mayUse). It can't eject a server on its own
+// evidence, because at least two reporters are required.
 //
 // docs/design/shared-verdicts.md compares the alternatives and derives the formulas.
 package ejection
@@ -57,7 +57,7 @@
 
 	// Membership.
 	names           []string // names of live members, ascending
-	peers           []Peer   // descriptions of names, in the same order; nil: none is known
+	peers           []Peer   // descriptions of the members in names, in the same order; nil: no descriptions
 	unreachable     []Peer
 	membershipEpoch int                     // increases with each change of names, peers or unreachable
 	subscribersOf   map[string]*subscribers // by source
@@ -71,7 +71,7 @@
 	// Evaluation of servers.
 	active         []*server // servers with reports, ejections, drains or a due evaluation, by ID
 	evaluationDue  bool
-	evaluateAt     time.Duration // when the next evaluation is due; 0: none is
+	evaluateAt     time.Duration // when the next evaluation is due; 0: not scheduled
 	lastEvaluation time.Duration
 	announced      []Ejection // content of the last EjectionsChanged
 
@@ -82,8 +82,8 @@
 	nextPoll            time.Duration
 	lastPoll            time.Duration
 	promptedPollBackoff backoff
-	lastUpdate          time.Duration // when this member last learned something new
-	notifyAt            time.Duration // when the next notification is due; 0: none is
+	lastUpdate          time.Duration // when this member last had an update: new evidence, a drain or an ejection
+	notifyAt            time.Duration // when the next notification is due; 0: not scheduled
 	lastNotify          time.Duration
 	notifyBackoff       backoff
 	responseCursor      int              // index in active at which the next response continues
@@ -126,7 +126,7 @@
 	}, nil
 }
 
-// Next returns the latest time for the next call of Step, even if no events occur.
+// Next returns the time by which Step has to be called, even if no events occur.
 func (m *Member) Next() time.Duration {
 	next := m.nextPoll
 	if m.notifyAt > 0 {
--- a/internal/peer/ejection/ejection_test.go
+++ b/internal/peer/ejection/ejection_test.go
@@ -19,7 +19,8 @@
 	h.expectEjected(true, "three reporters")
 }
 
-// Failures without a response may be caused by links. If half of the links are broken, three reporters occur by chance.
+// Failures without a response may be caused by links. If half of the links are broken, three members may report the
+// server by chance.
 func TestUnresponsiveServerNeedsMoreReporters(t *testing.T) {
 	withErrorResponses := unresponsiveReports("bcdefg")
 	for _, i := range []int{0, 2, 4} {
--- a/internal/peer/ejection/ejectionsim/ejectionsim.go
+++ b/internal/peer/ejection/ejectionsim/ejectionsim.go
@@ -29,9 +29,9 @@
 	Duration time.Duration
 	// ErrorRate is the share of requests that fail by chance, at any server.
 	ErrorRate float64
-	// ShareEvidence makes members exchange evidence. Otherwise each agent decides alone.
+	// ShareEvidence makes members exchange evidence. Otherwise each agent decides independently.
 	ShareEvidence bool
-	// LocalEjection makes each agent itself eject a server after a failure, for a longer time after each further
+	// LocalEjection makes each agent eject a server on its own after a failure, for twice as long after each further
 	// failure, as package decide does.
 	LocalEjection bool
 
@@ -275,7 +275,7 @@
 	}
 }
 
-// membersChanged returns the membership as an event, ascending by name.
+// membersChanged returns the event that passes the membership to a member, with the names ascending.
 func membersChanged(peers []ejection.Peer) ejection.MembersChanged {
 	order := make([]int, len(peers))
 	for n := range order {
--- a/internal/peer/ejection/ejectionsim/links.go
+++ b/internal/peer/ejection/ejectionsim/links.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// brokenLinksStream makes these random numbers independent of others with the same seed.
+// brokenLinksStream makes these random numbers independent of those of other packages with the same seed.
 const brokenLinksStream = 61
 
 // linkFault is a fault in which a group of agents loses a share of its requests to a group of servers for some time.
--- a/internal/peer/ejection/ejectionsim/localities_test.go
+++ b/internal/peer/ejection/ejectionsim/localities_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// countWithin returns how many delays are shorter than a bound.
+// countWithin returns the number of delays that are shorter than a bound.
 func countWithin(delays []time.Duration, bound time.Duration) int {
 	count := 0
 	for _, d := range delays {
--- a/internal/peer/ejection/ejectionsim/members.go
+++ b/internal/peer/ejection/ejectionsim/members.go
@@ -71,7 +71,7 @@
 	}
 	to, err := strconv.Atoi(strings.TrimPrefix(action.To, "m"))
 	if err != nil {
-		panic("ejectionsim: message to unknown member " + action.To) // members know only names of the simulation
+		panic("ejectionsim: message to unknown member " + action.To) // members receive only names of the simulation
 	}
 	lost, delay := sim.options.PeerPath(from.number, to, sim.now)
 	if sim.rng.Float64() < lost {
--- a/internal/peer/ejection/ejectionsim/requests.go
+++ b/internal/peer/ejection/ejectionsim/requests.go
@@ -11,7 +11,8 @@
 const (
 	// maxPicks is the number of random picks after which an agent sends to an ejected server.
 	maxPicks = 200
-	// recoveryWindow is how long after a server's recovery its requests are counted for Result.MaxReadmittedRate.
+	// recoveryWindow is the time after a server's recovery in which its requests are counted for
+	// Result.MaxReadmittedRate.
 	recoveryWindow = 30 * time.Second
 	// maxLocalDoublings bounds a local ejection to 16 s: it lasts 1 s and doubles with each further failure.
 	maxLocalDoublings = 5
@@ -116,7 +117,7 @@
 	return sample
 }
 
-// updateLocalEjection ejects a server at the agent itself after a failure, for twice as long after each further
+// updateLocalEjection ejects a server locally at the agent after a failure, for twice as long after each further
 // failure.
 func (a *agent) updateLocalEjection(server int, failed bool, now time.Duration) {
 	if !failed {
--- a/internal/peer/ejection/events.go
+++ b/internal/peer/ejection/events.go
@@ -49,7 +49,7 @@
 	MembersChanged struct {
 		// Names are the names of the live members, this one included, ascending.
 		Names []string
-		// Peers describes the members in Names, in the same order. It is empty if no descriptions are known.
+		// Peers describes the members in Names, in the same order. It is empty if there are no descriptions.
 		Peers []Peer
 		// Unreachable describes members that recently became unreachable. Their localities still count, because the
 		// cause may be a partition.
@@ -87,13 +87,13 @@
 func (EjectionsChanged) action() {}
 func (Log) action()              {}
 
-// Ejection tells this member's agents to avoid one process of a server.
+// Ejection is an instruction to this member's agents to avoid one process of a server.
 type Ejection struct {
 	Server    string
 	StartedMS int64
 	// Draining means that the server drains or was removed, rather than ejected.
 	Draining bool
-	// Until is when the ejection expires by this member's clock, unless it is announced again.
+	// Until is the time by this member's clock at which the ejection expires, unless it is announced again.
 	Until time.Duration
 }
 
--- a/internal/peer/ejection/harness_test.go
+++ b/internal/peer/ejection/harness_test.go
@@ -85,7 +85,7 @@
 	return h.polls[len(h.polls)-1]
 }
 
-// receives waits for the member's next poll, and responds to it at once with evidence and drains.
+// receives waits for the member's next poll, and responds to it immediately with evidence and drains.
 func (h *harness) receives(evidence []Evidence, drains ...Drain) {
 	h.t.Helper()
 	poll := h.awaitPoll()
--- a/internal/peer/ejection/lists.go
+++ b/internal/peer/ejection/lists.go
@@ -30,16 +30,16 @@
 	// Isolated failures.
 	lastCollectorNotice time.Duration
 	lastBroadcast       time.Duration
-	collectors          []string // names of the collectors without this member
+	collectors          []string // names of the collectors other than this member
 	isCollector         bool
 	collectorsEpoch     int             // Member.membershipEpoch for which the collectors were selected
 	baseline            baselineCounter // used if this member is a collector
-	receivedBaseline    float64         // baseline stated by a collector, in failures a second
+	receivedBaseline    float64         // baseline failure rate received with evidence, in failures a second
 	receivedBaselineAt  time.Duration
 
 	// Drains that other members or this member's own list announced.
 	drainState ListedState
-	drainedAt  time.Duration // earliest known time at which any member learned of the drain; 0: no drain
+	drainedAt  time.Duration // time of the earliest announcement of the drain received so far; 0: no drain
 }
 
 func (s *server) incarnation() Incarnation { return Incarnation{s.ID, s.StartedMS} }
--- a/internal/peer/ejection/locality.go
+++ b/internal/peer/ejection/locality.go
@@ -3,8 +3,8 @@
 // independentLocalities reports whether failures without a response are reported from enough failure domains that no
 // single broken link explains them. All reporters in a zone count as one. One of two conditions must hold:
 //
-//   - The reporters are in more than half of the zones of this member's own region, and there are as many in that
-//     region as it alone would need. A partitioned region can therefore decide for itself.
+//   - The reporters are in more than half of the zones of this member's own region, and their number in that region is
+//     sufficient for a fleet of only its subscribers. A partitioned region can therefore eject servers without the others.
 //   - The reporters are in more than half of the regions.
 //
 // If all members are in one zone, localities can't be distinguished and the result is true.
@@ -22,7 +22,7 @@
 	for _, r := range reporters {
 		p := m.peer(r.origin)
 		if p == nil {
-			continue // the reporter is not known to be alive, so its locality is unknown
+			continue // the reporter is not among the live members, so its locality is unknown
 		}
 		reporting.add(p)
 		if p.Region == ownRegion {
--- a/internal/peer/ejection/message.go
+++ b/internal/peer/ejection/message.go
@@ -1,7 +1,7 @@
 package ejection
 
 // Message is the envelope of all communication between members: a poll, a response, a notification, or several of
-// these. Fields are numbered; a receiver skips numbers that it does not know.
+// these. Fields are numbered; a receiver skips unknown numbers.
 type Message struct {
 	// PollNumber, if not 0, makes the message a poll, and identifies the poll at its sender.
 	PollNumber uint64 `cbor:"1,keyasint,omitempty"`
@@ -42,7 +42,7 @@
 	// Succeeded and Failed are counts of outcomes at this server, decayed over decayTime.
 	Succeeded float32 `cbor:"6,keyasint,omitempty"`
 	Failed    float32 `cbor:"7,keyasint,omitempty"`
-	// OtherSucceeded and OtherFailed are the same at all other servers.
+	// OtherSucceeded and OtherFailed are the corresponding counts at all other servers.
 	OtherSucceeded float32 `cbor:"8,keyasint,omitempty"`
 	OtherFailed    float32 `cbor:"9,keyasint,omitempty"`
 	// ConsecutiveSuccesses counts successes since the last failure.
@@ -71,6 +71,6 @@
 	Server    string      `cbor:"1,keyasint,omitempty"`
 	StartedMS int64       `cbor:"2,keyasint,omitempty"`
 	State     ListedState `cbor:"3,keyasint,omitempty"`
-	// AgeMS is an upper bound of the time since any member first learned of the drain, in ms.
+	// AgeMS is an upper bound of the time since the drain was first announced by a member's list, in ms.
 	AgeMS uint32 `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/peer/ejection/poll.go
+++ b/internal/peer/ejection/poll.go
@@ -9,10 +9,10 @@
 	// pollFanout is the number of members that an alerted member polls at a time. A larger fanout spreads reports in
 	// fewer rounds and costs proportionally more messages.
 	pollFanout = 2
-	// notifyFanout is the number of members that are notified of an update. With 3, rumors reach the whole fleet within
-	// log n rounds even if half of the messages are lost.
+	// notifyFanout is the number of members that are notified of an update. With 3, updates reach all members of the
+	// fleet within log n rounds even if half of the messages are lost.
 	notifyFanout = 3
-	// alertDuration is how long a member stays alerted after it learned something new: several alert intervals.
+	// alertDuration is the time for which a member stays alerted after an update: several alert intervals.
 	alertDuration = time.Second
 	// minNotifyInterval and minPromptedPollInterval are the initial intervals between two rounds of notifications, and
 	// between two polls that notifications prompt. Smaller intervals are faster for the first report and cost more
@@ -27,8 +27,8 @@
 	// minContinuationInterval is the minimum time between the last poll and a poll for the rest of a response that did
 	// not fit in one message.
 	minContinuationInterval = 100 * time.Millisecond
-	// pollTimeout is how long a poll waits for a response. A longer one accepts later responses, with older evidence,
-	// and keeps more polls in memory.
+	// pollTimeout is the time for which a poll waits for a response. A longer one accepts later responses, with older
+	// evidence, and keeps more polls in memory.
 	pollTimeout = 3 * time.Second
 	// maxPollSubjects is the maximum number of servers that a poll names. They must fit in a datagram with the
 	// envelope.
@@ -76,7 +76,7 @@
 	m.emit(Send{to, message})
 }
 
-// alerted reports whether this member recently learned something new.
+// alerted reports whether this member had an update within alertDuration.
 func (m *Member) alerted() bool { return m.lastUpdate > 0 && m.now-m.lastUpdate < alertDuration }
 
 // poll polls random subscribers of one list. While this member is alerted, it polls more often and more of them.
@@ -182,8 +182,8 @@
 	}
 }
 
-// noteResponder records that a member responded to a poll about a suspected server. If the server is unresponsive, only
-// the responder's own evidence counts, see recordCorroboration.
+// noteResponder records that a member responded to a poll about a suspected server. If the server is unresponsive,
+// only evidence that originates at the responder counts: see recordCorroboration.
 func (s *server) noteResponder(from string, p pendingPoll, response *Message) {
 	if !s.unresponsive {
 		if !slices.Contains(s.responders, from) {
--- a/internal/peer/ejection/readmission.go
+++ b/internal/peer/ejection/readmission.go
@@ -18,7 +18,7 @@
 	// readmits servers with partial failures.
 	minSuccessRun = 3
 	maxSuccessRun = 48
-	// maxRunDoublings prevents an overflow of the shift; maxSuccessRun is reached long before.
+	// maxRunDoublings prevents an overflow of the shift; maxSuccessRun is reached with fewer doublings.
 	maxRunDoublings = 10
 	// readmissionDoubling is the time in which the number of members that use a server doubles during its readmission:
 	// a slow start. A shorter time overloads a server that has just recovered.
--- a/internal/peer/ejection/report.go
+++ b/internal/peer/ejection/report.go
@@ -18,16 +18,16 @@
 	maxReportsPerServer = 12
 	// maxRecentReports is the number of recently received reports that responses include first.
 	maxRecentReports = 64
-	// linkProofGrace is how long before the start of a member's failures a success elsewhere still proves that its link
-	// works. A larger value accepts members whose link has just broken.
+	// linkProofGrace is the time before the start of a member's failures within which a success at another server still
+	// proves that its link works. A larger value accepts members whose link has just broken.
 	linkProofGrace = time.Second
-	// maxOtherFailures is the maximum number of failures elsewhere since a member's last success elsewhere: with two,
+	// maxOtherFailures is the maximum number of failures at other servers since a member's last success there: with two,
 	// its own link is the more likely cause.
 	maxOtherFailures = 1
-	// minOtherSuccesses is the minimum decayed number of successes elsewhere for a member's reports to count.
+	// minOtherSuccesses is the minimum decayed number of successes at other servers for a member's reports to count.
 	minOtherSuccesses = 2
-	// minFailureShareExcess is the minimum difference between a member's shares of failures at a server and elsewhere
-	// for the member to report a partial failure.
+	// minFailureShareExcess is the minimum difference between a member's shares of failures at a server and at other
+	// servers for the member to report a partial failure.
 	minFailureShareExcess = 0.3
 	// minFailureProbability is the lower bound for the estimated probability of a single failure by chance: no member
 	// observes enough requests to conclude that failures are rarer.
@@ -89,7 +89,8 @@
 }
 
 // reportsOutage reports whether the report is evidence of an outage: the member's last requests to the server failed
-// while its own link works, as shown by a recent success at another server and hardly any failures elsewhere since.
+// while its own link works, as shown by a recent success at another server and at most maxOtherFailures failures at
+// other servers since.
 func (r *report) reportsOutage() bool {
 	return r.failing() &&
 		r.otherSuccessAt > 0 &&
@@ -97,7 +98,7 @@
 		r.otherFailuresSince <= maxOtherFailures
 }
 
-// failsPartly reports whether requests fail far more often at the server than elsewhere.
+// failsPartly reports whether requests fail far more often at the server than at other servers.
 func (r *report) failsPartly() bool {
 	return r.failures >= 0.5 &&
 		r.otherSuccesses >= minOtherSuccesses &&
@@ -111,7 +112,7 @@
 }
 
 // logLikelihood returns the logarithm of the probability that the consecutive failures occurred by chance, given the
-// member's share of failures elsewhere.
+// member's share of failures at other servers.
 func (r *report) logLikelihood() float64 {
 	probability := max(r.otherFailureShare(), minFailureProbability)
 	if r.otherFailuresSince > 0 { // the member's link may just have broken
@@ -126,8 +127,9 @@
 	report *report
 }
 
-// recordReport stores a report if it is newer than the one of the same origin. It reports whether the report was stored
-// and is news: the first of its origin, or an outage or a run of successes began or ended.
+// recordReport stores a report if it is newer than the one of the same origin. It returns whether the report was
+// stored and other members may need it: it is the first of its origin, or an outage or a run of successes began or
+// ended.
 func (m *Member) recordReport(s *server, r *report) bool {
 	r.rank = rendezvousRank(r.origin, s.ID)
 	isNew := true
@@ -151,7 +153,7 @@
 	return isNew && slices.Contains(s.reports, r)
 }
 
-// reportIndex returns the index of an origin's report, or -1 if there is none.
+// reportIndex returns the index of an origin's report, or -1 if the origin has no report.
 func (s *server) reportIndex(origin string) int {
 	return slices.IndexFunc(s.reports, func(r *report) bool { return r.origin == origin })
 }
@@ -166,7 +168,7 @@
 }
 
 // pruneReports removes reports that are not needed. It keeps this member's own report, the newest reports of failing
-// members, and the newest reports of other members with successes since the failures in these began.
+// members, and the newest reports of other members with successes since the failures in those reports began.
 func (s *server) pruneReports(m *Member) {
 	var failingSince, lastSuccess []time.Duration
 	for _, r := range s.reports {
@@ -247,8 +249,8 @@
 	return count
 }
 
-// isAnomalous reports whether the reported failures of a server are unlikely by its baseline, as far as this member
-// knows.
+// isAnomalous reports whether the reported failures of a server are unlikely by its baseline, according to the reports
+// that this member has.
 func (s *server) isAnomalous(m *Member) bool {
 	if s.isEjected() {
 		return true
--- a/internal/peer/ejection/response.go
+++ b/internal/peer/ejection/response.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// maxEvidencePerMessage items of evidence fit in a datagram of 2,000 bytes, with names of 64 bytes.
+	// maxEvidencePerMessage is the number of items of evidence that fit in a datagram of 2,000 bytes, with names of 64
+	// bytes.
 	maxEvidencePerMessage = 16
 	// ownReportInterval is the age above which this member refreshes its own report before sending it, because its
 	// outcomes at other servers may have changed.
 	ownReportInterval = 500 * time.Millisecond
-	// firstFormatFreshness is how long a member with format 1 forwards reports of isolated failures.
+	// firstFormatFreshness is the time for which a member with format 1 forwards reports of isolated failures.
 	firstFormatFreshness = 3 * time.Second
 	// minStatedBaseline is sent for a baseline without failures, because 0 means an unknown baseline.
 	minStatedBaseline = 1e-6
@@ -24,13 +25,13 @@
 type responseBuilder struct {
 	member   *Member
 	poll     *Message
-	poller   *Peer // member that sent the poll; nil: not known
+	poller   *Peer // member that sent the poll; nil: no description of it
 	response *Message
 	added    map[*report]bool
 }
 
 // buildResponse returns the response to a poll, with as many reports as fit: first those about the servers that the
-// poll names, then the reports received last, then all others in turn.
+// poll names, then the reports received last, then the remaining ones in turn over several responses.
 func (m *Member) buildResponse(to string, poll *Message) *Message {
 	b := &responseBuilder{
 		member:   m,
@@ -173,7 +174,8 @@
 	}
 }
 
-// statedBaseline returns the baseline failure rate of a server as a collector counted it, or 0 if it is not known.
+// statedBaseline returns the baseline failure rate of a server as a collector counted it, or 0 if no such rate is
+// available.
 func (m *Member) statedBaseline(s *server) float32 {
 	if m.collects(s) {
 		if rate, ok := s.baseline.perSecond(m.now); ok {
--- a/internal/peer/ejection/settings.go
+++ b/internal/peer/ejection/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Settings configure a Member and don't change during its life. Zero values take the defaults below.
+// Settings configure a Member, and don't change while it runs. Zero values select the defaults below.
 type Settings struct {
 	// Name identifies this member in the fleet. Required.
 	Name string
@@ -37,8 +37,8 @@
 	// DefaultAlertInterval equals the probe interval of the membership protocol. A shorter interval spreads reports
 	// faster and costs proportionally more messages.
 	DefaultAlertInterval = 200 * time.Millisecond
-	// DefaultIdleInterval bounds the delay that a lost notification causes. A shorter interval finds updates sooner and
-	// costs more messages when idle.
+	// DefaultIdleInterval bounds the delay that a lost notification causes. With a shorter interval, members receive
+	// updates sooner and send more messages when idle.
 	DefaultIdleInterval = time.Second
 	// DefaultMaxEvidenceAge is 20 s. In that time, ten agents with one request each in ten seconds send 20 requests,
 	// one to each of twenty servers, so that a small fleet observes every server about once. A larger age helps fleets
--- a/internal/peer/ejection/state.go
+++ b/internal/peer/ejection/state.go
@@ -13,8 +13,8 @@
 	minEvaluationInterval = 20 * time.Millisecond
 	// evaluationGrid aligns later evaluations, so that servers are evaluated together.
 	evaluationGrid = 50 * time.Millisecond
-	// ejectionMemory is how long earlier ejections increase the number of successes needed for readmission (the backoff
-	// of Envoy's base_ejection_time). A larger value keeps a flapping server out for longer.
+	// ejectionMemory is the time for which earlier ejections increase the number of successes needed for readmission (the
+	// backoff of Envoy's base_ejection_time). A larger value keeps a flapping server out for longer.
 	ejectionMemory = 2 * time.Minute
 
 	// confirmationPolls is the number of members that are polled about a suspected server, and
@@ -66,23 +66,23 @@
 	phase        phase
 	failureShare float64 // share of failed requests by all current reports; at the cap, the worst servers stay ejected
 
-	// While suspected.
+	// The following fields are used while the server is suspected.
 	suspectedAt          time.Duration
 	suspicionBegan       time.Duration // value of failuresBegan when the suspicion began
 	confirmationPolledAt time.Duration
-	responders           []string      // members that have responded since, see noteResponder
+	responders           []string      // members that responded during the suspicion, see noteResponder
 	contradicted         bool          // a responder had a success since suspicionBegan
 	unresponsive         bool          // most reporters had no response from the server
 	failuresBegan        time.Duration // first failure of any current reporter
 
-	// While ejected or readmitting.
+	// The following fields are used while the server is ejected or being readmitted.
 	ejectedAt        time.Duration
 	reason           string   // for operators
 	reporters        []string // ascending
 	readmittingSince time.Duration
 	capped           bool // Settings.MaxEjectedShare keeps the ejection from taking effect
 
-	// Across ejections.
+	// The following fields are kept when an ejection ends.
 	ejections         int // number of ejections, each within ejectionMemory of the one before
 	lastEjection      time.Duration
 	evidenceVoidUntil time.Duration // older evidence is ignored, because it led to an ejection that has ended
--- a/internal/peer/ejection/subscribers.go
+++ b/internal/peer/ejection/subscribers.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// peer returns the description of a live member, or nil if it is not known.
+// peer returns the description of a live member, or nil if there is no description.
 func (m *Member) peer(name string) *Peer {
 	if m.peers == nil {
 		return nil
@@ -117,14 +117,15 @@
 // subscriberNames returns the live subscribers of a server's list, this member included.
 func (m *Member) subscriberNames(s *server) []string { return m.subscribers(s.source).names }
 
-// maySubscribe reports whether a member may be a subscriber of a server's list. p is nil if the member is not known.
+// maySubscribe reports whether a member may be a subscriber of a server's list. p is nil if there is no description of
+// the member.
 func (m *Member) maySubscribe(p *Peer, s *server) bool {
 	return p == nil || m.settings.FormatVersion == 1 || p.Subscriptions.MayInclude(s.source)
 }
 
 // randomSubscribers returns up to n random subscribers of a list other than this member.
 func (m *Member) randomSubscribers(n int, source string) []string {
-	const attemptsPerName = 4 // draws of this member or of a member already chosen are repeated
+	const attemptsPerName = 4 // a draw of this member or of a member already chosen is repeated
 	names := m.subscribers(source).names
 	var chosen []string
 	for range min(attemptsPerName*n, attemptsPerName*len(names)) {
--- a/internal/peer/ejection/subscription.go
+++ b/internal/peer/ejection/subscription.go
@@ -23,8 +23,8 @@
 const (
 	// maxFilterBytes is the maximum size of the metadata in a membership record.
 	maxFilterBytes = 128
-	// hashBytes is the length of a truncated hash, so that 42 lists fit. Longer hashes collide less often, and fewer
-	// fit.
+	// hashBytes is the length of a truncated hash, so that 42 lists fit. Longer hashes collide less often, and fewer of
+	// them fit.
 	hashBytes = 3
 	// bloomBits is the number of bits after the encoding byte. A filter of 150 lists has one false positive in 25 other
 	// lists, and a filter of 1,000 lists includes nearly all lists.
--- a/internal/peer/ejection/subscription_test.go
+++ b/internal/peer/ejection/subscription_test.go
@@ -186,8 +186,8 @@
 	})
 }
 
-// A partitioned region can't reach the members of other regions, but still counts their localities: it does not decide
-// like a fleet of its own.
+// A partitioned region can't reach the members of other regions, but still counts their localities: it does not apply
+// the rules for a fleet of only its own members.
 func TestLocalitiesOfUnreachableMembersCount(t *testing.T) {
 	const reachable = 3
 	peers := peersOf(9, func(n int) Peer {
