--- a/internal/peer/transport/codec.go
+++ b/internal/peer/transport/codec.go
@@ -22,9 +22,9 @@
 //	   CRC-32C   of the bytes before it and of the body, 4 bytes, big endian
 //	   body      CBOR (RFC 8949), maps with small integer keys
 //
-// A reader skips keys that it does not know, so that a later version can add keys and two versions can work together. A
-// change that an earlier version would misread needs a new format. The checksum detects damage; it does not protect
-// against forgery.
+// A reader skips unknown keys, so that a later version can add keys and two versions can work together. A change that
+// an earlier version would misread needs a new format. The checksum detects damage; it does not protect against
+// forgery.
 const (
 	magic            = "vh"
 	membershipFormat = 1
--- a/internal/peer/transport/codec_test.go
+++ b/internal/peer/transport/codec_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// A member that starts without a view receives a whole view on one stream. A view of DefaultMaxMembers records fits,
-// with each field at its maximum length except UnreachableRegions, which only a region's three watchers set.
+// A member that starts without a view receives a complete view on one stream. A view of DefaultMaxMembers records
+// fits, with each field at its maximum length except UnreachableRegions, which only a region's three watchers set.
 func TestFullViewOfMaxMembersFitsAStream(t *testing.T) {
 	longName := strings.Repeat("x", membership.MaxNameBytes)
 	x := &membership.Exchange{From: longName}
--- a/internal/peer/transport/containment_test.go
+++ b/internal/peer/transport/containment_test.go
@@ -19,8 +19,8 @@
 	panic("injected")
 }
 
-// A panic in the event log's writer ends only the event log. Its goroutine once had no recover, so that a panic ended
-// the daemon's process with all its instances.
+// A panic in the event log's writer ends only the event log. The fault: its goroutine had no recover, so that a panic
+// ended the daemon's process with all its instances.
 func TestEventLogPanicEndsOnlyTheEventLog(t *testing.T) {
 	w := &panickingWriter{}
 	a := startMember(t, memberOptions{name: "a", change: func(o *Options) { o.Events = w }})
@@ -33,8 +33,8 @@
 	}
 }
 
-// A call that its caller abandoned does not run later, when the caller no longer uses the result. Such a late call of
-// Freeze once froze a member after its handover had been abandoned.
+// A call that its caller abandoned does not run later, when the caller no longer uses the result. The fault: such a
+// late call of Freeze froze a member after its handover had been abandoned.
 func TestAbandonedCallDoesNotRun(t *testing.T) {
 	var hold atomic.Bool
 	held, release := make(chan struct{}, 1), make(chan struct{})
@@ -64,7 +64,7 @@
 	}
 }
 
-// Each rejected message is counted once, whether it arrived in a datagram or on a stream. Before, a policy message
+// Each rejected message is counted once, whether it arrived in a datagram or on a stream. The fault: a policy message
 // without a sender was not counted if it arrived in a datagram, and each message rejected on a stream was counted
 // twice.
 func TestRejectedMessagesAreCountedOnce(t *testing.T) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// A policy message counts as sent only after it has been sent. Before, it was counted before its stream was opened,
-// so that operators saw messages as sent that no member had received.
+// A policy message counts as sent only after it has been sent. The fault: it was counted before its stream was opened,
+// so that the status reported messages as sent that no member had received.
 func TestPolicyMessageWithoutReceiverCountsAsUnsent(t *testing.T) {
 	a := startMember(t, memberOptions{name: "a"})
 	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/peer/transport/datagrams.go
+++ b/internal/peer/transport/datagrams.go
@@ -17,7 +17,8 @@
 	// readRetry and acceptRetry are the waits after a temporary error, such as a lack of memory or file descriptors.
 	readRetry   = time.Millisecond
 	acceptRetry = 10 * time.Millisecond
-	// logEvery is how many rejected messages of a kind share one log line, after the first message.
+	// logEvery is the number of rejected messages of a kind for which one log line is written, after the line for the
+	// first message.
 	logEvery = 1000
 )
 
--- a/internal/peer/transport/ejectiondriver.go
+++ b/internal/peer/transport/ejectiondriver.go
@@ -17,7 +17,7 @@
 	// may change without an action of the view.
 	membersInterval     = 250 * time.Millisecond
 	membersIdleInterval = 5 * time.Second
-	// localityRetention is for how long the locality of a dead member is used. It is longer than partitions usually
+	// localityRetention is the time for which the locality of a dead member is used. It is longer than partitions usually
 	// last.
 	localityRetention = time.Hour
 )
--- a/internal/peer/transport/ejectiondriver_test.go
+++ b/internal/peer/transport/ejectiondriver_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// The messages as a version that knows only format 1 defines them.
+// The following types are the messages as defined by a version that supports only format 1.
 type (
 	firstFormatMessage struct {
 		PollNumber uint64                 `cbor:"1,keyasint,omitempty"`
@@ -75,8 +75,8 @@
 	}
 )
 
-// Both formats of ejection messages share one envelope, and each version reads the fields that it knows from messages
-// of the other.
+// Both formats of ejection messages share one envelope, and each version reads the fields that it defines from
+// messages of the other.
 func TestEjectionMessageFormatsReadOneAnother(t *testing.T) {
 	const fleet = "f"
 	wire := Wire{Fleet: fleet}
--- a/internal/peer/transport/eventlog.go
+++ b/internal/peer/transport/eventlog.go
@@ -48,8 +48,8 @@
 	Number       uint64 `json:"number,omitempty"` // number of a policy
 }
 
-// eventLog writes event lines in a separate goroutine. If that goroutine cannot keep up, lines are dropped, and a later
-// line of kind "gap" has their number. A nil eventLog writes nothing.
+// eventLog writes event lines in a separate goroutine. If that goroutine cannot keep up, lines are dropped, and a
+// later line of kind "gap" reports their number. A nil eventLog writes no lines.
 type eventLog struct {
 	log     *slog.Logger
 	member  string
@@ -59,7 +59,7 @@
 	ended   chan struct{}
 }
 
-// maxWaitingLines is how many lines may wait to be written. A larger value costs memory.
+// maxWaitingLines is the maximum number of lines that wait to be written. A larger value costs memory.
 const maxWaitingLines = 4096
 
 // newEventLog returns an event log that writes to w; nil if w is nil.
--- a/internal/peer/transport/golden_test.go
+++ b/internal/peer/transport/golden_test.go
@@ -12,7 +12,7 @@
 
 const goldenFleet = "census"
 
-// Each kind of datagram is encoded and decoded like in earlier builds.
+// Each kind of datagram is encoded and decoded as in earlier builds.
 func TestDatagramsAreEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[membership.Message]{Name: "view-message.bin",
 		Encode: func(m membership.Message) ([]byte, error) { return encodeMembership(goldenFleet, &m) },
@@ -62,7 +62,7 @@
 	}
 }
 
-// A message on a stream is encoded with its length in front, like in earlier builds.
+// A message on a stream is encoded with its length in front, as in earlier builds.
 func TestStreamMessagesAreEncodedAsByEarlierBuilds(t *testing.T) {
 	golden.Codec[membership.Exchange]{Name: "exchange.bin",
 		Encode: func(x membership.Exchange) ([]byte, error) {
--- a/internal/peer/transport/harness_test.go
+++ b/internal/peer/transport/harness_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// awaitState waits until the member sees another in a state, and returns its status.
+// awaitState waits until another member has the given state in the member's view, and returns its status.
 func (m *testMember) awaitState(t *testing.T, other, state string) MemberStatus {
 	t.Helper()
 	var last MembershipStatus
@@ -162,7 +162,7 @@
 	return MemberStatus{}
 }
 
-// record returns another member's record in this member's view; ok is false if there is none.
+// record returns another member's record in this member's view; ok is false if the view has no such record.
 func (m *testMember) record(name string) (record membership.Record, ok bool) {
 	m.do(func() {
 		for _, r := range m.view.Members() {
--- a/internal/peer/transport/leasedriver.go
+++ b/internal/peer/transport/leasedriver.go
@@ -87,8 +87,8 @@
 	return next
 }
 
-// runDue advances the server's clock and sends the client's requests when due. A member that yields its name to another
-// process grants nothing.
+// runDue advances the server's clock and sends the client's requests when due. A member that yields its name to
+// another process grants no leases.
 func (d *leaseDriver) runDue(now time.Duration) {
 	if d.server != nil && !d.tr.view.Yields() {
 		d.server.Tick(now)
@@ -104,7 +104,8 @@
 	}
 }
 
-// send sends a packet to a member at its last address in the view. The senders repeat requests whose packets are lost.
+// send sends a packet to a member at its last address in the view. Requests whose packets are lost are retried by
+// their senders.
 func (d *leaseDriver) send(to string, p *sharedPacket) {
 	tr := d.tr
 	p.From = tr.options.Membership.Name
@@ -175,7 +176,8 @@
 // its input is dropped, the agent's next usage report adds the agent.
 func (tr *Transport) AddAgent(agent uint32) { tr.offer(agentAdded{agent}) }
 
-// RemoveAgent releases the leases of an agent that has ended with nothing in flight. It may wait up to streamTimeout.
+// RemoveAgent releases the leases of an agent that has ended and has no attempts in flight. It may wait up to
+// streamTimeout.
 func (tr *Transport) RemoveAgent(agent uint32) { tr.post(agentRemoved{agent}) }
 
 // ReportUsage passes on an agent's usage of its leases. It does not wait.
--- a/internal/peer/transport/lifecycle.go
+++ b/internal/peer/transport/lifecycle.go
@@ -6,8 +6,8 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// SetLocalInfo changes what this member announces about itself. It does not wait: a change that is dropped is announced
-// by the next call.
+// SetLocalInfo changes what this member announces about itself. It does not wait: if the change is dropped, the next
+// call announces it.
 func (tr *Transport) SetLocalInfo(info membership.LocalInfo) { tr.offer(viewInput{event: info}) }
 
 // Leave announces to the other members that this member leaves, and waits until this has been sent, up to a time limit.
@@ -29,7 +29,7 @@
 }
 
 // Forget removes a dead member permanently, on an operator's request. It returns the member's previous state, and
-// whether the member is known.
+// whether the view has a record of the member.
 func (tr *Transport) Forget(name string) (previous membership.State, known bool) {
 	tr.do(func() {
 		for _, r := range tr.view.Members() {
@@ -45,8 +45,8 @@
 	return previous, known
 }
 
-// Freeze stops this member because another process is about to replace it, and returns the state for that process;
-// nil if the loop does not respond: the member keeps running then.
+// Freeze stops this member because another process is about to replace it, and returns the state for that process; it
+// returns nil if the loop does not respond, and the member then continues to run.
 func (tr *Transport) Freeze() *Saved {
 	var s *Saved
 	tr.do(func() {
--- a/internal/peer/transport/loop.go
+++ b/internal/peer/transport/loop.go
@@ -129,7 +129,7 @@
 	return batch
 }
 
-// prepare adds the fields that only the loop knows to an event, and updates the loop's state for it.
+// prepare adds the fields that only the loop can set to an event, and updates the loop's state for it.
 func (tr *Transport) prepare(i viewInput) membership.Event {
 	switch e := i.event.(type) {
 	case membership.ExchangeRequest:
@@ -154,7 +154,7 @@
 		tr.options.Inject()
 	}
 	for _, e := range batch {
-		if _, ok := e.(membership.Leave); ok { // written first, so that other members' lines are later
+		if _, ok := e.(membership.Leave); ok { // written before the leave is sent, so that other members' lines are later
 			tr.eventLog.write(eventLine{Kind: "leave"})
 		}
 	}
@@ -162,7 +162,7 @@
 		tr.executeAction(ctx, a)
 	}
 	for _, e := range batch {
-		if response, ok := e.(membership.ExchangeResponse); ok { // too late, or no last message needed
+		if response, ok := e.(membership.ExchangeResponse); ok { // if the view sent no last message: the response was late, or none was needed
 			tr.finishExchange(response.ID, nil)
 		}
 	}
@@ -253,7 +253,7 @@
 func (tr *Transport) saveView() { tr.viewFile.put(tr.saved()) }
 
 // saveBoot queues the boot number to be written to the disk. While the view has no records of other members, the
-// records known at the start of the process are written with it.
+// records of Membership.KnownMembers are written with it.
 func (tr *Transport) saveBoot() {
 	s := tr.saved()
 	if !tr.options.Membership.TakesOver && len(s.Records) <= 1 {
--- a/internal/peer/transport/memberlog.go
+++ b/internal/peer/transport/memberlog.go
@@ -7,7 +7,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// logAction logs the changes of the view that operators need to know about, with one line for each.
+// logAction logs the changes of the view that are relevant to operators, with one line for each.
 func (tr *Transport) logAction(a membership.Action) {
 	switch a := a.(type) {
 	case membership.RegionReachability:
--- a/internal/peer/transport/policydriver.go
+++ b/internal/peer/transport/policydriver.go
@@ -51,7 +51,7 @@
 	return events
 }
 
-// policyPersisted tells the loop that the driver has results of disk writes.
+// policyPersisted signals to the loop that the driver has results of disk writes.
 type policyPersisted struct{}
 
 // policyPacket is a message about the policy, sent in a datagram or on a separate stream.
@@ -68,12 +68,12 @@
 	membersAt   time.Duration // when the membership was last passed on
 	messages    atomic.Uint64 // messages sent
 	bytes       atomic.Uint64 // bytes of these messages
-	unsent      atomic.Uint64 // no address or stream, too large, not encodable, or not read
+	unsent      atomic.Uint64 // messages not sent: no address or stream, too large, not encodable, or not read
 	streamSlots chan struct{} // holds an element for each open stream to another member
 }
 
-// MaxPolicyStreams is how many streams may be open to other members at a time. Further messages are not sent; the
-// protocol repeats them.
+// MaxPolicyStreams is the maximum number of streams to other members that are open at a time. Further messages are not
+// sent; the protocol repeats them.
 const MaxPolicyStreams = 16
 
 func newPolicyLink(tr *Transport) *policyLink {
@@ -155,7 +155,7 @@
 	}
 }
 
-// handoffState returns the state from which a successor continues; nil: there is no policy.
+// handoffState returns the state from which a successor continues, or nil if there is no policy.
 func (l *policyLink) handoffState() *policy.HandoffState {
 	if l.driver == nil {
 		return nil
@@ -264,11 +264,12 @@
 	return len(data)
 }
 
-// ErrNoPolicy is returned if this daemon takes part in no replicated policy or its loop does not respond.
+// ErrNoPolicy is returned if this daemon does not take part in a replicated policy or its loop does not respond.
 var ErrNoPolicy = errors.New(
 	"this daemon takes part in no replicated policy ([policy] is not in its file), or does not respond")
 
-// PolicyDriver returns the driver for the Transport that replaces this one in its process; nil: there is no policy.
+// PolicyDriver returns the driver for the Transport that replaces this one in its process, or nil if there is no
+// policy.
 func (tr *Transport) PolicyDriver() *PolicyDriver { return tr.options.PolicyDriver }
 
 // Policy runs f with the node on the loop, and steps the node with the events that f returns. Its only error is
--- a/internal/peer/transport/savedview.go
+++ b/internal/peer/transport/savedview.go
@@ -19,7 +19,7 @@
 // Saved is the state of a member that is stored for its next run, or passed to the process that replaces it. The file
 // is written at the start, seconds after changes, and at the end of Run. While the disk fails, the last file stays,
 // and writing is retried every 50 ms to 5 s (atomicfile.Writer; save_fails in the status). Ejection evidence and the
-// leases of this daemon's agents are not included: a successor in the same process gets them from Options.Previous,
+// leases of this daemon's agents are not included: a successor in the same process takes them from Options.Previous,
 // and another process starts without them.
 type Saved struct {
 	Boot    uint64              `cbor:"1,keyasint,omitempty"`
@@ -57,7 +57,7 @@
 	return append(head, body...), nil
 }
 
-// DecodeSaved decodes the file content that EncodeSaved returned. The error tells whether the file has another type,
+// DecodeSaved decodes the file content that EncodeSaved returned. The error states whether the file has another type,
 // is of another version, or is damaged.
 func DecodeSaved(data []byte) (*Saved, error) {
 	head, body, found := bytes.Cut(data, []byte{'\n'})
@@ -86,7 +86,7 @@
 	return &viewFile{atomicfile.NewWriter(dir, savedViewFile, "view of the fleet", log)}
 }
 
-// read returns the saved state; nil if there is no file. An invalid file is logged and also gives nil.
+// read returns the saved state; nil if there is no file. For an invalid file it logs the error and returns nil.
 func (f *viewFile) read() *Saved {
 	if f.Dir == "" {
 		return nil
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -54,14 +54,14 @@
 	OtherFormat     uint64  `json:"other_format"`
 	TooLarge        uint64  `json:"huge"`
 	Malformed       uint64  `json:"odd"`
-	// Messages of the policy, which the fields above do not include. PolicyUnsent counts those that
-	// could not be sent, for example without a free stream or a known address.
+	// Messages of the policy, which the fields above do not include. PolicyUnsent counts those that could not be sent,
+	// for example because no stream was free or the view had no address of the receiver.
 	PolicyMessages uint64 `json:"policy_messages"`
 	PolicyBytes    uint64 `json:"policy_bytes"`
 	PolicyUnsent   uint64 `json:"policy_unsent"`
 }
 
-// RegionStatus is a region as this member sees it.
+// RegionStatus is the state of a region in this member's view.
 type RegionStatus struct {
 	Name            string   `json:"name"`
 	Members         int      `json:"members"` // members whose records are alive or suspect
@@ -81,7 +81,7 @@
 	Region      string  `json:"region,omitempty"`
 	Program     string  `json:"program,omitempty"`
 	State       string  `json:"state"`
-	SinceS      float64 `json:"since_s"` // for how long this member has seen it in that state
+	SinceS      float64 `json:"since_s"` // time in this state, by this member's view
 	Reporter    string  `json:"by,omitempty"`
 	Boot        uint64  `json:"boot"`
 	RunID       string  `json:"life"`
--- a/internal/peer/transport/streams.go
+++ b/internal/peer/transport/streams.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// awaitResponse returns the view's response to a request; nil if there is none in time.
+// awaitResponse returns the view's response to a request, or nil if the response does not arrive in time.
 func (tr *Transport) awaitResponse(request *membership.Exchange) *membership.Exchange {
 	response := make(chan *membership.Exchange, 1)
 	if !tr.post(viewInput{event: membership.ExchangeRequest{Message: request}, response: response}) {
@@ -174,6 +174,6 @@
 		return err
 	}
 	var end [1]byte
-	_, err = conn.Read(end[:]) // the other member closes the stream once it has read the whole message
+	_, err = conn.Read(end[:]) // the other member closes the stream once it has read the complete message
 	return err
 }
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -1,8 +1,8 @@
 // Package transport performs the I/O of a daemon's member of the fleet: a UDP socket for datagrams, a TCP listener for
-// exchanges of whole views and for large messages, the file of the last view, timers, and the file of event lines. The
-// package validates its inputs and passes each one as an event to one of the state machines that it drives: membership
-// (SWIM with Lifeguard), leases (leasedriver.go), outlier ejection (ejectiondriver.go) and replicated policy
-// (policydriver.go). All decisions are made by these state machines.
+// exchanges of complete views and for large messages, the file of the last view, timers, and the file of event lines.
+// The package validates its inputs and passes each one as an event to one of the state machines that it drives:
+// membership (SWIM with Lifeguard), leases (leasedriver.go), outlier ejection (ejectiondriver.go) and replicated
+// policy (policydriver.go). All decisions are made by these state machines.
 //
 // Ownership: only the loop of Transport.Run (loop.go) calls the state machines. The readers of the sockets
 // (datagrams.go, streams.go), the daemon and the disk writers send their inputs to the loop over a channel, and
@@ -37,14 +37,14 @@
 // Options configure a Transport. The callbacks run on the Transport's loop and must not block.
 type Options struct {
 	Fleet string
-	// Membership is completed by New, which sets the boot number, the run ID and the known members.
+	// Membership is completed by New, which sets Boot, RunID and KnownMembers.
 	Membership membership.Settings
 	// UDP and TCP belong to the Transport from New on; Run closes them when it ends.
 	UDP *net.UDPConn
 	TCP *net.TCPListener
 	// Dir is the directory of the file with the last view. Empty: the view is not saved.
 	Dir string
-	// Saved is the state of the process that this one replaces. nil: New reads the saved state from the file.
+	// Saved is the state of the process that this one replaces. If nil, New reads the saved state from the file.
 	Saved *Saved
 	Log   *slog.Logger
 	// Events receives a JSON line for each change, for fault tests. nil: no lines are written.
@@ -56,11 +56,11 @@
 	// WallSkew is added to the wall clock's time, for fault tests.
 	WallSkew time.Duration
 
-	// Previous is the ended Transport of this process whose leases, evidence and lists this one takes over. nil:
-	// there is none.
+	// Previous is the ended Transport of this process whose leases, evidence and lists this one takes over. It is nil if
+	// there was no such Transport.
 	Previous *Transport
 
-	// Leases configures the limits that the fleet shares. nil: there are none.
+	// Leases configures the limits that the fleet shares. It is nil if there are no shared limits.
 	Leases *lease.Settings
 	// LeasesGranted passes an agent its leases; their times count from base.
 	LeasesGranted func(agent uint32, all []quota.Lease, base time.Time)
@@ -73,7 +73,7 @@
 	// PolicyDriver is the driver of the previous Transport, if the member continues its run. nil: NewPolicyDriver
 	// creates one.
 	PolicyDriver *PolicyDriver
-	// NewPolicyDriver returns a driver of the fleet's policy for a member's run. nil: there is no policy.
+	// NewPolicyDriver returns a driver of the fleet's policy for a member's run. It is nil if the fleet has no policy.
 	NewPolicyDriver func(runID uint64) *PolicyDriver
 }
 
@@ -112,23 +112,23 @@
 }
 
 const (
-	// maxInputs is how many inputs may wait for the loop. A larger value costs memory, a smaller one drops datagrams in
-	// a burst.
+	// maxInputs is the maximum number of inputs that wait for the loop. A larger value costs memory, a smaller one drops
+	// datagrams in a burst.
 	maxInputs = 512
-	// maxCalls is how many callers may wait for the loop.
+	// maxCalls is the maximum number of callers that wait for the loop.
 	maxCalls = 16
-	// maxBatch is how many inputs one step handles. A larger value delays timers under load, a smaller one needs more
-	// steps.
+	// maxBatch is the maximum number of inputs that one step handles. A larger value delays timers under load, a smaller
+	// one needs more steps.
 	maxBatch = 64
-	// maxStreams is how many streams of other members may be open at a time. Further streams are closed at once, and
-	// the members that opened them try another member. Streams that this member opens are not counted.
+	// maxStreams is the maximum number of streams of other members that are open at a time. Further streams are closed at
+	// once, and the members that opened them try another member. Streams that this member opens are not counted.
 	maxStreams = 16
 	// streamTimeout bounds each phase of an exchange.
 	streamTimeout = 3 * time.Second
-	// callTimeout is how long a caller waits for the loop.
+	// callTimeout is the time for which a caller waits for the loop.
 	callTimeout = 2 * time.Second
-	// bootSaveTimeout is how long a start waits for its boot number to be saved. After that the number is announced
-	// unsaved: it is then less certain that the next start's number will be larger than this one.
+	// bootSaveTimeout is the time for which a start waits for its boot number to be saved. After that the number is
+	// announced unsaved: it is then less certain that the next start's number will be larger than this one.
 	bootSaveTimeout = 500 * time.Millisecond
 	// bootSavePoll is the interval at which the start checks whether the boot number is saved.
 	bootSavePoll = 2 * time.Millisecond
@@ -150,7 +150,7 @@
 	tr.view = view
 	tr.localInfo = membership.LocalInfo{Instances: settings.Instances, Balancers: settings.Balancers}
 	if o.Previous != nil {
-		tr.base = o.Previous.base // the state taken over has times that count from there
+		tr.base = o.Previous.base // the times in the state that is taken over count from there
 	}
 	if tr.leases, err = newLeaseDriver(tr, saved); err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 }
 
 // completeSettings sets the membership settings that depend on the previous run, and returns the state that this run
-// saved; nil: there is none.
+// saved; nil: no saved state exists.
 func (tr *Transport) completeSettings() *Saved {
 	s := &tr.options.Membership
 	saved := tr.options.Saved
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// firstLine returns the first event line that matches; nil if none does.
+// firstLine returns the first event line that matches, or nil if no line matches.
 func firstLine(lines *bytes.Buffer, matches func(eventLine) bool) *eventLine {
 	for decoder := json.NewDecoder(lines); ; {
 		var l eventLine
