--- a/internal/peer/ejection/collectors.go
+++ b/internal/peer/ejection/collectors.go
@@ -24,7 +24,7 @@
 func (m *Member) reportFailure(s *server) {
 	about := []Incarnation{s.incarnation()}
 	if m.settings.FormatVersion == 1 {
-		if s.own.failures < float64(s.own.lastSampleFailures)+0.5 { // there were hardly any failures before this sample
+		if s.own.failures < float64(s.own.lastSampleFailures)+0.5 { // without this sample, the decayed count is below 0.5
 			m.pollAbout(m.randomSubscribers(notifyFanout, s.source), about)
 			m.notify(s.source)
 		}
--- a/internal/peer/ejection/readmission.go
+++ b/internal/peer/ejection/readmission.go
@@ -35,8 +35,9 @@
 	maxTrialShare = 0.99
 )
 
-// evaluateEjected makes the phase transitions of an ejected server: it starts the readmission of a server that responds
-// to trial members, ejects a server again that fails during its readmission, and ends the ejection.
+// evaluateEjected makes the phase transitions of an ejected server: it starts the readmission of a server that
+// responds to trial members, restarts the ejection of a server that fails during its readmission, and ends the
+// ejection.
 func (m *Member) evaluateEjected(s *server, reports []*report) {
 	if s.evidenceExpires(m) <= m.now {
 		m.counts.Expired++
--- a/internal/peer/ejection/state.go
+++ b/internal/peer/ejection/state.go
@@ -292,7 +292,7 @@
 	m.emit(Log{fmt.Sprintf("server %s responds again: readmission begins", s.ID)})
 }
 
-// restartEjection ejects a server again that failed during its readmission.
+// restartEjection restarts the ejection of a server that failed during its readmission.
 func (m *Member) restartEjection(s *server) {
 	if s.phase == phaseReadmitting {
 		m.emit(Log{fmt.Sprintf("server %s fails again: its readmission ends, and it is ejected again", s.ID)})
--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -61,8 +61,8 @@
 	// ClockDrift is the range of the clocks' rates, from 1-ClockDrift to 1+ClockDrift. The servers and clients assume
 	// lease.DefaultClockDrift.
 	ClockDrift float64
-	// CountFrom is the time from which on Result.UsedShare is counted, since servers that start grant nothing for a
-	// while.
+	// CountFrom is the time from which on Result.UsedShare is counted, since servers that start grant no leases for
+	// Bounds.StartupWait.
 	CountFrom time.Duration
 
 	// Faults makes random processes and links fail, at a mean interval of FaultInterval; 0 means 700 ms.
--- a/internal/peer/lease/leasesim/leasesim_test.go
+++ b/internal/peer/lease/leasesim/leasesim_test.go
@@ -16,8 +16,8 @@
 	return func(int, time.Duration) float64 { return rate }
 }
 
-// unevenDemand gives one client ten times the demand of each other client. Ten clients together want about twice a
-// total of 120.
+// unevenDemand gives one client ten times the demand of each other client. The demand of ten clients together is about
+// twice a total of 120.
 func unevenDemand(client int, _ time.Duration) float64 {
 	if client == 0 {
 		return 120
--- a/internal/peer/membership/isolation.go
+++ b/internal/peer/membership/isolation.go
@@ -11,7 +11,7 @@
 //
 // Isolated: the member receives no datagrams from any member for longer than chance explains. All other members are
 // then shown as dead, but no record changes and no member is suspected. Otherwise a member that merely can't receive
-// would suspect the whole fleet, and so would an isolated member that becomes reachable again.
+// would suspect all members of the fleet, and so would an isolated member that becomes reachable again.
 //
 // Partitioned: the member can reach only a few members, and most of its last probes failed. Its timeouts are then no
 // longer scaled by its local health, and it sends additional probes (a sweep), so that the few reachable members
--- a/internal/peer/membership/leave.go
+++ b/internal/peer/membership/leave.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// forgetMember marks a dead member as left because an operator declared it gone. If the member returns, it refutes
-// that in the same way as a death.
+// forgetMember marks a dead member as left because an operator declared it permanently removed. If the member returns,
+// it refutes that in the same way as a death.
 func (v *View) forgetMember(name string) {
 	m := v.members[name]
 	if m == nil || m.effectiveState() != Dead {
--- a/internal/peer/membership/nameconflict.go
+++ b/internal/peer/membership/nameconflict.go
@@ -7,7 +7,7 @@
 //   - This process, as suspect, dead or left. This process refutes the record with its next incarnation.
 //   - An earlier process of this member (at the same address, or dead or left) whose boot number is not lower, because
 //     this process lost its disk or its clock was set back. This process outbids it with a higher boot number.
-//   - Another process that is alive at another address. This process asks the other one to identify itself, directly
+//   - Another process that is alive at another address. This process sends identity requests to the other one, directly
 //     and through helpers. If the other process answers, the one that has run longer keeps the name and the other
 //     yields: it sends only identity requests, continues to serve, and checks periodically whether the name is free. If
 //     the other process does not answer, this process takes the name.
@@ -41,7 +41,8 @@
 	// maxUnansweredChecks is the number of consecutive unanswered checks after which a process that yields takes the
 	// name.
 	maxUnansweredChecks = 3
-	// claimBackoff doubles with each conflict that this process has won, up to maxClaimBackoff.
+	// claimBackoff is the wait before a further attempt to take the name. It doubles with each conflict that this process
+	// has won, up to maxClaimBackoff.
 	claimBackoff        = time.Second
 	maxClaimBackoff     = time.Minute
 	maxClaimBackoffBits = 6
--- a/internal/peer/membership/record.go
+++ b/internal/peer/membership/record.go
@@ -18,7 +18,7 @@
 	Alive   State = iota // the member answers probes
 	Suspect              // a probe of the member failed; it can still refute the suspicion
 	Dead                 // the suspicion was not refuted in time; the process may still run behind a broken link
-	Left                 // the member left in an orderly way (Serf's term), or an operator declared it gone
+	Left                 // the member left in an orderly way (Serf's term), or an operator removed it
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
--- a/internal/peer/membership/roundtrip_test.go
+++ b/internal/peer/membership/roundtrip_test.go
@@ -20,7 +20,7 @@
 
 // simulated holds the numbers of a view's actions during a simulation.
 type simulated struct {
-	suspicions int // number of members that the view itself began to suspect
+	suspicions int // number of suspicions that the view itself started
 	probes     int
 }
 
--- a/internal/peer/membership/send.go
+++ b/internal/peer/membership/send.go
@@ -61,7 +61,8 @@
 	return v.sendDatagram(datagram{to: to, message: m, reserve: reserve, about: about})
 }
 
-// sendToMember is send for a member, and takes into account whether the member seems to receive this one's datagrams.
+// sendToMember sends a message to a member as send does, and takes into account whether the member seems to receive
+// this one's datagrams.
 func (v *View) sendToMember(to *member, m *Message, reserve budgetReserve, about ...*member) bool {
 	return v.sendDatagram(datagram{to: to.Addr, message: m, reserve: reserve, about: about, likelyLost: to.unresponsive})
 }
--- a/internal/peer/membership/size.go
+++ b/internal/peer/membership/size.go
@@ -6,10 +6,10 @@
 // can't be determined.
 //
 // A member that can't be reached may still run and send requests behind a broken link. MaxBalancers, by which shares
-// and limits are divided, therefore includes dead members. It decreases only when a member leaves in an orderly way, an
-// operator declares a member gone, or a process replaces another one with the same name. It never decreases by a
-// timeout, because no lease stops an agent from serving, by design. MinBalancers includes only members that are alive;
-// it is used to detect that few balancers share the servers.
+// and limits are divided, therefore includes dead members. It decreases only when a member leaves in an orderly way,
+// an operator removes a member, or a process replaces another one with the same name. It never decreases by a timeout,
+// because no lease stops an agent from serving, by design. MinBalancers includes only members that are alive; it is
+// used to detect that few balancers share the servers.
 type Size struct {
 	MaxBalancers, MinBalancers int
 	Members                    int  // daemons that have not left, the local one included
--- a/internal/peer/policy/coordinator.go
+++ b/internal/peer/policy/coordinator.go
@@ -10,8 +10,8 @@
 )
 
 // coordinator is the role of the leading voter in changes and leases. It answers lease requests, takes changes from
-// prepare to commit or abort, and maintains the roster. Each new leader learns the state of the members anew from
-// their requests; its decisions go through the log.
+// prepare to commit or abort, and maintains the roster. Each new leader builds its records of the members from their
+// requests; its decisions are entries of the log.
 //
 // It answers a request only once a quorum has confirmed that this voter led after the request had arrived (Raft's
 // read index), and all entries committed by then are applied. So a leader that has lost its leadership sends no
--- a/internal/peer/policy/coordinator_leases.go
+++ b/internal/peer/policy/coordinator_leases.go
@@ -241,7 +241,7 @@
 }
 
 // reviewAffecting reviews the changes that a request may decide: those that the member rejects, and those that it may
-// be the last member to prepare. before has the IDs of the changes that the member had prepared by its previous
+// be the last member to prepare. before contains the IDs of the changes that the member had prepared by its previous
 // request. Reviewing at each request would cost the square of the number of members for each change. A change that is
 // not reviewed here is reviewed within reviewInterval anyway.
 func (c *coordinator) reviewAffecting(r *raftNode, x *leaseExchange, before []string) {
--- a/internal/peer/policy/member.go
+++ b/internal/peer/policy/member.go
@@ -12,7 +12,7 @@
 // The member decides by its own clock when it may admit requests:
 //   - It admits none before the leader has confirmed that this run is in the roster, and which documents are active.
 //   - With StopWhenIsolated, it admits requests until Lease after it sent the last request that was confirmed so.
-//   - Otherwise there is no such limit. But if the member has prepared a change whose outcome it does not know, then
+//   - Otherwise there is no such limit. But if the member has prepared a change and has not received its outcome, then
 //     from Lease after that request on it admits only what both the active documents and the change allow. Meanwhile
 //     no other change of these parts can be committed, because each needs this member to prepare it.
 //   - It serves by a service's part only if the roster lists the part for this member: otherwise changes of the part
--- a/internal/peer/policy/member_requests.go
+++ b/internal/peer/policy/member_requests.go
@@ -17,8 +17,8 @@
 	// maxBackoffDoublings keeps the shift from overflowing. It allows 12.8 s, but a third of the default lease limits the
 	// interval before that.
 	maxBackoffDoublings = 6
-	// renewalsPerLease is how often a member that needs no response renews its lease during the lease: two consecutive
-	// requests may be lost.
+	// renewalsPerLease is the number of renewals within the duration of a lease for a member that needs no response: two
+	// consecutive requests may be lost.
 	renewalsPerLease = 3
 	// urgentLeaseFraction sets when a member that stops at lease expiry needs a response: in the last quarter of the
 	// lease.
--- a/internal/peer/policy/messages.go
+++ b/internal/peer/policy/messages.go
@@ -21,7 +21,7 @@
 	Document         *Document         `cbor:"10,keyasint,omitempty"`
 	Proposal         *Proposal         `cbor:"11,keyasint,omitempty"`
 	ReplaceVoter     *ReplaceVoter     `cbor:"12,keyasint,omitempty"`
-	Hops             int               `cbor:"13,keyasint,omitempty"` // how often the message was forwarded
+	Hops             int               `cbor:"13,keyasint,omitempty"` // number of times that the message was forwarded
 	History          *History          `cbor:"14,keyasint,omitempty"`
 	// Parts are the parts of the change that a Fetch requests. If empty, the Fetch requests the parts that the roster
 	// has for the sender.
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -169,7 +169,7 @@
 }
 
 // send emits the action that sends a message. A message to this member itself is passed back by the caller of Step. If
-// to is empty, send does nothing.
+// to is empty, send has no effect.
 func (n *Node) send(to string, m *Message) {
 	if to == "" {
 		return
--- a/internal/peer/policy/node_messages.go
+++ b/internal/peer/policy/node_messages.go
@@ -1,11 +1,12 @@
 package policy
 
 const (
-	// maxResponseHops bounds how often a LeaseResponse is forwarded. The voter that forwarded the request forwards the
-	// response, so one hop is needed; the bound prevents loops.
+	// maxResponseHops bounds the number of times that a LeaseResponse is forwarded. The voter that forwarded the request
+	// forwards the response, so one hop is needed; the bound prevents loops.
 	maxResponseHops = 2
-	// maxReplaceVoterHops bounds how often a ReplaceVoter is forwarded on its way to the leader. More than one hop is
-	// needed if a voter still has an earlier leader on record. An operator can repeat a request that was dropped.
+	// maxReplaceVoterHops bounds the number of times that a ReplaceVoter is forwarded on its way to the leader. More than
+	// one hop is needed if a voter still has an earlier leader on record. An operator can repeat a request that was
+	// dropped.
 	maxReplaceVoterHops = 2
 )
 
--- a/internal/peer/policy/raftnode.go
+++ b/internal/peer/policy/raftnode.go
@@ -308,7 +308,7 @@
 
 func (r *raftNode) status() raft.BasicStatus { return r.rawNode.BasicStatus() }
 
-// leaderName returns the name of the current leader according to Raft, or an empty name if there is none.
+// leaderName returns the name of the current leader according to Raft, or an empty name if Raft has no leader.
 func (r *raftNode) leaderName() string {
 	if r.rawNode == nil {
 		return ""
--- a/internal/peer/policy/replicatedstate.go
+++ b/internal/peer/policy/replicatedstate.go
@@ -56,7 +56,7 @@
 	Document  Document `cbor:"1,keyasint,omitempty" json:"Doc"` // the change without its texts
 	Committed bool     `cbor:"2,keyasint,omitempty" json:"InForce"`
 	AbortedBy string   `cbor:"3,keyasint,omitempty" json:"By"`
-	Reason    string   `cbor:"4,keyasint,omitempty" json:"Why"` // why it was aborted, or committed at once
+	Reason    string   `cbor:"4,keyasint,omitempty" json:"Why"` // why it was aborted, or committed without being prepared
 	Excluded  []string `cbor:"5,keyasint,omitempty" json:"Without"`
 }
 
--- a/internal/peer/policy/serving.go
+++ b/internal/peer/policy/serving.go
@@ -62,7 +62,8 @@
 	return &Document{Part: part}, served
 }
 
-// PreparingChange returns the change that may have replaced a part's active document, or nil if there is none.
+// PreparingChange returns the change that may have replaced a part's active document, or nil if no such change is
+// being prepared.
 func (s *Serving) PreparingChange(part string) *Document {
 	if i := slices.IndexFunc(s.Preparing, func(d *Document) bool { return d.Includes(part) }); i >= 0 {
 		return s.Preparing[i]
--- a/internal/peer/policy/statemachine.go
+++ b/internal/peer/policy/statemachine.go
@@ -132,8 +132,8 @@
 	s.RosterVersion++
 }
 
-// applyProposal adds a change to the changes being prepared, or aborts it if that is not possible. A change that
-// proposes only texts that are active already counts as committed at once.
+// applyProposal adds a change to the changes being prepared, or aborts it if that is not possible. A change whose
+// texts are all active already is recorded as committed immediately.
 func (s *replicatedState) applyProposal(c *command) {
 	proposed := c.Document
 	if proposed == nil || s.changeStatus(proposed.ID).State != ChangeUnknown { // the change was proposed before
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -236,7 +236,8 @@
 	Holders        map[string]int `json:"holders"`
 }
 
-// LimitsStatus returns the state of the fleet's limits. ok is false if there are none or the loop does not respond.
+// LimitsStatus returns the state of the fleet's limits. ok is false if the fleet has no limits or the loop does not
+// respond.
 func (tr *Transport) LimitsStatus() (s LimitsStatus, ok bool) {
 	if tr.options.Leases == nil {
 		return s, false
