--- a/internal/peer/policy/events.go
+++ b/internal/peer/policy/events.go
@@ -105,7 +105,7 @@
 type Batch struct {
 	Wipe          bool     // all data that the voter stored is removed before the rest of the batch is stored
 	HardState     []byte   // Raft's hard state (protobuf)
-	Snapshot      []byte   // Raft's snapshot (protobuf); it replaces the entries up to its index
+	Snapshot      []byte   // Raft's snapshot (protobuf); at a start, stored entries up to its index are ignored
 	Entries       [][]byte // Raft's entries (protobuf), in order; they replace the stored ones from FirstIndex on
 	FirstIndex    uint64   // index of the first of Entries
 	CompactBefore uint64   // entries before this index may be removed
