--- a/internal/peer/policy/coordinator_leases.go
+++ b/internal/peer/policy/coordinator_leases.go
@@ -151,7 +151,7 @@
 // then become outdated at any moment, so the response must not confirm its parts.
 func (c *coordinator) answerRoster(r *raftNode, x *leaseExchange, response *LeaseResponse) (rosterPending bool) {
 	settings := &r.node.settings
-	proposePlace := false
+	proposeEntry := false
 	switch {
 	case x.StopWhenIsolated != settings.StopWhenIsolated || time.Duration(x.LeaseMS)*time.Millisecond != settings.Lease:
 		response.Refusal = fmt.Sprintf("its file's cut_off or lease are not those of %s, which leads (lease %v)", settings.Name, settings.Lease)
@@ -160,18 +160,18 @@
 		response.CountsForAllParts = x.entry.Format == 0
 		response.PartsRequested = response.CountsForAllParts && r.state.Format >= FormatVersion
 		differs := response.CountsForAllParts || partsHash(r.state.partNamesOf(x.entry)) != x.PartsHash
-		proposePlace = x.listsParts(r.state) && differs
+		proposeEntry = x.listsParts(r.state) && differs
 	case x.Join:
-		proposePlace = true
+		proposeEntry = true
 	}
 	proposed, isProposed := c.rosterChanges[x.Name]
 	rosterPending = isProposed && proposed.runID == x.RunID && x.entry != nil && x.Format > 0
 	isLost := r.node.now-proposed.proposedAt > reproposeInterval
 	if rosterPending {
 		response.CountsForAllParts = false
-		proposePlace = proposePlace || x.listsParts(r.state) && isLost
+		proposeEntry = proposeEntry || x.listsParts(r.state) && isLost
 	}
-	if proposePlace && (proposed.runID != x.RunID || proposed.partsHash != x.PartsHash || isLost) {
+	if proposeEntry && (proposed.runID != x.RunID || proposed.partsHash != x.PartsHash || isLost) {
 		c.proposeJoin(r, x)
 	}
 	return rosterPending
