--- a/internal/peer/ejection/baseline.go
+++ b/internal/peer/ejection/baseline.go
@@ -12,10 +12,10 @@
 	// them to all subscribers. A smaller value reports later; a larger one costs more messages in normal operation.
 	maxOwnLikelihood = 1e-4
 	// maxPooledLikelihood is the same for the failures of several members together, which are tested with each failure
-	// that is reported to a collector. maxGuessedLikelihood is used while no collector's count of the server's baseline
+	// that is reported to a collector. maxEstimatedLikelihood is used while no collector's count of the server's baseline
 	// is available.
-	maxPooledLikelihood  = 1e-3
-	maxGuessedLikelihood = 1e-5
+	maxPooledLikelihood    = 1e-3
+	maxEstimatedLikelihood = 1e-5
 	// minBaselineShare and maxBaselineShare bound the share of requests that is assumed to fail normally. A smaller share
 	// can't be measured in a minute; a larger one is itself a fault, such as a bad release.
 	minBaselineShare = 0.001
@@ -121,7 +121,7 @@
 	expected, counted := m.expectedFailureRate(s, reports)
 	maxLikelihood := maxPooledLikelihood
 	if !counted {
-		maxLikelihood = maxGuessedLikelihood
+		maxLikelihood = maxEstimatedLikelihood
 	}
 	newest := failed[0].lastFailure
 	oldest := newest
