--- a/internal/peer/membership/isolation_test.go
+++ b/internal/peer/membership/isolation_test.go
@@ -19,7 +19,7 @@
 			if !v.Isolated() || v.Size().Live != 1 || v.Size().MaxBalancers != n+1 || v.isolationTimeout() > 7*time.Second {
 				t.Fatalf("isolated %v after %v, size %+v", v.Isolated(), v.isolationTimeout(), v.Size())
 			}
-			if got := countDoubted(runAnswering(v, v.now+60*time.Second, nobody)); len(v.suspects) > 0 || got > 0 {
+			if got := countSuspectOrDead(runAnswering(v, v.now+60*time.Second, nobody)); len(v.suspects) > 0 || got > 0 {
 				t.Errorf("%d suspects, %d suspicions and deaths gossiped", len(v.suspects), got)
 			}
 			actions := v.Step(v.now+ms, datagramFrom(testRecord(n-1), 1<<40, Message{Kind: Gossip}))
@@ -37,8 +37,8 @@
 	}
 }
 
-// countDoubted counts the gossiped updates in which a member is suspect or dead.
-func countDoubted(actions []Action) int {
+// countSuspectOrDead counts the gossiped updates in which a member is suspect or dead.
+func countSuspectOrDead(actions []Action) int {
 	count := 0
 	for _, s := range sentOfKind(actions, Gossip) {
 		for _, u := range s.Message.Updates {
