--- a/internal/peer/ejection/readmission.go
+++ b/internal/peer/ejection/readmission.go
@@ -18,7 +18,7 @@
 	// readmits servers with partial failures.
 	minSuccessRun = 3
 	maxSuccessRun = 48
-	// maxRunDoublings prevents an overflow of the shift; maxSuccessRun is reached long before.
+	// maxRunDoublings prevents an overflow of the shift; maxSuccessRun is reached with fewer doublings.
 	maxRunDoublings = 10
 	// readmissionDoubling is the time in which the number of members that use a server doubles during its readmission:
 	// a slow start. A shorter time overloads a server that has just recovered.
@@ -35,8 +35,9 @@
 	maxTrialShare = 0.99
 )
 
-// evaluateEjected makes the phase transitions of an ejected server: it starts the readmission of a server that responds
-// to trial members, ejects a server again that fails during its readmission, and ends the ejection.
+// evaluateEjected makes the phase transitions of an ejected server: it starts the readmission of a server that
+// responds to trial members, restarts the ejection of a server that fails during its readmission, and ends the
+// ejection.
 func (m *Member) evaluateEjected(s *server, reports []*report) {
 	if s.evidenceExpires(m) <= m.now {
 		m.counts.Expired++
--- a/internal/peer/membership/isolation.go
+++ b/internal/peer/membership/isolation.go
@@ -11,7 +11,7 @@
 //
 // Isolated: the member receives no datagrams from any member for longer than chance explains. All other members are
 // then shown as dead, but no record changes and no member is suspected. Otherwise a member that merely can't receive
-// would suspect the whole fleet, and so would an isolated member that becomes reachable again.
+// would suspect all members of the fleet, and so would an isolated member that becomes reachable again.
 //
 // Partitioned: the member can reach only a few members, and most of its last probes failed. Its timeouts are then no
 // longer scaled by its local health, and it sends additional probes (a sweep), so that the few reachable members
@@ -30,11 +30,11 @@
 	// maxSweepProbes is the number of probes in each interval during a partition. A larger number detects the members
 	// behind the partition sooner and uses more of the budget.
 	maxSweepProbes = 10
-	// minOnTimePeriod is how long all steps must have been on time before missed probes count as a sign of a partition:
-	// a slow process misses answers too.
+	// minOnTimePeriod is the time for which all steps must have been on time before missed probes count as a sign of a
+	// partition: a slow process misses answers too.
 	minOnTimePeriod = 3 * time.Second
-	// partitionedPeriod is how long a partition is taken into account after its last sign. By then the members behind
-	// it are dead, or there was no partition.
+	// partitionedPeriod is the time for which a partition is taken into account after its last sign. By then the members
+	// behind it are dead, or there was no partition.
 	partitionedPeriod = 10 * time.Second
 )
 
--- a/internal/peer/membership/nameconflict.go
+++ b/internal/peer/membership/nameconflict.go
@@ -7,13 +7,13 @@
 //   - This process, as suspect, dead or left. This process refutes the record with its next incarnation.
 //   - An earlier process of this member (at the same address, or dead or left) whose boot number is not lower, because
 //     this process lost its disk or its clock was set back. This process outbids it with a higher boot number.
-//   - Another process that is alive at another address. This process asks the other one to identify itself, directly
+//   - Another process that is alive at another address. This process sends identity requests to the other one, directly
 //     and through helpers. If the other process answers, the one that has run longer keeps the name and the other
 //     yields: it sends only identity requests, continues to serve, and checks periodically whether the name is free. If
 //     the other process does not answer, this process takes the name.
 //
 // A name therefore passes to another process only if its holder yields or does not answer. Each further attempt of a
-// process waits twice as long.
+// process is preceded by a wait, which doubles each time.
 
 // nameClaim is the state of a conflict about this member's name. While View.yielding is set, it is the state of the
 // checks whether the other process still answers.
@@ -32,15 +32,17 @@
 	// take the name of a process that is merely slow.
 	identityTimeout  = 500 * time.Millisecond
 	identityRequests = 2
-	// identityHelpers is the number of helpers that also ask the other process, because this process may be the only
-	// one that can't reach it.
+	// identityHelpers is the number of helpers that also send an identity request to the other process, because this
+	// process may be the only one that can't reach it.
 	identityHelpers = 2
-	// yieldCheckInterval is the minimum time between two checks of a process that yields; as much jitter is added.
+	// yieldCheckInterval is the minimum time between two checks of a process that yields; up to the same time is added as
+	// jitter.
 	yieldCheckInterval = 3 * time.Second
 	// maxUnansweredChecks is the number of consecutive unanswered checks after which a process that yields takes the
 	// name.
 	maxUnansweredChecks = 3
-	// claimBackoff doubles with each conflict that this process has won, up to maxClaimBackoff.
+	// claimBackoff is the wait before a further attempt to take the name. It doubles with each conflict that this process
+	// has won, up to maxClaimBackoff.
 	claimBackoff        = time.Second
 	maxClaimBackoff     = time.Minute
 	maxClaimBackoffBits = 6
@@ -148,7 +150,7 @@
 	v.claimName(reasonHolderSilent)
 }
 
-// requestIdentity asks the other process to identify itself, directly and through helpers.
+// requestIdentity sends an identity request to the other process, directly and through helpers.
 func (v *View) requestIdentity() {
 	claim := &v.nameClaim
 	if claim.seq == 0 {
--- a/internal/peer/policy/coordinator_leases.go
+++ b/internal/peer/policy/coordinator_leases.go
@@ -65,7 +65,7 @@
 	return member
 }
 
-// updateMember records the state that a request reports.
+// updateMember records the member's state from a request.
 func (c *coordinator) updateMember(r *raftNode, m *memberProgress, request *LeaseRequest) {
 	now := r.node.now
 	m.lastRequestAt = now
@@ -137,7 +137,7 @@
 	if x.Format > 0 {
 		x.answerDocuments(r.state, response)
 		if rosterPending {
-			response.PartsHash = mismatchingHash(x.PartsHash) // so that the response confirms no parts to the member
+			response.PartsHash = mismatchingHash(x.PartsHash) // so that the response confirms no parts
 		}
 	}
 	for _, pending := range x.affecting {
@@ -148,10 +148,10 @@
 
 // answerRoster fills in the member's state in the roster, and proposes the member's roster entry if that is missing or
 // has to change. It reports whether a change of the entry has been proposed and not applied yet: the present entry may
-// then become invalid at any moment, so the response must not confirm its parts.
+// then become outdated at any moment, so the response must not confirm its parts.
 func (c *coordinator) answerRoster(r *raftNode, x *leaseExchange, response *LeaseResponse) (rosterPending bool) {
 	settings := &r.node.settings
-	proposePlace := false
+	proposeEntry := false
 	switch {
 	case x.StopWhenIsolated != settings.StopWhenIsolated || time.Duration(x.LeaseMS)*time.Millisecond != settings.Lease:
 		response.Refusal = fmt.Sprintf("its file's cut_off or lease are not those of %s, which leads (lease %v)", settings.Name, settings.Lease)
@@ -160,18 +160,18 @@
 		response.CountsForAllParts = x.entry.Format == 0
 		response.PartsRequested = response.CountsForAllParts && r.state.Format >= FormatVersion
 		differs := response.CountsForAllParts || partsHash(r.state.partNamesOf(x.entry)) != x.PartsHash
-		proposePlace = x.listsParts(r.state) && differs
+		proposeEntry = x.listsParts(r.state) && differs
 	case x.Join:
-		proposePlace = true
+		proposeEntry = true
 	}
 	proposed, isProposed := c.rosterChanges[x.Name]
 	rosterPending = isProposed && proposed.runID == x.RunID && x.entry != nil && x.Format > 0
 	isLost := r.node.now-proposed.proposedAt > reproposeInterval
 	if rosterPending {
 		response.CountsForAllParts = false
-		proposePlace = proposePlace || x.listsParts(r.state) && isLost
+		proposeEntry = proposeEntry || x.listsParts(r.state) && isLost
 	}
-	if proposePlace && (proposed.runID != x.RunID || proposed.partsHash != x.PartsHash || isLost) {
+	if proposeEntry && (proposed.runID != x.RunID || proposed.partsHash != x.PartsHash || isLost) {
 		c.proposeJoin(r, x)
 	}
 	return rosterPending
@@ -211,7 +211,7 @@
 	response.Changed = state.committedSince(x.KnownUpTo, holds)
 }
 
-// legacyResponse reduces a response to format 1, which knows only the global part.
+// legacyResponse reduces a response to format 1, which has only the global part.
 func legacyResponse(r *raftNode, x *leaseExchange, response *LeaseResponse) *LeaseResponse {
 	legacy := &LeaseResponse{
 		Seq:          response.Seq,
@@ -241,7 +241,7 @@
 }
 
 // reviewAffecting reviews the changes that a request may decide: those that the member rejects, and those that it may
-// be the last member to prepare. before has the IDs of the changes that the member had prepared by its previous
+// be the last member to prepare. before contains the IDs of the changes that the member had prepared by its previous
 // request. Reviewing at each request would cost the square of the number of members for each change. A change that is
 // not reviewed here is reviewed within reviewInterval anyway.
 func (c *coordinator) reviewAffecting(r *raftNode, x *leaseExchange, before []string) {
