--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/standin"
 )
 
-// A handover to a successor that runs in this process. The successor gets the sockets and the snapshot, the old
+// Tests a handover to a successor that runs in this process. The successor gets the sockets and the snapshot, the old
 // daemon answers what it has admitted, and no connection attempt fails.
 func TestHandoverLosesNoRequests(t *testing.T) {
 	s, received, release := newHoldingServer()
@@ -51,7 +51,7 @@
 	if err := old.Handover(context.Background()); !errors.Is(err, fail) {
 		t.Fatalf("the first handover: %v, want the injected failure", err)
 	}
-	tb.expectServed("a") // the old daemon goes on
+	tb.expectServed("a") // the old daemon continues to serve
 	paid := make(chan string, 1)
 	go func() {
 		status, body, err := sendRequest(client(tb.socketPath("a"), false), "pay")
@@ -155,7 +155,7 @@
 		successors <- copied
 		close(started)
 		<-stopping
-		return nil // stands for a successor whose byte is read before the stop is noticed
+		return nil // like a successor whose byte is read before the stop is noticed
 	}})
 	handoverEnded := make(chan error, 1)
 	go func() { handoverEnded <- r.Handover(context.Background()) }()
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -12,9 +12,9 @@
 	"vetchhaven/internal/standin/dns"
 )
 
-// A list service and SRV records, over sockets, that contradict each other. No new request goes to a server that
-// either of them calls draining or gone. A failing resolver and truncated answers remove no server. A server that
-// only the records have is used.
+// A list service and SRV records, which the daemon reads over sockets, contradict each other. No new request goes to a
+// server that either of them reports as draining or gone. A failing resolver and truncated answers remove no server. A
+// server that only the records have is used.
 func TestMergerServesFromListAndRecords(t *testing.T) {
 	both, listed, recorded := standin.NewForm("both", nil), standin.NewForm("listed", nil), standin.NewForm("recorded", nil)
 	for _, f := range []*standin.Form{both, listed, recorded} {
@@ -71,7 +71,7 @@
 		return n
 	}
 	served("all three servers answer", "both", "listed", "recorded")
-	tb.list.Set(both.Member("gone")) // the records still have it
+	tb.list.Set(both.Member("gone")) // the records still contain it
 	eventually(t, "the server that is gone leaves the list", func() bool { return listedNow() == 2 })
 	n := both.Got()
 	names.Script(func(string, string, string) dns.Fault { return dns.Fault{Rcode: 2} })
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -111,9 +111,9 @@
 	return daemonconfig.CheckUnder(own.path, own.text, documents)
 }
 
-// reloadPolicy reads the state that the previous member stored on the disk, unless the state in memory
-// has not been used yet. A member must not start without this state: as a voter it would forget its vote and the
-// changes that it acknowledged.
+// reloadPolicy reads the state that the previous member stored on the disk, unless the state in memory has not been
+// used yet. A member must not start without this state: as a voter it would forget its vote and the changes that it
+// acknowledged.
 func (d *Daemon) reloadPolicy() error {
 	if d.policy.diskUnused {
 		return nil
--- a/internal/host/daemon/policyrequests.go
+++ b/internal/host/daemon/policyrequests.go
@@ -228,7 +228,7 @@
 	return nil, errors.New("no voter answers")
 }
 
-// PolicyVoters requests that the fleet replace a voter with another one.
+// PolicyVoters requests that the fleet add, remove or replace a voter.
 func (d *Daemon) PolicyVoters(request policy.ReplaceVoter) error { return d.sendPolicyEvent(request) }
 
 // PolicyCommand passes on an operator's decision: policy.Rescue or policy.TrustDisk.
--- a/internal/host/daemon/reload_test.go
+++ b/internal/host/daemon/reload_test.go
@@ -89,8 +89,8 @@
 					}
 					asked.Add(1)
 					// A kept connection may be closed between requests. net/http then sends the request again on
-					// another one, as the protocol tells clients to do. A 503 is allowed: a new agent may not know
-					// servers yet.
+					// another one, as the protocol specifies for clients. A 503 is allowed: a new agent may have no
+					// list of servers yet.
 					if status, body, err := sendRequest(c, "get"); err != nil || status != 200 && status != 503 {
 						bad.Add(1)
 						t.Errorf("%s: %d %q %v", n, status, body, err)
@@ -143,8 +143,8 @@
 	}
 }
 
-// If the address of a list changes, the running agent follows the new list and nothing drains. The old list,
-// including the servers that it calls draining, is used until the new one is received.
+// If the address of a list changes, the running agent follows the new list and nothing drains. The old list, including
+// the servers that it reports as draining, is used until the new one is received.
 func TestSourceChangeKeepsConnections(t *testing.T) {
 	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
 	defer one.Close()
@@ -180,8 +180,8 @@
 	})
 }
 
-// Once a daemon knows that a server is draining, it sends no new request to it, even if the list service is down and
-// reloads replace the agent.
+// Once a daemon has received that a server is draining, it sends no new request to it, even if the list service is
+// down and reloads replace the agent.
 func TestDrainingServerStaysOutAcrossReload(t *testing.T) {
 	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
 	defer one.Close()
--- a/internal/host/daemon/snapshots_test.go
+++ b/internal/host/daemon/snapshots_test.go
@@ -24,7 +24,7 @@
 	r.call(r.saveSnapshot)
 	saved := filepath.Join(tb.dir, "state", snapshotFile)
 	eventually(t, "a snapshot is saved", func() bool { _, err := os.Stat(saved); return err == nil })
-	data, err := os.ReadFile(saved) // what a kill would have left
+	data, err := os.ReadFile(saved) // the file that a kill would have left
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/daemon/stop_test.go
+++ b/internal/host/daemon/stop_test.go
@@ -22,13 +22,14 @@
 	"vetchhaven/internal/testkit"
 )
 
-// The tests in this file guard against this fault: at a stop the daemon closed its listeners at once, whereas an
-// agent that runs alone goes on accepting for 450 ms, since clients learn of a planned restart 0.2 to 0.4 s late.
-// Connections in a listener's queue were reset, and later ones were refused. With clients that went on for 300 ms
-// after a stop, 8 of 1,312 connections over HTTP and 6 of 878 over LDAP were established and then ended with a reset
-// or a broken pipe. Hardly any connection was established after the stop.
+// The tests in this file guard against this fault: at a stop the daemon closed its listeners at once, whereas an agent
+// that is not hosted by a daemon goes on accepting for 450 ms, since clients learn of a planned restart 0.2 to 0.4 s
+// late. Connections in a listener's queue were reset, and later ones were refused. With clients that went on for 300
+// ms after a stop, 8 of 1,312 connections over HTTP and 6 of 878 over LDAP were established and then ended with a
+// reset or a broken pipe. Hardly any connection was established after the stop.
 
-// noticeDelay is how long clients may go on connecting after a planned stop: they are notified up to 0.4 s late (BENCH).
+// noticeDelay is how long clients may go on connecting after a planned stop: they are notified up to 0.4 s late
+// (BENCH).
 const noticeDelay = 400 * time.Millisecond
 
 // requester connects and sends one request. connected is false if the connection was not established.
@@ -142,7 +143,7 @@
 	return tb, map[string]requester{"HTTP": requestHTTP(network, plain("web")), "LDAP": requestLDAP(network, plain("dir"))}
 }
 
-// As long after a stop as clients may go on connecting, each gets a connection and an answer.
+// Each client that connects up to noticeDelay after a stop gets a connection and an answer.
 func TestStoppedDaemonAcceptsWhileClientsLearnOfIt(t *testing.T) {
 	for _, network := range []string{"unix", "tcp"} {
 		t.Run(network, func(t *testing.T) {
--- a/internal/host/daemonconfig/checker.go
+++ b/internal/host/daemonconfig/checker.go
@@ -15,7 +15,7 @@
 type checker struct {
 	*tomlfile.File                        // the daemon's file
 	overlay        *Overlay               // the policy that is laid over the file; nil: none
-	origins        map[string]tableOrigin // where the classes of the service that is being checked come from
+	origins        map[string]tableOrigin // the origins of the classes of the service that is being checked
 	err            error
 }
 
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -2,9 +2,9 @@
 // both completely and turns them into a Config, which the daemon uses. The package has no state, and a Config does
 // not change after it is made. An error names the file, the line and the key; only the first error is returned.
 //
-// A policy replaces whole tables of the file ([site], [[class]], ...). A service's part of the policy replaces or
-// adds the service's source, classes and bans: see Overlay. If a daemon does not know which of two policies is
-// active, Config.Under makes a configuration that allows only what both policies allow.
+// A policy replaces whole tables of the file ([site], [[class]], ...). A service's part of the policy replaces or adds
+// the service's source, classes and bans: see Overlay. If it is uncertain which of two policies is active,
+// Config.Under makes a configuration that allows only what both policies allow.
 //
 // internal/host/daemon calls this package from Run's goroutine, except for CheckUnder, which it calls from the
 // transport's goroutine. Commands use Load and CheckPolicy without a daemon.
@@ -40,13 +40,13 @@
 	Peers       *Peers // nil: the daemon is not in a fleet
 	Limits      *Limits
 	Bans        []Ban
-	Policy      *PolicySettings // nil: the daemon takes part in no policy
+	Policy      *PolicySettings // nil: the file has no [policy]
 
 	text    []byte   // the file's own text
 	overlay *Overlay // the policy that is laid over the file; nil: none
 }
 
-// Address is an address to listen at. Network is tcp, udp or unix.
+// Address is an address to listen on. Network is tcp, udp or unix.
 type Address struct{ Network, Addr string }
 
 // String returns the network and the address, separated by a colon.
@@ -92,8 +92,8 @@
 	LDAP   *ldap.Options // nil: the instance speaks HTTP/1.1
 }
 
-// EqualExceptSource reports whether two instances differ in their source at most. The source can change in a running
-// agent.
+// EqualExceptSource reports whether two instances are equal, or differ only in their source. The source can change in
+// a running agent.
 func (i Instance) EqualExceptSource(o Instance) bool {
 	i.Source = ""
 	o.Source = ""
@@ -116,8 +116,8 @@
 const (
 	// defaultMaxStateAge is how old a snapshot may be. The endpoints in an older one are wrong more often than right.
 	defaultMaxStateAge = time.Hour
-	// defaultHold is how long the last records stay valid. A longer time keeps servers that are gone; a shorter one
-	// loses all servers while DNS is down.
+	// defaultHold is how long the last records stay valid. A longer time keeps servers that have been removed; a
+	// shorter one loses all servers while DNS is down.
 	defaultHold = time.Hour
 	// defaultSpread and defaultFirstSpread keep the agents of a fleet from acting on a list at the same time.
 	defaultSpread      = 300 * time.Millisecond
--- a/internal/host/daemonconfig/golden_test.go
+++ b/internal/host/daemonconfig/golden_test.go
@@ -9,8 +9,9 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// A key without a tag is its field's name in any case. The keys are therefore compared in lower case and sorted: a
-// tag in place of a field's name moves the key in the order of golden.Keys, but changes nothing in a settings file.
+// A field without a tag matches the key that equals its name, ignoring case. The keys are therefore compared in lower
+// case and sorted: a tag that replaces a field's name moves the key in the order of golden.Keys, but settings files
+// stay valid.
 func TestSettingsFilesKeepTheirKeys(t *testing.T) {
 	for name, v := range map[string]any{
 		"fleet.toml.keys":   fileTables{},
--- a/internal/host/daemonconfig/instances.go
+++ b/internal/host/daemonconfig/instances.go
@@ -65,7 +65,7 @@
 	slices.SortFunc(cfg.Instances, func(a, b Instance) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// addTemplate adds the instances that a template stands for.
+// addTemplate adds the instances that a template defines.
 func (c *instanceChecker) addTemplate(key string, t *templateTable) {
 	if t.Count < 1 || t.Count > maxInstances {
 		c.fail(key+".count", "%d: 1 to %d are allowed", t.Count, maxInstances)
@@ -196,7 +196,7 @@
 	return set
 }
 
-// balancerNumber returns a number that tells the balancers of a fleet apart, so that each prefers servers in a
+// balancerNumber returns a number that distinguishes the balancers of a fleet, so that each prefers servers in a
 // different order.
 func balancerNumber(name string) int {
 	h := fnv.New32a()
@@ -239,8 +239,8 @@
 	}
 }
 
-// ldapOptions checks [ldap]. It also reads the files that [ldap] names, so that an unusable file is found before
-// anything changes.
+// ldapOptions checks [ldap]. It also reads the files that [ldap] names, so that an unusable file is found before any
+// change is applied.
 func (c *checker) ldapOptions(f *fileTables) *ldap.Options {
 	t := &f.LDAP
 	path := func(p string) string {
@@ -261,7 +261,7 @@
 		ServerCA:    path(t.ServerCA),
 		ServerName:  t.ServerName,
 	}
-	for _, bound := range []struct { // a slice: of several errors the same one is reported each time
+	for _, bound := range []struct { // a slice and not a map, so that of several errors the same one is always reported
 		key   string
 		value int
 	}{{"ldap.max_message", t.MaxMessage}, {"ldap.max_operations", t.MaxOperations}, {"ldap.per_connection", t.PerConnection}} {
--- a/internal/host/daemonconfig/intersect.go
+++ b/internal/host/daemonconfig/intersect.go
@@ -10,9 +10,9 @@
 )
 
 // intersect returns a policy that allows only what both policies allow: retries by the stricter rule and the shorter
-// deduplication window, the lower number of attempts, the lower limits, and the bans of both. A member that does not
-// know which of the two is active serves by it. If the policies differ in sources, the site, other rules, or the way
-// in which limits are shared, no such policy exists, and intersect returns an error.
+// deduplication window, the lower number of attempts, the lower limits, and the bans of both. A member serves by it
+// while it is uncertain which of the two is active. If the policies differ in sources, the site, other rules, or the
+// way in which limits are shared, no such policy exists, and intersect returns an error.
 func intersect(a, b sharedTables) (*Overlay, error) {
 	if err := checkEqualTables(a, b); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	return both, nil
 }
 
-// fewerAttempts returns the lower of two numbers of attempts. 0 stands for the default.
+// fewerAttempts returns the lower of two numbers of attempts. 0 means the default.
 func fewerAttempts(a, b int) int {
 	if a == 0 {
 		a = defaultMaxAttempts
--- a/internal/host/daemonconfig/limits.go
+++ b/internal/host/daemonconfig/limits.go
@@ -84,8 +84,8 @@
 	return s
 }
 
-// limit checks the kind and the figures of a limit. key is the prefix of its keys in the file; before are the limits
-// before it.
+// limit checks the kind and the figures of a limit. key is the prefix of its keys in the file; before holds the limits
+// that precede it.
 func (c *checker) limit(key string, t *limitTable, before []lease.Limit) lease.Limit {
 	hasSameName := func(other lease.Limit) bool { return other.Name == t.Name }
 	if t.Name == "" || len(t.Name) > maxLimitNameLength || strings.ContainsAny(t.Name, " \t\r\n\"") || slices.ContainsFunc(before, hasSameName) {
@@ -166,10 +166,10 @@
 	Scope          string   `json:"scope"`
 	Kind           string   `json:"kind"` // hard or soft
 	Figure         int      `json:"figure"`
-	Max            int      `json:"most"`       // the most that all agents together ever use
+	Max            int      `json:"most"`       // the maximum that all agents together may use
 	MaxLeased      int      `json:"most_lent"`  // the part of Max that is used by leases
-	MaxFloors      int      `json:"most_floor"` // the part of Max that is used by floors of agents that reach no lease server
-	IsolatedAmount string   `json:"alone"`      // what an agent may use that reaches no lease server
+	MaxFloors      int      `json:"most_floor"` // the part of Max that is used by floors of agents while they reach no lease server
+	IsolatedAmount string   `json:"alone"`      // the amount that an agent may use while it reaches no lease server
 	Servers        []string `json:"keepers"`    // the lease servers, with their shares
 	TermSeconds    float64  `json:"term_s"`     // the time within which leases of an isolated agent expire
 	ReclaimSeconds float64  `json:"back_s"`     // the time after which these leases are granted to others
--- a/internal/host/daemonconfig/overlay.go
+++ b/internal/host/daemonconfig/overlay.go
@@ -10,7 +10,7 @@
 
 // sharedTables are the tables of a daemon's file that a policy may hold: the settings by which all daemons decide. A
 // table in the policy replaces the whole table in the file. Listen addresses, directories, instances and the like are
-// set by each host alone.
+// set in each host's own file.
 type sharedTables struct {
 	Source []sourceTable
 	Site   *siteTable
@@ -43,18 +43,18 @@
 // Overlay is a policy that is laid over a daemon's file. It includes the parts of services.
 type Overlay struct {
 	sharedTables
-	file     *tomlfile.File         // of the global part; nil: the global part has no text
+	file     *tomlfile.File         // the file of the global part; nil: the global part has no text
 	tables   map[string]bool        // the names of the tables that the global part holds
-	name     string                 // what errors call the policy
+	name     string                 // the policy's name in errors
 	services []*servicePart         // sorted by name
-	origins  map[string]tableOrigin // of the entries of table lists that come from services' parts
+	origins  map[string]tableOrigin // the origins of the entries of table lists that come from services' parts
 	applied  sharedTables           // the merged tables when the overlay was last laid over a file
 }
 
 // sharedTableNames are the names of the tables that a policy may hold.
 var sharedTableNames = []string{"source", "site", "rules", "class", "limit", "ban", "peers"}
 
-// readPolicy reads the text of the global part. name is what errors call it.
+// readPolicy reads the text of the global part. name is the policy's name in errors.
 func readPolicy(name string, body []byte) (*Overlay, error) {
 	o := &Overlay{tables: map[string]bool{}, name: name}
 	file, err := tomlfile.Parse(name, body, &o.sharedTables)
@@ -190,7 +190,7 @@
 // PolicySettings are the settings by which the daemon agrees with others on a policy.
 type PolicySettings struct {
 	policy.Settings        // without what the daemon adds: name, run ID, check, handoff and parts
-	WitnessDir      string // of the policy's store; empty: none
+	WitnessDir      string // the directory of the policy store's witness file; empty: none
 }
 
 // policyTable is [policy] in the file.
--- a/internal/host/daemonconfig/overlay_test.go
+++ b/internal/host/daemonconfig/overlay_test.go
@@ -41,8 +41,8 @@
 cut_off = "vetoes"
 `
 
-// under returns the configuration of policyMemberFile with a policy laid over it or, if both is not empty, with what that
-// policy and the policy in both allow.
+// under returns the configuration of policyMemberFile with the policy in text laid over it. If the argument both is
+// not empty, it is a second policy, and the configuration allows only what the two policies allow.
 func under(t *testing.T, text, both string) (*Config, error) {
 	t.Helper()
 	var other []*policy.Document
--- a/internal/host/daemonconfig/peers.go
+++ b/internal/host/daemonconfig/peers.go
@@ -20,7 +20,7 @@
 	Listen     string // address for datagrams and streams
 	Advertise  string // address at which other members reach the daemon
 	Seeds      []string
-	Events     string // file for the event log; empty: none
+	Events     string // file for the event log; empty: no event log
 	Membership membership.Settings
 	Ejection   *ejection.Settings // nil: members do not share what they observe of servers
 }
@@ -150,7 +150,7 @@
 	return span
 }
 
-// bandwidth checks a bound in bytes per second. 0 stands for the default.
+// bandwidth checks a bound in bytes per second. 0 means the default.
 func (c *checker) bandwidth(key string, bytes int) {
 	if bytes < 0 || bytes > 0 && bytes < minBytesPerSecond {
 		c.fail(key, "%d: at least %d are needed", bytes, minBytesPerSecond)
--- a/internal/host/daemonconfig/policy.go
+++ b/internal/host/daemonconfig/policy.go
@@ -28,8 +28,8 @@
 func (c *Config) Reparse(text []byte) (*Config, error) { return parse(c.Path, text, c.overlay) }
 
 // Under returns the configuration with documents of the policy laid over the file. If changes are being prepared, the
-// configuration allows only what both the documents and the changed documents allow: a member that does not know
-// which of the two are active serves by it.
+// configuration allows only what both the documents and the changed documents allow: a member serves by it while it is
+// uncertain which of the two are active.
 func (c *Config) Under(documents []policy.Document, preparing []*policy.Document) (*Config, error) {
 	active, err := overlayOf(documents)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return err
 }
 
-// CheckPolicy returns an error if a daemon with the settings file at path could not serve by the texts of a policy.
-// No daemon has to run. texts has the texts by part, and names has the names that errors call them, also by part.
+// CheckPolicy returns an error if a daemon with the settings file at path could not serve by the texts of a policy. No
+// daemon has to run. texts has the texts by part, and names has their names in errors, also by part.
 func CheckPolicy(path string, texts, names map[string]string) error {
 	cfg, err := Load(path)
 	if err != nil {
--- a/internal/host/daemonconfig/rules.go
+++ b/internal/host/daemonconfig/rules.go
@@ -86,7 +86,7 @@
 	return s
 }
 
-// class checks the i-th class. before are the names of the classes before it.
+// class checks the i-th class. before holds the names of the classes that precede it.
 func (c *checker) class(i int, t *classTable, before []string) decide.Class {
 	at := func(field string) string { return fmt.Sprintf("class[%d].%s", i, field) }
 	if t.Name == "" || strings.ContainsAny(t.Name, "/ ?#%") || slices.Contains(before, t.Name) {
--- a/internal/host/daemonconfig/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -11,18 +11,19 @@
 )
 
 // servicePart is a service's part of the policy: its source, classes that only requests of its instances have, and
-// bans of its servers. Each source stands for one service, of the same name. A daemon holds the parts of the sources
-// of its instances.
+// bans of its servers. Each source belongs to one service, which has the same name. A daemon holds the parts of the
+// sources of its instances.
 type servicePart struct {
 	name     string         // of the service
 	file     *tomlfile.File // nil: the part is the intersection of two policies
 	Source   []sourceTable
 	Class    []classTable
 	Ban      []banTable
-	complete bool // Class lists all classes of the service, since the part is the intersection of two policies
+	complete bool // Class has all classes of the service: the part is the intersection of two policies
 }
 
-// tableOrigin says where a table in a list comes from. file is nil for the daemon's file and the global part.
+// tableOrigin is the origin of a table in a list: a file, and the table's key in that file. file is nil for the
+// daemon's file and the global part.
 type tableOrigin struct {
 	file *tomlfile.File
 	key  string
@@ -114,7 +115,7 @@
 }
 
 // classes returns the classes that a service's instances may have. Classes of its part replace classes of the same
-// name, or are added. origins say where the classes of the part come from.
+// name, or are added. origins holds the origins of the part's classes.
 func (s *sharedTables) classes(service string) (classes []classTable, origins map[string]tableOrigin) {
 	p := s.part(service)
 	if p == nil {
@@ -155,7 +156,7 @@
 	return replaced
 }
 
-// documentName returns the name that errors call a document.
+// documentName returns the name of a document in errors.
 func documentName(d *policy.Document) string {
 	name := "policy"
 	if d.Number > 0 {
--- a/internal/host/daemonconfig/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -50,8 +50,8 @@
 cut_off = "vetoes"
 `
 
-// underParts returns the configuration of a host with two services under texts of parts. If both is not empty, the
-// configuration allows what these texts and the changed texts in both allow.
+// underParts returns the configuration of a host with two services under texts of parts. If the argument both is not
+// empty, it holds changed texts, and the configuration allows only what the texts allow before and after the change.
 func underParts(t *testing.T, texts, both map[string]string) (*Config, error) {
 	t.Helper()
 	cfg := loadText(t, twoServicesFile)
@@ -141,7 +141,7 @@
 	if k := cfg.one("beds").Agent.Settings.Classes[0]; k.DedupWindow != 6*time.Second || len(cfg.Bans) != 3 {
 		t.Errorf("class %+v, bans %v", k, cfg.Bans)
 	}
-	// A part that is added: the intersection is of the file's classes and the part's.
+	// If a part is added, the classes are the intersection of the file's classes and the part's classes.
 	if cfg, err = underParts(t, nil, map[string]string{"beds": class("safe", "")}); err != nil || cfg.one("beds").Agent.Settings.Classes[0].Effect != decide.NonIdempotent || cfg.one("labs").Agent.Settings.Classes[0].Effect != decide.Keyed {
 		t.Errorf("the added part is not intersected with the file's classes: %v", err)
 	}
--- a/internal/host/daemonconfig/shares.go
+++ b/internal/host/daemonconfig/shares.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// socketLimit returns how many descriptors the process may have, or 0 if the system does not say.
+// socketLimit returns how many descriptors the process may have, or 0 if the limit can't be read.
 func socketLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/host/daemonconfig/tables.go
+++ b/internal/host/daemonconfig/tables.go
@@ -4,7 +4,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// fileTables is a daemon's settings file. A key is the field's tag or, without a tag, the field's name in any case.
+// fileTables is a daemon's settings file. A field's key is its tag or, without a tag, its name, ignoring case.
 type fileTables struct {
 	Admin       string
 	StateDir    string            `toml:"state_dir"`
@@ -125,8 +125,8 @@
 	Weight   float64
 }
 
-// templateTable is [[template]], which stands for count instances. In names and addresses {n} counts up from first,
-// and {port} from port.
+// templateTable is [[template]], which defines count instances. In names and addresses {n} counts up from first, and
+// {port} from port.
 type templateTable struct {
 	instanceTable
 	Count int
--- a/internal/protocol/http1/attempt_test.go
+++ b/internal/protocol/http1/attempt_test.go
@@ -61,7 +61,7 @@
 		"chunk of no number":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nabcxyz\r\nhello\r\n0\r\n\r\n", decide.Errored},
 		"endless chunks":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 1<<18), decide.Errored},
 		"3 GB that keep coming": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20), decide.Errored},
-		// The response itself is valid, whatever comes with it.
+		// The response itself is valid, despite the bytes before it or after it, or an unreadable field in it.
 		"1xx ahead":                {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200, decide.OK},
 		"unreadable report":        {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff queue==, eps=NaN\r\nContent-Length: 5\r\n\r\nhello", decide.OK},
 		"a second response behind": {ok200 + ok200, decide.OK},
@@ -136,7 +136,8 @@
 }
 
 // If this machine has no resources for a connection, that is no fault of the server. If the server's machine is
-// unreachable, that says nothing about the server's process: only a refused connection does.
+// unreachable, that is no evidence about the server's process: only a refused connection shows that the process has
+// ended.
 func TestOutcomeOfConnectErrors(t *testing.T) {
 	for err, want := range map[syscall.Errno]decide.Result{
 		syscall.ECONNREFUSED: decide.ConnectFailed,
@@ -144,7 +145,7 @@
 		syscall.ENOMEM: decide.NotSent, syscall.EADDRNOTAVAIL: decide.NotSent,
 		syscall.EHOSTUNREACH: decide.Incomplete, syscall.ENETUNREACH: decide.Incomplete, syscall.ETIMEDOUT: decide.Incomplete,
 		syscall.ECONNRESET: decide.Incomplete, syscall.ECONNABORTED: decide.Incomplete,
-		// None of these says that the server's process has ended: only a refused connection does.
+		// None of these shows that the server's process has ended: only a refused connection does.
 		syscall.ENETDOWN: decide.Incomplete, syscall.EPERM: decide.Incomplete, syscall.EACCES: decide.Incomplete, syscall.EIO: decide.Incomplete,
 		syscall.EHOSTDOWN: decide.Incomplete, syscall.EINVAL: decide.Incomplete,
 	} {
@@ -189,7 +190,7 @@
 	}
 }
 
-// shortConn breaks after remaining further bytes were written.
+// shortConn breaks once as many bytes as remaining holds have been written.
 type shortConn struct {
 	net.Conn
 	remaining int
@@ -225,8 +226,8 @@
 	}
 }
 
-// net/http's Transport retries a request by itself when a reused connection turns out to be dead, even a POST with an
-// Idempotency-Key. That would be an attempt that the balancer did not ask for. Here the first request leaves an idle
+// net/http's Transport retries a request on its own when a reused connection turns out to be dead, even a POST with an
+// Idempotency-Key. That would be an attempt that the balancer did not decide on. Here the first request leaves an idle
 // connection, which the server closes without a response to the second request.
 func TestNothingIsResentAfterStaleConnection(t *testing.T) {
 	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
--- a/internal/protocol/http1/chunks_test.go
+++ b/internal/protocol/http1/chunks_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// The bytes of a chunk that have arrived are returned at once, even if the caller's buffer has room for more.
+// The bytes of a chunk that have arrived are returned at once, even if they do not fill the caller's buffer.
 func TestChunkedBodyReturnsWhatHasComeAtOnce(t *testing.T) {
 	r, w := io.Pipe()
 	c := &chunkedBody{in: bufio.NewReader(r)}
--- a/internal/protocol/http1/dial_test.go
+++ b/internal/protocol/http1/dial_test.go
@@ -11,8 +11,8 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Where dials are usually fast, an attempt does not wait for a late one: nothing was sent, and another server may get
-// the request. The dial continues, at most one per server, and its connection serves the next attempt.
+// If dials are usually fast, an attempt does not wait for a late dial: nothing was sent, so another server may get the
+// request. At most one late dial per server continues, and its connection serves the next attempt.
 func TestLateDialOutlivesItsAttempt(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Where many dials are late, a retry for each of them would cost more retries than the balancer allows: attempts then
+// If many dials are late, a retry for each of them would exceed the retries that the balancer allows: attempts then
 // wait for the connect timeout, until responses have added tokens.
 func TestLateDialsAreAwaitedOnceTokensAreSpent(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -21,7 +21,7 @@
 // disconnect reaches the agent's system before the slot, dial, response or body for which the attempt waits becomes
 // available.
 
-// lateListener accepts connections whose reader gets nothing after its first read until release is closed, like a
+// lateListener accepts connections whose reader gets no bytes after its first read until release is closed, like a
 // reader that the machine does not schedule in time or that is busy. Close, and a read deadline in the past, end the
 // wait.
 type lateListener struct {
@@ -80,13 +80,13 @@
 // reached the agent's system, unless unread data is ahead of it.
 var waysToDisconnect = map[string]func(t *testing.T, c net.Conn){
 	"close": func(t *testing.T, c net.Conn) { testkit.HalfClose(t, c); c.Close() },
-	// Until a response is written, a half close can't be told from a close. It counts as one: see
+	// Until a response is written, a half close can't be distinguished from a close. It counts as one: see
 	// docs/design/crossings.md.
 	"half close": func(t *testing.T, c net.Conn) { testkit.HalfClose(t, c) },
 	"reset":      func(_ *testing.T, c net.Conn) { reset(c) },
 }
 
-// disconnectSetup is an agent with one server that responds as its test says, and whose responses the test delays.
+// disconnectSetup is an agent with one server. The test sets the server's responses, and delays them.
 type disconnectSetup struct {
 	*runningAgent
 	server   *standIn
@@ -143,7 +143,7 @@
 	for reader, late := range map[string]bool{"reader on time": false, "reader late": true} {
 		for how, disconnect := range waysToDisconnect {
 			name := func(way string) string { return way + ", " + how + ", " + reader }
-			// known returns once the agent has the disconnect: the reader has detected it, or else the socket shows
+			// known returns once the disconnect has reached the agent: the reader has detected it, or the socket shows
 			// it.
 			known := func(t *testing.T, l *disconnectSetup) {
 				if !late {
@@ -286,9 +286,9 @@
 	}
 }
 
-// A client that has closed only its sending side, and still reads, is told at once that nothing more is done for it:
-// its request is refused if nothing was sent, and fails if it may have been executed. It gets one response, and then
-// the end of the connection.
+// A client that has closed only its sending side, and still reads, gets its response at once: its request is refused
+// if nothing was sent, and fails if it may have been executed. The client gets one response, and then the end of the
+// connection.
 func TestHalfClosedClientGetsResponseAtOnce(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
 		t.Parallel()
--- a/internal/protocol/http1/frontend_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// When a client disconnects, the balancer is told that its request is abandoned, and the request ends. The attempt's
-// outcome is still reported.
+// When a client disconnects, the balancer is notified that its request is abandoned, and the request ends. The
+// attempt's outcome is still reported.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -93,8 +93,8 @@
 	}
 }
 
-// An invalid request gets an error response and reaches no server. The status is not 429 or 503, which would say that
-// a retry is harmless.
+// An invalid request gets an error response and reaches no server. The status is not 429 or 503, which would indicate
+// that a retry is harmless.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -164,7 +164,7 @@
 	if x := testkit.Receive(t, "first response", first); x.status != 200 {
 		t.Errorf("first: %+v", x)
 	}
-	// The end of the request does not free its ID at once: a copy must not be sent, and not be served.
+	// The end of the request does not free its ID at once: a copy must be neither sent nor served.
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "same"); x.status != http.StatusConflict {
 		t.Errorf("after the end: %+v", x)
 	}
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -17,7 +17,7 @@
 )
 
 // No head causes a panic. An accepted head is forwarded as exactly one request, which another parser reads alike, with
-// no bytes behind it.
+// no bytes after it.
 func FuzzHead(f *testing.F) {
 	f.Add([]byte("GET /get/x?a=1 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"))
 	f.Add([]byte("POST /put//x%2Fy HTTP/1.1\nHost: a\nX-Trace-Id: 1\nContent-Length: 4\nConnection: X-Hop, close\nX-Hop: 1\n\n"))
@@ -190,7 +190,7 @@
 	}
 }
 
-// Some clients send an empty line behind a body. It does not begin the next request: the connection is idle after the
+// Some clients send an empty line after a body. It does not begin the next request: the connection is idle after the
 // response, and occupies no slot for which others wait.
 func TestEmptyLineAfterBodyIsIgnored(t *testing.T) {
 	hold := make(chan struct{})
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -160,8 +160,8 @@
 }
 
 // serveRaw runs a stand-in that reads each request completely and writes the bytes that answer returns for it; n
-// counts the requests from 0. An empty answer closes the connection, and so does one with TRUNCATED in it after it was
-// written.
+// counts the requests from 0. The connection is closed if the answer is empty, and after an answer that contains
+// TRUNCATED.
 func serveRaw(t *testing.T, answer func(n int) string) *standIn {
 	t.Helper()
 	ln := testkit.Listen(t)
--- a/internal/protocol/http1/latedial_test.go
+++ b/internal/protocol/http1/latedial_test.go
@@ -28,7 +28,7 @@
 	return dialled, release
 }
 
-// Nothing is sent on a connection whose dial was late if by then the endpoint list says that the server drains, is
+// Nothing is sent on a connection whose dial was late if by then the endpoint list shows that the server drains, is
 // gone or has moved (another process may have its address). Another server gets the request, or the server at its new
 // address.
 func TestLateConnectionToDrainingServerIsNotUsed(t *testing.T) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Nothing is sent on a connection whose dial was late if the client has disconnected by then.
+// Nothing is sent on a connection whose dial was late if the client has already disconnected.
 func TestLateConnectionIsNotUsedForEndedRequest(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
--- a/internal/protocol/http1/loop_test.go
+++ b/internal/protocol/http1/loop_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// A request whose server sends nothing is answered before its client stops waiting, with a response that says that it
-// failed.
+// A request whose server sends nothing is answered before its client stops waiting, with a response that reports the
+// failure.
 func TestDeadlineExceededGets504(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// At the limit of connections, the one that has been idle longest is closed to make room; if none is idle, the attempt
-// ends with nothing sent.
+// At the limit of connections, the one that has been idle longest is closed in favour of a new one; if none is idle,
+// the attempt ends and nothing is sent.
 func TestServerConnectionsAreBounded(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { return ok200 })
@@ -139,7 +139,7 @@
 	}
 }
 
-// Bytes behind a response, together with it or later while the connection is idle, are never read as the response to
+// Bytes after a response, together with it or later while the connection is idle, are never read as the response to
 // the next request: a connection with unread bytes is not reused, and no connection is reused before reuseDelay has
 // passed if there is another one.
 func TestUnsolicitedBytesEndTheConnection(t *testing.T) {
@@ -294,7 +294,7 @@
 }
 
 // Only a connection whose other end is closed already is reset at once. A connection that breaks while a request is
-// being served says nothing about how long connections may be idle: if many such breaks shortened that time, no
+// being served is no evidence of how long connections may be idle: if many such breaks shortened that time, no
 // connection would be kept in the end.
 func TestOnlyImmediateResetCountsAsDeadIdleConnection(t *testing.T) {
 	for name, row := range map[string]struct {
@@ -318,7 +318,7 @@
 	}
 }
 
-// stubOwner is an attemptOwner whose admissions a test sets.
+// stubOwner is an attemptOwner that admits or refuses writes and dials as its test specifies.
 type stubOwner struct {
 	probeOwner
 	ended                           chan struct{}
--- a/internal/protocol/http1/queue_test.go
+++ b/internal/protocol/http1/queue_test.go
@@ -69,7 +69,7 @@
 
 // The time that a request has waited in the kernel's accept queue counts towards its deadline. With idle clients in
 // all slots, a new connection is accepted 0.25 s late (minSilent), and the deadline of the request on it used to count
-// from then: its server was told 532 ms where the client had 236 ms left (soak test, seeds 3, 4 and 12 with a crowd;
+// from then: its server was given 532 ms when the client had 236 ms left (soak test, seeds 3, 4 and 12 with a crowd;
 // 0.15 s is allowed), and the answer could be late by the same time.
 func TestAcceptQueueTimeCountsTowardsDeadline(t *testing.T) {
 	const largeBody = 30 << 10 // more than is read with the head
--- a/internal/protocol/http1/races_test.go
+++ b/internal/protocol/http1/races_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// The disconnect of a client that has sent more bytes behind its waiting request is detected: the request reaches no
+// The disconnect of a client that has sent more bytes after its waiting request is detected: the request reaches no
 // server.
 func TestPipeliningClientThatDisconnectsIsNotServed(t *testing.T) {
 	junk := strings.Repeat("x", 4<<10)
@@ -211,8 +211,8 @@
 	}
 }
 
-// A client that sends more behind its request and stays connected gets its complete response. If the further bytes
-// can't be buffered, the connection is then closed; otherwise its next request is served, too.
+// A client that sends more bytes after its request and stays connected gets its complete response. If the further
+// bytes can't be buffered, the connection is then closed; otherwise its next request is served, too.
 func TestPipeliningClientThatStaysConnectedIsServed(t *testing.T) {
 	for name, more := range map[string]struct {
 		text   string
@@ -335,15 +335,15 @@
 	}
 }
 
-// The deadline of a pipelined request counts while the response ahead of it is awaited: its server is told the
-// client's remaining time, and a request whose deadline has passed when its turn comes reaches no server and is
-// answered at once.
+// The deadline of a pipelined request counts while the response ahead of it is awaited: its server gets the client's
+// remaining time, and a request whose deadline has passed when its turn comes reaches no server and is answered at
+// once.
 func TestDeadlineOfPipelinedRequestRunsWhileItWaits(t *testing.T) {
 	var lastExpiresIn atomic.Value // the X-Expires-In of the last attempt
 	read, release := make(chan time.Time, 1), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Trace-Id") == "ahead" {
-			read <- time.Now() // by now the agent has read the bytes that came with it
+			read <- time.Now() // by now the agent has read the bytes that arrived with this request
 			<-release
 			return
 		}
--- a/internal/protocol/http1/responsereader_test.go
+++ b/internal/protocol/http1/responsereader_test.go
@@ -44,8 +44,8 @@
 }
 
 // A reset is not the end of a response, not even of one without a length: the part that has arrived is not served as a
-// complete response. If the response is not streamed yet, the attempt fails; if it is, its client sees that it is
-// incomplete.
+// complete response. If the response is not streamed yet, the attempt fails; if it is, its client can detect that it
+// is incomplete.
 func TestResetDoesNotEndCloseDelimitedResponse(t *testing.T) {
 	for name, part := range map[string]string{"nothing": "", "short": "part", "long": strings.Repeat("p", maxBufferedResponse+1)} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -18,8 +18,8 @@
 // writeDelay is how long a write is blocked beyond the moment at which its request should get its final answer.
 const writeDelay = 400 * time.Millisecond
 
-// A process may be delayed between its last check and the write. Whatever gives the request its final answer
-// meanwhile, the answer waits for that write: nothing is sent for a request after its final answer.
+// A process may be delayed between its last check and the write. Whatever causes the request's final answer meanwhile,
+// the answer waits for that write: no byte is sent for a request after its final answer.
 func TestNothingIsWrittenAfterTheFinalAnswer(t *testing.T) {
 	for name, end := range map[string]struct {
 		expires string
@@ -140,7 +140,7 @@
 }
 
 func (c slowWriterConn) Write(p []byte) (int, error) {
-	time.Sleep(c.hold) // the fault: the process is not scheduled between its look at the clock and the write
+	time.Sleep(c.hold) // the fault: the process is not scheduled between reading the clock and the write
 	return c.TCPConn.Write(p)
 }
 
@@ -169,7 +169,7 @@
 	r := startParts(t, cfg, core.Options{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, StopAccepting: accept}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
 	r.stop()
-	time.Sleep(500 * time.Millisecond) // so late in the drain that the request's deadline is after the drain's end
+	time.Sleep(500 * time.Millisecond) // the request's deadline is then after the drain's end
 	answered := make(chan exchange, 1)
 	go func() { answered <- r.do("GET", "/get/x", "") }()
 	testkit.Receive(t, "request at the server", server.seen)
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -24,7 +24,7 @@
 		broken.Store(resets)
 		for n := range 10 * resets {
 			a.dropIdle()
-			if x := a.do("GET", "/get/x", ""); x.status != 200 && n >= resets { // each of the first has met a reset
+			if x := a.do("GET", "/get/x", ""); x.status != 200 && n >= resets { // each of the first requests has met a reset
 				t.Fatalf("round %d, request %d: %+v", round, n, x)
 			}
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-// Every server sends an invalid response now and then. One such error says little then, and its server is not ejected.
-// It used to be ejected, so that at nearly any time some server got no requests.
+// Every server sends an invalid response now and then. A single such error is then weak evidence, and its server is
+// not ejected. It used to be ejected, so that at nearly any time some server got no requests.
 func TestMalformedResponsesOfAllServersEjectNone(t *testing.T) {
 	var mu sync.Mutex
 	total, malformedBy, servedAfterwards := 0, []string{}, 0
@@ -97,8 +97,8 @@
 	t.Errorf("the second of two servers that sent an invalid response each (%q) gets no requests any more", malformedBy)
 }
 
-// withBrokenDials runs an agent with three servers. The counter says how many of the next dials are replaced by a call
-// of broken. A cold server does not become warm during a test.
+// withBrokenDials runs an agent with three servers. The counter is the number of the next dials that are replaced by
+// calls of broken. A cold server does not become warm during a test.
 func withBrokenDials(t *testing.T, broken func(context.Context) (net.Conn, error)) (*runningAgent, *atomic.Int64) {
 	t.Helper()
 	var servers []discovery.Member
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -296,8 +296,8 @@
 	return c
 }
 
-// A server that fails within an upload has executed nothing, though bytes of a non-idempotent request have reached it:
-// the request is refused at once, and the client's connection ends.
+// A server that fails within an upload has not executed the request, though bytes of a non-idempotent request have
+// reached it: the request is refused at once, and the client's connection ends.
 func TestServerFailureWithinUpload(t *testing.T) {
 	came := make(chan struct{})
 	s := serveConns(t, func(c net.Conn, in *bufio.Reader) {
@@ -407,7 +407,7 @@
 	}
 }
 
-// If no server is available, an upload is refused at once, and the rest of its body is not taken for a request.
+// If no server is available, an upload is refused at once, and the rest of its body is not read as a request.
 func TestUploadIsRejectedAtOnce(t *testing.T) {
 	a := startWith(t, (&standIn{addr: testkit.DeadAddr(t)}).member("dead"))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -9,8 +9,8 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// attempt makes one attempt of an operation. The table in docs/design/ldap.md says which result follows from which
-// outcome. The response is nil unless the result is decide.OK.
+// attempt makes one attempt of an operation. The table in docs/design/ldap.md specifies which result follows from
+// which outcome. The response is nil unless the result is decide.OK.
 func (p *connPool) attempt(a *core.Attempt, o *operation) (decide.Result, *finalResponse) {
 	if !o.retain() {
 		return decide.NotSent, nil
--- a/internal/protocol/ldap/attempt_test.go
+++ b/internal/protocol/ldap/attempt_test.go
@@ -141,7 +141,7 @@
 }
 
 // When a new server has taken over the address of an old one, the old server gets no operations at that address, even
-// before the endpoint list says that it is gone. A probe leaves no connection open.
+// before the endpoint list shows it as gone. A probe leaves no connection open.
 func TestReusedAddressGetsNothingOfOldServer(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	a := startAgent(t, testConfig(t, d), Options{})
--- a/internal/protocol/ldap/bind.go
+++ b/internal/protocol/ldap/bind.go
@@ -57,7 +57,7 @@
 		b, _ = ldapmsg.ParseBind(m.Content)
 		o.newIdentity = s.protocol.identity(b.Name, b.Password).retain()
 	} else if stickyConn != nil && !stickyConn.isUnusable() {
-		o.requiredConn = stickyConn // a further step or a new SASL exchange: the server can tell
+		o.requiredConn = stickyConn // only the server can distinguish a further step from a new SASL exchange
 	}
 	s.submit(o, 0)
 	<-o.done
--- a/internal/protocol/ldap/bindserver.go
+++ b/internal/protocol/ldap/bindserver.go
@@ -14,7 +14,8 @@
 const noIdentity = "\x00none"
 
 // acquireBound returns a connection that is bound with the identity of the operation's client, and opens one if
-// needed. If it can't, it returns nil and a result of the attempt, which says that the operation was not executed.
+// needed. If it can't, it returns nil and a result of the attempt, which indicates that the operation was not
+// executed.
 func (p *connPool) acquireBound(a *core.Attempt, o *operation) (*serverConn, decide.Result) {
 	if o.requiredConn != nil { // the connection of a SASL bind or of a paged search
 		p.mu.Lock()
@@ -75,7 +76,7 @@
 }
 
 // bindAs binds a new connection with the credentials that a client's bind on another connection succeeded with. It
-// sends only the BindRequest, nothing of the operation.
+// sends only the BindRequest, and no part of the operation.
 func (p *connPool) bindAs(a *core.Attempt, c *serverConn, ident *identity) decide.Result {
 	encoded := ldapmsg.SimpleBind(1, ident.name, ident.password)
 	defer clear(encoded)
--- a/internal/protocol/ldap/call.go
+++ b/internal/protocol/ldap/call.go
@@ -121,8 +121,8 @@
 	return c.conn.Write(encoded)
 }
 
-// sendAbandon sends an AbandonRequest (RFC 4511, 4.11) without waiting. The server may execute the operation all the
-// same.
+// sendAbandon sends an AbandonRequest (RFC 4511, 4.11) without waiting. The server may execute the operation
+// nevertheless.
 func (c *serverConn) sendAbandon(id int32) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), unbindTimeout)
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -112,8 +112,9 @@
 // first.
 const races = 10
 
-// raceRequestAndClose holds a session's lock until the reader has read a request and the session is told to close. It
-// returns false if it took the lock before the reader had begun to read, so that there was no race.
+// raceRequestAndClose holds a session's lock until the reader has read a request and another goroutine has begun to
+// close the session. It returns false if it took the lock before the reader had begun to read, so that there was no
+// race.
 func raceRequestAndClose(t *testing.T, r *testAgent, request []byte, end func(*testAgent, *session)) bool {
 	t.Helper()
 	r.p.SetDraining(false)
--- a/internal/protocol/ldap/kind.go
+++ b/internal/protocol/ldap/kind.go
@@ -21,10 +21,10 @@
 	kindModDN
 	kindPassword
 	kindExtended
-	kindCount // how many there are
+	kindCount // the number of kinds
 )
 
-// kindNames are the names of the kinds, and of their classes in the settings.
+// kindNames are the names of the kinds. The class of a kind has the same name in the settings.
 var kindNames = [kindCount]string{
 	kindSearch:   "search",
 	kindModify:   "modify",
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -1,13 +1,13 @@
-// Package ldap implements the LDAPv3 (RFC 4511) side of the agent, on the core's event loop. Each client connection
-// is a session, on which many operations can run at once. Each connection to a directory server is bound as one
-// identity and serves only that identity. Package decide alone chooses the server of an operation, and decides on
-// retries and rejections.
+// Package ldap implements the LDAPv3 (RFC 4511) side of the agent, on the core's event loop. Each client connection is
+// a session, on which many operations can run at once. Each connection to a directory server is bound as one identity
+// and serves only that identity. Only package decide chooses the server of an operation, and decides on retries and
+// rejections.
 //
 // The package owns the sessions, the clients' credentials while they are in use, and the pool of connections to
-// servers. It keeps no state beyond the life of the agent. Each session has a reader goroutine (protocol.serve), and
-// a writer goroutine while messages are queued. Each server connection has a reader goroutine. Attempt and Probe are
-// called from goroutines of their own, started by the core's loop; Serve, Update, Resize, Shutdown and the like are
-// called by the agent's goroutine.
+// servers. Its state does not outlive the agent. Each session has a reader goroutine (protocol.serve), and a writer
+// goroutine while messages are queued. Each server connection has a reader goroutine. Attempt and Probe are called
+// from goroutines of their own, started by the core's loop; Serve, Update, Resize, Shutdown and the like are called by
+// the agent's goroutine.
 //
 //	ldap.go, kind.go, options.go               the protocol, its classes of operations, its settings
 //	session.go, clienttls.go                   a client's connection
@@ -70,8 +70,8 @@
 	defaultFirstRequestGrace = 250 * time.Millisecond
 )
 
-// operationsPerSocket is how many operations may be open per client socket where the site does not set max_open. A
-// larger value takes more memory; a smaller one rejects operations of clients that pipeline.
+// operationsPerSocket is how many operations may be open per client socket if the site does not set max_open. A larger
+// value takes more memory; a smaller one rejects operations of clients that pipeline.
 const operationsPerSocket = 4
 
 // New returns an agent that serves LDAP. It returns an error if the TLS files can't be read, or if core.New returns
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -90,7 +90,7 @@
 	all.Wait()
 }
 
-// An operation that every server rejects gets busy (51), with a diagnostic message that says that nothing was done.
+// An operation that every server rejects gets busy (51), with a diagnostic message that states that nothing was done.
 func TestRejectedOperationGetsBusy(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	d.Script(func(o directory.Op) directory.Fault { return directory.Fault{Code: ldapmsg.Busy} })
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -23,14 +23,14 @@
 	requiredConn *serverConn   // the only server connection on which the operation may run; nil: any
 	paged        bool          // a search with a paged results control
 	cookie       string        // of a request for a further page: the cookie, by which requiredConn was found
-	done         chan struct{} // closed when the operation has ended; nil if nothing waits for that
+	done         chan struct{} // closed when the operation has ended; nil if no goroutine waits for that
 	refs         atomic.Int32  // references of the session and of attempts; passwords are wiped at 0
 
 	mu             sync.Mutex
 	attemptConn    *serverConn // the connection of the current attempt; nil: no attempt is at a server
 	attemptID      int32       // the message ID of the current attempt on attemptConn
 	attemptStarted bool        // an attempt has been admitted for writing, so the operation may be executed
-	abandoned      bool        // the client wants no response
+	abandoned      bool        // the client has abandoned the operation or disconnected
 	cancelled      bool        // a Cancel request came before the operation was sent
 }
 
@@ -50,7 +50,7 @@
 	operation *operation
 }
 
-// BeginWrite admits the attempt's first byte, or says why it must not be written.
+// BeginWrite admits the attempt's first byte, or returns the reason why it must not be written.
 func (g operationGuard) BeginWrite(interrupt func()) core.SendRefusal {
 	if reason := g.Attempt.BeginWrite(interrupt); reason != core.SendAllowed {
 		return reason
--- a/internal/protocol/ldap/property_test.go
+++ b/internal/protocol/ldap/property_test.go
@@ -150,8 +150,8 @@
 	})
 }
 
-// read reads messages until want final answers have come, and then for a short time longer, in which a second answer
-// to a request would come.
+// read reads messages until it has received as many final answers as want specifies. It then reads for a short time
+// longer, in which a second answer to a request would arrive.
 func read[O any](nc net.Conn, of func(int32) *O, want int, final func(*O, int)) {
 	in := ldapmsg.NewReader(nc, 1<<20)
 	for got := 0; ; {
--- a/internal/protocol/ldap/responsestream.go
+++ b/internal/protocol/ldap/responsestream.go
@@ -12,7 +12,7 @@
 	buffered      []responseMessage
 	bufferedBytes int
 	started       bool // a message was forwarded, so no retry is possible any more
-	unwanted      bool // the client has disconnected, or wants no response
+	unwanted      bool // the client has disconnected, or the operation has had its final answer
 }
 
 // maxBufferedBytes is how many bytes of a lookup's response are held back until the last message. A larger value
--- a/internal/protocol/ldap/serverpool.go
+++ b/internal/protocol/ldap/serverpool.go
@@ -34,7 +34,7 @@
 }
 
 // connPool holds the connections to all servers. Its methods may be called from any goroutine. The caller holds p.mu
-// where the comment of a method says so.
+// if the comment of a method requires it.
 type connPool struct {
 	cfg      *core.Config
 	options  *Options
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// Connections without requests are evicted to make room for a new one that sends a request.
+// Connections without requests are evicted in favour of a new one that sends a request.
 func TestQuietConnectionsAreEvicted(t *testing.T) {
 	d := startDirectory(t, "one", directory.Options{})
 	cfg := testConfig(t, d)
--- a/internal/protocol/ldapmsg/control.go
+++ b/internal/protocol/ldapmsg/control.go
@@ -1,6 +1,6 @@
 package ldapmsg
 
-// Control returns the value of the control whose controlType is name (RFC 4511, 4.1.11), nil if the control has no
+// Control returns the value of the control whose controlType is name (RFC 4511, 4.1.11), or nil if the control has no
 // value.
 func Control(list []byte, name string) (value []byte, found bool) {
 	for len(list) > 0 {
--- a/internal/protocol/ldapmsg/request.go
+++ b/internal/protocol/ldapmsg/request.go
@@ -9,7 +9,7 @@
 	Mechanism string // the SASL mechanism; UnknownMechanism for an unknown authentication choice
 }
 
-// UnknownMechanism stands for an authentication choice that is neither simple nor SASL.
+// UnknownMechanism is the mechanism of an authentication choice that is neither simple nor SASL.
 const UnknownMechanism = "?"
 
 // ParseBind parses the content of a BindRequest.
@@ -45,7 +45,7 @@
 	return b, nil
 }
 
-// ExtendedName returns the name of an extended request, and its value, nil if there is none (RFC 4511, 4.12).
+// ExtendedName returns the name of an extended request, and its value, or nil if it has no value (RFC 4511, 4.12).
 func ExtendedName(content []byte) (name string, value []byte, err error) {
 	tag, v, rest, err := parseElement(content)
 	if err != nil || tag != requestName {
--- a/internal/protocol/ldapmsg/tags.go
+++ b/internal/protocol/ldapmsg/tags.go
@@ -36,12 +36,12 @@
 
 // Tags that depend on their context (RFC 4511, 4.1.1, 4.2 and 4.12).
 const (
-	simpleAuth   = 0x80 // of a BindRequest
-	saslAuth     = 0xa3 // of a BindRequest
-	requestName  = 0x80 // of an ExtendedRequest
-	requestValue = 0x81 // of an ExtendedRequest
-	responseName = 0x8a // of an ExtendedResponse
-	controls     = 0xa0 // of an LDAPMessage
+	simpleAuth   = 0x80 // in a BindRequest
+	saslAuth     = 0xa3 // in a BindRequest
+	requestName  = 0x80 // in an ExtendedRequest
+	requestValue = 0x81 // in an ExtendedRequest
+	responseName = 0x8a // in an ExtendedResponse
+	controls     = 0xa0 // in an LDAPMessage
 )
 
 // Bits of a tag (X.690, 8.1.2).
--- a/internal/source/dnssource/mdns.go
+++ b/internal/source/dnssource/mdns.go
@@ -18,7 +18,7 @@
 	// maxReceivedBytes is the maximum size of a multicast DNS message (RFC 6762, section 17).
 	maxReceivedBytes = 9000
 	// maxInitialQueryDelay bounds the random wait before the first query, so that hosts that start at the same time do
-	// not query at the same time (RFC 6762, section 5.2, asks for 20 to 120 ms).
+	// not query at the same time (RFC 6762, section 5.2, specifies 20 to 120 ms).
 	maxInitialQueryDelay = 100 * time.Millisecond
 	// minQueryInterval is the interval between the first two queries, and the minimum interval between two queries for
 	// the same missing record (RFC 6762, section 5.2).
--- a/internal/source/dnssource/mdnscache.go
+++ b/internal/source/dnssource/mdnscache.go
@@ -204,8 +204,8 @@
 	return records
 }
 
-// allExpiredSilently reports whether all records have expired without a goodbye. In this case the agent does not
-// receive any responder, whereas a responder that ends withdraws its records.
+// allExpiredSilently reports whether all records have expired without a goodbye. In this case the agent receives no
+// packets from the responders: a responder that ends withdraws its records.
 func (c *cache) allExpiredSilently(now time.Duration) bool {
 	for _, r := range c.records {
 		if now < r.expiresAt || r.goodbye {
--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -55,7 +55,7 @@
 
 // Settings configure a Module.
 type Settings struct {
-	Sources []Source // by precedence: the first source that knows an attribute of a server determines it
+	Sources []Source // by precedence: the first source that specifies an attribute of a server determines it
 	// Guard is for how long servers are kept that suddenly disappear from the snapshots of a source that is not
 	// exact. A loss counts as sudden if more than half of the servers, and more than two, are missing. A snapshot
 	// that arrives Guard or more after the loss is accepted. Guard is also how long a server must have been
--- a/internal/source/endpoints/merge.go
+++ b/internal/source/endpoints/merge.go
@@ -80,7 +80,7 @@
 	return started > 0 && e.Started > 0 && started != e.Started
 }
 
-// started returns the latest start that any source knows; 0 if no source knows one.
+// started returns the latest start that any source reports; 0 if no source reports one.
 func (g *group) started() int64 {
 	var latest int64
 	for _, e := range g.entries {
@@ -160,8 +160,8 @@
 	return member
 }
 
-// mergeAttributes takes each attribute from the first source that knows it, except the start, of which it takes the
-// latest.
+// mergeAttributes takes each attribute from the first source that specifies it, except the start, of which it takes
+// the latest.
 func (g *group) mergeAttributes() Server {
 	server := g.entries[0].Server
 	for _, e := range g.entries[1:] {
--- a/internal/source/endpoints/removal.go
+++ b/internal/source/endpoints/removal.go
@@ -6,7 +6,7 @@
 )
 
 // maxRemovals bounds the number of removals that are stored, and so their memory. Beyond it the oldest removal is
-// dropped: after so many later removals, no record is expected to name its server any more. With a smaller value a
+// dropped: after that many later removals, no record is expected to name its server any more. With a smaller value a
 // stale record could bring back a removed server in a large fleet.
 const maxRemovals = 20000
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -22,8 +22,8 @@
 	lines map[string]int // line numbers from 1, by key such as "a.b" or "a[1].b"
 }
 
-// Read decodes the file at path into a pointer to a plain struct. Struct fields without a toml tag match the key
-// that equals their name in any case.
+// Read decodes the file at path into a pointer to a plain struct. Struct fields without a toml tag match the key that
+// equals their name, ignoring case.
 func Read(path string, into any) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// tableKey joins the parts of a table's key. A part that names an array of tables stands for its latest element.
+// tableKey joins the parts of a table's key. A part that names an array of tables refers to its latest element.
 func tableKey(parts []string, elements map[string]int) string {
 	table := ""
 	for _, part := range parts {
@@ -216,7 +216,7 @@
 // Has reports whether the file sets a key.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// Errorf returns an error about a key, with the file and the line. The text should say what was found and what is
+// Errorf returns an error about a key, with the file and the line. The text should state what was found and what is
 // allowed.
 func (f *File) Errorf(key, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s: %s", f.Path, f.Line(key), key, fmt.Sprintf(format, args...))
