--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -50,7 +50,7 @@
 }
 
 // leasesGranted passes an agent the leases that a lease server granted. The transport's goroutine calls it, and it
-// does not block: an agent that is too busy goes on with the leases that it has, which expire by themselves.
+// does not block: an agent that is too busy keeps its current leases, which expire without further messages.
 func (d *Daemon) leasesGranted(agent uint32, leases []quota.Lease, base time.Time) {
 	if h, ok := d.agents.Load(agent); ok {
 		h.(agentHandle).agent.GrantLeases(limitLeases(leases, base))
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -79,7 +79,7 @@
 	eventually(t, "the daemon counts three balancers", sees(b, 3, 3))
 	tbA.expectServed("one")
 
-	// The other daemon learns of an added instance, and of a member that leaves in order.
+	// The other daemon is notified of an added instance, and of a member that leaves in an orderly way.
 	tbB.writeConfig(tbB.instanceText("one", "two", "three") + b.peersText(t))
 	if _, err := b.Reload(); err != nil {
 		t.Fatal(err)
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// A member that was isolated for longer than its lease learns of another policy. Its agents serve by the earlier
-// policy until they are replaced, and the lease of the new policy does not let them admit requests. The same holds
-// for agents that a handover or a change of the configuration replaces.
+// A member that was isolated for longer than its lease receives another policy. Its agents serve by the earlier policy
+// until they are replaced, and the lease of the new policy does not let them admit requests. The same holds for agents
+// that a handover or a change of the configuration replaces.
 func TestLeaseOfAnotherPolicyDoesNotExtendAdmission(t *testing.T) {
 	s := standin.NewForm("s", nil)
 	defer s.Close()
@@ -244,8 +244,8 @@
 }
 
 // After a failed handover the policy's file is opened again, even if another process, such as a successor that ends
-// slowly, keeps it open for some seconds more. The fault: opening was tried only once, after which a voter could
-// write nothing, and no policy was agreed on until the daemon was started again.
+// slowly, keeps it open for some seconds more. The fault: opening was tried only once, after which a voter could not
+// write, and no policy was agreed on until the daemon was started again.
 func TestPolicyFileIsOpenedAgainAfterAFailedHandover(t *testing.T) {
 	f := standin.NewForm("s-1", nil)
 	defer f.Close()
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -57,7 +57,7 @@
 	Name   string
 	List   string        // address of the list service; may be empty if there are records
 	Spread time.Duration // the instances apply a change at random times within this span
-	First  time.Duration // the instances apply the first list at random times within this span
+	First  time.Duration // the daemon waits a random time within this span before it first reads the list
 	// SRV are names and Browse are service types that are looked up by unicast DNS at the Resolvers.
 	SRV       []string
 	Browse    []string
--- a/internal/protocol/http1/frontend_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -127,7 +127,8 @@
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
 		"two ids":     "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nX-Trace-Id: 4\r\n\r\n",
-		// Only announced, not sent: a client that keeps writing may see the close before it reads the response.
+		// The body is only announced, and not sent: a client that keeps writing may detect the close before it reads
+		// the response.
 		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 6\r\nContent-Length: %d\r\n\r\n", maxBody+1),
 		"60 MB":       "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 5\r\nContent-Length: 60000000\r\n\r\n",
 		"huge length": "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 5\r\nContent-Length: 99999999999999999999\r\n\r\n",
@@ -377,7 +378,7 @@
 	}
 }
 
-// If a message states the end of its body twice, one side may take bytes for a body that the other side takes for a
+// If a message states the end of its body twice, one side may read bytes as a body that the other side reads as a
 // further request (request smuggling). No part of such a message reaches a server, and the connection is closed.
 func TestSmuggledRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -105,7 +105,7 @@
 			t.Fatalf("%+v", resp)
 		}
 	}
-	// Byte by byte, after empty lines.
+	// The request arrives byte by byte, after empty lines.
 	for _, b := range []byte("\r\n\r\n" + get()) {
 		if _, err := c.Write([]byte{b}); err != nil {
 			t.Fatal(err)
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -272,7 +272,7 @@
 }
 
 // If idle connections turn out to be dead, connections are kept idle for a shorter time, and for a longer time again
-// once connections work that were idle for long. A new connection that breaks does not change the time.
+// once connections that were idle for long are found working. A new connection that breaks does not change the time.
 func TestIdleTimeAdaptsToDeadConnections(t *testing.T) {
 	b := poolFor(t, "127.0.0.1:9")
 	for range 20 {
--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -79,7 +79,7 @@
 }
 
 // connectionEnded returns the outcome of an attempt whose connection has ended. The last message of the response may
-// have come just before the end.
+// have been received just before the end.
 func (p *connPool) connectionEnded(c *serverConn, k *call, s *responseStream) (decide.Result, *finalResponse) {
 	p.markSuspect(c)
 	for more := true; more; {
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -88,7 +88,7 @@
 	}
 	reasons := map[string]func(*testAgent, *session){
 		"the agent drains": func(r *testAgent, _ *session) { r.p.SetDraining(true) },
-		// the close that follows the check in an eviction
+		// Performs the close that follows the check in an eviction.
 		"it is evicted": func(_ *testAgent, s *session) {
 			go s.closeWithNotice(ldapmsg.Unavailable, "too many connections: this one was idle for longest")
 		},
--- a/internal/protocol/ldap/responsestream.go
+++ b/internal/protocol/ldap/responsestream.go
@@ -8,7 +8,7 @@
 type responseStream struct {
 	attempt       *core.Attempt
 	operation     *operation
-	buffering     bool // messages are held back until the last one, or until more than maxBufferedBytes have come
+	buffering     bool // messages are held back until the last one, or until more than maxBufferedBytes have been received
 	buffered      []responseMessage
 	bufferedBytes int
 	started       bool // a message was forwarded, so no retry is possible any more
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -69,7 +69,7 @@
 			}
 		})
 	}
-	// A message ID that is in use.
+	// A request whose message ID is in use also ends its connection.
 	d.Script(func(o directory.Op) directory.Fault {
 		if o.Kind == "search" {
 			return directory.Fault{Wait: 50 * time.Millisecond}
--- a/internal/source/discovery/hub.go
+++ b/internal/source/discovery/hub.go
@@ -24,9 +24,9 @@
 	Addr             string        // IP and port of the list service
 	ConnectTimeout   time.Duration // timeout for the connection of a watch
 	HeartbeatTimeout time.Duration // 0: the package's HeartbeatTimeout
-	// Spread bounds the random delay after which a subscriber is notified of a server that has come up, and of the
-	// snapshot that the subscriber gets at its start: without a delay all instances would move to a new server at the
-	// same time. Each subscriber has its own delay. Draining and removed servers are notified without delay.
+	// Spread bounds the random delay after which a subscriber is notified of a server that has become ready, and of
+	// the snapshot that the subscriber gets at its start: without a delay all instances would move to a new server at
+	// the same time. Each subscriber has its own delay. Draining and removed servers are notified without delay.
 	Spread time.Duration
 	// MaxInitialDelay bounds the random wait before the first watch.
 	MaxInitialDelay time.Duration
--- a/internal/source/dnssource/resolve.go
+++ b/internal/source/dnssource/resolve.go
@@ -21,8 +21,8 @@
 	udpSize = 1232
 )
 
-// Reasons for a query that returns no records. Only errNoRecord stands for a valid response: the name does not exist
-// or has no record of the type.
+// Reasons for a query that returns no records. Only errNoRecord is the result of a valid response: the name does not
+// exist or has no record of the type.
 var (
 	errNoRecord      = errors.New("no record of this name and type")
 	errAliasLoop     = errors.New("loop of CNAME records, or too many of them")
