--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -33,7 +33,7 @@
 type agentHandle struct {
 	agent       *core.Agent
 	source      string
-	fingerprint string // of the policy that the agent was built for: see policy.Serving.Fingerprint
+	fingerprint string // the fingerprint of the policy that the agent was built for: see policy.Serving.Fingerprint
 }
 
 // rangeAgents calls f with each running agent. It may be called from any goroutine.
@@ -187,7 +187,7 @@
 
 // agentEnd describes the end of an agent.
 type agentEnd struct {
-	name    string // of the agent's instance
+	name    string // the name of the agent's instance
 	agent   *core.Agent
 	err     error
 	stopped bool // the daemon stopped the agent
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -50,7 +50,7 @@
 	module    *endpoints.Module
 	list      []endpoints.Member
 	reported  map[string]bool             // origins that have reported a complete view
-	version   int64                       // of the published list
+	version   int64                       // the version of the published list
 	published map[string]discovery.Member // by ID
 	usesSaved bool                        // the saved list is used, until all origins have reported
 }
--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -24,7 +24,7 @@
 	// handoffSeq is not lower than the number of the last lease request of any earlier member.
 	handoffSeq  uint64
 	applied     appliedPolicy
-	fingerprint string // of the policy for which agents are built now: the applied one, or the one that is being applied
+	fingerprint string // identifies the policy for which agents are built now: the applied one, or the one that is being applied
 }
 
 // ownFile is the daemon's own file as it was read last.
--- a/internal/host/daemon/policyswitch.go
+++ b/internal/host/daemon/policyswitch.go
@@ -26,8 +26,8 @@
 
 // appliedPolicy identifies the policy by which the instances serve.
 type appliedPolicy struct {
-	number      uint64 // of the global document
-	fingerprint string // of all documents, and of the changes that may also be active
+	number      uint64 // the number of the global document
+	fingerprint string // covers all documents, and the changes that may also be active
 }
 
 // switchPolicy makes all instances serve by the current policy. If the daemon can't serve by it, the instances admit
--- a/internal/host/daemonconfig/intersect.go
+++ b/internal/host/daemonconfig/intersect.go
@@ -146,7 +146,7 @@
 }
 
 // intersectServices returns the classes that both policies allow, for each service that has a part in either policy.
-// The services' sources and bans are intersected together with all others.
+// intersect handles the services' sources and bans together with all others.
 func intersectServices(a, b sharedTables) ([]*servicePart, error) {
 	var names []string
 	for _, part := range slices.Concat(a.services, b.services) {
--- a/internal/host/daemonconfig/servicepart.go
+++ b/internal/host/daemonconfig/servicepart.go
@@ -14,7 +14,7 @@
 // bans of its servers. Each source belongs to one service, which has the same name. A daemon holds the parts of the
 // sources of its instances.
 type servicePart struct {
-	name     string         // of the service
+	name     string         // the service's name
 	file     *tomlfile.File // nil: the part is the intersection of two policies
 	Source   []sourceTable
 	Class    []classTable
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -26,7 +26,7 @@
 	lastReadAt time.Time // when the last bytes arrived
 	// firstDone is set once the first request, including its body, has been read.
 	firstDone bool
-	fields    []field // of the current head; reused
+	fields    []field // the fields of the current head; reused for the next one
 	writeBuf  []byte  // reused by the goroutine that writes the next response
 	// responseDone holds one token while no response is pending.
 	responseDone chan struct{}
@@ -153,7 +153,7 @@
 }
 
 // respondAndClose writes an error response, and ends the connection: the rest of the request's body is not read, and
-// must not be read as the next request (RFC 9112, 9.6).
+// must not be parsed as the next request (RFC 9112, 9.6).
 func (c *clientConn) respondAndClose(e *requestError) {
 	if e.status == 0 {
 		return
--- a/internal/protocol/http1/dial.go
+++ b/internal/protocol/http1/dial.go
@@ -19,8 +19,8 @@
 	maxAbandonTokens = 16
 	// maxDialTimeouts is how many connect timeouts a dial may take in all if its attempt was abandoned.
 	maxDialTimeouts = 8
-	// dialTimeDivisor sets the step of learnDialTime: a sample changes the usual dial time by this fraction of it. A
-	// larger value adapts more slowly, a smaller one makes the estimate fluctuate.
+	// dialTimeDivisor sets the step of learnDialTime: a sample changes the usual dial time by 1/dialTimeDivisor of it.
+	// A larger value adapts more slowly, a smaller one makes the estimate fluctuate.
 	dialTimeDivisor = 8
 )
 
--- a/internal/protocol/http1/pool.go
+++ b/internal/protocol/http1/pool.go
@@ -37,7 +37,7 @@
 	maxStall       time.Duration    // how long a server may send no byte of a streamed response; tests shorten it
 	responseBudget *core.ByteBudget // bytes of responses that are being read
 	dialer         func(ctx context.Context, network, addr string) (net.Conn, error)
-	readers        sync.Pool // of *bufio.Reader
+	readers        sync.Pool // holds *bufio.Reader values
 
 	mu        sync.Mutex
 	maxConns  int // how many connections may be open at once
--- a/internal/protocol/http1/races_test.go
+++ b/internal/protocol/http1/races_test.go
@@ -216,7 +216,7 @@
 func TestPipeliningClientThatStaysConnectedIsServed(t *testing.T) {
 	for name, more := range map[string]struct {
 		text   string
-		status []int // of the responses that arrive
+		status []int // the statuses of the responses that arrive
 	}{
 		"a request":           {headOf("get", "behind"), []int{200, 200}},
 		"a request in pieces": {"GET /get/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: pie", []int{200, 200}},
--- a/internal/protocol/http1/requestreader.go
+++ b/internal/protocol/http1/requestreader.go
@@ -46,7 +46,7 @@
 // disconnected. It reports true once the response is written: prepareNext then ends the read by a deadline in the
 // past.
 func (c *clientConn) watchForDisconnect() bool {
-	var scratch []byte // for bytes that are dropped
+	var scratch []byte // receives the bytes that are dropped
 	for dropped := 0; ; {
 		var into []byte
 		if c.end-c.start < maxHead {
--- a/internal/protocol/http1/responsewriter.go
+++ b/internal/protocol/http1/responsewriter.go
@@ -81,7 +81,7 @@
 	defer c.mu.Unlock()
 	var fail *requestError
 	if c.upload != nil && c.upload.state.CompareAndSwap(uploadReceiving, uploadAbandoned) {
-		c.closing = true // the rest of its body must not be read as the next request
+		c.closing = true // the rest of its body must not be parsed as the next request
 		c.frontend.openUploads.Add(-1)
 		fail = c.upload.fault.Load()
 	}
--- a/internal/protocol/ldap/ldap.go
+++ b/internal/protocol/ldap/ldap.go
@@ -45,7 +45,7 @@
 	limiter           *core.ConnLimiter
 	classOfKind       [kindCount]int
 	pool              *connPool
-	tls               *tls.Config // for client connections; nil: TLS is not offered
+	tls               *tls.Config // the TLS configuration of client connections; nil: TLS is not offered
 	secret            [32]byte    // HMAC key for identity.key; random, and kept in memory only
 	lastID            atomic.Uint64
 	openOperations    atomic.Int64
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -18,11 +18,11 @@
 	kind         kind
 	request      *core.Request
 	identity     *identity     // the identity that the operation runs as; retained
-	newIdentity  *identity     // of a simple bind: the identity of the session after success; retained
+	newIdentity  *identity     // the identity of the session after a simple bind has succeeded; retained
 	sasl         bool          // a SASL bind, which may have several steps
 	requiredConn *serverConn   // the only server connection on which the operation may run; nil: any
 	paged        bool          // a search with a paged results control
-	cookie       string        // of a request for a further page: the cookie, by which requiredConn was found
+	cookie       string        // the cookie of a request for a further page, by which requiredConn was found
 	done         chan struct{} // closed when the operation has ended; nil if no goroutine waits for that
 	refs         atomic.Int32  // references of the session and of attempts; passwords are wiped at 0
 
--- a/internal/protocol/ldapmsg/element.go
+++ b/internal/protocol/ldapmsg/element.go
@@ -17,8 +17,8 @@
 // elementHeader is an element's tag and length (X.690, 8.1.2 and 8.1.3).
 type elementHeader struct {
 	tag    byte
-	size   int // of the header itself, in bytes
-	length int // of the content, in bytes
+	size   int // the header's own size in bytes
+	length int // the content's length in bytes
 }
 
 // parseHeader reads a tag of one octet and a definite length, the only forms that LDAP uses (RFC 4511, 5.1). complete
--- a/internal/source/discovery/discovery.go
+++ b/internal/source/discovery/discovery.go
@@ -39,7 +39,7 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"` // "ready", "draining" or "gone"
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time in ms; 0: unknown, taken as long ago
+	Started int64   `json:"started_ms"` // Unix time in ms; 0: unknown, and treated as long ago
 }
 
 // States of a server as the list service spells them. "draining" needs no constant here: the hub only checks
--- a/internal/source/dnssource/mdns.go
+++ b/internal/source/dnssource/mdns.go
@@ -36,7 +36,7 @@
 // a multicast address but the address of a responder, it queries only this responder. It must be used by one goroutine
 // only.
 type Multicast struct {
-	source       *Source // for its options and its interpretation of TXT records
+	source       *Source // provides the options and the interpretation of TXT records
 	service      string
 	group        string // IP and port
 	cache        cache
--- a/internal/source/dnssource/mdnssession.go
+++ b/internal/source/dnssource/mdnssession.go
@@ -19,9 +19,9 @@
 	report    func(endpoints.Report)
 	began     time.Time
 
-	queryTimer    *time.Timer   // for the next query for the service
+	queryTimer    *time.Timer   // fires at the next query for the service
 	queryInterval time.Duration // interval between that query and the one after it
-	cacheTimer    *time.Timer   // for the next expiry or refresh of a cached record
+	cacheTimer    *time.Timer   // fires at the next expiry or refresh of a cached record
 }
 
 // listen opens a socket, and queries and listens until ctx ends or the socket fails. If ctx ends, it returns nil.
--- a/internal/source/endpoints/merge.go
+++ b/internal/source/endpoints/merge.go
@@ -13,7 +13,7 @@
 // group holds all entries of one server.
 type group struct {
 	entries []*entry
-	sources []*source // of the entries, in the same order
+	sources []*source // the sources of the entries, in the same order
 }
 
 // pod is the effective pod of a server.
