--- a/internal/protocol/ldap/kind.go
+++ b/internal/protocol/ldap/kind.go
@@ -24,7 +24,7 @@
 	kindCount // the number of kinds
 )
 
-// kindNames are the names of the kinds. The class of a kind has the same name in the settings.
+// kindNames are the names of the kinds. If the settings have a class for a kind, it has the same name.
 var kindNames = [kindCount]string{
 	kindSearch:   "search",
 	kindModify:   "modify",
--- a/internal/source/dnssource/records.go
+++ b/internal/source/dnssource/records.go
@@ -133,7 +133,7 @@
 	for _, text := range keys {
 		key, value, ok := strings.Cut(text, "=")
 		if !ok || key == "" {
-			continue // a key without a value is unknown, since all known keys have one
+			continue // not a known key, since those have a name and a value
 		}
 		if err := applyKey(server, strings.ToLower(key), value); err != nil {
 			s.warnOnce(name+" "+text, "invalid TXT key ignored: "+err.Error(), name, "key", key)
