--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -33,7 +33,7 @@
 type agentHandle struct {
 	agent       *core.Agent
 	source      string
-	fingerprint string // of the policy that the agent was built for: see policy.Serving.Fingerprint
+	fingerprint string // the fingerprint of the policy that the agent was built for: see policy.Serving.Fingerprint
 }
 
 // rangeAgents calls f with each running agent. It may be called from any goroutine.
@@ -179,7 +179,7 @@
 		d.agents.Delete(number)
 		d.replaced.Delete(agent)
 		d.post(func() { d.agentEnded(agentEnd{name, agent, err, stopped}) })
-		if p := d.activePeering.Load(); p != nil && err == nil { // the agent has nothing in flight
+		if p := d.activePeering.Load(); p != nil && err == nil { // the agent has no request in flight
 			p.transport.RemoveAgent(number)
 		}
 	})
@@ -187,10 +187,10 @@
 
 // agentEnd describes the end of an agent.
 type agentEnd struct {
-	name    string // of the agent's instance
+	name    string // the name of the agent's instance
 	agent   *core.Agent
 	err     error
-	stopped bool // the agent was told to stop
+	stopped bool // the daemon stopped the agent
 }
 
 // agentEnded handles the end of an agent.
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// removalGuard is how long endpoints are kept that are suddenly missing from a complete view of records: see
+	// removalGuard is how long endpoints that are suddenly missing from a complete view of records are kept: see
 	// endpoints.Settings.
 	removalGuard = 30 * time.Second
 	// settleSpan is the minimum time between two changes of an endpoint's pod that take effect: the deduplication
@@ -50,7 +50,7 @@
 	module    *endpoints.Module
 	list      []endpoints.Member
 	reported  map[string]bool             // origins that have reported a complete view
-	version   int64                       // of the published list
+	version   int64                       // the version of the published list
 	published map[string]discovery.Member // by ID
 	usesSaved bool                        // the saved list is used, until all origins have reported
 }
@@ -180,8 +180,8 @@
 	return endpoints.Delta{Source: fromList, Servers: endpointsOf(list)}
 }
 
-// apply merges a report and publishes what has changed. With a nil report it only checks whether delayed changes are
-// due.
+// apply merges a report and publishes the resulting changes. With a nil report it only checks whether delayed changes
+// are due.
 func (m *Merger) apply(r endpoints.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/host/daemon/policyswitch.go
+++ b/internal/host/daemon/policyswitch.go
@@ -16,7 +16,8 @@
 	replacedGrace = 100 * time.Millisecond
 	// switchRetryInterval is the time before a switch is tried again if the policy changed during it.
 	switchRetryInterval = time.Second
-	// announceInterval is how often the daemon checks whether the transport knows the parts that the daemon holds.
+	// announceInterval is how often the daemon checks whether the transport has been given the parts that the daemon
+	// holds.
 	announceInterval = 50 * time.Millisecond
 	// noWindow is a deduplication window (1 ns) that is too short for any retry. 0 would mean that the window is not
 	// shortened.
@@ -25,8 +26,8 @@
 
 // appliedPolicy identifies the policy by which the instances serve.
 type appliedPolicy struct {
-	number      uint64 // of the global document
-	fingerprint string // of all documents, and of the changes that may also be active
+	number      uint64 // the number of the global document
+	fingerprint string // covers all documents, and the changes that may also be active
 }
 
 // switchPolicy makes all instances serve by the current policy. If the daemon can't serve by it, the instances admit
@@ -134,8 +135,8 @@
 	return windows
 }
 
-// announceParts tells the fleet which parts this daemon holds from now on. It retries until the transport knows them,
-// since the current transport may just be being replaced.
+// announceParts announces to the fleet which parts this daemon holds from now on. It retries until the transport has
+// these parts, since the current transport may be about to be replaced.
 func (d *Daemon) announceParts() {
 	if d.cfg.Policy == nil {
 		return
--- a/internal/protocol/http1/frontend_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// When a client disconnects, the balancer is told that its request is abandoned, and the request ends. The attempt's
-// outcome is still reported.
+// When a client disconnects, the balancer is notified that its request is abandoned, and the request ends. The
+// attempt's outcome is still reported.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
@@ -93,8 +93,8 @@
 	}
 }
 
-// An invalid request gets an error response and reaches no server. The status is not 429 or 503, which would say that
-// a retry is harmless.
+// An invalid request gets an error response and reaches no server. The status is not 429 or 503, which would indicate
+// that a retry is harmless.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Member{s.member("s")}}))
@@ -127,7 +127,8 @@
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
 		"two ids":     "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nX-Trace-Id: 4\r\n\r\n",
-		// Only announced, not sent: a client that keeps writing may see the close before it reads the response.
+		// The body is only announced, and not sent: a client that keeps writing may detect the close before it reads
+		// the response.
 		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 6\r\nContent-Length: %d\r\n\r\n", maxBody+1),
 		"60 MB":       "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 5\r\nContent-Length: 60000000\r\n\r\n",
 		"huge length": "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 5\r\nContent-Length: 99999999999999999999\r\n\r\n",
@@ -164,7 +165,7 @@
 	if x := testkit.Receive(t, "first response", first); x.status != 200 {
 		t.Errorf("first: %+v", x)
 	}
-	// The end of the request does not free its ID at once: a copy must not be sent, and not be served.
+	// The end of the request does not free its ID at once: a copy must be neither sent nor served.
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "same"); x.status != http.StatusConflict {
 		t.Errorf("after the end: %+v", x)
 	}
@@ -377,7 +378,7 @@
 	}
 }
 
-// If a message states the end of its body twice, one side may take bytes for a body that the other side takes for a
+// If a message states the end of its body twice, one side may read bytes as a body that the other side reads as a
 // further request (request smuggling). No part of such a message reaches a server, and the connection is closed.
 func TestSmuggledRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
--- a/internal/protocol/ldap/attempt.go
+++ b/internal/protocol/ldap/attempt.go
@@ -9,8 +9,8 @@
 	"vetchhaven/internal/protocol/ldapmsg"
 )
 
-// attempt makes one attempt of an operation. The table in docs/design/ldap.md says which result follows from which
-// outcome. The response is nil unless the result is decide.OK.
+// attempt makes one attempt of an operation. The table in docs/design/ldap.md specifies which result follows from
+// which outcome. The response is nil unless the result is decide.OK.
 func (p *connPool) attempt(a *core.Attempt, o *operation) (decide.Result, *finalResponse) {
 	if !o.retain() {
 		return decide.NotSent, nil
@@ -79,7 +79,7 @@
 }
 
 // connectionEnded returns the outcome of an attempt whose connection has ended. The last message of the response may
-// have come just before the end.
+// have been received just before the end.
 func (p *connPool) connectionEnded(c *serverConn, k *call, s *responseStream) (decide.Result, *finalResponse) {
 	p.markSuspect(c)
 	for more := true; more; {
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -88,7 +88,7 @@
 	}
 	reasons := map[string]func(*testAgent, *session){
 		"the agent drains": func(r *testAgent, _ *session) { r.p.SetDraining(true) },
-		// the close that follows the check in an eviction
+		// Performs the close that follows the check in an eviction.
 		"it is evicted": func(_ *testAgent, s *session) {
 			go s.closeWithNotice(ldapmsg.Unavailable, "too many connections: this one was idle for longest")
 		},
@@ -112,8 +112,9 @@
 // first.
 const races = 10
 
-// raceRequestAndClose holds a session's lock until the reader has read a request and the session is told to close. It
-// returns false if it took the lock before the reader had begun to read, so that there was no race.
+// raceRequestAndClose holds a session's lock until the reader has read a request and another goroutine has begun to
+// close the session. It returns false if it took the lock before the reader had begun to read, so that there was no
+// race.
 func raceRequestAndClose(t *testing.T, r *testAgent, request []byte, end func(*testAgent, *session)) bool {
 	t.Helper()
 	r.p.SetDraining(false)
--- a/internal/protocol/ldap/kind.go
+++ b/internal/protocol/ldap/kind.go
@@ -21,10 +21,10 @@
 	kindModDN
 	kindPassword
 	kindExtended
-	kindCount // how many there are
+	kindCount // the number of kinds
 )
 
-// kindNames are the names of the kinds, and of their classes in the settings.
+// kindNames are the names of the kinds. If the settings have a class for a kind, it has the same name.
 var kindNames = [kindCount]string{
 	kindSearch:   "search",
 	kindModify:   "modify",
--- a/internal/protocol/ldap/responsestream.go
+++ b/internal/protocol/ldap/responsestream.go
@@ -8,11 +8,11 @@
 type responseStream struct {
 	attempt       *core.Attempt
 	operation     *operation
-	buffering     bool // messages are held back until the last one, or until more than maxBufferedBytes have come
+	buffering     bool // messages are held back until the last one, or until more than maxBufferedBytes have been received
 	buffered      []responseMessage
 	bufferedBytes int
 	started       bool // a message was forwarded, so no retry is possible any more
-	unwanted      bool // the client has disconnected, or wants no response
+	unwanted      bool // the client has disconnected, or the operation has had its final answer
 }
 
 // maxBufferedBytes is how many bytes of a lookup's response are held back until the last message. A larger value
