--- a/internal/faulttest/checker/atomicity.go
+++ b/internal/faulttest/checker/atomicity.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// noteMultiPartUse records a request for the check of changes of several parts.
+// noteMultiPartUse records an admitted request for checkAtomicity.
 func (p *policyChecker) noteMultiPartUse(l *Line) {
 	uses := p.multiPartUses[l.PID]
 	if len(p.partsOfChange[l.ID]) > 1 && uses[l.ID] == 0 {
@@ -19,7 +19,8 @@
 	}
 }
 
-// checkAtomicity checks changes of several parts at the end of the history.
+// checkAtomicity checks, at the end of the history, that each change of several parts is in force in all of them or in
+// none.
 func (p *policyChecker) checkAtomicity(t int64) {
 	numbers := map[string]map[string]uint64{} // by change and part
 	for part, q := range p.parts {
@@ -39,8 +40,9 @@
 				continue
 			}
 			// No process used the change in this part. This is allowed if a later change replaced it there first. If
-			// both changes of one part came into force, the one that was proposed later was based on the other. So a
-			// process that used the change elsewhere must not go on here by one that was proposed before it.
+			// two changes of one part came into force, the one that was proposed later was based on the other. So a
+			// process that used the change in another part must not go on using, in this part, a change that was
+			// proposed before it.
 			for pid := range p.multiPartUses {
 				q := p.part(part)
 				if k := q.users[pid]; p.multiPartUses[pid][id] > 0 && k != nil && k.lastUsedAt > p.multiPartUses[pid][id]+int64(p.checker.bounds.PolicySpread) && p.proposedAt[q.used[k.number].id] < p.proposedAt[id] {
--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -1,11 +1,11 @@
 // Package checker checks the recorded history of a fault test against claims about the fleet, as the checker of a
-// Jepsen test does. It reads only lines: those of the fault test, which are the truth, and those in which each process
-// reports changes of its own state. It does not depend on how the daemons work, does no I/O except in Read, and starts
-// no goroutine. For each claim it reports how often the claim was tried, the nearest miss and the breaks. A claim that
-// was never tried is reported as not tried, not as kept.
+// Jepsen test does. It reads only lines: those of the fault test, which are the ground truth, and those in which each
+// process reports changes of its own state. It does not depend on how the daemons work, does no I/O except in Read, and
+// starts no goroutine. For each claim it reports how often the claim was tried, the nearest miss and the breaks. A
+// claim that was never tried is reported as not tried, not as kept.
 //
-// Check is called with the complete history by cmd/vetchhaven, the tools, and the tests of the harness, of virtual
-// time and of the policy model. All times are nanoseconds of Line.T, except the bounds.
+// Check is called with the complete history by cmd/vetchhaven, the tools, and the tests of the harness, of virtual time
+// and of the policy model. All times are nanoseconds of Line.T, except the bounds.
 package checker
 
 import (
@@ -23,23 +23,24 @@
 	incarnation      string
 	balancers        int
 	up               bool
-	leaving          bool // it announced that it leaves
+	leaving          bool // it has announced that it leaves
 	duplicate        bool
 	standingBy       bool
 	pausedAt         int64 // start of the current pause; 0: not paused
 	longPauseEndedAt int64 // when a pause longer than the bound ended
 	resumedAt        int64 // when any pause ended
-	terminating      bool  // it was told to shut down
-	starvedUntil     int64 // until then it gets little CPU time
+	terminating      bool  // a graceful shutdown was requested
+	starvedUntil     int64 // end of the period in which it gets little CPU time
 	startedAt        int64
 	view             map[string]*memberView
-	knownProcesses   map[int]bool // processes whose run ID it has known
+	knownProcesses   map[int]bool // processes whose run ID its view has contained
 	countedBalancers int
 	hasCounted       bool
 	countChangedAt   int64 // last change of its count or of knownProcesses that is still to be checked; 0: none
 }
 
-// checker is the state of Check: the truth as the fault test made it, the daemons' views, and the claims.
+// checker is the state of Check: the true state of the fleet according to the fault test, the daemons' views, and the
+// claims.
 type checker struct {
 	bounds Bounds
 	base   int64 // time of the first line
@@ -47,13 +48,13 @@
 
 	processes     map[int]*process
 	order         []int                 // process IDs, by their first line
-	byIncarnation map[string][]*process // by run ID; different daemons may have the same
+	byIncarnation map[string][]*process // by incarnation (run ID); different daemons may have the same one
 
 	lossRates          map[pair]float64
-	oneWayDelays       map[pair]time.Duration // that links add
+	oneWayDelays       map[pair]time.Duration // delays that links add
 	impairedLinks      map[pair]bool          // links that also duplicate, reorder, damage, slow or break
 	partitionedRegions map[string]bool        // regions cut off from another one; nil: to be computed
-	componentOf        map[string]int         // by daemon: its connected component, from 1; nil: to be computed
+	componentOf        map[string]int         // by daemon: number of its connected component, from 1; nil: to be computed
 
 	linksChangedAt   int64
 	truthChangedAt   int64
@@ -62,7 +63,7 @@
 	isSettled        bool  // views were checked, and the truth has not changed since
 	crashTimes       []int64
 	lastDownAt       int64            // when a process last ended
-	serverCutUntil   map[string]int64 // by daemon cut off from its servers: end of the cut; never: it lasts
+	serverCutUntil   map[string]int64 // by daemon cut off from its servers: when its requests count again; never: the cut has not ended
 
 	expectations  []*expectation          // by deadline
 	idleTraffic   map[string]idleTraffic  // by daemon
@@ -137,7 +138,7 @@
 	}
 }
 
-// beginClaims makes all claims, in the order in which they are reported.
+// beginClaims creates all claims, in the order in which they are reported.
 func (ck *checker) beginClaims() []*Claim {
 	b := ck.bounds
 	claim := func(name, format string, args ...any) *Claim {
@@ -164,7 +165,7 @@
 	return append(claims, ck.policy.begin(ck)...)
 }
 
-// apply applies one line of the fault test, which is the truth, or of a daemon.
+// apply applies one line: of the fault test, which is the ground truth, or of a daemon, which is a report.
 func (ck *checker) apply(l *Line) {
 	if l.By != FaultTest {
 		if l.What == EjectionState {
@@ -227,7 +228,7 @@
 	return p
 }
 
-// findIncarnation returns the process of a daemon with a run ID; nil: there is none.
+// findIncarnation returns the process of the named daemon that has a run ID, or nil.
 func (ck *checker) findIncarnation(name, incarnation string) *process {
 	for _, p := range ck.byIncarnation[incarnation] {
 		if p.name == name {
@@ -243,7 +244,7 @@
 	ck.isSettled = false
 }
 
-// applyTruth applies what the fault test did.
+// applyTruth applies a line of the fault test.
 func (ck *checker) applyTruth(l *Line) {
 	switch l.What {
 	case Up, Twin, Ending, Down:
@@ -304,7 +305,7 @@
 	ck.lastDownAt = l.T
 	ck.markTruthChanged(l.T)
 	ck.componentOf = nil
-	leftInOrder := p.leaving && l.Why == "term" // all must still learn of the leave after the process has ended
+	leftInOrder := p.leaving && l.Why == "term" // the others must still learn of the leave after the process has ended
 	ck.dropExpectations(func(d *expectation) bool {
 		return d.observer == p || d.subject == p && !(leftInOrder && d.claim == ck.leaveKnown)
 	})
@@ -314,7 +315,7 @@
 	}
 }
 
-// applyPause applies that a process is stopped, resumed, or has little processor time.
+// applyPause applies the pause, the resumption or the CPU starvation of a process.
 func (ck *checker) applyPause(l *Line) {
 	p := ck.process(l.PID)
 	switch l.What {
@@ -346,7 +347,7 @@
 	ck.dropExpectations(func(*expectation) bool { return true })
 }
 
-// applyServerCut applies that a daemon is cut off from its servers, or reconnected.
+// applyServerCut applies a daemon's loss of contact with its servers, or the end of it.
 func (ck *checker) applyServerCut(l *Line) {
 	if l.Why != "servers" {
 		return
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -100,15 +100,15 @@
 			}
 		})
 	}
-	// A view of the next process of the name counts as knowing that the previous one left; a view of an earlier one
-	// does not.
+	// An observer that sees the next process of the name has thereby learned that the previous one left. One that sees
+	// an earlier process has not.
 	gone := func() *history {
 		return threeDaemons().at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.1, Line{What: Down, Of: "c", PID: 3, Why: "term"}).sees(10.1, 1, "c", "c1", "left")
 	}
 	expectOutcome(t, gone().at(10.2, Line{What: Up, Of: "c", PID: 4, Balancers: 1}).at(10.3, Line{What: Start, By: "c", PID: 4, Life: "c2"}).
 		sees(10.5, 2, "c", "c2", "alive").at(30, Line{What: End}), LeaveKnown, "kept")
 	expectOutcome(t, gone().sees(10.5, 2, "c", "c0", "dead").at(30, Line{What: End}), LeaveKnown, "BROKEN")
-	// A process that is killed after it announced its leave may not have reached all.
+	// If a process is killed just after it announced its leave, the announcement may not have reached all members.
 	expectOutcome(t, threeDaemons().at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.01, Line{What: Down, Of: "c", PID: 3, Why: "kill"}).at(30, Line{What: End}), LeaveKnown, "not tried")
 }
 
--- a/internal/faulttest/checker/counts.go
+++ b/internal/faulttest/checker/counts.go
@@ -1,6 +1,7 @@
 package checker
 
-// checkCountIsEnough checks that a daemon divides by at least the balancers that run and that it has known.
+// checkCountIsEnough checks that a daemon divides shared limits by at least its own balancers plus the running ones of
+// the processes that its view has contained.
 func (ck *checker) checkCountIsEnough(o *process) {
 	if !o.up || !o.hasCounted || o.standingBy || o.pausedAt > 0 {
 		return
@@ -18,7 +19,8 @@
 	}
 }
 
-// checkCounts checks the counts of all daemons at rest.
+// checkCounts checks, at rest, that each daemon divides by exactly the balancers of the members in its view that have
+// not left.
 func (ck *checker) checkCounts(t int64) {
 	for _, pid := range ck.order {
 		o := ck.processes[pid]
--- a/internal/faulttest/checker/expectations.go
+++ b/internal/faulttest/checker/expectations.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// expectation is a change that an observer must see in its view of a subject before the deadline.
+// expectation is a change that must appear in an observer's view of a subject before the deadline.
 type expectation struct {
 	claim    *Claim
 	since    int64
--- a/internal/faulttest/checker/isolation.go
+++ b/internal/faulttest/checker/isolation.go
@@ -7,7 +7,7 @@
 )
 
 // isolationChecker checks that a change waits only for the members that hold its parts: if these, the author and all
-// voters run and are linked, the change comes into force in time, whatever faults other members have meanwhile.
+// voters run and are linked, the change comes into force in time, regardless of faults of other members.
 type isolationChecker struct {
 	policy        *policyChecker
 	disturbedAt   map[string]int64 // by member: its last start, end, pause, resume or disk fault
@@ -17,8 +17,8 @@
 	claim         *Claim
 }
 
-// maxIsolatedChangeTime bounds the time of such a change. It is the time that a change of a whole fleet has on links
-// with up to 5% loss.
+// maxIsolatedChangeTime is the longest time that such a change may take. It is the time allowed for a change of the
+// entire fleet on links with up to 5% loss.
 const maxIsolatedChangeTime = 3 * time.Second
 
 func (a *isolationChecker) begin(p *policyChecker) *Claim {
@@ -46,8 +46,8 @@
 	}
 }
 
-// authorNotified checks a change whose author has been notified of its outcome. Changes whose reason is another change
-// are not counted; the texts searched for are those of package policy.
+// authorNotified checks a change whose author has been notified of its outcome. A change whose outcome was caused by
+// another change is not counted; such outcomes are recognized by the texts that package policy gives as their reasons.
 func (a *isolationChecker) authorNotified(l *Line) {
 	p := a.policy
 	parts, proposedAt := p.partsOfChange[l.ID], p.proposedAt[l.ID]
--- a/internal/faulttest/checker/limits.go
+++ b/internal/faulttest/checker/limits.go
@@ -16,7 +16,7 @@
 	lastLineAt       int64
 }
 
-// limitsChecker checks the use of shared limits as the servers saw it.
+// limitsChecker checks the use of shared limits, as measured at the servers.
 type limitsChecker struct {
 	bounds           Bounds
 	limits           map[string]*limited
@@ -31,7 +31,7 @@
 	return []*Claim{lc.hard, lc.soft, lc.used}
 }
 
-// applyTruth applies a line about limits; changed is when the true state of the daemons last changed.
+// applyTruth applies a line about limits; changed is the time at which the true state of the daemons last changed.
 func (lc *limitsChecker) applyTruth(l *Line, base, changed int64) {
 	if l.What == Limited {
 		lc.limits[l.Limit] = &limited{capacity: l.Figure, bound: l.Bound, hard: l.Hard, rate: l.Rate, changedAt: l.T, lastLineAt: l.T}
@@ -51,7 +51,7 @@
 	if x.hard {
 		c, allowed = lc.hard, x.capacity
 	}
-	if 10*l.Used >= 9*x.capacity { // only near the limit is the claim tried: a low use would always keep it
+	if 10*l.Used >= 9*x.capacity { // a use below 90% of the limit would always keep the claim, so it does not count as a trial
 		c.Tried++
 		c.recordMargin(float64(l.Used)/float64(allowed), "%d of %d (%s)", l.Used, allowed, l.Limit)
 	}
@@ -66,7 +66,8 @@
 	x.lastLineAt = l.T
 }
 
-// isBinding reports whether a limit is the one that causes rejections: all limits are rate limits and none is lower.
+// isBinding reports whether a limit is the one that causes rejections: all limits are rate limits, and no other is
+// lower.
 func (lc *limitsChecker) isBinding(x *limited) bool {
 	for _, o := range lc.limits {
 		if !o.rate || o.capacity < x.capacity {
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// Line is one event of a recorded history. Lines of the fault test say what it did and are taken as the truth; lines of
-// a daemon report a change of its own state. Each line is one JSON object.
+// Line is one event of a recorded history. Lines of the fault test record its actions and observations and are the
+// ground truth; lines of a daemon report a change of its own state. Each line is one JSON object.
 type Line struct {
 	T    int64  `json:"t"`              // ns on the machine's monotonic clock, which all processes on the machine share
 	Wall int64  `json:"wall,omitempty"` // Unix time in ms
@@ -46,7 +46,7 @@
 	// Rough: the link also duplicates, reorders, damages, slows down or breaks traffic.
 	Rough bool `json:"rough,omitempty"`
 
-	Asked     int `json:"asked,omitempty"` // requests in the last second
+	Asked     int `json:"asked,omitempty"` // requests in the last second; in Gap lines: lost lines; in StrayDatagram lines: datagrams
 	Served    int `json:"served,omitempty"`
 	Refused   int `json:"refused,omitempty"`
 	Failed    int `json:"failed,omitempty"`
@@ -69,7 +69,7 @@
 	ID     string `json:"id,omitempty"`     // of a policy change
 	Number uint64 `json:"number,omitempty"` // of a policy version
 	Both   string `json:"both,omitempty"`   // change that is being prepared and that also allows the request
-	Alone  bool   `json:"alone,omitempty"`  // the daemon reached no peer and served by the last policy that it knew
+	Alone  bool   `json:"alone,omitempty"`  // the daemon reached no voter and served by the last policy on its disk
 	Part   string `json:"part,omitempty"`   // part of the policy: a service; empty: the global part
 	Parts  string `json:"parts,omitempty"`  // several parts, separated by spaces; "-" is the global part
 }
@@ -83,9 +83,9 @@
 	Member    = "member"    // daemon: member Of is now in State
 	Counted   = "count"     // daemon: number of balancers by which it divides shared limits
 	Contested = "contested" // daemon: another process has the same name
-	SelfDoubt = "doubt"     // daemon: it suspects itself, because it was paused or receives too little
-	Leaving   = "leave"     // daemon: it announces that it leaves
-	Gap       = "gap"       // daemon: number of lines that could not be written (Asked)
+	SelfDoubt = "doubt"     // daemon: it was paused or starved of CPU time, and has raised its local health multiplier (Health)
+	Leaving   = "leave"     // daemon: it announces its departure
+	Gap       = "gap"       // daemon: Asked lines could not be written
 
 	Up            = "up"      // test: process PID of daemon Of runs, with Balancers
 	Down          = "down"    // test: the process was ended; Why is kill or term
@@ -96,21 +96,21 @@
 	Sent          = "sent"    // test: traffic that Of sent to peers in the last second
 	Service       = "service" // test: outcomes of the requests of Of's clients in the last second
 	Twin          = "twin"    // test: process PID runs under the name of another process
-	Ending        = "ending"  // test: process PID was told to shut down gracefully
+	Ending        = "ending"  // test: a graceful shutdown of process PID was requested
 	Handing       = "handing" // test: a handover from process PID to a successor starts
 	Handed        = "handed"  // test: process PID has taken over from its predecessor
 	Starve        = "starve"  // test: process PID gets little CPU time for PauseMS
 	Limited       = "limited" // test: the daemons share a limit
-	Used          = "used"    // test: use of the limit as the servers saw it
+	Used          = "used"    // test: use of the limit, as measured at the servers
 	Wanted        = "wanted"  // test: requests per second, over all daemons, from now on
 	EjectionState = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
 	Fault         = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
 	Got           = "got"     // test: requests that reached Server (Asked) and all servers (Wanted) in the last second
-	StrayDatagram = "odd"     // test: it sent a stray datagram; Why is its kind
+	StrayDatagram = "odd"     // test: Asked stray datagrams were sent to Of; Why is their kind
 	End           = "end"     // test: the history ends
 
-	Agreed         = "agreed"   // test: a policy is agreed on; Hard: isolated members stop after PauseMS; Why, Parts: voters now, later
-	Proposed       = "proposed" // test: change ID of Parts (none: the global part) is proposed at Of, excluding Why
+	Agreed         = "agreed"   // test: the daemons agree on policies; Hard: isolated members stop after PauseMS; Why: voters; Parts: future voters
+	Proposed       = "proposed" // test: change ID of Parts (none: the global part) is proposed at Of, excluding the members in Why
 	AuthorNotified = "told"     // test: the author of change ID is notified of its State and Number
 	Took           = "took"     // test: Of admitted a request by policy Number, which change ID made
 	PolicyRejected = "turned"   // test: Of rejected a request because of the policy
@@ -120,7 +120,7 @@
 )
 
 // Read reads lines until the end of r. For a line that can't be parsed, it returns an error with the line's number,
-// and the lines before.
+// and the lines before it.
 func Read(r io.Reader) ([]Line, error) {
 	var all []Line
 	s := bufio.NewScanner(r)
--- a/internal/faulttest/checker/links.go
+++ b/internal/faulttest/checker/links.go
@@ -7,12 +7,12 @@
 // brokenLinkLoss is the share of lost datagrams from which a link counts as broken.
 const brokenLinkLoss = 0.35
 
-// partitionLoss is the share of lost datagrams from which a link is expected to carry nothing.
+// partitionLoss is the share of lost datagrams from which a link counts as cut.
 const partitionLoss = 0.95
 
 type pair struct{ from, to string }
 
-// components finds the connected components of the running daemons, over links that work in both directions. Paused
+// components computes the connected components of the running daemons, over links that work in both directions. Paused
 // daemons count as running.
 func (ck *checker) components() {
 	ck.componentOf = map[string]int{}
@@ -111,7 +111,8 @@
 	return int64(ck.bounds.RoundTrips) * int64(ck.oneWayDelays[pair{o.name, p.name}]+ck.oneWayDelays[pair{p.name, o.name}])
 }
 
-// couldReachForLong reports whether two processes have been running and linked for long enough to know each other.
+// couldReachForLong reports whether two processes have been running and linked for long enough that each must be in the
+// other's view.
 func (ck *checker) couldReachForLong(o, p *process, t int64) bool {
 	return t-ck.linksChangedAt > int64(ck.bounds.Settle) && t-p.startedAt > int64(ck.bounds.Join) && t-o.startedAt > int64(ck.bounds.Join) && ck.canReach(o, p)
 }
--- a/internal/faulttest/checker/members.go
+++ b/internal/faulttest/checker/members.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// memberView is how one process sees one member.
+// memberView is the state of one member in the view of one process.
 type memberView struct {
 	incarnation, state string
 	aliveChangedAt     int64 // last change between alive and not alive
 	suspectedAt        int64
-	regionSuspectedAt  int64 // start of a suspicion by one of its own region during a partition; 0: none
+	regionSuspectedAt  int64 // start of its suspicion by a process of its own region during a partition; 0: none
 }
 
 // applyReport applies a line of a daemon.
@@ -49,7 +49,7 @@
 					next := ck.findIncarnation(o.name, s.incarnation)
 					return next != nil && next.startedAt > at
 				}}
-			if s := w.view[o.name]; s != nil && d.isMet(s) { // the observer's line was written before that of the leave
+			if s := w.view[o.name]; s != nil && d.isMet(s) { // the observer's line was written before the line of the leave
 				ck.leaveKnown.Tried++
 				ck.leaveKnown.recordDuration(0)
 				continue
@@ -122,7 +122,7 @@
 		d.claim.Tried++
 		d.claim.recordDuration(time.Duration(l.T - d.since))
 	}
-	// At rest no view changes any more, except for suspicions that are refuted.
+	// At rest, views no longer change, except for suspicions that are refuted.
 	if ck.isSettled && l.State != "suspect" && was.state != "suspect" && ck.expectedIncarnation(o, l.Of) != aliveIncarnation(s) {
 		ck.settle.recordBreak(l.T, ck.base, "%s reports at rest that %s is %s", o.name, l.Of, l.State)
 	}
@@ -133,7 +133,7 @@
 	if o.region == "" || o.region != p.region || l.State != "suspect" && l.State != "dead" || !ck.isPartitioned(o.region) {
 		return
 	}
-	for _, pid := range ck.order { // with a broken link inside the region, a suspicion is allowed
+	for _, pid := range ck.order { // with an impaired link inside the region, a suspicion is allowed
 		for _, other := range ck.order {
 			a, b := ck.processes[pid], ck.processes[other]
 			if k := (pair{a.name, b.name}); a.region == o.region && b.region == o.region && (ck.lossRates[k] > 0.01 || ck.impairedLinks[k]) {
--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// used is the first use of a policy version, and the change that made it.
+// used is the first use of a policy version, and the change that created it.
 type used struct {
 	id    string
 	first int64
 }
 
-// partUser is a process that admits requests by a part of the policy.
+// partUser records how one process uses one part of the policy.
 type partUser struct {
 	number         uint64
 	hasUsed        bool
 	checkedFor     uint64 // highest version for which a delay has been checked
 	failedFor      uint64
-	numberSince    int64 // since when it uses number
+	numberSince    int64 // time of its first use of number
 	lastUsedAt     int64
 	lastRejectedAt int64
 	missingOnDisk  map[uint64]bool // versions that were not on its disk when they came into force
 }
 
-// policyChecker checks the policy that a fleet agrees on, by the versions by which requests were admitted.
+// policyChecker checks the policy that a fleet agrees on, using the versions under which requests were admitted.
 type policyChecker struct {
 	checker           *checker
 	isAgreed          bool
 	stopsWhenIsolated bool
-	leaseTerm         time.Duration // an isolated member admits no requests from so long after its last contact on
+	leaseTerm         time.Duration // time after its last contact from which an isolated member admits no requests
 	parts             map[string]*partChecker
 	partsOf           map[int]map[string]bool // by process, besides the global part
 	onDisk            map[string]map[string]bool
@@ -40,20 +40,20 @@
 	notifications     map[string]*Line    // by change: what its author was notified of
 	voters            []string
 	futureVoters      []string // members that may become voters
-	changedAt         int64    // a change was last proposed or decided
+	changedAt         int64    // when a change was last proposed, first used or decided
 	// Changes whose authors have not been notified yet.
 	pending    map[string]bool
-	lastUseAt  int64 // a request was last admitted
+	lastUseAt  int64 // when a request was last admitted
 	disksKnown bool  // the history contains OnDisk lines
 
 	mixedUses     map[partUse]bool
-	multiPartUses map[int]map[string]int64 // by process and change of several parts: first use
+	multiPartUses map[int]map[string]int64 // by process and change of several parts: time of the first use
 	isolation     isolationChecker
 
 	one, all, start, serves, durable, notified, atomic *Claim
 }
 
-// partChecker is what is known of one part of the policy.
+// partChecker records the use of one part of the policy.
 type partChecker struct {
 	policy  *policyChecker
 	name    string
@@ -62,8 +62,8 @@
 	users   map[int]*partUser // by process
 }
 
-// partUse is a request that a process admitted by one part after it had admitted one by a change of that part and
-// another one.
+// partUse is a process's use of a version of one part after it had used a change of several parts that include this
+// one.
 type partUse struct {
 	pid    int
 	part   string
@@ -134,7 +134,7 @@
 	return all
 }
 
-// applyLine applies a line about the policy. It reports whether the line was about the policy.
+// applyLine applies a line if it is about the policy, and reports whether it is.
 func (p *policyChecker) applyLine(l *Line) bool {
 	switch l.What {
 	case Agreed:
@@ -181,8 +181,8 @@
 	return t
 }
 
-// firstLaterUse returns when a version later than n was first used, and which one; 0: never. If several were first used
-// at the same time, it returns the lowest number.
+// firstLaterUse returns the time at which a version later than n was first used, and that version; 0: never. If several
+// were first used at the same time, it returns the lowest number.
 func (q *partChecker) firstLaterUse(n uint64) (at int64, by uint64) {
 	for m, u := range q.used {
 		if m <= n {
@@ -221,7 +221,7 @@
 	return u != nil && slices.Contains(q.policy.excluded[u.id], name)
 }
 
-// applyUse applies that a process admitted a request by a policy.
+// applyUse applies the admission of a request by a process under a policy version.
 func (p *policyChecker) applyUse(l *Line) {
 	o := p.checker.processes[l.PID]
 	if o == nil || !p.isAgreed {
@@ -289,7 +289,7 @@
 	}
 }
 
-// checkNumber checks that a process never goes back to an earlier policy.
+// checkNumber checks that a process never returns to an earlier policy.
 func (p *policyChecker) checkNumber(q *partChecker, t *partUser, o *process, l *Line) {
 	n := l.Number
 	if n == t.number && t.hasUsed {
@@ -312,8 +312,8 @@
 	lag   time.Duration
 }
 
-// checkLag checks for how long a process goes on with an earlier policy than one that is used elsewhere. It returns
-// a use that is too late, once for each later policy; nil: none.
+// checkLag checks for how long a process uses a policy after the first use of a later one by any process. It returns a
+// use that is too late, at most once for each later policy, or nil.
 func (p *policyChecker) checkLag(q *partChecker, t *partUser, o *process, l *Line) *lateUse {
 	ck := p.checker
 	n := l.Number
@@ -379,7 +379,7 @@
 	o := ck.processes[l.PID]
 	t := p.part(l.Part).user(l.PID)
 	if o == nil || !p.isAgreed || !t.hasUsed || l.T-t.lastRejectedAt < int64(time.Second) {
-		// Rejections are checked at most once a second.
+		// The rejections of a process are checked at most once a second.
 		return
 	}
 	t.lastRejectedAt = l.T
@@ -449,7 +449,7 @@
 	}
 }
 
-// firstPart returns the part of a change whose number its author is notified of.
+// firstPart returns the part of a change whose policy number is reported to its author.
 func (p *policyChecker) firstPart(id string) string {
 	if all := p.partsOfChange[id]; len(all) > 0 {
 		return all[0]
@@ -492,7 +492,7 @@
 	return all
 }
 
-// Policy checks a history of policies only, and returns only the claims about policies.
+// Policy checks a history and returns only the claims about policies.
 func Policy(b Bounds, lines []Line) *Report {
 	r := Check(b, lines)
 	r.Claims = slices.DeleteFunc(r.Claims, func(c *Claim) bool { return !strings.HasPrefix(c.Name, "policy-") })
--- a/internal/faulttest/checker/propagation.go
+++ b/internal/faulttest/checker/propagation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// PropagationTimes are the times from each event of a daemon until the last of the others knew of it.
+// PropagationTimes are the times from each event of a daemon until the last of the other daemons had learned of it.
 type PropagationTimes struct {
 	Crash   []time.Duration
 	Leave   []time.Duration
@@ -47,7 +47,7 @@
 	at          int64
 	name        string // of the daemon that it happened to
 	incarnation string
-	state       string       // in which the others have to see it
+	state       string       // state of the daemon that the others' views must show
 	unaware     map[int]bool // processes that have not learned of the event
 	lastLearned int64        // 0: no process has learned of it, or the time has been recorded
 	times       *[]time.Duration
@@ -104,7 +104,7 @@
 	p.events = append(p.events, e)
 }
 
-// forgetObserver removes a process that ended from those that have to learn of events.
+// forgetObserver removes a process that has ended from those that must learn of events.
 func (p *propagation) forgetObserver(pid int) {
 	for _, e := range p.events {
 		delete(e.unaware, pid)
--- a/internal/faulttest/checker/report.go
+++ b/internal/faulttest/checker/report.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Bounds are the limits of the claims. A looser bound lets faults pass, a tighter one breaks claims on a busy machine.
+// Bounds are the thresholds of the claims. A looser bound lets faults pass; a tighter one breaks claims on a busy
+// machine.
 type Bounds struct {
-	Crash           time.Duration // until a crash is known to all linked daemons
-	Leave           time.Duration // until a graceful leave is known
-	Join            time.Duration // until a start is known
+	Crash           time.Duration // until all linked daemons consider a killed daemon dead
+	Leave           time.Duration // until they consider a daemon that leaves gracefully departed
+	Join            time.Duration // until they consider a daemon that starts alive
 	Settle          time.Duration // after the last change, until all views agree with the truth
 	Pause           time.Duration // a process that is paused for at most this long must not be considered dead
 	MinServed       float64       // share of requests that are served
@@ -17,7 +18,7 @@
 	MaxBytes        int           // bytes in any second to peers
 	MaxRemoteBytes  int           // bytes in any second to other regions
 	MaxSuspicion    time.Duration // shorter suspicions within a region are ignored: a busy machine causes them
-	RoundTrips      int           // number of round trips between two daemons that is added to Crash, Leave and Join
+	RoundTrips      int           // added to Crash, Leave and Join: this many of the round-trip times that links add between two daemons
 	Ejection        time.Duration // until a failing server is ejected by all daemons
 	MaxEjectedShare float64       // for an ejected server, relative to an even share of requests
 	PolicySpread    time.Duration // from a policy's first use until all use it, on healthy links
@@ -101,7 +102,7 @@
 	return missed
 }
 
-// Find returns the claim of a name; nil: there is none.
+// Find returns the claim with a name, or nil.
 func (r *Report) Find(name string) *Claim {
 	for _, c := range r.Claims {
 		if c.Name == name {
--- a/internal/faulttest/checker/servers.go
+++ b/internal/faulttest/checker/servers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serverTruth is the true state of a server, by the actions of the fault test.
+// serverTruth is the true state of a server, according to the fault test, and its ejections.
 type serverTruth struct {
 	failureShare    float64
 	changedAt       int64 // last change between failing and healthy
--- a/internal/faulttest/checker/service.go
+++ b/internal/faulttest/checker/service.go
@@ -10,7 +10,7 @@
 // fault, not because of peers.
 const serviceSettleTime = int64(6 * time.Second)
 
-// servingProcess returns the process that serves a daemon's clients; nil: none.
+// servingProcess returns the process that serves a daemon's clients, or nil.
 func (ck *checker) servingProcess(name string) *process {
 	for _, pid := range ck.order {
 		if p := ck.processes[pid]; p.name == name && p.up && !p.duplicate {
