--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -12,10 +12,10 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Few simulates a fleet in which a few members are complete and the rest are modelled: modelled members answer probes
-// as members do, and probe the complete ones as often as that many members would. The rumors about one event reach
-// each complete member in as many datagrams as Copies says, spread over the duration News; both values come from runs in
-// which all members are complete.
+// Few simulates a fleet in which a few members are complete, that is, run the membership module, and the rest are
+// modelled: modelled members answer probes as members do, and probe the complete ones as often as the same number of
+// complete members would. The rumors about one event reach each complete member in Copies datagrams on average, spread
+// over the duration News; both values come from runs in which all members are complete.
 //
 // Not covered: what the modelled members conclude from what the complete ones report (no member receives their
 // suspicions), the cost of passing rumors on from member to member, and an overload in which these effects add up.
@@ -23,11 +23,11 @@
 	Seed    uint64
 	Layout  *topology.Layout
 	Members int
-	Whole   int // how many members, from the first, are complete
+	Whole   int // number of complete members, which are the first ones
 	Marks   []time.Duration
 	Length  time.Duration
 	Events  float64       // crashes and restarts of modelled members a second
-	Copies  float64       // datagrams by which a complete member is notified of one event
+	Copies  float64       // mean number of datagrams that notify a complete member of one event
 	News    time.Duration // time from the first to the last of these datagrams
 }
 
@@ -45,7 +45,7 @@
 	byAddr map[string]int
 }
 
-// Play runs the simulation and returns what it cost a complete member.
+// Play runs the simulation and returns the cost for a complete member.
 func (f *Few) Play() ([]Phase, error) {
 	w := &fewRun{f: f, rng: rand.New(rand.NewPCG(f.Seed, 71)), m: newMeter(f.Whole, f.Marks), wire: transport.Wire{Fleet: Fleet}, number: make([]uint64, f.Members),
 		wake: make([]time.Duration, f.Whole), byAddr: map[string]int{}}
@@ -116,7 +116,7 @@
 	})
 }
 
-// scheduleChurn makes a modelled member crash, or restart with a new boot number, and sends the rumors about it.
+// scheduleChurn makes a random modelled member crash, or restart if it has crashed, and sends the rumors about it.
 func (w *fewRun) scheduleChurn() {
 	w.after(time.Duration(w.rng.ExpFloat64()/w.f.Events*float64(time.Second)), func() {
 		n := w.f.Whole + w.rng.IntN(w.f.Members-w.f.Whole)
--- a/internal/faulttest/hollow/graph.go
+++ b/internal/faulttest/hollow/graph.go
@@ -69,7 +69,7 @@
 		g.Tier[k] = min(s.Tiers-1, k*s.Tiers/s.Services)
 	}
 	for k := range g.Calls {
-		// The services of lower tiers. One of the next tier is always called, so that chains reach their greatest
+		// Only services of lower tiers are called. One of the next tier always is, so that chains reach their greatest
 		// length.
 		below := make([]int, 0, s.Services)
 		first := -1
--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -30,16 +30,16 @@
 	Peers plan.Peers
 }
 
-// Side is the result of one of the three runs.
+// Side is the result of one run of Held.Play: of real daemons, of lightweight members on sockets, or in virtual time.
 type Side struct {
 	Name             string
-	Datagrams, Bytes float64 // of each member a second, at rest
+	Datagrams, Bytes float64 // sent by each member a second, at rest
 	EachBytes        float64 // mean size of a datagram
 	Processor        float64 // share of a core for each member, at rest; 0: unknown
 	Crash, Join      time.Duration
 	Crashes, Joins   int // events that all members observed
 	Unknown          int
-	// Per member, at rest: how often it found that it had been paused, and how often it suspected another member.
+	// Per member, at rest: how often it detected that it had been paused, and how often it suspected another member.
 	Doubts, Suspicions float64
 }
 
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	sides[2] = h.side("hollow, virtual time", r.Lines)
-	sides[2].Datagrams, sides[2].Bytes, sides[2].Processor = 0, 0, 0 // the lines count the membership module's upper bound of sizes
+	sides[2].Datagrams, sides[2].Bytes, sides[2].Processor = 0, 0, 0 // the lines contain the membership module's upper bounds of sizes
 	for _, x := range r.Loads {
 		span := (h.Rest[1] - h.Rest[0]).Seconds() * float64(h.Members)
 		sides[2].Datagrams += float64(x[1].Out.Messages) / span
--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -24,13 +24,13 @@
 	Down    []leasesim.Outage
 }
 
-// Play runs the simulation and returns what it cost a lease client (holder) and a lease server (keeper).
+// Play runs the simulation and returns the cost for a lease client (holder) and for a lease server (keeper).
 func (l *Limits) Play() (holder, keeper []Phase, r *leasesim.Result, err error) {
 	keepers := cmp.Or(l.Keepers, 3)
 	m := newMeter(l.Members, l.Marks)
 	wire := transport.Wire{Fleet: Fleet}
 	o := leasesim.Options{Seed: l.Seed, Clients: l.Members, Servers: keepers, Total: max(keepers, int(float64(l.Members)*l.Rate*1.1)), Kind: quota.Requests, Soft: true,
-		Duration: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, MeanAttemptTime: 100 * time.Millisecond, CountFrom: 2 * l.Length, // no counting of served requests, which is slow
+		Duration: l.Length, Demand: func(int, time.Duration) float64 { return l.Rate }, MeanAttemptTime: 100 * time.Millisecond, CountFrom: 2 * l.Length, // served requests are not counted, because that is slow
 		MessageSize: func(from string, x any) int { return size(wire, from, x) }, OnSent: m.sent, OnReceived: m.received, PeerPath: peerPath(l.Layout), Outages: l.Down}
 	if r, err = leasesim.Run(o); err != nil {
 		return nil, nil, nil, fmt.Errorf("simulate the limits of %d members: %w", l.Members, err)
@@ -40,8 +40,8 @@
 	return holder, keeper, r, nil
 }
 
-// KeeperTime returns the processor time that one lease request costs a lease server with so many clients, including
-// encoding and decoding.
+// KeeperTime returns the processor time of a lease server for one lease request, including encoding and decoding, when
+// it has the given number of clients.
 func KeeperTime(holders int) (time.Duration, error) {
 	s := lease.Settings{Servers: []string{"k"}, MaxAttemptTime: time.Second, Limits: []lease.Limit{{Limit: quota.Limit{Name: "l", Kind: quota.Requests, Class: -1, Zone: -1, Cell: -1}, Total: 10 * holders}}}
 	k, err := lease.NewServer(s, "k", 1)
--- a/internal/faulttest/hollow/meter.go
+++ b/internal/faulttest/hollow/meter.go
@@ -38,14 +38,14 @@
 	m.loads[member][m.at(now)].In.Add(now, bytes)
 }
 
-// phases returns the load of some of the members in each phase of a finished run.
+// phases returns the load in each phase of a finished run, averaged over the members for which of is true.
 func (m *meter) phases(length time.Duration, of func(member int) bool) []Phase {
 	m.at(length)
 	return phases(m.marks, length, m.used, m.loads, of)
 }
 
-// phases returns the load in each phase of a run, averaged over the members for which of is true. Processor time is
-// divided among all members.
+// phases returns the load in each phase of a run, averaged over the members for which of is true; nil: all members.
+// Processor time is divided by the number of all members.
 func phases(marks []time.Duration, length time.Duration, used []time.Duration, loads [][]virtual.Load, of func(member int) bool) []Phase {
 	used = append(used, processor())
 	var some [][]virtual.Load
--- a/internal/faulttest/hollow/shared_test.go
+++ b/internal/faulttest/hollow/shared_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ejectionLoad simulates services of ten agents, each of which calls the next three services, so that an agent's
-// surroundings are the same at any fleet size.
+// ejectionLoad simulates services of ten agents, each of which calls the next three services, so that each
+// agent has the same number of peers at any fleet size.
 func ejectionLoad(t *testing.T, agents int, rate float64) Phase {
 	t.Helper()
 	const size, calls = 10, 3
@@ -28,8 +28,8 @@
 	return phases[1]
 }
 
-// Ejection messages go to a server's subscribers only, and chance errors to a few of them, so twice the fleet costs
-// an agent hardly more.
+// Ejection messages go only to a server's subscribers, and those about chance errors only to a few of them, so the cost
+// for an agent hardly grows when the fleet doubles.
 func TestEjectionCostIsFlat(t *testing.T) {
 	small, large := ejectionLoad(t, 80, 100), ejectionLoad(t, 160, 100)
 	t.Logf("%.0f and %.0f bytes, %.2f and %.2f messages a second, %.4f and %.4f of a core", small.Out.Bytes, large.Out.Bytes, small.Out.Messages, large.Out.Messages, small.Processor, large.Processor)
@@ -47,8 +47,8 @@
 	}
 }
 
-// In a drawn graph a larger fleet also has more calls per agent. Twice the fleet must cost an agent less than twice
-// as much, from the start.
+// In a drawn graph an agent of a larger fleet also calls more servers. In a fleet of twice the size, the cost for an
+// agent must be at most twice as high in the second phase.
 func TestEjectionCostGrowsSlowerThanTheFleet(t *testing.T) {
 	drawn := func(agents int) Phase {
 		g, err := DrawGraph(GraphSpec{Agents: agents, Seed: 3})
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -73,7 +73,7 @@
 }
 
 // Play runs the plan to its end and returns the history lines of a fault test. Each run of a member has a number in
-// place of a process ID. CPUMS is set in the Sent lines of the first member only, and covers this whole process.
+// place of a process ID. CPUMS is set only in the Sent lines of the first member, and is that of this entire process.
 func (s *Sockets) Play(ctx context.Context) ([]checker.Line, error) {
 	if s.Plan.Daemons > maxSocketMembers {
 		return nil, fmt.Errorf("run %d members over sockets: at most %d are allowed in one process", s.Plan.Daemons, maxSocketMembers)
@@ -203,7 +203,7 @@
 	m.end = cancel
 	go func() {
 		defer close(m.done)
-		_ = c.Run(run) // the member ends with its context; an earlier end shows in the history as a silent member
+		_ = c.Run(run) // the member ends with its context; if it ends earlier, it appears in the history as a silent member
 	}()
 	return nil
 }
--- a/internal/faulttest/hollow/view.go
+++ b/internal/faulttest/hollow/view.go
@@ -27,7 +27,7 @@
 	Seed    uint64
 	Layout  *topology.Layout
 	Members int
-	Events  []plan.Event // what happens to members
+	Events  []plan.Event // events of members, such as kills and starts
 	Marks   []time.Duration
 	Length  time.Duration
 	Peers   plan.Peers
@@ -39,7 +39,7 @@
 	Agreed time.Duration
 }
 
-// Phase is what a run cost an agent between two marks: means over agents and time, except P99 and Most.
+// Phase is the cost of a run for an agent between two marks: means over agents and time, except P99 and Most.
 type Phase struct {
 	From, To  time.Duration
 	Out, In   Rate
@@ -49,11 +49,11 @@
 // Rate is the rate of messages in one direction.
 type Rate struct {
 	Bytes, Messages float64 // mean, a second
-	P99             float64 // bytes a second: of the agents' means over the phase, the one that 99 in 100 do not exceed
+	P99             float64 // bytes a second; the mean over the phase is at most this for 99 of 100 agents
 	Most            uint64  // largest number of bytes in one second of any agent
 }
 
-// Play runs the simulation, starting from a fleet whose members all know each other.
+// Play runs the simulation, starting from a fleet whose members all have complete views.
 func (v *View) Play() ([]Phase, *virtual.Result, error) {
 	v.Agreed = -1
 	p := &plan.Plan{Name: "hollow", Daemons: v.Members, Zones: 1, Seeds: seeds(v.Layout, v.Members), Length: v.Length, Events: v.Events, Peers: v.Peers}
@@ -75,7 +75,8 @@
 	return phases(v.Marks, v.Length, used, r.Loads, nil), r, nil
 }
 
-// Plus returns p plus times the difference between the costs of the phases other and rest.
+// Plus returns p plus the additional cost of other over rest, multiplied by times. Most is the larger one of p and
+// other.
 func (p Phase) Plus(rest, other Phase, times float64) Phase {
 	more := func(r *Rate, rest, other Rate) {
 		r.Bytes += times * (other.Bytes - rest.Bytes)
@@ -162,7 +163,7 @@
 		return 0, err
 	}
 	v.Step(0)
-	bytes = heap() - before + uint64(len(data)) // the texts and numbers of the records, which the view keeps in memory
+	bytes = heap() - before + uint64(len(data)) // the decoded records were on the heap before; their size is estimated by that of the message
 	if got := len(v.Members()); got != members {
 		return 0, fmt.Errorf("a view of %d members holds %d", members, got)
 	}
--- a/internal/faulttest/hollow/view_test.go
+++ b/internal/faulttest/hollow/view_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A member's memory grows linearly with the number of members that it knows. Both sizes fill the same share of a map's
+// A member's memory grows linearly with the number of members in its view. Both sizes fill the same share of a map's
 // tables, which grow in steps.
 func TestAViewsMemoryIsLinear(t *testing.T) {
 	small, err := Memory(800)
@@ -68,7 +68,7 @@
 	}
 }
 
-// A few complete members in a modelled fleet cost as much as in a fleet of complete members.
+// The cost of a complete member is the same in a modelled fleet as in a fleet of complete members.
 func TestAFewCompleteMembersCostWhatTheyCostInACompleteFleet(t *testing.T) {
 	whole := rest(t, 60, 20*time.Millisecond, 1, 2)[1]
 	l, err := topology.New(topology.Spec{Members: 60, Regions: 5, Zones: 3, RTT: 20 * time.Millisecond, Seed: 1})
--- a/internal/faulttest/policymodel/baselines.go
+++ b/internal/faulttest/policymodel/baselines.go
@@ -18,7 +18,7 @@
 	gossipInterval = 200 * time.Millisecond // mean time between two messages of a member, each to one other
 )
 
-// startBaseline lets a member serve by its document at once, regardless of the others.
+// startBaseline makes a member serve by its own document at once, regardless of the other members.
 func (w *simulation) startBaseline(m *member) {
 	if w.baseline.have == nil {
 		w.baseline.have = map[string]*policy.Document{}
@@ -59,7 +59,7 @@
 	}
 }
 
-// gossip lets a member send its document to a random other member at intervals.
+// gossip makes a member send its document to a random other member at intervals.
 func (w *simulation) gossip(m *member, pid int) {
 	w.schedule(w.now+time.Duration((0.75+0.5*w.rng.Float64())*float64(gossipInterval)), func() {
 		if m.pid != pid || m.serving.Blocked == "down" {
--- a/internal/faulttest/policymodel/draw.go
+++ b/internal/faulttest/policymodel/draw.go
@@ -11,7 +11,7 @@
 
 // Draw draws a random plan: a fleet, its settings, a change every few seconds, and overlapping faults. The faults are
 // partitions, one-way cuts and lossy links; crashes and restarts with the disk unchanged, or with an empty, torn or
-// earlier disk, of voters for at most a minority; pauses; slow and full disks; and leaves. At the end of the plan all
+// outdated disk (at most a minority of the voters); pauses; slow and full disks; and leaves. At the end of the plan all
 // links and disks are healthy and all members that ran are running again.
 func Draw(seed uint64, most int) (*plan.Plan, Options) {
 	rng := rand.New(rand.NewPCG(seed, 73))
@@ -34,7 +34,7 @@
 	down := map[int]bool{}
 	for t := 2 * time.Second; t < length-25*time.Second; t += time.Duration(1+rng.IntN(5)) * time.Second {
 		e := plan.Event{At: t, Do: "apply", Who: some(1)}
-		if rng.IntN(10) == 0 && !p.Policy.Stops { // only of one that is down: see below
+		if rng.IntN(10) == 0 && !p.Policy.Stops { // with cut_off = "vetoes", one change in ten is omitted
 			continue
 		}
 		add(e)
--- a/internal/faulttest/policymodel/drawparts.go
+++ b/internal/faulttest/policymodel/drawparts.go
@@ -49,7 +49,7 @@
 			if rng.IntN(4) == 0 {
 				e.Parts = append([]string{""}, e.Parts...)
 			}
-		case k == 3: // a part of a service that the author may not hold
+		case k == 3: // a part that the author may or may not hold
 			e.Parts = []string{fmt.Sprint("s", rng.IntN(8))}
 			if p.Policy.Holds[e.Parts[0]] == nil {
 				continue
--- a/internal/faulttest/policymodel/measure_test.go
+++ b/internal/faulttest/policymodel/measure_test.go
@@ -30,7 +30,7 @@
 	return took, r
 }
 
-// A voter with 16 open streams sends no further documents; the remaining members ask again 300 ms later.
+// A voter with 16 open streams sends no further documents; the other members request them again 300 ms later.
 func TestOpenStreamsAreLimited(t *testing.T) {
 	free, _ := measureChange(t, Options{})
 	few, _ := measureChange(t, Options{Streams: 16})
@@ -39,8 +39,8 @@
 	}
 }
 
-// Traffic is counted from the time in Since on, and what is sent is received. A longer delay makes a change slower. A
-// member that Cut isolates receives nothing.
+// Traffic is counted from the time in Since on, and all sent messages are received. A longer delay makes a change
+// slower. A member that Cut isolates does not receive the change.
 func TestMeasurementOptions(t *testing.T) {
 	steps := 0
 	near, r := measureChange(t, Options{Since: 5 * time.Second, Size: func(int, *policy.Message) int { return 100 }, Viewers: 3,
--- a/internal/faulttest/policymodel/parts_test.go
+++ b/internal/faulttest/policymodel/parts_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// The majority of voters is lost permanently, with changes of parts that only they knew. An operator's rescue lets one
-// voter continue, and all members converge on its version of each part.
+// The majority of voters is lost permanently, with changes of parts that only they had stored. An operator's rescue
+// lets one voter continue, and all members converge on its version of each part.
 func TestRescueOfPartsAfterTheMajorityIsLost(t *testing.T) {
 	p := fleet(6, 3, true, join([]plan.Event{withParts(at(4, "apply", 4), "near"), withParts(at(6, "apply", 4), "near"), withParts(at(7, "apply", 5), "far", "")},
 		cut(9, []int{2}, []int{0, 1, 3, 4, 5}, false, 6), []plan.Event{withParts(at(10, "apply", 4), "near"), withParts(at(11, "apply", 5), "far"), withParts(at(11.5, "apply", 5), "late")},
@@ -109,15 +109,15 @@
 		[]plan.Event{withParts(at(50, "apply", 4), "near"), withParts(at(51, "apply", 5), "far", "late")}, withState(at(80, "start", 0), "kept"), []plan.Event{withParts(at(95, "apply", 4), "near")})...)
 	p.Policy.Holds = map[string][]int{"near": {3, 4}, "far": {4, 5}, "late": {5}}
 	p.Length = 120 * time.Second
-	// The rescue gives up what only the lost voters knew, so a number may be used twice. The test therefore checks that
-	// all members converge, not the claims.
+	// The rescue discards changes that only the lost voters had stored, so a number may be used twice. The test
+	// therefore checks that all members converge, not the claims.
 	givenUp := 0
 	r, _ := play(t, p, Options{Seed: 2, Witness: true, Log: func(_ time.Duration, _, text string) {
 		if strings.Contains(text, " is given up: after a rescue") {
 			givenUp++
 		}
 	}})
-	if givenUp < 5 { // near at two, far at two, late at one
+	if givenUp < 5 { // each member that holds a part: near and far two each, late one
 		t.Errorf("only %d documents were given up", givenUp)
 	}
 	text := func(n int, part string) string {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -1,7 +1,7 @@
 // Package policymodel simulates a fleet that agrees on its policy, in virtual time. It runs the modules that daemons
 // run, with models of their links, disks, clocks, pauses and crashes. Each member admits requests all the time by the
-// policy that its module last reported, and the checker reads by which policy each request was admitted. The same seed
-// gives the same lines.
+// policy that its module last reported, and each line of the history contains the policy by which a request was
+// admitted. The same seed gives the same lines.
 package policymodel
 
 import (
@@ -31,10 +31,10 @@
 	// MaxClockDrift is the largest share by which the rate of a clock differs from real time, either way; default 1%.
 	MaxClockDrift float64
 	ClockDrift    func(member int) float64 // drift of a member's clock; nil: random
-	// Kill lists points at each of which the member that acts is killed; see Result.Points.
+	// Kill lists the points at which the acting member is killed; see Result.Points.
 	Kill  []int
-	Back  time.Duration                            // from a kill by Kill until the member starts again; default 1.5 s
-	Lose  []int                                    // points at which the message sent is lost
+	Back  time.Duration                            // time from such a kill until the member starts again; default 1.5 s
+	Lose  []int                                    // points at which the message being sent is lost
 	From  time.Duration                            // time from which points are counted
 	Log   func(at time.Duration, who, text string) // receives log lines; nil: they are discarded
 	Point func(n int, at time.Duration, who, what string)
@@ -52,7 +52,7 @@
 	Serves func(at time.Duration, member int, part string, number uint64)
 	// Streams limits the open streams of a sender: further messages that need a stream are dropped. 0: no limit.
 	Streams int
-	Viewers int                                                  // number of members that get the membership view; 0: all
+	Viewers int                                                  // only this many members, from the first, get the membership view; 0: all
 	Delay   func(from, to int) time.Duration                     // additional one-way delay between two members
 	Cut     func(now time.Duration, from, to int) (nothing bool) // drops all messages between two members
 }
@@ -70,7 +70,7 @@
 // Result is the outcome of a simulation.
 type Result struct {
 	Lines    []checker.Line
-	Points   int // number of points at which a member wrote to its disk, or sent or received a message
+	Points   int // number of times, from Options.From on, that a member began or ended a write, or sent or received a message
 	Messages int
 	Bytes    int
 	Persists int
@@ -89,13 +89,14 @@
 	maxExtraDelay    = 700 * time.Microsecond
 	minSyncTime      = time.Millisecond // minimum time of a synced write
 	maxExtraSyncTime = 4 * time.Millisecond
-	maxApplyTime     = 5 * time.Millisecond   // time within which all instances of a daemon switch to a new policy
-	retryDelay       = 200 * time.Millisecond // also the time from a graceful leave to the end of the process
+	maxApplyTime     = 5 * time.Millisecond   // maximum time until the instances of a daemon use a new policy
+	retryDelay       = 200 * time.Millisecond // until a lost segment is sent again; also from a graceful leave to the end of the process
 	abortInterval    = 5 * time.Second        // after a restart: time between attempts to abort a change of unknown state
 	viewInterval     = 250 * time.Millisecond
 	streamTimeout    = 3 * time.Second
 	streamRate       = 12e6 // of a stream, in bytes per second
-	// maxMessageRate is in messages per second and member. One change per second with losses takes 100.
+	// maxMessageRate is the rate above which a run fails, in messages per second and member. One change per second with
+	// losses takes 100.
 	maxMessageRate = 500
 )
 
@@ -186,11 +187,11 @@
 	diskFull       bool
 	extraSyncTime  time.Duration
 	diskBusyUntil  time.Duration
-	lostWritePID   int // process that ended and lost a write, so that its later writes are lost too
+	lostWritePID   int // ended process that lost a write, so that its later writes are lost too
 	serving        policy.Serving
 	servingSeq     uint64 // sequence number of its serving state
 	leaving        bool
-	openStreams    int      // streams that it has open to others
+	openStreams    int      // its open streams to other members
 	watchedChanges []string // IDs of changes that its operators wait for
 	parts          []string // parts of the policy that it holds besides the global part
 }
@@ -328,7 +329,7 @@
 	w.lines = append(w.lines, l)
 }
 
-// atPoint counts a point at which a member acts. It reports whether the member is killed there.
+// atPoint counts a point at which a member acts (see Result.Points) and reports whether the member is killed there.
 func (w *simulation) atPoint(m *member, what string) bool {
 	if w.now < w.options.From || m.node == nil {
 		return false
@@ -403,7 +404,7 @@
 		}
 	}
 	node, err := policy.New(s, d, w.rng.Uint64())
-	if err != nil { // such as an invalid part in its state: the daemon serves by its file and does not participate
+	if err != nil { // for example an invalid part in its state: the daemon uses its file and does not participate
 		if w.options.Log != nil {
 			w.options.Log(w.now, m.name, err.Error())
 		}
@@ -423,8 +424,8 @@
 	w.scheduleRequest(m, pid)
 }
 
-// abortUnknown lets the operators of a restarted daemon abort a change whose state is unknown, repeatedly until it is
-// decided.
+// abortUnknown simulates the operators of a restarted daemon: they try to abort a change whose state is unknown, at
+// intervals until it is decided.
 func (w *simulation) abortUnknown(m *member, pid int, id string) {
 	w.schedule(w.now+abortInterval, func() {
 		if m.pid != pid || m.node == nil || !slices.Contains(m.watchedChanges, id) {
@@ -523,8 +524,8 @@
 	})
 }
 
-// applyServing changes by what a member's instances serve. A new policy takes effect within maxApplyTime; a renewed or
-// expired lease takes effect at once.
+// applyServing changes the policy and the lease by which a member's instances serve. A new policy takes effect within
+// maxApplyTime; a renewed or expired lease takes effect at once.
 func (w *simulation) applyServing(m *member, s policy.Serving) {
 	m.servingSeq++
 	if m.serving.Document != nil && s.Document.ID == m.serving.Document.ID && s.Fingerprint() == m.serving.Fingerprint() || s.Blocked != "" {
@@ -539,13 +540,13 @@
 			m.serving = s
 		}
 	})
-	if m.serving.Document != nil { // until then the earlier end of lease and the parts that both states serve apply
+	if m.serving.Document != nil { // until then, the earlier lease end and the parts in both states apply
 		m.serving.Until = min(m.serving.Until, s.Until)
 		m.serving.ServedParts = slices.DeleteFunc(slices.Clone(m.serving.ServedParts), func(p string) bool { return !slices.Contains(s.ServedParts, p) })
 	}
 }
 
-// reportServing calls Options.Serves for each part by whose version the member did not serve before.
+// reportServing calls Options.Serves for each part whose current version the member did not serve by before.
 func (w *simulation) reportServing(m *member, was, now *policy.Serving) {
 	if w.options.Serves == nil || now.Blocked != "" {
 		return
@@ -705,7 +706,7 @@
 	m.diskBusyUntil = max(m.diskBusyUntil, w.now) + minSyncTime + time.Duration(w.rng.Float64()*float64(maxExtraSyncTime)) + m.extraSyncTime
 	w.schedule(m.diskBusyUntil, func() {
 		if m.pid != pid || m.node == nil {
-			// The process ended: the write may be on the disk or not, but no write after a lost one is.
+			// The process has ended: the write may have reached the disk or not, but no write after a lost one has.
 			if m.disk != d || m.node != nil || m.lostWritePID == pid || m.diskFull || w.rng.IntN(2) == 0 {
 				m.lostWritePID = pid
 				return
@@ -736,7 +737,7 @@
 	}
 }
 
-// distributeMembers tells the members which members there are and which have left.
+// distributeMembers updates the membership views: all members that have ever run, and which of them have left.
 func (w *simulation) distributeMembers() {
 	var all []policy.MemberInfo
 	for _, m := range w.members {
@@ -757,7 +758,7 @@
 			continue
 		}
 		seen := all
-		if len(w.links) > 0 { // a member doesn't know of those that it can't receive from
+		if len(w.links) > 0 { // the view omits members from which all messages are lost
 			seen = slices.DeleteFunc(slices.Clone(all), func(x policy.MemberInfo) bool { return w.linkOf(w.byName[x.Name].n, m.n).Drop >= 1 })
 		}
 		w.step(m, policy.MembersChanged{Members: seen})
@@ -838,7 +839,7 @@
 	}
 }
 
-// propose lets an operator at a member propose a change.
+// propose simulates an operator who proposes a change at a member.
 func (w *simulation) propose(m *member, e plan.Event) {
 	if m.node == nil && w.options.Way == Agreed || m.paused {
 		return
--- a/internal/faulttest/topology/topology.go
+++ b/internal/faulttest/topology/topology.go
@@ -1,5 +1,5 @@
 // Package topology places members in regions and zones and gives the delay and loss of the network paths between them.
-// A layout is drawn from a seed and has no clock, so all its readers see the same one.
+// A layout is drawn from a seed and reads no clock: callers pass the time, so the same arguments give the same path.
 package topology
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Path is the delay and loss that one direction between two regions adds to those within a site.
+// Path is the delay and loss of one direction between two regions, in addition to those within a site.
 type Path struct {
 	Delay, Jitter time.Duration // one way; a datagram takes Delay plus up to Jitter
 	Loss          float64       // share of datagrams that are lost
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -37,7 +37,7 @@
 	slices.SortStableFunc(w.lines[first:], func(a, b checker.Line) int { return cmp.Compare(a.T, b.T) })
 }
 
-// lineOf returns the line that a daemon writes for an action; false: it writes none.
+// lineOf returns the line that a daemon writes for an action, and false if it writes none.
 func lineOf(a membership.Action) (checker.Line, bool) {
 	switch a := a.(type) {
 	case membership.MemberChanged:
--- a/internal/faulttest/virtual/load.go
+++ b/internal/faulttest/virtual/load.go
@@ -17,7 +17,7 @@
 type Flow struct {
 	Bytes, Messages uint64
 	Most            uint64 // maximum number of bytes in one second of the run's clock
-	Second          uint64 // number of the last second with traffic; not part of sums of flows
+	Second          uint64 // number of the latest second with traffic, from the start of the run
 	inSecond        uint64
 }
 
@@ -65,7 +65,7 @@
 	return len(data), read
 }
 
-// encodeExchange does what encode does, for a message on a stream.
+// encodeExchange is encode for a message on a stream.
 func (w *simulation) encodeExchange(a *daemon, at time.Duration, x *membership.Exchange) (int, *membership.Exchange) {
 	size, read := w.encode(a, at, 100+80*len(x.Records)+9*len(x.BucketDigests), x)
 	return size, read.(*membership.Exchange)
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -24,17 +24,17 @@
 // Options are the parameters of a simulation.
 type Options struct {
 	Seed    uint64
-	Daemons int                     // replaces the plan's number of daemons; 0: the plan's. Groups keep their members
+	Daemons int                     // replaces the plan's number of daemons; 0: the plan's. The plan's groups keep their members
 	Workers int                     // number of goroutines; 0: one per core
-	Plain   membership.BaselineMode // membership protocol of a baseline
-	// Each is called with each action of a daemon, from one goroutine, in order of time and daemon. No lines are kept
-	// then.
+	Plain   membership.BaselineMode // weaker membership protocols for comparison
+	// Each is called with each action of a daemon, from one goroutine, in order of time and daemon. If it is set, the
+	// result has no lines.
 	Each func(at time.Duration, daemon int, a membership.Action)
 	// Warm starts all daemons with complete views of one another.
 	Warm bool
 	// Instances is the number of instances that each daemon reports; 0: 1.
 	Instances int
-	FileCount int // number of balancers in the daemons' configuration files; 0: 1
+	FileCount int // number of the fleet's balancers in the daemons' configuration files; 0: 1
 	// Layout places the daemons in regions and zones, and its paths are added to the plan's links. nil: one site, and
 	// the plan's zones.
 	Layout *topology.Layout
@@ -42,11 +42,11 @@
 	Codec Codec
 	// Marks divides the run into phases, by which loads are counted: the first phase ends at the first mark.
 	Marks []time.Duration
-	// Passed is called from one goroutine when a phase after the first has begun, with its number, starting with 1. It
-	// may read a real clock.
+	// Passed is called from one goroutine when a phase other than the first begins, with the number of the phase: 1 for
+	// the second phase. It may read a real clock.
 	Passed func(phase int)
-	// Agreed is called from one goroutine when the views of all running daemons have become the same, or no longer are.
-	// It is called at steps of the run, so at most minDelay after the change.
+	// Agreed is called from one goroutine when the views of all running daemons become the same, and when they no
+	// longer are. It is called at steps of the run, so at most minDelay after the change.
 	Agreed func(at time.Duration, same bool)
 	// OneRegion hides the layout's regions from the daemons, for comparison.
 	OneRegion bool
@@ -55,7 +55,7 @@
 // Result is the outcome of a simulation.
 type Result struct {
 	Lines   []checker.Line
-	Traffic []membership.Traffic // by daemon; of a daemon that ended, as of its end
+	Traffic []membership.Traffic // by daemon; for a daemon that has ended, as of its end
 	Events  uint64               // number of deliveries and timers
 	Views   []*membership.View   // by daemon; nil: not running
 	Loads   [][]Load             // by daemon, and phase (Options.Marks)
@@ -80,8 +80,8 @@
 	from  int
 	seq   uint64
 	ev    membership.Event
-	runID uint64 // run ID of the receiver for which it is meant; 0: any
-	size  int    // on the wire
+	runID uint64 // run ID of the intended receiver; 0: any
+	size  int    // in bytes on the wire; 0: not counted as received
 }
 
 type inbox []delivery
@@ -152,7 +152,7 @@
 type rule struct {
 	from, to  map[int]bool
 	both      bool
-	isDefault bool // the plan's default links apply instead of link
+	isDefault bool // the plan's default links apply in place of link
 	link      plan.Link
 }
 
