--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -1,4 +1,4 @@
-// Package harness runs a fault test with real processes: daemons started by exec on loopback addresses of their own,
+// Package harness runs a fault test with real processes: daemons started by exec, each on its own loopback address,
 // relays on every link between them, stand-in servers and lists, and clients. The harness records its own actions,
 // which are the ground truth; the daemons record the changes that they observe. Both are returned as history lines
 // for the checker.
@@ -41,9 +41,9 @@
 	Program string // path of the daemons' executable
 	Seed    uint64
 	Keep    string    // directory for files, logs and events, kept after the run; empty: a temporary one
-	Tell    io.Writer // progress output for people; nil: none
-	Bare    bool      // without [peers]: each daemon runs alone, for comparison
-	Blind   bool      // the policy that each daemon serves is not polled, to measure what daemons cost at rest
+	Tell    io.Writer // receives human-readable progress output; nil: none
+	Bare    bool      // daemons have no [peers] section: each runs alone, for comparison
+	Blind   bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
 }
 
 // daemon is a daemon of the plan, or a second process with the name of one.
@@ -73,7 +73,7 @@
 	servers    []*standin.Form
 	load       *loadRecorder
 	policies   policies
-	states     []*serverState // of servers
+	states     []*serverState // by server
 	begin      time.Time
 	mu         sync.Mutex
 	lines      []checker.Line
@@ -96,7 +96,7 @@
 	}
 	r := &runner{o: o, p: p, net: byte(64 + rand.IntN(60)), relays: newRelays(o.Seed, p), load: newLoadRecorder()}
 	if r.dir = o.Keep; r.dir == "" {
-		dir, err := os.MkdirTemp("", "drill") // a short path: those of unix sockets are limited in length
+		dir, err := os.MkdirTemp("", "drill") // a short path, because the paths of unix sockets are limited in length
 		if err != nil {
 			return nil, err
 		}
@@ -129,7 +129,7 @@
 	return r.collect()
 }
 
-// ip returns an address of a daemon: its own (part 1), its relay's (part 2), and further parts when it moves.
+// ip returns an address of a daemon: its own for part 1, its relay's for part 2. Each move uses the next two parts.
 func (r *runner) ip(part, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, r.net, byte(part), byte(n + 1)})
 }
@@ -148,7 +148,7 @@
 	return d, r.place(d)
 }
 
-// place assigns a daemon addresses that it has not had before.
+// place assigns new addresses to a daemon and its relay.
 func (r *runner) place(d *daemon) error {
 	own, at := r.ip(1+2*d.moves, d.n), r.ip(2+2*d.moves, d.n)
 	d.moves++
@@ -211,7 +211,7 @@
 source = "main"
 listen = "unix:%s/client"
 `, d.dir, d.upstream.list.Addr(), r.ramp(), plan.Deadline, r.ownMarker(), d.name, d.dir)
-	for _, part := range r.heldParts(d) { // a service on the same servers, with an instance of its own
+	for _, part := range r.heldParts(d) { // each service has its own instance and the same servers
 		fmt.Fprintf(b, "\n[[source]]\nname = %q\nlist = %q\nspread = \"50ms\"\nfirst = \"50ms\"\n\n[[instance]]\nname = \"%s-%s\"\nsource = %q\nlisten = \"unix:%s/%s\"\n",
 			part, d.upstream.list.Addr(), d.name, part, part, d.dir, part)
 	}
@@ -372,8 +372,8 @@
 	return (user + system) * 10
 }
 
-// recordService records the outcomes of each second's requests under a time three seconds after that second's end: by
-// then each request has its answer.
+// recordService records the outcomes of the requests of each second. The time of the line is three seconds after the
+// end of that second, when each request has its answer.
 func (r *runner) recordService(first int64) {
 	for _, d := range r.daemons {
 		if d.clients == nil {
@@ -699,7 +699,7 @@
 }
 
 // handover makes a daemon hand over to a successor and finds the successor's process, which becomes a child of this
-// process when the old one exits.
+// process when the predecessor exits.
 func (r *runner) handover(ctx context.Context, d *daemon) error {
 	old, exited := d.pid, d.exited
 	if old == 0 {
--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -15,18 +15,18 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// arrivalSkew is by how much a request may reach its server later than another that was sent after it, on a busy
-// machine. Requests a second are counted over windows that are shorter by it.
+// arrivalSkew is the time by which a request may reach its server after a request that was sent later, on a busy
+// machine. Requests a second are counted over windows that are shorter by this time.
 const arrivalSkew = 100 * time.Millisecond
 
 // loadRecorder counts the requests at the servers: the ground truth for the checks of limits.
 type loadRecorder struct {
 	mu          sync.Mutex
 	inFlight    int
-	maxInFlight int // most in flight since the last read
+	maxInFlight int // maximum since the last read
 	all         window
 	each        map[int]*window
-	cold        map[int]time.Time // servers that have just started
+	cold        map[int]time.Time // time of the last start of each server that an event started
 	count       int
 }
 
@@ -48,14 +48,14 @@
 	return &loadRecorder{each: map[int]*window{}, cold: map[int]time.Time{}}
 }
 
-// serverStarted notes that a server has just started. Lists notify the daemons a moment later.
+// serverStarted records that a server has just started. The lists notify the daemons afterwards.
 func (l *loadRecorder) serverStarted(server int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold[server] = time.Now()
 }
 
-// startKnownAfter is the time by which daemons know that a server has just started, and by which the requests in
+// startKnownAfter is the time after a server's start by which the daemons have been notified of it and the requests in
 // flight at the start have ended.
 const startKnownAfter = 3 * time.Second
 
@@ -83,7 +83,8 @@
 	}
 }
 
-// read returns the maxima since the last read; cold is the largest count at any one cold server.
+// read returns the maxima since the last read, and the number of requests. cold is the largest number of requests in a
+// window at any one server in slow start.
 func (l *loadRecorder) read() (flight, rate, cold, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +118,7 @@
 	r.record(checker.Line{What: checker.Wanted, Wanted: int(sum)})
 }
 
-// recordLimitUse records what the servers saw in each tenth of a second.
+// recordLimitUse records the use of each limit, as measured at the servers, every tenth of a second.
 func (r *runner) recordLimitUse(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -20,12 +20,13 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// policies are the policy changes that a fault test proposes. Each version of a part's text has one class of its own, a
-// marker, besides the common classes: the marker that an instance serves shows from outside which version it applies.
+// policies are the policy changes that a fault test proposes. Each version of a part's text contains, besides the
+// common classes, a class that no other version has, its marker. Requests to the markers show which version an instance
+// applies.
 type policies struct {
 	mu      sync.Mutex
 	changes int
-	markers map[string][]string          // by part, oldest first; those of the common part begin with that of the daemons' files
+	markers map[string][]string          // by part, oldest first; the first one of the global part is that of the daemons' files
 	numbers map[string]map[string]uint64 // policy numbers of the committed changes, by change ID and part
 	lines   []checker.Line               // poll results; policy numbers are filled in at the end
 }
@@ -34,8 +35,8 @@
 	pollInterval    = 30 * time.Millisecond // between two polls of a daemon
 	pollTimeout     = 2 * time.Second
 	outcomeInterval = 100 * time.Millisecond
-	dropAfter       = 5 * time.Second  // operators drop a change of which no daemon has reported for so long
-	outcomeTimeout  = 90 * time.Second // after which operators stop asking for a change's outcome
+	dropAfter       = 5 * time.Second  // after which operators drop a change that no daemon has reported as under way
+	outcomeTimeout  = 90 * time.Second // after which operators stop polling for a change's outcome
 )
 
 // policy writes the [policy] section into a daemon's file.
@@ -68,7 +69,7 @@
 	return one("get") + one(marker)
 }
 
-// heldParts returns the additional services of a daemon, whose parts of the policy it holds.
+// heldParts returns the parts of the policy that a daemon holds, that is, its additional services.
 func (r *runner) heldParts(d *daemon) []string {
 	if r.p.Policy == nil {
 		return nil
@@ -105,7 +106,7 @@
 	}
 }
 
-// poll asks a daemon repeatedly which marker of a part it serves.
+// poll repeatedly requests the markers of a part from a daemon and records which one it serves.
 func (r *runner) poll(ctx context.Context, d *daemon, part string) {
 	c := newClients(filepath.Join(d.dir, cmp.Or(part, "client")))
 	defer c.http.CloseIdleConnections()
@@ -135,7 +136,8 @@
 			}
 		}
 		begun := transport.MonotonicNanos()
-		// If two passes find no marker and the daemon still serves, it applied its own file when the first pass began.
+		// If two passes find no marker and the daemon still serves the class get, it applied its own file when the
+		// first pass began.
 		if part != "" {
 			for k := len(markers) - 1; k >= 0; k-- {
 				order = append(order, k)
@@ -195,7 +197,7 @@
 	if d.pid == 0 || d.paused {
 		return nil
 	}
-	parts := slices.Sorted(slices.Values(e.Parts)) // the daemon's order: authors are notified of the first part's number
+	parts := slices.Sorted(slices.Values(e.Parts)) // in the daemon's order, because authors are notified of the first part's number
 	if len(parts) == 0 {
 		parts = []string{""}
 	}
@@ -273,8 +275,8 @@
 	}
 }
 
-// pollResults returns the poll results with their policy numbers: at the end it is known which change made which
-// policy.
+// pollResults returns the poll results with their policy numbers, which are known only at the end, when the authors
+// have been notified of the numbers of their changes.
 func (r *runner) pollResults() []checker.Line {
 	r.policies.mu.Lock()
 	defer r.policies.mu.Unlock()
--- a/internal/faulttest/harness/relay.go
+++ b/internal/faulttest/harness/relay.go
@@ -36,7 +36,7 @@
 	to     netip.AddrPort
 	udp    *net.UDPConn
 	tcp    *net.TCPListener
-	recent [][]byte // recently forwarded datagrams, for strays
+	recent [][]byte // last recentKept datagrams, for stray events; first has the first ones
 	first  [][]byte
 }
 
@@ -52,7 +52,8 @@
 		sent: map[int]sent{}, closed: make(chan struct{})}
 }
 
-// open opens the relay of a daemon, or of its new address, at an IP and returns the relay's address.
+// open opens a daemon's relay at the IP address at, in place of an earlier one, and returns the relay's address. The
+// daemon sends from the IP address from and receives at to.
 func (r *relays) open(n int, at, from netip.Addr, to netip.AddrPort) (netip.AddrPort, error) {
 	e := &relayEndpoint{n: n, to: to}
 	var err error
@@ -153,7 +154,7 @@
 			if r.replaced(e) {
 				return
 			}
-			continue // for example the ICMP refusal of a datagram sent to a daemon that is down
+			continue // for example because ICMP reported that a datagram was sent to a daemon that is down
 		}
 		data := append([]byte(nil), buf[:n]...)
 		r.mu.Lock()
@@ -213,7 +214,7 @@
 
 func (r *relays) deliver(e *relayEndpoint, data []byte) { _, _ = e.udp.WriteToUDPAddrPort(data, e.to) }
 
-// stray sends a daemon datagrams that it should ignore.
+// stray sends a daemon datagrams that it must ignore.
 func (r *relays) stray(n int, kind string, count int) {
 	r.mu.Lock()
 	e := r.endpoints[n]
@@ -299,8 +300,8 @@
 	return func() { close(done) }
 }
 
-// holdIfCut reports whether a link drops everything in either direction; if so, it first holds the new stream until the
-// caller gives up.
+// holdIfCut reports whether a link drops everything in either direction. If so, it first holds the new stream until the
+// caller closes it, for up to 10 s.
 func (r *relays) holdIfCut(from, to int, in *net.TCPConn) bool {
 	if r.link(from, to).Drop < 1 && r.link(to, from).Drop < 1 {
 		return false
@@ -324,7 +325,7 @@
 			r.sent[from] = sent{s.datagrams, s.bytes, s.streamed + n, s.far}
 			r.mu.Unlock()
 			l := r.link(from, to)
-			for tries := 0; r.chance(l.Drop); tries++ { // the data is lost, or sent again later
+			for tries := 0; r.chance(l.Drop); tries++ { // a lost segment is sent again after retransmitDelay
 				if l.Drop >= 1 && tries > 50 {
 					_, _ = in.Close(), out.Close()
 					return
--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/standin"
 )
 
-// clientTimeout is how long a client waits; the classes' deadline is a little shorter.
+// clientTimeout is how long a client waits for an answer; the deadline of the classes (plan.Deadline) is shorter.
 const clientTimeout = 2500 * time.Millisecond
 
 // upstream is a daemon's access to the servers and its list. All daemons use the same servers, each over relays of
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -20,7 +20,7 @@
 	"vetchhaven/internal/tomlfile"
 )
 
-// Plan is a fault test, fully validated.
+// Plan is a validated fault test.
 type Plan struct {
 	Name     string
 	Daemons  int
@@ -35,11 +35,11 @@
 	Regions  []string // region of each daemon by number; nil: there are no regions
 	Between  Link     // state of all links between two regions from the start, in place of Link
 	Events   []Event
-	Real     bool // needs real processes: something in the plan has no model
+	Real     bool // needs real processes, because virtual time has no model of an event or a limit
 	Why      string
 	Tries    []string // claims that the run must exercise
 	Zones    int
-	Takes    time.Duration // how long a server works on a request
+	Takes    time.Duration // processing time of a request at a server
 	Limits   []Limit
 	Keepers  []int
 	Term     time.Duration
@@ -47,7 +47,7 @@
 	Modelled bool    // runs in virtual time only
 }
 
-// Policy is how the daemons agree on a policy.
+// Policy configures the daemons' agreement on policies.
 type Policy struct {
 	Voters        []int
 	Stops, Last   bool
@@ -77,7 +77,7 @@
 	Each   bool // one for each server
 }
 
-// Settings returns the limits as daemons are configured with them.
+// Settings returns the daemons' configuration of the limits.
 func (p *Plan) Settings() lease.Settings {
 	s := lease.Settings{Term: p.Term, MaxAttemptTime: Deadline}
 	for _, k := range p.Keepers {
@@ -96,13 +96,13 @@
 	return quota.NotPartitioned
 }
 
-// RampTime is how long a server is cold after its start, as configured in the daemons.
+// RampTime is the duration of a server's slow start, as configured in the daemons.
 const RampTime = 15 * time.Second
 
-// Deadline is the deadline of the classes.
+// Deadline is the deadline of all request classes.
 const Deadline = 2 * time.Second
 
-// Peers are the settings of the daemons' membership view; 0: the default.
+// Peers are the settings of the daemons' membership module; 0: the default.
 type Peers struct {
 	Every, Direct, Indirect, SuspectLeast time.Duration
 	Bytes, FarBytes                       int
@@ -153,18 +153,18 @@
 	Link   Link
 	State  string        // of a start: kept, none, old, torn
 	Clock  time.Duration // of a start: offset of the daemon's wall clock
-	Share  float64       // of a starved daemon: its share of a core
-	Count  int           // of strays: how many
-	Kind   string        // of strays, disks and changes of policy
+	Share  float64       // of a starve event: the daemon's share of a core
+	Count  int           // of a stray event: number of datagrams
+	Kind   string        // of a stray or disk event: its kind; of an apply event: text of the proposed policy
 	Build  string        // of a start: path of another executable
 	Move   bool          // of a start: at a new address
 	Twin   bool          // of a start: a second process with this daemon's name, at another address
-	For    time.Duration // of a starved daemon: duration
-	Rate   float64       // of clients: requests a second from now on
+	For    time.Duration // of a starve event: duration
+	Rate   float64       // of a rate event: the clients' requests a second from then on
 	Fail   float64       // share of a server's requests that fail
 	Names  []int         // servers by number, from 0
-	Remove string        // of voters: the voter to remove
-	Parts  []string      // of a change of policy; empty: the common part
+	Remove string        // of a voters event: the voter to remove
+	Parts  []string      // of an apply event: parts of the policy to change; empty: the global part
 }
 
 type file struct {
@@ -281,13 +281,13 @@
 	"link":     {"who", "to", "one_way", "for", "drop", "duplicate", "reorder", "damage", "delay", "jitter", "slow", "break"},
 	"heal":     {"who", "to", "one_way"},
 	"list":     {"who", "for", "drop"},
-	"servers":  {"who", "for", "drop", "servers"}, // the links of the daemons in who to all servers, or to those named
+	"servers":  {"who", "for", "drop", "servers"}, // sets the loss of the links of the daemons in who to the named servers, or to all
 	"fail":     {"servers", "fail", "for"},
-	"fresh":    {"servers"}, // the list reports that they have just started, so they are cold
+	"fresh":    {"servers"}, // the list reports that they have just started, so slow start applies to them
 	"rate":     {"who", "rate"},
 	"stray":    {"who", "kind", "count"},
-	"forget":   {"who", "to"},                  // the operator at who reports that the daemons in to are gone
-	"apply":    {"who", "to", "kind", "parts"}, // the operator at who proposes a change of the parts, without the daemons in to
+	"forget":   {"who", "to"},                  // an operator at each daemon in who declares the daemons in to gone for good
+	"apply":    {"who", "to", "kind", "parts"}, // an operator at each daemon in who proposes a change of the parts that excludes the daemons in to
 	"voters":   {"who", "to", "remove"},
 	"rescue":   {"who"},
 	"trust":    {"who"},
@@ -297,7 +297,7 @@
 // StrayKinds are the kinds of unexpected datagrams that a stray event sends.
 var StrayKinds = []string{"damaged", "doubled", "old", "foreign", "future", "huge"}
 
-// MaxRealDaemons is how many real processes a fault test may have.
+// MaxRealDaemons is the maximum number of daemons in a fault test with real processes.
 const MaxRealDaemons = 64
 
 // Load reads and validates the plan file at path.
