--- a/internal/faulttest/soak/check/check.go
+++ b/internal/faulttest/soak/check/check.go
@@ -21,7 +21,7 @@
 	KeyedScope             Invariant = "keyed_scope"          // a retry with a key stays within its deduplication scope and window
 	RefusalNoEffect        Invariant = "refusal_no_effect"    // a refused request has not run
 	NothingToWithdrawn     Invariant = "nothing_to_withdrawn" // no attempt begins after the drain grace of a withdrawn server
-	SlowStartBudget        Invariant = "slow_start_budget"    // all agents together respect the capacity of a cold server
+	SlowStartBudget        Invariant = "slow_start_budget"    // all agents together respect the capacity of a server in slow start
 	DeadlinePassedOn       Invariant = "deadline_passed_on"   // the remaining time sent to a server is at most the client's
 	StalledAnswered        Invariant = "stalled_answered"     // a client that stalls within a request gets an error or a close
 	CleanStop              Invariant = "clean_stop"           // a process ends only after a signal, in time and with status 0
@@ -70,7 +70,7 @@
 	Capacity                float64 // requests a second of a warm server
 }
 
-// Effect says how a request may be retried.
+// Effect specifies how a request may be retried.
 type Effect int
 
 // Effects.
@@ -263,7 +263,8 @@
 	}
 }
 
-// aliveSince returns when the request's client last knew that the process at the other end of its connection was alive.
+// aliveSince returns the time of the client's last evidence that the process at the other end of the request's
+// connection was alive.
 func (r *requestHistory) aliveSince() time.Duration {
 	if r.ended != nil && r.ended.Began > 0 {
 		return min(r.sent.At, r.ended.Began)
@@ -280,7 +281,7 @@
 		c.violated(OneAnswer, r.answers[1].At, s.Agent, s.Request, "", "%d final answers", len(r.answers))
 	case len(r.answers) == 1 && r.answers[0].At > due:
 		c.violated(OneAnswer, r.answers[0].At, s.Agent, s.Request, "", "final answer came %v after the deadline", r.answers[0].At-s.At-s.Left)
-	case r.ended != nil && c.crowdedAt(s.Agent, r.ended.At): // a crowded agent may close a new connection unread
+	case r.ended != nil && c.crowdedAt(s.Agent, r.ended.At): // an agent without free descriptors may close a new connection unread
 	case len(r.answers) == 0 && r.left == nil && !c.killedWithin(s.Agent, r.aliveSince()-c.rules.Slack, due):
 		text := "no final answer"
 		if r.ended != nil {
@@ -445,9 +446,9 @@
 	}
 }
 
-// checkSlowStart checks that all agents together respect a cold server's budget in every window of the rule. With N
-// the number of requests that the settings allow at that age, the bound is N + 2*sqrt(N) + 2, or N + 3*sqrt(N) + 3 if
-// N is under 30. Only requests of agents that were notified of the server's start count.
+// checkSlowStart checks that all agents together respect the budget of a server in slow start, in every window of the
+// rule. With N the number of requests that the settings allow at that age, the bound is N + 2*sqrt(N) + 2, or
+// N + 3*sqrt(N) + 3 if N is under 30. Only requests of agents that were notified of the server's start count.
 func (c *checker) checkSlowStart() {
 	for key, all := range c.arrivals {
 		start, cold := c.starts[key]
--- a/internal/faulttest/soak/check/connections.go
+++ b/internal/faulttest/soak/check/connections.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// crowdedAt reports whether idle clients filled an agent's descriptors at a time, or had just disconnected.
+// crowdedAt reports whether idle clients used up an agent's descriptors at a time, or had disconnected less than
+// MaxStallTime before.
 func (c *checker) crowdedAt(agent int, at time.Duration) bool {
 	crowded := false
 	for _, e := range c.crowds[agent] {
@@ -19,7 +20,7 @@
 	return crowded
 }
 
-// countRequest adds a request to Counts.
+// countRequest counts a request under the names in Counts that apply.
 func (c *checker) countRequest(sent Event) {
 	if sent.Class == "search" || sent.Class == "modify" {
 		c.exercised(DirectoryRequests)
@@ -32,8 +33,8 @@
 	}
 }
 
-// servingAt reports whether an agent's process was ready at a time and had got no signal to end. stoppedAt is when it
-// got SIGTERM, if that is the latest change of its state, and otherwise 0.
+// servingAt reports whether an agent's process was ready at a time and had received no signal to end. stoppedAt is the
+// time of its SIGTERM if that is the latest change of its state, and otherwise 0.
 func (c *checker) servingAt(agent int, at time.Duration) (serving bool, stoppedAt time.Duration) {
 	handedOver := map[int]bool{}
 	for _, e := range c.agents[agent] {
--- a/internal/faulttest/soak/check/history.go
+++ b/internal/faulttest/soak/check/history.go
@@ -13,7 +13,7 @@
 	RequestResent      Kind = "request_resent"   // on a new connection, after the old one ended without a byte of an answer
 	AnswerRead         Kind = "answer_read"      // a final answer came, complete or, with Broken, visibly incomplete
 	ClientDisconnected Kind = "client_left"      // the client has closed its connection and no longer waits
-	ConnectionEnded    Kind = "connection_ended" // ended without an answer; Began is when the client last knew that the agent was alive
+	ConnectionEnded    Kind = "connection_ended" // ended without an answer; Began is the time of the client's last evidence that the agent was alive
 	StallBegan         Kind = "stall_began"      // a client has sent a part of a request and keeps the connection open
 	StallEnded         Kind = "stall_ended"      // the stalled client got an error, or its connection was closed
 
--- a/internal/faulttest/soak/client.go
+++ b/internal/faulttest/soak/client.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// ClientFault is how clients misbehave.
+// ClientFault is a kind of misbehaviour of clients.
 type ClientFault int
 
 // The faults of clients.
@@ -30,7 +30,7 @@
 	ClientsTrickle                   // write requests in small pieces
 )
 
-// class is a class of requests that clients send.
+// class is a request class of the clients, with its share of all requests.
 type class struct {
 	name   string
 	method string
@@ -64,7 +64,7 @@
 	used bool // a request on this connection has been answered
 }
 
-// run runs count clients until ctx ends and returns once each has its answer.
+// run runs count clients until ctx ends, and returns when none waits for an answer any more.
 func (c *clients) run(ctx context.Context, count int, seed uint64) {
 	for n := range count {
 		c.all.Go(func() {
@@ -127,7 +127,7 @@
 	return fmt.Sprintf("%s%d-%d", kind, c.agent, c.last.Add(1))
 }
 
-// awaitTurn waits until it is time for a client's next request.
+// awaitTurn waits until the time of a client's next request.
 func (c *clients) awaitTurn(rng *rand.Rand) {
 	pause := time.Duration(rng.ExpFloat64() * float64(c.pause))
 	if ClientFault(c.fault.Load()) == ClientsBurst {
@@ -218,7 +218,8 @@
 		}
 		_ = conn.Close()
 		if conn = c.dial(); conn == nil {
-			// No agent accepts connections any more: the request was never read, and the client knows this.
+			// No agent accepts connections any more, and the old connection ended before the request was read, so no
+			// answer is due.
 			c.rec.Put(check.Event{Kind: check.ClientDisconnected, Agent: c.agent, Request: r.id, Note: "no agent to ask again"})
 			return nil
 		}
@@ -248,7 +249,7 @@
 func (c *clients) leave(rng *rand.Rand, conn *clientConn, r request) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(time.Duration(rng.Float64() * 0.2 * float64(time.Second))))
 	if _, err := conn.in.Peek(1); err == nil {
-		return false // the answer came first
+		return false // the answer arrived first
 	}
 	left := check.Event{Kind: check.ClientDisconnected, Agent: c.agent, Request: r.id}
 	if rng.Float64() < 0.3 {
@@ -263,8 +264,8 @@
 // maxAnswerWait is how long a client that does not disconnect waits for the end of an answer.
 const maxAnswerWait = 20 * time.Second
 
-// await reads the answer. again is true if a connection that was used before ended without an answer: the agent may
-// close a connection between requests, and the client then sends the request again.
+// await reads the answer. again is true if a connection on which earlier requests were answered ended without an
+// answer: the agent may close a connection between requests, and the client then sends the request again.
 func (c *clients) await(conn *clientConn, r request) (again bool, next *clientConn) {
 	_ = conn.SetReadDeadline(time.Now().Add(maxAnswerWait))
 	if _, err := conn.in.Peek(1); err != nil {
@@ -324,7 +325,8 @@
 	c.rec.Put(check.Event{Kind: check.StallEnded, Agent: c.agent, Note: mark})
 }
 
-// sendMalformed sends an invalid or oversized request, nothing, or a request that it aborts.
+// sendMalformed opens a connection and sends an invalid or oversized request, sends nothing, or aborts within a
+// request.
 func (c *clients) sendMalformed(rng *rand.Rand) {
 	conn := c.dial()
 	if conn == nil {
--- a/internal/faulttest/soak/crowd.go
+++ b/internal/faulttest/soak/crowd.go
@@ -11,10 +11,11 @@
 
 const (
 	crowdSize  = 560                    // more than an agent may open (agentSockets)
-	crowdRetry = 100 * time.Millisecond // until an idle client that was closed connects again
+	crowdRetry = 100 * time.Millisecond // until an idle client whose connection was closed reconnects
 )
 
-// crowd fills an agent's descriptors with idle clients for a while; closed clients connect again.
+// crowd uses up an agent's file descriptors with idle clients for a while; clients whose connection is closed
+// reconnect.
 func (s *testbed) crowd(ctx context.Context, a *agentProcess, length time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
--- a/internal/faulttest/soak/directories.go
+++ b/internal/faulttest/soak/directories.go
@@ -13,14 +13,14 @@
 	"vetchhaven/internal/standin/directory"
 )
 
-// DirectoryFault is how a directory server mishandles some of its operations.
+// DirectoryFault is a kind of misbehaviour of a directory server, which affects some of its operations.
 type DirectoryFault int
 
 // The faults of directory servers.
 const (
 	DirectoryServes DirectoryFault = iota
 	DirectorySlow                  // answers up to 1.5 s late
-	DirectoryStalls                // answers nothing until the fault ends
+	DirectoryStalls                // sends no responses until the fault ends
 	DirectoryResets                // resets connections before an operation has run
 	DirectoryRunsAndResets
 	DirectoryCorrupts // answers twice, under another ID, or with garbage
--- a/internal/faulttest/soak/extraincidents.go
+++ b/internal/faulttest/soak/extraincidents.go
@@ -72,8 +72,8 @@
 	p.Incidents = append(p.Incidents, Incident{Kind: AgentSignals, At: at + crowdLead, Picks: picks, Way: int([]SignalSeries{TermTwice, TermThenHangup}[rng.IntN(2)])})
 }
 
-// addQuiet adds a quiet time of quietLengths run lengths, so that idle connections are evicted, after which servers and
-// processes fail at the same time. Incidents of the second half move behind the quiet time.
+// addQuiet adds a quiet time of quietLengths run lengths, in which idle connections are evicted. At its end, servers
+// and processes fail at the same time. Incidents of the second half of the run are moved to after the quiet time.
 func (p *Plan) addQuiet(rng *rand.Rand, size Size, agents int) {
 	begin, length := size.Length/2, quietLengths*size.Length
 	for i := range p.Incidents {
--- a/internal/faulttest/soak/ldapclient.go
+++ b/internal/faulttest/soak/ldapclient.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// connect opens a connection, or returns nil if there is none.
+// connect opens a connection, or returns nil if that fails or new connections are not allowed.
 func (c *ldapClients) connect() *ldapConn {
 	nc := c.dialAddr(c.addr)
 	if nc == nil {
@@ -114,7 +114,7 @@
 				return nil
 			}
 			_ = conn.Close()
-			conn = nil // closed by the agent: no request was read, or a notice says that none has run
+			conn = nil // closed by the agent: no request was read, or a notice indicates that none has run
 			continue
 		}
 		if c.disturb(rng, conn, requests) {
@@ -205,7 +205,7 @@
 		}
 	case draw < 0.06:
 		conn.lastID++
-		_, _ = conn.Write(ldapmsg.Cancel(conn.lastID, r.id)) // its response is read and skipped: r has its own response
+		_, _ = conn.Write(ldapmsg.Cancel(conn.lastID, r.id)) // the response to the cancel is read and skipped: r has its own response
 	}
 	return false
 }
@@ -292,7 +292,8 @@
 }
 
 // runLibrary sends requests through go-ldap, one after the other. A request that fails on a used connection is not
-// sent again, since the library does not distinguish a notice from another end of the connection.
+// sent again, since the library does not distinguish a Notice of Disconnection from any other way in which a connection
+// ends.
 func (c *ldapClients) runLibrary(ctx context.Context, rng *rand.Rand) {
 	var conn *goldap.Conn
 	used := false
--- a/internal/faulttest/soak/list.go
+++ b/internal/faulttest/soak/list.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// ListFault is how a list service misbehaves.
+// ListFault is a kind of misbehaviour of a list service.
 type ListFault int
 
 // The faults of list services.
@@ -24,7 +24,7 @@
 	ListSilent           // open watches send nothing, not even heartbeats
 	ListSlow             // calls and changes are delayed by a second
 	ListBusy             // calls get 503 after a delay
-	ListCuts             // watches end within a JSON object
+	ListCuts             // watches are cut off within a JSON object
 )
 
 const (
@@ -182,7 +182,7 @@
 		case ListSlow:
 			time.Sleep(listDelay)
 		}
-		// The agent may have ended this call, to watch at another address, and receives nothing here.
+		// The agent may have ended this call in order to watch at another address. Then it receives nothing here.
 		if r.Context().Err() != nil {
 			return
 		}
@@ -228,7 +228,7 @@
 	}
 }
 
-// recordNotified records the states that were written. A server that a full list does not name is gone.
+// recordNotified records the states that were written, and the state Gone for each server that a full list omits.
 func (l *list) recordNotified(m discovery.Members, entries map[string]entry) {
 	named := map[string]bool{}
 	for _, s := range m.Servers {
--- a/internal/faulttest/soak/plan.go
+++ b/internal/faulttest/soak/plan.go
@@ -22,7 +22,7 @@
 	DaemonHandover IncidentKind = "daemon-handover"
 
 	ServersFaulty IncidentKind = "servers"
-	ServersCrash  IncidentKind = "servers-crash"  // and restart at another address, cold
+	ServersCrash  IncidentKind = "servers-crash"  // and restart at another address, where slow start applies
 	ServersDrain  IncidentKind = "servers-drain"  // the list reports them as draining, and later as ready
 	ServersRejoin IncidentKind = "servers-rejoin" // the list removes them, and they come back with a new process
 	ListFaulty    IncidentKind = "list"
@@ -30,7 +30,7 @@
 
 	AgentSignals      IncidentKind = "agent-signals" // a SignalSeries
 	Crowd             IncidentKind = "crowd"         // idle clients fill an agent's descriptors
-	Quiet             IncidentKind = "quiet"         // no client sends anything
+	Quiet             IncidentKind = "quiet"         // no client sends a request
 	DirectoriesFaulty IncidentKind = "directories"   // a DirectoryFault
 )
 
@@ -40,7 +40,7 @@
 	At    time.Duration `json:"at"`
 	For   time.Duration `json:"for"`
 	Picks []int         `json:"picks"` // numbers of the affected agents or servers
-	Way   int           `json:"way"`   // ServerFault, ListFault, ClientFault, SignalSeries or DirectoryFault
+	Way   int           `json:"way"`   // number of the ServerFault, ListFault, ClientFault, SignalSeries or DirectoryFault
 }
 
 func (t Incident) String() string {
--- a/internal/faulttest/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -114,7 +114,7 @@
 	return r
 }
 
-// watchLateness measures the scheduling delay of this process: recorded times are off by as much.
+// watchLateness measures the largest scheduling delay of this process: recorded times are late by up to that much.
 func (s *testbed) watchLateness(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for ctx.Err() == nil {
--- a/internal/faulttest/soak/process.go
+++ b/internal/faulttest/soak/process.go
@@ -25,7 +25,7 @@
 type agentProcess struct {
 	n       int
 	serve   bool
-	pushed  bool // its list is pushed (mode automatic); otherwise the agent asks for it (subscribe)
+	pushed  bool // its list is pushed (mode automatic); otherwise the agent subscribes to it (mode subscribe)
 	program string
 	dir     string
 	listen  string
@@ -340,7 +340,7 @@
 	agentSockets      = 512                    // descriptors that an agent may open
 )
 
-// maxStopTime returns how long after SIGTERM a platform kills a process, at the earliest.
+// maxStopTime returns how long a platform waits at least, after SIGTERM, before it kills a process.
 func (a *agentProcess) maxStopTime() time.Duration { return a.deadline + stopSlack }
 
 // terminate sends SIGTERM to the current process, followed by the signals in after, and kills it if it does not end
--- a/internal/faulttest/soak/server.go
+++ b/internal/faulttest/soak/server.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// ServerFault is how a server misbehaves.
+// ServerFault is a kind of misbehaviour of a server.
 type ServerFault int
 
 // The faults of servers.
@@ -120,7 +120,7 @@
 func (s *server) setFault(way ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault == ServerSilent && way != ServerSilent { // the machine is back and resets connections unknown to it
+	if s.fault == ServerSilent && way != ServerSilent { // the simulated machine is reachable again and resets its open connections
 		close(s.silentUntil)
 		s.silentUntil = make(chan struct{})
 		for c := range s.conns {
@@ -289,7 +289,7 @@
 	return write(c, text) && goesOn
 }
 
-// bodyOf returns the beginning of the answer to a request, by which the client recognizes its own answer.
+// bodyOf returns the beginning of the answer to a request, from which the client recognizes the answer as its own.
 func bodyOf(id string) string { return "done " + id + "\n" }
 
 func write(c net.Conn, text string) bool {
--- a/internal/faulttest/soak/signals.go
+++ b/internal/faulttest/soak/signals.go
@@ -13,17 +13,17 @@
 // SignalSeries is a sequence of signals to one process.
 type SignalSeries int
 
-// The series.
+// The series of signals.
 const (
 	TermTwice         SignalSeries = 1 + iota
 	TermThrice                     // SIGTERM and two more
-	HangupThenTerm                 // without a pause
-	TermThenHangup                 // without a pause
-	HangupsInDrain                 // each with a changed configuration, until the process ends
+	HangupThenTerm                 // SIGHUP, and SIGTERM without a pause
+	TermThenHangup                 // SIGTERM, and SIGHUP without a pause
+	HangupsInDrain                 // SIGHUPs after SIGTERM, each with a changed configuration, until the process ends
 	TermBeforeReady                // to a process that has just been started
 	TermInHandover                 // to the old process, while a successor starts
 	TermAfterHandover              // to the new process, as soon as it is ready
-	ReloadsInARow                  // each with a changed configuration, back to back
+	ReloadsInARow                  // SIGHUPs at intervals of betweenReloads, each with a changed configuration
 	afterLastSeries
 )
 
