--- a/internal/faulttest/soak/check/check.go
+++ b/internal/faulttest/soak/check/check.go
@@ -63,11 +63,11 @@
 	DeadlineOver            time.Duration // the remaining time passed on may exceed the client's by this much
 	Classes                 map[string]ClassRules
 	Zones                   map[string]string // zone of each server
-	ColdShare               float64           // share of a server's capacity at its start
+	ColdShare               float64           // share of a server's capacity at the beginning of its slow start
 	RampTime                time.Duration
 	FallMultiple            float64
 	FallWindow              time.Duration
-	Capacity                float64 // requests a second of a warm server
+	Capacity                float64 // requests a second of a server after its slow start
 }
 
 // Effect specifies how a request may be retried.
@@ -97,6 +97,7 @@
 	Text      string        `json:"text"`
 }
 
+// String returns the violation as the soak test prints it.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: agent %d request %q server %q: %s", v.Invariant, v.At.Seconds(), v.Agent, v.Request, v.Server, v.Text)
 }
--- a/internal/faulttest/soak/check/history.go
+++ b/internal/faulttest/soak/check/history.go
@@ -22,7 +22,7 @@
 	ConnectionLost Kind = "connection_lost" // a write of a request to a new connection failed
 	NoticeRead     Kind = "notice_read"     // a Notice of Disconnection came (RFC 4511, 4.4.1)
 	AfterNotice    Kind = "behind_notice"   // a message came after the notice
-	CrowdBegan     Kind = "crowd_began"     // idle clients fill the agent's descriptors
+	CrowdBegan     Kind = "crowd_began"     // idle clients begin to use up the agent's file descriptors
 	CrowdEnded     Kind = "crowd_ended"     // the idle clients have disconnected
 
 	RequestArrived Kind = "request_arrived" // a server has read the request's last byte; Began is when its first byte came
--- a/internal/faulttest/soak/crowd.go
+++ b/internal/faulttest/soak/crowd.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	crowdSize  = 560                    // more than an agent may open (agentSockets)
+	crowdSize  = 560                    // more connections than the descriptors that an agent may open (agentSockets)
 	crowdRetry = 100 * time.Millisecond // until an idle client whose connection was closed reconnects
 )
 
--- a/internal/faulttest/soak/extraincidents.go
+++ b/internal/faulttest/soak/extraincidents.go
@@ -15,7 +15,7 @@
 const (
 	// quietLengths is how long a quiet time lasts, as a multiple of the run's length.
 	quietLengths = 5
-	// crowdLead is how long before the signals a crowd begins.
+	// crowdLead is the time from the arrival of a crowd of idle clients to the signals.
 	crowdLead = 1500 * time.Millisecond
 )
 
@@ -61,8 +61,8 @@
 	return t
 }
 
-// addCrowd adds idle clients that fill an agent's descriptors, in half of the cases while the agent's list service is
-// down, and then a series of signals.
+// addCrowd adds idle clients that use up an agent's file descriptors, in half of the cases while the agent's list
+// service is down, and then a series of signals.
 func (p *Plan) addCrowd(rng *rand.Rand, size Size, at time.Duration) {
 	picks := []int{rng.IntN(size.Agents)}
 	p.Incidents = append(p.Incidents, Incident{Kind: Crowd, At: at, For: 2*crowdLead + time.Second, Picks: picks})
--- a/internal/faulttest/soak/plan.go
+++ b/internal/faulttest/soak/plan.go
@@ -29,7 +29,7 @@
 	ClientsFaulty IncidentKind = "clients"
 
 	AgentSignals      IncidentKind = "agent-signals" // a SignalSeries
-	Crowd             IncidentKind = "crowd"         // idle clients fill an agent's descriptors
+	Crowd             IncidentKind = "crowd"         // idle clients use up an agent's file descriptors
 	Quiet             IncidentKind = "quiet"         // no client sends a request
 	DirectoriesFaulty IncidentKind = "directories"   // a DirectoryFault
 )
@@ -43,6 +43,7 @@
 	Way   int           `json:"way"`   // number of the ServerFault, ListFault, ClientFault, SignalSeries or DirectoryFault
 }
 
+// String returns the incident as one line of a plan.
 func (t Incident) String() string {
 	return fmt.Sprintf("%s way %d at %.1f s for %.1f s: %v", t.Kind, t.Way, t.At.Seconds(), t.For.Seconds(), t.Picks)
 }
@@ -59,6 +60,7 @@
 	Incidents []Incident    `json:"troubles"`
 }
 
+// String returns the plan as the soak test prints it, with one incident a line.
 func (p Plan) String() string {
 	lines := []string{fmt.Sprintf("seed %d: %d agents, %d daemons, %d servers, %v, deadline %v", p.Seed, p.Agents, p.Daemons, p.Servers, p.Length, p.deadline()), "  faults: " + strings.Join(p.Faults, " ")}
 	for _, t := range p.Incidents {
--- a/internal/faulttest/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -208,7 +208,7 @@
 	if !started.IsZero() {
 		e.Started, e.began = started.UnixMilli(), started.Sub(s.rec.base)
 	} else {
-		e.process = 0 // started long ago, so the server is warm
+		e.process = 0 // the process started long ago, so slow start does not apply
 	}
 	s.dir.set(e)
 }
--- a/internal/faulttest/soak/server.go
+++ b/internal/faulttest/soak/server.go
@@ -234,7 +234,7 @@
 	return s.writeAnswer(c, way, id)
 }
 
-// maxQueueWait is how long a request waits for a worker.
+// maxQueueWait is how long a request waits for a worker before it is refused.
 const maxQueueWait = 100 * time.Millisecond
 
 func (s *server) queue() bool {
