--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -1,7 +1,7 @@
 // Package policymodel simulates a fleet that agrees on its policy, in virtual time. It runs the modules that daemons
 // run, with models of their links, disks, clocks, pauses and crashes. Each member admits requests all the time by the
-// policy that its module last reported, and each line of the history contains the policy by which a request was
-// admitted. The same seed gives the same lines.
+// policy that its module last reported, and the history contains the policy by which each request was admitted. The
+// same seed gives the same lines.
 package policymodel
 
 import (
@@ -90,13 +90,13 @@
 	minSyncTime      = time.Millisecond // minimum time of a synced write
 	maxExtraSyncTime = 4 * time.Millisecond
 	maxApplyTime     = 5 * time.Millisecond   // maximum time until the instances of a daemon use a new policy
-	retryDelay       = 200 * time.Millisecond // until a lost segment is sent again; also from a graceful leave to the end of the process
+	retryDelay       = 200 * time.Millisecond // of a retransmission; also of WatchChange after a restart, and of the end of the process after a graceful leave
 	abortInterval    = 5 * time.Second        // after a restart: time between attempts to abort a change of unknown state
 	viewInterval     = 250 * time.Millisecond
 	streamTimeout    = 3 * time.Second
 	streamRate       = 12e6 // of a stream, in bytes per second
-	// maxMessageRate is the rate above which a run fails, in messages per second and member. One change per second with
-	// losses takes 100.
+	// maxMessageRate is the number of messages that a run may send per second and member, besides 50,000 in all. One
+	// change per second with losses takes 100.
 	maxMessageRate = 500
 )
 
