--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -26,7 +26,7 @@
 	maxInFlight int // maximum since the last read
 	all         window
 	each        map[int]*window
-	cold        map[int]time.Time // time of the last start of each server that an event started
+	startedAt   map[int]time.Time // time of the last start of each server that an event started
 	count       int
 }
 
@@ -45,14 +45,14 @@
 }
 
 func newLoadRecorder() *loadRecorder {
-	return &loadRecorder{each: map[int]*window{}, cold: map[int]time.Time{}}
+	return &loadRecorder{each: map[int]*window{}, startedAt: map[int]time.Time{}}
 }
 
 // serverStarted records that a server has just started. The lists notify the daemons afterwards.
 func (l *loadRecorder) serverStarted(server int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold[server] = time.Now()
+	l.startedAt[server] = time.Now()
 }
 
 // startKnownAfter is the time after a server's start by which the daemons have been notified of it and the requests in
@@ -67,7 +67,7 @@
 	l.inFlight++
 	l.maxInFlight = max(l.maxInFlight, l.inFlight)
 	l.all.add(now)
-	if since := now.Sub(l.cold[server]); since > startKnownAfter && since < plan.RampTime {
+	if since := now.Sub(l.startedAt[server]); since > startKnownAfter && since < plan.RampTime {
 		w := l.each[server]
 		if w == nil {
 			w = &window{}
