--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -32,8 +32,8 @@
 
 // window counts the requests that began within the last second less arrivalSkew.
 type window struct {
-	begun []time.Time
-	most  int // largest count since the last read
+	begun    []time.Time
+	maxCount int // largest count since the last read
 }
 
 func (w *window) add(now time.Time) {
@@ -41,7 +41,7 @@
 		w.begun = w.begun[1:]
 	}
 	w.begun = append(w.begun, now)
-	w.most = max(w.most, len(w.begun))
+	w.maxCount = max(w.maxCount, len(w.begun))
 }
 
 func newLoadRecorder() *loadRecorder {
@@ -88,11 +88,11 @@
 func (l *loadRecorder) read() (flight, rate, cold, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	flight, rate, count = l.maxInFlight, l.all.most, l.count
-	l.maxInFlight, l.all.most, l.count = l.inFlight, 0, 0
+	flight, rate, count = l.maxInFlight, l.all.maxCount, l.count
+	l.maxInFlight, l.all.maxCount, l.count = l.inFlight, 0, 0
 	for _, w := range l.each {
-		cold = max(cold, w.most)
-		w.most = 0
+		cold = max(cold, w.maxCount)
+		w.maxCount = 0
 	}
 	return flight, rate, cold, count
 }
