--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -765,12 +765,12 @@
 		if err != nil {
 			return nil, err
 		}
-		said, err := checker.Read(f)
+		events, err := checker.Read(f)
 		_ = f.Close()
-		if err != nil && len(said) == 0 { // a daemon that was killed may have left a partial line
+		if err != nil && len(events) == 0 { // a daemon that was killed may have left a partial line
 			return nil, fmt.Errorf("events of %s: %w", d.name, err)
 		}
-		all = append(all, said...)
+		all = append(all, events...)
 	}
 	slices.SortStableFunc(all, func(a, b checker.Line) int { return cmp.Compare(a.T, b.T) })
 	return all, nil
