--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -234,7 +234,7 @@
 }
 
 func (r *runner) follow(ctx context.Context, d *daemon, id string, began time.Time) {
-	heard := time.Now()
+	lastReportAt := time.Now()
 	for at := d; time.Since(began) < outcomeTimeout; {
 		if sleep(ctx, outcomeInterval) != nil {
 			return
@@ -267,10 +267,10 @@
 			r.record(checker.Line{What: checker.AuthorNotified, Of: at.name, ID: id, State: f.State, Number: f.Number, Why: strings.TrimPrefix(f.By+": "+f.Why, ": ")})
 			return
 		case f.State == "under way":
-			heard = time.Now()
-		case time.Since(heard) > dropAfter && at != d:
+			lastReportAt = time.Now()
+		case time.Since(lastReportAt) > dropAfter && at != d:
 			_ = r.admin(ctx, at, http.MethodPost, "/policy/drop?id="+url.QueryEscape(id)+"&by=drill&reason=given+up", nil)
-			heard = time.Now()
+			lastReportAt = time.Now()
 		}
 	}
 }
