--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -250,8 +250,8 @@
 			Number         uint64
 			Parts          []policy.DocumentRef
 		}
-		ask, end := context.WithTimeout(ctx, 3*time.Second)
-		err := r.adminWith(ask, at, http.MethodGet, "/policy/fate?id="+url.QueryEscape(id), nil, func(body io.Reader) error { return json.NewDecoder(body).Decode(&f) })
+		request, end := context.WithTimeout(ctx, 3*time.Second)
+		err := r.adminWith(request, at, http.MethodGet, "/policy/fate?id="+url.QueryEscape(id), nil, func(body io.Reader) error { return json.NewDecoder(body).Decode(&f) })
 		end()
 		switch {
 		case err != nil:
