--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -117,13 +117,13 @@
 	}
 }
 
-func (g *serverRelay) setBlocked(shut bool) {
+func (g *serverRelay) setBlocked(blocked bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case shut && g.blocked == nil && !g.closed:
+	case blocked && g.blocked == nil && !g.closed:
 		g.blocked = make(chan struct{})
-	case !shut && g.blocked != nil:
+	case !blocked && g.blocked != nil:
 		close(g.blocked)
 		g.blocked = nil
 	}
