--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -110,10 +110,10 @@
 // awaitUnblocked waits while the relay is blocked.
 func (g *serverRelay) awaitUnblocked() {
 	g.mu.Lock()
-	shut := g.blocked
+	unblocked := g.blocked
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if unblocked != nil {
+		<-unblocked
 	}
 }
 
