--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -186,11 +186,11 @@
 
 // clients send requests to one daemon.
 type clients struct {
-	mu      sync.Mutex
-	seconds map[int]counts
-	http    *http.Client
-	asking  sync.WaitGroup
-	rate    atomic.Uint64 // requests a second, as the bits of a float64
+	mu       sync.Mutex
+	seconds  map[int]counts
+	http     *http.Client
+	inFlight sync.WaitGroup
+	rate     atomic.Uint64 // requests a second, as the bits of a float64
 }
 
 func newClients(socket string) *clients {
@@ -206,7 +206,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	defer c.http.CloseIdleConnections()
-	defer c.asking.Wait()
+	defer c.inFlight.Wait()
 	next := time.Now()
 	for i := 0; ; i++ {
 		// The rate may change at any time, so no wait is longer than a tenth of a second.
@@ -223,7 +223,7 @@
 			continue
 		}
 		second := int(time.Since(begin) / time.Second)
-		c.asking.Go(func() {
+		c.inFlight.Go(func() {
 			status := c.ask(fmt.Sprintf("%s-%d", name, i))
 			c.mu.Lock()
 			defer c.mu.Unlock()
