--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -224,7 +224,7 @@
 		}
 		second := int(time.Since(begin) / time.Second)
 		c.inFlight.Go(func() {
-			status := c.ask(fmt.Sprintf("%s-%d", name, i))
+			status := c.get(fmt.Sprintf("%s-%d", name, i))
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			n := c.seconds[second]
@@ -242,7 +242,7 @@
 	}
 }
 
-func (c *clients) ask(id string) (status int) {
+func (c *clients) get(id string) (status int) {
 	req, err := http.NewRequest(http.MethodGet, "http://daemon/get/"+id, nil)
 	if err != nil {
 		return 0
