--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -533,9 +533,9 @@
 		m.serving = s
 		return
 	}
-	told, pid := m.servingSeq, m.pid
+	seq, pid := m.servingSeq, m.pid
 	w.schedule(w.now+time.Duration(w.rng.Float64()*float64(maxApplyTime)), func() {
-		if m.pid == pid && m.servingSeq == told {
+		if m.pid == pid && m.servingSeq == seq {
 			w.reportServing(m, &m.serving, &s)
 			m.serving = s
 		}
