--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -741,10 +741,10 @@
 func (w *simulation) distributeMembers() {
 	var all []policy.MemberInfo
 	for _, m := range w.members {
-		life, left := w.departed[m.name]
+		runID, left := w.departed[m.name]
 		switch {
 		case left:
-			all = append(all, policy.MemberInfo{Name: m.name, RunID: life, Departed: true})
+			all = append(all, policy.MemberInfo{Name: m.name, RunID: runID, Departed: true})
 		case m.pid > 0:
 			all = append(all, policy.MemberInfo{Name: m.name, RunID: m.runID})
 		}
