--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -155,10 +155,10 @@
 			s.Processor += float64(u.to.CPUMS-u.from.CPUMS) * 1e6 / float64(span) / float64(h.Members)
 		}
 	}
-	news := checker.MeasurePropagation(lines, to, lines[len(lines)-1].T)
-	s.Crash, s.Crashes = median(news.Crash), len(news.Crash)
-	s.Join, s.Joins = median(news.Join), len(news.Join)
-	s.Unknown = news.Unknown
+	times := checker.MeasurePropagation(lines, to, lines[len(lines)-1].T)
+	s.Crash, s.Crashes = median(times.Crash), len(times.Crash)
+	s.Join, s.Joins = median(times.Join), len(times.Join)
+	s.Unknown = times.Unknown
 	return s
 }
 
