--- a/internal/faulttest/soak/check/check.go
+++ b/internal/faulttest/soak/check/check.go
@@ -470,8 +470,8 @@
 			for window[0].At < a.At-c.rules.FallWindow {
 				window = window[1:]
 			}
-			warmth := c.rules.ColdShare + (1-c.rules.ColdShare)*float64(age+c.rules.Slack)/float64(c.rules.RampTime)
-			n := c.rules.FallMultiple * c.rules.Capacity * warmth * c.rules.FallWindow.Seconds()
+			capacityShare := c.rules.ColdShare + (1-c.rules.ColdShare)*float64(age+c.rules.Slack)/float64(c.rules.RampTime)
+			n := c.rules.FallMultiple * c.rules.Capacity * capacityShare * c.rules.FallWindow.Seconds()
 			most := n + 2*math.Sqrt(n) + 2
 			if n < 30 {
 				most = n + 3*math.Sqrt(n) + 3
