--- a/internal/faulttest/soak/check/check.go
+++ b/internal/faulttest/soak/check/check.go
@@ -408,12 +408,12 @@
 func (c *checker) checkProcesses() {
 	type life struct{ started, ready, terminated, killed, handedOver *Event }
 	for agent, events := range c.agents {
-		lives := map[int]*life{}
+		processes := map[int]*life{}
 		for _, e := range events {
-			l := lives[e.Process]
+			l := processes[e.Process]
 			if l == nil {
 				l = &life{}
-				lives[e.Process] = l
+				processes[e.Process] = l
 			}
 			switch e.Kind {
 			case ProcessStarted:
