--- a/internal/faulttest/soak/check/check.go
+++ b/internal/faulttest/soak/check/check.go
@@ -406,13 +406,13 @@
 
 // checkProcesses checks that processes start and stop cleanly.
 func (c *checker) checkProcesses() {
-	type life struct{ started, ready, terminated, killed, handedOver *Event }
+	type processEvents struct{ started, ready, terminated, killed, handedOver *Event }
 	for agent, events := range c.agents {
-		processes := map[int]*life{}
+		processes := map[int]*processEvents{}
 		for _, e := range events {
 			l := processes[e.Process]
 			if l == nil {
-				l = &life{}
+				l = &processEvents{}
 				processes[e.Process] = l
 			}
 			switch e.Kind {
