--- a/internal/faulttest/soak/client.go
+++ b/internal/faulttest/soak/client.go
@@ -79,7 +79,7 @@
 				case fault == ClientsMalformed && rng.Float64() < 0.4:
 					c.sendMalformed(rng)
 				default:
-					conn = c.ask(rng, conn, fault)
+					conn = c.roundTrip(rng, conn, fault)
 				}
 				if conn != nil && rng.Float64() < 0.05 {
 					_ = conn.Close() // between requests
@@ -178,9 +178,9 @@
 	return r
 }
 
-// ask sends one request and waits for its answer. It returns the connection for the next request, or nil if it has
+// roundTrip sends one request and waits for its answer. It returns the connection for the next request, or nil if it has
 // ended.
-func (c *clients) ask(rng *rand.Rand, conn *clientConn, fault ClientFault) *clientConn {
+func (c *clients) roundTrip(rng *rand.Rand, conn *clientConn, fault ClientFault) *clientConn {
 	if conn == nil {
 		if conn = c.dial(); conn == nil {
 			return nil
