--- a/internal/faulttest/soak/ldapclient.go
+++ b/internal/faulttest/soak/ldapclient.go
@@ -71,7 +71,7 @@
 	var conn *ldapConn
 	for ctx.Err() == nil {
 		c.awaitTurn(rng)
-		conn = c.ask(rng, conn)
+		conn = c.roundTrip(rng, conn)
 		if conn != nil && rng.Float64() < 0.1 {
 			_, _ = conn.Write(ldapmsg.Unbind(conn.lastID + 1))
 			_ = conn.Close()
@@ -92,9 +92,9 @@
 	return &ldapConn{Conn: nc, in: ldapmsg.NewReader(nc, maxLDAPMessage), aliveAt: c.rec.Now()}
 }
 
-// ask writes one to maxPipelined requests at once and reads their responses. It returns the connection for the next
+// roundTrip writes one to maxPipelined requests at once and reads their responses. It returns the connection for the next
 // requests, or nil if it has ended.
-func (c *ldapClients) ask(rng *rand.Rand, conn *ldapConn) *ldapConn {
+func (c *ldapClients) roundTrip(rng *rand.Rand, conn *ldapConn) *ldapConn {
 	requests := make([]*ldapRequest, 1+rng.IntN(maxPipelined))
 	for i := range requests {
 		requests[i] = c.newRequest(rng)
