--- a/internal/faulttest/soak/ldapclient.go
+++ b/internal/faulttest/soak/ldapclient.go
@@ -308,7 +308,7 @@
 			conn.Start()
 			conn.SetTimeout(maxAnswerWait)
 		}
-		if !c.askLibrary(rng, conn, used) || rng.Float64() < 0.1 {
+		if !c.roundTripLibrary(rng, conn, used) || rng.Float64() < 0.1 {
 			_ = conn.Close()
 			conn = nil
 			continue
@@ -320,8 +320,8 @@
 	}
 }
 
-// askLibrary sends one request and reports whether the connection can be used further.
-func (c *ldapClients) askLibrary(rng *rand.Rand, conn *goldap.Conn, used bool) bool {
+// roundTripLibrary sends one request and reports whether the connection can be used further.
+func (c *ldapClients) roundTripLibrary(rng *rand.Rand, conn *goldap.Conn, used bool) bool {
 	r := c.newRequest(rng)
 	c.rec.Put(check.Event{Kind: check.RequestSent, Agent: c.agent, Request: r.name, Class: r.class, Left: c.deadline, First: !used})
 	var err error
