--- a/internal/faulttest/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -118,9 +118,9 @@
 func (s *testbed) watchLateness(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for ctx.Err() == nil {
-		asked := time.Now()
+		before := time.Now()
 		time.Sleep(every)
-		late := time.Since(asked) - every
+		late := time.Since(before) - every
 		s.mu.Lock()
 		s.late = max(s.late, late)
 		s.mu.Unlock()
