--- a/internal/faulttest/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -59,7 +59,7 @@
 	if err := s.startAll(ctx); err != nil {
 		return nil, rules, err
 	}
-	asking, stop := context.WithTimeout(ctx, p.Length)
+	clientsCtx, stop := context.WithTimeout(ctx, p.Length)
 	defer stop()
 	var running sync.WaitGroup
 	watching, unwatch := context.WithCancel(ctx)
@@ -67,9 +67,9 @@
 	go s.watchLateness(watching)
 	for _, a := range s.agents {
 		go a.watchScheduling(watching)
-		running.Go(func() { a.clients.run(asking, clientsEach, p.Seed<<8+uint64(a.n)) })
+		running.Go(func() { a.clients.run(clientsCtx, clientsEach, p.Seed<<8+uint64(a.n)) })
 		if a.ldapClients != nil {
-			running.Go(func() { a.ldapClients.run(asking, p.Seed<<8+uint64(a.n)) })
+			running.Go(func() { a.ldapClients.run(clientsCtx, p.Seed<<8+uint64(a.n)) })
 		}
 	}
 	begin := s.rec.Now()
@@ -78,7 +78,7 @@
 			select {
 			case <-time.After(begin + t.At - s.rec.Now()):
 				s.inject(ctx, t)
-			case <-asking.Done():
+			case <-clientsCtx.Done():
 			}
 		})
 	}
