--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -57,7 +57,7 @@
 		}
 		h[n].AddAgent(now, 1)
 	}
-	type question struct {
+	type encodedRequest struct {
 		from int
 		data []byte
 	}
@@ -71,14 +71,14 @@
 	for i := range steps {
 		now = time.Duration(i) * step
 		k.Tick(now)
-		var questions []question
+		var questions []encodedRequest
 		for n := range h {
 			for _, a := range h[n].Requests(now) {
 				data, err := wire.Marshal(a.Request.From, a.Request)
 				if err != nil {
 					return 0, err
 				}
-				questions = append(questions, question{n, data})
+				questions = append(questions, encodedRequest{n, data})
 			}
 		}
 		var answers []answer
