--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -71,19 +71,19 @@
 	for i := range steps {
 		now = time.Duration(i) * step
 		k.Tick(now)
-		var questions []encodedRequest
+		var requests []encodedRequest
 		for n := range h {
 			for _, a := range h[n].Requests(now) {
 				data, err := wire.Marshal(a.Request.From, a.Request)
 				if err != nil {
 					return 0, err
 				}
-				questions = append(questions, encodedRequest{n, data})
+				requests = append(requests, encodedRequest{n, data})
 			}
 		}
 		var answers []answer
 		began := processor()
-		for _, q := range questions {
+		for _, q := range requests {
 			x, err := wire.Unmarshal(q.data)
 			if err != nil {
 				return 0, err
@@ -97,7 +97,7 @@
 		}
 		if i >= counted {
 			used += processor() - began
-			asked += len(questions)
+			asked += len(requests)
 		}
 		for _, a := range answers {
 			for _, g := range h[a.to].HandleGrant(now, 0, a.grant) {
