--- a/internal/faulttest/hollow/limits.go
+++ b/internal/faulttest/hollow/limits.go
@@ -66,7 +66,7 @@
 		grant *lease.Grant
 	}
 	var used time.Duration
-	asked := 0
+	requestCount := 0
 	const step, steps, counted = 50 * time.Millisecond, 400, 300 // a lease server grants nothing during its first term
 	for i := range steps {
 		now = time.Duration(i) * step
@@ -97,7 +97,7 @@
 		}
 		if i >= counted {
 			used += processor() - began
-			asked += len(requests)
+			requestCount += len(requests)
 		}
 		for _, a := range answers {
 			for _, g := range h[a.to].HandleGrant(now, 0, a.grant) {
@@ -107,8 +107,8 @@
 			}
 		}
 	}
-	if asked == 0 {
+	if requestCount == 0 {
 		return 0, fmt.Errorf("lease server time: %d lease clients sent no requests", holders)
 	}
-	return used / time.Duration(asked), nil
+	return used / time.Duration(requestCount), nil
 }
