--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -195,7 +195,7 @@
 	return at, by
 }
 
-// maxLag returns how long a process may go on with an earlier policy after the first use of a later one.
+// maxLag returns how long a process may use an earlier policy after the first use of a later one.
 func (p *policyChecker) maxLag(o *process, t int64) time.Duration {
 	ck := p.checker
 	calm := o.pausedAt == 0 && t-o.resumedAt > int64(ck.bounds.Settle) && t > o.starvedUntil+int64(ck.bounds.Settle) && t-ck.lastDownAt > int64(ck.bounds.Settle) && ck.areLinksHealthy(t)
--- a/internal/faulttest/checker/servers.go
+++ b/internal/faulttest/checker/servers.go
@@ -72,7 +72,7 @@
 // maxProbers returns how many members may probe an ejected server; see docs/design/shared-verdicts.md.
 func maxProbers(members int) int { return max(1, min(3, members/8)) }
 
-// applyTruth applies a fault of a server, or the number of requests that a server got.
+// applyTruth applies a fault of a server, or the number of requests that a server received.
 func (s *serversChecker) applyTruth(l *Line) {
 	f := s.server(l.Server)
 	if l.What == Fault {
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -628,7 +628,7 @@
 	return nil
 }
 
-// end kills a daemon's process at once.
+// end ends a daemon's process with a signal and waits for its exit.
 func (r *runner) end(d *daemon, sig syscall.Signal) {
 	if d.pid == 0 {
 		return
--- a/internal/faulttest/soak/check/history.go
+++ b/internal/faulttest/soak/check/history.go
@@ -15,7 +15,7 @@
 	ClientDisconnected Kind = "client_left"      // the client has closed its connection and no longer waits
 	ConnectionEnded    Kind = "connection_ended" // ended without an answer; Began is the time of the client's last evidence that the agent was alive
 	StallBegan         Kind = "stall_began"      // a client has sent a part of a request and keeps the connection open
-	StallEnded         Kind = "stall_ended"      // the stalled client got an error, or its connection was closed
+	StallEnded         Kind = "stall_ended"      // the stalled client received an error, or its connection was closed
 
 	ConnectionMade Kind = "connection_made" // a client has connected; At is when the attempt began
 	ConnectFailed  Kind = "connect_failed"  // a client could not connect; At is when the attempt began
--- a/internal/faulttest/soak/client.go
+++ b/internal/faulttest/soak/client.go
@@ -49,8 +49,8 @@
 	fault atomic.Int32
 	pause time.Duration // mean time between a client's requests
 	last  atomic.Int64
-	// open is false while clients make no new connections: from 0.4 s after the agent got SIGTERM until the next
-	// process is ready.
+	// open is false while clients make no new connections: from 0.4 s after the agent received SIGTERM until the
+	// next process is ready.
 	open       atomic.Bool
 	quietUntil atomic.Int64  // run time until which no request is sent
 	deadline   time.Duration // longest time that a client waits
@@ -102,7 +102,7 @@
 	return &clientConn{Conn: nc, in: bufio.NewReader(nc)}
 }
 
-// dialAddr connects to an address of the agent and records the outcome; it returns nil if there is no connection.
+// dialAddr connects to an address of the agent and records the outcome; it returns nil if that fails.
 func (c *clients) dialAddr(addr string) net.Conn {
 	if !c.open.Load() {
 		return nil
--- a/internal/faulttest/soak/process.go
+++ b/internal/faulttest/soak/process.go
@@ -274,7 +274,7 @@
 		a.rec.Put(check.Event{Kind: check.ProcessReady, Agent: a.n, Process: a.current()})
 		return nil
 	}
-	if strings.Contains(strings.Join(a.env, " "), "FAULT_DISK") { // no space for the handover state: the old process stays
+	if strings.Contains(strings.Join(a.env, " "), "FAULT_DISK") { // no space for the handover state, so the old process continues
 		return nil
 	}
 	return fmt.Errorf("agent %d did not hand over within %v", a.n, maxReadyTime)
--- a/internal/faulttest/soak/signals.go
+++ b/internal/faulttest/soak/signals.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// adoptSuccessor makes a ready successor the current process. It reports false if there is none.
+// adoptSuccessor makes a ready successor the current process. It reports false if no successor is ready.
 func (a *agentProcess) adoptSuccessor() bool {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
