--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -15,25 +15,25 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// arrivalSkew is by how much a request may reach its server later than another that was sent after it, on a busy
-// machine. Requests a second are counted over windows that are shorter by it.
+// arrivalSkew is the time by which a request may reach its server after a request that was sent later, on a busy
+// machine. Requests a second are counted over windows that are shorter by this time.
 const arrivalSkew = 100 * time.Millisecond
 
 // loadRecorder counts the requests at the servers: the ground truth for the checks of limits.
 type loadRecorder struct {
 	mu          sync.Mutex
 	inFlight    int
-	maxInFlight int // most in flight since the last read
+	maxInFlight int // maximum since the last read
 	all         window
 	each        map[int]*window
-	cold        map[int]time.Time // servers that have just started
+	startedAt   map[int]time.Time // time of the last start of each server that an event started
 	count       int
 }
 
 // window counts the requests that began within the last second less arrivalSkew.
 type window struct {
-	begun []time.Time
-	most  int // largest count since the last read
+	begun    []time.Time
+	maxCount int // largest count since the last read
 }
 
 func (w *window) add(now time.Time) {
@@ -41,21 +41,21 @@
 		w.begun = w.begun[1:]
 	}
 	w.begun = append(w.begun, now)
-	w.most = max(w.most, len(w.begun))
+	w.maxCount = max(w.maxCount, len(w.begun))
 }
 
 func newLoadRecorder() *loadRecorder {
-	return &loadRecorder{each: map[int]*window{}, cold: map[int]time.Time{}}
+	return &loadRecorder{each: map[int]*window{}, startedAt: map[int]time.Time{}}
 }
 
-// serverStarted notes that a server has just started. Lists notify the daemons a moment later.
+// serverStarted records that a server has just started. The lists notify the daemons afterwards.
 func (l *loadRecorder) serverStarted(server int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold[server] = time.Now()
+	l.startedAt[server] = time.Now()
 }
 
-// startKnownAfter is the time by which daemons know that a server has just started, and by which the requests in
+// startKnownAfter is the time after a server's start by which the daemons have been notified of it and the requests in
 // flight at the start have ended.
 const startKnownAfter = 3 * time.Second
 
@@ -67,7 +67,7 @@
 	l.inFlight++
 	l.maxInFlight = max(l.maxInFlight, l.inFlight)
 	l.all.add(now)
-	if since := now.Sub(l.cold[server]); since > startKnownAfter && since < plan.RampTime {
+	if since := now.Sub(l.startedAt[server]); since > startKnownAfter && since < plan.RampTime {
 		w := l.each[server]
 		if w == nil {
 			w = &window{}
@@ -83,15 +83,16 @@
 	}
 }
 
-// read returns the maxima since the last read; cold is the largest count at any one cold server.
+// read returns the maxima since the last read, and the number of requests. cold is the largest number of requests in a
+// window at any one server in slow start.
 func (l *loadRecorder) read() (flight, rate, cold, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	flight, rate, count = l.maxInFlight, l.all.most, l.count
-	l.maxInFlight, l.all.most, l.count = l.inFlight, 0, 0
+	flight, rate, count = l.maxInFlight, l.all.maxCount, l.count
+	l.maxInFlight, l.all.maxCount, l.count = l.inFlight, 0, 0
 	for _, w := range l.each {
-		cold = max(cold, w.most)
-		w.most = 0
+		cold = max(cold, w.maxCount)
+		w.maxCount = 0
 	}
 	return flight, rate, cold, count
 }
@@ -117,7 +118,7 @@
 	r.record(checker.Line{What: checker.Wanted, Wanted: int(sum)})
 }
 
-// recordLimitUse records what the servers saw in each tenth of a second.
+// recordLimitUse records the use of each limit, as measured at the servers, every tenth of a second.
 func (r *runner) recordLimitUse(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/standin"
 )
 
-// clientTimeout is how long a client waits; the classes' deadline is a little shorter.
+// clientTimeout is how long a client waits for an answer; the deadline of the classes (plan.Deadline) is shorter.
 const clientTimeout = 2500 * time.Millisecond
 
 // upstream is a daemon's access to the servers and its list. All daemons use the same servers, each over relays of
@@ -110,20 +110,20 @@
 // awaitUnblocked waits while the relay is blocked.
 func (g *serverRelay) awaitUnblocked() {
 	g.mu.Lock()
-	shut := g.blocked
+	unblocked := g.blocked
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if unblocked != nil {
+		<-unblocked
 	}
 }
 
-func (g *serverRelay) setBlocked(shut bool) {
+func (g *serverRelay) setBlocked(blocked bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case shut && g.blocked == nil && !g.closed:
+	case blocked && g.blocked == nil && !g.closed:
 		g.blocked = make(chan struct{})
-	case !shut && g.blocked != nil:
+	case !blocked && g.blocked != nil:
 		close(g.blocked)
 		g.blocked = nil
 	}
@@ -186,11 +186,11 @@
 
 // clients send requests to one daemon.
 type clients struct {
-	mu      sync.Mutex
-	seconds map[int]counts
-	http    *http.Client
-	asking  sync.WaitGroup
-	rate    atomic.Uint64 // requests a second, as the bits of a float64
+	mu       sync.Mutex
+	seconds  map[int]counts
+	http     *http.Client
+	inFlight sync.WaitGroup
+	rate     atomic.Uint64 // requests a second, as the bits of a float64
 }
 
 func newClients(socket string) *clients {
@@ -206,7 +206,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	defer c.http.CloseIdleConnections()
-	defer c.asking.Wait()
+	defer c.inFlight.Wait()
 	next := time.Now()
 	for i := 0; ; i++ {
 		// The rate may change at any time, so no wait is longer than a tenth of a second.
@@ -223,8 +223,8 @@
 			continue
 		}
 		second := int(time.Since(begin) / time.Second)
-		c.asking.Go(func() {
-			status := c.ask(fmt.Sprintf("%s-%d", name, i))
+		c.inFlight.Go(func() {
+			status := c.get(fmt.Sprintf("%s-%d", name, i))
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			n := c.seconds[second]
@@ -242,7 +242,7 @@
 	}
 }
 
-func (c *clients) ask(id string) (status int) {
+func (c *clients) get(id string) (status int) {
 	req, err := http.NewRequest(http.MethodGet, "http://daemon/get/"+id, nil)
 	if err != nil {
 		return 0
--- a/internal/faulttest/soak/check/history.go
+++ b/internal/faulttest/soak/check/history.go
@@ -13,16 +13,16 @@
 	RequestResent      Kind = "request_resent"   // on a new connection, after the old one ended without a byte of an answer
 	AnswerRead         Kind = "answer_read"      // a final answer came, complete or, with Broken, visibly incomplete
 	ClientDisconnected Kind = "client_left"      // the client has closed its connection and no longer waits
-	ConnectionEnded    Kind = "connection_ended" // ended without an answer; Began is when the client last knew that the agent was alive
+	ConnectionEnded    Kind = "connection_ended" // ended without an answer; Began is the time of the client's last evidence that the agent was alive
 	StallBegan         Kind = "stall_began"      // a client has sent a part of a request and keeps the connection open
-	StallEnded         Kind = "stall_ended"      // the stalled client got an error, or its connection was closed
+	StallEnded         Kind = "stall_ended"      // the stalled client received an error, or its connection was closed
 
 	ConnectionMade Kind = "connection_made" // a client has connected; At is when the attempt began
 	ConnectFailed  Kind = "connect_failed"  // a client could not connect; At is when the attempt began
 	ConnectionLost Kind = "connection_lost" // a write of a request to a new connection failed
 	NoticeRead     Kind = "notice_read"     // a Notice of Disconnection came (RFC 4511, 4.4.1)
 	AfterNotice    Kind = "behind_notice"   // a message came after the notice
-	CrowdBegan     Kind = "crowd_began"     // idle clients fill the agent's descriptors
+	CrowdBegan     Kind = "crowd_began"     // idle clients begin to use up the agent's file descriptors
 	CrowdEnded     Kind = "crowd_ended"     // the idle clients have disconnected
 
 	RequestArrived Kind = "request_arrived" // a server has read the request's last byte; Began is when its first byte came
--- a/internal/faulttest/soak/ldapclient.go
+++ b/internal/faulttest/soak/ldapclient.go
@@ -71,7 +71,7 @@
 	var conn *ldapConn
 	for ctx.Err() == nil {
 		c.awaitTurn(rng)
-		conn = c.ask(rng, conn)
+		conn = c.roundTrip(rng, conn)
 		if conn != nil && rng.Float64() < 0.1 {
 			_, _ = conn.Write(ldapmsg.Unbind(conn.lastID + 1))
 			_ = conn.Close()
@@ -83,7 +83,7 @@
 	}
 }
 
-// connect opens a connection, or returns nil if there is none.
+// connect opens a connection, or returns nil if that fails or new connections are not allowed.
 func (c *ldapClients) connect() *ldapConn {
 	nc := c.dialAddr(c.addr)
 	if nc == nil {
@@ -92,9 +92,9 @@
 	return &ldapConn{Conn: nc, in: ldapmsg.NewReader(nc, maxLDAPMessage), aliveAt: c.rec.Now()}
 }
 
-// ask writes one to maxPipelined requests at once and reads their responses. It returns the connection for the next
+// roundTrip writes one to maxPipelined requests at once and reads their responses. It returns the connection for the next
 // requests, or nil if it has ended.
-func (c *ldapClients) ask(rng *rand.Rand, conn *ldapConn) *ldapConn {
+func (c *ldapClients) roundTrip(rng *rand.Rand, conn *ldapConn) *ldapConn {
 	requests := make([]*ldapRequest, 1+rng.IntN(maxPipelined))
 	for i := range requests {
 		requests[i] = c.newRequest(rng)
@@ -114,7 +114,7 @@
 				return nil
 			}
 			_ = conn.Close()
-			conn = nil // closed by the agent: no request was read, or a notice says that none has run
+			conn = nil // closed by the agent: no request was read, or a notice indicates that none has run
 			continue
 		}
 		if c.disturb(rng, conn, requests) {
@@ -205,7 +205,7 @@
 		}
 	case draw < 0.06:
 		conn.lastID++
-		_, _ = conn.Write(ldapmsg.Cancel(conn.lastID, r.id)) // its response is read and skipped: r has its own response
+		_, _ = conn.Write(ldapmsg.Cancel(conn.lastID, r.id)) // the response to the cancel is read and skipped: r has its own response
 	}
 	return false
 }
@@ -292,7 +292,8 @@
 }
 
 // runLibrary sends requests through go-ldap, one after the other. A request that fails on a used connection is not
-// sent again, since the library does not distinguish a notice from another end of the connection.
+// sent again, since the library does not distinguish a Notice of Disconnection from any other way in which a connection
+// ends.
 func (c *ldapClients) runLibrary(ctx context.Context, rng *rand.Rand) {
 	var conn *goldap.Conn
 	used := false
@@ -307,7 +308,7 @@
 			conn.Start()
 			conn.SetTimeout(maxAnswerWait)
 		}
-		if !c.askLibrary(rng, conn, used) || rng.Float64() < 0.1 {
+		if !c.roundTripLibrary(rng, conn, used) || rng.Float64() < 0.1 {
 			_ = conn.Close()
 			conn = nil
 			continue
@@ -319,8 +320,8 @@
 	}
 }
 
-// askLibrary sends one request and reports whether the connection can be used further.
-func (c *ldapClients) askLibrary(rng *rand.Rand, conn *goldap.Conn, used bool) bool {
+// roundTripLibrary sends one request and reports whether the connection can be used further.
+func (c *ldapClients) roundTripLibrary(rng *rand.Rand, conn *goldap.Conn, used bool) bool {
 	r := c.newRequest(rng)
 	c.rec.Put(check.Event{Kind: check.RequestSent, Agent: c.agent, Request: r.name, Class: r.class, Left: c.deadline, First: !used})
 	var err error
--- a/internal/faulttest/soak/play.go
+++ b/internal/faulttest/soak/play.go
@@ -59,7 +59,7 @@
 	if err := s.startAll(ctx); err != nil {
 		return nil, rules, err
 	}
-	asking, stop := context.WithTimeout(ctx, p.Length)
+	clientsCtx, stop := context.WithTimeout(ctx, p.Length)
 	defer stop()
 	var running sync.WaitGroup
 	watching, unwatch := context.WithCancel(ctx)
@@ -67,9 +67,9 @@
 	go s.watchLateness(watching)
 	for _, a := range s.agents {
 		go a.watchScheduling(watching)
-		running.Go(func() { a.clients.run(asking, clientsEach, p.Seed<<8+uint64(a.n)) })
+		running.Go(func() { a.clients.run(clientsCtx, clientsEach, p.Seed<<8+uint64(a.n)) })
 		if a.ldapClients != nil {
-			running.Go(func() { a.ldapClients.run(asking, p.Seed<<8+uint64(a.n)) })
+			running.Go(func() { a.ldapClients.run(clientsCtx, p.Seed<<8+uint64(a.n)) })
 		}
 	}
 	begin := s.rec.Now()
@@ -78,7 +78,7 @@
 			select {
 			case <-time.After(begin + t.At - s.rec.Now()):
 				s.inject(ctx, t)
-			case <-asking.Done():
+			case <-clientsCtx.Done():
 			}
 		})
 	}
@@ -114,13 +114,13 @@
 	return r
 }
 
-// watchLateness measures the scheduling delay of this process: recorded times are off by as much.
+// watchLateness measures the largest scheduling delay of this process: recorded times are late by up to that much.
 func (s *testbed) watchLateness(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for ctx.Err() == nil {
-		asked := time.Now()
+		before := time.Now()
 		time.Sleep(every)
-		late := time.Since(asked) - every
+		late := time.Since(before) - every
 		s.mu.Lock()
 		s.late = max(s.late, late)
 		s.mu.Unlock()
@@ -208,7 +208,7 @@
 	if !started.IsZero() {
 		e.Started, e.began = started.UnixMilli(), started.Sub(s.rec.base)
 	} else {
-		e.process = 0 // started long ago, so the server is warm
+		e.process = 0 // the process started long ago, so slow start does not apply
 	}
 	s.dir.set(e)
 }
--- a/internal/faulttest/soak/server.go
+++ b/internal/faulttest/soak/server.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/faulttest/soak/check"
 )
 
-// ServerFault is how a server misbehaves.
+// ServerFault is a kind of misbehaviour of a server.
 type ServerFault int
 
 // The faults of servers.
@@ -120,7 +120,7 @@
 func (s *server) setFault(way ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault == ServerSilent && way != ServerSilent { // the machine is back and resets connections unknown to it
+	if s.fault == ServerSilent && way != ServerSilent { // the simulated machine is reachable again and resets its open connections
 		close(s.silentUntil)
 		s.silentUntil = make(chan struct{})
 		for c := range s.conns {
@@ -234,7 +234,7 @@
 	return s.writeAnswer(c, way, id)
 }
 
-// maxQueueWait is how long a request waits for a worker.
+// maxQueueWait is how long a request waits for a worker before it is refused.
 const maxQueueWait = 100 * time.Millisecond
 
 func (s *server) queue() bool {
@@ -289,7 +289,7 @@
 	return write(c, text) && goesOn
 }
 
-// bodyOf returns the beginning of the answer to a request, by which the client recognizes its own answer.
+// bodyOf returns the beginning of the answer to a request, from which the client recognizes the answer as its own.
 func bodyOf(id string) string { return "done " + id + "\n" }
 
 func write(c net.Conn, text string) bool {
