--- a/internal/simulate/baseline/baseline.go
+++ b/internal/simulate/baseline/baseline.go
@@ -1,7 +1,7 @@
 // Package baseline implements simple textbook balancers to compare with the decision module: random,
-// round-robin, least-request and p2c (the better of two random choices), each with plain retries: at
-// once, at another server, up to the maximum number of attempts. They respect the classes' repeat
-// rules, draining and deadlines; they ignore queues, cold servers, request values and retry budgets.
+// round-robin, least-request and p2c (the better of two random choices). Each retries at once at
+// another server, up to the maximum number of attempts. They respect the classes' repeat rules,
+// draining and deadlines; they ignore queues, cold servers, request values and retry budgets.
 package baseline
 
 import (
@@ -13,7 +13,7 @@
 	"vetchhaven/decide"
 )
 
-// Names lists the policies that Maker knows.
+// Names lists the policies that Maker accepts.
 var Names = []string{"random", "round-robin", "least-request", "p2c", SeesNow, SeesLate}
 
 const resubscribeDelay = time.Second // delay after a failed call to the list
@@ -29,7 +29,7 @@
 	token             int64
 	resubscribeTimers map[int64]bool // tokens of timers for a new call to the list
 	actions           []decide.Action
-	oracle            *oracle // nil for policies that are no oracles
+	oracle            *oracle // nil unless the policy is an oracle policy
 }
 
 type server struct {
--- a/internal/simulate/baseline/oracle.go
+++ b/internal/simulate/baseline/oracle.go
@@ -9,12 +9,12 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// The oracles know the exact state of all servers, which no real agent can: they are upper bounds to compare with.
-// Both admit requests by value as the fleet's queues grow, and refuse the others at once.
+// The oracle policies use the exact state of all servers, which a real agent can't observe: they are upper bounds for
+// comparison. As the fleet's queues grow, both refuse requests at once, those of the least value first.
 //
-// SeesNow knows the present state, and also what all agents have just sent; it picks the server that finishes first.
-// SeesLate knows the state with a delay of oracleDelay, and of the requests in transit only its own; it draws
-// servers by their spare capacity.
+// SeesNow uses the present state and the work that all agents have just sent; it picks the server that finishes first.
+// SeesLate uses the state with a delay of oracleDelay and, of the work in transit, only that of its own agent; it
+// draws servers at random, weighted by their spare capacity.
 const (
 	SeesNow  = "sees-now"
 	SeesLate = "sees-late"
@@ -22,7 +22,7 @@
 
 const (
 	oracleDelay = 150 * time.Millisecond
-	// inTransit is how long sent work is added to a server's known work: after this time it has arrived.
+	// inTransit is how long sent work is added to the work of a server's state: after this time it has arrived.
 	inTransit = 10 * time.Millisecond
 	// minAdmitWait and maxAdmitWait are the mean waits, as a share of the latency objective, at which the class of
 	// the least value and the class of the highest value are refused.
@@ -30,7 +30,8 @@
 	// oracleSubset is the number of servers that an agent uses: the first ones in an order of its own. If each
 	// agent connected to all servers, each server would have a connection of every agent and refuse further ones.
 	oracleSubset = 24
-	// waitScale is the wait, as a share of the latency objective, that makes a server about a third as likely.
+	// waitScale is the wait, as a share of the latency objective, that makes a server about a third as likely to be
+	// drawn as a server without a wait.
 	waitScale = 1.0 / 40
 )
 
--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -1,7 +1,7 @@
 // Package chain simulates calls through several tiers in virtual time: each process of a tier works on a request and
 // calls the next tier through an agent of its own, down to the last tier. It shows how retries at each tier add up at
-// the last one, and how much work is done for clients that have left. Servers are those of package model. The same
-// seed gives the same result.
+// the last one, and how much work is done for clients that no longer wait. Servers are those of package model. The
+// same seed gives the same result.
 package chain
 
 import (
@@ -35,7 +35,7 @@
 	Margin    time.Duration // an agent answers this much before its caller's deadline
 	Leave     float64       // share of clients that leave early, at a random time before their deadline
 	Policy    string
-	Deadlines bool // the remaining time of a client is passed down; else each tier waits for Deadline again
+	Deadlines bool // the remaining time of a client is passed down; otherwise each tier waits for Deadline again
 	Cancels   bool // cancellations by callers are passed down
 
 	Errors   float64 // share of attempts that fail at the last tier during the incident
@@ -47,8 +47,8 @@
 	Seed     uint64
 }
 
-// Default returns a chain of processes with 408 calls per second each, which uses about a fifth of their capacity. The
-// call of a process to the next one and its answer take half a millisecond together.
+// Default returns a chain in which each process receives 408 calls per second, which uses about a fifth of its
+// capacity. The network delays of a call to the next process and of its answer are half a millisecond together.
 func Default(tiers int) Config {
 	return Config{Tiers: tiers, Processes: 4, Rate: 408, Work: 2 * time.Millisecond, Cores: 4, Way: 250 * time.Microsecond,
 		Aim: 300 * time.Millisecond, Deadline: time.Second, Margin: 5 * time.Millisecond, Leave: 0.05, Policy: Agent, Deadlines: true,
@@ -58,21 +58,21 @@
 // Result is the result of a simulation. Clients' calls count by the time at which they began.
 type Result struct {
 	Before       Span // the second before the incident
-	First, Later Span // the incident's first second; later calls whose deadline is before its end
-	// Settled is the time from the cold start until 99 in 100 calls are served for one second; negative: not before the
-	// incident.
+	First, Later Span // the incident's first second; later calls whose deadline is before the incident's end
+	// Settled is the time from the cold start until a full second begins in which 99 in 100 calls are served;
+	// negative: there was none before the incident.
 	Settled    time.Duration
-	Recovered  time.Duration // the same from the incident's end; negative: not within the simulation
+	Recovered  time.Duration // the same, counted from the incident's end; negative: not within the simulation
 	Retries    []int         // during the incident, by the agents that call tier 1, 2, ...
 	Most       int           // highest number of retries of one agent during the incident
-	Unanswered int           // calls at any tier without an answer by their deadline, though no caller had left
+	Unanswered int           // calls at any tier without an answer by their deadline while their callers still waited
 	CutShort   bool          // Events was reached, so the counts are incomplete
 }
 
-// Span counts the clients' calls that began in a time span, and the work of the last tier for them at any time.
+// Span counts the clients' calls that began in a time span, and the attempts at the last tier for them at any time.
 type Span struct {
 	Calls, Served int // by clients that did not leave early
-	All           int // calls, with those of clients that left early
+	All           int // calls, including those of clients that left early
 	Attempts      int // at the last tier
 	Void          int // attempts that ended after their client had left or stopped waiting
 }
@@ -109,7 +109,7 @@
 	rng    *rand.Rand
 	tiers  [][]*process // tier 0 holds the clients
 	calls  int          // number of calls so far, by all agents
-	spans  [4]Span      // none, before, first, later
+	spans  [4]Span      // calls outside the reported spans, then those of Result: Before, First, Later
 	served [][2]int     // numbers of calls that began in each window, and of those that were served
 	result Result
 }
@@ -152,7 +152,7 @@
 	to        *process
 	sent      time.Duration
 	ended     bool
-	cancelled bool // its process has been told that the caller no longer waits
+	cancelled bool // its process has been notified that the caller no longer waits
 	child     *call
 }
 
@@ -248,8 +248,6 @@
 	}
 }
 
-// ---- Clients ----
-
 func (p *simulation) nextCall(q *process) {
 	at := p.now + time.Duration(p.rng.ExpFloat64()/p.Rate*float64(time.Second))
 	if at >= p.Length {
@@ -283,7 +281,8 @@
 	})
 }
 
-// timeToRecover returns how long after time from calls are served again, considering calls that begin before until.
+// timeToRecover returns how long after the time from the share of served calls has recovered, considering calls that
+// begin before until.
 func (p *simulation) timeToRecover(from, until time.Duration) time.Duration {
 	since := time.Duration(-1)
 	for w := int(from / window); w < int(until/window); w++ {
@@ -300,8 +299,6 @@
 	return -1
 }
 
-// ---- Agents ----
-
 // call makes a call of a process to the next tier.
 func (q *process) call(c *client, parent *attempt, deadline time.Duration) *call {
 	p := q.p
@@ -314,7 +311,7 @@
 		}
 	})
 	p.at(deadline, func() {
-		if !r.done { // the policy has not answered in time
+		if !r.done { // the policy did not answer in time
 			p.result.Unanswered++
 			q.abandon(r)
 		}
@@ -427,8 +424,6 @@
 	}
 }
 
-// ---- Servers ----
-
 // arrive handles the arrival of an attempt at its process.
 func (a *attempt) arrive() {
 	q, p := a.to, a.to.p
@@ -438,7 +433,7 @@
 	q.serve(model.Arrive{Conn: a.call.caller.n, Job: model.Job{ID: id, Agent: a.call.caller.n, Work: work, Draw: p.rng.Float64(), Sent: a.sent}})
 }
 
-// cancel tells an attempt's process that its caller no longer waits. The process finishes its own work on it.
+// cancel notifies an attempt's process that the caller no longer waits. The process finishes its own work on it.
 func (a *attempt) cancel() {
 	a.cancelled = true
 	if a.child != nil {
--- a/internal/simulate/chain/worked.go
+++ b/internal/simulate/chain/worked.go
@@ -10,14 +10,14 @@
 	bucketSize    = 100.0
 )
 
-// Worked computes the expected result of each policy once the retry token buckets are empty, if the last tier fails a
-// random share of its attempts and no deadline passes: attempts at the last tier for one call of a client, and the
-// share of calls that are served.
+// Worked computes the expected result of a policy once the retry token buckets are empty, if attempts at the last tier
+// fail at random with the share errors and no deadline passes. It returns the attempts at the last tier for one call
+// of a client, and the share of calls that are served.
 //
-// If attempts of a tier succeed with probability s, a call makes 1+f+f² of them with the policy Threes (f = 1-s). The
+// If attempts at a tier succeed with probability s, a call makes 1+f+f² of them with the policy Threes (f = 1-s). The
 // agent's bucket limits retries to successRefill/retryCost = 1/5 of the successes, so that a call makes at most
-// 1/(1-s/5) attempts. Then 1/s falls by 1/5 from each tier to the one above, and the attempts for a call are s at the
-// top divided by s at the bottom.
+// 1/(1-s/5) attempts. At that limit, the value of 1/s at each tier is 1/5 less than at the next lower tier, and the
+// number of attempts for a call is the s of the clients' calls divided by the s at the last tier.
 func Worked(policy string, tiers int, errors float64) (perCall, served float64) {
 	s, attempts := 1-errors, 1.0
 	for range tiers {
@@ -45,6 +45,6 @@
 }
 
 // Burst returns how many retries full buckets allow without any success, for the given number of tiers and of agents
-// at each tier. The retries of tiers add up and don't multiply: each is one more attempt at its tier, and one more call
-// to the tiers below.
+// at each tier. The retries of the tiers add up and don't multiply: each is one additional attempt at its tier, and one
+// additional call to the tiers below.
 func Burst(tiers, agents int) int { return tiers * agents * int(math.Floor(bucketSize/retryCost)) }
--- a/internal/simulate/checker/checker.go
+++ b/internal/simulate/checker/checker.go
@@ -1,11 +1,11 @@
-// Package checker checks that a balancer keeps four rules. Its input is events with their times:
-// which requests agents accepted and answered, what reached servers, and what the list told each
-// agent. It knows nothing about how the balancer works, and has no I/O and no clock.
+// Package checker checks that a balancer keeps four rules. Its input is events with their times: which
+// requests agents accepted and answered, which attempts reached servers, and which entries the list sent
+// to each agent. It does not depend on how the balancer works, and has no I/O and no clock.
 //
 // The rules: (1) each accepted request gets exactly one final answer before the client's deadline,
 // and nothing is sent for it after that; (2) no effect happens twice, and a refusal promises that
 // a retry is harmless; (3) no new request goes to a server later than the drain grace after this
-// agent was told that it drains or is gone; (4) no cold server is overloaded.
+// agent received the entry by which it drains or is gone; (4) no cold server is overloaded.
 package checker
 
 import (
@@ -24,8 +24,8 @@
 	AnswerSlack time.Duration // a final answer may come this much after the client's deadline
 	Slack       time.Duration // maximum difference between the times given here and the agent's
 	MaxAttempts int           // 0: unlimited
-	// InformedLimit is the share of the work sent to an overloaded cold server that must have come
-	// from agents that knew of its start, for the overload to count as a breach of rule 4.
+	// InformedLimit is the share of the work sent to an overloaded cold server that must have come from
+	// agents that had received its start from the list, for the overload to count as a breach of rule 4.
 	InformedLimit float64
 }
 
@@ -67,7 +67,7 @@
 const (
 	Served  Kind = iota
 	Refused      // a retry is harmless
-	Failed       // promises nothing about effects
+	Failed       // the request may have had its effect or not
 )
 
 func (k Kind) String() string { return [...]string{"served", "refused", "failed"}[k] }
@@ -78,13 +78,13 @@
 	config    Config
 	requests  map[string]*request
 	listed    map[agentServer]*listing
-	taken     []expiry // in the order of acceptance
+	taken     []expiry // of accepted requests, in the order of acceptance
 	retain    time.Duration
 	breaches  []Breach
 	count     [5]int // by rule
 	doubled   int
 	faultless []Breach
-	atFault   map[string]bool // IDs of requests whose repeat broke rule 2
+	atFault   map[string]bool // IDs of requests with a further attempt that broke rule 2
 }
 
 type agentServer struct {
@@ -96,10 +96,10 @@
 	state       decide.BackendState
 	zone, pod   int
 	started     time.Duration
-	withdrawnAt time.Duration // when the agent was told that the server drains or is gone; negative: it is up
-	zoneAt      time.Duration // when the agent was told the present zone
-	podAt       time.Duration // when the agent was told the present pod
-	startedAt   time.Duration // when the agent was told of the latest start; negative: never
+	withdrawnAt time.Duration // when the agent received that the server drains or is gone; negative: it is up
+	zoneAt      time.Duration // when the agent received the present zone
+	podAt       time.Duration // when the agent received the present pod
+	startedAt   time.Duration // when the agent received the latest start; negative: never
 	oldZone     int           // the zone before zoneAt; oldPod is the pod before podAt
 	oldPod      int
 }
@@ -110,7 +110,7 @@
 	deadline     time.Duration
 	arrivals     []arrival
 	answered     time.Duration // time of the final answer; negative: none yet
-	noAnswerDue  bool          // the client left or the agent was stopped
+	noAnswerDue  bool          // the client stopped waiting or the agent was stopped
 	agentStopped bool          // the agent was stopped: attempts on their way still arrive, which is no breach
 	reported     bool          // the missing answer is in the breaches already
 }
@@ -118,8 +118,8 @@
 type arrival struct {
 	server    string
 	began, at time.Duration
-	zone, pod int           // as the agent knew them when it sent the request
-	neverRan  time.Duration // when the server said that the request never ran; negative: it may have run
+	zone, pod int           // according to the agent's list when it sent the request
+	neverRan  time.Duration // when the server reported that the request never ran; negative: it may have run
 	ran       bool
 }
 
@@ -194,7 +194,7 @@
 			began-t.withdrawnAt, map[bool]string{true: "drains", false: "is gone"}[t.state == decide.Draining], ch.config.DrainGrace)})
 	}
 	a := arrival{server: server, began: began, at: now, zone: t.zone, pod: t.pod, neverRan: -1}
-	if began < t.zoneAt+ch.config.Slack { // told at about the same time: the request may have been sent before
+	if began < t.zoneAt+ch.config.Slack { // the zone changed at about the same time: the request may have been sent before
 		a.zone = t.oldZone
 	}
 	if began < t.podAt+ch.config.Slack {
@@ -204,7 +204,7 @@
 	r.arrivals = append(r.arrivals, a)
 }
 
-// checkRepeat checks that a further attempt is harmless.
+// checkRepeat checks that a further attempt can't have the request's effect a second time.
 func (ch *Checker) checkRepeat(r *request, a arrival, t *listing, agent int, id string) {
 	var first *arrival
 	for i := range r.arrivals {
@@ -223,7 +223,7 @@
 		ch.atFault[id] = true
 		ch.breach(Breach{2, a.at, agent, id, servers, fmt.Sprintf("(%s) was sent again after %s, %s", ch.name(r.class), gap, text)})
 	}
-	// A server that moved into the group after the first attempt was sent may not know the key.
+	// A server that moved into the group after the first attempt was sent may not have stored the key.
 	movedIn := func(at time.Duration) bool { return at > first.began+ch.config.Slack && at+ch.config.Slack < a.began }
 	switch {
 	case c.Effect == decide.NonIdempotent:
@@ -269,10 +269,9 @@
 	}
 }
 
-// Ran records that a request had its effect on a server. If a request has a second effect although
-// all sends kept the rules, by what the agent had been told, that is no breach: it is recorded
-// separately. This happens when a late list can't tell a change in time, such as a server's move to
-// another pod.
+// Ran records that a request had its effect on a server. A second effect of a request is not a breach if
+// all sends kept the rules according to the list that the agent had received; it is recorded separately.
+// This happens when the list reports a change too late, such as a server's move to another pod.
 func (ch *Checker) Ran(now time.Duration, id, server string) {
 	r := ch.requests[id]
 	if r == nil || ch.config.Classes[r.class].Effect == decide.Idempotent {
@@ -291,15 +290,15 @@
 	b := Breach{0, now, r.agent, id, []string{r.arrivals[before].server, server},
 		fmt.Sprintf("(%s) had its effect twice", ch.name(r.class))}
 	if ch.atFault[id] {
-		return // the send that caused it is in the breaches already
+		return // the attempt that caused it is already recorded as a breach
 	}
 	if len(ch.faultless) < maxBreaches {
 		ch.faultless = append(ch.faultless, b)
 	}
 }
 
-// Doubled returns the number of requests that had their effect twice, and those of them for which
-// no agent is to blame, up to a maximum.
+// Doubled returns the number of requests that had their effect twice, and those of them in which no
+// agent broke a rule, up to a maximum.
 func (ch *Checker) Doubled() (n int, unblamed []Breach) { return ch.doubled, ch.faultless }
 
 // Answered records that a client has got a final answer.
@@ -328,7 +327,7 @@
 	}
 }
 
-// ClientLeft records that a client has left, so that it needs no answer any more.
+// ClientLeft records that a client has stopped waiting, so that no answer is due any more.
 func (ch *Checker) ClientLeft(now time.Duration, id string) {
 	ch.Advance(now)
 	if r := ch.requests[id]; r != nil {
@@ -344,8 +343,8 @@
 	}
 }
 
-// Stopped records that an agent was killed: its requests need no answer any more, and it has to be
-// told of all servers again.
+// Stopped records that an agent was killed: no answers to its requests are due any more, and it has to
+// receive all servers from the list again.
 func (ch *Checker) Stopped(now time.Duration, agent int) {
 	ch.Advance(now)
 	for _, r := range ch.requests {
@@ -360,7 +359,7 @@
 	}
 }
 
-// Listed records that the list has told an agent of a server.
+// Listed records that the list has sent an agent the entry of a server.
 func (ch *Checker) Listed(now time.Duration, agent int, server string, state decide.BackendState, zone, pod int, started time.Duration) {
 	key := agentServer{agent, server}
 	t := ch.listed[key]
@@ -386,7 +385,7 @@
 	t.state = state
 }
 
-// Unlisted records that an agent got a whole list: known servers that are not on it count as gone.
+// Unlisted records that an agent got a complete list: servers listed earlier that are not on it count as gone.
 func (ch *Checker) Unlisted(now time.Duration, agent int, listed func(server string) bool) {
 	for key, t := range ch.listed {
 		if key.agent == agent && t.withdrawnAt < 0 && !listed(key.server) {
@@ -395,14 +394,14 @@
 	}
 }
 
-// KnowsStart reports whether an agent has been told of a server's start at a time.
+// KnowsStart reports whether an agent has received a server's start at the time started from the list.
 func (ch *Checker) KnowsStart(agent int, server string, started time.Duration) bool {
 	t := ch.listed[agentServer{agent, server}]
 	return t != nil && t.startedAt >= 0 && t.started >= started
 }
 
 // Overloaded records that a cold server was overloaded. informed is the share of the work sent to it
-// that came from agents that knew of its start.
+// that came from agents that had received its start from the list.
 func (ch *Checker) Overloaded(now time.Duration, server string, informed float64) {
 	if informed >= ch.config.InformedLimit {
 		ch.breach(Breach{4, now, -1, "", []string{server},
--- a/internal/simulate/model/list.go
+++ b/internal/simulate/model/list.go
@@ -10,10 +10,10 @@
 
 // ListSpec describes the behaviour of the server list.
 type ListSpec struct {
-	Asked   bool          // agents subscribe to a watch; else the list sends them updates without that
-	Up      time.Duration // delay until it knows of a server that has come up or moved
-	Drain   time.Duration // delay until it knows of a server that drains or was stopped
-	Silent  time.Duration // delay until it knows of a server that became unreachable
+	Asked   bool          // agents subscribe to a watch; otherwise the list pushes updates without a subscription
+	Up      time.Duration // delay until it detects a server that has come up or moved
+	Drain   time.Duration // delay until it detects a server that drains or was stopped
+	Silent  time.Duration // delay until it detects a server that became unreachable
 	Spread  time.Duration // maximum of the extra delay that some agents have
 	Calls   float64       // calls answered per second, for all agents together; 0: unlimited
 	Timeout time.Duration // calls that wait longer fail
@@ -27,7 +27,7 @@
 	Version int64         // of the list that last changed it
 }
 
-// The events of the list.
+// The events that List.Step handles.
 type (
 	// ServerChange is a change of a server's state, which the list notices after the delay After.
 	ServerChange struct {
@@ -50,7 +50,7 @@
 	SetRefuse struct{ Share float64 }
 )
 
-// ListEvent is one of the events above, or Wake.
+// ListEvent is an event that List.Step handles: Subscribe, SetDown and the other types declared with them, or Wake.
 type ListEvent interface{ listEvent() }
 
 func (ServerChange) listEvent() {}
@@ -66,7 +66,7 @@
 	At      time.Duration
 	Agent   int
 	Failed  bool // the call fails or the watch ends
-	Full    bool // Entries is the whole list; else the changes
+	Full    bool // Entries is the complete list; otherwise only the changes
 	Version int64
 	Entries []Entry
 }
@@ -76,7 +76,7 @@
 	spec     ListSpec
 	rng      *rand.Rand
 	version  int64
-	entries  []Entry // published, with removed servers
+	entries  []Entry // published, including removed servers
 	pending  []pendingChange
 	calls    []call
 	freeAt   time.Duration
@@ -90,7 +90,7 @@
 
 type pendingChange struct {
 	entry Entry
-	base  time.Duration // time of publication without SetLate
+	base  time.Duration // time of publication, not including the delay of SetLate
 }
 
 type call struct {
@@ -119,7 +119,7 @@
 	return l
 }
 
-// Snapshot returns the version and all published servers that are not removed.
+// Snapshot returns the version, and all published servers except those that were removed.
 func (l *List) Snapshot() (int64, []Entry) {
 	var all []Entry
 	for _, e := range l.entries {
@@ -167,7 +167,7 @@
 	return l.messages
 }
 
-// NextWake returns the time of the next action without an event; 0: there is none.
+// NextWake returns the time of the next action that no event triggers; 0: no action is scheduled.
 func (l *List) NextWake() time.Duration {
 	next := time.Duration(0)
 	add := func(at time.Duration) {
@@ -213,7 +213,7 @@
 		l.calls[i].at, l.calls[i].failed = now, true
 	}
 	if !l.spec.Asked {
-		return // pushed updates pause, and go on later where they stopped
+		return // pushed updates pause, and resume later where they stopped
 	}
 	var agents []int
 	for a := range l.watches {
@@ -283,7 +283,7 @@
 	l.reads++
 	l.watches[c.agent] = l.newWatch()
 	t := ListMessage{Version: l.version}
-	if c.since <= 0 || c.since > l.version { // no known version to start from
+	if c.since <= 0 || c.since > l.version { // the changes can't be sent relative to that version
 		t.Full = true
 		_, t.Entries = l.Snapshot()
 	} else {
--- a/internal/simulate/model/load.go
+++ b/internal/simulate/model/load.go
@@ -21,7 +21,7 @@
 	Heed   bool          // the client obeys Retry-After
 }
 
-// Load generates tasks in order of time. They depend on the scenario and the seed alone.
+// Load generates tasks in order of time. They depend only on the scenario and the seed.
 type Load struct {
 	s       *Scenario
 	seed    Seed
@@ -193,7 +193,8 @@
 	return wait, true
 }
 
-// Worth returns the value that a task earned by being served at a time, and the value that it could have earned.
+// Worth returns the value earned by serving a task at servedAt, and the task's full value, which it earns if it is
+// served within the latency objective.
 func (s *Scenario) Worth(t *Task, servedAt time.Duration, served bool) (got, asked float64) {
 	c := &s.Classes[t.Class]
 	asked = c.Value
--- a/internal/simulate/model/network.go
+++ b/internal/simulate/model/network.go
@@ -27,7 +27,7 @@
 // Connected reports whether messages between two zones arrive.
 func (n *Network) Connected(a, b int) bool { return !n.cut[pair(a, b)] }
 
-// Delay draws how long the next message between two zones takes.
+// Delay draws the network delay of the next message between two zones.
 func (n *Network) Delay(a, b int) time.Duration {
 	d := n.spec.Across
 	if a == b {
--- a/internal/simulate/model/seed.go
+++ b/internal/simulate/model/seed.go
@@ -1,6 +1,6 @@
 // Package model simulates the environment of an agent: the servers, the server list, the network
 // between zones, the clients and their load, and a script of incidents. It has no I/O, no clock
-// and no randomness except that of a seed: events go in with their time, and effects come out.
+// and no randomness except that of a seed: its input is events with their times, its output effects.
 // Two drivers run it: package virtual in simulated time, and package sockets on loopback.
 package model
 
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Seed is a source of random numbers that depend on names alone, not on the order in which they
-// are drawn: a request costs the same work whichever policy is simulated.
+// Seed is a source of random numbers that depend only on names, not on the order in which they
+// are drawn. A request therefore costs the same work with every simulated policy.
 type Seed uint64
 
 // Derive returns the seed of a part, such as a server, a request or an attempt.
--- a/internal/simulate/model/server.go
+++ b/internal/simulate/model/server.go
@@ -19,7 +19,7 @@
 	Sent  time.Duration // when the agent began to send it
 }
 
-// The events of a server.
+// The events that Server.Step handles.
 type (
 	// Dial opens a connection. Conn is a new number.
 	Dial struct{ Conn, Agent int }
@@ -30,7 +30,7 @@
 		Conn int
 		Job  Job
 	}
-	// Wake makes the server do what is due.
+	// Wake makes the server perform the actions that are due.
 	Wake struct{}
 	// DrainNow makes the server finish its requests and reject new ones.
 	DrainNow struct{}
@@ -40,7 +40,7 @@
 	SetSpeed struct{ Factor float64 }
 )
 
-// ServerEvent is one of the events above.
+// ServerEvent is an event that Server.Step handles: Dial, Hangup, Arrive, Wake, DrainNow, SetErrors or SetSpeed.
 type ServerEvent interface{ serverEvent() }
 
 func (Dial) serverEvent()      {}
@@ -80,7 +80,7 @@
 	maxPauseLoad  = 4.0              // held requests per slot above which pauses don't get longer
 )
 
-// Server simulates one server process, which runs from its creation on.
+// Server simulates one server process, which starts to run when it is created.
 type Server struct {
 	Spec    ServerSpec
 	kind    *Kind
@@ -191,7 +191,7 @@
 	return v.effects
 }
 
-// NextWake returns the time of the next action without an event; 0: there is none.
+// NextWake returns the time of the next action that no event triggers; 0: no action is scheduled.
 func (v *Server) NextWake() time.Duration {
 	next := time.Duration(0)
 	add := func(at time.Duration) {
@@ -221,8 +221,8 @@
 // Queue returns the number of requests that wait.
 func (v *Server) Queue() int { return len(v.queue) - v.head }
 
-// PendingWork returns the work of all held requests, as time on a standard core, and the work done in a unit of
-// time at the server's present warmth and load.
+// PendingWork returns the work of all held requests, as time on a standard core, and the work that the server does in
+// a unit of time at its present load and progress of warming up.
 func (v *Server) PendingWork(now time.Duration) (work, rate float64) {
 	each := v.rate(now)
 	for _, r := range v.queue[v.head:] {
@@ -243,7 +243,7 @@
 // Overloaded reports whether the server was overloaded while cold, which ended its process.
 func (v *Server) Overloaded() bool { return v.overloaded }
 
-// Warmth returns the share of its capacity that the server has by now.
+// Warmth returns the share of its full capacity that the server has reached; 1 for a warm server.
 func (v *Server) Warmth(now time.Duration) float64 {
 	if !v.cold {
 		return 1
@@ -260,7 +260,7 @@
 }
 
 // Pressure returns the work sent to a cold server in the last fall window, as a multiple of the work
-// that it can do in one; 0 for a warm server.
+// that it can do in one such window; 0 for a warm server.
 func (v *Server) Pressure(now time.Duration) float64 {
 	w := v.Warmth(now)
 	if !v.cold {
@@ -408,7 +408,7 @@
 	v.factor = factor
 }
 
-// advance does what is due by now, in order of time.
+// advance performs the actions that are due by now, in order of time.
 func (v *Server) advance(now time.Duration) {
 	for !v.overloaded {
 		next := -1
@@ -471,7 +471,7 @@
 	v.effects = append(v.effects, Effect{Kind: Replied, Conn: conn, Job: job, Result: result, Load: v.load(now)})
 }
 
-// decay returns the share of a count that is left after time d; the count covers about one second.
+// decay returns the share of a count that is left after time d. A count that decays so covers about one second.
 func decay(d time.Duration) float64 {
 	if d >= 5*time.Second {
 		return 0
--- a/internal/simulate/model/sockets/agent.go
+++ b/internal/simulate/model/sockets/agent.go
@@ -97,7 +97,7 @@
 		"known": known, "settings": settings})
 }
 
-// start runs the process.
+// start starts the agent process, and returns without waiting until it accepts requests.
 func (a *agent) start() error {
 	if a.g.external() {
 		return nil
@@ -159,7 +159,7 @@
 	}
 }
 
-// kill ends the process at once, as the script demands.
+// kill ends the process at once, as the script specifies.
 func (a *agent) kill() {
 	// Requests that arrive between now and the end of the process are lost with it, so they count as stopped too.
 	a.g.mu.Lock()
--- a/internal/simulate/model/sockets/backlog_linux.go
+++ b/internal/simulate/model/sockets/backlog_linux.go
@@ -38,7 +38,8 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*syscall.SockaddrInet4).Port)), release, nil
 }
 
-// childProcess makes agents end with the simulation however it ends, and keeps Ctrl-C signals from them.
+// childProcess returns attributes with which agents end when the simulation ends for any reason, and get no signal from
+// Ctrl-C.
 func childProcess() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 }
--- a/internal/simulate/model/sockets/backlog_other.go
+++ b/internal/simulate/model/sockets/backlog_other.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// backlog does nothing on this system: connections to a silent server are established, but get no answers.
+// backlog has no effect on this system: connections to a silent server are established, but get no answers.
 func backlog(*net.TCPListener, int) {}
 
 // reserveAddr finds a free address; another process may take it until a server listens there.
--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// try is what the stand-in servers know about the request with an ID.
+// try holds the data of a client's try that the stand-in servers need to handle its request, by the request's ID.
 type try struct {
 	task     *model.Task
 	seed     model.Seed
@@ -23,7 +23,7 @@
 	attempts int
 }
 
-// tryRetention is how long an ID is known after the end of its try, since attempts may still be under way.
+// tryRetention is how long a try is kept after its end, since attempts of it may still be in transit.
 const tryRetention = 20 * time.Second
 
 // client simulates the client of one task, with all its tries.
@@ -75,7 +75,7 @@
 		defer g.mu.Unlock()
 		delete(g.tries, id)
 	})
-	// The client's deadline plus a grace; an answer within the grace only matters to the checker.
+	// The client waits for its deadline plus a grace period. An answer within the grace period matters only to the checker.
 	patience, cancel := context.WithTimeout(ctx, left+g.s.Rules.AnswerSlack+slack)
 	defer cancel()
 	req, err := http.NewRequestWithContext(patience, method, "http://"+a.listen+"/"+class.Name, body)
--- a/internal/simulate/model/sockets/list.go
+++ b/internal/simulate/model/sockets/list.go
@@ -11,7 +11,7 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// watch holds what one agent has been told, and its present call.
+// watch holds the server names that the list has sent to one agent, and the agent's present call.
 type watch struct {
 	names map[int]string         // names of servers by place
 	out   chan model.ListMessage // of the present call; nil: none
@@ -49,7 +49,7 @@
 	return m
 }
 
-// recordListed records what an agent is told. The lock is held.
+// recordListed records the entries that are sent to an agent. The lock is held.
 func (g *driver) recordListed(agent int, full bool, entries []model.Entry) {
 	now := g.now()
 	w := g.watches[agent]
@@ -78,7 +78,7 @@
 	}
 }
 
-// agentsToldBy returns the agents that learn what one reader is told: an external daemon reads for all agents.
+// agentsToldBy returns the agents that receive the entries sent to one reader: an external daemon reads for all agents.
 func (g *driver) agentsToldBy(reader int) []int {
 	if !g.external() {
 		return []int{reader}
@@ -122,7 +122,7 @@
 	}
 }
 
-const keepAlive = 2 * time.Second // interval of empty lines while nothing changes
+const keepAlive = 2 * time.Second // interval of empty lines while no entry changes
 
 // list returns the handler of one agent's calls.
 func (g *driver) list(agent int) http.Handler {
@@ -146,7 +146,7 @@
 			http.Error(w, "since: a version number is needed", http.StatusBadRequest)
 			return
 		}
-		one.Lock() // a new watch begins when the previous one has ended
+		one.Lock() // a new watch begins only after the previous one has ended
 		defer one.Unlock()
 		out := make(chan model.ListMessage, 64)
 		g.mu.Lock()
--- a/internal/simulate/model/sockets/listener.go
+++ b/internal/simulate/model/sockets/listener.go
@@ -10,7 +10,7 @@
 type listenerState uint8
 
 const (
-	closed listenerState = iota // nothing listens: connections are refused
+	closed listenerState = iota // no process listens: connections are refused
 	open                        // connections are accepted
 	silent                      // connections are never established, as with an unreachable machine
 )
@@ -72,7 +72,7 @@
 // free releases the address.
 func (d *listener) free() { d.release() }
 
-const reopenFor = 2 * time.Second // an outgoing connection may use the port for a short time
+const reopenFor = 2 * time.Second // an outgoing connection may occupy the port for a short time
 
 // set changes the state and returns when it is in effect.
 func (d *listener) set(to listenerState) error {
@@ -123,7 +123,7 @@
 		d.state = open
 		d.drop()
 		// Connections that reached the queue while the address was silent count as lost: their senders have
-		// given up, so accepting them now would serve requests that have ended.
+		// timed out, so accepting them now would serve requests that have ended.
 		_ = d.ln.SetDeadline(time.Now().Add(time.Millisecond))
 		for {
 			c, err := d.ln.AcceptTCP()
--- a/internal/simulate/model/sockets/server.go
+++ b/internal/simulate/model/sockets/server.go
@@ -241,7 +241,7 @@
 		<-hungUp
 		return err
 	}
-	<-hungUp // the first byte of the next request, or the end of the connection
+	<-hungUp // closed by the first byte of the next request or by the end of the connection
 	return nil
 }
 
@@ -276,7 +276,7 @@
 }
 
 // namedServer returns the server that the agent expects at this connection's address: the latest one
-// that the list has told it. The lock is held.
+// that the list has sent to it. The lock is held.
 func (g *driver) namedServer(c *conn) string {
 	if w := g.watches[c.agent]; w != nil {
 		if name, ok := w.names[c.proc.Spec.Place]; ok {
--- a/internal/simulate/model/sockets/sockets.go
+++ b/internal/simulate/model/sockets/sockets.go
@@ -1,6 +1,6 @@
 // Package sockets simulates a scenario in real time on loopback: stand-in servers, list and clients,
 // driven by the same model as in virtual time, around real agent processes that use the published
-// protocol. Its time, connections and concurrent requests are limited, and it ends by itself.
+// protocol. Its duration, connections and concurrent requests are limited.
 package sockets
 
 import (
@@ -30,7 +30,8 @@
 	maxOpen      = 4000 // concurrent requests of clients
 )
 
-// slack is the maximum difference between times measured here and in an agent, on a busy machine.
+// slack is the maximum difference between a time that the driver measures and the agent's time of the same event, on a
+// busy machine.
 const slack = 50 * time.Millisecond
 
 // Options describe a simulation.
@@ -51,7 +52,7 @@
 	AgentsAt []string
 	Progress func(now time.Duration, d *statistics.Day)
 	// Trace, if set, is called for each server every 100 ms, with its held requests and, while it is cold,
-	// its load as a multiple of what it can do.
+	// its load as a multiple of the work that it can do.
 	Trace func(now time.Duration, server string, held int, pressure float64)
 }
 
@@ -63,7 +64,7 @@
 }
 
 // driver runs a simulation. Its lock guards the model, the checker and the statistics; no goroutine
-// waits for anything while it holds the lock.
+// blocks while it holds the lock.
 type driver struct {
 	o     Options
 	s     *model.Scenario
@@ -269,7 +270,7 @@
 		}
 		for ; more && task.At <= now; task, more = load.Next() {
 			c := model.NewClient(g.s, task)
-			c.Task.At = now // the agent must not be charged for the driver's delay
+			c.Task.At = now // the driver's delay must not count as latency of the agent
 			select {
 			case openRequests <- struct{}{}:
 				clients.Go(func() {
@@ -291,7 +292,7 @@
 	return cut
 }
 
-// every returns the interval between samples.
+// every returns the interval between samples of the servers.
 func (g *driver) every() time.Duration {
 	if g.o.Trace != nil {
 		return 100 * time.Millisecond
@@ -388,7 +389,7 @@
 	g.wake(p)
 }
 
-// wake schedules the next step of a process for the time when something is due. The lock is held.
+// wake schedules the next step of a process for the time of its next action. The lock is held.
 func (g *driver) wake(p *model.Proc) {
 	next := p.NextWake()
 	if t := g.wakes[p]; t != nil {
--- a/internal/simulate/model/spec.go
+++ b/internal/simulate/model/spec.go
@@ -17,8 +17,8 @@
 	Thrash       float64       // efficiency lost for each held request per core above ThrashAt
 	ThrashAt     float64       // held requests per core
 	ColdShare    float64       // share of the capacity that a process has when it has just started
-	ColdFor      time.Duration // time until it is warm
-	WarmByWork   bool          // warms up with the work done, but no slower than evenly over ColdFor
+	ColdFor      time.Duration // time until a process is warm
+	WarmByWork   bool          // work done speeds up the warm-up, which otherwise progresses evenly over ColdFor
 	PauseEvery   time.Duration // mean time between pauses; 0: none
 	Pause        time.Duration // mean length of a pause while the server is idle
 	PauseGrow    float64       // relative growth of a pause for each held request per slot, up to 4 requests
@@ -32,7 +32,7 @@
 // Capacity returns the work that a warm, healthy server of the kind does in a unit of time.
 func (k *Kind) Capacity() float64 { return float64(min(k.Cores, k.Slots)) * k.Speed }
 
-// Class is a class of requests: what the policy is told about it, and how its requests are generated.
+// Class is a class of requests: the profile that the policy receives, and how its requests are generated.
 type Class struct {
 	decide.Class
 	Name  string
@@ -74,15 +74,15 @@
 	Tries    int           // maximum number of tries, the first included
 	Wait     time.Duration // time before the next try; 0: at once
 	Heed     float64       // share of clients that obey the Retry-After of a refusal
-	Patience float64       // share of the class's deadline that a client waits for a try other than the last one
+	Patience float64       // share of the class's deadline that a client waits for each try except the last one
 }
 
-// Scenario describes a whole simulation.
+// Scenario describes a simulation completely.
 type Scenario struct {
 	Title    string
 	Length   time.Duration
 	Agents   int
-	Uneven   float64 // how unevenly traffic is spread over agents: 0 even, 1 in inverse proportion to the agent's position
+	Uneven   float64 // imbalance of the traffic among agents: 0 even, 1 in inverse proportion to the agent's position
 	Vary     float64 // coefficient of variation of a further random factor on each agent's traffic
 	Tick     time.Duration
 	ByWork   bool // the value of a request is multiplied by its work
@@ -121,12 +121,12 @@
 	Noise   float64
 }
 
-// RecordsSpec describes a second discovery source that all agents read besides the list: published records, which
-// are late and sometimes wrong. They don't show draining: a server that drains or is removed disappears from them
-// later.
+// RecordsSpec describes a second discovery source that all agents read in addition to the list: published records,
+// which are late and sometimes wrong. They don't show draining: a server that drains or is removed disappears from
+// them later.
 type RecordsSpec struct {
 	Every  time.Duration // interval between readings; 0: there are no records
-	Late   time.Duration // how late changes are published
+	Late   time.Duration // delay after which changes are published
 	Fail   float64       // share of readings that fail
 	Cut    float64       // share of readings that silently lack half of the records
 	Empty  float64       // share of readings that are empty
--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -15,11 +15,11 @@
 // agent simulates the real agent: the same loop, table of requests, attempts and pool of
 // connections as in package core, on the driver's clock.
 type agent struct {
-	fleetSize  decide.FleetSize // the fleet size that the policy was told last
+	fleetSize  decide.FleetSize // the fleet size that the policy has received last
 	d          *driver
 	n, zone    int
 	up         bool
-	draining   bool // accepts no new requests, and ends once it has answered its open ones
+	draining   bool // accepts no new requests, and ends once it has answered its open requests
 	generation int  // number of starts so far; events scheduled for an earlier one are ignored
 	policy     Policy
 	pending    []decide.Event
@@ -93,7 +93,7 @@
 	}
 }
 
-// start starts the agent with the last list that it had.
+// start starts the agent with the list that its previous process had last.
 func (a *agent) start(now time.Duration) (err error) {
 	if a.draining {
 		a.kill()
@@ -220,8 +220,6 @@
 	}
 }
 
-// ---- The loop ----
-
 func (a *agent) post(e decide.Event) {
 	a.pending = append(a.pending, e)
 	a.scheduleStep(a.d.now)
@@ -270,7 +268,7 @@
 	}
 }
 
-// margin returns the time that is kept free before the client's deadline: a time-out of an attempt
+// margin returns the time that is reserved before the client's deadline, so that a time-out of an attempt
 // reaches the policy early enough for the client to get the final answer.
 func (a *agent) margin() time.Duration { return a.d.s.Tick }
 
@@ -317,7 +315,7 @@
 	a.post(decide.Request{ID: r.id, Class: r.class, Work: r.task.Hint})
 	generation := a.generation
 	alive := func() bool { return a.up && a.generation == generation && !r.done }
-	a.d.at(r.deadline, func() { // the client leaves and reads no later answer
+	a.d.at(r.deadline, func() { // the client stops waiting and reads no later answer
 		if alive() && r.answer != nil {
 			answer := r.answer
 			r.answer = nil
@@ -345,7 +343,7 @@
 	}
 }
 
-// finish delivers a final answer. The policy has to give only one, and the checker verifies that.
+// finish delivers a final answer. The policy must give exactly one, and the checker verifies that.
 func (a *agent) finish(r *request, kind checker.Kind, told model.Answer, after time.Duration) {
 	a.d.checker.Answered(a.d.now, a.n, r.id, kind)
 	if !r.done {
@@ -362,7 +360,7 @@
 	if r.done && r.open == 0 {
 		delete(a.requests, r.id)
 		if a.draining && len(a.requests) == 0 {
-			generation := a.generation // scheduled, since the caller still uses the request
+			generation := a.generation // deferred to an event, since the caller still uses the request
 			a.d.at(a.d.now, func() {
 				if a.generation == generation && a.draining {
 					a.kill()
@@ -372,8 +370,6 @@
 	}
 }
 
-// ---- Attempts ----
-
 func (a *agent) send(s decide.Send) {
 	r := a.requests[s.Request]
 	if r == nil {
@@ -443,8 +439,6 @@
 	a.removeIfDone(r)
 }
 
-// ---- Connections ----
-
 // conn is a connection of an agent to a process.
 type conn struct {
 	id          int
@@ -478,7 +472,8 @@
 	return len(seen)
 }
 
-// idle takes the most recently used connection that has been idle for minIdleTime, else the most recently used one.
+// idle takes the most recently used connection that has been idle for minIdleTime or, if there is no such connection,
+// the most recently used one.
 func (a *agent) idle(server string) *conn {
 	list := a.pools[server]
 	keep := a.d.s.Rules.IdleClose * 3 / 4 // as in the real agent
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -11,8 +11,8 @@
 	"vetchhaven/internal/source/endpoints"
 )
 
-// records simulates a second discovery source besides the list: one reading for all agents, of the state some time
-// ago, which sometimes fails, is truncated or is empty.
+// records simulates a second discovery source in addition to the list. All agents share one reading, which shows an
+// earlier state and sometimes fails, is truncated or is empty.
 type records struct {
 	d       *driver
 	spec    model.RecordsSpec
@@ -64,7 +64,7 @@
 	d.at(d.now+s.Every, r.read)
 }
 
-// endpointOf converts an entry into a source's form. Places stand for addresses.
+// endpointOf converts an entry into a source's form, in which a server's place is its address.
 func endpointOf(e model.Entry) endpoints.Server {
 	v := endpoints.Server{ID: e.Server.Name, Addr: "place:" + strconv.Itoa(e.Server.Place), Zone: strconv.Itoa(e.Server.Zone),
 		Kind: strconv.Itoa(e.Server.Kind), Pod: e.Server.Pod, Weight: 1, Started: e.Started.Milliseconds()}
--- a/internal/simulate/model/virtual/share.go
+++ b/internal/simulate/model/virtual/share.go
@@ -13,7 +13,7 @@
 // Sharing describes how agents share the outcomes of their attempts at servers.
 type Sharing struct {
 	Lost float64       // share of messages that are lost
-	Late time.Duration // delay of the other messages
+	Late time.Duration // delay of the messages that arrive
 }
 
 // Ended is called at the end of each attempt.
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// updateList handles an update of the agent's own list.
+// updateList handles an update of the agent's endpoint list.
 func (s *reporter) updateList(entries []model.Entry, full bool) {
 	if full {
 		clear(s.list)
--- a/internal/simulate/model/virtual/virtual.go
+++ b/internal/simulate/model/virtual/virtual.go
@@ -24,22 +24,22 @@
 	Scenario *model.Scenario
 	Seed     uint64
 	New      func(s decide.Settings, seed uint64) (Policy, error)
-	Believe  bool                                       // for comparison: agents use only the records, as read
+	Believe  bool                                       // for comparison: agents use only the records, each reading unchecked
 	Progress func(now time.Duration, d *statistics.Day) // called each simulated second; may be nil
 	Stop     func() bool                                // polled; ends the simulation early; may be nil
-	// Balancers is the number of agents that agents are told at their start; 0: the real number.
+	// Balancers is the number of agents that each agent is configured with at its start; 0: the real number.
 	Balancers int
 	// Count returns the number of agents according to an agent's own view of the fleet, which replaces Balancers
 	// after the start; nil: agents have no such view. It is called five times a second.
 	Count func(agent int, now time.Duration) (most, least int)
 	Share *Sharing // how agents share outcomes; nil: each agent only uses its own outcomes
-	Notes bool     // agents pass the policies' messages to one another, without losses
+	Notes bool     // agents exchange the messages of their policies, without losses
 	Ended Ended    // called at the end of each attempt; may be nil
 }
 
 const fleetSizeInterval = 200 * time.Millisecond
 
-// updateFleetSizes tells agents the fleet size of their own view, if it has changed.
+// updateFleetSizes passes to each agent's policy the fleet size of the agent's own view, if it has changed.
 func (d *driver) updateFleetSizes() {
 	for _, a := range d.agents {
 		most, least := d.o.Count(a.n, d.now)
@@ -63,8 +63,8 @@
 	Bytes    int // of these messages
 }
 
-// oraclePolicy is a policy that gets the exact states of all servers, of now or of some time ago, which no real
-// agent can. It is for comparison.
+// oraclePolicy is a policy that gets the exact present or earlier states of all servers, which a real agent can't
+// observe. It is for comparison.
 type oraclePolicy interface {
 	SetServerStates(states func(late time.Duration) []model.ServerState)
 }
@@ -74,8 +74,8 @@
 	stateRetention = 2 * time.Second
 )
 
-// serverStates returns the states of all servers as they were some time ago, for oracles. The slice does not change
-// later.
+// serverStates returns the states of all servers as they were before the delay late, for oracle policies. The slice
+// does not change later.
 func (d *driver) serverStates(late time.Duration) []model.ServerState {
 	if late <= 0 {
 		return d.world.ServerStates(d.now)
@@ -119,7 +119,7 @@
 	lastConn int // the number of the newest connection
 	wakes    map[*model.Proc]time.Duration
 	listAt   time.Duration
-	open     int // number of open tasks
+	open     int // number of tasks in progress
 	history  []pastStates
 	// emptied is how often an agent's merged list became empty.
 	emptied         int
@@ -183,7 +183,7 @@
 
 func (d *driver) at(t time.Duration, f func()) { d.queue.push(max(t, d.now), f) }
 
-// run handles events in order until the scenario is over and no task is open.
+// run handles events in order until the scenario is over and no task is in progress.
 func (d *driver) run() (cut bool) {
 	end := d.s.Length + 10*time.Second
 	for _, c := range d.s.Classes {
@@ -227,8 +227,6 @@
 	}
 }
 
-// ---- Clients ----
-
 func (d *driver) nextTask() {
 	t, ok := d.load.Next()
 	if !ok {
@@ -271,8 +269,6 @@
 	d.at(d.now+wait, func() { d.try(c) })
 }
 
-// ---- Servers and the list ----
-
 // step passes an event to a process and carries out its effects.
 func (d *driver) step(p *model.Proc, e model.ServerEvent) {
 	d.applyEffects(p, p.Step(d.now, e))
@@ -286,7 +282,7 @@
 			d.toAgent(c, func() { c.opened(e.Kind == model.Accepted) })
 		case model.Replied:
 			c := d.conns[e.Conn]
-			if e.Result == decide.Rejected { // from now on; the agent can't know it earlier
+			if e.Result == decide.Rejected { // counted from now; the agent can't have learned it earlier
 				d.checker.TurnedAway(d.now, e.Job.ID, p.Name)
 			}
 			row := d.stats.Server(p.Spec)
@@ -318,7 +314,7 @@
 	d.wake(p)
 }
 
-// wake schedules the next step of a process for the time when something is due.
+// wake schedules the next step of a process for the time of its next action.
 func (d *driver) wake(p *model.Proc) {
 	next := p.NextWake()
 	if p.Dead || next == 0 || d.wakes[p] > 0 && d.wakes[p] <= next && d.wakes[p] >= d.now {
@@ -404,8 +400,6 @@
 	})
 }
 
-// ---- Events ----
-
 // eventQueue is a heap of future events, by time and then in the order of insertion.
 type eventQueue struct {
 	heap []event
--- a/internal/simulate/model/world.go
+++ b/internal/simulate/model/world.go
@@ -10,7 +10,7 @@
 // Change is one step of the script.
 type Change struct {
 	At   time.Duration
-	What any // one of the types below
+	What any // ServerErrors, Drain or another of the types declared after Change
 }
 
 // The changes that a script can make. Servers are named by their IDs.
@@ -34,7 +34,7 @@
 	Drain struct{ Server string }
 	// Kill ends a server's process; its connections are reset.
 	Kill struct{ Server string }
-	// Start starts a cold process, under a new name or under the name of a process that has ended.
+	// Start starts a process, which has to warm up, under a new name or under the name of a process that has ended.
 	Start struct{ Server ServerSpec }
 	// MovePod moves a running server to another pod.
 	MovePod struct {
@@ -52,7 +52,7 @@
 	}
 	// Resets makes a share of attempts end with a broken connection.
 	Resets struct{ Share float64 }
-	// Lost makes the answers to a share of attempts get lost.
+	// Lost drops the answers to a share of attempts.
 	Lost struct{ Share float64 }
 	// ListRefuse makes the list reject a share of calls at once.
 	ListRefuse struct{ Share float64 }
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// ServerState is the exact state of a server that runs and can be reached, which no real agent can observe.
+// ServerState is the exact state of a server that runs and can be reached. A real agent can't observe it.
 type ServerState struct {
 	ID        string
 	Zone      int
@@ -151,7 +151,7 @@
 
 // Result holds the consequences of a change that the driver must carry out.
 type Result struct {
-	Effects  []ProcEffects // of servers: first what was due by now, then what the change caused
+	Effects  []ProcEffects // of servers: first those that were due by now, then those that the change caused
 	Died     []*Proc       // processes that ended; their connections are reset after Effects
 	Messages []ListMessage
 }
@@ -238,7 +238,7 @@
 	return r
 }
 
-// EndOverloaded ends the process of a server that was overloaded while cold. It does not come back by itself.
+// EndOverloaded ends the process of a server that was overloaded while cold. Only a Start in the script restarts it.
 func (w *World) EndOverloaded(now time.Duration, p *Proc) []ListMessage {
 	p.Dead = true
 	e := Entry{Server: p.Spec, State: decide.Removed, Started: p.startedAt}
--- a/internal/simulate/report/html.go
+++ b/internal/simulate/report/html.go
@@ -60,7 +60,8 @@
 	Service, P50, P99 string
 }
 
-// colours can also be distinguished by colour-blind readers (palette of Okabe and Ito); further lines differ by dashes.
+// colours are the colours of the lines, which colour-blind readers can also distinguish (palette of Okabe and Ito).
+// Further lines use the same colours with dashes.
 var colours = []string{"#0072b2", "#d55e00", "#009e73", "#cc79a7", "#8a6d00", "#56b4e9", "#7a4fbf", "#a33b3b"}
 
 func colour(i int) string { return colours[i%len(colours)] }
--- a/internal/simulate/report/report.go
+++ b/internal/simulate/report/report.go
@@ -31,7 +31,7 @@
 	Results  []Result
 }
 
-// Broken returns how often the first policy broke rules. The other policies are for comparison.
+// Broken returns how often the first policy broke rules. The other policies serve only for comparison.
 func (r *Report) Broken() int { return r.Results[0].Judge.Total() }
 
 func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
@@ -199,8 +199,6 @@
 	}
 }
 
-// ---- JSON ----
-
 type jsonReport struct {
 	Title     string       `json:"title"`
 	Driver    string       `json:"driver"`
@@ -241,7 +239,7 @@
 	P99     float64 `json:"p99_ms"`
 }
 
-// JSON writes the whole report. It contains no real time, so the same simulation gives the same bytes.
+// JSON writes the complete report. It contains no real time, so the same simulation gives the same bytes.
 func (r *Report) JSON(w io.Writer) error {
 	out := jsonReport{Title: r.Scenario.Title, Driver: r.Driver, Seed: r.Seed, Length: r.Scenario.Length.Seconds(),
 		Window: statistics.Window.Seconds(), Incidents: []jsonMark{}}
--- a/internal/simulate/scenario/incident.go
+++ b/internal/simulate/scenario/incident.go
@@ -257,7 +257,7 @@
 				}
 				first, end = in.Agents[0], in.Agents[1]
 			}
-			// With over, the agents restart one tenth after the other.
+			// If the field over is set, the agents restart in ten groups, one after another.
 			steps := 1
 			if in.Over.D() > 0 {
 				steps = min(10, end-first)
@@ -297,7 +297,7 @@
 	return list, true
 }
 
-// checkFields checks that an incident is known, has all required fields and no fields that it does not take.
+// checkFields checks that an incident's type exists, and that it has all required fields and no unsupported ones.
 func (c *validator) checkFields(what string, at func(string) string) bool {
 	takes, ok := fields[what]
 	if !ok {
--- a/internal/simulate/scenario/scenario.go
+++ b/internal/simulate/scenario/scenario.go
@@ -1,6 +1,6 @@
 // Package scenario reads the files that describe a simulation: a fleet of servers, classes of
-// requests, load, and a script of timed incidents. The whole file is checked before anything runs;
-// errors name the file, the line and the field.
+// requests, load, and a script of timed incidents. A file is checked completely before the simulation
+// starts; errors name the file, the line and the field.
 package scenario
 
 import (
@@ -116,7 +116,7 @@
 }
 
 type servers struct {
-	Name  string // prefix; servers with the same prefix are numbered on through the file
+	Name  string // prefix; servers with the same prefix are numbered consecutively through the file
 	Kind  string
 	Zone  string
 	Pod   int
@@ -134,7 +134,7 @@
 	c := &validator{own: own, site: own}
 	if f.Site != "" {
 		// Settings of the scenario override those of the site. A list of kinds, classes or servers
-		// replaces the site's whole list.
+		// replaces the site's list completely.
 		var merged file
 		at := filepath.Join(filepath.Dir(path), f.Site)
 		if c.site, err = tomlfile.Read(at, &merged); err != nil {
--- a/internal/simulate/statistics/statistics.go
+++ b/internal/simulate/statistics/statistics.go
@@ -15,8 +15,8 @@
 // Window is the length of the time windows.
 const Window = 5 * time.Second
 
-// Counts holds the results of the requests whose first try was in a window, and what was sent in
-// the window. Each request ends in exactly one of InTime, Late, Refused and Failed.
+// Counts holds the results of the requests whose first try was in a window, and the numbers of tries,
+// attempts and calls in the window. Each request ends in exactly one of InTime, Late, Refused and Failed.
 type Counts struct {
 	Offered  int     `json:"offered"`
 	InTime   int     `json:"in_time"`
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Service returns the value earned over the value asked for; 1 if nothing was asked for.
+// Service returns the value earned divided by the full value of the requests; 1 if there were no requests.
 func (c Counts) Service() float64 {
 	if c.Asked == 0 {
 		return 1
@@ -96,7 +96,7 @@
 	Errors   int       `json:"errors"`
 	Full     int       `json:"full"`
 	Queue    []float64 `json:"queue"`    // mean number of held requests in each window; negative: the server did not run
-	Pressure float64   `json:"pressure"` // maximum load while cold, as a multiple of what it could do
+	Pressure float64   `json:"pressure"` // maximum load while cold, as a multiple of the work that the server could do
 	Fell     bool      `json:"fell"`
 
 	sum []float64
@@ -192,7 +192,7 @@
 	all.Calls++
 }
 
-// InView records the number of servers that an agent has connections to, as the mean over agents.
+// InView records the number of servers to which an agent has connections, as the mean over agents.
 func (d *Day) InView(now time.Duration, mean float64) {
 	all, _ := d.window(now, 0)
 	i := int(now / Window)
@@ -285,7 +285,8 @@
 	}
 }
 
-// Worst returns the service of the worst window, among those with at least a tenth of the mean value asked for.
+// Worst returns the lowest service of a window, and the window's time. It considers windows whose requests have at
+// least a tenth of the mean full value of a window.
 func (d *Day) Worst() (service float64, at time.Duration) {
 	service = 1
 	for i, w := range d.Windows {
