--- a/cmd/vetchhaven/idleclients_test.go
+++ b/cmd/vetchhaven/idleclients_test.go
@@ -63,9 +63,9 @@
 	_, _ = in.ReadByte() // until the agent or the test closes the connection
 }
 
-// Clients that send no request use up the descriptors of an agent while discovery is down. The admitted requests are
-// answered, the watch is opened again once discovery is back, and servers that discovery then lists get attempts. The
-// process has no more descriptors than its settings allow.
+// Clients that send no request exhaust an agent's file descriptors while discovery is down. Admitted requests are still
+// answered, the watch is opened again once discovery is available, and servers that discovery then lists get attempts.
+// The process's limit on open descriptors is the number of sockets in its settings.
 func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
 	const sockets, held = 64, 3 // held: fewer requests than the server may have at once
 	list := newListService(t)
@@ -82,7 +82,7 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	late, err := net.Listen("tcp", "127.0.0.1:0") // a server that is listed once discovery is back
+	late, err := net.Listen("tcp", "127.0.0.1:0") // a server that is listed once discovery is available again
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/vetchhaven/main.go
+++ b/cmd/vetchhaven/main.go
@@ -60,7 +60,7 @@
 			fmt.Fprintln(os.Stderr, "vetchhaven:", e.err)
 		}
 		return e.status
-	default: // an error of cobra: a wrong flag or argument
+	default: // an error that cobra returned: an invalid flag or argument
 		fmt.Fprintln(os.Stderr, "vetchhaven:", err)
 		return 2
 	}
--- a/cmd/vetchhaven/main_test.go
+++ b/cmd/vetchhaven/main_test.go
@@ -19,7 +19,7 @@
 
 const testTimeout = 30 * time.Second
 
-// TestMain runs the program instead of the tests if the environment asks for it, so that tests can start the test
+// TestMain runs the program instead of the tests if an environment variable is set, so that tests can start the test
 // binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("VETCHHAVEN_TEST_MAIN") == "1" {
@@ -120,8 +120,8 @@
 }
 
 // SIGHUP moves the watch to the address in the new file, even if the environment set the first address. An invalid
-// file, further SIGHUPs, and SIGHUPs while the program stops do no harm. Earlier, the program did not catch SIGHUP,
-// whose default action ends the process.
+// file, further SIGHUPs, and SIGHUPs while the program stops have no effect on serving. Earlier, the program did not
+// catch SIGHUP, whose default action ends the process.
 func TestSighup(t *testing.T) {
 	one, first := startWatchService(t)
 	two, second := startWatchService(t)
--- a/cmd/vetchhaven/policy.go
+++ b/cmd/vetchhaven/policy.go
@@ -229,8 +229,8 @@
 	return texts, names, nil
 }
 
-// printChanges prints what texts change. It returns the texts that differ from those in force, and the numbers in
-// force on which they are based. If there are several texts, those that change nothing are left out.
+// printChanges prints the differences between texts and the policies in force. It returns the texts, and the numbers in
+// force on which they are based. If there are several texts, it omits those that are in force already.
 func printChanges(config string, now *daemon.PolicyStatus, texts map[string]string, out io.Writer) (differing map[string]string, bases map[string]uint64, err error) {
 	differing, bases = map[string]string{}, map[string]uint64{}
 	for _, part := range slices.Sorted(maps.Keys(texts)) {
--- a/cmd/vetchhaven/upgrade_test.go
+++ b/cmd/vetchhaven/upgrade_test.go
@@ -110,7 +110,7 @@
 	return ln.Addr().String()
 }
 
-// Three processes run one after the other under continuous requests, on kept and on new connections. Each request is
+// Three processes replace each other under continuous requests, on kept and on new connections. Each request is
 // answered, and no connection is refused.
 func TestUpgradeUnderLoad(t *testing.T) {
 	u := newUpgradeEnv(t, echo(t))
--- a/internal/host/admin/figures.go
+++ b/internal/host/admin/figures.go
@@ -36,7 +36,7 @@
 		out.Sends += c.Sends
 	}
 	text, err := json.Marshal(out)
-	if err != nil { // cannot happen: the value holds only numbers and names
+	if err != nil { // can't happen: the value contains only numbers and names
 		panic(err)
 	}
 	return append(text, '\n')
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -44,8 +44,8 @@
 	// callTimeout bounds reading a call (header and body). Handling the call and writing its response may take twice
 	// as long.
 	callTimeout = time.Second
-	// agentTimeout bounds disabling or enabling an endpoint in the agent, so that a caller is told of a busy agent
-	// before the caller itself times out. Publishing the change takes up to handoff.AckTimeout more.
+	// agentTimeout bounds disabling or enabling an endpoint in the agent, so that the caller of a busy agent gets an
+	// error before the caller itself times out. Publishing the change takes up to handoff.AckTimeout more.
 	agentTimeout = 700 * time.Millisecond
 	// figuresTimeout bounds the wait for current endpoint counts; after it the response contains earlier counts.
 	figuresTimeout = 200 * time.Millisecond
@@ -65,7 +65,7 @@
 	server    *http.Server
 
 	mu           sync.Mutex
-	idle         *list.List // of net.Conn that have not sent a complete call, oldest first
+	idle         *list.List // of net.Conn: connections that have not sent the complete header of a call, oldest first
 	idleElements map[net.Conn]*list.Element
 }
 
@@ -123,8 +123,8 @@
 // Close stops listening. Calls in progress are completed.
 func (s *Server) Close() error { return s.ln.Close() }
 
-// trackConn records the connections that have not sent a complete call yet, and closes the oldest one beyond
-// maxIdleConns.
+// trackConn records the connections that have not sent the complete header of a call yet, and closes the oldest one
+// if there are more than maxIdleConns.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// metrics answers with the platform's figures as JSON, or with counters for Prometheus if the query asks for them and
+// metrics answers with the platform's figures as JSON, or with counters for Prometheus if the query requests them and
 // prometheus is not nil.
 func (s *Server) metrics(prometheus http.Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -228,8 +228,8 @@
 }
 
 // publish shares a change that is already in effect in this process, and answers 200 even if that fails: the
-// operator's change is in effect in this process anyway, and the log says that other processes may not have applied
-// it.
+// operator's change is in effect in this process anyway, and a log line reports that other processes may not have
+// applied it.
 func (s *Server) publish(w http.ResponseWriter, c handoff.Change) {
 	if err := s.publisher.Publish(c); err != nil {
 		s.log.Error("an operator's change is in effect in this process, but could not be shared with the agent's other processes",
--- a/internal/host/metrics/metrics.go
+++ b/internal/host/metrics/metrics.go
@@ -29,7 +29,8 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Describe sends no descriptions, which makes the collector an unchecked one: the labels are known only at a scrape.
+// Describe sends no descriptions, which makes the collector an unchecked one: its labels are determined only at a
+// scrape.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 func counter(name, help string, labels ...string) *prometheus.Desc {
--- a/internal/host/policystore/store.go
+++ b/internal/host/policystore/store.go
@@ -4,8 +4,8 @@
 //
 // A witness is a small file that counts the writes to the store's file. It lies in a directory that is emptied at
 // reboot, such as /run, and is not part of backups. With the witness a starting process proves that the file is the
-// one that the last process left, and not an earlier copy that was restored. Without this proof a voter asks the other
-// voters before it votes: see internal/peer/policy.
+// one that the last process left, and not an earlier copy that was restored. Without this proof a voter queries the
+// other voters before it votes: see internal/peer/policy.
 //
 // internal/host/daemon owns the Store: it opens the Store, calls Run in a goroutine, and passes Writer's function to
 // the transport, whose goroutine calls it.
@@ -140,7 +140,8 @@
 
 // isDamaged reports whether an error is bbolt's own, for content that it rejects: any error except those of the
 // operating system and a lock that was not released in time. A failure of the system, transient or permanent (no file
-// descriptor, no space, a bad sector, another process that has the file open), says nothing about the content.
+// descriptor, no space, a bad sector, another process that has the file open), is no evidence that the content is
+// damaged.
 func isDamaged(err error) bool {
 	var system syscall.Errno
 	return !errors.As(err, &system) && !errors.Is(err, bberrors.ErrTimeout)
@@ -242,7 +243,7 @@
 
 // Reopen opens the file again. It does nothing if the file is open, or if Close has been called since Closes returned
 // closes: the caller of that Close needs the file closed. Reopen does not return the stored state, since the member
-// that continues to run knows it.
+// that continues to run has it in memory.
 func (s *Store) Reopen(closes int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/host/policystore/store_test.go
+++ b/internal/host/policystore/store_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// exhaustDescriptors lowers the limit so that the process can't open a file descriptor, until the returned function is
-// called.
+// exhaustDescriptors lowers the limit on file descriptors so that the process can't open one, until the returned
+// function is called.
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var previous unix.Rlimit
--- a/internal/host/snapshot/pause_test.go
+++ b/internal/host/snapshot/pause_test.go
@@ -6,8 +6,8 @@
 	"vetchhaven/internal/core"
 )
 
-// Limits apply only to a successor that takes over without a pause, so DropTransient removes them. It keeps the
-// learned values.
+// Limits on requests in flight may be used only by a successor that takes over without a pause in serving, so
+// DropTransient removes them. It keeps the learned values.
 func TestDropTransientRemovesLimitsOnly(t *testing.T) {
 	s := &State{Instances: map[string]*core.Memory{"a": {Limit: 9, Classes: map[string]core.ClassMemory{"c": {Latency: 5}}}, "b": nil}}
 	s.DropTransient()
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -6,7 +6,7 @@
 // measured durations. It does not contain retry tokens, slow-start budgets, failure counts and ejections: these were
 // valid only at the time of saving, and restoring them could break a rule (a slow-start budget that was spent would be
 // spent again) or keep a recovered endpoint out of use. The limit on requests in flight is passed only to a successor
-// that immediately serves the same clients, see State.DropTransient.
+// that immediately serves the same clients: see State.DropTransient.
 package snapshot
 
 import (
@@ -28,11 +28,12 @@
 	SinceBootMS int64                         `json:"boot_ms,omitempty"` // ms, monotonic
 	Sources     map[string]*discovery.Members `json:"sources"`           // by list address
 	Instances   map[string]*core.Memory       `json:"instances"`         // by name
-	// Peers is the daemon's membership state (transport.EncodeSaved), for a successor that takes over without a gap.
+	// Peers is the daemon's membership state (transport.EncodeSaved), for a successor that takes over without a pause.
 	Peers []byte `json:"peers,omitempty"`
 }
 
-// DropTransient removes the state that only a successor without a pause may use: the limits on requests in flight.
+// DropTransient removes the state that may be used only by a successor that takes over immediately, without a pause in
+// serving: the limits on requests in flight.
 func (s *State) DropTransient() {
 	for _, m := range s.Instances {
 		if m != nil {
--- a/internal/host/supervise/supervise.go
+++ b/internal/host/supervise/supervise.go
@@ -1,7 +1,7 @@
-// Package supervise decides when a part of the daemon that ended by itself is started again: after an exponential
-// backoff with jitter, and not at all once it has failed too many times in a row. The package owns the State of each
-// part. It does no I/O and reads no clock: the daemon's goroutine passes in events and the current time, and executes
-// the returned actions.
+// Package supervise decides when a failed part of the daemon is started again: after an exponential backoff with
+// jitter, and not at all once it has failed too many times in a row. The package owns the State of each part. It does
+// no I/O and reads no clock: the daemon's goroutine passes in events and the current time, and executes the returned
+// actions.
 package supervise
 
 import (
@@ -15,16 +15,17 @@
 	// defaultFirstWait makes the restart after a transient fault hardly noticeable. A shorter wait restarts a part
 	// while the cause of its failure still exists.
 	defaultFirstWait = 200 * time.Millisecond
-	// defaultMaxWait is short enough for a repaired part to be restarted soon. A longer wait loads the host less while
-	// a part keeps failing. With the other defaults it is never reached: the seventh and last wait is 12.8 s at most.
+	// defaultMaxWait is short enough for a part to be restarted soon after its fault has been repaired. A longer wait
+	// would put less load on the host while a part keeps failing. With the other defaults it is never reached: the
+	// seventh and last wait is 12.8 s at most.
 	defaultMaxWait = 30 * time.Second
-	// defaultHealthyAfter is far longer than a part runs that fails at its start.
+	// defaultHealthyAfter is far longer than the run time of a part that fails at its start.
 	defaultHealthyAfter = time.Minute
 	// defaultMaxFailures is reached after 13 to 26 s of waiting with the other defaults: seven waits of up to 0.2,
 	// 0.4, and so on to 12.8 s. With a larger number a failing part is restarted for longer.
 	defaultMaxFailures = 8
 
-	// minWaitShare is the smallest fraction of the ceiling that a wait lasts; the rest is jitter. With a smaller
+	// minWaitShare is the smallest fraction of the backoff's ceiling that a wait lasts; the rest is jitter. With a smaller
 	// fraction, low random values would restart a part that fails immediately in a busy loop.
 	minWaitShare = 0.5
 	// seedStream separates the supervisor's random numbers from others that use the same seed.
@@ -34,7 +35,7 @@
 // Settings configure the supervisor. The zero value of each field is replaced by its default.
 type Settings struct {
 	FirstWait    time.Duration // ceiling of the wait after the first failure; it doubles with each further failure
-	MaxWait      time.Duration // maximum of the ceiling
+	MaxWait      time.Duration // maximum that the ceiling of a wait reaches by doubling
 	HealthyAfter time.Duration // after a part has run for this long, its next failure counts as the first
 	MaxFailures  int           // failures in a row after which a part stays down
 }
@@ -61,12 +62,12 @@
 type (
 	// Started reports that a part runs.
 	Started struct{ Name string }
-	// Failed reports that a part ended by itself, or could not start.
+	// Failed reports that a part ended without being stopped, or could not start.
 	Failed struct{ Name, Reason string }
 	// Removed reports that a part is no longer needed.
 	Removed struct{ Name string }
-	// Revived reports that a part that is down is to be started again, because an operator or a change of policy
-	// applied a configuration.
+	// Revived reports that a part that is down is to be started again, because a configuration was applied, by an
+	// operator or by a change of the fleet's policy.
 	Revived struct{ Name string }
 )
 
@@ -79,9 +80,9 @@
 type Action interface{ action() }
 
 type (
-	// Start asks for a part to be started now. Started or Failed must follow.
+	// Start requests that a part be started now. Started or Failed must follow.
 	Start struct{ Name string }
-	// ReportDown asks for a report that a part is no longer started, with the reason of its last failure.
+	// ReportDown requests a report that a part is no longer started, with the reason of its last failure.
 	ReportDown struct{ Name, Reason string }
 )
 
@@ -203,7 +204,7 @@
 	return s.parts[name]
 }
 
-// State returns the state of a part, or the zero State if the part is not known.
+// State returns the state of a part, or the zero State if the supervisor has no such part.
 func (s *Supervisor) State(name string) State {
 	if part := s.parts[name]; part != nil {
 		return *part
--- a/internal/layers/wallclock_test.go
+++ b/internal/layers/wallclock_test.go
@@ -32,7 +32,7 @@
 	"cmd/vetchhaven/policy.go UnixMilli":                "printed",
 }
 
-// Durations are measured with a monotonic clock: only the files listed above convert to or from Unix time.
+// Durations are measured with a monotonic clock: only the files in wallClockUses convert to or from Unix time.
 func TestNoSpanIsTakenFromTheWallClock(t *testing.T) {
 	wall := map[string]bool{"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true}
 	root := "../.."
--- a/internal/simulate/chain/chain_test.go
+++ b/internal/simulate/chain/chain_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// The simulation of each policy gives the result that Worked computes: with half of the attempts failing there are
-// successes that refill the buckets, and the buckets limit the retries. (With more tiers the upper buckets would take
-// longer to empty than this simulation.)
+// The simulation of each policy gives the result that Worked computes. With half of the attempts failing there are
+// successes that refill the buckets, and the buckets limit the retries. With more tiers, emptying the upper buckets
+// would take longer than this simulation.
 func TestSimulationMatchesWorked(t *testing.T) {
 	for _, policy := range []string{Agent, Threes, None} {
 		c := small(3, policy)
@@ -105,7 +105,7 @@
 		{None, 3, 0.5, 1, 0.5},
 		{Threes, 1, 0.5, 1.75, 0.875},
 		{Agent, 1, 0.5, 1 / 0.9, 0.5 / 0.9},
-		{Agent, 4, 0.5, 5.0 / 3, 5.0 / 6}, // 1/s: 2 at the bottom, 1.2 four tiers above
+		{Agent, 4, 0.5, 5.0 / 3, 5.0 / 6}, // 1/s: 2 at the last tier, 1.2 four tiers above it
 	} {
 		if a, s := Worked(row.policy, row.tiers, row.errors); math.Abs(a/row.attempts-1) > 1e-9 || math.Abs(s-row.served) > 1e-9 {
 			t.Errorf("%s, %d tiers, %.0f%%: %.4f attempts and %.4f served, want %.4f and %.4f", row.policy, row.tiers, 100*row.errors, a, s, row.attempts, row.served)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Each call at each tier has its answer in time, and passed-down deadlines and cancellations keep the last tier from
-// working for clients that have left.
+// Each call at each tier gets its answer in time, and passed-down deadlines and cancellations keep the last tier from
+// working for clients that no longer wait.
 func TestNoWorkForClientsThatLeft(t *testing.T) {
 	c := small(6, Agent)
 	c.Rate, c.Slow, c.Leave = 60, 0.02, 0.3
--- a/internal/simulate/checker/checker_test.go
+++ b/internal/simulate/checker/checker_test.go
@@ -148,7 +148,7 @@
 		free    int
 	}{
 		{"b", 0, []string{"a"}, 0, 0},
-		{"b", 0, []string{"a", "b"}, 1, 1}, // the server should have dropped it: not the agent's fault
+		{"b", 0, []string{"a", "b"}, 1, 1}, // the server should have dropped it: the agent broke no rule
 		{"c", 1, []string{"a", "c"}, 1, 0},
 		{"b", 0, []string{"a", "a"}, 0, 0}, // one effect, recorded twice
 	} {
--- a/internal/simulate/model/list_test.go
+++ b/internal/simulate/model/list_test.go
@@ -81,7 +81,7 @@
 	b := newListBench(ListSpec{}, 1)
 	b.change("s-1", decide.Removed, 5*time.Second)
 	b.now = time.Second
-	b.change("s-1", decide.Up, time.Second) // it is back before the list has noticed its end
+	b.change("s-1", decide.Up, time.Second) // it is up again before the list has detected its end
 	b.until(time.Minute)
 	b.want(t, "5000 to 0 v2 s-1:gone", "5000 to 0 v3 s-1:up")
 
--- a/internal/simulate/model/load_test.go
+++ b/internal/simulate/model/load_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Arrivals depend on the scenario and the seed alone, and a request costs the same work at any server.
+// Arrivals depend only on the scenario and the seed, and a request costs the same work at any server.
 func TestLoadIsTheSameAgain(t *testing.T) {
 	s := small()
 	a, b, other := tasks(s, 1), tasks(s, 1), tasks(s, 2)
--- a/internal/simulate/model/server_test.go
+++ b/internal/simulate/model/server_test.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-// bench is one server with a connection; it steps the server whenever something is due.
+// bench is one server with a connection; it steps the server at the time of each of the server's actions.
 type bench struct {
 	t    *testing.T
 	s    *Scenario
@@ -166,7 +166,7 @@
 	b.want("1 j2 full", "100 j1 ran", "100 j1 ok")
 }
 
-// A cancellation does not stop the work: the request has its effect, and there is no answer.
+// A cancellation does not stop the work: the request has its effect, but no answer is sent.
 func TestWorkGoesOnAfterHangup(t *testing.T) {
 	b := newBench(t, small(), false)
 	b.send(100 * ms)
@@ -221,7 +221,7 @@
 		fell bool
 	}{{99 * ms, false}, {100 * ms, false}, {101 * ms, true}} {
 		s := small()
-		s.Kinds[0].Queue, s.Kinds[0].ColdFor = 100, 1000*time.Hour // its warmth does not change
+		s.Kinds[0].Queue, s.Kinds[0].ColdFor = 100, 1000*time.Hour // it stays practically cold
 		b := newBench(t, s, true)
 		for range 24 { // it can do one second of work in a window: 2 cores at half capacity
 			b.send(100 * ms)
@@ -231,7 +231,7 @@
 			t.Errorf("2.4 s and %v of work in a window: overloaded %v", tt.last, b.v.Overloaded())
 		}
 	}
-	// The same with the first request just outside the window, and just inside.
+	// The same load, with the first request just outside the window, and just inside.
 	for _, tt := range []struct {
 		gap  time.Duration
 		fell bool
@@ -258,7 +258,7 @@
 	}
 }
 
-// Rejected work counts for the overload too, and an overloaded server does nothing any more.
+// Rejected work counts for the overload too, and an overloaded server has no further effects.
 func TestRejectedWorkCountsForOverload(t *testing.T) {
 	s := small()
 	s.Kinds[0].ColdFor = 1000 * time.Hour
--- a/internal/simulate/model/sockets/sockets_test.go
+++ b/internal/simulate/model/sockets/sockets_test.go
@@ -167,7 +167,7 @@
 	return played
 }
 
-// A scenario with most kinds of incidents, with real agents. On a busy machine answers may be late,
+// A scenario with most kinds of incidents runs with real agents. On a busy machine answers may be late,
 // but no request is lost and no rule is broken at any speed.
 func TestRealAgentsKeepTheRules(t *testing.T) {
 	if testing.Short() {
--- a/internal/simulate/model/virtual/records_test.go
+++ b/internal/simulate/model/virtual/records_test.go
@@ -6,14 +6,14 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// Records are published 45 s late, fail, are truncated or are empty, while servers drain, end, come back and move.
-// When they are merged with the list, no request goes to a drained server, no ward-close has its effect twice and no
-// agent is left without servers. An agent that uses each reading as it is sends to drained servers and is left without
-// servers, so the scenario can show the fault.
+// Records are published 45 s late, and readings of them fail, are truncated or are empty, while servers drain, end,
+// restart and move. When the records are merged with the list, no request goes to a drained server, no ward-close has
+// its effect twice and no agent is left without servers. An agent that uses each reading unchecked sends to drained
+// servers and is left without servers, so the scenario can reveal a fault of the merging.
 //
-// An effect may come twice without an agent's fault if a server has moved and the list itself reports that late: once
-// in one run out of fourteen, and a different order of random draws moves it to another seed. The checker distinguishes
-// this from a repeat by an agent, which must not happen.
+// An effect may happen twice without an agent's fault if a server has moved and the list reports that late: once in one
+// run out of fourteen, and a different order of random draws moves it to another seed. The checker distinguishes this
+// from an agent's faulty repeat, which must not happen.
 func TestContradictingSourcesAreMerged(t *testing.T) {
 	s, err := scenario.Load("../../../../scenarios/two-sources.toml")
 	if err != nil {
--- a/internal/simulate/model/virtual/virtual_test.go
+++ b/internal/simulate/model/virtual/virtual_test.go
@@ -175,8 +175,8 @@
 	return decide.SetTimer{After: d, Token: wakeToken + int64(b.n)}
 }
 
-// The checker reports each faulty policy with the rule that it breaks, and reports nothing for correct
-// policies in the same scenarios.
+// The checker reports each faulty policy with the rule that it breaks, and no breach of correct policies
+// in the same scenarios.
 func TestFaultyPoliciesAreReported(t *testing.T) {
 	resets := base + incident(`what = "resets"`, `at = "1s"`, `for = "15s"`, `share = 0.3`)
 	drains := base + incident(`what = "drain"`, `at = "5s"`, `servers = ["s-2"]`)
@@ -380,7 +380,7 @@
 	one = one[:strings.LastIndex(one, "[[servers]]")]
 	one = strings.Replace(one, "count = 2\n[[", "count = 1\n[[", 1)
 	one = strings.TrimSuffix(one, "count = 2\n") + "count = 1\n"
-	// The time of the first answer, without the incident.
+	// Find the time of the first answer without the incident.
 	s := load(t, one)
 	w := model.NewWorld(s, 1)
 	p := w.Procs[0]
@@ -454,7 +454,7 @@
 }
 
 // A cold server joins while 200 agents restart, each reading a list that is seconds late; half of
-// the agents are killed again when they learn of the server. The server is not overloaded, its queue
+// the agents are killed again when they receive its entry. The server is not overloaded, its queue
 // stays bounded, and no rule is broken.
 func TestHerd(t *testing.T) {
 	s, err := scenario.Load("../../../../scenarios/herd.toml")
--- a/internal/simulate/report/report_test.go
+++ b/internal/simulate/report/report_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// The page loads nothing from elsewhere, escapes markup in texts, and its plots are drawn.
+// The page loads no external resources, escapes markup in texts, and its plots are drawn.
 func TestHTML(t *testing.T) {
 	r := report(t)
 	var page bytes.Buffer
--- a/internal/simulate/scenario/scenario_test.go
+++ b/internal/simulate/scenario/scenario_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// All shipped scenarios load, and each of their incidents is one that the model knows.
+// All shipped scenarios load, and each of their incidents is one that the model implements.
 func TestShippedScenarios(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 10 {
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -28,11 +28,11 @@
 	Code        int             // result code of the answer; the operation is not executed
 	WrongID     bool            // the answer has a message ID that no request had
 	Double      bool            // the answer is sent twice
-	WrongTag    bool            // the answer is of another operation
+	WrongTag    bool            // the answer has the protocolOp tag of another operation
 	Garbage     bool            // invalid bytes are sent instead of the answer
 	Notice      bool            // a Notice of Disconnection is sent instead of the answer
 	Drip        time.Duration   // delay before each byte of the answer
-	Ahead       [][]byte        // protocolOps, with any controls after them, that are sent before the answer
+	Ahead       [][]byte        // protocolOps, each followed by its controls, that are sent before the answer
 }
 
 // Op is an operation that the directory received.
@@ -89,7 +89,7 @@
 	return d, nil
 }
 
-// Member returns the directory's entry for a list.
+// Member returns the directory as an entry of an endpoint list.
 func (d *Directory) Member(state string) discovery.Member {
 	return discovery.Member{ID: d.ID, Addr: d.listener.Addr().String(), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
--- a/internal/standin/dns/dns.go
+++ b/internal/standin/dns/dns.go
@@ -18,7 +18,7 @@
 	Truncate  bool // the answer is truncated over UDP
 	CutTCP    bool // the answer is truncated over TCP
 	WrongID   bool
-	WrongName bool // the answer repeats another question
+	WrongName bool // the answer contains a different question from the query's
 	Foreign   bool // the answer has records of another name
 	Garbage   bool // the answer is not a DNS message
 }
--- a/internal/standin/dns/responder.go
+++ b/internal/standin/dns/responder.go
@@ -16,7 +16,7 @@
 	records []dns.RR
 	asker   *net.UDPAddr
 	asked   map[string]int // number of questions, by type and name
-	known   int            // number of known answers in the last query
+	known   int            // number of records in the known-answer list of the last query
 	mute    bool
 }
 
@@ -51,7 +51,7 @@
 	return r.asked[kind+" "+dns.CanonicalName(name)]
 }
 
-// Known returns the number of known answers in the last query.
+// Known returns the number of records in the known-answer list of the last query (RFC 6762, section 7.1).
 func (r *Responder) Known() int { r.mu.Lock(); defer r.mu.Unlock(); return r.known }
 
 // Announce adds records in zone file format, and sends them to the sender of the last query. Records with a TTL of 0
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Say sends bytes to the sender of the last query.
+// Say sends data to the sender of the last query, as a datagram.
 func (r *Responder) Say(data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
 // Package standin contains small stand-in servers on loopback for tests and tools: the platform's list service, and
-// form servers whose answers a test scripts. The simulation (internal/simulate) has realistic models of both.
+// form servers whose answers a test scripts. internal/simulate has realistic models of both.
 package standin
 
 import (
@@ -61,7 +61,7 @@
 // Calls returns the number of calls received.
 func (l *List) Calls() int { return int(l.calls.Load()) }
 
-// Set changes entries. An entry that is gone is kept, with that state.
+// Set changes entries. An entry whose new state is gone stays in the list with that state.
 func (l *List) Set(servers ...discovery.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,7 +153,7 @@
 	f.server.Close()
 }
 
-// Member returns the server's entry for a list.
+// Member returns the server as an entry of an endpoint list.
 func (f *Form) Member(state string) discovery.Member {
 	return discovery.Member{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// CheckContains checks that this build has every line of a golden file. It may have further lines.
+// CheckContains checks that lines contains every line of a golden file. It may contain further lines.
 func CheckContains(t *testing.T, name string, lines []string) {
 	t.Helper()
 	create(t, name, []byte(strings.Join(lines, "\n")+"\n"))
@@ -129,7 +129,7 @@
 	}.Check(t)
 }
 
-// CheckBody fills the value that pointer points to as FillEmbedded does, and compares its JSON with a golden file.
+// CheckBody fills the value that pointer points to, as FillEmbedded does, and compares its JSON with a golden file.
 func CheckBody(t *testing.T, name string, pointer any, formerly map[string]string) {
 	t.Helper()
 	FillEmbedded(pointer, formerly)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// Catalog is a list service that passes each watch to the test. The test writes the lines of the watch.
+// Catalog is a stand-in list service that passes each watch to the test, which writes the watch's lines.
 type Catalog struct {
 	Addr  string
 	Watch chan *Watcher
@@ -183,7 +183,7 @@
 	return c
 }
 
-// ToLine returns a change of the list as a line of a watch.
+// ToLine encodes a change of the list as a line of a watch.
 func ToLine(t testing.TB, version int64, servers ...discovery.Member) string {
 	t.Helper()
 	raw, err := json.Marshal(discovery.Members{Version: version, Servers: servers})
--- a/tools/capacity/chain.go
+++ b/tools/capacity/chain.go
@@ -63,7 +63,7 @@
 	result chain.Result
 }
 
-const chainEvents = 20_000_000 // most events of one simulation: bounds it to a minute and some GB of memory
+const chainEvents = 20_000_000 // maximum number of events of one simulation, which bounds it to a minute and some GB of memory
 
 func chains(tiers []int, seed uint64, cores int, asTOML bool) error {
 	var plays []*chainRun
@@ -173,7 +173,7 @@
 	return text
 }
 
-// chainSlopes returns the entries of the agent and, for comparison, of clients that simply retry up to three attempts.
+// chainSlopes returns the entries of the agent and, for comparison, of clients that retry up to three attempts.
 func chainSlopes(tiers []int, seed uint64, main, start []*chainRun) []slopes.Slope {
 	command := fmt.Sprintf("go run ./tools/capacity chain --seed %d --toml", seed)
 	var all []slopes.Slope
--- a/tools/capacity/changes.go
+++ b/tools/capacity/changes.go
@@ -65,7 +65,7 @@
 	return entryBook{command: command, machine: f.machine}
 }
 
-// table returns the table that people read: on standard error where standard output has the entries.
+// table returns the table for readers: on standard error if the entries are printed to standard output.
 func (f *plainFlags) table(c *cobra.Command) table {
 	if f.toml {
 		return table{c.ErrOrStderr()}
@@ -108,8 +108,8 @@
 	list             []*slopes.Slope
 }
 
-// addPoint adds a point to the entry of e's name, which the first point creates. A value that is NaN was not measured
-// and is left out.
+// addPoint adds a point to the entry of e's name, and creates the entry with its first point. A value of NaN was not
+// measured and is omitted.
 func (b *entryBook) addPoint(e slopes.Slope, size, value float64) {
 	if math.IsNaN(value) {
 		return
@@ -289,7 +289,7 @@
 	return nil
 }
 
-// text measures changes by the size of a policy, at one size of fleet.
+// text measures changes by the size of a policy, in fleets of one size.
 func (m *policyMeasurements) text(string) error {
 	n := 300
 	for _, text := range m.texts {
@@ -297,7 +297,7 @@
 		if err != nil {
 			return err
 		}
-		// Scaled to the rate of the ordinary day, as each change is sent completely to every member.
+		// Traffic is scaled to the rate of changes on an ordinary day, since each change is sent completely to every member.
 		rate := float64(r.inForce) / (70 - 6)
 		per := func(x float64) float64 { return x / rate * 0.74 }
 		note := fmt.Sprintf("by the size of a policy's text at 0.74 changes a second, %d members", n)
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -21,7 +21,7 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// fleetName is in each message, so its length counts; this length is usual.
+// fleetName is part of each message, so its length affects the measured bytes; this length is usual.
 const fleetName = "fleet"
 
 // policyRun describes one simulation of a fleet whose policy is changed.
@@ -29,7 +29,7 @@
 	members, voters int
 	stops           bool
 	every           time.Duration // mean time between two changes; 0: no changes
-	randomTimes     bool          // changes at random times, each by a random member; else at regular times, all by one member
+	randomTimes     bool          // changes at random times, each by a random member; otherwise at regular times, all by one member
 	text            int           // size of a policy, in bytes
 	from, length    time.Duration // when changes and measurements begin; when the simulation ends
 	streams         int
@@ -39,14 +39,14 @@
 	cutAt, cutFor   time.Duration
 	kill            []int // members that are killed at killAt and do not come back
 	killAt          time.Duration
-	parts           bool // a change is to one service's part, and one in a hundred to the policy for all; else all are to the policy for all
+	parts           bool // each change is to one service's part, or, one in a hundred, to the policy for all; false: all are to that
 	seed            uint64
 }
 
 // policyResult is the result of a policyRun.
 type policyResult struct {
 	asked, inForce, dropped int
-	why                     map[string]int  // number of dropped changes, by the kind of reason
+	why                     map[string]int  // number of dropped changes, by kind of reason
 	prepared, everywhere    []time.Duration // from the proposal until the first member serves by the change, and until the last one does
 	leader, voter, member   load            // of the leader, the mean of the other voters, the mean of the other members
 	heap                    float64         // heap of the simulation for each member, in bytes
@@ -227,7 +227,7 @@
 	return out, nil
 }
 
-// forAll is the number of changes of which one is to the policy for all, when changes are to parts.
+// forAll is the number of changes among which one is to the policy for all, if the other changes are to parts.
 const forAll = 100
 
 // partHolders returns which members hold the part of which service. The members are evenly chosen from the agents of
@@ -253,7 +253,7 @@
 func threadTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(err) // nothing can be measured without this clock
+		panic(err) // no measurement is possible without this clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -19,7 +19,7 @@
 const (
 	agents         = 12000
 	restartsPerDay = 710
-	budget         = 11000 // bytes a second for an agent's control traffic
+	budget         = 11000 // bytes per second for an agent's control traffic
 	secondsOfDay   = 86400
 )
 
@@ -52,7 +52,7 @@
 	return size, nil
 }
 
-// listCost is the cost of a whole list for the agent that reads it.
+// listCost is the cost of a complete list for the agent that reads it.
 type listCost struct {
 	decode, take time.Duration // decoding the JSON; the module's step that applies the list
 	memory       float64       // heap that stays in use, in bytes
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -16,7 +16,7 @@
 	"vetchhaven/tools/capacity/slopes"
 )
 
-// viewStatus returns the status that `fleet view --json` receives from a daemon that knows n members.
+// viewStatus returns the status that `fleet view --json` receives from a daemon with n members in its view.
 func viewStatus(n int) *transport.MembershipStatus {
 	s := &transport.MembershipStatus{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, RunID: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UpS: 86400.123,
 		Size: transport.SizeStatus{MaxBalancers: n, MinBalancers: n, Members: n, Live: n}}
--- a/tools/capacity/page/brief.go
+++ b/tools/capacity/page/brief.go
@@ -62,7 +62,7 @@
 	return b.String() + "\n"
 }
 
-// brief returns the short table of one role.
+// brief returns the short form of one role's table.
 func (p *printer) brief(role string) string {
 	t := table("load", "figure", "slope", "at the size", "measured over", "times beyond", "bound", "met", "run")
 	var gaps []string
@@ -92,7 +92,7 @@
 	return strings.NewReplacer("messages out, messages in", "messages", "bytes out, bytes in", "bytes").Replace(missing)
 }
 
-// other returns the entry whose name has newWord in place of oldWord; nil: there is none.
+// other returns the entry whose name has newWord in place of oldWord, or nil if there is no such entry.
 func (p *printer) other(e *slopes.Slope, oldWord, newWord string) *slopes.Slope {
 	name := strings.Replace(e.Name, "."+oldWord, "."+newWord, 1)
 	if i := slices.IndexFunc(p.all, func(o slopes.Slope) bool { return o.Name == name }); i >= 0 && name != e.Name {
@@ -113,7 +113,8 @@
 	return "", ""
 }
 
-// opposite returns the greatest entry of the other direction, of the same load and mechanism; nil: there is none.
+// opposite returns the greatest entry of the other direction with the same load and mechanism, or nil if there is no
+// such entry.
 func (p *printer) opposite(e *slopes.Slope) *slopes.Slope {
 	_, other := direction(e.Quantity)
 	if other == "" {
@@ -166,7 +167,7 @@
 	})
 }
 
-// workedOut begins the note of an entry whose points are calculated from measurements of others.
+// workedOut begins the note of an entry whose points are calculated from the measurements of other entries.
 const workedOut = "worked out"
 
 // short adds the short row of an entry to a table.
@@ -221,7 +222,7 @@
 // forAll is the suffix of a bound that all mechanisms of a role share.
 const forAll = " for all"
 
-// boundOf returns the bound on an entry as text, and whether the entry by itself meets it.
+// boundOf returns the bound on an entry as text, and whether the entry alone meets it.
 func (p *printer) boundOf(e *slopes.Slope, value float64) (bound, kept string) {
 	for i := range p.size.Bound {
 		if b := &p.size.Bound[i]; b.of(e) && b.in(e.Load) {
@@ -333,7 +334,7 @@
 func (p *printer) minutes() string {
 	all := slices.DeleteFunc(p.of("agent", "worst"), func(e *slopes.Slope) bool { return e.Mechanism != "view" })
 	return p.incidents(all, []string{"bytes_out", "bytes_out_most", "time_agreed"}, func(e *slopes.Slope) string {
-		return strings.TrimSuffix(e.Name[strings.LastIndex(e.Name, ".")+1:], "_80ms") // all of them are simulated with that round-trip time
+		return strings.TrimSuffix(e.Name[strings.LastIndex(e.Name, ".")+1:], "_80ms") // the round-trip time of all these incidents
 	})
 }
 
--- a/tools/capacity/page/brief_test.go
+++ b/tools/capacity/page/brief_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// CAPACITY.md must be short enough for a person to read. What does not fit belongs in tables.md.
+// CAPACITY.md must be short enough to be read completely. Tables that do not fit belong in tables.md.
 func TestThePageIsShort(t *testing.T) {
 	text, err := os.ReadFile(docs + "CAPACITY.md")
 	if err != nil {
@@ -82,7 +82,8 @@
 	has(t, got["agent"], "**all together**, of 3 |", "| 2.8 KB/s |")
 }
 
-// Of the entries that meet a bound on single entries only the closest to it has a row; all that exceed it have one.
+// Of the entries that meet a bound on single entries, only the closest to the bound has a row; each entry that exceeds
+// the bound has a row.
 func TestTheEntryClosestToItsBoundIsShown(t *testing.T) {
 	time := func(name, mechanism string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
@@ -111,7 +112,8 @@
 	has(t, got["agent"], "| 100: 200 B/s; 1,000: 1.1 KB/s |", "| not extrapolated |", "| **12.0** |")
 }
 
-// All bounds that are not met have a row, then the next two that are; the rest is one row with their numbers.
+// Each bound that is not met has a row, followed by the two bounds that are met and would be crossed first. All other
+// bounds share one row, which shows the range of their numbers.
 func TestBriefBreaksAreThoseThatAreNotMetAndTheNextTwo(t *testing.T) {
 	var all []slopes.Slope
 	for _, c := range []struct {
--- a/tools/capacity/page/page_test.go
+++ b/tools/capacity/page/page_test.go
@@ -112,8 +112,8 @@
 	t.Errorf("no row has %q:\n%s", cells, table)
 }
 
-// The curve 100 + 1 x agents gives 12.1 KB/s at 12,000 agents, twelve times the largest measured size, and crosses the
-// bound at 10,900.
+// The curve 100 + 1 x agents gives 12.1 KB/s at 12,000 agents, which is twelve times the largest measured size, and
+// crosses the bound at 10,900 agents.
 func TestAnEntryIsExtrapolatedAndHeldToItsBound(t *testing.T) {
 	got := tables(t, slope(func(*slopes.Slope) {}))
 	has(t, got["agent"], "at rest", "`view.bytes_out.rest`", "| view |", "| 100 B/s + 1 B/s x agents |", "| 12.1 KB/s |", "| 0.0% |", "| 100 to 1,000 agents |", "| **12.0** |", "| 11 KB/s for all |", "| **no** |", "[1]")
@@ -182,8 +182,8 @@
 	has(t, got["breaks"], "| 1 | in time |", "below 100 agents, the smallest size measured", "**no**")
 }
 
-// The same holds for a sum. The size named is that of the growing mechanism whose smallest measured size is the
-// largest.
+// A sum that is crossed below the smallest measured size is reported in the same way. The reported size is the largest
+// of the smallest measured sizes of the growing mechanisms.
 func TestASumCrossedBelowWhatWasMeasuredSaysSo(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) { s.Points = [][2]float64{{300, 30000}, {1000, 100000}} }),
 		slope(func(s *slopes.Slope) {
@@ -192,8 +192,8 @@
 	has(t, got["breaks"], "| 1 | bytes |", "below 300 agents, the smallest size measured", "**no**")
 }
 
-// A figure that grows with the distance is in the sum at the target distance, and has a row of its own if it crosses
-// the bound by itself.
+// A figure that grows with the distance is included in the sum with its value at the target distance, and has a row of
+// its own if it alone crosses the bound.
 func TestAFigureThatGrowsWithDistanceHasItsOwnCrossing(t *testing.T) {
 	got := tables(t, slope(func(s *slopes.Slope) {
 		s.Variable, s.Form, s.Points = "rtt_ms", "steps", [][2]float64{{0, 700}, {120, 5000}, {200, 23000}}
@@ -202,7 +202,7 @@
 	has(t, got["breaks"], "| 2 | bytes |", "200 ms there and back (0.8 of the size)", "23 KB/s", "**no**")
 }
 
-// Of two entries of one quantity CAPACITY.md has the greater, and tables.md has both.
+// Of two entries of one quantity, CAPACITY.md contains the greater one, and tables.md both.
 func TestThePageHasTheGreatestOfEachQuantity(t *testing.T) {
 	all := []slopes.Slope{slope(func(*slopes.Slope) {}), slope(func(s *slopes.Slope) {
 		s.Name, s.Points = "view.bytes_out.less", [][2]float64{{100, 20}, {300, 40}, {1000, 110}}
--- a/tools/capacity/page/size.go
+++ b/tools/capacity/page/size.go
@@ -19,7 +19,7 @@
 	Asked    []Asked    `toml:"asked"`
 }
 
-// Variable is a quantity that figures grow with, and its target value.
+// Variable is a quantity on which figures depend, such as the number of agents, and its target value.
 type Variable struct {
 	Name   string   `toml:"name"`
 	Words  string   `toml:"words"`
@@ -52,15 +52,15 @@
 	Source     string   `toml:"source"`
 }
 
-// of reports whether the bound applies to an entry, regardless of its load. An entry that another one replaces has no
-// bound.
+// of reports whether the bound applies to an entry, regardless of its load. An entry that is replaced by another one
+// has no bound.
 func (b *Bound) of(s *slopes.Slope) bool {
 	return s.Instead == "" && b.Role == s.Role && slices.Contains(b.Quantities, s.Quantity) && (len(b.Mechanisms) == 0 || slices.Contains(b.Mechanisms, s.Mechanism))
 }
 
 func (b *Bound) in(load string) bool { return len(b.Loads) == 0 || slices.Contains(b.Loads, load) }
 
-// Asked is a set of figures that must be measured for a role.
+// Asked is a set of required figures: they must be measured for a role.
 type Asked struct {
 	Role       string   `toml:"role"`
 	Mechanisms []string `toml:"mechanisms"`
@@ -131,7 +131,7 @@
 	return s, nil
 }
 
-// variable returns the variable of that name; nil: there is none.
+// variable returns the variable of that name, or nil if there is no such variable.
 func (s *Size) variable(name string) *Variable {
 	for i := range s.Variable {
 		if s.Variable[i].Name == name {
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// Fits checks that each entry's variable has a target value, that an entry which replaces another exists, and that
-// units can be converted to those of the bounds.
+// Fits checks that each entry's variable has a target value, that the entry named as the replacement of another exists
+// and is not replaced itself, and that units can be converted to those of the bounds.
 func (s *Size) Fits(path string, data []byte, all []slopes.Slope) error {
 	f, err := tomlfile.Parse(path, data, &struct {
 		Slope []slopes.Slope `toml:"slope"`
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -46,7 +46,7 @@
 
 func runOf(s *slopes.Slope) run { return run{s.Command, s.Date, s.Machine} }
 
-// number returns the number that an entry's run has in the table of runs.
+// number returns the number of an entry's run in the table of runs.
 func (p *printer) number(s *slopes.Slope) string {
 	return fmt.Sprintf("[%d]", slices.Index(p.list, runOf(s))+1)
 }
@@ -156,7 +156,7 @@
 	return f.Value(x), false
 }
 
-// gaps returns the figures that a role must have at a load and has not, as a text for each mechanism.
+// gaps returns the required figures that a role does not have at a load, as a text for each mechanism.
 func (p *printer) gaps(role, load string) (gaps []string) {
 	for i := range p.size.Asked {
 		if a := &p.size.Asked[i]; a.Role == role && slices.Contains(a.Loads, load) {
@@ -337,10 +337,10 @@
 
 // crossing is the size at which a curve crosses its bound.
 type crossing struct {
-	share   float64 // of the target size; +Inf: not up to most times the target size
+	share   float64 // of the target size; +Inf: the curve does not cross the bound up to most times the target size
 	bound   *Bound
 	load    string
-	carried string // the mechanisms that the figure comes from
+	carried string // the mechanisms that contribute to the figure
 	top     string // the entry, or the greatest term of a sum
 	at      string // the size at which the curve crosses the bound, as text
 	value   float64
@@ -374,7 +374,7 @@
 					}
 				}
 				at := where(share, agents, "agents", math.Round(low))
-				if share == 0 { // the terms that do not grow exceed the bound by themselves
+				if share == 0 { // the sum of the terms that do not grow exceeds the bound
 					top = slices.MaxFunc(parts, func(a, b term) int { return cmp.Compare(a.value(0), b.value(0)) })
 					v := p.size.variable(top.e.Variable)
 					at = fmt.Sprintf("at any size, with %s %s", count(v.at(top.as)), v.Words)
@@ -437,8 +437,8 @@
 	return fmt.Sprintf("%s %s (%.2g of the size)", count(round(share*aim)), words, share)
 }
 
-// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if it is above the bound
-// at any size, +Inf if it is not above it up to most times the target size.
+// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if the curve is above the
+// bound at any size, +Inf if it is not above the bound up to most times the target size.
 func cross(value func(share float64) float64, bound float64) float64 {
 	low, high := 1e-6, float64(most)
 	if value(low) > bound {
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -36,11 +36,11 @@
 // pathOptions are the options for measuring the request path.
 type pathOptions struct {
 	services, servers []int
-	rate              float64 // calls a second through the agent, and the same number directly
+	rate              float64 // calls per second through the agent, and the same number directly
 	rounds            int
 	length            time.Duration // of a round
-	calm              time.Duration // a round whose p99 of late starts is above this is discarded; 0: no round is
-	tries             int           // most rounds that are run for each one that counts
+	calm              time.Duration // a round whose p99 of late starts is above this is discarded; 0: no round is discarded
+	tries             int           // maximum number of rounds that are run for each one that counts
 	seed              uint64
 	program           string
 	asTOML            bool
@@ -76,12 +76,12 @@
 
 const (
 	pathCores       = 2                      // GOMAXPROCS of the agent's process, and of this one
-	pathWarmup      = 3 * time.Second        // until connections are open and the agent knows the servers
+	pathWarmup      = 3 * time.Second        // until connections are open and the agent has outcomes of all servers
 	pathIdle        = 5 * time.Second        // time over which an idle agent is measured
 	pathAnswerBytes = 200                    // size of an answer, in bytes
 	pathTimeout     = 5 * time.Second        // time limit of a call
 	pathBusyWait    = 300 * time.Microsecond // busy wait before a call's scheduled time, for an exact start
-	pathMinRounds   = 3                      // fewest rounds for a point of an entry
+	pathMinRounds   = 3                      // minimum number of rounds for a point of an entry
 )
 
 // pathRow is the result for one size, with a figure for each round.
@@ -92,7 +92,7 @@
 	direct50, added50       []float64               // ms
 	direct99, added99       []float64
 	late99                  float64   // p99 of the delay between the scheduled time of a call and its start, in ms
-	cpu, waited             []float64 // cores used; seconds a second that the agent's threads waited for a core
+	cpu, waited             []float64 // cores used; seconds per second that the agent's threads waited for a core
 	idle                    float64   // cores used by an idle agent
 	resident, quietResident float64   // bytes
 	discarded               int
@@ -343,7 +343,7 @@
 	for _, path := range all {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return 0, 0, err // Go keeps its threads, so none should end and take its time out of the sum
+			return 0, 0, err // the Go runtime keeps its threads, so none should end, which would remove its time from the sum
 		}
 		var u, w, n int64
 		if _, err := fmt.Sscan(string(text), &u, &w, &n); err != nil {
@@ -482,7 +482,7 @@
 	return all[len(all)/2]
 }
 
-// pathSpread returns the median, the least and the most as text.
+// pathSpread returns the median, the minimum and the maximum as text.
 func pathSpread(all []float64, digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, pathMedian(all), digits, slices.Min(all), digits, slices.Max(all))
 }
--- a/tools/capacity/path_test.go
+++ b/tools/capacity/path_test.go
@@ -21,7 +21,7 @@
 	began := time.Now()
 	form := standin.NewForm("s", func(w http.ResponseWriter, _ *http.Request) {
 		if first.CompareAndSwap(false, true) {
-			time.Sleep(time.Until(began.Add(stall))) // this sleep is the stall under test; it synchronizes nothing
+			time.Sleep(time.Until(began.Add(stall))) // this sleep is the stall under test; it does not synchronize goroutines
 		}
 		_, _ = w.Write(bytes.Repeat([]byte("x"), pathAnswerBytes))
 	})
--- a/tools/capacity/shared.go
+++ b/tools/capacity/shared.go
@@ -69,7 +69,7 @@
 
 // Requests on an ordinary day.
 const (
-	requestRate = 408.0 // requests a second of each agent
+	requestRate = 408.0 // requests per second of each agent
 	errorShare  = 0.001 // share of requests that fail at random, as in tools/verdicts
 )
 
@@ -93,7 +93,7 @@
 	return phases[1], nil
 }
 
-// measureAfterWarmup makes a run measure from 20 s on, when agents have counted random failures for long enough.
+// measureAfterWarmup makes a run measure only after 20 s, when agents have counted random failures for long enough.
 func measureAfterWarmup(v *hollow.Verdicts) {
 	v.Marks, v.Length = []time.Duration{20 * time.Second}, 25*time.Second
 }
@@ -189,8 +189,8 @@
 		"120,1200,12000", part{"rest", limitsRest}, part{"worst", limitsWorst}, part{"keeper", limitsLeaseServer})
 }
 
-// limitsRequestRate is the number of requests a second of each lease client, enough that it asks its lease servers as
-// often as it ever does at rest.
+// limitsRequestRate is the number of requests per second of each lease client. It is high enough for the client to
+// query its lease servers at the highest rate that occurs at rest.
 const limitsRequestRate = 8
 
 func limitsRun(n int, f *flags, change func(*hollow.Limits)) (leaseClient, leaseServer hollow.Phase, err error) {
--- a/tools/capacity/slopes/fit.go
+++ b/tools/capacity/slopes/fit.go
@@ -11,7 +11,7 @@
 	s    *Slope
 	A, B float64
 	// Residual is the root mean square of the differences between points and curve, as a share of the largest value;
-	// NaN: there are only as many points as unknowns, or nothing was fitted.
+	// NaN: there are only as many points as unknowns, or the form has no curve.
 	Residual float64
 }
 
@@ -53,7 +53,7 @@
 	return 1
 }
 
-// basis returns f(x), in which the form is linear.
+// basis returns the form's f(x), see Fit.
 func (s *Slope) basis(x float64) float64 {
 	switch s.Form {
 	case "log":
--- a/tools/capacity/slopes/put.go
+++ b/tools/capacity/slopes/put.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Put returns the text of a file of entries with the added ones in it. An added entry replaces one of the same name;
-// an entry with a new name is put after the last one of its mechanism, or at the end. Comments and all other entries
-// are kept. Errors name the file as path.
+// Put returns the text of a file of entries, with the added entries in it. An added entry replaces the entry of the same
+// name; an entry with a new name is inserted after the last entry of its mechanism, or at the end. Comments and all
+// other entries are kept. Errors refer to the file by path.
 func Put(path string, data []byte, added ...Slope) ([]byte, error) {
 	was, err := Parse(path, data)
 	if err != nil {
--- a/tools/capacity/slopes/read.go
+++ b/tools/capacity/slopes/read.go
@@ -29,7 +29,7 @@
 	return Parse(path, data)
 }
 
-// Parse parses entries from data. Errors name the file as path.
+// Parse parses entries from data. Errors refer to the file by path.
 func Parse(path string, data []byte) ([]Slope, error) {
 	var in struct {
 		Slope []Slope `toml:"slope"`
@@ -83,7 +83,7 @@
 	return in.Slope, nil
 }
 
-// check returns what is wrong with the points of an entry for its form; empty: nothing.
+// check returns a description of an error in the points of an entry, given its form, or "" if they are valid.
 func (s *Slope) check() string {
 	if len(s.Points) == 0 {
 		return "there are no points: a quantity that was not measured has no entry"
--- a/tools/capacity/slopes/slopes.go
+++ b/tools/capacity/slopes/slopes.go
@@ -1,4 +1,4 @@
-// Package slopes reads, writes and fits measurements: points of a quantity over the size that it grows with, and the
+// Package slopes reads, writes and fits measurements: points of a quantity over the size on which it depends, and the
 // run that produced them.
 package slopes
 
@@ -17,7 +17,7 @@
 	Quantity  string       `toml:"quantity"`  // bytes_out, bytes_in, messages_out, messages_in, cpu, memory, state, time, ...
 	Unit      string       `toml:"unit"`      // "B/s", "1/s", "core", "B", "s", "us", ...
 	Mechanism string       `toml:"mechanism"` // view, verdicts, limits, policy, list, path, chain, or a later one
-	Variable  string       `toml:"variable"`  // what the quantity grows with: agents, services, regions, changes_per_s, rtt_ms, tiers, ...
+	Variable  string       `toml:"variable"`  // the size on which the quantity depends: agents, services, regions, changes_per_s, rtt_ms, tiers, ...
 	Form      string       `toml:"form"`      // curve to fit: constant, linear, log, nlogn, power, steps, table
 	Points    [][2]float64 `toml:"points"`    // [size, value], sizes ascending
 	Command   string       `toml:"command"`   // the command that prints these points
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -18,7 +18,7 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// roundTrips are the round-trip times between regions at which the view is measured, in ms. 0: all members in one
+// roundTrips are the round-trip times between regions at which the view is measured, in ms; 0: all members are in one
 // place.
 var roundTrips = []float64{0, 20, 80, 120, 160, 250}
 
@@ -36,7 +36,7 @@
 	measure = 40 * time.Second
 )
 
-// placement says where the members are: the round-trip times between their regions.
+// placement specifies the locations of the members, as the round-trip times between their regions.
 type placement struct {
 	key, name string
 	rtt       float64 // round-trip time between any two regions, in ms; below 0: topology.Mixed
@@ -63,7 +63,7 @@
 	return topology.New(topology.Spec{Members: members, Regions: regions, Zones: zones, RTT: time.Duration(p.rtt * float64(time.Millisecond)), Seed: seed})
 }
 
-// atRest simulates a fleet without any event, and returns the phase after it has settled.
+// atRest simulates a fleet without any event, and returns the measured phase, which begins when the fleet has settled.
 func atRest(members int, p placement, f *flags) (hollow.Phase, error) {
 	l, err := p.layout(members, f.seed)
 	if err != nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// viewIssue repeats the measurements of the issue: one member is killed at 24 s, and the links between regions are
-// delayed.
+// viewIssue repeats the measurements of an issue report: one member is killed at 24 s, and the links between regions
+// are delayed.
 func viewIssue(_ []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var points [][2]float64
@@ -164,8 +164,8 @@
 	dayRestarts = 710.0
 )
 
-// viewDay measures the ordinary day: the cost of one failure and of one restart for each agent beyond the cost at
-// rest, multiplied by the daily rates of a fleet of that size. Events are far more frequent here than on that day,
+// viewDay measures an ordinary day: each agent's cost of one failure and of one restart in addition to the cost at
+// rest, multiplied by the daily rates of a fleet of that size. Events are far more frequent here than on such a day,
 // but each one is over before the next begins.
 func viewDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
@@ -214,24 +214,24 @@
 // after is the length of the measured phase of a worst minute, from when members start or a region is back.
 const after = 15 * time.Second
 
-// worstLength returns the length of a run from the beginning of that phase, long enough for all members to agree:
-// 1,000 members that start together take 33 s, and above 300 members the time grows with the fleet, since bytes_per_s
-// bounds the bytes that each member sends.
+// worstLength returns the length of a run from the beginning of the measured phase. It is long enough for all members
+// to agree: 1,000 members that start together take 33 s, and above 300 members the time grows with the fleet, since
+// bytes_per_s bounds the bytes that each member sends.
 func worstLength(members int) time.Duration {
 	return max(3*after, time.Duration(members)*45*time.Millisecond)
 }
 
-// ceiling returns the most bytes per second that a member sends, as the mean over that phase, in a fleet of the
-// target size: bytes_per_s of datagrams, the same on streams, and the allowed burst of each, which is one second's
-// bytes and, on streams, one whole view (the claim bytes-most of the fault tests). With more to send, a fleet takes
-// longer to agree.
+// ceiling returns the maximum of the bytes per second that a member sends, as the mean over the measured phase, in a
+// fleet of the target size: bytes_per_s of datagrams, the same on streams, and the allowed burst of each, which is one
+// second's bytes and, on streams, one complete view (the claim bytes-most of the fault tests). If members have more to
+// send, the fleet takes longer to agree.
 func ceiling() (float64, error) {
 	whole, err := hollow.Whole(dayAgents)
 	return 2*membership.DefaultBytesPerSecond + (2*membership.DefaultBytesPerSecond+float64(whole))/after.Seconds(), err
 }
 
-// viewWorst measures one of fifteen zones that is lost and comes back together, and a region that is cut off and comes
-// back after five minutes.
+// viewWorst measures a zone, one of fifteen, that fails and whose members restart together, and a region that is cut
+// off and is reconnected after five minutes.
 func viewWorst(sizes []int, f *flags) ([]slopes.Slope, error) {
 	zone, err := viewZone(sizes, f)
 	if err != nil {
@@ -241,12 +241,12 @@
 	return append(zone, cut...), err
 }
 
-// viewZone measures one of fifteen zones that is lost and whose members all start together a minute later.
+// viewZone measures a zone, one of fifteen, that fails and whose members all start together a minute later.
 func viewZone(sizes []int, f *flags) ([]slopes.Slope, error) {
 	return viewBack(sizes, f, "zone", "linear", "a zone of 15", func(l *topology.Layout) []int { return l.InZone(zones) }) // the first zone of the second region
 }
 
-// viewRegion measures the same with a whole region.
+// viewRegion measures a region that fails and whose members all start together a minute later.
 func viewRegion(sizes []int, f *flags) ([]slopes.Slope, error) {
 	return viewBack(sizes, f, "region_restart", "power", "a region of 5", func(l *topology.Layout) []int { return l.InRegion(1) })
 }
@@ -290,7 +290,7 @@
 	return fmt.Sprintf("all the same after %v", (v.Agreed - from).Round(time.Millisecond))
 }
 
-// viewCut measures a region that is cut off for five minutes.
+// viewCut measures a region that is cut off for five minutes and then reconnected.
 func viewCut(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	at := regions80ms
@@ -380,9 +380,9 @@
 }
 
 // viewFew measures a few complete members of a large fleet, whose other members are only simulated as traffic: at
-// rest, and on the ordinary day. The number of copies of one event's news that each member receives is measured in a
-// complete fleet of the first size, and grows with the logarithm of the fleet's size, as the number of times that the
-// view sends it does.
+// rest, and on an ordinary day. The number of copies of one event's update that each member receives is measured in a
+// complete fleet of the first size. It grows with the logarithm of the fleet's size, as does the number of times that
+// the view sends each update.
 func viewFew(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	const each, gap = 4, 15 * time.Second
@@ -419,7 +419,8 @@
 	return append(rests.entries("few_rest", "view --part few", "log"), days.entries("few_day", "view --part few", "log")...), nil
 }
 
-// newsCopies returns how many datagrams with the news of one death each member receives, in a complete fleet.
+// newsCopies returns the number of datagrams with the update of one death that each member receives, in a complete
+// fleet.
 func newsCopies(n, each int, gap time.Duration, f *flags) (float64, error) {
 	l, err := regions80ms.layout(n, f.seed)
 	if err != nil {
--- a/tools/directory/main.go
+++ b/tools/directory/main.go
@@ -422,7 +422,7 @@
 
 // cost compares a direct client, a plain relay and this agent, all in this process, one after another.
 func cost(length time.Duration) error {
-	debug.SetGCPercent(400) // as in serve; the same for all ways
+	debug.SetGCPercent(400) // as in the command serve; all three run with the same setting
 	s, err := newSite(5)
 	if err != nil {
 		return err
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -67,12 +67,12 @@
 	served      float64 // share of the requests
 }
 
-// bound is a row of the operators' table: it bounds the figure at the large size, given the one at the usual size.
+// bound is a row of the operators' table. It bounds a figure at the large size, given the figure at the usual size.
 type bound struct {
 	name      string
 	few, many float64
 	most      float64
-	least     bool // the bound is a lower one
+	least     bool // the bound is a minimum
 }
 
 func bounds(few, many figures) []bound {
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -152,7 +152,7 @@
 // cost compares a direct client, the standard library's reverse proxy and this agent. All of them run in this
 // process, one after another, with the same clients.
 func cost(length time.Duration, rounds int, profile string) error {
-	debug.SetGCPercent(400) // as in serve; the same for all ways
+	debug.SetGCPercent(400) // as in the command serve; all three run with the same setting
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
@@ -204,7 +204,8 @@
 		{"(b) reverse proxy", unix("proxy.sock"), func() string { return "x" }},
 		{"(c) this agent", unix("0.sock"), func() string { return "x" }},
 	}
-	// The machine's speed drifts, so the ways take turns, and only figures of the same round are compared.
+	// The machine's speed drifts, so the three paths of a request are measured in turn in each round, and only figures of
+	// the same round are compared.
 	figures := make([][costFigures][]float64, len(ways))
 	bad := 0
 	for range rounds {
@@ -252,15 +253,15 @@
 
 const costFigures = 5
 
-// median returns the median of some figures as text, with the least and the most.
+// median returns the median of some figures as text, with the minimum and the maximum.
 func median(all []float64, digits int) string {
 	all = slices.Clone(all)
 	slices.Sort(all)
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, all[len(all)/2], digits, all[0], digits, all[len(all)-1])
 }
 
-// load sends requests for the given time from this many clients, at the given rate in total; rate 0: at full speed. It
-// returns the sorted latencies, the CPU time that the process used, and the number of failed requests.
+// load sends requests for the given time from the given number of clients, at the given total rate; rate 0: without a
+// pause. It returns the sorted latencies, the CPU time that the process used, and the number of failed requests.
 func load(c *http.Client, host func() string, clients, rate int, length time.Duration) (latency []time.Duration, used time.Duration, bad int) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -2,7 +2,7 @@
 //
 //	go run ./tools/limits ways                     strategies for sharing a limit, side by side
 //	go run ./tools/limits schedules [-n 1000]      random faults: use beyond the limit, compared with the bound
-//	go run ./tools/limits real [-n 50] [-at 6]     the same with 8 real processes
+//	go run ./tools/limits real [-n 50] [-at 6]     the same with 8 real processes for each fault test
 //	go run ./tools/limits cost                     messages and CPU time of an agent, by size of the fleet
 package main
 
--- a/tools/measure/measure.go
+++ b/tools/measure/measure.go
@@ -14,8 +14,8 @@
 	"vetchhaven/internal/host/daemonconfig"
 )
 
-// Daemon runs a daemon with this configuration in this process. It writes the configuration file into dir and returns
-// once the daemon is ready.
+// Daemon runs a daemon with the given configuration in this process. It writes the configuration file into dir and
+// returns once the daemon is ready.
 func Daemon(dir string, config []byte) (d *daemon.Daemon, stop func(), err error) {
 	path := filepath.Join(dir, "fleet.toml")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
--- a/tools/members/agents.go
+++ b/tools/members/agents.go
@@ -8,8 +8,8 @@
 )
 
 // agents simulates a scenario with DNS records in addition to the list: once with agents that merge both sources, and
-// once with agents that use only the latest answer of the resolver. The checker judges both by what the list had
-// announced.
+// once with agents that use only the latest answer of the resolver. The checker applies the entries that the list had
+// announced to both.
 func agents(path string, seeds int) error {
 	s, err := scenario.Load(path)
 	if err != nil {
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -66,7 +66,8 @@
 	return fmt.Errorf("%q is not one of hour, fleet, sockets, merge, queries, goodbye", args[0])
 }
 
-// world is the true state: which servers are running, and when the list announced that one drains or is removed.
+// world is the true state of the simulation: the servers that are running, and the times at which the list announced
+// that a server drains or is removed.
 type world struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -80,7 +81,7 @@
 	return endpoints.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: endpoints.Up, Pod: w.pods[i]}
 }
 
-// tally counts the results of one way of choosing servers.
+// tally counts the results of one method of choosing servers.
 type tally struct{ sent, late, dead, emptied, none int }
 
 // hours simulates n hours with 12 servers. About once a minute a server drains, is removed and comes back. DNS
@@ -167,7 +168,7 @@
 		}
 		if w.now%(20*time.Second) == 0 {
 			switch w.rng.IntN(16) {
-			case 0: // SERVFAIL: a resolver that trusts each answer has no server
+			case 0: // SERVFAIL: a resolver whose answers are used unchecked has no server
 				m.Step(w.now, endpoints.Failed{Source: "records"})
 				resolved = nil
 			case 1, 2: // a truncated answer with half of the records: membership treats it as a failure
--- a/tools/members/sockets.go
+++ b/tools/members/sockets.go
@@ -43,12 +43,12 @@
 	started   int64     // start time in Unix ms; 0: long ago
 }
 
-// ledger records which operations ran on all servers, by the way in which they came (agent or plain).
+// ledger records the operations that ran on all servers, by their way: through the agent or from the plain client.
 type ledger struct {
 	mu      sync.Mutex
 	seen    map[string]time.Time // by pod, way and key: when the pod first saw the key
 	effects map[string]int       // by way and key: how often the operation ran
-	late    map[string]int       // by way: arrivals later than grace after a drain was announced
+	late    map[string]int       // by way: number of arrivals later than grace after a drain was announced
 	rng     *rand.Rand
 }
 
@@ -60,7 +60,7 @@
 	}
 	var ln net.Listener
 	var err error
-	for range 50 { // the port may still be in use for a moment
+	for range 50 { // the port may still be in use for a short time
 		if ln, err = net.Listen("tcp", at); err == nil {
 			break
 		}
@@ -147,7 +147,7 @@
 type outcome struct{ asked, served, refused, failed atomic.Int64 }
 
 // onSockets runs servers that drain, stop and restart. It sends ward-closes through a daemon that reads a list and SRV
-// records, and through a plain client that trusts each answer of the resolver.
+// records, and through a plain client that uses each answer of the resolver unchecked.
 func onSockets(length time.Duration) error {
 	names, err := dns.New()
 	if err != nil {
@@ -349,8 +349,8 @@
 	return resp.StatusCode
 }
 
-// trustingClient resolves the name every 5 s, trusts each answer, and sends to any server in it. A request that fails
-// is retried once on any server.
+// trustingClient resolves the name every 5 s and sends to any server in the latest answer, which it does not check. A
+// request that fails is retried once on any server.
 type trustingClient struct {
 	at   string
 	mu   sync.Mutex
--- a/tools/peers/main.go
+++ b/tools/peers/main.go
@@ -1,5 +1,6 @@
-// Command peers measures the fleet's membership view, in virtual time and with real processes: how soon members know
-// of crashes, joins and leaves, what the view costs, and how often it is wrong. docs/measure/view.md has its figures.
+// Command peers measures the fleet's membership view, in virtual time and with real processes: how soon crashes, joins
+// and leaves are in the views of all members, the cost of the view, and how often it is wrong. docs/measure/view.md has
+// its figures.
 package main
 
 import (
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -17,7 +17,7 @@
 	"vetchhaven/internal/faulttest/plan"
 )
 
-// Times of the plan for real daemons. Views agree again between two events.
+// Times of the plan for real daemons. They leave enough time between two events for all views to agree again.
 const (
 	realStart = 40 * time.Second // the fleet is at rest until then
 	realDown  = 5 * time.Second
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -14,7 +14,7 @@
 	"vetchhaven/internal/peer/membership"
 )
 
-// memberEvent is one event of a member, and the times until other members know of it.
+// memberEvent is one event of a member, and the times until other members have received it.
 type memberEvent struct {
 	at         time.Duration
 	who        int
@@ -23,7 +23,7 @@
 	knownBy    map[int]bool
 }
 
-// eventTracker records when each daemon learns of the events of other daemons.
+// eventTracker records when the events of daemons arrive in the views of the other daemons.
 type eventTracker struct {
 	of    map[string]*memberEvent // the latest event of each member, by name
 	wrong int                     // members confirmed dead that were not killed
@@ -76,7 +76,7 @@
 	return p, all
 }
 
-// trackEvents simulates a plan and records when daemons learn of the events in all.
+// trackEvents simulates a plan and records when the events in all arrive in the views of the daemons.
 func trackEvents(p *plan.Plan, all []*memberEvent, o virtual.Options) (*eventTracker, *virtual.Result, error) {
 	f := &eventTracker{of: map[string]*memberEvent{}, dead: map[string]bool{}}
 	next := 0
@@ -94,9 +94,9 @@
 	return f, r, err
 }
 
-// formula returns the expected 99th percentile of the time until all know of a crash, from the module's own
-// constants: the wait for the first probe, the two stages of the probe, the shortest suspicion, and the spread of the
-// rumor through the fleet. See docs/design/view.md.
+// formula returns the expected 99th percentile of the time until all members have received a crash, computed from the
+// constants of package membership: the wait for the first probe, the two stages of the probe, the shortest suspicion,
+// and the spread of the rumor through the fleet. See docs/design/view.md.
 func formula(n int) time.Duration {
 	first := 4.6 * membership.DefaultProbeInterval.Seconds() // the probability that no member probes it in k periods is exp(-k)
 	if n < 8 {
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// pauses returns events that pause a tenth of the daemons for the time each, at random times in every ten seconds; the
-// caller passes 1.5 s. windows are the times of the pauses, and who the daemons.
+// pauses returns events that pause a tenth of the daemons in every ten seconds, at random times, for the duration each
+// (callers pass 1.5 s). windows has the start and end of each pause, and who its daemon.
 func pauses(n int, length, each time.Duration, seed uint64) (events []plan.Event, windows [][2]time.Duration, who []int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for t := 5 * time.Second; t < length-15*time.Second; t += 10 * time.Second {
@@ -216,7 +216,7 @@
 			}{{"this view", membership.BaselineMode{}}, {"SWIM without local health", membership.BaselineMode{NoLifeguard: true}}, {"SWIM without suspicion", membership.BaselineMode{NoSuspicion: true, NoLifeguard: true}}} {
 				p := &plan.Plan{Name: "hour", Daemons: n, Zones: 1, Seeds: []int{0, 1}, Length: length, Events: events, Link: plan.Link{Drop: loss}, Peers: plan.Peers{Bytes: bytes}}
 				if way.plain.NoSuspicion {
-					p.Length = min(length, 5*time.Minute) // this baseline is wrong so often that an hour shows nothing more
+					p.Length = min(length, 5*time.Minute) // this baseline is wrong so often that an hour gives no further information
 				}
 				wrong, suspicions := 0, 0
 				members := map[string]bool{}
@@ -255,9 +255,9 @@
 	return nil
 }
 
-// heartbeats is the simplest baseline: each member sends each other one a heartbeat every 200 ms, and a member that
-// is not heard for 2 s is confirmed dead. That is about as soon as this view confirms a death. A message counts as 60
-// bytes.
+// heartbeats is the simplest baseline: each member sends a heartbeat to each other member every 200 ms, and a member
+// from which no heartbeat arrives for 2 s is confirmed dead. The membership view confirms a death after about the same
+// time. A message counts as 60 bytes.
 func heartbeats(n int, loss float64, length time.Duration, windows [][2]time.Duration, who []int, seed uint64) (wrong, members int) {
 	rng := rand.New(rand.NewPCG(seed, 78))
 	byWho := map[int][][2]time.Duration{}
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -1,12 +1,12 @@
 // Command policy measures changes of the fleet's agreed policy. It prints Markdown; docs/measure/policy.md has its
 // figures.
 //
-//	go run ./tools/policy schedules [-n 2000]   random faults with a change every few seconds: each claim and how often it was tested
-//	go run ./tools/policy parts [-n 2000]       the same with parts: two changes a second, partitioned regions, new voters
+//	go run ./tools/policy schedules [-n 2000]   random faults, a change every few seconds: the checker's claims, tested and broken
+//	go run ./tools/policy parts [-n 2000]       the same with a policy in parts: two changes a second, partitioned regions, new voters
 //	go run ./tools/policy points [-pairs 2000]  the acting member is killed at each write and message of a change, once, then twice
 //	go run ./tools/policy times                 time from a proposal until the change is in force at all members, in virtual time
 //	go run ./tools/policy real                  the same with real processes, and the cost at rest
-//	go run ./tools/policy ways                  compared with a reload host by host, and with gossip of the newest file
+//	go run ./tools/policy ways                  policy distribution compared with a reload host by host, and with gossip of the newest file
 package main
 
 import (
@@ -455,7 +455,7 @@
 	return nil
 }
 
-// ways simulates the same schedules with other ways of distributing a policy.
+// ways simulates the same schedules with each method of distributing a policy.
 func ways() error {
 	bench.Head("way", "schedules", "changes asked for", "with two policies in use at once for over 0.5 s", "seconds of that", "schedules in which it was so at the end", "requests turned away of all")
 	for _, w := range []struct {
@@ -483,9 +483,9 @@
 	return nil
 }
 
-// atOnce returns the number of changes, and for how many policies, and how long in total, requests were still served
-// by an earlier policy more than 0.5 s after the later one was first used. end reports whether members still differ
-// at the end.
+// atOnce measures how long members use different policies. It returns the number of changes, the number of policies
+// whose first use was more than 0.5 s before the last use of an earlier policy, the sum of these times, and whether
+// members still differ at the end.
 func atOnce(lines []checker.Line) (changes, many int, span time.Duration, end bool) {
 	first, late := map[uint64]int64{}, map[uint64]int64{}
 	var most uint64
--- a/tools/rehearsal/fleet.go
+++ b/tools/rehearsal/fleet.go
@@ -11,9 +11,9 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// fleet simulates each scenario with this project's balancer and with the two oracles that see the true state of all
-// servers. It prints the service, and the load that the whole fleet of agents puts on servers and on the list service,
-// as means over the seeds.
+// fleet simulates each scenario with this project's balancer and with the two oracle policies, which use the exact
+// state of all servers. It prints the service, and the load that all agents together put on servers and on the list
+// service, as means over the seeds.
 func fleet(paths []string, seeds int) error {
 	policies := []string{"vetchhaven", baseline.SeesLate, baseline.SeesNow}
 	fmt.Printf("%d cores, mean of seeds 1 to %d\n\n", runtime.NumCPU(), seeds)
--- a/tools/rehearsal/main.go
+++ b/tools/rehearsal/main.go
@@ -1,7 +1,7 @@
 // Command rehearsal measures the simulator and compares the balancing policies in it. It prints Markdown.
 //
 //	go run ./tools/rehearsal table [-seeds 5] SCENARIO.toml...   service by policy, with its range over the seeds
-//	go run ./tools/rehearsal fleet [-seeds 2] SCENARIO.toml...   compared with oracles that see the true state of all servers, late and immediately
+//	go run ./tools/rehearsal fleet [-seeds 2] SCENARIO.toml...   compared with oracles that get the servers' exact state, late and at once
 //	go run ./tools/rehearsal grow SCENARIO.toml                  time and memory at 1, 4 and 16 times the length
 //	go run ./tools/rehearsal compare VIRTUAL.json SOCKETS.json   differences between two reports
 package main
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -182,7 +182,7 @@
 	return report, err
 }
 
-const maxPrinted = 12 // most violations printed for one run
+const maxPrinted = 12 // maximum number of violations printed for one run
 
 // printFailure prints the violations of a failed run and, with --shrink, a smaller plan that violates the same
 // invariant.
--- a/tools/verdicts/found.go
+++ b/tools/verdicts/found.go
@@ -9,8 +9,8 @@
 	"vetchhaven/tools/internal/bench"
 )
 
-// found prints how soon members eject a failing server, over this many seeds: 24 agents that send 10 requests a second
-// each, 8 servers, and 0.5% of all requests failing at random.
+// found prints how soon members eject a failing server, over the given number of seeds. The fleet has 24 agents that
+// send 10 requests per second each, and 8 servers; 0.5% of all requests fail at random.
 func found(seeds int) error {
 	const agents, servers, begins, ends, length = 24, 8, 10 * time.Second, 22 * time.Second, 40 * time.Second
 	bench.Head("a server", "seeds", "out at, of 24, mean", "the first, mean", "the thirteenth, mean", "the seventeenth, worst", "wrong verdicts", "requests spoilt", "bytes a second of each")
