--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -105,7 +105,7 @@
 type simulation struct {
 	Config
 	now    time.Duration
-	agenda eventqueue.Queue
+	eventQueue eventqueue.Queue
 	rng    *rand.Rand
 	tiers  [][]*process // tier 0 holds the clients
 	calls  int          // number of calls so far, by all agents
@@ -169,7 +169,7 @@
 		p.nextCall(p.tiers[0][n])
 	}
 	for done := 0; ; done++ {
-		at, do, ok := p.agenda.Next(1<<63 - 1)
+		at, do, ok := p.eventQueue.Next(1<<63 - 1)
 		if p.result.CutShort = ok && c.Events > 0 && done == c.Events; !ok || p.result.CutShort {
 			break
 		}
@@ -508,4 +508,4 @@
 	q.p.at(q.p.now+q.p.Way, func() { a.end(result) })
 }
 
-func (p *simulation) at(t time.Duration, do func()) { p.agenda.At(max(t, p.now), do) }
+func (p *simulation) at(t time.Duration, do func()) { p.eventQueue.At(max(t, p.now), do) }
