--- a/internal/simulate/chain/chain.go
+++ b/internal/simulate/chain/chain.go
@@ -104,14 +104,14 @@
 
 type simulation struct {
 	Config
-	now    time.Duration
+	now        time.Duration
 	eventQueue eventqueue.Queue
-	rng    *rand.Rand
-	tiers  [][]*process // tier 0 holds the clients
-	calls  int          // number of calls so far, by all agents
-	spans  [4]Span      // calls outside the reported spans, then those of Result: Before, First, Later
-	served [][2]int     // numbers of calls that began in each window, and of those that were served
-	result Result
+	rng        *rand.Rand
+	tiers      [][]*process // tier 0 holds the clients
+	calls      int          // number of calls so far, by all agents
+	spans      [4]Span      // calls outside the reported spans, then those of Result: Before, First, Later
+	served     [][2]int     // numbers of calls that began in each window, and of those that were served
+	result     Result
 }
 
 // process is a process of a tier: a server (except client processes) with an agent (except at the last tier).
