--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -29,7 +29,7 @@
 // client simulates the client of one task, with all its tries.
 func (g *driver) client(ctx context.Context, c *model.Client, seed model.Seed) {
 	for {
-		kind, after := g.ask(ctx, c, seed)
+		kind, after := g.makeTry(ctx, c, seed)
 		if ctx.Err() != nil {
 			return // the simulation is cut short: the task has no result
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// ask makes one try.
-func (g *driver) ask(ctx context.Context, c *model.Client, seed model.Seed) (model.Answer, time.Duration) {
+// makeTry makes one try.
+func (g *driver) makeTry(ctx context.Context, c *model.Client, seed model.Seed) (model.Answer, time.Duration) {
 	a := g.agents[c.Task.Agent]
 	class := &g.s.Classes[c.Task.Class]
 	id := c.ID()
