--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -115,14 +115,14 @@
 		g.checker.ConnectionLost(now, a.n, id)
 		return model.Failed, 0
 	}
-	kind, told := checker.Failed, model.Failed
+	kind, result := checker.Failed, model.Failed
 	switch status {
 	case http.StatusOK:
-		kind, told = checker.Served, model.Served
+		kind, result = checker.Served, model.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		kind, told = checker.Refused, model.Refused
+		kind, result = checker.Refused, model.Refused
 	}
 	g.checker.Answered(now, a.n, id, kind)
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	return told, time.Duration(after * float64(time.Second))
+	return result, time.Duration(after * float64(time.Second))
 }
