--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -335,9 +335,9 @@
 
 // answer delivers a final answer of the policy. An answer to a request that has ended goes to the
 // checker only, since a connection can't carry a second answer.
-func (a *agent) answer(id string, kind checker.Kind, told model.Answer, after time.Duration) {
+func (a *agent) answer(id string, kind checker.Kind, result model.Answer, after time.Duration) {
 	if r := a.requests[id]; r != nil {
-		a.finish(r, kind, told, after)
+		a.finish(r, kind, result, after)
 	} else {
 		a.d.checker.Answered(a.d.now, a.n, id, kind)
 	}
