--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -344,13 +344,13 @@
 }
 
 // finish delivers a final answer. The policy must give exactly one, and the checker verifies that.
-func (a *agent) finish(r *request, kind checker.Kind, told model.Answer, after time.Duration) {
+func (a *agent) finish(r *request, kind checker.Kind, result model.Answer, after time.Duration) {
 	a.d.checker.Answered(a.d.now, a.n, r.id, kind)
 	if !r.done {
 		r.done = true
 		if answer := r.answer; answer != nil {
 			r.answer = nil
-			answer(told, after)
+			answer(result, after)
 		}
 	}
 	a.removeIfDone(r)
