--- a/internal/simulate/model/server.go
+++ b/internal/simulate/model/server.go
@@ -378,9 +378,9 @@
 // rate returns the work that one slot does now in a unit of time.
 func (v *Server) rate(now time.Duration) float64 {
 	cores := float64(v.kind.Cores)
-	crowd := max(0, float64(v.Held())/cores-v.kind.ThrashAt)
+	excess := max(0, float64(v.Held())/cores-v.kind.ThrashAt)
 	each := min(1, cores/float64(v.kind.Slots))
-	return v.speed * v.factor * each * v.Warmth(now) / (1 + v.kind.Thrash*crowd)
+	return v.speed * v.factor * each * v.Warmth(now) / (1 + v.kind.Thrash*excess)
 }
 
 // serve starts waiting requests on free slots. A run keeps the rate that it starts with: runs are
