--- a/internal/simulate/model/sockets/list.go
+++ b/internal/simulate/model/sockets/list.go
@@ -60,7 +60,7 @@
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.Server.Name] = true
-		for _, a := range g.agentsToldBy(agent) {
+		for _, a := range g.agentsOfReader(agent) {
 			g.checker.Listed(now, a, e.Server.Name, e.State, e.Server.Zone, e.Server.Pod, e.Started)
 		}
 		if e.State == decide.Removed {
@@ -72,14 +72,14 @@
 		}
 	}
 	if full {
-		for _, a := range g.agentsToldBy(agent) {
+		for _, a := range g.agentsOfReader(agent) {
 			g.checker.Unlisted(now, a, func(name string) bool { return listed[name] })
 		}
 	}
 }
 
-// agentsToldBy returns the agents that receive the entries sent to one reader: an external daemon reads for all agents.
-func (g *driver) agentsToldBy(reader int) []int {
+// agentsOfReader returns the agents that receive the entries sent to one reader: an external daemon reads for all agents.
+func (g *driver) agentsOfReader(reader int) []int {
 	if !g.external() {
 		return []int{reader}
 	}
