--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -266,7 +266,7 @@
 	running.Go(func() { s.churn(playing, o.churn) })
 	running.Go(func() { f.descriptors = watchDescriptors(playing, cmd.Process.Pid) })
 	var asked, served atomic.Int64
-	running.Go(func() { ask(playing, listen, o.rate, &asked, &served) })
+	running.Go(func() { sendRequests(playing, listen, o.rate, &asked, &served) })
 	running.Wait()
 	if ctx.Err() != nil {
 		return f, ctx.Err()
@@ -325,8 +325,8 @@
 	}
 }
 
-// ask sends requests at a rate until ctx ends, and then waits for their answers.
-func ask(ctx context.Context, listen string, rate float64, asked, served *atomic.Int64) {
+// sendRequests sends requests at a rate until ctx ends, and then waits for their answers.
+func sendRequests(ctx context.Context, listen string, rate float64, asked, served *atomic.Int64) {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
 	var open sync.WaitGroup
