--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -348,7 +348,7 @@
 
 func (c *crossing) met() bool { return c.value <= c.bound.Most }
 
-const most = 100 // largest multiple of the target size that is searched for a crossing
+const maxShare = 100 // largest multiple of the target size that is searched for a crossing
 
 // crossings returns the crossings of all bounds, in ascending order of size.
 func (p *printer) crossings() (all []crossing) {
@@ -428,7 +428,7 @@
 func where(share, aim float64, words string, low float64) string {
 	switch {
 	case math.IsInf(share, 1):
-		return fmt.Sprintf("not up to %s %s", count(most*aim), words)
+		return fmt.Sprintf("not up to %s %s", count(maxShare*aim), words)
 	case share*aim < low:
 		return fmt.Sprintf("below %s %s, the smallest size measured", count(low), words)
 	case share == 0:
@@ -440,7 +440,7 @@
 // cross returns the share of the target size at which an increasing curve crosses a bound: 0 if the curve is above the
 // bound at any size, +Inf if it is not above the bound up to most times the target size.
 func cross(value func(share float64) float64, bound float64) float64 {
-	low, high := 1e-6, float64(most)
+	low, high := 1e-6, float64(maxShare)
 	if value(low) > bound {
 		return 0
 	}
