--- a/internal/simulate/checker/checker.go
+++ b/internal/simulate/checker/checker.go
@@ -60,7 +60,7 @@
 
 func seconds(t time.Duration) string { return fmt.Sprintf("%.3f s", t.Seconds()) }
 
-// Kind is the kind of a final answer as the client sees it.
+// Kind is the kind of a final answer that a client gets.
 type Kind uint8
 
 // The kinds of final answers.
@@ -78,12 +78,12 @@
 	config    Config
 	requests  map[string]*request
 	listed    map[agentServer]*listing
-	taken     []expiry // of accepted requests, in the order of acceptance
-	retain    time.Duration
+	taken     []expiry      // of accepted requests, in the order of acceptance
+	retain    time.Duration // how long a request is kept after its deadline
 	breaches  []Breach
-	count     [5]int // by rule
-	doubled   int
-	faultless []Breach
+	count     [5]int          // by rule
+	doubled   int             // number of requests that had their effect twice
+	faultless []Breach        // second effects in which no agent broke a rule
 	atFault   map[string]bool // IDs of requests with a further attempt that broke rule 2
 }
 
--- a/internal/simulate/model/server.go
+++ b/internal/simulate/model/server.go
@@ -8,7 +8,7 @@
 	"vetchhaven/decide"
 )
 
-// Job is one attempt as a server sees it.
+// Job holds the data of one attempt that a server needs to process it.
 type Job struct {
 	ID    string // of the request
 	Agent int
@@ -97,7 +97,7 @@
 	overloaded bool
 
 	startedAt time.Duration
-	cold      bool
+	cold      bool // has not reached its full capacity yet
 	workDone  float64
 	recent    []arrival // work that arrived within the last fall window, while cold
 	recentSum float64
--- a/internal/simulate/model/sockets/listener.go
+++ b/internal/simulate/model/sockets/listener.go
@@ -27,8 +27,8 @@
 	fillers []net.Conn // connections that fill the accept queue while silent
 
 	wantMu  sync.Mutex
-	wanted  listenerState
-	working bool
+	wanted  listenerState // the latest state that setAsync was called with
+	working bool          // a goroutine of setAsync is running
 }
 
 // setAsync changes the state in a goroutine, since making an address silent takes tens of
--- a/internal/simulate/model/sockets/server.go
+++ b/internal/simulate/model/sockets/server.go
@@ -78,7 +78,7 @@
 	agent    int
 	proc     *model.Proc
 	net      *net.TCPConn
-	accepted bool
+	accepted bool // by the model, which has a backlog of its own
 	answers  chan answer
 	lost     bool // a message on it was lost: the connection stays silent
 	gone     bool
--- a/internal/simulate/model/spec.go
+++ b/internal/simulate/model/spec.go
@@ -43,20 +43,21 @@
 	Hint  float64 // coefficient of variation of the work hint around the work; negative: no hint
 }
 
-// Rules are the parameters of the four rules that package checker describes, and further settings of agents.
+// Rules are the parameters of the four rules that package checker describes, and further settings of agents. Names in
+// parentheses are those of decide.Settings.
 type Rules struct {
 	MaxAttempts    int
-	SecondCopies   bool
+	SecondCopies   bool // two attempts of one request may be open at once (Hedging)
 	ConnectTimeout time.Duration
 	IdleClose      time.Duration // servers close a connection after this time without a request
-	DrainGrace     time.Duration
-	AnswerSlack    time.Duration
-	AskWithin      time.Duration
-	ColdShare      float64
-	RampTime       time.Duration
-	FallMultiple   float64
-	FallWindow     time.Duration
-	CrossZonePrice float64
+	DrainGrace     time.Duration // time in which new attempts at a draining server are still allowed
+	AnswerSlack    time.Duration // time after its deadline in which a final answer still counts (AnswerGrace)
+	AskWithin      time.Duration // longest time without an attempt to subscribe, until subscribed (SubscribeWithin)
+	ColdShare      float64       // least share of its capacity that a server starts with (SlowStartShare)
+	RampTime       time.Duration // time after its start by which a server has its full capacity (SlowStartTime)
+	FallMultiple   float64       // load, as a multiple of its capacity, above which a cold server ends (OverloadMultiple)
+	FallWindow     time.Duration // time over which that load is measured (OverloadWindow)
+	CrossZonePrice float64       // cost of an attempt in another zone, as a share of a request's value
 	MaxRetryAfter  time.Duration // 0: refusals carry no Retry-After
 }
 
--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -41,8 +41,8 @@
 	class    int
 	deadline time.Duration
 	answer   func(model.Answer, time.Duration)
-	done     bool
-	open     int
+	done     bool // has its final answer
+	open     int  // number of attempts in progress
 	attempts []*attempt
 }
 
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -337,7 +337,7 @@
 
 // crossing is the size at which a curve crosses its bound.
 type crossing struct {
-	share   float64 // of the target size; +Inf: the curve does not cross the bound up to most times the target size
+	share   float64 // of the target size; +Inf: the curve does not cross the bound up to maxShare times the target size
 	bound   *Bound
 	load    string
 	carried string // the mechanisms that contribute to the figure
@@ -438,7 +438,7 @@
 }
 
 // cross returns the share of the target size at which an increasing curve crosses a bound: 0 if the curve is above the
-// bound at any size, +Inf if it is not above the bound up to most times the target size.
+// bound at any size, +Inf if it is not above the bound up to maxShare times the target size.
 func cross(value func(share float64) float64, bound float64) float64 {
 	low, high := 1e-6, float64(maxShare)
 	if value(low) > bound {
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -177,7 +177,7 @@
 		defer f.Close()
 		forms = append(forms, f.Member("ready"))
 	}
-	// Services share the server processes, but the agent sees separate servers for each service.
+	// Services share the server processes, but the list of each service contains them as separate servers.
 	var lists []*standin.List
 	for s := range services {
 		var own []discovery.Member
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -16,7 +16,7 @@
 	"vetchhaven/internal/simulate/scenario"
 )
 
-// counts holds, for each agent, the numbers of agents that its view reported, in the order of time.
+// counts holds, for each agent, the numbers of agents that its view reported, in order of time.
 type counts [][]agentCount
 
 type agentCount struct {
@@ -33,8 +33,8 @@
 	return all[i-1].most, all[i-1].least
 }
 
-// simulateViews simulates the membership views of a day and returns the numbers of agents that they reported. All
-// members start at the beginning of the day with the number file in their settings, and the given events happen to
+// simulateViews simulates the membership views of a scenario and returns the numbers of agents that they reported. All
+// members start at the beginning of the scenario with the number file in their settings, and the given events happen to
 // members and links.
 func simulateViews(s *model.Scenario, file int, seed uint64, events []plan.Event) (counts, error) {
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
@@ -47,7 +47,7 @@
 	return c, err
 }
 
-// service simulates days in which the number of agents is configured correctly, configured wrongly, or taken from the
+// service simulates scenarios with the number of agents configured correctly, configured wrongly, or taken from the
 // membership view.
 func service(_ []int, seeds int, seed uint64) error {
 	bench.Head("day", "agents' number", "service", "worst 5 s", "refused", "rules broken", "most load on a cold server", "count told at the end")
@@ -58,7 +58,7 @@
 		}
 		n := s.Agents
 		var roll []plan.Event
-		if path == "scenarios/fleet-roll.toml" { // like agents-restart of the scenario: one after another from 5 s on, over 12 s
+		if path == "scenarios/fleet-roll.toml" { // like the scenario's incident agents-restart: one after another from 5 s on, over 12 s
 			for i := range n {
 				at := 5*time.Second + 12*time.Second*time.Duration(i)/time.Duration(n)
 				roll = append(roll, plan.Event{At: at, Do: "term", Who: []int{i}}, plan.Event{At: at + 300*time.Millisecond, Do: "start", Who: []int{i}, State: "kept"})
