--- a/cmd/vetchhaven/log_test.go
+++ b/cmd/vetchhaven/log_test.go
@@ -15,7 +15,8 @@
 
 func (g *blockedLog) Write(p []byte) (int, error) { <-g.open; return g.syncLog.Write(p) }
 
-// Writers of log lines never block. Lines for which there is no room are counted, and the others are written in order.
+// Writers of log lines never block. Lines that do not fit into the queue are counted, and the others are written in
+// order.
 func TestLogWriterNeverWaits(t *testing.T) {
 	to := &blockedLog{open: make(chan struct{})}
 	w := newLogWriter(to)
--- a/cmd/vetchhaven/run.go
+++ b/cmd/vetchhaven/run.go
@@ -225,11 +225,11 @@
 )
 
 // reload reads the configuration again on each SIGHUP. Signals that arrive during a reload count as one. An invalid
-// file changes nothing.
+// file leaves the configuration unchanged.
 func reload(a *core.Agent, hup <-chan os.Signal, log *slog.Logger) {
 	retry := time.NewTimer(reloadRetryInterval)
 	defer retry.Stop()
-	var requestedAt time.Time // time of the last signal that has not been handled; zero if there is none
+	var requestedAt time.Time // time of the last signal if it has not been handled yet, otherwise zero
 	for {
 		select {
 		case <-hup:
--- a/internal/host/admin/server.go
+++ b/internal/host/admin/server.go
@@ -28,8 +28,8 @@
 	Accepting() bool
 	// Status returns the agent's counters, after at most wait.
 	Status(wait time.Duration) core.Status
-	// SetServerDisabled disables or enables an endpoint. If no endpoint list contains it, known is false and nothing
-	// changes.
+	// SetServerDisabled disables or enables an endpoint. If no endpoint list contains it, known is false and the call
+	// has no effect.
 	SetServerDisabled(ctx context.Context, server string, disabled bool) (known bool, err error)
 	// SetDrained makes the agent send its clients to other agents, or accept clients again.
 	SetDrained(drained bool)
--- a/internal/host/policystore/database.go
+++ b/internal/host/policystore/database.go
@@ -19,7 +19,7 @@
 	keyMember    = []byte("member")
 	keyEpoch     = []byte("epoch")
 	keyWrites    = []byte("writes") // number of writes to the file
-	keyID        = []byte("id")     // the file's ID, which the witness repeats
+	keyID        = []byte("id")     // the file's ID, which the witness also contains
 )
 
 const numberBytes = 8
--- a/internal/host/policystore/store_test.go
+++ b/internal/host/policystore/store_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// Reopen opens a store that was closed, and does nothing for a store that is open. Earlier, a handover that failed
+// Reopen opens a store that was closed, and has no effect on a store that is open. Earlier, a handover that failed
 // before it closed the store logged that the store could not be opened again.
 func TestReopenDoesNothingForAnOpenStore(t *testing.T) {
 	s := New(t.TempDir(), "", "m", slog.New(slog.DiscardHandler))
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Reasons for which Decode rejects a file. ErrCorrupt stands for any damage, including a truncated header or invalid
-// JSON. ErrTooOld also stands for a state whose time of saving lies too far in the future.
+// Reasons for which Decode rejects a file. ErrCorrupt is returned for any damage, including a truncated header or
+// invalid JSON. ErrTooOld is also returned for a state whose time of saving lies too far in the future.
 var (
 	ErrNotSnapshot = errors.New("not a state file of vetchhaven")
 	ErrVersion     = errors.New("unknown version of the state file")
--- a/internal/simulate/model/server.go
+++ b/internal/simulate/model/server.go
@@ -91,15 +91,15 @@
 	rng     *rand.Rand
 
 	speed      float64 // of one core of this machine
-	factor     float64
-	errors     float64
+	factor     float64 // multiplies speed, see SetSpeed
+	errors     float64 // additional error rate, see SetErrors
 	draining   bool
 	overloaded bool
 
 	startedAt time.Duration
 	cold      bool // has not reached its full capacity yet
 	workDone  float64
-	recent    []arrival // work that arrived within the last fall window, while cold
+	recent    []arrival // work that arrived within the last Rules.FallWindow, while cold
 	recentSum float64
 
 	conns    map[int]*serverConn
@@ -108,8 +108,8 @@
 	head     int // of queue
 	running  []*run
 	pauseAt  time.Duration // the next pause begins
-	pausedTo time.Duration
-	replies  []reply // answers that need no core, in order of time
+	pausedTo time.Duration // end of the present or latest pause
+	replies  []reply       // answers that need no core, in order of time
 	sweepAt  time.Duration
 
 	failed               float64 // count of errors, which decays with time
@@ -121,7 +121,7 @@
 
 type serverConn struct {
 	agent         int
-	busy          int
+	busy          int           // number of requests in progress
 	idleSince     time.Duration // start of the idle time
 	handshakeWork time.Duration // work of the handshake, added to the first request
 }
@@ -259,8 +259,8 @@
 	return v.kind.ColdShare + (1-v.kind.ColdShare)*part
 }
 
-// Pressure returns the work sent to a cold server in the last fall window, as a multiple of the work
-// that it can do in one such window; 0 for a warm server.
+// Pressure returns the work sent to a cold server within the last Rules.FallWindow, as a multiple of the
+// work that it can do in that time; 0 for a warm server.
 func (v *Server) Pressure(now time.Duration) float64 {
 	w := v.Warmth(now)
 	if !v.cold {
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -429,7 +429,7 @@
 	}
 }
 
-// do executes an operation and returns its last message, or nil if there is none.
+// do executes an operation and returns its last message, or nil if the operation has no answer.
 func (l *session) do(m ldapmsg.Message, op *ber.Packet, kind, dn string, f Fault, stopped chan struct{}) []byte {
 	d := l.d
 	result := func(code int, text string) []byte {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -25,7 +25,7 @@
 	mu         sync.Mutex
 	version    int64
 	servers    map[string]discovery.Member
-	changed    map[string]int64 // version of each entry's last change, including entries that are gone
+	changed    map[string]int64 // version of each entry's last change, including entries with the state gone
 	nextChange chan struct{}    // closed at each change
 	down       bool
 	calls      atomic.Int64
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -39,8 +39,8 @@
 	return append(data, '\n'), err
 }
 
-// restartBytes returns the number of bytes that each agent receives for one restart of a server: draining, gone,
-// ready.
+// restartBytes returns the number of bytes that each agent receives for one restart of a server: its entry with the
+// states draining, gone and ready.
 func restartBytes() (size int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
 		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{listedServer(11999, state)}})
--- a/tools/capacity/page/page_test.go
+++ b/tools/capacity/page/page_test.go
@@ -139,8 +139,8 @@
 	has(t, got["breaks"], "| 1 | bytes |", "| 5 KB/s |", "| yes |")
 }
 
-// A figure that was not measured at a load counts with its value at rest; of two entries of one quantity the greater
-// counts.
+// In a sum, a figure that was not measured at a load has its value at rest, and of two entries of one quantity only the
+// greater is included.
 func TestABoundOnASumTakesTheGreatestOfEachMechanism(t *testing.T) {
 	flat := func(name, load, quantity, mechanism string, value float64) slopes.Slope {
 		return slope(func(s *slopes.Slope) {
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -146,7 +146,7 @@
 	return value
 }
 
-// at returns an entry's value at a size: the measured one, if there is one, or else the value of the curve.
+// at returns an entry's value at a size: the measured value if the size was measured, otherwise the value of the curve.
 func at(e *slopes.Slope, f slopes.Fit, x float64) (value float64, measured bool) {
 	for _, p := range e.Points {
 		if p[0] == x {
@@ -279,8 +279,8 @@
 	return value * p.by
 }
 
-// parts returns the terms of the sum that a bound applies to. For each mechanism and quantity that is the greatest
-// figure at the load itself or, if there is none, at the next lower load.
+// parts returns the terms of the sum to which a bound applies. The term of a mechanism and quantity is the greatest
+// figure at the load itself or, if the load has no figure, at the next lower load.
 func (p *printer) parts(b *Bound, load string) (all []term) {
 	type key struct{ mechanism, quantity string }
 	best := map[key]term{}
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -211,7 +211,8 @@
 	return all, nil
 }
 
-// after is the length of the measured phase of a worst minute, from when members start or a region is back.
+// after is the length of the measured phase of a worst minute, which begins when members start or a region is
+// reconnected.
 const after = 15 * time.Second
 
 // worstLength returns the length of a run from the beginning of the measured phase. It is long enough for all members
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -24,7 +24,7 @@
 	"vetchhaven/tools/measure"
 )
 
-// handover runs a real daemon under 500 requests a second and hands it over three times, a second apart.
+// handover runs a real daemon under 500 requests per second and hands it over three times, at intervals of a second.
 func handover() error {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -1,4 +1,4 @@
-// Command limits measures limits that a whole fleet shares. It prints Markdown.
+// Command limits measures limits that all agents of a fleet share. It prints Markdown.
 //
 //	go run ./tools/limits ways                     strategies for sharing a limit, side by side
 //	go run ./tools/limits schedules [-n 1000]      random faults: use beyond the limit, compared with the bound
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -26,7 +26,7 @@
 // eventTracker records when the events of daemons arrive in the views of the other daemons.
 type eventTracker struct {
 	of    map[string]*memberEvent // the latest event of each member, by name
-	wrong int                     // members confirmed dead that were not killed
+	wrong int                     // confirmed deaths of members that were not killed, counted at each observer
 	dead  map[string]bool
 }
 
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -142,7 +142,7 @@
 	told, faults   map[string]int
 }
 
-// kindOf returns the final state of a change and, if it was dropped, the kind of reason.
+// kindOf returns the final state of a change and, if the change was dropped, the kind of the reason.
 func kindOf(l checker.Line) string {
 	if l.State != "dropped" {
 		return l.State
