--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -170,7 +170,7 @@
 func viewDay(sizes []int, f *flags) ([]slopes.Slope, error) {
 	f.head()
 	var all []slopes.Slope
-	for _, at := range []placement{regions80ms} { // with round trips longer than the probe timeout, rest alone exceeds all bounds
+	for _, at := range []placement{regions80ms} { // with round trips longer than the probe timeout, the cost at rest alone exceeds all bounds
 		s := f.series("view", "day", "agents", at.name+"; rest, and what a failure and a restart cost beyond it times their rates of a day")
 		for _, n := range sizes {
 			began := time.Now()
@@ -254,7 +254,7 @@
 
 func viewBack(sizes []int, f *flags, which, form, words string, of func(*topology.Layout) []int) ([]slopes.Slope, error) {
 	f.head()
-	at := regions80ms // with round trips longer than the probe timeout, rest alone exceeds all bounds
+	at := regions80ms // with round trips longer than the probe timeout, the cost at rest alone exceeds all bounds
 	back := f.series("view", "worst", "agents", at.name+"; "+words+" starts at once after 60 s; the 15 s from then. bytes_per_s bounds datagrams, and streams in the mean: past it a fleet takes longer")
 	var err error
 	if back.ceiling, err = ceiling(); err != nil {
