--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -100,13 +100,13 @@
 			return played{}, err
 		}
 		c := checker.Policy(p.Bounds, r.Lines)
-		x := played{r: c, taken: r.Taken, told: map[string]int{}, faults: map[string]int{}}
+		x := played{r: c, taken: r.Taken, finalStates: map[string]int{}, faults: map[string]int{}}
 		for _, l := range r.Lines {
 			switch l.What {
 			case checker.Proposed:
 				x.changes++
 			case checker.AuthorNotified:
-				x.told[kindOf(l)]++
+				x.finalStates[kindOf(l)]++
 			}
 		}
 		for _, e := range p.Events {
@@ -122,7 +122,7 @@
 		return x, nil
 	}, func(i int, x played) {
 		taken, changes = taken+x.taken, changes+x.changes
-		for k, n := range x.told {
+		for k, n := range x.finalStates {
 			told[k] += n
 		}
 		for k, n := range x.faults {
@@ -137,9 +137,9 @@
 
 // played is the result of one schedule.
 type played struct {
-	r              *checker.Report
-	taken, changes int
-	told, faults   map[string]int
+	r                   *checker.Report
+	taken, changes      int
+	finalStates, faults map[string]int
 }
 
 // kindOf returns the final state of a change and, if the change was dropped, the kind of the reason.
