--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -91,7 +91,7 @@
 func schedules(n int, draw func(seed uint64, most int) (*plan.Plan, policymodel.Options)) error {
 	s := newSums()
 	var taken, changes int
-	told, faults := map[string]int{}, map[string]int{}
+	finalStates, faults := map[string]int{}, map[string]int{}
 	began := time.Now()
 	err := each(n, func(i int) (played, error) {
 		p, o := draw(uint64(i), 10)
@@ -123,14 +123,14 @@
 	}, func(i int, x played) {
 		taken, changes = taken+x.taken, changes+x.changes
 		for k, n := range x.finalStates {
-			told[k] += n
+			finalStates[k] += n
 		}
 		for k, n := range x.faults {
 			faults[k] += n
 		}
 		s.add(fmt.Sprint("schedule ", i), x.r)
 	})
-	fmt.Printf("%d schedules of 90 s, %d changes asked for, %d requests taken, in %v\n\ntold: %v\n\nbefell: %v\n\n", n, changes, taken, time.Since(began).Round(time.Second), told, faults)
+	fmt.Printf("%d schedules of 90 s, %d changes asked for, %d requests taken, in %v\n\ntold: %v\n\nbefell: %v\n\n", n, changes, taken, time.Since(began).Round(time.Second), finalStates, faults)
 	s.show()
 	return err
 }
