--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -74,26 +74,26 @@
 		}
 		cut := []plan.Event{{At: 3 * time.Second, Do: "link", Who: left, To: right, Both: true, Link: plan.Link{Drop: 1}}}
 		for _, way := range []struct {
-			name   string
-			told   int
-			follow bool
-			events []plan.Event
+			name       string
+			configured int
+			follow     bool
+			events     []plan.Event
 		}{{"fixed, right", n, false, nil}, {"fixed, half", max(1, n/2), false, nil}, {"fixed, double", 2 * n, false, nil},
 			{"followed, file says half", max(1, n/2), true, roll}, {"followed, file says double", 2 * n, true, roll},
 			{"followed, halves from 3 s on", n, true, append(slices.Clone(roll), cut...)}} {
 			service, worst, refused, broken, cold, last := 0.0, 0.0, 0.0, 0, 0.0, 0
 			for i := range seeds {
-				o := virtual.Options{Scenario: s, Seed: seed + uint64(i), Balancers: way.told,
+				o := virtual.Options{Scenario: s, Seed: seed + uint64(i), Balancers: way.configured,
 					New: func(s decide.Settings, seed uint64) (virtual.Policy, error) { return decide.New(s, seed) }}
 				if way.follow {
-					c, err := simulateViews(s, way.told, seed+uint64(i), way.events)
+					c, err := simulateViews(s, way.configured, seed+uint64(i), way.events)
 					if err != nil {
 						return err
 					}
 					o.Count = c.at
 					last, _ = c.at(0, s.Length)
 				} else {
-					last = way.told
+					last = way.configured
 				}
 				p, err := virtual.Play(o)
 				if err != nil {
