--- a/internal/simulate/model/sockets/listener.go
+++ b/internal/simulate/model/sockets/listener.go
@@ -26,36 +26,36 @@
 	ln      *net.TCPListener
 	fillers []net.Conn // connections that fill the accept queue while silent
 
-	wantMu  sync.Mutex
-	wanted  listenerState // the latest state that setAsync was called with
-	working bool          // a goroutine of setAsync is running
+	wantedMu sync.Mutex
+	wanted   listenerState // the latest state that setAsync was called with
+	working  bool          // a goroutine of setAsync is running
 }
 
 // setAsync changes the state in a goroutine, since making an address silent takes tens of
 // milliseconds. failed is called on an error; running counts the goroutine.
 func (d *listener) setAsync(to listenerState, running *sync.WaitGroup, failed func(error)) {
-	d.wantMu.Lock()
-	defer d.wantMu.Unlock()
+	d.wantedMu.Lock()
+	defer d.wantedMu.Unlock()
 	if d.wanted = to; d.working {
 		return
 	}
 	d.working = true
 	running.Go(func() {
 		for {
-			d.wantMu.Lock()
+			d.wantedMu.Lock()
 			to := d.wanted
-			d.wantMu.Unlock()
+			d.wantedMu.Unlock()
 			err := d.set(to)
-			d.wantMu.Lock()
+			d.wantedMu.Lock()
 			if done := d.wanted == to; done || err != nil {
 				d.working = false
-				d.wantMu.Unlock()
+				d.wantedMu.Unlock()
 				if err != nil {
 					failed(err)
 				}
 				return
 			}
-			d.wantMu.Unlock()
+			d.wantedMu.Unlock()
 		}
 	})
 }
