--- a/cmd/vetchhaven/main_test.go
+++ b/cmd/vetchhaven/main_test.go
@@ -153,7 +153,7 @@
 	write(t, path, `{"seed":"1f","listen"`)
 	hup(cmd)
 	hup(cmd)
-	time.Sleep(50 * time.Millisecond) // lets the program read the invalid file; without this the test is weaker, but not wrong
+	time.Sleep(50 * time.Millisecond) // time to read the invalid file; a shorter wait only weakens the test
 	write(t, path, with(three))
 	hup(cmd)
 	watch("third", third)
@@ -192,7 +192,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200 * time.Millisecond) // lets the program find the file missing; without this the test is weaker, but not wrong
+	time.Sleep(200 * time.Millisecond) // time to find that the file is missing; a shorter wait only weakens the test
 	write(t, path, with(two))
 	select {
 	case <-second:
--- a/internal/simulate/baseline/oracle.go
+++ b/internal/simulate/baseline/oracle.go
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// SetServerStates gives an oracle access to the exact states of the servers, as they were some time ago.
+// SetServerStates gives an oracle access to the exact states of the servers. states returns those before the delay late.
 func (p *Policy) SetServerStates(states func(late time.Duration) []model.ServerState) {
 	if p.oracle != nil {
 		p.oracle.states = states
--- a/internal/simulate/model/list.go
+++ b/internal/simulate/model/list.go
@@ -19,7 +19,7 @@
 	Timeout time.Duration // calls that wait longer fail
 }
 
-// Entry is the list's information about one server.
+// Entry is the list's entry for one server.
 type Entry struct {
 	Server  ServerSpec
 	State   decide.BackendState
@@ -29,11 +29,11 @@
 
 // The events that List.Step handles.
 type (
-	// ServerChange is a change of a server's state, which the list notices after the delay After.
+	// ServerChange is a change of a server's state, which the list detects after the delay After.
 	ServerChange struct {
 		Entry      Entry
 		After      time.Duration
-		Supersedes bool // earlier changes of this server that are still unnoticed are dropped
+		Supersedes bool // earlier changes of this server that the list has not detected yet are dropped
 	}
 	// Subscribe is an agent's call for a watch: it gets the changes after version Since, then each new change.
 	Subscribe struct {
--- a/internal/simulate/model/load.go
+++ b/internal/simulate/model/load.go
@@ -9,7 +9,8 @@
 	"vetchhaven/decide"
 )
 
-// Task is one request of a client, with all its tries.
+// Task is one request of a client. The client may retry it: each time that it sends the request to its agent is a try,
+// and each time that the agent sends it to a server for this try is an attempt.
 type Task struct {
 	Serial uint64
 	At     time.Duration
--- a/internal/simulate/model/server_test.go
+++ b/internal/simulate/model/server_test.go
@@ -110,7 +110,7 @@
 	b.send(100 * ms)
 	b.send(100 * ms) // with one request per core, no efficiency is lost
 	for range 4 {
-		b.send(100 * ms) // these start with four held: 2 per core, 1 above ThrashAt, so they take half as long again
+		b.send(100 * ms) // these start with four held: 2 per core, 1 above ThrashAt, so they take 1.5 times as long
 	}
 	b.until(240 * ms)
 	b.want("100 j1 ran", "100 j1 ok", "100 j2 ran", "100 j2 ok")
@@ -188,7 +188,7 @@
 	b.until(10 * time.Second)
 	b.want("5150 closed")
 	b.step(Dial{Conn: 3})
-	b.want("5150 closed") // a connection is free again
+	b.want("5150 closed") // a connection slot is free again
 }
 
 func TestWarmth(t *testing.T) {
--- a/internal/simulate/model/virtual/agent.go
+++ b/internal/simulate/model/virtual/agent.go
@@ -322,8 +322,8 @@
 			answer(model.NoAnswer, 0)
 		}
 	})
-	// The real agent answers instead of the policy half of AnswerSlack after the deadline. Here the policy
-	// must answer, or the checker reports a breach.
+	// If the policy has not answered, the real agent answers for it half of AnswerSlack after the deadline.
+	// Here only the policy answers; without its answer the checker reports a breach.
 	a.d.at(r.deadline+a.d.s.Rules.AnswerSlack, func() {
 		if alive() {
 			r.done = true
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -30,7 +30,8 @@
 	fromRecords = "records"
 )
 
-// read stores the present state and passes the published one to the agents. It schedules the next reading.
+// read stores the present state of the servers, passes the state that is published by now to the agents, and schedules
+// the next reading.
 func (r *records) read() {
 	d := r.d
 	var all []endpoints.Server
--- a/tools/capacity/changes_test.go
+++ b/tools/capacity/changes_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Each change comes into force at all members or is dropped; a change that is proposed while another is under way is
+// Each change comes into force at all members or is dropped; a change that is proposed while another is in progress is
 // dropped.
 func TestEachChangeComesIntoForceOrIsDropped(t *testing.T) {
 	r := simulated(t, policyRun{members: 20, length: 24 * time.Second, every: 200 * time.Millisecond, randomTimes: true})
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -1,8 +1,8 @@
 // Command members measures how a daemon merges its sources of servers into one list. It prints Markdown.
 //
-//	go run ./tools/members hour [-seeds 5]     an hour of faults in virtual time, compared with a resolver that trusts each answer
+//	go run ./tools/members hour [-seeds 5]     an hour of faults in virtual time, compared with the unchecked answers of a resolver
 //	go run ./tools/members fleet [-seeds 6] SCENARIO.toml   agents with two sources that contradict each other, compared with the same
-//	                                           agents on a resolver that trusts each answer
+//	                                           agents on the unchecked answers of a resolver
 //	go run ./tools/members sockets [-for 5m]   the same with a daemon, servers, a list and a resolver on loopback
 //	go run ./tools/members merge               time and memory to merge three sources of 1,000 servers
 //	go run ./tools/members goodbye             time from a goodbye by multicast DNS to a list without the server
@@ -72,7 +72,7 @@
 	rng       *rand.Rand
 	now       time.Duration
 	alive     []bool
-	announced []time.Duration // when the list announced that the server drains or is removed; 0: not announced
+	announced []time.Duration // by server: when the list announced that it drains or is removed; 0: not announced
 	pods      []int
 	records   []endpoints.Server // the DNS records as published
 }
@@ -132,7 +132,7 @@
 	backAt := make([]time.Duration, servers)
 	dueDead := make([]time.Duration, servers)
 	for w.now = time.Second; w.now < time.Hour; w.now += time.Second {
-		if w.rng.IntN(300) == 0 { // the list is unavailable for a while
+		if w.rng.IntN(300) == 0 { // the list becomes unavailable for a limited time
 			listDown = w.now + time.Duration(10+w.rng.IntN(60))*time.Second
 		}
 		up := w.now >= listDown
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -19,11 +19,11 @@
 
 // Times of the plan for real daemons. They leave enough time between two events for all views to agree again.
 const (
-	realStart = 40 * time.Second // the fleet is at rest until then
+	realStart = 40 * time.Second // the fleet is at rest until this time
 	realDown  = 5 * time.Second
 	realGap   = 8 * time.Second
 	realCut   = 60 * time.Second
-	realRest  = 20 * time.Second // measurements at rest begin then and end at realStart
+	realRest  = 20 * time.Second // measurements at rest begin at this time and end at realStart
 )
 
 // realPlan returns a plan in which single daemons are killed and restarted, then some leave and restart, and then the
