--- a/internal/host/policystore/store_test.go
+++ b/internal/host/policystore/store_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// exhaustDescriptors lowers the limit so that the process can't open a file descriptor, until the returned function is
-// called.
+// exhaustDescriptors lowers the limit on file descriptors so that the process can't open one, until the returned
+// function is called.
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var previous unix.Rlimit
@@ -212,7 +212,7 @@
 	}
 }
 
-// Reopen opens a store that was closed, and does nothing for a store that is open. Earlier, a handover that failed
+// Reopen opens a store that was closed, and has no effect on a store that is open. Earlier, a handover that failed
 // before it closed the store logged that the store could not be opened again.
 func TestReopenDoesNothingForAnOpenStore(t *testing.T) {
 	s := New(t.TempDir(), "", "m", slog.New(slog.DiscardHandler))
--- a/internal/simulate/model/sockets/client.go
+++ b/internal/simulate/model/sockets/client.go
@@ -15,7 +15,7 @@
 	"vetchhaven/internal/simulate/model"
 )
 
-// try is what the stand-in servers know about the request with an ID.
+// try holds the data of a client's try that the stand-in servers need to handle its request, by the request's ID.
 type try struct {
 	task     *model.Task
 	seed     model.Seed
@@ -23,13 +23,13 @@
 	attempts int
 }
 
-// tryRetention is how long an ID is known after the end of its try, since attempts may still be under way.
+// tryRetention is how long a try is kept after its end, since attempts of it may still be in transit.
 const tryRetention = 20 * time.Second
 
 // client simulates the client of one task, with all its tries.
 func (g *driver) client(ctx context.Context, c *model.Client, seed model.Seed) {
 	for {
-		kind, after := g.ask(ctx, c, seed)
+		kind, after := g.makeTry(ctx, c, seed)
 		if ctx.Err() != nil {
 			return // the simulation is cut short: the task has no result
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// ask makes one try.
-func (g *driver) ask(ctx context.Context, c *model.Client, seed model.Seed) (model.Answer, time.Duration) {
+// makeTry makes one try.
+func (g *driver) makeTry(ctx context.Context, c *model.Client, seed model.Seed) (model.Answer, time.Duration) {
 	a := g.agents[c.Task.Agent]
 	class := &g.s.Classes[c.Task.Class]
 	id := c.ID()
@@ -75,7 +75,7 @@
 		defer g.mu.Unlock()
 		delete(g.tries, id)
 	})
-	// The client's deadline plus a grace; an answer within the grace only matters to the checker.
+	// The client waits for its deadline plus a grace period. An answer within the grace period matters only to the checker.
 	patience, cancel := context.WithTimeout(ctx, left+g.s.Rules.AnswerSlack+slack)
 	defer cancel()
 	req, err := http.NewRequestWithContext(patience, method, "http://"+a.listen+"/"+class.Name, body)
@@ -115,14 +115,14 @@
 		g.checker.ConnectionLost(now, a.n, id)
 		return model.Failed, 0
 	}
-	kind, told := checker.Failed, model.Failed
+	kind, result := checker.Failed, model.Failed
 	switch status {
 	case http.StatusOK:
-		kind, told = checker.Served, model.Served
+		kind, result = checker.Served, model.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		kind, told = checker.Refused, model.Refused
+		kind, result = checker.Refused, model.Refused
 	}
 	g.checker.Answered(now, a.n, id, kind)
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	return told, time.Duration(after * float64(time.Second))
+	return result, time.Duration(after * float64(time.Second))
 }
--- a/internal/simulate/model/sockets/listener.go
+++ b/internal/simulate/model/sockets/listener.go
@@ -10,7 +10,7 @@
 type listenerState uint8
 
 const (
-	closed listenerState = iota // nothing listens: connections are refused
+	closed listenerState = iota // no process listens: connections are refused
 	open                        // connections are accepted
 	silent                      // connections are never established, as with an unreachable machine
 )
@@ -26,36 +26,36 @@
 	ln      *net.TCPListener
 	fillers []net.Conn // connections that fill the accept queue while silent
 
-	wantMu  sync.Mutex
-	wanted  listenerState
-	working bool
+	wantedMu sync.Mutex
+	wanted   listenerState // the latest state that setAsync was called with
+	working  bool          // a goroutine of setAsync is running
 }
 
 // setAsync changes the state in a goroutine, since making an address silent takes tens of
 // milliseconds. failed is called on an error; running counts the goroutine.
 func (d *listener) setAsync(to listenerState, running *sync.WaitGroup, failed func(error)) {
-	d.wantMu.Lock()
-	defer d.wantMu.Unlock()
+	d.wantedMu.Lock()
+	defer d.wantedMu.Unlock()
 	if d.wanted = to; d.working {
 		return
 	}
 	d.working = true
 	running.Go(func() {
 		for {
-			d.wantMu.Lock()
+			d.wantedMu.Lock()
 			to := d.wanted
-			d.wantMu.Unlock()
+			d.wantedMu.Unlock()
 			err := d.set(to)
-			d.wantMu.Lock()
+			d.wantedMu.Lock()
 			if done := d.wanted == to; done || err != nil {
 				d.working = false
-				d.wantMu.Unlock()
+				d.wantedMu.Unlock()
 				if err != nil {
 					failed(err)
 				}
 				return
 			}
-			d.wantMu.Unlock()
+			d.wantedMu.Unlock()
 		}
 	})
 }
@@ -72,7 +72,7 @@
 // free releases the address.
 func (d *listener) free() { d.release() }
 
-const reopenFor = 2 * time.Second // an outgoing connection may use the port for a short time
+const reopenFor = 2 * time.Second // an outgoing connection may occupy the port for a short time
 
 // set changes the state and returns when it is in effect.
 func (d *listener) set(to listenerState) error {
@@ -123,7 +123,7 @@
 		d.state = open
 		d.drop()
 		// Connections that reached the queue while the address was silent count as lost: their senders have
-		// given up, so accepting them now would serve requests that have ended.
+		// timed out, so accepting them now would serve requests that have ended.
 		_ = d.ln.SetDeadline(time.Now().Add(time.Millisecond))
 		for {
 			c, err := d.ln.AcceptTCP()
--- a/internal/simulate/model/spec.go
+++ b/internal/simulate/model/spec.go
@@ -17,8 +17,8 @@
 	Thrash       float64       // efficiency lost for each held request per core above ThrashAt
 	ThrashAt     float64       // held requests per core
 	ColdShare    float64       // share of the capacity that a process has when it has just started
-	ColdFor      time.Duration // time until it is warm
-	WarmByWork   bool          // warms up with the work done, but no slower than evenly over ColdFor
+	ColdFor      time.Duration // time until a process is warm
+	WarmByWork   bool          // work done speeds up the warm-up, which otherwise progresses evenly over ColdFor
 	PauseEvery   time.Duration // mean time between pauses; 0: none
 	Pause        time.Duration // mean length of a pause while the server is idle
 	PauseGrow    float64       // relative growth of a pause for each held request per slot, up to 4 requests
@@ -32,7 +32,7 @@
 // Capacity returns the work that a warm, healthy server of the kind does in a unit of time.
 func (k *Kind) Capacity() float64 { return float64(min(k.Cores, k.Slots)) * k.Speed }
 
-// Class is a class of requests: what the policy is told about it, and how its requests are generated.
+// Class is a class of requests: the profile that the policy receives, and how its requests are generated.
 type Class struct {
 	decide.Class
 	Name  string
@@ -43,20 +43,21 @@
 	Hint  float64 // coefficient of variation of the work hint around the work; negative: no hint
 }
 
-// Rules are the parameters of the four rules that package checker describes, and further settings of agents.
+// Rules are the parameters of the four rules that package checker describes, and further settings of agents. Names in
+// parentheses are those of decide.Settings.
 type Rules struct {
 	MaxAttempts    int
-	SecondCopies   bool
+	SecondCopies   bool // two attempts of one request may be open at once (Hedging)
 	ConnectTimeout time.Duration
 	IdleClose      time.Duration // servers close a connection after this time without a request
-	DrainGrace     time.Duration
-	AnswerSlack    time.Duration
-	AskWithin      time.Duration
-	ColdShare      float64
-	RampTime       time.Duration
-	FallMultiple   float64
-	FallWindow     time.Duration
-	CrossZonePrice float64
+	DrainGrace     time.Duration // time in which new attempts at a draining server are still allowed
+	AnswerSlack    time.Duration // time after its deadline in which a final answer still counts (AnswerGrace)
+	AskWithin      time.Duration // longest time without an attempt to subscribe, until subscribed (SubscribeWithin)
+	ColdShare      float64       // least share of its capacity that a server starts with (SlowStartShare)
+	RampTime       time.Duration // time after its start by which a server has its full capacity (SlowStartTime)
+	FallMultiple   float64       // load, as a multiple of its capacity, above which a cold server ends (OverloadMultiple)
+	FallWindow     time.Duration // time over which that load is measured (OverloadWindow)
+	CrossZonePrice float64       // cost of an attempt in another zone, as a share of a request's value
 	MaxRetryAfter  time.Duration // 0: refusals carry no Retry-After
 }
 
@@ -74,15 +75,15 @@
 	Tries    int           // maximum number of tries, the first included
 	Wait     time.Duration // time before the next try; 0: at once
 	Heed     float64       // share of clients that obey the Retry-After of a refusal
-	Patience float64       // share of the class's deadline that a client waits for a try other than the last one
+	Patience float64       // share of the class's deadline that a client waits for each try except the last one
 }
 
-// Scenario describes a whole simulation.
+// Scenario describes a simulation completely.
 type Scenario struct {
 	Title    string
 	Length   time.Duration
 	Agents   int
-	Uneven   float64 // how unevenly traffic is spread over agents: 0 even, 1 in inverse proportion to the agent's position
+	Uneven   float64 // imbalance of the traffic among agents: 0 even, 1 in inverse proportion to the agent's position
 	Vary     float64 // coefficient of variation of a further random factor on each agent's traffic
 	Tick     time.Duration
 	ByWork   bool // the value of a request is multiplied by its work
@@ -121,12 +122,12 @@
 	Noise   float64
 }
 
-// RecordsSpec describes a second discovery source that all agents read besides the list: published records, which
-// are late and sometimes wrong. They don't show draining: a server that drains or is removed disappears from them
-// later.
+// RecordsSpec describes a second discovery source that all agents read in addition to the list: published records,
+// which are late and sometimes wrong. They don't show draining: a server that drains or is removed disappears from
+// them later.
 type RecordsSpec struct {
 	Every  time.Duration // interval between readings; 0: there are no records
-	Late   time.Duration // how late changes are published
+	Late   time.Duration // delay after which changes are published
 	Fail   float64       // share of readings that fail
 	Cut    float64       // share of readings that silently lack half of the records
 	Empty  float64       // share of readings that are empty
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -19,7 +19,7 @@
 const (
 	agents         = 12000
 	restartsPerDay = 710
-	budget         = 11000 // bytes a second for an agent's control traffic
+	budget         = 11000 // bytes per second for an agent's control traffic
 	secondsOfDay   = 86400
 )
 
@@ -39,8 +39,8 @@
 	return append(data, '\n'), err
 }
 
-// restartBytes returns the number of bytes that each agent receives for one restart of a server: draining, gone,
-// ready.
+// restartBytes returns the number of bytes that each agent receives for one restart of a server: its entry with the
+// states draining, gone and ready.
 func restartBytes() (size int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
 		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{listedServer(11999, state)}})
@@ -52,7 +52,7 @@
 	return size, nil
 }
 
-// listCost is the cost of a whole list for the agent that reads it.
+// listCost is the cost of a complete list for the agent that reads it.
 type listCost struct {
 	decode, take time.Duration // decoding the JSON; the module's step that applies the list
 	memory       float64       // heap that stays in use, in bytes
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -46,7 +46,7 @@
 
 func runOf(s *slopes.Slope) run { return run{s.Command, s.Date, s.Machine} }
 
-// number returns the number that an entry's run has in the table of runs.
+// number returns the number of an entry's run in the table of runs.
 func (p *printer) number(s *slopes.Slope) string {
 	return fmt.Sprintf("[%d]", slices.Index(p.list, runOf(s))+1)
 }
@@ -146,7 +146,7 @@
 	return value
 }
 
-// at returns an entry's value at a size: the measured one, if there is one, or else the value of the curve.
+// at returns an entry's value at a size: the measured value if the size was measured, otherwise the value of the curve.
 func at(e *slopes.Slope, f slopes.Fit, x float64) (value float64, measured bool) {
 	for _, p := range e.Points {
 		if p[0] == x {
@@ -156,7 +156,7 @@
 	return f.Value(x), false
 }
 
-// gaps returns the figures that a role must have at a load and has not, as a text for each mechanism.
+// gaps returns the required figures that a role does not have at a load, as a text for each mechanism.
 func (p *printer) gaps(role, load string) (gaps []string) {
 	for i := range p.size.Asked {
 		if a := &p.size.Asked[i]; a.Role == role && slices.Contains(a.Loads, load) {
@@ -279,8 +279,8 @@
 	return value * p.by
 }
 
-// parts returns the terms of the sum that a bound applies to. For each mechanism and quantity that is the greatest
-// figure at the load itself or, if there is none, at the next lower load.
+// parts returns the terms of the sum to which a bound applies. The term of a mechanism and quantity is the greatest
+// figure at the load itself or, if the load has no figure, at the next lower load.
 func (p *printer) parts(b *Bound, load string) (all []term) {
 	type key struct{ mechanism, quantity string }
 	best := map[key]term{}
@@ -337,10 +337,10 @@
 
 // crossing is the size at which a curve crosses its bound.
 type crossing struct {
-	share   float64 // of the target size; +Inf: not up to most times the target size
+	share   float64 // of the target size; +Inf: the curve does not cross the bound up to maxShare times the target size
 	bound   *Bound
 	load    string
-	carried string // the mechanisms that the figure comes from
+	carried string // the mechanisms that contribute to the figure
 	top     string // the entry, or the greatest term of a sum
 	at      string // the size at which the curve crosses the bound, as text
 	value   float64
@@ -348,7 +348,7 @@
 
 func (c *crossing) met() bool { return c.value <= c.bound.Most }
 
-const most = 100 // largest multiple of the target size that is searched for a crossing
+const maxShare = 100 // largest multiple of the target size that is searched for a crossing
 
 // crossings returns the crossings of all bounds, in ascending order of size.
 func (p *printer) crossings() (all []crossing) {
@@ -374,7 +374,7 @@
 					}
 				}
 				at := where(share, agents, "agents", math.Round(low))
-				if share == 0 { // the terms that do not grow exceed the bound by themselves
+				if share == 0 { // the sum of the terms that do not grow exceeds the bound
 					top = slices.MaxFunc(parts, func(a, b term) int { return cmp.Compare(a.value(0), b.value(0)) })
 					v := p.size.variable(top.e.Variable)
 					at = fmt.Sprintf("at any size, with %s %s", count(v.at(top.as)), v.Words)
@@ -428,7 +428,7 @@
 func where(share, aim float64, words string, low float64) string {
 	switch {
 	case math.IsInf(share, 1):
-		return fmt.Sprintf("not up to %s %s", count(most*aim), words)
+		return fmt.Sprintf("not up to %s %s", count(maxShare*aim), words)
 	case share*aim < low:
 		return fmt.Sprintf("below %s %s, the smallest size measured", count(low), words)
 	case share == 0:
@@ -437,10 +437,10 @@
 	return fmt.Sprintf("%s %s (%.2g of the size)", count(round(share*aim)), words, share)
 }
 
-// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if it is above the bound
-// at any size, +Inf if it is not above it up to most times the target size.
+// cross returns the share of the target size at which an increasing curve crosses a bound: 0 if the curve is above the
+// bound at any size, +Inf if it is not above the bound up to maxShare times the target size.
 func cross(value func(share float64) float64, bound float64) float64 {
-	low, high := 1e-6, float64(most)
+	low, high := 1e-6, float64(maxShare)
 	if value(low) > bound {
 		return 0
 	}
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -67,12 +67,12 @@
 	served      float64 // share of the requests
 }
 
-// bound is a row of the operators' table: it bounds the figure at the large size, given the one at the usual size.
+// bound is a row of the operators' table. It bounds a figure at the large size, given the figure at the usual size.
 type bound struct {
 	name      string
 	few, many float64
 	most      float64
-	least     bool // the bound is a lower one
+	least     bool // the bound is a minimum
 }
 
 func bounds(few, many figures) []bound {
@@ -266,7 +266,7 @@
 	running.Go(func() { s.churn(playing, o.churn) })
 	running.Go(func() { f.descriptors = watchDescriptors(playing, cmd.Process.Pid) })
 	var asked, served atomic.Int64
-	running.Go(func() { ask(playing, listen, o.rate, &asked, &served) })
+	running.Go(func() { sendRequests(playing, listen, o.rate, &asked, &served) })
 	running.Wait()
 	if ctx.Err() != nil {
 		return f, ctx.Err()
@@ -325,8 +325,8 @@
 	}
 }
 
-// ask sends requests at a rate until ctx ends, and then waits for their answers.
-func ask(ctx context.Context, listen string, rate float64, asked, served *atomic.Int64) {
+// sendRequests sends requests at a rate until ctx ends, and then waits for their answers.
+func sendRequests(ctx context.Context, listen string, rate float64, asked, served *atomic.Int64) {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
 	var open sync.WaitGroup
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -1,8 +1,8 @@
 // Command members measures how a daemon merges its sources of servers into one list. It prints Markdown.
 //
-//	go run ./tools/members hour [-seeds 5]     an hour of faults in virtual time, compared with a resolver that trusts each answer
+//	go run ./tools/members hour [-seeds 5]     an hour of faults in virtual time, compared with the unchecked answers of a resolver
 //	go run ./tools/members fleet [-seeds 6] SCENARIO.toml   agents with two sources that contradict each other, compared with the same
-//	                                           agents on a resolver that trusts each answer
+//	                                           agents on the unchecked answers of a resolver
 //	go run ./tools/members sockets [-for 5m]   the same with a daemon, servers, a list and a resolver on loopback
 //	go run ./tools/members merge               time and memory to merge three sources of 1,000 servers
 //	go run ./tools/members goodbye             time from a goodbye by multicast DNS to a list without the server
@@ -66,12 +66,13 @@
 	return fmt.Errorf("%q is not one of hour, fleet, sockets, merge, queries, goodbye", args[0])
 }
 
-// world is the true state: which servers are running, and when the list announced that one drains or is removed.
+// world is the true state of the simulation: the servers that are running, and the times at which the list announced
+// that a server drains or is removed.
 type world struct {
 	rng       *rand.Rand
 	now       time.Duration
 	alive     []bool
-	announced []time.Duration // when the list announced that the server drains or is removed; 0: not announced
+	announced []time.Duration // by server: when the list announced that it drains or is removed; 0: not announced
 	pods      []int
 	records   []endpoints.Server // the DNS records as published
 }
@@ -80,7 +81,7 @@
 	return endpoints.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), State: endpoints.Up, Pod: w.pods[i]}
 }
 
-// tally counts the results of one way of choosing servers.
+// tally counts the results of one method of choosing servers.
 type tally struct{ sent, late, dead, emptied, none int }
 
 // hours simulates n hours with 12 servers. About once a minute a server drains, is removed and comes back. DNS
@@ -131,7 +132,7 @@
 	backAt := make([]time.Duration, servers)
 	dueDead := make([]time.Duration, servers)
 	for w.now = time.Second; w.now < time.Hour; w.now += time.Second {
-		if w.rng.IntN(300) == 0 { // the list is unavailable for a while
+		if w.rng.IntN(300) == 0 { // the list becomes unavailable for a limited time
 			listDown = w.now + time.Duration(10+w.rng.IntN(60))*time.Second
 		}
 		up := w.now >= listDown
@@ -167,7 +168,7 @@
 		}
 		if w.now%(20*time.Second) == 0 {
 			switch w.rng.IntN(16) {
-			case 0: // SERVFAIL: a resolver that trusts each answer has no server
+			case 0: // SERVFAIL: a resolver whose answers are used unchecked has no server
 				m.Step(w.now, endpoints.Failed{Source: "records"})
 				resolved = nil
 			case 1, 2: // a truncated answer with half of the records: membership treats it as a failure
