--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -158,8 +158,8 @@
 	})
 }
 
-// KnowsBackend reports whether a backend is in the list, or disabled by an operator.
-func (b *Balancer) KnowsBackend(id string) bool {
+// HasBackend reports whether a backend is in the list, or disabled by an operator.
+func (b *Balancer) HasBackend(id string) bool {
 	return b.byID[id] != nil || b.disabledByHand[id] == stillDisabled
 }
 
--- a/internal/core/disable.go
+++ b/internal/core/disable.go
@@ -62,7 +62,7 @@
 }
 
 func (l *Loop) onDisableServer(e disableServer) {
-	known := l.balancer.KnowsBackend(e.server)
+	known := l.balancer.HasBackend(e.server)
 	if known || e.evenIfUnknown {
 		l.setDisabled(e.server, e.disabled)
 	}
