--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -108,7 +108,7 @@
 	if b.ledger.Empty() {
 		return
 	}
-	due := b.ledger.Active() && b.now-b.usageReportedAt >= usageReportInterval
+	due := b.ledger.NeedsReport() && b.now-b.usageReportedAt >= usageReportInterval
 	if b.usageReportedAt != 0 && !due {
 		return
 	}
--- a/decide/quota/ledger.go
+++ b/decide/quota/ledger.go
@@ -326,8 +326,8 @@
 	return nil
 }
 
-// Active reports whether a demand was rejected, or a lease was nearly used up, since the last report.
-func (lg *Ledger) Active() bool { return lg.active }
+// NeedsReport reports whether a demand was rejected, or a lease was nearly used up, since the last report.
+func (lg *Ledger) NeedsReport() bool { return lg.active }
 
 // Usages returns the state of all leases for a report, sorted by limit and key. It resets the counts since the last
 // report, and drops parts of limits that are no longer used.
--- a/internal/peer/lease/leasesim/requests.go
+++ b/internal/peer/lease/leasesim/requests.go
@@ -151,7 +151,7 @@
 		return
 	}
 	for n, client := range m.clients {
-		if m.ledgers[n].Active() {
+		if m.ledgers[n].NeedsReport() {
 			client.ReportUsage(now, agentID, m.ledgers[n].Usages(now))
 		}
 	}
