--- a/decide/quota/ledger.go
+++ b/decide/quota/ledger.go
@@ -312,9 +312,9 @@
 	}
 }
 
-// ConnectionRefusedBy returns the first limit on new connections that applies to a demand, or nil if none does, and
+// CountConnectionRejection returns the first limit on new connections that applies to a demand, or nil if none does, and
 // counts a rejection under it. It is called for an attempt that was not allowed to open a connection.
-func (lg *Ledger) ConnectionRefusedBy(now time.Duration, d *Demand) *Row {
+func (lg *Ledger) CountConnectionRejection(now time.Duration, d *Demand) *Row {
 	for i := range lg.limits {
 		l := &lg.limits[i]
 		if part, applies := l.partKey(d); applies && l.Kind == NewConnections {
--- a/decide/quota/ledger_test.go
+++ b/decide/quota/ledger_test.go
@@ -156,7 +156,7 @@
 	if third, _ := lg.Reserve(now, &Demand{}); !third.MayConnect {
 		t.Error("the lease was used though no connection was opened")
 	}
-	if limit := lg.ConnectionRefusedBy(now, &Demand{}); limit == nil || limit.Name() != "l" {
+	if limit := lg.CountConnectionRejection(now, &Demand{}); limit == nil || limit.Name() != "l" {
 		t.Errorf("refused by %v, want l", limit)
 	}
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -18,7 +18,7 @@
 	last := request.attempts[len(request.attempts)-1]
 	switch {
 	case result == NotSent && last.reuseOnly:
-		request.lackingLimit = b.ledger.ConnectionRefusedBy(b.now, b.demandOf(request, last.backend))
+		request.lackingLimit = b.ledger.CountConnectionRejection(b.now, b.demandOf(request, last.backend))
 		b.finish(request, NoLease)
 	case len(request.attempts) >= b.settings.MaxAttempts, request.notReplayable, result == NotSent:
 		b.finish(request, NoAttemptLeft)
