--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -39,8 +39,8 @@
 	// BodyBytes bounds the bytes of clients' bodies that are buffered at once, and separately those of servers'
 	// bodies. 0: an eighth of the memory limit.
 	BodyBytes int
-	Weight    float64 // this instance's weight when limits are divided among the instances of a process
-	Memory    *Memory // learned by the previous instance of this name; nil: there is none
+	Weight    float64       // this instance's weight when limits are divided among the instances of a process
+	Learned   *LearnedState // learned by the previous instance of this name; nil: there is none
 }
 
 // LoadConfig reads the file that PROXY_CONFIG names. The other variables override it where they are set. An error
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -6,10 +6,10 @@
 	"vetchhaven/internal/testkit/golden"
 )
 
-// The formats of Memory, which an instance stores for the next process, and of Totals, which the admin endpoint shows,
+// The formats of LearnedState, which an instance stores for the next process, and of Totals, which the admin endpoint shows,
 // must not change.
 func TestStoredMemoryAndTotalsKeepTheirFormat(t *testing.T) {
-	golden.CheckJSON[Memory](t, "memory.json")
+	golden.CheckJSON[LearnedState](t, "memory.json")
 	golden.CheckJSON[Totals](t, "totals.json")
 }
 
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -6,9 +6,9 @@
 	"vetchhaven/decide"
 )
 
-// Memory is the state that an agent has learned and with which its successor of the same name may start. It uses names
+// LearnedState is the state that an agent has learned and with which its successor of the same name may start. It uses names
 // and wall-clock times, which are valid in both. Retry budgets and tokens are not part of it. It is stored on disk.
-type Memory struct {
+type LearnedState struct {
 	// Limit is the limit on attempts in flight, for a successor that takes over the clients without a pause; 0: there
 	// is none. See decide.Learned.
 	Limit   float64                `json:"limit,omitempty"`
@@ -47,9 +47,9 @@
 	return state
 }
 
-// Memory returns the state that the balancer has learned. It reports false if the loop has stopped or does not reply
+// Learned returns the state that the balancer has learned. It reports false if the loop has stopped or does not reply
 // within the timeout.
-func (a *Agent) Memory(timeout time.Duration) (*Memory, bool) {
+func (a *Agent) Learned(timeout time.Duration) (*LearnedState, bool) {
 	query := learnedQuery{make(chan learnedState, 1)}
 	limit := time.NewTimer(timeout)
 	defer limit.Stop()
@@ -71,8 +71,8 @@
 }
 
 // memoryOf converts the state that the balancer has learned to names and wall-clock times.
-func (a *Agent) memoryOf(state learnedState) *Memory {
-	m := &Memory{Limit: state.Limit, Classes: map[string]ClassMemory{}, Servers: []ServerMemory{}}
+func (a *Agent) memoryOf(state learnedState) *LearnedState {
+	m := &LearnedState{Limit: state.Limit, Classes: map[string]ClassMemory{}, Servers: []ServerMemory{}}
 	for i, class := range state.Classes {
 		m.Classes[a.cfg.Site.Classes[i]] = ClassMemory{Latency: class.Latency, Work: class.Work}
 	}
@@ -87,7 +87,7 @@
 }
 
 // toLearned converts a memory to the balancer's terms.
-func (m *Memory) toLearned(cfg *Config, clk clock, starts *startTimes) decide.Learned {
+func (m *LearnedState) toLearned(cfg *Config, clk clock, starts *startTimes) decide.Learned {
 	learned := decide.Learned{Limit: m.Limit}
 	for _, name := range cfg.Site.Classes {
 		class := m.Classes[name]
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -84,8 +84,8 @@
 		return nil, err
 	}
 	var starts startTimes
-	if cfg.Memory != nil {
-		balancer.Restore(cfg.Memory.toLearned(cfg, clk, &starts))
+	if cfg.Learned != nil {
+		balancer.Restore(cfg.Learned.toLearned(cfg, clk, &starts))
 	}
 	return &Loop{
 		cfg:          cfg,
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -125,7 +125,7 @@
 // listedMS returns the listed start of a server in Unix milliseconds; 0: it is unknown.
 func (s *startTimes) listedMS(id string) int64 { return s.known[id].listedMS }
 
-// restore records the start of a process from the stored Memory, and returns it by the agent's clock.
+// restore records the start of a process from the stored LearnedState, and returns it by the agent's clock.
 func (s *startTimes) restore(id string, listedMS int64, hint, now time.Duration) time.Duration {
 	if s.known == nil {
 		s.known = map[string]startTime{}
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -89,7 +89,7 @@
 
 	// Snapshots.
 	snapshots  *snapshotStore
-	memories   map[string]*core.Memory       // by instance: what its agent returned last, or what the last snapshot contained
+	memories   map[string]*core.LearnedState // by instance: what its agent returned last, or what the last snapshot contained
 	savedLists map[string]*discovery.Members // from the last snapshot, by daemonconfig.Source.Key
 
 	// Membership of the fleet.
@@ -127,7 +127,7 @@
 		packetConns:    map[string]*net.UDPConn{},
 		instances:      map[string]*hostedInstance{},
 		hubs:           map[string]*hub{},
-		memories:       map[string]*core.Memory{},
+		memories:       map[string]*core.LearnedState{},
 		savedLists:     map[string]*discovery.Members{},
 		sizeChanged:    make(chan struct{}, 1),
 		servingUpdated: make(chan struct{}, 1),
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -102,7 +102,7 @@
 	spec := &instance.spec
 	cfg := spec.Agent
 	cfg.Seed = d.rng.Uint64()
-	cfg.Memory = d.memories[spec.Name]
+	cfg.Learned = d.memories[spec.Name]
 	if size != nil {
 		cfg.Settings.Balancers = size.MaxBalancers
 	}
--- a/internal/host/daemon/snapshots.go
+++ b/internal/host/daemon/snapshots.go
@@ -111,7 +111,7 @@
 		BootID:      moment.BootID,
 		SinceBootMS: moment.SinceBoot.Milliseconds(),
 		Sources:     map[string]*discovery.Members{},
-		Instances:   map[string]*core.Memory{},
+		Instances:   map[string]*core.LearnedState{},
 	}
 	for _, h := range d.hubs {
 		if endpoints := h.Snapshot(); endpoints != nil {
@@ -122,7 +122,7 @@
 	for name, instance := range d.instances {
 		if instance.agent != nil {
 			timeout := max(minMemoryTimeout, time.Until(deadline))
-			if memory, ok := instance.agent.Memory(timeout); ok {
+			if memory, ok := instance.agent.Learned(timeout); ok {
 				d.memories[name] = memory
 			}
 		}
