--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -24,9 +24,9 @@
 
 // ServerMemory is the slowness of a server's process: its latency as a multiple of the mean of all servers.
 type ServerMemory struct {
-	ID      string  `json:"id"`
-	Started int64   `json:"started_ms"` // Unix milliseconds; 0: long ago
-	Slow    float64 `json:"slow"`
+	ID       string  `json:"id"`
+	Started  int64   `json:"started_ms"` // Unix milliseconds; 0: long ago
+	Slowness float64 `json:"slow"`
 }
 
 // learnedQuery is posted to request the state that the balancer has learned.
@@ -77,7 +77,7 @@
 		m.Classes[a.cfg.Site.Classes[i]] = ClassMemory{Latency: class.Latency, Work: class.Work}
 	}
 	for _, b := range state.Backends {
-		server := ServerMemory{ID: b.ID, Slow: b.Slowness}
+		server := ServerMemory{ID: b.ID, Slowness: b.Slowness}
 		if b.Started > 0 {
 			server.Started = state.startedMS[b.ID]
 		}
@@ -94,7 +94,7 @@
 		learned.Classes = append(learned.Classes, decide.LearnedClass{Latency: class.Latency, Work: class.Work})
 	}
 	for _, s := range m.Servers {
-		b := decide.LearnedBackend{ID: s.ID, Slowness: s.Slow}
+		b := decide.LearnedBackend{ID: s.ID, Slowness: s.Slowness}
 		if s.Started > 0 {
 			b.Started = starts.restore(s.ID, s.Started, clk.hint(s.Started), clk.now())
 		}
