--- a/internal/core/protocol.go
+++ b/internal/core/protocol.go
@@ -25,7 +25,7 @@
 	// Attempt sends a request to a server, once, and returns the outcome. It returns soon after the attempt's context
 	// has ended, and sends nothing once the request has ended. A result for which decide.Result.NeverRan reports true
 	// may be returned only if it is certain that the request was not executed. If the result is OK, the response
-	// becomes Answer.Served.
+	// becomes Answer.Response.
 	Attempt(a *Attempt) (result decide.Result, response any, load decide.Load)
 	// Probe checks a server's health outside any request.
 	Probe(server string) decide.ProbeResult
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -53,7 +53,7 @@
 // Answer is a final answer. The fields up to ClientDisconnected determine its kind; if none of them is set, the request
 // failed. An answer with ClientDisconnected may be Refused too.
 type Answer struct {
-	Served             any           // the response of an attempt
+	Response           any           // the response of an attempt
 	Refused            bool          // the request was not executed, so a retry is safe
 	TimedOut           bool          // the request failed because its deadline was exceeded
 	Duplicate          bool          // the request failed: another one with this ID is open or has just ended
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -124,7 +124,7 @@
 		if e.guard.anotherResponds(e.N) {
 			e.outcome.Result = decide.Cancelled
 		} else {
-			l.finish(e.Request, Answer{Served: e.response})
+			l.finish(e.Request, Answer{Response: e.response})
 			l.counts.served++
 			l.totals.served.Add(1)
 		}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -13,7 +13,7 @@
 func (c *ClassCounts) CountAnswer(a Answer) {
 	switch {
 	case a.ClientDisconnected:
-	case a.Served != nil:
+	case a.Response != nil:
 		c.Answered.Add(1)
 	case a.Refused:
 		c.Deferred.Add(1)
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -68,7 +68,7 @@
 	runWithLoop(t, 1000, attempt, func(l *Loop) {
 		r := newUpload(time.Second)
 		l.Submit(r.Request)
-		if a := <-r.reply; a.Served != "answer" {
+		if a := <-r.reply; a.Response != "answer" {
 			t.Errorf("%+v", a)
 		}
 	})
@@ -144,7 +144,7 @@
 				r.Remaining = time.Second
 				r.Deadline = time.Now().Add(r.Remaining)
 				l.Submit(r.Request)
-				if a := <-r.reply; (a.Served == "complete") != c.completes {
+				if a := <-r.reply; (a.Response == "complete") != c.completes {
 					t.Errorf("answer %+v", a)
 				}
 				if late := l.totals.late.Load(); late != 0 {
@@ -169,7 +169,7 @@
 		r.Remaining = time.Second
 		r.Deadline = time.Now().Add(r.Remaining)
 		l.Submit(r.Request)
-		if a := <-r.reply; a.Served != nil || !a.TimedOut {
+		if a := <-r.reply; a.Response != nil || !a.TimedOut {
 			t.Errorf("%+v", a)
 		}
 	})
--- a/internal/protocol/http1/render.go
+++ b/internal/protocol/http1/render.go
@@ -74,7 +74,7 @@
 // connection ends before Content-Length bytes of the body, which shows the client that the response is incomplete (RFC
 // 9112, 8).
 func (f *frontend) appendAnswer(b []byte, a core.Answer, last bool) []byte {
-	served, _ := a.Served.(*response)
+	served, _ := a.Response.(*response)
 	switch {
 	case served != nil:
 		b = f.appendStatus(b, http.StatusOK, last)
--- a/internal/protocol/http1/responsewriter.go
+++ b/internal/protocol/http1/responsewriter.go
@@ -96,7 +96,7 @@
 	c.reservedBytes = 0
 	c.frontend.openRequests.Add(-1)
 	switch {
-	case streamed && a.Served == nil:
+	case streamed && a.Response == nil:
 		if t, ok := c.conn.(interface{ SetLinger(int) error }); ok {
 			_ = t.SetLinger(0) // the close will reset the connection
 		}
--- a/internal/protocol/ldap/operation.go
+++ b/internal/protocol/ldap/operation.go
@@ -145,7 +145,7 @@
 	o.mu.Unlock()
 	var response []byte
 	op := ldapmsg.ResponseTo(o.message.Op)
-	got, served := a.Served.(*finalResponse)
+	got, served := a.Response.(*finalResponse)
 	switch {
 	case abandoned:
 	case cancelled:
