--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -423,9 +423,9 @@
 	return counts
 }
 
-// CloseIdle evicts the idle connections, except for those on which the last answer has been sent: these are closed
+// EvictIdle evicts the idle connections, except for those on which the last answer has been sent: these are closed
 // once their clients have read it.
-func (cl *ConnLimiter) CloseIdle() {
+func (cl *ConnLimiter) EvictIdle() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	var next *list.Element
@@ -455,7 +455,7 @@
 	check := time.NewTicker(emptyCheckInterval)
 	defer check.Stop()
 	for {
-		cl.CloseIdle()
+		cl.EvictIdle()
 		open := cl.Counts().Open
 		if open == 0 {
 			return nil
--- a/internal/core/connlimiter_test.go
+++ b/internal/core/connlimiter_test.go
@@ -108,7 +108,7 @@
 	cl, conn, client := idleConn(t)
 	writeByte(t, client, 'G')
 	requireReadByte(t, conn, 'G')
-	cl.CloseIdle()
+	cl.EvictIdle()
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Errorf("connection closed although a request has begun: %v", err)
 	}
@@ -150,7 +150,7 @@
 	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience))
 	stream := conn.streamConn
 	conn.streamConn = lateRead{stream}
-	cl.CloseIdle()
+	cl.EvictIdle()
 	if cl.evicting != 1 {
 		t.Fatalf("%d evicted", cl.evicting)
 	}
@@ -165,7 +165,7 @@
 		t.Error("the connection was closed")
 	}
 	cl.MarkIdle(conn)
-	cl.CloseIdle()
+	cl.EvictIdle()
 	writeByte(t, client, 'G')
 	requireEvicted(t, conn)
 	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience)) // the reader sets its deadline after the eviction
@@ -183,7 +183,7 @@
 		if err := conn.CloseWrite(); err == nil && cl.idle.Len() == 0 {
 			t.Error("the connection is not in the list of idle connections")
 		}
-		cl.CloseIdle()
+		cl.EvictIdle()
 		if cl.evicting != 0 {
 			t.Error("the connection was evicted: its last answer may be lost")
 		}
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -54,7 +54,7 @@
 	a.stopping.Store(true)
 	if late := a.lateConnections(); late != nil {
 		a.updateDraining()
-		a.limiter.CloseIdle()
+		a.limiter.EvictIdle()
 		select {
 		case <-served: // the listener has failed; requests that were read are still answered
 		case <-late():
@@ -162,7 +162,7 @@
 // be held.
 func (a *Agent) scheduleIdleClose(after time.Duration) {
 	a.idleCloser = time.AfterFunc(after, func() {
-		a.limiter.CloseIdle()
+		a.limiter.EvictIdle()
 		a.limiter.CloseSilent(minSilent) // spares new connections, which are still accepted and served
 		a.drainMu.Lock()
 		defer a.drainMu.Unlock()
