--- a/internal/core/connlimiter.go
+++ b/internal/core/connlimiter.go
@@ -437,9 +437,9 @@
 	}
 }
 
-// CloseSilent evicts the connections that are at least minAge old and on which no byte has arrived. On a younger
+// EvictSilent evicts the connections that are at least minAge old and on which no byte has arrived. On a younger
 // connection a request may be in transit.
-func (cl *ConnLimiter) CloseSilent(minAge time.Duration) {
+func (cl *ConnLimiter) EvictSilent(minAge time.Duration) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	for c := range cl.conns {
--- a/internal/core/connlimiter_test.go
+++ b/internal/core/connlimiter_test.go
@@ -121,14 +121,14 @@
 func TestYoungSilentConnectionIsNotEvicted(t *testing.T) {
 	cl, conn, _ := idleConn(t)
 	conn.hasRequested = false
-	cl.CloseSilent(testkit.Patience)
+	cl.EvictSilent(testkit.Patience)
 	if cl.evicting != 0 {
 		t.Error("a young connection was evicted")
 	}
 	cl.mu.Lock()
 	conn.quietSince = time.Now().Add(-testkit.Patience)
 	cl.mu.Unlock()
-	cl.CloseSilent(testkit.Patience)
+	cl.EvictSilent(testkit.Patience)
 	if cl.evicting != 1 {
 		t.Errorf("%d evicted after a long silence", cl.evicting)
 	}
@@ -197,7 +197,7 @@
 		conn.hasRequested = false
 		writeByte(t, client, 'G')
 		requireReadByte(t, conn, 'G')
-		cl.CloseSilent(0)
+		cl.EvictSilent(0)
 		if cl.evicting != 0 {
 			t.Error("a connection whose request has begun was evicted")
 		}
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -119,7 +119,7 @@
 	case <-ctx.Done():
 	}
 	// A client that has sent no byte by that time will most likely not send a request.
-	silent := time.AfterFunc(closeSilentAfterStop, func() { a.limiter.CloseSilent(0) })
+	silent := time.AfterFunc(closeSilentAfterStop, func() { a.limiter.EvictSilent(0) })
 	defer silent.Stop()
 	err := a.limiter.waitUntilEmpty(ctx)
 	if closeErr := a.protocol.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
@@ -163,7 +163,7 @@
 func (a *Agent) scheduleIdleClose(after time.Duration) {
 	a.idleCloser = time.AfterFunc(after, func() {
 		a.limiter.EvictIdle()
-		a.limiter.CloseSilent(minSilent) // spares new connections, which are still accepted and served
+		a.limiter.EvictSilent(minSilent) // spares new connections, which are still accepted and served
 		a.drainMu.Lock()
 		defer a.drainMu.Unlock()
 		if a.loop.drained.Load() {
--- a/internal/protocol/http1/frontend_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -296,7 +296,7 @@
 		counts := a.Limiter().Counts()
 		return counts.Open == 2 && counts.Fresh+counts.Idle == 1
 	})
-	a.Limiter().CloseSilent(0)
+	a.Limiter().EvictSilent(0)
 	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
 		t.Fatal(err)
 	}
