--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -75,7 +75,7 @@
 	forget(id)
 }
 
-// NotConnected returns the result of an attempt that got no connection, for the error that prevented it.
+// ResultOfConnectError returns the result of an attempt that got no connection, for the error that prevented it.
 //
 // With ConnectFailed the balancer assumes that the server's process has ended, and begins a complete slow start with
 // its next answer. Only a refused connection proves that the process has ended, or a list that has no address for the
@@ -87,7 +87,7 @@
 // loss of the network or of a route, the server's process is the same. Servers that no member can reach are ejected in
 // these cases too. If a server became unreachable without refusing a connection and was restarted, it counts as warm
 // until the list reports the start.
-func NotConnected(ctx context.Context, err error) decide.Result {
+func ResultOfConnectError(ctx context.Context, err error) decide.Result {
 	switch {
 	case errors.Is(err, ErrNoSocket), outOfDescriptors(err), errors.Is(err, syscall.EADDRNOTAVAIL):
 		return decide.NotSent // this machine had no descriptor, memory or port for it
--- a/internal/protocol/http1/attempt.go
+++ b/internal/protocol/http1/attempt.go
@@ -42,7 +42,7 @@
 		c, err = p.dial(ctx, id, addr)
 	}
 	if err != nil {
-		result := core.NotConnected(ctx, err)
+		result := core.ResultOfConnectError(ctx, err)
 		if result == decide.NotSent {
 			p.log.Warn("attempt not sent", "error", err, "backend", id)
 		}
--- a/internal/protocol/ldap/bindserver.go
+++ b/internal/protocol/ldap/bindserver.go
@@ -56,7 +56,7 @@
 		if errors.Is(err, errServerTLS) && !errors.Is(context.Cause(a.Context), core.ErrCancelled) {
 			return nil, decide.Incomplete // a process accepted the connection before TLS failed
 		}
-		return nil, core.NotConnected(a.Context, err)
+		return nil, core.ResultOfConnectError(a.Context, err)
 	}
 	if bind || o.identity == nil {
 		p.mu.Lock()
