--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -167,8 +167,8 @@
 	spawn(func() { a.loop.run(ctx) })
 	spawn(func() { a.protocol.ReapIdle(ctx) })
 	if a.hub != nil {
-		a.Follow(a.hub)
-		defer a.Follow(nil)
+		a.FollowHub(a.hub)
+		defer a.FollowHub(nil)
 	} else {
 		spawn(func() { a.discovery.run(ctx) })
 	}
@@ -259,9 +259,9 @@
 	f()
 }
 
-// Follow subscribes the loop to the list of a hub, and cancels its subscription to the previous hub. With nil it only
+// FollowHub subscribes the loop to the list of a hub, and cancels its subscription to the previous hub. With nil it only
 // cancels the previous subscription. The hub sends its complete list first.
-func (a *Agent) Follow(hub *discovery.Hub) {
+func (a *Agent) FollowHub(hub *discovery.Hub) {
 	a.hubMu.Lock()
 	defer a.hubMu.Unlock()
 	if a.unsubscribe != nil {
--- a/internal/host/daemon/reload.go
+++ b/internal/host/daemon/reload.go
@@ -175,7 +175,7 @@
 	case moved:
 		result.Moved++
 		if instance.agent != nil {
-			instance.agent.Follow(d.hubs[spec.Source].Hub)
+			instance.agent.FollowHub(d.hubs[spec.Source].Hub)
 			d.markCurrent(instance)
 		}
 	default:
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -66,7 +66,7 @@
 	testkit.Receive(t, "dial", dialing)
 	hub := discovery.NewHub(discovery.HubOptions{Log: testkit.Quiet})
 	hub.Apply(&discovery.Members{Version: 42, Full: true, Servers: []discovery.Member{moved.Member("ready")}})
-	r.Follow(hub)
+	r.FollowHub(hub)
 	testkit.WaitFor(t, "the list", func() bool {
 		r.p.pool.mu.Lock()
 		defer r.p.pool.mu.Unlock()
