--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -61,7 +61,7 @@
 		pending[agent] = nil
 		actions, fault := step(instances[agent], batch.Now, events)
 		if fault != "" {
-			w.Broken(agent, fault)
+			w.InstanceFailed(agent, fault)
 			return nil
 		}
 		return w.Actions(agent, actions)
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// Broken adds a message to the reply, which reports that the decision code of an instance has failed. text is the
+// InstanceFailed adds a message to the reply, which reports that the decision code of an instance has failed. text is the
 // reason.
-func (w *Writer) Broken(agent int, text string) {
+func (w *Writer) InstanceFailed(agent int, text string) {
 	w.begin("Broken", agent).str("Msg", text)
 	w.finish()
 }
