--- a/internal/core/agent.go
+++ b/internal/core/agent.go
@@ -198,7 +198,7 @@
 }
 
 // storedServers returns the servers of the stored list.
-func (a *Agent) storedServers() []discovery.Member {
+func (a *Agent) storedServers() []discovery.Server {
 	if a.cfg.Known == nil {
 		return nil
 	}
@@ -272,7 +272,7 @@
 		return
 	}
 	clk := a.loop.clock
-	a.unsubscribe = hub.Subscribe(func(m *discovery.Members) {
+	a.unsubscribe = hub.Subscribe(func(m *discovery.Update) {
 		a.loop.post(translate(a.cfg, clk, a.log, m, listKindOf(m)))
 	})
 }
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -77,10 +77,10 @@
 			if row.dead {
 				addr = testkit.DeadAddr(t)
 			}
-			member := func(id, state string) discovery.Member {
-				return discovery.Member{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
+			member := func(id, state string) discovery.Server {
+				return discovery.Server{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
 			}
-			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Member{member("one", "ready")}})
+			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Server{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
 			options := Options{HeartbeatTimeout: 2 * testkit.Patience}
 			a, err := New(cfg, testkit.Quiet, options, func(l *Loop) Protocol {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -27,8 +27,8 @@
 	MemoryMB    int
 	Sockets     int // file descriptors that the process may hold; 0: defaultSockets
 	PeerListen  string
-	Peers       []string           // addresses by agent number
-	Known       *discovery.Members // the stored endpoint list; nil: there is none
+	Peers       []string          // addresses by agent number
+	Known       *discovery.Update // the stored endpoint list; nil: there is none
 
 	Settings decide.Settings
 	Site     wire.Site
@@ -83,7 +83,7 @@
 	}
 	PeerListen string `json:"peer_listen"`
 	Peers      []string
-	Known      *discovery.Members
+	Known      *discovery.Update
 	Settings   json.RawMessage
 }
 
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -186,7 +186,7 @@
 			err = errAddrChanged
 		}
 	}()
-	return discovery.Watch(ctx, d.client, addr, d.version, d.heartbeatTimeout, func(m *discovery.Members) {
+	return discovery.Watch(ctx, d.client, addr, d.version, d.heartbeatTimeout, func(m *discovery.Update) {
 		d.version = m.Version
 		d.post(d.translate(m, listKindOf(m)))
 		d.markAttempted()
@@ -194,7 +194,7 @@
 }
 
 // listKindOf returns whether a message of discovery is a complete list or a change.
-func listKindOf(m *discovery.Members) decide.ListKind {
+func listKindOf(m *discovery.Update) decide.ListKind {
 	if m.Full {
 		return decide.ListFull
 	}
@@ -202,7 +202,7 @@
 }
 
 // translate converts a list to the balancer's terms.
-func (d *listWatcher) translate(m *discovery.Members, kind decide.ListKind) List {
+func (d *listWatcher) translate(m *discovery.Update, kind decide.ListKind) List {
 	return translate(d.cfg, d.clock, d.log, m, kind)
 }
 
@@ -214,7 +214,7 @@
 }
 
 // translate converts a list to the balancer's terms. An invalid entry is left out and logged; the others are used.
-func translate(cfg *Config, clk clock, log *slog.Logger, m *discovery.Members, kind decide.ListKind) List {
+func translate(cfg *Config, clk clock, log *slog.Logger, m *discovery.Update, kind decide.ListKind) List {
 	list := List{
 		ListUpdate: decide.ListUpdate{Kind: kind},
 		Saved:      m.Saved,
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -197,7 +197,7 @@
 	clk := newClock()
 	d := newListWatcher(cfg, clk, nil, testkit.Quiet)
 	at := time.Now().Add(-3 * time.Second)
-	e := d.translate(&discovery.Members{Servers: []discovery.Member{
+	e := d.translate(&discovery.Update{Servers: []discovery.Server{
 		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Started: at.UnixMilli()},
 		{ID: "old", Addr: "127.0.0.1:9", State: "ready"},
 		{ID: "odd", Addr: "nowhere", State: "ready"},
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -48,19 +48,19 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				list := func(kind decide.ListKind, saved bool, members ...discovery.Member) decide.Backend {
+				list := func(kind decide.ListKind, saved bool, members ...discovery.Server) decide.Backend {
 					l.pending = nil
-					m := &discovery.Members{Full: kind == decide.ListFull, Saved: saved, Servers: members}
+					m := &discovery.Update{Full: kind == decide.ListFull, Saved: saved, Servers: members}
 					l.handle(translate(cfg, l.clock, testkit.Quiet, m, kind))
 					update := l.pending[0].(decide.ListUpdate)
 					return update.Backends[len(update.Backends)-1]
 				}
-				old := discovery.Member{ID: "old", Addr: "127.0.0.1:1", State: "ready"}
+				old := discovery.Server{ID: "old", Addr: "127.0.0.1:1", State: "ready"}
 				if !tt.first {
 					list(decide.ListFull, tt.saved, old)
 					time.Sleep(between)
 				}
-				m := discovery.Member{ID: "new", Addr: "127.0.0.1:2", State: "ready", Started: tt.started(time.Now()).UnixMilli()}
+				m := discovery.Server{ID: "new", Addr: "127.0.0.1:2", State: "ready", Started: tt.started(time.Now()).UnixMilli()}
 				got := list(decide.ListFull, false, old, m)
 				age := l.clock.now() - got.Started
 				if age < tt.minAge-time.Millisecond || age > tt.maxAge+time.Millisecond {
--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -143,7 +143,7 @@
 // newUpstream returns a daemon's own relays to the servers and a list that names the relays' addresses.
 func newUpstream(servers []*standin.Form) (*upstream, error) {
 	s := &upstream{}
-	var members []discovery.Member
+	var members []discovery.Server
 	for _, f := range servers {
 		m := f.Member("ready")
 		g, err := newServerRelay(m.Addr)
--- a/internal/faulttest/soak/directories.go
+++ b/internal/faulttest/soak/directories.go
@@ -54,7 +54,7 @@
 
 func newDirectories(rec *Recorder, seed uint64) (*directories, error) {
 	all := &directories{}
-	var members []discovery.Member
+	var members []discovery.Server
 	for n := range directoryServers {
 		d, err := directory.New(fmt.Sprintf("d%d", n), directory.Options{})
 		if err != nil {
--- a/internal/faulttest/soak/list.go
+++ b/internal/faulttest/soak/list.go
@@ -42,7 +42,7 @@
 }
 
 type entry struct {
-	discovery.Member
+	discovery.Server
 	process int
 	began   time.Duration // run time at which that process began
 }
@@ -66,10 +66,10 @@
 
 // since returns the changes after a version, or the full list for version 0, and a channel that is closed at the next
 // change.
-func (d *catalog) since(version int64) (m discovery.Members, entries map[string]entry, bump chan struct{}) {
+func (d *catalog) since(version int64) (m discovery.Update, entries map[string]entry, bump chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m = discovery.Members{Version: d.version, Full: version == 0 || version > d.version, Servers: []discovery.Member{}}
+	m = discovery.Update{Version: d.version, Full: version == 0 || version > d.version, Servers: []discovery.Server{}}
 	for id, at := range d.changed {
 		if !m.Full && at <= version {
 			continue
@@ -79,15 +79,15 @@
 			continue
 		}
 		if !there {
-			e = entry{Member: discovery.Member{ID: id, State: check.Gone, Weight: 1}}
+			e = entry{Server: discovery.Server{ID: id, State: check.Gone, Weight: 1}}
 		}
-		m.Servers = append(m.Servers, e.Member)
+		m.Servers = append(m.Servers, e.Server)
 	}
 	return m, maps.Clone(d.members), d.bump
 }
 
 // full returns the full list.
-func (d *catalog) full() discovery.Members {
+func (d *catalog) full() discovery.Update {
 	m, _, _ := d.since(0)
 	return m
 }
@@ -229,7 +229,7 @@
 }
 
 // recordNotified records the states that were written, and the state Gone for each server that a full list omits.
-func (l *list) recordNotified(m discovery.Members, entries map[string]entry) {
+func (l *list) recordNotified(m discovery.Update, entries map[string]entry) {
 	named := map[string]bool{}
 	for _, s := range m.Servers {
 		named[s.ID] = true
--- a/internal/faulttest/soak/process.go
+++ b/internal/faulttest/soak/process.go
@@ -114,7 +114,7 @@
 `
 
 // configure writes the agent's configuration file.
-func (a *agentProcess) configure(agents int, known discovery.Members) error {
+func (a *agentProcess) configure(agents int, known discovery.Update) error {
 	if a.serve {
 		return a.configureServe(agents)
 	}
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -90,7 +90,7 @@
 	// Snapshots.
 	snapshots  *snapshotStore
 	memories   map[string]*core.LearnedState // by instance: what its agent returned last, or what the last snapshot contained
-	savedLists map[string]*discovery.Members // from the last snapshot, by daemonconfig.Source.Key
+	savedLists map[string]*discovery.Update  // from the last snapshot, by daemonconfig.Source.Key
 
 	// Membership of the fleet.
 	peering       *peering                // nil: the daemon is not in a fleet, or its peering is being started
@@ -128,7 +128,7 @@
 		instances:      map[string]*hostedInstance{},
 		hubs:           map[string]*hub{},
 		memories:       map[string]*core.LearnedState{},
-		savedLists:     map[string]*discovery.Members{},
+		savedLists:     map[string]*discovery.Update{},
 		sizeChanged:    make(chan struct{}, 1),
 		servingUpdated: make(chan struct{}, 1),
 	}
--- a/internal/host/daemon/ejections.go
+++ b/internal/host/daemon/ejections.go
@@ -21,7 +21,7 @@
 	}
 	for name, h := range d.hubs {
 		if h.unwatch == nil {
-			h.unwatch = h.Subscribe(func(*discovery.Members) { d.reportList(name, h) })
+			h.unwatch = h.Subscribe(func(*discovery.Update) { d.reportList(name, h) })
 		}
 	}
 }
@@ -39,7 +39,7 @@
 	p.transport.ListUpdated(ejection.ListUpdated{Source: source, Servers: ejectionServers(source, m)})
 }
 
-func ejectionServers(source string, m *discovery.Members) []ejection.Server {
+func ejectionServers(source string, m *discovery.Update) []ejection.Server {
 	servers := make([]ejection.Server, 0, len(m.Servers))
 	for _, listed := range m.Servers {
 		server := ejection.Server{ID: fleetServerID(source, listed.ID), StartedMS: listed.Started, Zone: listed.Zone, Pod: listed.Cell}
--- a/internal/host/daemon/instances_test.go
+++ b/internal/host/daemon/instances_test.go
@@ -197,7 +197,7 @@
 }
 
 func TestServerCountMayJump(t *testing.T) {
-	var many []discovery.Member
+	var many []discovery.Server
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") })}
 	defer server.Close()
 	for i := range 1000 {
@@ -206,7 +206,7 @@
 			t.Fatal(err)
 		}
 		go func() { _ = server.Serve(ln) }()
-		many = append(many, discovery.Member{ID: fmt.Sprint("s-", i), Addr: ln.Addr().String(), Zone: "a", Kind: "k", State: "ready"})
+		many = append(many, discovery.Server{ID: fmt.Sprint("s-", i), Addr: ln.Addr().String(), Zone: "a", Kind: "k", State: "ready"})
 	}
 	tb := newTestbed(t, many[:10]...)
 	tb.writeConfig(tb.instanceText("a"))
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -51,13 +51,13 @@
 	list      []endpoints.Member
 	reported  map[string]bool             // origins that have reported a complete view
 	version   int64                       // the version of the published list
-	published map[string]discovery.Member // by ID
+	published map[string]discovery.Server // by ID
 	usesSaved bool                        // the saved list is used, until all origins have reported
 }
 
 // NewMerger returns a merger that does not run yet. saved is an earlier list, and may be nil. onChange, which may be
 // nil, is called with each new list.
-func NewMerger(source daemonconfig.Source, hub *discovery.Hub, saved *discovery.Members, log *slog.Logger, onChange func([]endpoints.Member)) *Merger {
+func NewMerger(source daemonconfig.Source, hub *discovery.Hub, saved *discovery.Update, log *slog.Logger, onChange func([]endpoints.Member)) *Merger {
 	origins := originsOf(source)
 	var required []string
 	for _, origin := range origins {
@@ -74,7 +74,7 @@
 		onChange:  onChange,
 		module:    endpoints.New(endpoints.Settings{Sources: origins, Guard: removalGuard, Settle: settleSpan}),
 		reported:  map[string]bool{},
-		published: map[string]discovery.Member{},
+		published: map[string]discovery.Server{},
 	}
 	if saved != nil {
 		m.usesSaved = true
@@ -107,7 +107,7 @@
 }
 
 // endpointsOf translates a list into endpoints.
-func endpointsOf(list *discovery.Members) []endpoints.Server {
+func endpointsOf(list *discovery.Update) []endpoints.Server {
 	var servers []endpoints.Server
 	for _, listed := range list.Servers {
 		state, ok := endpointStates[listed.State]
@@ -139,7 +139,7 @@
 		}
 	}
 	if list != nil {
-		unwatch := list.Subscribe(func(v *discovery.Members) { post(listReport(v)) })
+		unwatch := list.Subscribe(func(v *discovery.Update) { post(listReport(v)) })
 		defer unwatch()
 		origins.Go(func() { list.Run(ctx) })
 	}
@@ -173,7 +173,7 @@
 }
 
 // listReport translates an update from the list service: a complete list (a snapshot) or a change of it (a delta).
-func listReport(list *discovery.Members) endpoints.Report {
+func listReport(list *discovery.Update) endpoints.Report {
 	if list.Full {
 		return endpoints.Snapshot{Source: fromList, Servers: endpointsOf(list)}
 	}
@@ -212,13 +212,13 @@
 
 // publish applies to the hub the differences from the last published list.
 func (m *Merger) publish(list []endpoints.Member) {
-	next := map[string]discovery.Member{}
+	next := map[string]discovery.Server{}
 	for _, endpoint := range list {
 		if endpoint.In {
 			next[endpoint.ID] = memberOf(endpoint)
 		}
 	}
-	delta := &discovery.Members{Version: m.version + 1, Full: m.version == 0, Servers: []discovery.Member{}}
+	delta := &discovery.Update{Version: m.version + 1, Full: m.version == 0, Servers: []discovery.Server{}}
 	for id, member := range next {
 		if m.published[id] != member {
 			delta.Servers = append(delta.Servers, member)
@@ -237,12 +237,12 @@
 	}
 }
 
-func memberOf(endpoint endpoints.Member) discovery.Member {
+func memberOf(endpoint endpoints.Member) discovery.Server {
 	state := "ready"
 	if endpoint.State == endpoints.Draining {
 		state = "draining"
 	}
-	return discovery.Member{
+	return discovery.Server{
 		ID:      endpoint.ID,
 		Addr:    endpoint.Addr,
 		Zone:    endpoint.Zone,
--- a/internal/host/daemon/snapshots.go
+++ b/internal/host/daemon/snapshots.go
@@ -110,7 +110,7 @@
 		SavedMS:     moment.Wall.UnixMilli(),
 		BootID:      moment.BootID,
 		SinceBootMS: moment.SinceBoot.Milliseconds(),
-		Sources:     map[string]*discovery.Members{},
+		Sources:     map[string]*discovery.Update{},
 		Instances:   map[string]*core.LearnedState{},
 	}
 	for _, h := range d.hubs {
--- a/internal/host/daemon/sources.go
+++ b/internal/host/daemon/sources.go
@@ -51,7 +51,7 @@
 }
 
 // newHub returns a hub that follows a source, and starts it from a saved list, which may be nil.
-func (d *Daemon) newHub(cfg *daemonconfig.Config, source daemonconfig.Source, saved *discovery.Members) *hub {
+func (d *Daemon) newHub(cfg *daemonconfig.Config, source daemonconfig.Source, saved *discovery.Update) *hub {
 	options := discovery.HubOptions{
 		Addr:            source.List,
 		Spread:          source.Spread,
--- a/internal/host/daemon/testbed_test.go
+++ b/internal/host/daemon/testbed_test.go
@@ -63,7 +63,7 @@
 }
 
 // newTestbed returns a testbed whose list contains the servers.
-func newTestbed(t *testing.T, servers ...discovery.Member) *testbed {
+func newTestbed(t *testing.T, servers ...discovery.Server) *testbed {
 	t.Helper()
 	list, err := standin.NewList("", servers...)
 	if err != nil {
--- a/internal/host/snapshot/snapshot.go
+++ b/internal/host/snapshot/snapshot.go
@@ -26,7 +26,7 @@
 	SavedMS     int64                         `json:"saved_ms"`          // Unix time
 	BootID      string                        `json:"boot,omitempty"`    // ID of the boot from which SinceBootMS counts
 	SinceBootMS int64                         `json:"boot_ms,omitempty"` // ms, monotonic
-	Sources     map[string]*discovery.Members `json:"sources"`           // by list address
+	Sources     map[string]*discovery.Update  `json:"sources"`           // by list address
 	Instances   map[string]*core.LearnedState `json:"instances"`         // by name
 	// Peers is the daemon's membership state (transport.EncodeSaved), for a successor that takes over without a pause.
 	Peers []byte `json:"peers,omitempty"`
--- a/internal/host/snapshot/snapshot_test.go
+++ b/internal/host/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 
 func sample() *State {
 	return &State{SavedMS: now.UnixMilli(),
-		Sources:   map[string]*discovery.Members{"127.0.0.1:8500": {Version: 41, Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:5000", State: "draining"}}}},
+		Sources:   map[string]*discovery.Update{"127.0.0.1:8500": {Version: 41, Servers: []discovery.Server{{ID: "s-1", Addr: "127.0.0.1:5000", State: "draining"}}}},
 		Instances: map[string]*core.LearnedState{"a": {Classes: map[string]core.ClassMemory{"get": {Latency: 1e6}}}}}
 }
 
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -202,7 +202,7 @@
 }
 
 // serveConns runs a stand-in whose connections are handled by f.
-func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) discovery.Member {
+func serveConns(t *testing.T, f func(c net.Conn, in *bufio.Reader)) discovery.Server {
 	t.Helper()
 	ln := testkit.Listen(t)
 	go func() {
@@ -253,8 +253,8 @@
 	return nil, err
 }
 
-func (b *standIn) member(id string) discovery.Member {
-	return discovery.Member{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+func (b *standIn) member(id string) discovery.Server {
+	return discovery.Server{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -62,7 +62,7 @@
 func TestMalformedResponsesOfAllServersEjectNone(t *testing.T) {
 	var mu sync.Mutex
 	total, malformedBy, servedAfterwards := 0, []string{}, 0
-	var servers []discovery.Member
+	var servers []discovery.Server
 	for _, id := range []string{"s", "t", "u", "v"} {
 		b := serveRaw(t, func(int) string {
 			mu.Lock()
@@ -101,7 +101,7 @@
 // calls of broken. A cold server does not become warm during a test.
 func withBrokenDials(t *testing.T, broken func(context.Context) (net.Conn, error)) (*runningAgent, *atomic.Int64) {
 	t.Helper()
-	var servers []discovery.Member
+	var servers []discovery.Server
 	for _, id := range []string{"s", "t", "u"} {
 		b := serveRaw(t, func(int) string { return ok200 })
 		go func() {
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -29,7 +29,7 @@
 }
 
 // serveHTTP runs a stand-in with a handler.
-func serveHTTP(t *testing.T, f http.HandlerFunc) discovery.Member {
+func serveHTTP(t *testing.T, f http.HandlerFunc) discovery.Server {
 	t.Helper()
 	ln := testkit.Listen(t)
 	server := &http.Server{Handler: f}
@@ -38,7 +38,7 @@
 	return (&standIn{addr: ln.Addr().String()}).member("s")
 }
 
-func startWith(t *testing.T, members ...discovery.Member) *runningAgent {
+func startWith(t *testing.T, members ...discovery.Server) *runningAgent {
 	t.Helper()
 	return start(t, testConfig(t, testkit.Setup{Servers: members}))
 }
@@ -225,7 +225,7 @@
 		time.Sleep(deadline + 200*time.Millisecond)
 		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxBufferedResponse-1))
 	})
-	a := start(t, testConfig(t, testkit.Setup{Deadline: int(deadline / time.Millisecond), Servers: []discovery.Member{s}}))
+	a := start(t, testConfig(t, testkit.Setup{Deadline: int(deadline / time.Millisecond), Servers: []discovery.Server{s}}))
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.err != nil || len(x.body) != 2*maxBufferedResponse {
 		t.Errorf("%d, %d bytes, %v", x.status, len(x.body), x.err)
 	}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -21,7 +21,7 @@
 
 func testConfig(t testing.TB, servers ...*directory.Directory) *core.Config {
 	t.Helper()
-	var members []discovery.Member
+	var members []discovery.Server
 	for _, s := range servers {
 		members = append(members, s.Member("ready"))
 	}
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -65,7 +65,7 @@
 	go func() { _, err := c.Search(baseSearch()); done <- err }()
 	testkit.Receive(t, "dial", dialing)
 	hub := discovery.NewHub(discovery.HubOptions{Log: testkit.Quiet})
-	hub.Apply(&discovery.Members{Version: 42, Full: true, Servers: []discovery.Member{moved.Member("ready")}})
+	hub.Apply(&discovery.Update{Version: 42, Full: true, Servers: []discovery.Server{moved.Member("ready")}})
 	r.FollowHub(hub)
 	testkit.WaitFor(t, "the list", func() bool {
 		r.p.pool.mu.Lock()
--- a/internal/source/discovery/discovery.go
+++ b/internal/source/discovery/discovery.go
@@ -21,17 +21,17 @@
 	"time"
 )
 
-// Members is one update of the endpoint list, as the list service encodes it: a snapshot if Full is set, else
+// Update is one update of the endpoint list, as the list service encodes it: a snapshot if Full is set, else
 // a delta.
-type Members struct {
+type Update struct {
 	Saved   bool     `json:"-"` // the list was restored from disk, and its age is unknown
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
-	Servers []Member `json:"servers"`
+	Servers []Server `json:"servers"`
 }
 
-// Member is one server of an update.
-type Member struct {
+// Server is one server of an update.
+type Server struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"` // IP and port
 	Zone    string  `json:"zone"`
@@ -107,7 +107,7 @@
 // that handles requests one after the other may write the header late, and the first line 2 s after it: both
 // prove that the service is alive.) An object may span any number of lines. An object that the end of the
 // connection truncates is dropped.
-func Watch(ctx context.Context, client *http.Client, addr string, since int64, heartbeatTimeout time.Duration, onUpdate func(*Members)) (received bool, err error) {
+func Watch(ctx context.Context, client *http.Client, addr string, since int64, heartbeatTimeout time.Duration, onUpdate func(*Update)) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	heartbeatTimeout -= rand.N(max(1, min(heartbeatTimeoutSpread, heartbeatTimeout/4))) // 1: rand.N panics at 0
@@ -145,11 +145,11 @@
 }
 
 // decodeUpdates passes each object of a watch's body to onUpdate until an object can't be read. err is never nil.
-func decodeUpdates(body *watchBody, onUpdate func(*Members)) (received bool, err error) {
+func decodeUpdates(body *watchBody, onUpdate func(*Update)) (received bool, err error) {
 	decoder := json.NewDecoder(body)
 	for {
 		body.remaining = maxObjectBytes
-		var update *Members
+		var update *Update
 		if err := decoder.Decode(&update); err != nil {
 			return received, err
 		}
--- a/internal/source/discovery/hub.go
+++ b/internal/source/discovery/hub.go
@@ -45,7 +45,7 @@
 
 	mu          sync.Mutex
 	version     int64             // version of the last update, from which the next watch resumes
-	servers     map[string]Member // the current list, by ID
+	servers     map[string]Server // the current list, by ID
 	loaded      bool              // whether a list has been received or restored
 	subscribers map[*subscriber]struct{}
 	watchCount  int           // number of watches started
@@ -55,11 +55,11 @@
 
 // subscriber delivers updates to one callback, in order and one at a time. Its lock is taken after the hub's.
 type subscriber struct {
-	notify func(*Members)
+	notify func(*Update)
 	delay  time.Duration
 
 	mu        sync.Mutex
-	queue     []*Members
+	queue     []*Update
 	timer     *time.Timer // timer of the delay; nil: it is not running
 	notifying bool        // whether the delivery goroutine runs
 	closed    bool
@@ -76,7 +76,7 @@
 	return &Hub{
 		options:     options,
 		client:      NewClient(options.ConnectTimeout),
-		servers:     map[string]Member{},
+		servers:     map[string]Server{},
 		subscribers: map[*subscriber]struct{}{},
 		ready:       make(chan struct{}),
 	}
@@ -84,7 +84,7 @@
 
 // Restore sets a list from before the process started, such as a saved snapshot. The first update of the list
 // service, which the hub requests from version 0 on, replaces it.
-func (h *Hub) Restore(m *Members) {
+func (h *Hub) Restore(m *Update) {
 	full := *m
 	full.Full = true
 	full.Saved = true
@@ -92,7 +92,7 @@
 }
 
 // Apply merges a snapshot or a delta into the list. The hub's watch calls it, and so may other code.
-func (h *Hub) Apply(m *Members) { h.apply(m, m.Version) }
+func (h *Hub) Apply(m *Update) { h.apply(m, m.Version) }
 
 // Run keeps a watch open until ctx ends. Failed watches are retried with full jitter.
 func (h *Hub) Run(ctx context.Context) {
@@ -144,7 +144,7 @@
 }
 
 // apply merges an update into the list and queues it for each subscriber.
-func (h *Hub) apply(m *Members, version int64) {
+func (h *Hub) apply(m *Update, version int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.version = version
@@ -152,7 +152,7 @@
 		h.watchError = nil
 	}
 	if m.Full {
-		h.servers = map[string]Member{}
+		h.servers = map[string]Server{}
 	}
 	for _, server := range m.Servers {
 		if server.State == stateRemoved {
@@ -175,26 +175,26 @@
 }
 
 // isUrgent reports whether an update may drain or remove servers. A snapshot removes the servers that it lacks.
-func isUrgent(m *Members) bool {
-	return m.Full || slices.ContainsFunc(m.Servers, func(server Member) bool { return server.State != stateReady })
+func isUrgent(m *Update) bool {
+	return m.Full || slices.ContainsFunc(m.Servers, func(server Server) bool { return server.State != stateReady })
 }
 
 // Snapshot returns the current list, sorted by ID; nil before the first list.
-func (h *Hub) Snapshot() *Members {
+func (h *Hub) Snapshot() *Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.snapshotLocked()
 }
 
-func (h *Hub) snapshotLocked() *Members {
+func (h *Hub) snapshotLocked() *Update {
 	if !h.loaded {
 		return nil
 	}
-	m := &Members{Version: h.version, Full: true, Servers: []Member{}}
+	m := &Update{Version: h.version, Full: true, Servers: []Server{}}
 	for _, server := range h.servers {
 		m.Servers = append(m.Servers, server)
 	}
-	slices.SortFunc(m.Servers, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(m.Servers, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
 	return m
 }
 
@@ -231,7 +231,7 @@
 // Subscribe passes the current list and then every update to notify, in order and never two at a time. Each
 // subscriber has its own goroutine, so that notify may block without delaying others. After unsubscribe has
 // returned, no further call of notify begins, but one may still be running.
-func (h *Hub) Subscribe(notify func(*Members)) (unsubscribe func()) {
+func (h *Hub) Subscribe(notify func(*Update)) (unsubscribe func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := &subscriber{
@@ -263,7 +263,7 @@
 
 // enqueue queues an update for delivery after the subscriber's delay. An immediate update is delivered now, after
 // all updates that are queued before it.
-func (s *subscriber) enqueue(update *Members, immediate bool) {
+func (s *subscriber) enqueue(update *Update, immediate bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -308,7 +308,7 @@
 }
 
 // dequeue returns the next update; nil if there is none, which ends the delivery.
-func (s *subscriber) dequeue() *Members {
+func (s *subscriber) dequeue() *Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) == 0 || s.closed {
--- a/internal/source/discovery/hub_test.go
+++ b/internal/source/discovery/hub_test.go
@@ -26,7 +26,7 @@
 	times   []time.Time
 }
 
-func (r *recorder) record(m *Members) {
+func (r *recorder) record(m *Update) {
 	var ids []string
 	for _, s := range m.Servers {
 		ids = append(ids, s.ID+":"+s.State)
@@ -43,9 +43,9 @@
 	return slices.Clone(r.updates)
 }
 
-func up(id string) Member { return Member{ID: id, Addr: "127.0.0.1:1", State: "ready"} }
+func up(id string) Server { return Server{ID: id, Addr: "127.0.0.1:1", State: "ready"} }
 
-func state(id, state string) Member {
+func state(id, state string) Server {
 	m := up(id)
 	m.State = state
 	return m
@@ -56,7 +56,7 @@
 func TestSubscribersAreNotifiedAtTheirOwnTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHub(HubOptions{Addr: "127.0.0.1:1", Spread: 300 * time.Millisecond, Log: quiet})
-		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
+		h.apply(&Update{Version: 1, Full: true, Servers: []Server{up("a")}}, 1)
 		subscribers := make([]*recorder, 50)
 		for i := range subscribers {
 			subscribers[i] = &recorder{}
@@ -77,9 +77,9 @@
 		if late < 20 || late > 45 {
 			t.Errorf("%d of 50 subscribers notified after more than a third of the spread", late)
 		}
-		h.apply(&Members{Version: 2, Servers: []Member{up("b")}}, 2)
+		h.apply(&Update{Version: 2, Servers: []Server{up("b")}}, 2)
 		time.Sleep(10 * time.Millisecond)
-		h.apply(&Members{Version: 3, Servers: []Member{state("a", "draining")}}, 3)
+		h.apply(&Update{Version: 3, Servers: []Server{state("a", "draining")}}, 3)
 		synctest.Wait() // no time passes
 		for _, r := range subscribers {
 			if got := r.list(); len(got) != 3 || got[1] != "b:ready" || got[2] != "a:draining" {
@@ -87,7 +87,7 @@
 			}
 		}
 		// A snapshot that lacks a server removes it, so subscribers are notified at once too.
-		h.apply(&Members{Version: 4, Full: true, Servers: []Member{up("b")}}, 4)
+		h.apply(&Update{Version: 4, Full: true, Servers: []Server{up("b")}}, 4)
 		synctest.Wait()
 		if got := subscribers[7].list(); len(got) != 4 || got[3] != "full b:ready" {
 			t.Errorf("%q", got)
@@ -100,9 +100,9 @@
 		h := NewHub(HubOptions{Spread: time.Second, Log: quiet})
 		r := &recorder{}
 		unsubscribe := h.Subscribe(r.record)
-		h.apply(&Members{Version: 1, Full: true, Servers: []Member{up("a")}}, 1)
+		h.apply(&Update{Version: 1, Full: true, Servers: []Server{up("a")}}, 1)
 		unsubscribe()
-		h.apply(&Members{Version: 2, Servers: []Member{state("a", "gone")}}, 2)
+		h.apply(&Update{Version: 2, Servers: []Server{state("a", "gone")}}, 2)
 		time.Sleep(5 * time.Second)
 		if got := r.list(); len(got) > 0 {
 			t.Errorf("%q", got)
@@ -116,10 +116,10 @@
 		h := NewHub(HubOptions{Log: quiet})
 		slow, quick := &recorder{}, &recorder{}
 		block := make(chan struct{})
-		defer h.Subscribe(func(m *Members) { <-block; slow.record(m) })()
+		defer h.Subscribe(func(m *Update) { <-block; slow.record(m) })()
 		defer h.Subscribe(quick.record)()
 		for i := range 100 {
-			h.apply(&Members{Version: int64(i), Servers: []Member{up(fmt.Sprint(i))}}, int64(i))
+			h.apply(&Update{Version: int64(i), Servers: []Server{up(fmt.Sprint(i))}}, int64(i))
 		}
 		synctest.Wait()
 		if n := len(quick.list()); n != 100 {
@@ -140,9 +140,9 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s := r.URL.Query().Get("since")
 		since <- s
-		m := Members{Version: 7, Full: true, Servers: []Member{up("a")}}
+		m := Update{Version: 7, Full: true, Servers: []Server{up("a")}}
 		if s == "7" {
-			m = Members{Version: 8, Servers: []Member{up("b")}}
+			m = Update{Version: 8, Servers: []Server{up("b")}}
 		}
 		_ = json.NewEncoder(w).Encode(m)
 		if s == "7" {
@@ -152,11 +152,11 @@
 	}))
 	defer server.Close()
 	h := NewHub(HubOptions{Addr: strings.TrimPrefix(server.URL, "http://"), ConnectTimeout: 10 * time.Second, HeartbeatTimeout: time.Minute, Log: quiet})
-	h.Restore(&Members{Version: 99, Servers: []Member{up("old")}})
+	h.Restore(&Update{Version: 99, Servers: []Server{up("old")}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	received := make(chan string, 100)
-	defer h.Subscribe(func(m *Members) {
+	defer h.Subscribe(func(m *Update) {
 		r := &recorder{}
 		r.record(m)
 		received <- r.updates[0]
--- a/internal/source/discovery/watch_test.go
+++ b/internal/source/discovery/watch_test.go
@@ -47,13 +47,13 @@
 }
 
 // startWatch watches addr until the test ends, and returns a channel for the updates and one for the final error.
-func startWatch(t *testing.T, addr string, heartbeatTimeout time.Duration) (received chan *Members, end chan error) {
+func startWatch(t *testing.T, addr string, heartbeatTimeout time.Duration) (received chan *Update, end chan error) {
 	t.Helper()
-	received, end = make(chan *Members, 100), make(chan error, 1)
+	received, end = make(chan *Update, 100), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
-		_, err := Watch(ctx, NewClient(time.Minute), addr, 0, heartbeatTimeout, func(m *Members) { received <- m })
+		_, err := Watch(ctx, NewClient(time.Minute), addr, 0, heartbeatTimeout, func(m *Update) { received <- m })
 		end <- err
 	}()
 	return received, end
@@ -179,7 +179,7 @@
 					}
 					_, _ = io.Copy(io.Discard, in)
 				}()
-				_, err := Watch(t.Context(), pipeClient(served), "list", 0, HeartbeatTimeout, func(*Members) {})
+				_, err := Watch(t.Context(), pipeClient(served), "list", 0, HeartbeatTimeout, func(*Update) {})
 				if took := time.Since(time.Unix(0, last.Load())); err == nil || err.Error() != "silent" || took > HeartbeatTimeout || took < HeartbeatTimeout-heartbeatTimeoutSpread {
 					t.Errorf("the watch ended with %v, %v after the last byte", err, took)
 				}
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -90,8 +90,8 @@
 }
 
 // Member returns the directory as an entry of an endpoint list.
-func (d *Directory) Member(state string) discovery.Member {
-	return discovery.Member{ID: d.ID, Addr: d.listener.Addr().String(), Zone: "a", Kind: "k", State: state, Weight: 1}
+func (d *Directory) Member(state string) discovery.Server {
+	return discovery.Server{ID: d.ID, Addr: d.listener.Addr().String(), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
 // Addr returns the address on which the directory listens.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -24,7 +24,7 @@
 
 	mu         sync.Mutex
 	version    int64
-	servers    map[string]discovery.Member
+	servers    map[string]discovery.Server
 	changed    map[string]int64 // version of each entry's last change, including entries with the state gone
 	nextChange chan struct{}    // closed at each change
 	down       bool
@@ -32,8 +32,8 @@
 }
 
 // NewList starts a list on a free port of loopback, or on the given address.
-func NewList(addr string, servers ...discovery.Member) (*List, error) {
-	l := &List{servers: map[string]discovery.Member{}, changed: map[string]int64{}, nextChange: make(chan struct{})}
+func NewList(addr string, servers ...discovery.Server) (*List, error) {
+	l := &List{servers: map[string]discovery.Server{}, changed: map[string]int64{}, nextChange: make(chan struct{})}
 	l.Set(servers...)
 	l.server = httptest.NewUnstartedServer(l)
 	if addr != "" {
@@ -62,7 +62,7 @@
 func (l *List) Calls() int { return int(l.calls.Load()) }
 
 // Set changes entries. An entry whose new state is gone stays in the list with that state.
-func (l *List) Set(servers ...discovery.Member) {
+func (l *List) Set(servers ...discovery.Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
@@ -83,10 +83,10 @@
 	l.nextChange = make(chan struct{})
 }
 
-func (l *List) since(version int64) (m discovery.Members, next chan struct{}, down bool) {
+func (l *List) since(version int64) (m discovery.Update, next chan struct{}, down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m = discovery.Members{Version: l.version, Full: version <= 0 || version > l.version, Servers: []discovery.Member{}}
+	m = discovery.Update{Version: l.version, Full: version <= 0 || version > l.version, Servers: []discovery.Server{}}
 	for id, s := range l.servers {
 		if m.Full && s.State != "gone" || !m.Full && l.changed[id] > version {
 			m.Servers = append(m.Servers, s)
@@ -154,8 +154,8 @@
 }
 
 // Member returns the server as an entry of an endpoint list.
-func (f *Form) Member(state string) discovery.Member {
-	return discovery.Member{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
+func (f *Form) Member(state string) discovery.Server {
+	return discovery.Server{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
 // Got returns the number of requests received.
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -41,7 +41,7 @@
 	Mode      string // of discovery; empty: automatic
 	Deadline  int    // of all classes, in ms; 0: 60 s
 	Discovery string
-	Servers   []discovery.Member
+	Servers   []discovery.Server
 }
 
 // Config returns a configuration file of the platform.
@@ -59,7 +59,7 @@
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.Discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    discovery.Members{Version: 41, Full: true, Servers: s.Servers},
+		"known":    discovery.Update{Version: 41, Full: true, Servers: s.Servers},
 		"settings": json.RawMessage(fmt.Sprintf(Settings, s.Mode, s.Deadline)),
 	})
 	if err != nil {
@@ -184,9 +184,9 @@
 }
 
 // ToLine encodes a change of the list as a line of a watch.
-func ToLine(t testing.TB, version int64, servers ...discovery.Member) string {
+func ToLine(t testing.TB, version int64, servers ...discovery.Server) string {
 	t.Helper()
-	raw, err := json.Marshal(discovery.Members{Version: version, Servers: servers})
+	raw, err := json.Marshal(discovery.Update{Version: version, Servers: servers})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/capacity/list.go
+++ b/tools/capacity/list.go
@@ -24,14 +24,14 @@
 )
 
 // listedServer returns a server as the list service encodes it.
-func listedServer(i int, state string) discovery.Member {
-	return discovery.Member{ID: fmt.Sprintf("s%03d-%05d", i%990, i), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, 20000+i%1000),
+func listedServer(i int, state string) discovery.Server {
+	return discovery.Server{ID: fmt.Sprintf("s%03d-%05d", i%990, i), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, 20000+i%1000),
 		Zone: fmt.Sprintf("zone-%02d", i%15), Kind: "standard", Cell: i % 150, State: state, Weight: 1, Started: 1764633600000 + int64(i)}
 }
 
 // encodedList returns the encoded list of n servers, as it is sent.
 func encodedList(n int) ([]byte, error) {
-	m := discovery.Members{Version: 1, Full: true}
+	m := discovery.Update{Version: 1, Full: true}
 	for i := range n {
 		m.Servers = append(m.Servers, listedServer(i, "ready"))
 	}
@@ -43,7 +43,7 @@
 // states draining, gone and ready.
 func restartBytes() (size int, err error) {
 	for i, state := range []string{"draining", "gone", "ready"} {
-		data, err := json.Marshal(&discovery.Members{Version: int64(100000 + i), Servers: []discovery.Member{listedServer(11999, state)}})
+		data, err := json.Marshal(&discovery.Update{Version: int64(100000 + i), Servers: []discovery.Server{listedServer(11999, state)}})
 		if err != nil {
 			return 0, err
 		}
@@ -65,7 +65,7 @@
 	var r listCost
 	var decodes, takes []time.Duration
 	var lb *decide.Balancer
-	var m *discovery.Members
+	var m *discovery.Update
 	heap := func() float64 {
 		runtime.GC()
 		var s runtime.MemStats
@@ -77,7 +77,7 @@
 		lb, m = nil, nil
 		before = heap()
 		began := threadTime()
-		m = &discovery.Members{}
+		m = &discovery.Update{}
 		if err := json.NewDecoder(bytes.NewReader(data)).Decode(m); err != nil {
 			return nil, err
 		}
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -171,7 +171,7 @@
 	row = pathRow{services: services, servers: servers, direct: newPathLatency(), agent: newPathLatency(),
 		allDirect: newPathLatency(), allAgent: newPathLatency()}
 	body := bytes.Repeat([]byte("x"), pathAnswerBytes)
-	var forms []discovery.Member
+	var forms []discovery.Server
 	for i := range servers {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
 		defer f.Close()
@@ -180,7 +180,7 @@
 	// Services share the server processes, but the list of each service contains them as separate servers.
 	var lists []*standin.List
 	for s := range services {
-		var own []discovery.Member
+		var own []discovery.Server
 		for _, m := range forms {
 			m.ID, m.Zone, m.Kind = fmt.Sprintf("v%d-%s", s, m.ID), "a", "k"
 			own = append(own, m)
@@ -379,7 +379,7 @@
 	serial atomic.Int64
 }
 
-func newPathCaller(o pathOptions, forms []discovery.Member, agent []string) *pathCaller {
+func newPathCaller(o pathOptions, forms []discovery.Server, agent []string) *pathCaller {
 	c := &pathCaller{rate: o.rate, rng: rand.New(rand.NewPCG(o.seed, 408)), agent: agent,
 		client: &http.Client{Timeout: pathTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 200,
 			DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}}
--- a/tools/capacity/path_test.go
+++ b/tools/capacity/path_test.go
@@ -26,7 +26,7 @@
 		_, _ = w.Write(bytes.Repeat([]byte("x"), pathAnswerBytes))
 	})
 	defer form.Close()
-	c := newPathCaller(pathOptions{rate: 100, seed: 1}, []discovery.Member{form.Member("ready")}, []string{strings.TrimPrefix(form.Member("ready").Addr, "http://")})
+	c := newPathCaller(pathOptions{rate: 100, seed: 1}, []discovery.Server{form.Member("ready")}, []string{strings.TrimPrefix(form.Member("ready").Addr, "http://")})
 	transport := c.client.Transport.(*http.Transport)
 	transport.MaxConnsPerHost = 1
 	defer transport.CloseIdleConnections()
--- a/tools/directory/main.go
+++ b/tools/directory/main.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	s := &site{dir: dir}
-	var members []discovery.Member
+	var members []discovery.Server
 	for i := range n {
 		d, err := directory.New(fmt.Sprint("d-", i), directory.Options{})
 		if err != nil {
--- a/tools/endpoints/main.go
+++ b/tools/endpoints/main.go
@@ -136,7 +136,7 @@
 			s.connections.Add(1)
 		}
 	}, IdleTimeout: 5 * time.Second}
-	var members []discovery.Member
+	var members []discovery.Server
 	for n := range count {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -162,8 +162,8 @@
 	return s, nil
 }
 
-func (s *site) member(n int, started int64) discovery.Member {
-	return discovery.Member{ID: fmt.Sprintf("s-%04d", n), Addr: s.addrs[n], Zone: []string{"a", "b"}[n%2], Kind: "k", Cell: n % 8, State: "ready", Weight: 1, Started: started}
+func (s *site) member(n int, started int64) discovery.Server {
+	return discovery.Server{ID: fmt.Sprintf("s-%04d", n), Addr: s.addrs[n], Zone: []string{"a", "b"}[n%2], Kind: "k", Cell: n % 8, State: "ready", Weight: 1, Started: started}
 }
 
 // churn drains a share of the servers each second, until ctx ends; each of them comes back one second later.
@@ -236,7 +236,7 @@
 	}
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": s.listAddr, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    discovery.Members{Version: 1, Full: true, Servers: []discovery.Member{}},
+		"known":    discovery.Update{Version: 1, Full: true, Servers: []discovery.Server{}},
 		"settings": json.RawMessage(fmt.Sprintf(settings, agents))})
 	if err != nil {
 		return f, err
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	var servers []discovery.Member
+	var servers []discovery.Server
 	for i := range 8 {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(20 * time.Millisecond) // service time of a stand-in server
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -100,10 +100,10 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-func members(n int) []discovery.Member {
-	var all []discovery.Member
+func members(n int) []discovery.Server {
+	var all []discovery.Server
 	for i := range n {
-		all = append(all, discovery.Member{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("127.1.%d.%d:5000", i/250, 1+i%250), Zone: "a", Kind: "k", State: "ready", Weight: 1})
+		all = append(all, discovery.Server{ID: fmt.Sprint("s-", i), Addr: fmt.Sprintf("127.1.%d.%d:5000", i/250, 1+i%250), Zone: "a", Kind: "k", State: "ready", Weight: 1})
 	}
 	return all
 }
@@ -159,7 +159,7 @@
 	}
 	defer os.RemoveAll(dir)
 	body := strings.Repeat("x", 200)
-	var servers []discovery.Member
+	var servers []discovery.Server
 	var urls []string
 	for i := range 8 {
 		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
--- a/tools/members/sockets.go
+++ b/tools/members/sockets.go
@@ -116,8 +116,8 @@
 	_, _ = w.Write([]byte("closed\n"))
 }
 
-func (o *formServer) member(state string) discovery.Member {
-	return discovery.Member{ID: o.id, Addr: o.addr, Zone: "a", Kind: "k", Cell: o.pod, State: state, Weight: 1, Started: o.started}
+func (o *formServer) member(state string) discovery.Server {
+	return discovery.Server{ID: o.id, Addr: o.addr, Zone: "a", Kind: "k", Cell: o.pod, State: state, Weight: 1, Started: o.started}
 }
 
 const twoSources = `admin = "unix:%[1]s/admin.sock"
@@ -164,7 +164,7 @@
 		defer o.close()
 		all = append(all, o)
 	}
-	var members []discovery.Member
+	var members []discovery.Server
 	for _, o := range all {
 		members = append(members, o.member("ready"))
 	}
