--- a/cmd/vetchhaven/members.go
+++ b/cmd/vetchhaven/members.go
@@ -67,7 +67,7 @@
 		if s.List != "" {
 			list = discovery.NewHub(discovery.HubOptions{Addr: s.List, ConnectTimeout: wait, Log: log})
 		}
-		m := daemon.NewMerger(s, hub, nil, log, func([]endpoints.Member) {
+		m := daemon.NewMerger(s, hub, nil, log, func([]endpoints.ListedServer) {
 			select {
 			case changed <- n:
 			default:
@@ -120,7 +120,7 @@
 	}
 }
 
-func printMembers(out io.Writer, name string, list []endpoints.Member, complete bool) error {
+func printMembers(out io.Writer, name string, list []endpoints.ListedServer, complete bool) error {
 	note := ""
 	if !complete {
 		note = " (incomplete: not all of its parts have been received)"
--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -43,12 +43,12 @@
 	hub       *discovery.Hub
 	startedAt time.Time
 	reports   chan endpoints.Report
-	required  []string                 // the names of the origins, without the saved list
-	onChange  func([]endpoints.Member) // may be nil
+	required  []string                       // the names of the origins, without the saved list
+	onChange  func([]endpoints.ListedServer) // may be nil
 
 	mu        sync.Mutex
 	module    *endpoints.Module
-	list      []endpoints.Member
+	list      []endpoints.ListedServer
 	reported  map[string]bool             // origins that have reported a complete view
 	version   int64                       // the version of the published list
 	published map[string]discovery.Server // by ID
@@ -57,7 +57,7 @@
 
 // NewMerger returns a merger that does not run yet. saved is an earlier list, and may be nil. onChange, which may be
 // nil, is called with each new list.
-func NewMerger(source daemonconfig.Source, hub *discovery.Hub, saved *discovery.Update, log *slog.Logger, onChange func([]endpoints.Member)) *Merger {
+func NewMerger(source daemonconfig.Source, hub *discovery.Hub, saved *discovery.Update, log *slog.Logger, onChange func([]endpoints.ListedServer)) *Merger {
 	origins := originsOf(source)
 	var required []string
 	for _, origin := range origins {
@@ -211,7 +211,7 @@
 }
 
 // publish applies to the hub the differences from the last published list.
-func (m *Merger) publish(list []endpoints.Member) {
+func (m *Merger) publish(list []endpoints.ListedServer) {
 	next := map[string]discovery.Server{}
 	for _, endpoint := range list {
 		if endpoint.In {
@@ -237,7 +237,7 @@
 	}
 }
 
-func memberOf(endpoint endpoints.Member) discovery.Server {
+func memberOf(endpoint endpoints.ListedServer) discovery.Server {
 	state := "ready"
 	if endpoint.State == endpoints.Draining {
 		state = "draining"
@@ -255,7 +255,7 @@
 }
 
 // Members returns the current list, with the reasons for each member's state, and whether every origin has reported.
-func (m *Merger) Members() (list []endpoints.Member, complete bool) {
+func (m *Merger) Members() (list []endpoints.ListedServer, complete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list, m.isComplete()
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -81,7 +81,7 @@
 }
 
 // entryOf converts a merged member back into an entry.
-func entryOf(m endpoints.Member) (model.Entry, error) {
+func entryOf(m endpoints.ListedServer) (model.Entry, error) {
 	e := model.Entry{Server: model.ServerSpec{Name: m.ID, Pod: m.Pod}, Started: time.Duration(m.Started) * time.Millisecond}
 	if m.State == endpoints.Draining {
 		e.State = decide.Draining
@@ -107,7 +107,7 @@
 
 // merge passes a source's report to an agent, and the merged list to its policy.
 func (a *agent) merge(report endpoints.Report) {
-	var list []endpoints.Member
+	var list []endpoints.ListedServer
 	changed := false
 	if a.d.o.Believe { // like a resolver that uses each answer as it is, without other sources
 		v, whole := report.(endpoints.Snapshot)
@@ -115,7 +115,7 @@
 			return
 		}
 		for _, s := range v.Servers {
-			list = append(list, endpoints.Member{Server: s, In: true})
+			list = append(list, endpoints.ListedServer{Server: s, In: true})
 		}
 		changed = true
 	} else {
--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -92,8 +92,8 @@
 func (Failed) report()   {}
 func (Reset) report()    {}
 
-// Member is a server that at least one source names, after the merge.
-type Member struct {
+// ListedServer is a server that at least one source names, after the merge.
+type ListedServer struct {
 	Server
 	In  bool   // whether it is part of the endpoint list
 	Why string // the reason for In, for operators
@@ -106,15 +106,15 @@
 	// removals are the reports of draining and removed servers, oldest first. Each applies until there is newer
 	// evidence.
 	removals []*removal
-	pods     map[string]*pod   // by server ID
-	lastList map[string]Member // as returned by the last Step, by server ID
-	latest   time.Duration     // the latest time of a Step
-	logs     []string          // log lines not yet returned by Logs
+	pods     map[string]*pod         // by server ID
+	lastList map[string]ListedServer // as returned by the last Step, by server ID
+	latest   time.Duration           // the latest time of a Step
+	logs     []string                // log lines not yet returned by Logs
 }
 
 // New returns a Module that has no reports.
 func New(s Settings) *Module {
-	m := &Module{settings: s, pods: map[string]*pod{}, lastList: map[string]Member{}}
+	m := &Module{settings: s, pods: map[string]*pod{}, lastList: map[string]ListedServer{}}
 	for _, o := range s.Sources {
 		m.sources = append(m.sources, &source{Source: o, entries: map[string]*entry{}})
 	}
@@ -125,13 +125,13 @@
 // whether it is in the list or not. now counts from any fixed base; a time before the latest one is taken as the
 // latest. Reports of unknown sources are ignored. changed reports whether the list differs from the one that the
 // last Step returned.
-func (m *Module) Step(now time.Duration, reports ...Report) (list []Member, changed bool) {
+func (m *Module) Step(now time.Duration, reports ...Report) (list []ListedServer, changed bool) {
 	m.latest = max(now, m.latest)
 	for _, report := range reports {
 		m.apply(report)
 	}
 	list = m.merge()
-	next := map[string]Member{}
+	next := map[string]ListedServer{}
 	for _, member := range list {
 		next[member.ID] = member
 		old, known := m.lastList[member.ID]
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -30,18 +30,18 @@
 	return all
 }
 
-func find(t testing.TB, list []Member, id string) Member {
+func find(t testing.TB, list []ListedServer, id string) ListedServer {
 	t.Helper()
 	for _, v := range list {
 		if v.ID == id {
 			return v
 		}
 	}
-	return Member{}
+	return ListedServer{}
 }
 
 // serves reports whether new requests may be sent to a server.
-func (v Member) serves() bool { return v.In && v.State == Up }
+func (v ListedServer) serves() bool { return v.In && v.State == Up }
 
 // The merge rule holds for every pair and every triple of states that sources can report of one server. "silent" stands
 // for a source that has failed for longer than its hold, "failing" for a source that has failed for a shorter time.
@@ -337,7 +337,7 @@
 	})
 }
 
-func serving(list []Member) (ids []string) {
+func serving(list []ListedServer) (ids []string) {
 	for _, v := range list {
 		if v.serves() {
 			ids = append(ids, v.ID)
--- a/internal/source/endpoints/merge.go
+++ b/internal/source/endpoints/merge.go
@@ -27,16 +27,16 @@
 const reasonSourcesFailed = "its sources have failed"
 
 // merge returns the list that results from the current reports.
-func (m *Module) merge() []Member {
+func (m *Module) merge() []ListedServer {
 	groups, byAddr := m.groupEntries()
-	var list []Member
+	var list []ListedServer
 	for _, g := range groups {
 		list = append(list, m.resolve(g, byAddr))
 	}
 	retainIfEmpty(list)
 	applyPriorities(list)
 	m.prunePods(list)
-	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b ListedServer) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
@@ -91,8 +91,8 @@
 
 // retainIfEmpty puts the servers of failed sources back into a list that would otherwise be empty: failures alone
 // never remove all servers.
-func retainIfEmpty(list []Member) {
-	if slices.ContainsFunc(list, func(member Member) bool { return member.In }) {
+func retainIfEmpty(list []ListedServer) {
+	if slices.ContainsFunc(list, func(member ListedServer) bool { return member.In }) {
 		return
 	}
 	for i := range list {
@@ -105,7 +105,7 @@
 
 // applyPriorities takes standby servers out of the list: those whose priority number is higher than the lowest one
 // of the servers that are up (RFC 2782).
-func applyPriorities(list []Member) {
+func applyPriorities(list []ListedServer) {
 	lowest := math.MaxInt
 	for _, member := range list {
 		if member.In && member.State == Up {
@@ -121,8 +121,8 @@
 }
 
 // resolve merges the entries of one server.
-func (m *Module) resolve(g *group, byAddr map[string]*group) Member {
-	member := Member{Server: g.mergeAttributes()}
+func (m *Module) resolve(g *group, byAddr map[string]*group) ListedServer {
+	member := ListedServer{Server: g.mergeAttributes()}
 	member.Pod = m.dampPod(member.ID, member.Pod)
 	var up []string
 	var named []string
@@ -207,7 +207,7 @@
 )
 
 // prunePods drops the pods of servers that no source names any more, once their number exceeds the bounds.
-func (m *Module) prunePods(list []Member) {
+func (m *Module) prunePods(list []ListedServer) {
 	if len(m.pods) <= maxPodsPerServer*len(list)+podsSlack {
 		return
 	}
