--- a/internal/host/daemon/merge.go
+++ b/internal/host/daemon/merge.go
@@ -72,7 +72,7 @@
 		reports:   make(chan endpoints.Report, maxQueuedReports),
 		required:  required,
 		onChange:  onChange,
-		module:    endpoints.New(endpoints.Settings{Sources: origins, Guard: removalGuard, Settle: settleSpan}),
+		module:    endpoints.New(endpoints.Settings{Sources: origins, SuddenLossGuard: removalGuard, Settle: settleSpan}),
 		reported:  map[string]bool{},
 		published: map[string]discovery.Server{},
 	}
--- a/internal/simulate/model/virtual/records.go
+++ b/internal/simulate/model/virtual/records.go
@@ -101,7 +101,7 @@
 
 // newMerger returns the module that merges the sources of one agent.
 func newMerger(s model.RecordsSpec) *endpoints.Module {
-	return endpoints.New(endpoints.Settings{Guard: s.Guard, Settle: s.Settle, Sources: []endpoints.Source{
+	return endpoints.New(endpoints.Settings{SuddenLossGuard: s.Guard, Settle: s.Settle, Sources: []endpoints.Source{
 		{Name: fromList, Exact: true, Hold: 100 * time.Hour}, {Name: fromRecords, Hold: s.Hold}}})
 }
 
--- a/internal/source/endpoints/endpoints.go
+++ b/internal/source/endpoints/endpoints.go
@@ -56,12 +56,12 @@
 // Settings configure a Module.
 type Settings struct {
 	Sources []Source // by precedence: the first source that specifies an attribute of a server determines it
-	// Guard is for how long servers are kept that suddenly disappear from the snapshots of a source that is not
+	// SuddenLossGuard is for how long servers are kept that suddenly disappear from the snapshots of a source that is not
 	// exact. A loss counts as sudden if more than half of the servers, and more than two, are missing. A snapshot
-	// that arrives Guard or more after the loss is accepted. Guard is also how long a server must have been
+	// that arrives SuddenLossGuard or more after the loss is accepted. SuddenLossGuard is also how long a server must have been
 	// missing for a new announcement to overrule a removal. With smaller values truncated answers are accepted,
 	// larger values delay real changes.
-	Guard time.Duration
+	SuddenLossGuard time.Duration
 	// Settle is the minimum interval between two effective changes of a server's pod.
 	Settle time.Duration
 }
--- a/internal/source/endpoints/endpoints_test.go
+++ b/internal/source/endpoints/endpoints_test.go
@@ -16,7 +16,7 @@
 )
 
 func module(names ...string) *Module {
-	s := Settings{Guard: guard, Settle: settle}
+	s := Settings{SuddenLossGuard: guard, Settle: settle}
 	for i, n := range names {
 		s.Sources = append(s.Sources, Source{Name: n, Exact: i == 0, Hold: hold})
 	}
--- a/internal/source/endpoints/removal.go
+++ b/internal/source/endpoints/removal.go
@@ -82,7 +82,7 @@
 		isOverruled := false
 		for _, e := range entries {
 			isMatch = isMatch || r.matches(e.Server)
-			isOverruled = isOverruled || r.isOverruledBy(e, m.settings.Guard)
+			isOverruled = isOverruled || r.isOverruledBy(e, m.settings.SuddenLossGuard)
 		}
 		if isMatch && !isOverruled && (result == nil || r.state > result.state) {
 			result = r
--- a/internal/source/endpoints/source.go
+++ b/internal/source/endpoints/source.go
@@ -33,7 +33,7 @@
 	// server was received, lastMissing when the last one was.
 	lastMissing  time.Duration
 	missingSince time.Duration
-	lost         bool // whether the server suddenly disappeared from a snapshot and is kept for Settings.Guard
+	lost         bool // whether the server suddenly disappeared from a snapshot and is kept for Settings.SuddenLossGuard
 	lostAt       time.Duration
 }
 
@@ -91,7 +91,7 @@
 		case isSudden && !e.lost:
 			e.lost = true
 			e.lostAt = m.latest
-		case e.lost && m.latest-e.lostAt < m.settings.Guard:
+		case e.lost && m.latest-e.lostAt < m.settings.SuddenLossGuard:
 		default:
 			s.withdraw(id, m.latest)
 		}
@@ -115,7 +115,7 @@
 		return false
 	}
 	m.logs = append(m.logs, fmt.Sprintf("source %s suddenly lacks %d of %d servers: they are kept for %v",
-		s.Name, missing, len(s.entries), m.settings.Guard))
+		s.Name, missing, len(s.entries), m.settings.SuddenLossGuard))
 	return true
 }
 
--- a/tools/members/main.go
+++ b/tools/members/main.go
@@ -110,7 +110,7 @@
 	for i := range servers {
 		w.alive[i], w.pods[i] = true, 1+i%3
 	}
-	m := endpoints.New(endpoints.Settings{Guard: 30 * time.Second, Settle: 12 * time.Second, Sources: []endpoints.Source{
+	m := endpoints.New(endpoints.Settings{SuddenLossGuard: 30 * time.Second, Settle: 12 * time.Second, Sources: []endpoints.Source{
 		{Name: "list", Exact: true, Hold: 100 * time.Hour}, {Name: "records", Hold: time.Hour}}})
 	truth := func() (all []endpoints.Server) {
 		for i := range servers {
@@ -216,7 +216,7 @@
 }
 
 func merge() error {
-	s := endpoints.Settings{Guard: 30 * time.Second, Settle: 12 * time.Second, Sources: []endpoints.Source{
+	s := endpoints.Settings{SuddenLossGuard: 30 * time.Second, Settle: 12 * time.Second, Sources: []endpoints.Source{
 		{Name: "list", Exact: true, Hold: time.Hour}, {Name: "srv", Hold: time.Hour}, {Name: "sd", Hold: time.Hour}}}
 	var all []endpoints.Server
 	for i := range 1000 {
