--- a/internal/simulate/scenario/scenario.go
+++ b/internal/simulate/scenario/scenario.go
@@ -272,9 +272,9 @@
 	r := &f.Records
 	s.Records = model.RecordsSpec{Every: c.nonNegativeTime("records.every", r.Every), Late: c.nonNegativeTime("records.late", r.Late),
 		Fail: r.Fail, Cut: r.Cut, Empty: r.Empty,
-		Hold:   c.positiveTime("records.hold", cmp.Or(r.Hold, tomlfile.Of(time.Hour))),
-		Guard:  c.positiveTime("records.guard", cmp.Or(r.Guard, tomlfile.Of(30*time.Second))),
-		Settle: c.positiveTime("records.settle", cmp.Or(r.Settle, tomlfile.Of(12*time.Second)))}
+		Hold:   c.positiveTime("records.hold", cmp.Or(r.Hold, tomlfile.NewDuration(time.Hour))),
+		Guard:  c.positiveTime("records.guard", cmp.Or(r.Guard, tomlfile.NewDuration(30*time.Second))),
+		Settle: c.positiveTime("records.settle", cmp.Or(r.Settle, tomlfile.NewDuration(12*time.Second)))}
 	c.share("records.fail", r.Fail)
 	c.share("records.cut", r.Cut)
 	c.share("records.empty", r.Empty)
@@ -297,13 +297,13 @@
 	}
 	rules := &f.Rules
 	s.Rules = model.Rules{MaxAttempts: cmp.Or(rules.MaxAttempts, 3), SecondCopies: rules.SecondCopies,
-		ConnectTimeout: c.positiveTime("rules.connect_timeout", cmp.Or(rules.ConnectTimeout, tomlfile.Of(250*time.Millisecond))),
-		IdleClose:      c.positiveTime("rules.idle_close", cmp.Or(rules.IdleClose, tomlfile.Of(5*time.Second))),
-		DrainGrace:     c.positiveTime("rules.drain_grace", cmp.Or(rules.DrainGrace, tomlfile.Of(2*time.Second))),
-		AnswerSlack:    c.nonNegativeTime("rules.answer_slack", cmp.Or(rules.AnswerSlack, tomlfile.Of(20*time.Millisecond))),
-		AskWithin:      c.positiveTime("rules.ask_within", cmp.Or(rules.AskWithin, tomlfile.Of(10*time.Second))),
-		ColdShare:      cmp.Or(rules.ColdShare, 0.31), RampTime: c.positiveTime("rules.ramp_time", cmp.Or(rules.RampTime, tomlfile.Of(8600*time.Millisecond))),
-		FallMultiple: cmp.Or(rules.FallMultiple, 2.5), FallWindow: c.positiveTime("rules.fall_window", cmp.Or(rules.FallWindow, tomlfile.Of(time.Second))),
+		ConnectTimeout: c.positiveTime("rules.connect_timeout", cmp.Or(rules.ConnectTimeout, tomlfile.NewDuration(250*time.Millisecond))),
+		IdleClose:      c.positiveTime("rules.idle_close", cmp.Or(rules.IdleClose, tomlfile.NewDuration(5*time.Second))),
+		DrainGrace:     c.positiveTime("rules.drain_grace", cmp.Or(rules.DrainGrace, tomlfile.NewDuration(2*time.Second))),
+		AnswerSlack:    c.nonNegativeTime("rules.answer_slack", cmp.Or(rules.AnswerSlack, tomlfile.NewDuration(20*time.Millisecond))),
+		AskWithin:      c.positiveTime("rules.ask_within", cmp.Or(rules.AskWithin, tomlfile.NewDuration(10*time.Second))),
+		ColdShare:      cmp.Or(rules.ColdShare, 0.31), RampTime: c.positiveTime("rules.ramp_time", cmp.Or(rules.RampTime, tomlfile.NewDuration(8600*time.Millisecond))),
+		FallMultiple: cmp.Or(rules.FallMultiple, 2.5), FallWindow: c.positiveTime("rules.fall_window", cmp.Or(rules.FallWindow, tomlfile.NewDuration(time.Second))),
 		CrossZonePrice: rules.CrossZonePrice, MaxRetryAfter: c.nonNegativeTime("rules.max_retry_after", rules.MaxRetryAfter)}
 	if s.Rules.MaxAttempts < 1 {
 		c.fail("rules.max_attempts", "%d: at least 1 is needed", s.Rules.MaxAttempts)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -229,8 +229,8 @@
 	malformed string // the quoted text if it is not a duration; Parse returns an error for it
 }
 
-// Of converts a time.Duration to a Duration, for defaults.
-func Of(d time.Duration) Duration { return Duration{duration: d} }
+// NewDuration converts a time.Duration to a Duration, for defaults.
+func NewDuration(d time.Duration) Duration { return Duration{duration: d} }
 
 // UnmarshalText accepts the syntax of time.ParseDuration. It never returns an error, because the decoder would report
 // the error without the line. Parse reports malformed durations instead.
