--- a/internal/peer/policy/messages.go
+++ b/internal/peer/policy/messages.go
@@ -192,14 +192,14 @@
 // PositionRequest is sent by a voter that has started, to query how far the log of another voter reaches. See
 // raftnode_recovery.go.
 type PositionRequest struct {
-	Number    uint64 `cbor:"1,keyasint,omitempty"` // identifies this start
-	LastTerm  uint64 `cbor:"2,keyasint,omitempty"`
-	LastIndex uint64 `cbor:"3,keyasint,omitempty"`
+	StartNumber uint64 `cbor:"1,keyasint,omitempty"` // identifies this start
+	LastTerm    uint64 `cbor:"2,keyasint,omitempty"`
+	LastIndex   uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // PositionResponse reports how far a voter's log reaches.
 type PositionResponse struct {
-	Number        uint64   `cbor:"1,keyasint,omitempty"` // Number of the request
+	StartNumber   uint64   `cbor:"1,keyasint,omitempty"` // StartNumber of the request
 	ProvenCurrent bool     `cbor:"2,keyasint,omitempty"` // the voter takes part in Raft, or its disk is certainly current
 	Term          uint64   `cbor:"3,keyasint,omitempty"`
 	LastTerm      uint64   `cbor:"4,keyasint,omitempty"`
--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -202,7 +202,7 @@
 	n.raftNode = r
 	// If this member was a voter before and has lost its disk, this request shows the leader that the log here is
 	// shorter than what this member acknowledged.
-	n.send(from, &Message{PositionRequest: &PositionRequest{Number: r.startNumber}})
+	n.send(from, &Message{PositionRequest: &PositionRequest{StartNumber: r.startNumber}})
 	n.infof("this member takes part as a voter from now on: %s sent it a Raft message", from)
 }
 
--- a/internal/peer/policy/raftnode_recovery.go
+++ b/internal/peer/policy/raftnode_recovery.go
@@ -49,9 +49,9 @@
 		known := r.positions[voter]
 		if voter != n.settings.Name && (known == nil || !known.ProvenCurrent) {
 			n.send(voter, &Message{PositionRequest: &PositionRequest{
-				Number:    r.startNumber,
-				LastTerm:  last.term,
-				LastIndex: last.index,
+				StartNumber: r.startNumber,
+				LastTerm:    last.term,
+				LastIndex:   last.index,
 			}})
 		}
 	}
@@ -60,7 +60,7 @@
 
 // receivePositionResponse records the position of another voter.
 func (r *raftNode) receivePositionResponse(from string, response *PositionResponse) {
-	if r.rawNode == nil && response.Number == r.startNumber {
+	if r.rawNode == nil && response.StartNumber == r.startNumber {
 		r.positions[from] = response
 		r.evaluatePositions()
 	}
@@ -168,13 +168,13 @@
 // acknowledged to this one as the leader, this one steps down.
 func (r *raftNode) receivePositionRequest(from string, request *PositionRequest) {
 	response := &PositionResponse{
-		Number:        request.Number,
+		StartNumber:   request.StartNumber,
 		ProvenCurrent: !r.catchingUp && (r.rawNode != nil || r.provenCurrent),
 		Voters:        r.state.Voters,
 		Applied:       r.appliedIndex,
 		Start:         r.startNumber,
 	}
-	r.forgetEarlierStart(from, request.Number)
+	r.forgetEarlierStart(from, request.StartNumber)
 	if r.rawNode != nil {
 		response.Term = r.status().HardState.GetTerm()
 	} else {
--- a/internal/peer/policy/raftnode_test.go
+++ b/internal/peer/policy/raftnode_test.go
@@ -10,7 +10,7 @@
 
 // respondPosition passes the position of another voter to a recovering voter.
 func respondPosition(node *Node, now time.Duration, from string, response PositionResponse) []Action {
-	response.Number = node.raftNode.startNumber
+	response.StartNumber = node.raftNode.startNumber
 	return node.Step(now, Received{from, &Message{PositionResponse: &response}})
 }
 
@@ -68,7 +68,7 @@
 	for _, voter := range []string{"a", "b", "c"} {
 		if voter != lost {
 			c.step(lost, Received{voter, &Message{PositionResponse: &PositionResponse{
-				Number:        r.startNumber,
+				StartNumber:   r.startNumber,
 				ProvenCurrent: true,
 				Term:          9,
 				LastTerm:      furthest.term,
@@ -161,7 +161,7 @@
 	if r.rawNode == nil || r.voteFloor != (position{3, 9}) {
 		t.Fatalf("the vote floor is %+v, want the position that b reported", r.voteFloor)
 	}
-	request := &PositionRequest{Number: 8, LastTerm: 1, LastIndex: 1}
+	request := &PositionRequest{StartNumber: 8, LastTerm: 1, LastIndex: 1}
 	persistAll(node.Step(time.Second, Received{"b", &Message{PositionRequest: request}}))
 	if r.rawNode != nil {
 		t.Fatal("the voter still takes part with a floor that perhaps no log reaches")
