--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -68,7 +68,7 @@
 	d.cfg = cfg
 	d.policy.applied = appliedPolicy{last.Document.Number, last.Fingerprint()}
 	d.policy.fingerprint = last.Fingerprint()
-	if h := d.policy.handoff; h != nil && h.Number == last.Document.Number {
+	if h := d.policy.handoff; h != nil && h.ActiveNumber == last.Document.Number {
 		d.serveHandedOff(first, last, h)
 	}
 }
@@ -179,7 +179,7 @@
 	}
 	d.policy.handoffSeq += handoffSeqStep
 	handoff := &policy.HandoffState{
-		Number:         s.Document.Number,
+		ActiveNumber:   s.Document.Number,
 		LeaseRemaining: max(0, remaining),
 		Seq:            d.policy.handoffSeq,
 		Format:         policy.FormatVersion,
--- a/internal/peer/policy/member.go
+++ b/internal/peer/policy/member.go
@@ -149,7 +149,7 @@
 		// The previous process may have ended before it determined which documents a rescue had lost.
 		n.epochChangedAt = max(1, n.now)
 	}
-	if h := n.settings.Handoff; h != nil && h.Number == m.active.Number {
+	if h := n.settings.Handoff; h != nil && h.ActiveNumber == m.active.Number {
 		m.takeOver(h)
 	}
 }
--- a/internal/peer/policy/settings.go
+++ b/internal/peer/policy/settings.go
@@ -36,7 +36,7 @@
 
 // HandoffState is the state that a process passes to the process that replaces it.
 type HandoffState struct {
-	Number         uint64        `cbor:"1,keyasint,omitempty"` // number of the active global document
+	ActiveNumber   uint64        `cbor:"1,keyasint,omitempty"` // number of the active global document
 	LeaseRemaining time.Duration `cbor:"2,keyasint,omitempty"`
 	Seq            uint64        `cbor:"3,keyasint,omitempty"` // Seq of the last lease request
 	Parts          []DocumentRef `cbor:"4,keyasint,omitempty"` // active documents of the parts that the process served
--- a/internal/peer/policy/status.go
+++ b/internal/peer/policy/status.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	h := &HandoffState{
-		Number:         n.member.active.Number,
+		ActiveNumber:   n.member.active.Number,
 		LeaseRemaining: max(0, n.member.leaseExpiry-now),
 		Seq:            n.member.seq,
 		Format:         FormatVersion,
