--- a/internal/peer/policy/node.go
+++ b/internal/peer/policy/node.go
@@ -163,7 +163,7 @@
 // persist emits the action that stores a batch, and returns its Seq.
 func (n *Node) persist(b Batch) uint64 {
 	n.persistSeq++
-	n.stats.Persisted++
+	n.stats.Writes++
 	n.emit(Persist{Seq: n.persistSeq, Batch: b})
 	return n.persistSeq
 }
--- a/internal/peer/policy/status.go
+++ b/internal/peer/policy/status.go
@@ -34,7 +34,7 @@
 type Stats struct {
 	Sent          uint64 `json:"Sent"`      // messages sent
 	LeaseRequests uint64 `json:"Asked"`     // lease requests that this voter received
-	Persisted     uint64 `json:"Persisted"` // batches passed to the disk
+	Writes        uint64 `json:"Persisted"` // batches passed to the disk
 }
 
 // Status returns the state of this member.
