--- a/internal/peer/lease/handover.go
+++ b/internal/peer/lease/handover.go
@@ -8,10 +8,10 @@
 
 // ServerState is the state that the process that replaces a server needs to continue without a gap.
 type ServerState struct {
-	RunID       uint64       `cbor:"1,keyasint,omitempty"`
-	Count       uint64       `cbor:"2,keyasint,omitempty"` // number of the last grant
-	Fingerprint uint64       `cbor:"3,keyasint,omitempty"` // fingerprint of the settings
-	Limits      []LimitState `cbor:"4,keyasint,omitempty"`
+	RunID           uint64       `cbor:"1,keyasint,omitempty"`
+	LastGrantNumber uint64       `cbor:"2,keyasint,omitempty"` // number of the last grant
+	Fingerprint     uint64       `cbor:"3,keyasint,omitempty"` // fingerprint of the settings
+	Limits          []LimitState `cbor:"4,keyasint,omitempty"`
 }
 
 // LimitState is the state of one limit.
@@ -58,7 +58,7 @@
 
 // State returns the state for the process that replaces this one. This server must not grant leases after that.
 func (s *Server) State(now time.Duration) *ServerState {
-	state := &ServerState{RunID: s.runID, Count: s.grants, Fingerprint: s.settings.Fingerprint()}
+	state := &ServerState{RunID: s.runID, LastGrantNumber: s.grants, Fingerprint: s.settings.Fingerprint()}
 	for _, l := range s.limits {
 		limit := l.state(now)
 		if !s.started {
@@ -99,7 +99,7 @@
 		return false
 	}
 	s.runID = state.RunID
-	s.grants = state.Count
+	s.grants = state.LastGrantNumber
 	s.started = true
 	s.lastTick = now
 	for _, l := range s.limits {
