--- a/internal/peer/lease/status.go
+++ b/internal/peer/lease/status.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// LimitStatus is the state of a server's share of a limit, or of one part of it, for operators.
-type LimitStatus struct {
+// ServerLimitStatus is the state of a server's share of a limit, or of one part of it, for operators.
+type ServerLimitStatus struct {
 	Limit, Key    string
 	Share         int
 	Leased        int
@@ -88,8 +88,8 @@
 }
 
 // Status returns the state of all limits, in the order of the settings and then by key.
-func (s *Server) Status(now time.Duration) []LimitStatus {
-	var all []LimitStatus
+func (s *Server) Status(now time.Duration) []ServerLimitStatus {
+	var all []ServerLimitStatus
 	for _, l := range s.limits {
 		var keys []string
 		for key := range l.rows {
@@ -106,8 +106,8 @@
 	return all
 }
 
-func (l *serverLimit) status(now time.Duration, key string) LimitStatus {
-	status := LimitStatus{
+func (l *serverLimit) status(now time.Duration, key string) ServerLimitStatus {
+	status := ServerLimitStatus{
 		Limit:         l.Name,
 		Key:           key,
 		Share:         l.share,
