--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -102,7 +102,7 @@
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
 		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
-			Bound: s.Bounds(s.Limits[i], len(r.daemons)).Max})
+			Bound: s.Bounds(s.Limits[i], len(r.daemons)).MaxUsed})
 	}
 	r.recordDemand()
 }
--- a/internal/host/daemonconfig/limits.go
+++ b/internal/host/daemonconfig/limits.go
@@ -186,7 +186,7 @@
 			Scope:          cmp.Or(limit.Scope, "all"),
 			Kind:           "soft",
 			Figure:         limit.Total,
-			Max:            bounds.Max,
+			Max:            bounds.MaxUsed,
 			MaxLeased:      bounds.MaxLeased,
 			MaxFloors:      bounds.MaxFloors,
 			IsolatedAmount: "nothing",
--- a/internal/peer/lease/lease.go
+++ b/internal/peer/lease/lease.go
@@ -37,7 +37,7 @@
 	Total       int    // number of attempts in flight at once, or begun in any second; at least 1
 	// Hard limits are never exceeded. For a soft limit, each agent has a floor, its part of FloorShare, which it may
 	// use without a lease. The floor counts everything that the agent uses. The sum of all floors is added to Total,
-	// see Bounds.Max.
+	// see Bounds.MaxUsed.
 	Hard bool
 	// FloorShare is the share of a soft limit that is divided evenly among all agents, 0 to 1; 0 means
 	// DefaultFloorShare.
--- a/internal/peer/lease/lease_test.go
+++ b/internal/peer/lease/lease_test.go
@@ -15,14 +15,14 @@
 
 	t.Run("hard", func(t *testing.T) {
 		b := hard.Bounds(hard.Limits[0], 10)
-		if b.Max != 100 || b.IsolatedAmount != 0 || !slices.Equal(b.Shares, []int{34, 33, 33}) {
+		if b.MaxUsed != 100 || b.IsolatedAmount != 0 || !slices.Equal(b.Shares, []int{34, 33, 33}) {
 			t.Errorf("%+v", b)
 		}
 	})
 	t.Run("soft", func(t *testing.T) {
 		b := soft.Bounds(soft.Limits[0], 10)
 		// Leased: 34 + 8, 33 + 8, 33 + 8; floors: 100 x 0.25 / 10 = 2 each.
-		if b.MaxLeased != 124 || b.IsolatedAmount != 2 || b.Max != 144 {
+		if b.MaxLeased != 124 || b.IsolatedAmount != 2 || b.MaxUsed != 144 {
 			t.Errorf("%+v", b)
 		}
 	})
--- a/internal/peer/lease/leasesim/leasesim.go
+++ b/internal/peer/lease/leasesim/leasesim.go
@@ -182,7 +182,7 @@
 	for n := range o.Servers {
 		w.settings.Servers = append(w.settings.Servers, memberName(n))
 	}
-	w.result.Bound = w.settings.Bounds(limit, o.Clients).Max
+	w.result.Bound = w.settings.Bounds(limit, o.Clients).MaxUsed
 	return w
 }
 
--- a/internal/peer/lease/terms.go
+++ b/internal/peer/lease/terms.go
@@ -79,10 +79,10 @@
 type Bounds struct {
 	Total int
 	// MaxLeased is the largest amount that is leased at once, and MaxFloors the largest amount that all agents use
-	// without leases. Max is the largest amount that is ever used: in flight at once, or begun in any second.
+	// without leases. MaxUsed is the largest amount that is ever used: in flight at once, or begun in any second.
 	MaxLeased int
 	MaxFloors int
-	Max       int
+	MaxUsed   int
 	// Term is the time within which a lease expires if its client can't reach its server.
 	Term time.Duration
 	// Reclaim is the longest time until the lease of a failed client can be granted to others.
@@ -114,7 +114,7 @@
 	}
 	b.IsolatedAmount, b.IsolatedSpan = s.floor(&l, agents)
 	b.MaxFloors = b.IsolatedAmount * agents
-	b.Max = b.MaxLeased + b.MaxFloors
+	b.MaxUsed = b.MaxLeased + b.MaxFloors
 	return b
 }
 
