--- a/internal/host/daemonconfig/limits.go
+++ b/internal/host/daemonconfig/limits.go
@@ -191,7 +191,7 @@
 			MaxFloors:      bounds.MaxFloors,
 			IsolatedAmount: "nothing",
 			TermSeconds:    bounds.Term.Seconds(),
-			ReclaimSeconds: bounds.Reclaim.Seconds(),
+			ReclaimSeconds: bounds.ReclaimTime.Seconds(),
 		}
 		if limit.Hard {
 			s.Kind = "hard"
--- a/internal/peer/lease/terms.go
+++ b/internal/peer/lease/terms.go
@@ -85,8 +85,8 @@
 	MaxUsed   int
 	// Term is the time within which a lease expires if its client can't reach its server.
 	Term time.Duration
-	// Reclaim is the longest time until the lease of a failed client can be granted to others.
-	Reclaim time.Duration
+	// ReclaimTime is the longest time until the lease of a failed client can be granted to others.
+	ReclaimTime time.Duration
 	// StartupWait is the time for which a server that starts, or was paused, grants no leases.
 	StartupWait time.Duration
 	// Shares are the servers' shares. One side of a network partition may use the shares of the servers on that side, and
@@ -104,7 +104,7 @@
 	b := Bounds{
 		Total:       l.Total,
 		Term:        s.clientTerm(l.Kind),
-		Reclaim:     s.serverTerm(l.Kind),
+		ReclaimTime: s.serverTerm(l.Kind),
 		StartupWait: s.serverTerm(l.Kind),
 	}
 	for position := range s.Servers {
