--- a/internal/peer/ejection/baseline_test.go
+++ b/internal/peer/ejection/baseline_test.go
@@ -41,7 +41,7 @@
 	h.t.Helper()
 	h.failures++
 	from := string(rune('b' + h.failures%9))
-	about := []Incarnation{h.server.incarnation()}
+	about := []ServerProcess{h.server.incarnation()}
 	poll := uint64(0)
 	for _, s := range stepAndCollectSends(h.m, h.now, Received{from, &Message{FormatVersion: currentFormat, Notify: true, About: about}}) {
 		if s.To == from && s.Message.OwnOnly {
--- a/internal/peer/ejection/collectors.go
+++ b/internal/peer/ejection/collectors.go
@@ -22,7 +22,7 @@
 // reportFailure notifies a server's collectors of a failure that this member's agents observed. If the failures are
 // unlikely by the baseline, it also polls and notifies random subscribers.
 func (m *Member) reportFailure(s *server) {
-	about := []Incarnation{s.incarnation()}
+	about := []ServerProcess{s.incarnation()}
 	if m.settings.FormatVersion == 1 {
 		if s.own.failures < float64(s.own.lastSampleFailures)+0.5 { // without this sample, the decayed count is below 0.5
 			m.pollAbout(m.randomSubscribers(notifyFanout, s.source), about)
@@ -101,13 +101,13 @@
 }
 
 // onFailureNotice handles a notice of a member that observed failures: it polls the member for its own evidence.
-func (m *Member) onFailureNotice(from string, about []Incarnation) {
+func (m *Member) onFailureNotice(from string, about []ServerProcess) {
 	if m.now-m.noticePollsSince >= time.Second {
 		m.noticePollsSince = m.now
 		m.noticePolls = 0
 	}
 	about = about[:min(maxPollSubjects, len(about))]
-	about = slices.DeleteFunc(slices.Clone(about), func(i Incarnation) bool {
+	about = slices.DeleteFunc(slices.Clone(about), func(i ServerProcess) bool {
 		s := m.servers[i.Server]
 		return s == nil || s.StartedMS != i.StartedMS || s.isEjected()
 	})
--- a/internal/peer/ejection/collectors_test.go
+++ b/internal/peer/ejection/collectors_test.go
@@ -36,7 +36,7 @@
 	h.serveRequests(600)
 	stepAndCollectSends(h.m, h.now, oneFailure(1))
 	general := &Message{PollNumber: 1, FormatVersion: currentFormat}
-	aboutServer := &Message{PollNumber: 2, FormatVersion: currentFormat, OwnOnly: true, About: []Incarnation{{"s0", testStartedMS}}}
+	aboutServer := &Message{PollNumber: 2, FormatVersion: currentFormat, OwnOnly: true, About: []ServerProcess{{"s0", testStartedMS}}}
 
 	evidence := evidenceSent(h.m, h.now+time.Millisecond, Received{"b", general})
 	if len(evidence) > 0 {
--- a/internal/peer/ejection/lists.go
+++ b/internal/peer/ejection/lists.go
@@ -42,7 +42,7 @@
 	drainedAt  time.Duration // time of the earliest announcement of the drain received so far; 0: no drain
 }
 
-func (s *server) incarnation() Incarnation { return Incarnation{s.ID, s.StartedMS} }
+func (s *server) incarnation() ServerProcess { return ServerProcess{s.ID, s.StartedMS} }
 
 // isDraining reports whether a drain was announced that is not older than Settings.MaxDrainAge.
 func (s *server) isDraining(m *Member) bool {
--- a/internal/peer/ejection/message.go
+++ b/internal/peer/ejection/message.go
@@ -16,15 +16,15 @@
 	More int `cbor:"6,keyasint,omitempty"`
 	// About lists the servers that a poll or notification is about. The responder always includes its own evidence
 	// about them.
-	About []Incarnation `cbor:"7,keyasint,omitempty"`
+	About []ServerProcess `cbor:"7,keyasint,omitempty"`
 	// FormatVersion is the sender's format version; 0 means 1.
 	FormatVersion uint8 `cbor:"8,keyasint,omitempty"`
 	// OwnOnly requests only evidence that originates at the responder.
 	OwnOnly bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Incarnation is one process of a server.
-type Incarnation struct {
+// ServerProcess is one process of a server.
+type ServerProcess struct {
 	Server    string `cbor:"1,keyasint,omitempty"`
 	StartedMS int64  `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/peer/ejection/poll.go
+++ b/internal/peer/ejection/poll.go
@@ -46,7 +46,7 @@
 // pendingPoll is a poll without a response yet.
 type pendingPoll struct {
 	sentAt time.Duration
-	about  []Incarnation
+	about  []ServerProcess
 }
 
 // refillBudget refills the budget for the time since the last step. It is a token bucket with a capacity of one second.
@@ -97,8 +97,8 @@
 }
 
 // suspects returns the suspected servers of a list, up to maxPollSubjects.
-func (m *Member) suspects(source string) []Incarnation {
-	var all []Incarnation
+func (m *Member) suspects(source string) []ServerProcess {
+	var all []ServerProcess
 	for _, s := range m.active {
 		ofList := s.source == source || m.settings.FormatVersion == 1
 		if s.phase == phaseSuspected && ofList && len(all) < maxPollSubjects {
@@ -109,7 +109,7 @@
 }
 
 // pollAbout polls members for their evidence in general, and also for their own evidence about the given servers.
-func (m *Member) pollAbout(members []string, about []Incarnation) {
+func (m *Member) pollAbout(members []string, about []ServerProcess) {
 	m.sendPolls(members, &Message{About: about})
 }
 
--- a/internal/peer/ejection/state.go
+++ b/internal/peer/ejection/state.go
@@ -229,7 +229,7 @@
 
 func (m *Member) sendConfirmationPolls(s *server, polls int) {
 	s.confirmationPolledAt = m.now
-	m.sendPolls(m.randomCorroborators(polls, s.source), &Message{About: []Incarnation{s.incarnation()}, OwnOnly: s.unresponsive})
+	m.sendPolls(m.randomCorroborators(polls, s.source), &Message{About: []ServerProcess{s.incarnation()}, OwnOnly: s.unresponsive})
 }
 
 // isCorroborated reports whether other members had time to contradict a suspicion and enough of them responded. If not,
--- a/internal/peer/ejection/subscription_test.go
+++ b/internal/peer/ejection/subscription_test.go
@@ -251,7 +251,7 @@
 	m := newMember(t, Settings{Name: "e", FormatVersion: 1})
 	list := ListUpdated{"one", []Server{{ID: "s0", StartedMS: testStartedMS}}}
 	stepAndCollectSends(m, testStart, MembersChanged{Names: []string{"a", "e"}}, list)
-	notice := &Message{FormatVersion: currentFormat, Notify: true, About: []Incarnation{{"s0", testStartedMS}}}
+	notice := &Message{FormatVersion: currentFormat, Notify: true, About: []ServerProcess{{"s0", testStartedMS}}}
 	polled := false
 	for _, s := range stepAndCollectSends(m, testStart+time.Second, Received{"a", notice}) {
 		polled = polled || s.To == "a" && s.Message.PollNumber > 0 && s.Message.FormatVersion == 0 && !s.Message.OwnOnly
--- a/internal/peer/transport/ejectiondriver_test.go
+++ b/internal/peer/transport/ejectiondriver_test.go
@@ -53,13 +53,13 @@
 // The following types are the messages as defined by a version that supports only format 1.
 type (
 	firstFormatMessage struct {
-		PollNumber uint64                 `cbor:"1,keyasint,omitempty"`
-		ResponseTo uint64                 `cbor:"2,keyasint,omitempty"`
-		Notify     bool                   `cbor:"3,keyasint,omitempty"`
-		Evidence   []firstFormatEvidence  `cbor:"4,keyasint,omitempty"`
-		Drains     []ejection.Drain       `cbor:"5,keyasint,omitempty"`
-		More       int                    `cbor:"6,keyasint,omitempty"`
-		About      []ejection.Incarnation `cbor:"7,keyasint,omitempty"`
+		PollNumber uint64                   `cbor:"1,keyasint,omitempty"`
+		ResponseTo uint64                   `cbor:"2,keyasint,omitempty"`
+		Notify     bool                     `cbor:"3,keyasint,omitempty"`
+		Evidence   []firstFormatEvidence    `cbor:"4,keyasint,omitempty"`
+		Drains     []ejection.Drain         `cbor:"5,keyasint,omitempty"`
+		More       int                      `cbor:"6,keyasint,omitempty"`
+		About      []ejection.ServerProcess `cbor:"7,keyasint,omitempty"`
 	}
 	firstFormatEvidence struct {
 		Server    string  `cbor:"1,keyasint,omitempty"`
@@ -80,7 +80,7 @@
 func TestEjectionMessageFormatsReadOneAnother(t *testing.T) {
 	const fleet = "f"
 	wire := Wire{Fleet: fleet}
-	about := []ejection.Incarnation{{Server: "main/s1", StartedMS: 3}}
+	about := []ejection.ServerProcess{{Server: "main/s1", StartedMS: 3}}
 	t.Run("format 1 reads the current one", func(t *testing.T) {
 		current := &ejection.Message{
 			PollNumber:    5,
