--- a/internal/peer/membership/helpers_test.go
+++ b/internal/peer/membership/helpers_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func sentOfKind(actions []Action, kind Kind) []Send {
+func sentOfKind(actions []Action, kind MessageKind) []Send {
 	var all []Send
 	for _, a := range actions {
 		if s, ok := a.(Send); ok && s.Message.Kind == kind {
--- a/internal/peer/membership/message.go
+++ b/internal/peer/membership/message.go
@@ -2,37 +2,37 @@
 
 import "cmp"
 
-// Kind is the kind of a datagram.
-type Kind uint8
+// MessageKind is the kind of a datagram.
+type MessageKind uint8
 
 // The kinds of datagrams.
 const (
-	Ping                    Kind = iota + 1 // a probe of Target, answered by an Ack
-	Ack                                     // Target is alive; sent by Target, or by a helper that received its Ack
-	IndirectPing                            // requests that a helper probe Target at Addr and send the answer to Reply
-	Nack                                    // from a helper that runs, but received no answer from Target (Lifeguard)
-	Gossip                                  // carries updates only
-	IdentityRequest                         // requests the identity of the process at an address
-	IdentityResponse                        // identifies a process by SubjectRunID and UptimeMS
-	IndirectIdentityRequest                 // requests that a helper send an IdentityRequest to Addr and the answer to Reply
+	Ping                    MessageKind = iota + 1 // a probe of Target, answered by an Ack
+	Ack                                            // Target is alive; sent by Target, or by a helper that received its Ack
+	IndirectPing                                   // requests that a helper probe Target at Addr and send the answer to Reply
+	Nack                                           // from a helper that runs, but received no answer from Target (Lifeguard)
+	Gossip                                         // carries updates only
+	IdentityRequest                                // requests the identity of the process at an address
+	IdentityResponse                               // identifies a process by SubjectRunID and UptimeMS
+	IndirectIdentityRequest                        // requests that a helper send an IdentityRequest to Addr and the answer to Reply
 	kindCount
 )
 
 // Message is a datagram.
 type Message struct {
-	From         string   `cbor:"1,keyasint,omitempty"` // name of the sender
-	Boot         uint64   `cbor:"2,keyasint,omitempty"` // boot number of the sender, as in its Record
-	RunID        uint64   `cbor:"3,keyasint,omitempty"` // run ID of the sender
-	Number       uint64   `cbor:"4,keyasint,omitempty"` // each process numbers its datagrams from 1
-	Digest       uint64   `cbor:"5,keyasint,omitempty"` // digest of the sender's view
-	Kind         Kind     `cbor:"6,keyasint,omitempty"`
-	Seq          uint32   `cbor:"7,keyasint,omitempty"` // sequence number of a request; its response has the same
-	Target       string   `cbor:"8,keyasint,omitempty"`
-	Addr         string   `cbor:"9,keyasint,omitempty"`  // the target's address in indirect requests, else the sender's
-	Reply        string   `cbor:"10,keyasint,omitempty"` // address of the sender in indirect requests
-	UptimeMS     uint64   `cbor:"11,keyasint,omitempty"` // IdentityResponse: uptime of the process, in milliseconds
-	SubjectRunID uint64   `cbor:"12,keyasint,omitempty"` // IdentityResponse: run ID of the process that answers
-	Updates      []Record `cbor:"13,keyasint,omitempty"`
+	From         string      `cbor:"1,keyasint,omitempty"` // name of the sender
+	Boot         uint64      `cbor:"2,keyasint,omitempty"` // boot number of the sender, as in its Record
+	RunID        uint64      `cbor:"3,keyasint,omitempty"` // run ID of the sender
+	Number       uint64      `cbor:"4,keyasint,omitempty"` // each process numbers its datagrams from 1
+	Digest       uint64      `cbor:"5,keyasint,omitempty"` // digest of the sender's view
+	Kind         MessageKind `cbor:"6,keyasint,omitempty"`
+	Seq          uint32      `cbor:"7,keyasint,omitempty"` // sequence number of a request; its response has the same
+	Target       string      `cbor:"8,keyasint,omitempty"`
+	Addr         string      `cbor:"9,keyasint,omitempty"`  // the target's address in indirect requests, else the sender's
+	Reply        string      `cbor:"10,keyasint,omitempty"` // address of the sender in indirect requests
+	UptimeMS     uint64      `cbor:"11,keyasint,omitempty"` // IdentityResponse: uptime of the process, in milliseconds
+	SubjectRunID uint64      `cbor:"12,keyasint,omitempty"` // IdentityResponse: run ID of the process that answers
+	Updates      []Record    `cbor:"13,keyasint,omitempty"`
 }
 
 // Exchange is a message of a push-pull exchange (anti-entropy) on a stream. The two views are compared by buckets of
--- a/internal/peer/membership/view_test.go
+++ b/internal/peer/membership/view_test.go
@@ -112,7 +112,7 @@
 		return ForgetMember{drawName().Draw(t, "forget")}
 	}
 	return DatagramReceived{Message: &Message{
-		Kind:         Kind(rapid.IntRange(0, 10).Draw(t, "kind")),
+		Kind:         MessageKind(rapid.IntRange(0, 10).Draw(t, "kind")),
 		From:         drawName().Draw(t, "from"),
 		Boot:         uint64(rapid.IntRange(0, 12).Draw(t, "sender's boot")),
 		RunID:        uint64(rapid.IntRange(0, 9).Draw(t, "sender's run id")),
