--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -47,7 +47,7 @@
 			l.Was = a.Previous.String()
 		}
 		return l, true
-	case membership.SizeChanged:
+	case membership.BalancerCountChanged:
 		c := a.Size
 		return checker.Line{What: checker.Counted, Most: c.MaxBalancers, Least: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile}, true
 	case membership.NameConflict:
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -97,7 +97,7 @@
 	activePeering atomic.Pointer[peering] // the same, for other goroutines
 	savedPeers    *transport.Saved        // from the predecessor
 	previous      *transport.Transport    // the transport that is being replaced by another one in this process; otherwise nil
-	size          atomic.Pointer[membership.Size]
+	size          atomic.Pointer[membership.BalancerCount]
 	sizeChanged   chan struct{} // wakes Run's goroutine to update the instances
 	ejections     atomic.Pointer[ejectionSet]
 
--- a/internal/host/daemon/instances.go
+++ b/internal/host/daemon/instances.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	var size *membership.Size // the size of the fleet; nil: not known
+	var size *membership.BalancerCount // the size of the fleet; nil: not known
 	if d.cfg.Peers != nil {
 		size = d.size.Load()
 	}
@@ -98,7 +98,7 @@
 }
 
 // newAgent makes an agent for the instance's protocol.
-func (d *Daemon) newAgent(instance *hostedInstance, size *membership.Size, parts core.Options) (*core.Agent, error) {
+func (d *Daemon) newAgent(instance *hostedInstance, size *membership.BalancerCount, parts core.Options) (*core.Agent, error) {
 	spec := &instance.spec
 	cfg := spec.Agent
 	cfg.Seed = d.rng.Uint64()
@@ -138,7 +138,7 @@
 }
 
 // prepareAgent passes a new agent everything that it needs before it serves. The agent's loop handles this first.
-func (d *Daemon) prepareAgent(instance *hostedInstance, size *membership.Size) {
+func (d *Daemon) prepareAgent(instance *hostedInstance, size *membership.BalancerCount) {
 	agent := instance.agent
 	if d.options.Fault != nil {
 		if fault := d.options.Fault(instance.spec.Name); fault != nil {
--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -200,7 +200,7 @@
 
 // fleetSizeChanged stores the number of agents in the fleet, and schedules an update of the instances. The transport's
 // goroutine calls it, and it does not block.
-func (d *Daemon) fleetSizeChanged(size membership.Size) {
+func (d *Daemon) fleetSizeChanged(size membership.BalancerCount) {
 	d.size.Store(&size)
 	d.scheduleUpdate()
 }
--- a/internal/peer/membership/events.go
+++ b/internal/peer/membership/events.go
@@ -85,8 +85,8 @@
 		FirstSeen bool   // the member was not in the view before
 		Reason    string // for logs
 	}
-	// SizeChanged reports the number of balancers that share the servers from now on.
-	SizeChanged struct{ Size Size }
+	// BalancerCountChanged reports the number of balancers that share the servers from now on.
+	BalancerCountChanged struct{ Size BalancerCount }
 	// NameConflict reports that another process uses this member's name, and which of the two yields.
 	NameConflict struct {
 		Other  Record
@@ -116,17 +116,17 @@
 	SaveView struct{ KeepKnownMembers bool }
 )
 
-func (Send) action()               {}
-func (OpenExchange) action()       {}
-func (ExchangeReply) action()      {}
-func (FinishExchange) action()     {}
-func (MemberChanged) action()      {}
-func (SizeChanged) action()        {}
-func (NameConflict) action()       {}
-func (PauseDetected) action()      {}
-func (SaveView) action()           {}
-func (RegionReachability) action() {}
-func (Isolated) action()           {}
+func (Send) action()                 {}
+func (OpenExchange) action()         {}
+func (ExchangeReply) action()        {}
+func (FinishExchange) action()       {}
+func (MemberChanged) action()        {}
+func (BalancerCountChanged) action() {}
+func (NameConflict) action()         {}
+func (PauseDetected) action()        {}
+func (SaveView) action()             {}
+func (RegionReachability) action()   {}
+func (Isolated) action()             {}
 
 // Reasons of MemberChanged and NameConflict.
 const (
--- a/internal/peer/membership/isolation_test.go
+++ b/internal/peer/membership/isolation_test.go
@@ -16,15 +16,15 @@
 			runAnswering(v, 5*time.Second, everybody)
 			timeout := v.isolationTimeout()
 			runAnswering(v, v.now+timeout+200*ms, nobody)
-			if !v.Isolated() || v.Size().Live != 1 || v.Size().MaxBalancers != n+1 || v.isolationTimeout() > 7*time.Second {
-				t.Fatalf("isolated %v after %v, size %+v", v.Isolated(), v.isolationTimeout(), v.Size())
+			if !v.Isolated() || v.BalancerCount().Live != 1 || v.BalancerCount().MaxBalancers != n+1 || v.isolationTimeout() > 7*time.Second {
+				t.Fatalf("isolated %v after %v, size %+v", v.Isolated(), v.isolationTimeout(), v.BalancerCount())
 			}
 			if got := countSuspectOrDead(runAnswering(v, v.now+60*time.Second, nobody)); len(v.suspects) > 0 || got > 0 {
 				t.Errorf("%d suspects, %d suspicions and deaths gossiped", len(v.suspects), got)
 			}
 			actions := v.Step(v.now+ms, datagramFrom(testRecord(n-1), 1<<40, Message{Kind: Gossip}))
-			if v.Isolated() || len(v.live) == 0 || v.Size().Live != len(v.live)+1 {
-				t.Errorf("after a datagram: isolated %v, %d alive", v.Isolated(), v.Size().Live)
+			if v.Isolated() || len(v.live) == 0 || v.BalancerCount().Live != len(v.live)+1 {
+				t.Errorf("after a datagram: isolated %v, %d alive", v.Isolated(), v.BalancerCount().Live)
 			}
 			actions = append(actions, runUntil(v, v.now+1500*ms)...)
 			if len(openedExchanges(actions)) == 0 {
--- a/internal/peer/membership/join_test.go
+++ b/internal/peer/membership/join_test.go
@@ -78,7 +78,7 @@
 	if opened := openedExchanges(runUntil(v, time.Second)); len(v.live) != 0 || len(opened) == 0 {
 		t.Errorf("%d are alive, %d contacted", len(v.live), len(opened))
 	}
-	if v.Size().MaxBalancers != 3 { // the saved members may still be sending requests
-		t.Errorf("size %+v", v.Size())
+	if v.BalancerCount().MaxBalancers != 3 { // the saved members may still be sending requests
+		t.Errorf("size %+v", v.BalancerCount())
 	}
 }
--- a/internal/peer/membership/region_test.go
+++ b/internal/peer/membership/region_test.go
@@ -123,7 +123,7 @@
 	r := requireWatching(t, v, true)
 	v.settled = true
 	runAnswering(v, v.now+15*time.Second, everybody)
-	before := v.Size()
+	before := v.BalancerCount()
 	digest := v.Digest()
 	health := v.Health()
 	receiveRegionReport(v, r, "a0", reportUnreachable)
@@ -144,7 +144,7 @@
 		t.Errorf("%d members are shown as dead", shown)
 	}
 	runAnswering(v, v.now+10*time.Second, onlyLocalRegion) // the size changes in steps
-	after := v.Size()
+	after := v.BalancerCount()
 	if after.MaxBalancers != before.MaxBalancers || after.MinBalancers != before.MinBalancers-5 || after.Live != before.Live-5 {
 		t.Errorf("size %+v, before %+v", after, before)
 	}
--- a/internal/peer/membership/settings.go
+++ b/internal/peer/membership/settings.go
@@ -18,7 +18,7 @@
 	Instances    int
 	Balancers    int
 	Seeds        []string // addresses used to join the fleet; they may include the member's own
-	KnownMembers []Record // members of the last run: used to join and for the first Size, not added to the view
+	KnownMembers []Record // members of the last run: used to join and for the first BalancerCount, not added to the view
 
 	// TakesOver marks this process as the successor of another one, without a gap and with the same RunID. KnownMembers
 	// are then the predecessor's current records, and are trusted. Incarnation, DatagramNumber and Uptime continue the
--- a/internal/peer/membership/size.go
+++ b/internal/peer/membership/size.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Size is the number of balancers that share the servers, as an upper and a lower bound, because the exact number
+// BalancerCount is the number of balancers that share the servers, as an upper and a lower bound, because the exact number
 // can't be determined.
 //
 // A member that can't be reached may still run and send requests behind a broken link. MaxBalancers, by which shares
@@ -10,7 +10,7 @@
 // an operator removes a member, or a process replaces another one with the same name. It never decreases by a timeout,
 // because no lease stops an agent from serving, by design. MinBalancers includes only members that are alive; it is
 // used to detect that few balancers share the servers.
-type Size struct {
+type BalancerCount struct {
 	MaxBalancers, MinBalancers int
 	Members                    int  // daemons that have not left, the local one included
 	Live                       int  // of these, members that are alive or suspect, and reachable
@@ -23,7 +23,7 @@
 	maxBalancers int // balancers of members that have not left
 	minBalancers int // balancers of members that are alive and reachable
 	unreachable  int // number of members that are alive or suspect but can't be reached
-	reported     Size
+	reported     BalancerCount
 	nextStepAt   time.Duration // when the next step of a change is due; 0: no change is pending
 	started      bool
 }
@@ -71,7 +71,7 @@
 	t.publish(v)
 }
 
-// publish emits a SizeChanged if the size has changed. Changes that allow less take effect at once, and changes that
+// publish emits a BalancerCountChanged if the size has changed. Changes that allow less take effect at once, and changes that
 // allow more in steps.
 func (t *sizeTracker) publish(v *View) {
 	if !t.started {
@@ -92,13 +92,13 @@
 	}
 	if next != t.reported {
 		t.reported = next
-		v.emit(SizeChanged{next})
+		v.emit(BalancerCountChanged{next})
 	}
 }
 
 // target returns the size by the current view.
-func (t *sizeTracker) target(v *View) Size {
-	size := Size{
+func (t *sizeTracker) target(v *View) BalancerCount {
+	size := BalancerCount{
 		MaxBalancers: max(t.maxBalancers, 1),
 		MinBalancers: max(t.minBalancers, 1),
 		Members:      len(v.live) + len(v.dead) + 1,
@@ -112,7 +112,7 @@
 }
 
 // nextMax returns the next value of MaxBalancers towards the target. A smaller value allows more.
-func (t *sizeTracker) nextMax(v *View, target Size, stepDue bool) int {
+func (t *sizeTracker) nextMax(v *View, target BalancerCount, stepDue bool) int {
 	present := t.reported.MaxBalancers
 	switch {
 	case target.MaxBalancers >= present:
@@ -126,7 +126,7 @@
 }
 
 // nextMin returns the next value of MinBalancers towards the target. A larger value allows more.
-func (t *sizeTracker) nextMin(target Size, stepDue bool) int {
+func (t *sizeTracker) nextMin(target BalancerCount, stepDue bool) int {
 	present := t.reported.MinBalancers
 	switch {
 	case target.MinBalancers <= present:
--- a/internal/peer/membership/status.go
+++ b/internal/peer/membership/status.go
@@ -99,8 +99,8 @@
 // Traffic returns the counts of datagrams and bytes so far.
 func (v *View) Traffic() Traffic { return v.traffic }
 
-// Size returns the number of balancers that share the servers.
-func (v *View) Size() Size { return v.sizes.reported }
+// BalancerCount returns the number of balancers that share the servers.
+func (v *View) BalancerCount() BalancerCount { return v.sizes.reported }
 
 // Isolated reports whether this member receives datagrams from no other member.
 func (v *View) Isolated() bool { return v.isolated }
--- a/internal/peer/membership/view.go
+++ b/internal/peer/membership/view.go
@@ -89,7 +89,7 @@
 	seedRetryAt time.Duration // when the next seed is contacted again
 	joined      bool          // an exchange that this member opened has succeeded, or there is no address to join by
 	contacted   bool          // an exchange that another member opened has succeeded
-	settled     bool          // the view was equal to another member's: Size no longer uses ConfiguredBalancers
+	settled     bool          // the view was equal to another member's: BalancerCount no longer uses ConfiguredBalancers
 
 	// This member's name, and its leave.
 	nameClaim       nameClaim
--- a/internal/peer/transport/eventlog.go
+++ b/internal/peer/transport/eventlog.go
@@ -145,7 +145,7 @@
 	switch a := a.(type) {
 	case membership.MemberChanged:
 		l.writeMember(a)
-	case membership.SizeChanged:
+	case membership.BalancerCountChanged:
 		l.write(eventLine{
 			Kind:         "count",
 			MaxBalancers: a.Size.MaxBalancers,
--- a/internal/peer/transport/harness_test.go
+++ b/internal/peer/transport/harness_test.go
@@ -72,7 +72,7 @@
 type testMember struct {
 	*Transport
 	addr  string
-	sizes chan membership.Size
+	sizes chan membership.BalancerCount
 	stop  func() error // ends the member, and returns Run's error
 }
 
@@ -88,7 +88,7 @@
 // startMember starts a member, which ends with the test unless it is stopped earlier.
 func startMember(t *testing.T, mo memberOptions) *testMember {
 	t.Helper()
-	m := &testMember{sizes: make(chan membership.Size, 100)}
+	m := &testMember{sizes: make(chan membership.BalancerCount, 100)}
 	var udp *net.UDPConn
 	var tcp *net.TCPListener
 	if mo.addr == "" {
@@ -135,7 +135,7 @@
 	return m
 }
 
-func (m *testMember) noteSize(size membership.Size) {
+func (m *testMember) noteSize(size membership.BalancerCount) {
 	select {
 	case m.sizes <- size:
 	default:
--- a/internal/peer/transport/loop.go
+++ b/internal/peer/transport/loop.go
@@ -196,7 +196,7 @@
 		} else {
 			tr.saveView()
 		}
-	case membership.SizeChanged:
+	case membership.BalancerCountChanged:
 		tr.eventLog.writeAction(a)
 		if tr.options.SizeChanged != nil {
 			tr.options.SizeChanged(a.Size)
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -129,7 +129,7 @@
 	case !tr.view.Joined():
 		s.State = stateJoining
 	}
-	size := tr.view.Size()
+	size := tr.view.BalancerCount()
 	s.Size = SizeStatus{size.MaxBalancers, size.MinBalancers, size.Members, size.Live, size.FromFile}
 	for _, r := range tr.view.Regions() {
 		s.Regions = append(s.Regions, regionStatus(r))
@@ -254,7 +254,7 @@
 		Bytes:        d.bytes,
 		Packets:      d.packets,
 		Agents:       len(d.client.Agents()),
-		MaxBalancers: tr.view.Size().MaxBalancers,
+		MaxBalancers: tr.view.BalancerCount().MaxBalancers,
 	}
 	for _, l := range d.client.Status(now) {
 		leased := LeasedLimitStatus{Limit: l.Limit, Key: l.Key, Used: l.Used, Rejected: l.Rejected}
--- a/internal/peer/transport/transport.go
+++ b/internal/peer/transport/transport.go
@@ -50,7 +50,7 @@
 	// Events receives a JSON line for each change, for fault tests. nil: no lines are written.
 	Events io.Writer
 	// SizeChanged is called with each change of the fleet's size.
-	SizeChanged func(membership.Size)
+	SizeChanged func(membership.BalancerCount)
 	// Inject is called in each step of the membership view, for tests.
 	Inject func()
 	// WallSkew is added to the wall clock's time, for fault tests.
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -25,15 +25,15 @@
 	c.awaitState(t, "b", "left")
 	_ = c.stop() // without Leave
 	a.awaitState(t, "c", "dead")
-	a.awaitSize(t, func(s membership.Size) bool { return s.MaxBalancers == 2 && s.MinBalancers == 1 }) // b does not count, c may be alive
+	a.awaitSize(t, func(s membership.BalancerCount) bool { return s.MaxBalancers == 2 && s.MinBalancers == 1 }) // b does not count, c may be alive
 	if previous, known := a.Forget("c"); !known || previous != membership.Dead {
 		t.Errorf("Forget: the member was %v, known %v", previous, known)
 	}
-	a.awaitSize(t, func(s membership.Size) bool { return s.MaxBalancers == 1 })
+	a.awaitSize(t, func(s membership.BalancerCount) bool { return s.MaxBalancers == 1 })
 }
 
 // awaitSize waits until the member announces a size that satisfies is.
-func (m *testMember) awaitSize(t *testing.T, is func(membership.Size) bool) {
+func (m *testMember) awaitSize(t *testing.T, is func(membership.BalancerCount) bool) {
 	t.Helper()
 	timer := time.NewTimer(testTimeout)
 	defer timer.Stop()
--- a/tools/peers/service.go
+++ b/tools/peers/service.go
@@ -40,7 +40,7 @@
 	p := &plan.Plan{Name: "day", Daemons: s.Agents, Zones: 1, Seeds: []int{0, 1, 2}, Length: s.Length, Events: events}
 	c := make(counts, s.Agents)
 	_, err := drill.Play(p, drill.Options{Seed: seed, FileCount: file, Each: func(at time.Duration, daemon int, a membership.Action) {
-		if n, ok := a.(membership.SizeChanged); ok {
+		if n, ok := a.(membership.BalancerCountChanged); ok {
 			c[daemon] = append(c[daemon], agentCount{at, n.Size.MaxBalancers, min(n.Size.MinBalancers, n.Size.MaxBalancers)})
 		}
 	}})
