--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -230,7 +230,7 @@
 	fmt.Fprintln(w, "member\taddr\tregion\tzone\tstate\tfor\tby\tboot\tinc\tinstances\tversion")
 	for _, m := range s.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%v\t%s\t%d\t%d\t%d\t%s\n", m.Name, m.Addr, m.Region, m.Zone, m.State, time.Duration(m.SinceS*float64(time.Second)).Round(100*time.Millisecond),
-			m.Reporter, m.Boot, m.Incarnation, m.Instances, m.Program)
+			m.Reporter, m.Boot, m.Incarnation, m.Instances, m.Version)
 	}
 	return w.Flush()
 }
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -79,7 +79,7 @@
 	Addr        string  `json:"addr"`
 	Zone        string  `json:"zone,omitempty"`
 	Region      string  `json:"region,omitempty"`
-	Program     string  `json:"program,omitempty"`
+	Version     string  `json:"program,omitempty"`
 	State       string  `json:"state"`
 	SinceS      float64 `json:"since_s"` // time in this state, by this member's view
 	Reporter    string  `json:"by,omitempty"`
@@ -186,7 +186,7 @@
 		Addr:        r.Addr,
 		Zone:        r.Zone,
 		Region:      r.Region,
-		Program:     r.Version,
+		Version:     r.Version,
 		State:       r.State.String(),
 		SinceS:      since.Round(time.Millisecond).Seconds(),
 		Reporter:    r.Reporter,
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -22,7 +22,7 @@
 		Size: transport.SizeStatus{MaxBalancers: n, MinBalancers: n, Members: n, Live: n}}
 	for i := range n {
 		s.Members = append(s.Members, transport.MemberStatus{Name: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16&255, i>>8&255, i&255), Zone: fmt.Sprintf("zone-%02d", i%15),
-			Program: "0.8.0", State: "alive", SinceS: 86400.123, Boot: 1764633600, RunID: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Incarnation: 1, Instances: 1, Balancers: 1})
+			Version: "0.8.0", State: "alive", SinceS: 86400.123, Boot: 1764633600, RunID: fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), Incarnation: 1, Instances: 1, Balancers: 1})
 	}
 	return s
 }
