--- a/cmd/vetchhaven/fleet.go
+++ b/cmd/vetchhaven/fleet.go
@@ -190,7 +190,7 @@
 
 func showView(s *transport.MembershipStatus, out io.Writer) error {
 	fmt.Fprintf(out, "fleet %s, seen by %s (%s, boot %d): %s; digest %s, own health %d; up %v\n", s.Fleet, s.Name, s.Addr, s.Boot, s.State, s.Digest,
-		s.Health, time.Duration(s.UpS)*time.Second)
+		s.Health, time.Duration(s.UptimeSeconds)*time.Second)
 	c := s.Size
 	from := ""
 	if c.FromFile {
--- a/internal/peer/transport/status.go
+++ b/internal/peer/transport/status.go
@@ -9,21 +9,21 @@
 
 // MembershipStatus is a member's view for the admin endpoint. The JSON keys are those of earlier builds.
 type MembershipStatus struct {
-	Fleet     string         `json:"fleet"`
-	Name      string         `json:"name"`
-	Addr      string         `json:"addr"`
-	Boot      uint64         `json:"boot"`
-	RunID     string         `json:"life"`
-	State     string         `json:"state"` // one of the constants below
-	Digest    string         `json:"digest"`
-	Health    int            `json:"health"` // Lifeguard's local health multiplier; 0 is healthy
-	UpS       float64        `json:"up_s"`
-	Size      SizeStatus     `json:"count"`
-	Traffic   TrafficStatus  `json:"traffic"`
-	Regions   []RegionStatus `json:"regions,omitempty"` // if there are several
-	Isolated  bool           `json:"alone,omitempty"`   // no other member is reachable
-	Members   []MemberStatus `json:"members"`
-	SaveFails bool           `json:"save_fails,omitempty"`
+	Fleet         string         `json:"fleet"`
+	Name          string         `json:"name"`
+	Addr          string         `json:"addr"`
+	Boot          uint64         `json:"boot"`
+	RunID         string         `json:"life"`
+	State         string         `json:"state"` // one of the constants below
+	Digest        string         `json:"digest"`
+	Health        int            `json:"health"` // Lifeguard's local health multiplier; 0 is healthy
+	UptimeSeconds float64        `json:"up_s"`
+	Size          SizeStatus     `json:"count"`
+	Traffic       TrafficStatus  `json:"traffic"`
+	Regions       []RegionStatus `json:"regions,omitempty"` // if there are several
+	Isolated      bool           `json:"alone,omitempty"`   // no other member is reachable
+	Members       []MemberStatus `json:"members"`
+	SaveFails     bool           `json:"save_fails,omitempty"`
 }
 
 // SizeStatus is the fleet's size as the daemon's instances use it.
@@ -111,17 +111,17 @@
 	own := tr.view.Local()
 	uptime := max(tr.view.Uptime(), minUptime)
 	s := MembershipStatus{
-		Fleet:    tr.options.Fleet,
-		Name:     own.Name,
-		Addr:     own.Addr,
-		Boot:     own.Boot,
-		RunID:    hex(own.RunID),
-		State:    stateJoined,
-		Digest:   hex(tr.view.Digest()),
-		Health:   tr.view.Health(),
-		UpS:      uptime.Seconds(),
-		Traffic:  tr.trafficStatus(uptime),
-		Isolated: tr.view.Isolated(),
+		Fleet:         tr.options.Fleet,
+		Name:          own.Name,
+		Addr:          own.Addr,
+		Boot:          own.Boot,
+		RunID:         hex(own.RunID),
+		State:         stateJoined,
+		Digest:        hex(tr.view.Digest()),
+		Health:        tr.view.Health(),
+		UptimeSeconds: uptime.Seconds(),
+		Traffic:       tr.trafficStatus(uptime),
+		Isolated:      tr.view.Isolated(),
 	}
 	switch {
 	case tr.view.Yields():
--- a/tools/capacity/operator.go
+++ b/tools/capacity/operator.go
@@ -18,7 +18,7 @@
 
 // viewStatus returns the status that `fleet view --json` receives from a daemon with n members in its view.
 func viewStatus(n int) *transport.MembershipStatus {
-	s := &transport.MembershipStatus{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, RunID: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UpS: 86400.123,
+	s := &transport.MembershipStatus{Fleet: fleetName, Name: "host-00000", Addr: "10.0.0.1:7946", Boot: 1764633600, RunID: "00f1e2d3c4b5a697", State: "in", Digest: "0123456789abcdef", UptimeSeconds: 86400.123,
 		Size: transport.SizeStatus{MaxBalancers: n, MinBalancers: n, Members: n, Live: n}}
 	for i := range n {
 		s.Members = append(s.Members, transport.MemberStatus{Name: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16&255, i>>8&255, i&255), Zone: fmt.Sprintf("zone-%02d", i%15),
