--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -100,7 +100,7 @@
 	if p == nil {
 		return nil, nil
 	}
-	if frozen := p.transport.Freeze(); frozen != nil {
+	if frozen := p.transport.Suspend(); frozen != nil {
 		saved, err = transport.EncodeSaved(frozen)
 	}
 	if store := d.policy.store; store != nil {
@@ -144,7 +144,7 @@
 		d.startPeering(nil, 0) // has an effect only if the peering failed during the handover
 	})
 	if p != nil {
-		p.transport.Thaw()
+		p.transport.Resume()
 	}
 }
 
--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -261,7 +261,7 @@
 func (d *Daemon) restartPeering(p *peering, isSameMember bool) {
 	var saved *transport.Saved
 	if isSameMember {
-		saved = p.transport.Freeze()
+		saved = p.transport.Suspend()
 	} else {
 		p.transport.Leave(leaveTimeout)
 	}
--- a/internal/peer/transport/containment_test.go
+++ b/internal/peer/transport/containment_test.go
@@ -34,7 +34,7 @@
 }
 
 // A call that its caller abandoned does not run later, when the caller no longer uses the result. The fault: such a
-// late call of Freeze froze a member after its handover had been abandoned.
+// late call of Suspend froze a member after its handover had been abandoned.
 func TestAbandonedCallDoesNotRun(t *testing.T) {
 	var hold atomic.Bool
 	held, release := make(chan struct{}, 1), make(chan struct{})
--- a/internal/peer/transport/lifecycle.go
+++ b/internal/peer/transport/lifecycle.go
@@ -45,9 +45,9 @@
 	return previous, known
 }
 
-// Freeze stops this member because another process is about to replace it, and returns the state for that process; it
+// Suspend stops this member because another process is about to replace it, and returns the state for that process; it
 // returns nil if the loop does not respond, and the member then continues to run.
-func (tr *Transport) Freeze() *Saved {
+func (tr *Transport) Suspend() *Saved {
 	var s *Saved
 	tr.do(func() {
 		tr.frozen.Store(true)
@@ -74,8 +74,8 @@
 	return s
 }
 
-// Thaw resumes a frozen member whose successor failed to start.
-func (tr *Transport) Thaw() {
+// Resume resumes a frozen member whose successor failed to start.
+func (tr *Transport) Resume() {
 	tr.do(func() {
 		if !tr.frozen.Swap(false) {
 			return
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -125,7 +125,7 @@
 	a := startMember(t, memberOptions{name: "a"})
 	b := startMember(t, memberOptions{name: "b", seeds: []string{a.addr}})
 	previous := b.awaitState(t, "a", "alive")
-	saved := a.Freeze()
+	saved := a.Suspend()
 	if saved == nil {
 		t.Fatal("Freeze returned no state")
 	}
@@ -146,9 +146,9 @@
 	a := startMember(t, memberOptions{name: "a"})
 	b := startMember(t, memberOptions{name: "b", seeds: []string{a.addr}})
 	b.awaitState(t, "a", "alive")
-	a.Freeze()
+	a.Suspend()
 	b.awaitState(t, "a", "dead")
-	a.Thaw()
+	a.Resume()
 	b.awaitState(t, "a", "alive")
 	a.awaitState(t, "b", "alive")
 }
