--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -68,7 +68,7 @@
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
-	var successor *exec.Cmd // set by the Upgrade function
+	var successor *exec.Cmd // set by the StartSuccessor function
 	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, WallSkew: clockOff, Inherit: before.Sockets, State: before.State,
 		Ready: func() {
 			log.Info("ready", "instances", len(cfg.Instances), "pid", os.Getpid())
@@ -76,7 +76,7 @@
 				log.Warn("could not notify the predecessor that this daemon is ready", "error", err)
 			}
 		},
-		Upgrade: func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
+		StartSuccessor: func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -38,10 +38,10 @@
 	State   []byte                            // the predecessor's snapshot; nil: the one in the state directory is read
 	// Ready is called once every instance runs and has a list, or readyTimeout has passed.
 	Ready func()
-	// Upgrade starts a successor with these sockets and this snapshot, and returns when the successor is ready. If
-	// Upgrade is nil, this daemon can't hand over.
-	Upgrade func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error
-	// ReloadSuccessor makes the successor, which Upgrade has started, read its file again.
+	// StartSuccessor starts a successor with these sockets and this snapshot, and returns when the successor is ready. If
+	// StartSuccessor is nil, this daemon can't hand over.
+	StartSuccessor func(ctx context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error
+	// ReloadSuccessor makes the successor, which StartSuccessor has started, read its file again.
 	ReloadSuccessor func() error
 	// Fault may make an instance panic. Only tests set it.
 	Fault func(name string) func(core.Totals)
--- a/internal/host/daemon/handover.go
+++ b/internal/host/daemon/handover.go
@@ -42,7 +42,7 @@
 // If step 4 or 5 fails, the successor is killed and the connections that it has accepted are lost. Then policy.db is
 // opened again, the transport is thawed, and this daemon goes on serving.
 func (d *Daemon) Handover(ctx context.Context) error {
-	if d.options.Upgrade == nil {
+	if d.options.StartSuccessor == nil {
 		return errNoHandover
 	}
 	p, err := d.beginHandover()
@@ -61,7 +61,7 @@
 		d.abortHandover(p)
 		return err
 	}
-	if err := d.options.Upgrade(ctx, files, state); err != nil {
+	if err := d.options.StartSuccessor(ctx, files, state); err != nil {
 		d.log.Error("handover failed: this daemon goes on", "error", err)
 		d.abortHandover(p)
 		return err
@@ -178,7 +178,7 @@
 			h.agent.ShortenAdmission(time.Now().Add(handoverGrace), reasonPolicySwitched)
 		})
 	}
-	d.options.Upgrade = nil // ends Run's loop
+	d.options.StartSuccessor = nil // ends Run's loop
 }
 
 func closeFiles(files map[daemonconfig.Address]*os.File) {
--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -27,7 +27,7 @@
 	next := make(chan *testDaemon, 1)
 	fail := errors.New("injected failure")
 	upgrades := 0
-	old := tb.start(Options{Upgrade: func(_ context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
+	old := tb.start(Options{StartSuccessor: func(_ context.Context, sockets map[daemonconfig.Address]*os.File, state []byte) error {
 		if upgrades++; upgrades == 1 {
 			return fail
 		}
@@ -109,7 +109,7 @@
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
 	started, kill := make(chan struct{}), make(chan struct{})
-	r := tb.start(Options{Upgrade: func(ctx context.Context, _ map[daemonconfig.Address]*os.File, _ []byte) error {
+	r := tb.start(Options{StartSuccessor: func(ctx context.Context, _ map[daemonconfig.Address]*os.File, _ []byte) error {
 		close(started)
 		<-ctx.Done()
 		<-kill // on a busy machine a kill takes a while
@@ -147,7 +147,7 @@
 	stopping := make(chan struct{})
 	started := make(chan struct{})
 	successors := make(chan net.Listener, 1)
-	r := tb.start(Options{Upgrade: func(_ context.Context, sockets map[daemonconfig.Address]*os.File, _ []byte) error {
+	r := tb.start(Options{StartSuccessor: func(_ context.Context, sockets map[daemonconfig.Address]*os.File, _ []byte) error {
 		copied, err := net.FileListener(sockets[daemonconfig.Address{Network: "unix", Addr: tb.socketPath("a")}])
 		if err != nil {
 			return err
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -150,7 +150,7 @@
 	tb := newTestbed(t, f.Member("ready"))
 	tb.writeConfig(tb.instanceText("one") + peersText("a", freeAddr(t), freeAddr(t)))
 	begun, end := make(chan struct{}), make(chan struct{})
-	r := tb.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error {
+	r := tb.start(Options{StartSuccessor: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error {
 		close(begun)
 		<-end
 		return errors.New("no successor")
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -255,7 +255,7 @@
 	tb.writeConfig(tb.instanceText("one") + policyText(addr, addr, `"a"`))
 	fail := errors.New("injected failure")
 	var taken *bbolt.DB
-	r := tb.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) (err error) {
+	r := tb.start(Options{StartSuccessor: func(context.Context, map[daemonconfig.Address]*os.File, []byte) (err error) {
 		if taken, err = bbolt.Open(filepath.Join(tb.dir, "state", "policy.db"), 0o600, &bbolt.Options{Timeout: testTimeout}); err != nil {
 			return err
 		}
--- a/internal/host/daemon/run.go
+++ b/internal/host/daemon/run.go
@@ -99,7 +99,7 @@
 			d.switchPolicy()
 		case <-stop.Done():
 		}
-		handedOver = d.handingOver && d.options.Upgrade == nil
+		handedOver = d.handingOver && d.options.StartSuccessor == nil
 	}
 	return handedOver
 }
--- a/internal/host/daemon/stop_test.go
+++ b/internal/host/daemon/stop_test.go
@@ -275,7 +275,7 @@
 	defer release()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
-	r := tb.start(Options{Upgrade: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error { return nil }})
+	r := tb.start(Options{StartSuccessor: func(context.Context, map[daemonconfig.Address]*os.File, []byte) error { return nil }})
 	answered := make(chan error, 1)
 	go func() {
 		_, _, err := sendRequest(client(tb.socketPath("a"), false), "pay")
