--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -87,7 +87,7 @@
 			cmd := exec.Command(self, os.Args[1:]...)
 			cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 			successor = cmd
-			return daemon.Successor(either, cmd, sockets, state, daemon.ReadyTimeout)
+			return daemon.StartSuccessor(either, cmd, sockets, state, daemon.ReadyTimeout)
 		},
 		ReloadSuccessor: func() error { return successor.Process.Signal(syscall.SIGHUP) },
 	})
--- a/internal/host/daemon/successor.go
+++ b/internal/host/daemon/successor.go
@@ -31,9 +31,9 @@
 // successor that hangs.
 const ReadyTimeout = 30 * time.Second
 
-// Successor starts a successor with the given command and waits until it is ready. If Successor returns an error, no
+// StartSuccessor starts a successor with the given command and waits until it is ready. If StartSuccessor returns an error, no
 // successor is running.
-func Successor(ctx context.Context, cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, state []byte, timeout time.Duration) error {
+func StartSuccessor(ctx context.Context, cmd *exec.Cmd, sockets map[daemonconfig.Address]*os.File, state []byte, timeout time.Duration) error {
 	ready, readyWriter, err := os.Pipe()
 	if err != nil {
 		return err
