--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -43,7 +43,7 @@
 			ln.Close()
 		}
 		tb.list.SetDown(true) // the successor has to use the old daemon's list
-		r := tb.start(Options{Inherit: copies, State: state})
+		r := tb.start(Options{Inherit: copies, Snapshot: state})
 		next <- r
 		return nil
 	}})
--- a/internal/host/daemon/snapshots.go
+++ b/internal/host/daemon/snapshots.go
@@ -53,7 +53,7 @@
 
 // restoreSnapshot restores the predecessor's snapshot, or the last one that was saved, as far as it is valid.
 func (d *Daemon) restoreSnapshot() {
-	data, from := d.options.State, "the predecessor"
+	data, from := d.options.Snapshot, "the predecessor"
 	handedOver := data != nil
 	if !handedOver {
 		data, from = d.snapshots.read()
--- a/internal/host/daemon/successor.go
+++ b/internal/host/daemon/successor.go
@@ -130,9 +130,9 @@
 
 // Inherited is what a daemon inherits from its predecessor. It is empty for a daemon without a predecessor.
 type Inherited struct {
-	Sockets map[daemonconfig.Address]*os.File
-	State   []byte // the predecessor's snapshot
-	ready   *os.File
+	Sockets  map[daemonconfig.Address]*os.File
+	Snapshot []byte // the predecessor's snapshot
+	ready    *os.File
 }
 
 // Inherit takes over what the predecessor passed to this process. Processes that this one starts do not inherit it.
@@ -169,7 +169,7 @@
 	if err != nil {
 		return nil, err
 	}
-	inherited.State = state
+	inherited.Snapshot = state
 	for n, address := range addresses {
 		file := os.NewFile(uintptr(firstSocketDescriptor+n), address.String())
 		if file == nil {
