--- a/cmd/vetchhaven/serve.go
+++ b/cmd/vetchhaven/serve.go
@@ -69,7 +69,7 @@
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
 	var successor *exec.Cmd // set by the StartSuccessor function
-	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Program: version, WallSkew: clockOff, Inherit: before.Sockets, Snapshot: before.Snapshot,
+	d, err := daemon.New(daemon.Options{Config: cfg, Log: log, Version: version, WallSkew: clockOff, Inherit: before.Sockets, Snapshot: before.Snapshot,
 		Ready: func() {
 			log.Info("ready", "instances", len(cfg.Instances), "pid", os.Getpid())
 			if err := before.Ready(); err != nil {
--- a/internal/host/daemon/daemon.go
+++ b/internal/host/daemon/daemon.go
@@ -47,7 +47,7 @@
 	Fault func(name string) func(core.Totals)
 	// PeerFault is called in each step of failure detection and may make it panic. Only tests set it.
 	PeerFault func()
-	Program   string        // the program's version, which is reported to peers
+	Version   string        // the program's version, which is reported to peers
 	WallSkew  time.Duration // added to the wall clock; only fault tests set it
 }
 
--- a/internal/host/daemon/peering.go
+++ b/internal/host/daemon/peering.go
@@ -177,7 +177,7 @@
 	o.Membership.Instances = len(d.cfg.Instances)
 	o.Membership.Balancers = len(d.cfg.Instances)
 	o.Membership.ConfiguredBalancers = d.cfg.Balancers
-	o.Membership.Version = d.options.Program
+	o.Membership.Version = d.options.Version
 	if spec.Ejection != nil {
 		o.Ejection = spec.Ejection
 		o.EjectionsChanged = d.ejectionsChanged
