--- a/internal/host/daemon/admin.go
+++ b/internal/host/daemon/admin.go
@@ -54,7 +54,7 @@
 		replyIfFound(w, status, ok, errNoMembership)
 	})
 	mux.HandleFunc("GET /fleet/limits", func(w http.ResponseWriter, _ *http.Request) {
-		status, ok := d.Limits()
+		status, ok := d.LimitsStatus()
 		replyIfFound(w, status, ok, errNoLimits)
 	})
 	mux.HandleFunc("GET /fleet/verdicts", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/host/daemon/limits.go
+++ b/internal/host/daemon/limits.go
@@ -74,8 +74,8 @@
 	Isolated bool                        `json:"alone,omitempty"` // the transport does not run or respond
 }
 
-// Limits returns the state of the shared limits. ok is false if the file has none.
-func (d *Daemon) Limits() (status LimitsStatus, ok bool) {
+// LimitsStatus returns the state of the shared limits. ok is false if the file has none.
+func (d *Daemon) LimitsStatus() (status LimitsStatus, ok bool) {
 	var limits *daemonconfig.Limits
 	var p *peering
 	d.call(func() {
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -51,7 +51,7 @@
 	if status, _, err := sendRequest(client(tb.socketPath("one"), false), "pay"); err != nil || status != 200 {
 		t.Errorf("a request of a class that is not limited: %d %v", status, err)
 	}
-	now, ok := r.Limits()
+	now, ok := r.LimitsStatus()
 	if !ok || now.Limits[0].Max != 2 || len(now.Status.Granted) != 1 || now.Status.Granted[0].Leased > 2 || now.Status.Leased[0].Rejected == 0 {
 		t.Errorf("status of the limits: %+v", now)
 	}
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the limit is gone", func() bool { status, _ := get(); return status == 200 })
-	if _, ok := r.Limits(); ok {
+	if _, ok := r.LimitsStatus(); ok {
 		t.Error("the status shows limits that the file does not have")
 	}
 }
