--- a/internal/host/daemon/adminpolicy.go
+++ b/internal/host/daemon/adminpolicy.go
@@ -28,7 +28,7 @@
 // addPolicyHandlers adds the handlers of operators' requests about the fleet's policy.
 func (d *Daemon) addPolicyHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /policy", func(w http.ResponseWriter, _ *http.Request) {
-		status, err := d.Policy()
+		status, err := d.PolicyStatus()
 		replyOrError(w, status, err)
 	})
 	mux.HandleFunc("POST /policy/check", d.handlePolicyCheck)
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -237,7 +237,7 @@
 		for range 200 { // while the new peering restores its state
 			testbeds["a"].expectServed("one")
 		}
-		if p, err := r.Policy(); err != nil || p.Active.Number != 1 {
+		if p, err := r.PolicyStatus(); err != nil || p.Active.Number != 1 {
 			t.Errorf("error %v, policy %+v", err, p)
 		}
 	}
--- a/internal/host/daemon/policyrequests.go
+++ b/internal/host/daemon/policyrequests.go
@@ -52,8 +52,8 @@
 	Unservable    string   `json:"unfit,omitempty"` // why the daemon can't serve by the policy
 }
 
-// Policy returns the state of the fleet's policy at this daemon.
-func (d *Daemon) Policy() (s PolicyStatus, err error) {
+// PolicyStatus returns the state of the fleet's policy at this daemon.
+func (d *Daemon) PolicyStatus() (s PolicyStatus, err error) {
 	err = d.onPolicy(func(n *policy.Node, _ time.Duration) []policy.Event {
 		s.Status = n.Status()
 		s.Body = string(n.ActivePolicy().Body)
