--- a/internal/host/daemon/adminpolicy.go
+++ b/internal/host/daemon/adminpolicy.go
@@ -98,5 +98,5 @@
 		replyError(w, http.StatusBadRequest, errors.New("nobody is named"))
 		return
 	}
-	replyOrError(w, map[string]string{"state": "asked for; see who votes in policy show"}, d.PolicyVoters(request))
+	replyOrError(w, map[string]string{"state": "asked for; see who votes in policy show"}, d.ReplaceVoter(request))
 }
--- a/internal/host/daemon/policyrequests.go
+++ b/internal/host/daemon/policyrequests.go
@@ -228,8 +228,8 @@
 	return nil, errors.New("no voter answers")
 }
 
-// PolicyVoters requests that the fleet add, remove or replace a voter.
-func (d *Daemon) PolicyVoters(request policy.ReplaceVoter) error { return d.sendPolicyEvent(request) }
+// ReplaceVoter requests that the fleet add, remove or replace a voter.
+func (d *Daemon) ReplaceVoter(request policy.ReplaceVoter) error { return d.sendPolicyEvent(request) }
 
 // PolicyCommand passes on an operator's decision: policy.Rescue or policy.TrustDisk.
 func (d *Daemon) PolicyCommand(command policy.Event) error { return d.sendPolicyEvent(command) }
