--- a/internal/host/daemon/sources.go
+++ b/internal/host/daemon/sources.go
@@ -71,7 +71,7 @@
 		}
 		cancel()
 	}
-	if !source.Records() {
+	if !source.HasRecords() {
 		d.background.Go(func() { h.Run(ctx) })
 		return h
 	}
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -69,12 +69,12 @@
 	Hold      time.Duration // how long the last records stay valid while lookups fail
 }
 
-// Records reports whether the source has DNS records, with or without a list service.
-func (s Source) Records() bool { return len(s.SRV)+len(s.Browse) > 0 || s.Multicast != "" }
+// HasRecords reports whether the source has DNS records, with or without a list service.
+func (s Source) HasRecords() bool { return len(s.SRV)+len(s.Browse) > 0 || s.Multicast != "" }
 
 // Key returns the name under which a snapshot holds the source's list.
 func (s Source) Key() string {
-	if !s.Records() {
+	if !s.HasRecords() {
 		return s.List
 	}
 	parts := []string{s.List, "dns", s.Multicast}
--- a/internal/host/daemonconfig/tables_test.go
+++ b/internal/host/daemonconfig/tables_test.go
@@ -102,7 +102,7 @@
 		}
 	}
 	cfg, err := Load(writeFile(t, dir, with("srv = [\"_form._tcp.example.org\"]\nresolvers = [\"127.0.0.1:53\"]\nhold = \"10m\"\n")))
-	if err != nil || cfg.Sources["main"].Hold != 10*time.Minute || !cfg.Sources["main"].Records() {
+	if err != nil || cfg.Sources["main"].Hold != 10*time.Minute || !cfg.Sources["main"].HasRecords() {
 		t.Errorf("configuration %+v, error %v", cfg, err)
 	}
 }
