--- a/internal/host/daemon/sources.go
+++ b/internal/host/daemon/sources.go
@@ -55,7 +55,7 @@
 	options := discovery.HubOptions{
 		Addr:            source.List,
 		Spread:          source.Spread,
-		MaxInitialDelay: source.First,
+		MaxInitialDelay: source.MaxInitialDelay,
 		ConnectTimeout:  cfg.Instances[0].Agent.Settings.ConnectTimeout,
 		Log:             d.log,
 		OnUrgent:        func() { go d.post(d.saveSnapshot) },
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -54,10 +54,10 @@
 
 // Source describes where an endpoint list comes from: a list service, DNS records, or both.
 type Source struct {
-	Name   string
-	List   string        // address of the list service; may be empty if there are records
-	Spread time.Duration // the instances apply a change at random times within this span
-	First  time.Duration // the daemon waits a random time within this span before it first reads the list
+	Name            string
+	List            string        // address of the list service; may be empty if there are records
+	Spread          time.Duration // the instances apply a change at random times within this span
+	MaxInitialDelay time.Duration // the daemon waits a random time within this span before it first reads the list
 	// SRV are names and Browse are service types that are looked up by unicast DNS at the Resolvers.
 	SRV       []string
 	Browse    []string
@@ -242,16 +242,16 @@
 		c.hostPort(at("group"), s.Group)
 	}
 	cfg.Sources[s.Name] = Source{
-		Name:      s.Name,
-		List:      s.List,
-		SRV:       s.SRV,
-		Browse:    s.Browse,
-		Resolvers: s.Resolvers,
-		Multicast: s.Multicast,
-		Group:     s.Group,
-		Hold:      c.positiveDuration(at("hold"), s.Hold, defaultHold),
-		Spread:    c.duration(at("spread"), s.Spread, defaultSpread),
-		First:     c.duration(at("first"), s.First, defaultFirstSpread),
+		Name:            s.Name,
+		List:            s.List,
+		SRV:             s.SRV,
+		Browse:          s.Browse,
+		Resolvers:       s.Resolvers,
+		Multicast:       s.Multicast,
+		Group:           s.Group,
+		Hold:            c.positiveDuration(at("hold"), s.Hold, defaultHold),
+		Spread:          c.duration(at("spread"), s.Spread, defaultSpread),
+		MaxInitialDelay: c.duration(at("first"), s.First, defaultFirstSpread),
 	}
 }
 
