--- a/internal/host/daemon/instances_test.go
+++ b/internal/host/daemon/instances_test.go
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, tb.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", daemonconfig.ProcessSockets+6+2*daemonconfig.MinSocketShare), 1))
+	writeFile(t, tb.dir, strings.Replace(string(text), "sockets = 10000", fmt.Sprintf("sockets = %d", daemonconfig.ReservedSockets+6+2*daemonconfig.MinSocketShare), 1))
 	tb.start(Options{})
 	var held []net.Conn
 	defer func() {
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -106,8 +106,8 @@
 	maxInstances = 10000
 	// MinSocketShare is the minimum number of sockets of an instance, for its clients and servers together.
 	MinSocketShare = 16
-	// ProcessSockets is the number of sockets that are reserved for the process itself.
-	ProcessSockets = 64
+	// ReservedSockets is the number of sockets that are reserved for the process itself.
+	ReservedSockets = 64
 	// defaultMargin is an instance's timer margin if the file sets no tick.
 	defaultMargin = 5 * time.Millisecond
 )
--- a/internal/host/daemonconfig/shares.go
+++ b/internal/host/daemonconfig/shares.go
@@ -33,7 +33,7 @@
 	for i := range cfg.Instances {
 		weights[i] = cfg.Instances[i].Agent.Weight
 	}
-	sockets, err := Shares(cfg.Sockets-ProcessSockets-listenerSockets*n, MinSocketShare, weights)
+	sockets, err := Shares(cfg.Sockets-ReservedSockets-listenerSockets*n, MinSocketShare, weights)
 	if err != nil {
 		c.fail("limits.sockets", "%d are too few for %d instances: %v", cfg.Sockets, n, err)
 		return
