--- a/internal/host/daemon/policy.go
+++ b/internal/host/daemon/policy.go
@@ -60,7 +60,7 @@
 		return document.Part != "" && !slices.Contains(held, document.Part)
 	})
 	last := policy.Serving{Document: &documents[0], Parts: documents[1:]}
-	cfg, err := d.cfg.Under(documents, nil)
+	cfg, err := d.cfg.WithPolicy(documents, nil)
 	if err != nil {
 		d.log.Error("this daemon can't serve by the last policy that it knows", "policy", last.Fingerprint(), "error", err)
 		return
@@ -108,7 +108,7 @@
 		}
 	}()
 	own := d.ownFile.Load()
-	return daemonconfig.CheckUnder(own.path, own.text, documents)
+	return daemonconfig.CheckWithPolicy(own.path, own.text, documents)
 }
 
 // reloadPolicy reads the state that the previous member stored on the disk, unless the state in memory has not been
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -39,7 +39,7 @@
 	r.call(func() {
 		old = r.instances["a"].agent
 		body := "[rules]\nconnect_timeout = \"9s\"\nidle_close = \"60s\"\n"
-		cfg, err := r.cfg.Under([]policy.Document{{Number: 1, Body: []byte(body)}}, nil)
+		cfg, err := r.cfg.WithPolicy([]policy.Document{{Number: 1, Body: []byte(body)}}, nil)
 		if err == nil {
 			err = r.switchTo(cfg)
 		}
--- a/internal/host/daemon/policyswitch.go
+++ b/internal/host/daemon/policyswitch.go
@@ -41,7 +41,7 @@
 	if next == d.policy.applied || s.unservable != "" {
 		return
 	}
-	cfg, err := d.cfg.Under(servedDocuments(&s.Serving), s.Preparing)
+	cfg, err := d.cfg.WithPolicy(servedDocuments(&s.Serving), s.Preparing)
 	if err == nil {
 		d.policy.fingerprint = next.fingerprint
 		err = d.switchTo(cfg)
--- a/internal/host/daemon/switch_test.go
+++ b/internal/host/daemon/switch_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err = cfg.Under([]policy.Document{{Number: 1, Body: []byte(body)}}, nil)
+	cfg, err = cfg.WithPolicy([]policy.Document{{Number: 1, Body: []byte(body)}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/daemonconfig/config.go
+++ b/internal/host/daemonconfig/config.go
@@ -4,9 +4,9 @@
 //
 // A policy replaces whole tables of the file ([site], [[class]], ...). A service's part of the policy replaces or adds
 // the service's source, classes and bans: see Overlay. If it is uncertain which of two policies is active,
-// Config.Under makes a configuration that allows only what both policies allow.
+// Config.WithPolicy makes a configuration that allows only what both policies allow.
 //
-// internal/host/daemon calls this package from Run's goroutine, except for CheckUnder, which it calls from the
+// internal/host/daemon calls this package from Run's goroutine, except for CheckWithPolicy, which it calls from the
 // transport's goroutine. Commands use Load and CheckPolicy without a daemon.
 package daemonconfig
 
--- a/internal/host/daemonconfig/overlay_test.go
+++ b/internal/host/daemonconfig/overlay_test.go
@@ -49,7 +49,7 @@
 	if both != "" {
 		other = []*policy.Document{{Number: 2, Body: []byte(both)}}
 	}
-	return loadText(t, policyMemberFile).Under([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
+	return loadText(t, policyMemberFile).WithPolicy([]policy.Document{{Number: 1, Body: []byte(text)}}, other)
 }
 
 func TestPolicyTablesReplaceTheFiles(t *testing.T) {
--- a/internal/host/daemonconfig/policy.go
+++ b/internal/host/daemonconfig/policy.go
@@ -27,10 +27,10 @@
 // Reparse reads and checks another text of the file under the same policy.
 func (c *Config) Reparse(text []byte) (*Config, error) { return parse(c.Path, text, c.overlay) }
 
-// Under returns the configuration with documents of the policy laid over the file. If changes are being prepared, the
+// WithPolicy returns the configuration with documents of the policy laid over the file. If changes are being prepared, the
 // configuration allows only what both the documents and the changed documents allow: a member serves by it while it is
 // uncertain which of the two are active.
-func (c *Config) Under(documents []policy.Document, preparing []*policy.Document) (*Config, error) {
+func (c *Config) WithPolicy(documents []policy.Document, preparing []*policy.Document) (*Config, error) {
 	active, err := overlayOf(documents)
 	if err != nil {
 		return nil, err
@@ -53,8 +53,8 @@
 	return parse(c.Path, c.text, both)
 }
 
-// CheckUnder returns an error if a file's text with documents of the policy laid over it is not a valid configuration.
-func CheckUnder(path string, text []byte, documents []policy.Document) error {
+// CheckWithPolicy returns an error if a file's text with documents of the policy laid over it is not a valid configuration.
+func CheckWithPolicy(path string, text []byte, documents []policy.Document) error {
 	over, err := overlayOf(documents)
 	if err != nil {
 		return err
--- a/internal/host/daemonconfig/servicepart_test.go
+++ b/internal/host/daemonconfig/servicepart_test.go
@@ -66,7 +66,7 @@
 	for part, text := range both {
 		changes = append(changes, &policy.Document{Part: part, Number: 5, Body: []byte(text)})
 	}
-	return cfg.Under(docs, changes)
+	return cfg.WithPolicy(docs, changes)
 }
 
 func (c *Config) one(name string) *Instance {
