--- a/internal/protocol/ldap/session.go
+++ b/internal/protocol/ldap/session.go
@@ -157,7 +157,7 @@
 // beginClosing starts closing the session, and prepares its Notice of Disconnection. The caller holds s.mu.
 func (s *session) beginClosing(code int, text string) {
 	s.closing = true
-	s.notice = ldapmsg.Disconnection(code, text)
+	s.notice = ldapmsg.NoticeOfDisconnection(code, text)
 }
 
 // sendNoticeIfIdle queues the Notice of Disconnection of a closing session, if no request is open and the reader has
--- a/internal/protocol/ldapmsg/build.go
+++ b/internal/protocol/ldapmsg/build.go
@@ -15,8 +15,8 @@
 	return appendElement(b, octetString, []byte(text))
 }
 
-// Disconnection returns a Notice of Disconnection (RFC 4511, 4.4.1).
-func Disconnection(code int, text string) []byte {
+// NoticeOfDisconnection returns a Notice of NoticeOfDisconnection (RFC 4511, 4.4.1).
+func NoticeOfDisconnection(code int, text string) []byte {
 	result := appendResult(nil, code, text)
 	result = appendElement(result, responseName, []byte(OIDDisconnection))
 	return WithID(0, appendElement(nil, ExtResponse, result))
--- a/internal/protocol/ldapmsg/ldapmsg_test.go
+++ b/internal/protocol/ldapmsg/ldapmsg_test.go
@@ -126,7 +126,7 @@
 	f.Add(SimpleBind(2, []byte("cn=a"), []byte("p")))
 	f.Add(Extended(3, OIDCancel, []byte{0x30, 3, 2, 1, 1}))
 	f.Add(Abandon(4, 3))
-	f.Add(Disconnection(52, "bye"))
+	f.Add(NoticeOfDisconnection(52, "bye"))
 	f.Add([]byte{0x30, 0x80, 0, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_ = CheckDepth(raw)
--- a/internal/standin/directory/directory.go
+++ b/internal/standin/directory/directory.go
@@ -405,7 +405,7 @@
 	case f.Garbage:
 		out = []byte("\x30\x80 this is no message of LDAP")
 	case f.Notice:
-		out = ldapmsg.Disconnection(ldapmsg.Unavailable, "by the script")
+		out = ldapmsg.NoticeOfDisconnection(ldapmsg.Unavailable, "by the script")
 	case f.WrongID:
 		got, _ := ldapmsg.Parse(out)
 		out = ldapmsg.WithID(m.ID+1000, got.Rest)
