--- a/cmd/vetchhaven/policy_test.go
+++ b/cmd/vetchhaven/policy_test.go
@@ -43,7 +43,7 @@
 
 func (s *daemonProcess) waitForStatus(class string, status int) {
 	s.t.Helper()
-	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testkit.EventTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if s.requestStatus(class) == status {
 			return
 		}
@@ -65,7 +65,7 @@
 	s.waitForStatus("get", http.StatusOK)
 	s.waitForStatus("new", http.StatusNotFound)
 	var out bytes.Buffer
-	flags := &applyFlags{reason: "a class more", wait: testkit.Patience}
+	flags := &applyFlags{reason: "a class more", wait: testkit.EventTimeout}
 	if err := applyPolicy(s.path, map[string]string{"": twoClassPolicy}, flags, &out); err != nil || !strings.Contains(out.String(), "+ class[new].deadline = 60s") || !strings.Contains(out.String(), "policy 1 is in force") {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
@@ -94,7 +94,7 @@
 	if _, err := callAdmin(s.path, http.MethodPost, "/policy/drop?id=never&by=me&reason=no", 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := await(s.path, "never", testkit.Patience, &out); exitStatus(err) != 1 || !strings.Contains(err.Error(), "dropped by me: no") {
+	if err := await(s.path, "never", testkit.EventTimeout, &out); exitStatus(err) != 1 || !strings.Contains(err.Error(), "dropped by me: no") {
 		t.Errorf("%v", err)
 	}
 	if err := await(s.path, "unheard-of", 0, &out); exitStatus(err) != 2 {
@@ -121,7 +121,7 @@
 	if p, err := os.FindProcess(st.PID); err == nil {
 		_ = p.Kill()
 	}
-	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testkit.EventTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if _, up := s.status(); !up {
 			break
 		}
@@ -135,7 +135,7 @@
 	s := startPolicyVoter(t, "")
 	s.waitForStatus("get", http.StatusOK)
 	var out bytes.Buffer
-	if err := applyPolicy(s.path, map[string]string{"": twoClassPolicy}, &applyFlags{wait: testkit.Patience}, &out); err != nil {
+	if err := applyPolicy(s.path, map[string]string{"": twoClassPolicy}, &applyFlags{wait: testkit.EventTimeout}, &out); err != nil {
 		t.Fatal(err)
 	}
 	s.waitForStatus("new", http.StatusOK)
@@ -187,7 +187,7 @@
 	s.waitForStatus("get", http.StatusOK)
 	s.waitForStatus("new", http.StatusNotFound)
 	var out bytes.Buffer
-	flags := &applyFlags{reason: "a class more", wait: testkit.Patience}
+	flags := &applyFlags{reason: "a class more", wait: testkit.EventTimeout}
 	if err := applyPolicy(s.path, map[string]string{"main": classNamed("new")}, flags, &out); err != nil || !strings.Contains(out.String(), "+ class[new].deadline = 60s") || !strings.Contains(out.String(), "policy 1 of main is in force") {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
@@ -243,7 +243,7 @@
 	if _, err := callAdmin(s.path, http.MethodPost, "/reload", time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testkit.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testkit.EventTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if now, err = fetchPolicy(s.path); err == nil && len(now.Parts) == 2 && len(now.NotYetServed) == 0 && now.Bodies["far"] != "" {
 			break
 		}
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -21,8 +21,8 @@
 
 func (p *oneClientProtocol) Serve(*ConnLimiter) error {
 	r := newPendingRequest("1")
-	r.Deadline = time.Now().Add(testkit.Patience)
-	r.Remaining = testkit.Patience
+	r.Deadline = time.Now().Add(testkit.EventTimeout)
+	r.Remaining = testkit.EventTimeout
 	p.loop.Submit(r.Request)
 	<-p.ended
 	return nil
@@ -45,7 +45,7 @@
 		want     string                       // the server that gets the request
 	}{
 		"a list is pushed": {
-			wait:   testkit.Patience,
+			wait:   testkit.EventTimeout,
 			pushes: true,
 			want:   "two",
 		},
@@ -54,18 +54,18 @@
 			want: "one",
 		},
 		"the list service is down": {
-			wait: testkit.Patience,
+			wait: testkit.EventTimeout,
 			dead: true,
 			want: "one",
 		},
 		"a list is pushed after a failed call": {
-			wait:     testkit.Patience,
+			wait:     testkit.EventTimeout,
 			pushes:   true,
 			endFirst: func(w *testkit.Watcher) { close(w.Fail) },
 			want:     "two",
 		},
 		"a list is pushed after a watch that ended": {
-			wait:     testkit.Patience,
+			wait:     testkit.EventTimeout,
 			pushes:   true,
 			endFirst: func(w *testkit.Watcher) { close(w.Lines) },
 			want:     "two",
@@ -82,7 +82,7 @@
 			}
 			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Server{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
-			options := Options{HeartbeatTimeout: 2 * testkit.Patience}
+			options := Options{HeartbeatTimeout: 2 * testkit.EventTimeout}
 			a, err := New(cfg, testkit.Quiet, options, func(l *Loop) Protocol {
 				p.loop = l
 				return p
--- a/internal/core/connlimiter_test.go
+++ b/internal/core/connlimiter_test.go
@@ -121,14 +121,14 @@
 func TestYoungSilentConnectionIsNotEvicted(t *testing.T) {
 	cl, conn, _ := idleConn(t)
 	conn.hasRequested = false
-	cl.EvictSilent(testkit.Patience)
+	cl.EvictSilent(testkit.EventTimeout)
 	if cl.evicting != 0 {
 		t.Error("a young connection was evicted")
 	}
 	cl.mu.Lock()
-	conn.quietSince = time.Now().Add(-testkit.Patience)
+	conn.quietSince = time.Now().Add(-testkit.EventTimeout)
 	cl.mu.Unlock()
-	cl.EvictSilent(testkit.Patience)
+	cl.EvictSilent(testkit.EventTimeout)
 	if cl.evicting != 1 {
 		t.Errorf("%d evicted after a long silence", cl.evicting)
 	}
@@ -147,7 +147,7 @@
 // and the client sends them again on another connection.
 func TestByteThatCrossesTheEvictionCancelsIt(t *testing.T) {
 	cl, conn, client := idleConn(t)
-	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience))
+	cl.SetReadDeadline(conn, time.Now().Add(testkit.EventTimeout))
 	stream := conn.streamConn
 	conn.streamConn = lateRead{stream}
 	cl.EvictIdle()
@@ -168,7 +168,7 @@
 	cl.EvictIdle()
 	writeByte(t, client, 'G')
 	requireEvicted(t, conn)
-	cl.SetReadDeadline(conn, time.Now().Add(testkit.Patience)) // the reader sets its deadline after the eviction
+	cl.SetReadDeadline(conn, time.Now().Add(testkit.EventTimeout)) // the reader sets its deadline after the eviction
 	requireEvicted(t, conn)
 	if !cl.conns[conn] {
 		t.Error("the limiter has closed the connection by itself")
@@ -225,7 +225,7 @@
 	if !cl.conns[conns[0]] || cl.conns[conns[1]] || cl.conns[conns[3]] || !cl.conns[conns[4]] {
 		t.Error("the closed connections are not those that were quiet longest")
 	}
-	if err := clients[1].SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := clients[1].SetReadDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := clients[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -20,7 +20,7 @@
 	events := make(chan List, 100)
 	d := newListWatcher(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
 	d.version = 41
-	d.heartbeatTimeout = 2 * testkit.Patience
+	d.heartbeatTimeout = 2 * testkit.EventTimeout
 	if tune != nil {
 		tune(d)
 	}
@@ -210,7 +210,7 @@
 	// This server started before the agent. It may still be in slow start, so that it must not count as started long
 	// ago.
 	age := clk.now() - e.Backends[0].Started
-	if e.Backends[0].Started <= 0 || age < 3*time.Second || age > 3*time.Second+testkit.Patience {
+	if e.Backends[0].Started <= 0 || age < 3*time.Second || age > 3*time.Second+testkit.EventTimeout {
 		t.Errorf("started %v ago", age)
 	}
 	if e.Backends[1].Started != 0 || e.Backends[1].Zone != -1 {
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -129,7 +129,7 @@
 		case <-r.reply:
 		case reason := <-ended:
 			t.Fatalf("the loop ended at request %d: %v", n, reason)
-		case <-time.After(testkit.Patience):
+		case <-time.After(testkit.EventTimeout):
 			t.Fatalf("request %d has no answer", n)
 		}
 	}
--- a/internal/host/admin/server_test.go
+++ b/internal/host/admin/server_test.go
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(bufio.NewReader(c)); err != nil {
--- a/internal/host/handoff/dir_test.go
+++ b/internal/host/handoff/dir_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.ackTimeout = testkit.Patience
+	d.ackTimeout = testkit.EventTimeout
 	p := &process{Dir: d, otherProcesses: make(chan int, 100), failed: make(chan error, 100)}
 	n, err := d.Sync(p.apply)
 	if err != nil {
--- a/internal/protocol/http1/attempt_test.go
+++ b/internal/protocol/http1/attempt_test.go
@@ -69,7 +69,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serveRaw(t, func(int) string { return row.answer })
-			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testkit.EventTimeout)
 			defer cancel()
 			b := poolFor(t, s.addr)
 			result, a, _ := attemptAt(t, ctx, b, "body")
@@ -124,7 +124,7 @@
 		defer b.mu.Unlock()
 		return b.open == 0
 	})
-	b.cfg.Settings.ConnectTimeout = testkit.Patience
+	b.cfg.Settings.ConnectTimeout = testkit.EventTimeout
 	b.dialer = new(net.Dialer).DialContext // refused: no process listens there
 	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
--- a/internal/protocol/http1/chunks_test.go
+++ b/internal/protocol/http1/chunks_test.go
@@ -70,7 +70,7 @@
 			if s != want {
 				t.Errorf("%q, want %q", s, want)
 			}
-		case <-time.After(testkit.Patience):
+		case <-time.After(testkit.EventTimeout):
 			t.Fatalf("%q is delayed", want)
 		}
 	}
--- a/internal/protocol/http1/dial_test.go
+++ b/internal/protocol/http1/dial_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	b.cfg.Settings.ConnectTimeout = time.Hour
-	ctx, cancel := context.WithTimeoutCause(context.Background(), testkit.Patience, core.ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(context.Background(), testkit.EventTimeout, core.ErrTimedOut)
 	defer cancel()
 	for range 2 {
 		if result, _, _ := attemptAt(t, ctx, b, ""); result != decide.Incomplete || ctx.Err() != nil {
--- a/internal/protocol/http1/frontend_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -257,7 +257,7 @@
 	go func() { inFlight <- a.do("GET", "/get/x", "") }()
 	testkit.Receive(t, "request in flight", s.seen)
 	a.stop()
-	if err := idle.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := idle.SetReadDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -297,7 +297,7 @@
 		return counts.Open == 2 && counts.Fresh+counts.Idle == 1
 	})
 	a.Limiter().EvictSilent(0)
-	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	in := bufio.NewReader(c)
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	next := fmt.Sprintf("GET /get/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID())
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -52,7 +52,7 @@
 // startParts runs an agent with these parts. It first calls ready with the agent, if ready is not nil.
 func startParts(t *testing.T, cfg *core.Config, p core.Options, ready func(*core.Agent)) *runningAgent {
 	t.Helper()
-	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.Patience) // a slow machine is no failure of discovery
+	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.EventTimeout) // a slow machine is no failure of discovery
 	a, proto, err := newAgent(cfg, testkit.Quiet, p)
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		cancel()
 		select {
 		case <-r.done:
-		case <-time.After(2 * testkit.Patience):
+		case <-time.After(2 * testkit.EventTimeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -120,7 +120,7 @@
 }
 
 func (r *runningAgent) do(method, path, body string, headers ...string) exchange {
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.EventTimeout)
 	defer cancel()
 	req, err := r.request(ctx, method, path, body, headers...)
 	if err != nil {
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(c, text); err != nil {
--- a/internal/protocol/http1/loop_test.go
+++ b/internal/protocol/http1/loop_test.go
@@ -63,7 +63,7 @@
 func TestAttemptWithLittleRemainingTime(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
-	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testkit.Patience
+	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testkit.EventTimeout
 	a := start(t, cfg)
 	for range 3 { // a step may happen to be due at the first one
 		if x := a.do("GET", "/get/x", "", "X-Expires-In", "0.000001"); x.status != http.StatusServiceUnavailable {
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return &client{t, c, bufio.NewReader(c)}
@@ -147,7 +147,7 @@
 	got := make(chan exchange, 1)
 	go func() { got <- a.do("POST", "/pay/x", "form") }()
 	testkit.Receive(t, "dial", dialled)
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.EventTimeout)
 	defer cancel()
 	if known, err := a.SetServerDisabled(ctx, "s", true); !known || err != nil {
 		t.Fatalf("%v %v", known, err)
@@ -196,7 +196,7 @@
 	a.do("POST", "/pay/x", "form") // the server responds 500: the request fails, and is not retried
 	a.do("POST", "/pay/x", "form")
 	a.do("POST", "/pay/x", "form", "X-Trace-Id", "") // invalid: it does not count as a request
-	f := a.Status(testkit.Patience)
+	f := a.Status(testkit.EventTimeout)
 	want := map[string]core.ClassStatus{"get": {Name: "get", Answered: 2, Sends: 2}, "put": {Name: "put"},
 		"pay": {Name: "pay", Answered: 1, Errored: 1, Sends: 2}}
 	for _, c := range f.Classes {
@@ -207,16 +207,16 @@
 	if f.Open != 0 || f.Listed != 1 {
 		t.Errorf("%d open, %d listed", f.Open, f.Listed)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.EventTimeout)
 	defer cancel()
 	if _, err := a.SetServerDisabled(ctx, "s", true); err != nil {
 		t.Fatal(err)
 	}
-	testkit.WaitFor(t, "the server to be counted as avoided", func() bool { return a.Status(testkit.Patience).Avoided == 1 })
+	testkit.WaitFor(t, "the server to be counted as avoided", func() bool { return a.Status(testkit.EventTimeout).Avoided == 1 })
 	if x := a.do("GET", "/get/x", ""); x.status != 503 {
 		t.Errorf("with no server left: %d", x.status)
 	}
-	if f := a.Status(testkit.Patience); f.Classes[0].Deferred != 1 || f.Listed != 1 {
+	if f := a.Status(testkit.EventTimeout); f.Classes[0].Deferred != 1 || f.Listed != 1 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/protocol/http1/panic_test.go
+++ b/internal/protocol/http1/panic_test.go
@@ -56,7 +56,7 @@
 	go func() { status <- ask("1") }()
 	select {
 	case <-dialled:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.EventTimeout):
 		t.Fatal("no attempt")
 	}
 	panicNow.Store(true)
@@ -66,7 +66,7 @@
 		if got != http.StatusBadGateway {
 			t.Errorf("answered %d, want 502", got)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.EventTimeout):
 		t.Fatal("the admitted request is not answered")
 	}
 	select {
@@ -74,7 +74,7 @@
 		if !errors.Is(err, core.ErrPanic) {
 			t.Errorf("the agent ended with %v", err)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.EventTimeout):
 		t.Fatal("the agent does not end")
 	}
 	close(release)
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	var buf [64]byte
--- a/internal/protocol/http1/queue_test.go
+++ b/internal/protocol/http1/queue_test.go
@@ -54,7 +54,7 @@
 
 // askOn sends a request on a connection, and reads the response.
 func askOn(c net.Conn) exchange {
-	if err := c.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		return exchange{err: err}
 	}
 	if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()); err != nil {
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -46,7 +46,7 @@
 		a.do("GET", "/get/x", "")
 	}
 	served := 0
-	for end := time.Now().Add(testkit.Patience); served < 20 && time.Now().Before(end); {
+	for end := time.Now().Add(testkit.EventTimeout); served < 20 && time.Now().Before(end); {
 		a.dropIdle()
 		if x := a.do("GET", "/get/x", ""); x.status == 200 {
 			served++
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -271,7 +271,7 @@
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil || asked.Load() != 1 {
 				t.Errorf("%s, resets %v: %d bytes, %v, %d requests at the server", name, resets, n, err, asked.Load())
 			}
-			testkit.WaitFor(t, "the failed request to be counted", func() bool { return a.Status(testkit.Patience).Classes[0].Errored == 1 })
+			testkit.WaitFor(t, "the failed request to be counted", func() bool { return a.Status(testkit.EventTimeout).Classes[0].Errored == 1 })
 		}
 	}
 }
@@ -317,7 +317,7 @@
 	if err != nil || resp.StatusCode != 503 || !resp.Close {
 		t.Fatalf("%+v %v", resp, err)
 	}
-	f := a.Status(testkit.Patience).Classes[2]
+	f := a.Status(testkit.EventTimeout).Classes[2]
 	if f.Deferred != 1 || f.Sends != 0 {
 		t.Errorf("%+v", f)
 	}
@@ -378,7 +378,7 @@
 		t.Error("the server has the complete upload")
 	}
 	testkit.WaitFor(t, "the end of both uploads", func() bool { return a.frontend.openRequests.Load() == 0 && a.frontend.openUploads.Load() == 0 })
-	f := a.Status(testkit.Patience)
+	f := a.Status(testkit.EventTimeout)
 	if f.Avoided != 0 || f.Classes[2].Sends != 0 {
 		t.Errorf("%+v", f)
 	}
@@ -410,7 +410,7 @@
 // If no server is available, an upload is refused at once, and the rest of its body is not read as a request.
 func TestUploadIsRejectedAtOnce(t *testing.T) {
 	a := startWith(t, (&standIn{addr: testkit.DeadAddr(t)}).member("dead"))
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.EventTimeout)
 	defer cancel()
 	if _, err := a.SetServerDisabled(ctx, "dead", true); err != nil {
 		t.Fatal(err)
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -193,7 +193,7 @@
 		if _, err := c.Write(text); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.SetReadDeadline(time.Now().Add(testkit.Patience / 4)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(testkit.EventTimeout / 4)); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := in.Next()
@@ -208,7 +208,7 @@
 			t.Errorf("request %s: %d, code %d, %q", id, m.ID, code, m.Content)
 		}
 	}
-	if err := c.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	close(hold)
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -70,7 +70,7 @@
 func startAgent(t testing.TB, cfg *core.Config, o Options) *testAgent {
 	t.Helper()
 	log := &logBuffer{}
-	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
+	a, p, err := newAgent(cfg, o, slog.New(slog.NewTextHandler(log, nil)), core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.EventTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 		}
 		select {
 		case <-r.done:
-		case <-time.After(2 * testkit.Patience):
+		case <-time.After(2 * testkit.EventTimeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetTimeout(testkit.Patience)
+	c.SetTimeout(testkit.EventTimeout)
 	t.Cleanup(func() { c.Close() })
 	return c
 }
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testkit.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return c
--- a/internal/protocol/ldap/ldap_test.go
+++ b/internal/protocol/ldap/ldap_test.go
@@ -66,7 +66,7 @@
 		})
 	}
 	a := startAgent(t, testConfig(t, one, two), Options{})
-	until := time.Now().Add(testkit.Patience)
+	until := time.Now().Add(testkit.EventTimeout)
 	var all sync.WaitGroup
 	for range 4 {
 		c := a.dial(t)
--- a/internal/protocol/ldap/property_test.go
+++ b/internal/protocol/ldap/property_test.go
@@ -75,7 +75,7 @@
 		// If the balancer has not answered a request by half of AnswerGrace after the deadline, the loop answers.
 		// Half of the usual AnswerGrace is 10 ms, and on a busy machine a timer of the balancer can be later than
 		// that. The tests of package decide check, event by event, that the balancer answers in time.
-		cfg.Settings.AnswerGrace = 2 * testkit.Patience
+		cfg.Settings.AnswerGrace = 2 * testkit.EventTimeout
 		a := startAgent(t, cfg, Options{})
 		defer a.stop()
 		var wait sync.WaitGroup
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -88,7 +88,7 @@
 	for name, endRequest := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
 		t.Run(name, func(t *testing.T) {
 			d := startDirectory(t, "one", directory.Options{})
-			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.Quiet, core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.Patience})
+			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.Quiet, core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.EventTimeout})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -64,7 +64,7 @@
 			if err != nil || m.ID != 0 || m.Op != ldapmsg.ExtResponse || !strings.Contains(string(m.Content), ldapmsg.OIDDisconnection) {
 				t.Errorf("%+v, %v", m, err)
 			}
-			if took := time.Since(began); took > testkit.Patience/2 {
+			if took := time.Since(began); took > testkit.EventTimeout/2 {
 				t.Errorf("after %v", took)
 			}
 		})
@@ -138,7 +138,7 @@
 		return directory.Fault{Stall: hold}
 	})
 	a := startAgent(t, testConfig(t, d), Options{})
-	a.p.firstRequestGrace = 2 * testkit.Patience
+	a.p.firstRequestGrace = 2 * testkit.EventTimeout
 	busy, quiet, unused := a.dialRaw(t), a.dialRaw(t), a.dialRaw(t) // the last sends no request yet
 	cancelOfUnknown := ldapmsg.Extended(1, ldapmsg.OIDCancel, []byte{0x30, 3, 2, 1, 9})
 	ask := func(c net.Conn) {
--- a/internal/source/dnssource/mdns_test.go
+++ b/internal/source/dnssource/mdns_test.go
@@ -145,7 +145,7 @@
 	}()
 	until := func(what string, ok func(endpoints.Report) bool) {
 		t.Helper()
-		limit := time.After(testkit.Patience)
+		limit := time.After(testkit.EventTimeout)
 		for {
 			select {
 			case v := <-reports:
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -14,9 +14,9 @@
 	"vetchhaven/internal/source/discovery"
 )
 
-// Patience is how long a test waits for an event that must happen. It is far longer than the event takes on any
+// EventTimeout is how long a test waits for an event that must happen. It is far longer than the event takes on any
 // machine.
-const Patience = 30 * time.Second
+const EventTimeout = 30 * time.Second
 
 // Quiet is a logger that discards all lines.
 var Quiet = slog.New(slog.DiscardHandler)
@@ -119,7 +119,7 @@
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(EventTimeout):
 		t.Fatalf("timed out: no %s", what)
 		panic("unreachable")
 	}
@@ -129,7 +129,7 @@
 // channel.
 func WaitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(EventTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
