--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -17,7 +17,7 @@
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil { // a file in place of the directory
 		t.Fatal(err)
 	}
-	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.Quiet)
+	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.DiscardLogger)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		w.Run(stop)
@@ -70,7 +70,7 @@
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.Quiet)
+	w := NewWriter(filepath.Join(blocked, "state"), "file", "it", testkit.DiscardLogger)
 	w.Put([]byte("x"))
 	w.Flush()
 	if wait := w.backoff(); wait < minRetryBackoff/2 || wait > maxRetryBackoff {
--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -83,7 +83,7 @@
 			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Server{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
 			options := Options{HeartbeatTimeout: 2 * testkit.EventTimeout}
-			a, err := New(cfg, testkit.Quiet, options, func(l *Loop) Protocol {
+			a, err := New(cfg, testkit.DiscardLogger, options, func(l *Loop) Protocol {
 				p.loop = l
 				return p
 			})
@@ -118,7 +118,7 @@
 
 // A request that arrives late in a drain must be answered before the agent ends, even if its own deadline is later.
 func TestLateRequestOfADrainIsAnsweredBeforeItsEnd(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.Quiet)
+	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 				cfg.Settings.Classes[i].Deadline = longest
 			}
 			options := Options{Listener: testkit.Listen(t)}
-			a, err := New(cfg, testkit.Quiet, options, func(*Loop) Protocol { return idleProtocol{} })
+			a, err := New(cfg, testkit.DiscardLogger, options, func(*Loop) Protocol { return idleProtocol{} })
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -18,7 +18,7 @@
 func runListWatcher(t *testing.T, cfg *Config, tune func(*listWatcher)) (*listWatcher, chan List) {
 	t.Helper()
 	events := make(chan List, 100)
-	d := newListWatcher(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.Quiet)
+	d := newListWatcher(cfg, newClock(), func(e any) { events <- e.(List) }, testkit.DiscardLogger)
 	d.version = 41
 	d.heartbeatTimeout = 2 * testkit.EventTimeout
 	if tune != nil {
@@ -195,7 +195,7 @@
 func TestListIsTranslated(t *testing.T) {
 	cfg := testConfig(t, testkit.Setup{})
 	clk := newClock()
-	d := newListWatcher(cfg, clk, nil, testkit.Quiet)
+	d := newListWatcher(cfg, clk, nil, testkit.DiscardLogger)
 	at := time.Now().Add(-3 * time.Second)
 	e := d.translate(&discovery.Update{Servers: []discovery.Server{
 		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Started: at.UnixMilli()},
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -32,7 +32,7 @@
 	}
 	s := &sendingLoop{results: make(chan decide.Result), request: newPendingRequest("r")}
 	var err error
-	if s.Loop, err = newLoop(cfg, newClock(), endingProtocol{results: s.results}, testkit.Quiet); err != nil {
+	if s.Loop, err = newLoop(cfg, newClock(), endingProtocol{results: s.results}, testkit.DiscardLogger); err != nil {
 		t.Fatal(err)
 	}
 	s.attemptsContext = context.Background()
--- a/internal/core/listdelay_test.go
+++ b/internal/core/listdelay_test.go
@@ -176,7 +176,7 @@
 func (s *listService) firstUpdate(t *testing.T, cfg *Config) (at time.Duration, calls int) {
 	t.Helper()
 	s.startedAt = time.Now()
-	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
+	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 			}
 		}
 		l.post(e)
-	}, testkit.Quiet)
+	}, testkit.DiscardLogger)
 	d.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: s.dial}}
 	l.requestWatch = d.subscribe
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -25,7 +25,7 @@
 	cfg := testConfig(t, testkit.Setup{})
 	cfg.PeerListen = "127.0.0.1:0"
 	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
-	p, err := newPeers(cfg, testkit.Quiet)
+	p, err := newPeers(cfg, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	cfg := testConfig(t, testkit.Setup{})
 	cfg.PeerListen = occupied.LocalAddr().String()
 	cfg.Peers = []string{occupied.LocalAddr().String(), other.LocalAddr().String()}
-	p, err := newPeers(cfg, testkit.Quiet)
+	p, err := newPeers(cfg, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -44,14 +44,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cfg := testConfig(t, testkit.Setup{})
-				l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.Quiet)
+				l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.DiscardLogger)
 				if err != nil {
 					t.Fatal(err)
 				}
 				list := func(kind decide.ListKind, saved bool, members ...discovery.Server) decide.Backend {
 					l.pending = nil
 					m := &discovery.Update{Full: kind == decide.ListFull, Saved: saved, Servers: members}
-					l.handle(translate(cfg, l.clock, testkit.Quiet, m, kind))
+					l.handle(translate(cfg, l.clock, testkit.DiscardLogger, m, kind))
 					update := l.pending[0].(decide.ListUpdate)
 					return update.Backends[len(update.Backends)-1]
 				}
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -29,11 +29,11 @@
 	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Server{server}})
 	synctest.Test(t, func(t *testing.T) {
 		clk := newClock()
-		l, err := newLoop(cfg, clk, &scriptedProtocol{attempt: attempt}, testkit.Quiet)
+		l, err := newLoop(cfg, clk, &scriptedProtocol{attempt: attempt}, testkit.DiscardLogger)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.handle(translate(cfg, clk, testkit.Quiet, cfg.Known, decide.ListCached))
+		l.handle(translate(cfg, clk, testkit.DiscardLogger, cfg.Known, decide.ListCached))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
--- a/internal/host/admin/server_test.go
+++ b/internal/host/admin/server_test.go
@@ -63,7 +63,7 @@
 
 func startServer(t *testing.T, agent Agent, publisher Publisher) string {
 	t.Helper()
-	server, err := Listen("127.0.0.1:0", agent, publisher, testkit.Quiet)
+	server, err := Listen("127.0.0.1:0", agent, publisher, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -53,7 +53,7 @@
 func startParts(t *testing.T, cfg *core.Config, p core.Options, ready func(*core.Agent)) *runningAgent {
 	t.Helper()
 	p.HeartbeatTimeout = cmp.Or(p.HeartbeatTimeout, 2*testkit.EventTimeout) // a slow machine is no failure of discovery
-	a, proto, err := newAgent(cfg, testkit.Quiet, p)
+	a, proto, err := newAgent(cfg, testkit.DiscardLogger, p)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/http1/panic_test.go
+++ b/internal/protocol/http1/panic_test.go
@@ -19,7 +19,7 @@
 func TestNothingIsSentAfterAPanic(t *testing.T) {
 	server := testkit.Listen(t)
 	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{{ID: "s", Addr: server.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}})
-	a, proto, err := newAgent(cfg, testkit.Quiet, core.Options{})
+	a, proto, err := newAgent(cfg, testkit.DiscardLogger, core.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -96,7 +96,7 @@
 			l := &breakableListener{Listener: testkit.Listen(t), broken: make(chan struct{}), err: err}
 			now := make(chan time.Time)
 			close(now)
-			a, _, e := newAgent(cfg, testkit.Quiet, core.Options{Listener: l, StopAccepting: now})
+			a, _, e := newAgent(cfg, testkit.DiscardLogger, core.Options{Listener: l, StopAccepting: now})
 			if e != nil {
 				t.Fatal(e)
 			}
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -336,7 +336,7 @@
 	}
 	acceptHeld := make(chan struct{})
 	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: acceptHeld}
-	a, _, err := newAgent(cfg, Options{}, testkit.Quiet, core.Options{Listener: l, NoLateConnections: true})
+	a, _, err := newAgent(cfg, Options{}, testkit.DiscardLogger, core.Options{Listener: l, NoLateConnections: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ldap/sendguard_test.go
+++ b/internal/protocol/ldap/sendguard_test.go
@@ -64,7 +64,7 @@
 	done := make(chan error, 1)
 	go func() { _, err := c.Search(baseSearch()); done <- err }()
 	testkit.Receive(t, "dial", dialing)
-	hub := discovery.NewHub(discovery.HubOptions{Log: testkit.Quiet})
+	hub := discovery.NewHub(discovery.HubOptions{Log: testkit.DiscardLogger})
 	hub.Apply(&discovery.Update{Version: 42, Full: true, Servers: []discovery.Server{moved.Member("ready")}})
 	r.FollowHub(hub)
 	testkit.WaitFor(t, "the list", func() bool {
@@ -88,7 +88,7 @@
 	for name, endRequest := range map[string][]byte{"abandon": ldapmsg.Abandon(8, 7), "cancel": ldapmsg.Cancel(8, 7)} {
 		t.Run(name, func(t *testing.T) {
 			d := startDirectory(t, "one", directory.Options{})
-			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.Quiet, core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.EventTimeout})
+			a, p, err := newAgent(testConfig(t, d), Options{}, testkit.DiscardLogger, core.Options{NoLateConnections: true, HeartbeatTimeout: 2 * testkit.EventTimeout})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/protocol/ldap/session_test.go
+++ b/internal/protocol/ldap/session_test.go
@@ -200,7 +200,7 @@
 		return directory.Fault{Stall: hold}
 	})
 	cfg := testConfig(t, d)
-	a, _, err := newAgent(cfg, Options{}, testkit.Quiet, core.Options{NoLateConnections: true})
+	a, _, err := newAgent(cfg, Options{}, testkit.DiscardLogger, core.Options{NoLateConnections: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -18,8 +18,8 @@
 // machine.
 const EventTimeout = 30 * time.Second
 
-// Quiet is a logger that discards all lines.
-var Quiet = slog.New(slog.DiscardHandler)
+// DiscardLogger is a logger that discards all lines.
+var DiscardLogger = slog.New(slog.DiscardHandler)
 
 // Settings is the format of a settings object of the platform. Its arguments are the mode of the endpoint list and the
 // deadline of all classes in milliseconds. It has one class for each kind of semantics, and time limits long enough
