--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -75,7 +75,7 @@
 			list := testkit.NewCatalog(t)
 			addr := list.Addr
 			if row.dead {
-				addr = testkit.DeadAddr(t)
+				addr = testkit.RefusingAddr(t)
 			}
 			member := func(id, state string) discovery.Server {
 				return discovery.Server{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -25,7 +25,7 @@
 // runWithLoop runs f in virtual time, with a running loop whose list has one server.
 func runWithLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
 	t.Helper()
-	server := discovery.Server{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+	server := discovery.Server{ID: "s", Addr: testkit.RefusingAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Server{server}})
 	synctest.Test(t, func(t *testing.T) {
 		clk := newClock()
--- a/internal/protocol/http1/attempt_test.go
+++ b/internal/protocol/http1/attempt_test.go
@@ -90,7 +90,7 @@
 }
 
 func TestRefusedConnectionIsNotSent(t *testing.T) {
-	b := poolFor(t, testkit.DeadAddr(t))
+	b := poolFor(t, testkit.RefusingAddr(t))
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("result %v", result)
 	}
@@ -126,7 +126,7 @@
 	})
 	b.cfg.Settings.ConnectTimeout = testkit.EventTimeout
 	b.dialer = new(net.Dialer).DialContext // refused: no process listens there
-	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
+	b.update(core.List{ListUpdate: decide.ListUpdate{Backends: []decide.Backend{{ID: "s"}}}, Addrs: map[string]string{"s": testkit.RefusingAddr(t)}})
 	if result, _, _ := attemptAt(t, context.Background(), b, ""); result != decide.ConnectFailed {
 		t.Errorf("refused: result %v", result)
 	}
@@ -149,7 +149,7 @@
 		syscall.ENETDOWN: decide.Incomplete, syscall.EPERM: decide.Incomplete, syscall.EACCES: decide.Incomplete, syscall.EIO: decide.Incomplete,
 		syscall.EHOSTDOWN: decide.Incomplete, syscall.EINVAL: decide.Incomplete,
 	} {
-		b := poolFor(t, testkit.DeadAddr(t))
+		b := poolFor(t, testkit.RefusingAddr(t))
 		b.dialer = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 		}
--- a/internal/protocol/http1/loop_test.go
+++ b/internal/protocol/http1/loop_test.go
@@ -38,7 +38,7 @@
 
 // A request that was never executed may be refused.
 func TestRejectedRequestGets503(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{{ID: "s", Addr: testkit.DeadAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
+	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{{ID: "s", Addr: testkit.RefusingAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := start(t, cfg)
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", x)
--- a/internal/protocol/http1/pool_test.go
+++ b/internal/protocol/http1/pool_test.go
@@ -132,7 +132,7 @@
 	}()
 	testkit.Receive(t, "request", one.seen)
 	b.update(core.List{ListUpdate: decide.ListUpdate{Kind: decide.ListDelta, Backends: []decide.Backend{{ID: "s"}}},
-		Addrs: map[string]string{"s": testkit.DeadAddr(t)}})
+		Addrs: map[string]string{"s": testkit.RefusingAddr(t)}})
 	close(hold)
 	if r := testkit.Receive(t, "result", done); r != decide.OK || b.open != 0 {
 		t.Errorf("result %v, %d connections kept", r, b.open)
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -35,7 +35,7 @@
 // servers. It used to send nothing until the whole slow start was over, since a cold server's share followed from what
 // warm servers serve.
 func TestServesAfterAllServersRefusedConnections(t *testing.T) {
-	dead := testkit.DeadAddr(t)
+	dead := testkit.RefusingAddr(t)
 	a, broken := withBrokenDials(t, func(ctx context.Context) (net.Conn, error) { return new(net.Dialer).DialContext(ctx, "tcp", dead) })
 	for range 20 {
 		a.do("GET", "/get/x", "")
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -395,7 +395,7 @@
 		got <- n
 	})
 	for range 10 {
-		dead := (&standIn{addr: testkit.DeadAddr(t)}).member("dead")
+		dead := (&standIn{addr: testkit.RefusingAddr(t)}).member("dead")
 		a := startWith(t, s, dead)
 		c := a.upload(t, 4*maxBufferedBody)
 		if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 200 {
@@ -409,7 +409,7 @@
 
 // If no server is available, an upload is refused at once, and the rest of its body is not read as a request.
 func TestUploadIsRejectedAtOnce(t *testing.T) {
-	a := startWith(t, (&standIn{addr: testkit.DeadAddr(t)}).member("dead"))
+	a := startWith(t, (&standIn{addr: testkit.RefusingAddr(t)}).member("dead"))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.EventTimeout)
 	defer cancel()
 	if _, err := a.SetServerDisabled(ctx, "dead", true); err != nil {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -54,7 +54,7 @@
 		s.Deadline = 60000
 	}
 	if s.Discovery == "" {
-		s.Discovery = DeadAddr(t)
+		s.Discovery = RefusingAddr(t)
 	}
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.Discovery, "seed": "8c1f30d27a5be964",
@@ -79,14 +79,14 @@
 	return ln
 }
 
-// DeadAddr returns an address at which no process listens until the test ends, so that connections are refused. The
+// RefusingAddr returns an address at which no process listens until the test ends, so that connections are refused. The
 // port stays bound: otherwise another test's server could get the port and receive connections that must be refused.
-func DeadAddr(t testing.TB) string {
+func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	return boundAddr(t, 0)
 }
 
-// DownAddr returns an address like that of DeadAddr, at which the test itself may later listen with net.Listen.
+// DownAddr returns an address like that of RefusingAddr, at which the test itself may later listen with net.Listen.
 func DownAddr(t testing.TB) string {
 	t.Helper()
 	return boundAddr(t, 1)
