--- a/cmd/vetchhaven/handover_test.go
+++ b/cmd/vetchhaven/handover_test.go
@@ -51,7 +51,7 @@
 				t.Fatal(err)
 			}
 			slow := fmt.Sprintf("[[source]]\nname = \"down\"\nlist = %q\n[[instance]]\nname = \"slow\"\nsource = \"down\"\nlisten = \"unix:%s/slow.sock\"\n",
-				testkit.DownAddr(t), s.dir)
+				testkit.ReservedAddr(t), s.dir)
 			first := strings.Replace(string(text), "name = \"one\"\n", "name = \"one\"\nsource = \"main\"\n", 1)
 			write(t, s.path, first+slow+fmt.Sprintf("[[instance]]\nname = \"late\"\nsource = \"main\"\nlisten = \"unix:%s/late.sock\"\n", s.dir))
 			if !successorFails {
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -128,7 +128,7 @@
 func TestListOfABriefRecoveryCounts(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
-			addr := testkit.DownAddr(t)
+			addr := testkit.ReservedAddr(t)
 			d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: addr}), nil)
 			failed := func(times int) {
 				t.Helper()
--- a/internal/host/daemon/ready_test.go
+++ b/internal/host/daemon/ready_test.go
@@ -21,7 +21,7 @@
 			text := ""
 			for n := range sources {
 				text += fmt.Sprintf("[[source]]\nname = \"down%[1]d\"\nlist = %[2]q\nspread = \"1ms\"\nfirst = \"1ms\"\n"+
-					"[[instance]]\nname = \"i%[1]d\"\nsource = \"down%[1]d\"\nlisten = \"unix:%[3]s\"\n", n, testkit.DownAddr(t), tb.socketPath(fmt.Sprint("i", n)))
+					"[[instance]]\nname = \"i%[1]d\"\nsource = \"down%[1]d\"\nlisten = \"unix:%[3]s\"\n", n, testkit.ReservedAddr(t), tb.socketPath(fmt.Sprint("i", n)))
 			}
 			tb.writeConfig(text)
 			began := time.Now()
--- a/internal/host/daemon/stop_test.go
+++ b/internal/host/daemon/stop_test.go
@@ -121,7 +121,7 @@
 	t.Cleanup(other.Close)
 	addresses := map[string]string{"web": "unix:" + tb.socketPath("web"), "dir": "unix:" + tb.socketPath("dir")}
 	if network == "tcp" {
-		addresses = map[string]string{"web": testkit.DownAddr(t), "dir": testkit.DownAddr(t)}
+		addresses = map[string]string{"web": testkit.ReservedAddr(t), "dir": testkit.ReservedAddr(t)}
 	}
 	tb.writeConfig(ldapClassTables + fmt.Sprintf(`
 [[source]]
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -86,8 +86,8 @@
 	return boundAddr(t, 0)
 }
 
-// DownAddr returns an address like that of RefusingAddr, at which the test itself may later listen with net.Listen.
-func DownAddr(t testing.TB) string {
+// ReservedAddr returns an address like that of RefusingAddr, at which the test itself may later listen with net.Listen.
+func ReservedAddr(t testing.TB) string {
 	t.Helper()
 	return boundAddr(t, 1)
 }
