--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -72,7 +72,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			list := testkit.NewCatalog(t)
+			list := testkit.NewScriptedList(t)
 			addr := list.Addr
 			if row.dead {
 				addr = testkit.RefusingAddr(t)
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -43,7 +43,7 @@
 
 // After a failure the next watch must continue from the last version, and each failure must be posted.
 func TestWatchReconnects(t *testing.T) {
-	c := testkit.NewCatalog(t)
+	c := testkit.NewScriptedList(t)
 	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
 	w := testkit.Receive(t, "watch", c.Watch)
 	if w.Since != "41" {
@@ -86,7 +86,7 @@
 
 // With Settings.Subscribe the agent must open a watch only if the balancer requests it.
 func TestWatchIsOpenedOnlyOnRequest(t *testing.T) {
-	c := testkit.NewCatalog(t)
+	c := testkit.NewScriptedList(t)
 	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}), nil)
 	d.subscribe()
 	close(testkit.Receive(t, "watch", c.Watch).Fail)
@@ -101,7 +101,7 @@
 // If the balancer requests a watch during one that was opened because of a new address, the request must be dropped
 // when that watch ends: the balancer is notified of the end, and makes another request after its backoff.
 func TestRequestDuringAWatchIsVoidAtItsEnd(t *testing.T) {
-	one, two := testkit.NewCatalog(t), testkit.NewCatalog(t)
+	one, two := testkit.NewScriptedList(t), testkit.NewScriptedList(t)
 	waiting := make(chan int, 1)
 	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
 		post := d.post
@@ -181,7 +181,7 @@
 // If the network to the discovery service fails, connections are not closed: a watch without heartbeats must count as
 // failed.
 func TestWatchWithoutHeartbeatEnds(t *testing.T) {
-	c := testkit.NewCatalog(t)
+	c := testkit.NewScriptedList(t)
 	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) {
 		d.heartbeatTimeout = 50 * time.Millisecond
 	})
@@ -223,7 +223,7 @@
 func TestWatchFollowsTheAddress(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
-			one, two, three := testkit.NewCatalog(t), testkit.NewCatalog(t), testkit.NewCatalog(t)
+			one, two, three := testkit.NewScriptedList(t), testkit.NewScriptedList(t), testkit.NewScriptedList(t)
 			d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: one.Addr}), nil)
 			if mode == "subscribe" {
 				d.subscribe()
--- a/internal/protocol/http1/discovery_test.go
+++ b/internal/protocol/http1/discovery_test.go
@@ -20,7 +20,7 @@
 func TestAgentServesWhileDiscoveryIsDown(t *testing.T) {
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
-	c := testkit.NewCatalog(t)
+	c := testkit.NewScriptedList(t)
 	a := start(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr, Servers: []discovery.Server{one.member("one")}}))
 	close(testkit.Receive(t, "watch", c.Watch).Fail)
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
@@ -54,7 +54,7 @@
 
 // An agent without an endpoint list is not ready. It becomes ready with the first list.
 func TestNotReadyWithoutServers(t *testing.T) {
-	c := testkit.NewCatalog(t)
+	c := testkit.NewScriptedList(t)
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}))
 	w := testkit.Receive(t, "watch", c.Watch)
--- a/internal/protocol/http1/latedial_test.go
+++ b/internal/protocol/http1/latedial_test.go
@@ -36,7 +36,7 @@
 		t.Run(state, func(t *testing.T) {
 			one, two := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
 			moved := serveRaw(t, func(int) string { return ok200 })
-			list := testkit.NewCatalog(t)
+			list := testkit.NewScriptedList(t)
 			a := start(t, testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Server{one.member("one")}}))
 			w := testkit.Receive(t, "watch", list.Watch)
 			dialled, release := a.blockDial(one.addr)
@@ -99,7 +99,7 @@
 			return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 		})
 		other := serveRaw(t, func(int) string { return ok200 })
-		list := testkit.NewCatalog(t)
+		list := testkit.NewScriptedList(t)
 		cfg := testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Server{failing.member("failing")}})
 		cfg.Settings.Classes[1].DedupWindow, cfg.Settings.Classes[1].Objective, cfg.Settings.ConnectTimeout = window, 200*time.Millisecond, connect
 		a := start(t, cfg)
--- a/internal/protocol/ldap/attempt_test.go
+++ b/internal/protocol/ldap/attempt_test.go
@@ -108,7 +108,7 @@
 // A server gets no new operations once the endpoint list shows it as draining.
 func TestDrainingServerGetsNothingNew(t *testing.T) {
 	one, two := startDirectory(t, "one", directory.Options{}), startDirectory(t, "two", directory.Options{})
-	list := testkit.NewCatalog(t)
+	list := testkit.NewScriptedList(t)
 	cfg := testConfig(t, one, two)
 	cfg.Discovery, cfg.Settings.Subscribe = list.Addr, false
 	a := startAgent(t, cfg, Options{})
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -136,24 +136,24 @@
 	}
 }
 
-// Catalog is a stand-in list service that passes each watch to the test, which writes the watch's lines.
-type Catalog struct {
+// ScriptedList is a stand-in list service that passes each watch to the test, which writes the watch's lines.
+type ScriptedList struct {
 	Addr  string
 	Watch chan *Watcher
 }
 
-// Watcher is one watch of a Catalog.
+// Watcher is one watch of a ScriptedList.
 type Watcher struct {
 	Since string
 	Lines chan string // the watch ends when this is closed
 	Fail  chan struct{}
 }
 
-// NewCatalog runs a Catalog until the test ends.
-func NewCatalog(t testing.TB) *Catalog {
+// NewScriptedList runs a ScriptedList until the test ends.
+func NewScriptedList(t testing.TB) *ScriptedList {
 	t.Helper()
 	ln := Listen(t)
-	c := &Catalog{Addr: ln.Addr().String(), Watch: make(chan *Watcher, 10)}
+	c := &ScriptedList{Addr: ln.Addr().String(), Watch: make(chan *Watcher, 10)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
 			t.Errorf("the list service received a request for %s", r.URL)
