--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -103,7 +103,7 @@
 				if row.pushes {
 					two := member("two", "ready")
 					two.Addr = "127.0.0.1:10"
-					w.Lines <- testkit.ToLine(t, 42, member("one", "draining"), two)
+					w.Lines <- testkit.EncodeWatchLine(t, 42, member("one", "draining"), two)
 				}
 			}
 			if got := testkit.Receive(t, "attempt", p.sent); got != row.want {
--- a/internal/protocol/http1/discovery_test.go
+++ b/internal/protocol/http1/discovery_test.go
@@ -32,7 +32,7 @@
 	w := testkit.Receive(t, "second watch", c.Watch)
 	drained := one.member("one")
 	drained.State = "draining"
-	w.Lines <- testkit.ToLine(t, 42, drained, two.member("two"))
+	w.Lines <- testkit.EncodeWatchLine(t, 42, drained, two.member("two"))
 	a.waitListed(t, "two")
 	expectNoRequests(t, a, one)
 }
@@ -61,7 +61,7 @@
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
 		t.Errorf("health %+v", x)
 	}
-	w.Lines <- testkit.ToLine(t, 1, s.member("s"))
+	w.Lines <- testkit.EncodeWatchLine(t, 1, s.member("s"))
 	testkit.WaitFor(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
 }
 
--- a/internal/protocol/http1/latedial_test.go
+++ b/internal/protocol/http1/latedial_test.go
@@ -45,13 +45,13 @@
 			testkit.Receive(t, "dial", dialled)
 			switch m := one.member("one"); state {
 			case "not listed":
-				w.Lines <- strings.Replace(testkit.ToLine(t, 42, two.member("two")), `"full":false`, `"full":true`, 1)
+				w.Lines <- strings.Replace(testkit.EncodeWatchLine(t, 42, two.member("two")), `"full":false`, `"full":true`, 1)
 			case "moved":
 				m.Addr = moved.addr
-				w.Lines <- testkit.ToLine(t, 42, m, two.member("two"))
+				w.Lines <- testkit.EncodeWatchLine(t, 42, m, two.member("two"))
 			default:
 				m.State = state
-				w.Lines <- testkit.ToLine(t, 42, m, two.member("two"))
+				w.Lines <- testkit.EncodeWatchLine(t, 42, m, two.member("two"))
 			}
 			a.waitListed(t, "two")
 			close(release)
@@ -109,7 +109,7 @@
 		go func() { got <- a.do("POST", "/put/x", "form", "Idempotency-Key", "k") }()
 		testkit.Receive(t, "request", failing.seen)
 		sent := time.Now()
-		w.Lines <- testkit.ToLine(t, 42, other.member("other"))
+		w.Lines <- testkit.EncodeWatchLine(t, 42, other.member("other"))
 		a.waitListed(t, "other")
 		time.AfterFunc(time.Until(sent.Add(window-connect-100*time.Millisecond)), func() { close(hold) })
 		select {
--- a/internal/protocol/ldap/attempt_test.go
+++ b/internal/protocol/ldap/attempt_test.go
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 	}
-	w.Lines <- testkit.ToLine(t, 42, one.Member("draining"))
+	w.Lines <- testkit.EncodeWatchLine(t, 42, one.Member("draining"))
 	testkit.WaitFor(t, "the change", func() bool {
 		before := one.Served("lookup")
 		for range 20 {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -183,8 +183,8 @@
 	return c
 }
 
-// ToLine encodes a change of the list as a line of a watch.
-func ToLine(t testing.TB, version int64, servers ...discovery.Server) string {
+// EncodeWatchLine encodes a change of the list as a line of a watch.
+func EncodeWatchLine(t testing.TB, version int64, servers ...discovery.Server) string {
 	t.Helper()
 	raw, err := json.Marshal(discovery.Update{Version: version, Servers: servers})
 	if err != nil {
