--- a/internal/core/agent_test.go
+++ b/internal/core/agent_test.go
@@ -80,7 +80,7 @@
 			member := func(id, state string) discovery.Server {
 				return discovery.Server{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m1", State: state, Weight: 1}
 			}
-			cfg := testConfig(t, testkit.Setup{Discovery: addr, Servers: []discovery.Server{member("one", "ready")}})
+			cfg := testConfig(t, testkit.ConfigOptions{Discovery: addr, Servers: []discovery.Server{member("one", "ready")}})
 			p := &oneClientProtocol{sent: make(chan string, 1), ended: make(chan struct{})}
 			options := Options{HeartbeatTimeout: 2 * testkit.EventTimeout}
 			a, err := New(cfg, testkit.DiscardLogger, options, func(l *Loop) Protocol {
@@ -118,7 +118,7 @@
 
 // A request that arrives late in a drain must be answered before the agent ends, even if its own deadline is later.
 func TestLateRequestOfADrainIsAnsweredBeforeItsEnd(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
+	l, err := newLoop(testConfig(t, testkit.ConfigOptions{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 func TestDrainWaitsForTheLongestDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{2 * time.Second, 9 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
-			cfg := testConfig(t, testkit.Setup{})
+			cfg := testConfig(t, testkit.ConfigOptions{})
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Deadline = longest
 			}
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -44,7 +44,7 @@
 // After a failure the next watch must continue from the last version, and each failure must be posted.
 func TestWatchReconnects(t *testing.T) {
 	c := testkit.NewScriptedList(t)
-	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), nil)
+	_, events := runListWatcher(t, testConfig(t, testkit.ConfigOptions{Discovery: c.Addr}), nil)
 	w := testkit.Receive(t, "watch", c.Watch)
 	if w.Since != "41" {
 		t.Errorf("since %q", w.Since)
@@ -87,7 +87,7 @@
 // With Settings.Subscribe the agent must open a watch only if the balancer requests it.
 func TestWatchIsOpenedOnlyOnRequest(t *testing.T) {
 	c := testkit.NewScriptedList(t)
-	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}), nil)
+	d, events := runListWatcher(t, testConfig(t, testkit.ConfigOptions{Mode: "subscribe", Discovery: c.Addr}), nil)
 	d.subscribe()
 	close(testkit.Receive(t, "watch", c.Watch).Fail)
 	testkit.Receive(t, "failure", events)
@@ -103,7 +103,7 @@
 func TestRequestDuringAWatchIsVoidAtItsEnd(t *testing.T) {
 	one, two := testkit.NewScriptedList(t), testkit.NewScriptedList(t)
 	waiting := make(chan int, 1)
-	d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
+	d, events := runListWatcher(t, testConfig(t, testkit.ConfigOptions{Mode: "subscribe", Discovery: one.Addr}), func(d *listWatcher) {
 		post := d.post
 		d.post = func(e any) {
 			waiting <- len(d.watchRequests)
@@ -129,7 +129,7 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			addr := testkit.ReservedAddr(t)
-			d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: addr}), nil)
+			d, events := runListWatcher(t, testConfig(t, testkit.ConfigOptions{Mode: mode, Discovery: addr}), nil)
 			failed := func(times int) {
 				t.Helper()
 				for range times {
@@ -182,7 +182,7 @@
 // failed.
 func TestWatchWithoutHeartbeatEnds(t *testing.T) {
 	c := testkit.NewScriptedList(t)
-	_, events := runListWatcher(t, testConfig(t, testkit.Setup{Discovery: c.Addr}), func(d *listWatcher) {
+	_, events := runListWatcher(t, testConfig(t, testkit.ConfigOptions{Discovery: c.Addr}), func(d *listWatcher) {
 		d.heartbeatTimeout = 50 * time.Millisecond
 	})
 	testkit.Receive(t, "watch", c.Watch)
@@ -193,7 +193,7 @@
 }
 
 func TestListIsTranslated(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	clk := newClock()
 	d := newListWatcher(cfg, clk, nil, testkit.DiscardLogger)
 	at := time.Now().Add(-3 * time.Second)
@@ -224,7 +224,7 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			one, two, three := testkit.NewScriptedList(t), testkit.NewScriptedList(t), testkit.NewScriptedList(t)
-			d, events := runListWatcher(t, testConfig(t, testkit.Setup{Mode: mode, Discovery: one.Addr}), nil)
+			d, events := runListWatcher(t, testConfig(t, testkit.ConfigOptions{Mode: mode, Discovery: one.Addr}), nil)
 			if mode == "subscribe" {
 				d.subscribe()
 			}
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -8,7 +8,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-func testConfig(t *testing.T, s testkit.Setup) *Config {
+func testConfig(t *testing.T, s testkit.ConfigOptions) *Config {
 	t.Helper()
 	cfg, err := ParseConfig(testkit.Config(t, s), func(string) string { return "" })
 	if err != nil {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -26,7 +26,7 @@
 
 func newSendingLoop(t *testing.T, class int, change func(*decide.Settings)) *sendingLoop {
 	t.Helper()
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	if change != nil {
 		change(&cfg.Settings)
 	}
--- a/internal/core/listdelay_test.go
+++ b/internal/core/listdelay_test.go
@@ -300,7 +300,7 @@
 				t.Run(fmt.Sprint(name, "/", mode, "/", askWithin), func(t *testing.T) {
 					most := 0
 					for i := range 6 {
-						cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []discovery.Server{
+						cfg := testConfig(t, testkit.ConfigOptions{Mode: mode, Servers: []discovery.Server{
 							{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
 						cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), askWithin, askWithin
 						synctest.Test(t, func(t *testing.T) {
@@ -337,7 +337,7 @@
 		for _, mode := range []string{"subscribe", "automatic"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				for i := range 6 {
-					cfg := testConfig(t, testkit.Setup{Mode: mode, Servers: []discovery.Server{
+					cfg := testConfig(t, testkit.ConfigOptions{Mode: mode, Servers: []discovery.Server{
 						{ID: "one", Addr: "127.0.0.1:8", State: "ready"}}})
 					cfg.Seed, cfg.Settings.SubscribeWithin, cfg.Settings.DrainGrace = uint64(i), time.Hour, time.Hour
 					synctest.Test(t, func(t *testing.T) {
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -13,7 +13,7 @@
 
 // If the balancer does not answer a request, the loop itself must give the only final answer.
 func TestLoopAnswersAtTheDeadlineItself(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 
 // The loop must handle a request that is removed from the table before the step in which the balancer would get it.
 func TestDisconnectBeforeTheFirstStep(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 
 // The client of a request that is rejected as a duplicate may disconnect before it reads the answer.
 func TestDuplicateMayDisconnectBeforeItsAnswer(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
+	l, err := newLoop(testConfig(t, testkit.ConfigOptions{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 // request is submitted, as in a drain. The request must get one answer, and another open request with the same ID must
 // not be affected.
 func TestDeadlineMayOvertakeItsRequest(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
+	l, err := newLoop(testConfig(t, testkit.ConfigOptions{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 // are submitted, and the events of some timers reach the loop before their requests. Such a request used to end the
 // loop, after 260 requests at most.
 func TestRequestsSubmittedPastTheirDeadlineAreAnswered(t *testing.T) {
-	l, err := newLoop(testConfig(t, testkit.Setup{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
+	l, err := newLoop(testConfig(t, testkit.ConfigOptions{}), newClock(), idleProtocol{}, testkit.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -22,7 +22,7 @@
 func TestPeerMessagesAreExchangedByAddress(t *testing.T) {
 	other := listenUDP(t)
 	defer other.Close()
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	cfg.PeerListen = "127.0.0.1:0"
 	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
 	p, err := newPeers(cfg, testkit.DiscardLogger)
@@ -54,7 +54,7 @@
 	occupied := listenUDP(t)
 	other := listenUDP(t)
 	defer other.Close()
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	cfg.PeerListen = occupied.LocalAddr().String()
 	cfg.Peers = []string{occupied.LocalAddr().String(), other.LocalAddr().String()}
 	p, err := newPeers(cfg, testkit.DiscardLogger)
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cfg := testConfig(t, testkit.Setup{})
+				cfg := testConfig(t, testkit.ConfigOptions{})
 				l, err := newLoop(cfg, newClock(), idleProtocol{}, testkit.DiscardLogger)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/core/upload_test.go
+++ b/internal/core/upload_test.go
@@ -26,7 +26,7 @@
 func runWithLoop(t *testing.T, deadline int, attempt func(a *Attempt) (decide.Result, any), f func(l *Loop)) {
 	t.Helper()
 	server := discovery.Server{ID: "s", Addr: testkit.RefusingAddr(t), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
-	cfg := testConfig(t, testkit.Setup{Deadline: deadline, Servers: []discovery.Server{server}})
+	cfg := testConfig(t, testkit.ConfigOptions{Deadline: deadline, Servers: []discovery.Server{server}})
 	synctest.Test(t, func(t *testing.T) {
 		clk := newClock()
 		l, err := newLoop(cfg, clk, &scriptedProtocol{attempt: attempt}, testkit.DiscardLogger)
--- a/internal/protocol/http1/disconnect_test.go
+++ b/internal/protocol/http1/disconnect_test.go
@@ -98,7 +98,7 @@
 	t.Helper()
 	l := &disconnectSetup{answer: make(chan string), listener: &lateListener{Listener: testkit.Listen(t), late: late, release: make(chan struct{})}}
 	l.server = serveRaw(t, func(int) string { return <-l.answer })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{l.server.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{l.server.member("s")}})
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // lets requests wait for long
 	}
--- a/internal/protocol/http1/discovery_test.go
+++ b/internal/protocol/http1/discovery_test.go
@@ -21,7 +21,7 @@
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
 	c := testkit.NewScriptedList(t)
-	a := start(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr, Servers: []discovery.Server{one.member("one")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Mode: "subscribe", Discovery: c.Addr, Servers: []discovery.Server{one.member("one")}}))
 	close(testkit.Receive(t, "watch", c.Watch).Fail)
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
 		t.Errorf("health %+v", x)
@@ -56,7 +56,7 @@
 func TestNotReadyWithoutServers(t *testing.T) {
 	c := testkit.NewScriptedList(t)
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Mode: "subscribe", Discovery: c.Addr}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Mode: "subscribe", Discovery: c.Addr}))
 	w := testkit.Receive(t, "watch", c.Watch)
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
 		t.Errorf("health %+v", x)
@@ -111,7 +111,7 @@
 						}()
 					}
 				}()
-				cfg := testConfig(t, testkit.Setup{Mode: mode, Discovery: ln.Addr().String(), Servers: []discovery.Server{one.member("one")}})
+				cfg := testConfig(t, testkit.ConfigOptions{Mode: mode, Discovery: ln.Addr().String(), Servers: []discovery.Server{one.member("one")}})
 				cfg.Settings.SubscribeWithin = 1000 * time.Hour
 				a := startParts(t, cfg, core.Options{HeartbeatTimeout: 200 * time.Millisecond}, nil)
 				a.waitListed(t, "two")
--- a/internal/protocol/http1/frontend_test.go
+++ b/internal/protocol/http1/frontend_test.go
@@ -33,7 +33,7 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	b := &standIn{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{b.member("s")}}))
 	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1", "Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
 		t.Fatalf("response %+v", x)
@@ -53,7 +53,7 @@
 }
 
 func TestRejectionCarriesRetryAfter(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{})
+	cfg := testConfig(t, testkit.ConfigOptions{})
 	for _, row := range []struct {
 		shown bool
 		after time.Duration
@@ -73,7 +73,7 @@
 func TestDisconnectCancelsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := a.request(ctx, "GET", "/get/x", "")
 	if err != nil {
@@ -97,7 +97,7 @@
 // that a retry is harmless.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	for name, row := range map[string]struct {
 		method, path, body string
 		headers            []string
@@ -154,7 +154,7 @@
 func TestDuplicateRequestIDGetsConflict(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	testkit.Receive(t, "first request", s.seen)
@@ -175,7 +175,7 @@
 // connection of each misbehaving client is closed.
 func TestSilentAndSlowClientsDoNotBlockOthers(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}})
 	cfg.Sockets = 64
 	a := start(t, cfg)
 	var bad []*bufio.Reader
@@ -205,7 +205,7 @@
 // released.
 func TestBodiesAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	total := a.frontend.bodyBudget.Free()
 	a.frontend.bodyBudget.Acquire(int(total) - 1000)
 	if x := a.do("POST", "/pay/x", strings.Repeat("x", 1001)); x.status != 200 {
@@ -232,7 +232,7 @@
 		return ok200
 	})
 	accept := make(chan time.Time)
-	a := startUntil(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}), accept)
+	a := startUntil(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}), accept)
 	idle, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -283,7 +283,7 @@
 func TestSilentConnectionsAreClosedAtStop(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	busy := make(chan exchange, 1)
 	go func() { busy <- a.do("GET", "/get/x", "") }()
 	testkit.Receive(t, "request", s.seen)
@@ -314,7 +314,7 @@
 func TestRequestBeyondOpenLimitIsRefused(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}})
 	cfg.Site.MaxOpen = 1
 	a := start(t, cfg)
 	first := make(chan exchange, 1)
@@ -346,7 +346,7 @@
 // slots for new requests; connections that stay open are closed once they have been idle for long.
 func TestIdleClientConnectionsAreBounded(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}})
 	cfg.Sockets = 64
 	a := start(t, cfg)
 	most := core.ClientSockets(cfg.Sockets)
@@ -382,7 +382,7 @@
 // further request (request smuggling). No part of such a message reaches a server, and the connection is closed.
 func TestSmuggledRequestIsRejected(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	hidden := "GET /get/hidden HTTP/1.1\r\nHost: a\r\nX-Trace-Id: hidden\r\n\r\n"
 	chunk := "0\r\n\r\n" + hidden
 	for name, text := range map[string]string{
--- a/internal/protocol/http1/head_test.go
+++ b/internal/protocol/http1/head_test.go
@@ -89,7 +89,7 @@
 // its close in the last response.
 func TestConnectionIsReused(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 // A request with HTTP/1.0 is served, and its connection is closed.
 func TestHTTP10ClientIsServed(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	in := a.raw(t, "GET /get/x HTTP/1.0\r\nX-Trace-Id: "+newID()+"\r\n\r\n")
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
@@ -165,7 +165,7 @@
 func TestPartialNextRequestIsAwaited(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 func TestEmptyLineAfterBodyIsIgnored(t *testing.T) {
 	hold := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	in := a.raw(t, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "+newID()+"\r\nContent-Length: 1\r\n\r\nx\r\n")
 	testkit.Receive(t, "the request", s.seen)
 	close(hold)
--- a/internal/protocol/http1/helpers_test.go
+++ b/internal/protocol/http1/helpers_test.go
@@ -18,7 +18,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-func testConfig(t *testing.T, s testkit.Setup) *core.Config {
+func testConfig(t *testing.T, s testkit.ConfigOptions) *core.Config {
 	t.Helper()
 	cfg, err := core.ParseConfig(testkit.Config(t, s), func(string) string { return "" })
 	if err != nil {
--- a/internal/protocol/http1/latedial_test.go
+++ b/internal/protocol/http1/latedial_test.go
@@ -37,7 +37,7 @@
 			one, two := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
 			moved := serveRaw(t, func(int) string { return ok200 })
 			list := testkit.NewScriptedList(t)
-			a := start(t, testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Server{one.member("one")}}))
+			a := start(t, testConfig(t, testkit.ConfigOptions{Discovery: list.Addr, Servers: []discovery.Server{one.member("one")}}))
 			w := testkit.Receive(t, "watch", list.Watch)
 			dialled, release := a.blockDial(one.addr)
 			got := make(chan exchange, 1)
@@ -68,7 +68,7 @@
 // Nothing is sent on a connection whose dial was late if the client has already disconnected.
 func TestLateConnectionIsNotUsedForEndedRequest(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	dialled, release := a.blockDial(s.addr)
 	c := a.connect(t)
 	c.write(headOf("get", "late"))
@@ -100,7 +100,7 @@
 		})
 		other := serveRaw(t, func(int) string { return ok200 })
 		list := testkit.NewScriptedList(t)
-		cfg := testConfig(t, testkit.Setup{Discovery: list.Addr, Servers: []discovery.Server{failing.member("failing")}})
+		cfg := testConfig(t, testkit.ConfigOptions{Discovery: list.Addr, Servers: []discovery.Server{failing.member("failing")}})
 		cfg.Settings.Classes[1].DedupWindow, cfg.Settings.Classes[1].Objective, cfg.Settings.ConnectTimeout = window, 200*time.Millisecond, connect
 		a := start(t, cfg)
 		w := testkit.Receive(t, "watch", list.Watch)
--- a/internal/protocol/http1/loop_test.go
+++ b/internal/protocol/http1/loop_test.go
@@ -15,7 +15,7 @@
 func TestTruncatedResponseIsNotServed(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
 	s := serveRaw(t, func(n int) string { return []string{cut, cut, ok200}[n] })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway || strings.Contains(x.body, "TRUNCATED") {
 		t.Errorf("non-idempotent: %+v", x)
 	}
@@ -27,7 +27,7 @@
 // A non-idempotent request that may have been executed is neither sent again nor refused.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := serveRaw(t, func(int) string { return "" })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway {
 		t.Errorf("%+v", x)
 	}
@@ -38,7 +38,7 @@
 
 // A request that was never executed may be refused.
 func TestRejectedRequestGets503(t *testing.T) {
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{{ID: "s", Addr: testkit.RefusingAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{{ID: "s", Addr: testkit.RefusingAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := start(t, cfg)
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", x)
@@ -51,7 +51,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	s := serveRaw(t, func(int) string { <-hold; return "" })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", "2"); x.status != http.StatusGatewayTimeout {
 		t.Errorf("%+v", x)
 	}
@@ -62,7 +62,7 @@
 // it.
 func TestAttemptWithLittleRemainingTime(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}})
 	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testkit.EventTimeout
 	a := start(t, cfg)
 	for range 3 { // a step may happen to be due at the first one
--- a/internal/protocol/http1/operate_test.go
+++ b/internal/protocol/http1/operate_test.go
@@ -81,7 +81,7 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	b := &standIn{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{b.member("s")}}))
 	idle, busy, silent, late := a.connect(t), a.connect(t), a.connect(t), a.connect(t)
 	for _, c := range []*client{idle, late} {
 		c.send("/get/x")
@@ -134,7 +134,7 @@
 // waits for a dial.
 func TestDisablingServerWhileDiallingPreventsSend(t *testing.T) {
 	b, other := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{b.member("s")}}))
 	dialled, hold := make(chan struct{}, 1), make(chan struct{})
 	plain := a.connPool.dialer
 	a.connPool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -189,7 +189,7 @@
 		}
 		return ok200
 	})
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{b.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{b.member("s")}}))
 	for range 2 {
 		a.do("GET", "/get/x", "")
 	}
@@ -224,7 +224,7 @@
 // Two processes share the file descriptors of one: each opens fewer connections while the other one runs.
 func TestLimitsAreHalvedBesideAnotherProcess(t *testing.T) {
 	b := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{b.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{b.member("s")}})
 	a := start(t, cfg)
 	total := a.connPool.maxConns
 	a.SetOtherProcesses(1)
--- a/internal/protocol/http1/panic_test.go
+++ b/internal/protocol/http1/panic_test.go
@@ -18,7 +18,7 @@
 // whose dial succeeds later.
 func TestNothingIsSentAfterAPanic(t *testing.T) {
 	server := testkit.Listen(t)
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{{ID: "s", Addr: server.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{{ID: "s", Addr: server.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}})
 	a, proto, err := newAgent(cfg, testkit.DiscardLogger, core.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/http1/queue_test.go
+++ b/internal/protocol/http1/queue_test.go
@@ -26,7 +26,7 @@
 	held := make(chan struct{})
 	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: held}
 	accept := make(chan time.Time)
-	r := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}),
+	r := startParts(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}),
 		core.Options{Listener: l, StopAccepting: accept}, nil)
 	const queued = 5
 	answers := make(chan exchange, queued)
@@ -96,7 +96,7 @@
 	member := discovery.Server{ID: "s", Addr: server.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	held := make(chan struct{})
 	l := shortReads{testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: held}, readSize}
-	startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{member}}), core.Options{Listener: l, NoLateConnections: true}, nil)
+	startParts(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{member}}), core.Options{Listener: l, NoLateConnections: true}, nil)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/http1/races_test.go
+++ b/internal/protocol/http1/races_test.go
@@ -86,7 +86,7 @@
 func TestDuplicateMayDisconnectBeforeItsResponse(t *testing.T) {
 	release := make(chan struct{})
 	s := serveRaw(t, func(int) string { <-release; return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}})
 	var loop *loopBlocker
 	a := startParts(t, cfg, core.Options{}, func(a *core.Agent) { loop = blockableLoop(a) })
 	first := make(chan exchange, 1)
@@ -121,7 +121,7 @@
 				t.Parallel()
 				s := serveRaw(t, func(int) string { return ok200 })
 				var loop *loopBlocker
-				a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}), core.Options{},
+				a := startParts(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}), core.Options{},
 					func(a *core.Agent) { loop = blockableLoop(a) })
 				loop.stop(t, a)
 				before := a.readers()
@@ -150,7 +150,7 @@
 	t.Helper()
 	release = make(chan struct{})
 	s = serveRaw(t, func(int) string { <-release; return ok200 })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}})
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Objective = cfg.Settings.Classes[i].Deadline // lets requests wait for long
 	}
@@ -277,7 +277,7 @@
 	t.Cleanup(func() { server.Close() })
 	s := &standIn{addr: ln.Addr().String()}
 	var loop *loopBlocker
-	a := startParts(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}), core.Options{},
+	a := startParts(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}), core.Options{},
 		func(a *core.Agent) { loop = blockableLoop(a) })
 	end, _ := watchOverflow(a)
 	c := a.connect(t)
@@ -310,7 +310,7 @@
 				t.Parallel()
 				release := make(chan struct{})
 				s := serveRaw(t, func(int) string { <-release; return ok200 })
-				a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+				a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 				c := a.connect(t)
 				c.write(headOf("get", "first"))
 				testkit.Receive(t, "request", s.seen)
@@ -352,7 +352,7 @@
 	t.Cleanup(server.Close)
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
 	member := discovery.Server{ID: "s", Addr: server.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{member}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{member}}))
 	c := a.connect(t)
 	c.write(headOf("get", "ahead") + headOf("get", "late", "X-Expires-In: 0.05") + headOf("get", "behind", "X-Expires-In: 20"))
 	from := testkit.Receive(t, "request ahead", read)
--- a/internal/protocol/http1/responsereader_test.go
+++ b/internal/protocol/http1/responsereader_test.go
@@ -34,7 +34,7 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	s := &standIn{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 	a.connPool.maxStall = 200 * time.Millisecond
 	x := a.do("GET", "/get/x", "")
 	if x.err == nil || errors.Is(x.err, context.DeadlineExceeded) {
@@ -66,7 +66,7 @@
 				reset(c)
 			}()
 			s := &standIn{addr: ln.Addr().String()}
-			a := start(t, testConfig(t, testkit.Setup{Servers: []discovery.Server{s.member("s")}}))
+			a := start(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}))
 			c := a.connect(t)
 			c.write("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 0\r\n\r\n")
 			if _, err := c.in.Peek(1); err != nil {
--- a/internal/protocol/http1/sendguard_test.go
+++ b/internal/protocol/http1/sendguard_test.go
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := serveRaw(t, func(int) string { return ok200 })
-			cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{server.member("s")}, Deadline: 31000})
+			cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{server.member("s")}, Deadline: 31000})
 			var panicNow atomic.Bool
 			held := make(chan *testkit.HeldWrite, 1)
 			r := startParts(t, cfg, core.Options{NoLateConnections: true}, func(a *core.Agent) {
@@ -92,7 +92,7 @@
 			t.Parallel()
 			release := make(chan struct{})
 			server := serveRaw(t, func(int) string { <-release; return ok200 })
-			cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{server.member("s")}})
+			cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{server.member("s")}})
 			l := &breakableListener{Listener: testkit.Listen(t), broken: make(chan struct{}), err: err}
 			now := make(chan time.Time)
 			close(now)
@@ -164,7 +164,7 @@
 	silent := make(chan struct{})
 	defer close(silent)
 	server := serveRaw(t, func(int) string { <-silent; return "" })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{server.member("s")}, Deadline: 300})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{server.member("s")}, Deadline: 300})
 	accept := make(chan time.Time)
 	r := startParts(t, cfg, core.Options{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, StopAccepting: accept}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
@@ -215,7 +215,7 @@
 	silent := make(chan struct{})
 	defer close(silent)
 	server := serveRaw(t, func(int) string { <-silent; return "" })
-	cfg := testConfig(t, testkit.Setup{Servers: []discovery.Server{server.member("s")}, Deadline: int(deadline.Milliseconds())})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{server.member("s")}, Deadline: int(deadline.Milliseconds())})
 	r := startParts(t, cfg, core.Options{Listener: slowWriter{testkit.Listen(t), 150 * time.Millisecond}, NoLateConnections: true}, nil)
 	testkit.WaitFor(t, "clients", r.Accepting)
 	began := time.Now()
--- a/internal/protocol/http1/service_test.go
+++ b/internal/protocol/http1/service_test.go
@@ -82,7 +82,7 @@
 		}()
 		servers = append(servers, b.member(id))
 	}
-	cfg := testConfig(t, testkit.Setup{Servers: servers})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: servers})
 	cfg.Settings.Classes[2].Objective = time.Hour // about how long an ejection lasts
 	a := start(t, cfg)
 	for range 400 {
@@ -110,7 +110,7 @@
 		}()
 		servers = append(servers, b.member(id))
 	}
-	cfg := testConfig(t, testkit.Setup{Servers: servers})
+	cfg := testConfig(t, testkit.ConfigOptions{Servers: servers})
 	cfg.Settings.SlowStartTime, cfg.Settings.SlowStartShare = time.Hour, 0.1
 	a := start(t, cfg)
 	left, dial := new(atomic.Int64), a.connPool.dialer
--- a/internal/protocol/http1/stream_test.go
+++ b/internal/protocol/http1/stream_test.go
@@ -40,7 +40,7 @@
 
 func startWith(t *testing.T, members ...discovery.Server) *runningAgent {
 	t.Helper()
-	return start(t, testConfig(t, testkit.Setup{Servers: members}))
+	return start(t, testConfig(t, testkit.ConfigOptions{Servers: members}))
 }
 
 // Bodies of any size and framing reach the server unchanged, and its responses the client: with a length, in chunks,
@@ -225,7 +225,7 @@
 		time.Sleep(deadline + 200*time.Millisecond)
 		_, _ = io.WriteString(c, strings.Repeat("b", 2*maxBufferedResponse-1))
 	})
-	a := start(t, testConfig(t, testkit.Setup{Deadline: int(deadline / time.Millisecond), Servers: []discovery.Server{s}}))
+	a := start(t, testConfig(t, testkit.ConfigOptions{Deadline: int(deadline / time.Millisecond), Servers: []discovery.Server{s}}))
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.err != nil || len(x.body) != 2*maxBufferedResponse {
 		t.Errorf("%d, %d bytes, %v", x.status, len(x.body), x.err)
 	}
--- a/internal/protocol/ldap/helpers_test.go
+++ b/internal/protocol/ldap/helpers_test.go
@@ -25,7 +25,7 @@
 	for _, s := range servers {
 		members = append(members, s.Member("ready"))
 	}
-	cfg, err := core.ParseConfig(testkit.Config(t, testkit.Setup{Servers: members}), func(string) string { return "" })
+	cfg, err := core.ParseConfig(testkit.Config(t, testkit.ConfigOptions{Servers: members}), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -36,8 +36,8 @@
  "Contract": {"AskWithinMs": 1000, "DrainGraceMs": 1000, "GraceToAnswerMs": 20, "ColdFrom": 0.5, "RampTimeMs": 1000, "FallMultiple": 3, "FallMs": 1000},
  "Goal": {"Whole": 1}, "Report": {"Source": "inline"}}`
 
-// Setup is the part of a test agent's configuration that tests choose.
-type Setup struct {
+// ConfigOptions is the part of a test agent's configuration that tests choose.
+type ConfigOptions struct {
 	Mode      string // of discovery; empty: automatic
 	Deadline  int    // of all classes, in ms; 0: 60 s
 	Discovery string
@@ -45,7 +45,7 @@
 }
 
 // Config returns a configuration file of the platform.
-func Config(t testing.TB, s Setup) []byte {
+func Config(t testing.TB, s ConfigOptions) []byte {
 	t.Helper()
 	if s.Mode == "" {
 		s.Mode = "automatic"
