--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -17,7 +17,7 @@
 		"discovery": `"127.0.0.1:1"`,
 		"seed":      `"1f"`,
 		"limits":    `{}`,
-		"settings":  fmt.Sprintf(testkit.Settings, "automatic", 1000),
+		"settings":  fmt.Sprintf(testkit.SettingsFormat, "automatic", 1000),
 	}
 	build := func(field, value string) []byte {
 		var parts []string
@@ -81,7 +81,7 @@
 	if _, err := LoadConfig(getenv); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
-	settings := fmt.Sprintf(testkit.Settings, "subscribe", 1000)
+	settings := fmt.Sprintf(testkit.SettingsFormat, "subscribe", 1000)
 	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`, settings)
 	if err := os.WriteFile(env["PROXY_CONFIG"], []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -10,7 +10,7 @@
 	"vetchhaven/internal/testkit"
 )
 
-// Indices of the classes in testkit.Settings.
+// Indices of the classes in testkit.SettingsFormat.
 const (
 	classGet = iota // idempotent
 	classPut        // with an idempotency key
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -21,10 +21,10 @@
 // DiscardLogger is a logger that discards all lines.
 var DiscardLogger = slog.New(slog.DiscardHandler)
 
-// Settings is the format of a settings object of the platform. Its arguments are the mode of the endpoint list and the
+// SettingsFormat is the format of a settings object of the platform. Its arguments are the mode of the endpoint list and the
 // deadline of all classes in milliseconds. It has one class for each kind of semantics, and time limits long enough
 // for a slow machine.
-const Settings = `{
+const SettingsFormat = `{
  "Balancers": 1, "Me": 0, "Zone": 0, "Dcs": ["a", "b"], "Kinds": ["m1", "m2"], "MembershipMode": "%s",
  "TickMs": 1, "CountedBy": "request",
  "Profiles": [
@@ -60,7 +60,7 @@
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.Discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    discovery.Update{Version: 41, Full: true, Servers: s.Servers},
-		"settings": json.RawMessage(fmt.Sprintf(Settings, s.Mode, s.Deadline)),
+		"settings": json.RawMessage(fmt.Sprintf(SettingsFormat, s.Mode, s.Deadline)),
 	})
 	if err != nil {
 		t.Fatal(err)
