--- a/internal/protocol/http1/queue_test.go
+++ b/internal/protocol/http1/queue_test.go
@@ -24,7 +24,7 @@
 func TestQueuedConnectionIsServedBeforeTheListenerCloses(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	held := make(chan struct{})
-	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: held}
+	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Release: held}
 	accept := make(chan time.Time)
 	r := startParts(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{s.member("s")}}),
 		core.Options{Listener: l, StopAccepting: accept}, nil)
@@ -95,7 +95,7 @@
 	t.Cleanup(server.Close)
 	member := discovery.Server{ID: "s", Addr: server.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 	held := make(chan struct{})
-	l := shortReads{testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: held}, readSize}
+	l := shortReads{testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Release: held}, readSize}
 	startParts(t, testConfig(t, testkit.ConfigOptions{Servers: []discovery.Server{member}}), core.Options{Listener: l, NoLateConnections: true}, nil)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/protocol/ldap/closing_test.go
+++ b/internal/protocol/ldap/closing_test.go
@@ -335,7 +335,7 @@
 		cfg.Settings.Classes[i].Deadline = deadline
 	}
 	acceptHeld := make(chan struct{})
-	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Held: acceptHeld}
+	l := testkit.HeldListener{TCPListener: testkit.Listen(t).(*net.TCPListener), Release: acceptHeld}
 	a, _, err := newAgent(cfg, Options{}, testkit.DiscardLogger, core.Options{Listener: l, NoLateConnections: true})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/heldlistener.go
+++ b/internal/testkit/heldlistener.go
@@ -2,14 +2,14 @@
 
 import "net"
 
-// HeldListener accepts no connection until Held is closed: connections wait in the kernel's queue.
+// HeldListener accepts no connection until Release is closed: connections wait in the kernel's queue.
 type HeldListener struct {
 	*net.TCPListener
-	Held <-chan struct{}
+	Release <-chan struct{}
 }
 
 // Accept implements net.Listener.
 func (l HeldListener) Accept() (net.Conn, error) {
-	<-l.Held
+	<-l.Release
 	return l.TCPListener.Accept()
 }
