--- a/cmd/vetchhaven/restart_test.go
+++ b/cmd/vetchhaven/restart_test.go
@@ -215,7 +215,7 @@
 
 // The instances of a daemon whose log is a full pipe serve requests and don't wait for the log.
 func TestDaemonServesWhileTheLogBlocks(t *testing.T) {
-	server := standin.NewForm("s", nil)
+	server := standin.NewFormServer("s", nil)
 	defer server.Close()
 	list, err := standin.NewList("", server.Member("ready"))
 	if err != nil {
--- a/cmd/vetchhaven/serve_test.go
+++ b/cmd/vetchhaven/serve_test.go
@@ -144,9 +144,9 @@
 	return resp.StatusCode, string(body), err
 }
 
-func startFormAndList(t *testing.T) (*standin.Form, *standin.List) {
+func startFormAndList(t *testing.T) (*standin.FormServer, *standin.List) {
 	t.Helper()
-	f := standin.NewForm("s", nil)
+	f := standin.NewFormServer("s", nil)
 	t.Cleanup(f.Close)
 	m := f.Member("ready")
 	l, err := standin.NewList("", m)
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -70,7 +70,7 @@
 	net        byte // 127.net.x.y
 	relays     *relays
 	daemons    []*daemon
-	servers    []*standin.Form
+	servers    []*standin.FormServer
 	load       *loadRecorder
 	policies   policies
 	states     []*serverState // by server
@@ -107,7 +107,7 @@
 	for i := range p.Servers {
 		r.states = append(r.states, &serverState{})
 		f := r.states[i]
-		r.servers = append(r.servers, standin.NewForm(fmt.Sprint("s", i+1), func(w http.ResponseWriter, _ *http.Request) {
+		r.servers = append(r.servers, standin.NewFormServer(fmt.Sprint("s", i+1), func(w http.ResponseWriter, _ *http.Request) {
 			defer r.load.begin(i)()
 			f.received.Add(1)
 			if rand.Float64() < f.share() {
--- a/internal/faulttest/harness/service.go
+++ b/internal/faulttest/harness/service.go
@@ -141,7 +141,7 @@
 }
 
 // newUpstream returns a daemon's own relays to the servers and a list that names the relays' addresses.
-func newUpstream(servers []*standin.Form) (*upstream, error) {
+func newUpstream(servers []*standin.FormServer) (*upstream, error) {
 	s := &upstream{}
 	var members []discovery.Server
 	for _, f := range servers {
@@ -165,7 +165,7 @@
 }
 
 // serverStarted makes the list report that a server has just started.
-func (s *upstream) serverStarted(n int, f *standin.Form) {
+func (s *upstream) serverStarted(n int, f *standin.FormServer) {
 	m := f.Member("ready")
 	m.Addr = s.relays[n].ln.Addr().String()
 	m.Started = time.Now().UnixMilli()
--- a/internal/host/daemon/admin_test.go
+++ b/internal/host/daemon/admin_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestStatusIsJSON(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -20,7 +20,7 @@
 	s, received, release := newHoldingServer()
 	defer s.Close()
 	defer release()
-	drained := standin.NewForm("drained", nil)
+	drained := standin.NewFormServer("drained", nil)
 	defer drained.Close()
 	tb := newTestbed(t, s.Member("ready"), drained.Member("draining"))
 	tb.writeConfig(tb.instanceText("a"))
@@ -104,7 +104,7 @@
 // A daemon that is stopped while a successor starts ends only after the successor has been killed, so that no process
 // serves in its place after its end.
 func TestStopDuringHandoverEndsTheSuccessorFirst(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
@@ -140,7 +140,7 @@
 // when it left its loop that there was no successor, and removed the Unix sockets' paths. The successor went on, and
 // no client could connect to it.
 func TestStopAsTheSuccessorGetsReadyLeavesItsSockets(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
--- a/internal/host/daemon/instances_test.go
+++ b/internal/host/daemon/instances_test.go
@@ -22,7 +22,7 @@
 
 func TestInstancesShareOneListWatch(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(fmt.Sprintf("[[template]]\nname = \"i{n}\"\nlisten = \"unix:%s/i{n}.sock\"\ncount = 40\n", tb.dir))
@@ -125,7 +125,7 @@
 // An instance that keeps failing is left down, and the status shows that. Connections to it are refused. A reload
 // starts it again.
 func TestInstanceThatKeepsFailingIsLeftDown(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("bad", "good"))
@@ -168,7 +168,7 @@
 
 // An instance whose clients use up all its sockets does not take sockets from other instances.
 func TestInstanceOutOfSocketsDoesNotStarveOthers(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	path := tb.writeConfig(tb.instanceText("flooded", "quiet"))
--- a/internal/host/daemon/limits_test.go
+++ b/internal/host/daemon/limits_test.go
@@ -16,7 +16,7 @@
 // A shared limit is leased to the agents. Requests over the limit are rejected at once, and the answer names the
 // limit. A reload changes and removes the limit.
 func TestSharedLimitRejectsExcessAndFollowsReload(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	tb := newTestbed(t, f.Member("ready"))
 	addr := freeAddr(t)
@@ -80,7 +80,7 @@
 
 // While no lease server is reached, a soft limit admits requests up to its floor, and a hard limit admits none.
 func TestFloorAdmitsWithoutPeers(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	tb := newTestbed(t, f.Member("ready"))
 	addr := freeAddr(t)
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -16,8 +16,8 @@
 // server that either of them reports as draining or gone. A failing resolver and truncated answers remove no server. A
 // server that only the records have is used.
 func TestMergerServesFromListAndRecords(t *testing.T) {
-	both, listed, recorded := standin.NewForm("both", nil), standin.NewForm("listed", nil), standin.NewForm("recorded", nil)
-	for _, f := range []*standin.Form{both, listed, recorded} {
+	both, listed, recorded := standin.NewFormServer("both", nil), standin.NewFormServer("listed", nil), standin.NewFormServer("recorded", nil)
+	for _, f := range []*standin.FormServer{both, listed, recorded} {
 		defer f.Close()
 	}
 	names, err := dns.New()
@@ -26,7 +26,7 @@
 	}
 	defer names.Close()
 	const service = "_form._tcp.example.org"
-	publish := func(all ...*standin.Form) {
+	publish := func(all ...*standin.FormServer) {
 		t.Helper()
 		var records []string
 		for i, f := range all {
@@ -93,7 +93,7 @@
 
 // After a restart while the list service is down and no resolver answers, the daemon serves from the saved list.
 func TestMergerStartsFromTheSavedList(t *testing.T) {
-	f := standin.NewForm("s", nil)
+	f := standin.NewFormServer("s", nil)
 	defer f.Close()
 	tb := newTestbed(t, f.Member("ready"))
 	tb.head = `state_dir = "state"`
@@ -133,7 +133,7 @@
 // A server that only a multicast responder announces is used, and no longer after its goodbye (an announcement with
 // TTL 0).
 func TestMulticastEndpointIsServedUntilItsGoodbye(t *testing.T) {
-	listed, nearby := standin.NewForm("listed", nil), standin.NewForm("nearby", nil)
+	listed, nearby := standin.NewFormServer("listed", nil), standin.NewFormServer("nearby", nil)
 	defer listed.Close()
 	defer nearby.Close()
 	r, err := dns.NewResponder()
--- a/internal/host/daemon/peers_test.go
+++ b/internal/host/daemon/peers_test.go
@@ -31,7 +31,7 @@
 
 // A peering that panics or hangs never stops an instance from serving.
 func TestPeeringFailuresDoNotStopInstances(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	for name, fault := range map[string]func(steps int64, end chan struct{}){
 		"panics": func(n int64, _ chan struct{}) {
@@ -62,7 +62,7 @@
 }
 
 func TestInstancesFollowTheFleetSize(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	addr := freeAddr(t)
 	tbA, tbB := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
@@ -97,7 +97,7 @@
 }
 
 func TestReloadStartsAndEndsPeering(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	addr := freeAddr(t)
 	tbA, tbB := newTestbed(t, f.Member("ready")), newTestbed(t, f.Member("ready"))
@@ -145,7 +145,7 @@
 // A second handover during the first one fails, and does not thaw the membership: the membership would use sockets
 // that the successor reads.
 func TestSecondHandoverDoesNotTouchMembership(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	tb := newTestbed(t, f.Member("ready"))
 	tb.writeConfig(tb.instanceText("one") + peersText("a", freeAddr(t), freeAddr(t)))
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -68,7 +68,7 @@
 // until they are replaced, and the lease of the new policy does not let them admit requests. The same holds for agents
 // that a handover or a change of the configuration replaces.
 func TestLeaseOfAnotherPolicyDoesNotExtendAdmission(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
@@ -126,7 +126,7 @@
 // A server that a policy bans gets no requests from an instance that was too busy to take the ban at first. Without
 // the ban it gets requests again.
 func TestPolicyBanReachesABusyInstance(t *testing.T) {
-	s1, s2 := standin.NewForm("s-1", nil), standin.NewForm("s-2", nil)
+	s1, s2 := standin.NewFormServer("s-1", nil), standin.NewFormServer("s-2", nil)
 	defer s1.Close()
 	defer s2.Close()
 	tb := newTestbed(t, s1.Member("ready"), s2.Member("ready"))
@@ -180,7 +180,7 @@
 // A peering that fails while no other voter answers leaves the policy as it was: requests are admitted before the
 // failure, while the peering is down, and after it is started again.
 func TestPolicySurvivesATransportFailure(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	addrs := map[string]string{"a": freeAddr(t), "b": freeAddr(t), "c": freeAddr(t)}
 	var fault atomic.Bool
@@ -247,7 +247,7 @@
 // slowly, keeps it open for some seconds more. The fault: opening was tried only once, after which a voter could not
 // write, and no policy was agreed on until the daemon was started again.
 func TestPolicyFileIsOpenedAgainAfterAFailedHandover(t *testing.T) {
-	f := standin.NewForm("s-1", nil)
+	f := standin.NewFormServer("s-1", nil)
 	defer f.Close()
 	tb := newTestbed(t, f.Member("ready"))
 	tb.head = `state_dir = "state"`
--- a/internal/host/daemon/reload_test.go
+++ b/internal/host/daemon/reload_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestReloadAppliesDifferences(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	path := tb.writeConfig(tb.instanceText("a", "b", "c"))
@@ -59,7 +59,7 @@
 // Many reloads under load, each of which moves an address from one instance to another, lose no request and no
 // connection attempt.
 func TestReloadsLoseNoRequests(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	named := func(i int) string {
@@ -146,7 +146,7 @@
 // If the address of a list changes, the running agent follows the new list and nothing drains. The old list, including
 // the servers that it reports as draining, is used until the new one is received.
 func TestSourceChangeKeepsConnections(t *testing.T) {
-	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
+	one, two := standin.NewFormServer("one", nil), standin.NewFormServer("two", nil)
 	defer one.Close()
 	defer two.Close()
 	tb := newTestbed(t, one.Member("ready"), two.Member("draining"))
@@ -183,7 +183,7 @@
 // Once a daemon has received that a server is draining, it sends no new request to it, even if the list service is
 // down and reloads replace the agent.
 func TestDrainingServerStaysOutAcrossReload(t *testing.T) {
-	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
+	one, two := standin.NewFormServer("one", nil), standin.NewFormServer("two", nil)
 	defer one.Close()
 	defer two.Close()
 	tb := newTestbed(t, one.Member("ready"), two.Member("ready"))
@@ -217,7 +217,7 @@
 // The daemon warns an operator who sets a key that has no effect. The fault: the key drain was accepted silently, and
 // had no effect.
 func TestKeyWithoutEffectIsNamed(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.head = `drain = "5s"`
--- a/internal/host/daemon/snapshots_test.go
+++ b/internal/host/daemon/snapshots_test.go
@@ -13,7 +13,7 @@
 // A daemon that was killed starts from its last snapshot. It uses the saved list while the list service is down. Once
 // the list service reports servers as gone, they get no requests.
 func TestStartUsesTheLastSnapshot(t *testing.T) {
-	one, two := standin.NewForm("one", nil), standin.NewForm("two", nil)
+	one, two := standin.NewFormServer("one", nil), standin.NewFormServer("two", nil)
 	defer one.Close()
 	defer two.Close()
 	tb := newTestbed(t, one.Member("ready"), two.Member("draining"))
@@ -42,7 +42,7 @@
 	if two.Got() > 0 {
 		t.Error("a server that was draining before the kill got a request")
 	}
-	three := standin.NewForm("three", nil)
+	three := standin.NewFormServer("three", nil)
 	defer three.Close()
 	gone := one.Member("gone")
 	tb.list.Set(gone, two.Member("gone"), three.Member("ready"))
@@ -62,7 +62,7 @@
 
 // A snapshot that is invalid or can't be written is logged once, and never stops the daemon from serving.
 func TestDamagedSnapshotsAreIgnored(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	good, err := snapshot.Encode(&snapshot.State{SavedMS: time.Now().UnixMilli()})
 	if err != nil {
--- a/internal/host/daemon/sockets_test.go
+++ b/internal/host/daemon/sockets_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestSecondDaemonOnAnAddressFails(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
@@ -74,7 +74,7 @@
 
 // A daemon replaces a Unix socket that a killed daemon has left behind.
 func TestAbandonedUnixSocketIsReplaced(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a"))
--- a/internal/host/daemon/stop_test.go
+++ b/internal/host/daemon/stop_test.go
@@ -111,7 +111,7 @@
 	}
 	t.Cleanup(d.Close)
 	d.Add("cn=a", map[string][]string{"cn": {"a"}})
-	forms := standin.NewForm("s", nil)
+	forms := standin.NewFormServer("s", nil)
 	t.Cleanup(forms.Close)
 	tb = newTestbed(t, d.Member("ready"))
 	other, err := standin.NewList("", forms.Member("ready"))
@@ -236,7 +236,7 @@
 
 // An instance that a reload removes accepts the connections in its queue before its listener is closed.
 func TestNoConnectionIsResetByTheRemovalOfItsInstance(t *testing.T) {
-	s := standin.NewForm("s", nil)
+	s := standin.NewFormServer("s", nil)
 	defer s.Close()
 	tb := newTestbed(t, s.Member("ready"))
 	tb.writeConfig(tb.instanceText("a", "b"))
--- a/internal/host/daemon/testbed_test.go
+++ b/internal/host/daemon/testbed_test.go
@@ -132,9 +132,9 @@
 // newHoldingServer returns a server that reports each pay request on a channel and does not answer it until release
 // is called. release must be called before the server is closed, even if the test fails: closing waits for the
 // answers.
-func newHoldingServer() (s *standin.Form, received chan struct{}, release func()) {
+func newHoldingServer() (s *standin.FormServer, received chan struct{}, release func()) {
 	hold, received := make(chan struct{}), make(chan struct{}, 100)
-	s = standin.NewForm("s", func(w http.ResponseWriter, r *http.Request) {
+	s = standin.NewFormServer("s", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/pay") {
 			received <- struct{}{}
 			<-hold
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Form is a form server: it counts requests and answers 200, unless Handle is set.
-type Form struct {
+// FormServer is a form server: it counts requests and answers 200, unless Handle is set.
+type FormServer struct {
 	ID     string
 	Handle http.HandlerFunc // writes the answer instead; may be nil
 
@@ -140,35 +140,35 @@
 	receivedByID map[string]int
 }
 
-// NewForm starts a form server on a free port of loopback.
-func NewForm(id string, handle http.HandlerFunc) *Form {
-	f := &Form{ID: id, Handle: handle, receivedByID: map[string]int{}}
+// NewFormServer starts a form server on a free port of loopback.
+func NewFormServer(id string, handle http.HandlerFunc) *FormServer {
+	f := &FormServer{ID: id, Handle: handle, receivedByID: map[string]int{}}
 	f.server = httptest.NewServer(f)
 	return f
 }
 
 // Close stops the server: connections to it are reset.
-func (f *Form) Close() {
+func (f *FormServer) Close() {
 	f.server.CloseClientConnections()
 	f.server.Close()
 }
 
 // Member returns the server as an entry of an endpoint list.
-func (f *Form) Member(state string) discovery.Server {
+func (f *FormServer) Member(state string) discovery.Server {
 	return discovery.Server{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
 // Got returns the number of requests received.
-func (f *Form) Got() int { return int(f.received.Load()) }
+func (f *FormServer) Got() int { return int(f.received.Load()) }
 
 // Times returns how many requests with the given X-Trace-Id were received.
-func (f *Form) Times(id string) int {
+func (f *FormServer) Times(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.receivedByID[id]
 }
 
-func (f *Form) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *FormServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.received.Add(1)
 	f.mu.Lock()
 	f.receivedByID[r.Header.Get("X-Trace-Id")]++
--- a/tools/capacity/path.go
+++ b/tools/capacity/path.go
@@ -173,7 +173,7 @@
 	body := bytes.Repeat([]byte("x"), pathAnswerBytes)
 	var forms []discovery.Server
 	for i := range servers {
-		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
+		f := standin.NewFormServer(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
 		defer f.Close()
 		forms = append(forms, f.Member("ready"))
 	}
--- a/tools/capacity/path_test.go
+++ b/tools/capacity/path_test.go
@@ -19,7 +19,7 @@
 	const stall = 300 * time.Millisecond
 	var first atomic.Bool
 	began := time.Now()
-	form := standin.NewForm("s", func(w http.ResponseWriter, _ *http.Request) {
+	form := standin.NewFormServer("s", func(w http.ResponseWriter, _ *http.Request) {
 		if first.CompareAndSwap(false, true) {
 			time.Sleep(time.Until(began.Add(stall))) // this sleep is the stall under test; it does not synchronize goroutines
 		}
--- a/tools/fleet/handover.go
+++ b/tools/fleet/handover.go
@@ -37,7 +37,7 @@
 	}
 	var servers []discovery.Server
 	for i := range 8 {
-		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) {
+		f := standin.NewFormServer(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(20 * time.Millisecond) // service time of a stand-in server
 			_, _ = io.WriteString(w, "done")
 		})
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -162,7 +162,7 @@
 	var servers []discovery.Server
 	var urls []string
 	for i := range 8 {
-		f := standin.NewForm(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
+		f := standin.NewFormServer(fmt.Sprint("s-", i), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
 		defer f.Close()
 		m := f.Member("ready")
 		servers = append(servers, m)
