--- a/internal/host/daemon/handover_test.go
+++ b/internal/host/daemon/handover_test.go
@@ -95,7 +95,7 @@
 	close(stop)
 	requesters.Wait()
 	tb.expectServed("a")
-	if drained.Got() > 0 {
+	if drained.Requests() > 0 {
 		t.Error("the successor sent to a server that its predecessor knew to be draining")
 	}
 	(<-next).end()
--- a/internal/host/daemon/merge_test.go
+++ b/internal/host/daemon/merge_test.go
@@ -73,7 +73,7 @@
 	served("all three servers answer", "both", "listed", "recorded")
 	tb.list.Set(both.Member("gone")) // the records still contain it
 	eventually(t, "the server that is gone leaves the list", func() bool { return listedNow() == 2 })
-	n := both.Got()
+	n := both.Requests()
 	names.Script(func(string, string, string) dns.Fault { return dns.Fault{Rcode: 2} })
 	lookups := names.Asked()
 	eventually(t, "a lookup fails", func() bool { sendOne(); return names.Asked() > lookups })
@@ -86,7 +86,7 @@
 		sendOne()
 	}
 	served("the other two servers answer while the list and the records fail", "listed", "recorded")
-	if got := both.Got(); got != n {
+	if got := both.Requests(); got != n {
 		t.Errorf("the server that is gone got %d more requests", got-n)
 	}
 }
@@ -165,8 +165,8 @@
 	eventually(t, "the announced server answers", func() bool { return got("nearby") })
 	announce(0)
 	eventually(t, "the announced server is no longer used", func() bool { return !got("nearby") })
-	n := nearby.Got()
-	if !got("listed") || nearby.Got() != n {
+	n := nearby.Requests()
+	if !got("listed") || nearby.Requests() != n {
 		t.Error("a request was sent to a server after its goodbye")
 	}
 }
--- a/internal/host/daemon/policy_test.go
+++ b/internal/host/daemon/policy_test.go
@@ -148,11 +148,11 @@
 	eventually(t, "the policy in force is known", r.policyAdmits)
 	tb.expectServed("one")
 	bothServe := func() (all bool) {
-		was1, was2 := s1.Got(), s2.Got()
+		was1, was2 := s1.Requests(), s2.Requests()
 		for range 30 {
 			tb.expectServed("one")
 		}
-		return s1.Got() > was1 && s2.Got() > was2
+		return s1.Requests() > was1 && s2.Requests() > was2
 	}
 	eventually(t, "both servers get requests", bothServe)
 	var agent *core.Agent
@@ -167,11 +167,11 @@
 	busy.Store(false)
 	release()
 	eventually(t, "the banned server gets no requests", func() bool {
-		was := s2.Got()
+		was := s2.Requests()
 		for range 30 {
 			tb.expectServed("one")
 		}
-		return s2.Got() == was
+		return s2.Requests() == was
 	})
 	r.apply(t, 2, "ban = []\n")
 	eventually(t, "both servers get requests again", bothServe)
--- a/internal/host/daemon/reload_test.go
+++ b/internal/host/daemon/reload_test.go
@@ -170,7 +170,7 @@
 	for range 20 {
 		tb.expectServed("a")
 	}
-	if two.Got() > 0 {
+	if two.Requests() > 0 {
 		t.Error("a draining server got a request after the list's address changed")
 	}
 	other.SetDown(false)
@@ -192,13 +192,13 @@
 	tb.expectServed("a")
 	tb.list.Set(two.Member("draining"))
 	eventually(t, "the agent knows that the server is draining", func() bool {
-		n := two.Got()
+		n := two.Requests()
 		for range 10 {
 			tb.expectServed("a")
 		}
-		return two.Got() == n
+		return two.Requests() == n
 	})
-	n := two.Got()
+	n := two.Requests()
 	tb.list.SetDown(true)
 	for i := range 5 {
 		tb.writeConfig(strings.Replace(tb.instanceText("a"), "\nlisten", fmt.Sprintf("\nmax_open = %d\nlisten", 100+i), 1))
@@ -209,8 +209,8 @@
 			tb.expectServed("a")
 		}
 	}
-	if two.Got() != n {
-		t.Errorf("%d requests were sent to a draining server after reloads", two.Got()-n)
+	if two.Requests() != n {
+		t.Errorf("%d requests were sent to a draining server after reloads", two.Requests()-n)
 	}
 }
 
--- a/internal/host/daemon/snapshots_test.go
+++ b/internal/host/daemon/snapshots_test.go
@@ -39,7 +39,7 @@
 	for range 20 {
 		tb.expectServed("a")
 	}
-	if two.Got() > 0 {
+	if two.Requests() > 0 {
 		t.Error("a server that was draining before the kill got a request")
 	}
 	three := standin.NewFormServer("three", nil)
@@ -51,11 +51,11 @@
 		_, body, _ := sendRequest(client(tb.socketPath("a"), false), "get")
 		return body == "three"
 	})
-	n := one.Got()
+	n := one.Requests()
 	for range 20 {
 		tb.expectServed("a")
 	}
-	if one.Got() != n {
+	if one.Requests() != n {
 		t.Error("a server that is gone got a request")
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -158,8 +158,8 @@
 	return discovery.Server{ID: f.ID, Addr: strings.TrimPrefix(f.server.URL, "http://"), Zone: "a", Kind: "k", State: state, Weight: 1}
 }
 
-// Got returns the number of requests received.
-func (f *FormServer) Got() int { return int(f.received.Load()) }
+// Requests returns the number of requests received.
+func (f *FormServer) Requests() int { return int(f.received.Load()) }
 
 // Times returns how many requests with the given X-Trace-Id were received.
 func (f *FormServer) Times(id string) int {
