--- a/internal/standin/dns/responder.go
+++ b/internal/standin/dns/responder.go
@@ -51,8 +51,8 @@
 	return r.asked[kind+" "+dns.CanonicalName(name)]
 }
 
-// Known returns the number of records in the known-answer list of the last query (RFC 6762, section 7.1).
-func (r *Responder) Known() int { r.mu.Lock(); defer r.mu.Unlock(); return r.known }
+// KnownAnswers returns the number of records in the known-answer list of the last query (RFC 6762, section 7.1).
+func (r *Responder) KnownAnswers() int { r.mu.Lock(); defer r.mu.Unlock(); return r.known }
 
 // Announce adds records in zone file format, and sends them to the sender of the last query. Records with a TTL of 0
 // are withdrawn.
