--- a/internal/peer/policy/messages.go
+++ b/internal/peer/policy/messages.go
@@ -206,5 +206,5 @@
 	LastIndex     uint64   `cbor:"5,keyasint,omitempty"`
 	Voters        []string `cbor:"6,keyasint,omitempty"`
 	Applied       uint64   `cbor:"7,keyasint,omitempty"` // index of the last entry that the voter applied
-	Start         uint64   `cbor:"8,keyasint,omitempty"` // Number of its own requests; 0: it runs an earlier build
+	Start         uint64   `cbor:"8,keyasint,omitempty"` // StartNumber of its own requests; 0: it runs an earlier build
 }
