--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -27,7 +27,7 @@
 	s := &history{}
 	names := []string{"a", "b", "c"}
 	for i, n := range names {
-		s.at(0, Line{What: Up, Of: n, PID: i + 1, Balancers: 1}).at(0, Line{What: Start, By: n, PID: i + 1, Life: n + "1"})
+		s.at(0, Line{What: Up, Of: n, PID: i + 1, Balancers: 1}).at(0, Line{What: Start, By: n, PID: i + 1, RunID: n + "1"})
 	}
 	for i, n := range names {
 		for _, o := range names {
@@ -41,7 +41,7 @@
 }
 
 func (s *history) sees(at float64, pid int, of, life, state string) *history {
-	return s.at(at, Line{What: Member, By: string("abc"[pid-1]), PID: pid, Of: of, Life: life, State: state})
+	return s.at(at, Line{What: Member, By: string("abc"[pid-1]), PID: pid, Of: of, RunID: life, State: state})
 }
 
 func expectOutcome(t *testing.T, s *history, claim, want string) {
@@ -105,7 +105,7 @@
 	gone := func() *history {
 		return threeDaemons().at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.1, Line{What: Down, Of: "c", PID: 3, Why: "term"}).sees(10.1, 1, "c", "c1", "left")
 	}
-	expectOutcome(t, gone().at(10.2, Line{What: Up, Of: "c", PID: 4, Balancers: 1}).at(10.3, Line{What: Start, By: "c", PID: 4, Life: "c2"}).
+	expectOutcome(t, gone().at(10.2, Line{What: Up, Of: "c", PID: 4, Balancers: 1}).at(10.3, Line{What: Start, By: "c", PID: 4, RunID: "c2"}).
 		sees(10.5, 2, "c", "c2", "alive").at(30, Line{What: End}), LeaveKnown, "kept")
 	expectOutcome(t, gone().sees(10.5, 2, "c", "c0", "dead").at(30, Line{What: End}), LeaveKnown, "BROKEN")
 	// If a process is killed just after it announced its leave, the announcement may not have reached all members.
@@ -132,7 +132,7 @@
 
 func TestDuplicateNames(t *testing.T) {
 	duplicated := func() *history {
-		return threeDaemons().at(10, Line{What: Twin, Of: "c", PID: 4, Balancers: 1}).at(10, Line{What: Start, By: "c", PID: 4, Life: "c2"})
+		return threeDaemons().at(10, Line{What: Twin, Of: "c", PID: 4, Balancers: 1}).at(10, Line{What: Start, By: "c", PID: 4, RunID: "c2"})
 	}
 	expectOutcome(t, duplicated().at(11, Line{What: Contested, By: "c", PID: 4, StandBack: true}).at(30, Line{What: End}), OneName, "kept")
 	expectOutcome(t, duplicated().at(30, Line{What: End}), OneName, "BROKEN")
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -20,7 +20,7 @@
 	Region string `json:"region,omitempty"` // of the daemon, in Up lines
 	Of     string `json:"of,omitempty"`     // in lines of a daemon: the member; in lines of the fault test: the daemon
 	Addr   string `json:"addr,omitempty"`
-	Life   string `json:"life,omitempty"` // run ID of Of
+	RunID  string `json:"life,omitempty"` // run ID of Of
 	Boot   uint64 `json:"boot,omitempty"`
 	Inc    uint32 `json:"inc,omitempty"`
 
@@ -79,7 +79,7 @@
 
 // Values of Line.What. Each comment names the writer: "daemon" or "test" (the fault test).
 const (
-	Start     = "start"     // daemon: its view starts, with Life, Boot, Balancers
+	Start     = "start"     // daemon: its view starts, with RunID, Boot, Balancers
 	Member    = "member"    // daemon: member Of is now in State
 	Counted   = "count"     // daemon: number of balancers by which it divides shared limits
 	Contested = "contested" // daemon: another process has the same name
--- a/internal/faulttest/checker/members.go
+++ b/internal/faulttest/checker/members.go
@@ -18,14 +18,14 @@
 	o := ck.process(l.PID)
 	switch l.What {
 	case Start:
-		if old := ck.findIncarnation(l.By, l.Life); old != nil && old != o {
+		if old := ck.findIncarnation(l.By, l.RunID); old != nil && old != o {
 			// A successor after a handover is the same member.
 			ck.processes[l.PID] = old
 			ck.order = slices.DeleteFunc(ck.order, func(pid int) bool { return pid == l.PID })
 			return
 		}
-		o.name, o.incarnation = l.By, l.Life
-		ck.byIncarnation[l.Life] = append(ck.byIncarnation[l.Life], o)
+		o.name, o.incarnation = l.By, l.RunID
+		ck.byIncarnation[l.RunID] = append(ck.byIncarnation[l.RunID], o)
 	case Leaving:
 		if o.leaving {
 			return
@@ -77,7 +77,7 @@
 		o.view[l.Of] = s
 	}
 	was := *s
-	s.incarnation, s.state = l.Life, l.State
+	s.incarnation, s.state = l.RunID, l.State
 	if aliveIncarnation(&was) != aliveIncarnation(s) {
 		s.aliveChangedAt = l.T
 	}
@@ -90,7 +90,7 @@
 		}
 		s.regionSuspectedAt = 0
 	}
-	p := ck.findIncarnation(l.Of, l.Life)
+	p := ck.findIncarnation(l.Of, l.RunID)
 	if p != nil && p != o {
 		o.knownProcesses[p.pid] = true
 		o.countChangedAt = l.T
@@ -107,7 +107,7 @@
 		case l.State == "dead":
 			ck.wrongDeath.Tried++
 			ck.wrongDeath.recordBreak(l.T, ck.base, "%s considers %s dead: %s", o.name, p.name, l.Why)
-		case l.State == "alive" && was.state == "suspect" && was.incarnation == l.Life:
+		case l.State == "alive" && was.state == "suspect" && was.incarnation == l.RunID:
 			d := time.Duration(l.T - was.suspectedAt)
 			ck.wrongDeath.recordMargin(d.Seconds(), "suspect for %v", d.Round(time.Millisecond))
 		}
--- a/internal/faulttest/checker/propagation.go
+++ b/internal/faulttest/checker/propagation.go
@@ -62,7 +62,7 @@
 		if daemon == nil {
 			return
 		}
-		daemon.incarnation = l.Life
+		daemon.incarnation = l.RunID
 		if l.T > p.from {
 			p.begin(l, "alive", &p.times.Join)
 		}
@@ -117,7 +117,7 @@
 // learn applies a change of a daemon's view of a member.
 func (p *propagation) learn(l Line) {
 	for _, e := range p.events {
-		if !e.unaware[l.PID] || e.name != l.Of || e.incarnation != l.Life {
+		if !e.unaware[l.PID] || e.name != l.Of || e.incarnation != l.RunID {
 			continue
 		}
 		if l.State != e.state && !(e.state == "dead" && l.State == "left") {
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -42,7 +42,7 @@
 	switch a := a.(type) {
 	case membership.MemberChanged:
 		r := &a.Record
-		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, Life: formatRunID(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
+		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, RunID: formatRunID(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
 		if !a.FirstSeen {
 			l.Was = a.Previous.String()
 		}
@@ -51,7 +51,7 @@
 		c := a.Size
 		return checker.Line{What: checker.Counted, Most: c.MaxBalancers, Least: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile}, true
 	case membership.NameConflict:
-		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, Life: formatRunID(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
+		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, RunID: formatRunID(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
 	case membership.PauseDetected:
 		return checker.Line{What: checker.SelfDoubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
@@ -185,7 +185,7 @@
 		what = checker.Twin
 	}
 	w.record(checker.Line{What: what, Of: a.name, PID: a.pid, Balancers: w.options.Instances, Region: w.region(a.n)})
-	w.record(checker.Line{By: a.name, PID: a.pid, What: checker.Start, Life: formatRunID(a.runID), Boot: boot})
+	w.record(checker.Line{By: a.name, PID: a.pid, What: checker.Start, RunID: formatRunID(a.runID), Boot: boot})
 }
 
 func (w *simulation) down(a *daemon, why string) {
