--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -107,7 +107,7 @@
 		l := &lines[i]
 		ck.advanceTo(l.T)
 		if l.What == Gap {
-			r.Gaps += l.Asked
+			r.Gaps += l.Count
 		}
 		ck.apply(l)
 	}
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -141,10 +141,10 @@
 }
 
 func TestService(t *testing.T) {
-	expectOutcome(t, threeDaemons().at(10, Line{What: Service, Of: "a", Asked: 100, Served: 100}), Serving, "kept")
-	expectOutcome(t, threeDaemons().at(10, Line{What: Service, Of: "a", Asked: 100, Served: 90}), Serving, "BROKEN")
-	expectOutcome(t, threeDaemons().at(9, Line{What: Cut, Of: "a", Why: "servers", Drop: 1}).at(10, Line{What: Service, Of: "a", Asked: 100}), Serving, "not tried")
-	expectOutcome(t, threeDaemons().at(9, Line{What: Down, Of: "a", PID: 1, Why: "kill"}).at(10, Line{What: Service, Of: "a", Asked: 100}), Serving, "not tried")
+	expectOutcome(t, threeDaemons().at(10, Line{What: Service, Of: "a", Count: 100, Served: 100}), Serving, "kept")
+	expectOutcome(t, threeDaemons().at(10, Line{What: Service, Of: "a", Count: 100, Served: 90}), Serving, "BROKEN")
+	expectOutcome(t, threeDaemons().at(9, Line{What: Cut, Of: "a", Why: "servers", Drop: 1}).at(10, Line{What: Service, Of: "a", Count: 100}), Serving, "not tried")
+	expectOutcome(t, threeDaemons().at(9, Line{What: Down, Of: "a", PID: 1, Why: "kill"}).at(10, Line{What: Service, Of: "a", Count: 100}), Serving, "not tried")
 }
 
 func TestBytes(t *testing.T) {
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -46,7 +46,7 @@
 	// Rough: the link also duplicates, reorders, damages, slows down or breaks traffic.
 	Rough bool `json:"rough,omitempty"`
 
-	Asked     int `json:"asked,omitempty"` // requests in the last second; in Gap lines: lost lines; in StrayDatagram lines: datagrams
+	Count     int `json:"asked,omitempty"` // requests in the last second; in Gap lines: lost lines; in StrayDatagram lines: datagrams
 	Served    int `json:"served,omitempty"`
 	Refused   int `json:"refused,omitempty"`
 	Failed    int `json:"failed,omitempty"`
@@ -85,7 +85,7 @@
 	Contested = "contested" // daemon: another process has the same name
 	SelfDoubt = "doubt"     // daemon: it was paused or starved of CPU time, and has raised its local health multiplier (Health)
 	Leaving   = "leave"     // daemon: it announces its departure
-	Gap       = "gap"       // daemon: Asked lines could not be written
+	Gap       = "gap"       // daemon: Count lines could not be written
 
 	Up            = "up"      // test: process PID of daemon Of runs, with Balancers
 	Down          = "down"    // test: the process was ended; Why is kill or term
@@ -105,8 +105,8 @@
 	Wanted        = "wanted"  // test: requests per second, over all daemons, from now on
 	EjectionState = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
 	Fault         = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
-	Got           = "got"     // test: requests that reached Server (Asked) and all servers (Wanted) in the last second
-	StrayDatagram = "odd"     // test: Asked stray datagrams were sent to Of; Why is their kind
+	Got           = "got"     // test: requests that reached Server (Count) and all servers (Wanted) in the last second
+	StrayDatagram = "odd"     // test: Count stray datagrams were sent to Of; Why is their kind
 	End           = "end"     // test: the history ends
 
 	Agreed         = "agreed"   // test: the daemons agree on policies; Hard: isolated members stop after PauseMS; Why: voters; Parts: future voters
--- a/internal/faulttest/checker/servers.go
+++ b/internal/faulttest/checker/servers.go
@@ -112,15 +112,15 @@
 			}
 		}
 		s.ejectionKept.Tried++
-		s.ejectionKept.recordMargin(float64(l.Asked)/even, "%d of %.0f in a second (%s)", l.Asked, even, l.Server)
-		if float64(l.Asked) > s.bounds.MaxEjectedShare*even {
-			s.ejectionKept.recordBreak(l.T, s.checker.base, "%s fails, but got %d of %.0f in a second", l.Server, l.Asked, even)
+		s.ejectionKept.recordMargin(float64(l.Count)/even, "%d of %.0f in a second (%s)", l.Count, even, l.Server)
+		if float64(l.Count) > s.bounds.MaxEjectedShare*even {
+			s.ejectionKept.recordBreak(l.T, s.checker.base, "%s fails, but got %d of %.0f in a second", l.Server, l.Count, even)
 		}
 	case f.failureShare == 0 && f.lastFailedAt > 0 && age > int64(6*s.bounds.Ejection):
 		s.readmission.Tried++
-		s.readmission.recordMargin(-float64(l.Asked)/even, "%d of %.0f in a second (%s)", l.Asked, even, l.Server)
-		if float64(l.Asked) < 0.5*even {
-			s.readmission.recordBreak(l.T, s.checker.base, "%s is healthy, but got %d of %.0f in a second", l.Server, l.Asked, even)
+		s.readmission.recordMargin(-float64(l.Count)/even, "%d of %.0f in a second (%s)", l.Count, even, l.Server)
+		if float64(l.Count) < 0.5*even {
+			s.readmission.recordBreak(l.T, s.checker.base, "%s is healthy, but got %d of %.0f in a second", l.Server, l.Count, even)
 		}
 	}
 }
--- a/internal/faulttest/checker/service.go
+++ b/internal/faulttest/checker/service.go
@@ -29,9 +29,9 @@
 	if p == nil || p.terminating || p.leaving || p.pausedAt > 0 || l.T-p.startedAt < serviceSettleTime || p.resumedAt > 0 && l.T-p.resumedAt < serviceSettleTime || l.T < p.starvedUntil+serviceSettleTime {
 		return
 	}
-	ck.served.Tried += l.Asked
+	ck.served.Tried += l.Count
 	t := ck.serviceCounts[l.Of]
-	ck.serviceCounts[l.Of] = serviceCount{t.requests + l.Asked, t.served + l.Served}
+	ck.serviceCounts[l.Of] = serviceCount{t.requests + l.Count, t.served + l.Served}
 }
 
 func (ck *checker) checkService() {
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -343,7 +343,7 @@
 			total += got[n]
 		}
 		for n := range r.states {
-			r.record(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Asked: got[n], Wanted: total, Members: len(r.states)})
+			r.record(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Count: got[n], Wanted: total, Members: len(r.states)})
 		}
 		for n := range r.p.Daemons {
 			s := r.relays.take(n)
@@ -382,7 +382,7 @@
 		for s := range int(r.p.Length / time.Second) {
 			if c := d.clients.of(s); c.asked > 0 {
 				r.record(checker.Line{T: first + int64(time.Duration(s+4)*time.Second), What: checker.Service, Of: d.name,
-					Asked: c.asked, Served: c.served, Refused: c.refused, Failed: c.failed})
+					Count: c.asked, Served: c.served, Refused: c.refused, Failed: c.failed})
 			}
 		}
 	}
@@ -520,7 +520,7 @@
 			r.record(checker.Line{What: checker.Cut, Of: d.name, Why: "servers", Drop: e.Link.Drop})
 		case "stray":
 			r.relays.stray(n, e.Kind, e.Count)
-			r.record(checker.Line{What: checker.StrayDatagram, Of: d.name, Why: e.Kind, Asked: e.Count})
+			r.record(checker.Line{What: checker.StrayDatagram, Of: d.name, Why: e.Kind, Count: e.Count})
 		}
 	}
 	return nil
