--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -35,7 +35,7 @@
 				s.sees(0.5, i+1, o, o+"1", "alive")
 			}
 		}
-		s.at(0.5, Line{What: Counted, By: n, PID: i + 1, Most: 3})
+		s.at(0.5, Line{What: Counted, By: n, PID: i + 1, MaxBalancers: 3})
 	}
 	return s
 }
@@ -124,10 +124,10 @@
 }
 
 func TestCounts(t *testing.T) {
-	expectOutcome(t, threeDaemons().at(10, Line{What: Counted, By: "a", PID: 1, Most: 2}).at(30, Line{What: End}), CountEnough, "BROKEN")
+	expectOutcome(t, threeDaemons().at(10, Line{What: Counted, By: "a", PID: 1, MaxBalancers: 2}).at(30, Line{What: End}), CountEnough, "BROKEN")
 	expectOutcome(t, threeDaemons().at(30, Line{What: End}), CountEnough, "kept")
 	expectOutcome(t, threeDaemons().at(30, Line{What: End}), CountExact, "kept")
-	expectOutcome(t, threeDaemons().at(5, Line{What: Counted, By: "a", PID: 1, Most: 9}).at(30, Line{What: End}), CountExact, "BROKEN")
+	expectOutcome(t, threeDaemons().at(5, Line{What: Counted, By: "a", PID: 1, MaxBalancers: 9}).at(30, Line{What: End}), CountExact, "BROKEN")
 }
 
 func TestDuplicateNames(t *testing.T) {
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -28,12 +28,12 @@
 	Was   string `json:"was,omitempty"`
 	Why   string `json:"why,omitempty"`
 
-	Most      int  `json:"most,omitempty"`
-	Least     int  `json:"least,omitempty"`
-	Members   int  `json:"members,omitempty"`
-	Live      int  `json:"live,omitempty"`
-	File      bool `json:"file,omitempty"`
-	Balancers int  `json:"balancers,omitempty"`
+	MaxBalancers int  `json:"most,omitempty"`
+	Least        int  `json:"least,omitempty"`
+	Members      int  `json:"members,omitempty"`
+	Live         int  `json:"live,omitempty"`
+	File         bool `json:"file,omitempty"`
+	Balancers    int  `json:"balancers,omitempty"`
 
 	StandBack bool  `json:"stand_back,omitempty"`
 	PauseMS   int64 `json:"pause_ms,omitempty"`
--- a/internal/faulttest/checker/members.go
+++ b/internal/faulttest/checker/members.go
@@ -59,7 +59,7 @@
 	case Member:
 		ck.applyMember(o, l)
 	case Counted:
-		o.countedBalancers = l.Most
+		o.countedBalancers = l.MaxBalancers
 		o.hasCounted = true
 		o.countChangedAt = l.T
 	case Contested:
