--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -29,7 +29,7 @@
 	Why   string `json:"why,omitempty"`
 
 	MaxBalancers int  `json:"most,omitempty"`
-	Least        int  `json:"least,omitempty"`
+	MinBalancers int  `json:"least,omitempty"`
 	Members      int  `json:"members,omitempty"`
 	Live         int  `json:"live,omitempty"`
 	File         bool `json:"file,omitempty"`
