--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -79,13 +79,13 @@
 
 // Values of Line.What. Each comment names the writer: "daemon" or "test" (the fault test).
 const (
-	Start     = "start"     // daemon: its view starts, with RunID, Boot, Balancers
-	Member    = "member"    // daemon: member Of is now in State
-	Counted   = "count"     // daemon: number of balancers by which it divides shared limits
-	Contested = "contested" // daemon: another process has the same name
-	SelfDoubt = "doubt"     // daemon: it was paused or starved of CPU time, and has raised its local health multiplier (Health)
-	Leaving   = "leave"     // daemon: it announces its departure
-	Gap       = "gap"       // daemon: Count lines could not be written
+	Start         = "start"     // daemon: its view starts, with RunID, Boot, Balancers
+	Member        = "member"    // daemon: member Of is now in State
+	Counted       = "count"     // daemon: number of balancers by which it divides shared limits
+	Contested     = "contested" // daemon: another process has the same name
+	PauseDetected = "doubt"     // daemon: it was paused or starved of CPU time, and has raised its local health multiplier (Health)
+	Leaving       = "leave"     // daemon: it announces its departure
+	Gap           = "gap"       // daemon: Count lines could not be written
 
 	Up            = "up"      // test: process PID of daemon Of runs, with Balancers
 	Down          = "down"    // test: the process was ended; Why is kill or term
--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -130,7 +130,7 @@
 			continue
 		}
 		switch {
-		case l.What == checker.SelfDoubt:
+		case l.What == checker.PauseDetected:
 			s.Doubts += 1 / float64(h.Members)
 		case l.What == checker.Member && l.State == "suspect":
 			s.Suspicions += 1 / float64(h.Members)
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -53,7 +53,7 @@
 	case membership.NameConflict:
 		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, RunID: formatRunID(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
 	case membership.PauseDetected:
-		return checker.Line{What: checker.SelfDoubt, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
+		return checker.Line{What: checker.PauseDetected, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
 	return checker.Line{}, false
 }
