--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -230,7 +230,7 @@
 	q := p.part(l.Part)
 	t := q.user(l.PID)
 	p.lastUseAt = l.T
-	if l.Alone { // the daemon's configuration allows it: recorded, not checked
+	if l.Standalone { // the daemon's configuration allows it: recorded, not checked
 		return
 	}
 	p.checkChange(q, l)
@@ -473,7 +473,7 @@
 	at := map[string]uint64{} // by process
 	for i := range lines {
 		l := &lines[i]
-		if l.What != Took || l.Alone {
+		if l.What != Took || l.Standalone {
 			continue
 		}
 		key := fmt.Sprint(l.Of, l.PID)
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -286,7 +286,7 @@
 				dropped++
 			}
 		case checker.Took:
-			if at[l.Of] != l.Number && !l.Alone {
+			if at[l.Of] != l.Number && !l.Standalone {
 				at[l.Of] = l.Number
 				last[l.Number] = l.T
 			}
@@ -495,7 +495,7 @@
 		case checker.Proposed:
 			changes++
 		case checker.Took:
-			if l.Alone {
+			if l.Standalone {
 				continue
 			}
 			now[l.Of] = l.Number
