--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -35,9 +35,9 @@
 	File         bool `json:"file,omitempty"`
 	Balancers    int  `json:"balancers,omitempty"`
 
-	StandBack bool  `json:"stand_back,omitempty"`
-	PauseMS   int64 `json:"pause_ms,omitempty"`
-	Health    int   `json:"health,omitempty"`
+	Yielded bool  `json:"stand_back,omitempty"`
+	PauseMS int64 `json:"pause_ms,omitempty"`
+	Health  int   `json:"health,omitempty"`
 
 	From  string  `json:"from,omitempty"` // sending end of a link
 	To    string  `json:"to,omitempty"`
--- a/internal/faulttest/checker/members.go
+++ b/internal/faulttest/checker/members.go
@@ -63,8 +63,8 @@
 		o.hasCounted = true
 		o.countChangedAt = l.T
 	case Contested:
-		o.standingBy = l.StandBack
-		if l.StandBack && o.duplicate {
+		o.standingBy = l.Yielded
+		if l.Yielded && o.duplicate {
 			ck.name.recordDuration(time.Duration(l.T - o.startedAt))
 		}
 	}
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -51,7 +51,7 @@
 		c := a.Size
 		return checker.Line{What: checker.Counted, MaxBalancers: c.MaxBalancers, MinBalancers: c.MinBalancers, Members: c.Members, Live: c.Live, File: c.FromFile}, true
 	case membership.NameConflict:
-		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, RunID: formatRunID(a.Other.RunID), StandBack: a.Yield, Why: a.Reason}, true
+		return checker.Line{What: checker.Contested, Addr: a.Other.Addr, RunID: formatRunID(a.Other.RunID), Yielded: a.Yield, Why: a.Reason}, true
 	case membership.PauseDetected:
 		return checker.Line{What: checker.PauseDetected, PauseMS: a.Pause.Milliseconds(), Health: a.Health}, true
 	}
