--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -66,12 +66,12 @@
 	Wanted int    `json:"wanted,omitempty"`
 	Server string `json:"server,omitempty"` // name in the server list; in lines of a daemon, the source precedes the name
 
-	ID         string `json:"id,omitempty"`     // of a policy change
-	Number     uint64 `json:"number,omitempty"` // of a policy version
-	Both       string `json:"both,omitempty"`   // change that is being prepared and that also allows the request
-	Standalone bool   `json:"alone,omitempty"`  // the daemon reached no voter and served by the last policy on its disk
-	Part       string `json:"part,omitempty"`   // part of the policy: a service; empty: the global part
-	Parts      string `json:"parts,omitempty"`  // several parts, separated by spaces; "-" is the global part
+	ID              string `json:"id,omitempty"`     // of a policy change
+	Number          uint64 `json:"number,omitempty"` // of a policy version
+	PreparingChange string `json:"both,omitempty"`   // change that is being prepared and that also allows the request
+	Standalone      bool   `json:"alone,omitempty"`  // the daemon reached no voter and served by the last policy on its disk
+	Part            string `json:"part,omitempty"`   // part of the policy: a service; empty: the global part
+	Parts           string `json:"parts,omitempty"`  // several parts, separated by spaces; "-" is the global part
 }
 
 // FaultTest is the value of By in lines of the fault test itself.
--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -321,7 +321,7 @@
 	if at == 0 || later <= t.failedFor || q.isExcluded(l.Of, later) {
 		return nil
 	}
-	if l.Both != "" && q.used[later].id == l.Both && later == n+1 { // the request was allowed by both versions
+	if l.PreparingChange != "" && q.used[later].id == l.PreparingChange && later == n+1 { // the request was allowed by both versions
 		return nil
 	}
 	lag := time.Duration(l.T - at)
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -583,7 +583,7 @@
 		w.result.Taken++
 		l := checker.Line{What: checker.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Standalone: s.Standalone, Part: part}
 		if b := s.PreparingChange(part); b != nil {
-			l.Both = b.ID
+			l.PreparingChange = b.ID
 		}
 		w.record(l)
 	})
