--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -263,7 +263,7 @@
 		ck.applyService(l)
 	case Fault, Got:
 		ck.servers.applyTruth(l)
-	case Limited, Used, Wanted:
+	case Limited, Used, DemandChanged:
 		ck.limits.applyTruth(l, ck.base, ck.truthChangedAt)
 	}
 }
--- a/internal/faulttest/checker/limits.go
+++ b/internal/faulttest/checker/limits.go
@@ -38,7 +38,7 @@
 		return
 	}
 	x := lc.limits[l.Limit]
-	if l.What == Wanted {
+	if l.What == DemandChanged {
 		for _, x := range lc.limits {
 			x.demandPerSecond, x.changedAt = l.Wanted, l.T
 		}
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -102,7 +102,7 @@
 	Starve        = "starve"  // test: process PID gets little CPU time for PauseMS
 	Limited       = "limited" // test: the daemons share a limit
 	Used          = "used"    // test: use of the limit, as measured at the servers
-	Wanted        = "wanted"  // test: requests per second, over all daemons, from now on
+	DemandChanged = "wanted"  // test: requests per second, over all daemons, from now on
 	EjectionState = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
 	Fault         = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
 	Got           = "got"     // test: requests that reached Server (Count) and all servers (Wanted) in the last second
