--- a/internal/faulttest/checker/limits.go
+++ b/internal/faulttest/checker/limits.go
@@ -40,7 +40,7 @@
 	x := lc.limits[l.Limit]
 	if l.What == DemandChanged {
 		for _, x := range lc.limits {
-			x.demandPerSecond, x.changedAt = l.Wanted, l.T
+			x.demandPerSecond, x.changedAt = l.Demand, l.T
 		}
 		return
 	}
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -63,7 +63,7 @@
 	Rate   bool   `json:"per_s,omitempty"` // the limit counts requests that begin within a second
 	Used   int    `json:"used,omitempty"`  // at servers, maximum since the last line: in flight, or begun in a second
 	Begun  int    `json:"begun,omitempty"` // requests that began at servers since the previous line
-	Wanted int    `json:"wanted,omitempty"`
+	Demand int    `json:"wanted,omitempty"`
 	Server string `json:"server,omitempty"` // name in the server list; in lines of a daemon, the source precedes the name
 
 	ID              string `json:"id,omitempty"`     // of a policy change
@@ -105,7 +105,7 @@
 	DemandChanged = "wanted"  // test: requests per second, over all daemons, from now on
 	EjectionState = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
 	Fault         = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
-	Got           = "got"     // test: requests that reached Server (Count) and all servers (Wanted) in the last second
+	Got           = "got"     // test: requests that reached Server (Count) and all servers (Demand) in the last second
 	StrayDatagram = "odd"     // test: Count stray datagrams were sent to Of; Why is their kind
 	End           = "end"     // test: the history ends
 
--- a/internal/faulttest/checker/servers.go
+++ b/internal/faulttest/checker/servers.go
@@ -92,7 +92,7 @@
 	if f.failureShare > 0 {
 		f.lastFailedAt = l.T
 	}
-	even := float64(l.Wanted) / float64(max(1, l.Members))
+	even := float64(l.Demand) / float64(max(1, l.Members))
 	age := l.T - f.changedAt - int64(time.Second) // the line is about the second before it
 	switch {
 	case f.changedAt == 0 || even < 3 || !s.checker.areLinksUndisturbed() || s.checker.truthChangedAt > f.changedAt && l.T-s.checker.truthChangedAt < int64(s.bounds.Settle):
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -343,7 +343,7 @@
 			total += got[n]
 		}
 		for n := range r.states {
-			r.record(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Count: got[n], Wanted: total, Members: len(r.states)})
+			r.record(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Count: got[n], Demand: total, Members: len(r.states)})
 		}
 		for n := range r.p.Daemons {
 			s := r.relays.take(n)
--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -115,7 +115,7 @@
 			sum += math.Float64frombits(d.clients.rate.Load())
 		}
 	}
-	r.record(checker.Line{What: checker.DemandChanged, Wanted: int(sum)})
+	r.record(checker.Line{What: checker.DemandChanged, Demand: int(sum)})
 }
 
 // recordLimitUse records the use of each limit, as measured at the servers, every tenth of a second.
