--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -109,14 +109,14 @@
 	StrayDatagram = "odd"     // test: Count stray datagrams were sent to Of; Why is their kind
 	End           = "end"     // test: the history ends
 
-	Agreed         = "agreed"   // test: the daemons agree on policies; Hard: isolated members stop after PauseMS; Why: voters; Parts: future voters
-	Proposed       = "proposed" // test: change ID of Parts (none: the global part) is proposed at Of, excluding the members in Why
-	AuthorNotified = "told"     // test: the author of change ID is notified of its State and Number
-	Took           = "took"     // test: Of admitted a request by policy Number, which change ID made
-	PolicyRejected = "turned"   // test: Of rejected a request because of the policy
-	Disk           = "disk"     // test: the disk of Of is full, slow or healthy (State: full, slow, well)
-	OnDisk         = "on-disk"  // test: change ID is on the disk of Of
-	Holds          = "holds"    // test: process PID holds these Parts of the policy, besides the global part
+	Agreed          = "agreed"   // test: the daemons agree on policies; Hard: isolated members stop after PauseMS; Why: voters; Parts: future voters
+	Proposed        = "proposed" // test: change ID of Parts (none: the global part) is proposed at Of, excluding the members in Why
+	AuthorNotified  = "told"     // test: the author of change ID is notified of its State and Number
+	RequestAdmitted = "took"     // test: Of admitted a request by policy Number, which change ID made
+	PolicyRejected  = "turned"   // test: Of rejected a request because of the policy
+	Disk            = "disk"     // test: the disk of Of is full, slow or healthy (State: full, slow, well)
+	OnDisk          = "on-disk"  // test: change ID is on the disk of Of
+	Holds           = "holds"    // test: process PID holds these Parts of the policy, besides the global part
 )
 
 // Read reads lines until the end of r. For a line that can't be parsed, it returns an error with the line's number,
--- a/internal/faulttest/checker/policy.go
+++ b/internal/faulttest/checker/policy.go
@@ -162,7 +162,7 @@
 		p.onDisk[l.Of][l.ID] = true
 	case AuthorNotified:
 		p.applyNotification(l)
-	case Took:
+	case RequestAdmitted:
 		p.applyUse(l)
 	case PolicyRejected:
 		p.applyRejection(l)
@@ -473,7 +473,7 @@
 	at := map[string]uint64{} // by process
 	for i := range lines {
 		l := &lines[i]
-		if l.What != Took || l.Standalone {
+		if l.What != RequestAdmitted || l.Standalone {
 			continue
 		}
 		key := fmt.Sprint(l.Of, l.PID)
--- a/internal/faulttest/checker/policy_test.go
+++ b/internal/faulttest/checker/policy_test.go
@@ -16,7 +16,7 @@
 }
 
 func (s *history) uses(at float64, pid int, number uint64, id string) *history {
-	return s.at(at, Line{What: Took, Of: string("abc"[pid-1]), PID: pid, Number: number, ID: id})
+	return s.at(at, Line{What: RequestAdmitted, Of: string("abc"[pid-1]), PID: pid, Number: number, ID: id})
 }
 
 // change adds a change that comes into force at 30 s: a and b use it at once, c uses it late seconds after that.
@@ -55,7 +55,7 @@
 		"author not notified":                         {agreedFleet(true).at(20, Line{What: Proposed, Of: "a", ID: "y"}).allUse(60, 0, ""), PolicyAuthorNotified, "BROKEN"},
 		"return to an earlier policy":                 {agreedFleet(true).change(0.1).uses(50, 2, 0, "").allUse(60, 1, "x"), PolicyDurable, "BROKEN"},
 		"one number, two changes":                     {agreedFleet(true).change(0.1).uses(50, 2, 1, "z").allUse(60, 1, "x"), PolicyDurable, "BROKEN"},
-		"a start with an earlier policy":              {agreedFleet(true).change(0.1).at(50, Line{What: Up, Of: "b", PID: 9}).at(50.5, Line{What: Took, Of: "b", PID: 9}).allUse(60, 1, "x"), PolicyStart, "BROKEN"},
+		"a start with an earlier policy":              {agreedFleet(true).change(0.1).at(50, Line{What: Up, Of: "b", PID: 9}).at(50.5, Line{What: RequestAdmitted, Of: "b", PID: 9}).allUse(60, 1, "x"), PolicyStart, "BROKEN"},
 		"rejection without a fault":                   {agreedFleet(true).change(0.1).at(55, Line{What: PolicyRejected, Of: "b", PID: 2}).allUse(60, 1, "x"), PolicyServes, "BROKEN"},
 		"rejection, isolated, stops":                  {cut(agreedFleet(true)).at(58, Line{What: PolicyRejected, Of: "c", PID: 3}).allUse(60, 0, ""), PolicyServes, "not tried"},
 		"rejection, isolated, vetoes":                 {cut(agreedFleet(false)).at(58, Line{What: PolicyRejected, Of: "c", PID: 3}).allUse(60, 0, ""), PolicyServes, "BROKEN"},
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -151,7 +151,7 @@
 				at = begun
 			}
 			status, body := c.probe(ctx, fmt.Sprintf("%s/look-%s-%s-%d-%d", markers[k], d.name, part, n, k))
-			l := checker.Line{T: at, By: checker.FaultTest, What: checker.Took, Of: d.name, PID: pid, Server: markers[k], Part: part}
+			l := checker.Line{T: at, By: checker.FaultTest, What: checker.RequestAdmitted, Of: d.name, PID: pid, Server: markers[k], Part: part}
 			switch {
 			case status == http.StatusNotFound:
 				continue
@@ -282,7 +282,7 @@
 	defer r.policies.mu.Unlock()
 	var all []checker.Line
 	for _, l := range r.policies.lines {
-		if l.What == checker.Took {
+		if l.What == checker.RequestAdmitted {
 			id := "c" + strings.TrimPrefix(l.Server, "p")
 			if id == "c0" || l.Server == "get" {
 				id = ""
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -62,9 +62,9 @@
 			var last, first time.Duration
 			for _, l := range r.Lines {
 				switch at := time.Duration(l.T); {
-				case l.What == checker.Took && l.Of == plan.Name(4) && l.Number == 0:
+				case l.What == checker.RequestAdmitted && l.Of == plan.Name(4) && l.Number == 0:
 					last = at
-				case l.What == checker.Took && l.Number == 1 && first == 0:
+				case l.What == checker.RequestAdmitted && l.Number == 1 && first == 0:
 					first = at
 				}
 			}
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -581,7 +581,7 @@
 			return
 		}
 		w.result.Taken++
-		l := checker.Line{What: checker.Took, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Standalone: s.Standalone, Part: part}
+		l := checker.Line{What: checker.RequestAdmitted, Of: m.name, PID: m.pid, Number: d.Number, ID: d.ID, Standalone: s.Standalone, Part: part}
 		if b := s.PreparingChange(part); b != nil {
 			l.PreparingChange = b.ID
 		}
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -190,9 +190,9 @@
 					out.everywhere = append(out.everywhere, u.last-at)
 				}
 			}
-		case checker.Took, checker.PolicyRejected:
+		case checker.RequestAdmitted, checker.PolicyRejected:
 			if t := time.Duration(l.T); cut[l.Of] && t >= c.cutAt && t < c.cutAt+c.cutFor {
-				if l.What == checker.Took {
+				if l.What == checker.RequestAdmitted {
 					out.serving++
 				} else {
 					out.turned++
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -285,7 +285,7 @@
 			} else {
 				dropped++
 			}
-		case checker.Took:
+		case checker.RequestAdmitted:
 			if at[l.Of] != l.Number && !l.Standalone {
 				at[l.Of] = l.Number
 				last[l.Number] = l.T
@@ -367,7 +367,7 @@
 		began := map[string]bool{}
 		for _, l := range g.r.Lines { // rejections before a process first serves are not counted
 			switch key := fmt.Sprint(l.Of, l.PID); l.What {
-			case checker.Took:
+			case checker.RequestAdmitted:
 				began[key] = true
 			case checker.PolicyRejected:
 				if began[key] {
@@ -425,7 +425,7 @@
 			bytes, seconds, cpu := 0, 0, map[string][2]int{}
 			for _, l := range lines {
 				switch key := fmt.Sprint(l.Of, l.PID); l.What {
-				case checker.Took:
+				case checker.RequestAdmitted:
 					began[key] = true
 					looks++
 				case checker.PolicyRejected:
@@ -494,7 +494,7 @@
 		switch l.What {
 		case checker.Proposed:
 			changes++
-		case checker.Took:
+		case checker.RequestAdmitted:
 			if l.Standalone {
 				continue
 			}
