--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -261,7 +261,7 @@
 		ck.applyTraffic(l)
 	case Service:
 		ck.applyService(l)
-	case Fault, Got:
+	case Fault, ServerReceived:
 		ck.servers.applyTruth(l)
 	case Limited, Used, DemandChanged:
 		ck.limits.applyTruth(l, ck.base, ck.truthChangedAt)
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -168,7 +168,7 @@
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
 	r.mu.Unlock()
-	if r.o.Tell != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.Got {
+	if r.o.Tell != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.ServerReceived {
 		fmt.Fprintf(r.o.Tell, "%7.2f s  %s %s %s\n", time.Since(r.begin).Seconds(), l.What, l.Of, l.Why)
 	}
 }
@@ -343,7 +343,7 @@
 			total += got[n]
 		}
 		for n := range r.states {
-			r.record(checker.Line{What: checker.Got, Server: fmt.Sprint("s", n+1), Count: got[n], Demand: total, Members: len(r.states)})
+			r.record(checker.Line{What: checker.ServerReceived, Server: fmt.Sprint("s", n+1), Count: got[n], Demand: total, Members: len(r.states)})
 		}
 		for n := range r.p.Daemons {
 			s := r.relays.take(n)
