--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -24,9 +24,9 @@
 	Boot   uint64 `json:"boot,omitempty"`
 	Inc    uint32 `json:"inc,omitempty"`
 
-	State string `json:"state,omitempty"`
-	Was   string `json:"was,omitempty"`
-	Why   string `json:"why,omitempty"`
+	State    string `json:"state,omitempty"`
+	Previous string `json:"was,omitempty"`
+	Why      string `json:"why,omitempty"`
 
 	MaxBalancers int  `json:"most,omitempty"`
 	MinBalancers int  `json:"least,omitempty"`
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -44,7 +44,7 @@
 		r := &a.Record
 		l := checker.Line{What: checker.Member, Of: r.Name, Addr: r.Addr, RunID: formatRunID(r.RunID), Boot: r.Boot, Inc: r.Incarnation, State: r.State.String(), Why: a.Reason}
 		if !a.FirstSeen {
-			l.Was = a.Previous.String()
+			l.Previous = a.Previous.String()
 		}
 		return l, true
 	case membership.BalancerCountChanged:
--- a/tools/peers/real.go
+++ b/tools/peers/real.go
@@ -110,7 +110,7 @@
 	for _, l := range lines {
 		switch l.What {
 		case checker.Member:
-			if l.T > heal && l.State != "suspect" && l.Was != "suspect" {
+			if l.T > heal && l.State != "suspect" && l.Previous != "suspect" {
 				settled = time.Duration(l.T - heal)
 			}
 		case checker.Sent:
--- a/tools/peers/virtual.go
+++ b/tools/peers/virtual.go
@@ -319,7 +319,7 @@
 				bytes, streamed = max(bytes, l.Bytes), max(streamed, l.Streamed)
 			case l.What == checker.Member && l.State == "dead" && t < backAt:
 				dead = t - dieAt
-			case l.What == checker.Member && l.State == "alive" && l.Was != "suspect" && t > backAt:
+			case l.What == checker.Member && l.State == "alive" && l.Previous != "suspect" && t > backAt:
 				back = t - backAt
 			}
 		}
