--- a/internal/faulttest/checker/limits.go
+++ b/internal/faulttest/checker/limits.go
@@ -34,7 +34,7 @@
 // applyTruth applies a line about limits; changed is the time at which the true state of the daemons last changed.
 func (lc *limitsChecker) applyTruth(l *Line, base, changed int64) {
 	if l.What == Limited {
-		lc.limits[l.Limit] = &limited{capacity: l.Figure, bound: l.Bound, hard: l.Hard, rate: l.Rate, changedAt: l.T, lastLineAt: l.T}
+		lc.limits[l.Limit] = &limited{capacity: l.Total, bound: l.Bound, hard: l.Hard, rate: l.Rate, changedAt: l.T, lastLineAt: l.T}
 		return
 	}
 	x := lc.limits[l.Limit]
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -57,7 +57,7 @@
 	CPUMS     int `json:"cpu_ms,omitempty"`   // CPU time that the process has used since its start, in ms
 
 	Limit  string `json:"limit,omitempty"`
-	Figure int    `json:"figure,omitempty"`
+	Total  int    `json:"figure,omitempty"`
 	Bound  int    `json:"bound,omitempty"`
 	Hard   bool   `json:"hard,omitempty"`
 	Rate   bool   `json:"per_s,omitempty"` // the limit counts requests that begin within a second
--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -101,7 +101,7 @@
 func (r *runner) recordLimits() {
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
-		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Figure: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
+		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Total: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
 			Bound: s.Bounds(s.Limits[i], len(r.daemons)).MaxUsed})
 	}
 	r.recordDemand()
