--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -338,7 +338,7 @@
 func (ck *checker) applyLink(l *Line) {
 	link := pair{l.From, l.To}
 	ck.lossRates[link] = l.Drop
-	ck.impairedLinks[link] = l.Rough
+	ck.impairedLinks[link] = l.Impaired
 	ck.oneWayDelays[link] = time.Duration(l.WayUS) * time.Microsecond
 	ck.markTruthChanged(l.T)
 	ck.linksChangedAt = l.T
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -155,7 +155,7 @@
 	}
 	expectOutcome(t, rest, BytesIdle, "BROKEN")
 	expectOutcome(t, rest, BytesMaximum, "kept")
-	rough := threeDaemons().at(1, Line{What: Link, From: "a", To: "b", Rough: true})
+	rough := threeDaemons().at(1, Line{What: Link, From: "a", To: "b", Impaired: true})
 	for i := range 10 {
 		rough.at(float64(10+i), Line{What: Sent, Of: "a", Bytes: 1500})
 	}
--- a/internal/faulttest/checker/isolation.go
+++ b/internal/faulttest/checker/isolation.go
@@ -42,7 +42,7 @@
 		}
 	case Link:
 		at := pair{l.From, l.To}
-		a.linkChangedAt[at], a.impaired[at] = l.T, l.Drop > 0.05 || l.Rough
+		a.linkChangedAt[at], a.impaired[at] = l.T, l.Drop > 0.05 || l.Impaired
 	}
 }
 
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -43,8 +43,8 @@
 	To    string  `json:"to,omitempty"`
 	Drop  float64 `json:"drop,omitempty"`
 	WayUS int64   `json:"way_us,omitempty"` // one-way delay that the link adds, in microseconds
-	// Rough: the link also duplicates, reorders, damages, slows down or breaks traffic.
-	Rough bool `json:"rough,omitempty"`
+	// Impaired: the link also duplicates, reorders, damages, slows down or breaks traffic.
+	Impaired bool `json:"rough,omitempty"`
 
 	Count     int `json:"asked,omitempty"` // requests in the last second; in Gap lines: lost lines; in StrayDatagram lines: datagrams
 	Served    int `json:"served,omitempty"`
