--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -339,7 +339,7 @@
 	link := pair{l.From, l.To}
 	ck.lossRates[link] = l.Drop
 	ck.impairedLinks[link] = l.Impaired
-	ck.oneWayDelays[link] = time.Duration(l.WayUS) * time.Microsecond
+	ck.oneWayDelays[link] = time.Duration(l.OneWayDelayUS) * time.Microsecond
 	ck.markTruthChanged(l.T)
 	ck.linksChangedAt = l.T
 	ck.componentOf = nil
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -220,7 +220,7 @@
 		want       string
 	}{{0, "BROKEN"}, {2, "kept"}} {
 		bounds.RoundTrips = c.roundTrips
-		s := threeDaemons().at(1, Line{What: Link, From: "a", To: "c", WayUS: 200_000}).at(1, Line{What: Link, From: "c", To: "a", WayUS: 200_000}).
+		s := threeDaemons().at(1, Line{What: Link, From: "a", To: "c", OneWayDelayUS: 200_000}).at(1, Line{What: Link, From: "c", To: "a", OneWayDelayUS: 200_000}).
 			at(10, Line{What: Down, Of: "c", PID: 3, Why: "kill"}).sees(12, 2, "c", "c1", "dead").sees(13.7, 1, "c", "c1", "dead").at(30, Line{What: End})
 		expectOutcome(t, s, CrashKnown, c.want)
 	}
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -39,10 +39,10 @@
 	PauseMS int64 `json:"pause_ms,omitempty"`
 	Health  int   `json:"health,omitempty"`
 
-	From  string  `json:"from,omitempty"` // sending end of a link
-	To    string  `json:"to,omitempty"`
-	Drop  float64 `json:"drop,omitempty"`
-	WayUS int64   `json:"way_us,omitempty"` // one-way delay that the link adds, in microseconds
+	From          string  `json:"from,omitempty"` // sending end of a link
+	To            string  `json:"to,omitempty"`
+	Drop          float64 `json:"drop,omitempty"`
+	OneWayDelayUS int64   `json:"way_us,omitempty"` // one-way delay that the link adds, in microseconds
 	// Impaired: the link also duplicates, reorders, damages, slows down or breaks traffic.
 	Impaired bool `json:"rough,omitempty"`
 
