--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -247,7 +247,7 @@
 // applyTruth applies a line of the fault test.
 func (ck *checker) applyTruth(l *Line) {
 	switch l.What {
-	case Up, Twin, Ending, Down:
+	case Up, DuplicateStarted, Ending, Down:
 		ck.applyLifecycle(l)
 	case Starve, Pause, Resume:
 		ck.applyPause(l)
@@ -277,7 +277,7 @@
 		ck.markStarted(p, l)
 		ck.partitionedRegions = nil
 		ck.expectJoinKnown(p, l.T)
-	case Twin:
+	case DuplicateStarted:
 		p.duplicate = true
 		ck.markStarted(p, l)
 		ck.name.Tried++
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -132,7 +132,7 @@
 
 func TestDuplicateNames(t *testing.T) {
 	duplicated := func() *history {
-		return threeDaemons().at(10, Line{What: Twin, Of: "c", PID: 4, Balancers: 1}).at(10, Line{What: Start, By: "c", PID: 4, RunID: "c2"})
+		return threeDaemons().at(10, Line{What: DuplicateStarted, Of: "c", PID: 4, Balancers: 1}).at(10, Line{What: Start, By: "c", PID: 4, RunID: "c2"})
 	}
 	expectOutcome(t, duplicated().at(11, Line{What: Contested, By: "c", PID: 4, Yielded: true}).at(30, Line{What: End}), OneName, "kept")
 	expectOutcome(t, duplicated().at(30, Line{What: End}), OneName, "BROKEN")
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -618,7 +618,7 @@
 	go func() { _ = cmd.Wait(); close(exited) }()
 	what := checker.Up
 	if d.twin {
-		what = checker.Twin
+		what = checker.DuplicateStarted
 	}
 	held := r.heldParts(d)
 	r.record(checker.Line{T: at, What: what, Of: d.name, PID: d.pid, Balancers: 1 + len(held), Region: r.p.Region(d.n)})
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -182,7 +182,7 @@
 	a.in = a.in[:0]
 	what := checker.Up
 	if a.duplicate {
-		what = checker.Twin
+		what = checker.DuplicateStarted
 	}
 	w.record(checker.Line{What: what, Of: a.name, PID: a.pid, Balancers: w.options.Instances, Region: w.region(a.n)})
 	w.record(checker.Line{By: a.name, PID: a.pid, What: checker.Start, RunID: formatRunID(a.runID), Boot: boot})
