--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -97,7 +97,7 @@
 	Service          = "service" // test: outcomes of the requests of Of's clients in the last second
 	DuplicateStarted = "twin"    // test: process PID runs under the name of another process
 	Ending           = "ending"  // test: a graceful shutdown of process PID was requested
-	Handing          = "handing" // test: a handover from process PID to a successor starts
+	HandoverStarted  = "handing" // test: a handover from process PID to a successor starts
 	Handed           = "handed"  // test: process PID has taken over from its predecessor
 	Starve           = "starve"  // test: process PID gets little CPU time for PauseMS
 	Limited          = "limited" // test: the daemons share a limit
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -705,7 +705,7 @@
 	if old == 0 {
 		return errors.New("daemon is not running")
 	}
-	r.record(checker.Line{What: checker.Handing, Of: d.name, PID: old})
+	r.record(checker.Line{What: checker.HandoverStarted, Of: d.name, PID: old})
 	if err := r.admin(ctx, d, http.MethodPost, "/handover", nil); err != nil {
 		return err
 	}
