--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -251,7 +251,7 @@
 		ck.applyLifecycle(l)
 	case Starve, Pause, Resume:
 		ck.applyPause(l)
-	case HandoverStarted, Handed, Disk:
+	case HandoverStarted, HandoverDone, Disk:
 		ck.markTruthChanged(l.T)
 	case Link:
 		ck.applyLink(l)
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -98,7 +98,7 @@
 	DuplicateStarted = "twin"    // test: process PID runs under the name of another process
 	Ending           = "ending"  // test: a graceful shutdown of process PID was requested
 	HandoverStarted  = "handing" // test: a handover from process PID to a successor starts
-	Handed           = "handed"  // test: process PID has taken over from its predecessor
+	HandoverDone     = "handed"  // test: process PID has taken over from its predecessor
 	Starve           = "starve"  // test: process PID gets little CPU time for PauseMS
 	Limited          = "limited" // test: the daemons share a limit
 	Used             = "used"    // test: use of the limit, as measured at the servers
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -728,7 +728,7 @@
 		}
 		close(ended)
 	}()
-	r.record(checker.Line{What: checker.Handed, Of: d.name, PID: pid})
+	r.record(checker.Line{What: checker.HandoverDone, Of: d.name, PID: pid})
 	return nil
 }
 
