--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -247,7 +247,7 @@
 // applyTruth applies a line of the fault test.
 func (ck *checker) applyTruth(l *Line) {
 	switch l.What {
-	case Up, DuplicateStarted, Ending, Down:
+	case Up, DuplicateStarted, ShutdownRequested, Down:
 		ck.applyLifecycle(l)
 	case Starve, Pause, Resume:
 		ck.applyPause(l)
@@ -281,7 +281,7 @@
 		p.duplicate = true
 		ck.markStarted(p, l)
 		ck.name.Tried++
-	case Ending:
+	case ShutdownRequested:
 		p.terminating = true
 	case Down:
 		ck.applyDown(p, l)
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -88,7 +88,7 @@
 		{"all consider it dead", "BROKEN", map[int]float64{1: 10.5, 2: 10.5}, "dead"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := threeDaemons().at(9.99, Line{What: Ending, Of: "c", PID: 3}).at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.13, Line{What: Down, Of: "c", PID: 3, Why: "term"})
+			s := threeDaemons().at(9.99, Line{What: ShutdownRequested, Of: "c", PID: 3}).at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.13, Line{What: Down, Of: "c", PID: 3, Why: "term"})
 			for pid, at := range c.knows {
 				s.sees(at, pid, "c", "c1", c.as)
 			}
--- a/internal/faulttest/checker/isolation.go
+++ b/internal/faulttest/checker/isolation.go
@@ -35,7 +35,7 @@
 func (p *policyChecker) noteDisturbance(l *Line) {
 	a := &p.isolation
 	switch l.What {
-	case Up, Down, Pause, Resume, Ending, Disk:
+	case Up, Down, Pause, Resume, ShutdownRequested, Disk:
 		a.disturbedAt[l.Of] = l.T
 		if l.What == Up || l.What == Down {
 			a.down[l.Of] = l.What == Down
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -466,7 +466,7 @@
 		case "kill":
 			r.end(d, syscall.SIGKILL)
 		case "term":
-			r.record(checker.Line{What: checker.Ending, Of: d.name, PID: d.pid})
+			r.record(checker.Line{What: checker.ShutdownRequested, Of: d.name, PID: d.pid})
 			pid, exited := d.pid, d.exited
 			_ = syscall.Kill(pid, syscall.SIGTERM)
 			d.setPID(0)
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -793,7 +793,7 @@
 		case "term":
 			if m.node != nil {
 				m.leaving = true
-				w.record(checker.Line{What: checker.Ending, Of: m.name, PID: m.pid})
+				w.record(checker.Line{What: checker.ShutdownRequested, Of: m.name, PID: m.pid})
 				w.schedule(w.now+retryDelay, func() {
 					w.departed[m.name] = m.runID
 					w.down(m, "term")
