--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -101,7 +101,7 @@
 func (r *runner) recordLimits() {
 	s := r.p.Settings()
 	for i, l := range r.p.Limits {
-		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Total: l.Figure, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
+		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Total: l.Total, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
 			Bound: s.Bounds(s.Limits[i], len(r.daemons)).MaxUsed})
 	}
 	r.recordDemand()
@@ -166,7 +166,7 @@
 		if l.Hard {
 			kind = "hard"
 		}
-		fmt.Fprintf(b, "\n[[limit]]\nname = %q\ncounts = %q\nkind = %q\nfigure = %d\n", l.Name, l.Counts.String(), kind, l.Figure)
+		fmt.Fprintf(b, "\n[[limit]]\nname = %q\ncounts = %q\nkind = %q\nfigure = %d\n", l.Name, l.Counts.String(), kind, l.Total)
 		if l.Each {
 			fmt.Fprintf(b, "each = \"server\"\n")
 		}
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -71,7 +71,7 @@
 type Limit struct {
 	Name   string
 	Counts quota.Kind
-	Figure int
+	Total  int
 	Hard   bool
 	Floor  float64
 	Each   bool // one for each server
@@ -84,7 +84,7 @@
 		s.Servers = append(s.Servers, Name(k))
 	}
 	for _, l := range p.Limits {
-		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: partition(l.Each)}, Total: l.Figure, Hard: l.Hard, FloorShare: l.Floor})
+		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: partition(l.Each)}, Total: l.Total, Hard: l.Hard, FloorShare: l.Floor})
 	}
 	return s
 }
