--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -138,8 +138,8 @@
 // Whole reports whether the link has no faults.
 func (l Link) Whole() bool { return l == Link{} }
 
-// Rough reports whether the link does more than drop and delay traffic.
-func (l Link) Rough() bool {
+// IsImpaired reports whether the link does more than drop and delay traffic.
+func (l Link) IsImpaired() bool {
 	return l.Duplicate > 0 || l.Reorder > 0 || l.Damage > 0 || l.Slow > 0 || l.Break
 }
 
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -881,10 +881,10 @@
 				continue
 			}
 			w.links[[2]int{a, b}] = e.Link
-			w.record(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Impaired: e.Link.Rough()})
+			w.record(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Impaired: e.Link.IsImpaired()})
 			if e.Both {
 				w.links[[2]int{b, a}] = e.Link
-				w.record(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Impaired: e.Link.Rough()})
+				w.record(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Impaired: e.Link.IsImpaired()})
 			}
 		}
 	}
