--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -527,7 +527,7 @@
 }
 
 func (r *runner) recordLink(from, to int, l plan.Link) {
-	r.record(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Impaired: l.IsImpaired(), OneWayDelayUS: l.Way()})
+	r.record(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Impaired: l.IsImpaired(), OneWayDelayUS: l.OneWayDelayMicros()})
 }
 
 // changeLinks sets links to an event's state, or back to their usual state.
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -132,8 +132,8 @@
 	Break                            bool // streams break after some bytes
 }
 
-// Way returns the mean one-way delay that the link adds, in microseconds.
-func (l Link) Way() int64 { return (l.Delay + l.Jitter/2).Microseconds() }
+// OneWayDelayMicros returns the mean one-way delay that the link adds, in microseconds.
+func (l Link) OneWayDelayMicros() int64 { return (l.Delay + l.Jitter/2).Microseconds() }
 
 // Whole reports whether the link has no faults.
 func (l Link) Whole() bool { return l == Link{} }
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -251,7 +251,7 @@
 		if isDefault {
 			l = w.plan.Usual(p[0], p[1])
 		}
-		w.record(checker.Line{What: checker.Link, From: w.daemons[p[0]].name, To: w.daemons[p[1]].name, Drop: l.Drop, Impaired: l.IsImpaired(), OneWayDelayUS: l.Way()})
+		w.record(checker.Line{What: checker.Link, From: w.daemons[p[0]].name, To: w.daemons[p[1]].name, Drop: l.Drop, Impaired: l.IsImpaired(), OneWayDelayUS: l.OneWayDelayMicros()})
 	}
 }
 
