--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -22,29 +22,29 @@
 
 // Plan is a validated fault test.
 type Plan struct {
-	Name     string
-	Daemons  int
-	Length   time.Duration
-	Seeds    []int // daemons by number, from 0
-	Servers  int
-	Rate     float64 // requests a second for each daemon
-	Spread   time.Duration
-	Peers    Peers
-	Bounds   checker.Bounds
-	Link     Link     // state of all links from the start
-	Regions  []string // region of each daemon by number; nil: there are no regions
-	Between  Link     // state of all links between two regions from the start, in place of Link
-	Events   []Event
-	Real     bool // needs real processes, because virtual time has no model of an event or a limit
-	Why      string
-	Tries    []string // claims that the run must exercise
-	Zones    int
-	Takes    time.Duration // processing time of a request at a server
-	Limits   []Limit
-	Keepers  []int
-	Term     time.Duration
-	Policy   *Policy // nil: the daemons agree on no policy
-	Modelled bool    // runs in virtual time only
+	Name               string
+	Daemons            int
+	Length             time.Duration
+	Seeds              []int // daemons by number, from 0
+	Servers            int
+	Rate               float64 // requests a second for each daemon
+	Spread             time.Duration
+	Peers              Peers
+	Bounds             checker.Bounds
+	Link               Link     // state of all links from the start
+	Regions            []string // region of each daemon by number; nil: there are no regions
+	Between            Link     // state of all links between two regions from the start, in place of Link
+	Events             []Event
+	NeedsRealProcesses bool // needs real processes, because virtual time has no model of an event or a limit
+	Why                string
+	Tries              []string // claims that the run must exercise
+	Zones              int
+	Takes              time.Duration // processing time of a request at a server
+	Limits             []Limit
+	Keepers            []int
+	Term               time.Duration
+	Policy             *Policy // nil: the daemons agree on no policy
+	Modelled           bool    // runs in virtual time only
 }
 
 // Policy configures the daemons' agreement on policies.
@@ -523,7 +523,7 @@
 			return
 		}
 		r.p.Limits = append(r.p.Limits, Limit{l.Name, quota.Kind(counts), l.Figure, l.Kind == "hard", l.Floor, l.Each == "server"})
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	}
 	if len(f.Limit) > 0 {
 		if _, err := lease.NewClient(r.p.Settings(), "d1", 1); err != nil {
@@ -595,27 +595,27 @@
 		if !slices.Contains(StrayKinds, e.Kind) {
 			r.fail(at+"kind", "%q is none of %s", e.Kind, strings.Join(StrayKinds, ", "))
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "fresh":
 		if len(ev.Names) == 0 {
 			r.fail(at+"servers", "no server is named")
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "fail":
 		if len(ev.Names) == 0 || !(e.Fail >= 0 && e.Fail <= 1) {
 			r.fail(at+"fail", "%v: a share from 0 to 1 and servers are needed", e.Fail)
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "rate":
 		if !(e.Rate >= 0 && e.Rate <= 10000) || r.p.Rate == 0 {
 			r.fail(at+"rate", "%v: up to 10000 are allowed, and only if rate is set for the whole plan", e.Rate)
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "list", "servers", "handover":
-		r.p.Real = r.p.Real || e.Do == "handover" || len(e.Names) > 0
+		r.p.NeedsRealProcesses = r.p.NeedsRealProcesses || e.Do == "handover" || len(e.Names) > 0
 	}
 	if ev.Build != "" {
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	}
 	if e.Times < 0 || e.Times > 1000 || e.Times > 1 && e.Every.D() <= 0 {
 		r.fail(at+"times", "%d: up to 1000 are allowed, and every must be set", e.Times)
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -246,7 +246,7 @@
 	if p.Policy == nil {
 		return nil, fmt.Errorf("%s: plan has no [policy]", p.Name)
 	}
-	if p.Real {
+	if p.NeedsRealProcesses {
 		return nil, fmt.Errorf("%s: plan has handovers, stray datagrams, limits or similar, which need real processes", p.Name)
 	}
 	defer fixRandom()()
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -157,7 +157,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p.Real {
+		if p.NeedsRealProcesses {
 			continue
 		}
 		for seed := range uint64(2) {
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -173,7 +173,7 @@
 
 // Play simulates a plan to its end.
 func Play(p *plan.Plan, o Options) (*Result, error) {
-	if p.Real {
+	if p.NeedsRealProcesses {
 		return nil, fmt.Errorf("%s: plan has stray datagrams, handovers or other builds, which need real processes", p.Name)
 	}
 	if o.Daemons == 0 {
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -40,7 +40,7 @@
 
 func TestShippedPlansKeepTheirClaims(t *testing.T) {
 	for _, p := range loadShippedPlans(t) {
-		if p.Real || p.Policy != nil { // package policymodel runs plans of policies
+		if p.NeedsRealProcesses || p.Policy != nil { // package policymodel runs plans of policies
 			continue
 		}
 		t.Run(p.Name, func(t *testing.T) {
