--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -83,7 +83,7 @@
 // Play runs a plan and returns its history. An error means that the harness failed; the daemons' behaviour is left to
 // the checker.
 func Play(ctx context.Context, p *plan.Plan, o Options) ([]checker.Line, error) {
-	if p.Modelled {
+	if p.VirtualTimeOnly {
 		return nil, fmt.Errorf("%s: plan has full or slow disks, which only virtual time supports", p.Name)
 	}
 	if p.Daemons > plan.MaxRealDaemons {
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -44,7 +44,7 @@
 	Keepers            []int
 	Term               time.Duration
 	Policy             *Policy // nil: the daemons agree on no policy
-	Modelled           bool    // runs in virtual time only
+	VirtualTimeOnly    bool    // runs in virtual time only
 }
 
 // Policy configures the daemons' agreement on policies.
@@ -590,7 +590,7 @@
 		if !slices.Contains([]string{"full", "slow", "well"}, e.Kind) {
 			r.fail(at+"kind", "%q is none of full, slow, well", e.Kind)
 		}
-		r.p.Modelled = true
+		r.p.VirtualTimeOnly = true
 	case "stray":
 		if !slices.Contains(StrayKinds, e.Kind) {
 			r.fail(at+"kind", "%q is none of %s", e.Kind, strings.Join(StrayKinds, ", "))
