--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -104,7 +104,7 @@
 	if f.virtual && p.Policy != nil { // only the policy is simulated in this case
 		report = checker.Policy(p.Bounds, lines)
 	}
-	notTried := report.NotTried(p.Tries)
+	notTried := report.NotTried(p.RequiredClaims)
 	if f.asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", " ")
--- a/internal/faulttest/harness/harness_test.go
+++ b/internal/faulttest/harness/harness_test.go
@@ -42,7 +42,7 @@
 						t.Errorf("%s: %d of %d: %v", c.Name, c.Broken, c.Tried, c.Breaks)
 					}
 				}
-				if missed := report.NotTried(p.Tries); len(missed) > 0 {
+				if missed := report.NotTried(p.RequiredClaims); len(missed) > 0 {
 					t.Errorf("not tried: %v", missed)
 				}
 				if t.Failed() {
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -37,7 +37,7 @@
 	Events             []Event
 	NeedsRealProcesses bool // needs real processes, because virtual time has no model of an event or a limit
 	Why                string
-	Tries              []string // claims that the run must exercise
+	RequiredClaims     []string // claims that the run must exercise
 	Zones              int
 	Takes              time.Duration // processing time of a request at a server
 	Limits             []Limit
@@ -398,7 +398,7 @@
 }
 
 func check(t *tomlfile.File, f *file) (*Plan, error) {
-	p := &Plan{Name: f.Name, Why: f.Why, Tries: f.Tries, Daemons: f.Daemons, Servers: f.Servers, Rate: f.Rate, Zones: cmp.Or(f.Zones, 1)}
+	p := &Plan{Name: f.Name, Why: f.Why, RequiredClaims: f.Tries, Daemons: f.Daemons, Servers: f.Servers, Rate: f.Rate, Zones: cmp.Or(f.Zones, 1)}
 	r := &reader{File: t, f: f, p: p}
 	if f.Daemons < 1 || f.Daemons > 5000 {
 		return nil, t.Errorf("daemons", "%d: 1 to 5000 are allowed, and up to %d as real processes", f.Daemons, MaxRealDaemons)
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -162,7 +162,7 @@
 		}
 		for seed := range uint64(2) {
 			_, rep := play(t, p, Options{Seed: seed + 1, Witness: p.Policy.Witness})
-			checkClaims(t, fmt.Sprintf("%s, seed %d", p.Name, seed+1), rep, p.Tries...)
+			checkClaims(t, fmt.Sprintf("%s, seed %d", p.Name, seed+1), rep, p.RequiredClaims...)
 		}
 	}
 }
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -35,7 +35,7 @@
 // claimsWithoutService returns the claims that a plan tries, except Serving, which needs real processes: there are no
 // requests in virtual time.
 func claimsWithoutService(p *plan.Plan) []string {
-	return slices.DeleteFunc(slices.Clone(p.Tries), func(c string) bool { return c == checker.Serving })
+	return slices.DeleteFunc(slices.Clone(p.RequiredClaims), func(c string) bool { return c == checker.Serving })
 }
 
 func TestShippedPlansKeepTheirClaims(t *testing.T) {
