--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -114,7 +114,7 @@
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
-			time.Sleep(p.Takes)
+			time.Sleep(p.ServiceTime)
 			_, _ = io.WriteString(w, "done")
 		}))
 	}
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -39,7 +39,7 @@
 	Why                string
 	RequiredClaims     []string // claims that the run must exercise
 	Zones              int
-	Takes              time.Duration // processing time of a request at a server
+	ServiceTime        time.Duration // processing time of a request at a server
 	Limits             []Limit
 	Keepers            []int
 	Term               time.Duration
@@ -422,7 +422,7 @@
 	r.share("bounds.served", b.Served)
 	p.Link = r.link("link.", &f.Link)
 	r.regions(f)
-	p.Takes, p.Term = r.duration("takes", f.Takes, 5*time.Millisecond), r.duration("term", f.Term, lease.DefaultTerm)
+	p.ServiceTime, p.Term = r.duration("takes", f.Takes, 5*time.Millisecond), r.duration("term", f.Term, lease.DefaultTerm)
 	r.limits(f)
 	r.policy(f)
 	if f.Seeds == nil {
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -403,7 +403,7 @@
 			}
 			slices.SortStableFunc(events, func(a, b plan.Event) int { return int(a.At - b.At) })
 			p := fleet(n, 3, true, 46*time.Second, events...)
-			p.Seeds, p.Servers, p.Takes = []int{0, 1}, 2, time.Millisecond
+			p.Seeds, p.Servers, p.ServiceTime = []int{0, 1}, 2, time.Millisecond
 			p.Policy.Lease, p.Policy.Within, p.Policy.Witness = 5*time.Second, 10*time.Second, true
 			if state == "5% lost" {
 				p.Link.Drop = 0.05
