--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -41,7 +41,7 @@
 	Zones              int
 	ServiceTime        time.Duration // processing time of a request at a server
 	Limits             []Limit
-	Keepers            []int
+	LeaseServers       []int
 	Term               time.Duration
 	Policy             *Policy // nil: the daemons agree on no policy
 	VirtualTimeOnly    bool    // runs in virtual time only
@@ -80,7 +80,7 @@
 // Settings returns the daemons' configuration of the limits.
 func (p *Plan) Settings() lease.Settings {
 	s := lease.Settings{Term: p.Term, MaxAttemptTime: Deadline}
-	for _, k := range p.Keepers {
+	for _, k := range p.LeaseServers {
 		s.Servers = append(s.Servers, Name(k))
 	}
 	for _, l := range p.Limits {
@@ -511,14 +511,14 @@
 
 // limits reads the limits that the daemons share.
 func (r *reader) limits(f *file) {
-	r.p.Keepers = r.daemons("keepers", f.Keepers)
+	r.p.LeaseServers = r.daemons("keepers", f.Keepers)
 	for i, l := range f.Limit {
 		at := fmt.Sprintf("limit[%d].", i)
 		counts := slices.Index(quota.KindNames, l.Counts)
 		if l.Each != "" && l.Each != "server" {
 			r.fail(at+"each", "%q: only server is allowed, or no value", l.Each)
 		}
-		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.Keepers) == 0 {
+		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.LeaseServers) == 0 {
 			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(quota.KindNames, ", "))
 			return
 		}
--- a/tools/limits/main.go
+++ b/tools/limits/main.go
@@ -259,7 +259,7 @@
 func randomPlan(seed uint64) *plan.Plan {
 	rng := rand.New(rand.NewPCG(seed, 81))
 	p := &plan.Plan{Name: fmt.Sprint("random-", seed), Daemons: 8, Servers: 3, Rate: 20, Zones: 1, Seeds: []int{0, 1}, Length: 40 * time.Second, ServiceTime: 60 * time.Millisecond,
-		Keepers: []int{0, 1, 2}[:1+2*rng.IntN(2)], Term: 2 * time.Second, NeedsRealProcesses: true,
+		LeaseServers: []int{0, 1, 2}[:1+2*rng.IntN(2)], Term: 2 * time.Second, NeedsRealProcesses: true,
 		Limits: []plan.Limit{{Name: "at-once", Counts: quota.InFlight, Total: 6 + rng.IntN(6), Hard: true}, {Name: "all", Counts: quota.Requests, Total: 60 + rng.IntN(60), Hard: rng.IntN(2) == 0}},
 		Bounds: checker.Bounds{Crash: 20 * time.Second, Leave: 20 * time.Second, Join: 20 * time.Second, Settle: 15 * time.Second, Pause: 3 * time.Second, MaxIdleBytes: 1 << 20, MaxBytes: 1 << 20, MinLimitUse: 0.01}}
 	at := 8 * time.Second
