--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -49,7 +49,7 @@
 	for _, n := range p.Voters {
 		voters = append(voters, fmt.Sprintf("%q", plan.Name(n)))
 	}
-	fmt.Fprintf(b, "\n[policy]\nvoters = [%s]\ncut_off = %q\nlease = \"%v\"\nwithin = \"%v\"\n", strings.Join(voters, ", "), map[bool]string{true: "stops", false: "vetoes"}[p.Stops], p.Lease, p.Within)
+	fmt.Fprintf(b, "\n[policy]\nvoters = [%s]\ncut_off = %q\nlease = \"%v\"\nwithin = \"%v\"\n", strings.Join(voters, ", "), map[bool]string{true: "stops", false: "vetoes"}[p.StopWhenIsolated], p.Lease, p.Within)
 	if p.Last {
 		fmt.Fprintln(b, `when_alone = "last"`)
 	}
@@ -94,7 +94,7 @@
 		voters = append(voters, plan.Name(n))
 	}
 	back := policy.Settings{Lease: p.Lease, ClockDrift: policy.DefaultClockDrift}
-	r.record(checker.Line{What: checker.Agreed, Hard: p.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(voters, " ")})
+	r.record(checker.Line{What: checker.Agreed, Hard: p.StopWhenIsolated, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(voters, " ")})
 	r.policies = policies{markers: map[string][]string{"": {"p0"}}, numbers: map[string]map[string]uint64{}}
 	for _, d := range slices.Clone(r.daemons) {
 		if r.o.Blind {
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -49,11 +49,11 @@
 
 // Policy configures the daemons' agreement on policies.
 type Policy struct {
-	Voters        []int
-	Stops, Last   bool
-	Lease, Within time.Duration
-	Witness       bool
-	Holds         map[string][]int // by service: the daemons that serve it and hold its part
+	Voters                 []int
+	StopWhenIsolated, Last bool
+	Lease, Within          time.Duration
+	Witness                bool
+	Holds                  map[string][]int // by service: the daemons that serve it and hold its part
 }
 
 // Of returns the names of the parts that a daemon holds, sorted.
@@ -491,7 +491,7 @@
 	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		r.fail("policy.voters", "%d voters: 1, 3 or 5 are allowed", n)
 	}
-	if p.Stops = in.CutOff == "stops"; !p.Stops && in.CutOff != "vetoes" {
+	if p.StopWhenIsolated = in.CutOff == "stops"; !p.StopWhenIsolated && in.CutOff != "vetoes" {
 		r.fail("policy.cut_off", "%q is neither stops nor vetoes", in.CutOff)
 	}
 	if p.Last = in.WhenAlone == "last"; !p.Last && in.WhenAlone != "" && in.WhenAlone != "none" {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -255,7 +255,7 @@
 	w.result.Traffic = make([]Traffic, p.Daemons)
 	set := p.Policy
 	back := policy.Settings{Lease: set.Lease, ClockDrift: policy.DefaultClockDrift}
-	w.record(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.futureVoters()})
+	w.record(checker.Line{What: checker.Agreed, Hard: set.StopWhenIsolated, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.futureVoters()})
 	for n := range p.Daemons {
 		m := &member{n: n, name: plan.Name(n), disk: &disk{entries: map[uint64][]byte{}}, nextStep: -1}
 		w.members = append(w.members, m)
@@ -392,7 +392,7 @@
 	}
 	d := m.disk.load()
 	d.ProvenCurrent = proved
-	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.Stops, ServeLastKnown: set.Last, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
+	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.StopWhenIsolated, ServeLastKnown: set.Last, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
 	if w.options.Check != nil {
 		s.Check = func(all []policy.Document) error {
 			for _, d := range all {
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -16,7 +16,7 @@
 
 func fleet(n, voters int, stops bool, events ...plan.Event) *plan.Plan {
 	p := &plan.Plan{Name: "test", Daemons: n, Zones: 1, Length: 60 * time.Second, Bounds: bounds, Events: events,
-		Policy: &plan.Policy{Voters: firstMembers(voters), Stops: stops, Lease: 5 * time.Second, Within: 10 * time.Second}}
+		Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: stops, Lease: 5 * time.Second, Within: 10 * time.Second}}
 	return p
 }
 
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -163,7 +163,7 @@
 }
 
 func fleet(n, voters int, stops bool, length time.Duration, events ...plan.Event) *plan.Plan {
-	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: firstMembers(voters), Stops: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
+	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 }
 
