--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -50,7 +50,7 @@
 		voters = append(voters, fmt.Sprintf("%q", plan.Name(n)))
 	}
 	fmt.Fprintf(b, "\n[policy]\nvoters = [%s]\ncut_off = %q\nlease = \"%v\"\nwithin = \"%v\"\n", strings.Join(voters, ", "), map[bool]string{true: "stops", false: "vetoes"}[p.StopWhenIsolated], p.Lease, p.Within)
-	if p.Last {
+	if p.ServeLastKnown {
 		fmt.Fprintln(b, `when_alone = "last"`)
 	}
 	if p.Witness {
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -49,11 +49,11 @@
 
 // Policy configures the daemons' agreement on policies.
 type Policy struct {
-	Voters                 []int
-	StopWhenIsolated, Last bool
-	Lease, Within          time.Duration
-	Witness                bool
-	Holds                  map[string][]int // by service: the daemons that serve it and hold its part
+	Voters                           []int
+	StopWhenIsolated, ServeLastKnown bool
+	Lease, Within                    time.Duration
+	Witness                          bool
+	Holds                            map[string][]int // by service: the daemons that serve it and hold its part
 }
 
 // Of returns the names of the parts that a daemon holds, sorted.
@@ -494,7 +494,7 @@
 	if p.StopWhenIsolated = in.CutOff == "stops"; !p.StopWhenIsolated && in.CutOff != "vetoes" {
 		r.fail("policy.cut_off", "%q is neither stops nor vetoes", in.CutOff)
 	}
-	if p.Last = in.WhenAlone == "last"; !p.Last && in.WhenAlone != "" && in.WhenAlone != "none" {
+	if p.ServeLastKnown = in.WhenAlone == "last"; !p.ServeLastKnown && in.WhenAlone != "" && in.WhenAlone != "none" {
 		r.fail("policy.when_alone", "%q is neither none nor last", in.WhenAlone)
 	}
 	for _, part := range slices.Sorted(maps.Keys(in.Holds)) {
