--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -49,7 +49,7 @@
 	for _, n := range p.Voters {
 		voters = append(voters, fmt.Sprintf("%q", plan.Name(n)))
 	}
-	fmt.Fprintf(b, "\n[policy]\nvoters = [%s]\ncut_off = %q\nlease = \"%v\"\nwithin = \"%v\"\n", strings.Join(voters, ", "), map[bool]string{true: "stops", false: "vetoes"}[p.StopWhenIsolated], p.Lease, p.Within)
+	fmt.Fprintf(b, "\n[policy]\nvoters = [%s]\ncut_off = %q\nlease = \"%v\"\nwithin = \"%v\"\n", strings.Join(voters, ", "), map[bool]string{true: "stops", false: "vetoes"}[p.StopWhenIsolated], p.Lease, p.PrepareTimeout)
 	if p.ServeLastKnown {
 		fmt.Fprintln(b, `when_alone = "last"`)
 	}
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -51,7 +51,7 @@
 type Policy struct {
 	Voters                           []int
 	StopWhenIsolated, ServeLastKnown bool
-	Lease, Within                    time.Duration
+	Lease, PrepareTimeout            time.Duration
 	Witness                          bool
 	Holds                            map[string][]int // by service: the daemons that serve it and hold its part
 }
@@ -487,7 +487,7 @@
 	if in == nil {
 		return
 	}
-	p := &Policy{Voters: r.daemons("policy.voters", in.Voters), Lease: r.duration("policy.lease", in.Lease, policy.DefaultLease), Within: r.duration("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
+	p := &Policy{Voters: r.daemons("policy.voters", in.Voters), Lease: r.duration("policy.lease", in.Lease, policy.DefaultLease), PrepareTimeout: r.duration("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
 	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		r.fail("policy.voters", "%d voters: 1, 3 or 5 are allowed", n)
 	}
--- a/internal/faulttest/policymodel/draw.go
+++ b/internal/faulttest/policymodel/draw.go
@@ -20,7 +20,7 @@
 	length := 90 * time.Second
 	quiet := 40 * time.Second // time without faults at the end
 	p := &plan.Plan{Name: "drawn", Daemons: n, Zones: 1, Length: length,
-		Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: rng.IntN(2) == 0, Lease: time.Duration(2+rng.IntN(6)) * time.Second, Within: time.Duration(3+rng.IntN(8)) * time.Second, ServeLastKnown: rng.IntN(4) == 0},
+		Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: rng.IntN(2) == 0, Lease: time.Duration(2+rng.IntN(6)) * time.Second, PrepareTimeout: time.Duration(3+rng.IntN(8)) * time.Second, ServeLastKnown: rng.IntN(4) == 0},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 15 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 	if rng.IntN(3) == 0 {
 		p.Link = plan.Link{Drop: 0.1 * rng.Float64(), Duplicate: 0.1 * rng.Float64(), Reorder: 0.2 * rng.Float64()}
--- a/internal/faulttest/policymodel/hard_test.go
+++ b/internal/faulttest/policymodel/hard_test.go
@@ -87,7 +87,7 @@
 			t.Parallel()
 			for _, stops := range []bool{true, false} {
 				p := fleet(c.members, c.voters, stops, c.events...)
-				p.Length, p.Policy.Lease, p.Policy.Within, p.Link.Drop = c.length, 3*time.Second, 5*time.Second, c.drop
+				p.Length, p.Policy.Lease, p.Policy.PrepareTimeout, p.Link.Drop = c.length, 3*time.Second, 5*time.Second, c.drop
 				o := Options{Seed: 3, Witness: true, Take: max(20*time.Millisecond, time.Duration(c.members)*5*time.Millisecond, c.length/3000)}
 				r, rep := play(t, p, o)
 				checkClaims(t, map[bool]string{true: "stops", false: "vetoes"}[stops], rep, checker.PolicyStart, checker.PolicyAuthorNotified)
--- a/internal/faulttest/policymodel/lease_test.go
+++ b/internal/faulttest/policymodel/lease_test.go
@@ -80,7 +80,7 @@
 func TestChangeCommitsWithoutIsolatedMemberForAnyLease(t *testing.T) {
 	for _, lease := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
 		p := fleet(5, 3, true, join(cut(6, []int{4}, []int{0, 1, 2, 3}, false, 40), repeat(7, 1, 1, "apply", 0))...)
-		p.Policy.Lease, p.Policy.Within = lease, 3*time.Second
+		p.Policy.Lease, p.Policy.PrepareTimeout = lease, 3*time.Second
 		r, rep := play(t, p, Options{Seed: 1, Witness: true})
 		checkClaims(t, lease.String(), rep, checker.PolicyAuthorNotified)
 		for _, l := range r.Lines {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -392,7 +392,7 @@
 	}
 	d := m.disk.load()
 	d.ProvenCurrent = proved
-	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.StopWhenIsolated, ServeLastKnown: set.ServeLastKnown, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
+	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.StopWhenIsolated, ServeLastKnown: set.ServeLastKnown, Lease: set.Lease, PrepareTimeout: set.PrepareTimeout, Parts: m.parts}
 	if w.options.Check != nil {
 		s.Check = func(all []policy.Document) error {
 			for _, d := range all {
--- a/internal/faulttest/policymodel/policymodel_test.go
+++ b/internal/faulttest/policymodel/policymodel_test.go
@@ -16,7 +16,7 @@
 
 func fleet(n, voters int, stops bool, events ...plan.Event) *plan.Plan {
 	p := &plan.Plan{Name: "test", Daemons: n, Zones: 1, Length: 60 * time.Second, Bounds: bounds, Events: events,
-		Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: stops, Lease: 5 * time.Second, Within: 10 * time.Second}}
+		Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: stops, Lease: 5 * time.Second, PrepareTimeout: 10 * time.Second}}
 	return p
 }
 
@@ -83,7 +83,7 @@
 	const asked = 5 * time.Second
 	for _, stops := range []bool{true, false} {
 		p := fleet(4, 3, stops, at(5, "apply", 3))
-		p.Length, p.Policy.Lease, p.Policy.Within, p.Bounds.Settle = 35*time.Second, 2*time.Second, 3*time.Second, 8*time.Second
+		p.Length, p.Policy.Lease, p.Policy.PrepareTimeout, p.Bounds.Settle = 35*time.Second, 2*time.Second, 3*time.Second, 8*time.Second
 		o := Options{Seed: 1, Take: 50 * time.Millisecond, From: asked, Witness: true, Back: 1200 * time.Millisecond}
 		points := 0
 		o.Point = func(n int, at time.Duration, _, _ string) {
--- a/tools/capacity/changing.go
+++ b/tools/capacity/changing.go
@@ -61,7 +61,7 @@
 	out := &policyResult{why: map[string]int{}}
 	rng := rand.New(rand.NewPCG(c.seed, uint64(c.members)))
 	p := &plan.Plan{Name: "changes", Daemons: c.members, Zones: 1, Length: c.length,
-		Policy: &plan.Policy{Voters: upTo(c.voters), StopWhenIsolated: c.stops, Lease: 5 * time.Second, Within: 10 * time.Second},
+		Policy: &plan.Policy{Voters: upTo(c.voters), StopWhenIsolated: c.stops, Lease: 5 * time.Second, PrepareTimeout: 10 * time.Second},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 	text := strings.Repeat("x", max(0, c.text-6))
 	holders := map[string][]int{}
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -163,7 +163,7 @@
 }
 
 func fleet(n, voters int, stops bool, length time.Duration, events ...plan.Event) *plan.Plan {
-	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: stops, Lease: 2 * time.Second, Within: 3 * time.Second},
+	return &plan.Plan{Name: "measure", Daemons: n, Zones: 1, Length: length, Events: events, Policy: &plan.Policy{Voters: firstMembers(voters), StopWhenIsolated: stops, Lease: 2 * time.Second, PrepareTimeout: 3 * time.Second},
 		Bounds: checker.Bounds{Crash: 8 * time.Second, Leave: 2 * time.Second, Join: 5 * time.Second, Settle: 8 * time.Second, Pause: 1500 * time.Millisecond, PolicySpread: 500 * time.Millisecond}}
 }
 
@@ -347,7 +347,7 @@
 		}
 		slices.SortStableFunc(events, func(a, b plan.Event) int { return int(a.At - b.At) })
 		p := fleet(x.members, x.voters, true, 70*time.Second, events...)
-		p.Policy.Lease, p.Policy.Within = 5*time.Second, 10*time.Second
+		p.Policy.Lease, p.Policy.PrepareTimeout = 5*time.Second, 10*time.Second
 		p.Link.Drop = x.drop
 		r, err := policymodel.Play(p, policymodel.Options{Seed: 1, Witness: true, Take: 20 * time.Millisecond})
 		return got{r, p}, err
@@ -404,7 +404,7 @@
 			slices.SortStableFunc(events, func(a, b plan.Event) int { return int(a.At - b.At) })
 			p := fleet(n, 3, true, 46*time.Second, events...)
 			p.Seeds, p.Servers, p.ServiceTime = []int{0, 1}, 2, time.Millisecond
-			p.Policy.Lease, p.Policy.Within, p.Policy.Witness = 5*time.Second, 10*time.Second, true
+			p.Policy.Lease, p.Policy.PrepareTimeout, p.Policy.Witness = 5*time.Second, 10*time.Second, true
 			if state == "5% lost" {
 				p.Link.Drop = 0.05
 			}
