--- a/internal/faulttest/hollow/held_test.go
+++ b/internal/faulttest/hollow/held_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	h := Held{Program: bin, Dir: t.TempDir(), Members: 8, Seed: 1, Rest: [2]time.Duration{4 * time.Second, 9 * time.Second},
-		Peers: plan.Peers{ProbeTimeout: time.Second, Indirect: 1500 * time.Millisecond}}
+		Peers: plan.Peers{ProbeTimeout: time.Second, IndirectTimeout: 1500 * time.Millisecond}}
 	sides, err := h.Play(context.Background())
 	if err != nil {
 		t.Fatal(err)
