--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -230,7 +230,7 @@
 		for _, k := range []struct {
 			key string
 			d   time.Duration
-		}{{"every", s.ProbeInterval}, {"direct", s.ProbeTimeout}, {"indirect", s.IndirectTimeout}, {"suspect_least", s.SuspectLeast}} {
+		}{{"every", s.ProbeInterval}, {"direct", s.ProbeTimeout}, {"indirect", s.IndirectTimeout}, {"suspect_least", s.MinSuspicion}} {
 			if k.d > 0 {
 				fmt.Fprintf(b, "%s = \"%v\"\n", k.key, k.d)
 			}
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -192,7 +192,7 @@
 	c, err := transport.New(transport.Options{Fleet: "drill", UDP: m.udp, TCP: m.ln, Dir: dir, Log: slog.New(slog.DiscardHandler), Events: m.events,
 		Ejection: &ejection.Settings{}, EjectionsChanged: func([]ejection.Ejection, time.Time) {}, // configured as in daemons, but without requests to observe
 		Membership: membership.Settings{Name: plan.Name(m.n), Addr: m.tcp.String(), Zone: fmt.Sprint("z", m.n%max(1, w.s.Plan.Zones)+1), Version: "virtual", Instances: 1, Balancers: 1, Seeds: w.seeds,
-			ProbeInterval: p.ProbeInterval, ProbeTimeout: p.ProbeTimeout, IndirectTimeout: p.IndirectTimeout, MinSuspicion: p.SuspectLeast, BytesPerSecond: p.Bytes, ConfiguredBalancers: 1}})
+			ProbeInterval: p.ProbeInterval, ProbeTimeout: p.ProbeTimeout, IndirectTimeout: p.IndirectTimeout, MinSuspicion: p.MinSuspicion, BytesPerSecond: p.Bytes, ConfiguredBalancers: 1}})
 	if err != nil {
 		return err
 	}
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -104,7 +104,7 @@
 
 // Peers are the settings of the daemons' membership module; 0: the default.
 type Peers struct {
-	ProbeInterval, ProbeTimeout, IndirectTimeout, SuspectLeast time.Duration
+	ProbeInterval, ProbeTimeout, IndirectTimeout, MinSuspicion time.Duration
 	Bytes, FarBytes                                            int
 }
 
@@ -412,7 +412,7 @@
 	p.Length = r.duration("length", f.Length, 30*time.Second)
 	p.Spread = r.duration("spread", f.Spread, 0)
 	p.Peers = Peers{ProbeInterval: r.duration("peers.every", f.Peers.Every, 0), ProbeTimeout: r.duration("peers.direct", f.Peers.Direct, 0),
-		IndirectTimeout: r.duration("peers.indirect", f.Peers.Indirect, 0), SuspectLeast: r.duration("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
+		IndirectTimeout: r.duration("peers.indirect", f.Peers.Indirect, 0), MinSuspicion: r.duration("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
 	b := &f.Bounds
 	p.Bounds = checker.Bounds{Crash: r.duration("bounds.crash", b.Crash, 8*time.Second), Leave: r.duration("bounds.leave", b.Leave, 2*time.Second),
 		Join: r.duration("bounds.join", b.Join, 5*time.Second), Settle: r.duration("bounds.settle", b.Settle, 10*time.Second),
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -166,7 +166,7 @@
 	a.runID = w.rng.Uint64() | 1
 	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Version: "virtual", Boot: boot, RunID: a.runID,
 		Instances: w.options.Instances, Balancers: w.options.Instances, KnownMembers: a.disk.known, ConfiguredBalancers: max(1, w.options.FileCount), Baseline: w.options.Plain,
-		ProbeInterval: w.plan.Peers.ProbeInterval, ProbeTimeout: w.plan.Peers.ProbeTimeout, IndirectTimeout: w.plan.Peers.IndirectTimeout, MinSuspicion: w.plan.Peers.SuspectLeast, BytesPerSecond: w.plan.Peers.Bytes, RemoteBytesPerSecond: w.plan.Peers.FarBytes}
+		ProbeInterval: w.plan.Peers.ProbeInterval, ProbeTimeout: w.plan.Peers.ProbeTimeout, IndirectTimeout: w.plan.Peers.IndirectTimeout, MinSuspicion: w.plan.Peers.MinSuspicion, BytesPerSecond: w.plan.Peers.Bytes, RemoteBytesPerSecond: w.plan.Peers.FarBytes}
 	if known != nil && w.now == 0 {
 		a.runID = w.initialRunID(a.n)
 		s.Boot, s.RunID, s.KnownMembers, s.TakesOver = wallBase, a.runID, known, true
