--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -275,7 +275,7 @@
 	rng := rand.New(rand.NewPCG(r.o.Seed, 5))
 	var todo []plan.Event
 	for n := range r.p.Daemons {
-		if r.p.First(n) {
+		if r.p.RunsFromStart(n) {
 			todo = append(todo, plan.Event{At: time.Duration(rng.Float64() * float64(r.p.Spread)), Do: "start", Who: []int{n}, State: "kept"})
 		}
 	}
--- a/internal/faulttest/hollow/sockets.go
+++ b/internal/faulttest/hollow/sockets.go
@@ -115,7 +115,7 @@
 	rng := rand.New(rand.NewPCG(w.s.Seed, 5))
 	var todo []plan.Event
 	for n := range p.Daemons {
-		if p.First(n) {
+		if p.RunsFromStart(n) {
 			todo = append(todo, plan.Event{At: time.Duration(rng.Float64() * float64(p.Spread)), Do: "start", Who: []int{n}})
 		}
 	}
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -637,8 +637,8 @@
 	}
 }
 
-// First reports whether a daemon runs from the beginning, that is, whether its first event is not its own start.
-func (p *Plan) First(n int) bool {
+// RunsFromStart reports whether a daemon runs from the beginning, that is, whether its first event is not its own start.
+func (p *Plan) RunsFromStart(n int) bool {
 	for _, e := range p.Events {
 		if slices.Contains(e.Who, n) && slices.Contains([]string{"start", "kill", "term", "pause"}, e.Do) {
 			return e.Do != "start" || e.Twin
--- a/internal/faulttest/plan/plan_test.go
+++ b/internal/faulttest/plan/plan_test.go
@@ -69,7 +69,7 @@
 	if s := strings.Join(got, ", "); s != "500ms start, 1s link, 1.2s heal, 2s link, 2.2s heal" {
 		t.Error(s)
 	}
-	if p.First(3) || !p.First(0) {
+	if p.RunsFromStart(3) || !p.RunsFromStart(0) {
 		t.Error("First: d4 must start with its event and d1 at the beginning")
 	}
 	if p.Bounds.Settle != 10*time.Second || len(p.Events[1].To) != 2 {
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -265,7 +265,7 @@
 		w.setLink(plan.Event{Who: firstMembers(p.Daemons), To: firstMembers(p.Daemons), Both: true, Link: p.Link})
 	}
 	for n := range p.Daemons {
-		if p.First(n) {
+		if p.RunsFromStart(n) {
 			w.schedule(time.Duration(w.rng.Float64()*float64(p.Spread)), func() { w.start(w.members[n], plan.Event{State: "kept"}) })
 		}
 	}
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -202,7 +202,7 @@
 	}
 	var starts []plan.Event
 	for n := range o.Daemons {
-		if p.First(n) {
+		if p.RunsFromStart(n) {
 			at := time.Duration(w.rng.Float64() * float64(p.Spread))
 			starts = append(starts, plan.Event{At: at, Do: "start", Who: []int{n}, State: "kept"})
 		}
