--- a/internal/faulttest/harness/load.go
+++ b/internal/faulttest/harness/load.go
@@ -99,7 +99,7 @@
 
 // recordLimits records the limits that the daemons share, with their bounds.
 func (r *runner) recordLimits() {
-	s := r.p.Settings()
+	s := r.p.LeaseSettings()
 	for i, l := range r.p.Limits {
 		r.record(checker.Line{What: checker.Limited, Limit: l.Name, Why: l.Counts.String(), Total: l.Total, Hard: l.Hard, Rate: l.Counts.IsRate() && l.Counts != quota.SlowStart,
 			Bound: s.Bounds(s.Limits[i], len(r.daemons)).MaxUsed})
@@ -155,7 +155,7 @@
 	if len(r.p.Limits) == 0 {
 		return
 	}
-	s := r.p.Settings()
+	s := r.p.LeaseSettings()
 	var names []string
 	for _, k := range s.Servers {
 		names = append(names, fmt.Sprintf("%q", k))
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -77,8 +77,8 @@
 	Each   bool // one for each server
 }
 
-// Settings returns the daemons' configuration of the limits.
-func (p *Plan) Settings() lease.Settings {
+// LeaseSettings returns the daemons' configuration of the limits.
+func (p *Plan) LeaseSettings() lease.Settings {
 	s := lease.Settings{Term: p.Term, MaxAttemptTime: Deadline}
 	for _, k := range p.LeaseServers {
 		s.Servers = append(s.Servers, Name(k))
@@ -526,7 +526,7 @@
 		r.p.NeedsRealProcesses = true
 	}
 	if len(f.Limit) > 0 {
-		if _, err := lease.NewClient(r.p.Settings(), "d1", 1); err != nil {
+		if _, err := lease.NewClient(r.p.LeaseSettings(), "d1", 1); err != nil {
 			r.fail("limit", "%v", err)
 		}
 	}
