--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -395,7 +395,7 @@
 		r.changeLinks(e)
 		return nil
 	case "fresh":
-		for _, n := range e.Names {
+		for _, n := range e.Servers {
 			r.load.serverStarted(n)
 			for _, d := range r.daemons {
 				d.upstream.serverStarted(n, r.servers[n])
@@ -403,7 +403,7 @@
 		}
 		return nil
 	case "fail":
-		for _, n := range e.Names {
+		for _, n := range e.Servers {
 			r.states[n].failShare.Store(math.Float64bits(e.Fail))
 			r.record(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Drop: e.Fail})
 		}
@@ -509,7 +509,7 @@
 			r.record(checker.Line{What: checker.Cut, Of: d.name, Why: "list", Drop: e.Link.Drop})
 		case "servers":
 			for n, g := range d.upstream.relays {
-				if len(e.Names) > 0 && !slices.Contains(e.Names, n) {
+				if len(e.Servers) > 0 && !slices.Contains(e.Servers, n) {
 					continue
 				}
 				g.setBlocked(e.Link.Drop >= 1)
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -145,26 +145,26 @@
 
 // Event is something that happens to daemons, servers or links.
 type Event struct {
-	At     time.Duration
-	Do     string
-	Who    []int
-	To     []int // the other ends of links
-	Both   bool
-	Link   Link
-	State  string        // of a start: kept, none, old, torn
-	Clock  time.Duration // of a start: offset of the daemon's wall clock
-	Share  float64       // of a starve event: the daemon's share of a core
-	Count  int           // of a stray event: number of datagrams
-	Kind   string        // of a stray or disk event: its kind; of an apply event: text of the proposed policy
-	Build  string        // of a start: path of another executable
-	Move   bool          // of a start: at a new address
-	Twin   bool          // of a start: a second process with this daemon's name, at another address
-	For    time.Duration // of a starve event: duration
-	Rate   float64       // of a rate event: the clients' requests a second from then on
-	Fail   float64       // share of a server's requests that fail
-	Names  []int         // servers by number, from 0
-	Remove string        // of a voters event: the voter to remove
-	Parts  []string      // of an apply event: parts of the policy to change; empty: the global part
+	At      time.Duration
+	Do      string
+	Who     []int
+	To      []int // the other ends of links
+	Both    bool
+	Link    Link
+	State   string        // of a start: kept, none, old, torn
+	Clock   time.Duration // of a start: offset of the daemon's wall clock
+	Share   float64       // of a starve event: the daemon's share of a core
+	Count   int           // of a stray event: number of datagrams
+	Kind    string        // of a stray or disk event: its kind; of an apply event: text of the proposed policy
+	Build   string        // of a start: path of another executable
+	Move    bool          // of a start: at a new address
+	Twin    bool          // of a start: a second process with this daemon's name, at another address
+	For     time.Duration // of a starve event: duration
+	Rate    float64       // of a rate event: the clients' requests a second from then on
+	Fail    float64       // share of a server's requests that fail
+	Servers []int         // servers by number, from 0
+	Remove  string        // of a voters event: the voter to remove
+	Parts   []string      // of an apply event: parts of the policy to change; empty: the global part
 }
 
 type file struct {
@@ -556,7 +556,7 @@
 		if err != nil || k < 1 || k > r.p.Servers || n[0] != 's' {
 			r.fail(at+"servers", "%q is not a server of this plan, which has s1 to s%d", n, r.p.Servers)
 		}
-		ev.Names = append(ev.Names, k-1)
+		ev.Servers = append(ev.Servers, k-1)
 	}
 	ev.Link = r.link(at, &e.link)
 	if len(ev.Who) == 0 && !(e.Do == "heal" && e.Who == nil) && e.Do != "fail" && e.Do != "fresh" {
@@ -597,12 +597,12 @@
 		}
 		r.p.NeedsRealProcesses = true
 	case "fresh":
-		if len(ev.Names) == 0 {
+		if len(ev.Servers) == 0 {
 			r.fail(at+"servers", "no server is named")
 		}
 		r.p.NeedsRealProcesses = true
 	case "fail":
-		if len(ev.Names) == 0 || !(e.Fail >= 0 && e.Fail <= 1) {
+		if len(ev.Servers) == 0 || !(e.Fail >= 0 && e.Fail <= 1) {
 			r.fail(at+"fail", "%v: a share from 0 to 1 and servers are needed", e.Fail)
 		}
 		r.p.NeedsRealProcesses = true
