--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -82,9 +82,9 @@
 		if err != nil {
 			return exitError{2, err}
 		}
-		o := harness.Options{Program: self, Seed: f.seed, Tell: errs, Bare: f.alone}
+		o := harness.Options{Program: self, Seed: f.seed, Progress: errs, Bare: f.alone}
 		if f.quiet {
-			o.Tell = nil
+			o.Progress = nil
 		}
 		if f.keep != "" {
 			if o.Keep, err = filepath.Abs(f.keep); err != nil {
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -38,12 +38,12 @@
 
 // Options configure a run.
 type Options struct {
-	Program string // path of the daemons' executable
-	Seed    uint64
-	Keep    string    // directory for files, logs and events, kept after the run; empty: a temporary one
-	Tell    io.Writer // receives human-readable progress output; nil: none
-	Bare    bool      // daemons have no [peers] section: each runs alone, for comparison
-	Blind   bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
+	Program  string // path of the daemons' executable
+	Seed     uint64
+	Keep     string    // directory for files, logs and events, kept after the run; empty: a temporary one
+	Progress io.Writer // receives human-readable progress output; nil: none
+	Bare     bool      // daemons have no [peers] section: each runs alone, for comparison
+	Blind    bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
 }
 
 // daemon is a daemon of the plan, or a second process with the name of one.
@@ -168,8 +168,8 @@
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
 	r.mu.Unlock()
-	if r.o.Tell != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.ServerReceived {
-		fmt.Fprintf(r.o.Tell, "%7.2f s  %s %s %s\n", time.Since(r.begin).Seconds(), l.What, l.Of, l.Why)
+	if r.o.Progress != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.ServerReceived {
+		fmt.Fprintf(r.o.Progress, "%7.2f s  %s %s %s\n", time.Since(r.begin).Seconds(), l.What, l.Of, l.Why)
 	}
 }
 
