--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -38,12 +38,12 @@
 
 // Options configure a run.
 type Options struct {
-	Program  string // path of the daemons' executable
-	Seed     uint64
-	Keep     string    // directory for files, logs and events, kept after the run; empty: a temporary one
-	Progress io.Writer // receives human-readable progress output; nil: none
-	Bare     bool      // daemons have no [peers] section: each runs alone, for comparison
-	Blind    bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
+	Program           string // path of the daemons' executable
+	Seed              uint64
+	Keep              string    // directory for files, logs and events, kept after the run; empty: a temporary one
+	Progress          io.Writer // receives human-readable progress output; nil: none
+	Bare              bool      // daemons have no [peers] section: each runs alone, for comparison
+	SkipPolicyPolling bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
 }
 
 // daemon is a daemon of the plan, or a second process with the name of one.
--- a/internal/faulttest/harness/policy.go
+++ b/internal/faulttest/harness/policy.go
@@ -97,7 +97,7 @@
 	r.record(checker.Line{What: checker.Agreed, Hard: p.StopWhenIsolated, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(voters, " ")})
 	r.policies = policies{markers: map[string][]string{"": {"p0"}}, numbers: map[string]map[string]uint64{}}
 	for _, d := range slices.Clone(r.daemons) {
-		if r.o.Blind {
+		if r.o.SkipPolicyPolling {
 			break
 		}
 		for _, part := range append([]string{""}, r.heldParts(d)...) {
--- a/tools/policy/main.go
+++ b/tools/policy/main.go
@@ -411,7 +411,7 @@
 			if state == "at rest, no [policy]" {
 				p.Policy = nil
 			}
-			lines, err := harness.Play(context.Background(), p, harness.Options{Program: program, Seed: 1, Blind: strings.HasPrefix(state, "at rest")})
+			lines, err := harness.Play(context.Background(), p, harness.Options{Program: program, Seed: 1, SkipPolicyPolling: strings.HasPrefix(state, "at rest")})
 			if err != nil {
 				return err
 			}
