--- a/internal/faulttest/hollow/few.go
+++ b/internal/faulttest/hollow/few.go
@@ -212,8 +212,8 @@
 	w.after(2*w.delay(from, to)+2*w.delay(to, from), func() { w.step(from, membership.ExchangeResponse{ID: a.ID, Message: x}) })
 }
 
-// Whole returns the size in bytes of a full membership view on a stream, as sent to a member that has lost its own.
-func Whole(members int) (int, error) {
+// FullViewSize returns the size in bytes of a full membership view on a stream, as sent to a member that has lost its own.
+func FullViewSize(members int) (int, error) {
 	x := &membership.Exchange{From: plan.Name(0), Boot: 1, RunID: 1}
 	for n := range members {
 		x.Records = append(x.Records, membership.Record{Name: plan.Name(n), Addr: fmt.Sprintf("10.77.%d.%d:7946", n/250, n%250+1), Zone: "r1-z1", Version: "virtual",
--- a/tools/capacity/view.go
+++ b/tools/capacity/view.go
@@ -227,7 +227,7 @@
 // second's bytes and, on streams, one complete view (the claim bytes-most of the fault tests). If members have more to
 // send, the fleet takes longer to agree.
 func ceiling() (float64, error) {
-	whole, err := hollow.Whole(dayAgents)
+	whole, err := hollow.FullViewSize(dayAgents)
 	return 2*membership.DefaultBytesPerSecond + (2*membership.DefaultBytesPerSecond+float64(whole))/after.Seconds(), err
 }
 
@@ -364,7 +364,7 @@
 		if err != nil {
 			return nil, err
 		}
-		whole, err := hollow.Whole(n)
+		whole, err := hollow.FullViewSize(n)
 		if err != nil {
 			return nil, err
 		}
