--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -16,9 +16,9 @@
 	"vetchhaven/internal/peer/transport"
 )
 
-// Held runs the same plan with real daemons, with lightweight members on sockets, and in virtual time, so that the
+// Comparison runs the same plan with real daemons, with lightweight members on sockets, and in virtual time, so that the
 // three can be compared.
-type Held struct {
+type Comparison struct {
 	Program string // path of the daemons' executable
 	Dir     string // directory for the stored views of lightweight members
 	Members int
@@ -30,7 +30,7 @@
 	Peers plan.Peers
 }
 
-// Side is the result of one run of Held.Play: of real daemons, of lightweight members on sockets, or in virtual time.
+// Side is the result of one run of Comparison.Play: of real daemons, of lightweight members on sockets, or in virtual time.
 type Side struct {
 	Name             string
 	Datagrams, Bytes float64 // sent by each member a second, at rest
@@ -49,7 +49,7 @@
 )
 
 // Plan returns the plan of the three runs: members are killed and restarted one after another.
-func (h *Held) Plan() *plan.Plan {
+func (h *Comparison) Plan() *plan.Plan {
 	rng := rand.New(rand.NewPCG(h.Seed, uint64(h.Members)))
 	p := &plan.Plan{Name: "held", Daemons: h.Members, Zones: 1, Seeds: []int{0, 1}, Spread: 500 * time.Millisecond, Peers: h.Peers}
 	at := h.Rest[1]
@@ -64,7 +64,7 @@
 }
 
 // Play runs the real daemons and the lightweight members at the same time, then the run in virtual time.
-func (h *Held) Play(ctx context.Context) ([]Side, error) {
+func (h *Comparison) Play(ctx context.Context) ([]Side, error) {
 	p := h.Plan()
 	sides := make([]Side, 3)
 	var wg sync.WaitGroup
@@ -118,7 +118,7 @@
 
 // side computes the result of a run from its history lines. The CPU time of all processes that report it is divided
 // by the number of members.
-func (h *Held) side(name string, lines []checker.Line) Side {
+func (h *Comparison) side(name string, lines []checker.Line) Side {
 	s := Side{Name: name}
 	first := lines[0].T
 	from, to := first+int64(h.Rest[0]), first+int64(h.Rest[1])
--- a/internal/faulttest/hollow/held_test.go
+++ b/internal/faulttest/hollow/held_test.go
@@ -19,7 +19,7 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "vetchhaven/cmd/vetchhaven").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	h := Held{Program: bin, Dir: t.TempDir(), Members: 8, Seed: 1, Rest: [2]time.Duration{4 * time.Second, 9 * time.Second},
+	h := Comparison{Program: bin, Dir: t.TempDir(), Members: 8, Seed: 1, Rest: [2]time.Duration{4 * time.Second, 9 * time.Second},
 		Peers: plan.Peers{ProbeTimeout: time.Second, IndirectTimeout: 1500 * time.Millisecond}}
 	sides, err := h.Play(context.Background())
 	if err != nil {
--- a/tools/capacity/held.go
+++ b/tools/capacity/held.go
@@ -47,7 +47,7 @@
 			if err != nil || n < 4 {
 				return fmt.Errorf("--sizes: %q is not a number of at least 4", text)
 			}
-			h := hollow.Held{Program: bin, Dir: filepath.Join(dir, text), Members: n, Crashes: crashes, Seed: seed, Rest: [2]time.Duration{20 * time.Second, 45 * time.Second},
+			h := hollow.Comparison{Program: bin, Dir: filepath.Join(dir, text), Members: n, Crashes: crashes, Seed: seed, Rest: [2]time.Duration{20 * time.Second, 45 * time.Second},
 				Peers: plan.Peers{ProbeTimeout: direct, IndirectTimeout: direct + direct/2}}
 			sides, err := h.Play(ctx)
 			if err != nil {
