--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -85,7 +85,7 @@
 	Contested     = "contested" // daemon: another process has the same name
 	PauseDetected = "doubt"     // daemon: it was paused or starved of CPU time, and has raised its local health multiplier (Health)
 	Leaving       = "leave"     // daemon: it announces its departure
-	Gap           = "gap"       // daemon: Count lines could not be written
+	Gap           = "gap"       // daemon: lines could not be written; Count is their number
 
 	Up                = "up"      // test: process PID of daemon Of runs, with Balancers
 	Down              = "down"    // test: the process was ended; Why is kill or term
--- a/internal/faulttest/hollow/held.go
+++ b/internal/faulttest/hollow/held.go
@@ -26,7 +26,7 @@
 	Seed    uint64
 	// Rest is the span before the first crash in which no event happens.
 	Rest [2]time.Duration
-	// Peers are the members' settings. A longer Direct keeps the delays of a busy machine out of the comparison.
+	// Peers are the members' settings. A longer ProbeTimeout keeps the delays of a busy machine out of the comparison.
 	Peers plan.Peers
 }
 
--- a/tools/capacity/page/tables.go
+++ b/tools/capacity/page/tables.go
@@ -407,7 +407,7 @@
 	return all
 }
 
-// breaks returns the table of crossings.
+// breaks returns the table of the bounds, in ascending order of the size at which the load crosses them.
 func (p *printer) breaks() string {
 	all := p.crossings()
 	if len(all) == 0 {
