--- a/cmd/vetchhaven/drill.go
+++ b/cmd/vetchhaven/drill.go
@@ -82,9 +82,9 @@
 		if err != nil {
 			return exitError{2, err}
 		}
-		o := harness.Options{Program: self, Seed: f.seed, Tell: errs, Bare: f.alone}
+		o := harness.Options{Program: self, Seed: f.seed, Progress: errs, Bare: f.alone}
 		if f.quiet {
-			o.Tell = nil
+			o.Progress = nil
 		}
 		if f.keep != "" {
 			if o.Keep, err = filepath.Abs(f.keep); err != nil {
@@ -104,7 +104,7 @@
 	if f.virtual && p.Policy != nil { // only the policy is simulated in this case
 		report = checker.Policy(p.Bounds, lines)
 	}
-	notTried := report.NotTried(p.Tries)
+	notTried := report.NotTried(p.RequiredClaims)
 	if f.asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", " ")
--- a/internal/faulttest/checker/checker.go
+++ b/internal/faulttest/checker/checker.go
@@ -247,11 +247,11 @@
 // applyTruth applies a line of the fault test.
 func (ck *checker) applyTruth(l *Line) {
 	switch l.What {
-	case Up, Twin, Ending, Down:
+	case Up, DuplicateStarted, ShutdownRequested, Down:
 		ck.applyLifecycle(l)
 	case Starve, Pause, Resume:
 		ck.applyPause(l)
-	case Handing, Handed, Disk:
+	case HandoverStarted, HandoverDone, Disk:
 		ck.markTruthChanged(l.T)
 	case Link:
 		ck.applyLink(l)
@@ -277,11 +277,11 @@
 		ck.markStarted(p, l)
 		ck.partitionedRegions = nil
 		ck.expectJoinKnown(p, l.T)
-	case Twin:
+	case DuplicateStarted:
 		p.duplicate = true
 		ck.markStarted(p, l)
 		ck.name.Tried++
-	case Ending:
+	case ShutdownRequested:
 		p.terminating = true
 	case Down:
 		ck.applyDown(p, l)
@@ -339,7 +339,7 @@
 	link := pair{l.From, l.To}
 	ck.lossRates[link] = l.Drop
 	ck.impairedLinks[link] = l.Impaired
-	ck.oneWayDelays[link] = time.Duration(l.WayUS) * time.Microsecond
+	ck.oneWayDelays[link] = time.Duration(l.OneWayDelayUS) * time.Microsecond
 	ck.markTruthChanged(l.T)
 	ck.linksChangedAt = l.T
 	ck.componentOf = nil
--- a/internal/faulttest/checker/checker_test.go
+++ b/internal/faulttest/checker/checker_test.go
@@ -88,7 +88,7 @@
 		{"all consider it dead", "BROKEN", map[int]float64{1: 10.5, 2: 10.5}, "dead"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := threeDaemons().at(9.99, Line{What: Ending, Of: "c", PID: 3}).at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.13, Line{What: Down, Of: "c", PID: 3, Why: "term"})
+			s := threeDaemons().at(9.99, Line{What: ShutdownRequested, Of: "c", PID: 3}).at(10, Line{What: Leaving, By: "c", PID: 3}).at(10.13, Line{What: Down, Of: "c", PID: 3, Why: "term"})
 			for pid, at := range c.knows {
 				s.sees(at, pid, "c", "c1", c.as)
 			}
@@ -132,7 +132,7 @@
 
 func TestDuplicateNames(t *testing.T) {
 	duplicated := func() *history {
-		return threeDaemons().at(10, Line{What: Twin, Of: "c", PID: 4, Balancers: 1}).at(10, Line{What: Start, By: "c", PID: 4, RunID: "c2"})
+		return threeDaemons().at(10, Line{What: DuplicateStarted, Of: "c", PID: 4, Balancers: 1}).at(10, Line{What: Start, By: "c", PID: 4, RunID: "c2"})
 	}
 	expectOutcome(t, duplicated().at(11, Line{What: Contested, By: "c", PID: 4, Yielded: true}).at(30, Line{What: End}), OneName, "kept")
 	expectOutcome(t, duplicated().at(30, Line{What: End}), OneName, "BROKEN")
@@ -220,7 +220,7 @@
 		want       string
 	}{{0, "BROKEN"}, {2, "kept"}} {
 		bounds.RoundTrips = c.roundTrips
-		s := threeDaemons().at(1, Line{What: Link, From: "a", To: "c", WayUS: 200_000}).at(1, Line{What: Link, From: "c", To: "a", WayUS: 200_000}).
+		s := threeDaemons().at(1, Line{What: Link, From: "a", To: "c", OneWayDelayUS: 200_000}).at(1, Line{What: Link, From: "c", To: "a", OneWayDelayUS: 200_000}).
 			at(10, Line{What: Down, Of: "c", PID: 3, Why: "kill"}).sees(12, 2, "c", "c1", "dead").sees(13.7, 1, "c", "c1", "dead").at(30, Line{What: End})
 		expectOutcome(t, s, CrashKnown, c.want)
 	}
--- a/internal/faulttest/checker/line.go
+++ b/internal/faulttest/checker/line.go
@@ -39,10 +39,10 @@
 	PauseMS int64 `json:"pause_ms,omitempty"`
 	Health  int   `json:"health,omitempty"`
 
-	From  string  `json:"from,omitempty"` // sending end of a link
-	To    string  `json:"to,omitempty"`
-	Drop  float64 `json:"drop,omitempty"`
-	WayUS int64   `json:"way_us,omitempty"` // one-way delay that the link adds, in microseconds
+	From          string  `json:"from,omitempty"` // sending end of a link
+	To            string  `json:"to,omitempty"`
+	Drop          float64 `json:"drop,omitempty"`
+	OneWayDelayUS int64   `json:"way_us,omitempty"` // one-way delay that the link adds, in microseconds
 	// Impaired: the link also duplicates, reorders, damages, slows down or breaks traffic.
 	Impaired bool `json:"rough,omitempty"`
 
@@ -85,29 +85,29 @@
 	Contested     = "contested" // daemon: another process has the same name
 	PauseDetected = "doubt"     // daemon: it was paused or starved of CPU time, and has raised its local health multiplier (Health)
 	Leaving       = "leave"     // daemon: it announces its departure
-	Gap           = "gap"       // daemon: Count lines could not be written
+	Gap           = "gap"       // daemon: lines could not be written; Count is their number
 
-	Up             = "up"      // test: process PID of daemon Of runs, with Balancers
-	Down           = "down"    // test: the process was ended; Why is kill or term
-	Pause          = "pause"   // test: process PID was paused
-	Resume         = "resume"  // test: process PID was resumed
-	Link           = "link"    // test: traffic from From to To has these faults from now on
-	Cut            = "cut"     // test: Of loses the share Drop of its traffic with its servers or its list (Why)
-	Sent           = "sent"    // test: traffic that Of sent to peers in the last second
-	Service        = "service" // test: outcomes of the requests of Of's clients in the last second
-	Twin           = "twin"    // test: process PID runs under the name of another process
-	Ending         = "ending"  // test: a graceful shutdown of process PID was requested
-	Handing        = "handing" // test: a handover from process PID to a successor starts
-	Handed         = "handed"  // test: process PID has taken over from its predecessor
-	Starve         = "starve"  // test: process PID gets little CPU time for PauseMS
-	Limited        = "limited" // test: the daemons share a limit
-	Used           = "used"    // test: use of the limit, as measured at the servers
-	DemandChanged  = "wanted"  // test: requests per second, over all daemons, from now on
-	EjectionState  = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
-	Fault          = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
-	ServerReceived = "got"     // test: requests that reached Server (Count) and all servers (Demand) in the last second
-	StrayDatagram  = "odd"     // test: Count stray datagrams were sent to Of; Why is their kind
-	End            = "end"     // test: the history ends
+	Up                = "up"      // test: process PID of daemon Of runs, with Balancers
+	Down              = "down"    // test: the process was ended; Why is kill or term
+	Pause             = "pause"   // test: process PID was paused
+	Resume            = "resume"  // test: process PID was resumed
+	Link              = "link"    // test: traffic from From to To has these faults from now on
+	Cut               = "cut"     // test: Of loses the share Drop of its traffic with its servers or its list (Why)
+	Sent              = "sent"    // test: traffic that Of sent to peers in the last second
+	Service           = "service" // test: outcomes of the requests of Of's clients in the last second
+	DuplicateStarted  = "twin"    // test: process PID runs under the name of another process
+	ShutdownRequested = "ending"  // test: a graceful shutdown of process PID was requested
+	HandoverStarted   = "handing" // test: a handover from process PID to a successor starts
+	HandoverDone      = "handed"  // test: process PID has taken over from its predecessor
+	Starve            = "starve"  // test: process PID gets little CPU time for PauseMS
+	Limited           = "limited" // test: the daemons share a limit
+	Used              = "used"    // test: use of the limit, as measured at the servers
+	DemandChanged     = "wanted"  // test: requests per second, over all daemons, from now on
+	EjectionState     = "verdict" // daemon: Server is ejected, drains or is readmitted (State)
+	Fault             = "fault"   // test: Server fails the share Drop of requests; with Of: only those of that daemon
+	ServerReceived    = "got"     // test: requests that reached Server (Count) and all servers (Demand) in the last second
+	StrayDatagram     = "odd"     // test: Count stray datagrams were sent to Of; Why is their kind
+	End               = "end"     // test: the history ends
 
 	Agreed          = "agreed"   // test: the daemons agree on policies; Hard: isolated members stop after PauseMS; Why: voters; Parts: future voters
 	Proposed        = "proposed" // test: change ID of Parts (none: the global part) is proposed at Of, excluding the members in Why
--- a/internal/faulttest/harness/harness.go
+++ b/internal/faulttest/harness/harness.go
@@ -38,12 +38,12 @@
 
 // Options configure a run.
 type Options struct {
-	Program string // path of the daemons' executable
-	Seed    uint64
-	Keep    string    // directory for files, logs and events, kept after the run; empty: a temporary one
-	Tell    io.Writer // receives human-readable progress output; nil: none
-	Bare    bool      // daemons have no [peers] section: each runs alone, for comparison
-	Blind   bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
+	Program           string // path of the daemons' executable
+	Seed              uint64
+	Keep              string    // directory for files, logs and events, kept after the run; empty: a temporary one
+	Progress          io.Writer // receives human-readable progress output; nil: none
+	Bare              bool      // daemons have no [peers] section: each runs alone, for comparison
+	SkipPolicyPolling bool      // the policy that each daemon serves is not polled, so that the cost of daemons at rest can be measured
 }
 
 // daemon is a daemon of the plan, or a second process with the name of one.
@@ -83,7 +83,7 @@
 // Play runs a plan and returns its history. An error means that the harness failed; the daemons' behaviour is left to
 // the checker.
 func Play(ctx context.Context, p *plan.Plan, o Options) ([]checker.Line, error) {
-	if p.Modelled {
+	if p.VirtualTimeOnly {
 		return nil, fmt.Errorf("%s: plan has full or slow disks, which only virtual time supports", p.Name)
 	}
 	if p.Daemons > plan.MaxRealDaemons {
@@ -114,7 +114,7 @@
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
-			time.Sleep(p.Takes)
+			time.Sleep(p.ServiceTime)
 			_, _ = io.WriteString(w, "done")
 		}))
 	}
@@ -168,8 +168,8 @@
 	r.mu.Lock()
 	r.lines = append(r.lines, l)
 	r.mu.Unlock()
-	if r.o.Tell != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.ServerReceived {
-		fmt.Fprintf(r.o.Tell, "%7.2f s  %s %s %s\n", time.Since(r.begin).Seconds(), l.What, l.Of, l.Why)
+	if r.o.Progress != nil && l.What != checker.Sent && l.What != checker.Service && l.What != checker.Link && l.What != checker.Used && l.What != checker.ServerReceived {
+		fmt.Fprintf(r.o.Progress, "%7.2f s  %s %s %s\n", time.Since(r.begin).Seconds(), l.What, l.Of, l.Why)
 	}
 }
 
@@ -230,7 +230,7 @@
 		for _, k := range []struct {
 			key string
 			d   time.Duration
-		}{{"every", s.Every}, {"direct", s.Direct}, {"indirect", s.Indirect}, {"suspect_least", s.SuspectLeast}} {
+		}{{"every", s.ProbeInterval}, {"direct", s.ProbeTimeout}, {"indirect", s.IndirectTimeout}, {"suspect_least", s.MinSuspicion}} {
 			if k.d > 0 {
 				fmt.Fprintf(b, "%s = \"%v\"\n", k.key, k.d)
 			}
@@ -275,7 +275,7 @@
 	rng := rand.New(rand.NewPCG(r.o.Seed, 5))
 	var todo []plan.Event
 	for n := range r.p.Daemons {
-		if r.p.First(n) {
+		if r.p.RunsFromStart(n) {
 			todo = append(todo, plan.Event{At: time.Duration(rng.Float64() * float64(r.p.Spread)), Do: "start", Who: []int{n}, State: "kept"})
 		}
 	}
@@ -395,7 +395,7 @@
 		r.changeLinks(e)
 		return nil
 	case "fresh":
-		for _, n := range e.Names {
+		for _, n := range e.Servers {
 			r.load.serverStarted(n)
 			for _, d := range r.daemons {
 				d.upstream.serverStarted(n, r.servers[n])
@@ -403,7 +403,7 @@
 		}
 		return nil
 	case "fail":
-		for _, n := range e.Names {
+		for _, n := range e.Servers {
 			r.states[n].failShare.Store(math.Float64bits(e.Fail))
 			r.record(checker.Line{What: checker.Fault, Server: fmt.Sprint("s", n+1), Drop: e.Fail})
 		}
@@ -466,7 +466,7 @@
 		case "kill":
 			r.end(d, syscall.SIGKILL)
 		case "term":
-			r.record(checker.Line{What: checker.Ending, Of: d.name, PID: d.pid})
+			r.record(checker.Line{What: checker.ShutdownRequested, Of: d.name, PID: d.pid})
 			pid, exited := d.pid, d.exited
 			_ = syscall.Kill(pid, syscall.SIGTERM)
 			d.setPID(0)
@@ -509,7 +509,7 @@
 			r.record(checker.Line{What: checker.Cut, Of: d.name, Why: "list", Drop: e.Link.Drop})
 		case "servers":
 			for n, g := range d.upstream.relays {
-				if len(e.Names) > 0 && !slices.Contains(e.Names, n) {
+				if len(e.Servers) > 0 && !slices.Contains(e.Servers, n) {
 					continue
 				}
 				g.setBlocked(e.Link.Drop >= 1)
@@ -527,7 +527,7 @@
 }
 
 func (r *runner) recordLink(from, to int, l plan.Link) {
-	r.record(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Impaired: l.Rough(), WayUS: l.Way()})
+	r.record(checker.Line{What: checker.Link, From: r.daemons[from].name, To: r.daemons[to].name, Drop: l.Drop, Impaired: l.IsImpaired(), OneWayDelayUS: l.OneWayDelayMicros()})
 }
 
 // changeLinks sets links to an event's state, or back to their usual state.
@@ -618,7 +618,7 @@
 	go func() { _ = cmd.Wait(); close(exited) }()
 	what := checker.Up
 	if d.twin {
-		what = checker.Twin
+		what = checker.DuplicateStarted
 	}
 	held := r.heldParts(d)
 	r.record(checker.Line{T: at, What: what, Of: d.name, PID: d.pid, Balancers: 1 + len(held), Region: r.p.Region(d.n)})
@@ -705,7 +705,7 @@
 	if old == 0 {
 		return errors.New("daemon is not running")
 	}
-	r.record(checker.Line{What: checker.Handing, Of: d.name, PID: old})
+	r.record(checker.Line{What: checker.HandoverStarted, Of: d.name, PID: old})
 	if err := r.admin(ctx, d, http.MethodPost, "/handover", nil); err != nil {
 		return err
 	}
@@ -728,7 +728,7 @@
 		}
 		close(ended)
 	}()
-	r.record(checker.Line{What: checker.Handed, Of: d.name, PID: pid})
+	r.record(checker.Line{What: checker.HandoverDone, Of: d.name, PID: pid})
 	return nil
 }
 
--- a/internal/faulttest/plan/plan.go
+++ b/internal/faulttest/plan/plan.go
@@ -22,38 +22,38 @@
 
 // Plan is a validated fault test.
 type Plan struct {
-	Name     string
-	Daemons  int
-	Length   time.Duration
-	Seeds    []int // daemons by number, from 0
-	Servers  int
-	Rate     float64 // requests a second for each daemon
-	Spread   time.Duration
-	Peers    Peers
-	Bounds   checker.Bounds
-	Link     Link     // state of all links from the start
-	Regions  []string // region of each daemon by number; nil: there are no regions
-	Between  Link     // state of all links between two regions from the start, in place of Link
-	Events   []Event
-	Real     bool // needs real processes, because virtual time has no model of an event or a limit
-	Why      string
-	Tries    []string // claims that the run must exercise
-	Zones    int
-	Takes    time.Duration // processing time of a request at a server
-	Limits   []Limit
-	Keepers  []int
-	Term     time.Duration
-	Policy   *Policy // nil: the daemons agree on no policy
-	Modelled bool    // runs in virtual time only
+	Name               string
+	Daemons            int
+	Length             time.Duration
+	Seeds              []int // daemons by number, from 0
+	Servers            int
+	Rate               float64 // requests a second for each daemon
+	Spread             time.Duration
+	Peers              Peers
+	Bounds             checker.Bounds
+	Link               Link     // state of all links from the start
+	Regions            []string // region of each daemon by number; nil: there are no regions
+	Between            Link     // state of all links between two regions from the start, in place of Link
+	Events             []Event
+	NeedsRealProcesses bool // needs real processes, because virtual time has no model of an event or a limit
+	Why                string
+	RequiredClaims     []string // claims that the run must exercise
+	Zones              int
+	ServiceTime        time.Duration // processing time of a request at a server
+	Limits             []Limit
+	LeaseServers       []int
+	Term               time.Duration
+	Policy             *Policy // nil: the daemons agree on no policy
+	VirtualTimeOnly    bool    // runs in virtual time only
 }
 
 // Policy configures the daemons' agreement on policies.
 type Policy struct {
-	Voters        []int
-	Stops, Last   bool
-	Lease, Within time.Duration
-	Witness       bool
-	Holds         map[string][]int // by service: the daemons that serve it and hold its part
+	Voters                           []int
+	StopWhenIsolated, ServeLastKnown bool
+	Lease, PrepareTimeout            time.Duration
+	Witness                          bool
+	Holds                            map[string][]int // by service: the daemons that serve it and hold its part
 }
 
 // Of returns the names of the parts that a daemon holds, sorted.
@@ -71,20 +71,20 @@
 type Limit struct {
 	Name   string
 	Counts quota.Kind
-	Figure int
+	Total  int
 	Hard   bool
 	Floor  float64
 	Each   bool // one for each server
 }
 
-// Settings returns the daemons' configuration of the limits.
-func (p *Plan) Settings() lease.Settings {
+// LeaseSettings returns the daemons' configuration of the limits.
+func (p *Plan) LeaseSettings() lease.Settings {
 	s := lease.Settings{Term: p.Term, MaxAttemptTime: Deadline}
-	for _, k := range p.Keepers {
+	for _, k := range p.LeaseServers {
 		s.Servers = append(s.Servers, Name(k))
 	}
 	for _, l := range p.Limits {
-		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: partition(l.Each)}, Total: l.Figure, Hard: l.Hard, FloorShare: l.Floor})
+		s.Limits = append(s.Limits, lease.Limit{Limit: quota.Limit{Name: l.Name, Kind: l.Counts, Partition: partition(l.Each)}, Total: l.Total, Hard: l.Hard, FloorShare: l.Floor})
 	}
 	return s
 }
@@ -104,8 +104,8 @@
 
 // Peers are the settings of the daemons' membership module; 0: the default.
 type Peers struct {
-	Every, Direct, Indirect, SuspectLeast time.Duration
-	Bytes, FarBytes                       int
+	ProbeInterval, ProbeTimeout, IndirectTimeout, MinSuspicion time.Duration
+	Bytes, FarBytes                                            int
 }
 
 // Region returns a daemon's region; empty if it is in none.
@@ -132,39 +132,39 @@
 	Break                            bool // streams break after some bytes
 }
 
-// Way returns the mean one-way delay that the link adds, in microseconds.
-func (l Link) Way() int64 { return (l.Delay + l.Jitter/2).Microseconds() }
+// OneWayDelayMicros returns the mean one-way delay that the link adds, in microseconds.
+func (l Link) OneWayDelayMicros() int64 { return (l.Delay + l.Jitter/2).Microseconds() }
 
 // Whole reports whether the link has no faults.
 func (l Link) Whole() bool { return l == Link{} }
 
-// Rough reports whether the link does more than drop and delay traffic.
-func (l Link) Rough() bool {
+// IsImpaired reports whether the link does more than drop and delay traffic.
+func (l Link) IsImpaired() bool {
 	return l.Duplicate > 0 || l.Reorder > 0 || l.Damage > 0 || l.Slow > 0 || l.Break
 }
 
 // Event is something that happens to daemons, servers or links.
 type Event struct {
-	At     time.Duration
-	Do     string
-	Who    []int
-	To     []int // the other ends of links
-	Both   bool
-	Link   Link
-	State  string        // of a start: kept, none, old, torn
-	Clock  time.Duration // of a start: offset of the daemon's wall clock
-	Share  float64       // of a starve event: the daemon's share of a core
-	Count  int           // of a stray event: number of datagrams
-	Kind   string        // of a stray or disk event: its kind; of an apply event: text of the proposed policy
-	Build  string        // of a start: path of another executable
-	Move   bool          // of a start: at a new address
-	Twin   bool          // of a start: a second process with this daemon's name, at another address
-	For    time.Duration // of a starve event: duration
-	Rate   float64       // of a rate event: the clients' requests a second from then on
-	Fail   float64       // share of a server's requests that fail
-	Names  []int         // servers by number, from 0
-	Remove string        // of a voters event: the voter to remove
-	Parts  []string      // of an apply event: parts of the policy to change; empty: the global part
+	At      time.Duration
+	Do      string
+	Who     []int
+	To      []int // the other ends of links
+	Both    bool
+	Link    Link
+	State   string        // of a start: kept, none, old, torn
+	Clock   time.Duration // of a start: offset of the daemon's wall clock
+	Share   float64       // of a starve event: the daemon's share of a core
+	Count   int           // of a stray event: number of datagrams
+	Kind    string        // of a stray or disk event: its kind; of an apply event: text of the proposed policy
+	Build   string        // of a start: path of another executable
+	Move    bool          // of a start: at a new address
+	Twin    bool          // of a start: a second process with this daemon's name, at another address
+	For     time.Duration // of a starve event: duration
+	Rate    float64       // of a rate event: the clients' requests a second from then on
+	Fail    float64       // share of a server's requests that fail
+	Servers []int         // servers by number, from 0
+	Remove  string        // of a voters event: the voter to remove
+	Parts   []string      // of an apply event: parts of the policy to change; empty: the global part
 }
 
 type file struct {
@@ -398,7 +398,7 @@
 }
 
 func check(t *tomlfile.File, f *file) (*Plan, error) {
-	p := &Plan{Name: f.Name, Why: f.Why, Tries: f.Tries, Daemons: f.Daemons, Servers: f.Servers, Rate: f.Rate, Zones: cmp.Or(f.Zones, 1)}
+	p := &Plan{Name: f.Name, Why: f.Why, RequiredClaims: f.Tries, Daemons: f.Daemons, Servers: f.Servers, Rate: f.Rate, Zones: cmp.Or(f.Zones, 1)}
 	r := &reader{File: t, f: f, p: p}
 	if f.Daemons < 1 || f.Daemons > 5000 {
 		return nil, t.Errorf("daemons", "%d: 1 to 5000 are allowed, and up to %d as real processes", f.Daemons, MaxRealDaemons)
@@ -411,8 +411,8 @@
 	}
 	p.Length = r.duration("length", f.Length, 30*time.Second)
 	p.Spread = r.duration("spread", f.Spread, 0)
-	p.Peers = Peers{Every: r.duration("peers.every", f.Peers.Every, 0), Direct: r.duration("peers.direct", f.Peers.Direct, 0),
-		Indirect: r.duration("peers.indirect", f.Peers.Indirect, 0), SuspectLeast: r.duration("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
+	p.Peers = Peers{ProbeInterval: r.duration("peers.every", f.Peers.Every, 0), ProbeTimeout: r.duration("peers.direct", f.Peers.Direct, 0),
+		IndirectTimeout: r.duration("peers.indirect", f.Peers.Indirect, 0), MinSuspicion: r.duration("peers.suspect_least", f.Peers.SuspectLeast, 0), Bytes: f.Peers.Bytes, FarBytes: f.Peers.FarBytes}
 	b := &f.Bounds
 	p.Bounds = checker.Bounds{Crash: r.duration("bounds.crash", b.Crash, 8*time.Second), Leave: r.duration("bounds.leave", b.Leave, 2*time.Second),
 		Join: r.duration("bounds.join", b.Join, 5*time.Second), Settle: r.duration("bounds.settle", b.Settle, 10*time.Second),
@@ -422,7 +422,7 @@
 	r.share("bounds.served", b.Served)
 	p.Link = r.link("link.", &f.Link)
 	r.regions(f)
-	p.Takes, p.Term = r.duration("takes", f.Takes, 5*time.Millisecond), r.duration("term", f.Term, lease.DefaultTerm)
+	p.ServiceTime, p.Term = r.duration("takes", f.Takes, 5*time.Millisecond), r.duration("term", f.Term, lease.DefaultTerm)
 	r.limits(f)
 	r.policy(f)
 	if f.Seeds == nil {
@@ -487,14 +487,14 @@
 	if in == nil {
 		return
 	}
-	p := &Policy{Voters: r.daemons("policy.voters", in.Voters), Lease: r.duration("policy.lease", in.Lease, policy.DefaultLease), Within: r.duration("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
+	p := &Policy{Voters: r.daemons("policy.voters", in.Voters), Lease: r.duration("policy.lease", in.Lease, policy.DefaultLease), PrepareTimeout: r.duration("policy.within", in.Within, policy.DefaultPrepareTimeout), Witness: in.Witness}
 	if n := len(p.Voters); n != 1 && n != 3 && n != 5 {
 		r.fail("policy.voters", "%d voters: 1, 3 or 5 are allowed", n)
 	}
-	if p.Stops = in.CutOff == "stops"; !p.Stops && in.CutOff != "vetoes" {
+	if p.StopWhenIsolated = in.CutOff == "stops"; !p.StopWhenIsolated && in.CutOff != "vetoes" {
 		r.fail("policy.cut_off", "%q is neither stops nor vetoes", in.CutOff)
 	}
-	if p.Last = in.WhenAlone == "last"; !p.Last && in.WhenAlone != "" && in.WhenAlone != "none" {
+	if p.ServeLastKnown = in.WhenAlone == "last"; !p.ServeLastKnown && in.WhenAlone != "" && in.WhenAlone != "none" {
 		r.fail("policy.when_alone", "%q is neither none nor last", in.WhenAlone)
 	}
 	for _, part := range slices.Sorted(maps.Keys(in.Holds)) {
@@ -511,22 +511,22 @@
 
 // limits reads the limits that the daemons share.
 func (r *reader) limits(f *file) {
-	r.p.Keepers = r.daemons("keepers", f.Keepers)
+	r.p.LeaseServers = r.daemons("keepers", f.Keepers)
 	for i, l := range f.Limit {
 		at := fmt.Sprintf("limit[%d].", i)
 		counts := slices.Index(quota.KindNames, l.Counts)
 		if l.Each != "" && l.Each != "server" {
 			r.fail(at+"each", "%q: only server is allowed, or no value", l.Each)
 		}
-		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.Keepers) == 0 {
+		if counts < 0 || l.Kind != "hard" && l.Kind != "soft" || l.Name == "" || len(r.p.LeaseServers) == 0 {
 			r.fail(at+"counts", "%q, kind %q, name %q: counts %s, hard or soft, a name, and keepers are needed", l.Counts, l.Kind, l.Name, strings.Join(quota.KindNames, ", "))
 			return
 		}
 		r.p.Limits = append(r.p.Limits, Limit{l.Name, quota.Kind(counts), l.Figure, l.Kind == "hard", l.Floor, l.Each == "server"})
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	}
 	if len(f.Limit) > 0 {
-		if _, err := lease.NewClient(r.p.Settings(), "d1", 1); err != nil {
+		if _, err := lease.NewClient(r.p.LeaseSettings(), "d1", 1); err != nil {
 			r.fail("limit", "%v", err)
 		}
 	}
@@ -556,7 +556,7 @@
 		if err != nil || k < 1 || k > r.p.Servers || n[0] != 's' {
 			r.fail(at+"servers", "%q is not a server of this plan, which has s1 to s%d", n, r.p.Servers)
 		}
-		ev.Names = append(ev.Names, k-1)
+		ev.Servers = append(ev.Servers, k-1)
 	}
 	ev.Link = r.link(at, &e.link)
 	if len(ev.Who) == 0 && !(e.Do == "heal" && e.Who == nil) && e.Do != "fail" && e.Do != "fresh" {
@@ -590,32 +590,32 @@
 		if !slices.Contains([]string{"full", "slow", "well"}, e.Kind) {
 			r.fail(at+"kind", "%q is none of full, slow, well", e.Kind)
 		}
-		r.p.Modelled = true
+		r.p.VirtualTimeOnly = true
 	case "stray":
 		if !slices.Contains(StrayKinds, e.Kind) {
 			r.fail(at+"kind", "%q is none of %s", e.Kind, strings.Join(StrayKinds, ", "))
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "fresh":
-		if len(ev.Names) == 0 {
+		if len(ev.Servers) == 0 {
 			r.fail(at+"servers", "no server is named")
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "fail":
-		if len(ev.Names) == 0 || !(e.Fail >= 0 && e.Fail <= 1) {
+		if len(ev.Servers) == 0 || !(e.Fail >= 0 && e.Fail <= 1) {
 			r.fail(at+"fail", "%v: a share from 0 to 1 and servers are needed", e.Fail)
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "rate":
 		if !(e.Rate >= 0 && e.Rate <= 10000) || r.p.Rate == 0 {
 			r.fail(at+"rate", "%v: up to 10000 are allowed, and only if rate is set for the whole plan", e.Rate)
 		}
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	case "list", "servers", "handover":
-		r.p.Real = r.p.Real || e.Do == "handover" || len(e.Names) > 0
+		r.p.NeedsRealProcesses = r.p.NeedsRealProcesses || e.Do == "handover" || len(e.Names) > 0
 	}
 	if ev.Build != "" {
-		r.p.Real = true
+		r.p.NeedsRealProcesses = true
 	}
 	if e.Times < 0 || e.Times > 1000 || e.Times > 1 && e.Every.D() <= 0 {
 		r.fail(at+"times", "%d: up to 1000 are allowed, and every must be set", e.Times)
@@ -637,8 +637,8 @@
 	}
 }
 
-// First reports whether a daemon runs from the beginning, that is, whether its first event is not its own start.
-func (p *Plan) First(n int) bool {
+// RunsFromStart reports whether a daemon runs from the beginning, that is, whether its first event is not its own start.
+func (p *Plan) RunsFromStart(n int) bool {
 	for _, e := range p.Events {
 		if slices.Contains(e.Who, n) && slices.Contains([]string{"start", "kill", "term", "pause"}, e.Do) {
 			return e.Do != "start" || e.Twin
--- a/internal/faulttest/policymodel/policymodel.go
+++ b/internal/faulttest/policymodel/policymodel.go
@@ -246,7 +246,7 @@
 	if p.Policy == nil {
 		return nil, fmt.Errorf("%s: plan has no [policy]", p.Name)
 	}
-	if p.Real {
+	if p.NeedsRealProcesses {
 		return nil, fmt.Errorf("%s: plan has handovers, stray datagrams, limits or similar, which need real processes", p.Name)
 	}
 	defer fixRandom()()
@@ -255,7 +255,7 @@
 	w.result.Traffic = make([]Traffic, p.Daemons)
 	set := p.Policy
 	back := policy.Settings{Lease: set.Lease, ClockDrift: policy.DefaultClockDrift}
-	w.record(checker.Line{What: checker.Agreed, Hard: set.Stops, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.futureVoters()})
+	w.record(checker.Line{What: checker.Agreed, Hard: set.StopWhenIsolated, PauseMS: back.LeaseExpiry().Milliseconds() + 1, Why: strings.Join(w.voters(), " "), Parts: w.futureVoters()})
 	for n := range p.Daemons {
 		m := &member{n: n, name: plan.Name(n), disk: &disk{entries: map[uint64][]byte{}}, nextStep: -1}
 		w.members = append(w.members, m)
@@ -265,7 +265,7 @@
 		w.setLink(plan.Event{Who: firstMembers(p.Daemons), To: firstMembers(p.Daemons), Both: true, Link: p.Link})
 	}
 	for n := range p.Daemons {
-		if p.First(n) {
+		if p.RunsFromStart(n) {
 			w.schedule(time.Duration(w.rng.Float64()*float64(p.Spread)), func() { w.start(w.members[n], plan.Event{State: "kept"}) })
 		}
 	}
@@ -392,7 +392,7 @@
 	}
 	d := m.disk.load()
 	d.ProvenCurrent = proved
-	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.Stops, ServeLastKnown: set.Last, Lease: set.Lease, PrepareTimeout: set.Within, Parts: m.parts}
+	s := policy.Settings{Name: m.name, RunID: m.runID, Voters: w.voters(), StopWhenIsolated: set.StopWhenIsolated, ServeLastKnown: set.ServeLastKnown, Lease: set.Lease, PrepareTimeout: set.PrepareTimeout, Parts: m.parts}
 	if w.options.Check != nil {
 		s.Check = func(all []policy.Document) error {
 			for _, d := range all {
@@ -793,7 +793,7 @@
 		case "term":
 			if m.node != nil {
 				m.leaving = true
-				w.record(checker.Line{What: checker.Ending, Of: m.name, PID: m.pid})
+				w.record(checker.Line{What: checker.ShutdownRequested, Of: m.name, PID: m.pid})
 				w.schedule(w.now+retryDelay, func() {
 					w.departed[m.name] = m.runID
 					w.down(m, "term")
@@ -881,10 +881,10 @@
 				continue
 			}
 			w.links[[2]int{a, b}] = e.Link
-			w.record(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Impaired: e.Link.Rough()})
+			w.record(checker.Line{What: checker.Link, From: plan.Name(a), To: plan.Name(b), Drop: e.Link.Drop, Impaired: e.Link.IsImpaired()})
 			if e.Both {
 				w.links[[2]int{b, a}] = e.Link
-				w.record(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Impaired: e.Link.Rough()})
+				w.record(checker.Line{What: checker.Link, From: plan.Name(b), To: plan.Name(a), Drop: e.Link.Drop, Impaired: e.Link.IsImpaired()})
 			}
 		}
 	}
--- a/internal/faulttest/virtual/events.go
+++ b/internal/faulttest/virtual/events.go
@@ -166,7 +166,7 @@
 	a.runID = w.rng.Uint64() | 1
 	s := membership.Settings{Name: a.name, Addr: a.addr, Zone: w.zone(a.n), Region: w.region(a.n), Version: "virtual", Boot: boot, RunID: a.runID,
 		Instances: w.options.Instances, Balancers: w.options.Instances, KnownMembers: a.disk.known, ConfiguredBalancers: max(1, w.options.FileCount), Baseline: w.options.Plain,
-		ProbeInterval: w.plan.Peers.Every, ProbeTimeout: w.plan.Peers.Direct, IndirectTimeout: w.plan.Peers.Indirect, MinSuspicion: w.plan.Peers.SuspectLeast, BytesPerSecond: w.plan.Peers.Bytes, RemoteBytesPerSecond: w.plan.Peers.FarBytes}
+		ProbeInterval: w.plan.Peers.ProbeInterval, ProbeTimeout: w.plan.Peers.ProbeTimeout, IndirectTimeout: w.plan.Peers.IndirectTimeout, MinSuspicion: w.plan.Peers.MinSuspicion, BytesPerSecond: w.plan.Peers.Bytes, RemoteBytesPerSecond: w.plan.Peers.FarBytes}
 	if known != nil && w.now == 0 {
 		a.runID = w.initialRunID(a.n)
 		s.Boot, s.RunID, s.KnownMembers, s.TakesOver = wallBase, a.runID, known, true
@@ -182,7 +182,7 @@
 	a.in = a.in[:0]
 	what := checker.Up
 	if a.duplicate {
-		what = checker.Twin
+		what = checker.DuplicateStarted
 	}
 	w.record(checker.Line{What: what, Of: a.name, PID: a.pid, Balancers: w.options.Instances, Region: w.region(a.n)})
 	w.record(checker.Line{By: a.name, PID: a.pid, What: checker.Start, RunID: formatRunID(a.runID), Boot: boot})
@@ -251,7 +251,7 @@
 		if isDefault {
 			l = w.plan.Usual(p[0], p[1])
 		}
-		w.record(checker.Line{What: checker.Link, From: w.daemons[p[0]].name, To: w.daemons[p[1]].name, Drop: l.Drop, Impaired: l.Rough(), WayUS: l.Way()})
+		w.record(checker.Line{What: checker.Link, From: w.daemons[p[0]].name, To: w.daemons[p[1]].name, Drop: l.Drop, Impaired: l.IsImpaired(), OneWayDelayUS: l.OneWayDelayMicros()})
 	}
 }
 
--- a/internal/faulttest/virtual/virtual.go
+++ b/internal/faulttest/virtual/virtual.go
@@ -173,7 +173,7 @@
 
 // Play simulates a plan to its end.
 func Play(p *plan.Plan, o Options) (*Result, error) {
-	if p.Real {
+	if p.NeedsRealProcesses {
 		return nil, fmt.Errorf("%s: plan has stray datagrams, handovers or other builds, which need real processes", p.Name)
 	}
 	if o.Daemons == 0 {
@@ -202,7 +202,7 @@
 	}
 	var starts []plan.Event
 	for n := range o.Daemons {
-		if p.First(n) {
+		if p.RunsFromStart(n) {
 			at := time.Duration(w.rng.Float64() * float64(p.Spread))
 			starts = append(starts, plan.Event{At: at, Do: "start", Who: []int{n}, State: "kept"})
 		}
--- a/internal/faulttest/virtual/virtual_test.go
+++ b/internal/faulttest/virtual/virtual_test.go
@@ -35,12 +35,12 @@
 // claimsWithoutService returns the claims that a plan tries, except Serving, which needs real processes: there are no
 // requests in virtual time.
 func claimsWithoutService(p *plan.Plan) []string {
-	return slices.DeleteFunc(slices.Clone(p.Tries), func(c string) bool { return c == checker.Serving })
+	return slices.DeleteFunc(slices.Clone(p.RequiredClaims), func(c string) bool { return c == checker.Serving })
 }
 
 func TestShippedPlansKeepTheirClaims(t *testing.T) {
 	for _, p := range loadShippedPlans(t) {
-		if p.Real || p.Policy != nil { // package policymodel runs plans of policies
+		if p.NeedsRealProcesses || p.Policy != nil { // package policymodel runs plans of policies
 			continue
 		}
 		t.Run(p.Name, func(t *testing.T) {
